--- a/lugspur/emulator/__main__.py
+++ b/lugspur/emulator/__main__.py
@@ -1,6 +1,6 @@
 """Designs in virtual time: `python -m lugspur.emulator joining [--reads N] [--plot FILE]`, `fleet`, `members`,
-`duties` or `control [--seeds N]`, `explore [--states N]`, `guards`, `catching-up`; in real time: `capacity
-measure|load|hops|report`.
+`duties` or `control [--seeds N] [--kind KIND]`, `explore [--states N]`, `guards`, `catching-up`; in real time:
+`capacity measure|load|hops|report`.
 """
 
 from __future__ import annotations
@@ -43,6 +43,8 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--reads", type=int, default=joining.READS, help="at each load")
     parser.add_argument("--seeds", type=int, default=1000, help="of duties and control")
+    parser.add_argument("--kind", default="short", help="of the histories of control: a name in control/settings.py")
+    parser.add_argument("--jobs", type=int, default=4, help="processes, of the control side's models")
     parser.add_argument("--states", type=int, default=100_000, help="of each world of explore at most")
     parser.add_argument("--plot", default="", metavar="FILE", help="an SVG")
     given = parser.parse_args()
@@ -69,7 +71,7 @@
         # Imported only here: it needs the extra `mesh`.
         from lugspur.emulator.control import report
 
-        return report.show(given.what, given.seed, given.seeds, given.states)
+        return report.show(given.what, given.kind, given.seed, given.seeds, given.states, given.jobs)
     if given.what == "duties":
         from lugspur.emulator import duties
 
--- a/lugspur/emulator/control/checks.py
+++ b/lugspur/emulator/control/checks.py
@@ -125,14 +125,25 @@
                 raise Violation(f"confirmed and lost: {kind} {name!r} {edition}")
 
 
-@dataclass(slots=True)
-class KeyBook:
-    """Which operations have run, by key."""
+@dataclass(slots=True, frozen=True)
+class Run:
+    """An operation that has run: under which claim, and when its first try was sent."""
+
+    by: bytes
+    sent_at: float
 
-    runs: dict[bytes, bytes] = field(default_factory=dict)
 
-    def run(self, key: bytes, by: bytes) -> None:
-        """The operation of this key runs."""
-        if key in self.runs:
-            raise Violation(f"{key!r} ran for {self.runs[key]!r} and for {by!r}")
-        self.runs[key] = by
+@dataclass(slots=True)
+class KeyBook:
+    """Which operations have run, by key; `window`: seconds in which a key runs once; `judged`: whether that is held."""
+
+    window: float = float("inf")
+    judged: bool = True
+    runs: dict[bytes, Run] = field(default_factory=dict)
+
+    def run(self, key: bytes, by: bytes, sent_at: float = 0.0) -> None:
+        """The operation of this key runs, on a try that was sent then."""
+        before = self.runs.get(key)
+        if self.judged and before is not None and sent_at - before.sent_at < self.window:
+            raise Violation(f"{key!r} ran for {before.by!r} and, {sent_at - before.sent_at:.1f} s later, for {by!r}")
+        self.runs[key] = Run(by, sent_at)
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -38,6 +38,7 @@
 from lugspur.emulator.control import claims_world, histories, register_world
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import wander
+from lugspur.emulator.control.settings import SETTINGS
 
 WALKS = 250  # through each world at once
 TURNS = 60
@@ -194,7 +195,7 @@
     """Drawn histories; `nodes`: of settings with so many control nodes alone."""
 
     def catch() -> str:
-        settings = [setting for setting in histories.SETTINGS if nodes in (0, setting.nodes)]
+        settings = [setting for setting in SETTINGS if nodes in (0, setting.nodes)]
         for seed in range(first, first + HISTORIES):
             setting = settings[seed % len(settings)]
             try:
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -27,7 +27,6 @@
 EDITION_S = 2.0  # edition_ms of the settings
 CATCH_UP_S = 4.0
 CONTACT_S = 3.0
-WINDOW_S = 60.0  # seconds for which a key runs once: longer than a history
 PING = max(0.1, PING_PART * EDITION_S)
 STALE = max(0.3, STALE_PART * EDITION_S)
 
@@ -70,8 +69,8 @@
 class MeshNode(Node):
     """One control node of a mesh in virtual time."""
 
-    def __init__(self, world: Surroundings, ip: str, zone: str, tolerance: Tolerance) -> None:
-        super().__init__(ip, zone, WINDOW_S, world.rng, world.post, world.observe)
+    def __init__(self, world: Surroundings, ip: str, zone: str, tolerance: Tolerance, window_s: float) -> None:
+        super().__init__(ip, zone, window_s, world.rng, world.post, world.observe)
         self.world, self.tolerance = world, tolerance
         self.clock_ahead = world.rng.uniform(0.0, 1e5)  # of its steady clock
         self.frozen = False
