--- a/lugspur/control/messages.py
+++ b/lugspur/control/messages.py
@@ -44,6 +44,10 @@
     since: int
 
 
+class Unsubscribe(msgspec.Struct, tag=27, array_like=True):
+    """Send me no more news: another peer does."""
+
+
 class Delta(msgspec.Struct, tag=3, array_like=True):
     """What changed, up to `upto` of the sender's life; an empty one says that nothing did."""
 
@@ -322,6 +326,7 @@
 Message: TypeAlias = (
     Hello
     | Sync
+    | Unsubscribe
     | Delta
     | Pong
     | Report
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from lugspur.control.messages import Message, Voter
+from lugspur.control.messages import Accepted, Learn, Message, Promise, Voter
+from lugspur.control.proposer import Phase
 from lugspur.control.replica import GENESIS
 from lugspur.emulator.control.checks import Chain, Violation
 from lugspur.emulator.control.explorer import Event
@@ -128,6 +129,17 @@
             for wire in [wire for wire in self.wires if wire.source == wire.target]:
                 self._deliver(wire)
                 going = True
+        self._drop_idle()
+
+    def _drop_idle(self) -> None:
+        """Messages that change nothing whenever they come are gone at once: else states differ by them alone."""
+        for wire, queue in list(self.wires.items()):
+            node = self.nodes.get(wire.target)
+            if node is None or not node.up:
+                continue
+            queue[:] = [message for message in queue if not is_idle(node, message)]
+            if not queue:
+                del self.wires[wire]
 
     def lose_power(self, ip: str) -> None:
         """A node stops, and its connections end: what it has sent may still come, at any time."""
@@ -177,6 +189,22 @@
         return None
 
 
+def is_idle(node: Node, message: Message) -> bool:
+    """Whether a message changes nothing at this node, now and for ever.
+
+    Ballots of one proposer and indexes only rise: what belongs to an earlier one is late, and stays so. A promise
+    that comes in the second round, and a page of what is known, change nothing either.
+    """
+    if isinstance(message, Learn):
+        return message.number == 0 and message.last and message.index <= node.replica.index
+    if not isinstance(message, Promise | Accepted):
+        return False
+    proposal = node.proposer._proposal
+    if proposal is None or (message.index, message.ballot) != (proposal.index, proposal.ballot):
+        return True
+    return isinstance(message, Promise) and message.granted and proposal.phase is Phase.ACCEPT
+
+
 def node_key(node: Node, now: float) -> object:
     """All that decides what a node will do; no times but whether it pauses."""
     if not node.up:
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -29,6 +29,7 @@
     Standing,
     SubmitOrder,
     Sync,
+    Unsubscribe,
     Voter,
 )
 from lugspur.control.orders import Order
@@ -170,6 +171,8 @@
         elif isinstance(message, Sync):
             since = message.since if message.life == self.life and message.since <= self.store.upto else 0
             self.subscribers.add(link, since)
+        elif isinstance(message, Unsubscribe):
+            self.subscribers.remove(link)
         elif isinstance(message, Report):
             self.leases.report(self.loop.time(), link, message.entries)
         elif isinstance(message, Learn):
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -23,6 +23,7 @@
     Release,
     Report,
     Sync,
+    Unsubscribe,
     Verdict,
 )
 from lugspur.control.replica import read_membership
@@ -167,25 +168,30 @@
     # ---- news ----------------------------------------------------------------------------
 
     def _seek(self) -> None:
-        """Follow another's news: voters of the own zone first, each process another one."""
+        """Follow another's news, and no longer the former one's."""
         if self.keeps:
             return
+        former, self.source = self.source, self._choose_source()
+        if former and former != self.source:
+            self.to(former, Unsubscribe())
+        if self.source:
+            self.source_since = self.loop.time()
+            self._subscribe(self.peers[self.source])
+
+    def _choose_source(self) -> str:
+        """A voter of the own zone before others, each process another one; none where none can be reached."""
         up = {ip for ip, dialler in self.peers.items() if dialler.link is not None}
         zones = {voter.ip: voter.zone for voter in self.membership.voters} if self.membership is not None else {}
         able = [ip for ip in up if ip in zones]
         if not able or self._cut_off():  # the membership that is known may be an old one; proxies tell no news
             able += [ip for ip in up if ip in self.settings.seeds and ip not in zones]
-        if not able:
-            self.source = ""
-            return
         others = [ip for ip in able if ip != self.source] or able
-        zone = self.settings.own.zone
-        self.source = min(
+        zone, now = self.settings.own.zone, self.loop.time()
+        return min(
             others,
-            key=lambda ip: (self._avoid.get(ip, 0.0) > self.loop.time(), zones.get(ip) != zone, self.rng.random()),
+            key=lambda ip: (self._avoid.get(ip, 0.0) > now, zones.get(ip) != zone, self.rng.random()),
+            default="",
         )
-        self.source_since = self.loop.time()
-        self._subscribe(self.peers[self.source])
 
     def _heard_from(self, link: Link, message: Message) -> None:
         self.heard(link.peer, message)
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lugspur.control.errors import MeshError
-from lugspur.control.messages import Forward, Grant, Hello, Message, Part, Reply
+from lugspur.control.messages import Forward, Grant, Hello, Membership, Message, Part, Reply, Sync, Unsubscribe, Voter
 from lugspur.dataplane.gate import End
 from lugspur.dataplane.uploads import PART
 from lugspur.mesh.link import Dialler
@@ -236,3 +236,23 @@
         dialler.close()
 
     play(tmp_path, what)
+
+
+def test_who_follows_another_control_node_ends_its_former_subscription(tmp_path: Path) -> None:
+    def what(sidecar: Sidecar) -> None:
+        wires = {ip: Wire(ip) for ip in ("127.0.0.2", "127.0.0.3")}
+        for ip, wire in wires.items():
+            dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+            dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
+        sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
+        sidecar._seek()
+        former = wires[sidecar.source]
+        assert [type(message) for message in former.sent] == [Sync]
+        sidecar._seek()
+        assert [type(message) for message in former.sent] == [Sync, Unsubscribe]
+        assert [type(message) for message in wires[sidecar.source].sent] == [Sync]
+        for ip in wires:
+            sidecar.peers[ip].link = None
+            sidecar.peers[ip].close()
+
+    play(tmp_path, what)
--- /dev/null
+++ b/tests/mesh/test_subscribers.py
@@ -0,0 +1,72 @@
+"""Who is told of changes by a control node, and until when."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any, cast
+
+from lugspur.control.messages import Delta, Entry, Message, Pong
+from lugspur.control.store import Store
+from lugspur.mesh.leases import LEASE
+from lugspur.mesh.link import Link
+from lugspur.mesh.subscribers import Subscribers
+
+PING = 0.25
+
+
+class Wire:
+    """A connection, as far as it is used here."""
+
+    def __init__(self) -> None:
+        self.sent: list[Message] = []
+        self.at = asyncio.get_running_loop().time()
+        self.closed = False
+
+    def send(self, message: Message) -> None:
+        self.sent.append(message)
+
+    def close(self) -> None:
+        self.closed = True
+
+
+def play(what: Any) -> None:
+    async def run() -> None:
+        store = Store()
+
+        def news(now: float, since: int) -> Delta:
+            return Delta("life", store.upto, now, 0.0, 0, False, True, 1, since == 0, store.after(since))
+
+        await what(store, Subscribers(asyncio.get_running_loop(), store, PING, news), Wire())
+
+    asyncio.run(run())
+
+
+def test_a_subscriber_is_told_of_changes_until_it_ends_its_subscription() -> None:
+    async def what(store: Store, subscribers: Subscribers, wire: Wire) -> None:
+        link = cast(Link, wire)
+        subscribers.add(link, 0)
+        store.merge([Entry("notes", "a", 1, b"x")])
+        subscribers.tell_soon()
+        await asyncio.sleep(0)
+        assert [len(cast(Delta, message).entries) for message in wire.sent] == [0, 1]
+        subscribers.remove(link)
+        store.merge([Entry("notes", "a", 2, b"y")])
+        subscribers.tell_soon()
+        await asyncio.sleep(0)
+        subscribers.look(wire.at + 10.0 * PING)
+        assert len(wire.sent) == 2 and not len(subscribers) and not wire.closed
+
+    play(what)
+
+
+def test_a_subscriber_is_pinged_and_hears_its_own_answer_and_a_silent_one_is_closed() -> None:
+    async def what(store: Store, subscribers: Subscribers, wire: Wire) -> None:
+        link = cast(Link, wire)
+        subscribers.add(link, 0)
+        subscribers.answered(link, Pong(42.0))
+        subscribers.look(wire.at + 2.0 * PING)
+        assert [cast(Delta, message).echo for message in wire.sent] == [0.0, 42.0]
+        subscribers.look(wire.at + LEASE + 0.1)
+        assert wire.closed
+
+    play(what)
