--- a/lugspur/control/claims.py
+++ b/lugspur/control/claims.py
@@ -84,7 +84,6 @@
         # Late grants are given back for these alone. What falls out of it is given back by nobody, and ends by its
         # window: to forget that a claim was won, and give it back, would let its operation run twice.
         self._failed: LRUCache[tuple[bytes, bytes], None] = LRUCache(FAILED_MOST)
-        self._won: None = None  # has no use: the emulator's explorer sets it, and goes together with that line
 
     def __len__(self) -> int:
         return len(self._open)
--- a/lugspur/control/membership.py
+++ b/lugspur/control/membership.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from collections.abc import Mapping
 from collections.abc import Set as AbstractSet
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 import msgspec
 
@@ -29,11 +30,12 @@
 
     machines: int
     zones: int
+    regions: int = 0
 
     @property
     def voters(self) -> int:
-        """How many voters bear the loss of so many machines, or of so many zones with what is in them."""
-        return max(LEAST, 2 * self.machines + 1, 2 * self.zones + 1 if not self.machines else 0)
+        """How many voters bear the loss of so many machines, or of so many zones or regions with what is in them."""
+        return max(LEAST, 2 * self.machines + 1, 2 * max(self.zones, self.regions) + 1 if not self.machines else 0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +44,8 @@
 
     `absent`: seconds for which each voter that is out of reach has been; `patience`: how long that may be; `complete`:
     IP numbers of voters that hold all claims, itself included; `overdue`: the present epoch has stood for so long that
-    a voter that is not complete will not be soon; `avoid`: IP numbers that were out of reach a moment ago.
+    a voter that is not complete will not be soon; `avoid`: IP numbers that were out of reach a moment ago; `regions`:
+    the region of each zone.
     """
 
     membership: Membership
@@ -53,12 +56,18 @@
     overdue: bool
     tolerance: Tolerance
     avoid: AbstractSet[str] = frozenset()
+    regions: Mapping[str, str] = field(default_factory=dict)
 
     def zone(self, voter: Voter) -> str:
         """The zone of a voter: those of the first membership are known by their addresses alone."""
         presence = self.presences.get(voter.ip)
         return presence.zone if presence is not None else voter.zone
 
+    def failure_domain(self, voter: Voter) -> str:
+        """What is lost at once with this voter: its region where regions may be lost, else its zone."""
+        zone = self.zone(voter)
+        return self.regions.get(zone, zone) if self.tolerance.regions else zone
+
     def candidates(self) -> list[Voter]:
         """Replicas without a vote that could have one."""
         voters = {voter.ip for voter in self.membership.voters}
@@ -80,7 +89,7 @@
         _replace_lost_disk(situation)
         or _replace_unfit(situation)
         or _add_voter(situation)
-        or _spread_over_zones(situation)
+        or _spread_over_domains(situation)
     )
 
 
@@ -123,18 +132,18 @@
     return _follow(situation.membership, [*voters, added])
 
 
-def _spread_over_zones(situation: Situation) -> Membership | None:
-    """The loss of one zone would take the majority with it, and another zone could have one of its votes."""
+def _spread_over_domains(situation: Situation) -> Membership | None:
+    """The loss of one zone or region would take the majority with it, and another could have one of its votes."""
     voters = situation.membership.voters
-    if not situation.tolerance.zones:
+    if not situation.tolerance.zones and not situation.tolerance.regions:
         return None
-    crowd = _crowd(situation, voters)
-    crowded = max(crowd, key=lambda zone: (crowd[zone], zone))
+    crowd = Counter(situation.failure_domain(voter) for voter in voters)
+    crowded = max(crowd, key=lambda domain: (crowd[domain], domain))
     if len(voters) - crowd[crowded] >= majority(len(voters)):
         return None
-    elsewhere = [c for c in situation.candidates() if crowd.get(c.zone, 0) + 1 < crowd[crowded]]
+    elsewhere = [c for c in situation.candidates() if crowd[situation.failure_domain(c)] + 1 < crowd[crowded]]
     for voter in voters:
-        if elsewhere and situation.zone(voter) == crowded and situation.may_go(voter):
+        if elsewhere and situation.failure_domain(voter) == crowded and situation.may_go(voter):
             others = [other for other in voters if other != voter]
             return _replace(situation.membership, voter, _least_crowded(situation, elsewhere, others))
     return None
@@ -148,15 +157,8 @@
     return Membership(membership.epoch + 1, sorted(voters, key=lambda voter: voter.ip), membership.voters)
 
 
-def _crowd(situation: Situation, voters: list[Voter]) -> dict[str, int]:
-    crowd: dict[str, int] = {}
-    for voter in voters:
-        zone = situation.zone(voter)
-        crowd[zone] = crowd.get(zone, 0) + 1
-    return crowd
-
-
 def _least_crowded(situation: Situation, candidates: list[Voter], others: list[Voter]) -> Voter:
-    """One of the zone that has fewest votes: a zone that goes takes the least with it."""
-    crowd = _crowd(situation, others)
-    return min(candidates, key=lambda voter: (crowd.get(voter.zone, 0), voter.ip))
+    """One of the region or zone that has fewest votes: what is lost at once takes the least with it."""
+    domains = Counter(situation.failure_domain(voter) for voter in others)
+    zones = Counter(situation.zone(voter) for voter in others)
+    return min(candidates, key=lambda c: (domains[situation.failure_domain(c)], zones[situation.zone(c)], c.ip))
--- a/lugspur/control/reconfiguration.py
+++ b/lugspur/control/reconfiguration.py
@@ -35,8 +35,12 @@
 class Reconfiguration:
     """The steps that one voter proposes."""
 
-    def __init__(self, replica: Replica, tolerance: Tolerance, patience: float) -> None:
+    def __init__(
+        self, replica: Replica, tolerance: Tolerance, patience: float, regions: Mapping[str, str] | None = None
+    ) -> None:
+        """`patience`: seconds that a voter may be silent; `regions`: the region of each zone."""
         self._replica = replica
+        self._regions = regions or {}
         self.tolerance = tolerance
         self.patience = patience
         self._epoch = 0
@@ -69,6 +73,7 @@
             now - self._since > self.patience,
             self.tolerance,
             {ip for ip, at in self._removed.items() if now - at < AVOID},
+            self._regions,
         )
         step = next_membership(situation)
         if step is None:
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -67,7 +67,6 @@
         self.state = "idle"  # asking, won, ran, told, lost
         self.membership: Membership = world.first
         self.claims = Claims(self.send)
-        self.claims._won = {}  # type: ignore[assignment]  # no time passes here
 
     def send(self, ip: str, message: Claim | Release | Done) -> None:
         self.world.post(Wire(self.name, ip, self.name), message)
@@ -77,7 +76,7 @@
 
     def key(self) -> object:
         asked = tuple((tuple(sorted(o.granted)), tuple(sorted(o.others))) for o in self.claims._open.values())
-        return self.state, self.membership.epoch, asked, bool(self.claims._won)
+        return self.state, self.membership.epoch, asked
 
 
 class ClaimsWorld(SmallWorld):
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -102,7 +102,8 @@
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.do)
         self.catch_up = ClaimsCatchUp(self.replica)
         patience = patience_of(bounds.catch_up_s, bounds.contact_ms / 1000.0)
-        self.reconfiguration = Reconfiguration(self.replica, Tolerance(tolerate.machines, tolerate.zones), patience)
+        tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
+        self.reconfiguration = Reconfiguration(self.replica, tolerance, patience, settings.network.zones)
         self.membership_changes = MembershipChanges(
             self.ip,
             self.replica,
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -36,8 +36,6 @@
 LEAVE_ENDS = 0.9  # ...and by which all ends
 TELL_EVERY = 2.0  # seconds between lines on how requests ended
 
-
-_status_decoder = msgspec.msgpack.Decoder(BackendStatus)
 _json = msgspec.json.Encoder().encode
 _status_decoder = msgspec.msgpack.Decoder(BackendStatus)
 
--- a/tests/mesh/test_membership_changes.py
+++ b/tests/mesh/test_membership_changes.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
+
 import pytest
 from controlparts import seed
 
@@ -160,6 +162,26 @@
     assert follows(situation(THERE | SPARE, zones=1)) is None
 
 
+def test_votes_are_spread_over_regions_where_a_region_may_be_lost() -> None:
+    regions = {"z1": "east", "z2": "east", "z3": "west", "z4": "north"}
+    north = {"10.0.0.4": Presence("u4", "z4")}
+
+    def spread(presences: dict[str, Presence], lost: Tolerance) -> set[str] | None:
+        return follows(replace(situation(presences), tolerance=lost, regions=regions))
+
+    assert spread(THERE | north, Tolerance(1, 1, 1)) == {"10.0.0.4/u4"}  # z1 and z2 go at once
+    assert spread(THERE | north, Tolerance(1, 1)) is None
+    assert spread(THERE | {"10.0.0.4": Presence("u4", "z2")}, Tolerance(1, 1, 1)) is None
+
+
+def test_a_lost_voter_is_replaced_in_the_region_that_has_fewest_votes() -> None:
+    regions = {"z1": "east", "z2": "east", "z3": "west", "z4": "north"}
+    left = {ip: presence for ip, presence in THERE.items() if ip != "10.0.0.3"}
+    spares = {"10.0.0.4": Presence("u4", "z2"), "10.0.0.5": Presence("u5", "z4")}
+    found = situation(left | spares, absent={"10.0.0.3": PATIENCE + 1.0})
+    assert follows(replace(found, tolerance=Tolerance(1, 0, 1), regions=regions)) == {"10.0.0.5/u5"}
+
+
 def test_patience_follows_from_the_settings_and_it_is_said_where_they_leave_no_time() -> None:
     assert patience_of(4.0, 3.0) == pytest.approx(4.0 - CHANGE_TAKES)  # before the next loss
     assert patience_of(60.0, 3.0) == pytest.approx(3.0 + CHANGE_TAKES)
