--- /dev/null
+++ b/lugspur/dataplane/proxied_request.py
@@ -0,0 +1,289 @@
+"""One request of a caller: from its claim, where it has a key, over the backends it is sent to, to its one answer."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from lugspur.control.claims import Known, Settled, Taken, Won
+from lugspur.control.errors import Kind
+from lugspur.control.messages import Answer, Forward, Reply
+from lugspur.dataplane.endpoints import Endpoint, pick
+from lugspur.dataplane.gate import End
+from lugspur.dataplane.refusal import refuse
+from lugspur.dataplane.routes import RouteEntry
+from lugspur.seams import Answerable, Request
+
+if TYPE_CHECKING:
+    from lugspur.dataplane.proxy import Proxy
+
+BY_MS = b"lugspur-deliver-by-ms"
+OWN_LINES = (b"lugspur-sender", b"lugspur-deliver-to", BY_MS)  # set anew here, whatever was sent
+REWRITTEN = (b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto")  # kept out of the lines by the reader
+TICK = 0.001  # seconds that an answer takes at least
+PACE_WEIGHT = 1 / 32  # of one answer in a route's pace
+CLAIM_WITHIN = 0.6  # seconds for a claim, and at most a third of the time that is left
+MARGIN = 0.02  # seconds for which the backend's word at the deadline is waited for
+REST = 0.04  # seconds for which a backend that turned a request away is passed over, drawn from half to one and a half
+ROUNDS = 4  # backends that may turn one request away before it is given up
+HEDGE = 3.0  # times a route's pace after which a safe request is sent to a second backend...
+HEDGE_AIM = 0.6  # ...and not before this part of its aim
+LATE = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
+
+
+class ProxiedRequest:
+    """One request."""
+
+    def __init__(
+        self,
+        proxy: Proxy,
+        request: Request,
+        caller: Answerable,
+        route: RouteEntry,
+        deadline: float,
+        attempt: bytes,
+        key: bytes,
+        back: bool,
+    ) -> None:
+        self.proxy, self.request, self.caller, self.route = proxy, request, caller, route
+        self.deadline, self.attempt, self.back = deadline, attempt, back
+        self.key = key if route.kind == "tracked" else b""
+        self.claim_id = proxy.claim_id(attempt) if self.key else b""
+        self.service = route.service(proxy.rng)
+        self.sends = 0  # backends that it was offered to, or may have been
+        self.rounds = 0  # gates that turned it away
+        self.tried: set[str] = set()
+        self.out: dict[int, tuple[Endpoint, float, Callable[[], None]]] = {}  # what is under way
+        self.over = False
+        self.maybe = False  # it may have run
+        self.won = False
+        self.number = 0
+        self.last: Answer | None = None  # a failure of the backend's own, to be passed on where nothing better comes
+        self._lines: list[bytes] | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._hedge: asyncio.TimerHandle | None = None
+
+    def begin(self) -> None:
+        """Set off."""
+        proxy, loop = self.proxy, self.proxy.loop
+        now = loop.time()
+        if now >= self.deadline:
+            refuse(self.caller, Kind.TOO_LATE)
+            return
+        proxy.open_requests.add(self)
+        proxy.budget(self.service).take(now)
+        self.caller.gone = self._gone
+        self._timer = loop.call_at(self.deadline + MARGIN, self._late)
+        if self.key:
+            left = self.deadline - now
+            proxy.keys.claim(self.key, self.claim_id, left, min(CLAIM_WITHIN, left / 3.0), self._claimed)
+        else:
+            self._go(now)
+
+    def _claimed(self, how: Settled) -> None:
+        if self.over:
+            if isinstance(how, Won):
+                self.proxy.keys.release(self.key, self.claim_id)
+        elif isinstance(how, Won):
+            self.won = True
+            self._go(self.proxy.loop.time())
+        elif isinstance(how, Known):
+            self._answer(how.answer)
+        elif isinstance(how, Taken):
+            self._refuse(Kind.KEY_BUSY if how.busy else Kind.KEY_SPENT)
+        else:
+            self._refuse(Kind.NO_QUORUM)
+
+    # ---- the pick ------------------------------------------------------------------------
+
+    def _ready(self, now: float) -> list[Endpoint]:
+        carrier = self.proxy.carrier
+        ready = [
+            endpoint
+            for ident, endpoint in self.proxy.services.get(self.service, {}).items()
+            if ident not in self.tried and carrier.ready(endpoint.ip)
+        ]
+        # Those that have just turned one away come last, but before a refusal: asking a gate costs no backend anything.
+        return [endpoint for endpoint in ready if now >= endpoint.rests_until] or ready
+
+    def _pick(self, now: float) -> Endpoint | None:
+        ready = self._ready(now)
+        proxy = self.proxy
+        found = pick(ready, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        if found is None:
+            proxy.count("breaker-refused" if ready else "none-ready")
+        return found
+
+    def _go(self, now: float, again: bool = False) -> bool:
+        """Send it to a backend, or give it up; `again`: what is under way may still bring the answer."""
+        endpoint = self._pick(now)
+        if endpoint is None:
+            if not again:
+                self._give_up()
+            return False
+        self.tried.add(endpoint.id)
+        self.number += 1
+        number = self.number
+        route, request = self.route, self.request
+        if self._lines is None:
+            self._lines = self._write_lines()
+        forward = Forward(
+            0,
+            endpoint.id,
+            request.method,
+            request.target,
+            self._lines,
+            request.body,
+            self.deadline - now,
+            request.arrived + route.target - now,
+            self.attempt,
+            route.priority,
+            route.safe,
+            route.name,
+            self.key,
+            self.claim_id,
+            self.back,
+        )
+        endpoint.inflight += 1
+        self.sends += 1
+        if self.sends > 1:
+            self.proxy.budget(self.service).spend(now)
+        self.out[number] = (endpoint, now, _nothing)
+        cancel = self.proxy.carrier.carry(endpoint.ip, forward, lambda reply: self._replied(number, reply))
+        if number in self.out:
+            self.out[number] = (endpoint, now, cancel)
+            if route.safe and route.pace and self._hedge is None and self.sends < route.tries:
+                at = now + max(HEDGE * route.pace, HEDGE_AIM * route.target)
+                if at + route.pace < self.deadline:
+                    self._hedge = self.proxy.loop.call_at(at, self._second)
+        return True
+
+    def _second(self) -> None:
+        """A safe request has been out for long: its answer may be lost."""
+        now = self.proxy.loop.time()
+        if self.over or len(self.out) != 1 or self.sends >= self.route.tries:
+            return  # a further try may have been sent since the hedge was set
+        if self.proxy.budget(self.service).allows(now):
+            self._go(now, True)
+
+    def _write_lines(self) -> list[bytes]:
+        request = self.request
+        lines = [line for line in request.lines if line.partition(b":")[0].lower() not in OWN_LINES]
+        for name in REWRITTEN:
+            value = request.headers.get(name)
+            if value is not None:
+                lines.append(b"%b: %b\r\n" % (name.title(), value))
+        lines.append(b"Lugspur-Sender: %b\r\n" % self.proxy.sender.encode())
+        return lines
+
+    # ---- how it ends -----------------------------------------------------------------------
+
+    def _replied(self, number: int, reply: Reply) -> None:
+        endpoint, since, _ = self.out.pop(number)
+        endpoint.inflight -= 1
+        loop = self.proxy.loop
+        now = loop.time()
+        # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
+        took, route = max(TICK, now - since), self.route
+        how = reply.how
+        if how == End.ANSWERED and reply.answer is not None:
+            if reply.answer.status < 500:
+                route.pace += (took - route.pace) * (PACE_WEIGHT if route.pace else 1.0)
+                relative = took / route.pace
+                breaker = endpoint.breaker(route.name)
+                breaker.accepted(now)
+                breaker.sample(relative)
+                endpoint.learn(relative)
+            else:
+                self._failed(now, endpoint)
+            if self.over:
+                return
+            if reply.answer.status >= 500 and route.safe:
+                self.last = reply.answer
+                if not self._again(now):
+                    self._finish_failed()
+                return
+            self._answer(reply.answer)
+            return
+        if how == End.NOT_RUN:
+            self.rounds += 1
+            if not reply.sent:
+                self.sends -= 1  # no backend was offered it
+            endpoint.breaker(route.name).failed(now)
+            endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
+        else:
+            self._failed(now, endpoint)
+            self.maybe = True
+        if self.over:
+            return
+        if not self._again(now):
+            self._finish_failed()
+
+    def _failed(self, now: float, endpoint: Endpoint) -> None:
+        endpoint.breaker(self.route.name).failed(now)
+        endpoint.learn(LATE)
+
+    def _again(self, now: float) -> bool:
+        """Whether it goes on: something is under way, or another backend may have it."""
+        if self.out:
+            return True
+        if (self.maybe or self.last is not None) and not self.route.safe:
+            return False
+        if self.rounds >= ROUNDS or now >= self.deadline or self.sends >= self.route.tries:
+            return False
+        if self.sends and not self.proxy.budget(self.service).allows(now):
+            return False
+        return self._go(now, True)
+
+    def _finish_failed(self) -> None:
+        if self.last is not None:
+            self._answer(self.last)
+        else:
+            self._give_up()
+
+    def _give_up(self) -> None:
+        """Nobody will run it: refused where that is proven, else failed."""
+        if self.maybe and not self.route.safe:
+            self._refuse(Kind.MAYBE_RAN)
+            return
+        if self.won:
+            self.proxy.keys.release(self.key, self.claim_id)
+        self._refuse(Kind.MAYBE_RAN if self.maybe else Kind.NO_BACKEND)
+
+    def _late(self) -> None:
+        if not self.over:
+            if self.won and not self.out and not self.maybe:
+                self.proxy.keys.release(self.key, self.claim_id)
+            self._refuse(Kind.TOO_LATE)
+
+    def _answer(self, answer: Answer) -> None:
+        self._finish()
+        self.proxy.count("answered" if answer.status < 500 else "backend-failed")
+        self.caller.answer(answer.status, answer.head, answer.body)
+
+    def _refuse(self, kind: Kind) -> None:
+        self._finish()
+        self.proxy.count(kind.value)
+        refuse(self.caller, kind, self.deadline - self.proxy.loop.time())
+
+    def _gone(self) -> None:
+        """Its caller has left."""
+        if not self.over:
+            self._finish()
+
+    def _finish(self) -> None:
+        self.over = True
+        self.proxy.open_requests.discard(self)
+        for timer in (self._timer, self._hedge):
+            if timer is not None:
+                timer.cancel()
+        if self.key and not self.won:
+            self.proxy.keys.drop(self.key, self.claim_id)
+        if self.route.safe:
+            for _, _, cancel in list(self.out.values()):
+                cancel()
+
+
+def _nothing() -> None:
+    """Cancels what has not begun."""
--- a/lugspur/emulator/capacity/stages.py
+++ b/lugspur/emulator/capacity/stages.py
@@ -19,7 +19,13 @@
 STAGES = {
     "HTTP of callers": ("http1/front", "http1/intake", "http1/hops"),
     "HTTP to the backend": ("http1/upstream", "http1/body"),
-    "route, pick, retries": ("dataplane/proxy", "dataplane/routes", "jaspershelf/"),
+    "route, pick, retries": (
+        "dataplane/prox",
+        "dataplane/endpoints",
+        "dataplane/refusal",
+        "dataplane/routes",
+        "jaspershelf/",
+    ),
     "gate": ("dataplane/gate", "dataplane/uploads"),
     "messages between proxies": ("mesh/link", "control/messages"),
     "carrying, news, leases": ("lugspur/mesh/", "lugspur/control/", "lugspur/membership/"),
