--- a/lugspur/emulator/control/losses.py
+++ b/lugspur/emulator/control/losses.py
@@ -203,6 +203,7 @@
 
         def look() -> None:
             if world.nodes.get(ip) is not node or not node.up or node.lives != lives:
+                self._lost_until[ip] = world.now + CATCH_UP_S  # its power was lost meanwhile
                 return
             if world.now < min(until, killed) and not node.handed_on():
                 self._later(0.1, look)
@@ -277,7 +278,8 @@
         world, rng = self._world, self._rng
         able = [node.ip for node in world.up() if self._may_lose(node.ip)]
         if not able:
-            self._later(0.2, self._draw_absence)
+            if world.now < self._setting.faults_s:
+                self._later(0.2, self._draw_absence)
             return
         ip = rng.choice(able)
         span = rng.uniform(*ABSENT)
