--- a/lugspur/mesh/link.py
+++ b/lugspur/mesh/link.py
@@ -15,17 +15,19 @@
 FRAME_MOST = 96 << 20  # bytes of one frame: the largest body that operators allow is 64 MiB, and heads beside it
 UNSENT_MOST = 48 << 20  # bytes that may wait for a peer that does not read: then it counts as gone
 USER_TIMEOUT = 1500  # ms without an acknowledgement after which a connection is dead: a cut says nothing
-# s, s, probes. Where something is sent the time above finds a dark machine, so that these may be few: in a fleet of
-# proxies that all know each other they would be most of what idle links carry.
+# s, s, probes. Where something is sent the time above finds a dark machine.
 KEEP_IDLE, KEEP_EVERY, KEEP_COUNT = 10, 1, 2
+# s, between proxies: each is connected to all others, so that at 620 proxies probes each 10 s are five times what a
+# proxy may spend on control. A dark machine leaves with its lease, one that has restarted says so (`Dialler.met`).
+PROXY_KEEP_IDLE = 75
 
 
-def alert(sock: socket.socket) -> None:
+def alert(sock: socket.socket, keep_idle: int) -> None:
     """Have the system tell of a peer that is silent: a machine without power sends no reset."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_IDLE)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, keep_idle)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_EVERY)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_COUNT)
 
@@ -38,8 +40,11 @@
         heard: Callable[[Link, Message], None],
         ended: Callable[[Link], None],
         begun: Callable[[Link], None] | None = None,
+        keep_idle: int = KEEP_IDLE,
     ) -> None:
+        """`keep_idle`: seconds without a byte after which the system asks whether the peer is still there."""
         self._heard, self._ended, self._begun = heard, ended, begun
+        self._keep_idle = keep_idle
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._in = bytearray()
@@ -48,11 +53,12 @@
         self.open = True
         self.peer = ""  # the IP number of who dialled, once it has said Hello
         self.answered = False  # whether who was dialled has said Hello: its process runs, and takes requests
+        self.life = ""  # ...and of which life it is
         self.at = 0.0  # the loop's time of the latest message
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        alert(transport.get_extra_info("socket"))
+        alert(transport.get_extra_info("socket"), self._keep_idle)
         self.at = self._loop.time()
         if self._begun is not None:
             self._begun(self)
@@ -129,7 +135,9 @@
         heard: Callable[[Link, Message], None],
         up: Callable[[Dialler], None],
         down: Callable[[Dialler], None],
+        keep_idle: int = KEEP_IDLE,
     ) -> None:
+        self._keep_idle = keep_idle
         self.ip, self._port, self._own = ip, port, own
         self._heard, self._up, self._down = heard, up, down
         self._loop = asyncio.get_running_loop()
@@ -147,7 +155,7 @@
             self._task = self._loop.create_task(self._connect())
 
     async def _connect(self) -> None:
-        link = Link(self._heard, self._lost)
+        link = Link(self._heard, self._lost, keep_idle=self._keep_idle)
         link.peer = self.ip
         try:
             async with asyncio.timeout(DIAL_WITHIN):
@@ -166,6 +174,13 @@
         else:
             self._again()
 
+    def met(self, life: str) -> None:
+        """The peer has dialled here, in this life: a connection to a former one leads nowhere."""
+        if self.link is not None and self.link.life not in ("", life):
+            self.link.close()
+        else:
+            self.nudge()
+
     def nudge(self) -> None:
         """Something speaks for it: dial now where a pause is on."""
         if self._timer is not None and self.failures > 1:
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -29,7 +29,7 @@
 from lugspur.control.replica import read_membership
 from lugspur.control.store import Store
 from lugspur.mesh import events
-from lugspur.mesh.link import Dialler, Link
+from lugspur.mesh.link import KEEP_IDLE, Dialler, Link
 from lugspur.mesh.settings import Settings, load
 
 LOOK = 0.1  # seconds between looks at what is due
@@ -111,14 +111,17 @@
     def _reach(self) -> None:
         wanted = self.wanted()
         for ip in wanted - self.peers.keys():
-            self.peers[ip] = Dialler(
-                ip, self.settings.network.inner_ports[0], self.ip, self._heard_from, self._up, self._down
-            )
+            port = self.settings.network.inner_ports[0]
+            self.peers[ip] = Dialler(ip, port, self.ip, self._heard_from, self._up, self._down, self.keep_idle(ip))
         for ip in [ip for ip in self.peers if ip not in wanted and not self.keep_peer(ip)]:
             self.peers.pop(ip).close()
             self.freshness.lost(ip)
             self.synced.pop(ip, None)
 
+    def keep_idle(self, ip: str) -> int:
+        """Seconds without a byte after which a connection to this peer is probed."""
+        return KEEP_IDLE
+
     def keep_peer(self, ip: str) -> bool:
         """Whether a connection is wanted for anything else."""
         return False
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -22,7 +22,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
-from lugspur.mesh.link import Dialler, Link
+from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 from lugspur.mesh.node import Node
 from lugspur.mesh.outgoing import OutgoingExchanges
 from lugspur.mesh.registration import FROZEN, BackendRegistration, BackendStatus
@@ -86,7 +86,7 @@
         settings = self.settings
         ip, port = settings.inner_bind
         listen, limits = settings.network.listen, settings.own.limits
-        await self.loop.create_server(lambda: Link(self._asked, self.incoming.ended), ip, port, backlog=512)
+        await self.loop.create_server(self._accepted, ip, port, backlog=512)
         most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
         self.front = Front(read_address(listen.outgoing), most, limits.memory_mb << 20, self._handle)
         # Guards against requests that waited unread while this process was frozen: their callers have given them up.
@@ -104,6 +104,12 @@
         calls.add("GET", "/mesh/status", lambda request, caller, found: reply(caller, _json(self.status())))
         await calls.serve(listen.dispatch, limits.memory_mb << 20)
 
+    def _accepted(self) -> Link:
+        return Link(self._asked, self.incoming.ended, keep_idle=PROXY_KEEP_IDLE)
+
+    def keep_idle(self, ip: str) -> int:
+        return PROXY_KEEP_IDLE if ip in self.backends else KEEP_IDLE
+
     def _tune(self) -> None:
         """Callers are held to the operators' limits."""
         bounds, limits = self.table.bounds, self.settings.own.limits
@@ -206,7 +212,7 @@
         elif isinstance(message, Grant):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
-            link.answered = True
+            link.answered, link.life = True, message.life
             link.send(Hello(self.ip, self.life, self.keeps, self.loop.time()))
         else:
             super()._heard_from(link, message)
@@ -221,7 +227,7 @@
         if isinstance(message, Hello):
             dialler = self.peers.get(message.ip)
             if dialler is not None:
-                dialler.nudge()
+                dialler.met(message.life)
 
     def _done(self, forward: Forward, answer: Answer) -> None:
         """A keyed operation has run: the voters keep its answer for repeats."""
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from collections.abc import Awaitable, Callable
 
 import pytest
 
 from lugspur.control.messages import Claim, Hello, Message, Pong, encode
 from lugspur.mesh import link as link_module
-from lugspur.mesh.link import Dialler, Link
+from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 
 
 def play(what: Callable[[Server], Awaitable[None]]) -> None:
@@ -137,3 +138,40 @@
         assert len(downs) == 1
 
     play(what)
+
+
+def test_a_connection_to_a_former_life_ends_once_the_next_one_dials_here() -> None:
+    async def what(server: Server) -> None:
+        up: asyncio.Queue[Dialler] = asyncio.Queue()
+        down: list[Dialler] = []
+        dialler = Dialler(
+            "127.0.0.1", server.port, "127.0.0.1", lambda *_: None, up.put_nowait, down.append, PROXY_KEEP_IDLE
+        )
+        await up.get()
+        assert dialler.link is not None
+        dialler.met("first")  # its Hello has not been answered yet: nothing is known of the life behind it
+        dialler.link.life = "first"
+        dialler.met("first")
+        assert not down and dialler.link is not None
+        dialler.met("second")
+        assert down == [dialler] and dialler.link is None
+        assert (await up.get()).link is not None  # and it dials again
+        dialler.close()
+
+    play(what)
+
+
+def test_probes_between_proxies_are_rarer() -> None:
+    async def what(server: Server) -> None:
+        for keep_idle in (KEEP_IDLE, PROXY_KEEP_IDLE):
+            up: asyncio.Queue[Dialler] = asyncio.Queue()
+            dialler = Dialler(
+                "127.0.0.1", server.port, "127.0.0.1", lambda *_: None, up.put_nowait, lambda _: None, keep_idle
+            )
+            link = (await up.get()).link
+            assert link is not None and link._transport is not None
+            sock = link._transport.get_extra_info("socket")
+            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == keep_idle
+            dialler.close()
+
+    play(what)
