--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -139,6 +139,17 @@
     Limits("two contents and a read", (("x", "a"), ("y", "b")), reads=1),
 ]
 
+WHOLE_WORLDS = [
+    Limits("two contents at one node, to the end", (("x", "a"), ("y", "a")), retries=0),
+    Limits("two contents, to the end", (("x", "a"), ("y", "b")), retries=0),
+    Limits("the same order to two nodes, to the end", (("x", "a"), ("x", "b")), retries=0),
+    Limits("two routes of one place, to the end", (("one", "a"), ("other", "b")), retries=0),
+    Limits("an older edition beside a newer one, to the end", (("x", "a"), ("newer", "b")), retries=0),
+    Limits("two contents, a connection breaks, to the end", (("x", "a"), ("y", "b")), retries=0, breaks=1),
+    Limits("two contents, power is lost, to the end", (("x", "a"), ("y", "b")), retries=0, powers=1),
+]
+"""Worlds without further tries, of which every order of events is seen within 100,000 states."""
+
 
 class RegisterWorld(SmallWorld):
     """Three voters, and orders that each go to one of them once."""
--- a/tests/mesh/test_explored.py
+++ b/tests/mesh/test_explored.py
@@ -21,6 +21,13 @@
     assert explore(lambda: RegisterWorld(ONE_ORDER), 20_000) == Explored(216, True)
 
 
+@pytest.mark.parametrize(
+    ("limits", "states"), list(zip(register_world.WHOLE_WORLDS[:2], (149, 9_439), strict=True)), ids=str
+)
+def test_every_order_of_events_of_two_orders(limits: Limits, states: int) -> None:
+    assert explore(partial(RegisterWorld, limits), 20_000) == Explored(states, True)
+
+
 @pytest.mark.parametrize("limits", register_world.WORLDS, ids=lambda limits: limits.name)
 def test_walks_through_worlds_of_the_register(limits: Limits) -> None:
     assert explore(partial(RegisterWorld, limits), NEAREST) == Explored(NEAREST, False)
