--- a/lugspur/emulator/capacity/measure.py
+++ b/lugspur/emulator/capacity/measure.py
@@ -17,6 +17,7 @@
 from lugspur.emulator.hollow.commands import Collected
 from lugspur.emulator.hollow.fleet import HollowFleet
 from lugspur.emulator.hollow.usage import of_address, of_process
+from lugspur.mesh.link import PROXY_KEEP_IDLE
 
 CONTROL = 4
 SIZES = (20, 80, 160, 320, 620)
@@ -24,7 +25,7 @@
 RATES = (300.0, 1000.0, 2000.0, 4000.0)  # operation keys a second
 QUICK_SIZES, QUICK_RATES = (10, 20, 40), (50.0, 200.0)
 CHANGES, CHANGE_EVERY_S = 10, 0.4
-IDLE_S = 11.0  # keepalives come every 10 s
+IDLE_S = PROXY_KEEP_IDLE + 2.0  # each idle connection is probed once in it, however old it is
 KEYED_S = 5.0
 SETTLE_S = 1.0  # after something, for its news to end
 CATCH_UP_MOST_S = 25.0
@@ -58,8 +59,7 @@
         changes = await _changes(fleet)
         standing = await read(fleet)
         restart = await _restart(fleet)
-        # The connections of the restarted proxy are a window of keepalives old when this begins.
-        await asyncio.sleep(IDLE_S)
+        await asyncio.sleep(SETTLE_S)
         idle = await _idle(fleet)
         subscriptions = sum(int(one["subscribers"]) for one in (await fleet.statuses()).values())
         catch_up = [await _catch_up(fleet, empty_disk=False), await _catch_up(fleet, empty_disk=True)]
