--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -221,6 +221,7 @@
 TWO = "two contents under one edition"
 AGAIN = "two contents, one sent again elsewhere"
 LOST_POWER = "two contents, power is lost"
+BEHIND_VOTE = "two contents, a voter's power is lost behind its vote"
 LOST_POWER_AGAIN = "two contents, power is lost, sent again"
 ONE_LIFE = "two contents of one node that has lost its power"
 OLD_LIFE = "two contents, an older life's comes late"
@@ -238,7 +239,9 @@
     Guard("nothing is accepted below a promise", Register, "accept", accept_below_promise, register(TWO, AGAIN)),
     Guard("a vote is on disk", Register, "accept", accept_in_memory, register(LOST_POWER_AGAIN, ONE_LIFE)),
     Guard("a promise is on disk", Register, "prepare", promise_in_memory, register(LOST_POWER_AGAIN, ONE_LIFE)),
-    Guard("a vote is told once it is on disk", Register, "accept", accept_before_sync, register(LOST_POWER)),
+    Guard(
+        "a vote is told once it is on disk", Register, "accept", accept_before_sync, register(LOST_POWER, BEHIND_VOTE)
+    ),
     Guard(
         "what was accepted is proposed again",
         Proposer,
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -102,6 +102,22 @@
             ("sync", "b"),
         ),
     ),
+    Limits(
+        "two contents, a voter's power is lost behind its vote",
+        (("x", "a"), ("y", "c")),
+        powers=1,
+        disks=True,
+        first=(
+            ("order", "0"),
+            ("sync", "a"),
+            ("deliver", "a", "b", "a"),
+            ("sync", "b"),
+            ("deliver", "b", "a", "a"),
+            ("sync", "a"),
+            ("deliver", "a", "b", "a"),  # b has accepted, and not written it down
+            ("order", "1"),
+        ),
+    ),
     Limits("two contents, callers that leave", (("x", "a"), ("y", "b")), retries=2, expiries=1),
     Limits("three contents", (("x", "a"), ("y", "b"), ("third", "c")), retries=3),
     Limits("two contents, a disk is lost", (("x", "a"), ("y", "b")), wipes=1),
