--- a/lugspur/emulator/capacity/slopes.py
+++ b/lugspur/emulator/capacity/slopes.py
@@ -89,7 +89,7 @@
             "state",
             "subscriptions, all machines",
             "",
-            "one for each source that a proxy follows, and for each that it followed before",
+            "one for each source that a proxy or a control machine follows",
             lambda run: run.subscriptions,
         ),
         slope(
@@ -179,7 +179,7 @@
             "idle",
             "network to other proxies",
             "B/s",
-            "keepalives: two connections to each other proxy, a probe each 10 s",
+            "keepalives: two connections to each other proxy, a probe each 75 s",
             lambda run: run.idle.real_proxy_wire_bytes_s - run.idle.real_proxy_news_bytes_s,
         ),
         slope(
