--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -65,6 +65,15 @@
     "gone": ONE_GONE,
 }
 
+PROMISED_BY_B: tuple[Event, ...] = (
+    ("order", "0"),
+    ("sync", "a"),
+    ("deliver", "a", "b", "a"),
+    ("sync", "b"),
+    ("deliver", "b", "a", "a"),
+)
+"""The first order goes to a, which has b's promise and its own: it asks for votes."""
+
 WORLDS = [
     Limits("two contents under one edition", (("x", "a"), ("y", "b"))),
     Limits("two contents, one sent again elsewhere", (("x", "a"), ("y", "b"), ("x", "b"))),
@@ -81,11 +90,7 @@
         powers=1,
         disks=True,
         first=(
-            ("order", "0"),
-            ("sync", "a"),
-            ("deliver", "a", "b", "a"),
-            ("sync", "b"),
-            ("deliver", "b", "a", "a"),
+            *PROMISED_BY_B,
             ("power", "a"),  # its change is on its way to the others, and not on its own disk
             ("order", "1"),
             ("sync", "a"),
@@ -108,11 +113,7 @@
         powers=1,
         disks=True,
         first=(
-            ("order", "0"),
-            ("sync", "a"),
-            ("deliver", "a", "b", "a"),
-            ("sync", "b"),
-            ("deliver", "b", "a", "a"),
+            *PROMISED_BY_B,
             ("sync", "a"),
             ("deliver", "a", "b", "a"),  # b has accepted, and not written it down
             ("order", "1"),
