--- /dev/null
+++ b/tests/compatibility/test_request_headers.py
@@ -0,0 +1,586 @@
+"""The bytes of the mesh's request path that callers, backends and operators read: frozen, whatever the code calls them.
+
+The literals were written by the build of December 2026. A name of the code may change at any time; none of these may.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import re
+from collections.abc import Awaitable, Callable
+from random import Random
+from types import SimpleNamespace
+from typing import Any
+
+import logbook
+import msgspec
+import pytest
+from loopback import backend as scripted
+from meshcalls import call, route
+
+from lugspur.control.claims import Known, Settled, Taken, Unsettled, Won
+from lugspur.control.errors import Kind, MeshError
+from lugspur.control.items import read_call
+from lugspur.control.messages import Answer, Forward, Reply
+from lugspur.dataplane.causes import Cause
+from lugspur.dataplane.gate import Gate, LocalBackend
+from lugspur.dataplane.proxy import Proxy
+from lugspur.dataplane.refusal import refuse
+from lugspur.dataplane.routes import RouteTable
+from lugspur.http1.front import Front
+from lugspur.http1.intake import Sizes
+from lugspur.membership.rows import read_address
+from lugspur.mesh.http_api import fail
+from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
+from lugspur.observability.failures import FailureLog, Standing
+from lugspur.observability.metrics import render
+from lugspur.seams import Request
+
+#: `Reply.how` as it goes between processes, and as an account of a failed request has it.
+ENDS = {0: "answered", 1: "not_run", 2: "maybe", 3: "spoilt"}
+
+#: `Reply.cause` as it goes between processes, and as accounts and the metric `gate_unanswered_total` have it.
+CAUSES = {
+    0: "",
+    1: "expired",
+    2: "not_taken",
+    3: "no_room",
+    4: "evicted",
+    5: "hopeless",
+    6: "refused",
+    7: "unreachable",
+    8: "timed_out",
+    9: "broken",
+    10: "spoilt",
+    11: "cancelled",
+    12: "link_lost",
+    13: "upload",
+    14: "never_came",
+}
+
+#: What a caller of the request path is told of each fault: its status, and the range of seconds in `Retry-After`, or
+#: none; the body is the name and a line feed. The same statuses go to callers of the API.
+FAULTS: dict[str, tuple[int, tuple[float, float] | None]] = {
+    "no-route": (404, None),
+    "bad-request": (400, None),
+    "bad-config": (400, None),
+    "too-large": (413, None),
+    "conflict": (409, None),
+    "no-call": (404, None),
+    "not-ready": (503, (0.125, 0.375)),
+    "no-backend": (503, (0.125, 0.375)),
+    "no-quorum": (503, (0.125, 0.375)),
+    "unclear": (504, None),
+    "key-busy": (409, (0.125, 0.375)),
+    "key-spent": (503, (0.125, 0.375)),
+    "maybe-ran": (502, None),
+    "bad-answer": (502, None),
+    "too-late": (504, None),
+    "leaving": (503, (0.125, 0.375)),
+    "settings": (500, None),
+    "state": (500, None),
+}
+
+FAILURE = (
+    b'{"at":%,"attempt":"t1","how":"maybe-ran","route":"r","service":"s","keyed":true,"claim":"won","took_s":%,'
+    b'"had_s":%,"sends":1,"turned_away":1,"waited_for":[],"edition":7,"index":41,"epoch":3,"news_age_s":%,"steps":'
+    b'[{"backend":"i-0","sent_s":%,"took_s":%,"how":"not_run","cause":"no_room"},'
+    b'{"backend":"i-1","sent_s":%,"took_s":%,"how":"maybe","cause":"link_lost"}],"pick":null}'
+)
+
+#: The same account as a line of the log; `%` stands for a figure that differs from run to run.
+FAILURE_LINE = (
+    "event=request-failed attempt=t1 how=maybe-ran route=r service=s claim=won took=% had=% sends=1 turned_away=1 "
+    'waited_for="" pick="" edition=7 index=41 epoch=3 news_age=% '
+    "steps=i-0@%+%:not_run:no_room;i-1@%+%:maybe:link_lost untold=0"
+)
+
+PICK = b'"pick":{"known":1,"tried":1,"unreachable":0,"resting":0,"refusals":[]}}'
+
+AT_BACKEND = (
+    b"POST /r/1?q=1 HTTP/1.1\r\n"
+    b"Content-Type: text/plain\r\n"
+    b"Lugspur-Attempt-Id: t1\r\n"
+    b"Lugspur-Operation-Key: k\r\n"
+    b"X-Other: kept\r\n"
+    b"Host: a.example\r\n"
+    b"X-Request-Id: q1\r\n"
+    b"X-Forwarded-For: 10.1.2.3\r\n"
+    b"X-Forwarded-Proto: https\r\n"
+    b"Lugspur-Sender: mine\r\n"
+    b"Lugspur-Deliver-By-Ms: %\r\n"
+    b"Lugspur-Deliver-To: i-0\r\n"
+    b"Content-Length: 4\r\n"
+    b"\r\n"
+    b"body"
+)
+
+FROM_CALLER = (
+    b"POST /r/1?q=1 HTTP/1.1\r\n"
+    b"Host: a.example\r\n"
+    b"Content-Type: text/plain\r\n"
+    b"Content-Length: 4\r\n"
+    b"Lugspur-Attempt-Id: t1\r\n"
+    b"Lugspur-Operation-Key: k\r\n"
+    b"Lugspur-Deliver-By-Ms: 300\r\n"
+    b"Lugspur-Sender: forged\r\n"
+    b"Lugspur-Deliver-To: i-9\r\n"
+    b"X-Request-Id: q1\r\n"
+    b"X-Forwarded-For: 10.1.2.3\r\n"
+    b"X-Forwarded-Proto: https\r\n"
+    b"X-Other: kept\r\n"
+    b"\r\n"
+    b"body"
+)
+
+
+def matches(template: bytes, found: bytes) -> bool:
+    """Whether these are the frozen bytes; `%` in the template stands for a number."""
+    return re.fullmatch(re.escape(template).replace(b"%", rb"\d+(?:\.\d+)?(?:e-\d+)?"), found) is not None
+
+
+def in_order(account: bytes) -> bytes:
+    """An account whose backends are numbered as they come: which of them is first is drawn."""
+    numbers = itertools.count()
+    return re.sub(rb"i-\d", lambda name: b"i-%d" % next(numbers), account)
+
+
+class Caller:
+    """Who waits for one answer."""
+
+    peer = ""
+
+    def __init__(self) -> None:
+        self.gone: Callable[[], None] | None = None
+        self.answers: list[tuple[int, bytes, bytes]] = []
+
+    def admit(self) -> None:
+        pass
+
+    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+        self.answers.append((status, head, body))
+
+    def passing(self) -> None:
+        return None
+
+
+class Carried:
+    """A request that was handed to the played gates."""
+
+    def cancel(self) -> None:
+        pass
+
+    def withdraw(self) -> None:
+        pass
+
+
+class Mesh:
+    """A proxy behind a real listener; gates and keys are played, unless there is a real gate."""
+
+    def __init__(self, kind: str = "tracked", backends: int = 2) -> None:
+        self.sent: list[tuple[Forward, Callable[[Reply], None]]] = []
+        self.claims: list[Callable[[Settled], None]] = []
+        self.gate: Gate | None = None
+        table = RouteTable()
+        for entry in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
+            table.change(entry)
+        self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
+        self.proxy.sender = "mine"
+        self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), tell_failure)
+        self.proxy.members("s", {f"i-{n}": (f"10.0.0.{n}", f"z{n}", 9, 0.0) for n in range(backends)})
+
+    def ready(self, ip: str) -> bool:
+        return True
+
+    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+        self.sent.append((forward, respond))
+        if self.gate is not None:
+            self.gate.run(forward, respond)
+        return Carried()
+
+    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+        self.claims.append(over)
+
+    def release(self, key: bytes, by: bytes) -> None:
+        pass
+
+    def drop(self, key: bytes, by: bytes) -> None:
+        pass
+
+    async def ask(self, request: bytes = FROM_CALLER, answered: Callable[[], None] = lambda: None) -> bytes:
+        """Send bytes to the listener; `answered` is called once the request is at the proxy. Returns the raw answer."""
+        front = Front(read_address("127.0.0.1:0"), 64, 64 << 20, self.proxy.handle)
+        front.sizes = Sizes(ordinary=True)
+        sock = await front.listen()
+        reader, writer = await asyncio.open_connection(*sock.getsockname())
+        writer.write(request)
+        while not (self.sent or self.claims or self.proxy.ended):
+            await asyncio.sleep(0.001)
+        answered()
+        head = await reader.readuntil(b"\r\n\r\n")
+        length = re.search(rb"Content-Length: (\d+)", head)
+        assert length is not None
+        body = await reader.readexactly(int(length[1]))
+        writer.close()
+        front.close()
+        await front.stop_listening(sock)
+        return head + body
+
+    def ask_at_once(self, request: bytes = FROM_CALLER) -> Caller:
+        """The same request without a connection."""
+        head, _, body = request.partition(b"\r\n\r\n")
+        first, *lines = head.split(b"\r\n")
+        headers = {name.lower(): value for name, _, value in (line.partition(b": ") for line in lines)}
+        caller, now = Caller(), self.proxy.loop.time()
+        method, target, _ = first.split(b" ")
+        ends = [b"%b\r\n" % line for line in lines]
+        self.proxy.handle(Request(method, target, headers, ends, body, now, True), caller)
+        return caller
+
+    def failures(self) -> bytes:
+        """The body of /mesh/failures."""
+        return msgspec.json.Encoder().encode(self.proxy.failures.latest())
+
+
+def play(what: Callable[[], Awaitable[None]]) -> None:
+    async def run() -> None:
+        async with asyncio.timeout(20.0):
+            await what()
+
+    asyncio.run(run())
+
+
+# ---- what backends and callers see ---------------------------------------------------------------
+
+
+def test_a_request_at_its_backend_and_the_answer_at_its_caller_byte_for_byte() -> None:
+    answer = (
+        b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: t1\r\nLugspur-Postmark: p\r\nX-Own: o\r\nContent-Length: 2\r\n\r\nhi"
+    )
+
+    async def what() -> None:
+        async with scripted(lambda request: answer) as stub:
+            mesh = Mesh(backends=1)
+            mesh.gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            mesh.gate.local = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
+            told = await mesh.ask(answered=lambda: mesh.claims[0](Won()))
+            got = stub.got.get_nowait()
+        assert matches(AT_BACKEND, got), got
+        left = re.search(rb"Lugspur-Deliver-By-Ms: (\d+)", got)
+        assert left is not None and 0 < int(left[1]) <= 300
+        assert told == (
+            b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: t1\r\nLugspur-Postmark: p\r\nX-Own: o\r\n"
+            b"Content-Length: 2\r\n\r\nhi"
+        )
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("method", "body", "framing"),
+    [
+        (b"GET", b"", b""),
+        (b"POST", b"", b"Content-Length: 0\r\n"),
+        (b"PUT", b"", b"Content-Length: 0\r\n"),
+        (b"PATCH", b"", b"Content-Length: 0\r\n"),
+        (b"DELETE", b"xy", b"Content-Length: 2\r\n"),
+    ],
+)
+def test_how_a_body_is_framed_for_the_backend(method: bytes, body: bytes, framing: bytes) -> None:
+    async def what() -> None:
+        async with scripted(lambda request: b"HTTP/1.1 204 X\r\nLugspur-Attempt-Id: t1\r\n\r\n") as stub:
+            gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            gate.run(
+                Forward(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
+                lambda reply: None,
+            )
+            got = await stub.got.get()
+        assert matches(
+            b"%b /p HTTP/1.1\r\nHost: h\r\nLugspur-Deliver-By-Ms: %%\r\nLugspur-Deliver-To: i-0\r\n%b\r\n%b"
+            % (method, framing, body),
+            got,
+        ), got
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("answer", "how", "cause"),
+    [
+        (b"200 X\r\nLugspur-Attempt-Id: t1\r\nLugspur-Postmark: p", 0, 0),
+        (b"500 X\r\nLugspur-Attempt-Id: t1", 0, 0),
+        (b"503 X\r\nLugspur-Attempt-Id: t1\r\nLugspur-Not-Delivered: 1", 1, 6),
+        (b"421 X\r\nLugspur-Attempt-Id: t1", 1, 6),
+        (b"200 X\r\nLugspur-Attempt-Id: t1", 3, 10),
+        (b"200 X\r\nLugspur-Attempt-Id: t2\r\nLugspur-Postmark: p", 2, 8),
+        (b"200 X\r\nLugspur-Attempt-Id: t1\r\nLugspur-Postmark: p\r\nContent-Encoding: gzip", 3, 10),
+    ],
+)
+def test_what_each_header_of_a_backend_proves(answer: bytes, how: int, cause: int) -> None:
+    async def what() -> None:
+        async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
+            gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            said: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+            gate.run(Forward(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result)
+            fields = msgspec.msgpack.decode(msgspec.msgpack.encode(await said))
+        assert fields[:3] == [20, 1, how] and fields[6] == cause  # the tag, the number, how, and the cause
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("key", "wrong", "answer"),
+    [
+        (b"Lugspur-Attempt-Id: t1\r\n", b"", b"HTTP/1.1 400 Bad Request\r\nContent-Length: 12\r\n\r\nbad-request\n"),
+        (
+            b"Lugspur-Deliver-By-Ms: 300",
+            b"Lugspur-Deliver-By-Ms: soon",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Length: 12\r\n\r\nbad-request\n",
+        ),
+        (
+            b"Lugspur-Deliver-By-Ms: 300",
+            b"Lugspur-Deliver-By-Ms: 0",
+            b"HTTP/1.1 504 Gateway Timeout\r\nContent-Length: 9\r\n\r\ntoo-late\n",
+        ),
+        (b"/r/1?", b"/x/1?", b"HTTP/1.1 404 Not Found\r\nContent-Length: 9\r\n\r\nno-route\n"),
+    ],
+)
+def test_a_request_that_lacks_what_it_must_have_is_answered_byte_for_byte(
+    key: bytes, wrong: bytes, answer: bytes
+) -> None:
+    async def what() -> None:
+        assert key in FROM_CALLER
+        assert await Mesh().ask(FROM_CALLER.replace(key, wrong)) == answer
+
+    play(what)
+
+
+RETRY, HI = b"Retry-After: %\r\n", b"Content-Length: 2\r\n\r\nhi"
+
+
+@pytest.mark.parametrize(
+    ("how", "answer"),
+    [
+        (Taken(True), b"HTTP/1.1 409 Conflict\r\n" + RETRY + b"Content-Length: 9\r\n\r\nkey-busy\n"),
+        (Taken(False), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nkey-spent\n"),
+        (Unsettled(), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nno-quorum\n"),
+        (
+            Known(Answer(201, b"X-Own: o\r\n", b"hi")),
+            b"HTTP/1.1 201 Created\r\nX-Own: o\r\nContent-Length: 2\r\n\r\nhi",
+        ),
+    ],
+    ids=["busy", "spent", "unsettled", "known"],
+)
+def test_how_a_claim_ends_is_told_byte_for_byte(how: Settled, answer: bytes) -> None:
+    async def what() -> None:
+        mesh = Mesh()
+        found = await mesh.ask(answered=lambda: mesh.claims[0](how))
+        assert matches(answer, found), found
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("reply", "answer"),
+    [
+        (
+            Reply(0, 1, None, False, 0, 3),
+            b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 11\r\n\r\nno-backend\n",
+        ),
+        (Reply(0, 2, cause=12), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
+        (Reply(0, 3, cause=10), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
+    ],
+    ids=["not run", "maybe ran", "spoilt"],
+)
+def test_how_a_send_ends_is_told_byte_for_byte(reply: Reply, answer: bytes) -> None:
+    async def what() -> None:
+        mesh = Mesh("unsafe", 1)
+        found = await mesh.ask(answered=lambda: mesh.sent[0][1](reply))
+        assert matches(answer, found), found
+
+    play(what)
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+def test_each_fault_has_its_status_its_name_and_its_retry_after(fault: str) -> None:
+    status, span = FAULTS[fault]
+    for _ in range(50):
+        caller = Caller()
+        refuse(caller, Kind(fault))
+        [(told, head, body)] = caller.answers
+        assert (told, body) == (status, fault.encode() + b"\n")
+        if span is None:
+            assert head == b""
+        else:
+            found = re.fullmatch(rb"Retry-After: (\d\.\d{3})\r\n", head)
+            assert found is not None and span[0] <= float(found[1]) <= span[1]
+
+
+def test_all_faults_are_frozen() -> None:
+    assert {kind.value for kind in Kind} == set(FAULTS)
+
+
+def test_where_all_backends_are_full_retry_after_is_a_part_of_the_time_that_is_left() -> None:
+    told = set()
+    for _ in range(200):
+        caller = Caller()
+        refuse(caller, Kind("no-backend"), 30.0)
+        [(_, head, _)] = caller.answers
+        found = re.fullmatch(rb"Retry-After: (\d+\.\d{3})\r\n", head)
+        assert found is not None
+        told.add(float(found[1]))
+    assert min(told) >= 6.0 and max(told) <= 10.0 and len(told) > 100
+    caller = Caller()
+    refuse(caller, Kind("no-backend"), 0.001)
+    assert caller.answers == [(503, b"Retry-After: 0.050\r\n", b"no-backend\n")]
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+def test_callers_of_the_api_are_told_of_a_fault_byte_for_byte(fault: str) -> None:
+    status, span = FAULTS[fault]
+    caller = Caller()
+    fail(caller, MeshError(Kind(fault), 'what "it" was'))
+    head = (b"" if span is None else b"Retry-After: 0.25\r\n") + b"Content-Type: application/json\r\n"
+    body = b'{"error":"' + fault.encode() + b'","detail":"what \\"it\\" was"}'
+    assert caller.answers == [(status, head, body)]
+
+
+# ---- what operators see --------------------------------------------------------------------------
+
+
+def fail_one(mesh: Mesh) -> None:
+    """One request that a gate has no room for, and that is then lost on its way to another."""
+    mesh.ask_at_once()
+    mesh.claims[0](Won())
+    for reply in (Reply(0, 1, None, False, 9, 3), Reply(0, 2, cause=12)):
+        mesh.sent[-1][1](reply)
+
+
+def test_the_account_of_a_failed_request_byte_for_byte() -> None:
+    async def what() -> None:
+        mesh = Mesh()
+        fail_one(mesh)
+        found = in_order(mesh.failures())
+        assert matches(b"[" + FAILURE + b"]", found), found
+
+    play(what)
+
+
+def test_the_line_of_a_failed_request_in_the_log() -> None:
+    async def what() -> None:
+        with logbook.TestHandler().applicationbound() as log:
+            fail_one(Mesh())
+        [line] = [record.message for record in log.records if "request-failed" in record.message]
+        assert matches(FAILURE_LINE.encode(), in_order(line.encode())), line
+
+    play(what)
+
+
+@pytest.mark.parametrize("how", [how for how, name in ENDS.items() if name != "answered"])
+@pytest.mark.parametrize("cause", CAUSES)
+def test_each_end_and_cause_of_the_wire_has_its_name_in_an_account(how: int, cause: int) -> None:
+    async def what() -> None:
+        mesh = Mesh("unsafe", 1)
+        mesh.ask_at_once()
+        mesh.sent[0][1](Reply(0, how, None, how != 1, 0, cause))
+        told = f'"how":"{ENDS[how]}","cause":"{CAUSES[cause]}"}}],'.encode()
+        assert told in mesh.failures(), mesh.failures()
+
+    play(what)
+
+
+def test_an_account_says_what_the_pick_saw_and_how_it_was_answered() -> None:
+    async def what() -> None:
+        mesh = Mesh("unsafe", 1)
+        mesh.ask_at_once()
+        mesh.sent[0][1](Reply(0, 1, None, False, 0, 3))
+        assert mesh.failures().endswith(PICK + b"]")
+        mesh = Mesh("unsafe", 1)
+        mesh.ask_at_once()
+        mesh.sent[0][1](Reply(0, 0, Answer(500, b"", b"")))
+        assert b'"how":"backend-failed"' in mesh.failures() and b'"how":"answered","cause":""' in mesh.failures()
+        caller = mesh.ask_at_once()
+        assert caller.gone is not None
+        caller.gone()
+        assert b'"how":"gone","route":"r"' in mesh.failures()
+        assert mesh.proxy.ended == {"backend-failed": 1, "gone": 1}
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("how", "claim"),
+    [
+        (Taken(True), b"taken"),
+        (Unsettled(), b"unsettled"),
+        (Known(Answer(500, b"", b"")), b"known"),
+    ],
+)
+def test_an_account_says_how_the_claim_ended(how: Settled, claim: bytes) -> None:
+    async def what() -> None:
+        mesh = Mesh()
+        mesh.ask_at_once()
+        mesh.claims[0](how)
+        assert b'"keyed":true,"claim":"%b",' % claim in mesh.failures(), mesh.failures()
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("backends", "how"),
+    [(0, {"none-ready": 1, "no-backend": 1}), (1, {"answered": 1})],
+)
+def test_how_requests_ended_is_counted_under_these_names(backends: int, how: dict[str, int]) -> None:
+    async def what() -> None:
+        mesh = Mesh("unsafe", backends)
+        mesh.ask_at_once()
+        if mesh.sent:
+            mesh.sent[0][1](Reply(0, 0, Answer(200, b"", b"")))
+        assert dict(mesh.proxy.ended) == how
+
+    play(what)
+
+
+def test_a_refusal_by_breakers_is_counted_under_its_name() -> None:
+    async def what() -> None:
+        mesh = Mesh("unsafe", 1)
+        for _ in range(300):
+            mesh.ask_at_once()
+            while mesh.proxy.open_requests:
+                mesh.sent[-1][1](Reply(0, 1, None, False, 0, 3))
+        assert mesh.proxy.ended["breaker-refused"] > 0
+        assert b'"refusals":[{"backend":"i-0","chance":' in mesh.failures()
+        assert b'"term":"errors"}]' in mesh.failures()
+
+    play(what)
+
+
+def test_what_ended_without_the_backends_answer_is_counted_by_the_names_of_causes() -> None:
+    async def what() -> None:
+        mesh = Mesh()
+        gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+        for cause in list(CAUSES)[1:]:
+            gate.turn_away(1, Cause(cause))
+        sidecar: Any = SimpleNamespace(
+            loop=mesh.proxy.loop,
+            gate=gate,
+            proxy=mesh.proxy,
+            front=SimpleNamespace(rejections={}, callers=()),
+            incoming=SimpleNamespace(uploads=()),
+            peers={},
+            sources=0,
+            leaving=False,
+            claims=(),
+            table=(),
+            backends={},
+            standing=lambda: Standing(41, 3, 0.25),
+        )
+        text = render(sidecar_figures(sidecar), [mesh.proxy.seconds])
+        for name in list(CAUSES.values())[1:]:
+            assert b'gate_unanswered_total{cause="%b"} 1.0\n' % name.encode() in text
+        assert b"request_seconds_bucket" in text
+
+    play(what)
