--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -16,6 +16,9 @@
 import logbook
 import msgspec
 import pytest
+from daemonic import pool, served
+from daemonic import route as daemon_route
+from loopback import NEVER_RAN, OK, entry, read, running
 from loopback import backend as scripted
 from meshcalls import call, route
 
@@ -183,8 +186,8 @@
         self.claims: list[Callable[[Settled], None]] = []
         self.gate: Gate | None = None
         table = RouteTable()
-        for entry in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
-            table.change(entry)
+        for item in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
+            table.change(item)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
         self.proxy.sender = "mine"
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), tell_failure)
@@ -584,3 +587,157 @@
         assert b"request_seconds_bucket" in text
 
     play(what)
+
+
+# ---- the daemon's and the platform's request path ------------------------------------------------
+
+DAEMON_FROM_CALLER = (
+    b"POST /a?q=1 HTTP/1.1\r\n"
+    b"Host: h.example\r\n"
+    b"Content-Length: 4\r\n"
+    b"Connection: keep-alive, X-Hop\r\n"
+    b"X-Hop: 1\r\n"
+    b"X-Timeout: 9\r\n"
+    b"X-Request-ID: q1\r\n"
+    b"X-Retried: 1\r\n"
+    b"X-Cost: 10\r\n"
+    b"Idempotency-Key: k\r\n"
+    b"Forwarded: for=1.2.3.4\r\n"
+    b"X-Forwarded-For: 1.2.3.4\r\n"
+    b"X-Forwarded-Proto: https\r\n"
+    b"X-Forwarded-Host: f.example\r\n"
+    b"X-Forwarded-Port: 1\r\n"
+    b"X-Forwarded-Prefix: /f\r\n"
+    b"X-Real-IP: 1.2.3.4\r\n"
+    b"Via: 1.0 other\r\n"
+    b"X-Own: o\r\n"
+    b"\r\n"
+    b"body"
+)
+
+DAEMON_AT_BACKEND = (
+    b"POST /a?q=1 HTTP/1.1\r\n"
+    b"X-Retried: 1\r\n"
+    b"X-Cost: 10\r\n"
+    b"Idempotency-Key: k\r\n"
+    b"Via: 1.0 other\r\n"
+    b"X-Own: o\r\n"
+    b"Host: h.example\r\n"
+    b"X-Request-ID: q1\r\n"
+    b"X-Forwarded-For: 127.0.0.1\r\n"
+    b"X-Forwarded-Proto: http\r\n"
+    b"Via: 1.1 lugspur\r\n"
+    b"X-Timeout: %\r\n"
+    b"Content-Length: 4\r\n"
+    b"\r\n"
+    b"body"
+)
+
+ONE_ATTEMPT = "attempts = 1"
+
+
+def test_a_request_of_the_daemon_at_its_backend_byte_for_byte() -> None:
+    async def what() -> None:
+        async with scripted(lambda request: OK) as stub:
+            text = pool("a", stub.address) + daemon_route("r", "/*", 'pool = "a"\nclass = "once"')
+            async with served(text) as up:
+                client = await up.client()
+                assert await client.ask(DAEMON_FROM_CALLER) == OK
+            found = stub.got.get_nowait()
+        assert matches(DAEMON_AT_BACKEND, found), found
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("request_", "told"),
+    [
+        (
+            b"GET /once HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Length: 43\r\nConnection: close\r\n\r\n"
+            b"no Idempotency-Key, which this class needs\n",
+        ),
+        (
+            b"GET /r HTTP/1.1\r\nHost: h\r\nX-Timeout: soon\r\n\r\n",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Length: 23\r\nConnection: close\r\n\r\nX-Timeout is malformed\n",
+        ),
+        (
+            b"GET /r HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 8\r\n\r\nrefused\n",
+        ),
+        (
+            b"GET /none HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"HTTP/1.1 404 Not Found\r\nContent-Length: 9\r\n\r\nno route\n",
+        ),
+    ],
+    ids=["no key", "bad time", "refused", "no route"],
+)
+def test_what_the_daemon_answers_itself_byte_for_byte(request_: bytes, told: bytes) -> None:
+    async def what() -> None:
+        async with scripted(lambda request: NEVER_RAN) as stub:
+            text = pool("a", stub.address, more=ONE_ATTEMPT)
+            text += daemon_route("r", "/r", 'pool = "a"\nclass = "read"')
+            text += daemon_route("o", "/once", 'pool = "a"\nclass = "once"')
+            async with served(text) as up:
+                client = await up.client()
+                assert await client.ask(request_) == told
+
+    play(what)
+
+
+PLATFORM_AT_BACKEND = (
+    b"GET /api/k HTTP/1.1\r\n"
+    b"Host: h\r\n"
+    b"X-Request-ID: id1\r\n"
+    b"X-Priority-Class: read\r\n"
+    b"X-Tenant-Id: acme\r\n"
+    b"X-Retried: 1\r\n"
+    b"X-Cost: 10\r\n"
+    b"X-Timeout: %\r\n"
+    b"\r\n"
+)
+
+
+@pytest.mark.parametrize(
+    ("said", "told"),
+    [(OK, OK), (NEVER_RAN, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 8\r\n\r\nrefused\n")],
+    ids=["served", "refused"],
+)
+def test_a_request_of_the_platform_and_its_answer_byte_for_byte(said: bytes, told: bytes) -> None:
+    async def what() -> None:
+        async with scripted(lambda request: said) as stub:
+            async with running([entry("b", stub.address)]) as up:
+                client = await up.client()
+                found = await client.ask(read(timeout="0.5", X_Retried="1", X_Cost="10"))
+            got = stub.got.get_nowait()
+        assert matches(PLATFORM_AT_BACKEND, got), got
+        assert found == told
+
+    play(what)
+
+
+def rejection(reason: bytes) -> bytes:
+    """A platform's caller is told that its request can't be taken."""
+    head = b"HTTP/1.1 400 Bad Request\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % (len(reason) + 1)
+    return head + reason + b"\n"
+
+
+@pytest.mark.parametrize(
+    ("key", "wrong", "told"),
+    [
+        (b"X-Request-ID: id1", b"X-Request-ID: ", rejection(b"no request id, or a malformed one")),
+        (b"X-Priority-Class: read", b"X-Priority-Class: other", rejection(b"unknown class")),
+        (b"X-Tenant-Id: acme", b"X-Tenant-Id: other", rejection(b"unknown tenant")),
+        (b"X-Timeout: 30", b"X-Timeout: soon", rejection(b"the time is malformed")),
+        (b"X-Priority-Class: read", b"X-Priority-Class: once", rejection(b"the method does not fit the class")),
+    ],
+)
+def test_what_the_platform_is_told_of_its_headers_byte_for_byte(key: bytes, wrong: bytes, told: bytes) -> None:
+    async def what() -> None:
+        async with running([]) as up:
+            client = await up.client()
+            request = read()
+            assert key in request
+            assert await client.ask(request.replace(key, wrong)) == told
+
+    play(what)
