--- /dev/null
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -0,0 +1,144 @@
+"""The bytes of the gossip datagrams, as daemons of earlier versions send and read them.
+
+Daemons of different versions form one fleet while an upgrade rolls through it, so a datagram that one version writes
+has to mean the same to the other. The literals were written by the build of 2 December 2026 and are never regenerated.
+"""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+
+from lugspur.fleet.machine import digest_of
+from lugspur.fleet.wire import (
+    Ack,
+    Ask,
+    Facts,
+    Help,
+    Message,
+    Nack,
+    News,
+    Packet,
+    Page,
+    Ping,
+    Post,
+    Record,
+    Status,
+    Wire,
+)
+
+FLEET, KEY = "edge", b"0123456789abcdef"
+# The characters "LG", version 1, eight bytes of the BLAKE2b digest of "edge".
+HEADER = "4c47 01 5342747f486a6e1b"
+# An array of four: sender "edge-3", its process number 2**52 - 494, addressee "edge-9", and the message after these.
+ENVELOPE = "94 a6656467652d33 cf000ffffffffffe12 a6656467652d39"
+# The tag over header and body, by keyed BLAKE2b, of the ack below.
+ACK_TAG = "eaf991e08c4f83b049feb85610b6fec3"
+# "edge-1", process 2**52 - 495, incarnation 1700000000123, "10.1.2.3", 7946, status 1, "edge-2", and facts:
+# "north", "1.4.2", 1700000000.25, true, 812.5.
+EDGE_1 = """
+98 a6656467652d31 cf000ffffffffffe11 cf0000018bcfe5687b a831302e312e322e33 cd1f0a 01 a6656467652d32
+95 a56e6f727468 a5312e342e32 cb41d954fc40100000 c3 cb4089640000000000
+"""
+NO_FACTS = "95 a0 a0 cb0000000000000000 c2 cb0000000000000000"
+LOOPBACK = "a93132372e302e302e31"
+ONE_OF_EACH_STATUS = f"""
+94
+98 a26d31 01 01 {LOOPBACK} 01 00 a0 {NO_FACTS}
+98 a26d32 02 01 {LOOPBACK} 01 01 a161 {NO_FACTS}
+98 a26d33 03 01 {LOOPBACK} 01 02 a162 {NO_FACTS}
+98 a26d34 04 01 {LOOPBACK} 01 03 a26d34 {NO_FACTS}
+"""
+
+
+def edge_1() -> Record:
+    return Record(
+        name="edge-1",
+        life=(1 << 52) - 495,
+        incarnation=1700000000123,
+        host="10.1.2.3",
+        port=7946,
+        status=Status.SUSPECT,
+        by="edge-2",
+        facts=Facts(zone="north", version="1.4.2", started=1700000000.25, draining=True, rate=812.5),
+    )
+
+
+def plain(number: int, status: Status, by: str) -> Record:
+    return Record(name=f"m{number}", life=number, incarnation=1, host="127.0.0.1", port=1, status=status, by=by)
+
+
+def one_of_each_status() -> list[Record]:
+    return [
+        plain(1, Status.ALIVE, ""),
+        plain(2, Status.SUSPECT, "a"),
+        plain(3, Status.DEAD, "b"),
+        plain(4, Status.LEFT, "m4"),
+    ]
+
+
+FORMS: dict[str, tuple[Message, str]] = {
+    "ping": (
+        Ping(number=(1 << 32) - 1, digest=(1 << 63) - 1, news=[edge_1()]),
+        f"94 01 ceffffffff cf7fffffffffffffff 91 {EDGE_1}",
+    ),
+    "ack": (Ack(number=11, digest=12, news=[edge_1()]), f"94 02 0b 0c 91 {EDGE_1}"),
+    "indirect ping": (
+        Help(number=13, name="edge-4", host="::1", port=7947),
+        "95 03 0d a6656467652d34 a33a3a31 cd1f0b",
+    ),
+    "nack": (Nack(number=14), "92 04 0e"),
+    "updates": (News(news=one_of_each_status()), f"92 05 {ONE_OF_EACH_STATUS}"),
+    "request of a page": (Ask(after="edge-5"), "92 06 a6656467652d35"),
+    "page": (Page(after="edge-6", last=True, records=[edge_1()]), f"94 07 a6656467652d36 c3 91 {EDGE_1}"),
+    "message of another part": (Post(topic=2, body=b"\x00\xffbody"), "93 08 02 c40600ff626f6479"),
+}
+
+
+def packet(message: Message) -> Packet:
+    return Packet(me="edge-3", life=(1 << 52) - 494, to="edge-9", message=message)
+
+
+def literal(form: str) -> bytes:
+    return bytes.fromhex(f"{HEADER} {ENVELOPE} {FORMS[form][1]}")
+
+
+@pytest.mark.parametrize("form", FORMS)
+def test_each_datagram_is_read_and_written_byte_for_byte(form: str) -> None:
+    wire = Wire(FLEET)
+    decoded = wire.decode(literal(form))
+    assert decoded == packet(FORMS[form][0])
+    assert wire.encode(decoded) == literal(form)
+
+
+def test_a_keyed_datagram_has_its_tag_between_header_and_body() -> None:
+    wire = Wire(FLEET, KEY)
+    datagram = bytes.fromhex(f"{HEADER} {ACK_TAG} {ENVELOPE} {FORMS['ack'][1]}")
+    decoded = wire.decode(datagram)
+    assert decoded == packet(FORMS["ack"][0])
+    assert wire.encode(decoded) == datagram
+
+
+def test_there_is_a_literal_for_every_kind_of_message() -> None:
+    kinds = {info.cls for info in msgspec.inspect.type_info(Message).types}  # type: ignore[attr-defined]
+    assert {type(message) for message, _ in FORMS.values()} == kinds
+
+
+def test_the_status_values_and_their_names_in_json() -> None:
+    assert [(status.name.lower(), status.value) for status in Status] == [
+        ("alive", 0),
+        ("suspect", 1),
+        ("dead", 2),
+        ("left", 3),
+    ]
+
+
+def test_trailing_fields_of_a_record_may_be_left_out() -> None:
+    """A record ends early where an older build knows fewer fields: the rest has the defaults."""
+    shortest = bytes.fromhex(f"{HEADER} {ENVELOPE} 92 05 91 95 a26d31 01 01 {LOOPBACK} 01")
+    assert Wire(FLEET).decode(shortest) == packet(News(news=[plain(1, Status.ALIVE, "")]))
+
+
+def test_the_part_that_a_record_has_in_the_digest_of_a_view() -> None:
+    """Pings and acks compare digests, so all versions have to count the same one."""
+    assert digest_of(edge_1()) == 6070744205331516250
