--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -41,7 +41,8 @@
     wrong: Any
 
     def take_out(self) -> None:
-        """Go on without it, for the rest of this process's life."""
+        """Go on without it, for the rest of this process's life; raises GuardNotFoundError."""
+        control_guards.own_attribute(self.owner, self.attribute)
         setattr(self.owner, self.attribute, self.wrong)
 
 
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -207,6 +207,27 @@
     return catch
 
 
+class GuardNotFoundError(LookupError):
+    """A guard names an attribute that its owner does not define, as after a rename of one of them."""
+
+    def __init__(self, owner: Any, attribute: str) -> None:
+        """Keep the class or module that was searched, and the name that was not found."""
+        super().__init__(f"{owner.__name__} has no attribute {attribute!r} that could be taken out")
+        self.owner, self.attribute = owner, attribute
+
+
+def own_attribute(owner: Any, attribute: str) -> Any:
+    """Return what a class or module itself defines under a name; raises GuardNotFoundError.
+
+    Guards against a guard that is taken out in name only: setting an attribute that nobody reads changes nothing, and
+    what is found out then says nothing about the guard.
+    """
+    try:
+        return vars(owner)[attribute]
+    except KeyError:
+        raise GuardNotFoundError(owner, attribute) from None
+
+
 @dataclass(slots=True, frozen=True)
 class Guard:
     """One guard: where it is, what stands there instead, and who catches that."""
@@ -282,7 +303,7 @@
 @contextmanager
 def taken_out(guard: Guard) -> Iterator[None]:
     """Run without it for a while."""
-    right = guard.owner.__dict__[guard.attribute]
+    right = own_attribute(guard.owner, guard.attribute)
     setattr(guard.owner, guard.attribute, guard.wrong)
     try:
         yield
--- a/tests/mesh/test_soak_guards.py
+++ b/tests/mesh/test_soak_guards.py
@@ -11,6 +11,7 @@
 from lugspur.bench.soak.guards import GUARDS, Seen, SoakGuard, named
 from lugspur.bench.soak.plan import Kind, Trouble
 from lugspur.emulator.control import guards as control_guards
+from lugspur.emulator.control.guards import GuardNotFoundError
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=[guard.name for guard in GUARDS])
@@ -24,6 +25,34 @@
         setattr(guard.owner, guard.attribute, right)
 
 
+class Owner:
+    """A class that has lost the method that a guard names, as after a rename."""
+
+    def renamed(self) -> None:
+        """What the guard was called before."""
+
+
+def test_a_soak_guard_whose_attribute_was_renamed_is_not_taken_out_in_silence() -> None:
+    with pytest.raises(GuardNotFoundError, match="Owner has no attribute 'former'") as raised:
+        SoakGuard("a renamed guard", Owner, "former", None).take_out()
+    assert (raised.value.owner, raised.value.attribute) == (Owner, "former") and not hasattr(Owner, "former")
+
+
+def test_a_models_guard_whose_attribute_was_renamed_is_not_taken_out_in_silence() -> None:
+    guard = control_guards.Guard("a renamed guard", Owner, "former", None, lambda: "caught")
+    with pytest.raises(GuardNotFoundError, match="Owner has no attribute 'former'"):
+        control_guards.caught(guard)
+    assert not hasattr(Owner, "former")
+
+
+def test_a_guard_is_looked_for_at_its_owner_itself_and_not_at_a_base_class() -> None:
+    class Derived(Owner):
+        """Inherits the method, so that setting it here would leave the base class as it is."""
+
+    with pytest.raises(GuardNotFoundError):
+        SoakGuard("an inherited guard", Derived, "renamed", None).take_out()
+
+
 def test_the_models_guards_are_all_there_and_each_has_one_name() -> None:
     names = [guard.name for guard in GUARDS]
     assert len(set(names)) == len(names) and {guard.name for guard in control_guards.GUARDS} < set(names)
