--- a/lugspur/bench/mesh.py
+++ b/lugspur/bench/mesh.py
@@ -119,11 +119,15 @@
         with (self.folder / f"{ip}.log").open("ab") as log:
             self.processes[ip] = subprocess.Popen(
                 self.command(),
-                cwd=ROOT,
+                cwd=self.root(ip),
                 stderr=log,
                 env=os.environ | {"LUGSPUR_NODE_FILE": str(path)},
             )
 
+    def root(self, ip: str) -> Path:
+        """Return the directory of the build that a machine's process runs from."""
+        return ROOT
+
     def command(self) -> list[str]:
         """How each process is started."""
         return [sys.executable, "-m", "lugspur.mesh", "serve"]
--- /dev/null
+++ b/tests/mesh/test_upgrade.py
@@ -0,0 +1,83 @@
+"""A mesh of two builds: no promise is broken while one replaces the other, and builds that differ are found out."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from lugspur.bench import upgrade
+from lugspur.bench.revisions import RevisionError, extract_build
+from lugspur.bench.upgrade import Builds, Direction, Outcome, Plan, play, table
+
+# The last revision before packages, classes and fields got the names of the field. It stays in the history; a clone
+# without it (a shallow one) fails here with RevisionError, which says so.
+FORMER_REVISION = "6c859c63bc182eec65c13e167b36f7e20d079198"
+SHORT = Plan(seed=1, pause_seconds=0.3)
+
+
+@pytest.fixture
+def former(tmp_path: Path) -> Path:
+    """The directory of a former build."""
+    directory = tmp_path / "former"
+    directory.mkdir()
+    extract_build(FORMER_REVISION, directory)
+    return directory
+
+
+@pytest.mark.parametrize("direction", Direction)
+def test_nothing_promised_is_broken_while_one_build_replaces_the_other(
+    tmp_path: Path, former: Path, direction: Direction
+) -> None:
+    outcome = asyncio.run(play(tmp_path, Builds(former=former), direction, SHORT))
+    assert not outcome.verdict.findings, "\n".join(table([outcome]))
+    assert len(outcome.replacements) == 7
+    assert outcome.verdict.done["keyed operations served while mixed"] > 0
+
+
+def test_a_build_whose_messages_have_another_form_is_found_out(
+    tmp_path: Path, former: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The former build numbers one message differently, so that the two cannot read each other's."""
+    monkeypatch.setattr(upgrade, "USEFUL_WITHIN_SECONDS", 2.0)
+    messages = former / "lugspur" / "control" / "messages.py"
+    text = messages.read_text()
+    assert "class Learn(msgspec.Struct, tag=24," in text
+    messages.write_text(text.replace("class Learn(msgspec.Struct, tag=24,", "class Learn(msgspec.Struct, tag=44,"))
+    outcome = asyncio.run(play(tmp_path, Builds(former=former), Direction.UPGRADE, SHORT))
+    details = [detail for kind, detail in outcome.verdict.findings if kind == upgrade.UNDECODABLE_FINDING]
+    assert any("Invalid value 24" in detail or "Invalid value 44" in detail for detail in details), details
+
+
+@pytest.mark.parametrize("revision", ["no-such-revision", "--output=/dev/null", ""])
+def test_a_revision_that_is_not_in_the_history_is_one_clear_line_and_exit_status_2(
+    revision: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    with pytest.raises(RevisionError) as raised:
+        extract_build(revision, tmp_path)
+    assert raised.value.revision == revision
+    assert upgrade.main([f"--from={revision}"]) == 2
+    told = capsys.readouterr()
+    assert told.out == "" and len(told.err.splitlines()) == 1 and "shallow clone" in told.err
+
+
+def test_the_command_prints_a_row_for_each_direction_and_its_findings_and_fails_by_them(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    spoilt = {Direction.DOWNGRADE}
+
+    async def found(directory: Path, builds: Builds, direction: Direction, plan: Plan) -> Outcome:
+        assert (builds.former / "lugspur" / "mesh" / "__main__.py").is_file() and directory.is_dir()
+        outcome = Outcome(direction)
+        if direction in spoilt:
+            outcome.verdict.add("ran twice", "k7")
+        return outcome
+
+    monkeypatch.setattr(upgrade, "play", found)
+    assert upgrade.main(["--from", FORMER_REVISION]) == 1
+    lines = capsys.readouterr().out.splitlines()
+    assert [line.split(" | ")[0] for line in lines[2:4]] == ["| former to present", "| present to former"]
+    assert lines[4:] == ["FOUND present to former: ran twice: k7"]
+    spoilt.clear()
+    assert upgrade.main(["--from", FORMER_REVISION]) == 0
