--- a/lugspur/dataplane/proxied_request.py
+++ b/lugspur/dataplane/proxied_request.py
@@ -4,9 +4,6 @@
 
 import asyncio
 
-from lugspur.control.claims import Known, Settled, Taken, Won
-from lugspur.control.errors import Kind
-from lugspur.control.messages import Answer, Forward, Reply
 from lugspur.dataplane.causes import Cause
 from lugspur.dataplane.endpoints import Endpoint, pick
 from lugspur.dataplane.gate import End
@@ -14,6 +11,9 @@
 from lugspur.dataplane.refusal import refuse
 from lugspur.dataplane.routes import RouteEntry
 from lugspur.invariants import Invariant, check
+from lugspur.mesh.control.claims import Known, Settled, Taken, Won
+from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.observability.failures import PickView, Step
 from lugspur.seams import Answerable, Request
 
--- a/lugspur/dataplane/refusal.py
+++ b/lugspur/dataplane/refusal.py
@@ -4,7 +4,7 @@
 
 from random import random
 
-from lugspur.control.errors import ANSWERS, Kind
+from lugspur.mesh.control.errors import ANSWERS, Kind
 from lugspur.seams import Answerable
 
 BACK_MOST = 1 / 3  # of the time that a caller has: for longer than that none is asked to wait
--- a/lugspur/dataplane/routes.py
+++ b/lugspur/dataplane/routes.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from lugspur.control.items import LIMITS, ROUTES, Bounds, Route, read_bounds, read_route
-from lugspur.control.messages import Entry
+from lugspur.mesh.control.items import LIMITS, ROUTES, Bounds, Route, read_bounds, read_route
+from lugspur.mesh.control.messages import Entry
 
 FORGET = 1 / 256  # of the difference by which one caller's time lowers the longest that is known
 BACK_PART = 0.97  # of the longest time: callers round
--- a/lugspur/dataplane/uploads.py
+++ b/lugspur/dataplane/uploads.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lugspur.control.messages import Forward
+from lugspur.mesh.control.messages import Forward
 
 PART = 8 << 10  # bytes of one grant: 25 ms of the slowest links that are known
 AHEAD = 0.05  # seconds of the link that are granted ahead: longer than a grant takes to get there and back
--- a/lugspur/emulator/control/catching_up.py
+++ b/lugspur/emulator/control/catching_up.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from lugspur.control.messages import Change, Entry, encode
-from lugspur.control.register import Register
 from lugspur.emulator.control.register_world import SERVICE, route
+from lugspur.mesh.control.messages import Change, Entry, encode
+from lugspur.mesh.control.register import Register
 
 ROUTES = 400
 WITHDRAWN_PART = 0.02  # of the changes
--- a/lugspur/emulator/control/checks.py
+++ b/lugspur/emulator/control/checks.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, field
 
-from lugspur.control.messages import Entry
-from lugspur.control.orders import Confirmed, NoQuorum, Outcome, Refused
-from lugspur.control.register import Register
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.orders import Confirmed, NoQuorum, Outcome, Refused
+from lugspur.mesh.control.register import Register
 
 Content = tuple[str, str, int, bytes | None]
 Numbered = tuple[str, str, int]  # kind, name and edition
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -9,8 +9,12 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lugspur.control.claims import Claims, Settled, Won
-from lugspur.control.messages import (
+from lugspur.emulator.control.checks import KeyBook, Violation
+from lugspur.emulator.control.explorer import Event
+from lugspur.emulator.control.node import Node, Wire
+from lugspur.emulator.control.small_world import PAUSE, SmallWorld
+from lugspur.mesh.control.claims import Claims, Settled, Won
+from lugspur.mesh.control.messages import (
     Answer,
     CatchUp,
     Claim,
@@ -21,13 +25,9 @@
     Verdict,
     Voter,
 )
-from lugspur.control.orders import Order, Outcome
-from lugspur.control.quorum import majority
-from lugspur.control.replica import membership_entry
-from lugspur.emulator.control.checks import KeyBook, Violation
-from lugspur.emulator.control.explorer import Event
-from lugspur.emulator.control.node import Node, Wire
-from lugspur.emulator.control.small_world import PAUSE, SmallWorld
+from lugspur.mesh.control.orders import Order, Outcome
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.replica import membership_entry
 
 VOTERS, LEAVING, NEW, FIRST = ["a", "b", "c"], "c", "d", "a"
 KEY = b"k"
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -17,11 +17,15 @@
 from random import Random
 from typing import Any
 
-from lugspur.control import catch_up, reader
-from lugspur.control.claim_table import ClaimTable
-from lugspur.control.effects import Effects, Peer, Rows
-from lugspur.control.freshness import DelayEstimate, Freshness
-from lugspur.control.messages import (
+from lugspur.emulator.control import claims_world, histories, register_world
+from lugspur.emulator.control.checks import Violation
+from lugspur.emulator.control.explorer import wander
+from lugspur.emulator.control.settings import SETTINGS
+from lugspur.mesh.control import catch_up, reader
+from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control.effects import Effects, Peer, Rows
+from lugspur.mesh.control.freshness import DelayEstimate, Freshness
+from lugspur.mesh.control.messages import (
     Accept,
     Delta,
     KeptClaim,
@@ -30,15 +34,11 @@
     Prepare,
     Standing,
 )
-from lugspur.control.orders import NoQuorum
-from lugspur.control.proposer import Phase, Proposal, Proposer
-from lugspur.control.quorum import majority
-from lugspur.control.register import Applied, Register
-from lugspur.control.replica import Replica
-from lugspur.emulator.control import claims_world, histories, register_world
-from lugspur.emulator.control.checks import Violation
-from lugspur.emulator.control.explorer import wander
-from lugspur.emulator.control.settings import SETTINGS
+from lugspur.mesh.control.orders import NoQuorum
+from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.register import Applied, Register
+from lugspur.mesh.control.replica import Replica
 
 WALKS = 250  # through each world at once
 TURNS = 60
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 from random import Random
 
-from lugspur.control.messages import Entry
-from lugspur.control.orders import Confirmed
-from lugspur.control.quorum import majority
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.losses import Losses
 from lugspur.emulator.control.mesh_world import Figures, MeshWorld
 from lugspur.emulator.control.operators import CALLER_WAITS, TRIES, Operators
 from lugspur.emulator.control.register_world import SERVICE
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.orders import Confirmed
+from lugspur.mesh.control.quorum import majority
 
 WELL_WITHIN = 20.0  # seconds after the last fault until all has to be well
 FAULT_EVERY = 0.35  # seconds between faults, on average
--- a/lugspur/emulator/control/losses.py
+++ b/lugspur/emulator/control/losses.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from random import Random
 
-from lugspur.control.quorum import majority
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.mesh_node import CATCH_UP_S, MeshNode
 from lugspur.emulator.control.mesh_world import MeshWorld
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.quorum import majority
 
 QUIET_END = 1.0  # seconds before the end in which nothing more is drawn
 GRACE = 4.8  # seconds that a leaving process has
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from lugspur.control.freshness import Freshness
-from lugspur.control.items import CONTROL
-from lugspur.control.membership import Presence, Tolerance
-from lugspur.control.messages import CatchUp, Delta, Entry, Membership, Message, Pong, Report, Sync, Voter
-from lugspur.control.orders import NoQuorum, Order, Outcome
-from lugspur.control.reader import Read
-from lugspur.control.reconfiguration import Reconfiguration, patience_of
-from lugspur.control.replica import membership_entry
 from lugspur.emulator.control.node import Node, Wire
+from lugspur.mesh.control.freshness import Freshness
+from lugspur.mesh.control.items import CONTROL
+from lugspur.mesh.control.membership import Presence, Tolerance
+from lugspur.mesh.control.messages import CatchUp, Delta, Entry, Membership, Message, Pong, Report, Sync, Voter
+from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
+from lugspur.mesh.control.reader import Read
+from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
+from lugspur.mesh.control.replica import membership_entry
 from lugspur.mesh.control_node import BEHIND, FAILING, SWEEP_EVERY
 from lugspur.mesh.leases import LEASE
 from lugspur.mesh.node import LOOK, PING_PART, PINGS_MISSED, STALE_PART
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -7,8 +7,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lugspur.control.claims import Claims, Settled, Won
-from lugspur.control.messages import (
+from lugspur.emulator.clock import Clock
+from lugspur.emulator.control.checks import Chain, KeyBook, OrderBook, Violation
+from lugspur.emulator.control.mesh_node import MeshNode
+from lugspur.emulator.control.node import Node, Wire
+from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.claims import Claims, Settled, Won
+from lugspur.mesh.control.messages import (
     Answer,
     Claim,
     ClaimsPage,
@@ -23,13 +28,8 @@
     Voter,
     encode,
 )
-from lugspur.control.orders import Outcome
-from lugspur.control.replica import GENESIS
-from lugspur.emulator.clock import Clock
-from lugspur.emulator.control.checks import Chain, KeyBook, OrderBook, Violation
-from lugspur.emulator.control.mesh_node import MeshNode
-from lugspur.emulator.control.node import Node, Wire
-from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.orders import Outcome
+from lugspur.mesh.control.replica import GENESIS
 from lugspur.mesh.node import LOOK
 
 LATENCY = (0.0005, 0.004)  # seconds from process to process
--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lugspur.control.catch_up import ClaimsCatchUp
-from lugspur.control.effects import Effects, Peer, Rows
-from lugspur.control.learning import LearnPages
-from lugspur.control.messages import Accepted, ClaimsPage, Entry, Learn, Message, Promise, Standing, Voter
-from lugspur.control.proposer import Proposer
-from lugspur.control.reader import Reader
-from lugspur.control.replica import GENESIS, UID_ROW, Replica
-from lugspur.control.store import Name
+from lugspur.mesh.control.catch_up import ClaimsCatchUp
+from lugspur.mesh.control.effects import Effects, Peer, Rows
+from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.messages import Accepted, ClaimsPage, Entry, Learn, Message, Promise, Standing, Voter
+from lugspur.mesh.control.proposer import Proposer
+from lugspur.mesh.control.reader import Reader
+from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica
+from lugspur.mesh.control.store import Name
 
 MEMORY = 64 << 20
 
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lugspur.control.messages import Entry
-from lugspur.control.orders import Confirmed, NoQuorum, Outcome, Refused, Unclear
 from lugspur.emulator.control.mesh_world import MeshWorld
 from lugspur.emulator.control.register_world import route
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.orders import Confirmed, NoQuorum, Outcome, Refused, Unclear
 
 OPERATORS = 2
 UNDER_WAY = 8  # orders of one operator
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lugspur.control.items import read_call
-from lugspur.control.messages import CatchUp, Change, Entry
-from lugspur.control.orders import Order, Outcome
-from lugspur.control.reader import Read
 from lugspur.emulator.control.checks import OrderBook, Sending, Violation
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.small_world import ENDED, PAUSE, SmallWorld
+from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.messages import CatchUp, Change, Entry
+from lugspur.mesh.control.orders import Order, Outcome
+from lugspur.mesh.control.reader import Read
 
 VOTERS = ["a", "b", "c"]
 FOREVER = float("inf")
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from lugspur.control.messages import Accepted, Learn, Message, Promise, Voter
-from lugspur.control.proposer import Phase
-from lugspur.control.replica import GENESIS
 from lugspur.emulator.control.checks import Chain, Violation
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.node import Node, Wire
+from lugspur.mesh.control.messages import Accepted, Learn, Message, Promise, Voter
+from lugspur.mesh.control.proposer import Phase
+from lugspur.mesh.control.replica import GENESIS
 
 WINDOW = 1e9  # seconds: no claim ends in a small world
 PAUSE = 1000.0  # seconds: longer than every patience of the code that runs
--- a/lugspur/mesh/announcement.py
+++ b/lugspur/mesh/announcement.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from lugspur.control.items import CONTROL
-from lugspur.control.membership import Presence
-from lugspur.control.messages import Entry, Report
-from lugspur.control.store import Store
+from lugspur.mesh.control.items import CONTROL
+from lugspur.mesh.control.membership import Presence
+from lugspur.mesh.control.messages import Entry, Report
+from lugspur.mesh.control.store import Store
 
 _pack = msgspec.msgpack.Encoder().encode
 
--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -11,8 +11,8 @@
 
 import cyclopts
 
-from lugspur.control.errors import Kind, MeshError
 from lugspur.membership.rows import read_address
+from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.folder import export, look, told
 from lugspur.mesh.settings import load
 
--- a/lugspur/control/capacity.py
+++ b/lugspur/mesh/control/capacity.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from lugspur.control.messages import Entry
+from lugspur.mesh.control.messages import Entry
 
 CONFIGURATION_PART = 1 / 6  # of what a disk takes, for all items: four times that while a change replaces all of them
 ITEM_BYTES = 64  # of an item on disk beside its names and its content
--- a/lugspur/control/catch_up.py
+++ b/lugspur/mesh/control/catch_up.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from lugspur.control.effects import Effects
-from lugspur.control.messages import ClaimsPage, FetchClaims
-from lugspur.control.quorum import majority
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.messages import ClaimsPage, FetchClaims
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.replica import Replica
 
 ASK_AGAIN = 0.3  # seconds without a page until a voter is asked again
 
--- a/lugspur/control/claim_table.py
+++ b/lugspur/mesh/control/claim_table.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from lugspur.control.effects import Effects, Peer, Rows
-from lugspur.control.messages import PAGE_BYTES, Answer, Claim, ClaimsPage, Done, KeptClaim, Release, Verdict
 from lugspur.invariants import Invariant, check
+from lugspur.mesh.control.effects import Effects, Peer, Rows
+from lugspur.mesh.control.messages import PAGE_BYTES, Answer, Claim, ClaimsPage, Done, KeptClaim, Release, Verdict
 
 MARGIN = 10.0  # seconds that a claim is kept beyond its window: a first try may be long on its way to here
 ANSWER_MOST = 64 << 10  # bytes of an answer that is kept for repeats
--- a/lugspur/control/claims.py
+++ b/lugspur/mesh/control/claims.py
@@ -29,8 +29,8 @@
 
 from cachetools import LRUCache
 
-from lugspur.control.messages import Answer, Claim, Membership, Release, Verdict
-from lugspur.control.quorum import majority
+from lugspur.mesh.control.messages import Answer, Claim, Membership, Release, Verdict
+from lugspur.mesh.control.quorum import majority
 
 FAILED_MOST = 10_000  # claims that came to nothing, the latest: a grant of an older one is not given back
 
--- a/lugspur/control/effects.py
+++ b/lugspur/mesh/control/effects.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lugspur.control.messages import Message
+from lugspur.mesh.control.messages import Message
 
 Peer = Any  # an IP number, or whatever a message came from; only handed back
 Rows = list[tuple[bytes, bytes | None]]  # key and value; no value: the row is removed
--- a/lugspur/control/forwarding.py
+++ b/lugspur/mesh/control/forwarding.py
@@ -10,9 +10,9 @@
 
 from dataclasses import dataclass
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.messages import OrderAnswer, SubmitOrder
-from lugspur.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.messages import OrderAnswer, SubmitOrder
+from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear
 
 ANSWER_WITHIN = 0.3  # seconds until an order that was handed over is proposed here
 
--- a/lugspur/control/freshness.py
+++ b/lugspur/mesh/control/freshness.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
-from lugspur.control.messages import Delta, Membership
-from lugspur.control.quorum import majority
+from lugspur.mesh.control.messages import Delta, Membership
+from lugspur.mesh.control.quorum import majority
 
 DRIFT = 5e-4  # of the time that passes, by which two steady clocks may part
 FIRST_DELAY = 0.25  # seconds that the first message of a connection may take longer than the question for it
--- a/lugspur/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.messages import Entry
-from lugspur.control.store import Name, newer
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.store import Name, newer
 
 ROUTES, SERVICES, LIMITS = "routes", "services", "limits"
 BACKEND, CONTROL, MEMBERSHIP = "backend", "control", "membership"
--- a/lugspur/control/learning.py
+++ b/lugspur/mesh/control/learning.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Hashable
 
-from lugspur.control.messages import Learn
+from lugspur.mesh.control.messages import Learn
 
 
 class LearnPages:
--- a/lugspur/control/membership.py
+++ b/lugspur/mesh/control/membership.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from lugspur.control.capacity import fits
-from lugspur.control.messages import Membership, Voter
-from lugspur.control.quorum import majority
+from lugspur.mesh.control.capacity import fits
+from lugspur.mesh.control.messages import Membership, Voter
+from lugspur.mesh.control.quorum import majority
 
 LEAST = 3  # voters where there are so many replicas: one may always be away
 
--- a/lugspur/control/orders.py
+++ b/lugspur/mesh/control/orders.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.messages import Entry
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.messages import Entry
 
 
 @dataclass(slots=True, frozen=True)
--- a/lugspur/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -14,17 +14,17 @@
 from enum import Enum
 from random import Random
 
-from lugspur.control.capacity import configuration_most, item_bytes
-from lugspur.control.effects import Effects
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.items import Draft, check
-from lugspur.control.messages import Accept, Accepted, Ballot, CatchUp, Change, Entry, Prepare, Promise
-from lugspur.control.orders import Confirmed, NoQuorum, Order, Refused, Unclear
-from lugspur.control.quorum import majority
-from lugspur.control.register import Register
-from lugspur.control.replica import Replica
 from lugspur.invariants import Invariant
 from lugspur.invariants import check as check_invariant
+from lugspur.mesh.control.capacity import configuration_most, item_bytes
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.items import Draft, check
+from lugspur.mesh.control.messages import Accept, Accepted, Ballot, CatchUp, Change, Entry, Prepare, Promise
+from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Refused, Unclear
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.register import Register
+from lugspur.mesh.control.replica import Replica
 
 ROUND_WITHIN = 0.3  # seconds for one round of a proposal: then it is given up, and another one is made...
 ROUND_WITHIN_MOST = 2.0  # ...which has more time, up to this
--- a/lugspur/control/reader.py
+++ b/lugspur/mesh/control/reader.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lugspur.control.effects import Effects
-from lugspur.control.messages import CatchUp, Query, Standing
-from lugspur.control.quorum import majority
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.messages import CatchUp, Query, Standing
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.replica import Replica
 
 ASK_AGAIN = 0.1  # seconds after which a question that brought nothing is asked anew
 
--- a/lugspur/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from collections.abc import Set as AbstractSet
 
-from lugspur.control.membership import Presence, Situation, Tolerance, next_membership
-from lugspur.control.messages import Membership
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.membership import Presence, Situation, Tolerance, next_membership
+from lugspur.mesh.control.messages import Membership
+from lugspur.mesh.control.replica import Replica
 
 CHANGE_TAKES = 1.5  # seconds: a process that starts, two rounds of agreement, claims that are read
 PATIENCE_LEAST = 1.0  # seconds: a shorter silence is an ordinary restart
--- a/lugspur/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -13,9 +13,10 @@
 
 import msgspec
 
-from lugspur.control.capacity import item_bytes
-from lugspur.control.effects import Effects, Peer, Rows
-from lugspur.control.messages import (
+from lugspur.invariants import Invariant, check
+from lugspur.mesh.control.capacity import item_bytes
+from lugspur.mesh.control.effects import Effects, Peer, Rows
+from lugspur.mesh.control.messages import (
     NO_BALLOT,
     PAGE_BYTES,
     Accept,
@@ -30,8 +31,7 @@
     Query,
     Standing,
 )
-from lugspur.control.store import Name, newer
-from lugspur.invariants import Invariant, check
+from lugspur.mesh.control.store import Name, newer
 
 WITHDRAWN_MOST = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
 WITHDRAWN_KEPT = 0.9  # of these, once they are too many: the oldest are forgotten
--- a/lugspur/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -16,10 +16,11 @@
 
 import msgspec
 
-from lugspur.control.claim_table import ClaimTable
-from lugspur.control.effects import Effects, Peer
-from lugspur.control.items import MEMBERSHIP
-from lugspur.control.messages import (
+from lugspur.invariants import Invariant, check
+from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control.effects import Effects, Peer
+from lugspur.mesh.control.items import MEMBERSHIP
+from lugspur.mesh.control.messages import (
     Accept,
     CatchUp,
     Change,
@@ -37,9 +38,8 @@
     Verdict,
     Voter,
 )
-from lugspur.control.register import Applied, Register
-from lugspur.control.store import Name
-from lugspur.invariants import Invariant, check
+from lugspur.mesh.control.register import Applied, Register
+from lugspur.mesh.control.store import Name
 
 GENESIS = "genesis"  # the uid of a voter of the first membership
 UID_ROW, COMPLETE_ROW = b"muid", b"mcomplete"
--- a/lugspur/control/store.py
+++ b/lugspur/mesh/control/store.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from lugspur.control.messages import Entry
+from lugspur.mesh.control.messages import Entry
 
 Name = tuple[str, str]  # kind and name
 
--- a/lugspur/mesh/control_figures.py
+++ b/lugspur/mesh/control_figures.py
@@ -6,8 +6,8 @@
 from collections.abc import Sized
 from typing import Protocol
 
-from lugspur.control.proposer import Proposer
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.proposer import Proposer
+from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.disk import Disk
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.operator_calls import OperatorCalls
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -8,12 +8,14 @@
 
 import msgspec
 
-from lugspur.control.catch_up import ClaimsCatchUp
-from lugspur.control.effects import Effects
-from lugspur.control.items import LEASED, MEMBERSHIP
-from lugspur.control.learning import LearnPages
-from lugspur.control.membership import Presence, Tolerance
-from lugspur.control.messages import (
+from lugspur.mesh import events
+from lugspur.mesh.announcement import Announcement
+from lugspur.mesh.control.catch_up import ClaimsCatchUp
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.items import LEASED, MEMBERSHIP
+from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.membership import Presence, Tolerance
+from lugspur.mesh.control.messages import (
     Accepted,
     CatchUp,
     ClaimsPage,
@@ -32,14 +34,12 @@
     Unsubscribe,
     Voter,
 )
-from lugspur.control.orders import Order
-from lugspur.control.proposer import Proposer
-from lugspur.control.reader import Reader
-from lugspur.control.reconfiguration import Reconfiguration, leaves_time, patience_of
-from lugspur.control.replica import GENESIS, UID_ROW, Replica, read_membership
-from lugspur.control.store import Name
-from lugspur.mesh import events
-from lugspur.mesh.announcement import Announcement
+from lugspur.mesh.control.orders import Order
+from lugspur.mesh.control.proposer import Proposer
+from lugspur.mesh.control.reader import Reader
+from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
+from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
+from lugspur.mesh.control.store import Name
 from lugspur.mesh.control_figures import control_figures
 from lugspur.mesh.control_status import control_status
 from lugspur.mesh.disk import Disk
--- a/lugspur/mesh/control_status.py
+++ b/lugspur/mesh/control_status.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from lugspur.control.replica import Replica
-from lugspur.control.store import Store
+from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control.store import Store
 from lugspur.mesh.disk import Disk
 from lugspur.mesh.membership_changes import presences_of
 from lugspur.mesh.settings import Own
--- a/lugspur/mesh/disk.py
+++ b/lugspur/mesh/disk.py
@@ -10,10 +10,10 @@
 
 import lmdb
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.register import KEY_MOST
 from lugspur.invariants import Invariant, check
 from lugspur.mesh import events
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.register import KEY_MOST
 
 MAP_PART = 0.6  # of the disk: lmdb must not fill it, and a file that grew is never smaller again
 MAP_LEAST, MAP_MOST = 16 << 20, 1 << 30  # bytes
--- a/lugspur/mesh/effect_runner.py
+++ b/lugspur/mesh/effect_runner.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.control.effects import Effects, Peer
-from lugspur.control.messages import Message
+from lugspur.mesh.control.effects import Effects, Peer
+from lugspur.mesh.control.messages import Message
 from lugspur.mesh.disk import Disk
 
 LAZY = 0.1  # seconds for which rows that nobody waits for may wait for others
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/folder.py
@@ -13,13 +13,13 @@
 import lmdb
 import msgspec
 
-from lugspur.control import items
-from lugspur.control.claim_table import CLAIM_PREFIX
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.messages import Item, KeptClaim, Membership
-from lugspur.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
-from lugspur.control.replica import COMPLETE_ROW, UID_ROW, read_membership
-from lugspur.control.store import Store
+from lugspur.mesh.control import items
+from lugspur.mesh.control.claim_table import CLAIM_PREFIX
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.messages import Item, KeptClaim, Membership
+from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
+from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
+from lugspur.mesh.control.store import Store
 from lugspur.mesh.disk import NAME
 
 _item = msgspec.msgpack.Decoder(Item)
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from lugspur.control.errors import ANSWERS, Kind, MeshError
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.membership.rows import read_address
+from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
 from lugspur.seams import Answerable, Request
 
 JSON = b"Content-Type: application/json\r\n"
--- a/lugspur/mesh/leases.py
+++ b/lugspur/mesh/leases.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from lugspur.control.items import LEASED
-from lugspur.control.messages import Entry
-from lugspur.control.store import Name, Store
+from lugspur.mesh.control.items import LEASED
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.store import Name, Store
 from lugspur.mesh.link import Link
 
 LEASE = 4.0  # seconds without a word after which what a process said of itself is dropped
--- a/lugspur/mesh/link.py
+++ b/lugspur/mesh/link.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from lugspur.control.messages import Message, decode, encode
 from lugspur.mesh import events
+from lugspur.mesh.control.messages import Message, decode, encode
 
 FRAME_MOST = 96 << 20  # bytes of one frame: the largest body of a request that operators allow is 64 MiB, and its head
 UNSENT_MOST = 48 << 20  # bytes that may wait for a peer that does not read: then it counts as gone
--- a/lugspur/mesh/membership_changes.py
+++ b/lugspur/mesh/membership_changes.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from lugspur.control.freshness import Freshness
-from lugspur.control.items import CONTROL
-from lugspur.control.membership import Presence
-from lugspur.control.messages import Membership
-from lugspur.control.orders import Order, Outcome
-from lugspur.control.reconfiguration import Reconfiguration
-from lugspur.control.replica import Replica, membership_entry
-from lugspur.control.store import Store
 from lugspur.mesh import events
+from lugspur.mesh.control.freshness import Freshness
+from lugspur.mesh.control.items import CONTROL
+from lugspur.mesh.control.membership import Presence
+from lugspur.mesh.control.messages import Membership
+from lugspur.mesh.control.orders import Order, Outcome
+from lugspur.mesh.control.reconfiguration import Reconfiguration
+from lugspur.mesh.control.replica import Replica, membership_entry
+from lugspur.mesh.control.store import Store
 from lugspur.mesh.order_router import DECIDE_WITHIN
 from lugspur.mesh.stall import StallDetector
 
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -8,11 +8,12 @@
 from collections.abc import Callable
 from random import Random
 
-from lugspur.control.claims import Claims, Settled
-from lugspur.control.errors import MeshError
-from lugspur.control.freshness import Freshness
-from lugspur.control.items import MEMBERSHIP, RESERVED
-from lugspur.control.messages import (
+from lugspur.mesh import events
+from lugspur.mesh.control.claims import Claims, Settled
+from lugspur.mesh.control.errors import MeshError
+from lugspur.mesh.control.freshness import Freshness
+from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
+from lugspur.mesh.control.messages import (
     Claim,
     Delta,
     Entry,
@@ -26,9 +27,8 @@
     Unsubscribe,
     Verdict,
 )
-from lugspur.control.replica import read_membership
-from lugspur.control.store import Store
-from lugspur.mesh import events
+from lugspur.mesh.control.replica import read_membership
+from lugspur.mesh.control.store import Store
 from lugspur.mesh.link import KEEP_IDLE, Dialler, Link
 from lugspur.mesh.settings import Settings, load
 
--- a/lugspur/mesh/operator_calls.py
+++ b/lugspur/mesh/operator_calls.py
@@ -6,13 +6,13 @@
 from collections import Counter
 from collections.abc import Callable
 
-from lugspur.control import items
-from lugspur.control.effects import Effects
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.orders import Order, Outcome, fault_of
-from lugspur.control.reader import Read, Reader
-from lugspur.control.replica import Replica
 from lugspur.mesh import events
+from lugspur.mesh.control import items
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.orders import Order, Outcome, fault_of
+from lugspur.mesh.control.reader import Read, Reader
+from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.http_api import fail, reply
 from lugspur.mesh.order_router import DECIDE_WITHIN, OrderRouter
 from lugspur.seams import Answerable, Request
--- a/lugspur/mesh/order_router.py
+++ b/lugspur/mesh/order_router.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.control.effects import Effects
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.forwarding import Forwarder, answer_of
-from lugspur.control.messages import Message, SubmitOrder
-from lugspur.control.orders import NoQuorum, Order, Outcome
-from lugspur.control.proposer import Proposer
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.forwarding import Forwarder, answer_of
+from lugspur.mesh.control.messages import Message, SubmitOrder
+from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
+from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.link import Link
 from lugspur.mesh.stall import StallDetector
 
--- a/lugspur/mesh/pending_changes.py
+++ b/lugspur/mesh/pending_changes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.replica import Replica
 
 PENDING_MOST = 0.1  # seconds that a change may be accepted and not decided until it is finished, for each voter's rank
 
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -10,8 +10,8 @@
 import uvloop
 
 from lugspur import invariants, reloads
-from lugspur.control.errors import MeshError
 from lugspur.mesh import events
+from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.node import Node
 from lugspur.mesh.settings import DEFAULT, VARIABLE, Settings, load
 
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -9,8 +9,8 @@
 
 import dacite
 
-from lugspur.control.errors import Kind, MeshError
 from lugspur.membership.rows import Address, read_address
+from lugspur.mesh.control.errors import Kind, MeshError
 
 VARIABLE = "LUGSPUR_NODE_FILE"  # names the file
 DEFAULT = "/etc/lugspur/settings.toml"
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -9,9 +9,6 @@
 
 import msgspec
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.items import LIMITS, ROUTES
-from lugspur.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
 from lugspur.dataplane.delays import FreezeDetector
 from lugspur.dataplane.gate import Gate
 from lugspur.dataplane.ports import Carried
@@ -22,6 +19,9 @@
 from lugspur.http1.intake import Sizes
 from lugspur.membership.rows import read_address
 from lugspur.mesh import events
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.items import LIMITS, ROUTES
+from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
--- a/lugspur/mesh/subscribers.py
+++ b/lugspur/mesh/subscribers.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.control.messages import Delta, Pong
-from lugspur.control.store import Store
+from lugspur.mesh.control.messages import Delta, Pong
+from lugspur.mesh.control.store import Store
 from lugspur.mesh.leases import LEASE
 from lugspur.mesh.link import Link
 from lugspur.mesh.node import LOOK
--- a/lugspur/observability/failures.py
+++ b/lugspur/observability/failures.py
@@ -66,7 +66,7 @@
 
     at: float  # seconds since 1970
     attempt: str  # `Lugspur-Attempt-Id`; empty: it had none
-    how: str  # the kind of its end, as `lugspur.control.errors.Kind` has it
+    how: str  # the kind of its end, as `lugspur.mesh.control.errors.Kind` has it
     route: str = ""
     service: str = ""
     keyed: bool = False
--- a/tests/compatibility/test_control_disk.py
+++ b/tests/compatibility/test_control_disk.py
@@ -16,9 +16,9 @@
 import msgspec
 import pytest
 
-from lugspur.control.messages import Entry, Learn, Voter, decode
-from lugspur.control.replica import Replica
 from lugspur.mesh.cli import replica_check, replica_export, replica_show
+from lugspur.mesh.control.messages import Entry, Learn, Voter, decode
+from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.disk import Disk
 
 DATA = Path(__file__).parent / "data" / "control_node"
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -12,11 +12,11 @@
 import msgspec
 import pytest
 
-from lugspur.control.claim_table import ClaimTable
-from lugspur.control.errors import ANSWERS, Kind
-from lugspur.control.items import Bounds, Route, Service, Share
-from lugspur.control.membership import Presence
-from lugspur.control.messages import (
+from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control.errors import ANSWERS, Kind
+from lugspur.mesh.control.items import Bounds, Route, Service, Share
+from lugspur.mesh.control.membership import Presence
+from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
     Answer,
@@ -58,8 +58,8 @@
     decode,
     encode,
 )
-from lugspur.control.register import Register, Vote
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.register import Register, Vote
+from lugspur.mesh.control.replica import Replica
 
 ENTRY = Entry(kind="routes", name="a", edition=2, value=b"v")
 WITHDRAWAL = Entry(kind="services", name="b", edition=3, value=None)
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -19,10 +19,6 @@
 from loopback import backend as scripted
 from meshcalls import call, route
 
-from lugspur.control.claims import Known, Settled, Taken, Unsettled, Won
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.items import read_call
-from lugspur.control.messages import Answer, Forward, Reply
 from lugspur.dataplane.causes import Cause
 from lugspur.dataplane.gate import Gate, LocalBackend
 from lugspur.dataplane.proxy import Proxy
@@ -31,6 +27,10 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.membership.rows import read_address
+from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.http_api import fail
 from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
 from lugspur.observability.failures import FailureLog, Standing
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lugspur.control.effects import Effects
-from lugspur.control.messages import (
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.messages import (
     Accepted,
     Ballot,
     Change,
@@ -15,7 +15,7 @@
     Verdict,
     Voter,
 )
-from lugspur.control.replica import GENESIS, Replica, membership_entry
+from lugspur.mesh.control.replica import GENESIS, Replica, membership_entry
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 NEW = "10.0.0.4"
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -6,9 +6,9 @@
 
 from behave import given, then, when
 
-from lugspur.control.claims import Settled, Taken, Won
 from lugspur.emulator.control.mesh_world import MeshWorld
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.claims import Settled, Taken, Won
 
 WELL_WITHIN = 10.0  # seconds
 
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -4,9 +4,9 @@
 
 from controlparts import IPS, NEW, claim, exchange, replica, seed
 
-from lugspur.control.catch_up import ASK_AGAIN, ClaimsCatchUp
-from lugspur.control.messages import ClaimsPage, FetchClaims, KeptClaim, Membership, Voter
-from lugspur.control.replica import Replica
+from lugspur.mesh.control.catch_up import ASK_AGAIN, ClaimsCatchUp
+from lugspur.mesh.control.messages import ClaimsPage, FetchClaims, KeptClaim, Membership, Voter
+from lugspur.mesh.control.replica import Replica
 
 A, B, C = IPS
 CLAIMS: list[tuple[bytes, KeptClaim]] = [(b"k", KeptClaim(b"a", 2.0))]
--- a/tests/mesh/test_claim_table.py
+++ b/tests/mesh/test_claim_table.py
@@ -4,8 +4,8 @@
 
 from controlparts import SEEDS, claim, replica, seed
 
-from lugspur.control.messages import Answer, Claim, Done, KeptClaim, Release, Verdict
-from lugspur.control.replica import GENESIS
+from lugspur.mesh.control.messages import Answer, Claim, Done, KeptClaim, Release, Verdict
+from lugspur.mesh.control.replica import GENESIS
 
 
 def test_a_key_is_granted_to_one_and_on_disk_before_it_is_told() -> None:
--- a/tests/mesh/test_configuration_size.py
+++ b/tests/mesh/test_configuration_size.py
@@ -14,13 +14,13 @@
 from test_membership_changes import SPARE, THERE, follows, situation
 from test_proposer import Node, ballot_of
 
-from lugspur.control.capacity import CONFIGURATION_PART, configuration_most, fits, item_bytes
-from lugspur.control.errors import Kind
-from lugspur.control.membership import Presence
-from lugspur.control.messages import Change, Entry
-from lugspur.control.orders import Confirmed, Refused
-from lugspur.control.proposer import Proposer
-from lugspur.control.register import Register
+from lugspur.mesh.control.capacity import CONFIGURATION_PART, configuration_most, fits, item_bytes
+from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.membership import Presence
+from lugspur.mesh.control.messages import Change, Entry
+from lugspur.mesh.control.orders import Confirmed, Refused
+from lugspur.mesh.control.proposer import Proposer
+from lugspur.mesh.control.register import Register
 from lugspur.mesh.disk import Disk
 
 SMALL = 60_000  # bytes of a small disk: 10,000 of the configuration
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -8,9 +8,9 @@
 import lmdb
 import pytest
 
-from lugspur.control.register import KEY_MOST
 from lugspur.invariants import Invariant, violations
 from lugspur.mesh import disk as module
+from lugspur.mesh.control.register import KEY_MOST
 from lugspur.mesh.disk import Disk
 
 
--- a/tests/mesh/test_drawn_histories.py
+++ b/tests/mesh/test_drawn_histories.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from lugspur.control import claims as claims_module
-from lugspur.control.claim_table import ClaimTable
-from lugspur.control.effects import Effects
-from lugspur.control.membership import Situation
-from lugspur.control.messages import Claim, Voter
-from lugspur.control.quorum import majority
-from lugspur.control.replica import Replica
 from lugspur.emulator.control import histories
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.mesh_world import Figures
 from lugspur.emulator.control.settings import COMPLETE_BY_TIME, HASTY_LOSSES, MANY_CHANGES, SETTINGS, Setting
+from lugspur.mesh.control import claims as claims_module
+from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.membership import Situation
+from lugspur.mesh.control.messages import Claim, Voter
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.replica import Replica
 
 DRAWN = [(seed, setting) for number, setting in enumerate(SETTINGS) for seed in range(5 if number < 5 else 4)]
 LONG = [(seed, setting) for setting in (*COMPLETE_BY_TIME, *HASTY_LOSSES) for seed in range(2)]
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from lugspur.control.messages import (
+from lugspur.dataplane.causes import Cause
+from lugspur.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
+from lugspur.dataplane.gate import End, Gate, LocalBackend, Ticket
+from lugspur.dataplane.uploads import PART, UploadScheduler
+from lugspur.mesh.control.messages import (
     Answer,
     AskOutcomes,
     Cancel,
@@ -19,10 +23,6 @@
     Reply,
     Withdraw,
 )
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
-from lugspur.dataplane.gate import End, Gate, LocalBackend, Ticket
-from lugspur.dataplane.uploads import PART, UploadScheduler
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.outcomes import UNRUN_MOST, Outcomes
 from lugspur.mesh.outgoing import UNPROVEN_MOST, OutgoingExchanges
--- a/tests/mesh/test_folder.py
+++ b/tests/mesh/test_folder.py
@@ -11,11 +11,11 @@
 import pytest
 from meshcalls import call, route, service
 
-from lugspur.control.errors import MeshError
-from lugspur.control.items import read_call
-from lugspur.control.messages import Answer, Change, Claim, Done, Item, Voter
-from lugspur.control.replica import GENESIS, Replica
 from lugspur.mesh.cli import replica_check, replica_export, replica_show
+from lugspur.mesh.control.errors import MeshError
+from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.messages import Answer, Change, Claim, Done, Item, Voter
+from lugspur.mesh.control.replica import GENESIS, Replica
 from lugspur.mesh.disk import ASIDE, NAME, Disk
 from lugspur.mesh.folder import export, look, told
 
--- a/tests/mesh/test_forwarding.py
+++ b/tests/mesh/test_forwarding.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.forwarding import ANSWER_WITHIN, Forwarder, answer_of, outcome_of
-from lugspur.control.messages import Entry
-from lugspur.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear, fault_of
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.forwarding import ANSWER_WITHIN, Forwarder, answer_of, outcome_of
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear, fault_of
 
 FIRST = "10.0.0.1"
 REFUSED = Refused(MeshError(Kind.CONFLICT, "another content"))
--- a/tests/mesh/test_freshness.py
+++ b/tests/mesh/test_freshness.py
@@ -5,8 +5,8 @@
 import pytest
 from controlparts import FIRST, IPS
 
-from lugspur.control.freshness import FIRST_DELAY, NEVER, DelayEstimate, Freshness
-from lugspur.control.messages import Delta
+from lugspur.mesh.control.freshness import FIRST_DELAY, NEVER, DelayEstimate, Freshness
+from lugspur.mesh.control.messages import Delta
 
 A, B, C = IPS
 AHEAD = 500.0  # by which the senders' clocks differ
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lugspur.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.http_api import HttpApi
 from lugspur.seams import Answerable, Request
 
--- a/tests/mesh/test_items.py
+++ b/tests/mesh/test_items.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from meshcalls import call, route, service
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.items import check, read_back, read_call
-from lugspur.control.messages import Entry
-from lugspur.control.register import KEY_MOST, item_row
-from lugspur.control.store import Store
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.items import check, read_back, read_call
+from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.control.register import KEY_MOST, item_row
+from lugspur.mesh.control.store import Store
 from lugspur.mesh.http_api import CALL_MOST
 from lugspur.mesh.link import UNSENT_MOST
 
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lugspur.control import claims as claims_module
-from lugspur.control.claims import Claims, Known, Settled, Taken, Unsettled, Won
-from lugspur.control.messages import Answer, Claim, Membership, Release, Verdict, Voter
+from lugspur.mesh.control import claims as claims_module
+from lugspur.mesh.control.claims import Claims, Known, Settled, Taken, Unsettled, Won
+from lugspur.mesh.control.messages import Answer, Claim, Membership, Release, Verdict, Voter
 
 CURRENT = Membership(3, [Voter(f"10.0.0.{n}", "u", "") for n in (1, 2, 3)])
 
--- a/tests/mesh/test_learning.py
+++ b/tests/mesh/test_learning.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lugspur.control.learning import LearnPages
-from lugspur.control.messages import Learn
+from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.messages import Learn
 
 
 def page(number: int, last: bool = False, index: int = 9, since: int = 3) -> Learn:
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from lugspur.control.messages import Claim, Hello, Message, Pong, encode
 from lugspur.mesh import link as link_module
+from lugspur.mesh.control.messages import Claim, Hello, Message, Pong, encode
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 
 
--- a/tests/mesh/test_membership_changes.py
+++ b/tests/mesh/test_membership_changes.py
@@ -7,10 +7,10 @@
 import pytest
 from controlparts import seed
 
-from lugspur.control.membership import Presence, Situation, Tolerance, next_membership
-from lugspur.control.messages import Membership, Voter
-from lugspur.control.quorum import majority
-from lugspur.control.reconfiguration import (
+from lugspur.mesh.control.membership import Presence, Situation, Tolerance, next_membership
+from lugspur.mesh.control.messages import Membership, Voter
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.reconfiguration import (
     AGAIN,
     CHANGE_TAKES,
     PATIENCE_LEAST,
--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -159,7 +159,7 @@
 def test_exceptions_that_nobody_caught_are_found_in_logs(tmp_path: Path) -> None:
     (tmp_path / "a.log").write_text(
         "12:00 event=serving\nException in callback Node._look\nTraceback (most recent call last):\n"
-        '  File "/src/lugspur/control/items.py", line 5, in check\n'
+        '  File "/src/lugspur/mesh/control/items.py", line 5, in check\n'
         "MeshError: conflict\n\nDuring handling of the above exception, another exception occurred:\n\n"
         "Traceback (most recent call last):\n"
         '  File "uvloop/cbhandles.pyx", line 64, in run\n'
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -7,13 +7,13 @@
 from controlparts import IPS, NEW, NEXT, accepted, change, exchange, item, promise, seed
 from meshcalls import call, route, service
 
-from lugspur.control.effects import Effects
-from lugspur.control.errors import Kind
-from lugspur.control.items import read_call
-from lugspur.control.messages import Accept, Accepted, Ballot, CatchUp, Entry, Learn, Message, Prepare, Promise
-from lugspur.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear, fault_of
-from lugspur.control.proposer import BRING_UP_MOST, ROUND_WITHIN, Proposer
-from lugspur.control.replica import membership_entry
+from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.messages import Accept, Accepted, Ballot, CatchUp, Entry, Learn, Message, Prepare, Promise
+from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear, fault_of
+from lugspur.mesh.control.proposer import BRING_UP_MOST, ROUND_WITHIN, Proposer
+from lugspur.mesh.control.replica import membership_entry
 
 A, B, C = IPS
 
--- a/tests/mesh/test_reader.py
+++ b/tests/mesh/test_reader.py
@@ -4,8 +4,8 @@
 
 from controlparts import IPS, NEW, change, item, seed
 
-from lugspur.control.messages import CatchUp, Query, Standing
-from lugspur.control.reader import ASK_AGAIN, Read, Reader
+from lugspur.mesh.control.messages import CatchUp, Query, Standing
+from lugspur.mesh.control.reader import ASK_AGAIN, Read, Reader
 
 A, B, C = IPS
 
--- a/tests/mesh/test_register.py
+++ b/tests/mesh/test_register.py
@@ -5,9 +5,9 @@
 import pytest
 from controlparts import IPS, SEEDS, change, item, only, replica, seed
 
-from lugspur.control import register as register_module
-from lugspur.control.messages import Accept, Accepted, Ballot, Prepare, Promise, Query, Standing
-from lugspur.control.register import Register
+from lugspur.mesh.control import register as register_module
+from lugspur.mesh.control.messages import Accept, Accepted, Ballot, Prepare, Promise, Query, Standing
+from lugspur.mesh.control.register import Register
 
 LOW, MIDDLE, HIGH = Ballot(2, "c"), Ballot(5, "a"), Ballot(6, "b")
 
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -4,7 +4,7 @@
 
 from controlparts import FIRST, IPS, NEW, NEXT, SEEDS, claim, exchange, item, only, replica, seed
 
-from lugspur.control.messages import (
+from lugspur.mesh.control.messages import (
     Accept,
     Ballot,
     CatchUp,
@@ -15,7 +15,7 @@
     Membership,
     Verdict,
 )
-from lugspur.control.replica import COMPLETE_ROW, membership_entry
+from lugspur.mesh.control.replica import COMPLETE_ROW, membership_entry
 
 BALLOT = Ballot(1, "a")
 
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lugspur.control.errors import ANSWERS, Kind, MeshError
+from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
 from lugspur.mesh.settings import load, parse
 
 GOOD = """
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -9,10 +9,21 @@
 
 import pytest
 
-from lugspur.control.errors import Kind, MeshError
-from lugspur.control.messages import Forward, Grant, Hello, Membership, Message, Part, Reply, Sync, Unsubscribe, Voter
 from lugspur.dataplane.gate import End
 from lugspur.dataplane.uploads import PART
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.messages import (
+    Forward,
+    Grant,
+    Hello,
+    Membership,
+    Message,
+    Part,
+    Reply,
+    Sync,
+    Unsubscribe,
+    Voter,
+)
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.registration import BackendStatus
 from lugspur.mesh.settings import load
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -8,8 +8,8 @@
 from controlparts import exchange, seed
 
 from lugspur import invariants
-from lugspur.control.messages import Membership, Voter
 from lugspur.invariants import TOLD_MOST, Invariant, check, violations
+from lugspur.mesh.control.messages import Membership, Voter
 
 
 @pytest.fixture
