--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -16,15 +16,15 @@
 from pathlib import Path
 from typing import Any
 
-from lugspur.dataplane import proxied_request
-from lugspur.dataplane.delays import ExcessDelay
-from lugspur.dataplane.gate import Gate, LocalBackend
-from lugspur.dataplane.proxied_request import ProxiedRequest
 from lugspur.emulator.control import guards as control_guards
 from lugspur.http1.upstream import Connection, Exchange
 from lugspur.mesh.backend_lives import BackendLives
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, Forward
+from lugspur.mesh.dataplane import proxied_request
+from lugspur.mesh.dataplane.delays import ExcessDelay
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.outcomes import Outcomes
 from lugspur.seams import Response
 
--- a/lugspur/mesh/__init__.py
+++ b/lugspur/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Programs of the mesh: sockets, disks and clocks around `lugspur.mesh.control` and `lugspur.dataplane`."""
+"""Programs of the mesh: sockets, disks and clocks around `lugspur.mesh.control` and `lugspur.mesh.dataplane`."""
--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -290,18 +290,18 @@
     by: bytes = b""
     back: bool = False  # its caller has been turned away before, or has little time for other causes
     size: int = 0  # bytes of a body that comes in parts, as they are granted
-    sent: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.dataplane.delays
+    sent: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delays
 
 
 class Reply(msgspec.Struct, tag=20, array_like=True):
     """How it ended."""
 
     n: int
-    how: int  # a value of lugspur.dataplane.gate.End
+    how: int  # a value of lugspur.mesh.dataplane.gate.End
     answer: Answer | None = None
     sent: bool = True  # whether the backend was offered it
     busy: int = 0  # requests in hand there
-    cause: int = 0  # a value of lugspur.dataplane.causes.Cause
+    cause: int = 0  # a value of lugspur.mesh.dataplane.causes.Cause
 
 
 class Cancel(msgspec.Struct, tag=21, array_like=True):
--- a/lugspur/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -8,7 +8,7 @@
 from cachetools import LRUCache
 
 from jaspershelf.breaker import Breaker
-from lugspur.dataplane.routes import RouteEntry
+from lugspur.mesh.dataplane.routes import RouteEntry
 from lugspur.observability.failures import Refusal
 
 COLD = 2.0  # times the usual latency that a backend counts with while it says that it is slow
--- a/lugspur/dataplane/ports.py
+++ b/lugspur/mesh/dataplane/ports.py
@@ -8,9 +8,9 @@
 from typing import Any, Protocol
 
 from jaspershelf.budget import Budget
-from lugspur.dataplane.endpoints import Endpoint
 from lugspur.mesh.control.claims import Settled
 from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.seams import Answerable, Request
 
 
--- a/lugspur/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -4,16 +4,16 @@
 
 import asyncio
 
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.endpoints import Endpoint, pick
-from lugspur.dataplane.gate import End
-from lugspur.dataplane.ports import Carried, RequestHost
-from lugspur.dataplane.refusal import refuse
-from lugspur.dataplane.routes import RouteEntry
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.claims import Known, Settled, Taken, Won
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.endpoints import Endpoint, pick
+from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.ports import Carried, RequestHost
+from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.routes import RouteEntry
 from lugspur.observability.failures import PickView, Step
 from lugspur.seams import Answerable, Request
 
--- a/lugspur/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from jaspershelf.budget import Budget
-from lugspur.dataplane.endpoints import Endpoint
-from lugspur.dataplane.ports import Carrier, Keys, OpenRequest
-from lugspur.dataplane.proxied_request import BY_MS, ProxiedRequest
-from lugspur.dataplane.refusal import refuse
-from lugspur.dataplane.routes import RouteTable
 from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.mesh.dataplane.ports import Carrier, Keys, OpenRequest
+from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
+from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.observability.failures import FailureLog, Standing, keep_only
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -4,12 +4,12 @@
 
 import asyncio
 
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.delays import ExcessDelay
-from lugspur.dataplane.gate import End, Gate, Ticket
-from lugspur.dataplane.uploads import UploadScheduler
 from lugspur.mesh import events
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Hello, Message, Part, Reply, Withdraw
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.delays import ExcessDelay
+from lugspur.mesh.dataplane.gate import End, Gate, Ticket
+from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.link import Link
 from lugspur.mesh.outcomes import Outcomes
 
--- a/lugspur/mesh/local_requests.py
+++ b/lugspur/mesh/local_requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.dataplane.gate import Gate, Ticket
+from lugspur.mesh.dataplane.gate import Gate, Ticket
 
 
 class CarriedHere:
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/outgoing.py
@@ -7,10 +7,10 @@
 
 from cachetools import LRUCache
 
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.gate import End
-from lugspur.dataplane.uploads import PART, in_parts
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Part, Reply, Withdraw
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.uploads import PART, in_parts
 from lugspur.mesh.link import Link
 
 UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
--- a/lugspur/mesh/registration.py
+++ b/lugspur/mesh/registration.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from lugspur.dataplane.gate import Gate, LocalBackend
 from lugspur.membership.rows import read_address
 from lugspur.mesh import events
 from lugspur.mesh.backend_lives import BackendLives
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.http_api import reply
 from lugspur.mesh.settings import Settings
 from lugspur.seams import Answerable, Request
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -9,12 +9,6 @@
 
 import msgspec
 
-from lugspur.dataplane.delays import FreezeDetector
-from lugspur.dataplane.gate import Gate
-from lugspur.dataplane.ports import Carried
-from lugspur.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
-from lugspur.dataplane.routes import RouteTable
-from lugspur.dataplane.uploads import UploadScheduler
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.membership.rows import read_address
@@ -22,6 +16,12 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
 from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
+from lugspur.mesh.dataplane.delays import FreezeDetector
+from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.ports import Carried
+from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
+from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
--- a/lugspur/mesh/sidecar_figures.py
+++ b/lugspur/mesh/sidecar_figures.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping, Sized
 from typing import Protocol
 
-from lugspur.dataplane.gate import Gate
-from lugspur.dataplane.proxy import Proxy
 from lugspur.http1.front import Front
 from lugspur.mesh import events
+from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.link import Dialler
 from lugspur.observability.failures import FailedRequest, Standing
--- a/lugspur/mesh/sidecar_status.py
+++ b/lugspur/mesh/sidecar_status.py
@@ -6,10 +6,10 @@
 from collections.abc import Sized
 from typing import Any, Protocol
 
-from lugspur.dataplane.endpoints import Endpoint
-from lugspur.dataplane.gate import Gate, LocalBackend
-from lugspur.dataplane.proxy import Proxy
 from lugspur.mesh.control.messages import Membership
+from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.settings import Settings
 
 
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -25,8 +25,8 @@
 import pytest
 
 from lugspur.bench.mesh import Mesh, call
-from lugspur.dataplane.causes import Cause
 from lugspur.mesh.control.errors import ANSWERS
+from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.settings import parse
 from lugspur.standins.mesh import MeshBackend
 
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -17,10 +17,10 @@
 
 from jaspershelf.model import Outcome
 from lugspur import invariants
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.gate import End
 from lugspur.management.acts import acts
 from lugspur.management.door import Door
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.gate import End
 from lugspur.observability.failures import FailedRequest, PickView, Refusal, Step
 from lugspur.observability.metrics import Histogram, render
 
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -19,11 +19,6 @@
 from loopback import backend as scripted
 from meshcalls import call, route
 
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.gate import Gate, LocalBackend
-from lugspur.dataplane.proxy import Proxy
-from lugspur.dataplane.refusal import refuse
-from lugspur.dataplane.routes import RouteTable
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.membership.rows import read_address
@@ -31,6 +26,11 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.mesh.http_api import fail
 from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
 from lugspur.observability.failures import FailureLog, Standing
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -7,10 +7,6 @@
 
 import pytest
 
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
-from lugspur.dataplane.gate import End, Gate, LocalBackend, Ticket
-from lugspur.dataplane.uploads import PART, UploadScheduler
 from lugspur.mesh.control.messages import (
     Answer,
     AskOutcomes,
@@ -23,6 +19,10 @@
     Reply,
     Withdraw,
 )
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
+from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend, Ticket
+from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.outcomes import UNRUN_MOST, Outcomes
 from lugspur.mesh.outgoing import UNPROVEN_MOST, OutgoingExchanges
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from lugspur.dataplane import gate as gate_module
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.gate import End, Gate, LocalBackend
 from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.dataplane import gate as gate_module
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend
 
 GOOD = b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: %b\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi"
 
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -10,14 +10,14 @@
 import pytest
 from meshcalls import call, route
 
-from lugspur.dataplane.causes import Cause
-from lugspur.dataplane.gate import End
-from lugspur.dataplane.proxied_request import ProxiedRequest
-from lugspur.dataplane.proxy import Proxy
-from lugspur.dataplane.routes import RouteTable
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
+from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.observability.failures import PickView, Refusal
 from lugspur.seams import Request
 
--- a/tests/mesh/test_route_table.py
+++ b/tests/mesh/test_route_table.py
@@ -6,9 +6,9 @@
 
 from meshcalls import call, route
 
-from lugspur.dataplane.routes import RouteTable
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.dataplane.routes import RouteTable
 
 
 def table(*routes: dict[str, object]) -> RouteTable:
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -9,8 +9,6 @@
 
 import pytest
 
-from lugspur.dataplane.gate import End
-from lugspur.dataplane.uploads import PART
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import (
     Forward,
@@ -24,6 +22,8 @@
     Unsubscribe,
     Voter,
 )
+from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.uploads import PART
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.registration import BackendStatus
 from lugspur.mesh.settings import load
--- a/tests/mesh/test_uploads.py
+++ b/tests/mesh/test_uploads.py
@@ -6,8 +6,8 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from lugspur.dataplane.uploads import AHEAD, PART, STALLED, USED, Key, UploadScheduler, in_parts
 from lugspur.mesh.control.messages import Forward
+from lugspur.mesh.dataplane.uploads import AHEAD, PART, STALLED, USED, Key, UploadScheduler, in_parts
 
 RATE = 330_000.0  # bytes a second
 
