--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -37,7 +37,7 @@
 SAID_MOST = 3000  # characters of each log in a failure
 SKEWED = """
 import sys, time
-import lugspur.fleet.clock as clock
+import lugspur.daemon.gossip.clock as clock
 began = time.clock_gettime(time.CLOCK_BOOTTIME)
 clock.now = lambda: began + {rate} * (time.clock_gettime(time.CLOCK_BOOTTIME) - began)
 from lugspur.__main__ import main
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -15,11 +15,11 @@
 
 from lugspur.config import model
 from lugspur.config.load import resolved
+from lugspur.daemon.gossip import clock
+from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
+from lugspur.daemon.gossip.transport import Transport, bound
+from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
 from lugspur.daemon.probers import PROBING, Probers
-from lugspur.fleet import clock
-from lugspur.fleet.machine import Changed, Event, Fleet, Posted, Rival
-from lugspur.fleet.transport import Transport, bound
-from lugspur.fleet.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
 from lugspur.leases.claim import Claim, Turned, Won, order
 from lugspur.leases.elector import Elector, Who
 from lugspur.leases.memory import Memory, Spoilt, Taken
--- a/lugspur/fleet/bounds.py
+++ b/lugspur/daemon/gossip/bounds.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from lugspur.fleet.wire import DATAGRAM_MOST
+from lugspur.daemon.gossip.wire import DATAGRAM_MOST
 
 EACH_RATE, EACH_BURST = 100.0, 200.0  # datagrams a second from one address: a member sends some 20 when all goes wrong
 ALL_RATE, ALL_BURST = 2000.0, 2000.0  # datagrams a second from all: some 100 us each, so a fifth of a core at most
--- a/lugspur/fleet/machine.py
+++ b/lugspur/daemon/gossip/machine.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from lugspur.fleet.bounds import Bounds
-from lugspur.fleet.crowd import Crowd
-from lugspur.fleet.rumours import Rumours
-from lugspur.fleet.suspicion import Suspicion
-from lugspur.fleet.wire import (
+from lugspur.daemon.gossip.bounds import Bounds
+from lugspur.daemon.gossip.crowd import Crowd
+from lugspur.daemon.gossip.rumours import Rumours
+from lugspur.daemon.gossip.suspicion import Suspicion
+from lugspur.daemon.gossip.wire import (
     INCARNATION_MOST,
     RECORDS_MOST,
     Ack,
--- a/lugspur/fleet/rumours.py
+++ b/lugspur/daemon/gossip/rumours.py
@@ -4,7 +4,7 @@
 
 import math
 
-from lugspur.fleet.wire import RECORDS_MOST, Record, size_of
+from lugspur.daemon.gossip.wire import RECORDS_MOST, Record, size_of
 
 TOLD = 3  # times log10 of the members (rounded up): how often one member passes a piece on, as in SWIM, section 4.1
 
--- a/lugspur/fleet/transport.py
+++ b/lugspur/daemon/gossip/transport.py
@@ -6,9 +6,9 @@
 import socket
 from collections.abc import Callable, Iterable
 
-from lugspur.fleet import clock
-from lugspur.fleet.machine import Address, Event, Fleet
-from lugspur.fleet.wire import DATAGRAM_MOST
+from lugspur.daemon.gossip import clock
+from lugspur.daemon.gossip.machine import Address, Event, Fleet
+from lugspur.daemon.gossip.wire import DATAGRAM_MOST
 
 READ_MOST = 64  # datagrams in one turn of the loop: some 10 ms, after which requests have their turn
 
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from lugspur.config.model import Check
-from lugspur.fleet import clock
-from lugspur.fleet.transport import Transport
+from lugspur.daemon.gossip import clock
+from lugspur.daemon.gossip.transport import Transport
 from lugspur.leases.claim import STANDBY, Claim, Turned
 from lugspur.leases.messages import Malformed
 from lugspur.membership.announce import Checked, check
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from random import Random
 
+from lugspur.daemon.gossip.machine import Changed, Fleet
+from lugspur.daemon.gossip.wire import Facts, Status, Wire
 from lugspur.emulator.datagrams import Address, Network, halves
-from lugspur.fleet.machine import Changed, Fleet
-from lugspur.fleet.wire import Facts, Status, Wire
 
 SIZES = (5, 50, 200)
 NAME = "emulated"
--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from lugspur.fleet.bounds import EACH_BURST
-from lugspur.fleet.machine import MEMBERS_MOST, Fleet
-from lugspur.fleet.wire import DATAGRAM_MOST, Facts, Message, News, Packet, Ping, Record, Status, Wire
+from lugspur.daemon.gossip.bounds import EACH_BURST
+from lugspur.daemon.gossip.machine import MEMBERS_MOST, Fleet
+from lugspur.daemon.gossip.wire import DATAGRAM_MOST, Facts, Message, News, Packet, Ping, Record, Status, Wire
 
 PEER = ("10.0.0.2", 7946)
 
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from lugspur.fleet.machine import digest_of
-from lugspur.fleet.wire import (
+from lugspur.daemon.gossip.machine import digest_of
+from lugspur.daemon.gossip.wire import (
     Ack,
     Ask,
     Facts,
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from lugspur.daemon.gossip.bounds import EACH_BURST
+from lugspur.daemon.gossip.machine import MEMBERS_MOST, Changed, Fleet, Posted, Rival
+from lugspur.daemon.gossip.wire import DATAGRAM_MOST, Facts, News, Packet, Ping, Post, Record, Status, Wire
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
-from lugspur.fleet.bounds import EACH_BURST
-from lugspur.fleet.machine import MEMBERS_MOST, Changed, Fleet, Posted, Rival
-from lugspur.fleet.wire import DATAGRAM_MOST, Facts, News, Packet, Ping, Post, Record, Status, Wire
 
 PERIODS = 10.0  # in which all views have to be the same again
 
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.fleet.wire import (
+from lugspur.daemon.gossip.wire import (
     DATAGRAM_MOST,
     HEAD,
     MAGIC,
