--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -23,10 +23,10 @@
 from itertools import permutations
 from typing import Any, NamedTuple
 
-from lugspur.leases import span
-from lugspur.leases.elector import Elector, Promise, Who
-from lugspur.leases.messages import Grant, Message, No
-from lugspur.leases.term import Ended, Term
+from lugspur.daemon.leases import span
+from lugspur.daemon.leases.elector import Elector, Promise, Who
+from lugspur.daemon.leases.messages import Grant, Message, No
+from lugspur.daemon.leases.term import Ended, Term
 
 DUTY = "d"
 LEASE = 6.0  # units of time
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -19,11 +19,11 @@
 from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
 from lugspur.daemon.gossip.transport import Transport, bound
 from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
+from lugspur.daemon.leases.claim import Claim, Turned, Won, order
+from lugspur.daemon.leases.elector import Elector, Who
+from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
+from lugspur.daemon.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
 from lugspur.daemon.probers import PROBING, Probers
-from lugspur.leases.claim import Claim, Turned, Won, order
-from lugspur.leases.elector import Elector, Who
-from lugspur.leases.memory import Memory, Spoilt, Taken
-from lugspur.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
--- a/lugspur/leases/claim.py
+++ b/lugspur/daemon/leases/claim.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from lugspur.leases.messages import Free, Grant, Message, No
-from lugspur.leases.span import AGAIN, RENEW, held_for
-from lugspur.leases.term import Ended, Term
+from lugspur.daemon.leases.messages import Free, Grant, Message, No
+from lugspur.daemon.leases.span import AGAIN, RENEW, held_for
+from lugspur.daemon.leases.term import Ended, Term
 
 STANDBY = 3  # of those that want it, who ask as soon as it is free: as many as may die in one lease time
 STEP = 0.05  # seconds between two of them: a round on one machine's network takes a few milliseconds
--- a/lugspur/leases/elector.py
+++ b/lugspur/daemon/leases/elector.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from lugspur.leases.messages import Free, Give, Grant, Message, No, Want
+from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want
 
 DUTIES_MOST = 512  # remembered; a further one is not promised
 SOON = 0.1  # of a lease: after which to ask again where a promise is fresh; a round is over by then
--- a/lugspur/leases/memory.py
+++ b/lugspur/daemon/leases/memory.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from lugspur.leases.elector import DUTIES_MOST, Promise
-from lugspur.leases.messages import DUTY_MOST, EPOCH_MOST
+from lugspur.daemon.leases.elector import DUTIES_MOST, Promise
+from lugspur.daemon.leases.messages import DUTY_MOST, EPOCH_MOST
 from lugspur.state.disk import Disk
 
 NAME, FRESH, LOCK = "promises", "promises.new", "promises.lock"
--- a/lugspur/leases/term.py
+++ b/lugspur/daemon/leases/term.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from enum import Enum, auto
 
-from lugspur.leases.messages import Give, Grant, Message, No, Want
-from lugspur.leases.span import ROUND, ROUND_MOST, held_for
+from lugspur.daemon.leases.messages import Give, Grant, Message, No, Want
+from lugspur.daemon.leases.span import ROUND, ROUND_MOST, held_for
 
 SOONEST = 0.01  # seconds between two questions to one elector in one round: clocks that run apart may need a few
 
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -10,8 +10,8 @@
 from lugspur.config.model import Check
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
-from lugspur.leases.claim import STANDBY, Claim, Turned
-from lugspur.leases.messages import Malformed
+from lugspur.daemon.leases.claim import STANDBY, Claim, Turned
+from lugspur.daemon.leases.messages import Malformed
 from lugspur.membership.announce import Checked, check
 from lugspur.membership.rows import server_id, server_name
 from lugspur.probing.hearsay import REFRESH, Hearsay
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from lugspur.daemon.leases.claim import Claim, Turned, order
+from lugspur.daemon.leases.elector import Elector, Promise, Who
+from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want, pack, unpack
 from lugspur.emulator.datagrams import Address, Network, halves
-from lugspur.leases.claim import Claim, Turned, order
-from lugspur.leases.elector import Elector, Promise, Who
-from lugspur.leases.messages import Free, Give, Grant, Message, No, Want, pack, unpack
 
 DUTY = "duty"
 LEASE = 5.0  # seconds
--- a/lugspur/probing/hearsay.py
+++ b/lugspur/probing/hearsay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.leases.fence import Fence
+from lugspur.daemon.leases.fence import Fence
 from lugspur.probing.messages import Verdict
 
 REFRESH = 1.0  # seconds between two tellings of the same, while something is down
--- a/lugspur/probing/messages.py
+++ b/lugspur/probing/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lugspur.leases.messages import EPOCH_MOST, Malformed
+from lugspur.daemon.leases.messages import EPOCH_MOST, Malformed
 
 POOL_MOST, BOX_MOST = 64, 128  # characters
 NAMES_BYTES = 800  # of boxes in one verdict: what does not fit is found out by each proxy itself, as without a prober
--- a/tests/compatibility/test_lease_messages.py
+++ b/tests/compatibility/test_lease_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lugspur.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
+from lugspur.daemon.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
 
 MESSAGES: list[tuple[Message, bytes]] = [
     (
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -22,9 +22,9 @@
 
 from lugspur.cli.main import cli
 from lugspur.config.load import load
+from lugspur.daemon.leases.elector import Promise
+from lugspur.daemon.leases.memory import Memory, Spoilt
 from lugspur.daemon.run import Running
-from lugspur.leases.elector import Promise
-from lugspur.leases.memory import Memory, Spoilt
 from lugspur.state.file import Unreadable, read, whole
 from lugspur.state.store import open_store
 
--- a/tests/fleet/test_lean.py
+++ b/tests/fleet/test_lean.py
@@ -11,7 +11,7 @@
 import sys
 import lugspur.{module}
 print([name for name in sys.modules if name.split(".")[0] in ("msgspec", "rich", "click")
-       or name.startswith(("lugspur.daemon.gossip", "lugspur.leases", "lugspur.daemon.company"))])
+       or name.startswith(("lugspur.daemon.gossip", "lugspur.daemon.leases", "lugspur.daemon.company"))])
 """
 
 
--- a/tests/leases/test_claim.py
+++ b/tests/leases/test_claim.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from lugspur.leases.claim import RARELY_MOST, STANDBY, STEP, Claim, Turned
-from lugspur.leases.messages import Free, Give, Grant, Message, No, Want
-from lugspur.leases.span import RENEW, held_for
+from lugspur.daemon.leases.claim import RARELY_MOST, STANDBY, STEP, Claim, Turned
+from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want
+from lugspur.daemon.leases.span import RENEW, held_for
 
 LEASE = 10.0
 ELECTORS = ("x", "y", "z")
--- a/tests/leases/test_duties.py
+++ b/tests/leases/test_duties.py
@@ -7,12 +7,12 @@
 
 import pytest
 
+from lugspur.daemon.leases import span
+from lugspur.daemon.leases.claim import STANDBY, order
+from lugspur.daemon.leases.elector import Elector
+from lugspur.daemon.leases.term import Ended, Term
 from lugspur.emulator import duties
 from lugspur.emulator.duties import CALM, LEASE, TwoInOffice, World, after_kill, play
-from lugspur.leases import span
-from lugspur.leases.claim import STANDBY, order
-from lugspur.leases.elector import Elector
-from lugspur.leases.term import Ended, Term
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/leases/test_elector.py
+++ b/tests/leases/test_elector.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lugspur.leases.elector import DUTIES_MOST, WAITING_MOST, WRITING, Elector, Promise, Who
-from lugspur.leases.messages import Free, Give, Grant, Message, No, Want
+from lugspur.daemon.leases.elector import DUTIES_MOST, WAITING_MOST, WRITING, Elector, Promise, Who
+from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want
 
 A, B, OLD_A = Who("a", 1), Who("b", 1), Who("a", 0)
 LEASE = 10.0
--- a/tests/probing/test_prober.py
+++ b/tests/probing/test_prober.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lugspur.leases.messages import Malformed
+from lugspur.daemon.leases.messages import Malformed
 from lugspur.probing.hearsay import LASTS, Hearsay
 from lugspur.probing.messages import DOWN_MOST, Doubt, Verdict, fitting, pack, unpack
 from lugspur.probing.prober import AGAIN, AT_ONCE, Prober
