--- a/lugspur/handover/keeper.py
+++ b/lugspur/daemon/hot_restart/keeper.py
@@ -15,8 +15,8 @@
 from contextlib import contextmanager, suppress
 from typing import Any, Protocol
 
-from lugspur.handover.link import Link
-from lugspur.handover.messages import IDS_MOST, VERSION, Estate, Foreign, Parts, estate_parts
+from lugspur.daemon.hot_restart.link import Link
+from lugspur.daemon.hot_restart.messages import IDS_MOST, VERSION, Estate, Foreign, Parts, estate_parts
 from lugspur.membership.rows import Address, server_id, server_name
 
 WITHIN = 1.0  # seconds in which an estate has to be whole: the platform waits 6 s for the new process
--- a/lugspur/handover/link.py
+++ b/lugspur/daemon/hot_restart/link.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import Any
 
-from lugspur.handover.messages import PACKET_MOST, Foreign, pack, unpack
+from lugspur.daemon.hot_restart.messages import PACKET_MOST, Foreign, pack, unpack
 
 QUEUE_MOST = 2048  # packets that wait for the other side: one that takes none for so long is as good as gone
 FDS_MOST = 4  # descriptors in one packet
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -27,7 +27,7 @@
     import socket
     from collections.abc import Callable
 
-    from lugspur.handover.messages import Estate
+    from lugspur.daemon.hot_restart.messages import Estate
     from lugspur.observability.failures import FailedRequest
     from lugspur.observability.metrics import Figure
     from lugspur.pipe import Pipe
@@ -168,7 +168,7 @@
     def estate(self) -> Estate:
         """All that another process needs to go on in this one's place."""
         # Imported only here: a proxy without a second address stays lean.
-        from lugspur.handover.messages import Estate
+        from lugspur.daemon.hot_restart.messages import Estate
 
         return Estate(
             self._discovery.index,
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -17,7 +17,7 @@
 from lugspur.membership.rows import Reader
 
 if TYPE_CHECKING:
-    from lugspur.handover.keeper import Inheritance, Keeper
+    from lugspur.daemon.hot_restart.keeper import Inheritance, Keeper
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
@@ -38,7 +38,7 @@
     inherited: Inheritance | None = None
     if config.management is not None:
         # Imported only here: a proxy without a second address stays lean, and alone under its address.
-        from lugspur.handover.keeper import Keeper
+        from lugspur.daemon.hot_restart.keeper import Keeper
 
         keeper = Keeper(config.listen)
         inherited = await keeper.take()
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -13,7 +13,7 @@
 from loopback import HOST, soon
 
 from jaspershelf.model import ListKind
-from lugspur.handover.messages import read_estate
+from lugspur.daemon.hot_restart.messages import read_estate
 from lugspur.membership import learned as forms
 from lugspur.membership.announce import Box
 from lugspur.membership.maintenance import Maintenance
--- a/tests/handover/test_handover_link.py
+++ b/tests/handover/test_handover_link.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from lugspur.handover.link import Link
-from lugspur.handover.messages import pack
+from lugspur.daemon.hot_restart.link import Link
+from lugspur.daemon.hot_restart.messages import pack
 
 
 @pytest.mark.parametrize("notices", ["reading", "sending"])
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -14,9 +14,9 @@
 from loopback import HOST, OK, Running, backend, entry, read, running, soon, status, until
 
 from jaspershelf.model import Learned
-from lugspur.handover import keeper as keepers
-from lugspur.handover.keeper import Keeper, place, short
-from lugspur.handover.messages import PACKET_MOST, VERSION, Estate, estate_parts, pack, unpack
+from lugspur.daemon.hot_restart import keeper as keepers
+from lugspur.daemon.hot_restart.keeper import Keeper, place, short
+from lugspur.daemon.hot_restart.messages import PACKET_MOST, VERSION, Estate, estate_parts, pack, unpack
 from lugspur.membership.maintenance import Bans
 
 ADDRESS = (HOST, 7)
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -12,7 +12,7 @@
 
 from jaspershelf import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
 from jaspershelf.model import Learned
-from lugspur.handover.messages import (
+from lugspur.daemon.hot_restart.messages import (
     PACKET_MOST,
     PARTS_MOST,
     Estate,
