--- a/lugspur/bench/state.py
+++ b/lugspur/bench/state.py
@@ -24,10 +24,10 @@
 
 from lugspur.bench.main import request
 from lugspur.bench.sockets import free_port
+from lugspur.daemon.persistence.file import FORM, VERSION, read
+from lugspur.daemon.persistence.store import NOW
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.callers import Caller
-from lugspur.state.file import FORM, VERSION, read
-from lugspur.state.store import NOW
 
 HOST = "127.0.0.1"
 BOXES, SLOW, BAD = 20, 5, 2
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -16,11 +16,11 @@
 from rich.table import Table
 
 from lugspur.config.units import Wrong, duration
+from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
+from lugspur.daemon.persistence.store import Store, Taken
 from lugspur.membership import learned as forms
 from lugspur.membership.rows import server_name
-from lugspur.state.disk import Disk
-from lugspur.state.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
-from lugspur.state.store import Store, Taken
 
 UNUSABLE = 2  # the exit status for a file that can't be used
 
--- a/lugspur/daemon/leases/memory.py
+++ b/lugspur/daemon/leases/memory.py
@@ -10,7 +10,7 @@
 
 from lugspur.daemon.leases.elector import DUTIES_MOST, Promise
 from lugspur.daemon.leases.messages import DUTY_MOST, EPOCH_MOST
-from lugspur.state.disk import Disk
+from lugspur.daemon.persistence.disk import Disk
 
 NAME, FRESH, LOCK = "promises", "promises.new", "promises.lock"
 FORM = "lugspur promises 1"
--- a/lugspur/state/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -6,7 +6,7 @@
 
 from jaspershelf.breaker import BUCKETS, WINDOW
 from jaspershelf.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
-from lugspur.state.file import Pool
+from lugspur.daemon.persistence.file import Pool
 
 HALF = 300.0  # seconds in which an opinion loses half its weight: what makes a box slow often lasts minutes
 BEYOND = 3600.0  # seconds after which nothing counts but the list
--- a/lugspur/state/store.py
+++ b/lugspur/daemon/persistence/store.py
@@ -11,8 +11,8 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from lugspur.state.disk import Disk
-from lugspur.state.file import FILE_MOST, Snapshot, Unreadable, read
+from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.file import FILE_MOST, Snapshot, Unreadable, read
 
 NOW, BEFORE, FRESH, LOCK, TRIED = "state", "state.1", "state.new", "lock", "tried"
 TRIES = 2  # starts with one generation that did not come to serve, after which it is set aside
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -11,10 +11,10 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from lugspur.config.load import resolved
+from lugspur.daemon.persistence.aging import age_of
+from lugspur.daemon.persistence.file import BACKENDS_MOST, Pool, Snapshot, fact, whole
+from lugspur.daemon.persistence.store import Found, Store, Taken, open_store
 from lugspur.membership import learned as forms
-from lugspur.state.aging import age_of
-from lugspur.state.file import BACKENDS_MOST, Pool, Snapshot, fact, whole
-from lugspur.state.store import Found, Store, Taken, open_store
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -26,8 +26,8 @@
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
+    from lugspur.daemon.persistence.file import Pool as Kept
     from lugspur.http2.upstream import Streams
-    from lugspur.state.file import Pool as Kept
 
 GRPC = 1  # the kind of backends that speak gRPC, for the decision module: streams are bound to it
 LEAVE_EVERY = 0.1  # seconds between looks at whether a pool that leaves has ended its last request
@@ -106,7 +106,7 @@
 
     def _recall(self, kept: Kept, age: float | None) -> None:
         # Imported only here: a daemon that keeps nothing has no use for it.
-        from lugspur.state.aging import aged
+        from lugspur.daemon.persistence.aging import aged
 
         now = self.pool.now()
         learned = aged(kept, age, now)
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -24,9 +24,9 @@
 from lugspur.config.load import load
 from lugspur.daemon.leases.elector import Promise
 from lugspur.daemon.leases.memory import Memory, Spoilt
+from lugspur.daemon.persistence.file import Unreadable, read, whole
+from lugspur.daemon.persistence.store import open_store
 from lugspur.daemon.run import Running
-from lugspur.state.file import Unreadable, read, whole
-from lugspur.state.store import open_store
 
 # Every kind of line, and of each field the values that differ in form: the states of a backend, a zone by its place and
 # by its name, a backend without a breaker, a pool without a start, and a pool of which nothing was learned.
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -24,8 +24,8 @@
 
 from lugspur.cli.main import cli
 from lugspur.daemon import remembering
-from lugspur.state.file import read
-from lugspur.state.store import NOW, Store, open_store
+from lugspur.daemon.persistence.file import read
+from lugspur.daemon.persistence.store import NOW, Store, open_store
 
 ROOT = Path(__file__).parent.parent.parent
 ALL = route("all", "/*", 'pool = "a"\nclass = "read"')
@@ -412,7 +412,7 @@
         "import asyncio, sys\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import Running\n"
         "async def play():\n    running = Running(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
         "    await running.stop()\nasyncio.run(play())\n"
-        "print([name for name in sys.modules if name.startswith('lugspur.state') or 'remembering' in name])\n"
+        "print([name for name in sys.modules if name.startswith('lugspur.daemon.persistence') or 'remembering' in name])\n"
     )
     done = subprocess.run([sys.executable, "-c", program, str(file)], cwd=ROOT, text=True, capture_output=True)
     assert done.stdout.strip() == "[]"
--- a/tests/state/test_file.py
+++ b/tests/state/test_file.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from kept import endpoints, taught, text
 
-from lugspur.state.file import Unreadable, fact, read, whole
+from lugspur.daemon.persistence.file import Unreadable, fact, read, whole
 
 
 def signed(lines: bytes) -> bytes:
--- a/tests/state/test_store.py
+++ b/tests/state/test_store.py
@@ -14,9 +14,9 @@
 import pytest
 from kept import endpoints, other, text
 
-from lugspur.state.disk import Disk
-from lugspur.state.file import FILE_MOST, read, whole
-from lugspur.state.store import ASIDE, ASIDE_MOST, BEFORE, NOW, TRIED, TRIES, Taken, open_store
+from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.file import FILE_MOST, read, whole
+from lugspur.daemon.persistence.store import ASIDE, ASIDE_MOST, BEFORE, NOW, TRIED, TRIES, Taken, open_store
 
 CALLS = ("create", "write", "sync", "end", "rename", "remove", "sync_folder")
 OLD, NEW = text(1000.0), text(2000.0, endpoints(1))
