--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -20,7 +20,7 @@
 from jaspershelf.model import State
 from lugspur.bench.processes import Usage
 from lugspur.bench.trial import FOLDER, Counts, Trial
-from lugspur.membership.rows import server_id
+from lugspur.discovery.rows import server_id
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
 
--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -13,8 +13,8 @@
 from lugspur.config.units import Wrong, duration, folder, nearest, node
 from lugspur.config.units import address as read_place
 from lugspur.daemon.station import servers
-from lugspur.membership.announce import Announcer, Box, check
-from lugspur.membership.registry import Ensemble, Registries
+from lugspur.discovery.announce import Announcer, Box, check
+from lugspur.discovery.registry import Ensemble, Registries
 
 
 @dataclass(frozen=True, slots=True)
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -19,8 +19,8 @@
 from lugspur.daemon.persistence.disk import Disk
 from lugspur.daemon.persistence.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
 from lugspur.daemon.persistence.store import Store, Taken
-from lugspur.membership import learned as forms
-from lugspur.membership.rows import server_name
+from lugspur.discovery import learned as forms
+from lugspur.discovery.rows import server_name
 
 UNUSABLE = 2  # the exit status for a file that can't be used
 
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -30,7 +30,7 @@
     whole,
     words,
 )
-from lugspur.membership.rows import PROTOCOLS, Address
+from lugspur.discovery.rows import PROTOCOLS, Address
 from lugspur.routing.model import WITHIN_MOST
 
 FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; membership/nodes.py reads them
--- a/lugspur/config/platform.py
+++ b/lugspur/config/platform.py
@@ -11,7 +11,7 @@
 from jaspershelf.adapter import read_settings
 from jaspershelf.model import Settings
 from lugspur.config import retune
-from lugspur.membership.rows import Address, read_address
+from lugspur.discovery.rows import Address, read_address
 
 MEMORY_MB = 192  # where the configuration states no limit: the most that the platform gives
 
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -17,11 +17,11 @@
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
 from lugspur.daemon.station import GRPC, Station
 from lugspur.daemon.ticket import End, Ticket
+from lugspur.discovery.registry import Registries
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected, Sizes
 from lugspur.http1.upstream import HELD_PART
-from lugspur.membership.registry import Registries
 from lugspur.routing.model import Asked, Forward, Redirect, Reply
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import by_chance, by_key
--- a/lugspur/daemon/hot_restart/messages.py
+++ b/lugspur/daemon/hot_restart/messages.py
@@ -8,9 +8,9 @@
 import orjson
 
 from jaspershelf.model import Learned
-from lugspur.membership import learned as forms
-from lugspur.membership.maintenance import Bans
-from lugspur.membership.rows import Endpoint, server_id, server_name
+from lugspur.discovery import learned as forms
+from lugspur.discovery.maintenance import Bans
+from lugspur.discovery.rows import Endpoint, server_id, server_name
 
 VERSION = 1
 PACKET_MOST = 48 << 10  # bytes of one packet: well under what a socket's buffer takes
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -8,11 +8,11 @@
 from lugspur.config.model import Management
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.station import Station
+from lugspur.discovery.rows import server_id
 from lugspur.http1.front import Front
 from lugspur.management.acts import acts
 from lugspur.management.calls import Act
 from lugspur.management.door import Door
-from lugspur.membership.rows import server_id
 from lugspur.observability.failures import FailedRequest
 from lugspur.observability.metrics import Figure
 
--- a/lugspur/daemon/persistence/file.py
+++ b/lugspur/daemon/persistence/file.py
@@ -14,8 +14,8 @@
 import orjson
 
 from jaspershelf.model import Learned
-from lugspur.membership import learned as forms
-from lugspur.membership.rows import Endpoint
+from lugspur.discovery import learned as forms
+from lugspur.discovery.rows import Endpoint
 
 FORM = b"lugspur state"
 VERSION = 1
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -29,10 +29,10 @@
     Subscribe,
     Timer,
 )
+from lugspur.discovery.rows import Address, Endpoint
 from lugspur.http1 import upstream
 from lugspur.http1.body import Body
 from lugspur.invariants import Invariant, check
-from lugspur.membership.rows import Address, Endpoint
 from lugspur.observability.failures import FailureLog, Standing, Step, keep_only
 from lugspur.seams import Answerable, Attempt, Lane, Request, Response
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -14,12 +14,12 @@
 from lugspur.daemon.pool import Call, Facts, Pool
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
+from lugspur.discovery import watch
+from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.rows import Endpoint, Reader, server_id
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
-from lugspur.membership import watch
-from lugspur.membership.maintenance import Maintenance
-from lugspur.membership.rows import Endpoint, Reader, server_id
 from lugspur.routing.shares import Shares
 from lugspur.seams import Request, Response
 
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -14,7 +14,7 @@
 from lugspur.daemon.persistence.aging import age_of
 from lugspur.daemon.persistence.file import BACKENDS_MOST, Pool, Snapshot, fact, whole
 from lugspur.daemon.persistence.store import Found, Store, Taken, open_store
-from lugspur.membership import learned as forms
+from lugspur.discovery import learned as forms
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -13,8 +13,8 @@
 from lugspur import invariants, reloads
 from lugspur.config.platform import Config, ConfigError, load
 from lugspur.daemon.proxy import Proxy
+from lugspur.discovery.rows import Reader
 from lugspur.http1.front import Front
-from lugspur.membership.rows import Reader
 
 if TYPE_CHECKING:
     from lugspur.daemon.hot_restart.keeper import Inheritance, Keeper
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -14,13 +14,13 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Owner, Pool
+from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.nodes import Nodes
+from lugspur.discovery.registry import Ensemble, Followed, Registries
+from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.discovery.source import FixedList, Source, WatchedFile
+from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
-from lugspur.membership.maintenance import Maintenance
-from lugspur.membership.nodes import Nodes
-from lugspur.membership.registry import Ensemble, Followed, Registries
-from lugspur.membership.rows import Endpoint, Reader
-from lugspur.membership.source import FixedList, Source, WatchedFile
-from lugspur.membership.watch import Discovery
 from lugspur.routing.shares import Shares
 from lugspur.routing.standing import Standing
 from lugspur.zookeeper.session import Terms
--- a/lugspur/membership/announce.py
+++ b/lugspur/discovery/announce.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from lugspur.membership.registry import Registry
+from lugspur.discovery.registry import Registry
 from lugspur.zookeeper.registration import Registration
 from lugspur.zookeeper.session import Event
 
--- a/lugspur/membership/learned.py
+++ b/lugspur/discovery/learned.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from jaspershelf.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
-from lugspur.membership.rows import Endpoint, server_id, server_name
+from lugspur.discovery.rows import Endpoint, server_id, server_name
 
 #: What the readers raise.
 SENSELESS = (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError)
--- a/lugspur/membership/maintenance.py
+++ b/lugspur/discovery/maintenance.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from jaspershelf.model import ListKind, State
-from lugspur.membership.rows import Endpoint
+from lugspur.discovery.rows import Endpoint
 
 NAMES_MOST = 16_384  # names of backends that were ever listed, the latest: some 3 MB; a day sees hundreds
 FLOORS_MOST = 1_024  # ends of bans that are remembered, the latest: each counts for a warm-up of some seconds
--- a/lugspur/membership/registry.py
+++ b/lugspur/discovery/registry.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, replace
 
 from jaspershelf.model import ListKind, State
-from lugspur.membership.doubt import Doubt
-from lugspur.membership.nodes import Node, Nodes
-from lugspur.membership.rows import Address, Endpoint
-from lugspur.membership.source import Told
+from lugspur.discovery.doubt import Doubt
+from lugspur.discovery.nodes import Node, Nodes
+from lugspur.discovery.rows import Address, Endpoint
+from lugspur.discovery.source import Told
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.client import Client
 from lugspur.zookeeper.link import Machine
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -11,10 +11,10 @@
 from http import HTTPStatus
 from typing import cast
 
+from lugspur.discovery.rows import Address
 from lugspur.http1.body import Body
 from lugspur.http1.intake import PLATFORM, Intake, Rejected, Sizes
 from lugspur.invariants import Invariant, check
-from lugspur.membership.rows import Address
 from lugspur.pipe import Pipe
 from lugspur.seams import Passing, Request
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 
 from jaspershelf.model import Outcome
+from lugspur.discovery.rows import Address
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End, by_reset
 from lugspur.grpc.messages import Counter, Spoilt
@@ -29,7 +30,6 @@
     Tail,
 )
 from lugspur.http2.wire import Wire
-from lugspur.membership.rows import Address
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import Shares
 from lugspur.seams import Listed, Request, Response, Watcher
--- a/lugspur/management/door.py
+++ b/lugspur/management/door.py
@@ -6,8 +6,8 @@
 import socket
 from collections.abc import Mapping
 
+from lugspur.discovery.rows import Address
 from lugspur.management.calls import Act, Call
-from lugspur.membership.rows import Address
 
 MOST = 24  # connections at once: a dozen that hang, and as many operators
 WITHIN = 5.0  # seconds that a connection may take: some stay for 4 s and say nothing
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from lugspur.discovery.rows import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.membership.rows import read_address
 from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
 from lugspur.seams import Answerable, Request
 
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
+from lugspur.discovery.rows import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.membership.rows import read_address
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -9,8 +9,8 @@
 from jaspershelf.model import Outcome
 
 if TYPE_CHECKING:
+    from lugspur.discovery.rows import Address
     from lugspur.http1.body import Body
-    from lugspur.membership.rows import Address
     from lugspur.pipe import Pipe
 
 
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -137,7 +137,7 @@
 def test_the_platforms_proxy_imports_nothing_of_the_rest() -> None:
     modules = imported("lugspur.__main__, lugspur.daemon.service")
     assert not {"click", "rich", "tomllib", "lugspur.config.load", "lugspur.daemon.daemon"} & modules
-    optional = ("lugspur.zookeeper", "lugspur.membership.registry", "lugspur.http2", "lugspur.grpc")
+    optional = ("lugspur.zookeeper", "lugspur.discovery.registry", "lugspur.http2", "lugspur.grpc")
     assert not [name for name in modules if name.startswith(optional)]
     assert not {"h2", "hpack", "hyperframe"} & modules
 
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -14,12 +14,12 @@
 
 from jaspershelf.model import ListKind
 from lugspur.daemon.hot_restart.messages import read_estate
-from lugspur.membership import learned as forms
-from lugspur.membership.announce import Box
-from lugspur.membership.maintenance import Maintenance
-from lugspur.membership.nodes import Node, Nodes, read_entry
-from lugspur.membership.rows import Endpoint, Reader, server_id, server_name
-from lugspur.membership.watch import Discovery
+from lugspur.discovery import learned as forms
+from lugspur.discovery.announce import Box
+from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.nodes import Node, Nodes, read_entry
+from lugspur.discovery.rows import Endpoint, Reader, server_id, server_name
+from lugspur.discovery.watch import Discovery
 
 #: An entry of the platform's list with every field, and the same as it is kept on disk and handed to another process.
 PLATFORM_ENTRY = (
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -19,9 +19,9 @@
 from loopback import backend as scripted
 from meshcalls import call, route
 
+from lugspur.discovery.rows import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.membership.rows import read_address
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_call
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -760,7 +760,7 @@
 
 
 def test_a_registry_entry_may_name_the_protocol() -> None:
-    from lugspur.membership.nodes import Node, Nodes
+    from lugspur.discovery.nodes import Node, Nodes
 
     nodes = Nodes("own")
     entry = {"address": "127.0.0.1:1", "protocol": "grpc"}
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -17,8 +17,8 @@
 from jaspershelf.model import ListKind, State
 from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
 from lugspur.bench.trial import FOLDER, Trial
-from lugspur.membership.registry import Followed
-from lugspur.membership.rows import Endpoint, server_id
+from lugspur.discovery.registry import Followed
+from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -17,7 +17,7 @@
 from lugspur.daemon.hot_restart import keeper as keepers
 from lugspur.daemon.hot_restart.keeper import Keeper, place, short
 from lugspur.daemon.hot_restart.messages import PACKET_MOST, VERSION, Estate, estate_parts, pack, unpack
-from lugspur.membership.maintenance import Bans
+from lugspur.discovery.maintenance import Bans
 
 ADDRESS = (HOST, 7)
 
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -22,8 +22,8 @@
     read_estate,
     unpack,
 )
-from lugspur.membership.maintenance import Bans
-from lugspur.membership.rows import Endpoint, server_id, server_name
+from lugspur.discovery.maintenance import Bans
+from lugspur.discovery.rows import Endpoint, server_id, server_name
 
 NAMES = st.text(st.characters(codec="utf-8", min_codepoint=1), min_size=1, max_size=40)
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 from jaspershelf.model import ListKind, Settings
 from lugspur.config.platform import Config
 from lugspur.daemon.proxy import Proxy
-from lugspur.membership.rows import Reader
+from lugspur.discovery.rows import Reader
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
 HOST = "127.0.0.1"
--- a/tests/membership/test_doubt.py
+++ b/tests/membership/test_doubt.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lugspur.membership.announce import FALL, Checked, Health
-from lugspur.membership.doubt import Doubt, Standing
+from lugspur.discovery.announce import FALL, Checked, Health
+from lugspur.discovery.doubt import Doubt, Standing
 
 
 class Log(list[str]):
--- a/tests/membership/test_maintenance.py
+++ b/tests/membership/test_maintenance.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from jaspershelf.model import ListKind, ServerRow, State
-from lugspur.membership.maintenance import FLOORS_MOST, NAMES_MOST, Maintenance
-from lugspur.membership.rows import Endpoint
+from lugspur.discovery.maintenance import FLOORS_MOST, NAMES_MOST, Maintenance
+from lugspur.discovery.rows import Endpoint
 
 ADDRESS = ("127.0.0.1", 9)
 
--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -12,8 +12,8 @@
 
 from jaspershelf.model import State
 from lugspur.config.model import FORMATS as CONFIG_FORMATS
-from lugspur.membership.nodes import DATA_MOST, FORMATS, Node, Nodes, Unreadable, read_entry
-from lugspur.membership.rows import Endpoint, server_id
+from lugspur.discovery.nodes import DATA_MOST, FORMATS, Node, Nodes, Unreadable, read_entry
+from lugspur.discovery.rows import Endpoint, server_id
 
 CURATOR = {
     "name": "channel",
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -9,8 +9,8 @@
 from loopback import HOST, soon
 
 from jaspershelf.model import ListKind
-from lugspur.membership import watch
-from lugspur.membership.rows import Endpoint, Reader
+from lugspur.discovery import watch
+from lugspur.discovery.rows import Endpoint, Reader
 
 TOLD_WITHIN = 6.0  # seconds after which what discovery has to tell counts as told, by the platform's protocol
 
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -16,7 +16,7 @@
 from jaspershelf.model import Learned, ListKind, Outcome, Rules, Send, State
 from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
 from lugspur.daemon.persistence.file import Pool
-from lugspur.membership.rows import Endpoint
+from lugspur.discovery.rows import Endpoint
 
 AT = 1002.0  # when the module of `taught` was asked: right after its last request
 
