--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -412,7 +412,8 @@
         "import asyncio, sys\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import Running\n"
         "async def play():\n    running = Running(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
         "    await running.stop()\nasyncio.run(play())\n"
-        "print([name for name in sys.modules if name.startswith('lugspur.daemon.persistence') or 'remembering' in name])\n"
+        "optional = ('lugspur.daemon.persistence', 'lugspur.daemon.remembering')\n"
+        "print([name for name in sys.modules if name.startswith(optional)])\n"
     )
     done = subprocess.run([sys.executable, "-c", program, str(file)], cwd=ROOT, text=True, capture_output=True)
     assert done.stdout.strip() == "[]"
