--- a/lugspur/__init__.py
+++ b/lugspur/__init__.py
@@ -1,1 +1,1 @@
-"""The request proxy: the decisions of `jaspershelf` on real sockets."""
+"""The request proxy: the decisions of `lugspur/load_balancing` on real sockets."""
--- a/lugspur/bench/compiled.py
+++ b/lugspur/bench/compiled.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-PACKAGES = ("jaspershelf", "lugspur")
+PACKAGES = ("lugspur",)
 HOT = (  # what each request runs through, but for classes that asyncio calls by its own protocols
-    "jaspershelf/decide.py",
-    "jaspershelf/admission.py",
-    "jaspershelf/pick.py",
-    "jaspershelf/servers.py",
-    "jaspershelf/breaker.py",
-    "jaspershelf/budget.py",
-    "jaspershelf/model.py",
+    "lugspur/load_balancing/decide.py",
+    "lugspur/load_balancing/admission.py",
+    "lugspur/load_balancing/pick.py",
+    "lugspur/load_balancing/servers.py",
+    "lugspur/load_balancing/breaker.py",
+    "lugspur/load_balancing/budget.py",
+    "lugspur/load_balancing/model.py",
     "lugspur/daemon/pool.py",
     "lugspur/http1/intake.py",
     "lugspur/http1/upstream.py",
--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -250,7 +250,7 @@
 finally:  # the command line ends by SystemExit
     profile.dump_stats(FILE + ".prof")
 """
-LIBRARIES = ("h2", "hpack", "hyperframe", "lugspur", "jaspershelf")
+LIBRARIES = ("h2", "hpack", "hyperframe", "load_balancing", "lugspur")  # folders in paths; the first that fits counts
 
 
 def profile(count: int) -> dict[str, float]:
--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, replace
 from statistics import median
 
-from jaspershelf import Balancer, ListKind, ServerRow, Settings
-from jaspershelf.model import State
 from lugspur.bench.processes import Usage
 from lugspur.bench.trial import FOLDER, Counts, Trial
 from lugspur.discovery.rows import server_id
+from lugspur.load_balancing import Balancer, ListKind, ServerRow, Settings
+from lugspur.load_balancing.model import State
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
 
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -8,10 +8,10 @@
 from importlib.util import find_spec
 from typing import Any
 
-from jaspershelf.model import Limits, Repeat, RequestClass, Rules, Settings, Tenant
 from lugspur.config import model
 from lugspur.config.schema import Place
 from lugspur.config.units import MARK, Wrong, nearest, shown, text
+from lugspur.load_balancing.model import Limits, Repeat, RequestClass, Rules, Settings, Tenant
 from lugspur.routing.conflicts import conflicts
 from lugspur.routing.model import (
     HOST,
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -8,8 +8,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from jaspershelf.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN
-from jaspershelf.model import Group, Repeat
 from lugspur.config.schema import option, part, parts, rows
 from lugspur.config.units import (
     Wrong,
@@ -31,6 +29,8 @@
     words,
 )
 from lugspur.discovery.rows import PROTOCOLS, Address
+from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN
+from lugspur.load_balancing.model import Group, Repeat
 from lugspur.routing.model import WITHIN_MOST
 
 FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; membership/nodes.py reads them
--- a/lugspur/config/platform.py
+++ b/lugspur/config/platform.py
@@ -8,10 +8,10 @@
 
 import orjson
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.model import Settings
 from lugspur.config import retune
 from lugspur.discovery.rows import Address, read_address
+from lugspur.load_balancing.adapter import read_settings
+from lugspur.load_balancing.model import Settings
 
 MEMORY_MB = 192  # where the configuration states no limit: the most that the platform gives
 
--- a/lugspur/config/retune.py
+++ b/lugspur/config/retune.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from jaspershelf.adapter import GROUPS, REPEATS
+from lugspur.load_balancing.adapter import GROUPS, REPEATS
 
 #: Keys that settings may lack by the protocol; all others that were there have to stay.
 OPTIONAL = frozenset({"AimStretch", "AllowedIn", "BoundTo", "CpuUsPerRequest", "Fleet", "PassesDeadline", "WarmKeys"})
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -8,7 +8,6 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from jaspershelf.model import Outcome, Repeat, RequestClass
 from lugspur.config import model
 from lugspur.config.build import METHODS, NOBODY, Plan
 from lugspur.daemon.joins import Joins
@@ -22,6 +21,7 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected, Sizes
 from lugspur.http1.upstream import HELD_PART
+from lugspur.load_balancing.model import Outcome, Repeat, RequestClass
 from lugspur.routing.model import Asked, Forward, Redirect, Reply
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import by_chance, by_key
--- a/lugspur/daemon/guarding.py
+++ b/lugspur/daemon/guarding.py
@@ -6,10 +6,10 @@
 import sys
 from collections.abc import Sequence
 
-from jaspershelf.model import RequestClass
 from lugspur.daemon.senses import Senses
 from lugspur.guard.limiter import WINDOW, Limiter
 from lugspur.http1.front import Caller, Front
+from lugspur.load_balancing.model import RequestClass
 from lugspur.seams import Answerable
 
 COST_BYTES = 16 << 10  # bytes of a body that cost as much work here as a request without one
--- a/lugspur/daemon/hot_restart/messages.py
+++ b/lugspur/daemon/hot_restart/messages.py
@@ -7,10 +7,10 @@
 
 import orjson
 
-from jaspershelf.model import Learned
 from lugspur.discovery import learned as forms
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id, server_name
+from lugspur.load_balancing.model import Learned
 
 VERSION = 1
 PACKET_MOST = 48 << 10  # bytes of one packet: well under what a socket's buffer takes
--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -4,9 +4,9 @@
 
 from dataclasses import replace
 
-from jaspershelf.breaker import BUCKETS, WINDOW
-from jaspershelf.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 from lugspur.daemon.persistence.file import Pool
+from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 
 HALF = 300.0  # seconds in which an opinion loses half its weight: what makes a box slow often lasts minutes
 BEYOND = 3600.0  # seconds after which nothing counts but the list
--- a/lugspur/daemon/persistence/file.py
+++ b/lugspur/daemon/persistence/file.py
@@ -13,9 +13,9 @@
 
 import orjson
 
-from jaspershelf.model import Learned
 from lugspur.discovery import learned as forms
 from lugspur.discovery.rows import Endpoint
+from lugspur.load_balancing.model import Learned
 
 FORM = b"lugspur state"
 VERSION = 1
--- a/lugspur/daemon/places.py
+++ b/lugspur/daemon/places.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from jaspershelf.model import RequestClass
+from lugspur.load_balancing.model import RequestClass
 
 
 def places(known: Sequence[RequestClass], wanted: Sequence[RequestClass], held: set[int]) -> list[RequestClass]:
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -14,8 +14,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.discovery.rows import Address, Endpoint
+from lugspur.http1 import upstream
+from lugspur.http1.body import Body
+from lugspur.invariants import Invariant, check
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
     Cancel,
@@ -29,10 +33,6 @@
     Subscribe,
     Timer,
 )
-from lugspur.discovery.rows import Address, Endpoint
-from lugspur.http1 import upstream
-from lugspur.http1.body import Body
-from lugspur.invariants import Invariant, check
 from lugspur.observability.failures import FailureLog, Standing, Step, keep_only
 from lugspur.seams import Answerable, Attempt, Lane, Request, Response
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -8,7 +8,6 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Protocol
 
-from jaspershelf.model import Discovery, ListKind, Outcome, Repeat, Settings
 from lugspur.config.platform import Config
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Call, Facts, Pool
@@ -20,6 +19,7 @@
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
+from lugspur.load_balancing.model import Discovery, ListKind, Outcome, Repeat, Settings
 from lugspur.routing.shares import Shares
 from lugspur.seams import Request, Response
 
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -8,7 +8,6 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from jaspershelf.model import ListKind, Outcome, RequestClass, Settings, State
 from lugspur.config import model
 from lugspur.config.build import member_name
 from lugspur.config.load import resolved
@@ -21,6 +20,7 @@
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
+from lugspur.load_balancing.model import ListKind, Outcome, RequestClass, Settings, State
 from lugspur.routing.shares import Shares
 from lugspur.routing.standing import Standing
 from lugspur.zookeeper.session import Terms
--- a/lugspur/daemon/ticket.py
+++ b/lugspur/daemon/ticket.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from jaspershelf.model import RequestClass
 from lugspur.daemon.pool import Call
 from lugspur.daemon.station import Station
+from lugspur.load_balancing.model import RequestClass
 from lugspur.routing.model import Forward
 from lugspur.seams import Passing, Request
 
--- a/lugspur/discovery/learned.py
+++ b/lugspur/discovery/learned.py
@@ -6,8 +6,8 @@
 from math import isfinite
 from typing import Any
 
-from jaspershelf.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
 from lugspur.discovery.rows import Endpoint, server_id, server_name
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
 
 #: What the readers raise.
 SENSELESS = (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError)
--- a/lugspur/discovery/maintenance.py
+++ b/lugspur/discovery/maintenance.py
@@ -8,8 +8,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from jaspershelf.model import ListKind, State
 from lugspur.discovery.rows import Endpoint
+from lugspur.load_balancing.model import ListKind, State
 
 NAMES_MOST = 16_384  # names of backends that were ever listed, the latest: some 3 MB; a day sees hundreds
 FLOORS_MOST = 1_024  # ends of bans that are remembered, the latest: each counts for a warm-up of some seconds
--- a/lugspur/discovery/nodes.py
+++ b/lugspur/discovery/nodes.py
@@ -17,8 +17,8 @@
 
 import orjson
 
-from jaspershelf.model import State
 from lugspur.discovery.rows import PROTOCOLS, STATES, Endpoint, Reader, read_address
+from lugspur.load_balancing.model import State
 
 DATA_MOST = 64 << 10  # bytes of a node that are read as an entry: entries have a few hundred
 TEXT_MOST = 1024  # bytes of a name, zone or address: a name becomes a number of as many bytes
--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from jaspershelf.model import ListKind, State
 from lugspur.discovery.doubt import Doubt
 from lugspur.discovery.nodes import Node, Nodes
 from lugspur.discovery.rows import Address, Endpoint
 from lugspur.discovery.source import Told
+from lugspur.load_balancing.model import ListKind, State
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.client import Client
 from lugspur.zookeeper.link import Machine
--- a/lugspur/discovery/rows.py
+++ b/lugspur/discovery/rows.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from jaspershelf.model import ServerRow, State
+from lugspur.load_balancing.model import ServerRow, State
 
 Address = tuple[str, int]
 PROTOCOLS = ("http", "grpc")  # what a box may speak: HTTP/1.1, or gRPC over HTTP/2
--- a/lugspur/discovery/source.py
+++ b/lugspur/discovery/source.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from jaspershelf.model import ListKind
 from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.load_balancing.model import ListKind
 
 Told = Callable[[ListKind, list[Endpoint]], None]
 LOOK_EVERY = 0.2  # seconds between two looks at a watched file: a drain has to be obeyed 500 ms after it was told
--- a/lugspur/discovery/watch.py
+++ b/lugspur/discovery/watch.py
@@ -10,8 +10,8 @@
 import httptools
 import orjson
 
-from jaspershelf.model import ListKind
 from lugspur.discovery.rows import Address, Endpoint, Reader
+from lugspur.load_balancing.model import ListKind
 
 SILENT = 3.0  # seconds without a line after which a watch is taken for dead: one comes every 2 s...
 SILENT_SPREAD = 0.2  # ...and up to this part more: all watchers of a service that hangs must not come back at once
--- a/lugspur/emulator/boxes.py
+++ b/lugspur/emulator/boxes.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from random import Random
 
-from jaspershelf.model import Outcome
 from lugspur.emulator.clock import Clock
+from lugspur.load_balancing.model import Outcome
 
 
 @dataclass(slots=True, frozen=True)
--- a/lugspur/emulator/fleet.py
+++ b/lugspur/emulator/fleet.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from random import Random
 
-from jaspershelf.model import Limits, Repeat, RequestClass, Settings
 from lugspur.emulator.boxes import Box, Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import SERVED, TURNED, World
+from lugspur.load_balancing.model import Limits, Repeat, RequestClass, Settings
 
 SIZES = (4, 40, 400)
 CALM, DEAD = "calm", "a tenth vanish"
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -13,12 +13,12 @@
 from random import Random
 from typing import Protocol
 
-from jaspershelf.model import Limits, Repeat, RequestClass, Settings, Tenant
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start
 from lugspur.joining.sharing import EVERYONE
+from lugspur.load_balancing.model import Limits, Repeat, RequestClass, Settings, Tenant
 
 AIM, DEADLINE, SHORT = 0.41, 1.0, 0.06  # seconds; one read in ten has the short deadline
 SHORT_PART = 0.1
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -5,8 +5,10 @@
 from collections.abc import Callable
 from random import Random
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.emulator.boxes import Box, Kind, Work
+from lugspur.emulator.clock import Clock
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     Action,
     Cancel,
     Fail,
@@ -19,8 +21,6 @@
     Subscribe,
     Timer,
 )
-from lugspur.emulator.boxes import Box, Kind, Work
-from lugspur.emulator.clock import Clock
 
 Done = Callable[[str], None]
 SERVED, TURNED, FAILED, LATE = "served", "turned away", "failed", "late"
--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -11,7 +11,7 @@
 
 from enum import Enum
 
-from jaspershelf.model import Outcome
+from lugspur.load_balancing.model import Outcome
 
 
 class End(Enum):
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -10,12 +10,12 @@
 
 import httptools
 
-from jaspershelf.model import Outcome
 from lugspur.discovery.rows import Address
 from lugspur.http1.body import Body
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.hops import HOP_BY_HOP
 from lugspur.invariants import Invariant, check
+from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import Shares
 from lugspur.seams import Lane, Response
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -6,7 +6,6 @@
 import socket
 from collections.abc import Callable
 
-from jaspershelf.model import Outcome
 from lugspur.discovery.rows import Address
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End, by_reset
@@ -30,6 +29,7 @@
     Tail,
 )
 from lugspur.http2.wire import Wire
+from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import Shares
 from lugspur.seams import Listed, Request, Response, Watcher
--- a/jaspershelf/__init__.py
+++ b/lugspur/load_balancing/__init__.py
@@ -1,8 +1,8 @@
 """Load-balancing decisions for services that call services: a sans-I/O library."""
 
-from jaspershelf.breaker import Breaker
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     Action,
     Cancel,
     Discovery,
--- a/jaspershelf/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     Action,
     Cancel,
     Discovery,
--- a/jaspershelf/admission.py
+++ b/lugspur/load_balancing/admission.py
@@ -5,8 +5,8 @@
 from math import exp, log, sqrt
 from random import Random
 
-from jaspershelf.model import Settings
-from jaspershelf.servers import Pool, Request
+from lugspur.load_balancing.model import Settings
+from lugspur.load_balancing.servers import Pool, Request
 
 AIM_PART = 0.98  # attempts end this early in the wanted time: the answer still has to reach the client
 LATE_KEPT = 0.5  # classes whose late answers keep more of their worth are waited for
--- a/jaspershelf/breaker.py
+++ b/lugspur/load_balancing/breaker.py
@@ -8,7 +8,7 @@
 from collections import deque
 from random import Random
 
-from jaspershelf.model import LearnedBreaker
+from lugspur.load_balancing.model import LearnedBreaker
 
 WINDOW = 10.0  # seconds that the error ratio looks back
 BUCKETS = 40
--- a/jaspershelf/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -1,6 +1,6 @@
 """The balancer: which server, whether at all, again, or not any more.
 
-Interface (settings, list rows, outcomes, actions): jaspershelf/model.py.
+Interface (settings, list rows, outcomes, actions): lugspur/load_balancing/model.py.
 
 Pure and sans-I/O: every method takes the time, returns the actions to carry out, and reads no clock.
 All randomness comes from the seed. The mechanism is that of go-zero PR #5366 with SRE-book throttling
@@ -15,7 +15,7 @@
 from dataclasses import replace
 from random import Random
 
-from jaspershelf.admission import (
+from lugspur.load_balancing.admission import (
     AIM_PART,
     POOL_KEEPS,
     POOL_WORTH,
@@ -23,9 +23,9 @@
     ROOM_LEAST,
     SHARE_SPAN,
 )
-from jaspershelf.breaker import Breaker
-from jaspershelf.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN, Budget
-from jaspershelf.model import (
+from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN, Budget
+from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
     Cancel,
@@ -48,8 +48,8 @@
     Subscribe,
     Timer,
 )
-from jaspershelf.pick import Picker
-from jaspershelf.servers import Attempt, Pool, Request, Server
+from lugspur.load_balancing.pick import Picker
+from lugspur.load_balancing.servers import Attempt, Pool, Request, Server
 
 BACK_FROM, BACK_TO = 0.5, 3.0  # seconds after operators put a server back: its first call is due then
 
--- a/jaspershelf/pick.py
+++ b/lugspur/load_balancing/pick.py
@@ -5,9 +5,9 @@
 from bisect import bisect_right
 from math import sqrt
 
-from jaspershelf.admission import Admission
-from jaspershelf.model import Group, Repeat
-from jaspershelf.servers import Pool, Request, Server
+from lugspur.load_balancing.admission import Admission
+from lugspur.load_balancing.model import Group, Repeat
+from lugspur.load_balancing.servers import Pool, Request, Server
 
 DRAWS = 8  # random draws for two candidates, at most
 WINDOW_MARGIN = 0.9  # the part of a keyed class's window in which repeats are sent
--- a/jaspershelf/servers.py
+++ b/lugspur/load_balancing/servers.py
@@ -5,9 +5,9 @@
 from collections.abc import Sequence
 from random import Random
 
-from jaspershelf.breaker import Breaker
-from jaspershelf.budget import Rate
-from jaspershelf.model import Group, RequestId, ServerRow
+from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.budget import Rate
+from lugspur.load_balancing.model import Group, RequestId, ServerRow
 
 DOWN_FIRST = 0.5  # seconds for which a server is left alone that took no connection, or no request...
 DOWN_MOST = 4.0  # ...doubling to so many, each drawn anew from half to one and a half times that
--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -7,7 +7,7 @@
 
 from cachetools import LRUCache
 
-from jaspershelf.breaker import Breaker
+from lugspur.load_balancing.breaker import Breaker
 from lugspur.mesh.dataplane.routes import RouteEntry
 from lugspur.observability.failures import Refusal
 
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -12,10 +12,10 @@
 
 from cachetools import LRUCache
 
-from jaspershelf.model import Outcome
 from lugspur.discovery.rows import read_address
 from lugspur.http1.upstream import Backend, Exchange, Upstream
 from lugspur.invariants import Invariant, check
+from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.routing.shares import Shares
--- a/lugspur/mesh/dataplane/ports.py
+++ b/lugspur/mesh/dataplane/ports.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from jaspershelf.budget import Budget
+from lugspur.load_balancing.budget import Budget
 from lugspur.mesh.control.claims import Settled
 from lugspur.mesh.control.messages import Forward, Reply
 from lugspur.mesh.dataplane.endpoints import Endpoint
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from jaspershelf.budget import Budget
+from lugspur.load_balancing.budget import Budget
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.mesh.dataplane.ports import Carrier, Keys, OpenRequest
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from jaspershelf.model import Outcome
+from lugspur.load_balancing.model import Outcome
 
 if TYPE_CHECKING:
     from lugspur.discovery.rows import Address
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -12,7 +12,6 @@
 import pytest
 from loopback import HOST, soon
 
-from jaspershelf.model import ListKind
 from lugspur.daemon.hot_restart.messages import read_estate
 from lugspur.discovery import learned as forms
 from lugspur.discovery.announce import Box
@@ -20,6 +19,7 @@
 from lugspur.discovery.nodes import Node, Nodes, read_entry
 from lugspur.discovery.rows import Endpoint, Reader, server_id, server_name
 from lugspur.discovery.watch import Discovery
+from lugspur.load_balancing.model import ListKind
 
 #: An entry of the platform's list with every field, and the same as it is kept on disk and handed to another process.
 PLATFORM_ENTRY = (
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -15,8 +15,8 @@
 from daemonic import ask, pool, route, served
 from loopback import CLOSE, HOST, Backend, backend, book, entry, running, soon, status
 
-from jaspershelf.model import Outcome
 from lugspur import invariants
+from lugspur.load_balancing.model import Outcome
 from lugspur.management.acts import acts
 from lugspur.management.door import Door
 from lugspur.mesh.dataplane.causes import Cause
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -18,9 +18,9 @@
 import orjson
 import pytest
 
-from jaspershelf.adapter import Link, read_row, read_settings, serve, write_action
-from jaspershelf.decide import Balancer
-from jaspershelf.model import ListKind, Outcome
+from lugspur.load_balancing.adapter import Link, read_row, read_settings, serve, write_action
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import ListKind, Outcome
 
 Message = dict[str, Any]
 
--- a/tests/daemon/test_joining.py
+++ b/tests/daemon/test_joining.py
@@ -14,8 +14,8 @@
 from grpcpeers import HTTP2, World, boxed
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, Backend, Client, soon, status
 
-from jaspershelf import Refuse
 from lugspur.daemon import joins
+from lugspur.load_balancing import Refuse
 from lugspur.standins.grpc.box import Call
 from lugspur.standins.grpc.script import Script
 
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -14,11 +14,11 @@
 from daemonic import HEAD, Served, ask, backend, pool, route, served, until
 from loopback import OK, status
 
-from jaspershelf.model import ListKind, State
 from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.registry import Followed
 from lugspur.discovery.rows import Endpoint, server_id
+from lugspur.load_balancing.model import ListKind, State
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
--- a/tests/daemon/test_same_decisions.py
+++ b/tests/daemon/test_same_decisions.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 from loopback import HOST, soon, status
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Action, Outcome
 from lugspur.daemon import pool as pools
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import Action, Outcome
 from lugspur.standins.grpc.box import Box, Call
 from lugspur.standins.grpc.caller import Caller
 from lugspur.standins.grpc.script import Script
--- a/tests/daemon/test_terms.py
+++ b/tests/daemon/test_terms.py
@@ -8,9 +8,9 @@
 from hypothesis import settings as steady
 from hypothesis import strategies as st
 
-from jaspershelf.model import Group, Limits, Repeat, RequestClass, Settings
 from lugspur.daemon.places import places
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
+from lugspur.load_balancing.model import Group, Limits, Repeat, RequestClass, Settings
 
 SAFE = RequestClass("read", 1.0, 2.0, Repeat.SAFE)
 BOOK = RequestClass("book", 1.0, 2.0, Repeat.UNSAFE)
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from jaspershelf.model import Outcome
 from lugspur.emulator import fleet, joining
 from lugspur.emulator.boxes import Box, Kind, Work
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
+from lugspur.load_balancing.model import Outcome
 
 
 def test_events_happen_in_time_and_in_order() -> None:
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -13,11 +13,11 @@
 import pytest
 from loopback import HOST, OK, Running, backend, entry, read, running, soon, status, until
 
-from jaspershelf.model import Learned
 from lugspur.daemon.hot_restart import keeper as keepers
 from lugspur.daemon.hot_restart.keeper import Keeper, place, short
 from lugspur.daemon.hot_restart.messages import PACKET_MOST, VERSION, Estate, estate_parts, pack, unpack
 from lugspur.discovery.maintenance import Bans
+from lugspur.load_balancing.model import Learned
 
 ADDRESS = (HOST, 7)
 
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -10,8 +10,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from jaspershelf import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
-from jaspershelf.model import Learned
 from lugspur.daemon.hot_restart.messages import (
     PACKET_MOST,
     PARTS_MOST,
@@ -24,6 +22,8 @@
 )
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id, server_name
+from lugspur.load_balancing import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
+from lugspur.load_balancing.model import Learned
 
 NAMES = st.text(st.characters(codec="utf-8", min_codepoint=1), min_size=1, max_size=40)
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field, replace
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
     Cancel,
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -8,11 +8,11 @@
 from contextlib import asynccontextmanager, suppress
 from typing import Any, TypeVar
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.model import ListKind, Settings
 from lugspur.config.platform import Config
 from lugspur.daemon.proxy import Proxy
 from lugspur.discovery.rows import Reader
+from lugspur.load_balancing.adapter import read_settings
+from lugspur.load_balancing.model import ListKind, Settings
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
 HOST = "127.0.0.1"
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -8,9 +8,9 @@
 import pytest
 from loopback import HOST, soon
 
-from jaspershelf.model import ListKind
 from lugspur.discovery import watch
 from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.load_balancing.model import ListKind
 
 TOLD_WITHIN = 6.0  # seconds after which what discovery has to tell counts as told, by the platform's protocol
 
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -8,7 +8,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from jaspershelf.model import NEVER_RAN
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End
 from lugspur.grpc.health import Serving, read_service, write_serving
@@ -24,6 +23,7 @@
     status_of,
 )
 from lugspur.grpc.timeout import DIGITS_MOST, LONGEST, UNITS, read_timeout, write_timeout
+from lugspur.load_balancing.model import NEVER_RAN
 from lugspur.seams import Request
 
 # ---- time ----------------------------------------------------------------------------------------
--- a/tests/state/kept.py
+++ b/tests/state/kept.py
@@ -4,11 +4,11 @@
 
 from random import Random
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Learned, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
 from lugspur.daemon.persistence.file import fact, whole
 from lugspur.discovery import learned as forms
 from lugspur.discovery.rows import Endpoint, server_id
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import Learned, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
 
 READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=Repeat.SAFE)
 SETTINGS = Settings(classes=(READ,))
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 from kept import SETTINGS, endpoints, send_number, taught
 
-from jaspershelf.breaker import BUCKETS, WINDOW
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Learned, ListKind, Outcome, Rules, Send, State
 from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
 from lugspur.daemon.persistence.file import Pool
 from lugspur.discovery.rows import Endpoint
+from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import Learned, ListKind, Outcome, Rules, Send, State
 
 AT = 1002.0  # when the module of `taught` was asked: right after its last request
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from jaspershelf import adapter
-from jaspershelf.decide import Balancer
-from jaspershelf.model import Discovery, Outcome, Repeat
+from lugspur.load_balancing import adapter
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import Discovery, Outcome, Repeat
 
 ROOT = Path(__file__).parent.parent
 Message = dict[str, Any]
@@ -54,7 +54,7 @@
 
 def converse(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "jaspershelf.adapter"],
+        [sys.executable, "-m", "lugspur.load_balancing.adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -192,7 +192,7 @@
 
 def test_a_reader_that_is_gone_ends_it_quietly() -> None:
     process = subprocess.Popen(
-        [sys.executable, "-m", "jaspershelf.adapter"],
+        [sys.executable, "-m", "lugspur.load_balancing.adapter"],
         cwd=ROOT,
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from jaspershelf import (
+from lugspur.daemon.places import places
+from lugspur.load_balancing import (
     Balancer,
     Fail,
     ListKind,
@@ -21,7 +22,6 @@
     Settings,
     Tenant,
 )
-from lugspur.daemon.places import places
 
 READ = RequestClass("read", repeat=Repeat.SAFE, late_worth=1.0)
 BOOK = RequestClass("book", late_worth=1.0)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     Fail,
     Limits,
     ListKind,
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from jaspershelf.breaker import Breaker
+from lugspur.load_balancing.breaker import Breaker
 
 
 def test_error_ratio_with_k_falling() -> None:
--- a/tests/test_extend.py
+++ b/tests/test_extend.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from jaspershelf import Balancer, ListKind, Outcome, Refuse, Repeat, RequestClass, Send, ServerRow, Settings
+from lugspur.load_balancing import Balancer, ListKind, Outcome, Refuse, Repeat, RequestClass, Send, ServerRow, Settings
 
 PATIENT = RequestClass("read", aim=0.4, deadline=5.0, repeat=Repeat.SAFE, late_worth=1.0)
 EAGER = RequestClass("read", aim=0.4, deadline=5.0, repeat=Repeat.SAFE, late_worth=0.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from jaspershelf import Balancer, ListKind, Outcome, Send, ServerRow, Settings
-from jaspershelf.model import Limits, Repeat, RequestClass
+from lugspur.load_balancing import Balancer, ListKind, Outcome, Send, ServerRow, Settings
+from lugspur.load_balancing.model import Limits, Repeat, RequestClass
 
 UNSAFE = Settings(
     classes=(RequestClass(aim=0.4, deadline=1.0, repeat=Repeat.UNSAFE),),
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -7,8 +7,8 @@
 import pytest
 from harness import Checker
 
-from jaspershelf.decide import Balancer
-from jaspershelf.model import (
+from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.model import (
     Fail,
     Limits,
     ListKind,
@@ -218,7 +218,7 @@
 def test_whole_requests_are_throttled_where_each_server_is_seldom_seen(
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("jaspershelf.admission.POOL_PROTECTION", protection)
+    monkeypatch.setattr("lugspur.load_balancing.admission.POOL_PROTECTION", protection)
     b = balancer(Settings(classes=(SAFE,), balancers=40), [ServerRow(i) for i in range(40)])
     sent = 0
     for n in range(20):  # four a second, each on another server, none answered
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -22,8 +22,12 @@
 
 def test_policy_files_keep_the_limits() -> None:
     # All that decides is named there: of the package, what is left is the interface and the simulator's wire.
-    rest = {"jaspershelf/__init__.py", "jaspershelf/adapter.py", "jaspershelf/model.py"}
-    assert {path.relative_to(ROOT).as_posix() for path in ROOT.glob("jaspershelf/*.py")} == {*POLICY, *rest}
+    rest = {
+        "lugspur/load_balancing/__init__.py",
+        "lugspur/load_balancing/adapter.py",
+        "lugspur/load_balancing/model.py",
+    }
+    assert {path.relative_to(ROOT).as_posix() for path in ROOT.glob("lugspur/load_balancing/*.py")} == {*POLICY, *rest}
     assert faults("\n".join((ROOT / name).read_text() for name in POLICY)) == []
 
 
@@ -34,4 +38,4 @@
 
 def test_the_module_names_its_interface_at_the_top() -> None:
     head = (ROOT / POLICY[0]).read_text().splitlines()[:5]
-    assert re.search(r"jaspershelf/model\.py", "\n".join(head))
+    assert re.search(r"lugspur/load_balancing/model\.py", "\n".join(head))
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from jaspershelf import Balancer, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
+from lugspur.load_balancing import Balancer, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
 
 SETTINGS = Settings(classes=(RequestClass("read", 0.4, 1.0, Repeat.SAFE),))
 ROWS = [ServerRow(1), ServerRow(2)]
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -32,8 +32,6 @@
     watches,
 )
 
-from jaspershelf.adapter import read_settings
-from jaspershelf.model import Outcome, Refuse, Settings
 from lugspur.daemon.pool import Call
 from lugspur.daemon.proxy import Proxy
 from lugspur.http1.dial import Dial
@@ -41,6 +39,8 @@
 from lugspur.http1.intake import Intake
 from lugspur.http1.upstream import STALL, Connection, Exchange, Upstream
 from lugspur.http1.upstream import Backend as Known
+from lugspur.load_balancing.adapter import read_settings
+from lugspur.load_balancing.model import Outcome, Refuse, Settings
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
--- a/tests/test_put_back.py
+++ b/tests/test_put_back.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from jaspershelf import Balancer, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings, State
-from jaspershelf.decide import BACK_FROM, BACK_TO
-from jaspershelf.model import Rules
+from lugspur.load_balancing import Balancer, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings, State
+from lugspur.load_balancing.decide import BACK_FROM, BACK_TO
+from lugspur.load_balancing.model import Rules
 
 SETTINGS = Settings(
     classes=(RequestClass("read", 0.4, 1.0, Repeat.SAFE), RequestClass("book", 0.4, 1.0, Repeat.UNSAFE)),
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,8 +11,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from jaspershelf import budget, decide, servers
-from jaspershelf.model import (
+from lugspur.load_balancing import budget, decide, servers
+from lugspur.load_balancing.model import (
     Discovery,
     Group,
     Limits,
