--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -8,18 +8,18 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Protocol
 
-from jaspershelf.model import Discovery, ListKind, Outcome, Repeat, Settings
 from lugspur.config.platform import Config
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Call, Facts, Pool
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
+from lugspur.discovery import watch
+from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.rows import Endpoint, Reader, server_id
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
-from lugspur.membership import watch
-from lugspur.membership.maintenance import Maintenance
-from lugspur.membership.rows import Endpoint, Reader, server_id
+from lugspur.load_balancing.model import Discovery, ListKind, Outcome, Repeat, Settings
 from lugspur.routing.shares import Shares
 from lugspur.seams import Request, Response
 
@@ -27,7 +27,7 @@
     import socket
     from collections.abc import Callable
 
-    from lugspur.handover.messages import Estate
+    from lugspur.daemon.hot_restart.messages import Estate
     from lugspur.observability.failures import FailedRequest
     from lugspur.observability.metrics import Figure
     from lugspur.pipe import Pipe
@@ -168,7 +168,7 @@
     def estate(self) -> Estate:
         """All that another process needs to go on in this one's place."""
         # Imported only here: a proxy without a second address stays lean.
-        from lugspur.handover.messages import Estate
+        from lugspur.daemon.hot_restart.messages import Estate
 
         return Estate(
             self._discovery.index,
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -17,11 +17,15 @@
 from random import Random
 from typing import Any
 
-from lugspur.control import catch_up, reader
-from lugspur.control.claim_table import ClaimTable
-from lugspur.control.effects import Effects, Peer, Rows
-from lugspur.control.freshness import DelayEstimate, Freshness
-from lugspur.control.messages import (
+from lugspur.emulator.control import claims_world, histories, register_world
+from lugspur.emulator.control.checks import Violation
+from lugspur.emulator.control.explorer import wander
+from lugspur.emulator.control.settings import SETTINGS
+from lugspur.mesh.control import catch_up, reader
+from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control.effects import Effects, Peer, Rows
+from lugspur.mesh.control.freshness import DelayEstimate, Freshness
+from lugspur.mesh.control.messages import (
     Accept,
     Delta,
     KeptClaim,
@@ -30,15 +34,11 @@
     Prepare,
     Standing,
 )
-from lugspur.control.orders import NoQuorum
-from lugspur.control.proposer import Phase, Proposal, Proposer
-from lugspur.control.quorum import majority
-from lugspur.control.register import Applied, Register
-from lugspur.control.replica import Replica
-from lugspur.emulator.control import claims_world, histories, register_world
-from lugspur.emulator.control.checks import Violation
-from lugspur.emulator.control.explorer import wander
-from lugspur.emulator.control.settings import SETTINGS
+from lugspur.mesh.control.orders import NoQuorum
+from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
+from lugspur.mesh.control.quorum import majority
+from lugspur.mesh.control.register import Applied, Register
+from lugspur.mesh.control.replica import Replica
 
 WALKS = 250  # through each world at once
 TURNS = 60
@@ -207,6 +207,27 @@
     return catch
 
 
+class GuardNotFoundError(LookupError):
+    """A guard names an attribute that its owner does not define, as after a rename of one of them."""
+
+    def __init__(self, owner: Any, attribute: str) -> None:
+        """Keep the class or module that was searched, and the name that was not found."""
+        super().__init__(f"{owner.__name__} has no attribute {attribute!r} that could be taken out")
+        self.owner, self.attribute = owner, attribute
+
+
+def own_attribute(owner: Any, attribute: str) -> Any:
+    """Return what a class or module itself defines under a name; raises GuardNotFoundError.
+
+    Guards against a guard that is taken out in name only: setting an attribute that nobody reads changes nothing, and
+    what is found out then says nothing about the guard.
+    """
+    try:
+        return vars(owner)[attribute]
+    except KeyError:
+        raise GuardNotFoundError(owner, attribute) from None
+
+
 @dataclass(slots=True, frozen=True)
 class Guard:
     """One guard: where it is, what stands there instead, and who catches that."""
@@ -282,7 +303,7 @@
 @contextmanager
 def taken_out(guard: Guard) -> Iterator[None]:
     """Run without it for a while."""
-    right = guard.owner.__dict__[guard.attribute]
+    right = own_attribute(guard.owner, guard.attribute)
     setattr(guard.owner, guard.attribute, guard.wrong)
     try:
         yield
--- a/lugspur/dataplane/ports.py
+++ b/lugspur/mesh/dataplane/ports.py
@@ -7,10 +7,10 @@
 from random import Random
 from typing import Any, Protocol
 
-from jaspershelf.budget import Budget
-from lugspur.control.claims import Settled
-from lugspur.control.messages import Forward, Reply
-from lugspur.dataplane.endpoints import Endpoint
+from lugspur.load_balancing.budget import Budget
+from lugspur.mesh.control.claims import Settled
+from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.seams import Answerable, Request
 
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from jaspershelf.model import Outcome
+from lugspur.load_balancing.model import Outcome
 
 if TYPE_CHECKING:
+    from lugspur.discovery.rows import Address
     from lugspur.http1.body import Body
-    from lugspur.membership.rows import Address
     from lugspur.pipe import Pipe
 
 
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -10,9 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from jaspershelf import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
-from jaspershelf.model import Learned
-from lugspur.handover.messages import (
+from lugspur.daemon.hot_restart.messages import (
     PACKET_MOST,
     PARTS_MOST,
     Estate,
@@ -22,8 +20,10 @@
     read_estate,
     unpack,
 )
-from lugspur.membership.maintenance import Bans
-from lugspur.membership.rows import Endpoint, server_id, server_name
+from lugspur.discovery.maintenance import Bans
+from lugspur.discovery.rows import Endpoint, server_id, server_name
+from lugspur.load_balancing import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
+from lugspur.load_balancing.model import Learned
 
 NAMES = st.text(st.characters(codec="utf-8", min_codepoint=1), min_size=1, max_size=40)
 
