--- a/lugspur/mesh/dataplane/causes.py
+++ b/lugspur/mesh/dataplane/causes.py
@@ -1,4 +1,4 @@
-"""Why a request was turned away, or what became of it at its backend is not known."""
+"""Why a request was rejected, or why its outcome at its backend is not known."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Cause(enum.IntEnum):
-    """Told with the reply of a gate; the numbers go between processes and keep their meaning."""
+    """Sent with each result of a request; the numbers are fixed, since other processes read them."""
 
     NONE = 0  # the backend answered
     EXPIRED = 1  # its time was over when it was read
@@ -23,3 +23,27 @@
     LINK_LOST = 12  # the connection between the two proxies ended
     UPLOAD = 13  # its body would have come too late
     NEVER_CAME = 14  # the connection between the two proxies ended before it arrived
+
+    @property
+    def label(self) -> str:
+        """The text in logs, metrics and accounts of failed requests, which stays when a member is renamed."""
+        return _LABELS[self]
+
+
+_LABELS = {
+    Cause.NONE: "none",
+    Cause.EXPIRED: "expired",
+    Cause.NOT_TAKEN: "not_taken",
+    Cause.NO_ROOM: "no_room",
+    Cause.EVICTED: "evicted",
+    Cause.HOPELESS: "hopeless",
+    Cause.REFUSED: "refused",
+    Cause.UNREACHABLE: "unreachable",
+    Cause.TIMED_OUT: "timed_out",
+    Cause.BROKEN: "broken",
+    Cause.SPOILT: "spoilt",
+    Cause.CANCELLED: "cancelled",
+    Cause.LINK_LOST: "link_lost",
+    Cause.UPLOAD: "upload",
+    Cause.NEVER_CAME: "never_came",
+}
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -45,13 +45,21 @@
 
 
 class End(enum.IntEnum):
-    """How a request ended here."""
+    """How a request ended at its backend; the numbers are fixed, since other processes read them."""
 
     ANSWERED = 0  # the backend's whole answer
     NOT_RUN = 1  # proven: it has not run and never will
     MAYBE = 2  # it was sent, and nothing is known
     SPOILT = 3  # it was sent, and what came is no answer
 
+    @property
+    def label(self) -> str:
+        """The text in logs and accounts of failed requests, which stays when a member is renamed."""
+        return _END_LABELS[self]
+
+
+_END_LABELS = {End.ANSWERED: "answered", End.NOT_RUN: "not_run", End.MAYBE: "maybe", End.SPOILT: "spoilt"}
+
 
 def judge(status: int, unseen: bool) -> Outcome:
     """421 and `Lugspur-Not-Delivered` prove that it did not run; all else is the backend's answer."""
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claims import Known, Settled, Taken, Won
+from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.causes import Cause
@@ -30,6 +30,8 @@
 HEDGE_AIM = 0.6  # ...and not before this part of its aim
 GONE = "gone"  # how a request ends whose caller has left
 BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
+#: How a claim ended, as accounts of failed requests say it.
+CLAIM_LABELS: dict[type[Settled], str] = {Won: "won", Known: "known", Taken: "taken", Unsettled: "unsettled"}
 LATE = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
 
 
@@ -88,7 +90,7 @@
             self._go(now)
 
     def _claimed(self, how: Settled) -> None:
-        self.claim = type(how).__name__.lower()
+        self.claim = CLAIM_LABELS[type(how)]
         self.won = isinstance(how, Won)
         if self.over:
             self._release_unrun()
@@ -249,8 +251,8 @@
     def _note(self, endpoint: Endpoint, since: float, reply: Reply) -> None:
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
-        cause = Cause(reply.cause).name.lower() if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.how).name.lower(), cause))
+        cause = Cause(reply.cause).label if reply.cause else ""
+        self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.how).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
--- a/lugspur/mesh/sidecar_figures.py
+++ b/lugspur/mesh/sidecar_figures.py
@@ -48,7 +48,7 @@
     """All figures of one proxy at this moment."""
     now, gate, proxy, front = sidecar.loop.time(), sidecar.gate, sidecar.proxy, sidecar.front
     standing = sidecar.standing()
-    causes = {cause.name.lower(): float(count) for cause, count in gate.causes.items()}
+    causes = {cause.label: float(count) for cause, count in gate.causes.items()}
     rejections = {str(status): float(count) for status, count in front.rejections.items()}
     up = sum(dialler.link is not None for dialler in sidecar.peers.values())
     return [
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -204,8 +204,8 @@
 
 def test_the_values_of_how_and_cause_of_an_attempt_in_the_mesh() -> None:
     shown: dict[str, Any] = {
-        "how": {member.value: member.name.lower() for member in End},
-        "cause": {member.value: member.name.lower() for member in Cause},
+        "how": {member.value: member.label for member in End},
+        "cause": {member.value: member.label for member in Cause},
     }
     assert json.dumps(shown) == (
         '{"how": {"0": "answered", "1": "not_run", "2": "maybe", "3": "spoilt"}, "cause": {"0": "none", "1": "expired",'
