--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -301,7 +301,7 @@
     answer: Answer | None = None
     sent: bool = True  # whether the backend was offered it
     busy: int = 0  # requests in hand there
-    cause: int = 0  # a value of lugspur.mesh.dataplane.causes.Cause
+    cause: int = 0  # a value of lugspur.mesh.dataplane.failure_cause.FailureCause
 
 
 class Cancel(msgspec.Struct, tag=21, array_like=True):
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -17,7 +17,7 @@
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
@@ -38,8 +38,16 @@
 
 
 #: Causes of what never ran, and of what may have.
-UNRUN = {Outcome.FULL: Cause.REFUSED, Outcome.UNREACHABLE: Cause.UNREACHABLE, Outcome.VOID: Cause.HOPELESS}
-UNKNOWN = {Outcome.TIMEOUT: Cause.TIMED_OUT, Outcome.BROKEN: Cause.BROKEN, Outcome.CANCELLED: Cause.CANCELLED}
+UNRUN = {
+    Outcome.FULL: FailureCause.REFUSED,
+    Outcome.UNREACHABLE: FailureCause.UNREACHABLE,
+    Outcome.VOID: FailureCause.TOO_LITTLE_TIME,
+}
+UNKNOWN = {
+    Outcome.TIMEOUT: FailureCause.TIMED_OUT,
+    Outcome.BROKEN: FailureCause.CONNECTION_BROKEN,
+    Outcome.CANCELLED: FailureCause.CANCELLED,
+}
 
 Rank = tuple[int, float]  # an operators' priority, and the loop's time at which an answer loses its worth
 
@@ -131,7 +139,7 @@
         self._paces: LRUCache[str, float] = LRUCache(PACES_MOST)
         self._pace = 0.0
         self.turned = self.evicted = self.hopeless = 0  # for lack of room, for others, for lack of time
-        self.causes: Counter[Cause] = Counter()  # of all that did not end with the backend's answer
+        self.causes: Counter[FailureCause] = Counter()  # of all that did not end with the backend's answer
 
     @property
     def busy(self) -> int:
@@ -150,13 +158,13 @@
         now = self._loop.time()
         local = self.local
         # Guards against a request that was held up on its way, or whose body was, until its caller had given it up.
-        cause = Cause.NONE
+        cause = FailureCause.NONE
         if forward.left <= 0.0:
-            cause = Cause.EXPIRED
+            cause = FailureCause.EXPIRED
         elif local is None or not self.takes(now, forward.backend):
-            cause = Cause.NOT_TAKEN
+            cause = FailureCause.NOT_ACCEPTED
         elif not self._room(local, forward):
-            cause = Cause.NO_ROOM
+            cause = FailureCause.QUEUE_FULL
         if local is None or cause:
             respond(self.turn_away(forward.n, cause))
             return None
@@ -169,7 +177,7 @@
             heapq.heappush(self._waiting, (self.rank(now, forward), next(self._count), ticket))
         return ticket
 
-    def turn_away(self, number: int, cause: Cause) -> Reply:
+    def turn_away(self, number: int, cause: FailureCause) -> Reply:
         """The reply to a request that is not taken."""
         self.causes[cause] += 1
         return Reply(number, End.NOT_RUN, None, False, self.busy, cause)
@@ -219,7 +227,7 @@
         heapq.heapify(self._waiting)
         if not last[2].over:
             self.evicted += 1
-            self._end(last[2], End.NOT_RUN, Cause.EVICTED)
+            self._end(last[2], End.NOT_RUN, FailureCause.EVICTED)
 
     def cancel(self, ticket: Ticket) -> None:
         """Nobody waits for it any more."""
@@ -227,7 +235,7 @@
             if ticket.exchange is not None:
                 ticket.exchange.end(Outcome.CANCELLED)
             else:
-                self._end(ticket, End.MAYBE, Cause.CANCELLED)  # it is passed over when its turn comes
+                self._end(ticket, End.MAYBE, FailureCause.CANCELLED)  # it is passed over when its turn comes
 
     def withdraw(self, ticket: Ticket) -> None:
         """Nobody waits for it any more: it is not begun, and what the backend works on goes on.
@@ -235,7 +243,7 @@
         Guards backends against work that nobody wants and that can't be cancelled once it has begun.
         """
         if not ticket.over and ticket.exchange is None:
-            self._end(ticket, End.NOT_RUN, Cause.CANCELLED)  # it is passed over when its turn comes
+            self._end(ticket, End.NOT_RUN, FailureCause.CANCELLED)  # it is passed over when its turn comes
 
     def _next(self) -> None:
         while self._waiting:
@@ -249,10 +257,10 @@
             ends = now + HOPELESS * self._pace_of(ticket.forward.route)
             if not self.takes_waiting(now, ticket):
                 self.hopeless += 1
-                self._end(ticket, End.NOT_RUN, Cause.NOT_TAKEN)
+                self._end(ticket, End.NOT_RUN, FailureCause.NOT_ACCEPTED)
             elif ends >= ticket.until:
                 self.hopeless += 1
-                self._end(ticket, End.NOT_RUN, Cause.HOPELESS)
+                self._end(ticket, End.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             else:
                 self._send(ticket)
 
@@ -266,7 +274,7 @@
         # Guards against a freeze in the middle of a turn of the loop, whose time stands still meanwhile.
         if monotonic() >= ticket.until + GRACE:
             self.hopeless += 1
-            self._end(ticket, End.NOT_RUN, Cause.HOPELESS)
+            self._end(ticket, End.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             return
         check(not ticket.sent and not ticket.over, Invariant.OFFERED_ONCE, attempt=forward.attempt)
         self._at_work += 1
@@ -312,9 +320,9 @@
                 answer = Answer(response.status, response.head, response.body)
                 if ticket.forward.key:
                     self._done(ticket.forward, answer)
-                self._end(ticket, End.ANSWERED, Cause.NONE, answer)
+                self._end(ticket, End.ANSWERED, FailureCause.NONE, answer)
             else:
-                self._end(ticket, End.SPOILT, Cause.SPOILT)
+                self._end(ticket, End.SPOILT, FailureCause.INVALID_RESPONSE)
         elif outcome in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID):
             if outcome is Outcome.UNREACHABLE and not ticket.local.down and ticket.local is self.local:
                 ticket.local.down = True
@@ -323,7 +331,7 @@
                 ticket.sent = False
             self._end(ticket, End.NOT_RUN, UNRUN[outcome])
         else:
-            self._end(ticket, End.MAYBE, UNKNOWN.get(outcome, Cause.SPOILT))
+            self._end(ticket, End.MAYBE, UNKNOWN.get(outcome, FailureCause.INVALID_RESPONSE))
         self._next()
 
     @staticmethod
@@ -340,7 +348,7 @@
             return False
         return response.status // 100 != 2 or b"lugspur-postmark" in names
 
-    def _end(self, ticket: Ticket, how: End, cause: Cause, answer: Answer | None = None) -> None:
+    def _end(self, ticket: Ticket, how: End, cause: FailureCause, answer: Answer | None = None) -> None:
         if not ticket.over:
             ticket.over = True
             if cause:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -8,8 +8,8 @@
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.endpoints import Endpoint, pick
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.ports import Carried, RequestHost
 from lugspur.mesh.dataplane.refusal import refuse
@@ -230,7 +230,7 @@
             self.rounds += 1
             if not reply.sent:
                 self.sends -= 1  # no backend was offered it
-            if reply.cause != Cause.CANCELLED:  # what was withdrawn says nothing of its backend
+            if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).failed(now)
                 endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
         else:
@@ -251,7 +251,7 @@
     def _note(self, endpoint: Endpoint, since: float, reply: Reply) -> None:
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
-        cause = Cause(reply.cause).label if reply.cause else ""
+        cause = FailureCause(reply.cause).label if reply.cause else ""
         self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.how).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -6,8 +6,8 @@
 
 from lugspur.mesh import events
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Hello, Message, Part, Reply, Withdraw
-from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.delays import ExcessDelay
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import End, Gate, Ticket
 from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.link import Link
@@ -87,7 +87,7 @@
         forward.aim -= excess
         if forward.left <= 0.0:
             self.expired += 1
-            self._turn_away(link, forward.n, Cause.EXPIRED)
+            self._turn_away(link, forward.n, FailureCause.EXPIRED)
         elif forward.size:
             self._offered(link, forward)
         else:
@@ -130,7 +130,7 @@
                 other.close()
         for number in message.numbers:
             if self._outcomes.proven_unrun(caller.life, number):
-                link.send(Reply(number, End.NOT_RUN, None, False, cause=Cause.NEVER_CAME))
+                link.send(Reply(number, End.NOT_RUN, None, False, cause=FailureCause.NEVER_RECEIVED))
 
     def _withdrawn(self, link: Link, number: int) -> None:
         """Nobody waits for one that may not be cancelled: it is not begun any more."""
@@ -138,7 +138,7 @@
         if ticket is not None:
             self._gate.withdraw(ticket)
         elif self.uploads.drop((link, number)):
-            self._turn_away(link, number, Cause.CANCELLED)
+            self._turn_away(link, number, FailureCause.CANCELLED)
             self._grant()
 
     def _part(self, link: Link, message: Part) -> None:
@@ -159,9 +159,9 @@
         if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, rank, pace):
             self._grant()
         else:
-            self._turn_away(link, n, Cause.UPLOAD)
+            self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
 
-    def _turn_away(self, link: Link, number: int, cause: Cause) -> None:
+    def _turn_away(self, link: Link, number: int, cause: FailureCause) -> None:
         """Reply to one that was not handed to the gate."""
         self._outcomes.did_not_run(self._callers[link].life, number)
         link.send(self._gate.turn_away(number, cause))
@@ -188,5 +188,5 @@
         """End bodies whose time is over."""
         if len(self.uploads):
             for link, n in self.uploads.expired(now):
-                self._turn_away(link, n, Cause.UPLOAD)
+                self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
             self._grant()
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -26,7 +26,7 @@
 
 from lugspur.bench.mesh import Mesh, call
 from lugspur.mesh.control.errors import ANSWERS
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.settings import parse
 from lugspur.standins.mesh import MeshBackend
 
@@ -553,7 +553,7 @@
 
 
 def test_the_causes_of_gates_by_number() -> None:
-    assert {cause.value: cause.label for cause in Cause} == {
+    assert {cause.value: cause.label for cause in FailureCause} == {
         **{0: "none", 1: "expired", 2: "not_taken", 3: "no_room", 4: "evicted", 5: "hopeless", 6: "refused"},
         **{7: "unreachable", 8: "timed_out", 9: "broken", 10: "spoilt", 11: "cancelled", 12: "link_lost"},
         **{13: "upload", 14: "never_came"},
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -29,7 +29,7 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.refusal import refuse
@@ -566,7 +566,7 @@
         mesh = Mesh()
         gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
         for cause in list(CAUSES)[1:]:
-            gate.turn_away(1, Cause(cause))
+            gate.turn_away(1, FailureCause(cause))
         sidecar: Any = SimpleNamespace(
             loop=mesh.proxy.loop,
             gate=gate,
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -19,8 +19,8 @@
     Reply,
     Withdraw,
 )
-from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend, Ticket
 from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
 from lugspur.mesh.incoming import IncomingExchanges
@@ -228,14 +228,14 @@
         rig.hear(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
         rig.hear(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # its body never comes whole
         never_ran, answered, at_work = rig.tickets
-        rig.gate._end(never_ran, End.NOT_RUN, Cause.EVICTED)
-        rig.gate._end(answered, End.ANSWERED, Cause.NONE, Answer(200, b"", b""))
+        rig.gate._end(never_ran, End.NOT_RUN, FailureCause.EVICTED)
+        rig.gate._end(answered, End.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
         former.close()
         rig.incoming.ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
         rig.hear(after, AskOutcomes([1, 2, 3, 4, 5]))
         assert after.replies == [(1, End.NOT_RUN), (4, End.NOT_RUN), (5, End.NOT_RUN)]  # 5 has never come
-        rig.gate._end(at_work, End.NOT_RUN, Cause.HOPELESS)
+        rig.gate._end(at_work, End.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
         assert after.replies[3:] == [(3, End.NOT_RUN)]  # told once it is known
 
     play(what)
@@ -323,7 +323,7 @@
         assert wire.replies == [(2, End.NOT_RUN)] and wire.open
         rig.hear(wire, Part(2, bytes(PART)))  # a part that was on its way
         assert rig.ran == [b"a1"] and wire.open
-        rig.gate._end(rig.tickets[0], End.ANSWERED, Cause.NONE, Answer(200, b"", b""))
+        rig.gate._end(rig.tickets[0], End.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
         assert wire.replies[1:] == [(1, End.ANSWERED)]
 
     play(what)
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -12,7 +12,7 @@
 
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane import gate as gate_module
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend
 
 GOOD = b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: %b\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi"
@@ -346,8 +346,8 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for left in (0.0, -0.01, -30.0):
             reply = await rig.run(forward(1, left=left))
-            assert (reply.how, reply.sent, reply.cause, backend.heads) == (End.NOT_RUN, False, Cause.EXPIRED, [])
-        assert rig.gate.causes == {Cause.EXPIRED: 3}
+            assert (reply.how, reply.sent, reply.cause, backend.heads) == (End.NOT_RUN, False, FailureCause.EXPIRED, [])
+        assert rig.gate.causes == {FailureCause.EXPIRED: 3}
 
     play(lambda a: GOOD % a, what)
 
@@ -360,7 +360,7 @@
         monkeypatch.setattr(gate_module, "monotonic", lambda: stands + 30.0)
         reply = await rig.run(forward(2))
         assert (reply.how, reply.sent, len(backend.heads), rig.gate.busy) == (End.NOT_RUN, False, 1, 0)
-        assert reply.cause == Cause.HOPELESS
+        assert reply.cause == FailureCause.TOO_LITTLE_TIME
 
     play(lambda a: GOOD % a, what)
 
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -13,7 +13,7 @@
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -350,13 +350,13 @@
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
+        respond(Reply(forward.n, End.MAYBE, cause=FailureCause.LINK_LOST))
         assert caller.answers[0][0] == 502 and not rig.released
         for how in (End.MAYBE, End.ANSWERED):
             respond(Reply(forward.n, how))
             assert not rig.released  # no proof
         for _ in range(2):
-            respond(Reply(forward.n, End.NOT_RUN, cause=Cause.NEVER_CAME))
+            respond(Reply(forward.n, End.NOT_RUN, cause=FailureCause.NEVER_RECEIVED))
         assert rig.released == [b"k"] and len(caller.answers) == 1 and len(rig.sent) == 1
 
     play(what, kind="tracked")
@@ -415,7 +415,7 @@
         caller.gone()
         assert (rig.cancelled, rig.withdrawn) == ([], [0])
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.NOT_RUN, None, False, cause=Cause.CANCELLED))
+        respond(Reply(forward.n, End.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
         assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
@@ -536,9 +536,9 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.NOT_RUN, None, False, 9, Cause.NO_ROOM))
+        respond(Reply(forward.n, End.NOT_RUN, None, False, 9, FailureCause.QUEUE_FULL))
         _, forward, respond = rig.sent[1]
-        respond(Reply(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
+        respond(Reply(forward.n, End.MAYBE, cause=FailureCause.LINK_LOST))
         [failed] = rig.proxy.failures.latest()
         assert (failed.attempt, failed.how, failed.route, failed.service) == ("t1", "maybe-ran", "r", "s")
         assert failed.keyed and failed.claim == "won" and failed.sends == 1 and failed.turned_away == 1
