--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -297,7 +297,7 @@
     """How it ended."""
 
     n: int
-    how: int  # a value of lugspur.mesh.dataplane.gate.End
+    how: int  # a value of lugspur.mesh.dataplane.request_outcome.RequestOutcome
     answer: Answer | None = None
     sent: bool = True  # whether the backend was offered it
     busy: int = 0  # requests in hand there
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import enum
 import heapq
 import itertools
 from collections import Counter
@@ -18,6 +17,7 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
@@ -52,23 +52,6 @@
 Rank = tuple[int, float]  # an operators' priority, and the loop's time at which an answer loses its worth
 
 
-class End(enum.IntEnum):
-    """How a request ended at its backend; the numbers are fixed, since other processes read them."""
-
-    ANSWERED = 0  # the backend's whole answer
-    NOT_RUN = 1  # proven: it has not run and never will
-    MAYBE = 2  # it was sent, and nothing is known
-    SPOILT = 3  # it was sent, and what came is no answer
-
-    @property
-    def label(self) -> str:
-        """The text in logs and accounts of failed requests, which stays when a member is renamed."""
-        return _END_LABELS[self]
-
-
-_END_LABELS = {End.ANSWERED: "answered", End.NOT_RUN: "not_run", End.MAYBE: "maybe", End.SPOILT: "spoilt"}
-
-
 def judge(status: int, unseen: bool) -> Outcome:
     """421 and `Lugspur-Not-Delivered` prove that it did not run; all else is the backend's answer."""
     return Outcome.FULL if unseen or status == 421 else Outcome.OK
@@ -180,7 +163,7 @@
     def turn_away(self, number: int, cause: FailureCause) -> Reply:
         """The reply to a request that is not taken."""
         self.causes[cause] += 1
-        return Reply(number, End.NOT_RUN, None, False, self.busy, cause)
+        return Reply(number, RequestOutcome.NOT_RUN, None, False, self.busy, cause)
 
     def room(self, forward: Forward) -> bool:
         """Whether a request would be taken now."""
@@ -227,7 +210,7 @@
         heapq.heapify(self._waiting)
         if not last[2].over:
             self.evicted += 1
-            self._end(last[2], End.NOT_RUN, FailureCause.EVICTED)
+            self._end(last[2], RequestOutcome.NOT_RUN, FailureCause.EVICTED)
 
     def cancel(self, ticket: Ticket) -> None:
         """Nobody waits for it any more."""
@@ -235,7 +218,9 @@
             if ticket.exchange is not None:
                 ticket.exchange.end(Outcome.CANCELLED)
             else:
-                self._end(ticket, End.MAYBE, FailureCause.CANCELLED)  # it is passed over when its turn comes
+                self._end(
+                    ticket, RequestOutcome.UNKNOWN, FailureCause.CANCELLED
+                )  # it is passed over when its turn comes
 
     def withdraw(self, ticket: Ticket) -> None:
         """Nobody waits for it any more: it is not begun, and what the backend works on goes on.
@@ -243,7 +228,7 @@
         Guards backends against work that nobody wants and that can't be cancelled once it has begun.
         """
         if not ticket.over and ticket.exchange is None:
-            self._end(ticket, End.NOT_RUN, FailureCause.CANCELLED)  # it is passed over when its turn comes
+            self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.CANCELLED)  # it is passed over when its turn comes
 
     def _next(self) -> None:
         while self._waiting:
@@ -257,10 +242,10 @@
             ends = now + HOPELESS * self._pace_of(ticket.forward.route)
             if not self.takes_waiting(now, ticket):
                 self.hopeless += 1
-                self._end(ticket, End.NOT_RUN, FailureCause.NOT_ACCEPTED)
+                self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.NOT_ACCEPTED)
             elif ends >= ticket.until:
                 self.hopeless += 1
-                self._end(ticket, End.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+                self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             else:
                 self._send(ticket)
 
@@ -274,7 +259,7 @@
         # Guards against a freeze in the middle of a turn of the loop, whose time stands still meanwhile.
         if monotonic() >= ticket.until + GRACE:
             self.hopeless += 1
-            self._end(ticket, End.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+            self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             return
         check(not ticket.sent and not ticket.over, Invariant.OFFERED_ONCE, attempt=forward.attempt)
         self._at_work += 1
@@ -320,18 +305,18 @@
                 answer = Answer(response.status, response.head, response.body)
                 if ticket.forward.key:
                     self._done(ticket.forward, answer)
-                self._end(ticket, End.ANSWERED, FailureCause.NONE, answer)
+                self._end(ticket, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
             else:
-                self._end(ticket, End.SPOILT, FailureCause.INVALID_RESPONSE)
+                self._end(ticket, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
         elif outcome in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID):
             if outcome is Outcome.UNREACHABLE and not ticket.local.down and ticket.local is self.local:
                 ticket.local.down = True
                 self._down(ticket.local)
             if outcome is not Outcome.FULL:
                 ticket.sent = False
-            self._end(ticket, End.NOT_RUN, UNRUN[outcome])
+            self._end(ticket, RequestOutcome.NOT_RUN, UNRUN[outcome])
         else:
-            self._end(ticket, End.MAYBE, UNKNOWN.get(outcome, FailureCause.INVALID_RESPONSE))
+            self._end(ticket, RequestOutcome.UNKNOWN, UNKNOWN.get(outcome, FailureCause.INVALID_RESPONSE))
         self._next()
 
     @staticmethod
@@ -348,7 +333,7 @@
             return False
         return response.status // 100 != 2 or b"lugspur-postmark" in names
 
-    def _end(self, ticket: Ticket, how: End, cause: FailureCause, answer: Answer | None = None) -> None:
+    def _end(self, ticket: Ticket, how: RequestOutcome, cause: FailureCause, answer: Answer | None = None) -> None:
         if not ticket.over:
             ticket.over = True
             if cause:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -10,9 +10,9 @@
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.endpoints import Endpoint, pick
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.ports import Carried, RequestHost
 from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.routes import RouteEntry
 from lugspur.observability.failures import PickView, Step
 from lugspur.seams import Answerable, Request
@@ -206,7 +206,7 @@
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
         took, route = max(TICK, now - since), self.route
         how = reply.how
-        if how == End.ANSWERED and reply.answer is not None:
+        if how == RequestOutcome.ANSWERED and reply.answer is not None:
             self.ran = True
             if reply.answer.status < 500:
                 route.pace += (took - route.pace) * (PACE_WEIGHT if route.pace else 1.0)
@@ -226,7 +226,7 @@
                 return
             self._answer(reply.answer)
             return
-        if how == End.NOT_RUN:
+        if how == RequestOutcome.NOT_RUN:
             self.rounds += 1
             if not reply.sent:
                 self.sends -= 1  # no backend was offered it
@@ -244,7 +244,7 @@
 
     def _proved_later(self, reply: Reply) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if reply.how == End.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
+        if reply.how == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
@@ -252,7 +252,7 @@
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
         cause = FailureCause(reply.cause).label if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.how).label, cause))
+        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.how).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -8,7 +8,8 @@
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Hello, Message, Part, Reply, Withdraw
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End, Gate, Ticket
+from lugspur.mesh.dataplane.gate import Gate, Ticket
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.link import Link
 from lugspur.mesh.outcomes import Outcomes
@@ -99,7 +100,7 @@
 
         def respond(said: Reply) -> None:
             self._tickets.pop((link, n), None)
-            if forward.key and said.how == End.NOT_RUN:
+            if forward.key and said.how == RequestOutcome.NOT_RUN:
                 self._proved_unrun(link, life, said)
             link.send(said)
 
@@ -130,7 +131,7 @@
                 other.close()
         for number in message.numbers:
             if self._outcomes.proven_unrun(caller.life, number):
-                link.send(Reply(number, End.NOT_RUN, None, False, cause=FailureCause.NEVER_RECEIVED))
+                link.send(Reply(number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.NEVER_RECEIVED))
 
     def _withdrawn(self, link: Link, number: int) -> None:
         """Nobody waits for one that may not be cancelled: it is not begun any more."""
@@ -185,7 +186,7 @@
                 self._gate.cancel(ticket)
 
     def look(self, now: float) -> None:
-        """End bodies whose time is over."""
+        """RequestOutcome bodies whose time is over."""
         if len(self.uploads):
             for link, n in self.uploads.expired(now):
                 self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/outgoing.py
@@ -9,7 +9,7 @@
 
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Part, Reply, Withdraw
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.uploads import PART, in_parts
 from lugspur.mesh.link import Link
 
@@ -94,7 +94,7 @@
         exchange = self._open.get(ip, {}).pop(number, None)
         if exchange is not None:
             exchange.link.send(Cancel(number))
-            exchange.respond(Reply(number, End.MAYBE, cause=FailureCause.CANCELLED))
+            exchange.respond(Reply(number, RequestOutcome.UNKNOWN, cause=FailureCause.CANCELLED))
 
     def withdraw(self, ip: str, number: int) -> None:
         """Have it not begun any more; its reply comes all the same."""
@@ -160,5 +160,5 @@
             unsent = exchange.body is not None
             if exchange.keyed and not unsent:
                 self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
-            how = End.NOT_RUN if unsent else End.MAYBE
+            how = RequestOutcome.NOT_RUN if unsent else RequestOutcome.UNKNOWN
             exchange.respond(Reply(number, how, sent=not unsent, cause=FailureCause.LINK_LOST))
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -20,7 +20,7 @@
 from lugspur.management.acts import acts
 from lugspur.management.door import Door
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.observability.failures import FailedRequest, PickView, Refusal, Step
 from lugspur.observability.metrics import Histogram, render
 
@@ -204,7 +204,7 @@
 
 def test_the_values_of_how_and_cause_of_an_attempt_in_the_mesh() -> None:
     shown: dict[str, Any] = {
-        "how": {member.value: member.label for member in End},
+        "how": {member.value: member.label for member in RequestOutcome},
         "cause": {member.value: member.label for member in FailureCause},
     }
     assert json.dumps(shown) == (
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -21,7 +21,8 @@
 )
 from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend, Ticket
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend, Ticket
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.outcomes import UNRUN_MOST, Outcomes
@@ -45,8 +46,8 @@
         self.open = False
 
     @property
-    def replies(self) -> list[tuple[int, End]]:
-        return [(m.n, End(m.how)) for m in self.sent if isinstance(m, Reply)]
+    def replies(self) -> list[tuple[int, RequestOutcome]]:
+        return [(m.n, RequestOutcome(m.how)) for m in self.sent if isinstance(m, Reply)]
 
 
 class Rig:
@@ -138,7 +139,7 @@
         if held < 2.0:
             assert rig.ran == [b"a1"] and wire.replies == []
         else:
-            assert rig.ran == [] and wire.replies == [(1, End.NOT_RUN), (2, End.NOT_RUN)]
+            assert rig.ran == [] and wire.replies == [(1, RequestOutcome.NOT_RUN), (2, RequestOutcome.NOT_RUN)]
         rig.hear(wire, forward(3, rig.stamp()))
         assert rig.ran[-1] == b"a3"
 
@@ -153,7 +154,7 @@
         now = loop.time()
         monkeypatch.setattr(loop, "time", lambda: now + 30.0)  # frozen: the part waited, and no timer has run yet
         rig.hear(wire, Part(1, bytes(grant.upto)))
-        assert rig.ran == [] and wire.replies == [(1, End.NOT_RUN)]
+        assert rig.ran == [] and wire.replies == [(1, RequestOutcome.NOT_RUN)]
         monkeypatch.undo()
 
     play(what)
@@ -173,21 +174,24 @@
 
         old = carry("old", first)
         outgoing.lost(first.peer)
-        assert [(name, End(r.how)) for name, r in replies] == [("old", End.MAYBE)]
+        assert [(name, RequestOutcome(r.how)) for name, r in replies] == [("old", RequestOutcome.UNKNOWN)]
         new, large = carry("new", second), carry("large", second, 50_000)
         assert len({old, new, large}) == 3
         replies.clear()
         for wire in (first, other):  # a late answer on the old connection, and one of another machine
             for n in (old, new, large):
-                outgoing.reply(wire, Reply(n, End.NOT_RUN))  # type: ignore[arg-type]
+                outgoing.reply(wire, Reply(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
             outgoing.grant(wire, Grant(large, PART))  # type: ignore[arg-type]
-        outgoing.reply(second, Reply(old, End.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.reply(second, Reply(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [] and not [m for m in second.sent if isinstance(m, Part)]
-        outgoing.reply(second, Reply(new, End.ANSWERED))  # type: ignore[arg-type]
-        outgoing.reply(second, Reply(new, End.ANSWERED))  # type: ignore[arg-type]
+        outgoing.reply(second, Reply(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
+        outgoing.reply(second, Reply(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
         assert [name for name, _ in replies] == ["new"]
         outgoing.lost(second.peer)
-        assert [(name, End(r.how)) for name, r in replies] == [("new", End.ANSWERED), ("large", End.NOT_RUN)]
+        assert [(name, RequestOutcome(r.how)) for name, r in replies] == [
+            ("new", RequestOutcome.ANSWERED),
+            ("large", RequestOutcome.NOT_RUN),
+        ]
 
     asyncio.run(what())
 
@@ -228,15 +232,19 @@
         rig.hear(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
         rig.hear(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # its body never comes whole
         never_ran, answered, at_work = rig.tickets
-        rig.gate._end(never_ran, End.NOT_RUN, FailureCause.EVICTED)
-        rig.gate._end(answered, End.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
+        rig.gate._end(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
+        rig.gate._end(answered, RequestOutcome.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
         former.close()
         rig.incoming.ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
         rig.hear(after, AskOutcomes([1, 2, 3, 4, 5]))
-        assert after.replies == [(1, End.NOT_RUN), (4, End.NOT_RUN), (5, End.NOT_RUN)]  # 5 has never come
-        rig.gate._end(at_work, End.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
-        assert after.replies[3:] == [(3, End.NOT_RUN)]  # told once it is known
+        assert after.replies == [
+            (1, RequestOutcome.NOT_RUN),
+            (4, RequestOutcome.NOT_RUN),
+            (5, RequestOutcome.NOT_RUN),
+        ]  # 5 has never come
+        rig.gate._end(at_work, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+        assert after.replies[3:] == [(3, RequestOutcome.NOT_RUN)]  # told once it is known
 
     play(what)
 
@@ -246,7 +254,7 @@
         former, after = rig.greeted(), rig.greeted()
         rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
         rig.hear(after, AskOutcomes([2]))
-        assert after.replies == [(2, End.NOT_RUN)] and not former.open  # so that nothing more is read on it
+        assert after.replies == [(2, RequestOutcome.NOT_RUN)] and not former.open  # so that nothing more is read on it
         other = rig.greeted("two")
         rig.hear(other, AskOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
         assert other.replies == [] and after.open
@@ -275,30 +283,34 @@
 
 def test_the_proof_for_a_lost_request_is_asked_for_and_reaches_who_sent_it() -> None:
     def what(_: Rig) -> None:
-        outgoing, replies = OutgoingExchanges(), list[tuple[int, End]]()
+        outgoing, replies = OutgoingExchanges(), list[tuple[int, RequestOutcome]]()
         former = Wire("10.0.0.1", "theirs")
 
         def carry(key: bytes) -> int:
             message = forward(0, 0.0, key=key)
-            outgoing.carry(1.0, former.peer, former, 0.0, message, lambda r: replies.append((r.n, End(r.how))))  # type: ignore[arg-type]
+
+            def note(reply: Reply) -> None:
+                replies.append((reply.n, RequestOutcome(reply.how)))
+
+            outgoing.carry(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
             return message.n
 
         one, two, unkeyed = carry(b"k1"), carry(b"k2"), carry(b"")
         outgoing.lost(former.peer)
-        assert replies == [(n, End.MAYBE) for n in (one, two, unkeyed)]
+        assert replies == [(n, RequestOutcome.UNKNOWN) for n in (one, two, unkeyed)]
         replies.clear()
         after, elsewhere = Wire("10.0.0.1", "theirs"), Wire("10.0.0.2", "theirs")
         for wire in (elsewhere, after):
             outgoing.reached(wire)  # type: ignore[arg-type]
         assert elsewhere.sent == [] and after.sent == [AskOutcomes([one, two])]
-        outgoing.reply(elsewhere, Reply(one, End.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.reply(elsewhere, Reply(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
         for _again in range(2):
-            outgoing.reply(after, Reply(one, End.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, End.NOT_RUN)]  # once
+            outgoing.reply(after, Reply(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
         outgoing.reached(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
-        outgoing.reply(after, Reply(two, End.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, End.NOT_RUN)]  # the life that knew of it has ended
+        outgoing.reply(after, Reply(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # the life that knew of it has ended
 
     play(what)
 
@@ -320,10 +332,10 @@
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
         rig.tickets[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
         rig.hear(wire, Withdraw(1), Withdraw(2), Withdraw(3))
-        assert wire.replies == [(2, End.NOT_RUN)] and wire.open
+        assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.open
         rig.hear(wire, Part(2, bytes(PART)))  # a part that was on its way
         assert rig.ran == [b"a1"] and wire.open
-        rig.gate._end(rig.tickets[0], End.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
-        assert wire.replies[1:] == [(1, End.ANSWERED)]
+        rig.gate._end(rig.tickets[0], RequestOutcome.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
+        assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
 
     play(what)
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -13,7 +13,8 @@
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane import gate as gate_module
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 
 GOOD = b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: %b\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi"
 
@@ -106,7 +107,7 @@
 def test_a_request_reaches_the_backend_as_it_came_with_whose_it_is_and_what_time_is_left() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1, key=b"k", body=b"body"))
-        assert (reply.how, reply.sent) == (End.ANSWERED, True) and reply.answer is not None
+        assert (reply.how, reply.sent) == (RequestOutcome.ANSWERED, True) and reply.answer is not None
         assert (reply.answer.status, reply.answer.body) == (200, b"hi") and b"Lugspur-Postmark: p" in reply.answer.head
         [head] = backend.heads
         assert head.startswith(b"POST /p?q=1 HTTP/1.1\r\nHost: h\r\n") and head.endswith(b"\r\n\r\nbody")
@@ -132,29 +133,29 @@
         b"nobody": b"HTTP/1.1 200 OK\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi",
     }
     ends = {
-        b"shed": End.NOT_RUN,
-        b"other": End.NOT_RUN,
-        b"own": End.ANSWERED,
-        b"fails": End.ANSWERED,
-        b"cut": End.MAYBE,
-        b"close": End.MAYBE,
-        b"noise": End.MAYBE,
-        b"bare": End.SPOILT,
-        b"coded": End.SPOILT,
-        b"nobody": End.SPOILT,
+        b"shed": RequestOutcome.NOT_RUN,
+        b"other": RequestOutcome.NOT_RUN,
+        b"own": RequestOutcome.ANSWERED,
+        b"fails": RequestOutcome.ANSWERED,
+        b"cut": RequestOutcome.UNKNOWN,
+        b"close": RequestOutcome.UNKNOWN,
+        b"noise": RequestOutcome.UNKNOWN,
+        b"bare": RequestOutcome.INVALID_RESPONSE,
+        b"coded": RequestOutcome.INVALID_RESPONSE,
+        b"nobody": RequestOutcome.INVALID_RESPONSE,
     }
 
     async def what(rig: Rig, backend: Scripted) -> None:
         for n, (name, end) in enumerate(ends.items()):
             reply = await rig.run(forward(n, name, left=0.25))
-            assert (name, End(reply.how), reply.sent) == (name, end, True)
+            assert (name, RequestOutcome(reply.how), reply.sent) == (name, end, True)
         backend.server.close()
         await backend.server.wait_closed()
         rig.gate.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         reply = await rig.run(forward(99))
-        assert (reply.how, reply.sent) == (End.NOT_RUN, False) and len(rig.downs) == 1
+        assert (reply.how, reply.sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
         again = await rig.run(forward(100))  # until its next beat nobody is sent there
-        assert (again.how, again.sent) == (End.NOT_RUN, False) and len(rig.downs) == 1
+        assert (again.how, again.sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
 
     play(lambda a: answers[a], what)
 
@@ -162,7 +163,9 @@
 def test_an_answer_to_another_request_is_passed_over_and_ones_own_is_waited_for() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
-        assert reply.how == End.ANSWERED and reply.answer is not None and b"Attempt-Id: a1" in reply.answer.head
+        assert (
+            reply.how == RequestOutcome.ANSWERED and reply.answer is not None and b"Attempt-Id: a1" in reply.answer.head
+        )
         await rig.run(forward(2))
         assert backend.accepted == 2  # a connection that brought one is not kept
 
@@ -185,11 +188,11 @@
         running = [rig.run(forward(n)) for n in (1, 2)]  # one at work and one ready beside it
         patient = [rig.run(forward(n, aim=1.0, priority=1)) for n in (3, 4)]
         urgent = rig.run(forward(5, aim=0.1, priority=1))
-        assert (await patient[1]).how == End.NOT_RUN  # the queue is full: whoever is due last goes
+        assert (await patient[1]).how == RequestOutcome.NOT_RUN  # the queue is full: whoever is due last goes
         late = await rig.run(forward(6, aim=1.0, priority=1))
-        assert (late.how, late.sent) == (End.NOT_RUN, False)
+        assert (late.how, late.sent) == (RequestOutcome.NOT_RUN, False)
         highest = rig.run(forward(7, aim=1.9, priority=0))  # however long it may take
-        assert (await patient[0]).how == End.NOT_RUN
+        assert (await patient[0]).how == RequestOutcome.NOT_RUN
         backend.hold.set()
         await asyncio.gather(*running, urgent, highest)
         assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2", b"a7", b"a5"]
@@ -201,12 +204,12 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         now = asyncio.get_running_loop().time()
         rig.local.closing_at = now - 0.1
-        assert (await rig.run(forward(1))).how == End.ANSWERED  # news is on its way
+        assert (await rig.run(forward(1))).how == RequestOutcome.ANSWERED  # news is on its way
         rig.local.closing_at = now - 0.5
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads)) == (End.NOT_RUN, False, 1)
+        assert (reply.how, reply.sent, len(backend.heads)) == (RequestOutcome.NOT_RUN, False, 1)
         rig.gate.local = LocalBackend("i-2", "s", backend.address, now)
-        assert (await rig.run(forward(3))).how == End.NOT_RUN
+        assert (await rig.run(forward(3))).how == RequestOutcome.NOT_RUN
         assert len(backend.heads) == 1
 
     play(lambda a: GOOD % a, what)
@@ -224,7 +227,7 @@
             rig.gate.cancel(ticket)
         backend.hold.set()
         reply = await rig.run(forward(4))
-        assert reply.how == End.ANSWERED and [attempt_of(h) for h in backend.heads] == [b"a1", b"a2", b"a4"]
+        assert reply.how == RequestOutcome.ANSWERED and [attempt_of(h) for h in backend.heads] == [b"a1", b"a2", b"a4"]
         assert rig.gate.busy == 0
 
     play(lambda a: GOOD % a, what)
@@ -242,10 +245,10 @@
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="short")) for n in (4, 5)]
         waits = [rig.run(forward(n, route=route, left=0.2, aim=0.06)) for n, route in ((6, "short"), (7, "slow"))]
-        assert (await waits[1]).how == End.NOT_RUN and not waits[0].done()
+        assert (await waits[1]).how == RequestOutcome.NOT_RUN and not waits[0].done()
         backend.hold.set()
         await asyncio.gather(*running)
-        assert (await waits[0]).how == End.ANSWERED
+        assert (await waits[0]).how == RequestOutcome.ANSWERED
 
     play(lambda a: GOOD % a, what)
 
@@ -257,17 +260,17 @@
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="long")) for n in (1, 2)]
         fresh = await rig.run(forward(3, route="long", left=5.0, aim=0.5))
-        assert (fresh.how, fresh.sent) == (End.NOT_RUN, False)  # it would wait for 0.3 s and be late
+        assert (fresh.how, fresh.sent) == (RequestOutcome.NOT_RUN, False)  # it would wait for 0.3 s and be late
         late = await rig.run(forward(6, route="long", left=5.0, aim=0.5, back=True))
-        assert (late.how, late.sent) == (End.NOT_RUN, False)  # not even then
+        assert (late.how, late.sent) == (RequestOutcome.NOT_RUN, False)  # not even then
         fresh = await rig.run(forward(7, route="long", left=5.0, aim=0.7))
-        assert (fresh.how, fresh.sent) == (End.NOT_RUN, False)
+        assert (fresh.how, fresh.sent) == (RequestOutcome.NOT_RUN, False)
         back = rig.run(forward(4, route="long", left=5.0, aim=0.7, back=True))
         short = rig.run(forward(5, route="short", left=5.0, aim=0.2))  # its caller may hold a berth elsewhere
         assert not back.done() and not short.done()
         backend.hold.set()
         ends = await asyncio.gather(*running, back, short)
-        assert {reply.how for reply in ends} == {End.ANSWERED}
+        assert {reply.how for reply in ends} == {RequestOutcome.ANSWERED}
 
     play(lambda a: GOOD % a, what)
 
@@ -276,11 +279,11 @@
 def test_a_refusal_without_an_id_proves_something_only_on_a_new_connection(line: bytes) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         first = await rig.run(forward(1, b"refused"))
-        assert first.how == End.NOT_RUN  # nothing else was ever asked on it
-        assert (await rig.run(forward(2))).how == End.ANSWERED and backend.accepted == 2
+        assert first.how == RequestOutcome.NOT_RUN  # nothing else was ever asked on it
+        assert (await rig.run(forward(2))).how == RequestOutcome.ANSWERED and backend.accepted == 2
         late = await rig.run(forward(3, b"refused"))
-        assert late.how == End.MAYBE and backend.accepted == 2  # it may be a late answer to one before
-        assert (await rig.run(forward(4))).how == End.ANSWERED and backend.accepted == 3
+        assert late.how == RequestOutcome.UNKNOWN and backend.accepted == 2  # it may be a late answer to one before
+        assert (await rig.run(forward(4))).how == RequestOutcome.ANSWERED and backend.accepted == 3
 
     refusal = b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % line
     play(lambda a: refusal if a == b"refused" else GOOD % a, what)
@@ -308,7 +311,7 @@
         while ticket.exchange is None or ticket.exchange.connection is None or not ticket.exchange.connection._body:
             await asyncio.sleep(0)
         heard.set()
-        assert (await found).how == End.MAYBE
+        assert (await found).how == RequestOutcome.UNKNOWN
         server.close()
 
     asyncio.run(asyncio.wait_for(run(), 10.0))
@@ -317,9 +320,9 @@
 def test_what_an_interim_answer_says_counts_for_nothing() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
-        assert reply.how == End.ANSWERED
+        assert reply.how == RequestOutcome.ANSWERED
         other = await rig.run(forward(2, b"nameless"))
-        assert other.how == End.SPOILT
+        assert other.how == RequestOutcome.INVALID_RESPONSE
 
     interim = b"HTTP/1.1 103 X\r\nLugspur-Not-Delivered: 1\r\nLugspur-Attempt-Id: %b\r\n\r\n"
     nameless = (GOOD % b"x").replace(b"Lugspur-Attempt-Id: x\r\n", b"")
@@ -329,13 +332,16 @@
 @pytest.mark.parametrize(
     ("head", "end"),
     [
-        (b"Lugspur-Attempt-Id: a1\r\nLugspur-Postmark: p\r\n", End.ANSWERED),
-        (b"X-Told: Lugspur-Attempt-Id: a1\r\nLugspur-Postmark: p\r\n", End.SPOILT),
-        (b"Lugspur-Attempt-Id: a2\r\nLugspur-Attempt-Id: a1\r\nLugspur-Postmark: p\r\n", End.SPOILT),
-        (b"Lugspur-Attempt-Id: a1\r\nX-Told: Lugspur-Postmark: p\r\n", End.SPOILT),
+        (b"Lugspur-Attempt-Id: a1\r\nLugspur-Postmark: p\r\n", RequestOutcome.ANSWERED),
+        (b"X-Told: Lugspur-Attempt-Id: a1\r\nLugspur-Postmark: p\r\n", RequestOutcome.INVALID_RESPONSE),
+        (
+            b"Lugspur-Attempt-Id: a2\r\nLugspur-Attempt-Id: a1\r\nLugspur-Postmark: p\r\n",
+            RequestOutcome.INVALID_RESPONSE,
+        ),
+        (b"Lugspur-Attempt-Id: a1\r\nX-Told: Lugspur-Postmark: p\r\n", RequestOutcome.INVALID_RESPONSE),
     ],
 )
-def test_an_answers_headers_are_read_by_their_names(head: bytes, end: End) -> None:
+def test_an_answers_headers_are_read_by_their_names(head: bytes, end: RequestOutcome) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         assert (await rig.run(forward(1))).how == end
 
@@ -346,7 +352,12 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for left in (0.0, -0.01, -30.0):
             reply = await rig.run(forward(1, left=left))
-            assert (reply.how, reply.sent, reply.cause, backend.heads) == (End.NOT_RUN, False, FailureCause.EXPIRED, [])
+            assert (reply.how, reply.sent, reply.cause, backend.heads) == (
+                RequestOutcome.NOT_RUN,
+                False,
+                FailureCause.EXPIRED,
+                [],
+            )
         assert rig.gate.causes == {FailureCause.EXPIRED: 3}
 
     play(lambda a: GOOD % a, what)
@@ -354,12 +365,14 @@
 
 def test_a_freeze_in_the_middle_of_a_turn_sends_nothing_late(monkeypatch: pytest.MonkeyPatch) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
-        assert (await rig.run(forward(1))).how == End.ANSWERED  # its connection is kept: the next goes out at once
+        assert (
+            await rig.run(forward(1))
+        ).how == RequestOutcome.ANSWERED  # its connection is kept: the next goes out at once
         loop = asyncio.get_running_loop()
         stands = loop.time()
         monkeypatch.setattr(gate_module, "monotonic", lambda: stands + 30.0)
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads), rig.gate.busy) == (End.NOT_RUN, False, 1, 0)
+        assert (reply.how, reply.sent, len(backend.heads), rig.gate.busy) == (RequestOutcome.NOT_RUN, False, 1, 0)
         assert reply.cause == FailureCause.TOO_LITTLE_TIME
 
     play(lambda a: GOOD % a, what)
@@ -369,12 +382,14 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.berths = 1
-        replies: list[tuple[int, End]] = []
-        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, End(r.how)))) for n in (1, 2, 3)]
+        replies: list[tuple[int, RequestOutcome]] = []
+        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how)))) for n in (1, 2, 3)]
         for ticket in tickets[::-1] * 2:  # the one that waits first: else it would not wait any more
             assert ticket is not None
             rig.gate.cancel(ticket)
-        assert sorted(replies) == [(n, End.MAYBE) for n in (1, 2, 3)]  # who sent it counts what it has under way
+        assert sorted(replies) == [
+            (n, RequestOutcome.UNKNOWN) for n in (1, 2, 3)
+        ]  # who sent it counts what it has under way
 
     play(lambda a: GOOD % a, what)
 
@@ -383,18 +398,20 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.berths = 1
-        replies: list[tuple[int, End, bool]] = []
-        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, End(r.how), r.sent))) for n in (1, 2, 3)]
+        replies: list[tuple[int, RequestOutcome, bool]] = []
+        tickets = [
+            rig.gate.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how), r.sent))) for n in (1, 2, 3)
+        ]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
         for ticket in tickets:
             assert ticket is not None
             rig.gate.withdraw(ticket)
-        assert replies == [(3, End.NOT_RUN, False)]
+        assert replies == [(3, RequestOutcome.NOT_RUN, False)]
         backend.hold.set()
         while len(replies) < 3:
             await asyncio.sleep(0.001)
-        assert sorted(replies[1:]) == [(1, End.ANSWERED, True), (2, End.ANSWERED, True)]
+        assert sorted(replies[1:]) == [(1, RequestOutcome.ANSWERED, True), (2, RequestOutcome.ANSWERED, True)]
         assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.gate.busy == 0
 
     play(lambda a: GOOD % a, what)
@@ -422,7 +439,7 @@
         gate.run(forward(2), replies.append)
         while len(replies) < 2:
             await asyncio.sleep(0.001)
-        assert [reply.how for reply in replies] == [End.ANSWERED] * 2 and len(streams) == 2
+        assert [reply.how for reply in replies] == [RequestOutcome.ANSWERED] * 2 and len(streams) == 2
         late = bytearray()
         with suppress(ConnectionError):
             while data := await streams[0][0].read(1 << 16):
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -14,9 +14,9 @@
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.observability.failures import PickView, Refusal
 from lugspur.seams import Request
@@ -101,7 +101,7 @@
         self.proxy.handle(Request(b"GET", target, named, lines, b"", self.proxy.loop.time(), True), caller)
         return caller
 
-    def reply(self, how: End, answer: Answer | None = None, sent: bool = True, at: int = -1) -> None:
+    def reply(self, how: RequestOutcome, answer: Answer | None = None, sent: bool = True, at: int = -1) -> None:
         _, forward, respond = self.sent[at]
         respond(Reply(forward.n, how, answer, sent))
 
@@ -125,7 +125,7 @@
         assert b"Deliver-To" not in head and b"Deliver-By" not in head and b"X-Other: kept" in head
         assert b"Host: a.example\r\n" in head and b"Lugspur-Attempt-Id: t1\r\n" in head
         assert 0.25 < forward.left <= 0.3 and forward.backend == "i-" + ip[-1]
-        rig.reply(End.ANSWERED, OK)
+        rig.reply(RequestOutcome.ANSWERED, OK)
         assert caller.answers == [(200, OK.head, b"hi")] and not rig.proxy.open_requests
 
     play(what)
@@ -156,10 +156,10 @@
 def test_what_was_turned_away_goes_to_another_and_costs_no_try(kind: str) -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
-        rig.reply(End.NOT_RUN, sent=False)
-        rig.reply(End.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.NOT_RUN, sent=False)
         assert len({ip for ip, _, _ in rig.sent}) == 3 and not caller.answers
-        rig.reply(End.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.NOT_RUN, sent=False)
         [(status, head, _)] = caller.answers
         assert status == 503 and b"Retry-After: " in head  # at once, and when to come back
 
@@ -169,19 +169,19 @@
 def test_what_may_have_run_is_sent_again_only_if_it_is_safe_and_in_the_budget() -> None:
     def unsafe(rig: Rig) -> None:
         caller = rig.ask()
-        rig.reply(End.MAYBE)
+        rig.reply(RequestOutcome.UNKNOWN)
         assert [answer[0] for answer in caller.answers] == [502] and len(rig.sent) == 1
 
     def safe(rig: Rig) -> None:
         caller = rig.ask()
-        rig.reply(End.SPOILT)
+        rig.reply(RequestOutcome.INVALID_RESPONSE)
         assert len(rig.sent) == 2 and not caller.answers
-        rig.reply(End.ANSWERED, OK)
+        rig.reply(RequestOutcome.ANSWERED, OK)
         assert caller.answers[0][0] == 200
 
     def spent(rig: Rig) -> None:
         caller = rig.ask()
-        rig.reply(End.MAYBE)
+        rig.reply(RequestOutcome.UNKNOWN)
         assert len(rig.sent) == 1 and caller.answers[0][0] == 502  # it may have run: no promise
 
     for kind in ("unsafe", "upload"):
@@ -193,8 +193,8 @@
 def test_a_refusal_behind_a_send_that_may_have_run_promises_nothing() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
-        rig.reply(End.MAYBE)
-        rig.reply(End.NOT_RUN)
+        rig.reply(RequestOutcome.UNKNOWN)
+        rig.reply(RequestOutcome.NOT_RUN)
         assert [answer[0] for answer in caller.answers] == [502]
 
     play(what)
@@ -203,9 +203,9 @@
 def test_a_backends_own_failure_is_passed_on_where_nothing_better_comes() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
-        rig.reply(End.ANSWERED, BROKE)
+        rig.reply(RequestOutcome.ANSWERED, BROKE)
         assert len(rig.sent) == 2
-        rig.reply(End.ANSWERED, BROKE)
+        rig.reply(RequestOutcome.ANSWERED, BROKE)
         assert caller.answers == [(500, BROKE.head, b"no")]
 
     play(what)
@@ -216,9 +216,9 @@
         rig.proxy.proxies = 2
         for _ in range(100):
             rig.ask()
-            rig.reply(End.MAYBE)
+            rig.reply(RequestOutcome.UNKNOWN)
             if rig.proxy.open_requests:
-                rig.reply(End.MAYBE)
+                rig.reply(RequestOutcome.UNKNOWN)
             for rank in rig.proxy.services["s"].values():
                 rank.breakers.clear()  # what is tried here is the budget alone
         further = len(rig.sent) - 100
@@ -235,7 +235,7 @@
         caller = rig.ask(lugspur_operation_key="k")
         if kind == "tracked":
             rig.claimed[0][1](Won())
-        rig.reply(End.ANSWERED, OK)
+        rig.reply(RequestOutcome.ANSWERED, OK)
         monkeypatch.undo()
         assert [answer[0] for answer in caller.answers] == [200]
 
@@ -265,7 +265,7 @@
         assert key == b"k" and not rig.sent
         over(Won())
         assert rig.sent[0][1].key == b"k" and rig.sent[0][1].by == rig.claim_ids[0]
-        rig.reply(End.ANSWERED, OK)
+        rig.reply(RequestOutcome.ANSWERED, OK)
         assert caller.answers[0][0] == 200 and not rig.released
 
     play(what, kind="tracked")
@@ -288,14 +288,14 @@
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         for _ in range(3):
-            rig.reply(End.NOT_RUN, sent=False)
+            rig.reply(RequestOutcome.NOT_RUN, sent=False)
         assert caller.answers[0][0] == 503 and rig.released == [b"k"]
 
     def unknown(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
-        rig.reply(End.NOT_RUN, sent=False)
-        rig.reply(End.MAYBE)
+        rig.reply(RequestOutcome.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.UNKNOWN)
         assert caller.answers[0][0] == 502 and not rig.released
 
     def left(rig: Rig) -> None:
@@ -317,7 +317,7 @@
         assert caller.gone is not None
         caller.gone()
         assert not rig.released  # it may run yet
-        rig.reply(End.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.NOT_RUN, sent=False)
         assert rig.released == [b"k"] and len(rig.sent) == 1
 
     async def late(rig: Rig) -> None:
@@ -326,7 +326,7 @@
         while not caller.answers:
             await asyncio.sleep(0.01)
         assert caller.answers[0][0] == 504 and not rig.released
-        rig.reply(End.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.NOT_RUN, sent=False)
         assert rig.released == [b"k"] and len(rig.sent) == 1
 
     for case in (left, late):
@@ -339,7 +339,7 @@
         rig.claimed[0][1](Won())
         assert caller.gone is not None
         caller.gone()
-        rig.reply(End.MAYBE)
+        rig.reply(RequestOutcome.UNKNOWN)
         assert not rig.released
 
     play(what, kind="tracked")
@@ -350,13 +350,13 @@
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.MAYBE, cause=FailureCause.LINK_LOST))
+        respond(Reply(forward.n, RequestOutcome.UNKNOWN, cause=FailureCause.LINK_LOST))
         assert caller.answers[0][0] == 502 and not rig.released
-        for how in (End.MAYBE, End.ANSWERED):
+        for how in (RequestOutcome.UNKNOWN, RequestOutcome.ANSWERED):
             respond(Reply(forward.n, how))
             assert not rig.released  # no proof
         for _ in range(2):
-            respond(Reply(forward.n, End.NOT_RUN, cause=FailureCause.NEVER_RECEIVED))
+            respond(Reply(forward.n, RequestOutcome.NOT_RUN, cause=FailureCause.NEVER_RECEIVED))
         assert rig.released == [b"k"] and len(caller.answers) == 1 and len(rig.sent) == 1
 
     play(what, kind="tracked")
@@ -367,8 +367,8 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.ANSWERED, OK))
-        respond(Reply(forward.n, End.NOT_RUN))
+        respond(Reply(forward.n, RequestOutcome.ANSWERED, OK))
+        respond(Reply(forward.n, RequestOutcome.NOT_RUN))
         assert not rig.released
 
     play(what, kind="tracked")
@@ -380,7 +380,7 @@
         for _ in range(200):
             rig.ask()
             while rig.proxy.open_requests:
-                rig.reply(End.NOT_RUN, sent=False)
+                rig.reply(RequestOutcome.NOT_RUN, sent=False)
         told = [failed.pick for failed in rig.proxy.failures.latest() if not failed.steps]
         assert told and all(pick is not None and (pick.known, pick.unreachable) == (3, 1) for pick in told)
         drawn = [refusal for pick in told if pick is not None for refusal in pick.refusals]
@@ -415,7 +415,7 @@
         caller.gone()
         assert (rig.cancelled, rig.withdrawn) == ([], [0])
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
+        respond(Reply(forward.n, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
         assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
@@ -439,9 +439,9 @@
 def test_no_second_copy_goes_out_once_all_tries_are_spent() -> None:
     async def what(rig: Rig) -> None:
         rig.ask()
-        rig.reply(End.ANSWERED, OK)  # the route's pace is known from here on
+        rig.reply(RequestOutcome.ANSWERED, OK)  # the route's pace is known from here on
         caller = rig.ask()
-        rig.reply(End.ANSWERED, BROKE)  # the first try fails, and the second one is sent
+        rig.reply(RequestOutcome.ANSWERED, BROKE)  # the first try fails, and the second one is sent
         assert len(rig.sent) == 3
         [request] = rig.proxy.open_requests
         assert isinstance(request, ProxiedRequest)
@@ -457,7 +457,7 @@
         for _ in range(60):
             rig.ask()
             counts[rig.sent[-1][0]] += 1
-            rig.reply(End.ANSWERED, OK)
+            rig.reply(RequestOutcome.ANSWERED, OK)
             for rank in rig.proxy.services["s"].values():
                 rank.latency = 1.0
                 rank.breakers.clear()
@@ -468,7 +468,7 @@
                 rank.breakers.clear()
             rig.ask()
             counts[rig.sent[-1][0]] += 1
-            rig.reply(End.ANSWERED, OK)
+            rig.reply(RequestOutcome.ANSWERED, OK)
         assert counts["10.0.0.0"] == 60 and min(counts.values()) > 10
 
     play(what)
@@ -491,12 +491,12 @@
         for _ in range(100):
             rig.ask()
             while rig.proxy.open_requests:
-                rig.reply(End.NOT_RUN, sent=False)
+                rig.reply(RequestOutcome.NOT_RUN, sent=False)
         assert rig.proxy.ended["breaker-refused"] > 20  # those that may wait are refused here by now
         before = len(rig.sent)
         for _ in range(20):
             rig.ask(b"/urgent/1")
-            rig.reply(End.ANSWERED, OK)
+            rig.reply(RequestOutcome.ANSWERED, OK)
         assert len(rig.sent) == before + 20
 
     play(what, slack=0.0)
@@ -536,9 +536,9 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.NOT_RUN, None, False, 9, FailureCause.QUEUE_FULL))
+        respond(Reply(forward.n, RequestOutcome.NOT_RUN, None, False, 9, FailureCause.QUEUE_FULL))
         _, forward, respond = rig.sent[1]
-        respond(Reply(forward.n, End.MAYBE, cause=FailureCause.LINK_LOST))
+        respond(Reply(forward.n, RequestOutcome.UNKNOWN, cause=FailureCause.LINK_LOST))
         [failed] = rig.proxy.failures.latest()
         assert (failed.attempt, failed.how, failed.route, failed.service) == ("t1", "maybe-ran", "r", "s")
         assert failed.keyed and failed.claim == "won" and failed.sends == 1 and failed.turned_away == 1
@@ -571,7 +571,7 @@
         [proxied_request] = rig.proxy.open_requests
         proxied_request.end()
         assert caller.answers[0][0] == 502 and not rig.released
-        rig.reply(End.ANSWERED, OK)
+        rig.reply(RequestOutcome.ANSWERED, OK)
         assert len(caller.answers) == 1
 
     def waits(rig: Rig) -> None:
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -22,7 +22,7 @@
     Unsubscribe,
     Voter,
 )
-from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.uploads import PART
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.registration import BackendStatus
@@ -249,9 +249,11 @@
         self.sent.append(message)
 
 
-@pytest.mark.parametrize(("granted", "how"), [(0, End.NOT_RUN), (PART, End.NOT_RUN), (50_000, End.MAYBE)])
+@pytest.mark.parametrize(
+    ("granted", "how"), [(0, RequestOutcome.NOT_RUN), (PART, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)]
+)
 def test_a_body_whose_end_was_not_sent_has_not_run_and_a_whole_one_may_have(
-    tmp_path: Path, granted: int, how: End
+    tmp_path: Path, granted: int, how: RequestOutcome
 ) -> None:
     def what(sidecar: Sidecar) -> None:
         ip, replies = "127.0.0.2", list[Reply]()
@@ -269,7 +271,7 @@
         parts = [m for m in wire.sent[1:] if isinstance(m, Part)]
         assert b"".join(p.data for p in parts) == body[:granted]
         sidecar._down(dialler)
-        assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
+        assert [(r.how, r.sent) for r in replies] == [(how, how == RequestOutcome.UNKNOWN)]
         assert not sidecar.outgoing.waits_for(ip)
         dialler.link = None
         dialler.close()
