--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -22,7 +22,7 @@
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, Forward
 from lugspur.mesh.dataplane import proxied_request
-from lugspur.mesh.dataplane.delays import ExcessDelay
+from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.outcomes import Outcomes
@@ -98,7 +98,7 @@
     return True
 
 
-def _never_late(self: ExcessDelay, now: float, sent: float) -> float:
+def _never_late(self: ExcessDelayEstimator, now: float, sent_at: float) -> float:
     return 0.0
 
 
@@ -125,7 +125,7 @@
     SoakGuard("an answer bears its request's id", Gate, "_sound", staticmethod(_sound_whatever_came)),
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
-    SoakGuard("what was held up is not begun", ExcessDelay, "excess", _never_late),
+    SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
     SoakGuard("only what never came is proven so", Outcomes, "proven_unrun", _all_is_proven),
     SoakGuard("a late heartbeat takes nobody's place", BackendLives, "is_present", _any_life_is_present),
     SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -290,7 +290,9 @@
     by: bytes = b""
     back: bool = False  # its caller has been turned away before, or has little time for other causes
     size: int = 0  # bytes of a body that comes in parts, as they are granted
-    sent: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delays
+    sent: float = (
+        0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delay_estimation
+    )
 
 
 class Reply(msgspec.Struct, tag=20, array_like=True):
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -6,7 +6,7 @@
 
 from lugspur.mesh import events
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Hello, Message, Part, Reply, Withdraw
-from lugspur.mesh.dataplane.delays import ExcessDelay
+from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
@@ -23,7 +23,7 @@
     def __init__(self, life: str) -> None:
         self.life = life
         self.latest = 0  # the highest number of its requests
-        self.delay = ExcessDelay()
+        self.delay = ExcessDelayEstimator()
 
 
 class IncomingExchanges:
@@ -68,7 +68,7 @@
             events.warn("life", peer=link.peer, life=message.life)
             link.close()
         elif message.sent:
-            caller.delay.excess(self._loop.time(), message.sent)
+            caller.delay.observe(self._loop.time(), message.sent)
         else:
             link.send(self._hello)
 
@@ -83,7 +83,7 @@
         if forward.key:
             self._outcomes.came(caller.life, forward.n)
         # Guards against running what was held up on its way (a cut, or this process frozen) until nobody waits for it.
-        excess = caller.delay.excess(self._loop.time(), forward.sent)
+        excess = caller.delay.observe(self._loop.time(), forward.sent)
         forward.left -= excess
         forward.aim -= excess
         if forward.left <= 0.0:
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -16,7 +16,7 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
 from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
-from lugspur.mesh.dataplane.delays import FreezeDetector
+from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.ports import Carried
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
@@ -100,7 +100,7 @@
         most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
         self.front = Front(read_address(listen.outgoing), most, limits.memory_mb << 20, self._handle)
         # Guards against requests that waited unread while this process was frozen: their callers have given them up.
-        self.front.came = lambda now, transport, first: self._freezes.came(now)
+        self.front.came = lambda now, transport, first: self._freezes.earliest_arrival(now)
         self._tune()
         self._sock = await self.front.listen()
         readiness = HttpApi()
@@ -290,7 +290,7 @@
         gate.turned = gate.evicted = gate.hopeless = 0
 
     def look(self, now: float) -> None:
-        self._freezes.ran(now)
+        self._freezes.record_turn(now)
         self._tell(now)
         self.incoming.look(now)
         self.registration.look(now)
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -19,7 +19,6 @@
     Reply,
     Withdraw,
 )
-from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend, Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
@@ -196,36 +195,6 @@
     asyncio.run(what())
 
 
-def test_delays_are_told_without_clocks_that_agree() -> None:
-    delay, offset = ExcessDelay(), -4321.0
-    assert delay.excess(10.0 + offset, 10.0 - 0.03) == 0.0
-    assert delay.excess(11.0 + offset, 11.0 - 0.02) == 0.0  # less delay than ever: that is the offset now
-    assert delay.excess(12.0 + offset, 12.0 - 0.52) == pytest.approx(0.5, abs=0.01)
-    assert delay.excess(50.0 + offset, 12.1 - 0.02) == pytest.approx(37.9, abs=0.05)
-
-
-def test_clocks_that_run_apart_make_nothing_late() -> None:
-    delay = ExcessDelay()
-    assert max(delay.excess(t * 10.0, t * 10.0 * (1.0 - 5e-4)) for t in range(10_000)) < 0.01
-
-
-def test_a_clock_that_was_moved_is_found_out() -> None:
-    delay = ExcessDelay()
-    delay.excess(0.0, 0.0)
-    told = [delay.excess(60.0 + t / 10.0, t / 10.0) for t in range(100)]
-    assert told[0] == pytest.approx(60.0, abs=0.1) and told[-1] < 0.1
-    assert sum(t > 1.0 for t in told) <= 10 * LATE_FOR + 2
-
-
-def test_what_is_read_after_a_freeze_may_have_come_at_its_begin() -> None:
-    freezes = FreezeDetector(1.0, 0.5)
-    for step in range(10):
-        freezes.ran(step / 10.0)
-    assert freezes.came(1.8) == 1.8  # a loaded machine is none that was frozen
-    assert freezes.came(30.0) == 1.8 and freezes.came(30.4) == 1.8
-    assert freezes.came(40.0) == 30.4 and freezes.came(40.5) == 40.5
-
-
 def test_a_gate_tells_on_a_new_connection_what_is_proven_of_those_lost_with_the_former_one() -> None:
     def what(rig: Rig) -> None:
         former = rig.greeted()
