--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -18,6 +18,7 @@
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.urgency import Urgency, urgency_of
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
@@ -49,8 +50,6 @@
     Outcome.CANCELLED: FailureCause.CANCELLED,
 }
 
-Rank = tuple[int, float]  # an operators' priority, and the loop's time at which an answer loses its worth
-
 
 def judge(status: int, unseen: bool) -> Outcome:
     """421 and `Lugspur-Not-Delivered` prove that it did not run; all else is the backend's answer."""
@@ -116,7 +115,7 @@
             keeps=64,
         )
         self._count = itertools.count()
-        self._waiting: list[tuple[Rank, int, Ticket]] = []  # the first one first
+        self._waiting: list[tuple[Urgency, int, Ticket]] = []  # the first one first
         self._at_work = 0
         # Seconds that an answer takes from when the backend is offered the request, by route, and of all.
         self._paces: LRUCache[str, float] = LRUCache(PACES_MOST)
@@ -157,7 +156,7 @@
         else:
             if len(self._waiting) >= QUEUE_BERTHS * local.berths:
                 self._evict()
-            heapq.heappush(self._waiting, (self.rank(now, forward), next(self._count), ticket))
+            heapq.heappush(self._waiting, (urgency_of(now, forward), next(self._count), ticket))
         return ticket
 
     def turn_away(self, number: int, cause: FailureCause) -> Reply:
@@ -174,21 +173,13 @@
         """Seconds that the backend takes for a request on a route, as seen here."""
         return self._pace_of(route)
 
-    @staticmethod
-    def rank(now: float, forward: Forward) -> Rank:
-        """Who is first: by the operators' priority, then whose answer loses its worth soonest.
-
-        Guards the work of parents: their calls have short aims, and a parent holds its berth until they are answered.
-        """
-        return forward.priority, now + forward.aim
-
     def _room(self, local: LocalBackend, forward: Forward) -> bool:
         """Whether it would get its turn while its answer is still worth something."""
         free = local.berths + EXTRA - self._at_work
         if free > 0:
             return True
-        rank = self.rank(self._loop.time(), forward)
-        before = [row[2].forward.route for row in self._waiting if row[0] <= rank and not row[2].over]
+        urgency = urgency_of(self._loop.time(), forward)
+        before = [row[2].forward.route for row in self._waiting if row[0] <= urgency and not row[2].over]
         pace = self._pace_of(forward.route)
         wait = (sum(map(self._pace_of, before)) + self._pace) / max(1, local.berths)
         fits = wait <= (WAIT_BACK if forward.back else WAIT_PART) * (forward.aim - pace)
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -10,7 +10,8 @@
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.uploads import UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
+from lugspur.mesh.dataplane.urgency import urgency_of
 from lugspur.mesh.link import Link
 from lugspur.mesh.outcomes import Outcomes
 
@@ -144,7 +145,7 @@
 
     def _part(self, link: Link, message: Part) -> None:
         try:
-            whole = self.uploads.part(self._loop.time(), (link, message.n), message.data)
+            whole = self.uploads.receive(self._loop.time(), (link, message.n), message.data)
         except ValueError as fault:
             events.warn("part", peer=link.peer, fault=str(fault))
             link.close()
@@ -156,8 +157,8 @@
     def _offered(self, link: Link, forward: Forward) -> None:
         """A request whose body would come in parts."""
         now, n = self._loop.time(), forward.n
-        rank, pace = self._gate.rank(now, forward), self._gate.pace(forward.route)
-        if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, rank, pace):
+        urgency, pace = urgency_of(now, forward), self._gate.pace(forward.route)
+        if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
             self._grant()
         else:
             self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
@@ -169,14 +170,14 @@
 
     def _grant(self) -> None:
         """Let those send whose turn it is."""
-        for key, upto in self.uploads.grants(self._loop.time()):
+        for key, upto in self.uploads.grant(self._loop.time()):
             link, n = key
             link.send(Grant(n, upto))
 
     def ended(self, link: Link) -> None:
         """A connection that was dialled to here has ended."""
         caller = self._callers.pop(link, None)
-        for key in self.uploads.of(link):
+        for key in self.uploads.keys_from(link):
             self.uploads.drop(key)
             if caller is not None:
                 self._outcomes.did_not_run(caller.life, key[1])
@@ -188,6 +189,6 @@
     def look(self, now: float) -> None:
         """RequestOutcome bodies whose time is over."""
         if len(self.uploads):
-            for link, n in self.uploads.expired(now):
+            for link, n in self.uploads.drop_expired(now):
                 self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
             self._grant()
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/outgoing.py
@@ -10,7 +10,7 @@
 from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Part, Reply, Withdraw
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.uploads import PART, in_parts
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, is_chunked
 from lugspur.mesh.link import Link
 
 UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
@@ -83,7 +83,7 @@
         forward.sent = now
         exchange = _Exchange(link, respond, bool(forward.key))
         self._open.setdefault(ip, {})[number] = exchange
-        if in_parts(len(forward.body), rate):
+        if is_chunked(len(forward.body), rate):
             exchange.body = _Body(forward.body)
             forward.size, forward.body = len(forward.body), b""
         link.send(forward)
@@ -136,8 +136,8 @@
         begin, body.sent = body.sent, min(message.upto, len(body.data))
         if body.sent == len(body.data):
             exchange.body = None
-        for at in range(begin, body.sent, PART):
-            exchange.link.send(Part(message.n, body.data[at : min(at + PART, body.sent)]))
+        for at in range(begin, body.sent, CHUNK_BYTES):
+            exchange.link.send(Part(message.n, body.data[at : min(at + CHUNK_BYTES, body.sent)]))
 
     def reached(self, link: Link) -> None:
         """A process has said which life of it answers on a new connection: ask what became of what was lost."""
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -21,7 +21,7 @@
 from lugspur.mesh.dataplane.ports import Carried
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
 from lugspur.mesh.dataplane.routes import RouteTable
-from lugspur.mesh.dataplane.uploads import UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
--- a/tests/mesh/test_uploads.py
+++ b/tests/mesh/dataplane/test_upload_scheduler.py
@@ -1,4 +1,4 @@
-"""Large bodies cross a link in parts: who is due first goes first, what comes too late is turned away unsent."""
+"""Large bodies cross a link in chunks: the earliest deadline goes first, late bodies are rejected unsent."""
 
 from __future__ import annotations
 
@@ -7,7 +7,15 @@
 from hypothesis import strategies as st
 
 from lugspur.mesh.control.messages import Forward
-from lugspur.mesh.dataplane.uploads import AHEAD, PART, STALLED, USED, Key, UploadScheduler, in_parts
+from lugspur.mesh.dataplane.upload_scheduler import (
+    CHUNK_BYTES,
+    GRANT_AHEAD_SECONDS,
+    STALL_TIMEOUT_SECONDS,
+    USABLE_LINK_FRACTION,
+    UploadKey,
+    UploadScheduler,
+    is_chunked,
+)
 
 RATE = 330_000.0  # bytes a second
 
@@ -29,46 +37,46 @@
     return uploads.offer(now, ("x", n), forward(size, aim, left, back), (1, now + aim), pace)
 
 
-def test_a_body_goes_in_parts_only_where_it_would_hold_up_the_link() -> None:
-    assert in_parts(60_000, RATE) and not in_parts(PART, RATE)
-    assert not in_parts(60_000, 125e6) and not in_parts(60_000, 0.0)
+def test_a_body_is_chunked_only_where_it_would_delay_others_on_the_link() -> None:
+    assert is_chunked(60_000, RATE) and not is_chunked(CHUNK_BYTES, RATE)
+    assert not is_chunked(60_000, 125e6) and not is_chunked(60_000, 0.0)
 
 
-def test_bytes_are_granted_a_little_ahead_and_the_request_is_whole_in_the_end() -> None:
+def test_bytes_are_granted_a_little_ahead_until_the_request_is_complete() -> None:
     uploads, sent, now = UploadScheduler(RATE, 1 << 20), 0, 0.0
     assert offer(uploads, 1, 60_000)
-    whole = None
-    while whole is None:
-        for key, upto in uploads.grants(now):
-            assert key == ("x", 1) and upto - sent <= max(2 * PART, RATE * AHEAD)
-        [_] = uploads.of("x")
+    complete = None
+    while complete is None:
+        for key, upto in uploads.grant(now):
+            assert key == ("x", 1) and upto - sent <= max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
+        [_] = uploads.keys_from("x")
         now += 0.02
-        step = min(PART, 60_000 - sent)
-        whole = uploads.part(now, ("x", 1), b"%c" % (65 + sent // PART) * step)
+        step = min(CHUNK_BYTES, 60_000 - sent)
+        complete = uploads.receive(now, ("x", 1), b"%c" % (65 + sent // CHUNK_BYTES) * step)
         sent += step
-    assert sent == len(whole.body) == 60_000 and whole.body[:PART] == b"A" * PART
-    assert whole.left == pytest.approx(10.0 - now) and whole.aim == pytest.approx(1.7 - now)
+    assert sent == len(complete.body) == 60_000 and complete.body[:CHUNK_BYTES] == b"A" * CHUNK_BYTES
+    assert complete.left == pytest.approx(10.0 - now) and complete.aim == pytest.approx(1.7 - now)
     assert len(uploads) == 0
 
 
-def test_who_is_due_first_goes_first_and_no_more_is_granted_than_the_link_takes() -> None:
+def test_the_earliest_deadline_goes_first_and_grants_stay_within_the_link_rate() -> None:
     uploads = UploadScheduler(RATE, 1 << 20)
     assert offer(uploads, 1, 60_000, aim=9.0) and offer(uploads, 2, 60_000, aim=1.0)
-    assert {key[1] for key, _ in uploads.grants(0.0)} == {2}
-    assert uploads.grants(0.1) == []  # it is all under way
-    uploads.part(0.1, ("x", 2), bytes(PART))
-    assert [key[1] for key, _ in uploads.grants(0.1)] == [2]
+    assert {key[1] for key, _ in uploads.grant(0.0)} == {2}
+    assert uploads.grant(0.1) == []  # it is all under way
+    uploads.receive(0.1, ("x", 2), bytes(CHUNK_BYTES))
+    assert [key[1] for key, _ in uploads.grant(0.1)] == [2]
 
 
-def test_a_sender_that_says_nothing_holds_nobody_up() -> None:
+def test_a_stalled_sender_delays_no_other_body() -> None:
     uploads = UploadScheduler(RATE, 1 << 20)
     assert offer(uploads, 1, 60_000, aim=1.0) and offer(uploads, 2, 60_000, aim=9.0)
-    assert {key[1] for key, _ in uploads.grants(0.0)} == {1}
-    assert uploads.grants(STALLED - 0.01) == []
-    assert uploads.grants(STALLED + 0.01) != []
+    assert {key[1] for key, _ in uploads.grant(0.0)} == {1}
+    assert uploads.grant(STALL_TIMEOUT_SECONDS - 0.01) == []
+    assert uploads.grant(STALL_TIMEOUT_SECONDS + 0.01) != []
 
 
-def test_what_would_be_late_is_turned_away_unless_it_comes_back_and_the_first_is_always_taken() -> None:
+def test_a_late_body_is_rejected_unless_its_caller_was_before_and_the_first_is_always_accepted() -> None:
     uploads = UploadScheduler(RATE, 8 << 20)
     assert offer(uploads, 0, 300_000, aim=1.0)  # it takes longer than it has, and nobody waits
     assert not offer(uploads, 1, 60_000)
@@ -76,27 +84,27 @@
     assert not offer(uploads, 3, 60_000, aim=1.2, back=True)
 
 
-def test_memory_is_bounded_and_what_is_over_or_dropped_is_gone() -> None:
+def test_memory_is_bounded_and_expired_or_dropped_bodies_free_it() -> None:
     uploads = UploadScheduler(RATE, 100_000)
     assert offer(uploads, 1, 60_000, left=1.0) and not offer(uploads, 2, 60_000, aim=99.0)
     assert not offer(uploads, 1, 10)  # a number that is in use
-    assert uploads.expired(0.9) == [] and uploads.expired(1.0) == [("x", 1)]
+    assert uploads.drop_expired(0.9) == [] and uploads.drop_expired(1.0) == [("x", 1)]
     assert offer(uploads, 3, 60_000) and uploads.drop(("x", 3)) and not uploads.drop(("x", 3))
-    assert uploads.part(0.0, ("x", 3), b"late") is None  # on its way when it was dropped
+    assert uploads.receive(0.0, ("x", 3), b"late") is None  # on its way when it was dropped
     assert offer(uploads, 4, 60_000)
     with pytest.raises(ValueError, match="granted"):
-        uploads.part(0.0, ("x", 4), b"unasked")
+        uploads.receive(0.0, ("x", 4), b"unasked")
 
 
-def test_a_silent_sender_is_granted_no_more_until_it_brings_what_it_owes() -> None:
+def test_a_stalled_sender_is_granted_no_more_until_outstanding_bytes_arrive() -> None:
     uploads, now = UploadScheduler(RATE, 1 << 20), 0.0
     assert offer(uploads, 1, 200_000, left=99.0)
-    [(_, upto)] = uploads.grants(now)
+    [(_, upto)] = uploads.grant(now)
     for _ in range(50):
-        now += STALLED / 2
-        assert uploads.grants(now) == []
-    uploads.part(now, ("x", 1), bytes(upto))
-    assert uploads.grants(now) != []
+        now += STALL_TIMEOUT_SECONDS / 2
+        assert uploads.grant(now) == []
+    uploads.receive(now, ("x", 1), bytes(upto))
+    assert uploads.grant(now) != []
 
 
 @example(steps=[(0, 1, 1.0, 0.0), (0, 33001, 2.0, 0.0), (0, 1, 1.0, 0.5), (1, 1, 1.0, 0.0), (2, 1, 1.0, 0.5)])
@@ -105,11 +113,11 @@
         st.tuples(st.integers(0, 3), st.integers(1, 200_000), st.floats(0.1, 9.0), st.floats(0.0, 0.5)), max_size=40
     )
 )
-def test_over_any_order_all_that_is_taken_arrives_and_the_link_is_never_granted_more(
+def test_in_any_order_all_accepted_bodies_arrive_and_grants_stay_within_the_link(
     steps: list[tuple[int, int, float, float]],
 ) -> None:
-    uploads, now, sent = UploadScheduler(RATE, 1 << 20), 0.0, dict[Key, int]()
-    due, granted = dict[Key, int](), dict[Key, int]()
+    uploads, now, sent = UploadScheduler(RATE, 1 << 20), 0.0, dict[UploadKey, int]()
+    due, granted = dict[UploadKey, int](), dict[UploadKey, int]()
     for n, (what, size, aim, gap) in enumerate(steps):
         now += gap
         if what == 0:
@@ -121,25 +129,25 @@
                 del due[key]
         elif due:
             key = max(due)
-            step = min(PART, granted[key] - sent[key])
-            if step and uploads.part(now, key, bytes(step)) is not None:
+            step = min(CHUNK_BYTES, granted[key] - sent[key])
+            if step and uploads.receive(now, key, bytes(step)) is not None:
                 assert sent[key] + step == due.pop(key)
             sent[key] += step
-        for key, upto in uploads.grants(now):
+        for key, upto in uploads.grant(now):
             assert granted[key] < upto <= due[key]
             granted[key] = upto
-        most = max(2 * PART, RATE * AHEAD)
+        most = max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
         assert all(granted[key] - sent[key] <= most for key in due)
         assert sum(granted[key] - sent[key] for key in due) <= most * (1 + len(due))
     for _ in range(5000):
         if not due:
             break
-        now += PART / (RATE * USED)
+        now += CHUNK_BYTES / (RATE * USABLE_LINK_FRACTION)
         for key in list(due):
-            step = min(PART, granted[key] - sent[key])
-            if step and uploads.part(now, key, bytes(step)) is not None:
+            step = min(CHUNK_BYTES, granted[key] - sent[key])
+            if step and uploads.receive(now, key, bytes(step)) is not None:
                 due.pop(key)
             sent[key] += step
-        for key, upto in uploads.grants(now):
+        for key, upto in uploads.grant(now):
             granted[key] = upto
     assert not due and len(uploads) == 0
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -22,7 +22,7 @@
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend, Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, UploadScheduler
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.outcomes import UNRUN_MOST, Outcomes
 from lugspur.mesh.outgoing import UNPROVEN_MOST, OutgoingExchanges
@@ -119,10 +119,10 @@
         before, after = rig.greeted("one"), rig.greeted("two")
         rig.hear(before, forward(1, rig.stamp(), size=20_000))
         rig.hear(after, forward(1, rig.stamp(), size=30_000))
-        rig.hear(before, Part(1, bytes(PART)), Cancel(1))  # of its own number 1 alone
+        rig.hear(before, Part(1, bytes(CHUNK_BYTES)), Cancel(1))  # of its own number 1 alone
         rig.incoming.ended(before)  # type: ignore[arg-type]
         for n in range(4):
-            rig.hear(after, Part(1, bytes(min(PART, 30_000 - n * PART))))
+            rig.hear(after, Part(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
         assert rig.ran == [b"a1"] and before.replies == [] and after.open
         rig.hear(after, Hello("127.0.0.2", "three", False))
         assert not after.open  # one connection is of one life
@@ -148,7 +148,7 @@
 def test_a_body_whose_end_comes_after_its_time_does_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
     def what(rig: Rig) -> None:
         loop, wire = asyncio.get_running_loop(), rig.greeted()
-        rig.hear(wire, forward(1, rig.stamp(), size=PART))
+        rig.hear(wire, forward(1, rig.stamp(), size=CHUNK_BYTES))
         [grant] = [m for m in wire.sent if isinstance(m, Grant)]
         now = loop.time()
         monkeypatch.setattr(loop, "time", lambda: now + 30.0)  # frozen: the part waited, and no timer has run yet
@@ -180,7 +180,7 @@
         for wire in (first, other):  # a late answer on the old connection, and one of another machine
             for n in (old, new, large):
                 outgoing.reply(wire, Reply(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
-            outgoing.grant(wire, Grant(large, PART))  # type: ignore[arg-type]
+            outgoing.grant(wire, Grant(large, CHUNK_BYTES))  # type: ignore[arg-type]
         outgoing.reply(second, Reply(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [] and not [m for m in second.sent if isinstance(m, Part)]
         outgoing.reply(second, Reply(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
@@ -302,7 +302,7 @@
         rig.tickets[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
         rig.hear(wire, Withdraw(1), Withdraw(2), Withdraw(3))
         assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.open
-        rig.hear(wire, Part(2, bytes(PART)))  # a part that was on its way
+        rig.hear(wire, Part(2, bytes(CHUNK_BYTES)))  # a part that was on its way
         assert rig.ran == [b"a1"] and wire.open
         rig.gate._end(rig.tickets[0], RequestOutcome.ANSWERED, FailureCause.NONE, Answer(200, b"", b""))
         assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -23,7 +23,7 @@
     Voter,
 )
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.uploads import PART
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.registration import BackendStatus
 from lugspur.mesh.settings import load
@@ -250,7 +250,8 @@
 
 
 @pytest.mark.parametrize(
-    ("granted", "how"), [(0, RequestOutcome.NOT_RUN), (PART, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)]
+    ("granted", "how"),
+    [(0, RequestOutcome.NOT_RUN), (CHUNK_BYTES, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)],
 )
 def test_a_body_whose_end_was_not_sent_has_not_run_and_a_whole_one_may_have(
     tmp_path: Path, granted: int, how: RequestOutcome
@@ -266,7 +267,7 @@
         sidecar.carry(ip, forward, replies.append)
         [offer] = wire.sent
         assert isinstance(offer, Forward) and (offer.size, offer.body) == (len(body), b"")
-        for upto in range(PART, granted + PART, PART):
+        for upto in range(CHUNK_BYTES, granted + CHUNK_BYTES, CHUNK_BYTES):
             sidecar._heard_from(wire, Grant(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
         parts = [m for m in wire.sent[1:] if isinstance(m, Part)]
         assert b"".join(p.data for p in parts) == body[:granted]
