--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -52,7 +52,7 @@
 def _send_again_whatever_ran(self: ProxiedRequest, now: float) -> bool:
     if self.out:
         return True
-    if self.rounds >= proxied_request.ROUNDS or now >= self.deadline or self.sends >= self.route.tries:
+    if self.rounds >= proxied_request.ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
         return False
     self.maybe = False
     return self._go(now, True)
@@ -61,7 +61,7 @@
 def _release_without_proof(self: ProxiedRequest) -> None:
     if self.won:
         self.won = False
-        self.proxy.keys.release(self.key, self.claim_id)
+        self.proxy.keys.release(self.key, self.reservation_id)
 
 
 def _run_without_claim(self: ProxiedRequest, how: Any) -> None:
--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -8,7 +8,7 @@
 from cachetools import LRUCache
 
 from lugspur.load_balancing.breaker import Breaker
-from lugspur.mesh.dataplane.routes import RouteEntry
+from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import Refusal
 
 COLD = 2.0  # times the usual latency that a backend counts with while it says that it is slow
@@ -66,7 +66,7 @@
 
     Returns why each refused where none is found.
     """
-    pace = route.pace
+    pace = route.average_latency
     timeout = route.deadline / pace if pace else 0.0
     far = FAR + body_bytes / FAR_BYTES
 
--- /dev/null
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -0,0 +1,96 @@
+"""Interfaces between a request, the proxy that accepted it, and what carries requests and reserves their keys."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from random import Random
+from typing import Any, Protocol
+
+from lugspur.load_balancing.budget import Budget
+from lugspur.mesh.control.claims import Settled
+from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.dataplane.endpoints import Endpoint
+
+
+class SentRequest(Protocol):
+    """A request that was handed to a carrier and has no result yet."""
+
+    def cancel(self) -> None:
+        """End the request, wherever it is: nobody waits for it, and it may run again."""
+
+    def withdraw(self) -> None:
+        """Keep the request from being started: nobody waits for it.
+
+        What a backend already works on goes on, and its result still comes.
+        """
+
+
+class RequestCarrier(Protocol):
+    """Takes requests to the concurrency limiter beside a backend."""
+
+    def ready(self, ip: str) -> bool:
+        """Whether that machine can be reached now."""
+
+    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> SentRequest:
+        """Send a request; `respond` is called once with its result.
+
+        After a result that reports a lost connection a second one may follow: proof that the request did not run.
+        """
+
+
+class KeyReservations(Protocol):
+    """Reserves idempotency keys at the voters of the mesh."""
+
+    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+        """Ask for the right to run the operation with this key; `over` is called with the outcome.
+
+        `by` names this reservation, and no other. `left`: seconds that its request may run; `within`: seconds in which
+        an outcome is wanted.
+        """
+
+    def release(self, key: bytes, by: bytes) -> None:
+        """Give a reservation back under which nothing ran."""
+
+    def drop(self, key: bytes, by: bytes) -> None:
+        """Forget a reservation whose outcome nobody waits for any more."""
+
+
+class OpenRequest(Protocol):
+    """A request that has no answer yet."""
+
+    def end(self) -> None:
+        """Answer the request now, whatever is in flight."""
+
+
+class RequestHost(Protocol):
+    """The proxy that accepted a request, as far as the request needs it."""
+
+    loop: asyncio.AbstractEventLoop
+    rng: Random
+    zone: str
+    sender: str  # the service of this machine
+    carrier: RequestCarrier
+    keys: KeyReservations
+    services: dict[str, dict[str, Endpoint]]  # by the backend's id
+
+    def request_opened(self, request: OpenRequest) -> None:
+        """Note a request that has no answer yet."""
+
+    def request_closed(self, request: OpenRequest) -> None:
+        """Note that a request has been answered, or that its caller has disconnected."""
+
+    def budget(self, service: str) -> Budget:
+        """Return this process's part of the service's retry budget."""
+
+    def reservation_id(self, attempt: bytes) -> bytes:
+        """Return a name for one reservation of an idempotency key that no other reservation has."""
+
+    def count(self, ending: str) -> None:
+        """Count a request by how it ended, or by why it could not go on."""
+
+    def request_served(self, seconds: float) -> None:
+        """Count a request that a backend answered successfully, `seconds` after it arrived."""
+
+    def request_failed(self, attempt: bytes, ending: str, **facts: Any) -> None:
+        """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -10,10 +10,10 @@
 from lugspur.mesh.control.messages import Answer, Forward, Reply
 from lugspur.mesh.dataplane.endpoints import Endpoint, pick
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.ports import Carried, RequestHost
-from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.interfaces import RequestHost, SentRequest
+from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.routes import RouteEntry
+from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import PickView, Step
 from lugspur.seams import Answerable, Request
 
@@ -51,13 +51,13 @@
     ) -> None:
         self.proxy, self.request, self.caller, self.route = proxy, request, caller, route
         self.deadline, self.attempt, self.back = deadline, attempt, back
-        self.key = key if route.kind == "tracked" else b""
-        self.claim_id = proxy.claim_id(attempt) if self.key else b""
-        self.service = route.service(proxy.rng)
+        self.key = key if route.is_keyed else b""
+        self.reservation_id = proxy.reservation_id(attempt) if self.key else b""
+        self.service = route.draw_service(proxy.rng)
         self.sends = 0  # backends that it was offered to, or may have been
         self.rounds = 0  # gates that turned it away
         self.tried: set[str] = set()
-        self.out: dict[int, tuple[Endpoint, float, Carried]] = {}  # what is under way
+        self.out: dict[int, tuple[Endpoint, float, SentRequest]] = {}  # what is under way
         self.over = False
         self.maybe = False  # it may have run
         self.ran = False  # a backend has answered it
@@ -77,15 +77,15 @@
         now = loop.time()
         if now >= self.deadline:
             self._record(Kind.TOO_LATE.value)
-            refuse(self.caller, Kind.TOO_LATE)
+            reject(self.caller, Kind.TOO_LATE)
             return
-        proxy.opened(self)
+        proxy.request_opened(self)
         proxy.budget(self.service).take(now)
         self.caller.gone = self._gone
         self._timer = loop.call_at(self.deadline + MARGIN, self._late)
         if self.key:
             left = self.deadline - now
-            proxy.keys.claim(self.key, self.claim_id, left, min(CLAIM_WITHIN, left / 3.0), self._claimed)
+            proxy.keys.claim(self.key, self.reservation_id, left, min(CLAIM_WITHIN, left / 3.0), self._claimed)
         else:
             self._go(now)
 
@@ -142,27 +142,27 @@
             self._lines,
             request.body,
             self.deadline - now,
-            request.arrived + route.target - now,
+            request.arrived + route.latency_target - now,
             self.attempt,
             route.priority,
-            route.safe,
+            route.is_safe,
             route.name,
             self.key,
-            self.claim_id,
+            self.reservation_id,
             self.back,
         )
         endpoint.inflight += 1
         self.sends += 1
         if self.sends > 1:
             self.proxy.budget(self.service).spend(now)
-        check(self.sends <= self.route.tries, Invariant.TRIES, attempt=self.attempt, sends=self.sends)
+        check(self.sends <= self.route.max_attempts, Invariant.TRIES, attempt=self.attempt, sends=self.sends)
         self.out[number] = (endpoint, now, NOT_UNDER_WAY)
         carried = self.proxy.carrier.carry(endpoint.ip, forward, lambda reply: self._replied(number, reply))
         if number in self.out:
             self.out[number] = (endpoint, now, carried)
-            if route.safe and route.pace and self._hedge is None and self.sends < route.tries:
-                at = now + max(HEDGE * route.pace, HEDGE_AIM * route.target)
-                if at + route.pace < self.deadline:
+            if route.is_safe and route.average_latency and self._hedge is None and self.sends < route.max_attempts:
+                at = now + max(HEDGE * route.average_latency, HEDGE_AIM * route.latency_target)
+                if at + route.average_latency < self.deadline:
                     self._hedge = self.proxy.loop.call_at(at, self._second)
         return True
 
@@ -170,13 +170,13 @@
         """What must hold before it is sent to a backend."""
         unrun = not (self.maybe or self.out or self.last is not None)
         check(not self.over, Invariant.SENT_WHILE_OPEN, attempt=self.attempt)
-        check(self.route.safe or unrun, Invariant.RUN_ONCE, attempt=self.attempt, route=self.route.name)
+        check(self.route.is_safe or unrun, Invariant.RUN_ONCE, attempt=self.attempt, route=self.route.name)
         check(not self.key or self.won, Invariant.CLAIM_WON, attempt=self.attempt)
 
     def _second(self) -> None:
         """A safe request has been out for long: its answer may be lost."""
         now = self.proxy.loop.time()
-        if self.over or len(self.out) != 1 or self.sends >= self.route.tries:
+        if self.over or len(self.out) != 1 or self.sends >= self.route.max_attempts:
             return  # a further try may have been sent since the hedge was set
         if self.proxy.budget(self.service).allows(now):
             self._go(now, True)
@@ -209,8 +209,10 @@
         if how == RequestOutcome.ANSWERED and reply.answer is not None:
             self.ran = True
             if reply.answer.status < 500:
-                route.pace += (took - route.pace) * (PACE_WEIGHT if route.pace else 1.0)
-                relative = took / route.pace
+                route.average_latency += (took - route.average_latency) * (
+                    PACE_WEIGHT if route.average_latency else 1.0
+                )
+                relative = took / route.average_latency
                 breaker = endpoint.breaker(route.name)
                 breaker.accepted(now)
                 breaker.sample(relative)
@@ -219,7 +221,7 @@
                 self._failed(now, endpoint)
             if self.over:
                 return
-            if reply.answer.status >= 500 and route.safe:
+            if reply.answer.status >= 500 and route.is_safe:
                 self.last = reply.answer
                 if not self._again(now):
                     self._finish_failed()
@@ -244,7 +246,7 @@
 
     def _proved_later(self, reply: Reply) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if reply.how == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
+        if reply.how == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.is_safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
@@ -262,9 +264,9 @@
         """Whether it goes on: something is under way, or another backend may have it."""
         if self.out:
             return True
-        if (self.maybe or self.last is not None) and not self.route.safe:
+        if (self.maybe or self.last is not None) and not self.route.is_safe:
             return False
-        if self.rounds >= ROUNDS or now >= self.deadline or self.sends >= self.route.tries:
+        if self.rounds >= ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
             return False
         if self.sends and not self.proxy.budget(self.service).allows(now):
             return False
@@ -278,7 +280,7 @@
 
     def _give_up(self) -> None:
         """Nobody will run it: refused where that is proven, else failed."""
-        if self.maybe and not self.route.safe:
+        if self.maybe and not self.route.is_safe:
             self._refuse(Kind.MAYBE_RAN)
             return
         self._refuse(Kind.MAYBE_RAN if self.maybe else Kind.NO_BACKEND)
@@ -296,12 +298,12 @@
         if self.won and not (self.out or self.maybe or self.ran):
             check(self.over, Invariant.RELEASED_UNRUN, attempt=self.attempt)
             self.won = False
-            self.proxy.keys.release(self.key, self.claim_id)
+            self.proxy.keys.release(self.key, self.reservation_id)
 
     def _answer(self, answer: Answer) -> None:
         self._finish()
         if answer.status < 500:
-            self.proxy.served(self.proxy.loop.time() - self.request.arrived)
+            self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
         else:
             self._record(BACKEND_FAILED)
         self.caller.answer(answer.status, answer.head, answer.body)
@@ -309,7 +311,7 @@
     def _refuse(self, kind: Kind) -> None:
         self._record(kind.value)
         self._finish()
-        refuse(self.caller, kind, self.deadline - self.proxy.loop.time())
+        reject(self.caller, kind, self.deadline - self.proxy.loop.time())
 
     def end(self) -> None:
         """This process ends: it is answered now, whatever is under way.
@@ -328,7 +330,7 @@
     def _record(self, how: str) -> None:
         """Count a failure, and keep an account of it."""
         route, request = self.route, self.request
-        self.proxy.failed(
+        self.proxy.request_failed(
             self.attempt,
             how,
             route=route.name,
@@ -348,15 +350,15 @@
     def _finish(self) -> None:
         check(not self.over, Invariant.ONE_ANSWER, attempt=self.attempt)
         self.over = True
-        self.proxy.closed(self)
+        self.proxy.request_closed(self)
         for timer in (self._timer, self._hedge):
             if timer is not None:
                 timer.cancel()
         if self.key and not self.won:
-            self.proxy.keys.drop(self.key, self.claim_id)
+            self.proxy.keys.drop(self.key, self.reservation_id)
         self._release_unrun()
         for _, _, carried in list(self.out.values()):
-            if self.route.safe:
+            if self.route.is_safe:
                 carried.cancel()
             elif not self.key:  # a keyed one's answer is kept for a repeat
                 carried.withdraw()
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -12,10 +12,10 @@
 from lugspur.load_balancing.budget import Budget
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint
-from lugspur.mesh.dataplane.ports import Carrier, Keys, OpenRequest
+from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
-from lugspur.mesh.dataplane.refusal import refuse
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.rejection import reject
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import FailureLog, Standing, keep_only
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
@@ -31,8 +31,8 @@
     def __init__(
         self,
         table: RouteTable,
-        carrier: Carrier,
-        keys: Keys,
+        carrier: RequestCarrier,
+        keys: KeyReservations,
         rng: Random,
         ratio: float,
         slack: float,
@@ -75,7 +75,7 @@
         found.allot(self._slack / max(1, self.proxies))
         return found
 
-    def claim_id(self, attempt: bytes) -> bytes:
+    def reservation_id(self, attempt: bytes) -> bytes:
         """Names one claim of an operation key: no other claim, of whatever process at whatever time, has this name.
 
         Guards against a second run: a voter grants a key again to whom it has granted it. By the attempt's id alone
@@ -83,35 +83,35 @@
         """
         return b"%b.%b.%d" % (attempt, self._life, next(self._claims))
 
-    def opened(self, request: OpenRequest) -> None:
+    def request_opened(self, request: OpenRequest) -> None:
         """One more has no answer yet."""
         self.open_requests.add(request)
 
-    def closed(self, request: OpenRequest) -> None:
+    def request_closed(self, request: OpenRequest) -> None:
         """One has been answered, or its caller has left."""
         self.open_requests.discard(request)
 
-    def count(self, how: str) -> None:
-        """One more that ended, or could not go on, so."""
-        self.ended[how] += 1
+    def count(self, ending: str) -> None:
+        """Count a request by how it ended, or by why it could not go on."""
+        self.ended[ending] += 1
 
-    def served(self, seconds: float) -> None:
+    def request_served(self, seconds: float) -> None:
         """One more was answered by a backend's success."""
         self.count("answered")
         self.seconds.add(seconds)
 
-    def failed(self, attempt: bytes, how: str, **facts: Any) -> None:
-        """One more was not; `facts` as in `FailedRequest`."""
-        self.count(how)
-        self.failures.add(attempt, how, **facts)
+    def request_failed(self, attempt: bytes, ending: str, **facts: Any) -> None:
+        """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
+        self.count(ending)
+        self.failures.add(attempt, ending, **facts)
 
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take one request; its caller gets one answer."""
         try:
             proxied_request = self._take(request, caller)
         except MeshError as fault:
-            self.failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], fault.kind.value)
-            refuse(caller, fault.kind)
+            self.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], fault.kind.value)
+            reject(caller, fault.kind)
             return
         proxied_request.begin()
 
@@ -132,6 +132,6 @@
             if not told.isdigit() or len(told) > 9:
                 raise MeshError(Kind.BAD_REQUEST)
             left = min(left, int(told) / 1000.0)
-        back = route.comes_back(left)
+        back = route.is_returning_caller(left)
         caller.admit()
         return ProxiedRequest(self, request, caller, route, request.arrived + left, attempt, key, back)
--- /dev/null
+++ b/lugspur/mesh/dataplane/route_table.py
@@ -0,0 +1,150 @@
+"""The routes in force, and which of them a request is on: by its host and the longest matching path prefix."""
+
+from __future__ import annotations
+
+from random import Random
+
+import msgspec
+
+from lugspur.mesh.control.items import LIMITS, ROUTES, Bounds, Route, read_bounds, read_route
+from lugspur.mesh.control.messages import Entry
+
+LONGEST_TIME_DECAY = 1 / 256  # of the difference by which one caller's time lowers the longest that is known
+RETURNING_FRACTION = 0.97  # of the longest time: callers round
+
+
+class RouteEntry:
+    """A route as requests use it, with what this process has learned of it; times in seconds."""
+
+    __slots__ = (
+        "average_latency",
+        "deadline",
+        "edition",
+        "host",
+        "latency_target",
+        "longest_time",
+        "max_attempts",
+        "name",
+        "prefix",
+        "priority",
+        "request_class",
+        "services",
+        "weights",
+    )
+
+    def __init__(self, route: Route, edition: int) -> None:
+        self.name, self.edition = route.name, edition
+        self.host = route.office.lower().encode()
+        self.prefix = route.path_prefix.encode()
+        self.request_class = route.mail_class
+        self.deadline = route.deadline_ms / 1000.0  # counted from a request's arrival
+        self.latency_target = (route.target_ms or route.deadline_ms) / 1000.0
+        self.priority, self.max_attempts = route.priority, route.tries
+        self.services = route.services()
+        self.weights = [part.share for part in route.split] if route.split else [1.0]
+        self.average_latency = 0.0  # of answers, as measured here; 0: none has come yet
+        self.longest_time = 0.0  # that callers give a request on this route when they first send it
+
+    @property
+    def is_safe(self) -> bool:
+        """Whether requests on this route may run more than once."""
+        return self.request_class == "safe"
+
+    @property
+    def is_keyed(self) -> bool:
+        """Whether requests on this route run once for each idempotency key."""
+        return self.request_class == "tracked"
+
+    def is_returning_caller(self, time_left: float) -> bool:
+        """Whether a caller that gives its request `time_left` seconds has sent it before: most others give more.
+
+        Also learns the time that callers usually give.
+        """
+        self.longest_time = max(time_left, self.longest_time + (time_left - self.longest_time) * LONGEST_TIME_DECAY)
+        return time_left < RETURNING_FRACTION * self.longest_time
+
+    def record_latency(self, latency: float, weight: float) -> None:
+        """Move the average by one answer, which counts with `weight` (an exponentially weighted moving average)."""
+        self.average_latency += (latency - self.average_latency) * (weight if self.average_latency else 1.0)
+
+    def draw_service(self, rng: Random) -> str:
+        """Draw the service that a request goes to, by the weights of the route's split."""
+        if len(self.services) == 1:
+            return self.services[0]
+        return rng.choices(self.services, self.weights)[0]
+
+
+class RouteTable:
+    """All routes and request limits in force; each changed item applies at once."""
+
+    def __init__(self) -> None:
+        self._entries: dict[str, RouteEntry] = {}  # by the item's name
+        self._hosts: dict[bytes, dict[bytes, RouteEntry]] = {}  # by host and prefix
+        self._candidates: dict[tuple[bytes, bytes], dict[str, RouteEntry]] = {}  # all of a host and prefix, by name
+        self.request_limits = Bounds()
+
+    def __len__(self) -> int:
+        """Return the number of routes."""
+        return len(self._entries)
+
+    def apply(self, entry: Entry) -> bool:
+        """Apply a changed item; return whether it was the request limits. Items of other kinds are ignored."""
+        if entry.kind == LIMITS and entry.value is not None:
+            self.request_limits = read_bounds(entry.value)
+            return True
+        if entry.kind == ROUTES:
+            self._replace(entry)
+        return False
+
+    def _replace(self, entry: Entry) -> None:
+        previous = self._entries.pop(entry.name, None)
+        if previous is not None:
+            self._remove(entry.name, previous)
+        if entry.value is None:
+            return
+        try:
+            route = read_route(entry.value)
+        except msgspec.MsgspecError:  # Guards the other routes: the item was checked, but by another build
+            return
+        route_entry = RouteEntry(route, entry.edition)
+        if previous is not None:
+            route_entry.average_latency = previous.average_latency
+            route_entry.longest_time = previous.longest_time
+        self._insert(entry.name, route_entry)
+
+    def _insert(self, name: str, route_entry: RouteEntry) -> None:
+        self._entries[name] = route_entry
+        candidates = self._candidates.setdefault((route_entry.host, route_entry.prefix), {})
+        candidates[name] = route_entry
+        self._hosts.setdefault(route_entry.host, {})[route_entry.prefix] = self._preferred(candidates)
+
+    def _remove(self, name: str, route_entry: RouteEntry) -> None:
+        host, prefix = route_entry.host, route_entry.prefix
+        candidates = self._candidates[host, prefix]
+        del candidates[name]
+        if candidates:
+            self._hosts[host][prefix] = self._preferred(candidates)
+            return
+        del self._candidates[host, prefix]
+        del self._hosts[host][prefix]
+        if not self._hosts[host]:
+            del self._hosts[host]
+
+    @staticmethod
+    def _preferred(candidates: dict[str, RouteEntry]) -> RouteEntry:
+        """Choose between routes of one host and prefix, which two operators may have made: all proxies choose alike."""
+        return max(candidates.values(), key=lambda route_entry: (route_entry.edition, route_entry.name))
+
+    def find(self, host: bytes, target: bytes) -> RouteEntry | None:
+        """Return the route of a request by its `Host` header and target, or None."""
+        prefixes = self._hosts.get(host.partition(b":")[0].lower())
+        if not prefixes:
+            return None
+        path = target.partition(b"?")[0]
+        end = len(path)
+        route_entry = prefixes.get(path)
+        while route_entry is None and end > 0:
+            end = path.rfind(b"/", 0, end)
+            if end >= 0:
+                route_entry = prefixes.get(path[: end + 1])
+        return route_entry
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -18,9 +18,9 @@
 from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
-from lugspur.mesh.dataplane.ports import Carried
+from lugspur.mesh.dataplane.interfaces import SentRequest
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
@@ -125,7 +125,7 @@
 
     def _tune(self) -> None:
         """Callers are held to the operators' limits."""
-        bounds, limits = self.table.bounds, self.settings.own.limits
+        bounds, limits = self.table.request_limits, self.settings.own.limits
         most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
         sizes = Sizes(head=bounds.label_bytes + 1024, body=bounds.payload_bytes, ordinary=True)
         self.front.tune(
@@ -134,7 +134,7 @@
 
     def _handle(self, request: Request, caller: Answerable) -> None:
         if not self.known:
-            self.proxy.failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
+            self.proxy.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
             raise_not_ready(caller)
             return
         self.proxy.handle(request, caller)
@@ -175,7 +175,7 @@
                 self._cold[entry.name] = self.loop.time() + backend_status.cold
             if len(self._stale_services) == 1 or before is None:
                 self.loop.call_soon(self._members)
-        elif entry.kind in (ROUTES, LIMITS) and self.table.change(entry) and hasattr(self, "front"):
+        elif entry.kind in (ROUTES, LIMITS) and self.table.apply(entry) and hasattr(self, "front"):
             self._tune()
 
     def _members(self) -> None:
@@ -199,7 +199,7 @@
     def keep_peer(self, ip: str) -> bool:
         return self.outgoing.waits_for(ip)
 
-    # ---- carrying requests (see proxy.Carrier) -----------------------------------------------
+    # ---- carrying requests (see interfaces.RequestCarrier) -----------------------------------------------
 
     def ready(self, ip: str) -> bool:
         """Whether that machine can be reached now."""
@@ -208,7 +208,7 @@
         dialler = self.peers.get(ip)
         return dialler is not None and dialler.link is not None and dialler.link.answered
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> SentRequest:
         """Send it to the gate beside that machine's backend."""
         if ip == self.ip:
             return CarriedHere(self.gate, self.gate.run(forward, respond))
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -32,8 +32,8 @@
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
-from lugspur.mesh.dataplane.refusal import refuse
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.rejection import reject
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.http_api import fail
 from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
 from lugspur.observability.failures import FailureLog, Standing
@@ -168,7 +168,7 @@
         return None
 
 
-class Carried:
+class SentRequest:
     """A request that was handed to the played gates."""
 
     def cancel(self) -> None:
@@ -187,7 +187,7 @@
         self.gate: Gate | None = None
         table = RouteTable()
         for item in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
-            table.change(item)
+            table.apply(item)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
         self.proxy.sender = "mine"
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), tell_failure)
@@ -196,11 +196,11 @@
     def ready(self, ip: str) -> bool:
         return True
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> SentRequest:
         self.sent.append((forward, respond))
         if self.gate is not None:
             self.gate.run(forward, respond)
-        return Carried()
+        return SentRequest()
 
     def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
         self.claims.append(over)
@@ -412,7 +412,7 @@
     status, span = FAULTS[fault]
     for _ in range(50):
         caller = Caller()
-        refuse(caller, Kind(fault))
+        reject(caller, Kind(fault))
         [(told, head, body)] = caller.answers
         assert (told, body) == (status, fault.encode() + b"\n")
         if span is None:
@@ -430,14 +430,14 @@
     told = set()
     for _ in range(200):
         caller = Caller()
-        refuse(caller, Kind("no-backend"), 30.0)
+        reject(caller, Kind("no-backend"), 30.0)
         [(_, head, _)] = caller.answers
         found = re.fullmatch(rb"Retry-After: (\d+\.\d{3})\r\n", head)
         assert found is not None
         told.add(float(found[1]))
     assert min(told) >= 6.0 and max(told) <= 10.0 and len(told) > 100
     caller = Caller()
-    refuse(caller, Kind("no-backend"), 0.001)
+    reject(caller, Kind("no-backend"), 0.001)
     assert caller.answers == [(503, b"Retry-After: 0.050\r\n", b"no-backend\n")]
 
 
--- a/tests/mesh/test_route_table.py
+++ b/tests/mesh/dataplane/test_route_table.py
@@ -8,13 +8,13 @@
 
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.route_table import RouteTable
 
 
 def table(*routes: dict[str, object]) -> RouteTable:
     found = RouteTable()
     for entry in read_call(call(*routes)):
-        found.change(entry)
+        found.apply(entry)
     return found
 
 
@@ -39,24 +39,24 @@
     assert name(routes, b"/z", b"b.example") is None and name(routes, b"/z", b"") is None
 
 
-def test_a_route_that_moves_or_goes_leaves_its_place() -> None:
+def test_a_route_that_is_moved_or_withdrawn_frees_its_prefix() -> None:
     routes = table(route("r"))
     for entry in read_call(call(route("r", "00000009", path_prefix="/new/"))):
-        routes.change(entry)
+        routes.apply(entry)
     assert (name(routes, b"/r/1"), name(routes, b"/new/1")) == (None, "r")
-    routes.change(Entry("routes", "r", 10, None))
+    routes.apply(Entry("routes", "r", 10, None))
     assert name(routes, b"/new/1") is None and len(routes) == 0
 
 
-def test_two_that_were_given_one_place_are_told_apart_the_same_way_everywhere() -> None:
+def test_of_two_routes_with_one_prefix_every_proxy_prefers_the_same() -> None:
     one, two = route("a", "00000008", path_prefix="/p/"), route("b", "00000007", path_prefix="/p/")
     assert name(table(one, two), b"/p/") == name(table(two, one), b"/p/") == "a"
     routes = table(one, two)
-    routes.change(Entry("routes", "a", 9, None))
+    routes.apply(Entry("routes", "a", 9, None))
     assert name(routes, b"/p/") == "b"
 
 
-def test_a_split_goes_by_its_shares() -> None:
+def test_a_split_is_drawn_by_its_weights() -> None:
     routes = table(
         route(
             "r",
@@ -66,5 +66,5 @@
     )
     entry, rng = routes.find(b"a.example", b"/r/"), Random(1)
     assert entry is not None
-    drawn = [entry.service(rng) for _ in range(2000)]
+    drawn = [entry.draw_service(rng) for _ in range(2000)]
     assert 0.07 < drawn.count("t") / 2000 < 0.13 and "u" not in drawn
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -17,7 +17,7 @@
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import PickView, Refusal
 from lugspur.seams import Request
 
@@ -44,7 +44,7 @@
         return None
 
 
-class Carried:
+class SentRequest:
     """A request that was handed to the played gates."""
 
     def __init__(self, rig: Rig, at: int) -> None:
@@ -65,12 +65,12 @@
         self.cancelled: list[int] = []
         self.withdrawn: list[int] = []
         self.claimed: list[tuple[bytes, Callable[[Settled], None]]] = []
-        self.claim_ids: list[bytes] = []
+        self.reservation_ids: list[bytes] = []
         self.released: list[bytes] = []
         self.unreachable: set[str] = set()
         table = RouteTable()
         for entry in read_call(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
-            table.change(entry)
+            table.apply(entry)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, slack, 10.0, "z0")
         self.proxy.sender = "mine"
         self.proxy.members("s", {f"i-{n}": (f"10.0.0.{n}", f"z{n}", 9, 0.0) for n in range(backends)})
@@ -79,13 +79,13 @@
     def ready(self, ip: str) -> bool:
         return ip not in self.unreachable
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> SentRequest:
         self.sent.append((ip, forward, respond))
-        return Carried(self, len(self.sent) - 1)
+        return SentRequest(self, len(self.sent) - 1)
 
     def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
         self.claimed.append((key, over))
-        self.claim_ids.append(by)
+        self.reservation_ids.append(by)
 
     def release(self, key: bytes, by: bytes) -> None:
         self.released.append(key)
@@ -248,10 +248,10 @@
     def what(rig: Rig) -> None:
         for _ in range(3):
             rig.ask(lugspur_operation_key="k")
-        names.extend(rig.claim_ids)
+        names.extend(rig.reservation_ids)
         rig.claimed[1][1](Won())
         [(_, forward, _)] = rig.sent
-        assert (forward.key, forward.by, forward.attempt) == (b"k", rig.claim_ids[1], b"t1")
+        assert (forward.key, forward.by, forward.attempt) == (b"k", rig.reservation_ids[1], b"t1")
 
     play(what, kind="tracked")
     play(what, kind="tracked")  # another process
@@ -264,7 +264,7 @@
         [(key, over)] = rig.claimed
         assert key == b"k" and not rig.sent
         over(Won())
-        assert rig.sent[0][1].key == b"k" and rig.sent[0][1].by == rig.claim_ids[0]
+        assert rig.sent[0][1].key == b"k" and rig.sent[0][1].by == rig.reservation_ids[0]
         rig.reply(RequestOutcome.ANSWERED, OK)
         assert caller.answers[0][0] == 200 and not rig.released
 
@@ -427,7 +427,7 @@
     async def what(rig: Rig) -> None:
         way = rig.proxy.table.find(b"a.example", b"/r/1")
         assert way is not None
-        way.pace = 0.02
+        way.average_latency = 0.02
         caller = rig.ask()
         while not caller.answers:
             await asyncio.sleep(0.01)
@@ -487,7 +487,7 @@
 def test_a_route_that_is_turned_away_costs_another_route_nothing() -> None:
     def what(rig: Rig) -> None:
         for entry in read_call(call(route("urgent"))):
-            rig.proxy.table.change(entry)
+            rig.proxy.table.apply(entry)
         for _ in range(100):
             rig.ask()
             while rig.proxy.open_requests:
@@ -507,7 +507,7 @@
         for told, back in (("500", False), ("499", False), ("400", True), ("500", False)):
             rig.ask(lugspur_deliver_by_ms=told)
             assert rig.sent[-1][1].back is back
-        rig.proxy.table.find(b"a.example", b"/r/").longest = 0.0  # type: ignore[union-attr]
+        rig.proxy.table.find(b"a.example", b"/r/").longest_time = 0.0  # type: ignore[union-attr]
         rig.ask(lugspur_deliver_by_ms="300")
         assert not rig.sent[-1][1].back
         for _ in range(2000):  # callers give less than they did: what is usual is learned anew
