--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -16,9 +16,9 @@
 from lugspur.mesh.control.claims import Claims, Settled, Won
 from lugspur.mesh.control.messages import (
     Answer,
-    CatchUp,
     Claim,
     Done,
+    FetchDecided,
     Membership,
     Message,
     Release,
@@ -141,7 +141,7 @@
             node.do(self.now, node.proposer.submit(self.now, order))
         elif what == "learn":
             self.asks -= 1
-            self.nodes[NEW].send(who[0], CatchUp(self.nodes[NEW].replica.index))
+            self.nodes[NEW].send(who[0], FetchDecided(self.nodes[NEW].replica.index))
         elif what == "fetch":
             self.asks -= 1
             self._fetch()
@@ -218,7 +218,7 @@
         node.do(self.now, node.proposer.look(self.now))
         best = max(self._up(), key=lambda other: other.replica.index)
         if node.replica.index < best.replica.index:
-            node.send(best.ip, CatchUp(node.replica.index))
+            node.send(best.ip, FetchDecided(node.replica.index))
 
     def own_key(self) -> object:
         claimants = tuple(claimant.key() for claimant in self.claimants.values())
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -32,7 +32,7 @@
     Learn,
     Membership,
     Prepare,
-    Standing,
+    ReadIndexReply,
 )
 from lugspur.mesh.control.orders import NoQuorum
 from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
@@ -116,13 +116,15 @@
 _judge = Proposer._judge_orders
 
 
-def pass_over_pending(self: reader.Reader, now: float, ip: str, message: Standing) -> Any:
-    return _reader_heard(self, now, ip, Standing(message.number, message.voter, message.decided, False))
+def pass_over_pending(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
+    return _reader_heard(self, now, ip, ReadIndexReply(message.number, message.voter, message.decided, False))
 
 
-def pass_over_index(self: reader.Reader, now: float, ip: str, message: Standing) -> Any:
+def pass_over_index(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
     known = self._replica.index
-    return _reader_heard(self, now, ip, Standing(message.number, message.voter, min(known, message.decided), False))
+    return _reader_heard(
+        self, now, ip, ReadIndexReply(message.number, message.voter, min(known, message.decided), False)
+    )
 
 
 def learn_from_the_middle(self: Register, pages: list[Learn]) -> Applied:
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -12,7 +12,7 @@
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
 from lugspur.mesh.control.membership import Presence, Tolerance
-from lugspur.mesh.control.messages import CatchUp, Delta, Entry, Membership, Message, Pong, Report, Sync, Voter
+from lugspur.mesh.control.messages import Delta, Entry, FetchDecided, Membership, Message, Pong, Report, Sync, Voter
 from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.reader import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
@@ -180,7 +180,7 @@
 
             def ask() -> None:
                 if replica is self.replica and self.up and replica.index < index:
-                    self.send(ip, CatchUp(replica.index))
+                    self.send(ip, FetchDecided(replica.index))
 
             self.world.later(BEHIND, ask)
 
--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -9,7 +9,7 @@
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.learning import LearnPages
-from lugspur.mesh.control.messages import Accepted, ClaimsPage, Entry, Learn, Message, Promise, Standing, Voter
+from lugspur.mesh.control.messages import Accepted, ClaimsPage, Entry, Learn, Message, Promise, ReadIndexReply, Voter
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica
@@ -145,7 +145,7 @@
         """A message has come over a wire."""
         if isinstance(message, Promise | Accepted):
             self.do(now, self.proposer.heard(now, wire.source, message))
-        elif isinstance(message, Standing):
+        elif isinstance(message, ReadIndexReply):
             effects, pending = self.reader.heard(now, wire.source, message)
             self.do(now, effects)
             if pending:
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -9,7 +9,7 @@
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.small_world import ENDED, PAUSE, SmallWorld
 from lugspur.mesh.control.items import read_call
-from lugspur.mesh.control.messages import CatchUp, Change, Entry
+from lugspur.mesh.control.messages import Change, Entry, FetchDecided
 from lugspur.mesh.control.orders import Order, Outcome
 from lugspur.mesh.control.reader import Read
 
@@ -275,7 +275,7 @@
                 if node.replica.register.pending:
                     node.do(self.now, node.proposer.finish(self.now))
                 best = max(self.nodes.values(), key=lambda other: other.replica.index)
-                node.send(best.ip, CatchUp(node.replica.index))  # as news of later changes makes it do
+                node.send(best.ip, FetchDecided(node.replica.index))  # as news of later changes makes it do
                 self.within()
                 self.deliver_all()
                 self._pass_time(ip)
--- a/lugspur/mesh/control/forwarding.py
+++ b/lugspur/mesh/control/forwarding.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.messages import OrderAnswer, SubmitOrder
+from lugspur.mesh.control.messages import ChangeResult, ForwardChange
 from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear
 
 ANSWER_WITHIN = 0.3  # seconds until an order that was handed over is proposed here
@@ -24,16 +24,16 @@
     at: float
 
 
-def answer_of(number: int, outcome: Outcome) -> OrderAnswer:
+def answer_of(number: int, outcome: Outcome) -> ChangeResult:
     """What whoever handed an order over is told."""
     if isinstance(outcome, Confirmed):
-        return OrderAnswer(number, confirmed=True)
+        return ChangeResult(number, confirmed=True)
     if isinstance(outcome, Refused):
-        return OrderAnswer(number, refused=outcome.fault.kind.value, detail=outcome.fault.detail)
-    return OrderAnswer(number, proposed=isinstance(outcome, Unclear))
+        return ChangeResult(number, refused=outcome.fault.kind.value, detail=outcome.fault.detail)
+    return ChangeResult(number, proposed=isinstance(outcome, Unclear))
 
 
-def outcome_of(answer: OrderAnswer) -> Outcome:
+def outcome_of(answer: ChangeResult) -> Outcome:
     """How the order ended at the other control node."""
     if answer.confirmed:
         return Confirmed()
@@ -52,13 +52,13 @@
     def __len__(self) -> int:
         return len(self._handed)
 
-    def hand_over(self, now: float, to: str, order: Order) -> SubmitOrder:
+    def hand_over(self, now: float, to: str, order: Order) -> ForwardChange:
         """The message that hands an order to another control node."""
         self._number += 1
         self._handed[self._number] = _Handed(order, to, now)
-        return SubmitOrder(self._number, max(0.0, order.until - now), order.entries)
+        return ForwardChange(self._number, max(0.0, order.until - now), order.entries)
 
-    def heard(self, ip: str, answer: OrderAnswer) -> None:
+    def heard(self, ip: str, answer: ChangeResult) -> None:
         """Another control node's answer; a late one says nothing any more."""
         handed = self._handed.get(answer.number)
         if handed is not None and handed.to == ip:
--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -83,14 +83,14 @@
     index: int
 
 
-class Ballot(msgspec.Struct, array_like=True, frozen=True, order=True):
+class ProposalNumber(msgspec.Struct, array_like=True, frozen=True, order=True):
     """The number of one proposal; `proposer` names a process and its life, so that no two have the same ballot."""
 
     number: int
     proposer: str
 
 
-NO_BALLOT = Ballot(0, "")
+NO_PROPOSAL = ProposalNumber(0, "")
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
@@ -104,18 +104,18 @@
     """Accept nothing under a lower ballot for change `index`, and tell what was accepted for it so far."""
 
     index: int
-    ballot: Ballot
+    ballot: ProposalNumber
 
 
 class Promise(msgspec.Struct, tag=7, array_like=True):
     """The answer to Prepare."""
 
     index: int
-    ballot: Ballot
+    ballot: ProposalNumber
     granted: bool
     decided: int  # the latest change that the voter knows as decided
-    promised: Ballot  # the highest ballot that it has promised
-    accepted: Ballot | None = None
+    promised: ProposalNumber  # the highest ballot that it has promised
+    accepted: ProposalNumber | None = None
     change: Change | None = None
 
 
@@ -123,7 +123,7 @@
     """Let this be change `index`."""
 
     index: int
-    ballot: Ballot
+    ballot: ProposalNumber
     change: Change
 
 
@@ -131,20 +131,20 @@
     """The answer to Accept; granted: it is on the voter's disk."""
 
     index: int
-    ballot: Ballot
+    ballot: ProposalNumber
     granted: bool
     decided: int
-    promised: Ballot
+    promised: ProposalNumber
 
 
-class Query(msgspec.Struct, tag=14, array_like=True):
+class ReadIndexQuery(msgspec.Struct, tag=14, array_like=True):
     """Which change is the latest that you know?"""
 
     number: int
 
 
-class Standing(msgspec.Struct, tag=15, array_like=True):
-    """The answer to Query; `voter`: whether the sender has a vote by what it knows."""
+class ReadIndexReply(msgspec.Struct, tag=15, array_like=True):
+    """The answer to ReadIndexQuery; `voter`: whether the sender has a vote by what it knows."""
 
     number: int
     voter: bool
@@ -152,13 +152,13 @@
     pending: bool
 
 
-class CatchUp(msgspec.Struct, tag=16, array_like=True):
+class FetchDecided(msgspec.Struct, tag=16, array_like=True):
     """Tell me what was decided after change `since`."""
 
     since: int
 
 
-class SubmitOrder(msgspec.Struct, tag=25, array_like=True):
+class ForwardChange(msgspec.Struct, tag=25, array_like=True):
     """Have these entries decided; `left`: seconds for which somebody waits."""
 
     number: int
@@ -166,7 +166,7 @@
     entries: list[Entry]
 
 
-class OrderAnswer(msgspec.Struct, tag=26, array_like=True):
+class ChangeResult(msgspec.Struct, tag=26, array_like=True):
     """How an order ended: confirmed, refused (the kind of its error), or neither."""
 
     number: int
@@ -350,11 +350,11 @@
     | Promise
     | Accept
     | Accepted
-    | Query
-    | Standing
-    | CatchUp
-    | SubmitOrder
-    | OrderAnswer
+    | ReadIndexQuery
+    | ReadIndexReply
+    | FetchDecided
+    | ForwardChange
+    | ChangeResult
     | Learn
     | Claim
     | Verdict
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -20,7 +20,16 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import Draft, check
-from lugspur.mesh.control.messages import Accept, Accepted, Ballot, CatchUp, Change, Entry, Prepare, Promise
+from lugspur.mesh.control.messages import (
+    Accept,
+    Accepted,
+    Change,
+    Entry,
+    FetchDecided,
+    Prepare,
+    Promise,
+    ProposalNumber,
+)
 from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Refused, Unclear
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.register import Register
@@ -67,7 +76,7 @@
     """One ballot for one index; messages count only from the voters of the membership that it began with."""
 
     index: int
-    ballot: Ballot
+    ballot: ProposalNumber
     voters: frozenset[str]
     until: float
     phase: Phase = Phase.PREPARE
@@ -169,14 +178,14 @@
         self._proposals += 1
         index = self._replica.index + 1
         voters = frozenset(voter.ip for voter in membership.voters)
-        ballot = Ballot(self._number, self._identity)
+        ballot = ProposalNumber(self._number, self._identity)
         self._proposal = Proposal(index, ballot, voters, now + self._round_within())
         return Effects(send=[(ip, Prepare(index, ballot)) for ip in sorted(voters)])
 
     def _refused(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
         self._number = max(self._number, message.promised.number)
         if message.decided >= proposal.index:  # the voter knows more
-            return Effects(send=[(ip, CatchUp(self._replica.index))])
+            return Effects(send=[(ip, FetchDecided(self._replica.index))])
         if message.promised > proposal.ballot:  # a competitor
             self._proposal = None
             self._back_off(now)
--- a/lugspur/mesh/control/reader.py
+++ b/lugspur/mesh/control/reader.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.messages import CatchUp, Query, Standing
+from lugspur.mesh.control.messages import FetchDecided, ReadIndexQuery, ReadIndexReply
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
@@ -69,15 +69,15 @@
         self._number += 1
         voters = frozenset(voter.ip for voter in membership.voters)
         self._round = _Round(self._number, self._replica.index, voters, now + ASK_AGAIN, self._waiting[:])
-        return Effects(send=[(ip, Query(self._number)) for ip in sorted(voters)])
+        return Effects(send=[(ip, ReadIndexQuery(self._number)) for ip in sorted(voters)])
 
-    def heard(self, now: float, ip: str, message: Standing) -> tuple[Effects, bool]:
+    def heard(self, now: float, ip: str, message: ReadIndexReply) -> tuple[Effects, bool]:
         """A voter's answer; also whether something that was accepted there has to be finished."""
         current = self._round
         if current is None or message.number != current.number or ip not in current.voters:
             return Effects(), False
         if message.decided > current.index:
-            return Effects(send=[(ip, CatchUp(self._replica.index))]), False
+            return Effects(send=[(ip, FetchDecided(self._replica.index))]), False
         if not message.voter:
             return Effects(), False
         if message.decided == current.index and message.pending:
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -17,19 +17,19 @@
 from lugspur.mesh.control.capacity import item_bytes
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.messages import (
-    NO_BALLOT,
+    NO_PROPOSAL,
     PAGE_BYTES,
     Accept,
     Accepted,
-    Ballot,
     Change,
     Entry,
     Item,
     Learn,
     Prepare,
     Promise,
-    Query,
-    Standing,
+    ProposalNumber,
+    ReadIndexQuery,
+    ReadIndexReply,
 )
 from lugspur.mesh.control.store import Name, newer
 
@@ -49,8 +49,8 @@
     """What a voter has promised and accepted, as it lies on disk; the latter for change `index`."""
 
     index: int
-    promised: Ballot
-    accepted: Ballot | None
+    promised: ProposalNumber
+    accepted: ProposalNumber | None
     change: Change | None
 
 
@@ -79,8 +79,8 @@
         self.bytes = 0  # of all items, as `capacity` counts them
         self.index = 0
         self.pruned = 0  # withdrawals up to this change are forgotten
-        self.promised = NO_BALLOT
-        self.accepted: Ballot | None = None
+        self.promised = NO_PROPOSAL
+        self.accepted: ProposalNumber | None = None
         self.change: Change | None = None
         self._withdrawn = 0
         self._pruned_to = 0  # as far as `pruned` has been carried out
@@ -136,9 +136,9 @@
     def _vote_row(self) -> tuple[bytes, bytes]:
         return VOTE_ROW, _pack(Vote(self.index + 1, self.promised, self.accepted, self.change))
 
-    def query(self, peer: Peer, message: Query, voter: bool) -> Effects:
+    def query(self, peer: Peer, message: ReadIndexQuery, voter: bool) -> Effects:
         """A reader wants to know which change is the latest."""
-        return Effects(send=[(peer, Standing(message.number, voter, self.index, self.pending))])
+        return Effects(send=[(peer, ReadIndexReply(message.number, voter, self.index, self.pending))])
 
     # ---- what is decided -----------------------------------------------------------------
 
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -22,18 +22,18 @@
 from lugspur.mesh.control.items import MEMBERSHIP
 from lugspur.mesh.control.messages import (
     Accept,
-    CatchUp,
     Change,
     Claim,
     ClaimsPage,
     Done,
     Entry,
     FetchClaims,
+    FetchDecided,
     Learn,
     Membership,
     Message,
     Prepare,
-    Query,
+    ReadIndexQuery,
     Release,
     Verdict,
     Voter,
@@ -161,9 +161,9 @@
             return self.register.prepare(peer, message, self.is_voter)
         if isinstance(message, Accept):
             return self.register.accept(peer, message, self.is_voter)
-        if isinstance(message, Query):
+        if isinstance(message, ReadIndexQuery):
             return self.register.query(peer, message, self.is_voter)
-        if isinstance(message, CatchUp):
+        if isinstance(message, FetchDecided):
             return self._catch_up(peer, message)
         if isinstance(message, FetchClaims):
             return self._fetch_claims(now, peer, message)
@@ -214,7 +214,7 @@
         differ = max(len(before - after), len(after - before))
         check(differ <= 1, Invariant.ONE_VOTER_AT_A_TIME, epoch=membership.epoch, differ=differ)
 
-    def _catch_up(self, peer: Peer, message: CatchUp) -> Effects:
+    def _catch_up(self, peer: Peer, message: FetchDecided) -> Effects:
         if message.since >= self.index:
             return Effects()
         return Effects(send=[(peer, page) for page in self.register.pages(message.since)])
@@ -235,7 +235,7 @@
     def _fetch_claims(self, now: float, peer: Peer, message: FetchClaims) -> Effects:
         """A new voter wants all claims; this one has gone by the new epoch, and grants nothing in an older one."""
         if message.epoch > self.epoch:
-            return Effects(send=[(peer, CatchUp(self.index))])
+            return Effects(send=[(peer, FetchDecided(self.index))])
         if message.epoch != self.epoch or not self.was_voter:
             return Effects()
         pages: list[tuple[Peer, Message]] = [(peer, ClaimsPage(self.epoch, 0, [], True, False))]
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -17,19 +17,19 @@
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
-    CatchUp,
+    ChangeResult,
     ClaimsPage,
     Delta,
     Entry,
+    FetchDecided,
+    ForwardChange,
     Hello,
     Learn,
     Message,
-    OrderAnswer,
     Pong,
     Promise,
+    ReadIndexReply,
     Report,
-    Standing,
-    SubmitOrder,
     Sync,
     Unsubscribe,
     Voter,
@@ -184,7 +184,7 @@
             self.leases.report(self.loop.time(), link, message.entries)
         elif isinstance(message, Learn):
             self._learn(link, message)
-        elif isinstance(message, SubmitOrder):
+        elif isinstance(message, ForwardChange):
             self.router.submitted(link, message)
         elif isinstance(message, Pong):
             self.subscribers.answered(link, message)
@@ -233,16 +233,16 @@
     def heard_more(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
             self.do(self.proposer.heard(now, ip, message))
-        elif isinstance(message, Standing):
+        elif isinstance(message, ReadIndexReply):
             effects, pending = self.reader.heard(now, ip, message)
             self.do(effects)
             if pending:
                 self.pending_changes.seen(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
-        elif isinstance(message, OrderAnswer):
+        elif isinstance(message, ChangeResult):
             self.router.forwarder.heard(ip, message)
-        elif isinstance(message, CatchUp):
+        elif isinstance(message, FetchDecided):
             self.do(self.replica.handle(now, ip, message))
         elif isinstance(message, ClaimsPage):
             complete = self.replica.complete
@@ -270,7 +270,7 @@
     def _ask_for_changes(self, ip: str, index: int) -> None:
         """Learn what a peer knows, unless it has been told meanwhile."""
         if self.replica.index < index:
-            self.to(ip, CatchUp(self.replica.index))
+            self.to(ip, FetchDecided(self.replica.index))
 
     def _finish_pending(self, now: float) -> None:
         self.do(self.proposer.finish(now))
--- a/lugspur/mesh/order_router.py
+++ b/lugspur/mesh/order_router.py
@@ -8,7 +8,7 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.forwarding import Forwarder, answer_of
-from lugspur.mesh.control.messages import Message, SubmitOrder
+from lugspur.mesh.control.messages import ForwardChange, Message
 from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.link import Link
@@ -59,7 +59,7 @@
         self._proposer.withdraw(order)
         self.forwarder.withdraw(order)
 
-    def submitted(self, link: Link, message: SubmitOrder) -> None:
+    def submitted(self, link: Link, message: ForwardChange) -> None:
         """Another control node hands over an order."""
 
         def over(outcome: Outcome) -> None:
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -21,17 +21,18 @@
     Accepted,
     Answer,
     AskOutcomes,
-    Ballot,
     Cancel,
-    CatchUp,
     Change,
+    ChangeResult,
     Claim,
     ClaimsPage,
     Delta,
     Done,
     Entry,
     FetchClaims,
+    FetchDecided,
     Forward,
+    ForwardChange,
     Grant,
     Hello,
     Item,
@@ -39,17 +40,16 @@
     Learn,
     Membership,
     Message,
-    OrderAnswer,
     Part,
     Pong,
     Prepare,
     Promise,
-    Query,
+    ProposalNumber,
+    ReadIndexQuery,
+    ReadIndexReply,
     Release,
     Reply,
     Report,
-    Standing,
-    SubmitOrder,
     Sync,
     Unsubscribe,
     Verdict,
@@ -115,15 +115,15 @@
     ),
     (Pong(sent=4.5), bytes.fromhex("92 04 cb 40 12 00 00 00 00 00 00")),
     (Report(entries=[ENTRY]), bytes.fromhex("92 05 91 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76")),
-    (Prepare(index=61, ballot=Ballot(62, "p6")), bytes.fromhex("93 06 3d 92 3e a2 70 36")),
+    (Prepare(index=61, ballot=ProposalNumber(62, "p6")), bytes.fromhex("93 06 3d 92 3e a2 70 36")),
     (
         Promise(
             index=71,
-            ballot=Ballot(72, "p7"),
+            ballot=ProposalNumber(72, "p7"),
             granted=True,
             decided=73,
-            promised=Ballot(74, "q7"),
-            accepted=Ballot(75, "r7"),
+            promised=ProposalNumber(74, "q7"),
+            accepted=ProposalNumber(75, "r7"),
             change=Change("c7", [ENTRY]),
         ),
         bytes.fromhex(
@@ -132,22 +132,24 @@
         ),
     ),
     (
-        Accept(index=81, ballot=Ballot(82, "p8"), change=Change("c8", [WITHDRAWAL])),
+        Accept(index=81, ballot=ProposalNumber(82, "p8"), change=Change("c8", [WITHDRAWAL])),
         bytes.fromhex("94 08 51 92 52 a2 70 38 92 a2 63 38 91 94 a8 73 65 72 76 69 63 65 73 a1 62 03 c0"),
     ),
     (
-        Accepted(index=131, ballot=Ballot(132, "p13"), granted=True, decided=133, promised=Ballot(134, "q13")),
+        Accepted(
+            index=131, ballot=ProposalNumber(132, "p13"), granted=True, decided=133, promised=ProposalNumber(134, "q13")
+        ),
         bytes.fromhex("96 0d cc 83 92 cc 84 a3 70 31 33 c3 cc 85 92 cc 86 a3 71 31 33"),
     ),
-    (Query(number=141), bytes.fromhex("92 0e cc 8d")),
-    (Standing(number=151, voter=True, decided=152, pending=False), bytes.fromhex("95 0f cc 97 c3 cc 98 c2")),
-    (CatchUp(since=161), bytes.fromhex("92 10 cc a1")),
+    (ReadIndexQuery(number=141), bytes.fromhex("92 0e cc 8d")),
+    (ReadIndexReply(number=151, voter=True, decided=152, pending=False), bytes.fromhex("95 0f cc 97 c3 cc 98 c2")),
+    (FetchDecided(since=161), bytes.fromhex("92 10 cc a1")),
     (
-        SubmitOrder(number=251, left=2.5, entries=[ENTRY]),
+        ForwardChange(number=251, left=2.5, entries=[ENTRY]),
         bytes.fromhex("94 19 cc fb cb 40 04 00 00 00 00 00 00 91 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76"),
     ),
     (
-        OrderAnswer(number=261, confirmed=False, refused="conflict", detail="d26", proposed=True),
+        ChangeResult(number=261, confirmed=False, refused="conflict", detail="d26", proposed=True),
         bytes.fromhex("96 1a cd 01 05 c2 a8 63 6f 6e 66 6c 69 63 74 a3 64 32 36 c3"),
     ),
     (
@@ -242,17 +244,17 @@
         bytes.fromhex("96 07 01 92 02 a1 70 c3 03 92 04 a1 71"),
         Promise(
             index=1,
-            ballot=Ballot(number=2, proposer="p"),
+            ballot=ProposalNumber(number=2, proposer="p"),
             granted=True,
             decided=3,
-            promised=Ballot(number=4, proposer="q"),
+            promised=ProposalNumber(number=4, proposer="q"),
             accepted=None,
             change=None,
         ),
     ),
     (
         bytes.fromhex("92 1a 05"),
-        OrderAnswer(number=5, confirmed=False, refused="", detail="", proposed=False),
+        ChangeResult(number=5, confirmed=False, refused="", detail="", proposed=False),
     ),
     (
         bytes.fromhex("95 0a c4 01 6b c4 01 62 06 c3"),
@@ -295,7 +297,7 @@
     (ENTRY, bytes.fromhex("94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76")),
     (WITHDRAWAL, bytes.fromhex("94 a8 73 65 72 76 69 63 65 73 a1 62 03 c0")),
     (Item(entry=ENTRY, index=4), bytes.fromhex("92 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76 04")),
-    (Ballot(number=5, proposer="p"), bytes.fromhex("92 05 a1 70")),
+    (ProposalNumber(number=5, proposer="p"), bytes.fromhex("92 05 a1 70")),
     (
         Change(id="c", entries=[ENTRY, WITHDRAWAL]),
         bytes.fromhex(
@@ -305,14 +307,14 @@
     (
         Vote(
             index=6,
-            promised=Ballot(number=7, proposer="p"),
-            accepted=Ballot(number=8, proposer="q"),
+            promised=ProposalNumber(number=7, proposer="p"),
+            accepted=ProposalNumber(number=8, proposer="q"),
             change=Change(id="c", entries=[ENTRY]),
         ),
         bytes.fromhex("94 06 92 07 a1 70 92 08 a1 71 92 a1 63 91 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76"),
     ),
     (
-        Vote(index=6, promised=Ballot(number=7, proposer="p"), accepted=None, change=None),
+        Vote(index=6, promised=ProposalNumber(number=7, proposer="p"), accepted=None, change=None),
         bytes.fromhex("94 06 92 07 a1 70 c0 c0"),
     ),
     (ANSWER, bytes.fromhex("93 cc c8 c4 01 68 c4 01 62")),
@@ -366,7 +368,7 @@
 
 def test_rows_of_the_register_lie_under_these_keys_with_these_values() -> None:
     register = Register()
-    ballot = Ballot(number=5, proposer="p")
+    ballot = ProposalNumber(number=5, proposer="p")
     change = Change(id="c", entries=[ENTRY, WITHDRAWAL])
     promised = register.prepare(None, Prepare(index=1, ballot=ballot), True).write
     accepted = register.accept(None, Accept(index=1, ballot=ballot, change=change), True).write
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -5,13 +5,13 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.messages import (
     Accepted,
-    Ballot,
     Change,
     Claim,
     Entry,
     Membership,
     Message,
     Promise,
+    ProposalNumber,
     Verdict,
     Voter,
 )
@@ -65,11 +65,13 @@
     return message
 
 
-def promise(index: int, ballot: Ballot, accepted: Ballot | None = None, value: Change | None = None) -> Promise:
+def promise(
+    index: int, ballot: ProposalNumber, accepted: ProposalNumber | None = None, value: Change | None = None
+) -> Promise:
     """A voter's promise."""
     return Promise(index, ballot, True, index - 1, ballot, accepted, value)
 
 
-def accepted(index: int, ballot: Ballot) -> Accepted:
+def accepted(index: int, ballot: ProposalNumber) -> Accepted:
     """A voter's word that it has accepted."""
     return Accepted(index, ballot, True, index - 1, ballot)
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -10,7 +10,17 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.items import read_call
-from lugspur.mesh.control.messages import Accept, Accepted, Ballot, CatchUp, Entry, Learn, Message, Prepare, Promise
+from lugspur.mesh.control.messages import (
+    Accept,
+    Accepted,
+    Entry,
+    FetchDecided,
+    Learn,
+    Message,
+    Prepare,
+    Promise,
+    ProposalNumber,
+)
 from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear, fault_of
 from lugspur.mesh.control.proposer import BRING_UP_MOST, ROUND_WITHIN, Proposer
 from lugspur.mesh.control.replica import membership_entry
@@ -32,13 +42,13 @@
     def submit(self, *entries: Entry, now: float = 0.0) -> list[tuple[str, Message]]:
         return self.proposer.submit(now, self.order(*entries, now=now)).send
 
-    def promises(self, ballot: Ballot, *ips: str, now: float = 0.0) -> Effects:
+    def promises(self, ballot: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
         effects = Effects()
         for ip in ips:
             effects.add(self.proposer.heard(now, ip, promise(self.replica.index + 1, ballot)))
         return effects
 
-    def accepts(self, ballot: Ballot, *ips: str, now: float = 0.0) -> Effects:
+    def accepts(self, ballot: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
         effects, index = Effects(), self.replica.index + 1
         for ip in ips:
             effects.add(self.proposer.heard(now, ip, accepted(index, ballot)))
@@ -51,7 +61,7 @@
         self.accepts(ballot, A, B)
 
 
-def ballot_of(sent: list[tuple[str, Message]]) -> Ballot:
+def ballot_of(sent: list[tuple[str, Message]]) -> ProposalNumber:
     ballots = {m.ballot for _, m in sent if isinstance(m, Prepare)}
     [ballot] = ballots
     return ballot
@@ -81,16 +91,16 @@
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7)))
     assert node.promises(ballot, A, NEW, "10.0.0.9").send == []
-    assert node.promises(Ballot(9, "other"), B, C).send == []
+    assert node.promises(ProposalNumber(9, "other"), B, C).send == []
     offered(node.promises(ballot, B))
-    assert node.accepts(ballot, A, NEW).send == [] and node.accepts(Ballot(9, "other"), B, C).send == []
+    assert node.accepts(ballot, A, NEW).send == [] and node.accepts(ProposalNumber(9, "other"), B, C).send == []
     assert node.proposer.heard(0.0, B, accepted(3, ballot)).send == [] and node.how == []
 
 
 def test_what_was_accepted_under_the_highest_ballot_goes_first_and_the_order_after_it() -> None:
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7, b"mine")))
-    low, high = Ballot(1, "b"), Ballot(2, "c")
+    low, high = ProposalNumber(1, "b"), ProposalNumber(2, "c")
     node.proposer.heard(0.0, A, promise(2, ballot, low, change(item("r", 7, b"low"))))
     accept = offered(node.proposer.heard(0.0, C, promise(2, ballot, high, change(item("r", 7, b"high"), name="x"))))
     assert accept.change.entries == [item("r", 7, b"high")]
@@ -198,7 +208,7 @@
 def test_a_competitor_ends_a_proposal_and_the_next_one_is_above_it_after_a_pause() -> None:
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7)))
-    node.proposer.heard(0.0, B, Promise(2, ballot, False, 1, Ballot(9_000_000, "b")))
+    node.proposer.heard(0.0, B, Promise(2, ballot, False, 1, ProposalNumber(9_000_000, "b")))
     assert node.proposer.look(0.0).send == []
     again = ballot_of(node.proposer.look(0.5).send)
     assert again.number == 9_000_001 and again.proposer == f"{A}/life"
@@ -217,7 +227,7 @@
     node = Node()
     node.decide(item("r", 7))
     ballot = ballot_of(node.submit(item("s", 7)))
-    less = Promise(3, ballot, False, 1, Ballot(0, ""))
+    less = Promise(3, ballot, False, 1, ProposalNumber(0, ""))
     for turn in range(BRING_UP_MOST + 1):
         sent = [m for _, m in node.proposer.heard(0.0, C, less).send]
         if turn < BRING_UP_MOST:
@@ -225,9 +235,11 @@
             assert isinstance(page, Learn) and page.since == 1 and prepare == Prepare(3, ballot)
         else:
             assert sent == []
-    more = Promise(3, ballot, False, 9, Ballot(0, ""))
-    assert node.proposer.heard(0.0, B, more).send == [(B, CatchUp(2))]
-    assert node.proposer.heard(0.0, B, Accepted(3, ballot, False, 9, Ballot(0, ""))).send == [(B, CatchUp(2))]
+    more = Promise(3, ballot, False, 9, ProposalNumber(0, ""))
+    assert node.proposer.heard(0.0, B, more).send == [(B, FetchDecided(2))]
+    assert node.proposer.heard(0.0, B, Accepted(3, ballot, False, 9, ProposalNumber(0, ""))).send == [
+        (B, FetchDecided(2))
+    ]
 
 
 def test_what_others_decided_meanwhile_ends_the_proposal_and_orders_are_judged_anew() -> None:
@@ -253,7 +265,7 @@
     ballot = ballot_of(found.proposer.finish(0.0).send)
     found.promises(ballot, A)
     value = change(item("r", 7))
-    assert offered(found.proposer.heard(0.0, C, promise(2, ballot, Ballot(0, "c"), value))).change == value
+    assert offered(found.proposer.heard(0.0, C, promise(2, ballot, ProposalNumber(0, "c"), value))).change == value
 
 
 def test_a_change_of_the_voters_goes_alone_and_only_from_the_epoch_that_it_follows() -> None:
--- a/tests/mesh/test_register.py
+++ b/tests/mesh/test_register.py
@@ -6,10 +6,18 @@
 from controlparts import IPS, SEEDS, change, item, only, replica, seed
 
 from lugspur.mesh.control import register as register_module
-from lugspur.mesh.control.messages import Accept, Accepted, Ballot, Prepare, Promise, Query, Standing
+from lugspur.mesh.control.messages import (
+    Accept,
+    Accepted,
+    Prepare,
+    Promise,
+    ProposalNumber,
+    ReadIndexQuery,
+    ReadIndexReply,
+)
 from lugspur.mesh.control.register import Register
 
-LOW, MIDDLE, HIGH = Ballot(2, "c"), Ballot(5, "a"), Ballot(6, "b")
+LOW, MIDDLE, HIGH = ProposalNumber(2, "c"), ProposalNumber(5, "a"), ProposalNumber(6, "b")
 
 
 def test_ballots_are_on_disk_before_they_are_answered_and_no_lower_one_follows() -> None:
@@ -44,23 +52,27 @@
     voter, wiped = seed(), replica(IPS[0], "another-disk")
     wiped.learn(0.0, voter.register.pages(0))
     for index in (1, 3):
-        assert only(voter.handle(0.0, None, Prepare(index, HIGH))) == Promise(index, HIGH, False, 1, Ballot(0, ""))
+        assert only(voter.handle(0.0, None, Prepare(index, HIGH))) == Promise(
+            index, HIGH, False, 1, ProposalNumber(0, "")
+        )
         refused = only(voter.handle(0.0, None, Accept(index, HIGH, change())))
         assert isinstance(refused, Accepted) and not refused.granted
     assert wiped.index == 1
-    assert only(wiped.handle(0.0, None, Prepare(2, HIGH))) == Promise(2, HIGH, False, 1, Ballot(0, ""))
-    assert only(wiped.handle(0.0, None, Accept(2, HIGH, change()))) == Accepted(2, HIGH, False, 1, Ballot(0, ""))
-    assert only(wiped.handle(0.0, None, Query(4))) == Standing(4, False, 1, False)
+    assert only(wiped.handle(0.0, None, Prepare(2, HIGH))) == Promise(2, HIGH, False, 1, ProposalNumber(0, ""))
+    assert only(wiped.handle(0.0, None, Accept(2, HIGH, change()))) == Accepted(
+        2, HIGH, False, 1, ProposalNumber(0, "")
+    )
+    assert only(wiped.handle(0.0, None, ReadIndexQuery(4))) == ReadIndexReply(4, False, 1, False)
     assert not wiped.register.pending
 
 
 def test_what_was_accepted_is_told_as_pending_and_no_part_of_the_state_until_it_is_decided() -> None:
     voter, value = seed(), change(item("r", 7))
     voter.handle(0.0, None, Accept(2, MIDDLE, value))
-    assert only(voter.handle(0.0, None, Query(1))) == Standing(1, True, 1, True)
+    assert only(voter.handle(0.0, None, ReadIndexQuery(1))) == ReadIndexReply(1, True, 1, True)
     assert ("notes", "r") not in voter.register.items
     voter.decide(0.0, value)
-    assert only(voter.handle(0.0, None, Query(2))) == Standing(2, True, 2, False)
+    assert only(voter.handle(0.0, None, ReadIndexQuery(2))) == ReadIndexReply(2, True, 2, False)
     assert voter.register.items["notes", "r"].entry.value == b"x"
 
 
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -6,18 +6,18 @@
 
 from lugspur.mesh.control.messages import (
     Accept,
-    Ballot,
-    CatchUp,
     Change,
     ClaimsPage,
     FetchClaims,
+    FetchDecided,
     Learn,
     Membership,
+    ProposalNumber,
     Verdict,
 )
 from lugspur.mesh.control.replica import COMPLETE_ROW, membership_entry
 
-BALLOT = Ballot(1, "a")
+BALLOT = ProposalNumber(1, "a")
 
 
 def test_another_epoch_is_told_and_nothing_is_granted() -> None:
@@ -75,7 +75,7 @@
 def test_who_is_asked_for_claims_has_the_new_epoch_on_disk_before_it_tells() -> None:
     voter, new = seed(), replica(NEW, "new")
     claim(voter, b"a")
-    assert only(voter.handle(0.0, NEW, FetchClaims(2))) == CatchUp(1)  # it grants in the old epoch until it knows
+    assert only(voter.handle(0.0, NEW, FetchClaims(2))) == FetchDecided(1)  # it grants in the old epoch until it knows
     voter.decide(0.0, exchange())
     effects = voter.handle(0.0, NEW, FetchClaims(2))
     assert [key for key, _ in effects.write] == [COMPLETE_ROW] and not effects.send
@@ -141,7 +141,7 @@
 
 def test_catching_up_is_told_what_was_decided_since() -> None:
     voter = seed()
-    assert voter.handle(0.0, None, CatchUp(1)).send == []
+    assert voter.handle(0.0, None, FetchDecided(1)).send == []
     voter.decide(0.0, Change("c", [item("r", 1)]))
-    [(_, page)] = voter.handle(0.0, None, CatchUp(1)).send
+    [(_, page)] = voter.handle(0.0, None, FetchDecided(1)).send
     assert isinstance(page, Learn) and [i.entry.name for i in page.items] == ["r"]
