--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -20,7 +20,7 @@
 from lugspur.http1.upstream import Connection, Exchange
 from lugspur.mesh.backend_lives import BackendLives
 from lugspur.mesh.control.freshness import Freshness
-from lugspur.mesh.control.messages import Delta, Forward
+from lugspur.mesh.control.messages import Delta, ForwardRequest
 from lugspur.mesh.dataplane import proxied_request
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
@@ -94,7 +94,7 @@
     return True
 
 
-def _sound_whatever_came(forward: Forward, response: Response) -> bool:
+def _sound_whatever_came(forward: ForwardRequest, response: Response) -> bool:
     return True
 
 
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -15,14 +15,14 @@
 from lugspur.emulator.control.small_world import PAUSE, SmallWorld
 from lugspur.mesh.control.claims import Claims, Settled, Won
 from lugspur.mesh.control.messages import (
-    Answer,
-    Claim,
-    Done,
+    BackendResponse,
+    CompleteKey,
     FetchDecided,
     Membership,
     Message,
-    Release,
-    Verdict,
+    ReleaseKey,
+    ReserveKey,
+    ReserveKeyReply,
     Voter,
 )
 from lugspur.mesh.control.orders import Order, Outcome
@@ -68,7 +68,7 @@
         self.membership: Membership = world.first
         self.claims = Claims(self.send)
 
-    def send(self, ip: str, message: Claim | Release | Done) -> None:
+    def send(self, ip: str, message: ReserveKey | ReleaseKey | CompleteKey) -> None:
         self.world.post(Wire(self.name, ip, self.name), message)
 
     def over(self, how: Settled) -> None:
@@ -175,14 +175,14 @@
         else:
             claimant.state = "told"
             for voter in claimant.membership.voters:
-                claimant.send(voter.ip, Done(KEY, claimant.by, Answer(200, b"", claimant.by)))
+                claimant.send(voter.ip, CompleteKey(KEY, claimant.by, BackendResponse(200, b"", claimant.by)))
 
     def arrived(self, wire: Wire, message: Message) -> None:
         """A message has come; verdicts come to claimants."""
         claimant = self.claimants.get(wire.target)
         if claimant is None:
             super().arrived(wire, message)
-        elif isinstance(message, Verdict) and claimant.state in ("asking", "lost", "won", "ran", "told"):
+        elif isinstance(message, ReserveKeyReply) and claimant.state in ("asking", "lost", "won", "ran", "told"):
             claimant.claims.verdict(self.now, wire.source, message)
 
     # ---- all is well again -------------------------------------------------------------------
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -28,11 +28,11 @@
 from lugspur.mesh.control.messages import (
     Accept,
     Delta,
-    KeptClaim,
     Learn,
     Membership,
     Prepare,
     ReadIndexReply,
+    StoredReservation,
 )
 from lugspur.mesh.control.orders import NoQuorum
 from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
@@ -156,7 +156,7 @@
     for key, kept in claims:
         if key in self._claims and kept.answer is None:
             self._drop(key)
-        rows += _merge(self, now, [(key, KeptClaim(kept.by, kept.left, kept.answer))])
+        rows += _merge(self, now, [(key, StoredReservation(kept.by, kept.left, kept.answer))])
     return rows
 
 
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -12,7 +12,17 @@
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
 from lugspur.mesh.control.membership import Presence, Tolerance
-from lugspur.mesh.control.messages import Delta, Entry, FetchDecided, Membership, Message, Pong, Report, Sync, Voter
+from lugspur.mesh.control.messages import (
+    Delta,
+    Entry,
+    FetchDecided,
+    Membership,
+    Message,
+    Pong,
+    Report,
+    Subscribe,
+    Voter,
+)
 from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.reader import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
@@ -129,7 +139,7 @@
         now = self.world.now
         self.heard_at[ip] = self.changed_at[ip] = now
         self.freshness.asked(now, ip)
-        self.send(ip, Sync("", 0))
+        self.send(ip, Subscribe("", 0))
         if self.announced is not None:
             self.send(ip, self._report())
 
@@ -157,7 +167,7 @@
             self.heard_at[wire.source] = now
         elif wire.source in self.leases:
             self.leases[wire.source] = now
-        if isinstance(message, Sync):
+        if isinstance(message, Subscribe):
             self._tell(wire.source)
         elif isinstance(message, Report):
             self.leases[wire.source] = now
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -14,17 +14,17 @@
 from lugspur.emulator.control.settings import Setting
 from lugspur.mesh.control.claims import Claims, Settled, Won
 from lugspur.mesh.control.messages import (
-    Answer,
-    Claim,
-    ClaimsPage,
+    BackendResponse,
+    CompleteKey,
     Delta,
-    Done,
     Entry,
     Learn,
     Membership,
     Message,
-    Release,
-    Verdict,
+    ReleaseKey,
+    ReservationsPage,
+    ReserveKey,
+    ReserveKeyReply,
     Voter,
     encode,
 )
@@ -219,12 +219,12 @@
             self._deliver(wire, message)
 
     def _deliver(self, wire: Wire, message: Message) -> None:
-        if isinstance(message, ClaimsPage) and not self.setting.claims_heard:
+        if isinstance(message, ReservationsPage) and not self.setting.claims_heard:
             return
         node = self.nodes.get(wire.target)
         if node is None:
             proxy = self.proxies.get(wire.target)
-            if proxy is not None and isinstance(message, Verdict):
+            if proxy is not None and isinstance(message, ReserveKeyReply):
                 proxy.claims.verdict(self.now, wire.source, message)
         elif node.up and node.frozen:
             node.arrived.append(lambda: self._heard(node, wire, message))
@@ -354,7 +354,7 @@
     # ---- proxies -----------------------------------------------------------------------------
 
     def _claims(self, name: str) -> Claims:
-        def send(ip: str, message: Claim | Release) -> None:
+        def send(ip: str, message: ReserveKey | ReleaseKey) -> None:
             self.post(Wire(name, ip, name), message)
 
         return Claims(send)
@@ -379,16 +379,16 @@
                 return
             draw = self.rng.random()
             if draw < 0.2:
-                self._tell(proxy, Release(key, by))
+                self._tell(proxy, ReleaseKey(key, by))
                 return
             self.keys.run(key, by, sent_at)
             self.figures.runs += 1
             if draw < 0.7:
-                self._tell(proxy, Done(key, by, Answer(200, b"", by)))
+                self._tell(proxy, CompleteKey(key, by, BackendResponse(200, b"", by)))
 
         proxy.claims.begin(self.now, proxy.membership, key, by, 1.0, self.rng.uniform(0.3, 2.0), over)
 
-    def _tell(self, proxy: Proxy, message: Done | Release) -> None:
+    def _tell(self, proxy: Proxy, message: CompleteKey | ReleaseKey) -> None:
         if proxy.membership is not None:
             for voter in proxy.membership.voters:
                 self.post(Wire(proxy.name, voter.ip, proxy.name), message)
--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -9,7 +9,16 @@
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.learning import LearnPages
-from lugspur.mesh.control.messages import Accepted, ClaimsPage, Entry, Learn, Message, Promise, ReadIndexReply, Voter
+from lugspur.mesh.control.messages import (
+    Accepted,
+    Entry,
+    Learn,
+    Message,
+    Promise,
+    ReadIndexReply,
+    ReservationsPage,
+    Voter,
+)
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica
@@ -154,7 +163,7 @@
             pages = self.pages.add(wire, message)
             if pages:
                 self.do(now, self.replica.learn(now, pages))
-        elif isinstance(message, ClaimsPage):
+        elif isinstance(message, ReservationsPage):
             self.do(now, self.catch_up.heard(now, wire.source, message))
         else:
             self.do(now, self.replica.handle(now, wire.back, message))
--- a/lugspur/mesh/control/catch_up.py
+++ b/lugspur/mesh/control/catch_up.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.messages import ClaimsPage, FetchClaims
+from lugspur.mesh.control.messages import FetchReservations, ReservationsPage
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
@@ -21,7 +21,7 @@
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self._epoch = 0
-        self._pages: dict[str, list[ClaimsPage]] = {}
+        self._pages: dict[str, list[ReservationsPage]] = {}
         self._heard: dict[str, float] = {}  # when each was asked, or told anything
 
     def look(self, now: float) -> Effects:
@@ -43,10 +43,10 @@
             if now - self._heard.get(voter.ip, float("-inf")) >= ASK_AGAIN:
                 self._heard[voter.ip] = now
                 self._pages.pop(voter.ip, None)
-                effects.send.append((voter.ip, FetchClaims(membership.epoch)))
+                effects.send.append((voter.ip, FetchReservations(membership.epoch)))
         return effects
 
-    def heard(self, now: float, ip: str, page: ClaimsPage) -> Effects:
+    def heard(self, now: float, ip: str, page: ReservationsPage) -> Effects:
         """A page of another voter's claims."""
         replica = self._replica
         membership = replica.membership
--- a/lugspur/mesh/control/claim_table.py
+++ b/lugspur/mesh/control/claim_table.py
@@ -13,7 +13,16 @@
 
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.effects import Effects, Peer, Rows
-from lugspur.mesh.control.messages import PAGE_BYTES, Answer, Claim, ClaimsPage, Done, KeptClaim, Release, Verdict
+from lugspur.mesh.control.messages import (
+    MAX_PAGE_BYTES,
+    BackendResponse,
+    CompleteKey,
+    ReleaseKey,
+    ReservationsPage,
+    ReserveKey,
+    ReserveKeyReply,
+    StoredReservation,
+)
 
 MARGIN = 10.0  # seconds that a claim is kept beyond its window: a first try may be long on its way to here
 ANSWER_MOST = 64 << 10  # bytes of an answer that is kept for repeats
@@ -25,7 +34,7 @@
 CLAIM_PREFIX = b"c"
 
 _pack = msgspec.msgpack.Encoder().encode
-_kept = msgspec.msgpack.Decoder(KeptClaim)
+_kept = msgspec.msgpack.Decoder(StoredReservation)
 
 
 class HeldClaim:
@@ -33,11 +42,11 @@
 
     __slots__ = ("answer", "at", "by", "until")
 
-    def __init__(self, by: bytes, at: float, until: float, answer: Answer | None) -> None:
+    def __init__(self, by: bytes, at: float, until: float, answer: BackendResponse | None) -> None:
         self.by, self.at, self.until, self.answer = by, at, until, answer
 
 
-def _size(answer: Answer | None) -> int:
+def _size(answer: BackendResponse | None) -> int:
     return 0 if answer is None else len(answer.body) + len(answer.head)
 
 
@@ -67,21 +76,21 @@
 
     # ---- claimants -----------------------------------------------------------------------
 
-    def claim(self, now: float, peer: Peer, message: Claim, epoch: int) -> Effects:
+    def claim(self, now: float, peer: Peer, message: ReserveKey, epoch: int) -> Effects:
         """One wants to run a key's operation."""
         key, by = message.key, message.by
         held = self._claims.get(key)
         if held is not None and (held.by != by or held.answer is not None):
             busy = held.answer is None and now < held.until
-            return Effects(send=[(peer, Verdict(key, by, epoch, False, True, busy, held.answer))])
+            return Effects(send=[(peer, ReserveKeyReply(key, by, epoch, False, True, busy, held.answer))])
         if held is None and len(self._claims) >= self._claims_most:
-            return Effects(send=[(peer, Verdict(key, by, epoch, False))])
+            return Effects(send=[(peer, ReserveKeyReply(key, by, epoch, False))])
         check(held is None or held.by == by, Invariant.ONE_HOLDER, by=by)
         self._hold(key, HeldClaim(by, now, now + message.left, None))
-        row = (CLAIM_PREFIX + key, _pack(KeptClaim(by, message.left)))
-        return Effects(write=[row], after_sync=[(peer, Verdict(key, by, epoch, True))])
+        row = (CLAIM_PREFIX + key, _pack(StoredReservation(by, message.left)))
+        return Effects(write=[row], after_sync=[(peer, ReserveKeyReply(key, by, epoch, True))])
 
-    def done(self, now: float, message: Done, complete: bool) -> Effects:
+    def done(self, now: float, message: CompleteKey, complete: bool) -> Effects:
         """A key's operation has run; others that hold it here never did and never will."""
         answer = message.answer if len(message.answer.body) <= ANSWER_MOST else None
         held = self._claims.get(message.key)
@@ -94,9 +103,9 @@
         else:
             return Effects()
         self._trim()
-        return Effects(write=[(CLAIM_PREFIX + message.key, _pack(KeptClaim(message.by, 0.0, answer)))])
+        return Effects(write=[(CLAIM_PREFIX + message.key, _pack(StoredReservation(message.by, 0.0, answer)))])
 
-    def release(self, message: Release) -> Effects:
+    def release(self, message: ReleaseKey) -> Effects:
         """A claim is given back: nothing ran under it."""
         held = self._claims.get(message.key)
         if held is None or held.by != message.by or held.answer is not None:
@@ -117,20 +126,20 @@
 
     # ---- other voters --------------------------------------------------------------------
 
-    def pages(self, now: float, epoch: int) -> list[ClaimsPage]:
+    def pages(self, now: float, epoch: int) -> list[ReservationsPage]:
         """All claims, in frames of a bounded size."""
-        pages = [ClaimsPage(epoch, 0, [], False)]
+        pages = [ReservationsPage(epoch, 0, [], False)]
         size = 0
         for key, held in self._claims.items():
             size += len(key) + 64 + _size(held.answer)
-            if size > PAGE_BYTES:
-                pages.append(ClaimsPage(epoch, len(pages), [], False))
+            if size > MAX_PAGE_BYTES:
+                pages.append(ReservationsPage(epoch, len(pages), [], False))
                 size = 0
-            pages[-1].claims.append((key, KeptClaim(held.by, max(0.0, held.until - now), held.answer)))
+            pages[-1].claims.append((key, StoredReservation(held.by, max(0.0, held.until - now), held.answer)))
         pages[-1].last = True
         return pages
 
-    def merge(self, now: float, claims: Iterable[tuple[bytes, KeptClaim]]) -> Rows:
+    def merge(self, now: float, claims: Iterable[tuple[bytes, StoredReservation]]) -> Rows:
         """Take what another voter holds; returns what to write."""
         rows: Rows = []
         for key, kept in claims:
@@ -139,7 +148,7 @@
                 continue
             if mine is not None and kept.answer is None and mine.by != kept.by:
                 # Guards against a second run: one of the two may have won with voters of the epoch before.
-                kept = KeptClaim(NOBODY, max(mine.until - now, kept.left, 0.0))
+                kept = StoredReservation(NOBODY, max(mine.until - now, kept.left, 0.0))
             self._hold(key, HeldClaim(kept.by, now, now + kept.left, kept.answer))
             rows.append((CLAIM_PREFIX + key, _pack(kept)))
         self._trim()
--- a/lugspur/mesh/control/claims.py
+++ b/lugspur/mesh/control/claims.py
@@ -29,7 +29,7 @@
 
 from cachetools import LRUCache
 
-from lugspur.mesh.control.messages import Answer, Claim, Membership, Release, Verdict
+from lugspur.mesh.control.messages import BackendResponse, Membership, ReleaseKey, ReserveKey, ReserveKeyReply
 from lugspur.mesh.control.quorum import majority
 
 FAILED_MOST = 10_000  # claims that came to nothing, the latest: a grant of an older one is not given back
@@ -44,7 +44,7 @@
 class Known:
     """It has run, and this was its answer."""
 
-    answer: Answer
+    answer: BackendResponse
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
 class Claims:
     """The claims of one process that are not settled. `send` gives a message to a voter by its IP number."""
 
-    def __init__(self, send: Callable[[str, Claim | Release], None]) -> None:
+    def __init__(self, send: Callable[[str, ReserveKey | ReleaseKey], None]) -> None:
         self._send = send
         self._open: dict[tuple[bytes, bytes], _Open] = {}
         # Late grants are given back for these alone. What falls out of it is given back by nobody, and ends by its
@@ -111,7 +111,7 @@
         found.granted.clear()
         found.others.clear()
         for voter in membership.voters:
-            self._send(voter.ip, Claim(found.key, found.by, membership.epoch, max(0.0, found.ends - now)))
+            self._send(voter.ip, ReserveKey(found.key, found.by, membership.epoch, max(0.0, found.ends - now)))
 
     def again(self, now: float, membership: Membership) -> None:
         """The membership has changed: what was granted under another one counts no more, and is asked for anew."""
@@ -127,15 +127,15 @@
                 and ip in {s.ip for s in membership.voters}
                 and ip not in found.granted | found.others
             ):
-                self._send(ip, Claim(found.key, found.by, membership.epoch, max(0.0, found.ends - now)))
+                self._send(ip, ReserveKey(found.key, found.by, membership.epoch, max(0.0, found.ends - now)))
 
-    def verdict(self, now: float, ip: str, message: Verdict) -> None:
+    def verdict(self, now: float, ip: str, message: ReserveKeyReply) -> None:
         """A voter's answer."""
         found = self._open.get((message.key, message.by))
         if found is None:
             if message.granted and (message.key, message.by) in self._failed:
                 # It came too late, and nothing ran or will: nobody else shall wait for it.
-                self._send(ip, Release(message.key, message.by))
+                self._send(ip, ReleaseKey(message.key, message.by))
             return
         membership = found.membership
         assert membership is not None
@@ -172,7 +172,7 @@
             self._failed[found.key, found.by] = None
             for voter in found.membership.voters if found.membership is not None else ():
                 if voter.ip not in found.others:
-                    self._send(voter.ip, Release(found.key, found.by))
+                    self._send(voter.ip, ReleaseKey(found.key, found.by))
         found.over(how)
 
 
--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-PAGE_BYTES = 512 << 10  # of items or claims in one frame: other messages go between the frames of a large state
+MAX_PAGE_BYTES = 512 << 10  # of items or claims in one frame: other messages go between the frames of a large state
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
@@ -18,7 +18,7 @@
     value: bytes | None
 
 
-class Answer(msgspec.Struct, array_like=True):
+class BackendResponse(msgspec.Struct, array_like=True):
     """A whole answer of a backend: `head` has its header lines."""
 
     status: int
@@ -37,7 +37,7 @@
     sent: float = 0.0
 
 
-class Sync(msgspec.Struct, tag=2, array_like=True):
+class Subscribe(msgspec.Struct, tag=2, array_like=True):
     """Send me all that changed after `since` of your life `life`, and whatever changes from now on."""
 
     life: str
@@ -191,7 +191,7 @@
     last: bool
 
 
-class Claim(msgspec.Struct, tag=9, array_like=True):
+class ReserveKey(msgspec.Struct, tag=9, array_like=True):
     """I want to run the operation of this key; `left`: seconds until my request ends."""
 
     key: bytes
@@ -200,8 +200,8 @@
     left: float
 
 
-class Verdict(msgspec.Struct, tag=10, array_like=True):
-    """The answer to Claim: granted to `by`, or who else has it, how that stands, and its answer."""
+class ReserveKeyReply(msgspec.Struct, tag=10, array_like=True):
+    """The answer to ReserveKey: granted to `by`, or who else has it, how that stands, and its answer."""
 
     key: bytes
     by: bytes
@@ -209,18 +209,18 @@
     granted: bool
     other: bool = False  # another has it...
     busy: bool = False  # ...and may still be at work
-    answer: Answer | None = None
+    answer: BackendResponse | None = None
 
 
-class Done(msgspec.Struct, tag=11, array_like=True):
+class CompleteKey(msgspec.Struct, tag=11, array_like=True):
     """The operation of this key has run, and this is its answer."""
 
     key: bytes
     by: bytes
-    answer: Answer
+    answer: BackendResponse
 
 
-class Release(msgspec.Struct, tag=12, array_like=True):
+class ReleaseKey(msgspec.Struct, tag=12, array_like=True):
     """The operation of this key did not run under this claim and never will."""
 
     key: bytes
@@ -243,13 +243,13 @@
     previous: list[Voter] = []
 
 
-class FetchClaims(msgspec.Struct, tag=17, array_like=True):
+class FetchReservations(msgspec.Struct, tag=17, array_like=True):
     """I am a voter of this epoch and lack claims of the epoch before: tell me all that you hold."""
 
     epoch: int
 
 
-class KeptClaim(msgspec.Struct, array_like=True):
+class StoredReservation(msgspec.Struct, array_like=True):
     """One claim as it lies on disk and goes to other voters; `left`: seconds for which its request may be at work.
 
     No time of day: clocks are set, and a claim that is forgotten too early runs twice. Whoever reads it anew counts
@@ -258,20 +258,20 @@
 
     by: bytes
     left: float
-    answer: Answer | None = None
+    answer: BackendResponse | None = None
 
 
-class ClaimsPage(msgspec.Struct, tag=18, array_like=True):
-    """A page of the answer to FetchClaims."""
+class ReservationsPage(msgspec.Struct, tag=18, array_like=True):
+    """A page of the answer to FetchReservations."""
 
     epoch: int
     number: int  # of the page, from 0
-    claims: list[tuple[bytes, KeptClaim]]
+    claims: list[tuple[bytes, StoredReservation]]
     last: bool
     complete: bool = True  # false: the sender was not complete in the epoch before, and granted nothing in it
 
 
-class Forward(msgspec.Struct, tag=19, array_like=True):
+class ForwardRequest(msgspec.Struct, tag=19, array_like=True):
     """Have your backend `backend` run this."""
 
     n: int
@@ -293,46 +293,46 @@
     sent: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delays
 
 
-class Reply(msgspec.Struct, tag=20, array_like=True):
+class ForwardResponse(msgspec.Struct, tag=20, array_like=True):
     """How it ended."""
 
     n: int
     how: int  # a value of lugspur.mesh.dataplane.gate.End
-    answer: Answer | None = None
+    answer: BackendResponse | None = None
     sent: bool = True  # whether the backend was offered it
     busy: int = 0  # requests in hand there
     cause: int = 0  # a value of lugspur.mesh.dataplane.causes.Cause
 
 
-class Cancel(msgspec.Struct, tag=21, array_like=True):
+class CancelRequest(msgspec.Struct, tag=21, array_like=True):
     """Nobody waits for it any more."""
 
     n: int
 
 
-class Withdraw(msgspec.Struct, tag=28, array_like=True):
-    """Nobody waits for it any more: do not begin it. What the backend works on goes on; a Reply comes either way."""
+class WithdrawRequest(msgspec.Struct, tag=28, array_like=True):
+    """Nobody waits for it any more: do not begin it. What the backend works on goes on; a ForwardResponse comes either way."""
 
     n: int
 
 
-class AskOutcomes(msgspec.Struct, tag=29, array_like=True):
+class FetchOutcomes(msgspec.Struct, tag=29, array_like=True):
     """Which of these requests, sent on a connection that has ended, have not run and never will?
 
-    A Reply comes for each that is proven not to have run, now or once it is; for the others comes nothing.
+    A ForwardResponse comes for each that is proven not to have run, now or once it is; for the others comes nothing.
     """
 
     numbers: list[int]
 
 
-class Grant(msgspec.Struct, tag=22, array_like=True):
+class GrantBody(msgspec.Struct, tag=22, array_like=True):
     """Send the body's bytes up to there."""
 
     n: int
     upto: int
 
 
-class Part(msgspec.Struct, tag=23, array_like=True):
+class BodyChunk(msgspec.Struct, tag=23, array_like=True):
     """The next bytes of a body."""
 
     n: int
@@ -341,7 +341,7 @@
 
 Message: TypeAlias = (
     Hello
-    | Sync
+    | Subscribe
     | Unsubscribe
     | Delta
     | Pong
@@ -356,19 +356,19 @@
     | ForwardChange
     | ChangeResult
     | Learn
-    | Claim
-    | Verdict
-    | Done
-    | Release
-    | FetchClaims
-    | ClaimsPage
-    | Forward
-    | Reply
-    | Cancel
-    | Withdraw
-    | AskOutcomes
-    | Grant
-    | Part
+    | ReserveKey
+    | ReserveKeyReply
+    | CompleteKey
+    | ReleaseKey
+    | FetchReservations
+    | ReservationsPage
+    | ForwardRequest
+    | ForwardResponse
+    | CancelRequest
+    | WithdrawRequest
+    | FetchOutcomes
+    | GrantBody
+    | BodyChunk
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -17,8 +17,8 @@
 from lugspur.mesh.control.capacity import item_bytes
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.messages import (
+    MAX_PAGE_BYTES,
     NO_PROPOSAL,
-    PAGE_BYTES,
     Accept,
     Accepted,
     Change,
@@ -218,7 +218,7 @@
             if item.index <= since:
                 continue
             size += len(item.entry.name) + len(item.entry.value or b"") + 32
-            if size > PAGE_BYTES:
+            if size > MAX_PAGE_BYTES:
                 pages.append(Learn(since, self.index, self.pruned, len(pages), [], False))
                 size = 0
             pages[-1].items.append(item)
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -23,19 +23,19 @@
 from lugspur.mesh.control.messages import (
     Accept,
     Change,
-    Claim,
-    ClaimsPage,
-    Done,
+    CompleteKey,
     Entry,
-    FetchClaims,
     FetchDecided,
+    FetchReservations,
     Learn,
     Membership,
     Message,
     Prepare,
     ReadIndexQuery,
-    Release,
-    Verdict,
+    ReleaseKey,
+    ReservationsPage,
+    ReserveKey,
+    ReserveKeyReply,
     Voter,
 )
 from lugspur.mesh.control.register import Applied, Register
@@ -151,11 +151,11 @@
 
     def handle(self, now: float, peer: Peer, message: Message) -> Effects:
         """Something for this replica."""
-        if isinstance(message, Claim):
+        if isinstance(message, ReserveKey):
             return self._claim(now, peer, message)
-        if isinstance(message, Done):
+        if isinstance(message, CompleteKey):
             return self.claims.done(now, message, self.complete)
-        if isinstance(message, Release):
+        if isinstance(message, ReleaseKey):
             return self.claims.release(message)
         if isinstance(message, Prepare):
             return self.register.prepare(peer, message, self.is_voter)
@@ -165,7 +165,7 @@
             return self.register.query(peer, message, self.is_voter)
         if isinstance(message, FetchDecided):
             return self._catch_up(peer, message)
-        if isinstance(message, FetchClaims):
+        if isinstance(message, FetchReservations):
             return self._fetch_claims(now, peer, message)
         return Effects()  # nothing that a replica is asked
 
@@ -227,24 +227,24 @@
         change = self.register.change
         return self.complete and (change is None or all(entry.kind != MEMBERSHIP for entry in change.entries))
 
-    def _claim(self, now: float, peer: Peer, message: Claim) -> Effects:
+    def _claim(self, now: float, peer: Peer, message: ReserveKey) -> Effects:
         if not self.grants or message.epoch != self.epoch:
-            return Effects(send=[(peer, Verdict(message.key, message.by, self.epoch, False))])
+            return Effects(send=[(peer, ReserveKeyReply(message.key, message.by, self.epoch, False))])
         return self.claims.claim(now, peer, message, self.epoch)
 
-    def _fetch_claims(self, now: float, peer: Peer, message: FetchClaims) -> Effects:
+    def _fetch_claims(self, now: float, peer: Peer, message: FetchReservations) -> Effects:
         """A new voter wants all claims; this one has gone by the new epoch, and grants nothing in an older one."""
         if message.epoch > self.epoch:
             return Effects(send=[(peer, FetchDecided(self.index))])
         if message.epoch != self.epoch or not self.was_voter:
             return Effects()
-        pages: list[tuple[Peer, Message]] = [(peer, ClaimsPage(self.epoch, 0, [], True, False))]
+        pages: list[tuple[Peer, Message]] = [(peer, ReservationsPage(self.epoch, 0, [], True, False))]
         if self.was_complete:
             pages = [(peer, page) for page in self.claims.pages(now, self.epoch)]
         # The epoch has to be on disk before anybody relies on it.
         return Effects(write=[(COMPLETE_ROW, _pack(self.complete_epoch))], after_sync=pages)
 
-    def caught_up(self, now: float, pages: Iterable[ClaimsPage]) -> Effects:
+    def caught_up(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
         """All that was won in the epochs before (see `catch_up`)."""
         if not self.is_voter or self.complete:
             return Effects()
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -18,7 +18,6 @@
 from lugspur.mesh.control.messages import (
     Accepted,
     ChangeResult,
-    ClaimsPage,
     Delta,
     Entry,
     FetchDecided,
@@ -30,7 +29,8 @@
     Promise,
     ReadIndexReply,
     Report,
-    Sync,
+    ReservationsPage,
+    Subscribe,
     Unsubscribe,
     Voter,
 )
@@ -175,7 +175,7 @@
             dialler = self.peers.get(message.ip)
             if dialler is not None:
                 dialler.nudge()
-        elif isinstance(message, Sync):
+        elif isinstance(message, Subscribe):
             since = message.since if message.life == self.life and message.since <= self.store.upto else 0
             self.subscribers.add(link, since)
         elif isinstance(message, Unsubscribe):
@@ -244,7 +244,7 @@
             self.router.forwarder.heard(ip, message)
         elif isinstance(message, FetchDecided):
             self.do(self.replica.handle(now, ip, message))
-        elif isinstance(message, ClaimsPage):
+        elif isinstance(message, ReservationsPage):
             complete = self.replica.complete
             self.do(self.catch_up.heard(now, ip, message))
             if self.replica.complete and not complete:
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -16,7 +16,7 @@
 from lugspur.http1.upstream import Backend, Exchange, Upstream
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
-from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
@@ -79,7 +79,9 @@
 
     __slots__ = ("exchange", "forward", "local", "over", "respond", "sent", "sent_at", "since", "until")
 
-    def __init__(self, forward: Forward, local: LocalBackend, now: float, respond: Callable[[Reply], None]) -> None:
+    def __init__(
+        self, forward: ForwardRequest, local: LocalBackend, now: float, respond: Callable[[ForwardResponse], None]
+    ) -> None:
         self.forward, self.local, self.respond = forward, local, respond
         self.since = self.sent_at = now
         self.until = now + forward.left
@@ -96,7 +98,7 @@
         memory: int,
         files: int,
         drain: float,
-        done: Callable[[Forward, Answer], None],
+        done: Callable[[ForwardRequest, BackendResponse], None],
         down: Callable[[LocalBackend], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
@@ -137,7 +139,7 @@
             return False
         return now <= local.closing_at + min(CLOSING_MOST, CLOSING_TAKES * self._drain)
 
-    def run(self, forward: Forward, respond: Callable[[Reply], None]) -> Ticket | None:
+    def run(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Ticket | None:
         """Have the backend run it; the answer comes once. None: it is turned away."""
         now = self._loop.time()
         local = self.local
@@ -161,12 +163,12 @@
             heapq.heappush(self._waiting, (self.rank(now, forward), next(self._count), ticket))
         return ticket
 
-    def turn_away(self, number: int, cause: Cause) -> Reply:
+    def turn_away(self, number: int, cause: Cause) -> ForwardResponse:
         """The reply to a request that is not taken."""
         self.causes[cause] += 1
-        return Reply(number, End.NOT_RUN, None, False, self.busy, cause)
+        return ForwardResponse(number, End.NOT_RUN, None, False, self.busy, cause)
 
-    def room(self, forward: Forward) -> bool:
+    def room(self, forward: ForwardRequest) -> bool:
         """Whether a request would be taken now."""
         local, now = self.local, self._loop.time()
         return local is not None and self.takes(now, forward.backend) and self._room(local, forward)
@@ -176,14 +178,14 @@
         return self._pace_of(route)
 
     @staticmethod
-    def rank(now: float, forward: Forward) -> Rank:
+    def rank(now: float, forward: ForwardRequest) -> Rank:
         """Who is first: by the operators' priority, then whose answer loses its worth soonest.
 
         Guards the work of parents: their calls have short aims, and a parent holds its berth until they are answered.
         """
         return forward.priority, now + forward.aim
 
-    def _room(self, local: LocalBackend, forward: Forward) -> bool:
+    def _room(self, local: LocalBackend, forward: ForwardRequest) -> bool:
         """Whether it would get its turn while its answer is still worth something."""
         free = local.berths + EXTRA - self._at_work
         if free > 0:
@@ -277,7 +279,7 @@
         self._upstream.start(exchange)
 
     @staticmethod
-    def _bytes(forward: Forward, left: float) -> bytes:
+    def _bytes(forward: ForwardRequest, left: float) -> bytes:
         told = b""
         if forward.body or forward.method in (b"POST", b"PUT", b"PATCH"):
             told = b"Content-Length: %d\r\n" % len(forward.body)
@@ -301,7 +303,7 @@
             pace = self._paces.get(route, took)
             self._paces[route] = pace + (took - pace) * PACE_WEIGHT
             if self._sound(ticket.forward, response):
-                answer = Answer(response.status, response.head, response.body)
+                answer = BackendResponse(response.status, response.head, response.body)
                 if ticket.forward.key:
                     self._done(ticket.forward, answer)
                 self._end(ticket, End.ANSWERED, Cause.NONE, answer)
@@ -319,7 +321,7 @@
         self._next()
 
     @staticmethod
-    def _sound(forward: Forward, response: Response) -> bool:
+    def _sound(forward: ForwardRequest, response: Response) -> bool:
         """Whether it is this request's answer, as the backend meant it."""
         names: dict[bytes, bytes] = {}
         for line in response.head.split(b"\r\n"):
@@ -332,9 +334,9 @@
             return False
         return response.status // 100 != 2 or b"lugspur-postmark" in names
 
-    def _end(self, ticket: Ticket, how: End, cause: Cause, answer: Answer | None = None) -> None:
+    def _end(self, ticket: Ticket, how: End, cause: Cause, answer: BackendResponse | None = None) -> None:
         if not ticket.over:
             ticket.over = True
             if cause:
                 self.causes[cause] += 1
-            ticket.respond(Reply(ticket.forward.n, how, answer, ticket.sent, self.busy, cause))
+            ticket.respond(ForwardResponse(ticket.forward.n, how, answer, ticket.sent, self.busy, cause))
--- a/lugspur/mesh/dataplane/ports.py
+++ b/lugspur/mesh/dataplane/ports.py
@@ -9,7 +9,7 @@
 
 from lugspur.load_balancing.budget import Budget
 from lugspur.mesh.control.claims import Settled
-from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.seams import Answerable, Request
 
@@ -30,7 +30,7 @@
     def ready(self, ip: str) -> bool:
         """Whether that machine can be reached now."""
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         """Send it; the reply comes once.
 
         Behind one that tells of a lost connection another may follow, which proves that the request did not run.
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -7,7 +7,7 @@
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.claims import Known, Settled, Taken, Won
 from lugspur.mesh.control.errors import Kind
-from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.endpoints import Endpoint, pick
 from lugspur.mesh.dataplane.gate import End
@@ -63,7 +63,9 @@
         self.number = 0
         self.claim = ""  # how its claim was settled
         self.steps: list[Step] = []  # what became of each send, for an account of its failure
-        self.last: Answer | None = None  # a failure of the backend's own, to be passed on where nothing better comes
+        self.last: BackendResponse | None = (
+            None  # a failure of the backend's own, to be passed on where nothing better comes
+        )
         self.last_pick: PickView | None = None  # where it found no backend
         self._lines: list[bytes] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -132,7 +134,7 @@
         route, request = self.route, self.request
         if self._lines is None:
             self._lines = self._write_lines()
-        forward = Forward(
+        forward = ForwardRequest(
             0,
             endpoint.id,
             request.method,
@@ -191,7 +193,7 @@
 
     # ---- how it ends -----------------------------------------------------------------------
 
-    def _replied(self, number: int, reply: Reply) -> None:
+    def _replied(self, number: int, reply: ForwardResponse) -> None:
         if number not in self.out:
             self._proved_later(reply)
             return
@@ -240,13 +242,13 @@
         if not self._again(now):
             self._finish_failed()
 
-    def _proved_later(self, reply: Reply) -> None:
+    def _proved_later(self, reply: ForwardResponse) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
         if reply.how == End.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
-    def _note(self, endpoint: Endpoint, since: float, reply: Reply) -> None:
+    def _note(self, endpoint: Endpoint, since: float, reply: ForwardResponse) -> None:
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
         cause = Cause(reply.cause).name.lower() if reply.cause else ""
@@ -296,7 +298,7 @@
             self.won = False
             self.proxy.keys.release(self.key, self.claim_id)
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: BackendResponse) -> None:
         self._finish()
         if answer.status < 500:
             self.proxy.served(self.proxy.loop.time() - self.request.arrived)
--- a/lugspur/mesh/dataplane/uploads.py
+++ b/lugspur/mesh/dataplane/uploads.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lugspur.mesh.control.messages import Forward
+from lugspur.mesh.control.messages import ForwardRequest
 
 PART = 8 << 10  # bytes of one grant: 25 ms of the slowest links that are known
 AHEAD = 0.05  # seconds of the link that are granted ahead: longer than a grant takes to get there and back
@@ -33,7 +33,7 @@
 class Upload:
     """One body on its way."""
 
-    forward: Forward
+    forward: ForwardRequest
     rank: Rank
     since: float
     until: float
@@ -63,7 +63,7 @@
     def __len__(self) -> int:
         return len(self._uploads)
 
-    def offer(self, now: float, key: Key, forward: Forward, rank: Rank, pace: float) -> bool:
+    def offer(self, now: float, key: Key, forward: ForwardRequest, rank: Rank, pace: float) -> bool:
         """Whether a body is taken; `pace`: seconds that the backend takes for it."""
         size = forward.size
         total = sum(a.forward.size for a in self._uploads.values())
@@ -77,7 +77,7 @@
             self._uploads[key] = Upload(forward, rank, now, now + forward.left, bytearray(), 0, now)
         return fits
 
-    def part(self, now: float, key: Key, data: bytes) -> Forward | None:
+    def part(self, now: float, key: Key, data: bytes) -> ForwardRequest | None:
         """Bytes have come; the request once they are all there. Raises ValueError for more than was granted."""
         found = self._uploads.get(key)
         if found is None:  # it was dropped while they were on their way
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/folder.py
@@ -16,14 +16,14 @@
 from lugspur.mesh.control import items
 from lugspur.mesh.control.claim_table import CLAIM_PREFIX
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.messages import Item, KeptClaim, Membership
+from lugspur.mesh.control.messages import Item, Membership, StoredReservation
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.disk import NAME
 
 _item = msgspec.msgpack.Decoder(Item)
-_kept = msgspec.msgpack.Decoder(KeptClaim)
+_kept = msgspec.msgpack.Decoder(StoredReservation)
 _index = msgspec.msgpack.Decoder(tuple[int, int])
 _vote = msgspec.msgpack.Decoder(Vote)
 _epoch = msgspec.msgpack.Decoder(int)
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -5,7 +5,17 @@
 import asyncio
 
 from lugspur.mesh import events
-from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Hello, Message, Part, Reply, Withdraw
+from lugspur.mesh.control.messages import (
+    BodyChunk,
+    CancelRequest,
+    FetchOutcomes,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    Hello,
+    Message,
+    WithdrawRequest,
+)
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import End, Gate, Ticket
@@ -45,19 +55,19 @@
         """Something from one who dialled."""
         if isinstance(message, Hello):
             self._greeted(link, message)
-        elif isinstance(message, Forward):
+        elif isinstance(message, ForwardRequest):
             self._forwarded(link, message)
-        elif isinstance(message, Part):
+        elif isinstance(message, BodyChunk):
             self._part(link, message)
-        elif isinstance(message, Cancel):
+        elif isinstance(message, CancelRequest):
             ticket = self._tickets.pop((link, message.n), None)
             if ticket is not None:
                 self._gate.cancel(ticket)
             elif self.uploads.drop((link, message.n)):
                 self._grant()
-        elif isinstance(message, Withdraw):
+        elif isinstance(message, WithdrawRequest):
             self._withdrawn(link, message.n)
-        elif isinstance(message, AskOutcomes):
+        elif isinstance(message, FetchOutcomes):
             self._asked_outcomes(link, message)
 
     def _greeted(self, link: Link, message: Hello) -> None:
@@ -71,7 +81,7 @@
         else:
             link.send(self._hello)
 
-    def _forwarded(self, link: Link, forward: Forward) -> None:
+    def _forwarded(self, link: Link, forward: ForwardRequest) -> None:
         """A request, or the word that one with a large body waits to be sent."""
         caller = self._callers.get(link)
         if caller is None or forward.n <= caller.latest:
@@ -93,11 +103,11 @@
         else:
             self._run(link, forward)
 
-    def _run(self, link: Link, forward: Forward) -> None:
+    def _run(self, link: Link, forward: ForwardRequest) -> None:
         """A whole request for this machine's backend."""
         n, life = forward.n, self._callers[link].life
 
-        def respond(said: Reply) -> None:
+        def respond(said: ForwardResponse) -> None:
             self._tickets.pop((link, n), None)
             if forward.key and said.how == End.NOT_RUN:
                 self._proved_unrun(link, life, said)
@@ -107,7 +117,7 @@
         if ticket is not None and not ticket.over:
             self._tickets[link, n] = ticket
 
-    def _proved_unrun(self, link: Link, life: str, said: Reply) -> None:
+    def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
         """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
         self._outcomes.did_not_run(life, said.n)
         if not link.open:
@@ -117,7 +127,7 @@
     def _connections_of(self, life: str) -> list[Link]:
         return [link for link, caller in self._callers.items() if caller.life == life]
 
-    def _asked_outcomes(self, link: Link, message: AskOutcomes) -> None:
+    def _asked_outcomes(self, link: Link, message: FetchOutcomes) -> None:
         """Tell which requests of lost connections are proven not to have run."""
         caller = self._callers.get(link)
         if caller is None:
@@ -130,7 +140,7 @@
                 other.close()
         for number in message.numbers:
             if self._outcomes.proven_unrun(caller.life, number):
-                link.send(Reply(number, End.NOT_RUN, None, False, cause=Cause.NEVER_CAME))
+                link.send(ForwardResponse(number, End.NOT_RUN, None, False, cause=Cause.NEVER_CAME))
 
     def _withdrawn(self, link: Link, number: int) -> None:
         """Nobody waits for one that may not be cancelled: it is not begun any more."""
@@ -141,7 +151,7 @@
             self._turn_away(link, number, Cause.CANCELLED)
             self._grant()
 
-    def _part(self, link: Link, message: Part) -> None:
+    def _part(self, link: Link, message: BodyChunk) -> None:
         try:
             whole = self.uploads.part(self._loop.time(), (link, message.n), message.data)
         except ValueError as fault:
@@ -152,7 +162,7 @@
             self._run(link, whole)
         self._grant()
 
-    def _offered(self, link: Link, forward: Forward) -> None:
+    def _offered(self, link: Link, forward: ForwardRequest) -> None:
         """A request whose body would come in parts."""
         now, n = self._loop.time(), forward.n
         rank, pace = self._gate.rank(now, forward), self._gate.pace(forward.route)
@@ -170,7 +180,7 @@
         """Let those send whose turn it is."""
         for key, upto in self.uploads.grants(self._loop.time()):
             link, n = key
-            link.send(Grant(n, upto))
+            link.send(GrantBody(n, upto))
 
     def ended(self, link: Link) -> None:
         """A connection that was dialled to here has ended."""
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -14,18 +14,18 @@
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
 from lugspur.mesh.control.messages import (
-    Claim,
     Delta,
     Entry,
     Hello,
     Membership,
     Message,
     Pong,
-    Release,
+    ReleaseKey,
     Report,
-    Sync,
+    ReserveKey,
+    ReserveKeyReply,
+    Subscribe,
     Unsubscribe,
-    Verdict,
 )
 from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
@@ -148,7 +148,7 @@
         if dialler.link is not None:
             life, since = self.synced.get(dialler.ip, ("", 0))
             self.freshness.asked(self.loop.time(), dialler.ip)
-            dialler.link.send(Sync(life, since))
+            dialler.link.send(Subscribe(life, since))
             own = self.own_entries(True)
             if own:
                 dialler.link.send(Report(own))
@@ -206,7 +206,7 @@
         now = self.loop.time()
         if isinstance(message, Delta):
             self._delta(now, ip, message)
-        elif isinstance(message, Verdict):
+        elif isinstance(message, ReserveKeyReply):
             self.claims.verdict(now, ip, message)
         else:
             self.heard_more(now, ip, message)
@@ -289,7 +289,7 @@
 
     # ---- the voters -----------------------------------------------------------------------
 
-    def _to_voter(self, ip: str, message: Claim | Release) -> None:
+    def _to_voter(self, ip: str, message: ReserveKey | ReleaseKey) -> None:
         self.to(ip, message)
 
     def to(self, ip: str, message: Message) -> None:
@@ -309,7 +309,7 @@
         """Give it back."""
         if self.membership is not None:
             for voter in self.membership.voters:
-                self.to(voter.ip, Release(key, by))
+                self.to(voter.ip, ReleaseKey(key, by))
 
     def drop(self, key: bytes, by: bytes) -> None:
         """Nobody waits for it any more."""
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/outgoing.py
@@ -7,7 +7,15 @@
 
 from cachetools import LRUCache
 
-from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Part, Reply, Withdraw
+from lugspur.mesh.control.messages import (
+    BodyChunk,
+    CancelRequest,
+    FetchOutcomes,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    WithdrawRequest,
+)
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.uploads import PART, in_parts
@@ -15,7 +23,7 @@
 
 UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
 
-Respond = Callable[[Reply], None]
+Respond = Callable[[ForwardResponse], None]
 
 
 @dataclass(slots=True)
@@ -75,7 +83,7 @@
         return bool(self._open.get(ip))
 
     def carry(
-        self, now: float, ip: str, link: Link, rate: float, forward: Forward, respond: Respond
+        self, now: float, ip: str, link: Link, rate: float, forward: ForwardRequest, respond: Respond
     ) -> CarriedExchange:
         """Send a request; the reply comes once. `rate`: bytes a second of that machine's link, 0: unknown."""
         self._latest += 1
@@ -93,14 +101,14 @@
         """Have it ended, and hear no more of it."""
         exchange = self._open.get(ip, {}).pop(number, None)
         if exchange is not None:
-            exchange.link.send(Cancel(number))
-            exchange.respond(Reply(number, End.MAYBE, cause=Cause.CANCELLED))
+            exchange.link.send(CancelRequest(number))
+            exchange.respond(ForwardResponse(number, End.MAYBE, cause=Cause.CANCELLED))
 
     def withdraw(self, ip: str, number: int) -> None:
         """Have it not begun any more; its reply comes all the same."""
         exchange = self._open.get(ip, {}).get(number)
         if exchange is not None:
-            exchange.link.send(Withdraw(number))
+            exchange.link.send(WithdrawRequest(number))
 
     def _of(self, link: Link, number: int) -> _Exchange | None:
         """The exchange that a message on this connection is about.
@@ -110,7 +118,7 @@
         exchange = self._open.get(link.peer, {}).get(number)
         return exchange if exchange is not None and exchange.link is link else None
 
-    def reply(self, link: Link, message: Reply) -> None:
+    def reply(self, link: Link, message: ForwardResponse) -> None:
         """How one ended."""
         exchange = self._of(link, message.n)
         if exchange is not None:
@@ -119,7 +127,7 @@
         else:
             self._proved(link, message)
 
-    def _proved(self, link: Link, message: Reply) -> None:
+    def _proved(self, link: Link, message: ForwardResponse) -> None:
         """The outcome of one whose connection was lost, from the process that it was sent to."""
         unproven = self._unproven.get(message.n)
         if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.life):
@@ -127,7 +135,7 @@
         del self._unproven[message.n]
         unproven.respond(message)
 
-    def grant(self, link: Link, message: Grant) -> None:
+    def grant(self, link: Link, message: GrantBody) -> None:
         """Send the next bytes of a body."""
         exchange = self._of(link, message.n)
         body = None if exchange is None else exchange.body
@@ -137,7 +145,7 @@
         if body.sent == len(body.data):
             exchange.body = None
         for at in range(begin, body.sent, PART):
-            exchange.link.send(Part(message.n, body.data[at : min(at + PART, body.sent)]))
+            exchange.link.send(BodyChunk(message.n, body.data[at : min(at + PART, body.sent)]))
 
     def reached(self, link: Link) -> None:
         """A process has said which life of it answers on a new connection: ask what became of what was lost."""
@@ -150,7 +158,7 @@
             else:
                 del self._unproven[number]  # another life does not know what the one before had begun
         if asked:
-            link.send(AskOutcomes(sorted(asked)))
+            link.send(FetchOutcomes(sorted(asked)))
 
     def lost(self, ip: str) -> None:
         """The connection to that machine has ended."""
@@ -161,4 +169,4 @@
             if exchange.keyed and not unsent:
                 self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
             how = End.NOT_RUN if unsent else End.MAYBE
-            exchange.respond(Reply(number, how, sent=not unsent, cause=Cause.LINK_LOST))
+            exchange.respond(ForwardResponse(number, how, sent=not unsent, cause=Cause.LINK_LOST))
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -15,7 +15,16 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
-from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
+from lugspur.mesh.control.messages import (
+    BackendResponse,
+    CompleteKey,
+    Entry,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    Hello,
+    Message,
+)
 from lugspur.mesh.dataplane.delays import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.ports import Carried
@@ -208,7 +217,7 @@
         dialler = self.peers.get(ip)
         return dialler is not None and dialler.link is not None and dialler.link.answered
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         """Send it to the gate beside that machine's backend."""
         if ip == self.ip:
             return CarriedHere(self.gate, self.gate.run(forward, respond))
@@ -220,9 +229,9 @@
         return self.outgoing.carry(self.loop.time(), ip, link, rate, forward, respond)
 
     def _heard_from(self, link: Link, message: Message) -> None:
-        if isinstance(message, Reply):
+        if isinstance(message, ForwardResponse):
             self.outgoing.reply(link, message)
-        elif isinstance(message, Grant):
+        elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
             link.answered, link.life = True, message.life
@@ -243,11 +252,11 @@
             if dialler is not None:
                 dialler.met(message.life)
 
-    def _done(self, forward: Forward, answer: Answer) -> None:
+    def _done(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for repeats."""
         if self.membership is not None:
             for voter in self.membership.voters:
-                self.to(voter.ip, Done(forward.key, forward.by, answer))
+                self.to(voter.ip, CompleteKey(forward.key, forward.by, answer))
 
     def standing(self) -> Standing:
         """What requests are judged by at this moment."""
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -19,42 +19,42 @@
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
-    Answer,
-    AskOutcomes,
-    Cancel,
+    BackendResponse,
+    BodyChunk,
+    CancelRequest,
     Change,
     ChangeResult,
-    Claim,
-    ClaimsPage,
+    CompleteKey,
     Delta,
-    Done,
     Entry,
-    FetchClaims,
     FetchDecided,
-    Forward,
+    FetchOutcomes,
+    FetchReservations,
     ForwardChange,
-    Grant,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
     Hello,
     Item,
-    KeptClaim,
     Learn,
     Membership,
     Message,
-    Part,
     Pong,
     Prepare,
     Promise,
     ProposalNumber,
     ReadIndexQuery,
     ReadIndexReply,
-    Release,
-    Reply,
+    ReleaseKey,
     Report,
-    Sync,
+    ReservationsPage,
+    ReserveKey,
+    ReserveKeyReply,
+    StoredReservation,
+    Subscribe,
     Unsubscribe,
-    Verdict,
     Voter,
-    Withdraw,
+    WithdrawRequest,
     decode,
     encode,
 )
@@ -63,7 +63,7 @@
 
 ENTRY = Entry(kind="routes", name="a", edition=2, value=b"v")
 WITHDRAWAL = Entry(kind="services", name="b", edition=3, value=None)
-ANSWER = Answer(status=200, head=b"h", body=b"b")
+ANSWER = BackendResponse(status=200, head=b"h", body=b"b")
 VOTERS = [Voter(ip="10.0.0.1", uid="u1", zone="z1"), Voter(ip="10.0.0.2", uid="u2", zone="z2")]
 
 #: Each message with a value in every field, and its bytes behind the four bytes of length.
@@ -72,7 +72,7 @@
         Hello(ip="127.0.0.1", life="l1", keeps=True, sent=1.5),
         bytes.fromhex("95 01 a9 31 32 37 2e 30 2e 30 2e 31 a2 6c 31 c3 cb 3f f8 00 00 00 00 00 00"),
     ),
-    (Sync(life="l2", since=21), bytes.fromhex("93 02 a2 6c 32 15")),
+    (Subscribe(life="l2", since=21), bytes.fromhex("93 02 a2 6c 32 15")),
     (Unsubscribe(), bytes.fromhex("91 1b")),
     (
         Delta(
@@ -157,26 +157,26 @@
         bytes.fromhex("97 18 cc f1 cc f2 cc f3 cc f4 91 92 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76 cc f5 c3"),
     ),
     (
-        Claim(key=b"k9", by=b"b9", epoch=91, left=9.5),
+        ReserveKey(key=b"k9", by=b"b9", epoch=91, left=9.5),
         bytes.fromhex("95 09 c4 02 6b 39 c4 02 62 39 5b cb 40 23 00 00 00 00 00 00"),
     ),
     (
-        Verdict(key=b"k10", by=b"b10", epoch=101, granted=False, other=True, busy=False, answer=ANSWER),
+        ReserveKeyReply(key=b"k10", by=b"b10", epoch=101, granted=False, other=True, busy=False, answer=ANSWER),
         bytes.fromhex("98 0a c4 03 6b 31 30 c4 03 62 31 30 65 c2 c3 c2 93 cc c8 c4 01 68 c4 01 62"),
     ),
     (
-        Verdict(key=b"k10", by=b"b10", epoch=101, granted=False, other=False, busy=True, answer=None),
+        ReserveKeyReply(key=b"k10", by=b"b10", epoch=101, granted=False, other=False, busy=True, answer=None),
         bytes.fromhex("98 0a c4 03 6b 31 30 c4 03 62 31 30 65 c2 c2 c3 c0"),
     ),
     (
-        Done(key=b"k11", by=b"b11", answer=ANSWER),
+        CompleteKey(key=b"k11", by=b"b11", answer=ANSWER),
         bytes.fromhex("94 0b c4 03 6b 31 31 c4 03 62 31 31 93 cc c8 c4 01 68 c4 01 62"),
     ),
-    (Release(key=b"k12", by=b"b12"), bytes.fromhex("93 0c c4 03 6b 31 32 c4 03 62 31 32")),
-    (FetchClaims(epoch=171), bytes.fromhex("92 11 cc ab")),
+    (ReleaseKey(key=b"k12", by=b"b12"), bytes.fromhex("93 0c c4 03 6b 31 32 c4 03 62 31 32")),
+    (FetchReservations(epoch=171), bytes.fromhex("92 11 cc ab")),
     (
-        ClaimsPage(
-            epoch=181, number=182, claims=[(b"k18", KeptClaim(b"b18", 1.75, ANSWER))], last=True, complete=False
+        ReservationsPage(
+            epoch=181, number=182, claims=[(b"k18", StoredReservation(b"b18", 1.75, ANSWER))], last=True, complete=False
         ),
         bytes.fromhex(
             "96 12 cc b5 cc b6 91 92 c4 03 6b 31 38 93 c4 03 62 31 38 cb 3f fc 00 00 00 00 00 00 93 cc c8 c4"
@@ -184,7 +184,7 @@
         ),
     ),
     (
-        Forward(
+        ForwardRequest(
             n=191,
             backend="b19",
             method=b"GET",
@@ -210,14 +210,14 @@
         ),
     ),
     (
-        Reply(n=201, how=2, answer=ANSWER, sent=False, busy=202, cause=203),
+        ForwardResponse(n=201, how=2, answer=ANSWER, sent=False, busy=202, cause=203),
         bytes.fromhex("97 14 cc c9 02 93 cc c8 c4 01 68 c4 01 62 c2 cc ca cc cb"),
     ),
-    (Cancel(n=211), bytes.fromhex("92 15 cc d3")),
-    (Withdraw(n=281), bytes.fromhex("92 1c cd 01 19")),
-    (AskOutcomes(numbers=[291, 292]), bytes.fromhex("92 1d 92 cd 01 23 cd 01 24")),
-    (Grant(n=221, upto=222), bytes.fromhex("93 16 cc dd cc de")),
-    (Part(n=231, data=b"d23"), bytes.fromhex("93 17 cc e7 c4 03 64 32 33")),
+    (CancelRequest(n=211), bytes.fromhex("92 15 cc d3")),
+    (WithdrawRequest(n=281), bytes.fromhex("92 1c cd 01 19")),
+    (FetchOutcomes(numbers=[291, 292]), bytes.fromhex("92 1d 92 cd 01 23 cd 01 24")),
+    (GrantBody(n=221, upto=222), bytes.fromhex("93 16 cc dd cc de")),
+    (BodyChunk(n=231, data=b"d23"), bytes.fromhex("93 17 cc e7 c4 03 64 32 33")),
 ]
 
 #: Bytes of senders that know fewer fields, and what their fields are then taken to be.
@@ -258,19 +258,19 @@
     ),
     (
         bytes.fromhex("95 0a c4 01 6b c4 01 62 06 c3"),
-        Verdict(key=b"k", by=b"b", epoch=6, granted=True, other=False, busy=False, answer=None),
+        ReserveKeyReply(key=b"k", by=b"b", epoch=6, granted=True, other=False, busy=False, answer=None),
     ),
     (
         bytes.fromhex("95 12 07 08 90 c3"),
-        ClaimsPage(epoch=7, number=8, claims=[], last=True, complete=True),
+        ReservationsPage(epoch=7, number=8, claims=[], last=True, complete=True),
     ),
-    (bytes.fromhex("93 14 09 02"), Reply(n=9, how=2, answer=None, sent=True, busy=0, cause=0)),
+    (bytes.fromhex("93 14 09 02"), ForwardResponse(n=9, how=2, answer=None, sent=True, busy=0, cause=0)),
     (
         bytes.fromhex(
             "9d 13 0a a1 62 c4 01 47 c4 01 2f 90 c4 00 cb 3f f4 00 00 00 00 00 00 cb 3f e8 00 00 00 00 00 00"
             "c4 01 61 01 c2 a1 72"
         ),
-        Forward(
+        ForwardRequest(
             n=10,
             backend="b",
             method=b"G",
@@ -327,10 +327,10 @@
         ),
     ),
     (
-        KeptClaim(by=b"b", left=1.5, answer=ANSWER),
+        StoredReservation(by=b"b", left=1.5, answer=ANSWER),
         bytes.fromhex("93 c4 01 62 cb 3f f8 00 00 00 00 00 00 93 cc c8 c4 01 68 c4 01 62"),
     ),
-    (KeptClaim(by=b"b", left=1.5, answer=None), bytes.fromhex("93 c4 01 62 cb 3f f8 00 00 00 00 00 00 c0")),
+    (StoredReservation(by=b"b", left=1.5, answer=None), bytes.fromhex("93 c4 01 62 cb 3f f8 00 00 00 00 00 00 c0")),
     (Presence(uid="u", zone="z", leaving=True, failing=False, disk_bytes=10), bytes.fromhex("95 a1 75 a1 7a c3 c2 0a")),
 ]
 
@@ -398,10 +398,10 @@
 
 def test_rows_of_reserved_operation_keys_lie_under_these_keys_with_these_values() -> None:
     table = ClaimTable(60.0, 64 << 20)
-    granted = table.claim(0.0, None, Claim(key=b"k", by=b"b", epoch=1, left=2.5), 1).write
-    done = table.done(1.0, Done(key=b"k", by=b"b", answer=ANSWER), True).write
-    table.claim(1.0, None, Claim(key=b"l", by=b"b", epoch=1, left=2.5), 1)
-    released = table.release(Release(key=b"l", by=b"b")).write
+    granted = table.claim(0.0, None, ReserveKey(key=b"k", by=b"b", epoch=1, left=2.5), 1).write
+    done = table.done(1.0, CompleteKey(key=b"k", by=b"b", answer=ANSWER), True).write
+    table.claim(1.0, None, ReserveKey(key=b"l", by=b"b", epoch=1, left=2.5), 1)
+    released = table.release(ReleaseKey(key=b"l", by=b"b")).write
     swept = table.sweep(71.0).write
     assert (granted, done, released, swept) == (
         [(b"ck", bytes.fromhex("93 c4 01 62 cb 40 04 00 00 00 00 00 00 c0"))],
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -25,7 +25,7 @@
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_call
-from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -179,7 +179,7 @@
     """A proxy behind a real listener; gates and keys are played, unless there is a real gate."""
 
     def __init__(self, kind: str = "tracked", backends: int = 2) -> None:
-        self.sent: list[tuple[Forward, Callable[[Reply], None]]] = []
+        self.sent: list[tuple[ForwardRequest, Callable[[ForwardResponse], None]]] = []
         self.claims: list[Callable[[Settled], None]] = []
         self.gate: Gate | None = None
         table = RouteTable()
@@ -193,7 +193,7 @@
     def ready(self, ip: str) -> bool:
         return True
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         self.sent.append((forward, respond))
         if self.gate is not None:
             self.gate.run(forward, respond)
@@ -293,7 +293,7 @@
             gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             gate.run(
-                Forward(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
+                ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
                 lambda reply: None,
             )
             got = await stub.got.get()
@@ -323,8 +323,8 @@
         async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
             gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
-            said: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-            gate.run(Forward(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result)
+            said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
+            gate.run(ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result)
             fields = msgspec.msgpack.decode(msgspec.msgpack.encode(await said))
         assert fields[:3] == [20, 1, how] and fields[6] == cause  # the tag, the number, how, and the cause
 
@@ -368,7 +368,7 @@
         (Taken(False), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nkey-spent\n"),
         (Unsettled(), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nno-quorum\n"),
         (
-            Known(Answer(201, b"X-Own: o\r\n", b"hi")),
+            Known(BackendResponse(201, b"X-Own: o\r\n", b"hi")),
             b"HTTP/1.1 201 Created\r\nX-Own: o\r\nContent-Length: 2\r\n\r\nhi",
         ),
     ],
@@ -387,15 +387,15 @@
     ("reply", "answer"),
     [
         (
-            Reply(0, 1, None, False, 0, 3),
+            ForwardResponse(0, 1, None, False, 0, 3),
             b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 11\r\n\r\nno-backend\n",
         ),
-        (Reply(0, 2, cause=12), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
-        (Reply(0, 3, cause=10), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
+        (ForwardResponse(0, 2, cause=12), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
+        (ForwardResponse(0, 3, cause=10), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
     ],
     ids=["not run", "maybe ran", "spoilt"],
 )
-def test_how_a_send_ends_is_told_byte_for_byte(reply: Reply, answer: bytes) -> None:
+def test_how_a_send_ends_is_told_byte_for_byte(reply: ForwardResponse, answer: bytes) -> None:
     async def what() -> None:
         mesh = Mesh("unsafe", 1)
         found = await mesh.ask(answered=lambda: mesh.sent[0][1](reply))
@@ -455,7 +455,7 @@
     """One request that a gate has no room for, and that is then lost on its way to another."""
     mesh.ask_at_once()
     mesh.claims[0](Won())
-    for reply in (Reply(0, 1, None, False, 9, 3), Reply(0, 2, cause=12)):
+    for reply in (ForwardResponse(0, 1, None, False, 9, 3), ForwardResponse(0, 2, cause=12)):
         mesh.sent[-1][1](reply)
 
 
@@ -485,7 +485,7 @@
     async def what() -> None:
         mesh = Mesh("unsafe", 1)
         mesh.ask_at_once()
-        mesh.sent[0][1](Reply(0, how, None, how != 1, 0, cause))
+        mesh.sent[0][1](ForwardResponse(0, how, None, how != 1, 0, cause))
         told = f'"how":"{ENDS[how]}","cause":"{CAUSES[cause]}"}}],'.encode()
         assert told in mesh.failures(), mesh.failures()
 
@@ -496,11 +496,11 @@
     async def what() -> None:
         mesh = Mesh("unsafe", 1)
         mesh.ask_at_once()
-        mesh.sent[0][1](Reply(0, 1, None, False, 0, 3))
+        mesh.sent[0][1](ForwardResponse(0, 1, None, False, 0, 3))
         assert mesh.failures().endswith(PICK + b"]")
         mesh = Mesh("unsafe", 1)
         mesh.ask_at_once()
-        mesh.sent[0][1](Reply(0, 0, Answer(500, b"", b"")))
+        mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(500, b"", b"")))
         assert b'"how":"backend-failed"' in mesh.failures() and b'"how":"answered","cause":""' in mesh.failures()
         caller = mesh.ask_at_once()
         assert caller.gone is not None
@@ -516,7 +516,7 @@
     [
         (Taken(True), b"taken"),
         (Unsettled(), b"unsettled"),
-        (Known(Answer(500, b"", b"")), b"known"),
+        (Known(BackendResponse(500, b"", b"")), b"known"),
     ],
 )
 def test_an_account_says_how_the_claim_ended(how: Settled, claim: bytes) -> None:
@@ -538,7 +538,7 @@
         mesh = Mesh("unsafe", backends)
         mesh.ask_at_once()
         if mesh.sent:
-            mesh.sent[0][1](Reply(0, 0, Answer(200, b"", b"")))
+            mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(200, b"", b"")))
         assert dict(mesh.proxy.ended) == how
 
     play(what)
@@ -550,7 +550,7 @@
         for _ in range(300):
             mesh.ask_at_once()
             while mesh.proxy.open_requests:
-                mesh.sent[-1][1](Reply(0, 1, None, False, 0, 3))
+                mesh.sent[-1][1](ForwardResponse(0, 1, None, False, 0, 3))
         assert mesh.proxy.ended["breaker-refused"] > 0
         assert b'"refusals":[{"backend":"i-0","chance":' in mesh.failures()
         assert b'"term":"errors"}]' in mesh.failures()
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -6,13 +6,13 @@
 from lugspur.mesh.control.messages import (
     Accepted,
     Change,
-    Claim,
     Entry,
     Membership,
     Message,
     Promise,
     ProposalNumber,
-    Verdict,
+    ReserveKey,
+    ReserveKeyReply,
     Voter,
 )
 from lugspur.mesh.control.replica import GENESIS, Replica, membership_entry
@@ -58,10 +58,10 @@
     return message
 
 
-def claim(to: Replica, by: bytes, now: float = 0.0, epoch: int = 1, key: bytes = b"k") -> Verdict:
+def claim(to: Replica, by: bytes, now: float = 0.0, epoch: int = 1, key: bytes = b"k") -> ReserveKeyReply:
     """The verdict on a claim."""
-    message = only(to.handle(now, None, Claim(key, by, epoch, 2.0)))
-    assert isinstance(message, Verdict)
+    message = only(to.handle(now, None, ReserveKey(key, by, epoch, 2.0)))
+    assert isinstance(message, ReserveKeyReply)
     return message
 
 
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -5,11 +5,11 @@
 from controlparts import IPS, NEW, claim, exchange, replica, seed
 
 from lugspur.mesh.control.catch_up import ASK_AGAIN, ClaimsCatchUp
-from lugspur.mesh.control.messages import ClaimsPage, FetchClaims, KeptClaim, Membership, Voter
+from lugspur.mesh.control.messages import FetchReservations, Membership, ReservationsPage, StoredReservation, Voter
 from lugspur.mesh.control.replica import Replica
 
 A, B, C = IPS
-CLAIMS: list[tuple[bytes, KeptClaim]] = [(b"k", KeptClaim(b"a", 2.0))]
+CLAIMS: list[tuple[bytes, StoredReservation]] = [(b"k", StoredReservation(b"a", 2.0))]
 
 
 def newcomer() -> tuple[Replica, ClaimsCatchUp]:
@@ -19,13 +19,13 @@
     return new, ClaimsCatchUp(new)
 
 
-def page(number: int = 0, last: bool = True, epoch: int = 2, complete: bool = True) -> ClaimsPage:
-    return ClaimsPage(epoch, number, CLAIMS if complete else [], last, complete)
+def page(number: int = 0, last: bool = True, epoch: int = 2, complete: bool = True) -> ReservationsPage:
+    return ReservationsPage(epoch, number, CLAIMS if complete else [], last, complete)
 
 
 def test_it_asks_the_voters_of_the_epoch_before_and_again_after_a_silence() -> None:
     _, catch_up = newcomer()
-    assert catch_up.look(1.0).send == [(ip, FetchClaims(2)) for ip in IPS]  # C has left: it holds claims still
+    assert catch_up.look(1.0).send == [(ip, FetchReservations(2)) for ip in IPS]  # C has left: it holds claims still
     assert catch_up.look(1.0 + ASK_AGAIN / 2).send == []
     catch_up.heard(1.2, A, page())
     assert [ip for ip, _ in catch_up.look(1.0 + ASK_AGAIN).send] == [B, C]
--- a/tests/mesh/test_claim_table.py
+++ b/tests/mesh/test_claim_table.py
@@ -4,14 +4,21 @@
 
 from controlparts import SEEDS, claim, replica, seed
 
-from lugspur.mesh.control.messages import Answer, Claim, Done, KeptClaim, Release, Verdict
+from lugspur.mesh.control.messages import (
+    BackendResponse,
+    CompleteKey,
+    ReleaseKey,
+    ReserveKey,
+    ReserveKeyReply,
+    StoredReservation,
+)
 from lugspur.mesh.control.replica import GENESIS
 
 
 def test_a_key_is_granted_to_one_and_on_disk_before_it_is_told() -> None:
     voter = seed()
-    effects = voter.handle(0.0, None, Claim(b"k", b"a", 1, 2.0))
-    assert effects.write and not effects.send and isinstance(effects.after_sync[0][1], Verdict)
+    effects = voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0))
+    assert effects.write and not effects.send and isinstance(effects.after_sync[0][1], ReserveKeyReply)
     assert claim(voter, b"a").granted  # said again: granted again, and written again
     other = claim(voter, b"b", 1.0)
     assert (other.granted, other.other, other.busy) == (False, True, True)
@@ -21,23 +28,23 @@
 def test_an_answer_goes_to_repeats_and_a_claim_that_is_given_back_is_free() -> None:
     voter = seed()
     claim(voter, b"a")
-    voter.handle(1.0, None, Done(b"k", b"a", Answer(200, b"", b"body")))
+    voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))
     repeat = claim(voter, b"b", 1.0)
     assert repeat.answer is not None and repeat.answer.body == b"body" and not repeat.granted
     assert claim(voter, b"a", 1.0).answer is not None  # the claimant's own repeat of a try
-    voter.handle(1.0, None, Release(b"k", b"a"))  # too late: it has run
+    voter.handle(1.0, None, ReleaseKey(b"k", b"a"))  # too late: it has run
     assert not claim(voter, b"c", 1.0).granted
     claim(voter, b"x", key=b"other")
-    voter.handle(1.0, None, Release(b"other", b"y"))  # another's
+    voter.handle(1.0, None, ReleaseKey(b"other", b"y"))  # another's
     assert not claim(voter, b"z", key=b"other").granted
-    voter.handle(1.0, None, Release(b"other", b"x"))
+    voter.handle(1.0, None, ReleaseKey(b"other", b"x"))
     assert claim(voter, b"z", key=b"other").granted
 
 
 def test_an_answer_counts_whoever_the_grant_here_was_for() -> None:
     voter = seed()
     claim(voter, b"loser")
-    voter.handle(1.0, None, Done(b"k", b"winner", Answer(200, b"", b"w")))
+    voter.handle(1.0, None, CompleteKey(b"k", b"winner", BackendResponse(200, b"", b"w")))
     repeat = claim(voter, b"c", 1.0)
     assert repeat.answer is not None and repeat.answer.body == b"w"
 
@@ -45,7 +52,7 @@
 def test_a_window_is_kept_whole_over_a_restart_and_then_swept() -> None:
     voter = seed(window=60.0)
     rows = dict(replica().begin(0.0, SEEDS).write)
-    rows |= dict(voter.handle(0.0, None, Claim(b"k", b"a", 1, 2.0)).write)
+    rows |= dict(voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0)).write)
     again = replica(uid="drawn", window=60.0)
     again.restore([(k, v) for k, v in rows.items() if v is not None], 1000.0)
     assert again.complete and again.voter.uid == GENESIS
@@ -60,7 +67,7 @@
     verdicts = [claim(voter, b"a", key=b"%d" % n) for n in range(40)]
     assert 10 <= sum(v.granted for v in verdicts) <= 20 and not verdicts[-1].other
     for n in range(10):
-        voter.handle(0.0, None, Done(b"%d" % n, b"a", Answer(200, b"", bytes(4000))))
+        voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(4000))))
     kept = [claim(voter, b"b", key=b"%d" % n) for n in range(10)]
     assert kept[0].answer is None and kept[0].other and kept[9].answer is not None
 
@@ -69,7 +76,7 @@
     voter = seed()
     for n in range(40):
         claim(voter, b"a", key=b"%d" % n)
-        voter.handle(0.0, None, Done(b"%d" % n, b"a", Answer(200, b"", bytes(60 << 10))))
+        voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(60 << 10))))
     pages = voter.claims.pages(0.0, 1)
     assert len(pages) > 3 and [p.last for p in pages] == [False] * (len(pages) - 1) + [True]
     assert [p.number for p in pages] == list(range(len(pages))) and sum(len(p.claims) for p in pages) == 40
@@ -77,12 +84,12 @@
 
 def test_a_key_that_two_are_said_to_hold_is_granted_to_neither_until_an_answer_tells() -> None:
     voter = seed()
-    voter.claims.merge(0.0, [(b"k", KeptClaim(b"a", 2.0))])
-    voter.claims.merge(0.0, [(b"k", KeptClaim(b"b", 1.0))])
+    voter.claims.merge(0.0, [(b"k", StoredReservation(b"a", 2.0))])
+    voter.claims.merge(0.0, [(b"k", StoredReservation(b"b", 1.0))])
     for by in (b"a", b"b", b"c"):
         verdict = claim(voter, by)
         assert not verdict.granted and verdict.other
-    voter.handle(1.0, None, Done(b"k", b"a", Answer(200, b"", b"body")))  # it had won
+    voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))  # it had won
     assert claim(voter, b"b", 1.0).answer is not None
-    voter.claims.merge(1.0, [(b"k", KeptClaim(b"b", 9.0))])
+    voter.claims.merge(1.0, [(b"k", StoredReservation(b"b", 9.0))])
     assert claim(voter, b"b", 1.0).answer is not None  # an answer is the last word
--- a/tests/mesh/test_drawn_histories.py
+++ b/tests/mesh/test_drawn_histories.py
@@ -14,7 +14,7 @@
 from lugspur.mesh.control.claim_table import ClaimTable
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.membership import Situation
-from lugspur.mesh.control.messages import Claim, Voter
+from lugspur.mesh.control.messages import ReserveKey, Voter
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
@@ -66,7 +66,7 @@
 _claim, _sweep = ClaimTable.claim, Replica.sweep
 
 
-def grants_twice(self: ClaimTable, now: float, peer: Any, message: Claim, epoch: int) -> Effects:
+def grants_twice(self: ClaimTable, now: float, peer: Any, message: ReserveKey, epoch: int) -> Effects:
     self._drop(message.key)
     return _claim(self, now, peer, message, epoch)
 
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -8,16 +8,16 @@
 import pytest
 
 from lugspur.mesh.control.messages import (
-    Answer,
-    AskOutcomes,
-    Cancel,
-    Forward,
-    Grant,
+    BackendResponse,
+    BodyChunk,
+    CancelRequest,
+    FetchOutcomes,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
     Hello,
     Message,
-    Part,
-    Reply,
-    Withdraw,
+    WithdrawRequest,
 )
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
@@ -46,7 +46,7 @@
 
     @property
     def replies(self) -> list[tuple[int, End]]:
-        return [(m.n, End(m.how)) for m in self.sent if isinstance(m, Reply)]
+        return [(m.n, End(m.how)) for m in self.sent if isinstance(m, ForwardResponse)]
 
 
 class Rig:
@@ -80,9 +80,11 @@
         return asyncio.get_running_loop().time() + 5000.0 - ago
 
 
-def forward(n: int, sent: float, left: float = 2.0, size: int = 0, key: bytes = b"") -> Forward:
+def forward(n: int, sent: float, left: float = 2.0, size: int = 0, key: bytes = b"") -> ForwardRequest:
     attempt = b"a%d" % n
-    return Forward(n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, size=size, sent=sent)
+    return ForwardRequest(
+        n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, size=size, sent=sent
+    )
 
 
 def play(what: Callable[[Rig], Awaitable[None] | None]) -> None:
@@ -119,10 +121,10 @@
         before, after = rig.greeted("one"), rig.greeted("two")
         rig.hear(before, forward(1, rig.stamp(), size=20_000))
         rig.hear(after, forward(1, rig.stamp(), size=30_000))
-        rig.hear(before, Part(1, bytes(PART)), Cancel(1))  # of its own number 1 alone
+        rig.hear(before, BodyChunk(1, bytes(PART)), CancelRequest(1))  # of its own number 1 alone
         rig.incoming.ended(before)  # type: ignore[arg-type]
         for n in range(4):
-            rig.hear(after, Part(1, bytes(min(PART, 30_000 - n * PART))))
+            rig.hear(after, BodyChunk(1, bytes(min(PART, 30_000 - n * PART))))
         assert rig.ran == [b"a1"] and before.replies == [] and after.open
         rig.hear(after, Hello("127.0.0.2", "three", False))
         assert not after.open  # one connection is of one life
@@ -149,10 +151,10 @@
     def what(rig: Rig) -> None:
         loop, wire = asyncio.get_running_loop(), rig.greeted()
         rig.hear(wire, forward(1, rig.stamp(), size=PART))
-        [grant] = [m for m in wire.sent if isinstance(m, Grant)]
+        [grant] = [m for m in wire.sent if isinstance(m, GrantBody)]
         now = loop.time()
         monkeypatch.setattr(loop, "time", lambda: now + 30.0)  # frozen: the part waited, and no timer has run yet
-        rig.hear(wire, Part(1, bytes(grant.upto)))
+        rig.hear(wire, BodyChunk(1, bytes(grant.upto)))
         assert rig.ran == [] and wire.replies == [(1, End.NOT_RUN)]
         monkeypatch.undo()
 
@@ -161,7 +163,7 @@
 
 def test_what_is_said_of_a_number_on_another_connection_counts_for_nothing() -> None:
     async def what() -> None:
-        outgoing, replies = OutgoingExchanges(), list[tuple[str, Reply]]()
+        outgoing, replies = OutgoingExchanges(), list[tuple[str, ForwardResponse]]()
         first, second, other = Wire("10.0.0.1"), Wire("10.0.0.1"), Wire("10.0.0.2")
 
         def carry(name: str, wire: Wire, body: int = 0) -> int:
@@ -179,12 +181,12 @@
         replies.clear()
         for wire in (first, other):  # a late answer on the old connection, and one of another machine
             for n in (old, new, large):
-                outgoing.reply(wire, Reply(n, End.NOT_RUN))  # type: ignore[arg-type]
-            outgoing.grant(wire, Grant(large, PART))  # type: ignore[arg-type]
-        outgoing.reply(second, Reply(old, End.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [] and not [m for m in second.sent if isinstance(m, Part)]
-        outgoing.reply(second, Reply(new, End.ANSWERED))  # type: ignore[arg-type]
-        outgoing.reply(second, Reply(new, End.ANSWERED))  # type: ignore[arg-type]
+                outgoing.reply(wire, ForwardResponse(n, End.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.grant(wire, GrantBody(large, PART))  # type: ignore[arg-type]
+        outgoing.reply(second, ForwardResponse(old, End.NOT_RUN))  # type: ignore[arg-type]
+        assert replies == [] and not [m for m in second.sent if isinstance(m, BodyChunk)]
+        outgoing.reply(second, ForwardResponse(new, End.ANSWERED))  # type: ignore[arg-type]
+        outgoing.reply(second, ForwardResponse(new, End.ANSWERED))  # type: ignore[arg-type]
         assert [name for name, _ in replies] == ["new"]
         outgoing.lost(second.peer)
         assert [(name, End(r.how)) for name, r in replies] == [("new", End.ANSWERED), ("large", End.NOT_RUN)]
@@ -229,11 +231,11 @@
         rig.hear(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # its body never comes whole
         never_ran, answered, at_work = rig.tickets
         rig.gate._end(never_ran, End.NOT_RUN, Cause.EVICTED)
-        rig.gate._end(answered, End.ANSWERED, Cause.NONE, Answer(200, b"", b""))
+        rig.gate._end(answered, End.ANSWERED, Cause.NONE, BackendResponse(200, b"", b""))
         former.close()
         rig.incoming.ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
-        rig.hear(after, AskOutcomes([1, 2, 3, 4, 5]))
+        rig.hear(after, FetchOutcomes([1, 2, 3, 4, 5]))
         assert after.replies == [(1, End.NOT_RUN), (4, End.NOT_RUN), (5, End.NOT_RUN)]  # 5 has never come
         rig.gate._end(at_work, End.NOT_RUN, Cause.HOPELESS)
         assert after.replies[3:] == [(3, End.NOT_RUN)]  # told once it is known
@@ -245,10 +247,10 @@
     def what(rig: Rig) -> None:
         former, after = rig.greeted(), rig.greeted()
         rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
-        rig.hear(after, AskOutcomes([2]))
+        rig.hear(after, FetchOutcomes([2]))
         assert after.replies == [(2, End.NOT_RUN)] and not former.open  # so that nothing more is read on it
         other = rig.greeted("two")
-        rig.hear(other, AskOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
+        rig.hear(other, FetchOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
         assert other.replies == [] and after.open
 
     play(what)
@@ -257,7 +259,7 @@
 def test_who_has_not_said_which_life_it_is_can_ask_nothing() -> None:
     def what(rig: Rig) -> None:
         stranger = Wire()
-        rig.hear(stranger, AskOutcomes([1]))
+        rig.hear(stranger, FetchOutcomes([1]))
         assert stranger.sent == [] and not stranger.open
 
     play(what)
@@ -290,14 +292,14 @@
         after, elsewhere = Wire("10.0.0.1", "theirs"), Wire("10.0.0.2", "theirs")
         for wire in (elsewhere, after):
             outgoing.reached(wire)  # type: ignore[arg-type]
-        assert elsewhere.sent == [] and after.sent == [AskOutcomes([one, two])]
-        outgoing.reply(elsewhere, Reply(one, End.NOT_RUN))  # type: ignore[arg-type]
+        assert elsewhere.sent == [] and after.sent == [FetchOutcomes([one, two])]
+        outgoing.reply(elsewhere, ForwardResponse(one, End.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
         for _again in range(2):
-            outgoing.reply(after, Reply(one, End.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.reply(after, ForwardResponse(one, End.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, End.NOT_RUN)]  # once
         outgoing.reached(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
-        outgoing.reply(after, Reply(two, End.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.reply(after, ForwardResponse(two, End.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, End.NOT_RUN)]  # the life that knew of it has ended
 
     play(what)
@@ -311,7 +313,7 @@
     after = Wire("10.0.0.1", "theirs")
     outgoing.reached(after)  # type: ignore[arg-type]
     [asked] = after.sent
-    assert isinstance(asked, AskOutcomes) and len(asked.numbers) == UNPROVEN_MOST
+    assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == UNPROVEN_MOST
 
 
 def test_what_is_withdrawn_is_not_begun_and_what_is_at_work_goes_on() -> None:
@@ -319,11 +321,11 @@
         wire = rig.greeted()
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
         rig.tickets[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
-        rig.hear(wire, Withdraw(1), Withdraw(2), Withdraw(3))
+        rig.hear(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
         assert wire.replies == [(2, End.NOT_RUN)] and wire.open
-        rig.hear(wire, Part(2, bytes(PART)))  # a part that was on its way
+        rig.hear(wire, BodyChunk(2, bytes(PART)))  # a part that was on its way
         assert rig.ran == [b"a1"] and wire.open
-        rig.gate._end(rig.tickets[0], End.ANSWERED, Cause.NONE, Answer(200, b"", b""))
+        rig.gate._end(rig.tickets[0], End.ANSWERED, Cause.NONE, BackendResponse(200, b"", b""))
         assert wire.replies[1:] == [(1, End.ANSWERED)]
 
     play(what)
--- a/tests/mesh/test_folder.py
+++ b/tests/mesh/test_folder.py
@@ -14,7 +14,7 @@
 from lugspur.mesh.cli import replica_check, replica_export, replica_show
 from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.control.items import read_call
-from lugspur.mesh.control.messages import Answer, Change, Claim, Done, Item, Voter
+from lugspur.mesh.control.messages import BackendResponse, Change, CompleteKey, Item, ReserveKey, Voter
 from lugspur.mesh.control.replica import GENESIS, Replica
 from lugspur.mesh.disk import ASIDE, NAME, Disk
 from lugspur.mesh.folder import export, look, told
@@ -29,9 +29,9 @@
     effects = [
         voter.begin(0.0, SEEDS),
         voter.decide(0.0, Change("first", read_call(CALL))),
-        voter.handle(0.0, None, Claim(b"k", b"a", 1, 2.0)),
-        voter.handle(0.0, None, Claim(b"l", b"b", 1, 2.0)),
-        voter.handle(1.0, None, Done(b"k", b"a", Answer(200, b"", b"hi"))),
+        voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0)),
+        voter.handle(0.0, None, ReserveKey(b"l", b"b", 1, 2.0)),
+        voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"hi"))),
     ]
     put(folder, [row for effect in effects for row in effect.write])
 
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane import gate as gate_module
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend
@@ -69,10 +69,10 @@
     body: bytes = b"",
     route: str = "r",
     back: bool = False,
-) -> Forward:
+) -> ForwardRequest:
     attempt = attempt or b"a%d" % n
     lines = [b"Host: h\r\n", b"Lugspur-Attempt-Id: %b\r\n" % attempt]
-    return Forward(
+    return ForwardRequest(
         n, "i-1", b"POST", b"/p?q=1", lines, body, left, aim, attempt, priority, safe, route, key, attempt, back
     )
 
@@ -81,15 +81,15 @@
     """A gate, its backend, and what it replied."""
 
     def __init__(self, backend: Scripted, drain: float = 2.0) -> None:
-        self.done: list[tuple[bytes, Answer]] = []
-        self.replies: dict[int, asyncio.Future[Reply]] = {}
+        self.done: list[tuple[bytes, BackendResponse]] = []
+        self.replies: dict[int, asyncio.Future[ForwardResponse]] = {}
         self.downs: list[LocalBackend] = []
         self.gate = Gate(64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append)
         self.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         self.gate.local = self.local
 
-    def run(self, message: Forward) -> asyncio.Future[Reply]:
-        found: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+    def run(self, message: ForwardRequest) -> asyncio.Future[ForwardResponse]:
+        found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
         self.replies[message.n] = found
         self.gate.run(message, found.set_result)
         return found
@@ -302,7 +302,7 @@
         gate = Gate(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         gate.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
-        found: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
         ticket = gate.run(forward(1), found.set_result)
         assert ticket is not None
         while ticket.exchange is None or ticket.exchange.connection is None or not ticket.exchange.connection._body:
@@ -413,7 +413,7 @@
     async def run() -> None:
         server = await asyncio.start_server(answer_early, "127.0.0.1", 0, limit=1 << 16)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        replies: list[Reply] = []
+        replies: list[ForwardResponse] = []
         gate = Gate(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         gate.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         gate.run(forward(1, body=body, left=5.0), replies.append)
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -8,7 +8,7 @@
 
 from lugspur.mesh.control import claims as claims_module
 from lugspur.mesh.control.claims import Claims, Known, Settled, Taken, Unsettled, Won
-from lugspur.mesh.control.messages import Answer, Claim, Membership, Release, Verdict, Voter
+from lugspur.mesh.control.messages import BackendResponse, Membership, ReleaseKey, ReserveKey, ReserveKeyReply, Voter
 
 CURRENT = Membership(3, [Voter(f"10.0.0.{n}", "u", "") for n in (1, 2, 3)])
 
@@ -17,17 +17,17 @@
     """One claimant and what it sent."""
 
     def __init__(self) -> None:
-        self.sent: list[tuple[str, Claim | Release]] = []
+        self.sent: list[tuple[str, ReserveKey | ReleaseKey]] = []
         self.how: list[Settled] = []
         self.claims = Claims(lambda ip, message: self.sent.append((ip, message)))
         self.claims.begin(0.0, CURRENT, b"k", b"a", 2.0, 0.5, self.how.append)
 
     def verdict(self, n: int, granted: bool, now: float = 0.1, **other: Any) -> None:
-        self.claims.verdict(now, f"10.0.0.{n}", Verdict(b"k", b"a", other.pop("epoch", 3), granted, **other))
+        self.claims.verdict(now, f"10.0.0.{n}", ReserveKeyReply(b"k", b"a", other.pop("epoch", 3), granted, **other))
 
     @property
     def released(self) -> set[str]:
-        return {ip for ip, message in self.sent if isinstance(message, Release)}
+        return {ip for ip, message in self.sent if isinstance(message, ReleaseKey)}
 
 
 def test_a_majority_wins_and_the_third_grant_is_not_given_back() -> None:
@@ -48,7 +48,7 @@
     side.verdict(3, False, other=True)
     assert side.how == [Taken(True)] and side.released == {"10.0.0.1"}
     side.verdict(1, True)  # a grant that was on its way
-    assert side.sent[-1] == ("10.0.0.1", Release(b"k", b"a"))
+    assert side.sent[-1] == ("10.0.0.1", ReleaseKey(b"k", b"a"))
 
 
 def test_a_won_claim_is_never_given_back_however_many_came_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -63,23 +63,23 @@
     side.sent.clear()
     side.verdict(3, True, now=1e6)
     assert side.sent == []  # it may run, or have run
-    side.claims.verdict(1e6, "10.0.0.1", Verdict(b"k0", b"later0", 3, True))
+    side.claims.verdict(1e6, "10.0.0.1", ReserveKeyReply(b"k0", b"later0", 3, True))
     assert side.sent == []  # forgotten: it ends by its window
-    side.claims.verdict(1e6, "10.0.0.1", Verdict(b"k19", b"later19", 3, True))
-    assert side.sent == [("10.0.0.1", Release(b"k19", b"later19"))]
+    side.claims.verdict(1e6, "10.0.0.1", ReserveKeyReply(b"k19", b"later19", 3, True))
+    assert side.sent == [("10.0.0.1", ReleaseKey(b"k19", b"later19"))]
 
 
 def test_a_grant_for_a_former_process_at_this_address_is_not_given_back() -> None:
     side = Side()
-    side.claims.verdict(0.1, "10.0.0.1", Verdict(b"k", b"of-another-life", 3, True))
-    side.claims.verdict(0.1, "10.0.0.1", Verdict(b"other", b"a", 3, True))
+    side.claims.verdict(0.1, "10.0.0.1", ReserveKeyReply(b"k", b"of-another-life", 3, True))
+    side.claims.verdict(0.1, "10.0.0.1", ReserveKeyReply(b"other", b"a", 3, True))
     assert not side.released
 
 
 def test_a_known_answer_is_enough_from_one_voter() -> None:
     side = Side()
-    side.verdict(3, False, epoch=9, other=True, answer=Answer(200, b"", b"x"))
-    assert side.how == [Known(Answer(200, b"", b"x"))]
+    side.verdict(3, False, epoch=9, other=True, answer=BackendResponse(200, b"", b"x"))
+    assert side.how == [Known(BackendResponse(200, b"", b"x"))]
 
 
 def test_grants_of_another_epoch_or_behind_the_time_count_for_nothing() -> None:
@@ -96,7 +96,7 @@
     side = Side()
     side.verdict(1, True)
     side.claims.again(0.2, Membership(4, CURRENT.voters, CURRENT.voters))
-    assert [m.epoch for _, m in side.sent if isinstance(m, Claim)] == [3, 3, 3, 4, 4, 4]
+    assert [m.epoch for _, m in side.sent if isinstance(m, ReserveKey)] == [3, 3, 3, 4, 4, 4]
     side.verdict(2, True)
     assert side.how == []
     side.verdict(2, True, epoch=4)
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lugspur.mesh import link as link_module
-from lugspur.mesh.control.messages import Claim, Hello, Message, Pong, encode
+from lugspur.mesh.control.messages import Hello, Message, Pong, ReserveKey, encode
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 
 
@@ -57,7 +57,7 @@
 
 def test_frames_come_whole_and_in_order_however_they_are_cut() -> None:
     async def what(server: Server) -> None:
-        sent: list[Message] = [Hello("10.0.0.1", "life", False), Claim(b"k", b"b", 3, 1.5), Pong()]
+        sent: list[Message] = [Hello("10.0.0.1", "life", False), ReserveKey(b"k", b"b", 3, 1.5), Pong()]
         data = b"".join(map(encode, sent))
         _, writer = await asyncio.open_connection("127.0.0.1", server.port)
         for n in range(len(data)):
@@ -99,7 +99,7 @@
         await server.until_link()  # type: ignore[attr-defined]
         link = server.links[0]
         for _ in range(1000):
-            link.send(Claim(bytes(100_000), b"b", 1, 1.0))
+            link.send(ReserveKey(bytes(100_000), b"b", 1, 1.0))
             await asyncio.sleep(0)
             if not link.open:
                 break
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -12,7 +12,7 @@
 
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.items import read_call
-from lugspur.mesh.control.messages import Answer, Forward, Reply
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
@@ -21,8 +21,8 @@
 from lugspur.observability.failures import PickView, Refusal
 from lugspur.seams import Request
 
-OK = Answer(200, b"Lugspur-Postmark: p\r\n", b"hi")
-BROKE = Answer(500, b"Lugspur-Postmark: p\r\n", b"no")
+OK = BackendResponse(200, b"Lugspur-Postmark: p\r\n", b"hi")
+BROKE = BackendResponse(500, b"Lugspur-Postmark: p\r\n", b"no")
 
 
 class Caller:
@@ -61,7 +61,7 @@
     """A proxy whose gates and keys are played."""
 
     def __init__(self, kind: str = "safe", tries: int = 2, backends: int = 3, slack: float = 20.0) -> None:
-        self.sent: list[tuple[str, Forward, Callable[[Reply], None]]] = []
+        self.sent: list[tuple[str, ForwardRequest, Callable[[ForwardResponse], None]]] = []
         self.cancelled: list[int] = []
         self.withdrawn: list[int] = []
         self.claimed: list[tuple[bytes, Callable[[Settled], None]]] = []
@@ -79,7 +79,7 @@
     def ready(self, ip: str) -> bool:
         return ip not in self.unreachable
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         self.sent.append((ip, forward, respond))
         return Carried(self, len(self.sent) - 1)
 
@@ -101,9 +101,9 @@
         self.proxy.handle(Request(b"GET", target, named, lines, b"", self.proxy.loop.time(), True), caller)
         return caller
 
-    def reply(self, how: End, answer: Answer | None = None, sent: bool = True, at: int = -1) -> None:
+    def reply(self, how: End, answer: BackendResponse | None = None, sent: bool = True, at: int = -1) -> None:
         _, forward, respond = self.sent[at]
-        respond(Reply(forward.n, how, answer, sent))
+        respond(ForwardResponse(forward.n, how, answer, sent))
 
 
 def play(what: Callable[[Any], Any], **settings: Any) -> None:
@@ -350,13 +350,13 @@
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
+        respond(ForwardResponse(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
         assert caller.answers[0][0] == 502 and not rig.released
         for how in (End.MAYBE, End.ANSWERED):
-            respond(Reply(forward.n, how))
+            respond(ForwardResponse(forward.n, how))
             assert not rig.released  # no proof
         for _ in range(2):
-            respond(Reply(forward.n, End.NOT_RUN, cause=Cause.NEVER_CAME))
+            respond(ForwardResponse(forward.n, End.NOT_RUN, cause=Cause.NEVER_CAME))
         assert rig.released == [b"k"] and len(caller.answers) == 1 and len(rig.sent) == 1
 
     play(what, kind="tracked")
@@ -367,8 +367,8 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.ANSWERED, OK))
-        respond(Reply(forward.n, End.NOT_RUN))
+        respond(ForwardResponse(forward.n, End.ANSWERED, OK))
+        respond(ForwardResponse(forward.n, End.NOT_RUN))
         assert not rig.released
 
     play(what, kind="tracked")
@@ -415,7 +415,7 @@
         caller.gone()
         assert (rig.cancelled, rig.withdrawn) == ([], [0])
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.NOT_RUN, None, False, cause=Cause.CANCELLED))
+        respond(ForwardResponse(forward.n, End.NOT_RUN, None, False, cause=Cause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
         assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
@@ -536,9 +536,9 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(Reply(forward.n, End.NOT_RUN, None, False, 9, Cause.NO_ROOM))
+        respond(ForwardResponse(forward.n, End.NOT_RUN, None, False, 9, Cause.NO_ROOM))
         _, forward, respond = rig.sent[1]
-        respond(Reply(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
+        respond(ForwardResponse(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
         [failed] = rig.proxy.failures.latest()
         assert (failed.attempt, failed.how, failed.route, failed.service) == ("t1", "maybe-ran", "r", "s")
         assert failed.keyed and failed.claim == "won" and failed.sends == 1 and failed.turned_away == 1
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -7,13 +7,13 @@
 from lugspur.mesh.control.messages import (
     Accept,
     Change,
-    ClaimsPage,
-    FetchClaims,
     FetchDecided,
+    FetchReservations,
     Learn,
     Membership,
     ProposalNumber,
-    Verdict,
+    ReservationsPage,
+    ReserveKeyReply,
 )
 from lugspur.mesh.control.replica import COMPLETE_ROW, membership_entry
 
@@ -75,18 +75,20 @@
 def test_who_is_asked_for_claims_has_the_new_epoch_on_disk_before_it_tells() -> None:
     voter, new = seed(), replica(NEW, "new")
     claim(voter, b"a")
-    assert only(voter.handle(0.0, NEW, FetchClaims(2))) == FetchDecided(1)  # it grants in the old epoch until it knows
+    assert only(voter.handle(0.0, NEW, FetchReservations(2))) == FetchDecided(
+        1
+    )  # it grants in the old epoch until it knows
     voter.decide(0.0, exchange())
-    effects = voter.handle(0.0, NEW, FetchClaims(2))
+    effects = voter.handle(0.0, NEW, FetchReservations(2))
     assert [key for key, _ in effects.write] == [COMPLETE_ROW] and not effects.send
     [(_, page)] = effects.after_sync
-    assert isinstance(page, ClaimsPage) and page.last and [key for key, _ in page.claims] == [b"k"]
+    assert isinstance(page, ReservationsPage) and page.last and [key for key, _ in page.claims] == [b"k"]
     assert not claim(voter, b"b", epoch=1).granted  # the old epoch is over here
     new.learn(0.0, voter.register.pages(0))
     assert new.is_voter and not new.complete and not claim(new, b"b", epoch=2).granted
     new.caught_up(0.0, [page])
     assert new.complete and claim(new, b"b", epoch=2).other
-    again = voter.handle(0.0, NEW, FetchClaims(2))
+    again = voter.handle(0.0, NEW, FetchReservations(2))
     assert again.write and again.after_sync  # told again, and still only behind the disk
 
 
@@ -94,15 +96,15 @@
     left = seed(IPS[2])
     claim(left, b"a")
     left.decide(0.0, exchange())
-    [(_, page)] = left.handle(0.0, NEW, FetchClaims(2)).after_sync
-    assert isinstance(page, ClaimsPage) and [key for key, _ in page.claims] == [b"k"]
+    [(_, page)] = left.handle(0.0, NEW, FetchReservations(2)).after_sync
+    assert isinstance(page, ReservationsPage) and [key for key, _ in page.claims] == [b"k"]
     stranger = replica("10.0.0.9", "other")
     stranger.learn(0.0, left.register.pages(0))
-    assert stranger.handle(0.0, NEW, FetchClaims(2)).after_sync == []
+    assert stranger.handle(0.0, NEW, FetchReservations(2)).after_sync == []
     late = seed(IPS[1])  # it missed an epoch, and can't know what others granted there
     late.learn(0.0, _pages_after(Membership(4, NEXT.voters, NEXT.voters)))
-    effects = late.handle(0.0, NEW, FetchClaims(4))
-    assert effects.write and effects.after_sync == [(NEW, ClaimsPage(4, 0, [], True, complete=False))]
+    effects = late.handle(0.0, NEW, FetchReservations(4))
+    assert effects.write and effects.after_sync == [(NEW, ReservationsPage(4, 0, [], True, complete=False))]
 
 
 def test_a_key_that_two_are_said_to_hold_is_granted_to_neither_by_a_newcomer() -> None:
@@ -112,7 +114,9 @@
     pages = []
     for voter in (first, second):
         voter.decide(0.0, exchange())
-        pages += [m for _, m in voter.handle(0.0, NEW, FetchClaims(2)).after_sync if isinstance(m, ClaimsPage)]
+        pages += [
+            m for _, m in voter.handle(0.0, NEW, FetchReservations(2)).after_sync if isinstance(m, ReservationsPage)
+        ]
     rows = dict(new.learn(0.0, first.register.pages(0)).write)
     rows |= dict(new.caught_up(0.0, pages).write)
     again = replica(NEW, "new")
@@ -121,7 +125,7 @@
         assert holder.complete
         for by in (b"a", b"b", b"c"):
             verdict = claim(holder, by, epoch=2)
-            assert isinstance(verdict, Verdict) and not verdict.granted and verdict.other
+            assert isinstance(verdict, ReserveKeyReply) and not verdict.granted and verdict.other
 
 
 def test_a_voter_is_complete_by_time_once_no_claim_of_before_counts() -> None:
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -11,14 +11,14 @@
 
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import (
-    Forward,
-    Grant,
+    BodyChunk,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
     Hello,
     Membership,
     Message,
-    Part,
-    Reply,
-    Sync,
+    Subscribe,
     Unsubscribe,
     Voter,
 )
@@ -254,19 +254,19 @@
     tmp_path: Path, granted: int, how: End
 ) -> None:
     def what(sidecar: Sidecar) -> None:
-        ip, replies = "127.0.0.2", list[Reply]()
+        ip, replies = "127.0.0.2", list[ForwardResponse]()
         wire = Wire(ip)
         dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.backends[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
-        forward = Forward(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
+        forward = ForwardRequest(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
         sidecar.carry(ip, forward, replies.append)
         [offer] = wire.sent
-        assert isinstance(offer, Forward) and (offer.size, offer.body) == (len(body), b"")
+        assert isinstance(offer, ForwardRequest) and (offer.size, offer.body) == (len(body), b"")
         for upto in range(PART, granted + PART, PART):
-            sidecar._heard_from(wire, Grant(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
-        parts = [m for m in wire.sent[1:] if isinstance(m, Part)]
+            sidecar._heard_from(wire, GrantBody(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
+        parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
         assert b"".join(p.data for p in parts) == body[:granted]
         sidecar._down(dialler)
         assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
@@ -306,10 +306,10 @@
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
         sidecar._seek()
         former = wires[sidecar.source]
-        assert [type(message) for message in former.sent] == [Sync]
+        assert [type(message) for message in former.sent] == [Subscribe]
         sidecar._seek()
-        assert [type(message) for message in former.sent] == [Sync, Unsubscribe]
-        assert [type(message) for message in wires[sidecar.source].sent] == [Sync]
+        assert [type(message) for message in former.sent] == [Subscribe, Unsubscribe]
+        assert [type(message) for message in wires[sidecar.source].sent] == [Subscribe]
         for ip in wires:
             sidecar.peers[ip].link = None
             sidecar.peers[ip].close()
--- a/tests/mesh/test_uploads.py
+++ b/tests/mesh/test_uploads.py
@@ -6,14 +6,14 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from lugspur.mesh.control.messages import Forward
+from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.uploads import AHEAD, PART, STALLED, USED, Key, UploadScheduler, in_parts
 
 RATE = 330_000.0  # bytes a second
 
 
-def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> Forward:
-    return Forward(0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", back=back, size=size)
+def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> ForwardRequest:
+    return ForwardRequest(0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", back=back, size=size)
 
 
 def offer(
