--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from lugspur.discovery.doubt import Doubt
 from lugspur.discovery.nodes import Node, Nodes
 from lugspur.discovery.rows import Address, Endpoint
 from lugspur.discovery.source import Told
+from lugspur.discovery.staleness import RegistryStaleness
 from lugspur.load_balancing.model import ListKind, State
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.client import Client
@@ -107,7 +107,7 @@
         self._pool = pool
         self._nodes = nodes
         self.view = View(path)
-        self.doubt = Doubt(stale_after, self._say, self._loop.time())
+        self.staleness = RegistryStaleness(stale_after, self._log, self._loop.time())
         self._gone: dict[int, Endpoint] = {}  # what is to be told next: first who left...
         self._rows: dict[int, Endpoint] = {}  # ...then who is there, ...
         self._whole = False  # ...and whether that is everybody
@@ -115,7 +115,7 @@
         self._told_all = False  # ...and whether that was ever everything
         self._next = 0.0
         self._telling: asyncio.TimerHandle | None = None
-        self._stale: asyncio.TimerHandle | None = None
+        self._stale_timer: asyncio.TimerHandle | None = None
         self._reading: asyncio.TimerHandle | None = None
 
     def open(self) -> None:
@@ -127,12 +127,12 @@
     def close(self) -> None:
         """Tell nothing more."""
         self._registry.part(self.view)
-        for timer in (self._telling, self._stale, self._reading):
+        for timer in (self._telling, self._stale_timer, self._reading):
             if timer is not None:
                 timer.cancel()
         self._registries.tidy()
 
-    def _say(self, line: str) -> None:
+    def _log(self, line: str) -> None:
         print(f"lugspur: pool {self._pool}: {self.view.path}: {line}", file=sys.stderr, flush=True)
 
     # ---- what the registry says ----------------------------------------------------------------
@@ -141,11 +141,11 @@
         now = self._loop.time()
         for event in events:
             if isinstance(event, Up):
-                self.doubt.up(event.timeout, event.fresh)
+                self.staleness.record_connection(event.timeout, is_new_session=event.fresh)
             elif isinstance(event, Expired):
-                self.doubt.expired()
+                self.staleness.record_session_expiry()
             elif isinstance(event, Down):
-                self.doubt.down(now, self._registry.client.session.heard, event.reason)
+                self.staleness.record_disconnection(now, self._registry.client.session.heard, event.reason)
         for news in self.view.news():
             self._hear(news, now)
         self._tell_soon(now)
@@ -157,7 +157,7 @@
             rows, said = self._nodes.whole({name: _node(data) for name, data in news.nodes.items()})
             self._rows.clear()
             self._whole = True
-            self.doubt.whole(now, len(self._nodes))
+            self.staleness.record_list_read(now, len(self._nodes))
         elif isinstance(news, Present):
             rows, said = self._nodes.present(news.name, _node(news.data))
         elif isinstance(news, Absent):
@@ -168,11 +168,11 @@
         for endpoint in rows:
             self._put(endpoint)
         for line in said:
-            self._say(line)
+            self._log(line)
 
     def _unread(self, news: Unread) -> None:
         known = {int(r.Error.NO_NODE): "it does not exist yet", int(r.Error.NO_AUTH): "its access list forbids it"}
-        self.doubt.unread(known.get(news.error, f"error {news.error}"))
+        self.staleness.record_read_failure(known.get(news.error, f"error {news.error}"))
         if self._reading is not None:
             self._reading.cancel()
         if news.error != r.Error.NO_NODE:  # of one that is made, a watch tells
@@ -184,12 +184,12 @@
 
     def _watch_age(self, now: float) -> None:
         """Show when the list has become stale."""
-        self.doubt.tick(now)
-        if self._stale is not None:
-            self._stale.cancel()
-        due = self.doubt.due()
+        self.staleness.tick(now)
+        if self._stale_timer is not None:
+            self._stale_timer.cancel()
+        due = self.staleness.next_tick_at()
         if due != float("inf"):
-            self._stale = self._loop.call_at(due, lambda: self._watch_age(self._loop.time()))
+            self._stale_timer = self._loop.call_at(due, lambda: self._watch_age(self._loop.time()))
 
     # ---- what the pool is told -----------------------------------------------------------------
 
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -247,7 +247,7 @@
                 assert status(await client.ask(ask())) == 200
                 source = up.daemon.stations["a"]._source
                 assert isinstance(source, Followed)
-                await until(lambda: source.doubt.due() == float("inf"))  # shown as stale, and still served
+                await until(lambda: source.staleness.next_tick_at() == float("inf"))  # shown as stale, and still served
                 assert status(await client.ask(ask())) == 200
                 cluster.write("/boxes/one", box(fixed.address))
                 await server.listen()
