--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -141,7 +141,7 @@
         now = self._loop.time()
         for event in events:
             if isinstance(event, Up):
-                self.staleness.record_connection(event.timeout, is_new_session=event.fresh)
+                self.staleness.record_connection(event.timeout)
             elif isinstance(event, Expired):
                 self.staleness.record_session_expiry()
             elif isinstance(event, Down):
--- a/tests/discovery/test_staleness.py
+++ b/tests/discovery/test_staleness.py
@@ -16,7 +16,7 @@
 def followed(stale_after: float = 30.0) -> tuple[RegistryStaleness, Log]:
     log = Log()
     staleness = RegistryStaleness(stale_after, log.append, 0.0)
-    staleness.record_connection(10.0, is_new_session=True)
+    staleness.record_connection(10.0)
     staleness.record_list_read(1.0, 3)
     assert log.taken() == ["the registry is followed; 3 boxes"] and staleness.freshness(100.0) is ListFreshness.CURRENT
     return staleness, log
@@ -45,7 +45,7 @@
     staleness.tick(130.0)
     assert log.taken() == ["stale: the registry was not heard for 30.0 s; the last list stays"]
     assert staleness.freshness(130.0) is ListFreshness.STALE
-    staleness.record_connection(10.0, is_new_session=False)
+    staleness.record_connection(10.0)
     assert staleness.freshness(131.0) is ListFreshness.STALE  # connected, and not read yet
     staleness.record_list_read(132.0, 2)
     assert log.taken() == ["the registry is followed; 2 boxes"] and staleness.age_seconds(140.0) == 0.0
@@ -56,7 +56,7 @@
     staleness.record_disconnection(5.0, 4.0, "it closed the connection")
     staleness.record_session_expiry()
     assert staleness.freshness(5.0) is ListFreshness.SESSION_ENDED
-    staleness.record_connection(10.0, is_new_session=True)
+    staleness.record_connection(10.0)
     assert staleness.freshness(5.5) is ListFreshness.REREADING
 
 
