--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -19,8 +19,8 @@
 from lugspur.bench.processes import Usage
 from lugspur.bench.trial import FOLDER, Counts, Trial
 from lugspur.discovery.rows import server_id
-from lugspur.load_balancing import Balancer, ListKind, ServerRow, Settings
-from lugspur.load_balancing.model import State
+from lugspur.load_balancing import Balancer, ListUpdateKind, ServerRow, Settings
+from lugspur.load_balancing.model import ServerState
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
 
@@ -209,9 +209,9 @@
     for _ in range(5):
         balancer = Balancer(Settings(), seed=1)
         rows = [ServerRow(server_id(f"box-{at}")) for at in range(count)]
-        balancer.members(0.0, ListKind.WHOLE, rows)
+        balancer.members(0.0, ListUpdateKind.WHOLE, rows)
         begun = time.perf_counter()
-        balancer.members(0.0, ListKind.PATCH, [replace(rows[0], state=State.GONE)])
+        balancer.members(0.0, ListUpdateKind.PATCH, [replace(rows[0], state=ServerState.GONE)])
         best = min(best, time.perf_counter() - begun)
     return best
 
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -11,7 +11,7 @@
 from lugspur.config import model
 from lugspur.config.schema import Place
 from lugspur.config.units import MARK, Wrong, nearest, shown, text
-from lugspur.load_balancing.model import Limits, Repeat, RequestClass, Rules, Settings, Tenant
+from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Rules, Settings, Tenant
 from lugspur.routing.conflicts import conflicts
 from lugspur.routing.model import (
     HOST,
@@ -192,9 +192,9 @@
 def _check_class(row: model.Class, place: Place) -> None:
     if row.aim > row.deadline:
         place.at("aim").wrong(f"the aim of {row.aim:g}s is after the deadline of {row.deadline:g}s; make it sooner")
-    if row.repeat is Repeat.KEYED and not row.window:
+    if row.repeat is RetrySafety.KEYED and not row.window:
         place.at("repeat").wrong('a keyed class needs a window, as in window = "30s": how long keys are remembered')
-    if row.repeat is not Repeat.KEYED and row.window:
+    if row.repeat is not RetrySafety.KEYED and row.window:
         place.at("window").wrong('a window belongs to repeat = "keyed" alone; leave it out')
 
 
@@ -336,7 +336,7 @@
                 "a route without a class is not safe to repeat, and only reads are joined; "
                 'give it a class with repeat = "safe"'
             )
-        elif kind is not None and kind.repeat is not Repeat.SAFE:
+        elif kind is not None and kind.repeat is not RetrySafety.SAFE:
             place.wrong(
                 f'class "{row.kind}" is {kind.repeat.value}, and only what is safe to repeat is joined; '
                 'leave "join" out'
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -30,7 +30,7 @@
 )
 from lugspur.discovery.rows import PROTOCOLS, Address
 from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN
-from lugspur.load_balancing.model import Group, Repeat
+from lugspur.load_balancing.model import DeduplicationScope, RetrySafety
 from lugspur.routing.model import WITHIN_MOST
 
 FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; membership/nodes.py reads them
@@ -188,11 +188,15 @@
     deadline: float = option(duration(0.001, 3600.0), "time after which it is given up", 5.0)
     worth: float = option(number(0.0, 1e6), "what an answer is worth against other classes'", 1.0)
     late_worth: float = option(number(0.0, 1.0), "the part of the worth that an answer after the aim keeps", 1.0)
-    repeat: Repeat = option(
-        choice(Repeat), "safe: may run again; keyed: by its Idempotency-Key; unsafe: never twice", Repeat.UNSAFE
+    repeat: RetrySafety = option(
+        choice(RetrySafety),
+        "safe: may run again; keyed: by its Idempotency-Key; unsafe: never twice",
+        RetrySafety.UNSAFE,
     )
-    group: Group = option(
-        choice(Group), "which backends drop each other's keyed repeats: all, those of a zone, or of a cell", Group.CELL
+    group: DeduplicationScope = option(
+        choice(DeduplicationScope),
+        "which backends drop each other's keyed repeats: all, those of a zone, or of a cell",
+        DeduplicationScope.CELL,
     )
     window: float = option(duration(), "how long they remember a key", 0.0)
 
--- a/lugspur/config/retune.py
+++ b/lugspur/config/retune.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from lugspur.load_balancing.adapter import GROUPS, REPEATS
+from lugspur.load_balancing.adapter import DEDUPLICATION_SCOPES, RETRY_SAFETIES
 
 #: Keys that settings may lack by the protocol; all others that were there have to stay.
 OPTIONAL = frozenset({"AimStretch", "AllowedIn", "BoundTo", "CpuUsPerRequest", "Fleet", "PassesDeadline", "WarmKeys"})
@@ -30,7 +30,7 @@
         if row["Name"] in names:
             raise ValueError(f"{place}.Name: {row['Name']!r} is there twice")
         names.add(row["Name"])
-        for key, words in (("Repeat", REPEATS), ("Group", GROUPS)):
+        for key, words in (("Repeat", RETRY_SAFETIES), ("Group", DEDUPLICATION_SCOPES)):
             if key in row and row[key] not in words:
                 raise ValueError(f"{place}.{key}: {row[key]!r} is none of {', '.join(words)}")
     most = (settings.get("Bounds") or {}).get("MaxAttempts", 1)
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -21,7 +21,7 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected, Sizes
 from lugspur.http1.upstream import HELD_PART
-from lugspur.load_balancing.model import Outcome, Repeat, RequestClass
+from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import Asked, Forward, Redirect, Reply
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import by_chance, by_key
@@ -237,7 +237,7 @@
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
         """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
         get = request.headers.get
-        if kind.repeat is Repeat.KEYED and not get(b"idempotency-key"):
+        if kind.repeat is RetrySafety.KEYED and not get(b"idempotency-key"):
             raise Rejected(400, "no Idempotency-Key, which this class needs")
         timeout = min(kind.deadline, forward.deadline or kind.deadline)
         wanted = get(b"x-timeout")
@@ -356,7 +356,7 @@
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         ticket = _ticket(call)
         self._places.give(ticket.station.name)
-        if ticket.kind.repeat is not Repeat.SAFE:
+        if ticket.kind.repeat is not RetrySafety.SAFE:
             self.joins.wrote(ticket.tenant)
 
 
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -23,15 +23,15 @@
     NEVER_RAN,
     Action,
     Cancel,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Repeat,
+    Reject,
+    RetrySafety,
     Send,
+    ServerState,
     Settings,
-    State,
+    StartTimer,
     Subscribe,
-    Timer,
 )
 from lugspur.observability.failures import FailureLog, Standing, Step, keep_only
 from lugspur.seams import Answerable, Attempt, Lane, Request, Response
@@ -194,7 +194,7 @@
         self._owner = owner
         self._subscribe = subscribe
         self._lane = lane  # makes what carries attempts to boxes that speak no HTTP/1.1, where there are any
-        self._repeatable = [row.repeat is not Repeat.UNSAFE for row in settings.classes]
+        self._repeatable = [row.repeat is not RetrySafety.UNSAFE for row in settings.classes]
         self._count = 0
         self._complaints = Complaints()
         self.attempts: Counter[str] = Counter()  # since the start, by how they ended
@@ -230,7 +230,7 @@
         """Go on by other settings; the classes of requests in hand must keep their places."""
         self.balancer.adopt(self.now(), settings)
         self.settings = settings
-        self._repeatable = [row.repeat is not Repeat.UNSAFE for row in settings.classes]
+        self._repeatable = [row.repeat is not RetrySafety.UNSAFE for row in settings.classes]
 
     def put_back(self, server: int) -> None:
         """Operators say that it may serve again."""
@@ -238,19 +238,19 @@
 
     # ---- the list ----------------------------------------------------------------------------
 
-    def members(self, kind: ListKind, endpoints: Sequence[Endpoint]) -> None:
+    def members(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """A whole list, or a change of it."""
         listed = {endpoint.row.server for endpoint in endpoints}
-        if kind is not ListKind.PATCH:
+        if kind is not ListUpdateKind.PATCH:
             for server in self.backends.keys() - listed:
                 self._remove(server)
         for endpoint in endpoints:
             row = endpoint.row
-            if row.state is State.GONE:
+            if row.state is ServerState.GONE:
                 self._remove(row.server)
                 continue
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
-            self._update(backend, endpoint.address, row.started, row.state is State.UP)
+            self._update(backend, endpoint.address, row.started, row.state is ServerState.UP)
             backend.lane = self._lane() if endpoint.grpc and self._lane is not None else None
         self._perform(self._decide(self.balancer.members, kind, [endpoint.row for endpoint in endpoints]))
 
@@ -379,7 +379,7 @@
             request.headers.get(b"x-request-id", b""),
             how,
             route=f"class-{call.facts.kind}",
-            keyed=row.repeat is Repeat.KEYED,
+            keyed=row.repeat is RetrySafety.KEYED,
             took_s=now - request.arrived,
             had_s=call.deadline - request.arrived,
             sends=len(call.exchanges),
@@ -410,7 +410,7 @@
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Timer):
+            if isinstance(action, StartTimer):
                 self._loop.call_at(action.at - self._epoch, self._timer, action.token)
             elif isinstance(action, Subscribe):
                 self._subscribe()
@@ -427,7 +427,7 @@
             self._send(call, action)
         elif isinstance(action, Cancel):
             call.exchanges[action.attempt].end(Outcome.CANCELLED)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             self._owner.refused(call, action.retry_after)
         else:
             self._owner.failed(call)
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -19,7 +19,7 @@
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
-from lugspur.load_balancing.model import Discovery, ListKind, Outcome, Repeat, Settings
+from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
 from lugspur.routing.shares import Shares
 from lugspur.seams import Request, Response
 
@@ -42,7 +42,7 @@
 ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
 ABSOLUTE = re.compile(rb"http://[^/?#]*", re.IGNORECASE)
 UPLOAD_MOST = 1800.0  # seconds that a body may take: 40 MiB at the least rate
-METHODS = {Repeat.SAFE: (b"GET", False), Repeat.KEYED: (b"POST", True), Repeat.UNSAFE: (b"POST", False)}
+METHODS = {RetrySafety.SAFE: (b"GET", False), RetrySafety.KEYED: (b"POST", True), RetrySafety.UNSAFE: (b"POST", False)}
 
 
 BACK_LATELY = 5.0  # seconds since operators put a backend back, in which it is owed a call by the process that follows
@@ -105,7 +105,7 @@
         if estate is not None:
             self.maintenance.restore(estate.bans)
         self.pool.streams = True
-        self.pool.members(ListKind.STALE, self.maintenance.lay(ListKind.STALE, known))
+        self.pool.members(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, known))
         if estate is not None:
             self.pool.balancer.recall(self.pool.now(), estate.learned)
             self._elsewhere.update(estate.open)
@@ -115,7 +115,7 @@
             if estate.drained:
                 self.front.drain(0.0)
         self.pool.start()
-        if config.settings.discovery is Discovery.PUSHED or estate is not None:
+        if config.settings.discovery is DiscoveryMode.PUSHED or estate is not None:
             self._discovery.open()
         if known and estate is None:
             # Guards against a discovery that is down at the start: an old list serves better than none.
@@ -147,8 +147,8 @@
         self.pool.adopt(replace(settings, classes=tuple(classes)))
         self._terms.placed(self.pool.settings)
 
-    def _told(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        if endpoints or kind is not ListKind.PATCH:
+    def _told(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
+        if endpoints or kind is not ListUpdateKind.PATCH:
             self.pool.members(kind, self.maintenance.lay(kind, endpoints))
         self._loaded()
 
@@ -290,7 +290,7 @@
 
     def _patch(self, endpoints: list[Endpoint]) -> None:
         if endpoints:
-            self.pool.members(ListKind.PATCH, endpoints)
+            self.pool.members(ListUpdateKind.PATCH, endpoints)
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -397,7 +397,7 @@
             self.others.done(name)
 
 
-def fits(request: Request, repeat: Repeat) -> bool:
+def fits(request: Request, repeat: RetrySafety) -> bool:
     """Whether a request comes in the form of the classes that may be repeated so."""
     method, keyed = METHODS[repeat]
     return request.method == method and (not keyed or bool(request.headers.get(b"idempotency-key")))
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -20,7 +20,7 @@
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
-from lugspur.load_balancing.model import ListKind, Outcome, RequestClass, Settings, State
+from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
 from lugspur.routing.shares import Shares
 from lugspur.routing.standing import Standing
 from lugspur.zookeeper.session import Terms
@@ -99,7 +99,7 @@
         if self._streams is not None:
             self._streams.tune(row.keep, row.connect, held_most, answer_most)
         if kept is not None:  # until its source has told a list, that one serves
-            self._show(ListKind.STALE, self.maintenance.lay(ListKind.STALE, kept.endpoints))
+            self._show(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, kept.endpoints))
         self._feed(row, beside, registries)
         if kept is not None:
             self._recall(kept, age)
@@ -189,8 +189,8 @@
             )
         return FixedList(fixed, self._members)
 
-    def _members(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        if not endpoints and kind is ListKind.PATCH:
+    def _members(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
+        if not endpoints and kind is ListUpdateKind.PATCH:
             return
         if any(endpoint.grpc for endpoint in endpoints):
             endpoints = [
@@ -203,7 +203,7 @@
         """Operators take a box out, or put it back."""
         changed = self.maintenance.disable(server) if on else self.maintenance.enable(server, now)
         if changed:
-            self._show(ListKind.PATCH, changed)
+            self._show(ListUpdateKind.PATCH, changed)
             if not on:
                 self.pool.put_back(server)
 
@@ -212,15 +212,15 @@
         before = self.maintenance.absent
         changed = self.maintenance.away(servers, now)
         if changed:
-            self._show(ListKind.PATCH, changed)
+            self._show(ListUpdateKind.PATCH, changed)
         for server in (before - servers).intersection(self.maintenance.told) - self.maintenance.banned:
             self.pool.put_back(server)
 
-    def _show(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
+    def _show(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         self._lists += 1
         self.pool.members(kind, endpoints)
         self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
-        up = (key for key, server in self.pool.balancer.servers.items() if server.row.state is State.UP)
+        up = (key for key, server in self.pool.balancer.servers.items() if server.row.state is ServerState.UP)
         self.standing.listed(up)
         if self.shown is not None:
             self.shown(self.name)
@@ -245,7 +245,7 @@
         source, self._source = self._source, None
         if source is not None:
             source.close()
-        self.pool.members(ListKind.WHOLE, [])
+        self.pool.members(ListUpdateKind.WHOLE, [])
         self.pool.upstream.close()
         if self._streams is not None:
             self._streams.close()
--- a/lugspur/daemon/terms.py
+++ b/lugspur/daemon/terms.py
@@ -9,11 +9,11 @@
 from copy import copy
 from dataclasses import replace
 
-from lugspur.load_balancing.model import Group, RequestClass, Settings
+from lugspur.load_balancing.model import DeduplicationScope, RequestClass, Settings
 
 CHANGE_WITHIN = 1.5  # seconds after the signal in which callers change over: 1.2 by the page, and a late loop
 STILL_COMING = 4.0  # seconds that a request may be on its way that began before: a head of 2 s, and a body
-NARROW = (Group.CELL, Group.ZONE, Group.ALL)
+NARROW = (DeduplicationScope.CELL, DeduplicationScope.ZONE, DeduplicationScope.ALL)
 
 
 def between(former: RequestClass, new: RequestClass) -> RequestClass:
--- a/lugspur/discovery/learned.py
+++ b/lugspur/discovery/learned.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lugspur.discovery.rows import Endpoint, server_id, server_name
-from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, ServerState
 
 #: What the readers raise.
 SENSELESS = (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError)
@@ -41,7 +41,7 @@
 def read_entry(raw: list[Any]) -> Endpoint:
     """An entry of the list."""
     name, state, zone, cell, size, started, kind, host, port, grpc = raw
-    row = ServerRow(server_id(name), State(state), int(zone), int(cell), finite(size), finite(started), int(kind))
+    row = ServerRow(server_id(name), ServerState(state), int(zone), int(cell), finite(size), finite(started), int(kind))
     return Endpoint(row, (str(host), int(port)), bool(grpc))
 
 
--- a/lugspur/discovery/maintenance.py
+++ b/lugspur/discovery/maintenance.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 from lugspur.discovery.rows import Endpoint
-from lugspur.load_balancing.model import ListKind, State
+from lugspur.load_balancing.model import ListUpdateKind, ServerState
 
 NAMES_MOST = 16_384  # names of backends that were ever listed, the latest: some 3 MB; a day sees hundreds
 FLOORS_MOST = 1_024  # ends of bans that are remembered, the latest: each counts for a warm-up of some seconds
@@ -34,15 +34,15 @@
         self.floors: dict[int, float] = {}
         self.told: dict[int, Endpoint] = {}  # discovery's last word on each that has not gone
 
-    def lay(self, kind: ListKind, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+    def lay(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
         """A list or a change of it as the pool is to see it."""
-        if kind is not ListKind.PATCH:
+        if kind is not ListUpdateKind.PATCH:
             self.told.clear()
         for endpoint in endpoints:
             server = endpoint.row.server
             self.listed.pop(server, None)
             self.listed[server] = None
-            if endpoint.row.state is State.GONE:
+            if endpoint.row.state is ServerState.GONE:
                 self.told.pop(server, None)
             else:
                 self.told[server] = endpoint
@@ -52,8 +52,8 @@
     def over(self, endpoint: Endpoint) -> Endpoint:
         """One entry as the pool is to see it."""
         row = endpoint.row
-        if (row.server in self.banned or row.server in self.absent) and row.state is State.UP:
-            row = replace(row, state=State.DRAINING)
+        if (row.server in self.banned or row.server in self.absent) and row.state is ServerState.UP:
+            row = replace(row, state=ServerState.DRAINING)
         # Guards a backend that comes back: it was restarted meanwhile, and discovery may say so late.
         floor = self.floors.get(row.server, 0.0)
         if floor > row.started:
--- a/lugspur/discovery/nodes.py
+++ b/lugspur/discovery/nodes.py
@@ -18,7 +18,7 @@
 import orjson
 
 from lugspur.discovery.rows import PROTOCOLS, STATES, Endpoint, Reader, read_address
-from lugspur.load_balancing.model import State
+from lugspur.load_balancing.model import ServerState
 
 DATA_MOST = 64 << 10  # bytes of a node that are read as an entry: entries have a few hundred
 TEXT_MOST = 1024  # bytes of a name, zone or address: a name becomes a number of as many bytes
@@ -197,7 +197,7 @@
         server = known.row.server
         if server in self._by_server:
             return [self._row(server)]
-        return [replace(known, row=replace(known.row, state=State.GONE))]
+        return [replace(known, row=replace(known.row, state=ServerState.GONE))]
 
     def _row(self, server: int) -> Endpoint:
         names = self._by_server[server]
--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -11,7 +11,7 @@
 from lugspur.discovery.nodes import Node, Nodes
 from lugspur.discovery.rows import Address, Endpoint
 from lugspur.discovery.source import Told
-from lugspur.load_balancing.model import ListKind, State
+from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.client import Client
 from lugspur.zookeeper.link import Machine
@@ -121,7 +121,7 @@
     def open(self) -> None:
         """Begin to tell."""
         if self._fixed:
-            self._told(ListKind.WHOLE, self._fixed)
+            self._told(ListUpdateKind.WHOLE, self._fixed)
         self._registry.join(self.view, self._woken)
 
     def close(self) -> None:
@@ -195,7 +195,7 @@
 
     def _put(self, endpoint: Endpoint) -> None:
         server = endpoint.row.server
-        if endpoint.row.state is State.GONE:
+        if endpoint.row.state is ServerState.GONE:
             self._rows.pop(server, None)
             self._gone[server] = endpoint
         else:
@@ -217,13 +217,13 @@
         gone, rows, whole = list(self._gone.values()), list(self._rows.values()), self._whole
         self._gone, self._rows, self._whole = {}, {}, False
         if gone:
-            self._told(ListKind.PATCH, gone)
+            self._told(ListUpdateKind.PATCH, gone)
             for endpoint in gone:
                 self._known.pop(endpoint.row.server, None)
         if whole:
             self._tell_whole({endpoint.row.server: endpoint for endpoint in rows})
         elif rows:
-            self._told(ListKind.PATCH, rows)
+            self._told(ListUpdateKind.PATCH, rows)
             self._known.update((endpoint.row.server, endpoint) for endpoint in rows)
         ended = self._loop.time()
         self._next = ended + min(TELL_MOST, TELL_PART * (ended - begun))
@@ -233,16 +233,16 @@
         former, self._known = self._known, rows
         if not self._told_all:
             self._told_all = True
-            self._told(ListKind.WHOLE, list(rows.values()))
+            self._told(ListUpdateKind.WHOLE, list(rows.values()))
             return
         left = [
-            replace(known, row=replace(known.row, state=State.GONE))
+            replace(known, row=replace(known.row, state=ServerState.GONE))
             for server, known in former.items()
             if server not in rows
         ]
         changed = [endpoint for server, endpoint in rows.items() if former.get(server) != endpoint]
         if left or changed:
-            self._told(ListKind.PATCH, left + changed)
+            self._told(ListUpdateKind.PATCH, left + changed)
 
 
 def _node(data: r.Data | None) -> Node | None:
--- a/lugspur/discovery/rows.py
+++ b/lugspur/discovery/rows.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lugspur.load_balancing.model import ServerRow, State
+from lugspur.load_balancing.model import ServerRow, ServerState
 
 Address = tuple[str, int]
 PROTOCOLS = ("http", "grpc")  # what a box may speak: HTTP/1.1, or gRPC over HTTP/2
-STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {"in_service": ServerState.UP, "terminating": ServerState.DRAINING, "terminated": ServerState.GONE}
 
 
 def read_address(text: str) -> Address:
--- a/lugspur/discovery/source.py
+++ b/lugspur/discovery/source.py
@@ -11,9 +11,9 @@
 import orjson
 
 from lugspur.discovery.rows import Endpoint, Reader
-from lugspur.load_balancing.model import ListKind
+from lugspur.load_balancing.model import ListUpdateKind
 
-Told = Callable[[ListKind, list[Endpoint]], None]
+Told = Callable[[ListUpdateKind, list[Endpoint]], None]
 LOOK_EVERY = 0.2  # seconds between two looks at a watched file: a drain has to be obeyed 500 ms after it was told
 FILE_MOST = 16 << 20  # bytes of a watched file: some 100,000 backends
 
@@ -37,7 +37,7 @@
 
     def open(self) -> None:
         """Tell it once."""
-        self._told(ListKind.WHOLE, self._endpoints)
+        self._told(ListUpdateKind.WHOLE, self._endpoints)
 
     def close(self) -> None:
         """Nothing is left to do."""
@@ -65,7 +65,7 @@
             if seen != self._seen:
                 endpoints = self._read(found.st_size)
                 self._seen, self._said = seen, ""  # a half-written file is no news: it is read again
-                self._told(ListKind.WHOLE, endpoints)
+                self._told(ListUpdateKind.WHOLE, endpoints)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as fault:
             self._complain(f"{fault.strerror}" if isinstance(fault, OSError) else f"no list: {fault!r}")
 
--- a/lugspur/discovery/watch.py
+++ b/lugspur/discovery/watch.py
@@ -11,7 +11,7 @@
 import orjson
 
 from lugspur.discovery.rows import Address, Endpoint, Reader
-from lugspur.load_balancing.model import ListKind
+from lugspur.load_balancing.model import ListUpdateKind
 
 SILENT = 3.0  # seconds without a line after which a watch is taken for dead: one comes every 2 s...
 SILENT_SPREAD = 0.2  # ...and up to this part more: all watchers of a service that hangs must not come back at once
@@ -23,7 +23,7 @@
     """Keeps one watch open, whatever happens to it, and hands on what it tells."""
 
     def __init__(
-        self, address: Address, reader: Reader, index: int, told: Callable[[ListKind, list[Endpoint]], None]
+        self, address: Address, reader: Reader, index: int, told: Callable[[ListUpdateKind, list[Endpoint]], None]
     ) -> None:
         self._address = address
         self._reader = reader
@@ -94,7 +94,7 @@
             return  # Guards the list against a watch that has been replaced and is not closed yet.
         if not text.strip():
             self.retry = RETRY_FIRST
-            self._told(ListKind.PATCH, [])
+            self._told(ListUpdateKind.PATCH, [])
             return
         message = orjson.loads(text)
         endpoints = self._reader.endpoints(message)
@@ -106,7 +106,7 @@
             self._former = None
         watch.told = True
         self._index = index
-        self._told(ListKind.WHOLE if message.get("snapshot") else ListKind.PATCH, endpoints)
+        self._told(ListUpdateKind.WHOLE if message.get("snapshot") else ListUpdateKind.PATCH, endpoints)
 
 
 class _Watch(asyncio.Protocol):
--- a/lugspur/emulator/fleet.py
+++ b/lugspur/emulator/fleet.py
@@ -14,7 +14,7 @@
 from lugspur.emulator.boxes import Box, Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import SERVED, TURNED, World
-from lugspur.load_balancing.model import Limits, Repeat, RequestClass, Settings
+from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings
 
 SIZES = (4, 40, 400)
 CALM, DEAD = "calm", "a tenth vanish"
@@ -48,7 +48,7 @@
 
 def settings(proxies: int, me: int) -> Settings:
     """What an instance of the first tier is told."""
-    row = RequestClass("book", aim=AIM, deadline=DEADLINE, repeat=Repeat.UNSAFE)
+    row = RequestClass("book", aim=AIM, deadline=DEADLINE, repeat=RetrySafety.UNSAFE)
     return Settings(classes=(row,), balancers=proxies, me=me, limits=Limits(cancel=True, max_attempts=5))
 
 
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -18,7 +18,7 @@
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start
 from lugspur.joining.sharing import EVERYONE
-from lugspur.load_balancing.model import Limits, Repeat, RequestClass, Settings, Tenant
+from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
 AIM, DEADLINE, SHORT = 0.41, 1.0, 0.06  # seconds; one read in ten has the short deadline
 SHORT_PART = 0.1
@@ -163,7 +163,7 @@
 
 def settings() -> Settings:
     """What the decision module is told."""
-    reads = RequestClass("read", aim=AIM, deadline=DEADLINE, repeat=Repeat.SAFE, late_worth=1.0)
+    reads = RequestClass("read", aim=AIM, deadline=DEADLINE, repeat=RetrySafety.SAFE, late_worth=1.0)
     return Settings(
         classes=(reads,),
         tenants=tuple(Tenant(f"t{n}") for n in range(TENANTS)),
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -12,14 +12,14 @@
     Action,
     Cancel,
     Fail,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
+    Reject,
     Send,
     ServerRow,
     Settings,
+    StartTimer,
     Subscribe,
-    Timer,
 )
 
 Done = Callable[[str], None]
@@ -49,7 +49,7 @@
         self._calls: dict[str, _Call] = {}
         self._count = 0
         rows = [ServerRow(n) for n in range(len(self.boxes))]
-        self._perform(self.balancer.members(0.0, ListKind.WHOLE, rows) + self.balancer.start(0.0))
+        self._perform(self.balancer.members(0.0, ListUpdateKind.WHOLE, rows) + self.balancer.start(0.0))
 
     def ran(self) -> int:
         """Works that boxes have begun."""
@@ -109,7 +109,7 @@
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Timer):
+            if isinstance(action, StartTimer):
                 token = action.token
                 self.clock.at(action.at, lambda token=token: self._timer(token))  # type: ignore[misc]
             elif not isinstance(action, Subscribe):
@@ -118,7 +118,7 @@
     def _timer(self, token: int) -> None:
         self._perform(self.balancer.timer(self.clock.now, token))
 
-    def _act(self, action: Send | Refuse | Fail | Cancel) -> None:
+    def _act(self, action: Send | Reject | Fail | Cancel) -> None:
         rid = action.request
         call = self._calls.get(rid)
         if call is None:
@@ -128,7 +128,7 @@
         elif isinstance(action, Cancel):
             self._cancel(rid, call, action.attempt)
         else:
-            refused = isinstance(action, Refuse) and not call.works
+            refused = isinstance(action, Reject) and not call.works
             self._end(call, TURNED if refused else FAILED)
 
     def _send(self, rid: str, call: _Call, send: Send) -> None:
--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -13,35 +13,39 @@
 from lugspur.load_balancing.model import (
     Action,
     Cancel,
-    Discovery,
+    DeduplicationScope,
+    DiscoveryMode,
     Fail,
-    Group,
     Limits,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Repeat,
+    Reject,
     RequestClass,
+    RetrySafety,
     Rules,
     Send,
     ServerRow,
+    ServerState,
     Settings,
-    State,
+    StartTimer,
     Subscribe,
     Tenant,
-    Timer,
     pick_known,
 )
 
-STATES = {"U": State.UP, "L": State.DRAINING, "D": State.GONE}
-REPEATS = {"retryable": Repeat.SAFE, "dedup": Repeat.KEYED, "fragile": Repeat.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-DISCOVERY = {"pushed": Discovery.PUSHED, "on_request": Discovery.ON_REQUEST}
-KINDS = {
-    "stale_copy": ListKind.STALE,
-    "whole": ListKind.WHOLE,
-    "patch": ListKind.PATCH,
-    "broken": ListKind.BROKEN,
+SERVER_STATES = {"U": ServerState.UP, "L": ServerState.DRAINING, "D": ServerState.GONE}
+RETRY_SAFETIES = {"retryable": RetrySafety.SAFE, "dedup": RetrySafety.KEYED, "fragile": RetrySafety.UNSAFE}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+DISCOVERY_MODES = {"pushed": DiscoveryMode.PUSHED, "on_request": DiscoveryMode.ON_REQUEST}
+LIST_UPDATE_KINDS = {
+    "stale_copy": ListUpdateKind.STALE,
+    "whole": ListUpdateKind.WHOLE,
+    "patch": ListUpdateKind.PATCH,
+    "broken": ListUpdateKind.BROKEN,
 }
 OUTCOMES = {
     "success": Outcome.OK,
@@ -94,8 +98,8 @@
                     "name": row.get("Name"),
                     "aim": row.get("Aim"),
                     "deadline": row.get("HardLimit"),
-                    "repeat": REPEATS.get(row.get("Repeat"), Repeat.UNSAFE),
-                    "group": GROUPS.get(row.get("Group"), Group.CELL),
+                    "repeat": RETRY_SAFETIES.get(row.get("Repeat"), RetrySafety.UNSAFE),
+                    "group": DEDUPLICATION_SCOPES.get(row.get("Group"), DeduplicationScope.CELL),
                     "window": row.get("Window"),
                     "worth": row.get("Credit"),
                     "late_worth": row.get("LateWorth"),
@@ -120,7 +124,7 @@
         "tiers": len(wire.get("Tiers") or ()) or None,
         "zone": wire.get("Zone"),
         "zones": len(wire.get("Zones") or ()) or None,
-        "discovery": DISCOVERY.get(wire.get("RegistryMode", "pushed"), Discovery.PUSHED),
+        "discovery": DISCOVERY_MODES.get(wire.get("RegistryMode", "pushed"), DiscoveryMode.PUSHED),
         "over_share_worth": wire.get("OverShareWorth"),
         "passes_deadline": (wire.get("FamilyInfo") or {}).get("PassesDeadline"),
         "marks_retry": (wire.get("ClientHabits") or {}).get("MarksRetry"),
@@ -134,7 +138,7 @@
     """One entry of a `Register`."""
     return ServerRow(
         row["Backend"],
-        STATES[row.get("Readiness", "U")],
+        SERVER_STATES[row.get("Readiness", "U")],
         row.get("FailureDomain", 0),
         row.get("Cluster", 0),
         row.get("Units", 1.0),
@@ -153,7 +157,7 @@
             "Backend": action.server,
             "Within": action.timeout,
         }
-    if isinstance(action, Refuse):
+    if isinstance(action, Reject):
         return {
             "m": "NotNow",
             "ProxyId": instance,
@@ -164,7 +168,7 @@
         return {"m": "ReportFailure", "ProxyId": instance, "Ref": action.request}
     if isinstance(action, Cancel):
         return {"m": "UndoSend", "ProxyId": instance, "Ref": action.request, "RoundNo": action.attempt}
-    if isinstance(action, Timer):
+    if isinstance(action, StartTimer):
         return {"m": "Sleep", "ProxyId": instance, "When": action.at, "Tag": action.token}
     assert isinstance(action, Subscribe)
     return {"m": "Watch", "ProxyId": instance, "Want": True}
@@ -179,9 +183,9 @@
         self.lists: dict[int, tuple[ServerRow, ...]] = {}
 
     def _members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        kind = KINDS[e["Mode"]]
+        kind = LIST_UPDATE_KINDS[e["Mode"]]
         rows: tuple[ServerRow, ...] = ()
-        if kind is not ListKind.BROKEN:
+        if kind is not ListUpdateKind.BROKEN:
             if e["List"] not in self.lists:
                 raise WireFault(f"unknown list number {e['List']}")
             rows = self.lists[e["List"]]
--- a/lugspur/load_balancing/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -29,24 +29,24 @@
     NEVER_RAN,
     Action,
     Cancel,
-    Discovery,
+    DeduplicationScope,
+    DiscoveryMode,
     Fail,
-    Group,
     Learned,
     LearnedPool,
     LearnedServer,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Repeat,
+    Reject,
     RequestId,
+    RetrySafety,
     Send,
     ServerId,
     ServerRow,
+    ServerState,
     Settings,
-    State,
+    StartTimer,
     Subscribe,
-    Timer,
 )
 from lugspur.load_balancing.pick import Picker
 from lugspur.load_balancing.servers import Attempt, Pool, Request, Server
@@ -202,7 +202,7 @@
 
     def start(self, now: float) -> list[Action]:
         """Call once, after the first list was given."""
-        if self.settings.discovery is not Discovery.ON_REQUEST:
+        if self.settings.discovery is not DiscoveryMode.ON_REQUEST:
             return []
         # All instances start together: spread the first calls over what the rules allow unasked.
         return self._ask_in(now, 0.4 * self.settings.rules.ask_within * self.rng.random())
@@ -211,23 +211,23 @@
         if self.asking:
             return []
         self.asking = True
-        return [Timer(now + delay, SUBSCRIBE)]
+        return [StartTimer(now + delay, SUBSCRIBE)]
 
-    def members(self, now: float, kind: ListKind, rows: Sequence[ServerRow]) -> list[Action]:
+    def members(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
         """A list, a change to it, or the news that a call to discovery failed."""
-        if kind is ListKind.BROKEN:
+        if kind is ListUpdateKind.BROKEN:
             # Jittered and doubling: every instance lost the same service at the same time.
             delay = self.backoff * (0.5 + self.rng.random())
             self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.ask_within))
             return self._ask_in(now, delay)
-        if kind is not ListKind.STALE:
+        if kind is not ListUpdateKind.STALE:
             self.backoff = 1.0
-        if kind is not ListKind.PATCH:
+        if kind is not ListUpdateKind.PATCH:
             listed = {row.server for row in rows}
             for server in self.servers.values():
                 if server.row.server not in listed:
                     # Size and start time are kept: it may come back as the same process, still cold.
-                    server.row = replace(server.row, state=State.GONE)
+                    server.row = replace(server.row, state=ServerState.GONE)
         for row in rows:
             known = self.servers.get(row.server)
             if known is None:
@@ -252,21 +252,21 @@
         the same process.
         """
         for key, server in tuple(self.servers.items()):
-            if server.row.state is State.GONE and not server.out and self._cold_until(server) <= now:
+            if server.row.state is ServerState.GONE and not server.out and self._cold_until(server) <= now:
                 del self.servers[key]
                 self.back.pop(server, None)
 
     def _arrange(self, now: float) -> None:
         """Rebuild the lists of ready servers; drained and gone ones leave them at once."""
         # A ring in scattered order, the same at every instance.
-        ready = [s for s in self.servers.values() if s.row.state is State.UP]
+        ready = [s for s in self.servers.values() if s.row.state is ServerState.UP]
         ready.sort(key=lambda s: (s.row.server * 0x9E3779B1 & 0xFFFFFFFF, s.row.server))
         for pool in self.pools:
             pool.ready = [s for s in ready if pool.opens(s.row)]
             pool.groups = {}
             for server in pool.ready:
-                pool.groups.setdefault((Group.ZONE, server.row.zone), []).append(server)
-                pool.groups.setdefault((Group.CELL, server.row.cell), []).append(server)
+                pool.groups.setdefault((DeduplicationScope.ZONE, server.row.zone), []).append(server)
+                pool.groups.setdefault((DeduplicationScope.CELL, server.row.cell), []).append(server)
         self._resize(now)
 
     # ---- requests ------------------------------------------------------------------------
@@ -359,8 +359,10 @@
         if any(attempt.strained for attempt in request.attempts):
             self.pool_of[request.kind].breaker.failed(now)
         kind = self.settings.classes[request.kind]
-        free = kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
-        out.append(Refuse(request.id) if free or request.first_maybe() is None else Fail(request.id))
+        free = kind.repeat is RetrySafety.SAFE or (
+            kind.repeat is RetrySafety.KEYED and kind.group is DeduplicationScope.ALL
+        )
+        out.append(Reject(request.id) if free or request.first_maybe() is None else Fail(request.id))
         self._finish(request, out)
 
     def _count(self, request: Request, on: bool) -> None:
--- a/lugspur/load_balancing/model.py
+++ b/lugspur/load_balancing/model.py
@@ -17,7 +17,7 @@
 RequestId = str
 
 
-class Repeat(Enum):
+class RetrySafety(Enum):
     """How far a class of request may be repeated once it may have run."""
 
     SAFE = "safe"
@@ -25,7 +25,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers discard the repeat of a keyed request."""
 
     ALL = "all"
@@ -33,14 +33,14 @@
     CELL = "cell"
 
 
-class Discovery(Enum):
+class DiscoveryMode(Enum):
     """Whether the list of servers comes unasked or has to be asked for."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
 
 
-class State(Enum):
+class ServerState(Enum):
     """What the list says of a server."""
 
     UP = "up"
@@ -48,7 +48,7 @@
     GONE = "gone"
 
 
-class ListKind(Enum):
+class ListUpdateKind(Enum):
     """What a list message is."""
 
     STALE = "stale"
@@ -92,8 +92,8 @@
     name: str = "request"
     aim: float = 1.0
     deadline: float = 5.0
-    repeat: Repeat = Repeat.UNSAFE
-    group: Group = Group.CELL
+    repeat: RetrySafety = RetrySafety.UNSAFE
+    group: DeduplicationScope = DeduplicationScope.CELL
     window: float = 0.0
     worth: float = 1.0
     late_worth: float = 0.0
@@ -174,7 +174,7 @@
     tiers: int = 1
     zone: int = 0
     zones: int = 1
-    discovery: Discovery = Discovery.PUSHED
+    discovery: DiscoveryMode = DiscoveryMode.PUSHED
     over_share_worth: float = 1.0
     passes_deadline: bool = True
     marks_retry: bool = False
@@ -216,7 +216,7 @@
     """One line of the list of servers. `started` is 0 for a distant past."""
 
     server: ServerId
-    state: State = State.UP
+    state: ServerState = ServerState.UP
     zone: int = 0
     cell: int = 0
     size: float = 1.0
@@ -278,7 +278,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: refused, trying again is harmless."""
 
     request: RequestId
@@ -301,7 +301,7 @@
 
 
 @dataclass(slots=True)
-class Timer:
+class StartTimer:
     """Call `timer(now, token)` at `at` or soon after."""
 
     at: float
@@ -313,4 +313,4 @@
     """Ask discovery for changes from here on."""
 
 
-Action = Send | Refuse | Fail | Cancel | Timer | Subscribe
+Action = Send | Reject | Fail | Cancel | StartTimer | Subscribe
--- a/lugspur/load_balancing/pick.py
+++ b/lugspur/load_balancing/pick.py
@@ -6,7 +6,7 @@
 from math import sqrt
 
 from lugspur.load_balancing.admission import Admission
-from lugspur.load_balancing.model import Group, Repeat
+from lugspur.load_balancing.model import DeduplicationScope, RetrySafety
 from lugspur.load_balancing.servers import Pool, Request, Server
 
 DRAWS = 8  # random draws for two candidates, at most
@@ -102,7 +102,7 @@
             for server in self._candidates(now, request, pool.ready, False):
                 if server not in pool.working:
                     scores[server] = server.score(now, pooled, unseen)
-        if self.settings.classes[request.kind].repeat is Repeat.UNSAFE:
+        if self.settings.classes[request.kind].repeat is RetrySafety.UNSAFE:
             # Guards what can't be tried again against an outlier: its breaker lets calls through until it has
             # seen enough, and once a second then. What can be goes on finding out whether it has recovered.
             # Could harm where requests themselves are at fault: their server is shunned for a window.
@@ -156,11 +156,13 @@
         kind = self.settings.classes[request.kind]
         pool = self.pool_of[request.kind]
         first = request.first_maybe()
-        if first is None or kind.repeat is Repeat.SAFE:
+        if first is None or kind.repeat is RetrySafety.SAFE:
             return pool.ready
-        if kind.repeat is Repeat.UNSAFE or now - first.sent >= WINDOW_MARGIN * kind.window:
+        if kind.repeat is RetrySafety.UNSAFE or now - first.sent >= WINDOW_MARGIN * kind.window:
             return []
-        if kind.group is Group.ALL:
+        if kind.group is DeduplicationScope.ALL:
             return pool.ready
         row = first.server.row
-        return pool.groups.get((kind.group, row.zone if kind.group is Group.ZONE else row.cell), [])
+        return pool.groups.get(
+            (kind.group, row.zone if kind.group is DeduplicationScope.ZONE else row.cell), []
+        )
--- a/lugspur/load_balancing/servers.py
+++ b/lugspur/load_balancing/servers.py
@@ -7,7 +7,7 @@
 
 from lugspur.load_balancing.breaker import Breaker
 from lugspur.load_balancing.budget import Rate
-from lugspur.load_balancing.model import Group, RequestId, ServerRow
+from lugspur.load_balancing.model import DeduplicationScope, RequestId, ServerRow
 
 DOWN_FIRST = 0.5  # seconds for which a server is left alone that took no connection, or no request...
 DOWN_MOST = 4.0  # ...doubling to so many, each drawn anew from half to one and a half times that
@@ -163,7 +163,9 @@
         self.working: list[Server] = []  # the part of `ready` that ordinary picks draw from...
         self.ends: list[float] = []  # ...where each one's stretch of the slice ends, by size...
         self.begin = self.width = 0.0  # ...and the slice
-        self.groups: dict[tuple[Group, int], list[Server]] = {}  # which servers drop each other's repeats
+        self.groups: dict[
+            tuple[DeduplicationScope, int], list[Server]
+        ] = {}  # which servers drop each other's repeats
         self.rate, self.sent, self.served = Rate(), Rate(), Rate()  # requests offered, attempts, served
         self.born = float("inf")  # when the first request came
         self.owed = 0  # requests that a final answer is owed for
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -19,7 +19,7 @@
 from lugspur.discovery.nodes import Node, Nodes, read_entry
 from lugspur.discovery.rows import Endpoint, Reader, server_id, server_name
 from lugspur.discovery.watch import Discovery
-from lugspur.load_balancing.model import ListKind
+from lugspur.load_balancing.model import ListUpdateKind
 
 #: An entry of the platform's list with every field, and the same as it is kept on disk and handed to another process.
 PLATFORM_ENTRY = (
@@ -116,7 +116,7 @@
             await reader.read()
             writer.close()
 
-        def listen(kind: ListKind, endpoints: list[Endpoint]) -> None:
+        def listen(kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
             heard.put_nowait((kind.value, [stored(endpoint) for endpoint in endpoints]))
 
         server = await asyncio.start_server(serve, HOST, 0)
@@ -293,10 +293,10 @@
     over = Maintenance()
     over.restore(read_estate(orjson.dumps(estate).decode()).bans)
     up = orjson.loads(STORED_ENTRY.replace(b"draining", b"up"))
-    [banned] = over.lay(ListKind.PATCH, [forms.read_entry(up)])
+    [banned] = over.lay(ListUpdateKind.PATCH, [forms.read_entry(up)])
     assert stored(banned) == STORED_ENTRY  # it is banned, and so it drains
     up[0] = "channel-6"
-    [cold] = over.lay(ListKind.PATCH, [forms.read_entry(up)])
+    [cold] = over.lay(ListUpdateKind.PATCH, [forms.read_entry(up)])
     assert stored(cold) == b'["channel-6","up","1",3,2.5,1700000000.5,"2","10.0.0.7",9001,true]'
     known = over.save()
     assert [server_name(server) for server in known.listed] == ["channel-7", "channel-6"]
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -20,7 +20,7 @@
 
 from lugspur.load_balancing.adapter import Link, read_row, read_settings, serve, write_action
 from lugspur.load_balancing.decide import Balancer
-from lugspur.load_balancing.model import ListKind, Outcome
+from lugspur.load_balancing.model import ListUpdateKind, Outcome
 
 Message = dict[str, Any]
 
@@ -401,7 +401,7 @@
         self.tries: Counter[str] = Counter()
         self.now = 100.0
         self.rows = [read_row({"Backend": n, "FailureDomain": n % 2, "Hw": n % 2}) for n in range(6)]
-        self.note("members", self.balancer.members(self.now, ListKind.WHOLE, self.rows))
+        self.note("members", self.balancer.members(self.now, ListUpdateKind.WHOLE, self.rows))
         self.note("start", self.balancer.start(self.now))
 
     def note(self, what: str, actions: list[Any]) -> None:
@@ -441,7 +441,7 @@
             self.note("gone", balancer.gone(self.now, rid))
         elif chance < 0.7:
             row = self.rows[self.script.randrange(6)]
-            self.note("members", balancer.members(self.now, ListKind.PATCH, [replace(row, started=self.now)]))
+            self.note("members", balancer.members(self.now, ListUpdateKind.PATCH, [replace(row, started=self.now)]))
             balancer.put_back(self.now, row.server)
         elif chance < 0.75:
             balancer.retire(self.script.random() < 0.5)
@@ -471,7 +471,7 @@
         learned = self.balancer.learned()
         self.lines.append(f"learned {plain(astuple(learned))}")
         self.balancer = Balancer(self.settings, 5)
-        self.note("members", self.balancer.members(self.now, ListKind.WHOLE, self.rows))
+        self.note("members", self.balancer.members(self.now, ListUpdateKind.WHOLE, self.rows))
         self.balancer.recall(self.now, learned)
 
 
--- a/tests/daemon/test_joining.py
+++ b/tests/daemon/test_joining.py
@@ -15,7 +15,7 @@
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, Backend, Client, soon, status
 
 from lugspur.daemon import joins
-from lugspur.load_balancing import Refuse
+from lugspur.load_balancing import Reject
 from lugspur.standins.grpc.box import Call
 from lugspur.standins.grpc.script import Script
 
@@ -315,7 +315,7 @@
         def refuse_a(now: float, rid: str, kind: int, tenant: int, *more: Any) -> object:
             name = pool.settings.tenants[tenant].name
             asked.append(name)
-            return [Refuse(rid)] if name == "a" else submit(now, rid, kind, tenant, *more)
+            return [Reject(rid)] if name == "a" else submit(now, rid, kind, tenant, *more)
 
         clients = await asking(
             up,
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -18,7 +18,7 @@
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.registry import Followed
 from lugspur.discovery.rows import Endpoint, server_id
-from lugspur.load_balancing.model import ListKind, State
+from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
@@ -93,12 +93,12 @@
     def __init__(self, cluster: Cluster, up: Served) -> None:
         self.cluster, self.up = cluster, up
 
-    def states(self) -> dict[int, State]:
+    def states(self) -> dict[int, ServerState]:
         """The pool's boxes, as the decision module sees them."""
         servers = self.up.daemon.stations["a"].pool.balancer.servers
-        return {key: server.row.state for key, server in servers.items() if server.row.state is not State.GONE}
+        return {key: server.row.state for key, server in servers.items() if server.row.state is not ServerState.GONE}
 
-    async def knows(self, **states: State) -> None:
+    async def knows(self, **states: ServerState) -> None:
         """Wait until the pool has these boxes in these states."""
         wanted = {server_id(name.replace("_", "-")): state for name, state in states.items()}
         await until(lambda: self.states() == wanted)
@@ -132,9 +132,9 @@
         async with following() as folder:
             folder.cluster.write("/boxes/one", box())
             folder.cluster.write("/boxes/two", box())
-            await folder.knows(one=State.UP, two=State.UP)
+            await folder.knows(one=ServerState.UP, two=ServerState.UP)
             folder.cluster.write("/boxes/one", box(status="terminating", weight=2.0))
-            await folder.knows(one=State.DRAINING, two=State.UP)
+            await folder.knows(one=ServerState.DRAINING, two=ServerState.UP)
             servers = folder.up.daemon.stations["a"].pool.balancer.servers
             assert servers[server_id("one")].row.size == 2.0
 
@@ -147,7 +147,7 @@
             names = [f"b{at}" for at in range(50)]
             for name in names:
                 folder.cluster.box(f"/boxes/{name}", box())
-            await folder.knows(**dict.fromkeys(names, State.UP))
+            await folder.knows(**dict.fromkeys(names, ServerState.UP))
             folder.cluster.expire("all")
             await folder.knows()
 
@@ -161,18 +161,18 @@
             servers = folder.up.daemon.stations["a"].pool.balancer.servers
             key = server_id("one")
             folder.cluster.box("/boxes/one", box(since_ms=now))
-            await folder.knows(one=State.UP)
+            await folder.knows(one=ServerState.UP)
             began = servers[key].row.started
             learned = servers[key]
             folder.cluster.expire("/boxes/one")
             await folder.knows()
             folder.cluster.box("/boxes/one", box(since_ms=now))
-            await folder.knows(one=State.UP)
+            await folder.knows(one=ServerState.UP)
             assert servers[key] is learned and servers[key].row.started == began
             folder.cluster.expire("/boxes/one")
             await folder.knows()
             folder.cluster.box("/boxes/one", box(since_ms=now + 5000))
-            await folder.knows(one=State.UP)
+            await folder.knows(one=ServerState.UP)
             assert servers[key].row.started == pytest.approx(began + 5.0)
 
     asyncio.run(play())
@@ -183,13 +183,13 @@
         async with following() as folder:
             for name in ("one", "two"):
                 folder.cluster.box(f"/boxes/{name}", box())
-            await folder.knows(one=State.UP, two=State.UP)
+            await folder.knows(one=ServerState.UP, two=ServerState.UP)
             source = folder.up.daemon.stations["a"]._source
             assert isinstance(source, Followed)
-            told: list[tuple[ListKind, set[int]]] = []
+            told: list[tuple[ListUpdateKind, set[int]]] = []
             tell = source._told
 
-            def hear(kind: ListKind, endpoints: list[Endpoint]) -> None:
+            def hear(kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
                 told.append((kind, {endpoint.row.server for endpoint in endpoints}))
                 tell(kind, endpoints)
 
@@ -214,8 +214,8 @@
                 )
                 if not change:
                     assert told == []
-            await folder.knows(one=State.UP, two=State.UP, three=State.UP)
-            assert all(kind is ListKind.PATCH for kind, _ in told)
+            await folder.knows(one=ServerState.UP, two=ServerState.UP, three=ServerState.UP)
+            assert all(kind is ListUpdateKind.PATCH for kind, _ in told)
             assert server_id("two") not in set().union(*(servers for _, servers in told))
 
     asyncio.run(play())
@@ -251,7 +251,7 @@
                 assert status(await client.ask(ask())) == 200
                 cluster.write("/boxes/one", box(fixed.address))
                 await server.listen()
-                await folder.knows(one=State.UP)
+                await folder.knows(one=ServerState.UP)
                 server.refuse()
                 await up.reload(text(cluster, members, ', stale-after = "1s"'))
                 assert folder.states().keys() == {server_id("one")}  # the last list is better than the fixed one
@@ -266,7 +266,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, following() as folder:
             folder.cluster.box("/boxes/one", box(one.address))
-            await folder.knows(one=State.UP)
+            await folder.knows(one=ServerState.UP)
             folder.cluster.ensemble.restore()
             await folder.knows()
             await folder.up.reload(pool("a", one.address) + route("r", "/*", 'pool = "a"\nclass = "read"'))
@@ -275,7 +275,7 @@
             await until(lambda: not folder.cluster.ensemble.sessions)  # the session is closed, not left to expire
             await folder.up.reload(text(folder.cluster))
             folder.cluster.box("/boxes/two", box(one.address))
-            await folder.knows(two=State.UP)
+            await folder.knows(two=ServerState.UP)
 
     asyncio.run(play())
 
@@ -284,7 +284,7 @@
     async def play() -> None:
         async with following() as folder:
             folder.cluster.write("/boxes/one", box())
-            await folder.knows(one=State.UP)
+            await folder.knows(one=ServerState.UP)
             [session] = folder.cluster.ensemble.sessions
             real = time.time
             for step in (86_400.0, -86_400.0):
@@ -299,7 +299,7 @@
                     )
                 )
             assert list(folder.cluster.ensemble.sessions) == [session]
-            await folder.knows(one=State.UP)
+            await folder.knows(one=ServerState.UP)
 
     asyncio.run(play())
 
--- a/tests/daemon/test_terms.py
+++ b/tests/daemon/test_terms.py
@@ -10,11 +10,11 @@
 
 from lugspur.daemon.places import places
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
-from lugspur.load_balancing.model import Group, Limits, Repeat, RequestClass, Settings
+from lugspur.load_balancing.model import DeduplicationScope, Limits, RequestClass, RetrySafety, Settings
 
-SAFE = RequestClass("read", 1.0, 2.0, Repeat.SAFE)
-BOOK = RequestClass("book", 1.0, 2.0, Repeat.UNSAFE)
-KEYED = RequestClass("once", 1.0, 2.0, Repeat.KEYED, Group.ALL, 9.0)
+SAFE = RequestClass("read", 1.0, 2.0, RetrySafety.SAFE)
+BOOK = RequestClass("book", 1.0, 2.0, RetrySafety.UNSAFE)
+KEYED = RequestClass("once", 1.0, 2.0, RetrySafety.KEYED, DeduplicationScope.ALL, 9.0)
 
 
 def settings(*rows: RequestClass, most: int = 3) -> Settings:
@@ -43,18 +43,18 @@
 
 
 def test_where_the_effect_changes_the_method_tells_which_class_was_meant() -> None:
-    other = replace(SAFE, repeat=Repeat.UNSAFE)
+    other = replace(SAFE, repeat=RetrySafety.UNSAFE)
     terms, _ = retuned(settings(SAFE), settings(other))
     assert judged(terms, "read", 11.0) == [other, SAFE]
     assert judged(terms, "read", 12.0) == [other]
 
 
 def test_while_callers_change_over_only_what_both_classes_allow_is_done() -> None:
-    narrow = replace(KEYED, group=Group.CELL, window=20.0)
+    narrow = replace(KEYED, group=DeduplicationScope.CELL, window=20.0)
     for former, new in ((KEYED, narrow), (narrow, KEYED)):
         terms, given_ = retuned(settings(former, most=5), settings(new, most=2))
         [row] = judged(terms, "once", 11.0)
-        assert (row.group, row.window) == (Group.CELL, 9.0)
+        assert (row.group, row.window) == (DeduplicationScope.CELL, 9.0)
         assert given_.limits.max_attempts == 2
         assert judged(terms, "once", 12.0) == [new]
 
@@ -73,8 +73,8 @@
     st.sampled_from(["a", "b", "c"]),
     st.just(1.0),
     st.just(2.0),
-    st.sampled_from(Repeat),
-    st.sampled_from(Group),
+    st.sampled_from(RetrySafety),
+    st.sampled_from(DeduplicationScope),
     st.sampled_from([1.0, 5.0]),
 )
 FILES = st.lists(CLASSES, min_size=1, max_size=3, unique_by=lambda row: row.name)
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -22,7 +22,7 @@
 )
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id, server_name
-from lugspur.load_balancing import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
+from lugspur.load_balancing import Balancer, ListUpdateKind, Outcome, Send, ServerRow, ServerState, Settings
 from lugspur.load_balancing.model import Learned
 
 NAMES = st.text(st.characters(codec="utf-8", min_codepoint=1), min_size=1, max_size=40)
@@ -31,7 +31,7 @@
 def learned() -> Learned:
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
-    balancer.members(10.0, ListKind.WHOLE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)])
+    balancer.members(10.0, ListUpdateKind.WHOLE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)])
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
             if isinstance(action, Send):
@@ -46,7 +46,7 @@
 def estate(names: list[str], **changed: Any) -> Estate:
     servers = [server_id(name) for name in names]
     rows = [
-        Endpoint(ServerRow(server, State.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 80 + n), n % 2 == 1)
+        Endpoint(ServerRow(server, ServerState.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 80 + n), n % 2 == 1)
         for n, server in enumerate(servers)
     ]
     values: dict[str, Any] = {
@@ -140,7 +140,7 @@
     rows = [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
     rows[2] = replace(rows[2], started=99.0)
     balancer = Balancer(Settings(), 2)
-    balancer.members(60.0, ListKind.STALE, rows)
+    balancer.members(60.0, ListUpdateKind.STALE, rows)
     balancer.recall(60.0, LEARNED)
     again = {row.server: row for row in balancer.learned().servers}
     before = {row.server: row for row in LEARNED.servers}
@@ -158,7 +158,7 @@
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
-        balancer.members(101.0, ListKind.WHOLE, [cold, warm])
+        balancer.members(101.0, ListUpdateKind.WHOLE, [cold, warm])
         balancer.retire(retired)
         got = set()
         for number in range(300):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -9,18 +9,18 @@
     NEVER_RAN,
     Action,
     Cancel,
+    DeduplicationScope,
     Fail,
-    Group,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Repeat,
+    Reject,
+    RetrySafety,
     Send,
     ServerRow,
+    ServerState,
     Settings,
-    State,
+    StartTimer,
     Subscribe,
-    Timer,
 )
 
 
@@ -65,13 +65,13 @@
         self.count = 0
         self.taken: list[float] = []
         self.further: list[float] = []
-        self.members(ListKind.STALE, rows)
+        self.members(ListUpdateKind.STALE, rows)
         self.apply(self.balancer.start(self.now))
 
-    def members(self, kind: ListKind, rows: list[ServerRow]) -> None:
-        if kind in (ListKind.STALE, ListKind.WHOLE):
+    def members(self, kind: ListUpdateKind, rows: list[ServerRow]) -> None:
+        if kind in (ListUpdateKind.STALE, ListUpdateKind.WHOLE):
             self.rows = {r.server: r for r in rows}
-        elif kind is ListKind.PATCH:
+        elif kind is ListUpdateKind.PATCH:
             self.rows.update({r.server: r for r in rows})
         self.apply(self.balancer.members(self.now, kind, rows))
 
@@ -132,7 +132,7 @@
 
     def apply(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Timer):
+            if isinstance(action, StartTimer):
                 assert action.at >= self.now
                 self.timers.append((max(action.at, self.now + 1e-6), action.token))
             elif isinstance(action, Subscribe):
@@ -154,20 +154,20 @@
         assert not owed.ended, "sent after the final answer"
         assert not owed.begun, "sent after its stream began"
         row = self.rows[action.server]
-        assert row.state is State.UP, "sent to a server that drains or is gone"
+        assert row.state is ServerState.UP, "sent to a server that drains or is gone"
         for bound, place in ((kind.only_kinds, row.kind), (kind.only_zones, row.zone)):
             assert bound is None or place in bound, "sent to a server that is not open to its class"
         assert len(owed.tries) < limits.max_attempts
         if any(t.how is None for t in owed.tries):
             assert limits.second_copies, "a second copy is not permitted"
         maybe = [t for t in owed.tries if t.maybe_ran]
-        if maybe and kind.repeat is not Repeat.SAFE:
-            assert kind.repeat is Repeat.KEYED, "an unsafe request was sent twice"
+        if maybe and kind.repeat is not RetrySafety.SAFE:
+            assert kind.repeat is RetrySafety.KEYED, "an unsafe request was sent twice"
             assert self.now - min(t.sent for t in maybe) <= kind.window, "repeated after its window"
             for t in maybe:
-                if kind.group is Group.ZONE:
+                if kind.group is DeduplicationScope.ZONE:
                     assert t.row.zone == row.zone, "repeated in another zone"
-                if kind.group is Group.CELL:
+                if kind.group is DeduplicationScope.CELL:
                     assert t.row.cell == row.cell, "repeated in another cell"
         rules = self.settings.rules
         if owed.tries and rules.extra_span:
@@ -181,13 +181,13 @@
         owed.tries.append(Try(replace(row), self.now, until))
         self.sends.setdefault(action.server, []).append(self.now)
 
-    def final(self, action: Refuse | Fail) -> None:
+    def final(self, action: Reject | Fail) -> None:
         owed = self.owed[action.request]
         kind = self.settings.classes[owed.kind]
         assert not owed.ended, "a second final answer"
-        if isinstance(action, Refuse):
-            harmless = kind.repeat is Repeat.SAFE or not any(t.maybe_ran for t in owed.tries)
-            harmless = harmless or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+        if isinstance(action, Reject):
+            harmless = kind.repeat is RetrySafety.SAFE or not any(t.maybe_ran for t in owed.tries)
+            harmless = harmless or (kind.repeat is RetrySafety.KEYED and kind.group is DeduplicationScope.ALL)
             assert harmless, "refused although it may have run"
         owed.ended = True
         owed.finals += 1
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 from lugspur.daemon.proxy import Proxy
 from lugspur.discovery.rows import Reader
 from lugspur.load_balancing.adapter import read_settings
-from lugspur.load_balancing.model import ListKind, Settings
+from lugspur.load_balancing.model import ListUpdateKind, Settings
 
 WIDE = 20.0  # seconds that any wait may take on a loaded machine
 HOST = "127.0.0.1"
@@ -203,7 +203,7 @@
     def tell(self, entries: list[dict[str, Any]]) -> None:
         """Changes of the list, as if discovery had told them."""
         reader = Reader({"here": 0, "there": 1}, {"k": 0})
-        self.proxy._told(ListKind.PATCH, reader.endpoints({"endpoints": entries}))
+        self.proxy._told(ListUpdateKind.PATCH, reader.endpoints({"endpoints": entries}))
 
     async def client(self) -> Client:
         """A new connection to it."""
--- a/tests/membership/test_maintenance.py
+++ b/tests/membership/test_maintenance.py
@@ -9,73 +9,73 @@
 
 from lugspur.discovery.maintenance import FLOORS_MOST, NAMES_MOST, Maintenance
 from lugspur.discovery.rows import Endpoint
-from lugspur.load_balancing.model import ListKind, ServerRow, State
+from lugspur.load_balancing.model import ListUpdateKind, ServerRow, ServerState
 
 ADDRESS = ("127.0.0.1", 9)
 
 
-def row(server: int, state: State = State.UP, started: float = 0.0) -> Endpoint:
+def row(server: int, state: ServerState = ServerState.UP, started: float = 0.0) -> Endpoint:
     return Endpoint(ServerRow(server, state, started=started), ADDRESS)
 
 
-def states(endpoints: list[Endpoint]) -> dict[int, State]:
+def states(endpoints: list[Endpoint]) -> dict[int, ServerState]:
     return {endpoint.row.server: endpoint.row.state for endpoint in endpoints}
 
 
 def test_a_ban_holds_over_every_list_until_one_call_back() -> None:
     over = Maintenance()
-    over.lay(ListKind.STALE, [row(1), row(2)])
-    assert states(over.disable(1)) == {1: State.DRAINING}
-    assert states(over.disable(1)) == {1: State.DRAINING}  # repeats may come
-    assert states(over.lay(ListKind.WHOLE, [row(1), row(2)])) == {1: State.DRAINING, 2: State.UP}
-    over.lay(ListKind.PATCH, [row(1, State.GONE)])
-    assert states(over.lay(ListKind.PATCH, [row(1, started=5.0)])) == {1: State.DRAINING}
+    over.lay(ListUpdateKind.STALE, [row(1), row(2)])
+    assert states(over.disable(1)) == {1: ServerState.DRAINING}
+    assert states(over.disable(1)) == {1: ServerState.DRAINING}  # repeats may come
+    assert states(over.lay(ListUpdateKind.WHOLE, [row(1), row(2)])) == {1: ServerState.DRAINING, 2: ServerState.UP}
+    over.lay(ListUpdateKind.PATCH, [row(1, ServerState.GONE)])
+    assert states(over.lay(ListUpdateKind.PATCH, [row(1, started=5.0)])) == {1: ServerState.DRAINING}
     moved = replace(row(1, started=6.0), address=("127.0.0.1", 10))
-    over.lay(ListKind.PATCH, [moved])
+    over.lay(ListUpdateKind.PATCH, [moved])
     [back] = over.enable(1, 50.0)
-    assert back.row.state is State.UP
+    assert back.row.state is ServerState.UP
     assert back.address == ("127.0.0.1", 10)
 
 
 def test_a_backend_comes_back_cold_whatever_discovery_says_of_its_start() -> None:
     over = Maintenance()
-    over.lay(ListKind.WHOLE, [row(1, started=3.0)])
+    over.lay(ListUpdateKind.WHOLE, [row(1, started=3.0)])
     over.disable(1)
     assert over.enable(1, 50.0)[0].row.started == 50.0
-    assert over.lay(ListKind.WHOLE, [row(1, started=3.0)])[0].row.started == 50.0
-    assert over.lay(ListKind.PATCH, [row(1, started=60.0)])[0].row.started == 60.0
+    assert over.lay(ListUpdateKind.WHOLE, [row(1, started=3.0)])[0].row.started == 50.0
+    assert over.lay(ListUpdateKind.PATCH, [row(1, started=60.0)])[0].row.started == 60.0
     assert over.enable(1, 99.0) == []  # no ban, no restart
 
 
 def test_a_ban_ends_into_what_discovery_says() -> None:
     over = Maintenance()
-    over.lay(ListKind.WHOLE, [row(1)])
+    over.lay(ListUpdateKind.WHOLE, [row(1)])
     over.disable(1)
-    over.lay(ListKind.PATCH, [row(1, State.DRAINING)])
-    assert states(over.enable(1, 50.0)) == {1: State.DRAINING}
+    over.lay(ListUpdateKind.PATCH, [row(1, ServerState.DRAINING)])
+    assert states(over.enable(1, 50.0)) == {1: ServerState.DRAINING}
     over.disable(1)
-    over.lay(ListKind.PATCH, [row(1, State.GONE)])
+    over.lay(ListUpdateKind.PATCH, [row(1, ServerState.GONE)])
     assert over.enable(1, 60.0) == []
 
 
 def test_one_that_has_gone_is_known_and_one_never_listed_is_not() -> None:
     over = Maintenance()
-    over.lay(ListKind.WHOLE, [row(1)])
-    over.lay(ListKind.WHOLE, [])
+    over.lay(ListUpdateKind.WHOLE, [row(1)])
+    over.lay(ListUpdateKind.WHOLE, [])
     assert over.known(1)
     assert not over.known(2)
     assert over.disable(1) == []
-    assert states(over.lay(ListKind.WHOLE, [row(1)])) == {1: State.DRAINING}
+    assert states(over.lay(ListUpdateKind.WHOLE, [row(1)])) == {1: ServerState.DRAINING}
 
 
 def test_names_and_ends_of_bans_are_bounded_and_what_counts_is_kept() -> None:
     over = Maintenance()
-    over.lay(ListKind.PATCH, [row(1), row(2)])
+    over.lay(ListUpdateKind.PATCH, [row(1), row(2)])
     over.disable(2)
-    over.lay(ListKind.PATCH, [row(2, State.GONE)])
+    over.lay(ListUpdateKind.PATCH, [row(2, ServerState.GONE)])
     for server in range(10, 10 + NAMES_MOST + 100):
-        over.lay(ListKind.PATCH, [row(server)])
-        over.lay(ListKind.PATCH, [row(server, State.GONE)])
+        over.lay(ListUpdateKind.PATCH, [row(server)])
+        over.lay(ListUpdateKind.PATCH, [row(server, ServerState.GONE)])
     assert len(over.listed) == NAMES_MOST
     assert over.known(1)
     assert over.known(2)
@@ -93,8 +93,8 @@
 )
 @settings(deadline=None)  # a loaded machine is no fault
 def test_no_sequence_lets_a_banned_backend_serve(steps: list[tuple[str, int]]) -> None:
-    over, seen, banned = Maintenance(), dict[int, State](), set[int]()
-    over.lay(ListKind.WHOLE, [row(1), row(2), row(3)])
+    over, seen, banned = Maintenance(), dict[int, ServerState](), set[int]()
+    over.lay(ListUpdateKind.WHOLE, [row(1), row(2), row(3)])
     for at, (what, server) in enumerate(steps):
         if what == "ban":
             banned.add(server)
@@ -104,14 +104,14 @@
             out = over.enable(server, float(at))
         elif what == "whole":
             seen.clear()
-            out = over.lay(ListKind.WHOLE, [row(server)])
+            out = over.lay(ListUpdateKind.WHOLE, [row(server)])
         elif what == "process":
             former, over = over, Maintenance()
             over.restore(former.save())
             seen.clear()
-            out = over.lay(ListKind.WHOLE, [row(1), row(2), row(3)])
+            out = over.lay(ListUpdateKind.WHOLE, [row(1), row(2), row(3)])
         else:
-            state = {"up": State.UP, "gone": State.GONE, "terminating": State.DRAINING}[what]
-            out = over.lay(ListKind.PATCH, [row(server, state)])
+            state = {"up": ServerState.UP, "gone": ServerState.GONE, "terminating": ServerState.DRAINING}[what]
+            out = over.lay(ListUpdateKind.PATCH, [row(server, state)])
         seen.update(states(out))
-        assert not any(seen.get(server) is State.UP for server in banned)
+        assert not any(seen.get(server) is ServerState.UP for server in banned)
--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -13,7 +13,7 @@
 from lugspur.config.model import FORMATS as CONFIG_FORMATS
 from lugspur.discovery.nodes import DATA_MOST, FORMATS, Node, Nodes, Unreadable, read_entry
 from lugspur.discovery.rows import Endpoint, server_id
-from lugspur.load_balancing.model import State
+from lugspur.load_balancing.model import ServerState
 
 CURATOR = {
     "name": "channel",
@@ -48,7 +48,7 @@
     return read_entry(form, name, node(data))
 
 
-def ids(rows: list[Endpoint]) -> dict[int, State]:
+def ids(rows: list[Endpoint]) -> dict[int, ServerState]:
     return {row.row.server: row.row.state for row in rows}
 
 
@@ -153,12 +153,12 @@
 def test_one_bad_node_is_named_once_and_takes_no_other_with_it() -> None:
     nodes = Nodes("auto")
     rows, said = nodes.whole({"a": node(OWN), "bad": node(b"?"), "secret": None})
-    assert ids(rows) == {server_id("a"): State.UP}
+    assert ids(rows) == {server_id("a"): ServerState.UP}
     assert said == ["node 'bad': it holds no JSON; it is left out", "node 'secret': it may not be read; it is left out"]
     assert nodes.present("bad", node(b"?")) == ([], [])
     assert nodes.present("bad", node(b"[]"))[1] == ["node 'bad': its JSON is no object; it is left out"]
     rows, _ = nodes.present("bad", node(OWN))
-    assert ids(rows) == {server_id("bad"): State.UP}
+    assert ids(rows) == {server_id("bad"): ServerState.UP}
 
 
 def test_a_node_that_turns_unreadable_is_no_removal() -> None:
@@ -166,7 +166,7 @@
     nodes.whole({"a": node(OWN)})
     assert nodes.present("a", node(b"?")) == ([], ["node 'a': it holds no JSON; its box stays as it was"])
     rows, _ = nodes.whole({"a": node(b"?")})
-    assert ids(rows) == {server_id("a"): State.UP}
+    assert ids(rows) == {server_id("a"): ServerState.UP}
 
 
 def test_a_box_with_an_old_node_and_a_new_one_counts_once_by_the_new_one() -> None:
@@ -175,22 +175,22 @@
     rows, _ = nodes.present("box-2", node(OWN | {"name": "box", "since_ms": 9000}, made=2))
     assert [row.row.started for row in rows] == [9.0] and len(nodes) == 1
     rows = nodes.absent("box-1")  # its old session expires at last
-    assert [(row.row.state, row.row.started) for row in rows] == [(State.UP, 9.0)]
-    assert ids(nodes.absent("box-2")) == {server_id("box"): State.GONE} and len(nodes) == 0
+    assert [(row.row.state, row.row.started) for row in rows] == [(ServerState.UP, 9.0)]
+    assert ids(nodes.absent("box-2")) == {server_id("box"): ServerState.GONE} and len(nodes) == 0
 
 
 def test_a_node_that_becomes_another_box_takes_the_first_one_out() -> None:
     nodes = Nodes("auto")
     nodes.whole({"a": node(OWN | {"name": "one"})})
     rows, _ = nodes.present("a", node(OWN | {"name": "two"}))
-    assert ids(rows) == {server_id("one"): State.GONE, server_id("two"): State.UP}
+    assert ids(rows) == {server_id("one"): ServerState.GONE, server_id("two"): ServerState.UP}
 
 
 def test_draining_and_weights_count_at_once_and_the_same_data_tells_nothing() -> None:
     nodes = Nodes("auto")
     nodes.whole({"a": node(OWN)})
     rows, _ = nodes.present("a", node(OWN | {"status": "terminating", "weight": 3.0}))
-    assert [(row.row.state, row.row.size) for row in rows] == [(State.DRAINING, 3.0)]
+    assert [(row.row.state, row.row.size) for row in rows] == [(ServerState.DRAINING, 3.0)]
     assert nodes.present("a", node(OWN | {"status": "terminating", "weight": 3.0})) == ([], [])
 
 
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -10,7 +10,7 @@
 
 from lugspur.discovery import watch
 from lugspur.discovery.rows import Endpoint, Reader
-from lugspur.load_balancing.model import ListKind
+from lugspur.load_balancing.model import ListUpdateKind
 
 TOLD_WITHIN = 6.0  # seconds after which what discovery has to tell counts as told, by the platform's protocol
 
@@ -28,7 +28,7 @@
 
     async def run() -> None:
         since: list[int] = []
-        told: asyncio.Queue[tuple[ListKind, str]] = asyncio.Queue()
+        told: asyncio.Queue[tuple[ListUpdateKind, str]] = asyncio.Queue()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -42,14 +42,14 @@
             await reader.read()
             writer.close()
 
-        def heard(kind: ListKind, endpoints: list[Endpoint]) -> None:
+        def heard(kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
             told.put_nowait((kind, endpoints[0].row.state.value))
 
         server = await asyncio.start_server(serve, HOST, 0)
         found = watch.Discovery(server.sockets[0].getsockname()[:2], Reader(), 0, heard)
         found.open()
-        assert await soon(told.get()) == (ListKind.WHOLE, "up")
-        assert await soon(told.get()) == (ListKind.PATCH, "draining")
+        assert await soon(told.get()) == (ListUpdateKind.WHOLE, "up")
+        assert await soon(told.get()) == (ListUpdateKind.PATCH, "draining")
         assert since[:2] == [0, 4]
         found.close()
         server.close()
--- a/tests/state/kept.py
+++ b/tests/state/kept.py
@@ -8,9 +8,18 @@
 from lugspur.discovery import learned as forms
 from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
-from lugspur.load_balancing.model import Learned, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
+from lugspur.load_balancing.model import (
+    Learned,
+    ListUpdateKind,
+    Outcome,
+    RequestClass,
+    RetrySafety,
+    Send,
+    ServerRow,
+    Settings,
+)
 
-READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=Repeat.SAFE)
+READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=RetrySafety.SAFE)
 SETTINGS = Settings(classes=(READ,))
 
 
@@ -26,7 +35,7 @@
 def taught(rows: list[Endpoint], now: float = 1000.0, slow: int = 0, bad: int = 0, rounds: int = 60) -> Balancer:
     """A module that has met boxes of which the first are slow and the next ones fail."""
     balancer = Balancer(SETTINGS, 7)
-    balancer.members(now, ListKind.STALE, [row.row for row in rows])
+    balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
     names = [row.row.server for row in rows]
     for number in range(rounds):
         at = now + 0.02 * number
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -16,7 +16,7 @@
 from lugspur.discovery.rows import Endpoint
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
 from lugspur.load_balancing.decide import Balancer
-from lugspur.load_balancing.model import Learned, ListKind, Outcome, Rules, Send, State
+from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
 AT = 1002.0  # when the module of `taught` was asked: right after its last request
 
@@ -95,7 +95,7 @@
 ) -> Counter[int]:
     """What a module that begins with this sends, by the boxes' places; the first are slow, the next ones fail."""
     balancer = Balancer(SETTINGS, seed)
-    balancer.members(now, ListKind.STALE, [row.row for row in rows])
+    balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
     if learned is not None:
         balancer.recall(now, learned)
     names, sent = [row.row.server for row in rows], Counter[int]()
@@ -147,11 +147,11 @@
         for name, known in (("none", None), ("fresh", learned)):
             balancer = Balancer(replace(SETTINGS, rules=rules), seed)
             now = AT + 5.0
-            balancer.members(now, ListKind.STALE, [row.row for row in rows])
+            balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
             if known is not None:
                 balancer.recall(now, known)
             young = replace(rows[0].row, started=now - 0.5)  # the first list that is told
-            balancer.members(now, ListKind.WHOLE, [young, *(row.row for row in rows[1:])])
+            balancer.members(now, ListUpdateKind.WHOLE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
                 at, rid = now + 0.02 * number, f"q{number}"
@@ -168,10 +168,10 @@
     learned = aged(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(AT, ListKind.STALE, [replace(rows[0].row, started=900.0)])
+    balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started=900.0)])
     balancer.recall(AT + 1.0, learned)
     assert [server.latency for server in balancer.servers.values()] == [0.0]
-    assert all(server.row.state is State.UP for server in balancer.servers.values())
+    assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
 
 
 @pytest.mark.parametrize("age", [0.5, 5.0, 600.0, BEYOND])
@@ -182,7 +182,7 @@
     taken = {}
     for name, known in (("none", None), ("kept", learned)):
         balancer = Balancer(SETTINGS, 1)
-        balancer.members(AT + age, ListKind.STALE, [row.row for row in rows])
+        balancer.members(AT + age, ListUpdateKind.STALE, [row.row for row in rows])
         if known is not None:
             balancer.recall(AT + age, known)
         now = AT + age
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -13,7 +13,7 @@
 
 from lugspur.load_balancing import adapter
 from lugspur.load_balancing.decide import Balancer
-from lugspur.load_balancing.model import Discovery, Outcome, Repeat
+from lugspur.load_balancing.model import DiscoveryMode, Outcome, RetrySafety
 
 ROOT = Path(__file__).parent.parent
 Message = dict[str, Any]
@@ -221,8 +221,8 @@
             "ClientHabits": {"MarksRetry": True},
         }
     )
-    assert settings.classes[1].repeat is Repeat.UNSAFE and settings.classes[1].worth == 5.0
-    assert settings.discovery is Discovery.ON_REQUEST
+    assert settings.classes[1].repeat is RetrySafety.UNSAFE and settings.classes[1].worth == 5.0
+    assert settings.discovery is DiscoveryMode.ON_REQUEST
     assert settings.marks_retry
     assert not settings.passes_deadline and settings.limits.max_attempts == 3
     assert adapter.read_settings({}).classes, "absent keys take defaults"
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -12,24 +12,24 @@
 from lugspur.load_balancing import (
     Balancer,
     Fail,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Repeat,
+    Reject,
     RequestClass,
+    RetrySafety,
     Send,
     ServerRow,
     Settings,
     Tenant,
 )
 
-READ = RequestClass("read", repeat=Repeat.SAFE, late_worth=1.0)
+READ = RequestClass("read", repeat=RetrySafety.SAFE, late_worth=1.0)
 BOOK = RequestClass("book", late_worth=1.0)
 
 
 def balancer(*classes: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=classes), seed=1)
-    one.members(0.0, ListKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    one.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
     return one
 
 
@@ -68,7 +68,7 @@
 
 def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
     one = balancer(READ)
-    one.members(1.0, ListKind.WHOLE, [ServerRow(1), ServerRow(2, kind=7)])
+    one.members(1.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2, kind=7)])
     one.request(1.0, "free")
     bound = replace(READ, only_kinds=(7,))
     before = one.pool_of[0]
@@ -92,7 +92,7 @@
     one.begun(1.2, "begun", 0)
     assert one.pool_of[0].owed == 1
     for rid in ("bound", "begun"):
-        assert [type(action) for action in one.outcome(1.3, rid, 0, Outcome.BROKEN, 0.3)] == [Refuse]  # safe: no harm
+        assert [type(action) for action in one.outcome(1.3, rid, 0, Outcome.BROKEN, 0.3)] == [Reject]  # safe: no harm
     assert one.pool_of[0].owed == 0 and not one.requests
     assert one.bind(1.4, "bound", 0) == [] and one.begun(1.4, "begun", 0) == []
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -12,15 +12,15 @@
 from lugspur.load_balancing.model import (
     Fail,
     Limits,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     Rules,
     Send,
     ServerRow,
+    ServerState,
     Settings,
-    State,
     Tenant,
 )
 
@@ -76,7 +76,7 @@
 
 def ready() -> Balancer:
     made = Balancer(Settings(), 1)
-    made.members(1.0, ListKind.STALE, [ServerRow(1), ServerRow(2)])
+    made.members(1.0, ListUpdateKind.STALE, [ServerRow(1), ServerRow(2)])
     return made
 
 
@@ -107,7 +107,7 @@
 
 
 def test_a_deadline_already_past_is_answered_at_once() -> None:
-    assert ready().request(5.0, "late", 0, 0, 4.0) == [Refuse("late")]
+    assert ready().request(5.0, "late", 0, 0, 4.0) == [Reject("late")]
 
 
 def test_events_for_unknown_or_ended_requests_are_ignored() -> None:
@@ -124,17 +124,17 @@
 
 @pytest.mark.parametrize(
     "rows",
-    [[], [ServerRow(1, State.DRAINING), ServerRow(2, State.DRAINING)], [ServerRow(1, State.GONE)]],
+    [[], [ServerRow(1, ServerState.DRAINING), ServerRow(2, ServerState.DRAINING)], [ServerRow(1, ServerState.GONE)]],
 )
 def test_nowhere_to_send(rows: list[ServerRow]) -> None:
     b = Balancer(Settings(), 1)
-    b.members(1.0, ListKind.STALE, rows)
-    assert b.request(2.0, "r") == [Refuse("r")]
+    b.members(1.0, ListUpdateKind.STALE, rows)
+    assert b.request(2.0, "r") == [Reject("r")]
 
 
 def test_all_cold_answers_every_request() -> None:
     b = Balancer(Settings(), 1)
-    b.members(100.0, ListKind.STALE, [ServerRow(i, started=100.0) for i in range(4)])
+    b.members(100.0, ListUpdateKind.STALE, [ServerRow(i, started=100.0) for i in range(4)])
     for n in range(50):
         [action] = b.request(100.0 + n / 100, f"r{n}")
-        assert isinstance(action, Send | Refuse | Fail)
+        assert isinstance(action, Send | Reject | Fail)
--- a/tests/test_extend.py
+++ b/tests/test_extend.py
@@ -2,15 +2,25 @@
 
 from __future__ import annotations
 
-from lugspur.load_balancing import Balancer, ListKind, Outcome, Refuse, Repeat, RequestClass, Send, ServerRow, Settings
-
-PATIENT = RequestClass("read", aim=0.4, deadline=5.0, repeat=Repeat.SAFE, late_worth=1.0)
-EAGER = RequestClass("read", aim=0.4, deadline=5.0, repeat=Repeat.SAFE, late_worth=0.0)
+from lugspur.load_balancing import (
+    Balancer,
+    ListUpdateKind,
+    Outcome,
+    Reject,
+    RequestClass,
+    RetrySafety,
+    Send,
+    ServerRow,
+    Settings,
+)
+
+PATIENT = RequestClass("read", aim=0.4, deadline=5.0, repeat=RetrySafety.SAFE, late_worth=1.0)
+EAGER = RequestClass("read", aim=0.4, deadline=5.0, repeat=RetrySafety.SAFE, late_worth=0.0)
 
 
 def balancer(row: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=(row,)), seed=1)
-    one.members(0.0, ListKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    one.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
     return one
 
 
@@ -25,7 +35,7 @@
 def test_without_it_that_is_the_end() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=1.1)
-    assert one.outcome(1.2, "a", 0, Outcome.TIMEOUT, 0.2) == [Refuse("a")]
+    assert one.outcome(1.2, "a", 0, Outcome.TIMEOUT, 0.2) == [Reject("a")]
 
 
 def test_where_late_answers_are_worth_little_the_aim_of_who_joins_counts() -> None:
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -11,27 +11,27 @@
 from lugspur.load_balancing.model import (
     Fail,
     Limits,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Repeat,
+    Reject,
     RequestClass,
+    RetrySafety,
     Rules,
     Send,
     ServerRow,
+    ServerState,
     Settings,
-    State,
     Tenant,
 )
 
-SAFE = RequestClass("a", aim=1.0, deadline=4.0, repeat=Repeat.SAFE, worth=1.0)
-DEAR = RequestClass("b", aim=1.0, deadline=4.0, repeat=Repeat.UNSAFE, worth=10.0)
+SAFE = RequestClass("a", aim=1.0, deadline=4.0, repeat=RetrySafety.SAFE, worth=1.0)
+DEAR = RequestClass("b", aim=1.0, deadline=4.0, repeat=RetrySafety.UNSAFE, worth=10.0)
 ROWS = [ServerRow(i) for i in range(1, 9)]
 
 
 def balancer(settings: Settings, rows: list[ServerRow] = ROWS) -> Balancer:
     made = Balancer(settings, 1)
-    made.members(100.0, ListKind.STALE, rows)
+    made.members(100.0, ListUpdateKind.STALE, rows)
     made.start(100.0)
     return made
 
@@ -41,12 +41,12 @@
     [send] = b.request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(0.98)
     [answer] = b.outcome(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
-    assert isinstance(answer, Refuse)
+    assert isinstance(answer, Reject)
 
 
 @pytest.mark.parametrize(("late_worth", "timeout"), [(0.0, 0.98), (0.3, 0.98), (0.5, 0.98), (0.8, 0.0)])
 def test_attempts_run_to_the_deadline_where_late_answers_keep_most_worth(late_worth: float, timeout: float) -> None:
-    late = RequestClass("a", aim=1.0, deadline=4.0, repeat=Repeat.SAFE, late_worth=late_worth)
+    late = RequestClass("a", aim=1.0, deadline=4.0, repeat=RetrySafety.SAFE, late_worth=late_worth)
     [send] = balancer(Settings(classes=(late,))).request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(timeout)
 
@@ -64,10 +64,10 @@
 def test_a_late_repeat_of_a_client_is_refused_at_once() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     # Only 2 s to go: its first try came 2 s ago, and its aim is past.
-    assert tries(b, [3.0] * 5 + [2.0]) == [Send] * 5 + [Refuse]
+    assert tries(b, [3.0] * 5 + [2.0]) == [Send] * 5 + [Reject]
 
 
-@pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, Send), (True, True, Refuse)])
+@pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, Send), (True, True, Reject)])
 def test_a_short_try_is_a_repeat_only_where_no_mark_says_otherwise(marks: bool, repeats: bool, answer: type) -> None:
     b = balancer(Settings(classes=(SAFE,), marks_retry=marks))
     tries(b, [3.0] * 5)
@@ -91,7 +91,7 @@
     shares = dict.fromkeys(range(1, servers + 1), 0.0)
     for me in range(balancers):
         b = Balancer(Settings(classes=(SAFE,), balancers=balancers, me=me), me)
-        b.members(100.0, ListKind.STALE, [ServerRow(i) for i in shares])
+        b.members(100.0, ListUpdateKind.STALE, [ServerRow(i) for i in shares])
         begin, width = b.pools[0].begin, b.pools[0].width
         for server, end in zip(b.pools[0].working, b.pools[0].ends, strict=True):
             low = max(begin, end - 1.0)
@@ -139,7 +139,7 @@
     for n in range(120):  # then nothing comes back any more
         now += 0.001
         for kind in (0, 1):
-            if isinstance(b.request(now, f"x{kind}{n}", kind, 0, now + 4.0)[0], Refuse):
+            if isinstance(b.request(now, f"x{kind}{n}", kind, 0, now + 4.0)[0], Reject):
                 refused[kind] += 1
         if n == 30:
             assert refused[0] > 0 == refused[1]
@@ -167,12 +167,12 @@
             b.outcome(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
     answers = [b.request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
     later = b.request(now + 60.0, "t", 0, 0, now + 64.0)[0]
-    assert any(isinstance(a, Refuse) for a in answers)
+    assert any(isinstance(a, Reject) for a in answers)
     assert isinstance(later, Send), "a loss long ago still counts"
 
 
 def test_a_jam_of_a_bound_class_holds_no_room_of_the_others() -> None:
-    bound = RequestClass("bound", aim=1.0, deadline=4.0, repeat=Repeat.SAFE, only_kinds=(1,))
+    bound = RequestClass("bound", aim=1.0, deadline=4.0, repeat=RetrySafety.SAFE, only_kinds=(1,))
     b = balancer(Settings(classes=(SAFE, bound)), [*ROWS, ServerRow(9, kind=1)])
     now = 100.0
     for n in range(100):  # the only server open to the bound class answers nothing
@@ -180,7 +180,7 @@
         b.request(now, f"b{n}", 1, 0, now + 4.0)
         b.request(now, f"f{n}", 0, 0, now + 4.0)
         b.outcome(now, f"f{n}", 0, Outcome.OK, 0.1, True)
-    assert isinstance(b.request(now, "bound", 1, 0, now + 4.0)[0], Refuse)
+    assert isinstance(b.request(now, "bound", 1, 0, now + 4.0)[0], Reject)
     assert isinstance(b.request(now, "free", 0, 0, now + 4.0)[0], Send)
 
 
@@ -194,7 +194,7 @@
     return now
 
 
-@pytest.mark.parametrize(("fifth", "answer"), [(Outcome.OK, Send), (Outcome.ERROR, Send), (Outcome.TIMEOUT, Refuse)])
+@pytest.mark.parametrize(("fifth", "answer"), [(Outcome.OK, Send), (Outcome.ERROR, Send), (Outcome.TIMEOUT, Reject)])
 def test_room_shrinks_where_load_makes_requests_fail(fifth: Outcome, answer: type) -> None:
     b = balancer(Settings(classes=(DEAR,)))
     now = calls(b, 0, fifth)
@@ -203,7 +203,7 @@
     assert isinstance(b.request(now, "y", 0, 0, now + 4.0)[0], answer)
 
 
-@pytest.mark.parametrize(("quota", "answer"), [(1.0, Refuse), (1000.0, Send), (0.0, Send)])
+@pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, Send), (0.0, Send)])
 def test_what_is_over_a_share_goes_first_where_requests_fail(quota: float, answer: type) -> None:
     tenants = (Tenant("calm", 0.5, 1000.0), Tenant("burst", 0.5, quota))
     b = balancer(Settings(classes=(DEAR,), tenants=tenants, over_share_worth=0.1))
@@ -240,7 +240,7 @@
         now += 1.0
         b.request(now, f"r{n}", 0, 0, now + 4.0, 0.1)
         b.outcome(now + 0.2, f"r{n}", 0, Outcome.OK, 0.2, True)
-    assert isinstance(b.request(now + 1.0, "heavy", 0, 0, now + 5.0, 5.0)[0], Refuse)
+    assert isinstance(b.request(now + 1.0, "heavy", 0, 0, now + 5.0, 5.0)[0], Reject)
     assert isinstance(b.request(now + 1.0, "light", 0, 0, now + 5.0, 0.1)[0], Send)
 
 
@@ -256,7 +256,7 @@
     b = balancer(Settings(classes=(SAFE,)))
     b.pace, b.paced = 90.0, 100
     answers = [b.request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
-    assert isinstance(answers[0], Refuse)
+    assert isinstance(answers[0], Reject)
     assert any(isinstance(a, Send) for a in answers)
 
 
@@ -267,7 +267,7 @@
     for _ in range(200):
         b._spares_cold(100.0, server, b.pools[0])
     assert server.cold_seen > 0.0
-    b.members(500.0, ListKind.PATCH, [ServerRow(1, started=499.0)])
+    b.members(500.0, ListUpdateKind.PATCH, [ServerRow(1, started=499.0)])
     assert (server.cold_seen, server.cold_credit) == (0.0, 0.0)
     while server.cold_seen <= 0.0:
         b._spares_cold(500.0, server, b.pools[0])
@@ -276,8 +276,8 @@
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, size=2.0, started=99.0), ServerRow(2)])
-    b.members(101.0, ListKind.WHOLE, [ServerRow(2)])
-    assert b.servers[1].row == ServerRow(1, State.GONE, size=2.0, started=99.0)
+    b.members(101.0, ListUpdateKind.WHOLE, [ServerRow(2)])
+    assert b.servers[1].row == ServerRow(1, ServerState.GONE, size=2.0, started=99.0)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
@@ -329,7 +329,7 @@
     b = balancer(Settings(classes=(SAFE,), balancers=20), rows)
     [own] = b.pools[0].working
     cold = [ServerRow(i, started=100.0) for i in range(1, 21) if i != own.row.server]
-    b.members(100.1, ListKind.PATCH, cold)
+    b.members(100.1, ListUpdateKind.PATCH, cold)
     assert b.pools[0].working == [own]
     for n in range(60):
         now = 100.2 + n / 20
@@ -352,7 +352,7 @@
                 b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
             for k in range(refused):
                 b.request(now, f"p{n}_{k}", 0, 0, now)
-        b.members(now, ListKind.PATCH, [ServerRow(1, started=now)])
+        b.members(now, ListUpdateKind.PATCH, [ServerRow(1, started=now)])
         server = b.servers[1]
         while server.cold_seen <= 0.0:
             b._spares_cold(now, server, b.pools[0])
@@ -413,7 +413,7 @@
     # A safe read that every server turns down gets each of them once, whatever the draws are.
     for seed in range(1000):
         b = Balancer(Settings(classes=(SAFE,), limits=Limits(max_attempts=5)), seed)
-        b.members(100.0, ListKind.STALE, ROWS[:count])
+        b.members(100.0, ListUpdateKind.STALE, ROWS[:count])
         b.start(100.0)
         met = set()
         actions = b.request(100.0, "r", 0, 0, 104.0)
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -5,16 +5,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.load_balancing import Balancer, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
-
-SETTINGS = Settings(classes=(RequestClass("read", 0.4, 1.0, Repeat.SAFE),))
+from lugspur.load_balancing import (
+    Balancer,
+    ListUpdateKind,
+    Outcome,
+    RequestClass,
+    RetrySafety,
+    Send,
+    ServerRow,
+    Settings,
+)
+
+SETTINGS = Settings(classes=(RequestClass("read", 0.4, 1.0, RetrySafety.SAFE),))
 ROWS = [ServerRow(1), ServerRow(2)]
 
 
 def balancer() -> Balancer:
     """One that has seen both servers answer in 0.1 s."""
     made = Balancer(SETTINGS, 5)
-    made.members(0.0, ListKind.WHOLE, ROWS)
+    made.members(0.0, ListUpdateKind.WHOLE, ROWS)
     for number in range(40):
         now = number / 4.0
         for action in made.request(now, f"w{number}"):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -40,7 +40,7 @@
 from lugspur.http1.upstream import STALL, Connection, Exchange, Upstream
 from lugspur.http1.upstream import Backend as Known
 from lugspur.load_balancing.adapter import read_settings
-from lugspur.load_balancing.model import Outcome, Refuse, Settings
+from lugspur.load_balancing.model import Outcome, Reject, Settings
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
@@ -318,7 +318,7 @@
         async with running([]) as up:
             client = await up.client()
             assert b"Retry-After" not in await client.ask(book())
-            monkeypatch.setattr(up.proxy.pool.balancer, "request", lambda now, rid, *_: [Refuse(rid, 0.25)])
+            monkeypatch.setattr(up.proxy.pool.balancer, "request", lambda now, rid, *_: [Reject(rid, 0.25)])
             answer = await client.ask(book(2))
             assert status(answer) == 503 and b"Retry-After: 0.250\r\n" in answer
 
--- a/tests/test_put_back.py
+++ b/tests/test_put_back.py
@@ -6,12 +6,22 @@
 
 import pytest
 
-from lugspur.load_balancing import Balancer, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings, State
+from lugspur.load_balancing import (
+    Balancer,
+    ListUpdateKind,
+    Outcome,
+    RequestClass,
+    RetrySafety,
+    Send,
+    ServerRow,
+    ServerState,
+    Settings,
+)
 from lugspur.load_balancing.decide import BACK_FROM, BACK_TO
 from lugspur.load_balancing.model import Rules
 
 SETTINGS = Settings(
-    classes=(RequestClass("read", 0.4, 1.0, Repeat.SAFE), RequestClass("book", 0.4, 1.0, Repeat.UNSAFE)),
+    classes=(RequestClass("read", 0.4, 1.0, RetrySafety.SAFE), RequestClass("book", 0.4, 1.0, RetrySafety.UNSAFE)),
     rules=Rules(cold_from=0.31, cold_for=8.9, fall_multiple=3.0, fall_after=3.0),
 )
 
@@ -20,14 +30,14 @@
     """Seconds after the call back until the server gets its first request, of few that are offered."""
     balancer = Balancer(SETTINGS, seed)
     rows = [ServerRow(n) for n in range(servers)]
-    balancer.members(0.0, ListKind.WHOLE, rows)
+    balancer.members(0.0, ListUpdateKind.WHOLE, rows)
     now = 0.0
     for number in range(60):
         now += 1.0 / rate
         for action in balancer.request(now, f"a{number}", kind):
             if isinstance(action, Send):
                 balancer.outcome(now + 0.1, f"a{number}", 0, Outcome.OK, 0.1, True)
-    balancer.members(now, ListKind.PATCH, [replace(rows[0], started=now)])
+    balancer.members(now, ListUpdateKind.PATCH, [replace(rows[0], started=now)])
     back = now
     if told:
         balancer.put_back(now, 0)
@@ -51,13 +61,13 @@
 
 def test_one_that_is_gone_or_drains_again_is_owed_nothing() -> None:
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(0.0, ListKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    balancer.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
     balancer.put_back(0.0, 1)
     balancer.put_back(0.0, 7)  # never listed
-    balancer.members(1.0, ListKind.PATCH, [ServerRow(1, State.DRAINING)])
+    balancer.members(1.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
     for number in range(20):
         for action in balancer.request(10.0 + number, str(number)):
             assert isinstance(action, Send) and action.server == 2
             balancer.outcome(10.1 + number, str(number), 0, Outcome.OK, 0.1, True)
-    balancer.members(40.0, ListKind.PATCH, [ServerRow(1, State.GONE)])
+    balancer.members(40.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.GONE)])
     assert not balancer.back
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,31 +13,33 @@
 
 from lugspur.load_balancing import budget, decide, servers
 from lugspur.load_balancing.model import (
-    Discovery,
-    Group,
+    DeduplicationScope,
+    DiscoveryMode,
     Limits,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Repeat,
     RequestClass,
+    RetrySafety,
     Rules,
     Send,
     ServerRow,
+    ServerState,
     Settings,
-    State,
     Tenant,
 )
 
 RULES = Rules(answer_slack=0.02, cold_from=0.14, cold_for=20.0, fall_multiple=3.0, fall_after=1.0)
 BUDGETED = replace(RULES, extra_free=1.0, extra_share=0.3, extra_span=1.5)
 KINDS = (
-    RequestClass("safe", 1.0, 3.0, Repeat.SAFE, Group.CELL, 1.5, 1.0, 0.3),
-    RequestClass("unsafe", 0.5, 3.0, Repeat.UNSAFE, Group.ALL, 1.5, 5.0),
-    RequestClass("keyed-all", 1.0, 3.0, Repeat.KEYED, Group.ALL, 1.5, 2.0),
-    RequestClass("keyed-zone", 1.0, 3.0, Repeat.KEYED, Group.ZONE, 1.5, 8.0, 0.5),
-    RequestClass("keyed-cell", 0.8, 3.0, Repeat.KEYED, Group.CELL, 1.5, 1.0),
-    RequestClass("bound-kind", 1.0, 3.0, Repeat.SAFE, only_kinds=(1,)),
-    RequestClass("bound-zone", 1.0, 3.0, Repeat.KEYED, Group.CELL, 1.5, only_kinds=(0, 1), only_zones=(0,)),
+    RequestClass("safe", 1.0, 3.0, RetrySafety.SAFE, DeduplicationScope.CELL, 1.5, 1.0, 0.3),
+    RequestClass("unsafe", 0.5, 3.0, RetrySafety.UNSAFE, DeduplicationScope.ALL, 1.5, 5.0),
+    RequestClass("keyed-all", 1.0, 3.0, RetrySafety.KEYED, DeduplicationScope.ALL, 1.5, 2.0),
+    RequestClass("keyed-zone", 1.0, 3.0, RetrySafety.KEYED, DeduplicationScope.ZONE, 1.5, 8.0, 0.5),
+    RequestClass("keyed-cell", 0.8, 3.0, RetrySafety.KEYED, DeduplicationScope.CELL, 1.5, 1.0),
+    RequestClass("bound-kind", 1.0, 3.0, RetrySafety.SAFE, only_kinds=(1,)),
+    RequestClass(
+        "bound-zone", 1.0, 3.0, RetrySafety.KEYED, DeduplicationScope.CELL, 1.5, only_kinds=(0, 1), only_zones=(0,)
+    ),
 )
 OUTCOMES = [o for o in Outcome if o is not Outcome.CANCELLED]
 step = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
@@ -56,15 +58,15 @@
             if not rows:
                 continue
             row = rows[a % len(rows)]
-            state = (State.UP, State.DRAINING, State.GONE)[b % 3]
-            started = checker.now - 0.5 if state is State.UP and b % 2 else row.started
-            kind = (ListKind.PATCH, ListKind.WHOLE, ListKind.BROKEN)[b // 3 % 3]
+            state = (ServerState.UP, ServerState.DRAINING, ServerState.GONE)[b % 3]
+            started = checker.now - 0.5 if state is ServerState.UP and b % 2 else row.started
+            kind = (ListUpdateKind.PATCH, ListUpdateKind.WHOLE, ListUpdateKind.BROKEN)[b // 3 % 3]
             changed = replace(row, state=state, started=started)
-            if kind is ListKind.WHOLE:
-                rest = [r for r in rows if r.server != row.server and r.state is not State.GONE]
-                checker.members(kind, rest if state is State.GONE else [*rest, changed])
+            if kind is ListUpdateKind.WHOLE:
+                rest = [r for r in rows if r.server != row.server and r.state is not ServerState.GONE]
+                checker.members(kind, rest if state is ServerState.GONE else [*rest, changed])
             else:
-                checker.members(kind, [changed] if kind is ListKind.PATCH else [])
+                checker.members(kind, [changed] if kind is ListUpdateKind.PATCH else [])
         elif what == 8 and checker.owed:
             rid = list(checker.owed)[a % len(checker.owed)]
             numbers = [n for r, n in checker.open_tries() if r == rid]
@@ -104,10 +106,10 @@
         tier=seed % 2,
         tiers=2,
         over_share_worth=0.1,
-        discovery=Discovery.ON_REQUEST if asks else Discovery.PUSHED,
+        discovery=DiscoveryMode.ON_REQUEST if asks else DiscoveryMode.PUSHED,
         limits=Limits(cancel=cancel, second_copies=second, max_attempts=attempts),
     )
-    rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3, kind=i % 3) for i in range(servers)]
+    rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3, kind=i % 3) for i in range(servers)]
     play(Checker(config, seed, rows), steps)
 
 
@@ -129,7 +131,7 @@
     checker = Checker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
-    checker.members(ListKind.PATCH, [ServerRow(3, started=checker.now)])
+    checker.members(ListUpdateKind.PATCH, [ServerRow(3, started=checker.now)])
     begin = checker.now
     checker.sends.clear()
     steady(checker, 4.0, 100.0, rng)
@@ -155,7 +157,7 @@
 def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
         checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
-        checker.members(ListKind.PATCH, [ServerRow(1, State.DRAINING)])
+        checker.members(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
         for _ in range(20):
             checker.request(0, 3.0)
 
@@ -190,8 +192,8 @@
         for n in range(40):
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
-        none_open = [replace(row, state=State.GONE) for row in rows if row.kind == 1]
-        checker.members(ListKind.PATCH, none_open)
+        none_open = [replace(row, state=ServerState.GONE) for row in rows if row.kind == 1]
+        checker.members(ListUpdateKind.PATCH, none_open)
         before = sum(len(v) for v in checker.sends.values())
         checker.request(5, 3.0)
         assert sum(len(v) for v in checker.sends.values()) == before
@@ -248,7 +250,7 @@
 def test_a_broken_module_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """The checker fails for a module that ignores the repeat rules, and for one that never answers."""
     steps = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)] * 12
-    rows = [ServerRow(1000 + i, State.UP, i % 2, i // 3) for i in range(9)]
+    rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
     config = Settings(classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
     play(Checker(config, 1, rows), steps)
