--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -311,7 +311,7 @@
         now += 0.02
         b.request(now, f"w{n}", 0, 0, now + 4.0)
         b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
-    sent = {}
+    sent: dict[str, float] = {}
     for n in range(500):  # ten seconds in which every attempt ends by its time-out alone
         now += 0.02
         for rid, until in list(sent.items()):
