--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -25,7 +25,7 @@
 
 from lugspur.daemon.leases import span
 from lugspur.daemon.leases.elector import Elector, Promise, Who
-from lugspur.daemon.leases.messages import Grant, Message, No
+from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message
 from lugspur.daemon.leases.term import Ended, Term
 
 DUTY = "d"
@@ -147,7 +147,7 @@
             sent = tuple(
                 self.message(PLACES[to], at, word)
                 for to, word in out
-                if isinstance(word, Grant | No) or not isinstance(part, Kept)
+                if isinstance(word, GrantLease | DenyLease) or not isinstance(part, Kept)
             )
             known = self._known[key] = self.part(part), sent, found
         return known
@@ -156,7 +156,7 @@
         if isinstance(part, Term):
             if how == "hears":
                 _, origin, message = self.messages[number]
-                assert isinstance(message, Grant | No)
+                assert isinstance(message, GrantLease | DenyLease)
                 return part.epoch if part.reply(clock, NAMES[origin], message) is Ended.WON else 0
             acts: dict[str, Callable[[float], Any]] = {
                 "asks": part.ask,
@@ -192,12 +192,12 @@
     def vain(self, message: int, place: int, number: int) -> bool:
         """Whether an answer on its way to this one counts for nothing any more."""
         to, _, what = self.messages[message]
-        if to != place or not isinstance(what, Grant | No):
+        if to != place or not isinstance(what, GrantLease | DenyLease):
             return False
         bits = self.inside(number, 0.0)
-        if bits & 2 and self.round(number) == what.round:
+        if bits & 2 and self.round(number) == what.round_number:
             return False
-        return isinstance(what, Grant) or not bits & 4  # a refusal tells of an epoch, for the next round
+        return isinstance(what, GrantLease) or not bits & 4  # a refusal tells of an epoch, for the next round
 
     def round(self, number: int) -> int:
         """The latest round of one that wants it."""
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -22,7 +22,17 @@
 from lugspur.daemon.leases.claim import Claim, Turned, Won, order
 from lugspur.daemon.leases.elector import Elector, Who
 from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
-from lugspur.daemon.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
+from lugspur.daemon.leases.messages import (
+    DenyLease,
+    GrantLease,
+    MalformedMessageError,
+    Message,
+    ReleaseLease,
+    RequestLease,
+    RoleAvailable,
+    decode_messages,
+    encode_messages,
+)
 from lugspur.daemon.probers import PROBING, Probers
 
 if TYPE_CHECKING:
@@ -187,8 +197,10 @@
                 continue
             heirs = [name for name in self._ordered(duty) if name != self._row.member]
             if heirs:
-                self._handed.append((heirs[0], Free(duty, claim.term.epoch)))
-            self._handed += [(name, Give(duty, claim.term.epoch, claim.term.round)) for name in claim.term.electors]
+                self._handed.append((heirs[0], RoleAvailable(duty, claim.term.epoch)))
+            self._handed += [
+                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round)) for name in claim.term.electors
+            ]
         for delay in (0.0, *AGAIN):
             self._loop.call_later(delay, self._say_again)
 
@@ -244,18 +256,18 @@
                 claim.others_changed(clock.now())
 
     def _body(self, event: Posted) -> None:
-        with suppress(Malformed):
-            for message in unpack(event.body):
+        with suppress(MalformedMessageError):
+            for message in decode_messages(event.body):
                 self._lease(Who(event.name, event.life), message)
 
     def _lease(self, who: Who, message: Message) -> None:
         now = clock.now()
-        if isinstance(message, Want | Give):
+        if isinstance(message, RequestLease | ReleaseLease):
             if self.elector is not None:
                 self.elector.heard(now, who, message)
             return
-        claim = self.claims.get(message.duty)
-        if claim is not None and isinstance(message, Grant | No | Free):
+        claim = self.claims.get(message.role)
+        if claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
             claim.heard(now, who.name, message)
 
     def _dues(self) -> Iterator[float]:
@@ -294,7 +306,7 @@
             bodies[name].append(message)
         for name, words in bodies.items():
             for at in range(0, len(words), BODY_MESSAGES):
-                self.fleet.post(clock.now(), name, LEASES, pack(words[at : at + BODY_MESSAGES]))
+                self.fleet.post(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
 
     def _turned(self, turned: Turned | Won) -> None:
         if self._history is not None and (isinstance(turned, Won) or not turned.holds):
--- a/lugspur/daemon/leases/claim.py
+++ b/lugspur/daemon/leases/claim.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from lugspur.daemon.leases.messages import Free, Grant, Message, No
+from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, RoleAvailable
 from lugspur.daemon.leases.span import AGAIN, RENEW, held_for
 from lugspur.daemon.leases.term import Ended, Term
 
@@ -115,9 +115,9 @@
 
     # ---- what electors say ---------------------------------------------------------------------------
 
-    def heard(self, now: float, name: str, message: Grant | No | Free) -> None:
+    def heard(self, now: float, name: str, message: GrantLease | DenyLease | RoleAvailable) -> None:
         """A word of an elector, or of the former holder that hands on."""
-        if isinstance(message, Free):
+        if isinstance(message, RoleAvailable):
             self.term.heard = max(self.term.heard, message.epoch)
             self._freed = now
             if not self._in and not self.term.asking:
--- a/lugspur/daemon/leases/elector.py
+++ b/lugspur/daemon/leases/elector.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want
+from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
 
 DUTIES_MOST = 512  # remembered; a further one is not promised
 SOON = 0.1  # of a lease: after which to ask again where a promise is fresh; a round is over by then
@@ -53,7 +53,7 @@
     given: bool = False  # it was given back
     renewed: bool = False  # whoever it was promised to has asked again: it has come into office
     waiting: dict[str, None] = field(default_factory=dict)  # who was turned away, the latest last
-    asked: tuple[Who, Want] | None = None  # what is being written down, and then granted
+    asked: tuple[Who, RequestLease] | None = None  # what is being written down, and then granted
 
 
 class Elector:
@@ -97,14 +97,14 @@
 
     def heard(self, now: float, who: Who, message: Message) -> None:
         """A message of a process that may want a duty."""
-        if isinstance(message, Want):
+        if isinstance(message, RequestLease):
             self._want(now, who, message)
-        elif isinstance(message, Give):
+        elif isinstance(message, ReleaseLease):
             self._give(now, who, message)
 
-    def _want(self, now: float, who: Who, want: Want) -> None:
-        duty = self._duties.get(want.duty)
-        if want.lease > self.lease:
+    def _want(self, now: float, who: Who, want: RequestLease) -> None:
+        duty = self._duties.get(want.role)
+        if want.lease_seconds > self.lease:
             # Guards a holder that counts on more than this one's restarts wait for.
             self._no(who, want, 0 if duty is None else duty.epoch, "", self.lease)
             return
@@ -112,15 +112,15 @@
             if len(self._duties) >= DUTIES_MOST:
                 self._no(who, want, 0, "", self.lease)
                 return
-            duty = self._duties[want.duty] = _Duty(self._floor)
+            duty = self._duties[want.role] = _Duty(self._floor)
         if duty.asked is not None:
             if duty.asked[0] != who:  # what was asked first is being written down; whoever asks now asks again soon
                 self._turn_away(now, duty, who, want, WRITING)
             return
         if duty.who == who and want.epoch == duty.epoch and not duty.given:
             # Nobody else was promised it since: whether that promise has run out or not, it may be given anew.
-            if want.round >= duty.round:
-                duty.renewed = duty.renewed or want.round > duty.round
+            if want.round_number >= duty.round:
+                duty.renewed = duty.renewed or want.round_number > duty.round
                 self._grant(now, duty, who, want)
             return
         left = max(0.0, self.quiet_until - now)
@@ -136,7 +136,7 @@
         elif self.remembers:
             # Until it is written down the former promise stands as it is.
             duty.asked = who, want
-            self.unwritten[want.duty] = Promise(want.duty, want.epoch, who.name, who.life)
+            self.unwritten[want.role] = Promise(want.role, want.epoch, who.name, who.life)
         else:
             self._grant(now, duty, who, want)
 
@@ -157,15 +157,15 @@
                 # The former promise still binds, but nobody renews it: the disk may name the one or the other.
                 duty.epoch, duty.who = asked[1].epoch, NOBODY
 
-    def _grant(self, now: float, duty: _Duty, who: Who, want: Want) -> None:
+    def _grant(self, now: float, duty: _Duty, who: Who, want: RequestLease) -> None:
         if want.epoch != duty.epoch or who != duty.who:
             duty.renewed = False
-        duty.epoch, duty.who, duty.round, duty.given = want.epoch, who, want.round, False
+        duty.epoch, duty.who, duty.round, duty.given = want.epoch, who, want.round_number, False
         duty.until = now + self.lease
         duty.waiting.pop(who.name, None)
-        self._out.append((who.name, Grant(want.duty, want.epoch, want.round)))
+        self._out.append((who.name, GrantLease(want.role, want.epoch, want.round_number)))
 
-    def _turn_away(self, now: float, duty: _Duty, who: Who, want: Want, left: float) -> None:
+    def _turn_away(self, now: float, duty: _Duty, who: Who, want: RequestLease, left: float) -> None:
         duty.waiting.pop(who.name, None)
         duty.waiting[who.name] = None
         if len(duty.waiting) > WAITING_MOST:
@@ -173,15 +173,15 @@
         held = duty.who is not None and now < duty.until and not duty.given
         self._no(who, want, duty.epoch, duty.who.name if held and duty.who else "", left)
 
-    def _no(self, who: Who, want: Want, epoch: int, holder: str, left: float) -> None:
-        self._out.append((who.name, No(want.duty, epoch, want.round, holder, left)))
+    def _no(self, who: Who, want: RequestLease, epoch: int, holder: str, left: float) -> None:
+        self._out.append((who.name, DenyLease(want.role, epoch, want.round_number, holder, left)))
 
-    def _give(self, now: float, who: Who, give: Give) -> None:
-        duty = self._duties.get(give.duty)
-        if duty is None or duty.who != who or give.epoch != duty.epoch or give.round < duty.round or duty.given:
+    def _give(self, now: float, who: Who, give: ReleaseLease) -> None:
+        duty = self._duties.get(give.role)
+        if duty is None or duty.who != who or give.epoch != duty.epoch or give.round_number < duty.round or duty.given:
             return
         duty.given = True
         waiting, duty.waiting = duty.waiting, {}
         for name in waiting:
             if name != who.name:
-                self._out.append((name, Free(give.duty, give.epoch)))
+                self._out.append((name, RoleAvailable(give.role, give.epoch)))
--- a/lugspur/daemon/leases/memory.py
+++ b/lugspur/daemon/leases/memory.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lugspur.daemon.leases.elector import DUTIES_MOST, Promise
-from lugspur.daemon.leases.messages import DUTY_MOST, EPOCH_MOST
+from lugspur.daemon.leases.messages import EPOCH_LIMIT, MAX_ROLE_CHARACTERS
 from lugspur.daemon.persistence.disk import Disk
 
 NAME, FRESH, LOCK = "promises", "promises.new", "promises.lock"
@@ -80,7 +80,7 @@
             raise Spoilt(f"it is that of elector {found.elector[:48]!r}")
         rows = found.promises
         if len(rows) > DUTIES_MOST or any(
-            not 0 <= row.epoch < EPOCH_MOST or not 0 < len(row.duty) <= DUTY_MOST for row in rows
+            not 0 <= row.epoch < EPOCH_LIMIT or not 0 < len(row.duty) <= MAX_ROLE_CHARACTERS for row in rows
         ):
             raise Spoilt("it promises what cannot be")
         return found
--- a/lugspur/daemon/leases/term.py
+++ b/lugspur/daemon/leases/term.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from enum import Enum, auto
 
-from lugspur.daemon.leases.messages import Give, Grant, Message, No, Want
+from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease
 from lugspur.daemon.leases.span import ROUND, ROUND_MOST, held_for
 
 SOONEST = 0.01  # seconds between two questions to one elector in one round: clocks that run apart may need a few
@@ -83,24 +83,24 @@
         self._granted.clear()
         self._refused.clear()
         self._later.clear()
-        self._out += [(name, Want(self.duty, self._asked, self.round, self.lease)) for name in self.electors]
+        self._out += [(name, RequestLease(self.duty, self._asked, self.round, self.lease)) for name in self.electors]
 
-    def reply(self, now: float, elector: str, message: Grant | No) -> Ended | None:
+    def reply(self, now: float, elector: str, message: GrantLease | DenyLease) -> Ended | None:
         """An elector's word; how the round ended by it, if it did. What is of another round counts for nothing."""
-        if isinstance(message, No):
+        if isinstance(message, DenyLease):
             self.heard = max(self.heard, message.epoch)
-        if not self._asked or message.round != self.round or elector not in self.electors:
+        if not self._asked or message.round_number != self.round or elector not in self.electors:
             return None
-        if isinstance(message, Grant):
+        if isinstance(message, GrantLease):
             if message.epoch == self._asked:
                 self._granted.add(elector)
                 self._refused.pop(elector, None)
         elif elector in self._granted:
             return None
-        elif message.epoch < self._asked and 0.0 < message.left < self.round_ends - now:
-            self._later[elector] = now + max(message.left, SOONEST)
+        elif message.epoch < self._asked and 0.0 < message.available_in_seconds < self.round_ends - now:
+            self._later[elector] = now + max(message.available_in_seconds, SOONEST)
         else:
-            self._refused[elector] = now + message.left
+            self._refused[elector] = now + message.available_in_seconds
             self.holder = message.holder or self.holder
         if len(self._granted) >= self.majority:
             return self._won(now)
@@ -119,7 +119,7 @@
         """
         for elector in [elector for elector, when in self._later.items() if when <= now]:
             del self._later[elector]
-            self._out.append((elector, Want(self.duty, self._asked, self.round, self.lease)))
+            self._out.append((elector, RequestLease(self.duty, self._asked, self.round, self.lease)))
 
     def _won(self, now: float) -> Ended:
         until = self.began + held_for(self.lease)
@@ -151,4 +151,4 @@
         self._asked = 0
 
     def _tell(self, *epochs: int) -> None:
-        self._out += [(name, Give(self.duty, epoch, self.round)) for epoch in epochs for name in self.electors]
+        self._out += [(name, ReleaseLease(self.duty, epoch, self.round)) for epoch in epochs for name in self.electors]
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -11,7 +11,7 @@
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
 from lugspur.daemon.leases.claim import STANDBY, Claim, Turned
-from lugspur.daemon.leases.messages import Malformed
+from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.discovery.announce import Checked, check
 from lugspur.discovery.rows import server_id, server_name
 from lugspur.probing.hearsay import REFRESH, Hearsay
@@ -179,7 +179,7 @@
 
     def heard(self, body: bytes) -> None:
         """A message of another member."""
-        with suppress(Malformed):
+        with suppress(MalformedMessageError):
             self._message(unpack(body))
 
     def _message(self, message: Message) -> None:
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -11,7 +11,16 @@
 
 from lugspur.daemon.leases.claim import Claim, Turned, order
 from lugspur.daemon.leases.elector import Elector, Promise, Who
-from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want, pack, unpack
+from lugspur.daemon.leases.messages import (
+    DenyLease,
+    GrantLease,
+    Message,
+    ReleaseLease,
+    RequestLease,
+    RoleAvailable,
+    decode_messages,
+    encode_messages,
+)
 from lugspur.emulator.datagrams import Address, Network, halves
 
 DUTY = "duty"
@@ -53,14 +62,14 @@
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """Words of another."""
-        for message in unpack(data[8:]):
+        for message in decode_messages(data[8:]):
             self._hear(now, Who(self._world.names[source], int.from_bytes(data[:8], "big")), message)
 
     def _hear(self, now: float, who: Who, message: Message) -> None:
-        if isinstance(message, Want | Give):
+        if isinstance(message, RequestLease | ReleaseLease):
             if self.elector is not None:
                 self.elector.heard(now, who, message)
-        elif self.claim is not None and isinstance(message, Grant | No | Free):
+        elif self.claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
             self.claim.heard(now, who.name, message)
 
     def due(self) -> float:
@@ -98,7 +107,9 @@
                 if name == self.name:
                     self._hear(now, self.who, message)
                 else:
-                    self._out.append((world.places[name], self.who.life.to_bytes(8, "big") + pack([message])))
+                    self._out.append(
+                        (world.places[name], self.who.life.to_bytes(8, "big") + encode_messages([message]))
+                    )
         if self.elector is not None and self.elector.unwritten and self._written is None:
             promises, self.elector.unwritten = self.elector.unwritten, {}
             self._written = now + DISK * self._rng.random(), promises
--- a/lugspur/probing/messages.py
+++ b/lugspur/probing/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lugspur.daemon.leases.messages import EPOCH_MOST, Malformed
+from lugspur.daemon.leases.messages import EPOCH_LIMIT, MalformedMessageError
 
 POOL_MOST, BOX_MOST = 64, 128  # characters
 NAMES_BYTES = 800  # of boxes in one verdict: what does not fit is found out by each proxy itself, as without a prober
@@ -28,7 +28,7 @@
     """These boxes are down, and no other one that I have looked at."""
 
     pool: Pool
-    epoch: Annotated[int, Meta(ge=0, lt=EPOCH_MOST)]
+    epoch: Annotated[int, Meta(ge=0, lt=EPOCH_LIMIT)]
     serial: Annotated[int, Meta(ge=0, lt=1 << 52)]  # counted up: what comes late counts for nothing
     down: Annotated[list[Box], Meta(max_length=DOWN_MOST)]
 
@@ -48,7 +48,7 @@
         found: Message = _decoder.decode(body)
         return found
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as fault:
-        raise Malformed(str(fault)) from fault
+        raise MalformedMessageError(str(fault)) from fault
 
 
 def fitting(names: list[str]) -> list[str]:
--- a/tests/compatibility/test_lease_messages.py
+++ b/tests/compatibility/test_lease_messages.py
@@ -4,35 +4,45 @@
 
 import pytest
 
-from lugspur.daemon.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
+from lugspur.daemon.leases.messages import (
+    DenyLease,
+    GrantLease,
+    MalformedMessageError,
+    Message,
+    ReleaseLease,
+    RequestLease,
+    RoleAvailable,
+    decode_messages,
+    encode_messages,
+)
 
 MESSAGES: list[tuple[Message, bytes]] = [
     (
-        Want("nightly-report", 7, 1 << 40, 10.0),
+        RequestLease("nightly-report", 7, 1 << 40, 10.0),
         b"\x91\x95\x01\xaenightly-report\x07\xcf\x00\x00\x01\x00\x00\x00\x00\x00\xcb@$\x00\x00\x00\x00\x00\x00",
     ),
-    (Grant("nightly-report", 7, 3), b"\x91\x94\x02\xaenightly-report\x07\x03"),
+    (GrantLease("nightly-report", 7, 3), b"\x91\x94\x02\xaenightly-report\x07\x03"),
     (
-        No("nightly-report", 7, 3, "edge-2", 2.5),
+        DenyLease("nightly-report", 7, 3, "edge-2", 2.5),
         b"\x91\x96\x03\xaenightly-report\x07\x03\xa6edge-2\xcb@\x04\x00\x00\x00\x00\x00\x00",
     ),
     (
-        No("probe:main", 0, 0, "", 0.0),
+        DenyLease("probe:main", 0, 0, "", 0.0),
         b"\x91\x96\x03\xaaprobe:main\x00\x00\xa0\xcb\x00\x00\x00\x00\x00\x00\x00\x00",
     ),
     (
-        Give("nightly-report", (1 << 52) - 1, 3),
+        ReleaseLease("nightly-report", (1 << 52) - 1, 3),
         b"\x91\x94\x04\xaenightly-report\xcf\x00\x0f\xff\xff\xff\xff\xff\xff\x03",
     ),
-    (Free("nightly-report", 7), b"\x91\x93\x05\xaenightly-report\x07"),
+    (RoleAvailable("nightly-report", 7), b"\x91\x93\x05\xaenightly-report\x07"),
 ]
 SEVERAL = b"\x92\x94\x02\xa1d\x01\x01\x93\x05\xa1d\x01"
 
 
 @pytest.mark.parametrize(("message", "body"), MESSAGES)
 def test_every_message_keeps_its_bytes_in_both_directions(message: Message, body: bytes) -> None:
-    assert pack([message]) == body
-    assert unpack(body) == [message]
+    assert encode_messages([message]) == body
+    assert decode_messages(body) == [message]
 
 
 def test_every_kind_of_message_is_covered() -> None:
@@ -41,9 +51,9 @@
 
 
 def test_a_body_holds_any_number_of_messages() -> None:
-    assert unpack(SEVERAL) == [Grant("d", 1, 1), Free("d", 1)]
-    assert pack([Grant("d", 1, 1), Free("d", 1)]) == SEVERAL
-    assert (pack([]), unpack(b"\x90")) == (b"\x90", [])
+    assert decode_messages(SEVERAL) == [GrantLease("d", 1, 1), RoleAvailable("d", 1)]
+    assert encode_messages([GrantLease("d", 1, 1), RoleAvailable("d", 1)]) == SEVERAL
+    assert (encode_messages([]), decode_messages(b"\x90")) == (b"\x90", [])
 
 
 @pytest.mark.parametrize(
@@ -59,8 +69,8 @@
     ],
 )
 def test_the_limits_of_the_fields_stay(body: bytes) -> None:
-    with pytest.raises(Malformed):
-        unpack(body)
+    with pytest.raises(MalformedMessageError):
+        decode_messages(body)
 
 
 def test_the_largest_values_within_the_limits_are_read() -> None:
@@ -69,5 +79,5 @@
         + b"r" * 96
         + b"\xcf\x00\x0f\xff\xff\xff\xff\xff\xff\x00\xcb\x40\xf5\x18\x00\x00\x00\x00\x00"
     )
-    assert unpack(body) == [Want("r" * 96, (1 << 52) - 1, 0, 86400.0)]
-    assert pack(unpack(body)) == body
+    assert decode_messages(body) == [RequestLease("r" * 96, (1 << 52) - 1, 0, 86400.0)]
+    assert encode_messages(decode_messages(body)) == body
--- a/tests/daemon/leases/test_elector.py
+++ b/tests/daemon/leases/test_elector.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lugspur.daemon.leases.elector import DUTIES_MOST, WAITING_MOST, WRITING, Elector, Promise, Who
-from lugspur.daemon.leases.messages import Free, Give, Grant, Message, No, Want
+from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
 
 A, B, OLD_A = Who("a", 1), Who("b", 1), Who("a", 0)
 LEASE = 10.0
@@ -25,41 +25,50 @@
 
 def test_a_duty_is_promised_to_one_until_that_runs_out() -> None:
     one = elector()
-    assert said(one, 0.0, A, Want("d", 1, 1, LEASE)) == Grant("d", 1, 1)
-    assert said(one, 9.0, B, Want("d", 2, 1, LEASE)) == No("d", 1, 1, "a", 1.0)
-    assert said(one, 9.5, A, Want("d", 1, 2, LEASE)) == Grant("d", 1, 2)
-    assert said(one, 19.0, B, Want("d", 2, 2, LEASE)) == No("d", 1, 2, "a", 0.5)
-    assert said(one, 19.5, B, Want("d", 1, 3, LEASE)) == No("d", 1, 3, "", 0.0)  # that epoch is used
-    assert said(one, 19.5, B, Want("d", 2, 4, LEASE)) == Grant("d", 2, 4)
-    assert said(one, 19.5, A, Want("d", 1, 3, LEASE)) == No("d", 2, 3, "b", 1.0)  # fresh: it may come to nothing
-    said(one, 20.0, B, Want("d", 2, 5, LEASE))
-    assert said(one, 20.0, A, Want("d", 1, 4, LEASE)) == No("d", 2, 4, "b", 10.0)
+    assert said(one, 0.0, A, RequestLease("d", 1, 1, LEASE)) == GrantLease("d", 1, 1)
+    assert said(one, 9.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 1, 1, "a", 1.0)
+    assert said(one, 9.5, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)
+    assert said(one, 19.0, B, RequestLease("d", 2, 2, LEASE)) == DenyLease("d", 1, 2, "a", 0.5)
+    assert said(one, 19.5, B, RequestLease("d", 1, 3, LEASE)) == DenyLease("d", 1, 3, "", 0.0)  # that epoch is used
+    assert said(one, 19.5, B, RequestLease("d", 2, 4, LEASE)) == GrantLease("d", 2, 4)
+    assert said(one, 19.5, A, RequestLease("d", 1, 3, LEASE)) == DenyLease(
+        "d", 2, 3, "b", 1.0
+    )  # fresh: it may come to nothing
+    said(one, 20.0, B, RequestLease("d", 2, 5, LEASE))
+    assert said(one, 20.0, A, RequestLease("d", 1, 4, LEASE)) == DenyLease("d", 2, 4, "b", 10.0)
 
 
 def test_another_life_of_the_holder_is_somebody_else() -> None:
     one = elector()
-    said(one, 0.0, OLD_A, Want("d", 1, 1, LEASE))
-    assert said(one, 1.0, A, Want("d", 2, 1, LEASE)) == No("d", 1, 1, "a", 1.0)
-    one.heard(1.0, A, Give("d", 1, 5))
+    said(one, 0.0, OLD_A, RequestLease("d", 1, 1, LEASE))
+    assert said(one, 1.0, A, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 1, 1, "a", 1.0)
+    one.heard(1.0, A, ReleaseLease("d", 1, 5))
     assert one.promised("d", 1.0) == (1, "a", 9.0)
 
 
 def test_what_was_given_back_is_free_and_stays_so() -> None:
     one = elector()
-    said(one, 0.0, A, Want("d", 1, 1, LEASE))
-    said(one, 0.5, B, Want("d", 2, 1, LEASE))
-    one.heard(1.0, A, Give("d", 1, 1))
-    assert one.take() == [("b", Free("d", 1))]
-    assert said(one, 1.0, A, Want("d", 1, 1, LEASE)) == No("d", 1, 1, "", 0.0)  # late, or for the second time
-    assert said(one, 1.0, B, Want("d", 2, 2, LEASE)) == Grant("d", 2, 2)
-    one.heard(1.1, A, Give("d", 1, 1))
+    said(one, 0.0, A, RequestLease("d", 1, 1, LEASE))
+    said(one, 0.5, B, RequestLease("d", 2, 1, LEASE))
+    one.heard(1.0, A, ReleaseLease("d", 1, 1))
+    assert one.take() == [("b", RoleAvailable("d", 1))]
+    assert said(one, 1.0, A, RequestLease("d", 1, 1, LEASE)) == DenyLease(
+        "d", 1, 1, "", 0.0
+    )  # late, or for the second time
+    assert said(one, 1.0, B, RequestLease("d", 2, 2, LEASE)) == GrantLease("d", 2, 2)
+    one.heard(1.1, A, ReleaseLease("d", 1, 1))
     assert one.promised("d", 1.1)[:2] == (2, "b")
 
 
 def test_what_others_or_an_older_round_give_back_counts_for_nothing() -> None:
     one = elector()
-    said(one, 0.0, A, Want("d", 3, 7, LEASE))
-    for who, give in ((B, Give("d", 3, 7)), (A, Give("d", 2, 7)), (A, Give("d", 4, 7)), (A, Give("d", 3, 6))):
+    said(one, 0.0, A, RequestLease("d", 3, 7, LEASE))
+    for who, give in (
+        (B, ReleaseLease("d", 3, 7)),
+        (A, ReleaseLease("d", 2, 7)),
+        (A, ReleaseLease("d", 4, 7)),
+        (A, ReleaseLease("d", 3, 6)),
+    ):
         one.heard(1.0, who, give)
         assert one.promised("d", 1.0) == (3, "a", 9.0)
 
@@ -67,67 +76,69 @@
 def test_the_same_message_ten_times_is_answered_as_once() -> None:
     one = elector()
     for _ in range(10):
-        assert said(one, 0.0, A, Want("d", 1, 1, LEASE)) == Grant("d", 1, 1)
-    assert said(one, 0.0, B, Want("d", 9, 1, LEASE)) == No("d", 1, 1, "a", 1.0)
+        assert said(one, 0.0, A, RequestLease("d", 1, 1, LEASE)) == GrantLease("d", 1, 1)
+    assert said(one, 0.0, B, RequestLease("d", 9, 1, LEASE)) == DenyLease("d", 1, 1, "a", 1.0)
 
 
 def test_a_start_is_silent_for_a_lease() -> None:
     one = elector(now=100.0, floor=5000)
-    assert said(one, 101.0, A, Want("d", 1, 1, LEASE)) == No("d", 5000, 1, "", 9.0)
-    assert said(one, 110.0, A, Want("d", 5000, 2, LEASE)) == No("d", 5000, 2, "", 0.0)
-    assert said(one, 110.0, A, Want("d", 5001, 3, LEASE)) == Grant("d", 5001, 3)
+    assert said(one, 101.0, A, RequestLease("d", 1, 1, LEASE)) == DenyLease("d", 5000, 1, "", 9.0)
+    assert said(one, 110.0, A, RequestLease("d", 5000, 2, LEASE)) == DenyLease("d", 5000, 2, "", 0.0)
+    assert said(one, 110.0, A, RequestLease("d", 5001, 3, LEASE)) == GrantLease("d", 5001, 3)
 
 
 def test_a_start_with_a_memory_goes_on_with_the_holder_alone() -> None:
     one = elector(now=100.0, memory=[Promise("d", 7, "a", 1)], remembers=True)
-    assert said(one, 101.0, B, Want("d", 8, 1, LEASE)) == No("d", 7, 1, "", 9.0)
-    assert said(one, 101.0, OLD_A, Want("d", 7, 1, LEASE)) == No("d", 7, 1, "", 9.0)
-    assert said(one, 101.0, A, Want("d", 7, 1, LEASE)) == Grant("d", 7, 1)
+    assert said(one, 101.0, B, RequestLease("d", 8, 1, LEASE)) == DenyLease("d", 7, 1, "", 9.0)
+    assert said(one, 101.0, OLD_A, RequestLease("d", 7, 1, LEASE)) == DenyLease("d", 7, 1, "", 9.0)
+    assert said(one, 101.0, A, RequestLease("d", 7, 1, LEASE)) == GrantLease("d", 7, 1)
 
 
 def test_nothing_is_told_before_it_is_written_down() -> None:
     one = elector(remembers=True)
-    assert said(one, 0.0, A, Want("d", 1, 1, LEASE)) is None
-    assert said(one, 0.0, A, Want("d", 1, 1, LEASE)) is None
-    assert said(one, 0.0, B, Want("d", 2, 1, LEASE)) == No("d", 0, 1, "", WRITING)  # not before the first is settled
+    assert said(one, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
+    assert said(one, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
+    assert said(one, 0.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease(
+        "d", 0, 1, "", WRITING
+    )  # not before the first is settled
     assert one.promises() == [Promise("d", 1, "a", 1)]
     one.unwritten = {}
     one.written(5.0, ["d"])
-    assert one.take() == [("a", Grant("d", 1, 1))]
+    assert one.take() == [("a", GrantLease("d", 1, 1))]
     assert one.promised("d", 5.0) == (1, "a", LEASE)  # counted from when it is told
-    assert said(one, 6.0, A, Want("d", 1, 2, LEASE)) == Grant("d", 1, 2)  # renewing needs no disk
+    assert said(one, 6.0, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)  # renewing needs no disk
     assert not one.unwritten
 
 
 def test_what_can_not_be_written_down_is_not_promised_and_its_epoch_is_used_up() -> None:
     one = elector(remembers=True)
-    said(one, 0.0, A, Want("d", 1, 1, LEASE))
+    said(one, 0.0, A, RequestLease("d", 1, 1, LEASE))
     one.unwritten = {}
     one.written(0.0, ["d"])
     one.take()
-    said(one, 10.0, B, Want("d", 2, 1, LEASE))
+    said(one, 10.0, B, RequestLease("d", 2, 1, LEASE))
     one.unwritten = {}
     one.unwritable(["d"])
     assert one.take() == []
     for who in (A, B):  # the disk may name either
-        assert isinstance(said(one, 10.0, who, Want("d", 2, 9, LEASE)), No)
-    assert isinstance(said(one, 10.0, A, Want("d", 1, 9, LEASE)), No)
-    said(one, 10.0, B, Want("d", 3, 2, LEASE))
+        assert isinstance(said(one, 10.0, who, RequestLease("d", 2, 9, LEASE)), DenyLease)
+    assert isinstance(said(one, 10.0, A, RequestLease("d", 1, 9, LEASE)), DenyLease)
+    said(one, 10.0, B, RequestLease("d", 3, 2, LEASE))
     assert one.promises() == [Promise("d", 3, "b", 1)]
 
 
 def test_who_counts_on_a_longer_lease_is_turned_away() -> None:
-    assert said(elector(), 0.0, A, Want("d", 1, 1, LEASE + 1.0)) == No("d", 0, 1, "", LEASE)
-    assert said(elector(), 0.0, A, Want("d", 1, 1, LEASE - 1.0)) == Grant("d", 1, 1)
+    assert said(elector(), 0.0, A, RequestLease("d", 1, 1, LEASE + 1.0)) == DenyLease("d", 0, 1, "", LEASE)
+    assert said(elector(), 0.0, A, RequestLease("d", 1, 1, LEASE - 1.0)) == GrantLease("d", 1, 1)
 
 
 def test_duties_and_those_who_wait_are_bounded() -> None:
     one = elector()
     for number in range(DUTIES_MOST):
-        assert isinstance(said(one, 0.0, A, Want(f"d{number}", 1, 1, LEASE)), Grant)
-    assert isinstance(said(one, 0.0, A, Want("one more", 1, 1, LEASE)), No)
+        assert isinstance(said(one, 0.0, A, RequestLease(f"d{number}", 1, 1, LEASE)), GrantLease)
+    assert isinstance(said(one, 0.0, A, RequestLease("one more", 1, 1, LEASE)), DenyLease)
     for number in range(100):
-        said(one, 0.0, Who(f"w{number}", 1), Want("d0", 2, 1, LEASE))
-    one.heard(0.0, A, Give("d0", 1, 1))
-    told = [name for name, word in one.take() if isinstance(word, Free)]
+        said(one, 0.0, Who(f"w{number}", 1), RequestLease("d0", 2, 1, LEASE))
+    one.heard(0.0, A, ReleaseLease("d0", 1, 1))
+    told = [name for name, word in one.take() if isinstance(word, RoleAvailable)]
     assert told == [f"w{number}" for number in range(100 - WAITING_MOST, 100)]
--- a/tests/probing/test_prober.py
+++ b/tests/probing/test_prober.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lugspur.daemon.leases.messages import Malformed
+from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.probing.hearsay import LASTS, Hearsay
 from lugspur.probing.messages import DOWN_MOST, Doubt, Verdict, fitting, pack, unpack
 from lugspur.probing.prober import AGAIN, AT_ONCE, Prober
@@ -118,6 +118,6 @@
         pack(Doubt("", "a")),
         pack(Verdict("p", -1, 1, [])),
     ):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             unpack(body)
     assert len(fitting(["x" * 100] * 100)) == 7 and len(fitting(["x"] * 1000)) == DOWN_MOST
