--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -8,26 +8,26 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from jaspershelf.model import ListKind, Outcome, RequestClass, Settings, State
 from lugspur.config import model
 from lugspur.config.build import member_name
 from lugspur.config.load import resolved
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Owner, Pool
+from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.nodes import Nodes
+from lugspur.discovery.registry import Ensemble, Followed, Registries
+from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.discovery.source import FixedList, Source, WatchedFile
+from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
-from lugspur.membership.maintenance import Maintenance
-from lugspur.membership.nodes import Nodes
-from lugspur.membership.registry import Ensemble, Followed, Registries
-from lugspur.membership.rows import Endpoint, Reader
-from lugspur.membership.source import FixedList, Source, WatchedFile
-from lugspur.membership.watch import Discovery
+from lugspur.load_balancing.model import ListKind, Outcome, RequestClass, Settings, State
 from lugspur.routing.shares import Shares
 from lugspur.routing.standing import Standing
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
+    from lugspur.daemon.persistence.file import Pool as Kept
     from lugspur.http2.upstream import Streams
-    from lugspur.state.file import Pool as Kept
 
 GRPC = 1  # the kind of backends that speak gRPC, for the decision module: streams are bound to it
 LEAVE_EVERY = 0.1  # seconds between looks at whether a pool that leaves has ended its last request
@@ -106,7 +106,7 @@
 
     def _recall(self, kept: Kept, age: float | None) -> None:
         # Imported only here: a daemon that keeps nothing has no use for it.
-        from lugspur.state.aging import aged
+        from lugspur.daemon.persistence.aging import aged
 
         now = self.pool.now()
         learned = aged(kept, age, now)
