--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -19,11 +19,11 @@
 import orjson
 import pytest
 
-from jaspershelf.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
-from lugspur.handover.keeper import Keeper
-from lugspur.handover.messages import Estate, Foreign, Parts, estate_parts, read_estate
-from lugspur.membership.maintenance import Bans
-from lugspur.membership.rows import Endpoint, server_id
+from lugspur.daemon.hot_restart.keeper import Keeper
+from lugspur.daemon.hot_restart.messages import Estate, Foreign, Parts, estate_parts, read_estate
+from lugspur.discovery.maintenance import Bans
+from lugspur.discovery.rows import Endpoint, server_id
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
 
 SOCKET_NAME = "lugspur-127.0.0.1-7.sock"  # in the directory for temporary files, for clients at 127.0.0.1:7
 ADDRESS = ("127.0.0.1", 7)
