--- a/lugspur/daemon/hot_restart/keeper.py
+++ b/lugspur/daemon/hot_restart/keeper.py
@@ -16,19 +16,28 @@
 from typing import Any, Protocol
 
 from lugspur.daemon.hot_restart.link import Link
-from lugspur.daemon.hot_restart.messages import IDS_MOST, VERSION, Estate, Foreign, Parts, estate_parts
+from lugspur.daemon.hot_restart.messages import (
+    MAX_IDS_PER_PACKET,
+    PROTOCOL_VERSION,
+    PacketError,
+    ProcessState,
+    StateAssembler,
+    encode_state,
+)
 from lugspur.discovery.rows import Address, server_id, server_name
 
-WITHIN = 1.0  # seconds in which an estate has to be whole: the platform waits 6 s for the new process
-LINKS_MOST = 4  # processes of one proxy at once: the one before, this one, the next, and one that failed
-BACKLOG = 8
-EARLY_MOST = 1024  # messages that are kept until this process serves: some hundreds a second for some 0.1 s
+STATE_TRANSFER_TIMEOUT_SECONDS = (
+    1.0  # seconds in which an estate has to be whole: the platform waits 6 s for the new process
+)
+MAX_LINKS = 4  # processes of one proxy at once: the one before, this one, the next, and one that failed
+ACCEPT_BACKLOG = 8
+MAX_EARLY_MESSAGES = 1024  # messages that are kept until this process serves: some hundreds a second for some 0.1 s
 
 
 class Handed(Protocol):
     """A proxy, as far as the other process has to do with it."""
 
-    def estate(self) -> Estate:
+    def estate(self) -> ProcessState:
         """All that another needs to go on in its place."""
 
     def hear_ban(self, server: int, on: bool, at: float) -> None:
@@ -76,7 +85,7 @@
 class Inheritance:
     """What a starting process got: the listening socket and the estate, if any process was there."""
 
-    def __init__(self, listener: socket.socket, estate: Estate) -> None:
+    def __init__(self, listener: socket.socket, estate: ProcessState) -> None:
         self.listener, self.estate = listener, estate
 
 
@@ -96,7 +105,7 @@
         self._ids: tuple[list[bytes], list[bytes]] = ([], [])
         self._early: list[tuple[dict[str, Any], list[int]]] = []  # heard before there was a proxy
         self._waiting: asyncio.Future[Inheritance] | None = None
-        self._parts = Parts()
+        self._parts = StateAssembler()
         self._closing = False
 
     # ---- as the process that comes -----------------------------------------------------------
@@ -119,12 +128,12 @@
             return None
         self._waiting = self._loop.create_future()
         self.predecessor = link = self._link(sock)
-        link.send({"t": "hello", "version": VERSION})
+        link.send({"t": "hello", "version": PROTOCOL_VERSION})
         try:
-            return await asyncio.wait_for(self._waiting, WITHIN)
+            return await asyncio.wait_for(self._waiting, STATE_TRANSFER_TIMEOUT_SECONDS)
         except TimeoutError:
-            said(f"no hand-over: nothing whole came within {WITHIN:g} s")
-        except Foreign as fault:
+            said(f"no hand-over: nothing whole came within {STATE_TRANSFER_TIMEOUT_SECONDS:g} s")
+        except PacketError as fault:
             said(f"no hand-over: {fault}")
         link.close()
         return None
@@ -136,9 +145,9 @@
             if estate is None or waiting is None or waiting.done():
                 return
             if len(fds) != 1:
-                raise Foreign("no listening socket came")
+                raise PacketError("no listening socket came")
             waiting.set_result(Inheritance(socket.socket(fileno=fds.pop()), estate))
-        except Foreign as fault:
+        except PacketError as fault:
             if waiting is not None and not waiting.done():
                 waiting.set_exception(fault)
         finally:
@@ -178,7 +187,7 @@
                     sock.bind(fresh)
                 finally:
                     os.umask(former)
-                sock.listen(BACKLOG)
+                sock.listen(ACCEPT_BACKLOG)
                 os.rename(fresh, f"{folder}/{self._name}")
                 self._own = self._found(folder)
         except OSError as fault:
@@ -204,7 +213,7 @@
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if len(self.links) >= LINKS_MOST:
+        if len(self.links) >= MAX_LINKS:
             sock.close()
             return
         self._link(sock)
@@ -215,10 +224,10 @@
         return link
 
     def _hand_over(self, link: Link, message: dict[str, Any]) -> None:
-        if message.get("version") != VERSION or self._proxy is None or self._listener is None:
-            link.send({"t": "no", "why": f"this process speaks version {VERSION}"})
+        if message.get("version") != PROTOCOL_VERSION or self._proxy is None or self._listener is None:
+            link.send({"t": "no", "why": f"this process speaks version {PROTOCOL_VERSION}"})
             return
-        parts = estate_parts(self._proxy.estate())
+        parts = encode_state(self._proxy.estate())
         for part in parts[:-1]:
             link.send(part)
         link.send(parts[-1], self._listener.fileno())
@@ -231,7 +240,7 @@
             self._estate(message, fds)
             return
         if kind == "no" and link is self.predecessor and self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(Foreign(str(message.get("why"))))
+            self._waiting.set_exception(PacketError(str(message.get("why"))))
         elif kind == "hello":
             self._hand_over(link, message)
         elif kind == "ready":
@@ -240,8 +249,8 @@
             if self._proxy is not None:
                 self._proxy.succeeded(True)
         elif self._proxy is None:
-            if len(self._early) >= EARLY_MOST:
-                raise Foreign("too much before this process serves")
+            if len(self._early) >= MAX_EARLY_MESSAGES:
+                raise PacketError("too much before this process serves")
             self._early.append((message, fds))
             return
         else:
@@ -266,7 +275,7 @@
             elif kind == "caller" and len(fds) == 1:
                 proxy.adopt(socket.socket(fileno=fds.pop()))
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
-            raise Foreign(f"no message of this form: {fault!r}") from fault
+            raise PacketError(f"no message of this form: {fault!r}") from fault
         finally:
             for fd in fds:
                 os.close(fd)
@@ -278,7 +287,7 @@
         if link is self.predecessor:
             self.predecessor = None
             if self._waiting is not None and not self._waiting.done():
-                self._waiting.set_exception(Foreign("the process that serves has ended"))
+                self._waiting.set_exception(PacketError("the process that serves has ended"))
             if self._proxy is not None:
                 self._proxy.forget_ids()
         if link is self.heir:
@@ -323,12 +332,12 @@
     def _tell_ids(self) -> None:
         begun, done = self._ids
         self._ids = ([], [])
-        for at in range(0, max(len(begun), len(done)), IDS_MOST):
+        for at in range(0, max(len(begun), len(done)), MAX_IDS_PER_PACKET):
             self.say(
                 {
                     "t": "ids",
-                    "begun": [name.decode() for name in begun[at : at + IDS_MOST]],
-                    "done": [name.decode() for name in done[at : at + IDS_MOST]],
+                    "begun": [name.decode() for name in begun[at : at + MAX_IDS_PER_PACKET]],
+                    "done": [name.decode() for name in done[at : at + MAX_IDS_PER_PACKET]],
                 }
             )
 
--- a/lugspur/daemon/hot_restart/link.py
+++ b/lugspur/daemon/hot_restart/link.py
@@ -10,10 +10,10 @@
 from contextlib import suppress
 from typing import Any
 
-from lugspur.daemon.hot_restart.messages import PACKET_MOST, Foreign, pack, unpack
+from lugspur.daemon.hot_restart.messages import MAX_PACKET_BYTES, PacketError, pack, unpack
 
-QUEUE_MOST = 2048  # packets that wait for the other side: one that takes none for so long is as good as gone
-FDS_MOST = 4  # descriptors in one packet
+MAX_QUEUED_PACKETS = 2048  # packets that wait for the other side: one that takes none for so long is as good as gone
+MAX_DESCRIPTORS_PER_PACKET = 4  # descriptors in one packet
 
 Heard = Callable[["Link", dict[str, Any], list[int]], None]
 
@@ -38,7 +38,7 @@
             return True
         if not self.open or self._ending:
             return False
-        if len(self._queue) >= QUEUE_MOST:  # Guards memory against a process that hangs.
+        if len(self._queue) >= MAX_QUEUED_PACKETS:  # Guards memory against a process that hangs.
             self.close()
             return False
         self._queue.append((data, os.dup(fd) if fd >= 0 else -1))
@@ -86,7 +86,7 @@
         resets = 0
         while self.open:
             try:
-                data, fds, flags, _ = socket.recv_fds(self._sock, PACKET_MOST + 1, FDS_MOST)
+                data, fds, flags, _ = socket.recv_fds(self._sock, MAX_PACKET_BYTES + 1, MAX_DESCRIPTORS_PER_PACKET)
             except BlockingIOError:
                 return
             except ConnectionResetError:  # told once, ahead of what was said before (unix(7)); then there is the end
@@ -100,12 +100,12 @@
             try:
                 if not data:
                     self.close()
-                elif len(data) > PACKET_MOST or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                    raise Foreign("a packet is too large")
+                elif len(data) > MAX_PACKET_BYTES or flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
+                    raise PacketError("a packet is too large")
                 else:
                     passed, fds = fds, []
                     self._heard(self, unpack(data), passed)
-            except Foreign:
+            except PacketError:
                 self.close()
             finally:
                 for fd in fds:
--- a/lugspur/daemon/hot_restart/messages.py
+++ b/lugspur/daemon/hot_restart/messages.py
@@ -12,19 +12,20 @@
 from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned
 
-VERSION = 1
-PACKET_MOST = 48 << 10  # bytes of one packet: well under what a socket's buffer takes
-PART = 12 << 10  # characters of the estate in one packet: quoted in JSON and as UTF-8 they take four times that at most
-PARTS_MOST = 512  # of one estate, 6 MiB: 16,384 names and some thousand backends are a third of it
-IDS_MOST = 64  # ids of requests in one packet, of 64 bytes each
+PROTOCOL_VERSION = 1
+MAX_PACKET_BYTES = 48 << 10  # bytes of one packet: well under what a socket's buffer takes
+# Of the state's text in one packet: quoted in JSON and as UTF-8 they take four times as many bytes at most.
+STATE_PART_CHARACTERS = 12 << 10
+MAX_STATE_PARTS = 512  # of one estate, 6 MiB: 16,384 names and some thousand backends are a third of it
+MAX_IDS_PER_PACKET = 64  # ids of requests in one packet, of 64 bytes each
 
 
-class Foreign(ValueError):
+class PacketError(ValueError):
     """What came is nothing that this version understands."""
 
 
 @dataclass(slots=True, frozen=True)
-class Estate:
+class ProcessState:
     """All that a process goes on with in another's place."""
 
     index: int  # of the list
@@ -41,21 +42,21 @@
 
 
 def unpack(data: bytes) -> dict[str, Any]:
-    """One packet's message; raises Foreign."""
+    """One packet's message; raises PacketError."""
     try:
         message = orjson.loads(data)
     except ValueError as fault:
-        raise Foreign(f"no message: {fault}") from fault
+        raise PacketError(f"no message: {fault}") from fault
     if not isinstance(message, dict) or not isinstance(message.get("t"), str):
-        raise Foreign("no message of this form")
+        raise PacketError("no message of this form")
     return message
 
 
-def estate_parts(estate: Estate) -> list[bytes]:
+def encode_state(estate: ProcessState) -> list[bytes]:
     """An estate as packets."""
     whole = orjson.dumps(
         {
-            "version": VERSION,
+            "version": PROTOCOL_VERSION,
             "index": estate.index,
             "endpoints": [forms.entry(endpoint) for endpoint in estate.endpoints],
             "listed": [server_name(server) for server in estate.bans.listed],
@@ -66,35 +67,40 @@
             "learned": forms.tier(estate.learned) | {"servers": [forms.server(row) for row in estate.learned.servers]},
         }
     ).decode()
-    parts = [whole[at : at + PART] for at in range(0, len(whole), PART)]
+    parts = [whole[at : at + STATE_PART_CHARACTERS] for at in range(0, len(whole), STATE_PART_CHARACTERS)]
     return [pack({"t": "estate", "n": n, "of": len(parts), "part": part}) for n, part in enumerate(parts)]
 
 
-class Parts:
-    """Puts an estate together; raises Foreign at the first packet that does not fit."""
+class StateAssembler:
+    """Puts an estate together; raises PacketError at the first packet that does not fit."""
 
     def __init__(self) -> None:
         self._parts: list[str] = []
 
-    def add(self, message: dict[str, Any]) -> Estate | None:
+    def add(self, message: dict[str, Any]) -> ProcessState | None:
         """One more; the estate, if it was the last."""
         number, count, part = message.get("n"), message.get("of"), message.get("part")
-        fits = isinstance(count, int) and 0 < count <= PARTS_MOST and isinstance(part, str) and len(part) <= PART
+        fits = (
+            isinstance(count, int)
+            and 0 < count <= MAX_STATE_PARTS
+            and isinstance(part, str)
+            and len(part) <= STATE_PART_CHARACTERS
+        )
         if not fits or number != len(self._parts) or number >= count:
-            raise Foreign("a part of another estate")
+            raise PacketError("a part of another estate")
         assert isinstance(part, str)
         self._parts.append(part)
-        return read_estate("".join(self._parts)) if len(self._parts) == count else None
+        return decode_state("".join(self._parts)) if len(self._parts) == count else None
 
 
-def read_estate(text: str) -> Estate:
-    """An estate from its text; raises Foreign."""
+def decode_state(text: str) -> ProcessState:
+    """An estate from its text; raises PacketError."""
     try:
         raw = orjson.loads(text)
-        if raw["version"] != VERSION:
-            raise Foreign(f"an estate of version {raw['version']}")
+        if raw["version"] != PROTOCOL_VERSION:
+            raise PacketError(f"an estate of version {raw['version']}")
         learned = raw["learned"]
-        return Estate(
+        return ProcessState(
             int(raw["index"]),
             [forms.read_entry(row) for row in raw["endpoints"]],
             Bans(
@@ -107,4 +113,4 @@
             forms.read_learned(learned, learned["servers"]),
         )
     except forms.SENSELESS as fault:
-        raise Foreign(f"no estate: {fault!r}") from fault
+        raise PacketError(f"no estate: {fault!r}") from fault
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -27,7 +27,7 @@
     import socket
     from collections.abc import Callable
 
-    from lugspur.daemon.hot_restart.messages import Estate
+    from lugspur.daemon.hot_restart.messages import ProcessState
     from lugspur.observability.failures import FailedRequest
     from lugspur.observability.metrics import Figure
     from lugspur.pipe import Pipe
@@ -68,7 +68,7 @@
 class Proxy:
     """One running proxy: the decision module between callers, backends and discovery."""
 
-    def __init__(self, config: Config, estate: Estate | None = None) -> None:
+    def __init__(self, config: Config, estate: ProcessState | None = None) -> None:
         loop = asyncio.get_running_loop()
         self.others: Others | None = None  # other processes of this proxy, while there are any
         self._elsewhere: set[bytes] = set()  # ids of requests that are open there
@@ -165,12 +165,12 @@
 
     # ---- another process of the same proxy -----------------------------------------------------------
 
-    def estate(self) -> Estate:
+    def estate(self) -> ProcessState:
         """All that another process needs to go on in this one's place."""
         # Imported only here: a proxy without a second address stays lean.
-        from lugspur.daemon.hot_restart.messages import Estate
+        from lugspur.daemon.hot_restart.messages import ProcessState
 
-        return Estate(
+        return ProcessState(
             self._discovery.index,
             list(self.maintenance.told.values()),
             self.maintenance.save(),
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -12,7 +12,7 @@
 import pytest
 from loopback import HOST, soon
 
-from lugspur.daemon.hot_restart.messages import read_estate
+from lugspur.daemon.hot_restart.messages import decode_state
 from lugspur.discovery import learned as forms
 from lugspur.discovery.announce import Box
 from lugspur.discovery.maintenance import Maintenance
@@ -291,7 +291,7 @@
         "learned": orjson.loads(LEARNED_REST) | {"servers": []},
     }
     over = Maintenance()
-    over.restore(read_estate(orjson.dumps(estate).decode()).bans)
+    over.restore(decode_state(orjson.dumps(estate).decode()).bans)
     up = orjson.loads(STORED_ENTRY.replace(b"draining", b"up"))
     [banned] = over.lay(ListKind.PATCH, [forms.read_entry(up)])
     assert stored(banned) == STORED_ENTRY  # it is banned, and so it drains
--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -20,7 +20,7 @@
 import pytest
 
 from lugspur.daemon.hot_restart.keeper import Keeper
-from lugspur.daemon.hot_restart.messages import Estate, Foreign, Parts, estate_parts, read_estate
+from lugspur.daemon.hot_restart.messages import PacketError, ProcessState, StateAssembler, decode_state, encode_state
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
@@ -60,7 +60,7 @@
 BREAKER = LearnedBreaker(0.25, 0.5, ((7, 3, 2, 1),))
 RATES = ((1.0, 2.0), (3.0, 4.0), (5.0, 6.0))
 ONE, TWO = server_id("s-1"), server_id("s-2")
-STATE = Estate(
+STATE = ProcessState(
     41,
     [
         Endpoint(ServerRow(ONE, State.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 81), True),
@@ -88,7 +88,7 @@
     def __init__(self) -> None:
         self.told: list[Any] = []
 
-    def estate(self) -> Estate:
+    def estate(self) -> ProcessState:
         return STATE
 
     def hear_ban(self, server: int, on: bool, at: float) -> None:
@@ -306,16 +306,16 @@
 
 
 def test_the_state_is_read_and_written_in_this_form() -> None:
-    assert estate_parts(STATE) == [STATE_PACKET]
-    assert read_estate(STATE_TEXT) == STATE
+    assert encode_state(STATE) == [STATE_PACKET]
+    assert decode_state(STATE_TEXT) == STATE
 
 
 @pytest.mark.parametrize("key", list(orjson.loads(STATE_TEXT)))
 def test_a_state_that_lacks_a_key_is_not_understood(key: str) -> None:
     state = orjson.loads(STATE_TEXT)
     del state[key]
-    with pytest.raises(Foreign):
-        read_estate(orjson.dumps(state).decode())
+    with pytest.raises(PacketError):
+        decode_state(orjson.dumps(state).decode())
 
 
 # ---- bounds --------------------------------------------------------------------------------------
@@ -323,7 +323,7 @@
 
 def test_the_state_is_split_into_parts_of_12288_characters() -> None:
     text = STATE_TEXT.replace('"open":["id1","id2"]', '"open":["' + "x" * 30_000 + '"]')
-    packets = estate_parts(read_estate(text))
+    packets = encode_state(decode_state(text))
     parts = [text[at : at + 12288] for at in range(0, len(text), 12288)]
     assert packets == [
         f'{{"t":"estate","n":{number},"of":3,"part":'.encode() + orjson.dumps(part) + b"}"
@@ -335,10 +335,10 @@
 def test_up_to_512_parts_of_up_to_12288_characters_are_read(count: int, size: int, fits: bool) -> None:
     first = {"t": "estate", "n": 0, "of": count, "part": "x" * size}
     if fits:
-        assert Parts().add(first) is None
+        assert StateAssembler().add(first) is None
         return
-    with pytest.raises(Foreign):
-        Parts().add(first)
+    with pytest.raises(PacketError):
+        StateAssembler().add(first)
 
 
 @pytest.mark.parametrize(("size", "fits"), [(49152, True), (49153, False)])
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -15,7 +15,14 @@
 
 from lugspur.daemon.hot_restart import keeper as keepers
 from lugspur.daemon.hot_restart.keeper import Keeper, place, short
-from lugspur.daemon.hot_restart.messages import PACKET_MOST, VERSION, Estate, estate_parts, pack, unpack
+from lugspur.daemon.hot_restart.messages import (
+    MAX_PACKET_BYTES,
+    PROTOCOL_VERSION,
+    ProcessState,
+    encode_state,
+    pack,
+    unpack,
+)
 from lugspur.discovery.maintenance import Bans
 from lugspur.load_balancing.model import Learned
 
@@ -46,7 +53,7 @@
         """The process that comes, once it has said hello."""
         one, _ = self._sock.accept()
         one.settimeout(20.0)
-        assert unpack(one.recv(PACKET_MOST)) == {"t": "hello", "version": VERSION}
+        assert unpack(one.recv(MAX_PACKET_BYTES)) == {"t": "hello", "version": PROTOCOL_VERSION}
         return one
 
 
@@ -69,8 +76,8 @@
     return asyncio.run(play())
 
 
-ESTATE = Estate(1, [], Bans([], [], {}), False, [], Learned((), (), 0.0, 0.0, 0))
-PARTS = estate_parts(ESTATE)
+ESTATE = ProcessState(1, [], Bans([], [], {}), False, [], Learned((), (), 0.0, 0.0, 0))
+PARTS = encode_state(ESTATE)
 NEWER = [part.replace(b'\\"version\\":1', b'\\"version\\":9') for part in PARTS]
 
 
@@ -97,7 +104,7 @@
     [
         lambda one: one.close(),
         lambda one: one.send(b"nonsense"),
-        lambda one: one.send(b"x" * (PACKET_MOST + 5000)),
+        lambda one: one.send(b"x" * (MAX_PACKET_BYTES + 5000)),
         lambda one: one.send(pack({"t": "no", "why": "another version"})),
         lambda one: one.send(PARTS[0]),  # whole, and no socket comes with it
         lambda one: one.send(pack({"t": "estate", "n": 3, "of": 9, "part": ""})),
@@ -112,7 +119,7 @@
 
 
 def test_one_that_says_nothing_or_half_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keepers, "WITHIN", 0.1)
+    monkeypatch.setattr(keepers, "STATE_TRANSFER_TIMEOUT_SECONDS", 0.1)
     half = pack({"t": "estate", "n": 0, "of": 2, "part": "{"})
     assert took(lambda one: None) == (False, 0)
     assert took_again(lambda one: one.send(half)) == (False, 0)
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 
 from lugspur.daemon.hot_restart.messages import (
-    PACKET_MOST,
-    PARTS_MOST,
-    Estate,
-    Foreign,
-    Parts,
-    estate_parts,
-    read_estate,
+    MAX_PACKET_BYTES,
+    MAX_STATE_PARTS,
+    PacketError,
+    ProcessState,
+    StateAssembler,
+    decode_state,
+    encode_state,
     unpack,
 )
 from lugspur.discovery.maintenance import Bans
@@ -43,7 +43,7 @@
 LEARNED = learned()
 
 
-def estate(names: list[str], **changed: Any) -> Estate:
+def estate(names: list[str], **changed: Any) -> ProcessState:
     servers = [server_id(name) for name in names]
     rows = [
         Endpoint(ServerRow(server, State.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 80 + n), n % 2 == 1)
@@ -57,11 +57,11 @@
         "open": [b"id1", b"id2"],
         "learned": LEARNED,
     }
-    return Estate(**(values | changed))
+    return ProcessState(**(values | changed))
 
 
-def together(packets: list[bytes]) -> Estate | None:
-    parts, whole = Parts(), None
+def together(packets: list[bytes]) -> ProcessState | None:
+    parts, whole = StateAssembler(), None
     for packet in packets:
         assert whole is None
         whole = parts.add(unpack(packet))
@@ -72,21 +72,21 @@
 @settings(deadline=None)  # a loaded machine is no fault
 def test_an_estate_arrives_as_it_was(names: list[str]) -> None:
     sent = estate(names)
-    packets = estate_parts(sent)
+    packets = encode_state(sent)
     assert together(packets) == sent
-    assert all(len(packet) <= PACKET_MOST for packet in packets)
+    assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
     assert [server_name(server_id(name)) for name in names] == names
 
 
 def test_the_largest_estate_fits_its_bounds() -> None:
     names = [f"backend-of-a-long-name-{n:020}" for n in range(16_384)]
-    packets = estate_parts(estate(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
-    assert len(packets) <= PARTS_MOST
-    assert all(len(packet) <= PACKET_MOST for packet in packets)
+    packets = encode_state(estate(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
+    assert len(packets) <= MAX_STATE_PARTS
+    assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
 
 
 def spoilt(change: dict[str, Any]) -> str:
-    text = "".join(unpack(packet)["part"] for packet in estate_parts(estate(["a", "b"])))
+    text = "".join(unpack(packet)["part"] for packet in encode_state(estate(["a", "b"])))
     return orjson.dumps(orjson.loads(text) | change).decode()
 
 
@@ -106,8 +106,8 @@
     ],
 )
 def test_an_estate_that_makes_no_sense_is_foreign(change: dict[str, Any]) -> None:
-    with pytest.raises(Foreign):
-        read_estate(spoilt(change))
+    with pytest.raises(PacketError):
+        decode_state(spoilt(change))
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
     [
         {},
         {"n": 1, "of": 2, "part": ""},
-        {"n": 0, "of": PARTS_MOST + 1, "part": ""},
+        {"n": 0, "of": MAX_STATE_PARTS + 1, "part": ""},
         {"n": 0, "of": 1, "part": 5},
         {"n": 0, "of": 1, "part": "x" * (1 << 20)},
         {"n": 0, "of": 0, "part": ""},
@@ -125,14 +125,14 @@
     ],
 )
 def test_parts_that_do_not_fit_are_foreign(message: dict[str, Any]) -> None:
-    with pytest.raises(Foreign):
-        Parts().add(message)
+    with pytest.raises(PacketError):
+        StateAssembler().add(message)
 
 
 @given(st.binary(max_size=200) | st.sampled_from([b"[]", b"{}", b'{"t":1}']))
 @settings(deadline=None)  # a loaded machine is no fault
 def test_noise_is_foreign(noise: bytes) -> None:
-    with pytest.raises(Foreign):
+    with pytest.raises(PacketError):
         unpack(noise)
 
 
