--- a/lugspur/daemon/hot_restart/keeper.py
+++ b/lugspur/daemon/hot_restart/keeper.py
@@ -34,31 +34,31 @@
 MAX_EARLY_MESSAGES = 1024  # messages that are kept until this process serves: some hundreds a second for some 0.1 s
 
 
-class Handed(Protocol):
+class RestartableProxy(Protocol):
     """A proxy, as far as the other process has to do with it."""
 
-    def estate(self) -> ProcessState:
+    def snapshot_state(self) -> ProcessState:
         """All that another needs to go on in its place."""
 
-    def hear_ban(self, server: int, on: bool, at: float) -> None:
+    def apply_peer_ban(self, server: int, on: bool, at: float) -> None:
         """The other process was told so."""
 
-    def hear_drain(self, on: bool) -> None:
+    def apply_peer_drain(self, on: bool) -> None:
         """The other process was told so."""
 
-    def hear_ids(self, begun: list[bytes], done: list[bytes]) -> None:
+    def apply_peer_requests(self, begun: list[bytes], done: list[bytes]) -> None:
         """Requests at the other process."""
 
-    def forget_ids(self) -> None:
+    def forget_peer_requests(self) -> None:
         """The other process has ended, and its requests with it."""
 
-    def succeeded(self, on: bool) -> None:
+    def set_superseded(self, on: bool) -> None:
         """Another process serves in its place from now on, or does no more."""
 
-    def alone(self) -> None:
+    def detach_peers(self) -> None:
         """No other process of this proxy is left."""
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         """A caller's connection comes from the other process."""
 
 
@@ -82,35 +82,35 @@
         os.close(fd)
 
 
-class Inheritance:
+class Takeover:
     """What a starting process got: the listening socket and the estate, if any process was there."""
 
-    def __init__(self, listener: socket.socket, estate: ProcessState) -> None:
-        self.listener, self.estate = listener, estate
+    def __init__(self, listener: socket.socket, state: ProcessState) -> None:
+        self.listener, self.state = listener, state
 
 
-class Keeper:
+class HotRestart:
     """This process's links to the others of the same proxy."""
 
     def __init__(self, address: Address) -> None:
         self._folder, self._name = place(address)
         self._loop = asyncio.get_running_loop()
-        self._proxy: Handed | None = None
+        self._proxy: RestartableProxy | None = None
         self._listener: socket.socket | None = None  # the clients'
         self._sock: socket.socket | None = None  # where the next process finds this one
         self._own = (0, 0)  # the file that this process has put there
         self.links: dict[Link, None] = {}
         self.predecessor: Link | None = None
-        self.heir: Link | None = None  # the process that serves in this one's place
+        self.successor: Link | None = None  # the process that serves in this one's place
         self._ids: tuple[list[bytes], list[bytes]] = ([], [])
         self._early: list[tuple[dict[str, Any], list[int]]] = []  # heard before there was a proxy
-        self._waiting: asyncio.Future[Inheritance] | None = None
+        self._waiting: asyncio.Future[Takeover] | None = None
         self._parts = StateAssembler()
         self._closing = False
 
     # ---- as the process that comes -----------------------------------------------------------
 
-    async def take(self) -> Inheritance | None:
+    async def take_over(self) -> Takeover | None:
         """Ask the process that serves for its place; None where there is none, or nothing whole comes in time."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
@@ -146,7 +146,7 @@
                 return
             if len(fds) != 1:
                 raise PacketError("no listening socket came")
-            waiting.set_result(Inheritance(socket.socket(fileno=fds.pop()), estate))
+            waiting.set_result(Takeover(socket.socket(fileno=fds.pop()), estate))
         except PacketError as fault:
             if waiting is not None and not waiting.done():
                 waiting.set_exception(fault)
@@ -156,16 +156,16 @@
 
     # ---- as the process that serves ------------------------------------------------------------
 
-    def serve(self, proxy: Handed, listener: socket.socket) -> None:
+    def attach(self, proxy: RestartableProxy, listener: socket.socket) -> None:
         """There is a proxy from here on."""
         self._proxy, self._listener = proxy, listener
         early, self._early = self._early, []
         for message, fds in early:
             self._act(message, fds)
         if self.predecessor is None or not self.predecessor.open:
-            proxy.alone()
+            proxy.detach_peers()
 
-    def ready(self) -> None:
+    def announce_ready(self) -> None:
         """Clients are taken: tell the process before, and be found by the next."""
         if self.predecessor is not None:
             self.predecessor.send({"t": "ready"})
@@ -227,7 +227,7 @@
         if message.get("version") != PROTOCOL_VERSION or self._proxy is None or self._listener is None:
             link.send({"t": "no", "why": f"this process speaks version {PROTOCOL_VERSION}"})
             return
-        parts = encode_state(self._proxy.estate())
+        parts = encode_state(self._proxy.snapshot_state())
         for part in parts[:-1]:
             link.send(part)
         link.send(parts[-1], self._listener.fileno())
@@ -244,10 +244,10 @@
         elif kind == "hello":
             self._hand_over(link, message)
         elif kind == "ready":
-            self.heir = link
+            self.successor = link
             said("another process serves in the place of this one")
             if self._proxy is not None:
-                self._proxy.succeeded(True)
+                self._proxy.set_superseded(True)
         elif self._proxy is None:
             if len(self._early) >= MAX_EARLY_MESSAGES:
                 raise PacketError("too much before this process serves")
@@ -267,13 +267,15 @@
         assert proxy is not None
         try:
             if kind == "ban":
-                proxy.hear_ban(server_id(message["id"]), bool(message["on"]), float(message["at"]))
+                proxy.apply_peer_ban(server_id(message["id"]), bool(message["on"]), float(message["at"]))
             elif kind == "drain":
-                proxy.hear_drain(bool(message["on"]))
+                proxy.apply_peer_drain(bool(message["on"]))
             elif kind == "ids":
-                proxy.hear_ids([name.encode() for name in message["begun"]], [n.encode() for n in message["done"]])
+                proxy.apply_peer_requests(
+                    [name.encode() for name in message["begun"]], [n.encode() for n in message["done"]]
+                )
             elif kind == "caller" and len(fds) == 1:
-                proxy.adopt(socket.socket(fileno=fds.pop()))
+                proxy.adopt_connection(socket.socket(fileno=fds.pop()))
         except (KeyError, TypeError, ValueError, AttributeError) as fault:
             raise PacketError(f"no message of this form: {fault!r}") from fault
         finally:
@@ -289,36 +291,36 @@
             if self._waiting is not None and not self._waiting.done():
                 self._waiting.set_exception(PacketError("the process that serves has ended"))
             if self._proxy is not None:
-                self._proxy.forget_ids()
-        if link is self.heir:
-            self.heir = None
+                self._proxy.forget_peer_requests()
+        if link is self.successor:
+            self.successor = None
             said("the process that was to follow has ended; this one serves on")
             if self._proxy is not None:
-                self._proxy.succeeded(False)
+                self._proxy.set_superseded(False)
                 self._be_found()
         if not self.links and self._proxy is not None:
-            self._proxy.alone()
+            self._proxy.detach_peers()
 
     # ---- what this process says ----------------------------------------------------------------
 
-    def say(self, message: dict[str, Any]) -> None:
+    def broadcast(self, message: dict[str, Any]) -> None:
         """Tell all others at once."""
         for link in tuple(self.links):
             link.send(message)
 
-    def ban(self, server: int, on: bool, at: float) -> None:
+    def broadcast_ban(self, server: int, on: bool, at: float) -> None:
         """An operator told this process."""
-        self.say({"t": "ban", "id": server_name(server), "on": on, "at": at})
+        self.broadcast({"t": "ban", "id": server_name(server), "on": on, "at": at})
 
-    def drain(self, on: bool) -> None:
+    def broadcast_drain(self, on: bool) -> None:
         """An operator told this process."""
-        self.say({"t": "drain", "on": on})
+        self.broadcast({"t": "drain", "on": on})
 
-    def began(self, name: bytes) -> None:
+    def request_started(self, name: bytes) -> None:
         """A request with this id is open here."""
         self._id(0, name)
 
-    def done(self, name: bytes) -> None:
+    def request_finished(self, name: bytes) -> None:
         """Nothing is owed for it any more."""
         self._id(1, name)
 
@@ -333,7 +335,7 @@
         begun, done = self._ids
         self._ids = ([], [])
         for at in range(0, max(len(begun), len(done)), MAX_IDS_PER_PACKET):
-            self.say(
+            self.broadcast(
                 {
                     "t": "ids",
                     "begun": [name.decode() for name in begun[at : at + MAX_IDS_PER_PACKET]],
@@ -341,20 +343,20 @@
                 }
             )
 
-    def followed(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether another process serves in this one's place, as of what has come by now."""
         for link in tuple(self.links):
             link.pump()
-        return self.heir is not None
+        return self.successor is not None
 
-    def pass_on(self, fd: int) -> bool:
+    def transfer_connection(self, fd: int) -> bool:
         """Give a caller's connection to the process that follows."""
-        return self.heir is not None and self.heir.send({"t": "caller"}, fd)
+        return self.successor is not None and self.successor.send({"t": "caller"}, fd)
 
     @property
-    def owes(self) -> bool:
+    def has_unsent_transfers(self) -> bool:
         """Whether a caller's connection has not gone out yet to the process that follows."""
-        return self.heir is not None and self.heir.owes
+        return self.successor is not None and self.successor.has_unsent_packets
 
     def close(self) -> None:
         """This process ends."""
--- a/lugspur/daemon/hot_restart/link.py
+++ b/lugspur/daemon/hot_restart/link.py
@@ -57,7 +57,7 @@
         return True
 
     @property
-    def owes(self) -> bool:
+    def has_unsent_packets(self) -> bool:
         """Whether something has not gone out yet."""
         return bool(self._queue)
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -49,19 +49,19 @@
 ELSEWHERE_MOST = 65_536  # ids of requests that are open at another process of this proxy
 
 
-class Others(Protocol):
+class PeerProcesses(Protocol):
     """Other processes of this proxy, which are told what binds all."""
 
-    def ban(self, server: int, on: bool, at: float) -> None:
+    def broadcast_ban(self, server: int, on: bool, at: float) -> None:
         """An operator told this process."""
 
-    def drain(self, on: bool) -> None:
+    def broadcast_drain(self, on: bool) -> None:
         """An operator told this process."""
 
-    def began(self, name: bytes) -> None:
+    def request_started(self, name: bytes) -> None:
         """A request with this id is open here."""
 
-    def done(self, name: bytes) -> None:
+    def request_finished(self, name: bytes) -> None:
         """Nothing is owed for it any more."""
 
 
@@ -70,7 +70,7 @@
 
     def __init__(self, config: Config, estate: ProcessState | None = None) -> None:
         loop = asyncio.get_running_loop()
-        self.others: Others | None = None  # other processes of this proxy, while there are any
+        self.peers: PeerProcesses | None = None  # other processes of this proxy, while there are any
         self._elsewhere: set[bytes] = set()  # ids of requests that are open there
         self._arrivals: set[asyncio.Task[object]] = set()
         self.taken_up: Callable[[], None] | None = None  # told once clients are taken
@@ -165,7 +165,7 @@
 
     # ---- another process of the same proxy -----------------------------------------------------------
 
-    def estate(self) -> ProcessState:
+    def snapshot_state(self) -> ProcessState:
         """All that another process needs to go on in this one's place."""
         # Imported only here: a proxy without a second address stays lean.
         from lugspur.daemon.hot_restart.messages import ProcessState
@@ -179,45 +179,45 @@
             self.pool.balancer.learned(),
         )
 
-    def inherit(self) -> None:
+    def accept_transferred_list(self) -> None:
         """The list that came from the process before is as good as told."""
         self._loaded()
 
-    def hear_ban(self, server: int, on: bool, at: float) -> None:
+    def apply_peer_ban(self, server: int, on: bool, at: float) -> None:
         """Another process was told so."""
         if on:
             self._patch(self.maintenance.disable(server))
         else:
             self._enable(server, at)
 
-    def hear_drain(self, on: bool) -> None:
+    def apply_peer_drain(self, on: bool) -> None:
         """Another process was told so."""
         if on:
             self.front.drain()
         else:
             self.front.undrain()
 
-    def hear_ids(self, begun: list[bytes], done: list[bytes]) -> None:
+    def apply_peer_requests(self, begun: list[bytes], done: list[bytes]) -> None:
         """Requests that are open at another process, and that are no more."""
         if len(self._elsewhere) + len(begun) <= ELSEWHERE_MOST:
             self._elsewhere.update(begun)
         self._elsewhere.difference_update(done)
 
-    def forget_ids(self) -> None:
+    def forget_peer_requests(self) -> None:
         """The other process has ended, and its requests with it."""
         self._elsewhere.clear()
 
-    def succeeded(self, on: bool) -> None:
+    def set_superseded(self, on: bool) -> None:
         """Another process serves in this one's place, or does no more: cold servers have one budget, sockets one."""
         self.pool.balancer.retire(on)
         self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
 
-    def beside(self, others: Others) -> None:
+    def attach_peers(self, peers: PeerProcesses) -> None:
         """Another process may be there: tell it what binds both, and leave it its part."""
-        self.others = others
+        self.peers = peers
         self._sockets.reset(self._sockets_most // 2, {})
 
-    def alone(self) -> None:
+    def detach_peers(self) -> None:
         """No other process of this proxy is left."""
         self._elsewhere.clear()
         self._sockets.reset(self._sockets_most, {})
@@ -227,7 +227,7 @@
         """Whether connections of another process are about to become callers."""
         return bool(self._arrivals)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         """Go on with a caller's connection that another process had."""
         sock.setblocking(False)
         task = self._loop.create_task(self._loop.connect_accepted_socket(lambda: Caller(self.front, used=True), sock))
@@ -247,8 +247,8 @@
         if not self.maintenance.known(server):
             return False
         self._patch(self.maintenance.disable(server))
-        if self.others is not None:
-            self.others.ban(server, True, self.pool.now())
+        if self.peers is not None:
+            self.peers.broadcast_ban(server, True, self.pool.now())
         return True
 
     def enable(self, name: str) -> bool:
@@ -258,21 +258,21 @@
             return False
         now = self.pool.now()
         self._enable(server, now)
-        if self.others is not None:
-            self.others.ban(server, False, now)
+        if self.peers is not None:
+            self.peers.broadcast_ban(server, False, now)
         return True
 
     def drain(self) -> None:
         """Send clients away; the process stays."""
         self.front.drain()
-        if self.others is not None:
-            self.others.drain(True)
+        if self.peers is not None:
+            self.peers.broadcast_drain(True)
 
     def undrain(self) -> None:
         """Take clients again."""
         self.front.undrain()
-        if self.others is not None:
-            self.others.drain(False)
+        if self.peers is not None:
+            self.peers.broadcast_drain(False)
 
     def figures(self) -> list[Figure]:
         """What this process counts."""
@@ -315,8 +315,8 @@
         if name in self._open or name in self._elsewhere:
             raise Rejected(409, "a request with this id is open")
         self._open.add(name)
-        if self.others is not None:
-            self.others.began(name)
+        if self.peers is not None:
+            self.peers.request_started(name)
         # A request's time counts from its last byte.
         deadline = request.ended + facts.timeout - ANSWER_EARLY
         stream = request.stream
@@ -393,8 +393,8 @@
         """Its id may come again."""
         name = call.request.headers[b"x-request-id"]
         self._open.discard(name)
-        if self.others is not None:
-            self.others.done(name)
+        if self.peers is not None:
+            self.peers.request_finished(name)
 
 
 def fits(request: Request, repeat: Repeat) -> bool:
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -17,7 +17,7 @@
 from lugspur.http1.front import Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.hot_restart.keeper import Inheritance, Keeper
+    from lugspur.daemon.hot_restart.keeper import HotRestart, Takeover
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
@@ -34,15 +34,15 @@
     told = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
-    keeper: Keeper | None = None
-    inherited: Inheritance | None = None
+    hot_restart: HotRestart | None = None
+    takeover: Takeover | None = None
     if config.management is not None:
         # Imported only here: a proxy without a second address stays lean, and alone under its address.
-        from lugspur.daemon.hot_restart.keeper import Keeper
+        from lugspur.daemon.hot_restart.keeper import HotRestart
 
-        keeper = Keeper(config.listen)
-        inherited = await keeper.take()
-    proxy = Proxy(config, None if inherited is None else inherited.estate)
+        hot_restart = HotRestart(config.listen)
+        takeover = await hot_restart.take_over()
+    proxy = Proxy(config, None if takeover is None else takeover.state)
     front = proxy.front
     reloads.carry_out(loop, lambda: reload(proxy))
     if config.management is not None:
@@ -54,23 +54,23 @@
             await door.open()
         except OSError as fault:
             raise StartError(f"management {config.management[0]}:{config.management[1]}: {fault}") from fault
-    listener = await front.listen(None if inherited is None else inherited.listener, keeper is not None)
-    if keeper is not None:
-        proxy.taken_up = keeper.ready
-        proxy.beside(keeper)
-        keeper.serve(proxy, listener)
-    if inherited is not None:
-        proxy.inherit()
+    listener = await front.listen(None if takeover is None else takeover.listener, hot_restart is not None)
+    if hot_restart is not None:
+        proxy.taken_up = hot_restart.announce_ready
+        proxy.attach_peers(hot_restart)
+        hot_restart.attach(proxy, listener)
+    if takeover is not None:
+        proxy.accept_transferred_list()
     proxy.begin()
     gc.collect()
     gc.freeze()
     await told.wait()
-    if keeper is not None and keeper.followed():
-        await hand_over(proxy, listener, keeper)
+    if hot_restart is not None and hot_restart.has_successor():
+        await transfer_connections(proxy, listener, hot_restart)
     else:
         await drain(front, listener)
-    if keeper is not None:
-        keeper.close()
+    if hot_restart is not None:
+        hot_restart.close()
 
 
 def reload(proxy: Proxy) -> None:
@@ -83,16 +83,16 @@
         print(f"lugspur: reload: {fault}; the former settings stay", file=sys.stderr, flush=True)
 
 
-async def hand_over(proxy: Proxy, listener: socket.socket, keeper: Keeper) -> None:
+async def transfer_connections(proxy: Proxy, listener: socket.socket, hot_restart: HotRestart) -> None:
     """Another process serves already: finish what is open here, and give it every caller."""
     front = proxy.front
     front.serving = False
     # Not closed: should the other process end, this one has to serve on.
     asyncio.get_running_loop().remove_reader(listener.fileno())
-    front.pass_all(keeper.pass_on)
+    front.pass_all(hot_restart.transfer_connection)
     await asyncio.sleep(CLOSE_AFTER)  # what has just been accepted becomes a caller
-    while front.callers or proxy.arriving or keeper.owes:
-        if keeper.heir is None:
+    while front.callers or proxy.arriving or hot_restart.has_unsent_transfers:
+        if hot_restart.successor is None:
             front.pass_to = None
             await front.listen(listener)
             await drain(front, listener)
--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -19,7 +19,7 @@
 import orjson
 import pytest
 
-from lugspur.daemon.hot_restart.keeper import Keeper
+from lugspur.daemon.hot_restart.keeper import HotRestart
 from lugspur.daemon.hot_restart.messages import PacketError, ProcessState, StateAssembler, decode_state, encode_state
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id
@@ -83,33 +83,33 @@
 
 
 class Proxy:
-    """The proxy behind a keeper: what it is told, in order. Its methods are called by the code under test alone."""
+    """A proxy that records what it is told, in order; the code under test alone calls its methods."""
 
     def __init__(self) -> None:
         self.told: list[Any] = []
 
-    def estate(self) -> ProcessState:
+    def snapshot_state(self) -> ProcessState:
         return STATE
 
-    def hear_ban(self, server: int, on: bool, at: float) -> None:
+    def apply_peer_ban(self, server: int, on: bool, at: float) -> None:
         self.told.append(("ban", server, on, at))
 
-    def hear_drain(self, on: bool) -> None:
+    def apply_peer_drain(self, on: bool) -> None:
         self.told.append(("drain", on))
 
-    def hear_ids(self, begun: list[bytes], done: list[bytes]) -> None:
+    def apply_peer_requests(self, begun: list[bytes], done: list[bytes]) -> None:
         self.told.append(("ids", begun, done))
 
-    def forget_ids(self) -> None:
+    def forget_peer_requests(self) -> None:
         self.told.append("forget ids")
 
-    def succeeded(self, on: bool) -> None:
+    def set_superseded(self, on: bool) -> None:
         self.told.append(("succeeded", on))
 
-    def alone(self) -> None:
+    def detach_peers(self) -> None:
         self.told.append("alone")
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         self.told.append(("caller", sock.getsockname()))
         sock.close()
 
@@ -150,47 +150,47 @@
             await asyncio.sleep(0.005)
 
 
-def as_predecessor(directory: Path, play: Callable[[Keeper, Proxy, socket.socket], Awaitable[None]]) -> None:
+def as_predecessor(directory: Path, play: Callable[[HotRestart, Proxy, socket.socket], Awaitable[None]]) -> None:
     """Play against a process that serves; the other process comes to take its place."""
 
     async def run() -> None:
-        keeper, proxy = Keeper(ADDRESS), Proxy()
+        hot_restart, proxy = HotRestart(ADDRESS), Proxy()
         with socket.create_server(("127.0.0.1", 0)) as listener, other_process() as other:
-            keeper.serve(proxy, listener)
-            keeper.ready()
+            hot_restart.attach(proxy, listener)
+            hot_restart.announce_ready()
             with short_path(directory) as path:
                 other.connect(path)
-            await until(lambda: len(keeper.links) == 1)
+            await until(lambda: len(hot_restart.links) == 1)
             proxy.told.clear()
-            await play(keeper, proxy, other)
-            keeper.close()
+            await play(hot_restart, proxy, other)
+            hot_restart.close()
 
     asyncio.run(run())
 
 
-def as_successor(directory: Path, play: Callable[[Keeper, Proxy, socket.socket], Awaitable[None]]) -> None:
+def as_successor(directory: Path, play: Callable[[HotRestart, Proxy, socket.socket], Awaitable[None]]) -> None:
     """Play against a process that comes, once the other process has said its state and sent its listening socket."""
 
     async def run() -> None:
-        keeper, proxy = Keeper(ADDRESS), Proxy()
+        hot_restart, proxy = HotRestart(ADDRESS), Proxy()
         with other_process() as serving, socket.create_server(("127.0.0.1", 0)) as listener:
             with short_path(directory) as path:
                 serving.bind(path)
             serving.listen()
-            taking = asyncio.create_task(keeper.take())
+            taking = asyncio.create_task(hot_restart.take_over())
             other, _ = await asyncio.to_thread(serving.accept)
             other.settimeout(WITHIN_SECONDS)
             with other:
                 assert await packet(other) == HELLO
                 socket.send_fds(other, [STATE_PACKET], [listener.fileno()])
                 taken = await asyncio.wait_for(taking, WITHIN_SECONDS)
-                assert taken is not None and taken.estate == STATE
+                assert taken is not None and taken.state == STATE
                 with taken.listener:
                     assert taken.listener.getsockname() == listener.getsockname()
-                    keeper.serve(proxy, taken.listener)
-                    keeper.ready()
-                    await play(keeper, proxy, other)
-                    keeper.close()
+                    hot_restart.attach(proxy, taken.listener)
+                    hot_restart.announce_ready()
+                    await play(hot_restart, proxy, other)
+                    hot_restart.close()
 
     asyncio.run(run())
 
@@ -199,7 +199,7 @@
 
 
 def test_a_hello_is_answered_by_the_state_with_the_listening_socket(directory: Path) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         other.send(HELLO)
         data, fds, _, _ = await asyncio.to_thread(socket.recv_fds, other, 1 << 20, 4)
         assert data == STATE_PACKET and len(fds) == 1
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("hello", [b'{"t":"hello","version":2}', b'{"t":"hello"}'])
 def test_a_hello_of_another_version_is_answered_by_the_own_version(directory: Path, hello: bytes) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         other.send(hello)
         assert await packet(other) == ANOTHER_VERSION
 
@@ -219,14 +219,14 @@
 
 
 def test_bans_drains_and_ids_of_requests_are_sent_in_this_form(directory: Path) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
-        keeper.ban(ONE, True, 7.5)
-        keeper.ban(ONE, False, 8.25)
-        keeper.drain(True)
-        keeper.drain(False)
-        keeper.began(b"id1")
-        keeper.done(b"id0")
-        keeper.began(b"id2")
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
+        hot_restart.broadcast_ban(ONE, True, 7.5)
+        hot_restart.broadcast_ban(ONE, False, 8.25)
+        hot_restart.broadcast_drain(True)
+        hot_restart.broadcast_drain(False)
+        hot_restart.request_started(b"id1")
+        hot_restart.request_finished(b"id0")
+        hot_restart.request_started(b"id2")
         sent = [await packet(other) for _ in range(5)]
         assert sent == [BAN, END_OF_BAN, DRAIN, END_OF_DRAIN, IDS]
 
@@ -234,10 +234,10 @@
 
 
 def test_at_most_64_ids_begun_and_64_done_are_sent_in_one_packet(directory: Path) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         for number in range(65):
-            keeper.began(b"%d" % number)
-        keeper.done(b"x")
+            hot_restart.request_started(b"%d" % number)
+        hot_restart.request_finished(b"x")
         first, second = await packet(other), await packet(other)
         begun = ",".join(f'"{number}"' for number in range(64))
         assert first == f'{{"t":"ids","begun":[{begun}],"done":["x"]}}'.encode()
@@ -247,12 +247,12 @@
 
 
 def test_the_connection_of_a_caller_goes_to_the_process_that_has_said_ready(directory: Path) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         with socket.create_server(("127.0.0.1", 0)) as caller:
-            assert not keeper.pass_on(caller.fileno())
+            assert not hot_restart.transfer_connection(caller.fileno())
             other.send(READY)
-            await until(keeper.followed)
-            assert keeper.pass_on(caller.fileno())
+            await until(hot_restart.has_successor)
+            assert hot_restart.transfer_connection(caller.fileno())
             data, fds, _, _ = await asyncio.to_thread(socket.recv_fds, other, 1 << 20, 4)
             assert data == CALLER and len(fds) == 1
             with socket.socket(fileno=fds[0]) as passed:
@@ -266,7 +266,7 @@
 
 
 def test_a_process_that_comes_says_hello_and_then_ready(directory: Path) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         assert await packet(other) == READY
         assert (directory / SOCKET_NAME).is_socket()
 
@@ -286,7 +286,7 @@
 
 @pytest.mark.parametrize("role", [as_predecessor, as_successor])
 def test_bans_drains_and_ids_of_requests_are_read_in_this_form(directory: Path, role: Callable[..., None]) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         for data, _ in READ:
             other.send(data)
         await until(lambda: len(proxy.told) == len(READ))
@@ -296,7 +296,7 @@
 
 
 def test_the_connection_of_a_caller_is_read_with_its_descriptor(directory: Path) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         with socket.create_server(("127.0.0.1", 0)) as caller:
             socket.send_fds(other, [CALLER], [caller.fileno()])
             await until(lambda: bool(proxy.told))
@@ -343,7 +343,7 @@
 
 @pytest.mark.parametrize(("size", "fits"), [(49152, True), (49153, False)])
 def test_a_packet_of_up_to_49152_bytes_is_read(directory: Path, size: int, fits: bool) -> None:
-    async def play(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def play(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         other.send(DRAIN + b" " * (size - len(DRAIN)))
         await until(lambda: bool(proxy.told))
         assert proxy.told[0] == (("drain", True) if fits else "alone")
@@ -355,13 +355,13 @@
 
 
 def test_operators_read_these_lines(directory: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    async def serving(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def serving(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         other.send(READY)
-        await until(keeper.followed)
+        await until(hot_restart.has_successor)
         other.close()
         await until(lambda: ("succeeded", False) in proxy.told)
 
-    async def coming(keeper: Keeper, proxy: Proxy, other: socket.socket) -> None:
+    async def coming(hot_restart: HotRestart, proxy: Proxy, other: socket.socket) -> None:
         assert await packet(other) == READY
 
     as_predecessor(directory, serving)
@@ -388,17 +388,17 @@
     directory: Path, answer: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def run() -> None:
-        keeper = Keeper(ADDRESS)
+        hot_restart = HotRestart(ADDRESS)
         with other_process() as serving:
             with short_path(directory) as path:
                 serving.bind(path)
             serving.listen()
-            taking = asyncio.create_task(keeper.take())
+            taking = asyncio.create_task(hot_restart.take_over())
             other, _ = await asyncio.to_thread(serving.accept)
             with other:
                 other.send(answer)
                 assert await asyncio.wait_for(taking, WITHIN_SECONDS) is None
-        keeper.close()
+        hot_restart.close()
 
     asyncio.run(run())
     assert capsys.readouterr().err.splitlines() == [f"lugspur: replacement: {REFUSALS[answer]}"]
--- a/tests/handover/test_hand_over.py
+++ b/tests/handover/test_hand_over.py
@@ -9,7 +9,7 @@
 
 from loopback import soon
 
-from lugspur.daemon.service import hand_over
+from lugspur.daemon.service import transfer_connections
 
 
 class Front:
@@ -31,26 +31,26 @@
         self.front, self.arriving = Front(), 0
 
 
-class Keeper:
-    """The link to the process that follows; `owes`: a caller's connection waits for it to read."""
+class HotRestart:
+    """The link to the process that follows; `has_unsent_transfers`: a caller's connection waits for it to read."""
 
-    heir: Any = "the process that follows"
-    owes = True
+    successor: Any = "the process that follows"
+    has_unsent_transfers = True
 
-    def pass_on(self, fd: int) -> bool:
+    def transfer_connection(self, fd: int) -> bool:
         return True
 
 
 def test_a_process_does_not_end_before_what_it_has_queued_for_its_heir_is_out() -> None:
     async def play() -> None:
-        proxy, keeper, listener = Proxy(), Keeper(), socket.create_server(("127.0.0.1", 0))
+        proxy, hot_restart, listener = Proxy(), HotRestart(), socket.create_server(("127.0.0.1", 0))
         asyncio.get_running_loop().add_reader(listener.fileno(), lambda: None)
-        ending = asyncio.create_task(hand_over(proxy, listener, keeper))  # type: ignore[arg-type]
+        ending = asyncio.create_task(transfer_connections(proxy, listener, hot_restart))  # type: ignore[arg-type]
         for _ in range(10):  # by far longer than it takes where nothing is owed
             await asyncio.sleep(0.02)
             assert not ending.done()
-        assert not proxy.front.serving and proxy.front.passes == keeper.pass_on
-        keeper.owes = False
+        assert not proxy.front.serving and proxy.front.passes == hot_restart.transfer_connection
+        hot_restart.has_unsent_transfers = False
         await soon(ending)
         listener.close()
 
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -14,7 +14,7 @@
 from loopback import HOST, OK, Running, backend, entry, read, running, soon, status, until
 
 from lugspur.daemon.hot_restart import keeper as keepers
-from lugspur.daemon.hot_restart.keeper import Keeper, place, short
+from lugspur.daemon.hot_restart.keeper import HotRestart, place, short
 from lugspur.daemon.hot_restart.messages import (
     MAX_PACKET_BYTES,
     PROTOCOL_VERSION,
@@ -62,15 +62,15 @@
 
     async def play() -> tuple[bool, int]:
         old = Old()
-        keeper = Keeper(ADDRESS)
-        taking = asyncio.create_task(keeper.take())
+        hot_restart = HotRestart(ADDRESS)
+        taking = asyncio.create_task(hot_restart.take_over())
         one = await asyncio.to_thread(old.come)
         says(one)
         found = await soon(taking)
         if found is not None:
             found.listener.close()
-        left = len(keeper.links)
-        keeper.close()
+        left = len(hot_restart.links)
+        hot_restart.close()
         return found is not None, left
 
     return asyncio.run(play())
@@ -136,15 +136,15 @@
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
-        keeper = Keeper(ADDRESS)
-        assert await keeper.take() is None
+        hot_restart = HotRestart(ADDRESS)
+        assert await hot_restart.take_over() is None
         Old()._sock.close()
-        assert await keeper.take() is None
+        assert await hot_restart.take_over() is None
         old = again()
         monkeypatch.setattr(os, "geteuid", lambda: 12345)
-        assert await keeper.take() is None
+        assert await hot_restart.take_over() is None
         old.close()
-        keeper.close()
+        hot_restart.close()
 
     asyncio.run(play())
 
@@ -156,20 +156,20 @@
     return Old()._sock
 
 
-async def serving(up: Running) -> Keeper:
-    """A running proxy's keeper, found by others."""
-    keeper = Keeper(ADDRESS)
+async def serving(up: Running) -> HotRestart:
+    """The hot restart of a running proxy, which other processes find."""
+    hot_restart = HotRestart(ADDRESS)
     [server] = up.proxy.front._server.sockets
-    up.proxy.beside(keeper)
-    keeper.serve(up.proxy, server)
-    keeper.ready()
-    return keeper
+    up.proxy.attach_peers(hot_restart)
+    hot_restart.attach(up.proxy, server)
+    hot_restart.announce_ready()
+    return hot_restart
 
 
 def test_rubbish_from_a_process_that_comes_harms_nobody(folder: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up:
-            keeper = await serving(up)
+            hot_restart = await serving(up)
             folder_, name = place(ADDRESS)
             for packet in (
                 b"nonsense",
@@ -184,13 +184,13 @@
                 with short(folder_) as path:
                     came.connect(f"{path}/{name}")
                 came.send(packet)
-                await until(lambda: len(keeper.links) <= 1)
+                await until(lambda: len(hot_restart.links) <= 1)
                 client = await up.client()
                 assert status(await client.ask(read())) == 200
                 came.close()
-                await until(lambda: not keeper.links)
-            assert keeper.heir is None
-            keeper.close()
+                await until(lambda: not hot_restart.links)
+            assert hot_restart.successor is None
+            hot_restart.close()
             assert not os.path.exists(folder / name)  # its own it takes along
 
     asyncio.run(play())
@@ -200,8 +200,8 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address), entry("s-2", one.address)]) as old:
             first = await serving(old)
-            second = Keeper(ADDRESS)
-            taking = asyncio.create_task(second.take())
+            second = HotRestart(ADDRESS)
+            taking = asyncio.create_task(second.take_over())
             await until(lambda: bool(first.links))
             assert old.proxy.disable("s-1")  # before the estate has been read, or just after it was written
             found = await soon(taking)
@@ -209,10 +209,10 @@
             assert old.proxy.disable("s-2")  # before the new one serves
             found.listener.close()
             async with running([entry("s-1", one.address), entry("s-2", one.address)]) as new:
-                new.proxy.maintenance.restore(found.estate.bans)
-                new.proxy.beside(second)
+                new.proxy.maintenance.restore(found.state.bans)
+                new.proxy.attach_peers(second)
                 [server] = new.proxy.front._server.sockets
-                second.serve(new.proxy, server)
+                second.attach(new.proxy, server)
                 await until(lambda: len(new.proxy.maintenance.banned) == 2)
                 assert new.proxy.enable("s-1")  # told to the new one
                 await until(lambda: len(old.proxy.maintenance.banned) == 1)
