--- a/lugspur/daemon/hot_restart/keeper.py
+++ b/lugspur/daemon/hot_restart/hot_restart.py
@@ -15,8 +15,8 @@
 from contextlib import contextmanager, suppress
 from typing import Any, Protocol
 
-from lugspur.daemon.hot_restart.link import Link
-from lugspur.daemon.hot_restart.messages import (
+from lugspur.daemon.hot_restart.packet_connection import PacketConnection
+from lugspur.daemon.hot_restart.packets import (
     MAX_IDS_PER_PACKET,
     PROTOCOL_VERSION,
     PacketError,
@@ -29,7 +29,7 @@
 STATE_TRANSFER_TIMEOUT_SECONDS = (
     1.0  # seconds in which an estate has to be whole: the platform waits 6 s for the new process
 )
-MAX_LINKS = 4  # processes of one proxy at once: the one before, this one, the next, and one that failed
+MAX_CONNECTIONS = 4  # processes of one proxy at once: the one before, this one, the next, and one that failed
 ACCEPT_BACKLOG = 8
 MAX_EARLY_MESSAGES = 1024  # messages that are kept until this process serves: some hundreds a second for some 0.1 s
 
@@ -62,20 +62,20 @@
         """A caller's connection comes from the other process."""
 
 
-def said(line: str) -> None:
+def log_line(line: str) -> None:
     """One line of the log."""
     print(f"lugspur: replacement: {line}", file=sys.stderr, flush=True)
 
 
-def place(address: Address) -> tuple[str, str]:
+def socket_location(address: Address) -> tuple[str, str]:
     """The folder and the name of the socket."""
     return tempfile.gettempdir(), f"lugspur-{address[0]}-{address[1]}.sock"
 
 
 @contextmanager
-def short(folder: str) -> Iterator[str]:
+def short_directory_path(directory: str) -> Iterator[str]:
     """The folder under a path that a Unix socket's address takes, however long its own is."""
-    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{fd}"
     finally:
@@ -90,23 +90,23 @@
 
 
 class HotRestart:
-    """This process's links to the others of the same proxy."""
+    """This process's connections to the others of the same proxy."""
 
     def __init__(self, address: Address) -> None:
-        self._folder, self._name = place(address)
+        self._directory, self._name = socket_location(address)
         self._loop = asyncio.get_running_loop()
         self._proxy: RestartableProxy | None = None
         self._listener: socket.socket | None = None  # the clients'
         self._sock: socket.socket | None = None  # where the next process finds this one
-        self._own = (0, 0)  # the file that this process has put there
-        self.links: dict[Link, None] = {}
-        self.predecessor: Link | None = None
-        self.successor: Link | None = None  # the process that serves in this one's place
-        self._ids: tuple[list[bytes], list[bytes]] = ([], [])
-        self._early: list[tuple[dict[str, Any], list[int]]] = []  # heard before there was a proxy
+        self._own_socket = (0, 0)  # the file that this process has put there
+        self.connections: dict[PacketConnection, None] = {}
+        self.predecessor: PacketConnection | None = None
+        self.successor: PacketConnection | None = None  # the process that serves in this one's place
+        self._unsent_ids: tuple[list[bytes], list[bytes]] = ([], [])
+        self._early_packets: list[tuple[dict[str, Any], list[int]]] = []  # heard before there was a proxy
         self._waiting: asyncio.Future[Takeover] | None = None
         self._parts = StateAssembler()
-        self._closing = False
+        self._is_closing = False
 
     # ---- as the process that comes -----------------------------------------------------------
 
@@ -115,8 +115,8 @@
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
         try:
-            with short(self._folder) as folder:
-                path = f"{folder}/{self._name}"
+            with short_directory_path(self._directory) as directory:
+                path = f"{directory}/{self._name}"
                 # Guards against a socket that somebody else has put there.
                 if os.stat(path).st_uid != os.geteuid():
                     raise PermissionError("the socket is another user's")
@@ -124,21 +124,21 @@
         except OSError as fault:
             sock.close()
             if not isinstance(fault, FileNotFoundError | ConnectionRefusedError):
-                said(f"no hand-over: {fault}")
+                log_line(f"no hand-over: {fault}")
             return None
         self._waiting = self._loop.create_future()
-        self.predecessor = link = self._link(sock)
-        link.send({"t": "hello", "version": PROTOCOL_VERSION})
+        self.predecessor = connection = self._add_connection(sock)
+        connection.send({"t": "hello", "version": PROTOCOL_VERSION})
         try:
             return await asyncio.wait_for(self._waiting, STATE_TRANSFER_TIMEOUT_SECONDS)
         except TimeoutError:
-            said(f"no hand-over: nothing whole came within {STATE_TRANSFER_TIMEOUT_SECONDS:g} s")
+            log_line(f"no hand-over: nothing whole came within {STATE_TRANSFER_TIMEOUT_SECONDS:g} s")
         except PacketError as fault:
-            said(f"no hand-over: {fault}")
-        link.close()
+            log_line(f"no hand-over: {fault}")
+        connection.close()
         return None
 
-    def _estate(self, message: dict[str, Any], fds: list[int]) -> None:
+    def _receive_state(self, message: dict[str, Any], fds: list[int]) -> None:
         waiting = self._waiting
         try:
             estate = self._parts.add(message)
@@ -159,27 +159,27 @@
     def attach(self, proxy: RestartableProxy, listener: socket.socket) -> None:
         """There is a proxy from here on."""
         self._proxy, self._listener = proxy, listener
-        early, self._early = self._early, []
+        early, self._early_packets = self._early_packets, []
         for message, fds in early:
-            self._act(message, fds)
-        if self.predecessor is None or not self.predecessor.open:
+            self._apply(message, fds)
+        if self.predecessor is None or not self.predecessor.is_open:
             proxy.detach_peers()
 
     def announce_ready(self) -> None:
         """Clients are taken: tell the process before, and be found by the next."""
         if self.predecessor is not None:
             self.predecessor.send({"t": "ready"})
-            said("this process serves in the place of the one before")
-        self._be_found()
+            log_line("this process serves in the place of the one before")
+        self._publish_socket()
 
-    def _be_found(self) -> None:
+    def _publish_socket(self) -> None:
         """Put this process's socket in its place, whatever is there."""
-        self._hide()
+        self._withdraw_socket()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
         try:
-            with short(self._folder) as folder:
-                fresh = f"{folder}/{self._name}.{os.getpid()}"
+            with short_directory_path(self._directory) as directory:
+                fresh = f"{directory}/{self._name}.{os.getpid()}"
                 with suppress(FileNotFoundError):
                     os.unlink(fresh)  # left by a dead process of the same number
                 former = os.umask(0o077)
@@ -188,81 +188,81 @@
                 finally:
                     os.umask(former)
                 sock.listen(ACCEPT_BACKLOG)
-                os.rename(fresh, f"{folder}/{self._name}")
-                self._own = self._found(folder)
+                os.rename(fresh, f"{directory}/{self._name}")
+                self._own_socket = self._socket_identity(directory)
         except OSError as fault:
             sock.close()
-            said(f"the next process will not find this one: {fault}")
+            log_line(f"the next process will not find this one: {fault}")
             return
         self._sock = sock
-        self._loop.add_reader(sock.fileno(), self._come)
+        self._loop.add_reader(sock.fileno(), self._accept)
 
-    def _found(self, folder: str) -> tuple[int, int]:
-        found = os.stat(f"{folder}/{self._name}")
+    def _socket_identity(self, directory: str) -> tuple[int, int]:
+        found = os.stat(f"{directory}/{self._name}")
         return found.st_dev, found.st_ino
 
-    def _hide(self) -> None:
+    def _withdraw_socket(self) -> None:
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
             self._sock = None
 
-    def _come(self) -> None:
+    def _accept(self) -> None:
         assert self._sock is not None
         try:
             sock, _ = self._sock.accept()
         except OSError:
             return
-        if len(self.links) >= MAX_LINKS:
+        if len(self.connections) >= MAX_CONNECTIONS:
             sock.close()
             return
-        self._link(sock)
+        self._add_connection(sock)
 
-    def _link(self, sock: socket.socket) -> Link:
-        link = Link(sock, self._heard, self._over)
-        self.links[link] = None
-        return link
+    def _add_connection(self, sock: socket.socket) -> PacketConnection:
+        connection = PacketConnection(sock, self._receive, self._connection_closed)
+        self.connections[connection] = None
+        return connection
 
-    def _hand_over(self, link: Link, message: dict[str, Any]) -> None:
+    def _send_state(self, connection: PacketConnection, message: dict[str, Any]) -> None:
         if message.get("version") != PROTOCOL_VERSION or self._proxy is None or self._listener is None:
-            link.send({"t": "no", "why": f"this process speaks version {PROTOCOL_VERSION}"})
+            connection.send({"t": "no", "why": f"this process speaks version {PROTOCOL_VERSION}"})
             return
         parts = encode_state(self._proxy.snapshot_state())
         for part in parts[:-1]:
-            link.send(part)
-        link.send(parts[-1], self._listener.fileno())
+            connection.send(part)
+        connection.send(parts[-1], self._listener.fileno())
 
     # ---- what the others say -------------------------------------------------------------------
 
-    def _heard(self, link: Link, message: dict[str, Any], fds: list[int]) -> None:
+    def _receive(self, connection: PacketConnection, message: dict[str, Any], fds: list[int]) -> None:
         kind = message["t"]
-        if kind == "estate" and link is self.predecessor:
-            self._estate(message, fds)
+        if kind == "estate" and connection is self.predecessor:
+            self._receive_state(message, fds)
             return
-        if kind == "no" and link is self.predecessor and self._waiting is not None and not self._waiting.done():
+        if kind == "no" and connection is self.predecessor and self._waiting is not None and not self._waiting.done():
             self._waiting.set_exception(PacketError(str(message.get("why"))))
         elif kind == "hello":
-            self._hand_over(link, message)
+            self._send_state(connection, message)
         elif kind == "ready":
-            self.successor = link
-            said("another process serves in the place of this one")
+            self.successor = connection
+            log_line("another process serves in the place of this one")
             if self._proxy is not None:
                 self._proxy.set_superseded(True)
         elif self._proxy is None:
-            if len(self._early) >= MAX_EARLY_MESSAGES:
+            if len(self._early_packets) >= MAX_EARLY_MESSAGES:
                 raise PacketError("too much before this process serves")
-            self._early.append((message, fds))
+            self._early_packets.append((message, fds))
             return
         else:
-            for other in self.links:  # three in a row: what binds one binds all
-                if other is not link and kind in ("ban", "drain", "ids"):
+            for other in self.connections:  # three in a row: what binds one binds all
+                if other is not connection and kind in ("ban", "drain", "ids"):
                     other.send(message)
-            self._act(message, fds)
+            self._apply(message, fds)
             return
         for fd in fds:
             os.close(fd)
 
-    def _act(self, message: dict[str, Any], fds: list[int]) -> None:
+    def _apply(self, message: dict[str, Any], fds: list[int]) -> None:
         proxy, kind = self._proxy, message["t"]
         assert proxy is not None
         try:
@@ -282,31 +282,31 @@
             for fd in fds:
                 os.close(fd)
 
-    def _over(self, link: Link) -> None:
-        self.links.pop(link, None)
-        if self._closing:
+    def _connection_closed(self, connection: PacketConnection) -> None:
+        self.connections.pop(connection, None)
+        if self._is_closing:
             return
-        if link is self.predecessor:
+        if connection is self.predecessor:
             self.predecessor = None
             if self._waiting is not None and not self._waiting.done():
                 self._waiting.set_exception(PacketError("the process that serves has ended"))
             if self._proxy is not None:
                 self._proxy.forget_peer_requests()
-        if link is self.successor:
+        if connection is self.successor:
             self.successor = None
-            said("the process that was to follow has ended; this one serves on")
+            log_line("the process that was to follow has ended; this one serves on")
             if self._proxy is not None:
                 self._proxy.set_superseded(False)
-                self._be_found()
-        if not self.links and self._proxy is not None:
+                self._publish_socket()
+        if not self.connections and self._proxy is not None:
             self._proxy.detach_peers()
 
     # ---- what this process says ----------------------------------------------------------------
 
     def broadcast(self, message: dict[str, Any]) -> None:
         """Tell all others at once."""
-        for link in tuple(self.links):
-            link.send(message)
+        for connection in tuple(self.connections):
+            connection.send(message)
 
     def broadcast_ban(self, server: int, on: bool, at: float) -> None:
         """An operator told this process."""
@@ -325,15 +325,15 @@
         self._id(1, name)
 
     def _id(self, which: int, name: bytes) -> None:
-        if not self.links:
+        if not self.connections:
             return
-        if not self._ids[0] and not self._ids[1]:
-            self._loop.call_soon(self._tell_ids)
-        self._ids[which].append(name)
+        if not self._unsent_ids[0] and not self._unsent_ids[1]:
+            self._loop.call_soon(self._send_ids)
+        self._unsent_ids[which].append(name)
 
-    def _tell_ids(self) -> None:
-        begun, done = self._ids
-        self._ids = ([], [])
+    def _send_ids(self) -> None:
+        begun, done = self._unsent_ids
+        self._unsent_ids = ([], [])
         for at in range(0, max(len(begun), len(done)), MAX_IDS_PER_PACKET):
             self.broadcast(
                 {
@@ -345,8 +345,8 @@
 
     def has_successor(self) -> bool:
         """Whether another process serves in this one's place, as of what has come by now."""
-        for link in tuple(self.links):
-            link.pump()
+        for connection in tuple(self.connections):
+            connection.read_available()
         return self.successor is not None
 
     def transfer_connection(self, fd: int) -> bool:
@@ -360,10 +360,10 @@
 
     def close(self) -> None:
         """This process ends."""
-        self._closing = True
-        self._hide()
-        with suppress(OSError), short(self._folder) as folder:
-            if self._own != (0, 0) and self._found(folder) == self._own:
-                os.unlink(f"{folder}/{self._name}")
-        for link in tuple(self.links):
-            link.close()
+        self._is_closing = True
+        self._withdraw_socket()
+        with suppress(OSError), short_directory_path(self._directory) as directory:
+            if self._own_socket != (0, 0) and self._socket_identity(directory) == self._own_socket:
+                os.unlink(f"{directory}/{self._name}")
+        for connection in tuple(self.connections):
+            connection.close()
--- a/lugspur/daemon/hot_restart/link.py
+++ b/lugspur/daemon/hot_restart/packet_connection.py
@@ -10,39 +10,39 @@
 from contextlib import suppress
 from typing import Any
 
-from lugspur.daemon.hot_restart.messages import MAX_PACKET_BYTES, PacketError, pack, unpack
+from lugspur.daemon.hot_restart.packets import MAX_PACKET_BYTES, PacketError, pack, unpack
 
 MAX_QUEUED_PACKETS = 2048  # packets that wait for the other side: one that takes none for so long is as good as gone
 MAX_DESCRIPTORS_PER_PACKET = 4  # descriptors in one packet
 
-Heard = Callable[["Link", dict[str, Any], list[int]], None]
+Receiver = Callable[["PacketConnection", dict[str, Any], list[int]], None]
 
 
-class Link:
+class PacketConnection:
     """One connection; `heard` is given each message with its descriptors, which are its own from then on."""
 
-    def __init__(self, sock: socket.socket, heard: Heard, ended: Callable[[Link], None]) -> None:
+    def __init__(self, sock: socket.socket, receive: Receiver, on_close: Callable[[PacketConnection], None]) -> None:
         sock.setblocking(False)
         self._sock = sock
-        self._heard, self._ended = heard, ended
+        self._receive, self._on_close = receive, on_close
         self._loop = asyncio.get_running_loop()
         self._queue: deque[tuple[bytes, int]] = deque()  # each with a descriptor of ours, or -1
-        self.open = True
-        self._ending = False  # the other side has ended, and what it said before that is being read
-        self._loop.add_reader(sock.fileno(), self.pump)
+        self.is_open = True
+        self._is_ending = False  # the other side has ended, and what it said before that is being read
+        self._loop.add_reader(sock.fileno(), self.read_available)
 
     def send(self, message: dict[str, Any] | bytes, fd: int = -1) -> bool:
         """Send a message, with a descriptor that stays the caller's; False where the link is over."""
         data = message if isinstance(message, bytes) else pack(message)
-        if self.open and not self._ending and not self._queue and self._write(data, fd):
+        if self.is_open and not self._is_ending and not self._queue and self._write(data, fd):
             return True
-        if not self.open or self._ending:
+        if not self.is_open or self._is_ending:
             return False
         if len(self._queue) >= MAX_QUEUED_PACKETS:  # Guards memory against a process that hangs.
             self.close()
             return False
         self._queue.append((data, os.dup(fd) if fd >= 0 else -1))
-        self._loop.add_writer(self._sock.fileno(), self._drain)
+        self._loop.add_writer(self._sock.fileno(), self._send_queued)
         return True
 
     def _write(self, data: bytes, fd: int) -> bool:
@@ -52,7 +52,7 @@
         except BlockingIOError:
             return False
         except OSError:
-            self._end()
+            self._finish_after_peer()
             return False
         return True
 
@@ -61,17 +61,17 @@
         """Whether something has not gone out yet."""
         return bool(self._queue)
 
-    def _end(self) -> None:
+    def _finish_after_peer(self) -> None:
         """The other side has ended: hear what it said before that, then close.
 
         Guards callers whose connections it had passed on: their descriptors lie in those messages.
         """
-        if not self._ending:
-            self._ending = True
-            self.pump()
+        if not self._is_ending:
+            self._is_ending = True
+            self.read_available()
             self.close()
 
-    def _drain(self) -> None:
+    def _send_queued(self) -> None:
         while self._queue:
             data, fd = self._queue[0]
             if not self._write(data, fd):
@@ -81,10 +81,10 @@
                 os.close(fd)
         self._loop.remove_writer(self._sock.fileno())
 
-    def pump(self) -> None:
+    def read_available(self) -> None:
         """Read all that has come; a message that can't be understood ends the link."""
         resets = 0
-        while self.open:
+        while self.is_open:
             try:
                 data, fds, flags, _ = socket.recv_fds(self._sock, MAX_PACKET_BYTES + 1, MAX_DESCRIPTORS_PER_PACKET)
             except BlockingIOError:
@@ -104,7 +104,7 @@
                     raise PacketError("a packet is too large")
                 else:
                     passed, fds = fds, []
-                    self._heard(self, unpack(data), passed)
+                    self._receive(self, unpack(data), passed)
             except PacketError:
                 self.close()
             finally:
@@ -113,9 +113,9 @@
 
     def close(self) -> None:
         """End it; who keeps it is told once."""
-        if not self.open:
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         self._loop.remove_reader(self._sock.fileno())
         self._loop.remove_writer(self._sock.fileno())
         self._sock.close()
@@ -124,4 +124,4 @@
                 with suppress(OSError):
                     os.close(fd)
         self._queue.clear()
-        self._ended(self)
+        self._on_close(self)
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -17,7 +17,7 @@
 from lugspur.http1.front import Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.hot_restart.keeper import HotRestart, Takeover
+    from lugspur.daemon.hot_restart.hot_restart import HotRestart, Takeover
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
@@ -38,7 +38,7 @@
     takeover: Takeover | None = None
     if config.management is not None:
         # Imported only here: a proxy without a second address stays lean, and alone under its address.
-        from lugspur.daemon.hot_restart.keeper import HotRestart
+        from lugspur.daemon.hot_restart.hot_restart import HotRestart
 
         hot_restart = HotRestart(config.listen)
         takeover = await hot_restart.take_over()
--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -19,8 +19,8 @@
 import orjson
 import pytest
 
-from lugspur.daemon.hot_restart.keeper import HotRestart
-from lugspur.daemon.hot_restart.messages import PacketError, ProcessState, StateAssembler, decode_state, encode_state
+from lugspur.daemon.hot_restart.hot_restart import HotRestart
+from lugspur.daemon.hot_restart.packets import PacketError, ProcessState, StateAssembler, decode_state, encode_state
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
@@ -160,7 +160,7 @@
             hot_restart.announce_ready()
             with short_path(directory) as path:
                 other.connect(path)
-            await until(lambda: len(hot_restart.links) == 1)
+            await until(lambda: len(hot_restart.connections) == 1)
             proxy.told.clear()
             await play(hot_restart, proxy, other)
             hot_restart.close()
--- a/tests/handover/test_handover_link.py
+++ b/tests/handover/test_handover_link.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from lugspur.daemon.hot_restart.link import Link
-from lugspur.daemon.hot_restart.messages import pack
+from lugspur.daemon.hot_restart.packet_connection import PacketConnection
+from lugspur.daemon.hot_restart.packets import pack
 
 
 @pytest.mark.parametrize("notices", ["reading", "sending"])
@@ -20,14 +20,14 @@
     async def play() -> None:
         here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         heard: list[tuple[dict[str, Any], int]] = []
-        ended: list[Link] = []
+        ended: list[PacketConnection] = []
 
-        def hear(_: Link, message: dict[str, Any], fds: list[int]) -> None:
+        def hear(_: PacketConnection, message: dict[str, Any], fds: list[int]) -> None:
             heard.append((message, len(fds)))
             for fd in fds:
                 os.close(fd)
 
-        link = Link(here, hear, ended.append)
+        link = PacketConnection(here, hear, ended.append)
         assert link.send({"t": "ids", "begun": [], "done": []})  # never read
         with socket.socket() as caller:
             for _ in range(3):
@@ -36,8 +36,8 @@
         if notices == "sending":
             assert not link.send({"t": "ids", "begun": [], "done": []})
         else:
-            link.pump()
+            link.read_available()
         assert heard == [({"t": "caller"}, 1)] * 3
-        assert ended == [link] and not link.open
+        assert ended == [link] and not link.is_open
 
     asyncio.run(play())
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -13,9 +13,9 @@
 import pytest
 from loopback import HOST, OK, Running, backend, entry, read, running, soon, status, until
 
-from lugspur.daemon.hot_restart import keeper as keepers
-from lugspur.daemon.hot_restart.keeper import HotRestart, place, short
-from lugspur.daemon.hot_restart.messages import (
+from lugspur.daemon.hot_restart import hot_restart as hot_restart_module
+from lugspur.daemon.hot_restart.hot_restart import HotRestart, short_directory_path, socket_location
+from lugspur.daemon.hot_restart.packets import (
     MAX_PACKET_BYTES,
     PROTOCOL_VERSION,
     ProcessState,
@@ -42,9 +42,9 @@
     """Stands where the process before would: a socket at the place, and what it says is the test's matter."""
 
     def __init__(self) -> None:
-        folder, name = place(ADDRESS)
+        folder, name = socket_location(ADDRESS)
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        with short(folder) as path:
+        with short_directory_path(folder) as path:
             self._sock.bind(f"{path}/{name}")
         self._sock.listen()
         self._sock.settimeout(20.0)
@@ -69,7 +69,7 @@
         found = await soon(taking)
         if found is not None:
             found.listener.close()
-        left = len(hot_restart.links)
+        left = len(hot_restart.connections)
         hot_restart.close()
         return found is not None, left
 
@@ -119,7 +119,7 @@
 
 
 def test_one_that_says_nothing_or_half_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keepers, "STATE_TRANSFER_TIMEOUT_SECONDS", 0.1)
+    monkeypatch.setattr(hot_restart_module, "STATE_TRANSFER_TIMEOUT_SECONDS", 0.1)
     half = pack({"t": "estate", "n": 0, "of": 2, "part": "{"})
     assert took(lambda one: None) == (False, 0)
     assert took_again(lambda one: one.send(half)) == (False, 0)
@@ -127,7 +127,7 @@
 
 def took_again(says: Any) -> tuple[bool, int]:
     """After the socket of a dead process has been left where it was."""
-    folder, name = place(ADDRESS)
+    folder, name = socket_location(ADDRESS)
     os.unlink(f"{folder}/{name}")
     return took(says)
 
@@ -151,7 +151,7 @@
 
 def again() -> socket.socket:
     """One more at the place, where a stale one lies."""
-    folder, name = place(ADDRESS)
+    folder, name = socket_location(ADDRESS)
     os.unlink(f"{folder}/{name}")
     return Old()._sock
 
@@ -170,7 +170,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up:
             hot_restart = await serving(up)
-            folder_, name = place(ADDRESS)
+            folder_, name = socket_location(ADDRESS)
             for packet in (
                 b"nonsense",
                 pack({"t": "ban", "id": 7}),
@@ -181,14 +181,14 @@
                 pack({"t": "hello"}),
             ):
                 came = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-                with short(folder_) as path:
+                with short_directory_path(folder_) as path:
                     came.connect(f"{path}/{name}")
                 came.send(packet)
-                await until(lambda: len(hot_restart.links) <= 1)
+                await until(lambda: len(hot_restart.connections) <= 1)
                 client = await up.client()
                 assert status(await client.ask(read())) == 200
                 came.close()
-                await until(lambda: not hot_restart.links)
+                await until(lambda: not hot_restart.connections)
             assert hot_restart.successor is None
             hot_restart.close()
             assert not os.path.exists(folder / name)  # its own it takes along
@@ -202,7 +202,7 @@
             first = await serving(old)
             second = HotRestart(ADDRESS)
             taking = asyncio.create_task(second.take_over())
-            await until(lambda: bool(first.links))
+            await until(lambda: bool(first.connections))
             assert old.proxy.disable("s-1")  # before the estate has been read, or just after it was written
             found = await soon(taking)
             assert found is not None
@@ -219,7 +219,7 @@
                 client = await new.client()
                 assert status(await client.ask(read())) == 200
                 second.close()
-            await until(lambda: not first.links)
+            await until(lambda: not first.connections)
             first.close()
 
     asyncio.run(play())
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.daemon.hot_restart.messages import (
+from lugspur.daemon.hot_restart.packets import (
     MAX_PACKET_BYTES,
     MAX_STATE_PARTS,
     PacketError,
