--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -290,18 +290,20 @@
     by: bytes = b""
     back: bool = False  # its caller has been turned away before, or has little time for other causes
     size: int = 0  # bytes of a body that comes in parts, as they are granted
-    sent: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delays
+    sent: float = (
+        0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delay_estimation
+    )
 
 
 class ForwardResponse(msgspec.Struct, tag=20, array_like=True):
     """How it ended."""
 
     n: int
-    how: int  # a value of lugspur.mesh.dataplane.gate.End
+    how: int  # a value of lugspur.mesh.dataplane.request_outcome.RequestOutcome
     answer: BackendResponse | None = None
     sent: bool = True  # whether the backend was offered it
     busy: int = 0  # requests in hand there
-    cause: int = 0  # a value of lugspur.mesh.dataplane.causes.Cause
+    cause: int = 0  # a value of lugspur.mesh.dataplane.failure_cause.FailureCause
 
 
 class CancelRequest(msgspec.Struct, tag=21, array_like=True):
@@ -311,7 +313,10 @@
 
 
 class WithdrawRequest(msgspec.Struct, tag=28, array_like=True):
-    """Nobody waits for it any more: do not begin it. What the backend works on goes on; a ForwardResponse comes either way."""
+    """Nobody waits for it any more: do not begin it.
+
+    What the backend works on goes on; a ForwardResponse comes either way.
+    """
 
     n: int
 
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -25,12 +25,12 @@
     Hello,
     Message,
 )
-from lugspur.mesh.dataplane.delays import FreezeDetector
+from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.ports import Carried
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
 from lugspur.mesh.dataplane.routes import RouteTable
-from lugspur.mesh.dataplane.uploads import UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
@@ -109,7 +109,7 @@
         most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
         self.front = Front(read_address(listen.outgoing), most, limits.memory_mb << 20, self._handle)
         # Guards against requests that waited unread while this process was frozen: their callers have given them up.
-        self.front.came = lambda now, transport, first: self._freezes.came(now)
+        self.front.came = lambda now, transport, first: self._freezes.earliest_arrival(now)
         self._tune()
         self._sock = await self.front.listen()
         readiness = HttpApi()
@@ -299,7 +299,7 @@
         gate.turned = gate.evicted = gate.hopeless = 0
 
     def look(self, now: float) -> None:
-        self._freezes.ran(now)
+        self._freezes.record_turn(now)
         self._tell(now)
         self.incoming.look(now)
         self.registration.look(now)
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -22,8 +22,8 @@
     Unsubscribe,
     Voter,
 )
-from lugspur.mesh.dataplane.gate import End
-from lugspur.mesh.dataplane.uploads import PART
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.registration import BackendStatus
 from lugspur.mesh.settings import load
@@ -249,9 +249,12 @@
         self.sent.append(message)
 
 
-@pytest.mark.parametrize(("granted", "how"), [(0, End.NOT_RUN), (PART, End.NOT_RUN), (50_000, End.MAYBE)])
+@pytest.mark.parametrize(
+    ("granted", "how"),
+    [(0, RequestOutcome.NOT_RUN), (CHUNK_BYTES, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)],
+)
 def test_a_body_whose_end_was_not_sent_has_not_run_and_a_whole_one_may_have(
-    tmp_path: Path, granted: int, how: End
+    tmp_path: Path, granted: int, how: RequestOutcome
 ) -> None:
     def what(sidecar: Sidecar) -> None:
         ip, replies = "127.0.0.2", list[ForwardResponse]()
@@ -264,12 +267,12 @@
         sidecar.carry(ip, forward, replies.append)
         [offer] = wire.sent
         assert isinstance(offer, ForwardRequest) and (offer.size, offer.body) == (len(body), b"")
-        for upto in range(PART, granted + PART, PART):
+        for upto in range(CHUNK_BYTES, granted + CHUNK_BYTES, CHUNK_BYTES):
             sidecar._heard_from(wire, GrantBody(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
         parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
         assert b"".join(p.data for p in parts) == body[:granted]
         sidecar._down(dialler)
-        assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
+        assert [(r.how, r.sent) for r in replies] == [(how, how == RequestOutcome.UNKNOWN)]
         assert not sidecar.outgoing.waits_for(ip)
         dialler.link = None
         dialler.close()
