--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -13,8 +13,8 @@
 
 from lugspur.discovery.rows import read_address
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.folder import export, look, told
 from lugspur.mesh.settings import load
+from lugspur.mesh.storage.data_directory import export, look, told
 
 WITHIN = 10.0  # seconds for one call
 app = cyclopts.App(name="python -m lugspur.mesh", help="The mesh: proxies carry requests, replicas keep the state.")
--- a/lugspur/mesh/control_figures.py
+++ b/lugspur/mesh/control_figures.py
@@ -8,10 +8,10 @@
 
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.replica import Replica
-from lugspur.mesh.disk import Disk
-from lugspur.mesh.link import Dialler
 from lugspur.mesh.operator_calls import OperatorCalls
 from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.storage.disk import Disk
+from lugspur.mesh.transport.link import Dialler
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
 
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -42,11 +42,9 @@
 from lugspur.mesh.control.store import Name
 from lugspur.mesh.control_figures import control_figures
 from lugspur.mesh.control_status import control_status
-from lugspur.mesh.disk import Disk
 from lugspur.mesh.effect_runner import EffectRunner
 from lugspur.mesh.http_api import HttpApi, reply
 from lugspur.mesh.leases import Leases
-from lugspur.mesh.link import Dialler, Link
 from lugspur.mesh.membership_changes import MembershipChanges, presences_of
 from lugspur.mesh.node import LOOK, Node
 from lugspur.mesh.operator_calls import OperatorCalls
@@ -54,7 +52,9 @@
 from lugspur.mesh.pending_changes import PendingChanges
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.subscribers import Subscribers
+from lugspur.mesh.transport.link import Dialler, Link
 from lugspur.observability.metrics import CONTENT_TYPE, render
 from lugspur.seams import Answerable, Request
 
--- a/lugspur/mesh/effect_runner.py
+++ b/lugspur/mesh/effect_runner.py
@@ -7,7 +7,7 @@
 
 from lugspur.mesh.control.effects import Effects, Peer
 from lugspur.mesh.control.messages import Message
-from lugspur.mesh.disk import Disk
+from lugspur.mesh.storage.disk import Disk
 
 LAZY = 0.1  # seconds for which rows that nobody waits for may wait for others
 
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -10,8 +10,8 @@
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import End, Gate, Ticket
 from lugspur.mesh.dataplane.uploads import UploadScheduler
-from lugspur.mesh.link import Link
 from lugspur.mesh.outcomes import Outcomes
+from lugspur.mesh.transport.link import Link
 
 
 class _Caller:
--- a/lugspur/mesh/leases.py
+++ b/lugspur/mesh/leases.py
@@ -7,7 +7,7 @@
 from lugspur.mesh.control.items import LEASED
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Name, Store
-from lugspur.mesh.link import Link
+from lugspur.mesh.transport.link import Link
 
 LEASE = 4.0  # seconds without a word after which what a process said of itself is dropped
 RENEW_EVERY = 1.0  # seconds between looks at when the link of an open lease was heard last
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -29,8 +29,8 @@
 )
 from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.link import KEEP_IDLE, Dialler, Link
 from lugspur.mesh.settings import Settings, load
+from lugspur.mesh.transport.link import KEEP_IDLE, Dialler, Link
 
 LOOK = 0.1  # seconds between looks at what is due
 PING_PART = 1 / 8  # of the time in which a configuration counts: how often news says that nothing is new
--- a/lugspur/mesh/order_router.py
+++ b/lugspur/mesh/order_router.py
@@ -11,8 +11,8 @@
 from lugspur.mesh.control.messages import Message, SubmitOrder
 from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.link import Link
 from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.transport.link import Link
 
 DECIDE_WITHIN = 0.8  # seconds for a call of an operator: callers move on after a second
 ORDERS_MOST = 64  # calls of operators in hand at once
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/outgoing.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.uploads import PART, in_parts
-from lugspur.mesh.link import Link
+from lugspur.mesh.transport.link import Link
 
 UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
 
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -24,7 +24,6 @@
 from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
-from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 from lugspur.mesh.local_requests import CarriedHere
 from lugspur.mesh.node import Node
 from lugspur.mesh.outgoing import OutgoingExchanges
@@ -32,6 +31,7 @@
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
 from lugspur.mesh.sidecar_status import sidecar_status
+from lugspur.mesh.transport.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import CONTENT_TYPE, render
 from lugspur.seams import Answerable, Request
--- a/lugspur/mesh/sidecar_figures.py
+++ b/lugspur/mesh/sidecar_figures.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.incoming import IncomingExchanges
-from lugspur.mesh.link import Dialler
+from lugspur.mesh.transport.link import Dialler
 from lugspur.observability.failures import FailedRequest, Standing
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -20,7 +20,7 @@
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.disk import NAME
+from lugspur.mesh.storage.disk import NAME
 
 _item = msgspec.msgpack.Decoder(Item)
 _kept = msgspec.msgpack.Decoder(KeptClaim)
--- /dev/null
+++ b/lugspur/mesh/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Connections between processes of the mesh: one link carries frames both ways."""
--- a/tests/compatibility/test_control_disk.py
+++ b/tests/compatibility/test_control_disk.py
@@ -19,7 +19,7 @@
 from lugspur.mesh.cli import replica_check, replica_export, replica_show
 from lugspur.mesh.control.messages import Entry, Learn, Voter, decode
 from lugspur.mesh.control.replica import Replica
-from lugspur.mesh.disk import Disk
+from lugspur.mesh.storage.disk import Disk
 
 DATA = Path(__file__).parent / "data" / "control_node"
 
--- a/tests/mesh/test_configuration_size.py
+++ b/tests/mesh/test_configuration_size.py
@@ -21,7 +21,7 @@
 from lugspur.mesh.control.orders import Confirmed, Refused
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.register import Register
-from lugspur.mesh.disk import Disk
+from lugspur.mesh.storage.disk import Disk
 
 SMALL = 60_000  # bytes of a small disk: 10,000 of the configuration
 
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -9,9 +9,9 @@
 import pytest
 
 from lugspur.invariants import Invariant, violations
-from lugspur.mesh import disk as module
 from lugspur.mesh.control.register import KEY_MOST
-from lugspur.mesh.disk import Disk
+from lugspur.mesh.storage import disk as module
+from lugspur.mesh.storage.disk import Disk
 
 
 class Refusing:
--- a/tests/mesh/test_folder.py
+++ b/tests/mesh/test_folder.py
@@ -16,8 +16,8 @@
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import Answer, Change, Claim, Done, Item, Voter
 from lugspur.mesh.control.replica import GENESIS, Replica
-from lugspur.mesh.disk import ASIDE, NAME, Disk
-from lugspur.mesh.folder import export, look, told
+from lugspur.mesh.storage.data_directory import export, look, told
+from lugspur.mesh.storage.disk import ASIDE, NAME, Disk
 
 CALL = call(route("r"), services=[service()])
 SEEDS = [Voter(f"10.0.0.{n}", GENESIS, "") for n in (1, 2, 3)]
--- a/tests/mesh/test_items.py
+++ b/tests/mesh/test_items.py
@@ -16,7 +16,7 @@
 from lugspur.mesh.control.register import KEY_MOST, item_row
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.http_api import CALL_MOST
-from lugspur.mesh.link import UNSENT_MOST
+from lugspur.mesh.transport.link import UNSENT_MOST
 
 
 def standing(body: bytes) -> Store:
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lugspur.mesh import link as link_module
 from lugspur.mesh.control.messages import Claim, Hello, Message, Pong, encode
-from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
+from lugspur.mesh.transport import link as link_module
+from lugspur.mesh.transport.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 
 
 def play(what: Callable[[Server], Awaitable[None]]) -> None:
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -8,8 +8,8 @@
 from lugspur.mesh.control.messages import Delta, Entry, Message, Pong
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.leases import LEASE
-from lugspur.mesh.link import Link
 from lugspur.mesh.subscribers import Subscribers
+from lugspur.mesh.transport.link import Link
 
 PING = 0.25
 
