--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -1,4 +1,4 @@
-"""A control node in virtual time, with all that `lugspur.mesh.control_node` does between messages."""
+"""A control node in virtual time, with all that `lugspur.mesh.control_node.process` does between messages."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from lugspur.mesh.control.reader import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
 from lugspur.mesh.control.replica import membership_entry
-from lugspur.mesh.control_node import BEHIND, FAILING, SWEEP_EVERY
-from lugspur.mesh.leases import LEASE
+from lugspur.mesh.control_node.change_router import DECIDE_WITHIN, ORDERS_MOST
+from lugspur.mesh.control_node.leases import LEASE
+from lugspur.mesh.control_node.pending_changes import PENDING_MOST
+from lugspur.mesh.control_node.process import BEHIND, FAILING, SWEEP_EVERY
 from lugspur.mesh.node import LOOK, PING_PART, PINGS_MISSED, STALE_PART
-from lugspur.mesh.order_router import DECIDE_WITHIN, ORDERS_MOST
-from lugspur.mesh.pending_changes import PENDING_MOST
 from lugspur.mesh.stall import FROZEN, WOKEN
 
 EDITION_S = 2.0  # edition_ms of the settings
--- a/lugspur/mesh/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -15,7 +15,7 @@
 from lugspur.mesh.control.reconfiguration import Reconfiguration
 from lugspur.mesh.control.replica import Replica, membership_entry
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.order_router import DECIDE_WITHIN
+from lugspur.mesh.control_node.change_router import DECIDE_WITHIN
 from lugspur.mesh.stall import StallDetector
 
 _presence = msgspec.msgpack.Decoder(Presence)
--- a/lugspur/mesh/control_figures.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -8,7 +8,7 @@
 
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.replica import Replica
-from lugspur.mesh.operator_calls import OperatorCalls
+from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.stall import StallDetector
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.link import Dialler
--- a/lugspur/mesh/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -13,8 +13,8 @@
 from lugspur.mesh.control.orders import Order, Outcome, fault_of
 from lugspur.mesh.control.reader import Read, Reader
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control_node.change_router import DECIDE_WITHIN, OrderRouter
 from lugspur.mesh.http_api import fail, reply
-from lugspur.mesh.order_router import DECIDE_WITHIN, OrderRouter
 from lugspur.seams import Answerable, Request
 
 
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node/process.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from lugspur.mesh import events
-from lugspur.mesh.announcement import Announcement
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED, MEMBERSHIP
@@ -40,20 +39,21 @@
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
 from lugspur.mesh.control.store import Name
-from lugspur.mesh.control_figures import control_figures
-from lugspur.mesh.control_status import control_status
-from lugspur.mesh.effect_runner import EffectRunner
+from lugspur.mesh.control_node.announcement import Announcement
+from lugspur.mesh.control_node.change_router import DECIDE_WITHIN, OrderRouter
+from lugspur.mesh.control_node.effect_runner import EffectRunner
+from lugspur.mesh.control_node.leases import Leases
+from lugspur.mesh.control_node.membership_changes import MembershipChanges, presences_of
+from lugspur.mesh.control_node.metrics import control_figures
+from lugspur.mesh.control_node.operator_calls import OperatorCalls
+from lugspur.mesh.control_node.pending_changes import PendingChanges
+from lugspur.mesh.control_node.status import control_status
+from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.http_api import HttpApi, reply
-from lugspur.mesh.leases import Leases
-from lugspur.mesh.membership_changes import MembershipChanges, presences_of
 from lugspur.mesh.node import LOOK, Node
-from lugspur.mesh.operator_calls import OperatorCalls
-from lugspur.mesh.order_router import DECIDE_WITHIN, OrderRouter
-from lugspur.mesh.pending_changes import PendingChanges
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.stall import StallDetector
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.subscribers import Subscribers
 from lugspur.mesh.transport.link import Dialler, Link
 from lugspur.observability.metrics import CONTENT_TYPE, render
 from lugspur.seams import Answerable, Request
--- a/lugspur/mesh/control_status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -6,7 +6,7 @@
 
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.membership_changes import presences_of
+from lugspur.mesh.control_node.membership_changes import presences_of
 from lugspur.mesh.settings import Own
 from lugspur.mesh.storage.disk import Disk
 
--- a/lugspur/mesh/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -7,7 +7,7 @@
 
 from lugspur.mesh.control.messages import Delta, Pong
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.leases import LEASE
+from lugspur.mesh.control_node.leases import LEASE
 from lugspur.mesh.node import LOOK
 from lugspur.mesh.transport.link import Link
 
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -42,7 +42,7 @@
     # Imported only where it is run: starting counts, and on a small machine each module takes its time.
     node: Node
     if settings.keeps:
-        from lugspur.mesh.control_node import ControlNode
+        from lugspur.mesh.control_node.process import ControlNode
 
         control = node = ControlNode(settings, path)
         await control.serve()
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -7,8 +7,8 @@
 
 from lugspur.mesh.control.messages import Delta, Entry, Message, Pong
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.leases import LEASE
-from lugspur.mesh.subscribers import Subscribers
+from lugspur.mesh.control_node.leases import LEASE
+from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.transport.link import Link
 
 PING = 0.25
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -59,5 +59,7 @@
 
 
 def test_a_process_that_is_never_asked_does_not_load_the_library() -> None:
-    code = "import sys, lugspur.mesh.sidecar, lugspur.mesh.control_node; print('prometheus_client' in sys.modules)"
+    code = (
+        "import sys, lugspur.mesh.sidecar, lugspur.mesh.control_node.process; print('prometheus_client' in sys.modules)"
+    )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "False\n"
