--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -18,14 +18,14 @@
 
 from lugspur.emulator.control import guards as control_guards
 from lugspur.http1.upstream import Connection, Exchange
-from lugspur.mesh.backend_lives import BackendLives
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, Forward
 from lugspur.mesh.dataplane import proxied_request
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
-from lugspur.mesh.outcomes import Outcomes
+from lugspur.mesh.sidecar.backend_incarnations import BackendLives
+from lugspur.mesh.sidecar.request_outcomes import Outcomes
 from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -48,7 +48,7 @@
         await control.serve()
         leave = control.leave
     else:
-        from lugspur.mesh.sidecar import Sidecar
+        from lugspur.mesh.sidecar.process import Sidecar
 
         sidecar = node = Sidecar(settings, path)
         await sidecar.serve()
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -10,7 +10,7 @@
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import End, Gate, Ticket
 from lugspur.mesh.dataplane.uploads import UploadScheduler
-from lugspur.mesh.outcomes import Outcomes
+from lugspur.mesh.sidecar.request_outcomes import Outcomes
 from lugspur.mesh.transport.link import Link
 
 
--- a/lugspur/mesh/sidecar_figures.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -10,7 +10,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.proxy import Proxy
-from lugspur.mesh.incoming import IncomingExchanges
+from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.transport.link import Dialler
 from lugspur.observability.failures import FailedRequest, Standing
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -23,14 +23,14 @@
 from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
-from lugspur.mesh.incoming import IncomingExchanges
-from lugspur.mesh.local_requests import CarriedHere
 from lugspur.mesh.node import Node
-from lugspur.mesh.outgoing import OutgoingExchanges
-from lugspur.mesh.registration import FROZEN, BackendRegistration, BackendStatus
 from lugspur.mesh.settings import Settings
-from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
-from lugspur.mesh.sidecar_status import sidecar_status
+from lugspur.mesh.sidecar.incoming import IncomingExchanges
+from lugspur.mesh.sidecar.local_requests import CarriedHere
+from lugspur.mesh.sidecar.metrics import sidecar_figures, tell_failure
+from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
+from lugspur.mesh.sidecar.registration import FROZEN, BackendRegistration, BackendStatus
+from lugspur.mesh.sidecar.status import sidecar_status
 from lugspur.mesh.transport.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import CONTENT_TYPE, render
--- a/lugspur/mesh/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -10,13 +10,13 @@
 
 from lugspur.discovery.rows import read_address
 from lugspur.mesh import events
-from lugspur.mesh.backend_lives import BackendLives
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.http_api import reply
 from lugspur.mesh.settings import Settings
+from lugspur.mesh.sidecar.backend_incarnations import BackendLives
 from lugspur.seams import Answerable, Request
 
 FROZEN = 1.0  # seconds between two looks after which this process has not run in between
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -32,7 +32,7 @@
 from lugspur.mesh.dataplane.refusal import refuse
 from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.mesh.http_api import fail
-from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
+from lugspur.mesh.sidecar.metrics import sidecar_figures, tell_failure
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import render
 from lugspur.seams import Request
--- a/tests/mesh/test_backend_lives.py
+++ b/tests/mesh/test_backend_incarnations.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.mesh.backend_lives import LIVES_KEPT, BackendLives
+from lugspur.mesh.sidecar.backend_incarnations import LIVES_KEPT, BackendLives
 
 INTERVAL = 1.5
 
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -23,9 +23,9 @@
 from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
 from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend, Ticket
 from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
-from lugspur.mesh.incoming import IncomingExchanges
-from lugspur.mesh.outcomes import UNRUN_MOST, Outcomes
-from lugspur.mesh.outgoing import UNPROVEN_MOST, OutgoingExchanges
+from lugspur.mesh.sidecar.incoming import IncomingExchanges
+from lugspur.mesh.sidecar.outgoing import UNPROVEN_MOST, OutgoingExchanges
+from lugspur.mesh.sidecar.request_outcomes import UNRUN_MOST, Outcomes
 
 OWN = Hello("127.0.0.9", "own", False)
 
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -24,9 +24,9 @@
 )
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.uploads import PART
-from lugspur.mesh.registration import BackendStatus
 from lugspur.mesh.settings import load
-from lugspur.mesh.sidecar import Sidecar
+from lugspur.mesh.sidecar.process import Sidecar
+from lugspur.mesh.sidecar.registration import BackendStatus
 from lugspur.mesh.transport.link import Dialler
 from lugspur.seams import Request
 
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -59,7 +59,6 @@
 
 
 def test_a_process_that_is_never_asked_does_not_load_the_library() -> None:
-    code = (
-        "import sys, lugspur.mesh.sidecar, lugspur.mesh.control_node.process; print('prometheus_client' in sys.modules)"
-    )
+    modules = "lugspur.mesh.sidecar.process, lugspur.mesh.control_node.process"
+    code = f"import sys, {modules}; print('prometheus_client' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "False\n"
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -43,7 +43,7 @@
 # Prints the files of the extension modules that lie beside pure Python packages, once all that is run has been loaded.
 LOADED = """
 import sys
-import lugspur.mesh.cli, lugspur.mesh.control_node.process, lugspur.mesh.program, lugspur.mesh.sidecar
+import lugspur.mesh.cli, lugspur.mesh.control_node.process, lugspur.mesh.program, lugspur.mesh.sidecar.process
 for module in list(sys.modules.values()):
     path = getattr(module, "__file__", None) or ""
     if path.endswith(".so") and "site-packages" in path:
