--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -21,8 +21,8 @@
 from lugspur.mesh.control_node.leases import LEASE
 from lugspur.mesh.control_node.pending_changes import PENDING_MOST
 from lugspur.mesh.control_node.process import BEHIND, FAILING, SWEEP_EVERY
-from lugspur.mesh.node import LOOK, PING_PART, PINGS_MISSED, STALE_PART
-from lugspur.mesh.stall import FROZEN, WOKEN
+from lugspur.mesh.process import LOOK, PING_PART, PINGS_MISSED, STALE_PART
+from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS, REJECT_AFTER_PAUSE_SECONDS
 
 EDITION_S = 2.0  # edition_ms of the settings
 CATCH_UP_S = 4.0
@@ -216,7 +216,11 @@
     def amend(self, entries: list[Entry], over: Callable[[Outcome], None]) -> Order | None:
         """An operator's order; None where it was turned away."""
         now = self.world.now
-        if len(self.proposer) >= ORDERS_MOST or now - self.looked_at > FROZEN or now - self.woken_at < WOKEN:
+        if (
+            len(self.proposer) >= ORDERS_MOST
+            or now - self.looked_at > PAUSE_THRESHOLD_SECONDS
+            or now - self.woken_at < REJECT_AFTER_PAUSE_SECONDS
+        ):
             over(NoQuorum())
             return None
         order = Order(entries, now + DECIDE_WITHIN, over)
@@ -246,7 +250,7 @@
     def look(self) -> None:
         """What is due from time to time."""
         now = self.world.now
-        if now - self.looked_at > FROZEN and self.looked_at > float("-inf"):
+        if now - self.looked_at > PAUSE_THRESHOLD_SECONDS and self.looked_at > float("-inf"):
             self.woken_at = now
         self.looked_at = now
         for ip in sorted(self.wanted()):
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -30,7 +30,7 @@
 )
 from lugspur.mesh.control.orders import Outcome
 from lugspur.mesh.control.replica import GENESIS
-from lugspur.mesh.node import LOOK
+from lugspur.mesh.process import LOOK
 
 LATENCY = (0.0005, 0.004)  # seconds from process to process
 SYNC = (0.001, 0.008)  # seconds of a write
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.control.messages import Message, SubmitOrder
 from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.transport.link import Link
 
 DECIDE_WITHIN = 0.8  # seconds for a call of an operator: callers move on after a second
@@ -29,12 +29,12 @@
         loop: asyncio.AbstractEventLoop,
         ip: str,
         proposer: Proposer,
-        stall: StallDetector,
+        pause_detector: PauseDetector,
         preferred: Callable[[float], str],
         do: Callable[[Effects], None],
         to: Callable[[str, Message], None],
     ) -> None:
-        self._loop, self._ip, self._proposer, self._stall = loop, ip, proposer, stall
+        self._loop, self._ip, self._proposer, self._pause_detector = loop, ip, proposer, pause_detector
         self._preferred, self._do, self._to = preferred, do, to
         self.forwarder = Forwarder()
 
@@ -43,7 +43,7 @@
         in_hand = len(self._proposer) + len(self.forwarder)
         if in_hand >= ORDERS_MOST:  # Guards memory and disks against a flood of calls.
             raise MeshError(Kind.NO_QUORUM, "too many calls in hand")
-        if self._stall.stalled(now):
+        if self._pause_detector.is_stale(now):
             raise MeshError(Kind.NO_QUORUM, "this process has stood still")
 
     def submit(self, now: float, order: Order) -> None:
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -16,7 +16,7 @@
 from lugspur.mesh.control.replica import Replica, membership_entry
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.control_node.change_router import DECIDE_WITHIN
-from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.process_pause import PauseDetector
 
 _presence = msgspec.msgpack.Decoder(Presence)
 
@@ -37,11 +37,11 @@
         store: Store,
         freshness: Freshness,
         stale: float,
-        stall: StallDetector,
+        pause_detector: PauseDetector,
         propose: Callable[[float, Order], None],
     ) -> None:
         self._ip, self._replica, self._reconfiguration, self._store = ip, replica, reconfiguration, store
-        self._freshness, self._stale, self._stall, self._propose = freshness, stale, stall, propose
+        self._freshness, self._stale, self._pause_detector, self._propose = freshness, stale, pause_detector, propose
         self._heard_at: dict[str, float] = {}  # when each voter was heard last, or has begun to be listened for
         self._complete_epochs: dict[str, int] = {}  # the epoch for which each peer has said that it is complete
 
@@ -73,7 +73,7 @@
                 continue
             # A peer that takes connections and says nothing is as absent as one that takes none.
             heard_at = self._heard_at.setdefault(voter.ip, now)
-            absent[voter.ip] = now - max(heard_at, self._stall.woken_at)
+            absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
             fresh = now - self._freshness.word_at(voter.ip) < self._stale
             if fresh and self._complete_epochs.get(voter.ip, 0) == membership.epoch:
                 complete.add(voter.ip)
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -9,7 +9,7 @@
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
-from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.link import Dialler
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
@@ -23,7 +23,7 @@
     proposer: Proposer
     disk: Disk
     operator_calls: OperatorCalls
-    stall: StallDetector
+    pause_detector: PauseDetector
     peers: dict[str, Dialler]
 
     @property
@@ -44,7 +44,7 @@
         counter("proposals_total", "Proposals of changes.", node.proposer.proposals),
         counter("disk_commits_total", "Writes that were synced.", disk.commits),
         counter("disk_failures_total", "Writes that failed.", disk.failures),
-        counter("stalls_total", "How often this process stood still for a second or more.", node.stall.stalls),
+        counter("stalls_total", "How often this process stood still for a second or more.", node.pause_detector.pauses),
         gauge("disk_failing", "1 while the latest write had failed.", float(bool(disk.fault))),
         gauge("configuration_index", "The latest change that is known as decided.", replica.index),
         gauge("membership_epoch", "The membership that this process goes by.", replica.epoch),
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -50,9 +50,9 @@
 from lugspur.mesh.control_node.status import control_status
 from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.http_api import HttpApi, reply
-from lugspur.mesh.node import LOOK, Node
+from lugspur.mesh.process import LOOK, Node
+from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
-from lugspur.mesh.stall import StallDetector
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.link import Dialler, Link
 from lugspur.observability.metrics import CONTENT_TYPE, render
@@ -95,14 +95,14 @@
         self.announcement = Announcement(self.ip, self.store, self.edition, self._report)
         self.subscribers = Subscribers(self.loop, self.store, self.ping, self._news)
         self.leases = Leases(self.store)
-        self.stall = StallDetector()
+        self.pause_detector = PauseDetector()
         bounds, tolerate = settings.tariffs.bounds, settings.tariffs.tolerate
         self.replica = self._restore(rows)
         self.pages = LearnPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.life}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
         self.router = OrderRouter(
-            self.loop, self.ip, self.proposer, self.stall, self._preferred_proposer, self.do, self.to
+            self.loop, self.ip, self.proposer, self.pause_detector, self._preferred_proposer, self.do, self.to
         )
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.do)
         self.catch_up = ClaimsCatchUp(self.replica)
@@ -116,7 +116,7 @@
             self.store,
             self.freshness,
             self.stale,
-            self.stall,
+            self.pause_detector,
             self._propose,
         )
         self.pending_changes = PendingChanges(self.ip, self.replica, self._finish_pending)
@@ -347,7 +347,7 @@
     # ---- time ------------------------------------------------------------------------------
 
     def look(self, now: float) -> None:
-        self.stall.look(now)
+        self.pause_detector.tick(now)
         self.leases.end_silent(now)
         self.subscribers.look(now)
         if now >= self._sweep_at:
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -8,7 +8,7 @@
 from lugspur.mesh.control.messages import Delta, Pong
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.control_node.leases import LEASE
-from lugspur.mesh.node import LOOK
+from lugspur.mesh.process import LOOK
 from lugspur.mesh.transport.link import Link
 
 NewsSince = Callable[[float, int], Delta]  # the news at a time, of all changes after a place in the store
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -12,7 +12,7 @@
 from lugspur import invariants, reloads
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import MeshError
-from lugspur.mesh.node import Node
+from lugspur.mesh.process import Node
 from lugspur.mesh.settings import DEFAULT, VARIABLE, Settings, load
 
 GC_YOUNG = 20_000  # objects made until the youngest are looked at: requests leave few cycles behind
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -23,13 +23,14 @@
 from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
-from lugspur.mesh.node import Node
+from lugspur.mesh.process import Node
+from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.sidecar.local_requests import CarriedHere
 from lugspur.mesh.sidecar.metrics import sidecar_figures, tell_failure
 from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
-from lugspur.mesh.sidecar.registration import FROZEN, BackendRegistration, BackendStatus
+from lugspur.mesh.sidecar.registration import BackendRegistration, BackendStatus
 from lugspur.mesh.sidecar.status import sidecar_status
 from lugspur.mesh.transport.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
 from lugspur.observability.failures import FailureLog, Standing
@@ -59,7 +60,7 @@
         self._stale_services: set[str] = set()
         self._told_at = 0.0
         self._told: Counter[str] = Counter()  # ends of requests that the log has told of
-        self._freezes = FreezeDetector(FROZEN, SETTLED)
+        self._freezes = FreezeDetector(PAUSE_THRESHOLD_SECONDS, SETTLED)
         self.outgoing = OutgoingExchanges()
         self._rate = limits.link_mbps * 1e6 / 8.0
         super().__init__(settings, path, False)
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -15,11 +15,11 @@
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.http_api import reply
+from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.backend_incarnations import BackendLives
 from lugspur.seams import Answerable, Request
 
-FROZEN = 1.0  # seconds between two looks after which this process has not run in between
 HEARTBEATS_MISSED = 3.0  # beats that may be missed until a backend counts as gone
 HEARTBEAT_MOST = 4096  # bytes of a beat
 SAY_AGAIN = 2.0  # seconds between editions of the same word to another source
@@ -192,7 +192,9 @@
         local = self._gate.local
         away, self._looked_at = now - self._looked_at, now
         if local is not None and local.state not in ("gone", "silent"):
-            if away > FROZEN:  # Guards against a verdict after a freeze of its own: the beats wait unread.
+            if (
+                away > PAUSE_THRESHOLD_SECONDS
+            ):  # Guards against a verdict after a freeze of its own: the beats wait unread.
                 local.heard += away
             due = HEARTBEATS_MISSED * self._process.settings.depot.heartbeat_ms / 1000.0 + 1.0
             if now - local.heard > due:
--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -163,11 +163,11 @@
         "MeshError: conflict\n\nDuring handling of the above exception, another exception occurred:\n\n"
         "Traceback (most recent call last):\n"
         '  File "uvloop/cbhandles.pyx", line 64, in run\n'
-        '  File "/src/lugspur/mesh/node.py", line 9, in _look\n    self.look(now)\n'
+        '  File "/src/lugspur/mesh/process.py", line 9, in _look\n    self.look(now)\n'
         "RuntimeError: no good <object at 0x12>; closed\n12:01 event=serving\n"
     )
     (tmp_path / "b.log").write_text("12:00 event=serving fault=RuntimeError: none\n")
-    assert exceptions(tmp_path) == {"RuntimeError (no good) in mesh/node.py, line 9, in _look": 1}
+    assert exceptions(tmp_path) == {"RuntimeError (no good) in mesh/process.py, line 9, in _look": 1}
 
 
 SHORT_RUN = [
