--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -24,8 +24,8 @@
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
-from lugspur.mesh.sidecar.backend_incarnations import BackendLives
-from lugspur.mesh.sidecar.request_outcomes import Outcomes
+from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
+from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
 from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
@@ -90,7 +90,7 @@
     return _heard(self, now, ip, delta)
 
 
-def _any_life_is_present(self: BackendLives, now: float, ident: str, sequence: int, silent: bool) -> bool:
+def _any_life_is_present(self: BackendIncarnations, now: float, ident: str, sequence: int, silent: bool) -> bool:
     return True
 
 
@@ -106,7 +106,7 @@
     return False
 
 
-def _all_is_proven(self: Outcomes, life: str, number: int) -> bool:
+def _all_is_proven(self: RequestOutcomes, life: str, number: int) -> bool:
     return True
 
 
@@ -126,8 +126,8 @@
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelay, "excess", _never_late),
-    SoakGuard("only what never came is proven so", Outcomes, "proven_unrun", _all_is_proven),
-    SoakGuard("a late heartbeat takes nobody's place", BackendLives, "is_present", _any_life_is_present),
+    SoakGuard("only what never came is proven so", RequestOutcomes, "proven_unrun", _all_is_proven),
+    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
     SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
 ]
 
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -17,18 +17,18 @@
 from lugspur.mesh.control.reader import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
 from lugspur.mesh.control.replica import membership_entry
-from lugspur.mesh.control_node.change_router import DECIDE_WITHIN, ORDERS_MOST
-from lugspur.mesh.control_node.leases import LEASE
-from lugspur.mesh.control_node.pending_changes import PENDING_MOST
-from lugspur.mesh.control_node.process import BEHIND, FAILING, SWEEP_EVERY
-from lugspur.mesh.process import LOOK, PING_PART, PINGS_MISSED, STALE_PART
+from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, MAX_PENDING_CALLS
+from lugspur.mesh.control_node.leases import LEASE_SECONDS
+from lugspur.mesh.control_node.pending_changes import MAX_PENDING_SECONDS
+from lugspur.mesh.control_node.process import CATCH_UP_DELAY_SECONDS, DISK_FAILURE_SECONDS, SWEEP_INTERVAL_SECONDS
+from lugspur.mesh.process import HEARTBEAT_FRACTION, MAX_MISSED_HEARTBEATS, STALENESS_FRACTION, TICK_SECONDS
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS, REJECT_AFTER_PAUSE_SECONDS
 
 EDITION_S = 2.0  # edition_ms of the settings
 CATCH_UP_S = 4.0
 CONTACT_S = 3.0
-PING = max(0.1, PING_PART * EDITION_S)
-STALE = max(0.3, STALE_PART * EDITION_S)
+PING = max(0.1, HEARTBEAT_FRACTION * EDITION_S)
+STALE = max(0.3, STALENESS_FRACTION * EDITION_S)
 
 _pack = msgspec.msgpack.Encoder().encode
 _presence = msgspec.msgpack.Decoder(Presence)
@@ -82,7 +82,7 @@
         super().start(now, seeds)
         self.frozen = self.leaving = False
         self.arrived.clear()
-        self.freshness = Freshness(PINGS_MISSED * PING)
+        self.freshness = Freshness(MAX_MISSED_HEARTBEATS * PING)
         self.presences: dict[str, Presence] = {}
         self.leases: dict[str, float] = {}
         self.complete_epochs: dict[str, int] = {}
@@ -174,7 +174,7 @@
         self.freshness.heard(now, ip, message)
         self.complete_epochs[ip] = message.complete
         self.send(wire.back, Pong(now))
-        if message.index > self.replica.index and now - self.asked_for > BEHIND:
+        if message.index > self.replica.index and now - self.asked_for > CATCH_UP_DELAY_SECONDS:
             self.asked_for = now
             replica, index = self.replica, message.index
 
@@ -182,7 +182,7 @@
                 if replica is self.replica and self.up and replica.index < index:
                     self.send(ip, CatchUp(replica.index))
 
-            self.world.later(BEHIND, ask)
+            self.world.later(CATCH_UP_DELAY_SECONDS, ask)
 
     def _tell(self, ip: str) -> None:
         now, replica = self.world.now, self.replica
@@ -217,19 +217,21 @@
         """An operator's order; None where it was turned away."""
         now = self.world.now
         if (
-            len(self.proposer) >= ORDERS_MOST
+            len(self.proposer) >= MAX_PENDING_CALLS
             or now - self.looked_at > PAUSE_THRESHOLD_SECONDS
             or now - self.woken_at < REJECT_AFTER_PAUSE_SECONDS
         ):
             over(NoQuorum())
             return None
-        order = Order(entries, now + DECIDE_WITHIN, over)
+        order = Order(entries, now + DECISION_TIMEOUT_SECONDS, over)
         self.do(now, self.proposer.submit(now, order))
         return order
 
     def read(self, over: Callable[[bool], None]) -> None:
         """An operator's read."""
-        self.do(self.world.now, self.reader.submit(self.world.now, Read(self.world.now + DECIDE_WITHIN, over)))
+        self.do(
+            self.world.now, self.reader.submit(self.world.now, Read(self.world.now + DECISION_TIMEOUT_SECONDS, over))
+        )
 
     # ---- time --------------------------------------------------------------------------------
 
@@ -243,7 +245,7 @@
         """Decide what was accepted, or give it up, if nobody does for a while."""
         if self.pending_since is None:
             self.pending_since = now
-        elif now - self.pending_since > PENDING_MOST:
+        elif now - self.pending_since > MAX_PENDING_SECONDS:
             self.pending_since = now
             self.do(now, self.proposer.finish(now))
 
@@ -259,7 +261,7 @@
                 self.world.dial(self.ip, ip)
         self._look_at_peers(now)
         if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP_EVERY
+            self.sweep_at = now + SWEEP_INTERVAL_SECONDS
             self.do(now, self.replica.sweep(now))
             self._look_at_disk(now)
         self._announce(now)
@@ -271,13 +273,13 @@
 
     def _look_at_peers(self, now: float) -> None:
         for ip, at in list(self.leases.items()):
-            if now - at > LEASE:
+            if now - at > LEASE_SECONDS:
                 del self.leases[ip]
                 self.presences.pop(ip, None)
                 if self.world.connected(ip, self.ip):
                     self.world.hang_up(ip, self.ip)
         for ip, told in list(self.subscribers.items()):
-            if now - told >= PING - LOOK / 2:
+            if now - told >= PING - TICK_SECONDS / 2:
                 self._tell(ip)
 
     def _look_at_disk(self, now: float) -> None:
@@ -287,7 +289,7 @@
             self.failing_since = now
 
     def _announce(self, now: float) -> None:
-        failing = self.failing_since is not None and now - self.failing_since > FAILING
+        failing = self.failing_since is not None and now - self.failing_since > DISK_FAILURE_SECONDS
         presence = Presence(self.replica.voter.uid, self.zone, self.leaving, failing)
         if presence != self.announced:
             self.announced = self.presences[self.ip] = presence
@@ -302,7 +304,7 @@
             return
         rank = [voter.ip for voter in membership.voters].index(self.ip)
         if self.pending_since is None:
-            self.pending_since = now + PENDING_MOST * rank
+            self.pending_since = now + MAX_PENDING_SECONDS * rank
         else:
             self.pending(now)
 
@@ -324,7 +326,7 @@
             self._propose(now, step)
 
     def _propose(self, now: float, step: Membership) -> None:
-        order = Order([membership_entry(step)], now + DECIDE_WITHIN, ignore, step.epoch - 1)
+        order = Order([membership_entry(step)], now + DECISION_TIMEOUT_SECONDS, ignore, step.epoch - 1)
         self.do(now, self.proposer.submit(now, order))
 
     def handed_on(self) -> bool:
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -30,7 +30,7 @@
 )
 from lugspur.mesh.control.orders import Outcome
 from lugspur.mesh.control.replica import GENESIS
-from lugspur.mesh.process import LOOK
+from lugspur.mesh.process import TICK_SECONDS
 
 LATENCY = (0.0005, 0.004)  # seconds from process to process
 SYNC = (0.001, 0.008)  # seconds of a write
@@ -106,7 +106,7 @@
         self.chain.observe("first", self.nodes[self.seeds[0]].replica.register)
         self.proxies = {f"p{n}": Proxy(f"p{n}", self._claims(f"p{n}")) for n in range(proxies)}
         for ip in self.nodes:
-            self.later(self.rng.random() * LOOK, self.looker(ip))
+            self.later(self.rng.random() * TICK_SECONDS, self.looker(ip))
 
     @property
     def now(self) -> float:
@@ -134,7 +134,7 @@
             if node.up and not node.frozen:
                 node.look()
                 self._check_age(node)
-            self.later(LOOK, look)
+            self.later(TICK_SECONDS, look)
 
         return look
 
--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -13,10 +13,10 @@
 
 from lugspur.discovery.rows import read_address
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.settings import load
+from lugspur.mesh.settings import load_settings
 from lugspur.mesh.storage.data_directory import export, look, told
 
-WITHIN = 10.0  # seconds for one call
+CALL_TIMEOUT_SECONDS = 10.0  # seconds for one call
 app = cyclopts.App(name="python -m lugspur.mesh", help="The mesh: proxies carry requests, replicas keep the state.")
 
 
@@ -28,7 +28,7 @@
     """One call at a `dispatch` address; raises MeshError where it can't be made or is not taken."""
     try:
         host, port = read_address(address)
-        connection = http.client.HTTPConnection(host, port, timeout=WITHIN)
+        connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_SECONDS)
         connection.request(method, path, body, {"Content-Type": "application/json"} if body is not None else {})
         answer = connection.getresponse()
         found = answer.read()
@@ -42,7 +42,7 @@
 @app.command
 def check(path: Path) -> None:
     """Check a settings file; one line of what is wrong, and exit status 2, where it can't be used."""
-    settings = load(path)
+    settings = load_settings(path)
     print(f"{settings.own.node_name}: {'replica' if settings.keeps else 'proxy'} in {settings.own.zone}")
 
 
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -14,11 +14,11 @@
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.transport.link import Link
 
-DECIDE_WITHIN = 0.8  # seconds for a call of an operator: callers move on after a second
-ORDERS_MOST = 64  # calls of operators in hand at once
+DECISION_TIMEOUT_SECONDS = 0.8  # seconds for a call of an operator: callers move on after a second
+MAX_PENDING_CALLS = 64  # calls of operators in hand at once
 
 
-class OrderRouter:
+class ChangeRouter:
     """Takes up orders, or turns them away.
 
     `preferred` names the control node that proposes for all, `do` carries out effects, `to` sends to a control node.
@@ -41,7 +41,7 @@
     def turn_away(self, now: float) -> None:
         """Raises MeshError where an order may not be taken up."""
         in_hand = len(self._proposer) + len(self.forwarder)
-        if in_hand >= ORDERS_MOST:  # Guards memory and disks against a flood of calls.
+        if in_hand >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
             raise MeshError(Kind.NO_QUORUM, "too many calls in hand")
         if self._pause_detector.is_stale(now):
             raise MeshError(Kind.NO_QUORUM, "this process has stood still")
@@ -71,7 +71,7 @@
         except MeshError:
             over(NoQuorum())
             return
-        order = Order(message.entries, now + min(DECIDE_WITHIN, message.left), over)
+        order = Order(message.entries, now + min(DECISION_TIMEOUT_SECONDS, message.left), over)
         self._do(self._proposer.submit(now, order))
 
     def lost(self, now: float, ip: str) -> None:
--- a/lugspur/mesh/control_node/effect_runner.py
+++ b/lugspur/mesh/control_node/effect_runner.py
@@ -9,7 +9,7 @@
 from lugspur.mesh.control.messages import Message
 from lugspur.mesh.storage.disk import Disk
 
-LAZY = 0.1  # seconds for which rows that nobody waits for may wait for others
+LAZY_WRITE_DELAY_SECONDS = 0.1  # seconds for which rows that nobody waits for may wait for others
 
 
 class EffectRunner:
@@ -35,7 +35,7 @@
             self._disk.write(effects.write)
             if not self._lazy:
                 self._lazy = True
-                self._loop.call_later(LAZY, self._write_lazy)
+                self._loop.call_later(LAZY_WRITE_DELAY_SECONDS, self._write_lazy)
 
     def _send(self, peer: Peer, message: Message) -> None:
         if isinstance(peer, str):
--- a/lugspur/mesh/control_node/leases.py
+++ b/lugspur/mesh/control_node/leases.py
@@ -9,8 +9,8 @@
 from lugspur.mesh.control.store import Name, Store
 from lugspur.mesh.transport.link import Link
 
-LEASE = 4.0  # seconds without a word after which what a process said of itself is dropped
-RENEW_EVERY = 1.0  # seconds between looks at when the link of an open lease was heard last
+LEASE_SECONDS = 4.0  # seconds without a word after which what a process said of itself is dropped
+RENEWAL_SECONDS = 1.0  # seconds between looks at when the link of an open lease was heard last
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,9 +41,9 @@
         for name, lease in list(self._leases.items()):
             heard_at = max(lease.heard_at, lease.link.at)
             if lease.link.open:
-                if now - lease.heard_at > RENEW_EVERY:
+                if now - lease.heard_at > RENEWAL_SECONDS:
                     self._leases[name] = Lease(lease.link, lease.edition, heard_at)
-            elif now - heard_at > LEASE:
+            elif now - heard_at > LEASE_SECONDS:
                 del self._leases[name]
                 self._withdraw(name, lease.edition)
 
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -15,7 +15,7 @@
 from lugspur.mesh.control.reconfiguration import Reconfiguration
 from lugspur.mesh.control.replica import Replica, membership_entry
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.control_node.change_router import DECIDE_WITHIN
+from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS
 from lugspur.mesh.process_pause import PauseDetector
 
 _presence = msgspec.msgpack.Decoder(Presence)
@@ -87,7 +87,7 @@
             events.info("reconfiguration", epoch=step.epoch, voters=voters, outcome=type(outcome).__name__)
 
         entries = [membership_entry(step)]
-        self._propose(now, Order(entries, now + DECIDE_WITHIN, over, step.epoch - 1))
+        self._propose(now, Order(entries, now + DECISION_TIMEOUT_SECONDS, over, step.epoch - 1))
 
     def handed_on(self) -> bool:
         """Whether nobody needs this process: others vote, and hold all claims that it held as a voter."""
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.transport.link import Dialler
+from lugspur.mesh.transport.link import Dialer
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
 
@@ -24,7 +24,7 @@
     disk: Disk
     operator_calls: OperatorCalls
     pause_detector: PauseDetector
-    peers: dict[str, Dialler]
+    peers: dict[str, Dialer]
 
     @property
     def subscribers(self) -> Sized:
@@ -34,7 +34,7 @@
         """Seconds since word of a majority."""
 
 
-def control_figures(node: ControlParts) -> list[Figure]:
+def control_node_metrics(node: ControlParts) -> list[Figure]:
     """All figures of one control node at this moment."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -13,7 +13,7 @@
 from lugspur.mesh.control.orders import Order, Outcome, fault_of
 from lugspur.mesh.control.reader import Read, Reader
 from lugspur.mesh.control.replica import Replica
-from lugspur.mesh.control_node.change_router import DECIDE_WITHIN, OrderRouter
+from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.http_api import fail, reply
 from lugspur.seams import Answerable, Request
 
@@ -25,7 +25,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         replica: Replica,
-        router: OrderRouter,
+        router: ChangeRouter,
         reader: Reader,
         do: Callable[[Effects], None],
     ) -> None:
@@ -60,7 +60,7 @@
         now = self._loop.time()
         entries = items.read_call(request.body)
         self._router.turn_away(now)
-        order = Order(entries, now + DECIDE_WITHIN, over)
+        order = Order(entries, now + DECISION_TIMEOUT_SECONDS, over)
         caller.gone = gone
         self.waiting.add(caller)
         self._router.submit(now, order)
@@ -88,4 +88,4 @@
         caller.gone = gone
         now = self._loop.time()
         self.waiting.add(caller)
-        self._do(self._reader.submit(now, Read(now + DECIDE_WITHIN, over)))
+        self._do(self._reader.submit(now, Read(now + DECISION_TIMEOUT_SECONDS, over)))
--- a/lugspur/mesh/control_node/pending_changes.py
+++ b/lugspur/mesh/control_node/pending_changes.py
@@ -6,7 +6,7 @@
 
 from lugspur.mesh.control.replica import Replica
 
-PENDING_MOST = 0.1  # seconds that a change may be accepted and not decided until it is finished, for each voter's rank
+MAX_PENDING_SECONDS = 0.1  # how long a change may be accepted and not decided before a voter of rank 0 finishes it
 
 
 class PendingChanges:
@@ -24,7 +24,7 @@
         """Something was accepted by a minority, or by a majority that nobody has heard of."""
         if self._since is None:
             self._since = now
-        elif now - self._since > PENDING_MOST:
+        elif now - self._since > MAX_PENDING_SECONDS:
             self._since = now
             self._finish(now)
 
@@ -36,6 +36,6 @@
             return
         rank = [voter.ip for voter in membership.voters].index(self._ip)
         if self._since is None:
-            self._since = now + PENDING_MOST * rank  # one after the other, not all at once
+            self._since = now + MAX_PENDING_SECONDS * rank  # one after the other, not all at once
         else:
             self.seen(now)
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -40,31 +40,31 @@
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
 from lugspur.mesh.control.store import Name
 from lugspur.mesh.control_node.announcement import Announcement
-from lugspur.mesh.control_node.change_router import DECIDE_WITHIN, OrderRouter
+from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.control_node.effect_runner import EffectRunner
 from lugspur.mesh.control_node.leases import Leases
 from lugspur.mesh.control_node.membership_changes import MembershipChanges, presences_of
-from lugspur.mesh.control_node.metrics import control_figures
+from lugspur.mesh.control_node.metrics import control_node_metrics
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.control_node.pending_changes import PendingChanges
-from lugspur.mesh.control_node.status import control_status
+from lugspur.mesh.control_node.status import control_node_status
 from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.http_api import HttpApi, reply
-from lugspur.mesh.process import LOOK, Node
+from lugspur.mesh.process import TICK_SECONDS, MeshProcess
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.transport.link import Dialler, Link
+from lugspur.mesh.transport.link import Dialer, Link
 from lugspur.observability.metrics import CONTENT_TYPE, render
 from lugspur.seams import Answerable, Request
 
-SWEEP_EVERY = 1.0  # seconds between looks at claims whose window is over
-ANSWERS_OUT = 0.02  # seconds in which the last answers are written
-LEAVE_PART = 0.8  # of the time that a process has to end, for handing its vote and its claims on
-LEAVE_ENDS = 0.95  # ...and by which no call is waited for any more
-BEHIND = 0.05  # seconds for which a replica waits to be told what it lacks before it asks
-HEARD_WITHIN = 0.5  # seconds since the latest word of a voter to whom orders are handed
-FAILING = 1.0  # seconds for which a disk may refuse writes until the vote goes to another
+SWEEP_INTERVAL_SECONDS = 1.0  # seconds between looks at claims whose window is over
+FLUSH_SECONDS = 0.02  # seconds in which the last answers are written
+HANDOFF_FRACTION = 0.8  # of the time that a process has to end, for handing its vote and its claims on
+SHUTDOWN_FRACTION = 0.95  # ...and by which no call is waited for any more
+CATCH_UP_DELAY_SECONDS = 0.05  # seconds for which a replica waits to be told what it lacks before it asks
+PROPOSER_SILENCE_SECONDS = 0.5  # seconds since the latest word of a voter to whom orders are handed
+DISK_FAILURE_SECONDS = 1.0  # seconds for which a disk may refuse writes until the vote goes to another
 
 _json = msgspec.json.Encoder().encode
 
@@ -81,7 +81,7 @@
         self._node.loop.call_soon(self._node.heard, self._node.ip, message)
 
 
-class ControlNode(Node):
+class ControlNode(MeshProcess):
     """The process of one control node."""
 
     def __init__(self, settings: Settings, path: str) -> None:
@@ -101,7 +101,7 @@
         self.pages = LearnPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.life}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
-        self.router = OrderRouter(
+        self.router = ChangeRouter(
             self.loop, self.ip, self.proposer, self.pause_detector, self._preferred_proposer, self.do, self.to
         )
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.do)
@@ -263,9 +263,9 @@
     def _delta(self, now: float, ip: str, message: Delta) -> None:
         super()._delta(now, ip, message)
         self.membership_changes.told_complete(ip, message.complete)
-        if message.index > self.replica.index and now - self._asked_for > BEHIND:
+        if message.index > self.replica.index and now - self._asked_for > CATCH_UP_DELAY_SECONDS:
             self._asked_for = now
-            self.loop.call_later(BEHIND, self._ask_for_changes, ip, message.index)
+            self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.index)
 
     def _ask_for_changes(self, ip: str, index: int) -> None:
         """Learn what a peer knows, unless it has been told meanwhile."""
@@ -275,7 +275,7 @@
     def _finish_pending(self, now: float) -> None:
         self.do(self.proposer.finish(now))
 
-    def _down(self, dialler: Dialler) -> None:
+    def _down(self, dialler: Dialer) -> None:
         self.catch_up.lost(dialler.ip)
         self.pages.lost(dialler.ip)
         self.membership_changes.lost(dialler.ip)
@@ -331,7 +331,7 @@
 
     def announce(self) -> None:
         """Say what this control node is."""
-        failing = self._failing_since is not None and self.loop.time() - self._failing_since > FAILING
+        failing = self._failing_since is not None and self.loop.time() - self._failing_since > DISK_FAILURE_SECONDS
         uid, zone = self.replica.voter.uid, self.settings.own.zone
         self.announcement.announce(Presence(uid, zone, self.leaving, failing, self.disk.size))
 
@@ -351,7 +351,7 @@
         self.leases.end_silent(now)
         self.subscribers.look(now)
         if now >= self._sweep_at:
-            self._sweep_at = now + SWEEP_EVERY
+            self._sweep_at = now + SWEEP_INTERVAL_SECONDS
             self.do(self.replica.sweep(now))
             self._look_at_disk(now)
         self.router.look(now)
@@ -383,17 +383,17 @@
         if self.age(now) > self.stale:
             return self.ip
         for voter in membership.voters if membership is not None else ():
-            if voter.ip == self.ip or now - self.freshness.word_at(voter.ip) < HEARD_WITHIN:
+            if voter.ip == self.ip or now - self.freshness.word_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
                 return voter.ip
         return self.ip
 
     def _metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """This control node's figures."""
-        caller.answer(200, CONTENT_TYPE, render(control_figures(self)))
+        caller.answer(200, CONTENT_TYPE, render(control_node_metrics(self)))
 
     def status(self) -> dict[str, Any]:
         """What operators see of this control node, whether a majority can be reached or not."""
-        return control_status(
+        return control_node_status(
             self.settings.own,
             self.replica,
             self.store,
@@ -411,14 +411,14 @@
         self.leaving = True
         self.announce()
         began, grace = self.loop.time(), self.settings.tariffs.bounds.grace_s
-        until = began + LEAVE_PART * grace
+        until = began + HANDOFF_FRACTION * grace
         while self.loop.time() < until and not self.membership_changes.handed_on():
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(TICK_SECONDS)
         await asyncio.sleep(0.3)
         # Guards operators against connections that end without an answer: no call waits for longer.
-        until = min(self.loop.time() + DECIDE_WITHIN, began + LEAVE_ENDS * grace)
+        until = min(self.loop.time() + DECISION_TIMEOUT_SECONDS, began + SHUTDOWN_FRACTION * grace)
         while self.loop.time() < until and self.operator_calls.waiting:
-            await asyncio.sleep(ANSWERS_OUT)
+            await asyncio.sleep(FLUSH_SECONDS)
         self.front.close()
-        await asyncio.sleep(ANSWERS_OUT)
+        await asyncio.sleep(FLUSH_SECONDS)
         self.disk.close(1.0)
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.storage.disk import Disk
 
 
-def control_status(
+def control_node_status(
     own: Own, replica: Replica, store: Store, disk: Disk, *, ip: str, age: float, voters_wanted: int, subscribers: int
 ) -> dict[str, Any]:
     """The fields of /mesh/status; `age`: seconds since word of a majority."""
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -7,8 +7,8 @@
 
 from lugspur.mesh.control.messages import Delta, Pong
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.control_node.leases import LEASE
-from lugspur.mesh.process import LOOK
+from lugspur.mesh.control_node.leases import LEASE_SECONDS
+from lugspur.mesh.process import TICK_SECONDS
 from lugspur.mesh.transport.link import Link
 
 NewsSince = Callable[[float, int], Delta]  # the news at a time, of all changes after a place in the store
@@ -60,9 +60,9 @@
     def look(self, now: float) -> None:
         """Close the connections of those who are silent, and ping the others."""
         for subscriber in list(self._subscribers.values()):
-            if now - subscriber.link.at > LEASE:
+            if now - subscriber.link.at > LEASE_SECONDS:
                 subscriber.link.close()
-            elif now - subscriber.pinged >= self._ping - LOOK / 2:
+            elif now - subscriber.pinged >= self._ping - TICK_SECONDS / 2:
                 self._tell(subscriber)
 
     def _flush(self) -> None:
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -12,11 +12,11 @@
 from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
 from lugspur.seams import Answerable, Request
 
-JSON = b"Content-Type: application/json\r\n"
+JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 # Bytes of a call's body: the whole configuration comes in one, 20,000 items of 800 bytes. Three of them have to fit
 # into what a connection between two processes may hold unsent: an order goes to each voter, and may be proposed again.
-CALL_MOST = 16 << 20
-CALLERS_MOST = 256  # connections of those who call
+MAX_CALL_BYTES = 16 << 20
+MAX_CALLERS = 256  # connections of those who call
 Call = Callable[[Request, Answerable, list[str]], None]
 _encode = msgspec.json.Encoder().encode
 
@@ -30,7 +30,7 @@
 
 def reply(caller: Answerable, body: bytes = b"{}", status: int = 200, head: bytes = b"") -> None:
     """Answer a call."""
-    caller.answer(status, head + JSON, body)
+    caller.answer(status, head + JSON_CONTENT_TYPE, body)
 
 
 def fail(caller: Answerable, fault: MeshError) -> None:
@@ -70,7 +70,7 @@
 
     async def serve(self, address: str, memory: int) -> Front:
         """Listen for calls."""
-        front = Front(read_address(address), CALLERS_MOST, memory, self.handle)
-        front.sizes = Sizes(body=CALL_MOST, ordinary=True)
+        front = Front(read_address(address), MAX_CALLERS, memory, self.handle)
+        front.sizes = Sizes(body=MAX_CALL_BYTES, ordinary=True)
         await front.listen()
         return front
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -29,17 +29,17 @@
 )
 from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.settings import Settings, load
-from lugspur.mesh.transport.link import KEEP_IDLE, Dialler, Link
+from lugspur.mesh.settings import Settings, load_settings
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Dialer, Link
 
-LOOK = 0.1  # seconds between looks at what is due
-PING_PART = 1 / 8  # of the time in which a configuration counts: how often news says that nothing is new
-STALE_PART = 0.4  # ...and how old the news may be before it is sought elsewhere
-PINGS_MISSED = 4.0  # pings until a peer that no longer hears of this process counts as cut off from it
-SETTINGS_EVERY = 1.0  # seconds between looks at whether the settings file has changed
+TICK_SECONDS = 0.1  # seconds between looks at what is due
+HEARTBEAT_FRACTION = 1 / 8  # of the time in which a configuration counts: how often news says that nothing is new
+STALENESS_FRACTION = 0.4  # ...and how old the news may be before it is sought elsewhere
+MAX_MISSED_HEARTBEATS = 4.0  # pings until a peer that no longer hears of this process counts as cut off from it
+SETTINGS_CHECK_SECONDS = 1.0  # seconds between looks at whether the settings file has changed
 
 
-class Node:
+class MeshProcess:
     """One process; `local` says whether a voter is this process itself, which then needs no connection."""
 
     def __init__(self, settings: Settings, path: str, keeps: bool) -> None:
@@ -52,7 +52,7 @@
         self.store = Store(self._changed)
         self.membership: Membership | None = None
         self.claims = Claims(self._to_voter)
-        self.peers: dict[str, Dialler] = {}  # by IP number
+        self.peers: dict[str, Dialer] = {}  # by IP number
         self.synced: dict[str, tuple[str, int]] = {}  # how far each peer's changes are known: its life and place
         self.index = 0  # the latest change of the configuration that is known here
         self.source = ""  # whose news it follows, where it follows one
@@ -62,15 +62,15 @@
         self.known = False  # it has had all news once
         self.leaving = False
         bounds = settings.tariffs.bounds
-        self.ping = max(0.1, PING_PART * bounds.edition_ms / 1000.0)
-        self.stale = max(0.3, STALE_PART * bounds.edition_ms / 1000.0)
-        self.freshness = Freshness(PINGS_MISSED * self.ping)
+        self.ping = max(0.1, HEARTBEAT_FRACTION * bounds.edition_ms / 1000.0)
+        self.stale = max(0.3, STALENESS_FRACTION * bounds.edition_ms / 1000.0)
+        self.freshness = Freshness(MAX_MISSED_HEARTBEATS * self.ping)
         self._avoid: dict[str, float] = {}  # sources that were given up, and until when
         self._settings_at = self._stamp()
         self._settings_next = 0.0
         self.reloaded: list[Callable[[], None]] = []
         self.loop.call_soon(self._reach)  # once the subclass has all that it wants to be asked for
-        self.loop.call_later(LOOK, self._look)
+        self.loop.call_later(TICK_SECONDS, self._look)
 
     # ---- settings ------------------------------------------------------------------------
 
@@ -85,7 +85,7 @@
         """Take up the settings file; a bad one changes nothing."""
         self._settings_at = self._stamp()
         try:
-            fresh = load(self.path)
+            fresh = load_settings(self.path)
         except MeshError as fault:
             events.warn("settings", fault=fault.detail)
             return
@@ -113,7 +113,7 @@
         wanted = self.wanted()
         for ip in wanted - self.peers.keys():
             port = self.settings.network.inner_ports[0]
-            self.peers[ip] = Dialler(ip, port, self.ip, self._heard_from, self._up, self._down, self.keep_idle(ip))
+            self.peers[ip] = Dialer(ip, port, self.ip, self._heard_from, self._up, self._down, self.keep_idle(ip))
         for ip in [ip for ip in self.peers if ip not in wanted and not self.keep_peer(ip)]:
             self.peers.pop(ip).close()
             self.freshness.lost(ip)
@@ -121,20 +121,20 @@
 
     def keep_idle(self, ip: str) -> int:
         """Seconds without a byte after which a connection to this peer is probed."""
-        return KEEP_IDLE
+        return KEEPALIVE_IDLE_SECONDS
 
     def keep_peer(self, ip: str) -> bool:
         """Whether a connection is wanted for anything else."""
         return False
 
-    def _up(self, dialler: Dialler) -> None:
+    def _up(self, dialler: Dialer) -> None:
         assert dialler.link is not None
         dialler.link.send(Hello(self.ip, self.life, self.keeps))
         if self.follows(dialler.ip):
             self._subscribe(dialler)
         self.claims.reach(self.loop.time(), dialler.ip)
 
-    def _down(self, dialler: Dialler) -> None:
+    def _down(self, dialler: Dialer) -> None:
         self.freshness.lost(dialler.ip)
         if dialler.ip == self.source:
             self.source = ""
@@ -144,7 +144,7 @@
         """Whether it follows that peer's news; a proxy follows one, a replica all voters."""
         return ip == self.source
 
-    def _subscribe(self, dialler: Dialler) -> None:
+    def _subscribe(self, dialler: Dialer) -> None:
         if dialler.link is not None:
             life, since = self.synced.get(dialler.ip, ("", 0))
             self.freshness.asked(self.loop.time(), dialler.ip)
@@ -268,10 +268,10 @@
 
     def _look(self) -> None:
         now = self.loop.time()
-        self.loop.call_later(LOOK, self._look)
+        self.loop.call_later(TICK_SECONDS, self._look)
         self.claims.look(now)
         if now >= self._settings_next:
-            self._settings_next = now + SETTINGS_EVERY
+            self._settings_next = now + SETTINGS_CHECK_SECONDS
             if self._stamp() != self._settings_at:
                 self.reload()
             self._reach()
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -12,17 +12,17 @@
 from lugspur import invariants, reloads
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import MeshError
-from lugspur.mesh.process import Node
-from lugspur.mesh.settings import DEFAULT, VARIABLE, Settings, load
+from lugspur.mesh.process import MeshProcess
+from lugspur.mesh.settings import DEFAULT_SETTINGS_PATH, SETTINGS_VARIABLE, Settings, load_settings
 
-GC_YOUNG = 20_000  # objects made until the youngest are looked at: requests leave few cycles behind
+GC_YOUNG_THRESHOLD = 20_000  # objects made until the youngest are looked at: requests leave few cycles behind
 
 
 def serve() -> int:
     """Run until SIGTERM; returns the exit status."""
-    path = os.environ.get(VARIABLE, DEFAULT)
+    path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
-        settings = load(path)
+        settings = load_settings(path)
     except MeshError as fault:
         events.start("unknown")
         events.warn("settings", fault=fault.detail)
@@ -40,7 +40,7 @@
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     # Imported only where it is run: starting counts, and on a small machine each module takes its time.
-    node: Node
+    node: MeshProcess
     if settings.keeps:
         from lugspur.mesh.control_node.process import ControlNode
 
@@ -58,7 +58,7 @@
     reloads.carry_out(loop, node.reload)
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_YOUNG, 20, 50)
+    gc.set_threshold(GC_YOUNG_THRESHOLD, 20, 50)
     events.info("serving", ip=node.ip, keeps=settings.keeps, first=settings.own.first_start)
     await stop.wait()
     events.info("leaving")
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -12,9 +12,9 @@
 from lugspur.discovery.rows import Address, read_address
 from lugspur.mesh.control.errors import Kind, MeshError
 
-VARIABLE = "LUGSPUR_NODE_FILE"  # names the file
-DEFAULT = "/etc/lugspur/settings.toml"
-PORT_MOST = 65535
+SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # names the file
+DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
+MAX_PORT = 65535
 Number = float | int  # TOML tells 1 from 1.0, operators need not
 
 
@@ -142,7 +142,7 @@
         return "dispatch" in self.own.serves and bool(self.own.data_dir)
 
 
-def parse(data: dict[str, Any]) -> Settings:
+def parse_settings(data: dict[str, Any]) -> Settings:
     """Check a file's tables; unknown fields are ignored. Raises MeshError (SETTINGS)."""
     named = {("own" if name == "self" else name): value for name, value in data.items()}
     try:
@@ -162,8 +162,8 @@
         raise MeshError(Kind.SETTINGS, str(fault)) from None
     if not settings.network.inner_ports:
         raise MeshError(Kind.SETTINGS, "network.inner_ports is empty")
-    if not all(0 < port <= PORT_MOST for port in settings.network.inner_ports):
-        raise MeshError(Kind.SETTINGS, f"network.inner_ports are not all from 1 to {PORT_MOST}")
+    if not all(0 < port <= MAX_PORT for port in settings.network.inner_ports):
+        raise MeshError(Kind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
     bounds = settings.tariffs.bounds
     for name in ("edition_ms", "stamp_window_s", "grace_s", "retry_window_s"):
         if getattr(bounds, name) <= 0.0:
@@ -171,10 +171,10 @@
     return settings
 
 
-def load(path: str | Path) -> Settings:
+def load_settings(path: str | Path) -> Settings:
     """Read the file; raises MeshError (SETTINGS) with what is wrong."""
     try:
         with open(path, "rb") as file:
-            return parse(tomllib.load(file))
+            return parse_settings(tomllib.load(file))
     except (OSError, ValueError, RecursionError) as fault:  # what is no TOML, no UTF-8, or nests without end
         raise MeshError(Kind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
--- a/lugspur/mesh/sidecar/backend_incarnations.py
+++ b/lugspur/mesh/sidecar/backend_incarnations.py
@@ -12,9 +12,9 @@
 
 from cachetools import LRUCache
 
-LIVES_KEPT = 64  # lives that are remembered, those heard last
-FIRST_SEQUENCE = 1  # the highest that a life's first heartbeat bears
-CONFIRMED_AFTER = 0.5  # of the time between two heartbeats: late ones may come together
+MAX_INCARNATIONS = 64  # lives that are remembered, those heard last
+MAX_FIRST_SEQUENCE = 1  # the highest that a life's first heartbeat bears
+CONFIRMATION_FRACTION = 0.5  # of the time between two heartbeats: late ones may come together
 
 
 @dataclass(slots=True)
@@ -27,12 +27,12 @@
     replaced: bool = False  # another life has taken its place
 
 
-class BackendLives:
+class BackendIncarnations:
     """The lives that one machine has heard of. `interval`: seconds between two heartbeats of one life."""
 
     def __init__(self, interval: float) -> None:
         self._interval = interval
-        self._lives: LRUCache[str, _Life] = LRUCache(LIVES_KEPT)
+        self._lives: LRUCache[str, _Life] = LRUCache(MAX_INCARNATIONS)
         self._present = ""
         self._claimant = ""  # the life whose heartbeats have come since the present one's latest
         self._claims_since = 0.0
@@ -66,17 +66,17 @@
     def _takes_over(self, now: float, ident: str, life: _Life, silent: bool) -> bool:
         if not self._present:
             return True
-        if not life.replaced and (silent or life.sequence <= FIRST_SEQUENCE):
+        if not life.replaced and (silent or life.sequence <= MAX_FIRST_SEQUENCE):
             return True
         # A present life that was heard once, in its middle, may itself be the late one: it has no more to show than
         # its claimant.
         present = self._life(self._present)
-        if present.heartbeats <= 1 and present.sequence > FIRST_SEQUENCE:
+        if present.heartbeats <= 1 and present.sequence > MAX_FIRST_SEQUENCE:
             return True
         if self._claimant != ident:
             self._claimant, self._claims_since = ident, now
             return False
-        return now - self._claims_since >= CONFIRMED_AFTER * self._interval
+        return now - self._claims_since >= CONFIRMATION_FRACTION * self._interval
 
     def _life(self, ident: str) -> _Life:
         found = self._lives.get(ident)
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -10,7 +10,7 @@
 from lugspur.mesh.dataplane.delays import ExcessDelay
 from lugspur.mesh.dataplane.gate import End, Gate, Ticket
 from lugspur.mesh.dataplane.uploads import UploadScheduler
-from lugspur.mesh.sidecar.request_outcomes import Outcomes
+from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
 from lugspur.mesh.transport.link import Link
 
 
@@ -39,7 +39,7 @@
         self.expired = 0  # requests whose time was over when they were read
         self._tickets: dict[tuple[Link, int], Ticket] = {}
         self._callers: dict[Link, _Caller] = {}
-        self._outcomes = Outcomes()
+        self._outcomes = RequestOutcomes()
 
     def heard(self, link: Link, message: Message) -> None:
         """Something from one who dialled."""
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
-from lugspur.mesh.transport.link import Dialler
+from lugspur.mesh.transport.link import Dialer
 from lugspur.observability.failures import FailedRequest, Standing
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
@@ -24,7 +24,7 @@
     proxy: Proxy
     front: Front
     incoming: IncomingExchanges
-    peers: dict[str, Dialler]
+    peers: dict[str, Dialer]
     sources: int
     leaving: bool
 
@@ -44,7 +44,7 @@
         """What requests are judged by at this moment."""
 
 
-def sidecar_figures(sidecar: SidecarParts) -> list[Figure]:
+def sidecar_metrics(sidecar: SidecarParts) -> list[Figure]:
     """All figures of one proxy at this moment."""
     now, gate, proxy, front = sidecar.loop.time(), sidecar.gate, sidecar.proxy, sidecar.front
     standing = sidecar.standing()
@@ -78,7 +78,7 @@
     return 0.0 if local is None else now - local.heard
 
 
-def tell_failure(failed: FailedRequest, untold: int) -> None:
+def log_failure(failed: FailedRequest, untold: int) -> None:
     """One failed request as a line; `untold`: how many before it had none."""
     steps = ";".join(f"{s.backend}@{s.sent_s:.3f}+{s.took_s:.3f}:{s.how}:{s.cause}" for s in failed.steps)
     events.info(
--- a/lugspur/mesh/sidecar/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -13,7 +13,7 @@
 from lugspur.mesh.dataplane.uploads import PART, in_parts
 from lugspur.mesh.transport.link import Link
 
-UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
+MAX_UNPROVEN_REQUESTS = 1024  # requests of lost connections whose outcome is asked for, the latest
 
 Respond = Callable[[Reply], None]
 
@@ -68,7 +68,7 @@
     def __init__(self) -> None:
         self._latest = 0
         self._open: dict[str, dict[int, _Exchange]] = {}
-        self._unproven: LRUCache[int, _Unproven] = LRUCache(UNPROVEN_MOST)
+        self._unproven: LRUCache[int, _Unproven] = LRUCache(MAX_UNPROVEN_REQUESTS)
 
     def waits_for(self, ip: str) -> bool:
         """Whether anything waits for that machine."""
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -23,33 +23,33 @@
 from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.mesh.dataplane.uploads import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
-from lugspur.mesh.process import Node
+from lugspur.mesh.process import MeshProcess
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.sidecar.local_requests import CarriedHere
-from lugspur.mesh.sidecar.metrics import sidecar_figures, tell_failure
+from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
 from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
 from lugspur.mesh.sidecar.registration import BackendRegistration, BackendStatus
 from lugspur.mesh.sidecar.status import sidecar_status
-from lugspur.mesh.transport.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Dialer, Link
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import CONTENT_TYPE, render
 from lugspur.seams import Answerable, Request
 
-FILES_KEPT = 264  # descriptors for files and what is not counted here; 200 are reserved by the platform
-CALLERS_PART = 0.5  # of the descriptors, for callers; the rest is for the backend and other proxies
-SETTLED = 1.0  # seconds behind a freeze in which all that waited meanwhile is read
-LEAVE_TAKES = 0.35  # of the time that a process has to end, in which callers are still served anew
-LEAVE_ENDS = 0.9  # ...and by which all ends
-ANSWERS_OUT = 0.05  # seconds in which the last answers are written
-TELL_EVERY = 2.0  # seconds between lines on how requests ended
+RESERVED_FILES = 264  # descriptors for files and what is not counted here; 200 are reserved by the platform
+CALLER_FILES_FRACTION = 0.5  # of the descriptors, for callers; the rest is for the backend and other proxies
+BACKLOG_READ_SECONDS = 1.0  # seconds behind a freeze in which all that waited meanwhile is read
+ACCEPTING_FRACTION = 0.35  # of the time that a process has to end, in which callers are still served anew
+SHUTDOWN_FRACTION = 0.9  # ...and by which all ends
+FLUSH_SECONDS = 0.05  # seconds in which the last answers are written
+SUMMARY_INTERVAL_SECONDS = 2.0  # seconds between lines on how requests ended
 
 _json = msgspec.json.Encoder().encode
 _status_decoder = msgspec.msgpack.Decoder(BackendStatus)
 
 
-class Sidecar(Node):
+class Sidecar(MeshProcess):
     """One proxy's process."""
 
     def __init__(self, settings: Settings, path: str) -> None:
@@ -60,7 +60,7 @@
         self._stale_services: set[str] = set()
         self._told_at = 0.0
         self._told: Counter[str] = Counter()  # ends of requests that the log has told of
-        self._freezes = FreezeDetector(PAUSE_THRESHOLD_SECONDS, SETTLED)
+        self._freezes = FreezeDetector(PAUSE_THRESHOLD_SECONDS, BACKLOG_READ_SECONDS)
         self.outgoing = OutgoingExchanges()
         self._rate = limits.link_mbps * 1e6 / 8.0
         super().__init__(settings, path, False)
@@ -75,7 +75,7 @@
             settings.own.zone,
         )
         self.proxy.sender = settings.own.service
-        self.proxy.failures = FailureLog(self.standing, tell_failure)
+        self.proxy.failures = FailureLog(self.standing, log_failure)
         self.reloaded.append(self._sender)
         self.gate = Gate(
             limits.memory_mb << 20,
@@ -98,7 +98,7 @@
         ip, port = settings.inner_bind
         listen, limits = settings.network.listen, settings.own.limits
         await self.loop.create_server(self._accepted, ip, port, backlog=512)
-        most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
+        most = max(64, int((limits.file_handles - RESERVED_FILES) * CALLER_FILES_FRACTION))
         self.front = Front(read_address(listen.outgoing), most, limits.memory_mb << 20, self._handle)
         # Guards against requests that waited unread while this process was frozen: their callers have given them up.
         self.front.came = lambda now, transport, first: self._freezes.came(now)
@@ -119,15 +119,15 @@
         await calls.serve(listen.dispatch, limits.memory_mb << 20)
 
     def _accepted(self) -> Link:
-        return Link(self._asked, self.incoming.ended, keep_idle=PROXY_KEEP_IDLE)
+        return Link(self._asked, self.incoming.ended, keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS)
 
     def keep_idle(self, ip: str) -> int:
-        return PROXY_KEEP_IDLE if ip in self.backends else KEEP_IDLE
+        return PROXY_KEEPALIVE_IDLE_SECONDS if ip in self.backends else KEEPALIVE_IDLE_SECONDS
 
     def _tune(self) -> None:
         """Callers are held to the operators' limits."""
         bounds, limits = self.table.bounds, self.settings.own.limits
-        most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
+        most = max(64, int((limits.file_handles - RESERVED_FILES) * CALLER_FILES_FRACTION))
         sizes = Sizes(head=bounds.label_bytes + 1024, body=bounds.payload_bytes, ordinary=True)
         self.front.tune(
             most, limits.memory_mb << 20, sizes, bounds.label_wait_ms / 1000.0, bounds.idle_ms / 1000.0, 2.0
@@ -232,7 +232,7 @@
         else:
             super()._heard_from(link, message)
 
-    def _down(self, dialler: Dialler) -> None:
+    def _down(self, dialler: Dialer) -> None:
         super()._down(dialler)
         self.outgoing.lost(dialler.ip)
 
@@ -261,7 +261,7 @@
 
     def _metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """This proxy's figures."""
-        text = render(sidecar_figures(self), [self.proxy.seconds])
+        text = render(sidecar_metrics(self), [self.proxy.seconds])
         caller.answer(200, CONTENT_TYPE, text)
 
     def status(self) -> dict[str, Any]:
@@ -272,7 +272,7 @@
 
     def _tell(self, now: float) -> None:
         """How requests ended since the last time, one line."""
-        if now < self._told_at + TELL_EVERY:
+        if now < self._told_at + SUMMARY_INTERVAL_SECONDS:
             return
         self._told_at = now
         ended = self.proxy.ended - self._told
@@ -303,17 +303,17 @@
         start = self.loop.time()
         self.registration.publish()
         self.front.drain(0.5)
-        await asyncio.sleep(LEAVE_TAKES * grace)
+        await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._sock)
         self.front.close()
         self.gate.leaving = True
-        while self.loop.time() < start + LEAVE_ENDS * grace and (
+        while self.loop.time() < start + SHUTDOWN_FRACTION * grace and (
             self.proxy.open_requests or self.gate.busy or len(self.incoming.uploads) or self.front.callers
         ):
             await asyncio.sleep(0.05)
         for proxied_request in list(self.proxy.open_requests):
             proxied_request.end()
-        await asyncio.sleep(ANSWERS_OUT)
+        await asyncio.sleep(FLUSH_SECONDS)
         events.info("left", flights=len(self.proxy.open_requests), busy=self.gate.busy, after=self.loop.time() - start)
 
 
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -17,12 +17,12 @@
 from lugspur.mesh.http_api import reply
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
-from lugspur.mesh.sidecar.backend_incarnations import BackendLives
+from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.seams import Answerable, Request
 
-HEARTBEATS_MISSED = 3.0  # beats that may be missed until a backend counts as gone
-HEARTBEAT_MOST = 4096  # bytes of a beat
-SAY_AGAIN = 2.0  # seconds between editions of the same word to another source
+MAX_MISSED_HEARTBEATS = 3.0  # beats that may be missed until a backend counts as gone
+MAX_HEARTBEAT_BYTES = 4096  # bytes of a beat
+REANNOUNCE_SECONDS = 2.0  # seconds between editions of the same word to another source
 
 
 class BackendStatus(msgspec.Struct, array_like=True, frozen=True):
@@ -77,12 +77,12 @@
         self.said: Entry | None = None
         self._again_at = 0.0
         self._looked_at = float("inf")  # until it has looked once
-        self._lives = BackendLives(process.settings.depot.heartbeat_ms / 1000.0)
+        self._lives = BackendIncarnations(process.settings.depot.heartbeat_ms / 1000.0)
 
     def heartbeat(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """A beat, with the backend's id in `found`; raises MeshError for what is none."""
         try:
-            heartbeat = _heartbeat_decoder.decode(request.body[:HEARTBEAT_MOST])
+            heartbeat = _heartbeat_decoder.decode(request.body[:MAX_HEARTBEAT_BYTES])
             read_address(heartbeat.address)
         except (msgspec.MsgspecError, ValueError) as fault:
             raise MeshError(Kind.BAD_REQUEST, str(fault)) from None
@@ -170,7 +170,7 @@
         # Guards news against a fleet that seeks sources all the time while the core is unsettled: by the same edition
         # it is no news. The former source may drop it when the lease ends there, and is then told otherwise.
         if self.said is not None and again and now >= self._again_at:
-            self._again_at = now + SAY_AGAIN
+            self._again_at = now + REANNOUNCE_SECONDS
             self._say(self._process.edition("backend", self._process.ip), self.said.value)
         return [] if self.said is None else [self.said]
 
@@ -196,7 +196,7 @@
                 away > PAUSE_THRESHOLD_SECONDS
             ):  # Guards against a verdict after a freeze of its own: the beats wait unread.
                 local.heard += away
-            due = HEARTBEATS_MISSED * self._process.settings.depot.heartbeat_ms / 1000.0 + 1.0
+            due = MAX_MISSED_HEARTBEATS * self._process.settings.depot.heartbeat_ms / 1000.0 + 1.0
             if now - local.heard > due:
                 local.state = "silent"
                 events.info("backend-silent", id=local.id)
--- a/lugspur/mesh/sidecar/request_outcomes.py
+++ b/lugspur/mesh/sidecar/request_outcomes.py
@@ -8,16 +8,16 @@
 
 from cachetools import LRUCache
 
-LIVES_MOST = 2048  # lives of other processes, those heard last
-UNRUN_MOST = 4096  # requests that are known not to have run, the latest
+MAX_INCARNATIONS = 2048  # lives of other processes, those heard last
+MAX_UNRUN_REQUESTS = 4096  # requests that are known not to have run, the latest
 
 
-class Outcomes:
+class RequestOutcomes:
     """By the life of the process that sent a request, and its number there."""
 
     def __init__(self) -> None:
-        self._latest: LRUCache[str, int] = LRUCache(LIVES_MOST)
-        self._unrun: LRUCache[tuple[str, int], None] = LRUCache(UNRUN_MOST)
+        self._latest: LRUCache[str, int] = LRUCache(MAX_INCARNATIONS)
+        self._unrun: LRUCache[tuple[str, int], None] = LRUCache(MAX_UNRUN_REQUESTS)
 
     def came(self, life: str, number: int) -> None:
         """A keyed request has come; it may run from now on."""
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -20,7 +20,7 @@
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.storage.disk import NAME
+from lugspur.mesh.storage.disk import DIRECTORY_NAME
 
 _item = msgspec.msgpack.Decoder(Item)
 _kept = msgspec.msgpack.Decoder(KeptClaim)
@@ -48,7 +48,7 @@
 
 def look(folder: Path) -> Found:
     """Read a `data_dir`; raises MeshError (STATE) where there is nothing that can be read as a replica's."""
-    path = folder / NAME
+    path = folder / DIRECTORY_NAME
     if not (path / "data.mdb").is_file():
         raise MeshError(Kind.STATE, f"{folder}: no replica has kept anything here")
     found = Found()
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -15,14 +15,14 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.register import KEY_MOST
 
-MAP_PART = 0.6  # of the disk: lmdb must not fill it, and a file that grew is never smaller again
-MAP_LEAST, MAP_MOST = 16 << 20, 1 << 30  # bytes
-AGAIN = 0.3  # seconds after a failed write in which the environment is left alone
-OWED_MOST = 50_000  # rows that are removed while nothing can be written: what is not removed is swept after a start
+MAP_FRACTION = 0.6  # of the disk: lmdb must not fill it, and a file that grew is never smaller again
+MIN_MAP_BYTES, MAX_MAP_BYTES = 16 << 20, 1 << 30  # bytes
+REOPEN_DELAY_SECONDS = 0.3  # seconds after a failed write in which the environment is left alone
+MAX_UNWRITTEN_DELETIONS = 50_000  # rows removed while nothing can be written; what stays is swept after a start
 
-NAME = "control"  # of the folder in `data_dir`
-ASIDE = "control-damaged"  # ...and of what could not be read, the latest alone
-DAMAGED = (lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError)  # what is on disk, not the disk
+DIRECTORY_NAME = "control"  # of the folder in `data_dir`
+DAMAGED_DIRECTORY_NAME = "control-damaged"  # ...and of what could not be read, the latest alone
+DAMAGE_ERRORS = (lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError)  # what is on disk, not the disk
 
 Rows = list[tuple[bytes, bytes | None]]
 
@@ -31,9 +31,10 @@
     """Rows by key. `write` returns at once; what is given with it is called in the loop when it is on disk."""
 
     def __init__(self, folder: str, disk_mb: int) -> None:
-        self._folder = os.path.join(folder, NAME)
-        self._aside = os.path.join(folder, ASIDE)
-        self.size = int(min(MAP_MOST, max(MAP_LEAST, disk_mb * MAP_PART * (1 << 20))))  # bytes that it takes
+        self._folder = os.path.join(folder, DIRECTORY_NAME)
+        self._aside = os.path.join(folder, DAMAGED_DIRECTORY_NAME)
+        # Bytes that the file may take.
+        self.size = int(min(MAX_MAP_BYTES, max(MIN_MAP_BYTES, disk_mb * MAP_FRACTION * (1 << 20))))
         self._loop = asyncio.get_running_loop()
         self._wake = threading.Condition()
         self._rows: Rows = []
@@ -47,7 +48,7 @@
             os.makedirs(self._folder, exist_ok=True)
             try:
                 self._env = self._open()
-            except DAMAGED as fault:
+            except DAMAGE_ERRORS as fault:
                 self._move(str(fault))
                 self._env = self._open()
         except (OSError, lmdb.Error) as fault:
@@ -62,7 +63,7 @@
         try:
             with self._env.begin() as txn:
                 return [(bytes(key), bytes(value)) for key, value in txn.cursor()]
-        except DAMAGED as fault:
+        except DAMAGE_ERRORS as fault:
             self.set_aside(str(fault))
             return []
         except lmdb.Error as fault:
@@ -134,7 +135,7 @@
     def _owe(self, rows: Rows) -> None:
         for key, value in rows:
             self._owed.pop(key, None)
-            if value is not None or len(self._owed) < OWED_MOST:
+            if value is not None or len(self._owed) < MAX_UNWRITTEN_DELETIONS:
                 self._owed[key] = value
 
     def _commit(self, rows: Rows, calls: list[Callable[[], None]]) -> None:
@@ -164,7 +165,7 @@
     def _reopen(self) -> None:
         while not self._closing:
             with self._wake:
-                self._wake.wait(AGAIN)
+                self._wake.wait(REOPEN_DELAY_SECONDS)
                 # Guards memory and the promise: what came meanwhile is not on disk, and nobody is told it is.
                 self._owe(self._rows)
                 self._rows, self._calls = [], []
--- a/lugspur/mesh/transport/link.py
+++ b/lugspur/mesh/transport/link.py
@@ -12,24 +12,24 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.messages import Message, decode, encode
 
-FRAME_MOST = 96 << 20  # bytes of one frame: the largest body of a request that operators allow is 64 MiB, and its head
-UNSENT_MOST = 48 << 20  # bytes that may wait for a peer that does not read: then it counts as gone
-USER_TIMEOUT = 1500  # ms without an acknowledgement after which a connection is dead: a cut says nothing
+MAX_FRAME_BYTES = 96 << 20  # the largest body of a request that operators allow is 64 MiB, and its head
+MAX_UNSENT_BYTES = 48 << 20  # bytes that may wait for a peer that does not read: then it counts as gone
+USER_TIMEOUT_MS = 1500  # ms without an acknowledgement after which a connection is dead: a cut says nothing
 # s, s, probes. Where something is sent the time above finds a dark machine.
-KEEP_IDLE, KEEP_EVERY, KEEP_COUNT = 10, 1, 2
+KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES = 10, 1, 2
 # s, between proxies: each is connected to all others, so that at 620 proxies probes each 10 s are five times what a
-# proxy may spend on control. A dark machine leaves with its lease, one that has restarted says so (`Dialler.met`).
-PROXY_KEEP_IDLE = 75
+# proxy may spend on control. A dark machine leaves with its lease, one that has restarted says so (`Dialer.met`).
+PROXY_KEEPALIVE_IDLE_SECONDS = 75
 
 
-def alert(sock: socket.socket, keep_idle: int) -> None:
+def configure_socket(sock: socket.socket, keep_idle: int) -> None:
     """Have the system tell of a peer that is silent: a machine without power sends no reset."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, keep_idle)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_EVERY)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_COUNT)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 class Link(asyncio.Protocol):
@@ -40,7 +40,7 @@
         heard: Callable[[Link, Message], None],
         ended: Callable[[Link], None],
         begun: Callable[[Link], None] | None = None,
-        keep_idle: int = KEEP_IDLE,
+        keep_idle: int = KEEPALIVE_IDLE_SECONDS,
     ) -> None:
         """`keep_idle`: seconds without a byte after which the system asks whether the peer is still there."""
         self._heard, self._ended, self._begun = heard, ended, begun
@@ -58,7 +58,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
-        alert(transport.get_extra_info("socket"), self._keep_idle)
+        configure_socket(transport.get_extra_info("socket"), self._keep_idle)
         self.at = self._loop.time()
         if self._begun is not None:
             self._begun(self)
@@ -71,7 +71,7 @@
         at, end = 0, len(held)
         while end - at >= 4 and self.open:
             size = int.from_bytes(held[at : at + 4], "big")
-            if size > FRAME_MOST:  # Guards memory against a peer that announces more than any message has.
+            if size > MAX_FRAME_BYTES:  # Guards memory against a peer that announces more than any message has.
                 events.warn("frame", peer=self.peer, size=size)
                 self.close()
                 return
@@ -96,7 +96,7 @@
         if not self._out:
             self._loop.call_soon(self._flush)
         self._out.append(frame)
-        if self._size > UNSENT_MOST:  # Guards memory against a peer that is not there yet and never comes.
+        if self._size > MAX_UNSENT_BYTES:  # Guards memory against a peer that is not there yet and never comes.
             self.close()
 
     def _flush(self) -> None:
@@ -105,7 +105,7 @@
             return
         data, self._out, self._size = b"".join(self._out), [], 0
         transport.write(data)
-        if transport.get_write_buffer_size() > UNSENT_MOST:  # Guards memory against a peer that does not read.
+        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:  # Guards memory against a peer that does not read.
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -124,7 +124,7 @@
             self._ended(self)
 
 
-class Dialler:
+class Dialer:
     """Keeps one connection to a peer: dials, and dials again with a growing pause."""
 
     def __init__(
@@ -133,9 +133,9 @@
         port: int,
         own: str,
         heard: Callable[[Link, Message], None],
-        up: Callable[[Dialler], None],
-        down: Callable[[Dialler], None],
-        keep_idle: int = KEEP_IDLE,
+        up: Callable[[Dialer], None],
+        down: Callable[[Dialer], None],
+        keep_idle: int = KEEPALIVE_IDLE_SECONDS,
     ) -> None:
         self._keep_idle = keep_idle
         self.ip, self._port, self._own = ip, port, own
@@ -158,7 +158,7 @@
         link = Link(self._heard, self._lost, keep_idle=self._keep_idle)
         link.peer = self.ip
         try:
-            async with asyncio.timeout(DIAL_WITHIN):
+            async with asyncio.timeout(DIAL_TIMEOUT_SECONDS):
                 await self._loop.create_connection(lambda: link, self.ip, self._port, local_addr=(self._own, 0))
         except (OSError, TimeoutError):
             self._task = None
@@ -189,7 +189,7 @@
 
     def _again(self) -> None:
         if not self._closed and self._timer is None:
-            pause = min(DIAL_MOST, DIAL_FIRST * 2.0 ** min(self.failures, 6))
+            pause = min(MAX_DIAL_DELAY_SECONDS, FIRST_DIAL_DELAY_SECONDS * 2.0 ** min(self.failures, 6))
             self._timer = self._loop.call_later(pause, self._dial)
 
     def _lost(self, link: Link) -> None:
@@ -210,5 +210,6 @@
             self.link.close()
 
 
-DIAL_WITHIN = 0.6  # seconds: a cut hangs, and zones are milliseconds apart
-DIAL_FIRST, DIAL_MOST = 0.02, 0.5  # seconds between dials: a peer that comes back is wanted within its first second
+DIAL_TIMEOUT_SECONDS = 0.6  # seconds: a cut hangs, and zones are milliseconds apart
+# Seconds between dials: a peer that comes back is wanted within its first second.
+FIRST_DIAL_DELAY_SECONDS, MAX_DIAL_DELAY_SECONDS = 0.02, 0.5
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -27,7 +27,7 @@
 from lugspur.bench.mesh import Mesh, call
 from lugspur.mesh.control.errors import ANSWERS
 from lugspur.mesh.dataplane.causes import Cause
-from lugspur.mesh.settings import parse
+from lugspur.mesh.settings import parse_settings
 from lugspur.standins.mesh import MeshBackend
 
 ROOT = Path(__file__).parent.parent.parent
@@ -741,7 +741,7 @@
 
 
 def tables(text: str) -> dict[str, Any]:
-    found = dataclasses.asdict(parse(tomllib.loads(text)))
+    found = dataclasses.asdict(parse_settings(tomllib.loads(text)))
     return {"self": found.pop("own")} | found
 
 
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -32,7 +32,7 @@
 from lugspur.mesh.dataplane.refusal import refuse
 from lugspur.mesh.dataplane.routes import RouteTable
 from lugspur.mesh.http_api import fail
-from lugspur.mesh.sidecar.metrics import sidecar_figures, tell_failure
+from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import render
 from lugspur.seams import Request
@@ -187,7 +187,7 @@
             table.change(entry)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
         self.proxy.sender = "mine"
-        self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), tell_failure)
+        self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), log_failure)
         self.proxy.members("s", {f"i-{n}": (f"10.0.0.{n}", f"z{n}", 9, 0.0) for n in range(backends)})
 
     def ready(self, ip: str) -> bool:
@@ -578,7 +578,7 @@
             backends={},
             standing=lambda: Standing(41, 3, 0.25),
         )
-        text = render(sidecar_figures(sidecar), [mesh.proxy.seconds])
+        text = render(sidecar_metrics(sidecar), [mesh.proxy.seconds])
         for name in list(CAUSES.values())[1:]:
             assert b'gate_unanswered_total{cause="%b"} 1.0\n' % name.encode() in text
         assert b"request_seconds_bucket" in text
--- a/tests/mesh/test_data_directory.py
+++ b/tests/mesh/test_data_directory.py
@@ -17,7 +17,7 @@
 from lugspur.mesh.control.messages import Answer, Change, Claim, Done, Item, Voter
 from lugspur.mesh.control.replica import GENESIS, Replica
 from lugspur.mesh.storage.data_directory import export, look, told
-from lugspur.mesh.storage.disk import ASIDE, NAME, Disk
+from lugspur.mesh.storage.disk import DAMAGED_DIRECTORY_NAME, DIRECTORY_NAME, Disk
 
 CALL = call(route("r"), services=[service()])
 SEEDS = [Voter(f"10.0.0.{n}", GENESIS, "") for n in (1, 2, 3)]
@@ -37,8 +37,8 @@
 
 
 def put(folder: Path, rows: list[tuple[bytes, bytes | None]]) -> None:
-    (folder / NAME).mkdir(exist_ok=True, parents=True)
-    with lmdb.open(str(folder / NAME), map_size=16 << 20, lock=False) as env, env.begin(write=True) as txn:
+    (folder / DIRECTORY_NAME).mkdir(exist_ok=True, parents=True)
+    with lmdb.open(str(folder / DIRECTORY_NAME), map_size=16 << 20, lock=False) as env, env.begin(write=True) as txn:
         for key, value in rows:
             assert value is not None
             txn.put(key, value)
@@ -57,7 +57,7 @@
         1,
     )
     assert set(found["voters"]) == {s.ip for s in SEEDS} and found["faults"] == []
-    before = sorted(path.read_bytes() for path in (tmp_path / NAME).iterdir())
+    before = sorted(path.read_bytes() for path in (tmp_path / DIRECTORY_NAME).iterdir())
     replica_check(tmp_path)
     replica_show(tmp_path, as_json=True)
     replica_export(tmp_path)
@@ -65,7 +65,7 @@
     assert "no fault" in checked and json.loads(shown) == found
     assert {e.name for e in read_call(exported.encode())} == {e.name for e in read_call(CALL)}
     assert export(look(tmp_path)).decode() == exported
-    assert sorted(path.read_bytes() for path in (tmp_path / NAME).iterdir()) == before  # nothing is written
+    assert sorted(path.read_bytes() for path in (tmp_path / DIRECTORY_NAME).iterdir()) == before  # nothing is written
 
 
 def test_faults_are_told_each(tmp_path: Path) -> None:
@@ -78,13 +78,13 @@
         replica_check(tmp_path)
     with pytest.raises(MeshError, match="no replica"):
         look(tmp_path / "elsewhere")
-    (tmp_path / NAME / "data.mdb").write_bytes(bytes(20_000))
+    (tmp_path / DIRECTORY_NAME / "data.mdb").write_bytes(bytes(20_000))
     with pytest.raises(MeshError, match="state"):
         look(tmp_path)
 
 
 def read_row(folder: Path, key: bytes) -> bytes:
-    with lmdb.open(str(folder / NAME), readonly=True, lock=False) as env, env.begin() as txn:
+    with lmdb.open(str(folder / DIRECTORY_NAME), readonly=True, lock=False) as env, env.begin() as txn:
         found = txn.get(key)
         assert found is not None
         return bytes(found)
@@ -105,7 +105,7 @@
 def test_a_damaged_file_is_set_aside_and_the_disk_is_an_empty_one(tmp_path: Path, harm: str) -> None:
     keep(tmp_path)
     put(tmp_path, [(b"c%d" % n, bytes(500)) for n in range(100)])
-    file = tmp_path / NAME / "data.mdb"
+    file = tmp_path / DIRECTORY_NAME / "data.mdb"
     data = bytearray(file.read_bytes())
     begin, end = (0, 8192) if harm == "head" else (8192, len(data))
     data[begin:end] = b"\xa5" * (end - begin)
@@ -114,7 +114,8 @@
     async def run() -> None:
         disk = Disk(str(tmp_path), 16)
         assert disk.rows() == [] and disk.damaged
-        assert (tmp_path / ASIDE / "data.mdb").read_bytes() == bytes(data)  # kept for whoever wants to look
+        damaged = tmp_path / DAMAGED_DIRECTORY_NAME / "data.mdb"
+        assert damaged.read_bytes() == bytes(data)  # kept for whoever wants to look
         disk.start()
         done = asyncio.Event()
         disk.write([(b"muid", b"new")], done.set)
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -35,7 +35,7 @@
 def refusing(monkeypatch: pytest.MonkeyPatch) -> None:
     opened = Disk._open
     monkeypatch.setattr(Disk, "_open", lambda self: Refusing(opened(self)))
-    monkeypatch.setattr(module, "AGAIN", 0.01)
+    monkeypatch.setattr(module, "REOPEN_DELAY_SECONDS", 0.01)
     Refusing.full = False
 
 
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -24,8 +24,8 @@
 from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend, Ticket
 from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
-from lugspur.mesh.sidecar.outgoing import UNPROVEN_MOST, OutgoingExchanges
-from lugspur.mesh.sidecar.request_outcomes import UNRUN_MOST, Outcomes
+from lugspur.mesh.sidecar.outgoing import MAX_UNPROVEN_REQUESTS, OutgoingExchanges
+from lugspur.mesh.sidecar.request_outcomes import MAX_UNRUN_REQUESTS, RequestOutcomes
 
 OWN = Hello("127.0.0.9", "own", False)
 
@@ -264,13 +264,13 @@
 
 
 def test_what_was_forgotten_is_not_proven() -> None:
-    outcomes = Outcomes()
+    outcomes = RequestOutcomes()
     assert not outcomes.proven_unrun("life", 1)  # nothing has come of that life, as far as is remembered
-    for number in range(1, UNRUN_MOST + 2):
+    for number in range(1, MAX_UNRUN_REQUESTS + 2):
         outcomes.came("life", number)
         outcomes.did_not_run("life", number)
     assert not outcomes.proven_unrun("life", 1) and outcomes.proven_unrun("life", 2)
-    assert outcomes.proven_unrun("life", UNRUN_MOST + 2)
+    assert outcomes.proven_unrun("life", MAX_UNRUN_REQUESTS + 2)
 
 
 def test_the_proof_for_a_lost_request_is_asked_for_and_reaches_who_sent_it() -> None:
@@ -305,13 +305,13 @@
 
 def test_requests_that_are_asked_for_are_bounded() -> None:
     outgoing, former = OutgoingExchanges(), Wire("10.0.0.1", "theirs")
-    for _ in range(UNPROVEN_MOST + 10):
+    for _ in range(MAX_UNPROVEN_REQUESTS + 10):
         outgoing.carry(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
     outgoing.lost(former.peer)
     after = Wire("10.0.0.1", "theirs")
     outgoing.reached(after)  # type: ignore[arg-type]
     [asked] = after.sent
-    assert isinstance(asked, AskOutcomes) and len(asked.numbers) == UNPROVEN_MOST
+    assert isinstance(asked, AskOutcomes) and len(asked.numbers) == MAX_UNPROVEN_REQUESTS
 
 
 def test_what_is_withdrawn_is_not_begun_and_what_is_at_work_goes_on() -> None:
--- a/tests/mesh/test_items.py
+++ b/tests/mesh/test_items.py
@@ -15,8 +15,8 @@
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.register import KEY_MOST, item_row
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.http_api import CALL_MOST
-from lugspur.mesh.transport.link import UNSENT_MOST
+from lugspur.mesh.http_api import MAX_CALL_BYTES
+from lugspur.mesh.transport.link import MAX_UNSENT_BYTES
 
 
 def standing(body: bytes) -> Store:
@@ -200,7 +200,7 @@
 
 
 def test_an_order_that_is_proposed_three_times_fits_into_what_a_connection_holds_unsent() -> None:
-    assert 3 * CALL_MOST <= UNSENT_MOST
+    assert 3 * MAX_CALL_BYTES <= MAX_UNSENT_BYTES
 
 
 def test_no_item_is_taken_whose_row_no_disk_takes() -> None:
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -10,7 +10,7 @@
 
 from lugspur.mesh.control.messages import Claim, Hello, Message, Pong, encode
 from lugspur.mesh.transport import link as link_module
-from lugspur.mesh.transport.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Dialer, Link
 
 
 def play(what: Callable[[Server], Awaitable[None]]) -> None:
@@ -91,7 +91,7 @@
 
 
 def test_a_peer_that_does_not_read_is_dropped_before_it_fills_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(link_module, "UNSENT_MOST", 1 << 20)
+    monkeypatch.setattr(link_module, "MAX_UNSENT_BYTES", 1 << 20)
 
     async def what(server: Server) -> None:
         _, writer = await asyncio.open_connection("127.0.0.1", server.port)
@@ -117,18 +117,18 @@
 
 def test_who_dials_dials_again_until_it_is_closed() -> None:
     async def what(server: Server) -> None:
-        ups: list[Dialler] = []
-        downs: list[Dialler] = []
+        ups: list[Dialer] = []
+        downs: list[Dialer] = []
 
-        def up(dialler: Dialler) -> None:
+        def up(dialler: Dialer) -> None:
             ups.append(dialler)
             server.turn.set()
 
-        def down(dialler: Dialler) -> None:
+        def down(dialler: Dialer) -> None:
             downs.append(dialler)
             server.turn.set()
 
-        dialler = Dialler("127.0.0.1", server.port, "127.0.0.1", lambda link, message: None, up, down)
+        dialler = Dialer("127.0.0.1", server.port, "127.0.0.1", lambda link, message: None, up, down)
         await server.until(lambda: len(ups) == 1 and bool(server.links))
         server.links[0].close()
         await server.until(lambda: len(ups) == 2)
@@ -142,10 +142,16 @@
 
 def test_a_connection_to_a_former_life_ends_once_the_next_one_dials_here() -> None:
     async def what(server: Server) -> None:
-        up: asyncio.Queue[Dialler] = asyncio.Queue()
-        down: list[Dialler] = []
-        dialler = Dialler(
-            "127.0.0.1", server.port, "127.0.0.1", lambda *_: None, up.put_nowait, down.append, PROXY_KEEP_IDLE
+        up: asyncio.Queue[Dialer] = asyncio.Queue()
+        down: list[Dialer] = []
+        dialler = Dialer(
+            "127.0.0.1",
+            server.port,
+            "127.0.0.1",
+            lambda *_: None,
+            up.put_nowait,
+            down.append,
+            PROXY_KEEPALIVE_IDLE_SECONDS,
         )
         await up.get()
         assert dialler.link is not None
@@ -163,9 +169,9 @@
 
 def test_probes_between_proxies_are_rarer() -> None:
     async def what(server: Server) -> None:
-        for keep_idle in (KEEP_IDLE, PROXY_KEEP_IDLE):
-            up: asyncio.Queue[Dialler] = asyncio.Queue()
-            dialler = Dialler(
+        for keep_idle in (KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS):
+            up: asyncio.Queue[Dialer] = asyncio.Queue()
+            dialler = Dialer(
                 "127.0.0.1", server.port, "127.0.0.1", lambda *_: None, up.put_nowait, lambda _: None, keep_idle
             )
             link = (await up.get()).link
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
-from lugspur.mesh.settings import load, parse
+from lugspur.mesh.settings import load_settings, parse_settings
 
 GOOD = """
 [self]
@@ -48,7 +48,7 @@
     data = good()
     data["self"]["hue"] = "amber"
     data["weather"] = {"rain": True}
-    settings = parse(data)
+    settings = parse_settings(data)
     assert settings.keeps and settings.seeds == ["10.1.0.13", "10.2.0.10"] and settings.inner == ("10.1.0.13", 7620)
     assert settings.tariffs.tolerate.machines == 2
     assert (settings.tariffs.bounds.edition_ms, settings.tariffs.bounds.retry_ratio) == (1500.0, 0.5)
@@ -75,24 +75,24 @@
     else:
         data[table][key] = value
     with pytest.raises(MeshError) as caught:
-        parse(data)
+        parse_settings(data)
     assert caught.value.kind is Kind.SETTINGS and said in caught.value.detail
 
 
 def test_the_inner_protocol_may_be_bound_elsewhere_than_it_is_reached() -> None:
     data = good()
-    assert parse(data).inner_bind == ("10.1.0.13", 7620)
+    assert parse_settings(data).inner_bind == ("10.1.0.13", 7620)
     data["network"]["listen"]["inner"] = "127.0.0.1:9000"
-    settings = parse(data)
+    settings = parse_settings(data)
     assert (settings.inner, settings.inner_bind) == (("10.1.0.13", 7620), ("127.0.0.1", 9000))
 
 
 def test_a_file_that_is_missing_or_no_toml_is_said_so(tmp_path: Path) -> None:
     with pytest.raises(MeshError, match=r"no\.toml"):
-        load(tmp_path / "no.toml")
+        load_settings(tmp_path / "no.toml")
     (tmp_path / "half.toml").write_text('[self]\nip = "10.')
     with pytest.raises(MeshError) as caught:
-        load(tmp_path / "half.toml")
+        load_settings(tmp_path / "half.toml")
     assert caught.value.code == "settings"
 
 
@@ -107,5 +107,5 @@
     for content in (b"\xff\xfe", b"a = " + b"[" * 100_000, GOOD.replace("[7620, 7635]", "[76200]").encode()):
         path.write_bytes(content)
         with pytest.raises(MeshError) as caught:
-            load(path)
+            load_settings(path)
         assert caught.value.kind is Kind.SETTINGS and "\n" not in caught.value.detail
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -24,10 +24,10 @@
 )
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.uploads import PART
-from lugspur.mesh.settings import load
+from lugspur.mesh.settings import load_settings
 from lugspur.mesh.sidecar.process import Sidecar
 from lugspur.mesh.sidecar.registration import BackendStatus
-from lugspur.mesh.transport.link import Dialler
+from lugspur.mesh.transport.link import Dialer
 from lugspur.seams import Request
 
 FILE = """
@@ -66,7 +66,7 @@
     async def run() -> None:
         path = folder / "f.toml"
         path.write_text(FILE)
-        sidecar = Sidecar(load(path), str(path))
+        sidecar = Sidecar(load_settings(path), str(path))
         what(sidecar)
         for dialler in sidecar.peers.values():
             dialler.close()
@@ -256,7 +256,7 @@
     def what(sidecar: Sidecar) -> None:
         ip, replies = "127.0.0.2", list[Reply]()
         wire = Wire(ip)
-        dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+        dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.backends[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
@@ -280,7 +280,7 @@
 def test_a_machine_is_sent_requests_only_once_its_process_has_answered(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         ip = "127.0.0.2"
-        dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+        dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         sidecar.peers[ip] = dialler
         assert not sidecar.ready(ip)
         wire = Wire(ip)
@@ -301,7 +301,7 @@
     def what(sidecar: Sidecar) -> None:
         wires = {ip: Wire(ip) for ip in ("127.0.0.2", "127.0.0.3")}
         for ip, wire in wires.items():
-            dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+            dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
             dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
         sidecar._seek()
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -7,7 +7,7 @@
 
 from lugspur.mesh.control.messages import Delta, Entry, Message, Pong
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.control_node.leases import LEASE
+from lugspur.mesh.control_node.leases import LEASE_SECONDS
 from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.transport.link import Link
 
@@ -66,7 +66,7 @@
         subscribers.answered(link, Pong(42.0))
         subscribers.look(wire.at + 2.0 * PING)
         assert [cast(Delta, message).echo for message in wire.sent] == [0.0, 42.0]
-        subscribers.look(wire.at + LEASE + 0.1)
+        subscribers.look(wire.at + LEASE_SECONDS + 0.1)
         assert wire.closed
 
     play(what)
