--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -5,25 +5,24 @@
 import asyncio
 
 from lugspur.mesh import events
-from lugspur.mesh.control.messages import (
-    BodyChunk,
-    CancelRequest,
-    FetchOutcomes,
-    ForwardRequest,
-    ForwardResponse,
-    GrantBody,
-    Hello,
-    Message,
-    WithdrawRequest,
-)
+from lugspur.mesh.control.messages import BodyChunk
+from lugspur.mesh.control.messages import CancelRequest
+from lugspur.mesh.control.messages import FetchOutcomes
+from lugspur.mesh.control.messages import ForwardRequest
+from lugspur.mesh.control.messages import ForwardResponse
+from lugspur.mesh.control.messages import GrantBody
+from lugspur.mesh.control.messages import Hello
+from lugspur.mesh.control.messages import Message
+from lugspur.mesh.control.messages import WithdrawRequest
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import Gate, Ticket
+from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.gate import Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.dataplane.urgency import urgency_of
-from lugspur.mesh.link import Link
-from lugspur.mesh.outcomes import Outcomes
+from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
+from lugspur.mesh.transport.link import Link
 
 
 class _Caller:
@@ -51,7 +50,7 @@
         self.expired = 0  # requests whose time was over when they were read
         self._tickets: dict[tuple[Link, int], Ticket] = {}
         self._callers: dict[Link, _Caller] = {}
-        self._outcomes = Outcomes()
+        self._outcomes = RequestOutcomes()
 
     def heard(self, link: Link, message: Message) -> None:
         """Something from one who dialled."""
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -7,21 +7,20 @@
 
 from cachetools import LRUCache
 
-from lugspur.mesh.control.messages import (
-    BodyChunk,
-    CancelRequest,
-    FetchOutcomes,
-    ForwardRequest,
-    ForwardResponse,
-    GrantBody,
-    WithdrawRequest,
-)
+from lugspur.mesh.control.messages import BodyChunk
+from lugspur.mesh.control.messages import CancelRequest
+from lugspur.mesh.control.messages import FetchOutcomes
+from lugspur.mesh.control.messages import ForwardRequest
+from lugspur.mesh.control.messages import ForwardResponse
+from lugspur.mesh.control.messages import GrantBody
+from lugspur.mesh.control.messages import WithdrawRequest
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, is_chunked
-from lugspur.mesh.link import Link
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES
+from lugspur.mesh.dataplane.upload_scheduler import is_chunked
+from lugspur.mesh.transport.link import Link
 
-UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
+MAX_UNPROVEN_REQUESTS = 1024  # requests of lost connections whose outcome is asked for, the latest
 
 Respond = Callable[[ForwardResponse], None]
 
@@ -76,7 +75,7 @@
     def __init__(self) -> None:
         self._latest = 0
         self._open: dict[str, dict[int, _Exchange]] = {}
-        self._unproven: LRUCache[int, _Unproven] = LRUCache(UNPROVEN_MOST)
+        self._unproven: LRUCache[int, _Unproven] = LRUCache(MAX_UNPROVEN_REQUESTS)
 
     def waits_for(self, ip: str) -> bool:
         """Whether anything waits for that machine."""
