--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -9,7 +9,7 @@
 
 from lugspur.load_balancing.budget import Budget
 from lugspur.mesh.control.claims import Settled
-from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.endpoints import Endpoint
 
 
@@ -32,7 +32,7 @@
     def ready(self, ip: str) -> bool:
         """Whether that machine can be reached now."""
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> SentRequest:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send a request; `respond` is called once with its result.
 
         After a result that reports a lost connection a second one may follow: proof that the request did not run.
--- a/lugspur/mesh/dataplane/upload_scheduler.py
+++ b/lugspur/mesh/dataplane/upload_scheduler.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lugspur.mesh.control.messages import Forward
+from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.urgency import Urgency
 
 CHUNK_BYTES = 8 << 10  # of one grant: 25 ms of the slowest links that are known
@@ -38,7 +38,7 @@
 class Upload:
     """One body that is being received."""
 
-    request: Forward
+    request: ForwardRequest
     urgency: Urgency
     accepted_at: float
     deadline: float
@@ -78,7 +78,7 @@
         """Return the number of bodies that are being received."""
         return len(self._uploads)
 
-    def offer(self, now: float, key: UploadKey, request: Forward, urgency: Urgency, service_time: float) -> bool:
+    def offer(self, now: float, key: UploadKey, request: ForwardRequest, urgency: Urgency, service_time: float) -> bool:
         """Accept a body, or return False where there is no memory for it or its answer would come too late.
 
         `service_time`: seconds that the backend takes for the request once its body is complete.
@@ -92,7 +92,7 @@
         self._uploads[key] = Upload(request, urgency, now, now + request.left, bytearray(), 0, now)
         return True
 
-    def _arrives_in_time(self, request: Forward, urgency: Urgency, service_time: float) -> bool:
+    def _arrives_in_time(self, request: ForwardRequest, urgency: Urgency, service_time: float) -> bool:
         """Whether a body's turn comes early enough.
 
         Guards the value of all answers: a queue in which everybody is late serves no more than a short one.
@@ -105,7 +105,7 @@
         fraction = MAX_WAIT_FRACTION_OF_RETRIES if request.back else MAX_WAIT_FRACTION
         return wait <= fraction * (request.aim - own_time)
 
-    def receive(self, now: float, key: UploadKey, data: bytes) -> Forward | None:
+    def receive(self, now: float, key: UploadKey, data: bytes) -> ForwardRequest | None:
         """Take bytes that have arrived; return the request once its body is complete, its times counted from now.
 
         Bytes of a body that was dropped while they were on their way are ignored. Raises ValueError for more bytes
@@ -143,7 +143,7 @@
         return expired
 
     def grant(self, now: float) -> list[tuple[UploadKey, int]]:
-        """Grant what the link can take to the most urgent bodies.
+        """GrantBody what the link can take to the most urgent bodies.
 
         Returns the keys of those that may send more, each with the offset in its body up to which it may now send.
         """
--- a/lugspur/mesh/dataplane/urgency.py
+++ b/lugspur/mesh/dataplane/urgency.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from lugspur.mesh.control.messages import Forward
+from lugspur.mesh.control.messages import ForwardRequest
 
 Urgency = tuple[int, float]
 """The operators' priority of a route (lower is first), then the loop's time at which the answer loses its value."""
 
 
-def urgency_of(now: float, request: Forward) -> Urgency:
+def urgency_of(now: float, request: ForwardRequest) -> Urgency:
     """Return a request's place in the order: by priority, and within a priority by earliest deadline first.
 
     The deadline that counts is the latency target. This guards the work of parents: their calls have short targets,
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -15,7 +15,16 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
-from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
+from lugspur.mesh.control.messages import (
+    BackendResponse,
+    CompleteKey,
+    Entry,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    Hello,
+    Message,
+)
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.interfaces import SentRequest
@@ -23,32 +32,33 @@
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
-from lugspur.mesh.incoming import IncomingExchanges
-from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
-from lugspur.mesh.local_requests import CarriedHere
-from lugspur.mesh.node import Node
-from lugspur.mesh.outgoing import OutgoingExchanges
-from lugspur.mesh.registration import FROZEN, BackendRegistration, BackendStatus
+from lugspur.mesh.process import MeshProcess
+from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
-from lugspur.mesh.sidecar_figures import sidecar_figures, tell_failure
-from lugspur.mesh.sidecar_status import sidecar_status
+from lugspur.mesh.sidecar.incoming import IncomingExchanges
+from lugspur.mesh.sidecar.local_requests import CarriedHere
+from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
+from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
+from lugspur.mesh.sidecar.registration import BackendRegistration, BackendStatus
+from lugspur.mesh.sidecar.status import sidecar_status
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Dialer, Link
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import CONTENT_TYPE, render
 from lugspur.seams import Answerable, Request
 
-FILES_KEPT = 264  # descriptors for files and what is not counted here; 200 are reserved by the platform
-CALLERS_PART = 0.5  # of the descriptors, for callers; the rest is for the backend and other proxies
-SETTLED = 1.0  # seconds behind a freeze in which all that waited meanwhile is read
-LEAVE_TAKES = 0.35  # of the time that a process has to end, in which callers are still served anew
-LEAVE_ENDS = 0.9  # ...and by which all ends
-ANSWERS_OUT = 0.05  # seconds in which the last answers are written
-TELL_EVERY = 2.0  # seconds between lines on how requests ended
+RESERVED_FILES = 264  # descriptors for files and what is not counted here; 200 are reserved by the platform
+CALLER_FILES_FRACTION = 0.5  # of the descriptors, for callers; the rest is for the backend and other proxies
+BACKLOG_READ_SECONDS = 1.0  # seconds behind a freeze in which all that waited meanwhile is read
+ACCEPTING_FRACTION = 0.35  # of the time that a process has to end, in which callers are still served anew
+SHUTDOWN_FRACTION = 0.9  # ...and by which all ends
+FLUSH_SECONDS = 0.05  # seconds in which the last answers are written
+SUMMARY_INTERVAL_SECONDS = 2.0  # seconds between lines on how requests ended
 
 _json = msgspec.json.Encoder().encode
 _status_decoder = msgspec.msgpack.Decoder(BackendStatus)
 
 
-class Sidecar(Node):
+class Sidecar(MeshProcess):
     """One proxy's process."""
 
     def __init__(self, settings: Settings, path: str) -> None:
@@ -59,7 +69,7 @@
         self._stale_services: set[str] = set()
         self._told_at = 0.0
         self._told: Counter[str] = Counter()  # ends of requests that the log has told of
-        self._freezes = FreezeDetector(FROZEN, SETTLED)
+        self._freezes = FreezeDetector(PAUSE_THRESHOLD_SECONDS, BACKLOG_READ_SECONDS)
         self.outgoing = OutgoingExchanges()
         self._rate = limits.link_mbps * 1e6 / 8.0
         super().__init__(settings, path, False)
@@ -74,7 +84,7 @@
             settings.own.zone,
         )
         self.proxy.sender = settings.own.service
-        self.proxy.failures = FailureLog(self.standing, tell_failure)
+        self.proxy.failures = FailureLog(self.standing, log_failure)
         self.reloaded.append(self._sender)
         self.gate = Gate(
             limits.memory_mb << 20,
@@ -97,7 +107,7 @@
         ip, port = settings.inner_bind
         listen, limits = settings.network.listen, settings.own.limits
         await self.loop.create_server(self._accepted, ip, port, backlog=512)
-        most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
+        most = max(64, int((limits.file_handles - RESERVED_FILES) * CALLER_FILES_FRACTION))
         self.front = Front(read_address(listen.outgoing), most, limits.memory_mb << 20, self._handle)
         # Guards against requests that waited unread while this process was frozen: their callers have given them up.
         self.front.came = lambda now, transport, first: self._freezes.earliest_arrival(now)
@@ -118,15 +128,15 @@
         await calls.serve(listen.dispatch, limits.memory_mb << 20)
 
     def _accepted(self) -> Link:
-        return Link(self._asked, self.incoming.ended, keep_idle=PROXY_KEEP_IDLE)
+        return Link(self._asked, self.incoming.ended, keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS)
 
     def keep_idle(self, ip: str) -> int:
-        return PROXY_KEEP_IDLE if ip in self.backends else KEEP_IDLE
+        return PROXY_KEEPALIVE_IDLE_SECONDS if ip in self.backends else KEEPALIVE_IDLE_SECONDS
 
     def _tune(self) -> None:
         """Callers are held to the operators' limits."""
         bounds, limits = self.table.request_limits, self.settings.own.limits
-        most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
+        most = max(64, int((limits.file_handles - RESERVED_FILES) * CALLER_FILES_FRACTION))
         sizes = Sizes(head=bounds.label_bytes + 1024, body=bounds.payload_bytes, ordinary=True)
         self.front.tune(
             most, limits.memory_mb << 20, sizes, bounds.label_wait_ms / 1000.0, bounds.idle_ms / 1000.0, 2.0
@@ -208,7 +218,7 @@
         dialler = self.peers.get(ip)
         return dialler is not None and dialler.link is not None and dialler.link.answered
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> SentRequest:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send it to the gate beside that machine's backend."""
         if ip == self.ip:
             return CarriedHere(self.gate, self.gate.run(forward, respond))
@@ -220,9 +230,9 @@
         return self.outgoing.carry(self.loop.time(), ip, link, rate, forward, respond)
 
     def _heard_from(self, link: Link, message: Message) -> None:
-        if isinstance(message, Reply):
+        if isinstance(message, ForwardResponse):
             self.outgoing.reply(link, message)
-        elif isinstance(message, Grant):
+        elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
             link.answered, link.life = True, message.life
@@ -231,7 +241,7 @@
         else:
             super()._heard_from(link, message)
 
-    def _down(self, dialler: Dialler) -> None:
+    def _down(self, dialler: Dialer) -> None:
         super()._down(dialler)
         self.outgoing.lost(dialler.ip)
 
@@ -243,11 +253,11 @@
             if dialler is not None:
                 dialler.met(message.life)
 
-    def _done(self, forward: Forward, answer: Answer) -> None:
+    def _done(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for repeats."""
         if self.membership is not None:
             for voter in self.membership.voters:
-                self.to(voter.ip, Done(forward.key, forward.by, answer))
+                self.to(voter.ip, CompleteKey(forward.key, forward.by, answer))
 
     def standing(self) -> Standing:
         """What requests are judged by at this moment."""
@@ -260,7 +270,7 @@
 
     def _metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """This proxy's figures."""
-        text = render(sidecar_figures(self), [self.proxy.seconds])
+        text = render(sidecar_metrics(self), [self.proxy.seconds])
         caller.answer(200, CONTENT_TYPE, text)
 
     def status(self) -> dict[str, Any]:
@@ -271,7 +281,7 @@
 
     def _tell(self, now: float) -> None:
         """How requests ended since the last time, one line."""
-        if now < self._told_at + TELL_EVERY:
+        if now < self._told_at + SUMMARY_INTERVAL_SECONDS:
             return
         self._told_at = now
         ended = self.proxy.ended - self._told
@@ -302,17 +312,17 @@
         start = self.loop.time()
         self.registration.publish()
         self.front.drain(0.5)
-        await asyncio.sleep(LEAVE_TAKES * grace)
+        await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._sock)
         self.front.close()
         self.gate.leaving = True
-        while self.loop.time() < start + LEAVE_ENDS * grace and (
+        while self.loop.time() < start + SHUTDOWN_FRACTION * grace and (
             self.proxy.open_requests or self.gate.busy or len(self.incoming.uploads) or self.front.callers
         ):
             await asyncio.sleep(0.05)
         for proxied_request in list(self.proxy.open_requests):
             proxied_request.end()
-        await asyncio.sleep(ANSWERS_OUT)
+        await asyncio.sleep(FLUSH_SECONDS)
         events.info("left", flights=len(self.proxy.open_requests), busy=self.gate.busy, after=self.loop.time() - start)
 
 
--- a/tests/mesh/dataplane/test_upload_scheduler.py
+++ b/tests/mesh/dataplane/test_upload_scheduler.py
@@ -6,7 +6,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from lugspur.mesh.control.messages import Forward
+from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.upload_scheduler import (
     CHUNK_BYTES,
     GRANT_AHEAD_SECONDS,
@@ -20,8 +20,8 @@
 RATE = 330_000.0  # bytes a second
 
 
-def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> Forward:
-    return Forward(0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", back=back, size=size)
+def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> ForwardRequest:
+    return ForwardRequest(0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", back=back, size=size)
 
 
 def offer(
