--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -21,8 +21,8 @@
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, ForwardRequest
 from lugspur.mesh.dataplane import proxied_request
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
@@ -70,11 +70,11 @@
         self._go(self.proxy.loop.time())
 
 
-def _takes_any_life(self: Gate, now: float, backend: str) -> bool:
-    return self.local is not None and not self.leaving and not self.local.down
+def _takes_any_life(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
+    return self.local is not None and not self.leaving and not self.local.is_unreachable
 
 
-def _takes_whatever_waits(self: Gate, now: float, ticket: Any) -> bool:
+def _takes_whatever_waits(self: ConcurrencyLimiter, now: float, admitted: Any) -> bool:
     return True
 
 
@@ -110,19 +110,21 @@
     return True
 
 
-def _no_closing(self: Gate, now: float, backend: str) -> bool:
+def _no_closing(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
     local: LocalBackend | None = self.local
-    return local is not None and local.id == backend and not self.leaving and not local.down
+    return local is not None and local.id == backend and not self.leaving and not local.is_unreachable
 
 
 DATA_PLANE = [
     SoakGuard("what may have run is not sent again", ProxiedRequest, "_again", _send_again_whatever_ran),
     SoakGuard("a claim is given back with proof alone", ProxiedRequest, "_release_unrun", _release_without_proof),
     SoakGuard("an operation runs only once its key is won", ProxiedRequest, "_claimed", _run_without_claim),
-    SoakGuard("a request runs at the life that it names", Gate, "takes", _takes_any_life),
-    SoakGuard("a backend that closes gets nothing new", Gate, "takes", _no_closing),
-    SoakGuard("what waits is sent to the life that took it", Gate, "takes_waiting", _takes_whatever_waits),
-    SoakGuard("an answer bears its request's id", Gate, "_sound", staticmethod(_sound_whatever_came)),
+    SoakGuard("a request runs at the life that it names", ConcurrencyLimiter, "accepts", _takes_any_life),
+    SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
+    SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
+    SoakGuard(
+        "an answer bears its request's id", ConcurrencyLimiter, "_is_valid_response", staticmethod(_sound_whatever_came)
+    ),
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -1,4 +1,4 @@
-"""Requests of other machines for the backend of this one: from the connections that others dialled to the gate."""
+"""Requests of other machines for the backend of this one: from connections dialled here to the concurrency limiter."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     Message,
     WithdrawRequest,
 )
+from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import Gate, Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.dataplane.urgency import urgency_of
@@ -44,12 +44,12 @@
     are taken only behind a Hello, which names the life, and by rising numbers: none is taken twice.
     """
 
-    def __init__(self, gate: Gate, uploads: UploadScheduler, hello: Hello) -> None:
+    def __init__(self, limiter: ConcurrencyLimiter, uploads: UploadScheduler, hello: Hello) -> None:
         """`hello`: what this process says of itself to who dials it."""
         self._loop = asyncio.get_running_loop()
-        self._gate, self.uploads, self._hello = gate, uploads, hello
+        self._limiter, self.uploads, self._hello = limiter, uploads, hello
         self.expired = 0  # requests whose time was over when they were read
-        self._tickets: dict[tuple[Link, int], Ticket] = {}
+        self._admitted: dict[tuple[Link, int], AdmittedRequest] = {}
         self._callers: dict[Link, _Caller] = {}
         self._outcomes = RequestOutcomes()
 
@@ -62,9 +62,9 @@
         elif isinstance(message, BodyChunk):
             self._part(link, message)
         elif isinstance(message, CancelRequest):
-            ticket = self._tickets.pop((link, message.n), None)
-            if ticket is not None:
-                self._gate.cancel(ticket)
+            admitted = self._admitted.pop((link, message.n), None)
+            if admitted is not None:
+                self._limiter.cancel(admitted)
             elif self.uploads.drop((link, message.n)):
                 self._grant()
         elif isinstance(message, WithdrawRequest):
@@ -110,14 +110,14 @@
         n, life = forward.n, self._callers[link].life
 
         def respond(said: ForwardResponse) -> None:
-            self._tickets.pop((link, n), None)
+            self._admitted.pop((link, n), None)
             if forward.key and said.how == RequestOutcome.NOT_RUN:
                 self._proved_unrun(link, life, said)
             link.send(said)
 
-        ticket = self._gate.run(forward, respond)
-        if ticket is not None and not ticket.over:
-            self._tickets[link, n] = ticket
+        admitted = self._limiter.run(forward, respond)
+        if admitted is not None and not admitted.is_finished:
+            self._admitted[link, n] = admitted
 
     def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
         """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
@@ -148,9 +148,9 @@
 
     def _withdrawn(self, link: Link, number: int) -> None:
         """Nobody waits for one that may not be cancelled: it is not begun any more."""
-        ticket = self._tickets.get((link, number))
-        if ticket is not None:
-            self._gate.withdraw(ticket)
+        admitted = self._admitted.get((link, number))
+        if admitted is not None:
+            self._limiter.withdraw(admitted)
         elif self.uploads.drop((link, number)):
             self._turn_away(link, number, FailureCause.CANCELLED)
             self._grant()
@@ -169,16 +169,16 @@
     def _offered(self, link: Link, forward: ForwardRequest) -> None:
         """A request whose body would come in parts."""
         now, n = self._loop.time(), forward.n
-        urgency, pace = urgency_of(now, forward), self._gate.pace(forward.route)
-        if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
+        urgency, pace = urgency_of(now, forward), self._limiter.expected_service_time(forward.route)
+        if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
             self._grant()
         else:
             self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
 
     def _turn_away(self, link: Link, number: int, cause: FailureCause) -> None:
-        """Reply to one that was not handed to the gate."""
+        """Reply to one that was not handed to the limiter."""
         self._outcomes.did_not_run(self._callers[link].life, number)
-        link.send(self._gate.turn_away(number, cause))
+        link.send(self._limiter.reject(number, cause))
 
     def _grant(self) -> None:
         """Let those send whose turn it is."""
@@ -193,10 +193,10 @@
             self.uploads.drop(key)
             if caller is not None:
                 self._outcomes.did_not_run(caller.life, key[1])
-        for key in [key for key in self._tickets if key[0] is link]:
-            ticket = self._tickets.pop(key)
-            if ticket.forward.safe:  # nobody hears its answer; others' may be kept for a repeat
-                self._gate.cancel(ticket)
+        for key in [key for key in self._admitted if key[0] is link]:
+            admitted = self._admitted.pop(key)
+            if admitted.forward.safe:  # nobody hears its answer; others' may be kept for a repeat
+                self._limiter.cancel(admitted)
 
     def look(self, now: float) -> None:
         """RequestOutcome bodies whose time is over."""
--- a/lugspur/mesh/sidecar/local_requests.py
+++ b/lugspur/mesh/sidecar/local_requests.py
@@ -1,24 +1,24 @@
-"""Requests of this machine's callers for this machine's own backend: they go to its gate without a connection."""
+"""Requests of this machine's callers for this machine's own backend: they go to its limiter without a connection."""
 
 from __future__ import annotations
 
-from lugspur.mesh.dataplane.gate import Gate, Ticket
+from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter
 
 
 class CarriedHere:
     """A request for the backend of this machine."""
 
-    __slots__ = ("_gate", "_ticket")
+    __slots__ = ("_limiter", "_admitted")
 
-    def __init__(self, gate: Gate, ticket: Ticket | None) -> None:
-        self._gate, self._ticket = gate, ticket
+    def __init__(self, limiter: ConcurrencyLimiter, admitted: AdmittedRequest | None) -> None:
+        self._limiter, self._admitted = limiter, admitted
 
     def cancel(self) -> None:
         """Nobody waits for it: it is ended."""
-        if self._ticket is not None:
-            self._gate.cancel(self._ticket)
+        if self._admitted is not None:
+            self._limiter.cancel(self._admitted)
 
     def withdraw(self) -> None:
         """Nobody waits for it: it is not begun any more."""
-        if self._ticket is not None:
-            self._gate.withdraw(self._ticket)
+        if self._admitted is not None:
+            self._limiter.withdraw(self._admitted)
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -8,7 +8,7 @@
 
 from lugspur.http1.front import Front
 from lugspur.mesh import events
-from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.transport.link import Dialer
@@ -20,7 +20,7 @@
     """The parts of a proxy's process that figures are read from."""
 
     loop: asyncio.AbstractEventLoop
-    gate: Gate
+    limiter: ConcurrencyLimiter
     proxy: Proxy
     front: Front
     incoming: IncomingExchanges
@@ -46,9 +46,9 @@
 
 def sidecar_metrics(sidecar: SidecarParts) -> list[Figure]:
     """All figures of one proxy at this moment."""
-    now, gate, proxy, front = sidecar.loop.time(), sidecar.gate, sidecar.proxy, sidecar.front
+    now, limiter, proxy, front = sidecar.loop.time(), sidecar.limiter, sidecar.proxy, sidecar.front
     standing = sidecar.standing()
-    causes = {cause.label: float(count) for cause, count in gate.causes.items()}
+    causes = {cause.label: float(count) for cause, count in limiter.causes.items()}
     rejections = {str(status): float(count) for status, count in front.rejections.items()}
     up = sum(dialler.link is not None for dialler in sidecar.peers.values())
     return [
@@ -56,7 +56,7 @@
         counters("rejections_total", "Requests that could not be read or taken, by status.", "status", rejections),
         counters("gate_unanswered_total", "Requests for the backend without its answer, by cause.", "cause", causes),
         gauge("requests_open", "Requests of callers that are not answered yet.", len(proxy.open_requests)),
-        gauge("gate_in_hand", "Requests for the backend that run or wait.", gate.busy),
+        gauge("gate_in_hand", "Requests for the backend that run or wait.", limiter.busy),
         gauge("uploads_open", "Bodies that arrive in parts.", len(sidecar.incoming.uploads)),
         gauge("callers", "Connections of callers.", len(front.callers)),
         gauge("claims_open", "Claims of operation keys that are not settled.", len(sidecar.claims)),
@@ -74,8 +74,8 @@
 
 
 def _silent(sidecar: SidecarParts, now: float) -> float:
-    local = sidecar.gate.local
-    return 0.0 if local is None else now - local.heard
+    local = sidecar.limiter.local
+    return 0.0 if local is None else now - local.last_heartbeat_at
 
 
 def log_failure(failed: FailedRequest, untold: int) -> None:
--- a/lugspur/mesh/sidecar/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -164,7 +164,7 @@
         """The connection to that machine has ended."""
         # What had been sent may run, or have run: nothing proves otherwise, as long as that process does not say so.
         for number, exchange in self._open.pop(ip, {}).items():
-            # A body that was not sent to its end proves that nothing ran: the gate begins with whole requests alone.
+            # A body that was not sent to its end proves that nothing ran: the limiter starts complete requests alone.
             unsent = exchange.body is not None
             if exchange.keyed and not unsent:
                 self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -25,8 +25,8 @@
     Hello,
     Message,
 )
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
-from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.interfaces import SentRequest
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
 from lugspur.mesh.dataplane.route_table import RouteTable
@@ -86,19 +86,19 @@
         self.proxy.sender = settings.own.service
         self.proxy.failures = FailureLog(self.standing, log_failure)
         self.reloaded.append(self._sender)
-        self.gate = Gate(
+        self.limiter = ConcurrencyLimiter(
             limits.memory_mb << 20,
             max(16, limits.file_handles // 4),
             bounds.drain_ms / 1000.0,
             self._done,
             lambda local: self.registration.down(local),
         )
-        self.registration = BackendRegistration(self, self.gate, self.backends, self._rate)
+        self.registration = BackendRegistration(self, self.limiter, self.backends, self._rate)
         uploads = UploadScheduler(self._rate, (limits.memory_mb << 20) // 4)
-        self.incoming = IncomingExchanges(self.gate, uploads, Hello(self.ip, self.life, self.keeps))
+        self.incoming = IncomingExchanges(self.limiter, uploads, Hello(self.ip, self.life, self.keeps))
 
     def _sender(self) -> None:
-        local = self.gate.local
+        local = self.limiter.local
         self.proxy.sender = local.service if local is not None else self.settings.own.service
 
     async def serve(self) -> None:
@@ -219,9 +219,9 @@
         return dialler is not None and dialler.link is not None and dialler.link.answered
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
-        """Send it to the gate beside that machine's backend."""
+        """Send it to the limiter beside that machine's backend."""
         if ip == self.ip:
-            return CarriedHere(self.gate, self.gate.run(forward, respond))
+            return CarriedHere(self.limiter, self.limiter.run(forward, respond))
         dialler = self.peers[ip]
         link = dialler.link
         assert link is not None
@@ -286,18 +286,18 @@
         self._told_at = now
         ended = self.proxy.ended - self._told
         self._told = self.proxy.ended.copy()
-        gate = self.gate
-        if ended or gate.turned or gate.evicted or gate.hopeless:
+        limiter = self.limiter
+        if ended or limiter.rejected or limiter.evicted or limiter.expired:
             events.info(
                 "requests",
                 **ended,
-                turned=gate.turned,
-                evicted=gate.evicted,
-                hopeless=gate.hopeless,
-                busy=gate.busy,
+                turned=limiter.rejected,
+                evicted=limiter.evicted,
+                hopeless=limiter.expired,
+                busy=limiter.busy,
                 open=len(self.proxy.open_requests),
             )
-        gate.turned = gate.evicted = gate.hopeless = 0
+        limiter.rejected = limiter.evicted = limiter.expired = 0
 
     def look(self, now: float) -> None:
         self._freezes.record_turn(now)
@@ -315,15 +315,17 @@
         await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._sock)
         self.front.close()
-        self.gate.leaving = True
+        self.limiter.leaving = True
         while self.loop.time() < start + SHUTDOWN_FRACTION * grace and (
-            self.proxy.open_requests or self.gate.busy or len(self.incoming.uploads) or self.front.callers
+            self.proxy.open_requests or self.limiter.busy or len(self.incoming.uploads) or self.front.callers
         ):
             await asyncio.sleep(0.05)
         for proxied_request in list(self.proxy.open_requests):
             proxied_request.end()
         await asyncio.sleep(FLUSH_SECONDS)
-        events.info("left", flights=len(self.proxy.open_requests), busy=self.gate.busy, after=self.loop.time() - start)
+        events.info(
+            "left", flights=len(self.proxy.open_requests), busy=self.limiter.busy, after=self.loop.time() - start
+        )
 
 
 def raise_not_ready(caller: Answerable) -> None:
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -13,7 +13,7 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.http_api import reply
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
@@ -71,9 +71,11 @@
 class BackendRegistration:
     """The present life of this machine's backend, and the soft entry that tells of it. `rate`: bytes a second."""
 
-    def __init__(self, process: Announcer, gate: Gate, backends: Mapping[str, BackendStatus], rate: float) -> None:
+    def __init__(
+        self, process: Announcer, limiter: ConcurrencyLimiter, backends: Mapping[str, BackendStatus], rate: float
+    ) -> None:
         """`backends`: what the mesh knows of each machine's, by IP number."""
-        self._process, self._gate, self._backends, self._rate = process, gate, backends, rate
+        self._process, self._limiter, self._backends, self._rate = process, limiter, backends, rate
         self.said: Entry | None = None
         self._again_at = 0.0
         self._looked_at = float("inf")  # until it has looked once
@@ -86,7 +88,7 @@
             read_address(heartbeat.address)
         except (msgspec.MsgspecError, ValueError) as fault:
             raise MeshError(Kind.BAD_REQUEST, str(fault)) from None
-        now, local = self._process.loop.time(), self._gate.local
+        now, local = self._process.loop.time(), self._limiter.local
         silent = local is not None and local.state in ("gone", "silent")
         if local is not None and local.id != found[0] and heartbeat.state != "accepting" and heartbeat.sequence > 0:
             reply(caller)  # a life that ends can take nobody's place
@@ -100,11 +102,11 @@
             if heartbeat.state != "accepting":
                 # Guards its drain: it may have said so long ago, to a process that was here before this one.
                 local.closing_at = float("-inf")
-            self._gate.local = local
+            self._limiter.local = local
             events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
         if heartbeat.sequence > local.sequence:
-            local.sequence, local.heard, local.down = heartbeat.sequence, now, False
-            local.berths = max(1, heartbeat.berths)
+            local.sequence, local.last_heartbeat_at, local.is_unreachable = heartbeat.sequence, now, False
+            local.concurrency = max(1, heartbeat.berths)
             local.warm_at = now + heartbeat.warmup_left_ms / 1000.0
             if heartbeat.state != "accepting" and local.closing_at == float("inf"):
                 local.closing_at = now
@@ -117,7 +119,7 @@
     def sign_off(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """The backend's last word."""
         self._lives.signed_off(found[0])
-        local = self._gate.local
+        local = self._limiter.local
         if local is not None and local.id == found[0]:
             local.state = "gone"
             local.closing_at = min(local.closing_at, self._process.loop.time())
@@ -132,17 +134,17 @@
 
     def publish(self) -> None:
         """Tell the mesh how this machine's backend is, where that has changed."""
-        local = self._gate.local
+        local = self._limiter.local
         if local is None:
             return
         now = self._process.loop.time()
-        gone = local.state in ("gone", "silent") or local.down or self._process.leaving
+        gone = local.state in ("gone", "silent") or local.is_unreachable or self._process.leaving
         backend_status = BackendStatus(
             local.id,
             local.service,
             self._process.settings.own.zone,
             "gone" if gone else local.state,
-            local.berths,
+            local.concurrency,
             round(max(0.0, local.warm_at - now), 1),
             self._rate,
         )
@@ -189,15 +191,15 @@
 
     def look(self, now: float) -> None:
         """Notice a backend that says nothing."""
-        local = self._gate.local
+        local = self._limiter.local
         away, self._looked_at = now - self._looked_at, now
         if local is not None and local.state not in ("gone", "silent"):
             if (
                 away > PAUSE_THRESHOLD_SECONDS
             ):  # Guards against a verdict after a freeze of its own: the beats wait unread.
-                local.heard += away
+                local.last_heartbeat_at += away
             due = MAX_MISSED_HEARTBEATS * self._process.settings.depot.heartbeat_ms / 1000.0 + 1.0
-            if now - local.heard > due:
+            if now - local.last_heartbeat_at > due:
                 local.state = "silent"
                 events.info("backend-silent", id=local.id)
                 self.publish()
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -7,8 +7,8 @@
 from typing import Any, Protocol
 
 from lugspur.mesh.control.messages import Membership
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.dataplane.endpoints import Endpoint
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.settings import Settings
 
@@ -24,7 +24,7 @@
     source: str
     source_at: float
     membership: Membership | None
-    gate: Gate
+    limiter: ConcurrencyLimiter
     proxy: Proxy
 
     @property
@@ -53,8 +53,8 @@
         "age_s": round(min(1e6, now - sidecar.source_at), 3),
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
-        "busy": sidecar.gate.busy,
-        "backend": _backend(sidecar.gate.local),
+        "busy": sidecar.limiter.busy,
+        "backend": _backend(sidecar.limiter.local),
         "backends": [_endpoint(endpoint, sidecar.ready(endpoint.ip), now) for endpoint in endpoints],
     }
 
@@ -66,8 +66,8 @@
         "id": local.id,
         "service": local.service,
         "state": local.state,
-        "berths": local.berths,
-        "down": local.down,
+        "berths": local.concurrency,
+        "down": local.is_unreachable,
     }
 
 
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -29,8 +29,8 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_call
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.route_table import RouteTable
@@ -179,12 +179,12 @@
 
 
 class Mesh:
-    """A proxy behind a real listener; gates and keys are played, unless there is a real gate."""
+    """A proxy behind a real listener; limiters and keys are played, unless there is a real limiter."""
 
     def __init__(self, kind: str = "tracked", backends: int = 2) -> None:
         self.sent: list[tuple[ForwardRequest, Callable[[ForwardResponse], None]]] = []
         self.claims: list[Callable[[Settled], None]] = []
-        self.gate: Gate | None = None
+        self.limiter: ConcurrencyLimiter | None = None
         table = RouteTable()
         for item in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
             table.apply(item)
@@ -198,8 +198,8 @@
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         self.sent.append((forward, respond))
-        if self.gate is not None:
-            self.gate.run(forward, respond)
+        if self.limiter is not None:
+            self.limiter.run(forward, respond)
         return SentRequest()
 
     def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
@@ -265,8 +265,8 @@
     async def what() -> None:
         async with scripted(lambda request: answer) as stub:
             mesh = Mesh(backends=1)
-            mesh.gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            mesh.gate.local = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
+            mesh.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            mesh.limiter.local = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
             told = await mesh.ask(answered=lambda: mesh.claims[0](Won()))
             got = stub.got.get_nowait()
         assert matches(AT_BACKEND, got), got
@@ -293,9 +293,9 @@
 def test_how_a_body_is_framed_for_the_backend(method: bytes, body: bytes, framing: bytes) -> None:
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 204 X\r\nLugspur-Attempt-Id: t1\r\n\r\n") as stub:
-            gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
-            gate.run(
+            limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            limiter.run(
                 ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
                 lambda reply: None,
             )
@@ -324,10 +324,12 @@
 def test_what_each_header_of_a_backend_proves(answer: bytes, how: int, cause: int) -> None:
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
-            gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-            gate.run(ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result)
+            limiter.run(
+                ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result
+            )
             fields = msgspec.msgpack.decode(msgspec.msgpack.encode(await said))
         assert fields[:3] == [20, 1, how] and fields[6] == cause  # the tag, the number, how, and the cause
 
@@ -455,7 +457,7 @@
 
 
 def fail_one(mesh: Mesh) -> None:
-    """One request that a gate has no room for, and that is then lost on its way to another."""
+    """One request that a limiter has no room for, and that is then lost on its way to another."""
     mesh.ask_at_once()
     mesh.claims[0](Won())
     for reply in (ForwardResponse(0, 1, None, False, 9, 3), ForwardResponse(0, 2, cause=12)):
@@ -564,12 +566,12 @@
 def test_what_ended_without_the_backends_answer_is_counted_by_the_names_of_causes() -> None:
     async def what() -> None:
         mesh = Mesh()
-        gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+        limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
         for cause in list(CAUSES)[1:]:
-            gate.turn_away(1, FailureCause(cause))
+            limiter.reject(1, FailureCause(cause))
         sidecar: Any = SimpleNamespace(
             loop=mesh.proxy.loop,
-            gate=gate,
+            limiter=limiter,
             proxy=mesh.proxy,
             front=SimpleNamespace(rejections={}, callers=()),
             incoming=SimpleNamespace(uploads=()),
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -11,9 +11,9 @@
 import pytest
 
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.dataplane import gate as gate_module
+from lugspur.mesh.dataplane import concurrency_limiter
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 
 GOOD = b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: %b\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi"
@@ -79,20 +79,22 @@
 
 
 class Rig:
-    """A gate, its backend, and what it replied."""
+    """A limiter, its backend, and what it replied."""
 
     def __init__(self, backend: Scripted, drain: float = 2.0) -> None:
         self.done: list[tuple[bytes, BackendResponse]] = []
         self.replies: dict[int, asyncio.Future[ForwardResponse]] = {}
         self.downs: list[LocalBackend] = []
-        self.gate = Gate(64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append)
+        self.limiter = ConcurrencyLimiter(
+            64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append
+        )
         self.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
-        self.gate.local = self.local
+        self.limiter.local = self.local
 
     def run(self, message: ForwardRequest) -> asyncio.Future[ForwardResponse]:
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
         self.replies[message.n] = found
-        self.gate.run(message, found.set_result)
+        self.limiter.run(message, found.set_result)
         return found
 
 
@@ -151,7 +153,7 @@
             assert (name, RequestOutcome(reply.how), reply.sent) == (name, end, True)
         backend.server.close()
         await backend.server.wait_closed()
-        rig.gate.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
+        rig.limiter.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         reply = await rig.run(forward(99))
         assert (reply.how, reply.sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
         again = await rig.run(forward(100))  # until its next beat nobody is sent there
@@ -184,7 +186,7 @@
 def test_what_waits_goes_by_when_it_is_due_and_the_last_makes_room() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         running = [rig.run(forward(n)) for n in (1, 2)]  # one at work and one ready beside it
         patient = [rig.run(forward(n, aim=1.0, priority=1)) for n in (3, 4)]
         urgent = rig.run(forward(5, aim=0.1, priority=1))
@@ -208,7 +210,7 @@
         rig.local.closing_at = now - 0.5
         reply = await rig.run(forward(2))
         assert (reply.how, reply.sent, len(backend.heads)) == (RequestOutcome.NOT_RUN, False, 1)
-        rig.gate.local = LocalBackend("i-2", "s", backend.address, now)
+        rig.limiter.local = LocalBackend("i-2", "s", backend.address, now)
         assert (await rig.run(forward(3))).how == RequestOutcome.NOT_RUN
         assert len(backend.heads) == 1
 
@@ -218,17 +220,17 @@
 def test_what_nobody_waits_for_is_closed_at_the_backend_or_never_sent() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
-        tickets = [rig.gate.run(forward(n), lambda reply: None) for n in (1, 2, 3)]
+        rig.local.concurrency = 1
+        admitted_requests = [rig.limiter.run(forward(n), lambda reply: None) for n in (1, 2, 3)]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
-        for ticket in reversed(tickets):
-            assert ticket is not None
-            rig.gate.cancel(ticket)
+        for admitted in reversed(admitted_requests):
+            assert admitted is not None
+            rig.limiter.cancel(admitted)
         backend.hold.set()
         reply = await rig.run(forward(4))
         assert reply.how == RequestOutcome.ANSWERED and [attempt_of(h) for h in backend.heads] == [b"a1", b"a2", b"a4"]
-        assert rig.gate.busy == 0
+        assert rig.limiter.busy == 0
 
     play(lambda a: GOOD % a, what)
 
@@ -236,10 +238,10 @@
 def test_a_short_call_is_judged_by_its_own_route() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         slow = [rig.run(forward(n, route="slow", left=9.0, aim=9.0)) for n in (1, 2)]
         await asyncio.sleep(0.15)  # what the slow route takes
-        rig.gate._paces["slow"], rig.gate._pace = 0.15, 0.08
+        rig.limiter._service_times["slow"], rig.limiter._average_service_time = 0.15, 0.08
         backend.hold.set()
         await asyncio.gather(*slow, rig.run(forward(3, route="short")))
         backend.hold = asyncio.Event()
@@ -255,8 +257,12 @@
 
 def test_who_would_be_late_is_turned_away_at_once_unless_it_comes_back_or_is_short() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
-        rig.local.berths = 1
-        rig.gate._paces["long"], rig.gate._paces["short"], rig.gate._pace = 0.3, 0.05, 0.3
+        rig.local.concurrency = 1
+        rig.limiter._service_times["long"], rig.limiter._service_times["short"], rig.limiter._average_service_time = (
+            0.3,
+            0.05,
+            0.3,
+        )
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="long")) for n in (1, 2)]
         fresh = await rig.run(forward(3, route="long", left=5.0, aim=0.5))
@@ -302,13 +308,15 @@
 
         heard = asyncio.Event()
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        gate = Gate(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        gate.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
+        limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-        ticket = gate.run(forward(1), found.set_result)
-        assert ticket is not None
-        while ticket.exchange is None or ticket.exchange.connection is None or not ticket.exchange.connection._body:
+        admitted = limiter.run(forward(1), found.set_result)
+        assert admitted is not None
+        while (
+            admitted.exchange is None or admitted.exchange.connection is None or not admitted.exchange.connection._body
+        ):
             await asyncio.sleep(0)
         heard.set()
         assert (await found).how == RequestOutcome.UNKNOWN
@@ -358,7 +366,7 @@
                 FailureCause.EXPIRED,
                 [],
             )
-        assert rig.gate.causes == {FailureCause.EXPIRED: 3}
+        assert rig.limiter.causes == {FailureCause.EXPIRED: 3}
 
     play(lambda a: GOOD % a, what)
 
@@ -370,9 +378,9 @@
         ).how == RequestOutcome.ANSWERED  # its connection is kept: the next goes out at once
         loop = asyncio.get_running_loop()
         stands = loop.time()
-        monkeypatch.setattr(gate_module, "monotonic", lambda: stands + 30.0)
+        monkeypatch.setattr(concurrency_limiter, "monotonic", lambda: stands + 30.0)
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads), rig.gate.busy) == (RequestOutcome.NOT_RUN, False, 1, 0)
+        assert (reply.how, reply.sent, len(backend.heads), rig.limiter.busy) == (RequestOutcome.NOT_RUN, False, 1, 0)
         assert reply.cause == FailureCause.TOO_LITTLE_TIME
 
     play(lambda a: GOOD % a, what)
@@ -381,12 +389,14 @@
 def test_a_cancel_is_answered_once_also_for_what_waits() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         replies: list[tuple[int, RequestOutcome]] = []
-        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how)))) for n in (1, 2, 3)]
-        for ticket in tickets[::-1] * 2:  # the one that waits first: else it would not wait any more
-            assert ticket is not None
-            rig.gate.cancel(ticket)
+        admitted_requests = [
+            rig.limiter.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how)))) for n in (1, 2, 3)
+        ]
+        for admitted in admitted_requests[::-1] * 2:  # the one that waits first: else it would not wait any more
+            assert admitted is not None
+            rig.limiter.cancel(admitted)
         assert sorted(replies) == [
             (n, RequestOutcome.UNKNOWN) for n in (1, 2, 3)
         ]  # who sent it counts what it has under way
@@ -397,22 +407,23 @@
 def test_what_is_withdrawn_while_it_waits_never_reaches_the_backend_and_is_proven_not_to_have_run() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         replies: list[tuple[int, RequestOutcome, bool]] = []
-        tickets = [
-            rig.gate.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how), r.sent))) for n in (1, 2, 3)
+        admitted_requests = [
+            rig.limiter.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how), r.sent)))
+            for n in (1, 2, 3)
         ]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
-        for ticket in tickets:
-            assert ticket is not None
-            rig.gate.withdraw(ticket)
+        for admitted in admitted_requests:
+            assert admitted is not None
+            rig.limiter.withdraw(admitted)
         assert replies == [(3, RequestOutcome.NOT_RUN, False)]
         backend.hold.set()
         while len(replies) < 3:
             await asyncio.sleep(0.001)
         assert sorted(replies[1:]) == [(1, RequestOutcome.ANSWERED, True), (2, RequestOutcome.ANSWERED, True)]
-        assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.gate.busy == 0
+        assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.limiter.busy == 0
 
     play(lambda a: GOOD % a, what)
 
@@ -431,12 +442,12 @@
         server = await asyncio.start_server(answer_early, "127.0.0.1", 0, limit=1 << 16)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         replies: list[ForwardResponse] = []
-        gate = Gate(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
-        gate.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
-        gate.run(forward(1, body=body, left=5.0), replies.append)
+        limiter = ConcurrencyLimiter(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
+        limiter.run(forward(1, body=body, left=5.0), replies.append)
         while not replies:
             await asyncio.sleep(0.001)
-        gate.run(forward(2), replies.append)
+        limiter.run(forward(2), replies.append)
         while len(replies) < 2:
             await asyncio.sleep(0.001)
         assert [reply.how for reply in replies] == [RequestOutcome.ANSWERED] * 2 and len(streams) == 2
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -1,4 +1,4 @@
-"""The caller's side with a played gate: one answer to each request, and nothing unsafe twice without proof."""
+"""The caller's side with a played limiter: one answer to each request, and nothing unsafe twice without proof."""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -19,8 +19,8 @@
     Message,
     WithdrawRequest,
 )
+from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend, Ticket
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, UploadScheduler
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
@@ -50,21 +50,21 @@
 
 
 class Rig:
-    """What takes requests of others, with a gate whose backend answers by hand."""
+    """What takes requests of others, with a limiter whose backend answers by hand."""
 
     def __init__(self) -> None:
         self.ran: list[bytes] = []
-        self.tickets: list[Ticket] = []
-        self.gate = Gate(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        self.admitted: list[AdmittedRequest] = []
+        self.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         self.now = asyncio.get_running_loop().time()
-        self.gate.local = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
-        self.gate.local.berths = 99
-        self.gate._send = self._send  # type: ignore[method-assign]
-        self.incoming = IncomingExchanges(self.gate, UploadScheduler(330_000.0, 1 << 20), OWN)
+        self.limiter.local = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
+        self.limiter.local.concurrency = 99
+        self.limiter._send = self._send  # type: ignore[method-assign]
+        self.incoming = IncomingExchanges(self.limiter, UploadScheduler(330_000.0, 1 << 20), OWN)
 
-    def _send(self, ticket: Ticket) -> None:
-        self.ran.append(ticket.forward.attempt)
-        self.tickets.append(ticket)
+    def _send(self, admitted: AdmittedRequest) -> None:
+        self.ran.append(admitted.forward.attempt)
+        self.admitted.append(admitted)
 
     def hear(self, wire: Wire, *messages: Message) -> None:
         for message in messages:
@@ -202,9 +202,9 @@
         former = rig.greeted()
         rig.hear(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
         rig.hear(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # its body never comes whole
-        never_ran, answered, at_work = rig.tickets
-        rig.gate._end(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
-        rig.gate._end(answered, RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
+        never_ran, answered, at_work = rig.admitted
+        rig.limiter._finish(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
+        rig.limiter._finish(answered, RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         former.close()
         rig.incoming.ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
@@ -214,7 +214,7 @@
             (4, RequestOutcome.NOT_RUN),
             (5, RequestOutcome.NOT_RUN),
         ]  # 5 has never come
-        rig.gate._end(at_work, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+        rig.limiter._finish(at_work, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
         assert after.replies[3:] == [(3, RequestOutcome.NOT_RUN)]  # told once it is known
 
     play(what)
@@ -301,12 +301,12 @@
     def what(rig: Rig) -> None:
         wire = rig.greeted()
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
-        rig.tickets[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
+        rig.admitted[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
         rig.hear(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
         assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.open
         rig.hear(wire, BodyChunk(2, bytes(CHUNK_BYTES)))  # a part that was on its way
         assert rig.ran == [b"a1"] and wire.open
-        rig.gate._end(rig.tickets[0], RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
+        rig.limiter._finish(rig.admitted[0], RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
 
     play(what)
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -136,7 +136,7 @@
         closing = mesh.backends[0]
         closing.state = "closing"
         await closing.beat()
-        await asyncio.sleep(0.6)  # what the gate still takes while news gets round
+        await asyncio.sleep(0.6)  # what the limiter still accepts while news gets round
         ran = len(closing.ran)
         for n in range(10):
             await mesh.served(mesh.proxy_ips[n % 2], "/look/1", f"c{n}")
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -106,7 +106,7 @@
     def what(sidecar: Sidecar) -> None:
         assert beat(sidecar, 1) == 200 and told(sidecar) == ("i-1", "accepting")
         assert beat(sidecar, 3, "closing") == 200 and told(sidecar) == ("i-1", "closing")
-        local = sidecar.gate.local
+        local = sidecar.limiter.local
         assert local is not None
         since, edition = local.closing_at, sidecar.registration.said
         assert beat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
@@ -129,7 +129,7 @@
         sidecar.registration.sign_off(request(b""), caller, ["i-2"])
         assert told(sidecar) == ("i-2", "gone")
         now = sidecar.loop.time()
-        assert not sidecar.gate.takes(now + 9.0, "i-2") and not sidecar.gate.takes(now, "i-1")
+        assert not sidecar.limiter.accepts(now + 9.0, "i-2") and not sidecar.limiter.accepts(now, "i-1")
 
     play(tmp_path, what)
 
@@ -138,7 +138,7 @@
     def what(sidecar: Sidecar) -> None:
         # It may have said so seconds ago, to the process that was here before this one.
         assert beat(sidecar, 9, "closing") == 200 and told(sidecar) == ("i-1", "closing")
-        assert not sidecar.gate.takes(sidecar.loop.time(), "i-1")
+        assert not sidecar.limiter.accepts(sidecar.loop.time(), "i-1")
 
     play(tmp_path, what)
 
@@ -148,7 +148,7 @@
         beat(sidecar, 7)
         beat(sidecar, 1, life="i-2")
         assert beat(sidecar, 8, life="i-1") == 200 and told(sidecar) == ("i-2", "accepting")
-        assert sidecar.gate.takes(sidecar.loop.time(), "i-2")
+        assert sidecar.limiter.accepts(sidecar.loop.time(), "i-2")
 
     play(tmp_path, what)
 
@@ -158,7 +158,7 @@
         caller = Caller()
         sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # this process has just started
         assert caller.status == 200 and beat(sidecar, 9) == 200
-        assert sidecar.gate.local is None and sidecar.ip not in sidecar.backends
+        assert sidecar.limiter.local is None and sidecar.ip not in sidecar.backends
 
     play(tmp_path, what)
 
