--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -86,7 +86,7 @@
 
 
 def _count_words_of_the_deaf(self: Freshness, now: float, ip: str, delta: Delta) -> float:
-    delta.echo = now
+    delta.echoed_at = now
     return _heard(self, now, ip, delta)
 
 
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -65,7 +65,7 @@
 
 
 def accept_below_promise(self: Register, peer: Peer, message: Accept, voter: bool) -> Effects:
-    self.promised = min(self.promised, message.ballot)
+    self.promised = min(self.promised, message.proposal)
     return _accept(self, peer, message, voter)
 
 
@@ -117,20 +117,20 @@
 
 
 def pass_over_pending(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
-    return _reader_heard(self, now, ip, ReadIndexReply(message.number, message.voter, message.decided, False))
+    return _reader_heard(self, now, ip, ReadIndexReply(message.number, message.is_voter, message.decided_index, False))
 
 
 def pass_over_index(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
     known = self._replica.index
     return _reader_heard(
-        self, now, ip, ReadIndexReply(message.number, message.voter, min(known, message.decided), False)
+        self, now, ip, ReadIndexReply(message.number, message.is_voter, min(known, message.decided_index), False)
     )
 
 
 def learn_from_the_middle(self: Register, pages: list[Learn]) -> Applied:
     first = pages[0]
-    if first.since > self.index:
-        pages = [Learn(self.index, p.index, p.pruned, p.number, p.items, p.last) for p in pages]
+    if first.after_index > self.index:
+        pages = [Learn(self.index, p.index, p.pruned_index, p.page, p.items, p.is_last) for p in pages]
     return _learn(self, pages)
 
 
@@ -154,9 +154,9 @@
 def last_word(self: ClaimTable, now: float, claims: Any) -> Rows:
     rows: Rows = []
     for key, kept in claims:
-        if key in self._claims and kept.answer is None:
+        if key in self._claims and kept.response is None:
             self._drop(key)
-        rows += _merge(self, now, [(key, StoredReservation(kept.by, kept.left, kept.answer))])
+        rows += _merge(self, now, [(key, StoredReservation(kept.owner, kept.seconds_left, kept.response))])
     return rows
 
 
@@ -165,7 +165,7 @@
 
 
 def pending_is_fresh(self: Freshness, now: float, ip: str, delta: Delta) -> float:
-    delta.pending = False
+    delta.has_pending_change = False
     return _freshness_heard(self, now, ip, delta)
 
 
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -131,7 +131,7 @@
         if membership is not None:
             found |= {voter.ip for voter in membership.voters}
             if self.replica.is_voter and not self.replica.complete:
-                found |= {voter.ip for voter in membership.previous}
+                found |= {voter.ip for voter in membership.previous_voters}
         return found - {self.ip}
 
     def went_up(self, ip: str) -> None:
@@ -175,18 +175,18 @@
         elif isinstance(message, Delta):
             self._delta(now, wire, message)
         elif isinstance(message, Pong):
-            self.echoes[wire.source] = message.sent
+            self.echoes[wire.source] = message.sent_at
         else:
             super().heard(now, wire, message)
 
     def _delta(self, now: float, wire: Wire, message: Delta) -> None:
         ip = wire.source
         self.freshness.heard(now, ip, message)
-        self.complete_epochs[ip] = message.complete
+        self.complete_epochs[ip] = message.complete_epoch
         self.send(wire.back, Pong(now))
-        if message.index > self.replica.index and now - self.asked_for > BEHIND:
+        if message.decided_index > self.replica.index and now - self.asked_for > BEHIND:
             self.asked_for = now
-            replica, index = self.replica, message.index
+            replica, index = self.replica, message.decided_index
 
             def ask() -> None:
                 if replica is self.replica and self.up and replica.index < index:
@@ -341,7 +341,7 @@
         voters = {voter.ip for voter in membership.voters}
         if self.replica.is_voter:
             return not set(self.presences) - voters
-        if not any(voter.ip == self.ip for voter in membership.previous):
+        if not any(voter.ip == self.ip for voter in membership.previous_voters):
             return True
         return all(self.complete_epochs.get(ip, 0) >= membership.epoch for ip in voters)
 
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -196,13 +196,13 @@
     that comes in the second round, and a page of what is known, change nothing either.
     """
     if isinstance(message, Learn):
-        return message.number == 0 and message.last and message.index <= node.replica.index
+        return message.page == 0 and message.is_last and message.index <= node.replica.index
     if not isinstance(message, Promise | Accepted):
         return False
     proposal = node.proposer._proposal
-    if proposal is None or (message.index, message.ballot) != (proposal.index, proposal.ballot):
+    if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.ballot):
         return True
-    return isinstance(message, Promise) and message.granted and proposal.phase is Phase.ACCEPT
+    return isinstance(message, Promise) and message.is_granted and proposal.phase is Phase.ACCEPT
 
 
 def node_key(node: Node, now: float) -> object:
--- a/lugspur/mesh/control/catch_up.py
+++ b/lugspur/mesh/control/catch_up.py
@@ -36,9 +36,9 @@
             self._pages.clear()
             self._heard.clear()
         effects = Effects()
-        for voter in membership.previous:
+        for voter in membership.previous_voters:
             told = self._pages.get(voter.ip)
-            if voter.ip == replica.voter.ip or (told and told[-1].last):
+            if voter.ip == replica.voter.ip or (told and told[-1].is_last):
                 continue
             if now - self._heard.get(voter.ip, float("-inf")) >= ASK_AGAIN:
                 self._heard[voter.ip] = now
@@ -52,18 +52,18 @@
         membership = replica.membership
         if membership is None or page.epoch != self._epoch or page.epoch != replica.epoch or replica.complete:
             return Effects()
-        if ip not in {voter.ip for voter in membership.previous}:
+        if ip not in {voter.ip for voter in membership.previous_voters}:
             return Effects()
         pages = self._pages.setdefault(ip, [])
-        if page.number != len(pages):
+        if page.page != len(pages):
             return (
                 Effects()
             )  # of an earlier answer, of which a part was dropped, or the second one to the same question
         pages.append(page)
         self._heard[ip] = now
-        whole = [told for told in self._pages.values() if told and told[-1].last]
+        whole = [told for told in self._pages.values() if told and told[-1].is_last]
         heard = len(whole) + replica.was_voter  # itself granted nothing then: it was not complete
-        if heard < majority(len(membership.previous)) or not any(told[0].complete for told in whole):
+        if heard < majority(len(membership.previous_voters)) or not any(told[0].was_complete for told in whole):
             return Effects()
         effects = replica.caught_up(now, [page for told in whole for page in told])
         self._pages.clear()
@@ -72,6 +72,6 @@
     def lost(self, ip: str) -> None:
         """The connection to a voter has ended: the rest of what it was telling never comes."""
         told = self._pages.get(ip)
-        if told and not told[-1].last:
+        if told and not told[-1].is_last:
             del self._pages[ip]
         self._heard.pop(ip, None)
--- a/lugspur/mesh/control/claim_table.py
+++ b/lugspur/mesh/control/claim_table.py
@@ -72,13 +72,13 @@
         for key, value in rows:
             if key.startswith(CLAIM_PREFIX):
                 kept = _kept.decode(value)
-                self._hold(key[1:], HeldClaim(kept.by, now, now + kept.left, kept.answer))
+                self._hold(key[1:], HeldClaim(kept.owner, now, now + kept.seconds_left, kept.response))
 
     # ---- claimants -----------------------------------------------------------------------
 
     def claim(self, now: float, peer: Peer, message: ReserveKey, epoch: int) -> Effects:
         """One wants to run a key's operation."""
-        key, by = message.key, message.by
+        key, by = message.key, message.owner
         held = self._claims.get(key)
         if held is not None and (held.by != by or held.answer is not None):
             busy = held.answer is None and now < held.until
@@ -86,29 +86,29 @@
         if held is None and len(self._claims) >= self._claims_most:
             return Effects(send=[(peer, ReserveKeyReply(key, by, epoch, False))])
         check(held is None or held.by == by, Invariant.ONE_HOLDER, by=by)
-        self._hold(key, HeldClaim(by, now, now + message.left, None))
-        row = (CLAIM_PREFIX + key, _pack(StoredReservation(by, message.left)))
+        self._hold(key, HeldClaim(by, now, now + message.seconds_left, None))
+        row = (CLAIM_PREFIX + key, _pack(StoredReservation(by, message.seconds_left)))
         return Effects(write=[row], after_sync=[(peer, ReserveKeyReply(key, by, epoch, True))])
 
     def done(self, now: float, message: CompleteKey, complete: bool) -> Effects:
         """A key's operation has run; others that hold it here never did and never will."""
-        answer = message.answer if len(message.answer.body) <= ANSWER_MOST else None
+        answer = message.response if len(message.response.body) <= ANSWER_MOST else None
         held = self._claims.get(message.key)
-        if held is not None and held.by == message.by:
+        if held is not None and held.by == message.owner:
             self._drop_answer(held)
             held.answer, held.until = answer, now
             self._answers += _size(answer)
         elif complete:
-            self._hold(message.key, HeldClaim(message.by, now, now, answer))
+            self._hold(message.key, HeldClaim(message.owner, now, now, answer))
         else:
             return Effects()
         self._trim()
-        return Effects(write=[(CLAIM_PREFIX + message.key, _pack(StoredReservation(message.by, 0.0, answer)))])
+        return Effects(write=[(CLAIM_PREFIX + message.key, _pack(StoredReservation(message.owner, 0.0, answer)))])
 
     def release(self, message: ReleaseKey) -> Effects:
         """A claim is given back: nothing ran under it."""
         held = self._claims.get(message.key)
-        if held is None or held.by != message.by or held.answer is not None:
+        if held is None or held.by != message.owner or held.answer is not None:
             return Effects()
         self._drop(message.key)
         return Effects(write=[(CLAIM_PREFIX + message.key, None)])
@@ -135,8 +135,8 @@
             if size > MAX_PAGE_BYTES:
                 pages.append(ReservationsPage(epoch, len(pages), [], False))
                 size = 0
-            pages[-1].claims.append((key, StoredReservation(held.by, max(0.0, held.until - now), held.answer)))
-        pages[-1].last = True
+            pages[-1].reservations.append((key, StoredReservation(held.by, max(0.0, held.until - now), held.answer)))
+        pages[-1].is_last = True
         return pages
 
     def merge(self, now: float, claims: Iterable[tuple[bytes, StoredReservation]]) -> Rows:
@@ -146,10 +146,10 @@
             mine = self._claims.get(key)
             if mine is not None and mine.answer is not None:
                 continue
-            if mine is not None and kept.answer is None and mine.by != kept.by:
+            if mine is not None and kept.response is None and mine.by != kept.owner:
                 # Guards against a second run: one of the two may have won with voters of the epoch before.
-                kept = StoredReservation(NOBODY, max(mine.until - now, kept.left, 0.0))
-            self._hold(key, HeldClaim(kept.by, now, now + kept.left, kept.answer))
+                kept = StoredReservation(NOBODY, max(mine.until - now, kept.seconds_left, 0.0))
+            self._hold(key, HeldClaim(kept.owner, now, now + kept.seconds_left, kept.response))
             rows.append((CLAIM_PREFIX + key, _pack(kept)))
         self._trim()
         return rows
--- a/lugspur/mesh/control/claims.py
+++ b/lugspur/mesh/control/claims.py
@@ -131,26 +131,26 @@
 
     def verdict(self, now: float, ip: str, message: ReserveKeyReply) -> None:
         """A voter's answer."""
-        found = self._open.get((message.key, message.by))
+        found = self._open.get((message.key, message.owner))
         if found is None:
-            if message.granted and (message.key, message.by) in self._failed:
+            if message.is_granted and (message.key, message.owner) in self._failed:
                 # It came too late, and nothing ran or will: nobody else shall wait for it.
-                self._send(ip, ReleaseKey(message.key, message.by))
+                self._send(ip, ReleaseKey(message.key, message.owner))
             return
         membership = found.membership
         assert membership is not None
-        if message.answer is not None:
-            self._settle(found, Known(message.answer))
+        if message.response is not None:
+            self._settle(found, Known(message.response))
             return
         if message.epoch != membership.epoch or ip not in {voter.ip for voter in membership.voters}:
             return
-        if message.granted:
+        if message.is_granted:
             found.granted.add(ip)
             if len(found.granted) >= majority(len(membership.voters)) and now < found.until:
                 self._settle(found, Won())
-        elif message.other:
+        elif message.is_taken:
             found.others.add(ip)
-            found.busy = found.busy or message.busy
+            found.busy = found.busy or message.is_running
             if len(membership.voters) - len(found.others) < majority(len(membership.voters)):
                 self._settle(found, Taken(found.busy))
 
--- a/lugspur/mesh/control/forwarding.py
+++ b/lugspur/mesh/control/forwarding.py
@@ -27,19 +27,19 @@
 def answer_of(number: int, outcome: Outcome) -> ChangeResult:
     """What whoever handed an order over is told."""
     if isinstance(outcome, Confirmed):
-        return ChangeResult(number, confirmed=True)
+        return ChangeResult(number, is_confirmed=True)
     if isinstance(outcome, Refused):
-        return ChangeResult(number, refused=outcome.fault.kind.value, detail=outcome.fault.detail)
-    return ChangeResult(number, proposed=isinstance(outcome, Unclear))
+        return ChangeResult(number, error_kind=outcome.fault.kind.value, detail=outcome.fault.detail)
+    return ChangeResult(number, may_be_decided=isinstance(outcome, Unclear))
 
 
 def outcome_of(answer: ChangeResult) -> Outcome:
     """How the order ended at the other control node."""
-    if answer.confirmed:
+    if answer.is_confirmed:
         return Confirmed()
-    if answer.refused:
-        return Refused(MeshError(Kind(answer.refused), answer.detail))
-    return Unclear() if answer.proposed else NoQuorum()
+    if answer.error_kind:
+        return Refused(MeshError(Kind(answer.error_kind), answer.detail))
+    return Unclear() if answer.may_be_decided else NoQuorum()
 
 
 class Forwarder:
--- a/lugspur/mesh/control/freshness.py
+++ b/lugspur/mesh/control/freshness.py
@@ -69,9 +69,11 @@
         delay = self._delays.get(ip)
         if delay is None:  # Guards against news of a connection that has ended: it may have waited for any time.
             return NEVER
-        at = delay.sent_at(now, delta.sent)
-        if delta.votes:
-            self._words[ip] = Word(at, delta.index + delta.pending, max(delta.echo, self._asked_at.get(ip, NEVER)))
+        at = delay.sent_at(now, delta.sent_at)
+        if delta.is_voter:
+            self._words[ip] = Word(
+                at, delta.decided_index + delta.has_pending_change, max(delta.echoed_at, self._asked_at.get(ip, NEVER))
+            )
         else:
             self._words.pop(ip, None)
         return at
--- a/lugspur/mesh/control/learning.py
+++ b/lugspur/mesh/control/learning.py
@@ -16,19 +16,19 @@
     def add(self, source: Hashable, page: Learn) -> list[Learn]:
         """One more page; returns all of them once the last is there, else none."""
         pages = self._pages.setdefault(source, [])
-        if page.number == 0:
+        if page.page == 0:
             pages.clear()
-        elif not pages or self._next(pages[-1]) != (page.since, page.index, page.number):
+        elif not pages or self._next(pages[-1]) != (page.after_index, page.index, page.page):
             return []  # of an answer whose beginning is missing
         pages.append(page)
-        if not page.last:
+        if not page.is_last:
             return []
         del self._pages[source]
         return pages
 
     @staticmethod
     def _next(page: Learn) -> tuple[int, int, int]:
-        return page.since, page.index, page.number + 1
+        return page.after_index, page.index, page.page + 1
 
     def lost(self, source: Hashable) -> None:
         """The connection has ended: the rest never comes."""
--- a/lugspur/mesh/control/messages.py
+++ b/lugspur/mesh/control/messages.py
@@ -30,18 +30,18 @@
     """The first frame from whoever dialled."""
 
     ip: str
-    life: str  # drawn at each start
-    keeps: bool
+    incarnation: str  # drawn at each start
+    is_control_node: bool
     # The sender's steady clock. A proxy answers a Hello without one by its own, and gets another one with it: so both
     # know that the other one runs now, before any request goes.
-    sent: float = 0.0
+    sent_at: float = 0.0
 
 
 class Subscribe(msgspec.Struct, tag=2, array_like=True):
     """Send me all that changed after `since` of your life `life`, and whatever changes from now on."""
 
-    life: str
-    since: int
+    incarnation: str
+    after_sequence: int
 
 
 class Unsubscribe(msgspec.Struct, tag=27, array_like=True):
@@ -51,23 +51,27 @@
 class Delta(msgspec.Struct, tag=3, array_like=True):
     """What changed, up to `upto` of the sender's life; an empty one says that nothing did."""
 
-    life: str
-    upto: int
-    sent: float  # by the sender's steady clock, so that the receiver can tell a message that was held up
-    age: float  # seconds since the sender had word of a majority: what was confirmed before then is known to it
-    index: int  # of the latest change of the configuration that the sender knows as decided
-    pending: bool  # whether the sender, as a voter, has accepted the next change, which may be decided already
-    votes: bool  # whether the sender has a vote by what it knows
-    complete: int  # the epoch for which the sender knows all claims that a voter must know; 0: none
-    whole: bool  # whether this is all that the sender has, and not what changed since the last time
+    incarnation: str
+    latest_sequence: int
+    sent_at: float  # by the sender's steady clock, so that the receiver can tell a message that was held up
+    majority_age: (
+        float  # seconds since the sender had word of a majority: what was confirmed before then is known to it
+    )
+    decided_index: int  # of the latest change of the configuration that the sender knows as decided
+    has_pending_change: (
+        bool  # whether the sender, as a voter, has accepted the next change, which may be decided already
+    )
+    is_voter: bool  # whether the sender has a vote by what it knows
+    complete_epoch: int  # the epoch for which the sender knows all claims that a voter must know; 0: none
+    is_snapshot: bool  # whether this is all that the sender has, and not what changed since the last time
     entries: list[Entry]
-    echo: float = 0.0  # the latest Pong's `sent`, by the receiver's own clock; 0: none has come on this connection
+    echoed_at: float = 0.0  # the latest Pong's `sent`, by the receiver's own clock; 0: none has come on this connection
 
 
 class Pong(msgspec.Struct, tag=4, array_like=True):
     """The subscriber is there: its lease runs on."""
 
-    sent: float = 0.0  # by the sender's steady clock, to be echoed
+    sent_at: float = 0.0  # by the sender's steady clock, to be echoed
 
 
 class Report(msgspec.Struct, tag=5, array_like=True):
@@ -104,16 +108,16 @@
     """Accept nothing under a lower ballot for change `index`, and tell what was accepted for it so far."""
 
     index: int
-    ballot: ProposalNumber
+    proposal: ProposalNumber
 
 
 class Promise(msgspec.Struct, tag=7, array_like=True):
     """The answer to Prepare."""
 
     index: int
-    ballot: ProposalNumber
-    granted: bool
-    decided: int  # the latest change that the voter knows as decided
+    proposal: ProposalNumber
+    is_granted: bool
+    decided_index: int  # the latest change that the voter knows as decided
     promised: ProposalNumber  # the highest ballot that it has promised
     accepted: ProposalNumber | None = None
     change: Change | None = None
@@ -123,7 +127,7 @@
     """Let this be change `index`."""
 
     index: int
-    ballot: ProposalNumber
+    proposal: ProposalNumber
     change: Change
 
 
@@ -131,9 +135,9 @@
     """The answer to Accept; granted: it is on the voter's disk."""
 
     index: int
-    ballot: ProposalNumber
-    granted: bool
-    decided: int
+    proposal: ProposalNumber
+    is_granted: bool
+    decided_index: int
     promised: ProposalNumber
 
 
@@ -147,22 +151,22 @@
     """The answer to ReadIndexQuery; `voter`: whether the sender has a vote by what it knows."""
 
     number: int
-    voter: bool
-    decided: int
-    pending: bool
+    is_voter: bool
+    decided_index: int
+    has_pending_change: bool
 
 
 class FetchDecided(msgspec.Struct, tag=16, array_like=True):
     """Tell me what was decided after change `since`."""
 
-    since: int
+    after_index: int
 
 
 class ForwardChange(msgspec.Struct, tag=25, array_like=True):
     """Have these entries decided; `left`: seconds for which somebody waits."""
 
     number: int
-    left: float
+    seconds_left: float
     entries: list[Entry]
 
 
@@ -170,10 +174,10 @@
     """How an order ended: confirmed, refused (the kind of its error), or neither."""
 
     number: int
-    confirmed: bool = False
-    refused: str = ""
+    is_confirmed: bool = False
+    error_kind: str = ""
     detail: str = ""
-    proposed: bool = False  # neither, and it may come into force
+    may_be_decided: bool = False  # neither, and it may come into force
 
 
 class Learn(msgspec.Struct, tag=24, array_like=True):
@@ -183,48 +187,48 @@
     that there is, and what is not in it is gone.
     """
 
-    since: int
+    after_index: int
     index: int
-    pruned: int  # withdrawals up to this change are forgotten
-    number: int  # of the page, from 0
+    pruned_index: int  # withdrawals up to this change are forgotten
+    page: int  # of the page, from 0
     items: list[Item]
-    last: bool
+    is_last: bool
 
 
 class ReserveKey(msgspec.Struct, tag=9, array_like=True):
     """I want to run the operation of this key; `left`: seconds until my request ends."""
 
     key: bytes
-    by: bytes
+    owner: bytes
     epoch: int
-    left: float
+    seconds_left: float
 
 
 class ReserveKeyReply(msgspec.Struct, tag=10, array_like=True):
     """The answer to ReserveKey: granted to `by`, or who else has it, how that stands, and its answer."""
 
     key: bytes
-    by: bytes
+    owner: bytes
     epoch: int
-    granted: bool
-    other: bool = False  # another has it...
-    busy: bool = False  # ...and may still be at work
-    answer: BackendResponse | None = None
+    is_granted: bool
+    is_taken: bool = False  # another has it...
+    is_running: bool = False  # ...and may still be at work
+    response: BackendResponse | None = None
 
 
 class CompleteKey(msgspec.Struct, tag=11, array_like=True):
     """The operation of this key has run, and this is its answer."""
 
     key: bytes
-    by: bytes
-    answer: BackendResponse
+    owner: bytes
+    response: BackendResponse
 
 
 class ReleaseKey(msgspec.Struct, tag=12, array_like=True):
     """The operation of this key did not run under this claim and never will."""
 
     key: bytes
-    by: bytes
+    owner: bytes
 
 
 class Voter(msgspec.Struct, array_like=True, frozen=True):
@@ -240,7 +244,7 @@
 
     epoch: int
     voters: list[Voter]
-    previous: list[Voter] = []
+    previous_voters: list[Voter] = []
 
 
 class FetchReservations(msgspec.Struct, tag=17, array_like=True):
@@ -256,64 +260,64 @@
     its whole window from then.
     """
 
-    by: bytes
-    left: float
-    answer: BackendResponse | None = None
+    owner: bytes
+    seconds_left: float
+    response: BackendResponse | None = None
 
 
 class ReservationsPage(msgspec.Struct, tag=18, array_like=True):
     """A page of the answer to FetchReservations."""
 
     epoch: int
-    number: int  # of the page, from 0
-    claims: list[tuple[bytes, StoredReservation]]
-    last: bool
-    complete: bool = True  # false: the sender was not complete in the epoch before, and granted nothing in it
+    page: int  # of the page, from 0
+    reservations: list[tuple[bytes, StoredReservation]]
+    is_last: bool
+    was_complete: bool = True  # false: the sender was not complete in the epoch before, and granted nothing in it
 
 
 class ForwardRequest(msgspec.Struct, tag=19, array_like=True):
     """Have your backend `backend` run this."""
 
-    n: int
+    number: int
     backend: str
     method: bytes
     target: bytes
-    lines: list[bytes]  # header lines, each with its end, `Host` among them; no framing
+    header_lines: list[bytes]  # header lines, each with its end, `Host` among them; no framing
     body: bytes
-    left: float  # seconds
-    aim: float  # seconds in which its answer is worth most, below 0 when they are over
-    attempt: bytes
+    seconds_left: float  # seconds
+    latency_target_left: float  # seconds in which its answer is worth most, below 0 when they are over
+    attempt_id: bytes
     priority: int
-    safe: bool
+    is_safe: bool
     route: str
     key: bytes = b""
-    by: bytes = b""
-    back: bool = False  # its caller has been turned away before, or has little time for other causes
-    size: int = 0  # bytes of a body that comes in parts, as they are granted
-    sent: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delays
+    owner: bytes = b""
+    was_rejected: bool = False  # its caller has been turned away before, or has little time for other causes
+    body_bytes: int = 0  # bytes of a body that comes in parts, as they are granted
+    sent_at: float = 0.0  # the sender's steady clock when `left` and `aim` were true, see lugspur.mesh.dataplane.delays
 
 
 class ForwardResponse(msgspec.Struct, tag=20, array_like=True):
     """How it ended."""
 
-    n: int
-    how: int  # a value of lugspur.mesh.dataplane.gate.End
-    answer: BackendResponse | None = None
-    sent: bool = True  # whether the backend was offered it
-    busy: int = 0  # requests in hand there
+    number: int
+    outcome: int  # a value of lugspur.mesh.dataplane.gate.End
+    response: BackendResponse | None = None
+    was_sent: bool = True  # whether the backend was offered it
+    in_flight: int = 0  # requests in hand there
     cause: int = 0  # a value of lugspur.mesh.dataplane.causes.Cause
 
 
 class CancelRequest(msgspec.Struct, tag=21, array_like=True):
     """Nobody waits for it any more."""
 
-    n: int
+    number: int
 
 
 class WithdrawRequest(msgspec.Struct, tag=28, array_like=True):
-    """Nobody waits for it any more: do not begin it. What the backend works on goes on; a ForwardResponse comes either way."""
+    """Nobody waits for it any more: do not begin it. A backend that works on it goes on. A ForwardResponse follows."""
 
-    n: int
+    number: int
 
 
 class FetchOutcomes(msgspec.Struct, tag=29, array_like=True):
@@ -328,14 +332,14 @@
 class GrantBody(msgspec.Struct, tag=22, array_like=True):
     """Send the body's bytes up to there."""
 
-    n: int
-    upto: int
+    number: int
+    up_to_offset: int
 
 
 class BodyChunk(msgspec.Struct, tag=23, array_like=True):
     """The next bytes of a body."""
 
-    n: int
+    number: int
     data: bytes
 
 
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -156,11 +156,11 @@
     def heard(self, now: float, ip: str, message: Promise | Accepted) -> Effects:
         """A voter's answer."""
         proposal = self._proposal
-        if proposal is None or (message.index, message.ballot) != (proposal.index, proposal.ballot):
+        if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.ballot):
             return Effects()
         if ip not in proposal.voters or proposal.index != self._replica.index + 1:
             return Effects()
-        if not message.granted:
+        if not message.is_granted:
             return self._refused(now, ip, proposal, message)
         if isinstance(message, Promise):
             return self._promised(now, ip, proposal, message)
@@ -184,17 +184,17 @@
 
     def _refused(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
         self._number = max(self._number, message.promised.number)
-        if message.decided >= proposal.index:  # the voter knows more
+        if message.decided_index >= proposal.index:  # the voter knows more
             return Effects(send=[(ip, FetchDecided(self._replica.index))])
         if message.promised > proposal.ballot:  # a competitor
             self._proposal = None
             self._back_off(now)
             return Effects()
-        if message.decided < proposal.index - 1 and proposal.phase is Phase.PREPARE:  # the voter knows less
+        if message.decided_index < proposal.index - 1 and proposal.phase is Phase.PREPARE:  # the voter knows less
             told = proposal.brought_up.get(ip, 0)
             if told < BRING_UP_MOST:
                 proposal.brought_up[ip] = told + 1
-                effects = Effects(send=[(ip, page) for page in self._replica.register.pages(message.decided)])
+                effects = Effects(send=[(ip, page) for page in self._replica.register.pages(message.decided_index)])
                 effects.send.append((ip, Prepare(proposal.index, proposal.ballot)))
                 return effects
         return Effects()
--- a/lugspur/mesh/control/reader.py
+++ b/lugspur/mesh/control/reader.py
@@ -76,11 +76,11 @@
         current = self._round
         if current is None or message.number != current.number or ip not in current.voters:
             return Effects(), False
-        if message.decided > current.index:
+        if message.decided_index > current.index:
             return Effects(send=[(ip, FetchDecided(self._replica.index))]), False
-        if not message.voter:
+        if not message.is_voter:
             return Effects(), False
-        if message.decided == current.index and message.pending:
+        if message.decided_index == current.index and message.has_pending_change:
             return Effects(), True
         current.answered.add(ip)
         if len(current.answered) < majority(len(current.voters)):
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -115,21 +115,21 @@
 
     def prepare(self, peer: Peer, message: Prepare, voter: bool) -> Effects:
         """A proposer wants to hear what was accepted, and that no lower ballot counts any more."""
-        granted = voter and message.index == self.index + 1 and message.ballot >= self.promised
+        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
         if not granted:
-            refusal = Promise(message.index, message.ballot, False, self.index, self.promised)
+            refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
             return Effects(send=[(peer, refusal)])
-        self.promised = message.ballot
-        promise = Promise(message.index, message.ballot, True, self.index, self.promised, self.accepted, self.change)
+        self.promised = message.proposal
+        promise = Promise(message.index, message.proposal, True, self.index, self.promised, self.accepted, self.change)
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def accept(self, peer: Peer, message: Accept, voter: bool) -> Effects:
         """A proposer wants this to be the next change."""
-        granted = voter and message.index == self.index + 1 and message.ballot >= self.promised
-        answer = Accepted(message.index, message.ballot, granted, self.index, self.promised)
+        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
+        answer = Accepted(message.index, message.proposal, granted, self.index, self.promised)
         if not granted:
             return Effects(send=[(peer, answer)])
-        self.promised = self.accepted = message.ballot
+        self.promised = self.accepted = message.proposal
         self.change = message.change
         return Effects(write=[self._vote_row()], after_sync=[(peer, answer)])
 
@@ -157,17 +157,17 @@
         """All pages of what was decided after a change that is known here."""
         applied = Applied()
         first = pages[0]
-        if first.index <= self.index or first.since > self.index:
+        if first.index <= self.index or first.after_index > self.index:
             return applied
         found = {(i.entry.kind, i.entry.name): i for page in pages for i in page.items}
-        if first.since == 0:
+        if first.after_index == 0:
             for name in [name for name in self.items if name not in found]:
                 self._forget(name, applied)
         for name, item in found.items():
             standing = self.items.get(name)
             if standing is None or standing.index < item.index:
                 self._set(item, applied)
-        self.pruned = first.pruned
+        self.pruned = first.pruned_index
         self._advance(first.index, applied)
         return applied
 
@@ -222,5 +222,5 @@
                 pages.append(Learn(since, self.index, self.pruned, len(pages), [], False))
                 size = 0
             pages[-1].items.append(item)
-        pages[-1].last = True
+        pages[-1].is_last = True
         return pages
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -136,7 +136,7 @@
     @property
     def was_voter(self) -> bool:
         """Whether this disk had a vote in the epoch before."""
-        previous = [] if self.membership is None else self.membership.previous
+        previous = [] if self.membership is None else self.membership.previous_voters
         return any((v.ip, v.uid) == (self.voter.ip, self.voter.uid) for v in previous)
 
     @property
@@ -215,9 +215,9 @@
         check(differ <= 1, Invariant.ONE_VOTER_AT_A_TIME, epoch=membership.epoch, differ=differ)
 
     def _catch_up(self, peer: Peer, message: FetchDecided) -> Effects:
-        if message.since >= self.index:
+        if message.after_index >= self.index:
             return Effects()
-        return Effects(send=[(peer, page) for page in self.register.pages(message.since)])
+        return Effects(send=[(peer, page) for page in self.register.pages(message.after_index)])
 
     # ---- claims --------------------------------------------------------------------------
 
@@ -229,7 +229,7 @@
 
     def _claim(self, now: float, peer: Peer, message: ReserveKey) -> Effects:
         if not self.grants or message.epoch != self.epoch:
-            return Effects(send=[(peer, ReserveKeyReply(message.key, message.by, self.epoch, False))])
+            return Effects(send=[(peer, ReserveKeyReply(message.key, message.owner, self.epoch, False))])
         return self.claims.claim(now, peer, message, self.epoch)
 
     def _fetch_claims(self, now: float, peer: Peer, message: FetchReservations) -> Effects:
@@ -250,7 +250,7 @@
             return Effects()
         effects = Effects()
         for page in pages:
-            effects.write += self.claims.merge(now, page.claims)
+            effects.write += self.claims.merge(now, page.reservations)
         effects.add(self._completed())
         return effects
 
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -176,7 +176,11 @@
             if dialler is not None:
                 dialler.nudge()
         elif isinstance(message, Subscribe):
-            since = message.since if message.life == self.life and message.since <= self.store.upto else 0
+            since = (
+                message.after_sequence
+                if message.incarnation == self.life and message.after_sequence <= self.store.upto
+                else 0
+            )
             self.subscribers.add(link, since)
         elif isinstance(message, Unsubscribe):
             self.subscribers.remove(link)
@@ -262,10 +266,10 @@
 
     def _delta(self, now: float, ip: str, message: Delta) -> None:
         super()._delta(now, ip, message)
-        self.membership_changes.told_complete(ip, message.complete)
-        if message.index > self.replica.index and now - self._asked_for > BEHIND:
+        self.membership_changes.told_complete(ip, message.complete_epoch)
+        if message.decided_index > self.replica.index and now - self._asked_for > BEHIND:
             self._asked_for = now
-            self.loop.call_later(BEHIND, self._ask_for_changes, ip, message.index)
+            self.loop.call_later(BEHIND, self._ask_for_changes, ip, message.decided_index)
 
     def _ask_for_changes(self, ip: str, index: int) -> None:
         """Learn what a peer knows, unless it has been told meanwhile."""
@@ -290,7 +294,7 @@
         found = super().wanted()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.complete:
-            found |= {voter.ip for voter in membership.previous} - {self.ip}
+            found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
     # ---- telling others --------------------------------------------------------------------
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -84,7 +84,7 @@
     ) -> None:
         self.forward, self.local, self.respond = forward, local, respond
         self.since = self.sent_at = now
-        self.until = now + forward.left
+        self.until = now + forward.seconds_left
         self.exchange: Exchange | None = None
         self.sent = False  # whether the backend was offered it
         self.over = False
@@ -145,14 +145,14 @@
         local = self.local
         # Guards against a request that was held up on its way, or whose body was, until its caller had given it up.
         cause = Cause.NONE
-        if forward.left <= 0.0:
+        if forward.seconds_left <= 0.0:
             cause = Cause.EXPIRED
         elif local is None or not self.takes(now, forward.backend):
             cause = Cause.NOT_TAKEN
         elif not self._room(local, forward):
             cause = Cause.NO_ROOM
         if local is None or cause:
-            respond(self.turn_away(forward.n, cause))
+            respond(self.turn_away(forward.number, cause))
             return None
         ticket = Ticket(forward, local, now, respond)
         if self._at_work < local.berths + EXTRA:
@@ -183,7 +183,7 @@
 
         Guards the work of parents: their calls have short aims, and a parent holds its berth until they are answered.
         """
-        return forward.priority, now + forward.aim
+        return forward.priority, now + forward.latency_target_left
 
     def _room(self, local: LocalBackend, forward: ForwardRequest) -> bool:
         """Whether it would get its turn while its answer is still worth something."""
@@ -194,10 +194,10 @@
         before = [row[2].forward.route for row in self._waiting if row[0] <= rank and not row[2].over]
         pace = self._pace_of(forward.route)
         wait = (sum(map(self._pace_of, before)) + self._pace) / max(1, local.berths)
-        fits = wait <= (WAIT_BACK if forward.back else WAIT_PART) * (forward.aim - pace)
+        fits = wait <= (WAIT_BACK if forward.was_rejected else WAIT_PART) * (forward.latency_target_left - pace)
         # Guards the worth of all: once everybody waits until late, nobody is served in time, and no more is served.
         if not fits and (pace <= SHORT * max(self._paces.values(), default=0.0)):
-            fits = wait <= WAIT_LATE * (forward.left - pace)
+            fits = wait <= WAIT_LATE * (forward.seconds_left - pace)
         if not fits or len(before) >= QUEUE_BERTHS * local.berths:
             self.turned += 1
             return False
@@ -262,7 +262,7 @@
             self.hopeless += 1
             self._end(ticket, End.NOT_RUN, Cause.HOPELESS)
             return
-        check(not ticket.sent and not ticket.over, Invariant.OFFERED_ONCE, attempt=forward.attempt)
+        check(not ticket.sent and not ticket.over, Invariant.OFFERED_ONCE, attempt=forward.attempt_id)
         self._at_work += 1
         ticket.sent, ticket.sent_at = True, now
         exchange = Exchange(
@@ -271,10 +271,10 @@
             ticket.until + GRACE,
             lambda left: self._bytes(forward, left - GRACE),
             lambda exchange, outcome, response: self._ended(ticket, outcome, response),
-            repeatable=forward.safe,
+            repeatable=forward.is_safe,
             bodyless=forward.method == b"HEAD",
         )
-        exchange.echo = forward.attempt
+        exchange.echo = forward.attempt_id
         ticket.exchange = exchange
         self._upstream.start(exchange)
 
@@ -286,7 +286,7 @@
         return b"%b %b HTTP/1.1\r\n%bLugspur-Deliver-By-Ms: %d\r\nLugspur-Deliver-To: %b\r\n%b\r\n%b" % (
             forward.method,
             forward.target,
-            b"".join(forward.lines),
+            b"".join(forward.header_lines),
             max(1, int(left * 1000.0)),
             forward.backend.encode(),
             told,
@@ -330,7 +330,7 @@
             if name == ATTEMPT and name in names:  # Guards against two readings of whose answer it is.
                 return False
             names[name] = value.strip(b" \t")
-        if names.get(ATTEMPT) != forward.attempt or b"content-encoding" in names:
+        if names.get(ATTEMPT) != forward.attempt_id or b"content-encoding" in names:
             return False
         return response.status // 100 != 2 or b"lugspur-postmark" in names
 
@@ -339,4 +339,4 @@
             ticket.over = True
             if cause:
                 self.causes[cause] += 1
-            ticket.respond(ForwardResponse(ticket.forward.n, how, answer, ticket.sent, self.busy, cause))
+            ticket.respond(ForwardResponse(ticket.forward.number, how, answer, ticket.sent, self.busy, cause))
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -205,10 +205,10 @@
         now = loop.time()
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
         took, route = max(TICK, now - since), self.route
-        how = reply.how
-        if how == End.ANSWERED and reply.answer is not None:
+        how = reply.outcome
+        if how == End.ANSWERED and reply.response is not None:
             self.ran = True
-            if reply.answer.status < 500:
+            if reply.response.status < 500:
                 route.pace += (took - route.pace) * (PACE_WEIGHT if route.pace else 1.0)
                 relative = took / route.pace
                 breaker = endpoint.breaker(route.name)
@@ -219,16 +219,16 @@
                 self._failed(now, endpoint)
             if self.over:
                 return
-            if reply.answer.status >= 500 and route.safe:
-                self.last = reply.answer
+            if reply.response.status >= 500 and route.safe:
+                self.last = reply.response
                 if not self._again(now):
                     self._finish_failed()
                 return
-            self._answer(reply.answer)
+            self._answer(reply.response)
             return
         if how == End.NOT_RUN:
             self.rounds += 1
-            if not reply.sent:
+            if not reply.was_sent:
                 self.sends -= 1  # no backend was offered it
             if reply.cause != Cause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).failed(now)
@@ -244,7 +244,7 @@
 
     def _proved_later(self, reply: ForwardResponse) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if reply.how == End.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
+        if reply.outcome == End.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
@@ -252,7 +252,7 @@
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
         cause = Cause(reply.cause).name.lower() if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.how).name.lower(), cause))
+        self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.outcome).name.lower(), cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
--- a/lugspur/mesh/dataplane/uploads.py
+++ b/lugspur/mesh/dataplane/uploads.py
@@ -65,16 +65,18 @@
 
     def offer(self, now: float, key: Key, forward: ForwardRequest, rank: Rank, pace: float) -> bool:
         """Whether a body is taken; `pace`: seconds that the backend takes for it."""
-        size = forward.size
-        total = sum(a.forward.size for a in self._uploads.values())
+        size = forward.body_bytes
+        total = sum(a.forward.body_bytes for a in self._uploads.values())
         if self._rate <= 0.0 or size <= 0 or total + size > self._memory or key in self._uploads:
             return False
-        before = sum(a.forward.size - len(a.body) for a in self._uploads.values() if a.rank <= rank)
+        before = sum(a.forward.body_bytes - len(a.body) for a in self._uploads.values() if a.rank <= rank)
         wait, takes = before / self._rate, size / self._rate + pace
         # Guards the worth of all: a queue in which everybody is late serves no more than a short one.
-        fits = before == 0 or wait <= (WAIT_BACK if forward.back else WAIT_PART) * (forward.aim - takes)
+        fits = before == 0 or wait <= (WAIT_BACK if forward.was_rejected else WAIT_PART) * (
+            forward.latency_target_left - takes
+        )
         if fits:
-            self._uploads[key] = Upload(forward, rank, now, now + forward.left, bytearray(), 0, now)
+            self._uploads[key] = Upload(forward, rank, now, now + forward.seconds_left, bytearray(), 0, now)
         return fits
 
     def part(self, now: float, key: Key, data: bytes) -> ForwardRequest | None:
@@ -87,12 +89,12 @@
         found.body += data
         found.at = now
         forward = found.forward
-        if len(found.body) < forward.size:
+        if len(found.body) < forward.body_bytes:
             return None
         del self._uploads[key]
         forward.body = bytes(found.body)
-        forward.left = found.until - now
-        forward.aim -= now - found.since
+        forward.seconds_left = found.until - now
+        forward.latency_target_left -= now - found.since
         return forward
 
     def drop(self, key: Key) -> bool:
@@ -118,10 +120,10 @@
         owed = sum(a.owed for _, a in sending)
         found: dict[Key, int] = {}
         for key, a in sorted(sending, key=lambda row: row[1].rank):
-            while a.granted < a.forward.size and owed + PART <= self._ahead:
+            while a.granted < a.forward.body_bytes and owed + PART <= self._ahead:
                 if a.owed == 0:
                     a.at = now
-                step = min(PART, a.forward.size - a.granted)
+                step = min(PART, a.forward.body_bytes - a.granted)
                 a.granted += step
                 owed += step
                 found[key] = a.granted
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/folder.py
@@ -73,7 +73,7 @@
         elif key.startswith(CLAIM_PREFIX):
             kept = _kept.decode(value)
             found.claims += 1
-            found.answers += kept.answer is not None
+            found.answers += kept.response is not None
         elif key == UID_ROW:
             found.uid = value.decode()
         elif key == INDEX_ROW:
--- a/lugspur/mesh/incoming.py
+++ b/lugspur/mesh/incoming.py
@@ -60,56 +60,56 @@
         elif isinstance(message, BodyChunk):
             self._part(link, message)
         elif isinstance(message, CancelRequest):
-            ticket = self._tickets.pop((link, message.n), None)
+            ticket = self._tickets.pop((link, message.number), None)
             if ticket is not None:
                 self._gate.cancel(ticket)
-            elif self.uploads.drop((link, message.n)):
+            elif self.uploads.drop((link, message.number)):
                 self._grant()
         elif isinstance(message, WithdrawRequest):
-            self._withdrawn(link, message.n)
+            self._withdrawn(link, message.number)
         elif isinstance(message, FetchOutcomes):
             self._asked_outcomes(link, message)
 
     def _greeted(self, link: Link, message: Hello) -> None:
         link.peer = message.ip
-        caller = self._callers.setdefault(link, _Caller(message.life))
-        if message.life != caller.life:
-            events.warn("life", peer=link.peer, life=message.life)
+        caller = self._callers.setdefault(link, _Caller(message.incarnation))
+        if message.incarnation != caller.life:
+            events.warn("life", peer=link.peer, life=message.incarnation)
             link.close()
-        elif message.sent:
-            caller.delay.excess(self._loop.time(), message.sent)
+        elif message.sent_at:
+            caller.delay.excess(self._loop.time(), message.sent_at)
         else:
             link.send(self._hello)
 
     def _forwarded(self, link: Link, forward: ForwardRequest) -> None:
         """A request, or the word that one with a large body waits to be sent."""
         caller = self._callers.get(link)
-        if caller is None or forward.n <= caller.latest:
-            events.warn("forward", peer=link.peer, n=forward.n)
+        if caller is None or forward.number <= caller.latest:
+            events.warn("forward", peer=link.peer, n=forward.number)
             link.close()
             return
-        caller.latest = forward.n
+        caller.latest = forward.number
         if forward.key:
-            self._outcomes.came(caller.life, forward.n)
+            self._outcomes.came(caller.life, forward.number)
         # Guards against running what was held up on its way (a cut, or this process frozen) until nobody waits for it.
-        excess = caller.delay.excess(self._loop.time(), forward.sent)
-        forward.left -= excess
-        forward.aim -= excess
-        if forward.left <= 0.0:
+        excess = caller.delay.excess(self._loop.time(), forward.sent_at)
+        forward.seconds_left -= excess
+        forward.latency_target_left -= excess
+        if forward.seconds_left <= 0.0:
             self.expired += 1
-            self._turn_away(link, forward.n, Cause.EXPIRED)
-        elif forward.size:
+            self._turn_away(link, forward.number, Cause.EXPIRED)
+        elif forward.body_bytes:
             self._offered(link, forward)
         else:
             self._run(link, forward)
 
     def _run(self, link: Link, forward: ForwardRequest) -> None:
         """A whole request for this machine's backend."""
-        n, life = forward.n, self._callers[link].life
+        n, life = forward.number, self._callers[link].life
 
         def respond(said: ForwardResponse) -> None:
             self._tickets.pop((link, n), None)
-            if forward.key and said.how == End.NOT_RUN:
+            if forward.key and said.outcome == End.NOT_RUN:
                 self._proved_unrun(link, life, said)
             link.send(said)
 
@@ -119,7 +119,7 @@
 
     def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
         """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
-        self._outcomes.did_not_run(life, said.n)
+        self._outcomes.did_not_run(life, said.number)
         if not link.open:
             for other in self._connections_of(life):
                 other.send(said)
@@ -153,7 +153,7 @@
 
     def _part(self, link: Link, message: BodyChunk) -> None:
         try:
-            whole = self.uploads.part(self._loop.time(), (link, message.n), message.data)
+            whole = self.uploads.part(self._loop.time(), (link, message.number), message.data)
         except ValueError as fault:
             events.warn("part", peer=link.peer, fault=str(fault))
             link.close()
@@ -164,7 +164,7 @@
 
     def _offered(self, link: Link, forward: ForwardRequest) -> None:
         """A request whose body would come in parts."""
-        now, n = self._loop.time(), forward.n
+        now, n = self._loop.time(), forward.number
         rank, pace = self._gate.rank(now, forward), self._gate.pace(forward.route)
         if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, rank, pace):
             self._grant()
@@ -191,7 +191,7 @@
                 self._outcomes.did_not_run(caller.life, key[1])
         for key in [key for key in self._tickets if key[0] is link]:
             ticket = self._tickets.pop(key)
-            if ticket.forward.safe:  # nobody hears its answer; others' may be kept for a repeat
+            if ticket.forward.is_safe:  # nobody hears its answer; others' may be kept for a repeat
                 self._gate.cancel(ticket)
 
     def look(self, now: float) -> None:
--- a/lugspur/mesh/membership_changes.py
+++ b/lugspur/mesh/membership_changes.py
@@ -97,6 +97,6 @@
         voters = {voter.ip for voter in membership.voters}
         if self._replica.is_voter:
             return not set(self._store.standing(CONTROL)) - voters
-        if not any(voter.ip == self._ip for voter in membership.previous):
+        if not any(voter.ip == self._ip for voter in membership.previous_voters):
             return True
         return all(self._complete_epochs.get(ip, 0) >= membership.epoch for ip in voters)
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -217,9 +217,9 @@
     def _delta(self, now: float, ip: str, message: Delta) -> None:
         sent_at = self.freshness.heard(now, ip, message)
         taken = self.take_news(message)
-        self.synced[ip] = (message.life, message.upto)
+        self.synced[ip] = (message.incarnation, message.latest_sequence)
         if ip == self.source:
-            self.source_at = max(self.source_at, sent_at - message.age)
+            self.source_at = max(self.source_at, sent_at - message.majority_age)
             self.known = self.known or now - self.source_at < self.stale
         if taken:
             self.merged(taken)
@@ -229,9 +229,9 @@
 
     def take_news(self, message: Delta) -> list[Entry]:
         """Entries that a peer has told; returns those that are new here."""
-        if message.whole and message.index >= self.index:
+        if message.is_snapshot and message.decided_index >= self.index:
             self._forget_missing(message.entries)
-        self.index = max(self.index, message.index)
+        self.index = max(self.index, message.decided_index)
         return self.store.merge(message.entries)
 
     def _forget_missing(self, entries: list[Entry]) -> None:
--- a/lugspur/mesh/order_router.py
+++ b/lugspur/mesh/order_router.py
@@ -71,7 +71,7 @@
         except MeshError:
             over(NoQuorum())
             return
-        order = Order(message.entries, now + min(DECIDE_WITHIN, message.left), over)
+        order = Order(message.entries, now + min(DECIDE_WITHIN, message.seconds_left), over)
         self._do(self._proposer.submit(now, order))
 
     def lost(self, now: float, ip: str) -> None:
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/outgoing.py
@@ -87,13 +87,13 @@
     ) -> CarriedExchange:
         """Send a request; the reply comes once. `rate`: bytes a second of that machine's link, 0: unknown."""
         self._latest += 1
-        number = forward.n = self._latest
-        forward.sent = now
+        number = forward.number = self._latest
+        forward.sent_at = now
         exchange = _Exchange(link, respond, bool(forward.key))
         self._open.setdefault(ip, {})[number] = exchange
         if in_parts(len(forward.body), rate):
             exchange.body = _Body(forward.body)
-            forward.size, forward.body = len(forward.body), b""
+            forward.body_bytes, forward.body = len(forward.body), b""
         link.send(forward)
         return CarriedExchange(self, ip, number)
 
@@ -120,32 +120,32 @@
 
     def reply(self, link: Link, message: ForwardResponse) -> None:
         """How one ended."""
-        exchange = self._of(link, message.n)
+        exchange = self._of(link, message.number)
         if exchange is not None:
-            del self._open[link.peer][message.n]
+            del self._open[link.peer][message.number]
             exchange.respond(message)
         else:
             self._proved(link, message)
 
     def _proved(self, link: Link, message: ForwardResponse) -> None:
         """The outcome of one whose connection was lost, from the process that it was sent to."""
-        unproven = self._unproven.get(message.n)
+        unproven = self._unproven.get(message.number)
         if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.life):
             return
-        del self._unproven[message.n]
+        del self._unproven[message.number]
         unproven.respond(message)
 
     def grant(self, link: Link, message: GrantBody) -> None:
         """Send the next bytes of a body."""
-        exchange = self._of(link, message.n)
+        exchange = self._of(link, message.number)
         body = None if exchange is None else exchange.body
-        if exchange is None or body is None or body.sent >= message.upto:
+        if exchange is None or body is None or body.sent >= message.up_to_offset:
             return
-        begin, body.sent = body.sent, min(message.upto, len(body.data))
+        begin, body.sent = body.sent, min(message.up_to_offset, len(body.data))
         if body.sent == len(body.data):
             exchange.body = None
         for at in range(begin, body.sent, PART):
-            exchange.link.send(BodyChunk(message.n, body.data[at : min(at + PART, body.sent)]))
+            exchange.link.send(BodyChunk(message.number, body.data[at : min(at + PART, body.sent)]))
 
     def reached(self, link: Link) -> None:
         """A process has said which life of it answers on a new connection: ask what became of what was lost."""
@@ -169,4 +169,4 @@
             if exchange.keyed and not unsent:
                 self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
             how = End.NOT_RUN if unsent else End.MAYBE
-            exchange.respond(ForwardResponse(number, how, sent=not unsent, cause=Cause.LINK_LOST))
+            exchange.respond(ForwardResponse(number, how, was_sent=not unsent, cause=Cause.LINK_LOST))
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -234,7 +234,7 @@
         elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
-            link.answered, link.life = True, message.life
+            link.answered, link.life = True, message.incarnation
             link.send(Hello(self.ip, self.life, self.keeps, self.loop.time()))
             self.outgoing.reached(link)
         else:
@@ -250,13 +250,13 @@
         if isinstance(message, Hello):
             dialler = self.peers.get(message.ip)
             if dialler is not None:
-                dialler.met(message.life)
+                dialler.met(message.incarnation)
 
     def _done(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for repeats."""
         if self.membership is not None:
             for voter in self.membership.voters:
-                self.to(voter.ip, CompleteKey(forward.key, forward.by, answer))
+                self.to(voter.ip, CompleteKey(forward.key, forward.owner, answer))
 
     def standing(self) -> Standing:
         """What requests are judged by at this moment."""
--- a/lugspur/mesh/subscribers.py
+++ b/lugspur/mesh/subscribers.py
@@ -49,7 +49,7 @@
         """A subscriber has answered: it is told so with its next news."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
-            subscriber.echo = pong.sent
+            subscriber.echo = pong.sent_at
 
     def tell_soon(self) -> None:
         """Tell all of what has changed once this turn of the loop is over."""
@@ -77,5 +77,5 @@
         subscriber.at = self._store.upto
         subscriber.pinged = now
         news = self._news(now, since)
-        news.echo = subscriber.echo
+        news.echoed_at = subscriber.echo
         subscriber.link.send(news)
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -69,24 +69,24 @@
 #: Each message with a value in every field, and its bytes behind the four bytes of length.
 MESSAGES: list[tuple[Message, bytes]] = [
     (
-        Hello(ip="127.0.0.1", life="l1", keeps=True, sent=1.5),
+        Hello(ip="127.0.0.1", incarnation="l1", is_control_node=True, sent_at=1.5),
         bytes.fromhex("95 01 a9 31 32 37 2e 30 2e 30 2e 31 a2 6c 31 c3 cb 3f f8 00 00 00 00 00 00"),
     ),
-    (Subscribe(life="l2", since=21), bytes.fromhex("93 02 a2 6c 32 15")),
+    (Subscribe(incarnation="l2", after_sequence=21), bytes.fromhex("93 02 a2 6c 32 15")),
     (Unsubscribe(), bytes.fromhex("91 1b")),
     (
         Delta(
-            life="l3",
-            upto=31,
-            sent=3.25,
-            age=0.5,
-            index=33,
-            pending=True,
-            votes=False,
-            complete=34,
-            whole=True,
+            incarnation="l3",
+            latest_sequence=31,
+            sent_at=3.25,
+            majority_age=0.5,
+            decided_index=33,
+            has_pending_change=True,
+            is_voter=False,
+            complete_epoch=34,
+            is_snapshot=True,
             entries=[ENTRY, WITHDRAWAL],
-            echo=3.5,
+            echoed_at=3.5,
         ),
         bytes.fromhex(
             "9c 03 a2 6c 33 1f cb 40 0a 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 21 c3 c2 22 c3 92 94 a6"
@@ -96,32 +96,32 @@
     ),
     (
         Delta(
-            life="l3",
-            upto=31,
-            sent=3.25,
-            age=0.5,
-            index=33,
-            pending=True,
-            votes=False,
-            complete=34,
-            whole=False,
+            incarnation="l3",
+            latest_sequence=31,
+            sent_at=3.25,
+            majority_age=0.5,
+            decided_index=33,
+            has_pending_change=True,
+            is_voter=False,
+            complete_epoch=34,
+            is_snapshot=False,
             entries=[],
-            echo=3.5,
+            echoed_at=3.5,
         ),
         bytes.fromhex(
             "9c 03 a2 6c 33 1f cb 40 0a 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 21 c3 c2 22 c2 90 cb 40"
             "0c 00 00 00 00 00 00"
         ),
     ),
-    (Pong(sent=4.5), bytes.fromhex("92 04 cb 40 12 00 00 00 00 00 00")),
+    (Pong(sent_at=4.5), bytes.fromhex("92 04 cb 40 12 00 00 00 00 00 00")),
     (Report(entries=[ENTRY]), bytes.fromhex("92 05 91 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76")),
-    (Prepare(index=61, ballot=ProposalNumber(62, "p6")), bytes.fromhex("93 06 3d 92 3e a2 70 36")),
+    (Prepare(index=61, proposal=ProposalNumber(62, "p6")), bytes.fromhex("93 06 3d 92 3e a2 70 36")),
     (
         Promise(
             index=71,
-            ballot=ProposalNumber(72, "p7"),
-            granted=True,
-            decided=73,
+            proposal=ProposalNumber(72, "p7"),
+            is_granted=True,
+            decided_index=73,
             promised=ProposalNumber(74, "q7"),
             accepted=ProposalNumber(75, "r7"),
             change=Change("c7", [ENTRY]),
@@ -132,51 +132,66 @@
         ),
     ),
     (
-        Accept(index=81, ballot=ProposalNumber(82, "p8"), change=Change("c8", [WITHDRAWAL])),
+        Accept(index=81, proposal=ProposalNumber(82, "p8"), change=Change("c8", [WITHDRAWAL])),
         bytes.fromhex("94 08 51 92 52 a2 70 38 92 a2 63 38 91 94 a8 73 65 72 76 69 63 65 73 a1 62 03 c0"),
     ),
     (
         Accepted(
-            index=131, ballot=ProposalNumber(132, "p13"), granted=True, decided=133, promised=ProposalNumber(134, "q13")
+            index=131,
+            proposal=ProposalNumber(132, "p13"),
+            is_granted=True,
+            decided_index=133,
+            promised=ProposalNumber(134, "q13"),
         ),
         bytes.fromhex("96 0d cc 83 92 cc 84 a3 70 31 33 c3 cc 85 92 cc 86 a3 71 31 33"),
     ),
     (ReadIndexQuery(number=141), bytes.fromhex("92 0e cc 8d")),
-    (ReadIndexReply(number=151, voter=True, decided=152, pending=False), bytes.fromhex("95 0f cc 97 c3 cc 98 c2")),
-    (FetchDecided(since=161), bytes.fromhex("92 10 cc a1")),
     (
-        ForwardChange(number=251, left=2.5, entries=[ENTRY]),
+        ReadIndexReply(number=151, is_voter=True, decided_index=152, has_pending_change=False),
+        bytes.fromhex("95 0f cc 97 c3 cc 98 c2"),
+    ),
+    (FetchDecided(after_index=161), bytes.fromhex("92 10 cc a1")),
+    (
+        ForwardChange(number=251, seconds_left=2.5, entries=[ENTRY]),
         bytes.fromhex("94 19 cc fb cb 40 04 00 00 00 00 00 00 91 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76"),
     ),
     (
-        ChangeResult(number=261, confirmed=False, refused="conflict", detail="d26", proposed=True),
+        ChangeResult(number=261, is_confirmed=False, error_kind="conflict", detail="d26", may_be_decided=True),
         bytes.fromhex("96 1a cd 01 05 c2 a8 63 6f 6e 66 6c 69 63 74 a3 64 32 36 c3"),
     ),
     (
-        Learn(since=241, index=242, pruned=243, number=244, items=[Item(ENTRY, 245)], last=True),
+        Learn(after_index=241, index=242, pruned_index=243, page=244, items=[Item(ENTRY, 245)], is_last=True),
         bytes.fromhex("97 18 cc f1 cc f2 cc f3 cc f4 91 92 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76 cc f5 c3"),
     ),
     (
-        ReserveKey(key=b"k9", by=b"b9", epoch=91, left=9.5),
+        ReserveKey(key=b"k9", owner=b"b9", epoch=91, seconds_left=9.5),
         bytes.fromhex("95 09 c4 02 6b 39 c4 02 62 39 5b cb 40 23 00 00 00 00 00 00"),
     ),
     (
-        ReserveKeyReply(key=b"k10", by=b"b10", epoch=101, granted=False, other=True, busy=False, answer=ANSWER),
+        ReserveKeyReply(
+            key=b"k10", owner=b"b10", epoch=101, is_granted=False, is_taken=True, is_running=False, response=ANSWER
+        ),
         bytes.fromhex("98 0a c4 03 6b 31 30 c4 03 62 31 30 65 c2 c3 c2 93 cc c8 c4 01 68 c4 01 62"),
     ),
     (
-        ReserveKeyReply(key=b"k10", by=b"b10", epoch=101, granted=False, other=False, busy=True, answer=None),
+        ReserveKeyReply(
+            key=b"k10", owner=b"b10", epoch=101, is_granted=False, is_taken=False, is_running=True, response=None
+        ),
         bytes.fromhex("98 0a c4 03 6b 31 30 c4 03 62 31 30 65 c2 c2 c3 c0"),
     ),
     (
-        CompleteKey(key=b"k11", by=b"b11", answer=ANSWER),
+        CompleteKey(key=b"k11", owner=b"b11", response=ANSWER),
         bytes.fromhex("94 0b c4 03 6b 31 31 c4 03 62 31 31 93 cc c8 c4 01 68 c4 01 62"),
     ),
-    (ReleaseKey(key=b"k12", by=b"b12"), bytes.fromhex("93 0c c4 03 6b 31 32 c4 03 62 31 32")),
+    (ReleaseKey(key=b"k12", owner=b"b12"), bytes.fromhex("93 0c c4 03 6b 31 32 c4 03 62 31 32")),
     (FetchReservations(epoch=171), bytes.fromhex("92 11 cc ab")),
     (
         ReservationsPage(
-            epoch=181, number=182, claims=[(b"k18", StoredReservation(b"b18", 1.75, ANSWER))], last=True, complete=False
+            epoch=181,
+            page=182,
+            reservations=[(b"k18", StoredReservation(b"b18", 1.75, ANSWER))],
+            is_last=True,
+            was_complete=False,
         ),
         bytes.fromhex(
             "96 12 cc b5 cc b6 91 92 c4 03 6b 31 38 93 c4 03 62 31 38 cb 3f fc 00 00 00 00 00 00 93 cc c8 c4"
@@ -185,23 +200,23 @@
     ),
     (
         ForwardRequest(
-            n=191,
+            number=191,
             backend="b19",
             method=b"GET",
             target=b"/t",
-            lines=[b"Host: x\r\n"],
+            header_lines=[b"Host: x\r\n"],
             body=b"body",
-            left=1.25,
-            aim=0.75,
-            attempt=b"a19",
+            seconds_left=1.25,
+            latency_target_left=0.75,
+            attempt_id=b"a19",
             priority=192,
-            safe=True,
+            is_safe=True,
             route="r19",
             key=b"k19",
-            by=b"by19",
-            back=False,
-            size=193,
-            sent=19.5,
+            owner=b"by19",
+            was_rejected=False,
+            body_bytes=193,
+            sent_at=19.5,
         ),
         bytes.fromhex(
             "dc 00 12 13 cc bf a3 62 31 39 c4 03 47 45 54 c4 02 2f 74 91 c4 09 48 6f 73 74 3a 20 78 0d 0a c4"
@@ -210,43 +225,43 @@
         ),
     ),
     (
-        ForwardResponse(n=201, how=2, answer=ANSWER, sent=False, busy=202, cause=203),
+        ForwardResponse(number=201, outcome=2, response=ANSWER, was_sent=False, in_flight=202, cause=203),
         bytes.fromhex("97 14 cc c9 02 93 cc c8 c4 01 68 c4 01 62 c2 cc ca cc cb"),
     ),
-    (CancelRequest(n=211), bytes.fromhex("92 15 cc d3")),
-    (WithdrawRequest(n=281), bytes.fromhex("92 1c cd 01 19")),
+    (CancelRequest(number=211), bytes.fromhex("92 15 cc d3")),
+    (WithdrawRequest(number=281), bytes.fromhex("92 1c cd 01 19")),
     (FetchOutcomes(numbers=[291, 292]), bytes.fromhex("92 1d 92 cd 01 23 cd 01 24")),
-    (GrantBody(n=221, upto=222), bytes.fromhex("93 16 cc dd cc de")),
-    (BodyChunk(n=231, data=b"d23"), bytes.fromhex("93 17 cc e7 c4 03 64 32 33")),
+    (GrantBody(number=221, up_to_offset=222), bytes.fromhex("93 16 cc dd cc de")),
+    (BodyChunk(number=231, data=b"d23"), bytes.fromhex("93 17 cc e7 c4 03 64 32 33")),
 ]
 
 #: Bytes of senders that know fewer fields, and what their fields are then taken to be.
 SHORT_MESSAGES: list[tuple[bytes, Message]] = [
-    (bytes.fromhex("94 01 a2 69 70 a2 6c 31 c3"), Hello(ip="ip", life="l1", keeps=True, sent=0.0)),
-    (bytes.fromhex("91 04"), Pong(sent=0.0)),
+    (bytes.fromhex("94 01 a2 69 70 a2 6c 31 c3"), Hello(ip="ip", incarnation="l1", is_control_node=True, sent_at=0.0)),
+    (bytes.fromhex("91 04"), Pong(sent_at=0.0)),
     (
         bytes.fromhex("9b 03 a2 6c 33 01 cb 40 0a 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 02 c3 c2 03 c3 90"),
         Delta(
-            life="l3",
-            upto=1,
-            sent=3.25,
-            age=0.5,
-            index=2,
-            pending=True,
-            votes=False,
-            complete=3,
-            whole=True,
+            incarnation="l3",
+            latest_sequence=1,
+            sent_at=3.25,
+            majority_age=0.5,
+            decided_index=2,
+            has_pending_change=True,
+            is_voter=False,
+            complete_epoch=3,
+            is_snapshot=True,
             entries=[],
-            echo=0.0,
+            echoed_at=0.0,
         ),
     ),
     (
         bytes.fromhex("96 07 01 92 02 a1 70 c3 03 92 04 a1 71"),
         Promise(
             index=1,
-            ballot=ProposalNumber(number=2, proposer="p"),
-            granted=True,
-            decided=3,
+            proposal=ProposalNumber(number=2, proposer="p"),
+            is_granted=True,
+            decided_index=3,
             promised=ProposalNumber(number=4, proposer="q"),
             accepted=None,
             change=None,
@@ -254,40 +269,45 @@
     ),
     (
         bytes.fromhex("92 1a 05"),
-        ChangeResult(number=5, confirmed=False, refused="", detail="", proposed=False),
+        ChangeResult(number=5, is_confirmed=False, error_kind="", detail="", may_be_decided=False),
     ),
     (
         bytes.fromhex("95 0a c4 01 6b c4 01 62 06 c3"),
-        ReserveKeyReply(key=b"k", by=b"b", epoch=6, granted=True, other=False, busy=False, answer=None),
+        ReserveKeyReply(
+            key=b"k", owner=b"b", epoch=6, is_granted=True, is_taken=False, is_running=False, response=None
+        ),
     ),
     (
         bytes.fromhex("95 12 07 08 90 c3"),
-        ReservationsPage(epoch=7, number=8, claims=[], last=True, complete=True),
+        ReservationsPage(epoch=7, page=8, reservations=[], is_last=True, was_complete=True),
+    ),
+    (
+        bytes.fromhex("93 14 09 02"),
+        ForwardResponse(number=9, outcome=2, response=None, was_sent=True, in_flight=0, cause=0),
     ),
-    (bytes.fromhex("93 14 09 02"), ForwardResponse(n=9, how=2, answer=None, sent=True, busy=0, cause=0)),
     (
         bytes.fromhex(
             "9d 13 0a a1 62 c4 01 47 c4 01 2f 90 c4 00 cb 3f f4 00 00 00 00 00 00 cb 3f e8 00 00 00 00 00 00"
             "c4 01 61 01 c2 a1 72"
         ),
         ForwardRequest(
-            n=10,
+            number=10,
             backend="b",
             method=b"G",
             target=b"/",
-            lines=[],
+            header_lines=[],
             body=b"",
-            left=1.25,
-            aim=0.75,
-            attempt=b"a",
+            seconds_left=1.25,
+            latency_target_left=0.75,
+            attempt_id=b"a",
             priority=1,
-            safe=False,
+            is_safe=False,
             route="r",
             key=b"",
-            by=b"",
-            back=False,
-            size=0,
-            sent=0.0,
+            owner=b"",
+            was_rejected=False,
+            body_bytes=0,
+            sent_at=0.0,
         ),
     ),
 ]
@@ -320,17 +340,20 @@
     (ANSWER, bytes.fromhex("93 cc c8 c4 01 68 c4 01 62")),
     (VOTERS[0], bytes.fromhex("93 a8 31 30 2e 30 2e 30 2e 31 a2 75 31 a2 7a 31")),
     (
-        Membership(epoch=9, voters=VOTERS, previous=VOTERS[:1]),
+        Membership(epoch=9, voters=VOTERS, previous_voters=VOTERS[:1]),
         bytes.fromhex(
             "93 09 92 93 a8 31 30 2e 30 2e 30 2e 31 a2 75 31 a2 7a 31 93 a8 31 30 2e 30 2e 30 2e 32 a2 75 32"
             "a2 7a 32 91 93 a8 31 30 2e 30 2e 30 2e 31 a2 75 31 a2 7a 31"
         ),
     ),
     (
-        StoredReservation(by=b"b", left=1.5, answer=ANSWER),
+        StoredReservation(owner=b"b", seconds_left=1.5, response=ANSWER),
         bytes.fromhex("93 c4 01 62 cb 3f f8 00 00 00 00 00 00 93 cc c8 c4 01 68 c4 01 62"),
     ),
-    (StoredReservation(by=b"b", left=1.5, answer=None), bytes.fromhex("93 c4 01 62 cb 3f f8 00 00 00 00 00 00 c0")),
+    (
+        StoredReservation(owner=b"b", seconds_left=1.5, response=None),
+        bytes.fromhex("93 c4 01 62 cb 3f f8 00 00 00 00 00 00 c0"),
+    ),
     (Presence(uid="u", zone="z", leaving=True, failing=False, disk_bytes=10), bytes.fromhex("95 a1 75 a1 7a c3 c2 0a")),
 ]
 
@@ -370,8 +393,8 @@
     register = Register()
     ballot = ProposalNumber(number=5, proposer="p")
     change = Change(id="c", entries=[ENTRY, WITHDRAWAL])
-    promised = register.prepare(None, Prepare(index=1, ballot=ballot), True).write
-    accepted = register.accept(None, Accept(index=1, ballot=ballot, change=change), True).write
+    promised = register.prepare(None, Prepare(index=1, proposal=ballot), True).write
+    accepted = register.accept(None, Accept(index=1, proposal=ballot, change=change), True).write
     decided = register.decide(change).write
     assert (promised, accepted, decided) == (
         [(b"mvote", bytes.fromhex("94 01 92 05 a1 70 c0 c0"))],
@@ -398,10 +421,10 @@
 
 def test_rows_of_reserved_operation_keys_lie_under_these_keys_with_these_values() -> None:
     table = ClaimTable(60.0, 64 << 20)
-    granted = table.claim(0.0, None, ReserveKey(key=b"k", by=b"b", epoch=1, left=2.5), 1).write
-    done = table.done(1.0, CompleteKey(key=b"k", by=b"b", answer=ANSWER), True).write
-    table.claim(1.0, None, ReserveKey(key=b"l", by=b"b", epoch=1, left=2.5), 1)
-    released = table.release(ReleaseKey(key=b"l", by=b"b")).write
+    granted = table.claim(0.0, None, ReserveKey(key=b"k", owner=b"b", epoch=1, seconds_left=2.5), 1).write
+    done = table.done(1.0, CompleteKey(key=b"k", owner=b"b", response=ANSWER), True).write
+    table.claim(1.0, None, ReserveKey(key=b"l", owner=b"b", epoch=1, seconds_left=2.5), 1)
+    released = table.release(ReleaseKey(key=b"l", owner=b"b")).write
     swept = table.sweep(71.0).write
     assert (granted, done, released, swept) == (
         [(b"ck", bytes.fromhex("93 c4 01 62 cb 40 04 00 00 00 00 00 00 c0"))],
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -41,7 +41,7 @@
     catch_up.heard(1.1, B, page(epoch=1))
     assert not new.complete
     effects = catch_up.heard(1.2, C, page())
-    assert new.complete and effects.write and claim(new, b"b", epoch=2).other
+    assert new.complete and effects.write and claim(new, b"b", epoch=2).is_taken
     assert catch_up.look(9.0).send == []
 
 
@@ -81,7 +81,7 @@
     catch_up.heard(1.1, B, page(complete=False))
     assert not new.complete  # neither holds what was won before the last epoch
     catch_up.heard(1.2, C, page())
-    assert new.complete and claim(new, b"b", epoch=2).other
+    assert new.complete and claim(new, b"b", epoch=2).is_taken
 
 
 def test_a_voter_that_was_not_complete_counts_itself() -> None:
--- a/tests/mesh/test_claim_table.py
+++ b/tests/mesh/test_claim_table.py
@@ -19,10 +19,10 @@
     voter = seed()
     effects = voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0))
     assert effects.write and not effects.send and isinstance(effects.after_sync[0][1], ReserveKeyReply)
-    assert claim(voter, b"a").granted  # said again: granted again, and written again
+    assert claim(voter, b"a").is_granted  # said again: granted again, and written again
     other = claim(voter, b"b", 1.0)
-    assert (other.granted, other.other, other.busy) == (False, True, True)
-    assert not claim(voter, b"b", 3.0).busy  # its request has ended, and nobody knows how
+    assert (other.is_granted, other.is_taken, other.is_running) == (False, True, True)
+    assert not claim(voter, b"b", 3.0).is_running  # its request has ended, and nobody knows how
 
 
 def test_an_answer_goes_to_repeats_and_a_claim_that_is_given_back_is_free() -> None:
@@ -30,15 +30,15 @@
     claim(voter, b"a")
     voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))
     repeat = claim(voter, b"b", 1.0)
-    assert repeat.answer is not None and repeat.answer.body == b"body" and not repeat.granted
-    assert claim(voter, b"a", 1.0).answer is not None  # the claimant's own repeat of a try
+    assert repeat.response is not None and repeat.response.body == b"body" and not repeat.is_granted
+    assert claim(voter, b"a", 1.0).response is not None  # the claimant's own repeat of a try
     voter.handle(1.0, None, ReleaseKey(b"k", b"a"))  # too late: it has run
-    assert not claim(voter, b"c", 1.0).granted
+    assert not claim(voter, b"c", 1.0).is_granted
     claim(voter, b"x", key=b"other")
     voter.handle(1.0, None, ReleaseKey(b"other", b"y"))  # another's
-    assert not claim(voter, b"z", key=b"other").granted
+    assert not claim(voter, b"z", key=b"other").is_granted
     voter.handle(1.0, None, ReleaseKey(b"other", b"x"))
-    assert claim(voter, b"z", key=b"other").granted
+    assert claim(voter, b"z", key=b"other").is_granted
 
 
 def test_an_answer_counts_whoever_the_grant_here_was_for() -> None:
@@ -46,7 +46,7 @@
     claim(voter, b"loser")
     voter.handle(1.0, None, CompleteKey(b"k", b"winner", BackendResponse(200, b"", b"w")))
     repeat = claim(voter, b"c", 1.0)
-    assert repeat.answer is not None and repeat.answer.body == b"w"
+    assert repeat.response is not None and repeat.response.body == b"w"
 
 
 def test_a_window_is_kept_whole_over_a_restart_and_then_swept() -> None:
@@ -57,19 +57,19 @@
     again.restore([(k, v) for k, v in rows.items() if v is not None], 1000.0)
     assert again.complete and again.voter.uid == GENESIS
     again.sweep(1065.0)
-    assert not claim(again, b"b", 1065.0).granted
+    assert not claim(again, b"b", 1065.0).is_granted
     effects = again.sweep(1071.0)
-    assert effects.write == [(b"ck", None)] and claim(again, b"b", 1071.0).granted
+    assert effects.write == [(b"ck", None)] and claim(again, b"b", 1071.0).is_granted
 
 
 def test_memory_is_bounded_by_claims_that_are_not_granted_and_answers_that_go() -> None:
     voter = seed(memory=64 << 10)
     verdicts = [claim(voter, b"a", key=b"%d" % n) for n in range(40)]
-    assert 10 <= sum(v.granted for v in verdicts) <= 20 and not verdicts[-1].other
+    assert 10 <= sum(v.is_granted for v in verdicts) <= 20 and not verdicts[-1].is_taken
     for n in range(10):
         voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(4000))))
     kept = [claim(voter, b"b", key=b"%d" % n) for n in range(10)]
-    assert kept[0].answer is None and kept[0].other and kept[9].answer is not None
+    assert kept[0].response is None and kept[0].is_taken and kept[9].response is not None
 
 
 def test_claims_go_to_other_voters_in_frames_of_a_bounded_size() -> None:
@@ -78,8 +78,8 @@
         claim(voter, b"a", key=b"%d" % n)
         voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(60 << 10))))
     pages = voter.claims.pages(0.0, 1)
-    assert len(pages) > 3 and [p.last for p in pages] == [False] * (len(pages) - 1) + [True]
-    assert [p.number for p in pages] == list(range(len(pages))) and sum(len(p.claims) for p in pages) == 40
+    assert len(pages) > 3 and [p.is_last for p in pages] == [False] * (len(pages) - 1) + [True]
+    assert [p.page for p in pages] == list(range(len(pages))) and sum(len(p.reservations) for p in pages) == 40
 
 
 def test_a_key_that_two_are_said_to_hold_is_granted_to_neither_until_an_answer_tells() -> None:
@@ -88,8 +88,8 @@
     voter.claims.merge(0.0, [(b"k", StoredReservation(b"b", 1.0))])
     for by in (b"a", b"b", b"c"):
         verdict = claim(voter, by)
-        assert not verdict.granted and verdict.other
+        assert not verdict.is_granted and verdict.is_taken
     voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))  # it had won
-    assert claim(voter, b"b", 1.0).answer is not None
+    assert claim(voter, b"b", 1.0).response is not None
     voter.claims.merge(1.0, [(b"k", StoredReservation(b"b", 9.0))])
-    assert claim(voter, b"b", 1.0).answer is not None  # an answer is the last word
+    assert claim(voter, b"b", 1.0).response is not None  # an answer is the last word
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -46,7 +46,7 @@
 
     @property
     def replies(self) -> list[tuple[int, End]]:
-        return [(m.n, End(m.how)) for m in self.sent if isinstance(m, ForwardResponse)]
+        return [(m.number, End(m.outcome)) for m in self.sent if isinstance(m, ForwardResponse)]
 
 
 class Rig:
@@ -63,7 +63,7 @@
         self.incoming = IncomingExchanges(self.gate, UploadScheduler(330_000.0, 1 << 20), OWN)
 
     def _send(self, ticket: Ticket) -> None:
-        self.ran.append(ticket.forward.attempt)
+        self.ran.append(ticket.forward.attempt_id)
         self.tickets.append(ticket)
 
     def hear(self, wire: Wire, *messages: Message) -> None:
@@ -83,7 +83,7 @@
 def forward(n: int, sent: float, left: float = 2.0, size: int = 0, key: bytes = b"") -> ForwardRequest:
     attempt = b"a%d" % n
     return ForwardRequest(
-        n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, size=size, sent=sent
+        n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, body_bytes=size, sent_at=sent
     )
 
 
@@ -154,7 +154,7 @@
         [grant] = [m for m in wire.sent if isinstance(m, GrantBody)]
         now = loop.time()
         monkeypatch.setattr(loop, "time", lambda: now + 30.0)  # frozen: the part waited, and no timer has run yet
-        rig.hear(wire, BodyChunk(1, bytes(grant.upto)))
+        rig.hear(wire, BodyChunk(1, bytes(grant.up_to_offset)))
         assert rig.ran == [] and wire.replies == [(1, End.NOT_RUN)]
         monkeypatch.undo()
 
@@ -171,11 +171,11 @@
             message.body = bytes(body)
             rate = 330_000.0 if body else 0.0
             outgoing.carry(1.0, wire.peer, wire, rate, message, lambda r: replies.append((name, r)))  # type: ignore[arg-type]
-            return message.n
+            return message.number
 
         old = carry("old", first)
         outgoing.lost(first.peer)
-        assert [(name, End(r.how)) for name, r in replies] == [("old", End.MAYBE)]
+        assert [(name, End(r.outcome)) for name, r in replies] == [("old", End.MAYBE)]
         new, large = carry("new", second), carry("large", second, 50_000)
         assert len({old, new, large}) == 3
         replies.clear()
@@ -189,7 +189,7 @@
         outgoing.reply(second, ForwardResponse(new, End.ANSWERED))  # type: ignore[arg-type]
         assert [name for name, _ in replies] == ["new"]
         outgoing.lost(second.peer)
-        assert [(name, End(r.how)) for name, r in replies] == [("new", End.ANSWERED), ("large", End.NOT_RUN)]
+        assert [(name, End(r.outcome)) for name, r in replies] == [("new", End.ANSWERED), ("large", End.NOT_RUN)]
 
     asyncio.run(what())
 
@@ -282,8 +282,8 @@
 
         def carry(key: bytes) -> int:
             message = forward(0, 0.0, key=key)
-            outgoing.carry(1.0, former.peer, former, 0.0, message, lambda r: replies.append((r.n, End(r.how))))  # type: ignore[arg-type]
-            return message.n
+            outgoing.carry(1.0, former.peer, former, 0.0, message, lambda r: replies.append((r.number, End(r.outcome))))  # type: ignore[arg-type]
+            return message.number
 
         one, two, unkeyed = carry(b"k1"), carry(b"k2"), carry(b"")
         outgoing.lost(former.peer)
--- a/tests/mesh/test_forwarding.py
+++ b/tests/mesh/test_forwarding.py
@@ -17,7 +17,7 @@
     """A forwarder with one order, how that ended, and its number."""
     forwarder, ends = Forwarder(), list[Outcome]()
     message = forwarder.hand_over(1.0, FIRST, Order([Entry("routes", "r", 7, b"{}")], 1.8, ends.append))
-    assert message.left == pytest.approx(0.8)
+    assert message.seconds_left == pytest.approx(0.8)
     return forwarder, ends, message.number
 
 
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_gate.py
@@ -90,7 +90,7 @@
 
     def run(self, message: ForwardRequest) -> asyncio.Future[ForwardResponse]:
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-        self.replies[message.n] = found
+        self.replies[message.number] = found
         self.gate.run(message, found.set_result)
         return found
 
@@ -106,8 +106,11 @@
 def test_a_request_reaches_the_backend_as_it_came_with_whose_it_is_and_what_time_is_left() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1, key=b"k", body=b"body"))
-        assert (reply.how, reply.sent) == (End.ANSWERED, True) and reply.answer is not None
-        assert (reply.answer.status, reply.answer.body) == (200, b"hi") and b"Lugspur-Postmark: p" in reply.answer.head
+        assert (reply.outcome, reply.was_sent) == (End.ANSWERED, True) and reply.response is not None
+        assert (reply.response.status, reply.response.body) == (
+            200,
+            b"hi",
+        ) and b"Lugspur-Postmark: p" in reply.response.head
         [head] = backend.heads
         assert head.startswith(b"POST /p?q=1 HTTP/1.1\r\nHost: h\r\n") and head.endswith(b"\r\n\r\nbody")
         assert b"Lugspur-Deliver-To: i-1\r\n" in head and b"Lugspur-Deliver-By-Ms: 1" in head
@@ -147,14 +150,14 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for n, (name, end) in enumerate(ends.items()):
             reply = await rig.run(forward(n, name, left=0.25))
-            assert (name, End(reply.how), reply.sent) == (name, end, True)
+            assert (name, End(reply.outcome), reply.was_sent) == (name, end, True)
         backend.server.close()
         await backend.server.wait_closed()
         rig.gate.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         reply = await rig.run(forward(99))
-        assert (reply.how, reply.sent) == (End.NOT_RUN, False) and len(rig.downs) == 1
+        assert (reply.outcome, reply.was_sent) == (End.NOT_RUN, False) and len(rig.downs) == 1
         again = await rig.run(forward(100))  # until its next beat nobody is sent there
-        assert (again.how, again.sent) == (End.NOT_RUN, False) and len(rig.downs) == 1
+        assert (again.outcome, again.was_sent) == (End.NOT_RUN, False) and len(rig.downs) == 1
 
     play(lambda a: answers[a], what)
 
@@ -162,7 +165,7 @@
 def test_an_answer_to_another_request_is_passed_over_and_ones_own_is_waited_for() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
-        assert reply.how == End.ANSWERED and reply.answer is not None and b"Attempt-Id: a1" in reply.answer.head
+        assert reply.outcome == End.ANSWERED and reply.response is not None and b"Attempt-Id: a1" in reply.response.head
         await rig.run(forward(2))
         assert backend.accepted == 2  # a connection that brought one is not kept
 
@@ -173,7 +176,7 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for n in (1, 2, 3):
             reply = await rig.run(forward(n))
-            assert reply.answer is not None and b"Attempt-Id: a%d" % n in reply.answer.head
+            assert reply.response is not None and b"Attempt-Id: a%d" % n in reply.response.head
 
     play(lambda a: GOOD % a + GOOD % b"extra", what)
 
@@ -185,11 +188,11 @@
         running = [rig.run(forward(n)) for n in (1, 2)]  # one at work and one ready beside it
         patient = [rig.run(forward(n, aim=1.0, priority=1)) for n in (3, 4)]
         urgent = rig.run(forward(5, aim=0.1, priority=1))
-        assert (await patient[1]).how == End.NOT_RUN  # the queue is full: whoever is due last goes
+        assert (await patient[1]).outcome == End.NOT_RUN  # the queue is full: whoever is due last goes
         late = await rig.run(forward(6, aim=1.0, priority=1))
-        assert (late.how, late.sent) == (End.NOT_RUN, False)
+        assert (late.outcome, late.was_sent) == (End.NOT_RUN, False)
         highest = rig.run(forward(7, aim=1.9, priority=0))  # however long it may take
-        assert (await patient[0]).how == End.NOT_RUN
+        assert (await patient[0]).outcome == End.NOT_RUN
         backend.hold.set()
         await asyncio.gather(*running, urgent, highest)
         assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2", b"a7", b"a5"]
@@ -201,12 +204,12 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         now = asyncio.get_running_loop().time()
         rig.local.closing_at = now - 0.1
-        assert (await rig.run(forward(1))).how == End.ANSWERED  # news is on its way
+        assert (await rig.run(forward(1))).outcome == End.ANSWERED  # news is on its way
         rig.local.closing_at = now - 0.5
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads)) == (End.NOT_RUN, False, 1)
+        assert (reply.outcome, reply.was_sent, len(backend.heads)) == (End.NOT_RUN, False, 1)
         rig.gate.local = LocalBackend("i-2", "s", backend.address, now)
-        assert (await rig.run(forward(3))).how == End.NOT_RUN
+        assert (await rig.run(forward(3))).outcome == End.NOT_RUN
         assert len(backend.heads) == 1
 
     play(lambda a: GOOD % a, what)
@@ -224,7 +227,7 @@
             rig.gate.cancel(ticket)
         backend.hold.set()
         reply = await rig.run(forward(4))
-        assert reply.how == End.ANSWERED and [attempt_of(h) for h in backend.heads] == [b"a1", b"a2", b"a4"]
+        assert reply.outcome == End.ANSWERED and [attempt_of(h) for h in backend.heads] == [b"a1", b"a2", b"a4"]
         assert rig.gate.busy == 0
 
     play(lambda a: GOOD % a, what)
@@ -242,10 +245,10 @@
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="short")) for n in (4, 5)]
         waits = [rig.run(forward(n, route=route, left=0.2, aim=0.06)) for n, route in ((6, "short"), (7, "slow"))]
-        assert (await waits[1]).how == End.NOT_RUN and not waits[0].done()
+        assert (await waits[1]).outcome == End.NOT_RUN and not waits[0].done()
         backend.hold.set()
         await asyncio.gather(*running)
-        assert (await waits[0]).how == End.ANSWERED
+        assert (await waits[0]).outcome == End.ANSWERED
 
     play(lambda a: GOOD % a, what)
 
@@ -257,17 +260,17 @@
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="long")) for n in (1, 2)]
         fresh = await rig.run(forward(3, route="long", left=5.0, aim=0.5))
-        assert (fresh.how, fresh.sent) == (End.NOT_RUN, False)  # it would wait for 0.3 s and be late
+        assert (fresh.outcome, fresh.was_sent) == (End.NOT_RUN, False)  # it would wait for 0.3 s and be late
         late = await rig.run(forward(6, route="long", left=5.0, aim=0.5, back=True))
-        assert (late.how, late.sent) == (End.NOT_RUN, False)  # not even then
+        assert (late.outcome, late.was_sent) == (End.NOT_RUN, False)  # not even then
         fresh = await rig.run(forward(7, route="long", left=5.0, aim=0.7))
-        assert (fresh.how, fresh.sent) == (End.NOT_RUN, False)
+        assert (fresh.outcome, fresh.was_sent) == (End.NOT_RUN, False)
         back = rig.run(forward(4, route="long", left=5.0, aim=0.7, back=True))
         short = rig.run(forward(5, route="short", left=5.0, aim=0.2))  # its caller may hold a berth elsewhere
         assert not back.done() and not short.done()
         backend.hold.set()
         ends = await asyncio.gather(*running, back, short)
-        assert {reply.how for reply in ends} == {End.ANSWERED}
+        assert {reply.outcome for reply in ends} == {End.ANSWERED}
 
     play(lambda a: GOOD % a, what)
 
@@ -276,11 +279,11 @@
 def test_a_refusal_without_an_id_proves_something_only_on_a_new_connection(line: bytes) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         first = await rig.run(forward(1, b"refused"))
-        assert first.how == End.NOT_RUN  # nothing else was ever asked on it
-        assert (await rig.run(forward(2))).how == End.ANSWERED and backend.accepted == 2
+        assert first.outcome == End.NOT_RUN  # nothing else was ever asked on it
+        assert (await rig.run(forward(2))).outcome == End.ANSWERED and backend.accepted == 2
         late = await rig.run(forward(3, b"refused"))
-        assert late.how == End.MAYBE and backend.accepted == 2  # it may be a late answer to one before
-        assert (await rig.run(forward(4))).how == End.ANSWERED and backend.accepted == 3
+        assert late.outcome == End.MAYBE and backend.accepted == 2  # it may be a late answer to one before
+        assert (await rig.run(forward(4))).outcome == End.ANSWERED and backend.accepted == 3
 
     refusal = b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % line
     play(lambda a: refusal if a == b"refused" else GOOD % a, what)
@@ -308,7 +311,7 @@
         while ticket.exchange is None or ticket.exchange.connection is None or not ticket.exchange.connection._body:
             await asyncio.sleep(0)
         heard.set()
-        assert (await found).how == End.MAYBE
+        assert (await found).outcome == End.MAYBE
         server.close()
 
     asyncio.run(asyncio.wait_for(run(), 10.0))
@@ -317,9 +320,9 @@
 def test_what_an_interim_answer_says_counts_for_nothing() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
-        assert reply.how == End.ANSWERED
+        assert reply.outcome == End.ANSWERED
         other = await rig.run(forward(2, b"nameless"))
-        assert other.how == End.SPOILT
+        assert other.outcome == End.SPOILT
 
     interim = b"HTTP/1.1 103 X\r\nLugspur-Not-Delivered: 1\r\nLugspur-Attempt-Id: %b\r\n\r\n"
     nameless = (GOOD % b"x").replace(b"Lugspur-Attempt-Id: x\r\n", b"")
@@ -337,7 +340,7 @@
 )
 def test_an_answers_headers_are_read_by_their_names(head: bytes, end: End) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
-        assert (await rig.run(forward(1))).how == end
+        assert (await rig.run(forward(1))).outcome == end
 
     play(lambda a: b"HTTP/1.1 200 OK\r\n" + head + b"Content-Length: 2\r\n\r\nhi", what)
 
@@ -346,7 +349,12 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for left in (0.0, -0.01, -30.0):
             reply = await rig.run(forward(1, left=left))
-            assert (reply.how, reply.sent, reply.cause, backend.heads) == (End.NOT_RUN, False, Cause.EXPIRED, [])
+            assert (reply.outcome, reply.was_sent, reply.cause, backend.heads) == (
+                End.NOT_RUN,
+                False,
+                Cause.EXPIRED,
+                [],
+            )
         assert rig.gate.causes == {Cause.EXPIRED: 3}
 
     play(lambda a: GOOD % a, what)
@@ -354,12 +362,12 @@
 
 def test_a_freeze_in_the_middle_of_a_turn_sends_nothing_late(monkeypatch: pytest.MonkeyPatch) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
-        assert (await rig.run(forward(1))).how == End.ANSWERED  # its connection is kept: the next goes out at once
+        assert (await rig.run(forward(1))).outcome == End.ANSWERED  # its connection is kept: the next goes out at once
         loop = asyncio.get_running_loop()
         stands = loop.time()
         monkeypatch.setattr(gate_module, "monotonic", lambda: stands + 30.0)
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads), rig.gate.busy) == (End.NOT_RUN, False, 1, 0)
+        assert (reply.outcome, reply.was_sent, len(backend.heads), rig.gate.busy) == (End.NOT_RUN, False, 1, 0)
         assert reply.cause == Cause.HOPELESS
 
     play(lambda a: GOOD % a, what)
@@ -370,7 +378,7 @@
         backend.hold = asyncio.Event()
         rig.local.berths = 1
         replies: list[tuple[int, End]] = []
-        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, End(r.how)))) for n in (1, 2, 3)]
+        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.number, End(r.outcome)))) for n in (1, 2, 3)]
         for ticket in tickets[::-1] * 2:  # the one that waits first: else it would not wait any more
             assert ticket is not None
             rig.gate.cancel(ticket)
@@ -384,7 +392,10 @@
         backend.hold = asyncio.Event()
         rig.local.berths = 1
         replies: list[tuple[int, End, bool]] = []
-        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, End(r.how), r.sent))) for n in (1, 2, 3)]
+        tickets = [
+            rig.gate.run(forward(n), lambda r: replies.append((r.number, End(r.outcome), r.was_sent)))
+            for n in (1, 2, 3)
+        ]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
         for ticket in tickets:
@@ -422,7 +433,7 @@
         gate.run(forward(2), replies.append)
         while len(replies) < 2:
             await asyncio.sleep(0.001)
-        assert [reply.how for reply in replies] == [End.ANSWERED] * 2 and len(streams) == 2
+        assert [reply.outcome for reply in replies] == [End.ANSWERED] * 2 and len(streams) == 2
         late = bytearray()
         with suppress(ConnectionError):
             while data := await streams[0][0].read(1 << 16):
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -44,8 +44,8 @@
 def test_who_cant_win_gives_back_what_it_was_granted() -> None:
     side = Side()
     side.verdict(1, True)
-    side.verdict(2, False, other=True, busy=True)
-    side.verdict(3, False, other=True)
+    side.verdict(2, False, is_taken=True, is_running=True)
+    side.verdict(3, False, is_taken=True)
     assert side.how == [Taken(True)] and side.released == {"10.0.0.1"}
     side.verdict(1, True)  # a grant that was on its way
     assert side.sent[-1] == ("10.0.0.1", ReleaseKey(b"k", b"a"))
@@ -78,7 +78,7 @@
 
 def test_a_known_answer_is_enough_from_one_voter() -> None:
     side = Side()
-    side.verdict(3, False, epoch=9, other=True, answer=BackendResponse(200, b"", b"x"))
+    side.verdict(3, False, epoch=9, is_taken=True, response=BackendResponse(200, b"", b"x"))
     assert side.how == [Known(BackendResponse(200, b"", b"x"))]
 
 
--- a/tests/mesh/test_learning.py
+++ b/tests/mesh/test_learning.py
@@ -14,9 +14,9 @@
     pages = LearnPages()
     assert pages.add("a", page(0)) == [] and pages.add("b", page(0)) == []
     assert pages.add("a", page(1)) == []
-    assert [p.number for p in pages.add("a", page(2, True))] == [0, 1, 2]
+    assert [p.page for p in pages.add("a", page(2, True))] == [0, 1, 2]
     assert pages.add("a", page(1)) == []  # over
-    assert [p.number for p in pages.add("b", page(1, True))] == [0, 1]
+    assert [p.page for p in pages.add("b", page(1, True))] == [0, 1]
     assert pages.add("c", page(0, True)) == [page(0, True)]
 
 
--- a/tests/mesh/test_membership_changes.py
+++ b/tests/mesh/test_membership_changes.py
@@ -55,7 +55,7 @@
     if following is None:
         return None
     before = found.membership
-    assert (following.epoch, following.previous) == (before.epoch + 1, before.voters)
+    assert (following.epoch, following.previous_voters) == (before.epoch + 1, before.voters)
     gone = {(v.ip, v.uid) for v in before.voters} - {(v.ip, v.uid) for v in following.voters}
     new = {(v.ip, v.uid) for v in following.voters} - {(v.ip, v.uid) for v in before.voters}
     assert len(gone) <= 1 and len(new) == 1
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -62,7 +62,7 @@
 
 
 def ballot_of(sent: list[tuple[str, Message]]) -> ProposalNumber:
-    ballots = {m.ballot for _, m in sent if isinstance(m, Prepare)}
+    ballots = {m.proposal for _, m in sent if isinstance(m, Prepare)}
     [ballot] = ballots
     return ballot
 
@@ -232,7 +232,7 @@
         sent = [m for _, m in node.proposer.heard(0.0, C, less).send]
         if turn < BRING_UP_MOST:
             page, prepare = sent
-            assert isinstance(page, Learn) and page.since == 1 and prepare == Prepare(3, ballot)
+            assert isinstance(page, Learn) and page.after_index == 1 and prepare == Prepare(3, ballot)
         else:
             assert sent == []
     more = Promise(3, ballot, False, 9, ProposalNumber(0, ""))
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -103,7 +103,7 @@
 
     def reply(self, how: End, answer: BackendResponse | None = None, sent: bool = True, at: int = -1) -> None:
         _, forward, respond = self.sent[at]
-        respond(ForwardResponse(forward.n, how, answer, sent))
+        respond(ForwardResponse(forward.number, how, answer, sent))
 
 
 def play(what: Callable[[Any], Any], **settings: Any) -> None:
@@ -120,11 +120,11 @@
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_sender="forged", lugspur_deliver_to="i-9", lugspur_deliver_by_ms="300", x_other="kept")
         [(ip, forward, _)] = rig.sent
-        head = b"".join(forward.lines)
+        head = b"".join(forward.header_lines)
         assert head.count(b"Lugspur-Sender") == 1 and b"Lugspur-Sender: mine\r\n" in head
         assert b"Deliver-To" not in head and b"Deliver-By" not in head and b"X-Other: kept" in head
         assert b"Host: a.example\r\n" in head and b"Lugspur-Attempt-Id: t1\r\n" in head
-        assert 0.25 < forward.left <= 0.3 and forward.backend == "i-" + ip[-1]
+        assert 0.25 < forward.seconds_left <= 0.3 and forward.backend == "i-" + ip[-1]
         rig.reply(End.ANSWERED, OK)
         assert caller.answers == [(200, OK.head, b"hi")] and not rig.proxy.open_requests
 
@@ -251,7 +251,7 @@
         names.extend(rig.claim_ids)
         rig.claimed[1][1](Won())
         [(_, forward, _)] = rig.sent
-        assert (forward.key, forward.by, forward.attempt) == (b"k", rig.claim_ids[1], b"t1")
+        assert (forward.key, forward.owner, forward.attempt_id) == (b"k", rig.claim_ids[1], b"t1")
 
     play(what, kind="tracked")
     play(what, kind="tracked")  # another process
@@ -264,7 +264,7 @@
         [(key, over)] = rig.claimed
         assert key == b"k" and not rig.sent
         over(Won())
-        assert rig.sent[0][1].key == b"k" and rig.sent[0][1].by == rig.claim_ids[0]
+        assert rig.sent[0][1].key == b"k" and rig.sent[0][1].owner == rig.claim_ids[0]
         rig.reply(End.ANSWERED, OK)
         assert caller.answers[0][0] == 200 and not rig.released
 
@@ -350,13 +350,13 @@
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(ForwardResponse(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
+        respond(ForwardResponse(forward.number, End.MAYBE, cause=Cause.LINK_LOST))
         assert caller.answers[0][0] == 502 and not rig.released
         for how in (End.MAYBE, End.ANSWERED):
-            respond(ForwardResponse(forward.n, how))
+            respond(ForwardResponse(forward.number, how))
             assert not rig.released  # no proof
         for _ in range(2):
-            respond(ForwardResponse(forward.n, End.NOT_RUN, cause=Cause.NEVER_CAME))
+            respond(ForwardResponse(forward.number, End.NOT_RUN, cause=Cause.NEVER_CAME))
         assert rig.released == [b"k"] and len(caller.answers) == 1 and len(rig.sent) == 1
 
     play(what, kind="tracked")
@@ -367,8 +367,8 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(ForwardResponse(forward.n, End.ANSWERED, OK))
-        respond(ForwardResponse(forward.n, End.NOT_RUN))
+        respond(ForwardResponse(forward.number, End.ANSWERED, OK))
+        respond(ForwardResponse(forward.number, End.NOT_RUN))
         assert not rig.released
 
     play(what, kind="tracked")
@@ -415,7 +415,7 @@
         caller.gone()
         assert (rig.cancelled, rig.withdrawn) == ([], [0])
         _, forward, respond = rig.sent[0]
-        respond(ForwardResponse(forward.n, End.NOT_RUN, None, False, cause=Cause.CANCELLED))
+        respond(ForwardResponse(forward.number, End.NOT_RUN, None, False, cause=Cause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
         assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
@@ -506,13 +506,13 @@
     def what(rig: Rig) -> None:
         for told, back in (("500", False), ("499", False), ("400", True), ("500", False)):
             rig.ask(lugspur_deliver_by_ms=told)
-            assert rig.sent[-1][1].back is back
+            assert rig.sent[-1][1].was_rejected is back
         rig.proxy.table.find(b"a.example", b"/r/").longest = 0.0  # type: ignore[union-attr]
         rig.ask(lugspur_deliver_by_ms="300")
-        assert not rig.sent[-1][1].back
+        assert not rig.sent[-1][1].was_rejected
         for _ in range(2000):  # callers give less than they did: what is usual is learned anew
             rig.ask(lugspur_deliver_by_ms="200")
-        assert not rig.sent[-1][1].back
+        assert not rig.sent[-1][1].was_rejected
 
     play(what)
 
@@ -536,9 +536,9 @@
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Won())
         _, forward, respond = rig.sent[0]
-        respond(ForwardResponse(forward.n, End.NOT_RUN, None, False, 9, Cause.NO_ROOM))
+        respond(ForwardResponse(forward.number, End.NOT_RUN, None, False, 9, Cause.NO_ROOM))
         _, forward, respond = rig.sent[1]
-        respond(ForwardResponse(forward.n, End.MAYBE, cause=Cause.LINK_LOST))
+        respond(ForwardResponse(forward.number, End.MAYBE, cause=Cause.LINK_LOST))
         [failed] = rig.proxy.failures.latest()
         assert (failed.attempt, failed.how, failed.route, failed.service) == ("t1", "maybe-ran", "r", "s")
         assert failed.keyed and failed.claim == "won" and failed.sends == 1 and failed.turned_away == 1
--- a/tests/mesh/test_register.py
+++ b/tests/mesh/test_register.py
@@ -56,7 +56,7 @@
             index, HIGH, False, 1, ProposalNumber(0, "")
         )
         refused = only(voter.handle(0.0, None, Accept(index, HIGH, change())))
-        assert isinstance(refused, Accepted) and not refused.granted
+        assert isinstance(refused, Accepted) and not refused.is_granted
     assert wiped.index == 1
     assert only(wiped.handle(0.0, None, Prepare(2, HIGH))) == Promise(2, HIGH, False, 1, ProposalNumber(0, ""))
     assert only(wiped.handle(0.0, None, Accept(2, HIGH, change()))) == Accepted(
@@ -92,7 +92,7 @@
     for edition in range(2, 300):
         source.decide(change(item(f"r{edition % 4}", edition)))
     [page] = source.pages(behind.index)
-    assert (page.since, page.index, len(page.items)) == (1, 299, 4)  # not 298 changes
+    assert (page.after_index, page.index, len(page.items)) == (1, 299, 4)  # not 298 changes
     behind.learn([page])
     assert behind.items == source.items and behind.index == 299
     late.decide(change(item("r0", 2)))
@@ -125,8 +125,8 @@
     source, new = Register(), Register()
     source.decide(change(*(item(f"r{n}", 1, bytes(100 << 10)) for n in range(20))))
     pages = source.pages(0)
-    assert len(pages) > 3 and [p.last for p in pages] == [False] * (len(pages) - 1) + [True]
-    assert [p.number for p in pages] == list(range(len(pages)))
+    assert len(pages) > 3 and [p.is_last for p in pages] == [False] * (len(pages) - 1) + [True]
+    assert [p.page for p in pages] == list(range(len(pages)))
     new.learn(pages)
     assert new.items == source.items
 
@@ -142,6 +142,6 @@
             step_by_step.learn(source.pages(step_by_step.index))
     assert 10 <= len(source.items) <= 22 and source.pruned > 0
     pages = source.pages(at_once.index)
-    assert pages[0].since == 0  # what was withdrawn meanwhile may be forgotten: only the whole state tells
+    assert pages[0].after_index == 0  # what was withdrawn meanwhile may be forgotten: only the whole state tells
     at_once.learn(pages)
     assert source.items == step_by_step.items == at_once.items
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -23,7 +23,7 @@
 def test_another_epoch_is_told_and_nothing_is_granted() -> None:
     voter = seed()
     old = claim(voter, b"a", epoch=7)
-    assert (old.granted, old.epoch, old.other) == (False, 1, False)
+    assert (old.is_granted, old.epoch, old.is_taken) == (False, 1, False)
     assert len(voter.claims) == 0
 
 
@@ -38,7 +38,7 @@
     far = Membership(4, NEXT.voters, NEXT.voters)
     skipping.learn(0.0, _pages_after(far))
     assert skipping.is_voter and not skipping.complete and not skipping.was_complete  # who knows what epoch 3 granted
-    assert not claim(skipping, b"a", epoch=4).granted
+    assert not claim(skipping, b"a", epoch=4).is_granted
     out = seed(IPS[2])
     out.decide(0.0, exchange())
     assert not out.complete and not out.is_voter and out.was_complete
@@ -56,20 +56,20 @@
 def test_a_wiped_replica_has_no_vote_under_its_old_address() -> None:
     wiped = replica(IPS[0], "another-disk")
     wiped.learn(0.0, seed().register.pages(0))
-    assert wiped.epoch == 1 and not wiped.is_voter and not wiped.complete and not claim(wiped, b"a").granted
+    assert wiped.epoch == 1 and not wiped.is_voter and not wiped.complete and not claim(wiped, b"a").is_granted
 
 
 def test_an_accepted_change_of_the_voters_ends_granting_over_a_loss_of_power_too() -> None:
     voter = seed()
     accepted = voter.handle(0.0, None, Accept(2, BALLOT, exchange()))
-    assert not claim(voter, b"a").granted
+    assert not claim(voter, b"a").is_granted
     rows = dict(replica().begin(0.0, SEEDS).write) | dict(accepted.write)
     again = replica()
     again.restore([(k, v) for k, v in rows.items() if v is not None], 0.0)
-    assert again.complete and not again.grants and not claim(again, b"a").granted
+    assert again.complete and not again.grants and not claim(again, b"a").is_granted
     ordinary = seed()
     ordinary.handle(0.0, None, Accept(2, BALLOT, Change("c", [item("r", 1)])))
-    assert claim(ordinary, b"a").granted
+    assert claim(ordinary, b"a").is_granted
 
 
 def test_who_is_asked_for_claims_has_the_new_epoch_on_disk_before_it_tells() -> None:
@@ -82,12 +82,12 @@
     effects = voter.handle(0.0, NEW, FetchReservations(2))
     assert [key for key, _ in effects.write] == [COMPLETE_ROW] and not effects.send
     [(_, page)] = effects.after_sync
-    assert isinstance(page, ReservationsPage) and page.last and [key for key, _ in page.claims] == [b"k"]
-    assert not claim(voter, b"b", epoch=1).granted  # the old epoch is over here
+    assert isinstance(page, ReservationsPage) and page.is_last and [key for key, _ in page.reservations] == [b"k"]
+    assert not claim(voter, b"b", epoch=1).is_granted  # the old epoch is over here
     new.learn(0.0, voter.register.pages(0))
-    assert new.is_voter and not new.complete and not claim(new, b"b", epoch=2).granted
+    assert new.is_voter and not new.complete and not claim(new, b"b", epoch=2).is_granted
     new.caught_up(0.0, [page])
-    assert new.complete and claim(new, b"b", epoch=2).other
+    assert new.complete and claim(new, b"b", epoch=2).is_taken
     again = voter.handle(0.0, NEW, FetchReservations(2))
     assert again.write and again.after_sync  # told again, and still only behind the disk
 
@@ -97,14 +97,14 @@
     claim(left, b"a")
     left.decide(0.0, exchange())
     [(_, page)] = left.handle(0.0, NEW, FetchReservations(2)).after_sync
-    assert isinstance(page, ReservationsPage) and [key for key, _ in page.claims] == [b"k"]
+    assert isinstance(page, ReservationsPage) and [key for key, _ in page.reservations] == [b"k"]
     stranger = replica("10.0.0.9", "other")
     stranger.learn(0.0, left.register.pages(0))
     assert stranger.handle(0.0, NEW, FetchReservations(2)).after_sync == []
     late = seed(IPS[1])  # it missed an epoch, and can't know what others granted there
     late.learn(0.0, _pages_after(Membership(4, NEXT.voters, NEXT.voters)))
     effects = late.handle(0.0, NEW, FetchReservations(4))
-    assert effects.write and effects.after_sync == [(NEW, ReservationsPage(4, 0, [], True, complete=False))]
+    assert effects.write and effects.after_sync == [(NEW, ReservationsPage(4, 0, [], True, was_complete=False))]
 
 
 def test_a_key_that_two_are_said_to_hold_is_granted_to_neither_by_a_newcomer() -> None:
@@ -125,7 +125,7 @@
         assert holder.complete
         for by in (b"a", b"b", b"c"):
             verdict = claim(holder, by, epoch=2)
-            assert isinstance(verdict, ReserveKeyReply) and not verdict.granted and verdict.other
+            assert isinstance(verdict, ReserveKeyReply) and not verdict.is_granted and verdict.is_taken
 
 
 def test_a_voter_is_complete_by_time_once_no_claim_of_before_counts() -> None:
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -263,13 +263,13 @@
         forward = ForwardRequest(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
         sidecar.carry(ip, forward, replies.append)
         [offer] = wire.sent
-        assert isinstance(offer, ForwardRequest) and (offer.size, offer.body) == (len(body), b"")
+        assert isinstance(offer, ForwardRequest) and (offer.body_bytes, offer.body) == (len(body), b"")
         for upto in range(PART, granted + PART, PART):
-            sidecar._heard_from(wire, GrantBody(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
+            sidecar._heard_from(wire, GrantBody(offer.number, min(upto, len(body))))  # type: ignore[arg-type]
         parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
         assert b"".join(p.data for p in parts) == body[:granted]
         sidecar._down(dialler)
-        assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
+        assert [(r.outcome, r.was_sent) for r in replies] == [(how, how == End.MAYBE)]
         assert not sidecar.outgoing.waits_for(ip)
         dialler.link = None
         dialler.close()
@@ -289,7 +289,7 @@
         sidecar._heard_from(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
         assert sidecar.ready(ip)
         [stamped] = wire.sent
-        assert isinstance(stamped, Hello) and stamped.sent > 0.0 and stamped.life == sidecar.life
+        assert isinstance(stamped, Hello) and stamped.sent_at > 0.0 and stamped.incarnation == sidecar.life
         dialler.link = None
         assert not sidecar.ready(ip)
         dialler.close()
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -65,7 +65,7 @@
         subscribers.add(link, 0)
         subscribers.answered(link, Pong(42.0))
         subscribers.look(wire.at + 2.0 * PING)
-        assert [cast(Delta, message).echo for message in wire.sent] == [0.0, 42.0]
+        assert [cast(Delta, message).echoed_at for message in wire.sent] == [0.0, 42.0]
         subscribers.look(wire.at + LEASE + 0.1)
         assert wire.closed
 
--- a/tests/mesh/test_uploads.py
+++ b/tests/mesh/test_uploads.py
@@ -13,7 +13,9 @@
 
 
 def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> ForwardRequest:
-    return ForwardRequest(0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", back=back, size=size)
+    return ForwardRequest(
+        0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", was_rejected=back, body_bytes=size
+    )
 
 
 def offer(
@@ -47,7 +49,7 @@
         whole = uploads.part(now, ("x", 1), b"%c" % (65 + sent // PART) * step)
         sent += step
     assert sent == len(whole.body) == 60_000 and whole.body[:PART] == b"A" * PART
-    assert whole.left == pytest.approx(10.0 - now) and whole.aim == pytest.approx(1.7 - now)
+    assert whole.seconds_left == pytest.approx(10.0 - now) and whole.latency_target_left == pytest.approx(1.7 - now)
     assert len(uploads) == 0
 
 
