--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -22,7 +22,7 @@
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica
-from lugspur.mesh.control.store import Name
+from lugspur.mesh.control.store import EntryKey
 
 MEMORY = 64 << 20
 
@@ -59,7 +59,7 @@
             disk[key] = value
 
 
-def publish_nothing(entries: list[Entry], forgotten: list[Name]) -> None:
+def publish_nothing(entries: list[Entry], forgotten: list[EntryKey]) -> None:
     """No proxy is told."""
 
 
--- a/lugspur/mesh/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -11,7 +11,7 @@
 
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.store import Name, newer
+from lugspur.mesh.control.store import EntryKey, supersedes
 
 ROUTES, SERVICES, LIMITS = "routes", "services", "limits"
 BACKEND, CONTROL, MEMBERSHIP = "backend", "control", "membership"
@@ -139,7 +139,7 @@
         before = seen.get((entry.kind, entry.name))
         if before is not None and before.edition == entry.edition and before.value != entry.value:
             raise MeshError(Kind.BAD_CONFIG, f"{entry.kind} {entry.name!r} comes twice under one edition")
-        if newer(entry, before):
+        if supersedes(entry, before):
             seen[(entry.kind, entry.name)] = entry
     return list(seen.values())
 
@@ -212,7 +212,7 @@
     def get(self, kind: str, name: str) -> Entry | None:
         """What is known of a name, withdrawn ones too."""
 
-    def standing(self, kind: str) -> dict[str, bytes]:
+    def values_of(self, kind: str) -> dict[str, bytes]:
         """The values of a kind, by name, of those that are not withdrawn."""
 
 
@@ -221,7 +221,7 @@
 
     def __init__(self, base: View) -> None:
         self._base = base
-        self.taking: dict[Name, Entry] = {}
+        self.taking: dict[EntryKey, Entry] = {}
 
     def add(self, entries: Iterable[Entry]) -> None:
         """Let entries take their places."""
@@ -232,9 +232,9 @@
         """What is known of a name, withdrawn ones too."""
         return self.taking.get((kind, name)) or self._base.get(kind, name)
 
-    def standing(self, kind: str) -> dict[str, bytes]:
+    def values_of(self, kind: str) -> dict[str, bytes]:
         """The values of a kind, by name, of those that are not withdrawn."""
-        found = dict(self._base.standing(kind))
+        found = dict(self._base.values_of(kind))
         for (of, name), entry in self.taking.items():
             if of != kind:
                 continue
@@ -255,7 +255,7 @@
         standing = view.get(entry.kind, entry.name)
         if standing is not None and standing.edition == entry.edition and standing.value != entry.value:
             raise MeshError(Kind.CONFLICT, f"{entry.kind} {entry.name!r} has another content under that edition")
-        if newer(entry, standing):
+        if supersedes(entry, standing):
             taking.append(entry)
     if taking:
         _check_together(taking, view)
@@ -266,8 +266,8 @@
     """Whether routes and services fit together once these entries have taken their places."""
     draft = Draft(view)
     draft.add(taking)
-    services = draft.standing(SERVICES)
-    routes = {name: read_route(value) for name, value in draft.standing(ROUTES).items()}
+    services = draft.values_of(SERVICES)
+    routes = {name: read_route(value) for name, value in draft.values_of(ROUTES).items()}
     touched = {name for kind, name in draft.taking if kind == ROUTES}
     gone = {name for (kind, name), entry in draft.taking.items() if kind == SERVICES and entry.value is None}
     places: dict[tuple[str, str], list[str]] = {}
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -62,7 +62,7 @@
         item = self._register.items.get((kind, name))
         return None if item is None else item.entry
 
-    def standing(self, kind: str) -> dict[str, bytes]:
+    def values_of(self, kind: str) -> dict[str, bytes]:
         """The values of a kind, by name, of those that are not withdrawn."""
         found = {}
         for (of, name), item in self._register.items.items():
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -31,7 +31,7 @@
     ReadIndexQuery,
     ReadIndexReply,
 )
-from lugspur.mesh.control.store import Name, newer
+from lugspur.mesh.control.store import EntryKey, supersedes
 
 WITHDRAWN_MOST = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
 WITHDRAWN_KEPT = 0.9  # of these, once they are too many: the oldest are forgotten
@@ -67,7 +67,7 @@
     """What a decided change, or several, did to the items."""
 
     entries: list[Entry] = field(default_factory=list)  # that took their places
-    forgotten: list[Name] = field(default_factory=list)  # that are gone without a word
+    forgotten: list[EntryKey] = field(default_factory=list)  # that are gone without a word
     write: Rows = field(default_factory=list)
 
 
@@ -75,7 +75,7 @@
     """Items by name as they stand after change `index`, and the vote on the next one."""
 
     def __init__(self) -> None:
-        self.items: dict[Name, Item] = {}
+        self.items: dict[EntryKey, Item] = {}
         self.bytes = 0  # of all items, as `capacity` counts them
         self.index = 0
         self.pruned = 0  # withdrawals up to this change are forgotten
@@ -148,7 +148,7 @@
         index = self.index + 1
         for entry in change.entries:
             standing = self.items.get((entry.kind, entry.name))
-            if newer(entry, None if standing is None else standing.entry):
+            if supersedes(entry, None if standing is None else standing.entry):
                 self._set(Item(entry, index), applied)
         self._advance(index, applied)
         return applied
@@ -182,7 +182,7 @@
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
 
-    def _forget(self, name: Name, applied: Applied) -> None:
+    def _forget(self, name: EntryKey, applied: Applied) -> None:
         item = self.items.pop(name)
         self.bytes -= item_bytes(item.entry)
         self._withdrawn -= item.entry.value is None
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -39,7 +39,7 @@
     Voter,
 )
 from lugspur.mesh.control.register import Applied, Register
-from lugspur.mesh.control.store import Name
+from lugspur.mesh.control.store import EntryKey
 
 GENESIS = "genesis"  # the uid of a voter of the first membership
 UID_ROW, COMPLETE_ROW = b"muid", b"mcomplete"
@@ -73,7 +73,7 @@
         zone: str,
         window: float,
         memory: int,
-        publish: Callable[[list[Entry], list[Name]], None],
+        publish: Callable[[list[Entry], list[EntryKey]], None],
     ) -> None:
         self.voter = Voter(ip, uid, zone)
         self.register = Register()
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -39,7 +39,7 @@
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
-from lugspur.mesh.control.store import Name
+from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control_figures import control_figures
 from lugspur.mesh.control_status import control_status
 from lugspur.mesh.disk import Disk
@@ -178,7 +178,7 @@
         elif isinstance(message, Subscribe):
             since = (
                 message.after_sequence
-                if message.incarnation == self.life and message.after_sequence <= self.store.upto
+                if message.incarnation == self.life and message.after_sequence <= self.store.latest_sequence
                 else 0
             )
             self.subscribers.add(link, since)
@@ -222,7 +222,7 @@
 
     # ---- what others know ------------------------------------------------------------------
 
-    def _published(self, entries: list[Entry], forgotten: list[Name]) -> None:
+    def _published(self, entries: list[Entry], forgotten: list[EntryKey]) -> None:
         """The replica has decided entries, or forgotten names."""
         self.store.merge(entries)
         self.store.forget(forgotten)
@@ -308,7 +308,7 @@
         replica = self.replica
         return Delta(
             self.life,
-            self.store.upto,
+            self.store.latest_sequence,
             now,
             min(1e6, self.age(now)),
             replica.index,
@@ -316,7 +316,7 @@
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
             since == 0,
-            self.store.after(since),
+            self.store.changed_after(since),
         )
 
     def age(self, now: float) -> float:
--- a/lugspur/mesh/control_status.py
+++ b/lugspur/mesh/control_status.py
@@ -15,7 +15,7 @@
     own: Own, replica: Replica, store: Store, disk: Disk, *, ip: str, age: float, voters_wanted: int, subscribers: int
 ) -> dict[str, Any]:
     """The fields of /mesh/status; `age`: seconds since word of a majority."""
-    kinds = {kind: len(store.standing(kind)) for kind in sorted({e.kind for e in store.all()})}
+    kinds = {kind: len(store.values_of(kind)) for kind in sorted({e.kind for e in store.all()})}
     return {
         "node": own.node_name,
         "role": "control",
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/folder.py
@@ -105,8 +105,8 @@
         yield "the disk has no name"
     if found.membership is not None:
         yield from _complete_apart(found.membership, found)
-    routes = found.store.standing(items.ROUTES)
-    services = found.store.standing(items.SERVICES)
+    routes = found.store.values_of(items.ROUTES)
+    services = found.store.values_of(items.SERVICES)
     for name, value in routes.items():
         try:
             route = items.read_route(value)
--- a/lugspur/mesh/leases.py
+++ b/lugspur/mesh/leases.py
@@ -6,7 +6,7 @@
 
 from lugspur.mesh.control.items import LEASED
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.store import Name, Store
+from lugspur.mesh.control.store import EntryKey, Store
 from lugspur.mesh.link import Link
 
 LEASE = 4.0  # seconds without a word after which what a process said of itself is dropped
@@ -27,7 +27,7 @@
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._leases: dict[Name, Lease] = {}
+        self._leases: dict[EntryKey, Lease] = {}
 
     def report(self, now: float, link: Link, entries: list[Entry]) -> None:
         """A process has said something of itself; entries of other kinds are ignored."""
@@ -47,7 +47,7 @@
                 del self._leases[name]
                 self._withdraw(name, lease.edition)
 
-    def _withdraw(self, name: Name, edition: int) -> None:
+    def _withdraw(self, name: EntryKey, edition: int) -> None:
         """Withdraw an entry, unless a later edition stands."""
         standing = self._store.get(*name)
         if standing is not None and standing.edition == edition and standing.value is not None:
--- a/lugspur/mesh/membership_changes.py
+++ b/lugspur/mesh/membership_changes.py
@@ -23,7 +23,7 @@
 
 def presences_of(store: Store) -> dict[str, Presence]:
     """What the control nodes say of themselves, by IP number."""
-    return {name: _presence.decode(value) for name, value in store.standing(CONTROL).items()}
+    return {name: _presence.decode(value) for name, value in store.values_of(CONTROL).items()}
 
 
 class MembershipChanges:
@@ -96,7 +96,7 @@
             return True
         voters = {voter.ip for voter in membership.voters}
         if self._replica.is_voter:
-            return not set(self._store.standing(CONTROL)) - voters
+            return not set(self._store.values_of(CONTROL)) - voters
         if not any(voter.ip == self._ip for voter in membership.previous_voters):
             return True
         return all(self._complete_epochs.get(ip, 0) >= membership.epoch for ip in voters)
--- a/lugspur/mesh/subscribers.py
+++ b/lugspur/mesh/subscribers.py
@@ -68,13 +68,13 @@
     def _flush(self) -> None:
         self._flushing = False
         for subscriber in self._subscribers.values():
-            if subscriber.at < self._store.upto:
+            if subscriber.at < self._store.latest_sequence:
                 self._tell(subscriber)
 
     def _tell(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
-        since = subscriber.at if subscriber.at >= self._store.forgotten_at else 0
-        subscriber.at = self._store.upto
+        since = subscriber.at if subscriber.at >= self._store.forgotten_sequence else 0
+        subscriber.at = self._store.latest_sequence
         subscriber.pinged = now
         news = self._news(now, since)
         news.echoed_at = subscriber.echo
--- a/tests/mesh/test_items.py
+++ b/tests/mesh/test_items.py
@@ -187,9 +187,9 @@
     source, copy = Store(), Store()
     source.merge(changes[:cut])
     copy.merge(source.all())
-    place = source.upto
+    place = source.latest_sequence
     source.merge(changes[cut:])
-    copy.merge(source.after(place))
+    copy.merge(source.changed_after(place))
     assert {(e.name, e.edition, e.value) for e in copy.all()} == {(e.name, e.edition, e.value) for e in source.all()}
 
 
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -34,7 +34,9 @@
         store = Store()
 
         def news(now: float, since: int) -> Delta:
-            return Delta("life", store.upto, now, 0.0, 0, False, True, 1, since == 0, store.after(since))
+            return Delta(
+                "life", store.latest_sequence, now, 0.0, 0, False, True, 1, since == 0, store.changed_after(since)
+            )
 
         await what(store, Subscribers(asyncio.get_running_loop(), store, PING, news), Wire())
 
