--- a/lugspur/mesh/control/store.py
+++ b/lugspur/mesh/control/store.py
@@ -1,4 +1,8 @@
-"""All entries that a process knows: copies merge entry by entry, and each change has a place in its own order."""
+"""All entries that a process knows, merged from several sources, with a sequence number for each change.
+
+Subscribers resume from a sequence number: it is a position in this process's own order of changes, and means nothing to
+another process or to a later incarnation of this one.
+"""
 
 from __future__ import annotations
 
@@ -9,77 +13,76 @@
 EntryKey = tuple[str, str]  # kind and name
 
 
-def supersedes(entry: Entry, than: Entry | None) -> bool:
-    """Whether an entry takes the other's place: the higher edition does."""
-    return than is None or entry.edition > than.edition
-
-
-def _supersedes(entry: Entry, than: Entry | None) -> bool:
-    """As `newer`, and under one edition the larger content everywhere.
+def supersedes(entry: Entry, current: Entry | None, *, by_content: bool = False) -> bool:
+    """Whether an entry replaces the current one of its name: the higher edition does.
 
-    Leased entries need it: who holds a lease may drop an entry while its owner says it anew, under the same edition.
-    What operators send is decided once for each edition (see `register`).
+    With `by_content`, the larger content wins under one edition, so that processes that see both agree whatever the
+    order in which they see them. Leased entries need it: a control node may drop an entry when its lease ends while its
+    owner announces it again under the same edition. What operators send is decided once for each edition (see
+    `register`).
     """
-    if than is None or entry.edition != than.edition:
-        return supersedes(entry, than)
-    return (entry.value or b"") > (than.value or b"")
+    if current is None or entry.edition != current.edition:
+        return current is None or entry.edition > current.edition
+    return by_content and (entry.value or b"") > (current.value or b"")
 
 
 class Store:
-    """Entries by kind and name; `changed` is told of each that took a place."""
+    """Entries by kind and name; `on_change` is called with each entry that is taken in."""
 
     def __init__(self, on_change: Callable[[Entry], None] | None = None) -> None:
         self._entries: dict[EntryKey, Entry] = {}
-        self._sequences: dict[EntryKey, int] = {}  # in order of their latest change: popped and put again
+        self._sequences: dict[EntryKey, int] = {}  # in order of the latest change: popped and inserted again
         self.latest_sequence = 0
-        self.forgotten_sequence = 0  # the place at which something was forgotten last: who is behind it needs all
+        # The sequence number at which an entry was forgotten last: a subscriber that is behind it needs a snapshot.
+        self.forgotten_sequence = 0
         self.on_change = on_change
 
     def get(self, kind: str, name: str) -> Entry | None:
-        """What is known of a name, withdrawn ones too."""
+        """The entry of a name, also where it is a withdrawal."""
         return self._entries.get((kind, name))
 
     def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind, by name, of those that are not withdrawn."""
+        """The values of a kind by name, without those that are withdrawn."""
         return {n: e.value for (k, n), e in self._entries.items() if k == kind and e.value is not None}
 
     def all(self) -> Iterable[Entry]:
-        """All entries, withdrawn ones too."""
+        """All entries, withdrawals included."""
         return self._entries.values()
 
     def merge(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Take what is newer; returns that."""
+        """Take in the entries that supersede what is known, and return those."""
         taken = []
         for entry in entries:
-            name = (entry.kind, entry.name)
-            if _supersedes(entry, self._entries.get(name)):
-                self._entries[name] = entry
-                self.latest_sequence += 1
-                self._sequences.pop(name, None)
-                self._sequences[name] = self.latest_sequence
-                taken.append(entry)
-                if self.on_change is not None:
-                    self.on_change(entry)
+            key = (entry.kind, entry.name)
+            if not supersedes(entry, self._entries.get(key), by_content=True):
+                continue
+            self._entries[key] = entry
+            self.latest_sequence += 1
+            self._sequences.pop(key, None)
+            self._sequences[key] = self.latest_sequence
+            taken.append(entry)
+            if self.on_change is not None:
+                self.on_change(entry)
         return taken
 
-    def forget(self, names: Iterable[EntryKey]) -> None:
-        """Drop entries without a word to who subscribes; `changed` is told as of a withdrawal."""
-        for name in names:
-            entry = self._entries.pop(name, None)
+    def forget(self, keys: Iterable[EntryKey]) -> None:
+        """Drop entries without a change for subscribers; `on_change` is called as for a withdrawal."""
+        for key in keys:
+            entry = self._entries.pop(key, None)
             if entry is None:
                 continue
-            self._sequences.pop(name, None)
+            self._sequences.pop(key, None)
             self.latest_sequence += 1
             self.forgotten_sequence = self.latest_sequence
             if self.on_change is not None and entry.value is not None:
                 self.on_change(Entry(entry.kind, entry.name, entry.edition, None))
 
-    def changed_after(self, after_sequence: int) -> list[Entry]:
-        """What changed after a place in the order, oldest first."""
+    def changed_after(self, sequence: int) -> list[Entry]:
+        """The entries that changed after a sequence number, the oldest change first."""
         found = []
-        for name in reversed(self._sequences):
-            if self._sequences[name] <= after_sequence:
+        for key in reversed(self._sequences):
+            if self._sequences[key] <= sequence:
                 break
-            found.append(self._entries[name])
+            found.append(self._entries[key])
         found.reverse()
         return found
