--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -8,7 +8,7 @@
 from lugspur.emulator.control.checks import OrderBook, Sending, Violation
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.small_world import ENDED, PAUSE, SmallWorld
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import Change, Entry, FetchDecided
 from lugspur.mesh.control.orders import Order, Outcome
 from lugspur.mesh.control.reader import Read
@@ -25,13 +25,13 @@
 
 def route(name: str, edition: int, prefix: str) -> list[Entry]:
     """A route of the one service that there is."""
-    return read_call(
+    return read_changes(
         b'{"upsert":{"routes":[{"name":"%s","office":"h","path_prefix":"%s","mail_class":"safe","deadline_ms":9,'
         b'"service":"s","edition":"%08x"}]}}' % (name.encode(), prefix.encode(), edition)
     )
 
 
-SERVICE = read_call(b'{"upsert":{"services":[{"name":"s","edition":"00000001"}]}}')
+SERVICE = read_changes(b'{"upsert":{"services":[{"name":"s","edition":"00000001"}]}}')
 X, Y = note(7, b"x"), note(7, b"y")
 NEWER = note(8, b"z")
 ONE_GONE = [Entry("routes", "one", 8, None)]
--- a/lugspur/mesh/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -1,4 +1,4 @@
-"""The operator's items: read from a call, checked against what stands, given back as they were sent."""
+"""Configuration items of operators: decoded from a call, checked against those in force, encoded as they were sent."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 ROUTES, SERVICES, LIMITS = "routes", "services", "limits"
 BACKEND, CONTROL, MEMBERSHIP = "backend", "control", "membership"
-LEASED = frozenset({BACKEND, CONTROL})  # kinds that processes say of themselves, by lease
-RESERVED = LEASED | {MEMBERSHIP}  # kinds of the mesh's own: no call of the operator may name them
-DEADLINE_MOST = 600_000.0  # ms, by the protocol
-ITEMS_MOST = 20_000  # in one call: what operators send at first is some thousands at the most
-KIND_MOST, NAME_MOST = 64, 432  # bytes of a kind and of a name: with what stands between them under KEY_MOST
-# Of the item `limits`: what is beyond these is a slip, and no process could carry it out.
-LABEL_MOST = 16 << 20  # bytes of a request's head
-PAYLOAD_MOST = 4 << 30  # bytes of a body
-WAIT_LEAST, WAIT_MOST = 0.001, 86_400_000.0  # ms
-ROUTES_READ = 4_096  # routes that are kept as read: each change is checked against all routes
-CLASSES = ("safe", "unsafe", "upload", "tracked")
-EDITION = re.compile(r"[0-9a-fA-F]{8}")
+LEASED_KINDS = frozenset({BACKEND, CONTROL})  # kinds that processes announce about themselves, by lease
+RESERVED_KINDS = LEASED_KINDS | {MEMBERSHIP}  # kinds of the mesh itself: no call of an operator may name them
+MAX_DEADLINE_MS = 600_000.0  # by the operators' protocol
+MAX_ITEMS_PER_CALL = 20_000  # the first call of an operator holds some thousands at the most
+MAX_KIND_BYTES, MAX_NAME_BYTES = 64, 432  # together with their separators less than `register.KEY_MOST`
+# Of the item `limits`: a value beyond these is a mistake, and no process could apply it.
+MAX_HEAD_BYTES = 16 << 20  # of a request's head
+MAX_BODY_BYTES = 4 << 30
+MIN_WAIT_MS, MAX_WAIT_MS = 0.001, 86_400_000.0
+MAX_CACHED_ROUTES = 4_096  # decoded routes: each change is checked against all routes
+MAIL_CLASSES = ("safe", "unsafe", "upload", "tracked")
+EDITION_PATTERN = re.compile(r"[0-9a-fA-F]{8}")
 
 
 class Share(msgspec.Struct):
-    """A part of a route's requests."""
+    """The share of a route's requests that goes to one service."""
 
     service: str
     share: float
@@ -51,8 +51,8 @@
     split: list[Share] | None = None
     tries: int = 1
 
-    def services(self) -> list[str]:
-        """The services that it may go to."""
+    def service_names(self) -> list[str]:
+        """The services that requests of this route may go to."""
         return [part.service for part in self.split] if self.split else [self.service] if self.service else []
 
 
@@ -66,8 +66,8 @@
     dedupes: bool = False
 
 
-class Bounds(msgspec.Struct):
-    """The item `limits`: what a client may send, in bytes, and how long it may take, in milliseconds."""
+class RequestLimits(msgspec.Struct):
+    """The item `limits`: how much a client may send, in bytes, and how long it may take, in milliseconds."""
 
     edition: str = "00000000"
     label_bytes: int = 16384
@@ -76,64 +76,64 @@
     idle_ms: float = 15000.0
 
 
-class _Named(msgspec.Struct):
+class _NameAndEdition(msgspec.Struct):
     name: str
     edition: str
 
 
-class _Edition(msgspec.Struct):
+class _EditionOnly(msgspec.Struct):
     edition: str
 
 
-class _Call(msgspec.Struct):
+class _OperatorCall(msgspec.Struct):
     upsert: dict[str, msgspec.Raw] = {}
-    withdraw: dict[str, list[_Named]] = {}
+    withdraw: dict[str, list[_NameAndEdition]] = {}
 
 
-_call = msgspec.json.Decoder(_Call)
-_list = msgspec.json.Decoder(list[msgspec.Raw])
-_named = msgspec.json.Decoder(_Named)
-_edition = msgspec.json.Decoder(_Edition)
-_route = msgspec.json.Decoder(Route)
-_service = msgspec.json.Decoder(Service)
-_bounds = msgspec.json.Decoder(Bounds)
+_call_decoder = msgspec.json.Decoder(_OperatorCall)
+_list_decoder = msgspec.json.Decoder(list[msgspec.Raw])
+_name_decoder = msgspec.json.Decoder(_NameAndEdition)
+_edition_decoder = msgspec.json.Decoder(_EditionOnly)
+_route_decoder = msgspec.json.Decoder(Route)
+_service_decoder = msgspec.json.Decoder(Service)
+_limits_decoder = msgspec.json.Decoder(RequestLimits)
 
 
-def _number(edition: str) -> int:
-    if not EDITION.fullmatch(edition):
+def _read_edition(edition: str) -> int:
+    if not EDITION_PATTERN.fullmatch(edition):
         raise MeshError(Kind.BAD_CONFIG, f"edition {edition!r} is not eight hexadecimal digits")
     return int(edition, 16)
 
 
-@lru_cache(ROUTES_READ)
+@lru_cache(MAX_CACHED_ROUTES)
 def read_route(value: bytes) -> Route:
-    """A route of an entry; not to be changed, since it is kept."""
-    return _route.decode(value)
+    """Decode the route of an entry. The result is cached and must not be modified."""
+    return _route_decoder.decode(value)
 
 
 def read_service(value: bytes) -> Service:
-    """A service of an entry."""
-    return _service.decode(value)
+    """Decode the service of an entry."""
+    return _service_decoder.decode(value)
 
 
-def read_bounds(value: bytes) -> Bounds:
-    """The limits of their entry."""
-    return _bounds.decode(value)
+def read_limits(value: bytes) -> RequestLimits:
+    """Decode the limits of their entry."""
+    return _limits_decoder.decode(value)
 
 
-def read_call(body: bytes) -> list[Entry]:
-    """The entries of a call, each checked by itself; raises MeshError (BAD_CONFIG)."""
+def read_changes(body: bytes) -> list[Entry]:
+    """Decode the entries of an operator's call and check each by itself; raises MeshError (BAD_CONFIG)."""
     try:
-        msgspec.json.decode(body)  # Guards against bytes that Raw would pass over
-        call = _call.decode(body)
-        entries = [entry for kind, raw in call.upsert.items() for entry in _upsert(kind, raw)]
+        msgspec.json.decode(body)  # guards against bytes that Raw does not look at
+        call = _call_decoder.decode(body)
+        entries = [entry for kind, raw in call.upsert.items() for entry in _read_upsert(kind, raw)]
         for kind, dropped in call.withdraw.items():
-            _kind(kind)
-            entries += [Entry(kind, _name(d.name), _number(d.edition), None) for d in dropped]
+            _check_kind(kind)
+            entries += [Entry(kind, _check_name(d.name), _read_edition(d.edition), None) for d in dropped]
     except (msgspec.DecodeError, msgspec.ValidationError) as fault:
         raise MeshError(Kind.BAD_CONFIG, str(fault)) from None
-    if len(entries) > ITEMS_MOST:
-        raise MeshError(Kind.BAD_CONFIG, f"more than {ITEMS_MOST} items in one call")
+    if len(entries) > MAX_ITEMS_PER_CALL:
+        raise MeshError(Kind.BAD_CONFIG, f"more than {MAX_ITEMS_PER_CALL} items in one call")
     seen: dict[tuple[str, str], Entry] = {}
     for entry in entries:
         before = seen.get((entry.kind, entry.name))
@@ -144,59 +144,59 @@
     return list(seen.values())
 
 
-def _kind(kind: str) -> None:
-    # Guards the disks: a kind and a name make a row's key, which lmdb bounds in bytes (see `register.KEY_MOST`).
-    if kind in RESERVED or not kind.isascii() or not kind.isidentifier() or len(kind) > KIND_MOST:
+def _check_kind(kind: str) -> None:
+    # Guards the disks: a kind and a name form the key of a row, which lmdb limits in bytes (see `register.KEY_MOST`).
+    if kind in RESERVED_KINDS or not kind.isascii() or not kind.isidentifier() or len(kind) > MAX_KIND_BYTES:
         raise MeshError(Kind.BAD_CONFIG, f"no items of kind {kind!r}")
 
 
-def _name(name: str) -> str:
-    if not name or len(name.encode()) > NAME_MOST:
+def _check_name(name: str) -> str:
+    if not name or len(name.encode()) > MAX_NAME_BYTES:
         raise MeshError(Kind.BAD_CONFIG, "a name is empty or too long")
     return name
 
 
-def _upsert(kind: str, raw: msgspec.Raw) -> list[Entry]:
-    _kind(kind)
+def _read_upsert(kind: str, raw: msgspec.Raw) -> list[Entry]:
+    _check_kind(kind)
     if kind == LIMITS:
-        bounds = _bounds.decode(raw)
-        _check_bounds(bounds)
-        return [Entry(LIMITS, "", _number(bounds.edition), bytes(raw))]
+        bounds = _limits_decoder.decode(raw)
+        _check_limits(bounds)
+        return [Entry(LIMITS, "", _read_edition(bounds.edition), bytes(raw))]
     entries = []
-    for item in _list.decode(raw):
-        named = _named.decode(item)
+    for item in _list_decoder.decode(raw):
+        named = _name_decoder.decode(item)
         if kind == ROUTES:
-            _check_route(_route.decode(item))
+            _check_route(_route_decoder.decode(item))
         elif kind == SERVICES:
-            _service.decode(item)
-        entries.append(Entry(kind, _name(named.name), _number(named.edition), bytes(item)))
+            _service_decoder.decode(item)
+        entries.append(Entry(kind, _check_name(named.name), _read_edition(named.edition), bytes(item)))
     return entries
 
 
-def _check_bounds(bounds: Bounds) -> None:
-    """What makes the limits invalid. Guards all requests: by a negative number each one would be rejected."""
+def _check_limits(bounds: RequestLimits) -> None:
+    """Raise MeshError for invalid limits. It guards all requests: a negative number would reject each one."""
     allowed = {
-        "label_bytes": (1.0, LABEL_MOST),
-        "payload_bytes": (0.0, PAYLOAD_MOST),
-        "label_wait_ms": (WAIT_LEAST, WAIT_MOST),
-        "idle_ms": (WAIT_LEAST, WAIT_MOST),
+        "label_bytes": (1.0, MAX_HEAD_BYTES),
+        "payload_bytes": (0.0, MAX_BODY_BYTES),
+        "label_wait_ms": (MIN_WAIT_MS, MAX_WAIT_MS),
+        "idle_ms": (MIN_WAIT_MS, MAX_WAIT_MS),
     }
-    for name, (least, most) in allowed.items():
+    for name, (minimum, maximum) in allowed.items():
         value = getattr(bounds, name)
-        if not least <= value <= most:
-            raise MeshError(Kind.BAD_CONFIG, f"limits: {name} {value:g} is not from {least:g} to {most:.0f}")
+        if not minimum <= value <= maximum:
+            raise MeshError(Kind.BAD_CONFIG, f"limits: {name} {value:g} is not from {minimum:g} to {maximum:.0f}")
 
 
 def _check_route(route: Route) -> None:
-    """What makes a route invalid by itself."""
+    """Raise MeshError for a route that is invalid whatever the other items are."""
     name = route.name
-    if not 0.0 < route.deadline_ms <= DEADLINE_MOST:
+    if not 0.0 < route.deadline_ms <= MAX_DEADLINE_MS:
         raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: deadline_ms {route.deadline_ms:g} is not in (0, 600000]")
     if not route.path_prefix.startswith("/"):
         raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: path_prefix does not begin with a slash")
-    if route.mail_class not in CLASSES:
+    if route.mail_class not in MAIL_CLASSES:
         raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: mail_class {route.mail_class!r} is unknown")
-    if not route.services() or (route.split and route.service):
+    if not route.service_names() or (route.split and route.service):
         raise MeshError(Kind.BAD_CONFIG, f"route {name!r} needs a service or a split")
     shares = [part.share for part in route.split or ()]
     # Guards each request on the route: no draw can be made by shares whose sum is no finite number.
@@ -206,37 +206,37 @@
         raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: office is empty or tries is under 1")
 
 
-class View(Protocol):
-    """Entries by kind and name."""
+class EntryView(Protocol):
+    """Read access to entries by kind and name."""
 
     def get(self, kind: str, name: str) -> Entry | None:
-        """What is known of a name, withdrawn ones too."""
+        """The entry of a name, also where it is a withdrawal."""
 
     def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind, by name, of those that are not withdrawn."""
+        """The values of a kind by name, without those that are withdrawn."""
 
 
 class Draft:
-    """Another view with entries that are to take their places in it."""
+    """A view as it will be once further entries are in force."""
 
-    def __init__(self, base: View) -> None:
+    def __init__(self, base: EntryView) -> None:
         self._base = base
-        self.taking: dict[EntryKey, Entry] = {}
+        self.entries: dict[EntryKey, Entry] = {}
 
     def add(self, entries: Iterable[Entry]) -> None:
-        """Let entries take their places."""
+        """Put entries into force in this draft."""
         for entry in entries:
-            self.taking[entry.kind, entry.name] = entry
+            self.entries[entry.kind, entry.name] = entry
 
     def get(self, kind: str, name: str) -> Entry | None:
-        """What is known of a name, withdrawn ones too."""
-        return self.taking.get((kind, name)) or self._base.get(kind, name)
+        """The entry of a name, also where it is a withdrawal."""
+        return self.entries.get((kind, name)) or self._base.get(kind, name)
 
     def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind, by name, of those that are not withdrawn."""
+        """The values of a kind by name, without those that are withdrawn."""
         found = dict(self._base.values_of(kind))
-        for (of, name), entry in self.taking.items():
-            if of != kind:
+        for (entry_kind, name), entry in self.entries.items():
+            if entry_kind != kind:
                 continue
             if entry.value is None:
                 found.pop(name, None)
@@ -245,48 +245,49 @@
         return found
 
 
-def check(entries: list[Entry], view: View) -> list[Entry]:
-    """The entries that take effect; raises MeshError where they may not stand beside the rest.
+def check_changes(entries: list[Entry], view: EntryView) -> list[Entry]:
+    """Return the entries that take effect; raises MeshError where they conflict with the items in force.
 
-    Only what takes effect is held against the rest: an old change that arrives again changes nothing.
+    Only entries that take effect are checked: an old change that arrives again changes nothing and is no error.
+    CONFLICT: a name has other content under the same edition. BAD_CONFIG: routes and services do not fit together.
     """
     taking = []
     for entry in entries:
-        standing = view.get(entry.kind, entry.name)
-        if standing is not None and standing.edition == entry.edition and standing.value != entry.value:
+        current = view.get(entry.kind, entry.name)
+        if current is not None and current.edition == entry.edition and current.value != entry.value:
             raise MeshError(Kind.CONFLICT, f"{entry.kind} {entry.name!r} has another content under that edition")
-        if supersedes(entry, standing):
+        if supersedes(entry, current):
             taking.append(entry)
     if taking:
         _check_together(taking, view)
     return taking
 
 
-def _check_together(taking: list[Entry], view: View) -> None:
-    """Whether routes and services fit together once these entries have taken their places."""
+def _check_together(taking: list[Entry], view: EntryView) -> None:
+    """Check that routes and services fit together once these entries are in force."""
     draft = Draft(view)
     draft.add(taking)
     services = draft.values_of(SERVICES)
     routes = {name: read_route(value) for name, value in draft.values_of(ROUTES).items()}
-    touched = {name for kind, name in draft.taking if kind == ROUTES}
-    gone = {name for (kind, name), entry in draft.taking.items() if kind == SERVICES and entry.value is None}
-    places: dict[tuple[str, str], list[str]] = {}
+    changed = {name for kind, name in draft.entries if kind == ROUTES}
+    withdrawn = {name for (kind, name), entry in draft.entries.items() if kind == SERVICES and entry.value is None}
+    by_prefix: dict[tuple[str, str], list[str]] = {}
     for name, route in routes.items():
-        places.setdefault((route.office.lower(), route.path_prefix), []).append(name)
+        by_prefix.setdefault((route.office.lower(), route.path_prefix), []).append(name)
     for name, route in routes.items():
-        for service in route.services():
-            if service not in services and (name in touched or service in gone):
+        for service in route.service_names():
+            if service not in services and (name in changed or service in withdrawn):
                 raise MeshError(Kind.BAD_CONFIG, f"route {name!r} names the unknown service {service!r}")
-        others = [other for other in places[route.office.lower(), route.path_prefix] if other != name]
-        if name in touched and others:
+        others = [other for other in by_prefix[route.office.lower(), route.path_prefix] if other != name]
+        if name in changed and others:
             raise MeshError(Kind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} share host and prefix")
 
 
-def read_back(entries: Iterable[Entry]) -> bytes:
-    """All items that stand, as they were sent."""
+def encode_items(entries: Iterable[Entry]) -> bytes:
+    """Encode all items in force to JSON, as operators sent them."""
     kinds: dict[str, Any] = {ROUTES: [], SERVICES: []}
     for entry in entries:
-        if entry.kind in RESERVED or entry.value is None:
+        if entry.kind in RESERVED_KINDS or entry.value is None:
             continue
         if entry.kind == LIMITS:
             kinds[LIMITS] = msgspec.Raw(entry.value)
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -19,7 +19,7 @@
 from lugspur.mesh.control.capacity import configuration_most, item_bytes
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.items import Draft, check
+from lugspur.mesh.control.items import Draft, check_changes
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
@@ -241,12 +241,12 @@
             if order.base_epoch is not None:
                 if order.base_epoch != self._replica.epoch:
                     self._end(order, NoQuorum())  # another change of the voters came first
-                elif not draft.taking:  # a change of the voters goes alone
+                elif not draft.entries:  # a change of the voters goes alone
                     self._offer(order, change_id)
                     return Change(change_id, order.entries)
                 continue
             try:
-                taking = check(order.entries, view)
+                taking = check_changes(order.entries, view)
                 self._check_size(taking)
             except MeshError as fault:
                 # Guards against a state that was the latest when voters promised, before this order came.
@@ -258,7 +258,7 @@
             elif self._fits(order, taking, draft) and self._has_room(taking, draft):
                 draft.add(taking)
                 self._offer(order, change_id)
-        return Change(change_id, list(draft.taking.values())) if draft.taking else None
+        return Change(change_id, list(draft.entries.values())) if draft.entries else None
 
     def _check_size(self, taking: list[Entry]) -> None:
         """Guards all disks: what one of them can't take would fail there each time that it is proposed."""
@@ -275,18 +275,18 @@
     @staticmethod
     def _has_room(taking: list[Entry], draft: Draft) -> bool:
         """Whether a change that holds some entries may hold these too; a single order always goes."""
-        if not draft.taking:
+        if not draft.entries:
             return True
-        size = sum(len(entry.value or b"") for entry in (*draft.taking.values(), *taking))
-        return len(draft.taking) < ORDERS_AT_ONCE and size <= CHANGE_BYTES
+        size = sum(len(entry.value or b"") for entry in (*draft.entries.values(), *taking))
+        return len(draft.entries) < ORDERS_AT_ONCE and size <= CHANGE_BYTES
 
     @staticmethod
     def _fits(order: Order, taking: list[Entry], draft: Draft) -> bool:
         """Whether an order takes the same effect beside those of the same change; else it waits for the next one."""
-        if any((entry.kind, entry.name) in draft.taking for entry in taking):
+        if any((entry.kind, entry.name) in draft.entries for entry in taking):
             return False
         try:
-            return check(order.entries, draft) == taking
+            return check_changes(order.entries, draft) == taking
         except MeshError:
             return False
 
--- a/lugspur/mesh/control_node.py
+++ b/lugspur/mesh/control_node.py
@@ -12,7 +12,7 @@
 from lugspur.mesh.announcement import Announcement
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.items import LEASED, MEMBERSHIP
+from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
 from lugspur.mesh.control.learning import LearnPages
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
@@ -232,7 +232,7 @@
         for entry in message.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
                 self.go_by(read_membership(entry.value))
-        return self.store.merge([entry for entry in message.entries if entry.kind in LEASED])
+        return self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def heard_more(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
--- a/lugspur/mesh/dataplane/routes.py
+++ b/lugspur/mesh/dataplane/routes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lugspur.mesh.control.items import LIMITS, ROUTES, Bounds, Route, read_bounds, read_route
+from lugspur.mesh.control.items import LIMITS, ROUTES, RequestLimits, Route, read_limits, read_route
 from lugspur.mesh.control.messages import Entry
 
 FORGET = 1 / 256  # of the difference by which one caller's time lowers the longest that is known
@@ -40,7 +40,7 @@
         self.deadline = route.deadline_ms / 1000.0
         self.target = (route.target_ms or route.deadline_ms) / 1000.0
         self.priority, self.tries = route.priority, route.tries
-        self.services = route.services()
+        self.services = route.service_names()
         self.shares = [part.share for part in route.split] if route.split else [1.0]
         self.pace = 0.0  # seconds that an answer on it usually takes, as seen here
         self.longest = 0.0  # seconds that callers give it when they first come, as seen here
@@ -69,7 +69,7 @@
         self._entries: dict[str, RouteEntry] = {}  # by the item's name
         self._hosts: dict[bytes, dict[bytes, RouteEntry]] = {}  # by the prefix
         self._claimants: dict[tuple[bytes, bytes], dict[str, RouteEntry]] = {}  # all that want a place, by their names
-        self.bounds = Bounds()
+        self.bounds = RequestLimits()
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -77,7 +77,7 @@
     def change(self, entry: Entry) -> bool:
         """Take up an item; returns whether it was the limits."""
         if entry.kind == LIMITS and entry.value is not None:
-            self.bounds = read_bounds(entry.value)
+            self.bounds = read_limits(entry.value)
             return True
         if entry.kind != ROUTES:
             return False
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/folder.py
@@ -113,7 +113,7 @@
         except msgspec.MsgspecError as fault:
             yield f"route {name!r} can't be read: {fault}"
             continue
-        for service in route.services():
+        for service in route.service_names():
             if service not in services:
                 yield f"route {name!r} names the unknown service {service!r}"
 
@@ -153,4 +153,4 @@
 
 def export(found: Found) -> bytes:
     """All items that stand, as a call of the operator that brings them to another mesh."""
-    return msgspec.json.encode({"upsert": msgspec.Raw(items.read_back(found.store.all())), "withdraw": {}})
+    return msgspec.json.encode({"upsert": msgspec.Raw(items.encode_items(found.store.all())), "withdraw": {}})
--- a/lugspur/mesh/leases.py
+++ b/lugspur/mesh/leases.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lugspur.mesh.control.items import LEASED
+from lugspur.mesh.control.items import LEASED_KINDS
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import EntryKey, Store
 from lugspur.mesh.link import Link
@@ -31,7 +31,7 @@
 
     def report(self, now: float, link: Link, entries: list[Entry]) -> None:
         """A process has said something of itself; entries of other kinds are ignored."""
-        leased = [entry for entry in entries if entry.kind in LEASED]
+        leased = [entry for entry in entries if entry.kind in LEASED_KINDS]
         for entry in leased:
             self._leases[entry.kind, entry.name] = Lease(link, entry.edition, now)
         self._store.merge(leased)
--- a/lugspur/mesh/node.py
+++ b/lugspur/mesh/node.py
@@ -12,7 +12,7 @@
 from lugspur.mesh.control.claims import Claims, Settled
 from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.control.freshness import Freshness
-from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
+from lugspur.mesh.control.items import MEMBERSHIP, RESERVED_KINDS
 from lugspur.mesh.control.messages import (
     Delta,
     Entry,
@@ -237,7 +237,7 @@
     def _forget_missing(self, entries: list[Entry]) -> None:
         """All that a peer has, which knows no less than this process: what is not in it was withdrawn long ago."""
         there = {(entry.kind, entry.name) for entry in entries}
-        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED]
+        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED_KINDS]
         self.store.forget([name for name in names if name not in there])
 
     def merged(self, taken: list[Entry]) -> None:
--- a/lugspur/mesh/operator_calls.py
+++ b/lugspur/mesh/operator_calls.py
@@ -58,7 +58,7 @@
             self._router.withdraw(order)
 
         now = self._loop.time()
-        entries = items.read_call(request.body)
+        entries = items.read_changes(request.body)
         self._router.turn_away(now)
         order = Order(entries, now + DECIDE_WITHIN, over)
         caller.gone = gone
@@ -76,7 +76,7 @@
                 return
             if latest:
                 entries = [item.entry for item in self._replica.register.items.values()]
-                reply(caller, items.read_back(entries))
+                reply(caller, items.encode_items(entries))
             else:
                 fail(caller, MeshError(Kind.NO_QUORUM, "too few voters answered"))
 
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -14,7 +14,7 @@
 
 from lugspur.mesh.control.claim_table import ClaimTable
 from lugspur.mesh.control.errors import ANSWERS, Kind
-from lugspur.mesh.control.items import Bounds, Route, Service, Share
+from lugspur.mesh.control.items import RequestLimits, Route, Service, Share
 from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import (
     Accept,
@@ -488,11 +488,11 @@
             b'{"name":"s","edition":"0000000b","checkup_path":"/","max_connections":0,"dedupes":false}',
         ),
         (
-            Bounds(edition="0000000c", label_bytes=7, payload_bytes=8, label_wait_ms=9.5, idle_ms=10.5),
+            RequestLimits(edition="0000000c", label_bytes=7, payload_bytes=8, label_wait_ms=9.5, idle_ms=10.5),
             b'{"edition":"0000000c","label_bytes":7,"payload_bytes":8,"label_wait_ms":9.5,"idle_ms":10.5}',
         ),
         (
-            Bounds(),
+            RequestLimits(),
             b'{"edition":"00000000","label_bytes":16384,"payload_bytes":67108864,"label_wait_ms":3000.0,'
             b'"idle_ms":15000.0}',
         ),
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -24,7 +24,7 @@
 from lugspur.http1.intake import Sizes
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
@@ -183,7 +183,7 @@
         self.claims: list[Callable[[Settled], None]] = []
         self.gate: Gate | None = None
         table = RouteTable()
-        for entry in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
+        for entry in read_changes(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
             table.change(entry)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
         self.proxy.sender = "mine"
--- a/tests/mesh/test_folder.py
+++ b/tests/mesh/test_folder.py
@@ -13,7 +13,7 @@
 
 from lugspur.mesh.cli import replica_check, replica_export, replica_show
 from lugspur.mesh.control.errors import MeshError
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, Change, CompleteKey, Item, ReserveKey, Voter
 from lugspur.mesh.control.replica import GENESIS, Replica
 from lugspur.mesh.disk import ASIDE, NAME, Disk
@@ -28,7 +28,7 @@
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     effects = [
         voter.begin(0.0, SEEDS),
-        voter.decide(0.0, Change("first", read_call(CALL))),
+        voter.decide(0.0, Change("first", read_changes(CALL))),
         voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0)),
         voter.handle(0.0, None, ReserveKey(b"l", b"b", 1, 2.0)),
         voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"hi"))),
@@ -63,7 +63,7 @@
     replica_export(tmp_path)
     checked, shown, exported = capsys.readouterr().out.splitlines()
     assert "no fault" in checked and json.loads(shown) == found
-    assert {e.name for e in read_call(exported.encode())} == {e.name for e in read_call(CALL)}
+    assert {e.name for e in read_changes(exported.encode())} == {e.name for e in read_changes(CALL)}
     assert export(look(tmp_path)).decode() == exported
     assert sorted(path.read_bytes() for path in (tmp_path / NAME).iterdir()) == before  # nothing is written
 
@@ -94,7 +94,7 @@
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     rows = dict(voter.begin(0.0, SEEDS).write)
     rows[b"muid"] = b"another"
-    entry = next(e for e in read_call(call(route("r"))) if e.kind == "routes")
+    entry = next(e for e in read_changes(call(route("r"))) if e.kind == "routes")
     rows[b"iroutes\0r"] = msgspec.msgpack.encode(Item(entry, 2))
     put(tmp_path, list(rows.items()))
     faults = look(tmp_path).faults
--- a/tests/mesh/test_items.py
+++ b/tests/mesh/test_items.py
@@ -11,7 +11,7 @@
 from meshcalls import call, route, service
 
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.items import check, read_back, read_call
+from lugspur.mesh.control.items import check_changes, encode_items, read_changes
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.register import KEY_MOST, item_row
 from lugspur.mesh.control.store import Store
@@ -21,13 +21,13 @@
 
 def standing(body: bytes) -> Store:
     store = Store()
-    store.merge(read_call(body))
+    store.merge(read_changes(body))
     return store
 
 
 def refused(body: bytes, store: Store | None = None) -> Kind:
     with pytest.raises(MeshError) as caught:
-        check(read_call(body), store or standing(call(services=[service()])))
+        check_changes(read_changes(body), store or standing(call(services=[service()])))
     return caught.value.kind
 
 
@@ -46,11 +46,11 @@
             "withdraw": {"routes": []},
         }
     ).encode()
-    entries = read_call(body)
-    check(entries, Store())
+    entries = read_changes(body)
+    check_changes(entries, Store())
     store = Store()
     store.merge(entries)
-    assert json.loads(read_back(store.all())) == json.loads(body)["upsert"]
+    assert json.loads(encode_items(store.all())) == json.loads(body)["upsert"]
 
 
 @pytest.mark.parametrize(
@@ -112,13 +112,13 @@
 def test_limits_that_cant_be_carried_out_are_refused_whole(limits: dict[str, Any]) -> None:
     body = {"upsert": {"services": [service("new")], "limits": {"edition": "0000000a", **limits}}}
     with pytest.raises(MeshError, match=next(iter(limits))) as caught:
-        read_call(json.dumps(body).encode())
+        read_changes(json.dumps(body).encode())
     assert caught.value.kind is Kind.BAD_CONFIG
 
 
 def test_limits_of_the_protocols_own_example_and_small_ones_are_taken() -> None:
     for limits in ({}, {"label_bytes": 16384, "payload_bytes": 64 << 20}, {"payload_bytes": 0, "idle_ms": 1}):
-        [entry] = read_call(json.dumps({"upsert": {"limits": {"edition": "0000000a", **limits}}}).encode())
+        [entry] = read_changes(json.dumps({"upsert": {"limits": {"edition": "0000000a", **limits}}}).encode())
         assert entry.kind == "limits"
 
 
@@ -127,7 +127,7 @@
     store = standing(call(route("a"), services=[service()]))
     assert refused(call(route("b", path_prefix="/a/")), store) is Kind.BAD_CONFIG
     # Where the one that stands goes in the same call, its place is free.
-    check(read_call(call(route("b", path_prefix="/a/"), drop=[{"name": "a", "edition": "00000008"}])), store)
+    check_changes(read_changes(call(route("b", path_prefix="/a/"), drop=[{"name": "a", "edition": "00000008"}])), store)
 
 
 def test_a_service_that_routes_need_can_not_be_dropped() -> None:
@@ -139,22 +139,22 @@
 def test_an_old_change_that_arrives_again_is_taken_and_changes_nothing() -> None:
     store = standing(call(route(edition="00000009"), services=[service()]))
     store.merge([Entry("services", "s", 20, None), Entry("routes", "r", 21, None)])
-    entries = read_call(call(route(edition="00000009"), services=[service()]))
-    check(entries, store)
+    entries = read_changes(call(route(edition="00000009"), services=[service()]))
+    check_changes(entries, store)
     assert store.merge(entries) == []
 
 
 def test_another_content_under_an_edition_that_stands_is_a_conflict() -> None:
     store = standing(call(route(), services=[service()]))
-    check(read_call(call(route())), store)  # the same content is a repeat
+    check_changes(read_changes(call(route())), store)  # the same content is a repeat
     assert refused(call(route(deadline_ms=700)), store) is Kind.CONFLICT
 
 
 def test_one_name_set_and_dropped_in_one_call() -> None:
     drop = [{"name": "r", "edition": "00000008"}]
-    [entry] = [e for e in read_call(call(route(edition="00000007"), drop=drop)) if e.name == "r"]
+    [entry] = [e for e in read_changes(call(route(edition="00000007"), drop=drop)) if e.name == "r"]
     assert entry.value is None
-    [entry] = [e for e in read_call(call(route(edition="00000009"), drop=drop)) if e.name == "r"]
+    [entry] = [e for e in read_changes(call(route(edition="00000009"), drop=drop)) if e.name == "r"]
     assert entry.value is not None
     assert refused(call(route(edition="00000008"), drop=drop)) is Kind.BAD_CONFIG
 
@@ -208,10 +208,10 @@
     for kind, name in (("é" * 64, "n" * 432), ("notes", "n" * 433), ("notes", "ü" * 217)):
         body = json.dumps({"upsert": {kind: [{"name": name, "edition": "00000001"}]}}).encode()
         with pytest.raises(MeshError) as caught:
-            read_call(body)
+            read_changes(body)
         assert caught.value.kind is Kind.BAD_CONFIG
         body = json.dumps({"withdraw": {kind: [{"name": name, "edition": "00000001"}]}}).encode()
         with pytest.raises(MeshError):
-            read_call(body)
-    [longest] = read_call(json.dumps({"upsert": {"n" * 64: [{"name": "n" * 432, "edition": "00000001"}]}}).encode())
+            read_changes(body)
+    [longest] = read_changes(json.dumps({"upsert": {"n" * 64: [{"name": "n" * 432, "edition": "00000001"}]}}).encode())
     assert len(item_row(longest)) <= KEY_MOST
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -9,7 +9,7 @@
 
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
@@ -137,7 +137,7 @@
     ballot = ballot_of(node.submit(item("r", 7)))
     node.promises(ballot, A)
     # Another may have decided what this one rests on since B has promised: its word is old when it comes.
-    node.submit(*read_call(call(route("a"))))
+    node.submit(*read_changes(call(route("a"))))
     offered(node.promises(ballot, B))
     assert node.how == []
     again = ballot_of(node.accepts(ballot, A, B).send)
@@ -147,7 +147,7 @@
     alone.decide(item("r", 7))
     ballot = ballot_of(alone.submit(item("r", 7)))  # which needs no change
     alone.promises(ballot, A)
-    alone.submit(*read_call(call(route("a"))))
+    alone.submit(*read_changes(call(route("a"))))
     again = ballot_of(alone.promises(ballot, B).send)
     assert alone.how == [Confirmed(), Confirmed()]
     alone.promises(again, A, B)
@@ -156,10 +156,10 @@
 
 def test_orders_wait_together_and_what_does_not_fit_beside_the_rest_waits_for_the_next_change() -> None:
     node = Node()
-    node.decide(*read_call(call(services=[service()])))
+    node.decide(*read_changes(call(services=[service()])))
     node.how.clear()
-    same_place = read_call(call(route("b", path_prefix="/a/")))
-    ballot = ballot_of(node.submit(*read_call(call(route("a")))))
+    same_place = read_changes(call(route("b", path_prefix="/a/")))
+    ballot = ballot_of(node.submit(*read_changes(call(route("a")))))
     for entries in (same_place, [item("r", 7)], [item("r", 8)]):
         assert node.submit(*entries) == []  # one proposal at a time
     accept = offered(node.promises(ballot, A, B))
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -11,7 +11,7 @@
 from meshcalls import call, route
 
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.causes import Cause
 from lugspur.mesh.dataplane.gate import End
@@ -69,7 +69,7 @@
         self.released: list[bytes] = []
         self.unreachable: set[str] = set()
         table = RouteTable()
-        for entry in read_call(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
+        for entry in read_changes(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
             table.change(entry)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, slack, 10.0, "z0")
         self.proxy.sender = "mine"
@@ -486,7 +486,7 @@
 
 def test_a_route_that_is_turned_away_costs_another_route_nothing() -> None:
     def what(rig: Rig) -> None:
-        for entry in read_call(call(route("urgent"))):
+        for entry in read_changes(call(route("urgent"))):
             rig.proxy.table.change(entry)
         for _ in range(100):
             rig.ask()
--- a/tests/mesh/test_route_table.py
+++ b/tests/mesh/test_route_table.py
@@ -6,14 +6,14 @@
 
 from meshcalls import call, route
 
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.dataplane.routes import RouteTable
 
 
 def table(*routes: dict[str, object]) -> RouteTable:
     found = RouteTable()
-    for entry in read_call(call(*routes)):
+    for entry in read_changes(call(*routes)):
         found.change(entry)
     return found
 
@@ -41,7 +41,7 @@
 
 def test_a_route_that_moves_or_goes_leaves_its_place() -> None:
     routes = table(route("r"))
-    for entry in read_call(call(route("r", "00000009", path_prefix="/new/"))):
+    for entry in read_changes(call(route("r", "00000009", path_prefix="/new/"))):
         routes.change(entry)
     assert (name(routes, b"/r/1"), name(routes, b"/new/1")) == (None, "r")
     routes.change(Entry("routes", "r", 10, None))
