--- a/lugspur/mesh/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -81,10 +81,6 @@
     edition: str
 
 
-class _EditionOnly(msgspec.Struct):
-    edition: str
-
-
 class _OperatorCall(msgspec.Struct):
     upsert: dict[str, msgspec.Raw] = {}
     withdraw: dict[str, list[_NameAndEdition]] = {}
@@ -93,7 +89,6 @@
 _call_decoder = msgspec.json.Decoder(_OperatorCall)
 _list_decoder = msgspec.json.Decoder(list[msgspec.Raw])
 _name_decoder = msgspec.json.Decoder(_NameAndEdition)
-_edition_decoder = msgspec.json.Decoder(_EditionOnly)
 _route_decoder = msgspec.json.Decoder(Route)
 _service_decoder = msgspec.json.Decoder(Service)
 _limits_decoder = msgspec.json.Decoder(RequestLimits)
@@ -251,22 +246,22 @@
     Only entries that take effect are checked: an old change that arrives again changes nothing and is no error.
     CONFLICT: a name has other content under the same edition. BAD_CONFIG: routes and services do not fit together.
     """
-    taking = []
+    effective = []
     for entry in entries:
         current = view.get(entry.kind, entry.name)
         if current is not None and current.edition == entry.edition and current.value != entry.value:
             raise MeshError(Kind.CONFLICT, f"{entry.kind} {entry.name!r} has another content under that edition")
         if supersedes(entry, current):
-            taking.append(entry)
-    if taking:
-        _check_together(taking, view)
-    return taking
+            effective.append(entry)
+    if effective:
+        _check_together(effective, view)
+    return effective
 
 
-def _check_together(taking: list[Entry], view: EntryView) -> None:
+def _check_together(effective: list[Entry], view: EntryView) -> None:
     """Check that routes and services fit together once these entries are in force."""
     draft = Draft(view)
-    draft.add(taking)
+    draft.add(effective)
     services = draft.values_of(SERVICES)
     routes = {name: read_route(value) for name, value in draft.values_of(ROUTES).items()}
     changed = {name for kind, name in draft.entries if kind == ROUTES}
