--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -11,7 +11,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.items import LEASED, MEMBERSHIP
+from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
 from lugspur.mesh.control.learning import LearnPages
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
@@ -38,7 +38,7 @@
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
-from lugspur.mesh.control.store import Name
+from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.control_node.effect_runner import EffectRunner
@@ -176,7 +176,11 @@
             if dialler is not None:
                 dialler.nudge()
         elif isinstance(message, Subscribe):
-            since = message.since if message.life == self.life and message.since <= self.store.upto else 0
+            since = (
+                message.after_sequence
+                if message.incarnation == self.life and message.after_sequence <= self.store.latest_sequence
+                else 0
+            )
             self.subscribers.add(link, since)
         elif isinstance(message, Unsubscribe):
             self.subscribers.remove(link)
@@ -218,7 +222,7 @@
 
     # ---- what others know ------------------------------------------------------------------
 
-    def _published(self, entries: list[Entry], forgotten: list[Name]) -> None:
+    def _published(self, entries: list[Entry], forgotten: list[EntryKey]) -> None:
         """The replica has decided entries, or forgotten names."""
         self.store.merge(entries)
         self.store.forget(forgotten)
@@ -228,7 +232,7 @@
         for entry in message.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
                 self.go_by(read_membership(entry.value))
-        return self.store.merge([entry for entry in message.entries if entry.kind in LEASED])
+        return self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def heard_more(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
@@ -262,10 +266,10 @@
 
     def _delta(self, now: float, ip: str, message: Delta) -> None:
         super()._delta(now, ip, message)
-        self.membership_changes.told_complete(ip, message.complete)
-        if message.index > self.replica.index and now - self._asked_for > CATCH_UP_DELAY_SECONDS:
+        self.membership_changes.told_complete(ip, message.complete_epoch)
+        if message.decided_index > self.replica.index and now - self._asked_for > CATCH_UP_DELAY_SECONDS:
             self._asked_for = now
-            self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.index)
+            self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.decided_index)
 
     def _ask_for_changes(self, ip: str, index: int) -> None:
         """Learn what a peer knows, unless it has been told meanwhile."""
@@ -290,7 +294,7 @@
         found = super().wanted()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.complete:
-            found |= {voter.ip for voter in membership.previous} - {self.ip}
+            found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
     # ---- telling others --------------------------------------------------------------------
@@ -304,7 +308,7 @@
         replica = self.replica
         return Delta(
             self.life,
-            self.store.upto,
+            self.store.latest_sequence,
             now,
             min(1e6, self.age(now)),
             replica.index,
@@ -312,7 +316,7 @@
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
             since == 0,
-            self.store.after(since),
+            self.store.changed_after(since),
         )
 
     def age(self, now: float) -> float:
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -73,7 +73,7 @@
         elif key.startswith(CLAIM_PREFIX):
             kept = _kept.decode(value)
             found.claims += 1
-            found.answers += kept.answer is not None
+            found.answers += kept.response is not None
         elif key == UID_ROW:
             found.uid = value.decode()
         elif key == INDEX_ROW:
@@ -105,15 +105,15 @@
         yield "the disk has no name"
     if found.membership is not None:
         yield from _complete_apart(found.membership, found)
-    routes = found.store.standing(items.ROUTES)
-    services = found.store.standing(items.SERVICES)
+    routes = found.store.values_of(items.ROUTES)
+    services = found.store.values_of(items.SERVICES)
     for name, value in routes.items():
         try:
             route = items.read_route(value)
         except msgspec.MsgspecError as fault:
             yield f"route {name!r} can't be read: {fault}"
             continue
-        for service in route.services():
+        for service in route.service_names():
             if service not in services:
                 yield f"route {name!r} names the unknown service {service!r}"
 
@@ -153,4 +153,4 @@
 
 def export(found: Found) -> bytes:
     """All items that stand, as a call of the operator that brings them to another mesh."""
-    return msgspec.json.encode({"upsert": msgspec.Raw(items.read_back(found.store.all())), "withdraw": {}})
+    return msgspec.json.encode({"upsert": msgspec.Raw(items.encode_items(found.store.all())), "withdraw": {}})
