--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -19,7 +19,7 @@
 from lugspur.mesh.control.capacity import configuration_most, item_bytes
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.items import Draft, check
+from lugspur.mesh.control.items import Draft, check_changes
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
@@ -62,7 +62,7 @@
         item = self._register.items.get((kind, name))
         return None if item is None else item.entry
 
-    def standing(self, kind: str) -> dict[str, bytes]:
+    def values_of(self, kind: str) -> dict[str, bytes]:
         """The values of a kind, by name, of those that are not withdrawn."""
         found = {}
         for (of, name), item in self._register.items.items():
@@ -156,11 +156,11 @@
     def heard(self, now: float, ip: str, message: Promise | Accepted) -> Effects:
         """A voter's answer."""
         proposal = self._proposal
-        if proposal is None or (message.index, message.ballot) != (proposal.index, proposal.ballot):
+        if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.ballot):
             return Effects()
         if ip not in proposal.voters or proposal.index != self._replica.index + 1:
             return Effects()
-        if not message.granted:
+        if not message.is_granted:
             return self._refused(now, ip, proposal, message)
         if isinstance(message, Promise):
             return self._promised(now, ip, proposal, message)
@@ -184,17 +184,17 @@
 
     def _refused(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
         self._number = max(self._number, message.promised.number)
-        if message.decided >= proposal.index:  # the voter knows more
+        if message.decided_index >= proposal.index:  # the voter knows more
             return Effects(send=[(ip, FetchDecided(self._replica.index))])
         if message.promised > proposal.ballot:  # a competitor
             self._proposal = None
             self._back_off(now)
             return Effects()
-        if message.decided < proposal.index - 1 and proposal.phase is Phase.PREPARE:  # the voter knows less
+        if message.decided_index < proposal.index - 1 and proposal.phase is Phase.PREPARE:  # the voter knows less
             told = proposal.brought_up.get(ip, 0)
             if told < BRING_UP_MOST:
                 proposal.brought_up[ip] = told + 1
-                effects = Effects(send=[(ip, page) for page in self._replica.register.pages(message.decided)])
+                effects = Effects(send=[(ip, page) for page in self._replica.register.pages(message.decided_index)])
                 effects.send.append((ip, Prepare(proposal.index, proposal.ballot)))
                 return effects
         return Effects()
@@ -241,12 +241,12 @@
             if order.base_epoch is not None:
                 if order.base_epoch != self._replica.epoch:
                     self._end(order, NoQuorum())  # another change of the voters came first
-                elif not draft.taking:  # a change of the voters goes alone
+                elif not draft.entries:  # a change of the voters goes alone
                     self._offer(order, change_id)
                     return Change(change_id, order.entries)
                 continue
             try:
-                taking = check(order.entries, view)
+                taking = check_changes(order.entries, view)
                 self._check_size(taking)
             except MeshError as fault:
                 # Guards against a state that was the latest when voters promised, before this order came.
@@ -258,7 +258,7 @@
             elif self._fits(order, taking, draft) and self._has_room(taking, draft):
                 draft.add(taking)
                 self._offer(order, change_id)
-        return Change(change_id, list(draft.taking.values())) if draft.taking else None
+        return Change(change_id, list(draft.entries.values())) if draft.entries else None
 
     def _check_size(self, taking: list[Entry]) -> None:
         """Guards all disks: what one of them can't take would fail there each time that it is proposed."""
@@ -275,18 +275,18 @@
     @staticmethod
     def _has_room(taking: list[Entry], draft: Draft) -> bool:
         """Whether a change that holds some entries may hold these too; a single order always goes."""
-        if not draft.taking:
+        if not draft.entries:
             return True
-        size = sum(len(entry.value or b"") for entry in (*draft.taking.values(), *taking))
-        return len(draft.taking) < ORDERS_AT_ONCE and size <= CHANGE_BYTES
+        size = sum(len(entry.value or b"") for entry in (*draft.entries.values(), *taking))
+        return len(draft.entries) < ORDERS_AT_ONCE and size <= CHANGE_BYTES
 
     @staticmethod
     def _fits(order: Order, taking: list[Entry], draft: Draft) -> bool:
         """Whether an order takes the same effect beside those of the same change; else it waits for the next one."""
-        if any((entry.kind, entry.name) in draft.taking for entry in taking):
+        if any((entry.kind, entry.name) in draft.entries for entry in taking):
             return False
         try:
-            return check(order.entries, draft) == taking
+            return check_changes(order.entries, draft) == taking
         except MeshError:
             return False
 
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -49,7 +49,7 @@
         """A subscriber has answered: it is told so with its next news."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
-            subscriber.echo = pong.sent
+            subscriber.echo = pong.sent_at
 
     def tell_soon(self) -> None:
         """Tell all of what has changed once this turn of the loop is over."""
@@ -68,14 +68,14 @@
     def _flush(self) -> None:
         self._flushing = False
         for subscriber in self._subscribers.values():
-            if subscriber.at < self._store.upto:
+            if subscriber.at < self._store.latest_sequence:
                 self._tell(subscriber)
 
     def _tell(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
-        since = subscriber.at if subscriber.at >= self._store.forgotten_at else 0
-        subscriber.at = self._store.upto
+        since = subscriber.at if subscriber.at >= self._store.forgotten_sequence else 0
+        subscriber.at = self._store.latest_sequence
         subscriber.pinged = now
         news = self._news(now, since)
-        news.echo = subscriber.echo
+        news.echoed_at = subscriber.echo
         subscriber.link.send(news)
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -93,7 +93,7 @@
     ) -> None:
         self.forward, self.local, self.respond = forward, local, respond
         self.offered_at = now
-        self.deadline = now + forward.left
+        self.deadline = now + forward.seconds_left
         self.exchange: Exchange | None = None
         self.was_offered = False  # whether the backend was offered it
         self.is_finished = False
@@ -154,14 +154,14 @@
         local = self.local
         # Guards against a request that was held up on its way, or whose body was, until its caller had given it up.
         cause = FailureCause.NONE
-        if forward.left <= 0.0:
+        if forward.seconds_left <= 0.0:
             cause = FailureCause.EXPIRED
         elif local is None or not self.accepts(now, forward.backend):
             cause = FailureCause.NOT_ACCEPTED
         elif not self._has_capacity(local, forward):
             cause = FailureCause.QUEUE_FULL
         if local is None or cause:
-            respond(self.reject(forward.n, cause))
+            respond(self.reject(forward.number, cause))
             return None
         admitted = AdmittedRequest(forward, local, now, respond)
         if self._running < local.concurrency + EXTRA_REQUESTS:
@@ -195,10 +195,12 @@
         before = [row[2].forward.route for row in self._waiting if row[0] <= urgency and not row[2].is_finished]
         pace = self._service_time_of(forward.route)
         wait = (sum(map(self._service_time_of, before)) + self._average_service_time) / max(1, local.concurrency)
-        fits = wait <= (MAX_WAIT_FRACTION_OF_RETRIES if forward.back else MAX_WAIT_FRACTION) * (forward.aim - pace)
+        fits = wait <= (MAX_WAIT_FRACTION_OF_RETRIES if forward.was_rejected else MAX_WAIT_FRACTION) * (
+            forward.latency_target_left - pace
+        )
         # Guards the worth of all: once everybody waits until late, nobody is served in time, and no more is served.
         if not fits and (pace <= SHORT_FRACTION * max(self._service_times.values(), default=0.0)):
-            fits = wait <= MAX_WAIT_FRACTION_OF_SHORT * (forward.left - pace)
+            fits = wait <= MAX_WAIT_FRACTION_OF_SHORT * (forward.seconds_left - pace)
         if not fits or len(before) >= MAX_QUEUE_FACTOR * local.concurrency:
             self.rejected += 1
             return False
@@ -267,7 +269,7 @@
             self.expired += 1
             self._finish(admitted, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             return
-        check(not admitted.was_offered and not admitted.is_finished, Invariant.OFFERED_ONCE, attempt=forward.attempt)
+        check(not admitted.was_offered and not admitted.is_finished, Invariant.OFFERED_ONCE, attempt=forward.attempt_id)
         self._running += 1
         admitted.was_offered, admitted.offered_at = True, now
         exchange = Exchange(
@@ -276,10 +278,10 @@
             admitted.deadline + GRACE_SECONDS,
             lambda left: self._encode(forward, left - GRACE_SECONDS),
             lambda exchange, outcome, response: self._exchange_ended(admitted, outcome, response),
-            repeatable=forward.safe,
+            repeatable=forward.is_safe,
             bodyless=forward.method == b"HEAD",
         )
-        exchange.echo = forward.attempt
+        exchange.echo = forward.attempt_id
         admitted.exchange = exchange
         self._upstream.start(exchange)
 
@@ -291,7 +293,7 @@
         return b"%b %b HTTP/1.1\r\n%bLugspur-Deliver-By-Ms: %d\r\nLugspur-Deliver-To: %b\r\n%b\r\n%b" % (
             forward.method,
             forward.target,
-            b"".join(forward.lines),
+            b"".join(forward.header_lines),
             max(1, int(left * 1000.0)),
             forward.backend.encode(),
             told,
@@ -337,7 +339,7 @@
             if name == ATTEMPT_ID_HEADER and name in names:  # Guards against two readings of whose answer it is.
                 return False
             names[name] = value.strip(b" \t")
-        if names.get(ATTEMPT_ID_HEADER) != forward.attempt or b"content-encoding" in names:
+        if names.get(ATTEMPT_ID_HEADER) != forward.attempt_id or b"content-encoding" in names:
             return False
         return response.status // 100 != 2 or b"lugspur-postmark" in names
 
@@ -348,4 +350,6 @@
             admitted.is_finished = True
             if cause:
                 self.causes[cause] += 1
-            admitted.respond(ForwardResponse(admitted.forward.n, how, answer, admitted.was_offered, self.busy, cause))
+            admitted.respond(
+                ForwardResponse(admitted.forward.number, how, answer, admitted.was_offered, self.busy, cause)
+            )
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -207,10 +207,10 @@
         now = loop.time()
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
         took, route = max(TICK, now - since), self.route
-        how = reply.how
-        if how == RequestOutcome.ANSWERED and reply.answer is not None:
+        how = reply.outcome
+        if how == RequestOutcome.ANSWERED and reply.response is not None:
             self.ran = True
-            if reply.answer.status < 500:
+            if reply.response.status < 500:
                 route.average_latency += (took - route.average_latency) * (
                     PACE_WEIGHT if route.average_latency else 1.0
                 )
@@ -223,16 +223,16 @@
                 self._failed(now, endpoint)
             if self.over:
                 return
-            if reply.answer.status >= 500 and route.is_safe:
-                self.last = reply.answer
+            if reply.response.status >= 500 and route.is_safe:
+                self.last = reply.response
                 if not self._again(now):
                     self._finish_failed()
                 return
-            self._answer(reply.answer)
+            self._answer(reply.response)
             return
         if how == RequestOutcome.NOT_RUN:
             self.rounds += 1
-            if not reply.sent:
+            if not reply.was_sent:
                 self.sends -= 1  # no backend was offered it
             if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).failed(now)
@@ -248,7 +248,7 @@
 
     def _proved_later(self, reply: ForwardResponse) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if reply.how == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.is_safe):
+        if reply.outcome == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.is_safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
@@ -256,7 +256,7 @@
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
         cause = FailureCause(reply.cause).label if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.how).label, cause))
+        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.outcome).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
--- a/lugspur/mesh/dataplane/route_table.py
+++ b/lugspur/mesh/dataplane/route_table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lugspur.mesh.control.items import LIMITS, ROUTES, Bounds, Route, read_bounds, read_route
+from lugspur.mesh.control.items import LIMITS, ROUTES, RequestLimits, Route, read_limits, read_route
 from lugspur.mesh.control.messages import Entry
 
 LONGEST_TIME_DECAY = 1 / 256  # of the difference by which one caller's time lowers the longest that is known
@@ -40,7 +40,7 @@
         self.deadline = route.deadline_ms / 1000.0  # counted from a request's arrival
         self.latency_target = (route.target_ms or route.deadline_ms) / 1000.0
         self.priority, self.max_attempts = route.priority, route.tries
-        self.services = route.services()
+        self.services = route.service_names()
         self.weights = [part.share for part in route.split] if route.split else [1.0]
         self.average_latency = 0.0  # of answers, as measured here; 0: none has come yet
         self.longest_time = 0.0  # that callers give a request on this route when they first send it
@@ -81,7 +81,7 @@
         self._entries: dict[str, RouteEntry] = {}  # by the item's name
         self._hosts: dict[bytes, dict[bytes, RouteEntry]] = {}  # by host and prefix
         self._candidates: dict[tuple[bytes, bytes], dict[str, RouteEntry]] = {}  # all of a host and prefix, by name
-        self.request_limits = Bounds()
+        self.request_limits = RequestLimits()
 
     def __len__(self) -> int:
         """Return the number of routes."""
@@ -90,7 +90,7 @@
     def apply(self, entry: Entry) -> bool:
         """Apply a changed item; return whether it was the request limits. Items of other kinds are ignored."""
         if entry.kind == LIMITS and entry.value is not None:
-            self.request_limits = read_bounds(entry.value)
+            self.request_limits = read_limits(entry.value)
             return True
         if entry.kind == ROUTES:
             self._replace(entry)
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -12,7 +12,7 @@
 from lugspur.mesh.control.claims import Claims, Settled
 from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.control.freshness import Freshness
-from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
+from lugspur.mesh.control.items import MEMBERSHIP, RESERVED_KINDS
 from lugspur.mesh.control.messages import (
     Delta,
     Entry,
@@ -217,9 +217,9 @@
     def _delta(self, now: float, ip: str, message: Delta) -> None:
         sent_at = self.freshness.heard(now, ip, message)
         taken = self.take_news(message)
-        self.synced[ip] = (message.life, message.upto)
+        self.synced[ip] = (message.incarnation, message.latest_sequence)
         if ip == self.source:
-            self.source_at = max(self.source_at, sent_at - message.age)
+            self.source_at = max(self.source_at, sent_at - message.majority_age)
             self.known = self.known or now - self.source_at < self.stale
         if taken:
             self.merged(taken)
@@ -229,15 +229,15 @@
 
     def take_news(self, message: Delta) -> list[Entry]:
         """Entries that a peer has told; returns those that are new here."""
-        if message.whole and message.index >= self.index:
+        if message.is_snapshot and message.decided_index >= self.index:
             self._forget_missing(message.entries)
-        self.index = max(self.index, message.index)
+        self.index = max(self.index, message.decided_index)
         return self.store.merge(message.entries)
 
     def _forget_missing(self, entries: list[Entry]) -> None:
         """All that a peer has, which knows no less than this process: what is not in it was withdrawn long ago."""
         there = {(entry.kind, entry.name) for entry in entries}
-        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED]
+        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED_KINDS]
         self.store.forget([name for name in names if name not in there])
 
     def merged(self, taken: list[Entry]) -> None:
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -62,56 +62,56 @@
         elif isinstance(message, BodyChunk):
             self._part(link, message)
         elif isinstance(message, CancelRequest):
-            admitted = self._admitted.pop((link, message.n), None)
+            admitted = self._admitted.pop((link, message.number), None)
             if admitted is not None:
                 self._limiter.cancel(admitted)
-            elif self.uploads.drop((link, message.n)):
+            elif self.uploads.drop((link, message.number)):
                 self._grant()
         elif isinstance(message, WithdrawRequest):
-            self._withdrawn(link, message.n)
+            self._withdrawn(link, message.number)
         elif isinstance(message, FetchOutcomes):
             self._asked_outcomes(link, message)
 
     def _greeted(self, link: Link, message: Hello) -> None:
         link.peer = message.ip
-        caller = self._callers.setdefault(link, _Caller(message.life))
-        if message.life != caller.life:
-            events.warn("life", peer=link.peer, life=message.life)
+        caller = self._callers.setdefault(link, _Caller(message.incarnation))
+        if message.incarnation != caller.life:
+            events.warn("life", peer=link.peer, life=message.incarnation)
             link.close()
-        elif message.sent:
-            caller.delay.observe(self._loop.time(), message.sent)
+        elif message.sent_at:
+            caller.delay.observe(self._loop.time(), message.sent_at)
         else:
             link.send(self._hello)
 
     def _forwarded(self, link: Link, forward: ForwardRequest) -> None:
         """A request, or the word that one with a large body waits to be sent."""
         caller = self._callers.get(link)
-        if caller is None or forward.n <= caller.latest:
-            events.warn("forward", peer=link.peer, n=forward.n)
+        if caller is None or forward.number <= caller.latest:
+            events.warn("forward", peer=link.peer, n=forward.number)
             link.close()
             return
-        caller.latest = forward.n
+        caller.latest = forward.number
         if forward.key:
-            self._outcomes.came(caller.life, forward.n)
+            self._outcomes.came(caller.life, forward.number)
         # Guards against running what was held up on its way (a cut, or this process frozen) until nobody waits for it.
-        excess = caller.delay.observe(self._loop.time(), forward.sent)
-        forward.left -= excess
-        forward.aim -= excess
-        if forward.left <= 0.0:
+        excess = caller.delay.observe(self._loop.time(), forward.sent_at)
+        forward.seconds_left -= excess
+        forward.latency_target_left -= excess
+        if forward.seconds_left <= 0.0:
             self.expired += 1
-            self._turn_away(link, forward.n, FailureCause.EXPIRED)
-        elif forward.size:
+            self._turn_away(link, forward.number, FailureCause.EXPIRED)
+        elif forward.body_bytes:
             self._offered(link, forward)
         else:
             self._run(link, forward)
 
     def _run(self, link: Link, forward: ForwardRequest) -> None:
         """A whole request for this machine's backend."""
-        n, life = forward.n, self._callers[link].life
+        n, life = forward.number, self._callers[link].life
 
         def respond(said: ForwardResponse) -> None:
             self._admitted.pop((link, n), None)
-            if forward.key and said.how == RequestOutcome.NOT_RUN:
+            if forward.key and said.outcome == RequestOutcome.NOT_RUN:
                 self._proved_unrun(link, life, said)
             link.send(said)
 
@@ -121,7 +121,7 @@
 
     def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
         """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
-        self._outcomes.did_not_run(life, said.n)
+        self._outcomes.did_not_run(life, said.number)
         if not link.open:
             for other in self._connections_of(life):
                 other.send(said)
@@ -157,7 +157,7 @@
 
     def _part(self, link: Link, message: BodyChunk) -> None:
         try:
-            whole = self.uploads.receive(self._loop.time(), (link, message.n), message.data)
+            whole = self.uploads.receive(self._loop.time(), (link, message.number), message.data)
         except ValueError as fault:
             events.warn("part", peer=link.peer, fault=str(fault))
             link.close()
@@ -168,7 +168,7 @@
 
     def _offered(self, link: Link, forward: ForwardRequest) -> None:
         """A request whose body would come in parts."""
-        now, n = self._loop.time(), forward.n
+        now, n = self._loop.time(), forward.number
         urgency, pace = urgency_of(now, forward), self._limiter.expected_service_time(forward.route)
         if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
             self._grant()
@@ -195,7 +195,7 @@
                 self._outcomes.did_not_run(caller.life, key[1])
         for key in [key for key in self._admitted if key[0] is link]:
             admitted = self._admitted.pop(key)
-            if admitted.forward.safe:  # nobody hears its answer; others' may be kept for a repeat
+            if admitted.forward.is_safe:  # nobody hears its answer; others' may be kept for a repeat
                 self._limiter.cancel(admitted)
 
     def look(self, now: float) -> None:
--- a/tests/mesh/dataplane/test_route_table.py
+++ b/tests/mesh/dataplane/test_route_table.py
@@ -6,14 +6,14 @@
 
 from meshcalls import call, route
 
-from lugspur.mesh.control.items import read_call
+from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.dataplane.route_table import RouteTable
 
 
 def table(*routes: dict[str, object]) -> RouteTable:
     found = RouteTable()
-    for entry in read_call(call(*routes)):
+    for entry in read_changes(call(*routes)):
         found.apply(entry)
     return found
 
@@ -41,7 +41,7 @@
 
 def test_a_route_that_is_moved_or_withdrawn_frees_its_prefix() -> None:
     routes = table(route("r"))
-    for entry in read_call(call(route("r", "00000009", path_prefix="/new/"))):
+    for entry in read_changes(call(route("r", "00000009", path_prefix="/new/"))):
         routes.apply(entry)
     assert (name(routes, b"/r/1"), name(routes, b"/new/1")) == (None, "r")
     routes.apply(Entry("routes", "r", 10, None))
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -34,7 +34,9 @@
         store = Store()
 
         def news(now: float, since: int) -> Delta:
-            return Delta("life", store.upto, now, 0.0, 0, False, True, 1, since == 0, store.after(since))
+            return Delta(
+                "life", store.latest_sequence, now, 0.0, 0, False, True, 1, since == 0, store.changed_after(since)
+            )
 
         await what(store, Subscribers(asyncio.get_running_loop(), store, PING, news), Wire())
 
@@ -65,7 +67,7 @@
         subscribers.add(link, 0)
         subscribers.answered(link, Pong(42.0))
         subscribers.look(wire.at + 2.0 * PING)
-        assert [cast(Delta, message).echo for message in wire.sent] == [0.0, 42.0]
+        assert [cast(Delta, message).echoed_at for message in wire.sent] == [0.0, 42.0]
         subscribers.look(wire.at + LEASE_SECONDS + 0.1)
         assert wire.closed
 
