--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -20,9 +20,10 @@
 from lugspur.http1.upstream import Connection, Exchange
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, ForwardRequest
-from lugspur.mesh.dataplane import proxied_request
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane import backend_exchange, proxied_request
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
@@ -122,9 +123,7 @@
     SoakGuard("a request runs at the life that it names", ConcurrencyLimiter, "accepts", _takes_any_life),
     SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
     SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
-    SoakGuard(
-        "an answer bears its request's id", ConcurrencyLimiter, "_is_valid_response", staticmethod(_sound_whatever_came)
-    ),
+    SoakGuard("an answer bears its request's id", backend_exchange, "is_valid_response", _sound_whatever_came),
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
--- /dev/null
+++ b/lugspur/mesh/dataplane/admitted_request.py
@@ -0,0 +1,66 @@
+"""A request that the concurrency limiter has accepted, and the queue of those that wait for the backend."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+from collections.abc import Callable
+
+from lugspur.http1.upstream import Exchange
+from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane.local_backend import LocalBackend
+from lugspur.mesh.dataplane.urgency import Urgency, urgency_of
+
+
+class AdmittedRequest:
+    """A request that was accepted for the backend and has no result yet; times are the loop's."""
+
+    __slots__ = ("deadline", "exchange", "forward", "is_finished", "local", "offered_at", "respond", "was_offered")
+
+    def __init__(
+        self, forward: ForwardRequest, local: LocalBackend, now: float, respond: Callable[[ForwardResponse], None]
+    ) -> None:
+        self.forward, self.local, self.respond = forward, local, respond
+        self.deadline = now + forward.seconds_left
+        self.exchange: Exchange | None = None  # with the backend, once the request has been offered to it
+        self.was_offered = False
+        self.offered_at = now
+        self.is_finished = False
+
+
+class AdmissionQueue:
+    """Accepted requests that wait for the backend, the most urgent first; equally urgent ones in order of arrival.
+
+    Finished requests stay in the queue until they come to its head, where the limiter passes over them.
+    """
+
+    def __init__(self) -> None:
+        self._heap: list[tuple[Urgency, int, AdmittedRequest]] = []
+        self._sequence_numbers = itertools.count()
+
+    def __len__(self) -> int:
+        """Return the number of requests, finished ones included."""
+        return len(self._heap)
+
+    def push(self, now: float, request: AdmittedRequest) -> None:
+        """Add a request."""
+        heapq.heappush(self._heap, (urgency_of(now, request.forward), next(self._sequence_numbers), request))
+
+    def pop(self) -> AdmittedRequest:
+        """Remove and return the most urgent request; raises IndexError where the queue is empty."""
+        return heapq.heappop(self._heap)[2]
+
+    def pop_least_urgent(self) -> AdmittedRequest:
+        """Remove and return the least urgent request; raises ValueError where the queue is empty."""
+        last = max(self._heap)
+        self._heap.remove(last)
+        heapq.heapify(self._heap)
+        return last[2]
+
+    def routes_ahead_of(self, urgency: Urgency) -> list[str]:
+        """Return the routes of unfinished requests that would be served before a new one of this urgency."""
+        return [
+            request.forward.route
+            for waiting_urgency, _, request in self._heap
+            if waiting_urgency <= urgency and not request.is_finished
+        ]
--- /dev/null
+++ b/lugspur/mesh/dataplane/backend_exchange.py
@@ -0,0 +1,63 @@
+"""What goes to the local backend over HTTP/1.1, and what its answer proves."""
+
+from __future__ import annotations
+
+from lugspur.load_balancing.model import Outcome
+from lugspur.mesh.control.messages import ForwardRequest
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.seams import Response
+
+ATTEMPT_ID_HEADER = b"lugspur-attempt-id"  # an answer bears the id of its request
+NOT_DELIVERED_HEADER = b"lugspur-not-delivered"  # proves that the backend did not run the request
+POSTMARK_HEADER = b"lugspur-postmark"  # each successful answer has one
+METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")  # RFC 9110, section 8.6: their Content-Length is sent also if it is 0
+MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: another backend has the address now
+
+NOT_RUN_CAUSES = {
+    Outcome.FULL: FailureCause.REFUSED,
+    Outcome.UNREACHABLE: FailureCause.UNREACHABLE,
+    Outcome.VOID: FailureCause.TOO_LITTLE_TIME,
+}
+"""Outcomes that prove that the backend did not run the request."""
+
+UNKNOWN_CAUSES = {
+    Outcome.TIMEOUT: FailureCause.TIMED_OUT,
+    Outcome.BROKEN: FailureCause.CONNECTION_BROKEN,
+    Outcome.CANCELLED: FailureCause.CANCELLED,
+}
+"""Outcomes after which the request may have run."""
+
+
+def classify_response(status: int, is_not_delivered: bool) -> Outcome:
+    """Return FULL for an answer that proves that the request did not run, else OK: it is the backend's answer."""
+    return Outcome.FULL if is_not_delivered or status == MISDIRECTED_REQUEST else Outcome.OK
+
+
+def encode_request(forward: ForwardRequest, seconds_left: float) -> bytes:
+    """Return the bytes of a request for the backend, which tell it whom they are for and how much time is left."""
+    length = b""
+    if forward.body or forward.method in METHODS_WITH_BODY:
+        length = b"Content-Length: %d\r\n" % len(forward.body)
+    return b"%b %b HTTP/1.1\r\n%bLugspur-Deliver-By-Ms: %d\r\nLugspur-Deliver-To: %b\r\n%b\r\n%b" % (
+        forward.method,
+        forward.target,
+        b"".join(forward.header_lines),
+        max(1, int(seconds_left * 1000.0)),
+        forward.backend.encode(),
+        length,
+        forward.body,
+    )
+
+
+def is_valid_response(forward: ForwardRequest, response: Response) -> bool:
+    """Whether an answer is the one to this request, as the backend meant it."""
+    headers: dict[bytes, bytes] = {}
+    for line in response.head.split(b"\r\n"):
+        name, _, value = line.partition(b":")
+        name = name.lower()
+        if name == ATTEMPT_ID_HEADER and name in headers:  # Guards against two readings of whose answer it is.
+            return False
+        headers[name] = value.strip(b" \t")
+    if headers.get(ATTEMPT_ID_HEADER) != forward.attempt_id or b"content-encoding" in headers:
+        return False
+    return response.status // 100 != 2 or POSTMARK_HEADER in headers
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -1,106 +1,62 @@
-"""Beside the backend: the one way in. Who gets a berth, what goes to the backend, and what its answer proves."""
+"""The concurrency limiter of the local backend: who runs at once, who waits, and who is rejected.
+
+All requests for the backend of this machine go through one limiter. It lets as many run as the backend says it can,
+keeps a short queue of the most urgent others, and rejects at once what would be answered too late: a queue in which
+everybody is late serves no more than a short one.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import heapq
-import itertools
 from collections import Counter
 from collections.abc import Callable
 from time import monotonic
 
-from cachetools import LRUCache
-
-from lugspur.discovery.rows import read_address
-from lugspur.http1.upstream import Backend, Exchange, Upstream
+from lugspur.http1.upstream import Exchange, Upstream
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane import backend_exchange
+from lugspur.mesh.dataplane.admitted_request import AdmissionQueue, AdmittedRequest
+from lugspur.mesh.dataplane.backend_exchange import (
+    ATTEMPT_ID_HEADER,
+    NOT_DELIVERED_HEADER,
+    NOT_RUN_CAUSES,
+    UNKNOWN_CAUSES,
+    classify_response,
+    encode_request,
+)
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.urgency import Urgency, urgency_of
+from lugspur.mesh.dataplane.service_times import ServiceTimes
+from lugspur.mesh.dataplane.urgency import urgency_of
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
-CLOSING_ACCEPT_FRACTION = 0.25  # of the drain's time: so long after `closing` new work is accepted...
-MAX_CLOSING_ACCEPT_SECONDS = 0.4  # seconds, at most
-EXTRA_REQUESTS = 1  # requests at the backend beyond its berths: the next one is there when a berth gets free
-MAX_QUEUE_FACTOR = 2  # requests that wait here, for each berth
-MAX_WAIT_FRACTION = 0.6  # of the time that its answer is worth most in, for waiting here
-MAX_WAIT_FRACTION_OF_RETRIES = 1.0  # ...and where its caller comes back: it is lost if it is turned away once more
-MAX_WAIT_FRACTION_OF_SHORT = 0.5  # ...and of the time that is left, for who holds a berth elsewhere
-SHORT_FRACTION = 0.5  # of the longest pace of a route here: what takes less costs little
-MIN_TIME_FRACTION = 0.3  # of the pace: with less time left nothing is begun
-MAX_KNOWN_ROUTES = 256  # routes whose pace is known, those used last
-SERVICE_TIME_WEIGHT = 1 / 16  # of one answer in the pace
-GRACE_SECONDS = 0.03  # seconds behind the deadline in which the backend's own word on it may come
-CONNECT_TIMEOUT_SECONDS = 0.5  # seconds: the backend is on this machine
-ATTEMPT_ID_HEADER = b"lugspur-attempt-id"  # answers bear that of their request
-
-
-#: Causes of what never ran, and of what may have.
-NOT_RUN_CAUSES = {
-    Outcome.FULL: FailureCause.REFUSED,
-    Outcome.UNREACHABLE: FailureCause.UNREACHABLE,
-    Outcome.VOID: FailureCause.TOO_LITTLE_TIME,
-}
-UNKNOWN_CAUSES = {
-    Outcome.TIMEOUT: FailureCause.TIMED_OUT,
-    Outcome.BROKEN: FailureCause.CONNECTION_BROKEN,
-    Outcome.CANCELLED: FailureCause.CANCELLED,
-}
-
-
-def judge(status: int, unseen: bool) -> Outcome:
-    """421 and `Lugspur-Not-Delivered` prove that it did not run; all else is the backend's answer."""
-    return Outcome.FULL if unseen or status == 421 else Outcome.OK
-
-
-class LocalBackend:
-    """The backend of this machine, in its present life."""
-
-    __slots__ = (
-        "backend",
-        "concurrency",
-        "closing_at",
-        "is_unreachable",
-        "last_heartbeat_at",
-        "id",
-        "sequence",
-        "service",
-        "state",
-        "warm_at",
-    )
-
-    def __init__(self, ident: str, service: str, address: str, now: float) -> None:
-        self.id, self.service = ident, service
-        self.backend = Backend(read_address(address))
-        self.backend.in_service = True
-        self.concurrency, self.sequence = 1, -1
-        self.state = "accepting"
-        self.closing_at = float("inf")  # when it said so
-        self.last_heartbeat_at, self.warm_at = now, now
-        self.is_unreachable = False  # it took no connection since its last beat
-
-
-class AdmittedRequest:
-    """One request in hand."""
-
-    __slots__ = ("exchange", "forward", "local", "is_finished", "respond", "was_offered", "offered_at", "deadline")
-
-    def __init__(
-        self, forward: ForwardRequest, local: LocalBackend, now: float, respond: Callable[[ForwardResponse], None]
-    ) -> None:
-        self.forward, self.local, self.respond = forward, local, respond
-        self.offered_at = now
-        self.deadline = now + forward.seconds_left
-        self.exchange: Exchange | None = None
-        self.was_offered = False  # whether the backend was offered it
-        self.is_finished = False
+# A backend that closes is given new requests a little longer, as the update reaches all proxies: for a fraction of its
+# time to drain...
+CLOSING_ACCEPT_FRACTION = 0.25
+MAX_CLOSING_ACCEPT_SECONDS = 0.4  # ...but no longer
+DRAIN_START_FRACTION = 0.8  # of the time to drain, in which requests that were accepted before may still start
+EXTRA_REQUESTS = 1  # at the backend beyond its concurrency, so that the next one is there when one ends
+MAX_QUEUE_FACTOR = 2  # requests that wait, as a multiple of the backend's concurrency
+# A request may wait for a fraction of its latency target less its service time...
+MAX_WAIT_FRACTION = 0.6
+MAX_WAIT_FRACTION_OF_RETRIES = 1.0  # ...where its caller was rejected before: rejected once more, it is lost
+MAX_WAIT_FRACTION_OF_SHORT = 0.5  # ...and of its deadline if it is short: its caller may occupy a backend elsewhere
+# A request is short up to this fraction of the longest service time of a route: it costs little, and is often a call
+# that another request waits for.
+SHORT_FRACTION = 0.5
+MIN_TIME_FRACTION = 0.3  # of its service time that a request must have left to be started
+GRACE_SECONDS = 0.03  # after the deadline in which the backend's own answer to it may come
+CONNECT_TIMEOUT_SECONDS = 0.5  # the backend is on this machine
+MAX_IDLE_SECONDS = 20.0  # of a connection to the backend
+MAX_IDLE_CONNECTIONS = 64
 
 
 class ConcurrencyLimiter:
-    """All requests for the backend of this machine go through here."""
+    """Admits requests to the backend of this machine, `local`, and replies to each exactly once."""
 
     def __init__(
         self,
@@ -110,246 +66,244 @@
         on_completed: Callable[[ForwardRequest, BackendResponse], None],
         on_unreachable: Callable[[LocalBackend], None],
     ) -> None:
+        """Make a limiter without a backend.
+
+        `memory`: bytes that the process may use; `files`: descriptors for connections to the backend;
+        `drain_seconds`: time that a closing backend has. `on_completed` is called with each answer to a request that
+        has an idempotency key, `on_unreachable` when the backend accepts no connection.
+        """
         self._loop = asyncio.get_running_loop()
         self._drain_seconds = drain_seconds
         self._on_completed, self._on_unreachable = on_completed, on_unreachable
         self.local: LocalBackend | None = None
-        self.leaving = False  # this process ends: nothing new
+        self.leaving = False  # this process shuts down: nothing new is accepted
         self._upstream = Upstream(
             Shares(files, {}),
             "",
-            20.0,
+            MAX_IDLE_SECONDS,
             CONNECT_TIMEOUT_SECONDS,
             memory // 4,
             memory // 8,
-            judge,
-            proof=b"lugspur-not-delivered",
+            classify_response,
+            proof=NOT_DELIVERED_HEADER,
             echo=ATTEMPT_ID_HEADER,
-            keeps=64,
+            keeps=MAX_IDLE_CONNECTIONS,
         )
-        self._sequence_numbers = itertools.count()
-        self._waiting: list[tuple[Urgency, int, AdmittedRequest]] = []  # the first one first
+        self._queue = AdmissionQueue()
         self._running = 0
-        # Seconds that an answer takes from when the backend is offered the request, by route, and of all.
-        self._service_times: LRUCache[str, float] = LRUCache(MAX_KNOWN_ROUTES)
-        self._average_service_time = 0.0
-        self.rejected = self.evicted = self.expired = 0  # for lack of capacity, for more urgent ones, for lack of time
+        self.service_times = ServiceTimes()  # from when the backend is offered a request
+        self.rejected = 0  # requests without capacity for them
+        self.evicted = 0  # requests that left the queue for more urgent ones
+        self.expired = 0  # requests whose time was over when their turn came
         self.causes: Counter[FailureCause] = Counter()  # of all that did not end with the backend's answer
 
     @property
-    def busy(self) -> int:
-        """Requests in hand."""
-        return self._running + len(self._waiting)
+    def in_flight(self) -> int:
+        """Return the number of requests that run or wait."""
+        return self._running + len(self._queue)
 
-    def accepts(self, now: float, backend: str) -> bool:
-        """Whether new work for that life of the backend is taken."""
-        local = self.local
-        if local is None or local.id != backend or self.leaving or local.is_unreachable:
-            return False
-        return now <= local.closing_at + min(MAX_CLOSING_ACCEPT_SECONDS, CLOSING_ACCEPT_FRACTION * self._drain_seconds)
+    # ---- admission ---------------------------------------------------------------------------------
 
-    def run(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> AdmittedRequest | None:
-        """Have the backend run it; the answer comes once. None: it is turned away."""
+    def submit(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> AdmittedRequest | None:
+        """Have the backend run a request; `respond` is called once. Returns None where it is rejected at once."""
         now = self._loop.time()
         local = self.local
-        # Guards against a request that was held up on its way, or whose body was, until its caller had given it up.
-        cause = FailureCause.NONE
-        if forward.seconds_left <= 0.0:
-            cause = FailureCause.EXPIRED
-        elif local is None or not self.accepts(now, forward.backend):
-            cause = FailureCause.NOT_ACCEPTED
-        elif not self._has_capacity(local, forward):
-            cause = FailureCause.QUEUE_FULL
+        cause = self._rejection_cause(now, forward)
         if local is None or cause:
             respond(self.reject(forward.number, cause))
             return None
-        admitted = AdmittedRequest(forward, local, now, respond)
+        request = AdmittedRequest(forward, local, now, respond)
         if self._running < local.concurrency + EXTRA_REQUESTS:
-            self._send(admitted)
-        else:
-            if len(self._waiting) >= MAX_QUEUE_FACTOR * local.concurrency:
-                self._evict()
-            heapq.heappush(self._waiting, (urgency_of(now, forward), next(self._sequence_numbers), admitted))
-        return admitted
+            self._start(request)
+            return request
+        if len(self._queue) >= MAX_QUEUE_FACTOR * local.concurrency:
+            self._evict_least_urgent()
+        self._queue.push(now, request)
+        return request
+
+    def _rejection_cause(self, now: float, forward: ForwardRequest) -> FailureCause:
+        # Guards against a request that was delayed on its way, or whose body was, until its caller had given it up.
+        if forward.seconds_left <= 0.0:
+            return FailureCause.EXPIRED
+        if self.local is None or not self.accepts(now, forward.backend):
+            return FailureCause.NOT_ACCEPTED
+        if not self._would_be_in_time(self.local, forward):
+            return FailureCause.QUEUE_FULL
+        return FailureCause.NONE
 
     def reject(self, number: int, cause: FailureCause) -> ForwardResponse:
-        """The reply to a request that is not taken."""
+        """Count a rejected request and return the reply to it."""
         self.causes[cause] += 1
-        return ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, self.busy, cause)
+        return ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, self.in_flight, cause)
+
+    def accepts(self, now: float, backend: str) -> bool:
+        """Whether new requests for that incarnation of the backend are accepted."""
+        local = self.local
+        if local is None or local.id != backend or self.leaving or local.is_unreachable:
+            return False
+        grace = min(MAX_CLOSING_ACCEPT_SECONDS, CLOSING_ACCEPT_FRACTION * self._drain_seconds)
+        return now <= local.closing_at + grace
 
     def has_capacity(self, forward: ForwardRequest) -> bool:
-        """Whether a request would be taken now."""
+        """Whether a request would be accepted now."""
         local, now = self.local, self._loop.time()
-        return local is not None and self.accepts(now, forward.backend) and self._has_capacity(local, forward)
+        return local is not None and self.accepts(now, forward.backend) and self._would_be_in_time(local, forward)
 
-    def expected_service_time(self, route: str) -> float:
-        """Seconds that the backend takes for a request on a route, as seen here."""
-        return self._service_time_of(route)
+    def _would_be_in_time(self, local: LocalBackend, forward: ForwardRequest) -> bool:
+        """Whether a request would get its turn while its answer still has its value; counts it if not.
 
-    def _has_capacity(self, local: LocalBackend, forward: ForwardRequest) -> bool:
-        """Whether it would get its turn while its answer is still worth something."""
-        free = local.concurrency + EXTRA_REQUESTS - self._running
-        if free > 0:
+        Guards the value of all answers: once everybody waits until late, nobody is served in time, and no more is
+        served than without a queue.
+        """
+        if self._running < local.concurrency + EXTRA_REQUESTS:
             return True
-        urgency = urgency_of(self._loop.time(), forward)
-        before = [row[2].forward.route for row in self._waiting if row[0] <= urgency and not row[2].is_finished]
-        pace = self._service_time_of(forward.route)
-        wait = (sum(map(self._service_time_of, before)) + self._average_service_time) / max(1, local.concurrency)
-        fits = wait <= (MAX_WAIT_FRACTION_OF_RETRIES if forward.was_rejected else MAX_WAIT_FRACTION) * (
-            forward.latency_target_left - pace
-        )
-        # Guards the worth of all: once everybody waits until late, nobody is served in time, and no more is served.
-        if not fits and (pace <= SHORT_FRACTION * max(self._service_times.values(), default=0.0)):
-            fits = wait <= MAX_WAIT_FRACTION_OF_SHORT * (forward.seconds_left - pace)
-        if not fits or len(before) >= MAX_QUEUE_FACTOR * local.concurrency:
-            self.rejected += 1
-            return False
-        return True
-
-    def _service_time_of(self, route: str) -> float:
-        return self._service_times.get(route, self._average_service_time)
+        expected = self.service_times.expected
+        ahead = self._queue.routes_ahead_of(urgency_of(self._loop.time(), forward))
+        wait = (sum(map(expected, ahead)) + self.service_times.average) / max(1, local.concurrency)
+        if len(ahead) < MAX_QUEUE_FACTOR * local.concurrency and self._may_wait(forward, wait):
+            return True
+        self.rejected += 1
+        return False
+
+    def _may_wait(self, forward: ForwardRequest, wait: float) -> bool:
+        """Whether a request can afford to wait so many seconds."""
+        own_time = self.service_times.expected(forward.route)
+        fraction = MAX_WAIT_FRACTION_OF_RETRIES if forward.was_rejected else MAX_WAIT_FRACTION
+        if wait <= fraction * (forward.latency_target_left - own_time):
+            return True
+        is_short = own_time <= SHORT_FRACTION * self.service_times.longest()
+        return is_short and wait <= MAX_WAIT_FRACTION_OF_SHORT * (forward.seconds_left - own_time)
 
-    def _evict(self) -> None:
-        """Whoever would be last makes room: a queue without end serves nobody in time."""
-        last = max(self._waiting)
-        self._waiting.remove(last)
-        heapq.heapify(self._waiting)
-        if not last[2].is_finished:
+    def _evict_least_urgent(self) -> None:
+        request = self._queue.pop_least_urgent()
+        if not request.is_finished:
             self.evicted += 1
-            self._finish(last[2], RequestOutcome.NOT_RUN, FailureCause.EVICTED)
-
-    def cancel(self, admitted: AdmittedRequest) -> None:
-        """Nobody waits for it any more."""
-        if not admitted.is_finished:
-            if admitted.exchange is not None:
-                admitted.exchange.end(Outcome.CANCELLED)
-            else:
-                self._finish(
-                    admitted, RequestOutcome.UNKNOWN, FailureCause.CANCELLED
-                )  # it is passed over when its turn comes
-
-    def withdraw(self, admitted: AdmittedRequest) -> None:
-        """Nobody waits for it any more: it is not begun, and what the backend works on goes on.
-
-        Guards backends against work that nobody wants and that can't be cancelled once it has begun.
+            self._finish(request, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
+
+    # ---- callers that disconnect -------------------------------------------------------------------
+
+    def cancel(self, request: AdmittedRequest) -> None:
+        """End a request that nobody waits for any more, also at the backend."""
+        if request.is_finished:
+            return
+        if request.exchange is not None:
+            request.exchange.end(Outcome.CANCELLED)
+        else:  # it stays in the queue, and is passed over when its turn comes
+            self._finish(request, RequestOutcome.UNKNOWN, FailureCause.CANCELLED)
+
+    def withdraw(self, request: AdmittedRequest) -> None:
+        """Keep a request that nobody waits for from being started; what the backend works on goes on.
+
+        Guards backends against work that nobody wants and that can't be cancelled once it has started.
         """
-        if not admitted.is_finished and admitted.exchange is None:
-            self._finish(
-                admitted, RequestOutcome.NOT_RUN, FailureCause.CANCELLED
-            )  # it is passed over when its turn comes
+        if not request.is_finished and request.exchange is None:
+            self._finish(request, RequestOutcome.NOT_RUN, FailureCause.CANCELLED)
+
+    # ---- the backend -------------------------------------------------------------------------------
 
     def _start_waiting(self) -> None:
-        while self._waiting:
-            local = self.local
-            if self._running >= (local.concurrency if local is not None else 0) + EXTRA_REQUESTS:
+        """Start the most urgent requests, as far as the backend has capacity."""
+        while len(self._queue):
+            concurrency = 0 if self.local is None else self.local.concurrency
+            if self._running >= concurrency + EXTRA_REQUESTS:
                 return
-            _, _, admitted = heapq.heappop(self._waiting)
-            if admitted.is_finished:
-                continue
-            now = self._loop.time()
-            ends = now + MIN_TIME_FRACTION * self._service_time_of(admitted.forward.route)
-            if not self.may_start(now, admitted):
-                self.expired += 1
-                self._finish(admitted, RequestOutcome.NOT_RUN, FailureCause.NOT_ACCEPTED)
-            elif ends >= admitted.deadline:
-                self.expired += 1
-                self._finish(admitted, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
-            else:
-                self._send(admitted)
-
-    def may_start(self, now: float, admitted: AdmittedRequest) -> bool:
-        """Whether what was taken may still go to the backend: it is the same life, and the drain's time is not up."""
-        local = admitted.local
-        return local is self.local and not local.is_unreachable and now < local.closing_at + 0.8 * self._drain_seconds
-
-    def _send(self, admitted: AdmittedRequest) -> None:
-        forward, now = admitted.forward, self._loop.time()
+            request = self._queue.pop()
+            if not request.is_finished:
+                self._start_or_expire(request)
+
+    def _start_or_expire(self, request: AdmittedRequest) -> None:
+        now = self._loop.time()
+        needed = MIN_TIME_FRACTION * self.service_times.expected(request.forward.route)
+        if not self.may_start(now, request):
+            self._expire(request, FailureCause.NOT_ACCEPTED)
+        elif now + needed >= request.deadline:
+            self._expire(request, FailureCause.TOO_LITTLE_TIME)
+        else:
+            self._start(request)
+
+    def _expire(self, request: AdmittedRequest, cause: FailureCause) -> None:
+        self.expired += 1
+        self._finish(request, RequestOutcome.NOT_RUN, cause)
+
+    def may_start(self, now: float, request: AdmittedRequest) -> bool:
+        """Whether a request that was accepted may still go to the backend.
+
+        The backend must be the same incarnation, and its time to drain must not be nearly over.
+        """
+        local = request.local
+        if local is not self.local or local.is_unreachable:
+            return False
+        return now < local.closing_at + DRAIN_START_FRACTION * self._drain_seconds
+
+    def _start(self, request: AdmittedRequest) -> None:
+        """Send a request to the backend."""
+        forward, now = request.forward, self._loop.time()
         # Guards against a freeze in the middle of a turn of the loop, whose time stands still meanwhile.
-        if monotonic() >= admitted.deadline + GRACE_SECONDS:
-            self.expired += 1
-            self._finish(admitted, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+        if monotonic() >= request.deadline + GRACE_SECONDS:
+            self._expire(request, FailureCause.TOO_LITTLE_TIME)
             return
-        check(not admitted.was_offered and not admitted.is_finished, Invariant.OFFERED_ONCE, attempt=forward.attempt_id)
+        is_first = not request.was_offered and not request.is_finished
+        check(is_first, Invariant.OFFERED_ONCE, attempt=forward.attempt_id)
         self._running += 1
-        admitted.was_offered, admitted.offered_at = True, now
+        request.was_offered, request.offered_at = True, now
         exchange = Exchange(
-            admitted.local.backend,
+            request.local.backend,
             now,
-            admitted.deadline + GRACE_SECONDS,
-            lambda left: self._encode(forward, left - GRACE_SECONDS),
-            lambda exchange, outcome, response: self._exchange_ended(admitted, outcome, response),
+            request.deadline + GRACE_SECONDS,
+            lambda seconds_left: encode_request(forward, seconds_left - GRACE_SECONDS),
+            lambda exchange, outcome, response: self._exchange_ended(request, outcome, response),
             repeatable=forward.is_safe,
             bodyless=forward.method == b"HEAD",
         )
         exchange.echo = forward.attempt_id
-        admitted.exchange = exchange
+        request.exchange = exchange
         self._upstream.start(exchange)
 
-    @staticmethod
-    def _encode(forward: ForwardRequest, left: float) -> bytes:
-        told = b""
-        if forward.body or forward.method in (b"POST", b"PUT", b"PATCH"):
-            told = b"Content-Length: %d\r\n" % len(forward.body)
-        return b"%b %b HTTP/1.1\r\n%bLugspur-Deliver-By-Ms: %d\r\nLugspur-Deliver-To: %b\r\n%b\r\n%b" % (
-            forward.method,
-            forward.target,
-            b"".join(forward.header_lines),
-            max(1, int(left * 1000.0)),
-            forward.backend.encode(),
-            told,
-            forward.body,
-        )
-
-    def _exchange_ended(self, admitted: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
+    def _exchange_ended(self, request: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
         self._running -= 1
-        check(self._running >= 0, Invariant.IN_FLIGHT, backend=admitted.local.id)
+        check(self._running >= 0, Invariant.IN_FLIGHT, backend=request.local.id)
         if outcome is Outcome.OK and response is not None:
-            took = self._loop.time() - admitted.offered_at
-            route = admitted.forward.route
-            self._average_service_time += (took - self._average_service_time) * (
-                SERVICE_TIME_WEIGHT if self._average_service_time else 1.0
-            )
-            pace = self._service_times.get(route, took)
-            self._service_times[route] = pace + (took - pace) * SERVICE_TIME_WEIGHT
-            if self._is_valid_response(admitted.forward, response):
-                answer = BackendResponse(response.status, response.head, response.body)
-                if admitted.forward.key:
-                    self._on_completed(admitted.forward, answer)
-                self._finish(admitted, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
-            else:
-                self._finish(admitted, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
-        elif outcome in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID):
-            if outcome is Outcome.UNREACHABLE and not admitted.local.is_unreachable and admitted.local is self.local:
-                admitted.local.is_unreachable = True
-                self._on_unreachable(admitted.local)
-            if outcome is not Outcome.FULL:
-                admitted.was_offered = False
-            self._finish(admitted, RequestOutcome.NOT_RUN, NOT_RUN_CAUSES[outcome])
+            self._answered(request, response)
+        elif outcome in NOT_RUN_CAUSES:
+            self._not_run(request, outcome)
         else:
-            self._finish(admitted, RequestOutcome.UNKNOWN, UNKNOWN_CAUSES.get(outcome, FailureCause.INVALID_RESPONSE))
+            cause = UNKNOWN_CAUSES.get(outcome, FailureCause.INVALID_RESPONSE)
+            self._finish(request, RequestOutcome.UNKNOWN, cause)
         self._start_waiting()
 
-    @staticmethod
-    def _is_valid_response(forward: ForwardRequest, response: Response) -> bool:
-        """Whether it is this request's answer, as the backend meant it."""
-        names: dict[bytes, bytes] = {}
-        for line in response.head.split(b"\r\n"):
-            name, _, value = line.partition(b":")
-            name = name.lower()
-            if name == ATTEMPT_ID_HEADER and name in names:  # Guards against two readings of whose answer it is.
-                return False
-            names[name] = value.strip(b" \t")
-        if names.get(ATTEMPT_ID_HEADER) != forward.attempt_id or b"content-encoding" in names:
-            return False
-        return response.status // 100 != 2 or b"lugspur-postmark" in names
+    def _answered(self, request: AdmittedRequest, response: Response) -> None:
+        forward = request.forward
+        self.service_times.record(forward.route, self._loop.time() - request.offered_at)
+        if not backend_exchange.is_valid_response(forward, response):
+            self._finish(request, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
+            return
+        answer = BackendResponse(response.status, response.head, response.body)
+        if forward.key:
+            self._on_completed(forward, answer)
+        self._finish(request, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
+
+    def _not_run(self, request: AdmittedRequest, outcome: Outcome) -> None:
+        local = request.local
+        if outcome is Outcome.UNREACHABLE and not local.is_unreachable and local is self.local:
+            local.is_unreachable = True
+            self._on_unreachable(local)
+        if outcome is not Outcome.FULL:
+            request.was_offered = False
+        self._finish(request, RequestOutcome.NOT_RUN, NOT_RUN_CAUSES[outcome])
 
     def _finish(
-        self, admitted: AdmittedRequest, how: RequestOutcome, cause: FailureCause, answer: BackendResponse | None = None
+        self,
+        request: AdmittedRequest,
+        outcome: RequestOutcome,
+        cause: FailureCause,
+        answer: BackendResponse | None = None,
     ) -> None:
-        if not admitted.is_finished:
-            admitted.is_finished = True
-            if cause:
-                self.causes[cause] += 1
-            admitted.respond(
-                ForwardResponse(admitted.forward.number, how, answer, admitted.was_offered, self.busy, cause)
-            )
+        """Reply to a request, unless that has been done."""
+        if request.is_finished:
+            return
+        request.is_finished = True
+        if cause:
+            self.causes[cause] += 1
+        request.respond(
+            ForwardResponse(request.forward.number, outcome, answer, request.was_offered, self.in_flight, cause)
+        )
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -16,7 +16,8 @@
     Message,
     WithdrawRequest,
 )
-from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter
+from lugspur.mesh.dataplane.admitted_request import AdmittedRequest
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
@@ -115,7 +116,7 @@
                 self._proved_unrun(link, life, said)
             link.send(said)
 
-        admitted = self._limiter.run(forward, respond)
+        admitted = self._limiter.submit(forward, respond)
         if admitted is not None and not admitted.is_finished:
             self._admitted[link, n] = admitted
 
@@ -169,7 +170,7 @@
     def _offered(self, link: Link, forward: ForwardRequest) -> None:
         """A request whose body would come in parts."""
         now, n = self._loop.time(), forward.number
-        urgency, pace = urgency_of(now, forward), self._limiter.expected_service_time(forward.route)
+        urgency, pace = urgency_of(now, forward), self._limiter.service_times.expected(forward.route)
         if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
             self._grant()
         else:
--- a/lugspur/mesh/sidecar/local_requests.py
+++ b/lugspur/mesh/sidecar/local_requests.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter
+from lugspur.mesh.dataplane.admitted_request import AdmittedRequest
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 
 
 class CarriedHere:
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -56,7 +56,7 @@
         counters("rejections_total", "Requests that could not be read or taken, by status.", "status", rejections),
         counters("gate_unanswered_total", "Requests for the backend without its answer, by cause.", "cause", causes),
         gauge("requests_open", "Requests of callers that are not answered yet.", len(proxy.open_requests)),
-        gauge("gate_in_hand", "Requests for the backend that run or wait.", limiter.busy),
+        gauge("gate_in_hand", "Requests for the backend that run or wait.", limiter.in_flight),
         gauge("uploads_open", "Bodies that arrive in parts.", len(sidecar.incoming.uploads)),
         gauge("callers", "Connections of callers.", len(front.callers)),
         gauge("claims_open", "Claims of operation keys that are not settled.", len(sidecar.claims)),
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -221,7 +221,7 @@
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send it to the limiter beside that machine's backend."""
         if ip == self.ip:
-            return CarriedHere(self.limiter, self.limiter.run(forward, respond))
+            return CarriedHere(self.limiter, self.limiter.submit(forward, respond))
         dialler = self.peers[ip]
         link = dialler.link
         assert link is not None
@@ -294,7 +294,7 @@
                 turned=limiter.rejected,
                 evicted=limiter.evicted,
                 hopeless=limiter.expired,
-                busy=limiter.busy,
+                busy=limiter.in_flight,
                 open=len(self.proxy.open_requests),
             )
         limiter.rejected = limiter.evicted = limiter.expired = 0
@@ -317,14 +317,14 @@
         self.front.close()
         self.limiter.leaving = True
         while self.loop.time() < start + SHUTDOWN_FRACTION * grace and (
-            self.proxy.open_requests or self.limiter.busy or len(self.incoming.uploads) or self.front.callers
+            self.proxy.open_requests or self.limiter.in_flight or len(self.incoming.uploads) or self.front.callers
         ):
             await asyncio.sleep(0.05)
         for proxied_request in list(self.proxy.open_requests):
             proxied_request.end()
         await asyncio.sleep(FLUSH_SECONDS)
         events.info(
-            "left", flights=len(self.proxy.open_requests), busy=self.limiter.busy, after=self.loop.time() - start
+            "left", flights=len(self.proxy.open_requests), busy=self.limiter.in_flight, after=self.loop.time() - start
         )
 
 
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -13,7 +13,8 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.http_api import reply
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -7,8 +7,9 @@
 from typing import Any, Protocol
 
 from lugspur.mesh.control.messages import Membership
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.settings import Settings
 
@@ -53,7 +54,7 @@
         "age_s": round(min(1e6, now - sidecar.source_at), 3),
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
-        "busy": sidecar.limiter.busy,
+        "busy": sidecar.limiter.in_flight,
         "backend": _backend(sidecar.limiter.local),
         "backends": [_endpoint(endpoint, sidecar.ready(endpoint.ip), now) for endpoint in endpoints],
     }
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -29,8 +29,9 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.route_table import RouteTable
@@ -199,7 +200,7 @@
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         self.sent.append((forward, respond))
         if self.limiter is not None:
-            self.limiter.run(forward, respond)
+            self.limiter.submit(forward, respond)
         return SentRequest()
 
     def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
@@ -295,7 +296,7 @@
         async with scripted(lambda request: b"HTTP/1.1 204 X\r\nLugspur-Attempt-Id: t1\r\n\r\n") as stub:
             limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
-            limiter.run(
+            limiter.submit(
                 ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
                 lambda reply: None,
             )
@@ -327,7 +328,7 @@
             limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-            limiter.run(
+            limiter.submit(
                 ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result
             )
             fields = msgspec.msgpack.decode(msgspec.msgpack.encode(await said))
--- a/tests/mesh/dataplane/test_concurrency_limiter.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -12,8 +12,9 @@
 
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane import concurrency_limiter
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 
 GOOD = b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: %b\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi"
@@ -94,7 +95,7 @@
     def run(self, message: ForwardRequest) -> asyncio.Future[ForwardResponse]:
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
         self.replies[message.number] = found
-        self.limiter.run(message, found.set_result)
+        self.limiter.submit(message, found.set_result)
         return found
 
 
@@ -226,7 +227,7 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.concurrency = 1
-        admitted_requests = [rig.limiter.run(forward(n), lambda reply: None) for n in (1, 2, 3)]
+        admitted_requests = [rig.limiter.submit(forward(n), lambda reply: None) for n in (1, 2, 3)]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
         for admitted in reversed(admitted_requests):
@@ -239,7 +240,7 @@
             b"a2",
             b"a4",
         ]
-        assert rig.limiter.busy == 0
+        assert rig.limiter.in_flight == 0
 
     play(lambda a: GOOD % a, what)
 
@@ -250,7 +251,7 @@
         rig.local.concurrency = 1
         slow = [rig.run(forward(n, route="slow", left=9.0, aim=9.0)) for n in (1, 2)]
         await asyncio.sleep(0.15)  # what the slow route takes
-        rig.limiter._service_times["slow"], rig.limiter._average_service_time = 0.15, 0.08
+        rig.limiter.service_times.by_route["slow"], rig.limiter.service_times.average = 0.15, 0.08
         backend.hold.set()
         await asyncio.gather(*slow, rig.run(forward(3, route="short")))
         backend.hold = asyncio.Event()
@@ -267,7 +268,11 @@
 def test_who_would_be_late_is_turned_away_at_once_unless_it_comes_back_or_is_short() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         rig.local.concurrency = 1
-        rig.limiter._service_times["long"], rig.limiter._service_times["short"], rig.limiter._average_service_time = (
+        (
+            rig.limiter.service_times.by_route["long"],
+            rig.limiter.service_times.by_route["short"],
+            rig.limiter.service_times.average,
+        ) = (
             0.3,
             0.05,
             0.3,
@@ -321,7 +326,7 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-        admitted = limiter.run(forward(1), found.set_result)
+        admitted = limiter.submit(forward(1), found.set_result)
         assert admitted is not None
         while (
             admitted.exchange is None or admitted.exchange.connection is None or not admitted.exchange.connection._body
@@ -389,7 +394,7 @@
         stands = loop.time()
         monkeypatch.setattr(concurrency_limiter, "monotonic", lambda: stands + 30.0)
         reply = await rig.run(forward(2))
-        assert (reply.outcome, reply.was_sent, len(backend.heads), rig.limiter.busy) == (
+        assert (reply.outcome, reply.was_sent, len(backend.heads), rig.limiter.in_flight) == (
             RequestOutcome.NOT_RUN,
             False,
             1,
@@ -406,7 +411,7 @@
         rig.local.concurrency = 1
         replies: list[tuple[int, RequestOutcome]] = []
         admitted_requests = [
-            rig.limiter.run(forward(n), lambda r: replies.append((r.number, RequestOutcome(r.outcome))))
+            rig.limiter.submit(forward(n), lambda r: replies.append((r.number, RequestOutcome(r.outcome))))
             for n in (1, 2, 3)
         ]
         for admitted in admitted_requests[::-1] * 2:  # the one that waits first: else it would not wait any more
@@ -425,7 +430,7 @@
         rig.local.concurrency = 1
         replies: list[tuple[int, RequestOutcome, bool]] = []
         admitted_requests = [
-            rig.limiter.run(forward(n), lambda r: replies.append((r.number, RequestOutcome(r.outcome), r.was_sent)))
+            rig.limiter.submit(forward(n), lambda r: replies.append((r.number, RequestOutcome(r.outcome), r.was_sent)))
             for n in (1, 2, 3)
         ]
         while len(backend.heads) < 2:
@@ -438,7 +443,7 @@
         while len(replies) < 3:
             await asyncio.sleep(0.001)
         assert sorted(replies[1:]) == [(1, RequestOutcome.ANSWERED, True), (2, RequestOutcome.ANSWERED, True)]
-        assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.limiter.busy == 0
+        assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.limiter.in_flight == 0
 
     play(lambda a: GOOD % a, what)
 
@@ -459,10 +464,10 @@
         replies: list[ForwardResponse] = []
         limiter = ConcurrencyLimiter(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
-        limiter.run(forward(1, body=body, left=5.0), replies.append)
+        limiter.submit(forward(1, body=body, left=5.0), replies.append)
         while not replies:
             await asyncio.sleep(0.001)
-        limiter.run(forward(2), replies.append)
+        limiter.submit(forward(2), replies.append)
         while len(replies) < 2:
             await asyncio.sleep(0.001)
         assert [reply.outcome for reply in replies] == [RequestOutcome.ANSWERED] * 2 and len(streams) == 2
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -19,8 +19,10 @@
     Message,
     WithdrawRequest,
 )
-from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.admitted_request import AdmittedRequest
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, UploadScheduler
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
@@ -59,12 +61,12 @@
         self.now = asyncio.get_running_loop().time()
         self.limiter.local = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
         self.limiter.local.concurrency = 99
-        self.limiter._send = self._send  # type: ignore[method-assign]
+        self.limiter._start = self._start  # type: ignore[method-assign]
         self.incoming = IncomingExchanges(self.limiter, UploadScheduler(330_000.0, 1 << 20), OWN)
 
-    def _send(self, admitted: AdmittedRequest) -> None:
-        self.ran.append(admitted.forward.attempt_id)
-        self.admitted.append(admitted)
+    def _start(self, request: AdmittedRequest) -> None:
+        self.ran.append(request.forward.attempt_id)
+        self.admitted.append(request)
 
     def hear(self, wire: Wire, *messages: Message) -> None:
         for message in messages:
