--- a/tests/mesh/dataplane/test_concurrency_limiter.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -268,15 +268,8 @@
 def test_who_would_be_late_is_turned_away_at_once_unless_it_comes_back_or_is_short() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         rig.local.concurrency = 1
-        (
-            rig.limiter.service_times.by_route["long"],
-            rig.limiter.service_times.by_route["short"],
-            rig.limiter.service_times.average,
-        ) = (
-            0.3,
-            0.05,
-            0.3,
-        )
+        rig.limiter.service_times.by_route.update(long=0.3, short=0.05)
+        rig.limiter.service_times.average = 0.3
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="long")) for n in (1, 2)]
         fresh = await rig.run(forward(3, route="long", left=5.0, aim=0.5))
