--- /dev/null
+++ b/lugspur/mesh/control_node/api.py
@@ -0,0 +1,50 @@
+"""The calls that a control node takes of operators."""
+
+from __future__ import annotations
+
+from typing import Any, Protocol
+
+import msgspec
+
+from lugspur.mesh.control_node.operator_calls import OperatorCalls
+from lugspur.mesh.http_api import HttpApi, reply
+from lugspur.observability.metrics import CONTENT_TYPE
+from lugspur.seams import Answerable, Request
+
+_encode_json = msgspec.json.Encoder().encode
+
+
+class ServingProcess(Protocol):
+    """The process whose calls these are."""
+
+    operator_calls: OperatorCalls
+
+    def status(self) -> dict[str, Any]:
+        """What operators see of this control node."""
+
+    def metrics(self) -> bytes:
+        """The metrics of this control node, in the text format of Prometheus."""
+
+
+class ControlNodeApi:
+    """Handlers of the calls at the `dispatch` address."""
+
+    def __init__(self, process: ServingProcess) -> None:
+        self._process = process
+
+    def dispatch_calls(self) -> HttpApi:
+        """All calls, by method and path."""
+        calls = HttpApi()
+        calls.add("POST", "/config/amend", self._process.operator_calls.amend)
+        calls.add("GET", "/config/read", self._process.operator_calls.read)
+        calls.add("GET", "/mesh/status", self.status)
+        calls.add("GET", "/metrics", self.metrics)
+        return calls
+
+    def status(self, request: Request, caller: Answerable, _: list[str]) -> None:
+        """Answer what operators see of this control node, whether a majority can be reached or not."""
+        reply(caller, _encode_json(self._process.status()))
+
+    def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
+        """Answer the metrics of this control node."""
+        caller.answer(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -8,6 +8,7 @@
 
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control_node.majority_contact import MajorityContact
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
@@ -23,6 +24,7 @@
     proposer: Proposer
     disk: Disk
     operator_calls: OperatorCalls
+    majority_contact: MajorityContact
     pause_detector: PauseDetector
     peers: dict[str, Dialer]
 
@@ -30,9 +32,6 @@
     def subscribers(self) -> Sized:
         """Processes that follow this one's news."""
 
-    def age(self, now: float) -> float:
-        """Seconds since word of a majority."""
-
 
 def control_node_metrics(node: ControlParts) -> list[Figure]:
     """All figures of one control node at this moment."""
@@ -51,7 +50,7 @@
         gauge("voter", "1 while this disk has a vote.", float(replica.is_voter)),
         gauge("complete", "1 while it holds all claims that a voter must hold.", float(replica.complete)),
         gauge("change_pending", "1 while a change is accepted and not known as decided.", replica.register.pending),
-        gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.age(now))),
+        gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.majority_contact.age(now))),
         gauge("claims", "Claims of operation keys that are held.", len(replica.claims)),
         gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
         gauge("peers_up", "Processes that can be reached.", sum(d.link is not None for d in node.peers.values())),
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -1,13 +1,11 @@
-"""The process of a control node: it keeps the mesh's state, tells all who subscribe, and takes operators' calls."""
+"""The process of a control node: it keeps the mesh's state, sends updates to subscribers and takes operators' calls."""
 
 from __future__ import annotations
 
 import asyncio
-import os
 from typing import Any
 
-import msgspec
-
+from lugspur.http1.front import Front
 from lugspur.mesh import events
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects
@@ -31,153 +29,161 @@
     SubmitOrder,
     Sync,
     Unsubscribe,
-    Voter,
 )
 from lugspur.mesh.control.orders import Order
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
-from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
+from lugspur.mesh.control.replica import UID_ROW, read_membership
 from lugspur.mesh.control.store import Name
 from lugspur.mesh.control_node.announcement import Announcement
+from lugspur.mesh.control_node.api import ControlNodeApi
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.control_node.effect_runner import EffectRunner
 from lugspur.mesh.control_node.leases import Leases
+from lugspur.mesh.control_node.majority_contact import MajorityContact
 from lugspur.mesh.control_node.membership_changes import MembershipChanges, presences_of
 from lugspur.mesh.control_node.metrics import control_node_metrics
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.control_node.pending_changes import PendingChanges
+from lugspur.mesh.control_node.recovery import StoredRows, begin_as_first_voter, is_first_voter, restore_replica
 from lugspur.mesh.control_node.status import control_node_status
 from lugspur.mesh.control_node.subscribers import Subscribers
-from lugspur.mesh.http_api import HttpApi, reply
 from lugspur.mesh.process import TICK_SECONDS, MeshProcess
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.link import Dialer, Link
-from lugspur.observability.metrics import CONTENT_TYPE, render
-from lugspur.seams import Answerable, Request
+from lugspur.observability.metrics import render
 
-SWEEP_INTERVAL_SECONDS = 1.0  # seconds between looks at claims whose window is over
-FLUSH_SECONDS = 0.02  # seconds in which the last answers are written
-HANDOFF_FRACTION = 0.8  # of the time that a process has to end, for handing its vote and its claims on
+SWEEP_INTERVAL_SECONDS = 1.0  # between two searches for reservations whose window is over
+FLUSH_SECONDS = 0.02  # in which the last answers are written
+HANDOFF_FRACTION = 0.8  # of the time that a process has to end, for handing over its vote and its reservations...
 SHUTDOWN_FRACTION = 0.95  # ...and by which no call is waited for any more
-CATCH_UP_DELAY_SECONDS = 0.05  # seconds for which a replica waits to be told what it lacks before it asks
-PROPOSER_SILENCE_SECONDS = 0.5  # seconds since the latest word of a voter to whom orders are handed
-DISK_FAILURE_SECONDS = 1.0  # seconds for which a disk may refuse writes until the vote goes to another
-
-_json = msgspec.json.Encoder().encode
+LAST_UPDATES_SECONDS = 0.3  # after the handover, in which subscribers hear of it
+CATCH_UP_DELAY_SECONDS = 0.05  # for which a replica waits to be sent what it lacks before it asks
+DISK_FAILURE_SECONDS = 1.0  # for which a disk may refuse writes until its vote goes to another one
+DISK_CLOSE_SECONDS = 1.0  # for which the last writes are waited for
+MAX_AGE_SECONDS = 1e6  # in what others are told: more means that there was no contact with a majority
 
 
 class LocalPeer:
     """This process as a peer of its own replica."""
 
-    def __init__(self, node: ControlNode) -> None:
-        self._node = node
-        self.peer = node.ip
+    def __init__(self, process: ControlNode) -> None:
+        self._process = process
+        self.peer = process.ip
 
     def send(self, message: Message) -> None:
-        """Hand it over in the loop's next turn, as a connection would."""
-        self._node.loop.call_soon(self._node.heard, self._node.ip, message)
+        """Hand a message over in the loop's next turn, as a connection would."""
+        self._process.loop.call_soon(self._process.receive, self._process.ip, message)
 
 
 class ControlNode(MeshProcess):
     """The process of one control node."""
 
+    front: Front  # of operators, once it serves
+
     def __init__(self, settings: Settings, path: str) -> None:
-        limits, own = settings.own.limits, settings.own
-        self.disk = Disk(own.data_dir, limits.disk_mb)
+        """`path`: the settings file, which is read again when it changes.
+
+        Raises MeshError (STATE) where the disk can't be used.
+        """
+        own = settings.own
+        self.disk = Disk(own.data_dir, own.limits.disk_mb)
         rows = self.disk.rows()
-        self._sweep_at = 0.0
-        super().__init__(settings, path, True)
-        self.local = LocalPeer(self)
-        self.effect_runner = EffectRunner(self.loop, self.disk, self.to)
-        self.announcement = Announcement(self.ip, self.store, self.edition, self._report)
-        self.subscribers = Subscribers(self.loop, self.store, self.ping, self._news)
-        self.leases = Leases(self.store)
+        super().__init__(settings, path, is_control_node=True)
+        self.local_peer = LocalPeer(self)
         self.pause_detector = PauseDetector()
-        bounds, tolerate = settings.tariffs.bounds, settings.tariffs.tolerate
-        self.replica = self._restore(rows)
-        self.pages = LearnPages()
-        self.proposer = Proposer(self.replica, f"{self.ip}/{self.life}", self.rng, self._disk_sizes)
+        self.leases = Leases(self.store)
+        self.announcement = Announcement(self.ip, self.store, self.next_edition, self._report)
+        self.subscribers = Subscribers(self.loop, self.store, self.heartbeat_interval, self._update_since)
+        self.effect_runner = EffectRunner(self.loop, self.disk, self.send_to)
+        self.replica = restore_replica(settings, self.disk, rows, self.loop.time(), self._publish)
+        self.majority_contact = MajorityContact(self.ip, self.replica, self.freshness, self.max_staleness)
+        self.decided_pages = LearnPages()
+        self.proposer = Proposer(self.replica, f"{self.ip}/{self.incarnation}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
-        self.router = ChangeRouter(
-            self.loop, self.ip, self.proposer, self.pause_detector, self._preferred_proposer, self.do, self.to
-        )
-        self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.do)
+        self.router = self._make_router()
+        self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.run_effects)
         self.catch_up = ClaimsCatchUp(self.replica)
+        self.reconfiguration = self._make_reconfiguration()
+        self.membership_changes = self._make_membership_changes()
+        self.pending_changes = PendingChanges(self.ip, self.replica, self._finish_pending)
+        self.api = ControlNodeApi(self)
+        self._sweep_at = 0.0
+        self._published_index = self.replica.index  # the latest change that the parts above have been told of
+        self._asked_at = 0.0  # when a peer was last asked for changes that this replica lacks
+        self._disk_failing_since: float | None = None
+        self._start(rows)
+
+    def _make_router(self) -> ChangeRouter:
+        return ChangeRouter(
+            self.loop,
+            self.ip,
+            self.proposer,
+            self.pause_detector,
+            self.majority_contact.preferred_proposer,
+            self.run_effects,
+            self.send_to,
+        )
+
+    def _make_reconfiguration(self) -> Reconfiguration:
+        bounds, tolerate = self.settings.tariffs.bounds, self.settings.tariffs.tolerate
+        if not leaves_time(bounds.catch_up_s):
+            events.warn("bounds", fault="catch_up_s leaves no time to replace a lost voter before the next loss")
         patience = patience_of(bounds.catch_up_s, bounds.contact_ms / 1000.0)
         tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
-        self.reconfiguration = Reconfiguration(self.replica, tolerance, patience, settings.network.zones)
-        self.membership_changes = MembershipChanges(
+        return Reconfiguration(self.replica, tolerance, patience, self.settings.network.zones)
+
+    def _make_membership_changes(self) -> MembershipChanges:
+        return MembershipChanges(
             self.ip,
             self.replica,
             self.reconfiguration,
             self.store,
             self.freshness,
-            self.stale,
+            self.max_staleness,
             self.pause_detector,
             self._propose,
         )
-        self.pending_changes = PendingChanges(self.ip, self.replica, self._finish_pending)
-        if not leaves_time(bounds.catch_up_s):
-            events.warn("bounds", fault="catch_up_s leaves no time to replace a lost voter before the next loss")
-        self._index_seen = self.replica.index
-        self._asked_for = 0.0  # when what others know was asked for last
-        self._failing_since: float | None = None
+
+    def _start(self, rows: StoredRows) -> None:
+        """Begin to write, and to vote where this is a voter of the first membership."""
         self.disk.start()
-        if self.disk.damaged:  # never as at the very first start: what was promised is gone
+        if self.disk.damaged:
             rows = []
-        if not rows and own.first_start and own.ip in settings.seeds and not self.disk.damaged:
-            self.replica.voter = Voter(own.ip, GENESIS, own.zone)
-            self.do(self.replica.begin(self.loop.time(), [Voter(ip, GENESIS, "") for ip in settings.seeds]))
-        elif not rows:
-            self.disk.write([(UID_ROW, self.replica.voter.uid.encode())], lambda: None)
         replica = self.replica
+        if not rows and is_first_voter(self.settings, self.disk):
+            self.run_effects(begin_as_first_voter(self.settings, replica, self.loop.time()))
+        elif not rows:
+            self.disk.write([(UID_ROW, replica.voter.uid.encode())], lambda: None)  # at once: it wakes the writer
         events.info("control", uid=replica.voter.uid, epoch=replica.epoch, index=replica.index, rows=len(rows))
         self.announce()
 
-    def _restore(self, rows: list[tuple[bytes, bytes]]) -> Replica:
-        """What is on disk, or a newcomer's state where that can't be used."""
-        own, window = self.settings.own, self.settings.tariffs.bounds.stamp_window_s
-        for found in (rows, []):
-            replica = Replica(
-                own.ip, os.urandom(8).hex(), own.zone, window, own.limits.memory_mb << 20, self._published
-            )
-            try:
-                replica.restore(found, self.loop.time())
-                break
-            except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-                self.disk.set_aside(str(fault))
-        return replica
-
-    # ---- serving its kind ------------------------------------------------------------------
+    # ---- serving ---------------------------------------------------------------------------
 
     async def serve(self) -> None:
         """Listen to the mesh, and to operators."""
         ip, port = self.settings.inner_bind
-        await self.loop.create_server(lambda: Link(self._asked, self._ended), ip, port, backlog=512)
-        calls = HttpApi()
-        calls.add("POST", "/config/amend", self.operator_calls.amend)
-        calls.add("GET", "/config/read", self.operator_calls.read)
-        calls.add("GET", "/mesh/status", lambda request, caller, found: reply(caller, _json(self.status())))
-        calls.add("GET", "/metrics", self._metrics)
-        self.front = await calls.serve(self.settings.network.listen.dispatch, self.settings.own.limits.memory_mb << 20)
-
-    def _ended(self, link: Link) -> None:
+        await self.loop.create_server(lambda: Link(self._take_request, self._link_ended), ip, port, backlog=512)
+        memory_bytes = self.settings.own.limits.memory_mb << 20
+        self.front = await self.api.dispatch_calls().serve(self.settings.network.listen.dispatch, memory_bytes)
+
+    def _link_ended(self, link: Link) -> None:
         self.subscribers.remove(link)
-        self.pages.lost(link)
+        self.decided_pages.lost(link)
 
-    def _asked(self, link: Link, message: Message) -> None:
-        """Something from one who dialled."""
+    def _take_request(self, link: Link, message: Message) -> None:
+        """Take a message on a connection that a peer dialled."""
         if isinstance(message, Hello):
             link.peer = message.ip
-            dialler = self.peers.get(message.ip)
-            if dialler is not None:
-                dialler.nudge()
+            dialer = self.peers.get(message.ip)
+            if dialer is not None:
+                dialer.nudge()
         elif isinstance(message, Sync):
-            since = message.since if message.life == self.life and message.since <= self.store.upto else 0
-            self.subscribers.add(link, since)
+            is_known = message.life == self.incarnation and message.since <= self.store.upto
+            self.subscribers.add(link, message.since if is_known else 0)
         elif isinstance(message, Unsubscribe):
             self.subscribers.remove(link)
         elif isinstance(message, Report):
@@ -189,236 +195,227 @@
         elif isinstance(message, Pong):
             self.subscribers.answered(link, message)
         else:
-            self.do(self.replica.handle(self.loop.time(), link, message))
+            self.run_effects(self.replica.handle(self.loop.time(), link, message))
+
+    # ---- effects ---------------------------------------------------------------------------
 
-    def do(self, effects: Effects) -> None:
+    def run_effects(self, effects: Effects) -> None:
         """Send, write, and send the rest once that is on disk."""
         self.effect_runner.run(effects)
         self._advance()
 
     def _advance(self) -> None:
         """Tell whoever waits for it that the replica knows of further changes."""
-        if self._index_seen == self.replica.index:
+        if self._published_index == self.replica.index:
             return
-        self._index_seen = self.index = self.replica.index
+        self._published_index = self.configuration_index = self.replica.index
         self.pending_changes.advanced()
         now = self.loop.time()
-        self.do(self.proposer.advanced(now))
-        self.do(self.reader.advanced(now))
+        self.run_effects(self.proposer.advanced(now))
+        self.run_effects(self.reader.advanced(now))
         self.subscribers.tell_soon()
 
-    def to(self, ip: str, message: Message) -> None:
+    def send_to(self, ip: str, message: Message) -> None:
+        """Send a message to a control node, which may be this one."""
         if ip == self.ip:
-            self.loop.call_soon(self._to_self, message)
+            self.loop.call_soon(self._take_own_request, message)
         else:
-            super().to(ip, message)
+            super().send_to(ip, message)
 
-    def _to_self(self, message: Message) -> None:
-        self.do(self.replica.handle(self.loop.time(), self.local, message))
+    def _take_own_request(self, message: Message) -> None:
+        self.run_effects(self.replica.handle(self.loop.time(), self.local_peer, message))
 
-    # ---- what others know ------------------------------------------------------------------
-
-    def _published(self, entries: list[Entry], forgotten: list[Name]) -> None:
+    def _publish(self, entries: list[Entry], forgotten: list[Name]) -> None:
         """The replica has decided entries, or forgotten names."""
         self.store.merge(entries)
         self.store.forget(forgotten)
 
-    def take_news(self, message: Delta) -> list[Entry]:
-        """Leased entries count from anybody; what is decided comes by the register alone."""
-        for entry in message.entries:
-            if entry.kind == MEMBERSHIP and entry.value is not None:
-                self.go_by(read_membership(entry.value))
-        return self.store.merge([entry for entry in message.entries if entry.kind in LEASED])
+    # ---- what peers say --------------------------------------------------------------------
+
+    def receive(self, ip: str, message: Message) -> None:
+        self.membership_changes.heard(self.loop.time(), ip)
+        super().receive(ip, message)
 
-    def heard_more(self, now: float, ip: str, message: Message) -> None:
+    def receive_other(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
-            self.do(self.proposer.heard(now, ip, message))
+            self.run_effects(self.proposer.heard(now, ip, message))
         elif isinstance(message, Standing):
-            effects, pending = self.reader.heard(now, ip, message)
-            self.do(effects)
-            if pending:
+            effects, has_pending = self.reader.heard(now, ip, message)
+            self.run_effects(effects)
+            if has_pending:
                 self.pending_changes.seen(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
         elif isinstance(message, OrderAnswer):
             self.router.forwarder.heard(ip, message)
         elif isinstance(message, CatchUp):
-            self.do(self.replica.handle(now, ip, message))
+            self.run_effects(self.replica.handle(now, ip, message))
         elif isinstance(message, ClaimsPage):
-            complete = self.replica.complete
-            self.do(self.catch_up.heard(now, ip, message))
-            if self.replica.complete and not complete:
-                events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.claims))
-                self.subscribers.tell_soon()
+            self._take_reservations(now, ip, message)
 
     def _learn(self, source: Link | str, page: Learn) -> None:
-        pages = self.pages.add(source, page)
+        """Take a page of decided changes; they are applied with the last page."""
+        pages = self.decided_pages.add(source, page)
         if pages:
-            self.do(self.replica.learn(self.loop.time(), pages))
-
-    def heard(self, ip: str, message: Message) -> None:
-        self.membership_changes.heard(self.loop.time(), ip)
-        super().heard(ip, message)
-
-    def _delta(self, now: float, ip: str, message: Delta) -> None:
-        super()._delta(now, ip, message)
+            self.run_effects(self.replica.learn(self.loop.time(), pages))
+
+    def _take_reservations(self, now: float, ip: str, page: ClaimsPage) -> None:
+        """Take a page of the reservations that a voter of the epoch before has."""
+        was_complete = self.replica.complete
+        self.run_effects(self.catch_up.heard(now, ip, page))
+        if self.replica.complete and not was_complete:
+            events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.claims))
+            self.subscribers.tell_soon()
+
+    def receive_update(self, now: float, ip: str, message: Delta) -> None:
+        super().receive_update(now, ip, message)
         self.membership_changes.told_complete(ip, message.complete)
-        if message.index > self.replica.index and now - self._asked_for > CATCH_UP_DELAY_SECONDS:
-            self._asked_for = now
+        if message.index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
+            self._asked_at = now
             self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.index)
 
     def _ask_for_changes(self, ip: str, index: int) -> None:
-        """Learn what a peer knows, unless it has been told meanwhile."""
+        """Ask a peer for the changes up to an index, unless they have come meanwhile."""
         if self.replica.index < index:
-            self.to(ip, CatchUp(self.replica.index))
-
-    def _finish_pending(self, now: float) -> None:
-        self.do(self.proposer.finish(now))
+            self.send_to(ip, CatchUp(self.replica.index))
 
-    def _down(self, dialler: Dialer) -> None:
-        self.catch_up.lost(dialler.ip)
-        self.pages.lost(dialler.ip)
-        self.membership_changes.lost(dialler.ip)
-        super()._down(dialler)
-        self.router.lost(self.loop.time(), dialler.ip)
-
-    def _new_membership(self) -> None:
-        super()._new_membership()
+    def merge_update(self, message: Delta) -> None:
+        """Take leased entries from anybody; what is decided comes by the register alone."""
+        for entry in message.entries:
+            if entry.kind == MEMBERSHIP and entry.value is not None:
+                self.adopt_membership(read_membership(entry.value))
+        self.store.merge([entry for entry in message.entries if entry.kind in LEASED])
+
+    def disconnected(self, dialer: Dialer) -> None:
+        self.catch_up.lost(dialer.ip)
+        self.decided_pages.lost(dialer.ip)
+        self.membership_changes.lost(dialer.ip)
+        super().disconnected(dialer)
+        self.router.lost(self.loop.time(), dialer.ip)
+
+    def membership_changed(self) -> None:
+        super().membership_changed()
         self.membership_changes.changed(self.membership)
 
-    def wanted(self) -> set[str]:
-        found = super().wanted()
+    def wanted_peers(self) -> set[str]:
+        found = super().wanted_peers()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.complete:
             found |= {voter.ip for voter in membership.previous} - {self.ip}
         return found
 
-    # ---- telling others --------------------------------------------------------------------
+    # ---- what peers are told ---------------------------------------------------------------
+
+    def follows(self, ip: str) -> bool:
+        return True
+
+    def own_entries(self, *, renew: bool) -> list[Entry]:
+        return self.announcement.entries()
 
-    def changed(self, entry: Entry) -> None:
+    def entry_changed(self, entry: Entry) -> None:
         self.subscribers.tell_soon()
         if self.announcement.contradicted_by(entry):
             self.loop.call_soon(self.announce)
 
-    def _news(self, now: float, since: int) -> Delta:
+    def _update_since(self, now: float, sequence: int) -> Delta:
+        """The update for a subscriber that knows all changes up to a sequence number; 0: a snapshot."""
         replica = self.replica
         return Delta(
-            self.life,
+            self.incarnation,
             self.store.upto,
             now,
-            min(1e6, self.age(now)),
+            min(MAX_AGE_SECONDS, self.majority_contact.age(now)),
             replica.index,
             replica.register.pending,
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
-            since == 0,
-            self.store.after(since),
+            sequence == 0,
+            self.store.after(sequence),
         )
 
-    def age(self, now: float) -> float:
-        """Seconds since word of a majority: what was confirmed before then is known here."""
-        replica = self.replica
-        if replica.membership is None:
-            return 1e9
-        own = self.ip if replica.is_voter and not replica.register.pending else ""
-        return now - self.freshness.known_since(now, replica.membership, replica.index, own)
-
-    def follows(self, ip: str) -> bool:
-        return True
-
-    def own_entries(self, again: bool) -> list[Entry]:
-        return self.announcement.entries()
-
     def announce(self) -> None:
         """Say what this control node is."""
-        failing = self._failing_since is not None and self.loop.time() - self._failing_since > DISK_FAILURE_SECONDS
+        since = self._disk_failing_since
+        is_failing = since is not None and self.loop.time() - since > DISK_FAILURE_SECONDS
         uid, zone = self.replica.voter.uid, self.settings.own.zone
-        self.announcement.announce(Presence(uid, zone, self.leaving, failing, self.disk.size))
+        self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.size))
+
+    def _report(self, report: Report) -> None:
+        for dialer in self.peers.values():
+            if dialer.link is not None:
+                dialer.link.send(report)
 
     def _disk_sizes(self) -> list[int]:
         """Bytes that the disk of each control node takes, as far as they have said so."""
         return [presence.disk_bytes for presence in presences_of(self.store).values()]
 
-    def _report(self, report: Report) -> None:
-        for dialler in self.peers.values():
-            if dialler.link is not None:
-                dialler.link.send(report)
+    # ---- changes ---------------------------------------------------------------------------
+
+    def _propose(self, now: float, order: Order) -> None:
+        self.run_effects(self.proposer.submit(now, order))
+
+    def _finish_pending(self, now: float) -> None:
+        self.run_effects(self.proposer.finish(now))
 
     # ---- time ------------------------------------------------------------------------------
 
-    def look(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         self.pause_detector.tick(now)
         self.leases.end_silent(now)
         self.subscribers.look(now)
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_INTERVAL_SECONDS
-            self.do(self.replica.sweep(now))
-            self._look_at_disk(now)
+            self.run_effects(self.replica.sweep(now))
+            self._check_disk(now)
         self.router.look(now)
-        self.do(self.proposer.look(now))
-        self.do(self.reader.look(now))
-        self.do(self.catch_up.look(now))
+        self.run_effects(self.proposer.look(now))
+        self.run_effects(self.reader.look(now))
+        self.run_effects(self.catch_up.look(now))
         self.pending_changes.look(now)
         self.membership_changes.look(now)
 
-    def _look_at_disk(self, now: float) -> None:
-        """A disk that takes no writes for a while lets no vote count."""
+    def _check_disk(self, now: float) -> None:
+        """Announce a disk that has refused writes for a while, so that its vote goes to another one."""
         if not self.disk.fault:
-            self._failing_since = None
-        elif self._failing_since is None:
-            self._failing_since = now
+            self._disk_failing_since = None
+        elif self._disk_failing_since is None:
+            self._disk_failing_since = now
         self.announce()
 
-    def _propose(self, now: float, order: Order) -> None:
-        self.do(self.proposer.submit(now, order))
-
-    # ---- operators -------------------------------------------------------------------------
-
-    def _preferred_proposer(self, now: float) -> str:
-        """Who proposes for all: the first voter that is heard from, or this process.
-
-        One that has no word of a majority hands nothing on: where it is cut off it is to confirm and refuse nothing.
-        """
-        membership = self.replica.membership
-        if self.age(now) > self.stale:
-            return self.ip
-        for voter in membership.voters if membership is not None else ():
-            if voter.ip == self.ip or now - self.freshness.word_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
-                return voter.ip
-        return self.ip
+    # ---- what operators see ----------------------------------------------------------------
 
-    def _metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """This control node's figures."""
-        caller.answer(200, CONTENT_TYPE, render(control_node_metrics(self)))
+    def metrics(self) -> bytes:
+        """The metrics of this control node, in the text format of Prometheus."""
+        return render(control_node_metrics(self))
 
     def status(self) -> dict[str, Any]:
-        """What operators see of this control node, whether a majority can be reached or not."""
+        """What operators see of this control node, as the fields of /mesh/status."""
         return control_node_status(
             self.settings.own,
             self.replica,
             self.store,
             self.disk,
             ip=self.ip,
-            age=self.age(self.loop.time()),
+            age=self.majority_contact.age(self.loop.time()),
             voters_wanted=self.reconfiguration.tolerance.voters,
             subscribers=len(self.subscribers),
         )
 
     # ---- the end ---------------------------------------------------------------------------
 
-    async def leave(self) -> None:
-        """SIGTERM: hand the vote and the claims on where another control node can take them, then end."""
-        self.leaving = True
+    async def shut_down(self) -> None:
+        """End gracefully: hand over the vote and the reservations where another control node can take them."""
+        self.is_leaving = True
         self.announce()
         began, grace = self.loop.time(), self.settings.tariffs.bounds.grace_s
         until = began + HANDOFF_FRACTION * grace
         while self.loop.time() < until and not self.membership_changes.handed_on():
             await asyncio.sleep(TICK_SECONDS)
-        await asyncio.sleep(0.3)
+        await asyncio.sleep(LAST_UPDATES_SECONDS)
         # Guards operators against connections that end without an answer: no call waits for longer.
         until = min(self.loop.time() + DECISION_TIMEOUT_SECONDS, began + SHUTDOWN_FRACTION * grace)
         while self.loop.time() < until and self.operator_calls.waiting:
             await asyncio.sleep(FLUSH_SECONDS)
         self.front.close()
         await asyncio.sleep(FLUSH_SECONDS)
-        self.disk.close(1.0)
+        self.disk.close(DISK_CLOSE_SECONDS)
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -1,316 +1,235 @@
-"""What every process of the mesh does: it knows the membership, hears the news, and reaches the voters."""
+"""What every process of the mesh does: it keeps connections to its peers and follows the updates of control nodes."""
 
 from __future__ import annotations
 
 import asyncio
 import os
 import time
-from collections.abc import Callable
 from random import Random
+from typing import NamedTuple
 
 from lugspur.mesh import events
-from lugspur.mesh.control.claims import Claims, Settled
-from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
-from lugspur.mesh.control.messages import (
-    Claim,
-    Delta,
-    Entry,
-    Hello,
-    Membership,
-    Message,
-    Pong,
-    Release,
-    Report,
-    Sync,
-    Unsubscribe,
-    Verdict,
-)
+from lugspur.mesh.control.messages import Delta, Entry, Hello, Membership, Message, Pong, Report, Sync
 from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.settings import Settings, load_settings
+from lugspur.mesh.settings import Settings
+from lugspur.mesh.settings_watcher import SettingsWatcher
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Dialer, Link
 
-TICK_SECONDS = 0.1  # seconds between looks at what is due
-HEARTBEAT_FRACTION = 1 / 8  # of the time in which a configuration counts: how often news says that nothing is new
-STALENESS_FRACTION = 0.4  # ...and how old the news may be before it is sought elsewhere
-MAX_MISSED_HEARTBEATS = 4.0  # pings until a peer that no longer hears of this process counts as cut off from it
-SETTINGS_CHECK_SECONDS = 1.0  # seconds between looks at whether the settings file has changed
+TICK_SECONDS = 0.1  # between two calls of `tick`
+HEARTBEAT_FRACTION = 1 / 8  # of `edition_ms`: how often an update says that nothing has changed
+STALENESS_FRACTION = 0.4  # of `edition_ms`: the age of updates from which on they are sought elsewhere
+MAX_MISSED_HEARTBEATS = 4.0  # until a peer that no longer hears of this process counts as cut off from it
+SETTINGS_CHECK_SECONDS = 1.0  # between two looks at whether the settings file has changed
+
+
+class FollowedPosition(NamedTuple):
+    """How far a peer's changes are known here: a sequence number of one of its incarnations."""
+
+    incarnation: str
+    sequence: int
 
 
 class MeshProcess:
-    """One process; `local` says whether a voter is this process itself, which then needs no connection."""
+    """One process of the mesh; `ControlNode` and `Sidecar` add what is theirs by overriding methods.
 
-    def __init__(self, settings: Settings, path: str, keeps: bool) -> None:
+    All times are those of the event loop's steady clock, in seconds.
+    """
+
+    def __init__(self, settings: Settings, path: str, *, is_control_node: bool) -> None:
+        """`path`: the settings file, which is read again when it changes."""
         self.loop = asyncio.get_running_loop()
-        self.settings, self.path = settings, path
-        self.keeps = keeps
+        self._settings_watcher = SettingsWatcher(path, settings, self.settings_changed)
+        self._settings_check_at = 0.0
+        self.is_control_node = is_control_node
         self.ip = settings.own.ip
-        self.life = os.urandom(8).hex()
-        self.rng = Random(self.life)
-        self.store = Store(self._changed)
+        self.incarnation = os.urandom(8).hex()  # names this run of the process
+        self.rng = Random(self.incarnation)
+        self.store = Store(self._store_changed)
         self.membership: Membership | None = None
-        self.claims = Claims(self._to_voter)
         self.peers: dict[str, Dialer] = {}  # by IP number
-        self.synced: dict[str, tuple[str, int]] = {}  # how far each peer's changes are known: its life and place
-        self.index = 0  # the latest change of the configuration that is known here
-        self.source = ""  # whose news it follows, where it follows one
-        self.sources = 0  # how often it began to follow another's
-        self.source_at = 0.0  # when its news was last known to be fresh
-        self.source_since = 0.0
-        self.known = False  # it has had all news once
-        self.leaving = False
+        self.positions: dict[str, FollowedPosition] = {}  # by the IP number of a followed peer
+        self.configuration_index = 0  # the latest change of the configuration that is known here
+        self.is_leaving = False
         bounds = settings.tariffs.bounds
-        self.ping = max(0.1, HEARTBEAT_FRACTION * bounds.edition_ms / 1000.0)
-        self.stale = max(0.3, STALENESS_FRACTION * bounds.edition_ms / 1000.0)
-        self.freshness = Freshness(MAX_MISSED_HEARTBEATS * self.ping)
-        self._avoid: dict[str, float] = {}  # sources that were given up, and until when
-        self._settings_at = self._stamp()
-        self._settings_next = 0.0
-        self.reloaded: list[Callable[[], None]] = []
-        self.loop.call_soon(self._reach)  # once the subclass has all that it wants to be asked for
-        self.loop.call_later(TICK_SECONDS, self._look)
+        self.heartbeat_interval = max(0.1, HEARTBEAT_FRACTION * bounds.edition_ms / 1000.0)
+        self.max_staleness = max(0.3, STALENESS_FRACTION * bounds.edition_ms / 1000.0)
+        self.freshness = Freshness(MAX_MISSED_HEARTBEATS * self.heartbeat_interval)
+        self.loop.call_soon(self.connect_peers)  # once the subclass can say which peers it wants
+        self.loop.call_later(TICK_SECONDS, self._run_tick)
 
     # ---- settings ------------------------------------------------------------------------
 
-    def _stamp(self) -> tuple[int, int]:
-        try:
-            stat = os.stat(self.path)
-            return stat.st_mtime_ns, stat.st_size
-        except OSError:
-            return 0, 0
+    @property
+    def settings(self) -> Settings:
+        """The settings that are in force."""
+        return self._settings_watcher.settings
 
     def reload(self) -> None:
         """Take up the settings file; a bad one changes nothing."""
-        self._settings_at = self._stamp()
-        try:
-            fresh = load_settings(self.path)
-        except MeshError as fault:
-            events.warn("settings", fault=fault.detail)
-            return
-        self.settings = fresh
-        events.info("settings", seeds=",".join(fresh.seeds), service=fresh.own.service)
-        self._reach()
-        for call in self.reloaded:
-            call()
+        self._settings_watcher.reload()
+
+    def settings_changed(self) -> None:
+        """Other settings are in force: the seeds may be others."""
+        self.connect_peers()
 
-    # ---- peers ---------------------------------------------------------------------------
+    # ---- connections ---------------------------------------------------------------------
 
-    def wanted(self) -> set[str]:
-        """Whom it keeps a connection to: the voters, and the seeds until the membership is known."""
+    def wanted_peers(self) -> set[str]:
+        """The IP numbers to keep a connection to: the voters, and the seeds where the voters may be others."""
+        seeds = set(self.settings.seeds) - {self.ip}
         if self.membership is None:
-            return set(self.settings.seeds) - {self.ip}
-        found = {voter.ip for voter in self.membership.voters} - {self.ip}
-        if self._cut_off():  # the membership that is known may be an old one
-            found |= set(self.settings.seeds) - {self.ip}
-        return found
+            return seeds
+        voters = {voter.ip for voter in self.membership.voters} - {self.ip}
+        return voters | seeds if self.may_be_cut_off() else voters
 
-    def _cut_off(self) -> bool:
-        return self.loop.time() - self.source_at > 2.0 * self.stale
+    def may_be_cut_off(self) -> bool:
+        """Whether the membership that is known may be an old one; a control node always reckons with that."""
+        return True
 
-    def _reach(self) -> None:
-        wanted = self.wanted()
+    def connect_peers(self) -> None:
+        """Dial the peers that are wanted and have no connection, and close connections that nobody wants."""
+        wanted = self.wanted_peers()
         for ip in wanted - self.peers.keys():
             port = self.settings.network.inner_ports[0]
-            self.peers[ip] = Dialer(ip, port, self.ip, self._heard_from, self._up, self._down, self.keep_idle(ip))
-        for ip in [ip for ip in self.peers if ip not in wanted and not self.keep_peer(ip)]:
+            self.peers[ip] = Dialer(
+                ip,
+                port,
+                self.ip,
+                self.message_received,
+                self.connected,
+                self.disconnected,
+                self.keepalive_idle_seconds(ip),
+            )
+        for ip in [ip for ip in self.peers if ip not in wanted and not self.needs_peer(ip)]:
             self.peers.pop(ip).close()
             self.freshness.lost(ip)
-            self.synced.pop(ip, None)
+            self.positions.pop(ip, None)
 
-    def keep_idle(self, ip: str) -> int:
+    def keepalive_idle_seconds(self, ip: str) -> int:
         """Seconds without a byte after which a connection to this peer is probed."""
         return KEEPALIVE_IDLE_SECONDS
 
-    def keep_peer(self, ip: str) -> bool:
-        """Whether a connection is wanted for anything else."""
+    def needs_peer(self, ip: str) -> bool:
+        """Whether a connection that is no longer wanted has to stay open for what is under way on it."""
         return False
 
-    def _up(self, dialler: Dialer) -> None:
-        assert dialler.link is not None
-        dialler.link.send(Hello(self.ip, self.life, self.keeps))
-        if self.follows(dialler.ip):
-            self._subscribe(dialler)
-        self.claims.reach(self.loop.time(), dialler.ip)
+    def connected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled is up."""
+        assert dialer.link is not None
+        dialer.link.send(Hello(self.ip, self.incarnation, self.is_control_node))
+        if self.follows(dialer.ip):
+            self.subscribe(dialer)
+
+    def disconnected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled has ended."""
+        self.freshness.lost(dialer.ip)
+
+    def send_to(self, ip: str, message: Message) -> None:
+        """Send a message to a peer; it is dropped where there is no connection."""
+        dialer = self.peers.get(ip)
+        if dialer is not None and dialer.link is not None:
+            dialer.link.send(message)
+
+    def message_received(self, link: Link, message: Message) -> None:
+        """A message has come on a connection that this process dialled."""
+        self.receive(link.peer, message)
+
+    def receive(self, ip: str, message: Message) -> None:
+        """Take a message of a peer that this process dialled, or of its own replica."""
+        now = self.loop.time()
+        if isinstance(message, Delta):
+            self.receive_update(now, ip, message)
+        else:
+            self.receive_other(now, ip, message)
 
-    def _down(self, dialler: Dialer) -> None:
-        self.freshness.lost(dialler.ip)
-        if dialler.ip == self.source:
-            self.source = ""
-            self._seek()
+    def receive_other(self, now: float, ip: str, message: Message) -> None:
+        """Take a message that only some processes understand."""
+
+    # ---- updates -------------------------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
-        """Whether it follows that peer's news; a proxy follows one, a replica all voters."""
-        return ip == self.source
-
-    def _subscribe(self, dialler: Dialer) -> None:
-        if dialler.link is not None:
-            life, since = self.synced.get(dialler.ip, ("", 0))
-            self.freshness.asked(self.loop.time(), dialler.ip)
-            dialler.link.send(Sync(life, since))
-            own = self.own_entries(True)
+        """Whether this process subscribes to that peer's updates."""
+        raise NotImplementedError
+
+    def subscribe(self, dialer: Dialer) -> None:
+        """Ask a peer for all updates from now on, and report to it what this process says of itself."""
+        if dialer.link is not None:
+            incarnation, sequence = self.positions.get(dialer.ip, FollowedPosition("", 0))
+            self.freshness.asked(self.loop.time(), dialer.ip)
+            dialer.link.send(Sync(incarnation, sequence))
+            own = self.own_entries(renew=True)
             if own:
-                dialler.link.send(Report(own))
+                dialer.link.send(Report(own))
 
-    def own_entries(self, again: bool) -> list[Entry]:
-        """What it says of itself; `again`: to another, under a new edition."""
+    def own_entries(self, *, renew: bool) -> list[Entry]:
+        """The leased entries by which this process describes itself; `renew`: under a new edition, for another peer."""
         return []
 
-    def report(self) -> None:
-        """What it says of itself has changed."""
-        own = self.own_entries(False)
-        dialler = self.peers.get(self.source)
-        if own and dialler is not None and dialler.link is not None:
-            dialler.link.send(Report(own))
-
-    def edition(self, kind: str, name: str) -> int:
-        """A new edition of what it says: by the time of day, and above all that is known."""
+    def next_edition(self, kind: str, name: str) -> int:
+        """A new edition of an entry of this process: by the time of day, and above all that is known."""
         standing = self.store.get(kind, name)
         return max(time.time_ns() // 1_000_000, 0 if standing is None else standing.edition + 1)
 
-    # ---- news ----------------------------------------------------------------------------
-
-    def _seek(self) -> None:
-        """Follow another's news, and no longer the former one's."""
-        if self.keeps:
-            return
-        former, self.source = self.source, self._choose_source()
-        if former and former != self.source:
-            self.to(former, Unsubscribe())
-        if self.source:
-            self.sources += 1
-            self.source_since = self.loop.time()
-            self._subscribe(self.peers[self.source])
-
-    def _choose_source(self) -> str:
-        """A voter of the own zone before others, each process another one; none where none can be reached."""
-        up = {ip for ip, dialler in self.peers.items() if dialler.link is not None}
-        zones = {voter.ip: voter.zone for voter in self.membership.voters} if self.membership is not None else {}
-        able = [ip for ip in up if ip in zones]
-        if not able or self._cut_off():  # the membership that is known may be an old one; proxies tell no news
-            able += [ip for ip in up if ip in self.settings.seeds and ip not in zones]
-        others = [ip for ip in able if ip != self.source] or able
-        zone, now = self.settings.own.zone, self.loop.time()
-        return min(
-            others,
-            key=lambda ip: (self._avoid.get(ip, 0.0) > now, zones.get(ip) != zone, self.rng.random()),
-            default="",
-        )
-
-    def _heard_from(self, link: Link, message: Message) -> None:
-        self.heard(link.peer, message)
-
-    def heard(self, ip: str, message: Message) -> None:
-        """Something from a peer that this process dialled, or from its own replica."""
-        now = self.loop.time()
-        if isinstance(message, Delta):
-            self._delta(now, ip, message)
-        elif isinstance(message, Verdict):
-            self.claims.verdict(now, ip, message)
-        else:
-            self.heard_more(now, ip, message)
-
-    def heard_more(self, now: float, ip: str, message: Message) -> None:
-        """What only some processes understand."""
-
-    def _delta(self, now: float, ip: str, message: Delta) -> None:
+    def receive_update(self, now: float, ip: str, message: Delta) -> None:
+        """Take an update of a peer, and acknowledge it."""
         sent_at = self.freshness.heard(now, ip, message)
-        taken = self.take_news(message)
-        self.synced[ip] = (message.life, message.upto)
-        if ip == self.source:
-            self.source_at = max(self.source_at, sent_at - message.age)
-            self.known = self.known or now - self.source_at < self.stale
-        if taken:
-            self.merged(taken)
-        dialler = self.peers.get(ip)
-        if dialler is not None and dialler.link is not None:
-            dialler.link.send(Pong(now))
-
-    def take_news(self, message: Delta) -> list[Entry]:
-        """Entries that a peer has told; returns those that are new here."""
-        if message.whole and message.index >= self.index:
+        self.merge_update(message)
+        self.positions[ip] = FollowedPosition(message.life, message.upto)
+        self.update_taken(now, ip, sent_at - message.age)
+        self.send_to(ip, Pong(now))
+
+    def merge_update(self, message: Delta) -> None:
+        """Merge the entries of an update into the store."""
+        if message.whole and message.index >= self.configuration_index:
             self._forget_missing(message.entries)
-        self.index = max(self.index, message.index)
-        return self.store.merge(message.entries)
+        self.configuration_index = max(self.configuration_index, message.index)
+        self.store.merge(message.entries)
+
+    def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+        """An update was merged; all that had been confirmed before `confirmed_at` is known here."""
 
     def _forget_missing(self, entries: list[Entry]) -> None:
-        """All that a peer has, which knows no less than this process: what is not in it was withdrawn long ago."""
-        there = {(entry.kind, entry.name) for entry in entries}
-        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED]
-        self.store.forget([name for name in names if name not in there])
+        """Forget what a snapshot lacks.
 
-    def merged(self, taken: list[Entry]) -> None:
-        """News has come."""
+        Its sender knows no less than this process, so that what it does not have was withdrawn long ago.
+        """
+        present = {(entry.kind, entry.name) for entry in entries}
+        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED]
+        self.store.forget([name for name in names if name not in present])
 
-    def _changed(self, entry: Entry) -> None:
+    def _store_changed(self, entry: Entry) -> None:
         if entry.kind == MEMBERSHIP and entry.value is not None:
-            self.go_by(read_membership(entry.value))
-        self.changed(entry)
+            self.adopt_membership(read_membership(entry.value))
+        self.entry_changed(entry)
+
+    def entry_changed(self, entry: Entry) -> None:
+        """An entry was added to the store, replaced or withdrawn."""
 
-    def go_by(self, membership: Membership) -> None:
-        """Reach the voters of a membership, unless a later one is known."""
+    def adopt_membership(self, membership: Membership) -> None:
+        """Go by a membership, unless a later one is known."""
         if self.membership is not None and membership.epoch <= self.membership.epoch:
             return
         self.membership = membership
         events.info("membership", epoch=membership.epoch, voters=",".join(voter.ip for voter in membership.voters))
-        self.loop.call_soon(self._new_membership)
+        self.loop.call_soon(self.membership_changed)
 
-    def _new_membership(self) -> None:
-        assert self.membership is not None
-        self._reach()
-        self.claims.again(self.loop.time(), self.membership)
-        if self.source not in self.peers:
-            self._seek()
+    def membership_changed(self) -> None:
+        """Another membership is in force: reach its voters."""
+        self.connect_peers()
 
-    def changed(self, entry: Entry) -> None:
-        """An entry has taken its place in the store."""
+    # ---- time ----------------------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _run_tick(self) -> None:
         now = self.loop.time()
-        self.loop.call_later(TICK_SECONDS, self._look)
-        self.claims.look(now)
-        if now >= self._settings_next:
-            self._settings_next = now + SETTINGS_CHECK_SECONDS
-            if self._stamp() != self._settings_at:
-                self.reload()
-            self._reach()
-        if not self.keeps:
-            due = max(self.source_at, self.source_since) + self.stale
-            if not self.source or now > due:
-                if self.source:
-                    events.info("news-lost", source=self.source, age=now - self.source_at)
-                    self._avoid[self.source] = now + 2.0
-                self._seek()
-        self.look(now)
-
-    def look(self, now: float) -> None:
-        """What is due from time to time."""
-
-    # ---- the voters -----------------------------------------------------------------------
-
-    def _to_voter(self, ip: str, message: Claim | Release) -> None:
-        self.to(ip, message)
-
-    def to(self, ip: str, message: Message) -> None:
-        """Send it to a voter, if it can be reached."""
-        dialler = self.peers.get(ip)
-        if dialler is not None and dialler.link is not None:
-            dialler.link.send(message)
-
-    # ---- keys (see proxy.Keys) ---------------------------------------------------------
-
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
-        """Ask for the right to run an operation."""
-        assert self.membership is not None
-        self.claims.begin(self.loop.time(), self.membership, key, by, left, within, over)
-
-    def release(self, key: bytes, by: bytes) -> None:
-        """Give it back."""
-        if self.membership is not None:
-            for voter in self.membership.voters:
-                self.to(voter.ip, Release(key, by))
-
-    def drop(self, key: bytes, by: bytes) -> None:
-        """Nobody waits for it any more."""
-        self.claims.drop(key, by)
+        self.loop.call_later(TICK_SECONDS, self._run_tick)
+        if now >= self._settings_check_at:
+            self._settings_check_at = now + SETTINGS_CHECK_SECONDS
+            self._settings_watcher.check()
+            self.connect_peers()
+        self.tick(now)
+
+    def tick(self, now: float) -> None:
+        """Do what is due by time; called every `TICK_SECONDS`."""
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -46,13 +46,13 @@
 
         control = node = ControlNode(settings, path)
         await control.serve()
-        leave = control.leave
+        shut_down = control.shut_down
     else:
         from lugspur.mesh.sidecar.process import Sidecar
 
         sidecar = node = Sidecar(settings, path)
         await sidecar.serve()
-        leave = sidecar.leave
+        shut_down = sidecar.shut_down
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     reloads.carry_out(loop, node.reload)
@@ -62,5 +62,5 @@
     events.info("serving", ip=node.ip, keeps=settings.keeps, first=settings.own.first_start)
     await stop.wait()
     events.info("leaving")
-    await leave()
+    await shut_down()
     return 0
--- /dev/null
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -0,0 +1,50 @@
+"""Carries requests to the concurrency limiter beside a backend, of this machine or of another."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+
+from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.ports import Carried
+from lugspur.mesh.sidecar.backend_status import BackendStatus
+from lugspur.mesh.sidecar.local_requests import CarriedHere
+from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
+from lugspur.mesh.transport.link import Dialer
+
+
+class RequestCarrier:
+    """The way to all backends (see `lugspur.mesh.dataplane.ports.Carrier`)."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        ip: str,
+        *,
+        peers: Mapping[str, Dialer],
+        backends: Mapping[str, BackendStatus],
+        gate: Gate,
+        outgoing: OutgoingExchanges,
+    ) -> None:
+        """`ip`: of this machine; `peers` and `backends`: by IP number; `gate`: of this machine's backend."""
+        self._loop, self._ip = loop, ip
+        self._peers, self._backends = peers, backends
+        self._gate, self._outgoing = gate, outgoing
+
+    def ready(self, ip: str) -> bool:
+        """Whether that machine can be reached now."""
+        if ip == self._ip:
+            return True
+        dialer = self._peers.get(ip)
+        return dialer is not None and dialer.link is not None and dialer.link.answered
+
+    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+        """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
+        if ip == self._ip:
+            return CarriedHere(self._gate, self._gate.run(forward, respond))
+        link = self._peers[ip].link
+        assert link is not None
+        status = self._backends.get(ip)
+        rate = 0.0 if status is None else status.rate
+        return self._outgoing.carry(self._loop.time(), ip, link, rate, forward, respond)
--- /dev/null
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -0,0 +1,74 @@
+"""A proxy's reservations of idempotency keys at the voters (see `lugspur.mesh.dataplane.ports.Keys`)."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Protocol
+
+from lugspur.mesh.control.claims import Claims, Settled
+from lugspur.mesh.control.messages import Answer, Done, Forward, Membership, Message, Release, Verdict
+
+
+class ReservingProcess(Protocol):
+    """The process whose requests need keys."""
+
+    loop: asyncio.AbstractEventLoop
+    membership: Membership | None
+
+    def send_to(self, ip: str, message: Message) -> None:
+        """Send a message to a peer."""
+
+
+class KeyReservations:
+    """Reserves keys at the voters of the membership that the process knows."""
+
+    def __init__(self, process: ReservingProcess) -> None:
+        self._process = process
+        self._claims = Claims(process.send_to)
+
+    def __len__(self) -> int:
+        return len(self._claims)
+
+    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+        """Ask for the right to run the operation of a key; `over` is called once, after `within` seconds at most.
+
+        `by` names the request and is never used again; `left`: seconds until the request ends.
+        """
+        membership = self._process.membership
+        assert membership is not None
+        self._claims.begin(self._process.loop.time(), membership, key, by, left, within, over)
+
+    def release(self, key: bytes, by: bytes) -> None:
+        """Give the right back: nothing ran, and nothing will."""
+        self._send_to_voters(Release(key, by))
+
+    def drop(self, key: bytes, by: bytes) -> None:
+        """Nobody waits for the right any more."""
+        self._claims.drop(key, by)
+
+    def complete(self, forward: Forward, answer: Answer) -> None:
+        """A keyed operation has run: the voters keep its answer for requests that repeat it."""
+        self._send_to_voters(Done(forward.key, forward.by, answer))
+
+    def _send_to_voters(self, message: Message) -> None:
+        membership = self._process.membership
+        for voter in membership.voters if membership is not None else ():
+            self._process.send_to(voter.ip, message)
+
+    def receive(self, now: float, ip: str, message: Verdict) -> None:
+        """Take a voter's reply."""
+        self._claims.verdict(now, ip, message)
+
+    def connected(self, now: float, ip: str) -> None:
+        """A peer can be reached anew: what a voter may not have received is sent again."""
+        self._claims.reach(now, ip)
+
+    def membership_changed(self, now: float) -> None:
+        """Other voters are in force: what the former ones granted no longer counts, and is asked for anew."""
+        if self._process.membership is not None:
+            self._claims.again(now, self._process.membership)
+
+    def tick(self, now: float) -> None:
+        """End what has waited for too long."""
+        self._claims.look(now)
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Mapping, Sized
+from collections.abc import Sized
 from typing import Protocol
 
 from lugspur.http1.front import Front
@@ -11,6 +11,8 @@
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
+from lugspur.mesh.sidecar.known_backends import KnownBackends
+from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.mesh.transport.link import Dialer
 from lugspur.observability.failures import FailedRequest, Standing
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
@@ -25,21 +27,18 @@
     front: Front
     incoming: IncomingExchanges
     peers: dict[str, Dialer]
-    sources: int
-    leaving: bool
+    update_source: UpdateSource
+    backends: KnownBackends
+    is_leaving: bool
 
     @property
-    def claims(self) -> Sized:
-        """Claims that are not settled."""
+    def reservations(self) -> Sized:
+        """Reservations of keys that are not decided."""
 
     @property
     def table(self) -> Sized:
         """Routes in force."""
 
-    @property
-    def backends(self) -> Mapping[str, object]:
-        """What the mesh tells of, by machine."""
-
     def standing(self) -> Standing:
         """What requests are judged by at this moment."""
 
@@ -50,6 +49,7 @@
     standing = sidecar.standing()
     causes = {cause.name.lower(): float(count) for cause, count in gate.causes.items()}
     rejections = {str(status): float(count) for status, count in front.rejections.items()}
+    selections = sidecar.update_source.selections
     up = sum(dialler.link is not None for dialler in sidecar.peers.values())
     return [
         counters("requests_total", "Requests of this machine's callers, by how they ended.", "how", proxy.ended),
@@ -59,15 +59,15 @@
         gauge("gate_in_hand", "Requests for the backend that run or wait.", gate.busy),
         gauge("uploads_open", "Bodies that arrive in parts.", len(sidecar.incoming.uploads)),
         gauge("callers", "Connections of callers.", len(front.callers)),
-        gauge("claims_open", "Claims of operation keys that are not settled.", len(sidecar.claims)),
+        gauge("claims_open", "Claims of operation keys that are not settled.", len(sidecar.reservations)),
         gauge("routes", "Routes in force.", len(sidecar.table)),
-        gauge("backends", "Backends that the mesh tells of.", len(sidecar.backends)),
+        gauge("backends", "Backends that the mesh tells of.", len(sidecar.backends.by_ip)),
         gauge("peers_up", "Processes that can be reached.", up),
         gauge("configuration_index", "The latest change of the configuration that is known.", standing.change),
         gauge("membership_epoch", "The membership that this process goes by.", standing.epoch),
         gauge("news_age_seconds", "Seconds since word of a majority.", standing.news_age_s),
-        counter("news_sources_total", "How often another control node's news was followed.", sidecar.sources),
-        gauge("leaving", "1 while this process ends.", float(sidecar.leaving)),
+        counter("news_sources_total", "How often another control node's news was followed.", selections),
+        gauge("leaving", "1 while this process ends.", float(sidecar.is_leaving)),
         gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _silent(sidecar, now)),
         *invariant_figures(),
     ]
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of its machine's backend: its beats, its end, its silence, and what the mesh is told of it."""
+"""A proxy's registration of its machine's backend: heartbeats, sign-off, silence, and what the mesh is told of it."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from lugspur.discovery.rows import read_address
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.items import BACKEND
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
@@ -18,105 +19,123 @@
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
+from lugspur.mesh.sidecar.backend_status import BackendStatus, encode_status
 from lugspur.seams import Answerable, Request
 
-MAX_MISSED_HEARTBEATS = 3.0  # beats that may be missed until a backend counts as gone
-MAX_HEARTBEAT_BYTES = 4096  # bytes of a beat
-REANNOUNCE_SECONDS = 2.0  # seconds between editions of the same word to another source
-
-
-class BackendStatus(msgspec.Struct, array_like=True, frozen=True):
-    """What a proxy says of its backend, as a soft entry under its own IP number."""
-
-    id: str
-    service: str
-    zone: str
-    state: str
-    berths: int
-    cold: float  # seconds for which it stays slow, from when it was said
-    rate: float = 0.0  # bytes a second of its machine's link; 0: unknown
+MAX_MISSED_HEARTBEATS = 3.0  # until a backend counts as gone...
+HEARTBEAT_MARGIN_SECONDS = 1.0  # ...and so much longer
+MAX_HEARTBEAT_BYTES = 4096
+REANNOUNCE_SECONDS = 2.0  # between two editions of the same status for another source of updates
+NEVER = float("inf")  # when a backend closes that has not said so
 
 
 class Heartbeat(msgspec.Struct):
-    """A backend's heartbeat."""
+    """A backend's heartbeat, as it sends it."""
 
     service: str
     address: str
     state: str
-    sequence: int
+    sequence: int  # rises from heartbeat to heartbeat of one incarnation
     berths: int = 1
     warmup_left_ms: float = 0.0
 
 
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
-_pack = msgspec.msgpack.Encoder().encode
 
 
-class Announcer(Protocol):
-    """The process, as far as it is needed here."""
+def read_heartbeat(body: bytes) -> Heartbeat:
+    """The heartbeat of a call's body; raises MeshError (BAD_REQUEST) where it is none."""
+    try:
+        heartbeat = _heartbeat_decoder.decode(body[:MAX_HEARTBEAT_BYTES])
+        read_address(heartbeat.address)
+    except (msgspec.MsgspecError, ValueError) as fault:
+        raise MeshError(Kind.BAD_REQUEST, str(fault)) from None
+    return heartbeat
+
+
+class RegisteringProcess(Protocol):
+    """The process beside the backend, as far as it is needed here."""
 
     loop: asyncio.AbstractEventLoop
     ip: str
-    settings: Settings
     store: Store
-    leaving: bool
+    is_leaving: bool
+
+    @property
+    def settings(self) -> Settings:
+        """The settings that are in force."""
 
-    def edition(self, kind: str, name: str) -> int:
-        """A new edition of what it says."""
+    def next_edition(self, kind: str, name: str) -> int:
+        """A new edition of an entry of this process."""
 
     def report(self) -> None:
-        """What it says of itself has changed."""
+        """Report the entries of this process to whom it follows."""
 
 
 class BackendRegistration:
-    """The present life of this machine's backend, and the soft entry that tells of it. `rate`: bytes a second."""
+    """The present incarnation of this machine's backend, and the leased entry that tells the mesh of it."""
 
-    def __init__(self, process: Announcer, gate: Gate, backends: Mapping[str, BackendStatus], rate: float) -> None:
-        """`backends`: what the mesh knows of each machine's, by IP number."""
+    def __init__(
+        self, process: RegisteringProcess, gate: Gate, backends: Mapping[str, BackendStatus], rate: float
+    ) -> None:
+        """`backends`: what the mesh knows of each machine's, by IP number; `rate`: bytes a second of the link."""
         self._process, self._gate, self._backends, self._rate = process, gate, backends, rate
-        self.said: Entry | None = None
-        self._again_at = 0.0
-        self._looked_at = float("inf")  # until it has looked once
-        self._lives = BackendIncarnations(process.settings.depot.heartbeat_ms / 1000.0)
+        self.announced: Entry | None = None
+        self._renew_at = 0.0  # when the entry may get a new edition without a new content
+        self._ticked_at = float("inf")  # until the first tick
+        self._incarnations = BackendIncarnations(process.settings.depot.heartbeat_ms / 1000.0)
+
+    # ---- calls of the backend --------------------------------------------------------------
 
     def heartbeat(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """A beat, with the backend's id in `found`; raises MeshError for what is none."""
-        try:
-            heartbeat = _heartbeat_decoder.decode(request.body[:MAX_HEARTBEAT_BYTES])
-            read_address(heartbeat.address)
-        except (msgspec.MsgspecError, ValueError) as fault:
-            raise MeshError(Kind.BAD_REQUEST, str(fault)) from None
-        now, local = self._process.loop.time(), self._gate.local
-        silent = local is not None and local.state in ("gone", "silent")
-        if local is not None and local.id != found[0] and heartbeat.state != "accepting" and heartbeat.sequence > 0:
-            reply(caller)  # a life that ends can take nobody's place
-            return
-        if not self._lives.is_present(now, found[0], heartbeat.sequence, silent):
-            events.info("late-heartbeat", id=found[0], sequence=heartbeat.sequence, state=heartbeat.state)
-            reply(caller)
-            return
-        if local is None or local.id != found[0]:
-            local = LocalBackend(found[0], heartbeat.service, heartbeat.address, now)
-            if heartbeat.state != "accepting":
-                # Guards its drain: it may have said so long ago, to a process that was here before this one.
-                local.closing_at = float("-inf")
-            self._gate.local = local
-            events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
-        if heartbeat.sequence > local.sequence:
-            local.sequence, local.heard, local.down = heartbeat.sequence, now, False
-            local.berths = max(1, heartbeat.berths)
-            local.warm_at = now + heartbeat.warmup_left_ms / 1000.0
-            if heartbeat.state != "accepting" and local.closing_at == float("inf"):
-                local.closing_at = now
-                events.info("closing", id=local.id)
-            if local.state != "gone":  # one that was silent speaks again; one that signed off does not
-                local.state = "accepting" if local.closing_at == float("inf") else "closing"
-            self.publish()
+        """Take a heartbeat, with the backend's id in `found`; raises MeshError (BAD_REQUEST) for what is none."""
+        heartbeat = read_heartbeat(request.body)
+        if self._is_present(found[0], heartbeat):
+            self._apply(self._present_backend(found[0], heartbeat), heartbeat)
         reply(caller)
 
+    def _is_present(self, ident: str, heartbeat: Heartbeat) -> bool:
+        """Whether a heartbeat is one of the present incarnation, or of one that takes its place."""
+        local = self._gate.local
+        if local is not None and local.id != ident and heartbeat.state != "accepting" and heartbeat.sequence > 0:
+            return False  # an incarnation that ends can take nobody's place
+        has_ended = local is not None and local.state in ("gone", "silent")
+        if self._incarnations.is_present(self._process.loop.time(), ident, heartbeat.sequence, has_ended):
+            return True
+        events.info("late-heartbeat", id=ident, sequence=heartbeat.sequence, state=heartbeat.state)
+        return False
+
+    def _present_backend(self, ident: str, heartbeat: Heartbeat) -> LocalBackend:
+        """The backend with that id; it takes the place of another one."""
+        local = self._gate.local
+        if local is not None and local.id == ident:
+            return local
+        local = LocalBackend(ident, heartbeat.service, heartbeat.address, self._process.loop.time())
+        if heartbeat.state != "accepting":
+            # Guards its drain: it may have said so long ago, to a process that was here before this one.
+            local.closing_at = float("-inf")
+        self._gate.local = local
+        events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
+        return local
+
+    def _apply(self, local: LocalBackend, heartbeat: Heartbeat) -> None:
+        """Take over what a heartbeat says, unless a later one has come before it."""
+        if heartbeat.sequence <= local.sequence:
+            return
+        now = self._process.loop.time()
+        local.sequence, local.heard, local.down = heartbeat.sequence, now, False
+        local.berths = max(1, heartbeat.berths)
+        local.warm_at = now + heartbeat.warmup_left_ms / 1000.0
+        if heartbeat.state != "accepting" and local.closing_at == NEVER:
+            local.closing_at = now
+            events.info("closing", id=local.id)
+        if local.state != "gone":  # one that was silent speaks again; one that signed off does not
+            local.state = "accepting" if local.closing_at == NEVER else "closing"
+        self.publish()
+
     def sign_off(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """The backend's last word."""
-        self._lives.signed_off(found[0])
+        """Take the backend's sign-off, with its id in `found`: it has ended."""
+        self._incarnations.signed_off(found[0])
         local = self._gate.local
         if local is not None and local.id == found[0]:
             local.state = "gone"
@@ -125,79 +144,88 @@
             self.publish()
         reply(caller)
 
-    def down(self, local: LocalBackend) -> None:
-        """It takes no connections."""
+    def unreachable(self, local: LocalBackend) -> None:
+        """The backend has refused a connection."""
         events.info("backend-down", id=local.id)
         self.publish()
 
+    # ---- what the mesh is told -------------------------------------------------------------
+
     def publish(self) -> None:
         """Tell the mesh how this machine's backend is, where that has changed."""
         local = self._gate.local
         if local is None:
             return
-        now = self._process.loop.time()
-        gone = local.state in ("gone", "silent") or local.down or self._process.leaving
-        backend_status = BackendStatus(
+        status = self._status_of(local)
+        if not self._is_announced(status):
+            self._announce(self._process.next_edition(BACKEND, self._process.ip), encode_status(status))
+            self._process.report()
+
+    def _status_of(self, local: LocalBackend) -> BackendStatus:
+        has_ended = local.state in ("gone", "silent") or local.down or self._process.is_leaving
+        return BackendStatus(
             local.id,
             local.service,
             self._process.settings.own.zone,
-            "gone" if gone else local.state,
+            "gone" if has_ended else local.state,
             local.berths,
-            round(max(0.0, local.warm_at - now), 1),
+            round(max(0.0, local.warm_at - self._process.loop.time()), 1),
             self._rate,
         )
-        said = self._backends.get(self._process.ip)
-        if (
-            said is not None
-            and self.said is not None
-            and self.said.value is not None
-            and (
-                (said.id, said.service, said.state, said.berths)
-                == (backend_status.id, backend_status.service, backend_status.state, backend_status.berths)
-            )
-        ):
-            return
-        self._say(self._process.edition("backend", self._process.ip), _pack(backend_status))
-        self._process.report()
 
-    def _say(self, edition: int, value: bytes | None) -> None:
-        self.said = Entry("backend", self._process.ip, edition, value)
-        self._process.store.merge([self.said])
+    def _is_announced(self, status: BackendStatus) -> bool:
+        """Whether the mesh knows it already; how long the backend stays slow is no reason to announce it anew."""
+        known = self._backends.get(self._process.ip)
+        if known is None or self.announced is None or self.announced.value is None:
+            return False
+        return (known.id, known.service, known.state, known.berths) == (
+            status.id,
+            status.service,
+            status.state,
+            status.berths,
+        )
+
+    def _announce(self, edition: int, value: bytes | None) -> None:
+        self.announced = Entry(BACKEND, self._process.ip, edition, value)
+        self._process.store.merge([self.announced])
 
-    def own_entries(self, again: bool) -> list[Entry]:
-        """What is said of it; `again`: to another, under a new edition."""
+    def own_entries(self, *, renew: bool) -> list[Entry]:
+        """The entry that tells of the backend; `renew`: for another peer, under a new edition."""
         now = self._process.loop.time()
-        # Guards news against a fleet that seeks sources all the time while the core is unsettled: by the same edition
-        # it is no news. The former source may drop it when the lease ends there, and is then told otherwise.
-        if self.said is not None and again and now >= self._again_at:
-            self._again_at = now + REANNOUNCE_SECONDS
-            self._say(self._process.edition("backend", self._process.ip), self.said.value)
-        return [] if self.said is None else [self.said]
-
-    def overtaken(self, entry: Entry) -> bool:
-        """Whether another word on this machine's backend came from elsewhere; its own one follows."""
-        if self.said is None or entry.edition <= self.said.edition:
+        # Guards subscribers against a fleet that seeks sources all the time while the voters are unsettled: under the
+        # same edition it is no update. The former source may drop the entry when its lease ends there, and is then
+        # contradicted (see `overtaken_by`).
+        if self.announced is not None and renew and now >= self._renew_at:
+            self._renew_at = now + REANNOUNCE_SECONDS
+            self._announce(self._process.next_edition(BACKEND, self._process.ip), self.announced.value)
+        return [] if self.announced is None else [self.announced]
+
+    def overtaken_by(self, entry: Entry) -> bool:
+        """Whether somebody else has written a later entry of this machine's backend; its own one follows."""
+        if self.announced is None or entry.edition <= self.announced.edition:
             return False
-        self.said = Entry("backend", self._process.ip, entry.edition + 1, self.said.value)
-        self._process.loop.call_soon(self._say_again)
+        self.announced = Entry(BACKEND, self._process.ip, entry.edition + 1, self.announced.value)
+        self._process.loop.call_soon(self._contradict)
         return True
 
-    def _say_again(self) -> None:
-        if self.said is not None:
-            self._process.store.merge([self.said])
+    def _contradict(self) -> None:
+        if self.announced is not None:
+            self._process.store.merge([self.announced])
             self._process.report()
 
-    def look(self, now: float) -> None:
-        """Notice a backend that says nothing."""
+    # ---- time ------------------------------------------------------------------------------
+
+    def tick(self, now: float) -> None:
+        """Notice a backend that sends no heartbeats."""
         local = self._gate.local
-        away, self._looked_at = now - self._looked_at, now
-        if local is not None and local.state not in ("gone", "silent"):
-            if (
-                away > PAUSE_THRESHOLD_SECONDS
-            ):  # Guards against a verdict after a freeze of its own: the beats wait unread.
-                local.heard += away
-            due = MAX_MISSED_HEARTBEATS * self._process.settings.depot.heartbeat_ms / 1000.0 + 1.0
-            if now - local.heard > due:
-                local.state = "silent"
-                events.info("backend-silent", id=local.id)
-                self.publish()
+        since_tick, self._ticked_at = now - self._ticked_at, now
+        if local is None or local.state in ("gone", "silent"):
+            return
+        if since_tick > PAUSE_THRESHOLD_SECONDS:
+            # Guards against a verdict after a pause of this process itself: the heartbeats wait unread.
+            local.heard += since_tick
+        interval = self._process.settings.depot.heartbeat_ms / 1000.0
+        if now - local.heard > MAX_MISSED_HEARTBEATS * interval + HEARTBEAT_MARGIN_SECONDS:
+            local.state = "silent"
+            events.info("backend-silent", id=local.id)
+            self.publish()
--- /dev/null
+++ b/lugspur/mesh/sidecar/request_summary.py
@@ -0,0 +1,40 @@
+"""One line of the log every few seconds: how requests ended since the line before."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from lugspur.mesh import events
+from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.proxy import Proxy
+
+SUMMARY_INTERVAL_SECONDS = 2.0
+
+
+class RequestSummary:
+    """Sums up the requests of this machine's callers and those for its backend."""
+
+    def __init__(self, proxy: Proxy, gate: Gate) -> None:
+        self._proxy, self._gate = proxy, gate
+        self._logged_at = 0.0
+        self._logged: Counter[str] = Counter()  # ends of requests that are in the log
+
+    def tick(self, now: float) -> None:
+        """Log a line where one is due and there is something to say."""
+        if now < self._logged_at + SUMMARY_INTERVAL_SECONDS:
+            return
+        self._logged_at = now
+        ended = self._proxy.ended - self._logged
+        self._logged = self._proxy.ended.copy()
+        gate = self._gate
+        if ended or gate.turned or gate.evicted or gate.hopeless:
+            events.info(
+                "requests",
+                **ended,
+                turned=gate.turned,
+                evicted=gate.evicted,
+                hopeless=gate.hopeless,
+                busy=gate.busy,
+                open=len(self._proxy.open_requests),
+            )
+        gate.turned = gate.evicted = gate.hopeless = 0
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -11,18 +11,16 @@
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.settings import Settings
+from lugspur.mesh.sidecar.update_source import UpdateSource
 
 
 class StatusParts(Protocol):
     """The parts of a proxy's process that its status is read from."""
 
     loop: asyncio.AbstractEventLoop
-    settings: Settings
     ip: str
-    leaving: bool
-    known: bool
-    source: str
-    source_at: float
+    is_leaving: bool
+    update_source: UpdateSource
     membership: Membership | None
     gate: Gate
     proxy: Proxy
@@ -31,8 +29,9 @@
     def table(self) -> Sized:
         """Routes in force."""
 
-    def ready(self, ip: str) -> bool:
-        """Whether that machine can be reached now."""
+    @property
+    def settings(self) -> Settings:
+        """The settings that are in force."""
 
 
 def sidecar_status(sidecar: StatusParts) -> dict[str, Any]:
@@ -45,17 +44,17 @@
         "ip": sidecar.ip,
         "zone": sidecar.settings.own.zone,
         "sender": proxy.sender,
-        "leaving": sidecar.leaving,
-        "known": sidecar.known,
+        "leaving": sidecar.is_leaving,
+        "known": sidecar.update_source.has_configuration,
         "epoch": 0 if membership is None else membership.epoch,
         "voters": [] if membership is None else [voter.ip for voter in membership.voters],
-        "source": sidecar.source,
-        "age_s": round(min(1e6, now - sidecar.source_at), 3),
+        "source": sidecar.update_source.ip,
+        "age_s": round(min(1e6, now - sidecar.update_source.confirmed_at), 3),
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
         "busy": sidecar.gate.busy,
         "backend": _backend(sidecar.gate.local),
-        "backends": [_endpoint(endpoint, sidecar.ready(endpoint.ip), now) for endpoint in endpoints],
+        "backends": [_endpoint(endpoint, proxy.carrier.ready(endpoint.ip), now) for endpoint in endpoints],
     }
 
 
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -571,11 +571,11 @@
             front=SimpleNamespace(rejections={}, callers=()),
             incoming=SimpleNamespace(uploads=()),
             peers={},
-            sources=0,
-            leaving=False,
-            claims=(),
+            update_source=SimpleNamespace(selections=0),
+            is_leaving=False,
+            reservations=(),
             table=(),
-            backends={},
+            backends=SimpleNamespace(by_ip={}),
             standing=lambda: Standing(41, 3, 0.25),
         )
         text = render(sidecar_metrics(sidecar), [mesh.proxy.seconds])
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -25,8 +25,8 @@
 from lugspur.mesh.dataplane.gate import End
 from lugspur.mesh.dataplane.uploads import PART
 from lugspur.mesh.settings import load_settings
+from lugspur.mesh.sidecar.backend_status import BackendStatus
 from lugspur.mesh.sidecar.process import Sidecar
-from lugspur.mesh.sidecar.registration import BackendStatus
 from lugspur.mesh.transport.link import Dialer
 from lugspur.seams import Request
 
@@ -92,13 +92,13 @@
             "sequence": sequence,
         }
     ).encode()
-    sidecar._heartbeat(request(body), caller, [life])
+    sidecar.api.heartbeat(request(body), caller, [life])
     return caller.status
 
 
 def told(sidecar: Sidecar) -> tuple[str, str]:
     """What the mesh is told of the machine's backend."""
-    status = sidecar.backends[sidecar.ip]
+    status = sidecar.backends.by_ip[sidecar.ip]
     return status.id, status.state
 
 
@@ -108,9 +108,9 @@
         assert beat(sidecar, 3, "closing") == 200 and told(sidecar) == ("i-1", "closing")
         local = sidecar.gate.local
         assert local is not None
-        since, edition = local.closing_at, sidecar.registration.said
+        since, edition = local.closing_at, sidecar.registration.announced
         assert beat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
-        assert sidecar.registration.said is edition  # nor is the mesh told again
+        assert sidecar.registration.announced is edition  # nor is the mesh told again
         assert beat(sidecar, 2) == 200 and told(sidecar) == ("i-1", "closing")  # a late one
         assert beat(sidecar, 5) == 200 and told(sidecar) == ("i-1", "closing")  # a life that leaves does not come back
 
@@ -158,7 +158,7 @@
         caller = Caller()
         sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # this process has just started
         assert caller.status == 200 and beat(sidecar, 9) == 200
-        assert sidecar.gate.local is None and sidecar.ip not in sidecar.backends
+        assert sidecar.gate.local is None and sidecar.ip not in sidecar.backends.by_ip
 
     play(tmp_path, what)
 
@@ -168,15 +168,15 @@
         beat(sidecar, 1)
         now = sidecar.loop.time()
         for step in range(40):
-            sidecar.look(now + step * 0.1)
+            sidecar.tick(now + step * 0.1)
         assert told(sidecar)[1] == "accepting"
         for step in range(40, 42):
-            sidecar.look(now + step * 0.1)
+            sidecar.tick(now + step * 0.1)
         assert told(sidecar)[1] == "gone"
         assert beat(sidecar, 2) == 200 and told(sidecar)[1] == "accepting"
         beat(sidecar, 3, "closing")
         for step in range(90):
-            sidecar.look(now + step * 0.1)
+            sidecar.tick(now + step * 0.1)
         assert told(sidecar)[1] == "gone"
         assert beat(sidecar, 4) == 200 and told(sidecar)[1] == "closing"  # it had said so
 
@@ -187,11 +187,11 @@
     def what(sidecar: Sidecar) -> None:
         beat(sidecar, 1)
         now = sidecar.loop.time()
-        sidecar.look(now + 0.1)
-        sidecar.look(now + 30.0)
+        sidecar.tick(now + 0.1)
+        sidecar.tick(now + 30.0)
         assert told(sidecar)[1] == "accepting"
         for step in range(100):
-            sidecar.look(now + 30.0 + step * 0.1)
+            sidecar.tick(now + 30.0 + step * 0.1)
         assert told(sidecar)[1] == "gone"
 
     play(tmp_path, what)
@@ -200,17 +200,17 @@
 def test_a_proxy_that_knows_no_configuration_or_that_leaves_says_so_by_503(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         asked, caller = Request(b"GET", b"/r/1", {b"host": b"a"}, [], b"", sidecar.loop.time(), True), Caller()
-        sidecar._handle(asked, caller)  # no news yet: 404 would say that there is no such route
+        sidecar.handle(asked, caller)  # no news yet: 404 would say that there is no such route
         assert caller.status == 503
-        sidecar.known = True
+        sidecar.update_source.has_configuration = True
         asked.headers[b"lugspur-attempt-id"] = b"t1"
         caller = Caller()
-        sidecar._handle(asked, caller)  # news without a single route
+        sidecar.handle(asked, caller)  # news without a single route
         assert caller.status == 503
         for leaving in (False, True):
-            sidecar.leaving = leaving
+            sidecar.is_leaving = leaving
             with pytest.raises(MeshError) as told:
-                sidecar._ready(asked, Caller(), [])
+                sidecar.api.readiness(asked, Caller(), [])
             assert told.value.kind is (Kind.LEAVING if leaving else Kind.NOT_READY)
 
     play(tmp_path, what)
@@ -232,7 +232,7 @@
     def what(sidecar: Sidecar) -> None:
         beat(sidecar, 1)
         with pytest.raises(MeshError):
-            sidecar._heartbeat(request(body), Caller(), ["i-1"])
+            sidecar.api.heartbeat(request(body), Caller(), ["i-1"])
         assert told(sidecar) == ("i-1", "accepting")
 
     play(tmp_path, what)
@@ -258,17 +258,17 @@
         wire = Wire(ip)
         dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
-        sidecar.backends[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
+        sidecar.backends.by_ip[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
         forward = Forward(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
-        sidecar.carry(ip, forward, replies.append)
+        sidecar.proxy.carrier.carry(ip, forward, replies.append)
         [offer] = wire.sent
         assert isinstance(offer, Forward) and (offer.size, offer.body) == (len(body), b"")
         for upto in range(PART, granted + PART, PART):
-            sidecar._heard_from(wire, Grant(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
+            sidecar.message_received(wire, Grant(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
         parts = [m for m in wire.sent[1:] if isinstance(m, Part)]
         assert b"".join(p.data for p in parts) == body[:granted]
-        sidecar._down(dialler)
+        sidecar.disconnected(dialler)
         assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
         assert not sidecar.outgoing.waits_for(ip)
         dialler.link = None
@@ -282,16 +282,16 @@
         ip = "127.0.0.2"
         dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         sidecar.peers[ip] = dialler
-        assert not sidecar.ready(ip)
+        assert not sidecar.proxy.carrier.ready(ip)
         wire = Wire(ip)
         dialler.link = wire  # type: ignore[assignment]
-        assert not sidecar.ready(ip)  # its kernel took the connection: a frozen one's does as well
-        sidecar._heard_from(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
-        assert sidecar.ready(ip)
+        assert not sidecar.proxy.carrier.ready(ip)  # its kernel took the connection: a frozen one's does as well
+        sidecar.message_received(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
+        assert sidecar.proxy.carrier.ready(ip)
         [stamped] = wire.sent
-        assert isinstance(stamped, Hello) and stamped.sent > 0.0 and stamped.life == sidecar.life
+        assert isinstance(stamped, Hello) and stamped.sent > 0.0 and stamped.life == sidecar.incarnation
         dialler.link = None
-        assert not sidecar.ready(ip)
+        assert not sidecar.proxy.carrier.ready(ip)
         dialler.close()
 
     play(tmp_path, what)
@@ -304,12 +304,12 @@
             dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
             dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
-        sidecar._seek()
-        former = wires[sidecar.source]
+        sidecar.update_source.select()
+        former = wires[sidecar.update_source.ip]
         assert [type(message) for message in former.sent] == [Sync]
-        sidecar._seek()
+        sidecar.update_source.select()
         assert [type(message) for message in former.sent] == [Sync, Unsubscribe]
-        assert [type(message) for message in wires[sidecar.source].sent] == [Sync]
+        assert [type(message) for message in wires[sidecar.update_source.ip].sent] == [Sync]
         for ip in wires:
             sidecar.peers[ip].link = None
             sidecar.peers[ip].close()
