--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -14,20 +14,20 @@
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
-    CatchUp,
-    ClaimsPage,
+    ChangeResult,
     Delta,
     Entry,
+    FetchDecided,
+    ForwardChange,
     Hello,
     Learn,
     Message,
-    OrderAnswer,
     Pong,
     Promise,
+    ReadIndexReply,
     Report,
-    Standing,
-    SubmitOrder,
-    Sync,
+    ReservationsPage,
+    Subscribe,
     Unsubscribe,
 )
 from lugspur.mesh.control.orders import Order
@@ -181,7 +181,7 @@
             dialer = self.peers.get(message.ip)
             if dialer is not None:
                 dialer.nudge()
-        elif isinstance(message, Sync):
+        elif isinstance(message, Subscribe):
             is_known = message.life == self.incarnation and message.since <= self.store.upto
             self.subscribers.add(link, message.since if is_known else 0)
         elif isinstance(message, Unsubscribe):
@@ -190,7 +190,7 @@
             self.leases.report(self.loop.time(), link, message.entries)
         elif isinstance(message, Learn):
             self._learn(link, message)
-        elif isinstance(message, SubmitOrder):
+        elif isinstance(message, ForwardChange):
             self.router.submitted(link, message)
         elif isinstance(message, Pong):
             self.subscribers.answered(link, message)
@@ -239,18 +239,18 @@
     def receive_other(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
             self.run_effects(self.proposer.heard(now, ip, message))
-        elif isinstance(message, Standing):
+        elif isinstance(message, ReadIndexReply):
             effects, has_pending = self.reader.heard(now, ip, message)
             self.run_effects(effects)
             if has_pending:
                 self.pending_changes.seen(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
-        elif isinstance(message, OrderAnswer):
+        elif isinstance(message, ChangeResult):
             self.router.forwarder.heard(ip, message)
-        elif isinstance(message, CatchUp):
+        elif isinstance(message, FetchDecided):
             self.run_effects(self.replica.handle(now, ip, message))
-        elif isinstance(message, ClaimsPage):
+        elif isinstance(message, ReservationsPage):
             self._take_reservations(now, ip, message)
 
     def _learn(self, source: Link | str, page: Learn) -> None:
@@ -259,7 +259,7 @@
         if pages:
             self.run_effects(self.replica.learn(self.loop.time(), pages))
 
-    def _take_reservations(self, now: float, ip: str, page: ClaimsPage) -> None:
+    def _take_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
         """Take a page of the reservations that a voter of the epoch before has."""
         was_complete = self.replica.complete
         self.run_effects(self.catch_up.heard(now, ip, page))
@@ -277,7 +277,7 @@
     def _ask_for_changes(self, ip: str, index: int) -> None:
         """Ask a peer for the changes up to an index, unless they have come meanwhile."""
         if self.replica.index < index:
-            self.send_to(ip, CatchUp(self.replica.index))
+            self.send_to(ip, FetchDecided(self.replica.index))
 
     def merge_update(self, message: Delta) -> None:
         """Take leased entries from anybody; what is decided comes by the register alone."""
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import enum
 import heapq
 import itertools
 from collections import Counter
@@ -16,8 +15,10 @@
 from lugspur.http1.upstream import Backend, Exchange, Upstream
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
-from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.urgency import Urgency, urgency_of
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
@@ -38,19 +39,16 @@
 
 
 #: Causes of what never ran, and of what may have.
-UNRUN = {Outcome.FULL: Cause.REFUSED, Outcome.UNREACHABLE: Cause.UNREACHABLE, Outcome.VOID: Cause.HOPELESS}
-UNKNOWN = {Outcome.TIMEOUT: Cause.TIMED_OUT, Outcome.BROKEN: Cause.BROKEN, Outcome.CANCELLED: Cause.CANCELLED}
-
-Rank = tuple[int, float]  # an operators' priority, and the loop's time at which an answer loses its worth
-
-
-class End(enum.IntEnum):
-    """How a request ended here."""
-
-    ANSWERED = 0  # the backend's whole answer
-    NOT_RUN = 1  # proven: it has not run and never will
-    MAYBE = 2  # it was sent, and nothing is known
-    SPOILT = 3  # it was sent, and what came is no answer
+UNRUN = {
+    Outcome.FULL: FailureCause.REFUSED,
+    Outcome.UNREACHABLE: FailureCause.UNREACHABLE,
+    Outcome.VOID: FailureCause.TOO_LITTLE_TIME,
+}
+UNKNOWN = {
+    Outcome.TIMEOUT: FailureCause.TIMED_OUT,
+    Outcome.BROKEN: FailureCause.CONNECTION_BROKEN,
+    Outcome.CANCELLED: FailureCause.CANCELLED,
+}
 
 
 def judge(status: int, unseen: bool) -> Outcome:
@@ -79,7 +77,9 @@
 
     __slots__ = ("exchange", "forward", "local", "over", "respond", "sent", "sent_at", "since", "until")
 
-    def __init__(self, forward: Forward, local: LocalBackend, now: float, respond: Callable[[Reply], None]) -> None:
+    def __init__(
+        self, forward: ForwardRequest, local: LocalBackend, now: float, respond: Callable[[ForwardResponse], None]
+    ) -> None:
         self.forward, self.local, self.respond = forward, local, respond
         self.since = self.sent_at = now
         self.until = now + forward.left
@@ -96,7 +96,7 @@
         memory: int,
         files: int,
         drain: float,
-        done: Callable[[Forward, Answer], None],
+        done: Callable[[ForwardRequest, BackendResponse], None],
         down: Callable[[LocalBackend], None],
     ) -> None:
         self._loop = asyncio.get_running_loop()
@@ -117,13 +117,13 @@
             keeps=64,
         )
         self._count = itertools.count()
-        self._waiting: list[tuple[Rank, int, Ticket]] = []  # the first one first
+        self._waiting: list[tuple[Urgency, int, Ticket]] = []  # the first one first
         self._at_work = 0
         # Seconds that an answer takes from when the backend is offered the request, by route, and of all.
         self._paces: LRUCache[str, float] = LRUCache(PACES_MOST)
         self._pace = 0.0
         self.turned = self.evicted = self.hopeless = 0  # for lack of room, for others, for lack of time
-        self.causes: Counter[Cause] = Counter()  # of all that did not end with the backend's answer
+        self.causes: Counter[FailureCause] = Counter()  # of all that did not end with the backend's answer
 
     @property
     def busy(self) -> int:
@@ -137,18 +137,18 @@
             return False
         return now <= local.closing_at + min(CLOSING_MOST, CLOSING_TAKES * self._drain)
 
-    def run(self, forward: Forward, respond: Callable[[Reply], None]) -> Ticket | None:
+    def run(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Ticket | None:
         """Have the backend run it; the answer comes once. None: it is turned away."""
         now = self._loop.time()
         local = self.local
         # Guards against a request that was held up on its way, or whose body was, until its caller had given it up.
-        cause = Cause.NONE
+        cause = FailureCause.NONE
         if forward.left <= 0.0:
-            cause = Cause.EXPIRED
+            cause = FailureCause.EXPIRED
         elif local is None or not self.takes(now, forward.backend):
-            cause = Cause.NOT_TAKEN
+            cause = FailureCause.NOT_ACCEPTED
         elif not self._room(local, forward):
-            cause = Cause.NO_ROOM
+            cause = FailureCause.QUEUE_FULL
         if local is None or cause:
             respond(self.turn_away(forward.n, cause))
             return None
@@ -158,15 +158,15 @@
         else:
             if len(self._waiting) >= QUEUE_BERTHS * local.berths:
                 self._evict()
-            heapq.heappush(self._waiting, (self.rank(now, forward), next(self._count), ticket))
+            heapq.heappush(self._waiting, (urgency_of(now, forward), next(self._count), ticket))
         return ticket
 
-    def turn_away(self, number: int, cause: Cause) -> Reply:
+    def turn_away(self, number: int, cause: FailureCause) -> ForwardResponse:
         """The reply to a request that is not taken."""
         self.causes[cause] += 1
-        return Reply(number, End.NOT_RUN, None, False, self.busy, cause)
+        return ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, self.busy, cause)
 
-    def room(self, forward: Forward) -> bool:
+    def room(self, forward: ForwardRequest) -> bool:
         """Whether a request would be taken now."""
         local, now = self.local, self._loop.time()
         return local is not None and self.takes(now, forward.backend) and self._room(local, forward)
@@ -175,21 +175,13 @@
         """Seconds that the backend takes for a request on a route, as seen here."""
         return self._pace_of(route)
 
-    @staticmethod
-    def rank(now: float, forward: Forward) -> Rank:
-        """Who is first: by the operators' priority, then whose answer loses its worth soonest.
-
-        Guards the work of parents: their calls have short aims, and a parent holds its berth until they are answered.
-        """
-        return forward.priority, now + forward.aim
-
-    def _room(self, local: LocalBackend, forward: Forward) -> bool:
+    def _room(self, local: LocalBackend, forward: ForwardRequest) -> bool:
         """Whether it would get its turn while its answer is still worth something."""
         free = local.berths + EXTRA - self._at_work
         if free > 0:
             return True
-        rank = self.rank(self._loop.time(), forward)
-        before = [row[2].forward.route for row in self._waiting if row[0] <= rank and not row[2].over]
+        urgency = urgency_of(self._loop.time(), forward)
+        before = [row[2].forward.route for row in self._waiting if row[0] <= urgency and not row[2].over]
         pace = self._pace_of(forward.route)
         wait = (sum(map(self._pace_of, before)) + self._pace) / max(1, local.berths)
         fits = wait <= (WAIT_BACK if forward.back else WAIT_PART) * (forward.aim - pace)
@@ -211,7 +203,7 @@
         heapq.heapify(self._waiting)
         if not last[2].over:
             self.evicted += 1
-            self._end(last[2], End.NOT_RUN, Cause.EVICTED)
+            self._end(last[2], RequestOutcome.NOT_RUN, FailureCause.EVICTED)
 
     def cancel(self, ticket: Ticket) -> None:
         """Nobody waits for it any more."""
@@ -219,7 +211,9 @@
             if ticket.exchange is not None:
                 ticket.exchange.end(Outcome.CANCELLED)
             else:
-                self._end(ticket, End.MAYBE, Cause.CANCELLED)  # it is passed over when its turn comes
+                self._end(
+                    ticket, RequestOutcome.UNKNOWN, FailureCause.CANCELLED
+                )  # it is passed over when its turn comes
 
     def withdraw(self, ticket: Ticket) -> None:
         """Nobody waits for it any more: it is not begun, and what the backend works on goes on.
@@ -227,7 +221,7 @@
         Guards backends against work that nobody wants and that can't be cancelled once it has begun.
         """
         if not ticket.over and ticket.exchange is None:
-            self._end(ticket, End.NOT_RUN, Cause.CANCELLED)  # it is passed over when its turn comes
+            self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.CANCELLED)  # it is passed over when its turn comes
 
     def _next(self) -> None:
         while self._waiting:
@@ -241,10 +235,10 @@
             ends = now + HOPELESS * self._pace_of(ticket.forward.route)
             if not self.takes_waiting(now, ticket):
                 self.hopeless += 1
-                self._end(ticket, End.NOT_RUN, Cause.NOT_TAKEN)
+                self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.NOT_ACCEPTED)
             elif ends >= ticket.until:
                 self.hopeless += 1
-                self._end(ticket, End.NOT_RUN, Cause.HOPELESS)
+                self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             else:
                 self._send(ticket)
 
@@ -258,7 +252,7 @@
         # Guards against a freeze in the middle of a turn of the loop, whose time stands still meanwhile.
         if monotonic() >= ticket.until + GRACE:
             self.hopeless += 1
-            self._end(ticket, End.NOT_RUN, Cause.HOPELESS)
+            self._end(ticket, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
             return
         check(not ticket.sent and not ticket.over, Invariant.OFFERED_ONCE, attempt=forward.attempt)
         self._at_work += 1
@@ -277,7 +271,7 @@
         self._upstream.start(exchange)
 
     @staticmethod
-    def _bytes(forward: Forward, left: float) -> bytes:
+    def _bytes(forward: ForwardRequest, left: float) -> bytes:
         told = b""
         if forward.body or forward.method in (b"POST", b"PUT", b"PATCH"):
             told = b"Content-Length: %d\r\n" % len(forward.body)
@@ -301,25 +295,25 @@
             pace = self._paces.get(route, took)
             self._paces[route] = pace + (took - pace) * PACE_WEIGHT
             if self._sound(ticket.forward, response):
-                answer = Answer(response.status, response.head, response.body)
+                answer = BackendResponse(response.status, response.head, response.body)
                 if ticket.forward.key:
                     self._done(ticket.forward, answer)
-                self._end(ticket, End.ANSWERED, Cause.NONE, answer)
+                self._end(ticket, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
             else:
-                self._end(ticket, End.SPOILT, Cause.SPOILT)
+                self._end(ticket, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
         elif outcome in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID):
             if outcome is Outcome.UNREACHABLE and not ticket.local.down and ticket.local is self.local:
                 ticket.local.down = True
                 self._down(ticket.local)
             if outcome is not Outcome.FULL:
                 ticket.sent = False
-            self._end(ticket, End.NOT_RUN, UNRUN[outcome])
+            self._end(ticket, RequestOutcome.NOT_RUN, UNRUN[outcome])
         else:
-            self._end(ticket, End.MAYBE, UNKNOWN.get(outcome, Cause.SPOILT))
+            self._end(ticket, RequestOutcome.UNKNOWN, UNKNOWN.get(outcome, FailureCause.INVALID_RESPONSE))
         self._next()
 
     @staticmethod
-    def _sound(forward: Forward, response: Response) -> bool:
+    def _sound(forward: ForwardRequest, response: Response) -> bool:
         """Whether it is this request's answer, as the backend meant it."""
         names: dict[bytes, bytes] = {}
         for line in response.head.split(b"\r\n"):
@@ -332,9 +326,11 @@
             return False
         return response.status // 100 != 2 or b"lugspur-postmark" in names
 
-    def _end(self, ticket: Ticket, how: End, cause: Cause, answer: Answer | None = None) -> None:
+    def _end(
+        self, ticket: Ticket, how: RequestOutcome, cause: FailureCause, answer: BackendResponse | None = None
+    ) -> None:
         if not ticket.over:
             ticket.over = True
             if cause:
                 self.causes[cause] += 1
-            ticket.respond(Reply(ticket.forward.n, how, answer, ticket.sent, self.busy, cause))
+            ticket.respond(ForwardResponse(ticket.forward.n, how, answer, ticket.sent, self.busy, cause))
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -11,7 +11,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
-from lugspur.mesh.control.messages import Delta, Entry, Hello, Membership, Message, Pong, Report, Sync
+from lugspur.mesh.control.messages import Delta, Entry, Hello, Membership, Message, Pong, Report, Subscribe
 from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.settings import Settings
@@ -159,7 +159,7 @@
         if dialer.link is not None:
             incarnation, sequence = self.positions.get(dialer.ip, FollowedPosition("", 0))
             self.freshness.asked(self.loop.time(), dialer.ip)
-            dialer.link.send(Sync(incarnation, sequence))
+            dialer.link.send(Subscribe(incarnation, sequence))
             own = self.own_entries(renew=True)
             if own:
                 dialer.link.send(Report(own))
--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Mapping
 
-from lugspur.mesh.control.messages import Forward, Reply
+from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.ports import Carried
 from lugspur.mesh.sidecar.backend_status import BackendStatus
@@ -39,7 +39,7 @@
         dialer = self._peers.get(ip)
         return dialer is not None and dialer.link is not None and dialer.link.answered
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
         if ip == self._ip:
             return CarriedHere(self._gate, self._gate.run(forward, respond))
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -5,11 +5,23 @@
 import asyncio
 
 from lugspur.mesh import events
-from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Hello, Message, Part, Reply, Withdraw
-from lugspur.mesh.dataplane.causes import Cause
-from lugspur.mesh.dataplane.delays import ExcessDelay
-from lugspur.mesh.dataplane.gate import End, Gate, Ticket
-from lugspur.mesh.dataplane.uploads import UploadScheduler
+from lugspur.mesh.control.messages import (
+    BodyChunk,
+    CancelRequest,
+    FetchOutcomes,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    Hello,
+    Message,
+    WithdrawRequest,
+)
+from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.gate import Gate, Ticket
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
+from lugspur.mesh.dataplane.urgency import urgency_of
 from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
 from lugspur.mesh.transport.link import Link
 
@@ -22,7 +34,7 @@
     def __init__(self, life: str) -> None:
         self.life = life
         self.latest = 0  # the highest number of its requests
-        self.delay = ExcessDelay()
+        self.delay = ExcessDelayEstimator()
 
 
 class IncomingExchanges:
@@ -45,19 +57,19 @@
         """Something from one who dialled."""
         if isinstance(message, Hello):
             self._greeted(link, message)
-        elif isinstance(message, Forward):
+        elif isinstance(message, ForwardRequest):
             self._forwarded(link, message)
-        elif isinstance(message, Part):
+        elif isinstance(message, BodyChunk):
             self._part(link, message)
-        elif isinstance(message, Cancel):
+        elif isinstance(message, CancelRequest):
             ticket = self._tickets.pop((link, message.n), None)
             if ticket is not None:
                 self._gate.cancel(ticket)
             elif self.uploads.drop((link, message.n)):
                 self._grant()
-        elif isinstance(message, Withdraw):
+        elif isinstance(message, WithdrawRequest):
             self._withdrawn(link, message.n)
-        elif isinstance(message, AskOutcomes):
+        elif isinstance(message, FetchOutcomes):
             self._asked_outcomes(link, message)
 
     def _greeted(self, link: Link, message: Hello) -> None:
@@ -67,11 +79,11 @@
             events.warn("life", peer=link.peer, life=message.life)
             link.close()
         elif message.sent:
-            caller.delay.excess(self._loop.time(), message.sent)
+            caller.delay.observe(self._loop.time(), message.sent)
         else:
             link.send(self._hello)
 
-    def _forwarded(self, link: Link, forward: Forward) -> None:
+    def _forwarded(self, link: Link, forward: ForwardRequest) -> None:
         """A request, or the word that one with a large body waits to be sent."""
         caller = self._callers.get(link)
         if caller is None or forward.n <= caller.latest:
@@ -82,24 +94,24 @@
         if forward.key:
             self._outcomes.came(caller.life, forward.n)
         # Guards against running what was held up on its way (a cut, or this process frozen) until nobody waits for it.
-        excess = caller.delay.excess(self._loop.time(), forward.sent)
+        excess = caller.delay.observe(self._loop.time(), forward.sent)
         forward.left -= excess
         forward.aim -= excess
         if forward.left <= 0.0:
             self.expired += 1
-            self._turn_away(link, forward.n, Cause.EXPIRED)
+            self._turn_away(link, forward.n, FailureCause.EXPIRED)
         elif forward.size:
             self._offered(link, forward)
         else:
             self._run(link, forward)
 
-    def _run(self, link: Link, forward: Forward) -> None:
+    def _run(self, link: Link, forward: ForwardRequest) -> None:
         """A whole request for this machine's backend."""
         n, life = forward.n, self._callers[link].life
 
-        def respond(said: Reply) -> None:
+        def respond(said: ForwardResponse) -> None:
             self._tickets.pop((link, n), None)
-            if forward.key and said.how == End.NOT_RUN:
+            if forward.key and said.how == RequestOutcome.NOT_RUN:
                 self._proved_unrun(link, life, said)
             link.send(said)
 
@@ -107,7 +119,7 @@
         if ticket is not None and not ticket.over:
             self._tickets[link, n] = ticket
 
-    def _proved_unrun(self, link: Link, life: str, said: Reply) -> None:
+    def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
         """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
         self._outcomes.did_not_run(life, said.n)
         if not link.open:
@@ -117,7 +129,7 @@
     def _connections_of(self, life: str) -> list[Link]:
         return [link for link, caller in self._callers.items() if caller.life == life]
 
-    def _asked_outcomes(self, link: Link, message: AskOutcomes) -> None:
+    def _asked_outcomes(self, link: Link, message: FetchOutcomes) -> None:
         """Tell which requests of lost connections are proven not to have run."""
         caller = self._callers.get(link)
         if caller is None:
@@ -130,7 +142,9 @@
                 other.close()
         for number in message.numbers:
             if self._outcomes.proven_unrun(caller.life, number):
-                link.send(Reply(number, End.NOT_RUN, None, False, cause=Cause.NEVER_CAME))
+                link.send(
+                    ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.NEVER_RECEIVED)
+                )
 
     def _withdrawn(self, link: Link, number: int) -> None:
         """Nobody waits for one that may not be cancelled: it is not begun any more."""
@@ -138,12 +152,12 @@
         if ticket is not None:
             self._gate.withdraw(ticket)
         elif self.uploads.drop((link, number)):
-            self._turn_away(link, number, Cause.CANCELLED)
+            self._turn_away(link, number, FailureCause.CANCELLED)
             self._grant()
 
-    def _part(self, link: Link, message: Part) -> None:
+    def _part(self, link: Link, message: BodyChunk) -> None:
         try:
-            whole = self.uploads.part(self._loop.time(), (link, message.n), message.data)
+            whole = self.uploads.receive(self._loop.time(), (link, message.n), message.data)
         except ValueError as fault:
             events.warn("part", peer=link.peer, fault=str(fault))
             link.close()
@@ -152,30 +166,30 @@
             self._run(link, whole)
         self._grant()
 
-    def _offered(self, link: Link, forward: Forward) -> None:
+    def _offered(self, link: Link, forward: ForwardRequest) -> None:
         """A request whose body would come in parts."""
         now, n = self._loop.time(), forward.n
-        rank, pace = self._gate.rank(now, forward), self._gate.pace(forward.route)
-        if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, rank, pace):
+        urgency, pace = urgency_of(now, forward), self._gate.pace(forward.route)
+        if self._gate.room(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
             self._grant()
         else:
-            self._turn_away(link, n, Cause.UPLOAD)
+            self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
 
-    def _turn_away(self, link: Link, number: int, cause: Cause) -> None:
+    def _turn_away(self, link: Link, number: int, cause: FailureCause) -> None:
         """Reply to one that was not handed to the gate."""
         self._outcomes.did_not_run(self._callers[link].life, number)
         link.send(self._gate.turn_away(number, cause))
 
     def _grant(self) -> None:
         """Let those send whose turn it is."""
-        for key, upto in self.uploads.grants(self._loop.time()):
+        for key, upto in self.uploads.grant(self._loop.time()):
             link, n = key
-            link.send(Grant(n, upto))
+            link.send(GrantBody(n, upto))
 
     def ended(self, link: Link) -> None:
         """A connection that was dialled to here has ended."""
         caller = self._callers.pop(link, None)
-        for key in self.uploads.of(link):
+        for key in self.uploads.keys_from(link):
             self.uploads.drop(key)
             if caller is not None:
                 self._outcomes.did_not_run(caller.life, key[1])
@@ -185,8 +199,8 @@
                 self._gate.cancel(ticket)
 
     def look(self, now: float) -> None:
-        """End bodies whose time is over."""
+        """RequestOutcome bodies whose time is over."""
         if len(self.uploads):
-            for link, n in self.uploads.expired(now):
-                self._turn_away(link, n, Cause.UPLOAD)
+            for link, n in self.uploads.drop_expired(now):
+                self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
             self._grant()
--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -7,7 +7,15 @@
 from typing import Protocol
 
 from lugspur.mesh.control.claims import Claims, Settled
-from lugspur.mesh.control.messages import Answer, Done, Forward, Membership, Message, Release, Verdict
+from lugspur.mesh.control.messages import (
+    BackendResponse,
+    CompleteKey,
+    ForwardRequest,
+    Membership,
+    Message,
+    ReleaseKey,
+    ReserveKeyReply,
+)
 
 
 class ReservingProcess(Protocol):
@@ -41,22 +49,22 @@
 
     def release(self, key: bytes, by: bytes) -> None:
         """Give the right back: nothing ran, and nothing will."""
-        self._send_to_voters(Release(key, by))
+        self._send_to_voters(ReleaseKey(key, by))
 
     def drop(self, key: bytes, by: bytes) -> None:
         """Nobody waits for the right any more."""
         self._claims.drop(key, by)
 
-    def complete(self, forward: Forward, answer: Answer) -> None:
+    def complete(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for requests that repeat it."""
-        self._send_to_voters(Done(forward.key, forward.by, answer))
+        self._send_to_voters(CompleteKey(forward.key, forward.by, answer))
 
     def _send_to_voters(self, message: Message) -> None:
         membership = self._process.membership
         for voter in membership.voters if membership is not None else ():
             self._process.send_to(voter.ip, message)
 
-    def receive(self, now: float, ip: str, message: Verdict) -> None:
+    def receive(self, now: float, ip: str, message: ReserveKeyReply) -> None:
         """Take a voter's reply."""
         self._claims.verdict(now, ip, message)
 
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -11,12 +11,12 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import BACKEND, LIMITS, ROUTES
-from lugspur.mesh.control.messages import Entry, Grant, Hello, Message, Reply, Report, Verdict
-from lugspur.mesh.dataplane.delays import FreezeDetector
+from lugspur.mesh.control.messages import Entry, ForwardResponse, GrantBody, Hello, Message, Report, ReserveKeyReply
+from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
 from lugspur.mesh.dataplane.routes import RouteTable
-from lugspur.mesh.dataplane.uploads import UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import fail
 from lugspur.mesh.process import MeshProcess
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
@@ -127,7 +127,7 @@
         await self.loop.create_server(self._accept, ip, port, backlog=512)
         self.front = Front(read_address(listen.outgoing), self._max_callers(), memory_bytes, self.handle)
         # Guards against requests that waited unread while this process was paused: their callers have given them up.
-        self.front.came = lambda now, transport, first: self._pauses.came(now)
+        self.front.came = lambda now, transport, first: self._pauses.earliest_arrival(now)
         self._is_serving = True
         self._apply_limits()
         self._callers_socket = await self.front.listen()
@@ -182,9 +182,9 @@
         self.outgoing.lost(dialer.ip)
 
     def message_received(self, link: Link, message: Message) -> None:
-        if isinstance(message, Reply):
+        if isinstance(message, ForwardResponse):
             self.outgoing.reply(link, message)
-        elif isinstance(message, Grant):
+        elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
             link.answered, link.life = True, message.life
@@ -194,7 +194,7 @@
             super().message_received(link, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
-        if isinstance(message, Verdict):
+        if isinstance(message, ReserveKeyReply):
             self.reservations.receive(now, ip, message)
 
     def _accept(self) -> Link:
@@ -264,7 +264,7 @@
     def tick(self, now: float) -> None:
         self.reservations.tick(now)
         self.update_source.tick(now)
-        self._pauses.ran(now)
+        self._pauses.record_turn(now)
         self._summary.tick(now)
         self.incoming.look(now)
         self.registration.tick(now)
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -10,19 +10,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.daemon.hot_restart.messages import (
-    PACKET_MOST,
-    PARTS_MOST,
-    Estate,
-    Foreign,
-    Parts,
-    estate_parts,
-    read_estate,
+from lugspur.daemon.hot_restart.packets import (
+    MAX_PACKET_BYTES,
+    MAX_STATE_PARTS,
+    PacketError,
+    ProcessState,
+    StateAssembler,
+    decode_state,
+    encode_state,
     unpack,
 )
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id, server_name
-from lugspur.load_balancing import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
+from lugspur.load_balancing import Balancer, ListUpdateKind, Outcome, Send, ServerRow, ServerState, Settings
 from lugspur.load_balancing.model import Learned
 
 NAMES = st.text(st.characters(codec="utf-8", min_codepoint=1), min_size=1, max_size=40)
@@ -31,7 +31,7 @@
 def learned() -> Learned:
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
-    balancer.members(10.0, ListKind.WHOLE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)])
+    balancer.members(10.0, ListUpdateKind.WHOLE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)])
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
             if isinstance(action, Send):
@@ -43,10 +43,10 @@
 LEARNED = learned()
 
 
-def estate(names: list[str], **changed: Any) -> Estate:
+def estate(names: list[str], **changed: Any) -> ProcessState:
     servers = [server_id(name) for name in names]
     rows = [
-        Endpoint(ServerRow(server, State.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 80 + n), n % 2 == 1)
+        Endpoint(ServerRow(server, ServerState.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 80 + n), n % 2 == 1)
         for n, server in enumerate(servers)
     ]
     values: dict[str, Any] = {
@@ -57,11 +57,11 @@
         "open": [b"id1", b"id2"],
         "learned": LEARNED,
     }
-    return Estate(**(values | changed))
+    return ProcessState(**(values | changed))
 
 
-def together(packets: list[bytes]) -> Estate | None:
-    parts, whole = Parts(), None
+def together(packets: list[bytes]) -> ProcessState | None:
+    parts, whole = StateAssembler(), None
     for packet in packets:
         assert whole is None
         whole = parts.add(unpack(packet))
@@ -72,21 +72,21 @@
 @settings(deadline=None)  # a loaded machine is no fault
 def test_an_estate_arrives_as_it_was(names: list[str]) -> None:
     sent = estate(names)
-    packets = estate_parts(sent)
+    packets = encode_state(sent)
     assert together(packets) == sent
-    assert all(len(packet) <= PACKET_MOST for packet in packets)
+    assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
     assert [server_name(server_id(name)) for name in names] == names
 
 
 def test_the_largest_estate_fits_its_bounds() -> None:
     names = [f"backend-of-a-long-name-{n:020}" for n in range(16_384)]
-    packets = estate_parts(estate(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
-    assert len(packets) <= PARTS_MOST
-    assert all(len(packet) <= PACKET_MOST for packet in packets)
+    packets = encode_state(estate(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
+    assert len(packets) <= MAX_STATE_PARTS
+    assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
 
 
 def spoilt(change: dict[str, Any]) -> str:
-    text = "".join(unpack(packet)["part"] for packet in estate_parts(estate(["a", "b"])))
+    text = "".join(unpack(packet)["part"] for packet in encode_state(estate(["a", "b"])))
     return orjson.dumps(orjson.loads(text) | change).decode()
 
 
@@ -106,8 +106,8 @@
     ],
 )
 def test_an_estate_that_makes_no_sense_is_foreign(change: dict[str, Any]) -> None:
-    with pytest.raises(Foreign):
-        read_estate(spoilt(change))
+    with pytest.raises(PacketError):
+        decode_state(spoilt(change))
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
     [
         {},
         {"n": 1, "of": 2, "part": ""},
-        {"n": 0, "of": PARTS_MOST + 1, "part": ""},
+        {"n": 0, "of": MAX_STATE_PARTS + 1, "part": ""},
         {"n": 0, "of": 1, "part": 5},
         {"n": 0, "of": 1, "part": "x" * (1 << 20)},
         {"n": 0, "of": 0, "part": ""},
@@ -125,14 +125,14 @@
     ],
 )
 def test_parts_that_do_not_fit_are_foreign(message: dict[str, Any]) -> None:
-    with pytest.raises(Foreign):
-        Parts().add(message)
+    with pytest.raises(PacketError):
+        StateAssembler().add(message)
 
 
 @given(st.binary(max_size=200) | st.sampled_from([b"[]", b"{}", b'{"t":1}']))
 @settings(deadline=None)  # a loaded machine is no fault
 def test_noise_is_foreign(noise: bytes) -> None:
-    with pytest.raises(Foreign):
+    with pytest.raises(PacketError):
         unpack(noise)
 
 
@@ -140,7 +140,7 @@
     rows = [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
     rows[2] = replace(rows[2], started=99.0)
     balancer = Balancer(Settings(), 2)
-    balancer.members(60.0, ListKind.STALE, rows)
+    balancer.members(60.0, ListUpdateKind.STALE, rows)
     balancer.recall(60.0, LEARNED)
     again = {row.server: row for row in balancer.learned().servers}
     before = {row.server: row for row in LEARNED.servers}
@@ -158,7 +158,7 @@
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
-        balancer.members(101.0, ListKind.WHOLE, [cold, warm])
+        balancer.members(101.0, ListUpdateKind.WHOLE, [cold, warm])
         balancer.retire(retired)
         got = set()
         for number in range(300):
