--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -15,7 +15,9 @@
 from lugspur.mesh.storage.disk import Disk
 
 StoredRows = list[tuple[bytes, bytes]]
-Publish = Callable[[list[Entry], list[EntryKey]], None]  # is given entries that were decided, and names that are forgotten
+Publish = Callable[
+    [list[Entry], list[EntryKey]], None
+]  # is given entries that were decided, and names that are forgotten
 
 
 def restore_replica(settings: Settings, disk: Disk, rows: StoredRows, now: float, publish: Publish) -> Replica:
--- a/lugspur/mesh/sidecar/api.py
+++ b/lugspur/mesh/sidecar/api.py
@@ -9,7 +9,7 @@
 
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.dataplane.proxy import Proxy
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.http_api import HttpApi, reply
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.registration import BackendRegistration
--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -1,4 +1,4 @@
-"""A proxy's reservations of idempotency keys at the voters (see `lugspur.mesh.dataplane.ports.Keys`)."""
+"""A proxy's reservations of idempotency keys at the voters (see `lugspur.mesh.dataplane.interfaces.Keys`)."""
 
 from __future__ import annotations
 
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -12,10 +12,10 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import BACKEND, LIMITS, ROUTES
 from lugspur.mesh.control.messages import Entry, ForwardResponse, GrantBody, Hello, Message, Report, ReserveKeyReply
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
-from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import fail
 from lugspur.mesh.process import MeshProcess
@@ -66,19 +66,19 @@
         self.update_source = UpdateSource(self)
         self.reservations = KeyReservations(self)
         self.backends = KnownBackends(self.loop, self._services_changed)
-        self.gate = Gate(
+        self.limiter = ConcurrencyLimiter(
             memory_bytes,
             max(16, limits.file_handles // 4),
             settings.tariffs.bounds.drain_ms / 1000.0,
             self.reservations.complete,
             lambda local: self.registration.unreachable(local),
         )
-        self.registration = BackendRegistration(self, self.gate, self.backends.by_ip, link_rate)
+        self.registration = BackendRegistration(self, self.limiter, self.backends.by_ip, link_rate)
         self.outgoing = OutgoingExchanges()
         uploads = UploadScheduler(link_rate, memory_bytes // 4)
-        self.incoming = IncomingExchanges(self.gate, uploads, Hello(self.ip, self.incarnation, self.is_control_node))
+        self.incoming = IncomingExchanges(self.limiter, uploads, Hello(self.ip, self.incarnation, self.is_control_node))
         self.proxy = self._make_proxy()
-        self._summary = RequestSummary(self.proxy, self.gate)
+        self._summary = RequestSummary(self.proxy, self.limiter)
         self.api = SidecarApi(self)
 
     def _make_proxy(self) -> Proxy:
@@ -89,7 +89,7 @@
             self.ip,
             peers=self.peers,
             backends=self.backends.by_ip,
-            gate=self.gate,
+            limiter=self.limiter,
             outgoing=self.outgoing,
         )
         proxy = Proxy(
@@ -114,7 +114,7 @@
 
     def update_sender(self) -> None:
         """Take up the service that this machine's requests come from: its backend's, else that of the settings."""
-        local = self.gate.local
+        local = self.limiter.local
         self.proxy.sender = local.service if local is not None else self.settings.own.service
 
     # ---- serving -------------------------------------------------------------------------
@@ -140,7 +140,7 @@
 
     def _apply_limits(self) -> None:
         """Hold callers to the operators' limits."""
-        bounds = self.table.bounds
+        bounds = self.table.request_limits
         self.front.tune(
             self._max_callers(),
             self.settings.own.limits.memory_mb << 20,
@@ -153,7 +153,7 @@
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take a caller's request; it gets one answer."""
         if not self.update_source.has_configuration:
-            self.proxy.failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
+            self.proxy.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
             fail(caller, MeshError(Kind.NOT_READY))
             return
         self.proxy.handle(request, caller)
@@ -234,7 +234,7 @@
         if entry.kind == BACKEND:
             if entry.name != self.ip or not self.registration.overtaken_by(entry):
                 self.backends.take(entry)
-        elif entry.kind in (ROUTES, LIMITS) and self.table.change(entry) and self._is_serving:
+        elif entry.kind in (ROUTES, LIMITS) and self.table.apply(entry) and self._is_serving:
             self._apply_limits()
 
     def _services_changed(self, services: set[str]) -> None:
@@ -281,15 +281,15 @@
         await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._callers_socket)
         self.front.close()
-        self.gate.leaving = True
+        self.limiter.leaving = True
         while self.loop.time() < started_at + SHUTDOWN_FRACTION * grace and self._has_work():
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
         for proxied_request in list(self.proxy.open_requests):
             proxied_request.end()
         await asyncio.sleep(FLUSH_SECONDS)
         seconds = self.loop.time() - started_at
-        events.info("left", flights=len(self.proxy.open_requests), busy=self.gate.busy, after=seconds)
+        events.info("left", flights=len(self.proxy.open_requests), busy=self.limiter.busy, after=seconds)
 
     def _has_work(self) -> bool:
         """Whether any request or connection of a caller is left."""
-        return bool(self.proxy.open_requests or self.gate.busy or len(self.incoming.uploads) or self.front.callers)
+        return bool(self.proxy.open_requests or self.limiter.busy or len(self.incoming.uploads) or self.front.callers)
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -14,7 +14,7 @@
 from lugspur.mesh.control.items import BACKEND
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.http_api import reply
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
@@ -76,10 +76,14 @@
     """The present incarnation of this machine's backend, and the leased entry that tells the mesh of it."""
 
     def __init__(
-        self, process: RegisteringProcess, gate: Gate, backends: Mapping[str, BackendStatus], rate: float
+        self,
+        process: RegisteringProcess,
+        limiter: ConcurrencyLimiter,
+        backends: Mapping[str, BackendStatus],
+        rate: float,
     ) -> None:
         """`backends`: what the mesh knows of each machine's, by IP number; `rate`: bytes a second of the link."""
-        self._process, self._gate, self._backends, self._rate = process, gate, backends, rate
+        self._process, self._limiter, self._backends, self._rate = process, limiter, backends, rate
         self.announced: Entry | None = None
         self._renew_at = 0.0  # when the entry may get a new edition without a new content
         self._ticked_at = float("inf")  # until the first tick
@@ -96,7 +100,7 @@
 
     def _is_present(self, ident: str, heartbeat: Heartbeat) -> bool:
         """Whether a heartbeat is one of the present incarnation, or of one that takes its place."""
-        local = self._gate.local
+        local = self._limiter.local
         if local is not None and local.id != ident and heartbeat.state != "accepting" and heartbeat.sequence > 0:
             return False  # an incarnation that ends can take nobody's place
         has_ended = local is not None and local.state in ("gone", "silent")
@@ -107,14 +111,14 @@
 
     def _present_backend(self, ident: str, heartbeat: Heartbeat) -> LocalBackend:
         """The backend with that id; it takes the place of another one."""
-        local = self._gate.local
+        local = self._limiter.local
         if local is not None and local.id == ident:
             return local
         local = LocalBackend(ident, heartbeat.service, heartbeat.address, self._process.loop.time())
         if heartbeat.state != "accepting":
             # Guards its drain: it may have said so long ago, to a process that was here before this one.
             local.closing_at = float("-inf")
-        self._gate.local = local
+        self._limiter.local = local
         events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
         return local
 
@@ -123,8 +127,8 @@
         if heartbeat.sequence <= local.sequence:
             return
         now = self._process.loop.time()
-        local.sequence, local.heard, local.down = heartbeat.sequence, now, False
-        local.berths = max(1, heartbeat.berths)
+        local.sequence, local.last_heartbeat_at, local.is_unreachable = heartbeat.sequence, now, False
+        local.concurrency = max(1, heartbeat.berths)
         local.warm_at = now + heartbeat.warmup_left_ms / 1000.0
         if heartbeat.state != "accepting" and local.closing_at == NEVER:
             local.closing_at = now
@@ -136,7 +140,7 @@
     def sign_off(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Take the backend's sign-off, with its id in `found`: it has ended."""
         self._incarnations.signed_off(found[0])
-        local = self._gate.local
+        local = self._limiter.local
         if local is not None and local.id == found[0]:
             local.state = "gone"
             local.closing_at = min(local.closing_at, self._process.loop.time())
@@ -153,7 +157,7 @@
 
     def publish(self) -> None:
         """Tell the mesh how this machine's backend is, where that has changed."""
-        local = self._gate.local
+        local = self._limiter.local
         if local is None:
             return
         status = self._status_of(local)
@@ -162,13 +166,13 @@
             self._process.report()
 
     def _status_of(self, local: LocalBackend) -> BackendStatus:
-        has_ended = local.state in ("gone", "silent") or local.down or self._process.is_leaving
+        has_ended = local.state in ("gone", "silent") or local.is_unreachable or self._process.is_leaving
         return BackendStatus(
             local.id,
             local.service,
             self._process.settings.own.zone,
             "gone" if has_ended else local.state,
-            local.berths,
+            local.concurrency,
             round(max(0.0, local.warm_at - self._process.loop.time()), 1),
             self._rate,
         )
@@ -217,15 +221,15 @@
 
     def tick(self, now: float) -> None:
         """Notice a backend that sends no heartbeats."""
-        local = self._gate.local
+        local = self._limiter.local
         since_tick, self._ticked_at = now - self._ticked_at, now
         if local is None or local.state in ("gone", "silent"):
             return
         if since_tick > PAUSE_THRESHOLD_SECONDS:
             # Guards against a verdict after a pause of this process itself: the heartbeats wait unread.
-            local.heard += since_tick
+            local.last_heartbeat_at += since_tick
         interval = self._process.settings.depot.heartbeat_ms / 1000.0
-        if now - local.heard > MAX_MISSED_HEARTBEATS * interval + HEARTBEAT_MARGIN_SECONDS:
+        if now - local.last_heartbeat_at > MAX_MISSED_HEARTBEATS * interval + HEARTBEAT_MARGIN_SECONDS:
             local.state = "silent"
             events.info("backend-silent", id=local.id)
             self.publish()
--- a/lugspur/mesh/sidecar/request_summary.py
+++ b/lugspur/mesh/sidecar/request_summary.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from lugspur.mesh import events
-from lugspur.mesh.dataplane.gate import Gate
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.proxy import Proxy
 
 SUMMARY_INTERVAL_SECONDS = 2.0
@@ -14,8 +14,8 @@
 class RequestSummary:
     """Sums up the requests of this machine's callers and those for its backend."""
 
-    def __init__(self, proxy: Proxy, gate: Gate) -> None:
-        self._proxy, self._gate = proxy, gate
+    def __init__(self, proxy: Proxy, limiter: ConcurrencyLimiter) -> None:
+        self._proxy, self._limiter = proxy, limiter
         self._logged_at = 0.0
         self._logged: Counter[str] = Counter()  # ends of requests that are in the log
 
@@ -26,15 +26,15 @@
         self._logged_at = now
         ended = self._proxy.ended - self._logged
         self._logged = self._proxy.ended.copy()
-        gate = self._gate
-        if ended or gate.turned or gate.evicted or gate.hopeless:
+        limiter = self._limiter
+        if ended or limiter.rejected or limiter.evicted or limiter.expired:
             events.info(
                 "requests",
                 **ended,
-                turned=gate.turned,
-                evicted=gate.evicted,
-                hopeless=gate.hopeless,
-                busy=gate.busy,
+                turned=limiter.rejected,
+                evicted=limiter.evicted,
+                hopeless=limiter.expired,
+                busy=limiter.busy,
                 open=len(self._proxy.open_requests),
             )
-        gate.turned = gate.evicted = gate.hopeless = 0
+        limiter.rejected = limiter.evicted = limiter.expired = 0
