--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -18,7 +18,15 @@
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
 from lugspur.daemon.gossip.transport import Transport, bound
-from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
+from lugspur.daemon.gossip.wire import (
+    MAX_KEY_BYTES,
+    MAX_VERSION_CHARACTERS,
+    MAX_ZONE_CHARACTERS,
+    MIN_KEY_BYTES,
+    DatagramCodec,
+    MemberMetadata,
+    Status,
+)
 from lugspur.daemon.leases.claim import Claim, Turned, Won, order
 from lugspur.daemon.leases.elector import Elector, Who
 from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
@@ -42,7 +50,7 @@
         self.probers: Probers | None = None
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
-        self._facts = Facts(zone[:ZONE_MOST], _version(), time.time())
+        self._facts = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
         self.claims: dict[str, Claim] = {}
         self.elector: Elector | None = None
         self._memory: Memory | None = None
@@ -61,7 +69,7 @@
         """Begin; raises OSError where the address, the key or the elector's folder can't be had."""
         row = self._row
         assert row.bind is not None
-        wire = Wire(row.name, self._key())
+        wire = DatagramCodec(row.name, self._key())
         if row.member in row.electors:
             self._open_elector()
         try:
@@ -92,11 +100,11 @@
         path = resolved(self._row.key, self._beside)
         try:
             with open(path, "rb") as file:
-                key = file.read(KEY_MOST + 1)
+                key = file.read(MAX_KEY_BYTES + 1)
         except OSError as fault:
             raise OSError(f"fleet: key {path}: {fault.strerror or fault}") from fault
-        if not KEY_LEAST <= len(key) <= KEY_MOST:
-            raise OSError(f"fleet: key {path}: it has to have {KEY_LEAST} to {KEY_MOST} bytes")
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise OSError(f"fleet: key {path}: it has to have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
         return key
 
     def _open_elector(self) -> None:
@@ -174,14 +182,16 @@
         return self._ordered(duty).index(self._row.member)
 
     def _ordered(self, duty: str) -> list[str]:
-        ready = [name for name, record in self.fleet.there().items() if not record.facts.draining]
+        ready = [name for name, record in self.fleet.there().items() if not record.metadata.is_draining]
         return order(duty, list({*ready, self._row.member}))
 
     def hand_on(self) -> None:
         """This daemon goes: its duties go to those who are next, at once."""
         self._drained = True
         facts = self._facts
-        self.fleet.tell(clock.now(), Facts(facts.zone, facts.version, facts.started, True, facts.rate))
+        self.fleet.tell(
+            clock.now(), MemberMetadata(facts.zone, facts.version, facts.started_at, True, facts.requests_per_second)
+        )
         for duty, claim in self.claims.items():
             if not claim.hand_on(clock.now()):
                 continue
@@ -236,7 +246,7 @@
             former is None
             or former.status is not record.status
             or former.address != record.address
-            or (former.life != record.life)
+            or (former.instance_id != record.instance_id)
         ):
             host, port = record.address
             self.say(f"member {record.name} {SAID[Status(record.status)]} ({event.cause}) at {host}:{port}")
@@ -246,7 +256,7 @@
     def _body(self, event: Posted) -> None:
         with suppress(Malformed):
             for message in unpack(event.body):
-                self._lease(Who(event.name, event.life), message)
+                self._lease(Who(event.name, event.instance_id), message)
 
     def _lease(self, who: Who, message: Message) -> None:
         now = clock.now()
@@ -274,7 +284,7 @@
                 said += self.elector.take()
             if not said:
                 break
-            me = Who(self._row.member, self.fleet.me.life)
+            me = Who(self._row.member, self.fleet.me.instance_id)
             for name, message in said:
                 if name == me.name:
                     self._lease(me, message)
@@ -302,7 +312,7 @@
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
-                "life": self.fleet.me.life,
+                "life": self.fleet.me.instance_id,
                 "duty": turned.duty,
                 "epoch": turned.epoch,
                 "left": left,
@@ -359,10 +369,10 @@
                         "name": row.name,
                         "address": f"{row.host}:{row.port}",
                         "state": Status(row.status).name.lower(),
-                        "zone": row.facts.zone,
-                        "version": row.facts.version,
-                        "started": row.facts.started,
-                        "draining": row.facts.draining,
+                        "zone": row.metadata.zone,
+                        "version": row.metadata.version,
+                        "started": row.metadata.started_at,
+                        "draining": row.metadata.is_draining,
                         "elector": row.name in self._row.electors,
                     }
                     for row in sorted(rows, key=lambda row: row.name)
@@ -420,6 +430,6 @@
 
 def _version() -> str:
     try:
-        return version("lugspur")[:VERSION_MOST]
+        return version("lugspur")[:MAX_VERSION_CHARACTERS]
     except PackageNotFoundError:
         return "checkout"
--- a/lugspur/daemon/gossip/bounds.py
+++ b/lugspur/daemon/gossip/bounds.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from lugspur.daemon.gossip.wire import DATAGRAM_MOST
+from lugspur.daemon.gossip.wire import MAX_DATAGRAM_BYTES
 
 EACH_RATE, EACH_BURST = 100.0, 200.0  # datagrams a second from one address: a member sends some 20 when all goes wrong
 ALL_RATE, ALL_BURST = 2000.0, 2000.0  # datagrams a second from all: some 100 us each, so a fifth of a core at most
@@ -52,4 +52,4 @@
 
     def sends(self, size: int, now: float) -> bool:
         """Whether so many bytes may go out."""
-        return self._out.take(min(size, DATAGRAM_MOST), now)
+        return self._out.take(min(size, MAX_DATAGRAM_BYTES), now)
--- a/lugspur/daemon/gossip/machine.py
+++ b/lugspur/daemon/gossip/machine.py
@@ -21,28 +21,28 @@
 from lugspur.daemon.gossip.rumours import Rumours
 from lugspur.daemon.gossip.suspicion import Suspicion
 from lugspur.daemon.gossip.wire import (
-    INCARNATION_MOST,
-    RECORDS_MOST,
+    INCARNATION_LIMIT,
+    MAX_RECORDS_PER_DATAGRAM,
     Ack,
-    Ask,
-    Facts,
-    Foreign,
-    Help,
+    DatagramCodec,
+    DatagramRejectedError,
+    FetchPage,
+    MemberMetadata,
+    MemberRecord,
     Message,
     Nack,
-    News,
     Packet,
     Page,
     Ping,
-    Post,
-    Record,
+    PingRequest,
     Status,
-    Wire,
-    size_of,
+    Updates,
+    UserMessage,
+    encoded_size,
 )
 
 Address = tuple[str, int]
-MEMBERS_MOST = 1024  # records, of the dead too: some 0.5 MB
+MAX_MEMBERS = 1024  # records, of the dead too: some 0.5 MB
 AGAIN = (0.2, 0.4)  # parts of a period after which a ping is repeated: one lost datagram in twenty is nobody's death
 THROUGH = 0.4  # part of a period after which others are asked to help...
 HELPERS = 4  # ...so many
@@ -64,8 +64,8 @@
 class Changed:
     """A member came, is doubted, is believed again, died, left or moved; `cause` is a word or two for the log."""
 
-    record: Record
-    former: Record | None
+    record: MemberRecord
+    former: MemberRecord | None
     cause: str
 
 
@@ -82,7 +82,7 @@
     """Something for another part of the program, from a process under a name."""
 
     name: str
-    life: int
+    instance_id: int
     topic: int
     body: bytes
 
@@ -95,7 +95,7 @@
     """The member that is asked in this period."""
 
     name: str
-    number: int
+    sequence_number: int
     began: float
     repeats: list[float]
     through: float
@@ -120,7 +120,7 @@
 
     asker: Address
     asker_name: str
-    number: int
+    sequence_number: int
     until: float
 
 
@@ -128,14 +128,14 @@
 class Member:
     """What is known of one, beside its record."""
 
-    record: Record
+    record: MemberRecord
     since: float  # when its state changed
     mark: int = 0  # its part of the view's digest
 
 
-def digest_of(record: Record) -> int:
+def record_digest(record: MemberRecord) -> int:
     """A record's part of the digest of a view: who is there, and by which word of its own."""
-    text = f"{record.name} {record.life} {record.incarnation}".encode()
+    text = f"{record.name} {record.instance_id} {record.incarnation}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
@@ -144,10 +144,10 @@
 
     def __init__(
         self,
-        wire: Wire,
+        wire: DatagramCodec,
         name: str,
         address: Address,
-        facts: Facts,
+        metadata: MemberMetadata,
         seeds: list[Address],
         now: float,
         wall: Callable[[], float],
@@ -156,8 +156,8 @@
     ) -> None:
         self.wire, self.period, self.seeds = wire, period, seeds
         self._wall, self._rng = wall, rng
-        life, incarnation = rng.randrange(1, 1 << 52), max(1, min(int(wall() * 1000), INCARNATION_MOST >> 1))
-        self.me = Record(name, life, incarnation, *address, facts=facts)
+        life, incarnation = rng.randrange(1, 1 << 52), max(1, min(int(wall() * 1000), INCARNATION_LIMIT >> 1))
+        self.me = MemberRecord(name, life, incarnation, *address, metadata=metadata)
         self.members: dict[str, Member] = {}
         self._present = Crowd()  # those of them that count as there...
         self._doubted: dict[str, Suspicion] = {}  # ...but are doubted...
@@ -168,7 +168,7 @@
         self.alone = True  # nobody has ever answered
         self.left = False
         self.heard = float("-inf")  # when anybody last said anything
-        self._mark = digest_of(self.me)
+        self._mark = record_digest(self.me)
         self._rumours = Rumours()
         self._bounds = Bounds(now)
         self._out: list[tuple[Address, bytes]] = []
@@ -194,9 +194,9 @@
         """Of the view: equal where the same members are there."""
         return self._mark
 
-    def there(self) -> dict[str, Record]:
+    def there(self) -> dict[str, MemberRecord]:
         """All that count as there, this process among them, by name."""
-        found = {name: member.record for name, member in self.members.items() if member.record.there}
+        found = {name: member.record for name, member in self.members.items() if member.record.is_present}
         if not self.left:
             found[self.me.name] = self.me
         return found
@@ -221,13 +221,13 @@
         member = self.members.get(name)
         if member is None or member.record.status is Status.LEFT:
             return False
-        self._send(now, member.record.address, Post(topic, body), name)
+        self._send(now, member.record.address, UserMessage(topic, body), name)
         return True
 
-    def tell(self, now: float, facts: Facts) -> None:
-        """Other facts of this process; nothing happens where they are the same."""
-        if facts != self.me.facts:
-            self._speak(now, facts=facts)
+    def tell(self, now: float, metadata: MemberMetadata) -> None:
+        """Other metadata of this process; nothing happens where they are the same."""
+        if metadata != self.me.metadata:
+            self._speak(now, metadata=metadata)
 
     def move(self, now: float, address: Address) -> None:
         """This process takes datagrams elsewhere from now on."""
@@ -239,7 +239,7 @@
         self._speak(now, status=Status.LEFT)
         self.left = True
         for name in self._present.draw(self._rng, 2 * SPREAD_TO):
-            self._send(now, self.members[name].record.address, News([self.me]), name)
+            self._send(now, self.members[name].record.address, Updates([self.me]), name)
         self._probe = None
 
     # ---- time --------------------------------------------------------------------------------------
@@ -319,12 +319,12 @@
         probe = self._probe
         if probe is not None:
             member = self.members.get(probe.name)
-            if member is None or not member.record.there:
+            if member is None or not member.record.is_present:
                 self._probe = probe = None
         if probe is not None and member is not None:
             while probe.repeats and now >= probe.repeats[0]:
                 probe.repeats.pop(0)
-                self._ping(now, member.record, probe.number)
+                self._ping(now, member.record, probe.sequence_number)
             if now >= probe.through and not probe.helpers:
                 self._through(now, probe, member.record)
             if now >= probe.ends:
@@ -337,7 +337,7 @@
             if name is not None:
                 self._begin(now, self.members[name].record, slower)
 
-    def _begin(self, now: float, record: Record, slower: int) -> None:
+    def _begin(self, now: float, record: MemberRecord, slower: int) -> None:
         number, span = self._count(), self.period * slower
         self._probe = _Probe(
             record.name, number, now, [now + part * span for part in AGAIN], now + THROUGH * span, now + span
@@ -358,26 +358,31 @@
         self._rng.shuffle(self._turns)
         return self._turns.pop() if self._turns else None
 
-    def _ping(self, now: float, record: Record, number: int, to: str | None = None) -> None:
+    def _ping(self, now: float, record: MemberRecord, number: int, to: str | None = None) -> None:
         told = record.name if to is None else to
         self._send(now, record.address, Ping(number, self._mark, self._along(told)), told)
 
-    def _along(self, name: str, life: int | None = None) -> list[Record]:
+    def _along(self, name: str, instance_id: int | None = None) -> list[MemberRecord]:
         """What goes along to a member: our own record, what is thought of it unless that is good, and news."""
         found = [self.me]
         member = self.members.get(name)
-        if member is not None and (member.record.status is not Status.ALIVE or life not in (None, member.record.life)):
+        if member is not None and (
+            member.record.status is not Status.ALIVE or instance_id not in (None, member.record.instance_id)
+        ):
             found.append(member.record)  # Guards it against never hearing what it has to refute
-        room = self.wire.room - 100 - sum(size_of(record) for record in found)
+        room = self.wire.room - 100 - sum(encoded_size(record) for record in found)
         return found + self._rumours.take(room, self.count, name)
 
-    def _through(self, now: float, probe: _Probe, record: Record) -> None:
+    def _through(self, now: float, probe: _Probe, record: MemberRecord) -> None:
         drawn = self._present.draw(self._rng, HELPERS + 1 + len(self._doubted))
         helpers = [name for name in drawn if name != record.name and name not in self._doubted][:HELPERS]
         probe.helpers = max(1, len(helpers))
         for name in helpers:
             self._send(
-                now, self.members[name].record.address, Help(probe.number, record.name, record.host, record.port), name
+                now,
+                self.members[name].record.address,
+                PingRequest(probe.sequence_number, record.name, record.host, record.port),
+                name,
             )
 
     def _unanswered(self, now: float, probe: _Probe, member: Member) -> None:
@@ -393,14 +398,14 @@
         for number, helping in tuple(self._helping.items()):
             if now >= helping.until:
                 del self._helping[number]
-                self._send(now, helping.asker, Nack(helping.number), helping.asker_name)
+                self._send(now, helping.asker, Nack(helping.sequence_number), helping.asker_name)
 
     # ---- telling -----------------------------------------------------------------------------------
 
     def _send(self, now: float, address: Address, message: Message, to: str) -> None:
         if now < self._silent_until:
             return
-        data = self.wire.encode(Packet(self.me.name, self.me.life, to, message))
+        data = self.wire.encode(Packet(self.me.name, self.me.instance_id, to, message))
         if not self._bounds.sends(len(data), now):
             self.counts["not sent"] += 1
             return
@@ -414,7 +419,7 @@
         for name in names:
             news = self._rumours.take(self.wire.room - 100, self.count, name)
             if news:
-                self._send(now, self.members[name].record.address, News(news), name)
+                self._send(now, self.members[name].record.address, Updates(news), name)
         if not names:
             self._rumours = Rumours()
 
@@ -435,33 +440,33 @@
         self,
         now: float,
         incarnation: int = 0,
-        facts: Facts | None = None,
+        metadata: MemberMetadata | None = None,
         status: Status = Status.ALIVE,
         address: Address | None = None,
     ) -> None:
         """A new word of this process on itself."""
         me = self.me
         host, port = address or me.address
-        self._mark ^= digest_of(me)
-        self.me = Record(
+        self._mark ^= record_digest(me)
+        self.me = MemberRecord(
             me.name,
-            me.life,
+            me.instance_id,
             max(me.incarnation + 1, incarnation),
             host,
             port,
             status,
             me.name if status is Status.LEFT else "",
-            facts or me.facts,
+            metadata or me.metadata,
         )
-        self._mark ^= digest_of(self.me)
+        self._mark ^= record_digest(self.me)
         self._rumours.put(self.me)
         self._changed_at = now
 
-    def _of_me(self, now: float, record: Record) -> None:
+    def _of_me(self, now: float, record: MemberRecord) -> None:
         me = self.me
         if record.incarnation < me.incarnation:
             return
-        if record.life == me.life:
+        if record.instance_id == me.instance_id:
             if record.status is not Status.ALIVE:
                 self.counts["refuted"] += 1
                 self._slower(1)  # Lifeguard: whoever is doubted may be slow
@@ -469,20 +474,20 @@
             return
         # A former process of this name, or a second one: the former is silent, the second answers each time.
         self._speak(now, record.incarnation + 1)
-        if not record.there:
+        if not record.is_present:
             return
         self._rivals = [at for at in self._rivals if now - at < RIVALS_WITHIN * self.period] + [now]
         if len(self._rivals) < RIVALS:
             return
         self._rivals.clear()
-        older = (record.facts.started, record.life) < (me.facts.started, me.life)
+        older = (record.metadata.started_at, record.instance_id) < (me.metadata.started_at, me.instance_id)
         self._events.append(Rival(record.address, older))
         if older:
             self._silent_until = now + YIELD * self.period
 
     # ---- what is said of others -----------------------------------------------------------------------
 
-    def _put(self, now: float, record: Record, cause: str) -> None:
+    def _put(self, now: float, record: MemberRecord, cause: str) -> None:
         """It counts from now on; the last word is with greater incarnations, then with worse news."""
         member = self.members.get(record.name)
         former = None if member is None else member.record
@@ -495,21 +500,21 @@
         elif member.record.status is not record.status:
             member.since = now
         self._mark ^= member.mark
-        member.record, member.mark = record, digest_of(record) if record.there else 0
+        member.record, member.mark = record, record_digest(record) if record.is_present else 0
         self._mark ^= member.mark
         self._sort(now, record, former)
         self._rumours.put(record)
         self._changed_at = now
         self._events.append(Changed(record, former, cause))
 
-    def _sort(self, now: float, record: Record, former: Record | None) -> None:
+    def _sort(self, now: float, record: MemberRecord, former: MemberRecord | None) -> None:
         """Into those that are there, that are doubted, and that are gone."""
         name = record.name
-        if former is not None and former.there:
+        if former is not None and former.is_present:
             self._places[former.address] -= 1
             if not self._places[former.address]:
                 del self._places[former.address]
-        if record.there:
+        if record.is_present:
             self._places[record.address] += 1
             self._present.add(name)
             self._gone.pop(name, None)
@@ -519,10 +524,10 @@
         if record.status is not Status.SUSPECT:
             self._doubted.pop(name, None)
         elif name not in self._doubted or former is None or former.incarnation != record.incarnation:
-            self._doubted[name] = Suspicion(now, self.period, self.count, record.by)
+            self._doubted[name] = Suspicion(now, self.period, self.count, record.reported_by)
 
     def _room(self) -> bool:
-        if len(self.members) < MEMBERS_MOST - 1:
+        if len(self.members) < MAX_MEMBERS - 1:
             return True
         if not self._gone:
             return False
@@ -530,7 +535,7 @@
         del self.members[oldest], self._gone[oldest]
         return True
 
-    def _hear(self, now: float, record: Record, first_hand: bool) -> None:
+    def _hear(self, now: float, record: MemberRecord, first_hand: bool) -> None:
         """Somebody's word on a member; first-hand: its own."""
         if record.incarnation > self._wall() * 1000 + AHEAD_MOST:
             self.counts["from the future"] += 1
@@ -540,7 +545,7 @@
             return
         member = self.members.get(record.name)
         if member is None:
-            if record.there:
+            if record.is_present:
                 self._put(now, record, "came" if first_hand else "heard of")
             return
         known = member.record
@@ -548,16 +553,16 @@
             if (
                 record.incarnation == known.incarnation
                 and record.status is Status.SUSPECT
-                and (record.name in self._doubted and self._doubted[record.name].confirm(record.by))
+                and (record.name in self._doubted and self._doubted[record.name].confirm(record.reported_by))
             ):
                 self._rumours.put(record)
             return
-        if record.status is Status.DEAD and known.there and known.status is not Status.SUSPECT:
+        if record.status is Status.DEAD and known.is_present and known.status is not Status.SUSPECT:
             # Guards a member against one word of another: it is doubted first, and has time to refute.
-            record = _with(record, Status.SUSPECT, record.by)
+            record = _with(record, Status.SUSPECT, record.reported_by)
             if (record.incarnation, record.status) <= (known.incarnation, known.status):
                 return
-        if record.status is Status.LEFT and record.by != record.name:
+        if record.status is Status.LEFT and record.reported_by != record.name:
             return
         self._put(now, record, _cause(known, record))
 
@@ -573,21 +578,21 @@
             return
         try:
             packet = self.wire.decode(data)
-        except Foreign as fault:
+        except DatagramRejectedError as fault:
             self.counts[str(fault)] += 1
             return
-        if packet.to not in ("", self.me.name):
+        if packet.recipient not in ("", self.me.name):
             self.counts["for another"] += 1
             return
-        if packet.me == self.me.name:
-            if packet.life != self.me.life:
-                for record in getattr(packet.message, "news", ()):
+        if packet.sender == self.me.name:
+            if packet.sender_instance_id != self.me.instance_id:
+                for record in getattr(packet.message, "updates", ()):
                     if record.name == self.me.name:
                         self._of_me(now, record)
                         self._send(now, source, Ack(0, self._mark, [self.me]), "")
             return
-        known = self.members.get(packet.me)
-        if known is not None and known.record.life != packet.life and not _names(packet):
+        known = self.members.get(packet.sender)
+        if known is not None and known.record.instance_id != packet.sender_instance_id and not _names(packet):
             self.counts["of another life"] += 1
             return
         self.counts["read"] += 1
@@ -596,41 +601,46 @@
 
     def _act(self, now: float, packet: Packet, source: Address) -> None:
         message = packet.message
-        if isinstance(message, Ping | Ack | News):
-            for record in message.news:
-                self._hear(now, record, record.name == packet.me)
+        if isinstance(message, Ping | Ack | Updates):
+            for record in message.updates:
+                self._hear(now, record, record.name == packet.sender)
         if isinstance(message, Ping):
-            self._send(now, source, Ack(message.number, self._mark, self._along(packet.me, packet.life)), packet.me)
-            self._compare(now, packet.me, message.digest)
+            self._send(
+                now,
+                source,
+                Ack(message.sequence_number, self._mark, self._along(packet.sender, packet.sender_instance_id)),
+                packet.sender,
+            )
+            self._compare(now, packet.sender, message.digest)
         elif isinstance(message, Ack):
             self.alone = False
-            self._answered(now, packet.me, message)
-            self._compare(now, packet.me, message.digest)
-        elif isinstance(message, Help):
-            self._help(now, packet.me, message, source)
-        elif isinstance(message, Ask):
-            self._answer_page(now, packet.me, message.after, source)
+            self._answered(now, packet.sender, message)
+            self._compare(now, packet.sender, message.digest)
+        elif isinstance(message, PingRequest):
+            self._help(now, packet.sender, message, source)
+        elif isinstance(message, FetchPage):
+            self._answer_page(now, packet.sender, message.after_name, source)
         elif isinstance(message, Page):
-            self._page(now, packet.me, message)
-        elif isinstance(message, Post):
-            self._events.append(Posted(packet.me, packet.life, message.topic, message.body))
+            self._page(now, packet.sender, message)
+        elif isinstance(message, UserMessage):
+            self._events.append(Posted(packet.sender, packet.sender_instance_id, message.topic, message.body))
 
     def _answered(self, now: float, name: str, ack: Ack) -> None:
         probe = self._probe
-        if probe is not None and ack.number == probe.number:
+        if probe is not None and ack.sequence_number == probe.sequence_number:
             self._probe = None
             self._slower(-1)
-        helping = self._helping.pop(ack.number, None)
+        helping = self._helping.pop(ack.sequence_number, None)
         if helping is not None:
-            self._send(now, helping.asker, Ack(helping.number, self._mark, [self.me]), helping.asker_name)
+            self._send(now, helping.asker, Ack(helping.sequence_number, self._mark, [self.me]), helping.asker_name)
 
-    def _help(self, now: float, name: str, wanted: Help, source: Address) -> None:
+    def _help(self, now: float, name: str, wanted: PingRequest, source: Address) -> None:
         if len(self._helping) >= HELPING_MOST:
             return
         number = self._count()
-        self._helping[number] = _Helping(source, name, wanted.number, now + NACK * self.period)
-        ping = Ping(number, self._mark, self._along(wanted.name))
-        self._send(now, (wanted.host, wanted.port), ping, wanted.name)
+        self._helping[number] = _Helping(source, name, wanted.sequence_number, now + NACK * self.period)
+        ping = Ping(number, self._mark, self._along(wanted.target_name))
+        self._send(now, (wanted.target_host, wanted.target_port), ping, wanted.target_name)
 
     # ---- whole views -------------------------------------------------------------------------------
 
@@ -643,7 +653,7 @@
             return
         self._read_next = now + self.period * (1.0 + self._rng.random())
         self._reading = _Reading(name, member.record.address, "", now + PAGE_WITHIN * self.period)
-        self._send(now, member.record.address, Ask(""), name)
+        self._send(now, member.record.address, FetchPage(""), name)
 
     def _read_on(self, now: float) -> None:
         reading = self._reading
@@ -653,54 +663,57 @@
             return
         reading.tries += 1
         reading.until = now + PAGE_WITHIN * self.period
-        self._send(now, reading.address, Ask(reading.after), reading.name)
+        self._send(now, reading.address, FetchPage(reading.after), reading.name)
 
     def _answer_page(self, now: float, name: str, after: str, source: Address) -> None:
         names = sorted(other for other in self.members if other > after)
         if self.me.name > after:
             names = sorted([*names, self.me.name])
-        room, records = self.wire.room - 160, list[Record]()
+        room, records = self.wire.room - 160, list[MemberRecord]()
         for other in names:
             record = self.me if other == self.me.name else self.members[other].record
-            room -= size_of(record)
-            if room < 0 or len(records) >= RECORDS_MOST:
+            room -= encoded_size(record)
+            if room < 0 or len(records) >= MAX_RECORDS_PER_DATAGRAM:
                 break
             records.append(record)
         self._send(now, source, Page(after, len(records) == len(names), records), name)
 
     def _page(self, now: float, name: str, page: Page) -> None:
         reading = self._reading
-        if reading is None or reading.name != name or reading.after != page.after:
+        if reading is None or reading.name != name or reading.after != page.after_name:
             return  # of a reading that is over, or the second copy of one
         for record in page.records:
             self._hear(now, record, False)
-        if page.last or not page.records:
+        if page.is_last or not page.records:
             self._reading = None
             return
         reading.after, reading.tries = page.records[-1].name, 1
         reading.until = now + PAGE_WITHIN * self.period
-        self._send(now, reading.address, Ask(reading.after), name)
+        self._send(now, reading.address, FetchPage(reading.after), name)
 
 
-def _with(record: Record, status: Status, by: str) -> Record:
-    return Record(record.name, record.life, record.incarnation, record.host, record.port, status, by, record.facts)
+def _with(record: MemberRecord, status: Status, by: str) -> MemberRecord:
+    return MemberRecord(
+        record.name, record.instance_id, record.incarnation, record.host, record.port, status, by, record.metadata
+    )
 
 
 def _names(packet: Packet) -> bool:
     """Whether a datagram has its sender's own record: it may be another process of that name."""
     return any(
-        record.name == packet.me and record.life == packet.life for record in getattr(packet.message, "news", ())
+        record.name == packet.sender and record.instance_id == packet.sender_instance_id
+        for record in getattr(packet.message, "updates", ())
     )
 
 
-def _cause(former: Record, record: Record) -> str:
+def _cause(former: MemberRecord, record: MemberRecord) -> str:
     if record.status is Status.LEFT:
         return "said goodbye"
     if record.status is not Status.ALIVE:
-        return f"by {record.by}"
-    if record.life != former.life:
+        return f"by {record.reported_by}"
+    if record.instance_id != former.instance_id:
         return "started anew"
-    if not former.there:
+    if not former.is_present:
         return "is back"
     if former.status is Status.SUSPECT:
         return "refuted it"
--- a/lugspur/daemon/gossip/rumours.py
+++ b/lugspur/daemon/gossip/rumours.py
@@ -4,7 +4,7 @@
 
 import math
 
-from lugspur.daemon.gossip.wire import RECORDS_MOST, Record, size_of
+from lugspur.daemon.gossip.wire import MAX_RECORDS_PER_DATAGRAM, MemberRecord, encoded_size
 
 TOLD = 3  # times log10 of the members (rounded up): how often one member passes a piece on, as in SWIM, section 4.1
 
@@ -13,23 +13,23 @@
     """At most one piece for each member: the latest. No more than there are members."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, tuple[int, Record, int]] = {}  # how often told, what, and its bytes
+        self._waiting: dict[str, tuple[int, MemberRecord, int]] = {}  # how often told, what, and its bytes
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def put(self, record: Record) -> None:
+    def put(self, record: MemberRecord) -> None:
         """News."""
-        self._waiting[record.name] = (0, record, size_of(record))
+        self._waiting[record.name] = (0, record, encoded_size(record))
 
-    def take(self, room: int, members: int, without: str = "") -> list[Record]:
+    def take(self, room: int, members: int, without: str = "") -> list[MemberRecord]:
         """What goes along in so many bytes."""
         if not self._waiting:
             return []
         most = TOLD * math.ceil(math.log10(members + 1))
-        found: list[Record] = []
+        found: list[MemberRecord] = []
         for name, (told, record, size) in sorted(self._waiting.items(), key=lambda item: item[1][0]):
-            if len(found) >= RECORDS_MOST - 2 or room < size:
+            if len(found) >= MAX_RECORDS_PER_DATAGRAM - 2 or room < size:
                 break
             if name == without:
                 continue
--- a/lugspur/daemon/gossip/transport.py
+++ b/lugspur/daemon/gossip/transport.py
@@ -8,7 +8,7 @@
 
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.machine import Address, Event, Fleet
-from lugspur.daemon.gossip.wire import DATAGRAM_MOST
+from lugspur.daemon.gossip.wire import MAX_DATAGRAM_BYTES
 
 READ_MOST = 64  # datagrams in one turn of the loop: some 10 ms, after which requests have their turn
 
@@ -46,7 +46,7 @@
     def _read(self) -> None:
         for _ in range(READ_MOST):
             try:
-                data, source = self._sock.recvfrom(DATAGRAM_MOST + 1)
+                data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:  # an earlier datagram of ours met a closed port: that says nothing that probes don't
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from lugspur.daemon.gossip.machine import Changed, Fleet
-from lugspur.daemon.gossip.wire import Facts, Status, Wire
+from lugspur.daemon.gossip.wire import DatagramCodec, MemberMetadata, Status
 from lugspur.emulator.datagrams import Address, Network, halves
 
 SIZES = (5, 50, 200)
@@ -72,10 +72,10 @@
         rng = Random(f"{self.seed} {number} {network.now}")
         seeds = [self.address(0), self.address(1)]
         machine = Fleet(
-            Wire(fleet),
+            DatagramCodec(fleet),
             name or f"m{number}",
             address,
-            Facts("z", "1", network.now),
+            MemberMetadata("z", "1", network.now),
             seeds,
             network.clock(address),
             lambda: EPOCH + network.now - behind,
@@ -102,7 +102,7 @@
         return sum(
             when >= since
             and change.record.status is Status.SUSPECT
-            and change.record.by == who
+            and change.record.reported_by == who
             and change.record.name not in but
             for when, who, change in self.changes
         )
--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -5,38 +5,48 @@
 from random import Random
 
 from lugspur.daemon.gossip.bounds import EACH_BURST
-from lugspur.daemon.gossip.machine import MEMBERS_MOST, Fleet
-from lugspur.daemon.gossip.wire import DATAGRAM_MOST, Facts, Message, News, Packet, Ping, Record, Status, Wire
+from lugspur.daemon.gossip.machine import MAX_MEMBERS, Fleet
+from lugspur.daemon.gossip.wire import (
+    MAX_DATAGRAM_BYTES,
+    DatagramCodec,
+    MemberMetadata,
+    MemberRecord,
+    Message,
+    Packet,
+    Ping,
+    Status,
+    Updates,
+)
 
 PEER = ("10.0.0.2", 7946)
 
 
-def member(wire: Wire) -> Fleet:
-    return Fleet(wire, "m0", ("10.0.0.1", 7946), Facts(), [], 0.0, lambda: 1e9, Random(1))
+def member(wire: DatagramCodec) -> Fleet:
+    return Fleet(wire, "m0", ("10.0.0.1", 7946), MemberMetadata(), [], 0.0, lambda: 1e9, Random(1))
 
 
 def datagram(message: Message, sender: str = "m1", process: int = 7, to: str = "m0") -> bytes:
-    return Wire("edge").encode(Packet(sender, process, to, message))
+    return DatagramCodec("edge").encode(Packet(sender, process, to, message))
 
 
-def record(name: str, process: int, incarnation: int = 1, status: Status = Status.ALIVE) -> Record:
-    return Record(name, process, incarnation, *PEER, status=status)
+def record(name: str, process: int, incarnation: int = 1, status: Status = Status.ALIVE) -> MemberRecord:
+    return MemberRecord(name, process, incarnation, *PEER, status=status)
 
 
 def test_traffic_and_datagrams_that_are_dropped() -> None:
-    one = member(Wire("edge"))
+    one = member(DatagramCodec("edge"))
     one.receive(0.0, datagram(Ping(1, 0, [record("m1", 7)])), PEER)
     sent = [data for _, data in one.take()]  # an ack, and the request of the peer's first page
     assert one.counts == {"read": 1, "sent": len(sent), "bytes sent": sum(map(len, sent))}
     dropped = {
         "garbage": b"?",
-        "too large": bytes(DATAGRAM_MOST + 1),
-        "another version": b"LG\x02" + datagram(News([]))[3:],
-        "another fleet": Wire("core").encode(Packet("m1", 7, "m0", News([]))),
-        "for another": datagram(News([]), to="m5"),
-        "of another life": datagram(News([]), process=8),
-        "from the future": datagram(News([record("m2", 9, 1 << 51)])),
-        "refuted": datagram(News([record("m0", one.me.life, one.me.incarnation, Status.SUSPECT)])),
+        "too large": bytes(MAX_DATAGRAM_BYTES + 1),
+        "another version": b"LG\x02" + datagram(Updates([]))[3:],
+        "another fleet": DatagramCodec("core").encode(Packet("m1", 7, "m0", Updates([]))),
+        "for another": datagram(Updates([]), to="m5"),
+        "of another life": datagram(Updates([]), process=8),
+        "from the future": datagram(Updates([record("m2", 9, 1 << 51)])),
+        "refuted": datagram(Updates([record("m0", one.me.instance_id, one.me.incarnation, Status.SUSPECT)])),
     }
     for name, data in dropped.items():
         assert one.counts[name] == 0
@@ -46,19 +56,19 @@
 
 
 def test_another_key() -> None:
-    one = member(Wire("edge", b"k" * 16))
-    one.receive(0.0, Wire("edge", b"l" * 16).encode(Packet("m1", 7, "m0", News([]))), PEER)
+    one = member(DatagramCodec("edge", b"k" * 16))
+    one.receive(0.0, DatagramCodec("edge", b"l" * 16).encode(Packet("m1", 7, "m0", Updates([]))), PEER)
     assert one.counts == {"another key": 1}
 
 
 def test_limits_and_a_process_that_was_stopped() -> None:
-    one = member(Wire("edge"))
+    one = member(DatagramCodec("edge"))
     for _ in range(int(EACH_BURST) + 1):
-        one.receive(0.0, datagram(News([])), PEER)
+        one.receive(0.0, datagram(Updates([])), PEER)
     assert one.counts["too many"] == 1
-    for number in range(MEMBERS_MOST):
+    for number in range(MAX_MEMBERS):
         source = ("10.0.1.1", 1 + number)
-        one.receive(0.0, datagram(News([record(f"x{number}", 5)]), f"x{number}", 5), source)
+        one.receive(0.0, datagram(Updates([record(f"x{number}", 5)]), f"x{number}", 5), source)
     assert one.counts["too many members"] == 1
     for _ in range(300):
         one.post(0.0, "x1", 1, bytes(1000))
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -9,22 +9,22 @@
 import msgspec
 import pytest
 
-from lugspur.daemon.gossip.machine import digest_of
+from lugspur.daemon.gossip.machine import record_digest
 from lugspur.daemon.gossip.wire import (
     Ack,
-    Ask,
-    Facts,
-    Help,
+    DatagramCodec,
+    FetchPage,
+    MemberMetadata,
+    MemberRecord,
     Message,
     Nack,
-    News,
     Packet,
     Page,
     Ping,
-    Post,
-    Record,
+    PingRequest,
     Status,
-    Wire,
+    Updates,
+    UserMessage,
 )
 
 FLEET, KEY = "edge", b"0123456789abcdef"
@@ -34,7 +34,7 @@
 ENVELOPE = "94 a6656467652d33 cf000ffffffffffe12 a6656467652d39"
 # The tag over header and body, by keyed BLAKE2b, of the ack below.
 ACK_TAG = "eaf991e08c4f83b049feb85610b6fec3"
-# "edge-1", process 2**52 - 495, incarnation 1700000000123, "10.1.2.3", 7946, status 1, "edge-2", and facts:
+# "edge-1", process 2**52 - 495, incarnation 1700000000123, "10.1.2.3", 7946, status 1, "edge-2", and metadata:
 # "north", "1.4.2", 1700000000.25, true, 812.5.
 EDGE_1 = """
 98 a6656467652d31 cf000ffffffffffe11 cf0000018bcfe5687b a831302e312e322e33 cd1f0a 01 a6656467652d32
@@ -51,24 +51,28 @@
 """
 
 
-def edge_1() -> Record:
-    return Record(
+def edge_1() -> MemberRecord:
+    return MemberRecord(
         name="edge-1",
-        life=(1 << 52) - 495,
+        instance_id=(1 << 52) - 495,
         incarnation=1700000000123,
         host="10.1.2.3",
         port=7946,
         status=Status.SUSPECT,
-        by="edge-2",
-        facts=Facts(zone="north", version="1.4.2", started=1700000000.25, draining=True, rate=812.5),
+        reported_by="edge-2",
+        metadata=MemberMetadata(
+            zone="north", version="1.4.2", started_at=1700000000.25, is_draining=True, requests_per_second=812.5
+        ),
     )
 
 
-def plain(number: int, status: Status, by: str) -> Record:
-    return Record(name=f"m{number}", life=number, incarnation=1, host="127.0.0.1", port=1, status=status, by=by)
+def plain(number: int, status: Status, by: str) -> MemberRecord:
+    return MemberRecord(
+        name=f"m{number}", instance_id=number, incarnation=1, host="127.0.0.1", port=1, status=status, reported_by=by
+    )
 
 
-def one_of_each_status() -> list[Record]:
+def one_of_each_status() -> list[MemberRecord]:
     return [
         plain(1, Status.ALIVE, ""),
         plain(2, Status.SUSPECT, "a"),
@@ -79,24 +83,24 @@
 
 FORMS: dict[str, tuple[Message, str]] = {
     "ping": (
-        Ping(number=(1 << 32) - 1, digest=(1 << 63) - 1, news=[edge_1()]),
+        Ping(sequence_number=(1 << 32) - 1, digest=(1 << 63) - 1, updates=[edge_1()]),
         f"94 01 ceffffffff cf7fffffffffffffff 91 {EDGE_1}",
     ),
-    "ack": (Ack(number=11, digest=12, news=[edge_1()]), f"94 02 0b 0c 91 {EDGE_1}"),
+    "ack": (Ack(sequence_number=11, digest=12, updates=[edge_1()]), f"94 02 0b 0c 91 {EDGE_1}"),
     "indirect ping": (
-        Help(number=13, name="edge-4", host="::1", port=7947),
+        PingRequest(sequence_number=13, target_name="edge-4", target_host="::1", target_port=7947),
         "95 03 0d a6656467652d34 a33a3a31 cd1f0b",
     ),
-    "nack": (Nack(number=14), "92 04 0e"),
-    "updates": (News(news=one_of_each_status()), f"92 05 {ONE_OF_EACH_STATUS}"),
-    "request of a page": (Ask(after="edge-5"), "92 06 a6656467652d35"),
-    "page": (Page(after="edge-6", last=True, records=[edge_1()]), f"94 07 a6656467652d36 c3 91 {EDGE_1}"),
-    "message of another part": (Post(topic=2, body=b"\x00\xffbody"), "93 08 02 c40600ff626f6479"),
+    "nack": (Nack(sequence_number=14), "92 04 0e"),
+    "updates": (Updates(updates=one_of_each_status()), f"92 05 {ONE_OF_EACH_STATUS}"),
+    "request of a page": (FetchPage(after_name="edge-5"), "92 06 a6656467652d35"),
+    "page": (Page(after_name="edge-6", is_last=True, records=[edge_1()]), f"94 07 a6656467652d36 c3 91 {EDGE_1}"),
+    "message of another part": (UserMessage(topic=2, body=b"\x00\xffbody"), "93 08 02 c40600ff626f6479"),
 }
 
 
 def packet(message: Message) -> Packet:
-    return Packet(me="edge-3", life=(1 << 52) - 494, to="edge-9", message=message)
+    return Packet(sender="edge-3", sender_instance_id=(1 << 52) - 494, recipient="edge-9", message=message)
 
 
 def literal(form: str) -> bytes:
@@ -105,14 +109,14 @@
 
 @pytest.mark.parametrize("form", FORMS)
 def test_each_datagram_is_read_and_written_byte_for_byte(form: str) -> None:
-    wire = Wire(FLEET)
+    wire = DatagramCodec(FLEET)
     decoded = wire.decode(literal(form))
     assert decoded == packet(FORMS[form][0])
     assert wire.encode(decoded) == literal(form)
 
 
 def test_a_keyed_datagram_has_its_tag_between_header_and_body() -> None:
-    wire = Wire(FLEET, KEY)
+    wire = DatagramCodec(FLEET, KEY)
     datagram = bytes.fromhex(f"{HEADER} {ACK_TAG} {ENVELOPE} {FORMS['ack'][1]}")
     decoded = wire.decode(datagram)
     assert decoded == packet(FORMS["ack"][0])
@@ -136,9 +140,9 @@
 def test_trailing_fields_of_a_record_may_be_left_out() -> None:
     """A record ends early where an older build knows fewer fields: the rest has the defaults."""
     shortest = bytes.fromhex(f"{HEADER} {ENVELOPE} 92 05 91 95 a26d31 01 01 {LOOPBACK} 01")
-    assert Wire(FLEET).decode(shortest) == packet(News(news=[plain(1, Status.ALIVE, "")]))
+    assert DatagramCodec(FLEET).decode(shortest) == packet(Updates(updates=[plain(1, Status.ALIVE, "")]))
 
 
 def test_the_part_that_a_record_has_in_the_digest_of_a_view() -> None:
     """Pings and acks compare digests, so all versions have to count the same one."""
-    assert digest_of(edge_1()) == 6070744205331516250
+    assert record_digest(edge_1()) == 6070744205331516250
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -7,8 +7,18 @@
 import pytest
 
 from lugspur.daemon.gossip.bounds import EACH_BURST
-from lugspur.daemon.gossip.machine import MEMBERS_MOST, Changed, Fleet, Posted, Rival
-from lugspur.daemon.gossip.wire import DATAGRAM_MOST, Facts, News, Packet, Ping, Post, Record, Status, Wire
+from lugspur.daemon.gossip.machine import MAX_MEMBERS, Changed, Fleet, Posted, Rival
+from lugspur.daemon.gossip.wire import (
+    MAX_DATAGRAM_BYTES,
+    DatagramCodec,
+    MemberMetadata,
+    MemberRecord,
+    Packet,
+    Ping,
+    Status,
+    Updates,
+    UserMessage,
+)
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
 
@@ -104,7 +114,7 @@
     fleet.start(3)
     fleet.settle(PERIODS)
     seen = [machine.members["m3"].record for at, machine in fleet.all().items() if at != fleet.address(3)]
-    assert all(record.life != before.life and record.incarnation > before.incarnation for record in seen)
+    assert all(record.instance_id != before.instance_id and record.incarnation > before.incarnation for record in seen)
 
 
 def test_one_whose_wall_clock_went_back_an_hour_comes_back_all_the_same() -> None:
@@ -120,7 +130,7 @@
     fleet = Members(4, 11)
     fleet.settle()
     former = fleet.all()[fleet.address(3)]
-    old = former.wire.encode(Packet("m3", former.me.life, "m1", News([former.me])))
+    old = former.wire.encode(Packet("m3", former.me.instance_id, "m1", Updates([former.me])))
     fleet.network.kill(fleet.address(3))
     fleet.start(3)
     fleet.settle(PERIODS)
@@ -128,7 +138,7 @@
     for _ in range(10):
         fleet.all()[fleet.address(1)].receive(fleet.network.now, old, fleet.address(3))
     assert fleet.all()[fleet.address(1)].members["m3"].record == now
-    posted = former.wire.encode(Packet("m3", former.me.life, "m1", Post(1, b"old")))
+    posted = former.wire.encode(Packet("m3", former.me.instance_id, "m1", UserMessage(1, b"old")))
     fleet.all()[fleet.address(1)].receive(fleet.network.now, posted, fleet.address(3))
     assert not any(isinstance(event, Posted) for event in fleet.all()[fleet.address(1)].events())
 
@@ -167,11 +177,13 @@
 def test_facts_reach_all() -> None:
     fleet = Members(20, 14)
     fleet.settle()
-    fleet.all()[fleet.address(2)].tell(fleet.network.now, Facts("z", "1", 0.0, draining=True))
+    fleet.all()[fleet.address(2)].tell(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
     fleet.network.turn(fleet.address(2))
     fleet.network.until(
         lambda: all(
-            machine.members["m2"].record.facts.draining for at, machine in fleet.all().items() if at != fleet.address(2)
+            machine.members["m2"].record.metadata.is_draining
+            for at, machine in fleet.all().items()
+            if at != fleet.address(2)
         ),
         PERIODS,
     )
@@ -191,17 +203,17 @@
 
 def test_a_fleet_holds_so_many_members_and_not_one_more() -> None:
     machine = Members(1, 16).all()[Members.address(0)]
-    for number in range(MEMBERS_MOST + 100):
-        record = Record(f"x{number}", number, 1, "10.1.0.1", 1 + number)
+    for number in range(MAX_MEMBERS + 100):
+        record = MemberRecord(f"x{number}", number, 1, "10.1.0.1", 1 + number)
         data = machine.wire.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
         machine.receive(number * 0.1, data, ("10.1.0.1", 1 + number))
         machine.take()
-    assert len(machine.members) == MEMBERS_MOST - 1 and machine.count == MEMBERS_MOST
+    assert len(machine.members) == MAX_MEMBERS - 1 and machine.count == MAX_MEMBERS
     assert machine.counts["too many members"] == 101
     gone = machine.members["x5"].record
-    dead = Record(gone.name, gone.life, gone.incarnation, gone.host, gone.port, Status.LEFT, gone.name)
-    machine.receive(200.0, machine.wire.encode(Packet("x5", gone.life, "m0", News([dead]))), gone.address)
-    late = Record("late", 1, 1, "10.1.0.2", 5)
+    dead = MemberRecord(gone.name, gone.instance_id, gone.incarnation, gone.host, gone.port, Status.LEFT, gone.name)
+    machine.receive(200.0, machine.wire.encode(Packet("x5", gone.instance_id, "m0", Updates([dead]))), gone.address)
+    late = MemberRecord("late", 1, 1, "10.1.0.2", 5)
     machine.receive(200.1, machine.wire.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
     assert "late" in machine.members and "x5" not in machine.members  # whoever is gone makes room
 
@@ -216,9 +228,11 @@
         for at in range(6):
             record = liar.members[f"m{at}"].record
             for state in (Status.SUSPECT, Status.DEAD):
-                word = Record(record.name, record.life, record.incarnation, record.host, record.port, state, "m7")
+                word = MemberRecord(
+                    record.name, record.instance_id, record.incarnation, record.host, record.port, state, "m7"
+                )
                 for to in range(7):
-                    data = liar.wire.encode(Packet("m7", liar.me.life, f"m{to}", News([word])))
+                    data = liar.wire.encode(Packet("m7", liar.me.instance_id, f"m{to}", Updates([word])))
                     fleet.all()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
                     fleet.network.turn(fleet.address(to))
 
@@ -228,7 +242,7 @@
     deaths = {
         (change.record.name, who)
         for when, who, change in fleet.changes
-        if when >= began and change.record.status is Status.DEAD and change.record.by != "m7"
+        if when >= began and change.record.status is Status.DEAD and change.record.reported_by != "m7"
     }
     assert not deaths
     fleet.settle(PERIODS)
@@ -241,7 +255,7 @@
     rng = Random(1)
     for _ in range(100):
         for _ in range(100):
-            victim.receive(fleet.network.now, rng.randbytes(rng.randrange(DATAGRAM_MOST)), ("10.9.9.9", 9))
+            victim.receive(fleet.network.now, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), ("10.9.9.9", 9))
         fleet.network.run(0.1)
     assert victim.counts["too many"] > 10_000 - EACH_BURST - 1100
     assert fleet.doubts(began) == 0 and fleet.agree()
@@ -249,8 +263,8 @@
 
 def test_incarnations_from_the_future_are_not_believed() -> None:
     machine = Members(1, 19).all()[Members.address(0)]
-    record = Record("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
-    machine.receive(1.0, machine.wire.encode(Packet("x", 1, "m0", News([record]))), record.address)
+    record = MemberRecord("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
+    machine.receive(1.0, machine.wire.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
     assert not machine.members and machine.counts["from the future"] == 1
 
 
@@ -284,7 +298,7 @@
 def test_other_keys_hear_nothing_of_each_other() -> None:
     fleet = Members(2, 22)
     keyed = fleet.start(3)
-    keyed.wire = Wire("emulated", b"k" * 16)
+    keyed.wire = DatagramCodec("emulated", b"k" * 16)
     fleet.network.run(10.0)
     assert keyed.count == 1 and keyed.counts["garbage"] + keyed.counts["another key"] == 0
     assert all(machine.count == 2 for at, machine in fleet.all().items() if at != fleet.address(3))
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -8,69 +8,77 @@
 from hypothesis import strategies as st
 
 from lugspur.daemon.gossip.wire import (
-    DATAGRAM_MOST,
-    HEAD,
+    HEADER_BYTES,
     MAGIC,
-    NAME_MOST,
+    MAX_DATAGRAM_BYTES,
+    MAX_NAME_CHARACTERS,
     Ack,
-    Facts,
-    Foreign,
+    DatagramCodec,
+    DatagramRejectedError,
+    MemberMetadata,
+    MemberRecord,
     Message,
-    News,
     Packet,
     Page,
     Ping,
-    Post,
-    Record,
     Status,
-    Wire,
+    Updates,
+    UserMessage,
 )
 
-RECORD = Record("edge-1", 7, 1000, "127.0.0.1", 7946, Status.SUSPECT, "edge-2", Facts("north", "1", 2.5, True, 3.5))
-MESSAGES: list[Message] = [Ping(1, 2, [RECORD]), Ack(1, 2, []), News([RECORD]), Page("", True, [RECORD]), Post(1, b"x")]
+RECORD = MemberRecord(
+    "edge-1", 7, 1000, "127.0.0.1", 7946, Status.SUSPECT, "edge-2", MemberMetadata("north", "1", 2.5, True, 3.5)
+)
+MESSAGES: list[Message] = [
+    Ping(1, 2, [RECORD]),
+    Ack(1, 2, []),
+    Updates([RECORD]),
+    Page("", True, [RECORD]),
+    UserMessage(1, b"x"),
+]
 
 
 @pytest.mark.parametrize("message", MESSAGES)
 @pytest.mark.parametrize("key", [b"", b"0123456789abcdef"])
 def test_what_goes_out_comes_in(message: Message, key: bytes) -> None:
     packet = Packet("edge-3", 9, "edge-1", message)
-    data = Wire("edge", key).encode(packet)
-    assert len(data) <= DATAGRAM_MOST
-    assert Wire("edge", key).decode(data) == packet
+    data = DatagramCodec("edge", key).encode(packet)
+    assert len(data) <= MAX_DATAGRAM_BYTES
+    assert DatagramCodec("edge", key).decode(data) == packet
 
 
 def test_foreign_ones_are_told_apart() -> None:
-    data = Wire("edge", b"k" * 16).encode(Packet("a", 1, "", MESSAGES[0]))
+    data = DatagramCodec("edge", b"k" * 16).encode(Packet("a", 1, "", MESSAGES[0]))
     cases = {
-        "another fleet": (Wire("core", b"k" * 16), data),
-        "another key": (Wire("edge", b"l" * 16), data),
-        "another version": (Wire("edge", b"k" * 16), MAGIC + b"\x02" + data[3:]),
-        "too large": (Wire("edge", b"k" * 16), data + bytes(DATAGRAM_MOST)),
-        "garbage": (Wire("edge", b"k" * 16), b"XX" + data[2:]),
+        "another fleet": (DatagramCodec("core", b"k" * 16), data),
+        "another key": (DatagramCodec("edge", b"l" * 16), data),
+        "another version": (DatagramCodec("edge", b"k" * 16), MAGIC + b"\x02" + data[3:]),
+        "too large": (DatagramCodec("edge", b"k" * 16), data + bytes(MAX_DATAGRAM_BYTES)),
+        "garbage": (DatagramCodec("edge", b"k" * 16), b"XX" + data[2:]),
     }
     for said, (wire, what) in cases.items():
-        with pytest.raises(Foreign, match=said):
+        with pytest.raises(DatagramRejectedError, match=said):
             wire.decode(what)
 
 
 def test_every_flipped_bit_of_a_keyed_datagram_is_noticed() -> None:
-    wire = Wire("edge", b"k" * 32)
+    wire = DatagramCodec("edge", b"k" * 32)
     data = wire.encode(Packet("a", 1, "", MESSAGES[0]))
     for bit in range(8 * len(data)):
         spoilt = bytearray(data)
         spoilt[bit // 8] ^= 1 << bit % 8
-        with pytest.raises(Foreign):
+        with pytest.raises(DatagramRejectedError):
             wire.decode(bytes(spoilt))
 
 
-@given(st.binary(max_size=2 * DATAGRAM_MOST))
+@given(st.binary(max_size=2 * MAX_DATAGRAM_BYTES))
 def test_random_bytes_are_garbage_and_nothing_else(body: bytes) -> None:
-    wire = Wire("edge")
-    head = wire.encode(Packet("a", 1, "", MESSAGES[0]))[:HEAD]
+    wire = DatagramCodec("edge")
+    head = wire.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
     for data in (body, head + body):
         try:
             found = wire.decode(data)
-        except Foreign:
+        except DatagramRejectedError:
             continue
         assert wire.encode(found)  # by chance it was one
 
@@ -78,13 +86,13 @@
 def _raw(**changed: object) -> bytes:
     fields = {
         "name": "a",
-        "life": 1,
+        "instance_id": 1,
         "incarnation": 1,
         "host": "127.0.0.1",
         "port": 1,
         "status": 0,
         "by": "",
-        "facts": ["", "", 0.0, False, 0.0],
+        "metadata": ["", "", 0.0, False, 0.0],
     } | changed
     return msgspec.msgpack.encode(["me", 1, "", [5, [list(fields.values())]]])
 
@@ -93,11 +101,11 @@
     "changed",
     [
         {"name": ""},
-        {"name": "a" * (NAME_MOST + 1)},
+        {"name": "a" * (MAX_NAME_CHARACTERS + 1)},
         {"name": "a b"},
         {"name": "a\n"},
-        {"life": -1},
-        {"life": 1 << 60},
+        {"instance_id": -1},
+        {"instance_id": 1 << 60},
         {"incarnation": 1 << 53},
         {"incarnation": 1.5},
         {"host": "example.org"},
@@ -105,19 +113,19 @@
         {"port": 1 << 16},
         {"status": 4},
         {"status": -1},
-        {"facts": ["", "", float("nan"), False, 0.0]},
-        {"facts": ["", "", 0.0, False, float("inf")]},
-        {"facts": ["", "", 0.0, False, float("nan")]},
-        {"facts": ["", "", 0.0, False, -1.0]},
-        {"facts": ["z" * 33, "", 0.0, False, 0.0]},
-        {"facts": []},
-        {"facts": None},
+        {"metadata": ["", "", float("nan"), False, 0.0]},
+        {"metadata": ["", "", 0.0, False, float("inf")]},
+        {"metadata": ["", "", 0.0, False, float("nan")]},
+        {"metadata": ["", "", 0.0, False, -1.0]},
+        {"metadata": ["z" * 33, "", 0.0, False, 0.0]},
+        {"metadata": []},
+        {"metadata": None},
     ],
 )
 def test_absurd_values_are_garbage(changed: dict[str, object]) -> None:
-    wire = Wire("edge")
-    head = wire.encode(Packet("a", 1, "", MESSAGES[0]))[:HEAD]
-    if changed != {"facts": []}:  # fields that are left out have their defaults
-        with pytest.raises(Foreign):
+    wire = DatagramCodec("edge")
+    head = wire.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
+    if changed != {"metadata": []}:  # fields that are left out have their defaults
+        with pytest.raises(DatagramRejectedError):
             wire.decode(head + _raw(**changed))
-    assert wire.decode(head + _raw()).me == "me"
+    assert wire.decode(head + _raw()).sender == "me"
