--- a/lugspur/daemon/gossip/machine.py
+++ b/lugspur/daemon/gossip/machine.py
@@ -16,10 +16,10 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from lugspur.daemon.gossip.bounds import Bounds
-from lugspur.daemon.gossip.crowd import Crowd
-from lugspur.daemon.gossip.rumours import Rumours
+from lugspur.daemon.gossip.member_sampler import MemberSampler
+from lugspur.daemon.gossip.rate_limits import DatagramRateLimiter
 from lugspur.daemon.gossip.suspicion import Suspicion
+from lugspur.daemon.gossip.update_queue import UpdateQueue
 from lugspur.daemon.gossip.wire import (
     INCARNATION_LIMIT,
     MAX_RECORDS_PER_DATAGRAM,
@@ -159,7 +159,7 @@
         life, incarnation = rng.randrange(1, 1 << 52), max(1, min(int(wall() * 1000), INCARNATION_LIMIT >> 1))
         self.me = MemberRecord(name, life, incarnation, *address, metadata=metadata)
         self.members: dict[str, Member] = {}
-        self._present = Crowd()  # those of them that count as there...
+        self._present = MemberSampler()  # those of them that count as there...
         self._doubted: dict[str, Suspicion] = {}  # ...but are doubted...
         self._gone: dict[str, None] = {}  # ...and those that don't
         self._places: Counter[Address] = Counter()  # of those that are there
@@ -169,8 +169,8 @@
         self.left = False
         self.heard = float("-inf")  # when anybody last said anything
         self._mark = record_digest(self.me)
-        self._rumours = Rumours()
-        self._bounds = Bounds(now)
+        self._update_queue = UpdateQueue()
+        self._rate_limiter = DatagramRateLimiter(now)
         self._out: list[tuple[Address, bytes]] = []
         self._events: list[Event] = []
         self._turns: list[str] = []  # who is asked next
@@ -238,7 +238,7 @@
         """Say goodbye to some members; nothing is answered any more."""
         self._speak(now, status=Status.LEFT)
         self.left = True
-        for name in self._present.draw(self._rng, 2 * SPREAD_TO):
+        for name in self._present.sample(self._rng, 2 * SPREAD_TO):
             self._send(now, self.members[name].record.address, Updates([self.me]), name)
         self._probe = None
 
@@ -252,12 +252,12 @@
         if self._probe is not None:
             times += [self._probe.ends, self._probe.through if not self._probe.helpers else self._probe.ends]
             times += self._probe.repeats[:1]
-        if self._rumours and self.members:
+        if self._update_queue and self.members:
             times.append(self._spread_at)
         if self._reading is not None:
             times.append(self._reading.until)
         times += [helping.until for helping in self._helping.values()]
-        times += [suspicion.ends for suspicion in self._doubted.values()]
+        times += [suspicion.deadline for suspicion in self._doubted.values()]
         # Guards against a lateness that nobody could have kept: what an event has made due was not due before it.
         return max(self._at, min(times))
 
@@ -274,7 +274,7 @@
         self._suspicions(now)
         self._probing(now)
         self._help_on(now)
-        if now >= self._spread_at and self._rumours and self.members:
+        if now >= self._spread_at and self._update_queue and self.members:
             self._spread(now)
         if now >= self._seek_at:
             self._seek(now)
@@ -289,7 +289,7 @@
         self.counts["stood still"] += 1
         self._slower(1)
         for suspicion in self._doubted.values():
-            suspicion.shift(late)
+            suspicion.postpone(late)
         if self._probe is not None:
             self._probe = None
             self._next = now
@@ -301,7 +301,7 @@
 
     def _suspicions(self, now: float) -> None:
         for name, suspicion in tuple(self._doubted.items()):
-            if now >= suspicion.ends:
+            if now >= suspicion.deadline:
                 self._put(now, _with(self.members[name].record, Status.DEAD, self.me.name), "does not answer")
 
     def _forget(self, now: float) -> None:
@@ -354,7 +354,7 @@
             name = self._turns.pop()
             if name in self._present:
                 return name
-        self._turns = self._present.all()
+        self._turns = self._present.names()
         self._rng.shuffle(self._turns)
         return self._turns.pop() if self._turns else None
 
@@ -371,10 +371,10 @@
         ):
             found.append(member.record)  # Guards it against never hearing what it has to refute
         room = self.wire.room - 100 - sum(encoded_size(record) for record in found)
-        return found + self._rumours.take(room, self.count, name)
+        return found + self._update_queue.take_fitting(room, self.count, name)
 
     def _through(self, now: float, probe: _Probe, record: MemberRecord) -> None:
-        drawn = self._present.draw(self._rng, HELPERS + 1 + len(self._doubted))
+        drawn = self._present.sample(self._rng, HELPERS + 1 + len(self._doubted))
         helpers = [name for name in drawn if name != record.name and name not in self._doubted][:HELPERS]
         probe.helpers = max(1, len(helpers))
         for name in helpers:
@@ -392,7 +392,7 @@
         if member.record.status is Status.ALIVE:
             self._put(now, _with(member.record, Status.SUSPECT, self.me.name), "does not answer")
         elif member.record.name in self._doubted and self._doubted[member.record.name].confirm(self.me.name):
-            self._rumours.put(_with(member.record, Status.SUSPECT, self.me.name))
+            self._update_queue.enqueue(_with(member.record, Status.SUSPECT, self.me.name))
 
     def _help_on(self, now: float) -> None:
         for number, helping in tuple(self._helping.items()):
@@ -406,7 +406,7 @@
         if now < self._silent_until:
             return
         data = self.wire.encode(Packet(self.me.name, self.me.instance_id, to, message))
-        if not self._bounds.sends(len(data), now):
+        if not self._rate_limiter.allows_send(len(data), now):
             self.counts["not sent"] += 1
             return
         self.counts["sent"] += 1
@@ -415,13 +415,13 @@
 
     def _spread(self, now: float) -> None:
         self._spread_at = now + SPREAD_EVERY * self.period
-        names = self._present.draw(self._rng, SPREAD_TO)
+        names = self._present.sample(self._rng, SPREAD_TO)
         for name in names:
-            news = self._rumours.take(self.wire.room - 100, self.count, name)
+            news = self._update_queue.take_fitting(self.wire.room - 100, self.count, name)
             if news:
                 self._send(now, self.members[name].record.address, Updates(news), name)
         if not names:
-            self._rumours = Rumours()
+            self._update_queue = UpdateQueue()
 
     def _seek(self, now: float) -> None:
         """Look for one that counts as dead, or for a seed that nobody here has heard of."""
@@ -459,7 +459,7 @@
             metadata or me.metadata,
         )
         self._mark ^= record_digest(self.me)
-        self._rumours.put(self.me)
+        self._update_queue.enqueue(self.me)
         self._changed_at = now
 
     def _of_me(self, now: float, record: MemberRecord) -> None:
@@ -503,7 +503,7 @@
         member.record, member.mark = record, record_digest(record) if record.is_present else 0
         self._mark ^= member.mark
         self._sort(now, record, former)
-        self._rumours.put(record)
+        self._update_queue.enqueue(record)
         self._changed_at = now
         self._events.append(Changed(record, former, cause))
 
@@ -555,7 +555,7 @@
                 and record.status is Status.SUSPECT
                 and (record.name in self._doubted and self._doubted[record.name].confirm(record.reported_by))
             ):
-                self._rumours.put(record)
+                self._update_queue.enqueue(record)
             return
         if record.status is Status.DEAD and known.is_present and known.status is not Status.SUSPECT:
             # Guards a member against one word of another: it is doubted first, and has time to refute.
@@ -573,7 +573,7 @@
         if self.left or now < self._silent_until:
             return
         self._awake(now)
-        if not self._bounds.reads(f"{source[0]}:{source[1]}", now):
+        if not self._rate_limiter.allows_receive(f"{source[0]}:{source[1]}", now):
             self.counts["too many"] += 1
             return
         try:
--- a/lugspur/daemon/gossip/suspicion.py
+++ b/lugspur/daemon/gossip/suspicion.py
@@ -1,42 +1,52 @@
-"""How long a member that does not answer is doubted before it counts as dead. No I/O.
+"""How long a member that does not answer stays suspected before it is declared dead. No I/O.
 
-Lifeguard's rule (Dadgar, Phillips, Currey: Lifeguard, 2018, section IV-B): long at first, since whoever doubts may be
-the slow one, and shorter with each further member that doubts it independently.
+The rule is Lifeguard's (Dadgar, Phillips, Currey: Lifeguard, 2018, section IV-B, "LHA-Suspicion"): the timeout is long
+at first, since the member that suspects may be the slow one, and gets shorter with each further member that suspects
+independently.
 """
 
 from __future__ import annotations
 
 import math
 
-DOUBT = 1.5  # periods, times log10 of the members: the shortest; enough for a refutation to come round
-LONGEST = 2.0  # times that, without anybody's confirmation: all views are to agree within ten periods
-CONFIRMED = 3  # further doubters after which it is the shortest
+MIN_TIMEOUT_FACTOR = 1.5  # times the period and log10 of the members: long enough for a refutation to come back
+MAX_TIMEOUT_MULTIPLIER = 2.0  # times the shortest timeout while nobody confirms: all views agree within ten periods
+EXPECTED_CONFIRMATIONS = 3  # further members that suspect, after which the timeout is the shortest
 
 
 class Suspicion:
-    """One member is doubted from `began` on; times are in seconds."""
-
-    def __init__(self, began: float, period: float, members: int, by: str) -> None:
-        self.began = began
-        self._by = {by}
-        self._enough = min(CONFIRMED, max(0, members - 2))  # all but the doubted one and the first doubter
-        self._least = period * DOUBT * max(1.0, math.log10(max(1, members)))
-
-    def confirm(self, by: str) -> bool:
-        """Another says so too; whether that is news that makes it shorter."""
-        if by in self._by or len(self._by) > self._enough:
+    """The suspicion of one member.
+
+    Args:
+        started_at: When the member was first suspected, in seconds of the local clock.
+        period_seconds: The protocol period.
+        member_count: Members that are present, this one and the suspected one among them.
+        suspected_by: The member that suspected first.
+    """
+
+    def __init__(self, started_at: float, period_seconds: float, member_count: int, suspected_by: str) -> None:
+        self._started_at = started_at
+        self._suspected_by = {suspected_by}
+        # All members but the suspected one and the first that suspected may confirm.
+        self._expected_confirmations = min(EXPECTED_CONFIRMATIONS, max(0, member_count - 2))
+        self._min_timeout = period_seconds * MIN_TIMEOUT_FACTOR * max(1.0, math.log10(max(1, member_count)))
+
+    def confirm(self, suspected_by: str) -> bool:
+        """Note that a member suspects it too; return whether that shortens the timeout."""
+        if suspected_by in self._suspected_by or len(self._suspected_by) > self._expected_confirmations:
             return False
-        self._by.add(by)
+        self._suspected_by.add(suspected_by)
         return True
 
-    def shift(self, late: float) -> None:
-        """This process stood still for so long: a refutation may lie unread."""
-        self.began += late
+    def postpone(self, seconds: float) -> None:
+        """Extend the timeout by the time in which this process did not run: a refutation may wait unread."""
+        self._started_at += seconds
 
     @property
-    def ends(self) -> float:
-        """When it counts as dead."""
-        if not self._enough:
-            return self.began + self._least
-        part = math.log(len(self._by)) / math.log(self._enough + 1)
-        return self.began + self._least * (LONGEST - (LONGEST - 1.0) * min(1.0, part))
+    def deadline(self) -> float:
+        """When the member is declared dead unless it refutes the suspicion before."""
+        if not self._expected_confirmations:
+            return self._started_at + self._min_timeout
+        confirmed = math.log(len(self._suspected_by)) / math.log(self._expected_confirmations + 1)
+        multiplier = MAX_TIMEOUT_MULTIPLIER - (MAX_TIMEOUT_MULTIPLIER - 1.0) * min(1.0, confirmed)
+        return self._started_at + self._min_timeout * multiplier
--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from lugspur.daemon.gossip.bounds import EACH_BURST
 from lugspur.daemon.gossip.machine import MAX_MEMBERS, Fleet
+from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 from lugspur.daemon.gossip.wire import (
     MAX_DATAGRAM_BYTES,
     DatagramCodec,
@@ -63,7 +63,7 @@
 
 def test_limits_and_a_process_that_was_stopped() -> None:
     one = member(DatagramCodec("edge"))
-    for _ in range(int(EACH_BURST) + 1):
+    for _ in range(int(MAX_SOURCE_BURST_DATAGRAMS) + 1):
         one.receive(0.0, datagram(Updates([])), PEER)
     assert one.counts["too many"] == 1
     for number in range(MAX_MEMBERS):
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lugspur.daemon.gossip.bounds import EACH_BURST
 from lugspur.daemon.gossip.machine import MAX_MEMBERS, Changed, Fleet, Posted, Rival
+from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 from lugspur.daemon.gossip.wire import (
     MAX_DATAGRAM_BYTES,
     DatagramCodec,
@@ -257,7 +257,7 @@
         for _ in range(100):
             victim.receive(fleet.network.now, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), ("10.9.9.9", 9))
         fleet.network.run(0.1)
-    assert victim.counts["too many"] > 10_000 - EACH_BURST - 1100
+    assert victim.counts["too many"] > 10_000 - MAX_SOURCE_BURST_DATAGRAMS - 1100
     assert fleet.doubts(began) == 0 and fleet.agree()
 
 
