--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -16,17 +16,10 @@
 from lugspur.config import model
 from lugspur.config.load import resolved
 from lugspur.daemon.gossip import clock
+from lugspur.daemon.gossip.datagrams import MAX_KEY_BYTES, MIN_KEY_BYTES, DatagramCodec
 from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
+from lugspur.daemon.gossip.messages import MAX_VERSION_CHARACTERS, MAX_ZONE_CHARACTERS, MemberMetadata, Status
 from lugspur.daemon.gossip.transport import Transport, bound
-from lugspur.daemon.gossip.wire import (
-    MAX_KEY_BYTES,
-    MAX_VERSION_CHARACTERS,
-    MAX_ZONE_CHARACTERS,
-    MIN_KEY_BYTES,
-    DatagramCodec,
-    MemberMetadata,
-    Status,
-)
 from lugspur.daemon.leases.claim import Claim, Turned, Won, order
 from lugspur.daemon.leases.elector import Elector, Who
 from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
--- a/lugspur/daemon/gossip/machine.py
+++ b/lugspur/daemon/gossip/machine.py
@@ -16,16 +16,12 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
+from lugspur.daemon.gossip.datagrams import DatagramCodec, DatagramRejectedError
 from lugspur.daemon.gossip.member_sampler import MemberSampler
-from lugspur.daemon.gossip.rate_limits import DatagramRateLimiter
-from lugspur.daemon.gossip.suspicion import Suspicion
-from lugspur.daemon.gossip.update_queue import UpdateQueue
-from lugspur.daemon.gossip.wire import (
+from lugspur.daemon.gossip.messages import (
     INCARNATION_LIMIT,
     MAX_RECORDS_PER_DATAGRAM,
     Ack,
-    DatagramCodec,
-    DatagramRejectedError,
     FetchPage,
     MemberMetadata,
     MemberRecord,
@@ -39,7 +35,11 @@
     Updates,
     UserMessage,
     encoded_size,
+    updates_in,
 )
+from lugspur.daemon.gossip.rate_limits import DatagramRateLimiter
+from lugspur.daemon.gossip.suspicion import Suspicion
+from lugspur.daemon.gossip.update_queue import UpdateQueue
 
 Address = tuple[str, int]
 MAX_MEMBERS = 1024  # records, of the dead too: some 0.5 MB
@@ -370,7 +370,7 @@
             member.record.status is not Status.ALIVE or instance_id not in (None, member.record.instance_id)
         ):
             found.append(member.record)  # Guards it against never hearing what it has to refute
-        room = self.wire.room - 100 - sum(encoded_size(record) for record in found)
+        room = self.wire.max_packet_bytes - 100 - sum(encoded_size(record) for record in found)
         return found + self._update_queue.take_fitting(room, self.count, name)
 
     def _through(self, now: float, probe: _Probe, record: MemberRecord) -> None:
@@ -417,7 +417,7 @@
         self._spread_at = now + SPREAD_EVERY * self.period
         names = self._present.sample(self._rng, SPREAD_TO)
         for name in names:
-            news = self._update_queue.take_fitting(self.wire.room - 100, self.count, name)
+            news = self._update_queue.take_fitting(self.wire.max_packet_bytes - 100, self.count, name)
             if news:
                 self._send(now, self.members[name].record.address, Updates(news), name)
         if not names:
@@ -579,14 +579,14 @@
         try:
             packet = self.wire.decode(data)
         except DatagramRejectedError as fault:
-            self.counts[str(fault)] += 1
+            self.counts[fault.reason] += 1
             return
         if packet.recipient not in ("", self.me.name):
             self.counts["for another"] += 1
             return
         if packet.sender == self.me.name:
             if packet.sender_instance_id != self.me.instance_id:
-                for record in getattr(packet.message, "updates", ()):
+                for record in updates_in(packet.message):
                     if record.name == self.me.name:
                         self._of_me(now, record)
                         self._send(now, source, Ack(0, self._mark, [self.me]), "")
@@ -669,7 +669,7 @@
         names = sorted(other for other in self.members if other > after)
         if self.me.name > after:
             names = sorted([*names, self.me.name])
-        room, records = self.wire.room - 160, list[MemberRecord]()
+        room, records = self.wire.max_packet_bytes - 160, list[MemberRecord]()
         for other in names:
             record = self.me if other == self.me.name else self.members[other].record
             room -= encoded_size(record)
@@ -702,7 +702,7 @@
     """Whether a datagram has its sender's own record: it may be another process of that name."""
     return any(
         record.name == packet.sender and record.instance_id == packet.sender_instance_id
-        for record in getattr(packet.message, "updates", ())
+        for record in updates_in(packet.message)
     )
 
 
--- /dev/null
+++ b/lugspur/daemon/gossip/messages.py
@@ -0,0 +1,164 @@
+"""The messages of the gossip protocol, as msgpack arrays with bounds that are checked while they are decoded.
+
+The kinds are those of SWIM (Das, Gupta, Motivala, 2002), with Lifeguard's nack (2018) and three of our own: a page of
+the sender's view, the request of one, and a message for another part of the program. The order of fields is the wire
+format: fields may be renamed and appended with a default, never moved.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import Annotated
+
+import msgspec
+from msgspec import Meta, Struct
+
+MAX_DATAGRAM_BYTES = 1200  # what every path carries without fragments (as in QUIC, RFC 9000, section 14)
+MAX_NAME_CHARACTERS = 48
+MAX_ZONE_CHARACTERS = 32
+MAX_VERSION_CHARACTERS = 24
+MAX_HOST_CHARACTERS = 45  # a numeric address, IPv6 at the longest
+MAX_RECORDS_PER_DATAGRAM = 24  # more of the shortest records don't fit
+INCARNATION_LIMIT = 1 << 52  # exclusive
+MAX_REQUESTS_PER_SECOND = 1e9
+MAX_EPOCH_SECONDS = 1e11
+
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS, pattern=r"\A[!-~]+\Z")]
+OptionalName = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
+SequenceNumber = Annotated[int, Meta(ge=0, lt=1 << 32)]
+InstanceId = Annotated[int, Meta(ge=0, lt=1 << 52)]
+Incarnation = Annotated[int, Meta(ge=0, lt=INCARNATION_LIMIT)]
+Host = Annotated[str, Meta(min_length=2, max_length=MAX_HOST_CHARACTERS, pattern=r"\A[0-9a-fA-F:.]+\Z")]
+Port = Annotated[int, Meta(ge=1, lt=1 << 16)]
+Digest = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
+
+
+class Status(IntEnum):
+    """The state of a member. Of two updates with the same incarnation the one with the greater status counts."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3  # announced by the member itself
+
+
+class MemberMetadata(Struct, frozen=True, array_like=True):
+    """What a member announces of itself.
+
+    A change is disseminated like a change of the member's state, so changes have to be rare.
+    """
+
+    zone: Annotated[str, Meta(max_length=MAX_ZONE_CHARACTERS)] = ""
+    version: Annotated[str, Meta(max_length=MAX_VERSION_CHARACTERS)] = ""
+    started_at: Annotated[float, Meta(ge=0.0, le=MAX_EPOCH_SECONDS)] = 0.0  # seconds since 1970, by its own clock
+    is_draining: bool = False
+    requests_per_second: Annotated[float, Meta(ge=0.0, le=MAX_REQUESTS_PER_SECOND)] = 0.0
+
+
+class MemberRecord(Struct, frozen=True, array_like=True):
+    """The state of one member as another member, or it itself, reports it."""
+
+    name: Name
+    instance_id: InstanceId  # drawn at each start; tells apart two processes under one name
+    incarnation: Incarnation  # only the member itself raises it, to refute a suspicion or to announce a change
+    host: Host
+    port: Port
+    status: Status = Status.ALIVE
+    reported_by: OptionalName = ""  # the member that suspected it or declared it dead
+    metadata: MemberMetadata = MemberMetadata()
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """Host and port at which it receives datagrams."""
+        return self.host, self.port
+
+    @property
+    def is_present(self) -> bool:
+        """Whether it counts as a member of the fleet: alive or suspected."""
+        return self.status <= Status.SUSPECT
+
+
+Records = Annotated[list[MemberRecord], Meta(max_length=MAX_RECORDS_PER_DATAGRAM)]
+
+
+class Ping(Struct, frozen=True, array_like=True, tag=1):
+    """Asks a member for an ack."""
+
+    sequence_number: SequenceNumber
+    digest: Digest  # of the sender's view
+    updates: Records
+
+
+class Ack(Struct, frozen=True, array_like=True, tag=2):
+    """Answers a ping, or an indirect ping whose target has answered."""
+
+    sequence_number: SequenceNumber
+    digest: Digest  # of the sender's view
+    updates: Records
+
+
+class PingRequest(Struct, frozen=True, array_like=True, tag=3):
+    """Asks a member to ping another one that does not answer the sender (SWIM's ping-req)."""
+
+    sequence_number: SequenceNumber
+    target_name: Name
+    target_host: Host
+    target_port: Port
+
+
+class Nack(Struct, frozen=True, array_like=True, tag=4):
+    """Answers a ping request whose target does not answer: the sender of this one is reachable, at least."""
+
+    sequence_number: SequenceNumber
+
+
+class Updates(Struct, frozen=True, array_like=True, tag=5):
+    """Disseminates changes of members without a ping or ack that could carry them."""
+
+    updates: Records
+
+
+class FetchPage(Struct, frozen=True, array_like=True, tag=6):
+    """Asks for the receiver's view, from the first member on whose name comes after this one."""
+
+    after_name: OptionalName
+
+
+class Page(Struct, frozen=True, array_like=True, tag=7):
+    """A part of the sender's view, in the order of names."""
+
+    after_name: OptionalName
+    is_last: bool
+    records: Records
+
+
+class UserMessage(Struct, frozen=True, array_like=True, tag=8):
+    """Carries a message of another part of the program; the topic says which part's."""
+
+    topic: Annotated[int, Meta(ge=0, lt=256)]
+    body: Annotated[bytes, Meta(max_length=MAX_DATAGRAM_BYTES)]
+
+
+Message = Ping | Ack | PingRequest | Nack | Updates | FetchPage | Page | UserMessage
+
+
+class Packet(Struct, frozen=True, array_like=True):
+    """The content of a datagram."""
+
+    sender: Name
+    sender_instance_id: InstanceId
+    recipient: OptionalName  # empty: whoever receives at that address
+    message: Message
+
+
+_encoder = msgspec.msgpack.Encoder()
+
+
+def updates_in(message: Message) -> list[MemberRecord]:
+    """Return the updates that a message carries beside its own purpose."""
+    return message.updates if isinstance(message, Ping | Ack | Updates) else []
+
+
+def encoded_size(value: object) -> int:
+    """Return the bytes that a part of a message takes in a datagram."""
+    return len(_encoder.encode(value))
--- a/lugspur/daemon/gossip/rate_limits.py
+++ b/lugspur/daemon/gossip/rate_limits.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-from lugspur.daemon.gossip.wire import MAX_DATAGRAM_BYTES
+from lugspur.daemon.gossip.messages import MAX_DATAGRAM_BYTES
 
 # From one address. A member sends some 20 a second when everything goes wrong at once.
 MAX_SOURCE_DATAGRAMS_PER_SECOND, MAX_SOURCE_BURST_DATAGRAMS = 100.0, 200.0
--- a/lugspur/daemon/gossip/transport.py
+++ b/lugspur/daemon/gossip/transport.py
@@ -8,7 +8,7 @@
 
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.machine import Address, Event, Fleet
-from lugspur.daemon.gossip.wire import MAX_DATAGRAM_BYTES
+from lugspur.daemon.gossip.messages import MAX_DATAGRAM_BYTES
 
 READ_MOST = 64  # datagrams in one turn of the loop: some 10 ms, after which requests have their turn
 
--- a/lugspur/daemon/gossip/update_queue.py
+++ b/lugspur/daemon/gossip/update_queue.py
@@ -9,7 +9,7 @@
 import math
 from dataclasses import dataclass
 
-from lugspur.daemon.gossip.wire import MAX_RECORDS_PER_DATAGRAM, MemberRecord, encoded_size
+from lugspur.daemon.gossip.messages import MAX_RECORDS_PER_DATAGRAM, MemberRecord, encoded_size
 
 RETRANSMIT_FACTOR = 3  # times log10 of the members, rounded up: how often one member passes an update on
 RESERVED_RECORDS = 2  # of a datagram's records: the sender's own one and what it holds of the addressee
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass
 from random import Random
 
+from lugspur.daemon.gossip.datagrams import DatagramCodec
 from lugspur.daemon.gossip.machine import Changed, Fleet
-from lugspur.daemon.gossip.wire import DatagramCodec, MemberMetadata, Status
+from lugspur.daemon.gossip.messages import MemberMetadata, Status
 from lugspur.emulator.datagrams import Address, Network, halves
 
 SIZES = (5, 50, 200)
--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -4,11 +4,10 @@
 
 from random import Random
 
+from lugspur.daemon.gossip.datagrams import DatagramCodec
 from lugspur.daemon.gossip.machine import MAX_MEMBERS, Fleet
-from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
-from lugspur.daemon.gossip.wire import (
+from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
-    DatagramCodec,
     MemberMetadata,
     MemberRecord,
     Message,
@@ -17,6 +16,7 @@
     Status,
     Updates,
 )
+from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 
 PEER = ("10.0.0.2", 7946)
 
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -9,10 +9,10 @@
 import msgspec
 import pytest
 
+from lugspur.daemon.gossip.datagrams import DatagramCodec
 from lugspur.daemon.gossip.machine import record_digest
-from lugspur.daemon.gossip.wire import (
+from lugspur.daemon.gossip.messages import (
     Ack,
-    DatagramCodec,
     FetchPage,
     MemberMetadata,
     MemberRecord,
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_datagrams.py
@@ -7,14 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.daemon.gossip.wire import (
-    HEADER_BYTES,
-    MAGIC,
+from lugspur.daemon.gossip.datagrams import HEADER_BYTES, MAGIC, DatagramCodec, DatagramRejectedError
+from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     MAX_NAME_CHARACTERS,
     Ack,
-    DatagramCodec,
-    DatagramRejectedError,
     MemberMetadata,
     MemberRecord,
     Message,
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -6,11 +6,10 @@
 
 import pytest
 
+from lugspur.daemon.gossip.datagrams import DatagramCodec
 from lugspur.daemon.gossip.machine import MAX_MEMBERS, Changed, Fleet, Posted, Rival
-from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
-from lugspur.daemon.gossip.wire import (
+from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
-    DatagramCodec,
     MemberMetadata,
     MemberRecord,
     Packet,
@@ -19,6 +18,7 @@
     Updates,
     UserMessage,
 )
+from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
 
