--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -19,7 +19,7 @@
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
-from lugspur.load_balancing.model import Discovery, ListKind, Outcome, Repeat, Settings
+from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
 from lugspur.routing.shares import Shares
 from lugspur.seams import Request, Response
 
@@ -27,7 +27,7 @@
     import socket
     from collections.abc import Callable
 
-    from lugspur.daemon.hot_restart.messages import Estate
+    from lugspur.daemon.hot_restart.packets import ProcessState
     from lugspur.observability.failures import FailedRequest
     from lugspur.observability.metrics import Figure
     from lugspur.pipe import Pipe
@@ -42,35 +42,35 @@
 ID = re.compile(rb"[0-9A-Za-z._-]{1,64}")
 ABSOLUTE = re.compile(rb"http://[^/?#]*", re.IGNORECASE)
 UPLOAD_MOST = 1800.0  # seconds that a body may take: 40 MiB at the least rate
-METHODS = {Repeat.SAFE: (b"GET", False), Repeat.KEYED: (b"POST", True), Repeat.UNSAFE: (b"POST", False)}
+METHODS = {RetrySafety.SAFE: (b"GET", False), RetrySafety.KEYED: (b"POST", True), RetrySafety.UNSAFE: (b"POST", False)}
 
 
 BACK_LATELY = 5.0  # seconds since operators put a backend back, in which it is owed a call by the process that follows
 ELSEWHERE_MOST = 65_536  # ids of requests that are open at another process of this proxy
 
 
-class Others(Protocol):
+class PeerProcesses(Protocol):
     """Other processes of this proxy, which are told what binds all."""
 
-    def ban(self, server: int, on: bool, at: float) -> None:
+    def broadcast_ban(self, server: int, on: bool, at: float) -> None:
         """An operator told this process."""
 
-    def drain(self, on: bool) -> None:
+    def broadcast_drain(self, on: bool) -> None:
         """An operator told this process."""
 
-    def began(self, name: bytes) -> None:
+    def request_started(self, name: bytes) -> None:
         """A request with this id is open here."""
 
-    def done(self, name: bytes) -> None:
+    def request_finished(self, name: bytes) -> None:
         """Nothing is owed for it any more."""
 
 
 class Proxy:
     """One running proxy: the decision module between callers, backends and discovery."""
 
-    def __init__(self, config: Config, estate: Estate | None = None) -> None:
+    def __init__(self, config: Config, estate: ProcessState | None = None) -> None:
         loop = asyncio.get_running_loop()
-        self.others: Others | None = None  # other processes of this proxy, while there are any
+        self.peers: PeerProcesses | None = None  # other processes of this proxy, while there are any
         self._elsewhere: set[bytes] = set()  # ids of requests that are open there
         self._arrivals: set[asyncio.Task[object]] = set()
         self.taken_up: Callable[[], None] | None = None  # told once clients are taken
@@ -105,7 +105,7 @@
         if estate is not None:
             self.maintenance.restore(estate.bans)
         self.pool.streams = True
-        self.pool.members(ListKind.STALE, self.maintenance.lay(ListKind.STALE, known))
+        self.pool.members(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, known))
         if estate is not None:
             self.pool.balancer.recall(self.pool.now(), estate.learned)
             self._elsewhere.update(estate.open)
@@ -115,7 +115,7 @@
             if estate.drained:
                 self.front.drain(0.0)
         self.pool.start()
-        if config.settings.discovery is Discovery.PUSHED or estate is not None:
+        if config.settings.discovery is DiscoveryMode.PUSHED or estate is not None:
             self._discovery.open()
         if known and estate is None:
             # Guards against a discovery that is down at the start: an old list serves better than none.
@@ -147,8 +147,8 @@
         self.pool.adopt(replace(settings, classes=tuple(classes)))
         self._terms.placed(self.pool.settings)
 
-    def _told(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
-        if endpoints or kind is not ListKind.PATCH:
+    def _told(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
+        if endpoints or kind is not ListUpdateKind.PATCH:
             self.pool.members(kind, self.maintenance.lay(kind, endpoints))
         self._loaded()
 
@@ -165,12 +165,12 @@
 
     # ---- another process of the same proxy -----------------------------------------------------------
 
-    def estate(self) -> Estate:
+    def snapshot_state(self) -> ProcessState:
         """All that another process needs to go on in this one's place."""
         # Imported only here: a proxy without a second address stays lean.
-        from lugspur.daemon.hot_restart.messages import Estate
+        from lugspur.daemon.hot_restart.packets import ProcessState
 
-        return Estate(
+        return ProcessState(
             self._discovery.index,
             list(self.maintenance.told.values()),
             self.maintenance.save(),
@@ -179,45 +179,45 @@
             self.pool.balancer.learned(),
         )
 
-    def inherit(self) -> None:
+    def accept_transferred_list(self) -> None:
         """The list that came from the process before is as good as told."""
         self._loaded()
 
-    def hear_ban(self, server: int, on: bool, at: float) -> None:
+    def apply_peer_ban(self, server: int, on: bool, at: float) -> None:
         """Another process was told so."""
         if on:
             self._patch(self.maintenance.disable(server))
         else:
             self._enable(server, at)
 
-    def hear_drain(self, on: bool) -> None:
+    def apply_peer_drain(self, on: bool) -> None:
         """Another process was told so."""
         if on:
             self.front.drain()
         else:
             self.front.undrain()
 
-    def hear_ids(self, begun: list[bytes], done: list[bytes]) -> None:
+    def apply_peer_requests(self, begun: list[bytes], done: list[bytes]) -> None:
         """Requests that are open at another process, and that are no more."""
         if len(self._elsewhere) + len(begun) <= ELSEWHERE_MOST:
             self._elsewhere.update(begun)
         self._elsewhere.difference_update(done)
 
-    def forget_ids(self) -> None:
+    def forget_peer_requests(self) -> None:
         """The other process has ended, and its requests with it."""
         self._elsewhere.clear()
 
-    def succeeded(self, on: bool) -> None:
+    def set_superseded(self, on: bool) -> None:
         """Another process serves in this one's place, or does no more: cold servers have one budget, sockets one."""
         self.pool.balancer.retire(on)
         self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
 
-    def beside(self, others: Others) -> None:
+    def attach_peers(self, peers: PeerProcesses) -> None:
         """Another process may be there: tell it what binds both, and leave it its part."""
-        self.others = others
+        self.peers = peers
         self._sockets.reset(self._sockets_most // 2, {})
 
-    def alone(self) -> None:
+    def detach_peers(self) -> None:
         """No other process of this proxy is left."""
         self._elsewhere.clear()
         self._sockets.reset(self._sockets_most, {})
@@ -227,7 +227,7 @@
         """Whether connections of another process are about to become callers."""
         return bool(self._arrivals)
 
-    def adopt(self, sock: socket.socket) -> None:
+    def adopt_connection(self, sock: socket.socket) -> None:
         """Go on with a caller's connection that another process had."""
         sock.setblocking(False)
         task = self._loop.create_task(self._loop.connect_accepted_socket(lambda: Caller(self.front, used=True), sock))
@@ -247,8 +247,8 @@
         if not self.maintenance.known(server):
             return False
         self._patch(self.maintenance.disable(server))
-        if self.others is not None:
-            self.others.ban(server, True, self.pool.now())
+        if self.peers is not None:
+            self.peers.broadcast_ban(server, True, self.pool.now())
         return True
 
     def enable(self, name: str) -> bool:
@@ -258,21 +258,21 @@
             return False
         now = self.pool.now()
         self._enable(server, now)
-        if self.others is not None:
-            self.others.ban(server, False, now)
+        if self.peers is not None:
+            self.peers.broadcast_ban(server, False, now)
         return True
 
     def drain(self) -> None:
         """Send clients away; the process stays."""
         self.front.drain()
-        if self.others is not None:
-            self.others.drain(True)
+        if self.peers is not None:
+            self.peers.broadcast_drain(True)
 
     def undrain(self) -> None:
         """Take clients again."""
         self.front.undrain()
-        if self.others is not None:
-            self.others.drain(False)
+        if self.peers is not None:
+            self.peers.broadcast_drain(False)
 
     def figures(self) -> list[Figure]:
         """What this process counts."""
@@ -290,7 +290,7 @@
 
     def _patch(self, endpoints: list[Endpoint]) -> None:
         if endpoints:
-            self.pool.members(ListKind.PATCH, endpoints)
+            self.pool.members(ListUpdateKind.PATCH, endpoints)
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -315,8 +315,8 @@
         if name in self._open or name in self._elsewhere:
             raise Rejected(409, "a request with this id is open")
         self._open.add(name)
-        if self.others is not None:
-            self.others.began(name)
+        if self.peers is not None:
+            self.peers.request_started(name)
         # A request's time counts from its last byte.
         deadline = request.ended + facts.timeout - ANSWER_EARLY
         stream = request.stream
@@ -393,11 +393,11 @@
         """Its id may come again."""
         name = call.request.headers[b"x-request-id"]
         self._open.discard(name)
-        if self.others is not None:
-            self.others.done(name)
+        if self.peers is not None:
+            self.peers.request_finished(name)
 
 
-def fits(request: Request, repeat: Repeat) -> bool:
+def fits(request: Request, repeat: RetrySafety) -> bool:
     """Whether a request comes in the form of the classes that may be repeated so."""
     method, keyed = METHODS[repeat]
     return request.method == method and (not keyed or bool(request.headers.get(b"idempotency-key")))
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -15,14 +15,14 @@
 from lugspur.emulator.control.small_world import PAUSE, SmallWorld
 from lugspur.mesh.control.claims import Claims, Settled, Won
 from lugspur.mesh.control.messages import (
-    Answer,
-    CatchUp,
-    Claim,
-    Done,
+    BackendResponse,
+    CompleteKey,
+    FetchDecided,
     Membership,
     Message,
-    Release,
-    Verdict,
+    ReleaseKey,
+    ReserveKey,
+    ReserveKeyReply,
     Voter,
 )
 from lugspur.mesh.control.orders import Order, Outcome
@@ -68,7 +68,7 @@
         self.membership: Membership = world.first
         self.claims = Claims(self.send)
 
-    def send(self, ip: str, message: Claim | Release | Done) -> None:
+    def send(self, ip: str, message: ReserveKey | ReleaseKey | CompleteKey) -> None:
         self.world.post(Wire(self.name, ip, self.name), message)
 
     def over(self, how: Settled) -> None:
@@ -141,7 +141,7 @@
             node.do(self.now, node.proposer.submit(self.now, order))
         elif what == "learn":
             self.asks -= 1
-            self.nodes[NEW].send(who[0], CatchUp(self.nodes[NEW].replica.index))
+            self.nodes[NEW].send(who[0], FetchDecided(self.nodes[NEW].replica.index))
         elif what == "fetch":
             self.asks -= 1
             self._fetch()
@@ -175,14 +175,14 @@
         else:
             claimant.state = "told"
             for voter in claimant.membership.voters:
-                claimant.send(voter.ip, Done(KEY, claimant.by, Answer(200, b"", claimant.by)))
+                claimant.send(voter.ip, CompleteKey(KEY, claimant.by, BackendResponse(200, b"", claimant.by)))
 
     def arrived(self, wire: Wire, message: Message) -> None:
         """A message has come; verdicts come to claimants."""
         claimant = self.claimants.get(wire.target)
         if claimant is None:
             super().arrived(wire, message)
-        elif isinstance(message, Verdict) and claimant.state in ("asking", "lost", "won", "ran", "told"):
+        elif isinstance(message, ReserveKeyReply) and claimant.state in ("asking", "lost", "won", "ran", "told"):
             claimant.claims.verdict(self.now, wire.source, message)
 
     # ---- all is well again -------------------------------------------------------------------
@@ -218,7 +218,7 @@
         node.do(self.now, node.proposer.look(self.now))
         best = max(self._up(), key=lambda other: other.replica.index)
         if node.replica.index < best.replica.index:
-            node.send(best.ip, CatchUp(node.replica.index))
+            node.send(best.ip, FetchDecided(node.replica.index))
 
     def own_key(self) -> object:
         claimants = tuple(claimant.key() for claimant in self.claimants.values())
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,14 +5,14 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claims import Known, Settled, Taken, Won
+from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind
-from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.endpoints import Endpoint, pick
-from lugspur.mesh.dataplane.gate import End
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.ports import Carried, RequestHost
 from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.routes import RouteEntry
 from lugspur.observability.failures import PickView, Step
 from lugspur.seams import Answerable, Request
@@ -30,6 +30,8 @@
 HEDGE_AIM = 0.6  # ...and not before this part of its aim
 GONE = "gone"  # how a request ends whose caller has left
 BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
+#: How a claim ended, as accounts of failed requests say it.
+CLAIM_LABELS: dict[type[Settled], str] = {Won: "won", Known: "known", Taken: "taken", Unsettled: "unsettled"}
 LATE = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
 
 
@@ -63,7 +65,9 @@
         self.number = 0
         self.claim = ""  # how its claim was settled
         self.steps: list[Step] = []  # what became of each send, for an account of its failure
-        self.last: Answer | None = None  # a failure of the backend's own, to be passed on where nothing better comes
+        self.last: BackendResponse | None = (
+            None  # a failure of the backend's own, to be passed on where nothing better comes
+        )
         self.last_pick: PickView | None = None  # where it found no backend
         self._lines: list[bytes] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -88,7 +92,7 @@
             self._go(now)
 
     def _claimed(self, how: Settled) -> None:
-        self.claim = type(how).__name__.lower()
+        self.claim = CLAIM_LABELS[type(how)]
         self.won = isinstance(how, Won)
         if self.over:
             self._release_unrun()
@@ -132,7 +136,7 @@
         route, request = self.route, self.request
         if self._lines is None:
             self._lines = self._write_lines()
-        forward = Forward(
+        forward = ForwardRequest(
             0,
             endpoint.id,
             request.method,
@@ -191,7 +195,7 @@
 
     # ---- how it ends -----------------------------------------------------------------------
 
-    def _replied(self, number: int, reply: Reply) -> None:
+    def _replied(self, number: int, reply: ForwardResponse) -> None:
         if number not in self.out:
             self._proved_later(reply)
             return
@@ -204,7 +208,7 @@
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
         took, route = max(TICK, now - since), self.route
         how = reply.how
-        if how == End.ANSWERED and reply.answer is not None:
+        if how == RequestOutcome.ANSWERED and reply.answer is not None:
             self.ran = True
             if reply.answer.status < 500:
                 route.pace += (took - route.pace) * (PACE_WEIGHT if route.pace else 1.0)
@@ -224,11 +228,11 @@
                 return
             self._answer(reply.answer)
             return
-        if how == End.NOT_RUN:
+        if how == RequestOutcome.NOT_RUN:
             self.rounds += 1
             if not reply.sent:
                 self.sends -= 1  # no backend was offered it
-            if reply.cause != Cause.CANCELLED:  # what was withdrawn says nothing of its backend
+            if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).failed(now)
                 endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
         else:
@@ -240,17 +244,17 @@
         if not self._again(now):
             self._finish_failed()
 
-    def _proved_later(self, reply: Reply) -> None:
+    def _proved_later(self, reply: ForwardResponse) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if reply.how == End.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
+        if reply.how == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
-    def _note(self, endpoint: Endpoint, since: float, reply: Reply) -> None:
+    def _note(self, endpoint: Endpoint, since: float, reply: ForwardResponse) -> None:
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
-        cause = Cause(reply.cause).name.lower() if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, End(reply.how).name.lower(), cause))
+        cause = FailureCause(reply.cause).label if reply.cause else ""
+        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.how).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
@@ -296,7 +300,7 @@
             self.won = False
             self.proxy.keys.release(self.key, self.claim_id)
 
-    def _answer(self, answer: Answer) -> None:
+    def _answer(self, answer: BackendResponse) -> None:
         self._finish()
         if answer.status < 500:
             self.proxy.served(self.proxy.loop.time() - self.request.arrived)
