--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -17,9 +17,9 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.datagrams import MAX_KEY_BYTES, MIN_KEY_BYTES, DatagramCodec
-from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
 from lugspur.daemon.gossip.messages import MAX_VERSION_CHARACTERS, MAX_ZONE_CHARACTERS, MemberMetadata, Status
-from lugspur.daemon.gossip.transport import Transport, bound
+from lugspur.daemon.gossip.protocol import Event, GossipProtocol, MemberChanged, MessageReceived, NameConflict
+from lugspur.daemon.gossip.transport import Transport, bind_socket
 from lugspur.daemon.leases.claim import Claim, Turned, Won, order
 from lugspur.daemon.leases.elector import Elector, Who
 from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
@@ -64,9 +64,9 @@
         self.transport: Transport
 
     @property
-    def fleet(self) -> Fleet:
+    def fleet(self) -> GossipProtocol:
         """What it knows of the others."""
-        return self.transport.fleet
+        return self.transport.protocol
 
     def open(self) -> None:
         """Begin; raises OSError where the address, the key or the elector's folder can't be had."""
@@ -76,13 +76,13 @@
         if row.member in row.electors:
             self._open_elector()
         try:
-            sock = bound(row.bind)
+            sock = bind_socket(row.bind)
         except OSError as fault:
             self._close_memory()
             host, port = row.bind
             raise OSError(f"fleet can't have {host}:{port}: {fault.strerror or fault}") from fault
         host, port = row.advertise or sock.getsockname()[:2]
-        fleet = Fleet(
+        fleet = GossipProtocol(
             wire, row.member, (host, port), self._facts, list(row.seeds), clock.now(), time.time, self._rng, row.period
         )
         self.transport = Transport(sock, fleet, self._heard, self._woken, self._dues)
@@ -95,7 +95,7 @@
         for duty in row.duties:
             self.want(duty)
         self.say(f"member {row.member} of {row.name} at {host}:{port}")
-        self.transport.turn()
+        self.transport.flush()
 
     def _key(self) -> bytes:
         if not self._row.key:
@@ -157,7 +157,7 @@
         self.claims[duty].hand_on(clock.now())
         self._woken(clock.now())
         del self.claims[duty]
-        self.transport.turn()
+        self.transport.flush()
 
     @property
     def name(self) -> str:
@@ -166,7 +166,7 @@
 
     def others(self) -> list[str]:
         """All others that count as there."""
-        return [name for name in self.fleet.there() if name != self._row.member]
+        return [name for name in self.fleet.present_members() if name != self._row.member]
 
     def first(self, duty: str, count: int) -> list[str]:
         """The first members in the order of a duty."""
@@ -174,7 +174,7 @@
 
     def post(self, name: str, topic: int, body: bytes) -> None:
         """Send something to a member, when the transport has its next turn."""
-        self.fleet.post(clock.now(), name, topic, body)
+        self.fleet.send_message(clock.now(), name, topic, body)
 
     def may(self, duty: str, needs: float = 0.0) -> int | None:
         """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
@@ -185,14 +185,14 @@
         return self._ordered(duty).index(self._row.member)
 
     def _ordered(self, duty: str) -> list[str]:
-        ready = [name for name, record in self.fleet.there().items() if not record.metadata.is_draining]
+        ready = [name for name, record in self.fleet.present_members().items() if not record.metadata.is_draining]
         return order(duty, list({*ready, self._row.member}))
 
     def hand_on(self) -> None:
         """This daemon goes: its duties go to those who are next, at once."""
         self._drained = True
         facts = self._facts
-        self.fleet.tell(
+        self.fleet.update_metadata(
             clock.now(), MemberMetadata(facts.zone, facts.version, facts.started_at, True, facts.requests_per_second)
         )
         for duty, claim in self.claims.items():
@@ -209,16 +209,16 @@
 
     def _say_again(self) -> None:
         self._send(self._handed)
-        self.transport.turn()
+        self.transport.flush()
 
     def take_up(self) -> None:
         """This daemon stays after all: it wants its duties again."""
         self._handed.clear()
         self._drained = False
-        self.fleet.tell(clock.now(), self._facts)
+        self.fleet.update_metadata(clock.now(), self._facts)
         for claim in self.claims.values():
             claim.want(clock.now())
-        self.transport.turn()
+        self.transport.flush()
 
     def leave(self) -> None:
         """Say goodbye, and let go of everything."""
@@ -233,20 +233,20 @@
     # ---- what happens --------------------------------------------------------------------------------
 
     def _heard(self, event: Event) -> None:
-        if isinstance(event, Posted):
+        if isinstance(event, MessageReceived):
             if event.topic == LEASES:
                 self._body(event)
             elif event.topic == PROBING and self.probers is not None:
                 self.probers.heard(event.body)
-        elif isinstance(event, Changed):
+        elif isinstance(event, MemberChanged):
             self._changed(event)
-        elif isinstance(event, Rival):
+        elif isinstance(event, NameConflict):
             host, port = event.address
-            done = "this one is the younger and is silent for a while" if event.yields else "it is the younger"
+            done = "this one is the younger and is silent for a while" if event.is_yielding else "it is the younger"
             self.say(f"another process at {host}:{port} uses the name {self._row.member}: {done}")
 
-    def _changed(self, event: Changed) -> None:
-        record, former = event.record, event.former
+    def _changed(self, event: MemberChanged) -> None:
+        record, former = event.record, event.previous
         if (
             former is None
             or former.status is not record.status
@@ -258,10 +258,10 @@
             for claim in self.claims.values():
                 claim.others_changed(clock.now())
 
-    def _body(self, event: Posted) -> None:
+    def _body(self, event: MessageReceived) -> None:
         with suppress(MalformedMessageError):
             for message in decode_messages(event.body):
-                self._lease(Who(event.name, event.instance_id), message)
+                self._lease(Who(event.sender, event.instance_id), message)
 
     def _lease(self, who: Who, message: Message) -> None:
         now = clock.now()
@@ -289,7 +289,7 @@
                 said += self.elector.take()
             if not said:
                 break
-            me = Who(self._row.member, self.fleet.me.instance_id)
+            me = Who(self._row.member, self.fleet.local_record.instance_id)
             for name, message in said:
                 if name == me.name:
                     self._lease(me, message)
@@ -309,7 +309,7 @@
             bodies[name].append(message)
         for name, words in bodies.items():
             for at in range(0, len(words), BODY_MESSAGES):
-                self.fleet.post(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
+                self.fleet.send_message(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
 
     def _turned(self, turned: Turned | Won) -> None:
         if self._history is not None and (isinstance(turned, Won) or not turned.holds):
@@ -317,7 +317,7 @@
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
-                "life": self.fleet.me.instance_id,
+                "life": self.fleet.local_record.instance_id,
                 "duty": turned.duty,
                 "epoch": turned.epoch,
                 "left": left,
@@ -345,7 +345,7 @@
             else:
                 self.say(f"promises can't be written, so none are given: {fault.strerror or fault}")
                 elector.unwritable(duties)
-            self.transport.turn()
+            self.transport.flush()
 
         def work() -> None:
             fault = None
@@ -363,7 +363,7 @@
     def members(self) -> str:
         """All members that are known, as one line of JSON."""
         fleet = self.fleet
-        rows = [fleet.me, *(member.record for member in fleet.members.values())]
+        rows = [fleet.local_record, *(member.record for member in fleet.members.values())]
         return json.dumps(
             {
                 "fleet": self._row.name,
@@ -382,7 +382,7 @@
                     }
                     for row in sorted(rows, key=lambda row: row.name)
                 ],
-                "counts": dict(sorted(fleet.counts.items())),
+                "counts": dict(sorted(fleet.counters.items())),
             }
         )
 
@@ -392,9 +392,9 @@
         return json.dumps(
             {
                 "member": self._row.member,
-                "there": fleet.count,
+                "there": fleet.present_count,
                 "digest": fleet.digest,
-                "bytes": fleet.counts["bytes sent"],
+                "bytes": fleet.counters["bytes sent"],
             }
         )
 
--- a/lugspur/daemon/gossip/__init__.py
+++ b/lugspur/daemon/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Processes that know of each other: who is there, told by datagrams, without a place that all depend on."""
+"""Gossip membership of the daemons: which processes of the fleet are present (SWIM with Lifeguard), without a server."""
--- a/lugspur/daemon/gossip/clock.py
+++ b/lugspur/daemon/gossip/clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases and the fleet go by: it never steps, and counts the time in which the machine is suspended."""
+"""The clock of gossip and leases: it never steps, and it counts the time in which the machine is suspended."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now() -> float:
-    """Seconds (clock_gettime(2), CLOCK_BOOTTIME)."""
+    """Return seconds since the machine booted (clock_gettime(2), CLOCK_BOOTTIME)."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/lugspur/daemon/gossip/machine.py
+++ b/lugspur/daemon/gossip/protocol.py
@@ -61,33 +61,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class MemberChanged:
     """A member came, is doubted, is believed again, died, left or moved; `cause` is a word or two for the log."""
 
     record: MemberRecord
-    former: MemberRecord | None
+    previous: MemberRecord | None
     cause: str
 
 
 @dataclass(slots=True, frozen=True)
-class Rival:
-    """Another process uses this one's name; `yields`: this one is the younger and is silent for a while."""
+class NameConflict:
+    """Another process uses this one's name; `is_yielding`: this one is the younger and is silent for a while."""
 
     address: Address
-    yields: bool
+    is_yielding: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Posted:
+class MessageReceived:
     """Something for another part of the program, from a process under a name."""
 
-    name: str
+    sender: str
     instance_id: int
     topic: int
     body: bytes
 
 
-Event = Changed | Rival | Posted
+Event = MemberChanged | NameConflict | MessageReceived
 
 
 @dataclass(slots=True)
@@ -139,12 +139,12 @@
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
-class Fleet:
+class GossipProtocol:
     """This process among the others. `now`: seconds of a clock that never steps; `wall`: of one that tells the date."""
 
     def __init__(
         self,
-        wire: DatagramCodec,
+        codec: DatagramCodec,
         name: str,
         address: Address,
         metadata: MemberMetadata,
@@ -154,21 +154,21 @@
         rng: random.Random,
         period: float = 1.0,
     ) -> None:
-        self.wire, self.period, self.seeds = wire, period, seeds
+        self.codec, self.period, self.seeds = codec, period, seeds
         self._wall, self._rng = wall, rng
         life, incarnation = rng.randrange(1, 1 << 52), max(1, min(int(wall() * 1000), INCARNATION_LIMIT >> 1))
-        self.me = MemberRecord(name, life, incarnation, *address, metadata=metadata)
+        self.local_record = MemberRecord(name, life, incarnation, *address, metadata=metadata)
         self.members: dict[str, Member] = {}
         self._present = MemberSampler()  # those of them that count as there...
         self._doubted: dict[str, Suspicion] = {}  # ...but are doubted...
         self._gone: dict[str, None] = {}  # ...and those that don't
         self._places: Counter[Address] = Counter()  # of those that are there
-        self.counts: Counter[str] = Counter()  # what was dropped, by kind, and what was sent and read
-        self.slower = 0  # Lifeguard's S
-        self.alone = True  # nobody has ever answered
-        self.left = False
-        self.heard = float("-inf")  # when anybody last said anything
-        self._mark = record_digest(self.me)
+        self.counters: Counter[str] = Counter()  # what was dropped, by kind, and what was sent and read
+        self.local_health = 0  # Lifeguard's S
+        self.is_alone = True  # nobody has ever answered
+        self.has_left = False
+        self.last_received_at = float("-inf")  # when anybody last said anything
+        self._mark = record_digest(self.local_record)
         self._update_queue = UpdateQueue()
         self._rate_limiter = DatagramRateLimiter(now)
         self._out: list[tuple[Address, bytes]] = []
@@ -194,29 +194,29 @@
         """Of the view: equal where the same members are there."""
         return self._mark
 
-    def there(self) -> dict[str, MemberRecord]:
+    def present_members(self) -> dict[str, MemberRecord]:
         """All that count as there, this process among them, by name."""
         found = {name: member.record for name, member in self.members.items() if member.record.is_present}
-        if not self.left:
-            found[self.me.name] = self.me
+        if not self.has_left:
+            found[self.local_record.name] = self.local_record
         return found
 
     @property
-    def count(self) -> int:
+    def present_count(self) -> int:
         """How many are there."""
         return len(self._present) + 1
 
-    def take(self) -> list[tuple[Address, bytes]]:
+    def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """Datagrams to send."""
         out, self._out = self._out, []
         return out
 
-    def events(self) -> list[Event]:
+    def take_events(self) -> list[Event]:
         """What has happened since the last time."""
         events, self._events = self._events, []
         return events
 
-    def post(self, now: float, name: str, topic: int, body: bytes) -> bool:
+    def send_message(self, now: float, name: str, topic: int, body: bytes) -> bool:
         """Send something to a member; whether its address is known."""
         member = self.members.get(name)
         if member is None or member.record.status is Status.LEFT:
@@ -224,29 +224,29 @@
         self._send(now, member.record.address, UserMessage(topic, body), name)
         return True
 
-    def tell(self, now: float, metadata: MemberMetadata) -> None:
+    def update_metadata(self, now: float, metadata: MemberMetadata) -> None:
         """Other metadata of this process; nothing happens where they are the same."""
-        if metadata != self.me.metadata:
+        if metadata != self.local_record.metadata:
             self._speak(now, metadata=metadata)
 
-    def move(self, now: float, address: Address) -> None:
+    def change_address(self, now: float, address: Address) -> None:
         """This process takes datagrams elsewhere from now on."""
-        if address != self.me.address:
+        if address != self.local_record.address:
             self._speak(now, address=address)
 
     def leave(self, now: float) -> None:
         """Say goodbye to some members; nothing is answered any more."""
         self._speak(now, status=Status.LEFT)
-        self.left = True
+        self.has_left = True
         for name in self._present.sample(self._rng, 2 * SPREAD_TO):
-            self._send(now, self.members[name].record.address, Updates([self.me]), name)
+            self._send(now, self.members[name].record.address, Updates([self.local_record]), name)
         self._probe = None
 
     # ---- time --------------------------------------------------------------------------------------
 
     def due(self) -> float:
         """When `tick` is wanted next."""
-        if self.left:
+        if self.has_left:
             return float("inf")
         times = [self._next, self._seek_at]
         if self._probe is not None:
@@ -263,7 +263,7 @@
 
     def tick(self, now: float) -> None:
         """Do what is due. Whoever calls it has read first what lay unread."""
-        if self.left:
+        if self.has_left:
             return
         self._awake(now)
         self._forget(now)
@@ -286,7 +286,7 @@
         late, self._at = now - self.due(), max(self._at, now)
         if late <= LATE * self.period:
             return
-        self.counts["stood still"] += 1
+        self.counters["stood still"] += 1
         self._slower(1)
         for suspicion in self._doubted.values():
             suspicion.postpone(late)
@@ -297,12 +297,12 @@
             helping.until += late
 
     def _slower(self, by: int) -> None:
-        self.slower = max(0, min(SLOWER_MOST, self.slower + by))
+        self.local_health = max(0, min(SLOWER_MOST, self.local_health + by))
 
     def _suspicions(self, now: float) -> None:
         for name, suspicion in tuple(self._doubted.items()):
             if now >= suspicion.deadline:
-                self._put(now, _with(self.members[name].record, Status.DEAD, self.me.name), "does not answer")
+                self._put(now, _with(self.members[name].record, Status.DEAD, self.local_record.name), "does not answer")
 
     def _forget(self, now: float) -> None:
         if now < self._forget_at:
@@ -331,7 +331,7 @@
                 self._probe = None
                 self._unanswered(now, probe, member)
         if now >= self._next and self._probe is None:
-            slower = 1 + self.slower
+            slower = 1 + self.local_health
             self._next = max(now, self._next + self.period * slower - self.period) + self.period
             name = self._turn()
             if name is not None:
@@ -364,14 +364,14 @@
 
     def _along(self, name: str, instance_id: int | None = None) -> list[MemberRecord]:
         """What goes along to a member: our own record, what is thought of it unless that is good, and news."""
-        found = [self.me]
+        found = [self.local_record]
         member = self.members.get(name)
         if member is not None and (
             member.record.status is not Status.ALIVE or instance_id not in (None, member.record.instance_id)
         ):
             found.append(member.record)  # Guards it against never hearing what it has to refute
-        room = self.wire.max_packet_bytes - 100 - sum(encoded_size(record) for record in found)
-        return found + self._update_queue.take_fitting(room, self.count, name)
+        room = self.codec.max_packet_bytes - 100 - sum(encoded_size(record) for record in found)
+        return found + self._update_queue.take_fitting(room, self.present_count, name)
 
     def _through(self, now: float, probe: _Probe, record: MemberRecord) -> None:
         drawn = self._present.sample(self._rng, HELPERS + 1 + len(self._doubted))
@@ -387,12 +387,12 @@
 
     def _unanswered(self, now: float, probe: _Probe, member: Member) -> None:
         # Guards others against one that hears nobody, neither helpers nor those who ask it: the fault may be here.
-        if self.heard < probe.began and self.count > 2:
+        if self.last_received_at < probe.began and self.present_count > 2:
             self._slower(1)
         if member.record.status is Status.ALIVE:
-            self._put(now, _with(member.record, Status.SUSPECT, self.me.name), "does not answer")
-        elif member.record.name in self._doubted and self._doubted[member.record.name].confirm(self.me.name):
-            self._update_queue.enqueue(_with(member.record, Status.SUSPECT, self.me.name))
+            self._put(now, _with(member.record, Status.SUSPECT, self.local_record.name), "does not answer")
+        elif member.record.name in self._doubted and self._doubted[member.record.name].confirm(self.local_record.name):
+            self._update_queue.enqueue(_with(member.record, Status.SUSPECT, self.local_record.name))
 
     def _help_on(self, now: float) -> None:
         for number, helping in tuple(self._helping.items()):
@@ -405,19 +405,19 @@
     def _send(self, now: float, address: Address, message: Message, to: str) -> None:
         if now < self._silent_until:
             return
-        data = self.wire.encode(Packet(self.me.name, self.me.instance_id, to, message))
+        data = self.codec.encode(Packet(self.local_record.name, self.local_record.instance_id, to, message))
         if not self._rate_limiter.allows_send(len(data), now):
-            self.counts["not sent"] += 1
+            self.counters["not sent"] += 1
             return
-        self.counts["sent"] += 1
-        self.counts["bytes sent"] += len(data)
+        self.counters["sent"] += 1
+        self.counters["bytes sent"] += len(data)
         self._out.append((address, data))
 
     def _spread(self, now: float) -> None:
         self._spread_at = now + SPREAD_EVERY * self.period
         names = self._present.sample(self._rng, SPREAD_TO)
         for name in names:
-            news = self._update_queue.take_fitting(self.wire.max_packet_bytes - 100, self.count, name)
+            news = self._update_queue.take_fitting(self.codec.max_packet_bytes - 100, self.present_count, name)
             if news:
                 self._send(now, self.members[name].record.address, Updates(news), name)
         if not names:
@@ -427,7 +427,7 @@
         """Look for one that counts as dead, or for a seed that nobody here has heard of."""
         self._seek_at = now + SEEK_EVERY * self.period * (0.5 + self._rng.random())
         lost = [self.members[name].record for name in self._gone if self.members[name].record.status is Status.DEAD]
-        seeds = [seed for seed in self.seeds if not self._places[seed] and seed != self.me.address]
+        seeds = [seed for seed in self.seeds if not self._places[seed] and seed != self.local_record.address]
         places: list[tuple[Address, str]] = [(record.address, record.name) for record in lost]
         places += [(seed, "") for seed in seeds]
         if places:
@@ -445,10 +445,10 @@
         address: Address | None = None,
     ) -> None:
         """A new word of this process on itself."""
-        me = self.me
+        me = self.local_record
         host, port = address or me.address
         self._mark ^= record_digest(me)
-        self.me = MemberRecord(
+        self.local_record = MemberRecord(
             me.name,
             me.instance_id,
             max(me.incarnation + 1, incarnation),
@@ -458,17 +458,17 @@
             me.name if status is Status.LEFT else "",
             metadata or me.metadata,
         )
-        self._mark ^= record_digest(self.me)
-        self._update_queue.enqueue(self.me)
+        self._mark ^= record_digest(self.local_record)
+        self._update_queue.enqueue(self.local_record)
         self._changed_at = now
 
     def _of_me(self, now: float, record: MemberRecord) -> None:
-        me = self.me
+        me = self.local_record
         if record.incarnation < me.incarnation:
             return
         if record.instance_id == me.instance_id:
             if record.status is not Status.ALIVE:
-                self.counts["refuted"] += 1
+                self.counters["refuted"] += 1
                 self._slower(1)  # Lifeguard: whoever is doubted may be slow
                 self._speak(now, record.incarnation + 1)
             return
@@ -481,7 +481,7 @@
             return
         self._rivals.clear()
         older = (record.metadata.started_at, record.instance_id) < (me.metadata.started_at, me.instance_id)
-        self._events.append(Rival(record.address, older))
+        self._events.append(NameConflict(record.address, older))
         if older:
             self._silent_until = now + YIELD * self.period
 
@@ -493,7 +493,7 @@
         former = None if member is None else member.record
         if member is None:
             if not self._room():
-                self.counts["too many members"] += 1
+                self.counters["too many members"] += 1
                 return
             member = self.members[record.name] = Member(record, now)
             self._turns.insert(self._rng.randrange(len(self._turns) + 1), record.name)
@@ -505,7 +505,7 @@
         self._sort(now, record, former)
         self._update_queue.enqueue(record)
         self._changed_at = now
-        self._events.append(Changed(record, former, cause))
+        self._events.append(MemberChanged(record, former, cause))
 
     def _sort(self, now: float, record: MemberRecord, former: MemberRecord | None) -> None:
         """Into those that are there, that are doubted, and that are gone."""
@@ -524,7 +524,7 @@
         if record.status is not Status.SUSPECT:
             self._doubted.pop(name, None)
         elif name not in self._doubted or former is None or former.incarnation != record.incarnation:
-            self._doubted[name] = Suspicion(now, self.period, self.count, record.reported_by)
+            self._doubted[name] = Suspicion(now, self.period, self.present_count, record.reported_by)
 
     def _room(self) -> bool:
         if len(self.members) < MAX_MEMBERS - 1:
@@ -538,9 +538,9 @@
     def _hear(self, now: float, record: MemberRecord, first_hand: bool) -> None:
         """Somebody's word on a member; first-hand: its own."""
         if record.incarnation > self._wall() * 1000 + AHEAD_MOST:
-            self.counts["from the future"] += 1
+            self.counters["from the future"] += 1
             return
-        if record.name == self.me.name:
+        if record.name == self.local_record.name:
             self._of_me(now, record)
             return
         member = self.members.get(record.name)
@@ -570,33 +570,33 @@
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """A datagram; one that is not of this fleet's form is counted, and that is all."""
-        if self.left or now < self._silent_until:
+        if self.has_left or now < self._silent_until:
             return
         self._awake(now)
         if not self._rate_limiter.allows_receive(f"{source[0]}:{source[1]}", now):
-            self.counts["too many"] += 1
+            self.counters["too many"] += 1
             return
         try:
-            packet = self.wire.decode(data)
+            packet = self.codec.decode(data)
         except DatagramRejectedError as fault:
-            self.counts[fault.reason] += 1
+            self.counters[fault.reason] += 1
             return
-        if packet.recipient not in ("", self.me.name):
-            self.counts["for another"] += 1
+        if packet.recipient not in ("", self.local_record.name):
+            self.counters["for another"] += 1
             return
-        if packet.sender == self.me.name:
-            if packet.sender_instance_id != self.me.instance_id:
+        if packet.sender == self.local_record.name:
+            if packet.sender_instance_id != self.local_record.instance_id:
                 for record in updates_in(packet.message):
-                    if record.name == self.me.name:
+                    if record.name == self.local_record.name:
                         self._of_me(now, record)
-                        self._send(now, source, Ack(0, self._mark, [self.me]), "")
+                        self._send(now, source, Ack(0, self._mark, [self.local_record]), "")
             return
         known = self.members.get(packet.sender)
         if known is not None and known.record.instance_id != packet.sender_instance_id and not _names(packet):
-            self.counts["of another life"] += 1
+            self.counters["of another life"] += 1
             return
-        self.counts["read"] += 1
-        self.heard = now
+        self.counters["read"] += 1
+        self.last_received_at = now
         self._act(now, packet, source)
 
     def _act(self, now: float, packet: Packet, source: Address) -> None:
@@ -613,7 +613,7 @@
             )
             self._compare(now, packet.sender, message.digest)
         elif isinstance(message, Ack):
-            self.alone = False
+            self.is_alone = False
             self._answered(now, packet.sender, message)
             self._compare(now, packet.sender, message.digest)
         elif isinstance(message, PingRequest):
@@ -623,7 +623,7 @@
         elif isinstance(message, Page):
             self._page(now, packet.sender, message)
         elif isinstance(message, UserMessage):
-            self._events.append(Posted(packet.sender, packet.sender_instance_id, message.topic, message.body))
+            self._events.append(MessageReceived(packet.sender, packet.sender_instance_id, message.topic, message.body))
 
     def _answered(self, now: float, name: str, ack: Ack) -> None:
         probe = self._probe
@@ -632,7 +632,9 @@
             self._slower(-1)
         helping = self._helping.pop(ack.sequence_number, None)
         if helping is not None:
-            self._send(now, helping.asker, Ack(helping.sequence_number, self._mark, [self.me]), helping.asker_name)
+            self._send(
+                now, helping.asker, Ack(helping.sequence_number, self._mark, [self.local_record]), helping.asker_name
+            )
 
     def _help(self, now: float, name: str, wanted: PingRequest, source: Address) -> None:
         if len(self._helping) >= HELPING_MOST:
@@ -667,11 +669,11 @@
 
     def _answer_page(self, now: float, name: str, after: str, source: Address) -> None:
         names = sorted(other for other in self.members if other > after)
-        if self.me.name > after:
-            names = sorted([*names, self.me.name])
-        room, records = self.wire.max_packet_bytes - 160, list[MemberRecord]()
+        if self.local_record.name > after:
+            names = sorted([*names, self.local_record.name])
+        room, records = self.codec.max_packet_bytes - 160, list[MemberRecord]()
         for other in names:
-            record = self.me if other == self.me.name else self.members[other].record
+            record = self.local_record if other == self.local_record.name else self.members[other].record
             room -= encoded_size(record)
             if room < 0 or len(records) >= MAX_RECORDS_PER_DATAGRAM:
                 break
--- a/lugspur/daemon/gossip/transport.py
+++ b/lugspur/daemon/gossip/transport.py
@@ -1,4 +1,4 @@
-"""Carries a fleet's datagrams: one socket, one timer."""
+"""Connects the gossip protocol, which does no I/O, to a UDP socket and a timer of the event loop."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Iterable
 
 from lugspur.daemon.gossip import clock
-from lugspur.daemon.gossip.machine import Address, Event, Fleet
 from lugspur.daemon.gossip.messages import MAX_DATAGRAM_BYTES
+from lugspur.daemon.gossip.protocol import Address, Event, GossipProtocol
 
-READ_MOST = 64  # datagrams in one turn of the loop: some 10 ms, after which requests have their turn
+MAX_DATAGRAMS_PER_WAKEUP = 64  # some 10 ms of the event loop, after which requests have their turn
 
 
-def bound(address: Address) -> socket.socket:
-    """A socket that takes datagrams there; raises OSError."""
+def bind_socket(address: Address) -> socket.socket:
+    """Return a non-blocking UDP socket that is bound to an address; raise OSError if it can't be."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
@@ -26,67 +26,86 @@
 
 
 class Transport:
-    """Runs one machine; `heard` is told of what happens, and `also` are further times at which `woken` is wanted."""
+    """Runs one member's gossip protocol on the current event loop.
+
+    Args:
+        sock: A socket from `bind_socket`; `close` closes it.
+        protocol: The state machine to run.
+        on_event: Called with each event of the protocol.
+        on_wake: Called with the time, in seconds of `clock.now`, after each datagram, timer and `flush`, before
+            datagrams are sent: what it hands to the protocol goes out at once.
+        further_deadlines: Returns times, in seconds of `clock.now`, at which `on_wake` is wanted as well.
+    """
 
     def __init__(
         self,
         sock: socket.socket,
-        fleet: Fleet,
-        heard: Callable[[Event], None],
-        woken: Callable[[float], None] = lambda now: None,
-        also: Callable[[], Iterable[float]] = tuple,
+        protocol: GossipProtocol,
+        on_event: Callable[[Event], None],
+        on_wake: Callable[[float], None] = lambda now: None,
+        further_deadlines: Callable[[], Iterable[float]] = tuple,
     ) -> None:
-        self._sock, self.fleet = sock, fleet
-        self._heard, self._woken, self._also = heard, woken, also
+        self._sock, self.protocol = sock, protocol
+        self._on_event, self._on_wake, self._further_deadlines = on_event, on_wake, further_deadlines
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self._turning = False
-        self._loop.add_reader(sock.fileno(), self._read)
+        self._is_flushing = False
+        self._loop.add_reader(sock.fileno(), self._receive)
+
+    def flush(self) -> None:
+        """Deliver the protocol's events, send its datagrams and set the timer; to be called after each input to it."""
+        # Guards against a second flush from within a callback, which the first one's loop covers.
+        if self._is_flushing or self._sock.fileno() < 0:
+            return
+        self._is_flushing = True
+        try:
+            self._deliver_events()
+            self._on_wake(clock.now())
+        finally:
+            self._is_flushing = False
+        self._send_datagrams()
+        self._set_timer()
+
+    def close(self) -> None:
+        """Send what waits to be sent, and close the socket."""
+        self.flush()
+        if self._timer is not None:
+            self._timer.cancel()
+        self._loop.remove_reader(self._sock.fileno())
+        self._sock.close()
 
-    def _read(self) -> None:
-        for _ in range(READ_MOST):
+    def _receive(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
             try:
                 data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # an earlier datagram of ours met a closed port: that says nothing that probes don't
+            except OSError:  # an earlier datagram of ours met a closed port, which pings find out anyway
                 continue
-            self.fleet.receive(clock.now(), data, source[:2])
-        self.turn()
+            self.protocol.receive(clock.now(), data, source[:2])
+        self.flush()
 
-    def turn(self) -> None:
-        """Something may have changed: tell of it, send, and set the timer."""
-        if self._turning or self._sock.fileno() < 0:
-            return
-        self._turning = True
-        try:
-            while events := self.fleet.events():
-                for event in events:
-                    self._heard(event)
-            self._woken(clock.now())
-        finally:
-            self._turning = False
-        for address, data in self.fleet.take():
+    def _deliver_events(self) -> None:
+        while events := self.protocol.take_events():
+            for event in events:
+                self._on_event(event)
+
+    def _send_datagrams(self) -> None:
+        for address, data in self.protocol.take_datagrams():
             try:
                 self._sock.sendto(data, address)
-            except OSError:  # no buffer, no way there: like a datagram that is lost
-                self.fleet.counts["not sent"] += 1
+            except OSError:  # no buffer or no route: treated like a datagram that the network lost
+                self.protocol.counters["not sent"] += 1
+
+    def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        due = min((self.fleet.due(), *self._also()))
-        if due != float("inf"):
-            self._timer = self._loop.call_later(max(0.0, due - clock.now()), self._tick)
+        deadline = min((self.protocol.due(), *self._further_deadlines()))
+        if deadline != float("inf"):
+            self._timer = self._loop.call_later(max(0.0, deadline - clock.now()), self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         now = clock.now()
-        if now >= self.fleet.due():
-            self.fleet.tick(now)
-        self.turn()
-
-    def close(self) -> None:
-        """Send what is to be sent, and let go of the socket."""
-        self.turn()
-        if self._timer is not None:
-            self._timer.cancel()
-        self._loop.remove_reader(self._sock.fileno())
-        self._sock.close()
+        if now >= self.protocol.due():
+            self.protocol.tick(now)
+        self.flush()
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -164,7 +164,7 @@
         for name in names:
             if name != self._company.name:
                 self._company.post(name, PROBING, pack(doubt))
-        self._company.transport.turn()
+        self._company.transport.flush()
 
     def turned(self, turned: Turned) -> None:
         """A duty is this process's, or no more."""
@@ -246,7 +246,7 @@
             self._company.post(other, PROBING, body)
         pool.hearsay.hear(now, verdict)
         self._obey(name, pool)
-        self._company.transport.turn()
+        self._company.transport.flush()
 
     async def _look(self, name: str, pool: _Pool, box: str) -> None:
         station = self._stations().get(name)
--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -26,7 +26,7 @@
     def due(self) -> float:
         """When that is wanted."""
 
-    def take(self) -> list[tuple[Address, bytes]]:
+    def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """Datagrams to send."""
 
 
@@ -79,7 +79,7 @@
             return
         self.after(address, machine)
         rng = self.rng
-        for to, data in machine.take():
+        for to, data in machine.take_datagrams():
             for _ in range(2 if self.twice and rng.random() < self.twice else 1):
                 if rng.random() >= self.loss and not self.cut(address, to):
                     self._push(self.now + rng.uniform(FASTEST, SLOWEST) + self.late * rng.random(), to, (address, data))
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -95,7 +95,7 @@
         self.claim.hand_on(now)
         self.claim.want(now)
 
-    def take(self) -> list[tuple[Address, bytes]]:
+    def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """What it has to say."""
         world, now = self._world, self._world.network.clock(self.address)
         while True:
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -11,8 +11,8 @@
 from random import Random
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
-from lugspur.daemon.gossip.machine import Changed, Fleet
 from lugspur.daemon.gossip.messages import MemberMetadata, Status
+from lugspur.daemon.gossip.protocol import GossipProtocol, MemberChanged
 from lugspur.emulator.datagrams import Address, Network, halves
 
 SIZES = (5, 50, 200)
@@ -52,14 +52,16 @@
         self.network = Network(seed)
         self.network.loss = loss
         self.seed = seed
-        self.changes: list[tuple[float, str, Changed]] = []  # when, who saw it, what
+        self.changes: list[tuple[float, str, MemberChanged]] = []  # when, who saw it, what
         self.network.after = self._after  # type: ignore[assignment]  # all machines here are fleets
         for number in range(count):
             self.start(number)
 
-    def _after(self, address: Address, machine: Fleet) -> None:
+    def _after(self, address: Address, machine: GossipProtocol) -> None:
         self.changes += [
-            (self.network.now, machine.me.name, event) for event in machine.events() if isinstance(event, Changed)
+            (self.network.now, machine.local_record.name, event)
+            for event in machine.take_events()
+            if isinstance(event, MemberChanged)
         ]
 
     @staticmethod
@@ -67,12 +69,12 @@
         """Where a member takes datagrams."""
         return f"10.0.{number // 250}.{number % 250 + 1}", 7946
 
-    def start(self, number: int, name: str = "", fleet: str = NAME, behind: float = 0.0) -> Fleet:
+    def start(self, number: int, name: str = "", fleet: str = NAME, behind: float = 0.0) -> GossipProtocol:
         """One more member; its wall clock may be behind."""
         address, network = self.address(number), self.network
         rng = Random(f"{self.seed} {number} {network.now}")
         seeds = [self.address(0), self.address(1)]
-        machine = Fleet(
+        machine = GossipProtocol(
             DatagramCodec(fleet),
             name or f"m{number}",
             address,
@@ -85,14 +87,14 @@
         network.add(address, machine)
         return machine
 
-    def all(self) -> dict[Address, Fleet]:
+    def all(self) -> dict[Address, GossipProtocol]:
         """Those that run."""
-        return {at: machine for at, machine in self.network.machines.items() if isinstance(machine, Fleet)}
+        return {at: machine for at, machine in self.network.machines.items() if isinstance(machine, GossipProtocol)}
 
     def agree(self) -> bool:
         """Whether all that run see the same: those that run."""
         machines = self.all().values()
-        return len({m.digest for m in machines}) == 1 and all(m.count == len(machines) for m in machines)
+        return len({m.digest for m in machines}) == 1 and all(m.present_count == len(machines) for m in machines)
 
     def settle(self, most: float = WITHIN) -> float:
         """Seconds until all views agree."""
@@ -110,7 +112,7 @@
 
     def total(self, what: str) -> int:
         """A count of all machines."""
-        return sum(machine.counts[what] for machine in self.all().values())
+        return sum(machine.counters[what] for machine in self.all().values())
 
 
 def play(count: int, seed: int) -> Found:
--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -5,7 +5,6 @@
 from random import Random
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
-from lugspur.daemon.gossip.machine import MAX_MEMBERS, Fleet
 from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     MemberMetadata,
@@ -16,13 +15,14 @@
     Status,
     Updates,
 )
+from lugspur.daemon.gossip.protocol import MAX_MEMBERS, GossipProtocol
 from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 
 PEER = ("10.0.0.2", 7946)
 
 
-def member(wire: DatagramCodec) -> Fleet:
-    return Fleet(wire, "m0", ("10.0.0.1", 7946), MemberMetadata(), [], 0.0, lambda: 1e9, Random(1))
+def member(wire: DatagramCodec) -> GossipProtocol:
+    return GossipProtocol(wire, "m0", ("10.0.0.1", 7946), MemberMetadata(), [], 0.0, lambda: 1e9, Random(1))
 
 
 def datagram(message: Message, sender: str = "m1", process: int = 7, to: str = "m0") -> bytes:
@@ -36,8 +36,8 @@
 def test_traffic_and_datagrams_that_are_dropped() -> None:
     one = member(DatagramCodec("edge"))
     one.receive(0.0, datagram(Ping(1, 0, [record("m1", 7)])), PEER)
-    sent = [data for _, data in one.take()]  # an ack, and the request of the peer's first page
-    assert one.counts == {"read": 1, "sent": len(sent), "bytes sent": sum(map(len, sent))}
+    sent = [data for _, data in one.take_datagrams()]  # an ack, and the request of the peer's first page
+    assert one.counters == {"read": 1, "sent": len(sent), "bytes sent": sum(map(len, sent))}
     dropped = {
         "garbage": b"?",
         "too large": bytes(MAX_DATAGRAM_BYTES + 1),
@@ -46,32 +46,34 @@
         "for another": datagram(Updates([]), to="m5"),
         "of another life": datagram(Updates([]), process=8),
         "from the future": datagram(Updates([record("m2", 9, 1 << 51)])),
-        "refuted": datagram(Updates([record("m0", one.me.instance_id, one.me.incarnation, Status.SUSPECT)])),
+        "refuted": datagram(
+            Updates([record("m0", one.local_record.instance_id, one.local_record.incarnation, Status.SUSPECT)])
+        ),
     }
     for name, data in dropped.items():
-        assert one.counts[name] == 0
+        assert one.counters[name] == 0
         one.receive(0.0, data, PEER)
-        assert one.counts[name] == 1, name
-    assert set(one.counts) == {"read", "sent", "bytes sent", *dropped}
+        assert one.counters[name] == 1, name
+    assert set(one.counters) == {"read", "sent", "bytes sent", *dropped}
 
 
 def test_another_key() -> None:
     one = member(DatagramCodec("edge", b"k" * 16))
     one.receive(0.0, DatagramCodec("edge", b"l" * 16).encode(Packet("m1", 7, "m0", Updates([]))), PEER)
-    assert one.counts == {"another key": 1}
+    assert one.counters == {"another key": 1}
 
 
 def test_limits_and_a_process_that_was_stopped() -> None:
     one = member(DatagramCodec("edge"))
     for _ in range(int(MAX_SOURCE_BURST_DATAGRAMS) + 1):
         one.receive(0.0, datagram(Updates([])), PEER)
-    assert one.counts["too many"] == 1
+    assert one.counters["too many"] == 1
     for number in range(MAX_MEMBERS):
         source = ("10.0.1.1", 1 + number)
         one.receive(0.0, datagram(Updates([record(f"x{number}", 5)]), f"x{number}", 5), source)
-    assert one.counts["too many members"] == 1
+    assert one.counters["too many members"] == 1
     for _ in range(300):
-        one.post(0.0, "x1", 1, bytes(1000))
-    assert one.counts["not sent"] > 0
+        one.send_message(0.0, "x1", 1, bytes(1000))
+    assert one.counters["not sent"] > 0
     one.tick(100.0)
-    assert one.counts["stood still"] == 1
+    assert one.counters["stood still"] == 1
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -10,7 +10,6 @@
 import pytest
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
-from lugspur.daemon.gossip.machine import record_digest
 from lugspur.daemon.gossip.messages import (
     Ack,
     FetchPage,
@@ -26,6 +25,7 @@
     Updates,
     UserMessage,
 )
+from lugspur.daemon.gossip.protocol import record_digest
 
 FLEET, KEY = "edge", b"0123456789abcdef"
 # The characters "LG", version 1, eight bytes of the BLAKE2b digest of "edge".
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -7,7 +7,6 @@
 import pytest
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
-from lugspur.daemon.gossip.machine import MAX_MEMBERS, Changed, Fleet, Posted, Rival
 from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     MemberMetadata,
@@ -18,6 +17,7 @@
     Updates,
     UserMessage,
 )
+from lugspur.daemon.gossip.protocol import MAX_MEMBERS, GossipProtocol, MemberChanged, MessageReceived, NameConflict
 from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
@@ -66,7 +66,7 @@
     fleet.network.cut = halves(inside)
     fleet.network.run(40.0)
     for address, machine in fleet.all().items():
-        assert machine.count == (cut if address in inside else count - cut)
+        assert machine.present_count == (cut if address in inside else count - cut)
     fleet.network.cut = lambda origin, to: False
     fleet.settle(PERIODS)
 
@@ -108,7 +108,7 @@
 def test_one_that_starts_anew_is_told_from_its_former_life() -> None:
     fleet = Members(6, 9)
     fleet.settle()
-    before = fleet.all()[fleet.address(3)].me
+    before = fleet.all()[fleet.address(3)].local_record
     fleet.network.kill(fleet.address(3))
     fleet.network.run(1.0)
     fleet.start(3)
@@ -123,14 +123,14 @@
     fleet.network.kill(fleet.address(3))
     fleet.start(3, behind=3600.0)
     fleet.settle(PERIODS)
-    assert not any(isinstance(event, Rival) for event in fleet.all()[fleet.address(3)].events())
+    assert not any(isinstance(event, NameConflict) for event in fleet.all()[fleet.address(3)].take_events())
 
 
 def test_words_of_a_former_life_change_nothing() -> None:
     fleet = Members(4, 11)
     fleet.settle()
     former = fleet.all()[fleet.address(3)]
-    old = former.wire.encode(Packet("m3", former.me.instance_id, "m1", Updates([former.me])))
+    old = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", Updates([former.local_record])))
     fleet.network.kill(fleet.address(3))
     fleet.start(3)
     fleet.settle(PERIODS)
@@ -138,24 +138,24 @@
     for _ in range(10):
         fleet.all()[fleet.address(1)].receive(fleet.network.now, old, fleet.address(3))
     assert fleet.all()[fleet.address(1)].members["m3"].record == now
-    posted = former.wire.encode(Packet("m3", former.me.instance_id, "m1", UserMessage(1, b"old")))
+    posted = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", UserMessage(1, b"old")))
     fleet.all()[fleet.address(1)].receive(fleet.network.now, posted, fleet.address(3))
-    assert not any(isinstance(event, Posted) for event in fleet.all()[fleet.address(1)].events())
+    assert not any(isinstance(event, MessageReceived) for event in fleet.all()[fleet.address(1)].take_events())
 
 
 def test_of_two_processes_with_one_name_the_younger_falls_silent() -> None:
     fleet = Members(5, 12)
     fleet.settle()
-    rivals: list[tuple[str, Rival]] = []
+    rivals: list[tuple[str, NameConflict]] = []
 
-    def after(address: Address, machine: Fleet) -> None:
-        rivals.extend((f"{address[0]}", event) for event in machine.events() if isinstance(event, Rival))
+    def after(address: Address, machine: GossipProtocol) -> None:
+        rivals.extend((f"{address[0]}", event) for event in machine.take_events() if isinstance(event, NameConflict))
 
     fleet.network.after = after  # type: ignore[assignment]  # all machines here are fleets
     fleet.start(7, "m2")
     fleet.network.run(25.0)
-    assert any(event.yields for where, event in rivals if where == fleet.address(7)[0])
-    assert not any(event.yields for where, event in rivals if where == fleet.address(2)[0])
+    assert any(event.is_yielding for where, event in rivals if where == fleet.address(7)[0])
+    assert not any(event.is_yielding for where, event in rivals if where == fleet.address(2)[0])
     fleet.network.run(1.0)
     others = [fleet.all()[fleet.address(at)] for at in (0, 1, 3, 4)]
     assert {machine.members["m2"].record.address for machine in others} == {fleet.address(2)}
@@ -166,7 +166,7 @@
     fleet.settle()
     machine = fleet.all()[fleet.address(2)]
     fleet.network.kill(fleet.address(2))
-    machine.move(fleet.network.now, fleet.address(9))
+    machine.change_address(fleet.network.now, fleet.address(9))
     fleet.network.add(fleet.address(9), machine)
     fleet.settle(PERIODS)
     assert fleet.all()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
@@ -177,7 +177,7 @@
 def test_facts_reach_all() -> None:
     fleet = Members(20, 14)
     fleet.settle()
-    fleet.all()[fleet.address(2)].tell(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
+    fleet.all()[fleet.address(2)].update_metadata(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
     fleet.network.turn(fleet.address(2))
     fleet.network.until(
         lambda: all(
@@ -196,25 +196,25 @@
     stranger = fleet.start(6, fleet="another")
     alone.seeds.append(fleet.address(6))
     fleet.network.run(60.0)
-    assert alone.alone and stranger.alone and alone.count == 1
-    assert alone.counts["sent"] <= 130  # about one look a period, and no answers
-    assert stranger.counts["another fleet"] > 10
+    assert alone.is_alone and stranger.is_alone and alone.present_count == 1
+    assert alone.counters["sent"] <= 130  # about one look a period, and no answers
+    assert stranger.counters["another fleet"] > 10
 
 
 def test_a_fleet_holds_so_many_members_and_not_one_more() -> None:
     machine = Members(1, 16).all()[Members.address(0)]
     for number in range(MAX_MEMBERS + 100):
         record = MemberRecord(f"x{number}", number, 1, "10.1.0.1", 1 + number)
-        data = machine.wire.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
+        data = machine.codec.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
         machine.receive(number * 0.1, data, ("10.1.0.1", 1 + number))
-        machine.take()
-    assert len(machine.members) == MAX_MEMBERS - 1 and machine.count == MAX_MEMBERS
-    assert machine.counts["too many members"] == 101
+        machine.take_datagrams()
+    assert len(machine.members) == MAX_MEMBERS - 1 and machine.present_count == MAX_MEMBERS
+    assert machine.counters["too many members"] == 101
     gone = machine.members["x5"].record
     dead = MemberRecord(gone.name, gone.instance_id, gone.incarnation, gone.host, gone.port, Status.LEFT, gone.name)
-    machine.receive(200.0, machine.wire.encode(Packet("x5", gone.instance_id, "m0", Updates([dead]))), gone.address)
+    machine.receive(200.0, machine.codec.encode(Packet("x5", gone.instance_id, "m0", Updates([dead]))), gone.address)
     late = MemberRecord("late", 1, 1, "10.1.0.2", 5)
-    machine.receive(200.1, machine.wire.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
+    machine.receive(200.1, machine.codec.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
     assert "late" in machine.members and "x5" not in machine.members  # whoever is gone makes room
 
 
@@ -232,7 +232,7 @@
                     record.name, record.instance_id, record.incarnation, record.host, record.port, state, "m7"
                 )
                 for to in range(7):
-                    data = liar.wire.encode(Packet("m7", liar.me.instance_id, f"m{to}", Updates([word])))
+                    data = liar.codec.encode(Packet("m7", liar.local_record.instance_id, f"m{to}", Updates([word])))
                     fleet.all()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
                     fleet.network.turn(fleet.address(to))
 
@@ -257,15 +257,15 @@
         for _ in range(100):
             victim.receive(fleet.network.now, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), ("10.9.9.9", 9))
         fleet.network.run(0.1)
-    assert victim.counts["too many"] > 10_000 - MAX_SOURCE_BURST_DATAGRAMS - 1100
+    assert victim.counters["too many"] > 10_000 - MAX_SOURCE_BURST_DATAGRAMS - 1100
     assert fleet.doubts(began) == 0 and fleet.agree()
 
 
 def test_incarnations_from_the_future_are_not_believed() -> None:
     machine = Members(1, 19).all()[Members.address(0)]
     record = MemberRecord("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
-    machine.receive(1.0, machine.wire.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
-    assert not machine.members and machine.counts["from the future"] == 1
+    machine.receive(1.0, machine.codec.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
+    assert not machine.members and machine.counters["from the future"] == 1
 
 
 def test_a_word_on_somebody_goes_along_only_so_often() -> None:
@@ -292,13 +292,13 @@
     causes = [cause for cause, _ in seen]
     assert causes[0] in ("came", "heard of") and "started anew" in causes
     assert [state for _, state in seen if state in (Status.SUSPECT, Status.DEAD)][-1] is Status.DEAD
-    assert isinstance(fleet.changes[0][2], Changed)
+    assert isinstance(fleet.changes[0][2], MemberChanged)
 
 
 def test_other_keys_hear_nothing_of_each_other() -> None:
     fleet = Members(2, 22)
     keyed = fleet.start(3)
-    keyed.wire = DatagramCodec("emulated", b"k" * 16)
+    keyed.codec = DatagramCodec("emulated", b"k" * 16)
     fleet.network.run(10.0)
-    assert keyed.count == 1 and keyed.counts["garbage"] + keyed.counts["another key"] == 0
-    assert all(machine.count == 2 for at, machine in fleet.all().items() if at != fleet.address(3))
+    assert keyed.present_count == 1 and keyed.counters["garbage"] + keyed.counters["another key"] == 0
+    assert all(machine.present_count == 2 for at, machine in fleet.all().items() if at != fleet.address(3))
