--- a/lugspur/daemon/gossip/__init__.py
+++ b/lugspur/daemon/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip membership of the daemons: which processes of the fleet are present (SWIM with Lifeguard), without a server."""
+"""Gossip membership of the daemons: which processes of the fleet are present, by SWIM with Lifeguard's rules."""
