--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -23,7 +23,7 @@
 from itertools import permutations
 from typing import Any, NamedTuple
 
-from lugspur.daemon.leases import span
+from lugspur.daemon.leases import timing
 from lugspur.daemon.leases.elector import Elector, Promise, Who
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message
 from lugspur.daemon.leases.term import Ended, Term
@@ -404,11 +404,11 @@
 @contextmanager
 def told_apart(apart: float = APART) -> Iterator[None]:
     """The model's clocks, as the code is told of them."""
-    former, span.DRIFT = span.DRIFT, apart
+    former, timing.MAX_CLOCK_DRIFT = timing.MAX_CLOCK_DRIFT, apart
     try:
         yield
     finally:
-        span.DRIFT = former
+        timing.MAX_CLOCK_DRIFT = former
 
 
 def _no_quiet(self: Elector, lease: float, now: float, memory: Any, floor: int) -> None:
--- a/lugspur/daemon/leases/claim.py
+++ b/lugspur/daemon/leases/claim.py
@@ -12,8 +12,8 @@
 from hashlib import blake2b
 
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, RoleAvailable
-from lugspur.daemon.leases.span import AGAIN, RENEW, held_for
 from lugspur.daemon.leases.term import Ended, Term
+from lugspur.daemon.leases.timing import RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, holder_lease_seconds
 
 STANDBY = 3  # of those that want it, who ask as soon as it is free: as many as may die in one lease time
 STEP = 0.05  # seconds between two of them: a round on one machine's network takes a few milliseconds
@@ -129,13 +129,15 @@
 
     def _after(self, now: float, ended: Ended) -> None:
         if ended is Ended.WON:
-            self._next = now + RENEW * held_for(self.term.lease)
+            self._next = now + RENEWAL_FRACTION * holder_lease_seconds(self.term.lease)
             self._events.append(Won(self.duty, self.term.epoch))
             self._look(now, "promised by a majority")
             return
         self._look(now, "not renewed in time")
         if self._in:
-            self._next = now + AGAIN * held_for(self.term.lease) * (0.5 + self._rng.random())
+            self._next = now + RENEWAL_RETRY_FRACTION * holder_lease_seconds(self.term.lease) * (
+                0.5 + self._rng.random()
+            )
             return
         # Guards who is next against a round that began before the promises had come back: refusals are out of date.
         self._free = now if self._freed >= self.term.began else self.term.free_at(now)
--- a/lugspur/daemon/leases/term.py
+++ b/lugspur/daemon/leases/term.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease
-from lugspur.daemon.leases.span import ROUND, ROUND_MOST, held_for
+from lugspur.daemon.leases.timing import MAX_ROUND_TIMEOUT_SECONDS, ROUND_TIMEOUT_FRACTION, holder_lease_seconds
 
 SOONEST = 0.01  # seconds between two questions to one elector in one round: clocks that run apart may need a few
 
@@ -52,7 +52,7 @@
     @property
     def round_within(self) -> float:
         """Seconds that a round may take."""
-        return min(ROUND * self.lease, ROUND_MOST)
+        return min(ROUND_TIMEOUT_FRACTION * self.lease, MAX_ROUND_TIMEOUT_SECONDS)
 
     @property
     def round_ends(self) -> float:
@@ -122,7 +122,7 @@
             self._out.append((elector, RequestLease(self.duty, self._asked, self.round, self.lease)))
 
     def _won(self, now: float) -> Ended:
-        until = self.began + held_for(self.lease)
+        until = self.began + holder_lease_seconds(self.lease)
         if now >= until:
             # Guards others: the promises came later than they last.
             return self.give_up(now)
--- a/tests/daemon/leases/test_claim.py
+++ b/tests/daemon/leases/test_claim.py
@@ -6,7 +6,7 @@
 
 from lugspur.daemon.leases.claim import RARELY_MOST, STANDBY, STEP, Claim, Turned
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
-from lugspur.daemon.leases.span import RENEW, held_for
+from lugspur.daemon.leases.timing import RENEWAL_FRACTION, holder_lease_seconds
 
 LEASE = 10.0
 ELECTORS = ("x", "y", "z")
@@ -36,9 +36,9 @@
     one = claim()
     want = win(one, 0.0)
     assert turned(one) == [(1, True)]
-    assert one.due() == RENEW * held_for(LEASE)
-    assert one.epoch(held_for(LEASE) - 0.1) == 1 and one.epoch(held_for(LEASE)) is None
-    assert one.epoch(1.0, held_for(LEASE) - 1.0) is None  # an act that would outlast it
+    assert one.due() == RENEWAL_FRACTION * holder_lease_seconds(LEASE)
+    assert one.epoch(holder_lease_seconds(LEASE) - 0.1) == 1 and one.epoch(holder_lease_seconds(LEASE)) is None
+    assert one.epoch(1.0, holder_lease_seconds(LEASE) - 1.0) is None  # an act that would outlast it
     again = win(one, one.due())
     assert again.epoch == want.epoch and again.round_number > want.round_number and turned(one) == []
 
--- a/tests/daemon/leases/test_duties.py
+++ b/tests/daemon/leases/test_duties.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lugspur.daemon.leases import span
+from lugspur.daemon.leases import timing
 from lugspur.daemon.leases.claim import STANDBY, order
 from lugspur.daemon.leases.elector import Elector
 from lugspur.daemon.leases.term import Ended, Term
@@ -33,7 +33,7 @@
 
 
 def test_a_build_without_the_margin_for_clocks_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(span, "DRIFT", -0.06)
+    monkeypatch.setattr(timing, "MAX_CLOCK_DRIFT", -0.06)
     assert _caught(60)
 
 
