--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -24,9 +24,9 @@
 from typing import Any, NamedTuple
 
 from lugspur.daemon.leases import timing
-from lugspur.daemon.leases.elector import Elector, Promise, Who
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message
 from lugspur.daemon.leases.term import Ended, Term
+from lugspur.daemon.leases.voter import CandidateId, LeaseVoter, Promise
 
 DUTY = "d"
 LEASE = 6.0  # units of time
@@ -58,7 +58,7 @@
 class Kept:
     """An elector and its disk."""
 
-    elector: Elector
+    elector: LeaseVoter
     disk: dict[str, Promise] = field(default_factory=dict)
 
 
@@ -143,7 +143,7 @@
         if known is None:
             part = self.get(number)
             found = self._act(part, how, clock, message)
-            out = part.elector.take() if isinstance(part, Kept) else part.take()
+            out = part.elector.take_messages() if isinstance(part, Kept) else part.take()
             sent = tuple(
                 self.message(PLACES[to], at, word)
                 for to, word in out
@@ -168,16 +168,16 @@
         elector = part.elector
         if how == "hears":
             _, origin, message = self.messages[number]
-            elector.heard(clock, Who(EVERYBODY[origin], 1), message)
+            elector.receive(clock, CandidateId(EVERYBODY[origin], 1), message)
         elif how == "has written":
-            unwritten, elector.unwritten = elector.unwritten, {}
-            part.disk |= unwritten
-            elector.written(clock, unwritten)
+            unsaved, elector.unsaved = elector.unsaved, {}
+            part.disk |= unsaved
+            elector.confirm_saved(clock, unsaved)
         else:
             if how == "restarts with what it wrote":
-                part.disk |= elector.unwritten
+                part.disk |= elector.unsaved
             memory = list(part.disk.values()) if self.limits.memory else None
-            part.elector = Elector(LEASE, clock, memory, int(WALL * (1 + clock)))
+            part.elector = LeaseVoter(LEASE, clock, memory, int(WALL * (1 + clock)))
         return 0
 
     def inside(self, number: int, clock: float) -> int:
@@ -210,7 +210,7 @@
         """Whether an elector has something to write down."""
         key = number, -1.0
         if key not in self._inside:
-            self._inside[key] = bool(self.get(number).elector.unwritten)
+            self._inside[key] = bool(self.get(number).elector.unsaved)
         return bool(self._inside[key])
 
 
@@ -238,7 +238,7 @@
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._parts = parts = Parts(limits)
-        electors = [Kept(Elector(LEASE, -LEASE, [] if limits.memory else None, 0)) for _ in NAMES]
+        electors = [Kept(LeaseVoter(LEASE, -LEASE, [] if limits.memory else None, 0)) for _ in NAMES]
         terms = [Term(DUTY, NAMES, LEASE, 0) for _ in WANTING]
         self.first = World(
             (*map(parts.part, electors), *map(parts.part, terms)),
@@ -411,9 +411,9 @@
         timing.MAX_CLOCK_DRIFT = former
 
 
-def _no_quiet(self: Elector, lease: float, now: float, memory: Any, floor: int) -> None:
+def _no_quiet(self: LeaseVoter, lease: float, now: float, memory: Any, floor: int) -> None:
     _elector(self, lease, now, memory, floor)
-    self.quiet_until = now
+    self.silent_until = now
 
 
 def _always_back(self: Term, now: float) -> Ended:
@@ -422,12 +422,12 @@
     return Ended.LOST
 
 
-_elector = Elector.__init__
+_elector = LeaseVoter.__init__
 BROKEN: dict[str, tuple[float, Any, str, Any, Limits]] = {
     "no margin for clocks": (0.0, Term, "take", Term.take, Limits(rounds=2, steps=2, memory=False, prompt=True)),
     "no silence after a start": (
         APART,
-        Elector,
+        LeaseVoter,
         "__init__",
         _no_quiet,
         Limits(rounds=2, restarts=1, steps=0, memory=False, prompt=True),
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -20,7 +20,6 @@
 from lugspur.daemon.gossip.transport import Transport, bound
 from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
 from lugspur.daemon.leases.claim import Claim, Turned, Won, order
-from lugspur.daemon.leases.elector import Elector, Who
 from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
 from lugspur.daemon.leases.messages import (
     DenyLease,
@@ -33,6 +32,7 @@
     decode_messages,
     encode_messages,
 )
+from lugspur.daemon.leases.voter import CandidateId, LeaseVoter
 from lugspur.daemon.probers import PROBING, Probers
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
         self._rng = random.Random()
         self._facts = Facts(zone[:ZONE_MOST], _version(), time.time())
         self.claims: dict[str, Claim] = {}
-        self.elector: Elector | None = None
+        self.elector: LeaseVoter | None = None
         self._memory: Memory | None = None
         self._writing = False
         self._handed: list[tuple[str, Message]] = []
@@ -126,7 +126,7 @@
             lease, promises = self._memory.lease, self._memory.promises
             if self._memory.fresh:
                 self.say(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
-        self.elector = Elector(lease, clock.now(), promises, int(time.time() * 1000))
+        self.elector = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
     def _close_memory(self) -> None:
         if self._memory is not None:
@@ -258,13 +258,13 @@
     def _body(self, event: Posted) -> None:
         with suppress(MalformedMessageError):
             for message in decode_messages(event.body):
-                self._lease(Who(event.name, event.life), message)
+                self._lease(CandidateId(event.name, event.life), message)
 
-    def _lease(self, who: Who, message: Message) -> None:
+    def _lease(self, who: CandidateId, message: Message) -> None:
         now = clock.now()
         if isinstance(message, RequestLease | ReleaseLease):
             if self.elector is not None:
-                self.elector.heard(now, who, message)
+                self.elector.receive(now, who, message)
             return
         claim = self.claims.get(message.role)
         if claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
@@ -283,10 +283,10 @@
         while True:
             said = [word for claim in self.claims.values() for word in claim.take()]
             if self.elector is not None:
-                said += self.elector.take()
+                said += self.elector.take_messages()
             if not said:
                 break
-            me = Who(self._row.member, self.fleet.me.life)
+            me = CandidateId(self._row.member, self.fleet.me.life)
             for name, message in said:
                 if name == me.name:
                     self._lease(me, message)
@@ -295,7 +295,7 @@
         for claim in self.claims.values():
             for event in claim.events():
                 self._turned(event)
-        if self._memory is not None and self.elector is not None and self.elector.unwritten and not self._writing:
+        if self._memory is not None and self.elector is not None and self.elector.unsaved and not self._writing:
             self._write(self._memory, self.elector)
         self._send(out)
 
@@ -329,19 +329,19 @@
 
     # ---- an elector's memory -----------------------------------------------------------------------
 
-    def _write(self, memory: Memory, elector: Elector) -> None:
+    def _write(self, memory: Memory, elector: LeaseVoter) -> None:
         """Write promises down, in a thread; they are told when they will survive."""
         promises = elector.promises()
-        duties, elector.unwritten = list(elector.unwritten), {}
+        duties, elector.unsaved = list(elector.unsaved), {}
         self._writing = True
 
         def done(fault: OSError | None) -> None:
             self._writing = False
             if fault is None:
-                elector.written(clock.now(), duties)
+                elector.confirm_saved(clock.now(), duties)
             else:
                 self.say(f"promises can't be written, so none are given: {fault.strerror or fault}")
-                elector.unwritable(duties)
+                elector.report_save_failure(duties)
             self.transport.turn()
 
         def work() -> None:
--- a/lugspur/daemon/leases/memory.py
+++ b/lugspur/daemon/leases/memory.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from lugspur.daemon.leases.elector import DUTIES_MOST, Promise
 from lugspur.daemon.leases.messages import EPOCH_LIMIT, MAX_ROLE_CHARACTERS
+from lugspur.daemon.leases.voter import MAX_ROLES, Promise
 from lugspur.daemon.persistence.disk import Disk
 
 NAME, FRESH, LOCK = "promises", "promises.new", "promises.lock"
@@ -79,7 +79,7 @@
         if found.elector != self._elector:
             raise Spoilt(f"it is that of elector {found.elector[:48]!r}")
         rows = found.promises
-        if len(rows) > DUTIES_MOST or any(
+        if len(rows) > MAX_ROLES or any(
             not 0 <= row.epoch < EPOCH_LIMIT or not 0 < len(row.duty) <= MAX_ROLE_CHARACTERS for row in rows
         ):
             raise Spoilt("it promises what cannot be")
@@ -87,7 +87,7 @@
 
     def write(self, promises: Iterable[Promise]) -> None:
         """Replace it; raises OSError, and then the former or this one is there."""
-        rows = [_Row(p.duty, p.epoch, p.name, p.life) for p in promises]
+        rows = [_Row(p.role, p.epoch, p.name, p.instance_id) for p in promises]
         body = msgspec.json.encode(_File(FORM, self._elector, self.lease, rows))
         data = memoryview(body + b"\n" + sha256(body).hexdigest().encode())
         fd = self._disk.create(FRESH)
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -10,7 +10,6 @@
 from random import Random
 
 from lugspur.daemon.leases.claim import Claim, Turned, order
-from lugspur.daemon.leases.elector import Elector, Promise, Who
 from lugspur.daemon.leases.messages import (
     DenyLease,
     GrantLease,
@@ -21,6 +20,7 @@
     decode_messages,
     encode_messages,
 )
+from lugspur.daemon.leases.voter import CandidateId, LeaseVoter, Promise
 from lugspur.emulator.datagrams import Address, Network, halves
 
 DUTY = "duty"
@@ -45,11 +45,11 @@
         self.name, self.address = f"n{number}", world.address(number)
         now = world.network.clock(self.address)
         self._rng = Random(f"{world.seed} {number} {world.network.now}")
-        self.who = Who(self.name, self._rng.randrange(1 << 40))
-        self.elector: Elector | None = None
+        self.who = CandidateId(self.name, self._rng.randrange(1 << 40))
+        self.elector: LeaseVoter | None = None
         if number < world.electors:
             memory = list(world.disks[self.name].values()) if world.memory else None
-            self.elector = Elector(LEASE, now, memory, int(WALL + 1000.0 * world.network.now))
+            self.elector = LeaseVoter(LEASE, now, memory, int(WALL + 1000.0 * world.network.now))
         self.claim: Claim | None = None
         if number >= world.electors or world.all_want:
             names = [f"n{at}" for at in range(world.electors)]
@@ -63,12 +63,12 @@
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """Words of another."""
         for message in decode_messages(data[8:]):
-            self._hear(now, Who(self._world.names[source], int.from_bytes(data[:8], "big")), message)
+            self._hear(now, CandidateId(self._world.names[source], int.from_bytes(data[:8], "big")), message)
 
-    def _hear(self, now: float, who: Who, message: Message) -> None:
+    def _hear(self, now: float, who: CandidateId, message: Message) -> None:
         if isinstance(message, RequestLease | ReleaseLease):
             if self.elector is not None:
-                self.elector.heard(now, who, message)
+                self.elector.receive(now, who, message)
         elif self.claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
             self.claim.heard(now, who.name, message)
 
@@ -87,7 +87,7 @@
             _, promises = self._written
             self._written = None
             self._world.disks[self.name] |= promises
-            self.elector.written(now, promises)
+            self.elector.confirm_saved(now, promises)
 
     def hand_on(self, now: float) -> None:
         """It gives the duty back, and wants it again."""
@@ -100,7 +100,7 @@
         world, now = self._world, self._world.network.clock(self.address)
         while True:
             said = self.claim.take() if self.claim is not None else []
-            said += self.elector.take() if self.elector is not None else []
+            said += self.elector.take_messages() if self.elector is not None else []
             if not said:
                 break
             for name, message in said:
@@ -108,10 +108,10 @@
                     self._hear(now, self.who, message)
                 else:
                     self._out.append(
-                        (world.places[name], self.who.life.to_bytes(8, "big") + encode_messages([message]))
+                        (world.places[name], self.who.instance_id.to_bytes(8, "big") + encode_messages([message]))
                     )
-        if self.elector is not None and self.elector.unwritten and self._written is None:
-            promises, self.elector.unwritten = self.elector.unwritten, {}
+        if self.elector is not None and self.elector.unsaved and self._written is None:
+            promises, self.elector.unsaved = self.elector.unsaved, {}
             self._written = now + DISK * self._rng.random(), promises
         if self.claim is not None:
             for event in self.claim.events():
@@ -134,7 +134,7 @@
     disks: dict[str, dict[str, Promise]] = field(init=False)
     names: dict[Address, str] = field(init=False)
     places: dict[str, Address] = field(init=False)
-    highest: tuple[int, Who | None] = (0, None)
+    highest: tuple[int, CandidateId | None] = (0, None)
     offices: int = 0
     vacant_since: float | None = 0.0
     vacancies: list[float] = field(default_factory=list)
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -22,8 +22,8 @@
 
 from lugspur.cli.main import cli
 from lugspur.config.load import load
-from lugspur.daemon.leases.elector import Promise
 from lugspur.daemon.leases.memory import Memory, Spoilt
+from lugspur.daemon.leases.voter import Promise
 from lugspur.daemon.persistence.file import Unreadable, read, whole
 from lugspur.daemon.persistence.store import open_store
 from lugspur.daemon.run import Running
--- a/tests/daemon/leases/test_duties.py
+++ b/tests/daemon/leases/test_duties.py
@@ -9,8 +9,8 @@
 
 from lugspur.daemon.leases import timing
 from lugspur.daemon.leases.claim import STANDBY, order
-from lugspur.daemon.leases.elector import Elector
 from lugspur.daemon.leases.term import Ended, Term
+from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
 from lugspur.emulator.duties import CALM, LEASE, TwoInOffice, World, after_kill, play
 
@@ -38,13 +38,13 @@
 
 
 def test_a_build_without_the_silence_after_a_start_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin: Callable[..., None] = Elector.__init__
+    begin: Callable[..., None] = LeaseVoter.__init__
 
-    def at_once(self: Elector, lease: float, now: float, memory: object, floor: int) -> None:
+    def at_once(self: LeaseVoter, lease: float, now: float, memory: object, floor: int) -> None:
         begin(self, lease, now, memory, floor)
-        self.quiet_until = now
+        self.silent_until = now
 
-    monkeypatch.setattr(Elector, "__init__", at_once)
+    monkeypatch.setattr(LeaseVoter, "__init__", at_once)
     assert _caught(60, memory=False)
 
 
--- a/tests/daemon/leases/test_memory.py
+++ b/tests/daemon/leases/test_memory.py
@@ -8,8 +8,8 @@
 import pytest
 
 from lugspur.daemon.leases import memory as module
-from lugspur.daemon.leases.elector import Promise
 from lugspur.daemon.leases.memory import NAME, Memory, Spoilt, Taken
+from lugspur.daemon.leases.voter import Promise
 from lugspur.daemon.persistence.disk import Disk
 
 ONE, TWO = [Promise("d", 1, "a", 7)], [Promise("d", 2, "b", 8), Promise("e", 5, "a", 7)]
--- a/tests/daemon/leases/test_elector.py
+++ b/tests/daemon/leases/test_voter.py
@@ -2,23 +2,30 @@
 
 from __future__ import annotations
 
-from lugspur.daemon.leases.elector import DUTIES_MOST, WAITING_MOST, WRITING, Elector, Promise, Who
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
-
-A, B, OLD_A = Who("a", 1), Who("b", 1), Who("a", 0)
+from lugspur.daemon.leases.voter import (
+    MAX_ROLES,
+    MAX_WAITING_CANDIDATES,
+    SAVE_RETRY_DELAY_SECONDS,
+    CandidateId,
+    LeaseVoter,
+    Promise,
+)
+
+A, B, OLD_A = CandidateId("a", 1), CandidateId("b", 1), CandidateId("a", 0)
 LEASE = 10.0
 
 
 def elector(
     now: float = -LEASE, memory: list[Promise] | None = None, remembers: bool = False, floor: int = 0
-) -> Elector:
-    return Elector(LEASE, now, (memory or []) if remembers else None, floor)
+) -> LeaseVoter:
+    return LeaseVoter(LEASE, now, (memory or []) if remembers else None, floor)
 
 
-def said(one: Elector, now: float, who: Who, message: Message) -> Message | None:
+def said(one: LeaseVoter, now: float, who: CandidateId, message: Message) -> Message | None:
     """What it answers."""
-    one.heard(now, who, message)
-    out = [word for name, word in one.take() if name == who.name]
+    one.receive(now, who, message)
+    out = [word for name, word in one.take_messages() if name == who.name]
     assert len(out) <= 1
     return out[0] if out else None
 
@@ -42,22 +49,22 @@
     one = elector()
     said(one, 0.0, OLD_A, RequestLease("d", 1, 1, LEASE))
     assert said(one, 1.0, A, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 1, 1, "a", 1.0)
-    one.heard(1.0, A, ReleaseLease("d", 1, 5))
-    assert one.promised("d", 1.0) == (1, "a", 9.0)
+    one.receive(1.0, A, ReleaseLease("d", 1, 5))
+    assert one.current_promise("d", 1.0) == (1, "a", 9.0)
 
 
 def test_what_was_given_back_is_free_and_stays_so() -> None:
     one = elector()
     said(one, 0.0, A, RequestLease("d", 1, 1, LEASE))
     said(one, 0.5, B, RequestLease("d", 2, 1, LEASE))
-    one.heard(1.0, A, ReleaseLease("d", 1, 1))
-    assert one.take() == [("b", RoleAvailable("d", 1))]
+    one.receive(1.0, A, ReleaseLease("d", 1, 1))
+    assert one.take_messages() == [("b", RoleAvailable("d", 1))]
     assert said(one, 1.0, A, RequestLease("d", 1, 1, LEASE)) == DenyLease(
         "d", 1, 1, "", 0.0
     )  # late, or for the second time
     assert said(one, 1.0, B, RequestLease("d", 2, 2, LEASE)) == GrantLease("d", 2, 2)
-    one.heard(1.1, A, ReleaseLease("d", 1, 1))
-    assert one.promised("d", 1.1)[:2] == (2, "b")
+    one.receive(1.1, A, ReleaseLease("d", 1, 1))
+    assert one.current_promise("d", 1.1)[:2] == (2, "b")
 
 
 def test_what_others_or_an_older_round_give_back_counts_for_nothing() -> None:
@@ -69,8 +76,8 @@
         (A, ReleaseLease("d", 4, 7)),
         (A, ReleaseLease("d", 3, 6)),
     ):
-        one.heard(1.0, who, give)
-        assert one.promised("d", 1.0) == (3, "a", 9.0)
+        one.receive(1.0, who, give)
+        assert one.current_promise("d", 1.0) == (3, "a", 9.0)
 
 
 def test_the_same_message_ten_times_is_answered_as_once() -> None:
@@ -99,27 +106,27 @@
     assert said(one, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
     assert said(one, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
     assert said(one, 0.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease(
-        "d", 0, 1, "", WRITING
+        "d", 0, 1, "", SAVE_RETRY_DELAY_SECONDS
     )  # not before the first is settled
     assert one.promises() == [Promise("d", 1, "a", 1)]
-    one.unwritten = {}
-    one.written(5.0, ["d"])
-    assert one.take() == [("a", GrantLease("d", 1, 1))]
-    assert one.promised("d", 5.0) == (1, "a", LEASE)  # counted from when it is told
+    one.unsaved = {}
+    one.confirm_saved(5.0, ["d"])
+    assert one.take_messages() == [("a", GrantLease("d", 1, 1))]
+    assert one.current_promise("d", 5.0) == (1, "a", LEASE)  # counted from when it is told
     assert said(one, 6.0, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)  # renewing needs no disk
-    assert not one.unwritten
+    assert not one.unsaved
 
 
 def test_what_can_not_be_written_down_is_not_promised_and_its_epoch_is_used_up() -> None:
     one = elector(remembers=True)
     said(one, 0.0, A, RequestLease("d", 1, 1, LEASE))
-    one.unwritten = {}
-    one.written(0.0, ["d"])
-    one.take()
+    one.unsaved = {}
+    one.confirm_saved(0.0, ["d"])
+    one.take_messages()
     said(one, 10.0, B, RequestLease("d", 2, 1, LEASE))
-    one.unwritten = {}
-    one.unwritable(["d"])
-    assert one.take() == []
+    one.unsaved = {}
+    one.report_save_failure(["d"])
+    assert one.take_messages() == []
     for who in (A, B):  # the disk may name either
         assert isinstance(said(one, 10.0, who, RequestLease("d", 2, 9, LEASE)), DenyLease)
     assert isinstance(said(one, 10.0, A, RequestLease("d", 1, 9, LEASE)), DenyLease)
@@ -134,11 +141,11 @@
 
 def test_duties_and_those_who_wait_are_bounded() -> None:
     one = elector()
-    for number in range(DUTIES_MOST):
+    for number in range(MAX_ROLES):
         assert isinstance(said(one, 0.0, A, RequestLease(f"d{number}", 1, 1, LEASE)), GrantLease)
     assert isinstance(said(one, 0.0, A, RequestLease("one more", 1, 1, LEASE)), DenyLease)
     for number in range(100):
-        said(one, 0.0, Who(f"w{number}", 1), RequestLease("d0", 2, 1, LEASE))
-    one.heard(0.0, A, ReleaseLease("d0", 1, 1))
-    told = [name for name, word in one.take() if isinstance(word, RoleAvailable)]
-    assert told == [f"w{number}" for number in range(100 - WAITING_MOST, 100)]
+        said(one, 0.0, CandidateId(f"w{number}", 1), RequestLease("d0", 2, 1, LEASE))
+    one.receive(0.0, A, ReleaseLease("d0", 1, 1))
+    told = [name for name, word in one.take_messages() if isinstance(word, RoleAvailable)]
+    assert told == [f"w{number}" for number in range(100 - MAX_WAITING_CANDIDATES, 100)]
