--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -24,8 +24,8 @@
 from typing import Any, NamedTuple
 
 from lugspur.daemon.leases import timing
+from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message
-from lugspur.daemon.leases.term import Ended, Term
 from lugspur.daemon.leases.voter import CandidateId, LeaseVoter, Promise
 
 DUTY = "d"
@@ -93,7 +93,7 @@
         self._renamed: dict[tuple[int, Order], int] = {}
         self._told: dict[tuple[int, Order], int] = {}
 
-    def part(self, what: Kept | Term) -> int:
+    def part(self, what: Kept | LeaseTerm) -> int:
         """Its number."""
         key = freeze(what)
         number = self._numbers.get(key)
@@ -120,10 +120,10 @@
         found = self._renamed.get((number, order))
         if found is None:
             part = self.get(number)
-            if isinstance(part, Term):
+            if isinstance(part, LeaseTerm):
                 names = {name: NAMES[order.index(place)] for place, name in enumerate(NAMES)}
-                part._granted = {names[name] for name in part._granted}
-                part._refused = {names[name]: when for name, when in part._refused.items()}
+                part._granted_by = {names[name] for name in part._granted_by}
+                part._denied_until = {names[name]: when for name, when in part._denied_until.items()}
             found = self._renamed[number, order] = self.part(part)
         return found
 
@@ -143,7 +143,7 @@
         if known is None:
             part = self.get(number)
             found = self._act(part, how, clock, message)
-            out = part.elector.take_messages() if isinstance(part, Kept) else part.take()
+            out = part.elector.take_messages() if isinstance(part, Kept) else part.take_messages()
             sent = tuple(
                 self.message(PLACES[to], at, word)
                 for to, word in out
@@ -153,15 +153,15 @@
         return known
 
     def _act(self, part: Any, how: str, clock: float, number: int) -> Any:
-        if isinstance(part, Term):
+        if isinstance(part, LeaseTerm):
             if how == "hears":
                 _, origin, message = self.messages[number]
                 assert isinstance(message, GrantLease | DenyLease)
-                return part.epoch if part.reply(clock, NAMES[origin], message) is Ended.WON else 0
+                return part.epoch if part.receive(clock, NAMES[origin], message) is RoundResult.WON else 0
             acts: dict[str, Callable[[float], Any]] = {
-                "asks": part.ask,
-                "gives its round up": part.give_up,
-                "lays down": lambda _: part.lay_down(),
+                "asks": part.start_round,
+                "gives its round up": part.abandon_round,
+                "lays down": lambda _: part.release(),
             }
             acts[how](clock)
             return 0
@@ -185,7 +185,7 @@
         found = self._inside.get((number, clock))
         if found is None:
             term = self.get(number)
-            found = term.holds(clock) | term.asking << 1 | (term.round < self.limits.rounds) << 2
+            found = term.is_held(clock) | term.has_open_round << 1 | (term.round_number < self.limits.rounds) << 2
             self._inside[number, clock] = found
         return found
 
@@ -203,7 +203,7 @@
         """The latest round of one that wants it."""
         key = number, -2.0
         if key not in self._inside:
-            self._inside[key] = self.get(number).round
+            self._inside[key] = self.get(number).round_number
         return self._inside[key]
 
     def writing(self, number: int) -> bool:
@@ -239,7 +239,7 @@
         self._limits = limits
         self._parts = parts = Parts(limits)
         electors = [Kept(LeaseVoter(LEASE, -LEASE, [] if limits.memory else None, 0)) for _ in NAMES]
-        terms = [Term(DUTY, NAMES, LEASE, 0) for _ in WANTING]
+        terms = [LeaseTerm(DUTY, NAMES, LEASE, 0) for _ in WANTING]
         self.first = World(
             (*map(parts.part, electors), *map(parts.part, terms)),
             (),
@@ -416,15 +416,21 @@
     self.silent_until = now
 
 
-def _always_back(self: Term, now: float) -> Ended:
-    asked, self._asked = self._asked, 0
-    self._tell(asked)
-    return Ended.LOST
+def _always_back(self: LeaseTerm, now: float) -> RoundResult:
+    requested_epoch, self._requested_epoch = self._requested_epoch, 0
+    self._send_release(requested_epoch)
+    return RoundResult.LOST
 
 
 _elector = LeaseVoter.__init__
 BROKEN: dict[str, tuple[float, Any, str, Any, Limits]] = {
-    "no margin for clocks": (0.0, Term, "take", Term.take, Limits(rounds=2, steps=2, memory=False, prompt=True)),
+    "no margin for clocks": (
+        0.0,
+        LeaseTerm,
+        "take_messages",
+        LeaseTerm.take_messages,
+        Limits(rounds=2, steps=2, memory=False, prompt=True),
+    ),
     "no silence after a start": (
         APART,
         LeaseVoter,
@@ -434,8 +440,8 @@
     ),
     "promises given back in office": (
         APART,
-        Term,
-        "give_up",
+        LeaseTerm,
+        "abandon_round",
         _always_back,
         Limits(rounds=2, steps=0, memory=False, prompt=True),
     ),
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -199,7 +199,7 @@
             if heirs:
                 self._handed.append((heirs[0], RoleAvailable(duty, claim.term.epoch)))
             self._handed += [
-                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round)) for name in claim.term.electors
+                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round_number)) for name in claim.term.voters
             ]
         for delay in (0.0, *AGAIN):
             self._loop.call_later(delay, self._say_again)
@@ -310,7 +310,7 @@
 
     def _turned(self, turned: Turned | Won) -> None:
         if self._history is not None and (isinstance(turned, Won) or not turned.holds):
-            left = self.claims[turned.duty].term.left(clock.now()) if isinstance(turned, Won) else 0.0
+            left = self.claims[turned.duty].term.remaining(clock.now()) if isinstance(turned, Won) else 0.0
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
@@ -406,9 +406,9 @@
                 {
                     "duty": duty,
                     "ours": held,
-                    "epoch": term.epoch if held else term.heard,
+                    "epoch": term.epoch if held else term.highest_epoch,
                     "holder": self._row.member if held else term.holder,
-                    "left": round(term.left(now), 3),
+                    "left": round(term.remaining(now), 3),
                 }
             )
         down, vain = ({}, 0) if self.probers is None else (self.probers.down(), self.probers.vain)
@@ -427,7 +427,7 @@
         claim = self.claims[duty]
         if epoch is None:
             return 409, json.dumps({"duty": duty, "holder": claim.term.holder})
-        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.left(clock.now()), 3)})
+        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.remaining(clock.now()), 3)})
 
 
 def _version() -> str:
--- a/lugspur/daemon/leases/claim.py
+++ b/lugspur/daemon/leases/claim.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
+from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, RoleAvailable
-from lugspur.daemon.leases.term import Ended, Term
 from lugspur.daemon.leases.timing import RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, holder_lease_seconds
 
 STANDBY = 3  # of those that want it, who ask as soon as it is free: as many as may die in one lease time
@@ -56,7 +56,7 @@
         rng: random.Random,
         rank: Callable[[str], int],
     ) -> None:
-        self.term = Term(duty, electors, lease, rng.randrange(1 << 40))
+        self.term = LeaseTerm(duty, electors, lease, rng.randrange(1 << 40))
         self._rng, self._rank = rng, rank
         self._wanted = True
         self._free = now  # when it may be promised to somebody, by what is known
@@ -68,11 +68,11 @@
     @property
     def duty(self) -> str:
         """Its name."""
-        return self.term.duty
+        return self.term.role
 
     def take(self) -> list[tuple[str, Message]]:
         """What is to be told, and to which elector."""
-        return self.term.take()
+        return self.term.take_messages()
 
     def events(self) -> list[Turned | Won]:
         """What has turned since the last time."""
@@ -81,15 +81,15 @@
 
     def epoch(self, now: float, needs: float = 0.0) -> int | None:
         """What an act has to carry that takes so many seconds; None: it must not begin. Ask right before each act."""
-        return self._in if self._in and self.term.left(now) > needs else None
+        return self._in if self._in and self.term.remaining(now) > needs else None
 
     # ---- time --------------------------------------------------------------------------------------
 
     def due(self) -> float:
         """When `tick` is wanted next."""
-        times = [self.term.until] if self._in else []
-        if self.term.asking:
-            times += [self.term.round_ends, self.term.again_at()]
+        times = [self.term.expires_at] if self._in else []
+        if self.term.has_open_round:
+            times += [self.term.round_deadline, self.term.retry_at()]
         elif self._wanted:
             times.append(self._next)
         return min(times, default=float("inf"))
@@ -97,15 +97,15 @@
     def tick(self, now: float) -> None:
         """Do what is due."""
         self._look(now, "not renewed in time")
-        if self.term.asking and now >= self.term.round_ends:
-            self._after(now, self.term.give_up(now))
-        elif self.term.asking:
-            self.term.again(now)
-        if self._wanted and not self.term.asking and now >= self._next:
-            self.term.ask(now)
+        if self.term.has_open_round and now >= self.term.round_deadline:
+            self._after(now, self.term.abandon_round(now))
+        elif self.term.has_open_round:
+            self.term.retry(now)
+        if self._wanted and not self.term.has_open_round and now >= self._next:
+            self.term.start_round(now)
 
     def _look(self, now: float, why: str) -> None:
-        epoch = self.term.epoch if self.term.holds(now) else 0
+        epoch = self.term.epoch if self.term.is_held(now) else 0
         if epoch == self._in:
             return
         self._events.append(Turned(self.duty, epoch or self._in, epoch > 0, why))
@@ -118,31 +118,31 @@
     def heard(self, now: float, name: str, message: GrantLease | DenyLease | RoleAvailable) -> None:
         """A word of an elector, or of the former holder that hands on."""
         if isinstance(message, RoleAvailable):
-            self.term.heard = max(self.term.heard, message.epoch)
+            self.term.highest_epoch = max(self.term.highest_epoch, message.epoch)
             self._freed = now
-            if not self._in and not self.term.asking:
+            if not self._in and not self.term.has_open_round:
                 self._next = min(self._next, now + STEP * self._rank(self.duty))
             return
-        ended = self.term.reply(now, name, message)
+        ended = self.term.receive(now, name, message)
         if ended is not None:
             self._after(now, ended)
 
-    def _after(self, now: float, ended: Ended) -> None:
-        if ended is Ended.WON:
-            self._next = now + RENEWAL_FRACTION * holder_lease_seconds(self.term.lease)
+    def _after(self, now: float, ended: RoundResult) -> None:
+        if ended is RoundResult.WON:
+            self._next = now + RENEWAL_FRACTION * holder_lease_seconds(self.term.lease_seconds)
             self._events.append(Won(self.duty, self.term.epoch))
             self._look(now, "promised by a majority")
             return
         self._look(now, "not renewed in time")
         if self._in:
-            self._next = now + RENEWAL_RETRY_FRACTION * holder_lease_seconds(self.term.lease) * (
+            self._next = now + RENEWAL_RETRY_FRACTION * holder_lease_seconds(self.term.lease_seconds) * (
                 0.5 + self._rng.random()
             )
             return
         # Guards who is next against a round that began before the promises had come back: refusals are out of date.
-        self._free = now if self._freed >= self.term.began else self.term.free_at(now)
+        self._free = now if self._freed >= self.term.round_started_at else self.term.available_at(now)
         if self._free <= now:  # an epoch that was used already, or two that have asked at once
-            self._next = now + BACK_OFF * self.term.round_within * self._rng.random()
+            self._next = now + BACK_OFF * self.term.round_timeout * self._rng.random()
         else:
             self._next = self._free + self._patience()
 
@@ -151,11 +151,11 @@
         rank = self._rank(self.duty)
         if rank < STANDBY:
             return STEP * rank
-        return self.term.lease * (min(rank, RARELY_MOST) + self._rng.random())
+        return self.term.lease_seconds * (min(rank, RARELY_MOST) + self._rng.random())
 
     def others_changed(self, now: float) -> None:
         """Somebody came or went: this one may stand by now."""
-        if not self._in and not self.term.asking and self._rank(self.duty) < STANDBY:
+        if not self._in and not self.term.has_open_round and self._rank(self.duty) < STANDBY:
             self._next = min(self._next, max(now, self._free) + self._patience())
 
     # ---- its owner -----------------------------------------------------------------------------------
@@ -167,9 +167,9 @@
 
     def hand_on(self, now: float) -> bool:
         """Give it back and want it no more; whether it was held."""
-        held = self.term.holds(now)
-        if held or self.term.asking:
-            self.term.lay_down()
+        held = self.term.is_held(now)
+        if held or self.term.has_open_round:
+            self.term.release()
         self._wanted = False
         self._look(now, "handed on")
         return held
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -172,7 +172,7 @@
         return [
             node
             for address, node in self.nodes().items()
-            if node.claim is not None and node.claim.term.holds(self.network.clock(address))
+            if node.claim is not None and node.claim.term.is_held(self.network.clock(address))
         ]
 
     def turned(self, node: Node, holds: bool, epoch: int) -> None:
--- a/tests/daemon/leases/test_duties.py
+++ b/tests/daemon/leases/test_duties.py
@@ -9,7 +9,7 @@
 
 from lugspur.daemon.leases import timing
 from lugspur.daemon.leases.claim import STANDBY, order
-from lugspur.daemon.leases.term import Ended, Term
+from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
 from lugspur.emulator.duties import CALM, LEASE, TwoInOffice, World, after_kill, play
@@ -49,12 +49,12 @@
 
 
 def test_a_build_that_keeps_its_office_while_it_gives_back_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def give_up(self: Term, now: float) -> Ended:
-        asked, self._asked = self._asked, 0
-        self._tell(asked)
-        return Ended.LOST
+    def abandon_round(self: LeaseTerm, now: float) -> RoundResult:
+        requested_epoch, self._requested_epoch = self._requested_epoch, 0
+        self._send_release(requested_epoch)
+        return RoundResult.LOST
 
-    monkeypatch.setattr(Term, "give_up", give_up)
+    monkeypatch.setattr(LeaseTerm, "abandon_round", abandon_round)
     assert _caught(60)
 
 
@@ -83,7 +83,7 @@
     def after(address: tuple[str, int], node: object) -> None:
         nonlocal asked
         assert isinstance(node, duties.Node)
-        asked += len(node.claim.term._out) if node.claim is not None else 0
+        asked += len(node.claim.term._outbox) if node.claim is not None else 0
 
     network.after = after
     network.run(CALM)
