--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -19,7 +19,7 @@
 from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
 from lugspur.daemon.gossip.transport import Transport, bound
 from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
-from lugspur.daemon.leases.claim import Claim, Turned, Won, order
+from lugspur.daemon.leases.candidate import Candidate, LeadershipChanged, LeaseAcquired, rendezvous_order
 from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
 from lugspur.daemon.leases.messages import (
     DenyLease,
@@ -53,7 +53,7 @@
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
         self._facts = Facts(zone[:ZONE_MOST], _version(), time.time())
-        self.claims: dict[str, Claim] = {}
+        self.claims: dict[str, Candidate] = {}
         self.elector: LeaseVoter | None = None
         self._memory: Memory | None = None
         self._writing = False
@@ -143,17 +143,17 @@
 
     # ---- duties ------------------------------------------------------------------------------------
 
-    def want(self, duty: str) -> Claim:
+    def want(self, duty: str) -> Candidate:
         """Ask for a duty from now on, whenever nobody holds it."""
         row = self._row
-        claim = self.claims[duty] = Claim(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
+        claim = self.claims[duty] = Candidate(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
         if self._drained:  # a reload brings a duty while callers are sent away: it is wanted once they are taken again
-            claim.hand_on(clock.now())
+            claim.resign(clock.now())
         return claim
 
     def drop(self, duty: str) -> None:
         """Want a duty no more."""
-        self.claims[duty].hand_on(clock.now())
+        self.claims[duty].resign(clock.now())
         self._woken(clock.now())
         del self.claims[duty]
         self.transport.turn()
@@ -178,14 +178,14 @@
     def may(self, duty: str, needs: float = 0.0) -> int | None:
         """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
         claim = self.claims.get(duty)
-        return None if claim is None else claim.epoch(clock.now(), needs)
+        return None if claim is None else claim.fencing_token(clock.now(), needs)
 
     def _rank(self, duty: str) -> int:
         return self._ordered(duty).index(self._row.member)
 
     def _ordered(self, duty: str) -> list[str]:
         ready = [name for name, record in self.fleet.there().items() if not record.facts.draining]
-        return order(duty, list({*ready, self._row.member}))
+        return rendezvous_order(duty, list({*ready, self._row.member}))
 
     def hand_on(self) -> None:
         """This daemon goes: its duties go to those who are next, at once."""
@@ -193,7 +193,7 @@
         facts = self._facts
         self.fleet.tell(clock.now(), Facts(facts.zone, facts.version, facts.started, True, facts.rate))
         for duty, claim in self.claims.items():
-            if not claim.hand_on(clock.now()):
+            if not claim.resign(clock.now()):
                 continue
             heirs = [name for name in self._ordered(duty) if name != self._row.member]
             if heirs:
@@ -214,7 +214,7 @@
         self._drained = False
         self.fleet.tell(clock.now(), self._facts)
         for claim in self.claims.values():
-            claim.want(clock.now())
+            claim.campaign(clock.now())
         self.transport.turn()
 
     def leave(self) -> None:
@@ -253,7 +253,7 @@
             host, port = record.address
             self.say(f"member {record.name} {SAID[Status(record.status)]} ({event.cause}) at {host}:{port}")
             for claim in self.claims.values():
-                claim.others_changed(clock.now())
+                claim.members_changed(clock.now())
 
     def _body(self, event: Posted) -> None:
         with suppress(MalformedMessageError):
@@ -268,7 +268,7 @@
             return
         claim = self.claims.get(message.role)
         if claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
-            claim.heard(now, who.name, message)
+            claim.receive(now, who.name, message)
 
     def _dues(self) -> Iterator[float]:
         for claim in self.claims.values():
@@ -281,7 +281,7 @@
             if now >= claim.due():
                 claim.tick(now)
         while True:
-            said = [word for claim in self.claims.values() for word in claim.take()]
+            said = [word for claim in self.claims.values() for word in claim.take_messages()]
             if self.elector is not None:
                 said += self.elector.take_messages()
             if not said:
@@ -293,7 +293,7 @@
                 else:
                     out.append((name, message))
         for claim in self.claims.values():
-            for event in claim.events():
+            for event in claim.take_events():
                 self._turned(event)
         if self._memory is not None and self.elector is not None and self.elector.unsaved and not self._writing:
             self._write(self._memory, self.elector)
@@ -308,24 +308,24 @@
             for at in range(0, len(words), BODY_MESSAGES):
                 self.fleet.post(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
 
-    def _turned(self, turned: Turned | Won) -> None:
-        if self._history is not None and (isinstance(turned, Won) or not turned.holds):
-            left = self.claims[turned.duty].term.remaining(clock.now()) if isinstance(turned, Won) else 0.0
+    def _turned(self, turned: LeadershipChanged | LeaseAcquired) -> None:
+        if self._history is not None and (isinstance(turned, LeaseAcquired) or not turned.is_leader):
+            left = self.claims[turned.role].term.remaining(clock.now()) if isinstance(turned, LeaseAcquired) else 0.0
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
                 "life": self.fleet.me.life,
-                "duty": turned.duty,
+                "duty": turned.role,
                 "epoch": turned.epoch,
                 "left": left,
             }
             self._history.write(json.dumps(row) + "\n")
-        if isinstance(turned, Won):
+        if isinstance(turned, LeaseAcquired):
             return
         if self.probers is not None:
             self.probers.turned(turned)
-        what = "is ours" if turned.holds else "is ours no more"
-        self.say(f"duty {turned.duty} {what} under epoch {turned.epoch}: {turned.why}")
+        what = "is ours" if turned.is_leader else "is ours no more"
+        self.say(f"duty {turned.role} {what} under epoch {turned.epoch}: {turned.reason}")
 
     # ---- an elector's memory -----------------------------------------------------------------------
 
@@ -401,7 +401,7 @@
         rows = []
         for duty, claim in sorted(self.claims.items()):
             term = claim.term
-            held = claim.epoch(now) is not None
+            held = claim.fencing_token(now) is not None
             rows.append(
                 {
                     "duty": duty,
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -10,7 +10,7 @@
 from lugspur.config.model import Check
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
-from lugspur.daemon.leases.claim import STANDBY, Claim, Turned
+from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, Candidate, LeadershipChanged
 from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.discovery.announce import Checked, check
 from lugspur.discovery.rows import server_id, server_name
@@ -29,7 +29,7 @@
 class DutyHolder(Protocol):
     """The daemon's place in its fleet, as far as duties of probing need it."""
 
-    claims: dict[str, Claim]
+    claims: dict[str, Candidate]
     transport: Transport
 
     @property
@@ -40,7 +40,7 @@
     def say(self) -> Callable[[str], None]:
         """Writes a line to the log."""
 
-    def want(self, duty: str) -> Claim:
+    def want(self, duty: str) -> Candidate:
         """Ask for a duty from now on, whenever nobody holds it."""
 
     def drop(self, duty: str) -> None:
@@ -160,16 +160,16 @@
         # Who holds it is known to those who stand by; one of them may hold it.
         holder = self._company.claims[pool.duty].term.holder
         names = dict.fromkeys([holder] if holder else [])
-        names |= dict.fromkeys(self._company.first(pool.duty, STANDBY))
+        names |= dict.fromkeys(self._company.first(pool.duty, STANDBY_CANDIDATES))
         for name in names:
             if name != self._company.name:
                 self._company.post(name, PROBING, pack(doubt))
         self._company.transport.turn()
 
-    def turned(self, turned: Turned) -> None:
+    def turned(self, turned: LeadershipChanged) -> None:
         """A duty is this process's, or no more."""
         for name, pool in self._pools.items():
-            if pool.duty == turned.duty and turned.holds:
+            if pool.duty == turned.role and turned.is_leader:
                 pool.prober.begin(clock.now(), pool.hearsay.said(clock.now()))
                 pool.told = -1
                 self._loop.call_soon(self._doubt_again, name)
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lugspur.daemon.leases.claim import Claim, Turned, order
+from lugspur.daemon.leases.candidate import Candidate, LeadershipChanged, rendezvous_order
 from lugspur.daemon.leases.messages import (
     DenyLease,
     GrantLease,
@@ -50,15 +50,15 @@
         if number < world.electors:
             memory = list(world.disks[self.name].values()) if world.memory else None
             self.elector = LeaseVoter(LEASE, now, memory, int(WALL + 1000.0 * world.network.now))
-        self.claim: Claim | None = None
+        self.claim: Candidate | None = None
         if number >= world.electors or world.all_want:
             names = [f"n{at}" for at in range(world.electors)]
-            self.claim = Claim(DUTY, names, LEASE, now, self._rng, self._rank)
+            self.claim = Candidate(DUTY, names, LEASE, now, self._rng, self._rank)
         self._written: tuple[float, dict[str, Promise]] | None = None  # what reaches the disk, and when
         self._out: list[tuple[Address, bytes]] = []
 
     def _rank(self, duty: str) -> int:
-        return order(duty, self._world.wanting()).index(self.name)
+        return rendezvous_order(duty, self._world.wanting()).index(self.name)
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
         """Words of another."""
@@ -70,7 +70,7 @@
             if self.elector is not None:
                 self.elector.receive(now, who, message)
         elif self.claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
-            self.claim.heard(now, who.name, message)
+            self.claim.receive(now, who.name, message)
 
     def due(self) -> float:
         """When it wants to be woken."""
@@ -92,14 +92,14 @@
     def hand_on(self, now: float) -> None:
         """It gives the duty back, and wants it again."""
         assert self.claim is not None
-        self.claim.hand_on(now)
-        self.claim.want(now)
+        self.claim.resign(now)
+        self.claim.campaign(now)
 
     def take(self) -> list[tuple[Address, bytes]]:
         """What it has to say."""
         world, now = self._world, self._world.network.clock(self.address)
         while True:
-            said = self.claim.take() if self.claim is not None else []
+            said = self.claim.take_messages() if self.claim is not None else []
             said += self.elector.take_messages() if self.elector is not None else []
             if not said:
                 break
@@ -114,9 +114,9 @@
             promises, self.elector.unsaved = self.elector.unsaved, {}
             self._written = now + DISK * self._rng.random(), promises
         if self.claim is not None:
-            for event in self.claim.events():
-                if isinstance(event, Turned):
-                    world.turned(self, event.holds, event.epoch)
+            for event in self.claim.take_events():
+                if isinstance(event, LeadershipChanged):
+                    world.turned(self, event.is_leader, event.epoch)
         out, self._out = self._out, []
         return out
 
--- a/tests/daemon/leases/test_duties.py
+++ b/tests/daemon/leases/test_duties.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lugspur.daemon.leases import timing
-from lugspur.daemon.leases.claim import STANDBY, order
+from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, rendezvous_order
 from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
@@ -91,7 +91,7 @@
     asked = 0
     network.run(60.0)
     # The holder and two that stand by ask three electors some three times a lease; all the others seldom.
-    assert asked / 60.0 <= 3 * 3 * (3 + STANDBY + 200 / 30) / LEASE
+    assert asked / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE
     assert len(world.holders()) == 1
 
 
@@ -113,8 +113,8 @@
     names = [f"m{number}" for number in range(50)]
     rng = Random(1)
     for duty in ("a", "b", "c"):
-        found = order(duty, names)
-        assert found == order(duty, rng.sample(names, 50))
+        found = rendezvous_order(duty, names)
+        assert found == rendezvous_order(duty, rng.sample(names, 50))
         without = [name for name in found if name != found[7]]
-        assert order(duty, without) == without
-    assert order("a", names) != order("b", names)
+        assert rendezvous_order(duty, without) == without
+    assert rendezvous_order("a", names) != rendezvous_order("b", names)
