--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -20,7 +20,6 @@
 from lugspur.daemon.gossip.transport import Transport, bound
 from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
 from lugspur.daemon.leases.candidate import Candidate, LeadershipChanged, LeaseAcquired, rendezvous_order
-from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
 from lugspur.daemon.leases.messages import (
     DenyLease,
     GrantLease,
@@ -32,6 +31,7 @@
     decode_messages,
     encode_messages,
 )
+from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore, PromiseStoreInUseError
 from lugspur.daemon.leases.voter import CandidateId, LeaseVoter
 from lugspur.daemon.probers import PROBING, Probers
 
@@ -55,7 +55,7 @@
         self._facts = Facts(zone[:ZONE_MOST], _version(), time.time())
         self.claims: dict[str, Candidate] = {}
         self.elector: LeaseVoter | None = None
-        self._memory: Memory | None = None
+        self._memory: PromiseStore | None = None
         self._writing = False
         self._handed: list[tuple[str, Message]] = []
         self._drained = False
@@ -115,16 +115,16 @@
         if row.folder:
             folder = resolved(row.folder, self._beside)
             try:
-                self._memory = Memory(folder, row.member, row.lease)
-            except Taken as fault:
+                self._memory = PromiseStore(folder, row.member, row.lease)
+            except PromiseStoreInUseError as fault:
                 raise OSError(f"fleet: {folder} is another elector's, which runs") from fault
-            except Spoilt as fault:
+            except CorruptPromiseStoreError as fault:
                 # Guards against epochs that go back: only operators can know that nothing was promised since.
                 raise OSError(f"fleet: {folder}: promises can't be read: {fault}") from fault
             except OSError as fault:
                 raise OSError(f"fleet: {folder}: {fault.strerror or fault}") from fault
-            lease, promises = self._memory.lease, self._memory.promises
-            if self._memory.fresh:
+            lease, promises = self._memory.lease_seconds, self._memory.promises
+            if self._memory.is_new:
                 self.say(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
         self.elector = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
@@ -329,7 +329,7 @@
 
     # ---- an elector's memory -----------------------------------------------------------------------
 
-    def _write(self, memory: Memory, elector: LeaseVoter) -> None:
+    def _write(self, memory: PromiseStore, elector: LeaseVoter) -> None:
         """Write promises down, in a thread; they are told when they will survive."""
         promises = elector.promises()
         duties, elector.unsaved = list(elector.unsaved), {}
--- /dev/null
+++ b/lugspur/daemon/leases/promise_store.py
@@ -0,0 +1,108 @@
+"""An elector's memory: a file that is replaced as a whole, synced, before anything of it is told. Blocking."""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Iterable
+from hashlib import sha256
+
+import msgspec
+
+from lugspur.daemon.leases.messages import EPOCH_LIMIT, MAX_ROLE_CHARACTERS
+from lugspur.daemon.leases.voter import MAX_ROLES, Promise
+from lugspur.daemon.persistence.disk import Disk
+
+PROMISES_FILE, TEMPORARY_FILE, LOCK_FILE = "promises", "promises.new", "promises.lock"
+FORMAT = "lugspur promises 1"
+MAX_FILE_BYTES = 1 << 20  # bytes: 512 promises of some 200 bytes take a tenth of it
+
+
+class PromiseStoreInUseError(Exception):
+    """Another process keeps its promises in this folder."""
+
+
+class CorruptPromiseStoreError(Exception):
+    """The file is not what was written: what it promised can't be known."""
+
+
+class _PromiseRecord(msgspec.Struct, rename={"role": "duty", "instance_id": "life"}):
+    role: str
+    epoch: int
+    name: str
+    instance_id: int
+
+
+class _PromiseFile(msgspec.Struct, rename={"voter": "elector", "lease_seconds": "lease"}):
+    form: str
+    voter: str
+    lease_seconds: float
+    promises: list[_PromiseRecord]
+
+
+class PromiseStore:
+    """The folder of one elector. `lease`: the longest that it ever promised for, in seconds."""
+
+    def __init__(self, folder: str, voter: str, lease_seconds: float) -> None:
+        self._disk = Disk(folder)
+        self._voter = voter
+        self._lock = None
+        try:
+            self._lock = self._disk.lock(LOCK_FILE)
+            if self._lock is None:
+                raise PromiseStoreInUseError
+            found = self._read()
+        except BaseException:
+            self.close()
+            raise
+        self.lease_seconds = lease_seconds if found is None else max(lease_seconds, found.lease_seconds)
+        self.is_new = found is None  # it holds nothing: a new one, or one that was lost
+        self.promises = (
+            [] if found is None else [Promise(row.role, row.epoch, row.name, row.instance_id) for row in found.promises]
+        )
+
+    def _read(self) -> _PromiseFile | None:
+        try:
+            data = self._disk.read(PROMISES_FILE, MAX_FILE_BYTES)
+        except FileNotFoundError:
+            return None
+        except ValueError as fault:
+            raise CorruptPromiseStoreError(str(fault)) from fault
+        body, _, mark = data.rpartition(b"\n")
+        if sha256(body).hexdigest().encode() != mark:
+            raise CorruptPromiseStoreError("its checksum is wrong")
+        try:
+            found = msgspec.json.decode(body, type=_PromiseFile)
+        except msgspec.DecodeError as fault:
+            raise CorruptPromiseStoreError(str(fault)) from fault
+        if found.form != FORMAT:
+            raise CorruptPromiseStoreError(f"its form is {found.form[:40]!r}, not {FORMAT!r}")
+        if found.voter != self._voter:
+            raise CorruptPromiseStoreError(f"it is that of elector {found.voter[:48]!r}")
+        rows = found.promises
+        if len(rows) > MAX_ROLES or any(
+            not 0 <= row.epoch < EPOCH_LIMIT or not 0 < len(row.role) <= MAX_ROLE_CHARACTERS for row in rows
+        ):
+            raise CorruptPromiseStoreError("it promises what cannot be")
+        return found
+
+    def write(self, promises: Iterable[Promise]) -> None:
+        """Replace it; raises OSError, and then the former or this one is there."""
+        rows = [_PromiseRecord(p.role, p.epoch, p.name, p.instance_id) for p in promises]
+        body = msgspec.json.encode(_PromiseFile(FORMAT, self._voter, self.lease_seconds, rows))
+        data = memoryview(body + b"\n" + sha256(body).hexdigest().encode())
+        fd = self._disk.create(TEMPORARY_FILE)
+        try:
+            while data:
+                data = data[self._disk.write(fd, data) :]
+            self._disk.sync(fd)
+        finally:
+            self._disk.end(fd)
+        self._disk.rename(TEMPORARY_FILE, PROMISES_FILE)
+        self._disk.sync_folder()
+
+    def close(self) -> None:
+        """Let others have the folder."""
+        if self._lock is not None:
+            os.close(self._lock)
+            self._lock = None
+        self._disk.close()
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -22,7 +22,7 @@
 
 from lugspur.cli.main import cli
 from lugspur.config.load import load
-from lugspur.daemon.leases.memory import Memory, Spoilt
+from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore
 from lugspur.daemon.leases.voter import Promise
 from lugspur.daemon.persistence.file import Unreadable, read, whole
 from lugspur.daemon.persistence.store import open_store
@@ -238,8 +238,8 @@
 
 def test_the_promises_of_a_voter_are_read_and_written_again_to_the_same_bytes(tmp_path: Path) -> None:
     left(tmp_path, {"promises": PROMISES})
-    kept = Memory(str(tmp_path), "edge-1", 0.5)
-    assert kept.lease == 2.0
+    kept = PromiseStore(str(tmp_path), "edge-1", 0.5)
+    assert kept.lease_seconds == 2.0
     assert kept.promises == [
         Promise("nightly-report", 7, "edge-2", (1 << 40) - 1),
         Promise("probe:main", 1700000000123, "", 0),
@@ -252,7 +252,7 @@
 
 
 def test_a_voter_without_promises_writes_an_empty_list(tmp_path: Path) -> None:
-    kept = Memory(str(tmp_path), "edge-1", 10.0)
+    kept = PromiseStore(str(tmp_path), "edge-1", 10.0)
     kept.write([])
     kept.close()
     assert found(tmp_path) == {"promises": NO_PROMISES, "promises.lock": b""}
@@ -267,8 +267,8 @@
 )
 def test_the_reasons_for_which_promises_are_rejected_stay(tmp_path: Path, name: str, data: bytes, reason: str) -> None:
     left(tmp_path, {"promises": data})
-    with pytest.raises(Spoilt) as raised:
-        Memory(str(tmp_path), name, 1.0)
+    with pytest.raises(CorruptPromiseStoreError) as raised:
+        PromiseStore(str(tmp_path), name, 1.0)
     assert str(raised.value) == reason
 
 
--- a/tests/daemon/leases/test_memory.py
+++ b/tests/daemon/leases/test_promise_store.py
@@ -7,8 +7,13 @@
 
 import pytest
 
-from lugspur.daemon.leases import memory as module
-from lugspur.daemon.leases.memory import NAME, Memory, Spoilt, Taken
+from lugspur.daemon.leases import promise_store as module
+from lugspur.daemon.leases.promise_store import (
+    PROMISES_FILE,
+    CorruptPromiseStoreError,
+    PromiseStore,
+    PromiseStoreInUseError,
+)
 from lugspur.daemon.leases.voter import Promise
 from lugspur.daemon.persistence.disk import Disk
 
@@ -16,45 +21,45 @@
 
 
 def test_what_was_written_is_read(tmp_path: Path) -> None:
-    first = Memory(str(tmp_path), "x", 10.0)
-    assert first.fresh and first.promises == []
+    first = PromiseStore(str(tmp_path), "x", 10.0)
+    assert first.is_new and first.promises == []
     first.write(ONE)
     first.write(TWO)
     first.close()
-    second = Memory(str(tmp_path), "x", 5.0)
-    assert not second.fresh and second.promises == TWO
-    assert second.lease == 10.0  # the longest that was ever promised for
+    second = PromiseStore(str(tmp_path), "x", 5.0)
+    assert not second.is_new and second.promises == TWO
+    assert second.lease_seconds == 10.0  # the longest that was ever promised for
     second.close()
 
 
 def test_one_elector_to_a_folder(tmp_path: Path) -> None:
-    first = Memory(str(tmp_path), "x", 10.0)
-    with pytest.raises(Taken):
-        Memory(str(tmp_path), "x", 10.0)
+    first = PromiseStore(str(tmp_path), "x", 10.0)
+    with pytest.raises(PromiseStoreInUseError):
+        PromiseStore(str(tmp_path), "x", 10.0)
     first.write(ONE)
     first.close()
-    with pytest.raises(Spoilt, match="elector 'x'"):
-        Memory(str(tmp_path), "y", 10.0)
+    with pytest.raises(CorruptPromiseStoreError, match="elector 'x'"):
+        PromiseStore(str(tmp_path), "y", 10.0)
 
 
 def test_every_flipped_byte_and_every_cut_is_noticed(tmp_path: Path) -> None:
-    first = Memory(str(tmp_path), "x", 10.0)
+    first = PromiseStore(str(tmp_path), "x", 10.0)
     first.write(ONE)
     first.close()
-    whole = (tmp_path / NAME).read_bytes()
+    whole = (tmp_path / PROMISES_FILE).read_bytes()
     spoilt = [whole[:at] for at in range(len(whole))]
     spoilt += [whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :] for at in range(len(whole))]
     for data in spoilt:
-        (tmp_path / NAME).write_bytes(data)
-        with pytest.raises(Spoilt):
-            Memory(str(tmp_path), "x", 10.0)
+        (tmp_path / PROMISES_FILE).write_bytes(data)
+        with pytest.raises(CorruptPromiseStoreError):
+            PromiseStore(str(tmp_path), "x", 10.0)
 
 
 @pytest.mark.parametrize("call", ["create", "write", "sync", "end", "rename", "sync_folder"])
 def test_a_disk_that_fails_at_any_call_leaves_the_former_or_the_new(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    first = Memory(str(tmp_path), "x", 10.0)
+    first = PromiseStore(str(tmp_path), "x", 10.0)
     first.write(ONE)
 
     def fails(*_: object) -> None:
@@ -65,8 +70,8 @@
         with pytest.raises(OSError):
             first.write(TWO)
     first.close()
-    second = Memory(str(tmp_path), "x", 10.0)
+    second = PromiseStore(str(tmp_path), "x", 10.0)
     assert second.promises in (ONE, TWO)
     second.write(TWO)
     second.close()
-    assert module.NAME in {path.name for path in tmp_path.iterdir()}
+    assert module.PROMISES_FILE in {path.name for path in tmp_path.iterdir()}
