--- a/lugspur/probing/hearsay.py
+++ b/lugspur/probing/hearsay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.daemon.leases.fence import Fence
+from lugspur.daemon.leases.fencing import FencingTokenValidator
 from lugspur.probing.messages import Verdict
 
 REFRESH = 1.0  # seconds between two tellings of the same, while something is down
@@ -15,7 +15,7 @@
 
     def __init__(self, duty: str) -> None:
         self._duty = duty
-        self._fence = Fence()
+        self._fence = FencingTokenValidator()
         self._serial = (0, -1)  # epoch and number of the latest telling
         self._until = float("-inf")
         self._down: tuple[str, ...] = ()
