--- a/lugspur/daemon/leases/candidate.py
+++ b/lugspur/daemon/leases/candidate.py
@@ -1,7 +1,8 @@
-"""When a process asks for a duty that it wants, and when again: without I/O, and without a herd.
+"""When a candidate requests the lease of a role, and when it tries again: without I/O, and without a thundering herd.
 
-All that want a duty are ordered by a draw that everybody makes alike, over those that are there. The first few stand
-by: they ask when it becomes free. The others ask ever more rarely, for the case that those few can't.
+All candidates for a role are ordered by rendezvous hashing over the members that are present, so that all of them
+compute the same order. The first few stand by: they request the lease as soon as it becomes available. The others
+request it at growing intervals, for the case that none of those few can.
 """
 
 from __future__ import annotations
@@ -15,17 +16,19 @@
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, RoleAvailable
 from lugspur.daemon.leases.timing import RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, holder_lease_seconds
 
-STANDBY_CANDIDATES = 3  # of those that want it, who ask as soon as it is free: as many as may die in one lease time
-STANDBY_STAGGER_SECONDS = 0.05  # seconds between two of them: a round on one machine's network takes a few milliseconds
-MAX_RETRY_DELAY_LEASES = 30  # leases between two tries of one that does not stand by
-CONTENTION_BACKOFF_FRACTION = (
-    0.3  # of a round's time, drawn, after two that asked at once have spoilt it for each other
-)
+#: How many candidates request a lease as soon as it is available: as many as may fail within the time of one lease.
+STANDBY_CANDIDATES = 3
+#: The delay from one standby candidate to the next. A round takes a few milliseconds in one network.
+STANDBY_STAGGER_SECONDS = 0.05
+#: The longest time between two attempts of a candidate that does not stand by, in leases.
+MAX_RETRY_DELAY_LEASES = 30
+#: The share of a round's time, times a random number, to wait after two candidates kept each other from a majority.
+CONTENTION_BACKOFF_FRACTION = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class LeadershipChanged:
-    """The duty is this process's from now on, or no more; `why` is for the log."""
+    """From now on this process leads the role, or no longer does. The reason is a text for the log."""
 
     role: str
     epoch: int
@@ -35,19 +38,27 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseAcquired:
-    """A majority has promised it, for the first time or anew."""
+    """A majority has promised the role, for the first time or as a renewal."""
 
     role: str
     epoch: int
 
 
 def rendezvous_order(role: str, names: Sequence[str]) -> list[str]:
-    """Everybody's same draw of who comes first (rendezvous hashing): one that leaves moves no other past another."""
+    """Return the order in which members are candidates for a role; it is the same wherever it is computed.
+
+    The method is rendezvous hashing (Thaler and Ravishankar, 1998): a member that leaves does not change the order of
+    the others.
+    """
     return sorted(names, key=lambda name: blake2b(f"{role}\0{name}".encode(), digest_size=8).digest())
 
 
 class Candidate:
-    """A wish for one duty. `rank`: how many that are there come before this process."""
+    """One process that campaigns for one role, and leads it while it holds the lease.
+
+    Times are in seconds of a clock that also counts the time for which the machine is suspended (CLOCK_BOOTTIME). The
+    caller calls `tick` when it is `due`, sends what `take_messages` returns, and reads `take_events`.
+    """
 
     def __init__(
         self,
@@ -58,6 +69,7 @@
         rng: random.Random,
         rank: Callable[[str], int],
     ) -> None:
+        """Start to campaign. `rank` returns how many present members come before this one in the order of a role."""
         self.term = LeaseTerm(role, voters, lease_seconds, rng.randrange(1 << 40))
         self._rng, self._rank = rng, rank
         self._is_campaigning = True
@@ -69,26 +81,30 @@
 
     @property
     def role(self) -> str:
-        """Its name."""
+        """The name of the role."""
         return self.term.role
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """What is to be told, and to which elector."""
+        """Return the messages to be sent, each with the name of its voter, and forget them."""
         return self.term.take_messages()
 
     def take_events(self) -> list[LeadershipChanged | LeaseAcquired]:
-        """What has turned since the last time."""
+        """Return what has happened since the last call."""
         events, self._events = self._events, []
         return events
 
     def fencing_token(self, now: float, needs: float = 0.0) -> int | None:
-        """What an act has to carry that takes so many seconds; None: it must not begin. Ask right before each act."""
+        """Return the epoch that an action of so many seconds has to carry, or None if it must not start.
+
+        This has to be called right before each action. The receiver rejects an action with a lower epoch than one it
+        has seen.
+        """
         return self._led_epoch if self._led_epoch and self.term.remaining(now) > needs else None
 
     # ---- time --------------------------------------------------------------------------------------
 
     def due(self) -> float:
-        """When `tick` is wanted next."""
+        """Return when `tick` has to be called next; infinity if it does not have to be."""
         times = [self.term.expires_at] if self._led_epoch else []
         if self.term.has_open_round:
             times += [self.term.round_deadline, self.term.retry_at()]
@@ -97,7 +113,7 @@
         return min(times, default=float("inf"))
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Do what is due: step down, end a round that took too long, ask voters again, or start a round."""
         self._update_leadership(now, "not renewed in time")
         if self.term.has_open_round and now >= self.term.round_deadline:
             self._finish_round(now, self.term.abandon_round(now))
@@ -115,10 +131,10 @@
         if not epoch:
             self._next_round_at = now
 
-    # ---- what electors say ---------------------------------------------------------------------------
+    # ---- messages of voters ------------------------------------------------------------------------
 
     def receive(self, now: float, name: str, message: GrantLease | DenyLease | RoleAvailable) -> None:
-        """A word of an elector, or of the former holder that hands on."""
+        """Handle a message of a voter, or of a former holder that resigns."""
         if isinstance(message, RoleAvailable):
             self.term.highest_epoch = max(self.term.highest_epoch, message.epoch)
             self._last_release_at = now
@@ -149,26 +165,26 @@
             self._next_round_at = self._available_at + self._standby_delay()
 
     def _standby_delay(self) -> float:
-        """Seconds that this one lets others go first."""
+        """Return for how many seconds this candidate lets others go first."""
         rank = self._rank(self.role)
         if rank < STANDBY_CANDIDATES:
             return STANDBY_STAGGER_SECONDS * rank
         return self.term.lease_seconds * (min(rank, MAX_RETRY_DELAY_LEASES) + self._rng.random())
 
     def members_changed(self, now: float) -> None:
-        """Somebody came or went: this one may stand by now."""
+        """Take note that a member came or went, after which this candidate may stand by."""
         if not self._led_epoch and not self.term.has_open_round and self._rank(self.role) < STANDBY_CANDIDATES:
             self._next_round_at = min(self._next_round_at, max(now, self._available_at) + self._standby_delay())
 
-    # ---- its owner -----------------------------------------------------------------------------------
+    # ---- calls of the process ----------------------------------------------------------------------
 
     def campaign(self, now: float) -> None:
-        """Ask for it again."""
+        """Request the role again after `resign`."""
         self._is_campaigning = True
         self._next_round_at = max(now, self._available_at) + self._standby_delay()
 
     def resign(self, now: float) -> bool:
-        """Give it back and want it no more; whether it was held."""
+        """Release the lease and stop to campaign; return whether the lease was held."""
         was_held = self.term.is_held(now)
         if was_held or self.term.has_open_round:
             self.term.release()
--- a/lugspur/daemon/leases/fencing.py
+++ b/lugspur/daemon/leases/fencing.py
@@ -1,21 +1,27 @@
-"""What receivers of a duty's acts keep: the highest epoch of each, so that a former holder's acts count for nothing."""
+"""The check of fencing tokens at the receivers of a role's actions.
+
+A lease alone does not stop a former leader whose action is delayed on its way. Each action therefore carries the epoch
+of its leader, and a receiver rejects one with a lower epoch than the highest it has seen, as with the sequencers of
+Chubby (Burrows, 2006).
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MAX_ROLES = 1024  # remembered; the one that was heard of longest ago is forgotten
+#: The number of roles whose epoch is kept; beyond it, the role that was seen least recently is forgotten.
+MAX_ROLES = 1024
 
 
 class FencingTokenValidator:
-    """`refused` counts acts that came under an epoch that was not the highest any more."""
+    """Keeps the highest epoch of each role, and counts in `rejected` the actions that came with a lower one."""
 
     def __init__(self) -> None:
         self._highest: OrderedDict[str, int] = OrderedDict()
         self.rejected = 0
 
     def accepts(self, role: str, epoch: int) -> bool:
-        """Whether an act under this epoch counts; from then on none under a lesser one does."""
+        """Return whether an action under this epoch counts. If it does, no action under a lower epoch will."""
         if epoch < self._highest.get(role, 0):
             self.rejected += 1
             return False
--- a/lugspur/daemon/leases/lease_term.py
+++ b/lugspur/daemon/leases/lease_term.py
@@ -1,7 +1,8 @@
-"""One process and one duty, without I/O: rounds of asking the electors, and what it may count on after them.
+"""One candidate's lease on one role, without I/O: rounds of requests to the voters, and what they lead to.
 
-A round asks all electors for one epoch. With a majority of promises the process holds the duty, counted from before it
-asked. To renew is another round under the same epoch. A round that fails is taken back at those that had promised.
+A round requests one epoch of all voters. With the promises of a majority the candidate holds the lease, counted from
+before it sent the requests. A renewal is another round under the same epoch. The promises of a failed round are
+released.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease
 from lugspur.daemon.leases.timing import MAX_ROUND_TIMEOUT_SECONDS, ROUND_TIMEOUT_FRACTION, holder_lease_seconds
 
-MIN_RETRY_DELAY_SECONDS = (
-    0.01  # seconds between two questions to one elector in one round: clocks that run apart may need a few
-)
+#: The shortest time between two requests to one voter in one round. More than two may be needed where clocks drift
+#: apart.
+MIN_RETRY_DELAY_SECONDS = 0.01
 
 
 class RoundResult(Enum):
@@ -25,9 +26,13 @@
 
 
 class LeaseTerm:
-    """`now` is in seconds of this process's own clock, which counts the time that a machine is suspended too."""
+    """A candidate's lease on one role, and the round that is open, if any.
+
+    Every `now` is in seconds of a clock that also counts the time for which the machine is suspended (CLOCK_BOOTTIME).
+    """
 
     def __init__(self, role: str, voters: Sequence[str], lease_seconds: float, round_number: int) -> None:
+        """Start without the lease, and count rounds from `round_number`, which has to differ after a restart."""
         self.role, self.voters, self.lease_seconds = role, tuple(voters), lease_seconds
         self.epoch = 0  # that it holds, or held last
         self.expires_at = float("-inf")  # in office before then
@@ -43,41 +48,41 @@
 
     @property
     def majority(self) -> int:
-        """How many promises are needed."""
+        """The number of promises that are needed."""
         return len(self.voters) // 2 + 1
 
     @property
     def has_open_round(self) -> bool:
-        """Whether a round goes on."""
+        """Whether requests are waiting for answers."""
         return self._requested_epoch > 0
 
     @property
     def round_timeout(self) -> float:
-        """Seconds that a round may take."""
+        """The longest time that a round may take, in seconds."""
         return min(ROUND_TIMEOUT_FRACTION * self.lease_seconds, MAX_ROUND_TIMEOUT_SECONDS)
 
     @property
     def round_deadline(self) -> float:
-        """When the round that goes on is given up."""
+        """When the open round is abandoned."""
         return self.round_started_at + self.round_timeout
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """What is to be told, and to which elector."""
+        """Return the messages to be sent, each with the name of its voter, and forget them."""
         outbox, self._outbox = self._outbox, []
         return outbox
 
     def is_held(self, now: float) -> bool:
-        """Whether it is in office: to be asked right before each act."""
+        """Whether the lease is held. This has to be asked right before each action under the lease."""
         return now < self.expires_at
 
     def remaining(self, now: float) -> float:
-        """Seconds in office yet."""
+        """Return for how many seconds the lease is still held."""
         return max(0.0, self.expires_at - now)
 
     # ---- rounds ------------------------------------------------------------------------------------
 
     def start_round(self, now: float) -> None:
-        """Begin a round: for the epoch that is held, or for a new one."""
+        """Request the lease of all voters: under its epoch if it is held, otherwise under a new one."""
         is_renewal = self.is_held(now) and self.highest_epoch <= self.epoch
         self._requested_epoch = self.epoch if is_renewal else max(self.highest_epoch, self.epoch) + 1
         self.round_number += 1
@@ -91,7 +96,10 @@
         ]
 
     def receive(self, now: float, voter: str, message: GrantLease | DenyLease) -> RoundResult | None:
-        """An elector's word; how the round ended by it, if it did. What is of another round counts for nothing."""
+        """Handle a voter's answer; return how the round ended if this answer ended it.
+
+        Answers to former rounds are ignored, but for the epoch that a denial names.
+        """
         if isinstance(message, DenyLease):
             self.highest_epoch = max(self.highest_epoch, message.epoch)
         if not self._requested_epoch or message.round_number != self.round_number or voter not in self.voters:
@@ -113,14 +121,23 @@
             return self.abandon_round(now)
         return None
 
+    def _record_majority(self, now: float) -> RoundResult:
+        expires_at = self.round_started_at + holder_lease_seconds(self.lease_seconds)
+        if now >= expires_at:
+            # Guards others: the promises came later than they last.
+            return self.abandon_round(now)
+        self.epoch, self.expires_at, self._requested_epoch = self._requested_epoch, expires_at, 0
+        self.highest_epoch = max(self.highest_epoch, self.epoch)
+        return RoundResult.WON
+
     def retry_at(self) -> float:
-        """When an elector is to be asked once more in the round that goes on."""
+        """Return when a voter has to be asked again within the open round; infinity if none has to."""
         return min(self._retry_times.values(), default=float("inf")) if self._requested_epoch else float("inf")
 
     def retry(self, now: float) -> None:
-        """Ask those once more that had promised it to somebody until now.
+        """Ask those voters again whose promise to another candidate has expired by now.
 
-        Guards a round that comes a moment too soon for one elector's clock: what others have promised is not wasted.
+        Guards a round that comes a moment too early for one voter's clock: the promises of the others are not wasted.
         """
         for voter in [voter for voter, when in self._retry_times.items() if when <= now]:
             del self._retry_times[voter]
@@ -128,17 +145,8 @@
                 (voter, RequestLease(self.role, self._requested_epoch, self.round_number, self.lease_seconds))
             )
 
-    def _record_majority(self, now: float) -> RoundResult:
-        expires_at = self.round_started_at + holder_lease_seconds(self.lease_seconds)
-        if now >= expires_at:
-            # Guards others: the promises came later than they last.
-            return self.abandon_round(now)
-        self.epoch, self.expires_at, self._requested_epoch = self._requested_epoch, expires_at, 0
-        self.highest_epoch = max(self.highest_epoch, self.epoch)
-        return RoundResult.WON
-
     def abandon_round(self, now: float) -> RoundResult:
-        """The round is over without a majority; promises that it brought are given back, but while in office."""
+        """End the open round without a majority, and release its promises unless the lease is held."""
         requested_epoch, self._requested_epoch = self._requested_epoch, 0
         if not self.is_held(now):
             # Else never: what is given back here may be a part of the majority that this office stands on.
@@ -146,13 +154,13 @@
         return RoundResult.LOST
 
     def available_at(self, now: float) -> float:
-        """When so many electors may promise it as are needed, by what the latest round has told."""
+        """Return when a majority of the voters can promise the role, by their answers in the latest round."""
         # One that said nothing is not counted on: it may be gone.
         times = sorted([*self._denied_until.values(), *[now] * len(self._granted_by)])
         return times[self.majority - 1] if len(times) >= self.majority else now
 
     def release(self) -> None:
-        """Out of office from now on, and the electors may promise it to others."""
+        """Stop holding the lease at once, and let the voters promise the role to others."""
         self.expires_at = float("-inf")
         self._send_release(*{self._requested_epoch, self.epoch} - {0})
         self._requested_epoch = 0
--- a/lugspur/daemon/leases/promise_store.py
+++ b/lugspur/daemon/leases/promise_store.py
@@ -1,4 +1,8 @@
-"""An elector's memory: a file that is replaced as a whole, synced, before anything of it is told. Blocking."""
+"""The file in which a lease voter keeps its promises.
+
+The file is replaced as a whole and synced before any of its promises is sent. All methods block, so a process that
+serves requests calls them in a thread.
+"""
 
 from __future__ import annotations
 
@@ -14,17 +18,18 @@
 
 PROMISES_FILE, TEMPORARY_FILE, LOCK_FILE = "promises", "promises.new", "promises.lock"
 FORMAT = "lugspur promises 1"
-MAX_FILE_BYTES = 1 << 20  # bytes: 512 promises of some 200 bytes take a tenth of it
+MAX_FILE_BYTES = 1 << 20  # 512 promises of about 200 bytes need a tenth of it.
 
 
 class PromiseStoreInUseError(Exception):
-    """Another process keeps its promises in this folder."""
+    """Another process keeps its promises in this directory."""
 
 
 class CorruptPromiseStoreError(Exception):
-    """The file is not what was written: what it promised can't be known."""
+    """The file is not what this voter wrote, so it cannot know what it has promised."""
 
 
+# The names in the file are older than those of the code.
 class _PromiseRecord(msgspec.Struct, rename={"role": "duty", "instance_id": "life"}):
     role: str
     epoch: int
@@ -40,9 +45,17 @@
 
 
 class PromiseStore:
-    """The folder of one elector. `lease`: the longest that it ever promised for, in seconds."""
+    """The data directory of one lease voter, which no other process can use meanwhile.
+
+    `promises` is what the file held when it was opened, `is_new` whether there was no file, and `lease_seconds` the
+    longest time for which this voter has ever promised a role.
+    """
 
     def __init__(self, folder: str, voter: str, lease_seconds: float) -> None:
+        """Open the directory of the voter of this name.
+
+        Raises PromiseStoreInUseError, CorruptPromiseStoreError, and OSError if the directory or its file can't be read.
+        """
         self._disk = Disk(folder)
         self._voter = voter
         self._lock = None
@@ -55,7 +68,7 @@
             self.close()
             raise
         self.lease_seconds = lease_seconds if found is None else max(lease_seconds, found.lease_seconds)
-        self.is_new = found is None  # it holds nothing: a new one, or one that was lost
+        self.is_new = found is None  # The voter is new, or its directory was lost.
         self.promises = (
             [] if found is None else [Promise(row.role, row.epoch, row.name, row.instance_id) for row in found.promises]
         )
@@ -65,15 +78,15 @@
             data = self._disk.read(PROMISES_FILE, MAX_FILE_BYTES)
         except FileNotFoundError:
             return None
-        except ValueError as fault:
-            raise CorruptPromiseStoreError(str(fault)) from fault
-        body, _, mark = data.rpartition(b"\n")
-        if sha256(body).hexdigest().encode() != mark:
+        except ValueError as error:
+            raise CorruptPromiseStoreError(str(error)) from error
+        body, _, checksum = data.rpartition(b"\n")
+        if sha256(body).hexdigest().encode() != checksum:
             raise CorruptPromiseStoreError("its checksum is wrong")
         try:
             found = msgspec.json.decode(body, type=_PromiseFile)
-        except msgspec.DecodeError as fault:
-            raise CorruptPromiseStoreError(str(fault)) from fault
+        except msgspec.DecodeError as error:
+            raise CorruptPromiseStoreError(str(error)) from error
         if found.form != FORMAT:
             raise CorruptPromiseStoreError(f"its form is {found.form[:40]!r}, not {FORMAT!r}")
         if found.voter != self._voter:
@@ -86,7 +99,7 @@
         return found
 
     def write(self, promises: Iterable[Promise]) -> None:
-        """Replace it; raises OSError, and then the former or this one is there."""
+        """Replace the file. Raises OSError, after which either the former file or this one is there."""
         rows = [_PromiseRecord(p.role, p.epoch, p.name, p.instance_id) for p in promises]
         body = msgspec.json.encode(_PromiseFile(FORMAT, self._voter, self.lease_seconds, rows))
         data = memoryview(body + b"\n" + sha256(body).hexdigest().encode())
@@ -101,7 +114,7 @@
         self._disk.sync_folder()
 
     def close(self) -> None:
-        """Let others have the folder."""
+        """Release the directory."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
--- a/lugspur/daemon/leases/timing.py
+++ b/lugspur/daemon/leases/timing.py
@@ -1,21 +1,29 @@
-"""How long a lease lasts, on either side of it.
+"""How long a lease lasts for the voters and for its holder, and when the holder renews it.
 
-Electors promise a duty for the whole lease, by their clocks. Its holder counts from before it asked, by its own clock,
-and to less: even if its clock runs slow by DRIFT and theirs fast by DRIFT, it has given up before any of them promises
-the duty to somebody else. No clock has to agree with another, only to run at about the right pace.
+A voter promises a role for the whole time of the lease, by its own clock. The holder counts from before it sent its
+requests, by its own clock, and relies on a shorter time. Even if the holder's clock runs slow by `MAX_CLOCK_DRIFT` and
+the voters' clocks run fast by as much, the holder has stopped before any of these voters promises the role to another
+candidate. No clock has to show the right time; it only has to run at about the right rate.
+
+Source: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency"
+(1989), which bounds the drift of clocks in the same way.
 """
 
 from __future__ import annotations
 
-MAX_CLOCK_DRIFT = (
-    0.06  # by which a clock may run fast or slow: 5% are to be borne; real ones stay under 0.0005 (NTP's bound)
-)
-RENEWAL_FRACTION = 1 / 3  # part of its time after which a holder asks anew: two further tries fit in
-RENEWAL_RETRY_FRACTION = 1 / 8  # part of it between two tries
-ROUND_TIMEOUT_FRACTION = 1 / 10  # part of it that a round may take; at most...
-MAX_ROUND_TIMEOUT_SECONDS = 1.0  # ...seconds: an elector's disk may take its time
+#: The share by which a clock may run fast or slow. The requirement is 5%; real clocks stay below 0.05% (NTP's bound).
+MAX_CLOCK_DRIFT = 0.06
+
+# Shares of the time for which the holder relies on its lease.
+RENEWAL_FRACTION = 1 / 3  # after which the holder renews: two more attempts fit into the rest
+RENEWAL_RETRY_FRACTION = 1 / 8  # between two attempts to renew
+
+# A round of requests takes this share of a lease at most, and no more than this number of seconds: a voter's disk may
+# need some of it.
+ROUND_TIMEOUT_FRACTION = 1 / 10
+MAX_ROUND_TIMEOUT_SECONDS = 1.0
 
 
-def holder_lease_seconds(lease: float) -> float:
-    """Seconds, by the holder's clock from before it asked, in which it is in office."""
-    return lease * (1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT)
+def holder_lease_seconds(lease_seconds: float) -> float:
+    """Return for how long a holder relies on a lease, in seconds of its own clock from before it sent its requests."""
+    return lease_seconds * (1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT)
--- a/lugspur/daemon/leases/voter.py
+++ b/lugspur/daemon/leases/voter.py
@@ -1,13 +1,18 @@
-"""One elector's promises, without I/O.
+"""The promises of one lease voter, without I/O.
 
-A promise names who, which epoch, and counts by this elector's clock from when it is given. A duty is promised to
-another only once that has run out or has been given back, and only under a greater epoch. Two majorities share an
-elector, so at most one process has a majority's promises at a time, and no epoch is used by two.
+A promise names a candidate and an epoch, and lasts for the time of the lease by the voter's own clock. The voter
+promises a role to another candidate only after the former promise has expired or was released, and only under a higher
+epoch. Any two majorities share a voter, so at most one candidate has the promises of a majority at a time, and no epoch
+is used by two candidates.
 
-What has to survive a restart is written down before it is told: the highest epoch and whom it was promised to. What
-does not survive is how long: so for a lease's time after its start an elector promises a duty to nobody, but to the
-very process that its memory names. One without a memory cannot know even that; it begins above the epochs that the
-wall clock stands for, which is as good as that clock is.
+The highest epoch and the candidate that it was promised to have to survive a restart, so they are saved before the
+promise is sent. The time for which the promise lasts is not saved. For the time of one lease after its start a voter
+therefore promises a role to nobody but the candidate that its saved promise names. A voter without saved promises does
+not know even that candidate; it starts above an epoch that is taken from the wall clock, which is as reliable as that
+clock.
+
+This is PaxosLease (Trencseni, Gazso and Reinhardt, 2012) without its prepare phase, and with epochs that are kept on
+disk so that they can serve as fencing tokens, like the sequencers of Chubby (Burrows, 2006).
 """
 
 from __future__ import annotations
@@ -17,21 +22,20 @@
 
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
 
-MAX_ROLES = 512  # remembered; a further one is not promised
-FRESH_PROMISE_RETRY_FRACTION = (
-    0.1  # of a lease: after which to ask again where a promise is fresh; a round is over by then
-)
-SAVE_RETRY_DELAY_SECONDS = (
-    0.02  # seconds after which to ask again where another's promise is being written down: a disk takes some ms
-)
-MAX_WAITING_CANDIDATES = (
-    8  # of those who were turned away, who are told when a duty is given back: enough for one to take it
-)
+#: A voter keeps the promises of this many roles and promises no further one.
+MAX_ROLES = 512
+#: The share of a lease after which a candidate may ask again while a promise is still unconfirmed: its round is over
+#: then.
+FRESH_PROMISE_RETRY_FRACTION = 0.1
+#: When to ask again while another candidate's promise is being saved, which takes a disk some milliseconds.
+SAVE_RETRY_DELAY_SECONDS = 0.02
+#: How many of the candidates that were denied are notified when a role is released: enough for one to take it over.
+MAX_WAITING_CANDIDATES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class CandidateId:
-    """A process: its name in the fleet, and its life under that name."""
+    """One run of a process: its name in the gossip membership, and the number that it drew at its start."""
 
     name: str
     instance_id: int
@@ -42,7 +46,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """What has to be remembered of a duty."""
+    """What a voter has to know of a role after a restart: its highest epoch, and the candidate that it was promised to.
+
+    The name is empty and the instance id 0 where the epoch is used up without being promised to anybody.
+    """
 
     role: str
     epoch: int
@@ -52,27 +59,31 @@
 
 @dataclass(slots=True)
 class _RoleState:
-    epoch: int  # the highest that was promised, or was known to be used
-    grantee: CandidateId | None = None  # whom it was promised to
-    promised_until: float = float("-inf")  # by this elector's clock
-    round_number: int = 0
-    is_released: bool = False  # it was given back
-    is_renewed: bool = False  # whoever it was promised to has asked again: it has come into office
-    waiting: dict[str, None] = field(default_factory=dict)  # who was turned away, the latest last
-    pending: tuple[CandidateId, RequestLease] | None = None  # what is being written down, and then granted
+    epoch: int  # the highest epoch that was promised, or that is known to be used
+    grantee: CandidateId | None = None  # the candidate that it was promised to
+    promised_until: float = float("-inf")  # by this voter's clock
+    round_number: int = 0  # the round of the candidate in which it was promised last
+    is_released: bool = False
+    is_renewed: bool = False  # The grantee has asked again in a later round, so it had a majority and leads.
+    waiting: dict[str, None] = field(default_factory=dict)  # names of denied candidates, the latest one last
+    pending: tuple[CandidateId, RequestLease] | None = None  # the request that is granted once it has been saved
 
 
 class LeaseVoter:
-    """Promises duties for `lease` seconds each, the longest that it ever promised.
+    """Promises each role to one candidate at a time. Times are in seconds of the voter's own clock.
 
-    `memory`: what was written down; None: this one has no memory.
-
-    `floor`: the epoch that one without a memory, or with an empty one, begins above.
+    Inputs are `receive`, `confirm_saved` and `report_save_failure`; outputs are `take_messages`, and in `unsaved` the
+    promises that the caller has to save before it calls `confirm_saved`.
     """
 
     def __init__(
         self, lease_seconds: float, now: float, saved_promises: Iterable[Promise] | None, epoch_floor: int
     ) -> None:
+        """Start a voter.
+
+        `lease_seconds` is the longest time for which it has ever promised a role, `saved_promises` what it had saved
+        before, or None if it saves nothing. A voter that has no saved promise of a role starts above `epoch_floor`.
+        """
         self.lease_seconds = lease_seconds
         self.silent_until = now + lease_seconds
         self.is_durable = saved_promises is not None
@@ -85,12 +96,12 @@
         self._outbox: list[tuple[str, Message]] = []
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """What is to be told, and to whom by name."""
+        """Return the messages to be sent, each with the name of its recipient, and forget them."""
         out, self._outbox = self._outbox, []
         return out
 
     def promises(self) -> list[Promise]:
-        """All that has to be remembered, with what is `unwritten`: its writer clears that first."""
+        """Return all promises that have to be saved, with those in `unsaved`, which the caller clears afterwards."""
         promises = {
             name: Promise(
                 name,
@@ -103,16 +114,16 @@
         return list((promises | self.unsaved).values())
 
     def current_promise(self, role: str, now: float) -> tuple[int, str, float]:
-        """Its highest epoch, whom it is promised to now, and for how long yet."""
+        """Return the highest epoch of a role, the candidate that it is promised to, and for how long."""
         state = self._roles.get(role)
         if state is None or state.grantee is None or now >= state.promised_until:
             return (0 if state is None else state.epoch), "", 0.0
         return state.epoch, state.grantee.name, state.promised_until - now
 
-    # ---- what others say ---------------------------------------------------------------------------
+    # ---- messages of candidates --------------------------------------------------------------------
 
     def receive(self, now: float, candidate: CandidateId, message: Message) -> None:
-        """A message of a process that may want a duty."""
+        """Handle a message of a candidate; messages that are not for a voter are ignored."""
         if isinstance(message, RequestLease):
             self._handle_request(now, candidate, message)
         elif isinstance(message, ReleaseLease):
@@ -158,8 +169,26 @@
         else:
             self._grant(now, state, candidate, request)
 
+    def _handle_release(self, now: float, candidate: CandidateId, release: ReleaseLease) -> None:
+        state = self._roles.get(release.role)
+        if (
+            state is None
+            or state.grantee != candidate
+            or release.epoch != state.epoch
+            or release.round_number < state.round_number
+            or state.is_released
+        ):
+            return
+        state.is_released = True
+        waiting, state.waiting = state.waiting, {}
+        for name in waiting:
+            if name != candidate.name:
+                self._outbox.append((name, RoleAvailable(release.role, release.epoch)))
+
+    # ---- saving ------------------------------------------------------------------------------------
+
     def confirm_saved(self, now: float, roles: Iterable[str]) -> None:
-        """What was asked about these duties will survive a restart now."""
+        """Grant the pending requests of these roles, whose promises survive a restart from now on."""
         for name in roles:
             state = self._roles[name]
             pending, state.pending = state.pending, None
@@ -167,7 +196,7 @@
                 self._grant(now, state, *pending)
 
     def report_save_failure(self, roles: Iterable[str]) -> None:
-        """It could not be written down: nothing is promised. The epochs are used up: they may be on the disk or not."""
+        """Drop the pending requests of these roles. Their epochs are used up, since they may be on the disk or not."""
         for name in roles:
             state = self._roles[name]
             pending, state.pending = state.pending, None
@@ -175,6 +204,8 @@
                 # The former promise still binds, but nobody renews it: the disk may name the one or the other.
                 state.epoch, state.grantee = pending[1].epoch, NO_CANDIDATE
 
+    # ---- answers -----------------------------------------------------------------------------------
+
     def _grant(self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease) -> None:
         if request.epoch != state.epoch or candidate != state.grantee:
             state.is_renewed = False
@@ -200,19 +231,3 @@
 
     def _deny(self, candidate: CandidateId, request: RequestLease, epoch: int, holder: str, left: float) -> None:
         self._outbox.append((candidate.name, DenyLease(request.role, epoch, request.round_number, holder, left)))
-
-    def _handle_release(self, now: float, candidate: CandidateId, release: ReleaseLease) -> None:
-        state = self._roles.get(release.role)
-        if (
-            state is None
-            or state.grantee != candidate
-            or release.epoch != state.epoch
-            or release.round_number < state.round_number
-            or state.is_released
-        ):
-            return
-        state.is_released = True
-        waiting, state.waiting = state.waiting, {}
-        for name in waiting:
-            if name != candidate.name:
-                self._outbox.append((name, RoleAvailable(release.role, release.epoch)))
