--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -19,7 +19,7 @@
 from lugspur.daemon.persistence.disk import Disk
 from lugspur.daemon.persistence.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
 from lugspur.daemon.persistence.store import Store, Taken
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
 from lugspur.discovery.rows import server_name
 
 UNUSABLE = 2  # the exit status for a file that can't be used
@@ -123,12 +123,12 @@
     facts: list[bytes] = []
     for name, pool in snapshot.pools.items():
         facts.append(fact("pool", name, {"at": pool.at}))
-        facts += (fact("backend", name, forms.entry(endpoint)) for endpoint in pool.endpoints)
+        facts += (fact("backend", name, state_codec.encode_endpoint(endpoint)) for endpoint in pool.endpoints)
         if pool.learned is not None:
             kept = [row for row in pool.learned.servers if row.seen and pool.at - row.seen <= within]
             dropped += len(pool.learned.servers) - len(kept)
-            facts += (fact("learned", name, forms.server(row)) for row in kept)
-            facts.append(fact("tier", name, forms.tier(replace(pool.learned, servers=()))))
+            facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in kept)
+            facts.append(fact("tier", name, state_codec.encode_learned_pools(replace(pool.learned, servers=()))))
     try:
         store = Store(Disk(os.path.dirname(path.resolve())))
     except Taken:
--- a/lugspur/daemon/hot_restart/messages.py
+++ b/lugspur/daemon/hot_restart/messages.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned
@@ -57,13 +57,14 @@
         {
             "version": VERSION,
             "index": estate.index,
-            "endpoints": [forms.entry(endpoint) for endpoint in estate.endpoints],
+            "endpoints": [state_codec.encode_endpoint(endpoint) for endpoint in estate.endpoints],
             "listed": [server_name(server) for server in estate.bans.listed],
             "banned": [server_name(server) for server in estate.bans.banned],
             "floors": {server_name(server): at for server, at in estate.bans.floors.items()},
             "drained": estate.drained,
             "open": [name.decode() for name in estate.open],
-            "learned": forms.tier(estate.learned) | {"servers": [forms.server(row) for row in estate.learned.servers]},
+            "learned": state_codec.encode_learned_pools(estate.learned)
+            | {"servers": [state_codec.encode_learned_server(row) for row in estate.learned.servers]},
         }
     ).decode()
     parts = [whole[at : at + PART] for at in range(0, len(whole), PART)]
@@ -96,7 +97,7 @@
         learned = raw["learned"]
         return Estate(
             int(raw["index"]),
-            [forms.read_entry(row) for row in raw["endpoints"]],
+            [state_codec.decode_endpoint(row) for row in raw["endpoints"]],
             Bans(
                 [server_id(name) for name in raw["listed"]],
                 [server_id(name) for name in raw["banned"]],
@@ -104,7 +105,7 @@
             ),
             bool(raw["drained"]),
             [name.encode() for name in raw["open"]],
-            forms.read_learned(learned, learned["servers"]),
+            state_codec.decode_learned(learned, learned["servers"]),
         )
-    except forms.SENSELESS as fault:
+    except state_codec.DECODE_ERRORS as fault:
         raise Foreign(f"no estate: {fault!r}") from fault
--- a/lugspur/daemon/persistence/file.py
+++ b/lugspur/daemon/persistence/file.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
 from lugspur.discovery.rows import Endpoint
 from lugspur.load_balancing.model import Learned
 
@@ -71,8 +71,8 @@
     if end != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
         raise Unreadable("its checksum does not fit: it is cut or changed")
     try:
-        return Snapshot(forms.finite(rest), _pools(text.splitlines()[1:]))
-    except forms.SENSELESS as fault:  # well written, and yet it makes no sense
+        return Snapshot(state_codec.finite_number(rest), _pools(text.splitlines()[1:]))
+    except state_codec.DECODE_ERRORS as fault:  # well written, and yet it makes no sense
         raise Unreadable(f"it makes no sense: {fault!r:.200}") from fault
 
 
@@ -83,9 +83,9 @@
     for line in lines:
         kind, name, value = orjson.loads(line)
         if kind == "pool":
-            found[name] = Pool(forms.finite(value["at"]))
+            found[name] = Pool(state_codec.finite_number(value["at"]))
         elif kind == "backend":
-            found[name].endpoints.append(forms.read_entry(value))
+            found[name].endpoints.append(state_codec.decode_endpoint(value))
         elif kind == "learned":
             servers.setdefault(name, []).append(value)
         elif kind == "tier":
@@ -93,5 +93,5 @@
         else:
             raise ValueError(f"an unknown fact {kind!r}")
     for name, tier in tiers.items():
-        found[name].learned = forms.read_learned(tier, servers.get(name, []))
+        found[name].learned = state_codec.decode_learned(tier, servers.get(name, []))
     return found
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -14,7 +14,7 @@
 from lugspur.daemon.persistence.aging import age_of
 from lugspur.daemon.persistence.file import BACKENDS_MOST, Pool, Snapshot, fact, whole
 from lugspur.daemon.persistence.store import Found, Store, Taken, open_store
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
@@ -177,12 +177,12 @@
     yield fact("pool", name, {"at": pool.now()})
     told = tuple(station.maintenance.told.values())[:most]
     for endpoint in told:
-        yield fact("backend", name, forms.entry(endpoint))
+        yield fact("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(told), EACH):
         among = [endpoint.row.server for endpoint in told[at : at + EACH]]
         for row in pool.balancer.learned(among).servers:
-            yield fact("learned", name, forms.server(row))
-    yield fact("tier", name, forms.tier(pool.balancer.learned(())))
+            yield fact("learned", name, state_codec.encode_learned_server(row))
+    yield fact("tier", name, state_codec.encode_learned_pools(pool.balancer.learned(())))
 
 
 def _say(line: str) -> None:
--- /dev/null
+++ b/lugspur/discovery/state_codec.py
@@ -0,0 +1,111 @@
+"""Endpoints and learned state of backends as plain JSON values, and back. No I/O.
+
+The same values are kept in the snapshot file of the daemon and handed to a successor process in a hot restart. Decoders
+raise one of `DECODE_ERRORS` for values that make no sense; callers treat all of them alike.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from math import isfinite
+from typing import Any
+
+from lugspur.discovery.rows import Endpoint, server_id, server_name
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
+
+#: Exceptions that decoders raise for values of the wrong type, form or range.
+DECODE_ERRORS = (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError)
+
+
+def finite_number(value: Any) -> float:
+    """`value` as a float; raises ValueError for NaN, which makes every comparison false, and for infinity."""
+    number = float(value)
+    if not isfinite(number):
+        raise ValueError(f"{value!r} is no finite number")
+    return number
+
+
+def encode_endpoint(endpoint: Endpoint) -> list[Any]:
+    """One endpoint as an array: name, state, zone, cell, weight, start, kind, host, port, and whether it speaks gRPC."""
+    row = endpoint.row
+    # A zone or kind that the settings do not list is its name as a number (see `server_id`), which may exceed the
+    # integers of JSON: both are written as text.
+    return [
+        server_name(row.server),
+        row.state.value,
+        str(row.zone),
+        row.cell,
+        row.size,
+        row.started,
+        str(row.kind),
+        *endpoint.address,
+        endpoint.grpc,
+    ]
+
+
+def decode_endpoint(raw: list[Any]) -> Endpoint:
+    """The endpoint that `encode_endpoint` wrote."""
+    name, state, zone, cell, size, started, kind, host, port, grpc = raw
+    row = ServerRow(
+        server_id(name),
+        State(state),
+        int(zone),
+        int(cell),
+        finite_number(size),
+        finite_number(started),
+        int(kind),
+    )
+    return Endpoint(row, (str(host), int(port)), bool(grpc))
+
+
+def encode_learned_server(learned: LearnedServer) -> dict[str, Any]:
+    """What was learned of one backend, which is named by its name rather than by its number."""
+    return dataclasses.asdict(learned) | {"server": server_name(learned.server)}
+
+
+def decode_learned_server(raw: dict[str, Any]) -> LearnedServer:
+    """What `encode_learned_server` wrote."""
+    breaker = raw["breaker"]
+    return LearnedServer(
+        server_id(raw["server"]),
+        finite_number(raw["started"]),
+        finite_number(raw["latency"]),
+        finite_number(raw["seen"]),
+        int(raw["downs"]),
+        finite_number(raw["down_until"]),
+        finite_number(raw["cold_credit"]),
+        finite_number(raw["cold_seen"]),
+        None if breaker is None else _decode_breaker(breaker),
+    )
+
+
+def encode_learned_pools(learned: Learned) -> dict[str, Any]:
+    """What was learned of the pools of request classes; backends are encoded one by one beside it."""
+    return {
+        "pools": [dataclasses.asdict(pool) for pool in learned.pools],
+        "pooled": learned.pooled,
+        "pace": learned.pace,
+        "paced": learned.paced,
+    }
+
+
+def decode_learned(raw: dict[str, Any], servers: list[dict[str, Any]]) -> Learned:
+    """All learned state, from the values of `encode_learned_pools` and `encode_learned_server`."""
+    return Learned(
+        tuple(decode_learned_server(row) for row in servers),
+        tuple(_decode_pool(row) for row in raw["pools"]),
+        finite_number(raw["pooled"]),
+        finite_number(raw["pace"]),
+        int(raw["paced"]),
+    )
+
+
+def _decode_breaker(raw: dict[str, Any]) -> LearnedBreaker:
+    window = tuple((int(n), int(r), int(a), int(f)) for n, r, a, f in raw["window"])
+    return LearnedBreaker(finite_number(raw["baseline"]), finite_number(raw["current"]), window)
+
+
+def _decode_pool(raw: dict[str, Any]) -> LearnedPool:
+    offered, sent, served = ((finite_number(value), finite_number(at)) for value, at in raw["rates"])
+    born = None if raw["born"] is None else finite_number(raw["born"])
+    return LearnedPool((offered, sent, served), born, _decode_breaker(raw["breaker"]))
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -13,7 +13,7 @@
 from loopback import HOST, soon
 
 from lugspur.daemon.hot_restart.messages import read_estate
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
 from lugspur.discovery.announce import Box
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.nodes import Node, Nodes, read_entry
@@ -32,7 +32,7 @@
 
 def stored(endpoint: Endpoint) -> bytes:
     """An entry of the list as it is kept on disk."""
-    return orjson.dumps(forms.entry(endpoint))
+    return orjson.dumps(state_codec.encode_endpoint(endpoint))
 
 
 # ---- the platform's list ---------------------------------------------------------------------------------------------
@@ -76,7 +76,7 @@
         with pytest.raises(KeyError):
             Reader(ZONES, TYPES).endpoint(raw)
     else:
-        assert forms.entry(Reader(ZONES, TYPES).endpoint(raw))[1] == state
+        assert state_codec.encode_endpoint(Reader(ZONES, TYPES).endpoint(raw))[1] == state
 
 
 def test_without_known_names_a_zone_is_its_name_as_a_number() -> None:
@@ -261,18 +261,20 @@
 
 
 def test_an_entry_of_the_list_is_read_as_it_was_written() -> None:
-    assert stored(forms.read_entry(orjson.loads(STORED_ENTRY))) == STORED_ENTRY
+    assert stored(state_codec.decode_endpoint(orjson.loads(STORED_ENTRY))) == STORED_ENTRY
 
 
 @pytest.mark.parametrize("text", [LEARNED_SERVER, LEARNED_SERVER_UNTRIED])
 def test_what_was_learned_of_a_backend_is_read_as_it_was_written(text: bytes) -> None:
-    assert orjson.dumps(forms.server(forms.read_server(orjson.loads(text)))) == text
+    assert (
+        orjson.dumps(state_codec.encode_learned_server(state_codec.decode_learned_server(orjson.loads(text)))) == text
+    )
 
 
 def test_what_was_learned_of_a_pool_is_read_as_it_was_written() -> None:
-    learned = forms.read_learned(orjson.loads(LEARNED_REST), [orjson.loads(LEARNED_SERVER)])
-    assert orjson.dumps(forms.tier(learned)) == LEARNED_REST
-    assert [orjson.dumps(forms.server(known)) for known in learned.servers] == [LEARNED_SERVER]
+    learned = state_codec.decode_learned(orjson.loads(LEARNED_REST), [orjson.loads(LEARNED_SERVER)])
+    assert orjson.dumps(state_codec.encode_learned_pools(learned)) == LEARNED_REST
+    assert [orjson.dumps(state_codec.encode_learned_server(known)) for known in learned.servers] == [LEARNED_SERVER]
 
 
 # ---- bans ------------------------------------------------------------------------------------------------------------
@@ -293,10 +295,10 @@
     over = Maintenance()
     over.restore(read_estate(orjson.dumps(estate).decode()).bans)
     up = orjson.loads(STORED_ENTRY.replace(b"draining", b"up"))
-    [banned] = over.lay(ListKind.PATCH, [forms.read_entry(up)])
+    [banned] = over.lay(ListKind.PATCH, [state_codec.decode_endpoint(up)])
     assert stored(banned) == STORED_ENTRY  # it is banned, and so it drains
     up[0] = "channel-6"
-    [cold] = over.lay(ListKind.PATCH, [forms.read_entry(up)])
+    [cold] = over.lay(ListKind.PATCH, [state_codec.decode_endpoint(up)])
     assert stored(cold) == b'["channel-6","up","1",3,2.5,1700000000.5,"2","10.0.0.7",9001,true]'
     known = over.save()
     assert [server_name(server) for server in known.listed] == ["channel-7", "channel-6"]
--- a/tests/state/kept.py
+++ b/tests/state/kept.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from lugspur.daemon.persistence.file import fact, whole
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
 from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
@@ -50,9 +50,9 @@
     rows = endpoints() if rows is None else rows
     learned = taught(rows).learned() if learned is None else learned
     facts = [fact("pool", name, {"at": written})]
-    facts += (fact("backend", name, forms.entry(row)) for row in rows)
-    facts += (fact("learned", name, forms.server(row)) for row in learned.servers)
-    facts.append(fact("tier", name, forms.tier(learned)))
+    facts += (fact("backend", name, state_codec.encode_endpoint(row)) for row in rows)
+    facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
+    facts.append(fact("tier", name, state_codec.encode_learned_pools(learned)))
     return whole(written, facts)
 
 
