--- a/lugspur/bench/followers.py
+++ b/lugspur/bench/followers.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 
 
 def _memory() -> float:
--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -18,7 +18,7 @@
 
 from lugspur.bench.processes import Usage
 from lugspur.bench.trial import FOLDER, Counts, Trial
-from lugspur.discovery.rows import server_id
+from lugspur.discovery.endpoints import server_id
 from lugspur.load_balancing import Balancer, ListKind, ServerRow, Settings
 from lugspur.load_balancing.model import State
 from lugspur.standins.zookeeper.cluster import Cluster
--- a/lugspur/bench/soak/spoilt_callers.py
+++ b/lugspur/bench/soak/spoilt_callers.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from lugspur.bench.faults.links import reset
-from lugspur.discovery.rows import Address
+from lugspur.discovery.endpoints import Address
 
 LINGER = 0.6  # seconds that a caller stays after it has done its harm
 PAUSE = 0.03  # seconds between two callers
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -20,7 +20,7 @@
 from lugspur.daemon.persistence.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
 from lugspur.daemon.persistence.store import Store, Taken
 from lugspur.discovery import state_codec
-from lugspur.discovery.rows import server_name
+from lugspur.discovery.endpoints import server_name
 
 UNUSABLE = 2  # the exit status for a file that can't be used
 
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -28,7 +28,7 @@
     whole,
     words,
 )
-from lugspur.discovery.rows import PROTOCOLS, Address
+from lugspur.discovery.endpoints import PROTOCOLS, Address
 from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN
 from lugspur.load_balancing.model import Group, Repeat
 from lugspur.routing.model import WITHIN_MOST
--- a/lugspur/config/platform.py
+++ b/lugspur/config/platform.py
@@ -9,7 +9,7 @@
 import orjson
 
 from lugspur.config import retune
-from lugspur.discovery.rows import Address, read_address
+from lugspur.discovery.endpoints import Address, read_address
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import Settings
 
--- a/lugspur/config/units.py
+++ b/lugspur/config/units.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any, TypeVar
 
-from lugspur.discovery.rows import Address, read_address
+from lugspur.discovery.endpoints import Address, read_address
 
 E = TypeVar("E", bound=Enum)
 SECONDS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
--- a/lugspur/daemon/announcers.py
+++ b/lugspur/daemon/announcers.py
@@ -10,8 +10,8 @@
 from lugspur.config import model
 from lugspur.daemon.station import servers
 from lugspur.discovery.announce import Announcer, Box, Checked
+from lugspur.discovery.endpoints import Address
 from lugspur.discovery.registry import Registries
-from lugspur.discovery.rows import Address
 
 Wish = tuple[model.Register, model.Registry, Address, str]  # all that a node depends on
 
--- a/lugspur/daemon/hot_restart/keeper.py
+++ b/lugspur/daemon/hot_restart/keeper.py
@@ -17,7 +17,7 @@
 
 from lugspur.daemon.hot_restart.link import Link
 from lugspur.daemon.hot_restart.messages import IDS_MOST, VERSION, Estate, Foreign, Parts, estate_parts
-from lugspur.discovery.rows import Address, server_id, server_name
+from lugspur.discovery.endpoints import Address, server_id, server_name
 
 WITHIN = 1.0  # seconds in which an estate has to be whole: the platform waits 6 s for the new process
 LINKS_MOST = 4  # processes of one proxy at once: the one before, this one, the next, and one that failed
--- a/lugspur/daemon/hot_restart/messages.py
+++ b/lugspur/daemon/hot_restart/messages.py
@@ -8,8 +8,8 @@
 import orjson
 
 from lugspur.discovery import state_codec
+from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.discovery.maintenance import Bans
-from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned
 
 VERSION = 1
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -8,7 +8,7 @@
 from lugspur.config.model import Management
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.station import Station
-from lugspur.discovery.rows import server_id
+from lugspur.discovery.endpoints import server_id
 from lugspur.http1.front import Front
 from lugspur.management.acts import acts
 from lugspur.management.calls import Act
--- a/lugspur/daemon/persistence/file.py
+++ b/lugspur/daemon/persistence/file.py
@@ -14,7 +14,7 @@
 import orjson
 
 from lugspur.discovery import state_codec
-from lugspur.discovery.rows import Endpoint
+from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.model import Learned
 
 FORM = b"lugspur state"
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from lugspur.discovery.rows import Address, Endpoint
+from lugspur.discovery.endpoints import Address, Endpoint
 from lugspur.http1 import upstream
 from lugspur.http1.body import Body
 from lugspur.invariants import Invariant, check
@@ -251,7 +251,7 @@
                 continue
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
             self._update(backend, endpoint.address, row.started, row.state is State.UP)
-            backend.lane = self._lane() if endpoint.grpc and self._lane is not None else None
+            backend.lane = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
         self._perform(self._decide(self.balancer.members, kind, [endpoint.row for endpoint in endpoints]))
 
     def _remove(self, server: int) -> None:
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -13,7 +13,7 @@
 from lugspur.daemon.leases.claim import STANDBY, Claim, Turned
 from lugspur.daemon.leases.messages import Malformed
 from lugspur.discovery.announce import Checked, check
-from lugspur.discovery.rows import server_id, server_name
+from lugspur.discovery.endpoints import server_id, server_name
 from lugspur.probing.hearsay import REFRESH, Hearsay
 from lugspur.probing.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
 from lugspur.probing.prober import Prober
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -14,8 +14,8 @@
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
 from lugspur.discovery import watch
+from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.rows import Endpoint, Reader, server_id
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
@@ -94,7 +94,7 @@
         )
         connections.flow_most = int(FLOW_PART * config.memory)
         self.front = Front(config.listen, callers, config.memory, self._request)
-        self._reader = reader = Reader(config.zones, config.types)
+        self._reader = reader = EndpointReader(config.zones, config.types)
         self._discovery = watch.Discovery(
             config.discovery, reader, config.known["index"] if estate is None else estate.index, self._told
         )
@@ -132,7 +132,7 @@
             raise
         self._loop.call_later(CHANGE_WITHIN + STILL_COMING, self._settle)
         self.wire, self._tenants = config.wire, config.tenants
-        self._reader.name(config.zones, config.types)
+        self._reader.set_names(config.zones, config.types)
         self.pool.upstream.retime(config.conn_idle, config.dial_timeout)
         self._discovery.move(config.discovery)
 
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -13,7 +13,7 @@
 from lugspur import invariants, reloads
 from lugspur.config.platform import Config, ConfigError, load
 from lugspur.daemon.proxy import Proxy
-from lugspur.discovery.rows import Reader
+from lugspur.discovery.endpoints import EndpointReader
 from lugspur.http1.front import Front
 
 if TYPE_CHECKING:
@@ -121,7 +121,7 @@
     """Run with the configuration that the environment names."""
     try:
         config = load(os.environ)
-        Reader(config.zones, config.types).check(config.known)
+        EndpointReader(config.zones, config.types).check_initial_list(config.known)
     except (ConfigError, ValueError) as fault:
         print(f"lugspur: {fault}", file=sys.stderr)
         return 2
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -13,10 +13,10 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Owner, Pool
+from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.nodes import Nodes
 from lugspur.discovery.registry import Ensemble, Followed, Registries
-from lugspur.discovery.rows import Endpoint, Reader
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
@@ -168,7 +168,7 @@
             former.close()  # what it told stays until the new one tells a whole list
 
     def _made(self, row: model.Pool, beside: str, ensemble: model.Registry | None) -> Source:
-        reader = Reader(protocol=row.protocol)
+        reader = EndpointReader(protocol=row.protocol)
         fixed = [reader.endpoint(_entry(member)) for member in row.members]
         if row.file:
             return WatchedFile(resolved(row.file, beside), reader, self._members)
@@ -192,9 +192,9 @@
     def _members(self, kind: ListKind, endpoints: list[Endpoint]) -> None:
         if not endpoints and kind is ListKind.PATCH:
             return
-        if any(endpoint.grpc for endpoint in endpoints):
+        if any(endpoint.speaks_grpc for endpoint in endpoints):
             endpoints = [
-                replace(endpoint, row=replace(endpoint.row, kind=GRPC)) if endpoint.grpc else endpoint
+                replace(endpoint, row=replace(endpoint.row, kind=GRPC)) if endpoint.speaks_grpc else endpoint
                 for endpoint in endpoints
             ]
         self._show(kind, self.maintenance.lay(kind, endpoints))
--- a/lugspur/discovery/maintenance.py
+++ b/lugspur/discovery/maintenance.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from lugspur.discovery.rows import Endpoint
+from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.model import ListKind, State
 
 NAMES_MOST = 16_384  # names of backends that were ever listed, the latest: some 3 MB; a day sees hundreds
--- a/lugspur/discovery/nodes.py
+++ b/lugspur/discovery/nodes.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from lugspur.discovery.rows import PROTOCOLS, STATES, Endpoint, Reader, read_address
+from lugspur.discovery.endpoints import PROTOCOLS, STATES, Endpoint, EndpointReader, read_address
 from lugspur.load_balancing.model import State
 
 DATA_MOST = 64 << 10  # bytes of a node that are read as an entry: entries have a few hundred
@@ -154,7 +154,7 @@
 
     def __init__(self, form: str, protocol: str = "http") -> None:
         self._form = form
-        self._reader = Reader(protocol=protocol)
+        self._reader = EndpointReader(protocol=protocol)
         self._boxes: dict[str, tuple[int, int, Endpoint]] = {}  # by node: when made and changed, and what it says
         self._by_server: dict[int, set[str]] = {}
         self._faults: dict[str, str] = {}  # nodes that can't be read, and what was said of them
--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
+from lugspur.discovery.endpoints import Address, Endpoint
 from lugspur.discovery.nodes import Node, Nodes
-from lugspur.discovery.rows import Address, Endpoint
 from lugspur.discovery.source import Told
 from lugspur.discovery.staleness import RegistryStaleness
 from lugspur.load_balancing.model import ListKind, State
--- a/lugspur/discovery/source.py
+++ b/lugspur/discovery/source.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.load_balancing.model import ListKind
 
 Told = Callable[[ListKind, list[Endpoint]], None]
@@ -49,7 +49,7 @@
     One that is missing or can't be read changes nothing: the last good list stays, and one line says why.
     """
 
-    def __init__(self, path: str, reader: Reader, told: Told) -> None:
+    def __init__(self, path: str, reader: EndpointReader, told: Told) -> None:
         self._path, self._reader = path, reader
         self._told = told
         self._seen: tuple[int, ...] = ()
--- a/lugspur/discovery/state_codec.py
+++ b/lugspur/discovery/state_codec.py
@@ -10,7 +10,7 @@
 from math import isfinite
 from typing import Any
 
-from lugspur.discovery.rows import Endpoint, server_id, server_name
+from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
 
 #: Exceptions that decoders raise for values of the wrong type, form or range.
@@ -26,7 +26,7 @@
 
 
 def encode_endpoint(endpoint: Endpoint) -> list[Any]:
-    """One endpoint as an array: name, state, zone, cell, weight, start, kind, host, port, and whether it speaks gRPC."""
+    """One endpoint as an array: name, state, zone, cell, weight, start, kind, host, port, whether it speaks gRPC."""
     row = endpoint.row
     # A zone or kind that the settings do not list is its name as a number (see `server_id`), which may exceed the
     # integers of JSON: both are written as text.
@@ -39,7 +39,7 @@
         row.started,
         str(row.kind),
         *endpoint.address,
-        endpoint.grpc,
+        endpoint.speaks_grpc,
     ]
 
 
--- a/lugspur/discovery/watch.py
+++ b/lugspur/discovery/watch.py
@@ -10,7 +10,7 @@
 import httptools
 import orjson
 
-from lugspur.discovery.rows import Address, Endpoint, Reader
+from lugspur.discovery.endpoints import Address, Endpoint, EndpointReader
 from lugspur.load_balancing.model import ListKind
 
 SILENT = 3.0  # seconds without a line after which a watch is taken for dead: one comes every 2 s...
@@ -23,7 +23,7 @@
     """Keeps one watch open, whatever happens to it, and hands on what it tells."""
 
     def __init__(
-        self, address: Address, reader: Reader, index: int, told: Callable[[ListKind, list[Endpoint]], None]
+        self, address: Address, reader: EndpointReader, index: int, told: Callable[[ListKind, list[Endpoint]], None]
     ) -> None:
         self._address = address
         self._reader = reader
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from typing import cast
 
-from lugspur.discovery.rows import Address
+from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
 from lugspur.http1.intake import PLATFORM, Intake, Rejected, Sizes
 from lugspur.invariants import Invariant, check
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from lugspur.discovery.rows import Address
+from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.hops import HOP_BY_HOP
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from lugspur.discovery.rows import Address
+from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End, by_reset
 from lugspur.grpc.messages import Counter, Spoilt
--- a/lugspur/management/door.py
+++ b/lugspur/management/door.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Mapping
 
-from lugspur.discovery.rows import Address
+from lugspur.discovery.endpoints import Address
 from lugspur.management.calls import Act, Call
 
 MOST = 24  # connections at once: a dozen that hang, and as many operators
--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -11,7 +11,7 @@
 
 import cyclopts
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.folder import export, look, told
 from lugspur.mesh.settings import load
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -12,7 +12,7 @@
 
 from cachetools import LRUCache
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.upstream import Backend, Exchange, Upstream
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
--- a/lugspur/mesh/registration.py
+++ b/lugspur/mesh/registration.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.mesh import events
 from lugspur.mesh.backend_lives import BackendLives
 from lugspur.mesh.control.errors import Kind, MeshError
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -9,7 +9,7 @@
 
 import dacite
 
-from lugspur.discovery.rows import Address, read_address
+from lugspur.discovery.endpoints import Address, read_address
 from lugspur.mesh.control.errors import Kind, MeshError
 
 VARIABLE = "LUGSPUR_NODE_FILE"  # names the file
--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh import events
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -9,7 +9,7 @@
 from lugspur.load_balancing.model import Outcome
 
 if TYPE_CHECKING:
-    from lugspur.discovery.rows import Address
+    from lugspur.discovery.endpoints import Address
     from lugspur.http1.body import Body
     from lugspur.pipe import Pipe
 
--- a/lugspur/standins/zookeeper/__main__.py
+++ b/lugspur/standins/zookeeper/__main__.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.standins.zookeeper.cluster import Cluster, Script
 
 
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -15,9 +15,9 @@
 from lugspur.daemon.hot_restart.messages import read_estate
 from lugspur.discovery import state_codec
 from lugspur.discovery.announce import Box
+from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id, server_name
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.nodes import Node, Nodes, read_entry
-from lugspur.discovery.rows import Endpoint, Reader, server_id, server_name
 from lugspur.discovery.watch import Discovery
 from lugspur.load_balancing.model import ListKind
 
@@ -39,7 +39,7 @@
 
 
 def test_an_entry_of_the_platforms_list_has_these_fields() -> None:
-    assert stored(Reader(ZONES, TYPES).endpoint(orjson.loads(PLATFORM_ENTRY))) == STORED_ENTRY
+    assert stored(EndpointReader(ZONES, TYPES).endpoint(orjson.loads(PLATFORM_ENTRY))) == STORED_ENTRY
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
 def test_fields_that_may_be_missing_have_these_defaults(missing: str, expected: bytes) -> None:
     raw = orjson.loads(PLATFORM_ENTRY)
     del raw[missing]
-    assert stored(Reader(ZONES, TYPES).endpoint(raw)) == expected
+    assert stored(EndpointReader(ZONES, TYPES).endpoint(raw)) == expected
 
 
 @pytest.mark.parametrize("missing", ["name", "address", "status"])
@@ -64,7 +64,7 @@
     raw = orjson.loads(PLATFORM_ENTRY)
     del raw[missing]
     with pytest.raises(KeyError, match=missing):
-        Reader(ZONES, TYPES).endpoint(raw)
+        EndpointReader(ZONES, TYPES).endpoint(raw)
 
 
 @pytest.mark.parametrize(
@@ -74,14 +74,14 @@
     raw = orjson.loads(PLATFORM_ENTRY) | {"status": status}
     if state is None:
         with pytest.raises(KeyError):
-            Reader(ZONES, TYPES).endpoint(raw)
+            EndpointReader(ZONES, TYPES).endpoint(raw)
     else:
-        assert state_codec.encode_endpoint(Reader(ZONES, TYPES).endpoint(raw))[1] == state
+        assert state_codec.encode_endpoint(EndpointReader(ZONES, TYPES).endpoint(raw))[1] == state
 
 
 def test_without_known_names_a_zone_is_its_name_as_a_number() -> None:
     raw = orjson.loads(PLATFORM_ENTRY)
-    assert stored(Reader().endpoint(raw)) == (
+    assert stored(EndpointReader().endpoint(raw)) == (
         b'["channel-7","draining","98",3,2.5,1700000000.25,"465491355493","10.0.0.7",9001,true]'
     )
     assert server_id("channel-7") == 1833749077570358095159
@@ -89,11 +89,11 @@
 
 
 def test_a_list_with_its_index_is_what_the_platform_hands_to_a_process_at_its_start() -> None:
-    reader = Reader(ZONES, TYPES)
-    reader.check(orjson.loads(b'{"index":7,"snapshot":true,"endpoints":[%b]}' % PLATFORM_ENTRY))
+    reader = EndpointReader(ZONES, TYPES)
+    reader.check_initial_list(orjson.loads(b'{"index":7,"snapshot":true,"endpoints":[%b]}' % PLATFORM_ENTRY))
     for spoilt in (b'{"endpoints":[]}', b'{"index":7}', b'{"index":"x","endpoints":[]}', b"[]"):
         with pytest.raises(ValueError, match="the known list can't be read"):
-            reader.check(orjson.loads(spoilt))
+            reader.check_initial_list(orjson.loads(spoilt))
 
 
 def chunk(line: bytes) -> bytes:
@@ -120,7 +120,7 @@
             heard.put_nowait((kind.value, [stored(endpoint) for endpoint in endpoints]))
 
         server = await asyncio.start_server(serve, HOST, 0)
-        followed = Discovery(server.sockets[0].getsockname()[:2], Reader(ZONES, TYPES), 11, listen)
+        followed = Discovery(server.sockets[0].getsockname()[:2], EndpointReader(ZONES, TYPES), 11, listen)
         followed.open()
         assert [await soon(heard.get()) for _ in range(4)] == [
             ("whole", [STORED_ENTRY]),
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -19,7 +19,7 @@
 from loopback import backend as scripted
 from meshcalls import call, route
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -765,11 +765,11 @@
     nodes = Nodes("own")
     entry = {"address": "127.0.0.1:1", "protocol": "grpc"}
     [row], _ = nodes.present("a", Node(json.dumps(entry).encode(), 1, 1, 1))
-    assert row.grpc
+    assert row.speaks_grpc
     _, [said] = nodes.present("b", Node(json.dumps(entry | {"protocol": "smtp"}).encode(), 1, 1, 1))
     assert "none of http, grpc" in said
     [other], _ = Nodes("own", "grpc").present("c", Node(b'{"address": "127.0.0.1:1"}', 1, 1, 1))
-    assert other.grpc
+    assert other.speaks_grpc
 
 
 # ---- attacks -------------------------------------------------------------------------------------
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -16,8 +16,8 @@
 
 from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
 from lugspur.bench.trial import FOLDER, Trial
+from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry import Followed
-from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.model import ListKind, State
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.zookeeper.cluster import Cluster
--- a/tests/discovery/test_maintenance.py
+++ b/tests/discovery/test_maintenance.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from lugspur.discovery.endpoints import Endpoint
 from lugspur.discovery.maintenance import FLOORS_MOST, NAMES_MOST, Maintenance
-from lugspur.discovery.rows import Endpoint
 from lugspur.load_balancing.model import ListKind, ServerRow, State
 
 ADDRESS = ("127.0.0.1", 9)
--- a/tests/discovery/test_nodes.py
+++ b/tests/discovery/test_nodes.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from lugspur.config.model import FORMATS as CONFIG_FORMATS
+from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.nodes import DATA_MOST, FORMATS, Node, Nodes, Unreadable, read_entry
-from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.model import State
 
 CURATOR = {
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -9,7 +9,7 @@
 from loopback import HOST, soon
 
 from lugspur.discovery import watch
-from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.load_balancing.model import ListKind
 
 TOLD_WITHIN = 6.0  # seconds after which what discovery has to tell counts as told, by the platform's protocol
@@ -46,7 +46,7 @@
             told.put_nowait((kind, endpoints[0].row.state.value))
 
         server = await asyncio.start_server(serve, HOST, 0)
-        found = watch.Discovery(server.sockets[0].getsockname()[:2], Reader(), 0, heard)
+        found = watch.Discovery(server.sockets[0].getsockname()[:2], EndpointReader(), 0, heard)
         found.open()
         assert await soon(told.get()) == (ListKind.WHOLE, "up")
         assert await soon(told.get()) == (ListKind.PATCH, "draining")
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -20,8 +20,8 @@
     read_estate,
     unpack,
 )
+from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.discovery.maintenance import Bans
-from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing import Balancer, ListKind, Outcome, Send, ServerRow, Settings, State
 from lugspur.load_balancing.model import Learned
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.platform import Config
 from lugspur.daemon.proxy import Proxy
-from lugspur.discovery.rows import Reader
+from lugspur.discovery.endpoints import EndpointReader
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import ListKind, Settings
 
@@ -202,7 +202,7 @@
 
     def tell(self, entries: list[dict[str, Any]]) -> None:
         """Changes of the list, as if discovery had told them."""
-        reader = Reader({"here": 0, "there": 1}, {"k": 0})
+        reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
         self.proxy._told(ListKind.PATCH, reader.endpoints({"endpoints": entries}))
 
     async def client(self) -> Client:
--- a/tests/state/kept.py
+++ b/tests/state/kept.py
@@ -6,7 +6,7 @@
 
 from lugspur.daemon.persistence.file import fact, whole
 from lugspur.discovery import state_codec
-from lugspur.discovery.rows import Endpoint, server_id
+from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
 
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -13,7 +13,7 @@
 
 from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
 from lugspur.daemon.persistence.file import Pool
-from lugspur.discovery.rows import Endpoint
+from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListKind, Outcome, Rules, Send, State
