--- a/lugspur/daemon/hot_restart/hot_restart.py
+++ b/lugspur/daemon/hot_restart/hot_restart.py
@@ -24,7 +24,7 @@
     StateAssembler,
     encode_state,
 )
-from lugspur.discovery.rows import Address, server_id, server_name
+from lugspur.discovery.endpoints import Address, server_id, server_name
 
 STATE_TRANSFER_TIMEOUT_SECONDS = (
     1.0  # seconds in which an estate has to be whole: the platform waits 6 s for the new process
--- a/lugspur/daemon/hot_restart/packets.py
+++ b/lugspur/daemon/hot_restart/packets.py
@@ -7,9 +7,9 @@
 
 import orjson
 
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
+from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.discovery.maintenance import Bans
-from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned
 
 PROTOCOL_VERSION = 1
@@ -58,13 +58,14 @@
         {
             "version": PROTOCOL_VERSION,
             "index": estate.index,
-            "endpoints": [forms.entry(endpoint) for endpoint in estate.endpoints],
+            "endpoints": [state_codec.encode_endpoint(endpoint) for endpoint in estate.endpoints],
             "listed": [server_name(server) for server in estate.bans.listed],
             "banned": [server_name(server) for server in estate.bans.banned],
             "floors": {server_name(server): at for server, at in estate.bans.floors.items()},
             "drained": estate.drained,
             "open": [name.decode() for name in estate.open],
-            "learned": forms.tier(estate.learned) | {"servers": [forms.server(row) for row in estate.learned.servers]},
+            "learned": state_codec.encode_learned_pools(estate.learned)
+            | {"servers": [state_codec.encode_learned_server(row) for row in estate.learned.servers]},
         }
     ).decode()
     parts = [whole[at : at + STATE_PART_CHARACTERS] for at in range(0, len(whole), STATE_PART_CHARACTERS)]
@@ -102,7 +103,7 @@
         learned = raw["learned"]
         return ProcessState(
             int(raw["index"]),
-            [forms.read_entry(row) for row in raw["endpoints"]],
+            [state_codec.decode_endpoint(row) for row in raw["endpoints"]],
             Bans(
                 [server_id(name) for name in raw["listed"]],
                 [server_id(name) for name in raw["banned"]],
@@ -110,7 +111,7 @@
             ),
             bool(raw["drained"]),
             [name.encode() for name in raw["open"]],
-            forms.read_learned(learned, learned["servers"]),
+            state_codec.decode_learned(learned, learned["servers"]),
         )
-    except forms.SENSELESS as fault:
+    except state_codec.DECODE_ERRORS as fault:
         raise PacketError(f"no estate: {fault!r}") from fault
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh import events
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -22,7 +22,7 @@
 from loopback import backend as scripted
 from meshcalls import call, route
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
