--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -27,7 +27,7 @@
     import socket
     from collections.abc import Callable
 
-    from lugspur.daemon.hot_restart.packets import ProcessState
+    from lugspur.daemon.hot_restart.process_state import ProcessState
     from lugspur.observability.failures import FailedRequest
     from lugspur.observability.metrics import Figure
     from lugspur.pipe import Pipe
@@ -168,7 +168,7 @@
     def snapshot_state(self) -> ProcessState:
         """All that another process needs to go on in this one's place."""
         # Imported only here: a proxy without a second address stays lean.
-        from lugspur.daemon.hot_restart.packets import ProcessState
+        from lugspur.daemon.hot_restart.process_state import ProcessState
 
         return ProcessState(
             self._discovery.index,
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -17,7 +17,8 @@
 from lugspur.http1.front import Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.hot_restart.hot_restart import HotRestart, Takeover
+    from lugspur.daemon.hot_restart.hot_restart import HotRestart
+    from lugspur.daemon.hot_restart.takeover import Takeover
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -12,7 +12,7 @@
 import pytest
 from loopback import HOST, soon
 
-from lugspur.daemon.hot_restart.packets import decode_state
+from lugspur.daemon.hot_restart.process_state import decode_state
 from lugspur.discovery import learned as forms
 from lugspur.discovery.announce import Box
 from lugspur.discovery.maintenance import Maintenance
--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -20,7 +20,8 @@
 import pytest
 
 from lugspur.daemon.hot_restart.hot_restart import HotRestart
-from lugspur.daemon.hot_restart.packets import PacketError, ProcessState, StateAssembler, decode_state, encode_state
+from lugspur.daemon.hot_restart.packets import PacketError
+from lugspur.daemon.hot_restart.process_state import ProcessState, StateAssembler, decode_state, encode_state
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
--- a/tests/handover/test_keeper.py
+++ b/tests/handover/test_keeper.py
@@ -14,15 +14,10 @@
 from loopback import HOST, OK, Running, backend, entry, read, running, soon, status, until
 
 from lugspur.daemon.hot_restart import hot_restart as hot_restart_module
-from lugspur.daemon.hot_restart.hot_restart import HotRestart, short_directory_path, socket_location
-from lugspur.daemon.hot_restart.packets import (
-    MAX_PACKET_BYTES,
-    PROTOCOL_VERSION,
-    ProcessState,
-    encode_state,
-    pack,
-    unpack,
-)
+from lugspur.daemon.hot_restart.hot_restart import HotRestart
+from lugspur.daemon.hot_restart.packets import MAX_PACKET_BYTES, PROTOCOL_VERSION, pack, unpack
+from lugspur.daemon.hot_restart.process_state import ProcessState, encode_state
+from lugspur.daemon.hot_restart.rendezvous_socket import short_directory_path, socket_location
 from lugspur.discovery.maintenance import Bans
 from lugspur.load_balancing.model import Learned
 
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -10,15 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.daemon.hot_restart.packets import (
-    MAX_PACKET_BYTES,
+from lugspur.daemon.hot_restart.packets import MAX_PACKET_BYTES, PacketError, unpack
+from lugspur.daemon.hot_restart.process_state import (
     MAX_STATE_PARTS,
-    PacketError,
     ProcessState,
     StateAssembler,
     decode_state,
     encode_state,
-    unpack,
 )
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id, server_name
