--- a/lugspur/mesh/sidecar.py
+++ b/lugspur/mesh/sidecar.py
@@ -15,13 +15,22 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
-from lugspur.mesh.control.messages import Answer, Done, Entry, Forward, Grant, Hello, Message, Reply
-from lugspur.mesh.dataplane.delays import FreezeDetector
+from lugspur.mesh.control.messages import (
+    BackendResponse,
+    CompleteKey,
+    Entry,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    Hello,
+    Message,
+)
+from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
 from lugspur.mesh.dataplane.gate import Gate
 from lugspur.mesh.dataplane.ports import Carried
 from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
 from lugspur.mesh.dataplane.routes import RouteTable
-from lugspur.mesh.dataplane.uploads import UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.link import KEEP_IDLE, PROXY_KEEP_IDLE, Dialler, Link
@@ -100,7 +109,7 @@
         most = max(64, int((limits.file_handles - FILES_KEPT) * CALLERS_PART))
         self.front = Front(read_address(listen.outgoing), most, limits.memory_mb << 20, self._handle)
         # Guards against requests that waited unread while this process was frozen: their callers have given them up.
-        self.front.came = lambda now, transport, first: self._freezes.came(now)
+        self.front.came = lambda now, transport, first: self._freezes.earliest_arrival(now)
         self._tune()
         self._sock = await self.front.listen()
         readiness = HttpApi()
@@ -208,7 +217,7 @@
         dialler = self.peers.get(ip)
         return dialler is not None and dialler.link is not None and dialler.link.answered
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         """Send it to the gate beside that machine's backend."""
         if ip == self.ip:
             return CarriedHere(self.gate, self.gate.run(forward, respond))
@@ -220,9 +229,9 @@
         return self.outgoing.carry(self.loop.time(), ip, link, rate, forward, respond)
 
     def _heard_from(self, link: Link, message: Message) -> None:
-        if isinstance(message, Reply):
+        if isinstance(message, ForwardResponse):
             self.outgoing.reply(link, message)
-        elif isinstance(message, Grant):
+        elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
             link.answered, link.life = True, message.life
@@ -243,11 +252,11 @@
             if dialler is not None:
                 dialler.met(message.life)
 
-    def _done(self, forward: Forward, answer: Answer) -> None:
+    def _done(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for repeats."""
         if self.membership is not None:
             for voter in self.membership.voters:
-                self.to(voter.ip, Done(forward.key, forward.by, answer))
+                self.to(voter.ip, CompleteKey(forward.key, forward.by, answer))
 
     def standing(self) -> Standing:
         """What requests are judged by at this moment."""
@@ -290,7 +299,7 @@
         gate.turned = gate.evicted = gate.hopeless = 0
 
     def look(self, now: float) -> None:
-        self._freezes.ran(now)
+        self._freezes.record_turn(now)
         self._tell(now)
         self.incoming.look(now)
         self.registration.look(now)
--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -24,7 +24,7 @@
 from lugspur.daemon.hot_restart.process_state import ProcessState, StateAssembler, decode_state, encode_state
 from lugspur.discovery.maintenance import Bans
 from lugspur.discovery.rows import Endpoint, server_id
-from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, ServerState
 
 SOCKET_NAME = "lugspur-127.0.0.1-7.sock"  # in the directory for temporary files, for clients at 127.0.0.1:7
 ADDRESS = ("127.0.0.1", 7)
@@ -64,8 +64,8 @@
 STATE = ProcessState(
     41,
     [
-        Endpoint(ServerRow(ONE, State.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 81), True),
-        Endpoint(ServerRow(TWO, State.DRAINING, -1, 0, 1.0, 0.0, -1), ("127.0.0.1", 82)),
+        Endpoint(ServerRow(ONE, ServerState.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 81), True),
+        Endpoint(ServerRow(TWO, ServerState.DRAINING, -1, 0, 1.0, 0.0, -1), ("127.0.0.1", 82)),
     ],
     Bans([ONE, TWO], [TWO], {ONE: 7.5}),
     True,
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -16,6 +16,9 @@
 import logbook
 import msgspec
 import pytest
+from daemonic import pool, served
+from daemonic import route as daemon_route
+from loopback import NEVER_RAN, OK, entry, read, running
 from loopback import backend as scripted
 from meshcalls import call, route
 
@@ -25,8 +28,8 @@
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_call
-from lugspur.mesh.control.messages import Answer, Forward, Reply
-from lugspur.mesh.dataplane.causes import Cause
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.refusal import refuse
@@ -179,12 +182,12 @@
     """A proxy behind a real listener; gates and keys are played, unless there is a real gate."""
 
     def __init__(self, kind: str = "tracked", backends: int = 2) -> None:
-        self.sent: list[tuple[Forward, Callable[[Reply], None]]] = []
+        self.sent: list[tuple[ForwardRequest, Callable[[ForwardResponse], None]]] = []
         self.claims: list[Callable[[Settled], None]] = []
         self.gate: Gate | None = None
         table = RouteTable()
-        for entry in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
-            table.change(entry)
+        for item in read_call(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
+            table.change(item)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
         self.proxy.sender = "mine"
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), tell_failure)
@@ -193,7 +196,7 @@
     def ready(self, ip: str) -> bool:
         return True
 
-    def carry(self, ip: str, forward: Forward, respond: Callable[[Reply], None]) -> Carried:
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         self.sent.append((forward, respond))
         if self.gate is not None:
             self.gate.run(forward, respond)
@@ -293,7 +296,7 @@
             gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             gate.run(
-                Forward(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
+                ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
                 lambda reply: None,
             )
             got = await stub.got.get()
@@ -323,8 +326,8 @@
         async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
             gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             gate.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
-            said: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-            gate.run(Forward(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result)
+            said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
+            gate.run(ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result)
             fields = msgspec.msgpack.decode(msgspec.msgpack.encode(await said))
         assert fields[:3] == [20, 1, how] and fields[6] == cause  # the tag, the number, how, and the cause
 
@@ -368,7 +371,7 @@
         (Taken(False), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nkey-spent\n"),
         (Unsettled(), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nno-quorum\n"),
         (
-            Known(Answer(201, b"X-Own: o\r\n", b"hi")),
+            Known(BackendResponse(201, b"X-Own: o\r\n", b"hi")),
             b"HTTP/1.1 201 Created\r\nX-Own: o\r\nContent-Length: 2\r\n\r\nhi",
         ),
     ],
@@ -387,15 +390,15 @@
     ("reply", "answer"),
     [
         (
-            Reply(0, 1, None, False, 0, 3),
+            ForwardResponse(0, 1, None, False, 0, 3),
             b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 11\r\n\r\nno-backend\n",
         ),
-        (Reply(0, 2, cause=12), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
-        (Reply(0, 3, cause=10), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
+        (ForwardResponse(0, 2, cause=12), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
+        (ForwardResponse(0, 3, cause=10), b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 10\r\n\r\nmaybe-ran\n"),
     ],
     ids=["not run", "maybe ran", "spoilt"],
 )
-def test_how_a_send_ends_is_told_byte_for_byte(reply: Reply, answer: bytes) -> None:
+def test_how_a_send_ends_is_told_byte_for_byte(reply: ForwardResponse, answer: bytes) -> None:
     async def what() -> None:
         mesh = Mesh("unsafe", 1)
         found = await mesh.ask(answered=lambda: mesh.sent[0][1](reply))
@@ -455,7 +458,7 @@
     """One request that a gate has no room for, and that is then lost on its way to another."""
     mesh.ask_at_once()
     mesh.claims[0](Won())
-    for reply in (Reply(0, 1, None, False, 9, 3), Reply(0, 2, cause=12)):
+    for reply in (ForwardResponse(0, 1, None, False, 9, 3), ForwardResponse(0, 2, cause=12)):
         mesh.sent[-1][1](reply)
 
 
@@ -485,7 +488,7 @@
     async def what() -> None:
         mesh = Mesh("unsafe", 1)
         mesh.ask_at_once()
-        mesh.sent[0][1](Reply(0, how, None, how != 1, 0, cause))
+        mesh.sent[0][1](ForwardResponse(0, how, None, how != 1, 0, cause))
         told = f'"how":"{ENDS[how]}","cause":"{CAUSES[cause]}"}}],'.encode()
         assert told in mesh.failures(), mesh.failures()
 
@@ -496,11 +499,11 @@
     async def what() -> None:
         mesh = Mesh("unsafe", 1)
         mesh.ask_at_once()
-        mesh.sent[0][1](Reply(0, 1, None, False, 0, 3))
+        mesh.sent[0][1](ForwardResponse(0, 1, None, False, 0, 3))
         assert mesh.failures().endswith(PICK + b"]")
         mesh = Mesh("unsafe", 1)
         mesh.ask_at_once()
-        mesh.sent[0][1](Reply(0, 0, Answer(500, b"", b"")))
+        mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(500, b"", b"")))
         assert b'"how":"backend-failed"' in mesh.failures() and b'"how":"answered","cause":""' in mesh.failures()
         caller = mesh.ask_at_once()
         assert caller.gone is not None
@@ -516,7 +519,7 @@
     [
         (Taken(True), b"taken"),
         (Unsettled(), b"unsettled"),
-        (Known(Answer(500, b"", b"")), b"known"),
+        (Known(BackendResponse(500, b"", b"")), b"known"),
     ],
 )
 def test_an_account_says_how_the_claim_ended(how: Settled, claim: bytes) -> None:
@@ -538,7 +541,7 @@
         mesh = Mesh("unsafe", backends)
         mesh.ask_at_once()
         if mesh.sent:
-            mesh.sent[0][1](Reply(0, 0, Answer(200, b"", b"")))
+            mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(200, b"", b"")))
         assert dict(mesh.proxy.ended) == how
 
     play(what)
@@ -550,7 +553,7 @@
         for _ in range(300):
             mesh.ask_at_once()
             while mesh.proxy.open_requests:
-                mesh.sent[-1][1](Reply(0, 1, None, False, 0, 3))
+                mesh.sent[-1][1](ForwardResponse(0, 1, None, False, 0, 3))
         assert mesh.proxy.ended["breaker-refused"] > 0
         assert b'"refusals":[{"backend":"i-0","chance":' in mesh.failures()
         assert b'"term":"errors"}]' in mesh.failures()
@@ -563,7 +566,7 @@
         mesh = Mesh()
         gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
         for cause in list(CAUSES)[1:]:
-            gate.turn_away(1, Cause(cause))
+            gate.turn_away(1, FailureCause(cause))
         sidecar: Any = SimpleNamespace(
             loop=mesh.proxy.loop,
             gate=gate,
@@ -584,3 +587,157 @@
         assert b"request_seconds_bucket" in text
 
     play(what)
+
+
+# ---- the daemon's and the platform's request path ------------------------------------------------
+
+DAEMON_FROM_CALLER = (
+    b"POST /a?q=1 HTTP/1.1\r\n"
+    b"Host: h.example\r\n"
+    b"Content-Length: 4\r\n"
+    b"Connection: keep-alive, X-Hop\r\n"
+    b"X-Hop: 1\r\n"
+    b"X-Timeout: 9\r\n"
+    b"X-Request-ID: q1\r\n"
+    b"X-Retried: 1\r\n"
+    b"X-Cost: 10\r\n"
+    b"Idempotency-Key: k\r\n"
+    b"Forwarded: for=1.2.3.4\r\n"
+    b"X-Forwarded-For: 1.2.3.4\r\n"
+    b"X-Forwarded-Proto: https\r\n"
+    b"X-Forwarded-Host: f.example\r\n"
+    b"X-Forwarded-Port: 1\r\n"
+    b"X-Forwarded-Prefix: /f\r\n"
+    b"X-Real-IP: 1.2.3.4\r\n"
+    b"Via: 1.0 other\r\n"
+    b"X-Own: o\r\n"
+    b"\r\n"
+    b"body"
+)
+
+DAEMON_AT_BACKEND = (
+    b"POST /a?q=1 HTTP/1.1\r\n"
+    b"X-Retried: 1\r\n"
+    b"X-Cost: 10\r\n"
+    b"Idempotency-Key: k\r\n"
+    b"Via: 1.0 other\r\n"
+    b"X-Own: o\r\n"
+    b"Host: h.example\r\n"
+    b"X-Request-ID: q1\r\n"
+    b"X-Forwarded-For: 127.0.0.1\r\n"
+    b"X-Forwarded-Proto: http\r\n"
+    b"Via: 1.1 lugspur\r\n"
+    b"X-Timeout: %\r\n"
+    b"Content-Length: 4\r\n"
+    b"\r\n"
+    b"body"
+)
+
+ONE_ATTEMPT = "attempts = 1"
+
+
+def test_a_request_of_the_daemon_at_its_backend_byte_for_byte() -> None:
+    async def what() -> None:
+        async with scripted(lambda request: OK) as stub:
+            text = pool("a", stub.address) + daemon_route("r", "/*", 'pool = "a"\nclass = "once"')
+            async with served(text) as up:
+                client = await up.client()
+                assert await client.ask(DAEMON_FROM_CALLER) == OK
+            found = stub.got.get_nowait()
+        assert matches(DAEMON_AT_BACKEND, found), found
+
+    play(what)
+
+
+@pytest.mark.parametrize(
+    ("request_", "told"),
+    [
+        (
+            b"GET /once HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Length: 43\r\nConnection: close\r\n\r\n"
+            b"no Idempotency-Key, which this class needs\n",
+        ),
+        (
+            b"GET /r HTTP/1.1\r\nHost: h\r\nX-Timeout: soon\r\n\r\n",
+            b"HTTP/1.1 400 Bad Request\r\nContent-Length: 23\r\nConnection: close\r\n\r\nX-Timeout is malformed\n",
+        ),
+        (
+            b"GET /r HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 8\r\n\r\nrefused\n",
+        ),
+        (
+            b"GET /none HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"HTTP/1.1 404 Not Found\r\nContent-Length: 9\r\n\r\nno route\n",
+        ),
+    ],
+    ids=["no key", "bad time", "refused", "no route"],
+)
+def test_what_the_daemon_answers_itself_byte_for_byte(request_: bytes, told: bytes) -> None:
+    async def what() -> None:
+        async with scripted(lambda request: NEVER_RAN) as stub:
+            text = pool("a", stub.address, more=ONE_ATTEMPT)
+            text += daemon_route("r", "/r", 'pool = "a"\nclass = "read"')
+            text += daemon_route("o", "/once", 'pool = "a"\nclass = "once"')
+            async with served(text) as up:
+                client = await up.client()
+                assert await client.ask(request_) == told
+
+    play(what)
+
+
+PLATFORM_AT_BACKEND = (
+    b"GET /api/k HTTP/1.1\r\n"
+    b"Host: h\r\n"
+    b"X-Request-ID: id1\r\n"
+    b"X-Priority-Class: read\r\n"
+    b"X-Tenant-Id: acme\r\n"
+    b"X-Retried: 1\r\n"
+    b"X-Cost: 10\r\n"
+    b"X-Timeout: %\r\n"
+    b"\r\n"
+)
+
+
+@pytest.mark.parametrize(
+    ("said", "told"),
+    [(OK, OK), (NEVER_RAN, b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 8\r\n\r\nrefused\n")],
+    ids=["served", "refused"],
+)
+def test_a_request_of_the_platform_and_its_answer_byte_for_byte(said: bytes, told: bytes) -> None:
+    async def what() -> None:
+        async with scripted(lambda request: said) as stub:
+            async with running([entry("b", stub.address)]) as up:
+                client = await up.client()
+                found = await client.ask(read(timeout="0.5", X_Retried="1", X_Cost="10"))
+            got = stub.got.get_nowait()
+        assert matches(PLATFORM_AT_BACKEND, got), got
+        assert found == told
+
+    play(what)
+
+
+def rejection(reason: bytes) -> bytes:
+    """A platform's caller is told that its request can't be taken."""
+    head = b"HTTP/1.1 400 Bad Request\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % (len(reason) + 1)
+    return head + reason + b"\n"
+
+
+@pytest.mark.parametrize(
+    ("key", "wrong", "told"),
+    [
+        (b"X-Request-ID: id1", b"X-Request-ID: ", rejection(b"no request id, or a malformed one")),
+        (b"X-Priority-Class: read", b"X-Priority-Class: other", rejection(b"unknown class")),
+        (b"X-Tenant-Id: acme", b"X-Tenant-Id: other", rejection(b"unknown tenant")),
+        (b"X-Timeout: 30", b"X-Timeout: soon", rejection(b"the time is malformed")),
+        (b"X-Priority-Class: read", b"X-Priority-Class: once", rejection(b"the method does not fit the class")),
+    ],
+)
+def test_what_the_platform_is_told_of_its_headers_byte_for_byte(key: bytes, wrong: bytes, told: bytes) -> None:
+    async def what() -> None:
+        async with running([]) as up:
+            client = await up.client()
+            request = read()
+            assert key in request
+            assert await client.ask(request.replace(key, wrong)) == told
+
+    play(what)
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -8,21 +8,21 @@
 import pytest
 
 from lugspur.mesh.control.messages import (
-    Answer,
-    AskOutcomes,
-    Cancel,
-    Forward,
-    Grant,
+    BackendResponse,
+    BodyChunk,
+    CancelRequest,
+    FetchOutcomes,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
     Hello,
     Message,
-    Part,
-    Reply,
-    Withdraw,
+    WithdrawRequest,
 )
-from lugspur.mesh.dataplane.causes import Cause
-from lugspur.mesh.dataplane.delays import LATE_FOR, ExcessDelay, FreezeDetector
-from lugspur.mesh.dataplane.gate import End, Gate, LocalBackend, Ticket
-from lugspur.mesh.dataplane.uploads import PART, UploadScheduler
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.gate import Gate, LocalBackend, Ticket
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, UploadScheduler
 from lugspur.mesh.incoming import IncomingExchanges
 from lugspur.mesh.outcomes import UNRUN_MOST, Outcomes
 from lugspur.mesh.outgoing import UNPROVEN_MOST, OutgoingExchanges
@@ -45,8 +45,8 @@
         self.open = False
 
     @property
-    def replies(self) -> list[tuple[int, End]]:
-        return [(m.n, End(m.how)) for m in self.sent if isinstance(m, Reply)]
+    def replies(self) -> list[tuple[int, RequestOutcome]]:
+        return [(m.n, RequestOutcome(m.how)) for m in self.sent if isinstance(m, ForwardResponse)]
 
 
 class Rig:
@@ -80,9 +80,11 @@
         return asyncio.get_running_loop().time() + 5000.0 - ago
 
 
-def forward(n: int, sent: float, left: float = 2.0, size: int = 0, key: bytes = b"") -> Forward:
+def forward(n: int, sent: float, left: float = 2.0, size: int = 0, key: bytes = b"") -> ForwardRequest:
     attempt = b"a%d" % n
-    return Forward(n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, size=size, sent=sent)
+    return ForwardRequest(
+        n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, size=size, sent=sent
+    )
 
 
 def play(what: Callable[[Rig], Awaitable[None] | None]) -> None:
@@ -119,10 +121,10 @@
         before, after = rig.greeted("one"), rig.greeted("two")
         rig.hear(before, forward(1, rig.stamp(), size=20_000))
         rig.hear(after, forward(1, rig.stamp(), size=30_000))
-        rig.hear(before, Part(1, bytes(PART)), Cancel(1))  # of its own number 1 alone
+        rig.hear(before, BodyChunk(1, bytes(CHUNK_BYTES)), CancelRequest(1))  # of its own number 1 alone
         rig.incoming.ended(before)  # type: ignore[arg-type]
         for n in range(4):
-            rig.hear(after, Part(1, bytes(min(PART, 30_000 - n * PART))))
+            rig.hear(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
         assert rig.ran == [b"a1"] and before.replies == [] and after.open
         rig.hear(after, Hello("127.0.0.2", "three", False))
         assert not after.open  # one connection is of one life
@@ -138,7 +140,7 @@
         if held < 2.0:
             assert rig.ran == [b"a1"] and wire.replies == []
         else:
-            assert rig.ran == [] and wire.replies == [(1, End.NOT_RUN), (2, End.NOT_RUN)]
+            assert rig.ran == [] and wire.replies == [(1, RequestOutcome.NOT_RUN), (2, RequestOutcome.NOT_RUN)]
         rig.hear(wire, forward(3, rig.stamp()))
         assert rig.ran[-1] == b"a3"
 
@@ -148,12 +150,12 @@
 def test_a_body_whose_end_comes_after_its_time_does_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
     def what(rig: Rig) -> None:
         loop, wire = asyncio.get_running_loop(), rig.greeted()
-        rig.hear(wire, forward(1, rig.stamp(), size=PART))
-        [grant] = [m for m in wire.sent if isinstance(m, Grant)]
+        rig.hear(wire, forward(1, rig.stamp(), size=CHUNK_BYTES))
+        [grant] = [m for m in wire.sent if isinstance(m, GrantBody)]
         now = loop.time()
         monkeypatch.setattr(loop, "time", lambda: now + 30.0)  # frozen: the part waited, and no timer has run yet
-        rig.hear(wire, Part(1, bytes(grant.upto)))
-        assert rig.ran == [] and wire.replies == [(1, End.NOT_RUN)]
+        rig.hear(wire, BodyChunk(1, bytes(grant.upto)))
+        assert rig.ran == [] and wire.replies == [(1, RequestOutcome.NOT_RUN)]
         monkeypatch.undo()
 
     play(what)
@@ -161,7 +163,7 @@
 
 def test_what_is_said_of_a_number_on_another_connection_counts_for_nothing() -> None:
     async def what() -> None:
-        outgoing, replies = OutgoingExchanges(), list[tuple[str, Reply]]()
+        outgoing, replies = OutgoingExchanges(), list[tuple[str, ForwardResponse]]()
         first, second, other = Wire("10.0.0.1"), Wire("10.0.0.1"), Wire("10.0.0.2")
 
         def carry(name: str, wire: Wire, body: int = 0) -> int:
@@ -173,70 +175,47 @@
 
         old = carry("old", first)
         outgoing.lost(first.peer)
-        assert [(name, End(r.how)) for name, r in replies] == [("old", End.MAYBE)]
+        assert [(name, RequestOutcome(r.how)) for name, r in replies] == [("old", RequestOutcome.UNKNOWN)]
         new, large = carry("new", second), carry("large", second, 50_000)
         assert len({old, new, large}) == 3
         replies.clear()
         for wire in (first, other):  # a late answer on the old connection, and one of another machine
             for n in (old, new, large):
-                outgoing.reply(wire, Reply(n, End.NOT_RUN))  # type: ignore[arg-type]
-            outgoing.grant(wire, Grant(large, PART))  # type: ignore[arg-type]
-        outgoing.reply(second, Reply(old, End.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [] and not [m for m in second.sent if isinstance(m, Part)]
-        outgoing.reply(second, Reply(new, End.ANSWERED))  # type: ignore[arg-type]
-        outgoing.reply(second, Reply(new, End.ANSWERED))  # type: ignore[arg-type]
+                outgoing.reply(wire, ForwardResponse(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.grant(wire, GrantBody(large, CHUNK_BYTES))  # type: ignore[arg-type]
+        outgoing.reply(second, ForwardResponse(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        assert replies == [] and not [m for m in second.sent if isinstance(m, BodyChunk)]
+        outgoing.reply(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
+        outgoing.reply(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
         assert [name for name, _ in replies] == ["new"]
         outgoing.lost(second.peer)
-        assert [(name, End(r.how)) for name, r in replies] == [("new", End.ANSWERED), ("large", End.NOT_RUN)]
+        assert [(name, RequestOutcome(r.how)) for name, r in replies] == [
+            ("new", RequestOutcome.ANSWERED),
+            ("large", RequestOutcome.NOT_RUN),
+        ]
 
     asyncio.run(what())
 
 
-def test_delays_are_told_without_clocks_that_agree() -> None:
-    delay, offset = ExcessDelay(), -4321.0
-    assert delay.excess(10.0 + offset, 10.0 - 0.03) == 0.0
-    assert delay.excess(11.0 + offset, 11.0 - 0.02) == 0.0  # less delay than ever: that is the offset now
-    assert delay.excess(12.0 + offset, 12.0 - 0.52) == pytest.approx(0.5, abs=0.01)
-    assert delay.excess(50.0 + offset, 12.1 - 0.02) == pytest.approx(37.9, abs=0.05)
-
-
-def test_clocks_that_run_apart_make_nothing_late() -> None:
-    delay = ExcessDelay()
-    assert max(delay.excess(t * 10.0, t * 10.0 * (1.0 - 5e-4)) for t in range(10_000)) < 0.01
-
-
-def test_a_clock_that_was_moved_is_found_out() -> None:
-    delay = ExcessDelay()
-    delay.excess(0.0, 0.0)
-    told = [delay.excess(60.0 + t / 10.0, t / 10.0) for t in range(100)]
-    assert told[0] == pytest.approx(60.0, abs=0.1) and told[-1] < 0.1
-    assert sum(t > 1.0 for t in told) <= 10 * LATE_FOR + 2
-
-
-def test_what_is_read_after_a_freeze_may_have_come_at_its_begin() -> None:
-    freezes = FreezeDetector(1.0, 0.5)
-    for step in range(10):
-        freezes.ran(step / 10.0)
-    assert freezes.came(1.8) == 1.8  # a loaded machine is none that was frozen
-    assert freezes.came(30.0) == 1.8 and freezes.came(30.4) == 1.8
-    assert freezes.came(40.0) == 30.4 and freezes.came(40.5) == 40.5
-
-
 def test_a_gate_tells_on_a_new_connection_what_is_proven_of_those_lost_with_the_former_one() -> None:
     def what(rig: Rig) -> None:
         former = rig.greeted()
         rig.hear(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
         rig.hear(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # its body never comes whole
         never_ran, answered, at_work = rig.tickets
-        rig.gate._end(never_ran, End.NOT_RUN, Cause.EVICTED)
-        rig.gate._end(answered, End.ANSWERED, Cause.NONE, Answer(200, b"", b""))
+        rig.gate._end(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
+        rig.gate._end(answered, RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         former.close()
         rig.incoming.ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
-        rig.hear(after, AskOutcomes([1, 2, 3, 4, 5]))
-        assert after.replies == [(1, End.NOT_RUN), (4, End.NOT_RUN), (5, End.NOT_RUN)]  # 5 has never come
-        rig.gate._end(at_work, End.NOT_RUN, Cause.HOPELESS)
-        assert after.replies[3:] == [(3, End.NOT_RUN)]  # told once it is known
+        rig.hear(after, FetchOutcomes([1, 2, 3, 4, 5]))
+        assert after.replies == [
+            (1, RequestOutcome.NOT_RUN),
+            (4, RequestOutcome.NOT_RUN),
+            (5, RequestOutcome.NOT_RUN),
+        ]  # 5 has never come
+        rig.gate._end(at_work, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+        assert after.replies[3:] == [(3, RequestOutcome.NOT_RUN)]  # told once it is known
 
     play(what)
 
@@ -245,10 +224,10 @@
     def what(rig: Rig) -> None:
         former, after = rig.greeted(), rig.greeted()
         rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
-        rig.hear(after, AskOutcomes([2]))
-        assert after.replies == [(2, End.NOT_RUN)] and not former.open  # so that nothing more is read on it
+        rig.hear(after, FetchOutcomes([2]))
+        assert after.replies == [(2, RequestOutcome.NOT_RUN)] and not former.open  # so that nothing more is read on it
         other = rig.greeted("two")
-        rig.hear(other, AskOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
+        rig.hear(other, FetchOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
         assert other.replies == [] and after.open
 
     play(what)
@@ -257,7 +236,7 @@
 def test_who_has_not_said_which_life_it_is_can_ask_nothing() -> None:
     def what(rig: Rig) -> None:
         stranger = Wire()
-        rig.hear(stranger, AskOutcomes([1]))
+        rig.hear(stranger, FetchOutcomes([1]))
         assert stranger.sent == [] and not stranger.open
 
     play(what)
@@ -275,30 +254,34 @@
 
 def test_the_proof_for_a_lost_request_is_asked_for_and_reaches_who_sent_it() -> None:
     def what(_: Rig) -> None:
-        outgoing, replies = OutgoingExchanges(), list[tuple[int, End]]()
+        outgoing, replies = OutgoingExchanges(), list[tuple[int, RequestOutcome]]()
         former = Wire("10.0.0.1", "theirs")
 
         def carry(key: bytes) -> int:
             message = forward(0, 0.0, key=key)
-            outgoing.carry(1.0, former.peer, former, 0.0, message, lambda r: replies.append((r.n, End(r.how))))  # type: ignore[arg-type]
+
+            def note(reply: ForwardResponse) -> None:
+                replies.append((reply.n, RequestOutcome(reply.how)))
+
+            outgoing.carry(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
             return message.n
 
         one, two, unkeyed = carry(b"k1"), carry(b"k2"), carry(b"")
         outgoing.lost(former.peer)
-        assert replies == [(n, End.MAYBE) for n in (one, two, unkeyed)]
+        assert replies == [(n, RequestOutcome.UNKNOWN) for n in (one, two, unkeyed)]
         replies.clear()
         after, elsewhere = Wire("10.0.0.1", "theirs"), Wire("10.0.0.2", "theirs")
         for wire in (elsewhere, after):
             outgoing.reached(wire)  # type: ignore[arg-type]
-        assert elsewhere.sent == [] and after.sent == [AskOutcomes([one, two])]
-        outgoing.reply(elsewhere, Reply(one, End.NOT_RUN))  # type: ignore[arg-type]
+        assert elsewhere.sent == [] and after.sent == [FetchOutcomes([one, two])]
+        outgoing.reply(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
         for _again in range(2):
-            outgoing.reply(after, Reply(one, End.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, End.NOT_RUN)]  # once
+            outgoing.reply(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
         outgoing.reached(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
-        outgoing.reply(after, Reply(two, End.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, End.NOT_RUN)]  # the life that knew of it has ended
+        outgoing.reply(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # the life that knew of it has ended
 
     play(what)
 
@@ -311,7 +294,7 @@
     after = Wire("10.0.0.1", "theirs")
     outgoing.reached(after)  # type: ignore[arg-type]
     [asked] = after.sent
-    assert isinstance(asked, AskOutcomes) and len(asked.numbers) == UNPROVEN_MOST
+    assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == UNPROVEN_MOST
 
 
 def test_what_is_withdrawn_is_not_begun_and_what_is_at_work_goes_on() -> None:
@@ -319,11 +302,11 @@
         wire = rig.greeted()
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
         rig.tickets[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
-        rig.hear(wire, Withdraw(1), Withdraw(2), Withdraw(3))
-        assert wire.replies == [(2, End.NOT_RUN)] and wire.open
-        rig.hear(wire, Part(2, bytes(PART)))  # a part that was on its way
+        rig.hear(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
+        assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.open
+        rig.hear(wire, BodyChunk(2, bytes(CHUNK_BYTES)))  # a part that was on its way
         assert rig.ran == [b"a1"] and wire.open
-        rig.gate._end(rig.tickets[0], End.ANSWERED, Cause.NONE, Answer(200, b"", b""))
-        assert wire.replies[1:] == [(1, End.ANSWERED)]
+        rig.gate._end(rig.tickets[0], RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
+        assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
 
     play(what)
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -11,19 +11,19 @@
 
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import (
-    Forward,
-    Grant,
+    BodyChunk,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
     Hello,
     Membership,
     Message,
-    Part,
-    Reply,
-    Sync,
+    Subscribe,
     Unsubscribe,
     Voter,
 )
-from lugspur.mesh.dataplane.gate import End
-from lugspur.mesh.dataplane.uploads import PART
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES
 from lugspur.mesh.link import Dialler
 from lugspur.mesh.registration import BackendStatus
 from lugspur.mesh.settings import load
@@ -249,27 +249,30 @@
         self.sent.append(message)
 
 
-@pytest.mark.parametrize(("granted", "how"), [(0, End.NOT_RUN), (PART, End.NOT_RUN), (50_000, End.MAYBE)])
+@pytest.mark.parametrize(
+    ("granted", "how"),
+    [(0, RequestOutcome.NOT_RUN), (CHUNK_BYTES, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)],
+)
 def test_a_body_whose_end_was_not_sent_has_not_run_and_a_whole_one_may_have(
-    tmp_path: Path, granted: int, how: End
+    tmp_path: Path, granted: int, how: RequestOutcome
 ) -> None:
     def what(sidecar: Sidecar) -> None:
-        ip, replies = "127.0.0.2", list[Reply]()
+        ip, replies = "127.0.0.2", list[ForwardResponse]()
         wire = Wire(ip)
         dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.backends[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
-        forward = Forward(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
+        forward = ForwardRequest(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
         sidecar.carry(ip, forward, replies.append)
         [offer] = wire.sent
-        assert isinstance(offer, Forward) and (offer.size, offer.body) == (len(body), b"")
-        for upto in range(PART, granted + PART, PART):
-            sidecar._heard_from(wire, Grant(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
-        parts = [m for m in wire.sent[1:] if isinstance(m, Part)]
+        assert isinstance(offer, ForwardRequest) and (offer.size, offer.body) == (len(body), b"")
+        for upto in range(CHUNK_BYTES, granted + CHUNK_BYTES, CHUNK_BYTES):
+            sidecar._heard_from(wire, GrantBody(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
+        parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
         assert b"".join(p.data for p in parts) == body[:granted]
         sidecar._down(dialler)
-        assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
+        assert [(r.how, r.sent) for r in replies] == [(how, how == RequestOutcome.UNKNOWN)]
         assert not sidecar.outgoing.waits_for(ip)
         dialler.link = None
         dialler.close()
@@ -306,10 +309,10 @@
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
         sidecar._seek()
         former = wires[sidecar.source]
-        assert [type(message) for message in former.sent] == [Sync]
+        assert [type(message) for message in former.sent] == [Subscribe]
         sidecar._seek()
-        assert [type(message) for message in former.sent] == [Sync, Unsubscribe]
-        assert [type(message) for message in wires[sidecar.source].sent] == [Sync]
+        assert [type(message) for message in former.sent] == [Subscribe, Unsubscribe]
+        assert [type(message) for message in wires[sidecar.source].sent] == [Subscribe]
         for ip in wires:
             sidecar.peers[ip].link = None
             sidecar.peers[ip].close()
