--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -46,32 +46,32 @@
 
 
 BACK_LATELY = 5.0  # seconds since operators put a backend back, in which it is owed a call by the process that follows
-ELSEWHERE_MOST = 65_536  # ids of requests that are open at another process of this proxy
+MAX_PEER_REQUEST_IDS = 65_536  # ids of requests that are open at another process of this proxy
 
 
 class PeerProcesses(Protocol):
-    """Other processes of this proxy, which are told what binds all."""
+    """Other processes of this proxy during a hot restart, which are told what binds all."""
 
     def broadcast_ban(self, server: int, on: bool, at: float) -> None:
-        """An operator told this process."""
+        """Tell them that an operator has begun or ended the ban of a backend."""
 
     def broadcast_drain(self, on: bool) -> None:
-        """An operator told this process."""
+        """Tell them that an operator has begun or ended a drain."""
 
     def request_started(self, name: bytes) -> None:
-        """A request with this id is open here."""
+        """Tell them that a request with this id is open here."""
 
     def request_finished(self, name: bytes) -> None:
-        """Nothing is owed for it any more."""
+        """Tell them that a request with this id is answered and has no attempt left."""
 
 
 class Proxy:
     """One running proxy: the decision module between callers, backends and discovery."""
 
-    def __init__(self, config: Config, estate: ProcessState | None = None) -> None:
+    def __init__(self, config: Config, inherited: ProcessState | None = None) -> None:
         loop = asyncio.get_running_loop()
         self.peers: PeerProcesses | None = None  # other processes of this proxy, while there are any
-        self._elsewhere: set[bytes] = set()  # ids of requests that are open there
+        self._peer_request_ids: set[bytes] = set()  # ids of requests that are open there
         self._arrivals: set[asyncio.Task[object]] = set()
         self.taken_up: Callable[[], None] | None = None  # told once clients are taken
         self.wire = config.wire
@@ -96,28 +96,28 @@
         self.front = Front(config.listen, callers, config.memory, self._request)
         self._reader = reader = Reader(config.zones, config.types)
         self._discovery = watch.Discovery(
-            config.discovery, reader, config.known["index"] if estate is None else estate.index, self._told
+            config.discovery, reader, config.known["index"] if inherited is None else inherited.index, self._told
         )
         # One epoch for good: the list's times are comparable, and steps of the system's clock do no harm.
         epoch = time.time() - loop.time()
         self.pool = Pool(config.settings, config.seed, connections, self, epoch, self._discovery.open)
-        known = reader.endpoints(config.known) if estate is None else estate.endpoints
-        if estate is not None:
-            self.maintenance.restore(estate.bans)
+        known = reader.endpoints(config.known) if inherited is None else inherited.endpoints
+        if inherited is not None:
+            self.maintenance.restore(inherited.bans)
         self.pool.streams = True
         self.pool.members(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, known))
-        if estate is not None:
-            self.pool.balancer.recall(self.pool.now(), estate.learned)
-            self._elsewhere.update(estate.open)
-            for server, at in estate.bans.floors.items():
+        if inherited is not None:
+            self.pool.balancer.recall(self.pool.now(), inherited.learned)
+            self._peer_request_ids.update(inherited.open)
+            for server, at in inherited.bans.floors.items():
                 if self.pool.now() - at < BACK_LATELY:
                     self.pool.put_back(server)
-            if estate.drained:
+            if inherited.drained:
                 self.front.drain(0.0)
         self.pool.start()
-        if config.settings.discovery is DiscoveryMode.PUSHED or estate is not None:
+        if config.settings.discovery is DiscoveryMode.PUSHED or inherited is not None:
             self._discovery.open()
-        if known and estate is None:
+        if known and inherited is None:
             # Guards against a discovery that is down at the start: an old list serves better than none.
             loop.call_later(KNOWN_AFTER, self._loaded)
 
@@ -166,7 +166,7 @@
     # ---- another process of the same proxy -----------------------------------------------------------
 
     def snapshot_state(self) -> ProcessState:
-        """All that another process needs to go on in this one's place."""
+        """Return all that a successor needs to go on in this process's place."""
         # Imported only here: a proxy without a second address stays lean.
         from lugspur.daemon.hot_restart.process_state import ProcessState
 
@@ -175,60 +175,63 @@
             list(self.maintenance.told.values()),
             self.maintenance.save(),
             self.front.drained_at is not None,
-            [*self._open, *self._elsewhere],
+            [*self._open, *self._peer_request_ids],
             self.pool.balancer.learned(),
         )
 
     def accept_transferred_list(self) -> None:
-        """The list that came from the process before is as good as told."""
+        """Serve by the list that came from the predecessor, as if discovery had sent it."""
         self._loaded()
 
     def apply_peer_ban(self, server: int, on: bool, at: float) -> None:
-        """Another process was told so."""
+        """Begin or end the ban of a backend, as an operator has told a peer."""
         if on:
             self._patch(self.maintenance.disable(server))
         else:
             self._enable(server, at)
 
     def apply_peer_drain(self, on: bool) -> None:
-        """Another process was told so."""
+        """Begin or end a drain, as an operator has told a peer."""
         if on:
             self.front.drain()
         else:
             self.front.undrain()
 
     def apply_peer_requests(self, begun: list[bytes], done: list[bytes]) -> None:
-        """Requests that are open at another process, and that are no more."""
-        if len(self._elsewhere) + len(begun) <= ELSEWHERE_MOST:
-            self._elsewhere.update(begun)
-        self._elsewhere.difference_update(done)
+        """Take note of the ids of requests that were opened and finished at a peer."""
+        if len(self._peer_request_ids) + len(begun) <= MAX_PEER_REQUEST_IDS:
+            self._peer_request_ids.update(begun)
+        self._peer_request_ids.difference_update(done)
 
     def forget_peer_requests(self) -> None:
-        """The other process has ended, and its requests with it."""
-        self._elsewhere.clear()
+        """Forget the ids of a predecessor's requests, which ended with it."""
+        self._peer_request_ids.clear()
 
     def set_superseded(self, on: bool) -> None:
-        """Another process serves in this one's place, or does no more: cold servers have one budget, sockets one."""
+        """Note that a successor serves from now on in this process's place, or that it has ended.
+
+        Both share one budget of sockets and one of requests to cold backends.
+        """
         self.pool.balancer.retire(on)
         self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
 
     def attach_peers(self, peers: PeerProcesses) -> None:
-        """Another process may be there: tell it what binds both, and leave it its part."""
+        """Broadcast to peers what binds all processes, and leave half of the sockets to them."""
         self.peers = peers
         self._sockets.reset(self._sockets_most // 2, {})
 
     def detach_peers(self) -> None:
-        """No other process of this proxy is left."""
-        self._elsewhere.clear()
+        """Note that no peer is left, so that all sockets are this process's own."""
+        self._peer_request_ids.clear()
         self._sockets.reset(self._sockets_most, {})
 
     @property
     def arriving(self) -> bool:
-        """Whether connections of another process are about to become callers."""
+        """Whether connections of the predecessor are about to become callers."""
         return bool(self._arrivals)
 
     def adopt_connection(self, sock: socket.socket) -> None:
-        """Go on with a caller's connection that another process had."""
+        """Go on with a caller's connection that the predecessor had."""
         sock.setblocking(False)
         task = self._loop.create_task(self._loop.connect_accepted_socket(lambda: Caller(self.front, used=True), sock))
         self._arrivals.add(task)
@@ -312,7 +315,7 @@
         facts = self._classify(request)
         name = request.headers[b"x-request-id"]
         # Guards against a second request that backends would take for the first.
-        if name in self._open or name in self._elsewhere:
+        if name in self._open or name in self._peer_request_ids:
             raise Rejected(409, "a request with this id is open")
         self._open.add(name)
         if self.peers is not None:
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -85,7 +85,10 @@
 
 
 async def transfer_connections(proxy: Proxy, listener: socket.socket, hot_restart: HotRestart) -> None:
-    """Another process serves already: finish what is open here, and give it every caller."""
+    """Finish the requests that are open here, and give every caller's connection to the successor.
+
+    Where the successor ends before that, this process drains as without a successor.
+    """
     front = proxy.front
     front.serving = False
     # Not closed: should the other process end, this one has to serve on.
