--- a/tests/handover/test_hand_over.py
+++ b/tests/daemon/hot_restart/test_connection_transfer.py
@@ -1,4 +1,4 @@
-"""The end of a process whose place another has taken: not before all its callers are at the other one."""
+"""A process with a successor ends once all connections of its callers have been transferred."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         return True
 
 
-def test_a_process_does_not_end_before_what_it_has_queued_for_its_heir_is_out() -> None:
+def test_a_process_does_not_end_before_all_queued_transfers_have_gone_to_its_successor() -> None:
     async def play() -> None:
         proxy, hot_restart, listener = Proxy(), HotRestart(), socket.create_server(("127.0.0.1", 0))
         asyncio.get_running_loop().add_reader(listener.fileno(), lambda: None)
--- a/tests/handover/test_replacement.py
+++ b/tests/daemon/hot_restart/test_process_replacement.py
@@ -1,4 +1,4 @@
-"""One process takes another's place, as real processes on loopback under load."""
+"""Hot restarts of real processes on loopback, under load."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 from lugspur.bench.sockets import free_port
 
-ROOT = Path(__file__).parent.parent.parent
+ROOT = Path(__file__).parents[3]
 
 
-class Fleet:
+class ProxyProcesses:
     """Processes of one proxy, one after another."""
 
-    def __init__(self, folder: Path, entries: list[dict[str, Any]]) -> None:
+    def __init__(self, directory: Path, entries: list[dict[str, Any]]) -> None:
         self.port = free_port()
-        self.folder = folder
+        self.directory = directory
         self.ports: list[int] = []
         self.processes: list[asyncio.subprocess.Process] = []
         self.raw: dict[str, Any] = {
@@ -41,12 +41,12 @@
     async def start(self, **changed: Any) -> int:
         """One more process: its second address, once it says yes."""
         port = free_port()
-        path = self.folder / f"config-{len(self.processes)}.json"
+        path = self.directory / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(self.raw | {"management": f"{HOST}:{port}"} | changed))
-        temp = self.folder / "tmp"
+        temp = self.directory / "tmp"
         temp.mkdir(exist_ok=True)
         environment = os.environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(temp)}
-        with open(self.folder / "log", "ab") as log:
+        with open(self.directory / "log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "lugspur", cwd=ROOT, env=environment, stderr=log
             )
@@ -60,11 +60,11 @@
 
     def log(self) -> str:
         """What the processes have said, for whoever reads a failure."""
-        return (self.folder / "log").read_text()
+        return (self.directory / "log").read_text()
 
     def change(self, number: int, **changed: Any) -> None:
         """One process's configuration is replaced, and it is told so."""
-        path = self.folder / f"config-{number}.json"
+        path = self.directory / f"config-{number}.json"
         path.write_text(json.dumps(json.loads(path.read_text()) | changed))
         self.processes[number].send_signal(signal.SIGHUP)
 
@@ -91,9 +91,9 @@
 
 
 @asynccontextmanager
-async def fleet(folder: Path, *backends: Backend) -> AsyncIterator[Fleet]:
+async def proxy_processes(directory: Path, *backends: Backend) -> AsyncIterator[ProxyProcesses]:
     """A proxy's processes; those that are left are ended."""
-    up = Fleet(folder, [entry(f"s-{n}", one.address) for n, one in enumerate(backends, 1)])
+    up = ProxyProcesses(directory, [entry(f"s-{n}", one.address) for n, one in enumerate(backends, 1)])
     try:
         yield up
     except BaseException as fault:
@@ -114,7 +114,7 @@
             ran[request.split(b"X-Request-ID: ")[1].split(b"\r\n")[0]] += 1
             return OK
 
-        async with backend(script) as one, backend(script) as two, fleet(tmp_path, one, two) as up:
+        async with backend(script) as one, backend(script) as two, proxy_processes(tmp_path, one, two) as up:
             await up.start()
             over = False
             answers: Counter[int] = Counter()
@@ -152,9 +152,13 @@
     asyncio.run(play())
 
 
-def test_bans_drains_and_the_end_of_both_go_over_and_bind_both_processes(tmp_path: Path) -> None:
+def test_bans_drains_and_the_end_of_both_bind_both_processes(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, backend(lambda _: OK) as two, fleet(tmp_path, one, two) as up:
+        async with (
+            backend(lambda _: OK) as one,
+            backend(lambda _: OK) as two,
+            proxy_processes(tmp_path, one, two) as up,
+        ):
             first = await up.start()
             assert await call(first, "POST", "/backends/disable", "s-1") == 200
             assert await call(first, "POST", "/drain") == 200
@@ -180,9 +184,9 @@
     asyncio.run(play())
 
 
-def test_a_request_that_is_open_is_finished_by_the_old_one_and_its_id_is_known_to_the_new_one(tmp_path: Path) -> None:
+def test_an_open_request_is_finished_by_the_predecessor_and_its_id_is_known_to_the_successor(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: None) as one, fleet(tmp_path, one) as up:
+        async with backend(lambda _: None) as one, proxy_processes(tmp_path, one) as up:
             await up.start()
             client = await up.client()
             client.writer.write(book(1))
@@ -207,9 +211,9 @@
     asyncio.run(play())
 
 
-def test_half_a_request_is_read_to_its_end_by_the_process_that_began_to(tmp_path: Path) -> None:
+def test_a_request_is_read_to_its_end_by_the_process_that_began_to_read_it(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, fleet(tmp_path, one) as up:
+        async with backend(lambda _: OK) as one, proxy_processes(tmp_path, one) as up:
             await up.start()
             client = await up.client()
             client.writer.write(book(1)[:-2])
@@ -226,9 +230,13 @@
     asyncio.run(play())
 
 
-def test_the_new_one_dies_before_the_old_one_is_told_and_the_next_finds_it(tmp_path: Path) -> None:
+def test_a_successor_that_dies_early_leaves_the_predecessor_to_the_next_successor(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, backend(lambda _: OK) as two, fleet(tmp_path, one, two) as up:
+        async with (
+            backend(lambda _: OK) as one,
+            backend(lambda _: OK) as two,
+            proxy_processes(tmp_path, one, two) as up,
+        ):
             first = await up.start()
             assert await call(first, "POST", "/backends/disable", "s-1") == 200
             await up.start()
@@ -245,9 +253,13 @@
     asyncio.run(play())
 
 
-def test_two_replacements_at_once_bind_all_three(tmp_path: Path) -> None:
+def test_a_ban_binds_all_three_processes_of_two_replacements_at_once(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, backend(lambda _: OK) as two, fleet(tmp_path, one, two) as up:
+        async with (
+            backend(lambda _: OK) as one,
+            backend(lambda _: OK) as two,
+            proxy_processes(tmp_path, one, two) as up,
+        ):
             await up.start()
             client = await up.client()
             assert status(await client.ask(read(1))) == 200
@@ -264,9 +276,9 @@
     asyncio.run(play())
 
 
-def test_one_that_hangs_or_is_gone_is_followed_by_one_that_starts_from_nothing(tmp_path: Path) -> None:
+def test_a_successor_of_a_frozen_or_killed_process_starts_from_nothing(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, fleet(tmp_path, one) as up:
+        async with backend(lambda _: OK) as one, proxy_processes(tmp_path, one) as up:
             await up.start()
             up.processes[0].send_signal(signal.SIGSTOP)
             await up.start()
@@ -284,9 +296,9 @@
     asyncio.run(play())
 
 
-def test_other_settings_in_the_middle_of_a_replacement_are_taken_up_by_both(tmp_path: Path) -> None:
+def test_both_processes_reload_settings_in_the_middle_of_a_replacement(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, fleet(tmp_path, one) as up:
+        async with backend(lambda _: OK) as one, proxy_processes(tmp_path, one) as up:
             await up.start()
             before = await up.client()
             assert status(await before.ask(read(1))) == 200
@@ -318,9 +330,12 @@
     asyncio.run(play())
 
 
-def test_sigterm_ends_a_drained_process_with_what_is_open_and_the_next_begins_undrained(tmp_path: Path) -> None:
+def test_sigterm_lets_a_drained_process_finish_and_the_next_one_starts_undrained(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda request: None if b"id9" in request else OK) as one, fleet(tmp_path, one) as up:
+        async with (
+            backend(lambda request: None if b"id9" in request else OK) as one,
+            proxy_processes(tmp_path, one) as up,
+        ):
             port = await up.start()
             busy = await up.client()
             busy.writer.write(book(9))
@@ -341,10 +356,10 @@
     asyncio.run(play())
 
 
-def test_discovery_that_moves_in_the_middle_of_a_replacement_is_followed_by_the_one_that_stays(tmp_path: Path) -> None:
+def test_the_successor_follows_discovery_that_moves_in_the_middle_of_a_replacement(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two, watches() as old, watches() as new:
-            async with fleet(tmp_path, one) as up:
+            async with proxy_processes(tmp_path, one) as up:
                 up.raw["discovery"] = f"{HOST}:{old.port}"
                 await up.start()
                 await soon(old.asked.get())
@@ -368,9 +383,9 @@
     asyncio.run(play())
 
 
-def test_calls_are_answered_under_load_and_in_the_middle_of_reloads_drains_and_replacements(tmp_path: Path) -> None:
+def test_admin_requests_are_answered_under_load_during_reloads_drains_and_replacements(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, fleet(tmp_path, one) as up:
+        async with backend(lambda _: OK) as one, proxy_processes(tmp_path, one) as up:
             await up.start()
             over = False
             answers: Counter[int] = Counter()
--- a/tests/handover/test_messages.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -1,4 +1,4 @@
-"""What two processes say to each other: whole round trips, and everything that is none."""
+"""The state that goes from one process to its successor: round trips, bounds, and malformed input."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 LEARNED = learned()
 
 
-def estate(names: list[str], **changed: Any) -> ProcessState:
+def process_state(names: list[str], **changed: Any) -> ProcessState:
     servers = [server_id(name) for name in names]
     rows = [
         Endpoint(ServerRow(server, ServerState.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 80 + n), n % 2 == 1)
@@ -58,7 +58,7 @@
     return ProcessState(**(values | changed))
 
 
-def together(packets: list[bytes]) -> ProcessState | None:
+def assembled(packets: list[bytes]) -> ProcessState | None:
     parts, whole = StateAssembler(), None
     for packet in packets:
         assert whole is None
@@ -68,23 +68,23 @@
 
 @given(st.lists(NAMES, max_size=200, unique=True))
 @settings(deadline=None)  # a loaded machine is no fault
-def test_an_estate_arrives_as_it_was(names: list[str]) -> None:
-    sent = estate(names)
+def test_a_process_state_is_decoded_as_it_was_encoded(names: list[str]) -> None:
+    sent = process_state(names)
     packets = encode_state(sent)
-    assert together(packets) == sent
+    assert assembled(packets) == sent
     assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
     assert [server_name(server_id(name)) for name in names] == names
 
 
-def test_the_largest_estate_fits_its_bounds() -> None:
+def test_the_largest_process_state_fits_its_bounds() -> None:
     names = [f"backend-of-a-long-name-{n:020}" for n in range(16_384)]
-    packets = encode_state(estate(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
+    packets = encode_state(process_state(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
     assert len(packets) <= MAX_STATE_PARTS
     assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
 
 
-def spoilt(change: dict[str, Any]) -> str:
-    text = "".join(unpack(packet)["part"] for packet in encode_state(estate(["a", "b"])))
+def changed_text(change: dict[str, Any]) -> str:
+    text = "".join(unpack(packet)["part"] for packet in encode_state(process_state(["a", "b"])))
     return orjson.dumps(orjson.loads(text) | change).decode()
 
 
@@ -103,9 +103,9 @@
         {"endpoints": [["a", "often", 0, 0, 1.0, 0.0, 0, "h", 1, False]]},
     ],
 )
-def test_an_estate_that_makes_no_sense_is_foreign(change: dict[str, Any]) -> None:
+def test_a_malformed_process_state_raises_packet_error(change: dict[str, Any]) -> None:
     with pytest.raises(PacketError):
-        decode_state(spoilt(change))
+        decode_state(changed_text(change))
 
 
 @pytest.mark.parametrize(
@@ -122,19 +122,19 @@
         {"n": 0, "of": 1, "part": "null"},
     ],
 )
-def test_parts_that_do_not_fit_are_foreign(message: dict[str, Any]) -> None:
+def test_parts_that_do_not_fit_raise_packet_error(message: dict[str, Any]) -> None:
     with pytest.raises(PacketError):
         StateAssembler().add(message)
 
 
 @given(st.binary(max_size=200) | st.sampled_from([b"[]", b"{}", b'{"t":1}']))
 @settings(deadline=None)  # a loaded machine is no fault
-def test_noise_is_foreign(noise: bytes) -> None:
+def test_noise_raises_packet_error(noise: bytes) -> None:
     with pytest.raises(PacketError):
         unpack(noise)
 
 
-def test_what_was_learned_goes_on_in_another_instance_and_not_for_a_restarted_server() -> None:
+def test_learned_state_is_kept_by_another_instance_but_not_for_a_restarted_backend() -> None:
     rows = [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
     rows[2] = replace(rows[2], started=99.0)
     balancer = Balancer(Settings(), 2)
@@ -149,7 +149,7 @@
     assert (balancer.pooled, balancer.pace, balancer.paced) == (LEARNED.pooled, LEARNED.pace, LEARNED.paced)
 
 
-def test_one_that_has_retired_sends_nothing_to_cold_servers() -> None:
+def test_a_superseded_instance_sends_nothing_to_backends_that_warm_up() -> None:
     cold = ServerRow(1, started=100.0)
     warm = ServerRow(2)
     settings = replace(Settings(), rules=replace(Settings().rules, cold_for=1000.0, cold_from=1.0))
--- a/tests/handover/test_keeper.py
+++ b/tests/daemon/hot_restart/test_takeover.py
@@ -1,4 +1,4 @@
-"""A process that comes meets what is at the socket: nothing, rubbish, another version, silence, half an estate."""
+"""A starting process meets what is at the socket: nothing, noise, another version, silence, half a state."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 
 @pytest.fixture(autouse=True)
-def folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Path]:
-    """A folder of its own, with a path longer than a Unix socket's address takes."""
+def directory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Path]:
+    """A directory of its own, with a path longer than a Unix socket's address takes."""
     deep = tmp_path / ("d" * 90) / ("e" * 90)
     deep.mkdir(parents=True)
     monkeypatch.setattr(tempfile, "tempdir", str(deep))
     yield deep
 
 
-class Old:
-    """Stands where the process before would: a socket at the place, and what it says is the test's matter."""
+class Predecessor:
+    """Stands for the process that serves: it listens at the rendezvous socket, and each test says what it answers."""
 
     def __init__(self) -> None:
-        folder, name = socket_location(ADDRESS)
+        directory, name = socket_location(ADDRESS)
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        with short_directory_path(folder) as path:
+        with short_directory_path(directory) as path:
             self._sock.bind(f"{path}/{name}")
         self._sock.listen()
         self._sock.settimeout(20.0)
 
-    def come(self) -> socket.socket:
+    def accept_successor(self) -> socket.socket:
         """The process that comes, once it has said hello."""
         one, _ = self._sock.accept()
         one.settimeout(20.0)
@@ -52,15 +52,15 @@
         return one
 
 
-def took(says: Any) -> tuple[bool, int]:
+def takes_over(answer: Any) -> tuple[bool, int]:
     """Whether an estate was taken where the old process does this; and the links that are left."""
 
     async def play() -> tuple[bool, int]:
-        old = Old()
+        old = Predecessor()
         hot_restart = HotRestart(ADDRESS)
         taking = asyncio.create_task(hot_restart.take_over())
-        one = await asyncio.to_thread(old.come)
-        says(one)
+        one = await asyncio.to_thread(old.accept_successor)
+        answer(one)
         found = await soon(taking)
         if found is not None:
             found.listener.close()
@@ -71,71 +71,71 @@
     return asyncio.run(play())
 
 
-ESTATE = ProcessState(1, [], Bans([], [], {}), False, [], Learned((), (), 0.0, 0.0, 0))
-PARTS = encode_state(ESTATE)
-NEWER = [part.replace(b'\\"version\\":1', b'\\"version\\":9') for part in PARTS]
+STATE = ProcessState(1, [], Bans([], [], {}), False, [], Learned((), (), 0.0, 0.0, 0))
+STATE_PACKETS = encode_state(STATE)
+STATE_PACKETS_OF_VERSION_9 = [part.replace(b'\\"version\\":1', b'\\"version\\":9') for part in STATE_PACKETS]
 
 
-def with_socket(packets: list[bytes]) -> Any:
+def sends_with_listener(packets: list[bytes]) -> Any:
     """Say these, the last with a listening socket."""
 
-    def say(one: socket.socket) -> None:
+    def send(one: socket.socket) -> None:
         with socket.socket() as listener:
             listener.bind((HOST, 0))
             for packet in packets[:-1]:
                 one.send(packet)
             socket.send_fds(one, [packets[-1]], [listener.fileno()])
 
-    return say
+    return send
 
 
-def test_a_whole_estate_is_taken_over_a_path_of_any_length(folder: Path) -> None:
-    assert len(str(folder)) > 108
-    assert took(with_socket(PARTS)) == (True, 1)
+def test_a_complete_state_is_taken_over_at_a_path_of_any_length(directory: Path) -> None:
+    assert len(str(directory)) > 108
+    assert takes_over(sends_with_listener(STATE_PACKETS)) == (True, 1)
 
 
 @pytest.mark.parametrize(
-    "says",
+    "answer",
     [
         lambda one: one.close(),
         lambda one: one.send(b"nonsense"),
         lambda one: one.send(b"x" * (MAX_PACKET_BYTES + 5000)),
         lambda one: one.send(pack({"t": "no", "why": "another version"})),
-        lambda one: one.send(PARTS[0]),  # whole, and no socket comes with it
+        lambda one: one.send(STATE_PACKETS[0]),  # whole, and no socket comes with it
         lambda one: one.send(pack({"t": "estate", "n": 3, "of": 9, "part": ""})),
         lambda one: one.send(pack({"t": "estate", "n": 0, "of": 10**9, "part": ""})),
-        with_socket(NEWER),
+        sends_with_listener(STATE_PACKETS_OF_VERSION_9),
     ],
     ids=range(8),
 )
-def test_what_is_no_estate_means_a_start_from_nothing(says: Any) -> None:
-    assert NEWER != PARTS
-    assert took(says) == (False, 0)
+def test_an_unusable_answer_of_the_predecessor_means_a_start_from_nothing(answer: Any) -> None:
+    assert STATE_PACKETS_OF_VERSION_9 != STATE_PACKETS
+    assert takes_over(answer) == (False, 0)
 
 
-def test_one_that_says_nothing_or_half_is_waited_for_a_moment(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_predecessor_that_answers_nothing_or_half_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(hot_restart_module, "STATE_TRANSFER_TIMEOUT_SECONDS", 0.1)
     half = pack({"t": "estate", "n": 0, "of": 2, "part": "{"})
-    assert took(lambda one: None) == (False, 0)
-    assert took_again(lambda one: one.send(half)) == (False, 0)
+    assert takes_over(lambda one: None) == (False, 0)
+    assert takes_over_again(lambda one: one.send(half)) == (False, 0)
 
 
-def took_again(says: Any) -> tuple[bool, int]:
+def takes_over_again(answer: Any) -> tuple[bool, int]:
     """After the socket of a dead process has been left where it was."""
-    folder, name = socket_location(ADDRESS)
-    os.unlink(f"{folder}/{name}")
-    return took(says)
+    directory, name = socket_location(ADDRESS)
+    os.unlink(f"{directory}/{name}")
+    return takes_over(answer)
 
 
-def test_a_stale_socket_another_users_and_none_at_all_are_no_process(
-    folder: Path, monkeypatch: pytest.MonkeyPatch
+def test_a_stale_socket_another_users_socket_and_none_at_all_mean_no_predecessor(
+    directory: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
         hot_restart = HotRestart(ADDRESS)
         assert await hot_restart.take_over() is None
-        Old()._sock.close()
+        Predecessor()._sock.close()
         assert await hot_restart.take_over() is None
-        old = again()
+        old = socket_of_another_predecessor()
         monkeypatch.setattr(os, "geteuid", lambda: 12345)
         assert await hot_restart.take_over() is None
         old.close()
@@ -144,11 +144,11 @@
     asyncio.run(play())
 
 
-def again() -> socket.socket:
+def socket_of_another_predecessor() -> socket.socket:
     """One more at the place, where a stale one lies."""
-    folder, name = socket_location(ADDRESS)
-    os.unlink(f"{folder}/{name}")
-    return Old()._sock
+    directory, name = socket_location(ADDRESS)
+    os.unlink(f"{directory}/{name}")
+    return Predecessor()._sock
 
 
 async def serving(up: Running) -> HotRestart:
@@ -161,11 +161,11 @@
     return hot_restart
 
 
-def test_rubbish_from_a_process_that_comes_harms_nobody(folder: Path) -> None:
+def test_malformed_packets_of_a_starting_process_harm_nobody(directory: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up:
             hot_restart = await serving(up)
-            folder_, name = socket_location(ADDRESS)
+            directory_, name = socket_location(ADDRESS)
             for packet in (
                 b"nonsense",
                 pack({"t": "ban", "id": 7}),
@@ -176,7 +176,7 @@
                 pack({"t": "hello"}),
             ):
                 came = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-                with short_directory_path(folder_) as path:
+                with short_directory_path(directory_) as path:
                     came.connect(f"{path}/{name}")
                 came.send(packet)
                 await until(lambda: len(hot_restart.connections) <= 1)
@@ -186,12 +186,12 @@
                 await until(lambda: not hot_restart.connections)
             assert hot_restart.successor is None
             hot_restart.close()
-            assert not os.path.exists(folder / name)  # its own it takes along
+            assert not os.path.exists(directory / name)  # its own it takes along
 
     asyncio.run(play())
 
 
-def test_a_ban_told_to_either_in_the_instant_of_the_hand_over_binds_both() -> None:
+def test_a_ban_at_either_process_during_the_takeover_binds_both() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address), entry("s-2", one.address)]) as old:
             first = await serving(old)
