--- a/lugspur/mesh/control_figures.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -8,10 +8,10 @@
 
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.replica import Replica
-from lugspur.mesh.disk import Disk
-from lugspur.mesh.link import Dialler
-from lugspur.mesh.operator_calls import OperatorCalls
-from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.control_node.operator_calls import OperatorCalls
+from lugspur.mesh.process_pause import PauseDetector
+from lugspur.mesh.storage.disk import Disk
+from lugspur.mesh.transport.link import Dialer
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
 
@@ -23,8 +23,8 @@
     proposer: Proposer
     disk: Disk
     operator_calls: OperatorCalls
-    stall: StallDetector
-    peers: dict[str, Dialler]
+    pause_detector: PauseDetector
+    peers: dict[str, Dialer]
 
     @property
     def subscribers(self) -> Sized:
@@ -34,7 +34,7 @@
         """Seconds since word of a majority."""
 
 
-def control_figures(node: ControlParts) -> list[Figure]:
+def control_node_metrics(node: ControlParts) -> list[Figure]:
     """All figures of one control node at this moment."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
@@ -44,7 +44,7 @@
         counter("proposals_total", "Proposals of changes.", node.proposer.proposals),
         counter("disk_commits_total", "Writes that were synced.", disk.commits),
         counter("disk_failures_total", "Writes that failed.", disk.failures),
-        counter("stalls_total", "How often this process stood still for a second or more.", node.stall.stalls),
+        counter("stalls_total", "How often this process stood still for a second or more.", node.pause_detector.pauses),
         gauge("disk_failing", "1 while the latest write had failed.", float(bool(disk.fault))),
         gauge("configuration_index", "The latest change that is known as decided.", replica.index),
         gauge("membership_epoch", "The membership that this process goes by.", replica.epoch),
--- a/lugspur/mesh/control_status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -6,12 +6,12 @@
 
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.disk import Disk
-from lugspur.mesh.membership_changes import presences_of
+from lugspur.mesh.control_node.membership_changes import presences_of
 from lugspur.mesh.settings import Own
+from lugspur.mesh.storage.disk import Disk
 
 
-def control_status(
+def control_node_status(
     own: Own, replica: Replica, store: Store, disk: Disk, *, ip: str, age: float, voters_wanted: int, subscribers: int
 ) -> dict[str, Any]:
     """The fields of /mesh/status; `age`: seconds since word of a majority."""
