--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -17,7 +17,8 @@
 from lugspur.http1.front import Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.hot_restart.hot_restart import HotRestart, Takeover
+    from lugspur.daemon.hot_restart.hot_restart import HotRestart
+    from lugspur.daemon.hot_restart.takeover import Takeover
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
@@ -84,7 +85,10 @@
 
 
 async def transfer_connections(proxy: Proxy, listener: socket.socket, hot_restart: HotRestart) -> None:
-    """Another process serves already: finish what is open here, and give it every caller."""
+    """Finish the requests that are open here, and give every caller's connection to the successor.
+
+    Where the successor ends before that, this process drains as without a successor.
+    """
     front = proxy.front
     front.serving = False
     # Not closed: should the other process end, this one has to serve on.
