--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -85,7 +85,7 @@
         self.exchanges: list[Attempt] = []
         self.bound = False  # whether a message has passed: the request belongs to that attempt
         self.may_have_run = False  # whether any attempt may
-        self.last = Outcome.VOID  # how its latest attempt ended...
+        self.last = Outcome.NOT_PROCESSED  # how its latest attempt ended...
         self.response: Response | None = None  # ...and with what answer
         self.timer: asyncio.TimerHandle | None = None
         self.steps: list[Step] = []  # what became of each attempt, for an account of its failure
@@ -506,7 +506,7 @@
             # Guards backends against callers: the request is at fault, and would be anywhere else.
             self.answer(call, response.status, b"", b"rejected\n")
             self._perform(self._decide(self.balancer.gone, call.rid, call=call))
-            outcome = Outcome.VOID
+            outcome = Outcome.NOT_PROCESSED
         elif outcome is Outcome.OK and response is not None:
             if now <= call.deadline:
                 self._owner.served(call, response)
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -42,7 +42,7 @@
     """
     if status == 501 or (status < 500 and status not in (408, 429)):
         return Outcome.OK
-    return Outcome.FULL if status in (503, 504) and unseen else Outcome.ERROR
+    return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
 
 
 class Station:
@@ -245,7 +245,7 @@
         source, self._source = self._source, None
         if source is not None:
             source.close()
-        self.pool.members(ListUpdateKind.WHOLE, [])
+        self.pool.members(ListUpdateKind.COMPLETE, [])
         self.pool.upstream.close()
         if self._streams is not None:
             self._streams.close()
--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -121,7 +121,7 @@
     def open(self) -> None:
         """Begin to tell."""
         if self._fixed:
-            self._told(ListUpdateKind.WHOLE, self._fixed)
+            self._told(ListUpdateKind.COMPLETE, self._fixed)
         self._registry.join(self.view, self._woken)
 
     def close(self) -> None:
@@ -233,7 +233,7 @@
         former, self._known = self._known, rows
         if not self._told_all:
             self._told_all = True
-            self._told(ListUpdateKind.WHOLE, list(rows.values()))
+            self._told(ListUpdateKind.COMPLETE, list(rows.values()))
             return
         left = [
             replace(known, row=replace(known.row, state=ServerState.GONE))
--- a/lugspur/discovery/source.py
+++ b/lugspur/discovery/source.py
@@ -37,7 +37,7 @@
 
     def open(self) -> None:
         """Tell it once."""
-        self._told(ListUpdateKind.WHOLE, self._endpoints)
+        self._told(ListUpdateKind.COMPLETE, self._endpoints)
 
     def close(self) -> None:
         """Nothing is left to do."""
@@ -65,7 +65,7 @@
             if seen != self._seen:
                 endpoints = self._read(found.st_size)
                 self._seen, self._said = seen, ""  # a half-written file is no news: it is read again
-                self._told(ListUpdateKind.WHOLE, endpoints)
+                self._told(ListUpdateKind.COMPLETE, endpoints)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as fault:
             self._complain(f"{fault.strerror}" if isinstance(fault, OSError) else f"no list: {fault!r}")
 
--- a/lugspur/discovery/watch.py
+++ b/lugspur/discovery/watch.py
@@ -106,7 +106,7 @@
             self._former = None
         watch.told = True
         self._index = index
-        self._told(ListUpdateKind.WHOLE if message.get("snapshot") else ListUpdateKind.PATCH, endpoints)
+        self._told(ListUpdateKind.COMPLETE if message.get("snapshot") else ListUpdateKind.PATCH, endpoints)
 
 
 class _Watch(asyncio.Protocol):
--- a/lugspur/emulator/boxes.py
+++ b/lugspur/emulator/boxes.py
@@ -58,7 +58,7 @@
             self._clock.at(self._clock.now + DIAL, lambda: self._tell(work, Outcome.UNREACHABLE))
             return
         if len(self._waiting) >= self._kind.queue:
-            self._clock.at(self._clock.now, lambda: self._tell(work, Outcome.FULL))
+            self._clock.at(self._clock.now, lambda: self._tell(work, Outcome.OVERLOADED))
             return
         self._waiting.append(work)
         self._next()
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -49,7 +49,7 @@
         self._calls: dict[str, _Call] = {}
         self._count = 0
         rows = [ServerRow(n) for n in range(len(self.boxes))]
-        self._perform(self.balancer.members(0.0, ListUpdateKind.WHOLE, rows) + self.balancer.start(0.0))
+        self._perform(self.balancer.members(0.0, ListUpdateKind.COMPLETE, rows) + self.balancer.start(0.0))
 
     def ran(self) -> int:
         """Works that boxes have begun."""
--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -29,12 +29,12 @@
 
 PROVES: dict[End, Outcome] = {
     End.UNSENT: Outcome.UNREACHABLE,
-    End.UNWANTED: Outcome.VOID,
-    End.FULL: Outcome.FULL,
-    End.REFUSED: Outcome.FULL,
-    End.ABOVE: Outcome.VOID,  # the box leaves in good order: nothing is wrong with it
-    End.RESET: Outcome.BROKEN,
-    End.BROKEN: Outcome.BROKEN,
+    End.UNWANTED: Outcome.NOT_PROCESSED,
+    End.FULL: Outcome.OVERLOADED,
+    End.REFUSED: Outcome.OVERLOADED,
+    End.ABOVE: Outcome.NOT_PROCESSED,  # the box leaves in good order: nothing is wrong with it
+    End.RESET: Outcome.INTERRUPTED,
+    End.BROKEN: Outcome.INTERRUPTED,
     End.LATE: Outcome.TIMEOUT,
 }
 
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -39,7 +39,7 @@
     """What an answer by the platform's protocol says of its attempt; `unseen`: `X-Not-Processed: 1`."""
     if status == 200:
         return Outcome.OK
-    return Outcome.FULL if status in (503, 504) and unseen else Outcome.ERROR
+    return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
 
 
 class Backend:
@@ -125,8 +125,8 @@
         if not self.open:
             return
         self.open = False
-        unrun = outcome is Outcome.UNREACHABLE or outcome is Outcome.VOID
-        check(not (unrun and self._may_have_run()), Invariant.PROVEN_UNRUN, outcome=outcome.name)
+        unrun = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
+        check(not (unrun and self._may_have_run()), Invariant.PROVEN_UNRUN, outcome=outcome.value.upper())
         if self.body is not None:
             self.body.told = None
         if self.timer is not None:
@@ -150,7 +150,7 @@
 
     def broke(self) -> None:
         """The connection is no good any more."""
-        self.end(Outcome.BROKEN if self._may_have_run() else Outcome.UNREACHABLE)
+        self.end(Outcome.INTERRUPTED if self._may_have_run() else Outcome.UNREACHABLE)
 
     def begun(self, now: float) -> None:
         """A piece of the answer has come, and more is owed.
@@ -354,13 +354,13 @@
         self._answer = None
         outcome = self._upstream.judge(answer.status, self._unseen)
         nameless = exchange.echo is not None and self._echoed is None
-        if nameless and outcome is Outcome.FULL and self.idle_since:
+        if nameless and outcome is Outcome.OVERLOADED and self.idle_since:
             # Guards against a late refusal of a request before on this connection: where answers bear their request's
             # id, one that bears none does not prove that this one has not run.
             exchange.broke()
             return
         if outcome is Outcome.ERROR and exchange.body is not None and not self.written:
-            outcome = Outcome.FULL  # a backend begins at the last byte: it never ran
+            outcome = Outcome.OVERLOADED  # a backend begins at the last byte: it never ran
         # Kept only if nothing came behind the answer, and it is this request's: else the next one might get either.
         if self._clean and not nameless and self.written and self.usable():
             self.exchange = exchange.connection = None
@@ -682,7 +682,7 @@
         left = exchange.until - self._loop.time()
         if not exchange.open or left <= 0.0 or not exchange.backend.in_service:
             self.release(connection)
-            self._loop.call_soon(exchange.end, Outcome.VOID)
+            self._loop.call_soon(exchange.end, Outcome.NOT_PROCESSED)
             return
         if not connection.usable():
             exchange.end(Outcome.UNREACHABLE)
--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -43,19 +43,19 @@
 DISCOVERY_MODES = {"pushed": DiscoveryMode.PUSHED, "on_request": DiscoveryMode.ON_REQUEST}
 LIST_UPDATE_KINDS = {
     "stale_copy": ListUpdateKind.STALE,
-    "whole": ListUpdateKind.WHOLE,
+    "whole": ListUpdateKind.COMPLETE,
     "patch": ListUpdateKind.PATCH,
-    "broken": ListUpdateKind.BROKEN,
+    "broken": ListUpdateKind.FAILED,
 }
 OUTCOMES = {
     "success": Outcome.OK,
     "failure": Outcome.ERROR,
-    "overloaded": Outcome.FULL,
+    "overloaded": Outcome.OVERLOADED,
     "timed_out": Outcome.TIMEOUT,
     "unreachable": Outcome.UNREACHABLE,
-    "broken": Outcome.BROKEN,
+    "broken": Outcome.INTERRUPTED,
     "withdrawn": Outcome.CANCELLED,
-    "void": Outcome.VOID,
+    "void": Outcome.NOT_PROCESSED,
 }
 RULES = {
     "drain_grace": "DrainGrace",
@@ -185,7 +185,7 @@
     def _members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         kind = LIST_UPDATE_KINDS[e["Mode"]]
         rows: tuple[ServerRow, ...] = ()
-        if kind is not ListUpdateKind.BROKEN:
+        if kind is not ListUpdateKind.FAILED:
             if e["List"] not in self.lists:
                 raise WireFault(f"unknown list number {e['List']}")
             rows = self.lists[e["List"]]
--- a/lugspur/load_balancing/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -54,7 +54,7 @@
 BACK_FROM, BACK_TO = 0.5, 3.0  # seconds after operators put a server back: its first call is due then
 
 #: Outcomes that speak of too much work for the servers there are.
-STRAIN = frozenset({Outcome.FULL, Outcome.TIMEOUT, Outcome.UNREACHABLE})
+STRAIN = frozenset({Outcome.OVERLOADED, Outcome.TIMEOUT, Outcome.UNREACHABLE})
 
 SUBSCRIBE = 1  # timer token
 
@@ -215,7 +215,7 @@
 
     def members(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
         """A list, a change to it, or the news that a call to discovery failed."""
-        if kind is ListUpdateKind.BROKEN:
+        if kind is ListUpdateKind.FAILED:
             # Jittered and doubling: every instance lost the same service at the same time.
             delay = self.backoff * (0.5 + self.rng.random())
             self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.ask_within))
@@ -450,7 +450,7 @@
         server = attempt.server
         server.out.pop(attempt, None)
         breaker = server.breaker
-        if breaker is None or how is Outcome.VOID or attempt.sent < server.row.started:
+        if breaker is None or how is Outcome.NOT_PROCESSED or attempt.sent < server.row.started:
             return
         if how in NEVER_RAN:
             server.turned_away(now, self.rng)
--- a/lugspur/load_balancing/model.py
+++ b/lugspur/load_balancing/model.py
@@ -52,9 +52,9 @@
     """What a list message is."""
 
     STALE = "stale"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     PATCH = "patch"
-    BROKEN = "broken"
+    FAILED = "broken"
 
 
 class Outcome(Enum):
@@ -62,16 +62,16 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"
-    BROKEN = "broken"
+    INTERRUPTED = "broken"
     CANCELLED = "cancelled"
-    VOID = "void"
+    NOT_PROCESSED = "void"
 
 
 #: Outcomes that prove that the attempt never ran.
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID})
+NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_PROCESSED})
 
 
 def _number(name: str, value: float, low: float = 0.0, high: float = math.inf) -> None:
--- a/lugspur/mesh/dataplane/gate.py
+++ b/lugspur/mesh/dataplane/gate.py
@@ -38,8 +38,12 @@
 
 
 #: Causes of what never ran, and of what may have.
-UNRUN = {Outcome.FULL: Cause.REFUSED, Outcome.UNREACHABLE: Cause.UNREACHABLE, Outcome.VOID: Cause.HOPELESS}
-UNKNOWN = {Outcome.TIMEOUT: Cause.TIMED_OUT, Outcome.BROKEN: Cause.BROKEN, Outcome.CANCELLED: Cause.CANCELLED}
+UNRUN = {
+    Outcome.OVERLOADED: Cause.REFUSED,
+    Outcome.UNREACHABLE: Cause.UNREACHABLE,
+    Outcome.NOT_PROCESSED: Cause.HOPELESS,
+}
+UNKNOWN = {Outcome.TIMEOUT: Cause.TIMED_OUT, Outcome.INTERRUPTED: Cause.BROKEN, Outcome.CANCELLED: Cause.CANCELLED}
 
 Rank = tuple[int, float]  # an operators' priority, and the loop's time at which an answer loses its worth
 
@@ -55,7 +59,7 @@
 
 def judge(status: int, unseen: bool) -> Outcome:
     """421 and `Lugspur-Not-Delivered` prove that it did not run; all else is the backend's answer."""
-    return Outcome.FULL if unseen or status == 421 else Outcome.OK
+    return Outcome.OVERLOADED if unseen or status == 421 else Outcome.OK
 
 
 class LocalBackend:
@@ -307,11 +311,11 @@
                 self._end(ticket, End.ANSWERED, Cause.NONE, answer)
             else:
                 self._end(ticket, End.SPOILT, Cause.SPOILT)
-        elif outcome in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID):
+        elif outcome in (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_PROCESSED):
             if outcome is Outcome.UNREACHABLE and not ticket.local.down and ticket.local is self.local:
                 ticket.local.down = True
                 self._down(ticket.local)
-            if outcome is not Outcome.FULL:
+            if outcome is not Outcome.OVERLOADED:
                 ticket.sent = False
             self._end(ticket, End.NOT_RUN, UNRUN[outcome])
         else:
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -401,7 +401,7 @@
         self.tries: Counter[str] = Counter()
         self.now = 100.0
         self.rows = [read_row({"Backend": n, "FailureDomain": n % 2, "Hw": n % 2}) for n in range(6)]
-        self.note("members", self.balancer.members(self.now, ListUpdateKind.WHOLE, self.rows))
+        self.note("members", self.balancer.members(self.now, ListUpdateKind.COMPLETE, self.rows))
         self.note("start", self.balancer.start(self.now))
 
     def note(self, what: str, actions: list[Any]) -> None:
@@ -471,7 +471,7 @@
         learned = self.balancer.learned()
         self.lines.append(f"learned {plain(astuple(learned))}")
         self.balancer = Balancer(self.settings, 5)
-        self.note("members", self.balancer.members(self.now, ListUpdateKind.WHOLE, self.rows))
+        self.note("members", self.balancer.members(self.now, ListUpdateKind.COMPLETE, self.rows))
         self.balancer.recall(self.now, learned)
 
 
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -37,7 +37,7 @@
     for work in works[3:]:
         box.take(work)
     clock.run()
-    assert Counter(ends) == {(0.0, Outcome.FULL): 2, (1.0, Outcome.OK): 2, (2.0, Outcome.OK): 1} and box.ran == 3
+    assert Counter(ends) == {(0.0, Outcome.OVERLOADED): 2, (1.0, Outcome.OK): 2, (2.0, Outcome.OK): 1} and box.ran == 3
 
 
 def test_a_request_has_one_end_by_its_deadline() -> None:
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -31,7 +31,9 @@
 def learned() -> Learned:
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
-    balancer.members(10.0, ListUpdateKind.WHOLE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)])
+    balancer.members(
+        10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
+    )
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
             if isinstance(action, Send):
@@ -158,7 +160,7 @@
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
-        balancer.members(101.0, ListUpdateKind.WHOLE, [cold, warm])
+        balancer.members(101.0, ListUpdateKind.COMPLETE, [cold, warm])
         balancer.retire(retired)
         got = set()
         for number in range(300):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -69,7 +69,7 @@
         self.apply(self.balancer.start(self.now))
 
     def members(self, kind: ListUpdateKind, rows: list[ServerRow]) -> None:
-        if kind in (ListUpdateKind.STALE, ListUpdateKind.WHOLE):
+        if kind in (ListUpdateKind.STALE, ListUpdateKind.COMPLETE):
             self.rows = {r.server: r for r in rows}
         elif kind is ListUpdateKind.PATCH:
             self.rows.update({r.server: r for r in rows})
--- a/tests/membership/test_maintenance.py
+++ b/tests/membership/test_maintenance.py
@@ -27,7 +27,7 @@
     over.lay(ListUpdateKind.STALE, [row(1), row(2)])
     assert states(over.disable(1)) == {1: ServerState.DRAINING}
     assert states(over.disable(1)) == {1: ServerState.DRAINING}  # repeats may come
-    assert states(over.lay(ListUpdateKind.WHOLE, [row(1), row(2)])) == {1: ServerState.DRAINING, 2: ServerState.UP}
+    assert states(over.lay(ListUpdateKind.COMPLETE, [row(1), row(2)])) == {1: ServerState.DRAINING, 2: ServerState.UP}
     over.lay(ListUpdateKind.PATCH, [row(1, ServerState.GONE)])
     assert states(over.lay(ListUpdateKind.PATCH, [row(1, started=5.0)])) == {1: ServerState.DRAINING}
     moved = replace(row(1, started=6.0), address=("127.0.0.1", 10))
@@ -39,17 +39,17 @@
 
 def test_a_backend_comes_back_cold_whatever_discovery_says_of_its_start() -> None:
     over = Maintenance()
-    over.lay(ListUpdateKind.WHOLE, [row(1, started=3.0)])
+    over.lay(ListUpdateKind.COMPLETE, [row(1, started=3.0)])
     over.disable(1)
     assert over.enable(1, 50.0)[0].row.started == 50.0
-    assert over.lay(ListUpdateKind.WHOLE, [row(1, started=3.0)])[0].row.started == 50.0
+    assert over.lay(ListUpdateKind.COMPLETE, [row(1, started=3.0)])[0].row.started == 50.0
     assert over.lay(ListUpdateKind.PATCH, [row(1, started=60.0)])[0].row.started == 60.0
     assert over.enable(1, 99.0) == []  # no ban, no restart
 
 
 def test_a_ban_ends_into_what_discovery_says() -> None:
     over = Maintenance()
-    over.lay(ListUpdateKind.WHOLE, [row(1)])
+    over.lay(ListUpdateKind.COMPLETE, [row(1)])
     over.disable(1)
     over.lay(ListUpdateKind.PATCH, [row(1, ServerState.DRAINING)])
     assert states(over.enable(1, 50.0)) == {1: ServerState.DRAINING}
@@ -60,12 +60,12 @@
 
 def test_one_that_has_gone_is_known_and_one_never_listed_is_not() -> None:
     over = Maintenance()
-    over.lay(ListUpdateKind.WHOLE, [row(1)])
-    over.lay(ListUpdateKind.WHOLE, [])
+    over.lay(ListUpdateKind.COMPLETE, [row(1)])
+    over.lay(ListUpdateKind.COMPLETE, [])
     assert over.known(1)
     assert not over.known(2)
     assert over.disable(1) == []
-    assert states(over.lay(ListUpdateKind.WHOLE, [row(1)])) == {1: ServerState.DRAINING}
+    assert states(over.lay(ListUpdateKind.COMPLETE, [row(1)])) == {1: ServerState.DRAINING}
 
 
 def test_names_and_ends_of_bans_are_bounded_and_what_counts_is_kept() -> None:
@@ -94,7 +94,7 @@
 @settings(deadline=None)  # a loaded machine is no fault
 def test_no_sequence_lets_a_banned_backend_serve(steps: list[tuple[str, int]]) -> None:
     over, seen, banned = Maintenance(), dict[int, ServerState](), set[int]()
-    over.lay(ListUpdateKind.WHOLE, [row(1), row(2), row(3)])
+    over.lay(ListUpdateKind.COMPLETE, [row(1), row(2), row(3)])
     for at, (what, server) in enumerate(steps):
         if what == "ban":
             banned.add(server)
@@ -104,12 +104,12 @@
             out = over.enable(server, float(at))
         elif what == "whole":
             seen.clear()
-            out = over.lay(ListUpdateKind.WHOLE, [row(server)])
+            out = over.lay(ListUpdateKind.COMPLETE, [row(server)])
         elif what == "process":
             former, over = over, Maintenance()
             over.restore(former.save())
             seen.clear()
-            out = over.lay(ListUpdateKind.WHOLE, [row(1), row(2), row(3)])
+            out = over.lay(ListUpdateKind.COMPLETE, [row(1), row(2), row(3)])
         else:
             state = {"up": ServerState.UP, "gone": ServerState.GONE, "terminating": ServerState.DRAINING}[what]
             out = over.lay(ListUpdateKind.PATCH, [row(server, state)])
--- a/tests/membership/test_watch.py
+++ b/tests/membership/test_watch.py
@@ -48,7 +48,7 @@
         server = await asyncio.start_server(serve, HOST, 0)
         found = watch.Discovery(server.sockets[0].getsockname()[:2], Reader(), 0, heard)
         found.open()
-        assert await soon(told.get()) == (ListUpdateKind.WHOLE, "up")
+        assert await soon(told.get()) == (ListUpdateKind.COMPLETE, "up")
         assert await soon(told.get()) == (ListUpdateKind.PATCH, "draining")
         assert since[:2] == [0, 4]
         found.close()
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -151,7 +151,7 @@
             if known is not None:
                 balancer.recall(now, known)
             young = replace(rows[0].row, started=now - 0.5)  # the first list that is told
-            balancer.members(now, ListUpdateKind.WHOLE, [young, *(row.row for row in rows[1:])])
+            balancer.members(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
                 at, rid = now + 0.02 * number, f"q{number}"
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -29,7 +29,7 @@
 
 def balancer(*classes: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=classes), seed=1)
-    one.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    one.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     return one
 
 
@@ -50,7 +50,7 @@
     with pytest.raises(ValueError, match=r"classes\[0\]: a request of it is open"):
         one.adopt(1.1, Settings(classes=(READ,)))
     one.adopt(1.1, Settings(classes=(BOOK, READ)))
-    [fail] = one.outcome(1.2, "a", 0, Outcome.BROKEN, 0.2)
+    [fail] = one.outcome(1.2, "a", 0, Outcome.INTERRUPTED, 0.2)
     assert isinstance(fail, Fail)
     one.adopt(1.3, Settings(classes=(READ,)))  # now nothing stands against it
 
@@ -60,7 +60,7 @@
     for number in range(30):
         rid = f"r{number}"
         one.request(1.0, rid)
-        one.outcome(1.0, rid, 0, Outcome.BROKEN, 0.0)
+        one.outcome(1.0, rid, 0, Outcome.INTERRUPTED, 0.0)
     spent = len(one.budget._extra)
     one.adopt(1.0, replace(one.settings, classes=(replace(READ, aim=0.9),)) if not one.requests else one.settings)
     assert len(one.budget._extra) == spent > 0
@@ -68,7 +68,7 @@
 
 def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
     one = balancer(READ)
-    one.members(1.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2, kind=7)])
+    one.members(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, kind=7)])
     one.request(1.0, "free")
     bound = replace(READ, only_kinds=(7,))
     before = one.pool_of[0]
@@ -92,7 +92,9 @@
     one.begun(1.2, "begun", 0)
     assert one.pool_of[0].owed == 1
     for rid in ("bound", "begun"):
-        assert [type(action) for action in one.outcome(1.3, rid, 0, Outcome.BROKEN, 0.3)] == [Reject]  # safe: no harm
+        assert [type(action) for action in one.outcome(1.3, rid, 0, Outcome.INTERRUPTED, 0.3)] == [
+            Reject
+        ]  # safe: no harm
     assert one.pool_of[0].owed == 0 and not one.requests
     assert one.bind(1.4, "bound", 0) == [] and one.begun(1.4, "begun", 0) == []
 
--- a/tests/test_extend.py
+++ b/tests/test_extend.py
@@ -20,7 +20,7 @@
 
 def balancer(row: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=(row,)), seed=1)
-    one.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    one.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     return one
 
 
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -276,7 +276,7 @@
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, size=2.0, started=99.0), ServerRow(2)])
-    b.members(101.0, ListUpdateKind.WHOLE, [ServerRow(2)])
+    b.members(101.0, ListUpdateKind.COMPLETE, [ServerRow(2)])
     assert b.servers[1].row == ServerRow(1, ServerState.GONE, size=2.0, started=99.0)
 
 
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -23,7 +23,7 @@
 def balancer() -> Balancer:
     """One that has seen both servers answer in 0.1 s."""
     made = Balancer(SETTINGS, 5)
-    made.members(0.0, ListUpdateKind.WHOLE, ROWS)
+    made.members(0.0, ListUpdateKind.COMPLETE, ROWS)
     for number in range(40):
         now = number / 4.0
         for action in made.request(now, f"w{number}"):
@@ -94,7 +94,7 @@
         elif what == "begun":
             actions = made.begun(now, rid, len(request.attempts) - 1)
         else:
-            how = {"ok": Outcome.OK, "broken": Outcome.BROKEN, "late": Outcome.TIMEOUT}[what]
+            how = {"ok": Outcome.OK, "broken": Outcome.INTERRUPTED, "late": Outcome.TIMEOUT}[what]
             actions = made.outcome(now, rid, len(request.attempts) - 1, how, 0.1)
         del actions
         waiting = [r for r in made.requests.values() if not (r.done or r.begun or r.partial)]
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -465,7 +465,7 @@
         answers = [OK, OK, CLOSE, OK, OK]
         async with backend(lambda _: answers.pop(0)) as one:
             exchanges = Exchanges(one)
-            for expected in (Outcome.OK, Outcome.OK, Outcome.BROKEN, Outcome.OK, Outcome.OK):
+            for expected in (Outcome.OK, Outcome.OK, Outcome.INTERRUPTED, Outcome.OK, Outcome.OK):
                 exchanges.start()
                 assert await soon(exchanges.ended.get()) is expected
             assert len(one.open) == 3 and not exchanges.known.idle
--- a/tests/test_put_back.py
+++ b/tests/test_put_back.py
@@ -30,7 +30,7 @@
     """Seconds after the call back until the server gets its first request, of few that are offered."""
     balancer = Balancer(SETTINGS, seed)
     rows = [ServerRow(n) for n in range(servers)]
-    balancer.members(0.0, ListUpdateKind.WHOLE, rows)
+    balancer.members(0.0, ListUpdateKind.COMPLETE, rows)
     now = 0.0
     for number in range(60):
         now += 1.0 / rate
@@ -61,7 +61,7 @@
 
 def test_one_that_is_gone_or_drains_again_is_owed_nothing() -> None:
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    balancer.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     balancer.put_back(0.0, 1)
     balancer.put_back(0.0, 7)  # never listed
     balancer.members(1.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -60,9 +60,9 @@
             row = rows[a % len(rows)]
             state = (ServerState.UP, ServerState.DRAINING, ServerState.GONE)[b % 3]
             started = checker.now - 0.5 if state is ServerState.UP and b % 2 else row.started
-            kind = (ListUpdateKind.PATCH, ListUpdateKind.WHOLE, ListUpdateKind.BROKEN)[b // 3 % 3]
+            kind = (ListUpdateKind.PATCH, ListUpdateKind.COMPLETE, ListUpdateKind.FAILED)[b // 3 % 3]
             changed = replace(row, state=state, started=started)
-            if kind is ListUpdateKind.WHOLE:
+            if kind is ListUpdateKind.COMPLETE:
                 rest = [r for r in rows if r.server != row.server and r.state is not ServerState.GONE]
                 checker.members(kind, rest if state is ServerState.GONE else [*rest, changed])
             else:
