--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -40,20 +40,20 @@
 
 #: Causes of what never ran, and of what may have.
 NOT_RUN_CAUSES = {
-    Outcome.FULL: FailureCause.REFUSED,
+    Outcome.OVERLOADED: FailureCause.REFUSED,
     Outcome.UNREACHABLE: FailureCause.UNREACHABLE,
-    Outcome.VOID: FailureCause.TOO_LITTLE_TIME,
+    Outcome.NOT_PROCESSED: FailureCause.TOO_LITTLE_TIME,
 }
 UNKNOWN_CAUSES = {
     Outcome.TIMEOUT: FailureCause.TIMED_OUT,
-    Outcome.BROKEN: FailureCause.CONNECTION_BROKEN,
+    Outcome.INTERRUPTED: FailureCause.CONNECTION_BROKEN,
     Outcome.CANCELLED: FailureCause.CANCELLED,
 }
 
 
 def judge(status: int, unseen: bool) -> Outcome:
     """421 and `Lugspur-Not-Delivered` prove that it did not run; all else is the backend's answer."""
-    return Outcome.FULL if unseen or status == 421 else Outcome.OK
+    return Outcome.OVERLOADED if unseen or status == 421 else Outcome.OK
 
 
 class LocalBackend:
@@ -318,11 +318,11 @@
                 self._finish(admitted, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
             else:
                 self._finish(admitted, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
-        elif outcome in (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID):
+        elif outcome in (Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_PROCESSED):
             if outcome is Outcome.UNREACHABLE and not admitted.local.is_unreachable and admitted.local is self.local:
                 admitted.local.is_unreachable = True
                 self._on_unreachable(admitted.local)
-            if outcome is not Outcome.FULL:
+            if outcome is not Outcome.OVERLOADED:
                 admitted.was_offered = False
             self._finish(admitted, RequestOutcome.NOT_RUN, NOT_RUN_CAUSES[outcome])
         else:
