--- a/lugspur/mesh/control_node/leases.py
+++ b/lugspur/mesh/control_node/leases.py
@@ -39,8 +39,8 @@
     def end_silent(self, now: float) -> None:
         """Drop what was said by those who are silent."""
         for name, lease in list(self._leases.items()):
-            heard_at = max(lease.heard_at, lease.link.at)
-            if lease.link.open:
+            heard_at = max(lease.heard_at, lease.link.last_received_at)
+            if lease.link.is_open:
                 if now - lease.heard_at > RENEWAL_SECONDS:
                     self._leases[name] = Lease(lease.link, lease.edition, heard_at)
             elif now - heard_at > LEASE_SECONDS:
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -12,7 +12,7 @@
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
 
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -53,7 +53,8 @@
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.transport.link import Dialer, Link
+from lugspur.mesh.transport.dialer import Dialer
+from lugspur.mesh.transport.link import Link
 from lugspur.observability.metrics import render
 
 SWEEP_INTERVAL_SECONDS = 1.0  # between two searches for reservations whose window is over
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -60,7 +60,7 @@
     def look(self, now: float) -> None:
         """Close the connections of those who are silent, and ping the others."""
         for subscriber in list(self._subscribers.values()):
-            if now - subscriber.link.at > LEASE_SECONDS:
+            if now - subscriber.link.last_received_at > LEASE_SECONDS:
                 subscriber.link.close()
             elif now - subscriber.pinged >= self._ping - TICK_SECONDS / 2:
                 self._tell(subscriber)
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -16,7 +16,8 @@
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.settings_watcher import SettingsWatcher
-from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Dialer, Link
+from lugspur.mesh.transport.dialer import Dialer
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Link
 
 TICK_SECONDS = 0.1  # between two calls of `tick`
 HEARTBEAT_FRACTION = 1 / 8  # of `edition_ms`: how often an update says that nothing has changed
--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.sidecar.backend_status import BackendStatus
 from lugspur.mesh.sidecar.local_requests import CarriedHere
 from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 
 
 class RequestCarrier:
@@ -37,7 +37,7 @@
         if ip == self._ip:
             return True
         dialer = self._peers.get(ip)
-        return dialer is not None and dialer.link is not None and dialer.link.answered
+        return dialer is not None and dialer.link is not None and dialer.link.is_greeted
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> Carried:
         """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -122,7 +122,7 @@
     def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
         """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
         self._outcomes.did_not_run(life, said.n)
-        if not link.open:
+        if not link.is_open:
             for other in self._connections_of(life):
                 other.send(said)
 
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -13,7 +13,7 @@
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.sidecar.known_backends import KnownBackends
 from lugspur.mesh.sidecar.update_source import UpdateSource
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 from lugspur.observability.failures import FailedRequest, Standing
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
--- a/lugspur/mesh/sidecar/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -130,7 +130,7 @@
     def _proved(self, link: Link, message: ForwardResponse) -> None:
         """The outcome of one whose connection was lost, from the process that it was sent to."""
         unproven = self._unproven.get(message.n)
-        if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.life):
+        if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.peer_incarnation):
             return
         del self._unproven[message.n]
         unproven.respond(message)
@@ -153,7 +153,7 @@
         for number, unproven in list(self._unproven.items()):
             if unproven.ip != link.peer:
                 continue
-            if unproven.life == link.life:
+            if unproven.life == link.peer_incarnation:
                 asked.append(number)
             else:
                 del self._unproven[number]  # another life does not know what the one before had begun
@@ -167,6 +167,6 @@
             # A body that was not sent to its end proves that nothing ran: the gate begins with whole requests alone.
             unsent = exchange.body is not None
             if exchange.keyed and not unsent:
-                self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
+                self._unproven[number] = _Unproven(ip, exchange.link.peer_incarnation, exchange.respond)
             how = RequestOutcome.NOT_RUN if unsent else RequestOutcome.UNKNOWN
             exchange.respond(ForwardResponse(number, how, sent=not unsent, cause=FailureCause.LINK_LOST))
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -32,7 +32,8 @@
 from lugspur.mesh.sidecar.request_summary import RequestSummary
 from lugspur.mesh.sidecar.status import sidecar_status
 from lugspur.mesh.sidecar.update_source import UpdateSource
-from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Dialer, Link
+from lugspur.mesh.transport.dialer import Dialer
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
 from lugspur.observability.failures import FailureLog, Standing
 from lugspur.observability.metrics import render
 from lugspur.seams import Answerable, Request
@@ -187,7 +188,7 @@
         elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
-            link.answered, link.life = True, message.life
+            link.is_greeted, link.peer_incarnation = True, message.life
             link.send(Hello(self.ip, self.incarnation, self.is_control_node, self.loop.time()))
             self.outgoing.reached(link)
         else:
--- a/lugspur/mesh/sidecar/update_source.py
+++ b/lugspur/mesh/sidecar/update_source.py
@@ -9,7 +9,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.messages import Membership, Message, Unsubscribe
 from lugspur.mesh.settings import Settings
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 
 AVOID_SECONDS = 2.0  # for which a source that was given up comes after all others
 
--- a/lugspur/mesh/transport/link.py
+++ b/lugspur/mesh/transport/link.py
@@ -1,4 +1,4 @@
-"""One connection between two processes of the mesh: frames in, frames out, all of one turn of the loop in one write."""
+"""One connection between two processes of the mesh: frames in and out, all of one turn of the loop in one write."""
 
 from __future__ import annotations
 
@@ -12,18 +12,24 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.messages import Message, decode, encode
 
+LENGTH_BYTES = 4  # of the length before each frame, big-endian
 MAX_FRAME_BYTES = 96 << 20  # the largest body of a request that operators allow is 64 MiB, and its head
-MAX_UNSENT_BYTES = 48 << 20  # bytes that may wait for a peer that does not read: then it counts as gone
-USER_TIMEOUT_MS = 1500  # ms without an acknowledgement after which a connection is dead: a cut says nothing
-# s, s, probes. Where something is sent the time above finds a dark machine.
-KEEPALIVE_IDLE_SECONDS, KEEPALIVE_INTERVAL_SECONDS, KEEPALIVE_PROBES = 10, 1, 2
-# s, between proxies: each is connected to all others, so that at 620 proxies probes each 10 s are five times what a
-# proxy may spend on control. A dark machine leaves with its lease, one that has restarted says so (`Dialer.met`).
+MAX_UNSENT_BYTES = 48 << 20  # that may wait for a peer that does not read: with more it counts as gone
+USER_TIMEOUT_MS = 1500  # without an acknowledgement, after which a connection is dead: a partition says nothing
+KEEPALIVE_INTERVAL_SECONDS = 1  # between two probes of a connection that is idle
+KEEPALIVE_PROBES = 2  # without a reply, after which an idle connection is dead
+#: Seconds without a byte after which a connection is probed. Where something is sent USER_TIMEOUT_MS counts.
+KEEPALIVE_IDLE_SECONDS = 10
+#: The same between proxies: each is connected to all others, so that with 620 proxies probes every 10 s are five times
+#: what a proxy may spend on control. A dark machine leaves with its lease, one that has restarted says so (`met`).
 PROXY_KEEPALIVE_IDLE_SECONDS = 75
 
 
 def configure_socket(sock: socket.socket, keep_idle: int) -> None:
-    """Have the system tell of a peer that is silent: a machine without power sends no reset."""
+    """Have the system notice a silent peer: a machine without power sends no reset.
+
+    `keep_idle`: seconds without a byte after which it is probed.
+    """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -33,183 +39,93 @@
 
 
 class Link(asyncio.Protocol):
-    """`heard` is given each message, `ended` is told once that nothing more comes or goes."""
+    """A connection that carries messages; what is no message ends it."""
 
     def __init__(
         self,
-        heard: Callable[[Link, Message], None],
-        ended: Callable[[Link], None],
-        begun: Callable[[Link], None] | None = None,
+        on_message: Callable[[Link, Message], None],
+        on_end: Callable[[Link], None],
         keep_idle: int = KEEPALIVE_IDLE_SECONDS,
     ) -> None:
-        """`keep_idle`: seconds without a byte after which the system asks whether the peer is still there."""
-        self._heard, self._ended, self._begun = heard, ended, begun
+        """`on_end` is called once, when nothing more comes or goes; `keep_idle` as in `configure_socket`."""
+        self._on_message, self._on_end = on_message, on_end
         self._keep_idle = keep_idle
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
-        self._in = bytearray()
-        self._out: list[bytes] = []
-        self._size = 0
-        self.open = True
-        self.peer = ""  # the IP number of who dialled, once it has said Hello
-        self.answered = False  # whether who was dialled has said Hello: its process runs, and takes requests
-        self.life = ""  # ...and of which life it is
-        self.at = 0.0  # the loop's time of the latest message
+        self._received = bytearray()  # the beginning of a frame
+        self._unsent: list[bytes] = []  # frames of this turn of the loop, or of before the connection was made
+        self._unsent_bytes = 0
+        self.is_open = True
+        self.peer = ""  # the IP number of the peer: of who dialled, once it has said Hello
+        self.is_greeted = False  # whether who was dialled has said Hello: its process runs, and takes requests
+        self.peer_incarnation = ""  # ...and which one it is
+        self.last_received_at = 0.0  # by the loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send what waits for the connection."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass of it
         configure_socket(transport.get_extra_info("socket"), self._keep_idle)
-        self.at = self._loop.time()
-        if self._begun is not None:
-            self._begun(self)
+        self.last_received_at = self._loop.time()
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        self.at = self._loop.time()
-        held = self._in
-        held += data
-        at, end = 0, len(held)
-        while end - at >= 4 and self.open:
-            size = int.from_bytes(held[at : at + 4], "big")
+        """Take the messages of all frames that are complete."""
+        self.last_received_at = self._loop.time()
+        received = self._received
+        received += data
+        begin, end = 0, len(received)
+        while end - begin >= LENGTH_BYTES and self.is_open:
+            size = int.from_bytes(received[begin : begin + LENGTH_BYTES], "big")
             if size > MAX_FRAME_BYTES:  # Guards memory against a peer that announces more than any message has.
                 events.warn("frame", peer=self.peer, size=size)
                 self.close()
                 return
-            if end - at - 4 < size:
+            if end - begin - LENGTH_BYTES < size:
                 break
+            begin += LENGTH_BYTES
             try:
-                message = decode(bytes(held[at + 4 : at + 4 + size]))
+                message = decode(bytes(received[begin : begin + size]))
             except (msgspec.DecodeError, msgspec.ValidationError) as fault:
                 events.warn("frame", peer=self.peer, fault=str(fault))
                 self.close()
                 return
-            at += 4 + size
-            self._heard(self, message)
-        del held[:at]
+            begin += size
+            self._on_message(self, message)
+        del received[:begin]
 
     def send(self, message: Message) -> None:
-        """Write it with all else of this turn of the loop."""
-        if not self.open:
+        """Write a message with all others of this turn of the loop; it is dropped where the connection has ended."""
+        if not self.is_open:
             return
         frame = encode(message)
-        self._size += len(frame)
-        if not self._out:
+        self._unsent_bytes += len(frame)
+        if not self._unsent:
             self._loop.call_soon(self._flush)
-        self._out.append(frame)
-        if self._size > MAX_UNSENT_BYTES:  # Guards memory against a peer that is not there yet and never comes.
+        self._unsent.append(frame)
+        if self._unsent_bytes > MAX_UNSENT_BYTES:  # Guards memory against a peer that is not there yet and never comes.
             self.close()
 
     def _flush(self) -> None:
         transport = self._transport
-        if transport is None or not self._out or not self.open:
+        if transport is None or not self._unsent or not self.is_open:
             return
-        data, self._out, self._size = b"".join(self._out), [], 0
+        data, self._unsent, self._unsent_bytes = b"".join(self._unsent), [], 0
         transport.write(data)
         if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:  # Guards memory against a peer that does not read.
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self._end()
 
     def close(self) -> None:
-        """Drop it at once."""
+        """End the connection at once, whatever is unsent."""
         if self._transport is not None:
             self._transport.abort()
         self._end()
 
     def _end(self) -> None:
-        if self.open:
-            self.open = False
-            self._out.clear()
-            self._ended(self)
-
-
-class Dialer:
-    """Keeps one connection to a peer: dials, and dials again with a growing pause."""
-
-    def __init__(
-        self,
-        ip: str,
-        port: int,
-        own: str,
-        heard: Callable[[Link, Message], None],
-        up: Callable[[Dialer], None],
-        down: Callable[[Dialer], None],
-        keep_idle: int = KEEPALIVE_IDLE_SECONDS,
-    ) -> None:
-        self._keep_idle = keep_idle
-        self.ip, self._port, self._own = ip, port, own
-        self._heard, self._up, self._down = heard, up, down
-        self._loop = asyncio.get_running_loop()
-        self.link: Link | None = None  # while it is up
-        self._closed = False
-        self.failures = 0  # dials in a row that brought nothing
-        self.since = self._loop.time()  # when it went up or down
-        self._task: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self._dial()
-
-    def _dial(self) -> None:
-        self._timer = None
-        if not self._closed and self._task is None:
-            self._task = self._loop.create_task(self._connect())
-
-    async def _connect(self) -> None:
-        link = Link(self._heard, self._lost, keep_idle=self._keep_idle)
-        link.peer = self.ip
-        try:
-            async with asyncio.timeout(DIAL_TIMEOUT_SECONDS):
-                await self._loop.create_connection(lambda: link, self.ip, self._port, local_addr=(self._own, 0))
-        except (OSError, TimeoutError):
-            self._task = None
-            self.failures += 1
-            self._again()
-            return
-        self._task = None
-        if self._closed:
-            link.close()
-        elif link.open:
-            self.link, self.failures, self.since = link, 0, self._loop.time()
-            self._up(self)
-        else:
-            self._again()
-
-    def met(self, life: str) -> None:
-        """The peer has dialled here, in this life: a connection to a former one leads nowhere."""
-        if self.link is not None and self.link.life not in ("", life):
-            self.link.close()
-        else:
-            self.nudge()
-
-    def nudge(self) -> None:
-        """Something speaks for it: dial now where a pause is on."""
-        if self._timer is not None and self.failures > 1:
-            self._timer.cancel()
-            self._dial()
-
-    def _again(self) -> None:
-        if not self._closed and self._timer is None:
-            pause = min(MAX_DIAL_DELAY_SECONDS, FIRST_DIAL_DELAY_SECONDS * 2.0 ** min(self.failures, 6))
-            self._timer = self._loop.call_later(pause, self._dial)
-
-    def _lost(self, link: Link) -> None:
-        if self.link is link:
-            self.link, self.since = None, self._loop.time()
-            if not self._closed:
-                self._down(self)
-                self._again()
-
-    def close(self) -> None:
-        """End it."""
-        self._closed = True
-        if self._timer is not None:
-            self._timer.cancel()
-        if self._task is not None:
-            self._task.cancel()
-        if self.link is not None:
-            self.link.close()
-
-
-DIAL_TIMEOUT_SECONDS = 0.6  # seconds: a cut hangs, and zones are milliseconds apart
-# Seconds between dials: a peer that comes back is wanted within its first second.
-FIRST_DIAL_DELAY_SECONDS, MAX_DIAL_DELAY_SECONDS = 0.02, 0.5
+        if self.is_open:
+            self.is_open = False
+            self._unsent.clear()
+            self._on_end(self)
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -34,15 +34,15 @@
     """One end of a connection: what was sent on it, and whether it is open."""
 
     def __init__(self, peer: str = "", life: str = "") -> None:
-        self.peer, self.life, self.open = peer, life, True
+        self.peer, self.peer_incarnation, self.is_open = peer, life, True
         self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
-        if self.open:
+        if self.is_open:
             self.sent.append(message)
 
     def close(self) -> None:
-        self.open = False
+        self.is_open = False
 
     @property
     def replies(self) -> list[tuple[int, RequestOutcome]]:
@@ -101,17 +101,17 @@
     def what(rig: Rig) -> None:
         stranger = Wire()
         rig.hear(stranger, forward(1, rig.stamp()))
-        assert not stranger.open and rig.ran == []
+        assert not stranger.is_open and rig.ran == []
         wire = rig.greeted()
         assert wire.sent == [OWN]  # the second one, which bears a time, is not answered
         rig.hear(wire, forward(1, rig.stamp()), forward(3, rig.stamp()))
-        assert rig.ran == [b"a1", b"a3"] and wire.open
+        assert rig.ran == [b"a1", b"a3"] and wire.is_open
         for again in (3, 2):
             wire = rig.greeted()
             rig.hear(wire, forward(3, rig.stamp()))
             rig.ran.clear()
             rig.hear(wire, forward(again, rig.stamp()))
-            assert rig.ran == [] and not wire.open
+            assert rig.ran == [] and not wire.is_open
 
     play(what)
 
@@ -125,9 +125,9 @@
         rig.incoming.ended(before)  # type: ignore[arg-type]
         for n in range(4):
             rig.hear(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
-        assert rig.ran == [b"a1"] and before.replies == [] and after.open
+        assert rig.ran == [b"a1"] and before.replies == [] and after.is_open
         rig.hear(after, Hello("127.0.0.2", "three", False))
-        assert not after.open  # one connection is of one life
+        assert not after.is_open  # one connection is of one life
 
     play(what)
 
@@ -225,10 +225,11 @@
         former, after = rig.greeted(), rig.greeted()
         rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
         rig.hear(after, FetchOutcomes([2]))
-        assert after.replies == [(2, RequestOutcome.NOT_RUN)] and not former.open  # so that nothing more is read on it
+        assert after.replies == [(2, RequestOutcome.NOT_RUN)]
+        assert not former.is_open  # so that nothing more is read on it
         other = rig.greeted("two")
         rig.hear(other, FetchOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
-        assert other.replies == [] and after.open
+        assert other.replies == [] and after.is_open
 
     play(what)
 
@@ -237,7 +238,7 @@
     def what(rig: Rig) -> None:
         stranger = Wire()
         rig.hear(stranger, FetchOutcomes([1]))
-        assert stranger.sent == [] and not stranger.open
+        assert stranger.sent == [] and not stranger.is_open
 
     play(what)
 
@@ -303,9 +304,9 @@
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
         rig.tickets[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
         rig.hear(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
-        assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.open
+        assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.is_open
         rig.hear(wire, BodyChunk(2, bytes(CHUNK_BYTES)))  # a part that was on its way
-        assert rig.ran == [b"a1"] and wire.open
+        assert rig.ran == [b"a1"] and wire.is_open
         rig.gate._end(rig.tickets[0], RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
 
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -10,7 +10,8 @@
 
 from lugspur.mesh.control.messages import Hello, Message, Pong, ReserveKey, encode
 from lugspur.mesh.transport import link as link_module
-from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Dialer, Link
+from lugspur.mesh.transport.dialer import Dialer
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
 
 
 def play(what: Callable[[Server], Awaitable[None]]) -> None:
@@ -101,9 +102,9 @@
         for _ in range(1000):
             link.send(ReserveKey(bytes(100_000), b"b", 1, 1.0))
             await asyncio.sleep(0)
-            if not link.open:
+            if not link.is_open:
                 break
-        assert not link.open and server.ended == [link]
+        assert not link.is_open and server.ended == [link]
         link.send(Pong())  # to nobody
         writer.close()
 
@@ -156,7 +157,7 @@
         await up.get()
         assert dialler.link is not None
         dialler.met("first")  # its Hello has not been answered yet: nothing is known of the life behind it
-        dialler.link.life = "first"
+        dialler.link.peer_incarnation = "first"
         dialler.met("first")
         assert not down and dialler.link is not None
         dialler.met("second")
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -27,7 +27,7 @@
 from lugspur.mesh.settings import load_settings
 from lugspur.mesh.sidecar.backend_status import BackendStatus
 from lugspur.mesh.sidecar.process import Sidecar
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 from lugspur.seams import Request
 
 FILE = """
@@ -243,7 +243,7 @@
 
     def __init__(self, peer: str) -> None:
         self.sent: list[Message] = []
-        self.peer, self.answered = peer, False
+        self.peer, self.is_greeted, self.peer_incarnation = peer, False, ""
 
     def send(self, message: Message) -> None:
         self.sent.append(message)
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self.sent: list[Message] = []
-        self.at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         self.closed = False
 
     def send(self, message: Message) -> None:
@@ -53,7 +53,7 @@
         store.merge([Entry("notes", "a", 2, b"y")])
         subscribers.tell_soon()
         await asyncio.sleep(0)
-        subscribers.look(wire.at + 10.0 * PING)
+        subscribers.look(wire.last_received_at + 10.0 * PING)
         assert len(wire.sent) == 2 and not len(subscribers) and not wire.closed
 
     play(what)
@@ -64,9 +64,9 @@
         link = cast(Link, wire)
         subscribers.add(link, 0)
         subscribers.answered(link, Pong(42.0))
-        subscribers.look(wire.at + 2.0 * PING)
+        subscribers.look(wire.last_received_at + 2.0 * PING)
         assert [cast(Delta, message).echo for message in wire.sent] == [0.0, 42.0]
-        subscribers.look(wire.at + LEASE_SECONDS + 0.1)
+        subscribers.look(wire.last_received_at + LEASE_SECONDS + 0.1)
         assert wire.closed
 
     play(what)
