--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -9,7 +9,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.items import LEASED, MEMBERSHIP
+from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
 from lugspur.mesh.control.learning import LearnPages
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
@@ -35,7 +35,7 @@
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import UID_ROW, read_membership
-from lugspur.mesh.control.store import Name
+from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
@@ -183,8 +183,8 @@
             if dialer is not None:
                 dialer.nudge()
         elif isinstance(message, Subscribe):
-            is_known = message.life == self.incarnation and message.since <= self.store.upto
-            self.subscribers.add(link, message.since if is_known else 0)
+            is_known = message.incarnation == self.incarnation and message.after_sequence <= self.store.latest_sequence
+            self.subscribers.add(link, message.after_sequence if is_known else 0)
         elif isinstance(message, Unsubscribe):
             self.subscribers.remove(link)
         elif isinstance(message, Report):
@@ -226,7 +226,7 @@
     def _take_own_request(self, message: Message) -> None:
         self.run_effects(self.replica.handle(self.loop.time(), self.local_peer, message))
 
-    def _publish(self, entries: list[Entry], forgotten: list[Name]) -> None:
+    def _publish(self, entries: list[Entry], forgotten: list[EntryKey]) -> None:
         """The replica has decided entries, or forgotten names."""
         self.store.merge(entries)
         self.store.forget(forgotten)
@@ -270,10 +270,10 @@
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         super().receive_update(now, ip, message)
-        self.membership_changes.told_complete(ip, message.complete)
-        if message.index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
+        self.membership_changes.told_complete(ip, message.complete_epoch)
+        if message.decided_index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
             self._asked_at = now
-            self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.index)
+            self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.decided_index)
 
     def _ask_for_changes(self, ip: str, index: int) -> None:
         """Ask a peer for the changes up to an index, unless they have come meanwhile."""
@@ -285,7 +285,7 @@
         for entry in message.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
                 self.adopt_membership(read_membership(entry.value))
-        self.store.merge([entry for entry in message.entries if entry.kind in LEASED])
+        self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def disconnected(self, dialer: Dialer) -> None:
         self.catch_up.lost(dialer.ip)
@@ -302,7 +302,7 @@
         found = super().wanted_peers()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.complete:
-            found |= {voter.ip for voter in membership.previous} - {self.ip}
+            found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
     # ---- what peers are told ---------------------------------------------------------------
@@ -323,7 +323,7 @@
         replica = self.replica
         return Delta(
             self.incarnation,
-            self.store.upto,
+            self.store.latest_sequence,
             now,
             min(MAX_AGE_SECONDS, self.majority_contact.age(now)),
             replica.index,
@@ -331,7 +331,7 @@
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
             sequence == 0,
-            self.store.after(sequence),
+            self.store.changed_after(sequence),
         )
 
     def announce(self) -> None:
--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -10,12 +10,12 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.messages import Entry, Voter
 from lugspur.mesh.control.replica import GENESIS, Replica
-from lugspur.mesh.control.store import Name
+from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
 
 StoredRows = list[tuple[bytes, bytes]]
-Publish = Callable[[list[Entry], list[Name]], None]  # is given entries that were decided, and names that are forgotten
+Publish = Callable[[list[Entry], list[EntryKey]], None]  # is given entries that were decided, and names that are forgotten
 
 
 def restore_replica(settings: Settings, disk: Disk, rows: StoredRows, now: float, publish: Publish) -> Replica:
--- a/lugspur/mesh/dataplane/upload_scheduler.py
+++ b/lugspur/mesh/dataplane/upload_scheduler.py
@@ -49,7 +49,7 @@
     @property
     def missing_bytes(self) -> int:
         """Bytes that have not arrived, granted or not."""
-        return self.request.size - len(self.body)
+        return self.request.body_bytes - len(self.body)
 
     @property
     def outstanding_bytes(self) -> int:
@@ -83,13 +83,13 @@
 
         `service_time`: seconds that the backend takes for the request once its body is complete.
         """
-        size = request.size
-        reserved = sum(upload.request.size for upload in self._uploads.values())
+        size = request.body_bytes
+        reserved = sum(upload.request.body_bytes for upload in self._uploads.values())
         if self._rate <= 0.0 or size <= 0 or reserved + size > self._max_bytes or key in self._uploads:
             return False
         if not self._arrives_in_time(request, urgency, service_time):
             return False
-        self._uploads[key] = Upload(request, urgency, now, now + request.left, bytearray(), 0, now)
+        self._uploads[key] = Upload(request, urgency, now, now + request.seconds_left, bytearray(), 0, now)
         return True
 
     def _arrives_in_time(self, request: ForwardRequest, urgency: Urgency, service_time: float) -> bool:
@@ -101,9 +101,9 @@
         if bytes_ahead == 0:
             return True
         wait = bytes_ahead / self._rate
-        own_time = request.size / self._rate + service_time
-        fraction = MAX_WAIT_FRACTION_OF_RETRIES if request.back else MAX_WAIT_FRACTION
-        return wait <= fraction * (request.aim - own_time)
+        own_time = request.body_bytes / self._rate + service_time
+        fraction = MAX_WAIT_FRACTION_OF_RETRIES if request.was_rejected else MAX_WAIT_FRACTION
+        return wait <= fraction * (request.latency_target_left - own_time)
 
     def receive(self, now: float, key: UploadKey, data: bytes) -> ForwardRequest | None:
         """Take bytes that have arrived; return the request once its body is complete, its times counted from now.
@@ -119,12 +119,12 @@
         upload.body += data
         upload.progress_at = now
         request = upload.request
-        if len(upload.body) < request.size:
+        if len(upload.body) < request.body_bytes:
             return None
         del self._uploads[key]
         request.body = bytes(upload.body)
-        request.left = upload.deadline - now
-        request.aim -= now - upload.accepted_at
+        request.seconds_left = upload.deadline - now
+        request.latency_target_left -= now - upload.accepted_at
         return request
 
     def drop(self, key: UploadKey) -> bool:
@@ -153,12 +153,12 @@
         outstanding = sum(upload.outstanding_bytes for _, upload in sending)
         grants: dict[UploadKey, int] = {}
         for key, upload in sorted(sending, key=lambda row: row[1].urgency):
-            while upload.granted_bytes < upload.request.size:
+            while upload.granted_bytes < upload.request.body_bytes:
                 if outstanding + CHUNK_BYTES > self._max_outstanding_bytes:
                     return list(grants.items())
                 if upload.outstanding_bytes == 0:
                     upload.progress_at = now
-                step = min(CHUNK_BYTES, upload.request.size - upload.granted_bytes)
+                step = min(CHUNK_BYTES, upload.request.body_bytes - upload.granted_bytes)
                 upload.granted_bytes += step
                 outstanding += step
                 grants[key] = upload.granted_bytes
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -10,7 +10,7 @@
 
 from lugspur.mesh import events
 from lugspur.mesh.control.freshness import Freshness
-from lugspur.mesh.control.items import MEMBERSHIP, RESERVED
+from lugspur.mesh.control.items import MEMBERSHIP, RESERVED_KINDS
 from lugspur.mesh.control.messages import Delta, Entry, Hello, Membership, Message, Pong, Report, Subscribe
 from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
@@ -178,15 +178,15 @@
         """Take an update of a peer, and acknowledge it."""
         sent_at = self.freshness.heard(now, ip, message)
         self.merge_update(message)
-        self.positions[ip] = FollowedPosition(message.life, message.upto)
-        self.update_taken(now, ip, sent_at - message.age)
+        self.positions[ip] = FollowedPosition(message.incarnation, message.latest_sequence)
+        self.update_taken(now, ip, sent_at - message.majority_age)
         self.send_to(ip, Pong(now))
 
     def merge_update(self, message: Delta) -> None:
         """Merge the entries of an update into the store."""
-        if message.whole and message.index >= self.configuration_index:
+        if message.is_snapshot and message.decided_index >= self.configuration_index:
             self._forget_missing(message.entries)
-        self.configuration_index = max(self.configuration_index, message.index)
+        self.configuration_index = max(self.configuration_index, message.decided_index)
         self.store.merge(message.entries)
 
     def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
@@ -198,7 +198,7 @@
         Its sender knows no less than this process, so that what it does not have was withdrawn long ago.
         """
         present = {(entry.kind, entry.name) for entry in entries}
-        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED]
+        names = [(e.kind, e.name) for e in self.store.all() if e.kind not in RESERVED_KINDS]
         self.store.forget([name for name in names if name not in present])
 
     def _store_changed(self, entry: Entry) -> None:
--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -57,7 +57,7 @@
 
     def complete(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for requests that repeat it."""
-        self._send_to_voters(CompleteKey(forward.key, forward.by, answer))
+        self._send_to_voters(CompleteKey(forward.key, forward.owner, answer))
 
     def _send_to_voters(self, message: Message) -> None:
         membership = self._process.membership
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -188,7 +188,7 @@
         elif isinstance(message, GrantBody):
             self.outgoing.grant(link, message)
         elif isinstance(message, Hello):
-            link.is_greeted, link.peer_incarnation = True, message.life
+            link.is_greeted, link.peer_incarnation = True, message.incarnation
             link.send(Hello(self.ip, self.incarnation, self.is_control_node, self.loop.time()))
             self.outgoing.reached(link)
         else:
@@ -207,7 +207,7 @@
         if isinstance(message, Hello):
             dialer = self.peers.get(message.ip)
             if dialer is not None:
-                dialer.met(message.life)
+                dialer.met(message.incarnation)
 
     # ---- updates -------------------------------------------------------------------------
 
