--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -14,7 +14,7 @@
 from lugspur.discovery.rows import read_address
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.settings import load_settings
-from lugspur.mesh.storage.data_directory import export, look, told
+from lugspur.mesh.storage.data_directory import export_items, read_directory, summarize
 
 CALL_TIMEOUT_SECONDS = 10.0  # seconds for one call
 app = cyclopts.App(name="python -m lugspur.mesh", help="The mesh: proxies carry requests, replicas keep the state.")
@@ -124,7 +124,7 @@
 @replica.command(name="check")
 def replica_check(folder: Path) -> None:
     """Whether a replica could start with this `data_dir`; a line for each fault, and exit status 2 for any."""
-    found = look(folder)
+    found = read_directory(folder)
     if found.faults:
         raise MeshError(Kind.STATE, "; ".join(found.faults))
     print(f"{folder}: {found.size} bytes, no fault")
@@ -133,14 +133,14 @@
 @replica.command(name="show")
 def replica_show(folder: Path, *, as_json: bool = False) -> None:
     """What is in a `data_dir`: its name, membership, items by kind, claims."""
-    found = told(look(folder))
+    found = summarize(read_directory(folder))
     print(json.dumps(found) if as_json else "\n".join(lines(found)))
 
 
 @replica.command(name="export")
 def replica_export(folder: Path) -> None:
     """All items that stand in a `data_dir`, as a file for `amend`."""
-    print(export(look(folder)).decode())
+    print(export_items(read_directory(folder)).decode())
 
 
 def main() -> None:
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -92,7 +92,7 @@
         """
         own = settings.own
         self.disk = Disk(own.data_dir, own.limits.disk_mb)
-        rows = self.disk.rows()
+        rows = self.disk.read_rows()
         super().__init__(settings, path, is_control_node=True)
         self.local_peer = LocalPeer(self)
         self.pause_detector = PauseDetector()
@@ -152,7 +152,7 @@
     def _start(self, rows: StoredRows) -> None:
         """Begin to write, and to vote where this is a voter of the first membership."""
         self.disk.start()
-        if self.disk.damaged:
+        if self.disk.damage:
             rows = []
         replica = self.replica
         if not rows and is_first_voter(self.settings, self.disk):
@@ -339,7 +339,7 @@
         since = self._disk_failing_since
         is_failing = since is not None and self.loop.time() - since > DISK_FAILURE_SECONDS
         uid, zone = self.replica.voter.uid, self.settings.own.zone
-        self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.size))
+        self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.max_bytes))
 
     def _report(self, report: Report) -> None:
         for dialer in self.peers.values():
--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -15,7 +15,9 @@
 from lugspur.mesh.storage.disk import Disk
 
 StoredRows = list[tuple[bytes, bytes]]
-Publish = Callable[[list[Entry], list[EntryKey]], None]  # is given entries that were decided, and names that are forgotten
+Publish = Callable[
+    [list[Entry], list[EntryKey]], None
+]  # is given entries that were decided, and names that are forgotten
 
 
 def restore_replica(settings: Settings, disk: Disk, rows: StoredRows, now: float, publish: Publish) -> Replica:
@@ -41,7 +43,7 @@
     Where state was set aside it does not: what was promised by it is gone.
     """
     own = settings.own
-    return own.first_start and own.ip in settings.seeds and not disk.damaged
+    return own.first_start and own.ip in settings.seeds and not disk.damage
 
 
 def begin_as_first_voter(settings: Settings, replica: Replica, now: float) -> Effects:
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -1,6 +1,6 @@
-"""A replica's folder as it lies on disk, looked at without its process: what is in it, and whether it can be used.
+"""Reads the data directory of a control node without its process: what is in it, and whether it can be used.
 
-Nothing is written. Of a replica that runs, what is read may be of two moments.
+Nothing is written. Where the process runs, what is read may be of two moments.
 """
 
 from __future__ import annotations
@@ -22,91 +22,91 @@
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.storage.disk import DIRECTORY_NAME
 
-_item = msgspec.msgpack.Decoder(Item)
-_kept = msgspec.msgpack.Decoder(StoredReservation)
-_index = msgspec.msgpack.Decoder(tuple[int, int])
-_vote = msgspec.msgpack.Decoder(Vote)
-_epoch = msgspec.msgpack.Decoder(int)
+_item_decoder = msgspec.msgpack.Decoder(Item)
+_reservation_decoder = msgspec.msgpack.Decoder(StoredReservation)
+_index_decoder = msgspec.msgpack.Decoder(tuple[int, int])
+_vote_decoder = msgspec.msgpack.Decoder(Vote)
+_epoch_decoder = msgspec.msgpack.Decoder(int)
 
 
 @dataclass(slots=True)
-class Found:
-    """What a folder holds; `faults`: what a replica would not start with, one line each."""
+class DirectoryContents:
+    """What a directory holds; `faults`: what keeps a replica from starting with it, one line each."""
 
-    uid: str = ""
+    uid: str = ""  # the name of the disk
     membership: Membership | None = None
-    index: int = 0  # the latest change that it knows as decided
-    complete_epoch: int = 0  # the epoch for which it holds all claims that a voter must hold
-    promised: int = 0  # the number of the highest ballot that it has promised
-    pending: bool = False  # whether it has accepted a change that it does not know as decided
+    index: int = 0  # of the latest change that is known as decided
+    complete_epoch: int = 0  # the epoch for which it has all reservations that a voter must have
+    promised: int = 0  # the highest proposal number that it has promised
+    has_pending_change: bool = False  # whether it has accepted a change that it does not know as decided
     store: Store = field(default_factory=Store)
-    claims: int = 0
-    answers: int = 0
+    reservations: int = 0
+    answers: int = 0  # of operations whose keys were reserved
     size: int = 0  # bytes of all rows
     faults: list[str] = field(default_factory=list)
 
 
-def look(folder: Path) -> Found:
-    """Read a `data_dir`; raises MeshError (STATE) where there is nothing that can be read as a replica's."""
-    path = folder / DIRECTORY_NAME
+def read_directory(data_dir: Path) -> DirectoryContents:
+    """Read a `data_dir`; raises MeshError (STATE) where there is nothing that can be read as a control node's."""
+    path = data_dir / DIRECTORY_NAME
     if not (path / "data.mdb").is_file():
-        raise MeshError(Kind.STATE, f"{folder}: no replica has kept anything here")
-    found = Found()
+        raise MeshError(Kind.STATE, f"{data_dir}: no replica has kept anything here")
+    contents = DirectoryContents()
     try:
         with lmdb.open(str(path), readonly=True, lock=False, create=False, max_readers=1) as env:
             with env.begin() as txn:
                 for key, value in txn.cursor():
-                    _take(found, bytes(key), bytes(value))
+                    _read_row(contents, bytes(key), bytes(value))
     except lmdb.Error as fault:
-        if found.size == 0:
-            raise MeshError(Kind.STATE, f"{folder}: {fault}") from None
-        found.faults.append(f"the rest can't be read: {fault}")
-    found.faults += _apart(found)
-    return found
+        if contents.size == 0:
+            raise MeshError(Kind.STATE, f"{data_dir}: {fault}") from None
+        contents.faults.append(f"the rest can't be read: {fault}")
+    contents.faults += _inconsistencies(contents)
+    return contents
 
 
-def _take(found: Found, key: bytes, value: bytes) -> None:
-    found.size += len(key) + len(value)
+def _read_row(contents: DirectoryContents, key: bytes, value: bytes) -> None:
+    contents.size += len(key) + len(value)
     try:
         if key.startswith(ITEM_PREFIX):
-            _take_item(found, key, _item.decode(value))
+            _read_item(contents, key, _item_decoder.decode(value))
         elif key.startswith(CLAIM_PREFIX):
-            kept = _kept.decode(value)
-            found.claims += 1
-            found.answers += kept.response is not None
+            reservation = _reservation_decoder.decode(value)
+            contents.reservations += 1
+            contents.answers += reservation.response is not None
         elif key == UID_ROW:
-            found.uid = value.decode()
+            contents.uid = value.decode()
         elif key == INDEX_ROW:
-            found.index = _index.decode(value)[0]
+            contents.index = _index_decoder.decode(value)[0]
         elif key == COMPLETE_ROW:
-            found.complete_epoch = _epoch.decode(value)
+            contents.complete_epoch = _epoch_decoder.decode(value)
         elif key == VOTE_ROW:
-            vote = _vote.decode(value)
-            found.promised = vote.promised.number
-            found.pending = vote.change is not None
+            vote = _vote_decoder.decode(value)
+            contents.promised = vote.promised.number
+            contents.has_pending_change = vote.change is not None
         else:
-            found.faults.append(f"{key!r} is no row of a replica's")
+            contents.faults.append(f"{key!r} is no row of a replica's")
     except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        found.faults.append(f"{key!r} can't be read: {fault}")
+        contents.faults.append(f"{key!r} can't be read: {fault}")
 
 
-def _take_item(found: Found, key: bytes, item: Item) -> None:
+def _read_item(contents: DirectoryContents, key: bytes, item: Item) -> None:
     entry = item.entry
     if item_row(entry) != key:
-        found.faults.append(f"{key!r} holds {entry.kind} {entry.name!r}")
+        contents.faults.append(f"{key!r} holds {entry.kind} {entry.name!r}")
     if entry.kind == items.MEMBERSHIP and entry.value is not None:
-        found.membership = read_membership(entry.value)
-    found.store.merge([entry])
+        contents.membership = read_membership(entry.value)
+    contents.store.merge([entry])
 
 
-def _apart(found: Found) -> Iterator[str]:
-    """What does not fit together."""
-    if not found.uid:
+def _inconsistencies(contents: DirectoryContents) -> Iterator[str]:
+    """Rows that contradict each other, one line each."""
+    if not contents.uid:
         yield "the disk has no name"
-    if found.membership is not None:
-        yield from _complete_apart(found.membership, found)
-    routes = found.store.values_of(items.ROUTES)
-    services = found.store.values_of(items.SERVICES)
+    if contents.membership is not None:
+        yield from _completeness_faults(contents.membership, contents)
+    routes = contents.store.values_of(items.ROUTES)
+    services = contents.store.values_of(items.SERVICES)
     for name, value in routes.items():
         try:
             route = items.read_route(value)
@@ -118,39 +118,41 @@
                 yield f"route {name!r} names the unknown service {service!r}"
 
 
-def _complete_apart(membership: Membership, found: Found) -> Iterator[str]:
-    """What it says of claims, against the voters that it knows."""
-    if found.complete_epoch > membership.epoch:
+def _completeness_faults(membership: Membership, contents: DirectoryContents) -> Iterator[str]:
+    """Where it claims to have all reservations of an epoch, against the voters that it knows."""
+    is_voter = contents.uid in {voter.uid for voter in membership.voters}
+    if contents.complete_epoch > membership.epoch:
         yield "it says that it holds all claims of an epoch that it does not know"
-    elif found.complete_epoch == membership.epoch and found.uid not in {voter.uid for voter in membership.voters}:
+    elif contents.complete_epoch == membership.epoch and not is_voter:
         yield "it says that it holds all claims of an epoch in which it is no voter"
 
 
-def told(found: Found) -> dict[str, Any]:
-    """What operators are shown of it."""
-    membership = found.membership
-    kinds: dict[str, int] = {}
-    dropped = 0
-    for entry in found.store.all():
-        dropped += entry.value is None
-        kinds[entry.kind] = kinds.get(entry.kind, 0) + (entry.value is not None)
+def summarize(contents: DirectoryContents) -> dict[str, Any]:
+    """What operators see of a directory, as the fields of `replica show`."""
+    membership = contents.membership
+    items_by_kind: dict[str, int] = {}
+    withdrawn = 0
+    for entry in contents.store.all():
+        withdrawn += entry.value is None
+        items_by_kind[entry.kind] = items_by_kind.get(entry.kind, 0) + (entry.value is not None)
+    voters = () if membership is None else membership.voters
     return {
-        "uid": found.uid,
+        "uid": contents.uid,
         "epoch": 0 if membership is None else membership.epoch,
-        "index": found.index,
-        "complete_epoch": found.complete_epoch,
-        "voters": {} if membership is None else {s.ip: {"uid": s.uid, "zone": s.zone} for s in membership.voters},
-        "promised": found.promised,
-        "pending": found.pending,
-        "items": kinds,
-        "dropped": dropped,
-        "claims": found.claims,
-        "answers": found.answers,
-        "bytes": found.size,
-        "faults": found.faults,
+        "index": contents.index,
+        "complete_epoch": contents.complete_epoch,
+        "voters": {voter.ip: {"uid": voter.uid, "zone": voter.zone} for voter in voters},
+        "promised": contents.promised,
+        "pending": contents.has_pending_change,
+        "items": items_by_kind,
+        "dropped": withdrawn,
+        "claims": contents.reservations,
+        "answers": contents.answers,
+        "bytes": contents.size,
+        "faults": contents.faults,
     }
 
 
-def export(found: Found) -> bytes:
-    """All items that stand, as a call of the operator that brings them to another mesh."""
-    return msgspec.json.encode({"upsert": msgspec.Raw(items.encode_items(found.store.all())), "withdraw": {}})
+def export_items(contents: DirectoryContents) -> bytes:
+    """All items that are not withdrawn, as an operators' call that brings them to another mesh."""
+    return msgspec.json.encode({"upsert": msgspec.Raw(items.encode_items(contents.store.all())), "withdraw": {}})
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -1,4 +1,4 @@
-"""A replica's disk: one lmdb environment, written by a thread of its own in groups, each synced before it counts."""
+"""A control node's disk: one lmdb environment, written in groups by a thread, each synced before it counts."""
 
 from __future__ import annotations
 
@@ -16,50 +16,61 @@
 from lugspur.mesh.control.register import KEY_MOST
 
 MAP_FRACTION = 0.6  # of the disk: lmdb must not fill it, and a file that grew is never smaller again
-MIN_MAP_BYTES, MAX_MAP_BYTES = 16 << 20, 1 << 30  # bytes
-REOPEN_DELAY_SECONDS = 0.3  # seconds after a failed write in which the environment is left alone
+MIN_MAP_BYTES = 16 << 20
+MAX_MAP_BYTES = 1 << 30
+REOPEN_DELAY_SECONDS = 0.3  # after a failed write, in which the environment is left alone
 MAX_UNWRITTEN_DELETIONS = 50_000  # rows removed while nothing can be written; what stays is swept after a start
 
-DIRECTORY_NAME = "control"  # of the folder in `data_dir`
-DAMAGED_DIRECTORY_NAME = "control-damaged"  # ...and of what could not be read, the latest alone
-DAMAGE_ERRORS = (lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError)  # what is on disk, not the disk
+DIRECTORY_NAME = "control"  # of the environment, in `data_dir`
+DAMAGED_DIRECTORY_NAME = "control-damaged"  # of an environment that could not be read; the latest one is kept
+#: What says that the rows on disk are damaged, and not that the disk fails.
+DAMAGE_ERRORS = (lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError)
 
-Rows = list[tuple[bytes, bytes | None]]
+Rows = list[tuple[bytes, bytes | None]]  # key and value; no value: the row is removed
 
 
 class Disk:
-    """Rows by key. `write` returns at once; what is given with it is called in the loop when it is on disk."""
-
-    def __init__(self, folder: str, disk_mb: int) -> None:
-        self._folder = os.path.join(folder, DIRECTORY_NAME)
-        self._aside = os.path.join(folder, DAMAGED_DIRECTORY_NAME)
-        # Bytes that the file may take.
-        self.size = int(min(MAX_MAP_BYTES, max(MIN_MAP_BYTES, disk_mb * MAP_FRACTION * (1 << 20))))
+    """Rows by key. `write` returns at once; its callback is called in the loop once the rows are on disk.
+
+    Raises MeshError (STATE) where there can't be an environment.
+    """
+
+    def __init__(self, data_dir: str, disk_mb: int) -> None:
+        """`disk_mb`: the size of the disk, of which a part is taken."""
+        self._path = os.path.join(data_dir, DIRECTORY_NAME)
+        self._damaged_path = os.path.join(data_dir, DAMAGED_DIRECTORY_NAME)
+        self.max_bytes = int(min(MAX_MAP_BYTES, max(MIN_MAP_BYTES, disk_mb * MAP_FRACTION * (1 << 20))))
+        self.fault = ""  # why the latest write failed; empty: it did not
+        self.damage = ""  # why the rows that were on disk could not be used; empty: they could
+        self.commits = 0
+        self.failures = 0  # writes that failed
         self._loop = asyncio.get_running_loop()
-        self._wake = threading.Condition()
-        self._rows: Rows = []
-        self._calls: list[Callable[[], None]] = []
-        self._closing = False
-        self._owed: dict[bytes, bytes | None] = {}  # rows of failed writes, for the next one that succeeds
-        self.fault = ""  # what the latest write failed on
-        self.damaged = ""  # why what was on disk was set aside
-        self.commits = self.failures = 0
+        self._wake = threading.Condition()  # guards the next three
+        self._pending_rows: Rows = []
+        self._pending_callbacks: list[Callable[[], None]] = []
+        self._is_closing = False
+        self._unwritten: dict[bytes, bytes | None] = {}  # rows of failed writes, for the next one that succeeds
         try:
-            os.makedirs(self._folder, exist_ok=True)
+            os.makedirs(self._path, exist_ok=True)
             try:
                 self._env = self._open()
             except DAMAGE_ERRORS as fault:
-                self._move(str(fault))
+                self._move_aside(str(fault))
                 self._env = self._open()
         except (OSError, lmdb.Error) as fault:
-            raise MeshError(Kind.STATE, f"{self._folder}: {fault}") from None
+            raise MeshError(Kind.STATE, f"{self._path}: {fault}") from None
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     def _open(self) -> lmdb.Environment:
-        return lmdb.open(self._folder, map_size=self.size, subdir=True, max_readers=8, lock=False, metasync=True)
+        return lmdb.open(self._path, map_size=self.max_bytes, subdir=True, max_readers=8, lock=False, metasync=True)
+
+    # ---- before `start` --------------------------------------------------------------------
+
+    def read_rows(self) -> list[tuple[bytes, bytes]]:
+        """All rows on disk, in the order of their keys; none where they are damaged, and then they are set aside.
 
-    def rows(self) -> list[tuple[bytes, bytes]]:
-        """All that is on disk; to be read before `start`. Where it is damaged it is set aside, and there is nothing."""
+        To be called before `start`; raises MeshError (STATE) where the disk fails.
+        """
         try:
             with self._env.begin() as txn:
                 return [(bytes(key), bytes(value)) for key, value in txn.cursor()]
@@ -67,108 +78,126 @@
             self.set_aside(str(fault))
             return []
         except lmdb.Error as fault:
-            raise MeshError(Kind.STATE, f"{self._folder}: {fault}") from None
+            raise MeshError(Kind.STATE, f"{self._path}: {fault}") from None
 
-    def set_aside(self, why: str) -> None:
-        """What is on disk can't be used: it is kept under another name, and this is an empty disk from now on.
+    def set_aside(self, reason: str) -> None:
+        """Keep what is on disk under another name, and go on with an empty environment.
 
-        Guards against half of a state that is taken for all of it: who has lost some of its promises has to be a
-        newcomer, as with an empty disk. To be called before `start`; raises MeshError (STATE).
+        Guards against half of a state that is taken for all of it: a replica that has lost some of its promises has to
+        be a newcomer, as with an empty disk. To be called before `start`; raises MeshError (STATE).
         """
         try:
             self._env.close()
-            self._move(why)
+            self._move_aside(reason)
             self._env = self._open()
         except (OSError, lmdb.Error) as fault:
-            raise MeshError(Kind.STATE, f"{self._folder}: {fault}") from None
-
-    def _move(self, why: str) -> None:
-        self.damaged = why
-        shutil.rmtree(self._aside, ignore_errors=True)
-        os.rename(self._folder, self._aside)
-        os.makedirs(self._folder)
-        # Guards what the new one promises: after a loss of power the old name could be back.
-        parent = os.open(os.path.dirname(self._folder), os.O_RDONLY)
+            raise MeshError(Kind.STATE, f"{self._path}: {fault}") from None
+
+    def _move_aside(self, reason: str) -> None:
+        self.damage = reason
+        shutil.rmtree(self._damaged_path, ignore_errors=True)
+        os.rename(self._path, self._damaged_path)
+        os.makedirs(self._path)
+        # Guards what the new environment promises: after a loss of power the old name could be back.
+        parent = os.open(os.path.dirname(self._path), os.O_RDONLY)
         try:
             os.fsync(parent)
         finally:
             os.close(parent)
-        events.warn("set-aside", fault=why, to=self._aside)
+        events.warn("set-aside", fault=reason, to=self._damaged_path)
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the thread that writes."""
         self._thread.start()
 
-    def write(self, rows: Rows, then: Callable[[], None] | None = None) -> None:
-        """Have rows written with all else that waits; without `then` they wait until something wakes the writer.
+    # ---- writing ---------------------------------------------------------------------------
+
+    def write(self, rows: Rows, on_synced: Callable[[], None] | None = None) -> None:
+        """Write rows with all others that are pending; without a callback they wait until the writer is woken.
 
-        What no disk takes is never written, and nothing that waits for it is promised. Guards all other rows: those of
-        a failed write go with the next one, so that one such row would fail each write from then on.
+        A row that no disk takes is never written, and then the callback is never called. Guards all other rows: those
+        of a failed write go with the next one, so that one such row would fail each write from then on.
         """
         fitting = [row for row in rows if len(row[0]) <= KEY_MOST]
         check(len(fitting) == len(rows), Invariant.ROW_FITS, rows=len(rows) - len(fitting))
         if len(fitting) < len(rows):
-            rows, then = fitting, None
+            rows, on_synced = fitting, None
         with self._wake:
-            self._rows += rows
-            if then is not None:
-                self._calls.append(then)
+            self._pending_rows += rows
+            if on_synced is not None:
+                self._pending_callbacks.append(on_synced)
                 self._wake.notify()
 
     def flush(self) -> None:
-        """Wake the writer for what waits."""
+        """Wake the writer for rows that are pending."""
         with self._wake:
-            if self._rows:
+            if self._pending_rows:
                 self._wake.notify()
 
+    def close(self, timeout: float) -> None:
+        """Write what is pending, then close; gives up after `timeout` seconds where the disk hangs."""
+        with self._wake:
+            self._is_closing = True
+            self._wake.notify()
+        self._thread.join(timeout)
+        if not self._thread.is_alive():
+            self._env.close()
+
+    # ---- the thread ------------------------------------------------------------------------
+
     def _run(self) -> None:
         while True:
             with self._wake:
-                while not self._rows and not self._calls and not self._closing:
+                while not self._pending_rows and not self._pending_callbacks and not self._is_closing:
                     self._wake.wait()
-                if self._closing and not self._rows and not self._calls:
+                if self._is_closing and not self._pending_rows and not self._pending_callbacks:
                     return
-                rows, self._rows = self._rows, []
-                calls, self._calls = self._calls, []
-            self._commit(rows, calls)
+                rows, self._pending_rows = self._pending_rows, []
+                callbacks, self._pending_callbacks = self._pending_callbacks, []
+            self._commit(rows, callbacks)
 
-    def _owe(self, rows: Rows) -> None:
-        for key, value in rows:
-            self._owed.pop(key, None)
-            if value is not None or len(self._owed) < MAX_UNWRITTEN_DELETIONS:
-                self._owed[key] = value
-
-    def _commit(self, rows: Rows, calls: list[Callable[[], None]]) -> None:
+    def _commit(self, rows: Rows, callbacks: list[Callable[[], None]]) -> None:
         try:
             with self._env.begin(write=True) as txn:
-                for key, value in [*self._owed.items(), *rows]:
+                for key, value in [*self._unwritten.items(), *rows]:
                     if value is None:
                         txn.delete(key)
                     else:
                         txn.put(key, value)
         except (lmdb.Error, OSError) as fault:
-            # What waited for these rows is never promised. They go with the next write: what is promised later may
-            # rest on them, as claims rest on the epoch that they are granted in. The environment is opened anew: after
-            # a failed write it refuses all.
-            self.fault = str(fault)
-            self.failures += 1
-            self._owe(rows)
-            self._post(lambda: events.warn("disk", fault=self.fault, rows=len(rows)))
-            self._reopen()
+            self._commit_failed(str(fault), rows)
             return
         self.commits += 1
-        self._owed.clear()
+        self._unwritten.clear()
         self.fault = ""
-        for call in calls:
-            self._post(call)
+        for callback in callbacks:
+            self._call_in_loop(callback)
+
+    def _commit_failed(self, fault: str, rows: Rows) -> None:
+        """Keep the rows of a failed write, whose callbacks are never called, and open the environment anew.
+
+        The rows go with the next write: what is promised later may rest on them, as reservations rest on the epoch that
+        they are granted in. After a failed write an environment refuses all others.
+        """
+        self.fault = fault
+        self.failures += 1
+        self._keep_unwritten(rows)
+        self._call_in_loop(lambda: events.warn("disk", fault=self.fault, rows=len(rows)))
+        self._reopen()
+
+    def _keep_unwritten(self, rows: Rows) -> None:
+        for key, value in rows:
+            self._unwritten.pop(key, None)
+            if value is not None or len(self._unwritten) < MAX_UNWRITTEN_DELETIONS:
+                self._unwritten[key] = value
 
     def _reopen(self) -> None:
-        while not self._closing:
+        while not self._is_closing:
             with self._wake:
                 self._wake.wait(REOPEN_DELAY_SECONDS)
-                # Guards memory and the promise: what came meanwhile is not on disk, and nobody is told it is.
-                self._owe(self._rows)
-                self._rows, self._calls = [], []
+                # Guards memory and the promise: what came meanwhile is not on disk, and nobody is told that it is.
+                self._keep_unwritten(self._pending_rows)
+                self._pending_rows, self._pending_callbacks = [], []
             try:
                 self._env.close()
                 self._env = self._open()
@@ -176,17 +205,8 @@
             except (lmdb.Error, OSError) as fault:
                 self.fault = str(fault)
 
-    def _post(self, call: Callable[[], None]) -> None:
+    def _call_in_loop(self, callback: Callable[[], None]) -> None:
         try:
-            self._loop.call_soon_threadsafe(call)
+            self._loop.call_soon_threadsafe(callback)
         except RuntimeError:  # the loop has ended: nobody is to be told
             return
-
-    def close(self, within: float) -> None:
-        """Write what waits, then close; gives up after `within` seconds where the disk hangs."""
-        with self._wake:
-            self._closing = True
-            self._wake.notify()
-        self._thread.join(within)
-        if not self._thread.is_alive():
-            self._env.close()
--- a/tests/compatibility/test_control_disk.py
+++ b/tests/compatibility/test_control_disk.py
@@ -85,10 +85,10 @@
 
     async def run() -> dict[bytes, bytes]:
         disk = Disk(str(folder), 16)
-        rows = disk.rows()
+        rows = disk.read_rows()
         disk.start()
         disk.close(5.0)
-        assert not disk.damaged and [key for key, _ in rows] == sorted(key for key, _ in rows)
+        assert not disk.damage and [key for key, _ in rows] == sorted(key for key, _ in rows)
         return dict(rows)
 
     return asyncio.run(run())
@@ -227,10 +227,10 @@
 
 async def read_damaged(folder: Path) -> list[tuple[bytes, bytes]]:
     disk = Disk(str(folder), 16)
-    rows = disk.rows()
+    rows = disk.read_rows()
     disk.start()
     disk.close(5.0)
-    assert disk.damaged
+    assert disk.damage
     return rows
 
 
--- a/tests/mesh/test_configuration_size.py
+++ b/tests/mesh/test_configuration_size.py
@@ -112,7 +112,7 @@
 
     async def run() -> None:
         disk = Disk(str(tmp_path), 1)
-        most = int(disk.size * CONFIGURATION_PART * part)
+        most = int(disk.max_bytes * CONFIGURATION_PART * part)
         items = [(b"i%d" % number, most // 64) for number in range(64)]
         disk.start()
         for turn in range(4):
--- a/tests/mesh/test_data_directory.py
+++ b/tests/mesh/test_data_directory.py
@@ -16,7 +16,7 @@
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, Change, CompleteKey, Item, ReserveKey, Voter
 from lugspur.mesh.control.replica import GENESIS, Replica
-from lugspur.mesh.storage.data_directory import export, look, told
+from lugspur.mesh.storage.data_directory import export_items, read_directory, summarize
 from lugspur.mesh.storage.disk import DAMAGED_DIRECTORY_NAME, DIRECTORY_NAME, Disk
 
 CALL = call(route("r"), services=[service()])
@@ -48,7 +48,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     keep(tmp_path)
-    found = told(look(tmp_path))
+    found = summarize(read_directory(tmp_path))
     assert (found["uid"], found["epoch"], found["complete_epoch"], found["claims"], found["answers"]) == (
         GENESIS,
         1,
@@ -64,23 +64,23 @@
     checked, shown, exported = capsys.readouterr().out.splitlines()
     assert "no fault" in checked and json.loads(shown) == found
     assert {e.name for e in read_changes(exported.encode())} == {e.name for e in read_changes(CALL)}
-    assert export(look(tmp_path)).decode() == exported
+    assert export_items(read_directory(tmp_path)).decode() == exported
     assert sorted(path.read_bytes() for path in (tmp_path / DIRECTORY_NAME).iterdir()) == before  # nothing is written
 
 
 def test_faults_are_told_each(tmp_path: Path) -> None:
     keep(tmp_path)
     put(tmp_path, [(b"ck", b"\xc1junk"), (b"zz", b"1"), (b"iroutes\0other", read_row(tmp_path, b"iroutes\0r"))])
-    faults = look(tmp_path).faults
+    faults = read_directory(tmp_path).faults
     assert len(faults) == 3
     assert "can't be read" in faults[0] and "holds routes 'r'" in faults[1] and "no row" in faults[2]
     with pytest.raises(MeshError, match="no row"):
         replica_check(tmp_path)
     with pytest.raises(MeshError, match="no replica"):
-        look(tmp_path / "elsewhere")
+        read_directory(tmp_path / "elsewhere")
     (tmp_path / DIRECTORY_NAME / "data.mdb").write_bytes(bytes(20_000))
     with pytest.raises(MeshError, match="state"):
-        look(tmp_path)
+        read_directory(tmp_path)
 
 
 def read_row(folder: Path, key: bytes) -> bytes:
@@ -97,7 +97,7 @@
     entry = next(e for e in read_changes(call(route("r"))) if e.kind == "routes")
     rows[b"iroutes\0r"] = msgspec.msgpack.encode(Item(entry, 2))
     put(tmp_path, list(rows.items()))
-    faults = look(tmp_path).faults
+    faults = read_directory(tmp_path).faults
     assert len(faults) == 2 and "no voter" in faults[0] and "unknown service" in faults[1]
 
 
@@ -113,7 +113,7 @@
 
     async def run() -> None:
         disk = Disk(str(tmp_path), 16)
-        assert disk.rows() == [] and disk.damaged
+        assert disk.read_rows() == [] and disk.damage
         damaged = tmp_path / DAMAGED_DIRECTORY_NAME / "data.mdb"
         assert damaged.read_bytes() == bytes(data)  # kept for whoever wants to look
         disk.start()
@@ -123,7 +123,7 @@
             await done.wait()
         disk.close(5.0)
         again = Disk(str(tmp_path), 16)
-        assert again.rows() == [(b"muid", b"new")] and not again.damaged
+        assert again.read_rows() == [(b"muid", b"new")] and not again.damage
         again.start()
         again.close(5.0)
 
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -66,7 +66,7 @@
                 disk.write([(b"claim", b"x")], lambda: None)
                 await asyncio.sleep(0.005)
         assert told == []  # who was not told at once is never told
-        found = dict(disk.rows())
+        found = dict(disk.read_rows())
         assert found[b"epoch"] == b"2" and found[b"claim"] == b"x" and b"gone" not in found
         assert found[b"a"] == b"3"
         disk.close(5.0)
@@ -85,7 +85,7 @@
         disk.write([(b"k" * KEY_MOST, b"v")], written.set)
         async with asyncio.timeout(20.0):
             await written.wait()
-        assert not told and not disk.fault and disk.rows() == [(b"k" * KEY_MOST, b"v")]
+        assert not told and not disk.fault and disk.read_rows() == [(b"k" * KEY_MOST, b"v")]
         assert violations.pop(Invariant.ROW_FITS) == 1
         disk.close(1.0)
 
