--- a/lugspur/daemon/leases/candidate.py
+++ b/lugspur/daemon/leases/candidate.py
@@ -73,10 +73,10 @@
         self.term = LeaseTerm(role, voters, lease_seconds, rng.randrange(1 << 40))
         self._rng, self._rank = rng, rank
         self._is_campaigning = True
-        self._available_at = now  # when it may be promised to somebody, by what is known
-        self._next_round_at = now + self._standby_delay()  # when it asks next
-        self._last_release_at = float("-inf")  # when it was last told that the duty is free
-        self._led_epoch = 0  # the epoch under which its owner was told that it holds it; 0: it doesn't
+        self._available_at = now  # when the lease is available, as far as is known
+        self._next_round_at = now + self._standby_delay()
+        self._last_release_at = float("-inf")  # when a message said that the role was released
+        self._led_epoch = 0  # the epoch of the latest event that said this process leads; 0 if it does not lead
         self._events: list[LeadershipChanged | LeaseAcquired] = []
 
     @property
@@ -136,30 +136,36 @@
     def receive(self, now: float, name: str, message: GrantLease | DenyLease | RoleAvailable) -> None:
         """Handle a message of a voter, or of a former holder that resigns."""
         if isinstance(message, RoleAvailable):
-            self.term.highest_epoch = max(self.term.highest_epoch, message.epoch)
-            self._last_release_at = now
-            if not self._led_epoch and not self.term.has_open_round:
-                self._next_round_at = min(self._next_round_at, now + STANDBY_STAGGER_SECONDS * self._rank(self.role))
+            self._handle_release(now, message)
             return
         result = self.term.receive(now, name, message)
         if result is not None:
             self._finish_round(now, result)
 
+    def _handle_release(self, now: float, message: RoleAvailable) -> None:
+        self.term.highest_epoch = max(self.term.highest_epoch, message.epoch)
+        self._last_release_at = now
+        if not self._led_epoch and not self.term.has_open_round:
+            self._next_round_at = min(self._next_round_at, now + STANDBY_STAGGER_SECONDS * self._rank(self.role))
+
     def _finish_round(self, now: float, result: RoundResult) -> None:
+        holder_seconds = holder_lease_seconds(self.term.lease_seconds)
         if result is RoundResult.WON:
-            self._next_round_at = now + RENEWAL_FRACTION * holder_lease_seconds(self.term.lease_seconds)
+            self._next_round_at = now + RENEWAL_FRACTION * holder_seconds
             self._events.append(LeaseAcquired(self.role, self.term.epoch))
             self._update_leadership(now, "promised by a majority")
             return
         self._update_leadership(now, "not renewed in time")
         if self._led_epoch:
-            self._next_round_at = now + RENEWAL_RETRY_FRACTION * holder_lease_seconds(self.term.lease_seconds) * (
-                0.5 + self._rng.random()
-            )
-            return
-        # Guards who is next against a round that began before the promises had come back: refusals are out of date.
-        self._available_at = now if self._last_release_at >= self.term.round_started_at else self.term.available_at(now)
-        if self._available_at <= now:  # an epoch that was used already, or two that have asked at once
+            self._next_round_at = now + RENEWAL_RETRY_FRACTION * holder_seconds * (0.5 + self._rng.random())
+        else:
+            self._schedule_campaign(now)
+
+    def _schedule_campaign(self, now: float) -> None:
+        # Guards the next candidate against a round that started before the release: its denials are out of date.
+        was_released_since = self._last_release_at >= self.term.round_started_at
+        self._available_at = now if was_released_since else self.term.available_at(now)
+        if self._available_at <= now:  # The epoch was used already, or two candidates asked at the same time.
             self._next_round_at = now + CONTENTION_BACKOFF_FRACTION * self.term.round_timeout * self._rng.random()
         else:
             self._next_round_at = self._available_at + self._standby_delay()
--- a/lugspur/daemon/leases/lease_term.py
+++ b/lugspur/daemon/leases/lease_term.py
@@ -33,17 +33,19 @@
 
     def __init__(self, role: str, voters: Sequence[str], lease_seconds: float, round_number: int) -> None:
         """Start without the lease, and count rounds from `round_number`, which has to differ after a restart."""
-        self.role, self.voters, self.lease_seconds = role, tuple(voters), lease_seconds
-        self.epoch = 0  # that it holds, or held last
-        self.expires_at = float("-inf")  # in office before then
-        self.highest_epoch = 0  # the highest epoch that was heard of
-        self.holder = ""  # who holds it, as electors said last
-        self.round_number = round_number  # the latest
-        self._requested_epoch = 0  # the epoch of the round that goes on; 0: none does
-        self.round_started_at = 0.0  # when the latest round did
+        self.role = role
+        self.voters = tuple(voters)
+        self.lease_seconds = lease_seconds
+        self.epoch = 0  # the epoch under which the lease is held, or was held last
+        self.expires_at = float("-inf")
+        self.highest_epoch = 0  # that a message has named
+        self.holder = ""  # the holder that a voter named last
+        self.round_number = round_number  # of the latest round
+        self.round_started_at = 0.0
+        self._requested_epoch = 0  # of the open round; 0 if there is none
         self._granted_by: set[str] = set()
-        self._denied_until: dict[str, float] = {}  # by whom, and when it is free there
-        self._retry_times: dict[str, float] = {}  # who can promise it before the round is over, and when
+        self._denied_until: dict[str, float] = {}  # voters that denied, and when they can promise the role
+        self._retry_times: dict[str, float] = {}  # voters that can promise the role before the round ends, and when
         self._outbox: list[tuple[str, Message]] = []
 
     @property
@@ -68,8 +70,8 @@
 
     def take_messages(self) -> list[tuple[str, Message]]:
         """Return the messages to be sent, each with the name of its voter, and forget them."""
-        outbox, self._outbox = self._outbox, []
-        return outbox
+        messages, self._outbox = self._outbox, []
+        return messages
 
     def is_held(self, now: float) -> bool:
         """Whether the lease is held. This has to be asked right before each action under the lease."""
@@ -90,10 +92,7 @@
         self._granted_by.clear()
         self._denied_until.clear()
         self._retry_times.clear()
-        self._outbox += [
-            (name, RequestLease(self.role, self._requested_epoch, self.round_number, self.lease_seconds))
-            for name in self.voters
-        ]
+        self._outbox += [(voter, self._request()) for voter in self.voters]
 
     def receive(self, now: float, voter: str, message: GrantLease | DenyLease) -> RoundResult | None:
         """Handle a voter's answer; return how the round ended if this answer ended it.
@@ -102,60 +101,67 @@
         """
         if isinstance(message, DenyLease):
             self.highest_epoch = max(self.highest_epoch, message.epoch)
-        if not self._requested_epoch or message.round_number != self.round_number or voter not in self.voters:
+        if not self.has_open_round or message.round_number != self.round_number or voter not in self.voters:
             return None
         if isinstance(message, GrantLease):
-            if message.epoch == self._requested_epoch:
-                self._granted_by.add(voter)
-                self._denied_until.pop(voter, None)
+            self._record_grant(voter, message)
         elif voter in self._granted_by:
             return None
-        elif message.epoch < self._requested_epoch and 0.0 < message.available_in_seconds < self.round_deadline - now:
-            self._retry_times[voter] = now + max(message.available_in_seconds, MIN_RETRY_DELAY_SECONDS)
         else:
-            self._denied_until[voter] = now + message.available_in_seconds
-            self.holder = message.holder or self.holder
+            self._record_denial(now, voter, message)
         if len(self._granted_by) >= self.majority:
             return self._record_majority(now)
         if len(self._denied_until) > len(self.voters) - self.majority:
             return self.abandon_round(now)
         return None
 
+    def _record_grant(self, voter: str, grant: GrantLease) -> None:
+        if grant.epoch == self._requested_epoch:
+            self._granted_by.add(voter)
+            self._denied_until.pop(voter, None)
+
+    def _record_denial(self, now: float, voter: str, denial: DenyLease) -> None:
+        if denial.epoch < self._requested_epoch and 0.0 < denial.available_in_seconds < self.round_deadline - now:
+            self._retry_times[voter] = now + max(denial.available_in_seconds, MIN_RETRY_DELAY_SECONDS)
+            return
+        self._denied_until[voter] = now + denial.available_in_seconds
+        self.holder = denial.holder or self.holder
+
     def _record_majority(self, now: float) -> RoundResult:
         expires_at = self.round_started_at + holder_lease_seconds(self.lease_seconds)
         if now >= expires_at:
-            # Guards others: the promises came later than they last.
+            # Guards other candidates: the promises arrived after their time had passed.
             return self.abandon_round(now)
-        self.epoch, self.expires_at, self._requested_epoch = self._requested_epoch, expires_at, 0
+        self.epoch = self._requested_epoch
+        self.expires_at = expires_at
+        self._requested_epoch = 0
         self.highest_epoch = max(self.highest_epoch, self.epoch)
         return RoundResult.WON
 
     def retry_at(self) -> float:
         """Return when a voter has to be asked again within the open round; infinity if none has to."""
-        return min(self._retry_times.values(), default=float("inf")) if self._requested_epoch else float("inf")
+        return min(self._retry_times.values(), default=float("inf")) if self.has_open_round else float("inf")
 
     def retry(self, now: float) -> None:
         """Ask those voters again whose promise to another candidate has expired by now.
 
         Guards a round that comes a moment too early for one voter's clock: the promises of the others are not wasted.
         """
-        for voter in [voter for voter, when in self._retry_times.items() if when <= now]:
+        for voter in [voter for voter, retry_at in self._retry_times.items() if retry_at <= now]:
             del self._retry_times[voter]
-            self._outbox.append(
-                (voter, RequestLease(self.role, self._requested_epoch, self.round_number, self.lease_seconds))
-            )
+            self._outbox.append((voter, self._request()))
 
     def abandon_round(self, now: float) -> RoundResult:
         """End the open round without a majority, and release its promises unless the lease is held."""
-        requested_epoch, self._requested_epoch = self._requested_epoch, 0
+        abandoned_epoch, self._requested_epoch = self._requested_epoch, 0
         if not self.is_held(now):
-            # Else never: what is given back here may be a part of the majority that this office stands on.
-            self._send_release(requested_epoch)
+            # Never while it is held: the promises may be a part of the majority that the lease stands on.
+            self._send_release(abandoned_epoch)
         return RoundResult.LOST
 
     def available_at(self, now: float) -> float:
         """Return when a majority of the voters can promise the role, by their answers in the latest round."""
-        # One that said nothing is not counted on: it may be gone.
+        # A voter that did not answer is not counted: it may be down.
         times = sorted([*self._denied_until.values(), *[now] * len(self._granted_by)])
         return times[self.majority - 1] if len(times) >= self.majority else now
 
@@ -165,7 +171,10 @@
         self._send_release(*{self._requested_epoch, self.epoch} - {0})
         self._requested_epoch = 0
 
+    def _request(self) -> RequestLease:
+        return RequestLease(self.role, self._requested_epoch, self.round_number, self.lease_seconds)
+
     def _send_release(self, *epochs: int) -> None:
         self._outbox += [
-            (name, ReleaseLease(self.role, epoch, self.round_number)) for epoch in epochs for name in self.voters
+            (voter, ReleaseLease(self.role, epoch, self.round_number)) for epoch in epochs for voter in self.voters
         ]
--- a/lugspur/daemon/leases/voter.py
+++ b/lugspur/daemon/leases/voter.py
@@ -19,6 +19,7 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
 
@@ -57,6 +58,14 @@
     instance_id: int
 
 
+class CurrentPromise(NamedTuple):
+    """A role as its voter sees it at one moment; the holder is empty while the role is promised to nobody."""
+
+    highest_epoch: int
+    holder: str
+    seconds_left: float
+
+
 @dataclass(slots=True)
 class _RoleState:
     epoch: int  # the highest epoch that was promised, or that is known to be used
@@ -68,6 +77,16 @@
     waiting: dict[str, None] = field(default_factory=dict)  # names of denied candidates, the latest one last
     pending: tuple[CandidateId, RequestLease] | None = None  # the request that is granted once it has been saved
 
+    def is_promised_to(self, candidate: CandidateId, epoch: int) -> bool:
+        """Whether this very promise was given, whether or not it has expired since."""
+        return self.grantee == candidate and self.epoch == epoch and not self.is_released
+
+    def holder_at(self, now: float) -> str:
+        """Return the name of the candidate that the role is promised to now; empty if there is none."""
+        if self.grantee is None or self.is_released or now >= self.promised_until:
+            return ""
+        return self.grantee.name
+
 
 class LeaseVoter:
     """Promises each role to one candidate at a time. Times are in seconds of the voter's own clock.
@@ -97,28 +116,25 @@
 
     def take_messages(self) -> list[tuple[str, Message]]:
         """Return the messages to be sent, each with the name of its recipient, and forget them."""
-        out, self._outbox = self._outbox, []
-        return out
+        messages, self._outbox = self._outbox, []
+        return messages
 
     def promises(self) -> list[Promise]:
         """Return all promises that have to be saved, with those in `unsaved`, which the caller clears afterwards."""
-        promises = {
-            name: Promise(
-                name,
-                state.epoch,
-                state.grantee.name if state.grantee else "",
-                state.grantee.instance_id if state.grantee else 0,
-            )
-            for name, state in self._roles.items()
-        }
+        promises = {}
+        for role, state in self._roles.items():
+            grantee = state.grantee or NO_CANDIDATE
+            promises[role] = Promise(role, state.epoch, grantee.name, grantee.instance_id)
         return list((promises | self.unsaved).values())
 
-    def current_promise(self, role: str, now: float) -> tuple[int, str, float]:
+    def current_promise(self, role: str, now: float) -> CurrentPromise:
         """Return the highest epoch of a role, the candidate that it is promised to, and for how long."""
         state = self._roles.get(role)
-        if state is None or state.grantee is None or now >= state.promised_until:
-            return (0 if state is None else state.epoch), "", 0.0
-        return state.epoch, state.grantee.name, state.promised_until - now
+        if state is None:
+            return CurrentPromise(0, "", 0.0)
+        if state.grantee is None or now >= state.promised_until:
+            return CurrentPromise(state.epoch, "", 0.0)
+        return CurrentPromise(state.epoch, state.grantee.name, state.promised_until - now)
 
     # ---- messages of candidates --------------------------------------------------------------------
 
@@ -132,8 +148,9 @@
     def _handle_request(self, now: float, candidate: CandidateId, request: RequestLease) -> None:
         state = self._roles.get(request.role)
         if request.lease_seconds > self.lease_seconds:
-            # Guards a holder that counts on more than this one's restarts wait for.
-            self._deny(candidate, request, 0 if state is None else state.epoch, "", self.lease_seconds)
+            # Guards a holder that relies on a longer time than this voter is silent for after a restart.
+            epoch = 0 if state is None else state.epoch
+            self._deny(candidate, request, epoch, "", self.lease_seconds)
             return
         if state is None:
             if len(self._roles) >= MAX_ROLES:
@@ -141,43 +158,56 @@
                 return
             state = self._roles[request.role] = _RoleState(self._epoch_floor)
         if state.pending is not None:
-            if (
-                state.pending[0] != candidate
-            ):  # what was asked first is being written down; whoever asks now asks again soon
-                self._deny_and_queue(now, state, candidate, request, SAVE_RETRY_DELAY_SECONDS)
-            return
-        if state.grantee == candidate and request.epoch == state.epoch and not state.is_released:
-            # Nobody else was promised it since: whether that promise has run out or not, it may be given anew.
-            if request.round_number >= state.round_number:
-                state.is_renewed = state.is_renewed or request.round_number > state.round_number
-                self._grant(now, state, candidate, request)
+            self._handle_request_while_saving(now, state, state.pending[0], candidate, request)
+        elif state.is_promised_to(candidate, request.epoch):
+            self._renew(now, state, candidate, request)
+        else:
+            self._promise_if_available(now, state, candidate, request)
+
+    def _handle_request_while_saving(
+        self, now: float, state: _RoleState, first: CandidateId, candidate: CandidateId, request: RequestLease
+    ) -> None:
+        # The first request is answered once it is saved; another candidate asks again soon after that.
+        if candidate != first:
+            self._deny_and_queue(now, state, candidate, request, SAVE_RETRY_DELAY_SECONDS)
+
+    def _renew(self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease) -> None:
+        # The role was promised to nobody else since, so the promise may be given anew even if it has expired.
+        if request.round_number < state.round_number:
             return
-        left = max(0.0, self.silent_until - now)
-        if state.grantee is not None and state.grantee != candidate and not state.is_released:
-            left = max(left, state.promised_until - now)
-        if left > 0.0:
-            if not state.is_renewed and now >= self.silent_until:
-                # Only a hint: whoever was promised it may never get a majority, and gives it back then.
-                left = min(left, FRESH_PROMISE_RETRY_FRACTION * self.lease_seconds)
-            self._deny_and_queue(now, state, candidate, request, left)
+        if request.round_number > state.round_number:
+            state.is_renewed = True
+        self._grant(now, state, candidate, request)
+
+    def _promise_if_available(
+        self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease
+    ) -> None:
+        wait = self._seconds_until_available(now, state, candidate)
+        if wait > 0.0:
+            self._deny_and_queue(now, state, candidate, request, wait)
         elif request.epoch <= state.epoch:
             self._deny(candidate, request, state.epoch, "", 0.0)
         elif self.is_durable:
-            # Until it is written down the former promise stands as it is.
+            # The former promise stands as it is until this one has been saved.
             state.pending = candidate, request
             self.unsaved[request.role] = Promise(request.role, request.epoch, candidate.name, candidate.instance_id)
         else:
             self._grant(now, state, candidate, request)
 
+    def _seconds_until_available(self, now: float, state: _RoleState, candidate: CandidateId) -> float:
+        wait = max(0.0, self.silent_until - now)
+        if state.grantee is not None and state.grantee != candidate and not state.is_released:
+            wait = max(wait, state.promised_until - now)
+        if wait > 0.0 and not state.is_renewed and now >= self.silent_until:
+            # Only a hint: the grantee may not get a majority, and releases the promise then.
+            wait = min(wait, FRESH_PROMISE_RETRY_FRACTION * self.lease_seconds)
+        return wait
+
     def _handle_release(self, now: float, candidate: CandidateId, release: ReleaseLease) -> None:
         state = self._roles.get(release.role)
-        if (
-            state is None
-            or state.grantee != candidate
-            or release.epoch != state.epoch
-            or release.round_number < state.round_number
-            or state.is_released
-        ):
+        if state is None or not state.is_promised_to(candidate, release.epoch):
+            return
+        if release.round_number < state.round_number:  # A late message: the promise was renewed after it was sent.
             return
         state.is_released = True
         waiting, state.waiting = state.waiting, {}
@@ -189,45 +219,43 @@
 
     def confirm_saved(self, now: float, roles: Iterable[str]) -> None:
         """Grant the pending requests of these roles, whose promises survive a restart from now on."""
-        for name in roles:
-            state = self._roles[name]
+        for role in roles:
+            state = self._roles[role]
             pending, state.pending = state.pending, None
             if pending is not None:
                 self._grant(now, state, *pending)
 
     def report_save_failure(self, roles: Iterable[str]) -> None:
         """Drop the pending requests of these roles. Their epochs are used up, since they may be on the disk or not."""
-        for name in roles:
-            state = self._roles[name]
+        for role in roles:
+            state = self._roles[role]
             pending, state.pending = state.pending, None
             if pending is not None:
-                # The former promise still binds, but nobody renews it: the disk may name the one or the other.
-                state.epoch, state.grantee = pending[1].epoch, NO_CANDIDATE
+                # The former promise still binds this voter, but it is not renewed: the disk may name either candidate.
+                state.epoch = pending[1].epoch
+                state.grantee = NO_CANDIDATE
 
     # ---- answers -----------------------------------------------------------------------------------
 
     def _grant(self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease) -> None:
         if request.epoch != state.epoch or candidate != state.grantee:
             state.is_renewed = False
-        state.epoch, state.grantee, state.round_number, state.is_released = (
-            request.epoch,
-            candidate,
-            request.round_number,
-            False,
-        )
+        state.epoch = request.epoch
+        state.grantee = candidate
+        state.round_number = request.round_number
+        state.is_released = False
         state.promised_until = now + self.lease_seconds
         state.waiting.pop(candidate.name, None)
         self._outbox.append((candidate.name, GrantLease(request.role, request.epoch, request.round_number)))
 
     def _deny_and_queue(
-        self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease, left: float
+        self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease, wait: float
     ) -> None:
         state.waiting.pop(candidate.name, None)
         state.waiting[candidate.name] = None
         if len(state.waiting) > MAX_WAITING_CANDIDATES:
             del state.waiting[next(iter(state.waiting))]
-        held = state.grantee is not None and now < state.promised_until and not state.is_released
-        self._deny(candidate, request, state.epoch, state.grantee.name if held and state.grantee else "", left)
+        self._deny(candidate, request, state.epoch, state.holder_at(now), wait)
 
-    def _deny(self, candidate: CandidateId, request: RequestLease, epoch: int, holder: str, left: float) -> None:
-        self._outbox.append((candidate.name, DenyLease(request.role, epoch, request.round_number, holder, left)))
+    def _deny(self, candidate: CandidateId, request: RequestLease, epoch: int, holder: str, wait: float) -> None:
+        self._outbox.append((candidate.name, DenyLease(request.role, epoch, request.round_number, holder, wait)))
