--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -13,7 +13,7 @@
 from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, Candidate, LeadershipChanged
 from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.discovery.announce import Checked, check
-from lugspur.discovery.rows import server_id, server_name
+from lugspur.discovery.endpoints import server_id, server_name
 from lugspur.probing.hearsay import REFRESH, Hearsay
 from lugspur.probing.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
 from lugspur.probing.prober import Prober
@@ -164,7 +164,7 @@
         for name in names:
             if name != self._company.name:
                 self._company.post(name, PROBING, pack(doubt))
-        self._company.transport.turn()
+        self._company.transport.flush()
 
     def turned(self, turned: LeadershipChanged) -> None:
         """A duty is this process's, or no more."""
@@ -246,7 +246,7 @@
             self._company.post(other, PROBING, body)
         pool.hearsay.hear(now, verdict)
         self._obey(name, pool)
-        self._company.transport.turn()
+        self._company.transport.flush()
 
     async def _look(self, name: str, pool: _Pool, box: str) -> None:
         station = self._stations().get(name)
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -95,7 +95,7 @@
         self.claim.resign(now)
         self.claim.campaign(now)
 
-    def take(self) -> list[tuple[Address, bytes]]:
+    def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """What it has to say."""
         world, now = self._world, self._world.network.clock(self.address)
         while True:
--- a/lugspur/mesh/leases.py
+++ b/lugspur/mesh/control_node/leases.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-from lugspur.mesh.control.items import LEASED
+from lugspur.mesh.control.items import LEASED_KINDS
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.store import Name, Store
-from lugspur.mesh.link import Link
+from lugspur.mesh.control.store import EntryKey, Store
+from lugspur.mesh.transport.link import Link
 
-LEASE = 4.0  # seconds without a word after which what a process said of itself is dropped
-RENEW_EVERY = 1.0  # seconds between looks at when the link of an open lease was heard last
+LEASE_SECONDS = 4.0  # seconds without a word after which what a process said of itself is dropped
+RENEWAL_SECONDS = 1.0  # seconds between looks at when the link of an open lease was heard last
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,11 +27,11 @@
 
     def __init__(self, store: Store) -> None:
         self._store = store
-        self._leases: dict[Name, Lease] = {}
+        self._leases: dict[EntryKey, Lease] = {}
 
     def report(self, now: float, link: Link, entries: list[Entry]) -> None:
         """A process has said something of itself; entries of other kinds are ignored."""
-        leased = [entry for entry in entries if entry.kind in LEASED]
+        leased = [entry for entry in entries if entry.kind in LEASED_KINDS]
         for entry in leased:
             self._leases[entry.kind, entry.name] = Lease(link, entry.edition, now)
         self._store.merge(leased)
@@ -41,13 +41,13 @@
         for name, lease in list(self._leases.items()):
             heard_at = max(lease.heard_at, lease.link.at)
             if lease.link.open:
-                if now - lease.heard_at > RENEW_EVERY:
+                if now - lease.heard_at > RENEWAL_SECONDS:
                     self._leases[name] = Lease(lease.link, lease.edition, heard_at)
-            elif now - heard_at > LEASE:
+            elif now - heard_at > LEASE_SECONDS:
                 del self._leases[name]
                 self._withdraw(name, lease.edition)
 
-    def _withdraw(self, name: Name, edition: int) -> None:
+    def _withdraw(self, name: EntryKey, edition: int) -> None:
         """Withdraw an entry, unless a later edition stands."""
         standing = self._store.get(*name)
         if standing is not None and standing.edition == edition and standing.value is not None:
--- a/lugspur/mesh/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -7,9 +7,9 @@
 
 from lugspur.mesh.control.messages import Delta, Pong
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.leases import LEASE
-from lugspur.mesh.link import Link
-from lugspur.mesh.node import LOOK
+from lugspur.mesh.control_node.leases import LEASE_SECONDS
+from lugspur.mesh.process import TICK_SECONDS
+from lugspur.mesh.transport.link import Link
 
 NewsSince = Callable[[float, int], Delta]  # the news at a time, of all changes after a place in the store
 
@@ -49,7 +49,7 @@
         """A subscriber has answered: it is told so with its next news."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
-            subscriber.echo = pong.sent
+            subscriber.echo = pong.sent_at
 
     def tell_soon(self) -> None:
         """Tell all of what has changed once this turn of the loop is over."""
@@ -60,22 +60,22 @@
     def look(self, now: float) -> None:
         """Close the connections of those who are silent, and ping the others."""
         for subscriber in list(self._subscribers.values()):
-            if now - subscriber.link.at > LEASE:
+            if now - subscriber.link.at > LEASE_SECONDS:
                 subscriber.link.close()
-            elif now - subscriber.pinged >= self._ping - LOOK / 2:
+            elif now - subscriber.pinged >= self._ping - TICK_SECONDS / 2:
                 self._tell(subscriber)
 
     def _flush(self) -> None:
         self._flushing = False
         for subscriber in self._subscribers.values():
-            if subscriber.at < self._store.upto:
+            if subscriber.at < self._store.latest_sequence:
                 self._tell(subscriber)
 
     def _tell(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
-        since = subscriber.at if subscriber.at >= self._store.forgotten_at else 0
-        subscriber.at = self._store.upto
+        since = subscriber.at if subscriber.at >= self._store.forgotten_sequence else 0
+        subscriber.at = self._store.latest_sequence
         subscriber.pinged = now
         news = self._news(now, since)
-        news.echo = subscriber.echo
+        news.echoed_at = subscriber.echo
         subscriber.link.send(news)
--- /dev/null
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -0,0 +1,50 @@
+"""Carries requests to the concurrency limiter beside a backend, of this machine or of another."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Mapping
+
+from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
+from lugspur.mesh.dataplane.interfaces import SentRequest
+from lugspur.mesh.sidecar.backend_status import BackendStatus
+from lugspur.mesh.sidecar.local_requests import CarriedHere
+from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
+from lugspur.mesh.transport.link import Dialer
+
+
+class RequestCarrier:
+    """The way to all backends (see `lugspur.mesh.dataplane.interfaces.RequestCarrier`)."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        ip: str,
+        *,
+        peers: Mapping[str, Dialer],
+        backends: Mapping[str, BackendStatus],
+        limiter: ConcurrencyLimiter,
+        outgoing: OutgoingExchanges,
+    ) -> None:
+        """`ip`: of this machine; `peers` and `backends`: by IP number; `limiter`: of this machine's backend."""
+        self._loop, self._ip = loop, ip
+        self._peers, self._backends = peers, backends
+        self._limiter, self._outgoing = limiter, outgoing
+
+    def ready(self, ip: str) -> bool:
+        """Whether that machine can be reached now."""
+        if ip == self._ip:
+            return True
+        dialer = self._peers.get(ip)
+        return dialer is not None and dialer.link is not None and dialer.link.answered
+
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
+        """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
+        if ip == self._ip:
+            return CarriedHere(self._limiter, self._limiter.run(forward, respond))
+        link = self._peers[ip].link
+        assert link is not None
+        status = self._backends.get(ip)
+        rate = 0.0 if status is None else status.rate
+        return self._outgoing.carry(self._loop.time(), ip, link, rate, forward, respond)
--- a/tests/daemon/persistence/kept.py
+++ b/tests/daemon/persistence/kept.py
@@ -5,12 +5,21 @@
 from random import Random
 
 from lugspur.daemon.persistence.file import fact, whole
-from lugspur.discovery import learned as forms
-from lugspur.discovery.rows import Endpoint, server_id
+from lugspur.discovery import state_codec
+from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
-from lugspur.load_balancing.model import Learned, ListKind, Outcome, Repeat, RequestClass, Send, ServerRow, Settings
+from lugspur.load_balancing.model import (
+    Learned,
+    ListUpdateKind,
+    Outcome,
+    RequestClass,
+    RetrySafety,
+    Send,
+    ServerRow,
+    Settings,
+)
 
-READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=Repeat.SAFE)
+READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=RetrySafety.SAFE)
 SETTINGS = Settings(classes=(READ,))
 
 
@@ -26,7 +35,7 @@
 def taught(rows: list[Endpoint], now: float = 1000.0, slow: int = 0, bad: int = 0, rounds: int = 60) -> Balancer:
     """A module that has met boxes of which the first are slow and the next ones fail."""
     balancer = Balancer(SETTINGS, 7)
-    balancer.members(now, ListKind.STALE, [row.row for row in rows])
+    balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
     names = [row.row.server for row in rows]
     for number in range(rounds):
         at = now + 0.02 * number
@@ -50,9 +59,9 @@
     rows = endpoints() if rows is None else rows
     learned = taught(rows).learned() if learned is None else learned
     facts = [fact("pool", name, {"at": written})]
-    facts += (fact("backend", name, forms.entry(row)) for row in rows)
-    facts += (fact("learned", name, forms.server(row)) for row in learned.servers)
-    facts.append(fact("tier", name, forms.tier(learned)))
+    facts += (fact("backend", name, state_codec.encode_endpoint(row)) for row in rows)
+    facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
+    facts.append(fact("tier", name, state_codec.encode_learned_pools(learned)))
     return whole(written, facts)
 
 
