--- a/lugspur/discovery/endpoints.py
+++ b/lugspur/discovery/endpoints.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lugspur.load_balancing.model import ServerRow, State
+from lugspur.load_balancing.model import ServerRow, ServerState
 
 Address = tuple[str, int]
 #: What a backend may speak: HTTP/1.1, or gRPC over HTTP/2.
 PROTOCOLS = ("http", "grpc")
 #: States by the statuses of the platform's entries.
-STATES = {"in_service": State.UP, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {"in_service": ServerState.UP, "terminating": ServerState.DRAINING, "terminated": ServerState.GONE}
 #: Index of a zone or type that the settings do not name: it equals none of theirs.
 UNKNOWN_INDEX = -1
 
--- a/lugspur/discovery/state_codec.py
+++ b/lugspur/discovery/state_codec.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lugspur.discovery.endpoints import Endpoint, server_id, server_name
-from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, State
+from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, ServerState
 
 #: Exceptions that decoders raise for values of the wrong type, form or range.
 DECODE_ERRORS = (ValueError, TypeError, KeyError, AttributeError, IndexError, OverflowError)
@@ -48,7 +48,7 @@
     name, state, zone, cell, size, started, kind, host, port, grpc = raw
     row = ServerRow(
         server_id(name),
-        State(state),
+        ServerState(state),
         int(zone),
         int(cell),
         finite_number(size),
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -7,15 +7,23 @@
 
 from cachetools import LRUCache
 
-from lugspur.mesh.control.messages import AskOutcomes, Cancel, Forward, Grant, Part, Reply, Withdraw
-from lugspur.mesh.dataplane.causes import Cause
-from lugspur.mesh.dataplane.gate import End
-from lugspur.mesh.dataplane.uploads import PART, in_parts
-from lugspur.mesh.link import Link
+from lugspur.mesh.control.messages import (
+    BodyChunk,
+    CancelRequest,
+    FetchOutcomes,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
+    WithdrawRequest,
+)
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, is_chunked
+from lugspur.mesh.transport.link import Link
 
-UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
+MAX_UNPROVEN_REQUESTS = 1024  # requests of lost connections whose outcome is asked for, the latest
 
-Respond = Callable[[Reply], None]
+Respond = Callable[[ForwardResponse], None]
 
 
 @dataclass(slots=True)
@@ -68,14 +76,14 @@
     def __init__(self) -> None:
         self._latest = 0
         self._open: dict[str, dict[int, _Exchange]] = {}
-        self._unproven: LRUCache[int, _Unproven] = LRUCache(UNPROVEN_MOST)
+        self._unproven: LRUCache[int, _Unproven] = LRUCache(MAX_UNPROVEN_REQUESTS)
 
     def waits_for(self, ip: str) -> bool:
         """Whether anything waits for that machine."""
         return bool(self._open.get(ip))
 
     def carry(
-        self, now: float, ip: str, link: Link, rate: float, forward: Forward, respond: Respond
+        self, now: float, ip: str, link: Link, rate: float, forward: ForwardRequest, respond: Respond
     ) -> CarriedExchange:
         """Send a request; the reply comes once. `rate`: bytes a second of that machine's link, 0: unknown."""
         self._latest += 1
@@ -83,7 +91,7 @@
         forward.sent = now
         exchange = _Exchange(link, respond, bool(forward.key))
         self._open.setdefault(ip, {})[number] = exchange
-        if in_parts(len(forward.body), rate):
+        if is_chunked(len(forward.body), rate):
             exchange.body = _Body(forward.body)
             forward.size, forward.body = len(forward.body), b""
         link.send(forward)
@@ -93,14 +101,14 @@
         """Have it ended, and hear no more of it."""
         exchange = self._open.get(ip, {}).pop(number, None)
         if exchange is not None:
-            exchange.link.send(Cancel(number))
-            exchange.respond(Reply(number, End.MAYBE, cause=Cause.CANCELLED))
+            exchange.link.send(CancelRequest(number))
+            exchange.respond(ForwardResponse(number, RequestOutcome.UNKNOWN, cause=FailureCause.CANCELLED))
 
     def withdraw(self, ip: str, number: int) -> None:
         """Have it not begun any more; its reply comes all the same."""
         exchange = self._open.get(ip, {}).get(number)
         if exchange is not None:
-            exchange.link.send(Withdraw(number))
+            exchange.link.send(WithdrawRequest(number))
 
     def _of(self, link: Link, number: int) -> _Exchange | None:
         """The exchange that a message on this connection is about.
@@ -110,7 +118,7 @@
         exchange = self._open.get(link.peer, {}).get(number)
         return exchange if exchange is not None and exchange.link is link else None
 
-    def reply(self, link: Link, message: Reply) -> None:
+    def reply(self, link: Link, message: ForwardResponse) -> None:
         """How one ended."""
         exchange = self._of(link, message.n)
         if exchange is not None:
@@ -119,7 +127,7 @@
         else:
             self._proved(link, message)
 
-    def _proved(self, link: Link, message: Reply) -> None:
+    def _proved(self, link: Link, message: ForwardResponse) -> None:
         """The outcome of one whose connection was lost, from the process that it was sent to."""
         unproven = self._unproven.get(message.n)
         if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.life):
@@ -127,7 +135,7 @@
         del self._unproven[message.n]
         unproven.respond(message)
 
-    def grant(self, link: Link, message: Grant) -> None:
+    def grant(self, link: Link, message: GrantBody) -> None:
         """Send the next bytes of a body."""
         exchange = self._of(link, message.n)
         body = None if exchange is None else exchange.body
@@ -136,8 +144,8 @@
         begin, body.sent = body.sent, min(message.upto, len(body.data))
         if body.sent == len(body.data):
             exchange.body = None
-        for at in range(begin, body.sent, PART):
-            exchange.link.send(Part(message.n, body.data[at : min(at + PART, body.sent)]))
+        for at in range(begin, body.sent, CHUNK_BYTES):
+            exchange.link.send(BodyChunk(message.n, body.data[at : min(at + CHUNK_BYTES, body.sent)]))
 
     def reached(self, link: Link) -> None:
         """A process has said which life of it answers on a new connection: ask what became of what was lost."""
@@ -150,7 +158,7 @@
             else:
                 del self._unproven[number]  # another life does not know what the one before had begun
         if asked:
-            link.send(AskOutcomes(sorted(asked)))
+            link.send(FetchOutcomes(sorted(asked)))
 
     def lost(self, ip: str) -> None:
         """The connection to that machine has ended."""
@@ -160,5 +168,5 @@
             unsent = exchange.body is not None
             if exchange.keyed and not unsent:
                 self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
-            how = End.NOT_RUN if unsent else End.MAYBE
-            exchange.respond(Reply(number, how, sent=not unsent, cause=Cause.LINK_LOST))
+            how = RequestOutcome.NOT_RUN if unsent else RequestOutcome.UNKNOWN
+            exchange.respond(ForwardResponse(number, how, sent=not unsent, cause=FailureCause.LINK_LOST))
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -5,14 +5,14 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.messages import (
     Accepted,
-    Ballot,
     Change,
-    Claim,
     Entry,
     Membership,
     Message,
     Promise,
-    Verdict,
+    ProposalNumber,
+    ReserveKey,
+    ReserveKeyReply,
     Voter,
 )
 from lugspur.mesh.control.replica import GENESIS, Replica, membership_entry
@@ -58,18 +58,20 @@
     return message
 
 
-def claim(to: Replica, by: bytes, now: float = 0.0, epoch: int = 1, key: bytes = b"k") -> Verdict:
+def claim(to: Replica, by: bytes, now: float = 0.0, epoch: int = 1, key: bytes = b"k") -> ReserveKeyReply:
     """The verdict on a claim."""
-    message = only(to.handle(now, None, Claim(key, by, epoch, 2.0)))
-    assert isinstance(message, Verdict)
+    message = only(to.handle(now, None, ReserveKey(key, by, epoch, 2.0)))
+    assert isinstance(message, ReserveKeyReply)
     return message
 
 
-def promise(index: int, ballot: Ballot, accepted: Ballot | None = None, value: Change | None = None) -> Promise:
+def promise(
+    index: int, ballot: ProposalNumber, accepted: ProposalNumber | None = None, value: Change | None = None
+) -> Promise:
     """A voter's promise."""
     return Promise(index, ballot, True, index - 1, ballot, accepted, value)
 
 
-def accepted(index: int, ballot: Ballot) -> Accepted:
+def accepted(index: int, ballot: ProposalNumber) -> Accepted:
     """A voter's word that it has accepted."""
     return Accepted(index, ballot, True, index - 1, ballot)
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -9,9 +9,9 @@
 import pytest
 
 from lugspur.invariants import Invariant, violations
-from lugspur.mesh import disk as module
 from lugspur.mesh.control.register import KEY_MOST
-from lugspur.mesh.disk import Disk
+from lugspur.mesh.storage import disk as module
+from lugspur.mesh.storage.disk import Disk
 
 
 class Refusing:
@@ -35,7 +35,7 @@
 def refusing(monkeypatch: pytest.MonkeyPatch) -> None:
     opened = Disk._open
     monkeypatch.setattr(Disk, "_open", lambda self: Refusing(opened(self)))
-    monkeypatch.setattr(module, "AGAIN", 0.01)
+    monkeypatch.setattr(module, "REOPEN_DELAY_SECONDS", 0.01)
     Refusing.full = False
 
 
