--- a/lugspur/daemon/hot_restart/hot_restart.py
+++ b/lugspur/daemon/hot_restart/hot_restart.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.hot_restart.request_ids import RequestIdBatch
 from lugspur.daemon.hot_restart.restartable_proxy import RestartableProxy
 from lugspur.daemon.hot_restart.takeover import PendingTakeover, Takeover
-from lugspur.discovery.rows import Address, server_name
+from lugspur.discovery.endpoints import Address, server_name
 
 # In which the whole state has to come: the platform waits 6 s for the new process.
 STATE_TRANSFER_TIMEOUT_SECONDS = 1.0
--- a/lugspur/daemon/hot_restart/peer_changes.py
+++ b/lugspur/daemon/hot_restart/peer_changes.py
@@ -7,7 +7,7 @@
 from lugspur.daemon.hot_restart.descriptors import close_all
 from lugspur.daemon.hot_restart.packets import Packet, PacketError, PacketKind
 from lugspur.daemon.hot_restart.restartable_proxy import RestartableProxy
-from lugspur.discovery.rows import server_id
+from lugspur.discovery.endpoints import server_id
 
 #: What binds all processes of a proxy: a process between two others passes it on.
 BINDING_ALL = frozenset({PacketKind.BAN, PacketKind.DRAIN, PacketKind.REQUEST_IDS})
--- a/lugspur/daemon/hot_restart/process_state.py
+++ b/lugspur/daemon/hot_restart/process_state.py
@@ -8,9 +8,9 @@
 
 from lugspur.daemon.hot_restart import packets
 from lugspur.daemon.hot_restart.packets import PROTOCOL_VERSION, Packet, PacketError
-from lugspur.discovery import learned as forms
+from lugspur.discovery import state_codec
+from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.discovery.maintenance import Bans
-from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned
 
 # Of the state's text in one packet: quoted in JSON and as UTF-8 they take four times as many bytes at most.
@@ -36,13 +36,14 @@
         {
             "version": PROTOCOL_VERSION,
             "index": state.index,
-            "endpoints": [forms.entry(endpoint) for endpoint in state.endpoints],
+            "endpoints": [state_codec.encode_endpoint(endpoint) for endpoint in state.endpoints],
             "listed": [server_name(server) for server in state.bans.listed],
             "banned": [server_name(server) for server in state.bans.banned],
             "floors": {server_name(server): at for server, at in state.bans.floors.items()},
             "drained": state.drained,
             "open": [request_id.decode() for request_id in state.open],
-            "learned": forms.tier(state.learned) | {"servers": [forms.server(row) for row in state.learned.servers]},
+            "learned": state_codec.encode_learned_pools(state.learned)
+            | {"servers": [state_codec.encode_learned_server(row) for row in state.learned.servers]},
         }
     ).decode()
     parts = [text[at : at + STATE_PART_CHARACTERS] for at in range(0, len(text), STATE_PART_CHARACTERS)]
@@ -58,7 +59,7 @@
         learned = raw["learned"]
         return ProcessState(
             int(raw["index"]),
-            [forms.read_entry(row) for row in raw["endpoints"]],
+            [state_codec.decode_endpoint(row) for row in raw["endpoints"]],
             Bans(
                 [server_id(name) for name in raw["listed"]],
                 [server_id(name) for name in raw["banned"]],
@@ -66,9 +67,9 @@
             ),
             bool(raw["drained"]),
             [request_id.encode() for request_id in raw["open"]],
-            forms.read_learned(learned, learned["servers"]),
+            state_codec.decode_learned(learned, learned["servers"]),
         )
-    except forms.SENSELESS as error:
+    except state_codec.DECODE_ERRORS as error:
         raise PacketError(f"no estate: {error!r}") from error
 
 
--- a/lugspur/daemon/hot_restart/rendezvous_socket.py
+++ b/lugspur/daemon/hot_restart/rendezvous_socket.py
@@ -14,7 +14,7 @@
 from contextlib import contextmanager, suppress
 
 from lugspur.daemon.hot_restart.log import log_line
-from lugspur.discovery.rows import Address
+from lugspur.discovery.endpoints import Address
 
 ACCEPT_BACKLOG = 8
 NO_FILE = (0, 0)
--- a/lugspur/mesh/dataplane/urgency.py
+++ b/lugspur/mesh/dataplane/urgency.py
@@ -15,4 +15,4 @@
     and a parent occupies its backend until they are answered. Earliest deadline first: Liu and Layland, "Scheduling
     Algorithms for Multiprogramming in a Hard-Real-Time Environment", JACM 20(1), 1973.
     """
-    return request.priority, now + request.aim
+    return request.priority, now + request.latency_target_left
--- a/tests/daemon/hot_restart/test_process_state.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -18,8 +18,8 @@
     decode_state,
     encode_state,
 )
+from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.discovery.maintenance import Bans
-from lugspur.discovery.rows import Endpoint, server_id, server_name
 from lugspur.load_balancing import Balancer, ListUpdateKind, Outcome, Send, ServerRow, ServerState, Settings
 from lugspur.load_balancing.model import Learned
 
--- a/tests/daemon/leases/test_duties.py
+++ b/tests/daemon/leases/test_duties.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from lugspur.daemon.leases import span
-from lugspur.daemon.leases.claim import STANDBY, order
-from lugspur.daemon.leases.elector import Elector
-from lugspur.daemon.leases.term import Ended, Term
+from lugspur.daemon.leases import timing
+from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, rendezvous_order
+from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
+from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
 from lugspur.emulator.duties import CALM, LEASE, TwoInOffice, World, after_kill, play
 
@@ -33,28 +33,28 @@
 
 
 def test_a_build_without_the_margin_for_clocks_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(span, "DRIFT", -0.06)
+    monkeypatch.setattr(timing, "MAX_CLOCK_DRIFT", -0.06)
     assert _caught(60)
 
 
 def test_a_build_without_the_silence_after_a_start_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin: Callable[..., None] = Elector.__init__
+    begin: Callable[..., None] = LeaseVoter.__init__
 
-    def at_once(self: Elector, lease: float, now: float, memory: object, floor: int) -> None:
+    def at_once(self: LeaseVoter, lease: float, now: float, memory: object, floor: int) -> None:
         begin(self, lease, now, memory, floor)
-        self.quiet_until = now
+        self.silent_until = now
 
-    monkeypatch.setattr(Elector, "__init__", at_once)
+    monkeypatch.setattr(LeaseVoter, "__init__", at_once)
     assert _caught(60, memory=False)
 
 
 def test_a_build_that_keeps_its_office_while_it_gives_back_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def give_up(self: Term, now: float) -> Ended:
-        asked, self._asked = self._asked, 0
-        self._tell(asked)
-        return Ended.LOST
+    def abandon_round(self: LeaseTerm, now: float) -> RoundResult:
+        requested_epoch, self._requested_epoch = self._requested_epoch, 0
+        self._send_release(requested_epoch)
+        return RoundResult.LOST
 
-    monkeypatch.setattr(Term, "give_up", give_up)
+    monkeypatch.setattr(LeaseTerm, "abandon_round", abandon_round)
     assert _caught(60)
 
 
@@ -83,7 +83,7 @@
     def after(address: tuple[str, int], node: object) -> None:
         nonlocal asked
         assert isinstance(node, duties.Node)
-        asked += len(node.claim.term._out) if node.claim is not None else 0
+        asked += len(node.claim.term._outbox) if node.claim is not None else 0
 
     network.after = after
     network.run(CALM)
@@ -91,7 +91,7 @@
     asked = 0
     network.run(60.0)
     # The holder and two that stand by ask three electors some three times a lease; all the others seldom.
-    assert asked / 60.0 <= 3 * 3 * (3 + STANDBY + 200 / 30) / LEASE
+    assert asked / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE
     assert len(world.holders()) == 1
 
 
@@ -113,8 +113,8 @@
     names = [f"m{number}" for number in range(50)]
     rng = Random(1)
     for duty in ("a", "b", "c"):
-        found = order(duty, names)
-        assert found == order(duty, rng.sample(names, 50))
+        found = rendezvous_order(duty, names)
+        assert found == rendezvous_order(duty, rng.sample(names, 50))
         without = [name for name in found if name != found[7]]
-        assert order(duty, without) == without
-    assert order("a", names) != order("b", names)
+        assert rendezvous_order(duty, without) == without
+    assert rendezvous_order("a", names) != rendezvous_order("b", names)
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -11,9 +11,9 @@
 import pytest
 
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.dataplane import gate as gate_module
+from lugspur.mesh.dataplane import concurrency_limiter
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 
 GOOD = b"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: %b\r\nLugspur-Postmark: p\r\nContent-Length: 2\r\n\r\nhi"
@@ -79,20 +79,22 @@
 
 
 class Rig:
-    """A gate, its backend, and what it replied."""
+    """A limiter, its backend, and what it replied."""
 
     def __init__(self, backend: Scripted, drain: float = 2.0) -> None:
         self.done: list[tuple[bytes, BackendResponse]] = []
         self.replies: dict[int, asyncio.Future[ForwardResponse]] = {}
         self.downs: list[LocalBackend] = []
-        self.gate = Gate(64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append)
+        self.limiter = ConcurrencyLimiter(
+            64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append
+        )
         self.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
-        self.gate.local = self.local
+        self.limiter.local = self.local
 
     def run(self, message: ForwardRequest) -> asyncio.Future[ForwardResponse]:
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-        self.replies[message.n] = found
-        self.gate.run(message, found.set_result)
+        self.replies[message.number] = found
+        self.limiter.run(message, found.set_result)
         return found
 
 
@@ -107,8 +109,11 @@
 def test_a_request_reaches_the_backend_as_it_came_with_whose_it_is_and_what_time_is_left() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1, key=b"k", body=b"body"))
-        assert (reply.how, reply.sent) == (RequestOutcome.ANSWERED, True) and reply.answer is not None
-        assert (reply.answer.status, reply.answer.body) == (200, b"hi") and b"Lugspur-Postmark: p" in reply.answer.head
+        assert (reply.outcome, reply.was_sent) == (RequestOutcome.ANSWERED, True) and reply.response is not None
+        assert (reply.response.status, reply.response.body) == (
+            200,
+            b"hi",
+        ) and b"Lugspur-Postmark: p" in reply.response.head
         [head] = backend.heads
         assert head.startswith(b"POST /p?q=1 HTTP/1.1\r\nHost: h\r\n") and head.endswith(b"\r\n\r\nbody")
         assert b"Lugspur-Deliver-To: i-1\r\n" in head and b"Lugspur-Deliver-By-Ms: 1" in head
@@ -148,14 +153,14 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for n, (name, end) in enumerate(ends.items()):
             reply = await rig.run(forward(n, name, left=0.25))
-            assert (name, RequestOutcome(reply.how), reply.sent) == (name, end, True)
+            assert (name, RequestOutcome(reply.outcome), reply.was_sent) == (name, end, True)
         backend.server.close()
         await backend.server.wait_closed()
-        rig.gate.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
+        rig.limiter.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         reply = await rig.run(forward(99))
-        assert (reply.how, reply.sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
+        assert (reply.outcome, reply.was_sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
         again = await rig.run(forward(100))  # until its next beat nobody is sent there
-        assert (again.how, again.sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
+        assert (again.outcome, again.was_sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
 
     play(lambda a: answers[a], what)
 
@@ -164,7 +169,9 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
         assert (
-            reply.how == RequestOutcome.ANSWERED and reply.answer is not None and b"Attempt-Id: a1" in reply.answer.head
+            reply.outcome == RequestOutcome.ANSWERED
+            and reply.response is not None
+            and b"Attempt-Id: a1" in reply.response.head
         )
         await rig.run(forward(2))
         assert backend.accepted == 2  # a connection that brought one is not kept
@@ -176,7 +183,7 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for n in (1, 2, 3):
             reply = await rig.run(forward(n))
-            assert reply.answer is not None and b"Attempt-Id: a%d" % n in reply.answer.head
+            assert reply.response is not None and b"Attempt-Id: a%d" % n in reply.response.head
 
     play(lambda a: GOOD % a + GOOD % b"extra", what)
 
@@ -184,15 +191,15 @@
 def test_what_waits_goes_by_when_it_is_due_and_the_last_makes_room() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         running = [rig.run(forward(n)) for n in (1, 2)]  # one at work and one ready beside it
         patient = [rig.run(forward(n, aim=1.0, priority=1)) for n in (3, 4)]
         urgent = rig.run(forward(5, aim=0.1, priority=1))
-        assert (await patient[1]).how == RequestOutcome.NOT_RUN  # the queue is full: whoever is due last goes
+        assert (await patient[1]).outcome == RequestOutcome.NOT_RUN  # the queue is full: whoever is due last goes
         late = await rig.run(forward(6, aim=1.0, priority=1))
-        assert (late.how, late.sent) == (RequestOutcome.NOT_RUN, False)
+        assert (late.outcome, late.was_sent) == (RequestOutcome.NOT_RUN, False)
         highest = rig.run(forward(7, aim=1.9, priority=0))  # however long it may take
-        assert (await patient[0]).how == RequestOutcome.NOT_RUN
+        assert (await patient[0]).outcome == RequestOutcome.NOT_RUN
         backend.hold.set()
         await asyncio.gather(*running, urgent, highest)
         assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2", b"a7", b"a5"]
@@ -204,12 +211,12 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         now = asyncio.get_running_loop().time()
         rig.local.closing_at = now - 0.1
-        assert (await rig.run(forward(1))).how == RequestOutcome.ANSWERED  # news is on its way
+        assert (await rig.run(forward(1))).outcome == RequestOutcome.ANSWERED  # news is on its way
         rig.local.closing_at = now - 0.5
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads)) == (RequestOutcome.NOT_RUN, False, 1)
-        rig.gate.local = LocalBackend("i-2", "s", backend.address, now)
-        assert (await rig.run(forward(3))).how == RequestOutcome.NOT_RUN
+        assert (reply.outcome, reply.was_sent, len(backend.heads)) == (RequestOutcome.NOT_RUN, False, 1)
+        rig.limiter.local = LocalBackend("i-2", "s", backend.address, now)
+        assert (await rig.run(forward(3))).outcome == RequestOutcome.NOT_RUN
         assert len(backend.heads) == 1
 
     play(lambda a: GOOD % a, what)
@@ -218,17 +225,21 @@
 def test_what_nobody_waits_for_is_closed_at_the_backend_or_never_sent() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
-        tickets = [rig.gate.run(forward(n), lambda reply: None) for n in (1, 2, 3)]
+        rig.local.concurrency = 1
+        admitted_requests = [rig.limiter.run(forward(n), lambda reply: None) for n in (1, 2, 3)]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
-        for ticket in reversed(tickets):
-            assert ticket is not None
-            rig.gate.cancel(ticket)
+        for admitted in reversed(admitted_requests):
+            assert admitted is not None
+            rig.limiter.cancel(admitted)
         backend.hold.set()
         reply = await rig.run(forward(4))
-        assert reply.how == RequestOutcome.ANSWERED and [attempt_of(h) for h in backend.heads] == [b"a1", b"a2", b"a4"]
-        assert rig.gate.busy == 0
+        assert reply.outcome == RequestOutcome.ANSWERED and [attempt_of(h) for h in backend.heads] == [
+            b"a1",
+            b"a2",
+            b"a4",
+        ]
+        assert rig.limiter.busy == 0
 
     play(lambda a: GOOD % a, what)
 
@@ -236,41 +247,45 @@
 def test_a_short_call_is_judged_by_its_own_route() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         slow = [rig.run(forward(n, route="slow", left=9.0, aim=9.0)) for n in (1, 2)]
         await asyncio.sleep(0.15)  # what the slow route takes
-        rig.gate._paces["slow"], rig.gate._pace = 0.15, 0.08
+        rig.limiter._service_times["slow"], rig.limiter._average_service_time = 0.15, 0.08
         backend.hold.set()
         await asyncio.gather(*slow, rig.run(forward(3, route="short")))
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="short")) for n in (4, 5)]
         waits = [rig.run(forward(n, route=route, left=0.2, aim=0.06)) for n, route in ((6, "short"), (7, "slow"))]
-        assert (await waits[1]).how == RequestOutcome.NOT_RUN and not waits[0].done()
+        assert (await waits[1]).outcome == RequestOutcome.NOT_RUN and not waits[0].done()
         backend.hold.set()
         await asyncio.gather(*running)
-        assert (await waits[0]).how == RequestOutcome.ANSWERED
+        assert (await waits[0]).outcome == RequestOutcome.ANSWERED
 
     play(lambda a: GOOD % a, what)
 
 
 def test_who_would_be_late_is_turned_away_at_once_unless_it_comes_back_or_is_short() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
-        rig.local.berths = 1
-        rig.gate._paces["long"], rig.gate._paces["short"], rig.gate._pace = 0.3, 0.05, 0.3
+        rig.local.concurrency = 1
+        rig.limiter._service_times["long"], rig.limiter._service_times["short"], rig.limiter._average_service_time = (
+            0.3,
+            0.05,
+            0.3,
+        )
         backend.hold = asyncio.Event()
         running = [rig.run(forward(n, route="long")) for n in (1, 2)]
         fresh = await rig.run(forward(3, route="long", left=5.0, aim=0.5))
-        assert (fresh.how, fresh.sent) == (RequestOutcome.NOT_RUN, False)  # it would wait for 0.3 s and be late
+        assert (fresh.outcome, fresh.was_sent) == (RequestOutcome.NOT_RUN, False)  # it would wait for 0.3 s and be late
         late = await rig.run(forward(6, route="long", left=5.0, aim=0.5, back=True))
-        assert (late.how, late.sent) == (RequestOutcome.NOT_RUN, False)  # not even then
+        assert (late.outcome, late.was_sent) == (RequestOutcome.NOT_RUN, False)  # not even then
         fresh = await rig.run(forward(7, route="long", left=5.0, aim=0.7))
-        assert (fresh.how, fresh.sent) == (RequestOutcome.NOT_RUN, False)
+        assert (fresh.outcome, fresh.was_sent) == (RequestOutcome.NOT_RUN, False)
         back = rig.run(forward(4, route="long", left=5.0, aim=0.7, back=True))
         short = rig.run(forward(5, route="short", left=5.0, aim=0.2))  # its caller may hold a berth elsewhere
         assert not back.done() and not short.done()
         backend.hold.set()
         ends = await asyncio.gather(*running, back, short)
-        assert {reply.how for reply in ends} == {RequestOutcome.ANSWERED}
+        assert {reply.outcome for reply in ends} == {RequestOutcome.ANSWERED}
 
     play(lambda a: GOOD % a, what)
 
@@ -279,11 +294,11 @@
 def test_a_refusal_without_an_id_proves_something_only_on_a_new_connection(line: bytes) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         first = await rig.run(forward(1, b"refused"))
-        assert first.how == RequestOutcome.NOT_RUN  # nothing else was ever asked on it
-        assert (await rig.run(forward(2))).how == RequestOutcome.ANSWERED and backend.accepted == 2
+        assert first.outcome == RequestOutcome.NOT_RUN  # nothing else was ever asked on it
+        assert (await rig.run(forward(2))).outcome == RequestOutcome.ANSWERED and backend.accepted == 2
         late = await rig.run(forward(3, b"refused"))
-        assert late.how == RequestOutcome.UNKNOWN and backend.accepted == 2  # it may be a late answer to one before
-        assert (await rig.run(forward(4))).how == RequestOutcome.ANSWERED and backend.accepted == 3
+        assert late.outcome == RequestOutcome.UNKNOWN and backend.accepted == 2  # it may be a late answer to one before
+        assert (await rig.run(forward(4))).outcome == RequestOutcome.ANSWERED and backend.accepted == 3
 
     refusal = b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % line
     play(lambda a: refusal if a == b"refused" else GOOD % a, what)
@@ -302,16 +317,18 @@
 
         heard = asyncio.Event()
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        gate = Gate(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        gate.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
+        limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
-        ticket = gate.run(forward(1), found.set_result)
-        assert ticket is not None
-        while ticket.exchange is None or ticket.exchange.connection is None or not ticket.exchange.connection._body:
+        admitted = limiter.run(forward(1), found.set_result)
+        assert admitted is not None
+        while (
+            admitted.exchange is None or admitted.exchange.connection is None or not admitted.exchange.connection._body
+        ):
             await asyncio.sleep(0)
         heard.set()
-        assert (await found).how == RequestOutcome.UNKNOWN
+        assert (await found).outcome == RequestOutcome.UNKNOWN
         server.close()
 
     asyncio.run(asyncio.wait_for(run(), 10.0))
@@ -320,9 +337,9 @@
 def test_what_an_interim_answer_says_counts_for_nothing() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
-        assert reply.how == RequestOutcome.ANSWERED
+        assert reply.outcome == RequestOutcome.ANSWERED
         other = await rig.run(forward(2, b"nameless"))
-        assert other.how == RequestOutcome.INVALID_RESPONSE
+        assert other.outcome == RequestOutcome.INVALID_RESPONSE
 
     interim = b"HTTP/1.1 103 X\r\nLugspur-Not-Delivered: 1\r\nLugspur-Attempt-Id: %b\r\n\r\n"
     nameless = (GOOD % b"x").replace(b"Lugspur-Attempt-Id: x\r\n", b"")
@@ -343,7 +360,7 @@
 )
 def test_an_answers_headers_are_read_by_their_names(head: bytes, end: RequestOutcome) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
-        assert (await rig.run(forward(1))).how == end
+        assert (await rig.run(forward(1))).outcome == end
 
     play(lambda a: b"HTTP/1.1 200 OK\r\n" + head + b"Content-Length: 2\r\n\r\nhi", what)
 
@@ -352,13 +369,13 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         for left in (0.0, -0.01, -30.0):
             reply = await rig.run(forward(1, left=left))
-            assert (reply.how, reply.sent, reply.cause, backend.heads) == (
+            assert (reply.outcome, reply.was_sent, reply.cause, backend.heads) == (
                 RequestOutcome.NOT_RUN,
                 False,
                 FailureCause.EXPIRED,
                 [],
             )
-        assert rig.gate.causes == {FailureCause.EXPIRED: 3}
+        assert rig.limiter.causes == {FailureCause.EXPIRED: 3}
 
     play(lambda a: GOOD % a, what)
 
@@ -367,12 +384,17 @@
     async def what(rig: Rig, backend: Scripted) -> None:
         assert (
             await rig.run(forward(1))
-        ).how == RequestOutcome.ANSWERED  # its connection is kept: the next goes out at once
+        ).outcome == RequestOutcome.ANSWERED  # its connection is kept: the next goes out at once
         loop = asyncio.get_running_loop()
         stands = loop.time()
-        monkeypatch.setattr(gate_module, "monotonic", lambda: stands + 30.0)
+        monkeypatch.setattr(concurrency_limiter, "monotonic", lambda: stands + 30.0)
         reply = await rig.run(forward(2))
-        assert (reply.how, reply.sent, len(backend.heads), rig.gate.busy) == (RequestOutcome.NOT_RUN, False, 1, 0)
+        assert (reply.outcome, reply.was_sent, len(backend.heads), rig.limiter.busy) == (
+            RequestOutcome.NOT_RUN,
+            False,
+            1,
+            0,
+        )
         assert reply.cause == FailureCause.TOO_LITTLE_TIME
 
     play(lambda a: GOOD % a, what)
@@ -381,12 +403,15 @@
 def test_a_cancel_is_answered_once_also_for_what_waits() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         replies: list[tuple[int, RequestOutcome]] = []
-        tickets = [rig.gate.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how)))) for n in (1, 2, 3)]
-        for ticket in tickets[::-1] * 2:  # the one that waits first: else it would not wait any more
-            assert ticket is not None
-            rig.gate.cancel(ticket)
+        admitted_requests = [
+            rig.limiter.run(forward(n), lambda r: replies.append((r.number, RequestOutcome(r.outcome))))
+            for n in (1, 2, 3)
+        ]
+        for admitted in admitted_requests[::-1] * 2:  # the one that waits first: else it would not wait any more
+            assert admitted is not None
+            rig.limiter.cancel(admitted)
         assert sorted(replies) == [
             (n, RequestOutcome.UNKNOWN) for n in (1, 2, 3)
         ]  # who sent it counts what it has under way
@@ -397,22 +422,23 @@
 def test_what_is_withdrawn_while_it_waits_never_reaches_the_backend_and_is_proven_not_to_have_run() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
-        rig.local.berths = 1
+        rig.local.concurrency = 1
         replies: list[tuple[int, RequestOutcome, bool]] = []
-        tickets = [
-            rig.gate.run(forward(n), lambda r: replies.append((r.n, RequestOutcome(r.how), r.sent))) for n in (1, 2, 3)
+        admitted_requests = [
+            rig.limiter.run(forward(n), lambda r: replies.append((r.number, RequestOutcome(r.outcome), r.was_sent)))
+            for n in (1, 2, 3)
         ]
         while len(backend.heads) < 2:
             await asyncio.sleep(0)
-        for ticket in tickets:
-            assert ticket is not None
-            rig.gate.withdraw(ticket)
+        for admitted in admitted_requests:
+            assert admitted is not None
+            rig.limiter.withdraw(admitted)
         assert replies == [(3, RequestOutcome.NOT_RUN, False)]
         backend.hold.set()
         while len(replies) < 3:
             await asyncio.sleep(0.001)
         assert sorted(replies[1:]) == [(1, RequestOutcome.ANSWERED, True), (2, RequestOutcome.ANSWERED, True)]
-        assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.gate.busy == 0
+        assert [attempt_of(head) for head in backend.heads] == [b"a1", b"a2"] and rig.limiter.busy == 0
 
     play(lambda a: GOOD % a, what)
 
@@ -431,15 +457,15 @@
         server = await asyncio.start_server(answer_early, "127.0.0.1", 0, limit=1 << 16)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         replies: list[ForwardResponse] = []
-        gate = Gate(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
-        gate.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
-        gate.run(forward(1, body=body, left=5.0), replies.append)
+        limiter = ConcurrencyLimiter(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
+        limiter.run(forward(1, body=body, left=5.0), replies.append)
         while not replies:
             await asyncio.sleep(0.001)
-        gate.run(forward(2), replies.append)
+        limiter.run(forward(2), replies.append)
         while len(replies) < 2:
             await asyncio.sleep(0.001)
-        assert [reply.how for reply in replies] == [RequestOutcome.ANSWERED] * 2 and len(streams) == 2
+        assert [reply.outcome for reply in replies] == [RequestOutcome.ANSWERED] * 2 and len(streams) == 2
         late = bytearray()
         with suppress(ConnectionError):
             while data := await streams[0][0].read(1 << 16):
--- a/tests/mesh/dataplane/test_upload_scheduler.py
+++ b/tests/mesh/dataplane/test_upload_scheduler.py
@@ -21,7 +21,9 @@
 
 
 def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> ForwardRequest:
-    return ForwardRequest(0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", back=back, size=size)
+    return ForwardRequest(
+        0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", was_rejected=back, body_bytes=size
+    )
 
 
 def offer(
@@ -55,7 +57,9 @@
         complete = uploads.receive(now, ("x", 1), b"%c" % (65 + sent // CHUNK_BYTES) * step)
         sent += step
     assert sent == len(complete.body) == 60_000 and complete.body[:CHUNK_BYTES] == b"A" * CHUNK_BYTES
-    assert complete.left == pytest.approx(10.0 - now) and complete.aim == pytest.approx(1.7 - now)
+    assert complete.seconds_left == pytest.approx(10.0 - now) and complete.latency_target_left == pytest.approx(
+        1.7 - now
+    )
     assert len(uploads) == 0
 
 
