--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -146,7 +146,7 @@
     if isinstance(action, Forward):
         kind = plan.classes[plan.kinds[action.kind]]
         click.echo(
-            f"  class {kind.name}: {kind.repeat.value}, given up after "
+            f"  class {kind.name}: {kind.retry_safety.value}, given up after "
             f"{min(kind.deadline, action.deadline or kind.deadline):g}s"
         )
         if action.rewrite is not None:
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -82,18 +82,18 @@
         return Settings(
             classes=self.classes,
             tenants=self.tenants,
-            balancers=daemon.instances,
-            me=daemon.instance,
-            limits=Limits(cancel=True, max_attempts=pool.attempts),
+            instance_count=daemon.instances,
+            instance_index=daemon.instance,
+            limits=Limits(allows_cancel=True, max_attempts=pool.attempts),
             rules=Rules(
                 drain_grace=0.5,
-                cold_from=cold.part,
-                cold_for=cold.warm_after,
-                fall_multiple=cold.multiple,
-                fall_after=cold.over,
-                extra_free=retries.free,
-                extra_share=retries.part,
-                extra_span=retries.span,
+                slow_start_fraction=cold.part,
+                slow_start_seconds=cold.warm_after,
+                overload_multiple=cold.multiple,
+                overload_seconds=cold.over,
+                retry_budget_minimum=retries.free,
+                retry_budget_ratio=retries.part,
+                retry_budget_window=retries.span,
             ),
         )
 
@@ -103,7 +103,7 @@
 
     `raw` has the names of all tables, also of those that could not be read: to name one is no second fault.
     """
-    classes = [RequestClass(name=PLAIN, late_worth=1.0)]
+    classes = [RequestClass(name=PLAIN, late_value=1.0)]
     for name, row in file.classes.items():
         _check_class(row, place.at("classes", name))
         classes.append(
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -237,7 +237,7 @@
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
         """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
         get = request.headers.get
-        if kind.repeat is RetrySafety.KEYED and not get(b"idempotency-key"):
+        if kind.retry_safety is RetrySafety.KEYED and not get(b"idempotency-key"):
             raise Rejected(400, "no Idempotency-Key, which this class needs")
         timeout = min(kind.deadline, forward.deadline or kind.deadline)
         wanted = get(b"x-timeout")
@@ -278,7 +278,7 @@
             if not station.speaks_grpc:
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
-            kind = replace(kind, only_kinds=(GRPC,))
+            kind = replace(kind, allowed_host_types=(GRPC,))
         if not self._places.fits(station.name):
             # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
             ticket.end = End.TURNED
@@ -356,7 +356,7 @@
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         ticket = _ticket(call)
         self._places.give(ticket.station.name)
-        if ticket.kind.repeat is not RetrySafety.SAFE:
+        if ticket.kind.retry_safety is not RetrySafety.SAFE:
             self.joins.wrote(ticket.tenant)
 
 
--- a/lugspur/daemon/guarding.py
+++ b/lugspur/daemon/guarding.py
@@ -21,14 +21,14 @@
     def __init__(self, classes: Sequence[RequestClass], memory_most: int) -> None:
         self._loop = asyncio.get_running_loop()
         self.senses = Senses(memory_most)
-        self.limiter = Limiter([row.worth for row in classes], self._loop.time())
+        self.limiter = Limiter([row.value for row in classes], self._loop.time())
         self.adopt(classes, memory_most)
         self._timer = self._loop.call_at(self.senses.due, self._sample)
 
     def adopt(self, classes: Sequence[RequestClass], memory_most: int) -> None:
         """Go on by another file."""
         self.senses.memory_most = memory_most
-        self.limiter.adopt([row.worth for row in classes], [row.name for row in classes])
+        self.limiter.adopt([row.value for row in classes], [row.name for row in classes])
 
     def admits(self, kind: int, who: str, size: int) -> bool:
         """Whether a request of that class and caller, with a body of so many bytes, is let in."""
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -194,7 +194,7 @@
         self._owner = owner
         self._subscribe = subscribe
         self._lane = lane  # makes what carries attempts to boxes that speak no HTTP/1.1, where there are any
-        self._repeatable = [row.repeat is not RetrySafety.UNSAFE for row in settings.classes]
+        self._repeatable = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
         self._count = 0
         self._complaints = Complaints()
         self.attempts: Counter[str] = Counter()  # since the start, by how they ended
@@ -230,7 +230,7 @@
         """Go on by other settings; the classes of requests in hand must keep their places."""
         self.balancer.adopt(self.now(), settings)
         self.settings = settings
-        self._repeatable = [row.repeat is not RetrySafety.UNSAFE for row in settings.classes]
+        self._repeatable = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
 
     def put_back(self, server: int) -> None:
         """Operators say that it may serve again."""
@@ -250,7 +250,7 @@
                 self._remove(row.server)
                 continue
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
-            self._update(backend, endpoint.address, row.started, row.state is ServerState.UP)
+            self._update(backend, endpoint.address, row.started_at, row.state is ServerState.UP)
             backend.lane = self._lane() if endpoint.grpc and self._lane is not None else None
         self._perform(self._decide(self.balancer.members, kind, [endpoint.row for endpoint in endpoints]))
 
@@ -379,7 +379,7 @@
             request.headers.get(b"x-request-id", b""),
             how,
             route=f"class-{call.facts.kind}",
-            keyed=row.repeat is RetrySafety.KEYED,
+            keyed=row.retry_safety is RetrySafety.KEYED,
             took_s=now - request.arrived,
             had_s=call.deadline - request.arrived,
             sends=len(call.exchanges),
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -341,7 +341,7 @@
         rows = self._terms.rows(name, request.arrived)
         if not rows:
             raise Rejected(400, "unknown class")
-        fitting = [(kind, row) for kind, row in rows if fits(request, row.repeat)]
+        fitting = [(kind, row) for kind, row in rows if fits(request, row.retry_safety)]
         if not fitting:
             raise Rejected(400, "the method does not fit the class")
         kind, row = fitting[0]
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -194,7 +194,7 @@
             return
         if any(endpoint.grpc for endpoint in endpoints):
             endpoints = [
-                replace(endpoint, row=replace(endpoint.row, kind=GRPC)) if endpoint.grpc else endpoint
+                replace(endpoint, row=replace(endpoint.row, host_type=GRPC)) if endpoint.grpc else endpoint
                 for endpoint in endpoints
             ]
         self._show(kind, self.maintenance.lay(kind, endpoints))
--- a/lugspur/daemon/terms.py
+++ b/lugspur/daemon/terms.py
@@ -18,8 +18,13 @@
 
 def between(former: RequestClass, new: RequestClass) -> RequestClass:
     """What both classes allow; both may be repeated in the same way."""
-    group = min(former.group, new.group, key=NARROW.index)
-    return replace(new, group=group, window=min(former.window, new.window), deadline=max(former.deadline, new.deadline))
+    group = min(former.deduplication_scope, new.deduplication_scope, key=NARROW.index)
+    return replace(
+        new,
+        deduplication_scope=group,
+        deduplication_window=min(former.deduplication_window, new.deduplication_window),
+        deadline=max(former.deadline, new.deadline),
+    )
 
 
 class Terms:
@@ -79,7 +84,7 @@
                 new = found.get(name)
                 if new is None:
                     found[name] = [former]
-                elif new[0].repeat is former.repeat:
+                elif new[0].retry_safety is former.retry_safety:
                     found[name] = [between(former, new[0])]
                 else:
                     found[name] = [new[0], former]
--- a/lugspur/discovery/learned.py
+++ b/lugspur/discovery/learned.py
@@ -30,9 +30,9 @@
         row.state.value,
         str(row.zone),
         row.cell,
-        row.size,
-        row.started,
-        str(row.kind),
+        row.weight,
+        row.started_at,
+        str(row.host_type),
         *endpoint.address,
         endpoint.grpc,
     ]
--- a/lugspur/discovery/maintenance.py
+++ b/lugspur/discovery/maintenance.py
@@ -56,8 +56,8 @@
             row = replace(row, state=ServerState.DRAINING)
         # Guards a backend that comes back: it was restarted meanwhile, and discovery may say so late.
         floor = self.floors.get(row.server, 0.0)
-        if floor > row.started:
-            row = replace(row, started=floor)
+        if floor > row.started_at:
+            row = replace(row, started_at=floor)
         return endpoint if row is endpoint.row else replace(endpoint, row=row)
 
     def known(self, server: int) -> bool:
--- a/lugspur/emulator/fleet.py
+++ b/lugspur/emulator/fleet.py
@@ -48,8 +48,10 @@
 
 def settings(proxies: int, me: int) -> Settings:
     """What an instance of the first tier is told."""
-    row = RequestClass("book", aim=AIM, deadline=DEADLINE, repeat=RetrySafety.UNSAFE)
-    return Settings(classes=(row,), balancers=proxies, me=me, limits=Limits(cancel=True, max_attempts=5))
+    row = RequestClass("book", latency_target=AIM, deadline=DEADLINE, retry_safety=RetrySafety.UNSAFE)
+    return Settings(
+        classes=(row,), instance_count=proxies, instance_index=me, limits=Limits(allows_cancel=True, max_attempts=5)
+    )
 
 
 def play(proxies: int, day: str, seed: int) -> Found:
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -163,11 +163,11 @@
 
 def settings() -> Settings:
     """What the decision module is told."""
-    reads = RequestClass("read", aim=AIM, deadline=DEADLINE, repeat=RetrySafety.SAFE, late_worth=1.0)
+    reads = RequestClass("read", latency_target=AIM, deadline=DEADLINE, retry_safety=RetrySafety.SAFE, late_value=1.0)
     return Settings(
         classes=(reads,),
         tenants=tuple(Tenant(f"t{n}") for n in range(TENANTS)),
-        limits=Limits(cancel=True, max_attempts=3),
+        limits=Limits(allows_cancel=True, max_attempts=3),
     )
 
 
--- a/lugspur/load_balancing/admission.py
+++ b/lugspur/load_balancing/admission.py
@@ -70,7 +70,7 @@
         take it. Chance goes with the root of the part of the tier that is this proxy's; never more than two a
         server, one in work and one that waits, so that all proxies together stay under that sum.
         """
-        part = len(pool.ready) / self.settings.balancers
+        part = len(pool.ready) / self.settings.instance_count
         return ROOM_ALWAYS + ROOM_CHANCE * min(part, sqrt(part))
 
     def _admits(self, now: float, kind: int, over: bool) -> bool:
@@ -90,7 +90,7 @@
         shrink = min(1.0, ROOM_SLOPE * pool.breaker.failed_part(now))
         room = (1.0 - (1.0 - ROOM_LOST) * shrink) * self.room[kind]
         if over:
-            room *= 1.0 - (1.0 - self.settings.over_share_worth) * shrink
+            room *= 1.0 - (1.0 - self.settings.over_quota_value) * shrink
         age = now - pool.born
         # Guards the start: nothing can have been served yet, and smoothed rates still count from zero.
         served = pool.rate.read(now) * (1.0 if age < room else ROOM_TRIED)
@@ -112,7 +112,7 @@
         mark their repeats an unmarked try is the first, however short: that client has little patience.
         """
         row = self.settings.classes[kind]
-        if row.late_worth > LATE_KEPT or row.streaming:
+        if row.late_value > LATE_KEPT or row.streaming:
             return deadline
         begun = now
         if self.settings.tier == 0:
@@ -122,9 +122,9 @@
                 self.lengths[kind] = seen = {k: n // 2 for k, n in seen.items() if n > 1}
             if seen[length] > seen.get(self.usual[kind], 0):
                 self.usual[kind] = length
-            may_repeat = retry or not self.settings.marks_retry
+            may_repeat = retry or not self.settings.clients_mark_retries
             if may_repeat and abs(length - self.usual[kind]) > 1 and seen[self.usual[kind]] >= 4:
                 begun = min(now, deadline - row.deadline)
-        elif self.settings.passes_deadline:
+        elif self.settings.callers_pass_deadline:
             return deadline
-        return min(deadline, begun + AIM_PART * row.aim)
+        return min(deadline, begun + AIM_PART * row.latency_target)
--- a/lugspur/load_balancing/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -67,11 +67,14 @@
         self.settings = settings
         self.rng = Random(seed)
         self.servers: dict[ServerId, Server] = {}
-        places = {(c.only_kinds, c.only_zones): Pool(c.only_kinds, c.only_zones) for c in settings.classes}
+        places = {
+            (c.allowed_host_types, c.allowed_zones): Pool(c.allowed_host_types, c.allowed_zones)
+            for c in settings.classes
+        }
         self.pools = list(places.values())
-        self.pool_of = [places[c.only_kinds, c.only_zones] for c in settings.classes]
+        self.pool_of = [places[c.allowed_host_types, c.allowed_zones] for c in settings.classes]
         tenants = () if settings.tier else settings.tenants  # only the first tier sheds by share
-        self.shares = [t.quota / settings.balancers for t in tenants]  # what of each is due here...
+        self.shares = [t.quota / settings.instance_count for t in tenants]  # what of each is due here...
         self.due = [1.0 + SHARE_SPAN * share for share in self.shares]  # ...how many requests of it now...
         self.due_at = [0.0] * len(self.due)  # ...as of then
         self.look_at = 0.0
@@ -79,16 +82,18 @@
         self.requests: dict[RequestId, Request] = {}
         rules = settings.rules
         self.budget = Budget(EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN)
-        if rules.extra_span > 0.0:
-            self.budget = Budget(rules.extra_free, rules.extra_share, rules.extra_span)
+        if rules.retry_budget_window > 0.0:
+            self.budget = Budget(
+                rules.retry_budget_minimum, rules.retry_budget_ratio, rules.retry_budget_window
+            )
         self.asking = False
         self.backoff = 1.0
-        dearest = max(c.worth for c in settings.classes) or 1.0
+        dearest = max(c.value for c in settings.classes) or 1.0
         span = (ROOM - ROOM_LEAST) / dearest
-        self.room = [c.aim * (ROOM_LEAST + span * c.worth) for c in settings.classes]
+        self.room = [c.latency_target * (ROOM_LEAST + span * c.value) for c in settings.classes]
         self.pace = 0.0  # baseline of latency for each unit of cost...
         self.paced = 0  # ...and the answers behind it
-        self.accept_worth = [1.0 / (POOL_KEEPS - POOL_WORTH * c.worth / dearest) for c in settings.classes]
+        self.accept_worth = [1.0 / (POOL_KEEPS - POOL_WORTH * c.value / dearest) for c in settings.classes]
         self.lengths: list[dict[int, int]] = [{} for _ in settings.classes]  # of tries, in steps of 2%...
         self.usual = [0] * len(settings.classes)  # ...and the commonest
         self.retired = False  # another goes on in its place
@@ -113,9 +118,11 @@
         self.settings = settings
         places = {(pool.kinds, pool.zones): pool for pool in self.pools}
         for row in after:
-            places.setdefault((row.only_kinds, row.only_zones), Pool(row.only_kinds, row.only_zones))
+            places.setdefault(
+                (row.allowed_host_types, row.allowed_zones), Pool(row.allowed_host_types, row.allowed_zones)
+            )
         self.pools = list(places.values())
-        self.pool_of = [places[row.only_kinds, row.only_zones] for row in after]
+        self.pool_of = [places[row.allowed_host_types, row.allowed_zones] for row in after]
         self.shares, self.due, self.due_at = fresh.shares, fresh.due, fresh.due_at
         self.room, self.accept_worth = fresh.room, fresh.accept_worth
         self.lengths, self.usual = fresh.lengths, fresh.usual
@@ -133,7 +140,7 @@
             tuple(
                 LearnedServer(
                     s.row.server,
-                    s.row.started,
+                    s.row.started_at,
                     s.latency,
                     s.seen,
                     s.downs,
@@ -165,7 +172,7 @@
         self.pooled, self.pace, self.paced = learned.pooled, learned.pace, learned.paced
         for known in learned.servers:
             server = self.servers.get(known.server)
-            if server is None or server.row.started != known.started:
+            if server is None or server.row.started_at != known.started:
                 continue
             server.latency, server.seen = known.latency, known.seen
             server.downs, server.down_until = known.downs, known.down_until
@@ -205,7 +212,7 @@
         if self.settings.discovery is not DiscoveryMode.ON_REQUEST:
             return []
         # All instances start together: spread the first calls over what the rules allow unasked.
-        return self._ask_in(now, 0.4 * self.settings.rules.ask_within * self.rng.random())
+        return self._ask_in(now, 0.4 * self.settings.rules.discovery_interval * self.rng.random())
 
     def _ask_in(self, now: float, delay: float) -> list[Action]:
         if self.asking:
@@ -218,7 +225,7 @@
         if kind is ListUpdateKind.FAILED:
             # Jittered and doubling: every instance lost the same service at the same time.
             delay = self.backoff * (0.5 + self.rng.random())
-            self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.ask_within))
+            self.backoff = min(2.0 * self.backoff, max(1.0, self.settings.rules.discovery_interval))
             return self._ask_in(now, delay)
         if kind is not ListUpdateKind.STALE:
             self.backoff = 1.0
@@ -233,7 +240,7 @@
             if known is None:
                 self.servers[row.server] = Server(row)
                 continue
-            if row.started > known.row.started:
+            if row.started_at > known.row.started_at:
                 known.breaker = None  # a new process: nothing learned of the old one holds
                 known.latency = 0.0
                 # The phase is drawn anew too: a credit counted from before the restart would be full at
@@ -320,7 +327,7 @@
         self, now: float, request: Request, among: list[Server], first: bool, out: list[Action]
     ) -> bool:
         """Send an attempt to the best candidate whose breaker does not refuse; False if there is none."""
-        timeout = self.settings.classes[request.kind].aim
+        timeout = self.settings.classes[request.kind].latency_target
         for server in self._offers(now, request, among, first):
             if server.breaker is None:
                 server.breaker = Breaker()
@@ -359,8 +366,8 @@
         if any(attempt.strained for attempt in request.attempts):
             self.pool_of[request.kind].breaker.failed(now)
         kind = self.settings.classes[request.kind]
-        free = kind.repeat is RetrySafety.SAFE or (
-            kind.repeat is RetrySafety.KEYED and kind.group is DeduplicationScope.ALL
+        free = kind.retry_safety is RetrySafety.SAFE or (
+            kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
         )
         out.append(Reject(request.id) if free or request.first_maybe() is None else Fail(request.id))
         self._finish(request, out)
@@ -397,7 +404,7 @@
             self.requests.pop(request.id, None)
 
     def _cancels(self, request: Request, spared: int = -1) -> list[Action]:
-        if not self.settings.limits.cancel:
+        if not self.settings.limits.allows_cancel:
             return []
         return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open and n != spared]
 
@@ -408,7 +415,7 @@
             if request.until >= request.deadline:
                 request.until = deadline
             else:  # late answers are worth little: the newcomer's aim counts from now
-                aim = self.settings.classes[request.kind].aim
+                aim = self.settings.classes[request.kind].latency_target
                 request.until = max(request.until, min(deadline, now + AIM_PART * aim))
             request.deadline = deadline
         return []
@@ -428,7 +435,7 @@
         # An error that took longer than the room speaks of a time-out behind.
         attempt.strained = how in STRAIN or latency > self.room[request.kind]
         request.open -= 1
-        self._learn(now, attempt, how, latency, self.settings.classes[request.kind].aim)
+        self._learn(now, attempt, how, latency, self.settings.classes[request.kind].latency_target)
         if how is Outcome.OK:
             gap = latency / request.cost - self.pace
             self.pace += gap / (4.0 if gap < 0.0 else 100.0) if self.paced else gap
@@ -450,7 +457,7 @@
         server = attempt.server
         server.out.pop(attempt, None)
         breaker = server.breaker
-        if breaker is None or how is Outcome.NOT_PROCESSED or attempt.sent < server.row.started:
+        if breaker is None or how is Outcome.NOT_PROCESSED or attempt.sent < server.row.started_at:
             return
         if how in NEVER_RAN:
             server.turned_away(now, self.rng)
--- a/lugspur/load_balancing/model.py
+++ b/lugspur/load_balancing/model.py
@@ -1,7 +1,8 @@
-"""Plain types that go into and come out of the decisions: settings, list rows, outcomes, actions.
+"""The interface of the decisions: settings, rows of the server list, outcomes and actions as plain types.
 
-Nothing here decides anything, and nothing here knows a wire format. Times are seconds on the
-caller's clock; identifiers are whatever hashable value the embedding proxy uses.
+Nothing here decides anything or knows a wire format. Times are seconds on the caller's clock. Errors in
+settings name the value by its key in the settings file (`aim`, `cold_from`), which differs from the field's
+name here.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 
 class RetrySafety(Enum):
-    """How far a class of request may be repeated once it may have run."""
+    """Whether a request that may have run may be sent again."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # always: it is idempotent
+    KEYED = "keyed"  # to servers that drop duplicates by its idempotency key
+    UNSAFE = "unsafe"  # never
 
 
 class DeduplicationScope(Enum):
-    """Which servers discard the repeat of a keyed request."""
+    """Which servers recognise the idempotency key of a request that one of them has run."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,175 +35,212 @@
 
 
 class DiscoveryMode(Enum):
-    """Whether the list of servers comes unasked or has to be asked for."""
+    """Whether discovery pushes changes of the server list, or sends them after a subscription."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
 
 
 class ServerState(Enum):
-    """What the list says of a server."""
+    """State of a server in the server list."""
 
     UP = "up"
-    DRAINING = "draining"
+    DRAINING = "draining"  # finishes what it has, gets no new requests
     GONE = "gone"
 
 
 class ListUpdateKind(Enum):
-    """What a list message is."""
+    """What an update of the server list holds."""
 
-    STALE = "stale"
-    COMPLETE = "whole"
-    PATCH = "patch"
-    FAILED = "broken"
+    STALE = "stale"  # a complete list of unknown age, as known at the start
+    COMPLETE = "whole"  # all servers that there are
+    PATCH = "patch"  # the rows that changed
+    FAILED = "broken"  # no rows: discovery could not be reached
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"
-    OVERLOADED = "full"
+    ERROR = "error"  # the server answered with an error
+    OVERLOADED = "full"  # the server rejected the request before running it
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"
-    INTERRUPTED = "broken"
+    UNREACHABLE = "unreachable"  # no connection
+    INTERRUPTED = "broken"  # the connection broke after the request was sent
     CANCELLED = "cancelled"
-    NOT_PROCESSED = "void"
+    NOT_PROCESSED = "void"  # never ran, for a reason that says nothing of the server
 
 
 #: Outcomes that prove that the attempt never ran.
 NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_PROCESSED})
 
 
-def _number(name: str, value: float, low: float = 0.0, high: float = math.inf) -> None:
-    ok = isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high
-    if not ok or not math.isfinite(value):
+def _check_number(name: str, value: float, low: float = 0.0, high: float = math.inf) -> None:
+    is_in_range = isinstance(value, (int, float)) and not isinstance(value, bool) and low <= value <= high
+    if not is_in_range or not math.isfinite(value):
         raise ValueError(f"{name}: {value!r} is not a number from {low} to {high}")
 
 
-def _index(name: str, value: int, count: int) -> None:
+def _check_position(name: str, value: int, count_name: str, count: int) -> None:
+    _check_number(count_name, count, 1)
+    _check_index(name, value, count)
+
+
+def _check_index(name: str, value: int, count: int) -> None:
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value < count:
         raise ValueError(f"{name}: {value!r} is not a whole number from 0 to {count - 1}")
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request; `only_kinds` and `only_zones` bind it to servers of those (None: to any)."""
+    """Policy for one class of request; times in seconds.
+
+    An answer within `latency_target` earns `value`, a later one the part `late_value` of it, and after
+    `deadline` the client has given up. Servers remember the idempotency key of a keyed request for
+    `deduplication_window`. The class is placed on servers of `allowed_host_types` and `allowed_zones`
+    alone; None places no bound.
+    """
 
     name: str = "request"
-    aim: float = 1.0
+    latency_target: float = 1.0
     deadline: float = 5.0
-    repeat: RetrySafety = RetrySafety.UNSAFE
-    group: DeduplicationScope = DeduplicationScope.CELL
-    window: float = 0.0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    retry_safety: RetrySafety = RetrySafety.UNSAFE
+    deduplication_scope: DeduplicationScope = DeduplicationScope.CELL
+    deduplication_window: float = 0.0
+    value: float = 1.0
+    late_value: float = 0.0
     streaming: bool = False
-    only_kinds: tuple[int, ...] | None = None
-    only_zones: tuple[int, ...] | None = None
+    allowed_host_types: tuple[int, ...] | None = None
+    allowed_zones: tuple[int, ...] | None = None
 
     def check(self, at: str) -> None:
-        """Raise ValueError for values that make no sense."""
-        for name in ("aim", "deadline", "window", "worth"):
-            _number(f"{at}.{name}", getattr(self, name))
-        _number(f"{at}.late_worth", self.late_worth, 0.0, 1.0)
-        if not self.aim or not self.deadline:
+        """Raise ValueError naming the first value that is out of range; `at` is the place of this class."""
+        _check_number(f"{at}.aim", self.latency_target)
+        _check_number(f"{at}.deadline", self.deadline)
+        _check_number(f"{at}.window", self.deduplication_window)
+        _check_number(f"{at}.worth", self.value)
+        _check_number(f"{at}.late_worth", self.late_value, 0.0, 1.0)
+        if not self.latency_target or not self.deadline:
             raise ValueError(f"{at}: aim and deadline must be above 0")
-        for name in ("only_kinds", "only_zones"):
-            for i, place in enumerate(getattr(self, name) or ()):
-                _index(f"{at}.{name}[{i}]", place, sys.maxsize)
+        for i, host_type in enumerate(self.allowed_host_types or ()):
+            _check_index(f"{at}.only_kinds[{i}]", host_type, sys.maxsize)
+        for i, zone in enumerate(self.allowed_zones or ()):
+            _check_index(f"{at}.only_zones[{i}]", zone, sys.maxsize)
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant; `quota` is its share in requests a second over all balancers (0: no quota)."""
+    """One tenant; `quota` is its guaranteed rate in requests a second over all instances (0: none)."""
 
     name: str = "tenant"
     share: float = 0.0
     quota: float = 0.0
 
     def check(self, at: str) -> None:
-        """Raise ValueError for values that make no sense."""
-        _number(f"{at}.share", self.share, 0.0, 1.0)
-        _number(f"{at}.quota", self.quota)
+        """Raise ValueError naming the first value that is out of range."""
+        _check_number(f"{at}.share", self.share, 0.0, 1.0)
+        _check_number(f"{at}.quota", self.quota)
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits of attempts; `max_attempts` of one request, the first included."""
 
-    cancel: bool = False
-    second_copies: bool = False
+    allows_cancel: bool = False
+    allows_hedging: bool = False
     max_attempts: int = 3
 
     def check(self, at: str) -> None:
-        """Raise ValueError for values that make no sense."""
-        _number(f"{at}.max_attempts", self.max_attempts, 1)
+        """Raise ValueError naming the first value that is out of range."""
+        _check_number(f"{at}.max_attempts", self.max_attempts, 1)
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures behind the rules; `extra_span` 0: no retry budget is stated."""
+    """Bounds that the deployment guarantees its servers; times in seconds.
+
+    A server started within `slow_start_seconds` can do the part `slow_start_fraction` of its capacity at
+    first and falls over when it gets `overload_multiple` times what it can do for `overload_seconds`.
+    Within any `retry_budget_window` there may be `retry_budget_minimum` retries, and `retry_budget_ratio`
+    more for each request; a window of 0 states no retry budget.
+    """
 
     drain_grace: float = 0.0
     answer_slack: float = 0.0
-    ask_within: float = 10.0
-    cold_from: float = 0.1
-    cold_for: float = 30.0
-    fall_multiple: float = 2.0
-    fall_after: float = 1.0
-    extra_free: float = 0.0
-    extra_share: float = 0.0
-    extra_span: float = 0.0
+    discovery_interval: float = 10.0
+    slow_start_fraction: float = 0.1
+    slow_start_seconds: float = 30.0
+    overload_multiple: float = 2.0
+    overload_seconds: float = 1.0
+    retry_budget_minimum: float = 0.0
+    retry_budget_ratio: float = 0.0
+    retry_budget_window: float = 0.0
 
     def check(self, at: str) -> None:
-        """Raise ValueError for values that make no sense."""
-        _number(f"{at}.cold_from", self.cold_from, 0.0, 1.0)
-        for item in fields(self):
-            _number(f"{at}.{item.name}", getattr(self, item.name))
+        """Raise ValueError naming the first value that is out of range."""
+        _check_number(f"{at}.cold_from", self.slow_start_fraction, 0.0, 1.0)
+        for key, value in (
+            ("drain_grace", self.drain_grace),
+            ("answer_slack", self.answer_slack),
+            ("ask_within", self.discovery_interval),
+            ("cold_for", self.slow_start_seconds),
+            ("fall_multiple", self.overload_multiple),
+            ("fall_after", self.overload_seconds),
+            ("extra_free", self.retry_budget_minimum),
+            ("extra_share", self.retry_budget_ratio),
+            ("extra_span", self.retry_budget_window),
+        ):
+            _check_number(f"{at}.{key}", value)
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Everything that an instance is told at its start; `check()` is called by the balancer."""
+    """Configuration of one balancer instance.
+
+    It is instance `instance_index` of `instance_count` that send to the same servers, in tier `tier` of
+    `tier_count` (0: the tier that clients call). A request over its tenant's quota counts the part
+    `over_quota_value` of its class's value. `callers_pass_deadline`: deadlines of requests from the tier
+    above are their callers' own. `clients_mark_retries`: a request that is not marked as a retry is the
+    client's first attempt.
+    """
 
     classes: tuple[RequestClass, ...] = (RequestClass(),)
     tenants: tuple[Tenant, ...] = ()
-    balancers: int = 1
-    me: int = 0
+    instance_count: int = 1
+    instance_index: int = 0
     tier: int = 0
-    tiers: int = 1
+    tier_count: int = 1
     zone: int = 0
-    zones: int = 1
+    zone_count: int = 1
     discovery: DiscoveryMode = DiscoveryMode.PUSHED
-    over_share_worth: float = 1.0
-    passes_deadline: bool = True
-    marks_retry: bool = False
+    over_quota_value: float = 1.0
+    callers_pass_deadline: bool = True
+    clients_mark_retries: bool = False
     limits: Limits = field(default_factory=Limits)
     rules: Rules = field(default_factory=Rules)
 
     def check(self) -> None:
-        """Raise ValueError naming the first field that makes no sense."""
+        """Raise ValueError naming the first value that is out of range."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         for i, row in enumerate(self.classes):
             row.check(f"classes[{i}]")
         for i, tenant in enumerate(self.tenants):
             tenant.check(f"tenants[{i}]")
-        for name, count in (("me", "balancers"), ("tier", "tiers"), ("zone", "zones")):
-            _number(count, getattr(self, count), 1)
-            _index(name, getattr(self, name), getattr(self, count))
-        _number("over_share_worth", self.over_share_worth, 0.0, 1.0)
+        _check_position("me", self.instance_index, "balancers", self.instance_count)
+        _check_position("tier", self.tier, "tiers", self.tier_count)
+        _check_position("zone", self.zone, "zones", self.zone_count)
+        _check_number("over_share_worth", self.over_quota_value, 0.0, 1.0)
         self.limits.check("limits")
         self.rules.check("rules")
 
     def check_request(self, kind: int, tenant: int, deadline: float | None, cost: float) -> None:
-        """Raise ValueError naming the argument of a request that makes no sense."""
-        _index("kind", kind, len(self.classes))
-        _index("tenant", tenant, max(1, len(self.tenants)))
+        """Raise ValueError naming the first argument of a request that is out of range."""
+        _check_index("kind", kind, len(self.classes))
+        _check_index("tenant", tenant, max(1, len(self.tenants)))
         if deadline is not None:
-            _number("deadline", deadline, -math.inf)
-        _number("cost", cost)
+            _check_number("deadline", deadline, -math.inf)
+        _check_number("cost", cost)
 
 
 def pick_known(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
@@ -213,20 +251,26 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerRow:
-    """One line of the list of servers. `started` is 0 for a distant past."""
+    """One server of the server list.
+
+    `weight` is its capacity in proportion to the others'; `started_at` is 0 where it started long ago.
+    """
 
     server: ServerId
     state: ServerState = ServerState.UP
     zone: int = 0
     cell: int = 0
-    size: float = 1.0
-    started: float = 0.0
-    kind: int = 0
+    weight: float = 1.0
+    started_at: float = 0.0
+    host_type: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedBreaker:
-    """What a breaker counted, by its buckets, and its averages in seconds."""
+    """State of a circuit breaker: window buckets, and its latency averages in seconds.
+
+    The names of the fields of all `Learned...` types are keys of the file in which the daemon keeps them.
+    """
 
     baseline: float
     current: float
@@ -235,7 +279,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedServer:
-    """What an instance knows of one server; it counts for the same process alone, by its start."""
+    """Learned state of one server; it holds only for the process that started at `started`."""
 
     server: ServerId
     started: float
@@ -250,7 +294,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedPool:
-    """What an instance knows of a pool: rates as value and time, by offered, sent and served."""
+    """Learned state of a pool; rates as value and time: requests offered, attempts, requests served."""
 
     rates: tuple[tuple[float, float], tuple[float, float], tuple[float, float]]
     born: float | None
@@ -259,10 +303,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Learned:
-    """All that an instance learned, for another that goes on in its place; times are of the lists' clock."""
+    """Learned state of an instance, for the one that replaces it; times are on the server list's clock."""
 
     servers: tuple[LearnedServer, ...]
-    pools: tuple[LearnedPool, ...]  # in the order in which the settings name them
+    pools: tuple[LearnedPool, ...]  # in the order of the settings' classes
     pooled: float
     pace: float
     paced: int
@@ -270,7 +314,7 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; `timeout` 0 means until the client gives up."""
+    """Send an attempt to a server; `timeout` 0 means until the client gives up."""
 
     request: RequestId
     server: ServerId
@@ -279,7 +323,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: refused, trying again is harmless."""
+    """Final answer: rejected, and trying again is harmless."""
 
     request: RequestId
     retry_after: float = 0.0
@@ -287,14 +331,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise."""
+    """Final answer: failed, and the request may have run."""
 
     request: RequestId
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Stop waiting for one attempt; `attempt` is its number, from 0."""
 
     request: RequestId
     attempt: int
@@ -302,7 +346,7 @@
 
 @dataclass(slots=True)
 class StartTimer:
-    """Call `timer(now, token)` at `at` or soon after."""
+    """Call the balancer's timer method with `token` at the time `at` or soon after."""
 
     at: float
     token: int
@@ -310,7 +354,7 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for changes from here on."""
+    """Ask discovery for changes of the server list from now on."""
 
 
 Action = Send | Reject | Fail | Cancel | StartTimer | Subscribe
--- a/lugspur/load_balancing/pick.py
+++ b/lugspur/load_balancing/pick.py
@@ -36,19 +36,19 @@
         """
         self.look_at = now + WORKING_EVERY
         for pool in self.pools:
-            total = sum(s.row.size or 1.0 for s in pool.ready)
+            total = sum(s.row.weight or 1.0 for s in pool.ready)
             mean = total / max(1, len(pool.ready))
             want = mean * (1.0 + WORKING_SPREAD * sqrt(pool.rate.read(now) * self.pooled))
-            step = total / self.settings.balancers  # only whole steps cover every server alike
+            step = total / self.settings.instance_count  # only whole steps cover every server alike
             pool.width = min(total, step * max(1, round(want / step))) if total else 0.0
-            pool.begin = step * self.settings.me
+            pool.begin = step * self.settings.instance_index
             pool.working = []
             pool.ends = []
             at = 0.0
             for _ in range(2):  # the slice may reach past the ring's end
                 for server in pool.ready:
-                    at += server.row.size or 1.0
-                    if pool.begin < at and at - (server.row.size or 1.0) < pool.begin + pool.width:
+                    at += server.row.weight or 1.0
+                    if pool.begin < at and at - (server.row.weight or 1.0) < pool.begin + pool.width:
                         pool.working.append(server)
                         pool.ends.append(at)
             self._count_warm(now, pool)
@@ -60,8 +60,8 @@
         pool.warm_part = 1.0 - len(cold) / len(until) if until else 1.0
 
     def _cold_until(self, server: Server) -> float:
-        started = server.row.started
-        return started + self.settings.rules.cold_for if started > 0.0 else 0.0
+        started = server.row.started_at
+        return started + self.settings.rules.slow_start_seconds if started > 0.0 else 0.0
 
     def _spares_cold(self, now: float, server: Server, pool: Pool) -> bool:
         """Whether a cold server is passed over for this call.
@@ -72,8 +72,10 @@
         if self.retired:
             return True
         rules = self.settings.rules
-        age = max(0.0, now - server.row.started)
-        part = rules.cold_from + (1.0 - rules.cold_from) * min(1.0, age / max(rules.cold_for, 1e-6))
+        age = max(0.0, now - server.row.started_at)
+        part = rules.slow_start_fraction + (1.0 - rules.slow_start_fraction) * min(
+            1.0, age / max(rules.slow_start_seconds, 1e-6)
+        )
         draws = min(float(DRAWS), 2.0 / max(pool.warm_part, 0.01))
         if self.rng.random() >= part / draws:
             return True
@@ -81,7 +83,7 @@
         if server.cold_seen <= 0.0:
             server.cold_credit = self.rng.random()  # instances must not all begin at the same moment
             server.cold_seen = now
-        most = max(1.0, pace * rules.fall_after)
+        most = max(1.0, pace * rules.overload_seconds)
         server.cold_credit = min(most, server.cold_credit + pace * (now - server.cold_seen))
         server.cold_seen = now
         return server.cold_credit < 1.0
@@ -94,7 +96,9 @@
         or outliers, two of all servers are drawn too, taken to hold of others' what ours hold of ours on
         average. Could harm where others have far more traffic: their servers are busier than they seem.
         """
-        pooled = self.pooled or self.settings.classes[request.kind].aim  # before any answer all are alike
+        pooled = (
+            self.pooled or self.settings.classes[request.kind].latency_target
+        )  # before any answer all are alike
         scores = {s: s.score(now, pooled) for s in self._candidates(now, request, among, first)}
         if first and all(s.out or s.down_until > now or s.mostly_fails(now) for s in scores):
             pool = self.pool_of[request.kind]
@@ -102,7 +106,7 @@
             for server in self._candidates(now, request, pool.ready, False):
                 if server not in pool.working:
                     scores[server] = server.score(now, pooled, unseen)
-        if self.settings.classes[request.kind].repeat is RetrySafety.UNSAFE:
+        if self.settings.classes[request.kind].retry_safety is RetrySafety.UNSAFE:
             # Guards what can't be tried again against an outlier: its breaker lets calls through until it has
             # seen enough, and once a second then. What can be goes on finding out whether it has recovered.
             # Could harm where requests themselves are at fault: their server is shunned for a window.
@@ -156,13 +160,20 @@
         kind = self.settings.classes[request.kind]
         pool = self.pool_of[request.kind]
         first = request.first_maybe()
-        if first is None or kind.repeat is RetrySafety.SAFE:
+        if first is None or kind.retry_safety is RetrySafety.SAFE:
             return pool.ready
-        if kind.repeat is RetrySafety.UNSAFE or now - first.sent >= WINDOW_MARGIN * kind.window:
+        if (
+            kind.retry_safety is RetrySafety.UNSAFE
+            or now - first.sent >= WINDOW_MARGIN * kind.deduplication_window
+        ):
             return []
-        if kind.group is DeduplicationScope.ALL:
+        if kind.deduplication_scope is DeduplicationScope.ALL:
             return pool.ready
         row = first.server.row
         return pool.groups.get(
-            (kind.group, row.zone if kind.group is DeduplicationScope.ZONE else row.cell), []
+            (
+                kind.deduplication_scope,
+                row.zone if kind.deduplication_scope is DeduplicationScope.ZONE else row.cell,
+            ),
+            [],
         )
--- a/lugspur/load_balancing/servers.py
+++ b/lugspur/load_balancing/servers.py
@@ -175,7 +175,7 @@
 
     def opens(self, row: ServerRow) -> bool:
         """Whether the classes of this pool may go to this server."""
-        return (self.kinds is None or row.kind in self.kinds) and (
+        return (self.kinds is None or row.host_type in self.kinds) and (
             self.zones is None or row.zone in self.zones
         )
 
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -441,7 +441,7 @@
             self.note("gone", balancer.gone(self.now, rid))
         elif chance < 0.7:
             row = self.rows[self.script.randrange(6)]
-            self.note("members", balancer.members(self.now, ListUpdateKind.PATCH, [replace(row, started=self.now)]))
+            self.note("members", balancer.members(self.now, ListUpdateKind.PATCH, [replace(row, started_at=self.now)]))
             balancer.put_back(self.now, row.server)
         elif chance < 0.75:
             balancer.retire(self.script.random() < 0.5)
@@ -464,7 +464,7 @@
 
     def replace_settings(self) -> None:
         classes = self.settings.classes
-        self.settings = replace(self.settings, classes=(replace(classes[0], only_zones=(0,)), *classes[1:]))
+        self.settings = replace(self.settings, classes=(replace(classes[0], allowed_zones=(0,)), *classes[1:]))
         self.balancer.adopt(self.now, self.settings)
 
     def replace_instance(self) -> None:
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -136,7 +136,7 @@
             folder.cluster.write("/boxes/one", box(status="terminating", weight=2.0))
             await folder.knows(one=ServerState.DRAINING, two=ServerState.UP)
             servers = folder.up.daemon.stations["a"].pool.balancer.servers
-            assert servers[server_id("one")].row.size == 2.0
+            assert servers[server_id("one")].row.weight == 2.0
 
     asyncio.run(play())
 
@@ -162,18 +162,18 @@
             key = server_id("one")
             folder.cluster.box("/boxes/one", box(since_ms=now))
             await folder.knows(one=ServerState.UP)
-            began = servers[key].row.started
+            began = servers[key].row.started_at
             learned = servers[key]
             folder.cluster.expire("/boxes/one")
             await folder.knows()
             folder.cluster.box("/boxes/one", box(since_ms=now))
             await folder.knows(one=ServerState.UP)
-            assert servers[key] is learned and servers[key].row.started == began
+            assert servers[key] is learned and servers[key].row.started_at == began
             folder.cluster.expire("/boxes/one")
             await folder.knows()
             folder.cluster.box("/boxes/one", box(since_ms=now + 5000))
             await folder.knows(one=ServerState.UP)
-            assert servers[key].row.started == pytest.approx(began + 5.0)
+            assert servers[key].row.started_at == pytest.approx(began + 5.0)
 
     asyncio.run(play())
 
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -93,7 +93,7 @@
                 assert up.daemon.stations["a"] is station and server.latency == learned > 0.0
                 assert status(await client.ask(ask())) == 200
                 assert len(one.open) == 1
-                assert station.pool.settings.classes[1].aim == 29.0
+                assert station.pool.settings.classes[1].latency_target == 29.0
 
     asyncio.run(play())
 
--- a/tests/daemon/test_terms.py
+++ b/tests/daemon/test_terms.py
@@ -43,18 +43,18 @@
 
 
 def test_where_the_effect_changes_the_method_tells_which_class_was_meant() -> None:
-    other = replace(SAFE, repeat=RetrySafety.UNSAFE)
+    other = replace(SAFE, retry_safety=RetrySafety.UNSAFE)
     terms, _ = retuned(settings(SAFE), settings(other))
     assert judged(terms, "read", 11.0) == [other, SAFE]
     assert judged(terms, "read", 12.0) == [other]
 
 
 def test_while_callers_change_over_only_what_both_classes_allow_is_done() -> None:
-    narrow = replace(KEYED, group=DeduplicationScope.CELL, window=20.0)
+    narrow = replace(KEYED, deduplication_scope=DeduplicationScope.CELL, deduplication_window=20.0)
     for former, new in ((KEYED, narrow), (narrow, KEYED)):
         terms, given_ = retuned(settings(former, most=5), settings(new, most=2))
         [row] = judged(terms, "once", 11.0)
-        assert (row.group, row.window) == (DeduplicationScope.CELL, 9.0)
+        assert (row.deduplication_scope, row.deduplication_window) == (DeduplicationScope.CELL, 9.0)
         assert given_.limits.max_attempts == 2
         assert judged(terms, "once", 12.0) == [new]
 
--- a/tests/handover/test_messages.py
+++ b/tests/handover/test_messages.py
@@ -32,7 +32,7 @@
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
     balancer.members(
-        10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
+        10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
     )
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
@@ -139,8 +139,8 @@
 
 
 def test_what_was_learned_goes_on_in_another_instance_and_not_for_a_restarted_server() -> None:
-    rows = [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
-    rows[2] = replace(rows[2], started=99.0)
+    rows = [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
+    rows[2] = replace(rows[2], started_at=99.0)
     balancer = Balancer(Settings(), 2)
     balancer.members(60.0, ListUpdateKind.STALE, rows)
     balancer.recall(60.0, LEARNED)
@@ -154,9 +154,9 @@
 
 
 def test_one_that_has_retired_sends_nothing_to_cold_servers() -> None:
-    cold = ServerRow(1, started=100.0)
+    cold = ServerRow(1, started_at=100.0)
     warm = ServerRow(2)
-    settings = replace(Settings(), rules=replace(Settings().rules, cold_for=1000.0, cold_from=1.0))
+    settings = replace(Settings(), rules=replace(Settings().rules, slow_start_seconds=1000.0, slow_start_fraction=1.0))
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -140,7 +140,7 @@
             elif isinstance(action, Send):
                 self.sent(action)
             elif isinstance(action, Cancel):
-                assert self.settings.limits.cancel, "cancel is not permitted"
+                assert self.settings.limits.allows_cancel, "cancel is not permitted"
                 attempt = self.owed[action.request].tries[action.attempt]
                 assert attempt.how is None, "cancelled an attempt that had ended"
                 attempt.until = self.now  # ends at once, as cancelled or as something on its way
@@ -155,25 +155,25 @@
         assert not owed.begun, "sent after its stream began"
         row = self.rows[action.server]
         assert row.state is ServerState.UP, "sent to a server that drains or is gone"
-        for bound, place in ((kind.only_kinds, row.kind), (kind.only_zones, row.zone)):
+        for bound, place in ((kind.allowed_host_types, row.host_type), (kind.allowed_zones, row.zone)):
             assert bound is None or place in bound, "sent to a server that is not open to its class"
         assert len(owed.tries) < limits.max_attempts
         if any(t.how is None for t in owed.tries):
-            assert limits.second_copies, "a second copy is not permitted"
+            assert limits.allows_hedging, "a second copy is not permitted"
         maybe = [t for t in owed.tries if t.maybe_ran]
-        if maybe and kind.repeat is not RetrySafety.SAFE:
-            assert kind.repeat is RetrySafety.KEYED, "an unsafe request was sent twice"
-            assert self.now - min(t.sent for t in maybe) <= kind.window, "repeated after its window"
+        if maybe and kind.retry_safety is not RetrySafety.SAFE:
+            assert kind.retry_safety is RetrySafety.KEYED, "an unsafe request was sent twice"
+            assert self.now - min(t.sent for t in maybe) <= kind.deduplication_window, "repeated after its window"
             for t in maybe:
-                if kind.group is DeduplicationScope.ZONE:
+                if kind.deduplication_scope is DeduplicationScope.ZONE:
                     assert t.row.zone == row.zone, "repeated in another zone"
-                if kind.group is DeduplicationScope.CELL:
+                if kind.deduplication_scope is DeduplicationScope.CELL:
                     assert t.row.cell == row.cell, "repeated in another cell"
         rules = self.settings.rules
-        if owed.tries and rules.extra_span:
+        if owed.tries and rules.retry_budget_window:
             self.further.append(self.now)
-            since = self.now - rules.extra_span
-            most = rules.extra_free + rules.extra_share * sum(t > since for t in self.taken)
+            since = self.now - rules.retry_budget_window
+            most = rules.retry_budget_minimum + rules.retry_budget_ratio * sum(t > since for t in self.taken)
             assert sum(t >= since for t in self.further) <= most, "beyond the attempt budget"
         until = owed.deadline
         if action.timeout > 0.0:
@@ -186,8 +186,10 @@
         kind = self.settings.classes[owed.kind]
         assert not owed.ended, "a second final answer"
         if isinstance(action, Reject):
-            harmless = kind.repeat is RetrySafety.SAFE or not any(t.maybe_ran for t in owed.tries)
-            harmless = harmless or (kind.repeat is RetrySafety.KEYED and kind.group is DeduplicationScope.ALL)
+            harmless = kind.retry_safety is RetrySafety.SAFE or not any(t.maybe_ran for t in owed.tries)
+            harmless = harmless or (
+                kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
+            )
             assert harmless, "refused although it may have run"
         owed.ended = True
         owed.finals += 1
--- a/tests/membership/test_maintenance.py
+++ b/tests/membership/test_maintenance.py
@@ -15,7 +15,7 @@
 
 
 def row(server: int, state: ServerState = ServerState.UP, started: float = 0.0) -> Endpoint:
-    return Endpoint(ServerRow(server, state, started=started), ADDRESS)
+    return Endpoint(ServerRow(server, state, started_at=started), ADDRESS)
 
 
 def states(endpoints: list[Endpoint]) -> dict[int, ServerState]:
@@ -41,9 +41,9 @@
     over = Maintenance()
     over.lay(ListUpdateKind.COMPLETE, [row(1, started=3.0)])
     over.disable(1)
-    assert over.enable(1, 50.0)[0].row.started == 50.0
-    assert over.lay(ListUpdateKind.COMPLETE, [row(1, started=3.0)])[0].row.started == 50.0
-    assert over.lay(ListUpdateKind.PATCH, [row(1, started=60.0)])[0].row.started == 60.0
+    assert over.enable(1, 50.0)[0].row.started_at == 50.0
+    assert over.lay(ListUpdateKind.COMPLETE, [row(1, started=3.0)])[0].row.started_at == 50.0
+    assert over.lay(ListUpdateKind.PATCH, [row(1, started=60.0)])[0].row.started_at == 60.0
     assert over.enable(1, 99.0) == []  # no ban, no restart
 
 
--- a/tests/membership/test_nodes.py
+++ b/tests/membership/test_nodes.py
@@ -173,9 +173,9 @@
     nodes = Nodes("auto")
     nodes.whole({"box-1": node(OWN | {"name": "box", "since_ms": 1})})
     rows, _ = nodes.present("box-2", node(OWN | {"name": "box", "since_ms": 9000}, made=2))
-    assert [row.row.started for row in rows] == [9.0] and len(nodes) == 1
+    assert [row.row.started_at for row in rows] == [9.0] and len(nodes) == 1
     rows = nodes.absent("box-1")  # its old session expires at last
-    assert [(row.row.state, row.row.started) for row in rows] == [(ServerState.UP, 9.0)]
+    assert [(row.row.state, row.row.started_at) for row in rows] == [(ServerState.UP, 9.0)]
     assert ids(nodes.absent("box-2")) == {server_id("box"): ServerState.GONE} and len(nodes) == 0
 
 
@@ -190,7 +190,7 @@
     nodes = Nodes("auto")
     nodes.whole({"a": node(OWN)})
     rows, _ = nodes.present("a", node(OWN | {"status": "terminating", "weight": 3.0}))
-    assert [(row.row.state, row.row.size) for row in rows] == [(ServerState.DRAINING, 3.0)]
+    assert [(row.row.state, row.row.weight) for row in rows] == [(ServerState.DRAINING, 3.0)]
     assert nodes.present("a", node(OWN | {"status": "terminating", "weight": 3.0})) == ([], [])
 
 
@@ -199,6 +199,6 @@
     rows, _ = nodes.present("a", node(OWN | {"since_ms": 1000}, made=1))
     nodes.absent("a")
     again, _ = nodes.present("a", node(OWN | {"since_ms": 1000}, made=2))
-    assert rows[0].row.started == again[0].row.started == 1.0
+    assert rows[0].row.started_at == again[0].row.started_at == 1.0
     rows, _ = nodes.present("b", node(OWN))
-    assert rows[0].row.started == 5.0
+    assert rows[0].row.started_at == 5.0
--- a/tests/state/kept.py
+++ b/tests/state/kept.py
@@ -19,14 +19,15 @@
     Settings,
 )
 
-READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=RetrySafety.SAFE)
+READ = RequestClass("read", latency_target=0.4, deadline=1.0, retry_safety=RetrySafety.SAFE)
 SETTINGS = Settings(classes=(READ,))
 
 
 def endpoints(count: int = 3, started: float = 0.0) -> list[Endpoint]:
     return [
         Endpoint(
-            ServerRow(server_id(f"s-{n}"), started=started, zone=server_id("kingston-main-a")), ("127.0.0.1", 9000 + n)
+            ServerRow(server_id(f"s-{n}"), started_at=started, zone=server_id("kingston-main-a")),
+            ("127.0.0.1", 9000 + n),
         )
         for n in range(count)
     ]
--- a/tests/state/test_aging.py
+++ b/tests/state/test_aging.py
@@ -138,7 +138,7 @@
 
 
 def test_a_box_that_restarted_since_is_cold_whatever_the_file_says() -> None:
-    rules = Rules(cold_from=0.3, cold_for=10.0)
+    rules = Rules(slow_start_fraction=0.3, slow_start_seconds=10.0)
     rows = endpoints(6, started=500.0)
     learned = aged(kept(rows, rounds=200), 5.0, AT + 5.0)
     assert learned is not None
@@ -150,7 +150,7 @@
             balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
             if known is not None:
                 balancer.recall(now, known)
-            young = replace(rows[0].row, started=now - 0.5)  # the first list that is told
+            young = replace(rows[0].row, started_at=now - 0.5)  # the first list that is told
             balancer.members(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
@@ -168,7 +168,7 @@
     learned = aged(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started=900.0)])
+    balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
     balancer.recall(AT + 1.0, learned)
     assert [server.latency for server in balancer.servers.values()] == [0.0]
     assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -221,10 +221,10 @@
             "ClientHabits": {"MarksRetry": True},
         }
     )
-    assert settings.classes[1].repeat is RetrySafety.UNSAFE and settings.classes[1].worth == 5.0
+    assert settings.classes[1].retry_safety is RetrySafety.UNSAFE and settings.classes[1].value == 5.0
     assert settings.discovery is DiscoveryMode.ON_REQUEST
-    assert settings.marks_retry
-    assert not settings.passes_deadline and settings.limits.max_attempts == 3
+    assert settings.clients_mark_retries
+    assert not settings.callers_pass_deadline and settings.limits.max_attempts == 3
     assert adapter.read_settings({}).classes, "absent keys take defaults"
 
 
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -23,8 +23,8 @@
     Tenant,
 )
 
-READ = RequestClass("read", repeat=RetrySafety.SAFE, late_worth=1.0)
-BOOK = RequestClass("book", late_worth=1.0)
+READ = RequestClass("read", retry_safety=RetrySafety.SAFE, late_value=1.0)
+BOOK = RequestClass("book", late_value=1.0)
 
 
 def balancer(*classes: RequestClass) -> Balancer:
@@ -38,7 +38,7 @@
     [send] = one.request(1.0, "a")
     assert isinstance(send, Send)
     one.outcome(1.2, "a", 0, Outcome.OK, 0.2, True)
-    one.adopt(2.0, Settings(classes=(replace(READ, aim=0.5), BOOK), tenants=(Tenant("t", quota=3.0),)))
+    one.adopt(2.0, Settings(classes=(replace(READ, latency_target=0.5), BOOK), tenants=(Tenant("t", quota=3.0),)))
     assert one.servers[send.server].latency == 0.2 and one.paced == 1
     [again] = one.request(2.0, "b", kind=1, tenant=0)
     assert isinstance(again, Send)
@@ -62,15 +62,17 @@
         one.request(1.0, rid)
         one.outcome(1.0, rid, 0, Outcome.INTERRUPTED, 0.0)
     spent = len(one.budget._extra)
-    one.adopt(1.0, replace(one.settings, classes=(replace(READ, aim=0.9),)) if not one.requests else one.settings)
+    one.adopt(
+        1.0, replace(one.settings, classes=(replace(READ, latency_target=0.9),)) if not one.requests else one.settings
+    )
     assert len(one.budget._extra) == spent > 0
 
 
 def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
     one = balancer(READ)
-    one.members(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, kind=7)])
+    one.members(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, host_type=7)])
     one.request(1.0, "free")
-    bound = replace(READ, only_kinds=(7,))
+    bound = replace(READ, allowed_host_types=(7,))
     before = one.pool_of[0]
     one.adopt(1.0, Settings(classes=(READ, bound)))
     assert one.pool_of[0] is before and before.owed == 1
@@ -100,7 +102,7 @@
 
 
 CLASSES = st.lists(
-    st.integers(0, 6).map(lambda n: RequestClass(f"c{n % 3}", worth=n)), min_size=1, max_size=4, unique=True
+    st.integers(0, 6).map(lambda n: RequestClass(f"c{n % 3}", value=n)), min_size=1, max_size=4, unique=True
 )
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -25,25 +25,40 @@
 )
 
 BAD_NUMBERS: list[Any] = [math.nan, math.inf, -math.inf, -1.0, "1", None]
-PARTS: dict[str, Any] = {"rules": Rules}
+RULE_KEYS = {  # by the fields: an error names the key that operators write
+    "drain_grace": "drain_grace",
+    "answer_slack": "answer_slack",
+    "discovery_interval": "ask_within",
+    "slow_start_fraction": "cold_from",
+    "slow_start_seconds": "cold_for",
+    "overload_multiple": "fall_multiple",
+    "overload_seconds": "fall_after",
+    "retry_budget_minimum": "extra_free",
+    "retry_budget_ratio": "extra_share",
+    "retry_budget_window": "extra_span",
+}
+CLASS_KEYS = {
+    "latency_target": "aim",
+    "deadline": "deadline",
+    "deduplication_window": "window",
+    "value": "worth",
+    "late_value": "late_worth",
+}
 
 
 @pytest.mark.parametrize("bad", BAD_NUMBERS)
-@pytest.mark.parametrize(
-    ("at", "part", "name"),
-    [(at, part, item.name) for at, part in PARTS.items() for item in fields(part)],
-)
-def test_numbers_in_settings(at: str, part: Any, name: str, bad: Any) -> None:
-    values: dict[str, Any] = {at: part(**{name: bad})}
-    with pytest.raises(ValueError, match=rf"{at}\.{name}"):
-        Balancer(Settings(**values), 1)
+@pytest.mark.parametrize("name", [item.name for item in fields(Rules)])
+def test_numbers_in_rules(name: str, bad: Any) -> None:
+    values: dict[str, Any] = {name: bad}
+    with pytest.raises(ValueError, match=rf"rules\.{RULE_KEYS[name]}"):
+        Balancer(Settings(rules=Rules(**values)), 1)
 
 
 @pytest.mark.parametrize("bad", BAD_NUMBERS)
-@pytest.mark.parametrize("name", ["aim", "deadline", "window", "worth", "late_worth"])
+@pytest.mark.parametrize("name", CLASS_KEYS)
 def test_numbers_in_classes(name: str, bad: Any) -> None:
     values: dict[str, Any] = {name: bad}
-    with pytest.raises(ValueError, match=rf"classes\[1\]\.{name}"):
+    with pytest.raises(ValueError, match=rf"classes\[1\]\.{CLASS_KEYS[name]}:"):
         Balancer(Settings(classes=(RequestClass(), RequestClass(**values))), 1)
 
 
@@ -61,11 +76,11 @@
         Balancer(Settings(tenants=(Tenant("t", bad),)), 1)
 
 
-@pytest.mark.parametrize("name", ["me", "tier", "zone"])
+@pytest.mark.parametrize(("name", "key"), [("instance_index", "me"), ("tier", "tier"), ("zone", "zone")])
 @pytest.mark.parametrize("bad", [-1, 1, 0.5, True, "0"])
-def test_an_index_out_of_range(name: str, bad: Any) -> None:
+def test_an_index_out_of_range(name: str, key: str, bad: Any) -> None:
     values: dict[str, Any] = {name: bad}
-    with pytest.raises(ValueError, match=name):
+    with pytest.raises(ValueError, match=f"^{key}: "):
         Balancer(Settings(**values), 1)
 
 
@@ -134,7 +149,7 @@
 
 def test_all_cold_answers_every_request() -> None:
     b = Balancer(Settings(), 1)
-    b.members(100.0, ListUpdateKind.STALE, [ServerRow(i, started=100.0) for i in range(4)])
+    b.members(100.0, ListUpdateKind.STALE, [ServerRow(i, started_at=100.0) for i in range(4)])
     for n in range(50):
         [action] = b.request(100.0 + n / 100, f"r{n}")
         assert isinstance(action, Send | Reject | Fail)
--- a/tests/test_extend.py
+++ b/tests/test_extend.py
@@ -14,8 +14,8 @@
     Settings,
 )
 
-PATIENT = RequestClass("read", aim=0.4, deadline=5.0, repeat=RetrySafety.SAFE, late_worth=1.0)
-EAGER = RequestClass("read", aim=0.4, deadline=5.0, repeat=RetrySafety.SAFE, late_worth=0.0)
+PATIENT = RequestClass("read", latency_target=0.4, deadline=5.0, retry_safety=RetrySafety.SAFE, late_value=1.0)
+EAGER = RequestClass("read", latency_target=0.4, deadline=5.0, retry_safety=RetrySafety.SAFE, late_value=0.0)
 
 
 def balancer(row: RequestClass) -> Balancer:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,17 +8,17 @@
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety
 
 UNSAFE = Settings(
-    classes=(RequestClass(aim=0.4, deadline=1.0, repeat=RetrySafety.UNSAFE),),
+    classes=(RequestClass(latency_target=0.4, deadline=1.0, retry_safety=RetrySafety.UNSAFE),),
     tier=1,
-    tiers=2,
-    limits=Limits(cancel=True, max_attempts=5),
+    tier_count=2,
+    limits=Limits(allows_cancel=True, max_attempts=5),
 )
 
 
 def fleet(count: int, servers: int, seed: int) -> list[Balancer]:
     made = []
     for me in range(count):
-        balancer = Balancer(replace(UNSAFE, balancers=count, me=me), seed * 1000 + me)
+        balancer = Balancer(replace(UNSAFE, instance_count=count, instance_index=me), seed * 1000 + me)
         balancer.members(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
         made.append(balancer)
     return made
@@ -93,7 +93,7 @@
         ask(balancer, 101.0 + n * 0.05, f"d{n}", frozenset({0}), ends)
     now = 112.0
     serve(balancer, now, ends)
-    balancer.members(now, ListUpdateKind.PATCH, [ServerRow(0, started=now - 50.0)])  # another process, warm already
+    balancer.members(now, ListUpdateKind.PATCH, [ServerRow(0, started_at=now - 50.0)])  # another process, warm already
     for n in range(20):
         actions = balancer.request(now, f"u{n}", deadline=now + 1.0)
         assert isinstance(actions[0], Send)
@@ -102,14 +102,14 @@
     assert seen == {0, 1}
 
 
-FRONT = replace(UNSAFE, tier=0, tiers=1)
+FRONT = replace(UNSAFE, tier=0, tier_count=1)
 
 
 def burst(balancers: int, servers: int, size: int) -> tuple[int, int]:
     """Instances with a call a second each get `size` at once: how many one takes, and all together."""
     taken = []
     for me in range(balancers):
-        balancer = Balancer(replace(FRONT, balancers=balancers, me=me), me)
+        balancer = Balancer(replace(FRONT, instance_count=balancers, instance_index=me), me)
         balancer.members(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
         for n in range(8):
             balancer.request(1.0 + n, f"w{n}", deadline=2.0 + n)
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -24,8 +24,8 @@
     Tenant,
 )
 
-SAFE = RequestClass("a", aim=1.0, deadline=4.0, repeat=RetrySafety.SAFE, worth=1.0)
-DEAR = RequestClass("b", aim=1.0, deadline=4.0, repeat=RetrySafety.UNSAFE, worth=10.0)
+SAFE = RequestClass("a", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.SAFE, value=1.0)
+DEAR = RequestClass("b", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.UNSAFE, value=10.0)
 ROWS = [ServerRow(i) for i in range(1, 9)]
 
 
@@ -44,9 +44,9 @@
     assert isinstance(answer, Reject)
 
 
-@pytest.mark.parametrize(("late_worth", "timeout"), [(0.0, 0.98), (0.3, 0.98), (0.5, 0.98), (0.8, 0.0)])
-def test_attempts_run_to_the_deadline_where_late_answers_keep_most_worth(late_worth: float, timeout: float) -> None:
-    late = RequestClass("a", aim=1.0, deadline=4.0, repeat=RetrySafety.SAFE, late_worth=late_worth)
+@pytest.mark.parametrize(("late_value", "timeout"), [(0.0, 0.98), (0.3, 0.98), (0.5, 0.98), (0.8, 0.0)])
+def test_attempts_run_to_the_deadline_where_late_answers_keep_most_worth(late_value: float, timeout: float) -> None:
+    late = RequestClass("a", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.SAFE, late_value=late_value)
     [send] = balancer(Settings(classes=(late,))).request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(timeout)
 
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, Send), (True, True, Reject)])
 def test_a_short_try_is_a_repeat_only_where_no_mark_says_otherwise(marks: bool, repeats: bool, answer: type) -> None:
-    b = balancer(Settings(classes=(SAFE,), marks_retry=marks))
+    b = balancer(Settings(classes=(SAFE,), clients_mark_retries=marks))
     tries(b, [3.0] * 5)
     assert isinstance(b.request(300.0, "s", 0, 0, 301.5, 0.0, repeats)[0], answer)
 
@@ -80,7 +80,7 @@
 
 
 def test_a_lower_tier_that_is_told_the_callers_time_keeps_to_it() -> None:
-    b = balancer(Settings(classes=(SAFE,), tier=1, tiers=2))
+    b = balancer(Settings(classes=(SAFE,), tier=1, tier_count=2))
     assert isinstance(b.request(100.0, "r", 0, 0, 103.0)[0], Send)
     [send] = b.request(110.0, "s", 0, 0, 110.5)
     assert isinstance(send, Send) and send.timeout == 0.0
@@ -90,7 +90,7 @@
     """How much each server gets when every instance sends one call after another."""
     shares = dict.fromkeys(range(1, servers + 1), 0.0)
     for me in range(balancers):
-        b = Balancer(Settings(classes=(SAFE,), balancers=balancers, me=me), me)
+        b = Balancer(Settings(classes=(SAFE,), instance_count=balancers, instance_index=me), me)
         b.members(100.0, ListUpdateKind.STALE, [ServerRow(i) for i in shares])
         begin, width = b.pools[0].begin, b.pools[0].width
         for server, end in zip(b.pools[0].working, b.pools[0].ends, strict=True):
@@ -109,7 +109,7 @@
 
 
 def test_slices_widen_with_the_calls_in_flight() -> None:
-    settings = Settings(classes=(SAFE,), balancers=40)
+    settings = Settings(classes=(SAFE,), instance_count=40)
     checker = Checker(settings, 1, [ServerRow(i) for i in range(40)])
     assert len(checker.balancer.pools[0].working) == 1
     steady(checker, 8.0, 100.0)
@@ -147,7 +147,7 @@
 
 
 def test_lower_tiers_never_refuse_for_overload() -> None:
-    b = balancer(Settings(classes=(SAFE, DEAR), tier=1, tiers=2))
+    b = balancer(Settings(classes=(SAFE, DEAR), tier=1, tier_count=2))
     answers = [b.request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
     assert all(isinstance(a, Send) for a in answers)
 
@@ -172,8 +172,10 @@
 
 
 def test_a_jam_of_a_bound_class_holds_no_room_of_the_others() -> None:
-    bound = RequestClass("bound", aim=1.0, deadline=4.0, repeat=RetrySafety.SAFE, only_kinds=(1,))
-    b = balancer(Settings(classes=(SAFE, bound)), [*ROWS, ServerRow(9, kind=1)])
+    bound = RequestClass(
+        "bound", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.SAFE, allowed_host_types=(1,)
+    )
+    b = balancer(Settings(classes=(SAFE, bound)), [*ROWS, ServerRow(9, host_type=1)])
     now = 100.0
     for n in range(100):  # the only server open to the bound class answers nothing
         now += 0.02
@@ -206,7 +208,7 @@
 @pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, Send), (0.0, Send)])
 def test_what_is_over_a_share_goes_first_where_requests_fail(quota: float, answer: type) -> None:
     tenants = (Tenant("calm", 0.5, 1000.0), Tenant("burst", 0.5, quota))
-    b = balancer(Settings(classes=(DEAR,), tenants=tenants, over_share_worth=0.1))
+    b = balancer(Settings(classes=(DEAR,), tenants=tenants, over_quota_value=0.1))
     now = calls(b, 1, Outcome.TIMEOUT)
     for n in range(10):
         b.request(now, f"x{n}", 0, 0, now + 4.0)
@@ -219,7 +221,7 @@
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("lugspur.load_balancing.admission.POOL_PROTECTION", protection)
-    b = balancer(Settings(classes=(SAFE,), balancers=40), [ServerRow(i) for i in range(40)])
+    b = balancer(Settings(classes=(SAFE,), instance_count=40), [ServerRow(i) for i in range(40)])
     sent = 0
     for n in range(20):  # four a second, each on another server, none answered
         now = 100.0 + n / 4.0
@@ -261,13 +263,13 @@
 
 
 def test_a_restart_draws_the_cold_phase_anew() -> None:
-    rules = Rules(cold_from=0.3, cold_for=9.0, fall_multiple=3.0, fall_after=2.0)
-    b = balancer(Settings(classes=(SAFE,), rules=rules), [ServerRow(1, started=99.0), ServerRow(2)])
+    rules = Rules(slow_start_fraction=0.3, slow_start_seconds=9.0, overload_multiple=3.0, overload_seconds=2.0)
+    b = balancer(Settings(classes=(SAFE,), rules=rules), [ServerRow(1, started_at=99.0), ServerRow(2)])
     server = b.servers[1]
     for _ in range(200):
         b._spares_cold(100.0, server, b.pools[0])
     assert server.cold_seen > 0.0
-    b.members(500.0, ListUpdateKind.PATCH, [ServerRow(1, started=499.0)])
+    b.members(500.0, ListUpdateKind.PATCH, [ServerRow(1, started_at=499.0)])
     assert (server.cold_seen, server.cold_credit) == (0.0, 0.0)
     while server.cold_seen <= 0.0:
         b._spares_cold(500.0, server, b.pools[0])
@@ -275,9 +277,9 @@
 
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
-    b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, size=2.0, started=99.0), ServerRow(2)])
+    b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, weight=2.0, started_at=99.0), ServerRow(2)])
     b.members(101.0, ListUpdateKind.COMPLETE, [ServerRow(2)])
-    assert b.servers[1].row == ServerRow(1, ServerState.GONE, size=2.0, started=99.0)
+    assert b.servers[1].row == ServerRow(1, ServerState.GONE, weight=2.0, started_at=99.0)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
@@ -288,7 +290,7 @@
 
 def test_the_rest_of_the_list_stands_in_for_a_dead_slice() -> None:
     rows = [ServerRow(i) for i in range(1, 21)]
-    b = balancer(Settings(classes=(SAFE,), balancers=20, limits=Limits(max_attempts=3)), rows)
+    b = balancer(Settings(classes=(SAFE,), instance_count=20, limits=Limits(max_attempts=3)), rows)
     [own] = b.pools[0].working
     for n in range(40):  # the only server of the slice cannot be reached
         now = 100.0 + n / 10
@@ -326,9 +328,9 @@
 
 def test_cold_servers_outside_the_slice_get_nothing_when_it_refuses() -> None:
     rows = [ServerRow(i) for i in range(1, 21)]
-    b = balancer(Settings(classes=(SAFE,), balancers=20), rows)
+    b = balancer(Settings(classes=(SAFE,), instance_count=20), rows)
     [own] = b.pools[0].working
-    cold = [ServerRow(i, started=100.0) for i in range(1, 21) if i != own.row.server]
+    cold = [ServerRow(i, started_at=100.0) for i in range(1, 21) if i != own.row.server]
     b.members(100.1, ListUpdateKind.PATCH, cold)
     assert b.pools[0].working == [own]
     for n in range(60):
@@ -341,7 +343,7 @@
 
 def test_refused_clients_that_come_back_do_not_fill_a_cold_budget() -> None:
     """The budget goes by calls sent: four offered for each one sent must not give it four times as much."""
-    rules = Rules(cold_from=0.3, cold_for=20.0, fall_multiple=3.0, fall_after=2.0)
+    rules = Rules(slow_start_fraction=0.3, slow_start_seconds=20.0, overload_multiple=3.0, overload_seconds=2.0)
 
     def credit(refused: int) -> float:
         b = balancer(Settings(classes=(SAFE,), rules=rules))
@@ -352,7 +354,7 @@
                 b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
             for k in range(refused):
                 b.request(now, f"p{n}_{k}", 0, 0, now)
-        b.members(now, ListUpdateKind.PATCH, [ServerRow(1, started=now)])
+        b.members(now, ListUpdateKind.PATCH, [ServerRow(1, started_at=now)])
         server = b.servers[1]
         while server.cold_seen <= 0.0:
             b._spares_cold(now, server, b.pools[0])
@@ -397,7 +399,7 @@
 
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 4), (80, 3)])
 def test_a_burst_at_a_proxy_with_few_calls_is_no_overload(balancers: int, taken: int) -> None:
-    settings = Settings(classes=(DEAR,), balancers=balancers, zones=2, limits=Limits(cancel=True))
+    settings = Settings(classes=(DEAR,), instance_count=balancers, zone_count=2, limits=Limits(allows_cancel=True))
     checker = Checker(settings, 5, ROWS)
     for _ in range(8):
         rid = checker.request(0, 4.0)
--- a/tests/test_put_back.py
+++ b/tests/test_put_back.py
@@ -22,7 +22,7 @@
 
 SETTINGS = Settings(
     classes=(RequestClass("read", 0.4, 1.0, RetrySafety.SAFE), RequestClass("book", 0.4, 1.0, RetrySafety.UNSAFE)),
-    rules=Rules(cold_from=0.31, cold_for=8.9, fall_multiple=3.0, fall_after=3.0),
+    rules=Rules(slow_start_fraction=0.31, slow_start_seconds=8.9, overload_multiple=3.0, overload_seconds=3.0),
 )
 
 
@@ -37,7 +37,7 @@
         for action in balancer.request(now, f"a{number}", kind):
             if isinstance(action, Send):
                 balancer.outcome(now + 0.1, f"a{number}", 0, Outcome.OK, 0.1, True)
-    balancer.members(now, ListUpdateKind.PATCH, [replace(rows[0], started=now)])
+    balancer.members(now, ListUpdateKind.PATCH, [replace(rows[0], started_at=now)])
     back = now
     if told:
         balancer.put_back(now, 0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -28,17 +28,26 @@
     Tenant,
 )
 
-RULES = Rules(answer_slack=0.02, cold_from=0.14, cold_for=20.0, fall_multiple=3.0, fall_after=1.0)
-BUDGETED = replace(RULES, extra_free=1.0, extra_share=0.3, extra_span=1.5)
+RULES = Rules(
+    answer_slack=0.02, slow_start_fraction=0.14, slow_start_seconds=20.0, overload_multiple=3.0, overload_seconds=1.0
+)
+BUDGETED = replace(RULES, retry_budget_minimum=1.0, retry_budget_ratio=0.3, retry_budget_window=1.5)
 KINDS = (
     RequestClass("safe", 1.0, 3.0, RetrySafety.SAFE, DeduplicationScope.CELL, 1.5, 1.0, 0.3),
     RequestClass("unsafe", 0.5, 3.0, RetrySafety.UNSAFE, DeduplicationScope.ALL, 1.5, 5.0),
     RequestClass("keyed-all", 1.0, 3.0, RetrySafety.KEYED, DeduplicationScope.ALL, 1.5, 2.0),
     RequestClass("keyed-zone", 1.0, 3.0, RetrySafety.KEYED, DeduplicationScope.ZONE, 1.5, 8.0, 0.5),
     RequestClass("keyed-cell", 0.8, 3.0, RetrySafety.KEYED, DeduplicationScope.CELL, 1.5, 1.0),
-    RequestClass("bound-kind", 1.0, 3.0, RetrySafety.SAFE, only_kinds=(1,)),
+    RequestClass("bound-kind", 1.0, 3.0, RetrySafety.SAFE, allowed_host_types=(1,)),
     RequestClass(
-        "bound-zone", 1.0, 3.0, RetrySafety.KEYED, DeduplicationScope.CELL, 1.5, only_kinds=(0, 1), only_zones=(0,)
+        "bound-zone",
+        1.0,
+        3.0,
+        RetrySafety.KEYED,
+        DeduplicationScope.CELL,
+        1.5,
+        allowed_host_types=(0, 1),
+        allowed_zones=(0,),
     ),
 )
 OUTCOMES = [o for o in Outcome if o is not Outcome.CANCELLED]
@@ -59,9 +68,9 @@
                 continue
             row = rows[a % len(rows)]
             state = (ServerState.UP, ServerState.DRAINING, ServerState.GONE)[b % 3]
-            started = checker.now - 0.5 if state is ServerState.UP and b % 2 else row.started
+            started = checker.now - 0.5 if state is ServerState.UP and b % 2 else row.started_at
             kind = (ListUpdateKind.PATCH, ListUpdateKind.COMPLETE, ListUpdateKind.FAILED)[b // 3 % 3]
-            changed = replace(row, state=state, started=started)
+            changed = replace(row, state=state, started_at=started)
             if kind is ListUpdateKind.COMPLETE:
                 rest = [r for r in rows if r.server != row.server and r.state is not ServerState.GONE]
                 checker.members(kind, rest if state is ServerState.GONE else [*rest, changed])
@@ -99,17 +108,17 @@
     config = Settings(
         classes=KINDS,
         tenants=(Tenant("a", 0.6, 5.0), Tenant("b", 0.4, 3.0)),
-        zones=2,
+        zone_count=2,
         rules=rules,
-        balancers=3,
-        me=seed % 3,
+        instance_count=3,
+        instance_index=seed % 3,
         tier=seed % 2,
-        tiers=2,
-        over_share_worth=0.1,
+        tier_count=2,
+        over_quota_value=0.1,
         discovery=DiscoveryMode.ON_REQUEST if asks else DiscoveryMode.PUSHED,
-        limits=Limits(cancel=cancel, second_copies=second, max_attempts=attempts),
+        limits=Limits(allows_cancel=cancel, allows_hedging=second, max_attempts=attempts),
     )
-    rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3, kind=i % 3) for i in range(servers)]
+    rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3, host_type=i % 3) for i in range(servers)]
     play(Checker(config, seed, rows), steps)
 
 
@@ -131,7 +140,7 @@
     checker = Checker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
-    checker.members(ListUpdateKind.PATCH, [ServerRow(3, started=checker.now)])
+    checker.members(ListUpdateKind.PATCH, [ServerRow(3, started_at=checker.now)])
     begin = checker.now
     checker.sends.clear()
     steady(checker, 4.0, 100.0, rng)
@@ -187,12 +196,12 @@
 
 def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def bound() -> int:
-        rows = [ServerRow(i, zone=i % 2, kind=i % 3) for i in range(12)]
-        checker = Checker(Settings(classes=KINDS, zones=2, limits=Limits(max_attempts=4)), 1, rows)
+        rows = [ServerRow(i, zone=i % 2, host_type=i % 3) for i in range(12)]
+        checker = Checker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
         for n in range(40):
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
-        none_open = [replace(row, state=ServerState.GONE) for row in rows if row.kind == 1]
+        none_open = [replace(row, state=ServerState.GONE) for row in rows if row.host_type == 1]
         checker.members(ListUpdateKind.PATCH, none_open)
         before = sum(len(v) for v in checker.sends.values())
         checker.request(5, 3.0)
@@ -239,7 +248,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_all_cold_at_once(seed: int) -> None:
-    rows = [ServerRow(i, started=100.0) for i in range(10)]
+    rows = [ServerRow(i, started_at=100.0) for i in range(10)]
     checker = Checker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
     sent = sum(len(v) for v in checker.sends.values())
@@ -252,7 +261,7 @@
     steps = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)] * 12
     rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
-    config = Settings(classes=KINDS, zones=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
+    config = Settings(classes=KINDS, zone_count=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
     play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(decide.Balancer, "_among", lambda self, now, request: self.pool_of[request.kind].ready)
