--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -23,10 +23,10 @@
 from itertools import permutations
 from typing import Any, NamedTuple
 
-from lugspur.daemon.leases import span
-from lugspur.daemon.leases.elector import Elector, Promise, Who
-from lugspur.daemon.leases.messages import Grant, Message, No
-from lugspur.daemon.leases.term import Ended, Term
+from lugspur.daemon.leases import timing
+from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
+from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message
+from lugspur.daemon.leases.voter import CandidateId, LeaseVoter, Promise
 
 DUTY = "d"
 LEASE = 6.0  # units of time
@@ -58,7 +58,7 @@
 class Kept:
     """An elector and its disk."""
 
-    elector: Elector
+    elector: LeaseVoter
     disk: dict[str, Promise] = field(default_factory=dict)
 
 
@@ -93,7 +93,7 @@
         self._renamed: dict[tuple[int, Order], int] = {}
         self._told: dict[tuple[int, Order], int] = {}
 
-    def part(self, what: Kept | Term) -> int:
+    def part(self, what: Kept | LeaseTerm) -> int:
         """Its number."""
         key = freeze(what)
         number = self._numbers.get(key)
@@ -120,10 +120,10 @@
         found = self._renamed.get((number, order))
         if found is None:
             part = self.get(number)
-            if isinstance(part, Term):
+            if isinstance(part, LeaseTerm):
                 names = {name: NAMES[order.index(place)] for place, name in enumerate(NAMES)}
-                part._granted = {names[name] for name in part._granted}
-                part._refused = {names[name]: when for name, when in part._refused.items()}
+                part._granted_by = {names[name] for name in part._granted_by}
+                part._denied_until = {names[name]: when for name, when in part._denied_until.items()}
             found = self._renamed[number, order] = self.part(part)
         return found
 
@@ -143,41 +143,41 @@
         if known is None:
             part = self.get(number)
             found = self._act(part, how, clock, message)
-            out = part.elector.take() if isinstance(part, Kept) else part.take()
+            out = part.elector.take_messages() if isinstance(part, Kept) else part.take_messages()
             sent = tuple(
                 self.message(PLACES[to], at, word)
                 for to, word in out
-                if isinstance(word, Grant | No) or not isinstance(part, Kept)
+                if isinstance(word, GrantLease | DenyLease) or not isinstance(part, Kept)
             )
             known = self._known[key] = self.part(part), sent, found
         return known
 
     def _act(self, part: Any, how: str, clock: float, number: int) -> Any:
-        if isinstance(part, Term):
+        if isinstance(part, LeaseTerm):
             if how == "hears":
                 _, origin, message = self.messages[number]
-                assert isinstance(message, Grant | No)
-                return part.epoch if part.reply(clock, NAMES[origin], message) is Ended.WON else 0
+                assert isinstance(message, GrantLease | DenyLease)
+                return part.epoch if part.receive(clock, NAMES[origin], message) is RoundResult.WON else 0
             acts: dict[str, Callable[[float], Any]] = {
-                "asks": part.ask,
-                "gives its round up": part.give_up,
-                "lays down": lambda _: part.lay_down(),
+                "asks": part.start_round,
+                "gives its round up": part.abandon_round,
+                "lays down": lambda _: part.release(),
             }
             acts[how](clock)
             return 0
         elector = part.elector
         if how == "hears":
             _, origin, message = self.messages[number]
-            elector.heard(clock, Who(EVERYBODY[origin], 1), message)
+            elector.receive(clock, CandidateId(EVERYBODY[origin], 1), message)
         elif how == "has written":
-            unwritten, elector.unwritten = elector.unwritten, {}
-            part.disk |= unwritten
-            elector.written(clock, unwritten)
+            unsaved, elector.unsaved = elector.unsaved, {}
+            part.disk |= unsaved
+            elector.confirm_saved(clock, unsaved)
         else:
             if how == "restarts with what it wrote":
-                part.disk |= elector.unwritten
+                part.disk |= elector.unsaved
             memory = list(part.disk.values()) if self.limits.memory else None
-            part.elector = Elector(LEASE, clock, memory, int(WALL * (1 + clock)))
+            part.elector = LeaseVoter(LEASE, clock, memory, int(WALL * (1 + clock)))
         return 0
 
     def inside(self, number: int, clock: float) -> int:
@@ -185,32 +185,32 @@
         found = self._inside.get((number, clock))
         if found is None:
             term = self.get(number)
-            found = term.holds(clock) | term.asking << 1 | (term.round < self.limits.rounds) << 2
+            found = term.is_held(clock) | term.has_open_round << 1 | (term.round_number < self.limits.rounds) << 2
             self._inside[number, clock] = found
         return found
 
     def vain(self, message: int, place: int, number: int) -> bool:
         """Whether an answer on its way to this one counts for nothing any more."""
         to, _, what = self.messages[message]
-        if to != place or not isinstance(what, Grant | No):
+        if to != place or not isinstance(what, GrantLease | DenyLease):
             return False
         bits = self.inside(number, 0.0)
-        if bits & 2 and self.round(number) == what.round:
+        if bits & 2 and self.round(number) == what.round_number:
             return False
-        return isinstance(what, Grant) or not bits & 4  # a refusal tells of an epoch, for the next round
+        return isinstance(what, GrantLease) or not bits & 4  # a refusal tells of an epoch, for the next round
 
     def round(self, number: int) -> int:
         """The latest round of one that wants it."""
         key = number, -2.0
         if key not in self._inside:
-            self._inside[key] = self.get(number).round
+            self._inside[key] = self.get(number).round_number
         return self._inside[key]
 
     def writing(self, number: int) -> bool:
         """Whether an elector has something to write down."""
         key = number, -1.0
         if key not in self._inside:
-            self._inside[key] = bool(self.get(number).elector.unwritten)
+            self._inside[key] = bool(self.get(number).elector.unsaved)
         return bool(self._inside[key])
 
 
@@ -238,8 +238,8 @@
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._parts = parts = Parts(limits)
-        electors = [Kept(Elector(LEASE, -LEASE, [] if limits.memory else None, 0)) for _ in NAMES]
-        terms = [Term(DUTY, NAMES, LEASE, 0) for _ in WANTING]
+        electors = [Kept(LeaseVoter(LEASE, -LEASE, [] if limits.memory else None, 0)) for _ in NAMES]
+        terms = [LeaseTerm(DUTY, NAMES, LEASE, 0) for _ in WANTING]
         self.first = World(
             (*map(parts.part, electors), *map(parts.part, terms)),
             (),
@@ -404,38 +404,44 @@
 @contextmanager
 def told_apart(apart: float = APART) -> Iterator[None]:
     """The model's clocks, as the code is told of them."""
-    former, span.DRIFT = span.DRIFT, apart
+    former, timing.MAX_CLOCK_DRIFT = timing.MAX_CLOCK_DRIFT, apart
     try:
         yield
     finally:
-        span.DRIFT = former
+        timing.MAX_CLOCK_DRIFT = former
 
 
-def _no_quiet(self: Elector, lease: float, now: float, memory: Any, floor: int) -> None:
+def _no_quiet(self: LeaseVoter, lease: float, now: float, memory: Any, floor: int) -> None:
     _elector(self, lease, now, memory, floor)
-    self.quiet_until = now
+    self.silent_until = now
 
 
-def _always_back(self: Term, now: float) -> Ended:
-    asked, self._asked = self._asked, 0
-    self._tell(asked)
-    return Ended.LOST
+def _always_back(self: LeaseTerm, now: float) -> RoundResult:
+    requested_epoch, self._requested_epoch = self._requested_epoch, 0
+    self._send_release(requested_epoch)
+    return RoundResult.LOST
 
 
-_elector = Elector.__init__
+_elector = LeaseVoter.__init__
 BROKEN: dict[str, tuple[float, Any, str, Any, Limits]] = {
-    "no margin for clocks": (0.0, Term, "take", Term.take, Limits(rounds=2, steps=2, memory=False, prompt=True)),
+    "no margin for clocks": (
+        0.0,
+        LeaseTerm,
+        "take_messages",
+        LeaseTerm.take_messages,
+        Limits(rounds=2, steps=2, memory=False, prompt=True),
+    ),
     "no silence after a start": (
         APART,
-        Elector,
+        LeaseVoter,
         "__init__",
         _no_quiet,
         Limits(rounds=2, restarts=1, steps=0, memory=False, prompt=True),
     ),
     "promises given back in office": (
         APART,
-        Term,
-        "give_up",
+        LeaseTerm,
+        "abandon_round",
         _always_back,
         Limits(rounds=2, steps=0, memory=False, prompt=True),
     ),
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -16,13 +16,24 @@
 from lugspur.config import model
 from lugspur.config.load import resolved
 from lugspur.daemon.gossip import clock
-from lugspur.daemon.gossip.machine import Changed, Event, Fleet, Posted, Rival
-from lugspur.daemon.gossip.transport import Transport, bound
-from lugspur.daemon.gossip.wire import KEY_LEAST, KEY_MOST, VERSION_MOST, ZONE_MOST, Facts, Status, Wire
-from lugspur.daemon.leases.claim import Claim, Turned, Won, order
-from lugspur.daemon.leases.elector import Elector, Who
-from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
-from lugspur.daemon.leases.messages import Free, Give, Grant, Malformed, Message, No, Want, pack, unpack
+from lugspur.daemon.gossip.datagrams import MAX_KEY_BYTES, MIN_KEY_BYTES, DatagramCodec
+from lugspur.daemon.gossip.messages import MAX_VERSION_CHARACTERS, MAX_ZONE_CHARACTERS, MemberMetadata, Status
+from lugspur.daemon.gossip.protocol import Event, GossipProtocol, MemberChanged, MessageReceived, NameConflict
+from lugspur.daemon.gossip.transport import Transport, bind_socket
+from lugspur.daemon.leases.candidate import Candidate, LeadershipChanged, LeaseAcquired, rendezvous_order
+from lugspur.daemon.leases.messages import (
+    DenyLease,
+    GrantLease,
+    MalformedMessageError,
+    Message,
+    ReleaseLease,
+    RequestLease,
+    RoleAvailable,
+    decode_messages,
+    encode_messages,
+)
+from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore, PromiseStoreInUseError
+from lugspur.daemon.leases.voter import CandidateId, LeaseVoter
 from lugspur.daemon.probers import PROBING, Probers
 
 if TYPE_CHECKING:
@@ -42,10 +53,10 @@
         self.probers: Probers | None = None
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
-        self._facts = Facts(zone[:ZONE_MOST], _version(), time.time())
-        self.claims: dict[str, Claim] = {}
-        self.elector: Elector | None = None
-        self._memory: Memory | None = None
+        self._facts = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
+        self.claims: dict[str, Candidate] = {}
+        self.elector: LeaseVoter | None = None
+        self._memory: PromiseStore | None = None
         self._writing = False
         self._handed: list[tuple[str, Message]] = []
         self._drained = False
@@ -53,25 +64,25 @@
         self.transport: Transport
 
     @property
-    def fleet(self) -> Fleet:
+    def fleet(self) -> GossipProtocol:
         """What it knows of the others."""
-        return self.transport.fleet
+        return self.transport.protocol
 
     def open(self) -> None:
         """Begin; raises OSError where the address, the key or the elector's folder can't be had."""
         row = self._row
         assert row.bind is not None
-        wire = Wire(row.name, self._key())
+        wire = DatagramCodec(row.name, self._key())
         if row.member in row.electors:
             self._open_elector()
         try:
-            sock = bound(row.bind)
+            sock = bind_socket(row.bind)
         except OSError as fault:
             self._close_memory()
             host, port = row.bind
             raise OSError(f"fleet can't have {host}:{port}: {fault.strerror or fault}") from fault
         host, port = row.advertise or sock.getsockname()[:2]
-        fleet = Fleet(
+        fleet = GossipProtocol(
             wire, row.member, (host, port), self._facts, list(row.seeds), clock.now(), time.time, self._rng, row.period
         )
         self.transport = Transport(sock, fleet, self._heard, self._woken, self._dues)
@@ -84,7 +95,7 @@
         for duty in row.duties:
             self.want(duty)
         self.say(f"member {row.member} of {row.name} at {host}:{port}")
-        self.transport.turn()
+        self.transport.flush()
 
     def _key(self) -> bytes:
         if not self._row.key:
@@ -92,11 +103,11 @@
         path = resolved(self._row.key, self._beside)
         try:
             with open(path, "rb") as file:
-                key = file.read(KEY_MOST + 1)
+                key = file.read(MAX_KEY_BYTES + 1)
         except OSError as fault:
             raise OSError(f"fleet: key {path}: {fault.strerror or fault}") from fault
-        if not KEY_LEAST <= len(key) <= KEY_MOST:
-            raise OSError(f"fleet: key {path}: it has to have {KEY_LEAST} to {KEY_MOST} bytes")
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise OSError(f"fleet: key {path}: it has to have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
         return key
 
     def _open_elector(self) -> None:
@@ -105,18 +116,18 @@
         if row.folder:
             folder = resolved(row.folder, self._beside)
             try:
-                self._memory = Memory(folder, row.member, row.lease)
-            except Taken as fault:
+                self._memory = PromiseStore(folder, row.member, row.lease)
+            except PromiseStoreInUseError as fault:
                 raise OSError(f"fleet: {folder} is another elector's, which runs") from fault
-            except Spoilt as fault:
+            except CorruptPromiseStoreError as fault:
                 # Guards against epochs that go back: only operators can know that nothing was promised since.
                 raise OSError(f"fleet: {folder}: promises can't be read: {fault}") from fault
             except OSError as fault:
                 raise OSError(f"fleet: {folder}: {fault.strerror or fault}") from fault
-            lease, promises = self._memory.lease, self._memory.promises
-            if self._memory.fresh:
+            lease, promises = self._memory.lease_seconds, self._memory.promises
+            if self._memory.is_new:
                 self.say(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
-        self.elector = Elector(lease, clock.now(), promises, int(time.time() * 1000))
+        self.elector = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
     def _close_memory(self) -> None:
         if self._memory is not None:
@@ -133,20 +144,20 @@
 
     # ---- duties ------------------------------------------------------------------------------------
 
-    def want(self, duty: str) -> Claim:
+    def want(self, duty: str) -> Candidate:
         """Ask for a duty from now on, whenever nobody holds it."""
         row = self._row
-        claim = self.claims[duty] = Claim(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
+        claim = self.claims[duty] = Candidate(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
         if self._drained:  # a reload brings a duty while callers are sent away: it is wanted once they are taken again
-            claim.hand_on(clock.now())
+            claim.resign(clock.now())
         return claim
 
     def drop(self, duty: str) -> None:
         """Want a duty no more."""
-        self.claims[duty].hand_on(clock.now())
+        self.claims[duty].resign(clock.now())
         self._woken(clock.now())
         del self.claims[duty]
-        self.transport.turn()
+        self.transport.flush()
 
     @property
     def name(self) -> str:
@@ -155,7 +166,7 @@
 
     def others(self) -> list[str]:
         """All others that count as there."""
-        return [name for name in self.fleet.there() if name != self._row.member]
+        return [name for name in self.fleet.present_members() if name != self._row.member]
 
     def first(self, duty: str, count: int) -> list[str]:
         """The first members in the order of a duty."""
@@ -163,47 +174,51 @@
 
     def post(self, name: str, topic: int, body: bytes) -> None:
         """Send something to a member, when the transport has its next turn."""
-        self.fleet.post(clock.now(), name, topic, body)
+        self.fleet.send_message(clock.now(), name, topic, body)
 
     def may(self, duty: str, needs: float = 0.0) -> int | None:
         """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
         claim = self.claims.get(duty)
-        return None if claim is None else claim.epoch(clock.now(), needs)
+        return None if claim is None else claim.fencing_token(clock.now(), needs)
 
     def _rank(self, duty: str) -> int:
         return self._ordered(duty).index(self._row.member)
 
     def _ordered(self, duty: str) -> list[str]:
-        ready = [name for name, record in self.fleet.there().items() if not record.facts.draining]
-        return order(duty, list({*ready, self._row.member}))
+        ready = [name for name, record in self.fleet.present_members().items() if not record.metadata.is_draining]
+        return rendezvous_order(duty, list({*ready, self._row.member}))
 
     def hand_on(self) -> None:
         """This daemon goes: its duties go to those who are next, at once."""
         self._drained = True
         facts = self._facts
-        self.fleet.tell(clock.now(), Facts(facts.zone, facts.version, facts.started, True, facts.rate))
+        self.fleet.update_metadata(
+            clock.now(), MemberMetadata(facts.zone, facts.version, facts.started_at, True, facts.requests_per_second)
+        )
         for duty, claim in self.claims.items():
-            if not claim.hand_on(clock.now()):
+            if not claim.resign(clock.now()):
                 continue
             heirs = [name for name in self._ordered(duty) if name != self._row.member]
             if heirs:
-                self._handed.append((heirs[0], Free(duty, claim.term.epoch)))
-            self._handed += [(name, Give(duty, claim.term.epoch, claim.term.round)) for name in claim.term.electors]
+                self._handed.append((heirs[0], RoleAvailable(duty, claim.term.epoch)))
+            self._handed += [
+                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round_number)) for name in claim.term.voters
+            ]
         for delay in (0.0, *AGAIN):
             self._loop.call_later(delay, self._say_again)
 
     def _say_again(self) -> None:
         self._send(self._handed)
-        self.transport.turn()
+        self.transport.flush()
 
     def take_up(self) -> None:
         """This daemon stays after all: it wants its duties again."""
         self._handed.clear()
         self._drained = False
-        self.fleet.tell(clock.now(), self._facts)
+        self.fleet.update_metadata(clock.now(), self._facts)
         for claim in self.claims.values():
-            claim.want(clock.now())
-        self.transport.turn()
+            claim.campaign(clock.now())
+        self.transport.flush()
 
     def leave(self) -> None:
         """Say goodbye, and let go of everything."""
@@ -218,45 +233,45 @@
     # ---- what happens --------------------------------------------------------------------------------
 
     def _heard(self, event: Event) -> None:
-        if isinstance(event, Posted):
+        if isinstance(event, MessageReceived):
             if event.topic == LEASES:
                 self._body(event)
             elif event.topic == PROBING and self.probers is not None:
                 self.probers.heard(event.body)
-        elif isinstance(event, Changed):
+        elif isinstance(event, MemberChanged):
             self._changed(event)
-        elif isinstance(event, Rival):
+        elif isinstance(event, NameConflict):
             host, port = event.address
-            done = "this one is the younger and is silent for a while" if event.yields else "it is the younger"
+            done = "this one is the younger and is silent for a while" if event.is_yielding else "it is the younger"
             self.say(f"another process at {host}:{port} uses the name {self._row.member}: {done}")
 
-    def _changed(self, event: Changed) -> None:
-        record, former = event.record, event.former
+    def _changed(self, event: MemberChanged) -> None:
+        record, former = event.record, event.previous
         if (
             former is None
             or former.status is not record.status
             or former.address != record.address
-            or (former.life != record.life)
+            or (former.instance_id != record.instance_id)
         ):
             host, port = record.address
             self.say(f"member {record.name} {SAID[Status(record.status)]} ({event.cause}) at {host}:{port}")
             for claim in self.claims.values():
-                claim.others_changed(clock.now())
+                claim.members_changed(clock.now())
 
-    def _body(self, event: Posted) -> None:
-        with suppress(Malformed):
-            for message in unpack(event.body):
-                self._lease(Who(event.name, event.life), message)
+    def _body(self, event: MessageReceived) -> None:
+        with suppress(MalformedMessageError):
+            for message in decode_messages(event.body):
+                self._lease(CandidateId(event.sender, event.instance_id), message)
 
-    def _lease(self, who: Who, message: Message) -> None:
+    def _lease(self, who: CandidateId, message: Message) -> None:
         now = clock.now()
-        if isinstance(message, Want | Give):
+        if isinstance(message, RequestLease | ReleaseLease):
             if self.elector is not None:
-                self.elector.heard(now, who, message)
+                self.elector.receive(now, who, message)
             return
-        claim = self.claims.get(message.duty)
-        if claim is not None and isinstance(message, Grant | No | Free):
-            claim.heard(now, who.name, message)
+        claim = self.claims.get(message.role)
+        if claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
+            claim.receive(now, who.name, message)
 
     def _dues(self) -> Iterator[float]:
         for claim in self.claims.values():
@@ -269,21 +284,21 @@
             if now >= claim.due():
                 claim.tick(now)
         while True:
-            said = [word for claim in self.claims.values() for word in claim.take()]
+            said = [word for claim in self.claims.values() for word in claim.take_messages()]
             if self.elector is not None:
-                said += self.elector.take()
+                said += self.elector.take_messages()
             if not said:
                 break
-            me = Who(self._row.member, self.fleet.me.life)
+            me = CandidateId(self._row.member, self.fleet.local_record.instance_id)
             for name, message in said:
                 if name == me.name:
                     self._lease(me, message)
                 else:
                     out.append((name, message))
         for claim in self.claims.values():
-            for event in claim.events():
+            for event in claim.take_events():
                 self._turned(event)
-        if self._memory is not None and self.elector is not None and self.elector.unwritten and not self._writing:
+        if self._memory is not None and self.elector is not None and self.elector.unsaved and not self._writing:
             self._write(self._memory, self.elector)
         self._send(out)
 
@@ -294,43 +309,43 @@
             bodies[name].append(message)
         for name, words in bodies.items():
             for at in range(0, len(words), BODY_MESSAGES):
-                self.fleet.post(clock.now(), name, LEASES, pack(words[at : at + BODY_MESSAGES]))
+                self.fleet.send_message(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
 
-    def _turned(self, turned: Turned | Won) -> None:
-        if self._history is not None and (isinstance(turned, Won) or not turned.holds):
-            left = self.claims[turned.duty].term.left(clock.now()) if isinstance(turned, Won) else 0.0
+    def _turned(self, turned: LeadershipChanged | LeaseAcquired) -> None:
+        if self._history is not None and (isinstance(turned, LeaseAcquired) or not turned.is_leader):
+            left = self.claims[turned.role].term.remaining(clock.now()) if isinstance(turned, LeaseAcquired) else 0.0
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
-                "life": self.fleet.me.life,
-                "duty": turned.duty,
+                "life": self.fleet.local_record.instance_id,
+                "duty": turned.role,
                 "epoch": turned.epoch,
                 "left": left,
             }
             self._history.write(json.dumps(row) + "\n")
-        if isinstance(turned, Won):
+        if isinstance(turned, LeaseAcquired):
             return
         if self.probers is not None:
             self.probers.turned(turned)
-        what = "is ours" if turned.holds else "is ours no more"
-        self.say(f"duty {turned.duty} {what} under epoch {turned.epoch}: {turned.why}")
+        what = "is ours" if turned.is_leader else "is ours no more"
+        self.say(f"duty {turned.role} {what} under epoch {turned.epoch}: {turned.reason}")
 
     # ---- an elector's memory -----------------------------------------------------------------------
 
-    def _write(self, memory: Memory, elector: Elector) -> None:
+    def _write(self, memory: PromiseStore, elector: LeaseVoter) -> None:
         """Write promises down, in a thread; they are told when they will survive."""
         promises = elector.promises()
-        duties, elector.unwritten = list(elector.unwritten), {}
+        duties, elector.unsaved = list(elector.unsaved), {}
         self._writing = True
 
         def done(fault: OSError | None) -> None:
             self._writing = False
             if fault is None:
-                elector.written(clock.now(), duties)
+                elector.confirm_saved(clock.now(), duties)
             else:
                 self.say(f"promises can't be written, so none are given: {fault.strerror or fault}")
-                elector.unwritable(duties)
-            self.transport.turn()
+                elector.report_save_failure(duties)
+            self.transport.flush()
 
         def work() -> None:
             fault = None
@@ -348,7 +363,7 @@
     def members(self) -> str:
         """All members that are known, as one line of JSON."""
         fleet = self.fleet
-        rows = [fleet.me, *(member.record for member in fleet.members.values())]
+        rows = [fleet.local_record, *(member.record for member in fleet.members.values())]
         return json.dumps(
             {
                 "fleet": self._row.name,
@@ -359,15 +374,15 @@
                         "name": row.name,
                         "address": f"{row.host}:{row.port}",
                         "state": Status(row.status).name.lower(),
-                        "zone": row.facts.zone,
-                        "version": row.facts.version,
-                        "started": row.facts.started,
-                        "draining": row.facts.draining,
+                        "zone": row.metadata.zone,
+                        "version": row.metadata.version,
+                        "started": row.metadata.started_at,
+                        "draining": row.metadata.is_draining,
                         "elector": row.name in self._row.electors,
                     }
                     for row in sorted(rows, key=lambda row: row.name)
                 ],
-                "counts": dict(sorted(fleet.counts.items())),
+                "counts": dict(sorted(fleet.counters.items())),
             }
         )
 
@@ -377,9 +392,9 @@
         return json.dumps(
             {
                 "member": self._row.member,
-                "there": fleet.count,
+                "there": fleet.present_count,
                 "digest": fleet.digest,
-                "bytes": fleet.counts["bytes sent"],
+                "bytes": fleet.counters["bytes sent"],
             }
         )
 
@@ -389,14 +404,14 @@
         rows = []
         for duty, claim in sorted(self.claims.items()):
             term = claim.term
-            held = claim.epoch(now) is not None
+            held = claim.fencing_token(now) is not None
             rows.append(
                 {
                     "duty": duty,
                     "ours": held,
-                    "epoch": term.epoch if held else term.heard,
+                    "epoch": term.epoch if held else term.highest_epoch,
                     "holder": self._row.member if held else term.holder,
-                    "left": round(term.left(now), 3),
+                    "left": round(term.remaining(now), 3),
                 }
             )
         down, vain = ({}, 0) if self.probers is None else (self.probers.down(), self.probers.vain)
@@ -415,11 +430,11 @@
         claim = self.claims[duty]
         if epoch is None:
             return 409, json.dumps({"duty": duty, "holder": claim.term.holder})
-        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.left(clock.now()), 3)})
+        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.remaining(clock.now()), 3)})
 
 
 def _version() -> str:
     try:
-        return version("lugspur")[:VERSION_MOST]
+        return version("lugspur")[:MAX_VERSION_CHARACTERS]
     except PackageNotFoundError:
         return "checkout"
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -17,21 +17,21 @@
 from lugspur.mesh.control.capacity import item_bytes
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.messages import (
-    NO_BALLOT,
-    PAGE_BYTES,
+    MAX_PAGE_BYTES,
+    NO_PROPOSAL,
     Accept,
     Accepted,
-    Ballot,
     Change,
     Entry,
     Item,
     Learn,
     Prepare,
     Promise,
-    Query,
-    Standing,
+    ProposalNumber,
+    ReadIndexQuery,
+    ReadIndexReply,
 )
-from lugspur.mesh.control.store import Name, newer
+from lugspur.mesh.control.store import EntryKey, supersedes
 
 WITHDRAWN_MOST = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
 WITHDRAWN_KEPT = 0.9  # of these, once they are too many: the oldest are forgotten
@@ -49,8 +49,8 @@
     """What a voter has promised and accepted, as it lies on disk; the latter for change `index`."""
 
     index: int
-    promised: Ballot
-    accepted: Ballot | None
+    promised: ProposalNumber
+    accepted: ProposalNumber | None
     change: Change | None
 
 
@@ -67,7 +67,7 @@
     """What a decided change, or several, did to the items."""
 
     entries: list[Entry] = field(default_factory=list)  # that took their places
-    forgotten: list[Name] = field(default_factory=list)  # that are gone without a word
+    forgotten: list[EntryKey] = field(default_factory=list)  # that are gone without a word
     write: Rows = field(default_factory=list)
 
 
@@ -75,12 +75,12 @@
     """Items by name as they stand after change `index`, and the vote on the next one."""
 
     def __init__(self) -> None:
-        self.items: dict[Name, Item] = {}
+        self.items: dict[EntryKey, Item] = {}
         self.bytes = 0  # of all items, as `capacity` counts them
         self.index = 0
         self.pruned = 0  # withdrawals up to this change are forgotten
-        self.promised = NO_BALLOT
-        self.accepted: Ballot | None = None
+        self.promised = NO_PROPOSAL
+        self.accepted: ProposalNumber | None = None
         self.change: Change | None = None
         self._withdrawn = 0
         self._pruned_to = 0  # as far as `pruned` has been carried out
@@ -115,30 +115,30 @@
 
     def prepare(self, peer: Peer, message: Prepare, voter: bool) -> Effects:
         """A proposer wants to hear what was accepted, and that no lower ballot counts any more."""
-        granted = voter and message.index == self.index + 1 and message.ballot >= self.promised
+        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
         if not granted:
-            refusal = Promise(message.index, message.ballot, False, self.index, self.promised)
+            refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
             return Effects(send=[(peer, refusal)])
-        self.promised = message.ballot
-        promise = Promise(message.index, message.ballot, True, self.index, self.promised, self.accepted, self.change)
+        self.promised = message.proposal
+        promise = Promise(message.index, message.proposal, True, self.index, self.promised, self.accepted, self.change)
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def accept(self, peer: Peer, message: Accept, voter: bool) -> Effects:
         """A proposer wants this to be the next change."""
-        granted = voter and message.index == self.index + 1 and message.ballot >= self.promised
-        answer = Accepted(message.index, message.ballot, granted, self.index, self.promised)
+        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
+        answer = Accepted(message.index, message.proposal, granted, self.index, self.promised)
         if not granted:
             return Effects(send=[(peer, answer)])
-        self.promised = self.accepted = message.ballot
+        self.promised = self.accepted = message.proposal
         self.change = message.change
         return Effects(write=[self._vote_row()], after_sync=[(peer, answer)])
 
     def _vote_row(self) -> tuple[bytes, bytes]:
         return VOTE_ROW, _pack(Vote(self.index + 1, self.promised, self.accepted, self.change))
 
-    def query(self, peer: Peer, message: Query, voter: bool) -> Effects:
+    def query(self, peer: Peer, message: ReadIndexQuery, voter: bool) -> Effects:
         """A reader wants to know which change is the latest."""
-        return Effects(send=[(peer, Standing(message.number, voter, self.index, self.pending))])
+        return Effects(send=[(peer, ReadIndexReply(message.number, voter, self.index, self.pending))])
 
     # ---- what is decided -----------------------------------------------------------------
 
@@ -148,7 +148,7 @@
         index = self.index + 1
         for entry in change.entries:
             standing = self.items.get((entry.kind, entry.name))
-            if newer(entry, None if standing is None else standing.entry):
+            if supersedes(entry, None if standing is None else standing.entry):
                 self._set(Item(entry, index), applied)
         self._advance(index, applied)
         return applied
@@ -157,17 +157,17 @@
         """All pages of what was decided after a change that is known here."""
         applied = Applied()
         first = pages[0]
-        if first.index <= self.index or first.since > self.index:
+        if first.index <= self.index or first.after_index > self.index:
             return applied
         found = {(i.entry.kind, i.entry.name): i for page in pages for i in page.items}
-        if first.since == 0:
+        if first.after_index == 0:
             for name in [name for name in self.items if name not in found]:
                 self._forget(name, applied)
         for name, item in found.items():
             standing = self.items.get(name)
             if standing is None or standing.index < item.index:
                 self._set(item, applied)
-        self.pruned = first.pruned
+        self.pruned = first.pruned_index
         self._advance(first.index, applied)
         return applied
 
@@ -182,7 +182,7 @@
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
 
-    def _forget(self, name: Name, applied: Applied) -> None:
+    def _forget(self, name: EntryKey, applied: Applied) -> None:
         item = self.items.pop(name)
         self.bytes -= item_bytes(item.entry)
         self._withdrawn -= item.entry.value is None
@@ -218,9 +218,9 @@
             if item.index <= since:
                 continue
             size += len(item.entry.name) + len(item.entry.value or b"") + 32
-            if size > PAGE_BYTES:
+            if size > MAX_PAGE_BYTES:
                 pages.append(Learn(since, self.index, self.pruned, len(pages), [], False))
                 size = 0
             pages[-1].items.append(item)
-        pages[-1].last = True
+        pages[-1].is_last = True
         return pages
--- a/lugspur/mesh/order_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -8,17 +8,17 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.forwarding import Forwarder, answer_of
-from lugspur.mesh.control.messages import Message, SubmitOrder
+from lugspur.mesh.control.messages import ForwardChange, Message
 from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.link import Link
-from lugspur.mesh.stall import StallDetector
+from lugspur.mesh.process_pause import PauseDetector
+from lugspur.mesh.transport.link import Link
 
-DECIDE_WITHIN = 0.8  # seconds for a call of an operator: callers move on after a second
-ORDERS_MOST = 64  # calls of operators in hand at once
+DECISION_TIMEOUT_SECONDS = 0.8  # seconds for a call of an operator: callers move on after a second
+MAX_PENDING_CALLS = 64  # calls of operators in hand at once
 
 
-class OrderRouter:
+class ChangeRouter:
     """Takes up orders, or turns them away.
 
     `preferred` names the control node that proposes for all, `do` carries out effects, `to` sends to a control node.
@@ -29,21 +29,21 @@
         loop: asyncio.AbstractEventLoop,
         ip: str,
         proposer: Proposer,
-        stall: StallDetector,
+        pause_detector: PauseDetector,
         preferred: Callable[[float], str],
         do: Callable[[Effects], None],
         to: Callable[[str, Message], None],
     ) -> None:
-        self._loop, self._ip, self._proposer, self._stall = loop, ip, proposer, stall
+        self._loop, self._ip, self._proposer, self._pause_detector = loop, ip, proposer, pause_detector
         self._preferred, self._do, self._to = preferred, do, to
         self.forwarder = Forwarder()
 
     def turn_away(self, now: float) -> None:
         """Raises MeshError where an order may not be taken up."""
         in_hand = len(self._proposer) + len(self.forwarder)
-        if in_hand >= ORDERS_MOST:  # Guards memory and disks against a flood of calls.
+        if in_hand >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
             raise MeshError(Kind.NO_QUORUM, "too many calls in hand")
-        if self._stall.stalled(now):
+        if self._pause_detector.is_stale(now):
             raise MeshError(Kind.NO_QUORUM, "this process has stood still")
 
     def submit(self, now: float, order: Order) -> None:
@@ -59,7 +59,7 @@
         self._proposer.withdraw(order)
         self.forwarder.withdraw(order)
 
-    def submitted(self, link: Link, message: SubmitOrder) -> None:
+    def submitted(self, link: Link, message: ForwardChange) -> None:
         """Another control node hands over an order."""
 
         def over(outcome: Outcome) -> None:
@@ -71,7 +71,7 @@
         except MeshError:
             over(NoQuorum())
             return
-        order = Order(message.entries, now + min(DECIDE_WITHIN, message.left), over)
+        order = Order(message.entries, now + min(DECISION_TIMEOUT_SECONDS, message.seconds_left), over)
         self._do(self._proposer.submit(now, order))
 
     def lost(self, now: float, ip: str) -> None:
--- a/lugspur/mesh/folder.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -16,14 +16,14 @@
 from lugspur.mesh.control import items
 from lugspur.mesh.control.claim_table import CLAIM_PREFIX
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.messages import Item, KeptClaim, Membership
+from lugspur.mesh.control.messages import Item, Membership, StoredReservation
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.disk import NAME
+from lugspur.mesh.storage.disk import DIRECTORY_NAME
 
 _item = msgspec.msgpack.Decoder(Item)
-_kept = msgspec.msgpack.Decoder(KeptClaim)
+_kept = msgspec.msgpack.Decoder(StoredReservation)
 _index = msgspec.msgpack.Decoder(tuple[int, int])
 _vote = msgspec.msgpack.Decoder(Vote)
 _epoch = msgspec.msgpack.Decoder(int)
@@ -48,7 +48,7 @@
 
 def look(folder: Path) -> Found:
     """Read a `data_dir`; raises MeshError (STATE) where there is nothing that can be read as a replica's."""
-    path = folder / NAME
+    path = folder / DIRECTORY_NAME
     if not (path / "data.mdb").is_file():
         raise MeshError(Kind.STATE, f"{folder}: no replica has kept anything here")
     found = Found()
@@ -73,7 +73,7 @@
         elif key.startswith(CLAIM_PREFIX):
             kept = _kept.decode(value)
             found.claims += 1
-            found.answers += kept.answer is not None
+            found.answers += kept.response is not None
         elif key == UID_ROW:
             found.uid = value.decode()
         elif key == INDEX_ROW:
@@ -105,15 +105,15 @@
         yield "the disk has no name"
     if found.membership is not None:
         yield from _complete_apart(found.membership, found)
-    routes = found.store.standing(items.ROUTES)
-    services = found.store.standing(items.SERVICES)
+    routes = found.store.values_of(items.ROUTES)
+    services = found.store.values_of(items.SERVICES)
     for name, value in routes.items():
         try:
             route = items.read_route(value)
         except msgspec.MsgspecError as fault:
             yield f"route {name!r} can't be read: {fault}"
             continue
-        for service in route.services():
+        for service in route.service_names():
             if service not in services:
                 yield f"route {name!r} names the unknown service {service!r}"
 
@@ -153,4 +153,4 @@
 
 def export(found: Found) -> bytes:
     """All items that stand, as a call of the operator that brings them to another mesh."""
-    return msgspec.json.encode({"upsert": msgspec.Raw(items.read_back(found.store.all())), "withdraw": {}})
+    return msgspec.json.encode({"upsert": msgspec.Raw(items.encode_items(found.store.all())), "withdraw": {}})
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -16,8 +16,8 @@
 
 from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
 from lugspur.bench.trial import FOLDER, Trial
+from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry import Followed
-from lugspur.discovery.rows import Endpoint, server_id
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.zookeeper.cluster import Cluster
@@ -247,7 +247,7 @@
                 assert status(await client.ask(ask())) == 200
                 source = up.daemon.stations["a"]._source
                 assert isinstance(source, Followed)
-                await until(lambda: source.doubt.due() == float("inf"))  # shown as stale, and still served
+                await until(lambda: source.staleness.next_tick_at() == float("inf"))  # shown as stale, and still served
                 assert status(await client.ask(ask())) == 200
                 cluster.write("/boxes/one", box(fixed.address))
                 await server.listen()
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -11,23 +11,23 @@
 
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import (
-    Forward,
-    Grant,
+    BodyChunk,
+    ForwardRequest,
+    ForwardResponse,
+    GrantBody,
     Hello,
     Membership,
     Message,
-    Part,
-    Reply,
-    Sync,
+    Subscribe,
     Unsubscribe,
     Voter,
 )
-from lugspur.mesh.dataplane.gate import End
-from lugspur.mesh.dataplane.uploads import PART
-from lugspur.mesh.link import Dialler
-from lugspur.mesh.registration import BackendStatus
-from lugspur.mesh.settings import load
-from lugspur.mesh.sidecar import Sidecar
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES
+from lugspur.mesh.settings import load_settings
+from lugspur.mesh.sidecar.backend_status import BackendStatus
+from lugspur.mesh.sidecar.process import Sidecar
+from lugspur.mesh.transport.link import Dialer
 from lugspur.seams import Request
 
 FILE = """
@@ -66,7 +66,7 @@
     async def run() -> None:
         path = folder / "f.toml"
         path.write_text(FILE)
-        sidecar = Sidecar(load(path), str(path))
+        sidecar = Sidecar(load_settings(path), str(path))
         what(sidecar)
         for dialler in sidecar.peers.values():
             dialler.close()
@@ -92,13 +92,13 @@
             "sequence": sequence,
         }
     ).encode()
-    sidecar._heartbeat(request(body), caller, [life])
+    sidecar.api.heartbeat(request(body), caller, [life])
     return caller.status
 
 
 def told(sidecar: Sidecar) -> tuple[str, str]:
     """What the mesh is told of the machine's backend."""
-    status = sidecar.backends[sidecar.ip]
+    status = sidecar.backends.by_ip[sidecar.ip]
     return status.id, status.state
 
 
@@ -106,11 +106,11 @@
     def what(sidecar: Sidecar) -> None:
         assert beat(sidecar, 1) == 200 and told(sidecar) == ("i-1", "accepting")
         assert beat(sidecar, 3, "closing") == 200 and told(sidecar) == ("i-1", "closing")
-        local = sidecar.gate.local
+        local = sidecar.limiter.local
         assert local is not None
-        since, edition = local.closing_at, sidecar.registration.said
+        since, edition = local.closing_at, sidecar.registration.announced
         assert beat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
-        assert sidecar.registration.said is edition  # nor is the mesh told again
+        assert sidecar.registration.announced is edition  # nor is the mesh told again
         assert beat(sidecar, 2) == 200 and told(sidecar) == ("i-1", "closing")  # a late one
         assert beat(sidecar, 5) == 200 and told(sidecar) == ("i-1", "closing")  # a life that leaves does not come back
 
@@ -129,7 +129,7 @@
         sidecar.registration.sign_off(request(b""), caller, ["i-2"])
         assert told(sidecar) == ("i-2", "gone")
         now = sidecar.loop.time()
-        assert not sidecar.gate.takes(now + 9.0, "i-2") and not sidecar.gate.takes(now, "i-1")
+        assert not sidecar.limiter.accepts(now + 9.0, "i-2") and not sidecar.limiter.accepts(now, "i-1")
 
     play(tmp_path, what)
 
@@ -138,7 +138,7 @@
     def what(sidecar: Sidecar) -> None:
         # It may have said so seconds ago, to the process that was here before this one.
         assert beat(sidecar, 9, "closing") == 200 and told(sidecar) == ("i-1", "closing")
-        assert not sidecar.gate.takes(sidecar.loop.time(), "i-1")
+        assert not sidecar.limiter.accepts(sidecar.loop.time(), "i-1")
 
     play(tmp_path, what)
 
@@ -148,7 +148,7 @@
         beat(sidecar, 7)
         beat(sidecar, 1, life="i-2")
         assert beat(sidecar, 8, life="i-1") == 200 and told(sidecar) == ("i-2", "accepting")
-        assert sidecar.gate.takes(sidecar.loop.time(), "i-2")
+        assert sidecar.limiter.accepts(sidecar.loop.time(), "i-2")
 
     play(tmp_path, what)
 
@@ -158,7 +158,7 @@
         caller = Caller()
         sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # this process has just started
         assert caller.status == 200 and beat(sidecar, 9) == 200
-        assert sidecar.gate.local is None and sidecar.ip not in sidecar.backends
+        assert sidecar.limiter.local is None and sidecar.ip not in sidecar.backends.by_ip
 
     play(tmp_path, what)
 
@@ -168,15 +168,15 @@
         beat(sidecar, 1)
         now = sidecar.loop.time()
         for step in range(40):
-            sidecar.look(now + step * 0.1)
+            sidecar.tick(now + step * 0.1)
         assert told(sidecar)[1] == "accepting"
         for step in range(40, 42):
-            sidecar.look(now + step * 0.1)
+            sidecar.tick(now + step * 0.1)
         assert told(sidecar)[1] == "gone"
         assert beat(sidecar, 2) == 200 and told(sidecar)[1] == "accepting"
         beat(sidecar, 3, "closing")
         for step in range(90):
-            sidecar.look(now + step * 0.1)
+            sidecar.tick(now + step * 0.1)
         assert told(sidecar)[1] == "gone"
         assert beat(sidecar, 4) == 200 and told(sidecar)[1] == "closing"  # it had said so
 
@@ -187,11 +187,11 @@
     def what(sidecar: Sidecar) -> None:
         beat(sidecar, 1)
         now = sidecar.loop.time()
-        sidecar.look(now + 0.1)
-        sidecar.look(now + 30.0)
+        sidecar.tick(now + 0.1)
+        sidecar.tick(now + 30.0)
         assert told(sidecar)[1] == "accepting"
         for step in range(100):
-            sidecar.look(now + 30.0 + step * 0.1)
+            sidecar.tick(now + 30.0 + step * 0.1)
         assert told(sidecar)[1] == "gone"
 
     play(tmp_path, what)
@@ -200,17 +200,17 @@
 def test_a_proxy_that_knows_no_configuration_or_that_leaves_says_so_by_503(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         asked, caller = Request(b"GET", b"/r/1", {b"host": b"a"}, [], b"", sidecar.loop.time(), True), Caller()
-        sidecar._handle(asked, caller)  # no news yet: 404 would say that there is no such route
+        sidecar.handle(asked, caller)  # no news yet: 404 would say that there is no such route
         assert caller.status == 503
-        sidecar.known = True
+        sidecar.update_source.has_configuration = True
         asked.headers[b"lugspur-attempt-id"] = b"t1"
         caller = Caller()
-        sidecar._handle(asked, caller)  # news without a single route
+        sidecar.handle(asked, caller)  # news without a single route
         assert caller.status == 503
         for leaving in (False, True):
-            sidecar.leaving = leaving
+            sidecar.is_leaving = leaving
             with pytest.raises(MeshError) as told:
-                sidecar._ready(asked, Caller(), [])
+                sidecar.api.readiness(asked, Caller(), [])
             assert told.value.kind is (Kind.LEAVING if leaving else Kind.NOT_READY)
 
     play(tmp_path, what)
@@ -232,7 +232,7 @@
     def what(sidecar: Sidecar) -> None:
         beat(sidecar, 1)
         with pytest.raises(MeshError):
-            sidecar._heartbeat(request(body), Caller(), ["i-1"])
+            sidecar.api.heartbeat(request(body), Caller(), ["i-1"])
         assert told(sidecar) == ("i-1", "accepting")
 
     play(tmp_path, what)
@@ -249,27 +249,30 @@
         self.sent.append(message)
 
 
-@pytest.mark.parametrize(("granted", "how"), [(0, End.NOT_RUN), (PART, End.NOT_RUN), (50_000, End.MAYBE)])
+@pytest.mark.parametrize(
+    ("granted", "how"),
+    [(0, RequestOutcome.NOT_RUN), (CHUNK_BYTES, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)],
+)
 def test_a_body_whose_end_was_not_sent_has_not_run_and_a_whole_one_may_have(
-    tmp_path: Path, granted: int, how: End
+    tmp_path: Path, granted: int, how: RequestOutcome
 ) -> None:
     def what(sidecar: Sidecar) -> None:
-        ip, replies = "127.0.0.2", list[Reply]()
+        ip, replies = "127.0.0.2", list[ForwardResponse]()
         wire = Wire(ip)
-        dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+        dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
-        sidecar.backends[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
+        sidecar.backends.by_ip[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
-        forward = Forward(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
-        sidecar.carry(ip, forward, replies.append)
+        forward = ForwardRequest(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
+        sidecar.proxy.carrier.carry(ip, forward, replies.append)
         [offer] = wire.sent
-        assert isinstance(offer, Forward) and (offer.size, offer.body) == (len(body), b"")
-        for upto in range(PART, granted + PART, PART):
-            sidecar._heard_from(wire, Grant(offer.n, min(upto, len(body))))  # type: ignore[arg-type]
-        parts = [m for m in wire.sent[1:] if isinstance(m, Part)]
+        assert isinstance(offer, ForwardRequest) and (offer.body_bytes, offer.body) == (len(body), b"")
+        for upto in range(CHUNK_BYTES, granted + CHUNK_BYTES, CHUNK_BYTES):
+            sidecar.message_received(wire, GrantBody(offer.number, min(upto, len(body))))  # type: ignore[arg-type]
+        parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
         assert b"".join(p.data for p in parts) == body[:granted]
-        sidecar._down(dialler)
-        assert [(r.how, r.sent) for r in replies] == [(how, how == End.MAYBE)]
+        sidecar.disconnected(dialler)
+        assert [(r.outcome, r.was_sent) for r in replies] == [(how, how == RequestOutcome.UNKNOWN)]
         assert not sidecar.outgoing.waits_for(ip)
         dialler.link = None
         dialler.close()
@@ -280,18 +283,18 @@
 def test_a_machine_is_sent_requests_only_once_its_process_has_answered(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         ip = "127.0.0.2"
-        dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+        dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
         sidecar.peers[ip] = dialler
-        assert not sidecar.ready(ip)
+        assert not sidecar.proxy.carrier.ready(ip)
         wire = Wire(ip)
         dialler.link = wire  # type: ignore[assignment]
-        assert not sidecar.ready(ip)  # its kernel took the connection: a frozen one's does as well
-        sidecar._heard_from(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
-        assert sidecar.ready(ip)
+        assert not sidecar.proxy.carrier.ready(ip)  # its kernel took the connection: a frozen one's does as well
+        sidecar.message_received(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
+        assert sidecar.proxy.carrier.ready(ip)
         [stamped] = wire.sent
-        assert isinstance(stamped, Hello) and stamped.sent > 0.0 and stamped.life == sidecar.life
+        assert isinstance(stamped, Hello) and stamped.sent_at > 0.0 and stamped.incarnation == sidecar.incarnation
         dialler.link = None
-        assert not sidecar.ready(ip)
+        assert not sidecar.proxy.carrier.ready(ip)
         dialler.close()
 
     play(tmp_path, what)
@@ -301,15 +304,15 @@
     def what(sidecar: Sidecar) -> None:
         wires = {ip: Wire(ip) for ip in ("127.0.0.2", "127.0.0.3")}
         for ip, wire in wires.items():
-            dialler = Dialler(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+            dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
             dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
-        sidecar._seek()
-        former = wires[sidecar.source]
-        assert [type(message) for message in former.sent] == [Sync]
-        sidecar._seek()
-        assert [type(message) for message in former.sent] == [Sync, Unsubscribe]
-        assert [type(message) for message in wires[sidecar.source].sent] == [Sync]
+        sidecar.update_source.select()
+        former = wires[sidecar.update_source.ip]
+        assert [type(message) for message in former.sent] == [Subscribe]
+        sidecar.update_source.select()
+        assert [type(message) for message in former.sent] == [Subscribe, Unsubscribe]
+        assert [type(message) for message in wires[sidecar.update_source.ip].sent] == [Subscribe]
         for ip in wires:
             sidecar.peers[ip].link = None
             sidecar.peers[ip].close()
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -7,9 +7,9 @@
 
 from lugspur.mesh.control.messages import Delta, Entry, Message, Pong
 from lugspur.mesh.control.store import Store
-from lugspur.mesh.leases import LEASE
-from lugspur.mesh.link import Link
-from lugspur.mesh.subscribers import Subscribers
+from lugspur.mesh.control_node.leases import LEASE_SECONDS
+from lugspur.mesh.control_node.subscribers import Subscribers
+from lugspur.mesh.transport.link import Link
 
 PING = 0.25
 
@@ -34,7 +34,9 @@
         store = Store()
 
         def news(now: float, since: int) -> Delta:
-            return Delta("life", store.upto, now, 0.0, 0, False, True, 1, since == 0, store.after(since))
+            return Delta(
+                "life", store.latest_sequence, now, 0.0, 0, False, True, 1, since == 0, store.changed_after(since)
+            )
 
         await what(store, Subscribers(asyncio.get_running_loop(), store, PING, news), Wire())
 
@@ -65,8 +67,8 @@
         subscribers.add(link, 0)
         subscribers.answered(link, Pong(42.0))
         subscribers.look(wire.at + 2.0 * PING)
-        assert [cast(Delta, message).echo for message in wire.sent] == [0.0, 42.0]
-        subscribers.look(wire.at + LEASE + 0.1)
+        assert [cast(Delta, message).echoed_at for message in wire.sent] == [0.0, 42.0]
+        subscribers.look(wire.at + LEASE_SECONDS + 0.1)
         assert wire.closed
 
     play(what)
