--- a/lugspur/discovery/state_codec.py
+++ b/lugspur/discovery/state_codec.py
@@ -35,9 +35,9 @@
         row.state.value,
         str(row.zone),
         row.cell,
-        row.size,
-        row.started,
-        str(row.kind),
+        row.weight,
+        row.started_at,
+        str(row.host_type),
         *endpoint.address,
         endpoint.speaks_grpc,
     ]
