--- a/lugspur/mesh/control/messages/forwarding.py
+++ b/lugspur/mesh/control/messages/forwarding.py
@@ -32,18 +32,20 @@
     owner: bytes = b""
     was_rejected: bool = False  # its caller has been rejected before, or has little time for other reasons
     body_bytes: int = 0  # of a body that is sent in chunks, as they are granted
-    sent_at: float = 0.0  # the sender's steady clock for which both times left are right, see `dataplane.delays`
+    sent_at: float = (
+        0.0  # the sender's steady clock for which both times left are right, see `dataplane.delay_estimation`
+    )
 
 
 class ForwardResponse(msgspec.Struct, tag=20, array_like=True):
     """How a forwarded request ended."""
 
     number: int
-    outcome: int  # a value of lugspur.mesh.dataplane.gate.End
+    outcome: int  # a value of lugspur.mesh.dataplane.request_outcome.RequestOutcome
     response: BackendResponse | None = None
     was_sent: bool = True  # whether the request was offered to the backend
     in_flight: int = 0  # requests at that backend
-    cause: int = 0  # a value of lugspur.mesh.dataplane.causes.Cause
+    cause: int = 0  # a value of lugspur.mesh.dataplane.failure_cause.FailureCause
 
 
 class CancelRequest(msgspec.Struct, tag=21, array_like=True):
--- a/lugspur/mesh/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -16,12 +16,12 @@
     GrantBody,
     WithdrawRequest,
 )
-from lugspur.mesh.dataplane.causes import Cause
-from lugspur.mesh.dataplane.gate import End
-from lugspur.mesh.dataplane.uploads import PART, in_parts
-from lugspur.mesh.link import Link
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, is_chunked
+from lugspur.mesh.transport.link import Link
 
-UNPROVEN_MOST = 1024  # requests of lost connections whose outcome is asked for, the latest
+MAX_UNPROVEN_REQUESTS = 1024  # requests of lost connections whose outcome is asked for, the latest
 
 Respond = Callable[[ForwardResponse], None]
 
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self._latest = 0
         self._open: dict[str, dict[int, _Exchange]] = {}
-        self._unproven: LRUCache[int, _Unproven] = LRUCache(UNPROVEN_MOST)
+        self._unproven: LRUCache[int, _Unproven] = LRUCache(MAX_UNPROVEN_REQUESTS)
 
     def waits_for(self, ip: str) -> bool:
         """Whether anything waits for that machine."""
@@ -91,7 +91,7 @@
         forward.sent_at = now
         exchange = _Exchange(link, respond, bool(forward.key))
         self._open.setdefault(ip, {})[number] = exchange
-        if in_parts(len(forward.body), rate):
+        if is_chunked(len(forward.body), rate):
             exchange.body = _Body(forward.body)
             forward.body_bytes, forward.body = len(forward.body), b""
         link.send(forward)
@@ -102,7 +102,7 @@
         exchange = self._open.get(ip, {}).pop(number, None)
         if exchange is not None:
             exchange.link.send(CancelRequest(number))
-            exchange.respond(ForwardResponse(number, End.MAYBE, cause=Cause.CANCELLED))
+            exchange.respond(ForwardResponse(number, RequestOutcome.UNKNOWN, cause=FailureCause.CANCELLED))
 
     def withdraw(self, ip: str, number: int) -> None:
         """Have it not begun any more; its reply comes all the same."""
@@ -144,8 +144,8 @@
         begin, body.sent = body.sent, min(message.up_to_offset, len(body.data))
         if body.sent == len(body.data):
             exchange.body = None
-        for at in range(begin, body.sent, PART):
-            exchange.link.send(BodyChunk(message.number, body.data[at : min(at + PART, body.sent)]))
+        for at in range(begin, body.sent, CHUNK_BYTES):
+            exchange.link.send(BodyChunk(message.number, body.data[at : min(at + CHUNK_BYTES, body.sent)]))
 
     def reached(self, link: Link) -> None:
         """A process has said which life of it answers on a new connection: ask what became of what was lost."""
@@ -168,5 +168,5 @@
             unsent = exchange.body is not None
             if exchange.keyed and not unsent:
                 self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
-            how = End.NOT_RUN if unsent else End.MAYBE
-            exchange.respond(ForwardResponse(number, how, was_sent=not unsent, cause=Cause.LINK_LOST))
+            how = RequestOutcome.NOT_RUN if unsent else RequestOutcome.UNKNOWN
+            exchange.respond(ForwardResponse(number, how, was_sent=not unsent, cause=FailureCause.LINK_LOST))
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -26,8 +26,8 @@
 
 from lugspur.bench.mesh import Mesh, call
 from lugspur.mesh.control.errors import ANSWERS
-from lugspur.mesh.dataplane.causes import Cause
-from lugspur.mesh.settings import parse
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.settings import parse_settings
 from lugspur.standins.mesh import MeshBackend
 
 ROOT = Path(__file__).parent.parent.parent
@@ -553,7 +553,7 @@
 
 
 def test_the_causes_of_gates_by_number() -> None:
-    assert {cause.value: cause.name.lower() for cause in Cause} == {
+    assert {cause.value: cause.label for cause in FailureCause} == {
         **{0: "none", 1: "expired", 2: "not_taken", 3: "no_room", 4: "evicted", 5: "hopeless", 6: "refused"},
         **{7: "unreachable", 8: "timed_out", 9: "broken", 10: "spoilt", 11: "cancelled", 12: "link_lost"},
         **{13: "upload", 14: "never_came"},
@@ -741,7 +741,7 @@
 
 
 def tables(text: str) -> dict[str, Any]:
-    found = dataclasses.asdict(parse(tomllib.loads(text)))
+    found = dataclasses.asdict(parse_settings(tomllib.loads(text)))
     return {"self": found.pop("own")} | found
 
 
