--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from lugspur.config.units import Wrong, duration
-from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.directory import Directory
 from lugspur.daemon.persistence.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
 from lugspur.daemon.persistence.store import Store, Taken
 from lugspur.discovery import state_codec
@@ -34,7 +34,7 @@
     """What a file says, or why it can't be used on standard error."""
     path = Path(file)
     try:
-        disk = Disk(str(path.parent))
+        disk = Directory(str(path.parent))
         try:
             return read(disk.read(path.name, FILE_MOST))
         finally:
@@ -130,7 +130,7 @@
             facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in kept)
             facts.append(fact("tier", name, state_codec.encode_learned_pools(replace(pool.learned, servers=()))))
     try:
-        store = Store(Disk(os.path.dirname(path.resolve())))
+        store = Store(Directory(os.path.dirname(path.resolve())))
     except Taken:
         click.echo(f"{file}: a daemon keeps its state there; stop it first", err=True)
         sys.exit(1)
--- a/lugspur/daemon/leases/promise_store.py
+++ b/lugspur/daemon/leases/promise_store.py
@@ -14,7 +14,7 @@
 
 from lugspur.daemon.leases.messages import EPOCH_LIMIT, MAX_ROLE_CHARACTERS
 from lugspur.daemon.leases.voter import MAX_ROLES, Promise
-from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.directory import Directory
 
 PROMISES_FILE, TEMPORARY_FILE, LOCK_FILE = "promises", "promises.new", "promises.lock"
 FORMAT = "lugspur promises 1"
@@ -56,11 +56,11 @@
 
         Raises PromiseStoreInUseError, CorruptPromiseStoreError, and OSError if the directory or its file can't be read.
         """
-        self._disk = Disk(folder)
+        self._directory = Directory(folder)
         self._voter = voter
         self._lock = None
         try:
-            self._lock = self._disk.lock(LOCK_FILE)
+            self._lock = self._directory.try_lock(LOCK_FILE)
             if self._lock is None:
                 raise PromiseStoreInUseError
             found = self._read()
@@ -75,7 +75,7 @@
 
     def _read(self) -> _PromiseFile | None:
         try:
-            data = self._disk.read(PROMISES_FILE, MAX_FILE_BYTES)
+            data = self._directory.read(PROMISES_FILE, MAX_FILE_BYTES)
         except FileNotFoundError:
             return None
         except ValueError as error:
@@ -103,19 +103,19 @@
         rows = [_PromiseRecord(p.role, p.epoch, p.name, p.instance_id) for p in promises]
         body = msgspec.json.encode(_PromiseFile(FORMAT, self._voter, self.lease_seconds, rows))
         data = memoryview(body + b"\n" + sha256(body).hexdigest().encode())
-        fd = self._disk.create(TEMPORARY_FILE)
+        fd = self._directory.create(TEMPORARY_FILE)
         try:
             while data:
-                data = data[self._disk.write(fd, data) :]
-            self._disk.sync(fd)
+                data = data[self._directory.write(fd, data) :]
+            self._directory.sync(fd)
         finally:
-            self._disk.end(fd)
-        self._disk.rename(TEMPORARY_FILE, PROMISES_FILE)
-        self._disk.sync_folder()
+            self._directory.close_file(fd)
+        self._directory.rename(TEMPORARY_FILE, PROMISES_FILE)
+        self._directory.sync_directory()
 
     def close(self) -> None:
         """Release the directory."""
         if self._lock is not None:
             os.close(self._lock)
             self._lock = None
-        self._disk.close()
+        self._directory.close()
--- a/lugspur/daemon/persistence/disk.py
+++ b/lugspur/daemon/persistence/directory.py
@@ -7,16 +7,16 @@
 import stat
 from contextlib import suppress
 
-PIECE = 1 << 20  # bytes written or read in one call
+CHUNK_BYTES = 1 << 20  # bytes written or read in one call
 
 
-class Disk:
+class Directory:
     """One folder."""
 
-    def __init__(self, folder: str) -> None:
-        self.folder = folder
+    def __init__(self, path: str) -> None:
+        self.path = path
         # Kept open: what is done later is done to this folder, whatever takes its name.
-        self._fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        self._fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
     def close(self) -> None:
         """Let go of it."""
@@ -31,13 +31,13 @@
 
     def write(self, fd: int, data: memoryview) -> int:
         """Some of the bytes; how many."""
-        return os.write(fd, data[:PIECE])
+        return os.write(fd, data[:CHUNK_BYTES])
 
     def sync(self, fd: int) -> None:
         """Until all of it would survive a loss of power."""
         os.fsync(fd)
 
-    def end(self, fd: int) -> None:
+    def close_file(self, fd: int) -> None:
         """Close a file."""
         os.close(fd)
 
@@ -49,33 +49,33 @@
         """Take a name away."""
         os.unlink(name, dir_fd=self._fd)
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Until the names would survive."""
         os.fsync(self._fd)
 
-    def names(self) -> list[str]:
+    def list_names(self) -> list[str]:
         """What is there."""
         return os.listdir(self._fd)
 
-    def read(self, name: str, most: int) -> bytes:
+    def read(self, name: str, max_bytes: int) -> bytes:
         """A plain file of at most so many bytes; raises OSError, and ValueError for any other."""
         fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC, dir_fd=self._fd)
         try:
             found = os.fstat(fd)
             if not stat.S_ISREG(found.st_mode):  # Guards the start against a pipe that nobody writes to.
                 raise ValueError("it is no plain file")
-            if found.st_size > most:
-                raise ValueError(f"it has {found.st_size} bytes, and {most} are the most")
+            if found.st_size > max_bytes:
+                raise ValueError(f"it has {found.st_size} bytes, and {max_bytes} are the most")
             parts: list[bytes] = []
-            while part := os.read(fd, PIECE):
+            while part := os.read(fd, CHUNK_BYTES):
                 parts.append(part)
-                if sum(map(len, parts)) > most:  # it grows
-                    raise ValueError(f"it has more than {most} bytes")
+                if sum(map(len, parts)) > max_bytes:  # it grows
+                    raise ValueError(f"it has more than {max_bytes} bytes")
             return b"".join(parts)
         finally:
             os.close(fd)
 
-    def lock(self, name: str) -> int | None:
+    def try_lock(self, name: str) -> int | None:
         """A lock that ends with this process; None: another holds it."""
         fd = os.open(name, os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600, dir_fd=self._fd)
         try:
--- a/lugspur/daemon/persistence/store.py
+++ b/lugspur/daemon/persistence/store.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.directory import Directory
 from lugspur.daemon.persistence.file import FILE_MOST, Snapshot, Unreadable, read
 
 NOW, BEFORE, FRESH, LOCK, TRIED = "state", "state.1", "state.new", "lock", "tried"
@@ -35,10 +35,10 @@
 class Store:
     """A folder that this process alone writes to; raises OSError, and Taken."""
 
-    def __init__(self, disk: Disk) -> None:
-        self._disk = disk
+    def __init__(self, directory: Directory) -> None:
+        self._directory = directory
         self._one = threading.Lock()  # a slow writing may still go on when the next begins
-        self._lock = disk.lock(LOCK)
+        self._lock = directory.try_lock(LOCK)
         if self._lock is None:
             raise Taken
 
@@ -46,9 +46,9 @@
         """Let others have the folder."""
         with self._one:
             if self._lock is not None:
-                self._disk.end(self._lock)
+                self._directory.close_file(self._lock)
                 self._lock = None
-                self._disk.close()
+                self._directory.close()
 
     # ---- writing -------------------------------------------------------------------------------
 
@@ -62,27 +62,27 @@
         """Another text under this name, in one step."""
         with self._one:
             self._write(data)
-            self._disk.rename(FRESH, name)
-            self._disk.sync_folder()
+            self._directory.rename(FRESH, name)
+            self._directory.sync_directory()
 
     def _save(self, data: bytes) -> None:
         self._write(data)
         # Between the two the former generation is there under its second name.
         with suppress(FileNotFoundError):
-            self._disk.rename(NOW, BEFORE)
-        self._disk.rename(FRESH, NOW)
-        self._disk.sync_folder()
+            self._directory.rename(NOW, BEFORE)
+        self._directory.rename(FRESH, NOW)
+        self._directory.sync_directory()
 
     def _write(self, data: bytes) -> None:
-        disk = self._disk
-        fd = disk.create(FRESH)
+        directory = self._directory
+        fd = directory.create(FRESH)
         try:
             left = memoryview(data)
             while left:
-                left = left[disk.write(fd, left) :]
-            disk.sync(fd)
+                left = left[directory.write(fd, left) :]
+            directory.sync(fd)
         finally:
-            disk.end(fd)
+            directory.close_file(fd)
 
     # ---- reading -------------------------------------------------------------------------------
 
@@ -91,7 +91,7 @@
         said: list[str] = []
         for name in (NOW, BEFORE):
             try:
-                data = self._disk.read(name, FILE_MOST)
+                data = self._directory.read(name, FILE_MOST)
                 snapshot = read(data)
             except FileNotFoundError:
                 continue
@@ -116,12 +116,12 @@
         """The start went well."""
         with self._one, suppress(OSError):
             if self._lock is not None:
-                self._disk.remove(TRIED)
+                self._directory.remove(TRIED)
 
     def _tried(self, mark: bytes) -> int:
         """How often a generation was begun with in vain; a note of another one, or none, says nothing."""
         try:
-            count, _, noted = self._disk.read(TRIED, 200).partition(b" ")
+            count, _, noted = self._directory.read(TRIED, 200).partition(b" ")
         except (OSError, ValueError):
             return 0
         return int(count) if noted == mark and count.isdigit() else 0
@@ -129,34 +129,34 @@
     def _note(self, text: bytes) -> None:
         """Guards nothing where the folder can't be written to: then the file is used all the same."""
         with suppress(OSError):
-            fd = self._disk.create(TRIED)
+            fd = self._directory.create(TRIED)
             try:
-                self._disk.write(fd, memoryview(text))
-                self._disk.sync(fd)
+                self._directory.write(fd, memoryview(text))
+                self._directory.sync(fd)
             finally:
-                self._disk.end(fd)
+                self._directory.close_file(fd)
 
     def _aside(self, name: str, why: str) -> str:
         """Out of the way; what the log should tell."""
         try:
-            names = self._disk.names()
+            names = self._directory.list_names()
             kept = sorted(
                 (int(each.rpartition(ASIDE)[2]), each)
                 for each in names
                 if ASIDE in each and each.rpartition(ASIDE)[2].isdigit()
             )
             for _, each in kept[: max(0, len(kept) - ASIDE_MOST + 1)]:
-                self._disk.remove(each)
+                self._directory.remove(each)
             place = f"{NOW}{ASIDE}{kept[-1][0] + 1 if kept else 1}"
-            self._disk.rename(name, place)
+            self._directory.rename(name, place)
         except OSError as fault:
             return f"{name} is not used: {why}; it can't be set aside: {fault.strerror}"
         return f"{name} is not used: {why}; it is now {place}"
 
 
-def open_store(folder: str, disk: Callable[[str], Disk] = Disk) -> Store:
+def open_store(folder: str, directory: Callable[[str], Directory] = Directory) -> Store:
     """The store of a folder; raises OSError and Taken."""
-    made = disk(folder)
+    made = directory(folder)
     try:
         return Store(made)
     except BaseException:
--- a/tests/daemon/leases/test_promise_store.py
+++ b/tests/daemon/leases/test_promise_store.py
@@ -15,7 +15,7 @@
     PromiseStoreInUseError,
 )
 from lugspur.daemon.leases.voter import Promise
-from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.directory import Directory
 
 ONE, TWO = [Promise("d", 1, "a", 7)], [Promise("d", 2, "b", 8), Promise("e", 5, "a", 7)]
 
@@ -55,7 +55,7 @@
             PromiseStore(str(tmp_path), "x", 10.0)
 
 
-@pytest.mark.parametrize("call", ["create", "write", "sync", "end", "rename", "sync_folder"])
+@pytest.mark.parametrize("call", ["create", "write", "sync", "close_file", "rename", "sync_directory"])
 def test_a_disk_that_fails_at_any_call_leaves_the_former_or_the_new(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
@@ -66,7 +66,7 @@
         raise OSError(errno.EIO, "broken")
 
     with monkeypatch.context() as patched:
-        patched.setattr(Disk, call, fails)
+        patched.setattr(Directory, call, fails)
         with pytest.raises(OSError):
             first.write(TWO)
     first.close()
--- a/tests/daemon/persistence/test_store.py
+++ b/tests/daemon/persistence/test_store.py
@@ -14,11 +14,12 @@
 import pytest
 from kept import endpoints, other, text
 
-from lugspur.daemon.persistence.disk import Disk
+from lugspur.daemon.persistence.directory import Directory
 from lugspur.daemon.persistence.file import FILE_MOST, read, whole
 from lugspur.daemon.persistence.store import ASIDE, ASIDE_MOST, BEFORE, NOW, TRIED, TRIES, Taken, open_store
 
-CALLS = ("create", "write", "sync", "end", "rename", "remove", "sync_folder")
+CALLS = ("create", "write", "sync", "close_file", "rename", "remove", "sync_directory")
+assert all(callable(getattr(Directory, name)) for name in CALLS)  # else no fault would be met
 OLD, NEW = text(1000.0), text(2000.0, endpoints(1))
 
 
@@ -26,7 +27,7 @@
     """As if the process had ended here."""
 
 
-class Faulty(Disk):
+class Faulty(Directory):
     """Fails at one call, before or after it is done; writes little at a time."""
 
     def __init__(self, folder: str, at: int, fault: Callable[[], BaseException], done: bool, piece: int) -> None:
@@ -82,7 +83,7 @@
     """Save once more with a fault; whether it met it."""
     made: list[Faulty] = []
 
-    def disk(name: str) -> Disk:
+    def disk(name: str) -> Directory:
         made.append(Faulty(name, at, fault, done, piece))
         return made[0]
 
@@ -213,7 +214,7 @@
 
 def test_one_that_is_too_large_is_never_read(tmp_path: Path) -> None:
     (tmp_path / NOW).write_bytes(OLD)
-    disk = Disk(str(tmp_path))
+    disk = Directory(str(tmp_path))
     assert disk.read(NOW, FILE_MOST) == OLD
     with pytest.raises(ValueError, match="are the most"):
         disk.read(NOW, len(OLD) - 1)
