--- a/lugspur/bench/state.py
+++ b/lugspur/bench/state.py
@@ -24,7 +24,7 @@
 
 from lugspur.bench.main import request
 from lugspur.bench.sockets import free_port
-from lugspur.daemon.persistence.file import FORM, VERSION, read
+from lugspur.daemon.persistence.snapshot_format import FORMAT_VERSION, MAGIC, decode_snapshot
 from lugspur.daemon.persistence.store import NOW
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.callers import Caller
@@ -63,7 +63,7 @@
     """The same file, written so many seconds before now."""
     at = data.rfind(b"\nend ", 0, -1) + 1
     _, _, facts = data[:at].partition(b"\n")
-    text = b"%b %d %.3f\n" % (FORM, VERSION, time.time() - age) + facts
+    text = b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, time.time() - age) + facts
     return text + b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n"))
 
 
@@ -240,7 +240,7 @@
             if keeps:
                 data = (folder / NOW).read_bytes()
                 bytes_ = len(data)
-                assert len(read(data).pools["main"].endpoints) == size
+                assert len(decode_snapshot(data).pools["main"].endpoints) == size
         shutil.rmtree(base / f"{size}-True")
         (half, late, most), (half_, late_, most_) = rows
         print(
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -17,7 +17,15 @@
 
 from lugspur.config.units import Wrong, duration
 from lugspur.daemon.persistence.directory import Directory
-from lugspur.daemon.persistence.file import FILE_MOST, Pool, Snapshot, Unreadable, fact, read, whole
+from lugspur.daemon.persistence.snapshot_format import (
+    MAX_FILE_BYTES,
+    PoolSnapshot,
+    Snapshot,
+    UnreadableSnapshotError,
+    decode_snapshot,
+    encode_record,
+    encode_snapshot,
+)
 from lugspur.daemon.persistence.store import Store, Taken
 from lugspur.discovery import state_codec
 from lugspur.discovery.endpoints import server_name
@@ -36,18 +44,18 @@
     try:
         disk = Directory(str(path.parent))
         try:
-            return read(disk.read(path.name, FILE_MOST))
+            return decode_snapshot(disk.read(path.name, MAX_FILE_BYTES))
         finally:
             disk.close()
     except OSError as fault:
         why = fault.strerror or str(fault)
-    except (ValueError, Unreadable) as fault:
+    except (ValueError, UnreadableSnapshotError) as fault:
         why = str(fault)
     click.echo(f"{file}: {why}", err=True)
     sys.exit(UNUSABLE)
 
 
-def _rows(pool: Pool) -> Iterator[dict[str, Any]]:
+def _rows(pool: PoolSnapshot) -> Iterator[dict[str, Any]]:
     """A pool's backends and what was learned of each."""
     learned = {} if pool.learned is None else {row.server: row for row in pool.learned.servers}
     for endpoint in pool.endpoints:
@@ -60,7 +68,7 @@
             "address": f"{host}:{port}",
             "state": row.state.name.lower(),
             "latency_ms": None if known is None or not known.latency else round(known.latency * 1e3, 3),
-            "seen_s": None if known is None or not known.seen else round(pool.at - known.seen, 1),
+            "seen_s": None if known is None or not known.seen else round(pool.captured_at - known.seen, 1),
             "calls": sum(bucket[1] for bucket in window),
             "failed": sum(bucket[3] for bucket in window),
             "turned_away": 0 if known is None else known.downs,
@@ -73,12 +81,12 @@
 def show(file: str, as_json: bool) -> None:
     """Show what FILE says of each pool and backend."""
     snapshot = _read(file)
-    age = time.time() - snapshot.written
+    age = time.time() - snapshot.written_at
     if as_json:
         click.echo(
             json.dumps(
                 {
-                    "written": snapshot.written,
+                    "written": snapshot.written_at,
                     "age_s": round(age, 1),
                     "pools": {name: list(_rows(pool)) for name, pool in snapshot.pools.items()},
                 }
@@ -122,13 +130,15 @@
     dropped = 0
     facts: list[bytes] = []
     for name, pool in snapshot.pools.items():
-        facts.append(fact("pool", name, {"at": pool.at}))
-        facts += (fact("backend", name, state_codec.encode_endpoint(endpoint)) for endpoint in pool.endpoints)
+        facts.append(encode_record("pool", name, {"at": pool.captured_at}))
+        facts += (encode_record("backend", name, state_codec.encode_endpoint(endpoint)) for endpoint in pool.endpoints)
         if pool.learned is not None:
-            kept = [row for row in pool.learned.servers if row.seen and pool.at - row.seen <= within]
+            kept = [row for row in pool.learned.servers if row.seen and pool.captured_at - row.seen <= within]
             dropped += len(pool.learned.servers) - len(kept)
-            facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in kept)
-            facts.append(fact("tier", name, state_codec.encode_learned_pools(replace(pool.learned, servers=()))))
+            facts += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in kept)
+            facts.append(
+                encode_record("tier", name, state_codec.encode_learned_pools(replace(pool.learned, servers=())))
+            )
     try:
         store = Store(Directory(os.path.dirname(path.resolve())))
     except Taken:
@@ -138,7 +148,7 @@
         click.echo(f"{file}: {fault.strerror or fault}", err=True)
         sys.exit(1)
     try:
-        store.replace(path.name, whole(snapshot.written, facts))
+        store.replace(path.name, encode_snapshot(snapshot.written_at, facts))
     except OSError as fault:
         click.echo(f"{file}: {fault.strerror or fault}", err=True)
         sys.exit(1)
--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from lugspur.daemon.persistence.file import Pool
+from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 
@@ -19,13 +19,13 @@
     return None if age < -SKEW else max(0.0, age)
 
 
-def aged(pool: Pool, age: float | None, now: float) -> Learned | None:
+def aged(pool: PoolSnapshot, age: float | None, now: float) -> Learned | None:
     """What of a pool counts after so many seconds, on a clock that says `now`; None: nothing but its list."""
     learned = pool.learned
     if learned is None or age is None or age > BEYOND:
         return None
     weight = 0.5 ** (age / HALF)
-    moved = now - age - pool.at  # from that process's clock to this one's
+    moved = now - age - pool.captured_at  # from that process's clock to this one's
     return replace(
         learned,
         servers=tuple(_server(row, learned.pooled, weight, moved, now) for row in learned.servers),
--- a/lugspur/daemon/persistence/file.py
+++ b/lugspur/daemon/persistence/snapshot_format.py
@@ -17,21 +17,21 @@
 from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.model import Learned
 
-FORM = b"lugspur state"
-VERSION = 1
-FILE_MOST = 64 << 20  # bytes: 10,000 backends with full windows take some 8 MB
-BACKENDS_MOST = 50_000  # of all pools together, so that what is written can be read again
+MAGIC = b"lugspur state"
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 64 << 20  # bytes: 10,000 backends with full windows take some 8 MB
+MAX_BACKENDS = 50_000  # of all pools together, so that what is written can be read again
 
 
-class Unreadable(Exception):
+class UnreadableSnapshotError(Exception):
     """The file is none that this program can use, and why."""
 
 
 @dataclass(slots=True)
-class Pool:
+class PoolSnapshot:
     """What was kept of one pool."""
 
-    at: float  # the time of its lists when it was asked
+    captured_at: float  # the time of its lists when it was asked
     endpoints: list[Endpoint] = field(default_factory=list)
     learned: Learned | None = None
 
@@ -40,50 +40,52 @@
 class Snapshot:
     """What a file says."""
 
-    written: float  # the wall clock's time
-    pools: dict[str, Pool]
+    written_at: float  # the wall clock's time
+    pools: dict[str, PoolSnapshot]
 
 
-def fact(kind: str, pool: str, value: object) -> bytes:
+def encode_record(kind: str, pool: str, value: object) -> bytes:
     """One line."""
     return orjson.dumps([kind, pool, value]) + b"\n"
 
 
-def whole(written: float, facts: Iterable[bytes]) -> bytes:
+def encode_snapshot(written_at: float, facts: Iterable[bytes]) -> bytes:
     """A whole file."""
-    lines = [b"%b %d %.3f\n" % (FORM, VERSION, written), *facts]
+    lines = [b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, written_at), *facts]
     text = b"".join(lines)
     count = text.count(b"\n")
     return text + b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), count)
 
 
-def read(data: bytes) -> Snapshot:
+def decode_snapshot(data: bytes) -> Snapshot:
     """What a file says; raises Unreadable."""
     first, _, _ = data.partition(b"\n")
     form, _, rest = first.rpartition(b" ")
     form, _, version = form.rpartition(b" ")
-    if form != FORM:
-        raise Unreadable("it is no state file")
-    if version != b"%d" % VERSION:  # before the checksum: another version may have another one
-        raise Unreadable(f"it is of version {version[:9].decode('latin-1')}, and this program reads {VERSION}")
+    if form != MAGIC:
+        raise UnreadableSnapshotError("it is no state file")
+    if version != b"%d" % FORMAT_VERSION:  # before the checksum: another version may have another one
+        raise UnreadableSnapshotError(
+            f"it is of version {version[:9].decode('latin-1')}, and this program reads {FORMAT_VERSION}"
+        )
     at = data.rfind(b"\nend ", 0, -1) + 1
     text, end = data[:at], data[at:]
     if end != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
-        raise Unreadable("its checksum does not fit: it is cut or changed")
+        raise UnreadableSnapshotError("its checksum does not fit: it is cut or changed")
     try:
         return Snapshot(state_codec.finite_number(rest), _pools(text.splitlines()[1:]))
     except state_codec.DECODE_ERRORS as fault:  # well written, and yet it makes no sense
-        raise Unreadable(f"it makes no sense: {fault!r:.200}") from fault
+        raise UnreadableSnapshotError(f"it makes no sense: {fault!r:.200}") from fault
 
 
-def _pools(lines: Sequence[bytes]) -> dict[str, Pool]:
-    found: dict[str, Pool] = {}
+def _pools(lines: Sequence[bytes]) -> dict[str, PoolSnapshot]:
+    found: dict[str, PoolSnapshot] = {}
     tiers: dict[str, dict[str, Any]] = {}
     servers: dict[str, list[dict[str, Any]]] = {}
     for line in lines:
         kind, name, value = orjson.loads(line)
         if kind == "pool":
-            found[name] = Pool(state_codec.finite_number(value["at"]))
+            found[name] = PoolSnapshot(state_codec.finite_number(value["at"]))
         elif kind == "backend":
             found[name].endpoints.append(state_codec.decode_endpoint(value))
         elif kind == "learned":
--- a/lugspur/daemon/persistence/store.py
+++ b/lugspur/daemon/persistence/store.py
@@ -12,7 +12,12 @@
 from dataclasses import dataclass
 
 from lugspur.daemon.persistence.directory import Directory
-from lugspur.daemon.persistence.file import FILE_MOST, Snapshot, Unreadable, read
+from lugspur.daemon.persistence.snapshot_format import (
+    MAX_FILE_BYTES,
+    Snapshot,
+    UnreadableSnapshotError,
+    decode_snapshot,
+)
 
 NOW, BEFORE, FRESH, LOCK, TRIED = "state", "state.1", "state.new", "lock", "tried"
 TRIES = 2  # starts with one generation that did not come to serve, after which it is set aside
@@ -91,8 +96,8 @@
         said: list[str] = []
         for name in (NOW, BEFORE):
             try:
-                data = self._directory.read(name, FILE_MOST)
-                snapshot = read(data)
+                data = self._directory.read(name, MAX_FILE_BYTES)
+                snapshot = decode_snapshot(data)
             except FileNotFoundError:
                 continue
             except OSError as fault:
@@ -100,7 +105,7 @@
                     said.append(f"{name} can't be read: {fault.strerror}")
                     continue
                 said.append(self._aside(name, "it is a link"))
-            except (ValueError, Unreadable) as fault:
+            except (ValueError, UnreadableSnapshotError) as fault:
                 said.append(self._aside(name, str(fault)))
             else:
                 mark = data[-90:].rpartition(b"end ")[2].strip()
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -12,7 +12,13 @@
 
 from lugspur.config.load import resolved
 from lugspur.daemon.persistence.aging import age_of
-from lugspur.daemon.persistence.file import BACKENDS_MOST, Pool, Snapshot, fact, whole
+from lugspur.daemon.persistence.snapshot_format import (
+    MAX_BACKENDS,
+    PoolSnapshot,
+    Snapshot,
+    encode_record,
+    encode_snapshot,
+)
 from lugspur.daemon.persistence.store import Found, Store, Taken, open_store
 from lugspur.discovery import state_codec
 
@@ -62,7 +68,7 @@
             _say(line)
         self._snapshot = found.snapshot
         if found.snapshot is not None:
-            self._age = age_of(found.snapshot.written, time.time())
+            self._age = age_of(found.snapshot.written_at, time.time())
             pools = found.snapshot.pools
             backends = sum(len(pool.endpoints) for pool in pools.values())
             aged = "of unknown age" if self._age is None else f"{self._age:.0f} s old"
@@ -72,7 +78,7 @@
         store = open_store(self._folder)
         return store, store.load()
 
-    def of(self, name: str) -> tuple[Pool | None, float | None]:
+    def of(self, name: str) -> tuple[PoolSnapshot | None, float | None]:
         """What was kept of a pool, and its age."""
         return (None if self._snapshot is None else self._snapshot.pools.get(name)), self._age
 
@@ -101,7 +107,7 @@
             return
         try:
             facts = await self._facts()
-            await self._aside(lambda: store.save(whole(time.time(), facts)))
+            await self._aside(lambda: store.save(encode_snapshot(time.time(), facts)))
         except Exception as fault:  # Guards service and its orderly end: a list may hold what no file can.
             if not self._failing:
                 why = fault.strerror if isinstance(fault, OSError) and fault.strerror else repr(fault)
@@ -116,7 +122,7 @@
     async def _facts(self) -> list[bytes]:
         """All lines of a file, in slices."""
         found: list[bytes] = []
-        begun, left = self._loop.time(), BACKENDS_MOST
+        begun, left = self._loop.time(), MAX_BACKENDS
         for station in tuple(self._stations().values()):
             for line in lines(station, left):
                 found.append(line)
@@ -174,15 +180,15 @@
 def lines(station: Station, most: int) -> Iterator[bytes]:
     """What is kept of a pool, at most so many of its backends."""
     name, pool = station.name, station.pool
-    yield fact("pool", name, {"at": pool.now()})
+    yield encode_record("pool", name, {"at": pool.now()})
     told = tuple(station.maintenance.told.values())[:most]
     for endpoint in told:
-        yield fact("backend", name, state_codec.encode_endpoint(endpoint))
+        yield encode_record("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(told), EACH):
         among = [endpoint.row.server for endpoint in told[at : at + EACH]]
         for row in pool.balancer.learned(among).servers:
-            yield fact("learned", name, state_codec.encode_learned_server(row))
-    yield fact("tier", name, state_codec.encode_learned_pools(pool.balancer.learned(())))
+            yield encode_record("learned", name, state_codec.encode_learned_server(row))
+    yield encode_record("tier", name, state_codec.encode_learned_pools(pool.balancer.learned(())))
 
 
 def _say(line: str) -> None:
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -26,7 +26,7 @@
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
-    from lugspur.daemon.persistence.file import Pool as Kept
+    from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
     from lugspur.http2.upstream import Streams
 
 GRPC = 1  # the kind of backends that speak gRPC, for the decision module: streams are bound to it
@@ -75,7 +75,7 @@
         limits: model.Limits,
         beside: str,
         registries: Mapping[str, model.Registry],
-        kept: Kept | None = None,
+        kept: PoolSnapshot | None = None,
         age: float | None = None,
     ) -> None:
         """Begin, or go on, by this row of the file `beside`; what was learned of backends stays.
@@ -104,7 +104,7 @@
         if kept is not None:
             self._recall(kept, age)
 
-    def _recall(self, kept: Kept, age: float | None) -> None:
+    def _recall(self, kept: PoolSnapshot, age: float | None) -> None:
         # Imported only here: a daemon that keeps nothing has no use for it.
         from lugspur.daemon.persistence.aging import aged
 
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -24,7 +24,7 @@
 from lugspur.config.load import load
 from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore
 from lugspur.daemon.leases.voter import Promise
-from lugspur.daemon.persistence.file import Unreadable, read, whole
+from lugspur.daemon.persistence.snapshot_format import UnreadableSnapshotError, decode_snapshot, encode_snapshot
 from lugspur.daemon.persistence.store import open_store
 from lugspur.daemon.run import Running
 
@@ -113,8 +113,8 @@
 
 def test_the_frame_of_a_state_file_stays() -> None:
     lines = COMPLETE.splitlines(keepends=True)
-    assert whole(1700000000.1234, lines[1:-1]) == COMPLETE
-    assert whole(1.0, []) == EMPTY
+    assert encode_snapshot(1700000000.1234, lines[1:-1]) == COMPLETE
+    assert encode_snapshot(1.0, []) == EMPTY
 
 
 def test_the_values_of_a_state_file_are_read_as_they_were_written(tmp_path: Path) -> None:
@@ -175,8 +175,8 @@
     ],
 )
 def test_the_reasons_for_which_a_state_file_is_rejected_stay(data: bytes, reason: str) -> None:
-    with pytest.raises(Unreadable) as raised:
-        read(data)
+    with pytest.raises(UnreadableSnapshotError) as raised:
+        decode_snapshot(data)
     assert str(raised.value) == reason
 
 
@@ -186,7 +186,7 @@
 def test_a_data_directory_is_opened_and_its_start_counted(tmp_path: Path) -> None:
     left(tmp_path, DIRECTORY)
     store = open_store(str(tmp_path))
-    assert store.load().snapshot == read(CURRENT)
+    assert store.load().snapshot == decode_snapshot(CURRENT)
     assert found(tmp_path) == DIRECTORY | {"tried": b"2" + ATTEMPTS[1:]}
     store.save(COMPLETE)
     assert found(tmp_path) == DIRECTORY | {"state": COMPLETE, "state.1": CURRENT, "tried": b"2" + ATTEMPTS[1:]}
@@ -199,7 +199,7 @@
 def test_a_generation_that_failed_two_starts_is_set_aside(tmp_path: Path) -> None:
     left(tmp_path, DIRECTORY | {"tried": b"2" + ATTEMPTS[1:], "state.aside-7": b"former"})
     store = open_store(str(tmp_path))
-    assert store.load().snapshot == read(PREVIOUS)
+    assert store.load().snapshot == decode_snapshot(PREVIOUS)
     store.close()
     assert found(tmp_path) == {
         "lock": b"",
--- a/tests/daemon/persistence/kept.py
+++ b/tests/daemon/persistence/kept.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from lugspur.daemon.persistence.file import fact, whole
+from lugspur.daemon.persistence.snapshot_format import encode_record, encode_snapshot
 from lugspur.discovery import state_codec
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
@@ -58,11 +58,11 @@
     """A whole file of one pool."""
     rows = endpoints() if rows is None else rows
     learned = taught(rows).learned() if learned is None else learned
-    facts = [fact("pool", name, {"at": written})]
-    facts += (fact("backend", name, state_codec.encode_endpoint(row)) for row in rows)
-    facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
-    facts.append(fact("tier", name, state_codec.encode_learned_pools(learned)))
-    return whole(written, facts)
+    facts = [encode_record("pool", name, {"at": written})]
+    facts += (encode_record("backend", name, state_codec.encode_endpoint(row)) for row in rows)
+    facts += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
+    facts.append(encode_record("tier", name, state_codec.encode_learned_pools(learned)))
+    return encode_snapshot(written, facts)
 
 
 def other(seed: int) -> bytes:
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -12,7 +12,7 @@
 from kept import SETTINGS, endpoints, send_number, taught
 
 from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
-from lugspur.daemon.persistence.file import Pool
+from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
 from lugspur.load_balancing.decide import Balancer
@@ -21,8 +21,8 @@
 AT = 1002.0  # when the module of `taught` was asked: right after its last request
 
 
-def kept(rows: list[Endpoint], **more: int) -> Pool:
-    return Pool(AT, rows, taught(rows, **more).learned())
+def kept(rows: list[Endpoint], **more: int) -> PoolSnapshot:
+    return PoolSnapshot(AT, rows, taught(rows, **more).learned())
 
 
 def test_an_age_is_known_only_where_clocks_are_steady() -> None:
@@ -61,7 +61,7 @@
     assert gaps[2] == pytest.approx(gaps[0] / 8)
     for age in (BEYOND + 1.0, 86_400.0, None):
         assert aged(pool, age, AT) is None
-    assert aged(Pool(AT, endpoints(1)), 1.0, AT) is None
+    assert aged(PoolSnapshot(AT, endpoints(1)), 1.0, AT) is None
 
 
 def numbers(found: Learned) -> list[float]:
--- a/tests/daemon/persistence/test_file.py
+++ b/tests/daemon/persistence/test_snapshot_format.py
@@ -10,7 +10,12 @@
 from hypothesis import strategies as st
 from kept import endpoints, taught, text
 
-from lugspur.daemon.persistence.file import Unreadable, fact, read, whole
+from lugspur.daemon.persistence.snapshot_format import (
+    UnreadableSnapshotError,
+    decode_snapshot,
+    encode_record,
+    encode_snapshot,
+)
 
 
 def signed(lines: bytes) -> bytes:
@@ -20,14 +25,14 @@
 def test_what_is_written_is_read_as_it_was() -> None:
     rows = endpoints(5)
     learned = taught(rows, slow=2, bad=1).learned()
-    found = read(text(1234.5, rows, learned))
-    assert found.written == 1234.5
+    found = decode_snapshot(text(1234.5, rows, learned))
+    assert found.written_at == 1234.5
     pool = found.pools["channel"]
-    assert (pool.at, pool.endpoints, pool.learned) == (1234.5, rows, learned)
+    assert (pool.captured_at, pool.endpoints, pool.learned) == (1234.5, rows, learned)
 
 
 def test_a_file_of_no_pool_is_whole_too() -> None:
-    assert read(whole(1.0, [])).pools == {}
+    assert decode_snapshot(encode_snapshot(1.0, [])).pools == {}
 
 
 def test_every_flipped_bit_is_noticed() -> None:
@@ -36,15 +41,15 @@
         for bit in range(8):
             changed = bytearray(data)
             changed[at] ^= 1 << bit
-            with pytest.raises(Unreadable):
-                read(bytes(changed))
+            with pytest.raises(UnreadableSnapshotError):
+                decode_snapshot(bytes(changed))
 
 
 def test_a_file_cut_at_any_length_is_noticed() -> None:
     data = text()
     for end in range(len(data)):
-        with pytest.raises(Unreadable):
-            read(data[:end])
+        with pytest.raises(UnreadableSnapshotError):
+            decode_snapshot(data[:end])
 
 
 @pytest.mark.parametrize(
@@ -56,41 +61,41 @@
     ],
 )
 def test_another_version_is_named(line: bytes) -> None:
-    with pytest.raises(Unreadable, match="it is of version"):
-        read(signed(line))
+    with pytest.raises(UnreadableSnapshotError, match="it is of version"):
+        decode_snapshot(signed(line))
 
 
-POOL = fact("pool", "a", {"at": 1.0})
+POOL = encode_record("pool", "a", {"at": 1.0})
 ROW = ["s", "up", "0", 0, 1.0, 0.0, "0", "h", 1, False]
 
 
 @pytest.mark.parametrize(
     "facts",
     [
-        fact("backend", "a", ROW),  # of a pool that is not there
-        POOL + fact("backend", "a", ROW[:-1]),
-        POOL + fact("backend", "a", [*ROW[:1], "maybe", *ROW[2:]]),
-        POOL + fact("rumour", "a", {}),
-        POOL + fact("tier", "a", {"pools": []}),
+        encode_record("backend", "a", ROW),  # of a pool that is not there
+        POOL + encode_record("backend", "a", ROW[:-1]),
+        POOL + encode_record("backend", "a", [*ROW[:1], "maybe", *ROW[2:]]),
+        POOL + encode_record("rumour", "a", {}),
+        POOL + encode_record("tier", "a", {"pools": []}),
         POOL + b"[1,2]\n",
         POOL + b"{}\n",
         POOL + b"nonsense\n",
-        fact("pool", "a", {"at": "soon"}),
-        fact("pool", "a", {"at": "nan"}),
-        fact("pool", "a", {"at": "inf"}),
-        fact("pool", "a", {}),
-        POOL + fact("tier", "a", {"pools": [], "pooled": "nan", "pace": 0.0, "paced": 0}),
-        POOL + fact("backend", "a", [*ROW[:4], float("1e400"), *ROW[5:]]),
+        encode_record("pool", "a", {"at": "soon"}),
+        encode_record("pool", "a", {"at": "nan"}),
+        encode_record("pool", "a", {"at": "inf"}),
+        encode_record("pool", "a", {}),
+        POOL + encode_record("tier", "a", {"pools": [], "pooled": "nan", "pace": 0.0, "paced": 0}),
+        POOL + encode_record("backend", "a", [*ROW[:4], float("1e400"), *ROW[5:]]),
     ],
 )
 def test_what_is_whole_and_makes_no_sense_is_noticed(facts: bytes) -> None:
-    with pytest.raises(Unreadable, match="makes no sense"):
-        read(signed(b"lugspur state 1 5.000\n" + facts))
+    with pytest.raises(UnreadableSnapshotError, match="makes no sense"):
+        decode_snapshot(signed(b"lugspur state 1 5.000\n" + facts))
 
 
 @given(st.binary(max_size=400))
 @settings(deadline=None)  # a loaded machine is no fault
 def test_noise_is_noticed(noise: bytes) -> None:
     for data in (noise, b"lugspur state 1 1.0\n" + noise, signed(b"lugspur state 1 1.0\n" + noise + b"\n")):
-        with suppress(Unreadable):
-            assert read(data).pools == {}
+        with suppress(UnreadableSnapshotError):
+            assert decode_snapshot(data).pools == {}
--- a/tests/daemon/persistence/test_store.py
+++ b/tests/daemon/persistence/test_store.py
@@ -15,7 +15,7 @@
 from kept import endpoints, other, text
 
 from lugspur.daemon.persistence.directory import Directory
-from lugspur.daemon.persistence.file import FILE_MOST, read, whole
+from lugspur.daemon.persistence.snapshot_format import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
 from lugspur.daemon.persistence.store import ASIDE, ASIDE_MOST, BEFORE, NOW, TRIED, TRIES, Taken, open_store
 
 CALLS = ("create", "write", "sync", "close_file", "rename", "remove", "sync_directory")
@@ -72,7 +72,7 @@
     try:
         found = store.load()
         store.served()
-        return None if found.snapshot is None else found.snapshot.written, found.said
+        return None if found.snapshot is None else found.snapshot.written_at, found.said
     finally:
         store.close()
 
@@ -121,7 +121,7 @@
 
 def test_a_stop_after_any_byte_leaves_the_old_one(tmp_path: Path) -> None:
     saved(tmp_path, OLD)
-    short = whole(2000.0, [])
+    short = encode_snapshot(2000.0, [])
     for at in range(3, 3 + len(short)):  # the first calls make the file
         assert faulty(tmp_path, at, Stopped, True, 1, short)[1]
         assert loaded(tmp_path) == (1000.0, [])
@@ -139,7 +139,7 @@
 def test_killed_at_any_moment_there_is_always_a_whole_one(tmp_path: Path) -> None:
     texts = [other(seed) for seed in range(8)]
     saved(tmp_path, texts[0])
-    written_ever, rng = {read(each).written for each in texts}, Random(5)
+    written_ever, rng = {decode_snapshot(each).written_at for each in texts}, Random(5)
     seen = set()
     for number in range(300):
         waits, tells = os.pipe()
@@ -172,7 +172,7 @@
         assert len(said) == 1 and "state is not used: " in said[0] and ASIDE in said[0]
     saved(tmp_path, NEW)
     assert loaded(tmp_path) == (2000.0, [])
-    assert read((tmp_path / BEFORE).read_bytes()).written == 1000.0  # nothing whole was lost by that
+    assert decode_snapshot((tmp_path / BEFORE).read_bytes()).written_at == 1000.0  # nothing whole was lost by that
 
 
 def test_what_is_no_plain_file_is_set_aside(tmp_path: Path) -> None:
@@ -215,7 +215,7 @@
 def test_one_that_is_too_large_is_never_read(tmp_path: Path) -> None:
     (tmp_path / NOW).write_bytes(OLD)
     disk = Directory(str(tmp_path))
-    assert disk.read(NOW, FILE_MOST) == OLD
+    assert disk.read(NOW, MAX_FILE_BYTES) == OLD
     with pytest.raises(ValueError, match="are the most"):
         disk.read(NOW, len(OLD) - 1)
     disk.close()
@@ -228,7 +228,7 @@
         store = open_store(str(tmp_path))
         found = store.load()
         store.close()  # as a process does that ends before it serves
-        return None if found.snapshot is None else found.snapshot.written
+        return None if found.snapshot is None else found.snapshot.written_at
 
     assert [start() for _ in range(TRIES)] == [2000.0] * TRIES
     assert [start() for _ in range(TRIES)] == [1000.0] * TRIES
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -24,7 +24,7 @@
 
 from lugspur.cli.main import cli
 from lugspur.daemon import remembering
-from lugspur.daemon.persistence.file import read
+from lugspur.daemon.persistence.snapshot_format import decode_snapshot
 from lugspur.daemon.persistence.store import NOW, Store, open_store
 
 ROOT = Path(__file__).parent.parent.parent
@@ -51,7 +51,7 @@
 
 def kept(folder: Path) -> list[str]:
     """The backends that the file knows something of."""
-    learned = read((folder / NOW).read_bytes()).pools["a"].learned
+    learned = decode_snapshot((folder / NOW).read_bytes()).pools["a"].learned
     assert learned is not None
     return sorted(str(row.server) for row in learned.servers)
 
@@ -115,7 +115,7 @@
 def test_more_backends_than_can_be_kept_are_left_out_and_the_rest_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(remembering, "BACKENDS_MOST", 3)
+    monkeypatch.setattr(remembering, "MAX_BACKENDS", 3)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one:
@@ -125,7 +125,7 @@
                 both += f"[pools.{name}]\nmembers = [{members}]\n"
             async with keeping(tmp_path, both) as up:
                 await asked(up, 5)
-            pools = read((tmp_path / NOW).read_bytes()).pools
+            pools = decode_snapshot((tmp_path / NOW).read_bytes()).pools
             assert [len(pools[name].endpoints) for name in "ab"] == [2, 1]
             async with keeping(tmp_path, both) as up:
                 await asked(up, 5)
