--- a/lugspur/bench/state.py
+++ b/lugspur/bench/state.py
@@ -25,7 +25,7 @@
 from lugspur.bench.main import request
 from lugspur.bench.sockets import free_port
 from lugspur.daemon.persistence.snapshot_format import FORMAT_VERSION, MAGIC, decode_snapshot
-from lugspur.daemon.persistence.store import NOW
+from lugspur.daemon.persistence.snapshot_store import CURRENT_FILE
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.callers import Caller
 
@@ -166,7 +166,7 @@
             place = base / f"{play}-{name.replace(' ', '-')}"
             place.mkdir()
             if age is not None:
-                (place / NOW).write_bytes(redated((folder / NOW).read_bytes(), age))
+                (place / CURRENT_FILE).write_bytes(redated((folder / CURRENT_FILE).read_bytes(), age))
             daemon = Daemon(place, pool, True)
             await daemon.start()
             loss = await load(daemon.port, FIRST, 2 + play)
@@ -231,14 +231,14 @@
                     number += 1
                     if (await caller.ask(make(number), WITHIN)).status == 200:
                         took.append(loop.time() - begun)
-                    if keeps and number % 20 == 0 and (folder / NOW).exists():
-                        now = (folder / NOW).stat().st_mtime_ns
+                    if keeps and number % 20 == 0 and (folder / CURRENT_FILE).exists():
+                        now = (folder / CURRENT_FILE).stat().st_mtime_ns
                         written, last = written + (now != last), now
             await daemon.end()
             took.sort()
             rows.append([took[len(took) // 2] * 1e3, took[len(took) * 99 // 100] * 1e3, took[-1] * 1e3])
             if keeps:
-                data = (folder / NOW).read_bytes()
+                data = (folder / CURRENT_FILE).read_bytes()
                 bytes_ = len(data)
                 assert len(decode_snapshot(data).pools["main"].endpoints) == size
         shutil.rmtree(base / f"{size}-True")
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -26,7 +26,7 @@
     encode_record,
     encode_snapshot,
 )
-from lugspur.daemon.persistence.store import Store, Taken
+from lugspur.daemon.persistence.snapshot_store import DirectoryInUseError, SnapshotStore
 from lugspur.discovery import state_codec
 from lugspur.discovery.endpoints import server_name
 
@@ -140,15 +140,15 @@
                 encode_record("tier", name, state_codec.encode_learned_pools(replace(pool.learned, servers=())))
             )
     try:
-        store = Store(Directory(os.path.dirname(path.resolve())))
-    except Taken:
+        store = SnapshotStore(Directory(os.path.dirname(path.resolve())))
+    except DirectoryInUseError:
         click.echo(f"{file}: a daemon keeps its state there; stop it first", err=True)
         sys.exit(1)
     except OSError as fault:
         click.echo(f"{file}: {fault.strerror or fault}", err=True)
         sys.exit(1)
     try:
-        store.replace(path.name, encode_snapshot(snapshot.written_at, facts))
+        store.replace_file(path.name, encode_snapshot(snapshot.written_at, facts))
     except OSError as fault:
         click.echo(f"{file}: {fault.strerror or fault}", err=True)
         sys.exit(1)
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -19,7 +19,7 @@
     encode_record,
     encode_snapshot,
 )
-from lugspur.daemon.persistence.store import Found, Store, Taken, open_store
+from lugspur.daemon.persistence.snapshot_store import DirectoryInUseError, LoadResult, SnapshotStore, open_store
 from lugspur.discovery import state_codec
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
         self._loop = asyncio.get_running_loop()
         self._folder = resolved(folder, beside)
         self._every = self._delay = every
-        self._store: Store | None = None
+        self._store: SnapshotStore | None = None
         self._snapshot: Snapshot | None = None
         self._age: float | None = None
         self._task: asyncio.Task[None] | None = None
@@ -55,7 +55,7 @@
         try:
             async with asyncio.timeout(OPEN_WITHIN):
                 self._store, found = await self._aside(self._open)
-        except Taken:
+        except DirectoryInUseError:
             _say(f"{self._folder} is kept by another process: this one keeps nothing")
             return
         except TimeoutError:  # before OSError, which it is too
@@ -64,7 +64,7 @@
         except OSError as fault:
             _say(f"{self._folder} can't be used: {fault.strerror or fault}; nothing is kept")
             return
-        for line in found.said:
+        for line in found.warnings:
             _say(line)
         self._snapshot = found.snapshot
         if found.snapshot is not None:
@@ -74,7 +74,7 @@
             aged = "of unknown age" if self._age is None else f"{self._age:.0f} s old"
             _say(f"{backends} backends of {len(pools)} pools, {aged}")
 
-    def _open(self) -> tuple[Store, Found]:
+    def _open(self) -> tuple[SnapshotStore, LoadResult]:
         store = open_store(self._folder)
         return store, store.load()
 
@@ -93,7 +93,7 @@
 
     def _went_well(self) -> None:
         if self._store is not None:
-            threading.Thread(target=self._store.served, daemon=True).start()
+            threading.Thread(target=self._store.confirm_start, daemon=True).start()
 
     async def _keep(self) -> None:
         while True:
@@ -148,7 +148,7 @@
         store, self._store = self._store, None
         if store is not None:
             if task is not None:
-                store.served()
+                store.confirm_start()
             store.close()
 
     async def _aside(self, work: Callable[[], Done]) -> Done:
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -25,7 +25,7 @@
 from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore
 from lugspur.daemon.leases.voter import Promise
 from lugspur.daemon.persistence.snapshot_format import UnreadableSnapshotError, decode_snapshot, encode_snapshot
-from lugspur.daemon.persistence.store import open_store
+from lugspur.daemon.persistence.snapshot_store import open_store
 from lugspur.daemon.run import Running
 
 # Every kind of line, and of each field the values that differ in form: the states of a backend, a zone by its place and
@@ -191,7 +191,7 @@
     store.save(COMPLETE)
     assert found(tmp_path) == DIRECTORY | {"state": COMPLETE, "state.1": CURRENT, "tried": b"2" + ATTEMPTS[1:]}
     assert {path.stat().st_mode & 0o777 for path in tmp_path.iterdir()} == {0o600}
-    store.served()
+    store.confirm_start()
     assert found(tmp_path) == {"lock": b"", "state": COMPLETE, "state.1": CURRENT}
     store.close()
 
--- a/tests/daemon/persistence/test_store.py
+++ b/tests/daemon/persistence/test_snapshot_store.py
@@ -16,7 +16,16 @@
 
 from lugspur.daemon.persistence.directory import Directory
 from lugspur.daemon.persistence.snapshot_format import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
-from lugspur.daemon.persistence.store import ASIDE, ASIDE_MOST, BEFORE, NOW, TRIED, TRIES, Taken, open_store
+from lugspur.daemon.persistence.snapshot_store import (
+    ATTEMPTS_FILE,
+    CURRENT_FILE,
+    MAX_QUARANTINED_FILES,
+    MAX_START_ATTEMPTS,
+    PREVIOUS_FILE,
+    QUARANTINE_INFIX,
+    DirectoryInUseError,
+    open_store,
+)
 
 CALLS = ("create", "write", "sync", "close_file", "rename", "remove", "sync_directory")
 assert all(callable(getattr(Directory, name)) for name in CALLS)  # else no fault would be met
@@ -71,8 +80,8 @@
     store = open_store(str(folder))
     try:
         found = store.load()
-        store.served()
-        return None if found.snapshot is None else found.snapshot.written_at, found.said
+        store.confirm_start()
+        return None if found.snapshot is None else found.snapshot.written_at, found.warnings
     finally:
         store.close()
 
@@ -166,13 +175,15 @@
 def test_a_broken_one_is_set_aside_and_the_former_one_used(tmp_path: Path) -> None:
     saved(tmp_path, OLD, NEW)
     for broken in (NEW[:-5], b"", b"lugspur state 7 1.0\n", os.urandom(100)):
-        (tmp_path / NOW).write_bytes(broken)
+        (tmp_path / CURRENT_FILE).write_bytes(broken)
         written, said = loaded(tmp_path)
         assert written == 1000.0
-        assert len(said) == 1 and "state is not used: " in said[0] and ASIDE in said[0]
+        assert len(said) == 1 and "state is not used: " in said[0] and QUARANTINE_INFIX in said[0]
     saved(tmp_path, NEW)
     assert loaded(tmp_path) == (2000.0, [])
-    assert decode_snapshot((tmp_path / BEFORE).read_bytes()).written_at == 1000.0  # nothing whole was lost by that
+    assert (
+        decode_snapshot((tmp_path / PREVIOUS_FILE).read_bytes()).written_at == 1000.0
+    )  # nothing whole was lost by that
 
 
 def test_what_is_no_plain_file_is_set_aside(tmp_path: Path) -> None:
@@ -181,43 +192,43 @@
     saved(tmp_path, OLD, OLD)
 
     def link() -> None:
-        (tmp_path / NOW).symlink_to(target)
+        (tmp_path / CURRENT_FILE).symlink_to(target)
 
     def pipe() -> None:
-        os.mkfifo(tmp_path / NOW)
+        os.mkfifo(tmp_path / CURRENT_FILE)
 
     def large() -> None:
-        with open(tmp_path / NOW, "wb") as file:
+        with open(tmp_path / CURRENT_FILE, "wb") as file:
             file.truncate(10 << 30)
 
     def folder() -> None:
-        (tmp_path / NOW).mkdir()
+        (tmp_path / CURRENT_FILE).mkdir()
 
     for make in (link, pipe, large, folder):
-        (tmp_path / NOW).unlink(missing_ok=True)
+        (tmp_path / CURRENT_FILE).unlink(missing_ok=True)
         make()
         written, said = loaded(tmp_path)
         assert written == 1000.0
         assert len(said) == 1 and "is not used" in said[0]
-        assert not (tmp_path / NOW).exists()
+        assert not (tmp_path / CURRENT_FILE).exists()
     assert target.read_bytes() == NEW  # nothing was written through the link
 
 
 def test_what_is_set_aside_is_bounded(tmp_path: Path) -> None:
-    for number in range(3 * ASIDE_MOST):
-        (tmp_path / NOW).write_bytes(b"broken %d" % number)
+    for number in range(3 * MAX_QUARANTINED_FILES):
+        (tmp_path / CURRENT_FILE).write_bytes(b"broken %d" % number)
         loaded(tmp_path)
-    kept = [each for each in os.listdir(tmp_path) if ASIDE in each]
-    assert len(kept) == ASIDE_MOST
-    assert f"{NOW}{ASIDE}{3 * ASIDE_MOST}" in kept  # the latest
+    kept = [each for each in os.listdir(tmp_path) if QUARANTINE_INFIX in each]
+    assert len(kept) == MAX_QUARANTINED_FILES
+    assert f"{CURRENT_FILE}{QUARANTINE_INFIX}{3 * MAX_QUARANTINED_FILES}" in kept  # the latest
 
 
 def test_one_that_is_too_large_is_never_read(tmp_path: Path) -> None:
-    (tmp_path / NOW).write_bytes(OLD)
+    (tmp_path / CURRENT_FILE).write_bytes(OLD)
     disk = Directory(str(tmp_path))
-    assert disk.read(NOW, MAX_FILE_BYTES) == OLD
+    assert disk.read(CURRENT_FILE, MAX_FILE_BYTES) == OLD
     with pytest.raises(ValueError, match="are the most"):
-        disk.read(NOW, len(OLD) - 1)
+        disk.read(CURRENT_FILE, len(OLD) - 1)
     disk.close()
 
 
@@ -230,18 +241,18 @@
         store.close()  # as a process does that ends before it serves
         return None if found.snapshot is None else found.snapshot.written_at
 
-    assert [start() for _ in range(TRIES)] == [2000.0] * TRIES
-    assert [start() for _ in range(TRIES)] == [1000.0] * TRIES
+    assert [start() for _ in range(MAX_START_ATTEMPTS)] == [2000.0] * MAX_START_ATTEMPTS
+    assert [start() for _ in range(MAX_START_ATTEMPTS)] == [1000.0] * MAX_START_ATTEMPTS
     assert start() is None
-    assert (tmp_path / TRIED).exists()
+    assert (tmp_path / ATTEMPTS_FILE).exists()
     saved(tmp_path, NEW)
-    for _ in range(2 * TRIES):  # one that came to serve is used again and again
+    for _ in range(2 * MAX_START_ATTEMPTS):  # one that came to serve is used again and again
         assert loaded(tmp_path)[0] == 2000.0
 
 
 def test_a_folder_has_one_daemon_and_a_dead_ones_lock_is_no_obstacle(tmp_path: Path) -> None:
     first = open_store(str(tmp_path))
-    with pytest.raises(Taken):
+    with pytest.raises(DirectoryInUseError):
         open_store(str(tmp_path))
     first.save(OLD)
     first.close()
@@ -275,12 +286,12 @@
     store = open_store(str(tmp_path))
     store.close()
     store.save(OLD)
-    store.served()
+    store.confirm_start()
     assert loaded(tmp_path) == (None, [])
 
 
 def test_a_note_that_makes_no_sense_says_nothing(tmp_path: Path) -> None:
     saved(tmp_path, OLD)
     for note in (b"", b"9", b"many words", b"-5 x", b"9 another", b"\xff" * 500):
-        (tmp_path / TRIED).write_bytes(note)
+        (tmp_path / ATTEMPTS_FILE).write_bytes(note)
         assert loaded(tmp_path)[0] == 1000.0
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -25,7 +25,7 @@
 from lugspur.cli.main import cli
 from lugspur.daemon import remembering
 from lugspur.daemon.persistence.snapshot_format import decode_snapshot
-from lugspur.daemon.persistence.store import NOW, Store, open_store
+from lugspur.daemon.persistence.snapshot_store import CURRENT_FILE, SnapshotStore, open_store
 
 ROOT = Path(__file__).parent.parent.parent
 ALL = route("all", "/*", 'pool = "a"\nclass = "read"')
@@ -51,7 +51,7 @@
 
 def kept(folder: Path) -> list[str]:
     """The backends that the file knows something of."""
-    learned = decode_snapshot((folder / NOW).read_bytes()).pools["a"].learned
+    learned = decode_snapshot((folder / CURRENT_FILE).read_bytes()).pools["a"].learned
     assert learned is not None
     return sorted(str(row.server) for row in learned.servers)
 
@@ -125,7 +125,7 @@
                 both += f"[pools.{name}]\nmembers = [{members}]\n"
             async with keeping(tmp_path, both) as up:
                 await asked(up, 5)
-            pools = decode_snapshot((tmp_path / NOW).read_bytes()).pools
+            pools = decode_snapshot((tmp_path / CURRENT_FILE).read_bytes()).pools
             assert [len(pools[name].endpoints) for name in "ab"] == [2, 1]
             async with keeping(tmp_path, both) as up:
                 await asked(up, 5)
@@ -151,16 +151,16 @@
         async with backend(lambda _: OK) as one:
             async with keeping(tmp_path, pool("a", one.address) + ALL) as up:
                 await asked(up, 2)
-                await until(lambda: (tmp_path / NOW).exists())
+                await until(lambda: (tmp_path / CURRENT_FILE).exists())
                 kept_now = up.daemon.remembering
                 assert kept_now is not None
                 await until(lambda: kept_now._written is not None)
-                before = (tmp_path / NOW).stat().st_ino  # each writing makes a file; times have a coarse tick
+                before = (tmp_path / CURRENT_FILE).stat().st_ino  # each writing makes a file; times have a coarse tick
                 await kept_now._write()
-                assert (tmp_path / NOW).stat().st_ino == before
+                assert (tmp_path / CURRENT_FILE).stat().st_ino == before
                 await asked(up, 1)
                 await kept_now._write()
-                assert (tmp_path / NOW).stat().st_ino != before
+                assert (tmp_path / CURRENT_FILE).stat().st_ino != before
 
     asyncio.run(play())
 
@@ -176,21 +176,21 @@
         folder.rmdir()
         folder.write_text("")
     if bad == "broken":
-        (folder / NOW).write_bytes(b"lugspur state 1 5.0\nhalf")
+        (folder / CURRENT_FILE).write_bytes(b"lugspur state 1 5.0\nhalf")
     if bad == "newer":
-        (folder / NOW).write_bytes(b"lugspur state 2 5.0\nend x 1\n")
+        (folder / CURRENT_FILE).write_bytes(b"lugspur state 2 5.0\nend x 1\n")
     other = open_store(str(folder)) if bad == "taken" else None
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, keeping(folder, pool("a", one.address) + ALL) as up:
             await asked(up, 2)
             if bad in ("broken", "newer"):
-                await until(lambda: (folder / NOW).exists())  # and goes on keeping
+                await until(lambda: (folder / CURRENT_FILE).exists())  # and goes on keeping
 
     asyncio.run(play())
     if other is not None:
         other.close()
-        assert not (folder / NOW).exists()
+        assert not (folder / CURRENT_FILE).exists()
     said = [line for line in capsys.readouterr().err.splitlines() if line.startswith("lugspur: state: ")]
     assert len(said) == 1
 
@@ -198,16 +198,16 @@
 def test_a_disk_that_fails_is_one_line_and_another_when_it_works_again(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    save, full, tries = Store.save, True, 0
+    save, full, tries = SnapshotStore.save, True, 0
 
-    def failing(store: Store, data: bytes) -> None:
+    def failing(store: SnapshotStore, data: bytes) -> None:
         nonlocal tries
         tries += 1
         if full:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         save(store, data)
 
-    monkeypatch.setattr(Store, "save", failing)
+    monkeypatch.setattr(SnapshotStore, "save", failing)
 
     async def play() -> None:
         nonlocal full
@@ -234,11 +234,11 @@
 ) -> None:
     go, begun = threading.Event(), threading.Event()
 
-    def slow(store: Store, data: bytes) -> None:
+    def slow(store: SnapshotStore, data: bytes) -> None:
         begun.set()
         go.wait(20.0)
 
-    monkeypatch.setattr(Store, "save", slow)
+    monkeypatch.setattr(SnapshotStore, "save", slow)
     monkeypatch.setattr(remembering, "LAST_WITHIN", 0.2)
 
     async def play() -> None:
@@ -257,7 +257,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     go = threading.Event()
-    monkeypatch.setattr(Store, "load", lambda store: go.wait(20.0))
+    monkeypatch.setattr(SnapshotStore, "load", lambda store: go.wait(20.0))
     monkeypatch.setattr(remembering, "OPEN_WITHIN", 0.1)
 
     async def play() -> None:
@@ -365,12 +365,12 @@
             for number in (signal.SIGKILL, signal.SIGTERM, signal.SIGTERM):
                 process, port = start(one)
                 await ask_of(port)
-                before = (folder / NOW).stat().st_mtime_ns if (folder / NOW).exists() else 0
+                before = (folder / CURRENT_FILE).stat().st_mtime_ns if (folder / CURRENT_FILE).exists() else 0
                 if number == signal.SIGKILL:
-                    await until(lambda: (folder / NOW).exists())
+                    await until(lambda: (folder / CURRENT_FILE).exists())
                 process.send_signal(number)
                 _, said = await asyncio.to_thread(process.communicate)
-                assert (folder / NOW).stat().st_mtime_ns > before
+                assert (folder / CURRENT_FILE).stat().st_mtime_ns > before
                 assert len(kept(folder)) == 1
                 assert ("backends of 1 pools" in said) == (before > 0)
 
@@ -423,15 +423,15 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
             await asked(up, 5)
-            await until(lambda: (tmp_path / NOW).exists())
-            assert run("prune", str(tmp_path / NOW))[0] == 1  # a daemon is at it
+            await until(lambda: (tmp_path / CURRENT_FILE).exists())
+            assert run("prune", str(tmp_path / CURRENT_FILE))[0] == 1  # a daemon is at it
 
     def run(*words: str) -> tuple[int, str]:
         got = CliRunner().invoke(cli, ("state", *words))
         return got.exit_code, got.output
 
     asyncio.run(play())
-    file = str(tmp_path / NOW)
+    file = str(tmp_path / CURRENT_FILE)
     status_, said = run("show", file)
     assert status_ == 0 and "pool a" in said and "127.0.0.1:" in said
     status_, said = run("show", "--json", file)
@@ -443,7 +443,7 @@
     assert run("prune", file, "--unseen", "0s") == (0, f"{file}: forgot 1 backends\n")
     assert run("verify", file)[0] == 0
     assert run("prune", file, "--unseen", "soon")[0] == 2
-    (tmp_path / NOW).write_bytes((tmp_path / NOW).read_bytes()[:-3])
+    (tmp_path / CURRENT_FILE).write_bytes((tmp_path / CURRENT_FILE).read_bytes()[:-3])
     for words in (("show", file), ("verify", file), ("prune", file), ("verify", str(tmp_path / "none"))):
         status_, said = run(*words)
         assert status_ == 2 and len(said.splitlines()) == 1, words
