--- a/lugspur/mesh/control_node/announcement.py
+++ b/lugspur/mesh/control_node/announcement.py
@@ -11,33 +11,36 @@
 from lugspur.mesh.control.messages import Entry, Report
 from lugspur.mesh.control.store import Store
 
-_pack = msgspec.msgpack.Encoder().encode
+_encode = msgspec.msgpack.Encoder().encode
 
 
 class Announcement:
-    """The entry of this control node; `edition` gives a new one its number, `report` sends it to all peers."""
+    """The leased entry of this control node.
+
+    `next_edition` gives a new entry its number, `report` sends it to all peers.
+    """
 
     def __init__(
-        self, ip: str, store: Store, edition: Callable[[str, str], int], report: Callable[[Report], None]
+        self, ip: str, store: Store, next_edition: Callable[[str, str], int], report: Callable[[Report], None]
     ) -> None:
-        self._ip, self._store, self._edition, self._report = ip, store, edition, report
+        self._ip, self._store, self._next_edition, self._report = ip, store, next_edition, report
         self._announced: Entry | None = None
 
     def announce(self, presence: Presence) -> None:
-        """Say it anew, unless just that has been said and stands."""
-        value = _pack(presence)
-        standing = self._store.get(CONTROL, self._ip)
-        if standing is not None and standing == self._announced and standing.value == value:
+        """Announce the presence, unless just that was announced and is what the store has."""
+        value = _encode(presence)
+        current = self._store.get(CONTROL, self._ip)
+        if current is not None and current == self._announced and current.value == value:
             return
-        self._announced = Entry(CONTROL, self._ip, self._edition(CONTROL, self._ip), value)
+        self._announced = Entry(CONTROL, self._ip, self._next_edition(CONTROL, self._ip), value)
         self._store.merge([self._announced])
         self._report(Report([self._announced]))
 
     def entries(self) -> list[Entry]:
-        """What has been announced."""
+        """What was announced last."""
         return [] if self._announced is None else [self._announced]
 
-    def contradicted_by(self, entry: Entry) -> bool:
-        """Whether an entry shows that what was announced was dropped, or stands as an older life left it."""
+    def is_contradicted_by(self, entry: Entry) -> bool:
+        """Whether an entry shows that the announcement was withdrawn, or is still one of a former incarnation."""
         announced = self._announced
         return entry.kind == CONTROL and entry.name == self._ip and announced is not None and entry != announced
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -1,4 +1,4 @@
-"""Where orders are proposed: here, or by the control node that proposes for all in calm times."""
+"""Where changes are proposed: here, or by the control node that proposes for all in calm times."""
 
 from __future__ import annotations
 
@@ -14,15 +14,12 @@
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.transport.link import Link
 
-DECISION_TIMEOUT_SECONDS = 0.8  # seconds for a call of an operator: callers move on after a second
-MAX_PENDING_CALLS = 64  # calls of operators in hand at once
+DECISION_TIMEOUT_SECONDS = 0.8  # for a call of an operator: callers try elsewhere after a second
+MAX_PENDING_CALLS = 64  # calls of operators that are not decided
 
 
 class ChangeRouter:
-    """Takes up orders, or turns them away.
-
-    `preferred` names the control node that proposes for all, `do` carries out effects, `to` sends to a control node.
-    """
+    """Admits changes, and proposes them here or forwards them."""
 
     def __init__(
         self,
@@ -30,58 +27,62 @@
         ip: str,
         proposer: Proposer,
         pause_detector: PauseDetector,
-        preferred: Callable[[float], str],
-        do: Callable[[Effects], None],
-        to: Callable[[str, Message], None],
+        preferred_proposer: Callable[[float], str],
+        run_effects: Callable[[Effects], None],
+        send_to: Callable[[str, Message], None],
     ) -> None:
+        """`preferred_proposer` returns the IP number of the control node that proposes for all at a time."""
         self._loop, self._ip, self._proposer, self._pause_detector = loop, ip, proposer, pause_detector
-        self._preferred, self._do, self._to = preferred, do, to
+        self._preferred_proposer, self._run_effects, self._send_to = preferred_proposer, run_effects, send_to
         self.forwarder = Forwarder()
 
-    def turn_away(self, now: float) -> None:
-        """Raises MeshError where an order may not be taken up."""
-        in_hand = len(self._proposer) + len(self.forwarder)
-        if in_hand >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
+    def check_admission(self, now: float) -> None:
+        """Raise MeshError (NO_QUORUM) where no change can be taken now."""
+        pending = len(self._proposer) + len(self.forwarder)
+        if pending >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
             raise MeshError(Kind.NO_QUORUM, "too many calls in hand")
         if self._pause_detector.is_stale(now):
             raise MeshError(Kind.NO_QUORUM, "this process has stood still")
 
     def submit(self, now: float, order: Order) -> None:
-        """Propose an order, or have it proposed by the preferred control node."""
-        proposer = self._preferred(now)
-        if proposer == self._ip:
-            self._do(self._proposer.submit(now, order))
+        """Propose a change, or forward it to the preferred proposer."""
+        proposer_ip = self._preferred_proposer(now)
+        if proposer_ip == self._ip:
+            self._propose(now, order)
         else:
-            self._to(proposer, self.forwarder.hand_over(now, proposer, order))
+            self._send_to(proposer_ip, self.forwarder.hand_over(now, proposer_ip, order))
 
     def withdraw(self, order: Order) -> None:
-        """Nobody waits for an order any more."""
+        """Nobody waits for a change any more: it is not proposed if it has not been."""
         self._proposer.withdraw(order)
         self.forwarder.withdraw(order)
 
-    def submitted(self, link: Link, message: ForwardChange) -> None:
-        """Another control node hands over an order."""
+    def take_forwarded(self, link: Link, message: ForwardChange) -> None:
+        """Propose a change that another control node has forwarded, and send it the result."""
 
-        def over(outcome: Outcome) -> None:
+        def send_result(outcome: Outcome) -> None:
             link.send(answer_of(message.number, outcome))
 
         now = self._loop.time()
         try:
-            self.turn_away(now)
+            self.check_admission(now)
         except MeshError:
-            over(NoQuorum())
+            send_result(NoQuorum())
             return
-        order = Order(message.entries, now + min(DECISION_TIMEOUT_SECONDS, message.seconds_left), over)
-        self._do(self._proposer.submit(now, order))
+        timeout = min(DECISION_TIMEOUT_SECONDS, message.seconds_left)
+        self._propose(now, Order(message.entries, now + timeout, send_result))
 
-    def lost(self, now: float, ip: str) -> None:
+    def disconnected(self, now: float, ip: str) -> None:
         """The connection to a control node has ended: propose here what it has not answered."""
-        self._propose_here(now, self.forwarder.lost(ip))
+        self._propose_all(now, self.forwarder.lost(ip))
 
-    def look(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Propose here what other control nodes have not answered in time."""
-        self._propose_here(now, self.forwarder.overdue(now))
+        self._propose_all(now, self.forwarder.overdue(now))
 
-    def _propose_here(self, now: float, orders: list[Order]) -> None:
+    def _propose_all(self, now: float, orders: list[Order]) -> None:
         for order in orders:
-            self._do(self._proposer.submit(now, order))
+            self._propose(now, order)
+
+    def _propose(self, now: float, order: Order) -> None:
+        self._run_effects(self._proposer.submit(now, order))
--- a/lugspur/mesh/control_node/effect_runner.py
+++ b/lugspur/mesh/control_node/effect_runner.py
@@ -9,40 +9,40 @@
 from lugspur.mesh.control.messages import Message
 from lugspur.mesh.storage.disk import Disk
 
-LAZY_WRITE_DELAY_SECONDS = 0.1  # seconds for which rows that nobody waits for may wait for others
+LAZY_WRITE_DELAY_SECONDS = 0.1  # for which rows that nobody waits for may wait for others
 
 
 class EffectRunner:
-    """Effects on the disk and on peers; `to` sends to a control node by its IP number."""
+    """Carries out effects on the disk and on peers; `send_to` sends to a control node by its IP number."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, disk: Disk, to: Callable[[str, Message], None]) -> None:
-        self._loop, self._disk, self._to = loop, disk, to
-        self._lazy = False
+    def __init__(self, loop: asyncio.AbstractEventLoop, disk: Disk, send_to: Callable[[str, Message], None]) -> None:
+        self._loop, self._disk, self._send_to = loop, disk, send_to
+        self._is_flush_due = False
 
     def run(self, effects: Effects) -> None:
-        """Send, write, and send the rest once that is on disk."""
+        """Send and write, and send the rest once the rows are on disk."""
         for peer, message in effects.send:
             self._send(peer, message)
         if effects.after_sync:
             after_sync = effects.after_sync
 
-            def written() -> None:
+            def synced() -> None:
                 for peer, message in after_sync:
                     self._send(peer, message)
 
-            self._disk.write(effects.write, written)
+            self._disk.write(effects.write, synced)
         elif effects.write:
             self._disk.write(effects.write)
-            if not self._lazy:
-                self._lazy = True
-                self._loop.call_later(LAZY_WRITE_DELAY_SECONDS, self._write_lazy)
+            if not self._is_flush_due:
+                self._is_flush_due = True
+                self._loop.call_later(LAZY_WRITE_DELAY_SECONDS, self._flush)
 
     def _send(self, peer: Peer, message: Message) -> None:
         if isinstance(peer, str):
-            self._to(peer, message)
+            self._send_to(peer, message)
         else:
             peer.send(message)
 
-    def _write_lazy(self) -> None:
-        self._lazy = False
+    def _flush(self) -> None:
+        self._is_flush_due = False
         self._disk.flush()
--- a/lugspur/mesh/control_node/leases.py
+++ b/lugspur/mesh/control_node/leases.py
@@ -1,4 +1,4 @@
-"""Leases on what processes say of themselves: entries of those who have fallen silent are withdrawn."""
+"""Leases on what processes say of themselves: the entries of those that have fallen silent are withdrawn."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from lugspur.mesh.control.store import EntryKey, Store
 from lugspur.mesh.transport.link import Link
 
-LEASE_SECONDS = 4.0  # seconds without a word after which what a process said of itself is dropped
-RENEWAL_SECONDS = 1.0  # seconds between looks at when the link of an open lease was heard last
+LEASE_SECONDS = 4.0  # without a message, after which a process's entries are withdrawn
+RENEWAL_SECONDS = 1.0  # between two renewals of a lease whose connection is open
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,7 +19,7 @@
 
     link: Link
     edition: int
-    heard_at: float
+    last_heard_at: float
 
 
 class Leases:
@@ -30,25 +30,25 @@
         self._leases: dict[EntryKey, Lease] = {}
 
     def report(self, now: float, link: Link, entries: list[Entry]) -> None:
-        """A process has said something of itself; entries of other kinds are ignored."""
+        """Take what a process says of itself; entries of other kinds are ignored."""
         leased = [entry for entry in entries if entry.kind in LEASED_KINDS]
         for entry in leased:
             self._leases[entry.kind, entry.name] = Lease(link, entry.edition, now)
         self._store.merge(leased)
 
-    def end_silent(self, now: float) -> None:
-        """Drop what was said by those who are silent."""
-        for name, lease in list(self._leases.items()):
-            heard_at = max(lease.heard_at, lease.link.last_received_at)
+    def tick(self, now: float) -> None:
+        """Renew the leases of open connections, and withdraw the entries of processes that are silent."""
+        for key, lease in list(self._leases.items()):
+            heard_at = max(lease.last_heard_at, lease.link.last_received_at)
             if lease.link.is_open:
-                if now - lease.heard_at > RENEWAL_SECONDS:
-                    self._leases[name] = Lease(lease.link, lease.edition, heard_at)
+                if now - lease.last_heard_at > RENEWAL_SECONDS:
+                    self._leases[key] = Lease(lease.link, lease.edition, heard_at)
             elif now - heard_at > LEASE_SECONDS:
-                del self._leases[name]
-                self._withdraw(name, lease.edition)
-
-    def _withdraw(self, name: EntryKey, edition: int) -> None:
-        """Withdraw an entry, unless a later edition stands."""
-        standing = self._store.get(*name)
-        if standing is not None and standing.edition == edition and standing.value is not None:
-            self._store.merge([Entry(*name, edition + 1, None)])
+                del self._leases[key]
+                self._withdraw(key, lease.edition)
+
+    def _withdraw(self, key: EntryKey, edition: int) -> None:
+        """Withdraw an entry, unless a later edition has taken its place."""
+        current = self._store.get(*key)
+        if current is not None and current.edition == edition and current.value is not None:
+            self._store.merge([Entry(*key, edition + 1, None)])
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -18,16 +18,16 @@
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS
 from lugspur.mesh.process_pause import PauseDetector
 
-_presence = msgspec.msgpack.Decoder(Presence)
+_presence_decoder = msgspec.msgpack.Decoder(Presence)
 
 
 def presences_of(store: Store) -> dict[str, Presence]:
     """What the control nodes say of themselves, by IP number."""
-    return {name: _presence.decode(value) for name, value in store.values_of(CONTROL).items()}
+    return {ip: _presence_decoder.decode(value) for ip, value in store.values_of(CONTROL).items()}
 
 
 class MembershipChanges:
-    """Proposes the steps of a reconfiguration; `stale` is the age in seconds at which a voter's word is too old."""
+    """Proposes the steps of a reconfiguration of the voters."""
 
     def __init__(
         self,
@@ -36,33 +36,35 @@
         reconfiguration: Reconfiguration,
         store: Store,
         freshness: Freshness,
-        stale: float,
+        max_staleness: float,
         pause_detector: PauseDetector,
         propose: Callable[[float, Order], None],
     ) -> None:
+        """`max_staleness`: the age in seconds of a voter's latest update from which on it tells nothing any more."""
         self._ip, self._replica, self._reconfiguration, self._store = ip, replica, reconfiguration, store
-        self._freshness, self._stale, self._pause_detector, self._propose = freshness, stale, pause_detector, propose
-        self._heard_at: dict[str, float] = {}  # when each voter was heard last, or has begun to be listened for
+        self._freshness, self._max_staleness = freshness, max_staleness
+        self._pause_detector, self._propose = pause_detector, propose
+        self._last_heard_at: dict[str, float] = {}  # by voter; for one that was never heard, when it was first expected
         self._complete_epochs: dict[str, int] = {}  # the epoch for which each peer has said that it is complete
 
-    def heard(self, now: float, ip: str) -> None:
-        """A peer has said something."""
-        self._heard_at[ip] = now
+    def message_received(self, now: float, ip: str) -> None:
+        """A peer has sent any message."""
+        self._last_heard_at[ip] = now
 
-    def told_complete(self, ip: str, epoch: int) -> None:
-        """A peer has said for which epoch it is complete."""
+    def complete_for(self, ip: str, epoch: int) -> None:
+        """A peer has said for which epoch it has all reservations that a voter must have."""
         self._complete_epochs[ip] = epoch
 
-    def lost(self, ip: str) -> None:
+    def disconnected(self, ip: str) -> None:
         """The connection to a peer has ended."""
         self._complete_epochs.pop(ip, None)
 
-    def changed(self, membership: Membership | None) -> None:
-        """Another membership is known: forget when those were heard who don't vote in it."""
+    def membership_changed(self, membership: Membership | None) -> None:
+        """Another membership is in force: forget when control nodes were heard that don't vote in it."""
         voters = {voter.ip for voter in membership.voters} if membership is not None else set()
-        self._heard_at = {ip: at for ip, at in self._heard_at.items() if ip in voters}
+        self._last_heard_at = {ip: at for ip, at in self._last_heard_at.items() if ip in voters}
 
-    def look(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Propose the next step of the membership where one is due."""
         membership = self._replica.membership
         if membership is None or not self._replica.is_voter:
@@ -71,26 +73,30 @@
         for voter in membership.voters:
             if voter.ip == self._ip:
                 continue
-            # A peer that takes connections and says nothing is as absent as one that takes none.
-            heard_at = self._heard_at.setdefault(voter.ip, now)
+            # A peer that takes connections and sends nothing is as absent as one that takes none.
+            heard_at = self._last_heard_at.setdefault(voter.ip, now)
             absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
-            fresh = now - self._freshness.word_at(voter.ip) < self._stale
-            if fresh and self._complete_epochs.get(voter.ip, 0) == membership.epoch:
+            if self._is_complete(now, voter.ip, membership.epoch):
                 complete.add(voter.ip)
         step = self._reconfiguration.look(now, presences_of(self._store), complete, absent)
         if step is not None:
             self._propose_step(now, step)
 
+    def _is_complete(self, now: float, ip: str, epoch: int) -> bool:
+        """Whether a voter's latest update is fresh and says that it is complete for the epoch."""
+        is_fresh = now - self._freshness.word_at(ip) < self._max_staleness
+        return is_fresh and self._complete_epochs.get(ip, 0) == epoch
+
     def _propose_step(self, now: float, step: Membership) -> None:
-        def over(outcome: Outcome) -> None:
+        def decided(outcome: Outcome) -> None:
             voters = ",".join(voter.ip for voter in step.voters)
             events.info("reconfiguration", epoch=step.epoch, voters=voters, outcome=type(outcome).__name__)
 
         entries = [membership_entry(step)]
-        self._propose(now, Order(entries, now + DECISION_TIMEOUT_SECONDS, over, step.epoch - 1))
+        self._propose(now, Order(entries, now + DECISION_TIMEOUT_SECONDS, decided, step.epoch - 1))
 
-    def handed_on(self) -> bool:
-        """Whether nobody needs this process: others vote, and hold all claims that it held as a voter."""
+    def is_handed_over(self) -> bool:
+        """Whether nobody needs this process: others vote, and have all reservations that it had as a voter."""
         membership = self._replica.membership
         if membership is None:
             return True
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -37,7 +37,7 @@
     """All figures of one control node at this moment."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
-        counters("orders_total", "Operators' changes, by how they ended.", "how", calls.orders),
+        counters("orders_total", "Operators' changes, by how they ended.", "how", calls.changes),
         counters("reads_total", "Operators' reads, by how they ended.", "how", calls.reads),
         gauge("operator_calls_open", "Operators' calls that have no answer yet.", len(calls.waiting)),
         counter("proposals_total", "Proposals of changes.", node.proposer.proposals),
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls at a control node: amend the configuration, and read it."""
+"""Operators' calls at a control node that need a majority: change the configuration, and read it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OperatorCalls:
-    """Answers operators from the replica's register; `do` carries out effects."""
+    """Answers operators once a majority has confirmed a change, or that what is read is the latest."""
 
     def __init__(
         self,
@@ -27,65 +27,65 @@
         replica: Replica,
         router: ChangeRouter,
         reader: Reader,
-        do: Callable[[Effects], None],
+        run_effects: Callable[[Effects], None],
     ) -> None:
-        self._loop, self._replica, self._router, self._reader, self._do = loop, replica, router, reader, do
-        self.waiting: set[Answerable] = set()  # who has no answer yet
-        self.orders: Counter[str] = Counter()  # since the start, by how they ended
+        self._loop, self._replica, self._router, self._reader = loop, replica, router, reader
+        self._run_effects = run_effects
+        self.waiting: set[Answerable] = set()  # callers without an answer
+        self.changes: Counter[str] = Counter()  # since the start of the process, by how they ended
         self.reads: Counter[str] = Counter()
 
     def amend(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Change the configuration; answered once a majority has decided it, or with the fault."""
-        waits = True
-
-        def over(outcome: Outcome) -> None:
-            self.waiting.discard(caller)
-            fault = fault_of(outcome)
-            self.orders["confirmed" if fault is None else fault.code] += 1
-            events.info("amend", bytes=len(request.body), fault=fault or "none", index=self._replica.index)
-            if not waits:
-                return
-            if fault is None:
-                reply(caller)
-            else:
-                fail(caller, fault)
-
-        def gone() -> None:
-            """Nobody waits for it any more, and it may have been refused elsewhere meanwhile: it is not proposed."""
-            nonlocal waits
-            waits = False
-            self.waiting.discard(caller)
-            self._router.withdraw(order)
+        """Change the configuration; the caller is answered once a majority has decided it, or with the fault.
 
+        Raises MeshError where the call is invalid, or can't be taken now.
+        """
         now = self._loop.time()
         entries = items.read_changes(request.body)
-        self._router.turn_away(now)
-        order = Order(entries, now + DECISION_TIMEOUT_SECONDS, over)
-        caller.gone = gone
+        self._router.check_admission(now)
+        order = Order(
+            entries,
+            now + DECISION_TIMEOUT_SECONDS,
+            lambda outcome: self._amended(caller, len(request.body), outcome),
+        )
+        caller.gone = lambda: self._amend_abandoned(caller, order)
         self.waiting.add(caller)
         self._router.submit(now, order)
 
-    def read(self, _request: Request, caller: Answerable, _: list[str]) -> None:
-        """Read the configuration back; answered once a majority has confirmed that it is the latest."""
-        waits = True
-
-        def over(latest: bool) -> None:
-            self.waiting.discard(caller)
-            self.reads["answered" if latest else Kind.NO_QUORUM.value] += 1
-            if not waits:
-                return
-            if latest:
-                entries = [item.entry for item in self._replica.register.items.values()]
-                reply(caller, items.encode_items(entries))
-            else:
-                fail(caller, MeshError(Kind.NO_QUORUM, "too few voters answered"))
+    def _amended(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
+        is_waiting = caller in self.waiting
+        self.waiting.discard(caller)
+        fault = fault_of(outcome)
+        self.changes["confirmed" if fault is None else fault.code] += 1
+        events.info("amend", bytes=body_bytes, fault=fault or "none", index=self._replica.index)
+        if not is_waiting:
+            return
+        if fault is None:
+            reply(caller)
+        else:
+            fail(caller, fault)
 
-        def gone() -> None:
-            nonlocal waits
-            waits = False
-            self.waiting.discard(caller)
+    def _amend_abandoned(self, caller: Answerable, order: Order) -> None:
+        """The caller has left, and may have been refused elsewhere meanwhile: the change is not proposed any more."""
+        self.waiting.discard(caller)
+        self._router.withdraw(order)
 
-        caller.gone = gone
+    def read(self, _request: Request, caller: Answerable, _: list[str]) -> None:
+        """Read the configuration; the caller is answered once a majority has confirmed that it is the latest."""
         now = self._loop.time()
+        caller.gone = lambda: self.waiting.discard(caller)
         self.waiting.add(caller)
-        self._do(self._reader.submit(now, Read(now + DECISION_TIMEOUT_SECONDS, over)))
+        read = Read(now + DECISION_TIMEOUT_SECONDS, lambda is_latest: self._read_checked(caller, is_latest))
+        self._run_effects(self._reader.submit(now, read))
+
+    def _read_checked(self, caller: Answerable, is_latest: bool) -> None:
+        is_waiting = caller in self.waiting
+        self.waiting.discard(caller)
+        self.reads["answered" if is_latest else Kind.NO_QUORUM.value] += 1
+        if not is_waiting:
+            return
+        if is_latest:
+            entries = [item.entry for item in self._replica.register.items.values()]
+            reply(caller, items.encode_items(entries))
+        else:
+            fail(caller, MeshError(Kind.NO_QUORUM, "too few voters answered"))
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -110,7 +110,7 @@
         self.catch_up = ClaimsCatchUp(self.replica)
         self.reconfiguration = self._make_reconfiguration()
         self.membership_changes = self._make_membership_changes()
-        self.pending_changes = PendingChanges(self.ip, self.replica, self._finish_pending)
+        self.pending_changes = PendingChanges(self.ip, self.replica, self._resolve_pending)
         self.api = ControlNodeApi(self)
         self._sweep_at = 0.0
         self._published_index = self.replica.index  # the latest change that the parts above have been told of
@@ -192,9 +192,9 @@
         elif isinstance(message, Learn):
             self._learn(link, message)
         elif isinstance(message, ForwardChange):
-            self.router.submitted(link, message)
+            self.router.take_forwarded(link, message)
         elif isinstance(message, Pong):
-            self.subscribers.answered(link, message)
+            self.subscribers.acknowledged(link, message)
         else:
             self.run_effects(self.replica.handle(self.loop.time(), link, message))
 
@@ -210,11 +210,11 @@
         if self._published_index == self.replica.index:
             return
         self._published_index = self.configuration_index = self.replica.index
-        self.pending_changes.advanced()
+        self.pending_changes.replica_advanced()
         now = self.loop.time()
         self.run_effects(self.proposer.advanced(now))
         self.run_effects(self.reader.advanced(now))
-        self.subscribers.tell_soon()
+        self.subscribers.update_soon()
 
     def send_to(self, ip: str, message: Message) -> None:
         """Send a message to a control node, which may be this one."""
@@ -234,7 +234,7 @@
     # ---- what peers say --------------------------------------------------------------------
 
     def receive(self, ip: str, message: Message) -> None:
-        self.membership_changes.heard(self.loop.time(), ip)
+        self.membership_changes.message_received(self.loop.time(), ip)
         super().receive(ip, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
@@ -244,7 +244,7 @@
             effects, has_pending = self.reader.heard(now, ip, message)
             self.run_effects(effects)
             if has_pending:
-                self.pending_changes.seen(now)
+                self.pending_changes.found_pending(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
         elif isinstance(message, ChangeResult):
@@ -266,11 +266,11 @@
         self.run_effects(self.catch_up.heard(now, ip, page))
         if self.replica.complete and not was_complete:
             events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.claims))
-            self.subscribers.tell_soon()
+            self.subscribers.update_soon()
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         super().receive_update(now, ip, message)
-        self.membership_changes.told_complete(ip, message.complete_epoch)
+        self.membership_changes.complete_for(ip, message.complete_epoch)
         if message.decided_index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
             self._asked_at = now
             self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.decided_index)
@@ -290,13 +290,13 @@
     def disconnected(self, dialer: Dialer) -> None:
         self.catch_up.lost(dialer.ip)
         self.decided_pages.lost(dialer.ip)
-        self.membership_changes.lost(dialer.ip)
+        self.membership_changes.disconnected(dialer.ip)
         super().disconnected(dialer)
-        self.router.lost(self.loop.time(), dialer.ip)
+        self.router.disconnected(self.loop.time(), dialer.ip)
 
     def membership_changed(self) -> None:
         super().membership_changed()
-        self.membership_changes.changed(self.membership)
+        self.membership_changes.membership_changed(self.membership)
 
     def wanted_peers(self) -> set[str]:
         found = super().wanted_peers()
@@ -314,8 +314,8 @@
         return self.announcement.entries()
 
     def entry_changed(self, entry: Entry) -> None:
-        self.subscribers.tell_soon()
-        if self.announcement.contradicted_by(entry):
+        self.subscribers.update_soon()
+        if self.announcement.is_contradicted_by(entry):
             self.loop.call_soon(self.announce)
 
     def _update_since(self, now: float, sequence: int) -> Delta:
@@ -355,25 +355,25 @@
     def _propose(self, now: float, order: Order) -> None:
         self.run_effects(self.proposer.submit(now, order))
 
-    def _finish_pending(self, now: float) -> None:
+    def _resolve_pending(self, now: float) -> None:
         self.run_effects(self.proposer.finish(now))
 
     # ---- time ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         self.pause_detector.tick(now)
-        self.leases.end_silent(now)
-        self.subscribers.look(now)
+        self.leases.tick(now)
+        self.subscribers.tick(now)
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_INTERVAL_SECONDS
             self.run_effects(self.replica.sweep(now))
             self._check_disk(now)
-        self.router.look(now)
+        self.router.tick(now)
         self.run_effects(self.proposer.look(now))
         self.run_effects(self.reader.look(now))
         self.run_effects(self.catch_up.look(now))
-        self.pending_changes.look(now)
-        self.membership_changes.look(now)
+        self.pending_changes.tick(now)
+        self.membership_changes.tick(now)
 
     def _check_disk(self, now: float) -> None:
         """Announce a disk that has refused writes for a while, so that its vote goes to another one."""
@@ -410,7 +410,7 @@
         self.announce()
         began, grace = self.loop.time(), self.settings.tariffs.bounds.grace_s
         until = began + HANDOFF_FRACTION * grace
-        while self.loop.time() < until and not self.membership_changes.handed_on():
+        while self.loop.time() < until and not self.membership_changes.is_handed_over():
             await asyncio.sleep(TICK_SECONDS)
         await asyncio.sleep(LAST_UPDATES_SECONDS)
         # Guards operators against connections that end without an answer: no call waits for longer.
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -1,4 +1,4 @@
-"""Who is told of changes, and when: at the end of the loop's turn, and now and then that nothing is new."""
+"""Sends updates to subscribers: of changes at the end of the loop's turn, and heartbeats while nothing changes."""
 
 from __future__ import annotations
 
@@ -11,71 +11,77 @@
 from lugspur.mesh.process import TICK_SECONDS
 from lugspur.mesh.transport.link import Link
 
-NewsSince = Callable[[float, int], Delta]  # the news at a time, of all changes after a place in the store
+#: Makes the update at a time for a subscriber that knows all changes up to a sequence number (0: none).
+MakeUpdate = Callable[[float, int], Delta]
 
 
 class Subscriber:
-    """One who is told of changes."""
+    """One process that is sent updates."""
 
-    __slots__ = ("at", "echo", "link", "pinged")
+    __slots__ = ("echo", "link", "sequence", "updated_at")
 
-    def __init__(self, link: Link, at: int) -> None:
-        self.link, self.at = link, at
-        self.pinged = 0.0
-        self.echo = 0.0  # its latest Pong, by its own clock
+    def __init__(self, link: Link, sequence: int) -> None:
+        self.link = link
+        self.sequence = sequence  # of the latest change that it was sent
+        self.updated_at = 0.0
+        self.echo = 0.0  # the time of its latest Pong, by its own clock
 
 
 class Subscribers:
-    """All who are told of changes, `ping` seconds apart where there are none."""
+    """All processes that are sent updates; `heartbeat_interval`: seconds between two updates without a change."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, store: Store, ping: float, news: NewsSince) -> None:
-        self._loop, self._store, self._ping, self._news = loop, store, ping, news
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, store: Store, heartbeat_interval: float, make_update: MakeUpdate
+    ) -> None:
+        self._loop, self._store = loop, store
+        self._heartbeat_interval, self._make_update = heartbeat_interval, make_update
         self._subscribers: dict[Link, Subscriber] = {}
-        self._flushing = False
+        self._is_flush_due = False
 
     def __len__(self) -> int:
         return len(self._subscribers)
 
-    def add(self, link: Link, since: int) -> None:
-        """Tell whoever is at the other end of all changes after a place in the store, from now on."""
-        subscriber = self._subscribers[link] = Subscriber(link, since)
-        self._tell(subscriber)
+    def add(self, link: Link, sequence: int) -> None:
+        """Send the peer all changes after a sequence number of the store's, and each change from now on."""
+        subscriber = self._subscribers[link] = Subscriber(link, sequence)
+        self._update(subscriber)
 
     def remove(self, link: Link) -> None:
-        """The connection has ended."""
+        """Send the peer no more: it has unsubscribed, or its connection has ended."""
         self._subscribers.pop(link, None)
 
-    def answered(self, link: Link, pong: Pong) -> None:
-        """A subscriber has answered: it is told so with its next news."""
+    def acknowledged(self, link: Link, pong: Pong) -> None:
+        """A subscriber has acknowledged an update; the next one tells it so."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
             subscriber.echo = pong.sent_at
 
-    def tell_soon(self) -> None:
-        """Tell all of what has changed once this turn of the loop is over."""
-        if not self._flushing:
-            self._flushing = True
+    def update_soon(self) -> None:
+        """Send all subscribers what has changed, at the end of this turn of the loop."""
+        if not self._is_flush_due:
+            self._is_flush_due = True
             self._loop.call_soon(self._flush)
 
-    def look(self, now: float) -> None:
-        """Close the connections of those who are silent, and ping the others."""
+    def tick(self, now: float) -> None:
+        """Close the connections of silent subscribers, and send the others heartbeats."""
         for subscriber in list(self._subscribers.values()):
             if now - subscriber.link.last_received_at > LEASE_SECONDS:
                 subscriber.link.close()
-            elif now - subscriber.pinged >= self._ping - TICK_SECONDS / 2:
-                self._tell(subscriber)
+            elif now - subscriber.updated_at >= self._heartbeat_interval - TICK_SECONDS / 2:
+                self._update(subscriber)
 
     def _flush(self) -> None:
-        self._flushing = False
+        self._is_flush_due = False
         for subscriber in self._subscribers.values():
-            if subscriber.at < self._store.latest_sequence:
-                self._tell(subscriber)
+            if subscriber.sequence < self._store.latest_sequence:
+                self._update(subscriber)
 
-    def _tell(self, subscriber: Subscriber) -> None:
+    def _update(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
-        since = subscriber.at if subscriber.at >= self._store.forgotten_sequence else 0
-        subscriber.at = self._store.latest_sequence
-        subscriber.pinged = now
-        news = self._news(now, since)
-        news.echoed_at = subscriber.echo
-        subscriber.link.send(news)
+        # What was forgotten meanwhile is in no list of changes: only a snapshot tells of it.
+        after = subscriber.sequence if subscriber.sequence >= self._store.forgotten_sequence else 0
+        subscriber.sequence = self._store.latest_sequence
+        subscriber.updated_at = now
+        update = self._make_update(now, after)
+        update.echoed_at = subscriber.echo
+        subscriber.link.send(update)
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -171,8 +171,8 @@
 
     def next_edition(self, kind: str, name: str) -> int:
         """A new edition of an entry of this process: by the time of day, and above all that is known."""
-        standing = self.store.get(kind, name)
-        return max(time.time_ns() // 1_000_000, 0 if standing is None else standing.edition + 1)
+        current = self.store.get(kind, name)
+        return max(time.time_ns() // 1_000_000, 0 if current is None else current.edition + 1)
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Take an update of a peer, and acknowledge it."""
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/test_subscribers.py
@@ -48,14 +48,14 @@
         link = cast(Link, wire)
         subscribers.add(link, 0)
         store.merge([Entry("notes", "a", 1, b"x")])
-        subscribers.tell_soon()
+        subscribers.update_soon()
         await asyncio.sleep(0)
         assert [len(cast(Delta, message).entries) for message in wire.sent] == [0, 1]
         subscribers.remove(link)
         store.merge([Entry("notes", "a", 2, b"y")])
-        subscribers.tell_soon()
+        subscribers.update_soon()
         await asyncio.sleep(0)
-        subscribers.look(wire.last_received_at + 10.0 * PING)
+        subscribers.tick(wire.last_received_at + 10.0 * PING)
         assert len(wire.sent) == 2 and not len(subscribers) and not wire.closed
 
     play(what)
@@ -65,10 +65,10 @@
     async def what(store: Store, subscribers: Subscribers, wire: Wire) -> None:
         link = cast(Link, wire)
         subscribers.add(link, 0)
-        subscribers.answered(link, Pong(42.0))
-        subscribers.look(wire.last_received_at + 2.0 * PING)
+        subscribers.acknowledged(link, Pong(42.0))
+        subscribers.tick(wire.last_received_at + 2.0 * PING)
         assert [cast(Delta, message).echoed_at for message in wire.sent] == [0.0, 42.0]
-        subscribers.look(wire.last_received_at + LEASE_SECONDS + 0.1)
+        subscribers.tick(wire.last_received_at + LEASE_SECONDS + 0.1)
         assert wire.closed
 
     play(what)
