--- a/tests/daemon/hot_restart/test_process_state.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -30,7 +30,7 @@
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
     balancer.members(
-        10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
+        10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
     )
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
@@ -137,8 +137,8 @@
 
 
 def test_learned_state_is_kept_by_another_instance_but_not_for_a_restarted_backend() -> None:
-    rows = [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
-    rows[2] = replace(rows[2], started=99.0)
+    rows = [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
+    rows[2] = replace(rows[2], started_at=99.0)
     balancer = Balancer(Settings(), 2)
     balancer.members(60.0, ListUpdateKind.STALE, rows)
     balancer.recall(60.0, LEARNED)
@@ -152,9 +152,9 @@
 
 
 def test_a_superseded_instance_sends_nothing_to_backends_that_warm_up() -> None:
-    cold = ServerRow(1, started=100.0)
+    cold = ServerRow(1, started_at=100.0)
     warm = ServerRow(2)
-    settings = replace(Settings(), rules=replace(Settings().rules, cold_for=1000.0, cold_from=1.0))
+    settings = replace(Settings(), rules=replace(Settings().rules, slow_start_seconds=1000.0, slow_start_fraction=1.0))
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
