--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -13,10 +13,10 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Owner, Pool
+from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.nodes import Nodes
 from lugspur.discovery.registry import Ensemble, Followed, Registries
-from lugspur.discovery.rows import Endpoint, Reader
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
@@ -26,7 +26,7 @@
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
-    from lugspur.daemon.persistence.file import Pool as Kept
+    from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
     from lugspur.http2.upstream import Streams
 
 GRPC = 1  # the kind of backends that speak gRPC, for the decision module: streams are bound to it
@@ -42,7 +42,7 @@
     """
     if status == 501 or (status < 500 and status not in (408, 429)):
         return Outcome.OK
-    return Outcome.FULL if status in (503, 504) and unseen else Outcome.ERROR
+    return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
 
 
 class Station:
@@ -75,7 +75,7 @@
         limits: model.Limits,
         beside: str,
         registries: Mapping[str, model.Registry],
-        kept: Kept | None = None,
+        kept: PoolSnapshot | None = None,
         age: float | None = None,
     ) -> None:
         """Begin, or go on, by this row of the file `beside`; what was learned of backends stays.
@@ -104,7 +104,7 @@
         if kept is not None:
             self._recall(kept, age)
 
-    def _recall(self, kept: Kept, age: float | None) -> None:
+    def _recall(self, kept: PoolSnapshot, age: float | None) -> None:
         # Imported only here: a daemon that keeps nothing has no use for it.
         from lugspur.daemon.persistence.aging import aged
 
@@ -168,7 +168,7 @@
             former.close()  # what it told stays until the new one tells a whole list
 
     def _made(self, row: model.Pool, beside: str, ensemble: model.Registry | None) -> Source:
-        reader = Reader(protocol=row.protocol)
+        reader = EndpointReader(protocol=row.protocol)
         fixed = [reader.endpoint(_entry(member)) for member in row.members]
         if row.file:
             return WatchedFile(resolved(row.file, beside), reader, self._members)
@@ -192,9 +192,9 @@
     def _members(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if not endpoints and kind is ListUpdateKind.PATCH:
             return
-        if any(endpoint.grpc for endpoint in endpoints):
+        if any(endpoint.speaks_grpc for endpoint in endpoints):
             endpoints = [
-                replace(endpoint, row=replace(endpoint.row, kind=GRPC)) if endpoint.grpc else endpoint
+                replace(endpoint, row=replace(endpoint.row, host_type=GRPC)) if endpoint.speaks_grpc else endpoint
                 for endpoint in endpoints
             ]
         self._show(kind, self.maintenance.lay(kind, endpoints))
@@ -245,7 +245,7 @@
         source, self._source = self._source, None
         if source is not None:
             source.close()
-        self.pool.members(ListUpdateKind.WHOLE, [])
+        self.pool.members(ListUpdateKind.COMPLETE, [])
         self.pool.upstream.close()
         if self._streams is not None:
             self._streams.close()
--- a/lugspur/discovery/maintenance.py
+++ b/lugspur/discovery/maintenance.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from lugspur.discovery.rows import Endpoint
+from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 
 NAMES_MOST = 16_384  # names of backends that were ever listed, the latest: some 3 MB; a day sees hundreds
@@ -56,8 +56,8 @@
             row = replace(row, state=ServerState.DRAINING)
         # Guards a backend that comes back: it was restarted meanwhile, and discovery may say so late.
         floor = self.floors.get(row.server, 0.0)
-        if floor > row.started:
-            row = replace(row, started=floor)
+        if floor > row.started_at:
+            row = replace(row, started_at=floor)
         return endpoint if row is endpoint.row else replace(endpoint, row=row)
 
     def known(self, server: int) -> bool:
--- a/lugspur/mesh/dataplane/backend_exchange.py
+++ b/lugspur/mesh/dataplane/backend_exchange.py
@@ -14,23 +14,23 @@
 MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: another backend has the address now
 
 NOT_RUN_CAUSES = {
-    Outcome.FULL: FailureCause.REFUSED,
+    Outcome.OVERLOADED: FailureCause.REFUSED,
     Outcome.UNREACHABLE: FailureCause.UNREACHABLE,
-    Outcome.VOID: FailureCause.TOO_LITTLE_TIME,
+    Outcome.NOT_PROCESSED: FailureCause.TOO_LITTLE_TIME,
 }
 """Outcomes that prove that the backend did not run the request."""
 
 UNKNOWN_CAUSES = {
     Outcome.TIMEOUT: FailureCause.TIMED_OUT,
-    Outcome.BROKEN: FailureCause.CONNECTION_BROKEN,
+    Outcome.INTERRUPTED: FailureCause.CONNECTION_BROKEN,
     Outcome.CANCELLED: FailureCause.CANCELLED,
 }
 """Outcomes after which the request may have run."""
 
 
 def classify_response(status: int, is_not_delivered: bool) -> Outcome:
-    """Return FULL for an answer that proves that the request did not run, else OK: it is the backend's answer."""
-    return Outcome.FULL if is_not_delivered or status == MISDIRECTED_REQUEST else Outcome.OK
+    """Return OVERLOADED for an answer that proves that the request did not run, else OK: it is the backend's answer."""
+    return Outcome.OVERLOADED if is_not_delivered or status == MISDIRECTED_REQUEST else Outcome.OK
 
 
 def encode_request(forward: ForwardRequest, seconds_left: float) -> bytes:
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -287,7 +287,7 @@
         if outcome is Outcome.UNREACHABLE and not local.is_unreachable and local is self.local:
             local.is_unreachable = True
             self._on_unreachable(local)
-        if outcome is not Outcome.FULL:
+        if outcome is not Outcome.OVERLOADED:
             request.was_offered = False
         self._finish(request, RequestOutcome.NOT_RUN, NOT_RUN_CAUSES[outcome])
 
--- a/lugspur/mesh/dataplane/local_backend.py
+++ b/lugspur/mesh/dataplane/local_backend.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.discovery.rows import read_address
+from lugspur.discovery.endpoints import read_address
 from lugspur.http1.upstream import Backend
 
 
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -12,8 +12,8 @@
 from kept import SETTINGS, endpoints, send_number, taught
 
 from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
-from lugspur.daemon.persistence.file import Pool
-from lugspur.discovery.rows import Endpoint
+from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
+from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
@@ -21,8 +21,8 @@
 AT = 1002.0  # when the module of `taught` was asked: right after its last request
 
 
-def kept(rows: list[Endpoint], **more: int) -> Pool:
-    return Pool(AT, rows, taught(rows, **more).learned())
+def kept(rows: list[Endpoint], **more: int) -> PoolSnapshot:
+    return PoolSnapshot(AT, rows, taught(rows, **more).learned())
 
 
 def test_an_age_is_known_only_where_clocks_are_steady() -> None:
@@ -61,7 +61,7 @@
     assert gaps[2] == pytest.approx(gaps[0] / 8)
     for age in (BEYOND + 1.0, 86_400.0, None):
         assert aged(pool, age, AT) is None
-    assert aged(Pool(AT, endpoints(1)), 1.0, AT) is None
+    assert aged(PoolSnapshot(AT, endpoints(1)), 1.0, AT) is None
 
 
 def numbers(found: Learned) -> list[float]:
@@ -138,7 +138,7 @@
 
 
 def test_a_box_that_restarted_since_is_cold_whatever_the_file_says() -> None:
-    rules = Rules(cold_from=0.3, cold_for=10.0)
+    rules = Rules(slow_start_fraction=0.3, slow_start_seconds=10.0)
     rows = endpoints(6, started=500.0)
     learned = aged(kept(rows, rounds=200), 5.0, AT + 5.0)
     assert learned is not None
@@ -150,8 +150,8 @@
             balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
             if known is not None:
                 balancer.recall(now, known)
-            young = replace(rows[0].row, started=now - 0.5)  # the first list that is told
-            balancer.members(now, ListUpdateKind.WHOLE, [young, *(row.row for row in rows[1:])])
+            young = replace(rows[0].row, started_at=now - 0.5)  # the first list that is told
+            balancer.members(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
                 at, rid = now + 0.02 * number, f"q{number}"
@@ -168,7 +168,7 @@
     learned = aged(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started=900.0)])
+    balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
     balancer.recall(AT + 1.0, learned)
     assert [server.latency for server in balancer.servers.values()] == [0.0]
     assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
