--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -1,8 +1,9 @@
-"""What a proxy knows of the backends that it may send to, and how it picks one."""
+"""What a proxy knows of the backends that it may send requests to, and how it selects one."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 from random import Random
 
 from cachetools import LRUCache
@@ -11,88 +12,98 @@
 from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import Refusal
 
-COLD = 2.0  # times the usual latency that a backend counts with while it says that it is slow
-FAR = 1.6  # times its score that a backend of another zone counts with: bytes between zones cost...
-FAR_BYTES = 16 << 10  # ...and once more for so many bytes of a body
-BREAKERS_MOST = 256  # routes with a breaker of their own for one backend, those used last
+SLOW_START_LATENCY = 2.0  # relative latency that a backend counts with while it warms up and none has been measured
+# A backend of another zone costs this many times its score, since bytes between zones cost...
+REMOTE_ZONE_COST = 1.6
+REMOTE_ZONE_BYTES = 16 << 10  # ...and once more for each so many bytes of the body
+MAX_BREAKERS = 256  # routes with a breaker of their own for one backend, those used last
+LATENCY_WEIGHT = 1 / 4  # of one answer in a backend's latency
+
+
+@dataclass(slots=True, frozen=True)
+class EndpointListing:
+    """A backend that accepts requests, as the updates of the mesh list it."""
+
+    ip: str  # of its machine
+    zone: str
+    slow_start_until: float = 0.0  # the loop's time until which it warms up
 
 
 class Endpoint:
-    """What this process knows of one life of one backend."""
+    """What this process knows of one incarnation of one backend; times are the loop's."""
 
     __slots__ = (
-        "berths",
         "breakers",
-        "cold_until",
+        "deprioritised_until",
         "id",
-        "inflight",
+        "in_flight",
         "ip",
         "latency",
-        "rests_until",
         "service",
+        "slow_start_until",
         "zone",
     )
 
     def __init__(self, ident: str, service: str, ip: str, zone: str) -> None:
         self.id, self.service, self.ip, self.zone = ident, service, ip, zone
-        self.berths = 1
-        # One for each route: a gate that turns away what may wait says nothing of what may not.
-        self.breakers: LRUCache[str, Breaker] = LRUCache(BREAKERS_MOST)
-        self.latency = 0.0  # in units of the route's pace; failures count as LATE
-        self.inflight = 0
-        self.cold_until = self.rests_until = 0.0
+        # One for each route: a limiter that rejects requests which may wait says nothing of those which may not.
+        self.breakers: LRUCache[str, Breaker] = LRUCache(MAX_BREAKERS)
+        self.latency = 0.0  # moving average, relative to the route's average; 0: nothing has been measured
+        self.in_flight = 0  # requests of this process
+        self.slow_start_until = 0.0
+        self.deprioritised_until = 0.0  # it rejected a request a moment ago: until then others are preferred
 
     def breaker(self, route: str) -> Breaker:
-        """The breaker of a route's calls to this backend."""
+        """Return the breaker of a route's requests to this backend."""
         found = self.breakers.get(route)
         if found is None:
             found = self.breakers[route] = Breaker()
         return found
 
-    def learn(self, latency: float) -> None:
-        """Move the latency that picks follow."""
-        self.latency += (latency - self.latency) / 4.0 if self.latency > 0.0 else latency
+    def record_latency(self, latency: float) -> None:
+        """Move the average by one answer; `latency` is relative to the route's average."""
+        self.latency += (latency - self.latency) * LATENCY_WEIGHT if self.latency > 0.0 else latency
 
     def score(self, now: float) -> float:
-        """Current latency x (in flight + 1); lower is better."""
-        usual = COLD if now < self.cold_until else 1.0
-        return (self.latency or usual) * (self.inflight + 1)
+        """Return the latency times the load, as a new request would see it; lower is better."""
+        unknown = SLOW_START_LATENCY if now < self.slow_start_until else 1.0
+        return (self.latency or unknown) * (self.in_flight + 1)
 
 
-def pick(
-    ready: Sequence[Endpoint], route: RouteEntry, zone: str, body_bytes: int, now: float, rng: Random
+def select_endpoint(
+    candidates: Sequence[Endpoint], route: RouteEntry, zone: str, body_bytes: int, now: float, rng: Random
 ) -> Endpoint | tuple[Refusal, ...]:
-    """Two random ready backends, that with the lower current latency x (in flight + 1) first; both may refuse.
+    """Select a backend by the power of two choices: draw two and prefer the lower score, unless its breaker rejects.
 
-    Returns why each refused where none is found.
+    Returns the endpoint, or why each that was drawn was rejected. Source: Mitzenmacher, "The Power of Two Choices in
+    Randomized Load Balancing", IEEE Transactions on Parallel and Distributed Systems 12(10), 2001.
     """
-    pace = route.average_latency
-    timeout = route.deadline / pace if pace else 0.0
-    far = FAR + body_bytes / FAR_BYTES
+    timeout = route.deadline / route.average_latency if route.average_latency else 0.0
+    remote_cost = REMOTE_ZONE_COST + body_bytes / REMOTE_ZONE_BYTES
 
     def cost(endpoint: Endpoint) -> float:
-        return endpoint.score(now) * (1.0 if endpoint.zone == zone else far)
+        return endpoint.score(now) * (1.0 if endpoint.zone == zone else remote_cost)
 
     refusals: tuple[Refusal, ...] = ()
-    for endpoint in sorted(_draw_two(ready, zone, rng), key=cost):
+    for endpoint in sorted(_draw_two(candidates, zone, rng), key=cost):
         breaker = endpoint.breaker(route.name)
         if not breaker.refuses(now, timeout, rng):
             return endpoint
-        refusals += (_refusal(endpoint.id, breaker, now, timeout),)
+        refusals += (_explain_refusal(endpoint.id, breaker, now, timeout),)
     return refusals
 
 
-def _refusal(ident: str, breaker: Breaker, now: float, timeout: float) -> Refusal:
+def _explain_refusal(ident: str, breaker: Breaker, now: float, timeout: float) -> Refusal:
     errors, latency = breaker.error_ratio(now), breaker.latency_ratio(timeout)
     return Refusal(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
 
 
-def _draw_two(ready: Sequence[Endpoint], zone: str, rng: Random) -> Sequence[Endpoint]:
-    """One of the own zone and one of all others, where there are more than two: bytes between zones cost."""
-    if len(ready) <= 2:
-        return ready
-    near = [endpoint for endpoint in ready if endpoint.zone == zone]
-    if not near:
-        return rng.sample(ready, 2)
-    first = rng.choice(near)
-    return [first, rng.choice([endpoint for endpoint in ready if endpoint is not first])]
+def _draw_two(candidates: Sequence[Endpoint], zone: str, rng: Random) -> Sequence[Endpoint]:
+    """Draw one endpoint of the own zone and one of all others, where there are more than two in all."""
+    if len(candidates) <= 2:
+        return candidates
+    local = [endpoint for endpoint in candidates if endpoint.zone == zone]
+    if not local:
+        return rng.sample(candidates, 2)
+    first = rng.choice(local)
+    return [first, rng.choice([endpoint for endpoint in candidates if endpoint is not first])]
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -8,7 +8,7 @@
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.dataplane.endpoints import Endpoint, pick
+from lugspur.mesh.dataplane.endpoints import Endpoint, select_endpoint
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.interfaces import RequestHost, SentRequest
 from lugspur.mesh.dataplane.rejection import reject
@@ -112,9 +112,9 @@
         known = proxy.services.get(self.service, {})
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.tried]
         reached = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
-        rested = [endpoint for endpoint in reached if now >= endpoint.rests_until]
+        rested = [endpoint for endpoint in reached if now >= endpoint.deprioritised_until]
         # Those that have just turned one away come last, but before a refusal: asking a gate costs no backend anything.
-        found = pick(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        found = select_endpoint(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
         if isinstance(found, Endpoint):
             return found
         proxy.count("breaker-refused" if reached else "none-ready")
@@ -153,7 +153,7 @@
             self.reservation_id,
             self.back,
         )
-        endpoint.inflight += 1
+        endpoint.in_flight += 1
         self.sends += 1
         if self.sends > 1:
             self.proxy.budget(self.service).spend(now)
@@ -200,9 +200,9 @@
             self._proved_later(reply)
             return
         endpoint, since, _ = self.out.pop(number)
-        endpoint.inflight -= 1
+        endpoint.in_flight -= 1
         self._note(endpoint, since, reply)
-        check(endpoint.inflight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
+        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
         loop = self.proxy.loop
         now = loop.time()
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
@@ -218,7 +218,7 @@
                 breaker = endpoint.breaker(route.name)
                 breaker.accepted(now)
                 breaker.sample(relative)
-                endpoint.learn(relative)
+                endpoint.record_latency(relative)
             else:
                 self._failed(now, endpoint)
             if self.over:
@@ -236,7 +236,7 @@
                 self.sends -= 1  # no backend was offered it
             if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).failed(now)
-                endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
+                endpoint.deprioritised_until = now + REST * (0.5 + self.proxy.rng.random())
         else:
             self._failed(now, endpoint)
             self.maybe = True
@@ -260,7 +260,7 @@
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
-        endpoint.learn(LATE)
+        endpoint.record_latency(LATE)
 
     def _again(self, now: float) -> bool:
         """Whether it goes on: something is under way, or another backend may have it."""
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -6,12 +6,13 @@
 import itertools
 import os
 from collections import Counter
+from collections.abc import Mapping
 from random import Random
 from typing import Any
 
 from lugspur.load_balancing.budget import Budget
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
 from lugspur.mesh.dataplane.rejection import reject
@@ -54,16 +55,16 @@
         self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
         self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
 
-    def members(self, service: str, endpoints: dict[str, tuple[str, str, int, float]]) -> None:
-        """The backends of a service that accept work: id to machine, zone, berths, and when it is warm."""
+    def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
+        """Replace the backends of a service that accept requests, by id; what was learned of others is forgotten."""
         known = self.services.get(service, {})
-        fresh: dict[str, Endpoint] = {}
-        for ident, (ip, zone, berths, cold_until) in endpoints.items():
-            endpoint = known.get(ident) or Endpoint(ident, service, ip, zone)
-            endpoint.berths, endpoint.cold_until = berths, cold_until
-            fresh[ident] = endpoint
-        if fresh:
-            self.services[service] = fresh
+        endpoints: dict[str, Endpoint] = {}
+        for ident, listing in listings.items():
+            endpoint = known.get(ident) or Endpoint(ident, service, listing.ip, listing.zone)
+            endpoint.slow_start_until = listing.slow_start_until
+            endpoints[ident] = endpoint
+        if endpoints:
+            self.services[service] = endpoints
         else:
             self.services.pop(service, None)
 
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.dataplane.endpoints import EndpointListing
 from lugspur.mesh.sidecar.backend_status import BackendStatus, decode_status
 
 
@@ -38,10 +39,10 @@
         changed, self._changed_services = self._changed_services, set()
         self._on_change(changed)
 
-    def accepting(self, service: str) -> dict[str, tuple[str, str, int, float]]:
-        """The service's backends that accept work, by id, as `Proxy.members` takes them."""
+    def accepting(self, service: str) -> dict[str, EndpointListing]:
+        """The service's backends that accept work, by id, as `Proxy.update_endpoints` takes them."""
         return {
-            status.id: (ip, status.zone, status.berths, self._slow_start_until.get(ip, 0.0))
+            status.id: EndpointListing(ip, status.zone, self._slow_start_until.get(ip, 0.0))
             for ip, status in self.by_ip.items()
             if status.service == service and status.state == "accepting"
         }
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -240,7 +240,7 @@
 
     def _services_changed(self, services: set[str]) -> None:
         for service in services:
-            self.proxy.members(service, self.backends.accepting(service))
+            self.proxy.update_endpoints(service, self.backends.accepting(service))
         self.proxy.proxies = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -78,7 +78,7 @@
         "ip": endpoint.ip,
         "zone": endpoint.zone,
         "reached": reached,
-        "in_flight": endpoint.inflight,
+        "in_flight": endpoint.in_flight,
         "latency": round(endpoint.latency, 3),
         "refuses": {name: round(breaker.error_ratio(now), 3) for name, breaker in endpoint.breakers.items()},
     }
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -30,6 +30,7 @@
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
+from lugspur.mesh.dataplane.endpoints import EndpointListing
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -192,7 +193,7 @@
         self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
         self.proxy.sender = "mine"
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), log_failure)
-        self.proxy.members("s", {f"i-{n}": (f"10.0.0.{n}", f"z{n}", 9, 0.0) for n in range(backends)})
+        self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
     def ready(self, ip: str) -> bool:
         return True
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -13,6 +13,7 @@
 from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane.endpoints import EndpointListing
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -73,7 +74,7 @@
             table.apply(entry)
         self.proxy = Proxy(table, self, self, Random(1), 0.2, slack, 10.0, "z0")
         self.proxy.sender = "mine"
-        self.proxy.members("s", {f"i-{n}": (f"10.0.0.{n}", f"z{n}", 9, 0.0) for n in range(backends)})
+        self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
     # the carrier and the keys
     def ready(self, ip: str) -> bool:
@@ -221,8 +222,8 @@
             rig.reply(RequestOutcome.UNKNOWN)
             if rig.proxy.open_requests:
                 rig.reply(RequestOutcome.UNKNOWN)
-            for rank in rig.proxy.services["s"].values():
-                rank.breakers.clear()  # what is tried here is the budget alone
+            for endpoint in rig.proxy.services["s"].values():
+                endpoint.breakers.clear()  # what is tried here is the budget alone
         further = len(rig.sent) - 100
         assert 10 <= further <= 0.5 * (0.2 * 100 + 20.0 / 2) + 1  # its part of half of what the rules allow
 
@@ -420,7 +421,7 @@
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
-        assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
+        assert endpoint.deprioritised_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
 
     play(what, kind=kind)
 
@@ -460,14 +461,14 @@
             rig.ask()
             counts[rig.sent[-1][0]] += 1
             rig.reply(RequestOutcome.ANSWERED, OK)
-            for rank in rig.proxy.services["s"].values():
-                rank.latency = 1.0
-                rank.breakers.clear()
+            for endpoint in rig.proxy.services["s"].values():
+                endpoint.latency = 1.0
+                endpoint.breakers.clear()
         assert counts["10.0.0.0"] == 60  # alike but for the zone
         for _ in range(60):
-            for rank in rig.proxy.services["s"].values():
-                rank.latency = 4.0 if rank.id == "i-0" else 1.0
-                rank.breakers.clear()
+            for endpoint in rig.proxy.services["s"].values():
+                endpoint.latency = 4.0 if endpoint.id == "i-0" else 1.0
+                endpoint.breakers.clear()
             rig.ask()
             counts[rig.sent[-1][0]] += 1
             rig.reply(RequestOutcome.ANSWERED, OK)
@@ -480,7 +481,7 @@
     def what(rig: Rig) -> None:
         rig.unreachable = {"10.0.0.0", "10.0.0.1", "10.0.0.2"}
         assert rig.ask().answers[0][0] == 503
-        rig.proxy.members("s", {})
+        rig.proxy.update_endpoints("s", {})
         assert rig.ask().answers[0][0] == 503
 
     play(what)
