--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -51,24 +51,28 @@
 
 
 def _send_again_whatever_ran(self: ProxiedRequest, now: float) -> bool:
-    if self.out:
+    if self.in_flight:
         return True
-    if self.rounds >= proxied_request.ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
+    if (
+        self.rejections >= proxied_request.MAX_REJECTIONS
+        or now >= self.deadline
+        or self.attempts >= self.route.max_attempts
+    ):
         return False
-    self.maybe = False
-    return self._go(now, True)
+    self.may_have_run = False
+    return self._send(now, True)
 
 
 def _release_without_proof(self: ProxiedRequest) -> None:
-    if self.won:
-        self.won = False
+    if self.holds_key:
+        self.holds_key = False
         self.proxy.keys.release(self.key, self.reservation_id)
 
 
 def _run_without_claim(self: ProxiedRequest, how: Any) -> None:
-    self.won = True
-    if not self.over:
-        self._go(self.proxy.loop.time())
+    self.holds_key = True
+    if not self.is_finished:
+        self._send(self.proxy.loop.time())
 
 
 def _takes_any_life(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
@@ -117,9 +121,9 @@
 
 
 DATA_PLANE = [
-    SoakGuard("what may have run is not sent again", ProxiedRequest, "_again", _send_again_whatever_ran),
+    SoakGuard("what may have run is not sent again", ProxiedRequest, "_retry", _send_again_whatever_ran),
     SoakGuard("a claim is given back with proof alone", ProxiedRequest, "_release_unrun", _release_without_proof),
-    SoakGuard("an operation runs only once its key is won", ProxiedRequest, "_claimed", _run_without_claim),
+    SoakGuard("an operation runs only once its key is won", ProxiedRequest, "_reservation_ended", _run_without_claim),
     SoakGuard("a request runs at the life that it names", ConcurrencyLimiter, "accepts", _takes_any_life),
     SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
     SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -14,16 +14,18 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
-from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
+from lugspur.mesh.dataplane.proxied_request import DELIVER_BY_HEADER, ProxiedRequest
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import FailureLog, Standing, keep_only
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
-ATTEMPT, KEY = b"lugspur-attempt-id", b"lugspur-operation-key"
-ID_MOST = 256  # bytes of an id or a key
-BUDGET_PART = 0.5  # of the retry budget that is used: nested calls of what runs twice count too, and views lag
+ATTEMPT_ID_HEADER, IDEMPOTENCY_KEY_HEADER = b"lugspur-attempt-id", b"lugspur-operation-key"
+MAX_ID_BYTES = 256  # bytes of an id or a key
+RETRY_BUDGET_FRACTION = (
+    0.5  # of the retry budget that is used: nested calls of what runs twice count too, and views lag
+)
 
 
 class Proxy:
@@ -42,7 +44,7 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.table, self.carrier, self.keys, self.rng = table, carrier, keys, rng
-        self._ratio, self._slack, self._span = ratio * BUDGET_PART, slack * BUDGET_PART, span
+        self._ratio, self._slack, self._span = ratio * RETRY_BUDGET_FRACTION, slack * RETRY_BUDGET_FRACTION, span
         self.zone = zone
         self.proxies = 1  # how many share the budget
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
@@ -111,16 +113,21 @@
         try:
             proxied_request = self._take(request, caller)
         except MeshError as fault:
-            self.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], fault.kind.value)
+            self.request_failed(request.headers.get(ATTEMPT_ID_HEADER, b"")[:MAX_ID_BYTES], fault.kind.value)
             reject(caller, fault.kind)
             return
-        proxied_request.begin()
+        proxied_request.start()
 
     def _take(self, request: Request, caller: Answerable) -> ProxiedRequest:
         headers = request.headers
-        attempt, key = headers.get(ATTEMPT, b""), headers.get(KEY, b"")
+        attempt, key = headers.get(ATTEMPT_ID_HEADER, b""), headers.get(IDEMPOTENCY_KEY_HEADER, b"")
         # Guards what must run once against two readings of one id: repeated headers are joined by commas.
-        if not 0 < len(attempt) <= ID_MOST or b"," in attempt or len(key) > ID_MOST or not request.target[:1] == b"/":
+        if (
+            not 0 < len(attempt) <= MAX_ID_BYTES
+            or b"," in attempt
+            or len(key) > MAX_ID_BYTES
+            or not request.target[:1] == b"/"
+        ):
             raise MeshError(Kind.BAD_REQUEST)
         if not len(self.table):
             raise MeshError(Kind.NOT_READY)
@@ -128,7 +135,7 @@
         if route is None:
             raise MeshError(Kind.NO_ROUTE)
         left = route.deadline
-        told = headers.get(BY_MS)
+        told = headers.get(DELIVER_BY_HEADER)
         if told is not None:
             if not told.isdigit() or len(told) > 9:
                 raise MeshError(Kind.BAD_REQUEST)
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -14,7 +14,7 @@
 from lugspur.mesh.control.messages import Entry, ForwardResponse, GrantBody, Hello, Message, Report, ReserveKeyReply
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
-from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
+from lugspur.mesh.dataplane.proxy import ATTEMPT_ID_HEADER, MAX_ID_BYTES, Proxy
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import fail
@@ -154,7 +154,7 @@
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take a caller's request; it gets one answer."""
         if not self.update_source.has_configuration:
-            self.proxy.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
+            self.proxy.request_failed(request.headers.get(ATTEMPT_ID_HEADER, b"")[:MAX_ID_BYTES], Kind.NOT_READY.value)
             fail(caller, MeshError(Kind.NOT_READY))
             return
         self.proxy.handle(request, caller)
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -448,7 +448,7 @@
         assert len(rig.sent) == 3
         [request] = rig.proxy.open_requests
         assert isinstance(request, ProxiedRequest)
-        request._second()  # the copy that was set with the first try falls due while the second one is at work
+        request._send_hedge()  # the copy that was set with the first try falls due while the second one is at work
         assert len(rig.sent) == 3 and not caller.answers
 
     play(what, slack=100.0)
