--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -42,7 +42,7 @@
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
         if ip == self._ip:
-            return CarriedHere(self._limiter, self._limiter.run(forward, respond))
+            return CarriedHere(self._limiter, self._limiter.submit(forward, respond))
         link = self._peers[ip].link
         assert link is not None
         status = self._backends.get(ip)
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -289,8 +289,8 @@
             proxied_request.end()
         await asyncio.sleep(FLUSH_SECONDS)
         seconds = self.loop.time() - started_at
-        events.info("left", flights=len(self.proxy.open_requests), busy=self.limiter.busy, after=seconds)
+        events.info("left", flights=len(self.proxy.open_requests), busy=self.limiter.in_flight, after=seconds)
 
     def _has_work(self) -> bool:
         """Whether any request or connection of a caller is left."""
-        return bool(self.proxy.open_requests or self.limiter.busy or len(self.incoming.uploads) or self.front.callers)
+        return bool(self.proxy.open_requests or self.limiter.in_flight or len(self.incoming.uploads) or self.front.callers)
