--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -17,8 +17,9 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.datagrams import MAX_KEY_BYTES, MIN_KEY_BYTES, DatagramCodec
+from lugspur.daemon.gossip.events import Event, MemberChanged, MessageReceived, NameConflict
 from lugspur.daemon.gossip.messages import MAX_VERSION_CHARACTERS, MAX_ZONE_CHARACTERS, MemberMetadata, Status
-from lugspur.daemon.gossip.protocol import Event, GossipProtocol, MemberChanged, MessageReceived, NameConflict
+from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.daemon.gossip.transport import Transport, bind_socket
 from lugspur.daemon.leases.claim import Claim, Turned, Won, order
 from lugspur.daemon.leases.elector import Elector, Who
@@ -83,7 +84,15 @@
             raise OSError(f"fleet can't have {host}:{port}: {fault.strerror or fault}") from fault
         host, port = row.advertise or sock.getsockname()[:2]
         fleet = GossipProtocol(
-            wire, row.member, (host, port), self._facts, list(row.seeds), clock.now(), time.time, self._rng, row.period
+            codec=wire,
+            name=row.member,
+            address=(host, port),
+            metadata=self._facts,
+            seeds=list(row.seeds),
+            now=clock.now(),
+            wall_clock=time.time,
+            rng=self._rng,
+            period_seconds=row.period,
         )
         self.transport = Transport(sock, fleet, self._heard, self._woken, self._dues)
         if row.history:
--- /dev/null
+++ b/lugspur/daemon/gossip/dissemination.py
@@ -0,0 +1,93 @@
+"""Dissemination of updates: piggybacked on pings and acks, and in rounds of their own while there are any."""
+
+from __future__ import annotations
+
+import random
+
+from lugspur.daemon.gossip.membership_table import MembershipTable
+from lugspur.daemon.gossip.messages import Ack, MemberRecord, Ping, Status, Updates, encoded_size
+from lugspur.daemon.gossip.outbox import Outbox
+from lugspur.daemon.gossip.update_queue import UpdateQueue
+
+ROUND_PERIODS = 0.2  # between two rounds of updates without a ping
+ROUND_FANOUT = 3  # members that each round goes to
+LEAVE_FANOUT = 2 * ROUND_FANOUT  # members that are notified when this process leaves
+PACKET_OVERHEAD_BYTES = 100  # of a packet without its records, at most
+
+
+class Dissemination:
+    """Chooses which updates go along with which datagram."""
+
+    def __init__(
+        self,
+        *,
+        table: MembershipTable,
+        updates: UpdateQueue,
+        outbox: Outbox,
+        rng: random.Random,
+        period_seconds: float,
+        now: float,
+    ) -> None:
+        self._table, self._updates, self._outbox, self._rng = table, updates, outbox, rng
+        self._period = period_seconds
+        self._next_round_at = now
+
+    def ping(self, name: str, sequence_number: int) -> Ping:
+        """Return a ping for a member, with updates."""
+        return Ping(sequence_number, self._table.digest, self._piggyback(name))
+
+    def ack(self, name: str, sequence_number: int, instance_id: int) -> Ack:
+        """Return an ack for a process under a member's name, with updates."""
+        return Ack(sequence_number, self._table.digest, self._piggyback(name, instance_id))
+
+    def plain_ack(self, sequence_number: int) -> Ack:
+        """Return an ack with this process's own record alone."""
+        return Ack(sequence_number, self._table.digest, [self._table.local_record])
+
+    def due(self) -> float:
+        """When the next round is due, in seconds of the local clock."""
+        return self._next_round_at if self._has_updates_to_send() else float("inf")
+
+    def tick(self, now: float) -> None:
+        """Send a round of updates if one is due."""
+        if now < self._next_round_at or not self._has_updates_to_send():
+            return
+        self._next_round_at = now + ROUND_PERIODS * self._period
+        names = self._table.sample_present(self._rng, ROUND_FANOUT)
+        for name in names:
+            max_bytes = self._outbox.max_packet_bytes - PACKET_OVERHEAD_BYTES
+            updates = self._updates.take_fitting(max_bytes, self._table.present_count, name)
+            if updates:
+                self._outbox.send(now, self._table.members[name].record.address, Updates(updates), name)
+        if not names:
+            self._updates.clear()
+
+    def notify_of_leave(self, now: float) -> None:
+        """Send this process's last record to some members; they pass it on."""
+        for name in self._table.sample_present(self._rng, LEAVE_FANOUT):
+            address = self._table.members[name].record.address
+            self._outbox.send(now, address, Updates([self._table.local_record]), name)
+
+    def pause_until(self, time: float) -> None:
+        """Send no round before a time."""
+        self._next_round_at = time
+
+    def _has_updates_to_send(self) -> bool:
+        return len(self._updates) > 0 and len(self._table.members) > 0
+
+    def _piggyback(self, name: str, instance_id: int | None = None) -> list[MemberRecord]:
+        """Return this process's record, what it holds of the addressee unless that is well, and updates that fit.
+
+        Args:
+            name: The addressee.
+            instance_id: Its process, if that is known.
+        """
+        records = [self._table.local_record]
+        entry = self._table.members.get(name)
+        if entry is not None:
+            is_other_process = instance_id not in (None, entry.record.instance_id)
+            if entry.record.status is not Status.ALIVE or is_other_process:
+                records.append(entry.record)  # Guards it against never receiving what it has to refute.
+        own_bytes = sum(encoded_size(record) for record in records)
+        max_bytes = self._outbox.max_packet_bytes - PACKET_OVERHEAD_BYTES - own_bytes
+        return records + self._updates.take_fitting(max_bytes, self._table.present_count, name)
--- /dev/null
+++ b/lugspur/daemon/gossip/membership.py
@@ -0,0 +1,97 @@
+"""Applies updates about other members: to the table, to the queue of updates to pass on, and to the log of events."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+
+from lugspur.daemon.gossip.counters import GossipCounter
+from lugspur.daemon.gossip.events import Event, MemberChanged
+from lugspur.daemon.gossip.local_member import LocalMember
+from lugspur.daemon.gossip.membership_table import MembershipTable
+from lugspur.daemon.gossip.merge_rules import cause_of_change, merged_record, supersedes, with_status
+from lugspur.daemon.gossip.messages import MemberRecord, Status
+from lugspur.daemon.gossip.probe_order import ProbeOrder
+from lugspur.daemon.gossip.update_queue import UpdateQueue
+
+MAX_INCARNATION_LEAD = 86_400_000  # above our wall clock in milliseconds: a day; incarnations start as wall clocks
+NO_ANSWER = "does not answer"
+
+
+class Membership:
+    """The way in which all changes of other members go."""
+
+    def __init__(
+        self,
+        *,
+        table: MembershipTable,
+        updates: UpdateQueue,
+        probe_order: ProbeOrder,
+        local_member: LocalMember,
+        counters: Counter[str],
+        emit: Callable[[Event], None],
+        wall_clock: Callable[[], float],
+    ) -> None:
+        self._table, self._updates, self._probe_order = table, updates, probe_order
+        self._local_member, self._counters, self._emit = local_member, counters, emit
+        self._wall_clock = wall_clock
+
+    def merge(self, now: float, record: MemberRecord, *, is_first_hand: bool) -> None:
+        """Merge a received record into the view.
+
+        Args:
+            now: Seconds of the local clock.
+            record: What another member reports.
+            is_first_hand: Whether it reports it of itself.
+        """
+        if record.incarnation > self._wall_clock() * 1000 + MAX_INCARNATION_LEAD:
+            self._counters[GossipCounter.INCARNATION_TOO_HIGH] += 1
+        elif record.name == self._table.local_record.name:
+            self._local_member.receive_report(now, record)
+        elif record.name in self._table.members:
+            self._merge_known(now, self._table.members[record.name].record, record)
+        elif record.is_present:
+            self._apply(now, record, "came" if is_first_hand else "heard of")
+
+    def suspect(self, now: float, name: str) -> None:
+        """Suspect a member that has not answered this process, or confirm the suspicion of another member."""
+        record = self._table.members[name].record
+        local_name = self._table.local_record.name
+        suspected = with_status(record, Status.SUSPECT, local_name)
+        if record.status is Status.ALIVE:
+            self._apply(now, suspected, NO_ANSWER)
+        elif self._table.confirm_suspicion(name, local_name):
+            self._updates.enqueue(suspected)
+
+    def declare_expired_dead(self, now: float) -> None:
+        """Declare the members dead that did not refute their suspicion in time."""
+        for name in self._table.expired_suspicions(now):
+            record = with_status(self._table.members[name].record, Status.DEAD, self._table.local_record.name)
+            self._apply(now, record, NO_ANSWER)
+
+    def _merge_known(self, now: float, known: MemberRecord, received: MemberRecord) -> None:
+        merged = merged_record(known, received)
+        if merged is not None:
+            self._apply(now, merged, cause_of_change(known, merged))
+        elif self._is_confirmation(known, received):
+            self._updates.enqueue(received)
+
+    def _is_confirmation(self, known: MemberRecord, received: MemberRecord) -> bool:
+        return (
+            not supersedes(received, known)
+            and received.incarnation == known.incarnation
+            and received.status is Status.SUSPECT
+            and self._table.confirm_suspicion(received.name, received.reported_by)
+        )
+
+    def _apply(self, now: float, record: MemberRecord, cause: str) -> None:
+        entry = self._table.members.get(record.name)
+        previous = None if entry is None else entry.record
+        if entry is None:
+            if not self._table.make_room():
+                self._counters[GossipCounter.TABLE_FULL] += 1
+                return
+            self._probe_order.insert(record.name)
+        self._table.store(now, record)
+        self._updates.enqueue(record)
+        self._emit(MemberChanged(record, previous, cause))
--- /dev/null
+++ b/lugspur/daemon/gossip/merge_rules.py
@@ -0,0 +1,45 @@
+"""Which of two reports of one member counts (SWIM, section 4.2, with two guards of our own). No I/O, no state."""
+
+from __future__ import annotations
+
+import msgspec
+
+from lugspur.daemon.gossip.messages import MemberRecord, Status
+
+
+def with_status(record: MemberRecord, status: Status, reported_by: str) -> MemberRecord:
+    """Return the record with another status and reporter."""
+    return msgspec.structs.replace(record, status=status, reported_by=reported_by)
+
+
+def supersedes(received: MemberRecord, known: MemberRecord) -> bool:
+    """Return whether a report is newer: a greater incarnation, or the same one with a greater status."""
+    return (received.incarnation, received.status) > (known.incarnation, known.status)
+
+
+def merged_record(known: MemberRecord, received: MemberRecord) -> MemberRecord | None:
+    """Return the record to store in place of the known one, or None if the received one changes nothing."""
+    if not supersedes(received, known):
+        return None
+    if received.status is Status.DEAD and known.status is Status.ALIVE:
+        # Guards a member against the report of a single other one: it is suspected first, and has time to refute that.
+        return with_status(received, Status.SUSPECT, received.reported_by)
+    # Guards a member against others that claim that it has left.
+    if received.status is Status.LEFT and received.reported_by != received.name:
+        return None
+    return received
+
+
+def cause_of_change(previous: MemberRecord, record: MemberRecord) -> str:
+    """Return a few words for the log on why a member's record changed."""
+    if record.status is Status.LEFT:
+        return "said goodbye"
+    if record.status is not Status.ALIVE:
+        return f"by {record.reported_by}"
+    if record.instance_id != previous.instance_id:
+        return "started anew"
+    if not previous.is_present:
+        return "is back"
+    if previous.status is Status.SUSPECT:
+        return "refuted it"
+    return "moved" if record.address != previous.address else "told of itself"
--- a/lugspur/daemon/gossip/messages.py
+++ b/lugspur/daemon/gossip/messages.py
@@ -19,6 +19,7 @@
 MAX_VERSION_CHARACTERS = 24
 MAX_HOST_CHARACTERS = 45  # a numeric address, IPv6 at the longest
 MAX_RECORDS_PER_DATAGRAM = 24  # more of the shortest records don't fit
+INSTANCE_ID_LIMIT = 1 << 52  # exclusive
 INCARNATION_LIMIT = 1 << 52  # exclusive
 MAX_REQUESTS_PER_SECOND = 1e9
 MAX_EPOCH_SECONDS = 1e11
@@ -26,7 +27,7 @@
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS, pattern=r"\A[!-~]+\Z")]
 OptionalName = Annotated[str, Meta(max_length=MAX_NAME_CHARACTERS)]
 SequenceNumber = Annotated[int, Meta(ge=0, lt=1 << 32)]
-InstanceId = Annotated[int, Meta(ge=0, lt=1 << 52)]
+InstanceId = Annotated[int, Meta(ge=0, lt=INSTANCE_ID_LIMIT)]
 Incarnation = Annotated[int, Meta(ge=0, lt=INCARNATION_LIMIT)]
 Host = Annotated[str, Meta(min_length=2, max_length=MAX_HOST_CHARACTERS, pattern=r"\A[0-9a-fA-F:.]+\Z")]
 Port = Annotated[int, Meta(ge=1, lt=1 << 16)]
--- a/lugspur/daemon/gossip/transport.py
+++ b/lugspur/daemon/gossip/transport.py
@@ -7,8 +7,10 @@
 from collections.abc import Callable, Iterable
 
 from lugspur.daemon.gossip import clock
+from lugspur.daemon.gossip.counters import GossipCounter
+from lugspur.daemon.gossip.events import Address, Event
 from lugspur.daemon.gossip.messages import MAX_DATAGRAM_BYTES
-from lugspur.daemon.gossip.protocol import Address, Event, GossipProtocol
+from lugspur.daemon.gossip.protocol import GossipProtocol
 
 MAX_DATAGRAMS_PER_WAKEUP = 64  # some 10 ms of the event loop, after which requests have their turn
 
@@ -95,7 +97,7 @@
             try:
                 self._sock.sendto(data, address)
             except OSError:  # no buffer or no route: treated like a datagram that the network lost
-                self.protocol.counters["not sent"] += 1
+                self.protocol.counters[GossipCounter.NOT_SENT] += 1
 
     def _set_timer(self) -> None:
         if self._timer is not None:
--- a/lugspur/daemon/gossip/update_queue.py
+++ b/lugspur/daemon/gossip/update_queue.py
@@ -35,6 +35,10 @@
         """Add an update; it replaces an older one about the same member."""
         self._queued[record.name] = _QueuedUpdate(record, encoded_size(record))
 
+    def clear(self) -> None:
+        """Drop all updates."""
+        self._queued.clear()
+
     def take_fitting(self, max_bytes: int, member_count: int, excluded_name: str = "") -> list[MemberRecord]:
         """Return the updates for the next datagram and count one transmission of each.
 
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -11,8 +11,9 @@
 from random import Random
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
+from lugspur.daemon.gossip.events import MemberChanged
 from lugspur.daemon.gossip.messages import MemberMetadata, Status
-from lugspur.daemon.gossip.protocol import GossipProtocol, MemberChanged
+from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.emulator.datagrams import Address, Network, halves
 
 SIZES = (5, 50, 200)
@@ -69,20 +70,22 @@
         """Where a member takes datagrams."""
         return f"10.0.{number // 250}.{number % 250 + 1}", 7946
 
-    def start(self, number: int, name: str = "", fleet: str = NAME, behind: float = 0.0) -> GossipProtocol:
+    def start(
+        self, number: int, name: str = "", fleet: str = NAME, behind: float = 0.0, key: bytes = b""
+    ) -> GossipProtocol:
         """One more member; its wall clock may be behind."""
         address, network = self.address(number), self.network
         rng = Random(f"{self.seed} {number} {network.now}")
         seeds = [self.address(0), self.address(1)]
         machine = GossipProtocol(
-            DatagramCodec(fleet),
-            name or f"m{number}",
-            address,
-            MemberMetadata("z", "1", network.now),
-            seeds,
-            network.clock(address),
-            lambda: EPOCH + network.now - behind,
-            rng,
+            codec=DatagramCodec(fleet, key),
+            name=name or f"m{number}",
+            address=address,
+            metadata=MemberMetadata("z", "1", network.now),
+            seeds=seeds,
+            now=network.clock(address),
+            wall_clock=lambda: EPOCH + network.now - behind,
+            rng=rng,
         )
         network.add(address, machine)
         return machine
--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -5,6 +5,7 @@
 from random import Random
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
+from lugspur.daemon.gossip.membership_table import MAX_MEMBERS
 from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     MemberMetadata,
@@ -15,14 +16,23 @@
     Status,
     Updates,
 )
-from lugspur.daemon.gossip.protocol import MAX_MEMBERS, GossipProtocol
+from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 
 PEER = ("10.0.0.2", 7946)
 
 
 def member(wire: DatagramCodec) -> GossipProtocol:
-    return GossipProtocol(wire, "m0", ("10.0.0.1", 7946), MemberMetadata(), [], 0.0, lambda: 1e9, Random(1))
+    return GossipProtocol(
+        codec=wire,
+        name="m0",
+        address=("10.0.0.1", 7946),
+        metadata=MemberMetadata(),
+        seeds=[],
+        now=0.0,
+        wall_clock=lambda: 1e9,
+        rng=Random(1),
+    )
 
 
 def datagram(message: Message, sender: str = "m1", process: int = 7, to: str = "m0") -> bytes:
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -10,6 +10,7 @@
 import pytest
 
 from lugspur.daemon.gossip.datagrams import DatagramCodec
+from lugspur.daemon.gossip.membership_table import record_digest
 from lugspur.daemon.gossip.messages import (
     Ack,
     FetchPage,
@@ -25,7 +26,6 @@
     Updates,
     UserMessage,
 )
-from lugspur.daemon.gossip.protocol import record_digest
 
 FLEET, KEY = "edge", b"0123456789abcdef"
 # The characters "LG", version 1, eight bytes of the BLAKE2b digest of "edge".
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from lugspur.daemon.gossip.datagrams import DatagramCodec
+from lugspur.daemon.gossip.events import MemberChanged, MessageReceived, NameConflict
+from lugspur.daemon.gossip.membership_table import MAX_MEMBERS
 from lugspur.daemon.gossip.messages import (
     MAX_DATAGRAM_BYTES,
     MemberMetadata,
@@ -17,7 +18,7 @@
     Updates,
     UserMessage,
 )
-from lugspur.daemon.gossip.protocol import MAX_MEMBERS, GossipProtocol, MemberChanged, MessageReceived, NameConflict
+from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
@@ -297,8 +298,7 @@
 
 def test_other_keys_hear_nothing_of_each_other() -> None:
     fleet = Members(2, 22)
-    keyed = fleet.start(3)
-    keyed.codec = DatagramCodec("emulated", b"k" * 16)
+    keyed = fleet.start(3, key=b"k" * 16)
     fleet.network.run(10.0)
     assert keyed.present_count == 1 and keyed.counters["garbage"] + keyed.counters["another key"] == 0
     assert all(machine.present_count == 2 for at, machine in fleet.all().items() if at != fleet.address(3))
