--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -293,4 +293,6 @@
 
     def _has_work(self) -> bool:
         """Whether any request or connection of a caller is left."""
-        return bool(self.proxy.open_requests or self.limiter.in_flight or len(self.incoming.uploads) or self.front.callers)
+        return bool(
+            self.proxy.open_requests or self.limiter.in_flight or len(self.incoming.uploads) or self.front.callers
+        )
