--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from lugspur.config.load import resolved
-from lugspur.daemon.persistence.aging import age_of
+from lugspur.daemon.persistence.aging import snapshot_age
 from lugspur.daemon.persistence.snapshot_format import (
     MAX_BACKENDS,
     PoolSnapshot,
@@ -68,7 +68,7 @@
             _say(line)
         self._snapshot = found.snapshot
         if found.snapshot is not None:
-            self._age = age_of(found.snapshot.written_at, time.time())
+            self._age = snapshot_age(found.snapshot.written_at, time.time())
             pools = found.snapshot.pools
             backends = sum(len(pool.endpoints) for pool in pools.values())
             aged = "of unknown age" if self._age is None else f"{self._age:.0f} s old"
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -106,10 +106,10 @@
 
     def _recall(self, kept: PoolSnapshot, age: float | None) -> None:
         # Imported only here: a daemon that keeps nothing has no use for it.
-        from lugspur.daemon.persistence.aging import aged
+        from lugspur.daemon.persistence.aging import decay
 
         now = self.pool.now()
-        learned = aged(kept, age, now)
+        learned = decay(kept, age, now)
         if learned is not None:
             self.pool.balancer.recall(now, learned)
 
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from kept import SETTINGS, endpoints, send_number, taught
 
-from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
+from lugspur.daemon.persistence.aging import HALF_LIFE_SECONDS, MAX_AGE_SECONDS, decay, snapshot_age
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
@@ -26,19 +26,19 @@
 
 
 def test_an_age_is_known_only_where_clocks_are_steady() -> None:
-    assert age_of(100.0, 160.0) == 60.0
-    assert age_of(100.0, 99.5) == 0.0  # a step of NTP
-    assert age_of(100.0, 90.0) is None
+    assert snapshot_age(100.0, 160.0) == 60.0
+    assert snapshot_age(100.0, 99.5) == 0.0  # a step of NTP
+    assert snapshot_age(100.0, 90.0) is None
 
 
 def test_what_is_fresh_counts_as_it_was_on_the_new_clock() -> None:
     pool = kept(endpoints(4), slow=1)
     assert pool.learned is not None
-    found = aged(pool, 0.0, AT)
+    found = decay(pool, 0.0, AT)
     assert found is not None
     for row, was in zip(found.servers, pool.learned.servers, strict=True):
         assert (row.latency, row.seen, row.breaker) == (was.latency, was.seen, was.breaker)
-    later = aged(pool, 2.0, AT + 5002.0)  # another clock, two seconds later
+    later = decay(pool, 2.0, AT + 5002.0)  # another clock, two seconds later
     assert later is not None
     for row, was in zip(later.servers, pool.learned.servers, strict=True):
         assert row.seen == pytest.approx(was.seen + 5000.0)
@@ -53,27 +53,27 @@
     pooled = pool.learned.pooled
     gaps = []
     for halves in (0, 1, 3):
-        found = aged(pool, halves * HALF, AT + halves * HALF)
+        found = decay(pool, halves * HALF_LIFE_SECONDS, AT + halves * HALF_LIFE_SECONDS)
         assert found is not None
         gaps.append(max(abs(row.latency - pooled) for row in found.servers))
         assert halves == 0 or all(row.breaker is None or not row.breaker.window for row in found.servers)
     assert gaps[1] == pytest.approx(gaps[0] / 2)
     assert gaps[2] == pytest.approx(gaps[0] / 8)
-    for age in (BEYOND + 1.0, 86_400.0, None):
-        assert aged(pool, age, AT) is None
-    assert aged(PoolSnapshot(AT, endpoints(1)), 1.0, AT) is None
+    for age in (MAX_AGE_SECONDS + 1.0, 86_400.0, None):
+        assert decay(pool, age, AT) is None
+    assert decay(PoolSnapshot(AT, endpoints(1)), 1.0, AT) is None
 
 
 def numbers(found: Learned) -> list[float]:
     return [value for row in found.servers for value in (row.latency, row.seen, row.down_until, row.cold_credit)]
 
 
-@given(st.floats(0.0, BEYOND), st.floats(-1e9, 1e9), st.integers(0, 4), st.integers(0, 4), st.integers(1, 80))
+@given(st.floats(0.0, MAX_AGE_SECONDS), st.floats(-1e9, 1e9), st.integers(0, 4), st.integers(0, 4), st.integers(1, 80))
 @settings(deadline=None, max_examples=60)
 def test_whatever_the_clocks_say_the_module_goes_on(age: float, clock: float, slow: int, bad: int, rounds: int) -> None:
     rows = endpoints(4)
     now = AT + clock
-    found = aged(kept(rows, slow=slow, bad=bad, rounds=rounds), age, now)
+    found = decay(kept(rows, slow=slow, bad=bad, rounds=rounds), age, now)
     assert found is not None
     assert all(isfinite(value) for value in numbers(found))
     assert all(row.seen <= now for row in found.servers)
@@ -116,7 +116,7 @@
     pool = kept(rows, slow=5, bad=2, rounds=100)
     met: Counter[str] = Counter()
     for seed in range(20):
-        for name, learned in (("none", None), ("fresh", aged(pool, 1.0, AT + 1.0))):
+        for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
             sent = after(rows, learned, AT + 1.0, slow=5, bad=2, seed=seed)
             met[name] += sum(sent[place] for place in range(7))
         # What a process meets that never ended: of two candidates both are bad now and then.
@@ -132,7 +132,7 @@
     turned = list(reversed(rows))  # the first is now the one that was best
     met: Counter[str] = Counter()
     for seed in range(20):
-        for name, learned in (("none", None), ("fresh", aged(pool, 1.0, AT + 1.0))):
+        for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
             met[name] += after(turned, learned, AT + 1.0, count=100, bad=1, seed=seed)[0]
     assert met["fresh"] <= met["none"] + 20 * 5  # five more calls of a hundred at most, for each start
 
@@ -140,7 +140,7 @@
 def test_a_box_that_restarted_since_is_cold_whatever_the_file_says() -> None:
     rules = Rules(cold_from=0.3, cold_for=10.0)
     rows = endpoints(6, started=500.0)
-    learned = aged(kept(rows, rounds=200), 5.0, AT + 5.0)
+    learned = decay(kept(rows, rounds=200), 5.0, AT + 5.0)
     assert learned is not None
     sent: Counter[str] = Counter()
     for seed in range(30):
@@ -165,7 +165,7 @@
 
 def test_nothing_is_taken_up_for_a_box_with_another_start_or_that_is_not_listed() -> None:
     rows = endpoints(2, started=500.0)
-    learned = aged(kept(rows), 1.0, AT + 1.0)
+    learned = decay(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
     balancer = Balancer(SETTINGS, 1)
     balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started=900.0)])
@@ -174,10 +174,10 @@
     assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
 
 
-@pytest.mark.parametrize("age", [0.5, 5.0, 600.0, BEYOND])
+@pytest.mark.parametrize("age", [0.5, 5.0, 600.0, MAX_AGE_SECONDS])
 def test_a_burst_at_the_start_is_taken_as_from_nothing(age: float) -> None:
     rows = endpoints(8)
-    learned = aged(kept(rows, rounds=200), age, AT + age)
+    learned = decay(kept(rows, rounds=200), age, AT + age)
     assert learned is not None
     taken = {}
     for name, known in (("none", None), ("kept", learned)):
