--- a/lugspur/management/acts.py
+++ b/lugspur/daemon/admin/acts.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from lugspur.management.calls import Act
+from lugspur.daemon.admin.calls import Act
 from lugspur.observability.failures import FailedRequest
 from lugspur.observability.metrics import Figure, render
 
--- a/lugspur/management/door.py
+++ b/lugspur/daemon/admin/door.py
@@ -6,8 +6,8 @@
 import socket
 from collections.abc import Mapping
 
+from lugspur.daemon.admin.calls import Act, Call
 from lugspur.discovery.endpoints import Address
-from lugspur.management.calls import Act, Call
 
 MOST = 24  # connections at once: a dozen that hang, and as many operators
 WITHIN = 5.0  # seconds that a connection may take: some stay for 4 s and say nothing
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable, Mapping
 
 from lugspur.config.model import Management
+from lugspur.daemon.admin.acts import acts
+from lugspur.daemon.admin.calls import Act
+from lugspur.daemon.admin.door import Door
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.station import Station
 from lugspur.discovery.endpoints import server_id
 from lugspur.http1.front import Front
-from lugspur.management.acts import acts
-from lugspur.management.calls import Act
-from lugspur.management.door import Door
 from lugspur.observability.failures import FailedRequest
 from lugspur.observability.metrics import Figure
 
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -21,9 +21,9 @@
 from lugspur.http1.front import BACKLOG, Front
 
 if TYPE_CHECKING:
+    from lugspur.daemon.admin.calls import Act
     from lugspur.daemon.company import Company
     from lugspur.daemon.operated import Operators
-    from lugspur.management.calls import Act
 
 Listening = tuple[Front, socket.socket]
 
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -47,8 +47,8 @@
     front = proxy.front
     reloads.carry_out(loop, lambda: reload(proxy))
     if config.management is not None:
-        from lugspur.management.acts import acts
-        from lugspur.management.door import Door
+        from lugspur.daemon.admin.acts import acts
+        from lugspur.daemon.admin.door import Door
 
         door = Door(config.management, acts(proxy))
         try:
--- a/tests/compatibility/test_admin_answers.py
+++ b/tests/compatibility/test_admin_answers.py
@@ -13,8 +13,8 @@
 from daemonic import pool, route, served
 from loopback import HOST, entry, running, soon
 
-from lugspur.management.acts import acts
-from lugspur.management.door import Door
+from lugspur.daemon.admin.acts import acts
+from lugspur.daemon.admin.door import Door
 
 
 def answer(status: str, line: str, head: str = "") -> bytes:
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -16,9 +16,9 @@
 from loopback import CLOSE, HOST, Backend, backend, book, entry, running, soon, status
 
 from lugspur import invariants
+from lugspur.daemon.admin.acts import acts
+from lugspur.daemon.admin.door import Door
 from lugspur.load_balancing.model import Outcome
-from lugspur.management.acts import acts
-from lugspur.management.door import Door
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.observability.failures import FailedRequest, PickView, Refusal, Step
--- a/tests/management/test_calls.py
+++ b/tests/management/test_calls.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.management.calls import BODY_MOST, HEAD_MOST, Act, Call
+from lugspur.daemon.admin.calls import BODY_MOST, HEAD_MOST, Act, Call
 
 
 def echo(body: str) -> tuple[int, str]:
--- a/tests/management/test_management.py
+++ b/tests/management/test_management.py
@@ -16,9 +16,9 @@
 import pytest
 from loopback import CLOSE, HOST, OK, WIRE, Client, Running, backend, book, entry, read, running, soon, status, until
 
+from lugspur.daemon.admin.acts import acts
+from lugspur.daemon.admin.door import MOST, Door
 from lugspur.http1 import front as fronts
-from lugspur.management.acts import acts
-from lugspur.management.door import MOST, Door
 
 ROOT = Path(__file__).parent.parent.parent
 
