--- a/lugspur/daemon/admin/acts.py
+++ b/lugspur/daemon/admin/actions.py
@@ -1,4 +1,4 @@
-"""The calls of the second address and what each does to a running proxy; every act is one line in the log."""
+"""The calls of the second address and what each does to a running proxy; every action is one line in the log."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 import orjson
 
-from lugspur.daemon.admin.calls import Act
+from lugspur.daemon.admin.request import Action
 from lugspur.observability.failures import FailedRequest
 from lugspur.observability.metrics import Figure, render
 
-ID_MOST = 128  # bytes of a backend's name
+MAX_BACKEND_NAME_BYTES = 128  # bytes of a backend's name
 YES, NO = 200, 404
 
 
-class Operated(Protocol):
+class ManagedProxy(Protocol):
     """What operators can do to a proxy."""
 
     @property
@@ -42,7 +42,7 @@
         """The latest requests that failed, the latest last."""
 
 
-def acts(proxy: Operated) -> Mapping[tuple[str, str], Act]:
+def admin_actions(proxy: ManagedProxy) -> Mapping[tuple[str, str], Action]:
     """The calls by method and path."""
 
     def ready(_: str) -> tuple[int, str]:
@@ -82,10 +82,10 @@
     }
 
 
-def _backend(name: str, done: str, act: Callable[[str], bool]) -> tuple[int, str]:
-    if not name or len(name.encode()) > ID_MOST or not name.isprintable():
+def _backend(name: str, done: str, action: Callable[[str], bool]) -> tuple[int, str]:
+    if not name or len(name.encode()) > MAX_BACKEND_NAME_BYTES or not name.isprintable():
         return 400, "the body has to be a backend's id"
-    if not act(name):
+    if not action(name):
         return NO, f"no backend {name!r} was ever listed"
     return YES, _said(f"backend {name!r} is {done}")
 
--- a/lugspur/daemon/admin/door.py
+++ b/lugspur/daemon/admin/listener.py
@@ -6,22 +6,24 @@
 import socket
 from collections.abc import Mapping
 
-from lugspur.daemon.admin.calls import Act, Call
+from lugspur.daemon.admin.request import Action, AdminRequest
 from lugspur.discovery.endpoints import Address
 
-MOST = 24  # connections at once: a dozen that hang, and as many operators
-WITHIN = 5.0  # seconds that a connection may take: some stay for 4 s and say nothing
-BACKLOG = 256  # connections that may wait to be accepted
-DROP_MOST = 1 << 20  # bytes that are read and dropped behind the answer: closing with bytes unread would reset it
+MAX_CONNECTIONS = 24  # connections at once: a dozen that hang, and as many operators
+CONNECTION_TIMEOUT_SECONDS = 5.0  # seconds that a connection may take: some stay for 4 s and say nothing
+ACCEPT_BACKLOG = 256  # connections that may wait to be accepted
+MAX_DISCARDED_BYTES = (
+    1 << 20
+)  # bytes that are read and dropped behind the answer: closing with bytes unread would reset it
 
 
-class Door:
+class AdminListener:
     """Listens on the second address."""
 
-    def __init__(self, address: Address, acts: Mapping[tuple[str, str], Act]) -> None:
-        self._address, self.acts = address, acts
-        self.waiting: dict[Visitor, None] = {}  # those that have not made their call, the oldest first
-        self.visitors: set[Visitor] = set()
+    def __init__(self, address: Address, actions: Mapping[tuple[str, str], Action]) -> None:
+        self._address, self.actions = address, actions
+        self.incomplete: dict[AdminConnection, None] = {}  # those that have not made their call, the oldest first
+        self.connections: set[AdminConnection] = set()
         self.port = 0
         self._server: asyncio.Server
 
@@ -37,46 +39,46 @@
             sock.close()
             raise
         self.port = sock.getsockname()[1]
-        self._server = await loop.create_server(lambda: Visitor(self), sock=sock, backlog=BACKLOG)
+        self._server = await loop.create_server(lambda: AdminConnection(self), sock=sock, backlog=ACCEPT_BACKLOG)
         return sock
 
     def close(self) -> None:
         """Take no more calls; those that have not come are let go."""
         self._server.close()
-        for visitor in tuple(self.visitors):
-            visitor.drop()
+        for connection in tuple(self.connections):
+            connection.drop()
 
-    def room(self, newcomer: Visitor) -> None:
+    def make_room(self, newcomer: AdminConnection) -> None:
         """Guards operators against callers that hang: at the bound the oldest without a whole call goes."""
-        if len(self.visitors) > MOST:
-            next((v for v in self.waiting if v is not newcomer), newcomer).drop()
+        if len(self.connections) > MAX_CONNECTIONS:
+            next((v for v in self.incomplete if v is not newcomer), newcomer).drop()
 
 
-class Visitor(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection, for one call."""
 
-    def __init__(self, door: Door) -> None:
-        self._door = door
-        self._call = Call(door.acts)
+    def __init__(self, listener: AdminListener) -> None:
+        self._listener = listener
+        self._call = AdminRequest(listener.actions)
         self._dropped = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._timer = asyncio.get_running_loop().call_later(WITHIN, self.drop)
-        self._door.visitors.add(self)
-        self._door.waiting[self] = None
-        self._door.room(self)
+        self._timer = asyncio.get_running_loop().call_later(CONNECTION_TIMEOUT_SECONDS, self.drop)
+        self._listener.connections.add(self)
+        self._listener.incomplete[self] = None
+        self._listener.make_room(self)
 
     def data_received(self, data: bytes) -> None:
         if self._call.answer is not None:
             self._dropped += len(data)
-            if self._dropped > DROP_MOST:
+            if self._dropped > MAX_DISCARDED_BYTES:
                 self.drop()
             return
         self._call.feed(data)
         if self._call.answer is not None:
-            self._door.waiting.pop(self, None)
+            self._listener.incomplete.pop(self, None)
             self._transport.write(self._call.answer)
             try:
                 self._transport.write_eof()
@@ -89,6 +91,6 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._timer.cancel()
-        self._door.visitors.discard(self)
-        self._door.waiting.pop(self, None)
+        self._listener.connections.discard(self)
+        self._listener.incomplete.pop(self, None)
         self._call.close()
--- a/lugspur/daemon/admin/calls.py
+++ b/lugspur/daemon/admin/request.py
@@ -7,17 +7,17 @@
 
 import httptools
 
-HEAD_MOST = 8 << 10  # bytes of a call's head: what HTTP clients send unasked is far under it
-BODY_MOST = 256  # bytes of a call's body: an id is a name of at most 64 or so
-WIRE_PART = 8  # times that a body may take on the wire: chunks of one byte take six
-Act = Callable[[str], tuple[int, str]]  # a call by its body: status and one line
+MAX_HEAD_BYTES = 8 << 10  # bytes of a call's head: what HTTP clients send unasked is far under it
+MAX_BODY_BYTES = 256  # bytes of a call's body: an id is a name of at most 64 or so
+MAX_BODY_EXPANSION = 8  # times that a body may take on the wire: chunks of one byte take six
+Action = Callable[[str], tuple[int, str]]  # a call by its body: status and one line
 
 
-class Call:
+class AdminRequest:
     """One call on its way in; `answer` is there once it is whole, or at fault."""
 
-    def __init__(self, acts: Mapping[tuple[str, str], Act]) -> None:
-        self._acts = acts
+    def __init__(self, actions: Mapping[tuple[str, str], Action]) -> None:
+        self._actions = actions
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._body = b""
@@ -34,7 +34,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reply(400, "the call is malformed")
-        if self._wire > HEAD_MOST + WIRE_PART * BODY_MOST and self.answer is None:
+        if self._wire > MAX_HEAD_BYTES + MAX_BODY_EXPANSION * MAX_BODY_BYTES and self.answer is None:
             self._reply(413 if self._headed else 431, "the call is too large")
 
     def close(self) -> None:
@@ -51,7 +51,7 @@
 
     def on_body(self, body: bytes) -> None:
         self._body += body
-        if len(self._body) > BODY_MOST:
+        if len(self._body) > MAX_BODY_BYTES:
             self._reply(413, "the body is too large")
 
     def on_message_complete(self) -> None:
@@ -61,16 +61,16 @@
     # ---- the answer ----------------------------------------------------------------------------
 
     def _decide(self, method: str, path: str) -> None:
-        act = self._acts.get((method, path))
-        if act is not None:
+        action = self._actions.get((method, path))
+        if action is not None:
             try:
                 body = self._body.decode().strip()
             except UnicodeDecodeError:
                 self._reply(400, "the body is not text")
                 return
-            self._reply(*act(body))
+            self._reply(*action(body))
             return
-        allowed = sorted(known for known, place in self._acts if place == path)
+        allowed = sorted(known for known, place in self._actions if place == path)
         if allowed:
             self._reply(405, "no such method here", f"Allow: {', '.join(allowed)}\r\n")
         else:
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 
 from lugspur.config.model import Management
-from lugspur.daemon.admin.acts import acts
-from lugspur.daemon.admin.calls import Act
-from lugspur.daemon.admin.door import Door
+from lugspur.daemon.admin.actions import admin_actions
+from lugspur.daemon.admin.listener import AdminListener
+from lugspur.daemon.admin.request import Action
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.station import Station
 from lugspur.discovery.endpoints import server_id
@@ -24,43 +24,43 @@
         self,
         fronts: Callable[[], list[Front]],
         stations: Callable[[], Mapping[str, Station]],
-        more: Mapping[tuple[str, str], Act],
+        more: Mapping[tuple[str, str], Action],
         drains: Callable[[bool], None],
     ) -> None:
         self._fronts, self._stations = fronts, stations
         self._more = more  # calls beside those that every proxy has
         self._drains = drains  # told when callers are sent away, and when they are taken again
         self._row: Management | None = None
-        self._door: Door | None = None
+        self._admin_listener: AdminListener | None = None
         self.drained = False
 
-    async def prepare(self, row: Management) -> Door | None:
+    async def prepare(self, row: Management) -> AdminListener | None:
         """Take the address that a file names; raises OSError and changes nothing."""
         if row.address is None or row == self._row:
             return None
-        door = Door(row.address, {**acts(self), **self._more})
+        admin_listener = AdminListener(row.address, {**admin_actions(self), **self._more})
         try:
-            await door.open()
+            await admin_listener.open()
         except OSError as fault:
             host, port = row.address
             raise OSError(f"management can't have {host}:{port}: {fault.strerror or fault}") from fault
-        return door
+        return admin_listener
 
-    def swap(self, row: Management, door: Door | None) -> None:
+    def swap(self, row: Management, admin_listener: AdminListener | None) -> None:
         """The file is in force."""
         if row != self._row:
             self.close()
-            self._row, self._door = row, door
+            self._row, self._admin_listener = row, admin_listener
 
     def port(self) -> int:
         """Where calls are taken; 0: nowhere."""
-        return 0 if self._door is None else self._door.port
+        return 0 if self._admin_listener is None else self._admin_listener.port
 
     def close(self) -> None:
         """Take no more calls."""
-        if self._door is not None:
-            self._door.close()
-            self._door = None
+        if self._admin_listener is not None:
+            self._admin_listener.close()
+            self._admin_listener = None
 
     # ---- the calls -----------------------------------------------------------------------------
 
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -21,7 +21,7 @@
 from lugspur.http1.front import BACKLOG, Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.admin.calls import Act
+    from lugspur.daemon.admin.request import Action
     from lugspur.daemon.company import Company
     from lugspur.daemon.operated import Operators
 
@@ -70,7 +70,7 @@
         if self.daemon.remembering is not None:
             self.daemon.remembering.begin(lambda: self.daemon.stations)
 
-    def _fleet_calls(self) -> dict[tuple[str, str], Act]:
+    def _fleet_calls(self) -> dict[tuple[str, str], Action]:
         company = self.company
         if company is None:
             return {}
@@ -139,7 +139,7 @@
         }
         taken = {sock.getsockname()[:2]: sock for _, sock in self.listeners.values()}
         bound: dict[str, socket.socket] = {}
-        door = None
+        admin_listener = None
         try:
             if plan.file.management.address is not None and self.operators is None:
                 from lugspur.daemon.operated import Operators
@@ -151,7 +151,7 @@
                     self._drains,
                 )
             if self.operators is not None:
-                door = await self.operators.prepare(plan.file.management)
+                admin_listener = await self.operators.prepare(plan.file.management)
             for name, row in rows.items():
                 if name not in kept:
                     # The same address under other terms or another name: its queue of connections goes on.
@@ -160,8 +160,8 @@
         except OSError:
             for sock in bound.values():
                 sock.close()
-            if door is not None:
-                door.close()
+            if admin_listener is not None:
+                admin_listener.close()
             raise
         addresses = {name: sock.getsockname()[:2] for name, sock in bound.items()}
         addresses |= {name: address for name, address in self.addresses().items() if name in kept}
@@ -176,7 +176,7 @@
             self.daemon.retune(self.listeners[name][0])
         self._rows = dict(rows)
         if self.operators is not None:
-            self.operators.swap(plan.file.management, door)
+            self.operators.swap(plan.file.management, admin_listener)
             if self.operators.drained:  # new listeners too
                 self.operators.drain()
         self.announcers.apply(plan.file, addresses)
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -47,12 +47,12 @@
     front = proxy.front
     reloads.carry_out(loop, lambda: reload(proxy))
     if config.management is not None:
-        from lugspur.daemon.admin.acts import acts
-        from lugspur.daemon.admin.door import Door
+        from lugspur.daemon.admin.actions import admin_actions
+        from lugspur.daemon.admin.listener import AdminListener
 
-        door = Door(config.management, acts(proxy))
+        admin_listener = AdminListener(config.management, admin_actions(proxy))
         try:
-            await door.open()
+            await admin_listener.open()
         except OSError as fault:
             raise StartError(f"management {config.management[0]}:{config.management[1]}: {fault}") from fault
     listener = await front.listen(None if takeover is None else takeover.listener, hot_restart is not None)
--- a/tests/compatibility/test_admin_answers.py
+++ b/tests/compatibility/test_admin_answers.py
@@ -13,8 +13,8 @@
 from daemonic import pool, route, served
 from loopback import HOST, entry, running, soon
 
-from lugspur.daemon.admin.acts import acts
-from lugspur.daemon.admin.door import Door
+from lugspur.daemon.admin.actions import admin_actions
+from lugspur.daemon.admin.listener import AdminListener
 
 
 def answer(status: str, line: str, head: str = "") -> bytes:
@@ -94,10 +94,10 @@
     async def play() -> None:
         async with running([entry("s-1", f"{HOST}:9")]) as up:
             up.proxy.front.ready = True
-            door = Door((HOST, 0), acts(up.proxy))
-            await door.open()
-            await check_exchanges(door.port)
-            door.close()
+            listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+            await listener.open()
+            await check_exchanges(listener.port)
+            listener.close()
 
     asyncio.run(play())
     assert capsys.readouterr().err.splitlines() == LOGGED
@@ -120,11 +120,11 @@
 def test_a_process_that_takes_no_clients_yet_is_not_ready() -> None:
     async def play() -> None:
         async with running([]) as up:
-            door = Door((HOST, 0), acts(up.proxy))
-            await door.open()
+            listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+            await listener.open()
             expected = answer("503 Service Unavailable", "not ready")
-            assert await exchanged(door.port, request("GET", "/ready")) == expected
-            door.close()
+            assert await exchanged(listener.port, request("GET", "/ready")) == expected
+            listener.close()
 
     asyncio.run(play())
 
@@ -145,17 +145,17 @@
     async def play() -> None:
         async with running([]) as up:
             up.proxy.front.ready = True
-            door = Door((HOST, 0), acts(up.proxy))
-            await door.open()
-            silent = [await asyncio.open_connection(HOST, door.port) for _ in range(24)]
+            listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+            await listener.open()
+            silent = [await asyncio.open_connection(HOST, listener.port) for _ in range(24)]
             for reader, _ in silent:
                 assert not reader.at_eof()
-            assert await exchanged(door.port, request("GET", "/ready")) == READY
+            assert await exchanged(listener.port, request("GET", "/ready")) == READY
             assert await soon(silent[0][0].read()) == b""
             for reader, _ in silent[1:]:
                 assert not reader.at_eof()
             for _, writer in silent:
                 writer.close()
-            door.close()
+            listener.close()
 
     asyncio.run(play())
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -16,8 +16,8 @@
 from loopback import CLOSE, HOST, Backend, backend, book, entry, running, soon, status
 
 from lugspur import invariants
-from lugspur.daemon.admin.acts import acts
-from lugspur.daemon.admin.door import Door
+from lugspur.daemon.admin.actions import admin_actions
+from lugspur.daemon.admin.listener import AdminListener
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
@@ -120,12 +120,12 @@
 def test_metrics_and_failures_of_the_platforms_proxy() -> None:
     async def play() -> None:
         async with backend(lambda _: CLOSE) as closing, running([entry("s-1", closing.address)]) as up:
-            door = Door((HOST, 0), acts(up.proxy))
-            sock = await door.open()
+            listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+            sock = await listener.open()
             client = await up.client()
             assert status(await client.ask(book(1))) == 502
             await check_answers(sock.getsockname()[1], closing, b"", "class-1")
-            door.close()
+            listener.close()
 
     asyncio.run(play())
 
--- a/tests/management/test_management.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -16,22 +16,22 @@
 import pytest
 from loopback import CLOSE, HOST, OK, WIRE, Client, Running, backend, book, entry, read, running, soon, status, until
 
-from lugspur.daemon.admin.acts import acts
-from lugspur.daemon.admin.door import MOST, Door
+from lugspur.daemon.admin.actions import admin_actions
+from lugspur.daemon.admin.listener import MAX_CONNECTIONS, AdminListener
 from lugspur.http1 import front as fronts
 
-ROOT = Path(__file__).parent.parent.parent
+ROOT = Path(__file__).parents[3]
 
 
 @asynccontextmanager
 async def operated(up: Running) -> AsyncIterator[int]:
     """The second address of a running proxy: its port."""
-    door = Door((HOST, 0), acts(up.proxy))
-    sock = await door.open()
+    listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+    sock = await listener.open()
     try:
         yield sock.getsockname()[1]
     finally:
-        door.close()
+        listener.close()
 
 
 async def call(port: int, method: str, path: str, body: str = "") -> int:
@@ -119,7 +119,7 @@
         async with running([]) as up, operated(up) as port:
             up.proxy.front.ready = True
             hung = []
-            for number in range(2 * MOST):
+            for number in range(2 * MAX_CONNECTIONS):
                 reader, writer = await asyncio.open_connection(HOST, port)
                 writer.write(b"POST /drain HTTP/1.1\r\nHost"[: number % 30])
                 hung.append((reader, writer))
@@ -239,16 +239,16 @@
     async def play() -> None:
         async with running([]) as up:
             up.proxy.front.ready = True
-            door = Door((HOST, 0), acts(up.proxy))
-            await door.open()
-            _, writer = await asyncio.open_connection(HOST, door.port)
+            listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+            await listener.open()
+            _, writer = await asyncio.open_connection(HOST, listener.port)
             writer.write(b"POST /drain HTTP/1.1\r\nContent-Length: 1\r\n\r\n")
-            await until(lambda: len(door.visitors) == 1)
+            await until(lambda: len(listener.connections) == 1)
             writer.transport.abort()
-            await until(lambda: not door.visitors and not door.waiting)
+            await until(lambda: not listener.connections and not listener.incomplete)
             assert up.proxy.front.drained_at is None
-            assert await call(door.port, "GET", "/ready") == 200
-            door.close()
+            assert await call(listener.port, "GET", "/ready") == 200
+            listener.close()
 
     asyncio.run(play())
 
@@ -261,19 +261,19 @@
         told: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context))
         async with running([]) as up:
-            door = Door((HOST, 0), acts(up.proxy))
-            await door.open()
+            listener = AdminListener((HOST, 0), admin_actions(up.proxy))
+            await listener.open()
             with monkeypatch.context() as patched:
                 patched.setattr("asyncio.selector_events._SelectorSocketTransport.write_eof", not_connected)
-                reader, writer = await asyncio.open_connection(HOST, door.port)
+                reader, writer = await asyncio.open_connection(HOST, listener.port)
                 writer.write(b"GET /ready HTTP/1.1\r\n\r\n")
-                await until(lambda: not door.visitors and not door.waiting)
+                await until(lambda: not listener.connections and not listener.incomplete)
                 with suppress(ConnectionError):
                     await soon(reader.read())
                 writer.close()
             up.proxy.front.ready = True
-            assert await call(door.port, "GET", "/ready") == 200
-            door.close()
+            assert await call(listener.port, "GET", "/ready") == 200
+            listener.close()
         assert not told, told
 
     asyncio.run(play())
--- a/tests/management/test_calls.py
+++ b/tests/daemon/admin/test_admin_request.py
@@ -6,14 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.daemon.admin.calls import BODY_MOST, HEAD_MOST, Act, Call
+from lugspur.daemon.admin.request import MAX_BODY_BYTES, MAX_HEAD_BYTES, Action, AdminRequest
 
 
 def echo(body: str) -> tuple[int, str]:
     return 200, f"did {body}"
 
 
-ACTS: dict[tuple[str, str], Act] = {
+ACTIONS: dict[tuple[str, str], Action] = {
     ("GET", "/ready"): echo,
     ("POST", "/drain"): echo,
     ("POST", "/backends/disable"): echo,
@@ -21,7 +21,7 @@
 
 
 def answer(*pieces: bytes) -> bytes | None:
-    call = Call(ACTS)
+    call = AdminRequest(ACTIONS)
     for piece in pieces:
         call.feed(piece)
     return call.answer
@@ -50,8 +50,8 @@
         (b"nonsense\r\n\r\n", 400, b"malformed"),
         (post(b"x").replace(b"Content-Length: 1", b"Content-Length: -1"), 400, b"malformed"),
         (post(b"\xff\xfe"), 400, b"not text"),
-        (post(b"i" * (BODY_MOST + 1)), 413, b"too large"),
-        (b"GET /ready HTTP/1.1\r\nX-Pad: " + b"p" * (2 * HEAD_MOST), 431, b"too large"),
+        (post(b"i" * (MAX_BODY_BYTES + 1)), 413, b"too large"),
+        (b"GET /ready HTTP/1.1\r\nX-Pad: " + b"p" * (2 * MAX_HEAD_BYTES), 431, b"too large"),
         (b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n" * 5, 200, b"did"),
     ],
 )
