--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -15,8 +15,8 @@
 from lugspur.daemon.pool import Owner, Pool
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.nodes import Nodes
 from lugspur.discovery.registry import Ensemble, Followed, Registries
+from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
@@ -181,7 +181,7 @@
                 self._registries,
                 servers(ensemble),
                 follow.path,
-                Nodes(follow.format, row.protocol),
+                RegistryEndpoints(follow.format, row.protocol),
                 follow.stale_after,
                 [] if known else fixed,
                 self._members,
--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, replace
 
 from lugspur.discovery.endpoints import Address, Endpoint
-from lugspur.discovery.nodes import Node, Nodes
+from lugspur.discovery.node_formats import RegistryNode
+from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.source import Told
 from lugspur.discovery.staleness import RegistryStaleness
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
@@ -94,7 +95,7 @@
         registries: Registries,
         ensemble: Ensemble,
         path: str,
-        nodes: Nodes,
+        nodes: RegistryEndpoints,
         stale_after: float,
         fixed: list[Endpoint],
         told: Told,
@@ -152,22 +153,21 @@
         self._watch_age(now)
 
     def _hear(self, news: News, now: float) -> None:
-        said: list[str] = []
         if isinstance(news, Whole):
-            rows, said = self._nodes.whole({name: _node(data) for name, data in news.nodes.items()})
+            changes = self._nodes.replace_all({name: _node(data) for name, data in news.nodes.items()})
             self._rows.clear()
             self._whole = True
             self.staleness.record_list_read(now, len(self._nodes))
         elif isinstance(news, Present):
-            rows, said = self._nodes.present(news.name, _node(news.data))
+            changes = self._nodes.update_node(news.name, _node(news.data))
         elif isinstance(news, Absent):
-            rows = self._nodes.absent(news.name)
+            changes = self._nodes.remove_node(news.name)
         else:
             self._unread(news)
             return
-        for endpoint in rows:
+        for endpoint in changes.endpoints:
             self._put(endpoint)
-        for line in said:
+        for line in changes.problems:
             self._log(line)
 
     def _unread(self, news: Unread) -> None:
@@ -245,5 +245,5 @@
             self._told(ListUpdateKind.PATCH, left + changed)
 
 
-def _node(data: r.Data | None) -> Node | None:
-    return None if data is None else Node(data.data, data.stat.czxid, data.stat.mzxid, data.stat.ctime)
+def _node(data: r.Data | None) -> RegistryNode | None:
+    return None if data is None else RegistryNode(data.data, data.stat.czxid, data.stat.mzxid, data.stat.ctime)
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -17,7 +17,8 @@
 from lugspur.discovery.announce import Box
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id, server_name
 from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.nodes import Node, Nodes, read_entry
+from lugspur.discovery.node_formats import RegistryNode, read_entry
+from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.watch import Discovery
 from lugspur.load_balancing.model import ListUpdateKind
 
@@ -161,9 +162,9 @@
 )
 
 
-def node(data: bytes) -> Node:
+def node(data: bytes) -> RegistryNode:
     """A node that was made 5 s after 1970."""
-    return Node(data, 1, 1, 5000)
+    return RegistryNode(data, 1, 1, 5000)
 
 
 @pytest.mark.parametrize(
@@ -213,15 +214,15 @@
 
 def test_a_node_without_a_protocol_speaks_that_of_its_pool() -> None:
     plain, told = node(b'{"address":"h:1"}'), node(b'{"address":"h:1","protocol":"http"}')
-    [first], _ = Nodes("auto", "grpc").present("n", plain)
-    [second], _ = Nodes("auto", "grpc").present("n", told)
+    [first] = RegistryEndpoints("auto", "grpc").update_node("n", plain).endpoints
+    [second] = RegistryEndpoints("auto", "grpc").update_node("n", told).endpoints
     assert stored(first) == b'["n","up","0",0,1.0,5.0,"0","h",1,true]'
     assert stored(second) == b'["n","up","0",0,1.0,5.0,"0","h",1,false]'
 
 
 def test_what_is_logged_of_nodes_that_cannot_be_read() -> None:
-    _, lines = Nodes("auto").present("x", node(b"?"))
-    assert lines == ["node 'x': it holds no JSON; it is left out"]
+    changes = RegistryEndpoints("auto").update_node("x", node(b"?"))
+    assert changes.problems == ["node 'x': it holds no JSON; it is left out"]
 
 
 # ---- what is registered ----------------------------------------------------------------------------------------------
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -760,15 +760,18 @@
 
 
 def test_a_registry_entry_may_name_the_protocol() -> None:
-    from lugspur.discovery.nodes import Node, Nodes
+    from lugspur.discovery.node_formats import RegistryNode
+    from lugspur.discovery.registry_endpoints import RegistryEndpoints
 
-    nodes = Nodes("own")
+    nodes = RegistryEndpoints("own")
     entry = {"address": "127.0.0.1:1", "protocol": "grpc"}
-    [row], _ = nodes.present("a", Node(json.dumps(entry).encode(), 1, 1, 1))
+    [row] = nodes.update_node("a", RegistryNode(json.dumps(entry).encode(), 1, 1, 1)).endpoints
     assert row.speaks_grpc
-    _, [said] = nodes.present("b", Node(json.dumps(entry | {"protocol": "smtp"}).encode(), 1, 1, 1))
+    changes = nodes.update_node("b", RegistryNode(json.dumps(entry | {"protocol": "smtp"}).encode(), 1, 1, 1))
+    [said] = changes.problems
     assert "none of http, grpc" in said
-    [other], _ = Nodes("own", "grpc").present("c", Node(b'{"address": "127.0.0.1:1"}', 1, 1, 1))
+    node = RegistryNode(b'{"address": "127.0.0.1:1"}', 1, 1, 1)
+    [other] = RegistryEndpoints("own", "grpc").update_node("c", node).endpoints
     assert other.speaks_grpc
 
 
