--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -13,7 +13,6 @@
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.emulator.control.small_world import PAUSE, SmallWorld
-from lugspur.mesh.control.claims import Claims, Settled, Won
 from lugspur.mesh.control.messages import (
     BackendResponse,
     CompleteKey,
@@ -28,6 +27,7 @@
 from lugspur.mesh.control.orders import Order, Outcome
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import membership_entry
+from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
 
 VOTERS, LEAVING, NEW, FIRST = ["a", "b", "c"], "c", "d", "a"
 KEY = b"k"
@@ -66,16 +66,16 @@
         self.world, self.name, self.by = world, name, name.encode()
         self.state = "idle"  # asking, won, ran, told, lost
         self.membership: Membership = world.first
-        self.claims = Claims(self.send)
+        self.claims = ReservationClient(self.send)
 
     def send(self, ip: str, message: ReserveKey | ReleaseKey | CompleteKey) -> None:
         self.world.post(Wire(self.name, ip, self.name), message)
 
-    def over(self, how: Settled) -> None:
-        self.state = "won" if isinstance(how, Won) else "lost"
+    def over(self, how: ReservationOutcome) -> None:
+        self.state = "won" if isinstance(how, Acquired) else "lost"
 
     def key(self) -> object:
-        asked = tuple((tuple(sorted(o.granted)), tuple(sorted(o.others))) for o in self.claims._open.values())
+        asked = tuple((tuple(sorted(o.granted_by)), tuple(sorted(o.taken_at))) for o in self.claims._open.values())
         return self.state, self.membership.epoch, asked
 
 
@@ -129,7 +129,7 @@
             for ip in VOTERS:
                 if self.nodes[ip].up and self.nodes[ip].replica.epoch == 2:
                     yield "learn", ip
-        elif not newcomer.replica.complete:
+        elif not newcomer.replica.is_complete:
             yield ("fetch",)
 
     def happen(self, what: str, who: list[str]) -> None:
@@ -158,17 +158,17 @@
     def _fetch(self) -> None:
         self.now += 1.0
         node = self.nodes[NEW]
-        node.do(self.now, node.catch_up.look(self.now))
+        node.do(self.now, node.catch_up.tick(self.now))
 
     def _claim(self, what: str, claimant: Claimant) -> None:
         if what == "claim":
             claimant.state = "asking"
             if self.decided:
                 claimant.membership = self.next
-            claimant.claims.begin(self.now, claimant.membership, KEY, claimant.by, FOREVER, FOREVER, claimant.over)
+            claimant.claims.reserve(self.now, claimant.membership, KEY, claimant.by, FOREVER, FOREVER, claimant.over)
         elif what == "hear":
             claimant.membership = self.next
-            claimant.claims.again(self.now, self.next)
+            claimant.claims.membership_changed(self.now, self.next)
         elif what == "run":
             claimant.state = "ran"
             self.book.run(KEY, claimant.by)
@@ -183,7 +183,7 @@
         if claimant is None:
             super().arrived(wire, message)
         elif isinstance(message, ReserveKeyReply) and claimant.state in ("asking", "lost", "won", "ran", "told"):
-            claimant.claims.verdict(self.now, wire.source, message)
+            claimant.claims.receive(self.now, wire.source, message)
 
     # ---- all is well again -------------------------------------------------------------------
 
@@ -203,7 +203,7 @@
                 self.deliver_all()
             self._fetch()
             self.deliver_all()
-            complete = [n.ip for n in self._up() if n.replica.epoch == 2 and n.replica.complete]
+            complete = [n.ip for n in self._up() if n.replica.epoch == 2 and n.replica.is_complete]
             if len(complete) >= majority(len(self.next.voters)):
                 return
         if self.nodes[LEAVING].up or self.nodes[FIRST].up:
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -1,11 +1,11 @@
 """Each guard taken out in turn: what the control side would do without it, and which world or history catches that.
 
 Four are not here. Three are held by unit tests, since no history that was played brings about what they are for: one of
-the voters whom a newcomer hears was complete (`ClaimsCatchUp.heard`), completeness ends where epochs are missing
+the voters whom a newcomer hears was complete (`ReservationCatchUp.receive`), completeness ends where epochs are missing
 (`Replica._adopt`), a step leaves a complete majority (`Situation.may_go`). Nothing that is played needs the fourth: no
-claims are granted while a change of the voters is accepted (`Replica.grants`). A voter tells a newcomer its claims only
-once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim that is won in the old
-epoch was granted by one whom every newcomer hears.
+claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A voter tells a newcomer
+its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim that is
+won in the old epoch was granted by one whom every newcomer hears.
 """
 
 from __future__ import annotations
@@ -21,8 +21,7 @@
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import wander
 from lugspur.emulator.control.settings import SETTINGS
-from lugspur.mesh.control import catch_up, reader
-from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control import reader, reservation_catch_up
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.freshness import DelayEstimate, Freshness
 from lugspur.mesh.control.messages import (
@@ -39,6 +38,7 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.register import Applied, Register
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control.reservation_table import ReservationTable
 
 WALKS = 250  # through each world at once
 TURNS = 60
@@ -50,9 +50,9 @@
 _prepare, _accept, _learn = Register.prepare, Register.accept, Register.learn
 _reader_heard, _catch_up_look, _adopt, _merge = (
     reader.Reader.heard,
-    catch_up.ClaimsCatchUp.look,
+    reservation_catch_up.ReservationCatchUp.tick,
     Replica._adopt,
-    ClaimTable.merge,
+    ReservationTable.merge,
 )
 _proposer_init, _freshness_heard = Proposer.__init__, Freshness.heard
 
@@ -144,17 +144,17 @@
         self.complete_epoch = membership.epoch
 
 
-def ask_present_voters(self: catch_up.ClaimsCatchUp, now: float) -> Effects:
+def ask_present_voters(self: reservation_catch_up.ReservationCatchUp, now: float) -> Effects:
     effects = _catch_up_look(self, now)
     membership = self._replica.membership
     present = {voter.ip for voter in membership.voters} if membership is not None else set()
     return Effects(send=[(ip, message) for ip, message in effects.send if ip in present])
 
 
-def last_word(self: ClaimTable, now: float, claims: Any) -> Rows:
+def last_word(self: ReservationTable, now: float, claims: Any) -> Rows:
     rows: Rows = []
     for key, kept in claims:
-        if key in self._claims and kept.response is None:
+        if key in self._reservations and kept.response is None:
             self._drop(key)
         rows += _merge(self, now, [(key, StoredReservation(kept.owner, kept.seconds_left, kept.response))])
     return rows
@@ -292,10 +292,16 @@
     Guard("a read waits for what is pending", reader.Reader, "heard", pass_over_pending, register(READ, TWO_READ)),
     Guard("a read learns of later changes first", reader.Reader, "heard", pass_over_index, register(READ, TWO_READ)),
     Guard("pages from the middle are not taken", Register, "learn", learn_from_the_middle, register(BROKEN)),
-    Guard("a newcomer reads a majority's claims", catch_up, "majority", lambda count: 1, claims(EXCHANGED)),
-    Guard("a newcomer asks those who left", catch_up.ClaimsCatchUp, "look", ask_present_voters, claims(LOST_AFTER)),
+    Guard("a newcomer reads a majority's claims", reservation_catch_up, "majority", lambda count: 1, claims(EXCHANGED)),
+    Guard(
+        "a newcomer asks those who left",
+        reservation_catch_up.ReservationCatchUp,
+        "tick",
+        ask_present_voters,
+        claims(LOST_AFTER),
+    ),
     Guard("a newcomer reads claims before it grants", Replica, "_adopt", complete_at_once, claims(EXCHANGED)),
-    Guard("a key with two holders is nobody's", ClaimTable, "merge", last_word, claims(EXCHANGED)),
+    Guard("a key with two holders is nobody's", ReservationTable, "merge", last_word, claims(EXCHANGED)),
     Guard("a vote goes with its disk", Replica, "_votes_in", vote_by_address, register(WIPED)),
     Guard("held-up news is old news", DelayEstimate, "sent_at", all_news_is_fresh, drawn()),
     Guard("a pending change is no word", Freshness, "heard", pending_is_fresh, drawn()),
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -93,7 +93,7 @@
         world, rng = self.world, self.rng
         proxy = rng.choice(list(world.proxies.values()))
         world.hear(proxy)
-        proxy.claims.look(world.now)
+        proxy.claims.tick(world.now)
         if len(proxy.claims) > CLAIMS_OPEN:
             return
         self.claims += 1
@@ -113,7 +113,7 @@
         if membership is None or {node.replica.index for node in nodes} != {self.world.chain.last}:
             return False
         wanted = min(self.setting.tolerance.voters, len(nodes))
-        complete = [node for node in nodes if node.replica.complete]
+        complete = [node for node in nodes if node.replica.is_complete]
         if len(membership.voters) < wanted or len(complete) < majority(len(membership.voters)):
             return False
         return all(node.age(self.world.now) < 1.0 for node in nodes)
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -130,7 +130,7 @@
         membership = self.replica.membership
         if membership is not None:
             found |= {voter.ip for voter in membership.voters}
-            if self.replica.is_voter and not self.replica.complete:
+            if self.replica.is_voter and not self.replica.is_complete:
                 found |= {voter.ip for voter in membership.previous_voters}
         return found - {self.ip}
 
@@ -148,7 +148,7 @@
         self.changed_at[ip] = self.world.now
         self.heard_at.pop(ip, None)
         self.freshness.lost(ip)
-        self.catch_up.lost(ip)
+        self.catch_up.disconnected(ip)
         self.pages.lost(Wire(ip, self.ip, self.ip))
         self.complete_epochs.pop(ip, None)
 
@@ -277,7 +277,7 @@
         self._announce(now)
         self.do(now, self.proposer.look(now))
         self.do(now, self.reader.look(now))
-        self.do(now, self.catch_up.look(now))
+        self.do(now, self.catch_up.tick(now))
         self._look_at_pending(now)
         self._reconfigure(now)
 
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -12,7 +12,6 @@
 from lugspur.emulator.control.mesh_node import MeshNode
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.emulator.control.settings import Setting
-from lugspur.mesh.control.claims import Claims, Settled, Won
 from lugspur.mesh.control.messages import (
     BackendResponse,
     CompleteKey,
@@ -30,6 +29,7 @@
 )
 from lugspur.mesh.control.orders import Outcome
 from lugspur.mesh.control.replica import GENESIS
+from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
 from lugspur.mesh.process import TICK_SECONDS
 
 LATENCY = (0.0005, 0.004)  # seconds from process to process
@@ -53,7 +53,7 @@
     """One that claims keys; it hears of memberships now and then."""
 
     name: str
-    claims: Claims
+    claims: ReservationClient
     membership: Membership | None = None
 
 
@@ -225,7 +225,7 @@
         if node is None:
             proxy = self.proxies.get(wire.target)
             if proxy is not None and isinstance(message, ReserveKeyReply):
-                proxy.claims.verdict(self.now, wire.source, message)
+                proxy.claims.receive(self.now, wire.source, message)
         elif node.up and node.frozen:
             node.arrived.append(lambda: self._heard(node, wire, message))
         elif node.up:
@@ -279,7 +279,7 @@
             return
         node.start(self.now)
         for proxy in self.proxies.values():
-            proxy.claims.reach(self.now, ip)
+            proxy.claims.voter_connected(self.now, ip)
 
     def freeze(self, ip: str) -> None:
         """A node stands still; what comes waits."""
@@ -353,11 +353,11 @@
 
     # ---- proxies -----------------------------------------------------------------------------
 
-    def _claims(self, name: str) -> Claims:
+    def _claims(self, name: str) -> ReservationClient:
         def send(ip: str, message: ReserveKey | ReleaseKey) -> None:
             self.post(Wire(name, ip, name), message)
 
-        return Claims(send)
+        return ReservationClient(send)
 
     def hear(self, proxy: Proxy) -> None:
         """A proxy hears of the membership from some node."""
@@ -365,7 +365,7 @@
         membership = self.rng.choice(nodes).replica.membership if nodes else None
         if membership is not None and (proxy.membership is None or membership.epoch > proxy.membership.epoch):
             proxy.membership = membership
-            proxy.claims.again(self.now, membership)
+            proxy.claims.membership_changed(self.now, membership)
 
     def claim(self, proxy: Proxy, key: bytes, by: bytes) -> None:
         """A proxy claims a key; once it is won, the operation runs or turns out not to."""
@@ -374,8 +374,8 @@
 
         sent_at = self.now
 
-        def over(how: Settled) -> None:
-            if not isinstance(how, Won):
+        def over(how: ReservationOutcome) -> None:
+            if not isinstance(how, Acquired):
                 return
             draw = self.rng.random()
             if draw < 0.2:
@@ -386,7 +386,7 @@
             if draw < 0.7:
                 self._tell(proxy, CompleteKey(key, by, BackendResponse(200, b"", by)))
 
-        proxy.claims.begin(self.now, proxy.membership, key, by, 1.0, self.rng.uniform(0.3, 2.0), over)
+        proxy.claims.reserve(self.now, proxy.membership, key, by, 1.0, self.rng.uniform(0.3, 2.0), over)
 
     def _tell(self, proxy: Proxy, message: CompleteKey | ReleaseKey) -> None:
         if proxy.membership is not None:
--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -6,7 +6,6 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.learning import LearnPages
 from lugspur.mesh.control.messages import (
@@ -22,6 +21,7 @@
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica
+from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
 
 MEMORY = 64 << 20
@@ -96,7 +96,7 @@
         self.pages = LearnPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.lives}", self._rng)
         self.reader = Reader(self.replica)
-        self.catch_up = ClaimsCatchUp(self.replica)
+        self.catch_up = ReservationCatchUp(self.replica)
         self.index_seen = 0
         if self.disk:
             self.replica.restore(list(self.disk.items()), now)
@@ -164,7 +164,7 @@
             if pages:
                 self.do(now, self.replica.learn(now, pages))
         elif isinstance(message, ReservationsPage):
-            self.do(now, self.catch_up.heard(now, wire.source, message))
+            self.do(now, self.catch_up.receive(now, wire.source, message))
         else:
             self.do(now, self.replica.handle(now, wire.back, message))
 
--- a/lugspur/emulator/control/settings.py
+++ b/lugspur/emulator/control/settings.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, replace
 
-from lugspur.mesh.control.claim_table import MARGIN
 from lugspur.mesh.control.membership import Tolerance
+from lugspur.mesh.control.reservation_table import RETENTION_MARGIN_SECONDS
 
 WINDOW_S = 60.0  # seconds for which a key runs once: longer than a short history
 SHORT_WINDOW_S = 4.0  # so that claims end within a history
@@ -42,7 +42,7 @@
     @property
     def complete_by_time(self) -> float:
         """Seconds until a voter that hears nothing is complete, where that is to happen."""
-        return self.window_s + MARGIN if self.hasty or not self.claims_heard else 0.0
+        return self.window_s + RETENTION_MARGIN_SECONDS if self.hasty or not self.claims_heard else 0.0
 
 
 SETTINGS = [
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -156,7 +156,7 @@
             node = self.nodes.get(ip)
             if node is not None and node.up:
                 node.pages.lost(Wire(source, ip, dialler))
-                node.catch_up.lost(source)
+                node.catch_up.disconnected(source)
 
     def deliver_all(self) -> None:
         """Let everything come that is on its way."""
@@ -220,7 +220,7 @@
         register.index,
         _pack([register.promised, register.accepted, register.change, replica.complete_epoch, replica.membership]),
         tuple(sorted((name, _pack(item)) for name, item in register.items.items())),
-        tuple((key, held.by, held.answer is not None) for key, held in replica.claims.items()),
+        tuple((key, held.owner, held.response is not None) for key, held in replica.reservations.items()),
         _proposer_key(node, now),
         _reader_key(node),
         tuple((str(source), _pack(pages)) for source, pages in node.pages._pages.items()),
--- a/lugspur/mesh/control/messages/reservations.py
+++ b/lugspur/mesh/control/messages/reservations.py
@@ -1,6 +1,6 @@
 """Messages by which proxies reserve idempotency keys with the voters, and voters hand reservations to new voters.
 
-`owner` names one attempt to reserve one key, and is never used again (see `lugspur.mesh.control.claims`).
+`owner` names one attempt to reserve one key, and is never used again (see `lugspur.mesh.control.reservation_client`).
 """
 
 from __future__ import annotations
--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -63,7 +63,7 @@
         if membership.epoch != self._epoch:
             self._epoch, self._since, self._next = membership.epoch, now, 0.0
         voters = {voter.ip for voter in membership.voters}
-        own = {replica.voter.ip} if replica.complete else set()
+        own = {replica.voter.ip} if replica.is_complete else set()
         situation = Situation(
             membership,
             presences,
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -17,7 +17,6 @@
 import msgspec
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claim_table import ClaimTable
 from lugspur.mesh.control.effects import Effects, Peer
 from lugspur.mesh.control.items import MEMBERSHIP
 from lugspur.mesh.control.messages import (
@@ -39,6 +38,7 @@
     Voter,
 )
 from lugspur.mesh.control.register import Applied, Register
+from lugspur.mesh.control.reservation_table import ReservationTable
 from lugspur.mesh.control.store import EntryKey
 
 GENESIS = "genesis"  # the uid of a voter of the first membership
@@ -77,7 +77,7 @@
     ) -> None:
         self.voter = Voter(ip, uid, zone)
         self.register = Register()
-        self.claims = ClaimTable(window, memory)
+        self.reservations = ReservationTable(window, memory)
         self.membership: Membership | None = None
         self.complete_epoch = 0  # the latest epoch for which it holds all claims that a voter must hold
         self.epoch_since = 0.0  # when it took up the present epoch
@@ -96,7 +96,7 @@
     def restore(self, rows: list[tuple[bytes, bytes]], now: float) -> None:
         """Take up what is on disk."""
         self.register.restore(rows)
-        self.claims.restore(rows, now)
+        self.reservations.restore(rows, now)
         for key, value in rows:
             if key == UID_ROW:
                 self.voter = Voter(self.voter.ip, value.decode(), self.voter.zone)
@@ -129,7 +129,7 @@
         return self.membership is not None and self._votes_in(self.membership)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether it has a vote and all claims that a voter must hold."""
         return self.is_voter and self.complete_epoch == self.epoch
 
@@ -152,11 +152,11 @@
     def handle(self, now: float, peer: Peer, message: Message) -> Effects:
         """Something for this replica."""
         if isinstance(message, ReserveKey):
-            return self._claim(now, peer, message)
+            return self._reserve(now, peer, message)
         if isinstance(message, CompleteKey):
-            return self.claims.done(now, message, self.complete)
+            return self.reservations.complete(now, message, self.is_complete)
         if isinstance(message, ReleaseKey):
-            return self.claims.release(message)
+            return self.reservations.release(message)
         if isinstance(message, Prepare):
             return self.register.prepare(peer, message, self.is_voter)
         if isinstance(message, Accept):
@@ -166,14 +166,14 @@
         if isinstance(message, FetchDecided):
             return self._catch_up(peer, message)
         if isinstance(message, FetchReservations):
-            return self._fetch_claims(now, peer, message)
+            return self._fetch_reservations(now, peer, message)
         return Effects()  # nothing that a replica is asked
 
     def sweep(self, now: float) -> Effects:
         """What time alone brings about: claims end, and a voter that has waited for longer than that is complete."""
-        effects = self.claims.sweep(now)
-        if self.is_voter and not self.complete and now - self.epoch_since > self.claims.kept_for:
-            effects.add(self._completed())
+        effects = self.reservations.sweep(now)
+        if self.is_voter and not self.is_complete and now - self.epoch_since > self.reservations.retention_seconds:
+            effects.add(self._become_complete())
         return effects
 
     # ---- the register --------------------------------------------------------------------
@@ -199,7 +199,7 @@
     def _adopt(self, now: float, membership: Membership) -> None:
         """Go by the next membership. What it holds stays complete only from one epoch to the very next one."""
         self._check_step(membership)
-        follows = self.complete and membership.epoch == self.epoch + 1
+        follows = self.is_complete and membership.epoch == self.epoch + 1
         self.membership = membership
         self.epoch_since = now
         if follows and self.is_voter:
@@ -222,17 +222,17 @@
     # ---- claims --------------------------------------------------------------------------
 
     @property
-    def grants(self) -> bool:
+    def grants_reservations(self) -> bool:
         """Whether it grants claims: not while a change of the voters that it has accepted may be decided."""
         change = self.register.change
-        return self.complete and (change is None or all(entry.kind != MEMBERSHIP for entry in change.entries))
+        return self.is_complete and (change is None or all(entry.kind != MEMBERSHIP for entry in change.entries))
 
-    def _claim(self, now: float, peer: Peer, message: ReserveKey) -> Effects:
-        if not self.grants or message.epoch != self.epoch:
+    def _reserve(self, now: float, peer: Peer, message: ReserveKey) -> Effects:
+        if not self.grants_reservations or message.epoch != self.epoch:
             return Effects(send=[(peer, ReserveKeyReply(message.key, message.owner, self.epoch, False))])
-        return self.claims.claim(now, peer, message, self.epoch)
+        return self.reservations.reserve(now, peer, message, self.epoch)
 
-    def _fetch_claims(self, now: float, peer: Peer, message: FetchReservations) -> Effects:
+    def _fetch_reservations(self, now: float, peer: Peer, message: FetchReservations) -> Effects:
         """A new voter wants all claims; this one has gone by the new epoch, and grants nothing in an older one."""
         if message.epoch > self.epoch:
             return Effects(send=[(peer, FetchDecided(self.index))])
@@ -240,20 +240,20 @@
             return Effects()
         pages: list[tuple[Peer, Message]] = [(peer, ReservationsPage(self.epoch, 0, [], True, False))]
         if self.was_complete:
-            pages = [(peer, page) for page in self.claims.pages(now, self.epoch)]
+            pages = [(peer, page) for page in self.reservations.pages(now, self.epoch)]
         # The epoch has to be on disk before anybody relies on it.
         return Effects(write=[(COMPLETE_ROW, _pack(self.complete_epoch))], after_sync=pages)
 
-    def caught_up(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
+    def take_reservations(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
         """All that was won in the epochs before (see `catch_up`)."""
-        if not self.is_voter or self.complete:
+        if not self.is_voter or self.is_complete:
             return Effects()
         effects = Effects()
         for page in pages:
-            effects.write += self.claims.merge(now, page.reservations)
-        effects.add(self._completed())
+            effects.write += self.reservations.merge(now, page.reservations)
+        effects.add(self._become_complete())
         return effects
 
-    def _completed(self) -> Effects:
+    def _become_complete(self) -> Effects:
         self.complete_epoch = self.epoch
         return Effects(write=[(COMPLETE_ROW, _pack(self.complete_epoch))])
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from lugspur.mesh import events
-from lugspur.mesh.control.catch_up import ClaimsCatchUp
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
 from lugspur.mesh.control.learning import LearnPages
@@ -38,6 +37,7 @@
 from lugspur.mesh.control.reader import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
+from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
@@ -105,7 +105,7 @@
             self.loop, self.ip, self.proposer, self.pause_detector, self._preferred_proposer, self.do, self.to
         )
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.do)
-        self.catch_up = ClaimsCatchUp(self.replica)
+        self.catch_up = ReservationCatchUp(self.replica)
         patience = patience_of(bounds.catch_up_s, bounds.contact_ms / 1000.0)
         tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
         self.reconfiguration = Reconfiguration(self.replica, tolerance, patience, settings.network.zones)
@@ -249,10 +249,10 @@
         elif isinstance(message, FetchDecided):
             self.do(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
-            complete = self.replica.complete
-            self.do(self.catch_up.heard(now, ip, message))
-            if self.replica.complete and not complete:
-                events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.claims))
+            complete = self.replica.is_complete
+            self.do(self.catch_up.receive(now, ip, message))
+            if self.replica.is_complete and not complete:
+                events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.reservations))
                 self.subscribers.tell_soon()
 
     def _learn(self, source: Link | str, page: Learn) -> None:
@@ -280,7 +280,7 @@
         self.do(self.proposer.finish(now))
 
     def _down(self, dialler: Dialer) -> None:
-        self.catch_up.lost(dialler.ip)
+        self.catch_up.disconnected(dialler.ip)
         self.pages.lost(dialler.ip)
         self.membership_changes.lost(dialler.ip)
         super()._down(dialler)
@@ -293,7 +293,7 @@
     def wanted(self) -> set[str]:
         found = super().wanted()
         membership = self.replica.membership
-        if membership is not None and self.replica.is_voter and not self.replica.complete:
+        if membership is not None and self.replica.is_voter and not self.replica.is_complete:
             found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
@@ -361,7 +361,7 @@
         self.router.look(now)
         self.do(self.proposer.look(now))
         self.do(self.reader.look(now))
-        self.do(self.catch_up.look(now))
+        self.do(self.catch_up.tick(now))
         self.pending_changes.look(now)
         self.membership_changes.look(now)
 
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -25,7 +25,7 @@
         "epoch": replica.epoch,
         "index": replica.index,
         "voter": replica.is_voter,
-        "complete": replica.complete,
+        "complete": replica.is_complete,
         "pending": replica.register.pending,
         "voters": [] if replica.membership is None else [voter.ip for voter in replica.membership.voters],
         "voters_wanted": voters_wanted,
@@ -42,7 +42,7 @@
         },
         "entries": kinds,
         "configuration_bytes": replica.register.bytes,
-        "claims": len(replica.claims),
+        "claims": len(replica.reservations),
         "subscribers": subscribers,
         "disk": {"commits": disk.commits, "fault": disk.fault},
     }
--- a/lugspur/mesh/dataplane/ports.py
+++ b/lugspur/mesh/dataplane/ports.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from lugspur.load_balancing.budget import Budget
-from lugspur.mesh.control.claims import Settled
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import ReservationOutcome
 from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.seams import Answerable, Request
 
@@ -40,7 +40,9 @@
 class Keys(Protocol):
     """What settles operation keys."""
 
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+    def claim(
+        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    ) -> None:
         """Ask for the right to run."""
 
     def release(self, key: bytes, by: bytes) -> None:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,9 +5,15 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
 from lugspur.mesh.dataplane.endpoints import Endpoint, pick
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.ports import Carried, RequestHost
@@ -31,7 +37,12 @@
 GONE = "gone"  # how a request ends whose caller has left
 BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
 #: How a claim ended, as accounts of failed requests say it.
-CLAIM_LABELS: dict[type[Settled], str] = {Won: "won", Known: "known", Taken: "taken", Unsettled: "unsettled"}
+CLAIM_LABELS: dict[type[ReservationOutcome], str] = {
+    Acquired: "won",
+    AlreadyCompleted: "known",
+    TakenByAnother: "taken",
+    Undecided: "unsettled",
+}
 LATE = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
 
 
@@ -91,17 +102,17 @@
         else:
             self._go(now)
 
-    def _claimed(self, how: Settled) -> None:
+    def _claimed(self, how: ReservationOutcome) -> None:
         self.claim = CLAIM_LABELS[type(how)]
-        self.won = isinstance(how, Won)
+        self.won = isinstance(how, Acquired)
         if self.over:
             self._release_unrun()
         elif self.won:
             self._go(self.proxy.loop.time())
-        elif isinstance(how, Known):
-            self._answer(how.answer)
-        elif isinstance(how, Taken):
-            self._refuse(Kind.KEY_BUSY if how.busy else Kind.KEY_SPENT)
+        elif isinstance(how, AlreadyCompleted):
+            self._answer(how.response)
+        elif isinstance(how, TakenByAnother):
+            self._refuse(Kind.KEY_BUSY if how.is_running else Kind.KEY_SPENT)
         else:
             self._refuse(Kind.NO_QUORUM)
 
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -9,7 +9,6 @@
 from random import Random
 
 from lugspur.mesh import events
-from lugspur.mesh.control.claims import Claims, Settled
 from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import MEMBERSHIP, RESERVED_KINDS
@@ -28,6 +27,7 @@
     Unsubscribe,
 )
 from lugspur.mesh.control.replica import read_membership
+from lugspur.mesh.control.reservation_client import ReservationClient, ReservationOutcome
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.settings import Settings, load_settings
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Dialer, Link
@@ -51,7 +51,7 @@
         self.rng = Random(self.life)
         self.store = Store(self._changed)
         self.membership: Membership | None = None
-        self.claims = Claims(self._to_voter)
+        self.claims = ReservationClient(self._to_voter)
         self.peers: dict[str, Dialer] = {}  # by IP number
         self.synced: dict[str, tuple[str, int]] = {}  # how far each peer's changes are known: its life and place
         self.index = 0  # the latest change of the configuration that is known here
@@ -132,7 +132,7 @@
         dialler.link.send(Hello(self.ip, self.life, self.keeps))
         if self.follows(dialler.ip):
             self._subscribe(dialler)
-        self.claims.reach(self.loop.time(), dialler.ip)
+        self.claims.voter_connected(self.loop.time(), dialler.ip)
 
     def _down(self, dialler: Dialer) -> None:
         self.freshness.lost(dialler.ip)
@@ -207,7 +207,7 @@
         if isinstance(message, Delta):
             self._delta(now, ip, message)
         elif isinstance(message, ReserveKeyReply):
-            self.claims.verdict(now, ip, message)
+            self.claims.receive(now, ip, message)
         else:
             self.heard_more(now, ip, message)
 
@@ -259,7 +259,7 @@
     def _new_membership(self) -> None:
         assert self.membership is not None
         self._reach()
-        self.claims.again(self.loop.time(), self.membership)
+        self.claims.membership_changed(self.loop.time(), self.membership)
         if self.source not in self.peers:
             self._seek()
 
@@ -269,7 +269,7 @@
     def _look(self) -> None:
         now = self.loop.time()
         self.loop.call_later(TICK_SECONDS, self._look)
-        self.claims.look(now)
+        self.claims.tick(now)
         if now >= self._settings_next:
             self._settings_next = now + SETTINGS_CHECK_SECONDS
             if self._stamp() != self._settings_at:
@@ -300,10 +300,12 @@
 
     # ---- keys (see proxy.Keys) ---------------------------------------------------------
 
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+    def claim(
+        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    ) -> None:
         """Ask for the right to run an operation."""
         assert self.membership is not None
-        self.claims.begin(self.loop.time(), self.membership, key, by, left, within, over)
+        self.claims.reserve(self.loop.time(), self.membership, key, by, left, within, over)
 
     def release(self, key: bytes, by: bytes) -> None:
         """Give it back."""
@@ -313,4 +315,4 @@
 
     def drop(self, key: bytes, by: bytes) -> None:
         """Nobody waits for it any more."""
-        self.claims.drop(key, by)
+        self.claims.abandon(key, by)
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from lugspur.mesh.control import items
-from lugspur.mesh.control.claim_table import CLAIM_PREFIX
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Item, Membership, StoredReservation
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
+from lugspur.mesh.control.reservation_table import RESERVATION_PREFIX
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.storage.disk import DIRECTORY_NAME
 
@@ -70,7 +70,7 @@
     try:
         if key.startswith(ITEM_PREFIX):
             _take_item(found, key, _item.decode(value))
-        elif key.startswith(CLAIM_PREFIX):
+        elif key.startswith(RESERVATION_PREFIX):
             kept = _kept.decode(value)
             found.claims += 1
             found.answers += kept.response is not None
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -12,7 +12,6 @@
 import msgspec
 import pytest
 
-from lugspur.mesh.control.claim_table import ClaimTable
 from lugspur.mesh.control.errors import ANSWERS, Kind
 from lugspur.mesh.control.items import RequestLimits, Route, Service, Share
 from lugspur.mesh.control.membership import Presence
@@ -60,6 +59,7 @@
 )
 from lugspur.mesh.control.register import Register, Vote
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control.reservation_table import ReservationTable
 
 ENTRY = Entry(kind="routes", name="a", edition=2, value=b"v")
 WITHDRAWAL = Entry(kind="services", name="b", edition=3, value=None)
@@ -420,10 +420,10 @@
 
 
 def test_rows_of_reserved_operation_keys_lie_under_these_keys_with_these_values() -> None:
-    table = ClaimTable(60.0, 64 << 20)
-    granted = table.claim(0.0, None, ReserveKey(key=b"k", owner=b"b", epoch=1, seconds_left=2.5), 1).write
-    done = table.done(1.0, CompleteKey(key=b"k", owner=b"b", response=ANSWER), True).write
-    table.claim(1.0, None, ReserveKey(key=b"l", owner=b"b", epoch=1, seconds_left=2.5), 1)
+    table = ReservationTable(60.0, 64 << 20)
+    granted = table.reserve(0.0, None, ReserveKey(key=b"k", owner=b"b", epoch=1, seconds_left=2.5), 1).write
+    done = table.complete(1.0, CompleteKey(key=b"k", owner=b"b", response=ANSWER), True).write
+    table.reserve(1.0, None, ReserveKey(key=b"l", owner=b"b", epoch=1, seconds_left=2.5), 1)
     released = table.release(ReleaseKey(key=b"l", owner=b"b")).write
     swept = table.sweep(71.0).write
     assert (granted, done, released, swept) == (
@@ -451,7 +451,7 @@
     ]
     again = Replica("10.0.0.1", "drawn", "z1", 60.0, 64 << 20, lambda entries, forgotten: None)
     again.restore([(key, value) for key, value in rows if value is not None], 0.0)
-    assert (again.voter.uid, again.epoch, again.complete) == ("u1", 1, True)
+    assert (again.voter.uid, again.epoch, again.is_complete) == ("u1", 1, True)
 
 
 def test_items_of_operators_have_these_fields_and_defaults() -> None:
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -25,10 +25,16 @@
 from lugspur.discovery.rows import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -183,7 +189,7 @@
 
     def __init__(self, kind: str = "tracked", backends: int = 2) -> None:
         self.sent: list[tuple[ForwardRequest, Callable[[ForwardResponse], None]]] = []
-        self.claims: list[Callable[[Settled], None]] = []
+        self.claims: list[Callable[[ReservationOutcome], None]] = []
         self.gate: Gate | None = None
         table = RouteTable()
         for item in read_changes(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
@@ -202,7 +208,9 @@
             self.gate.run(forward, respond)
         return Carried()
 
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+    def claim(
+        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    ) -> None:
         self.claims.append(over)
 
     def release(self, key: bytes, by: bytes) -> None:
@@ -267,7 +275,7 @@
             mesh = Mesh(backends=1)
             mesh.gate = Gate(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
             mesh.gate.local = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
-            told = await mesh.ask(answered=lambda: mesh.claims[0](Won()))
+            told = await mesh.ask(answered=lambda: mesh.claims[0](Acquired()))
             got = stub.got.get_nowait()
         assert matches(AT_BACKEND, got), got
         left = re.search(rb"Lugspur-Deliver-By-Ms: (\d+)", got)
@@ -367,17 +375,20 @@
 @pytest.mark.parametrize(
     ("how", "answer"),
     [
-        (Taken(True), b"HTTP/1.1 409 Conflict\r\n" + RETRY + b"Content-Length: 9\r\n\r\nkey-busy\n"),
-        (Taken(False), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nkey-spent\n"),
-        (Unsettled(), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nno-quorum\n"),
+        (TakenByAnother(True), b"HTTP/1.1 409 Conflict\r\n" + RETRY + b"Content-Length: 9\r\n\r\nkey-busy\n"),
+        (
+            TakenByAnother(False),
+            b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nkey-spent\n",
+        ),
+        (Undecided(), b"HTTP/1.1 503 Service Unavailable\r\n" + RETRY + b"Content-Length: 10\r\n\r\nno-quorum\n"),
         (
-            Known(BackendResponse(201, b"X-Own: o\r\n", b"hi")),
+            AlreadyCompleted(BackendResponse(201, b"X-Own: o\r\n", b"hi")),
             b"HTTP/1.1 201 Created\r\nX-Own: o\r\nContent-Length: 2\r\n\r\nhi",
         ),
     ],
     ids=["busy", "spent", "unsettled", "known"],
 )
-def test_how_a_claim_ends_is_told_byte_for_byte(how: Settled, answer: bytes) -> None:
+def test_how_a_claim_ends_is_told_byte_for_byte(how: ReservationOutcome, answer: bytes) -> None:
     async def what() -> None:
         mesh = Mesh()
         found = await mesh.ask(answered=lambda: mesh.claims[0](how))
@@ -457,7 +468,7 @@
 def fail_one(mesh: Mesh) -> None:
     """One request that a gate has no room for, and that is then lost on its way to another."""
     mesh.ask_at_once()
-    mesh.claims[0](Won())
+    mesh.claims[0](Acquired())
     for reply in (ForwardResponse(0, 1, None, False, 9, 3), ForwardResponse(0, 2, cause=12)):
         mesh.sent[-1][1](reply)
 
@@ -517,12 +528,12 @@
 @pytest.mark.parametrize(
     ("how", "claim"),
     [
-        (Taken(True), b"taken"),
-        (Unsettled(), b"unsettled"),
-        (Known(BackendResponse(500, b"", b"")), b"known"),
+        (TakenByAnother(True), b"taken"),
+        (Undecided(), b"unsettled"),
+        (AlreadyCompleted(BackendResponse(500, b"", b"")), b"known"),
     ],
 )
-def test_an_account_says_how_the_claim_ended(how: Settled, claim: bytes) -> None:
+def test_an_account_says_how_the_claim_ended(how: ReservationOutcome, claim: bytes) -> None:
     async def what() -> None:
         mesh = Mesh()
         mesh.ask_at_once()
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -8,7 +8,7 @@
 
 from lugspur.emulator.control.mesh_world import MeshWorld
 from lugspur.emulator.control.settings import Setting
-from lugspur.mesh.control.claims import Settled, Taken, Won
+from lugspur.mesh.control.reservation_client import Acquired, ReservationOutcome, TakenByAnother
 
 WELL_WITHIN = 10.0  # seconds
 
@@ -42,20 +42,20 @@
 
 @then("at most one of them may run it")
 def once(context: Any) -> None:
-    assert sum(isinstance(how, Won) for how in context.how) <= 1
+    assert sum(isinstance(how, Acquired) for how in context.how) <= 1
 
 
 @then("a later claim is told who has it")
 def later(context: Any) -> None:
-    assert any(isinstance(how, Won) for how in context.how)
+    assert any(isinstance(how, Acquired) for how in context.how)
     world = context.world
-    how: list[Settled] = []
+    how: list[ReservationOutcome] = []
     ask(world, "p5", how)
     world.clock.run_until(world.now + 3.0)
-    assert isinstance(how[0], Taken)
+    assert isinstance(how[0], TakenByAnother)
 
 
-def ask(world: MeshWorld, name: str, how: list[Settled]) -> None:
+def ask(world: MeshWorld, name: str, how: list[ReservationOutcome]) -> None:
     proxy = world.proxies[name]
     proxy.membership = None
     world.hear(proxy)
@@ -72,7 +72,7 @@
         world.clock.run_until(world.now + 0.5)
         replicas = [node.replica for node in world.up()]
         membership = replicas[0].membership
-        complete = [replica for replica in replicas if replica.complete]
+        complete = [replica for replica in replicas if replica.is_complete]
         if membership is not None and len(complete) == len(membership.voters) == world.setting.tolerance.voters:
             return
     raise AssertionError("not all voters are complete")
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -4,19 +4,19 @@
 
 from controlparts import IPS, NEW, claim, exchange, replica, seed
 
-from lugspur.mesh.control.catch_up import ASK_AGAIN, ClaimsCatchUp
 from lugspur.mesh.control.messages import FetchReservations, Membership, ReservationsPage, StoredReservation, Voter
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control.reservation_catch_up import RETRY_DELAY_SECONDS, ReservationCatchUp
 
 A, B, C = IPS
 CLAIMS: list[tuple[bytes, StoredReservation]] = [(b"k", StoredReservation(b"a", 2.0))]
 
 
-def newcomer() -> tuple[Replica, ClaimsCatchUp]:
+def newcomer() -> tuple[Replica, ReservationCatchUp]:
     source, new = seed(), replica(NEW, "new")
     source.decide(0.0, exchange())
     new.learn(0.0, source.register.pages(0))
-    return new, ClaimsCatchUp(new)
+    return new, ReservationCatchUp(new)
 
 
 def page(number: int = 0, last: bool = True, epoch: int = 2, complete: bool = True) -> ReservationsPage:
@@ -25,63 +25,63 @@
 
 def test_it_asks_the_voters_of_the_epoch_before_and_again_after_a_silence() -> None:
     _, catch_up = newcomer()
-    assert catch_up.look(1.0).send == [(ip, FetchReservations(2)) for ip in IPS]  # C has left: it holds claims still
-    assert catch_up.look(1.0 + ASK_AGAIN / 2).send == []
-    catch_up.heard(1.2, A, page())
-    assert [ip for ip, _ in catch_up.look(1.0 + ASK_AGAIN).send] == [B, C]
+    assert catch_up.tick(1.0).send == [(ip, FetchReservations(2)) for ip in IPS]  # C has left: it holds claims still
+    assert catch_up.tick(1.0 + RETRY_DELAY_SECONDS / 2).send == []
+    catch_up.receive(1.2, A, page())
+    assert [ip for ip, _ in catch_up.tick(1.0 + RETRY_DELAY_SECONDS).send] == [B, C]
 
 
 def test_a_majority_makes_it_complete_and_one_others_word_does_not() -> None:
     new, catch_up = newcomer()
-    catch_up.look(1.0)
-    catch_up.heard(1.1, A, page())
-    catch_up.heard(1.1, A, page())
-    catch_up.heard(1.1, "10.0.0.9", page())
-    catch_up.heard(1.1, NEW, page())
-    catch_up.heard(1.1, B, page(epoch=1))
-    assert not new.complete
-    effects = catch_up.heard(1.2, C, page())
-    assert new.complete and effects.write and claim(new, b"b", epoch=2).is_taken
-    assert catch_up.look(9.0).send == []
+    catch_up.tick(1.0)
+    catch_up.receive(1.1, A, page())
+    catch_up.receive(1.1, A, page())
+    catch_up.receive(1.1, "10.0.0.9", page())
+    catch_up.receive(1.1, NEW, page())
+    catch_up.receive(1.1, B, page(epoch=1))
+    assert not new.is_complete
+    effects = catch_up.receive(1.2, C, page())
+    assert new.is_complete and effects.write and claim(new, b"b", epoch=2).is_taken
+    assert catch_up.tick(9.0).send == []
 
 
 def test_answers_in_parts_count_only_whole() -> None:
     new, catch_up = newcomer()
-    catch_up.look(1.0)
-    catch_up.heard(1.1, A, page())
-    catch_up.heard(1.1, B, page(1))  # its beginning is missing
-    catch_up.heard(1.1, B, page(0, False))
-    catch_up.heard(1.1, B, page(2))
-    assert not new.complete
-    catch_up.lost(B)
-    catch_up.heard(1.2, B, page(1))
-    assert not new.complete
-    catch_up.heard(1.2, B, page(0, False))
-    catch_up.heard(1.2, B, page(1))
-    assert new.complete
+    catch_up.tick(1.0)
+    catch_up.receive(1.1, A, page())
+    catch_up.receive(1.1, B, page(1))  # its beginning is missing
+    catch_up.receive(1.1, B, page(0, False))
+    catch_up.receive(1.1, B, page(2))
+    assert not new.is_complete
+    catch_up.disconnected(B)
+    catch_up.receive(1.2, B, page(1))
+    assert not new.is_complete
+    catch_up.receive(1.2, B, page(0, False))
+    catch_up.receive(1.2, B, page(1))
+    assert new.is_complete
 
 
 def test_what_was_read_in_one_epoch_counts_for_nothing_in_the_next() -> None:
     new, catch_up = newcomer()
-    catch_up.look(1.0)
-    catch_up.heard(1.1, A, page())
+    catch_up.tick(1.0)
+    catch_up.receive(1.1, A, page())
     voters = new.membership.voters if new.membership is not None else []
     new.decide(1.2, exchange(Membership(3, voters, voters)))
-    catch_up.heard(1.3, B, page())
-    catch_up.look(1.3)
-    assert not new.complete
-    catch_up.heard(1.4, B, page(epoch=3))  # and itself: it was a voter that had granted nothing
-    assert new.complete
+    catch_up.receive(1.3, B, page())
+    catch_up.tick(1.3)
+    assert not new.is_complete
+    catch_up.receive(1.4, B, page(epoch=3))  # and itself: it was a voter that had granted nothing
+    assert new.is_complete
 
 
 def test_one_that_was_not_complete_counts_beside_one_that_was_and_none_alone() -> None:
     new, catch_up = newcomer()
-    catch_up.look(1.0)
-    catch_up.heard(1.1, A, page(complete=False))
-    catch_up.heard(1.1, B, page(complete=False))
-    assert not new.complete  # neither holds what was won before the last epoch
-    catch_up.heard(1.2, C, page())
-    assert new.complete and claim(new, b"b", epoch=2).is_taken
+    catch_up.tick(1.0)
+    catch_up.receive(1.1, A, page(complete=False))
+    catch_up.receive(1.1, B, page(complete=False))
+    assert not new.is_complete  # neither holds what was won before the last epoch
+    catch_up.receive(1.2, C, page())
+    assert new.is_complete and claim(new, b"b", epoch=2).is_taken
 
 
 def test_a_voter_that_was_not_complete_counts_itself() -> None:
@@ -92,8 +92,8 @@
     # One voter at a time, as memberships follow each other; it is told of nothing in between.
     for membership in (Membership(3, four, voters), Membership(4, five, four), Membership(5, five, five)):
         new.decide(1.0, exchange(membership))
-    catch_up.look(1.0)
-    catch_up.heard(1.1, A, page(epoch=5))
-    assert not new.complete
-    catch_up.heard(1.1, B, page(epoch=5))  # two of five, and itself
-    assert new.complete
+    catch_up.tick(1.0)
+    catch_up.receive(1.1, A, page(epoch=5))
+    assert not new.is_complete
+    catch_up.receive(1.1, B, page(epoch=5))  # two of five, and itself
+    assert new.is_complete
--- a/tests/mesh/test_claim_table.py
+++ b/tests/mesh/test_claim_table.py
@@ -55,7 +55,7 @@
     rows |= dict(voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0)).write)
     again = replica(uid="drawn", window=60.0)
     again.restore([(k, v) for k, v in rows.items() if v is not None], 1000.0)
-    assert again.complete and again.voter.uid == GENESIS
+    assert again.is_complete and again.voter.uid == GENESIS
     again.sweep(1065.0)
     assert not claim(again, b"b", 1065.0).is_granted
     effects = again.sweep(1071.0)
@@ -77,19 +77,19 @@
     for n in range(40):
         claim(voter, b"a", key=b"%d" % n)
         voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(60 << 10))))
-    pages = voter.claims.pages(0.0, 1)
+    pages = voter.reservations.pages(0.0, 1)
     assert len(pages) > 3 and [p.is_last for p in pages] == [False] * (len(pages) - 1) + [True]
     assert [p.page for p in pages] == list(range(len(pages))) and sum(len(p.reservations) for p in pages) == 40
 
 
 def test_a_key_that_two_are_said_to_hold_is_granted_to_neither_until_an_answer_tells() -> None:
     voter = seed()
-    voter.claims.merge(0.0, [(b"k", StoredReservation(b"a", 2.0))])
-    voter.claims.merge(0.0, [(b"k", StoredReservation(b"b", 1.0))])
+    voter.reservations.merge(0.0, [(b"k", StoredReservation(b"a", 2.0))])
+    voter.reservations.merge(0.0, [(b"k", StoredReservation(b"b", 1.0))])
     for by in (b"a", b"b", b"c"):
         verdict = claim(voter, by)
         assert not verdict.is_granted and verdict.is_taken
     voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))  # it had won
     assert claim(voter, b"b", 1.0).response is not None
-    voter.claims.merge(1.0, [(b"k", StoredReservation(b"b", 9.0))])
+    voter.reservations.merge(1.0, [(b"k", StoredReservation(b"b", 9.0))])
     assert claim(voter, b"b", 1.0).response is not None  # an answer is the last word
--- a/tests/mesh/test_drawn_histories.py
+++ b/tests/mesh/test_drawn_histories.py
@@ -10,13 +10,13 @@
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.mesh_world import Figures
 from lugspur.emulator.control.settings import COMPLETE_BY_TIME, HASTY_LOSSES, MANY_CHANGES, SETTINGS, Setting
-from lugspur.mesh.control import claims as claims_module
-from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control import reservation_client
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.membership import Situation
 from lugspur.mesh.control.messages import ReserveKey, Voter
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control.reservation_table import ReservationTable
 
 DRAWN = [(seed, setting) for number, setting in enumerate(SETTINGS) for seed in range(5 if number < 5 else 4)]
 LONG = [(seed, setting) for setting in (*COMPLETE_BY_TIME, *HASTY_LOSSES) for seed in range(2)]
@@ -63,23 +63,23 @@
     return False
 
 
-_claim, _sweep = ClaimTable.claim, Replica.sweep
+_claim, _sweep = ReservationTable.reserve, Replica.sweep
 
 
-def grants_twice(self: ClaimTable, now: float, peer: Any, message: ReserveKey, epoch: int) -> Effects:
+def grants_twice(self: ReservationTable, now: float, peer: Any, message: ReserveKey, epoch: int) -> Effects:
     self._drop(message.key)
     return _claim(self, now, peer, message, epoch)
 
 
 def complete_too_soon(self: Replica, now: float) -> Effects:
     effects = _sweep(self, now)
-    if self.is_voter and not self.complete and now - self.epoch_since > 0.5:
-        effects.add(self._completed())
+    if self.is_voter and not self.is_complete and now - self.epoch_since > 0.5:
+        effects.add(self._become_complete())
     return effects
 
 
 def never_complete_by_time(self: Replica, now: float) -> Effects:
-    return self.claims.sweep(now)
+    return self.reservations.sweep(now)
 
 
 def goes_never(self: Situation, voter: Voter) -> bool:
@@ -89,8 +89,8 @@
 @pytest.mark.parametrize(
     ("where", "name", "wrong", "settings"),
     [
-        (ClaimTable, "claim", grants_twice, [SETTINGS[0]]),  # a voter that forgets whom it granted a key
-        (claims_module, "majority", lambda count: 1, [SETTINGS[0]]),  # one grant is enough
+        (ReservationTable, "reserve", grants_twice, [SETTINGS[0]]),  # a voter that forgets whom it granted a key
+        (reservation_client, "majority", lambda count: 1, [SETTINGS[0]]),  # one grant is enough
         (Replica, "sweep", complete_too_soon, COMPLETE_BY_TIME),  # claims of earlier epochs may still count
         (Replica, "sweep", never_complete_by_time, COMPLETE_BY_TIME),  # nobody is complete ever again
         (Situation, "may_go", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
--- a/tests/mesh/test_keys.py
+++ b/tests/mesh/test_keys.py
@@ -6,9 +6,16 @@
 
 import pytest
 
-from lugspur.mesh.control import claims as claims_module
-from lugspur.mesh.control.claims import Claims, Known, Settled, Taken, Unsettled, Won
+from lugspur.mesh.control import reservation_client
 from lugspur.mesh.control.messages import BackendResponse, Membership, ReleaseKey, ReserveKey, ReserveKeyReply, Voter
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationClient,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
 
 CURRENT = Membership(3, [Voter(f"10.0.0.{n}", "u", "") for n in (1, 2, 3)])
 
@@ -18,12 +25,12 @@
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, ReserveKey | ReleaseKey]] = []
-        self.how: list[Settled] = []
-        self.claims = Claims(lambda ip, message: self.sent.append((ip, message)))
-        self.claims.begin(0.0, CURRENT, b"k", b"a", 2.0, 0.5, self.how.append)
+        self.how: list[ReservationOutcome] = []
+        self.claims = ReservationClient(lambda ip, message: self.sent.append((ip, message)))
+        self.claims.reserve(0.0, CURRENT, b"k", b"a", 2.0, 0.5, self.how.append)
 
     def verdict(self, n: int, granted: bool, now: float = 0.1, **other: Any) -> None:
-        self.claims.verdict(now, f"10.0.0.{n}", ReserveKeyReply(b"k", b"a", other.pop("epoch", 3), granted, **other))
+        self.claims.receive(now, f"10.0.0.{n}", ReserveKeyReply(b"k", b"a", other.pop("epoch", 3), granted, **other))
 
     @property
     def released(self) -> set[str]:
@@ -38,7 +45,7 @@
     assert side.how == []
     side.verdict(2, True)
     side.verdict(3, True)
-    assert side.how == [Won()] and not side.released
+    assert side.how == [Acquired()] and not side.released
 
 
 def test_who_cant_win_gives_back_what_it_was_granted() -> None:
@@ -46,40 +53,40 @@
     side.verdict(1, True)
     side.verdict(2, False, is_taken=True, is_running=True)
     side.verdict(3, False, is_taken=True)
-    assert side.how == [Taken(True)] and side.released == {"10.0.0.1"}
+    assert side.how == [TakenByAnother(True)] and side.released == {"10.0.0.1"}
     side.verdict(1, True)  # a grant that was on its way
     assert side.sent[-1] == ("10.0.0.1", ReleaseKey(b"k", b"a"))
 
 
 def test_a_won_claim_is_never_given_back_however_many_came_after_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(claims_module, "FAILED_MOST", 4)
+    monkeypatch.setattr(reservation_client, "MAX_FAILED_RESERVATIONS", 4)
     side = Side()
     side.verdict(1, True)
     side.verdict(2, True)
     for n in range(20):  # each of these comes to nothing
         by = b"later%d" % n
-        side.claims.begin(0.2, CURRENT, b"k%d" % n, by, 2.0, 0.5, side.how.append)
-        side.claims.drop(b"k%d" % n, by)
+        side.claims.reserve(0.2, CURRENT, b"k%d" % n, by, 2.0, 0.5, side.how.append)
+        side.claims.abandon(b"k%d" % n, by)
     side.sent.clear()
     side.verdict(3, True, now=1e6)
     assert side.sent == []  # it may run, or have run
-    side.claims.verdict(1e6, "10.0.0.1", ReserveKeyReply(b"k0", b"later0", 3, True))
+    side.claims.receive(1e6, "10.0.0.1", ReserveKeyReply(b"k0", b"later0", 3, True))
     assert side.sent == []  # forgotten: it ends by its window
-    side.claims.verdict(1e6, "10.0.0.1", ReserveKeyReply(b"k19", b"later19", 3, True))
+    side.claims.receive(1e6, "10.0.0.1", ReserveKeyReply(b"k19", b"later19", 3, True))
     assert side.sent == [("10.0.0.1", ReleaseKey(b"k19", b"later19"))]
 
 
 def test_a_grant_for_a_former_process_at_this_address_is_not_given_back() -> None:
     side = Side()
-    side.claims.verdict(0.1, "10.0.0.1", ReserveKeyReply(b"k", b"of-another-life", 3, True))
-    side.claims.verdict(0.1, "10.0.0.1", ReserveKeyReply(b"other", b"a", 3, True))
+    side.claims.receive(0.1, "10.0.0.1", ReserveKeyReply(b"k", b"of-another-life", 3, True))
+    side.claims.receive(0.1, "10.0.0.1", ReserveKeyReply(b"other", b"a", 3, True))
     assert not side.released
 
 
 def test_a_known_answer_is_enough_from_one_voter() -> None:
     side = Side()
     side.verdict(3, False, epoch=9, is_taken=True, response=BackendResponse(200, b"", b"x"))
-    assert side.how == [Known(BackendResponse(200, b"", b"x"))]
+    assert side.how == [AlreadyCompleted(BackendResponse(200, b"", b"x"))]
 
 
 def test_grants_of_another_epoch_or_behind_the_time_count_for_nothing() -> None:
@@ -88,17 +95,17 @@
     side.verdict(2, True)
     side.verdict(3, True, now=0.6)
     assert side.how == []
-    side.claims.look(0.6)
-    assert side.how == [Unsettled()] and side.released == {"10.0.0.1", "10.0.0.2", "10.0.0.3"}
+    side.claims.tick(0.6)
+    assert side.how == [Undecided()] and side.released == {"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
 
 def test_another_membership_asks_all_anew() -> None:
     side = Side()
     side.verdict(1, True)
-    side.claims.again(0.2, Membership(4, CURRENT.voters, CURRENT.voters))
+    side.claims.membership_changed(0.2, Membership(4, CURRENT.voters, CURRENT.voters))
     assert [m.epoch for _, m in side.sent if isinstance(m, ReserveKey)] == [3, 3, 3, 4, 4, 4]
     side.verdict(2, True)
     assert side.how == []
     side.verdict(2, True, epoch=4)
     side.verdict(3, True, epoch=4)
-    assert side.how == [Won()]
+    assert side.how == [Acquired()]
--- a/tests/mesh/test_proxy_requests.py
+++ b/tests/mesh/test_proxy_requests.py
@@ -10,9 +10,15 @@
 import pytest
 from meshcalls import call, route
 
-from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -64,7 +70,7 @@
         self.sent: list[tuple[str, ForwardRequest, Callable[[ForwardResponse], None]]] = []
         self.cancelled: list[int] = []
         self.withdrawn: list[int] = []
-        self.claimed: list[tuple[bytes, Callable[[Settled], None]]] = []
+        self.claimed: list[tuple[bytes, Callable[[ReservationOutcome], None]]] = []
         self.claim_ids: list[bytes] = []
         self.released: list[bytes] = []
         self.unreachable: set[str] = set()
@@ -83,7 +89,9 @@
         self.sent.append((ip, forward, respond))
         return Carried(self, len(self.sent) - 1)
 
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+    def claim(
+        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    ) -> None:
         self.claimed.append((key, over))
         self.claim_ids.append(by)
 
@@ -236,7 +244,7 @@
         monkeypatch.setattr(rig.proxy.loop, "time", lambda: now)  # as a loop does that counts milliseconds
         caller = rig.ask(lugspur_operation_key="k")
         if kind == "tracked":
-            rig.claimed[0][1](Won())
+            rig.claimed[0][1](Acquired())
         rig.reply(RequestOutcome.ANSWERED, OK)
         monkeypatch.undo()
         assert [answer[0] for answer in caller.answers] == [200]
@@ -251,7 +259,7 @@
         for _ in range(3):
             rig.ask(lugspur_operation_key="k")
         names.extend(rig.claim_ids)
-        rig.claimed[1][1](Won())
+        rig.claimed[1][1](Acquired())
         [(_, forward, _)] = rig.sent
         assert (forward.key, forward.owner, forward.attempt_id) == (b"k", rig.claim_ids[1], b"t1")
 
@@ -265,7 +273,7 @@
         caller = rig.ask(lugspur_operation_key="k")
         [(key, over)] = rig.claimed
         assert key == b"k" and not rig.sent
-        over(Won())
+        over(Acquired())
         assert rig.sent[0][1].key == b"k" and rig.sent[0][1].owner == rig.claim_ids[0]
         rig.reply(RequestOutcome.ANSWERED, OK)
         assert caller.answers[0][0] == 200 and not rig.released
@@ -274,9 +282,10 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "status"), [(Known(OK), 200), (Taken(True), 409), (Taken(False), 503), (Unsettled(), 503)]
+    ("how", "status"),
+    [(AlreadyCompleted(OK), 200), (TakenByAnother(True), 409), (TakenByAnother(False), 503), (Undecided(), 503)],
 )
-def test_a_repeat_gets_the_first_ones_answer_or_is_told_how_that_stands(how: Settled, status: int) -> None:
+def test_a_repeat_gets_the_first_ones_answer_or_is_told_how_that_stands(how: ReservationOutcome, status: int) -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](how)
@@ -288,14 +297,14 @@
 def test_a_claim_is_given_back_with_proof_alone() -> None:
     def proven(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         for _ in range(3):
             rig.reply(RequestOutcome.NOT_RUN, sent=False)
         assert caller.answers[0][0] == 503 and rig.released == [b"k"]
 
     def unknown(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         rig.reply(RequestOutcome.NOT_RUN, sent=False)
         rig.reply(RequestOutcome.UNKNOWN)
         assert caller.answers[0][0] == 502 and not rig.released
@@ -305,7 +314,7 @@
         assert caller.gone is not None
         caller.gone()
         assert rig.released == [b"k"]
-        rig.claimed[0][1](Won())  # it was won all the same
+        rig.claimed[0][1](Acquired())  # it was won all the same
         assert rig.released == [b"k", b"k"] and not rig.sent
 
     for case in (proven, unknown, left):
@@ -315,7 +324,7 @@
 def test_a_claim_under_which_nothing_ran_is_given_back_also_when_nobody_waits_any_more() -> None:
     def left(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         assert caller.gone is not None
         caller.gone()
         assert not rig.released  # it may run yet
@@ -324,7 +333,7 @@
 
     async def late(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         while not caller.answers:
             await asyncio.sleep(0.01)
         assert caller.answers[0][0] == 504 and not rig.released
@@ -338,7 +347,7 @@
 def test_a_claim_under_which_something_may_have_run_is_kept_when_nobody_waits_any_more() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         assert caller.gone is not None
         caller.gone()
         rig.reply(RequestOutcome.UNKNOWN)
@@ -350,7 +359,7 @@
 def test_a_claim_is_given_back_when_a_lost_connections_other_end_proves_that_nothing_ran() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         _, forward, respond = rig.sent[0]
         respond(ForwardResponse(forward.number, RequestOutcome.UNKNOWN, cause=FailureCause.LINK_LOST))
         assert caller.answers[0][0] == 502 and not rig.released
@@ -367,7 +376,7 @@
 def test_a_proof_that_comes_behind_an_answer_gives_nothing_back() -> None:
     def what(rig: Rig) -> None:
         rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         _, forward, respond = rig.sent[0]
         respond(ForwardResponse(forward.number, RequestOutcome.ANSWERED, OK))
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN))
@@ -399,7 +408,7 @@
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         if rig.claimed:
-            rig.claimed[0][1](Won())
+            rig.claimed[0][1](Acquired())
         assert caller.gone is not None
         caller.gone()
         assert rig.cancelled == ([] if rig.claimed else [0])
@@ -536,7 +545,7 @@
 def test_a_request_that_failed_can_be_explained_afterwards() -> None:
     def what(rig: Rig) -> None:
         rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         _, forward, respond = rig.sent[0]
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, None, False, 9, FailureCause.QUEUE_FULL))
         _, forward, respond = rig.sent[1]
@@ -569,7 +578,7 @@
 def test_who_waits_when_a_process_ends_is_told_whether_its_request_can_have_run() -> None:
     def under_way(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Won())
+        rig.claimed[0][1](Acquired())
         [proxied_request] = rig.proxy.open_requests
         proxied_request.end()
         assert caller.answers[0][0] == 502 and not rig.released
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -24,24 +24,26 @@
     voter = seed()
     old = claim(voter, b"a", epoch=7)
     assert (old.is_granted, old.epoch, old.is_taken) == (False, 1, False)
-    assert len(voter.claims) == 0
+    assert len(voter.reservations) == 0
 
 
 def test_completeness_goes_on_from_one_epoch_to_the_next_alone() -> None:
     voter = seed()
     voter.decide(0.0, exchange())
-    assert voter.complete and voter.was_complete
+    assert voter.is_complete and voter.was_complete
     older = Change("late", [membership_entry(FIRST)])
     voter.decide(0.0, older)
     assert voter.epoch == 2  # never back
     skipping = seed()
     far = Membership(4, NEXT.voters, NEXT.voters)
     skipping.learn(0.0, _pages_after(far))
-    assert skipping.is_voter and not skipping.complete and not skipping.was_complete  # who knows what epoch 3 granted
+    assert (
+        skipping.is_voter and not skipping.is_complete and not skipping.was_complete
+    )  # who knows what epoch 3 granted
     assert not claim(skipping, b"a", epoch=4).is_granted
     out = seed(IPS[2])
     out.decide(0.0, exchange())
-    assert not out.complete and not out.is_voter and out.was_complete
+    assert not out.is_complete and not out.is_voter and out.was_complete
 
 
 def _pages_after(membership: Membership) -> list[Learn]:
@@ -56,7 +58,7 @@
 def test_a_wiped_replica_has_no_vote_under_its_old_address() -> None:
     wiped = replica(IPS[0], "another-disk")
     wiped.learn(0.0, seed().register.pages(0))
-    assert wiped.epoch == 1 and not wiped.is_voter and not wiped.complete and not claim(wiped, b"a").is_granted
+    assert wiped.epoch == 1 and not wiped.is_voter and not wiped.is_complete and not claim(wiped, b"a").is_granted
 
 
 def test_an_accepted_change_of_the_voters_ends_granting_over_a_loss_of_power_too() -> None:
@@ -66,7 +68,7 @@
     rows = dict(replica().begin(0.0, SEEDS).write) | dict(accepted.write)
     again = replica()
     again.restore([(k, v) for k, v in rows.items() if v is not None], 0.0)
-    assert again.complete and not again.grants and not claim(again, b"a").is_granted
+    assert again.is_complete and not again.grants_reservations and not claim(again, b"a").is_granted
     ordinary = seed()
     ordinary.handle(0.0, None, Accept(2, BALLOT, Change("c", [item("r", 1)])))
     assert claim(ordinary, b"a").is_granted
@@ -85,9 +87,9 @@
     assert isinstance(page, ReservationsPage) and page.is_last and [key for key, _ in page.reservations] == [b"k"]
     assert not claim(voter, b"b", epoch=1).is_granted  # the old epoch is over here
     new.learn(0.0, voter.register.pages(0))
-    assert new.is_voter and not new.complete and not claim(new, b"b", epoch=2).is_granted
-    new.caught_up(0.0, [page])
-    assert new.complete and claim(new, b"b", epoch=2).is_taken
+    assert new.is_voter and not new.is_complete and not claim(new, b"b", epoch=2).is_granted
+    new.take_reservations(0.0, [page])
+    assert new.is_complete and claim(new, b"b", epoch=2).is_taken
     again = voter.handle(0.0, NEW, FetchReservations(2))
     assert again.write and again.after_sync  # told again, and still only behind the disk
 
@@ -118,11 +120,11 @@
             m for _, m in voter.handle(0.0, NEW, FetchReservations(2)).after_sync if isinstance(m, ReservationsPage)
         ]
     rows = dict(new.learn(0.0, first.register.pages(0)).write)
-    rows |= dict(new.caught_up(0.0, pages).write)
+    rows |= dict(new.take_reservations(0.0, pages).write)
     again = replica(NEW, "new")
     again.restore([(b"muid", b"new"), *((k, v) for k, v in rows.items() if v is not None)], 0.0)
     for holder in (new, again):
-        assert holder.complete
+        assert holder.is_complete
         for by in (b"a", b"b", b"c"):
             verdict = claim(holder, by, epoch=2)
             assert isinstance(verdict, ReserveKeyReply) and not verdict.is_granted and verdict.is_taken
@@ -134,13 +136,13 @@
     source.decide(0.0, exchange())
     new.learn(100.0, source.register.pages(0))
     new.sweep(169.0)
-    assert not new.complete
+    assert not new.is_complete
     effects = new.sweep(170.1)
-    assert new.complete and effects.write == [(COMPLETE_ROW, b"\x02")]
+    assert new.is_complete and effects.write == [(COMPLETE_ROW, b"\x02")]
     without = replica("10.0.0.9", "other", window=60.0)
     without.learn(0.0, source.register.pages(0))
     without.sweep(1000.0)
-    assert not without.complete  # no vote, nothing to be complete for
+    assert not without.is_complete  # no vote, nothing to be complete for
 
 
 def test_catching_up_is_told_what_was_decided_since() -> None:
