--- a/lugspur/emulator/control/checks.py
+++ b/lugspur/emulator/control/checks.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
+from lugspur.mesh.control.change_requests import Confirmed, NoQuorum, Outcome, Refused
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.orders import Confirmed, NoQuorum, Outcome, Refused
 from lugspur.mesh.control.register import Register
 
 Content = tuple[str, str, int, bytes | None]
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -13,6 +13,7 @@
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.emulator.control.small_world import PAUSE, SmallWorld
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.messages import (
     BackendResponse,
     CompleteKey,
@@ -24,7 +25,6 @@
     ReserveKeyReply,
     Voter,
 )
-from lugspur.mesh.control.orders import Order, Outcome
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import membership_entry
 from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
@@ -137,7 +137,7 @@
         if what == "propose":
             self.proposed = True
             node = self.nodes[FIRST]
-            order = Order([membership_entry(self.next)], FOREVER, ignore, 1)
+            order = ChangeRequest([membership_entry(self.next)], FOREVER, ignore, 1)
             node.do(self.now, node.proposer.submit(self.now, order))
         elif what == "learn":
             self.asks -= 1
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -21,7 +21,8 @@
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import wander
 from lugspur.emulator.control.settings import SETTINGS
-from lugspur.mesh.control import reader, reservation_catch_up
+from lugspur.mesh.control import read_index, reservation_catch_up
+from lugspur.mesh.control.change_requests import NoQuorum
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.freshness import DelayEstimate, Freshness
 from lugspur.mesh.control.messages import (
@@ -33,7 +34,6 @@
     ReadIndexReply,
     StoredReservation,
 )
-from lugspur.mesh.control.orders import NoQuorum
 from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.register import Applied, Register
@@ -49,7 +49,7 @@
 
 _prepare, _accept, _learn = Register.prepare, Register.accept, Register.learn
 _reader_heard, _catch_up_look, _adopt, _merge = (
-    reader.Reader.heard,
+    read_index.Reader.receive,
     reservation_catch_up.ReservationCatchUp.tick,
     Replica._adopt,
     ReservationTable.merge,
@@ -99,7 +99,7 @@
 
 
 def give_up_offered(self: Proposer, now: float) -> None:
-    for order in [order for order in self._orders if order.until <= now]:
+    for order in [order for order in self._orders if order.deadline <= now]:
         self._end(order, NoQuorum())
 
 
@@ -109,18 +109,18 @@
 
 def refuse_at_once(self: Proposer) -> Any:
     for order in self._orders:
-        order.came_in = -1
+        order.submitted_after = -1
     return _judge(self)
 
 
 _judge = Proposer._judge_orders
 
 
-def pass_over_pending(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
+def pass_over_pending(self: read_index.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
     return _reader_heard(self, now, ip, ReadIndexReply(message.number, message.is_voter, message.decided_index, False))
 
 
-def pass_over_index(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
+def pass_over_index(self: read_index.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
     known = self._replica.index
     return _reader_heard(
         self, now, ip, ReadIndexReply(message.number, message.is_voter, min(known, message.decided_index), False)
@@ -288,9 +288,13 @@
     Guard("an order that was offered is not given up", Proposer, "_expire", give_up_offered, register(LEFT)),
     Guard("an order is refused by a later proposal alone", Proposer, "_judge_orders", refuse_at_once, register(RESTS)),
     Guard("ballots name the process's life", Proposer, "__init__", without_life, register(OLD_LIFE)),
-    Guard("a read asks a majority", reader, "majority", lambda count: 1, register(READ, TWO_READ)),
-    Guard("a read waits for what is pending", reader.Reader, "heard", pass_over_pending, register(READ, TWO_READ)),
-    Guard("a read learns of later changes first", reader.Reader, "heard", pass_over_index, register(READ, TWO_READ)),
+    Guard("a read asks a majority", read_index, "majority", lambda count: 1, register(READ, TWO_READ)),
+    Guard(
+        "a read waits for what is pending", read_index.Reader, "receive", pass_over_pending, register(READ, TWO_READ)
+    ),
+    Guard(
+        "a read learns of later changes first", read_index.Reader, "receive", pass_over_index, register(READ, TWO_READ)
+    ),
     Guard("pages from the middle are not taken", Register, "learn", learn_from_the_middle, register(BROKEN)),
     Guard("a newcomer reads a majority's claims", reservation_catch_up, "majority", lambda count: 1, claims(EXCHANGED)),
     Guard(
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -11,8 +11,8 @@
 from lugspur.emulator.control.operators import CALLER_WAITS, TRIES, Operators
 from lugspur.emulator.control.register_world import SERVICE
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.change_requests import Confirmed
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.orders import Confirmed
 from lugspur.mesh.control.quorum import majority
 
 WELL_WITHIN = 20.0  # seconds after the last fault until all has to be well
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from lugspur.emulator.control.node import Node, Wire
+from lugspur.mesh.control.change_requests import ChangeRequest, NoQuorum, Outcome
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
 from lugspur.mesh.control.membership import Presence, Tolerance
@@ -23,8 +24,7 @@
     Subscribe,
     Voter,
 )
-from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
-from lugspur.mesh.control.reader import Read
+from lugspur.mesh.control.read_index import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
 from lugspur.mesh.control.replica import membership_entry
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, MAX_PENDING_CALLS
@@ -149,14 +149,14 @@
         self.heard_at.pop(ip, None)
         self.freshness.lost(ip)
         self.catch_up.disconnected(ip)
-        self.pages.lost(Wire(ip, self.ip, self.ip))
+        self.pages.disconnected(Wire(ip, self.ip, self.ip))
         self.complete_epochs.pop(ip, None)
 
     def was_left(self, ip: str) -> None:
         """A connection that another dialled has ended."""
         self.subscribers.pop(ip, None)
         self.echoes.pop(ip, None)
-        self.pages.lost(Wire(ip, self.ip, ip))
+        self.pages.disconnected(Wire(ip, self.ip, ip))
 
     def _report(self) -> Report:
         return Report([Entry(CONTROL, self.ip, 1, _pack(self.announced))])
@@ -223,7 +223,7 @@
 
     # ---- calls -------------------------------------------------------------------------------
 
-    def amend(self, entries: list[Entry], over: Callable[[Outcome], None]) -> Order | None:
+    def amend(self, entries: list[Entry], over: Callable[[Outcome], None]) -> ChangeRequest | None:
         """An operator's order; None where it was turned away."""
         now = self.world.now
         if (
@@ -233,7 +233,7 @@
         ):
             over(NoQuorum())
             return None
-        order = Order(entries, now + DECISION_TIMEOUT_SECONDS, over)
+        order = ChangeRequest(entries, now + DECISION_TIMEOUT_SECONDS, over)
         self.do(now, self.proposer.submit(now, order))
         return order
 
@@ -276,7 +276,7 @@
             self._look_at_disk(now)
         self._announce(now)
         self.do(now, self.proposer.look(now))
-        self.do(now, self.reader.look(now))
+        self.do(now, self.reader.tick(now))
         self.do(now, self.catch_up.tick(now))
         self._look_at_pending(now)
         self._reconfigure(now)
@@ -336,7 +336,7 @@
             self._propose(now, step)
 
     def _propose(self, now: float, step: Membership) -> None:
-        order = Order([membership_entry(step)], now + DECISION_TIMEOUT_SECONDS, ignore, step.epoch - 1)
+        order = ChangeRequest([membership_entry(step)], now + DECISION_TIMEOUT_SECONDS, ignore, step.epoch - 1)
         self.do(now, self.proposer.submit(now, order))
 
     def handed_on(self) -> bool:
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -12,6 +12,7 @@
 from lugspur.emulator.control.mesh_node import MeshNode
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.change_requests import Outcome
 from lugspur.mesh.control.messages import (
     BackendResponse,
     CompleteKey,
@@ -27,7 +28,6 @@
     Voter,
     encode,
 )
-from lugspur.mesh.control.orders import Outcome
 from lugspur.mesh.control.replica import GENESIS
 from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
 from lugspur.mesh.process import TICK_SECONDS
--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from lugspur.mesh.control.effects import Effects, Peer, Rows
-from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.learned_pages import LearnedPages
 from lugspur.mesh.control.messages import (
     Accepted,
     Entry,
@@ -19,7 +19,7 @@
     Voter,
 )
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.control.reader import Reader
+from lugspur.mesh.control.read_index import Reader
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
@@ -93,7 +93,7 @@
         self.up = True
         self.lives += 1
         self.replica = Replica(self.ip, f"{self.ip}#{self.lives}", self.zone, self._window, MEMORY, publish_nothing)
-        self.pages = LearnPages()
+        self.pages = LearnedPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.lives}", self._rng)
         self.reader = Reader(self.replica)
         self.catch_up = ReservationCatchUp(self.replica)
@@ -137,7 +137,7 @@
         self._observe(self)
         self.advanced(now)
         self.do(now, self.proposer.advanced(now))
-        self.do(now, self.reader.advanced(now))
+        self.do(now, self.reader.replica_advanced(now))
 
     def sync(self) -> None:
         """All that waits is on disk; whoever waits for it is told."""
@@ -155,7 +155,7 @@
         if isinstance(message, Promise | Accepted):
             self.do(now, self.proposer.heard(now, wire.source, message))
         elif isinstance(message, ReadIndexReply):
-            effects, pending = self.reader.heard(now, wire.source, message)
+            effects, pending = self.reader.receive(now, wire.source, message)
             self.do(now, effects)
             if pending:
                 self.pending(now)
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -9,8 +9,8 @@
 from lugspur.emulator.control.mesh_world import MeshWorld
 from lugspur.emulator.control.register_world import route
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.change_requests import Confirmed, NoQuorum, Outcome, Refused, Unclear
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.orders import Confirmed, NoQuorum, Outcome, Refused, Unclear
 
 OPERATORS = 2
 UNDER_WAY = 8  # orders of one operator
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -8,10 +8,10 @@
 from lugspur.emulator.control.checks import OrderBook, Sending, Violation
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.small_world import ENDED, PAUSE, SmallWorld
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import Change, Entry, FetchDecided
-from lugspur.mesh.control.orders import Order, Outcome
-from lugspur.mesh.control.reader import Read
+from lugspur.mesh.control.read_index import Read
 
 VOTERS = ["a", "b", "c"]
 FOREVER = float("inf")
@@ -176,7 +176,7 @@
         self.limits = limits
         self.book = OrderBook(self.chain)
         self.left = list(range(len(limits.orders)))
-        self.open: dict[int, Order] = {}
+        self.open: dict[int, ChangeRequest] = {}
         self.ended: dict[int, str] = {}
         self.wipes = limits.wipes
         self.retries, self.expiries, self.reads = limits.retries, limits.expiries, limits.reads
@@ -228,7 +228,7 @@
             self._read(who[0])
         else:
             self.expiries -= 1
-            self.open[int(who[0])].until = 0.0
+            self.open[int(who[0])].deadline = 0.0
             node = self.nodes[self.limits.orders[int(who[0])][1]]
             node.do(self.now, node.proposer.look(self.now))
 
@@ -236,7 +236,7 @@
         self.left.remove(number)
         content, ip = self.limits.orders[number]
         entries = CONTENTS[content]
-        order = Order(entries, FOREVER, Ending(self, number, ip, self.book.sent(entries)))
+        order = ChangeRequest(entries, FOREVER, Ending(self, number, ip, self.book.sent(entries)))
         self.open[number] = order
         node = self.nodes[ip]
         node.do(self.now, node.proposer.submit(self.now, order))
@@ -245,7 +245,7 @@
         node = self.nodes[ip]
         self.now += PAUSE
         node.do(self.now, node.proposer.look(self.now))
-        node.do(self.now, node.reader.look(self.now))
+        node.do(self.now, node.reader.tick(self.now))
         if node.proposer._proposal is None:  # what was under way has ended, and the next one is due after a pause
             self.now += PAUSE
             node.do(self.now, node.proposer.look(self.now))
@@ -288,7 +288,7 @@
         self.book.check_all()
 
     def own_key(self) -> object:
-        reads = tuple(sorted(read.over.floor for node in self.nodes.values() for read in node.reader._waiting))  # type: ignore[attr-defined]
+        reads = tuple(sorted(read.on_result.floor for node in self.nodes.values() for read in node.reader._waiting))  # type: ignore[attr-defined]
         told = tuple(sorted(self.ended.items()))
         budgets = (self.wipes, self.retries, self.expiries, self.reads)
         return tuple(self.left), tuple(self.open), told, budgets, reads, self.book.floor, len(self.chain.states)
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -155,7 +155,7 @@
         for ip, source in ((dialler, other), (other, dialler)):
             node = self.nodes.get(ip)
             if node is not None and node.up:
-                node.pages.lost(Wire(source, ip, dialler))
+                node.pages.disconnected(Wire(source, ip, dialler))
                 node.catch_up.disconnected(source)
 
     def deliver_all(self) -> None:
@@ -230,7 +230,9 @@
 
 def _proposer_key(node: Node, now: float) -> object:
     proposer, proposal = node.proposer, node.proposer._proposal
-    orders = tuple((id_of(order.entries), order.offered, order.change_id, order.came_in) for order in proposer._orders)
+    orders = tuple(
+        (id_of(order.entries), order.was_proposed, order.change_id, order.submitted_after) for order in proposer._orders
+    )
     under_way: object = None
     if proposal is not None:
         promises = tuple((ip, _pack(promise)) for ip, promise in sorted(proposal.promises.items()))
--- a/lugspur/mesh/control/orders.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -18,7 +18,7 @@
 class Refused:
     """It may not stand beside what is decided, and was not proposed: it is never in force."""
 
-    fault: MeshError
+    error: MeshError
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,25 +35,25 @@
 
 
 @dataclass(slots=True, eq=False)
-class Order:
+class ChangeRequest:
     """One change that somebody waits for, until `until` by the steady clock; `over` is told once.
 
     `base_epoch`: a change of the voters, which counts only as the next step after that epoch.
     """
 
     entries: list[Entry]
-    until: float
-    over: Callable[[Outcome], None]
+    deadline: float
+    on_outcome: Callable[[Outcome], None]
     base_epoch: int | None = None
-    offered: bool = False  # whether it has been proposed: from then on nothing proves that it is not in force
+    was_proposed: bool = False  # whether it has been proposed: from then on nothing proves that it is not in force
     change_id: str = ""  # of the change that it was proposed in last
-    came_in: int = 0  # the proposer's latest proposal when it came: only a later one may refuse it
+    submitted_after: int = 0  # the proposer's latest proposal when it came: only a later one may refuse it
 
 
-def fault_of(outcome: Outcome) -> MeshError | None:
+def error_of(outcome: Outcome) -> MeshError | None:
     """What a caller is told; None: it is confirmed."""
     if isinstance(outcome, Refused):
-        return outcome.fault
+        return outcome.error
     if isinstance(outcome, Unclear):
         return MeshError(Kind.UNCLEAR, "too few voters answered, and the change may come into force")
     if isinstance(outcome, NoQuorum):
--- a/lugspur/mesh/control/learning.py
+++ b/lugspur/mesh/control/learned_pages.py
@@ -7,7 +7,7 @@
 from lugspur.mesh.control.messages import Learn
 
 
-class LearnPages:
+class LearnedPages:
     """The pages that are under way, by where they come from: on one connection they come in order."""
 
     def __init__(self) -> None:
@@ -30,6 +30,6 @@
     def _next(page: Learn) -> tuple[int, int, int]:
         return page.after_index, page.index, page.page + 1
 
-    def lost(self, source: Hashable) -> None:
+    def disconnected(self, source: Hashable) -> None:
         """The connection has ended: the rest never comes."""
         self._pages.pop(source, None)
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -17,6 +17,7 @@
 from lugspur.invariants import Invariant
 from lugspur.invariants import check as check_invariant
 from lugspur.mesh.control.capacity import configuration_most, item_bytes
+from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Refused, Unclear
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.items import Draft, check_changes
@@ -30,7 +31,6 @@
     Promise,
     ProposalNumber,
 )
-from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Refused, Unclear
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.register import Register
 from lugspur.mesh.control.replica import Replica
@@ -102,7 +102,7 @@
         self._disks = disks
         self._identity = identity
         self._rng = rng
-        self._orders: list[Order] = []
+        self._orders: list[ChangeRequest] = []
         self._proposal: Proposal | None = None
         self._number = 0  # the highest ballot's number that was used or heard of
         self._changes = 0
@@ -121,15 +121,15 @@
 
     # ---- inputs --------------------------------------------------------------------------
 
-    def submit(self, now: float, order: Order) -> Effects:
+    def submit(self, now: float, order: ChangeRequest) -> Effects:
         """Have an order decided."""
-        order.came_in = self._proposals
+        order.submitted_after = self._proposals
         self._orders.append(order)
         return self._start(now)
 
-    def withdraw(self, order: Order) -> None:
+    def withdraw(self, order: ChangeRequest) -> None:
         """Nobody waits for an order any more; what has been proposed goes on."""
-        if order in self._orders and not order.offered:
+        if order in self._orders and not order.was_proposed:
             self._orders.remove(order)
 
     def finish(self, now: float) -> Effects:
@@ -250,7 +250,7 @@
                 self._check_size(taking)
             except MeshError as fault:
                 # Guards against a state that was the latest when voters promised, before this order came.
-                if order.came_in < self._proposals:
+                if order.submitted_after < self._proposals:
                     self._end(order, Refused(fault))
                 continue
             if not taking:
@@ -281,7 +281,7 @@
         return len(draft.entries) < ORDERS_AT_ONCE and size <= CHANGE_BYTES
 
     @staticmethod
-    def _fits(order: Order, taking: list[Entry], draft: Draft) -> bool:
+    def _fits(order: ChangeRequest, taking: list[Entry], draft: Draft) -> bool:
         """Whether an order takes the same effect beside those of the same change; else it waits for the next one."""
         if any((entry.kind, entry.name) in draft.entries for entry in taking):
             return False
@@ -291,8 +291,8 @@
             return False
 
     @staticmethod
-    def _offer(order: Order, change_id: str) -> None:
-        order.offered = True
+    def _offer(order: ChangeRequest, change_id: str) -> None:
+        order.was_proposed = True
         order.change_id = change_id
 
     # ---- the second round ------------------------------------------------------------------
@@ -317,12 +317,12 @@
 
     # ---- how orders end --------------------------------------------------------------------
 
-    def _end(self, order: Order, outcome: Confirmed | Refused | Unclear | NoQuorum) -> None:
+    def _end(self, order: ChangeRequest, outcome: Confirmed | Refused | Unclear | NoQuorum) -> None:
         self._orders.remove(order)
         if isinstance(outcome, Confirmed):
             stands = all(self._stands(entry) for entry in order.entries)
             check_invariant(stands, Invariant.CONFIRMED_STANDS, change=order.change_id, index=self._replica.index)
-        order.over(outcome)
+        order.on_outcome(outcome)
 
     def _stands(self, entry: Entry) -> bool:
         """Whether an entry is decided, or a later one of its name is; a withdrawal may be forgotten by now."""
@@ -332,8 +332,8 @@
         return item.entry.edition > entry.edition or item.entry == entry
 
     def _expire(self, now: float) -> None:
-        for order in [order for order in self._orders if order.until <= now]:
-            self._end(order, Unclear() if order.offered else NoQuorum())
+        for order in [order for order in self._orders if order.deadline <= now]:
+            self._end(order, Unclear() if order.was_proposed else NoQuorum())
 
     def _round_within(self) -> float:
         """Seconds for one round: longer after each proposal that came to nothing, since voters' disks may be slow."""
--- a/lugspur/mesh/control/reader.py
+++ b/lugspur/mesh/control/read_index.py
@@ -14,15 +14,15 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
-ASK_AGAIN = 0.1  # seconds after which a question that brought nothing is asked anew
+RETRY_DELAY_SECONDS = 0.1  # seconds after which a question that brought nothing is asked anew
 
 
 @dataclass(slots=True, eq=False)
 class Read:
     """Somebody waits until `until`; `over` is told whether the replica's state is the latest."""
 
-    until: float
-    over: Callable[[bool], None]
+    deadline: float
+    on_result: Callable[[bool], None]
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     number: int
     index: int
     voters: frozenset[str]
-    again_at: float
+    retry_at: float
     reads: list[Read]
     answered: set[str] = field(default_factory=set)
 
@@ -49,15 +49,15 @@
         self._waiting.append(read)
         return self._start(now) if self._round is None else Effects()
 
-    def look(self, now: float) -> Effects:
+    def tick(self, now: float) -> Effects:
         """End what has gone on for too long, and ask again."""
-        for read in [read for read in self._waiting if read.until <= now]:
+        for read in [read for read in self._waiting if read.deadline <= now]:
             self._end(read, False)
-        if self._round is not None and now >= self._round.again_at:
+        if self._round is not None and now >= self._round.retry_at:
             self._round = None
         return self._start(now) if self._round is None else Effects()
 
-    def advanced(self, now: float) -> Effects:
+    def replica_advanced(self, now: float) -> Effects:
         """The replica has learned of further changes."""
         self._round = None
         return self._start(now)
@@ -68,10 +68,10 @@
             return Effects()
         self._number += 1
         voters = frozenset(voter.ip for voter in membership.voters)
-        self._round = _Round(self._number, self._replica.index, voters, now + ASK_AGAIN, self._waiting[:])
+        self._round = _Round(self._number, self._replica.index, voters, now + RETRY_DELAY_SECONDS, self._waiting[:])
         return Effects(send=[(ip, ReadIndexQuery(self._number)) for ip in sorted(voters)])
 
-    def heard(self, now: float, ip: str, message: ReadIndexReply) -> tuple[Effects, bool]:
+    def receive(self, now: float, ip: str, message: ReadIndexReply) -> tuple[Effects, bool]:
         """A voter's answer; also whether something that was accepted there has to be finished."""
         current = self._round
         if current is None or message.number != current.number or ip not in current.voters:
@@ -87,9 +87,9 @@
             return Effects(), False
         self._round = None
         for read in [read for read in current.reads if read in self._waiting]:
-            self._end(read, read.until > now)
+            self._end(read, read.deadline > now)
         return self._start(now), False
 
     def _end(self, read: Read, latest: bool) -> None:
         self._waiting.remove(read)
-        read.over(latest)
+        read.on_result(latest)
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable
 
+from lugspur.mesh.control.change_forwarding import ChangeForwarder, result_of
+from lugspur.mesh.control.change_requests import ChangeRequest, NoQuorum, Outcome
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.forwarding import Forwarder, answer_of
 from lugspur.mesh.control.messages import ForwardChange, Message
-from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.transport.link import Link
@@ -36,7 +36,7 @@
     ) -> None:
         self._loop, self._ip, self._proposer, self._pause_detector = loop, ip, proposer, pause_detector
         self._preferred, self._do, self._to = preferred, do, to
-        self.forwarder = Forwarder()
+        self.forwarder = ChangeForwarder()
 
     def turn_away(self, now: float) -> None:
         """Raises MeshError where an order may not be taken up."""
@@ -46,15 +46,15 @@
         if self._pause_detector.is_stale(now):
             raise MeshError(Kind.NO_QUORUM, "this process has stood still")
 
-    def submit(self, now: float, order: Order) -> None:
+    def submit(self, now: float, order: ChangeRequest) -> None:
         """Propose an order, or have it proposed by the preferred control node."""
         proposer = self._preferred(now)
         if proposer == self._ip:
             self._do(self._proposer.submit(now, order))
         else:
-            self._to(proposer, self.forwarder.hand_over(now, proposer, order))
+            self._to(proposer, self.forwarder.forward(now, proposer, order))
 
-    def withdraw(self, order: Order) -> None:
+    def withdraw(self, order: ChangeRequest) -> None:
         """Nobody waits for an order any more."""
         self._proposer.withdraw(order)
         self.forwarder.withdraw(order)
@@ -63,7 +63,7 @@
         """Another control node hands over an order."""
 
         def over(outcome: Outcome) -> None:
-            link.send(answer_of(message.number, outcome))
+            link.send(result_of(message.number, outcome))
 
         now = self._loop.time()
         try:
@@ -71,17 +71,17 @@
         except MeshError:
             over(NoQuorum())
             return
-        order = Order(message.entries, now + min(DECISION_TIMEOUT_SECONDS, message.seconds_left), over)
+        order = ChangeRequest(message.entries, now + min(DECISION_TIMEOUT_SECONDS, message.seconds_left), over)
         self._do(self._proposer.submit(now, order))
 
     def lost(self, now: float, ip: str) -> None:
         """The connection to a control node has ended: propose here what it has not answered."""
-        self._propose_here(now, self.forwarder.lost(ip))
+        self._propose_here(now, self.forwarder.disconnected(ip))
 
     def look(self, now: float) -> None:
         """Propose here what other control nodes have not answered in time."""
         self._propose_here(now, self.forwarder.overdue(now))
 
-    def _propose_here(self, now: float, orders: list[Order]) -> None:
+    def _propose_here(self, now: float, orders: list[ChangeRequest]) -> None:
         for order in orders:
             self._do(self._proposer.submit(now, order))
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from lugspur.mesh import events
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
 from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Membership
-from lugspur.mesh.control.orders import Order, Outcome
 from lugspur.mesh.control.reconfiguration import Reconfiguration
 from lugspur.mesh.control.replica import Replica, membership_entry
 from lugspur.mesh.control.store import Store
@@ -38,7 +38,7 @@
         freshness: Freshness,
         stale: float,
         pause_detector: PauseDetector,
-        propose: Callable[[float, Order], None],
+        propose: Callable[[float, ChangeRequest], None],
     ) -> None:
         self._ip, self._replica, self._reconfiguration, self._store = ip, replica, reconfiguration, store
         self._freshness, self._stale, self._pause_detector, self._propose = freshness, stale, pause_detector, propose
@@ -87,7 +87,7 @@
             events.info("reconfiguration", epoch=step.epoch, voters=voters, outcome=type(outcome).__name__)
 
         entries = [membership_entry(step)]
-        self._propose(now, Order(entries, now + DECISION_TIMEOUT_SECONDS, over, step.epoch - 1))
+        self._propose(now, ChangeRequest(entries, now + DECISION_TIMEOUT_SECONDS, over, step.epoch - 1))
 
     def handed_on(self) -> bool:
         """Whether nobody needs this process: others vote, and hold all claims that it held as a voter."""
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -8,10 +8,10 @@
 
 from lugspur.mesh import events
 from lugspur.mesh.control import items
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome, error_of
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.orders import Order, Outcome, fault_of
-from lugspur.mesh.control.reader import Read, Reader
+from lugspur.mesh.control.read_index import Read, Reader
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.http_api import fail, reply
@@ -40,7 +40,7 @@
 
         def over(outcome: Outcome) -> None:
             self.waiting.discard(caller)
-            fault = fault_of(outcome)
+            fault = error_of(outcome)
             self.orders["confirmed" if fault is None else fault.code] += 1
             events.info("amend", bytes=len(request.body), fault=fault or "none", index=self._replica.index)
             if not waits:
@@ -60,7 +60,7 @@
         now = self._loop.time()
         entries = items.read_changes(request.body)
         self._router.turn_away(now)
-        order = Order(entries, now + DECISION_TIMEOUT_SECONDS, over)
+        order = ChangeRequest(entries, now + DECISION_TIMEOUT_SECONDS, over)
         caller.gone = gone
         self.waiting.add(caller)
         self._router.submit(now, order)
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -9,9 +9,10 @@
 import msgspec
 
 from lugspur.mesh import events
+from lugspur.mesh.control.change_requests import ChangeRequest
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
-from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.learned_pages import LearnedPages
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
@@ -32,9 +33,8 @@
     Unsubscribe,
     Voter,
 )
-from lugspur.mesh.control.orders import Order
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.control.reader import Reader
+from lugspur.mesh.control.read_index import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
@@ -98,7 +98,7 @@
         self.pause_detector = PauseDetector()
         bounds, tolerate = settings.tariffs.bounds, settings.tariffs.tolerate
         self.replica = self._restore(rows)
-        self.pages = LearnPages()
+        self.pages = LearnedPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.life}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
         self.router = ChangeRouter(
@@ -166,7 +166,7 @@
 
     def _ended(self, link: Link) -> None:
         self.subscribers.remove(link)
-        self.pages.lost(link)
+        self.pages.disconnected(link)
 
     def _asked(self, link: Link, message: Message) -> None:
         """Something from one who dialled."""
@@ -208,7 +208,7 @@
         self.pending_changes.advanced()
         now = self.loop.time()
         self.do(self.proposer.advanced(now))
-        self.do(self.reader.advanced(now))
+        self.do(self.reader.replica_advanced(now))
         self.subscribers.tell_soon()
 
     def to(self, ip: str, message: Message) -> None:
@@ -238,14 +238,14 @@
         if isinstance(message, Promise | Accepted):
             self.do(self.proposer.heard(now, ip, message))
         elif isinstance(message, ReadIndexReply):
-            effects, pending = self.reader.heard(now, ip, message)
+            effects, pending = self.reader.receive(now, ip, message)
             self.do(effects)
             if pending:
                 self.pending_changes.seen(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
         elif isinstance(message, ChangeResult):
-            self.router.forwarder.heard(ip, message)
+            self.router.forwarder.receive(ip, message)
         elif isinstance(message, FetchDecided):
             self.do(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
@@ -281,7 +281,7 @@
 
     def _down(self, dialler: Dialer) -> None:
         self.catch_up.disconnected(dialler.ip)
-        self.pages.lost(dialler.ip)
+        self.pages.disconnected(dialler.ip)
         self.membership_changes.lost(dialler.ip)
         super()._down(dialler)
         self.router.lost(self.loop.time(), dialler.ip)
@@ -360,7 +360,7 @@
             self._look_at_disk(now)
         self.router.look(now)
         self.do(self.proposer.look(now))
-        self.do(self.reader.look(now))
+        self.do(self.reader.tick(now))
         self.do(self.catch_up.tick(now))
         self.pending_changes.look(now)
         self.membership_changes.look(now)
@@ -373,7 +373,7 @@
             self._failing_since = now
         self.announce()
 
-    def _propose(self, now: float, order: Order) -> None:
+    def _propose(self, now: float, order: ChangeRequest) -> None:
         self.do(self.proposer.submit(now, order))
 
     # ---- operators -------------------------------------------------------------------------
--- a/tests/mesh/test_configuration_size.py
+++ b/tests/mesh/test_configuration_size.py
@@ -15,10 +15,10 @@
 from test_proposer import Node, ballot_of
 
 from lugspur.mesh.control.capacity import CONFIGURATION_PART, configuration_most, fits, item_bytes
+from lugspur.mesh.control.change_requests import Confirmed, Refused
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Change, Entry
-from lugspur.mesh.control.orders import Confirmed, Refused
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.register import Register
 from lugspur.mesh.storage.disk import Disk
@@ -48,7 +48,7 @@
     effects = found.promises(ballot, *IPS[:2])
     assert not [message for _, message in effects.send if "Accept" in type(message).__name__]
     [refused] = found.how
-    assert isinstance(refused, Refused) and refused.fault.kind is Kind.TOO_LARGE and "10000" in refused.fault.detail
+    assert isinstance(refused, Refused) and refused.error.kind is Kind.TOO_LARGE and "10000" in refused.error.detail
 
 
 def test_what_fits_is_taken_until_all_of_it_together_does_not_and_less_is_always_taken() -> None:
--- a/tests/mesh/test_learning.py
+++ b/tests/mesh/test_learning.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.learned_pages import LearnedPages
 from lugspur.mesh.control.messages import Learn
 
 
@@ -11,7 +11,7 @@
 
 
 def test_pages_are_gathered_until_the_last_by_where_they_come_from() -> None:
-    pages = LearnPages()
+    pages = LearnedPages()
     assert pages.add("a", page(0)) == [] and pages.add("b", page(0)) == []
     assert pages.add("a", page(1)) == []
     assert [p.page for p in pages.add("a", page(2, True))] == [0, 1, 2]
@@ -21,7 +21,7 @@
 
 
 def test_pages_without_their_beginning_or_of_two_answers_bring_nothing() -> None:
-    pages = LearnPages()
+    pages = LearnedPages()
     assert pages.add("a", page(1)) == [] and pages.add("a", page(2, True)) == []
     pages.add("a", page(0))
     assert pages.add("a", page(2, True)) == []  # one is missing
@@ -31,8 +31,8 @@
 
 
 def test_a_connection_that_ends_takes_its_pages_with_it() -> None:
-    pages = LearnPages()
+    pages = LearnedPages()
     pages.add("a", page(0))
-    pages.lost("a")
-    pages.lost("b")
+    pages.disconnected("a")
+    pages.disconnected("b")
     assert pages.add("a", page(1, True)) == []
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -7,6 +7,7 @@
 from controlparts import IPS, NEW, NEXT, accepted, change, exchange, item, promise, seed
 from meshcalls import call, route, service
 
+from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.items import read_changes
@@ -21,7 +22,6 @@
     Promise,
     ProposalNumber,
 )
-from lugspur.mesh.control.orders import Confirmed, NoQuorum, Order, Outcome, Refused, Unclear, fault_of
 from lugspur.mesh.control.proposer import BRING_UP_MOST, ROUND_WITHIN, Proposer
 from lugspur.mesh.control.replica import membership_entry
 
@@ -36,8 +36,10 @@
         self.proposer = Proposer(self.replica, f"{A}/life", Random(1))
         self.how: list[Outcome] = []
 
-    def order(self, *entries: Entry, now: float = 0.0, until: float = 0.8, base_epoch: int | None = None) -> Order:
-        return Order(list(entries), now + until, self.how.append, base_epoch)
+    def order(
+        self, *entries: Entry, now: float = 0.0, until: float = 0.8, base_epoch: int | None = None
+    ) -> ChangeRequest:
+        return ChangeRequest(list(entries), now + until, self.how.append, base_epoch)
 
     def submit(self, *entries: Entry, now: float = 0.0) -> list[tuple[str, Message]]:
         return self.proposer.submit(now, self.order(*entries, now=now)).send
@@ -108,7 +110,7 @@
     assert node.how == [] and again > ballot
     node.promises(again, A, C)
     [how] = node.how
-    assert isinstance(how, Refused) and how.fault.kind is Kind.CONFLICT  # the other content was decided
+    assert isinstance(how, Refused) and how.error.kind is Kind.CONFLICT  # the other content was decided
 
 
 def test_one_that_was_decided_already_is_confirmed_without_another_change() -> None:
@@ -168,7 +170,7 @@
     assert node.how == [Confirmed(), Confirmed()]
     accept = offered(node.promises(again, A, B))
     refused = node.how[2]
-    assert isinstance(refused, Refused) and refused.fault.kind is Kind.BAD_CONFIG
+    assert isinstance(refused, Refused) and refused.error.kind is Kind.BAD_CONFIG
     assert accept.change.entries == [item("r", 8)]
 
 
@@ -179,7 +181,7 @@
     node.accepts(ballot, A)
     node.proposer.look(0.9)
     assert node.how == [Unclear()]
-    fault = fault_of(node.how[0])
+    fault = error_of(node.how[0])
     assert fault is not None and fault.kind is Kind.UNCLEAR
     node.accepts(ballot, B, now=1.0)  # it counts all the same
     assert node.how == [Unclear()]
@@ -251,7 +253,7 @@
     again = ballot_of(node.proposer.look(0.5).send)
     node.promises(again, A, B, now=0.5)
     [how] = node.how
-    assert isinstance(how, Refused) and how.fault.kind is Kind.CONFLICT
+    assert isinstance(how, Refused) and how.error.kind is Kind.CONFLICT
 
 
 def test_what_a_minority_accepted_is_decided_or_given_up_for_good() -> None:
--- a/tests/mesh/test_reader.py
+++ b/tests/mesh/test_reader.py
@@ -5,7 +5,7 @@
 from controlparts import IPS, NEW, change, item, seed
 
 from lugspur.mesh.control.messages import FetchDecided, ReadIndexQuery, ReadIndexReply
-from lugspur.mesh.control.reader import ASK_AGAIN, Read, Reader
+from lugspur.mesh.control.read_index import RETRY_DELAY_SECONDS, Read, Reader
 
 A, B, C = IPS
 
@@ -23,7 +23,7 @@
 
     def says(self, ip: str, number: int = 1, voter: bool = True, decided: int = 1, pending: bool = False) -> bool:
         """Returns whether something has to be finished."""
-        self.effects, finish = self.reader.heard(0.1, ip, ReadIndexReply(number, voter, decided, pending))
+        self.effects, finish = self.reader.receive(0.1, ip, ReadIndexReply(number, voter, decided, pending))
         return finish
 
 
@@ -60,7 +60,7 @@
     asked.says(B, decided=2)
     assert asked.effects.send == [(B, FetchDecided(1))] and asked.how == []
     asked.replica.decide(0.1, change(item("r", 1)))
-    assert asked.reader.advanced(0.1).send == [(ip, ReadIndexQuery(2)) for ip in IPS]
+    assert asked.reader.replica_advanced(0.1).send == [(ip, ReadIndexQuery(2)) for ip in IPS]
     asked.says(C)  # to the first question
     asked.says(A, number=2, decided=2)
     assert asked.how == []
@@ -83,9 +83,9 @@
 def test_a_question_without_answers_is_asked_again_and_a_read_ends_by_its_time() -> None:
     asked = Asked()
     asked.read()
-    assert asked.reader.look(ASK_AGAIN / 2).send == []
-    assert asked.reader.look(ASK_AGAIN).send == [(ip, ReadIndexQuery(2)) for ip in IPS]
-    asked.reader.look(0.9)
+    assert asked.reader.tick(RETRY_DELAY_SECONDS / 2).send == []
+    assert asked.reader.tick(RETRY_DELAY_SECONDS).send == [(ip, ReadIndexQuery(2)) for ip in IPS]
+    asked.reader.tick(0.9)
     assert asked.how == [False]
     late = Asked()
     late.read(until=0.05)
