--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -8,10 +8,10 @@
 
 from lugspur.mesh import events
 from lugspur.mesh.control import items
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome, error_of
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.orders import Order, Outcome, fault_of
-from lugspur.mesh.control.reader import Read, Reader
+from lugspur.mesh.control.read_index import Read, Reader
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.http_api import fail, reply
@@ -43,7 +43,7 @@
         now = self._loop.time()
         entries = items.read_changes(request.body)
         self._router.check_admission(now)
-        order = Order(
+        order = ChangeRequest(
             entries,
             now + DECISION_TIMEOUT_SECONDS,
             lambda outcome: self._amended(caller, len(request.body), outcome),
@@ -55,7 +55,7 @@
     def _amended(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
-        fault = fault_of(outcome)
+        fault = error_of(outcome)
         self.changes["confirmed" if fault is None else fault.code] += 1
         events.info("amend", bytes=body_bytes, fault=fault or "none", index=self._replica.index)
         if not is_waiting:
@@ -65,7 +65,7 @@
         else:
             fail(caller, fault)
 
-    def _amend_abandoned(self, caller: Answerable, order: Order) -> None:
+    def _amend_abandoned(self, caller: Answerable, order: ChangeRequest) -> None:
         """The caller has left, and may have been refused elsewhere meanwhile: the change is not proposed any more."""
         self.waiting.discard(caller)
         self._router.withdraw(order)
