--- a/lugspur/daemon/gossip/anti_entropy.py
+++ b/lugspur/daemon/gossip/anti_entropy.py
@@ -6,12 +6,11 @@
 
 from __future__ import annotations
 
-import random
 from dataclasses import dataclass
 
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.events import Address
 from lugspur.daemon.gossip.membership import Membership
-from lugspur.daemon.gossip.membership_table import MembershipTable
 from lugspur.daemon.gossip.messages import (
     MAX_RECORDS_PER_DATAGRAM,
     FetchPage,
@@ -19,7 +18,6 @@
     Page,
     encoded_size,
 )
-from lugspur.daemon.gossip.outbox import Outbox
 
 QUIET_PERIODS = 1.0  # without a change, after which a different digest is no update that is still on its way
 PAGE_TIMEOUT_PERIODS = 0.5
@@ -41,20 +39,12 @@
 class AntiEntropy:
     """Reads at most one other view at a time, and answers requests of pages."""
 
-    def __init__(
-        self,
-        *,
-        table: MembershipTable,
-        membership: Membership,
-        outbox: Outbox,
-        rng: random.Random,
-        period_seconds: float,
-        now: float,
-    ) -> None:
-        self._table, self._membership, self._outbox, self._rng = table, membership, outbox, rng
-        self._period = period_seconds
+    def __init__(self, context: ProtocolContext, membership: Membership) -> None:
+        self._table, self._outbox = context.table, context.outbox
+        self._rng, self._period = context.rng, context.period_seconds
+        self._membership = membership
         self._exchange: _Exchange | None = None
-        self._next_exchange_at = now
+        self._next_exchange_at = context.started_at
 
     def due(self) -> float:
         """When the page that was requested times out, in seconds of the local clock."""
--- a/lugspur/daemon/gossip/dissemination.py
+++ b/lugspur/daemon/gossip/dissemination.py
@@ -2,12 +2,8 @@
 
 from __future__ import annotations
 
-import random
-
-from lugspur.daemon.gossip.membership_table import MembershipTable
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.messages import Ack, MemberRecord, Ping, Status, Updates, encoded_size
-from lugspur.daemon.gossip.outbox import Outbox
-from lugspur.daemon.gossip.update_queue import UpdateQueue
 
 ROUND_PERIODS = 0.2  # between two rounds of updates without a ping
 ROUND_FANOUT = 3  # members that each round goes to
@@ -18,19 +14,10 @@
 class Dissemination:
     """Chooses which updates go along with which datagram."""
 
-    def __init__(
-        self,
-        *,
-        table: MembershipTable,
-        updates: UpdateQueue,
-        outbox: Outbox,
-        rng: random.Random,
-        period_seconds: float,
-        now: float,
-    ) -> None:
-        self._table, self._updates, self._outbox, self._rng = table, updates, outbox, rng
-        self._period = period_seconds
-        self._next_round_at = now
+    def __init__(self, context: ProtocolContext) -> None:
+        self._table, self._updates, self._outbox = context.table, context.updates, context.outbox
+        self._rng, self._period = context.rng, context.period_seconds
+        self._next_round_at = context.started_at
 
     def ping(self, name: str, sequence_number: int) -> Ping:
         """Return a ping for a member, with updates."""
--- a/lugspur/daemon/gossip/failure_detector.py
+++ b/lugspur/daemon/gossip/failure_detector.py
@@ -6,18 +6,14 @@
 
 from __future__ import annotations
 
-import random
 from dataclasses import dataclass
 
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.dissemination import Dissemination
 from lugspur.daemon.gossip.events import Address
-from lugspur.daemon.gossip.local_health import LocalHealth
 from lugspur.daemon.gossip.membership import Membership
-from lugspur.daemon.gossip.membership_table import MembershipTable
 from lugspur.daemon.gossip.messages import Ack, MemberRecord, Nack, PingRequest
-from lugspur.daemon.gossip.outbox import Outbox
 from lugspur.daemon.gossip.probe_order import ProbeOrder
-from lugspur.daemon.gossip.sequence_numbers import SequenceNumbers
 
 # Fractions of a probe's time. One lost datagram in twenty is no reason to suspect a member.
 PING_REPEAT_FRACTIONS = (0.2, 0.4)
@@ -55,24 +51,18 @@
 
     def __init__(
         self,
-        *,
-        table: MembershipTable,
+        context: ProtocolContext,
         membership: Membership,
         dissemination: Dissemination,
         probe_order: ProbeOrder,
-        outbox: Outbox,
-        local_health: LocalHealth,
-        sequence_numbers: SequenceNumbers,
-        rng: random.Random,
-        period_seconds: float,
-        now: float,
     ) -> None:
-        self._table, self._membership, self._dissemination = table, membership, dissemination
-        self._probe_order, self._outbox, self._local_health = probe_order, outbox, local_health
-        self._sequence_numbers, self._rng, self._period = sequence_numbers, rng, period_seconds
+        self._table, self._outbox, self._local_health = context.table, context.outbox, context.local_health
+        self._sequence_numbers = context.sequence_numbers
+        self._rng, self._period = context.rng, context.period_seconds
+        self._membership, self._dissemination, self._probe_order = membership, dissemination, probe_order
         self._probe: _Probe | None = None
         self._indirect_pings: dict[int, _IndirectPing] = {}  # by the sequence numbers of our pings
-        self._next_period_at = now
+        self._next_period_at = context.started_at
 
     # ---- time ------------------------------------------------------------------------------------
 
--- a/lugspur/daemon/gossip/local_member.py
+++ b/lugspur/daemon/gossip/local_member.py
@@ -2,18 +2,12 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Callable
-
 import msgspec
 
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.counters import GossipCounter
-from lugspur.daemon.gossip.events import Address, Event, NameConflict
-from lugspur.daemon.gossip.local_health import LocalHealth
-from lugspur.daemon.gossip.membership_table import MembershipTable
+from lugspur.daemon.gossip.events import Address, NameConflict
 from lugspur.daemon.gossip.messages import MemberMetadata, MemberRecord, Status
-from lugspur.daemon.gossip.outbox import Outbox
-from lugspur.daemon.gossip.update_queue import UpdateQueue
 
 # A former process under this name is silent, a second running one answers each refutation: so many refutations of
 # another process in so many periods mean the second.
@@ -24,20 +18,10 @@
 class LocalMember:
     """This process as a member: only it raises its incarnation, and thereby refutes what others report of it."""
 
-    def __init__(
-        self,
-        *,
-        table: MembershipTable,
-        updates: UpdateQueue,
-        outbox: Outbox,
-        local_health: LocalHealth,
-        counters: Counter[str],
-        emit: Callable[[Event], None],
-        period_seconds: float,
-    ) -> None:
-        self._table, self._updates, self._outbox = table, updates, outbox
-        self._local_health, self._counters, self._emit = local_health, counters, emit
-        self._period = period_seconds
+    def __init__(self, context: ProtocolContext) -> None:
+        self._table, self._updates, self._outbox = context.table, context.updates, context.outbox
+        self._local_health, self._counters, self._emit = context.local_health, context.counters, context.emit
+        self._period = context.period_seconds
         self._conflict_times: list[float] = []
 
     def update_metadata(self, now: float, metadata: MemberMetadata) -> None:
--- a/lugspur/daemon/gossip/membership.py
+++ b/lugspur/daemon/gossip/membership.py
@@ -2,17 +2,13 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from collections.abc import Callable
-
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.counters import GossipCounter
-from lugspur.daemon.gossip.events import Event, MemberChanged
+from lugspur.daemon.gossip.events import MemberChanged
 from lugspur.daemon.gossip.local_member import LocalMember
-from lugspur.daemon.gossip.membership_table import MembershipTable
 from lugspur.daemon.gossip.merge_rules import cause_of_change, merged_record, supersedes, with_status
 from lugspur.daemon.gossip.messages import MemberRecord, Status
 from lugspur.daemon.gossip.probe_order import ProbeOrder
-from lugspur.daemon.gossip.update_queue import UpdateQueue
 
 MAX_INCARNATION_LEAD = 86_400_000  # above our wall clock in milliseconds: a day; incarnations start as wall clocks
 NO_ANSWER = "does not answer"
@@ -21,20 +17,10 @@
 class Membership:
     """The way in which all changes of other members go."""
 
-    def __init__(
-        self,
-        *,
-        table: MembershipTable,
-        updates: UpdateQueue,
-        probe_order: ProbeOrder,
-        local_member: LocalMember,
-        counters: Counter[str],
-        emit: Callable[[Event], None],
-        wall_clock: Callable[[], float],
-    ) -> None:
-        self._table, self._updates, self._probe_order = table, updates, probe_order
-        self._local_member, self._counters, self._emit = local_member, counters, emit
-        self._wall_clock = wall_clock
+    def __init__(self, context: ProtocolContext, probe_order: ProbeOrder, local_member: LocalMember) -> None:
+        self._table, self._updates = context.table, context.updates
+        self._counters, self._emit, self._wall_clock = context.counters, context.emit, context.wall_clock
+        self._probe_order, self._local_member = probe_order, local_member
 
     def merge(self, now: float, record: MemberRecord, *, is_first_hand: bool) -> None:
         """Merge a received record into the view.
--- a/lugspur/daemon/gossip/outbox.py
+++ b/lugspur/daemon/gossip/outbox.py
@@ -7,7 +7,7 @@
 from lugspur.daemon.gossip.counters import GossipCounter
 from lugspur.daemon.gossip.datagrams import DatagramCodec
 from lugspur.daemon.gossip.events import Address
-from lugspur.daemon.gossip.messages import Message, Packet
+from lugspur.daemon.gossip.messages import MemberRecord, Message, Packet
 from lugspur.daemon.gossip.rate_limits import DatagramRateLimiter
 
 
@@ -21,17 +21,15 @@
 
     def __init__(
         self,
-        *,
         codec: DatagramCodec,
-        sender: str,
-        sender_instance_id: int,
+        sender: MemberRecord,
         rate_limiter: DatagramRateLimiter,
         counters: Counter[str],
         now: float,
     ) -> None:
         self.codec = codec
         self.silent_until = now
-        self._sender, self._sender_instance_id = sender, sender_instance_id
+        self._sender, self._sender_instance_id = sender.name, sender.instance_id
         self._rate_limiter, self._counters = rate_limiter, counters
         self._datagrams: list[tuple[Address, bytes]] = []
 
--- a/lugspur/daemon/gossip/protocol.py
+++ b/lugspur/daemon/gossip/protocol.py
@@ -19,6 +19,7 @@
 from collections.abc import Callable
 
 from lugspur.daemon.gossip.anti_entropy import AntiEntropy
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.counters import GossipCounter
 from lugspur.daemon.gossip.datagrams import DatagramCodec, DatagramRejectedError
 from lugspur.daemon.gossip.dissemination import Dissemination
@@ -93,73 +94,29 @@
         self._period = period_seconds
         self._events: list[Event] = []
         self._last_input_at = now
-
-        record = _first_record(name, address, metadata, wall_clock, rng)
-        sequence_numbers = SequenceNumbers(rng)
-        self._table = MembershipTable(record, period_seconds, now)
         self._rate_limiter = DatagramRateLimiter(now)
-        self._local_health = LocalHealth()
-        updates = UpdateQueue()
-        self._outbox = Outbox(
-            codec=codec,
-            sender=name,
-            sender_instance_id=record.instance_id,
-            rate_limiter=self._rate_limiter,
-            counters=self.counters,
-            now=now,
-        )
-        self._local_member = LocalMember(
-            table=self._table,
-            updates=updates,
-            outbox=self._outbox,
-            local_health=self._local_health,
-            counters=self.counters,
-            emit=self._events.append,
+        record = _first_record(name, address, metadata, wall_clock, rng)
+        context = ProtocolContext(
             period_seconds=period_seconds,
-        )
-        probe_order = ProbeOrder(self._table, rng)
-        self._membership = Membership(
-            table=self._table,
-            updates=updates,
-            probe_order=probe_order,
-            local_member=self._local_member,
-            counters=self.counters,
-            emit=self._events.append,
+            started_at=now,
             wall_clock=wall_clock,
-        )
-        self._dissemination = Dissemination(
-            table=self._table, updates=updates, outbox=self._outbox, rng=rng, period_seconds=period_seconds, now=now
-        )
-        self._failure_detector = FailureDetector(
-            table=self._table,
-            membership=self._membership,
-            dissemination=self._dissemination,
-            probe_order=probe_order,
-            outbox=self._outbox,
-            local_health=self._local_health,
-            sequence_numbers=sequence_numbers,
-            rng=rng,
-            period_seconds=period_seconds,
-            now=now,
-        )
-        self._anti_entropy = AntiEntropy(
-            table=self._table,
-            membership=self._membership,
-            outbox=self._outbox,
-            rng=rng,
-            period_seconds=period_seconds,
-            now=now,
-        )
-        self._rejoiner = Rejoiner(
-            table=self._table,
-            dissemination=self._dissemination,
-            outbox=self._outbox,
-            sequence_numbers=sequence_numbers,
-            seeds=seeds,
             rng=rng,
-            period_seconds=period_seconds,
-            now=now,
+            table=MembershipTable(record, period_seconds, now),
+            updates=UpdateQueue(),
+            outbox=Outbox(codec, record, self._rate_limiter, self.counters, now),
+            local_health=LocalHealth(),
+            sequence_numbers=SequenceNumbers(rng),
+            counters=self.counters,
+            emit=self._events.append,
         )
+        self._table, self._outbox, self._local_health = context.table, context.outbox, context.local_health
+        probe_order = ProbeOrder(context.table, rng)
+        self._local_member = LocalMember(context)
+        self._membership = Membership(context, probe_order, self._local_member)
+        self._dissemination = Dissemination(context)
+        self._failure_detector = FailureDetector(context, self._membership, self._dissemination, probe_order)
+        self._anti_entropy = AntiEntropy(context, self._membership)
+        self._rejoiner = Rejoiner(context, self._dissemination, seeds)
 
     # ---- the view --------------------------------------------------------------------------------
 
--- a/lugspur/daemon/gossip/rejoin.py
+++ b/lugspur/daemon/gossip/rejoin.py
@@ -6,13 +6,9 @@
 
 from __future__ import annotations
 
-import random
-
+from lugspur.daemon.gossip.context import ProtocolContext
 from lugspur.daemon.gossip.dissemination import Dissemination
 from lugspur.daemon.gossip.events import Address
-from lugspur.daemon.gossip.membership_table import MembershipTable
-from lugspur.daemon.gossip.outbox import Outbox
-from lugspur.daemon.gossip.sequence_numbers import SequenceNumbers
 
 CONTACT_PERIODS = 1.0  # between two contacts, on average
 
@@ -24,22 +20,12 @@
         seeds: Addresses of members that the settings name.
     """
 
-    def __init__(
-        self,
-        *,
-        table: MembershipTable,
-        dissemination: Dissemination,
-        outbox: Outbox,
-        sequence_numbers: SequenceNumbers,
-        seeds: list[Address],
-        rng: random.Random,
-        period_seconds: float,
-        now: float,
-    ) -> None:
+    def __init__(self, context: ProtocolContext, dissemination: Dissemination, seeds: list[Address]) -> None:
         self.seeds = seeds
-        self._table, self._dissemination, self._outbox = table, dissemination, outbox
-        self._sequence_numbers, self._rng, self._period = sequence_numbers, rng, period_seconds
-        self._next_contact_at = now
+        self._table, self._outbox, self._sequence_numbers = context.table, context.outbox, context.sequence_numbers
+        self._rng, self._period = context.rng, context.period_seconds
+        self._dissemination = dissemination
+        self._next_contact_at = context.started_at
 
     def due(self) -> float:
         """When the next contact is due, in seconds of the local clock."""
