--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -21,9 +21,7 @@
 from lugspur.daemon.gossip.messages import MAX_VERSION_CHARACTERS, MAX_ZONE_CHARACTERS, MemberMetadata, Status
 from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.daemon.gossip.transport import Transport, bind_socket
-from lugspur.daemon.leases.claim import Claim, Turned, Won, order
-from lugspur.daemon.leases.elector import Elector, Who
-from lugspur.daemon.leases.memory import Memory, Spoilt, Taken
+from lugspur.daemon.leases.candidate import Candidate, LeadershipChanged, LeaseAcquired, rendezvous_order
 from lugspur.daemon.leases.messages import (
     DenyLease,
     GrantLease,
@@ -35,6 +33,8 @@
     decode_messages,
     encode_messages,
 )
+from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore, PromiseStoreInUseError
+from lugspur.daemon.leases.voter import CandidateId, LeaseVoter
 from lugspur.daemon.probers import PROBING, Probers
 
 if TYPE_CHECKING:
@@ -55,9 +55,9 @@
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
         self._facts = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
-        self.claims: dict[str, Claim] = {}
-        self.elector: Elector | None = None
-        self._memory: Memory | None = None
+        self.claims: dict[str, Candidate] = {}
+        self.elector: LeaseVoter | None = None
+        self._memory: PromiseStore | None = None
         self._writing = False
         self._handed: list[tuple[str, Message]] = []
         self._drained = False
@@ -125,18 +125,18 @@
         if row.folder:
             folder = resolved(row.folder, self._beside)
             try:
-                self._memory = Memory(folder, row.member, row.lease)
-            except Taken as fault:
+                self._memory = PromiseStore(folder, row.member, row.lease)
+            except PromiseStoreInUseError as fault:
                 raise OSError(f"fleet: {folder} is another elector's, which runs") from fault
-            except Spoilt as fault:
+            except CorruptPromiseStoreError as fault:
                 # Guards against epochs that go back: only operators can know that nothing was promised since.
                 raise OSError(f"fleet: {folder}: promises can't be read: {fault}") from fault
             except OSError as fault:
                 raise OSError(f"fleet: {folder}: {fault.strerror or fault}") from fault
-            lease, promises = self._memory.lease, self._memory.promises
-            if self._memory.fresh:
+            lease, promises = self._memory.lease_seconds, self._memory.promises
+            if self._memory.is_new:
                 self.say(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
-        self.elector = Elector(lease, clock.now(), promises, int(time.time() * 1000))
+        self.elector = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
     def _close_memory(self) -> None:
         if self._memory is not None:
@@ -153,17 +153,17 @@
 
     # ---- duties ------------------------------------------------------------------------------------
 
-    def want(self, duty: str) -> Claim:
+    def want(self, duty: str) -> Candidate:
         """Ask for a duty from now on, whenever nobody holds it."""
         row = self._row
-        claim = self.claims[duty] = Claim(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
+        claim = self.claims[duty] = Candidate(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
         if self._drained:  # a reload brings a duty while callers are sent away: it is wanted once they are taken again
-            claim.hand_on(clock.now())
+            claim.resign(clock.now())
         return claim
 
     def drop(self, duty: str) -> None:
         """Want a duty no more."""
-        self.claims[duty].hand_on(clock.now())
+        self.claims[duty].resign(clock.now())
         self._woken(clock.now())
         del self.claims[duty]
         self.transport.flush()
@@ -188,14 +188,14 @@
     def may(self, duty: str, needs: float = 0.0) -> int | None:
         """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
         claim = self.claims.get(duty)
-        return None if claim is None else claim.epoch(clock.now(), needs)
+        return None if claim is None else claim.fencing_token(clock.now(), needs)
 
     def _rank(self, duty: str) -> int:
         return self._ordered(duty).index(self._row.member)
 
     def _ordered(self, duty: str) -> list[str]:
         ready = [name for name, record in self.fleet.present_members().items() if not record.metadata.is_draining]
-        return order(duty, list({*ready, self._row.member}))
+        return rendezvous_order(duty, list({*ready, self._row.member}))
 
     def hand_on(self) -> None:
         """This daemon goes: its duties go to those who are next, at once."""
@@ -205,13 +205,13 @@
             clock.now(), MemberMetadata(facts.zone, facts.version, facts.started_at, True, facts.requests_per_second)
         )
         for duty, claim in self.claims.items():
-            if not claim.hand_on(clock.now()):
+            if not claim.resign(clock.now()):
                 continue
             heirs = [name for name in self._ordered(duty) if name != self._row.member]
             if heirs:
                 self._handed.append((heirs[0], RoleAvailable(duty, claim.term.epoch)))
             self._handed += [
-                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round)) for name in claim.term.electors
+                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round_number)) for name in claim.term.voters
             ]
         for delay in (0.0, *AGAIN):
             self._loop.call_later(delay, self._say_again)
@@ -226,7 +226,7 @@
         self._drained = False
         self.fleet.update_metadata(clock.now(), self._facts)
         for claim in self.claims.values():
-            claim.want(clock.now())
+            claim.campaign(clock.now())
         self.transport.flush()
 
     def leave(self) -> None:
@@ -265,22 +265,22 @@
             host, port = record.address
             self.say(f"member {record.name} {SAID[Status(record.status)]} ({event.cause}) at {host}:{port}")
             for claim in self.claims.values():
-                claim.others_changed(clock.now())
+                claim.members_changed(clock.now())
 
     def _body(self, event: MessageReceived) -> None:
         with suppress(MalformedMessageError):
             for message in decode_messages(event.body):
-                self._lease(Who(event.sender, event.instance_id), message)
+                self._lease(CandidateId(event.sender, event.instance_id), message)
 
-    def _lease(self, who: Who, message: Message) -> None:
+    def _lease(self, who: CandidateId, message: Message) -> None:
         now = clock.now()
         if isinstance(message, RequestLease | ReleaseLease):
             if self.elector is not None:
-                self.elector.heard(now, who, message)
+                self.elector.receive(now, who, message)
             return
         claim = self.claims.get(message.role)
         if claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
-            claim.heard(now, who.name, message)
+            claim.receive(now, who.name, message)
 
     def _dues(self) -> Iterator[float]:
         for claim in self.claims.values():
@@ -293,21 +293,21 @@
             if now >= claim.due():
                 claim.tick(now)
         while True:
-            said = [word for claim in self.claims.values() for word in claim.take()]
+            said = [word for claim in self.claims.values() for word in claim.take_messages()]
             if self.elector is not None:
-                said += self.elector.take()
+                said += self.elector.take_messages()
             if not said:
                 break
-            me = Who(self._row.member, self.fleet.local_record.instance_id)
+            me = CandidateId(self._row.member, self.fleet.local_record.instance_id)
             for name, message in said:
                 if name == me.name:
                     self._lease(me, message)
                 else:
                     out.append((name, message))
         for claim in self.claims.values():
-            for event in claim.events():
+            for event in claim.take_events():
                 self._turned(event)
-        if self._memory is not None and self.elector is not None and self.elector.unwritten and not self._writing:
+        if self._memory is not None and self.elector is not None and self.elector.unsaved and not self._writing:
             self._write(self._memory, self.elector)
         self._send(out)
 
@@ -320,40 +320,40 @@
             for at in range(0, len(words), BODY_MESSAGES):
                 self.fleet.send_message(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
 
-    def _turned(self, turned: Turned | Won) -> None:
-        if self._history is not None and (isinstance(turned, Won) or not turned.holds):
-            left = self.claims[turned.duty].term.left(clock.now()) if isinstance(turned, Won) else 0.0
+    def _turned(self, turned: LeadershipChanged | LeaseAcquired) -> None:
+        if self._history is not None and (isinstance(turned, LeaseAcquired) or not turned.is_leader):
+            left = self.claims[turned.role].term.remaining(clock.now()) if isinstance(turned, LeaseAcquired) else 0.0
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
                 "life": self.fleet.local_record.instance_id,
-                "duty": turned.duty,
+                "duty": turned.role,
                 "epoch": turned.epoch,
                 "left": left,
             }
             self._history.write(json.dumps(row) + "\n")
-        if isinstance(turned, Won):
+        if isinstance(turned, LeaseAcquired):
             return
         if self.probers is not None:
             self.probers.turned(turned)
-        what = "is ours" if turned.holds else "is ours no more"
-        self.say(f"duty {turned.duty} {what} under epoch {turned.epoch}: {turned.why}")
+        what = "is ours" if turned.is_leader else "is ours no more"
+        self.say(f"duty {turned.role} {what} under epoch {turned.epoch}: {turned.reason}")
 
     # ---- an elector's memory -----------------------------------------------------------------------
 
-    def _write(self, memory: Memory, elector: Elector) -> None:
+    def _write(self, memory: PromiseStore, elector: LeaseVoter) -> None:
         """Write promises down, in a thread; they are told when they will survive."""
         promises = elector.promises()
-        duties, elector.unwritten = list(elector.unwritten), {}
+        duties, elector.unsaved = list(elector.unsaved), {}
         self._writing = True
 
         def done(fault: OSError | None) -> None:
             self._writing = False
             if fault is None:
-                elector.written(clock.now(), duties)
+                elector.confirm_saved(clock.now(), duties)
             else:
                 self.say(f"promises can't be written, so none are given: {fault.strerror or fault}")
-                elector.unwritable(duties)
+                elector.report_save_failure(duties)
             self.transport.flush()
 
         def work() -> None:
@@ -413,14 +413,14 @@
         rows = []
         for duty, claim in sorted(self.claims.items()):
             term = claim.term
-            held = claim.epoch(now) is not None
+            held = claim.fencing_token(now) is not None
             rows.append(
                 {
                     "duty": duty,
                     "ours": held,
-                    "epoch": term.epoch if held else term.heard,
+                    "epoch": term.epoch if held else term.highest_epoch,
                     "holder": self._row.member if held else term.holder,
-                    "left": round(term.left(now), 3),
+                    "left": round(term.remaining(now), 3),
                 }
             )
         down, vain = ({}, 0) if self.probers is None else (self.probers.down(), self.probers.vain)
@@ -439,7 +439,7 @@
         claim = self.claims[duty]
         if epoch is None:
             return 409, json.dumps({"duty": duty, "holder": claim.term.holder})
-        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.left(clock.now()), 3)})
+        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.remaining(clock.now()), 3)})
 
 
 def _version() -> str:
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -31,7 +31,7 @@
     ReadIndexQuery,
     ReadIndexReply,
 )
-from lugspur.mesh.control.store import Name, newer
+from lugspur.mesh.control.store import EntryKey, supersedes
 
 WITHDRAWN_MOST = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
 WITHDRAWN_KEPT = 0.9  # of these, once they are too many: the oldest are forgotten
@@ -67,7 +67,7 @@
     """What a decided change, or several, did to the items."""
 
     entries: list[Entry] = field(default_factory=list)  # that took their places
-    forgotten: list[Name] = field(default_factory=list)  # that are gone without a word
+    forgotten: list[EntryKey] = field(default_factory=list)  # that are gone without a word
     write: Rows = field(default_factory=list)
 
 
@@ -75,7 +75,7 @@
     """Items by name as they stand after change `index`, and the vote on the next one."""
 
     def __init__(self) -> None:
-        self.items: dict[Name, Item] = {}
+        self.items: dict[EntryKey, Item] = {}
         self.bytes = 0  # of all items, as `capacity` counts them
         self.index = 0
         self.pruned = 0  # withdrawals up to this change are forgotten
@@ -115,21 +115,21 @@
 
     def prepare(self, peer: Peer, message: Prepare, voter: bool) -> Effects:
         """A proposer wants to hear what was accepted, and that no lower ballot counts any more."""
-        granted = voter and message.index == self.index + 1 and message.ballot >= self.promised
+        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
         if not granted:
-            refusal = Promise(message.index, message.ballot, False, self.index, self.promised)
+            refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
             return Effects(send=[(peer, refusal)])
-        self.promised = message.ballot
-        promise = Promise(message.index, message.ballot, True, self.index, self.promised, self.accepted, self.change)
+        self.promised = message.proposal
+        promise = Promise(message.index, message.proposal, True, self.index, self.promised, self.accepted, self.change)
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def accept(self, peer: Peer, message: Accept, voter: bool) -> Effects:
         """A proposer wants this to be the next change."""
-        granted = voter and message.index == self.index + 1 and message.ballot >= self.promised
-        answer = Accepted(message.index, message.ballot, granted, self.index, self.promised)
+        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
+        answer = Accepted(message.index, message.proposal, granted, self.index, self.promised)
         if not granted:
             return Effects(send=[(peer, answer)])
-        self.promised = self.accepted = message.ballot
+        self.promised = self.accepted = message.proposal
         self.change = message.change
         return Effects(write=[self._vote_row()], after_sync=[(peer, answer)])
 
@@ -148,7 +148,7 @@
         index = self.index + 1
         for entry in change.entries:
             standing = self.items.get((entry.kind, entry.name))
-            if newer(entry, None if standing is None else standing.entry):
+            if supersedes(entry, None if standing is None else standing.entry):
                 self._set(Item(entry, index), applied)
         self._advance(index, applied)
         return applied
@@ -157,17 +157,17 @@
         """All pages of what was decided after a change that is known here."""
         applied = Applied()
         first = pages[0]
-        if first.index <= self.index or first.since > self.index:
+        if first.index <= self.index or first.after_index > self.index:
             return applied
         found = {(i.entry.kind, i.entry.name): i for page in pages for i in page.items}
-        if first.since == 0:
+        if first.after_index == 0:
             for name in [name for name in self.items if name not in found]:
                 self._forget(name, applied)
         for name, item in found.items():
             standing = self.items.get(name)
             if standing is None or standing.index < item.index:
                 self._set(item, applied)
-        self.pruned = first.pruned
+        self.pruned = first.pruned_index
         self._advance(first.index, applied)
         return applied
 
@@ -182,7 +182,7 @@
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
 
-    def _forget(self, name: Name, applied: Applied) -> None:
+    def _forget(self, name: EntryKey, applied: Applied) -> None:
         item = self.items.pop(name)
         self.bytes -= item_bytes(item.entry)
         self._withdrawn -= item.entry.value is None
@@ -222,5 +222,5 @@
                 pages.append(Learn(since, self.index, self.pruned, len(pages), [], False))
                 size = 0
             pages[-1].items.append(item)
-        pages[-1].last = True
+        pages[-1].is_last = True
         return pages
--- a/lugspur/mesh/sidecar/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -87,13 +87,13 @@
     ) -> CarriedExchange:
         """Send a request; the reply comes once. `rate`: bytes a second of that machine's link, 0: unknown."""
         self._latest += 1
-        number = forward.n = self._latest
-        forward.sent = now
+        number = forward.number = self._latest
+        forward.sent_at = now
         exchange = _Exchange(link, respond, bool(forward.key))
         self._open.setdefault(ip, {})[number] = exchange
         if is_chunked(len(forward.body), rate):
             exchange.body = _Body(forward.body)
-            forward.size, forward.body = len(forward.body), b""
+            forward.body_bytes, forward.body = len(forward.body), b""
         link.send(forward)
         return CarriedExchange(self, ip, number)
 
@@ -120,32 +120,32 @@
 
     def reply(self, link: Link, message: ForwardResponse) -> None:
         """How one ended."""
-        exchange = self._of(link, message.n)
+        exchange = self._of(link, message.number)
         if exchange is not None:
-            del self._open[link.peer][message.n]
+            del self._open[link.peer][message.number]
             exchange.respond(message)
         else:
             self._proved(link, message)
 
     def _proved(self, link: Link, message: ForwardResponse) -> None:
         """The outcome of one whose connection was lost, from the process that it was sent to."""
-        unproven = self._unproven.get(message.n)
-        if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.life):
+        unproven = self._unproven.get(message.number)
+        if unproven is None or (unproven.ip, unproven.life) != (link.peer, link.peer_incarnation):
             return
-        del self._unproven[message.n]
+        del self._unproven[message.number]
         unproven.respond(message)
 
     def grant(self, link: Link, message: GrantBody) -> None:
         """Send the next bytes of a body."""
-        exchange = self._of(link, message.n)
+        exchange = self._of(link, message.number)
         body = None if exchange is None else exchange.body
-        if exchange is None or body is None or body.sent >= message.upto:
+        if exchange is None or body is None or body.sent >= message.up_to_offset:
             return
-        begin, body.sent = body.sent, min(message.upto, len(body.data))
+        begin, body.sent = body.sent, min(message.up_to_offset, len(body.data))
         if body.sent == len(body.data):
             exchange.body = None
         for at in range(begin, body.sent, CHUNK_BYTES):
-            exchange.link.send(BodyChunk(message.n, body.data[at : min(at + CHUNK_BYTES, body.sent)]))
+            exchange.link.send(BodyChunk(message.number, body.data[at : min(at + CHUNK_BYTES, body.sent)]))
 
     def reached(self, link: Link) -> None:
         """A process has said which life of it answers on a new connection: ask what became of what was lost."""
@@ -153,7 +153,7 @@
         for number, unproven in list(self._unproven.items()):
             if unproven.ip != link.peer:
                 continue
-            if unproven.life == link.life:
+            if unproven.life == link.peer_incarnation:
                 asked.append(number)
             else:
                 del self._unproven[number]  # another life does not know what the one before had begun
@@ -164,9 +164,9 @@
         """The connection to that machine has ended."""
         # What had been sent may run, or have run: nothing proves otherwise, as long as that process does not say so.
         for number, exchange in self._open.pop(ip, {}).items():
-            # A body that was not sent to its end proves that nothing ran: the gate begins with whole requests alone.
+            # A body that was not sent to its end proves that nothing ran: the limiter starts complete requests alone.
             unsent = exchange.body is not None
             if exchange.keyed and not unsent:
-                self._unproven[number] = _Unproven(ip, exchange.link.life, exchange.respond)
+                self._unproven[number] = _Unproven(ip, exchange.link.peer_incarnation, exchange.respond)
             how = RequestOutcome.NOT_RUN if unsent else RequestOutcome.UNKNOWN
-            exchange.respond(ForwardResponse(number, how, sent=not unsent, cause=FailureCause.LINK_LOST))
+            exchange.respond(ForwardResponse(number, how, was_sent=not unsent, cause=FailureCause.LINK_LOST))
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -7,32 +7,32 @@
 from typing import Any, Protocol
 
 from lugspur.mesh.control.messages import Membership
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.endpoints import Endpoint
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.settings import Settings
+from lugspur.mesh.sidecar.update_source import UpdateSource
 
 
 class StatusParts(Protocol):
     """The parts of a proxy's process that its status is read from."""
 
     loop: asyncio.AbstractEventLoop
-    settings: Settings
     ip: str
-    leaving: bool
-    known: bool
-    source: str
-    source_at: float
+    is_leaving: bool
+    update_source: UpdateSource
     membership: Membership | None
-    gate: Gate
+    limiter: ConcurrencyLimiter
     proxy: Proxy
 
     @property
     def table(self) -> Sized:
         """Routes in force."""
 
-    def ready(self, ip: str) -> bool:
-        """Whether that machine can be reached now."""
+    @property
+    def settings(self) -> Settings:
+        """The settings that are in force."""
 
 
 def sidecar_status(sidecar: StatusParts) -> dict[str, Any]:
@@ -45,17 +45,17 @@
         "ip": sidecar.ip,
         "zone": sidecar.settings.own.zone,
         "sender": proxy.sender,
-        "leaving": sidecar.leaving,
-        "known": sidecar.known,
+        "leaving": sidecar.is_leaving,
+        "known": sidecar.update_source.has_configuration,
         "epoch": 0 if membership is None else membership.epoch,
         "voters": [] if membership is None else [voter.ip for voter in membership.voters],
-        "source": sidecar.source,
-        "age_s": round(min(1e6, now - sidecar.source_at), 3),
+        "source": sidecar.update_source.ip,
+        "age_s": round(min(1e6, now - sidecar.update_source.confirmed_at), 3),
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
-        "busy": sidecar.gate.busy,
-        "backend": _backend(sidecar.gate.local),
-        "backends": [_endpoint(endpoint, sidecar.ready(endpoint.ip), now) for endpoint in endpoints],
+        "busy": sidecar.limiter.in_flight,
+        "backend": _backend(sidecar.limiter.local),
+        "backends": [_endpoint(endpoint, proxy.carrier.ready(endpoint.ip), now) for endpoint in endpoints],
     }
 
 
@@ -66,8 +66,8 @@
         "id": local.id,
         "service": local.service,
         "state": local.state,
-        "berths": local.berths,
-        "down": local.down,
+        "berths": local.concurrency,
+        "down": local.is_unreachable,
     }
 
 
--- a/tests/daemon/persistence/kept.py
+++ b/tests/daemon/persistence/kept.py
@@ -4,9 +4,9 @@
 
 from random import Random
 
-from lugspur.daemon.persistence.file import fact, whole
-from lugspur.discovery import learned as forms
-from lugspur.discovery.rows import Endpoint, server_id
+from lugspur.daemon.persistence.snapshot_format import encode_record, encode_snapshot
+from lugspur.discovery import state_codec
+from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import (
     Learned,
@@ -19,14 +19,15 @@
     Settings,
 )
 
-READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=RetrySafety.SAFE)
+READ = RequestClass("read", latency_target=0.4, deadline=1.0, retry_safety=RetrySafety.SAFE)
 SETTINGS = Settings(classes=(READ,))
 
 
 def endpoints(count: int = 3, started: float = 0.0) -> list[Endpoint]:
     return [
         Endpoint(
-            ServerRow(server_id(f"s-{n}"), started=started, zone=server_id("kingston-main-a")), ("127.0.0.1", 9000 + n)
+            ServerRow(server_id(f"s-{n}"), started_at=started, zone=server_id("kingston-main-a")),
+            ("127.0.0.1", 9000 + n),
         )
         for n in range(count)
     ]
@@ -58,11 +59,11 @@
     """A whole file of one pool."""
     rows = endpoints() if rows is None else rows
     learned = taught(rows).learned() if learned is None else learned
-    facts = [fact("pool", name, {"at": written})]
-    facts += (fact("backend", name, forms.entry(row)) for row in rows)
-    facts += (fact("learned", name, forms.server(row)) for row in learned.servers)
-    facts.append(fact("tier", name, forms.tier(learned)))
-    return whole(written, facts)
+    facts = [encode_record("pool", name, {"at": written})]
+    facts += (encode_record("backend", name, state_codec.encode_endpoint(row)) for row in rows)
+    facts += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
+    facts.append(encode_record("tier", name, state_codec.encode_learned_pools(learned)))
+    return encode_snapshot(written, facts)
 
 
 def other(seed: int) -> bytes:
--- a/tests/test_extend.py
+++ b/tests/test_extend.py
@@ -14,13 +14,13 @@
     Settings,
 )
 
-PATIENT = RequestClass("read", aim=0.4, deadline=5.0, repeat=RetrySafety.SAFE, late_worth=1.0)
-EAGER = RequestClass("read", aim=0.4, deadline=5.0, repeat=RetrySafety.SAFE, late_worth=0.0)
+PATIENT = RequestClass("read", latency_target=0.4, deadline=5.0, retry_safety=RetrySafety.SAFE, late_value=1.0)
+EAGER = RequestClass("read", latency_target=0.4, deadline=5.0, retry_safety=RetrySafety.SAFE, late_value=0.0)
 
 
 def balancer(row: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=(row,)), seed=1)
-    one.members(0.0, ListUpdateKind.WHOLE, [ServerRow(1), ServerRow(2)])
+    one.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     return one
 
 
