--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -25,7 +25,7 @@
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
-from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
 from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
@@ -106,7 +106,7 @@
     return False
 
 
-def _all_is_proven(self: RequestOutcomes, life: str, number: int) -> bool:
+def _all_is_proven(self: UnrunRequests, life: str, number: int) -> bool:
     return True
 
 
@@ -128,7 +128,7 @@
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
-    SoakGuard("only what never came is proven so", RequestOutcomes, "proven_unrun", _all_is_proven),
+    SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
     SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
     SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
 ]
--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -9,12 +9,12 @@
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.interfaces import SentRequest
 from lugspur.mesh.sidecar.backend_status import BackendStatus
-from lugspur.mesh.sidecar.local_requests import CarriedHere
+from lugspur.mesh.sidecar.local_requests import LocalRequest
 from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
 from lugspur.mesh.transport.dialer import Dialer
 
 
-class RequestCarrier:
+class MeshRequestCarrier:
     """The way to all backends (see `lugspur.mesh.dataplane.interfaces.RequestCarrier`)."""
 
     def __init__(
@@ -42,9 +42,9 @@
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
         if ip == self._ip:
-            return CarriedHere(self._limiter, self._limiter.run(forward, respond))
+            return LocalRequest(self._limiter, self._limiter.run(forward, respond))
         link = self._peers[ip].link
         assert link is not None
         status = self._backends.get(ip)
         rate = 0.0 if status is None else status.rate
-        return self._outgoing.carry(self._loop.time(), ip, link, rate, forward, respond)
+        return self._outgoing.send(self._loop.time(), ip, link, rate, forward, respond)
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -22,185 +22,198 @@
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.dataplane.urgency import urgency_of
-from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
 from lugspur.mesh.transport.link import Link
 
 
-class _Caller:
-    """Who dialled, on one connection."""
+class _Sender:
+    """The process at the other end of one connection."""
 
-    __slots__ = ("delay", "latest", "life")
+    __slots__ = ("delay", "highest_number", "incarnation")
 
-    def __init__(self, life: str) -> None:
-        self.life = life
-        self.latest = 0  # the highest number of its requests
+    def __init__(self, incarnation: str) -> None:
+        self.incarnation = incarnation
+        self.highest_number = 0  # of its requests on this connection
         self.delay = ExcessDelayEstimator()
 
 
 class IncomingExchanges:
-    """All requests of others that are in hand here, by connection and number.
+    """All requests of other machines that are in flight here, by connection and number.
 
-    A connection lies between one life of a process and one of another: what came on it belongs to no other. Requests
-    are taken only behind a Hello, which names the life, and by rising numbers: none is taken twice.
+    A connection lies between one incarnation of a process and one of another: what came on it belongs to no other.
+    Requests are taken only after a Hello, which names the incarnation, and with rising numbers: none is taken twice.
     """
 
     def __init__(self, limiter: ConcurrencyLimiter, uploads: UploadScheduler, hello: Hello) -> None:
-        """`hello`: what this process says of itself to who dials it."""
+        """`hello`: what this process answers to who dials it."""
         self._loop = asyncio.get_running_loop()
         self._limiter, self.uploads, self._hello = limiter, uploads, hello
         self.expired = 0  # requests whose time was over when they were read
         self._admitted: dict[tuple[Link, int], AdmittedRequest] = {}
-        self._callers: dict[Link, _Caller] = {}
-        self._outcomes = RequestOutcomes()
+        self._senders: dict[Link, _Sender] = {}
+        self._unrun_requests = UnrunRequests()
 
-    def heard(self, link: Link, message: Message) -> None:
-        """Something from one who dialled."""
+    def receive(self, link: Link, message: Message) -> None:
+        """Take a message of a process that has dialled this one."""
         if isinstance(message, Hello):
-            self._greeted(link, message)
+            self._greet(link, message)
         elif isinstance(message, ForwardRequest):
-            self._forwarded(link, message)
+            self._take(link, message)
         elif isinstance(message, BodyChunk):
-            self._part(link, message)
+            self._take_chunk(link, message)
         elif isinstance(message, CancelRequest):
-            admitted = self._admitted.pop((link, message.number), None)
-            if admitted is not None:
-                self._limiter.cancel(admitted)
-            elif self.uploads.drop((link, message.number)):
-                self._grant()
+            self._cancel(link, message.number)
         elif isinstance(message, WithdrawRequest):
-            self._withdrawn(link, message.number)
+            self._withdraw(link, message.number)
         elif isinstance(message, FetchOutcomes):
-            self._asked_outcomes(link, message)
+            self._send_outcomes(link, message)
 
-    def _greeted(self, link: Link, message: Hello) -> None:
+    def _greet(self, link: Link, message: Hello) -> None:
         link.peer = message.ip
-        caller = self._callers.setdefault(link, _Caller(message.incarnation))
-        if message.incarnation != caller.life:
+        sender = self._senders.setdefault(link, _Sender(message.incarnation))
+        if message.incarnation != sender.incarnation:
             events.warn("life", peer=link.peer, life=message.incarnation)
             link.close()
         elif message.sent_at:
-            caller.delay.observe(self._loop.time(), message.sent_at)
+            sender.delay.observe(self._loop.time(), message.sent_at)
         else:
             link.send(self._hello)
 
-    def _forwarded(self, link: Link, forward: ForwardRequest) -> None:
-        """A request, or the word that one with a large body waits to be sent."""
-        caller = self._callers.get(link)
-        if caller is None or forward.number <= caller.latest:
+    # ---- requests --------------------------------------------------------------------------
+
+    def _take(self, link: Link, forward: ForwardRequest) -> None:
+        """Take a request, or the announcement of one whose body is sent in chunks."""
+        sender = self._senders.get(link)
+        if sender is None or forward.number <= sender.highest_number:
             events.warn("forward", peer=link.peer, n=forward.number)
             link.close()
             return
-        caller.latest = forward.number
+        sender.highest_number = forward.number
         if forward.key:
-            self._outcomes.came(caller.life, forward.number)
-        # Guards against running what was held up on its way (a cut, or this process frozen) until nobody waits for it.
-        excess = caller.delay.observe(self._loop.time(), forward.sent_at)
+            self._unrun_requests.received(sender.incarnation, forward.number)
+        # Guards against running what was delayed (by a partition, or while this process was paused) until nobody waits
+        # for it any more.
+        excess = sender.delay.observe(self._loop.time(), forward.sent_at)
         forward.seconds_left -= excess
         forward.latency_target_left -= excess
         if forward.seconds_left <= 0.0:
             self.expired += 1
-            self._turn_away(link, forward.number, FailureCause.EXPIRED)
+            self._reject(link, forward.number, FailureCause.EXPIRED)
         elif forward.body_bytes:
-            self._offered(link, forward)
+            self._offer_upload(link, forward)
         else:
             self._run(link, forward)
 
     def _run(self, link: Link, forward: ForwardRequest) -> None:
-        """A whole request for this machine's backend."""
-        n, life = forward.number, self._callers[link].life
+        """Hand a complete request to the limiter."""
+        number, incarnation = forward.number, self._senders[link].incarnation
 
-        def respond(said: ForwardResponse) -> None:
-            self._admitted.pop((link, n), None)
-            if forward.key and said.outcome == RequestOutcome.NOT_RUN:
-                self._proved_unrun(link, life, said)
-            link.send(said)
+        def respond(response: ForwardResponse) -> None:
+            self._admitted.pop((link, number), None)
+            if forward.key and response.outcome == RequestOutcome.NOT_RUN:
+                self._keep_proof(link, incarnation, response)
+            link.send(response)
 
         admitted = self._limiter.run(forward, respond)
         if admitted is not None and not admitted.is_finished:
-            self._admitted[link, n] = admitted
+            self._admitted[link, number] = admitted
+
+    def _reject(self, link: Link, number: int, cause: FailureCause) -> None:
+        """Reply to a request that was not handed to the limiter."""
+        self._unrun_requests.did_not_run(self._senders[link].incarnation, number)
+        link.send(self._limiter.reject(number, cause))
+
+    def _cancel(self, link: Link, number: int) -> None:
+        """Nobody waits for a request any more: it is ended."""
+        admitted = self._admitted.pop((link, number), None)
+        if admitted is not None:
+            self._limiter.cancel(admitted)
+        elif self.uploads.drop((link, number)):
+            self._grant()
+
+    def _withdraw(self, link: Link, number: int) -> None:
+        """Nobody waits for a request that may not be cancelled: it is not started if it has not been."""
+        admitted = self._admitted.get((link, number))
+        if admitted is not None:
+            self._limiter.withdraw(admitted)
+        elif self.uploads.drop((link, number)):
+            self._reject(link, number, FailureCause.CANCELLED)
+            self._grant()
 
-    def _proved_unrun(self, link: Link, life: str, said: ForwardResponse) -> None:
-        """Keep the proof for a sender that may not hear it; one that has connected anew is told there."""
-        self._outcomes.did_not_run(life, said.number)
+    # ---- proofs that a request did not run -------------------------------------------------
+
+    def _keep_proof(self, link: Link, incarnation: str, response: ForwardResponse) -> None:
+        """Keep the proof for a sender that may not receive it, and send it where that has connected anew."""
+        self._unrun_requests.did_not_run(incarnation, response.number)
         if not link.is_open:
-            for other in self._connections_of(life):
-                other.send(said)
+            for other in self._links_of(incarnation):
+                other.send(response)
 
-    def _connections_of(self, life: str) -> list[Link]:
-        return [link for link, caller in self._callers.items() if caller.life == life]
+    def _links_of(self, incarnation: str) -> list[Link]:
+        return [link for link, sender in self._senders.items() if sender.incarnation == incarnation]
 
-    def _asked_outcomes(self, link: Link, message: FetchOutcomes) -> None:
-        """Tell which requests of lost connections are proven not to have run."""
-        caller = self._callers.get(link)
-        if caller is None:
+    def _send_outcomes(self, link: Link, message: FetchOutcomes) -> None:
+        """Send which requests of lost connections are proven not to have run."""
+        sender = self._senders.get(link)
+        if sender is None:
             events.warn("outcomes", peer=link.peer)
             link.close()
             return
-        # Guards the proof: nothing that waits unread on a former connection may come after it.
-        for other in self._connections_of(caller.life):
+        # Guards the proof: nothing that is unread on a former connection may be taken after it.
+        for other in self._links_of(sender.incarnation):
             if other is not link:
                 other.close()
         for number in message.numbers:
-            if self._outcomes.proven_unrun(caller.life, number):
+            if self._unrun_requests.is_proven_unrun(sender.incarnation, number):
                 link.send(
                     ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.NEVER_RECEIVED)
                 )
 
-    def _withdrawn(self, link: Link, number: int) -> None:
-        """Nobody waits for one that may not be cancelled: it is not begun any more."""
-        admitted = self._admitted.get((link, number))
-        if admitted is not None:
-            self._limiter.withdraw(admitted)
-        elif self.uploads.drop((link, number)):
-            self._turn_away(link, number, FailureCause.CANCELLED)
+    # ---- bodies in chunks ------------------------------------------------------------------
+
+    def _offer_upload(self, link: Link, forward: ForwardRequest) -> None:
+        """Have the body of a request scheduled, or reject the request where it would come too late."""
+        now, number = self._loop.time(), forward.number
+        urgency, seconds = urgency_of(now, forward), self._limiter.expected_service_time(forward.route)
+        if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, number), forward, urgency, seconds):
             self._grant()
+        else:
+            self._reject(link, number, FailureCause.UPLOAD_TOO_LATE)
 
-    def _part(self, link: Link, message: BodyChunk) -> None:
+    def _take_chunk(self, link: Link, message: BodyChunk) -> None:
         try:
-            whole = self.uploads.receive(self._loop.time(), (link, message.number), message.data)
+            complete = self.uploads.receive(self._loop.time(), (link, message.number), message.data)
         except ValueError as fault:
             events.warn("part", peer=link.peer, fault=str(fault))
             link.close()
             return
-        if whole is not None:
-            self._run(link, whole)
+        if complete is not None:
+            self._run(link, complete)
         self._grant()
 
-    def _offered(self, link: Link, forward: ForwardRequest) -> None:
-        """A request whose body would come in parts."""
-        now, n = self._loop.time(), forward.number
-        urgency, pace = urgency_of(now, forward), self._limiter.expected_service_time(forward.route)
-        if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, n), forward, urgency, pace):
-            self._grant()
-        else:
-            self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
-
-    def _turn_away(self, link: Link, number: int, cause: FailureCause) -> None:
-        """Reply to one that was not handed to the limiter."""
-        self._outcomes.did_not_run(self._callers[link].life, number)
-        link.send(self._limiter.reject(number, cause))
-
     def _grant(self) -> None:
-        """Let those send whose turn it is."""
-        for key, upto in self.uploads.grant(self._loop.time()):
-            link, n = key
-            link.send(GrantBody(n, upto))
+        """Let the senders whose turn it is send their next bytes."""
+        for key, up_to_offset in self.uploads.grant(self._loop.time()):
+            link, number = key
+            link.send(GrantBody(number, up_to_offset))
+
+    # ---- the end of connections and of time ------------------------------------------------
 
-    def ended(self, link: Link) -> None:
+    def link_ended(self, link: Link) -> None:
         """A connection that was dialled to here has ended."""
-        caller = self._callers.pop(link, None)
+        sender = self._senders.pop(link, None)
         for key in self.uploads.keys_from(link):
             self.uploads.drop(key)
-            if caller is not None:
-                self._outcomes.did_not_run(caller.life, key[1])
+            if sender is not None:
+                self._unrun_requests.did_not_run(sender.incarnation, key[1])
         for key in [key for key in self._admitted if key[0] is link]:
             admitted = self._admitted.pop(key)
-            if admitted.forward.is_safe:  # nobody hears its answer; others' may be kept for a repeat
+            if admitted.forward.is_safe:  # nobody receives its answer; those of others may be stored for a repeat
                 self._limiter.cancel(admitted)
 
-    def look(self, now: float) -> None:
-        """RequestOutcome bodies whose time is over."""
+    def tick(self, now: float) -> None:
+        """End bodies whose time is over."""
         if len(self.uploads):
-            for link, n in self.uploads.drop_expired(now):
-                self._turn_away(link, n, FailureCause.UPLOAD_TOO_LATE)
+            for link, number in self.uploads.drop_expired(now):
+                self._reject(link, number, FailureCause.UPLOAD_TOO_LATE)
             self._grant()
--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -28,7 +28,7 @@
         """Send a message to a peer."""
 
 
-class KeyReservations:
+class VoterReservations:
     """Reserves keys at the voters of the membership that the process knows."""
 
     def __init__(self, process: ReservingProcess) -> None:
--- a/lugspur/mesh/sidecar/local_requests.py
+++ b/lugspur/mesh/sidecar/local_requests.py
@@ -5,12 +5,13 @@
 from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter
 
 
-class CarriedHere:
-    """A request for the backend of this machine."""
+class LocalRequest:
+    """A request for the backend of this machine, as its sender handles it."""
 
-    __slots__ = ("_limiter", "_admitted")
+    __slots__ = ("_admitted", "_limiter")
 
     def __init__(self, limiter: ConcurrencyLimiter, admitted: AdmittedRequest | None) -> None:
+        """`admitted`: none where the limiter has rejected it."""
         self._limiter, self._admitted = limiter, admitted
 
     def cancel(self) -> None:
@@ -19,6 +20,6 @@
             self._limiter.cancel(self._admitted)
 
     def withdraw(self) -> None:
-        """Nobody waits for it: it is not begun any more."""
+        """Nobody waits for it: it is not started if it has not been."""
         if self._admitted is not None:
             self._limiter.withdraw(self._admitted)
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -22,9 +22,9 @@
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.api import SidecarApi
-from lugspur.mesh.sidecar.carrier import RequestCarrier
+from lugspur.mesh.sidecar.carrier import MeshRequestCarrier
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
-from lugspur.mesh.sidecar.key_reservations import KeyReservations
+from lugspur.mesh.sidecar.key_reservations import VoterReservations
 from lugspur.mesh.sidecar.known_backends import KnownBackends
 from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
 from lugspur.mesh.sidecar.outgoing import OutgoingExchanges
@@ -65,7 +65,7 @@
         self._pauses = FreezeDetector(PAUSE_THRESHOLD_SECONDS, BACKLOG_READ_SECONDS)
         self.table = RouteTable()
         self.update_source = UpdateSource(self)
-        self.reservations = KeyReservations(self)
+        self.reservations = VoterReservations(self)
         self.backends = KnownBackends(self.loop, self._services_changed)
         self.limiter = ConcurrencyLimiter(
             memory_bytes,
@@ -85,7 +85,7 @@
     def _make_proxy(self) -> Proxy:
         settings = self.settings
         bounds = settings.tariffs.bounds
-        carrier = RequestCarrier(
+        carrier = MeshRequestCarrier(
             self.loop,
             self.ip,
             peers=self.peers,
@@ -180,17 +180,17 @@
     def disconnected(self, dialer: Dialer) -> None:
         super().disconnected(dialer)
         self.update_source.disconnected(dialer.ip)
-        self.outgoing.lost(dialer.ip)
+        self.outgoing.disconnected(dialer.ip)
 
     def message_received(self, link: Link, message: Message) -> None:
         if isinstance(message, ForwardResponse):
-            self.outgoing.reply(link, message)
+            self.outgoing.receive_response(link, message)
         elif isinstance(message, GrantBody):
-            self.outgoing.grant(link, message)
+            self.outgoing.receive_grant(link, message)
         elif isinstance(message, Hello):
             link.is_greeted, link.peer_incarnation = True, message.incarnation
             link.send(Hello(self.ip, self.incarnation, self.is_control_node, self.loop.time()))
-            self.outgoing.reached(link)
+            self.outgoing.greeted(link)
         else:
             super().message_received(link, message)
 
@@ -199,11 +199,11 @@
             self.reservations.receive(now, ip, message)
 
     def _accept(self) -> Link:
-        return Link(self._incoming_message, self.incoming.ended, keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS)
+        return Link(self._incoming_message, self.incoming.link_ended, keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS)
 
     def _incoming_message(self, link: Link, message: Message) -> None:
         """A message has come on a connection that another proxy dialled: requests for this machine's backend."""
-        self.incoming.heard(link, message)
+        self.incoming.receive(link, message)
         if isinstance(message, Hello):
             dialer = self.peers.get(message.ip)
             if dialer is not None:
@@ -267,7 +267,7 @@
         self.update_source.tick(now)
         self._pauses.record_turn(now)
         self._summary.tick(now)
-        self.incoming.look(now)
+        self.incoming.tick(now)
         self.registration.tick(now)
 
     # ---- the end -------------------------------------------------------------------------
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -25,7 +25,7 @@
 from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, UploadScheduler
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.sidecar.outgoing import MAX_UNPROVEN_REQUESTS, OutgoingExchanges
-from lugspur.mesh.sidecar.request_outcomes import MAX_UNRUN_REQUESTS, RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import MAX_UNRUN_REQUESTS, UnrunRequests
 
 OWN = Hello("127.0.0.9", "own", False)
 
@@ -68,7 +68,7 @@
 
     def hear(self, wire: Wire, *messages: Message) -> None:
         for message in messages:
-            self.incoming.heard(wire, message)  # type: ignore[arg-type]
+            self.incoming.receive(wire, message)  # type: ignore[arg-type]
 
     def greeted(self, life: str = "one", sent: float | None = None) -> Wire:
         wire = Wire()
@@ -122,7 +122,7 @@
         rig.hear(before, forward(1, rig.stamp(), size=20_000))
         rig.hear(after, forward(1, rig.stamp(), size=30_000))
         rig.hear(before, BodyChunk(1, bytes(CHUNK_BYTES)), CancelRequest(1))  # of its own number 1 alone
-        rig.incoming.ended(before)  # type: ignore[arg-type]
+        rig.incoming.link_ended(before)  # type: ignore[arg-type]
         for n in range(4):
             rig.hear(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
         assert rig.ran == [b"a1"] and before.replies == [] and after.is_open
@@ -170,25 +170,25 @@
             message = forward(0, 0.0)
             message.body = bytes(body)
             rate = 330_000.0 if body else 0.0
-            outgoing.carry(1.0, wire.peer, wire, rate, message, lambda r: replies.append((name, r)))  # type: ignore[arg-type]
+            outgoing.send(1.0, wire.peer, wire, rate, message, lambda r: replies.append((name, r)))  # type: ignore[arg-type]
             return message.number
 
         old = carry("old", first)
-        outgoing.lost(first.peer)
+        outgoing.disconnected(first.peer)
         assert [(name, RequestOutcome(r.outcome)) for name, r in replies] == [("old", RequestOutcome.UNKNOWN)]
         new, large = carry("new", second), carry("large", second, 50_000)
         assert len({old, new, large}) == 3
         replies.clear()
         for wire in (first, other):  # a late answer on the old connection, and one of another machine
             for n in (old, new, large):
-                outgoing.reply(wire, ForwardResponse(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
-            outgoing.grant(wire, GrantBody(large, CHUNK_BYTES))  # type: ignore[arg-type]
-        outgoing.reply(second, ForwardResponse(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+                outgoing.receive_response(wire, ForwardResponse(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.receive_grant(wire, GrantBody(large, CHUNK_BYTES))  # type: ignore[arg-type]
+        outgoing.receive_response(second, ForwardResponse(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [] and not [m for m in second.sent if isinstance(m, BodyChunk)]
-        outgoing.reply(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
-        outgoing.reply(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
+        outgoing.receive_response(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
+        outgoing.receive_response(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
         assert [name for name, _ in replies] == ["new"]
-        outgoing.lost(second.peer)
+        outgoing.disconnected(second.peer)
         assert [(name, RequestOutcome(r.outcome)) for name, r in replies] == [
             ("new", RequestOutcome.ANSWERED),
             ("large", RequestOutcome.NOT_RUN),
@@ -206,7 +206,7 @@
         rig.limiter._finish(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
         rig.limiter._finish(answered, RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         former.close()
-        rig.incoming.ended(former)  # type: ignore[arg-type]
+        rig.incoming.link_ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
         rig.hear(after, FetchOutcomes([1, 2, 3, 4, 5]))
         assert after.replies == [
@@ -244,13 +244,13 @@
 
 
 def test_what_was_forgotten_is_not_proven() -> None:
-    outcomes = RequestOutcomes()
-    assert not outcomes.proven_unrun("life", 1)  # nothing has come of that life, as far as is remembered
+    outcomes = UnrunRequests()
+    assert not outcomes.is_proven_unrun("life", 1)  # nothing has come of that life, as far as is remembered
     for number in range(1, MAX_UNRUN_REQUESTS + 2):
-        outcomes.came("life", number)
+        outcomes.received("life", number)
         outcomes.did_not_run("life", number)
-    assert not outcomes.proven_unrun("life", 1) and outcomes.proven_unrun("life", 2)
-    assert outcomes.proven_unrun("life", MAX_UNRUN_REQUESTS + 2)
+    assert not outcomes.is_proven_unrun("life", 1) and outcomes.is_proven_unrun("life", 2)
+    assert outcomes.is_proven_unrun("life", MAX_UNRUN_REQUESTS + 2)
 
 
 def test_the_proof_for_a_lost_request_is_asked_for_and_reaches_who_sent_it() -> None:
@@ -264,24 +264,24 @@
             def note(reply: ForwardResponse) -> None:
                 replies.append((reply.number, RequestOutcome(reply.outcome)))
 
-            outgoing.carry(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
+            outgoing.send(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
             return message.number
 
         one, two, unkeyed = carry(b"k1"), carry(b"k2"), carry(b"")
-        outgoing.lost(former.peer)
+        outgoing.disconnected(former.peer)
         assert replies == [(n, RequestOutcome.UNKNOWN) for n in (one, two, unkeyed)]
         replies.clear()
         after, elsewhere = Wire("10.0.0.1", "theirs"), Wire("10.0.0.2", "theirs")
         for wire in (elsewhere, after):
-            outgoing.reached(wire)  # type: ignore[arg-type]
+            outgoing.greeted(wire)  # type: ignore[arg-type]
         assert elsewhere.sent == [] and after.sent == [FetchOutcomes([one, two])]
-        outgoing.reply(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.receive_response(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
         for _again in range(2):
-            outgoing.reply(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.receive_response(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
-        outgoing.reached(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
-        outgoing.reply(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.greeted(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
+        outgoing.receive_response(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # the life that knew of it has ended
 
     play(what)
@@ -290,10 +290,10 @@
 def test_requests_that_are_asked_for_are_bounded() -> None:
     outgoing, former = OutgoingExchanges(), Wire("10.0.0.1", "theirs")
     for _ in range(MAX_UNPROVEN_REQUESTS + 10):
-        outgoing.carry(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
-    outgoing.lost(former.peer)
+        outgoing.send(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
+    outgoing.disconnected(former.peer)
     after = Wire("10.0.0.1", "theirs")
-    outgoing.reached(after)  # type: ignore[arg-type]
+    outgoing.greeted(after)  # type: ignore[arg-type]
     [asked] = after.sent
     assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == MAX_UNPROVEN_REQUESTS
 
