--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -11,9 +11,15 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from lugspur.config.load import resolved
-from lugspur.daemon.persistence.aging import age_of
-from lugspur.daemon.persistence.file import BACKENDS_MOST, Pool, Snapshot, fact, whole
-from lugspur.daemon.persistence.store import Found, Store, Taken, open_store
+from lugspur.daemon.persistence.aging import snapshot_age
+from lugspur.daemon.persistence.snapshot_format import (
+    MAX_BACKENDS,
+    PoolSnapshot,
+    Snapshot,
+    encode_record,
+    encode_snapshot,
+)
+from lugspur.daemon.persistence.snapshot_store import DirectoryInUseError, LoadResult, SnapshotStore, open_store
 from lugspur.discovery import state_codec
 
 if TYPE_CHECKING:
@@ -36,7 +42,7 @@
         self._loop = asyncio.get_running_loop()
         self._folder = resolved(folder, beside)
         self._every = self._delay = every
-        self._store: Store | None = None
+        self._store: SnapshotStore | None = None
         self._snapshot: Snapshot | None = None
         self._age: float | None = None
         self._task: asyncio.Task[None] | None = None
@@ -49,7 +55,7 @@
         try:
             async with asyncio.timeout(OPEN_WITHIN):
                 self._store, found = await self._aside(self._open)
-        except Taken:
+        except DirectoryInUseError:
             _say(f"{self._folder} is kept by another process: this one keeps nothing")
             return
         except TimeoutError:  # before OSError, which it is too
@@ -58,21 +64,21 @@
         except OSError as fault:
             _say(f"{self._folder} can't be used: {fault.strerror or fault}; nothing is kept")
             return
-        for line in found.said:
+        for line in found.warnings:
             _say(line)
         self._snapshot = found.snapshot
         if found.snapshot is not None:
-            self._age = age_of(found.snapshot.written, time.time())
+            self._age = snapshot_age(found.snapshot.written_at, time.time())
             pools = found.snapshot.pools
             backends = sum(len(pool.endpoints) for pool in pools.values())
             aged = "of unknown age" if self._age is None else f"{self._age:.0f} s old"
             _say(f"{backends} backends of {len(pools)} pools, {aged}")
 
-    def _open(self) -> tuple[Store, Found]:
+    def _open(self) -> tuple[SnapshotStore, LoadResult]:
         store = open_store(self._folder)
         return store, store.load()
 
-    def of(self, name: str) -> tuple[Pool | None, float | None]:
+    def of(self, name: str) -> tuple[PoolSnapshot | None, float | None]:
         """What was kept of a pool, and its age."""
         return (None if self._snapshot is None else self._snapshot.pools.get(name)), self._age
 
@@ -87,7 +93,7 @@
 
     def _went_well(self) -> None:
         if self._store is not None:
-            threading.Thread(target=self._store.served, daemon=True).start()
+            threading.Thread(target=self._store.confirm_start, daemon=True).start()
 
     async def _keep(self) -> None:
         while True:
@@ -101,7 +107,7 @@
             return
         try:
             facts = await self._facts()
-            await self._aside(lambda: store.save(whole(time.time(), facts)))
+            await self._aside(lambda: store.save(encode_snapshot(time.time(), facts)))
         except Exception as fault:  # Guards service and its orderly end: a list may hold what no file can.
             if not self._failing:
                 why = fault.strerror if isinstance(fault, OSError) and fault.strerror else repr(fault)
@@ -116,7 +122,7 @@
     async def _facts(self) -> list[bytes]:
         """All lines of a file, in slices."""
         found: list[bytes] = []
-        begun, left = self._loop.time(), BACKENDS_MOST
+        begun, left = self._loop.time(), MAX_BACKENDS
         for station in tuple(self._stations().values()):
             for line in lines(station, left):
                 found.append(line)
@@ -142,7 +148,7 @@
         store, self._store = self._store, None
         if store is not None:
             if task is not None:
-                store.served()
+                store.confirm_start()
             store.close()
 
     async def _aside(self, work: Callable[[], Done]) -> Done:
@@ -174,15 +180,15 @@
 def lines(station: Station, most: int) -> Iterator[bytes]:
     """What is kept of a pool, at most so many of its backends."""
     name, pool = station.name, station.pool
-    yield fact("pool", name, {"at": pool.now()})
+    yield encode_record("pool", name, {"at": pool.now()})
     told = tuple(station.maintenance.told.values())[:most]
     for endpoint in told:
-        yield fact("backend", name, state_codec.encode_endpoint(endpoint))
+        yield encode_record("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(told), EACH):
         among = [endpoint.row.server for endpoint in told[at : at + EACH]]
         for row in pool.balancer.learned(among).servers:
-            yield fact("learned", name, state_codec.encode_learned_server(row))
-    yield fact("tier", name, state_codec.encode_learned_pools(pool.balancer.learned(())))
+            yield encode_record("learned", name, state_codec.encode_learned_server(row))
+    yield encode_record("tier", name, state_codec.encode_learned_pools(pool.balancer.learned(())))
 
 
 def _say(line: str) -> None:
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -16,7 +16,8 @@
     Message,
     WithdrawRequest,
 )
-from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter
+from lugspur.mesh.dataplane.admitted_request import AdmittedRequest
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
@@ -114,7 +115,7 @@
                 self._keep_proof(link, incarnation, response)
             link.send(response)
 
-        admitted = self._limiter.run(forward, respond)
+        admitted = self._limiter.submit(forward, respond)
         if admitted is not None and not admitted.is_finished:
             self._admitted[link, number] = admitted
 
@@ -174,7 +175,7 @@
     def _offer_upload(self, link: Link, forward: ForwardRequest) -> None:
         """Have the body of a request scheduled, or reject the request where it would come too late."""
         now, number = self._loop.time(), forward.number
-        urgency, seconds = urgency_of(now, forward), self._limiter.expected_service_time(forward.route)
+        urgency, seconds = urgency_of(now, forward), self._limiter.service_times.expected(forward.route)
         if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, number), forward, urgency, seconds):
             self._grant()
         else:
--- a/lugspur/mesh/sidecar/request_summary.py
+++ b/lugspur/mesh/sidecar/request_summary.py
@@ -34,7 +34,7 @@
                 turned=limiter.rejected,
                 evicted=limiter.evicted,
                 hopeless=limiter.expired,
-                busy=limiter.busy,
+                busy=limiter.in_flight,
                 open=len(self._proxy.open_requests),
             )
         limiter.rejected = limiter.evicted = limiter.expired = 0
