--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -91,7 +91,9 @@
     return _heard(self, now, ip, delta)
 
 
-def _any_life_is_present(self: BackendIncarnations, now: float, ident: str, sequence: int, silent: bool) -> bool:
+def _any_incarnation_is_present(
+    self: BackendIncarnations, now: float, ident: str, sequence: int, has_ended: bool
+) -> bool:
     return True
 
 
@@ -128,7 +130,7 @@
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
     SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
-    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
+    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_incarnation_is_present),
     SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
 ]
 
