--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -15,8 +15,8 @@
 from lugspur.daemon.pool import Owner, Pool
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.nodes import Nodes
 from lugspur.discovery.registry import Ensemble, Followed, Registries
+from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
@@ -106,10 +106,10 @@
 
     def _recall(self, kept: PoolSnapshot, age: float | None) -> None:
         # Imported only here: a daemon that keeps nothing has no use for it.
-        from lugspur.daemon.persistence.aging import aged
+        from lugspur.daemon.persistence.aging import decay
 
         now = self.pool.now()
-        learned = aged(kept, age, now)
+        learned = decay(kept, age, now)
         if learned is not None:
             self.pool.balancer.recall(now, learned)
 
@@ -181,7 +181,7 @@
                 self._registries,
                 servers(ensemble),
                 follow.path,
-                Nodes(follow.format, row.protocol),
+                RegistryEndpoints(follow.format, row.protocol),
                 follow.stale_after,
                 [] if known else fixed,
                 self._members,
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable
 
+from lugspur.mesh.control.change_forwarding import ChangeForwarder, result_of
+from lugspur.mesh.control.change_requests import ChangeRequest, NoQuorum, Outcome
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.forwarding import Forwarder, answer_of
 from lugspur.mesh.control.messages import ForwardChange, Message
-from lugspur.mesh.control.orders import NoQuorum, Order, Outcome
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.transport.link import Link
@@ -34,7 +34,7 @@
         """`preferred_proposer` returns the IP number of the control node that proposes for all at a time."""
         self._loop, self._ip, self._proposer, self._pause_detector = loop, ip, proposer, pause_detector
         self._preferred_proposer, self._run_effects, self._send_to = preferred_proposer, run_effects, send_to
-        self.forwarder = Forwarder()
+        self.forwarder = ChangeForwarder()
 
     def check_admission(self, now: float) -> None:
         """Raise MeshError (NO_QUORUM) where no change can be taken now."""
@@ -44,15 +44,15 @@
         if self._pause_detector.is_stale(now):
             raise MeshError(Kind.NO_QUORUM, "this process has stood still")
 
-    def submit(self, now: float, order: Order) -> None:
+    def submit(self, now: float, order: ChangeRequest) -> None:
         """Propose a change, or forward it to the preferred proposer."""
         proposer_ip = self._preferred_proposer(now)
         if proposer_ip == self._ip:
             self._propose(now, order)
         else:
-            self._send_to(proposer_ip, self.forwarder.hand_over(now, proposer_ip, order))
+            self._send_to(proposer_ip, self.forwarder.forward(now, proposer_ip, order))
 
-    def withdraw(self, order: Order) -> None:
+    def withdraw(self, order: ChangeRequest) -> None:
         """Nobody waits for a change any more: it is not proposed if it has not been."""
         self._proposer.withdraw(order)
         self.forwarder.withdraw(order)
@@ -61,7 +61,7 @@
         """Propose a change that another control node has forwarded, and send it the result."""
 
         def send_result(outcome: Outcome) -> None:
-            link.send(answer_of(message.number, outcome))
+            link.send(result_of(message.number, outcome))
 
         now = self._loop.time()
         try:
@@ -70,19 +70,19 @@
             send_result(NoQuorum())
             return
         timeout = min(DECISION_TIMEOUT_SECONDS, message.seconds_left)
-        self._propose(now, Order(message.entries, now + timeout, send_result))
+        self._propose(now, ChangeRequest(message.entries, now + timeout, send_result))
 
     def disconnected(self, now: float, ip: str) -> None:
         """The connection to a control node has ended: propose here what it has not answered."""
-        self._propose_all(now, self.forwarder.lost(ip))
+        self._propose_all(now, self.forwarder.disconnected(ip))
 
     def tick(self, now: float) -> None:
         """Propose here what other control nodes have not answered in time."""
         self._propose_all(now, self.forwarder.overdue(now))
 
-    def _propose_all(self, now: float, orders: list[Order]) -> None:
+    def _propose_all(self, now: float, orders: list[ChangeRequest]) -> None:
         for order in orders:
             self._propose(now, order)
 
-    def _propose(self, now: float, order: Order) -> None:
+    def _propose(self, now: float, order: ChangeRequest) -> None:
         self._run_effects(self._proposer.submit(now, order))
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,9 +5,15 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
 from lugspur.mesh.dataplane.endpoints import Endpoint, select_endpoint
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.interfaces import RequestHost, SentRequest
@@ -38,7 +44,12 @@
 CALLER_DISCONNECTED = "gone"  # how a request ends whose caller has left
 BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
 #: How a claim ended, as accounts of failed requests say it.
-RESERVATION_LABELS: dict[type[Settled], str] = {Won: "won", Known: "known", Taken: "taken", Unsettled: "unsettled"}
+RESERVATION_LABELS: dict[type[ReservationOutcome], str] = {
+    Acquired: "won",
+    AlreadyCompleted: "known",
+    TakenByAnother: "taken",
+    Undecided: "unsettled",
+}
 FAILURE_LATENCY = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
 
 
@@ -100,17 +111,17 @@
         else:
             self._send(now)
 
-    def _reservation_ended(self, how: Settled) -> None:
+    def _reservation_ended(self, how: ReservationOutcome) -> None:
         self.reservation_label = RESERVATION_LABELS[type(how)]
-        self.holds_key = isinstance(how, Won)
+        self.holds_key = isinstance(how, Acquired)
         if self.is_finished:
             self._release_unrun()
         elif self.holds_key:
             self._send(self.proxy.loop.time())
-        elif isinstance(how, Known):
-            self._answer(how.answer)
-        elif isinstance(how, Taken):
-            self._reject(Kind.KEY_BUSY if how.busy else Kind.KEY_SPENT)
+        elif isinstance(how, AlreadyCompleted):
+            self._answer(how.response)
+        elif isinstance(how, TakenByAnother):
+            self._reject(Kind.KEY_BUSY if how.is_running else Kind.KEY_SPENT)
         else:
             self._reject(Kind.NO_QUORUM)
 
