--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -51,26 +51,24 @@
 
 
 def _send_again_whatever_ran(self: ProxiedRequest, now: float) -> bool:
-    if self.in_flight:
+    attempts = self.attempts
+    if attempts.in_flight:
         return True
-    if (
-        self.rejections >= proxied_request.MAX_REJECTIONS
-        or now >= self.deadline
-        or self.attempts >= self.route.max_attempts
-    ):
+    if attempts.rejections >= proxied_request.MAX_REJECTIONS or now >= self.deadline:
         return False
-    self.may_have_run = False
+    if attempts.offered >= self.route.max_attempts:
+        return False
+    attempts.may_have_run = False
     return self._send(now, True)
 
 
 def _release_without_proof(self: ProxiedRequest) -> None:
-    if self.holds_key:
-        self.holds_key = False
-        self.proxy.keys.release(self.key, self.reservation_id)
+    if self.reservation.is_held:
+        self.reservation.release()
 
 
-def _run_without_claim(self: ProxiedRequest, how: Any) -> None:
-    self.holds_key = True
+def _run_without_claim(self: ProxiedRequest, outcome: Any) -> None:
+    self.reservation.is_held = True
     if not self.is_finished:
         self._send(self.proxy.loop.time())
 
--- a/lugspur/mesh/dataplane/backend_exchange.py
+++ b/lugspur/mesh/dataplane/backend_exchange.py
@@ -5,9 +5,9 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.request_headers import ATTEMPT_ID_HEADER
 from lugspur.seams import Response
 
-ATTEMPT_ID_HEADER = b"lugspur-attempt-id"  # an answer bears the id of its request
 NOT_DELIVERED_HEADER = b"lugspur-not-delivered"  # proves that the backend did not run the request
 POSTMARK_HEADER = b"lugspur-postmark"  # each successful answer has one
 METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")  # RFC 9110, section 8.6: their Content-Length is sent also if it is 0
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -19,7 +19,6 @@
 from lugspur.mesh.dataplane import backend_exchange
 from lugspur.mesh.dataplane.admitted_request import AdmissionQueue, AdmittedRequest
 from lugspur.mesh.dataplane.backend_exchange import (
-    ATTEMPT_ID_HEADER,
     NOT_DELIVERED_HEADER,
     NOT_RUN_CAUSES,
     UNKNOWN_CAUSES,
@@ -28,6 +27,7 @@
 )
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.local_backend import LocalBackend
+from lugspur.mesh.dataplane.request_headers import ATTEMPT_ID_HEADER
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.service_times import ServiceTimes
 from lugspur.mesh.dataplane.urgency import urgency_of
--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -16,6 +16,8 @@
 # A backend of another zone costs this many times its score, since bytes between zones cost...
 REMOTE_ZONE_COST = 1.6
 REMOTE_ZONE_BYTES = 16 << 10  # ...and once more for each so many bytes of the body
+FAILURE_LATENCY = 3.0  # relative latency that a failure counts as: a backend that fails fast must not look quick
+DEPRIORITISED_SECONDS = 0.04  # on the average: drawn from half to one and a half of it
 MAX_BREAKERS = 256  # routes with a breaker of their own for one backend, those used last
 LATENCY_WEIGHT = 1 / 4  # of one answer in a backend's latency
 
@@ -60,8 +62,26 @@
             found = self.breakers[route] = Breaker()
         return found
 
-    def record_latency(self, latency: float) -> None:
-        """Move the average by one answer; `latency` is relative to the route's average."""
+    def record_success(self, now: float, route: RouteEntry, latency: float) -> None:
+        """Count a successful answer; `latency` in seconds, above 0."""
+        route.record_latency(latency)
+        relative = latency / route.average_latency
+        breaker = self.breaker(route.name)
+        breaker.accepted(now)
+        breaker.sample(relative)
+        self._record_latency(relative)
+
+    def record_failure(self, now: float, route: str) -> None:
+        """Count a failed request."""
+        self.breaker(route).failed(now)
+        self._record_latency(FAILURE_LATENCY)
+
+    def record_rejection(self, now: float, route: str, rng: Random) -> None:
+        """Count a request that the backend's limiter rejected, and prefer other backends for a moment."""
+        self.breaker(route).failed(now)
+        self.deprioritised_until = now + DEPRIORITISED_SECONDS * (0.5 + rng.random())
+
+    def _record_latency(self, latency: float) -> None:
         self.latency += (latency - self.latency) * LATENCY_WEIGHT if self.latency > 0.0 else latency
 
     def score(self, now: float) -> float:
--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -42,19 +42,23 @@
 class KeyReservations(Protocol):
     """Reserves idempotency keys at the voters of the mesh."""
 
-    def claim(
-        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        """Ask for the right to run the operation with this key; `over` is called with the outcome.
+        """Ask for the right to run the operation with this key; `on_outcome` is called once, within `timeout` seconds.
 
-        `by` names this reservation, and no other. `left`: seconds that its request may run; `within`: seconds in which
-        an outcome is wanted.
+        `owner` names this reservation, and no other. `seconds_left`: the time that its request has.
         """
 
-    def release(self, key: bytes, by: bytes) -> None:
+    def release(self, key: bytes, owner: bytes) -> None:
         """Give a reservation back under which nothing ran."""
 
-    def drop(self, key: bytes, by: bytes) -> None:
+    def abandon(self, key: bytes, owner: bytes) -> None:
         """Forget a reservation whose outcome nobody waits for any more."""
 
 
@@ -85,7 +89,7 @@
     def budget(self, service: str) -> Budget:
         """Return this process's part of the service's retry budget."""
 
-    def reservation_id(self, attempt: bytes) -> bytes:
+    def reservation_id(self, attempt_id: bytes) -> bytes:
         """Return a name for one reservation of an idempotency key that no other reservation has."""
 
     def count(self, ending: str) -> None:
@@ -94,5 +98,5 @@
     def request_served(self, seconds: float) -> None:
         """Count a request that a backend answered successfully, `seconds` after it arrived."""
 
-    def request_failed(self, attempt: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller: from its claim, where it has a key, over the backends it is sent to, to its one answer."""
+"""One request of a caller, from the reservation of its key over the backends it is sent to, to its one answer."""
 
 from __future__ import annotations
 
@@ -7,54 +7,33 @@
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.errors import Kind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.control.reservation_client import (
-    Acquired,
-    AlreadyCompleted,
-    ReservationOutcome,
-    TakenByAnother,
-    Undecided,
-)
+from lugspur.mesh.control.reservation_client import Acquired, AlreadyCompleted, ReservationOutcome, TakenByAnother
+from lugspur.mesh.dataplane.attempts import Attempt, Attempts
 from lugspur.mesh.dataplane.endpoints import Endpoint, select_endpoint
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.interfaces import RequestHost, SentRequest
+from lugspur.mesh.dataplane.interfaces import RequestHost
+from lugspur.mesh.dataplane.key_reservation import KeyReservation
 from lugspur.mesh.dataplane.rejection import reject
+from lugspur.mesh.dataplane.request_headers import encode_headers
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteEntry
-from lugspur.observability.failures import PickView, Step
+from lugspur.observability.failures import PickView
 from lugspur.seams import Answerable, Request
 
-DELIVER_BY_HEADER = b"lugspur-deliver-by-ms"
-OWN_HEADERS = (b"lugspur-sender", b"lugspur-deliver-to", DELIVER_BY_HEADER)  # set anew here, whatever was sent
-REWRITTEN_HEADERS = (
-    b"host",
-    b"x-request-id",
-    b"x-forwarded-for",
-    b"x-forwarded-proto",
-)  # kept out of the lines by the reader
-MIN_LATENCY_SECONDS = 0.001  # seconds that an answer takes at least
-LATENCY_WEIGHT = 1 / 32  # of one answer in a route's pace
-MAX_RESERVATION_SECONDS = 0.6  # seconds for a claim, and at most a third of the time that is left
-DEADLINE_MARGIN_SECONDS = 0.02  # seconds for which the backend's word at the deadline is waited for
-DEPRIORITISE_SECONDS = (
-    0.04  # seconds for which a backend that turned a request away is passed over, drawn from half to one and a half
-)
-MAX_REJECTIONS = 4  # backends that may turn one request away before it is given up
-HEDGE_LATENCY_FACTOR = 3.0  # times a route's pace after which a safe request is sent to a second backend...
-HEDGE_TARGET_FRACTION = 0.6  # ...and not before this part of its aim
-CALLER_DISCONNECTED = "gone"  # how a request ends whose caller has left
-BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
-#: How a claim ended, as accounts of failed requests say it.
-RESERVATION_LABELS: dict[type[ReservationOutcome], str] = {
-    Acquired: "won",
-    AlreadyCompleted: "known",
-    TakenByAnother: "taken",
-    Undecided: "unsettled",
-}
-FAILURE_LATENCY = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
+MIN_LATENCY_SECONDS = 0.001  # of an answer: the loop's clock counts whole milliseconds
+DEADLINE_MARGIN_SECONDS = 0.02  # after the deadline in which the backend's own answer to it may come
+MAX_REJECTIONS = 4  # backends that may reject one request before it is given up
+# A safe request is sent to a second backend (hedged) after this multiple of its route's average latency...
+HEDGE_LATENCY_FACTOR = 3.0
+HEDGE_TARGET_FRACTION = 0.6  # ...and not before this fraction of its latency target
+# How a request ended whose caller disconnected, and one whose backend answered with a failure of its own; other
+# failures are counted under the name of their kind.
+CALLER_DISCONNECTED = "gone"
+BACKEND_FAILED = "backend-failed"
 
 
 class ProxiedRequest:
-    """One request."""
+    """A request that this proxy has accepted and answers exactly once; times are the loop's."""
 
     def __init__(
         self,
@@ -62,39 +41,29 @@
         request: Request,
         caller: Answerable,
         route: RouteEntry,
+        *,
         deadline: float,
-        attempt: bytes,
+        attempt_id: bytes,
         key: bytes,
-        back: bool,
+        was_rejected: bool,
     ) -> None:
+        """`was_rejected`: the caller has probably sent the request before and was rejected."""
         self.proxy, self.request, self.caller, self.route = proxy, request, caller, route
-        self.deadline, self.attempt, self.was_rejected = deadline, attempt, back
-        self.key = key if route.is_keyed else b""
-        self.reservation_id = proxy.reservation_id(attempt) if self.key else b""
+        self.deadline, self.attempt_id, self.was_rejected = deadline, attempt_id, was_rejected
         self.service = route.draw_service(proxy.rng)
-        self.attempts = 0  # backends that it was offered to, or may have been
-        self.rejections = 0  # gates that turned it away
-        self.tried: set[str] = set()
-        self.in_flight: dict[int, tuple[Endpoint, float, SentRequest]] = {}  # what is under way
+        owner = proxy.reservation_id(attempt_id) if key and route.is_keyed else b""
+        self.reservation = KeyReservation(proxy.keys, key if route.is_keyed else b"", owner)
+        self.attempts = Attempts()
         self.is_finished = False
-        self.may_have_run = False  # it may have run
-        self.has_run = False  # a backend has answered it
-        self.holds_key = False  # it has a claim on its key, which is to be given back if nothing ran
-        self.number = 0
-        self.reservation_label = ""  # how its claim was settled
-        self.steps: list[Step] = []  # what became of each send, for an account of its failure
-        self.last_failure: BackendResponse | None = (
-            None  # a failure of the backend's own, to be passed on where nothing better comes
-        )
-        self.last_selection: PickView | None = None  # where it found no backend
+        self.last_failure: BackendResponse | None = None  # the backend's own, to be passed on if nothing better comes
+        self.last_selection: PickView | None = None  # where no backend was found
         self._header_lines: list[bytes] | None = None
         self._deadline_timer: asyncio.TimerHandle | None = None
         self._hedge_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Set off."""
-        proxy, loop = self.proxy, self.proxy.loop
-        now = loop.time()
+        """Reserve the key, if there is one, and send the request to a backend."""
+        proxy, now = self.proxy, self.proxy.loop.time()
         if now >= self.deadline:
             self._record_failure(Kind.TOO_LATE.value)
             reject(self.caller, Kind.TOO_LATE)
@@ -102,61 +71,83 @@
         proxy.request_opened(self)
         proxy.budget(self.service).take(now)
         self.caller.gone = self._caller_disconnected
-        self._deadline_timer = loop.call_at(self.deadline + DEADLINE_MARGIN_SECONDS, self._deadline_passed)
-        if self.key:
-            left = self.deadline - now
-            proxy.keys.claim(
-                self.key, self.reservation_id, left, min(MAX_RESERVATION_SECONDS, left / 3.0), self._reservation_ended
-            )
+        self._deadline_timer = proxy.loop.call_at(self.deadline + DEADLINE_MARGIN_SECONDS, self._deadline_passed)
+        if self.reservation.key:
+            self.reservation.reserve(self.deadline - now, self._reservation_ended)
         else:
             self._send(now)
 
-    def _reservation_ended(self, how: ReservationOutcome) -> None:
-        self.reservation_label = RESERVATION_LABELS[type(how)]
-        self.holds_key = isinstance(how, Acquired)
+    def _reservation_ended(self, outcome: ReservationOutcome) -> None:
+        self.reservation.receive(outcome)
         if self.is_finished:
             self._release_unrun()
-        elif self.holds_key:
+        elif isinstance(outcome, Acquired):
             self._send(self.proxy.loop.time())
-        elif isinstance(how, AlreadyCompleted):
-            self._answer(how.response)
-        elif isinstance(how, TakenByAnother):
-            self._reject(Kind.KEY_BUSY if how.is_running else Kind.KEY_SPENT)
+        elif isinstance(outcome, AlreadyCompleted):
+            self._answer(outcome.response)
+        elif isinstance(outcome, TakenByAnother):
+            self._reject(Kind.KEY_BUSY if outcome.is_running else Kind.KEY_SPENT)
         else:
             self._reject(Kind.NO_QUORUM)
 
-    # ---- the pick ------------------------------------------------------------------------
+    # ---- attempts --------------------------------------------------------------------------
 
-    def _pick(self, now: float) -> Endpoint | None:
+    def _select_endpoint(self, now: float) -> Endpoint | None:
+        """Select a backend that has not been tried; None, and the reasons in `last_selection`, where none is left."""
         proxy = self.proxy
         known = proxy.services.get(self.service, {})
-        untried = [endpoint for ident, endpoint in known.items() if ident not in self.tried]
-        reached = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
-        rested = [endpoint for endpoint in reached if now >= endpoint.deprioritised_until]
-        # Those that have just turned one away come last, but before a refusal: asking a gate costs no backend anything.
-        found = select_endpoint(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.tried]
+        reachable = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
+        preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
+        # Those that rejected a request a moment ago come last, but before a rejection here: to ask them costs nothing.
+        candidates = preferred or reachable
+        found = select_endpoint(candidates, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
         if isinstance(found, Endpoint):
             return found
-        proxy.count("breaker-refused" if reached else "none-ready")
-        tried, unreachable = len(known) - len(untried), len(untried) - len(reached)
-        self.last_selection = PickView(len(known), tried, unreachable, len(reached) - len(rested), found)
+        proxy.count("breaker-refused" if reachable else "none-ready")
+        tried, unreachable = len(known) - len(untried), len(untried) - len(reachable)
+        self.last_selection = PickView(len(known), tried, unreachable, len(reachable) - len(preferred), found)
         return None
 
-    def _send(self, now: float, again: bool = False) -> bool:
-        """Send it to a backend, or give it up; `again`: what is under way may still bring the answer."""
-        endpoint = self._pick(now)
+    def _send(self, now: float, is_retry: bool = False) -> bool:
+        """Send the request to a backend; return whether one was found.
+
+        Without one the request is given up, unless it `is_retry`: then the caller of this method decides.
+        """
+        endpoint = self._select_endpoint(now)
         if endpoint is None:
-            if not again:
+            if not is_retry:
                 self._give_up()
             return False
         self._check_send()
-        self.tried.add(endpoint.id)
-        self.number += 1
-        number = self.number
-        route, request = self.route, self.request
+        attempts = self.attempts
+        number = attempts.begin(endpoint, now)
+        if attempts.offered > 1:
+            self.proxy.budget(self.service).spend(now)
+        is_allowed = attempts.offered <= self.route.max_attempts
+        check(is_allowed, Invariant.TRIES, attempt=self.attempt_id, sends=attempts.offered)
+        forward = self._encode(endpoint, now)
+        handle = self.proxy.carrier.carry(endpoint.ip, forward, lambda result: self._receive_result(number, result))
+        attempt = attempts.in_flight.get(number)
+        if attempt is not None:  # else its result has come at once
+            attempt.handle = handle
+            self._schedule_hedge(now)
+        return True
+
+    def _check_send(self) -> None:
+        """Check what must hold before a request is sent to a backend."""
+        attempts = self.attempts
+        is_unrun = not (attempts.may_have_run or attempts.in_flight or self.last_failure is not None)
+        holds_key = not self.reservation.key or self.reservation.is_held
+        check(not self.is_finished, Invariant.SENT_WHILE_OPEN, attempt=self.attempt_id)
+        check(self.route.is_safe or is_unrun, Invariant.RUN_ONCE, attempt=self.attempt_id, route=self.route.name)
+        check(holds_key, Invariant.CLAIM_WON, attempt=self.attempt_id)
+
+    def _encode(self, endpoint: Endpoint, now: float) -> ForwardRequest:
+        request, route = self.request, self.route
         if self._header_lines is None:
-            self._header_lines = self._encode_headers()
-        forward = ForwardRequest(
+            self._header_lines = encode_headers(request, self.proxy.sender)
+        return ForwardRequest(
             0,
             endpoint.id,
             request.method,
@@ -165,248 +156,191 @@
             request.body,
             self.deadline - now,
             request.arrived + route.latency_target - now,
-            self.attempt,
+            self.attempt_id,
             route.priority,
             route.is_safe,
             route.name,
-            self.key,
-            self.reservation_id,
+            self.reservation.key,
+            self.reservation.owner,
             self.was_rejected,
         )
-        endpoint.in_flight += 1
-        self.attempts += 1
-        if self.attempts > 1:
-            self.proxy.budget(self.service).spend(now)
-        check(self.attempts <= self.route.max_attempts, Invariant.TRIES, attempt=self.attempt, sends=self.attempts)
-        self.in_flight[number] = (endpoint, now, NOT_SENT)
-        carried = self.proxy.carrier.carry(endpoint.ip, forward, lambda reply: self._receive_result(number, reply))
-        if number in self.in_flight:
-            self.in_flight[number] = (endpoint, now, carried)
-            if (
-                route.is_safe
-                and route.average_latency
-                and self._hedge_timer is None
-                and self.attempts < route.max_attempts
-            ):
-                at = now + max(
-                    HEDGE_LATENCY_FACTOR * route.average_latency, HEDGE_TARGET_FRACTION * route.latency_target
-                )
-                if at + route.average_latency < self.deadline:
-                    self._hedge_timer = self.proxy.loop.call_at(at, self._send_hedge)
-        return True
 
-    def _check_send(self) -> None:
-        """What must hold before it is sent to a backend."""
-        unrun = not (self.may_have_run or self.in_flight or self.last_failure is not None)
-        check(not self.is_finished, Invariant.SENT_WHILE_OPEN, attempt=self.attempt)
-        check(self.route.is_safe or unrun, Invariant.RUN_ONCE, attempt=self.attempt, route=self.route.name)
-        check(not self.key or self.holds_key, Invariant.CLAIM_WON, attempt=self.attempt)
+    def _schedule_hedge(self, now: float) -> None:
+        """Have a safe request sent to a second backend if the first has not answered for long.
+
+        Source: Dean and Barroso, "The Tail at Scale", Communications of the ACM 56(2), 2013.
+        """
+        route, latency = self.route, self.route.average_latency
+        if not route.is_safe or not latency or self._hedge_timer is not None:
+            return
+        hedge_at = now + max(HEDGE_LATENCY_FACTOR * latency, HEDGE_TARGET_FRACTION * route.latency_target)
+        if self.attempts.offered < route.max_attempts and hedge_at + latency < self.deadline:
+            self._hedge_timer = self.proxy.loop.call_at(hedge_at, self._send_hedge)
 
     def _send_hedge(self) -> None:
-        """A safe request has been out for long: its answer may be lost."""
         now = self.proxy.loop.time()
-        if self.is_finished or len(self.in_flight) != 1 or self.attempts >= self.route.max_attempts:
-            return  # a further try may have been sent since the hedge was set
+        if self.is_finished or len(self.attempts.in_flight) != 1 or self.attempts.offered >= self.route.max_attempts:
+            return  # a retry may have been sent since the timer was set
         if self.proxy.budget(self.service).allows(now):
-            self._send(now, True)
-
-    def _encode_headers(self) -> list[bytes]:
-        request = self.request
-        lines = [line for line in request.lines if line.partition(b":")[0].lower() not in OWN_HEADERS]
-        for name in REWRITTEN_HEADERS:
-            value = request.headers.get(name)
-            if value is not None:
-                lines.append(b"%b: %b\r\n" % (name.title(), value))
-        lines.append(b"Lugspur-Sender: %b\r\n" % self.proxy.sender.encode())
-        return lines
-
-    # ---- how it ends -----------------------------------------------------------------------
-
-    def _receive_result(self, number: int, reply: ForwardResponse) -> None:
-        if number not in self.in_flight:
-            self._receive_late_proof(reply)
+            self._send(now, is_retry=True)
+
+    def _retry(self, now: float) -> bool:
+        """Whether the request goes on: an attempt is in flight, or another backend has been sent it."""
+        attempts = self.attempts
+        if attempts.in_flight:
+            return True
+        if (attempts.may_have_run or self.last_failure is not None) and not self.route.is_safe:
+            return False
+        if attempts.rejections >= MAX_REJECTIONS or now >= self.deadline:
+            return False
+        if attempts.offered >= self.route.max_attempts:
+            return False
+        if attempts.offered and not self.proxy.budget(self.service).allows(now):
+            return False
+        return self._send(now, is_retry=True)
+
+    # ---- results ---------------------------------------------------------------------------
+
+    def _receive_result(self, number: int, result: ForwardResponse) -> None:
+        attempt = self.attempts.end(number)
+        if attempt is None:
+            self._receive_late_proof(result)
             return
-        endpoint, since, _ = self.in_flight.pop(number)
-        endpoint.in_flight -= 1
-        self._record_attempt(endpoint, since, reply)
+        now, endpoint = self.proxy.loop.time(), attempt.endpoint
+        self.attempts.record(attempt, now, self.request.arrived, result)
         check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
-        loop = self.proxy.loop
-        now = loop.time()
-        # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
-        took, route = max(MIN_LATENCY_SECONDS, now - since), self.route
-        how = reply.outcome
-        if how == RequestOutcome.ANSWERED and reply.response is not None:
-            self.has_run = True
-            if reply.response.status < 500:
-                route.average_latency += (took - route.average_latency) * (
-                    LATENCY_WEIGHT if route.average_latency else 1.0
-                )
-                relative = took / route.average_latency
-                breaker = endpoint.breaker(route.name)
-                breaker.accepted(now)
-                breaker.sample(relative)
-                endpoint.record_latency(relative)
-            else:
-                self._endpoint_failed(now, endpoint)
-            if self.is_finished:
-                return
-            if reply.response.status >= 500 and route.is_safe:
-                self.last_failure = reply.response
-                if not self._retry(now):
-                    self._answer_failure()
-                return
-            self._answer(reply.response)
+        if result.outcome == RequestOutcome.ANSWERED and result.response is not None:
+            self._receive_answer(now, attempt, result.response)
             return
-        if how == RequestOutcome.NOT_RUN:
-            self.rejections += 1
-            if not reply.was_sent:
-                self.attempts -= 1  # no backend was offered it
-            if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
-                endpoint.breaker(route.name).failed(now)
-                endpoint.deprioritised_until = now + DEPRIORITISE_SECONDS * (0.5 + self.proxy.rng.random())
+        if result.outcome == RequestOutcome.NOT_RUN:
+            self._receive_rejection(now, endpoint, result)
         else:
-            self._endpoint_failed(now, endpoint)
-            self.may_have_run = True
+            endpoint.record_failure(now, self.route.name)
+            self.attempts.may_have_run = True
         if self.is_finished:
             self._release_unrun()
+        elif not self._retry(now):
+            self._answer_failure()
+
+    def _receive_answer(self, now: float, attempt: Attempt, response: BackendResponse) -> None:
+        route = self.route
+        self.attempts.has_run = True
+        if response.status < 500:
+            # Guards the first answer on a route against a division by zero.
+            attempt.endpoint.record_success(now, route, max(MIN_LATENCY_SECONDS, now - attempt.sent_at))
+        else:
+            attempt.endpoint.record_failure(now, route.name)
+        if self.is_finished:
+            return
+        if response.status < 500 or not route.is_safe:
+            self._answer(response)
             return
+        self.last_failure = response
         if not self._retry(now):
             self._answer_failure()
 
-    def _receive_late_proof(self, reply: ForwardResponse) -> None:
-        """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if (
-            reply.outcome == RequestOutcome.NOT_RUN
-            and self.is_finished
-            and not (self.in_flight or self.has_run or self.route.is_safe)
-        ):
-            self.may_have_run = (
-                False  # what is not safe is sent again only once nothing may have run: this was its only send
-            )
-            self._release_unrun()
+    def _receive_rejection(self, now: float, endpoint: Endpoint, result: ForwardResponse) -> None:
+        self.attempts.rejections += 1
+        if not result.was_sent:
+            self.attempts.offered -= 1  # no backend was offered the request
+        if result.cause != FailureCause.CANCELLED:  # a withdrawn request says nothing of its backend
+            endpoint.record_rejection(now, self.route.name, self.proxy.rng)
 
-    def _record_attempt(self, endpoint: Endpoint, since: float, reply: ForwardResponse) -> None:
-        """Keep what became of one send."""
-        now, arrived = self.proxy.loop.time(), self.request.arrived
-        cause = FailureCause(reply.cause).label if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.outcome).label, cause))
+    def _receive_late_proof(self, result: ForwardResponse) -> None:
+        """Take the result of an attempt whose connection was lost: proof that it has not run and never will."""
+        if result.outcome != RequestOutcome.NOT_RUN or not self.is_finished or self.route.is_safe:
+            return
+        if not self.attempts.in_flight and not self.attempts.has_run:
+            # A request that is not safe is retried only once nothing may have run: this was its only attempt.
+            self.attempts.may_have_run = False
+            self._release_unrun()
 
-    def _endpoint_failed(self, now: float, endpoint: Endpoint) -> None:
-        endpoint.breaker(self.route.name).failed(now)
-        endpoint.record_latency(FAILURE_LATENCY)
+    # ---- the answer ------------------------------------------------------------------------
 
-    def _retry(self, now: float) -> bool:
-        """Whether it goes on: something is under way, or another backend may have it."""
-        if self.in_flight:
-            return True
-        if (self.may_have_run or self.last_failure is not None) and not self.route.is_safe:
-            return False
-        if self.rejections >= MAX_REJECTIONS or now >= self.deadline or self.attempts >= self.route.max_attempts:
-            return False
-        if self.attempts and not self.proxy.budget(self.service).allows(now):
-            return False
-        return self._send(now, True)
+    def _answer(self, response: BackendResponse) -> None:
+        """Answer with a backend's response."""
+        self._finish()
+        if response.status < 500:
+            self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
+        else:
+            self._record_failure(BACKEND_FAILED)
+        self.caller.answer(response.status, response.head, response.body)
 
     def _answer_failure(self) -> None:
+        """Answer with the backend's own failure, if there was one."""
         if self.last_failure is not None:
             self._answer(self.last_failure)
         else:
             self._give_up()
 
     def _give_up(self) -> None:
-        """Nobody will run it: refused where that is proven, else failed."""
-        if self.may_have_run and not self.route.is_safe:
-            self._reject(Kind.MAYBE_RAN)
-            return
-        self._reject(Kind.MAYBE_RAN if self.may_have_run else Kind.NO_BACKEND)
-
-    def _deadline_passed(self) -> None:
-        if not self.is_finished:
-            self._reject(Kind.TOO_LATE)
-
-    def _release_unrun(self) -> None:
-        """Give the claim back once the request is over, nothing of it is under way, and nothing ran.
-
-        Guards an operation that never ran against being refused until its window ends, also where the proof comes
-        after its caller has left or its time is up.
-        """
-        if self.holds_key and not (self.in_flight or self.may_have_run or self.has_run):
-            check(self.is_finished, Invariant.RELEASED_UNRUN, attempt=self.attempt)
-            self.holds_key = False
-            self.proxy.keys.release(self.key, self.reservation_id)
-
-    def _answer(self, answer: BackendResponse) -> None:
-        self._finish()
-        if answer.status < 500:
-            self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
-        else:
-            self._record_failure(BACKEND_FAILED)
-        self.caller.answer(answer.status, answer.head, answer.body)
+        """Reject the request where it is proven that it did not run, else say that it may have run."""
+        self._reject(Kind.MAYBE_RAN if self.attempts.may_have_run else Kind.NO_BACKEND)
 
     def _reject(self, kind: Kind) -> None:
         self._record_failure(kind.value)
         self._finish()
         reject(self.caller, kind, self.deadline - self.proxy.loop.time())
 
-    def end(self) -> None:
-        """This process ends: it is answered now, whatever is under way.
-
-        Guards its caller against a connection that ends without an answer.
-        """
+    def _deadline_passed(self) -> None:
         if not self.is_finished:
-            self._reject(Kind.MAYBE_RAN if self.in_flight or self.may_have_run or self.has_run else Kind.LEAVING)
+            self._reject(Kind.TOO_LATE)
 
     def _caller_disconnected(self) -> None:
-        """Its caller has left."""
         if not self.is_finished:
             self._record_failure(CALLER_DISCONNECTED)
             self._finish()
 
-    def _record_failure(self, how: str) -> None:
-        """Count a failure, and keep an account of it."""
-        route, request = self.route, self.request
-        self.proxy.request_failed(
-            self.attempt,
-            how,
-            route=route.name,
-            service=self.service,
-            keyed=bool(self.key),
-            claim=self.reservation_label,
-            took_s=self.proxy.loop.time() - request.arrived,
-            had_s=self.deadline - request.arrived,
-            sends=self.attempts,
-            turned_away=self.rejections,
-            waited_for=tuple(endpoint.id for endpoint, _, _ in self.in_flight.values()),
-            edition=route.edition,
-            steps=tuple(self.steps),
-            pick=self.last_selection,
-        )
+    def end(self) -> None:
+        """Answer the request now, whatever is in flight: this process ends.
+
+        Guards its caller against a connection that ends without an answer.
+        """
+        if not self.is_finished:
+            self._reject(Kind.MAYBE_RAN if self.attempts.can_have_run else Kind.LEAVING)
 
     def _finish(self) -> None:
-        check(not self.is_finished, Invariant.ONE_ANSWER, attempt=self.attempt)
+        """Let go of everything that the request has, but for attempts that must not be ended."""
+        check(not self.is_finished, Invariant.ONE_ANSWER, attempt=self.attempt_id)
         self.is_finished = True
         self.proxy.request_closed(self)
         for timer in (self._deadline_timer, self._hedge_timer):
             if timer is not None:
                 timer.cancel()
-        if self.key and not self.holds_key:
-            self.proxy.keys.drop(self.key, self.reservation_id)
+        self.reservation.abandon()
         self._release_unrun()
-        for _, _, carried in list(self.in_flight.values()):
+        for attempt in list(self.attempts.in_flight.values()):
             if self.route.is_safe:
-                carried.cancel()
-            elif not self.key:  # a keyed one's answer is kept for a repeat
-                carried.withdraw()
-
-
-class _NotSent:
-    """What is not handed to the carrier yet."""
-
-    def cancel(self) -> None:
-        """There is nothing to end."""
+                attempt.handle.cancel()
+            elif not self.reservation.key:  # the answer of a keyed request is kept for a repeat
+                attempt.handle.withdraw()
 
-    def withdraw(self) -> None:
-        """There is nothing to keep from beginning."""
+    def _release_unrun(self) -> None:
+        """Release the key once the request is finished and it is proven that nothing ran.
 
+        Guards an operation that never ran against being rejected until its window ends, also where the proof comes
+        after its caller has disconnected or its deadline has passed.
+        """
+        if self.reservation.is_held and not self.attempts.can_have_run:
+            check(self.is_finished, Invariant.RELEASED_UNRUN, attempt=self.attempt_id)
+            self.reservation.release()
 
-NOT_SENT = _NotSent()
+    def _record_failure(self, ending: str) -> None:
+        """Count a failed request and keep an account of it."""
+        route, request, attempts = self.route, self.request, self.attempts
+        self.proxy.request_failed(
+            self.attempt_id,
+            ending,
+            route=route.name,
+            service=self.service,
+            keyed=bool(self.reservation.key),
+            claim=self.reservation.label,
+            took_s=self.proxy.loop.time() - request.arrived,
+            had_s=self.deadline - request.arrived,
+            sends=attempts.offered,
+            turned_away=attempts.rejections,
+            waited_for=tuple(attempt.endpoint.id for attempt in attempts.in_flight.values()),
+            edition=route.edition,
+            steps=tuple(attempts.records),
+            pick=self.last_selection,
+        )
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -1,4 +1,4 @@
-"""The caller's side: all requests that start on one machine, by the design's breakers and pick."""
+"""The proxy for all requests that start on one machine: it accepts, counts and keeps them until they are answered."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
-from lugspur.mesh.dataplane.proxied_request import DELIVER_BY_HEADER, ProxiedRequest
+from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.rejection import reject
+from lugspur.mesh.dataplane.request_headers import loggable_attempt_id, read_ids, read_seconds_left
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import FailureLog, Standing, keep_only
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
-ATTEMPT_ID_HEADER, IDEMPOTENCY_KEY_HEADER = b"lugspur-attempt-id", b"lugspur-operation-key"
-MAX_ID_BYTES = 256  # bytes of an id or a key
-RETRY_BUDGET_FRACTION = (
-    0.5  # of the retry budget that is used: nested calls of what runs twice count too, and views lag
-)
+# Of the service's retry budget, which rules allow: retries within nested calls count, too, and what this process knows
+# of the others lags behind.
+RETRY_BUDGET_FRACTION = 0.5
+PROCESS_ID_BYTES = 8
+SERVED = "answered"  # how a request is counted that a backend answered successfully
 
 
 class Proxy:
-    """All requests that start on this machine."""
+    """All requests that start on this machine (see `RequestHost` for what they need of it)."""
 
     def __init__(
         self,
@@ -37,22 +38,30 @@
         carrier: RequestCarrier,
         keys: KeyReservations,
         rng: Random,
-        ratio: float,
-        slack: float,
-        span: float,
+        *,
+        retry_ratio: float,
+        retry_slack: float,
+        retry_window: float,
         zone: str,
     ) -> None:
+        """Make a proxy that knows no backends.
+
+        Each service's retry budget over `retry_window` seconds is `retry_ratio` of its requests plus `retry_slack`,
+        which all proxies share. `zone`: of this machine.
+        """
         self.loop = asyncio.get_running_loop()
         self.table, self.carrier, self.keys, self.rng = table, carrier, keys, rng
-        self._ratio, self._slack, self._span = ratio * RETRY_BUDGET_FRACTION, slack * RETRY_BUDGET_FRACTION, span
+        self._retry_ratio = retry_ratio * RETRY_BUDGET_FRACTION
+        self._retry_slack = retry_slack * RETRY_BUDGET_FRACTION
+        self._retry_window = retry_window
         self.zone = zone
-        self.proxies = 1  # how many share the budget
+        self.proxies = 1  # processes that share the retry budgets
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, Budget] = {}  # by service
         self.sender = ""  # the service of this machine
         self.open_requests: set[OpenRequest] = set()
-        self._life = os.urandom(8).hex().encode()
-        self._claims = itertools.count(1)
+        self._process_id = os.urandom(PROCESS_ID_BYTES).hex().encode()
+        self._reservation_numbers = itertools.count(1)
         self.ended: Counter[str] = Counter()  # requests since the start, by how they ended
         self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
         self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
@@ -71,27 +80,27 @@
             self.services.pop(service, None)
 
     def budget(self, service: str) -> Budget:
-        """This process's part of the service's retry budget."""
+        """Return this process's part of the service's retry budget."""
         found = self.budgets.get(service)
         if found is None:
-            found = self.budgets[service] = Budget(0.0, self._ratio, self._span)
-        found.allot(self._slack / max(1, self.proxies))
+            found = self.budgets[service] = Budget(0.0, self._retry_ratio, self._retry_window)
+        found.allot(self._retry_slack / max(1, self.proxies))
         return found
 
-    def reservation_id(self, attempt: bytes) -> bytes:
-        """Names one claim of an operation key: no other claim, of whatever process at whatever time, has this name.
+    def reservation_id(self, attempt_id: bytes) -> bytes:
+        """Return a name for one reservation of an idempotency key that none has had, of any process at any time.
 
-        Guards against a second run: a voter grants a key again to whom it has granted it. By the attempt's id alone
-        two requests that bear one id, or a request of a former life of this process, would count as one claim.
+        Guards against a second run: a voter grants a key again to the owner that it has granted it to. By the attempt
+        id alone two requests that bear one id, or a request of a former process here, would count as one reservation.
         """
-        return b"%b.%b.%d" % (attempt, self._life, next(self._claims))
+        return b"%b.%b.%d" % (attempt_id, self._process_id, next(self._reservation_numbers))
 
     def request_opened(self, request: OpenRequest) -> None:
-        """One more has no answer yet."""
+        """Note a request that has no answer yet."""
         self.open_requests.add(request)
 
     def request_closed(self, request: OpenRequest) -> None:
-        """One has been answered, or its caller has left."""
+        """Note that a request has been answered, or that its caller has disconnected."""
         self.open_requests.discard(request)
 
     def count(self, ending: str) -> None:
@@ -99,47 +108,46 @@
         self.ended[ending] += 1
 
     def request_served(self, seconds: float) -> None:
-        """One more was answered by a backend's success."""
-        self.count("answered")
+        """Count a request that a backend answered successfully, `seconds` after it arrived."""
+        self.count(SERVED)
         self.seconds.add(seconds)
 
-    def request_failed(self, attempt: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
         self.count(ending)
-        self.failures.add(attempt, ending, **facts)
+        self.failures.add(attempt_id, ending, **facts)
 
     def handle(self, request: Request, caller: Answerable) -> None:
-        """Take one request; its caller gets one answer."""
+        """Take a request; its caller gets exactly one answer."""
         try:
-            proxied_request = self._take(request, caller)
-        except MeshError as fault:
-            self.request_failed(request.headers.get(ATTEMPT_ID_HEADER, b"")[:MAX_ID_BYTES], fault.kind.value)
-            reject(caller, fault.kind)
+            proxied_request = self._accept(request, caller)
+        except MeshError as error:
+            self.request_failed(loggable_attempt_id(request), error.kind.value)
+            reject(caller, error.kind)
             return
         proxied_request.start()
 
-    def _take(self, request: Request, caller: Answerable) -> ProxiedRequest:
-        headers = request.headers
-        attempt, key = headers.get(ATTEMPT_ID_HEADER, b""), headers.get(IDEMPOTENCY_KEY_HEADER, b"")
-        # Guards what must run once against two readings of one id: repeated headers are joined by commas.
-        if (
-            not 0 < len(attempt) <= MAX_ID_BYTES
-            or b"," in attempt
-            or len(key) > MAX_ID_BYTES
-            or not request.target[:1] == b"/"
-        ):
+    def _accept(self, request: Request, caller: Answerable) -> ProxiedRequest:
+        """Check a request and find its route; raises MeshError for one that can't be served."""
+        attempt_id, key = read_ids(request)
+        if not request.target.startswith(b"/"):
             raise MeshError(Kind.BAD_REQUEST)
         if not len(self.table):
             raise MeshError(Kind.NOT_READY)
-        route = self.table.find(headers.get(b"host", b""), request.target)
+        route = self.table.find(request.headers.get(b"host", b""), request.target)
         if route is None:
             raise MeshError(Kind.NO_ROUTE)
-        left = route.deadline
-        told = headers.get(DELIVER_BY_HEADER)
-        if told is not None:
-            if not told.isdigit() or len(told) > 9:
-                raise MeshError(Kind.BAD_REQUEST)
-            left = min(left, int(told) / 1000.0)
-        back = route.is_returning_caller(left)
+        seconds_left = read_seconds_left(request)
+        seconds_left = route.deadline if seconds_left is None else min(route.deadline, seconds_left)
+        was_rejected = route.is_returning_caller(seconds_left)
         caller.admit()
-        return ProxiedRequest(self, request, caller, route, request.arrived + left, attempt, key, back)
+        return ProxiedRequest(
+            self,
+            request,
+            caller,
+            route,
+            deadline=request.arrived + seconds_left,
+            attempt_id=attempt_id,
+            key=key,
+            was_rejected=was_rejected,
+        )
--- /dev/null
+++ b/lugspur/mesh/dataplane/request_headers.py
@@ -0,0 +1,59 @@
+"""Headers of the mesh that the request path reads from callers and sets for backends."""
+
+from __future__ import annotations
+
+from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.seams import Request
+
+ATTEMPT_ID_HEADER = b"lugspur-attempt-id"
+IDEMPOTENCY_KEY_HEADER = b"lugspur-operation-key"
+DELIVER_BY_HEADER = b"lugspur-deliver-by-ms"
+SENDER_HEADER = b"lugspur-sender"
+DELIVER_TO_HEADER = b"lugspur-deliver-to"
+#: Headers that are set for each backend, whatever the caller sent.
+OWN_HEADERS = (SENDER_HEADER, DELIVER_TO_HEADER, DELIVER_BY_HEADER)
+#: Headers that the request parser keeps out of the header lines, since the daemon writes them anew; the mesh does not.
+PARSED_HEADERS = (b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto")
+MAX_ID_BYTES = 256  # of an attempt id or an idempotency key
+MAX_DELIVER_BY_DIGITS = 9
+
+
+def read_ids(request: Request) -> tuple[bytes, bytes]:
+    """Return a request's attempt id and its idempotency key, which may be empty; raises MeshError (BAD_REQUEST)."""
+    attempt_id = request.headers.get(ATTEMPT_ID_HEADER, b"")
+    key = request.headers.get(IDEMPOTENCY_KEY_HEADER, b"")
+    if not 0 < len(attempt_id) <= MAX_ID_BYTES or len(key) > MAX_ID_BYTES:
+        raise MeshError(Kind.BAD_REQUEST)
+    # Guards what must run once against two readings of one id: repeated headers are joined by commas.
+    if b"," in attempt_id:
+        raise MeshError(Kind.BAD_REQUEST)
+    return attempt_id, key
+
+
+def loggable_attempt_id(request: Request) -> bytes:
+    """Return as much of a request's attempt id as an account of its failure keeps."""
+    return request.headers.get(ATTEMPT_ID_HEADER, b"")[:MAX_ID_BYTES]
+
+
+def read_seconds_left(request: Request) -> float | None:
+    """Return the seconds that the caller gives its request, or None; raises MeshError (BAD_REQUEST)."""
+    value = request.headers.get(DELIVER_BY_HEADER)
+    if value is None:
+        return None
+    if not value.isdigit() or len(value) > MAX_DELIVER_BY_DIGITS:
+        raise MeshError(Kind.BAD_REQUEST)
+    return int(value) / 1000.0
+
+
+def encode_headers(request: Request, sender: str) -> list[bytes]:
+    """Return the header lines of a request for a backend; `sender` is the service of this machine.
+
+    What differs from backend to backend is added by the concurrency limiter.
+    """
+    lines = [line for line in request.lines if line.partition(b":")[0].lower() not in OWN_HEADERS]
+    for name in PARSED_HEADERS:
+        value = request.headers.get(name)
+        if value is not None:
+            lines.append(b"%b: %b\r\n" % (name.title(), value))
+    lines.append(b"Lugspur-Sender: %b\r\n" % sender.encode())
+    return lines
--- a/lugspur/mesh/dataplane/route_table.py
+++ b/lugspur/mesh/dataplane/route_table.py
@@ -10,6 +10,7 @@
 from lugspur.mesh.control.messages import Entry
 
 LONGEST_TIME_DECAY = 1 / 256  # of the difference by which one caller's time lowers the longest that is known
+LATENCY_WEIGHT = 1 / 32  # of one answer in a route's average latency
 RETURNING_FRACTION = 0.97  # of the longest time: callers round
 
 
@@ -63,9 +64,9 @@
         self.longest_time = max(time_left, self.longest_time + (time_left - self.longest_time) * LONGEST_TIME_DECAY)
         return time_left < RETURNING_FRACTION * self.longest_time
 
-    def record_latency(self, latency: float, weight: float) -> None:
-        """Move the average by one answer, which counts with `weight` (an exponentially weighted moving average)."""
-        self.average_latency += (latency - self.average_latency) * (weight if self.average_latency else 1.0)
+    def record_latency(self, latency: float) -> None:
+        """Move the average by one answer (an exponentially weighted moving average)."""
+        self.average_latency += (latency - self.average_latency) * (LATENCY_WEIGHT if self.average_latency else 1.0)
 
     def draw_service(self, rng: Random) -> str:
         """Draw the service that a request goes to, by the weights of the route's split."""
--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -38,24 +38,30 @@
     def __len__(self) -> int:
         return len(self._client)
 
-    def claim(
-        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        """Ask for the right to run the operation of a key; `over` is called once, after `within` seconds at most.
+        """Ask for the right to run the operation of a key; `on_outcome` is called once, within `timeout` seconds.
 
-        `by` names the request and is never used again; `left`: seconds until the request ends.
+        `owner` names the request and is never used again; `seconds_left`: until the request ends.
         """
         membership = self._process.membership
         assert membership is not None
-        self._client.reserve(self._process.loop.time(), membership, key, by, left, within, over)
+        now = self._process.loop.time()
+        self._client.reserve(now, membership, key, owner, seconds_left, timeout, on_outcome)
 
-    def release(self, key: bytes, by: bytes) -> None:
+    def release(self, key: bytes, owner: bytes) -> None:
         """Give the right back: nothing ran, and nothing will."""
-        self._send_to_voters(ReleaseKey(key, by))
+        self._send_to_voters(ReleaseKey(key, owner))
 
-    def drop(self, key: bytes, by: bytes) -> None:
-        """Nobody waits for the right any more."""
-        self._client.abandon(key, by)
+    def abandon(self, key: bytes, owner: bytes) -> None:
+        """Wait for the right no longer."""
+        self._client.abandon(key, owner)
 
     def complete(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for requests that repeat it."""
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -14,7 +14,8 @@
 from lugspur.mesh.control.messages import Entry, ForwardResponse, GrantBody, Hello, Message, Report, ReserveKeyReply
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
-from lugspur.mesh.dataplane.proxy import ATTEMPT_ID_HEADER, MAX_ID_BYTES, Proxy
+from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.dataplane.request_headers import loggable_attempt_id
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import fail
@@ -98,10 +99,10 @@
             carrier,
             self.reservations,
             self.rng,
-            bounds.retry_ratio,
-            bounds.retry_slack,
-            bounds.retry_window_s,
-            settings.own.zone,
+            retry_ratio=bounds.retry_ratio,
+            retry_slack=bounds.retry_slack,
+            retry_window=bounds.retry_window_s,
+            zone=settings.own.zone,
         )
         proxy.sender = settings.own.service
         proxy.failures = FailureLog(self.standing, log_failure)
@@ -154,7 +155,7 @@
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take a caller's request; it gets one answer."""
         if not self.update_source.has_configuration:
-            self.proxy.request_failed(request.headers.get(ATTEMPT_ID_HEADER, b"")[:MAX_ID_BYTES], Kind.NOT_READY.value)
+            self.proxy.request_failed(loggable_attempt_id(request), Kind.NOT_READY.value)
             fail(caller, MeshError(Kind.NOT_READY))
             return
         self.proxy.handle(request, caller)
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -196,7 +196,9 @@
         table = RouteTable()
         for item in read_changes(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
             table.apply(item)
-        self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
+        self.proxy = Proxy(
+            table, self, self, Random(1), retry_ratio=0.2, retry_slack=20.0, retry_window=10.0, zone="z0"
+        )
         self.proxy.sender = "mine"
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), log_failure)
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
@@ -210,15 +212,20 @@
             self.limiter.submit(forward, respond)
         return SentRequest()
 
-    def claim(
-        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        self.claims.append(over)
+        self.claims.append(on_outcome)
 
-    def release(self, key: bytes, by: bytes) -> None:
+    def release(self, key: bytes, owner: bytes) -> None:
         pass
 
-    def drop(self, key: bytes, by: bytes) -> None:
+    def abandon(self, key: bytes, owner: bytes) -> None:
         pass
 
     async def ask(self, request: bytes = FROM_CALLER, answered: Callable[[], None] = lambda: None) -> bytes:
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -78,7 +78,9 @@
         table = RouteTable()
         for entry in read_changes(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
             table.apply(entry)
-        self.proxy = Proxy(table, self, self, Random(1), 0.2, slack, 10.0, "z0")
+        self.proxy = Proxy(
+            table, self, self, Random(1), retry_ratio=0.2, retry_slack=slack, retry_window=10.0, zone="z0"
+        )
         self.proxy.sender = "mine"
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
@@ -90,16 +92,21 @@
         self.sent.append((ip, forward, respond))
         return SentRequest(self, len(self.sent) - 1)
 
-    def claim(
-        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        self.claimed.append((key, over))
-        self.reservation_ids.append(by)
+        self.claimed.append((key, on_outcome))
+        self.reservation_ids.append(owner)
 
-    def release(self, key: bytes, by: bytes) -> None:
+    def release(self, key: bytes, owner: bytes) -> None:
         self.released.append(key)
 
-    def drop(self, key: bytes, by: bytes) -> None:
+    def abandon(self, key: bytes, owner: bytes) -> None:
         self.released.append(key)
 
     def ask(self, target: bytes = b"/r/1", **headers: str) -> Caller:
