--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -1,4 +1,8 @@
-"""How much of what was kept still counts: by its age, and on the new process's clock. No I/O."""
+"""How much of a snapshot still counts after a restart, by its age, and on the new process's clock. No I/O.
+
+Averages lose half their weight with each half-life: they are pulled towards the mean of the pool, so that an opinion
+about one backend fades while the general level stays. Windows of counts expire by themselves.
+"""
 
 from __future__ import annotations
 
@@ -8,29 +12,35 @@
 from lugspur.load_balancing.breaker import BUCKETS, WINDOW
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 
-HALF_LIFE_SECONDS = 300.0  # seconds in which an opinion loses half its weight: slowness often lasts minutes
-MAX_AGE_SECONDS = 3600.0  # seconds after which nothing counts but the list
-CLOCK_STEP_TOLERANCE_SECONDS = 1.0  # seconds by which a clock may have gone back and still count as steady
+#: The time in which an average loses half its weight. What makes a backend slow often lasts minutes.
+HALF_LIFE_SECONDS = 300.0
+#: The age beyond which only the list of endpoints is used.
+MAX_AGE_SECONDS = 3600.0
+#: How far the wall clock may have gone back between writing and reading and still count as steady.
+CLOCK_STEP_TOLERANCE_SECONDS = 1.0
 
 
 def snapshot_age(written: float, now: float) -> float | None:
-    """Seconds between writing and reading by the wall clock; None where they can't be known."""
+    """Return the seconds between writing and reading by the wall clock, or None if the clock went back between them."""
     age = now - written
     return None if age < -CLOCK_STEP_TOLERANCE_SECONDS else max(0.0, age)
 
 
 def decay(pool: PoolSnapshot, age: float | None, now: float) -> Learned | None:
-    """What of a pool counts after so many seconds, on a clock that says `now`; None: nothing but its list."""
+    """Return what still counts of a pool's learned state after `age` seconds, on a clock that shows `now`.
+
+    The result is None where nothing counts: the pool has learned nothing, or its age is unknown or beyond the limit.
+    """
     learned = pool.learned
     if learned is None or age is None or age > MAX_AGE_SECONDS:
         return None
     weight = 0.5 ** (age / HALF_LIFE_SECONDS)
-    clock_offset = now - age - pool.captured_at  # from that process's clock to this one's
+    clock_offset = now - age - pool.captured_at  # from the former process's clock to this one's
     return replace(
         learned,
         servers=tuple(_decay_server(row, learned.pooled, weight, clock_offset, now) for row in learned.servers),
         pools=tuple(_restart_pool(row, clock_offset, now) for row in learned.pools),
-        # The baseline by cost refuses requests: half the weight gone, it is learned anew.
+        # The baseline of the cost rejects requests, so it is learned anew once it has lost half its weight.
         paced=learned.paced if weight > 0.5 else 0,
     )
 
@@ -45,14 +55,14 @@
         seen=min(now, row.seen + clock_offset),
         breaker=breaker,
         down_until=row.down_until + clock_offset if row.down_until > 0.0 else 0.0,
-        # Guards cold boxes: time in which nobody watched earns nothing.
+        # Guards backends in slow start: time in which no process watched them earns no credit.
         cold_credit=min(row.cold_credit, 1.0),
         cold_seen=now if row.cold_seen > 0.0 else 0.0,
     )
 
 
 def _pull_towards_mean(value: float, pooled: float, weight: float) -> float:
-    """A latency drawn towards the pool's; 0 stands for none."""
+    """Return a latency pulled towards the mean of its pool; 0 stands for no latency."""
     return value * weight + pooled * (1.0 - weight) if value > 0.0 and pooled > 0.0 else value
 
 
@@ -68,10 +78,10 @@
 
 
 def _restart_pool(row: LearnedPool, clock_offset: float, now: float) -> LearnedPool:
-    """Its throttle's window alone.
+    """Return the window of the pool's throttle and nothing else.
 
-    Rates speak of the last two seconds, and a start has its own guard: with the old birth and no rate left the module
-    would take the first calls for an overload.
+    The rates cover the last two seconds only, and a start has a guard of its own. With the former start time and no
+    rate left, the balancer would take the first requests for an overload.
     """
     none = 0.0, 0.0
     return LearnedPool((none, none, none), None, _decay_breaker(row.breaker, 0.0, 1.0, clock_offset, now))
--- a/lugspur/daemon/persistence/snapshot_format.py
+++ b/lugspur/daemon/persistence/snapshot_format.py
@@ -1,7 +1,8 @@
-"""The file's form: lines in, lines out, all of it or nothing. No I/O.
+"""The format of a snapshot file, of which a reader accepts all or nothing. No I/O.
 
-A line that names the form, one line of JSON for each fact, and a last line with the SHA-256 of all before it and the
-count of lines: what is cut, mixed or flipped anywhere can't pass for whole.
+The first line names the format, its version and the time of writing. Each further line is a record, a JSON array of its
+kind, the name of its pool and a value. The last line holds the SHA-256 of all lines before it and their number, so that
+a file that was cut, mixed with another or changed in any bit is rejected.
 """
 
 from __future__ import annotations
@@ -19,38 +20,38 @@
 
 MAGIC = b"lugspur state"
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 64 << 20  # bytes: 10,000 backends with full windows take some 8 MB
-MAX_BACKENDS = 50_000  # of all pools together, so that what is written can be read again
+MAX_FILE_BYTES = 64 << 20  # 10,000 backends with full windows need about 8 MB.
+MAX_BACKENDS = 50_000  # of all pools together, so that a file that was written can be read again
 
 
 class UnreadableSnapshotError(Exception):
-    """The file is none that this program can use, and why."""
+    """The file can't be used by this program; the text says why."""
 
 
 @dataclass(slots=True)
 class PoolSnapshot:
-    """What was kept of one pool."""
+    """One pool in a snapshot: its list of endpoints and its learned state."""
 
-    captured_at: float  # the time of its lists when it was asked
+    captured_at: float  # by the clock that the times in the learned state are of
     endpoints: list[Endpoint] = field(default_factory=list)
     learned: Learned | None = None
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """What a file says."""
+    """All that a file holds."""
 
-    written_at: float  # the wall clock's time
+    written_at: float  # by the wall clock, in seconds since the epoch
     pools: dict[str, PoolSnapshot]
 
 
 def encode_record(kind: str, pool: str, value: object) -> bytes:
-    """One line."""
+    """Encode one record as a line."""
     return orjson.dumps([kind, pool, value]) + b"\n"
 
 
 def encode_snapshot(written_at: float, facts: Iterable[bytes]) -> bytes:
-    """A whole file."""
+    """Join records to a complete file."""
     lines = [b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, written_at), *facts]
     text = b"".join(lines)
     count = text.count(b"\n")
@@ -58,13 +59,13 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """What a file says; raises Unreadable."""
+    """Decode a complete file. Raises UnreadableSnapshotError."""
     first, _, _ = data.partition(b"\n")
     form, _, rest = first.rpartition(b" ")
     form, _, version = form.rpartition(b" ")
     if form != MAGIC:
         raise UnreadableSnapshotError("it is no state file")
-    if version != b"%d" % FORMAT_VERSION:  # before the checksum: another version may have another one
+    if version != b"%d" % FORMAT_VERSION:  # checked before the checksum, which may differ in another version
         raise UnreadableSnapshotError(
             f"it is of version {version[:9].decode('latin-1')}, and this program reads {FORMAT_VERSION}"
         )
@@ -74,7 +75,7 @@
         raise UnreadableSnapshotError("its checksum does not fit: it is cut or changed")
     try:
         return Snapshot(state_codec.finite_number(rest), _pools(text.splitlines()[1:]))
-    except state_codec.DECODE_ERRORS as fault:  # well written, and yet it makes no sense
+    except state_codec.DECODE_ERRORS as fault:  # The checksum fits, but the values do not.
         raise UnreadableSnapshotError(f"it makes no sense: {fault!r:.200}") from fault
 
 
--- a/lugspur/daemon/persistence/snapshot_store.py
+++ b/lugspur/daemon/persistence/snapshot_store.py
@@ -1,6 +1,8 @@
-"""Two generations of the file in one folder: at every moment there is a whole one, or none has ever been written.
+"""Two generations of the snapshot file in one directory.
 
-Blocking: whoever serves calls `save` in a thread.
+At every moment one of them is complete, unless none has ever been written. A start that uses a generation counts the
+attempt until it is confirmed, so that a file that makes the program fail is not used for ever. All methods block, so a
+process that serves requests calls them in a thread.
 """
 
 from __future__ import annotations
@@ -20,35 +22,37 @@
 )
 
 CURRENT_FILE, PREVIOUS_FILE, TEMPORARY_FILE, LOCK_FILE, ATTEMPTS_FILE = "state", "state.1", "state.new", "lock", "tried"
-MAX_START_ATTEMPTS = 2  # starts with one generation that did not come to serve, after which it is set aside
+#: Starts with one generation that were not confirmed, after which it is quarantined.
+MAX_START_ATTEMPTS = 2
 QUARANTINE_INFIX = ".aside-"
-MAX_QUARANTINED_FILES = 4  # files that are set aside and kept, the latest: for whoever wants to know why
+#: The latest quarantined files are kept, for an operator who wants to know why they were rejected.
+MAX_QUARANTINED_FILES = 4
 
 
 class DirectoryInUseError(Exception):
-    """Another process keeps its state in this folder."""
+    """Another process keeps its snapshots in this directory."""
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """What a start goes on with."""
+    """The snapshot that a start goes on with, or None."""
 
     snapshot: Snapshot | None
-    warnings: list[str]  # what the log should tell of files that are of no use
+    warnings: list[str]  # lines for the log about files that can't be used
 
 
 class SnapshotStore:
-    """A folder that this process alone writes to; raises OSError, and Taken."""
+    """A directory that this process alone writes to. Opening it raises OSError and DirectoryInUseError."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
-        self._write_lock = threading.Lock()  # a slow writing may still go on when the next begins
+        self._write_lock = threading.Lock()  # A slow write may still go on when the next one begins.
         self._lock_fd = directory.try_lock(LOCK_FILE)
         if self._lock_fd is None:
             raise DirectoryInUseError
 
     def close(self) -> None:
-        """Let others have the folder."""
+        """Release the directory."""
         with self._write_lock:
             if self._lock_fd is not None:
                 self._directory.close_file(self._lock_fd)
@@ -58,13 +62,13 @@
     # ---- writing -------------------------------------------------------------------------------
 
     def save(self, data: bytes) -> None:
-        """The next generation."""
+        """Write the next generation. Does nothing after `close`."""
         with self._write_lock:
             if self._lock_fd is not None:
                 self._save(data)
 
     def replace_file(self, name: str, data: bytes) -> None:
-        """Another text under this name, in one step."""
+        """Replace the file of this name atomically."""
         with self._write_lock:
             self._write(data)
             self._directory.rename(TEMPORARY_FILE, name)
@@ -72,7 +76,7 @@
 
     def _save(self, data: bytes) -> None:
         self._write(data)
-        # Between the two the former generation is there under its second name.
+        # Between the two renames the former generation is there under its second name.
         with suppress(FileNotFoundError):
             self._directory.rename(CURRENT_FILE, PREVIOUS_FILE)
         self._directory.rename(TEMPORARY_FILE, CURRENT_FILE)
@@ -92,7 +96,7 @@
     # ---- reading -------------------------------------------------------------------------------
 
     def load(self) -> LoadResult:
-        """The newest generation that can be used; it is noted as tried until `served`."""
+        """Return the newest generation that can be used, and count the attempt until `confirm_start`."""
         warnings: list[str] = []
         for name in (CURRENT_FILE, PREVIOUS_FILE):
             try:
@@ -118,13 +122,13 @@
         return LoadResult(None, warnings)
 
     def confirm_start(self) -> None:
-        """The start went well."""
+        """Take note that the start with the loaded generation went well."""
         with self._write_lock, suppress(OSError):
             if self._lock_fd is not None:
                 self._directory.remove(ATTEMPTS_FILE)
 
     def _count_attempts(self, checksum: bytes) -> int:
-        """How often a generation was begun with in vain; a note of another one, or none, says nothing."""
+        """Return how many starts with a generation were not confirmed; a note about another one does not count."""
         try:
             count, _, noted = self._directory.read(ATTEMPTS_FILE, 200).partition(b" ")
         except (OSError, ValueError):
@@ -132,7 +136,7 @@
         return int(count) if noted == checksum and count.isdigit() else 0
 
     def _write_attempts(self, text: bytes) -> None:
-        """Guards nothing where the folder can't be written to: then the file is used all the same."""
+        """Save the count of attempts. Where the directory can't be written to, the snapshot is used without a count."""
         with suppress(OSError):
             fd = self._directory.create(ATTEMPTS_FILE)
             try:
@@ -142,7 +146,7 @@
                 self._directory.close_file(fd)
 
     def _quarantine(self, name: str, reason: str) -> str:
-        """Out of the way; what the log should tell."""
+        """Rename a file so that it is not used again, and return the line for the log."""
         try:
             names = self._directory.list_names()
             kept = sorted(
@@ -160,7 +164,7 @@
 
 
 def open_store(folder: str, directory: Callable[[str], Directory] = Directory) -> SnapshotStore:
-    """The store of a folder; raises OSError and Taken."""
+    """Open the store of a directory. Raises OSError and DirectoryInUseError."""
     made = directory(folder)
     try:
         return SnapshotStore(made)
