--- a/lugspur/daemon/leases/promise_store.py
+++ b/lugspur/daemon/leases/promise_store.py
@@ -102,14 +102,8 @@
         """Replace the file. Raises OSError, after which either the former file or this one is there."""
         rows = [_PromiseRecord(p.role, p.epoch, p.name, p.instance_id) for p in promises]
         body = msgspec.json.encode(_PromiseFile(FORMAT, self._voter, self.lease_seconds, rows))
-        data = memoryview(body + b"\n" + sha256(body).hexdigest().encode())
-        fd = self._directory.create(TEMPORARY_FILE)
-        try:
-            while data:
-                data = data[self._directory.write(fd, data) :]
-            self._directory.sync(fd)
-        finally:
-            self._directory.close_file(fd)
+        checksum = sha256(body).hexdigest().encode()
+        self._directory.write_file(TEMPORARY_FILE, body + b"\n" + checksum)
         self._directory.rename(TEMPORARY_FILE, PROMISES_FILE)
         self._directory.sync_directory()
 
--- a/lugspur/daemon/persistence/directory.py
+++ b/lugspur/daemon/persistence/directory.py
@@ -36,6 +36,17 @@
         """Write a part of the bytes and return how many were written."""
         return os.write(fd, data[:CHUNK_BYTES])
 
+    def write_file(self, name: str, data: bytes) -> None:
+        """Create a file with this content, and block until it survives a loss of power."""
+        fd = self.create(name)
+        try:
+            left = memoryview(data)
+            while left:
+                left = left[self.write(fd, left) :]
+            self.sync(fd)
+        finally:
+            self.close_file(fd)
+
     def sync(self, fd: int) -> None:
         """Block until the content of a file survives a loss of power."""
         os.fsync(fd)
--- a/lugspur/daemon/persistence/snapshot_store.py
+++ b/lugspur/daemon/persistence/snapshot_store.py
@@ -70,29 +70,18 @@
     def replace_file(self, name: str, data: bytes) -> None:
         """Replace the file of this name atomically."""
         with self._write_lock:
-            self._write(data)
+            self._directory.write_file(TEMPORARY_FILE, data)
             self._directory.rename(TEMPORARY_FILE, name)
             self._directory.sync_directory()
 
     def _save(self, data: bytes) -> None:
-        self._write(data)
+        self._directory.write_file(TEMPORARY_FILE, data)
         # Between the two renames the former generation is there under its second name.
         with suppress(FileNotFoundError):
             self._directory.rename(CURRENT_FILE, PREVIOUS_FILE)
         self._directory.rename(TEMPORARY_FILE, CURRENT_FILE)
         self._directory.sync_directory()
 
-    def _write(self, data: bytes) -> None:
-        directory = self._directory
-        fd = directory.create(TEMPORARY_FILE)
-        try:
-            left = memoryview(data)
-            while left:
-                left = left[directory.write(fd, left) :]
-            directory.sync(fd)
-        finally:
-            directory.close_file(fd)
-
     # ---- reading -------------------------------------------------------------------------------
 
     def load(self) -> LoadResult:
