--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -15,8 +15,8 @@
 from lugspur.daemon.pool import Owner, Pool
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.nodes import Nodes
 from lugspur.discovery.registry import Ensemble, Followed, Registries
+from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.source import FixedList, Source, WatchedFile
 from lugspur.discovery.watch import Discovery
 from lugspur.http1.upstream import Upstream
@@ -42,7 +42,7 @@
     """
     if status == 501 or (status < 500 and status not in (408, 429)):
         return Outcome.OK
-    return Outcome.FULL if status in (503, 504) and unseen else Outcome.ERROR
+    return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
 
 
 class Station:
@@ -181,7 +181,7 @@
                 self._registries,
                 servers(ensemble),
                 follow.path,
-                Nodes(follow.format, row.protocol),
+                RegistryEndpoints(follow.format, row.protocol),
                 follow.stale_after,
                 [] if known else fixed,
                 self._members,
@@ -194,7 +194,7 @@
             return
         if any(endpoint.speaks_grpc for endpoint in endpoints):
             endpoints = [
-                replace(endpoint, row=replace(endpoint.row, kind=GRPC)) if endpoint.speaks_grpc else endpoint
+                replace(endpoint, row=replace(endpoint.row, host_type=GRPC)) if endpoint.speaks_grpc else endpoint
                 for endpoint in endpoints
             ]
         self._show(kind, self.maintenance.lay(kind, endpoints))
@@ -245,7 +245,7 @@
         source, self._source = self._source, None
         if source is not None:
             source.close()
-        self.pool.members(ListUpdateKind.WHOLE, [])
+        self.pool.members(ListUpdateKind.COMPLETE, [])
         self.pool.upstream.close()
         if self._streams is not None:
             self._streams.close()
--- a/lugspur/mesh/control/messages/forwarding.py
+++ b/lugspur/mesh/control/messages/forwarding.py
@@ -32,7 +32,9 @@
     owner: bytes = b""
     was_rejected: bool = False  # its caller has been rejected before, or has little time for other reasons
     body_bytes: int = 0  # of a body that is sent in chunks, as they are granted
-    sent_at: float = 0.0  # the sender's steady clock for which both times left are right, see `dataplane.delays`
+    sent_at: float = (
+        0.0  # the sender's steady clock for which both times left are right, see `dataplane.delay_estimation`
+    )
 
 
 class ForwardResponse(msgspec.Struct, tag=20, array_like=True):
--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -43,7 +43,7 @@
     Where state was set aside it does not: what was promised by it is gone.
     """
     own = settings.own
-    return own.first_start and own.ip in settings.seeds and not disk.damaged
+    return own.first_start and own.ip in settings.seeds and not disk.damage
 
 
 def begin_as_first_voter(settings: Settings, replica: Replica, now: float) -> Effects:
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -401,7 +401,7 @@
         self.tries: Counter[str] = Counter()
         self.now = 100.0
         self.rows = [read_row({"Backend": n, "FailureDomain": n % 2, "Hw": n % 2}) for n in range(6)]
-        self.note("members", self.balancer.members(self.now, ListUpdateKind.WHOLE, self.rows))
+        self.note("members", self.balancer.members(self.now, ListUpdateKind.COMPLETE, self.rows))
         self.note("start", self.balancer.start(self.now))
 
     def note(self, what: str, actions: list[Any]) -> None:
@@ -441,7 +441,7 @@
             self.note("gone", balancer.gone(self.now, rid))
         elif chance < 0.7:
             row = self.rows[self.script.randrange(6)]
-            self.note("members", balancer.members(self.now, ListUpdateKind.PATCH, [replace(row, started=self.now)]))
+            self.note("members", balancer.members(self.now, ListUpdateKind.PATCH, [replace(row, started_at=self.now)]))
             balancer.put_back(self.now, row.server)
         elif chance < 0.75:
             balancer.retire(self.script.random() < 0.5)
@@ -464,14 +464,14 @@
 
     def replace_settings(self) -> None:
         classes = self.settings.classes
-        self.settings = replace(self.settings, classes=(replace(classes[0], only_zones=(0,)), *classes[1:]))
+        self.settings = replace(self.settings, classes=(replace(classes[0], allowed_zones=(0,)), *classes[1:]))
         self.balancer.adopt(self.now, self.settings)
 
     def replace_instance(self) -> None:
         learned = self.balancer.learned()
         self.lines.append(f"learned {plain(astuple(learned))}")
         self.balancer = Balancer(self.settings, 5)
-        self.note("members", self.balancer.members(self.now, ListUpdateKind.WHOLE, self.rows))
+        self.note("members", self.balancer.members(self.now, ListUpdateKind.COMPLETE, self.rows))
         self.balancer.recall(self.now, learned)
 
 
