--- a/lugspur/daemon/admin/__init__.py
+++ b/lugspur/daemon/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: calls of operators to one running proxy."""
+"""The admin listener: operators' requests to one running proxy, at a second address (as Envoy's admin interface)."""
--- a/lugspur/daemon/admin/actions.py
+++ b/lugspur/daemon/admin/actions.py
@@ -1,33 +1,33 @@
-"""The calls of the second address and what each does to a running proxy; every action is one line in the log."""
+"""The actions that every proxy offers at its admin listener; each change is one line in the log."""
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable, Mapping
+from http import HTTPStatus
 from typing import Protocol
 
 import orjson
 
-from lugspur.daemon.admin.request import Action
+from lugspur.daemon.admin.action import Action, ActionResult
 from lugspur.observability.failures import FailedRequest
 from lugspur.observability.metrics import Figure, render
 
-MAX_BACKEND_NAME_BYTES = 128  # bytes of a backend's name
-YES, NO = 200, 404
+MAX_BACKEND_NAME_BYTES = 128
 
 
 class ManagedProxy(Protocol):
-    """What operators can do to a proxy."""
+    """What operators can ask of a proxy."""
 
     @property
     def takes_clients(self) -> bool:
         """Whether this process takes clients."""
 
     def disable(self, name: str) -> bool:
-        """Nothing more to this backend; whether it was ever listed."""
+        """Send nothing more to a backend; return whether it was ever listed."""
 
     def enable(self, name: str) -> bool:
-        """It may serve again; whether it was ever listed."""
+        """Let a backend serve again; return whether it was ever listed."""
 
     def drain(self) -> None:
         """Send clients away."""
@@ -36,60 +36,71 @@
         """Take clients again."""
 
     def figures(self) -> list[Figure]:
-        """What it counts."""
+        """Return the metrics of this process."""
 
     def failures(self) -> list[FailedRequest]:
-        """The latest requests that failed, the latest last."""
+        """Return the latest requests that failed, the latest last."""
 
 
 def admin_actions(proxy: ManagedProxy) -> Mapping[tuple[str, str], Action]:
-    """The calls by method and path."""
-
-    def ready(_: str) -> tuple[int, str]:
-        return (YES, "ready") if proxy.takes_clients else (503, "not ready")
+    """Return the actions of a proxy by method and path."""
+    actions = _AdminActions(proxy)
+    return {
+        ("GET", "/ready"): actions.ready,
+        ("GET", "/metrics"): actions.metrics,
+        ("GET", "/failures"): actions.failures,
+        ("POST", "/backends/disable"): actions.disable,
+        ("POST", "/backends/enable"): actions.enable,
+        ("POST", "/drain"): actions.drain,
+        ("POST", "/undrain"): actions.undrain,
+    }
 
-    def disable(name: str) -> tuple[int, str]:
-        return _backend(name, "disabled", proxy.disable)
 
-    def enable(name: str) -> tuple[int, str]:
-        return _backend(name, "enabled", proxy.enable)
+class _AdminActions:
+    """The actions on one proxy; those that take no body pass over it."""
 
-    def drain(_: str) -> tuple[int, str]:
-        proxy.drain()
-        return YES, _said("drained: clients are sent away")
+    def __init__(self, proxy: ManagedProxy) -> None:
+        self._proxy = proxy
 
-    def undrain(_: str) -> tuple[int, str]:
-        proxy.undrain()
-        return YES, _said("drained no more: clients are taken")
+    def ready(self, _: str) -> ActionResult:
+        if self._proxy.takes_clients:
+            return ActionResult(HTTPStatus.OK, "ready")
+        return ActionResult(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
 
-    def metrics(_: str) -> tuple[int, str]:
+    def metrics(self, _: str) -> ActionResult:
         try:
-            return YES, render(proxy.figures()).decode().rstrip("\n")
+            return ActionResult(HTTPStatus.OK, render(self._proxy.figures()).decode().rstrip("\n"))
         except ImportError:  # the platform's proxy stays lean: the library is an extra there
-            return 501, "figures need the extra `metrics`"
+            return ActionResult(HTTPStatus.NOT_IMPLEMENTED, "figures need the extra `metrics`")
 
-    def failures(_: str) -> tuple[int, str]:
-        return YES, orjson.dumps(proxy.failures()).decode()
+    def failures(self, _: str) -> ActionResult:
+        return ActionResult(HTTPStatus.OK, orjson.dumps(self._proxy.failures()).decode())
 
-    return {
-        ("GET", "/ready"): ready,
-        ("GET", "/metrics"): metrics,
-        ("GET", "/failures"): failures,
-        ("POST", "/backends/disable"): disable,
-        ("POST", "/backends/enable"): enable,
-        ("POST", "/drain"): drain,
-        ("POST", "/undrain"): undrain,
-    }
+    def disable(self, name: str) -> ActionResult:
+        return _change_backend(name, "disabled", self._proxy.disable)
+
+    def enable(self, name: str) -> ActionResult:
+        return _change_backend(name, "enabled", self._proxy.enable)
+
+    def drain(self, _: str) -> ActionResult:
+        self._proxy.drain()
+        return _logged("drained: clients are sent away")
+
+    def undrain(self, _: str) -> ActionResult:
+        self._proxy.undrain()
+        return _logged("drained no more: clients are taken")
 
 
-def _backend(name: str, done: str, action: Callable[[str], bool]) -> tuple[int, str]:
+def _change_backend(name: str, done: str, change: Callable[[str], bool]) -> ActionResult:
+    """Change a backend by its name, which comes from the network."""
     if not name or len(name.encode()) > MAX_BACKEND_NAME_BYTES or not name.isprintable():
-        return 400, "the body has to be a backend's id"
-    if not action(name):
-        return NO, f"no backend {name!r} was ever listed"
-    return YES, _said(f"backend {name!r} is {done}")
+        return ActionResult(HTTPStatus.BAD_REQUEST, "the body has to be a backend's id")
+    if not change(name):
+        return ActionResult(HTTPStatus.NOT_FOUND, f"no backend {name!r} was ever listed")
+    return _logged(f"backend {name!r} is {done}")
 
 
-def _said(line: str) -> str:
-    print(f"lugspur: management: {line}", file=sys.stderr, flush=True)
-    return line
+def _logged(text: str) -> ActionResult:
+    """Write one line to standard error, and answer with the same text."""
+    print(f"lugspur: management: {text}", file=sys.stderr, flush=True)
+    return ActionResult(HTTPStatus.OK, text)
--- a/lugspur/daemon/admin/listener.py
+++ b/lugspur/daemon/admin/listener.py
@@ -1,4 +1,4 @@
-"""Carries management calls: one to a connection, few connections, little time."""
+"""Carries admin requests: one to a connection, few connections at once, and little time for each."""
 
 from __future__ import annotations
 
@@ -6,29 +6,30 @@
 import socket
 from collections.abc import Mapping
 
-from lugspur.daemon.admin.request import Action, AdminRequest
+from lugspur.daemon.admin.action import Action
+from lugspur.daemon.admin.request import AdminRequest
 from lugspur.discovery.endpoints import Address
 
-MAX_CONNECTIONS = 24  # connections at once: a dozen that hang, and as many operators
-CONNECTION_TIMEOUT_SECONDS = 5.0  # seconds that a connection may take: some stay for 4 s and say nothing
+MAX_CONNECTIONS = 24  # at once: a dozen that hang, and as many operators
+CONNECTION_TIMEOUT_SECONDS = 5.0  # for a whole connection: some stay for 4 s and say nothing
 ACCEPT_BACKLOG = 256  # connections that may wait to be accepted
-MAX_DISCARDED_BYTES = (
-    1 << 20
-)  # bytes that are read and dropped behind the answer: closing with bytes unread would reset it
+# Read and dropped behind the answer: closing a connection with unread bytes would reset it.
+MAX_DISCARDED_BYTES = 1 << 20
 
 
 class AdminListener:
-    """Listens on the second address."""
+    """Listens at the second address, on the event loop that serves clients."""
 
     def __init__(self, address: Address, actions: Mapping[tuple[str, str], Action]) -> None:
+        """`actions` are by method and path."""
         self._address, self.actions = address, actions
-        self.incomplete: dict[AdminConnection, None] = {}  # those that have not made their call, the oldest first
+        self.incomplete: dict[AdminConnection, None] = {}  # connections without a complete request, the oldest first
         self.connections: set[AdminConnection] = set()
         self.port = 0
         self._server: asyncio.Server
 
     async def open(self) -> socket.socket:
-        """Listen from now on; raises OSError where the address is taken."""
+        """Listen from now on, and return the listening socket; raises OSError where the address is taken."""
         loop = asyncio.get_running_loop()
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -43,24 +44,28 @@
         return sock
 
     def close(self) -> None:
-        """Take no more calls; those that have not come are let go."""
+        """Take no more requests, and drop the connections that are there."""
         self._server.close()
         for connection in tuple(self.connections):
             connection.drop()
 
     def make_room(self, newcomer: AdminConnection) -> None:
-        """Guards operators against callers that hang: at the bound the oldest without a whole call goes."""
+        """Drop the oldest connection without a complete request where there are too many.
+
+        Guards operators against callers that hang. Where all others have made their requests, the newcomer is dropped.
+        """
         if len(self.connections) > MAX_CONNECTIONS:
-            next((v for v in self.incomplete if v is not newcomer), newcomer).drop()
+            next((connection for connection in self.incomplete if connection is not newcomer), newcomer).drop()
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection, for one call."""
+    """One connection, for one request."""
 
     def __init__(self, listener: AdminListener) -> None:
+        """Begin without any byte of the request."""
         self._listener = listener
-        self._call = AdminRequest(listener.actions)
-        self._dropped = 0
+        self._request = AdminRequest(listener.actions)
+        self._discarded_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -71,26 +76,26 @@
         self._listener.make_room(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._call.answer is not None:
-            self._dropped += len(data)
-            if self._dropped > MAX_DISCARDED_BYTES:
+        if self._request.answer is not None:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self.drop()
             return
-        self._call.feed(data)
-        if self._call.answer is not None:
+        self._request.feed(data)
+        if self._request.answer is not None:
             self._listener.incomplete.pop(self, None)
-            self._transport.write(self._call.answer)
+            self._transport.write(self._request.answer)
             try:
                 self._transport.write_eof()
-            except OSError:  # the caller has gone by now
+            except OSError:  # the caller has disconnected by now
                 self.drop()
 
     def drop(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._timer.cancel()
         self._listener.connections.discard(self)
         self._listener.incomplete.pop(self, None)
-        self._call.close()
+        self._request.close()
--- a/lugspur/daemon/admin/request.py
+++ b/lugspur/daemon/admin/request.py
@@ -1,84 +1,97 @@
-"""What a call to the second address means, without I/O: bytes in, at most one answer out."""
+"""Reads one admin request and makes its answer, without I/O: bytes in, at most one answer out."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from http import HTTPStatus
 
 import httptools
 
-MAX_HEAD_BYTES = 8 << 10  # bytes of a call's head: what HTTP clients send unasked is far under it
-MAX_BODY_BYTES = 256  # bytes of a call's body: an id is a name of at most 64 or so
+from lugspur.daemon.admin.action import Action
+
+MAX_HEAD_BYTES = 8 << 10  # what HTTP clients send unasked is far under it
+MAX_BODY_BYTES = 256  # an id is a name of at most 64 or so
 MAX_BODY_EXPANSION = 8  # times that a body may take on the wire: chunks of one byte take six
-Action = Callable[[str], tuple[int, str]]  # a call by its body: status and one line
 
 
 class AdminRequest:
-    """One call on its way in; `answer` is there once it is whole, or at fault."""
+    """One request on its way in; `answer` is set once it is complete, or at fault."""
 
     def __init__(self, actions: Mapping[tuple[str, str], Action]) -> None:
+        """`actions` are by method and path."""
         self._actions = actions
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._body = b""
-        self._wire = 0
-        self._headed = False
+        self._received_bytes = 0
+        self._has_head = False
         self.answer: bytes | None = None
 
     def feed(self, data: bytes) -> None:
-        """More of it has come; what follows the first call on a connection is not read."""
+        """Read more of the request; what follows the first one on a connection is not read."""
         if self.answer is not None:
             return
-        self._wire += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._reply(400, "the call is malformed")
-        if self._wire > MAX_HEAD_BYTES + MAX_BODY_EXPANSION * MAX_BODY_BYTES and self.answer is None:
-            self._reply(413 if self._headed else 431, "the call is too large")
+            self._reply(HTTPStatus.BAD_REQUEST, "the call is malformed")
+        if self._received_bytes > MAX_HEAD_BYTES + MAX_BODY_EXPANSION * MAX_BODY_BYTES and self.answer is None:
+            too_large = HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+            if self._has_head:
+                too_large = HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+            self._reply(too_large, "the call is too large")
 
     def close(self) -> None:
         """Let go of the parser: it and this object hold each other."""
         del self._parser
 
-    # ---- the parser's calls ----------------------------------------------------------------
+    # ---- called by the parser ------------------------------------------------------------------
 
     def on_url(self, url: bytes) -> None:
         self._target += url
 
     def on_headers_complete(self) -> None:
-        self._headed = True
+        self._has_head = True
 
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
-            self._reply(413, "the body is too large")
+            self._reply(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large")
 
     def on_message_complete(self) -> None:
         if self.answer is None:
-            self._decide(self._parser.get_method().decode("latin-1"), self._target.partition(b"?")[0].decode("latin-1"))
+            path, _, _ = self._target.partition(b"?")
+            self._dispatch(self._parser.get_method().decode("latin-1"), path.decode("latin-1"))
 
     # ---- the answer ----------------------------------------------------------------------------
 
-    def _decide(self, method: str, path: str) -> None:
+    def _dispatch(self, method: str, path: str) -> None:
+        """Carry out the action of a complete request."""
         action = self._actions.get((method, path))
-        if action is not None:
-            try:
-                body = self._body.decode().strip()
-            except UnicodeDecodeError:
-                self._reply(400, "the body is not text")
-                return
-            self._reply(*action(body))
+        if action is None:
+            self._reply_without_action(path)
+            return
+        try:
+            body = self._body.decode().strip()
+        except UnicodeDecodeError:
+            self._reply(HTTPStatus.BAD_REQUEST, "the body is not text")
             return
-        allowed = sorted(known for known, place in self._actions if place == path)
+        result = action(body)
+        self._reply(result.status, result.text)
+
+    def _reply_without_action(self, path: str) -> None:
+        allowed = sorted(known_method for known_method, known_path in self._actions if known_path == path)
         if allowed:
-            self._reply(405, "no such method here", f"Allow: {', '.join(allowed)}\r\n")
+            allow = f"Allow: {', '.join(allowed)}\r\n"
+            self._reply(HTTPStatus.METHOD_NOT_ALLOWED, "no such method here", allow)
         else:
-            self._reply(404, "no such call")
+            self._reply(HTTPStatus.NOT_FOUND, "no such call")
 
-    def _reply(self, status: int, line: str, head: str = "") -> None:
+    def _reply(self, status: int, text: str, more_headers: str = "") -> None:
+        """Set the answer, unless there is one already."""
         if self.answer is None:
             self.answer = (
-                f"HTTP/1.1 {status} {HTTPStatus(status).phrase}\r\nContent-Type: text/plain\r\n{head}"
-                f"Content-Length: {len(line.encode()) + 1}\r\nConnection: close\r\n\r\n{line}\n"
+                f"HTTP/1.1 {int(status)} {HTTPStatus(status).phrase}\r\nContent-Type: text/plain\r\n{more_headers}"
+                f"Content-Length: {len(text.encode()) + 1}\r\nConnection: close\r\n\r\n{text}\n"
             ).encode()
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 
 from lugspur.config.model import Management
+from lugspur.daemon.admin.action import Action
 from lugspur.daemon.admin.actions import admin_actions
 from lugspur.daemon.admin.listener import AdminListener
-from lugspur.daemon.admin.request import Action
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.station import Station
 from lugspur.discovery.endpoints import server_id
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -21,7 +21,7 @@
 from lugspur.http1.front import BACKLOG, Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.admin.request import Action
+    from lugspur.daemon.admin.action import Action
     from lugspur.daemon.company import Company
     from lugspur.daemon.operated import Operators
 
@@ -74,11 +74,13 @@
         company = self.company
         if company is None:
             return {}
+        from lugspur.daemon.admin.action import ActionResult
+
         return {
-            ("GET", "/fleet/members"): lambda _: (200, company.members()),
-            ("GET", "/fleet/view"): lambda _: (200, company.view()),
-            ("GET", "/fleet/duties"): lambda _: (200, company.duties()),
-            ("POST", "/fleet/may"): company.ask,
+            ("GET", "/fleet/members"): lambda _: ActionResult(200, company.members()),
+            ("GET", "/fleet/view"): lambda _: ActionResult(200, company.view()),
+            ("GET", "/fleet/duties"): lambda _: ActionResult(200, company.duties()),
+            ("POST", "/fleet/may"): lambda body: ActionResult(*company.ask(body)),
         }
 
     def _drains(self, on: bool) -> None:
--- a/tests/daemon/admin/test_admin_request.py
+++ b/tests/daemon/admin/test_admin_request.py
@@ -6,11 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lugspur.daemon.admin.request import MAX_BODY_BYTES, MAX_HEAD_BYTES, Action, AdminRequest
+from lugspur.daemon.admin.action import Action, ActionResult
+from lugspur.daemon.admin.request import MAX_BODY_BYTES, MAX_HEAD_BYTES, AdminRequest
 
 
-def echo(body: str) -> tuple[int, str]:
-    return 200, f"did {body}"
+def echo(body: str) -> ActionResult:
+    return ActionResult(200, f"did {body}")
 
 
 ACTIONS: dict[tuple[str, str], Action] = {
