--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -1,4 +1,4 @@
-"""The second address of a running proxy, on loopback: bans, drains, and callers that hang."""
+"""The admin listener of a running proxy, on loopback: bans, drains, and connections that hang."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 @asynccontextmanager
-async def operated(up: Running) -> AsyncIterator[int]:
-    """The second address of a running proxy: its port."""
+async def admin_port(up: Running) -> AsyncIterator[int]:
+    """Run the admin listener of a proxy; gives its port."""
     listener = AdminListener((HOST, 0), admin_actions(up.proxy))
     sock = await listener.open()
     try:
@@ -35,7 +35,7 @@
 
 
 async def call(port: int, method: str, path: str, body: str = "") -> int:
-    """One call's status."""
+    """Send one request and return the status of its answer."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
     answer = await soon(reader.read())
@@ -47,7 +47,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             entries = [entry("s-1", one.address), entry("s-2", two.address)]
-            async with running(entries) as up, operated(up) as port:
+            async with running(entries) as up, admin_port(up) as port:
                 client = await up.client()
                 for number in range(20):
                     assert status(await client.ask(read(number))) == 200
@@ -69,10 +69,10 @@
     asyncio.run(play())
 
 
-def test_what_is_open_at_a_disabled_backend_finishes_and_a_repeat_goes_elsewhere() -> None:
+def test_open_requests_at_a_disabled_backend_finish_and_a_repeat_goes_to_another_backend() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, backend(lambda _: OK) as two:
-            async with running([entry("s-1", one.address)]) as up, operated(up) as port:
+            async with running([entry("s-1", one.address)]) as up, admin_port(up) as port:
                 open_, repeated = await up.client(), await up.client()
                 open_.writer.write(book(1))
                 await soon(one.got.get())
@@ -89,9 +89,9 @@
     asyncio.run(play())
 
 
-def test_calls_about_backends_that_can_not_be_meant() -> None:
+def test_requests_about_backends_that_were_never_listed_are_refused() -> None:
     async def play() -> None:
-        async with running([entry("s-1", f"{HOST}:9")]) as up, operated(up) as port:
+        async with running([entry("s-1", f"{HOST}:9")]) as up, admin_port(up) as port:
             for path in ("/backends/disable", "/backends/enable"):
                 assert await call(port, "POST", path, "s-9") == 404
                 assert await call(port, "POST", path, "") == 400
@@ -104,9 +104,9 @@
     asyncio.run(play())
 
 
-def test_ready_is_said_once_clients_are_taken() -> None:
+def test_ready_answers_200_once_clients_are_taken() -> None:
     async def play() -> None:
-        async with running([]) as up, operated(up) as port:
+        async with running([]) as up, admin_port(up) as port:
             assert await call(port, "GET", "/ready") == 503
             up.proxy.front.ready = True
             assert await call(port, "GET", "/ready") == 200
@@ -114,9 +114,9 @@
     asyncio.run(play())
 
 
-def test_callers_that_hang_lock_no_operator_out() -> None:
+def test_connections_that_hang_lock_no_operator_out() -> None:
     async def play() -> None:
-        async with running([]) as up, operated(up) as port:
+        async with running([]) as up, admin_port(up) as port:
             up.proxy.front.ready = True
             hung = []
             for number in range(2 * MAX_CONNECTIONS):
@@ -140,10 +140,10 @@
     return status(answer)
 
 
-def test_a_drain_sends_callers_away_and_cuts_none_off() -> None:
+def test_a_drain_sends_callers_away_and_cuts_off_no_request() -> None:
     async def play() -> None:
         async with backend(lambda request: None if b"id9" in request else OK) as one:
-            async with running([entry("s-1", one.address)]) as up, operated(up) as port:
+            async with running([entry("s-1", one.address)]) as up, admin_port(up) as port:
                 up.proxy.front.ready = True
                 idle, asking, busy = [await up.client() for _ in range(3)]
                 assert status(await idle.ask(read(1))) == 200
@@ -173,9 +173,9 @@
     asyncio.run(play())
 
 
-def test_a_drain_that_ends_early_lets_nobody_go() -> None:
+def test_a_drain_that_ends_early_closes_no_connection() -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up, operated(up) as port:
+        async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up, admin_port(up) as port:
             up.proxy.front.ready = True
             client = await up.client()
             assert status(await client.ask(read(1))) == 200
@@ -188,7 +188,7 @@
     asyncio.run(play())
 
 
-def test_bytes_that_wait_unread_keep_a_connection_at_a_drain() -> None:
+def test_a_connection_with_unread_bytes_stays_open_at_a_drain() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up:
             client: Client = await up.client()
@@ -235,7 +235,7 @@
     asyncio.run(play())
 
 
-def test_a_reset_in_the_middle_of_a_call_does_nothing_and_leaves_nothing() -> None:
+def test_a_reset_in_the_middle_of_a_request_does_nothing_and_leaves_nothing() -> None:
     async def play() -> None:
         async with running([]) as up:
             up.proxy.front.ready = True
@@ -253,7 +253,7 @@
     asyncio.run(play())
 
 
-def test_a_caller_that_has_gone_by_the_end_of_its_answer_harms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_caller_that_disconnects_before_the_end_of_its_answer_harms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     def not_connected(_: asyncio.Transport) -> None:  # as the system says once a reset has come
         raise OSError(errno.ENOTCONN, "Transport endpoint is not connected")
 
@@ -279,11 +279,11 @@
     asyncio.run(play())
 
 
-def test_a_body_that_takes_longer_than_a_drain_is_read_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_body_that_takes_longer_than_a_drain_is_read_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fronts, "DRAIN_FROM", 0.05)
 
     async def play() -> None:
-        async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up, operated(up) as port:
+        async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up, admin_port(up) as port:
             up.proxy.front.ready = True
             idle, slow, begun = [await up.client() for _ in range(3)]
             assert status(await idle.ask(read(1))) == 200
@@ -305,9 +305,9 @@
     asyncio.run(play())
 
 
-def test_a_call_that_comes_byte_by_byte_is_answered_once_among_others() -> None:
+def test_a_request_that_comes_byte_by_byte_is_answered_once() -> None:
     async def play() -> None:
-        async with running([entry("s-1", f"{HOST}:9")]) as up, operated(up) as port:
+        async with running([entry("s-1", f"{HOST}:9")]) as up, admin_port(up) as port:
             up.proxy.front.ready = True
             said = b"POST /backends/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\ns-1"
             callers = [await asyncio.open_connection(HOST, port) for _ in range(12)]
@@ -325,16 +325,16 @@
     asyncio.run(play())
 
 
-def test_figures_and_failures_explain_a_request_that_failed() -> None:
+def test_metrics_and_failures_explain_a_failed_request() -> None:
     async def play() -> None:
         async with backend(lambda _: CLOSE) as closing:
-            async with running([entry("s-1", closing.address)]) as up, operated(up) as port:
+            async with running([entry("s-1", closing.address)]) as up, admin_port(up) as port:
                 client = await up.client()
                 assert status(await client.ask(book(1))) == 502
-                figures = (await answer_of(port, "/metrics")).decode()
+                figures = (await body_of_get(port, "/metrics")).decode()
                 assert 'lugspur_answers_total{status="502"} 1.0' in figures
                 assert 'lugspur_attempts_total{outcome="broken"} 1.0' in figures
-                [failed] = json.loads(await answer_of(port, "/failures"))
+                [failed] = json.loads(await body_of_get(port, "/failures"))
                 assert failed["how"] == "502" and failed["attempt"] and failed["sends"] == 1
                 [step] = failed["steps"]
                 assert step["how"] == "broken" and step["backend"] == closing.address
@@ -342,8 +342,8 @@
     asyncio.run(play())
 
 
-async def answer_of(port: int, path: str) -> bytes:
-    """What a call that takes nothing answers with."""
+async def body_of_get(port: int, path: str) -> bytes:
+    """Return the body of the answer to a GET."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
     head, _, body = (await soon(reader.read())).partition(b"\r\n\r\n")
--- a/tests/daemon/admin/test_admin_request.py
+++ b/tests/daemon/admin/test_admin_request.py
@@ -1,4 +1,4 @@
-"""Management calls as bytes, without sockets."""
+"""Admin requests as bytes, without sockets."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def answer(*pieces: bytes) -> bytes | None:
-    call = AdminRequest(ACTIONS)
+    request = AdminRequest(ACTIONS)
     for piece in pieces:
-        call.feed(piece)
-    return call.answer
+        request.feed(piece)
+    return request.answer
 
 
 def post(body: bytes, path: bytes = b"/backends/disable", head: bytes = b"") -> bytes:
@@ -56,7 +56,7 @@
         (b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n" * 5, 200, b"did"),
     ],
 )
-def test_every_call_gets_one_answer(call: bytes, status: int, part: bytes) -> None:
+def test_every_request_gets_one_answer(call: bytes, status: int, part: bytes) -> None:
     got = answer(call)
     assert got is not None
     assert got.startswith(b"HTTP/1.1 %d " % status)
@@ -66,13 +66,13 @@
 
 
 @pytest.mark.parametrize("half", [b"", b"GET /rea", post(b"s-1")[:-1], CHUNKED[:-3]])
-def test_half_a_call_does_nothing(half: bytes) -> None:
+def test_an_incomplete_request_does_nothing(half: bytes) -> None:
     assert answer(half) is None
 
 
 @given(st.sampled_from([post(b"s-1"), CHUNKED, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"]), st.data())
 @settings(deadline=None)  # a loaded machine is no fault
-def test_pieces_make_no_difference(call: bytes, data: st.DataObject) -> None:
+def test_a_request_in_pieces_gets_the_same_answer(call: bytes, data: st.DataObject) -> None:
     cuts = sorted(data.draw(st.lists(st.integers(0, len(call)))))
     pieces = [call[a:b] for a, b in zip([0, *cuts], [*cuts, len(call)], strict=True)]
     assert answer(*(piece for piece in pieces if piece)) == answer(call)
@@ -80,5 +80,5 @@
 
 @given(st.binary(max_size=300))
 @settings(deadline=None)  # a loaded machine is no fault
-def test_noise_harms_nothing(noise: bytes) -> None:
+def test_noise_raises_nothing(noise: bytes) -> None:
     answer(noise)
