--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -1,4 +1,4 @@
-"""What operators can do to the daemon: bans over all pools, drains over all listeners."""
+"""The admin side of the daemon: bans over all pools, drains over all listeners."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Operators:
-    """The daemon's second address; it moves with the file. It acts on what is there when it is called."""
+    """The daemon's admin listener, whose address changes with the file; actions go by the pools of their moment."""
 
     def __init__(
         self,
@@ -28,14 +28,17 @@
         drains: Callable[[bool], None],
     ) -> None:
         self._fronts, self._stations = fronts, stations
-        self._more = more  # calls beside those that every proxy has
-        self._drains = drains  # told when callers are sent away, and when they are taken again
+        self._more = more  # actions beside those that every proxy has
+        self._drains = drains  # called with True when callers are sent away, with False when they are taken again
         self._row: Management | None = None
         self._admin_listener: AdminListener | None = None
         self.drained = False
 
     async def prepare(self, row: Management) -> AdminListener | None:
-        """Take the address that a file names; raises OSError and changes nothing."""
+        """Listen at the address that a file names; raises OSError and changes nothing.
+
+        Returns None where the file names no address, or the one that is in use.
+        """
         if row.address is None or row == self._row:
             return None
         admin_listener = AdminListener(row.address, {**admin_actions(self), **self._more})
@@ -47,22 +50,22 @@
         return admin_listener
 
     def swap(self, row: Management, admin_listener: AdminListener | None) -> None:
-        """The file is in force."""
+        """Use a prepared listener, now that its file is in force."""
         if row != self._row:
             self.close()
             self._row, self._admin_listener = row, admin_listener
 
     def port(self) -> int:
-        """Where calls are taken; 0: nowhere."""
+        """Return the port of the admin listener; 0: there is none."""
         return 0 if self._admin_listener is None else self._admin_listener.port
 
     def close(self) -> None:
-        """Take no more calls."""
+        """Take no more requests."""
         if self._admin_listener is not None:
             self._admin_listener.close()
             self._admin_listener = None
 
-    # ---- the calls -----------------------------------------------------------------------------
+    # ---- the actions ---------------------------------------------------------------------------
 
     @property
     def takes_clients(self) -> bool:
@@ -71,11 +74,11 @@
         return bool(fronts) and all(front.ready and front.serving for front in fronts)
 
     def disable(self, name: str) -> bool:
-        """Nothing more to this box in any pool; whether one ever listed it."""
+        """Send nothing more to a backend of any pool; return whether one ever listed it."""
         return self._each(name, True)
 
     def enable(self, name: str) -> bool:
-        """It may serve again in all pools, and begins cold; whether one ever listed it."""
+        """Let a backend serve again in all pools, warming up first; return whether one ever listed it."""
         return self._each(name, False)
 
     def _each(self, name: str, off: bool) -> bool:
@@ -95,12 +98,12 @@
             front.drain()
 
     def figures(self) -> list[Figure]:
-        """What this process counts."""
+        """Return the metrics of this process."""
         pools = {name: station.pool for name, station in self._stations().items()}
         return service_figures(pools, self._fronts())
 
     def failures(self) -> list[FailedRequest]:
-        """The latest requests that failed, the latest last."""
+        """Return the latest requests that failed, the latest last."""
         found = [failed for station in self._stations().values() for failed in station.pool.failures.latest()]
         return sorted(found, key=lambda failed: failed.at)
 
