--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -155,8 +155,8 @@
         for ip, source in ((dialler, other), (other, dialler)):
             node = self.nodes.get(ip)
             if node is not None and node.up:
-                node.pages.lost(Wire(source, ip, dialler))
-                node.catch_up.lost(source)
+                node.pages.disconnected(Wire(source, ip, dialler))
+                node.catch_up.disconnected(source)
 
     def deliver_all(self) -> None:
         """Let everything come that is on its way."""
@@ -220,7 +220,7 @@
         register.index,
         _pack([register.promised, register.accepted, register.change, replica.complete_epoch, replica.membership]),
         tuple(sorted((name, _pack(item)) for name, item in register.items.items())),
-        tuple((key, held.by, held.answer is not None) for key, held in replica.claims.items()),
+        tuple((key, held.owner, held.response is not None) for key, held in replica.reservations.items()),
         _proposer_key(node, now),
         _reader_key(node),
         tuple((str(source), _pack(pages)) for source, pages in node.pages._pages.items()),
@@ -230,7 +230,9 @@
 
 def _proposer_key(node: Node, now: float) -> object:
     proposer, proposal = node.proposer, node.proposer._proposal
-    orders = tuple((id_of(order.entries), order.offered, order.change_id, order.came_in) for order in proposer._orders)
+    orders = tuple(
+        (id_of(order.entries), order.was_proposed, order.change_id, order.submitted_after) for order in proposer._orders
+    )
     under_way: object = None
     if proposal is not None:
         promises = tuple((ip, _pack(promise)) for ip, promise in sorted(proposal.promises.items()))
--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -43,35 +43,35 @@
 DISCOVERY_MODES = {"pushed": DiscoveryMode.PUSHED, "on_request": DiscoveryMode.ON_REQUEST}
 LIST_UPDATE_KINDS = {
     "stale_copy": ListUpdateKind.STALE,
-    "whole": ListUpdateKind.WHOLE,
+    "whole": ListUpdateKind.COMPLETE,
     "patch": ListUpdateKind.PATCH,
-    "broken": ListUpdateKind.BROKEN,
+    "broken": ListUpdateKind.FAILED,
 }
 OUTCOMES = {
     "success": Outcome.OK,
     "failure": Outcome.ERROR,
-    "overloaded": Outcome.FULL,
+    "overloaded": Outcome.OVERLOADED,
     "timed_out": Outcome.TIMEOUT,
     "unreachable": Outcome.UNREACHABLE,
-    "broken": Outcome.BROKEN,
+    "broken": Outcome.INTERRUPTED,
     "withdrawn": Outcome.CANCELLED,
-    "void": Outcome.VOID,
+    "void": Outcome.NOT_PROCESSED,
 }
 RULES = {
     "drain_grace": "DrainGrace",
     "answer_slack": "GraceToAnswer",
-    "ask_within": "AskEvery",
-    "cold_from": "ColdFrom",
-    "cold_for": "Cold",
-    "fall_multiple": "FallMultiple",
-    "fall_after": "TipAfter",
-    "extra_free": "ExtraFree",
-    "extra_share": "ExtraPerRequest",
-    "extra_span": "RatioSpan",
+    "discovery_interval": "AskEvery",
+    "slow_start_fraction": "ColdFrom",
+    "slow_start_seconds": "Cold",
+    "overload_multiple": "FallMultiple",
+    "overload_seconds": "TipAfter",
+    "retry_budget_minimum": "ExtraFree",
+    "retry_budget_ratio": "ExtraPerRequest",
+    "retry_budget_window": "RatioSpan",
 }
 LIMITS = {
-    "cancel": "Cancel",
-    "second_copies": "SecondCopies",
+    "allows_cancel": "Cancel",
+    "allows_hedging": "SecondCopies",
     "max_attempts": "MaxAttempts",
 }
 
@@ -96,16 +96,18 @@
                 RequestClass,
                 {
                     "name": row.get("Name"),
-                    "aim": row.get("Aim"),
+                    "latency_target": row.get("Aim"),
                     "deadline": row.get("HardLimit"),
-                    "repeat": RETRY_SAFETIES.get(row.get("Repeat"), RetrySafety.UNSAFE),
-                    "group": DEDUPLICATION_SCOPES.get(row.get("Group"), DeduplicationScope.CELL),
-                    "window": row.get("Window"),
-                    "worth": row.get("Credit"),
-                    "late_worth": row.get("LateWorth"),
+                    "retry_safety": RETRY_SAFETIES.get(row.get("Repeat"), RetrySafety.UNSAFE),
+                    "deduplication_scope": DEDUPLICATION_SCOPES.get(
+                        row.get("Group"), DeduplicationScope.CELL
+                    ),
+                    "deduplication_window": row.get("Window"),
+                    "value": row.get("Credit"),
+                    "late_value": row.get("LateWorth"),
                     "streaming": row.get("Streaming"),
-                    "only_kinds": _places(row.get("BoundTo")),
-                    "only_zones": _places(row.get("AllowedIn")),
+                    "allowed_host_types": _places(row.get("BoundTo")),
+                    "allowed_zones": _places(row.get("AllowedIn")),
                 },
             )
         )
@@ -118,16 +120,16 @@
     values = {
         "classes": classes or None,
         "tenants": tenants,
-        "balancers": wire.get("Instances"),
-        "me": wire.get("Ordinal"),
+        "instance_count": wire.get("Instances"),
+        "instance_index": wire.get("Ordinal"),
         "tier": wire.get("Tier"),
-        "tiers": len(wire.get("Tiers") or ()) or None,
+        "tier_count": len(wire.get("Tiers") or ()) or None,
         "zone": wire.get("Zone"),
-        "zones": len(wire.get("Zones") or ()) or None,
+        "zone_count": len(wire.get("Zones") or ()) or None,
         "discovery": DISCOVERY_MODES.get(wire.get("RegistryMode", "pushed"), DiscoveryMode.PUSHED),
-        "over_share_worth": wire.get("OverShareWorth"),
-        "passes_deadline": (wire.get("FamilyInfo") or {}).get("PassesDeadline"),
-        "marks_retry": (wire.get("ClientHabits") or {}).get("MarksRetry"),
+        "over_quota_value": wire.get("OverShareWorth"),
+        "callers_pass_deadline": (wire.get("FamilyInfo") or {}).get("PassesDeadline"),
+        "clients_mark_retries": (wire.get("ClientHabits") or {}).get("MarksRetry"),
         "limits": _named(Limits, LIMITS, wire.get("Bounds") or {}),
         "rules": _named(Rules, RULES, wire.get("Rules") or {}),
     }
@@ -185,7 +187,7 @@
     def _members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         kind = LIST_UPDATE_KINDS[e["Mode"]]
         rows: tuple[ServerRow, ...] = ()
-        if kind is not ListUpdateKind.BROKEN:
+        if kind is not ListUpdateKind.FAILED:
             if e["List"] not in self.lists:
                 raise WireFault(f"unknown list number {e['List']}")
             rows = self.lists[e["List"]]
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -7,10 +7,10 @@
 
 from lugspur.http1.front import Front
 from lugspur.mesh import events
-from lugspur.mesh.control.catch_up import ClaimsCatchUp
+from lugspur.mesh.control.change_requests import ChangeRequest
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
-from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.learned_pages import LearnedPages
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
@@ -30,11 +30,11 @@
     Subscribe,
     Unsubscribe,
 )
-from lugspur.mesh.control.orders import Order
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.control.reader import Reader
+from lugspur.mesh.control.read_index import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
 from lugspur.mesh.control.replica import UID_ROW, read_membership
+from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
@@ -53,7 +53,8 @@
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.transport.link import Dialer, Link
+from lugspur.mesh.transport.dialer import Dialer
+from lugspur.mesh.transport.link import Link
 from lugspur.observability.metrics import render
 
 SWEEP_INTERVAL_SECONDS = 1.0  # between two searches for reservations whose window is over
@@ -91,7 +92,7 @@
         """
         own = settings.own
         self.disk = Disk(own.data_dir, own.limits.disk_mb)
-        rows = self.disk.rows()
+        rows = self.disk.read_rows()
         super().__init__(settings, path, is_control_node=True)
         self.local_peer = LocalPeer(self)
         self.pause_detector = PauseDetector()
@@ -101,15 +102,15 @@
         self.effect_runner = EffectRunner(self.loop, self.disk, self.send_to)
         self.replica = restore_replica(settings, self.disk, rows, self.loop.time(), self._publish)
         self.majority_contact = MajorityContact(self.ip, self.replica, self.freshness, self.max_staleness)
-        self.decided_pages = LearnPages()
+        self.decided_pages = LearnedPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.incarnation}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
         self.router = self._make_router()
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.run_effects)
-        self.catch_up = ClaimsCatchUp(self.replica)
+        self.catch_up = ReservationCatchUp(self.replica)
         self.reconfiguration = self._make_reconfiguration()
         self.membership_changes = self._make_membership_changes()
-        self.pending_changes = PendingChanges(self.ip, self.replica, self._finish_pending)
+        self.pending_changes = PendingChanges(self.ip, self.replica, self._resolve_pending)
         self.api = ControlNodeApi(self)
         self._sweep_at = 0.0
         self._published_index = self.replica.index  # the latest change that the parts above have been told of
@@ -151,7 +152,7 @@
     def _start(self, rows: StoredRows) -> None:
         """Begin to write, and to vote where this is a voter of the first membership."""
         self.disk.start()
-        if self.disk.damaged:
+        if self.disk.damage:
             rows = []
         replica = self.replica
         if not rows and is_first_voter(self.settings, self.disk):
@@ -172,7 +173,7 @@
 
     def _link_ended(self, link: Link) -> None:
         self.subscribers.remove(link)
-        self.decided_pages.lost(link)
+        self.decided_pages.disconnected(link)
 
     def _take_request(self, link: Link, message: Message) -> None:
         """Take a message on a connection that a peer dialled."""
@@ -191,9 +192,9 @@
         elif isinstance(message, Learn):
             self._learn(link, message)
         elif isinstance(message, ForwardChange):
-            self.router.submitted(link, message)
+            self.router.take_forwarded(link, message)
         elif isinstance(message, Pong):
-            self.subscribers.answered(link, message)
+            self.subscribers.acknowledged(link, message)
         else:
             self.run_effects(self.replica.handle(self.loop.time(), link, message))
 
@@ -209,11 +210,11 @@
         if self._published_index == self.replica.index:
             return
         self._published_index = self.configuration_index = self.replica.index
-        self.pending_changes.advanced()
+        self.pending_changes.replica_advanced()
         now = self.loop.time()
         self.run_effects(self.proposer.advanced(now))
-        self.run_effects(self.reader.advanced(now))
-        self.subscribers.tell_soon()
+        self.run_effects(self.reader.replica_advanced(now))
+        self.subscribers.update_soon()
 
     def send_to(self, ip: str, message: Message) -> None:
         """Send a message to a control node, which may be this one."""
@@ -233,21 +234,21 @@
     # ---- what peers say --------------------------------------------------------------------
 
     def receive(self, ip: str, message: Message) -> None:
-        self.membership_changes.heard(self.loop.time(), ip)
+        self.membership_changes.message_received(self.loop.time(), ip)
         super().receive(ip, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
             self.run_effects(self.proposer.heard(now, ip, message))
         elif isinstance(message, ReadIndexReply):
-            effects, has_pending = self.reader.heard(now, ip, message)
+            effects, has_pending = self.reader.receive(now, ip, message)
             self.run_effects(effects)
             if has_pending:
-                self.pending_changes.seen(now)
+                self.pending_changes.found_pending(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
         elif isinstance(message, ChangeResult):
-            self.router.forwarder.heard(ip, message)
+            self.router.forwarder.receive(ip, message)
         elif isinstance(message, FetchDecided):
             self.run_effects(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
@@ -261,15 +262,15 @@
 
     def _take_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
         """Take a page of the reservations that a voter of the epoch before has."""
-        was_complete = self.replica.complete
-        self.run_effects(self.catch_up.heard(now, ip, page))
-        if self.replica.complete and not was_complete:
-            events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.claims))
-            self.subscribers.tell_soon()
+        was_complete = self.replica.is_complete
+        self.run_effects(self.catch_up.receive(now, ip, page))
+        if self.replica.is_complete and not was_complete:
+            events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.reservations))
+            self.subscribers.update_soon()
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         super().receive_update(now, ip, message)
-        self.membership_changes.told_complete(ip, message.complete_epoch)
+        self.membership_changes.complete_for(ip, message.complete_epoch)
         if message.decided_index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
             self._asked_at = now
             self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.decided_index)
@@ -287,20 +288,20 @@
         self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def disconnected(self, dialer: Dialer) -> None:
-        self.catch_up.lost(dialer.ip)
-        self.decided_pages.lost(dialer.ip)
-        self.membership_changes.lost(dialer.ip)
+        self.catch_up.disconnected(dialer.ip)
+        self.decided_pages.disconnected(dialer.ip)
+        self.membership_changes.disconnected(dialer.ip)
         super().disconnected(dialer)
-        self.router.lost(self.loop.time(), dialer.ip)
+        self.router.disconnected(self.loop.time(), dialer.ip)
 
     def membership_changed(self) -> None:
         super().membership_changed()
-        self.membership_changes.changed(self.membership)
+        self.membership_changes.membership_changed(self.membership)
 
     def wanted_peers(self) -> set[str]:
         found = super().wanted_peers()
         membership = self.replica.membership
-        if membership is not None and self.replica.is_voter and not self.replica.complete:
+        if membership is not None and self.replica.is_voter and not self.replica.is_complete:
             found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
@@ -313,8 +314,8 @@
         return self.announcement.entries()
 
     def entry_changed(self, entry: Entry) -> None:
-        self.subscribers.tell_soon()
-        if self.announcement.contradicted_by(entry):
+        self.subscribers.update_soon()
+        if self.announcement.is_contradicted_by(entry):
             self.loop.call_soon(self.announce)
 
     def _update_since(self, now: float, sequence: int) -> Delta:
@@ -338,7 +339,7 @@
         since = self._disk_failing_since
         is_failing = since is not None and self.loop.time() - since > DISK_FAILURE_SECONDS
         uid, zone = self.replica.voter.uid, self.settings.own.zone
-        self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.size))
+        self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.max_bytes))
 
     def _report(self, report: Report) -> None:
         for dialer in self.peers.values():
@@ -351,28 +352,28 @@
 
     # ---- changes ---------------------------------------------------------------------------
 
-    def _propose(self, now: float, order: Order) -> None:
+    def _propose(self, now: float, order: ChangeRequest) -> None:
         self.run_effects(self.proposer.submit(now, order))
 
-    def _finish_pending(self, now: float) -> None:
+    def _resolve_pending(self, now: float) -> None:
         self.run_effects(self.proposer.finish(now))
 
     # ---- time ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         self.pause_detector.tick(now)
-        self.leases.end_silent(now)
-        self.subscribers.look(now)
+        self.leases.tick(now)
+        self.subscribers.tick(now)
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_INTERVAL_SECONDS
             self.run_effects(self.replica.sweep(now))
             self._check_disk(now)
-        self.router.look(now)
+        self.router.tick(now)
         self.run_effects(self.proposer.look(now))
-        self.run_effects(self.reader.look(now))
-        self.run_effects(self.catch_up.look(now))
-        self.pending_changes.look(now)
-        self.membership_changes.look(now)
+        self.run_effects(self.reader.tick(now))
+        self.run_effects(self.catch_up.tick(now))
+        self.pending_changes.tick(now)
+        self.membership_changes.tick(now)
 
     def _check_disk(self, now: float) -> None:
         """Announce a disk that has refused writes for a while, so that its vote goes to another one."""
@@ -409,7 +410,7 @@
         self.announce()
         began, grace = self.loop.time(), self.settings.tariffs.bounds.grace_s
         until = began + HANDOFF_FRACTION * grace
-        while self.loop.time() < until and not self.membership_changes.handed_on():
+        while self.loop.time() < until and not self.membership_changes.is_handed_over():
             await asyncio.sleep(TICK_SECONDS)
         await asyncio.sleep(LAST_UPDATES_SECONDS)
         # Guards operators against connections that end without an answer: no call waits for longer.
--- a/tests/daemon/hot_restart/test_process_state.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -29,7 +29,9 @@
 def learned() -> Learned:
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
-    balancer.members(10.0, ListUpdateKind.WHOLE, [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)])
+    balancer.members(
+        10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
+    )
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
             if isinstance(action, Send):
@@ -135,8 +137,8 @@
 
 
 def test_learned_state_is_kept_by_another_instance_but_not_for_a_restarted_backend() -> None:
-    rows = [ServerRow(server_id(f"s-{n}"), started=float(n)) for n in range(3)]
-    rows[2] = replace(rows[2], started=99.0)
+    rows = [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
+    rows[2] = replace(rows[2], started_at=99.0)
     balancer = Balancer(Settings(), 2)
     balancer.members(60.0, ListUpdateKind.STALE, rows)
     balancer.recall(60.0, LEARNED)
@@ -150,13 +152,13 @@
 
 
 def test_a_superseded_instance_sends_nothing_to_backends_that_warm_up() -> None:
-    cold = ServerRow(1, started=100.0)
+    cold = ServerRow(1, started_at=100.0)
     warm = ServerRow(2)
-    settings = replace(Settings(), rules=replace(Settings().rules, cold_for=1000.0, cold_from=1.0))
+    settings = replace(Settings(), rules=replace(Settings().rules, slow_start_seconds=1000.0, slow_start_fraction=1.0))
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
-        balancer.members(101.0, ListUpdateKind.WHOLE, [cold, warm])
+        balancer.members(101.0, ListUpdateKind.COMPLETE, [cold, warm])
         balancer.retire(retired)
         got = set()
         for number in range(300):
