--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -13,7 +13,8 @@
 from lugspur.config.units import Wrong, duration, folder, nearest, node
 from lugspur.config.units import address as read_place
 from lugspur.daemon.station import servers
-from lugspur.discovery.announce import Announcer, Box, check
+from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
+from lugspur.discovery.health_check import check_health
 from lugspur.discovery.registry import Ensemble, Registries
 
 
@@ -23,7 +24,7 @@
 
     ensemble: Ensemble
     path: str
-    box: Box
+    box: RegisteredBackend
     ident: str
     url: str
     every: float  # seconds
@@ -50,7 +51,7 @@
         raise ValueError("--cell is a whole number from 0, --weight one from 0.001 to 1000000")
     try:
         host, port = read_place(address)
-        box = Box(node(name), f"{host}:{port}", zone, cell, weight)
+        box = RegisteredBackend(node(name), f"{host}:{port}", zone, cell, weight)
         wish = Wish(
             servers(known[registry]),
             folder(path),
@@ -74,16 +75,16 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
     registries = Registries()
-    announcer = Announcer(registries.get(wish.ensemble), wish.path, wish.box, wish.ident, time.time)
+    announcer = BackendRegistrar(registries.get(wish.ensemble), wish.path, wish.box, wish.ident, time.time)
     announcer.open()
     checking = loop.create_task(_checks(announcer, wish))
     await told.wait()
     checking.cancel()
-    await announcer.leave()
+    await announcer.deregister()
     await registries.close()
 
 
-async def _checks(announcer: Announcer, wish: Wish) -> None:
+async def _checks(announcer: BackendRegistrar, wish: Wish) -> None:
     while True:
-        announcer.checked(await check(wish.url, wish.every))
+        announcer.record_check(await check_health(wish.url, wish.every))
         await asyncio.sleep(wish.every)
--- a/lugspur/daemon/announcers.py
+++ b/lugspur/daemon/announcers.py
@@ -9,8 +9,9 @@
 
 from lugspur.config import model
 from lugspur.daemon.station import servers
-from lugspur.discovery.announce import Announcer, Box, Checked
+from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
 from lugspur.discovery.endpoints import Address
+from lugspur.discovery.health_check import CheckResult
 from lugspur.discovery.registry import Registries
 
 Wish = tuple[model.Register, model.Registry, Address, str]  # all that a node depends on
@@ -21,7 +22,7 @@
 
     def __init__(self, registries: Registries) -> None:
         self._registries = registries
-        self._known: dict[str, tuple[Wish, Announcer]] = {}
+        self._known: dict[str, tuple[Wish, BackendRegistrar]] = {}
         self._leaving: set[asyncio.Task[None]] = set()
         self._began = time.time()
 
@@ -40,17 +41,17 @@
                 continue
             wish = _wish(file, row, addresses[name])
             register, ensemble, (host, port), zone = wish
-            box = Box(register.name, f"{host}:{port}", zone, register.cell, register.weight)
+            box = RegisteredBackend(register.name, f"{host}:{port}", zone, register.cell, register.weight)
             ident = uuid.uuid4().hex if register.sequential else ""
-            announcer = Announcer(
+            announcer = BackendRegistrar(
                 self._registries.get(servers(ensemble)), register.path, box, ident, lambda: self._began
             )
             self._known[name] = wish, announcer
             announcer.open()
-            announcer.checked(Checked.WELL)
+            announcer.record_check(CheckResult.HEALTHY)
 
-    def _leave(self, announcer: Announcer) -> None:
-        task = asyncio.get_running_loop().create_task(announcer.leave())
+    def _leave(self, announcer: BackendRegistrar) -> None:
+        task = asyncio.get_running_loop().create_task(announcer.deregister())
         self._leaving.add(task)
         task.add_done_callback(self._leaving.discard)
         task.add_done_callback(lambda _: self._registries.tidy())
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -12,8 +12,8 @@
 from lugspur.daemon.gossip.transport import Transport
 from lugspur.daemon.leases.claim import STANDBY, Claim, Turned
 from lugspur.daemon.leases.messages import MalformedMessageError
-from lugspur.discovery.announce import Checked, check
 from lugspur.discovery.endpoints import server_id, server_name
+from lugspur.discovery.health_check import CheckResult, check_health
 from lugspur.probing.hearsay import REFRESH, Hearsay
 from lugspur.probing.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
 from lugspur.probing.prober import Prober
@@ -256,7 +256,7 @@
         host, port = endpoint.address
         place = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         url = f"http://{place}{pool.row.path}" if pool.row.path else f"tcp://{place}"
-        well = await check(url, pool.row.within) is Checked.WELL
+        well = await check_health(url, pool.row.within) is CheckResult.HEALTHY
         if pool.prober.answered(clock.now(), box, well):
             self._company.say(f"pool {name}: box {box} is {'up' if well else 'down'}, as its prober")
         self._turn()
--- /dev/null
+++ b/lugspur/discovery/backend_registration.py
@@ -0,0 +1,124 @@
+"""Registration of a backend in a registry: what its node holds, and when the node is made and deleted."""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import orjson
+
+from lugspur.discovery.health_check import BackendHealth, CheckResult
+from lugspur.discovery.registry import Registry
+from lugspur.zookeeper.registration import Registration
+from lugspur.zookeeper.session import Event
+
+RETRY_DELAY_SECONDS = 5.0  # before a request that the registry has rejected is made again
+#: For deleting the node at the end; if it takes longer, the end of the session deletes it.
+DEREGISTRATION_TIMEOUT_SECONDS = 2.0
+
+
+@dataclass(frozen=True, slots=True)
+class RegisteredBackend:
+    """A backend as its node describes it."""
+
+    name: str
+    address: str  # host:port
+    zone: str = ""
+    cell: int = 0
+    weight: float = 1.0
+
+    def node_data(self, started_ms: int) -> bytes:
+        """The data of its node: an entry of the platform's form. `started_ms` is in milliseconds since 1970."""
+        return orjson.dumps(
+            {
+                "name": self.name,
+                "address": self.address,
+                "status": "in_service",
+                "zone": self.zone,
+                "group": self.cell,
+                "weight": self.weight,
+                "since_ms": started_ms,
+            }
+        )
+
+    def owns_node(self, data: bytes) -> bool:
+        """Whether a node with this data is this backend's own: only one process can listen at an address."""
+        try:
+            found = orjson.loads(data)
+        except orjson.JSONDecodeError:
+            return False
+        return isinstance(found, dict) and found.get("address") == self.address
+
+
+class BackendRegistrar:
+    """Keeps the node of one backend in a registry while the backend is healthy, from `open` until `deregister`."""
+
+    def __init__(
+        self,
+        registry: Registry,
+        directory: str,
+        backend: RegisteredBackend,
+        sequence_id: str,
+        clock: Callable[[], float],
+    ) -> None:
+        """Prepare a node in `directory`.
+
+        sequence_id: by which a sequential node is recognized after a lost reply; empty for a plain node.
+        clock: seconds since 1970.
+        """
+        self.backend = backend
+        self._registry = registry
+        self._clock = clock
+        self.health = BackendHealth()
+        self.registration = Registration(directory, backend.name, backend.node_data(0), backend.owns_node, sequence_id)
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._progress = asyncio.Event()
+
+    def open(self) -> None:
+        """Begin; the node is made once the backend is healthy."""
+        self._registry.join(self.registration, self._on_events)
+
+    def record_check(self, result: CheckResult) -> None:
+        """Take the result of a health check; a backend without checks is reported HEALTHY once."""
+        self.health.record(result, int(self._clock() * 1000))
+        if self.health.is_healthy:
+            self.registration.write(self.backend.node_data(self.health.started_ms))
+        self.registration.want(self.health.is_healthy)
+        self._flush()
+
+    async def deregister(self) -> None:
+        """Delete the node; returns when the registry has confirmed it, or has not within the time-out."""
+        self.registration.want(False)
+        self._progress.clear()
+        self._flush()
+        try:
+            async with asyncio.timeout(DEREGISTRATION_TIMEOUT_SECONDS):
+                while not self.registration.settled:
+                    self._progress.clear()
+                    await self._progress.wait()
+        except TimeoutError:
+            self._log("the registry has not confirmed that the node is deleted; it goes with its session")
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+        self._registry.part(self.registration)
+
+    def _flush(self) -> None:
+        self._registry.client.turn()
+        self._on_events([])
+
+    def _on_events(self, events: list[Event]) -> None:
+        for line in self.registration.take_news():
+            self._log(line)
+        self._progress.set()
+        if self._retry_timer is None:
+            self._retry_timer = asyncio.get_running_loop().call_later(RETRY_DELAY_SECONDS, self._retry)
+
+    def _retry(self) -> None:
+        self._retry_timer = None
+        self.registration.again()
+        self._flush()
+
+    def _log(self, line: str) -> None:
+        print(f"lugspur: {self.backend.name}: {line}", file=sys.stderr, flush=True)
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -14,7 +14,7 @@
 
 from lugspur.daemon.hot_restart.packets import decode_state
 from lugspur.discovery import state_codec
-from lugspur.discovery.announce import Box
+from lugspur.discovery.backend_registration import RegisteredBackend
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id, server_name
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.node_formats import RegistryNode, read_entry
@@ -233,11 +233,11 @@
         b'{"name":"channel-7","address":"10.0.0.7:9001","status":"in_service","zone":"b","group":3,"weight":2.5,'
         b'"since_ms":1700000000250}'
     )
-    backend = Box("channel-7", "10.0.0.7:9001", "b", 3, 2.5)
-    assert backend.data(1700000000250) == written
-    assert backend.same(written)
-    assert not backend.same(written.replace(b"10.0.0.7", b"10.0.0.8"))
-    assert Box("channel-7", "10.0.0.7:9001").data(0) == (
+    backend = RegisteredBackend("channel-7", "10.0.0.7:9001", "b", 3, 2.5)
+    assert backend.node_data(1700000000250) == written
+    assert backend.owns_node(written)
+    assert not backend.owns_node(written.replace(b"10.0.0.7", b"10.0.0.8"))
+    assert RegisteredBackend("channel-7", "10.0.0.7:9001").node_data(0) == (
         b'{"name":"channel-7","address":"10.0.0.7:9001","status":"in_service","zone":"","group":0,"weight":1.0,'
         b'"since_ms":0}'
     )
--- a/tests/discovery/test_node_formats.py
+++ b/tests/discovery/test_node_formats.py
@@ -1,4 +1,4 @@
-"""RegistryEndpoints of three formats as rows; what can't be read harms nobody else."""
+"""Entries from nodes of three formats; data that is no entry is rejected with a reason."""
 
 from __future__ import annotations
 
--- a/tests/discovery/test_staleness.py
+++ b/tests/discovery/test_staleness.py
@@ -1,28 +1,27 @@
-"""What may be made of a registry's silence."""
+"""How far a list is trusted while its registry cannot be heard."""
 
 from __future__ import annotations
 
-from lugspur.discovery.announce import FALL, Checked, Health
 from lugspur.discovery.staleness import ListFreshness, RegistryStaleness
 
 
 class Log(list[str]):
-    def taken(self) -> list[str]:
+    def take(self) -> list[str]:
         lines = list(self)
         self.clear()
         return lines
 
 
-def followed(stale_after: float = 30.0) -> tuple[RegistryStaleness, Log]:
+def read_list(stale_after: float = 30.0) -> tuple[RegistryStaleness, Log]:
     log = Log()
     staleness = RegistryStaleness(stale_after, log.append, 0.0)
     staleness.record_connection(10.0)
     staleness.record_list_read(1.0, 3)
-    assert log.taken() == ["the registry is followed; 3 boxes"] and staleness.freshness(100.0) is ListFreshness.CURRENT
+    assert log.take() == ["the registry is followed; 3 boxes"] and staleness.freshness(100.0) is ListFreshness.CURRENT
     return staleness, log
 
 
-def test_a_registry_that_was_never_reached_is_shown_as_such_once() -> None:
+def test_a_registry_that_was_never_reached_is_logged_once() -> None:
     log = Log()
     staleness = RegistryStaleness(30.0, log.append, 0.0)
     assert staleness.freshness(0.0) is ListFreshness.NEVER_READ and staleness.next_tick_at() == 30.0
@@ -30,29 +29,29 @@
     assert log == []
     staleness.tick(30.0)
     staleness.tick(60.0)
-    assert log.taken() == ["stale: the registry was not heard for 30.0 s; the pool's fixed list stays"]
+    assert log.take() == ["stale: the registry was not heard for 30.0 s; the pool's fixed list stays"]
     assert staleness.next_tick_at() == float("inf") and staleness.freshness(60.0) is ListFreshness.NEVER_READ
 
 
 def test_a_lost_connection_goes_from_session_may_live_to_ended_to_stale_until_the_list_is_read() -> None:
-    staleness, log = followed()
+    staleness, log = read_list()
     staleness.record_disconnection(107.0, 100.0, "it says nothing")
-    assert log.taken() == ["not heard, session may live: a server is left: it says nothing; the last list stays"]
+    assert log.take() == ["not heard, session may live: a server is left: it says nothing; the last list stays"]
     assert staleness.freshness(107.0) is ListFreshness.SESSION_MAY_LIVE and staleness.age_seconds(107.0) == 7.0
     assert staleness.freshness(110.0) is ListFreshness.SESSION_ENDED
     staleness.record_disconnection(112.0, 100.0, "it says nothing")
     assert log == [] and staleness.next_tick_at() == 130.0
     staleness.tick(130.0)
-    assert log.taken() == ["stale: the registry was not heard for 30.0 s; the last list stays"]
+    assert log.take() == ["stale: the registry was not heard for 30.0 s; the last list stays"]
     assert staleness.freshness(130.0) is ListFreshness.STALE
     staleness.record_connection(10.0)
     assert staleness.freshness(131.0) is ListFreshness.STALE  # connected, and not read yet
     staleness.record_list_read(132.0, 2)
-    assert log.taken() == ["the registry is followed; 2 boxes"] and staleness.age_seconds(140.0) == 0.0
+    assert log.take() == ["the registry is followed; 2 boxes"] and staleness.age_seconds(140.0) == 0.0
 
 
-def test_our_own_expired_session_says_nothing_of_boxes() -> None:
-    staleness, _ = followed()
+def test_our_own_expired_session_says_nothing_of_backends() -> None:
+    staleness, _ = read_list()
     staleness.record_disconnection(5.0, 4.0, "it closed the connection")
     staleness.record_session_expiry()
     assert staleness.freshness(5.0) is ListFreshness.SESSION_ENDED
@@ -60,32 +59,14 @@
     assert staleness.freshness(5.5) is ListFreshness.REREADING
 
 
-def test_an_empty_folder_is_said_and_counts() -> None:
-    staleness, log = followed()
+def test_an_empty_directory_is_logged_and_counts() -> None:
+    staleness, log = read_list()
     staleness.record_list_read(5.0, 0)
-    assert log.taken() == ["the registry holds no box; its folder is empty or gone, and so is the pool"]
+    assert log.take() == ["the registry holds no box; its folder is empty or gone, and so is the pool"]
 
 
-def test_a_folder_that_cannot_be_read_is_said_once() -> None:
-    staleness, log = followed()
+def test_a_directory_that_cannot_be_read_is_logged_once() -> None:
+    staleness, log = read_list()
     staleness.record_read_failure("its access list forbids it")
     staleness.record_read_failure("its access list forbids it")
-    assert log.taken() == ["the folder can't be read: its access list forbids it; the last list stays"]
-
-
-def test_a_box_is_ill_after_some_failed_checks_and_at_once_where_nobody_listens() -> None:
-    health = Health()
-    health.checked(Checked.ILL, 1)
-    assert not health.well
-    health.checked(Checked.WELL, 2)
-    for _ in range(FALL - 1):
-        health.checked(Checked.ILL, 3)
-    assert health.well
-    health.checked(Checked.ILL, 4)
-    assert not health.well
-    health.checked(Checked.WELL, 5)
-    assert (health.well, health.since_ms) == (True, 2)  # the same process: as warm as before
-    health.checked(Checked.NOBODY, 6)
-    assert not health.well
-    health.checked(Checked.WELL, 7)
-    assert health.since_ms == 7  # another process: cold
+    assert log.take() == ["the folder can't be read: its access list forbids it; the last list stays"]
