--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -209,9 +209,9 @@
     for _ in range(5):
         balancer = Balancer(Settings(), seed=1)
         rows = [ServerRow(server_id(f"box-{at}")) for at in range(count)]
-        balancer.members(0.0, ListUpdateKind.COMPLETE, rows)
+        balancer.update_servers(0.0, ListUpdateKind.COMPLETE, rows)
         begun = time.perf_counter()
-        balancer.members(0.0, ListUpdateKind.PATCH, [replace(rows[0], state=ServerState.GONE)])
+        balancer.update_servers(0.0, ListUpdateKind.PATCH, [replace(rows[0], state=ServerState.GONE)])
         best = min(best, time.perf_counter() - begun)
     return best
 
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -228,13 +228,13 @@
 
     def adopt(self, settings: Settings) -> None:
         """Go on by other settings; the classes of requests in hand must keep their places."""
-        self.balancer.adopt(self.now(), settings)
+        self.balancer.change_settings(self.now(), settings)
         self.settings = settings
         self._repeatable = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
 
     def put_back(self, server: int) -> None:
         """Operators say that it may serve again."""
-        self.balancer.put_back(self.now(), server)
+        self.balancer.reinstate(self.now(), server)
 
     # ---- the list ----------------------------------------------------------------------------
 
@@ -252,7 +252,7 @@
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
             self._update(backend, endpoint.address, row.started_at, row.state is ServerState.UP)
             backend.lane = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
-        self._perform(self._decide(self.balancer.members, kind, [endpoint.row for endpoint in endpoints]))
+        self._perform(self._decide(self.balancer.update_servers, kind, [endpoint.row for endpoint in endpoints]))
 
     def _remove(self, server: int) -> None:
         """Guards memory against backends that are gone for good; attempts that are out keep theirs."""
@@ -303,12 +303,12 @@
     def retime(self, call: Call, deadline: float) -> None:
         """Its answer is owed until another time; the module hears of a later one."""
         if self._owe(call, deadline):
-            self._perform(self._decide(self.balancer.extend, call.rid, deadline + self._epoch, call=call))
+            self._perform(self._decide(self.balancer.extend_deadline, call.rid, deadline + self._epoch, call=call))
 
     def whole(self, call: Call, deadline: float) -> None:
         """The last byte of its body has come; an answer is owed until then."""
         if self._owe(call, deadline):
-            self._perform(self._decide(self.balancer.whole, call.rid, deadline + self._epoch, call=call))
+            self._perform(self._decide(self.balancer.complete_body, call.rid, deadline + self._epoch, call=call))
 
     def _owe(self, call: Call, deadline: float) -> bool:
         """Whether an answer is still owed by a time, which is this one from now on."""
@@ -329,7 +329,7 @@
         self.left += 1
         self._keep_account(call, "gone")
         self._settle(call)
-        self._perform(self._decide(self.balancer.gone, call.rid, call=call))
+        self._perform(self._decide(self.balancer.cancel_request, call.rid, call=call))
         if call.bound:  # the module leaves a stream to its attempt, whose box need not go on for nobody
             for exchange in tuple(call.exchanges):
                 exchange.end(Outcome.CANCELLED)
@@ -344,7 +344,7 @@
     def _abandon(self, call: Call) -> None:
         """Fail a request that the module did not answer, and tell it so."""
         self.answer(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
-        self._perform(self._decide(self.balancer.gone, call.rid))
+        self._perform(self._decide(self.balancer.cancel_request, call.rid))
         for exchange in tuple(call.exchanges):
             exchange.end(Outcome.CANCELLED)
 
@@ -420,7 +420,7 @@
                     self._act(call, action)
 
     def _timer(self, token: int) -> None:
-        self._perform(self._decide(self.balancer.timer, token))
+        self._perform(self._decide(self.balancer.fire_timer, token))
 
     def _act(self, call: Call, action: Action) -> None:
         if isinstance(action, Send):
@@ -482,12 +482,12 @@
     def bound(self, call: Call, number: int) -> None:
         """A message has passed: no other attempt may have this request."""
         call.bound = True
-        self._perform(self._decide(self.balancer.bind, call.rid, number, call=call))
+        self._perform(self._decide(self.balancer.bind_to_attempt, call.rid, number, call=call))
 
     def begun(self, call: Call, number: int, response: Response, body: Pipe) -> None:
         """An answer is passed on as it comes."""
         call.bound = True
-        self._perform(self._decide(self.balancer.begun, call.rid, number, call=call))
+        self._perform(self._decide(self.balancer.begin_response, call.rid, number, call=call))
         if call.caller is not None:
             self._owner.begun(call, response, body)
 
@@ -505,7 +505,7 @@
         if response is not None and self._owner.at_fault(response.status):
             # Guards backends against callers: the request is at fault, and would be anywhere else.
             self.answer(call, response.status, b"", b"rejected\n")
-            self._perform(self._decide(self.balancer.gone, call.rid, call=call))
+            self._perform(self._decide(self.balancer.cancel_request, call.rid, call=call))
             outcome = Outcome.NOT_PROCESSED
         elif outcome is Outcome.OK and response is not None:
             if now <= call.deadline:
@@ -515,7 +515,7 @@
         self._forget(call)
         self._perform(
             self._decide(
-                self.balancer.outcome,
+                self.balancer.finish_attempt,
                 call.rid,
                 number,
                 outcome,
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -107,7 +107,7 @@
         self.pool.streams = True
         self.pool.members(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, known))
         if inherited is not None:
-            self.pool.balancer.recall(self.pool.now(), inherited.learned)
+            self.pool.balancer.import_learned(self.pool.now(), inherited.learned)
             self._peer_request_ids.update(inherited.open)
             for server, at in inherited.bans.floors.items():
                 if self.pool.now() - at < BACK_LATELY:
@@ -176,7 +176,7 @@
             self.maintenance.save(),
             self.front.drained_at is not None,
             [*self._open, *self._peer_request_ids],
-            self.pool.balancer.learned(),
+            self.pool.balancer.export_learned(),
         )
 
     def accept_transferred_list(self) -> None:
@@ -212,7 +212,7 @@
 
         Both share one budget of sockets and one of requests to cold backends.
         """
-        self.pool.balancer.retire(on)
+        self.pool.balancer.set_superseded(on)
         self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
 
     def attach_peers(self, peers: PeerProcesses) -> None:
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -180,9 +180,9 @@
         yield fact("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(told), EACH):
         among = [endpoint.row.server for endpoint in told[at : at + EACH]]
-        for row in pool.balancer.learned(among).servers:
+        for row in pool.balancer.export_learned(among).servers:
             yield fact("learned", name, state_codec.encode_learned_server(row))
-    yield fact("tier", name, state_codec.encode_learned_pools(pool.balancer.learned(())))
+    yield fact("tier", name, state_codec.encode_learned_pools(pool.balancer.export_learned(())))
 
 
 def _say(line: str) -> None:
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -111,7 +111,7 @@
         now = self.pool.now()
         learned = aged(kept, age, now)
         if learned is not None:
-            self.pool.balancer.recall(now, learned)
+            self.pool.balancer.import_learned(now, learned)
 
     def seen(self) -> tuple[int, int]:
         """Changes where something may have been learned."""
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -49,7 +49,7 @@
         self._calls: dict[str, _Call] = {}
         self._count = 0
         rows = [ServerRow(n) for n in range(len(self.boxes))]
-        self._perform(self.balancer.members(0.0, ListUpdateKind.COMPLETE, rows) + self.balancer.start(0.0))
+        self._perform(self.balancer.update_servers(0.0, ListUpdateKind.COMPLETE, rows) + self.balancer.start(0.0))
 
     def ran(self) -> int:
         """Works that boxes have begun."""
@@ -72,14 +72,14 @@
         if call is not None and not call.over:
             call.deadline = deadline
             self.clock.at(deadline, lambda: self._overdue(rid))
-            self._perform(self.balancer.extend(self.clock.now, rid, deadline))
+            self._perform(self.balancer.extend_deadline(self.clock.now, rid, deadline))
 
     def gone(self, rid: str) -> None:
         """Nobody waits for it any more."""
         call = self._calls.get(rid)
         if call is not None and not call.over:
             call.over = True
-            self._perform(self.balancer.gone(self.clock.now, rid))
+            self._perform(self.balancer.cancel_request(self.clock.now, rid))
 
     def _overdue(self, rid: str) -> None:
         call = self._calls.get(rid)
@@ -98,7 +98,7 @@
         if how is Outcome.OK:
             self._end(call, SERVED)
         latency = self.clock.now - call.sent[number]
-        self._perform(self.balancer.outcome(self.clock.now, rid, number, how, latency, call.over))
+        self._perform(self.balancer.finish_attempt(self.clock.now, rid, number, how, latency, call.over))
         if call.over and all(work.over for work in call.works):
             self._calls.pop(rid, None)
 
@@ -116,7 +116,7 @@
                 self._act(action)
 
     def _timer(self, token: int) -> None:
-        self._perform(self.balancer.timer(self.clock.now, token))
+        self._perform(self.balancer.fire_timer(self.clock.now, token))
 
     def _act(self, action: Send | Reject | Fail | Cancel) -> None:
         rid = action.request
--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -191,7 +191,7 @@
             if e["List"] not in self.lists:
                 raise WireFault(f"unknown list number {e['List']}")
             rows = self.lists[e["List"]]
-        out = b.members(now, kind, rows)
+        out = b.update_servers(now, kind, rows)
         if e["ProxyId"] in self.fresh:
             self.fresh.discard(e["ProxyId"])
             out += b.start(now)
@@ -212,7 +212,7 @@
     @staticmethod
     def _returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
         how = OUTCOMES[e["How"]]
-        return b.outcome(
+        return b.finish_attempt(
             now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False)
         )
 
@@ -245,9 +245,9 @@
 HANDLERS: dict[str, Callable[[Balancer, float, dict[str, Any]], list[Action]]] = {
     "Call": Link._call,
     "Returned": Link._returned,
-    "Wake": lambda b, now, e: b.timer(now, e["Tag"]),
-    "Aborted": lambda b, now, e: b.gone(now, e["Ref"]),
-    "Started": lambda b, now, e: b.begun(now, e["Ref"], e.get("RoundNo", 0)),
+    "Wake": lambda b, now, e: b.fire_timer(now, e["Tag"]),
+    "Aborted": lambda b, now, e: b.cancel_request(now, e["Ref"]),
+    "Started": lambda b, now, e: b.begin_response(now, e["Ref"], e.get("RoundNo", 0)),
     "PingResult": lambda b, now, e: [],
     "NeighbourSays": lambda b, now, e: [],
 }
--- a/lugspur/load_balancing/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -99,7 +99,7 @@
         self.retired = False  # another goes on in its place
         self.back: dict[Server, float] = {}  # put back, and when a call is due where none has come
 
-    def adopt(self, now: float, settings: Settings) -> None:
+    def change_settings(self, now: float, settings: Settings) -> None:
         """Go on by other settings, keep what was learned of servers; raises ValueError and changes nothing.
 
         Guards requests that are open: each is judged by the class that it began with, so that one must stand
@@ -131,7 +131,7 @@
 
     # ---- going on in another's place -------------------------------------------------------
 
-    def learned(self, among: Sequence[ServerId] | None = None) -> Learned:
+    def export_learned(self, among: Sequence[ServerId] | None = None) -> Learned:
         """What was learned, but for requests: they end where they began. `among`: of these servers alone."""
         if among is None:
             among = tuple(self.servers)
@@ -164,7 +164,7 @@
             self.paced,
         )
 
-    def recall(self, now: float, learned: Learned) -> None:
+    def import_learned(self, now: float, learned: Learned) -> None:
         """Go on with what another learned; call it once the list is there, before the first request.
 
         A server counts as the same by its name and its start: of one that was restarted nothing holds.
@@ -188,7 +188,7 @@
                 pool.breaker.load(saved.breaker)
         self._resize(now)
 
-    def put_back(self, now: float, server_id: ServerId) -> None:
+    def reinstate(self, now: float, server_id: ServerId) -> None:
         """Operators say that this server may serve again.
 
         Guards it against being left out for long where calls are few: cold servers are drawn seldom. One call
@@ -198,7 +198,7 @@
         if server is not None:
             self.back[server] = now + BACK_FROM + (BACK_TO - BACK_FROM) * self.rng.random()
 
-    def retire(self, on: bool) -> None:
+    def set_superseded(self, on: bool) -> None:
         """Another goes on in its place (or does not): cold servers get their budget from that one alone.
 
         Guards cold servers: two that follow each other are one proxy, and both budgets would add up.
@@ -220,7 +220,7 @@
         self.asking = True
         return [StartTimer(now + delay, SUBSCRIBE)]
 
-    def members(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
+    def update_servers(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
         """A list, a change to it, or the news that a call to discovery failed."""
         if kind is ListUpdateKind.FAILED:
             # Jittered and doubling: every instance lost the same service at the same time.
@@ -378,7 +378,7 @@
             request.counted = on
             self.pool_of[request.kind].owed += 1 if on else -1
 
-    def whole(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+    def complete_body(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
         """The last byte of a partial request has come: its time counts from here.
 
         Guards servers and admission against slow uploads: while one comes nothing runs, so that it says
@@ -393,7 +393,7 @@
             if attempt.open and not request.begun:
                 attempt.since = now
                 attempt.server.out[attempt] = None
-        return self.extend(now, rid, deadline)
+        return self.extend_deadline(now, rid, deadline)
 
     def _finish(self, request: Request, out: list[Action]) -> None:
         request.done = True
@@ -408,7 +408,7 @@
             return []
         return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open and n != spared]
 
-    def extend(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+    def extend_deadline(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
         """Somebody else waits for its answer too, and longer: attempts that are out keep their time."""
         request = self.requests.get(rid)
         if request is not None and not request.done and deadline > request.deadline:
@@ -420,7 +420,7 @@
             request.deadline = deadline
         return []
 
-    def outcome(
+    def finish_attempt(
         self, now: float, rid: RequestId, number: int, how: Outcome, latency: float, last: bool = False
     ) -> list[Action]:
         """An attempt ended; unknown ones are ignored."""
@@ -475,7 +475,7 @@
             # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
             server.learn(now, max(latency, timeout))
 
-    def bind(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def bind_to_attempt(self, now: float, rid: RequestId, number: int) -> list[Action]:
         """A part of a stream has gone to this attempt's server: the request belongs to it."""
         request = self.requests.get(rid)
         if request is None or request.done:
@@ -483,7 +483,7 @@
         request.bound = True
         return self._cancels(request, number)
 
-    def begun(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def begin_response(self, now: float, rid: RequestId, number: int) -> list[Action]:
         """The answer of a stream has begun: the request belongs to this attempt, and waits for nothing.
 
         Guards admission against streams that go on for long: they are no queue that would make others late.
@@ -495,9 +495,9 @@
             # Guards a server that gives a long answer against looking as if it hung.
             for attempt in request.attempts:
                 attempt.server.out.pop(attempt, None)
-        return self.bind(now, rid, number)
+        return self.bind_to_attempt(now, rid, number)
 
-    def gone(self, now: float, rid: RequestId) -> list[Action]:
+    def cancel_request(self, now: float, rid: RequestId) -> list[Action]:
         """The client left; no answer is owed any more."""
         request = self.requests.get(rid)
         out: list[Action] = []
@@ -505,7 +505,7 @@
             self._finish(request, out)
         return out
 
-    def timer(self, now: float, token: int) -> list[Action]:
+    def fire_timer(self, now: float, token: int) -> list[Action]:
         """A timer fell due; stale ones are ignored."""
         if token == SUBSCRIBE and self.asking:
             self.asking = False
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -401,7 +401,7 @@
         self.tries: Counter[str] = Counter()
         self.now = 100.0
         self.rows = [read_row({"Backend": n, "FailureDomain": n % 2, "Hw": n % 2}) for n in range(6)]
-        self.note("members", self.balancer.members(self.now, ListUpdateKind.COMPLETE, self.rows))
+        self.note("members", self.balancer.update_servers(self.now, ListUpdateKind.COMPLETE, self.rows))
         self.note("start", self.balancer.start(self.now))
 
     def note(self, what: str, actions: list[Any]) -> None:
@@ -424,27 +424,29 @@
             if chance < 0.35:
                 del self.open[attempt]
                 how = self.script.choice((*[Outcome.OK] * 7, *Outcome))
-                actions = self.balancer.outcome(self.now, *attempt, how, self.now - sent, how is Outcome.OK)
+                actions = self.balancer.finish_attempt(self.now, *attempt, how, self.now - sent, how is Outcome.OK)
                 self.note("outcome", actions)
 
     def disturb(self, rid: str) -> None:
         balancer, chance = self.balancer, self.script.random()
         if chance < 0.2:
-            self.note("whole", balancer.whole(self.now, rid, self.now + 2.0))
+            self.note("whole", balancer.complete_body(self.now, rid, self.now + 2.0))
         elif chance < 0.4:
-            self.note("extend", balancer.extend(self.now, rid, self.now + 4.0))
+            self.note("extend", balancer.extend_deadline(self.now, rid, self.now + 4.0))
         elif chance < 0.5:
-            self.note("bind", balancer.bind(self.now, rid, 0))
+            self.note("bind", balancer.bind_to_attempt(self.now, rid, 0))
         elif chance < 0.6:
-            self.note("begun", balancer.begun(self.now, rid, 0))
+            self.note("begun", balancer.begin_response(self.now, rid, 0))
         elif chance < 0.65:
-            self.note("gone", balancer.gone(self.now, rid))
+            self.note("gone", balancer.cancel_request(self.now, rid))
         elif chance < 0.7:
             row = self.rows[self.script.randrange(6)]
-            self.note("members", balancer.members(self.now, ListUpdateKind.PATCH, [replace(row, started_at=self.now)]))
-            balancer.put_back(self.now, row.server)
+            self.note(
+                "members", balancer.update_servers(self.now, ListUpdateKind.PATCH, [replace(row, started_at=self.now)])
+            )
+            balancer.reinstate(self.now, row.server)
         elif chance < 0.75:
-            balancer.retire(self.script.random() < 0.5)
+            balancer.set_superseded(self.script.random() < 0.5)
 
     def play(self, requests: int, rate: float) -> None:
         for number in range(requests):
@@ -457,22 +459,22 @@
         self.now += 1.0
         for attempt, sent in list(self.open.items()):
             del self.open[attempt]
-            actions = self.balancer.outcome(self.now, *attempt, Outcome.CANCELLED, self.now - sent, False)
+            actions = self.balancer.finish_attempt(self.now, *attempt, Outcome.CANCELLED, self.now - sent, False)
             self.note("outcome", actions)
         for rid in self.tries:
-            self.note("gone", self.balancer.gone(self.now, rid))
+            self.note("gone", self.balancer.cancel_request(self.now, rid))
 
     def replace_settings(self) -> None:
         classes = self.settings.classes
         self.settings = replace(self.settings, classes=(replace(classes[0], allowed_zones=(0,)), *classes[1:]))
-        self.balancer.adopt(self.now, self.settings)
+        self.balancer.change_settings(self.now, self.settings)
 
     def replace_instance(self) -> None:
-        learned = self.balancer.learned()
+        learned = self.balancer.export_learned()
         self.lines.append(f"learned {plain(astuple(learned))}")
         self.balancer = Balancer(self.settings, 5)
-        self.note("members", self.balancer.members(self.now, ListUpdateKind.COMPLETE, self.rows))
-        self.balancer.recall(self.now, learned)
+        self.note("members", self.balancer.update_servers(self.now, ListUpdateKind.COMPLETE, self.rows))
+        self.balancer.import_learned(self.now, learned)
 
 
 def test_decisions_of_a_fixed_seed_beyond_the_wire() -> None:
@@ -491,7 +493,7 @@
     # dataclasses.asdict of these goes to the file of the daemon's state and to the process that takes over.
     day = Embedding(3)
     day.play(40, 40.0)
-    learned = asdict(day.balancer.learned())
+    learned = asdict(day.balancer.export_learned())
     assert list(learned) == ["servers", "pools", "pooled", "pace", "paced"]
     server = ["server", "started", "latency", "seen", "downs", "down_until", "cold_credit", "cold_seen", "breaker"]
     assert list(learned["servers"][0]) == server
--- a/tests/daemon/hot_restart/test_process_state.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -29,15 +29,15 @@
 def learned() -> Learned:
     """What an instance has after some calls."""
     balancer = Balancer(Settings(), 1)
-    balancer.members(
+    balancer.update_servers(
         10.0, ListUpdateKind.COMPLETE, [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
     )
     for number in range(40):
         for action in balancer.request(10.0 + number, str(number)):
             if isinstance(action, Send):
                 how = Outcome.ERROR if number % 7 == 0 else Outcome.OK
-                balancer.outcome(10.2 + number, str(number), 0, how, 0.2)
-    return balancer.learned()
+                balancer.finish_attempt(10.2 + number, str(number), 0, how, 0.2)
+    return balancer.export_learned()
 
 
 LEARNED = learned()
@@ -140,14 +140,14 @@
     rows = [ServerRow(server_id(f"s-{n}"), started_at=float(n)) for n in range(3)]
     rows[2] = replace(rows[2], started_at=99.0)
     balancer = Balancer(Settings(), 2)
-    balancer.members(60.0, ListUpdateKind.STALE, rows)
-    balancer.recall(60.0, LEARNED)
-    again = {row.server: row for row in balancer.learned().servers}
+    balancer.update_servers(60.0, ListUpdateKind.STALE, rows)
+    balancer.import_learned(60.0, LEARNED)
+    again = {row.server: row for row in balancer.export_learned().servers}
     before = {row.server: row for row in LEARNED.servers}
     assert again[rows[0].server] == before[rows[0].server]
     assert again[rows[1].server] == before[rows[1].server]
     assert again[rows[2].server].latency == 0.0
-    assert balancer.learned().pools == LEARNED.pools
+    assert balancer.export_learned().pools == LEARNED.pools
     assert (balancer.pooled, balancer.pace, balancer.paced) == (LEARNED.pooled, LEARNED.pace, LEARNED.paced)
 
 
@@ -158,15 +158,15 @@
 
     def served(retired: bool) -> set[int]:
         balancer = Balancer(settings, 3)
-        balancer.members(101.0, ListUpdateKind.COMPLETE, [cold, warm])
-        balancer.retire(retired)
+        balancer.update_servers(101.0, ListUpdateKind.COMPLETE, [cold, warm])
+        balancer.set_superseded(retired)
         got = set()
         for number in range(300):
             now = 101.0 + number / 10.0
             for action in balancer.request(now, str(number)):
                 if isinstance(action, Send):
                     got.add(action.server)
-                    balancer.outcome(now, str(number), 0, Outcome.OK, 0.01)
+                    balancer.finish_attempt(now, str(number), 0, Outcome.OK, 0.01)
         return got
 
     assert served(False) == {1, 2}
--- a/tests/daemon/persistence/kept.py
+++ b/tests/daemon/persistence/kept.py
@@ -36,7 +36,7 @@
 def taught(rows: list[Endpoint], now: float = 1000.0, slow: int = 0, bad: int = 0, rounds: int = 60) -> Balancer:
     """A module that has met boxes of which the first are slow and the next ones fail."""
     balancer = Balancer(SETTINGS, 7)
-    balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
+    balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     names = [row.row.server for row in rows]
     for number in range(rounds):
         at = now + 0.02 * number
@@ -45,7 +45,7 @@
             place = names.index(send.server)
             took = 0.3 if place < slow else 0.01
             how = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
-            actions = balancer.outcome(at + took, f"r{number}", send_number(balancer, f"r{number}"), how, took)
+            actions = balancer.finish_attempt(at + took, f"r{number}", send_number(balancer, f"r{number}"), how, took)
     return balancer
 
 
@@ -58,7 +58,7 @@
 ) -> bytes:
     """A whole file of one pool."""
     rows = endpoints() if rows is None else rows
-    learned = taught(rows).learned() if learned is None else learned
+    learned = taught(rows).export_learned() if learned is None else learned
     facts = [fact("pool", name, {"at": written})]
     facts += (fact("backend", name, state_codec.encode_endpoint(row)) for row in rows)
     facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -22,7 +22,7 @@
 
 
 def kept(rows: list[Endpoint], **more: int) -> Pool:
-    return Pool(AT, rows, taught(rows, **more).learned())
+    return Pool(AT, rows, taught(rows, **more).export_learned())
 
 
 def test_an_age_is_known_only_where_clocks_are_steady() -> None:
@@ -95,9 +95,9 @@
 ) -> Counter[int]:
     """What a module that begins with this sends, by the boxes' places; the first are slow, the next ones fail."""
     balancer = Balancer(SETTINGS, seed)
-    balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
+    balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     if learned is not None:
-        balancer.recall(now, learned)
+        balancer.import_learned(now, learned)
     names, sent = [row.row.server for row in rows], Counter[int]()
     for number in range(count):
         at, rid = now + 0.02 * number, f"q{number}"
@@ -107,7 +107,7 @@
             sent[place] += 1
             took = 0.3 if place < slow else 0.01
             how = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
-            actions = balancer.outcome(at + took, rid, send_number(balancer, rid), how, took)
+            actions = balancer.finish_attempt(at + took, rid, send_number(balancer, rid), how, took)
     return sent
 
 
@@ -147,18 +147,18 @@
         for name, known in (("none", None), ("fresh", learned)):
             balancer = Balancer(replace(SETTINGS, rules=rules), seed)
             now = AT + 5.0
-            balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
+            balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
             if known is not None:
-                balancer.recall(now, known)
+                balancer.import_learned(now, known)
             young = replace(rows[0].row, started_at=now - 0.5)  # the first list that is told
-            balancer.members(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
+            balancer.update_servers(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
                 at, rid = now + 0.02 * number, f"q{number}"
                 for action in balancer.request(at, rid, deadline=at + 1.0):
                     if isinstance(action, Send):
                         sent[name] += action.server == young.server
-                        balancer.outcome(at + 0.01, rid, 0, Outcome.OK, 0.01)
+                        balancer.finish_attempt(at + 0.01, rid, 0, Outcome.OK, 0.01)
     assert sent["fresh"] <= sent["none"] + 30  # one call for each start: its budget is no larger
     assert sent["fresh"] < 30 * 60 / 6  # less than a warm box's part
 
@@ -168,8 +168,8 @@
     learned = aged(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
-    balancer.recall(AT + 1.0, learned)
+    balancer.update_servers(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
+    balancer.import_learned(AT + 1.0, learned)
     assert [server.latency for server in balancer.servers.values()] == [0.0]
     assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
 
@@ -182,9 +182,9 @@
     taken = {}
     for name, known in (("none", None), ("kept", learned)):
         balancer = Balancer(SETTINGS, 1)
-        balancer.members(AT + age, ListUpdateKind.STALE, [row.row for row in rows])
+        balancer.update_servers(AT + age, ListUpdateKind.STALE, [row.row for row in rows])
         if known is not None:
-            balancer.recall(AT + age, known)
+            balancer.import_learned(AT + age, known)
         now = AT + age
         taken[name] = sum(
             isinstance(balancer.request(now + 0.001 * n, f"q{n}", deadline=now + 1.0)[0], Send) for n in range(40)
--- a/tests/daemon/persistence/test_file.py
+++ b/tests/daemon/persistence/test_file.py
@@ -19,7 +19,7 @@
 
 def test_what_is_written_is_read_as_it_was() -> None:
     rows = endpoints(5)
-    learned = taught(rows, slow=2, bad=1).learned()
+    learned = taught(rows, slow=2, bad=1).export_learned()
     found = read(text(1234.5, rows, learned))
     assert found.written == 1234.5
     pool = found.pools["channel"]
--- a/tests/daemon/test_same_decisions.py
+++ b/tests/daemon/test_same_decisions.py
@@ -61,20 +61,20 @@
         actions = super().request(now, rid, kind, tenant, now + 20.0, cost, retry, partial)
         return self._note("request", (rid, kind), actions)
 
-    def outcome(
+    def finish_attempt(
         self, now: float, rid: str, number: int, how: Outcome, latency: float, last: bool = False
     ) -> list[Action]:
-        actions = super().outcome(self._tick(), rid, number, how, STEP, last)
+        actions = super().finish_attempt(self._tick(), rid, number, how, STEP, last)
         return self._note("outcome", (rid, number, how, last), actions)
 
-    def bind(self, now: float, rid: str, number: int) -> list[Action]:
-        return self._note("bind", (rid, number), super().bind(self._tick(), rid, number))
+    def bind_to_attempt(self, now: float, rid: str, number: int) -> list[Action]:
+        return self._note("bind", (rid, number), super().bind_to_attempt(self._tick(), rid, number))
 
-    def begun(self, now: float, rid: str, number: int) -> list[Action]:
-        return self._note("begun", (rid, number), super().begun(self._tick(), rid, number))
+    def begin_response(self, now: float, rid: str, number: int) -> list[Action]:
+        return self._note("begun", (rid, number), super().begin_response(self._tick(), rid, number))
 
-    def gone(self, now: float, rid: str) -> list[Action]:
-        return self._note("gone", (rid,), super().gone(self._tick(), rid))
+    def cancel_request(self, now: float, rid: str) -> list[Action]:
+        return self._note("gone", (rid,), super().cancel_request(self._tick(), rid))
 
 
 TRACED: list[Traced] = []
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -73,7 +73,7 @@
             self.rows = {r.server: r for r in rows}
         elif kind is ListUpdateKind.PATCH:
             self.rows.update({r.server: r for r in rows})
-        self.apply(self.balancer.members(self.now, kind, rows))
+        self.apply(self.balancer.update_servers(self.now, kind, rows))
 
     def request(self, kind: int, wait: float, tenant: int = 0) -> str:
         self.count += 1
@@ -93,19 +93,19 @@
         if (how is Outcome.OK or owed.begun) and not owed.ended:
             owed.finals += 1
             owed.ended = True
-        self.apply(self.balancer.outcome(self.now, rid, number, how, self.now - attempt.sent, owed.ended))
+        self.apply(self.balancer.finish_attempt(self.now, rid, number, how, self.now - attempt.sent, owed.ended))
 
     def leave(self, rid: str) -> None:
         owed = self.owed[rid]
         if not owed.ended:
             owed.ended = True
             owed.finals += 1  # nothing is owed any more
-        self.apply(self.balancer.gone(self.now, rid))
+        self.apply(self.balancer.cancel_request(self.now, rid))
 
     def begin(self, rid: str, number: int) -> None:
         """The answer has begun as a stream: it belongs to one attempt and knows no deadline."""
         owed = self.owed[rid]
-        self.apply(self.balancer.begun(self.now, rid, number))
+        self.apply(self.balancer.begin_response(self.now, rid, number))
         owed.begun = True
         owed.tries[number].until = owed.deadline = float("inf")
 
@@ -121,7 +121,7 @@
             self.now = max(self.now, at)
             if what:
                 self.timers.remove((at, n))
-                self.apply(self.balancer.timer(self.now, n))
+                self.apply(self.balancer.fire_timer(self.now, n))
             else:
                 self.end(rid, n, Outcome.TIMEOUT)
         self.now = target
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -235,7 +235,7 @@
         seen.append(given)
         return []
 
-    for name in ("request", "outcome"):
+    for name in ("request", "finish_attempt"):
         monkeypatch.setattr(Balancer, name, note)
     link = adapter.Link()
     for event in opened(0):
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -29,7 +29,7 @@
 
 def balancer(*classes: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=classes), seed=1)
-    one.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
+    one.update_servers(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     return one
 
 
@@ -37,8 +37,10 @@
     one = balancer(READ)
     [send] = one.request(1.0, "a")
     assert isinstance(send, Send)
-    one.outcome(1.2, "a", 0, Outcome.OK, 0.2, True)
-    one.adopt(2.0, Settings(classes=(replace(READ, latency_target=0.5), BOOK), tenants=(Tenant("t", quota=3.0),)))
+    one.finish_attempt(1.2, "a", 0, Outcome.OK, 0.2, True)
+    one.change_settings(
+        2.0, Settings(classes=(replace(READ, latency_target=0.5), BOOK), tenants=(Tenant("t", quota=3.0),))
+    )
     assert one.servers[send.server].latency == 0.2 and one.paced == 1
     [again] = one.request(2.0, "b", kind=1, tenant=0)
     assert isinstance(again, Send)
@@ -48,11 +50,11 @@
     one = balancer(BOOK)
     one.request(1.0, "a")
     with pytest.raises(ValueError, match=r"classes\[0\]: a request of it is open"):
-        one.adopt(1.1, Settings(classes=(READ,)))
-    one.adopt(1.1, Settings(classes=(BOOK, READ)))
-    [fail] = one.outcome(1.2, "a", 0, Outcome.INTERRUPTED, 0.2)
+        one.change_settings(1.1, Settings(classes=(READ,)))
+    one.change_settings(1.1, Settings(classes=(BOOK, READ)))
+    [fail] = one.finish_attempt(1.2, "a", 0, Outcome.INTERRUPTED, 0.2)
     assert isinstance(fail, Fail)
-    one.adopt(1.3, Settings(classes=(READ,)))  # now nothing stands against it
+    one.change_settings(1.3, Settings(classes=(READ,)))  # now nothing stands against it
 
 
 def test_the_retry_budget_goes_on_with_what_was_spent() -> None:
@@ -60,9 +62,9 @@
     for number in range(30):
         rid = f"r{number}"
         one.request(1.0, rid)
-        one.outcome(1.0, rid, 0, Outcome.INTERRUPTED, 0.0)
+        one.finish_attempt(1.0, rid, 0, Outcome.INTERRUPTED, 0.0)
     spent = len(one.budget._extra)
-    one.adopt(
+    one.change_settings(
         1.0, replace(one.settings, classes=(replace(READ, latency_target=0.9),)) if not one.requests else one.settings
     )
     assert len(one.budget._extra) == spent > 0
@@ -70,18 +72,18 @@
 
 def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
     one = balancer(READ)
-    one.members(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, host_type=7)])
+    one.update_servers(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, host_type=7)])
     one.request(1.0, "free")
     bound = replace(READ, allowed_host_types=(7,))
     before = one.pool_of[0]
-    one.adopt(1.0, Settings(classes=(READ, bound)))
+    one.change_settings(1.0, Settings(classes=(READ, bound)))
     assert one.pool_of[0] is before and before.owed == 1
     for number in range(10):
         [send] = one.request(1.1, f"r{number}", 1)
         assert isinstance(send, Send) and send.server == 2
-    one.outcome(1.2, "free", 0, Outcome.OK, 0.1)
+    one.finish_attempt(1.2, "free", 0, Outcome.OK, 0.1)
     assert before.owed == 0 and one.pool_of[1].owed == 10
-    one.adopt(1.3, Settings(classes=(READ, bound)))
+    one.change_settings(1.3, Settings(classes=(READ, bound)))
     assert len(one.pools) == 2
 
 
@@ -89,16 +91,16 @@
     one = balancer(READ)
     for rid in ("bound", "begun"):
         one.request(1.0, rid)
-    one.bind(1.1, "bound", 0)
-    one.begun(1.1, "begun", 0)
-    one.begun(1.2, "begun", 0)
+    one.bind_to_attempt(1.1, "bound", 0)
+    one.begin_response(1.1, "begun", 0)
+    one.begin_response(1.2, "begun", 0)
     assert one.pool_of[0].owed == 1
     for rid in ("bound", "begun"):
-        assert [type(action) for action in one.outcome(1.3, rid, 0, Outcome.INTERRUPTED, 0.3)] == [
+        assert [type(action) for action in one.finish_attempt(1.3, rid, 0, Outcome.INTERRUPTED, 0.3)] == [
             Reject
         ]  # safe: no harm
     assert one.pool_of[0].owed == 0 and not one.requests
-    assert one.bind(1.4, "bound", 0) == [] and one.begun(1.4, "begun", 0) == []
+    assert one.bind_to_attempt(1.4, "bound", 0) == [] and one.begin_response(1.4, "begun", 0) == []
 
 
 CLASSES = st.lists(
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -91,7 +91,7 @@
 
 def ready() -> Balancer:
     made = Balancer(Settings(), 1)
-    made.members(1.0, ListUpdateKind.STALE, [ServerRow(1), ServerRow(2)])
+    made.update_servers(1.0, ListUpdateKind.STALE, [ServerRow(1), ServerRow(2)])
     return made
 
 
@@ -128,13 +128,13 @@
 def test_events_for_unknown_or_ended_requests_are_ignored() -> None:
     b = ready()
     assert isinstance(b.request(2.0, "r")[0], Send)
-    b.outcome(2.1, "r", 0, Outcome.OK, 0.1, True)
+    b.finish_attempt(2.1, "r", 0, Outcome.OK, 0.1, True)
     for rid in ("r", "never"):
-        assert b.outcome(3.0, rid, 0, Outcome.OK, 0.1) == []
-        assert b.outcome(3.0, rid, 7, Outcome.ERROR, 0.1) == []
-        assert b.gone(3.0, rid) == []
-        assert b.begun(3.0, rid, 0) == []
-    assert b.timer(3.0, 999) == []
+        assert b.finish_attempt(3.0, rid, 0, Outcome.OK, 0.1) == []
+        assert b.finish_attempt(3.0, rid, 7, Outcome.ERROR, 0.1) == []
+        assert b.cancel_request(3.0, rid) == []
+        assert b.begin_response(3.0, rid, 0) == []
+    assert b.fire_timer(3.0, 999) == []
 
 
 @pytest.mark.parametrize(
@@ -143,13 +143,13 @@
 )
 def test_nowhere_to_send(rows: list[ServerRow]) -> None:
     b = Balancer(Settings(), 1)
-    b.members(1.0, ListUpdateKind.STALE, rows)
+    b.update_servers(1.0, ListUpdateKind.STALE, rows)
     assert b.request(2.0, "r") == [Reject("r")]
 
 
 def test_all_cold_answers_every_request() -> None:
     b = Balancer(Settings(), 1)
-    b.members(100.0, ListUpdateKind.STALE, [ServerRow(i, started_at=100.0) for i in range(4)])
+    b.update_servers(100.0, ListUpdateKind.STALE, [ServerRow(i, started_at=100.0) for i in range(4)])
     for n in range(50):
         [action] = b.request(100.0 + n / 100, f"r{n}")
         assert isinstance(action, Send | Reject | Fail)
--- a/tests/test_extend.py
+++ b/tests/test_extend.py
@@ -20,37 +20,37 @@
 
 def balancer(row: RequestClass) -> Balancer:
     one = Balancer(Settings(classes=(row,)), seed=1)
-    one.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
+    one.update_servers(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     return one
 
 
 def test_a_further_attempt_may_be_sent_in_the_time_that_was_added() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=1.1)
-    one.extend(1.05, "a", 3.0)
-    [again] = one.outcome(1.2, "a", 0, Outcome.TIMEOUT, 0.2)
+    one.extend_deadline(1.05, "a", 3.0)
+    [again] = one.finish_attempt(1.2, "a", 0, Outcome.TIMEOUT, 0.2)
     assert isinstance(again, Send) and again.timeout == 0.0  # until the caller gives up
 
 
 def test_without_it_that_is_the_end() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=1.1)
-    assert one.outcome(1.2, "a", 0, Outcome.TIMEOUT, 0.2) == [Reject("a")]
+    assert one.finish_attempt(1.2, "a", 0, Outcome.TIMEOUT, 0.2) == [Reject("a")]
 
 
 def test_where_late_answers_are_worth_little_the_aim_of_who_joins_counts() -> None:
     one = balancer(EAGER)
     [first] = one.request(1.0, "a", deadline=4.0)
     assert isinstance(first, Send) and abs(first.timeout - 0.392) < 1e-6
-    one.extend(1.1, "a", 4.5)
-    [again] = one.outcome(1.4, "a", 0, Outcome.TIMEOUT, 0.4)
+    one.extend_deadline(1.1, "a", 4.5)
+    [again] = one.finish_attempt(1.4, "a", 0, Outcome.TIMEOUT, 0.4)
     assert isinstance(again, Send) and abs(again.timeout - 0.092) < 1e-6
 
 
 def test_no_time_is_taken_away_and_what_is_over_stays_over() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=3.0)
-    assert one.extend(1.1, "a", 2.0) == [] and one.requests["a"].deadline == 3.0
-    assert one.extend(1.1, "b", 2.0) == []
-    one.outcome(1.2, "a", 0, Outcome.OK, 0.2, last=True)
-    assert one.extend(1.3, "a", 9.0) == [] and not one.requests
+    assert one.extend_deadline(1.1, "a", 2.0) == [] and one.requests["a"].deadline == 3.0
+    assert one.extend_deadline(1.1, "b", 2.0) == []
+    one.finish_attempt(1.2, "a", 0, Outcome.OK, 0.2, last=True)
+    assert one.extend_deadline(1.3, "a", 9.0) == [] and not one.requests
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
     made = []
     for me in range(count):
         balancer = Balancer(replace(UNSAFE, instance_count=count, instance_index=me), seed * 1000 + me)
-        balancer.members(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
+        balancer.update_servers(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
         made.append(balancer)
     return made
 
@@ -31,7 +31,7 @@
         if actions[0].server not in dead:
             ends.append((now + 0.3, rid, vain))
             return vain
-        actions = balancer.outcome(now, rid, vain, Outcome.UNREACHABLE, 0.0)
+        actions = balancer.finish_attempt(now, rid, vain, Outcome.UNREACHABLE, 0.0)
         vain += 1
     return vain
 
@@ -40,7 +40,7 @@
     served = 0
     while ends and ends[0][0] <= now:
         at, rid, number = ends.pop(0)
-        balancer.outcome(at, rid, number, Outcome.OK, 0.3, last=True)
+        balancer.finish_attempt(at, rid, number, Outcome.OK, 0.3, last=True)
         served += 1
     return served
 
@@ -74,14 +74,14 @@
     [balancer] = fleet(1, 1, 4)
     for rid in ("hangs", "dials"):
         balancer.request(1.0, rid, deadline=2.0)
-    balancer.outcome(1.1, "dials", 0, Outcome.UNREACHABLE, 0.1)
+    balancer.finish_attempt(1.1, "dials", 0, Outcome.UNREACHABLE, 0.1)
     [server] = balancer.servers.values()
     until = server.down_until
     assert until > 1.1
-    balancer.outcome(1.2, "hangs", 0, Outcome.TIMEOUT, 0.2)
+    balancer.finish_attempt(1.2, "hangs", 0, Outcome.TIMEOUT, 0.2)
     assert server.down_until == until
     balancer.request(1.3, "answered", deadline=2.0)
-    balancer.outcome(1.4, "answered", 0, Outcome.OK, 0.1, last=True)
+    balancer.finish_attempt(1.4, "answered", 0, Outcome.OK, 0.1, last=True)
     assert server.down_until == 0.0
 
 
@@ -93,12 +93,14 @@
         ask(balancer, 101.0 + n * 0.05, f"d{n}", frozenset({0}), ends)
     now = 112.0
     serve(balancer, now, ends)
-    balancer.members(now, ListUpdateKind.PATCH, [ServerRow(0, started_at=now - 50.0)])  # another process, warm already
+    balancer.update_servers(
+        now, ListUpdateKind.PATCH, [ServerRow(0, started_at=now - 50.0)]
+    )  # another process, warm already
     for n in range(20):
         actions = balancer.request(now, f"u{n}", deadline=now + 1.0)
         assert isinstance(actions[0], Send)
         seen.add(actions[0].server)
-        balancer.outcome(now, f"u{n}", 0, Outcome.OK, 0.3, last=True)
+        balancer.finish_attempt(now, f"u{n}", 0, Outcome.OK, 0.3, last=True)
     assert seen == {0, 1}
 
 
@@ -110,10 +112,10 @@
     taken = []
     for me in range(balancers):
         balancer = Balancer(replace(FRONT, instance_count=balancers, instance_index=me), me)
-        balancer.members(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
+        balancer.update_servers(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
         for n in range(8):
             balancer.request(1.0 + n, f"w{n}", deadline=2.0 + n)
-            balancer.outcome(1.1 + n, f"w{n}", 0, Outcome.OK, 0.1, last=True)
+            balancer.finish_attempt(1.1 + n, f"w{n}", 0, Outcome.OK, 0.1, last=True)
         sent = [balancer.request(9.0, f"b{n}", deadline=10.0) for n in range(size)]
         taken.append(sum(isinstance(actions[0], Send) for actions in sent))
     return taken[0], sum(taken)
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -31,7 +31,7 @@
 
 def balancer(settings: Settings, rows: list[ServerRow] = ROWS) -> Balancer:
     made = Balancer(settings, 1)
-    made.members(100.0, ListUpdateKind.STALE, rows)
+    made.update_servers(100.0, ListUpdateKind.STALE, rows)
     made.start(100.0)
     return made
 
@@ -40,7 +40,7 @@
     b = balancer(Settings(classes=(SAFE,)))
     [send] = b.request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(0.98)
-    [answer] = b.outcome(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
+    [answer] = b.finish_attempt(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
     assert isinstance(answer, Reject)
 
 
@@ -57,7 +57,7 @@
     for n, length in enumerate(lengths):
         now = 200.0 + n
         out.append(type(b.request(now, f"t{n}", 0, 0, now + length)[0]))
-        b.outcome(now + 0.01, f"t{n}", 0, Outcome.OK, 0.01, True)
+        b.finish_attempt(now + 0.01, f"t{n}", 0, Outcome.OK, 0.01, True)
     return out
 
 
@@ -91,7 +91,7 @@
     shares = dict.fromkeys(range(1, servers + 1), 0.0)
     for me in range(balancers):
         b = Balancer(Settings(classes=(SAFE,), instance_count=balancers, instance_index=me), me)
-        b.members(100.0, ListUpdateKind.STALE, [ServerRow(i) for i in shares])
+        b.update_servers(100.0, ListUpdateKind.STALE, [ServerRow(i) for i in shares])
         begin, width = b.pools[0].begin, b.pools[0].width
         for server, end in zip(b.pools[0].working, b.pools[0].ends, strict=True):
             low = max(begin, end - 1.0)
@@ -134,7 +134,7 @@
     for n in range(400):  # 100 a second, each served at once
         now += 0.01
         b.request(now, f"w{n}", 1, 0, now + 4.0)
-        b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
+        b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
     refused = {0: 0, 1: 0}
     for n in range(120):  # then nothing comes back any more
         now += 0.001
@@ -164,7 +164,7 @@
     for n in range(8):  # one call a second, all lost
         now += 1.0
         if isinstance(b.request(now, f"r{n}", 1, 0, now + 4.0)[0], Send):
-            b.outcome(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
+            b.finish_attempt(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
     answers = [b.request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
     later = b.request(now + 60.0, "t", 0, 0, now + 64.0)[0]
     assert any(isinstance(a, Reject) for a in answers)
@@ -181,7 +181,7 @@
         now += 0.02
         b.request(now, f"b{n}", 1, 0, now + 4.0)
         b.request(now, f"f{n}", 0, 0, now + 4.0)
-        b.outcome(now, f"f{n}", 0, Outcome.OK, 0.1, True)
+        b.finish_attempt(now, f"f{n}", 0, Outcome.OK, 0.1, True)
     assert isinstance(b.request(now, "bound", 1, 0, now + 4.0)[0], Reject)
     assert isinstance(b.request(now, "free", 0, 0, now + 4.0)[0], Send)
 
@@ -192,7 +192,7 @@
     for n in range(400):
         now += 0.02
         b.request(now, f"w{n}", 0, tenant, now + 4.0)
-        b.outcome(now, f"w{n}", 0, Outcome.OK if n % 5 else fifth, 0.1)
+        b.finish_attempt(now, f"w{n}", 0, Outcome.OK if n % 5 else fifth, 0.1)
     return now
 
 
@@ -228,8 +228,8 @@
         actions = b.request(now, f"r{n}", 0, 0, now + 4.0)
         if isinstance(actions[0], Send):
             sent += 1
-            b.outcome(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
-            b.gone(now + 0.2, f"r{n}")
+            b.finish_attempt(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
+            b.cancel_request(now + 0.2, f"r{n}")
         for server in b.servers.values():
             server.breaker = None  # as if it had not been seen before
     assert (sent < 14) is (protection == 1.0)
@@ -241,7 +241,7 @@
     for n in range(50):
         now += 1.0
         b.request(now, f"r{n}", 0, 0, now + 4.0, 0.1)
-        b.outcome(now + 0.2, f"r{n}", 0, Outcome.OK, 0.2, True)
+        b.finish_attempt(now + 0.2, f"r{n}", 0, Outcome.OK, 0.2, True)
     assert isinstance(b.request(now + 1.0, "heavy", 0, 0, now + 5.0, 5.0)[0], Reject)
     assert isinstance(b.request(now + 1.0, "light", 0, 0, now + 5.0, 0.1)[0], Send)
 
@@ -250,7 +250,7 @@
     b = balancer(Settings(classes=(SAFE,)))
     for n in range(3):  # 90 times their cost: they stood in a queue
         b.request(100.0 + n, f"r{n}", 0, 0, 104.0 + n, 0.01)
-        b.outcome(100.9 + n, f"r{n}", 0, Outcome.OK, 0.9, True)
+        b.finish_attempt(100.9 + n, f"r{n}", 0, Outcome.OK, 0.9, True)
     assert isinstance(b.request(110.0, "s", 0, 0, 114.0, 0.1)[0], Send)
 
 
@@ -269,7 +269,7 @@
     for _ in range(200):
         b._spares_cold(100.0, server, b.pools[0])
     assert server.cold_seen > 0.0
-    b.members(500.0, ListUpdateKind.PATCH, [ServerRow(1, started_at=499.0)])
+    b.update_servers(500.0, ListUpdateKind.PATCH, [ServerRow(1, started_at=499.0)])
     assert (server.cold_seen, server.cold_credit) == (0.0, 0.0)
     while server.cold_seen <= 0.0:
         b._spares_cold(500.0, server, b.pools[0])
@@ -278,14 +278,14 @@
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, weight=2.0, started_at=99.0), ServerRow(2)])
-    b.members(101.0, ListUpdateKind.COMPLETE, [ServerRow(2)])
+    b.update_servers(101.0, ListUpdateKind.COMPLETE, [ServerRow(2)])
     assert b.servers[1].row == ServerRow(1, ServerState.GONE, weight=2.0, started_at=99.0)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
     b = balancer(Settings(classes=(DEAR,), limits=Limits(max_attempts=4)))
     b.request(100.0, "r", 0, 0, 104.0)
-    assert b.outcome(100.98, "r", 0, Outcome.TIMEOUT, 0.98) == [Fail("r")]
+    assert b.finish_attempt(100.98, "r", 0, Outcome.TIMEOUT, 0.98) == [Fail("r")]
 
 
 def test_the_rest_of_the_list_stands_in_for_a_dead_slice() -> None:
@@ -296,12 +296,12 @@
         now = 100.0 + n / 10
         sends = b.request(now, f"r{n}", 0, 0, now + 4.0)
         if isinstance(sends[0], Send) and sends[0].server == own.row.server:
-            [again] = b.outcome(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
+            [again] = b.finish_attempt(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
             assert not isinstance(again, Send) or again.server != own.row.server
             if isinstance(again, Send):
-                b.outcome(now + 0.02, f"r{n}", 1, Outcome.OK, 0.01, True)
+                b.finish_attempt(now + 0.02, f"r{n}", 1, Outcome.OK, 0.01, True)
         elif isinstance(sends[0], Send):
-            b.outcome(now + 0.02, f"r{n}", 0, Outcome.OK, 0.01, True)
+            b.finish_attempt(now + 0.02, f"r{n}", 0, Outcome.OK, 0.01, True)
     used = {s.row.server for s in b.servers.values() if s.breaker is not None}
     assert len(used) > 8
 
@@ -312,14 +312,14 @@
     for n in range(250):
         now += 0.02
         b.request(now, f"w{n}", 0, 0, now + 4.0)
-        b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
+        b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
     sent: dict[str, float] = {}
     for n in range(500):  # ten seconds in which every attempt ends by its time-out alone
         now += 0.02
         for rid, until in list(sent.items()):
             if until <= now:
                 del sent[rid]
-                b.outcome(now, rid, 0, Outcome.TIMEOUT, 0.98)
+                b.finish_attempt(now, rid, 0, Outcome.TIMEOUT, 0.98)
         if isinstance(b.request(now, f"x{n}", 0, 0, now + 4.0)[0], Send):
             sent[f"x{n}"] = now + 0.98
     tried = sum(isinstance(b.request(now, f"y{n}", 0, 0, now + 4.0)[0], Send) for n in range(2))
@@ -331,14 +331,14 @@
     b = balancer(Settings(classes=(SAFE,), instance_count=20), rows)
     [own] = b.pools[0].working
     cold = [ServerRow(i, started_at=100.0) for i in range(1, 21) if i != own.row.server]
-    b.members(100.1, ListUpdateKind.PATCH, cold)
+    b.update_servers(100.1, ListUpdateKind.PATCH, cold)
     assert b.pools[0].working == [own]
     for n in range(60):
         now = 100.2 + n / 20
         for action in b.request(now, f"r{n}", 0, 0, now + 4.0):
             assert not isinstance(action, Send) or action.server == own.row.server
             if isinstance(action, Send):
-                b.outcome(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
+                b.finish_attempt(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
 
 
 def test_refused_clients_that_come_back_do_not_fill_a_cold_budget() -> None:
@@ -351,10 +351,10 @@
         for n in range(400):
             now += 0.01
             if isinstance(b.request(now, f"w{n}", 0, 0, now + 4.0)[0], Send):
-                b.outcome(now, f"w{n}", 0, Outcome.OK, 0.1, True)
+                b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
             for k in range(refused):
                 b.request(now, f"p{n}_{k}", 0, 0, now)
-        b.members(now, ListUpdateKind.PATCH, [ServerRow(1, started_at=now)])
+        b.update_servers(now, ListUpdateKind.PATCH, [ServerRow(1, started_at=now)])
         server = b.servers[1]
         while server.cold_seen <= 0.0:
             b._spares_cold(now, server, b.pools[0])
@@ -384,7 +384,7 @@
 def test_a_failure_costs_a_time_out_in_the_pick() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.request(100.0, "r", 0, 0, 104.0)
-    b.outcome(100.001, "r", 0, Outcome.ERROR, 0.001)
+    b.finish_attempt(100.001, "r", 0, Outcome.ERROR, 0.001)
     assert b.servers[1].latency == pytest.approx(1.0)
 
 
@@ -392,7 +392,7 @@
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.pooled = 0.1
     b.request(100.0, "r", 0, 0, 104.0)
-    b.outcome(100.9, "r", 0, Outcome.OK, 0.9, True)
+    b.finish_attempt(100.9, "r", 0, Outcome.OK, 0.9, True)
     breaker = b.servers[1].breaker
     assert breaker is not None and breaker.baseline < 0.11
 
@@ -415,11 +415,11 @@
     # A safe read that every server turns down gets each of them once, whatever the draws are.
     for seed in range(1000):
         b = Balancer(Settings(classes=(SAFE,), limits=Limits(max_attempts=5)), seed)
-        b.members(100.0, ListUpdateKind.STALE, ROWS[:count])
+        b.update_servers(100.0, ListUpdateKind.STALE, ROWS[:count])
         b.start(100.0)
         met = set()
         actions = b.request(100.0, "r", 0, 0, 104.0)
         while isinstance(actions[0], Send):
             met.add(actions[0].server)
-            actions = b.outcome(100.0, "r", len(met) - 1, Outcome.ERROR, 0.001)
+            actions = b.finish_attempt(100.0, "r", len(met) - 1, Outcome.ERROR, 0.001)
         assert met == {row.server for row in ROWS[:count]}, seed
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -23,12 +23,12 @@
 def balancer() -> Balancer:
     """One that has seen both servers answer in 0.1 s."""
     made = Balancer(SETTINGS, 5)
-    made.members(0.0, ListUpdateKind.COMPLETE, ROWS)
+    made.update_servers(0.0, ListUpdateKind.COMPLETE, ROWS)
     for number in range(40):
         now = number / 4.0
         for action in made.request(now, f"w{number}"):
             assert isinstance(action, Send)
-            made.outcome(now + 0.1, f"w{number}", 0, Outcome.OK, 0.1, True)
+            made.finish_attempt(now + 0.1, f"w{number}", 0, Outcome.OK, 0.1, True)
     return made
 
 
@@ -39,7 +39,7 @@
         for action in made.request(now + number, f"s{number}"):
             assert isinstance(action, Send)
             got[action.server] += 1
-            made.outcome(now + number + 0.1, f"s{number}", 0, Outcome.OK, 0.1, True)
+            made.finish_attempt(now + number + 0.1, f"s{number}", 0, Outcome.OK, 0.1, True)
     return got
 
 
@@ -47,9 +47,9 @@
     made = balancer()
     [send] = made.request(20.0, "long")
     assert isinstance(send, Send)
-    made.begun(20.1, "long", 0)
+    made.begin_response(20.1, "long", 0)
     assert shares(made, 30.0)[send.server] >= 10  # a hung attempt of 10 s would keep all from it
-    made.outcome(95.0, "long", 0, Outcome.OK, 0.1, True)
+    made.finish_attempt(95.0, "long", 0, Outcome.OK, 0.1, True)
     assert not any(server.out for server in made.servers.values())
 
 
@@ -59,7 +59,7 @@
     assert isinstance(send, Send)
     got = shares(made, 30.0)
     assert got[send.server] >= 10
-    made.whole(95.0, "slow", 96.0)
+    made.complete_body(95.0, "slow", 96.0)
     assert next(iter(made.servers[send.server].out)).since == 95.0
     assert shares(made, 105.0)[send.server] == 0  # now it hangs
 
@@ -86,24 +86,24 @@
         rid = f"r{number}"
         request = made.requests.get(rid)
         if what == "whole":
-            actions = made.whole(now, rid, now + 1.0)
+            actions = made.complete_body(now, rid, now + 1.0)
         elif what == "gone":
-            actions = made.gone(now, rid)
+            actions = made.cancel_request(now, rid)
         elif request is None or not request.attempts or not request.attempts[-1].open:
             continue
         elif what == "begun":
-            actions = made.begun(now, rid, len(request.attempts) - 1)
+            actions = made.begin_response(now, rid, len(request.attempts) - 1)
         else:
             how = {"ok": Outcome.OK, "broken": Outcome.INTERRUPTED, "late": Outcome.TIMEOUT}[what]
-            actions = made.outcome(now, rid, len(request.attempts) - 1, how, 0.1)
+            actions = made.finish_attempt(now, rid, len(request.attempts) - 1, how, 0.1)
         del actions
         waiting = [r for r in made.requests.values() if not (r.done or r.begun or r.partial)]
         assert made.pools[0].owed == len(waiting)
     for rid, request in list(made.requests.items()):
-        made.gone(now, rid)
+        made.cancel_request(now, rid)
         for number, attempt in enumerate(request.attempts):
             if attempt.open:
-                made.outcome(now, rid, number, Outcome.CANCELLED, 0.1)
+                made.finish_attempt(now, rid, number, Outcome.CANCELLED, 0.1)
     assert made.pools[0].owed == 0
     assert not made.requests
     assert not any(server.out for server in made.servers.values())
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -169,7 +169,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
-            for event in ("request", "outcome"):
+            for event in ("request", "finish_attempt"):
                 with monkeypatch.context() as patch:
                     patch.setattr(up.proxy.pool.balancer, event, fault)
                     # An answer that came before the fault stands.
--- a/tests/test_put_back.py
+++ b/tests/test_put_back.py
@@ -30,24 +30,24 @@
     """Seconds after the call back until the server gets its first request, of few that are offered."""
     balancer = Balancer(SETTINGS, seed)
     rows = [ServerRow(n) for n in range(servers)]
-    balancer.members(0.0, ListUpdateKind.COMPLETE, rows)
+    balancer.update_servers(0.0, ListUpdateKind.COMPLETE, rows)
     now = 0.0
     for number in range(60):
         now += 1.0 / rate
         for action in balancer.request(now, f"a{number}", kind):
             if isinstance(action, Send):
-                balancer.outcome(now + 0.1, f"a{number}", 0, Outcome.OK, 0.1, True)
-    balancer.members(now, ListUpdateKind.PATCH, [replace(rows[0], started_at=now)])
+                balancer.finish_attempt(now + 0.1, f"a{number}", 0, Outcome.OK, 0.1, True)
+    balancer.update_servers(now, ListUpdateKind.PATCH, [replace(rows[0], started_at=now)])
     back = now
     if told:
-        balancer.put_back(now, 0)
+        balancer.reinstate(now, 0)
     for number in range(60):
         now += 1.0 / rate
         for action in balancer.request(now, f"b{number}", kind):
             if isinstance(action, Send):
                 if action.server == 0:
                     return now - back
-                balancer.outcome(now + 0.1, f"b{number}", 0, Outcome.OK, 0.1, True)
+                balancer.finish_attempt(now + 0.1, f"b{number}", 0, Outcome.OK, 0.1, True)
     return now - back
 
 
@@ -61,13 +61,13 @@
 
 def test_one_that_is_gone_or_drains_again_is_owed_nothing() -> None:
     balancer = Balancer(SETTINGS, 1)
-    balancer.members(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
-    balancer.put_back(0.0, 1)
-    balancer.put_back(0.0, 7)  # never listed
-    balancer.members(1.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
+    balancer.update_servers(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
+    balancer.reinstate(0.0, 1)
+    balancer.reinstate(0.0, 7)  # never listed
+    balancer.update_servers(1.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
     for number in range(20):
         for action in balancer.request(10.0 + number, str(number)):
             assert isinstance(action, Send) and action.server == 2
-            balancer.outcome(10.1 + number, str(number), 0, Outcome.OK, 0.1, True)
-    balancer.members(40.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.GONE)])
+            balancer.finish_attempt(10.1 + number, str(number), 0, Outcome.OK, 0.1, True)
+    balancer.update_servers(40.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.GONE)])
     assert not balancer.back
