--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -82,7 +82,7 @@
     return False
 
 
-_heard = Freshness.heard
+_heard = Freshness.receive
 
 
 def _count_words_of_the_deaf(self: Freshness, now: float, ip: str, delta: Delta) -> float:
@@ -128,7 +128,7 @@
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
     SoakGuard("only what never came is proven so", RequestOutcomes, "proven_unrun", _all_is_proven),
     SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
-    SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
+    SoakGuard("a voter's word counts only while it hears us", Freshness, "receive", _count_words_of_the_deaf),
 ]
 
 GUARDS = [
--- a/lugspur/emulator/control/catching_up.py
+++ b/lugspur/emulator/control/catching_up.py
@@ -27,7 +27,7 @@
 
 
 def _size(register: Register, since: int) -> int:
-    return sum(len(encode(page)) for page in register.pages(since))
+    return sum(len(encode(page)) for page in register.pages_after(since))
 
 
 def measure(changes: int, seed: int = 1) -> Bill:
@@ -38,7 +38,7 @@
     editions = dict.fromkeys((f"r{n:03d}" for n in range(ROUTES)), 1)
     for name in editions:
         source.decide(Change(name, route(name, 1, f"/{name}/")))
-    away.learn(source.pages(0))
+    away.learn(source.pages_after(0))
     for number in range(changes):
         name = rng.choice(list(editions))
         editions[name] += 1
@@ -46,7 +46,7 @@
         entries = [Entry("routes", name, editions[name], None)] if gone else route(name, editions[name], f"/{name}/")
         source.decide(Change(f"{number}", entries))
     began = time.perf_counter()
-    pages = source.pages(away.index)
+    pages = source.pages_after(away.index)
     away.learn(pages)
     seconds = time.perf_counter() - began
     assert away.items == source.items
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -213,9 +213,9 @@
         return [node for node in self.nodes.values() if node.up]
 
     def _bring_up(self, node: Node) -> None:
-        if node.replica.register.pending:
-            node.do(self.now, node.proposer.finish(self.now))
-        node.do(self.now, node.proposer.look(self.now))
+        if node.replica.register.has_pending_change:
+            node.do(self.now, node.proposer.resolve_pending(self.now))
+        node.do(self.now, node.proposer.tick(self.now))
         best = max(self._up(), key=lambda other: other.replica.index)
         if node.replica.index < best.replica.index:
             node.send(best.ip, FetchDecided(node.replica.index))
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -2,10 +2,10 @@
 
 Four are not here. Three are held by unit tests, since no history that was played brings about what they are for: one of
 the voters whom a newcomer hears was complete (`ReservationCatchUp.receive`), completeness ends where epochs are missing
-(`Replica._adopt`), a step leaves a complete majority (`Situation.may_go`). Nothing that is played needs the fourth: no
-claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A voter tells a newcomer
-its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim that is
-won in the old epoch was granted by one whom every newcomer hears.
+(`Replica._take_up`), a step leaves a complete majority (`Situation.may_lose_vote`). Nothing that is played needs the
+fourth: no claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A voter tells a
+newcomer its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim
+that is won in the old epoch was granted by one whom every newcomer hears.
 """
 
 from __future__ import annotations
@@ -51,10 +51,10 @@
 _reader_heard, _catch_up_look, _adopt, _merge = (
     read_index.Reader.receive,
     reservation_catch_up.ReservationCatchUp.tick,
-    Replica._adopt,
+    Replica._take_up,
     ReservationTable.merge,
 )
-_proposer_init, _freshness_heard = Proposer.__init__, Freshness.heard
+_proposer_init, _freshness_heard = Proposer.__init__, Freshness.receive
 
 
 def forget_promise(self: Register, peer: Peer, message: Prepare, voter: bool) -> Effects:
@@ -99,7 +99,7 @@
 
 
 def give_up_offered(self: Proposer, now: float) -> None:
-    for order in [order for order in self._orders if order.deadline <= now]:
+    for order in [order for order in self._requests if order.deadline <= now]:
         self._end(order, NoQuorum())
 
 
@@ -108,12 +108,12 @@
 
 
 def refuse_at_once(self: Proposer) -> Any:
-    for order in self._orders:
+    for order in self._requests:
         order.submitted_after = -1
     return _judge(self)
 
 
-_judge = Proposer._judge_orders
+_judge = Proposer._evaluate_requests
 
 
 def pass_over_pending(self: read_index.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
@@ -280,13 +280,23 @@
         register(LEFT, "three contents"),
     ),
     Guard(
-        "a majority promises before orders are judged", Proposal, "need", one_in(Phase.PREPARE), register(TWO, AGAIN)
+        "a majority promises before orders are judged",
+        Proposal,
+        "majority",
+        one_in(Phase.PREPARE),
+        register(TWO, AGAIN),
     ),
     Guard(
-        "a majority accepts before an order is confirmed", Proposal, "need", one_in(Phase.ACCEPT), register(TWO, AGAIN)
+        "a majority accepts before an order is confirmed",
+        Proposal,
+        "majority",
+        one_in(Phase.ACCEPT),
+        register(TWO, AGAIN),
     ),
     Guard("an order that was offered is not given up", Proposer, "_expire", give_up_offered, register(LEFT)),
-    Guard("an order is refused by a later proposal alone", Proposer, "_judge_orders", refuse_at_once, register(RESTS)),
+    Guard(
+        "an order is refused by a later proposal alone", Proposer, "_evaluate_requests", refuse_at_once, register(RESTS)
+    ),
     Guard("ballots name the process's life", Proposer, "__init__", without_life, register(OLD_LIFE)),
     Guard("a read asks a majority", read_index, "majority", lambda count: 1, register(READ, TWO_READ)),
     Guard(
@@ -304,11 +314,11 @@
         ask_present_voters,
         claims(LOST_AFTER),
     ),
-    Guard("a newcomer reads claims before it grants", Replica, "_adopt", complete_at_once, claims(EXCHANGED)),
+    Guard("a newcomer reads claims before it grants", Replica, "_take_up", complete_at_once, claims(EXCHANGED)),
     Guard("a key with two holders is nobody's", ReservationTable, "merge", last_word, claims(EXCHANGED)),
     Guard("a vote goes with its disk", Replica, "_votes_in", vote_by_address, register(WIPED)),
     Guard("held-up news is old news", DelayEstimate, "sent_at", all_news_is_fresh, drawn()),
-    Guard("a pending change is no word", Freshness, "heard", pending_is_fresh, drawn()),
+    Guard("a pending change is no word", Freshness, "receive", pending_is_fresh, drawn()),
 ]
 
 
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -112,7 +112,7 @@
         membership = nodes[0].replica.membership
         if membership is None or {node.replica.index for node in nodes} != {self.world.chain.last}:
             return False
-        wanted = min(self.setting.tolerance.voters, len(nodes))
+        wanted = min(self.setting.tolerance.voter_count, len(nodes))
         complete = [node for node in nodes if node.replica.is_complete]
         if len(membership.voters) < wanted or len(complete) < majority(len(membership.voters)):
             return False
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -25,7 +25,7 @@
     Voter,
 )
 from lugspur.mesh.control.read_index import Read
-from lugspur.mesh.control.reconfiguration import Reconfiguration, patience_of
+from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout
 from lugspur.mesh.control.replica import membership_entry
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, MAX_PENDING_CALLS
 from lugspur.mesh.control_node.leases import LEASE_SECONDS
@@ -100,7 +100,7 @@
         self.echoes: dict[str, float] = {}  # what each subscriber's latest Pong was dated by its clock
         self.heard_at: dict[str, float] = {}  # on the own connections
         self.changed_at: dict[str, float] = {}  # when an own connection went up or down
-        self.reconfiguration = Reconfiguration(self.replica, self.tolerance, patience_of(CATCH_UP_S, CONTACT_S))
+        self.reconfiguration = Reconfiguration(self.replica, self.tolerance, absence_timeout(CATCH_UP_S, CONTACT_S))
         self.asked_for = self.sweep_at = 0.0
         self.pending_since: float | None = None
         self.failing_since: float | None = None
@@ -138,7 +138,7 @@
         """An own connection is there."""
         now = self.world.now
         self.heard_at[ip] = self.changed_at[ip] = now
-        self.freshness.asked(now, ip)
+        self.freshness.subscribed(now, ip)
         self.send(ip, Subscribe("", 0))
         if self.announced is not None:
             self.send(ip, self._report())
@@ -147,7 +147,7 @@
         """An own connection has ended."""
         self.changed_at[ip] = self.world.now
         self.heard_at.pop(ip, None)
-        self.freshness.lost(ip)
+        self.freshness.disconnected(ip)
         self.catch_up.disconnected(ip)
         self.pages.disconnected(Wire(ip, self.ip, self.ip))
         self.complete_epochs.pop(ip, None)
@@ -181,7 +181,7 @@
 
     def _delta(self, now: float, wire: Wire, message: Delta) -> None:
         ip = wire.source
-        self.freshness.heard(now, ip, message)
+        self.freshness.receive(now, ip, message)
         self.complete_epochs[ip] = message.complete_epoch
         self.send(wire.back, Pong(now))
         if message.decided_index > self.replica.index and now - self.asked_for > CATCH_UP_DELAY_SECONDS:
@@ -204,7 +204,7 @@
             now + self.clock_ahead,
             min(1e6, self.age(now)),
             replica.index,
-            replica.register.pending,
+            replica.register.has_pending_change,
             replica.is_voter,
             complete,
             False,
@@ -218,8 +218,8 @@
         replica = self.replica
         if replica.membership is None:
             return 1e9
-        own = self.ip if replica.is_voter and not replica.register.pending else ""
-        return now - self.freshness.known_since(now, replica.membership, replica.index, own)
+        own = self.ip if replica.is_voter and not replica.register.has_pending_change else ""
+        return now - self.freshness.known_up_to(now, replica.membership, replica.index, own)
 
     # ---- calls -------------------------------------------------------------------------------
 
@@ -257,7 +257,7 @@
             self.pending_since = now
         elif now - self.pending_since > MAX_PENDING_SECONDS:
             self.pending_since = now
-            self.do(now, self.proposer.finish(now))
+            self.do(now, self.proposer.resolve_pending(now))
 
     def look(self) -> None:
         """What is due from time to time."""
@@ -275,7 +275,7 @@
             self.do(now, self.replica.sweep(now))
             self._look_at_disk(now)
         self._announce(now)
-        self.do(now, self.proposer.look(now))
+        self.do(now, self.proposer.tick(now))
         self.do(now, self.reader.tick(now))
         self.do(now, self.catch_up.tick(now))
         self._look_at_pending(now)
@@ -309,7 +309,7 @@
 
     def _look_at_pending(self, now: float) -> None:
         membership = self.replica.membership
-        if membership is None or not self.replica.is_voter or not self.replica.register.pending:
+        if membership is None or not self.replica.is_voter or not self.replica.register.has_pending_change:
             self.pending_since = None
             return
         rank = [voter.ip for voter in membership.voters].index(self.ip)
@@ -328,10 +328,10 @@
                 continue
             up = self.world.connected(self.ip, voter.ip)
             absent[voter.ip] = now - (self.heard_at if up else self.changed_at).get(voter.ip, now)
-            fresh = now - self.freshness.word_at(voter.ip) < STALE
+            fresh = now - self.freshness.latest_update_at(voter.ip) < STALE
             if fresh and self.complete_epochs.get(voter.ip, 0) == membership.epoch:
                 complete.add(voter.ip)
-        step = self.reconfiguration.look(now, self.presences, complete, absent)
+        step = self.reconfiguration.next_step(now, self.presences, complete, absent)
         if step is not None:
             self._propose(now, step)
 
--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -136,7 +136,7 @@
         self.index_seen = self.replica.index
         self._observe(self)
         self.advanced(now)
-        self.do(now, self.proposer.advanced(now))
+        self.do(now, self.proposer.replica_advanced(now))
         self.do(now, self.reader.replica_advanced(now))
 
     def sync(self) -> None:
@@ -153,7 +153,7 @@
     def heard(self, now: float, wire: Wire, message: Message) -> None:
         """A message has come over a wire."""
         if isinstance(message, Promise | Accepted):
-            self.do(now, self.proposer.heard(now, wire.source, message))
+            self.do(now, self.proposer.receive(now, wire.source, message))
         elif isinstance(message, ReadIndexReply):
             effects, pending = self.reader.receive(now, wire.source, message)
             self.do(now, effects)
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -193,10 +193,10 @@
         for number in self.left:
             yield "order", str(number)
         for ip, node in self.nodes.items():
-            waits = node.proposer._orders or node.proposer._finish or node.reader._waiting
+            waits = node.proposer._requests or node.proposer._has_pending or node.reader._waiting
             if self.retries and waits:
                 yield "retry", ip
-            if self.retries and node.replica.register.pending:
+            if self.retries and node.replica.register.has_pending_change:
                 yield "finish", ip
             if self.reads:
                 yield "read", ip
@@ -217,7 +217,7 @@
         elif what == "finish":
             self.retries -= 1
             node = self.nodes[who[0]]
-            node.do(self.now, node.proposer.finish(self.now))
+            node.do(self.now, node.proposer.resolve_pending(self.now))
         elif what == "wipe":
             self.wipes -= 1
             self.lose_power(who[0])
@@ -230,7 +230,7 @@
             self.expiries -= 1
             self.open[int(who[0])].deadline = 0.0
             node = self.nodes[self.limits.orders[int(who[0])][1]]
-            node.do(self.now, node.proposer.look(self.now))
+            node.do(self.now, node.proposer.tick(self.now))
 
     def _order(self, number: int) -> None:
         self.left.remove(number)
@@ -244,11 +244,11 @@
     def _pass_time(self, ip: str) -> None:
         node = self.nodes[ip]
         self.now += PAUSE
-        node.do(self.now, node.proposer.look(self.now))
+        node.do(self.now, node.proposer.tick(self.now))
         node.do(self.now, node.reader.tick(self.now))
         if node.proposer._proposal is None:  # what was under way has ended, and the next one is due after a pause
             self.now += PAUSE
-            node.do(self.now, node.proposer.look(self.now))
+            node.do(self.now, node.proposer.tick(self.now))
 
     def _read(self, ip: str) -> None:
         node = self.nodes[ip]
@@ -272,8 +272,8 @@
         for _ in range(SETTLE_TRIES):
             self.deliver_all()
             for ip, node in self.nodes.items():
-                if node.replica.register.pending:
-                    node.do(self.now, node.proposer.finish(self.now))
+                if node.replica.register.has_pending_change:
+                    node.do(self.now, node.proposer.resolve_pending(self.now))
                 best = max(self.nodes.values(), key=lambda other: other.replica.index)
                 node.send(best.ip, FetchDecided(node.replica.index))  # as news of later changes makes it do
                 self.within()
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -200,7 +200,7 @@
     if not isinstance(message, Promise | Accepted):
         return False
     proposal = node.proposer._proposal
-    if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.ballot):
+    if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.number):
         return True
     return isinstance(message, Promise) and message.is_granted and proposal.phase is Phase.ACCEPT
 
@@ -218,7 +218,9 @@
             (tuple(w.rows), tuple((str(p), type(m).__name__, _pack(m)) for p, m in w.after_sync)) for w in node.unsynced
         ),
         register.index,
-        _pack([register.promised, register.accepted, register.change, replica.complete_epoch, replica.membership]),
+        _pack(
+            [register.promised, register.accepted, register.accepted_change, replica.complete_epoch, replica.membership]
+        ),
         tuple(sorted((name, _pack(item)) for name, item in register.items.items())),
         tuple((key, held.owner, held.response is not None) for key, held in replica.reservations.items()),
         _proposer_key(node, now),
@@ -231,22 +233,23 @@
 def _proposer_key(node: Node, now: float) -> object:
     proposer, proposal = node.proposer, node.proposer._proposal
     orders = tuple(
-        (id_of(order.entries), order.was_proposed, order.change_id, order.submitted_after) for order in proposer._orders
+        (id_of(order.entries), order.was_proposed, order.change_id, order.submitted_after)
+        for order in proposer._requests
     )
     under_way: object = None
     if proposal is not None:
         promises = tuple((ip, _pack(promise)) for ip, promise in sorted(proposal.promises.items()))
-        told = tuple(sorted(proposal.brought_up.items()))
+        told = tuple(sorted(proposal.catch_ups.items()))
         under_way = (
             proposal.index,
-            _pack([proposal.ballot, proposal.change]),
+            _pack([proposal.number, proposal.change]),
             proposal.phase.value,
             promises,
-            tuple(sorted(proposal.accepted)),
+            tuple(sorted(proposal.accepted_by)),
             told,
         )
     pauses = proposer._not_before > now
-    return orders, under_way, proposer._number, proposer._changes, proposer._proposals, proposer._finish, pauses
+    return orders, under_way, proposer._number, proposer._changes, proposer._proposals, proposer._has_pending, pauses
 
 
 def _reader_key(node: Node) -> object:
--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -12,7 +12,7 @@
 import cyclopts
 
 from lugspur.discovery.rows import read_address
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.settings import load_settings
 from lugspur.mesh.storage.data_directory import export, look, told
 
@@ -33,9 +33,9 @@
         answer = connection.getresponse()
         found = answer.read()
     except (OSError, ValueError, http.client.HTTPException) as fault:
-        raise MeshError(Kind.NOT_READY, f"{address}: {fault}") from None
+        raise MeshError(ErrorKind.NOT_READY, f"{address}: {fault}") from None
     if answer.status != 200:
-        raise MeshError(Kind.BAD_REQUEST, f"{address}: {answer.status} {found.decode('utf-8', 'replace').strip()}")
+        raise MeshError(ErrorKind.BAD_REQUEST, f"{address}: {answer.status} {found.decode('utf-8', 'replace').strip()}")
     return found
 
 
@@ -116,7 +116,7 @@
     try:
         body = path.read_bytes()
     except OSError as fault:
-        raise MeshError(Kind.BAD_REQUEST, f"{path}: {fault.strerror}") from None
+        raise MeshError(ErrorKind.BAD_REQUEST, f"{path}: {fault.strerror}") from None
     call(address, "POST", "/config/amend", body)
     print("taken, and on the disks of a majority")
 
@@ -126,7 +126,7 @@
     """Whether a replica could start with this `data_dir`; a line for each fault, and exit status 2 for any."""
     found = look(folder)
     if found.faults:
-        raise MeshError(Kind.STATE, "; ".join(found.faults))
+        raise MeshError(ErrorKind.STATE, "; ".join(found.faults))
     print(f"{folder}: {found.size} bytes, no fault")
 
 
--- a/lugspur/mesh/control/change_forwarding.py
+++ b/lugspur/mesh/control/change_forwarding.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import ChangeResult, ForwardChange
 
 RESULT_TIMEOUT_SECONDS = 0.3  # seconds until an order that was handed over is proposed here
@@ -38,7 +38,7 @@
     if result.is_confirmed:
         return Confirmed()
     if result.error_kind:
-        return Refused(MeshError(Kind(result.error_kind), result.detail))
+        return Refused(MeshError(ErrorKind(result.error_kind), result.detail))
     return Unclear() if result.may_be_decided else NoQuorum()
 
 
--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
 
 
@@ -55,7 +55,7 @@
     if isinstance(outcome, Refused):
         return outcome.error
     if isinstance(outcome, Unclear):
-        return MeshError(Kind.UNCLEAR, "too few voters answered, and the change may come into force")
+        return MeshError(ErrorKind.UNCLEAR, "too few voters answered, and the change may come into force")
     if isinstance(outcome, NoQuorum):
-        return MeshError(Kind.NO_QUORUM, "too few voters answered")
+        return MeshError(ErrorKind.NO_QUORUM, "too few voters answered")
     return None
--- a/lugspur/mesh/control/errors.py
+++ b/lugspur/mesh/control/errors.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 
-class Kind(enum.Enum):
+class ErrorKind(enum.Enum):
     """What went wrong; each has one row in `ANSWERS`."""
 
     NO_ROUTE = "no-route"  # no route has this host and path
@@ -30,46 +30,46 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class ErrorResponse:
     """What a caller is told: a status, and seconds after which it may come back (0: it is not told).
 
     `spread`: over a good part of the time that it has.
     """
 
     status: int
-    after: float = 0.0
-    spread: bool = False
+    retry_after_seconds: float = 0.0
+    spreads_retries: bool = False
 
 
-RETRY = 0.25  # seconds: long enough that a queue moves, short against the shortest deadlines
+RETRY_DELAY_SECONDS = 0.25  # seconds: long enough that a queue moves, short against the shortest deadlines
 
 #: 408, 421, 429 and 503 promise that the request has not run and never will: only kinds that prove it have them.
-ANSWERS = {
-    Kind.NO_ROUTE: Row(404),
-    Kind.BAD_REQUEST: Row(400),
-    Kind.BAD_CONFIG: Row(400),
-    Kind.TOO_LARGE: Row(413),
-    Kind.CONFLICT: Row(409),
-    Kind.NO_CALL: Row(404),
-    Kind.NOT_READY: Row(503, RETRY),
-    Kind.NO_BACKEND: Row(503, RETRY, True),
-    Kind.NO_QUORUM: Row(503, RETRY),
-    Kind.UNCLEAR: Row(504),
-    Kind.KEY_BUSY: Row(409, RETRY),
-    Kind.KEY_SPENT: Row(503, RETRY),
-    Kind.MAYBE_RAN: Row(502),
-    Kind.BAD_ANSWER: Row(502),
-    Kind.TOO_LATE: Row(504),
-    Kind.LEAVING: Row(503, RETRY),
-    Kind.SETTINGS: Row(500),
-    Kind.STATE: Row(500),
+RESPONSES = {
+    ErrorKind.NO_ROUTE: ErrorResponse(404),
+    ErrorKind.BAD_REQUEST: ErrorResponse(400),
+    ErrorKind.BAD_CONFIG: ErrorResponse(400),
+    ErrorKind.TOO_LARGE: ErrorResponse(413),
+    ErrorKind.CONFLICT: ErrorResponse(409),
+    ErrorKind.NO_CALL: ErrorResponse(404),
+    ErrorKind.NOT_READY: ErrorResponse(503, RETRY_DELAY_SECONDS),
+    ErrorKind.NO_BACKEND: ErrorResponse(503, RETRY_DELAY_SECONDS, True),
+    ErrorKind.NO_QUORUM: ErrorResponse(503, RETRY_DELAY_SECONDS),
+    ErrorKind.UNCLEAR: ErrorResponse(504),
+    ErrorKind.KEY_BUSY: ErrorResponse(409, RETRY_DELAY_SECONDS),
+    ErrorKind.KEY_SPENT: ErrorResponse(503, RETRY_DELAY_SECONDS),
+    ErrorKind.MAYBE_RAN: ErrorResponse(502),
+    ErrorKind.BAD_ANSWER: ErrorResponse(502),
+    ErrorKind.TOO_LATE: ErrorResponse(504),
+    ErrorKind.LEAVING: ErrorResponse(503, RETRY_DELAY_SECONDS),
+    ErrorKind.SETTINGS: ErrorResponse(500),
+    ErrorKind.STATE: ErrorResponse(500),
 }
 
 
 class MeshError(Exception):
     """Something of the closed list; `code` is its kind's name."""
 
-    def __init__(self, kind: Kind, detail: str = "") -> None:
+    def __init__(self, kind: ErrorKind, detail: str = "") -> None:
         super().__init__(f"{kind.value}: {detail}" if detail else kind.value)
         self.kind = kind
         self.detail = detail
--- a/lugspur/mesh/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import EntryKey, supersedes
 
@@ -19,7 +19,7 @@
 RESERVED_KINDS = LEASED_KINDS | {MEMBERSHIP}  # kinds of the mesh itself: no call of an operator may name them
 MAX_DEADLINE_MS = 600_000.0  # by the operators' protocol
 MAX_ITEMS_PER_CALL = 20_000  # the first call of an operator holds some thousands at the most
-MAX_KIND_BYTES, MAX_NAME_BYTES = 64, 432  # together with their separators less than `register.KEY_MOST`
+MAX_KIND_BYTES, MAX_NAME_BYTES = 64, 432  # together with their separators less than `register.MAX_KEY_BYTES`
 # Of the item `limits`: a value beyond these is a mistake, and no process could apply it.
 MAX_HEAD_BYTES = 16 << 20  # of a request's head
 MAX_BODY_BYTES = 4 << 30
@@ -96,7 +96,7 @@
 
 def _read_edition(edition: str) -> int:
     if not EDITION_PATTERN.fullmatch(edition):
-        raise MeshError(Kind.BAD_CONFIG, f"edition {edition!r} is not eight hexadecimal digits")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"edition {edition!r} is not eight hexadecimal digits")
     return int(edition, 16)
 
 
@@ -126,28 +126,29 @@
             _check_kind(kind)
             entries += [Entry(kind, _check_name(d.name), _read_edition(d.edition), None) for d in dropped]
     except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise MeshError(Kind.BAD_CONFIG, str(fault)) from None
+        raise MeshError(ErrorKind.BAD_CONFIG, str(fault)) from None
     if len(entries) > MAX_ITEMS_PER_CALL:
-        raise MeshError(Kind.BAD_CONFIG, f"more than {MAX_ITEMS_PER_CALL} items in one call")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"more than {MAX_ITEMS_PER_CALL} items in one call")
     seen: dict[tuple[str, str], Entry] = {}
     for entry in entries:
         before = seen.get((entry.kind, entry.name))
         if before is not None and before.edition == entry.edition and before.value != entry.value:
-            raise MeshError(Kind.BAD_CONFIG, f"{entry.kind} {entry.name!r} comes twice under one edition")
+            raise MeshError(ErrorKind.BAD_CONFIG, f"{entry.kind} {entry.name!r} comes twice under one edition")
         if supersedes(entry, before):
             seen[(entry.kind, entry.name)] = entry
     return list(seen.values())
 
 
 def _check_kind(kind: str) -> None:
-    # Guards the disks: a kind and a name form the key of a row, which lmdb limits in bytes (see `register.KEY_MOST`).
+    # Guards the disks: a kind and a name form the key of a row, which lmdb limits in bytes (see
+    # `register.MAX_KEY_BYTES`).
     if kind in RESERVED_KINDS or not kind.isascii() or not kind.isidentifier() or len(kind) > MAX_KIND_BYTES:
-        raise MeshError(Kind.BAD_CONFIG, f"no items of kind {kind!r}")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"no items of kind {kind!r}")
 
 
 def _check_name(name: str) -> str:
     if not name or len(name.encode()) > MAX_NAME_BYTES:
-        raise MeshError(Kind.BAD_CONFIG, "a name is empty or too long")
+        raise MeshError(ErrorKind.BAD_CONFIG, "a name is empty or too long")
     return name
 
 
@@ -179,26 +180,28 @@
     for name, (minimum, maximum) in allowed.items():
         value = getattr(bounds, name)
         if not minimum <= value <= maximum:
-            raise MeshError(Kind.BAD_CONFIG, f"limits: {name} {value:g} is not from {minimum:g} to {maximum:.0f}")
+            raise MeshError(ErrorKind.BAD_CONFIG, f"limits: {name} {value:g} is not from {minimum:g} to {maximum:.0f}")
 
 
 def _check_route(route: Route) -> None:
     """Raise MeshError for a route that is invalid whatever the other items are."""
     name = route.name
     if not 0.0 < route.deadline_ms <= MAX_DEADLINE_MS:
-        raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: deadline_ms {route.deadline_ms:g} is not in (0, 600000]")
+        raise MeshError(
+            ErrorKind.BAD_CONFIG, f"route {name!r}: deadline_ms {route.deadline_ms:g} is not in (0, 600000]"
+        )
     if not route.path_prefix.startswith("/"):
-        raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: path_prefix does not begin with a slash")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: path_prefix does not begin with a slash")
     if route.mail_class not in MAIL_CLASSES:
-        raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: mail_class {route.mail_class!r} is unknown")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: mail_class {route.mail_class!r} is unknown")
     if not route.service_names() or (route.split and route.service):
-        raise MeshError(Kind.BAD_CONFIG, f"route {name!r} needs a service or a split")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} needs a service or a split")
     shares = [part.share for part in route.split or ()]
     # Guards each request on the route: no draw can be made by shares whose sum is no finite number.
     if shares and (min(shares) < 0.0 or not 0.0 < sum(shares) < float("inf")):
-        raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: the shares of its split say nothing")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: the shares of its split say nothing")
     if not route.office or route.tries < 1:
-        raise MeshError(Kind.BAD_CONFIG, f"route {name!r}: office is empty or tries is under 1")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: office is empty or tries is under 1")
 
 
 class EntryView(Protocol):
@@ -250,7 +253,7 @@
     for entry in entries:
         current = view.get(entry.kind, entry.name)
         if current is not None and current.edition == entry.edition and current.value != entry.value:
-            raise MeshError(Kind.CONFLICT, f"{entry.kind} {entry.name!r} has another content under that edition")
+            raise MeshError(ErrorKind.CONFLICT, f"{entry.kind} {entry.name!r} has another content under that edition")
         if supersedes(entry, current):
             effective.append(entry)
     if effective:
@@ -272,10 +275,10 @@
     for name, route in routes.items():
         for service in route.service_names():
             if service not in services and (name in changed or service in withdrawn):
-                raise MeshError(Kind.BAD_CONFIG, f"route {name!r} names the unknown service {service!r}")
+                raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} names the unknown service {service!r}")
         others = [other for other in by_prefix[route.office.lower(), route.path_prefix] if other != name]
         if name in changed and others:
-            raise MeshError(Kind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} share host and prefix")
+            raise MeshError(ErrorKind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} share host and prefix")
 
 
 def encode_items(entries: Iterable[Entry]) -> bytes:
--- a/lugspur/mesh/control/membership.py
+++ b/lugspur/mesh/control/membership.py
@@ -13,7 +13,7 @@
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
 
-LEAST = 3  # voters where there are so many replicas: one may always be away
+MIN_VOTERS = 3  # voters where there are so many replicas: one may always be away
 
 
 class Presence(msgspec.Struct, array_like=True, frozen=True):
@@ -35,9 +35,9 @@
     regions: int = 0
 
     @property
-    def voters(self) -> int:
+    def voter_count(self) -> int:
         """How many voters bear the loss of so many machines, or of so many zones or regions with what is in them."""
-        return max(LEAST, 2 * self.machines + 1, 2 * max(self.zones, self.regions) + 1 if not self.machines else 0)
+        return max(MIN_VOTERS, 2 * self.machines + 1, 2 * max(self.zones, self.regions) + 1 if not self.machines else 0)
 
 
 @dataclass(slots=True, frozen=True)
@@ -53,13 +53,13 @@
     membership: Membership
     presences: Mapping[str, Presence]
     absent: Mapping[str, float]
-    patience: float
-    complete: AbstractSet[str]
-    overdue: bool
+    absence_timeout: float
+    complete_voters: AbstractSet[str]
+    is_overdue: bool
     tolerance: Tolerance
-    avoid: AbstractSet[str] = frozenset()
+    recently_absent: AbstractSet[str] = frozenset()
     regions: Mapping[str, str] = field(default_factory=dict)
-    configuration: int = 0
+    configuration_bytes: int = 0
 
     def zone(self, voter: Voter) -> str:
         """The zone of a voter: those of the first membership are known by their addresses alone."""
@@ -76,15 +76,15 @@
         voters = {voter.ip for voter in self.membership.voters}
         found = []
         for ip, presence in self.presences.items():
-            fit = not presence.leaving and not presence.failing and fits(self.configuration, presence.disk_bytes)
+            fit = not presence.leaving and not presence.failing and fits(self.configuration_bytes, presence.disk_bytes)
             if ip not in voters and fit:
                 found.append(Voter(ip, presence.uid, presence.zone))
-        return [voter for voter in found if voter.ip not in self.avoid] or found
+        return [voter for voter in found if voter.ip not in self.recently_absent] or found
 
-    def may_go(self, voter: Voter) -> bool:
+    def may_lose_vote(self, voter: Voter) -> bool:
         """Whether enough of the others hold all claims: whoever is new reads them from a majority."""
-        left = len(self.complete - {voter.ip})
-        return left >= majority(len(self.membership.voters)) or self.overdue
+        left = len(self.complete_voters - {voter.ip})
+        return left >= majority(len(self.membership.voters)) or self.is_overdue
 
 
 def next_membership(situation: Situation) -> Membership | None:
@@ -103,7 +103,7 @@
         presence = situation.presences.get(voter.ip)
         if presence is None or presence.uid == voter.uid or presence.leaving or presence.failing:
             continue
-        if situation.may_go(voter):
+        if situation.may_lose_vote(voter):
             return _replace(situation.membership, voter, Voter(voter.ip, presence.uid, presence.zone))
     return None
 
@@ -116,9 +116,9 @@
     for voter in situation.membership.voters:
         presence = situation.presences.get(voter.ip)
         goes = presence is not None and presence.uid == voter.uid and (presence.leaving or presence.failing)
-        if not goes and situation.absent.get(voter.ip, 0.0) <= situation.patience:
+        if not goes and situation.absent.get(voter.ip, 0.0) <= situation.absence_timeout:
             continue
-        if situation.may_go(voter):
+        if situation.may_lose_vote(voter):
             others = [other for other in situation.membership.voters if other != voter]
             return _replace(situation.membership, voter, _least_crowded(situation, candidates, others))
     return None
@@ -128,9 +128,9 @@
     """There are fewer voters than the tolerated losses ask for."""
     voters = situation.membership.voters
     candidates = situation.candidates()
-    if len(voters) >= situation.tolerance.voters or not candidates:
+    if len(voters) >= situation.tolerance.voter_count or not candidates:
         return None
-    if len(situation.complete) < majority(len(voters) + 1):
+    if len(situation.complete_voters) < majority(len(voters) + 1):
         return None
     added = _least_crowded(situation, candidates, voters)
     return _follow(situation.membership, [*voters, added])
@@ -147,7 +147,7 @@
         return None
     elsewhere = [c for c in situation.candidates() if crowd[situation.failure_domain(c)] + 1 < crowd[crowded]]
     for voter in voters:
-        if elsewhere and situation.failure_domain(voter) == crowded and situation.may_go(voter):
+        if elsewhere and situation.failure_domain(voter) == crowded and situation.may_lose_vote(voter):
             others = [other for other in voters if other != voter]
             return _replace(situation.membership, voter, _least_crowded(situation, elsewhere, others))
     return None
--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -14,41 +14,45 @@
 from lugspur.mesh.control.messages import Membership
 from lugspur.mesh.control.replica import Replica
 
-CHANGE_TAKES = 1.5  # seconds: a process that starts, two rounds of agreement, claims that are read
-PATIENCE_LEAST = 1.0  # seconds: a shorter silence is an ordinary restart
-SETTLED = 0.3  # seconds that a membership stands before it is changed: news of it has to get round
-RANK = 0.25  # seconds by which each voter lets the one before it go first
-AGAIN = 1.0  # seconds until a step that was proposed is proposed again
-AVOID = 10.0  # seconds for which a replica that was silent is not given a vote again, where there is another
+CHANGE_DURATION_SECONDS = 1.5  # seconds: a process that starts, two rounds of agreement, claims that are read
+MIN_ABSENCE_TIMEOUT_SECONDS = 1.0  # seconds: a shorter silence is an ordinary restart
+SETTLING_SECONDS = 0.3  # seconds that a membership stands before it is changed: news of it has to get round
+RANK_DELAY_SECONDS = 0.25  # seconds by which each voter lets the one before it go first
+RETRY_DELAY_SECONDS = 1.0  # seconds until a step that was proposed is proposed again
+AVOIDANCE_SECONDS = (
+    10.0  # seconds for which a replica that was silent is not given a vote again, where there is another
+)
 
 
-def patience_of(catch_up_s: float, contact_s: float) -> float:
+def absence_timeout(catch_up_s: float, contact_s: float) -> float:
     """Seconds that a voter may be out of reach, by the settings."""
-    return max(PATIENCE_LEAST, min(catch_up_s - CHANGE_TAKES, contact_s + CHANGE_TAKES))
+    return max(
+        MIN_ABSENCE_TIMEOUT_SECONDS, min(catch_up_s - CHANGE_DURATION_SECONDS, contact_s + CHANGE_DURATION_SECONDS)
+    )
 
 
 def leaves_time(catch_up_s: float) -> bool:
     """Whether a lost voter can be replaced before the next loss; else two losses may meet (see docs/control.md)."""
-    return catch_up_s >= PATIENCE_LEAST + CHANGE_TAKES
+    return catch_up_s >= MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS
 
 
 class Reconfiguration:
     """The steps that one voter proposes."""
 
     def __init__(
-        self, replica: Replica, tolerance: Tolerance, patience: float, regions: Mapping[str, str] | None = None
+        self, replica: Replica, tolerance: Tolerance, absence_timeout: float, regions: Mapping[str, str] | None = None
     ) -> None:
         """`patience`: seconds that a voter may be silent; `regions`: the region of each zone."""
         self._replica = replica
         self._regions = regions or {}
         self.tolerance = tolerance
-        self.patience = patience
+        self.absence_timeout = absence_timeout
         self._epoch = 0
-        self._since = 0.0
-        self._next = 0.0
+        self._epoch_since = 0.0
+        self._propose_at = 0.0
         self._removed: dict[str, float] = {}  # voters that were silent, and when their votes were to go
 
-    def look(
+    def next_step(
         self,
         now: float,
         presences: Mapping[str, Presence],
@@ -61,32 +65,32 @@
         if membership is None or not replica.is_voter:
             return None
         if membership.epoch != self._epoch:
-            self._epoch, self._since, self._next = membership.epoch, now, 0.0
+            self._epoch, self._epoch_since, self._propose_at = membership.epoch, now, 0.0
         voters = {voter.ip for voter in membership.voters}
         own = {replica.voter.ip} if replica.is_complete else set()
         situation = Situation(
             membership,
             presences,
             absent,
-            self.patience,
+            self.absence_timeout,
             (complete & voters) | own,
-            now - self._since > self.patience,
+            now - self._epoch_since > self.absence_timeout,
             self.tolerance,
-            {ip for ip, at in self._removed.items() if now - at < AVOID},
+            {ip for ip, at in self._removed.items() if now - at < AVOIDANCE_SECONDS},
             self._regions,
-            replica.register.bytes,
+            replica.register.size_bytes,
         )
         step = next_membership(situation)
         if step is None:
-            self._next = 0.0
+            self._propose_at = 0.0
             return None
-        if not self._next:
+        if not self._propose_at:
             rank = [voter.ip for voter in membership.voters].index(replica.voter.ip)
-            self._next = max(now, self._since + SETTLED) + RANK * rank
-        if now < self._next:
+            self._propose_at = max(now, self._epoch_since + SETTLING_SECONDS) + RANK_DELAY_SECONDS * rank
+        if now < self._propose_at:
             return None
-        self._next = now + AGAIN
+        self._propose_at = now + RETRY_DELAY_SECONDS
         for voter in membership.voters:
-            if voter not in step.voters and absent.get(voter.ip, 0.0) > self.patience:
+            if voter not in step.voters and absent.get(voter.ip, 0.0) > self.absence_timeout:
                 self._removed[voter.ip] = now
         return step
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -33,19 +33,19 @@
 )
 from lugspur.mesh.control.store import EntryKey, supersedes
 
-WITHDRAWN_MOST = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
-WITHDRAWN_KEPT = 0.9  # of these, once they are too many: the oldest are forgotten
+MAX_WITHDRAWALS = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
+WITHDRAWALS_KEPT_FRACTION = 0.9  # of these, once they are too many: the oldest are forgotten
 
-KEY_MOST = 511  # bytes of a row's key: lmdb takes no more
+MAX_KEY_BYTES = 511  # bytes of a row's key: lmdb takes no more
 ITEM_PREFIX = b"i"
 INDEX_ROW, VOTE_ROW = b"mindex", b"mvote"
 
 _pack = msgspec.msgpack.Encoder().encode
-_item = msgspec.msgpack.Decoder(Item)
-_index = msgspec.msgpack.Decoder(tuple[int, int])
+_item_decoder = msgspec.msgpack.Decoder(Item)
+_index_decoder = msgspec.msgpack.Decoder(tuple[int, int])
 
 
-class Vote(msgspec.Struct, array_like=True):
+class AcceptorState(msgspec.Struct, array_like=True):
     """What a voter has promised and accepted, as it lies on disk; the latter for change `index`."""
 
     index: int
@@ -54,7 +54,7 @@
     change: Change | None
 
 
-_vote = msgspec.msgpack.Decoder(Vote)
+_vote_decoder = msgspec.msgpack.Decoder(AcceptorState)
 
 
 def item_row(entry: Entry) -> bytes:
@@ -76,42 +76,42 @@
 
     def __init__(self) -> None:
         self.items: dict[EntryKey, Item] = {}
-        self.bytes = 0  # of all items, as `capacity` counts them
+        self.size_bytes = 0  # of all items, as `capacity` counts them
         self.index = 0
-        self.pruned = 0  # withdrawals up to this change are forgotten
+        self.pruned_index = 0  # withdrawals up to this change are forgotten
         self.promised = NO_PROPOSAL
         self.accepted: ProposalNumber | None = None
-        self.change: Change | None = None
-        self._withdrawn = 0
+        self.accepted_change: Change | None = None
+        self._withdrawals = 0
         self._pruned_to = 0  # as far as `pruned` has been carried out
 
     # ---- start ---------------------------------------------------------------------------
 
     def restore(self, rows: Iterable[tuple[bytes, bytes]]) -> None:
         """Take up what is on disk; rows of others are passed over."""
-        vote: Vote | None = None
+        vote: AcceptorState | None = None
         for key, value in rows:
             if key.startswith(ITEM_PREFIX):
-                item = _item.decode(value)
+                item = _item_decoder.decode(value)
                 self.items[item.entry.kind, item.entry.name] = item
             elif key == INDEX_ROW:
-                self.index, self.pruned = _index.decode(value)
+                self.index, self.pruned_index = _index_decoder.decode(value)
             elif key == VOTE_ROW:
-                vote = _vote.decode(value)
-        self._pruned_to = self.pruned
-        self._withdrawn = sum(item.entry.value is None for item in self.items.values())
-        self.bytes = sum(item_bytes(item.entry) for item in self.items.values())
+                vote = _vote_decoder.decode(value)
+        self._pruned_to = self.pruned_index
+        self._withdrawals = sum(item.entry.value is None for item in self.items.values())
+        self.size_bytes = sum(item_bytes(item.entry) for item in self.items.values())
         if vote is not None:
             self.promised = vote.promised
             if vote.index == self.index + 1:
-                self.accepted, self.change = vote.accepted, vote.change
+                self.accepted, self.accepted_change = vote.accepted, vote.change
 
     # ---- the vote ------------------------------------------------------------------------
 
     @property
-    def pending(self) -> bool:
+    def has_pending_change(self) -> bool:
         """Whether the next change has been accepted here: it may be decided already."""
-        return self.change is not None
+        return self.accepted_change is not None
 
     def prepare(self, peer: Peer, message: Prepare, voter: bool) -> Effects:
         """A proposer wants to hear what was accepted, and that no lower ballot counts any more."""
@@ -120,7 +120,9 @@
             refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
             return Effects(send=[(peer, refusal)])
         self.promised = message.proposal
-        promise = Promise(message.index, message.proposal, True, self.index, self.promised, self.accepted, self.change)
+        promise = Promise(
+            message.index, message.proposal, True, self.index, self.promised, self.accepted, self.accepted_change
+        )
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def accept(self, peer: Peer, message: Accept, voter: bool) -> Effects:
@@ -130,15 +132,15 @@
         if not granted:
             return Effects(send=[(peer, answer)])
         self.promised = self.accepted = message.proposal
-        self.change = message.change
+        self.accepted_change = message.change
         return Effects(write=[self._vote_row()], after_sync=[(peer, answer)])
 
     def _vote_row(self) -> tuple[bytes, bytes]:
-        return VOTE_ROW, _pack(Vote(self.index + 1, self.promised, self.accepted, self.change))
+        return VOTE_ROW, _pack(AcceptorState(self.index + 1, self.promised, self.accepted, self.accepted_change))
 
-    def query(self, peer: Peer, message: ReadIndexQuery, voter: bool) -> Effects:
+    def read_index(self, peer: Peer, message: ReadIndexQuery, voter: bool) -> Effects:
         """A reader wants to know which change is the latest."""
-        return Effects(send=[(peer, ReadIndexReply(message.number, voter, self.index, self.pending))])
+        return Effects(send=[(peer, ReadIndexReply(message.number, voter, self.index, self.has_pending_change))])
 
     # ---- what is decided -----------------------------------------------------------------
 
@@ -149,7 +151,7 @@
         for entry in change.entries:
             standing = self.items.get((entry.kind, entry.name))
             if supersedes(entry, None if standing is None else standing.entry):
-                self._set(Item(entry, index), applied)
+                self._put(Item(entry, index), applied)
         self._advance(index, applied)
         return applied
 
@@ -166,60 +168,60 @@
         for name, item in found.items():
             standing = self.items.get(name)
             if standing is None or standing.index < item.index:
-                self._set(item, applied)
-        self.pruned = first.pruned_index
+                self._put(item, applied)
+        self.pruned_index = first.pruned_index
         self._advance(first.index, applied)
         return applied
 
-    def _set(self, item: Item, applied: Applied) -> None:
+    def _put(self, item: Item, applied: Applied) -> None:
         name = (item.entry.kind, item.entry.name)
         standing = self.items.get(name)
         rises = standing is None or item.entry.edition > standing.entry.edition
         check(rises, Invariant.EDITIONS_RISE, kind=name[0], name=name[1], edition=item.entry.edition)
-        self._withdrawn += (item.entry.value is None) - (standing is not None and standing.entry.value is None)
-        self.bytes += item_bytes(item.entry) - (0 if standing is None else item_bytes(standing.entry))
+        self._withdrawals += (item.entry.value is None) - (standing is not None and standing.entry.value is None)
+        self.size_bytes += item_bytes(item.entry) - (0 if standing is None else item_bytes(standing.entry))
         self.items[name] = item
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
 
     def _forget(self, name: EntryKey, applied: Applied) -> None:
         item = self.items.pop(name)
-        self.bytes -= item_bytes(item.entry)
-        self._withdrawn -= item.entry.value is None
+        self.size_bytes -= item_bytes(item.entry)
+        self._withdrawals -= item.entry.value is None
         applied.forgotten.append(name)
         applied.write.append((item_row(item.entry), None))
 
     def _advance(self, index: int, applied: Applied) -> None:
         check(index > self.index, Invariant.INDEX_RISES, index=index, standing=self.index)
         self.index = index
-        self.accepted = self.change = None
-        if self._withdrawn > WITHDRAWN_MOST:
+        self.accepted = self.accepted_change = None
+        if self._withdrawals > MAX_WITHDRAWALS:
             indexes = sorted(item.index for item in self.items.values() if item.entry.value is None)
-            self.pruned = max(self.pruned, indexes[-int(WITHDRAWN_MOST * WITHDRAWN_KEPT)])
+            self.pruned_index = max(self.pruned_index, indexes[-int(MAX_WITHDRAWALS * WITHDRAWALS_KEPT_FRACTION)])
         self._prune(applied)
-        applied.write.append((INDEX_ROW, _pack((self.index, self.pruned))))
+        applied.write.append((INDEX_ROW, _pack((self.index, self.pruned_index))))
 
     def _prune(self, applied: Applied) -> None:
         """Forget the oldest withdrawals: the same ones on every replica, since all hold the same items."""
-        if self.pruned == self._pruned_to:
+        if self.pruned_index == self._pruned_to:
             return
-        self._pruned_to = self.pruned
-        old = [n for n, i in self.items.items() if i.entry.value is None and i.index <= self.pruned]
+        self._pruned_to = self.pruned_index
+        old = [n for n, i in self.items.items() if i.entry.value is None and i.index <= self.pruned_index]
         for name in old:
             self._forget(name, applied)
 
-    def pages(self, since: int) -> list[Learn]:
+    def pages_after(self, since: int) -> list[Learn]:
         """What was decided after change `since`, in frames of a bounded size."""
-        if since < self.pruned or since > self.index:
+        if since < self.pruned_index or since > self.index:
             since = 0  # what was withdrawn since then may be forgotten: only the whole state tells
-        pages = [Learn(since, self.index, self.pruned, 0, [], False)]
+        pages = [Learn(since, self.index, self.pruned_index, 0, [], False)]
         size = 0
         for item in self.items.values():
             if item.index <= since:
                 continue
             size += len(item.entry.name) + len(item.entry.value or b"") + 32
             if size > MAX_PAGE_BYTES:
-                pages.append(Learn(since, self.index, self.pruned, len(pages), [], False))
+                pages.append(Learn(since, self.index, self.pruned_index, len(pages), [], False))
                 size = 0
             pages[-1].items.append(item)
         pages[-1].is_last = True
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -162,7 +162,7 @@
         if isinstance(message, Accept):
             return self.register.accept(peer, message, self.is_voter)
         if isinstance(message, ReadIndexQuery):
-            return self.register.query(peer, message, self.is_voter)
+            return self.register.read_index(peer, message, self.is_voter)
         if isinstance(message, FetchDecided):
             return self._catch_up(peer, message)
         if isinstance(message, FetchReservations):
@@ -190,13 +190,13 @@
         effects = Effects(write=applied.write)
         for entry in applied.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
-                self._adopt(now, read_membership(entry.value))
+                self._take_up(now, read_membership(entry.value))
                 effects.write.append((COMPLETE_ROW, _pack(self.complete_epoch)))
         if applied.entries or applied.forgotten:
             self._publish(applied.entries, applied.forgotten)
         return effects
 
-    def _adopt(self, now: float, membership: Membership) -> None:
+    def _take_up(self, now: float, membership: Membership) -> None:
         """Go by the next membership. What it holds stays complete only from one epoch to the very next one."""
         self._check_step(membership)
         follows = self.is_complete and membership.epoch == self.epoch + 1
@@ -217,14 +217,14 @@
     def _catch_up(self, peer: Peer, message: FetchDecided) -> Effects:
         if message.after_index >= self.index:
             return Effects()
-        return Effects(send=[(peer, page) for page in self.register.pages(message.after_index)])
+        return Effects(send=[(peer, page) for page in self.register.pages_after(message.after_index)])
 
     # ---- claims --------------------------------------------------------------------------
 
     @property
     def grants_reservations(self) -> bool:
         """Whether it grants claims: not while a change of the voters that it has accepted may be decided."""
-        change = self.register.change
+        change = self.register.accepted_change
         return self.is_complete and (change is None or all(entry.kind != MEMBERSHIP for entry in change.entries))
 
     def _reserve(self, now: float, peer: Peer, message: ReserveKey) -> Effects:
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -8,7 +8,7 @@
 from lugspur.mesh.control.change_forwarding import ChangeForwarder, result_of
 from lugspur.mesh.control.change_requests import ChangeRequest, NoQuorum, Outcome
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import ForwardChange, Message
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.process_pause import PauseDetector
@@ -42,9 +42,9 @@
         """Raises MeshError where an order may not be taken up."""
         in_hand = len(self._proposer) + len(self.forwarder)
         if in_hand >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
-            raise MeshError(Kind.NO_QUORUM, "too many calls in hand")
+            raise MeshError(ErrorKind.NO_QUORUM, "too many calls in hand")
         if self._pause_detector.is_stale(now):
-            raise MeshError(Kind.NO_QUORUM, "this process has stood still")
+            raise MeshError(ErrorKind.NO_QUORUM, "this process has stood still")
 
     def submit(self, now: float, order: ChangeRequest) -> None:
         """Propose an order, or have it proposed by the preferred control node."""
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -74,10 +74,10 @@
             # A peer that takes connections and says nothing is as absent as one that takes none.
             heard_at = self._heard_at.setdefault(voter.ip, now)
             absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
-            fresh = now - self._freshness.word_at(voter.ip) < self._stale
+            fresh = now - self._freshness.latest_update_at(voter.ip) < self._stale
             if fresh and self._complete_epochs.get(voter.ip, 0) == membership.epoch:
                 complete.add(voter.ip)
-        step = self._reconfiguration.look(now, presences_of(self._store), complete, absent)
+        step = self._reconfiguration.next_step(now, presences_of(self._store), complete, absent)
         if step is not None:
             self._propose_step(now, step)
 
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -50,7 +50,11 @@
         gauge("membership_epoch", "The membership that this process goes by.", replica.epoch),
         gauge("voter", "1 while this disk has a vote.", float(replica.is_voter)),
         gauge("complete", "1 while it holds all claims that a voter must hold.", float(replica.is_complete)),
-        gauge("change_pending", "1 while a change is accepted and not known as decided.", replica.register.pending),
+        gauge(
+            "change_pending",
+            "1 while a change is accepted and not known as decided.",
+            replica.register.has_pending_change,
+        ),
         gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.age(now))),
         gauge("claims", "Claims of operation keys that are held.", len(replica.reservations)),
         gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -10,7 +10,7 @@
 from lugspur.mesh.control import items
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome, error_of
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.read_index import Read, Reader
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
@@ -71,14 +71,14 @@
 
         def over(latest: bool) -> None:
             self.waiting.discard(caller)
-            self.reads["answered" if latest else Kind.NO_QUORUM.value] += 1
+            self.reads["answered" if latest else ErrorKind.NO_QUORUM.value] += 1
             if not waits:
                 return
             if latest:
                 entries = [item.entry for item in self._replica.register.items.values()]
                 reply(caller, items.encode_items(entries))
             else:
-                fail(caller, MeshError(Kind.NO_QUORUM, "too few voters answered"))
+                fail(caller, MeshError(ErrorKind.NO_QUORUM, "too few voters answered"))
 
         def gone() -> None:
             nonlocal waits
--- a/lugspur/mesh/control_node/pending_changes.py
+++ b/lugspur/mesh/control_node/pending_changes.py
@@ -31,7 +31,7 @@
     def look(self, now: float) -> None:
         """Finish what this replica itself has accepted for too long."""
         membership = self._replica.membership
-        if membership is None or not self._replica.is_voter or not self._replica.register.pending:
+        if membership is None or not self._replica.is_voter or not self._replica.register.has_pending_change:
             self._since = None
             return
         rank = [voter.ip for voter in membership.voters].index(self._ip)
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -35,7 +35,7 @@
 )
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.read_index import Reader
-from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
+from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, leaves_time
 from lugspur.mesh.control.replica import GENESIS, UID_ROW, Replica, read_membership
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
@@ -106,7 +106,7 @@
         )
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.do)
         self.catch_up = ReservationCatchUp(self.replica)
-        patience = patience_of(bounds.catch_up_s, bounds.contact_ms / 1000.0)
+        patience = absence_timeout(bounds.catch_up_s, bounds.contact_ms / 1000.0)
         tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
         self.reconfiguration = Reconfiguration(self.replica, tolerance, patience, settings.network.zones)
         self.membership_changes = MembershipChanges(
@@ -207,7 +207,7 @@
         self._index_seen = self.index = self.replica.index
         self.pending_changes.advanced()
         now = self.loop.time()
-        self.do(self.proposer.advanced(now))
+        self.do(self.proposer.replica_advanced(now))
         self.do(self.reader.replica_advanced(now))
         self.subscribers.tell_soon()
 
@@ -236,7 +236,7 @@
 
     def heard_more(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
-            self.do(self.proposer.heard(now, ip, message))
+            self.do(self.proposer.receive(now, ip, message))
         elif isinstance(message, ReadIndexReply):
             effects, pending = self.reader.receive(now, ip, message)
             self.do(effects)
@@ -277,7 +277,7 @@
             self.to(ip, FetchDecided(self.replica.index))
 
     def _finish_pending(self, now: float) -> None:
-        self.do(self.proposer.finish(now))
+        self.do(self.proposer.resolve_pending(now))
 
     def _down(self, dialler: Dialer) -> None:
         self.catch_up.disconnected(dialler.ip)
@@ -312,7 +312,7 @@
             now,
             min(1e6, self.age(now)),
             replica.index,
-            replica.register.pending,
+            replica.register.has_pending_change,
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
             since == 0,
@@ -324,8 +324,8 @@
         replica = self.replica
         if replica.membership is None:
             return 1e9
-        own = self.ip if replica.is_voter and not replica.register.pending else ""
-        return now - self.freshness.known_since(now, replica.membership, replica.index, own)
+        own = self.ip if replica.is_voter and not replica.register.has_pending_change else ""
+        return now - self.freshness.known_up_to(now, replica.membership, replica.index, own)
 
     def follows(self, ip: str) -> bool:
         return True
@@ -359,7 +359,7 @@
             self.do(self.replica.sweep(now))
             self._look_at_disk(now)
         self.router.look(now)
-        self.do(self.proposer.look(now))
+        self.do(self.proposer.tick(now))
         self.do(self.reader.tick(now))
         self.do(self.catch_up.tick(now))
         self.pending_changes.look(now)
@@ -387,7 +387,7 @@
         if self.age(now) > self.stale:
             return self.ip
         for voter in membership.voters if membership is not None else ():
-            if voter.ip == self.ip or now - self.freshness.word_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
+            if voter.ip == self.ip or now - self.freshness.latest_update_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
                 return voter.ip
         return self.ip
 
@@ -404,7 +404,7 @@
             self.disk,
             ip=self.ip,
             age=self.age(self.loop.time()),
-            voters_wanted=self.reconfiguration.tolerance.voters,
+            voters_wanted=self.reconfiguration.tolerance.voter_count,
             subscribers=len(self.subscribers),
         )
 
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -26,7 +26,7 @@
         "index": replica.index,
         "voter": replica.is_voter,
         "complete": replica.is_complete,
-        "pending": replica.register.pending,
+        "pending": replica.register.has_pending_change,
         "voters": [] if replica.membership is None else [voter.ip for voter in replica.membership.voters],
         "voters_wanted": voters_wanted,
         "age_s": round(min(1e6, age), 3),
@@ -41,7 +41,7 @@
             for ip, p in presences_of(store).items()
         },
         "entries": kinds,
-        "configuration_bytes": replica.register.bytes,
+        "configuration_bytes": replica.register.size_bytes,
         "claims": len(replica.reservations),
         "subscribers": subscribers,
         "disk": {"commits": disk.commits, "fault": disk.fault},
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import (
     Acquired,
@@ -89,8 +89,8 @@
         proxy, loop = self.proxy, self.proxy.loop
         now = loop.time()
         if now >= self.deadline:
-            self._record(Kind.TOO_LATE.value)
-            refuse(self.caller, Kind.TOO_LATE)
+            self._record(ErrorKind.TOO_LATE.value)
+            refuse(self.caller, ErrorKind.TOO_LATE)
             return
         proxy.opened(self)
         proxy.budget(self.service).take(now)
@@ -112,9 +112,9 @@
         elif isinstance(how, AlreadyCompleted):
             self._answer(how.response)
         elif isinstance(how, TakenByAnother):
-            self._refuse(Kind.KEY_BUSY if how.is_running else Kind.KEY_SPENT)
+            self._refuse(ErrorKind.KEY_BUSY if how.is_running else ErrorKind.KEY_SPENT)
         else:
-            self._refuse(Kind.NO_QUORUM)
+            self._refuse(ErrorKind.NO_QUORUM)
 
     # ---- the pick ------------------------------------------------------------------------
 
@@ -292,13 +292,13 @@
     def _give_up(self) -> None:
         """Nobody will run it: refused where that is proven, else failed."""
         if self.maybe and not self.route.safe:
-            self._refuse(Kind.MAYBE_RAN)
+            self._refuse(ErrorKind.MAYBE_RAN)
             return
-        self._refuse(Kind.MAYBE_RAN if self.maybe else Kind.NO_BACKEND)
+        self._refuse(ErrorKind.MAYBE_RAN if self.maybe else ErrorKind.NO_BACKEND)
 
     def _late(self) -> None:
         if not self.over:
-            self._refuse(Kind.TOO_LATE)
+            self._refuse(ErrorKind.TOO_LATE)
 
     def _release_unrun(self) -> None:
         """Give the claim back once the request is over, nothing of it is under way, and nothing ran.
@@ -319,7 +319,7 @@
             self._record(BACKEND_FAILED)
         self.caller.answer(answer.status, answer.head, answer.body)
 
-    def _refuse(self, kind: Kind) -> None:
+    def _refuse(self, kind: ErrorKind) -> None:
         self._record(kind.value)
         self._finish()
         refuse(self.caller, kind, self.deadline - self.proxy.loop.time())
@@ -330,7 +330,7 @@
         Guards its caller against a connection that ends without an answer.
         """
         if not self.over:
-            self._refuse(Kind.MAYBE_RAN if self.out or self.maybe or self.ran else Kind.LEAVING)
+            self._refuse(ErrorKind.MAYBE_RAN if self.out or self.maybe or self.ran else ErrorKind.LEAVING)
 
     def _gone(self) -> None:
         """Its caller has left."""
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lugspur.load_balancing.budget import Budget
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.mesh.dataplane.ports import Carrier, Keys, OpenRequest
 from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
@@ -120,17 +120,17 @@
         attempt, key = headers.get(ATTEMPT, b""), headers.get(KEY, b"")
         # Guards what must run once against two readings of one id: repeated headers are joined by commas.
         if not 0 < len(attempt) <= ID_MOST or b"," in attempt or len(key) > ID_MOST or not request.target[:1] == b"/":
-            raise MeshError(Kind.BAD_REQUEST)
+            raise MeshError(ErrorKind.BAD_REQUEST)
         if not len(self.table):
-            raise MeshError(Kind.NOT_READY)
+            raise MeshError(ErrorKind.NOT_READY)
         route = self.table.find(headers.get(b"host", b""), request.target)
         if route is None:
-            raise MeshError(Kind.NO_ROUTE)
+            raise MeshError(ErrorKind.NO_ROUTE)
         left = route.deadline
         told = headers.get(BY_MS)
         if told is not None:
             if not told.isdigit() or len(told) > 9:
-                raise MeshError(Kind.BAD_REQUEST)
+                raise MeshError(ErrorKind.BAD_REQUEST)
             left = min(left, int(told) / 1000.0)
         back = route.comes_back(left)
         caller.admit()
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -9,7 +9,7 @@
 from lugspur.discovery.rows import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
+from lugspur.mesh.control.errors import RESPONSES, ErrorKind, MeshError
 from lugspur.seams import Answerable, Request
 
 JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
@@ -35,8 +35,8 @@
 
 def fail(caller: Answerable, fault: MeshError) -> None:
     """Answer a call that came to nothing: its code, and one line of what is wrong."""
-    row = ANSWERS[fault.kind]
-    after = b"Retry-After: %.2f\r\n" % row.after if row.after else b""
+    row = RESPONSES[fault.kind]
+    after = b"Retry-After: %.2f\r\n" % row.retry_after_seconds if row.retry_after_seconds else b""
     # A detail may quote what came in the call, lone halves of surrogate pairs included, which UTF-8 does not have.
     detail = fault.detail.encode("utf-8", "replace").decode()
     reply(caller, _encode(Failure(fault.code, detail)), row.status, after)
@@ -66,7 +66,7 @@
                 except MeshError as fault:
                     fail(caller, fault)
                 return
-        fail(caller, MeshError(Kind.NO_CALL, f"{method} {request.target.decode('ascii', 'replace')[:100]}"))
+        fail(caller, MeshError(ErrorKind.NO_CALL, f"{method} {request.target.decode('ascii', 'replace')[:100]}"))
 
     async def serve(self, address: str, memory: int) -> Front:
         """Listen for calls."""
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -116,7 +116,7 @@
             self.peers[ip] = Dialer(ip, port, self.ip, self._heard_from, self._up, self._down, self.keep_idle(ip))
         for ip in [ip for ip in self.peers if ip not in wanted and not self.keep_peer(ip)]:
             self.peers.pop(ip).close()
-            self.freshness.lost(ip)
+            self.freshness.disconnected(ip)
             self.synced.pop(ip, None)
 
     def keep_idle(self, ip: str) -> int:
@@ -135,7 +135,7 @@
         self.claims.voter_connected(self.loop.time(), dialler.ip)
 
     def _down(self, dialler: Dialer) -> None:
-        self.freshness.lost(dialler.ip)
+        self.freshness.disconnected(dialler.ip)
         if dialler.ip == self.source:
             self.source = ""
             self._seek()
@@ -147,7 +147,7 @@
     def _subscribe(self, dialler: Dialer) -> None:
         if dialler.link is not None:
             life, since = self.synced.get(dialler.ip, ("", 0))
-            self.freshness.asked(self.loop.time(), dialler.ip)
+            self.freshness.subscribed(self.loop.time(), dialler.ip)
             dialler.link.send(Subscribe(life, since))
             own = self.own_entries(True)
             if own:
@@ -215,7 +215,7 @@
         """What only some processes understand."""
 
     def _delta(self, now: float, ip: str, message: Delta) -> None:
-        sent_at = self.freshness.heard(now, ip, message)
+        sent_at = self.freshness.receive(now, ip, message)
         taken = self.take_news(message)
         self.synced[ip] = (message.incarnation, message.latest_sequence)
         if ip == self.source:
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -10,7 +10,7 @@
 import dacite
 
 from lugspur.discovery.rows import Address, read_address
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 
 SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # names the file
 DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
@@ -159,15 +159,15 @@
             if address:
                 read_address(address)
     except (dacite.DaciteError, ValueError, TypeError) as fault:
-        raise MeshError(Kind.SETTINGS, str(fault)) from None
+        raise MeshError(ErrorKind.SETTINGS, str(fault)) from None
     if not settings.network.inner_ports:
-        raise MeshError(Kind.SETTINGS, "network.inner_ports is empty")
+        raise MeshError(ErrorKind.SETTINGS, "network.inner_ports is empty")
     if not all(0 < port <= MAX_PORT for port in settings.network.inner_ports):
-        raise MeshError(Kind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
+        raise MeshError(ErrorKind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
     bounds = settings.tariffs.bounds
     for name in ("edition_ms", "stamp_window_s", "grace_s", "retry_window_s"):
         if getattr(bounds, name) <= 0.0:
-            raise MeshError(Kind.SETTINGS, f"tariffs.bounds.{name} is not above 0")
+            raise MeshError(ErrorKind.SETTINGS, f"tariffs.bounds.{name} is not above 0")
     return settings
 
 
@@ -177,4 +177,4 @@
         with open(path, "rb") as file:
             return parse_settings(tomllib.load(file))
     except (OSError, ValueError, RecursionError) as fault:  # what is no TOML, no UTF-8, or nests without end
-        raise MeshError(Kind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
+        raise MeshError(ErrorKind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -13,7 +13,7 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh import events
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import LIMITS, ROUTES
 from lugspur.mesh.control.messages import (
     BackendResponse,
@@ -144,7 +144,7 @@
 
     def _handle(self, request: Request, caller: Answerable) -> None:
         if not self.known:
-            self.proxy.failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
+            self.proxy.failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], ErrorKind.NOT_READY.value)
             raise_not_ready(caller)
             return
         self.proxy.handle(request, caller)
@@ -155,7 +155,7 @@
         if self.known and len(self.table) and not self.leaving:
             reply(caller)
         else:
-            raise MeshError(Kind.LEAVING if self.leaving else Kind.NOT_READY)
+            raise MeshError(ErrorKind.LEAVING if self.leaving else ErrorKind.NOT_READY)
 
     def _elsewhere(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """A call that only a replica can settle."""
@@ -328,4 +328,4 @@
 
 def raise_not_ready(caller: Answerable) -> None:
     """Nothing is known yet."""
-    fail(caller, MeshError(Kind.NOT_READY))
+    fail(caller, MeshError(ErrorKind.NOT_READY))
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -10,7 +10,7 @@
 
 from lugspur.discovery.rows import read_address
 from lugspur.mesh import events
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.dataplane.gate import Gate, LocalBackend
@@ -85,7 +85,7 @@
             heartbeat = _heartbeat_decoder.decode(request.body[:MAX_HEARTBEAT_BYTES])
             read_address(heartbeat.address)
         except (msgspec.MsgspecError, ValueError) as fault:
-            raise MeshError(Kind.BAD_REQUEST, str(fault)) from None
+            raise MeshError(ErrorKind.BAD_REQUEST, str(fault)) from None
         now, local = self._process.loop.time(), self._gate.local
         silent = local is not None and local.state in ("gone", "silent")
         if local is not None and local.id != found[0] and heartbeat.state != "accepting" and heartbeat.sequence > 0:
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from lugspur.mesh.control import items
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Item, Membership, StoredReservation
-from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
+from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, AcceptorState, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
 from lugspur.mesh.control.reservation_table import RESERVATION_PREFIX
 from lugspur.mesh.control.store import Store
@@ -25,7 +25,7 @@
 _item = msgspec.msgpack.Decoder(Item)
 _kept = msgspec.msgpack.Decoder(StoredReservation)
 _index = msgspec.msgpack.Decoder(tuple[int, int])
-_vote = msgspec.msgpack.Decoder(Vote)
+_vote = msgspec.msgpack.Decoder(AcceptorState)
 _epoch = msgspec.msgpack.Decoder(int)
 
 
@@ -50,7 +50,7 @@
     """Read a `data_dir`; raises MeshError (STATE) where there is nothing that can be read as a replica's."""
     path = folder / DIRECTORY_NAME
     if not (path / "data.mdb").is_file():
-        raise MeshError(Kind.STATE, f"{folder}: no replica has kept anything here")
+        raise MeshError(ErrorKind.STATE, f"{folder}: no replica has kept anything here")
     found = Found()
     try:
         with lmdb.open(str(path), readonly=True, lock=False, create=False, max_readers=1) as env:
@@ -59,7 +59,7 @@
                     _take(found, bytes(key), bytes(value))
     except lmdb.Error as fault:
         if found.size == 0:
-            raise MeshError(Kind.STATE, f"{folder}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{folder}: {fault}") from None
         found.faults.append(f"the rest can't be read: {fault}")
     found.faults += _apart(found)
     return found
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -12,8 +12,8 @@
 
 from lugspur.invariants import Invariant, check
 from lugspur.mesh import events
-from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.register import KEY_MOST
+from lugspur.mesh.control.errors import ErrorKind, MeshError
+from lugspur.mesh.control.register import MAX_KEY_BYTES
 
 MAP_FRACTION = 0.6  # of the disk: lmdb must not fill it, and a file that grew is never smaller again
 MIN_MAP_BYTES, MAX_MAP_BYTES = 16 << 20, 1 << 30  # bytes
@@ -52,7 +52,7 @@
                 self._move(str(fault))
                 self._env = self._open()
         except (OSError, lmdb.Error) as fault:
-            raise MeshError(Kind.STATE, f"{self._folder}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{self._folder}: {fault}") from None
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     def _open(self) -> lmdb.Environment:
@@ -67,7 +67,7 @@
             self.set_aside(str(fault))
             return []
         except lmdb.Error as fault:
-            raise MeshError(Kind.STATE, f"{self._folder}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{self._folder}: {fault}") from None
 
     def set_aside(self, why: str) -> None:
         """What is on disk can't be used: it is kept under another name, and this is an empty disk from now on.
@@ -80,7 +80,7 @@
             self._move(why)
             self._env = self._open()
         except (OSError, lmdb.Error) as fault:
-            raise MeshError(Kind.STATE, f"{self._folder}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{self._folder}: {fault}") from None
 
     def _move(self, why: str) -> None:
         self.damaged = why
@@ -105,7 +105,7 @@
         What no disk takes is never written, and nothing that waits for it is promised. Guards all other rows: those of
         a failed write go with the next one, so that one such row would fail each write from then on.
         """
-        fitting = [row for row in rows if len(row[0]) <= KEY_MOST]
+        fitting = [row for row in rows if len(row[0]) <= MAX_KEY_BYTES]
         check(len(fitting) == len(rows), Invariant.ROW_FITS, rows=len(rows) - len(fitting))
         if len(fitting) < len(rows):
             rows, then = fitting, None
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from lugspur.mesh.control.errors import ANSWERS, Kind
+from lugspur.mesh.control.errors import RESPONSES, ErrorKind
 from lugspur.mesh.control.items import RequestLimits, Route, Service, Share
 from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import (
@@ -57,7 +57,7 @@
     decode,
     encode,
 )
-from lugspur.mesh.control.register import Register, Vote
+from lugspur.mesh.control.register import AcceptorState, Register
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.reservation_table import ReservationTable
 
@@ -325,7 +325,7 @@
         ),
     ),
     (
-        Vote(
+        AcceptorState(
             index=6,
             promised=ProposalNumber(number=7, proposer="p"),
             accepted=ProposalNumber(number=8, proposer="q"),
@@ -334,7 +334,7 @@
         bytes.fromhex("94 06 92 07 a1 70 92 08 a1 71 92 a1 63 91 94 a6 72 6f 75 74 65 73 a1 61 02 c4 01 76"),
     ),
     (
-        Vote(index=6, promised=ProposalNumber(number=7, proposer="p"), accepted=None, change=None),
+        AcceptorState(index=6, promised=ProposalNumber(number=7, proposer="p"), accepted=None, change=None),
         bytes.fromhex("94 06 92 07 a1 70 c0 c0"),
     ),
     (ANSWER, bytes.fromhex("93 cc c8 c4 01 68 c4 01 62")),
@@ -415,7 +415,7 @@
     )
     again = Register()
     again.restore([(key, value) for key, value in [*accepted, *decided] if value is not None])
-    assert again.index == 1 and again.promised == ballot and not again.pending
+    assert again.index == 1 and again.promised == ballot and not again.has_pending_change
     assert [item.entry for item in again.items.values()] == [ENTRY, WITHDRAWAL]
 
 
@@ -503,7 +503,10 @@
 
 
 def test_kinds_of_error_have_these_names_and_statuses() -> None:
-    assert {kind.value: (ANSWERS[kind].status, ANSWERS[kind].after, ANSWERS[kind].spread) for kind in Kind} == {
+    assert {
+        kind.value: (RESPONSES[kind].status, RESPONSES[kind].retry_after_seconds, RESPONSES[kind].spreads_retries)
+        for kind in ErrorKind
+    } == {
         "no-route": (404, 0.0, False),
         "bad-request": (400, 0.0, False),
         "bad-config": (400, 0.0, False),
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -25,7 +25,7 @@
 import pytest
 
 from lugspur.bench.mesh import Mesh, call
-from lugspur.mesh.control.errors import ANSWERS
+from lugspur.mesh.control.errors import RESPONSES
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.settings import parse_settings
 from lugspur.standins.mesh import MeshBackend
@@ -404,7 +404,9 @@
 
 
 def test_the_status_of_each_error() -> None:
-    assert {kind.value: (row.status, row.after, row.spread) for kind, row in ANSWERS.items()} == {
+    assert {
+        kind.value: (row.status, row.retry_after_seconds, row.spreads_retries) for kind, row in RESPONSES.items()
+    } == {
         "no-route": (404, 0.0, False),
         "bad-request": (400, 0.0, False),
         "bad-config": (400, 0.0, False),
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -25,7 +25,7 @@
 from lugspur.discovery.rows import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import (
@@ -423,7 +423,7 @@
     status, span = FAULTS[fault]
     for _ in range(50):
         caller = Caller()
-        refuse(caller, Kind(fault))
+        refuse(caller, ErrorKind(fault))
         [(told, head, body)] = caller.answers
         assert (told, body) == (status, fault.encode() + b"\n")
         if span is None:
@@ -434,21 +434,21 @@
 
 
 def test_all_faults_are_frozen() -> None:
-    assert {kind.value for kind in Kind} == set(FAULTS)
+    assert {kind.value for kind in ErrorKind} == set(FAULTS)
 
 
 def test_where_all_backends_are_full_retry_after_is_a_part_of_the_time_that_is_left() -> None:
     told = set()
     for _ in range(200):
         caller = Caller()
-        refuse(caller, Kind("no-backend"), 30.0)
+        refuse(caller, ErrorKind("no-backend"), 30.0)
         [(_, head, _)] = caller.answers
         found = re.fullmatch(rb"Retry-After: (\d+\.\d{3})\r\n", head)
         assert found is not None
         told.add(float(found[1]))
     assert min(told) >= 6.0 and max(told) <= 10.0 and len(told) > 100
     caller = Caller()
-    refuse(caller, Kind("no-backend"), 0.001)
+    refuse(caller, ErrorKind("no-backend"), 0.001)
     assert caller.answers == [(503, b"Retry-After: 0.050\r\n", b"no-backend\n")]
 
 
@@ -456,7 +456,7 @@
 def test_callers_of_the_api_are_told_of_a_fault_byte_for_byte(fault: str) -> None:
     status, span = FAULTS[fault]
     caller = Caller()
-    fail(caller, MeshError(Kind(fault), 'what "it" was'))
+    fail(caller, MeshError(ErrorKind(fault), 'what "it" was'))
     head = (b"" if span is None else b"Retry-After: 0.25\r\n") + b"Content-Type: application/json\r\n"
     body = b'{"error":"' + fault.encode() + b'","detail":"what \\"it\\" was"}'
     assert caller.answers == [(status, head, body)]
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -73,6 +73,6 @@
         replicas = [node.replica for node in world.up()]
         membership = replicas[0].membership
         complete = [replica for replica in replicas if replica.is_complete]
-        if membership is not None and len(complete) == len(membership.voters) == world.setting.tolerance.voters:
+        if membership is not None and len(complete) == len(membership.voters) == world.setting.tolerance.voter_count:
             return
     raise AssertionError("not all voters are complete")
--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/test_catch_up.py
@@ -15,7 +15,7 @@
 def newcomer() -> tuple[Replica, ReservationCatchUp]:
     source, new = seed(), replica(NEW, "new")
     source.decide(0.0, exchange())
-    new.learn(0.0, source.register.pages(0))
+    new.learn(0.0, source.register.pages_after(0))
     return new, ReservationCatchUp(new)
 
 
--- a/tests/mesh/test_configuration_size.py
+++ b/tests/mesh/test_configuration_size.py
@@ -14,9 +14,9 @@
 from test_membership_changes import SPARE, THERE, follows, situation
 from test_proposer import Node, ballot_of
 
-from lugspur.mesh.control.capacity import CONFIGURATION_PART, configuration_most, fits, item_bytes
+from lugspur.mesh.control.capacity import CONFIGURATION_DISK_FRACTION, fits, item_bytes, max_configuration_bytes
 from lugspur.mesh.control.change_requests import Confirmed, Refused
-from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Change, Entry
 from lugspur.mesh.control.proposer import Proposer
@@ -48,7 +48,9 @@
     effects = found.promises(ballot, *IPS[:2])
     assert not [message for _, message in effects.send if "Accept" in type(message).__name__]
     [refused] = found.how
-    assert isinstance(refused, Refused) and refused.error.kind is Kind.TOO_LARGE and "10000" in refused.error.detail
+    assert (
+        isinstance(refused, Refused) and refused.error.kind is ErrorKind.TOO_LARGE and "10000" in refused.error.detail
+    )
 
 
 def test_what_fits_is_taken_until_all_of_it_together_does_not_and_less_is_always_taken() -> None:
@@ -58,9 +60,9 @@
     settle_refused = ballot_of(found.submit(large("c", 4_500)))
     found.promises(settle_refused, *IPS[:2])
     assert [type(how) for how in found.how] == [Confirmed, Confirmed, Refused]
-    found.proposer._disks = lambda: (SMALL // 10,)  # a disk that can't hold what stands is no reason to refuse
+    found.proposer._disk_sizes = lambda: (SMALL // 10,)  # a disk that can't hold what stands is no reason to refuse
     settle(found, large("c", 4_500))
-    found.proposer._disks = lambda: (SMALL,)
+    found.proposer._disk_sizes = lambda: (SMALL,)
     settle(found, large("a", 4_400, 2), large("b", 4_400, 2), Entry("notes", "c", 2, None))  # above its part, and less
     assert [type(how) for how in found.how[3:]] == [Confirmed, Confirmed]
 
@@ -75,17 +77,17 @@
     small = {ip: Presence(p.uid, p.zone, disk_bytes=SMALL) for ip, p in SPARE.items()}
     absent = {"10.0.0.1": 6.0}
     fitting = situation(THERE | small, absent, complete=(2, 3))
-    assert follows(replace(fitting, configuration=10_000)) == {"10.0.0.4/u4"}
-    assert follows(replace(fitting, configuration=10_001)) is None
+    assert follows(replace(fitting, configuration_bytes=10_000)) == {"10.0.0.4/u4"}
+    assert follows(replace(fitting, configuration_bytes=10_001)) is None
     larger = THERE | small | {"10.0.0.5": Presence("u5", "z2", disk_bytes=2 * SMALL)}
-    assert follows(replace(situation(larger, absent, complete=(2, 3)), configuration=10_001)) == {"10.0.0.5/u5"}
+    assert follows(replace(situation(larger, absent, complete=(2, 3)), configuration_bytes=10_001)) == {"10.0.0.5/u5"}
 
 
 def test_the_sixth_machine_that_is_too_small_bounds_nothing_that_the_other_five_hold() -> None:
     five = [600_000] * 5
-    assert configuration_most(50_000, [*five, SMALL]) == 100_000
-    assert configuration_most(9_000, [*five, SMALL]) == 10_000
-    assert fits(1 << 40, 0) and configuration_most(5, []) == 0
+    assert max_configuration_bytes(50_000, [*five, SMALL]) == 100_000
+    assert max_configuration_bytes(9_000, [*five, SMALL]) == 10_000
+    assert fits(1 << 40, 0) and max_configuration_bytes(5, []) == 0
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(1, 9), st.one_of(st.none(), st.binary(max_size=50)))))
@@ -93,26 +95,26 @@
     register = seed(IPS[0]).register
     for number, (name, edition, value) in enumerate(changes):
         register.decide(Change(str(number), [Entry("notes", name, edition, value)]))
-        assert register.bytes == sum(item_bytes(item.entry) for item in register.items.values())
+        assert register.size_bytes == sum(item_bytes(item.entry) for item in register.items.values())
     restored, other = Register(), Register()
     restored.restore(other_rows(register))
-    other.learn(register.pages(0))
-    assert restored.bytes == register.bytes and other.bytes in (register.bytes, 0)
+    other.learn(register.pages_after(0))
+    assert restored.size_bytes == register.size_bytes and other.size_bytes in (register.size_bytes, 0)
 
 
 def other_rows(register: Register) -> list[tuple[bytes, bytes]]:
     """All rows of a register as they lie on disk."""
-    applied = Register().learn(register.pages(0))
+    applied = Register().learn(register.pages_after(0))
     return [(key, value) for key, value in applied.write if value is not None]
 
 
 @pytest.mark.parametrize("part", [0.9, 1.0])
 def test_a_disk_takes_a_configuration_of_its_part_and_a_change_of_all_of_it(part: float, tmp_path: Path) -> None:
-    """The measure behind CONFIGURATION_PART: what stands, the vote, and what takes its place, with a real disk."""
+    """The measure behind CONFIGURATION_DISK_FRACTION: items, vote and replacements, on a real disk."""
 
     async def run() -> None:
         disk = Disk(str(tmp_path), 1)
-        most = int(disk.size * CONFIGURATION_PART * part)
+        most = int(disk.size * CONFIGURATION_DISK_FRACTION * part)
         items = [(b"i%d" % number, most // 64) for number in range(64)]
         disk.start()
         for turn in range(4):
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lugspur.invariants import Invariant, violations
-from lugspur.mesh.control.register import KEY_MOST
+from lugspur.mesh.control.register import MAX_KEY_BYTES
 from lugspur.mesh.storage import disk as module
 from lugspur.mesh.storage.disk import Disk
 
@@ -81,11 +81,11 @@
         disk.start()
         told: list[str] = []
         written = asyncio.Event()
-        disk.write([(b"k" * (KEY_MOST + 1), b"v")], (lambda: told.append("too long")) if then else None)
-        disk.write([(b"k" * KEY_MOST, b"v")], written.set)
+        disk.write([(b"k" * (MAX_KEY_BYTES + 1), b"v")], (lambda: told.append("too long")) if then else None)
+        disk.write([(b"k" * MAX_KEY_BYTES, b"v")], written.set)
         async with asyncio.timeout(20.0):
             await written.wait()
-        assert not told and not disk.fault and disk.rows() == [(b"k" * KEY_MOST, b"v")]
+        assert not told and not disk.fault and disk.rows() == [(b"k" * MAX_KEY_BYTES, b"v")]
         assert violations.pop(Invariant.ROW_FITS) == 1
         disk.close(1.0)
 
--- a/tests/mesh/test_drawn_histories.py
+++ b/tests/mesh/test_drawn_histories.py
@@ -83,7 +83,7 @@
 
 
 def goes_never(self: Situation, voter: Voter) -> bool:
-    return len(self.complete - {voter.ip}) >= majority(len(self.membership.voters))
+    return len(self.complete_voters - {voter.ip}) >= majority(len(self.membership.voters))
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
         (reservation_client, "majority", lambda count: 1, [SETTINGS[0]]),  # one grant is enough
         (Replica, "sweep", complete_too_soon, COMPLETE_BY_TIME),  # claims of earlier epochs may still count
         (Replica, "sweep", never_complete_by_time, COMPLETE_BY_TIME),  # nobody is complete ever again
-        (Situation, "may_go", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
+        (Situation, "may_lose_vote", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
     ],
 )
 def test_a_guard_that_is_taken_out_is_caught(
--- a/tests/mesh/test_forwarding.py
+++ b/tests/mesh/test_forwarding.py
@@ -6,11 +6,11 @@
 
 from lugspur.mesh.control.change_forwarding import RESULT_TIMEOUT_SECONDS, ChangeForwarder, outcome_of, result_of
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
 
 FIRST = "10.0.0.1"
-REFUSED = Refused(MeshError(Kind.CONFLICT, "another content"))
+REFUSED = Refused(MeshError(ErrorKind.CONFLICT, "another content"))
 
 
 def handed_over() -> tuple[ChangeForwarder, list[Outcome], int]:
@@ -74,4 +74,4 @@
 def test_a_refusal_keeps_its_kind_and_detail() -> None:
     outcome = outcome_of(result_of(3, REFUSED))
     assert isinstance(outcome, Refused)
-    assert (outcome.error.kind, outcome.error.detail) == (Kind.CONFLICT, "another content")
+    assert (outcome.error.kind, outcome.error.detail) == (ErrorKind.CONFLICT, "another content")
--- a/tests/mesh/test_freshness.py
+++ b/tests/mesh/test_freshness.py
@@ -5,7 +5,7 @@
 import pytest
 from controlparts import FIRST, IPS
 
-from lugspur.mesh.control.freshness import FIRST_DELAY, NEVER, DelayEstimate, Freshness
+from lugspur.mesh.control.freshness import MAX_FIRST_DELAY_SECONDS, NEVER, DelayEstimate, Freshness
 from lugspur.mesh.control.messages import Delta
 
 A, B, C = IPS
@@ -19,18 +19,18 @@
 def begun(*ips: str, two_way_within: float = 1e9) -> Freshness:
     freshness = Freshness(two_way_within)
     for ip in ips:
-        freshness.asked(10.0, ip)
-        freshness.heard(10.01, ip, delta(10.005))
+        freshness.subscribed(10.0, ip)
+        freshness.receive(10.01, ip, delta(10.005))
     return freshness
 
 
 def known(freshness: Freshness, now: float, index: int = 5, own: str = "") -> float:
-    return freshness.known_since(now, FIRST, index, own)
+    return freshness.known_up_to(now, FIRST, index, own)
 
 
 def test_the_word_of_a_majority_counts_by_the_older_one() -> None:
     freshness = begun(B, C)
-    freshness.heard(12.0, B, delta(11.995))
+    freshness.receive(12.0, B, delta(11.995))
     assert known(freshness, 12.0) == pytest.approx(10.01, abs=0.02)
     assert known(freshness, 12.0, own=A) == pytest.approx(12.0, abs=0.02)
     assert known(begun(B), 12.0) == NEVER
@@ -39,13 +39,13 @@
 def test_a_message_that_was_held_up_is_as_old_as_when_it_was_sent() -> None:
     freshness = begun(B, C)
     for ip in (B, C):
-        freshness.heard(40.0, ip, delta(11.0))  # 29 seconds in a buffer
+        freshness.receive(40.0, ip, delta(11.0))  # 29 seconds in a buffer
     assert known(freshness, 40.0) == pytest.approx(11.0, abs=0.05)
 
 
 def test_the_first_message_of_a_connection_is_no_newer_than_the_question_allows() -> None:
     delay = DelayEstimate(10.0)
-    assert delay.sent_at(40.0, 500.0) <= 10.0 + FIRST_DELAY
+    assert delay.sent_at(40.0, 500.0) <= 10.0 + MAX_FIRST_DELAY_SECONDS
     prompt = DelayEstimate(10.0)
     assert prompt.sent_at(10.02, 500.0) == pytest.approx(10.02)
 
@@ -59,22 +59,22 @@
 
 def test_a_later_change_or_one_that_is_pending_is_no_word_for_what_is_known_here() -> None:
     freshness = begun(B, C)
-    freshness.heard(11.0, C, delta(11.0, index=6))
+    freshness.receive(11.0, C, delta(11.0, index=6))
     assert known(freshness, 11.0) == NEVER and known(freshness, 11.0, index=6) != NEVER
     pending = begun(B, C)
-    pending.heard(11.0, C, delta(11.0, pending=True))
+    pending.receive(11.0, C, delta(11.0, pending=True))
     assert known(pending, 11.0) == NEVER and known(pending, 11.0, index=6) != NEVER
 
 
 def test_the_word_of_one_without_a_vote_or_a_connection_does_not_count() -> None:
     wiped = begun(B, C)
-    wiped.heard(11.0, C, delta(11.0, votes=False))
-    assert known(wiped, 11.0) == NEVER and wiped.word_at(C) == NEVER
+    wiped.receive(11.0, C, delta(11.0, votes=False))
+    assert known(wiped, 11.0) == NEVER and wiped.latest_update_at(C) == NEVER
     lost = begun(B, C)
-    lost.lost(C)
+    lost.disconnected(C)
     assert known(lost, 11.0) == NEVER
     anew = begun(B, C)
-    anew.asked(12.0, C)
+    anew.subscribed(12.0, C)
     assert known(anew, 12.0) == NEVER  # until it has answered on the new connection
     stranger = begun(B, "10.0.0.9")
     assert known(stranger, 11.0) == NEVER
@@ -83,18 +83,18 @@
 def test_news_that_was_not_asked_for_on_this_connection_is_of_any_age() -> None:
     freshness = begun(B, C)
     for ip in (B, C):
-        freshness.lost(ip)
-        assert freshness.heard(40.0, ip, delta(11.0)) == NEVER  # it was in a buffer when the connection ended
-    assert known(freshness, 40.0) == NEVER and freshness.word_at(B) == NEVER
+        freshness.disconnected(ip)
+        assert freshness.receive(40.0, ip, delta(11.0)) == NEVER  # it was in a buffer when the connection ended
+    assert known(freshness, 40.0) == NEVER and freshness.latest_update_at(B) == NEVER
 
 
 def test_asking_again_on_the_same_connection_makes_nothing_younger_that_was_held_up_before() -> None:
     freshness = begun(B, C)
-    freshness.asked(30.0, B)  # it was given up, and is followed again
-    assert freshness.heard(31.0, B, delta(11.0)) == pytest.approx(11.0, abs=0.02)
-    freshness.lost(B)
-    freshness.asked(32.0, B)
-    assert freshness.heard(33.0, B, delta(32.5)) <= 32.0 + FIRST_DELAY
+    freshness.subscribed(30.0, B)  # it was given up, and is followed again
+    assert freshness.receive(31.0, B, delta(11.0)) == pytest.approx(11.0, abs=0.02)
+    freshness.disconnected(B)
+    freshness.subscribed(32.0, B)
+    assert freshness.receive(33.0, B, delta(32.5)) <= 32.0 + MAX_FIRST_DELAY_SECONDS
 
 
 def test_the_word_of_a_voter_that_no_longer_hears_this_process_does_not_count() -> None:
@@ -102,8 +102,8 @@
     for n in range(8):  # a cut in one direction: news comes, and what is sent back does not get there
         now = 10.25 * 1.0 + 0.25 * n
         for ip in (B, C):
-            freshness.heard(now + 0.005, ip, delta(now, echo=10.1))
+            freshness.receive(now + 0.005, ip, delta(now, echo=10.1))
         assert (known(freshness, now + 0.01) > NEVER) is (now + 0.01 <= 11.1)
     for ip in (B, C):
-        freshness.heard(13.0, ip, delta(12.995, echo=12.8))  # it is healed
+        freshness.receive(13.0, ip, delta(12.995, echo=12.8))  # it is healed
     assert known(freshness, 13.0) == pytest.approx(13.0, abs=0.02)
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.http_api import HttpApi
 from lugspur.seams import Answerable, Request
 
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("detail", ['a "name"', "a\\b", "line\nline", "\x00\x1f\x7f", "é \u2028 \U0001f3dd", "\ud800"])
 def test_a_detail_of_any_characters_is_told_in_valid_json(detail: str) -> None:
     def refuse(request: Request, caller: Answerable, found: list[str]) -> None:
-        raise MeshError(Kind.BAD_CONFIG, detail)
+        raise MeshError(ErrorKind.BAD_CONFIG, detail)
 
     api, caller = HttpApi(), Caller()
     api.add("POST", "/config/amend", refuse)
--- a/tests/mesh/test_items.py
+++ b/tests/mesh/test_items.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from meshcalls import call, route, service
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import check_changes, encode_items, read_changes
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.register import KEY_MOST, item_row
+from lugspur.mesh.control.register import MAX_KEY_BYTES, item_row
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.http_api import MAX_CALL_BYTES
 from lugspur.mesh.transport.link import MAX_UNSENT_BYTES
@@ -25,7 +25,7 @@
     return store
 
 
-def refused(body: bytes, store: Store | None = None) -> Kind:
+def refused(body: bytes, store: Store | None = None) -> ErrorKind:
     with pytest.raises(MeshError) as caught:
         check_changes(read_changes(body), store or standing(call(services=[service()])))
     return caught.value.kind
@@ -73,7 +73,7 @@
     ],
 )
 def test_what_is_invalid_is_refused_whole(change: dict[str, Any]) -> None:
-    assert refused(call(route("good"), route() | change)) is Kind.BAD_CONFIG
+    assert refused(call(route("good"), route() | change)) is ErrorKind.BAD_CONFIG
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
     ],
 )
 def test_what_cant_be_read_whole_is_refused(body: bytes) -> None:
-    assert refused(body) is Kind.BAD_CONFIG
+    assert refused(body) is ErrorKind.BAD_CONFIG
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
     body = {"upsert": {"services": [service("new")], "limits": {"edition": "0000000a", **limits}}}
     with pytest.raises(MeshError, match=next(iter(limits))) as caught:
         read_changes(json.dumps(body).encode())
-    assert caught.value.kind is Kind.BAD_CONFIG
+    assert caught.value.kind is ErrorKind.BAD_CONFIG
 
 
 def test_limits_of_the_protocols_own_example_and_small_ones_are_taken() -> None:
@@ -123,9 +123,9 @@
 
 
 def test_two_routes_of_one_place_are_refused_in_one_call_and_against_what_stands() -> None:
-    assert refused(call(route("a"), route("b", path_prefix="/a/"))) is Kind.BAD_CONFIG
+    assert refused(call(route("a"), route("b", path_prefix="/a/"))) is ErrorKind.BAD_CONFIG
     store = standing(call(route("a"), services=[service()]))
-    assert refused(call(route("b", path_prefix="/a/")), store) is Kind.BAD_CONFIG
+    assert refused(call(route("b", path_prefix="/a/")), store) is ErrorKind.BAD_CONFIG
     # Where the one that stands goes in the same call, its place is free.
     check_changes(read_changes(call(route("b", path_prefix="/a/"), drop=[{"name": "a", "edition": "00000008"}])), store)
 
@@ -133,7 +133,7 @@
 def test_a_service_that_routes_need_can_not_be_dropped() -> None:
     store = standing(call(route(), services=[service()]))
     body = json.dumps({"withdraw": {"services": [{"name": "s", "edition": "00000009"}]}}).encode()
-    assert refused(body, store) is Kind.BAD_CONFIG
+    assert refused(body, store) is ErrorKind.BAD_CONFIG
 
 
 def test_an_old_change_that_arrives_again_is_taken_and_changes_nothing() -> None:
@@ -147,7 +147,7 @@
 def test_another_content_under_an_edition_that_stands_is_a_conflict() -> None:
     store = standing(call(route(), services=[service()]))
     check_changes(read_changes(call(route())), store)  # the same content is a repeat
-    assert refused(call(route(deadline_ms=700)), store) is Kind.CONFLICT
+    assert refused(call(route(deadline_ms=700)), store) is ErrorKind.CONFLICT
 
 
 def test_one_name_set_and_dropped_in_one_call() -> None:
@@ -156,7 +156,7 @@
     assert entry.value is None
     [entry] = [e for e in read_changes(call(route(edition="00000009"), drop=drop)) if e.name == "r"]
     assert entry.value is not None
-    assert refused(call(route(edition="00000008"), drop=drop)) is Kind.BAD_CONFIG
+    assert refused(call(route(edition="00000008"), drop=drop)) is ErrorKind.BAD_CONFIG
 
 
 entries = st.builds(
@@ -196,7 +196,7 @@
 def test_shares_by_which_no_draw_can_be_made_are_refused() -> None:
     for shares in ((1e308, 1e308), (0.0, 0.0), (-1.0, 2.0)):
         split = [{"service": "s", "share": share} for share in shares]
-        assert refused(call(route(service=None, split=split))) is Kind.BAD_CONFIG
+        assert refused(call(route(service=None, split=split))) is ErrorKind.BAD_CONFIG
 
 
 def test_an_order_that_is_proposed_three_times_fits_into_what_a_connection_holds_unsent() -> None:
@@ -209,9 +209,9 @@
         body = json.dumps({"upsert": {kind: [{"name": name, "edition": "00000001"}]}}).encode()
         with pytest.raises(MeshError) as caught:
             read_changes(body)
-        assert caught.value.kind is Kind.BAD_CONFIG
+        assert caught.value.kind is ErrorKind.BAD_CONFIG
         body = json.dumps({"withdraw": {kind: [{"name": name, "edition": "00000001"}]}}).encode()
         with pytest.raises(MeshError):
             read_changes(body)
     [longest] = read_changes(json.dumps({"upsert": {"n" * 64: [{"name": "n" * 432, "edition": "00000001"}]}}).encode())
-    assert len(item_row(longest)) <= KEY_MOST
+    assert len(item_row(longest)) <= MAX_KEY_BYTES
--- a/tests/mesh/test_membership_changes.py
+++ b/tests/mesh/test_membership_changes.py
@@ -11,14 +11,14 @@
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.reconfiguration import (
-    AGAIN,
-    CHANGE_TAKES,
-    PATIENCE_LEAST,
-    RANK,
-    SETTLED,
+    CHANGE_DURATION_SECONDS,
+    MIN_ABSENCE_TIMEOUT_SECONDS,
+    RANK_DELAY_SECONDS,
+    RETRY_DELAY_SECONDS,
+    SETTLING_SECONDS,
     Reconfiguration,
+    absence_timeout,
     leaves_time,
-    patience_of,
 )
 
 CURRENT = Membership(4, [Voter(f"10.0.0.{n}", f"u{n}", f"z{n}") for n in (1, 2, 3)])
@@ -66,7 +66,7 @@
     ("machines", "zones", "voters"), [(0, 0, 3), (1, 0, 3), (2, 0, 5), (3, 0, 7), (0, 1, 3), (0, 2, 5), (1, 1, 3)]
 )
 def test_as_many_voters_as_the_losses_ask_for(machines: int, zones: int, voters: int) -> None:
-    assert Tolerance(machines, zones).voters == voters
+    assert Tolerance(machines, zones).voter_count == voters
 
 
 def test_nothing_changes_without_a_cause_or_without_a_candidate() -> None:
@@ -183,10 +183,12 @@
 
 
 def test_patience_follows_from_the_settings_and_it_is_said_where_they_leave_no_time() -> None:
-    assert patience_of(4.0, 3.0) == pytest.approx(4.0 - CHANGE_TAKES)  # before the next loss
-    assert patience_of(60.0, 3.0) == pytest.approx(3.0 + CHANGE_TAKES)
-    assert patience_of(1.0, 3.0) == PATIENCE_LEAST  # a shorter silence is an ordinary restart
-    assert leaves_time(PATIENCE_LEAST + CHANGE_TAKES) and not leaves_time(PATIENCE_LEAST + CHANGE_TAKES - 0.1)
+    assert absence_timeout(4.0, 3.0) == pytest.approx(4.0 - CHANGE_DURATION_SECONDS)  # before the next loss
+    assert absence_timeout(60.0, 3.0) == pytest.approx(3.0 + CHANGE_DURATION_SECONDS)
+    assert absence_timeout(1.0, 3.0) == MIN_ABSENCE_TIMEOUT_SECONDS  # a shorter silence is an ordinary restart
+    assert leaves_time(MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS) and not leaves_time(
+        MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS - 0.1
+    )
 
 
 def watcher(ip: str) -> Reconfiguration:
@@ -201,29 +203,29 @@
 def test_voters_propose_one_after_the_other_and_again_until_it_is_decided() -> None:
     first, third = watcher("10.0.0.1"), watcher("10.0.0.3")
     for one in (first, third):
-        assert one.look(10.0, PRESENT, ALL, LOST) is None  # the membership has to get round first
-    assert first.look(10.0 + SETTLED, PRESENT, ALL, LOST) is not None
-    assert third.look(10.0 + SETTLED, PRESENT, ALL, LOST) is None
-    assert third.look(10.0 + SETTLED + 2 * RANK, PRESENT, ALL, LOST) is not None
-    assert first.look(10.1 + SETTLED, PRESENT, ALL, LOST) is None
-    step = first.look(10.0 + SETTLED + AGAIN, PRESENT, ALL, LOST)
+        assert one.next_step(10.0, PRESENT, ALL, LOST) is None  # the membership has to get round first
+    assert first.next_step(10.0 + SETTLING_SECONDS, PRESENT, ALL, LOST) is not None
+    assert third.next_step(10.0 + SETTLING_SECONDS, PRESENT, ALL, LOST) is None
+    assert third.next_step(10.0 + SETTLING_SECONDS + 2 * RANK_DELAY_SECONDS, PRESENT, ALL, LOST) is not None
+    assert first.next_step(10.1 + SETTLING_SECONDS, PRESENT, ALL, LOST) is None
+    step = first.next_step(10.0 + SETTLING_SECONDS + RETRY_DELAY_SECONDS, PRESENT, ALL, LOST)
     assert step is not None and [v.ip for v in step.voters] == ["10.0.0.1", "10.0.0.3", "10.0.0.4"]
 
 
 def test_who_has_no_vote_proposes_nothing_and_a_cause_that_passes_is_forgotten() -> None:
     without = Reconfiguration(seed("10.0.0.7"), Tolerance(1, 0), PATIENCE)
-    assert without.look(10.0, PRESENT, ALL, LOST) is None and without.look(20.0, PRESENT, ALL, LOST) is None
+    assert without.next_step(10.0, PRESENT, ALL, LOST) is None and without.next_step(20.0, PRESENT, ALL, LOST) is None
     one = watcher("10.0.0.1")
-    assert one.look(10.0, PRESENT, ALL, LOST) is None
-    assert one.look(11.0, PRESENT, ALL, {}) is None
-    assert one.look(20.0, PRESENT, ALL, LOST) is not None  # long settled: at once
+    assert one.next_step(10.0, PRESENT, ALL, LOST) is None
+    assert one.next_step(11.0, PRESENT, ALL, {}) is None
+    assert one.next_step(20.0, PRESENT, ALL, LOST) is not None  # long settled: at once
 
 
 def test_own_completeness_is_what_the_replica_knows_and_others_what_they_said() -> None:
     one = watcher("10.0.0.1")
     for now in (10.0, 11.0):
-        assert one.look(now, PRESENT, set(), LOST) is None  # itself alone is no majority
-    assert one.look(12.0, PRESENT, {"10.0.0.3", "10.0.0.9"}, LOST) is not None
+        assert one.next_step(now, PRESENT, set(), LOST) is None  # itself alone is no majority
+    assert one.next_step(12.0, PRESENT, {"10.0.0.3", "10.0.0.9"}, LOST) is not None
     late = watcher("10.0.0.1")
-    assert late.look(10.0, PRESENT, set(), LOST) is None
-    assert late.look(10.0 + PATIENCE + 1.0, PRESENT, set(), LOST) is not None  # overdue
+    assert late.next_step(10.0, PRESENT, set(), LOST) is None
+    assert late.next_step(10.0 + PATIENCE + 1.0, PRESENT, set(), LOST) is not None  # overdue
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -9,7 +9,7 @@
 
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import (
     Accept,
@@ -22,7 +22,7 @@
     Promise,
     ProposalNumber,
 )
-from lugspur.mesh.control.proposer import BRING_UP_MOST, ROUND_WITHIN, Proposer
+from lugspur.mesh.control.proposer import MAX_CATCH_UPS_PER_VOTER, ROUND_TIMEOUT_SECONDS, Proposer
 from lugspur.mesh.control.replica import membership_entry
 
 A, B, C = IPS
@@ -47,13 +47,13 @@
     def promises(self, ballot: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
         effects = Effects()
         for ip in ips:
-            effects.add(self.proposer.heard(now, ip, promise(self.replica.index + 1, ballot)))
+            effects.add(self.proposer.receive(now, ip, promise(self.replica.index + 1, ballot)))
         return effects
 
     def accepts(self, ballot: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
         effects, index = Effects(), self.replica.index + 1
         for ip in ips:
-            effects.add(self.proposer.heard(now, ip, accepted(index, ballot)))
+            effects.add(self.proposer.receive(now, ip, accepted(index, ballot)))
         return effects
 
     def decide(self, *entries: Entry) -> None:
@@ -96,21 +96,21 @@
     assert node.promises(ProposalNumber(9, "other"), B, C).send == []
     offered(node.promises(ballot, B))
     assert node.accepts(ballot, A, NEW).send == [] and node.accepts(ProposalNumber(9, "other"), B, C).send == []
-    assert node.proposer.heard(0.0, B, accepted(3, ballot)).send == [] and node.how == []
+    assert node.proposer.receive(0.0, B, accepted(3, ballot)).send == [] and node.how == []
 
 
 def test_what_was_accepted_under_the_highest_ballot_goes_first_and_the_order_after_it() -> None:
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7, b"mine")))
     low, high = ProposalNumber(1, "b"), ProposalNumber(2, "c")
-    node.proposer.heard(0.0, A, promise(2, ballot, low, change(item("r", 7, b"low"))))
-    accept = offered(node.proposer.heard(0.0, C, promise(2, ballot, high, change(item("r", 7, b"high"), name="x"))))
+    node.proposer.receive(0.0, A, promise(2, ballot, low, change(item("r", 7, b"low"))))
+    accept = offered(node.proposer.receive(0.0, C, promise(2, ballot, high, change(item("r", 7, b"high"), name="x"))))
     assert accept.change.entries == [item("r", 7, b"high")]
     again = ballot_of(node.accepts(ballot, A, C).send)
     assert node.how == [] and again > ballot
     node.promises(again, A, C)
     [how] = node.how
-    assert isinstance(how, Refused) and how.error.kind is Kind.CONFLICT  # the other content was decided
+    assert isinstance(how, Refused) and how.error.kind is ErrorKind.CONFLICT  # the other content was decided
 
 
 def test_one_that_was_decided_already_is_confirmed_without_another_change() -> None:
@@ -130,7 +130,7 @@
     ballot = ballot_of(node.submit(item("r", 7, b"other")))
     node.promises(ballot, A)
     assert len(node.how) == 1
-    node.proposer.look(0.9)
+    node.proposer.tick(0.9)
     assert node.how[1:] == [NoQuorum()]
 
 
@@ -170,7 +170,7 @@
     assert node.how == [Confirmed(), Confirmed()]
     accept = offered(node.promises(again, A, B))
     refused = node.how[2]
-    assert isinstance(refused, Refused) and refused.error.kind is Kind.BAD_CONFIG
+    assert isinstance(refused, Refused) and refused.error.kind is ErrorKind.BAD_CONFIG
     assert accept.change.entries == [item("r", 8)]
 
 
@@ -179,10 +179,10 @@
     ballot = ballot_of(node.submit(item("r", 7)))
     offered(node.promises(ballot, A, B))
     node.accepts(ballot, A)
-    node.proposer.look(0.9)
+    node.proposer.tick(0.9)
     assert node.how == [Unclear()]
     fault = error_of(node.how[0])
-    assert fault is not None and fault.kind is Kind.UNCLEAR
+    assert fault is not None and fault.kind is ErrorKind.UNCLEAR
     node.accepts(ballot, B, now=1.0)  # it counts all the same
     assert node.how == [Unclear()]
 
@@ -210,9 +210,9 @@
 def test_a_competitor_ends_a_proposal_and_the_next_one_is_above_it_after_a_pause() -> None:
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7)))
-    node.proposer.heard(0.0, B, Promise(2, ballot, False, 1, ProposalNumber(9_000_000, "b")))
-    assert node.proposer.look(0.0).send == []
-    again = ballot_of(node.proposer.look(0.5).send)
+    node.proposer.receive(0.0, B, Promise(2, ballot, False, 1, ProposalNumber(9_000_000, "b")))
+    assert node.proposer.tick(0.0).send == []
+    again = ballot_of(node.proposer.tick(0.5).send)
     assert again.number == 9_000_001 and again.proposer == f"{A}/life"
     assert node.promises(ballot, A, B).send == []  # to the one that was given up
 
@@ -220,9 +220,9 @@
 def test_a_proposal_without_an_end_is_given_up_and_made_anew() -> None:
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7)))
-    assert node.proposer.look(ROUND_WITHIN - 0.01).send == []
-    assert node.proposer.look(ROUND_WITHIN).send == []
-    assert ballot_of(node.proposer.look(ROUND_WITHIN + 0.1).send) > ballot
+    assert node.proposer.tick(ROUND_TIMEOUT_SECONDS - 0.01).send == []
+    assert node.proposer.tick(ROUND_TIMEOUT_SECONDS).send == []
+    assert ballot_of(node.proposer.tick(ROUND_TIMEOUT_SECONDS + 0.1).send) > ballot
 
 
 def test_a_voter_that_knows_more_is_asked_and_one_that_knows_less_is_told() -> None:
@@ -230,16 +230,16 @@
     node.decide(item("r", 7))
     ballot = ballot_of(node.submit(item("s", 7)))
     less = Promise(3, ballot, False, 1, ProposalNumber(0, ""))
-    for turn in range(BRING_UP_MOST + 1):
-        sent = [m for _, m in node.proposer.heard(0.0, C, less).send]
-        if turn < BRING_UP_MOST:
+    for turn in range(MAX_CATCH_UPS_PER_VOTER + 1):
+        sent = [m for _, m in node.proposer.receive(0.0, C, less).send]
+        if turn < MAX_CATCH_UPS_PER_VOTER:
             page, prepare = sent
             assert isinstance(page, Learn) and page.after_index == 1 and prepare == Prepare(3, ballot)
         else:
             assert sent == []
     more = Promise(3, ballot, False, 9, ProposalNumber(0, ""))
-    assert node.proposer.heard(0.0, B, more).send == [(B, FetchDecided(2))]
-    assert node.proposer.heard(0.0, B, Accepted(3, ballot, False, 9, ProposalNumber(0, ""))).send == [
+    assert node.proposer.receive(0.0, B, more).send == [(B, FetchDecided(2))]
+    assert node.proposer.receive(0.0, B, Accepted(3, ballot, False, 9, ProposalNumber(0, ""))).send == [
         (B, FetchDecided(2))
     ]
 
@@ -248,26 +248,26 @@
     node = Node()
     ballot = ballot_of(node.submit(item("r", 7, b"mine")))
     node.replica.decide(0.1, change(item("r", 7, b"other"), name="other"))
-    node.proposer.advanced(0.1)
+    node.proposer.replica_advanced(0.1)
     assert node.promises(ballot, A, B).send == []
-    again = ballot_of(node.proposer.look(0.5).send)
+    again = ballot_of(node.proposer.tick(0.5).send)
     node.promises(again, A, B, now=0.5)
     [how] = node.how
-    assert isinstance(how, Refused) and how.error.kind is Kind.CONFLICT
+    assert isinstance(how, Refused) and how.error.kind is ErrorKind.CONFLICT
 
 
 def test_what_a_minority_accepted_is_decided_or_given_up_for_good() -> None:
     node = Node()
-    ballot = ballot_of(node.proposer.finish(0.0).send)
+    ballot = ballot_of(node.proposer.resolve_pending(0.0).send)
     accept = offered(node.promises(ballot, A, B))  # C alone has accepted something
     assert accept.change.entries == []
     node.accepts(ballot, A, B)
     assert node.replica.index == 2
     found = Node()
-    ballot = ballot_of(found.proposer.finish(0.0).send)
+    ballot = ballot_of(found.proposer.resolve_pending(0.0).send)
     found.promises(ballot, A)
     value = change(item("r", 7))
-    assert offered(found.proposer.heard(0.0, C, promise(2, ballot, ProposalNumber(0, "c"), value))).change == value
+    assert offered(found.proposer.receive(0.0, C, promise(2, ballot, ProposalNumber(0, "c"), value))).change == value
 
 
 def test_a_change_of_the_voters_goes_alone_and_only_from_the_epoch_that_it_follows() -> None:
--- a/tests/mesh/test_register.py
+++ b/tests/mesh/test_register.py
@@ -41,7 +41,7 @@
     rows |= dict(voter.handle(0.0, None, Prepare(2, HIGH)).write)
     again = replica(uid="drawn")
     again.restore([(k, v) for k, v in rows.items() if v is not None], 0.0)
-    assert again.register.pending and only(again.handle(0.0, None, Prepare(2, MIDDLE))) == Promise(
+    assert again.register.has_pending_change and only(again.handle(0.0, None, Prepare(2, MIDDLE))) == Promise(
         2, MIDDLE, False, 1, HIGH
     )
     found = again.handle(0.0, None, Prepare(2, HIGH)).after_sync[0][1]
@@ -50,7 +50,7 @@
 
 def test_only_the_next_change_is_voted_on_and_only_with_a_vote() -> None:
     voter, wiped = seed(), replica(IPS[0], "another-disk")
-    wiped.learn(0.0, voter.register.pages(0))
+    wiped.learn(0.0, voter.register.pages_after(0))
     for index in (1, 3):
         assert only(voter.handle(0.0, None, Prepare(index, HIGH))) == Promise(
             index, HIGH, False, 1, ProposalNumber(0, "")
@@ -63,7 +63,7 @@
         2, HIGH, False, 1, ProposalNumber(0, "")
     )
     assert only(wiped.handle(0.0, None, ReadIndexQuery(4))) == ReadIndexReply(4, False, 1, False)
-    assert not wiped.register.pending
+    assert not wiped.register.has_pending_change
 
 
 def test_what_was_accepted_is_told_as_pending_and_no_part_of_the_state_until_it_is_decided() -> None:
@@ -88,10 +88,10 @@
     source, behind, late = Register(), Register(), Register()
     source.decide(change(item("kept", 1)))
     for register in (behind, late):
-        register.learn(source.pages(0))
+        register.learn(source.pages_after(0))
     for edition in range(2, 300):
         source.decide(change(item(f"r{edition % 4}", edition)))
-    [page] = source.pages(behind.index)
+    [page] = source.pages_after(behind.index)
     assert (page.after_index, page.index, len(page.items)) == (1, 299, 4)  # not 298 changes
     behind.learn([page])
     assert behind.items == source.items and behind.index == 299
@@ -104,10 +104,10 @@
     source, new = Register(), Register()
     for edition in range(1, 5):
         source.decide(change(item(f"r{edition}", edition)))
-    assert new.learn(source.pages(2)).write == [] and new.index == 0  # it lacks changes 1 and 2
-    old = source.pages(0)
+    assert new.learn(source.pages_after(2)).write == [] and new.index == 0  # it lacks changes 1 and 2
+    old = source.pages_after(0)
     source.decide(change(item("r1", 9)))
-    new.learn(source.pages(0))
+    new.learn(source.pages_after(0))
     assert new.learn(old).entries == [] and new.index == 5 and new.items["notes", "r1"].entry.edition == 9
 
 
@@ -116,7 +116,7 @@
     source.decide(change(item("r", 1)))
     source.decide(change(item("s", 1)))
     other.decide(change(item("gone", 1)))
-    applied = other.learn(source.pages(0))
+    applied = other.learn(source.pages_after(0))
     assert applied.forgotten == [("notes", "gone")] and other.items == source.items
     assert (b"inotes\0gone", None) in applied.write
 
@@ -124,7 +124,7 @@
 def test_a_large_state_goes_in_frames_of_a_bounded_size() -> None:
     source, new = Register(), Register()
     source.decide(change(*(item(f"r{n}", 1, bytes(100 << 10)) for n in range(20))))
-    pages = source.pages(0)
+    pages = source.pages_after(0)
     assert len(pages) > 3 and [p.is_last for p in pages] == [False] * (len(pages) - 1) + [True]
     assert [p.page for p in pages] == list(range(len(pages)))
     new.learn(pages)
@@ -132,16 +132,16 @@
 
 
 def test_withdrawals_are_bounded_and_forgotten_alike_whoever_learned_how(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(register_module, "WITHDRAWN_MOST", 20)
+    monkeypatch.setattr(register_module, "MAX_WITHDRAWALS", 20)
     source, step_by_step, at_once = Register(), Register(), Register()
     source.decide(change(item("stays", 1)))
-    at_once.learn(source.pages(0))
+    at_once.learn(source.pages_after(0))
     for n in range(100):
         for value in (b"x", None):
             source.decide(change(item(f"r{n}", 1 if value else 2, value)))
-            step_by_step.learn(source.pages(step_by_step.index))
-    assert 10 <= len(source.items) <= 22 and source.pruned > 0
-    pages = source.pages(at_once.index)
+            step_by_step.learn(source.pages_after(step_by_step.index))
+    assert 10 <= len(source.items) <= 22 and source.pruned_index > 0
+    pages = source.pages_after(at_once.index)
     assert pages[0].after_index == 0  # what was withdrawn meanwhile may be forgotten: only the whole state tells
     at_once.learn(pages)
     assert source.items == step_by_step.items == at_once.items
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -52,12 +52,12 @@
     source.decide(0.0, exchange())
     source.decide(0.0, exchange(Membership(3, NEXT.voters, NEXT.voters)))
     source.decide(0.0, exchange(membership))
-    return source.register.pages(1)
+    return source.register.pages_after(1)
 
 
 def test_a_wiped_replica_has_no_vote_under_its_old_address() -> None:
     wiped = replica(IPS[0], "another-disk")
-    wiped.learn(0.0, seed().register.pages(0))
+    wiped.learn(0.0, seed().register.pages_after(0))
     assert wiped.epoch == 1 and not wiped.is_voter and not wiped.is_complete and not claim(wiped, b"a").is_granted
 
 
@@ -86,7 +86,7 @@
     [(_, page)] = effects.after_sync
     assert isinstance(page, ReservationsPage) and page.is_last and [key for key, _ in page.reservations] == [b"k"]
     assert not claim(voter, b"b", epoch=1).is_granted  # the old epoch is over here
-    new.learn(0.0, voter.register.pages(0))
+    new.learn(0.0, voter.register.pages_after(0))
     assert new.is_voter and not new.is_complete and not claim(new, b"b", epoch=2).is_granted
     new.take_reservations(0.0, [page])
     assert new.is_complete and claim(new, b"b", epoch=2).is_taken
@@ -101,7 +101,7 @@
     [(_, page)] = left.handle(0.0, NEW, FetchReservations(2)).after_sync
     assert isinstance(page, ReservationsPage) and [key for key, _ in page.reservations] == [b"k"]
     stranger = replica("10.0.0.9", "other")
-    stranger.learn(0.0, left.register.pages(0))
+    stranger.learn(0.0, left.register.pages_after(0))
     assert stranger.handle(0.0, NEW, FetchReservations(2)).after_sync == []
     late = seed(IPS[1])  # it missed an epoch, and can't know what others granted there
     late.learn(0.0, _pages_after(Membership(4, NEXT.voters, NEXT.voters)))
@@ -119,7 +119,7 @@
         pages += [
             m for _, m in voter.handle(0.0, NEW, FetchReservations(2)).after_sync if isinstance(m, ReservationsPage)
         ]
-    rows = dict(new.learn(0.0, first.register.pages(0)).write)
+    rows = dict(new.learn(0.0, first.register.pages_after(0)).write)
     rows |= dict(new.take_reservations(0.0, pages).write)
     again = replica(NEW, "new")
     again.restore([(b"muid", b"new"), *((k, v) for k, v in rows.items() if v is not None)], 0.0)
@@ -134,13 +134,13 @@
     new = replica(NEW, "new", window=60.0)
     source = seed()
     source.decide(0.0, exchange())
-    new.learn(100.0, source.register.pages(0))
+    new.learn(100.0, source.register.pages_after(0))
     new.sweep(169.0)
     assert not new.is_complete
     effects = new.sweep(170.1)
     assert new.is_complete and effects.write == [(COMPLETE_ROW, b"\x02")]
     without = replica("10.0.0.9", "other", window=60.0)
-    without.learn(0.0, source.register.pages(0))
+    without.learn(0.0, source.register.pages_after(0))
     without.sweep(1000.0)
     assert not without.is_complete  # no vote, nothing to be complete for
 
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lugspur.mesh.control.errors import ANSWERS, Kind, MeshError
+from lugspur.mesh.control.errors import RESPONSES, ErrorKind, MeshError
 from lugspur.mesh.settings import load_settings, parse_settings
 
 GOOD = """
@@ -76,7 +76,7 @@
         data[table][key] = value
     with pytest.raises(MeshError) as caught:
         parse_settings(data)
-    assert caught.value.kind is Kind.SETTINGS and said in caught.value.detail
+    assert caught.value.kind is ErrorKind.SETTINGS and said in caught.value.detail
 
 
 def test_the_inner_protocol_may_be_bound_elsewhere_than_it_is_reached() -> None:
@@ -97,9 +97,9 @@
 
 
 def test_every_kind_of_error_has_its_answer() -> None:
-    assert set(ANSWERS) == set(Kind)
-    promises = {kind for kind, row in ANSWERS.items() if row.status in (408, 421, 429, 503)}
-    assert not promises & {Kind.MAYBE_RAN, Kind.BAD_ANSWER, Kind.TOO_LATE, Kind.UNCLEAR}
+    assert set(RESPONSES) == set(ErrorKind)
+    promises = {kind for kind, row in RESPONSES.items() if row.status in (408, 421, 429, 503)}
+    assert not promises & {ErrorKind.MAYBE_RAN, ErrorKind.BAD_ANSWER, ErrorKind.TOO_LATE, ErrorKind.UNCLEAR}
 
 
 def test_what_is_no_text_nests_without_end_or_names_no_port_is_one_clear_error(tmp_path: Path) -> None:
@@ -108,4 +108,4 @@
         path.write_bytes(content)
         with pytest.raises(MeshError) as caught:
             load_settings(path)
-        assert caught.value.kind is Kind.SETTINGS and "\n" not in caught.value.detail
+        assert caught.value.kind is ErrorKind.SETTINGS and "\n" not in caught.value.detail
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import (
     BodyChunk,
     ForwardRequest,
@@ -211,7 +211,7 @@
             sidecar.leaving = leaving
             with pytest.raises(MeshError) as told:
                 sidecar._ready(asked, Caller(), [])
-            assert told.value.kind is (Kind.LEAVING if leaving else Kind.NOT_READY)
+            assert told.value.kind is (ErrorKind.LEAVING if leaving else ErrorKind.NOT_READY)
 
     play(tmp_path, what)
 
