--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -9,7 +9,7 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
 from lugspur.mesh import events
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import BACKEND, LIMITS, ROUTES
 from lugspur.mesh.control.messages import Entry, ForwardResponse, GrantBody, Hello, Message, Report, ReserveKeyReply
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
@@ -154,8 +154,8 @@
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take a caller's request; it gets one answer."""
         if not self.update_source.has_configuration:
-            self.proxy.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], Kind.NOT_READY.value)
-            fail(caller, MeshError(Kind.NOT_READY))
+            self.proxy.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], ErrorKind.NOT_READY.value)
+            fail(caller, MeshError(ErrorKind.NOT_READY))
             return
         self.proxy.handle(request, caller)
 
@@ -240,7 +240,7 @@
 
     def _services_changed(self, services: set[str]) -> None:
         for service in services:
-            self.proxy.set_endpoints(service, self.backends.accepting(service))
+            self.proxy.update_endpoints(service, self.backends.accepting(service))
         self.proxy.proxies = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -12,8 +12,8 @@
 
 from lugspur.invariants import Invariant, check
 from lugspur.mesh import events
-from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.control.register import KEY_MOST
+from lugspur.mesh.control.errors import ErrorKind, MeshError
+from lugspur.mesh.control.register import MAX_KEY_BYTES
 
 MAP_FRACTION = 0.6  # of the disk: lmdb must not fill it, and a file that grew is never smaller again
 MIN_MAP_BYTES = 16 << 20
@@ -58,7 +58,7 @@
                 self._move_aside(str(fault))
                 self._env = self._open()
         except (OSError, lmdb.Error) as fault:
-            raise MeshError(Kind.STATE, f"{self._path}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{self._path}: {fault}") from None
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     def _open(self) -> lmdb.Environment:
@@ -78,7 +78,7 @@
             self.set_aside(str(fault))
             return []
         except lmdb.Error as fault:
-            raise MeshError(Kind.STATE, f"{self._path}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{self._path}: {fault}") from None
 
     def set_aside(self, reason: str) -> None:
         """Keep what is on disk under another name, and go on with an empty environment.
@@ -91,7 +91,7 @@
             self._move_aside(reason)
             self._env = self._open()
         except (OSError, lmdb.Error) as fault:
-            raise MeshError(Kind.STATE, f"{self._path}: {fault}") from None
+            raise MeshError(ErrorKind.STATE, f"{self._path}: {fault}") from None
 
     def _move_aside(self, reason: str) -> None:
         self.damage = reason
@@ -118,7 +118,7 @@
         A row that no disk takes is never written, and then the callback is never called. Guards all other rows: those
         of a failed write go with the next one, so that one such row would fail each write from then on.
         """
-        fitting = [row for row in rows if len(row[0]) <= KEY_MOST]
+        fitting = [row for row in rows if len(row[0]) <= MAX_KEY_BYTES]
         check(len(fitting) == len(rows), Invariant.ROW_FITS, rows=len(rows) - len(fitting))
         if len(fitting) < len(rows):
             rows, on_synced = fitting, None
