--- a/lugspur/mesh/control_node/majority_contact.py
+++ b/lugspur/mesh/control_node/majority_contact.py
@@ -21,8 +21,8 @@
         replica = self._replica
         if replica.membership is None:
             return NO_CONTACT_SECONDS
-        own_vote = self._ip if replica.is_voter and not replica.register.pending else ""
-        return now - self._freshness.known_since(now, replica.membership, replica.index, own_vote)
+        own_vote = self._ip if replica.is_voter and not replica.register.has_pending_change else ""
+        return now - self._freshness.known_up_to(now, replica.membership, replica.index, own_vote)
 
     def preferred_proposer(self, now: float) -> str:
         """The IP number of the control node that proposes for all: the first voter that is heard from, or this one.
@@ -33,6 +33,6 @@
         if self.age(now) > self._max_staleness:
             return self._ip
         for voter in membership.voters if membership is not None else ():
-            if voter.ip == self._ip or now - self._freshness.word_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
+            if voter.ip == self._ip or now - self._freshness.latest_update_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
                 return voter.ip
         return self._ip
--- a/lugspur/mesh/control_node/pending_changes.py
+++ b/lugspur/mesh/control_node/pending_changes.py
@@ -33,7 +33,7 @@
     def tick(self, now: float) -> None:
         """Resolve what this replica itself has accepted for too long."""
         membership = self._replica.membership
-        if membership is None or not self._replica.is_voter or not self._replica.register.pending:
+        if membership is None or not self._replica.is_voter or not self._replica.register.has_pending_change:
             self._pending_since = None
             return
         rank = [voter.ip for voter in membership.voters].index(self._ip)
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import Acquired, AlreadyCompleted, ReservationOutcome, TakenByAnother
 from lugspur.mesh.dataplane.attempts import Attempt, Attempts
@@ -65,8 +65,8 @@
         """Reserve the key, if there is one, and send the request to a backend."""
         proxy, now = self.proxy, self.proxy.loop.time()
         if now >= self.deadline:
-            self._record_failure(Kind.TOO_LATE.value)
-            reject(self.caller, Kind.TOO_LATE)
+            self._record_failure(ErrorKind.TOO_LATE.value)
+            reject(self.caller, ErrorKind.TOO_LATE)
             return
         proxy.request_opened(self)
         proxy.budget(self.service).take(now)
@@ -86,9 +86,9 @@
         elif isinstance(outcome, AlreadyCompleted):
             self._answer(outcome.response)
         elif isinstance(outcome, TakenByAnother):
-            self._reject(Kind.KEY_BUSY if outcome.is_running else Kind.KEY_SPENT)
+            self._reject(ErrorKind.KEY_BUSY if outcome.is_running else ErrorKind.KEY_SPENT)
         else:
-            self._reject(Kind.NO_QUORUM)
+            self._reject(ErrorKind.NO_QUORUM)
 
     # ---- attempts --------------------------------------------------------------------------
 
@@ -275,16 +275,16 @@
 
     def _give_up(self) -> None:
         """Reject the request where it is proven that it did not run, else say that it may have run."""
-        self._reject(Kind.MAYBE_RAN if self.attempts.may_have_run else Kind.NO_BACKEND)
+        self._reject(ErrorKind.MAYBE_RAN if self.attempts.may_have_run else ErrorKind.NO_BACKEND)
 
-    def _reject(self, kind: Kind) -> None:
+    def _reject(self, kind: ErrorKind) -> None:
         self._record_failure(kind.value)
         self._finish()
         reject(self.caller, kind, self.deadline - self.proxy.loop.time())
 
     def _deadline_passed(self) -> None:
         if not self.is_finished:
-            self._reject(Kind.TOO_LATE)
+            self._reject(ErrorKind.TOO_LATE)
 
     def _caller_disconnected(self) -> None:
         if not self.is_finished:
@@ -297,7 +297,7 @@
         Guards its caller against a connection that ends without an answer.
         """
         if not self.is_finished:
-            self._reject(Kind.MAYBE_RAN if self.attempts.can_have_run else Kind.LEAVING)
+            self._reject(ErrorKind.MAYBE_RAN if self.attempts.can_have_run else ErrorKind.LEAVING)
 
     def _finish(self) -> None:
         """Let go of everything that the request has, but for attempts that must not be ended."""
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lugspur.load_balancing.budget import Budget
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
@@ -131,12 +131,12 @@
         """Check a request and find its route; raises MeshError for one that can't be served."""
         attempt_id, key = read_ids(request)
         if not request.target.startswith(b"/"):
-            raise MeshError(Kind.BAD_REQUEST)
+            raise MeshError(ErrorKind.BAD_REQUEST)
         if not len(self.table):
-            raise MeshError(Kind.NOT_READY)
+            raise MeshError(ErrorKind.NOT_READY)
         route = self.table.find(request.headers.get(b"host", b""), request.target)
         if route is None:
-            raise MeshError(Kind.NO_ROUTE)
+            raise MeshError(ErrorKind.NO_ROUTE)
         seconds_left = read_seconds_left(request)
         seconds_left = route.deadline if seconds_left is None else min(route.deadline, seconds_left)
         was_rejected = route.is_returning_caller(seconds_left)
--- a/lugspur/mesh/dataplane/request_headers.py
+++ b/lugspur/mesh/dataplane/request_headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.seams import Request
 
 ATTEMPT_ID_HEADER = b"lugspur-attempt-id"
@@ -23,10 +23,10 @@
     attempt_id = request.headers.get(ATTEMPT_ID_HEADER, b"")
     key = request.headers.get(IDEMPOTENCY_KEY_HEADER, b"")
     if not 0 < len(attempt_id) <= MAX_ID_BYTES or len(key) > MAX_ID_BYTES:
-        raise MeshError(Kind.BAD_REQUEST)
+        raise MeshError(ErrorKind.BAD_REQUEST)
     # Guards what must run once against two readings of one id: repeated headers are joined by commas.
     if b"," in attempt_id:
-        raise MeshError(Kind.BAD_REQUEST)
+        raise MeshError(ErrorKind.BAD_REQUEST)
     return attempt_id, key
 
 
@@ -41,7 +41,7 @@
     if value is None:
         return None
     if not value.isdigit() or len(value) > MAX_DELIVER_BY_DIGITS:
-        raise MeshError(Kind.BAD_REQUEST)
+        raise MeshError(ErrorKind.BAD_REQUEST)
     return int(value) / 1000.0
 
 
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -106,7 +106,7 @@
             )
         for ip in [ip for ip in self.peers if ip not in wanted and not self.needs_peer(ip)]:
             self.peers.pop(ip).close()
-            self.freshness.lost(ip)
+            self.freshness.disconnected(ip)
             self.positions.pop(ip, None)
 
     def keepalive_idle_seconds(self, ip: str) -> int:
@@ -126,7 +126,7 @@
 
     def disconnected(self, dialer: Dialer) -> None:
         """A connection that this process dialled has ended."""
-        self.freshness.lost(dialer.ip)
+        self.freshness.disconnected(dialer.ip)
 
     def send_to(self, ip: str, message: Message) -> None:
         """Send a message to a peer; it is dropped where there is no connection."""
@@ -159,7 +159,7 @@
         """Ask a peer for all updates from now on, and report to it what this process says of itself."""
         if dialer.link is not None:
             incarnation, sequence = self.positions.get(dialer.ip, FollowedPosition("", 0))
-            self.freshness.asked(self.loop.time(), dialer.ip)
+            self.freshness.subscribed(self.loop.time(), dialer.ip)
             dialer.link.send(Subscribe(incarnation, sequence))
             own = self.own_entries(renew=True)
             if own:
@@ -176,7 +176,7 @@
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Take an update of a peer, and acknowledge it."""
-        sent_at = self.freshness.heard(now, ip, message)
+        sent_at = self.freshness.receive(now, ip, message)
         self.merge_update(message)
         self.positions[ip] = FollowedPosition(message.incarnation, message.latest_sequence)
         self.update_taken(now, ip, sent_at - message.majority_age)
