--- a/lugspur/mesh/dataplane/__init__.py
+++ b/lugspur/mesh/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a request: routes, the pick among backends, and the gate beside each backend."""
+"""The request path of the mesh: routes, selection of backends, retries, and the concurrency limiter of each backend."""
--- a/tests/mesh/dataplane/test_concurrency_limiter.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""Beside the backend, over loopback: what proves that nothing ran, whose answer it is, and who is let in."""
+"""The concurrency limiter with a backend over loopback: admission, the queue, and what an answer proves."""
 
 from __future__ import annotations
 
@@ -107,7 +107,7 @@
     asyncio.run(run())
 
 
-def test_a_request_reaches_the_backend_as_it_came_with_whose_it_is_and_what_time_is_left() -> None:
+def test_a_request_reaches_the_backend_unchanged_but_for_its_recipient_and_time_left() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1, key=b"k", body=b"body"))
         assert (reply.outcome, reply.was_sent) == (RequestOutcome.ANSWERED, True) and reply.response is not None
@@ -125,7 +125,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_only_the_backends_own_word_or_no_connection_proves_that_nothing_ran() -> None:
+def test_only_a_refusal_by_the_backend_or_no_connection_proves_that_nothing_ran() -> None:
     answers = {
         b"shed": b"HTTP/1.1 503 X\r\nLugspur-Attempt-Id: shed\r\nLugspur-Not-Delivered: 1\r\nContent-Length: 0\r\n\r\n",
         b"other": b"HTTP/1.1 421 X\r\nLugspur-Attempt-Id: other\r\nContent-Length: 0\r\n\r\n",
@@ -166,7 +166,7 @@
     play(lambda a: answers[a], what)
 
 
-def test_an_answer_to_another_request_is_passed_over_and_ones_own_is_waited_for() -> None:
+def test_an_answer_to_another_request_is_ignored() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
         assert (
@@ -180,7 +180,7 @@
     play(lambda a: GOOD % b"stray" + GOOD % a, what)
 
 
-def test_more_behind_an_answer_reaches_nobody() -> None:
+def test_bytes_after_an_answer_reach_no_later_request() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         for n in (1, 2, 3):
             reply = await rig.run(forward(n))
@@ -189,7 +189,7 @@
     play(lambda a: GOOD % a + GOOD % b"extra", what)
 
 
-def test_what_waits_goes_by_when_it_is_due_and_the_last_makes_room() -> None:
+def test_the_queue_is_served_by_urgency_and_evicts_the_least_urgent() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.concurrency = 1
@@ -208,7 +208,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_a_backend_that_closes_gets_nothing_new_and_another_life_gets_nothing_old() -> None:
+def test_a_closing_backend_gets_no_new_request_and_another_incarnation_no_old_one() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         now = asyncio.get_running_loop().time()
         rig.local.closing_at = now - 0.1
@@ -223,7 +223,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_what_nobody_waits_for_is_closed_at_the_backend_or_never_sent() -> None:
+def test_a_cancelled_request_is_ended_at_the_backend_or_never_sent() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.concurrency = 1
@@ -245,7 +245,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_a_short_call_is_judged_by_its_own_route() -> None:
+def test_expected_service_times_are_kept_by_route() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.concurrency = 1
@@ -265,7 +265,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_who_would_be_late_is_turned_away_at_once_unless_it_comes_back_or_is_short() -> None:
+def test_a_late_request_is_rejected_at_once_unless_it_was_before_or_is_short() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         rig.local.concurrency = 1
         rig.limiter.service_times.by_route.update(long=0.3, short=0.05)
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("line", [b"503 X\r\nLugspur-Not-Delivered: 1", b"421 X\r\nLugspur-Delivered-By: i-2"])
-def test_a_refusal_without_an_id_proves_something_only_on_a_new_connection(line: bytes) -> None:
+def test_a_refusal_without_an_attempt_id_is_proof_only_on_a_new_connection(line: bytes) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         first = await rig.run(forward(1, b"refused"))
         assert first.outcome == RequestOutcome.NOT_RUN  # nothing else was ever asked on it
@@ -302,7 +302,7 @@
     play(lambda a: refusal if a == b"refused" else GOOD % a, what)
 
 
-def test_a_reset_is_not_the_end_of_an_answer_that_has_no_length() -> None:
+def test_a_reset_does_not_complete_an_answer_without_length() -> None:
     async def run() -> None:
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -332,7 +332,7 @@
     asyncio.run(asyncio.wait_for(run(), 10.0))
 
 
-def test_what_an_interim_answer_says_counts_for_nothing() -> None:
+def test_headers_of_an_interim_answer_are_ignored() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         reply = await rig.run(forward(1))
         assert reply.outcome == RequestOutcome.ANSWERED
@@ -363,7 +363,7 @@
     play(lambda a: b"HTTP/1.1 200 OK\r\n" + head + b"Content-Length: 2\r\n\r\nhi", what)
 
 
-def test_what_came_after_its_time_is_turned_away_and_never_sent() -> None:
+def test_an_expired_request_is_rejected_and_never_sent() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         for left in (0.0, -0.01, -30.0):
             reply = await rig.run(forward(1, left=left))
@@ -378,7 +378,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_a_freeze_in_the_middle_of_a_turn_sends_nothing_late(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_freeze_within_a_turn_of_the_loop_sends_no_expired_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         assert (
             await rig.run(forward(1))
@@ -398,7 +398,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_a_cancel_is_answered_once_also_for_what_waits() -> None:
+def test_a_cancelled_request_is_replied_to_once_also_while_it_waits() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.concurrency = 1
@@ -417,7 +417,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_what_is_withdrawn_while_it_waits_never_reaches_the_backend_and_is_proven_not_to_have_run() -> None:
+def test_a_request_withdrawn_while_it_waits_is_proven_not_to_have_run() -> None:
     async def what(rig: Rig, backend: Scripted) -> None:
         backend.hold = asyncio.Event()
         rig.local.concurrency = 1
@@ -441,7 +441,7 @@
     play(lambda a: GOOD % a, what)
 
 
-def test_a_backend_that_answers_before_it_has_read_a_long_body_gets_no_other_bytes_in_its_place() -> None:
+def test_an_early_answer_to_a_long_body_mixes_no_bytes_of_two_requests() -> None:
     """It keeps the connection, and reads on later: what it then reads must be the rest of that body."""
     body = bytes(range(256)) * (64 << 10)  # 16 MiB: more than the system takes unread
     streams: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -1,4 +1,4 @@
-"""The caller's side with a played limiter: one answer to each request, and nothing unsafe twice without proof."""
+"""Requests of callers with simulated backends: one answer to each, and no unsafe request sent twice without proof."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Caller:
-    """Who waits for one answer."""
+    """A caller that waits for one answer."""
 
     peer = ""
 
@@ -52,7 +52,7 @@
 
 
 class SentRequest:
-    """A request that was handed to the played gates."""
+    """A request that was handed to the simulated backends."""
 
     def __init__(self, rig: Rig, at: int) -> None:
         self._rig, self._at = rig, at
@@ -65,7 +65,7 @@
 
 
 class Rig:
-    """A proxy whose gates and keys are played."""
+    """A proxy whose backends and key reservations are simulated."""
 
     def __init__(self, kind: str = "safe", tries: int = 2, backends: int = 3, slack: float = 20.0) -> None:
         self.sent: list[tuple[str, ForwardRequest, Callable[[ForwardResponse], None]]] = []
@@ -134,7 +134,7 @@
     asyncio.run(run())
 
 
-def test_an_answer_goes_back_and_own_headers_are_set_whatever_was_sent() -> None:
+def test_own_headers_are_set_whatever_the_caller_sent_and_the_answer_is_returned() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_sender="forged", lugspur_deliver_to="i-9", lugspur_deliver_by_ms="300", x_other="kept")
         [(ip, forward, _)] = rig.sent
@@ -162,7 +162,7 @@
         (b"/r/1", {"lugspur_attempt_id": "x" * 300}, 400),
     ],
 )
-def test_what_may_not_go_on_is_answered_here(target: bytes, headers: dict[str, str], status: int) -> None:
+def test_an_invalid_request_is_rejected_by_the_proxy(target: bytes, headers: dict[str, str], status: int) -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(target, **headers)
         assert [answer[0] for answer in caller.answers] == [status] and not rig.sent
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "upload"])
-def test_what_was_turned_away_goes_to_another_and_costs_no_try(kind: str) -> None:
+def test_a_rejected_request_goes_to_another_backend_and_costs_no_attempt(kind: str) -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
         rig.reply(RequestOutcome.NOT_RUN, sent=False)
@@ -184,7 +184,7 @@
     play(what, kind=kind, tries=1, slack=0.0)
 
 
-def test_what_may_have_run_is_sent_again_only_if_it_is_safe_and_in_the_budget() -> None:
+def test_a_request_that_may_have_run_is_retried_only_if_safe_and_within_the_budget() -> None:
     def unsafe(rig: Rig) -> None:
         caller = rig.ask()
         rig.reply(RequestOutcome.UNKNOWN)
@@ -208,7 +208,7 @@
     play(spent, slack=0.0)
 
 
-def test_a_refusal_behind_a_send_that_may_have_run_promises_nothing() -> None:
+def test_a_rejection_after_an_unknown_outcome_proves_nothing() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
         rig.reply(RequestOutcome.UNKNOWN)
@@ -218,7 +218,7 @@
     play(what)
 
 
-def test_a_backends_own_failure_is_passed_on_where_nothing_better_comes() -> None:
+def test_a_backends_failure_is_returned_if_no_attempt_succeeds() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
         rig.reply(RequestOutcome.ANSWERED, BROKE)
@@ -229,7 +229,7 @@
     play(what)
 
 
-def test_all_tries_of_all_requests_keep_the_budget() -> None:
+def test_retries_of_all_requests_stay_within_the_budget() -> None:
     def what(rig: Rig) -> None:
         rig.proxy.proxies = 2
         for _ in range(100):
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "upload", "tracked"])
-def test_an_answer_that_comes_at_once_goes_back(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_within_one_clock_tick_is_returned(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def what(rig: Rig) -> None:
         now = rig.proxy.loop.time()
         monkeypatch.setattr(rig.proxy.loop, "time", lambda: now)  # as a loop does that counts milliseconds
@@ -260,7 +260,7 @@
     play(what, kind=kind)
 
 
-def test_each_claim_has_a_name_of_its_own_also_for_one_attempt_id_and_in_another_life() -> None:
+def test_reservation_ids_are_unique_over_requests_and_processes() -> None:
     names: list[bytes] = []
 
     def what(rig: Rig) -> None:
@@ -276,7 +276,7 @@
     assert len(names) == len(set(names)) == 6
 
 
-def test_an_operation_runs_only_when_its_key_is_won() -> None:
+def test_a_keyed_request_is_sent_only_once_its_key_is_reserved() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         [(key, over)] = rig.claimed
@@ -293,7 +293,9 @@
     ("how", "status"),
     [(AlreadyCompleted(OK), 200), (TakenByAnother(True), 409), (TakenByAnother(False), 503), (Undecided(), 503)],
 )
-def test_a_repeat_gets_the_first_ones_answer_or_is_told_how_that_stands(how: ReservationOutcome, status: int) -> None:
+def test_a_repeated_keyed_request_gets_the_first_answer_or_the_state_of_the_key(
+    how: ReservationOutcome, status: int
+) -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](how)
@@ -302,7 +304,7 @@
     play(what, kind="tracked")
 
 
-def test_a_claim_is_given_back_with_proof_alone() -> None:
+def test_a_key_is_released_only_with_proof_that_nothing_ran() -> None:
     def proven(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
@@ -329,7 +331,7 @@
         play(case, kind="tracked")
 
 
-def test_a_claim_under_which_nothing_ran_is_given_back_also_when_nobody_waits_any_more() -> None:
+def test_an_unused_key_is_released_also_after_the_caller_has_disconnected() -> None:
     def left(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
@@ -352,7 +354,7 @@
         play(case, kind="tracked")
 
 
-def test_a_claim_under_which_something_may_have_run_is_kept_when_nobody_waits_any_more() -> None:
+def test_a_key_is_kept_if_the_request_may_have_run_after_the_caller_disconnected() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
@@ -364,7 +366,7 @@
     play(what, kind="tracked")
 
 
-def test_a_claim_is_given_back_when_a_lost_connections_other_end_proves_that_nothing_ran() -> None:
+def test_a_key_is_released_when_proof_comes_after_a_lost_connection() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
@@ -381,7 +383,7 @@
     play(what, kind="tracked")
 
 
-def test_a_proof_that_comes_behind_an_answer_gives_nothing_back() -> None:
+def test_a_proof_after_an_answer_does_not_release_the_key() -> None:
     def what(rig: Rig) -> None:
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
@@ -393,7 +395,7 @@
     play(what, kind="tracked")
 
 
-def test_an_account_says_what_the_pick_saw_where_it_found_no_backend() -> None:
+def test_the_account_of_a_failure_shows_why_no_endpoint_was_selected() -> None:
     def what(rig: Rig) -> None:
         rig.unreachable = {"10.0.0.0"}
         for _ in range(200):
@@ -412,7 +414,7 @@
     play(what, slack=0.0)
 
 
-def test_who_leaves_cancels_what_is_safe_and_nothing_else() -> None:
+def test_a_disconnected_callers_safe_request_is_cancelled_and_a_keyed_one_is_not() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         if rig.claimed:
@@ -427,7 +429,7 @@
 
 
 @pytest.mark.parametrize("kind", ["unsafe", "upload"])
-def test_who_leaves_withdraws_what_may_not_be_cancelled_and_has_no_key(kind: str) -> None:
+def test_a_disconnected_callers_unsafe_request_without_key_is_withdrawn(kind: str) -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
         assert caller.gone is not None
@@ -442,7 +444,7 @@
     play(what, kind=kind)
 
 
-def test_at_the_deadline_there_is_an_answer_and_a_second_copy_goes_out_before_it() -> None:
+def test_a_hedged_request_goes_out_before_the_deadline_which_is_answered() -> None:
     async def what(rig: Rig) -> None:
         way = rig.proxy.table.find(b"a.example", b"/r/1")
         assert way is not None
@@ -455,7 +457,7 @@
     play(what)
 
 
-def test_no_second_copy_goes_out_once_all_tries_are_spent() -> None:
+def test_no_hedged_request_goes_out_once_all_attempts_are_spent() -> None:
     async def what(rig: Rig) -> None:
         rig.ask()
         rig.reply(RequestOutcome.ANSWERED, OK)  # the route's pace is known from here on
@@ -470,7 +472,7 @@
     play(what, slack=100.0)
 
 
-def test_the_pick_prefers_the_own_zone_and_what_is_quick_and_idle() -> None:
+def test_selection_prefers_the_own_zone_and_low_latency_and_load() -> None:
     def what(rig: Rig) -> None:
         counts = {"10.0.0.0": 0, "10.0.0.1": 0, "10.0.0.2": 0}
         for _ in range(60):
@@ -493,7 +495,7 @@
     play(what)
 
 
-def test_nobody_that_can_be_reached_is_a_refusal_at_once() -> None:
+def test_without_a_reachable_backend_a_request_is_rejected_at_once() -> None:
     def what(rig: Rig) -> None:
         rig.unreachable = {"10.0.0.0", "10.0.0.1", "10.0.0.2"}
         assert rig.ask().answers[0][0] == 503
@@ -503,7 +505,7 @@
     play(what)
 
 
-def test_a_route_that_is_turned_away_costs_another_route_nothing() -> None:
+def test_rejections_on_one_route_open_no_breaker_of_another() -> None:
     def what(rig: Rig) -> None:
         for entry in read_changes(call(route("urgent"))):
             rig.proxy.table.apply(entry)
@@ -521,7 +523,7 @@
     play(what, slack=0.0)
 
 
-def test_who_comes_back_is_told_by_the_time_it_has_left_and_goes_first() -> None:
+def test_a_returning_caller_is_recognised_by_its_time_left() -> None:
     def what(rig: Rig) -> None:
         for told, back in (("500", False), ("499", False), ("400", True), ("500", False)):
             rig.ask(lugspur_deliver_by_ms=told)
@@ -536,7 +538,7 @@
     play(what)
 
 
-def test_where_all_are_full_callers_are_spread_over_a_third_of_their_time() -> None:
+def test_retries_of_rejected_callers_are_spread_over_a_third_of_their_time() -> None:
     def what(rig: Rig) -> None:
         rig.unreachable = {f"10.0.0.{n}" for n in range(3)}
         told = []
@@ -550,7 +552,7 @@
     play(what)
 
 
-def test_a_request_that_failed_can_be_explained_afterwards() -> None:
+def test_the_account_of_a_failure_lists_attempts_and_causes() -> None:
     def what(rig: Rig) -> None:
         rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
@@ -569,7 +571,7 @@
     play(what, kind="tracked")
 
 
-def test_who_leaves_and_what_no_route_takes_are_counted_and_kept_too() -> None:
+def test_disconnected_callers_and_unknown_routes_are_counted_and_kept() -> None:
     def what(rig: Rig) -> None:
         caller = rig.ask()
         assert caller.gone is not None
@@ -583,7 +585,7 @@
     play(what)
 
 
-def test_who_waits_when_a_process_ends_is_told_whether_its_request_can_have_run() -> None:
+def test_at_shutdown_callers_learn_whether_their_request_may_have_run() -> None:
     def under_way(rig: Rig) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
