--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line."""
+"""The operators' command line; the docstrings of commands are their help."""
 
 from __future__ import annotations
 
@@ -16,16 +16,20 @@
 from lugspur.mesh.settings import load_settings
 from lugspur.mesh.storage.data_directory import export_items, read_directory, summarize
 
-CALL_TIMEOUT_SECONDS = 10.0  # seconds for one call
-app = cyclopts.App(name="python -m lugspur.mesh", help="The mesh: proxies carry requests, replicas keep the state.")
+CALL_TIMEOUT_SECONDS = 10.0
+app = cyclopts.App(
+    name="python -m lugspur.mesh", help="The mesh: proxies forward requests, control nodes keep the state."
+)
 
 
-replica = cyclopts.App(name="replica", help="The folder of a replica that does not run; nothing is written.")
+replica = cyclopts.App(
+    name="replica", help="The data directory of a control node that does not run; nothing is written."
+)
 app.command(replica)
 
 
 def call(address: str, method: str, path: str, body: bytes | None = None) -> bytes:
-    """One call at a `dispatch` address; raises MeshError where it can't be made or is not taken."""
+    """Make a call at a `dispatch` address; return the answer's body, or raise MeshError where the call has failed."""
     try:
         host, port = read_address(address)
         connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_SECONDS)
@@ -41,9 +45,9 @@
 
 @app.command
 def check(path: Path) -> None:
-    """Check a settings file; one line of what is wrong, and exit status 2, where it can't be used."""
+    """Check a settings file; where it can't be used: one line of what is wrong, and exit status 2."""
     settings = load_settings(path)
-    print(f"{settings.own.node_name}: {'replica' if settings.keeps else 'proxy'} in {settings.own.zone}")
+    print(f"{settings.own.node_name}: {'replica' if settings.is_control_node else 'proxy'} in {settings.own.zone}")
 
 
 @app.command
@@ -56,7 +60,7 @@
 
 @app.command
 def show(address: str, *, as_json: bool = False, watch: float = 0.0) -> None:
-    """What a process knows and goes by; it needs no majority. `watch`: again every so many seconds."""
+    """Show what a process knows; no majority is needed. `watch`: again every so many seconds."""
     while True:
         found = call(address, "GET", "/mesh/status")
         print(found.decode() if as_json else "\n".join(lines(json.loads(found))), flush=True)
@@ -66,18 +70,18 @@
 
 
 def lines(found: dict[str, Any]) -> list[str]:
-    """A status as people read it: one line for each fact, one for each of many."""
-    told = []
+    """A status as people read it: a line for each field, and for each member of a list or a table."""
+    found_lines = []
     for key, value in found.items():
         if isinstance(value, dict) and value and all(isinstance(v, dict) for v in value.values()):
-            told += [f"{key} {name}: {_pairs(row)}" for name, row in value.items()]
+            found_lines += [f"{key} {name}: {_pairs(row)}" for name, row in value.items()]
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            told += [f"{key}: {_pairs(row)}" for row in value]
+            found_lines += [f"{key}: {_pairs(row)}" for row in value]
         elif isinstance(value, dict):
-            told.append(f"{key}: {_pairs(value)}")
+            found_lines.append(f"{key}: {_pairs(value)}")
         else:
-            told.append(f"{key}: {' '.join(value) if isinstance(value, list) else value}")
-    return told
+            found_lines.append(f"{key}: {' '.join(value) if isinstance(value, list) else value}")
+    return found_lines
 
 
 def _pairs(row: dict[str, Any]) -> str:
@@ -86,7 +90,7 @@
 
 @app.command
 def failures(address: str, *, as_json: bool = False) -> None:
-    """The latest requests that failed at a proxy: by what they were judged, where they went, what came back and why."""
+    """Show the latest requests that failed at a proxy: the configuration in force, where they were sent, and why."""
     found = call(address, "GET", "/mesh/failures")
     if as_json:
         print(found.decode())
@@ -100,19 +104,19 @@
 
 @app.command
 def metrics(address: str) -> None:
-    """A process's figures, as Prometheus reads them."""
+    """Show the metrics of a process, in the text format of Prometheus."""
     print(call(address, "GET", "/metrics").decode(), end="")
 
 
 @app.command
 def read(address: str) -> None:
-    """The newest configuration, as a majority of the voters has it."""
+    """Read the configuration that a majority of the voters confirms to be the latest."""
     print(call(address, "GET", "/config/read").decode())
 
 
 @app.command
 def amend(address: str, path: Path) -> None:
-    """Change the configuration by a file with `upsert` and `withdraw`; it is kept once this command ends well."""
+    """Change the configuration by a file with `upsert` and `withdraw`; it is durable once this command succeeds."""
     try:
         body = path.read_bytes()
     except OSError as fault:
@@ -123,7 +127,7 @@
 
 @replica.command(name="check")
 def replica_check(folder: Path) -> None:
-    """Whether a replica could start with this `data_dir`; a line for each fault, and exit status 2 for any."""
+    """Check whether a control node could start with this `data_dir`; where not: the faults, and exit status 2."""
     found = read_directory(folder)
     if found.faults:
         raise MeshError(Kind.STATE, "; ".join(found.faults))
@@ -132,19 +136,19 @@
 
 @replica.command(name="show")
 def replica_show(folder: Path, *, as_json: bool = False) -> None:
-    """What is in a `data_dir`: its name, membership, items by kind, claims."""
+    """Show what is in a `data_dir`: the name of the disk, membership, items by kind, reservations."""
     found = summarize(read_directory(folder))
     print(json.dumps(found) if as_json else "\n".join(lines(found)))
 
 
 @replica.command(name="export")
 def replica_export(folder: Path) -> None:
-    """All items that stand in a `data_dir`, as a file for `amend`."""
+    """Print all items of a `data_dir` that are not withdrawn, as a file for `amend`."""
     print(export_items(read_directory(folder)).decode())
 
 
 def main() -> None:
-    """Run the command line; what goes wrong is one line, and exit status 2."""
+    """Run the command line; a fault is one line, and exit status 2."""
     try:
         app()
     except MeshError as fault:
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -166,7 +166,7 @@
 
     async def serve(self) -> None:
         """Listen to the mesh, and to operators."""
-        ip, port = self.settings.inner_bind
+        ip, port = self.settings.inner_bind_address
         await self.loop.create_server(lambda: Link(self._take_request, self._link_ended), ip, port, backlog=512)
         memory_bytes = self.settings.own.limits.memory_mb << 20
         self.front = await self.api.dispatch_calls().serve(self.settings.network.listen.dispatch, memory_bytes)
--- a/lugspur/mesh/events.py
+++ b/lugspur/mesh/events.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, through logbook, on standard error."""
+"""The log: one line of key=value pairs for each event, through logbook, on standard error."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 def start(node: str) -> None:
-    """Send all events to standard error, each with the time and the node's name."""
+    """Write all events to standard error from now on, each with the time and the node's name."""
     handler = logbook.StreamHandler(sys.stderr, level=logbook.INFO)
     handler.format_string = f"{{record.time:%H:%M:%S.%f}} node={node} level={{record.level_name}} {{record.message}}"
     handler.push_application()
 
 
 def info(event: str, **pairs: object) -> None:
-    """One event; values with spaces are quoted."""
+    """Log an event; values with spaces are quoted."""
     _logger.info(_line(event, pairs))
 
 
 def warn(event: str, **pairs: object) -> None:
-    """One event that operators should look at."""
+    """Log an event that operators should look at."""
     _logger.warning(_line(event, pairs))
 
 
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP: one dispatch on method and path segments, and answers from the table of errors."""
+"""Calls over HTTP: one dispatch on method and path segments, and error answers from one table."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 # Bytes of a call's body: the whole configuration comes in one, 20,000 items of 800 bytes. Three of them have to fit
 # into what a connection between two processes may hold unsent: an order goes to each voter, and may be proposed again.
 MAX_CALL_BYTES = 16 << 20
-MAX_CALLERS = 256  # connections of those who call
-Call = Callable[[Request, Answerable, list[str]], None]
+MAX_CALLERS = 256  # connections at one address
+#: Handles a call; it is given the segments of the path that `*` stood for, and may raise MeshError.
+Handler = Callable[[Request, Answerable, list[str]], None]
 _encode = msgspec.json.Encoder().encode
 
 
-class Failure(msgspec.Struct, frozen=True):
-    """The body of an answer to a call that came to nothing."""
+class ErrorBody(msgspec.Struct, frozen=True):
+    """The body of the answer to a call that has failed."""
 
-    error: str  # the code, as `errors.Kind` has it
+    error: str  # the code of `errors.Kind`
     detail: str  # one line of what is wrong
 
 
@@ -34,42 +35,42 @@
 
 
 def fail(caller: Answerable, fault: MeshError) -> None:
-    """Answer a call that came to nothing: its code, and one line of what is wrong."""
+    """Answer a call that has failed: with the code of the fault, and one line of what is wrong."""
     row = ANSWERS[fault.kind]
     after = b"Retry-After: %.2f\r\n" % row.after if row.after else b""
     # A detail may quote what came in the call, lone halves of surrogate pairs included, which UTF-8 does not have.
     detail = fault.detail.encode("utf-8", "replace").decode()
-    reply(caller, _encode(Failure(fault.code, detail)), row.status, after)
+    reply(caller, _encode(ErrorBody(fault.code, detail)), row.status, after)
 
 
 class HttpApi:
-    """The calls that a process takes, by method and path segments; `*` stands for any one segment."""
+    """The calls that a process takes, by method and path; in a path `*` stands for any one segment."""
 
     def __init__(self) -> None:
-        self._calls: list[tuple[str, list[str], Call]] = []
+        self._handlers: list[tuple[str, list[str], Handler]] = []
 
-    def add(self, method: str, path: str, call: Call) -> None:
-        """Take calls of a method and a path; the segments that `*` stood for are handed over."""
-        self._calls.append((method, path.strip("/").split("/"), call))
+    def add(self, method: str, path: str, handler: Handler) -> None:
+        """Take calls of a method and a path."""
+        self._handlers.append((method, path.strip("/").split("/"), handler))
 
     def handle(self, request: Request, caller: Answerable) -> None:
-        """One call."""
+        """Take one call; it is answered where no handler takes it, or where that raises MeshError."""
         method = request.method.decode("ascii", "replace")
         segments = request.target.partition(b"?")[0].decode("ascii", "replace").strip("/").split("/")
-        for wanted, pattern, call in self._calls:
+        for wanted, pattern, handler in self._handlers:
             if wanted != method or len(pattern) != len(segments):
                 continue
             if all(p in ("*", s) for p, s in zip(pattern, segments, strict=True)):
                 caller.admit()
                 try:
-                    call(request, caller, [s for p, s in zip(pattern, segments, strict=True) if p == "*"])
+                    handler(request, caller, [s for p, s in zip(pattern, segments, strict=True) if p == "*"])
                 except MeshError as fault:
                     fail(caller, fault)
                 return
         fail(caller, MeshError(Kind.NO_CALL, f"{method} {request.target.decode('ascii', 'replace')[:100]}"))
 
     async def serve(self, address: str, memory: int) -> Front:
-        """Listen for calls."""
+        """Listen for calls at an address; `memory`: bytes that the process may use."""
         front = Front(read_address(address), MAX_CALLERS, memory, self.handle)
         front.sizes = Sizes(body=MAX_CALL_BYTES, ordinary=True)
         await front.listen()
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -1,4 +1,4 @@
-"""One program for all machines: what its settings file says it is, it becomes."""
+"""One program for all machines: its settings file says whether it is a control node or a proxy."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from lugspur.mesh.process import MeshProcess
 from lugspur.mesh.settings import DEFAULT_SETTINGS_PATH, SETTINGS_VARIABLE, Settings, load_settings
 
-GC_YOUNG_THRESHOLD = 20_000  # objects made until the youngest are looked at: requests leave few cycles behind
+GC_YOUNG_THRESHOLD = 20_000  # objects made until a collection of the youngest: requests leave few cycles behind
 
 
 def serve() -> int:
-    """Run until SIGTERM; returns the exit status."""
+    """Run until SIGTERM; return the exit status: 1 where it can't start, 2 where its settings can't be used."""
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
         settings = load_settings(path)
@@ -40,26 +40,26 @@
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     # Imported only where it is run: starting counts, and on a small machine each module takes its time.
-    node: MeshProcess
-    if settings.keeps:
+    process: MeshProcess
+    if settings.is_control_node:
         from lugspur.mesh.control_node.process import ControlNode
 
-        control = node = ControlNode(settings, path)
-        await control.serve()
-        shut_down = control.shut_down
+        control_node = process = ControlNode(settings, path)
+        await control_node.serve()
+        shut_down = control_node.shut_down
     else:
         from lugspur.mesh.sidecar.process import Sidecar
 
-        sidecar = node = Sidecar(settings, path)
+        sidecar = process = Sidecar(settings, path)
         await sidecar.serve()
         shut_down = sidecar.shut_down
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    reloads.carry_out(loop, node.reload)
+    reloads.carry_out(loop, process.reload)
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_YOUNG_THRESHOLD, 20, 50)
-    events.info("serving", ip=node.ip, keeps=settings.keeps, first=settings.own.first_start)
+    events.info("serving", ip=process.ip, keeps=settings.is_control_node, first=settings.own.first_start)
     await stop.wait()
     events.info("leaving")
     await shut_down()
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what a process is told of its machine, its neighbours and the bounds it must keep."""
+"""The settings file: a process's machine, its neighbours, and the bounds that it has to keep."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 from lugspur.discovery.endpoints import Address, read_address
 from lugspur.mesh.control.errors import Kind, MeshError
 
-SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # names the file
+SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # of the environment, with the path of the file
 DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
 MAX_PORT = 65535
+POSITIVE_BOUNDS = ("edition_ms", "stamp_window_s", "grace_s", "retry_window_s")  # periods that can't be 0
 Number = float | int  # TOML tells 1 from 1.0, operators need not
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the machine gives this process."""
+    """The table `self.limits`: what the machine gives this process."""
 
     cpu_share: Number = 1.0
     memory_mb: int = 256
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Own:
-    """The table `self`."""
+    """The table `self`: the process and its machine."""
 
     node_name: str
     ip: str
@@ -49,18 +50,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Listen:
-    """Addresses to serve at; empty: not served."""
+    """The table `network.listen`: addresses to listen at; empty: not served."""
 
     incoming: str = ""
     outgoing: str = ""
     readiness: str = ""
     dispatch: str = ""
-    inner: str = ""  # where the inner protocol is bound, if not at the own IP number and the first inner port
+    inner: str = ""  # of the inner protocol, where that is not the own IP number and the first inner port
 
 
 @dataclass(slots=True, frozen=True)
 class Network:
-    """The table `network`."""
+    """The table `network`: how the machines of the mesh are reached."""
 
     inner_ports: list[int]
     seed_nodes: list[str]
@@ -70,14 +71,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Depot:
-    """The table `depot`."""
+    """The table `depot`: the backend."""
 
     heartbeat_ms: Number = 1500.0
 
 
 @dataclass(slots=True, frozen=True)
 class Tolerate:
-    """What may be lost at once."""
+    """The table `tariffs.tolerate`: what may be lost at once."""
 
     machines: int = 0
     zones: int = 0
@@ -86,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """The figures of the rules; the file's names, in the units that these end with."""
+    """The table `tariffs.bounds`: figures of the operators' rules, in the units that their names end with."""
 
     contact_ms: Number = 3000.0
     receipt_ms: Number = 4000.0
@@ -104,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tariffs:
-    """The table `tariffs`."""
+    """The table `tariffs`: the operators' rules."""
 
     contracts: list[str] = field(default_factory=list)
     tolerate: Tolerate = field(default_factory=Tolerate)
@@ -113,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The whole file."""
+    """All tables of the file."""
 
     own: Own
     network: Network
@@ -121,60 +122,68 @@
     tariffs: Tariffs = field(default_factory=Tariffs)
 
     @property
-    def inner(self) -> Address:
-        """Where other processes reach this one."""
+    def inner_address(self) -> Address:
+        """Where other processes of the mesh reach this one."""
         return self.own.ip, self.network.inner_ports[0]
 
     @property
-    def inner_bind(self) -> Address:
-        """Where this process listens to its own kind; it differs from `inner` where a relay stands in between."""
+    def inner_bind_address(self) -> Address:
+        """Where this process listens to others of the mesh; another address than theirs where a relay is between."""
         listen = self.network.listen.inner
-        return read_address(listen) if listen else self.inner
+        return read_address(listen) if listen else self.inner_address
 
     @property
     def seeds(self) -> list[str]:
-        """The seeds' IP numbers; all machines use the same ports."""
+        """The IP numbers of the seeds; all machines use the same ports."""
         return [read_address(seed)[0] for seed in self.network.seed_nodes]
 
     @property
-    def keeps(self) -> bool:
-        """Whether it holds the mesh's state: it serves operators and has a disk."""
+    def is_control_node(self) -> bool:
+        """Whether the process keeps the mesh's state: it serves operators and has a disk."""
         return "dispatch" in self.own.serves and bool(self.own.data_dir)
 
 
 def parse_settings(data: dict[str, Any]) -> Settings:
-    """Check a file's tables; unknown fields are ignored. Raises MeshError (SETTINGS)."""
+    """The settings of a file's tables; unknown fields are ignored. Raises MeshError (SETTINGS) with what is wrong."""
     named = {("own" if name == "self" else name): value for name, value in data.items()}
     try:
         settings = dacite.from_dict(Settings, named)
-        for address in (
-            *settings.network.seed_nodes,
-            settings.own.app_address,
-            settings.network.listen.incoming,
-            settings.network.listen.outgoing,
-            settings.network.listen.readiness,
-            settings.network.listen.dispatch,
-            settings.network.listen.inner,
-        ):
+        for address in _addresses_of(settings):
             if address:
                 read_address(address)
     except (dacite.DaciteError, ValueError, TypeError) as fault:
         raise MeshError(Kind.SETTINGS, str(fault)) from None
-    if not settings.network.inner_ports:
-        raise MeshError(Kind.SETTINGS, "network.inner_ports is empty")
-    if not all(0 < port <= MAX_PORT for port in settings.network.inner_ports):
-        raise MeshError(Kind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
-    bounds = settings.tariffs.bounds
-    for name in ("edition_ms", "stamp_window_s", "grace_s", "retry_window_s"):
-        if getattr(bounds, name) <= 0.0:
+    _check_ports(settings.network.inner_ports)
+    for name in POSITIVE_BOUNDS:
+        if getattr(settings.tariffs.bounds, name) <= 0.0:
             raise MeshError(Kind.SETTINGS, f"tariffs.bounds.{name} is not above 0")
     return settings
 
 
+def _addresses_of(settings: Settings) -> tuple[str, ...]:
+    listen = settings.network.listen
+    return (
+        *settings.network.seed_nodes,
+        settings.own.app_address,
+        listen.incoming,
+        listen.outgoing,
+        listen.readiness,
+        listen.dispatch,
+        listen.inner,
+    )
+
+
+def _check_ports(ports: list[int]) -> None:
+    if not ports:
+        raise MeshError(Kind.SETTINGS, "network.inner_ports is empty")
+    if not all(0 < port <= MAX_PORT for port in ports):
+        raise MeshError(Kind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
+
+
 def load_settings(path: str | Path) -> Settings:
     """Read the file; raises MeshError (SETTINGS) with what is wrong."""
     try:
         with open(path, "rb") as file:
             return parse_settings(tomllib.load(file))
-    except (OSError, ValueError, RecursionError) as fault:  # what is no TOML, no UTF-8, or nests without end
+    except (OSError, ValueError, RecursionError) as fault:  # it is no TOML, no UTF-8, or nests without end
         raise MeshError(Kind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -123,7 +123,7 @@
     async def serve(self) -> None:
         """Listen to other proxies, to callers, to the platform, and to operators and the backend."""
         settings = self.settings
-        ip, port = settings.inner_bind
+        ip, port = settings.inner_bind_address
         listen, memory_bytes = settings.network.listen, settings.own.limits.memory_mb << 20
         await self.loop.create_server(self._accept, ip, port, backlog=512)
         self.front = Front(read_address(listen.outgoing), self._max_callers(), memory_bytes, self.handle)
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -49,7 +49,11 @@
     data["self"]["hue"] = "amber"
     data["weather"] = {"rain": True}
     settings = parse_settings(data)
-    assert settings.keeps and settings.seeds == ["10.1.0.13", "10.2.0.10"] and settings.inner == ("10.1.0.13", 7620)
+    assert (
+        settings.is_control_node
+        and settings.seeds == ["10.1.0.13", "10.2.0.10"]
+        and settings.inner_address == ("10.1.0.13", 7620)
+    )
     assert settings.tariffs.tolerate.machines == 2
     assert (settings.tariffs.bounds.edition_ms, settings.tariffs.bounds.retry_ratio) == (1500.0, 0.5)
     assert settings.tariffs.bounds.stamp_window_s == 60.0  # not in the file
@@ -81,10 +85,10 @@
 
 def test_the_inner_protocol_may_be_bound_elsewhere_than_it_is_reached() -> None:
     data = good()
-    assert parse_settings(data).inner_bind == ("10.1.0.13", 7620)
+    assert parse_settings(data).inner_bind_address == ("10.1.0.13", 7620)
     data["network"]["listen"]["inner"] = "127.0.0.1:9000"
     settings = parse_settings(data)
-    assert (settings.inner, settings.inner_bind) == (("10.1.0.13", 7620), ("127.0.0.1", 9000))
+    assert (settings.inner_address, settings.inner_bind_address) == (("10.1.0.13", 7620), ("127.0.0.1", 9000))
 
 
 def test_a_file_that_is_missing_or_no_toml_is_said_so(tmp_path: Path) -> None:
