--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -1,11 +1,11 @@
 """Each guard taken out in turn: what the control side would do without it, and which world or history catches that.
 
 Four are not here. Three are held by unit tests, since no history that was played brings about what they are for: one of
-the voters whom a newcomer hears was complete (`ClaimsCatchUp.heard`), completeness ends where epochs are missing
+the voters whom a newcomer hears was complete (`ReservationCatchUp.receive`), completeness ends where epochs are missing
 (`Replica._adopt`), a step leaves a complete majority (`Situation.may_go`). Nothing that is played needs the fourth: no
-claims are granted while a change of the voters is accepted (`Replica.grants`). A voter tells a newcomer its claims only
-once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim that is won in the old
-epoch was granted by one whom every newcomer hears.
+claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A voter tells a newcomer
+its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim that is
+won in the old epoch was granted by one whom every newcomer hears.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import wander
 from lugspur.emulator.control.settings import SETTINGS
-from lugspur.mesh.control import catch_up, reader
-from lugspur.mesh.control.claim_table import ClaimTable
+from lugspur.mesh.control import read_index, reservation_catch_up
+from lugspur.mesh.control.change_requests import NoQuorum
 from lugspur.mesh.control.effects import Effects, Peer, Rows
 from lugspur.mesh.control.freshness import DelayEstimate, Freshness
 from lugspur.mesh.control.messages import (
@@ -34,11 +34,11 @@
     ReadIndexReply,
     StoredReservation,
 )
-from lugspur.mesh.control.orders import NoQuorum
 from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.register import Applied, Register
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control.reservation_table import ReservationTable
 
 WALKS = 250  # through each world at once
 TURNS = 60
@@ -49,10 +49,10 @@
 
 _prepare, _accept, _learn = Register.prepare, Register.accept, Register.learn
 _reader_heard, _catch_up_look, _adopt, _merge = (
-    reader.Reader.heard,
-    catch_up.ClaimsCatchUp.look,
+    read_index.Reader.receive,
+    reservation_catch_up.ReservationCatchUp.tick,
     Replica._adopt,
-    ClaimTable.merge,
+    ReservationTable.merge,
 )
 _proposer_init, _freshness_heard = Proposer.__init__, Freshness.heard
 
@@ -99,7 +99,7 @@
 
 
 def give_up_offered(self: Proposer, now: float) -> None:
-    for order in [order for order in self._orders if order.until <= now]:
+    for order in [order for order in self._orders if order.deadline <= now]:
         self._end(order, NoQuorum())
 
 
@@ -109,18 +109,18 @@
 
 def refuse_at_once(self: Proposer) -> Any:
     for order in self._orders:
-        order.came_in = -1
+        order.submitted_after = -1
     return _judge(self)
 
 
 _judge = Proposer._judge_orders
 
 
-def pass_over_pending(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
+def pass_over_pending(self: read_index.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
     return _reader_heard(self, now, ip, ReadIndexReply(message.number, message.is_voter, message.decided_index, False))
 
 
-def pass_over_index(self: reader.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
+def pass_over_index(self: read_index.Reader, now: float, ip: str, message: ReadIndexReply) -> Any:
     known = self._replica.index
     return _reader_heard(
         self, now, ip, ReadIndexReply(message.number, message.is_voter, min(known, message.decided_index), False)
@@ -144,17 +144,17 @@
         self.complete_epoch = membership.epoch
 
 
-def ask_present_voters(self: catch_up.ClaimsCatchUp, now: float) -> Effects:
+def ask_present_voters(self: reservation_catch_up.ReservationCatchUp, now: float) -> Effects:
     effects = _catch_up_look(self, now)
     membership = self._replica.membership
     present = {voter.ip for voter in membership.voters} if membership is not None else set()
     return Effects(send=[(ip, message) for ip, message in effects.send if ip in present])
 
 
-def last_word(self: ClaimTable, now: float, claims: Any) -> Rows:
+def last_word(self: ReservationTable, now: float, claims: Any) -> Rows:
     rows: Rows = []
     for key, kept in claims:
-        if key in self._claims and kept.response is None:
+        if key in self._reservations and kept.response is None:
             self._drop(key)
         rows += _merge(self, now, [(key, StoredReservation(kept.owner, kept.seconds_left, kept.response))])
     return rows
@@ -288,14 +288,24 @@
     Guard("an order that was offered is not given up", Proposer, "_expire", give_up_offered, register(LEFT)),
     Guard("an order is refused by a later proposal alone", Proposer, "_judge_orders", refuse_at_once, register(RESTS)),
     Guard("ballots name the process's life", Proposer, "__init__", without_life, register(OLD_LIFE)),
-    Guard("a read asks a majority", reader, "majority", lambda count: 1, register(READ, TWO_READ)),
-    Guard("a read waits for what is pending", reader.Reader, "heard", pass_over_pending, register(READ, TWO_READ)),
-    Guard("a read learns of later changes first", reader.Reader, "heard", pass_over_index, register(READ, TWO_READ)),
+    Guard("a read asks a majority", read_index, "majority", lambda count: 1, register(READ, TWO_READ)),
+    Guard(
+        "a read waits for what is pending", read_index.Reader, "receive", pass_over_pending, register(READ, TWO_READ)
+    ),
+    Guard(
+        "a read learns of later changes first", read_index.Reader, "receive", pass_over_index, register(READ, TWO_READ)
+    ),
     Guard("pages from the middle are not taken", Register, "learn", learn_from_the_middle, register(BROKEN)),
-    Guard("a newcomer reads a majority's claims", catch_up, "majority", lambda count: 1, claims(EXCHANGED)),
-    Guard("a newcomer asks those who left", catch_up.ClaimsCatchUp, "look", ask_present_voters, claims(LOST_AFTER)),
+    Guard("a newcomer reads a majority's claims", reservation_catch_up, "majority", lambda count: 1, claims(EXCHANGED)),
+    Guard(
+        "a newcomer asks those who left",
+        reservation_catch_up.ReservationCatchUp,
+        "tick",
+        ask_present_voters,
+        claims(LOST_AFTER),
+    ),
     Guard("a newcomer reads claims before it grants", Replica, "_adopt", complete_at_once, claims(EXCHANGED)),
-    Guard("a key with two holders is nobody's", ClaimTable, "merge", last_word, claims(EXCHANGED)),
+    Guard("a key with two holders is nobody's", ReservationTable, "merge", last_word, claims(EXCHANGED)),
     Guard("a vote goes with its disk", Replica, "_votes_in", vote_by_address, register(WIPED)),
     Guard("held-up news is old news", DelayEstimate, "sent_at", all_news_is_fresh, drawn()),
     Guard("a pending change is no word", Freshness, "heard", pending_is_fresh, drawn()),
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from lugspur.mesh.control import items
-from lugspur.mesh.control.claim_table import CLAIM_PREFIX
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.control.messages import Item, Membership, StoredReservation
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, Vote, item_row
 from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
+from lugspur.mesh.control.reservation_table import RESERVATION_PREFIX
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.storage.disk import DIRECTORY_NAME
 
@@ -70,7 +70,7 @@
     try:
         if key.startswith(ITEM_PREFIX):
             _read_item(contents, key, _item_decoder.decode(value))
-        elif key.startswith(CLAIM_PREFIX):
+        elif key.startswith(RESERVATION_PREFIX):
             reservation = _reservation_decoder.decode(value)
             contents.reservations += 1
             contents.answers += reservation.response is not None
