--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -234,10 +234,12 @@
     # ---- what peers say --------------------------------------------------------------------
 
     def receive(self, ip: str, message: Message) -> None:
+        """Take a message of a peer that this process dialled, or of its own replica."""
         self.membership_changes.message_received(self.loop.time(), ip)
         super().receive(ip, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
+        """Take a reply to what this control node has asked as a proposer, reader, forwarder or newcomer."""
         if isinstance(message, Promise | Accepted):
             self.run_effects(self.proposer.heard(now, ip, message))
         elif isinstance(message, ReadIndexReply):
@@ -269,6 +271,7 @@
             self.subscribers.update_soon()
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
+        """Take an update of a peer; where that knows later changes, ask for them unless they come by themselves."""
         super().receive_update(now, ip, message)
         self.membership_changes.complete_for(ip, message.complete_epoch)
         if message.decided_index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
@@ -288,6 +291,7 @@
         self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def disconnected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled has ended: what was under way on it is taken back."""
         self.catch_up.disconnected(dialer.ip)
         self.decided_pages.disconnected(dialer.ip)
         self.membership_changes.disconnected(dialer.ip)
@@ -295,10 +299,12 @@
         self.router.disconnected(self.loop.time(), dialer.ip)
 
     def membership_changed(self) -> None:
+        """Another membership is in force."""
         super().membership_changed()
         self.membership_changes.membership_changed(self.membership)
 
     def wanted_peers(self) -> set[str]:
+        """The voters and seeds, and while it lacks reservations the voters of the epoch before, which have them."""
         found = super().wanted_peers()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.is_complete:
@@ -308,12 +314,15 @@
     # ---- what peers are told ---------------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
+        """Whether this process subscribes to that peer's updates: a control node follows all."""
         return True
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
+        """The leased entry by which this control node describes itself."""
         return self.announcement.entries()
 
     def entry_changed(self, entry: Entry) -> None:
+        """An entry has changed: subscribers get it, and what contradicts this control node's own entry is corrected."""
         self.subscribers.update_soon()
         if self.announcement.is_contradicted_by(entry):
             self.loop.call_soon(self.announce)
@@ -361,6 +370,7 @@
     # ---- time ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
+        """Do what is due by time in each part."""
         self.pause_detector.tick(now)
         self.leases.tick(now)
         self.subscribers.tick(now)
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -33,9 +33,9 @@
             self._changed_services.add(status.service)
             self._slow_start_until[entry.name] = self._loop.time() + status.cold
         if len(self._changed_services) == 1 or before is None:
-            self._loop.call_soon(self._tell)
+            self._loop.call_soon(self._report_changes)
 
-    def _tell(self) -> None:
+    def _report_changes(self) -> None:
         changed, self._changed_services = self._changed_services, set()
         self._on_change(changed)
 
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -110,6 +110,7 @@
     # ---- settings ------------------------------------------------------------------------
 
     def settings_changed(self) -> None:
+        """Other settings are in force: the seeds or the service may be others."""
         super().settings_changed()
         self.update_sender()
 
@@ -162,27 +163,34 @@
     # ---- connections ---------------------------------------------------------------------
 
     def wanted_peers(self) -> set[str]:
+        """The voters, seeds where needed, and the machines of all backends."""
         return super().wanted_peers() | (set(self.backends.by_ip) - {self.ip})
 
     def may_be_cut_off(self) -> bool:
+        """Whether updates are so old that the membership which is known may be an old one."""
         return self.update_source.may_be_cut_off()
 
     def needs_peer(self, ip: str) -> bool:
+        """Whether a request still waits for a reply of that machine."""
         return self.outgoing.waits_for(ip)
 
     def keepalive_idle_seconds(self, ip: str) -> int:
+        """Seconds without a byte after which a connection is probed: rarely between proxies, which are many."""
         return PROXY_KEEPALIVE_IDLE_SECONDS if ip in self.backends.by_ip else KEEPALIVE_IDLE_SECONDS
 
     def connected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled is up."""
         super().connected(dialer)
         self.reservations.connected(self.loop.time(), dialer.ip)
 
     def disconnected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled has ended: what waits for replies on it gets them now."""
         super().disconnected(dialer)
         self.update_source.disconnected(dialer.ip)
         self.outgoing.disconnected(dialer.ip)
 
     def message_received(self, link: Link, message: Message) -> None:
+        """Take a message on a connection that this process dialled."""
         if isinstance(message, ForwardResponse):
             self.outgoing.receive_response(link, message)
         elif isinstance(message, GrantBody):
@@ -195,6 +203,7 @@
             super().message_received(link, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
+        """Take a voter's reply on a key."""
         if isinstance(message, ReserveKeyReply):
             self.reservations.receive(now, ip, message)
 
@@ -212,9 +221,11 @@
     # ---- updates -------------------------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
+        """Whether this process subscribes to that peer's updates: a proxy follows one control node."""
         return ip == self.update_source.ip
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
+        """The leased entry that tells of this machine's backend."""
         return self.registration.own_entries(renew=renew)
 
     def report(self) -> None:
@@ -224,14 +235,17 @@
             self.send_to(self.update_source.ip, Report(own))
 
     def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+        """An update was merged; all that had been confirmed before `confirmed_at` is known here."""
         self.update_source.update_taken(now, ip, confirmed_at)
 
     def membership_changed(self) -> None:
+        """Another membership is in force: keys are asked for at its voters."""
         super().membership_changed()
         self.reservations.membership_changed(self.loop.time())
         self.update_source.membership_changed()
 
     def entry_changed(self, entry: Entry) -> None:
+        """An entry has changed: a backend, a route or the limits of requests."""
         if entry.kind == BACKEND:
             if entry.name != self.ip or not self.registration.overtaken_by(entry):
                 self.backends.take(entry)
@@ -240,7 +254,7 @@
 
     def _services_changed(self, services: set[str]) -> None:
         for service in services:
-            self.proxy.set_endpoints(service, self.backends.accepting(service))
+            self.proxy.update_endpoints(service, self.backends.accepting(service))
         self.proxy.proxies = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
@@ -263,6 +277,7 @@
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
+        """Do what is due by time in each part."""
         self.reservations.tick(now)
         self.update_source.tick(now)
         self._pauses.record_turn(now)
