--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -25,6 +25,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         ip: str,
+        *,
         proposer: Proposer,
         pause_detector: PauseDetector,
         preferred_proposer: Callable[[float], str],
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -32,6 +32,7 @@
     def __init__(
         self,
         ip: str,
+        *,
         replica: Replica,
         reconfiguration: Reconfiguration,
         store: Store,
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -122,11 +122,11 @@
         return ChangeRouter(
             self.loop,
             self.ip,
-            self.proposer,
-            self.pause_detector,
-            self.majority_contact.preferred_proposer,
-            self.run_effects,
-            self.send_to,
+            proposer=self.proposer,
+            pause_detector=self.pause_detector,
+            preferred_proposer=self.majority_contact.preferred_proposer,
+            run_effects=self.run_effects,
+            send_to=self.send_to,
         )
 
     def _make_reconfiguration(self) -> Reconfiguration:
@@ -140,13 +140,13 @@
     def _make_membership_changes(self) -> MembershipChanges:
         return MembershipChanges(
             self.ip,
-            self.replica,
-            self.reconfiguration,
-            self.store,
-            self.freshness,
-            self.max_staleness,
-            self.pause_detector,
-            self._propose,
+            replica=self.replica,
+            reconfiguration=self.reconfiguration,
+            store=self.store,
+            freshness=self.freshness,
+            max_staleness=self.max_staleness,
+            pause_detector=self.pause_detector,
+            propose=self._propose,
         )
 
     def _start(self, rows: StoredRows) -> None:
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -99,10 +99,10 @@
                 ip,
                 port,
                 self.ip,
-                self.message_received,
-                self.connected,
-                self.disconnected,
-                self.keepalive_idle_seconds(ip),
+                on_message=self.message_received,
+                on_connected=self.connected,
+                on_disconnected=self.disconnected,
+                keep_idle=self.keepalive_idle_seconds(ip),
             )
         for ip in [ip for ip in self.peers if ip not in wanted and not self.needs_peer(ip)]:
             self.peers.pop(ip).close()
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -39,14 +39,14 @@
     def table(self) -> Sized:
         """Routes in force."""
 
-    def standing(self) -> Standing:
+    def configuration_state(self) -> Standing:
         """What requests are judged by at this moment."""
 
 
 def sidecar_metrics(sidecar: SidecarParts) -> list[Figure]:
     """All figures of one proxy at this moment."""
     now, limiter, proxy, front = sidecar.loop.time(), sidecar.limiter, sidecar.proxy, sidecar.front
-    standing = sidecar.standing()
+    state = sidecar.configuration_state()
     causes = {cause.label: float(count) for cause, count in limiter.causes.items()}
     rejections = {str(status): float(count) for status, count in front.rejections.items()}
     selections = sidecar.update_source.selections
@@ -63,9 +63,9 @@
         gauge("routes", "Routes in force.", len(sidecar.table)),
         gauge("backends", "Backends that the mesh tells of.", len(sidecar.backends.by_ip)),
         gauge("peers_up", "Processes that can be reached.", up),
-        gauge("configuration_index", "The latest change of the configuration that is known.", standing.change),
-        gauge("membership_epoch", "The membership that this process goes by.", standing.epoch),
-        gauge("news_age_seconds", "Seconds since word of a majority.", standing.news_age_s),
+        gauge("configuration_index", "The latest change of the configuration that is known.", state.change),
+        gauge("membership_epoch", "The membership that this process goes by.", state.epoch),
+        gauge("news_age_seconds", "Seconds since word of a majority.", state.news_age_s),
         counter("news_sources_total", "How often another control node's news was followed.", selections),
         gauge("leaving", "1 while this process ends.", float(sidecar.is_leaving)),
         gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _silent(sidecar, now)),
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -104,7 +104,7 @@
             settings.own.zone,
         )
         proxy.sender = settings.own.service
-        proxy.failures = FailureLog(self.standing, log_failure)
+        proxy.failures = FailureLog(self.configuration_state, log_failure)
         return proxy
 
     # ---- settings ------------------------------------------------------------------------
@@ -260,7 +260,7 @@
 
     # ---- what operators see --------------------------------------------------------------
 
-    def standing(self) -> Standing:
+    def configuration_state(self) -> Standing:
         """The configuration and the membership that requests are judged by at this moment."""
         epoch = 0 if self.membership is None else self.membership.epoch
         age = self.loop.time() - self.update_source.confirmed_at
--- a/lugspur/mesh/transport/dialer.py
+++ b/lugspur/mesh/transport/dialer.py
@@ -22,6 +22,7 @@
         ip: str,
         port: int,
         own_ip: str,
+        *,
         on_message: Callable[[Link, Message], None],
         on_connected: Callable[[Dialer], None],
         on_disconnected: Callable[[Dialer], None],
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -594,7 +594,7 @@
             reservations=(),
             table=(),
             backends=SimpleNamespace(by_ip={}),
-            standing=lambda: Standing(41, 3, 0.25),
+            configuration_state=lambda: Standing(41, 3, 0.25),
         )
         text = render(sidecar_metrics(sidecar), [mesh.proxy.seconds])
         for name in list(CAUSES.values())[1:]:
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -129,7 +129,9 @@
             downs.append(dialler)
             server.turn.set()
 
-        dialler = Dialer("127.0.0.1", server.port, "127.0.0.1", lambda link, message: None, up, down)
+        dialler = Dialer(
+            "127.0.0.1", server.port, "127.0.0.1", on_message=lambda *_: None, on_connected=up, on_disconnected=down
+        )
         await server.until(lambda: len(ups) == 1 and bool(server.links))
         server.links[0].close()
         await server.until(lambda: len(ups) == 2)
@@ -149,10 +151,10 @@
             "127.0.0.1",
             server.port,
             "127.0.0.1",
-            lambda *_: None,
-            up.put_nowait,
-            down.append,
-            PROXY_KEEPALIVE_IDLE_SECONDS,
+            on_message=lambda *_: None,
+            on_connected=up.put_nowait,
+            on_disconnected=down.append,
+            keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS,
         )
         await up.get()
         assert dialler.link is not None
@@ -173,7 +175,13 @@
         for keep_idle in (KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS):
             up: asyncio.Queue[Dialer] = asyncio.Queue()
             dialler = Dialer(
-                "127.0.0.1", server.port, "127.0.0.1", lambda *_: None, up.put_nowait, lambda _: None, keep_idle
+                "127.0.0.1",
+                server.port,
+                "127.0.0.1",
+                on_message=lambda *_: None,
+                on_connected=up.put_nowait,
+                on_disconnected=lambda _: None,
+                keep_idle=keep_idle,
             )
             link = (await up.get()).link
             assert link is not None and link._transport is not None
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -238,6 +238,18 @@
     play(tmp_path, what)
 
 
+def unconnected_dialer(ip: str) -> Dialer:
+    """A dialer that reaches nobody: nothing listens at its port."""
+    return Dialer(
+        ip,
+        1,
+        "127.0.0.1",
+        on_message=lambda *_: None,
+        on_connected=lambda _: None,
+        on_disconnected=lambda _: None,
+    )
+
+
 class Wire:
     """A connection to another proxy, as far as it is used here."""
 
@@ -259,7 +271,7 @@
     def what(sidecar: Sidecar) -> None:
         ip, replies = "127.0.0.2", list[ForwardResponse]()
         wire = Wire(ip)
-        dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+        dialler = unconnected_dialer(ip)
         dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.backends.by_ip[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
@@ -283,7 +295,7 @@
 def test_a_machine_is_sent_requests_only_once_its_process_has_answered(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         ip = "127.0.0.2"
-        dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+        dialler = unconnected_dialer(ip)
         sidecar.peers[ip] = dialler
         assert not sidecar.proxy.carrier.ready(ip)
         wire = Wire(ip)
@@ -304,7 +316,7 @@
     def what(sidecar: Sidecar) -> None:
         wires = {ip: Wire(ip) for ip in ("127.0.0.2", "127.0.0.3")}
         for ip, wire in wires.items():
-            dialler = Dialer(ip, 1, "127.0.0.1", lambda *_: None, lambda _: None, lambda _: None)
+            dialler = unconnected_dialer(ip)
             dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
         sidecar.update_source.select()
