--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -10,7 +10,7 @@
 import dacite
 
 from lugspur.discovery.endpoints import Address, read_address
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 
 SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # of the environment, with the path of the file
 DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
@@ -152,11 +152,11 @@
             if address:
                 read_address(address)
     except (dacite.DaciteError, ValueError, TypeError) as fault:
-        raise MeshError(Kind.SETTINGS, str(fault)) from None
+        raise MeshError(ErrorKind.SETTINGS, str(fault)) from None
     _check_ports(settings.network.inner_ports)
     for name in POSITIVE_BOUNDS:
         if getattr(settings.tariffs.bounds, name) <= 0.0:
-            raise MeshError(Kind.SETTINGS, f"tariffs.bounds.{name} is not above 0")
+            raise MeshError(ErrorKind.SETTINGS, f"tariffs.bounds.{name} is not above 0")
     return settings
 
 
@@ -175,9 +175,9 @@
 
 def _check_ports(ports: list[int]) -> None:
     if not ports:
-        raise MeshError(Kind.SETTINGS, "network.inner_ports is empty")
+        raise MeshError(ErrorKind.SETTINGS, "network.inner_ports is empty")
     if not all(0 < port <= MAX_PORT for port in ports):
-        raise MeshError(Kind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
+        raise MeshError(ErrorKind.SETTINGS, f"network.inner_ports are not all from 1 to {MAX_PORT}")
 
 
 def load_settings(path: str | Path) -> Settings:
@@ -186,4 +186,4 @@
         with open(path, "rb") as file:
             return parse_settings(tomllib.load(file))
     except (OSError, ValueError, RecursionError) as fault:  # it is no TOML, no UTF-8, or nests without end
-        raise MeshError(Kind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
+        raise MeshError(ErrorKind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -10,7 +10,7 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.mesh import events
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import BACKEND
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.store import Store
@@ -50,7 +50,7 @@
         heartbeat = _heartbeat_decoder.decode(body[:MAX_HEARTBEAT_BYTES])
         read_address(heartbeat.address)
     except (msgspec.MsgspecError, ValueError) as fault:
-        raise MeshError(Kind.BAD_REQUEST, str(fault)) from None
+        raise MeshError(ErrorKind.BAD_REQUEST, str(fault)) from None
     return heartbeat
 
 
