--- a/tests/compatibility/test_gossip_counters.py
+++ b/tests/compatibility/test_gossip_counters.py
@@ -22,9 +22,9 @@
 PEER = ("10.0.0.2", 7946)
 
 
-def member(wire: DatagramCodec) -> GossipProtocol:
+def member(codec: DatagramCodec) -> GossipProtocol:
     return GossipProtocol(
-        codec=wire,
+        codec=codec,
         name="m0",
         address=("10.0.0.1", 7946),
         metadata=MemberMetadata(),
--- a/tests/compatibility/test_gossip_datagrams.py
+++ b/tests/compatibility/test_gossip_datagrams.py
@@ -109,18 +109,18 @@
 
 @pytest.mark.parametrize("form", FORMS)
 def test_each_datagram_is_read_and_written_byte_for_byte(form: str) -> None:
-    wire = DatagramCodec(FLEET)
-    decoded = wire.decode(literal(form))
+    codec = DatagramCodec(FLEET)
+    decoded = codec.decode(literal(form))
     assert decoded == packet(FORMS[form][0])
-    assert wire.encode(decoded) == literal(form)
+    assert codec.encode(decoded) == literal(form)
 
 
 def test_a_keyed_datagram_has_its_tag_between_header_and_body() -> None:
-    wire = DatagramCodec(FLEET, KEY)
+    codec = DatagramCodec(FLEET, KEY)
     datagram = bytes.fromhex(f"{HEADER} {ACK_TAG} {ENVELOPE} {FORMS['ack'][1]}")
-    decoded = wire.decode(datagram)
+    decoded = codec.decode(datagram)
     assert decoded == packet(FORMS["ack"][0])
-    assert wire.encode(decoded) == datagram
+    assert codec.encode(decoded) == datagram
 
 
 def test_there_is_a_literal_for_every_kind_of_message() -> None:
--- a/tests/fleet/test_datagrams.py
+++ b/tests/daemon/gossip/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams that are not of this fleet count for nothing, whatever they hold."""
+"""Datagrams that are malformed or not of this fleet are rejected, whatever they contain."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 @pytest.mark.parametrize("message", MESSAGES)
 @pytest.mark.parametrize("key", [b"", b"0123456789abcdef"])
-def test_what_goes_out_comes_in(message: Message, key: bytes) -> None:
+def test_encoded_packets_decode_to_the_same_packet(message: Message, key: bytes) -> None:
     packet = Packet("edge-3", 9, "edge-1", message)
     data = DatagramCodec("edge", key).encode(packet)
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert DatagramCodec("edge", key).decode(data) == packet
 
 
-def test_foreign_ones_are_told_apart() -> None:
+def test_rejected_datagrams_have_their_reason() -> None:
     data = DatagramCodec("edge", b"k" * 16).encode(Packet("a", 1, "", MESSAGES[0]))
     cases = {
         "another fleet": (DatagramCodec("core", b"k" * 16), data),
@@ -53,31 +53,31 @@
         "too large": (DatagramCodec("edge", b"k" * 16), data + bytes(MAX_DATAGRAM_BYTES)),
         "garbage": (DatagramCodec("edge", b"k" * 16), b"XX" + data[2:]),
     }
-    for said, (wire, what) in cases.items():
-        with pytest.raises(DatagramRejectedError, match=said):
-            wire.decode(what)
+    for reason, (codec, datagram) in cases.items():
+        with pytest.raises(DatagramRejectedError, match=reason):
+            codec.decode(datagram)
 
 
-def test_every_flipped_bit_of_a_keyed_datagram_is_noticed() -> None:
-    wire = DatagramCodec("edge", b"k" * 32)
-    data = wire.encode(Packet("a", 1, "", MESSAGES[0]))
+def test_every_flipped_bit_of_a_keyed_datagram_is_rejected() -> None:
+    codec = DatagramCodec("edge", b"k" * 32)
+    data = codec.encode(Packet("a", 1, "", MESSAGES[0]))
     for bit in range(8 * len(data)):
-        spoilt = bytearray(data)
-        spoilt[bit // 8] ^= 1 << bit % 8
+        damaged = bytearray(data)
+        damaged[bit // 8] ^= 1 << bit % 8
         with pytest.raises(DatagramRejectedError):
-            wire.decode(bytes(spoilt))
+            codec.decode(bytes(damaged))
 
 
 @given(st.binary(max_size=2 * MAX_DATAGRAM_BYTES))
-def test_random_bytes_are_garbage_and_nothing_else(body: bytes) -> None:
-    wire = DatagramCodec("edge")
-    head = wire.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
+def test_random_bytes_raise_no_other_error(body: bytes) -> None:
+    codec = DatagramCodec("edge")
+    head = codec.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
     for data in (body, head + body):
         try:
-            found = wire.decode(data)
+            packet = codec.decode(data)
         except DatagramRejectedError:
             continue
-        assert wire.encode(found)  # by chance it was one
+        assert codec.encode(packet)  # by chance it was a valid one
 
 
 def _raw(**changed: object) -> bytes:
@@ -88,10 +88,10 @@
         "host": "127.0.0.1",
         "port": 1,
         "status": 0,
-        "by": "",
+        "reported_by": "",
         "metadata": ["", "", 0.0, False, 0.0],
     } | changed
-    return msgspec.msgpack.encode(["me", 1, "", [5, [list(fields.values())]]])
+    return msgspec.msgpack.encode(["sender", 1, "", [5, [list(fields.values())]]])
 
 
 @pytest.mark.parametrize(
@@ -119,10 +119,10 @@
         {"metadata": None},
     ],
 )
-def test_absurd_values_are_garbage(changed: dict[str, object]) -> None:
-    wire = DatagramCodec("edge")
-    head = wire.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
+def test_values_out_of_bounds_are_malformed(changed: dict[str, object]) -> None:
+    codec = DatagramCodec("edge")
+    head = codec.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
     if changed != {"metadata": []}:  # fields that are left out have their defaults
         with pytest.raises(DatagramRejectedError):
-            wire.decode(head + _raw(**changed))
-    assert wire.decode(head + _raw()).sender == "me"
+            codec.decode(head + _raw(**changed))
+    assert codec.decode(head + _raw()).sender == "sender"
--- /dev/null
+++ b/tests/daemon/gossip/test_lean.py
@@ -0,0 +1,36 @@
+"""A daemon that is in no fleet imports neither gossip and leases nor the libraries that they need."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from importlib.util import find_spec
+
+import pytest
+
+LIBRARIES = ("msgspec", "rich", "click")
+MODULES = ("lugspur.daemon.gossip", "lugspur.daemon.leases", "lugspur.daemon.company")
+PRINT_IMPORTED = f"""
+import sys
+import lugspur.{{module}}
+print([name for name in sys.modules if name.split(".")[0] in {LIBRARIES!r} or name.startswith({MODULES!r})])
+"""
+
+
+@pytest.mark.parametrize("module", ["daemon.service", "daemon.run", "__main__"])
+def test_daemon_without_a_fleet_imports_no_gossip(module: str) -> None:
+    command = [sys.executable, "-c", PRINT_IMPORTED.format(module=module)]
+    done = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert done.stdout == "[]\n"
+
+
+@pytest.mark.parametrize("name", [*LIBRARIES, *MODULES])
+def test_the_names_that_are_looked_for_exist(name: str) -> None:
+    """A module that was renamed would never be found among the imported ones."""
+    assert find_spec(name) is not None
+
+
+def test_an_import_of_gossip_is_noticed() -> None:
+    command = [sys.executable, "-c", PRINT_IMPORTED.format(module="daemon.company")]
+    done = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert "'lugspur.daemon.gossip.protocol'" in done.stdout and "'msgspec'" in done.stdout
--- a/tests/fleet/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -1,4 +1,4 @@
-"""Members in virtual time: each fault of the design note, and what becomes of the views."""
+"""Members in virtual time: the faults of docs/duties.md, and what each does to the views of all members."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
 
-PERIODS = 10.0  # in which all views have to be the same again
+CONVERGENCE_SECONDS = 10.0  # ten periods, in which all views have to agree again
 
 
 def status(fleet: Members, at: int, of: str) -> Status | None:
-    """What one thinks of another."""
+    """Return the status of one member in the view of another."""
     member = fleet.all()[fleet.address(at)].members.get(of)
     return None if member is None else Status(member.record.status)
 
 
 @pytest.mark.parametrize("count", [2, 3, 5, 50])
-def test_all_find_each_other_by_two_seeds(count: int) -> None:
-    assert Members(count, 1).settle() <= PERIODS
+def test_all_members_join_by_two_seeds(count: int) -> None:
+    assert Members(count, 1).settle() <= CONVERGENCE_SECONDS
 
 
 @pytest.mark.parametrize(("count", "seed"), [(3, 1), (5, 2), (50, 3)])
-def test_a_dead_member_is_gone_everywhere_within_ten_periods(count: int, seed: int) -> None:
+def test_killed_member_is_dead_in_all_views_within_ten_periods(count: int, seed: int) -> None:
     fleet = Members(count, seed)
     fleet.settle()
     fleet.network.kill(fleet.address(2))
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
     assert all(status(fleet, at, "m2") is Status.DEAD for at in range(count) if at != 2)
 
 
-def test_one_that_says_goodbye_is_gone_at_once_and_doubted_by_nobody() -> None:
+def test_member_that_leaves_is_removed_at_once_and_never_suspected() -> None:
     fleet = Members(10, 4)
     fleet.settle()
     began = fleet.network.now
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(("count", "cut"), [(5, 2), (20, 10), (50, 17)])
-def test_two_halves_that_took_each_other_for_dead_find_each_other(count: int, cut: int) -> None:
+def test_halves_of_a_partition_that_declared_each_other_dead_merge_again(count: int, cut: int) -> None:
     fleet = Members(count, 5)
     fleet.settle()
     inside = [fleet.address(number) for number in range(cut)]
@@ -69,10 +69,10 @@
     for address, machine in fleet.all().items():
         assert machine.present_count == (cut if address in inside else count - cut)
     fleet.network.cut = lambda origin, to: False
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
 
 
-def test_one_that_hears_but_is_not_heard_goes_and_comes_back() -> None:
+def test_member_that_only_receives_is_declared_dead_and_returns() -> None:
     fleet = Members(8, 6)
     fleet.settle()
     mute = fleet.address(5)
@@ -80,22 +80,22 @@
     fleet.network.run(15.0)
     assert all(status(fleet, at, "m5") is Status.DEAD for at in range(8) if at != 5)
     fleet.network.cut = lambda origin, to: False
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
 
 
 @pytest.mark.parametrize("seconds", [0.3, 3.0, 30.0])
-def test_a_process_that_stood_still_blames_nobody(seconds: float) -> None:
+def test_paused_process_suspects_nobody(seconds: float) -> None:
     fleet = Members(10, 7)
     fleet.settle()
     began = fleet.network.now
     stopped = fleet.address(4)
     fleet.network.stop(stopped, seconds)
     fleet.network.run(seconds)
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
     assert fleet.doubts(began, but=["m4"]) == 0
 
 
-def test_losses_and_short_stops_are_nobodys_death() -> None:
+def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
     fleet = Members(20, 8)
     fleet.settle()
     fleet.network.loss, fleet.network.twice, fleet.network.late = 0.05, 0.1, 0.05
@@ -106,76 +106,76 @@
     assert fleet.doubts(began) == 0
 
 
-def test_one_that_starts_anew_is_told_from_its_former_life() -> None:
+def test_restarted_member_has_another_instance_id_and_a_greater_incarnation() -> None:
     fleet = Members(6, 9)
     fleet.settle()
     before = fleet.all()[fleet.address(3)].local_record
     fleet.network.kill(fleet.address(3))
     fleet.network.run(1.0)
     fleet.start(3)
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
     seen = [machine.members["m3"].record for at, machine in fleet.all().items() if at != fleet.address(3)]
     assert all(record.instance_id != before.instance_id and record.incarnation > before.incarnation for record in seen)
 
 
-def test_one_whose_wall_clock_went_back_an_hour_comes_back_all_the_same() -> None:
+def test_restarted_member_rejoins_though_its_wall_clock_went_back_an_hour() -> None:
     fleet = Members(6, 10)
     fleet.settle()
     fleet.network.kill(fleet.address(3))
     fleet.start(3, behind=3600.0)
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
     assert not any(isinstance(event, NameConflict) for event in fleet.all()[fleet.address(3)].take_events())
 
 
-def test_words_of_a_former_life_change_nothing() -> None:
+def test_datagrams_of_a_former_process_change_nothing() -> None:
     fleet = Members(4, 11)
     fleet.settle()
     former = fleet.all()[fleet.address(3)]
     old = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", Updates([former.local_record])))
     fleet.network.kill(fleet.address(3))
     fleet.start(3)
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
     now = fleet.all()[fleet.address(1)].members["m3"].record
     for _ in range(10):
         fleet.all()[fleet.address(1)].receive(fleet.network.now, old, fleet.address(3))
     assert fleet.all()[fleet.address(1)].members["m3"].record == now
-    posted = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", UserMessage(1, b"old")))
-    fleet.all()[fleet.address(1)].receive(fleet.network.now, posted, fleet.address(3))
+    message = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", UserMessage(1, b"old")))
+    fleet.all()[fleet.address(1)].receive(fleet.network.now, message, fleet.address(3))
     assert not any(isinstance(event, MessageReceived) for event in fleet.all()[fleet.address(1)].take_events())
 
 
-def test_of_two_processes_with_one_name_the_younger_falls_silent() -> None:
+def test_younger_of_two_processes_with_one_name_falls_silent() -> None:
     fleet = Members(5, 12)
     fleet.settle()
-    rivals: list[tuple[str, NameConflict]] = []
+    conflicts: list[tuple[str, NameConflict]] = []
 
     def after(address: Address, machine: GossipProtocol) -> None:
-        rivals.extend((f"{address[0]}", event) for event in machine.take_events() if isinstance(event, NameConflict))
+        conflicts.extend((f"{address[0]}", event) for event in machine.take_events() if isinstance(event, NameConflict))
 
     fleet.network.after = after  # type: ignore[assignment]  # all machines here are fleets
     fleet.start(7, "m2")
     fleet.network.run(25.0)
-    assert any(event.is_yielding for where, event in rivals if where == fleet.address(7)[0])
-    assert not any(event.is_yielding for where, event in rivals if where == fleet.address(2)[0])
+    assert any(event.is_yielding for where, event in conflicts if where == fleet.address(7)[0])
+    assert not any(event.is_yielding for where, event in conflicts if where == fleet.address(2)[0])
     fleet.network.run(1.0)
     others = [fleet.all()[fleet.address(at)] for at in (0, 1, 3, 4)]
     assert {machine.members["m2"].record.address for machine in others} == {fleet.address(2)}
 
 
-def test_a_member_may_move() -> None:
+def test_member_changes_its_address() -> None:
     fleet = Members(5, 13)
     fleet.settle()
     machine = fleet.all()[fleet.address(2)]
     fleet.network.kill(fleet.address(2))
     machine.change_address(fleet.network.now, fleet.address(9))
     fleet.network.add(fleet.address(9), machine)
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
     assert fleet.all()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
     fleet.network.run(10.0)
     assert fleet.agree()
 
 
-def test_facts_reach_all() -> None:
+def test_metadata_reaches_all_members() -> None:
     fleet = Members(20, 14)
     fleet.settle()
     fleet.all()[fleet.address(2)].update_metadata(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
@@ -186,11 +186,11 @@
             for at, machine in fleet.all().items()
             if at != fleet.address(2)
         ),
-        PERIODS,
+        CONVERGENCE_SECONDS,
     )
 
 
-def test_dead_seeds_and_a_wrong_fleet_leave_it_alone_and_cost_little() -> None:
+def test_dead_seeds_and_seeds_of_another_fleet_cost_little() -> None:
     fleet = Members(1, 15)
     alone = fleet.start(5)
     fleet.network.kill(fleet.address(0))
@@ -198,11 +198,11 @@
     alone.seeds.append(fleet.address(6))
     fleet.network.run(60.0)
     assert alone.is_alone and stranger.is_alone and alone.present_count == 1
-    assert alone.counters["sent"] <= 130  # about one look a period, and no answers
+    assert alone.counters["sent"] <= 130  # about one ping each period, and no acks
     assert stranger.counters["another fleet"] > 10
 
 
-def test_a_fleet_holds_so_many_members_and_not_one_more() -> None:
+def test_membership_table_is_bounded_and_absent_members_make_room() -> None:
     machine = Members(1, 16).all()[Members.address(0)]
     for number in range(MAX_MEMBERS + 100):
         record = MemberRecord(f"x{number}", number, 1, "10.1.0.1", 1 + number)
@@ -216,10 +216,10 @@
     machine.receive(200.0, machine.codec.encode(Packet("x5", gone.instance_id, "m0", Updates([dead]))), gone.address)
     late = MemberRecord("late", 1, 1, "10.1.0.2", 5)
     machine.receive(200.1, machine.codec.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
-    assert "late" in machine.members and "x5" not in machine.members  # whoever is gone makes room
+    assert "late" in machine.members and "x5" not in machine.members  # absent members make room
 
 
-def test_a_liar_makes_nobody_dead_who_answers() -> None:
+def test_false_reports_do_not_kill_members_that_answer() -> None:
     fleet = Members(8, 17)
     fleet.settle()
     began = fleet.network.now
@@ -229,11 +229,11 @@
         for at in range(6):
             record = liar.members[f"m{at}"].record
             for state in (Status.SUSPECT, Status.DEAD):
-                word = MemberRecord(
+                report = MemberRecord(
                     record.name, record.instance_id, record.incarnation, record.host, record.port, state, "m7"
                 )
                 for to in range(7):
-                    data = liar.codec.encode(Packet("m7", liar.local_record.instance_id, f"m{to}", Updates([word])))
+                    data = liar.codec.encode(Packet("m7", liar.local_record.instance_id, f"m{to}", Updates([report])))
                     fleet.all()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
                     fleet.network.turn(fleet.address(to))
 
@@ -246,10 +246,10 @@
         if when >= began and change.record.status is Status.DEAD and change.record.reported_by != "m7"
     }
     assert not deaths
-    fleet.settle(PERIODS)
+    fleet.settle(CONVERGENCE_SECONDS)
 
 
-def test_a_flood_from_one_place_takes_nobody_elses_turn() -> None:
+def test_flood_from_one_address_leaves_others_served() -> None:
     fleet = Members(6, 18)
     fleet.settle()
     began, victim = fleet.network.now, fleet.all()[fleet.address(1)]
@@ -262,23 +262,25 @@
     assert fleet.doubts(began) == 0 and fleet.agree()
 
 
-def test_incarnations_from_the_future_are_not_believed() -> None:
+def test_incarnations_far_ahead_of_the_wall_clock_are_rejected() -> None:
     machine = Members(1, 19).all()[Members.address(0)]
     record = MemberRecord("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
     machine.receive(1.0, machine.codec.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
     assert not machine.members and machine.counters["from the future"] == 1
 
 
-def test_a_word_on_somebody_goes_along_only_so_often() -> None:
+def test_updates_are_retransmitted_a_bounded_number_of_times() -> None:
     fleet = Members(30, 20)
     fleet.settle()
     fleet.network.run(20.0)
     sent = fleet.total("sent")
     fleet.network.run(30.0)
-    assert fleet.total("sent") - sent <= 30 * 30 * 2.1  # a ping and an answer each period: nothing is told any more
+    assert (
+        fleet.total("sent") - sent <= 30 * 30 * 2.1
+    )  # a ping and an ack each period: no update is retransmitted any more
 
 
-def test_a_change_is_told_with_its_cause() -> None:
+def test_member_changes_carry_their_cause() -> None:
     fleet = Members(3, 21)
     fleet.settle()
     fleet.network.kill(fleet.address(2))
@@ -296,7 +298,7 @@
     assert isinstance(fleet.changes[0][2], MemberChanged)
 
 
-def test_other_keys_hear_nothing_of_each_other() -> None:
+def test_members_with_different_keys_do_not_see_each_other() -> None:
     fleet = Members(2, 22)
     keyed = fleet.start(3, key=b"k" * 16)
     fleet.network.run(10.0)
--- a/tests/fleet/test_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Processes of one fleet, started by their own files, with faults between them: who holds a duty, by all histories."""
+"""Processes of one fleet with faults between them: by their histories, a singleton role never has two leaders."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     memory: bool = True,
     lease: float = 1.0,
 ) -> None:
-    """Let something happen in a fleet; at most one may have held the duty at a time, which changed hands so often."""
+    """Run a course of faults; fail if two members led at one time, or if the leader changed less often than `least`."""
 
     async def run() -> None:
         async with Rig(folder, count, lease=lease, memory=memory) as rig:
@@ -38,12 +38,12 @@
 
 
 async def another(rig: Rig, than: int) -> int:
-    """Somebody else, once it holds the duty."""
+    """Wait until another member leads, and return its number."""
     return await rig.holder([number for number in range(len(rig.members)) if number != than])
 
 
 @pytest.mark.parametrize("leases", [1.0, 2.0, 10.0])
-def test_a_holder_that_is_stopped_and_wakes_does_nothing_first(tmp_path: Path, leases: float) -> None:
+def test_stopped_leader_that_resumes_may_not_act(tmp_path: Path, leases: float) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         before = (await rig.call(holder, "POST", "/fleet/may", DUTY))[1]["epoch"]
@@ -61,7 +61,7 @@
     play(tmp_path, what, least=1 if leases > 1.0 else 0)
 
 
-def test_a_holder_that_is_killed_is_followed(tmp_path: Path) -> None:
+def test_killed_leader_is_succeeded(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         await rig.kill(holder)
@@ -74,7 +74,7 @@
     play(tmp_path, what)
 
 
-def test_one_that_ends_hands_its_duty_on_at_once(tmp_path: Path) -> None:
+def test_leader_that_shuts_down_hands_over_at_once(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         member = rig.members[holder]
@@ -90,7 +90,7 @@
     play(tmp_path, what)
 
 
-def test_one_that_is_drained_hands_its_duty_on_and_may_have_it_again(tmp_path: Path) -> None:
+def test_drained_leader_hands_over_and_can_lead_again(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         assert (await rig.call(holder, "POST", "/drain"))[0] == 200
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
-def test_a_holder_that_is_cut_off_gives_up_before_another_begins(tmp_path: Path, way: str) -> None:
+def test_partitioned_leader_stops_before_its_successor_starts(tmp_path: Path, way: str) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         rig.cut = {
@@ -123,7 +123,7 @@
     play(tmp_path, what)
 
 
-def test_cut_off_from_the_electors_but_not_from_the_others(tmp_path: Path) -> None:
+def test_leader_partitioned_from_the_voters_alone_is_succeeded(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         while (holder := await rig.holder()) < rig.electors:
             await rig.call(holder, "POST", "/drain")
@@ -139,7 +139,7 @@
     play(tmp_path, what, count=5)
 
 
-def test_halves_without_a_majority_hold_nothing_and_the_larger_half_goes_on(tmp_path: Path) -> None:
+def test_partitions_without_a_majority_have_no_leader(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         side = {holder, 3 if holder < 3 else 0}  # the smaller half has the holder, and one elector at most
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("memory", [True, False])
-def test_all_electors_restart_at_once_and_one_after_another(tmp_path: Path, memory: bool) -> None:
+def test_all_voters_restart_at_once_and_one_after_another(tmp_path: Path, memory: bool) -> None:
     async def what(rig: Rig) -> None:
         for number in range(rig.electors):
             await rig.kill(number)
@@ -173,7 +173,7 @@
     play(tmp_path, what, least=0, memory=memory)
 
 
-def test_a_holder_keeps_its_office_over_restarts_of_electors_that_remember(tmp_path: Path) -> None:
+def test_leader_stays_over_restarts_of_voters_with_durable_promises(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         while (holder := await rig.holder()) < rig.electors:
             await rig.call(holder, "POST", "/drain")
@@ -194,7 +194,7 @@
     play(tmp_path, what, count=5, lease=4.0)
 
 
-def test_an_elector_that_lost_its_folder_and_one_that_never_comes_back(tmp_path: Path) -> None:
+def test_voter_that_lost_its_directory_and_voter_that_never_returns(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         await rig.kill(0)
         for path in (rig.members[0].folder / "promises").iterdir():
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("rates", [(1.05, 0.95, 1.05, 0.95), (0.95, 1.05, 1.05, 1.05)])
-def test_clocks_that_run_five_percent_apart(tmp_path: Path, rates: tuple[float, ...]) -> None:
+def test_clocks_that_run_five_percent_fast_and_slow(tmp_path: Path, rates: tuple[float, ...]) -> None:
     async def run() -> None:
         rig = Rig(tmp_path, 4)
         for member, rate in zip(rig.members, rates, strict=True):
@@ -231,7 +231,7 @@
     asyncio.run(run())
 
 
-def test_each_third_datagram_lost(tmp_path: Path) -> None:
+def test_one_third_of_datagrams_lost(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         rig.loss = 1 / 3
         for _ in range(3):
@@ -245,7 +245,7 @@
     play(tmp_path, what, least=3)
 
 
-def test_a_start_that_can_not_be_is_one_line(tmp_path: Path) -> None:
+def test_corrupt_promises_fail_the_start_with_one_line(tmp_path: Path) -> None:
     async def run() -> None:
         async with Rig(tmp_path, 3) as rig:
             await rig.agree()
@@ -266,7 +266,7 @@
     asyncio.run(run())
 
 
-def test_the_command_line_shows_and_runs(tmp_path: Path) -> None:
+def test_command_line_shows_the_fleet_and_runs_as_leader(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         other = next(number for number in range(3) if number != holder)
