--- a/lugspur/probing/hearsay.py
+++ b/lugspur/daemon/health_checks/hearsay.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from lugspur.daemon.health_checks.messages import Verdict
 from lugspur.daemon.leases.fencing import FencingTokenValidator
-from lugspur.probing.messages import Verdict
 
 REFRESH = 1.0  # seconds between two tellings of the same, while something is down
 LASTS = 4.0 * REFRESH  # after the last telling: three may be lost; then each judges for itself, as without a prober
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -10,13 +10,13 @@
 from lugspur.config.model import Check
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
+from lugspur.daemon.health_checks.hearsay import REFRESH, Hearsay
+from lugspur.daemon.health_checks.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
+from lugspur.daemon.health_checks.prober import Prober
 from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, Candidate, LeadershipChanged
 from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.discovery.announce import Checked, check
 from lugspur.discovery.endpoints import server_id, server_name
-from lugspur.probing.hearsay import REFRESH, Hearsay
-from lugspur.probing.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
-from lugspur.probing.prober import Prober
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
--- a/tests/compatibility/test_health_reports.py
+++ b/tests/compatibility/test_health_reports.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
+from lugspur.daemon.health_checks.messages import Doubt, Message, Verdict, pack, unpack
 from lugspur.daemon.probers import PROBING
-from lugspur.probing.messages import Doubt, Message, Verdict, pack, unpack
 
 FORMS: dict[str, tuple[Message, str]] = {
     "report of a failed connection": (
--- a/tests/probing/test_prober.py
+++ b/tests/daemon/health_checks/test_prober.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from lugspur.daemon.health_checks.hearsay import LASTS, Hearsay
+from lugspur.daemon.health_checks.messages import DOWN_MOST, Doubt, Verdict, fitting, pack, unpack
+from lugspur.daemon.health_checks.prober import AGAIN, AT_ONCE, Prober
 from lugspur.daemon.leases.messages import MalformedMessageError
-from lugspur.probing.hearsay import LASTS, Hearsay
-from lugspur.probing.messages import DOWN_MOST, Doubt, Verdict, fitting, pack, unpack
-from lugspur.probing.prober import AGAIN, AT_ONCE, Prober
 
 
 def prober(*names: str) -> Prober:
