--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from lugspur.mesh import events
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
 from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Membership
-from lugspur.mesh.control.orders import Order, Outcome
 from lugspur.mesh.control.reconfiguration import Reconfiguration
 from lugspur.mesh.control.replica import Replica, membership_entry
 from lugspur.mesh.control.store import Store
@@ -38,7 +38,7 @@
         freshness: Freshness,
         max_staleness: float,
         pause_detector: PauseDetector,
-        propose: Callable[[float, Order], None],
+        propose: Callable[[float, ChangeRequest], None],
     ) -> None:
         """`max_staleness`: the age in seconds of a voter's latest update from which on it tells nothing any more."""
         self._ip, self._replica, self._reconfiguration, self._store = ip, replica, reconfiguration, store
@@ -78,13 +78,13 @@
             absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
             if self._is_complete(now, voter.ip, membership.epoch):
                 complete.add(voter.ip)
-        step = self._reconfiguration.look(now, presences_of(self._store), complete, absent)
+        step = self._reconfiguration.next_step(now, presences_of(self._store), complete, absent)
         if step is not None:
             self._propose_step(now, step)
 
     def _is_complete(self, now: float, ip: str, epoch: int) -> bool:
         """Whether a voter's latest update is fresh and says that it is complete for the epoch."""
-        is_fresh = now - self._freshness.word_at(ip) < self._max_staleness
+        is_fresh = now - self._freshness.latest_update_at(ip) < self._max_staleness
         return is_fresh and self._complete_epochs.get(ip, 0) == epoch
 
     def _propose_step(self, now: float, step: Membership) -> None:
@@ -93,7 +93,7 @@
             events.info("reconfiguration", epoch=step.epoch, voters=voters, outcome=type(outcome).__name__)
 
         entries = [membership_entry(step)]
-        self._propose(now, Order(entries, now + DECISION_TIMEOUT_SECONDS, decided, step.epoch - 1))
+        self._propose(now, ChangeRequest(entries, now + DECISION_TIMEOUT_SECONDS, decided, step.epoch - 1))
 
     def is_handed_over(self) -> bool:
         """Whether nobody needs this process: others vote, and have all reservations that it had as a voter."""
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -7,10 +7,10 @@
 
 from lugspur.http1.front import Front
 from lugspur.mesh import events
-from lugspur.mesh.control.catch_up import ClaimsCatchUp
+from lugspur.mesh.control.change_requests import ChangeRequest
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
-from lugspur.mesh.control.learning import LearnPages
+from lugspur.mesh.control.learned_pages import LearnedPages
 from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
@@ -30,11 +30,11 @@
     Subscribe,
     Unsubscribe,
 )
-from lugspur.mesh.control.orders import Order
 from lugspur.mesh.control.proposer import Proposer
-from lugspur.mesh.control.reader import Reader
-from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
+from lugspur.mesh.control.read_index import Reader
+from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, leaves_time
 from lugspur.mesh.control.replica import UID_ROW, read_membership
+from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
@@ -102,12 +102,12 @@
         self.effect_runner = EffectRunner(self.loop, self.disk, self.send_to)
         self.replica = restore_replica(settings, self.disk, rows, self.loop.time(), self._publish)
         self.majority_contact = MajorityContact(self.ip, self.replica, self.freshness, self.max_staleness)
-        self.decided_pages = LearnPages()
+        self.decided_pages = LearnedPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.incarnation}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
         self.router = self._make_router()
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.run_effects)
-        self.catch_up = ClaimsCatchUp(self.replica)
+        self.catch_up = ReservationCatchUp(self.replica)
         self.reconfiguration = self._make_reconfiguration()
         self.membership_changes = self._make_membership_changes()
         self.pending_changes = PendingChanges(self.ip, self.replica, self._resolve_pending)
@@ -133,7 +133,7 @@
         bounds, tolerate = self.settings.tariffs.bounds, self.settings.tariffs.tolerate
         if not leaves_time(bounds.catch_up_s):
             events.warn("bounds", fault="catch_up_s leaves no time to replace a lost voter before the next loss")
-        patience = patience_of(bounds.catch_up_s, bounds.contact_ms / 1000.0)
+        patience = absence_timeout(bounds.catch_up_s, bounds.contact_ms / 1000.0)
         tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
         return Reconfiguration(self.replica, tolerance, patience, self.settings.network.zones)
 
@@ -173,7 +173,7 @@
 
     def _link_ended(self, link: Link) -> None:
         self.subscribers.remove(link)
-        self.decided_pages.lost(link)
+        self.decided_pages.disconnected(link)
 
     def _take_request(self, link: Link, message: Message) -> None:
         """Take a message on a connection that a peer dialled."""
@@ -212,8 +212,8 @@
         self._published_index = self.configuration_index = self.replica.index
         self.pending_changes.replica_advanced()
         now = self.loop.time()
-        self.run_effects(self.proposer.advanced(now))
-        self.run_effects(self.reader.advanced(now))
+        self.run_effects(self.proposer.replica_advanced(now))
+        self.run_effects(self.reader.replica_advanced(now))
         self.subscribers.update_soon()
 
     def send_to(self, ip: str, message: Message) -> None:
@@ -239,16 +239,16 @@
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
-            self.run_effects(self.proposer.heard(now, ip, message))
+            self.run_effects(self.proposer.receive(now, ip, message))
         elif isinstance(message, ReadIndexReply):
-            effects, has_pending = self.reader.heard(now, ip, message)
+            effects, has_pending = self.reader.receive(now, ip, message)
             self.run_effects(effects)
             if has_pending:
                 self.pending_changes.found_pending(now)
         elif isinstance(message, Learn):
             self._learn(ip, message)
         elif isinstance(message, ChangeResult):
-            self.router.forwarder.heard(ip, message)
+            self.router.forwarder.receive(ip, message)
         elif isinstance(message, FetchDecided):
             self.run_effects(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
@@ -262,10 +262,10 @@
 
     def _take_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
         """Take a page of the reservations that a voter of the epoch before has."""
-        was_complete = self.replica.complete
-        self.run_effects(self.catch_up.heard(now, ip, page))
-        if self.replica.complete and not was_complete:
-            events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.claims))
+        was_complete = self.replica.is_complete
+        self.run_effects(self.catch_up.receive(now, ip, page))
+        if self.replica.is_complete and not was_complete:
+            events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.reservations))
             self.subscribers.update_soon()
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
@@ -288,8 +288,8 @@
         self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def disconnected(self, dialer: Dialer) -> None:
-        self.catch_up.lost(dialer.ip)
-        self.decided_pages.lost(dialer.ip)
+        self.catch_up.disconnected(dialer.ip)
+        self.decided_pages.disconnected(dialer.ip)
         self.membership_changes.disconnected(dialer.ip)
         super().disconnected(dialer)
         self.router.disconnected(self.loop.time(), dialer.ip)
@@ -301,7 +301,7 @@
     def wanted_peers(self) -> set[str]:
         found = super().wanted_peers()
         membership = self.replica.membership
-        if membership is not None and self.replica.is_voter and not self.replica.complete:
+        if membership is not None and self.replica.is_voter and not self.replica.is_complete:
             found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
@@ -327,7 +327,7 @@
             now,
             min(MAX_AGE_SECONDS, self.majority_contact.age(now)),
             replica.index,
-            replica.register.pending,
+            replica.register.has_pending_change,
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
             sequence == 0,
@@ -352,11 +352,11 @@
 
     # ---- changes ---------------------------------------------------------------------------
 
-    def _propose(self, now: float, order: Order) -> None:
+    def _propose(self, now: float, order: ChangeRequest) -> None:
         self.run_effects(self.proposer.submit(now, order))
 
     def _resolve_pending(self, now: float) -> None:
-        self.run_effects(self.proposer.finish(now))
+        self.run_effects(self.proposer.resolve_pending(now))
 
     # ---- time ------------------------------------------------------------------------------
 
@@ -369,9 +369,9 @@
             self.run_effects(self.replica.sweep(now))
             self._check_disk(now)
         self.router.tick(now)
-        self.run_effects(self.proposer.look(now))
-        self.run_effects(self.reader.look(now))
-        self.run_effects(self.catch_up.look(now))
+        self.run_effects(self.proposer.tick(now))
+        self.run_effects(self.reader.tick(now))
+        self.run_effects(self.catch_up.tick(now))
         self.pending_changes.tick(now)
         self.membership_changes.tick(now)
 
@@ -398,7 +398,7 @@
             self.disk,
             ip=self.ip,
             age=self.majority_contact.age(self.loop.time()),
-            voters_wanted=self.reconfiguration.tolerance.voters,
+            voters_wanted=self.reconfiguration.tolerance.voter_count,
             subscribers=len(self.subscribers),
         )
 
--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -8,8 +8,8 @@
 from typing import Any, Protocol
 
 from lugspur.load_balancing.budget import Budget
-from lugspur.mesh.control.claims import Settled
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import ReservationOutcome
 from lugspur.mesh.dataplane.endpoints import Endpoint
 
 
@@ -42,7 +42,9 @@
 class KeyReservations(Protocol):
     """Reserves idempotency keys at the voters of the mesh."""
 
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+    def claim(
+        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    ) -> None:
         """Ask for the right to run the operation with this key; `over` is called with the outcome.
 
         `by` names this reservation, and no other. `left`: seconds that its request may run; `within`: seconds in which
