--- a/tests/daemon/leases/test_explore.py
+++ b/tests/daemon/leases/test_explored_states.py
@@ -15,7 +15,7 @@
         Limits(rounds=1, steps=1, downs=1, memory=False, prompt=True),
     ],
 )
-def test_never_two_in_office_and_no_epoch_goes_back(limits: Limits) -> None:
+def test_in_every_order_of_events_there_is_one_leader_and_epochs_rise(limits: Limits) -> None:
     with told_apart():
         states, whole = explore(limits)
     assert whole and states > 1_000
--- a/tests/daemon/leases/test_duties.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_never_two_in_office_whatever_fails(seed: int) -> None:
+def test_there_are_never_two_leaders_whatever_fails(seed: int) -> None:
     world = play(seed, memory=seed % 3 > 0, electors=3 + 2 * (seed % 2), faults=30.0)
     assert world.offices > 1
 
@@ -32,7 +32,7 @@
     return False
 
 
-def test_a_build_without_the_margin_for_clocks_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_build_without_the_margin_for_clock_drift_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timing, "MAX_CLOCK_DRIFT", -0.06)
     assert _caught(60)
 
@@ -48,7 +48,7 @@
     assert _caught(60, memory=False)
 
 
-def test_a_build_that_keeps_its_office_while_it_gives_back_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_build_that_releases_promises_while_it_leads_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def abandon_round(self: LeaseTerm, now: float) -> RoundResult:
         requested_epoch, self._requested_epoch = self._requested_epoch, 0
         self._send_release(requested_epoch)
@@ -59,11 +59,11 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_after_a_kill_somebody_is_in_office_soon(seed: int) -> None:
+def test_a_killed_leader_is_replaced_within_two_leases(seed: int) -> None:
     assert after_kill(seed) <= 2.0 * LEASE
 
 
-def test_a_duty_that_is_handed_on_is_taken_at_once() -> None:
+def test_a_role_is_taken_over_at_once_when_its_leader_resigns() -> None:
     for seed in range(10):
         world = World(seed)
         world.network.run(CALM)
@@ -75,7 +75,7 @@
         assert took <= 0.2
 
 
-def test_two_hundred_that_want_one_duty_ask_the_electors_little() -> None:
+def test_two_hundred_candidates_load_the_voters_little() -> None:
     world = World(1, others=197)
     network = world.network
     asked = 0
@@ -95,7 +95,7 @@
     assert len(world.holders()) == 1
 
 
-def test_an_elector_is_missed_by_nobody_and_two_by_all() -> None:
+def test_one_of_three_voters_may_be_lost_and_two_may_not() -> None:
     world = World(3)
     world.network.run(CALM)
     world.network.kill(world.address(0))
@@ -109,7 +109,7 @@
     assert len(world.holders()) == 1
 
 
-def test_the_order_is_everybodys_and_one_that_leaves_moves_no_other() -> None:
+def test_the_rendezvous_order_is_the_same_everywhere_and_stable_when_a_member_leaves() -> None:
     names = [f"m{number}" for number in range(50)]
     rng = Random(1)
     for duty in ("a", "b", "c"):
--- a/tests/daemon/leases/test_promise_store.py
+++ b/tests/daemon/leases/test_promise_store.py
@@ -20,7 +20,7 @@
 ONE, TWO = [Promise("d", 1, "a", 7)], [Promise("d", 2, "b", 8), Promise("e", 5, "a", 7)]
 
 
-def test_what_was_written_is_read(tmp_path: Path) -> None:
+def test_promises_that_were_written_are_read(tmp_path: Path) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
     assert first.is_new and first.promises == []
     first.write(ONE)
@@ -32,7 +32,7 @@
     second.close()
 
 
-def test_one_elector_to_a_folder(tmp_path: Path) -> None:
+def test_a_directory_belongs_to_one_voter(tmp_path: Path) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
     with pytest.raises(PromiseStoreInUseError):
         PromiseStore(str(tmp_path), "x", 10.0)
@@ -42,7 +42,7 @@
         PromiseStore(str(tmp_path), "y", 10.0)
 
 
-def test_every_flipped_byte_and_every_cut_is_noticed(tmp_path: Path) -> None:
+def test_every_changed_byte_and_every_truncation_is_detected(tmp_path: Path) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
     first.write(ONE)
     first.close()
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("call", ["create", "write", "sync", "close_file", "rename", "sync_directory"])
-def test_a_disk_that_fails_at_any_call_leaves_the_former_or_the_new(
+def test_a_failure_at_any_system_call_leaves_the_former_or_the_new_promises(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from kept import SETTINGS, endpoints, send_number, taught
+from snapshots import SETTINGS, endpoints, send_number, taught
 
 from lugspur.daemon.persistence.aging import HALF_LIFE_SECONDS, MAX_AGE_SECONDS, decay, snapshot_age
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
@@ -25,13 +25,13 @@
     return PoolSnapshot(AT, rows, taught(rows, **more).learned())
 
 
-def test_an_age_is_known_only_where_clocks_are_steady() -> None:
+def test_the_age_is_unknown_where_the_clock_went_back() -> None:
     assert snapshot_age(100.0, 160.0) == 60.0
     assert snapshot_age(100.0, 99.5) == 0.0  # a step of NTP
     assert snapshot_age(100.0, 90.0) is None
 
 
-def test_what_is_fresh_counts_as_it_was_on_the_new_clock() -> None:
+def test_a_fresh_snapshot_is_unchanged_but_for_the_clock() -> None:
     pool = kept(endpoints(4), slow=1)
     assert pool.learned is not None
     found = decay(pool, 0.0, AT)
@@ -47,7 +47,7 @@
         assert set(row.breaker.window) <= {(n + shift, r, a, f) for n, r, a, f in was.breaker.window}
 
 
-def test_what_is_older_counts_less_and_what_is_too_old_not_at_all() -> None:
+def test_older_state_counts_less_and_beyond_the_limit_not_at_all() -> None:
     pool = kept(endpoints(4), slow=1)
     assert pool.learned is not None
     pooled = pool.learned.pooled
@@ -70,7 +70,9 @@
 
 @given(st.floats(0.0, MAX_AGE_SECONDS), st.floats(-1e9, 1e9), st.integers(0, 4), st.integers(0, 4), st.integers(1, 80))
 @settings(deadline=None, max_examples=60)
-def test_whatever_the_clocks_say_the_module_goes_on(age: float, clock: float, slow: int, bad: int, rounds: int) -> None:
+def test_the_balancer_works_with_any_age_and_any_clock(
+    age: float, clock: float, slow: int, bad: int, rounds: int
+) -> None:
     rows = endpoints(4)
     now = AT + clock
     found = decay(kept(rows, slow=slow, bad=bad, rounds=rounds), age, now)
@@ -111,7 +113,7 @@
     return sent
 
 
-def test_a_fresh_file_spares_slow_and_failing_boxes_from_the_first_request_on() -> None:
+def test_a_fresh_snapshot_avoids_slow_and_failing_backends_from_the_first_request() -> None:
     rows = endpoints(20)
     pool = kept(rows, slow=5, bad=2, rounds=100)
     met: Counter[str] = Counter()
@@ -125,7 +127,7 @@
     assert met["fresh"] - met["steady"] < 0.5 * (met["none"] - met["steady"])
 
 
-def test_a_file_from_before_an_incident_is_unlearned_soon() -> None:
+def test_a_snapshot_from_before_an_incident_is_unlearned_soon() -> None:
     # It says of all boxes but the last that they are slow; that one is broken now.
     rows = endpoints(6)
     pool = kept(rows, slow=5, rounds=200)
@@ -137,7 +139,7 @@
     assert met["fresh"] <= met["none"] + 20 * 5  # five more calls of a hundred at most, for each start
 
 
-def test_a_box_that_restarted_since_is_cold_whatever_the_file_says() -> None:
+def test_a_backend_that_restarted_since_is_in_slow_start_whatever_the_snapshot_says() -> None:
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=10.0)
     rows = endpoints(6, started=500.0)
     learned = decay(kept(rows, rounds=200), 5.0, AT + 5.0)
@@ -163,7 +165,7 @@
     assert sent["fresh"] < 30 * 60 / 6  # less than a warm box's part
 
 
-def test_nothing_is_taken_up_for_a_box_with_another_start_or_that_is_not_listed() -> None:
+def test_state_of_a_backend_with_another_start_or_not_listed_is_dropped() -> None:
     rows = endpoints(2, started=500.0)
     learned = decay(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
@@ -175,7 +177,7 @@
 
 
 @pytest.mark.parametrize("age", [0.5, 5.0, 600.0, MAX_AGE_SECONDS])
-def test_a_burst_at_the_start_is_taken_as_from_nothing(age: float) -> None:
+def test_a_burst_at_the_start_is_admitted_as_without_a_snapshot(age: float) -> None:
     rows = endpoints(8)
     learned = decay(kept(rows, rounds=200), age, AT + age)
     assert learned is not None
--- a/tests/daemon/persistence/test_snapshot_format.py
+++ b/tests/daemon/persistence/test_snapshot_format.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from kept import endpoints, taught, text
+from snapshots import endpoints, taught, text
 
 from lugspur.daemon.persistence.snapshot_format import (
     UnreadableSnapshotError,
@@ -22,7 +22,7 @@
     return lines + b"end %b %d\n" % (hashlib.sha256(lines).hexdigest().encode(), lines.count(b"\n"))
 
 
-def test_what_is_written_is_read_as_it_was() -> None:
+def test_a_snapshot_is_decoded_as_it_was_encoded() -> None:
     rows = endpoints(5)
     learned = taught(rows, slow=2, bad=1).learned()
     found = decode_snapshot(text(1234.5, rows, learned))
@@ -31,11 +31,11 @@
     assert (pool.captured_at, pool.endpoints, pool.learned) == (1234.5, rows, learned)
 
 
-def test_a_file_of_no_pool_is_whole_too() -> None:
+def test_a_snapshot_without_pools_is_complete() -> None:
     assert decode_snapshot(encode_snapshot(1.0, [])).pools == {}
 
 
-def test_every_flipped_bit_is_noticed() -> None:
+def test_every_flipped_bit_is_detected() -> None:
     data = text(rows=endpoints(1))
     for at in range(len(data)):
         for bit in range(8):
@@ -45,7 +45,7 @@
                 decode_snapshot(bytes(changed))
 
 
-def test_a_file_cut_at_any_length_is_noticed() -> None:
+def test_truncation_at_any_length_is_detected() -> None:
     data = text()
     for end in range(len(data)):
         with pytest.raises(UnreadableSnapshotError):
@@ -60,7 +60,7 @@
         b"lugspur state 0 1.0\n",
     ],
 )
-def test_another_version_is_named(line: bytes) -> None:
+def test_the_error_names_another_version(line: bytes) -> None:
     with pytest.raises(UnreadableSnapshotError, match="it is of version"):
         decode_snapshot(signed(line))
 
@@ -88,14 +88,14 @@
         POOL + encode_record("backend", "a", [*ROW[:4], float("1e400"), *ROW[5:]]),
     ],
 )
-def test_what_is_whole_and_makes_no_sense_is_noticed(facts: bytes) -> None:
+def test_a_complete_file_with_senseless_values_is_rejected(facts: bytes) -> None:
     with pytest.raises(UnreadableSnapshotError, match="makes no sense"):
         decode_snapshot(signed(b"lugspur state 1 5.000\n" + facts))
 
 
 @given(st.binary(max_size=400))
 @settings(deadline=None)  # a loaded machine is no fault
-def test_noise_is_noticed(noise: bytes) -> None:
+def test_random_bytes_are_rejected(noise: bytes) -> None:
     for data in (noise, b"lugspur state 1 1.0\n" + noise, signed(b"lugspur state 1 1.0\n" + noise + b"\n")):
         with suppress(UnreadableSnapshotError):
             assert decode_snapshot(data).pools == {}
--- a/tests/daemon/persistence/test_snapshot_store.py
+++ b/tests/daemon/persistence/test_snapshot_store.py
@@ -12,7 +12,7 @@
 from random import Random
 
 import pytest
-from kept import endpoints, other, text
+from snapshots import endpoints, other, text
 
 from lugspur.daemon.persistence.directory import Directory
 from lugspur.daemon.persistence.snapshot_format import MAX_FILE_BYTES, decode_snapshot, encode_snapshot
@@ -36,13 +36,15 @@
     """As if the process had ended here."""
 
 
-class Faulty(Directory):
+class FaultyDirectory(Directory):
     """Fails at one call, before or after it is done; writes little at a time."""
 
-    def __init__(self, folder: str, at: int, fault: Callable[[], BaseException], done: bool, piece: int) -> None:
-        super().__init__(folder)
-        self.calls, self.at, self.fault, self.done, self.piece = 0, at, fault, done, piece
-        self.over = False
+    def __init__(
+        self, directory: str, at: int, fault: Callable[[], BaseException], after_call: bool, chunk_bytes: int
+    ) -> None:
+        super().__init__(directory)
+        self.calls, self.at, self.fault, self.after_call, self.chunk_bytes = 0, at, fault, after_call, chunk_bytes
+        self.is_dead = False
 
     def __getattribute__(self, name: str) -> object:
         found = super().__getattribute__(name)
@@ -52,32 +54,32 @@
         def call(*args: object) -> object:
             self.calls += 1
             now = self.calls == self.at
-            if self.over or (now and not self.done):
-                self.over = isinstance(self.fault(), Stopped)
+            if self.is_dead or (now and not self.after_call):
+                self.is_dead = isinstance(self.fault(), Stopped)
                 raise self.fault()
             try:
                 return found(*args)
             finally:
                 if now:
-                    self.over = isinstance(self.fault(), Stopped)
+                    self.is_dead = isinstance(self.fault(), Stopped)
                     raise self.fault()
 
         return call
 
     def write(self, fd: int, data: memoryview) -> int:
-        return super().write(fd, data[: self.piece])
+        return super().write(fd, data[: self.chunk_bytes])
 
 
-def saved(folder: Path, *texts: bytes) -> None:
-    store = open_store(str(folder))
+def save_all(directory: Path, *texts: bytes) -> None:
+    store = open_store(str(directory))
     for each in texts:
         store.save(each)
     store.close()
 
 
-def loaded(folder: Path) -> tuple[float | None, list[str]]:
+def load_and_confirm(directory: Path) -> tuple[float | None, list[str]]:
     """When what is found was written, and what the log would tell."""
-    store = open_store(str(folder))
+    store = open_store(str(directory))
     try:
         found = store.load()
         store.confirm_start()
@@ -86,110 +88,110 @@
         store.close()
 
 
-def faulty(
-    folder: Path, at: int, fault: Callable[[], BaseException], done: bool, piece: int, data: bytes = NEW
-) -> tuple[Faulty, bool]:
+def save_with_fault(
+    directory: Path, at: int, fault: Callable[[], BaseException], after_call: bool, chunk_bytes: int, data: bytes = NEW
+) -> tuple[FaultyDirectory, bool]:
     """Save once more with a fault; whether it met it."""
-    made: list[Faulty] = []
+    made: list[FaultyDirectory] = []
 
-    def disk(name: str) -> Directory:
-        made.append(Faulty(name, at, fault, done, piece))
+    def open_faulty(name: str) -> Directory:
+        made.append(FaultyDirectory(name, at, fault, after_call, chunk_bytes))
         return made[0]
 
-    store = open_store(str(folder), disk)
+    store = open_store(str(directory), open_faulty)
     try:
         store.save(data)
     except (OSError, Stopped):
         return made[0], True
     finally:
-        made[0].at, made[0].over = 0, False
+        made[0].at, made[0].is_dead = 0, False
         store.close()
     return made[0], False
 
 
-@pytest.mark.parametrize("done", [False, True])
+@pytest.mark.parametrize("after_call", [False, True])
 @pytest.mark.parametrize("before", [(), (OLD,), (OLD, OLD)])
-@pytest.mark.parametrize("piece", [1 << 20, 100])
-def test_a_stop_at_any_call_leaves_the_old_or_the_new_one(
-    done: bool, before: tuple[bytes, ...], piece: int, tmp_path: Path
+@pytest.mark.parametrize("chunk_bytes", [1 << 20, 100])
+def test_a_stop_at_any_system_call_leaves_the_former_or_the_new_generation(
+    after_call: bool, before: tuple[bytes, ...], chunk_bytes: int, tmp_path: Path
 ) -> None:
-    at, met = 0, True
-    while met:
+    at, fault_met = 0, True
+    while fault_met:
         at += 1
-        folder = tmp_path / str(at)
-        folder.mkdir()
-        saved(folder, *before)
-        _, met = faulty(folder, at, Stopped, done, piece)
-        written, said = loaded(folder)
-        assert not said
+        directory = tmp_path / str(at)
+        directory.mkdir()
+        save_all(directory, *before)
+        _, fault_met = save_with_fault(directory, at, Stopped, after_call, chunk_bytes)
+        written, warnings = load_and_confirm(directory)
+        assert not warnings
         assert written in ((1000.0, 2000.0) if before else (None, 2000.0))
-        saved(folder, NEW)  # the next process goes on
-        assert loaded(folder) == (2000.0, [])
+        save_all(directory, NEW)  # the next process goes on
+        assert load_and_confirm(directory) == (2000.0, [])
     assert at > 6
 
 
-def test_a_stop_after_any_byte_leaves_the_old_one(tmp_path: Path) -> None:
-    saved(tmp_path, OLD)
+def test_a_stop_after_any_byte_leaves_the_former_generation(tmp_path: Path) -> None:
+    save_all(tmp_path, OLD)
     short = encode_snapshot(2000.0, [])
     for at in range(3, 3 + len(short)):  # the first calls make the file
-        assert faulty(tmp_path, at, Stopped, True, 1, short)[1]
-        assert loaded(tmp_path) == (1000.0, [])
+        assert save_with_fault(tmp_path, at, Stopped, True, 1, short)[1]
+        assert load_and_confirm(tmp_path) == (1000.0, [])
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO, errno.EROFS, errno.EACCES, errno.EDQUOT])
-def test_a_fault_of_the_disk_at_any_call_costs_nothing_that_was_there(number: int, tmp_path: Path) -> None:
-    saved(tmp_path, OLD)
+def test_a_disk_error_at_any_system_call_loses_no_generation(number: int, tmp_path: Path) -> None:
+    save_all(tmp_path, OLD)
     for at in range(1, 7):
-        _, met = faulty(tmp_path, at, lambda: OSError(number, os.strerror(number)), False, 1 << 20)
-        assert met
-        assert loaded(tmp_path)[0] in (1000.0, 2000.0)
+        _, fault_met = save_with_fault(tmp_path, at, lambda: OSError(number, os.strerror(number)), False, 1 << 20)
+        assert fault_met
+        assert load_and_confirm(tmp_path)[0] in (1000.0, 2000.0)
 
 
-def test_killed_at_any_moment_there_is_always_a_whole_one(tmp_path: Path) -> None:
+def test_a_kill_at_any_moment_leaves_a_complete_generation(tmp_path: Path) -> None:
     texts = [other(seed) for seed in range(8)]
-    saved(tmp_path, texts[0])
+    save_all(tmp_path, texts[0])
     written_ever, rng = {decode_snapshot(each).written_at for each in texts}, Random(5)
     seen = set()
     for number in range(300):
-        waits, tells = os.pipe()
+        read_end, write_end = os.pipe()
         child = os.fork()
         if not child:
             store = open_store(str(tmp_path))
             for at in count(number):
                 store.save(texts[at % len(texts)])
-                os.write(tells, b".")
+                os.write(write_end, b".")
         if number % 2:  # whatever a disk takes to sync, some generations are whole...
-            os.read(waits, 1)
+            os.read(read_end, 1)
         time.sleep(rng.random() * 0.006)
         os.kill(child, signal.SIGKILL)
         os.waitpid(child, 0)
-        os.close(waits)
-        os.close(tells)
-        written, said = loaded(tmp_path)
+        os.close(read_end)
+        os.close(write_end)
+        written, warnings = load_and_confirm(tmp_path)
         assert written in written_ever
-        assert not said
+        assert not warnings
         seen.add(written)
     assert len(seen) > 2  # ...and it was killed while it wrote the next
 
 
-def test_a_broken_one_is_set_aside_and_the_former_one_used(tmp_path: Path) -> None:
-    saved(tmp_path, OLD, NEW)
+def test_a_corrupt_generation_is_quarantined_and_the_former_one_used(tmp_path: Path) -> None:
+    save_all(tmp_path, OLD, NEW)
     for broken in (NEW[:-5], b"", b"lugspur state 7 1.0\n", os.urandom(100)):
         (tmp_path / CURRENT_FILE).write_bytes(broken)
-        written, said = loaded(tmp_path)
+        written, warnings = load_and_confirm(tmp_path)
         assert written == 1000.0
-        assert len(said) == 1 and "state is not used: " in said[0] and QUARANTINE_INFIX in said[0]
-    saved(tmp_path, NEW)
-    assert loaded(tmp_path) == (2000.0, [])
+        assert len(warnings) == 1 and "state is not used: " in warnings[0] and QUARANTINE_INFIX in warnings[0]
+    save_all(tmp_path, NEW)
+    assert load_and_confirm(tmp_path) == (2000.0, [])
     assert (
         decode_snapshot((tmp_path / PREVIOUS_FILE).read_bytes()).written_at == 1000.0
     )  # nothing whole was lost by that
 
 
-def test_what_is_no_plain_file_is_set_aside(tmp_path: Path) -> None:
+def test_a_file_that_is_not_regular_is_quarantined(tmp_path: Path) -> None:
     target = tmp_path / "elsewhere"
     target.write_bytes(NEW)
-    saved(tmp_path, OLD, OLD)
+    save_all(tmp_path, OLD, OLD)
 
     def link() -> None:
         (tmp_path / CURRENT_FILE).symlink_to(target)
@@ -201,39 +203,39 @@
         with open(tmp_path / CURRENT_FILE, "wb") as file:
             file.truncate(10 << 30)
 
-    def folder() -> None:
+    def directory() -> None:
         (tmp_path / CURRENT_FILE).mkdir()
 
-    for make in (link, pipe, large, folder):
+    for make in (link, pipe, large, directory):
         (tmp_path / CURRENT_FILE).unlink(missing_ok=True)
         make()
-        written, said = loaded(tmp_path)
+        written, warnings = load_and_confirm(tmp_path)
         assert written == 1000.0
-        assert len(said) == 1 and "is not used" in said[0]
+        assert len(warnings) == 1 and "is not used" in warnings[0]
         assert not (tmp_path / CURRENT_FILE).exists()
     assert target.read_bytes() == NEW  # nothing was written through the link
 
 
-def test_what_is_set_aside_is_bounded(tmp_path: Path) -> None:
+def test_quarantined_files_are_bounded(tmp_path: Path) -> None:
     for number in range(3 * MAX_QUARANTINED_FILES):
         (tmp_path / CURRENT_FILE).write_bytes(b"broken %d" % number)
-        loaded(tmp_path)
+        load_and_confirm(tmp_path)
     kept = [each for each in os.listdir(tmp_path) if QUARANTINE_INFIX in each]
     assert len(kept) == MAX_QUARANTINED_FILES
     assert f"{CURRENT_FILE}{QUARANTINE_INFIX}{3 * MAX_QUARANTINED_FILES}" in kept  # the latest
 
 
-def test_one_that_is_too_large_is_never_read(tmp_path: Path) -> None:
+def test_a_file_that_is_too_large_is_never_read(tmp_path: Path) -> None:
     (tmp_path / CURRENT_FILE).write_bytes(OLD)
-    disk = Directory(str(tmp_path))
-    assert disk.read(CURRENT_FILE, MAX_FILE_BYTES) == OLD
+    directory = Directory(str(tmp_path))
+    assert directory.read(CURRENT_FILE, MAX_FILE_BYTES) == OLD
     with pytest.raises(ValueError, match="are the most"):
-        disk.read(CURRENT_FILE, len(OLD) - 1)
-    disk.close()
+        directory.read(CURRENT_FILE, len(OLD) - 1)
+    directory.close()
 
 
-def test_a_start_that_fails_with_one_uses_it_twice_and_no_third_time(tmp_path: Path) -> None:
-    saved(tmp_path, OLD, NEW)
+def test_a_generation_with_which_starts_fail_is_used_twice_and_no_third_time(tmp_path: Path) -> None:
+    save_all(tmp_path, OLD, NEW)
 
     def start() -> float | None:
         store = open_store(str(tmp_path))
@@ -245,12 +247,12 @@
     assert [start() for _ in range(MAX_START_ATTEMPTS)] == [1000.0] * MAX_START_ATTEMPTS
     assert start() is None
     assert (tmp_path / ATTEMPTS_FILE).exists()
-    saved(tmp_path, NEW)
+    save_all(tmp_path, NEW)
     for _ in range(2 * MAX_START_ATTEMPTS):  # one that came to serve is used again and again
-        assert loaded(tmp_path)[0] == 2000.0
+        assert load_and_confirm(tmp_path)[0] == 2000.0
 
 
-def test_a_folder_has_one_daemon_and_a_dead_ones_lock_is_no_obstacle(tmp_path: Path) -> None:
+def test_a_directory_belongs_to_one_process_and_a_dead_ones_lock_is_no_obstacle(tmp_path: Path) -> None:
     first = open_store(str(tmp_path))
     with pytest.raises(DirectoryInUseError):
         open_store(str(tmp_path))
@@ -262,36 +264,36 @@
         os.kill(os.getpid(), signal.SIGKILL)
     os.waitpid(child, 0)
     assert (tmp_path / "lock").exists()
-    assert loaded(tmp_path)[0] == 1000.0
+    assert load_and_confirm(tmp_path)[0] == 1000.0
 
 
-def test_a_folder_that_vanishes_is_an_error_and_no_more(tmp_path: Path) -> None:
-    folder = tmp_path / "gone"
-    folder.mkdir()
-    store = open_store(str(folder))
+def test_a_directory_that_vanishes_raises_an_error_and_its_successor_is_left_alone(tmp_path: Path) -> None:
+    directory = tmp_path / "gone"
+    directory.mkdir()
+    store = open_store(str(directory))
     store.save(OLD)
-    for each in folder.iterdir():
+    for each in directory.iterdir():
         each.unlink()
-    folder.rmdir()
+    directory.rmdir()
     (tmp_path / "gone").mkdir()  # another one under its name is not the same
     with pytest.raises(OSError):
         store.save(NEW)
-    assert not list(folder.iterdir())
+    assert not list(directory.iterdir())
     store.close()
     with pytest.raises(OSError):
         open_store(str(tmp_path / "none"))
 
 
-def test_a_store_that_was_let_go_of_writes_nothing(tmp_path: Path) -> None:
+def test_a_closed_store_writes_nothing(tmp_path: Path) -> None:
     store = open_store(str(tmp_path))
     store.close()
     store.save(OLD)
     store.confirm_start()
-    assert loaded(tmp_path) == (None, [])
+    assert load_and_confirm(tmp_path) == (None, [])
 
 
-def test_a_note_that_makes_no_sense_says_nothing(tmp_path: Path) -> None:
-    saved(tmp_path, OLD)
+def test_a_senseless_count_of_attempts_is_ignored(tmp_path: Path) -> None:
+    save_all(tmp_path, OLD)
     for note in (b"", b"9", b"many words", b"-5 x", b"9 another", b"\xff" * 500):
         (tmp_path / ATTEMPTS_FILE).write_bytes(note)
-        assert loaded(tmp_path)[0] == 1000.0
+        assert load_and_confirm(tmp_path)[0] == 1000.0
