--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -78,13 +78,13 @@
             absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
             if self._is_complete(now, voter.ip, membership.epoch):
                 complete.add(voter.ip)
-        step = self._reconfiguration.look(now, presences_of(self._store), complete, absent)
+        step = self._reconfiguration.next_step(now, presences_of(self._store), complete, absent)
         if step is not None:
             self._propose_step(now, step)
 
     def _is_complete(self, now: float, ip: str, epoch: int) -> bool:
         """Whether a voter's latest update is fresh and says that it is complete for the epoch."""
-        is_fresh = now - self._freshness.word_at(ip) < self._max_staleness
+        is_fresh = now - self._freshness.latest_update_at(ip) < self._max_staleness
         return is_fresh and self._complete_epochs.get(ip, 0) == epoch
 
     def _propose_step(self, now: float, step: Membership) -> None:
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -32,7 +32,7 @@
 )
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.read_index import Reader
-from lugspur.mesh.control.reconfiguration import Reconfiguration, leaves_time, patience_of
+from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, leaves_time
 from lugspur.mesh.control.replica import UID_ROW, read_membership
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
@@ -133,7 +133,7 @@
         bounds, tolerate = self.settings.tariffs.bounds, self.settings.tariffs.tolerate
         if not leaves_time(bounds.catch_up_s):
             events.warn("bounds", fault="catch_up_s leaves no time to replace a lost voter before the next loss")
-        patience = patience_of(bounds.catch_up_s, bounds.contact_ms / 1000.0)
+        patience = absence_timeout(bounds.catch_up_s, bounds.contact_ms / 1000.0)
         tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
         return Reconfiguration(self.replica, tolerance, patience, self.settings.network.zones)
 
@@ -212,7 +212,7 @@
         self._published_index = self.configuration_index = self.replica.index
         self.pending_changes.replica_advanced()
         now = self.loop.time()
-        self.run_effects(self.proposer.advanced(now))
+        self.run_effects(self.proposer.replica_advanced(now))
         self.run_effects(self.reader.replica_advanced(now))
         self.subscribers.update_soon()
 
@@ -239,7 +239,7 @@
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
         if isinstance(message, Promise | Accepted):
-            self.run_effects(self.proposer.heard(now, ip, message))
+            self.run_effects(self.proposer.receive(now, ip, message))
         elif isinstance(message, ReadIndexReply):
             effects, has_pending = self.reader.receive(now, ip, message)
             self.run_effects(effects)
@@ -327,7 +327,7 @@
             now,
             min(MAX_AGE_SECONDS, self.majority_contact.age(now)),
             replica.index,
-            replica.register.pending,
+            replica.register.has_pending_change,
             replica.is_voter,
             replica.complete_epoch if replica.is_voter else 0,
             sequence == 0,
@@ -356,7 +356,7 @@
         self.run_effects(self.proposer.submit(now, order))
 
     def _resolve_pending(self, now: float) -> None:
-        self.run_effects(self.proposer.finish(now))
+        self.run_effects(self.proposer.resolve_pending(now))
 
     # ---- time ------------------------------------------------------------------------------
 
@@ -369,7 +369,7 @@
             self.run_effects(self.replica.sweep(now))
             self._check_disk(now)
         self.router.tick(now)
-        self.run_effects(self.proposer.look(now))
+        self.run_effects(self.proposer.tick(now))
         self.run_effects(self.reader.tick(now))
         self.run_effects(self.catch_up.tick(now))
         self.pending_changes.tick(now)
@@ -398,7 +398,7 @@
             self.disk,
             ip=self.ip,
             age=self.majority_contact.age(self.loop.time()),
-            voters_wanted=self.reconfiguration.tolerance.voters,
+            voters_wanted=self.reconfiguration.tolerance.voter_count,
             subscribers=len(self.subscribers),
         )
 
--- a/lugspur/mesh/dataplane/backend_exchange.py
+++ b/lugspur/mesh/dataplane/backend_exchange.py
@@ -29,7 +29,7 @@
 
 
 def classify_response(status: int, is_not_delivered: bool) -> Outcome:
-    """Return FULL for an answer that proves that the request did not run, else OK: it is the backend's answer."""
+    """Return OVERLOADED for an answer that proves that the request did not run, else OK: it is the backend's answer."""
     return Outcome.OVERLOADED if is_not_delivered or status == MISDIRECTED_REQUEST else Outcome.OK
 
 
