--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -55,9 +55,9 @@
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
         self._facts = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
-        self.claims: dict[str, Candidate] = {}
-        self.elector: LeaseVoter | None = None
-        self._memory: PromiseStore | None = None
+        self.candidates: dict[str, Candidate] = {}
+        self.voter: LeaseVoter | None = None
+        self._promise_store: PromiseStore | None = None
         self._writing = False
         self._handed: list[tuple[str, Message]] = []
         self._drained = False
@@ -75,11 +75,11 @@
         assert row.bind is not None
         wire = DatagramCodec(row.name, self._key())
         if row.member in row.electors:
-            self._open_elector()
+            self._open_voter()
         try:
             sock = bind_socket(row.bind)
         except OSError as fault:
-            self._close_memory()
+            self._close_promise_store()
             host, port = row.bind
             raise OSError(f"fleet can't have {host}:{port}: {fault.strerror or fault}") from fault
         host, port = row.advertise or sock.getsockname()[:2]
@@ -119,13 +119,13 @@
             raise OSError(f"fleet: key {path}: it has to have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
         return key
 
-    def _open_elector(self) -> None:
+    def _open_voter(self) -> None:
         row = self._row
         lease, promises = row.lease, None
         if row.folder:
             folder = resolved(row.folder, self._beside)
             try:
-                self._memory = PromiseStore(folder, row.member, row.lease)
+                self._promise_store = PromiseStore(folder, row.member, row.lease)
             except PromiseStoreInUseError as fault:
                 raise OSError(f"fleet: {folder} is another elector's, which runs") from fault
             except CorruptPromiseStoreError as fault:
@@ -133,15 +133,15 @@
                 raise OSError(f"fleet: {folder}: promises can't be read: {fault}") from fault
             except OSError as fault:
                 raise OSError(f"fleet: {folder}: {fault.strerror or fault}") from fault
-            lease, promises = self._memory.lease_seconds, self._memory.promises
-            if self._memory.is_new:
+            lease, promises = self._promise_store.lease_seconds, self._promise_store.promises
+            if self._promise_store.is_new:
                 self.say(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
-        self.elector = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
+        self.voter = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
-    def _close_memory(self) -> None:
-        if self._memory is not None:
-            self._memory.close()
-            self._memory = None
+    def _close_promise_store(self) -> None:
+        if self._promise_store is not None:
+            self._promise_store.close()
+            self._promise_store = None
 
     def apply(self, file: model.File, stations: Callable[[], Mapping[str, Station]]) -> None:
         """A file is in force: its checked pools are probed by one for all."""
@@ -156,16 +156,16 @@
     def want(self, duty: str) -> Candidate:
         """Ask for a duty from now on, whenever nobody holds it."""
         row = self._row
-        claim = self.claims[duty] = Candidate(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
+        candidate = self.candidates[duty] = Candidate(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
         if self._drained:  # a reload brings a duty while callers are sent away: it is wanted once they are taken again
-            claim.resign(clock.now())
-        return claim
+            candidate.resign(clock.now())
+        return candidate
 
     def drop(self, duty: str) -> None:
         """Want a duty no more."""
-        self.claims[duty].resign(clock.now())
+        self.candidates[duty].resign(clock.now())
         self._woken(clock.now())
-        del self.claims[duty]
+        del self.candidates[duty]
         self.transport.flush()
 
     @property
@@ -187,8 +187,8 @@
 
     def may(self, duty: str, needs: float = 0.0) -> int | None:
         """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
-        claim = self.claims.get(duty)
-        return None if claim is None else claim.fencing_token(clock.now(), needs)
+        candidate = self.candidates.get(duty)
+        return None if candidate is None else candidate.fencing_token(clock.now(), needs)
 
     def _rank(self, duty: str) -> int:
         return self._ordered(duty).index(self._row.member)
@@ -204,14 +204,15 @@
         self.fleet.update_metadata(
             clock.now(), MemberMetadata(facts.zone, facts.version, facts.started_at, True, facts.requests_per_second)
         )
-        for duty, claim in self.claims.items():
-            if not claim.resign(clock.now()):
+        for duty, candidate in self.candidates.items():
+            if not candidate.resign(clock.now()):
                 continue
             heirs = [name for name in self._ordered(duty) if name != self._row.member]
             if heirs:
-                self._handed.append((heirs[0], RoleAvailable(duty, claim.term.epoch)))
+                self._handed.append((heirs[0], RoleAvailable(duty, candidate.term.epoch)))
             self._handed += [
-                (name, ReleaseLease(duty, claim.term.epoch, claim.term.round_number)) for name in claim.term.voters
+                (name, ReleaseLease(duty, candidate.term.epoch, candidate.term.round_number))
+                for name in candidate.term.voters
             ]
         for delay in (0.0, *AGAIN):
             self._loop.call_later(delay, self._say_again)
@@ -225,8 +226,8 @@
         self._handed.clear()
         self._drained = False
         self.fleet.update_metadata(clock.now(), self._facts)
-        for claim in self.claims.values():
-            claim.campaign(clock.now())
+        for candidate in self.candidates.values():
+            candidate.campaign(clock.now())
         self.transport.flush()
 
     def leave(self) -> None:
@@ -235,7 +236,7 @@
             self.probers.close()
         self.fleet.leave(clock.now())
         self.transport.close()
-        self._close_memory()
+        self._close_promise_store()
         if self._history is not None:
             self._history.close()
 
@@ -264,38 +265,38 @@
         ):
             host, port = record.address
             self.say(f"member {record.name} {SAID[Status(record.status)]} ({event.cause}) at {host}:{port}")
-            for claim in self.claims.values():
-                claim.members_changed(clock.now())
+            for candidate in self.candidates.values():
+                candidate.members_changed(clock.now())
 
     def _body(self, event: MessageReceived) -> None:
         with suppress(MalformedMessageError):
             for message in decode_messages(event.body):
                 self._lease(CandidateId(event.sender, event.instance_id), message)
 
-    def _lease(self, who: CandidateId, message: Message) -> None:
+    def _lease(self, sender: CandidateId, message: Message) -> None:
         now = clock.now()
         if isinstance(message, RequestLease | ReleaseLease):
-            if self.elector is not None:
-                self.elector.receive(now, who, message)
+            if self.voter is not None:
+                self.voter.receive(now, sender, message)
             return
-        claim = self.claims.get(message.role)
-        if claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
-            claim.receive(now, who.name, message)
+        candidate = self.candidates.get(message.role)
+        if candidate is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
+            candidate.receive(now, sender.name, message)
 
     def _dues(self) -> Iterator[float]:
-        for claim in self.claims.values():
-            yield claim.due()
+        for candidate in self.candidates.values():
+            yield candidate.due()
 
     def _woken(self, now: float) -> None:
         """Duties have their turn: what they say to this process's own elector, and it to them, takes no datagram."""
         out: list[tuple[str, Message]] = []
-        for claim in self.claims.values():
-            if now >= claim.due():
-                claim.tick(now)
+        for candidate in self.candidates.values():
+            if now >= candidate.due():
+                candidate.tick(now)
         while True:
-            said = [word for claim in self.claims.values() for word in claim.take_messages()]
-            if self.elector is not None:
-                said += self.elector.take_messages()
+            said = [word for candidate in self.candidates.values() for word in candidate.take_messages()]
+            if self.voter is not None:
+                said += self.voter.take_messages()
             if not said:
                 break
             me = CandidateId(self._row.member, self.fleet.local_record.instance_id)
@@ -304,11 +305,11 @@
                     self._lease(me, message)
                 else:
                     out.append((name, message))
-        for claim in self.claims.values():
-            for event in claim.take_events():
+        for candidate in self.candidates.values():
+            for event in candidate.take_events():
                 self._turned(event)
-        if self._memory is not None and self.elector is not None and self.elector.unsaved and not self._writing:
-            self._write(self._memory, self.elector)
+        if self._promise_store is not None and self.voter is not None and self.voter.unsaved and not self._writing:
+            self._write(self._promise_store, self.voter)
         self._send(out)
 
     def _send(self, messages: list[tuple[str, Message]]) -> None:
@@ -322,7 +323,9 @@
 
     def _turned(self, turned: LeadershipChanged | LeaseAcquired) -> None:
         if self._history is not None and (isinstance(turned, LeaseAcquired) or not turned.is_leader):
-            left = self.claims[turned.role].term.remaining(clock.now()) if isinstance(turned, LeaseAcquired) else 0.0
+            left = (
+                self.candidates[turned.role].term.remaining(clock.now()) if isinstance(turned, LeaseAcquired) else 0.0
+            )
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
                 "member": self._row.member,
@@ -341,25 +344,25 @@
 
     # ---- an elector's memory -----------------------------------------------------------------------
 
-    def _write(self, memory: PromiseStore, elector: LeaseVoter) -> None:
+    def _write(self, promise_store: PromiseStore, voter: LeaseVoter) -> None:
         """Write promises down, in a thread; they are told when they will survive."""
-        promises = elector.promises()
-        duties, elector.unsaved = list(elector.unsaved), {}
+        promises = voter.promises()
+        duties, voter.unsaved = list(voter.unsaved), {}
         self._writing = True
 
         def done(fault: OSError | None) -> None:
             self._writing = False
             if fault is None:
-                elector.confirm_saved(clock.now(), duties)
+                voter.confirm_saved(clock.now(), duties)
             else:
                 self.say(f"promises can't be written, so none are given: {fault.strerror or fault}")
-                elector.report_save_failure(duties)
+                voter.report_save_failure(duties)
             self.transport.flush()
 
         def work() -> None:
             fault = None
             try:
-                memory.write(promises)
+                promise_store.write(promises)
             except OSError as raised:
                 fault = raised
             with suppress(RuntimeError):  # the loop is gone, and nobody is told
@@ -411,9 +414,9 @@
         """All duties that this daemon wants, as one line of JSON."""
         now = clock.now()
         rows = []
-        for duty, claim in sorted(self.claims.items()):
-            term = claim.term
-            held = claim.fencing_token(now) is not None
+        for duty, candidate in sorted(self.candidates.items()):
+            term = candidate.term
+            held = candidate.fencing_token(now) is not None
             rows.append(
                 {
                     "duty": duty,
@@ -433,13 +436,13 @@
             seconds = float(needs or 0.0)
         except ValueError:
             return 400, "the body has to be a duty's name, and seconds if you like"
-        if duty not in self.claims:
+        if duty not in self.candidates:
             return 404, f"no duty {duty!r} is wanted here"
         epoch = self.may(duty, seconds) if seconds >= 0.0 else None
-        claim = self.claims[duty]
+        candidate = self.candidates[duty]
         if epoch is None:
-            return 409, json.dumps({"duty": duty, "holder": claim.term.holder})
-        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(claim.term.remaining(clock.now()), 3)})
+            return 409, json.dumps({"duty": duty, "holder": candidate.term.holder})
+        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(candidate.term.remaining(clock.now()), 3)})
 
 
 def _version() -> str:
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -29,7 +29,7 @@
 class DutyHolder(Protocol):
     """The daemon's place in its fleet, as far as duties of probing need it."""
 
-    claims: dict[str, Candidate]
+    candidates: dict[str, Candidate]
     transport: Transport
 
     @property
@@ -158,7 +158,7 @@
         if doubt.passed_on:
             return
         # Who holds it is known to those who stand by; one of them may hold it.
-        holder = self._company.claims[pool.duty].term.holder
+        holder = self._company.candidates[pool.duty].term.holder
         names = dict.fromkeys([holder] if holder else [])
         names |= dict.fromkeys(self._company.first(pool.duty, STANDBY_CANDIDATES))
         for name in names:
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -45,15 +45,15 @@
         self.name, self.address = f"n{number}", world.address(number)
         now = world.network.clock(self.address)
         self._rng = Random(f"{world.seed} {number} {world.network.now}")
-        self.who = CandidateId(self.name, self._rng.randrange(1 << 40))
-        self.elector: LeaseVoter | None = None
+        self.candidate_id = CandidateId(self.name, self._rng.randrange(1 << 40))
+        self.voter: LeaseVoter | None = None
         if number < world.electors:
             memory = list(world.disks[self.name].values()) if world.memory else None
-            self.elector = LeaseVoter(LEASE, now, memory, int(WALL + 1000.0 * world.network.now))
-        self.claim: Candidate | None = None
+            self.voter = LeaseVoter(LEASE, now, memory, int(WALL + 1000.0 * world.network.now))
+        self.candidate: Candidate | None = None
         if number >= world.electors or world.all_want:
             names = [f"n{at}" for at in range(world.electors)]
-            self.claim = Candidate(DUTY, names, LEASE, now, self._rng, self._rank)
+            self.candidate = Candidate(DUTY, names, LEASE, now, self._rng, self._rank)
         self._written: tuple[float, dict[str, Promise]] | None = None  # what reaches the disk, and when
         self._out: list[tuple[Address, bytes]] = []
 
@@ -65,56 +65,59 @@
         for message in decode_messages(data[8:]):
             self._hear(now, CandidateId(self._world.names[source], int.from_bytes(data[:8], "big")), message)
 
-    def _hear(self, now: float, who: CandidateId, message: Message) -> None:
+    def _hear(self, now: float, candidate_id: CandidateId, message: Message) -> None:
         if isinstance(message, RequestLease | ReleaseLease):
-            if self.elector is not None:
-                self.elector.receive(now, who, message)
-        elif self.claim is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
-            self.claim.receive(now, who.name, message)
+            if self.voter is not None:
+                self.voter.receive(now, candidate_id, message)
+        elif self.candidate is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
+            self.candidate.receive(now, candidate_id.name, message)
 
     def due(self) -> float:
         """When it wants to be woken."""
-        times = [self.claim.due()] if self.claim is not None else []
+        times = [self.candidate.due()] if self.candidate is not None else []
         if self._written is not None:
             times.append(self._written[0])
         return min(times, default=float("inf"))
 
     def tick(self, now: float) -> None:
         """Do what is due."""
-        if self.claim is not None and now >= self.claim.due():
-            self.claim.tick(now)
-        if self._written is not None and now >= self._written[0] and self.elector is not None:
+        if self.candidate is not None and now >= self.candidate.due():
+            self.candidate.tick(now)
+        if self._written is not None and now >= self._written[0] and self.voter is not None:
             _, promises = self._written
             self._written = None
             self._world.disks[self.name] |= promises
-            self.elector.confirm_saved(now, promises)
+            self.voter.confirm_saved(now, promises)
 
     def hand_on(self, now: float) -> None:
         """It gives the duty back, and wants it again."""
-        assert self.claim is not None
-        self.claim.resign(now)
-        self.claim.campaign(now)
+        assert self.candidate is not None
+        self.candidate.resign(now)
+        self.candidate.campaign(now)
 
     def take_datagrams(self) -> list[tuple[Address, bytes]]:
         """What it has to say."""
         world, now = self._world, self._world.network.clock(self.address)
         while True:
-            said = self.claim.take_messages() if self.claim is not None else []
-            said += self.elector.take_messages() if self.elector is not None else []
+            said = self.candidate.take_messages() if self.candidate is not None else []
+            said += self.voter.take_messages() if self.voter is not None else []
             if not said:
                 break
             for name, message in said:
                 if name == self.name:
-                    self._hear(now, self.who, message)
+                    self._hear(now, self.candidate_id, message)
                 else:
                     self._out.append(
-                        (world.places[name], self.who.instance_id.to_bytes(8, "big") + encode_messages([message]))
+                        (
+                            world.places[name],
+                            self.candidate_id.instance_id.to_bytes(8, "big") + encode_messages([message]),
+                        )
                     )
-        if self.elector is not None and self.elector.unsaved and self._written is None:
-            promises, self.elector.unsaved = self.elector.unsaved, {}
+        if self.voter is not None and self.voter.unsaved and self._written is None:
+            promises, self.voter.unsaved = self.voter.unsaved, {}
             self._written = now + DISK * self._rng.random(), promises
-        if self.claim is not None:
-            for event in self.claim.take_events():
+        if self.candidate is not None:
+            for event in self.candidate.take_events():
                 if isinstance(event, LeadershipChanged):
                     world.turned(self, event.is_leader, event.epoch)
         out, self._out = self._out, []
@@ -172,7 +175,7 @@
         return [
             node
             for address, node in self.nodes().items()
-            if node.claim is not None and node.claim.term.is_held(self.network.clock(address))
+            if node.candidate is not None and node.candidate.term.is_held(self.network.clock(address))
         ]
 
     def turned(self, node: Node, holds: bool, epoch: int) -> None:
@@ -183,10 +186,10 @@
         inside = [other.name for other in self.holders()]
         if len(inside) > 1:
             raise TwoInOffice(f"seed {self.seed}, {self.network.now:.3f} s: {' and '.join(inside)} are in office")
-        former, who = self.highest
-        if epoch < former or (epoch == former and who != node.who):
+        former, candidate_id = self.highest
+        if epoch < former or (epoch == former and candidate_id != node.candidate_id):
             raise TwoInOffice(f"seed {self.seed}, {self.network.now:.3f} s: epoch {epoch} after {former}")
-        self.highest = epoch, node.who
+        self.highest = epoch, node.candidate_id
         self.offices += 1
         if self.vacant_since is not None:
             self.vacancies.append(self.network.now - self.vacant_since)
@@ -242,7 +245,7 @@
 
     def hand_on() -> None:
         node = world.nodes().get(address)
-        if node is not None and node.claim is not None:
+        if node is not None and node.candidate is not None:
             node.hand_on(network.clock(address))
             network.turn(address)
 
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -83,7 +83,7 @@
     def after(address: tuple[str, int], node: object) -> None:
         nonlocal asked
         assert isinstance(node, duties.Node)
-        asked += len(node.claim.term._outbox) if node.claim is not None else 0
+        asked += len(node.candidate.term._outbox) if node.candidate is not None else 0
 
     network.after = after
     network.run(CALM)
--- a/tests/daemon/test_company.py
+++ b/tests/daemon/test_company.py
@@ -26,15 +26,15 @@
     async def play() -> None:
         async with served(CHECKED + FLEET) as up:
             company = up.running.company
-            assert company is not None and set(company.claims) == {"mine", "probe:p"}
+            assert company is not None and set(company.candidates) == {"mine", "probe:p"}
             station = up.daemon.stations["p"]
             station.away(set(station.maintenance.told), station.pool.now())
             assert station.standing.empty()
             await up.reload(CHECKED.replace('check = { every = "1s" }', "") + FLEET)
-            assert set(company.claims) == {"mine"}
+            assert set(company.candidates) == {"mine"}
             assert station.tried is None and not station.standing.empty()
             await up.reload(CHECKED + FLEET)
-            assert set(company.claims) == {"mine", "probe:p"} and station.tried is not None
+            assert set(company.candidates) == {"mine", "probe:p"} and station.tried is not None
 
     asyncio.run(play())
 
@@ -46,9 +46,9 @@
             assert company is not None
             company.hand_on()
             await up.reload(CHECKED + FLEET)
-            assert company.claims["probe:p"].due() == float("inf")
+            assert company.candidates["probe:p"].due() == float("inf")
             company.take_up()
-            assert company.claims["probe:p"].due() < float("inf")
+            assert company.candidates["probe:p"].due() < float("inf")
 
     asyncio.run(play())
 
