--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -13,9 +13,9 @@
 from lugspur.daemon.pool import Call, Facts, Pool
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
-from lugspur.discovery import watch
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
@@ -95,7 +95,7 @@
         connections.flow_most = int(FLOW_PART * config.memory)
         self.front = Front(config.listen, callers, config.memory, self._request)
         self._reader = reader = EndpointReader(config.zones, config.types)
-        self._discovery = watch.Discovery(
+        self._discovery = PlatformWatch(
             config.discovery, reader, config.known["index"] if estate is None else estate.index, self._told
         )
         # One epoch for good: the list's times are comparable, and steps of the system's clock do no harm.
@@ -134,7 +134,7 @@
         self.wire, self._tenants = config.wire, config.tenants
         self._reader.set_names(config.zones, config.types)
         self.pool.upstream.retime(config.conn_idle, config.dial_timeout)
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
 
     def _settle(self) -> None:
         settings = self._terms.settle(self._loop.time())
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -15,10 +15,10 @@
 from lugspur.daemon.pool import Owner, Pool
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.discovery.registry import Ensemble, Followed, Registries
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
-from lugspur.discovery.source import FixedList, Source, WatchedFile
-from lugspur.discovery.watch import Discovery
+from lugspur.discovery.sources import EndpointSource, StaticList, WatchedFile
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
 from lugspur.routing.shares import Shares
@@ -57,7 +57,7 @@
         self._loop = asyncio.get_running_loop()
         self._row: model.Pool | None = None
         self._origin: object = None  # what its source was made from
-        self._source: Source | None = None
+        self._source: EndpointSource | None = None
         self.pool: Pool
         self.speaks_grpc = False  # whether a backend of it does
         self._streams: Streams | None = None  # connections to those
@@ -167,13 +167,13 @@
         if former is not None:
             former.close()  # what it told stays until the new one tells a whole list
 
-    def _made(self, row: model.Pool, beside: str, ensemble: model.Registry | None) -> Source:
+    def _made(self, row: model.Pool, beside: str, ensemble: model.Registry | None) -> EndpointSource:
         reader = EndpointReader(protocol=row.protocol)
         fixed = [reader.endpoint(_entry(member)) for member in row.members]
         if row.file:
             return WatchedFile(resolved(row.file, beside), reader, self._members)
         if row.watch:
-            return Discovery(row.watch, reader, 0, self._members)
+            return PlatformWatch(row.watch, reader, 0, self._members)
         if row.registry is not None and ensemble is not None:
             follow, known = row.registry, bool(self.pool.backends)
             # Guards a pool whose registry has moved: its last list is better than the fixed one.
@@ -187,7 +187,7 @@
                 self._members,
                 self.name,
             )
-        return FixedList(fixed, self._members)
+        return StaticList(fixed, self._members)
 
     def _members(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if not endpoints and kind is ListUpdateKind.PATCH:
--- a/lugspur/discovery/registry.py
+++ b/lugspur/discovery/registry.py
@@ -10,7 +10,7 @@
 from lugspur.discovery.endpoints import Address, Endpoint
 from lugspur.discovery.node_formats import RegistryNode
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
-from lugspur.discovery.source import Told
+from lugspur.discovery.sources import UpdateListener
 from lugspur.discovery.staleness import RegistryStaleness
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
@@ -98,7 +98,7 @@
         nodes: RegistryEndpoints,
         stale_after: float,
         fixed: list[Endpoint],
-        told: Told,
+        told: UpdateListener,
         pool: str,
     ) -> None:
         self._loop = asyncio.get_running_loop()
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -18,8 +18,8 @@
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id, server_name
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.node_formats import RegistryNode, read_entry
+from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
-from lugspur.discovery.watch import Discovery
 from lugspur.load_balancing.model import ListUpdateKind
 
 #: An entry of the platform's list with every field, and the same as it is kept on disk and handed to another process.
@@ -121,7 +121,7 @@
             heard.put_nowait((kind.value, [stored(endpoint) for endpoint in endpoints]))
 
         server = await asyncio.start_server(serve, HOST, 0)
-        followed = Discovery(server.sockets[0].getsockname()[:2], EndpointReader(ZONES, TYPES), 11, listen)
+        followed = PlatformWatch(server.sockets[0].getsockname()[:2], EndpointReader(ZONES, TYPES), 11, listen)
         followed.open()
         assert [await soon(heard.get()) for _ in range(4)] == [
             ("whole", [STORED_ENTRY]),
