--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -20,12 +20,13 @@
 from lugspur.http1.upstream import Connection, Exchange
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, ForwardRequest
-from lugspur.mesh.dataplane import proxied_request
+from lugspur.mesh.dataplane import backend_exchange, proxied_request
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
-from lugspur.mesh.dataplane.gate import Gate, LocalBackend
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
-from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
 from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
@@ -52,7 +53,7 @@
 def _send_again_whatever_ran(self: ProxiedRequest, now: float) -> bool:
     if self.out:
         return True
-    if self.rounds >= proxied_request.ROUNDS or now >= self.deadline or self.sends >= self.route.tries:
+    if self.rounds >= proxied_request.ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
         return False
     self.maybe = False
     return self._go(now, True)
@@ -61,7 +62,7 @@
 def _release_without_proof(self: ProxiedRequest) -> None:
     if self.won:
         self.won = False
-        self.proxy.keys.release(self.key, self.claim_id)
+        self.proxy.keys.release(self.key, self.reservation_id)
 
 
 def _run_without_claim(self: ProxiedRequest, how: Any) -> None:
@@ -70,11 +71,11 @@
         self._go(self.proxy.loop.time())
 
 
-def _takes_any_life(self: Gate, now: float, backend: str) -> bool:
-    return self.local is not None and not self.leaving and not self.local.down
+def _takes_any_life(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
+    return self.local is not None and not self.leaving and not self.local.is_unreachable
 
 
-def _takes_whatever_waits(self: Gate, now: float, ticket: Any) -> bool:
+def _takes_whatever_waits(self: ConcurrencyLimiter, now: float, admitted: Any) -> bool:
     return True
 
 
@@ -82,15 +83,17 @@
     return False
 
 
-_heard = Freshness.heard
+_heard = Freshness.receive
 
 
 def _count_words_of_the_deaf(self: Freshness, now: float, ip: str, delta: Delta) -> float:
-    delta.echo = now
+    delta.echoed_at = now
     return _heard(self, now, ip, delta)
 
 
-def _any_life_is_present(self: BackendIncarnations, now: float, ident: str, sequence: int, silent: bool) -> bool:
+def _any_incarnation_is_present(
+    self: BackendIncarnations, now: float, ident: str, sequence: int, has_ended: bool
+) -> bool:
     return True
 
 
@@ -106,29 +109,29 @@
     return False
 
 
-def _all_is_proven(self: RequestOutcomes, life: str, number: int) -> bool:
+def _all_is_proven(self: UnrunRequests, life: str, number: int) -> bool:
     return True
 
 
-def _no_closing(self: Gate, now: float, backend: str) -> bool:
+def _no_closing(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
     local: LocalBackend | None = self.local
-    return local is not None and local.id == backend and not self.leaving and not local.down
+    return local is not None and local.id == backend and not self.leaving and not local.is_unreachable
 
 
 DATA_PLANE = [
     SoakGuard("what may have run is not sent again", ProxiedRequest, "_again", _send_again_whatever_ran),
     SoakGuard("a claim is given back with proof alone", ProxiedRequest, "_release_unrun", _release_without_proof),
     SoakGuard("an operation runs only once its key is won", ProxiedRequest, "_claimed", _run_without_claim),
-    SoakGuard("a request runs at the life that it names", Gate, "takes", _takes_any_life),
-    SoakGuard("a backend that closes gets nothing new", Gate, "takes", _no_closing),
-    SoakGuard("what waits is sent to the life that took it", Gate, "takes_waiting", _takes_whatever_waits),
-    SoakGuard("an answer bears its request's id", Gate, "_sound", staticmethod(_sound_whatever_came)),
+    SoakGuard("a request runs at the life that it names", ConcurrencyLimiter, "accepts", _takes_any_life),
+    SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
+    SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
+    SoakGuard("an answer bears its request's id", backend_exchange, "is_valid_response", _sound_whatever_came),
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
-    SoakGuard("only what never came is proven so", RequestOutcomes, "proven_unrun", _all_is_proven),
-    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
-    SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
+    SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
+    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_incarnation_is_present),
+    SoakGuard("a voter's word counts only while it hears us", Freshness, "receive", _count_words_of_the_deaf),
 ]
 
 GUARDS = [
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -17,7 +17,8 @@
 from lugspur.http1.front import Front
 
 if TYPE_CHECKING:
-    from lugspur.daemon.hot_restart.hot_restart import HotRestart, Takeover
+    from lugspur.daemon.hot_restart.hot_restart import HotRestart
+    from lugspur.daemon.hot_restart.takeover import Takeover
 
 LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
 LISTEN_QUIET = 0.1  # ...until none has come for so long
@@ -46,12 +47,12 @@
     front = proxy.front
     reloads.carry_out(loop, lambda: reload(proxy))
     if config.management is not None:
-        from lugspur.management.acts import acts
-        from lugspur.management.door import Door
+        from lugspur.daemon.admin.actions import admin_actions
+        from lugspur.daemon.admin.listener import AdminListener
 
-        door = Door(config.management, acts(proxy))
+        admin_listener = AdminListener(config.management, admin_actions(proxy))
         try:
-            await door.open()
+            await admin_listener.open()
         except OSError as fault:
             raise StartError(f"management {config.management[0]}:{config.management[1]}: {fault}") from fault
     listener = await front.listen(None if takeover is None else takeover.listener, hot_restart is not None)
@@ -84,7 +85,10 @@
 
 
 async def transfer_connections(proxy: Proxy, listener: socket.socket, hot_restart: HotRestart) -> None:
-    """Another process serves already: finish what is open here, and give it every caller."""
+    """Finish the requests that are open here, and give every caller's connection to the successor.
+
+    Where the successor ends before that, this process drains as without a successor.
+    """
     front = proxy.front
     front.serving = False
     # Not closed: should the other process end, this one has to serve on.
--- a/lugspur/discovery/platform_watch.py
+++ b/lugspur/discovery/platform_watch.py
@@ -114,7 +114,7 @@
             self._former_task = None
         connection.has_delivered = True
         self._index = index
-        self._on_update(ListUpdateKind.WHOLE if message.get("snapshot") else ListUpdateKind.PATCH, endpoints)
+        self._on_update(ListUpdateKind.COMPLETE if message.get("snapshot") else ListUpdateKind.PATCH, endpoints)
 
 
 class _WatchConnection(asyncio.Protocol):
--- a/lugspur/discovery/sources.py
+++ b/lugspur/discovery/sources.py
@@ -42,7 +42,7 @@
 
     def open(self) -> None:
         """Deliver the list once."""
-        self._on_update(ListUpdateKind.WHOLE, self._endpoints)
+        self._on_update(ListUpdateKind.COMPLETE, self._endpoints)
 
     def close(self) -> None:
         """Nothing is left to do."""
@@ -71,7 +71,7 @@
                 endpoints = self._read(status.st_size)
                 # Only now: a file that was read half written is read again.
                 self._version, self._problem = version, ""
-                self._on_update(ListUpdateKind.WHOLE, endpoints)
+                self._on_update(ListUpdateKind.COMPLETE, endpoints)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
             self._report(f"{error.strerror}" if isinstance(error, OSError) else f"no list: {error!r}")
 
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -8,10 +8,11 @@
 
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.replica import Replica
+from lugspur.mesh.control_node.majority_contact import MajorityContact
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
 
@@ -23,6 +24,7 @@
     proposer: Proposer
     disk: Disk
     operator_calls: OperatorCalls
+    majority_contact: MajorityContact
     pause_detector: PauseDetector
     peers: dict[str, Dialer]
 
@@ -30,15 +32,12 @@
     def subscribers(self) -> Sized:
         """Processes that follow this one's news."""
 
-    def age(self, now: float) -> float:
-        """Seconds since word of a majority."""
-
 
 def control_node_metrics(node: ControlParts) -> list[Figure]:
     """All figures of one control node at this moment."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
-        counters("orders_total", "Operators' changes, by how they ended.", "how", calls.orders),
+        counters("orders_total", "Operators' changes, by how they ended.", "how", calls.changes),
         counters("reads_total", "Operators' reads, by how they ended.", "how", calls.reads),
         gauge("operator_calls_open", "Operators' calls that have no answer yet.", len(calls.waiting)),
         counter("proposals_total", "Proposals of changes.", node.proposer.proposals),
@@ -49,10 +48,14 @@
         gauge("configuration_index", "The latest change that is known as decided.", replica.index),
         gauge("membership_epoch", "The membership that this process goes by.", replica.epoch),
         gauge("voter", "1 while this disk has a vote.", float(replica.is_voter)),
-        gauge("complete", "1 while it holds all claims that a voter must hold.", float(replica.complete)),
-        gauge("change_pending", "1 while a change is accepted and not known as decided.", replica.register.pending),
-        gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.age(now))),
-        gauge("claims", "Claims of operation keys that are held.", len(replica.claims)),
+        gauge("complete", "1 while it holds all claims that a voter must hold.", float(replica.is_complete)),
+        gauge(
+            "change_pending",
+            "1 while a change is accepted and not known as decided.",
+            replica.register.has_pending_change,
+        ),
+        gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.majority_contact.age(now))),
+        gauge("claims", "Claims of operation keys that are held.", len(replica.reservations)),
         gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
         gauge("peers_up", "Processes that can be reached.", sum(d.link is not None for d in node.peers.values())),
         *invariant_figures(),
--- /dev/null
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -0,0 +1,309 @@
+"""The concurrency limiter of the local backend: who runs at once, who waits, and who is rejected.
+
+All requests for the backend of this machine go through one limiter. It lets as many run as the backend says it can,
+keeps a short queue of the most urgent others, and rejects at once what would be answered too late: a queue in which
+everybody is late serves no more than a short one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import Counter
+from collections.abc import Callable
+from time import monotonic
+
+from lugspur.http1.upstream import Exchange, Upstream
+from lugspur.invariants import Invariant, check
+from lugspur.load_balancing.model import Outcome
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.dataplane import backend_exchange
+from lugspur.mesh.dataplane.admitted_request import AdmissionQueue, AdmittedRequest
+from lugspur.mesh.dataplane.backend_exchange import (
+    ATTEMPT_ID_HEADER,
+    NOT_DELIVERED_HEADER,
+    NOT_RUN_CAUSES,
+    UNKNOWN_CAUSES,
+    classify_response,
+    encode_request,
+)
+from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.local_backend import LocalBackend
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.service_times import ServiceTimes
+from lugspur.mesh.dataplane.urgency import urgency_of
+from lugspur.routing.shares import Shares
+from lugspur.seams import Response
+
+# A backend that closes is given new requests a little longer, as the update reaches all proxies: for a fraction of its
+# time to drain...
+CLOSING_ACCEPT_FRACTION = 0.25
+MAX_CLOSING_ACCEPT_SECONDS = 0.4  # ...but no longer
+DRAIN_START_FRACTION = 0.8  # of the time to drain, in which requests that were accepted before may still start
+EXTRA_REQUESTS = 1  # at the backend beyond its concurrency, so that the next one is there when one ends
+MAX_QUEUE_FACTOR = 2  # requests that wait, as a multiple of the backend's concurrency
+# A request may wait for a fraction of its latency target less its service time...
+MAX_WAIT_FRACTION = 0.6
+MAX_WAIT_FRACTION_OF_RETRIES = 1.0  # ...where its caller was rejected before: rejected once more, it is lost
+MAX_WAIT_FRACTION_OF_SHORT = 0.5  # ...and of its deadline if it is short: its caller may occupy a backend elsewhere
+# A request is short up to this fraction of the longest service time of a route: it costs little, and is often a call
+# that another request waits for.
+SHORT_FRACTION = 0.5
+MIN_TIME_FRACTION = 0.3  # of its service time that a request must have left to be started
+GRACE_SECONDS = 0.03  # after the deadline in which the backend's own answer to it may come
+CONNECT_TIMEOUT_SECONDS = 0.5  # the backend is on this machine
+MAX_IDLE_SECONDS = 20.0  # of a connection to the backend
+MAX_IDLE_CONNECTIONS = 64
+
+
+class ConcurrencyLimiter:
+    """Admits requests to the backend of this machine, `local`, and replies to each exactly once."""
+
+    def __init__(
+        self,
+        memory: int,
+        files: int,
+        drain_seconds: float,
+        on_completed: Callable[[ForwardRequest, BackendResponse], None],
+        on_unreachable: Callable[[LocalBackend], None],
+    ) -> None:
+        """Make a limiter without a backend.
+
+        `memory`: bytes that the process may use; `files`: descriptors for connections to the backend;
+        `drain_seconds`: time that a closing backend has. `on_completed` is called with each answer to a request that
+        has an idempotency key, `on_unreachable` when the backend accepts no connection.
+        """
+        self._loop = asyncio.get_running_loop()
+        self._drain_seconds = drain_seconds
+        self._on_completed, self._on_unreachable = on_completed, on_unreachable
+        self.local: LocalBackend | None = None
+        self.leaving = False  # this process shuts down: nothing new is accepted
+        self._upstream = Upstream(
+            Shares(files, {}),
+            "",
+            MAX_IDLE_SECONDS,
+            CONNECT_TIMEOUT_SECONDS,
+            memory // 4,
+            memory // 8,
+            classify_response,
+            proof=NOT_DELIVERED_HEADER,
+            echo=ATTEMPT_ID_HEADER,
+            keeps=MAX_IDLE_CONNECTIONS,
+        )
+        self._queue = AdmissionQueue()
+        self._running = 0
+        self.service_times = ServiceTimes()  # from when the backend is offered a request
+        self.rejected = 0  # requests without capacity for them
+        self.evicted = 0  # requests that left the queue for more urgent ones
+        self.expired = 0  # requests whose time was over when their turn came
+        self.causes: Counter[FailureCause] = Counter()  # of all that did not end with the backend's answer
+
+    @property
+    def in_flight(self) -> int:
+        """Return the number of requests that run or wait."""
+        return self._running + len(self._queue)
+
+    # ---- admission ---------------------------------------------------------------------------------
+
+    def submit(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> AdmittedRequest | None:
+        """Have the backend run a request; `respond` is called once. Returns None where it is rejected at once."""
+        now = self._loop.time()
+        local = self.local
+        cause = self._rejection_cause(now, forward)
+        if local is None or cause:
+            respond(self.reject(forward.number, cause))
+            return None
+        request = AdmittedRequest(forward, local, now, respond)
+        if self._running < local.concurrency + EXTRA_REQUESTS:
+            self._start(request)
+            return request
+        if len(self._queue) >= MAX_QUEUE_FACTOR * local.concurrency:
+            self._evict_least_urgent()
+        self._queue.push(now, request)
+        return request
+
+    def _rejection_cause(self, now: float, forward: ForwardRequest) -> FailureCause:
+        # Guards against a request that was delayed on its way, or whose body was, until its caller had given it up.
+        if forward.seconds_left <= 0.0:
+            return FailureCause.EXPIRED
+        if self.local is None or not self.accepts(now, forward.backend):
+            return FailureCause.NOT_ACCEPTED
+        if not self._would_be_in_time(self.local, forward):
+            return FailureCause.QUEUE_FULL
+        return FailureCause.NONE
+
+    def reject(self, number: int, cause: FailureCause) -> ForwardResponse:
+        """Count a rejected request and return the reply to it."""
+        self.causes[cause] += 1
+        return ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, self.in_flight, cause)
+
+    def accepts(self, now: float, backend: str) -> bool:
+        """Whether new requests for that incarnation of the backend are accepted."""
+        local = self.local
+        if local is None or local.id != backend or self.leaving or local.is_unreachable:
+            return False
+        grace = min(MAX_CLOSING_ACCEPT_SECONDS, CLOSING_ACCEPT_FRACTION * self._drain_seconds)
+        return now <= local.closing_at + grace
+
+    def has_capacity(self, forward: ForwardRequest) -> bool:
+        """Whether a request would be accepted now."""
+        local, now = self.local, self._loop.time()
+        return local is not None and self.accepts(now, forward.backend) and self._would_be_in_time(local, forward)
+
+    def _would_be_in_time(self, local: LocalBackend, forward: ForwardRequest) -> bool:
+        """Whether a request would get its turn while its answer still has its value; counts it if not.
+
+        Guards the value of all answers: once everybody waits until late, nobody is served in time, and no more is
+        served than without a queue.
+        """
+        if self._running < local.concurrency + EXTRA_REQUESTS:
+            return True
+        expected = self.service_times.expected
+        ahead = self._queue.routes_ahead_of(urgency_of(self._loop.time(), forward))
+        wait = (sum(map(expected, ahead)) + self.service_times.average) / max(1, local.concurrency)
+        if len(ahead) < MAX_QUEUE_FACTOR * local.concurrency and self._may_wait(forward, wait):
+            return True
+        self.rejected += 1
+        return False
+
+    def _may_wait(self, forward: ForwardRequest, wait: float) -> bool:
+        """Whether a request can afford to wait so many seconds."""
+        own_time = self.service_times.expected(forward.route)
+        fraction = MAX_WAIT_FRACTION_OF_RETRIES if forward.was_rejected else MAX_WAIT_FRACTION
+        if wait <= fraction * (forward.latency_target_left - own_time):
+            return True
+        is_short = own_time <= SHORT_FRACTION * self.service_times.longest()
+        return is_short and wait <= MAX_WAIT_FRACTION_OF_SHORT * (forward.seconds_left - own_time)
+
+    def _evict_least_urgent(self) -> None:
+        request = self._queue.pop_least_urgent()
+        if not request.is_finished:
+            self.evicted += 1
+            self._finish(request, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
+
+    # ---- callers that disconnect -------------------------------------------------------------------
+
+    def cancel(self, request: AdmittedRequest) -> None:
+        """End a request that nobody waits for any more, also at the backend."""
+        if request.is_finished:
+            return
+        if request.exchange is not None:
+            request.exchange.end(Outcome.CANCELLED)
+        else:  # it stays in the queue, and is passed over when its turn comes
+            self._finish(request, RequestOutcome.UNKNOWN, FailureCause.CANCELLED)
+
+    def withdraw(self, request: AdmittedRequest) -> None:
+        """Keep a request that nobody waits for from being started; what the backend works on goes on.
+
+        Guards backends against work that nobody wants and that can't be cancelled once it has started.
+        """
+        if not request.is_finished and request.exchange is None:
+            self._finish(request, RequestOutcome.NOT_RUN, FailureCause.CANCELLED)
+
+    # ---- the backend -------------------------------------------------------------------------------
+
+    def _start_waiting(self) -> None:
+        """Start the most urgent requests, as far as the backend has capacity."""
+        while len(self._queue):
+            concurrency = 0 if self.local is None else self.local.concurrency
+            if self._running >= concurrency + EXTRA_REQUESTS:
+                return
+            request = self._queue.pop()
+            if not request.is_finished:
+                self._start_or_expire(request)
+
+    def _start_or_expire(self, request: AdmittedRequest) -> None:
+        now = self._loop.time()
+        needed = MIN_TIME_FRACTION * self.service_times.expected(request.forward.route)
+        if not self.may_start(now, request):
+            self._expire(request, FailureCause.NOT_ACCEPTED)
+        elif now + needed >= request.deadline:
+            self._expire(request, FailureCause.TOO_LITTLE_TIME)
+        else:
+            self._start(request)
+
+    def _expire(self, request: AdmittedRequest, cause: FailureCause) -> None:
+        self.expired += 1
+        self._finish(request, RequestOutcome.NOT_RUN, cause)
+
+    def may_start(self, now: float, request: AdmittedRequest) -> bool:
+        """Whether a request that was accepted may still go to the backend.
+
+        The backend must be the same incarnation, and its time to drain must not be nearly over.
+        """
+        local = request.local
+        if local is not self.local or local.is_unreachable:
+            return False
+        return now < local.closing_at + DRAIN_START_FRACTION * self._drain_seconds
+
+    def _start(self, request: AdmittedRequest) -> None:
+        """Send a request to the backend."""
+        forward, now = request.forward, self._loop.time()
+        # Guards against a freeze in the middle of a turn of the loop, whose time stands still meanwhile.
+        if monotonic() >= request.deadline + GRACE_SECONDS:
+            self._expire(request, FailureCause.TOO_LITTLE_TIME)
+            return
+        is_first = not request.was_offered and not request.is_finished
+        check(is_first, Invariant.OFFERED_ONCE, attempt=forward.attempt_id)
+        self._running += 1
+        request.was_offered, request.offered_at = True, now
+        exchange = Exchange(
+            request.local.backend,
+            now,
+            request.deadline + GRACE_SECONDS,
+            lambda seconds_left: encode_request(forward, seconds_left - GRACE_SECONDS),
+            lambda exchange, outcome, response: self._exchange_ended(request, outcome, response),
+            repeatable=forward.is_safe,
+            bodyless=forward.method == b"HEAD",
+        )
+        exchange.echo = forward.attempt_id
+        request.exchange = exchange
+        self._upstream.start(exchange)
+
+    def _exchange_ended(self, request: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
+        self._running -= 1
+        check(self._running >= 0, Invariant.IN_FLIGHT, backend=request.local.id)
+        if outcome is Outcome.OK and response is not None:
+            self._answered(request, response)
+        elif outcome in NOT_RUN_CAUSES:
+            self._not_run(request, outcome)
+        else:
+            cause = UNKNOWN_CAUSES.get(outcome, FailureCause.INVALID_RESPONSE)
+            self._finish(request, RequestOutcome.UNKNOWN, cause)
+        self._start_waiting()
+
+    def _answered(self, request: AdmittedRequest, response: Response) -> None:
+        forward = request.forward
+        self.service_times.record(forward.route, self._loop.time() - request.offered_at)
+        if not backend_exchange.is_valid_response(forward, response):
+            self._finish(request, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
+            return
+        answer = BackendResponse(response.status, response.head, response.body)
+        if forward.key:
+            self._on_completed(forward, answer)
+        self._finish(request, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
+
+    def _not_run(self, request: AdmittedRequest, outcome: Outcome) -> None:
+        local = request.local
+        if outcome is Outcome.UNREACHABLE and not local.is_unreachable and local is self.local:
+            local.is_unreachable = True
+            self._on_unreachable(local)
+        if outcome is not Outcome.OVERLOADED:
+            request.was_offered = False
+        self._finish(request, RequestOutcome.NOT_RUN, NOT_RUN_CAUSES[outcome])
+
+    def _finish(
+        self,
+        request: AdmittedRequest,
+        outcome: RequestOutcome,
+        cause: FailureCause,
+        answer: BackendResponse | None = None,
+    ) -> None:
+        """Reply to a request, unless that has been done."""
+        if request.is_finished:
+            return
+        request.is_finished = True
+        if cause:
+            self.causes[cause] += 1
+        request.respond(
+            ForwardResponse(request.forward.number, outcome, answer, request.was_offered, self.in_flight, cause)
+        )
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,15 +5,21 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
-from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.dataplane.endpoints import Endpoint, pick
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
+from lugspur.mesh.dataplane.endpoints import Endpoint, select_endpoint
 from lugspur.mesh.dataplane.failure_cause import FailureCause
-from lugspur.mesh.dataplane.ports import Carried, RequestHost
-from lugspur.mesh.dataplane.refusal import refuse
+from lugspur.mesh.dataplane.interfaces import RequestHost, SentRequest
+from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.routes import RouteEntry
+from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import PickView, Step
 from lugspur.seams import Answerable, Request
 
@@ -31,7 +37,12 @@
 GONE = "gone"  # how a request ends whose caller has left
 BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
 #: How a claim ended, as accounts of failed requests say it.
-CLAIM_LABELS: dict[type[Settled], str] = {Won: "won", Known: "known", Taken: "taken", Unsettled: "unsettled"}
+CLAIM_LABELS: dict[type[ReservationOutcome], str] = {
+    Acquired: "won",
+    AlreadyCompleted: "known",
+    TakenByAnother: "taken",
+    Undecided: "unsettled",
+}
 LATE = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
 
 
@@ -51,13 +62,13 @@
     ) -> None:
         self.proxy, self.request, self.caller, self.route = proxy, request, caller, route
         self.deadline, self.attempt, self.back = deadline, attempt, back
-        self.key = key if route.kind == "tracked" else b""
-        self.claim_id = proxy.claim_id(attempt) if self.key else b""
-        self.service = route.service(proxy.rng)
+        self.key = key if route.is_keyed else b""
+        self.reservation_id = proxy.reservation_id(attempt) if self.key else b""
+        self.service = route.draw_service(proxy.rng)
         self.sends = 0  # backends that it was offered to, or may have been
         self.rounds = 0  # gates that turned it away
         self.tried: set[str] = set()
-        self.out: dict[int, tuple[Endpoint, float, Carried]] = {}  # what is under way
+        self.out: dict[int, tuple[Endpoint, float, SentRequest]] = {}  # what is under way
         self.over = False
         self.maybe = False  # it may have run
         self.ran = False  # a backend has answered it
@@ -78,32 +89,32 @@
         proxy, loop = self.proxy, self.proxy.loop
         now = loop.time()
         if now >= self.deadline:
-            self._record(Kind.TOO_LATE.value)
-            refuse(self.caller, Kind.TOO_LATE)
+            self._record(ErrorKind.TOO_LATE.value)
+            reject(self.caller, ErrorKind.TOO_LATE)
             return
-        proxy.opened(self)
+        proxy.request_opened(self)
         proxy.budget(self.service).take(now)
         self.caller.gone = self._gone
         self._timer = loop.call_at(self.deadline + MARGIN, self._late)
         if self.key:
             left = self.deadline - now
-            proxy.keys.claim(self.key, self.claim_id, left, min(CLAIM_WITHIN, left / 3.0), self._claimed)
+            proxy.keys.claim(self.key, self.reservation_id, left, min(CLAIM_WITHIN, left / 3.0), self._claimed)
         else:
             self._go(now)
 
-    def _claimed(self, how: Settled) -> None:
+    def _claimed(self, how: ReservationOutcome) -> None:
         self.claim = CLAIM_LABELS[type(how)]
-        self.won = isinstance(how, Won)
+        self.won = isinstance(how, Acquired)
         if self.over:
             self._release_unrun()
         elif self.won:
             self._go(self.proxy.loop.time())
-        elif isinstance(how, Known):
-            self._answer(how.answer)
-        elif isinstance(how, Taken):
-            self._refuse(Kind.KEY_BUSY if how.busy else Kind.KEY_SPENT)
+        elif isinstance(how, AlreadyCompleted):
+            self._answer(how.response)
+        elif isinstance(how, TakenByAnother):
+            self._refuse(ErrorKind.KEY_BUSY if how.is_running else ErrorKind.KEY_SPENT)
         else:
-            self._refuse(Kind.NO_QUORUM)
+            self._refuse(ErrorKind.NO_QUORUM)
 
     # ---- the pick ------------------------------------------------------------------------
 
@@ -112,9 +123,9 @@
         known = proxy.services.get(self.service, {})
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.tried]
         reached = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
-        rested = [endpoint for endpoint in reached if now >= endpoint.rests_until]
+        rested = [endpoint for endpoint in reached if now >= endpoint.deprioritised_until]
         # Those that have just turned one away come last, but before a refusal: asking a gate costs no backend anything.
-        found = pick(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        found = select_endpoint(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
         if isinstance(found, Endpoint):
             return found
         proxy.count("breaker-refused" if reached else "none-ready")
@@ -144,27 +155,27 @@
             self._lines,
             request.body,
             self.deadline - now,
-            request.arrived + route.target - now,
+            request.arrived + route.latency_target - now,
             self.attempt,
             route.priority,
-            route.safe,
+            route.is_safe,
             route.name,
             self.key,
-            self.claim_id,
+            self.reservation_id,
             self.back,
         )
-        endpoint.inflight += 1
+        endpoint.in_flight += 1
         self.sends += 1
         if self.sends > 1:
             self.proxy.budget(self.service).spend(now)
-        check(self.sends <= self.route.tries, Invariant.TRIES, attempt=self.attempt, sends=self.sends)
+        check(self.sends <= self.route.max_attempts, Invariant.TRIES, attempt=self.attempt, sends=self.sends)
         self.out[number] = (endpoint, now, NOT_UNDER_WAY)
         carried = self.proxy.carrier.carry(endpoint.ip, forward, lambda reply: self._replied(number, reply))
         if number in self.out:
             self.out[number] = (endpoint, now, carried)
-            if route.safe and route.pace and self._hedge is None and self.sends < route.tries:
-                at = now + max(HEDGE * route.pace, HEDGE_AIM * route.target)
-                if at + route.pace < self.deadline:
+            if route.is_safe and route.average_latency and self._hedge is None and self.sends < route.max_attempts:
+                at = now + max(HEDGE * route.average_latency, HEDGE_AIM * route.latency_target)
+                if at + route.average_latency < self.deadline:
                     self._hedge = self.proxy.loop.call_at(at, self._second)
         return True
 
@@ -172,13 +183,13 @@
         """What must hold before it is sent to a backend."""
         unrun = not (self.maybe or self.out or self.last is not None)
         check(not self.over, Invariant.SENT_WHILE_OPEN, attempt=self.attempt)
-        check(self.route.safe or unrun, Invariant.RUN_ONCE, attempt=self.attempt, route=self.route.name)
+        check(self.route.is_safe or unrun, Invariant.RUN_ONCE, attempt=self.attempt, route=self.route.name)
         check(not self.key or self.won, Invariant.CLAIM_WON, attempt=self.attempt)
 
     def _second(self) -> None:
         """A safe request has been out for long: its answer may be lost."""
         now = self.proxy.loop.time()
-        if self.over or len(self.out) != 1 or self.sends >= self.route.tries:
+        if self.over or len(self.out) != 1 or self.sends >= self.route.max_attempts:
             return  # a further try may have been sent since the hedge was set
         if self.proxy.budget(self.service).allows(now):
             self._go(now, True)
@@ -200,41 +211,43 @@
             self._proved_later(reply)
             return
         endpoint, since, _ = self.out.pop(number)
-        endpoint.inflight -= 1
+        endpoint.in_flight -= 1
         self._note(endpoint, since, reply)
-        check(endpoint.inflight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
+        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
         loop = self.proxy.loop
         now = loop.time()
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
         took, route = max(TICK, now - since), self.route
-        how = reply.how
-        if how == RequestOutcome.ANSWERED and reply.answer is not None:
+        how = reply.outcome
+        if how == RequestOutcome.ANSWERED and reply.response is not None:
             self.ran = True
-            if reply.answer.status < 500:
-                route.pace += (took - route.pace) * (PACE_WEIGHT if route.pace else 1.0)
-                relative = took / route.pace
+            if reply.response.status < 500:
+                route.average_latency += (took - route.average_latency) * (
+                    PACE_WEIGHT if route.average_latency else 1.0
+                )
+                relative = took / route.average_latency
                 breaker = endpoint.breaker(route.name)
                 breaker.accepted(now)
                 breaker.sample(relative)
-                endpoint.learn(relative)
+                endpoint.record_latency(relative)
             else:
                 self._failed(now, endpoint)
             if self.over:
                 return
-            if reply.answer.status >= 500 and route.safe:
-                self.last = reply.answer
+            if reply.response.status >= 500 and route.is_safe:
+                self.last = reply.response
                 if not self._again(now):
                     self._finish_failed()
                 return
-            self._answer(reply.answer)
+            self._answer(reply.response)
             return
         if how == RequestOutcome.NOT_RUN:
             self.rounds += 1
-            if not reply.sent:
+            if not reply.was_sent:
                 self.sends -= 1  # no backend was offered it
             if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).failed(now)
-                endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
+                endpoint.deprioritised_until = now + REST * (0.5 + self.proxy.rng.random())
         else:
             self._failed(now, endpoint)
             self.maybe = True
@@ -246,7 +259,7 @@
 
     def _proved_later(self, reply: ForwardResponse) -> None:
         """Word on a send whose connection was lost: what may have run has not, and never will."""
-        if reply.how == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.safe):
+        if reply.outcome == RequestOutcome.NOT_RUN and self.over and not (self.out or self.ran or self.route.is_safe):
             self.maybe = False  # what is not safe is sent again only once nothing may have run: this was its only send
             self._release_unrun()
 
@@ -254,19 +267,19 @@
         """Keep what became of one send."""
         now, arrived = self.proxy.loop.time(), self.request.arrived
         cause = FailureCause(reply.cause).label if reply.cause else ""
-        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.how).label, cause))
+        self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.outcome).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).failed(now)
-        endpoint.learn(LATE)
+        endpoint.record_latency(LATE)
 
     def _again(self, now: float) -> bool:
         """Whether it goes on: something is under way, or another backend may have it."""
         if self.out:
             return True
-        if (self.maybe or self.last is not None) and not self.route.safe:
+        if (self.maybe or self.last is not None) and not self.route.is_safe:
             return False
-        if self.rounds >= ROUNDS or now >= self.deadline or self.sends >= self.route.tries:
+        if self.rounds >= ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
             return False
         if self.sends and not self.proxy.budget(self.service).allows(now):
             return False
@@ -280,14 +293,14 @@
 
     def _give_up(self) -> None:
         """Nobody will run it: refused where that is proven, else failed."""
-        if self.maybe and not self.route.safe:
-            self._refuse(Kind.MAYBE_RAN)
+        if self.maybe and not self.route.is_safe:
+            self._refuse(ErrorKind.MAYBE_RAN)
             return
-        self._refuse(Kind.MAYBE_RAN if self.maybe else Kind.NO_BACKEND)
+        self._refuse(ErrorKind.MAYBE_RAN if self.maybe else ErrorKind.NO_BACKEND)
 
     def _late(self) -> None:
         if not self.over:
-            self._refuse(Kind.TOO_LATE)
+            self._refuse(ErrorKind.TOO_LATE)
 
     def _release_unrun(self) -> None:
         """Give the claim back once the request is over, nothing of it is under way, and nothing ran.
@@ -298,20 +311,20 @@
         if self.won and not (self.out or self.maybe or self.ran):
             check(self.over, Invariant.RELEASED_UNRUN, attempt=self.attempt)
             self.won = False
-            self.proxy.keys.release(self.key, self.claim_id)
+            self.proxy.keys.release(self.key, self.reservation_id)
 
     def _answer(self, answer: BackendResponse) -> None:
         self._finish()
         if answer.status < 500:
-            self.proxy.served(self.proxy.loop.time() - self.request.arrived)
+            self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
         else:
             self._record(BACKEND_FAILED)
         self.caller.answer(answer.status, answer.head, answer.body)
 
-    def _refuse(self, kind: Kind) -> None:
+    def _refuse(self, kind: ErrorKind) -> None:
         self._record(kind.value)
         self._finish()
-        refuse(self.caller, kind, self.deadline - self.proxy.loop.time())
+        reject(self.caller, kind, self.deadline - self.proxy.loop.time())
 
     def end(self) -> None:
         """This process ends: it is answered now, whatever is under way.
@@ -319,7 +332,7 @@
         Guards its caller against a connection that ends without an answer.
         """
         if not self.over:
-            self._refuse(Kind.MAYBE_RAN if self.out or self.maybe or self.ran else Kind.LEAVING)
+            self._refuse(ErrorKind.MAYBE_RAN if self.out or self.maybe or self.ran else ErrorKind.LEAVING)
 
     def _gone(self) -> None:
         """Its caller has left."""
@@ -330,7 +343,7 @@
     def _record(self, how: str) -> None:
         """Count a failure, and keep an account of it."""
         route, request = self.route, self.request
-        self.proxy.failed(
+        self.proxy.request_failed(
             self.attempt,
             how,
             route=route.name,
@@ -350,15 +363,15 @@
     def _finish(self) -> None:
         check(not self.over, Invariant.ONE_ANSWER, attempt=self.attempt)
         self.over = True
-        self.proxy.closed(self)
+        self.proxy.request_closed(self)
         for timer in (self._timer, self._hedge):
             if timer is not None:
                 timer.cancel()
         if self.key and not self.won:
-            self.proxy.keys.drop(self.key, self.claim_id)
+            self.proxy.keys.drop(self.key, self.reservation_id)
         self._release_unrun()
         for _, _, carried in list(self.out.values()):
-            if self.route.safe:
+            if self.route.is_safe:
                 carried.cancel()
             elif not self.key:  # a keyed one's answer is kept for a repeat
                 carried.withdraw()
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -6,16 +6,17 @@
 import itertools
 import os
 from collections import Counter
+from collections.abc import Mapping
 from random import Random
 from typing import Any
 
 from lugspur.load_balancing.budget import Budget
-from lugspur.mesh.control.errors import Kind, MeshError
-from lugspur.mesh.dataplane.endpoints import Endpoint
-from lugspur.mesh.dataplane.ports import Carrier, Keys, OpenRequest
+from lugspur.mesh.control.errors import ErrorKind, MeshError
+from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
+from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
-from lugspur.mesh.dataplane.refusal import refuse
-from lugspur.mesh.dataplane.routes import RouteTable
+from lugspur.mesh.dataplane.rejection import reject
+from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import FailureLog, Standing, keep_only
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
@@ -31,8 +32,8 @@
     def __init__(
         self,
         table: RouteTable,
-        carrier: Carrier,
-        keys: Keys,
+        carrier: RequestCarrier,
+        keys: KeyReservations,
         rng: Random,
         ratio: float,
         slack: float,
@@ -54,16 +55,16 @@
         self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
         self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
 
-    def members(self, service: str, endpoints: dict[str, tuple[str, str, int, float]]) -> None:
-        """The backends of a service that accept work: id to machine, zone, berths, and when it is warm."""
+    def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
+        """Replace the backends of a service that accept requests, by id; what was learned of others is forgotten."""
         known = self.services.get(service, {})
-        fresh: dict[str, Endpoint] = {}
-        for ident, (ip, zone, berths, cold_until) in endpoints.items():
-            endpoint = known.get(ident) or Endpoint(ident, service, ip, zone)
-            endpoint.berths, endpoint.cold_until = berths, cold_until
-            fresh[ident] = endpoint
-        if fresh:
-            self.services[service] = fresh
+        endpoints: dict[str, Endpoint] = {}
+        for ident, listing in listings.items():
+            endpoint = known.get(ident) or Endpoint(ident, service, listing.ip, listing.zone)
+            endpoint.slow_start_until = listing.slow_start_until
+            endpoints[ident] = endpoint
+        if endpoints:
+            self.services[service] = endpoints
         else:
             self.services.pop(service, None)
 
@@ -75,7 +76,7 @@
         found.allot(self._slack / max(1, self.proxies))
         return found
 
-    def claim_id(self, attempt: bytes) -> bytes:
+    def reservation_id(self, attempt: bytes) -> bytes:
         """Names one claim of an operation key: no other claim, of whatever process at whatever time, has this name.
 
         Guards against a second run: a voter grants a key again to whom it has granted it. By the attempt's id alone
@@ -83,35 +84,35 @@
         """
         return b"%b.%b.%d" % (attempt, self._life, next(self._claims))
 
-    def opened(self, request: OpenRequest) -> None:
+    def request_opened(self, request: OpenRequest) -> None:
         """One more has no answer yet."""
         self.open_requests.add(request)
 
-    def closed(self, request: OpenRequest) -> None:
+    def request_closed(self, request: OpenRequest) -> None:
         """One has been answered, or its caller has left."""
         self.open_requests.discard(request)
 
-    def count(self, how: str) -> None:
-        """One more that ended, or could not go on, so."""
-        self.ended[how] += 1
+    def count(self, ending: str) -> None:
+        """Count a request by how it ended, or by why it could not go on."""
+        self.ended[ending] += 1
 
-    def served(self, seconds: float) -> None:
+    def request_served(self, seconds: float) -> None:
         """One more was answered by a backend's success."""
         self.count("answered")
         self.seconds.add(seconds)
 
-    def failed(self, attempt: bytes, how: str, **facts: Any) -> None:
-        """One more was not; `facts` as in `FailedRequest`."""
-        self.count(how)
-        self.failures.add(attempt, how, **facts)
+    def request_failed(self, attempt: bytes, ending: str, **facts: Any) -> None:
+        """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
+        self.count(ending)
+        self.failures.add(attempt, ending, **facts)
 
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take one request; its caller gets one answer."""
         try:
             proxied_request = self._take(request, caller)
         except MeshError as fault:
-            self.failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], fault.kind.value)
-            refuse(caller, fault.kind)
+            self.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], fault.kind.value)
+            reject(caller, fault.kind)
             return
         proxied_request.begin()
 
@@ -120,18 +121,18 @@
         attempt, key = headers.get(ATTEMPT, b""), headers.get(KEY, b"")
         # Guards what must run once against two readings of one id: repeated headers are joined by commas.
         if not 0 < len(attempt) <= ID_MOST or b"," in attempt or len(key) > ID_MOST or not request.target[:1] == b"/":
-            raise MeshError(Kind.BAD_REQUEST)
+            raise MeshError(ErrorKind.BAD_REQUEST)
         if not len(self.table):
-            raise MeshError(Kind.NOT_READY)
+            raise MeshError(ErrorKind.NOT_READY)
         route = self.table.find(headers.get(b"host", b""), request.target)
         if route is None:
-            raise MeshError(Kind.NO_ROUTE)
+            raise MeshError(ErrorKind.NO_ROUTE)
         left = route.deadline
         told = headers.get(BY_MS)
         if told is not None:
             if not told.isdigit() or len(told) > 9:
-                raise MeshError(Kind.BAD_REQUEST)
+                raise MeshError(ErrorKind.BAD_REQUEST)
             left = min(left, int(told) / 1000.0)
-        back = route.comes_back(left)
+        back = route.is_returning_caller(left)
         caller.admit()
         return ProxiedRequest(self, request, caller, route, request.arrived + left, attempt, key, back)
--- a/tests/daemon/persistence/kept.py
+++ b/tests/daemon/persistence/kept.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from lugspur.daemon.persistence.file import fact, whole
+from lugspur.daemon.persistence.snapshot_format import encode_record, encode_snapshot
 from lugspur.discovery import state_codec
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.load_balancing.decide import Balancer
@@ -19,14 +19,15 @@
     Settings,
 )
 
-READ = RequestClass("read", aim=0.4, deadline=1.0, repeat=RetrySafety.SAFE)
+READ = RequestClass("read", latency_target=0.4, deadline=1.0, retry_safety=RetrySafety.SAFE)
 SETTINGS = Settings(classes=(READ,))
 
 
 def endpoints(count: int = 3, started: float = 0.0) -> list[Endpoint]:
     return [
         Endpoint(
-            ServerRow(server_id(f"s-{n}"), started=started, zone=server_id("kingston-main-a")), ("127.0.0.1", 9000 + n)
+            ServerRow(server_id(f"s-{n}"), started_at=started, zone=server_id("kingston-main-a")),
+            ("127.0.0.1", 9000 + n),
         )
         for n in range(count)
     ]
@@ -35,7 +36,7 @@
 def taught(rows: list[Endpoint], now: float = 1000.0, slow: int = 0, bad: int = 0, rounds: int = 60) -> Balancer:
     """A module that has met boxes of which the first are slow and the next ones fail."""
     balancer = Balancer(SETTINGS, 7)
-    balancer.members(now, ListUpdateKind.STALE, [row.row for row in rows])
+    balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     names = [row.row.server for row in rows]
     for number in range(rounds):
         at = now + 0.02 * number
@@ -44,7 +45,7 @@
             place = names.index(send.server)
             took = 0.3 if place < slow else 0.01
             how = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
-            actions = balancer.outcome(at + took, f"r{number}", send_number(balancer, f"r{number}"), how, took)
+            actions = balancer.finish_attempt(at + took, f"r{number}", send_number(balancer, f"r{number}"), how, took)
     return balancer
 
 
@@ -57,12 +58,12 @@
 ) -> bytes:
     """A whole file of one pool."""
     rows = endpoints() if rows is None else rows
-    learned = taught(rows).learned() if learned is None else learned
-    facts = [fact("pool", name, {"at": written})]
-    facts += (fact("backend", name, state_codec.encode_endpoint(row)) for row in rows)
-    facts += (fact("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
-    facts.append(fact("tier", name, state_codec.encode_learned_pools(learned)))
-    return whole(written, facts)
+    learned = taught(rows).export_learned() if learned is None else learned
+    facts = [encode_record("pool", name, {"at": written})]
+    facts += (encode_record("backend", name, state_codec.encode_endpoint(row)) for row in rows)
+    facts += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
+    facts.append(encode_record("tier", name, state_codec.encode_learned_pools(learned)))
+    return encode_snapshot(written, facts)
 
 
 def other(seed: int) -> bytes:
--- a/tests/discovery/test_platform_watch.py
+++ b/tests/discovery/test_platform_watch.py
@@ -48,7 +48,7 @@
         server = await asyncio.start_server(serve, HOST, 0)
         found = platform_watch.PlatformWatch(server.sockets[0].getsockname()[:2], EndpointReader(), 0, receive)
         found.open()
-        assert await soon(updates.get()) == (ListUpdateKind.WHOLE, "up")
+        assert await soon(updates.get()) == (ListUpdateKind.COMPLETE, "up")
         assert await soon(updates.get()) == (ListUpdateKind.PATCH, "draining")
         assert since[:2] == [0, 4]
         found.close()
--- a/tests/discovery/test_registry_endpoints.py
+++ b/tests/discovery/test_registry_endpoints.py
@@ -54,9 +54,9 @@
     nodes = RegistryEndpoints("auto")
     nodes.replace_all({"box-1": node(OWN | {"name": "box", "since_ms": 1})})
     rows = nodes.update_node("box-2", node(OWN | {"name": "box", "since_ms": 9000}, created_zxid=2)).endpoints
-    assert [row.row.started for row in rows] == [9.0] and len(nodes) == 1
+    assert [row.row.started_at for row in rows] == [9.0] and len(nodes) == 1
     rows = nodes.remove_node("box-1").endpoints  # its old session expires at last
-    assert [(row.row.state, row.row.started) for row in rows] == [(ServerState.UP, 9.0)]
+    assert [(row.row.state, row.row.started_at) for row in rows] == [(ServerState.UP, 9.0)]
     assert ids(nodes.remove_node("box-2").endpoints) == {server_id("box"): ServerState.GONE} and len(nodes) == 0
 
 
@@ -71,7 +71,7 @@
     nodes = RegistryEndpoints("auto")
     nodes.replace_all({"a": node(OWN)})
     rows = nodes.update_node("a", node(OWN | {"status": "terminating", "weight": 3.0})).endpoints
-    assert [(row.row.state, row.row.size) for row in rows] == [(ServerState.DRAINING, 3.0)]
+    assert [(row.row.state, row.row.weight) for row in rows] == [(ServerState.DRAINING, 3.0)]
     assert nodes.update_node("a", node(OWN | {"status": "terminating", "weight": 3.0})) == EndpointChanges()
 
 
@@ -80,6 +80,6 @@
     rows = nodes.update_node("a", node(OWN | {"since_ms": 1000}, created_zxid=1)).endpoints
     nodes.remove_node("a")
     again = nodes.update_node("a", node(OWN | {"since_ms": 1000}, created_zxid=2)).endpoints
-    assert rows[0].row.started == again[0].row.started == 1.0
+    assert rows[0].row.started_at == again[0].row.started_at == 1.0
     rows = nodes.update_node("b", node(OWN)).endpoints
-    assert rows[0].row.started == 5.0
+    assert rows[0].row.started_at == 5.0
