--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.station import servers
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
 from lugspur.discovery.health_check import check_health
-from lugspur.discovery.registry import Ensemble, Registries
+from lugspur.discovery.registry_sessions import Ensemble, RegistrySessions
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
-    registries = Registries()
+    registries = RegistrySessions()
     announcer = BackendRegistrar(registries.get(wish.ensemble), wish.path, wish.box, wish.ident, time.time)
     announcer.open()
     checking = loop.create_task(_checks(announcer, wish))
--- a/lugspur/daemon/announcers.py
+++ b/lugspur/daemon/announcers.py
@@ -12,7 +12,7 @@
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
 from lugspur.discovery.endpoints import Address
 from lugspur.discovery.health_check import CheckResult
-from lugspur.discovery.registry import Registries
+from lugspur.discovery.registry_sessions import RegistrySessions
 
 Wish = tuple[model.Register, model.Registry, Address, str]  # all that a node depends on
 
@@ -20,7 +20,7 @@
 class Announcers:
     """Makes the nodes that the file asks for, and deletes those that it asks for no more."""
 
-    def __init__(self, registries: Registries) -> None:
+    def __init__(self, registries: RegistrySessions) -> None:
         self._registries = registries
         self._known: dict[str, tuple[Wish, BackendRegistrar]] = {}
         self._leaving: set[asyncio.Task[None]] = set()
@@ -54,7 +54,7 @@
         task = asyncio.get_running_loop().create_task(announcer.deregister())
         self._leaving.add(task)
         task.add_done_callback(self._leaving.discard)
-        task.add_done_callback(lambda _: self._registries.tidy())
+        task.add_done_callback(lambda _: self._registries.close_unused())
 
     async def leave(self) -> None:
         """Delete all nodes; ends when the registries have confirmed it, or haven't for too long."""
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -16,7 +16,7 @@
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
 from lugspur.daemon.station import GRPC, Station
 from lugspur.daemon.ticket import End, Ticket
-from lugspur.discovery.registry import Registries
+from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected, Sizes
@@ -63,7 +63,7 @@
         self._reloads = 0
         self.regime: Regime
         self.stations: dict[str, Station] = {}
-        self.registries = Registries()
+        self.registries = RegistrySessions()
         self.remembering: Remembering | None = None
 
     def apply(self, plan: Plan, path: str) -> None:
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -16,8 +16,9 @@
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.platform_watch import PlatformWatch
-from lugspur.discovery.registry import Ensemble, Followed, Registries
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
+from lugspur.discovery.registry_sessions import Ensemble, RegistrySessions
+from lugspur.discovery.registry_source import RegistrySource
 from lugspur.discovery.sources import EndpointSource, StaticList, WatchedFile
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
@@ -48,7 +49,7 @@
 class Station:
     """A pool by its name in the file."""
 
-    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: Registries) -> None:
+    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
         self.name = name
         self.standing = Standing()
         self.maintenance = Maintenance()
@@ -177,15 +178,15 @@
         if row.registry is not None and ensemble is not None:
             follow, known = row.registry, bool(self.pool.backends)
             # Guards a pool whose registry has moved: its last list is better than the fixed one.
-            return Followed(
+            return RegistrySource(
                 self._registries,
                 servers(ensemble),
                 follow.path,
                 RegistryEndpoints(follow.format, row.protocol),
-                follow.stale_after,
-                [] if known else fixed,
-                self._members,
-                self.name,
+                stale_after=follow.stale_after,
+                static=[] if known else fixed,
+                on_update=self._members,
+                pool=self.name,
             )
         return StaticList(fixed, self._members)
 
--- a/lugspur/discovery/backend_registration.py
+++ b/lugspur/discovery/backend_registration.py
@@ -10,7 +10,7 @@
 import orjson
 
 from lugspur.discovery.health_check import BackendHealth, CheckResult
-from lugspur.discovery.registry import Registry
+from lugspur.discovery.registry_sessions import RegistrySession
 from lugspur.zookeeper.registration import Registration
 from lugspur.zookeeper.session import Event
 
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        registry: Registry,
+        session: RegistrySession,
         directory: str,
         backend: RegisteredBackend,
         sequence_id: str,
@@ -69,7 +69,7 @@
         clock: seconds since 1970.
         """
         self.backend = backend
-        self._registry = registry
+        self._session = session
         self._clock = clock
         self.health = BackendHealth()
         self.registration = Registration(directory, backend.name, backend.node_data(0), backend.owns_node, sequence_id)
@@ -78,7 +78,7 @@
 
     def open(self) -> None:
         """Begin; the node is made once the backend is healthy."""
-        self._registry.join(self.registration, self._on_events)
+        self._session.add_user(self.registration, self._on_events)
 
     def record_check(self, result: CheckResult) -> None:
         """Take the result of a health check; a backend without checks is reported HEALTHY once."""
@@ -102,10 +102,10 @@
             self._log("the registry has not confirmed that the node is deleted; it goes with its session")
         if self._retry_timer is not None:
             self._retry_timer.cancel()
-        self._registry.part(self.registration)
+        self._session.remove_user(self.registration)
 
     def _flush(self) -> None:
-        self._registry.client.turn()
+        self._session.client.turn()
         self._on_events([])
 
     def _on_events(self, events: list[Event]) -> None:
--- /dev/null
+++ b/lugspur/discovery/registry_sessions.py
@@ -0,0 +1,75 @@
+"""Sessions with registries: one for each ensemble, shared by all sources and registrations that use it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from lugspur.discovery.endpoints import Address
+from lugspur.zookeeper.client import Client
+from lugspur.zookeeper.link import Machine
+from lugspur.zookeeper.session import Event, Terms
+
+#: Called after each turn of the session with what happened to it meanwhile.
+SessionListener = Callable[[list[Event]], None]
+
+
+@dataclass(frozen=True, slots=True)
+class Ensemble:
+    """The servers of a registry and the terms of a session with them; equal ones share a session."""
+
+    addresses: tuple[Address, ...]
+    terms: Terms
+
+
+class RegistrySession:
+    """One session with a registry, and the state machines that use it."""
+
+    def __init__(self, ensemble: Ensemble) -> None:
+        self.client = Client(ensemble.addresses, ensemble.terms, self._notify)
+        self.users: dict[Machine, SessionListener] = {}
+
+    def _notify(self, events: list[Event]) -> None:
+        for listener in tuple(self.users.values()):
+            listener(events)
+
+    def add_user(self, machine: Machine, listener: SessionListener) -> None:
+        """Let `machine` send requests; `listener` is called at once and after each turn of the session."""
+        self.users[machine] = listener
+        self.client.add(machine)
+        self.client.open()
+        listener([])
+
+    def remove_user(self, machine: Machine) -> None:
+        """Let `machine` send nothing more; raises KeyError unless it was added."""
+        del self.users[machine]
+        self.client.remove(machine)
+
+
+class RegistrySessions:
+    """All sessions of a process."""
+
+    def __init__(self) -> None:
+        self._sessions: dict[Ensemble, RegistrySession] = {}
+        self._closing: set[asyncio.Task[None]] = set()
+
+    def get(self, ensemble: Ensemble) -> RegistrySession:
+        """The session with these servers; it connects once it has a user."""
+        return self._sessions.setdefault(ensemble, RegistrySession(ensemble))
+
+    def close_unused(self) -> None:
+        """Close the sessions that have no users any more."""
+        for ensemble, session in tuple(self._sessions.items()):
+            if not session.users:
+                del self._sessions[ensemble]
+                task = asyncio.get_running_loop().create_task(session.client.close())
+                self._closing.add(task)
+                task.add_done_callback(self._closing.discard)
+
+    async def close(self) -> None:
+        """Close all sessions; returns when servers have confirmed it or their time for that is over."""
+        for session in self._sessions.values():
+            session.users.clear()
+        self.close_unused()
+        await asyncio.gather(*self._closing)
--- /dev/null
+++ b/lugspur/discovery/registry_source.py
@@ -0,0 +1,216 @@
+"""A pool's endpoint list from a directory of a registry.
+
+Changes are delivered at once; where a delivery takes long, what comes meanwhile is collected for the next one, so that
+1,000 changes a second do not take the whole CPU.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from dataclasses import dataclass, field, replace
+
+from lugspur.discovery.endpoints import Endpoint
+from lugspur.discovery.node_formats import RegistryNode
+from lugspur.discovery.registry_endpoints import EndpointChanges, RegistryEndpoints
+from lugspur.discovery.registry_sessions import Ensemble, RegistrySessions
+from lugspur.discovery.sources import UpdateListener
+from lugspur.discovery.staleness import RegistryStaleness
+from lugspur.load_balancing.model import ListUpdateKind, ServerState
+from lugspur.zookeeper import records as r
+from lugspur.zookeeper.session import Down, Event, Expired, Up
+from lugspur.zookeeper.view import Absent, News, Present, Unread, View, Whole
+
+READ_RETRY_DELAY_SECONDS = 5.0  # before a directory that could not be read is tried again
+#: A delivery waits for this many times what the one before took: a fifth of the CPU at most goes to deliveries...
+DELIVERY_PAUSE_FACTOR = 4.0
+#: ...but no longer than this: removals are to be obeyed 500 ms after the registry reported them.
+MAX_DELIVERY_PAUSE_SECONDS = 0.2
+READ_ERRORS = {int(r.Error.NO_NODE): "it does not exist yet", int(r.Error.NO_AUTH): "its access list forbids it"}
+
+
+@dataclass(slots=True)
+class _PendingUpdate:
+    """What is to be delivered next, by backend."""
+
+    removed: dict[int, Endpoint] = field(default_factory=dict)
+    present: dict[int, Endpoint] = field(default_factory=dict)
+    is_complete: bool = False  # whether `present` is the complete list
+
+    def __bool__(self) -> bool:
+        return bool(self.removed or self.present or self.is_complete)
+
+    def add(self, endpoint: Endpoint) -> None:
+        server = endpoint.row.server
+        if endpoint.row.state is ServerState.GONE:
+            self.present.pop(server, None)
+            self.removed[server] = endpoint
+        else:
+            self.present[server] = endpoint
+
+
+class RegistrySource:
+    """Follows a directory of a registry and delivers the endpoints that its nodes describe.
+
+    Where the pool knows no list yet, `static` endpoints are delivered by `open`; they stay until the directory has
+    been read.
+    """
+
+    def __init__(
+        self,
+        sessions: RegistrySessions,
+        ensemble: Ensemble,
+        directory: str,
+        nodes: RegistryEndpoints,
+        *,
+        stale_after: float,
+        static: list[Endpoint],
+        on_update: UpdateListener,
+        pool: str,
+    ) -> None:
+        """Prepare to follow `directory`.
+
+        stale_after: seconds without confirmation after which the list is reported as stale.
+        pool: name of the pool, for the log.
+        """
+        self._loop = asyncio.get_running_loop()
+        self._sessions, self._session = sessions, sessions.get(ensemble)
+        self._static = static
+        self._on_update = on_update
+        self._pool = pool
+        self._nodes = nodes
+        self.view = View(directory)
+        self.staleness = RegistryStaleness(stale_after, self._log, self._loop.time())
+        self._pending = _PendingUpdate()
+        self._delivered: dict[int, Endpoint] = {}
+        self._has_delivered_list = False  # whether a complete list was ever delivered
+        self._next_delivery_at = 0.0
+        self._delivery_timer: asyncio.TimerHandle | None = None
+        self._stale_timer: asyncio.TimerHandle | None = None
+        self._read_timer: asyncio.TimerHandle | None = None
+
+    def open(self) -> None:
+        """Begin to deliver."""
+        if self._static:
+            self._on_update(ListUpdateKind.COMPLETE, self._static)
+        self._session.add_user(self.view, self._on_events)
+
+    def close(self) -> None:
+        """Deliver nothing more."""
+        self._session.remove_user(self.view)
+        for timer in (self._delivery_timer, self._stale_timer, self._read_timer):
+            if timer is not None:
+                timer.cancel()
+        self._sessions.close_unused()
+
+    def _log(self, line: str) -> None:
+        print(f"lugspur: pool {self._pool}: {self.view.path}: {line}", file=sys.stderr, flush=True)
+
+    # ---- what the registry reports -------------------------------------------------------------
+
+    def _on_events(self, events: list[Event]) -> None:
+        now = self._loop.time()
+        for event in events:
+            if isinstance(event, Up):
+                self.staleness.record_connection(event.timeout)
+            elif isinstance(event, Expired):
+                self.staleness.record_session_expiry()
+            elif isinstance(event, Down):
+                self.staleness.record_disconnection(now, self._session.client.session.heard, event.reason)
+        for change in self.view.news():
+            self._receive(change, now)
+        self._deliver_soon(now)
+        self._check_staleness(now)
+
+    def _receive(self, change: News, now: float) -> None:
+        if isinstance(change, Whole):
+            nodes = {name: _registry_node(data) for name, data in change.nodes.items()}
+            changes = self._nodes.replace_all(nodes)
+            self._pending.present.clear()
+            self._pending.is_complete = True
+            self.staleness.record_list_read(now, len(self._nodes))
+        elif isinstance(change, Present):
+            changes = self._nodes.update_node(change.name, _registry_node(change.data))
+        elif isinstance(change, Absent):
+            changes = self._nodes.remove_node(change.name)
+        else:
+            self._receive_read_failure(change)
+            return
+        self._collect(changes)
+
+    def _collect(self, changes: EndpointChanges) -> None:
+        for endpoint in changes.endpoints:
+            self._pending.add(endpoint)
+        for line in changes.problems:
+            self._log(line)
+
+    def _receive_read_failure(self, failure: Unread) -> None:
+        self.staleness.record_read_failure(READ_ERRORS.get(failure.error, f"error {failure.error}"))
+        if self._read_timer is not None:
+            self._read_timer.cancel()
+        if failure.error != r.Error.NO_NODE:  # a watch reports the creation of a directory that does not exist
+            self._read_timer = self._loop.call_later(READ_RETRY_DELAY_SECONDS, self._retry_read)
+
+    def _retry_read(self) -> None:
+        self.view.again()
+        self._session.client.turn()
+
+    def _check_staleness(self, now: float) -> None:
+        self.staleness.tick(now)
+        if self._stale_timer is not None:
+            self._stale_timer.cancel()
+        due = self.staleness.next_tick_at()
+        if due != float("inf"):
+            self._stale_timer = self._loop.call_at(due, lambda: self._check_staleness(self._loop.time()))
+
+    # ---- what the pool receives ----------------------------------------------------------------
+
+    def _deliver_soon(self, now: float) -> None:
+        """Deliver now, or after the pause that the last delivery asks for."""
+        if not self._pending or self._delivery_timer is not None:
+            return
+        if now >= self._next_delivery_at:
+            self._deliver()
+        else:
+            self._delivery_timer = self._loop.call_at(self._next_delivery_at, self._deliver)
+
+    def _deliver(self) -> None:
+        """Deliver all that is pending, removals first: a node created again under its name is another process."""
+        started_at = self._loop.time()
+        self._delivery_timer = None
+        pending, self._pending = self._pending, _PendingUpdate()
+        if pending.removed:
+            self._on_update(ListUpdateKind.PATCH, list(pending.removed.values()))
+            for server in pending.removed:
+                self._delivered.pop(server, None)
+        if pending.is_complete:
+            self._deliver_list(pending.present)
+        elif pending.present:
+            self._on_update(ListUpdateKind.PATCH, list(pending.present.values()))
+            self._delivered.update(pending.present)
+        ended_at = self._loop.time()
+        pause = min(MAX_DELIVERY_PAUSE_SECONDS, DELIVERY_PAUSE_FACTOR * (ended_at - started_at))
+        self._next_delivery_at = ended_at + pause
+
+    def _deliver_list(self, endpoints: dict[int, Endpoint]) -> None:
+        """Deliver a complete list; after the first one only what differs.
+
+        After most gaps nothing does, and delivering 10,000 endpoints takes a while.
+        """
+        former, self._delivered = self._delivered, endpoints
+        if not self._has_delivered_list:
+            self._has_delivered_list = True
+            self._on_update(ListUpdateKind.COMPLETE, list(endpoints.values()))
+            return
+        removed = [
+            replace(known, row=replace(known.row, state=ServerState.GONE))
+            for server, known in former.items()
+            if server not in endpoints
+        ]
+        changed = [endpoint for server, endpoint in endpoints.items() if former.get(server) != endpoint]
+        if removed or changed:
+            self._on_update(ListUpdateKind.PATCH, removed + changed)
+
+
+def _registry_node(data: r.Data | None) -> RegistryNode | None:
+    return None if data is None else RegistryNode(data.data, data.stat.czxid, data.stat.mzxid, data.stat.ctime)
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -17,7 +17,7 @@
 from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.endpoints import Endpoint, server_id
-from lugspur.discovery.registry import Followed
+from lugspur.discovery.registry_source import RegistrySource
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.zookeeper.cluster import Cluster
@@ -185,9 +185,9 @@
                 folder.cluster.box(f"/boxes/{name}", box())
             await folder.knows(one=ServerState.UP, two=ServerState.UP)
             source = folder.up.daemon.stations["a"]._source
-            assert isinstance(source, Followed)
+            assert isinstance(source, RegistrySource)
             told: list[tuple[ListUpdateKind, set[int]]] = []
-            tell = source._told
+            tell = source._on_update
 
             def hear(kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
                 told.append((kind, {endpoint.row.server for endpoint in endpoints}))
@@ -196,7 +196,7 @@
             def lists() -> int:
                 return sum(server.asked[Op.GET_CHILDREN2] for server in folder.cluster.servers)
 
-            source._told = hear
+            source._on_update = hear
             for change in (False, True):
                 before = lists()
                 for server in folder.cluster.servers:
@@ -246,7 +246,7 @@
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
                 source = up.daemon.stations["a"]._source
-                assert isinstance(source, Followed)
+                assert isinstance(source, RegistrySource)
                 await until(lambda: source.staleness.next_tick_at() == float("inf"))  # shown as stale, and still served
                 assert status(await client.ask(ask())) == 200
                 cluster.write("/boxes/one", box(fixed.address))
