--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -29,8 +29,8 @@
     words,
 )
 from lugspur.discovery.endpoints import PROTOCOLS, Address
-from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN
 from lugspur.load_balancing.model import DeduplicationScope, RetrySafety
+from lugspur.load_balancing.retry_budget import DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS
 from lugspur.routing.model import WITHIN_MOST
 
 FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; membership/nodes.py reads them
@@ -235,9 +235,9 @@
 class Retries:
     """The budget of attempts beyond each request's first."""
 
-    free: float = option(number(0.0, 1e6), "so many in any span...", EXTRA_FREE)
-    part: float = option(number(0.0, 100.0), "...and so many for each request taken in it", EXTRA_SHARE)
-    span: float = option(duration(0.001, 3600.0), "the span", EXTRA_SPAN)
+    free: float = option(number(0.0, 1e6), "so many in any span...", DEFAULT_MINIMUM_RETRIES)
+    part: float = option(number(0.0, 100.0), "...and so many for each request taken in it", DEFAULT_RETRY_RATIO)
+    span: float = option(duration(0.001, 3600.0), "the span", DEFAULT_WINDOW_SECONDS)
 
 
 @dataclass(slots=True)
--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from lugspur.daemon.persistence.file import Pool
-from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 
 HALF = 300.0  # seconds in which an opinion loses half its weight: what makes a box slow often lasts minutes
@@ -57,9 +57,9 @@
 
 
 def _breaker(row: LearnedBreaker, pooled: float, weight: float, moved: float, now: float) -> LearnedBreaker:
-    width = WINDOW / BUCKETS
+    width = WINDOW_SECONDS / WINDOW_BUCKETS
     shift, last = round(moved / width), int(now / width)
-    window = tuple((n + shift, r, a, f) for n, r, a, f in row.window if last - BUCKETS < n + shift <= last)
+    window = tuple((n + shift, r, a, f) for n, r, a, f in row.window if last - WINDOW_BUCKETS < n + shift <= last)
     return LearnedBreaker(_drawn(row.baseline, pooled, weight), _drawn(row.current, pooled, weight), window)
 
 
--- a/lugspur/load_balancing/__init__.py
+++ b/lugspur/load_balancing/__init__.py
@@ -1,6 +1,6 @@
 """Load-balancing decisions for services that call services: a sans-I/O library."""
 
-from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import (
     Action,
@@ -27,8 +27,8 @@
 __all__ = [
     "Action",
     "Balancer",
-    "Breaker",
     "Cancel",
+    "CircuitBreaker",
     "DeduplicationScope",
     "DiscoveryMode",
     "Fail",
--- a/lugspur/load_balancing/admission.py
+++ b/lugspur/load_balancing/admission.py
@@ -87,19 +87,19 @@
         if self.settings.tier:
             return True
         pool = self.pool_of[kind]
-        shrink = min(1.0, ROOM_SLOPE * pool.breaker.failed_part(now))
+        shrink = min(1.0, ROOM_SLOPE * pool.breaker.failure_ratio(now))
         room = (1.0 - (1.0 - ROOM_LOST) * shrink) * self.room[kind]
         if over:
             room *= 1.0 - (1.0 - self.settings.over_quota_value) * shrink
         age = now - pool.born
         # Guards the start: nothing can have been served yet, and smoothed rates still count from zero.
-        served = pool.rate.read(now) * (1.0 if age < room else ROOM_TRIED)
-        served = max(served, pool.served.read(now))
+        served = pool.rate.per_second(now) * (1.0 if age < room else ROOM_TRIED)
+        served = max(served, pool.served.per_second(now))
         served /= 1.0 - exp(-max(age, 0.2) / 2.0)
         if pool.owed > room * served + self._always(pool):
             return False
-        if self.rng.random() < pool.breaker.error_ratio(now, self.accept_worth[kind], POOL_PROTECTION):
-            pool.breaker.refused(now)
+        if self.rng.random() < pool.breaker.error_probability(now, self.accept_worth[kind], POOL_PROTECTION):
+            pool.breaker.count_rejected(now)
             return False
         return True
 
--- a/lugspur/load_balancing/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -23,8 +23,7 @@
     ROOM_LEAST,
     SHARE_SPAN,
 )
-from lugspur.load_balancing.breaker import Breaker
-from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN, Budget
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
@@ -49,6 +48,12 @@
     Subscribe,
 )
 from lugspur.load_balancing.pick import Picker
+from lugspur.load_balancing.retry_budget import (
+    DEFAULT_MINIMUM_RETRIES,
+    DEFAULT_RETRY_RATIO,
+    DEFAULT_WINDOW_SECONDS,
+    RetryBudget,
+)
 from lugspur.load_balancing.servers import Attempt, Pool, Request, Server
 
 BACK_FROM, BACK_TO = 0.5, 3.0  # seconds after operators put a server back: its first call is due then
@@ -81,9 +86,9 @@
         self.pooled = 0.0  # current latency of the tier
         self.requests: dict[RequestId, Request] = {}
         rules = settings.rules
-        self.budget = Budget(EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN)
+        self.budget = RetryBudget(DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS)
         if rules.retry_budget_window > 0.0:
-            self.budget = Budget(
+            self.budget = RetryBudget(
                 rules.retry_budget_minimum, rules.retry_budget_ratio, rules.retry_budget_window
             )
         self.asking = False
@@ -126,7 +131,7 @@
         self.shares, self.due, self.due_at = fresh.shares, fresh.due, fresh.due_at
         self.room, self.accept_worth = fresh.room, fresh.accept_worth
         self.lengths, self.usual = fresh.lengths, fresh.usual
-        self.budget.adopt(fresh.budget)
+        self.budget.use_limits_of(fresh.budget)
         self._arrange(now)
 
     # ---- going on in another's place -------------------------------------------------------
@@ -147,15 +152,15 @@
                     s.down_until,
                     s.cold_credit,
                     s.cold_seen,
-                    s.breaker.save() if s.breaker is not None else None,
+                    s.breaker.export_learned() if s.breaker is not None else None,
                 )
                 for s in found
             ),
             tuple(
                 LearnedPool(
-                    (p.rate.save(), p.sent.save(), p.served.save()),
+                    (p.rate.export_learned(), p.sent.export_learned(), p.served.export_learned()),
                     p.born if p.born < float("inf") else None,
-                    p.breaker.save(),
+                    p.breaker.export_learned(),
                 )
                 for p in self.pools
             ),
@@ -178,14 +183,14 @@
             server.downs, server.down_until = known.downs, known.down_until
             server.cold_credit, server.cold_seen = known.cold_credit, known.cold_seen
             if known.breaker is not None:
-                server.breaker = Breaker()
-                server.breaker.load(known.breaker)
+                server.breaker = CircuitBreaker()
+                server.breaker.import_learned(known.breaker)
         if len(learned.pools) == len(self.pools):
             for pool, saved in zip(self.pools, learned.pools, strict=True):
                 for rate, value in zip((pool.rate, pool.sent, pool.served), saved.rates, strict=True):
-                    rate.load(value)
+                    rate.import_learned(value)
                 pool.born = float("inf") if saved.born is None else saved.born
-                pool.breaker.load(saved.breaker)
+                pool.breaker.import_learned(saved.breaker)
         self._resize(now)
 
     def reinstate(self, now: float, server_id: ServerId) -> None:
@@ -301,9 +306,9 @@
         request = Request(rid, kind, deadline, self.settings.limits.max_attempts)
         request.until = self._worth_until(now, kind, deadline, retry)
         self.requests[rid] = request
-        self.budget.take(now)
+        self.budget.count_request(now)
         pool = self.pool_of[kind]
-        pool.rate.add(now)
+        pool.rate.count(now)
         if now >= self.look_at:
             self._resize(now)
         out: list[Action] = []
@@ -330,8 +335,8 @@
         timeout = self.settings.classes[request.kind].latency_target
         for server in self._offers(now, request, among, first):
             if server.breaker is None:
-                server.breaker = Breaker()
-            if not server.breaker.refuses(now, timeout, self.rng):
+                server.breaker = CircuitBreaker()
+            if not server.breaker.rejects(now, timeout, self.rng):
                 break
         else:
             return False
@@ -339,11 +344,11 @@
         if server.cold_credit > 0.0:
             server.cold_credit -= 1.0
         if request.attempts:
-            self.budget.spend(now)
+            self.budget.count_retry(now)
         attempt = Attempt(server, now)
         if not request.partial:
             server.out[attempt] = None
-        self.pool_of[request.kind].sent.add(now)
+        self.pool_of[request.kind].sent.count(now)
         request.attempts.append(attempt)
         request.open += 1
         within = request.until - now if request.until < request.deadline else 0.0
@@ -352,7 +357,7 @@
 
     def _again(self, now: float, request: Request, out: list[Action]) -> bool:
         """Try a further attempt within the rules and the retry budget."""
-        if request.done or request.bound or now >= request.until or not self.budget.allows(now):
+        if request.done or request.bound or now >= request.until or not self.budget.allows_retry(now):
             return False
         if len(request.attempts) >= request.most:
             return False
@@ -364,7 +369,7 @@
         # refusing work does not cure them. Could harm: an overloaded tier that fails fast, as proxies that
         # refuse make it, shows in what is owed alone.
         if any(attempt.strained for attempt in request.attempts):
-            self.pool_of[request.kind].breaker.failed(now)
+            self.pool_of[request.kind].breaker.count_failed(now)
         kind = self.settings.classes[request.kind]
         free = kind.retry_safety is RetrySafety.SAFE or (
             kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
@@ -446,8 +451,8 @@
                 self.requests.pop(rid, None)
         elif last or how is Outcome.OK:
             pool = self.pool_of[request.kind]
-            pool.served.add(now)
-            pool.breaker.accepted(now)
+            pool.served.count(now)
+            pool.breaker.count_accepted(now)
             self._finish(request, out)
         elif not request.open and not self._again(now, request, out):
             self._answer(now, request, out)
@@ -464,14 +469,14 @@
         elif how in (Outcome.OK, Outcome.ERROR):
             server.took()
         if how is Outcome.OK:
-            breaker.accepted(now)
-            if breaker.current <= 0.0 and self.pooled > 0.0:
-                breaker.sample(min(latency, self.pooled))  # no baseline from one slow answer alone
-            breaker.sample(latency)
+            breaker.count_accepted(now)
+            if breaker.current_latency <= 0.0 and self.pooled > 0.0:
+                breaker.observe_latency(min(latency, self.pooled))  # no baseline from one slow answer alone
+            breaker.observe_latency(latency)
             server.learn(now, latency)
             self.pooled += (latency - self.pooled) / 32.0 if self.pooled > 0.0 else latency
         elif how is not Outcome.CANCELLED:
-            breaker.failed(now)
+            breaker.count_failed(now)
             # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
             server.learn(now, max(latency, timeout))
 
--- a/lugspur/load_balancing/pick.py
+++ b/lugspur/load_balancing/pick.py
@@ -38,7 +38,7 @@
         for pool in self.pools:
             total = sum(s.row.weight or 1.0 for s in pool.ready)
             mean = total / max(1, len(pool.ready))
-            want = mean * (1.0 + WORKING_SPREAD * sqrt(pool.rate.read(now) * self.pooled))
+            want = mean * (1.0 + WORKING_SPREAD * sqrt(pool.rate.per_second(now) * self.pooled))
             step = total / self.settings.instance_count  # only whole steps cover every server alike
             pool.width = min(total, step * max(1, round(want / step))) if total else 0.0
             pool.begin = step * self.settings.instance_index
@@ -102,7 +102,7 @@
         scores = {s: s.score(now, pooled) for s in self._candidates(now, request, among, first)}
         if first and all(s.out or s.down_until > now or s.mostly_fails(now) for s in scores):
             pool = self.pool_of[request.kind]
-            unseen = pool.sent.read(now) * self.pooled / max(1, len(pool.working))
+            unseen = pool.sent.per_second(now) * self.pooled / max(1, len(pool.working))
             for server in self._candidates(now, request, pool.ready, False):
                 if server not in pool.working:
                     scores[server] = server.score(now, pooled, unseen)
--- a/lugspur/load_balancing/servers.py
+++ b/lugspur/load_balancing/servers.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from random import Random
 
-from lugspur.load_balancing.breaker import Breaker
-from lugspur.load_balancing.budget import Rate
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
+from lugspur.load_balancing.event_rate import EventRate
 from lugspur.load_balancing.model import DeduplicationScope, RequestId, ServerRow
 
 DOWN_FIRST = 0.5  # seconds for which a server is left alone that took no connection, or no request...
@@ -31,7 +31,7 @@
 
     def __init__(self, row: ServerRow) -> None:
         self.row = row
-        self.breaker: Breaker | None = None  # made at the first call: most rows of a big list see none
+        self.breaker: CircuitBreaker | None = None  # made at the first call: most rows of a big list see none
         self.out: dict[Attempt, None] = {}  # attempts in flight, oldest first
         self.latency = 0.0  # the breaker's current latency, failures counted as the time-out
         self.seen = 0.0
@@ -75,7 +75,7 @@
 
     def mostly_fails(self, now: float) -> bool:
         """Whether it is an outlier by its breaker."""
-        return self.breaker is not None and self.breaker.mostly_fails(now)
+        return self.breaker is not None and self.breaker.is_outlier(now)
 
 
 class Attempt:
@@ -166,10 +166,14 @@
         self.groups: dict[
             tuple[DeduplicationScope, int], list[Server]
         ] = {}  # which servers drop each other's repeats
-        self.rate, self.sent, self.served = Rate(), Rate(), Rate()  # requests offered, attempts, served
+        self.rate, self.sent, self.served = (
+            EventRate(),
+            EventRate(),
+            EventRate(),
+        )  # requests offered, attempts, served
         self.born = float("inf")  # when the first request came
         self.owed = 0  # requests that a final answer is owed for
-        self.breaker = Breaker()  # of requests, whichever servers they went to
+        self.breaker = CircuitBreaker()  # of requests, whichever servers they went to
         self.warm_from = float("inf")  # when the next of the cold servers is warm
         self.warm_part = 1.0
 
@@ -184,5 +188,5 @@
 
         By calls sent: refused clients come back and count again. Where all are cold, by calls offered.
         """
-        rate = self.warm_part * self.sent.read(now) + (1.0 - self.warm_part) * self.rate.read(now)
+        rate = self.warm_part * self.sent.per_second(now) + (1.0 - self.warm_part) * self.rate.per_second(now)
         return rate / max(1, len(self.working))
--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -7,7 +7,7 @@
 
 from cachetools import LRUCache
 
-from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import Refusal
 
@@ -37,16 +37,16 @@
         self.id, self.service, self.ip, self.zone = ident, service, ip, zone
         self.berths = 1
         # One for each route: a gate that turns away what may wait says nothing of what may not.
-        self.breakers: LRUCache[str, Breaker] = LRUCache(BREAKERS_MOST)
+        self.breakers: LRUCache[str, CircuitBreaker] = LRUCache(BREAKERS_MOST)
         self.latency = 0.0  # in units of the route's pace; failures count as LATE
         self.inflight = 0
         self.cold_until = self.rests_until = 0.0
 
-    def breaker(self, route: str) -> Breaker:
+    def breaker(self, route: str) -> CircuitBreaker:
         """The breaker of a route's calls to this backend."""
         found = self.breakers.get(route)
         if found is None:
-            found = self.breakers[route] = Breaker()
+            found = self.breakers[route] = CircuitBreaker()
         return found
 
     def learn(self, latency: float) -> None:
@@ -76,14 +76,14 @@
     refusals: tuple[Refusal, ...] = ()
     for endpoint in sorted(_draw_two(ready, zone, rng), key=cost):
         breaker = endpoint.breaker(route.name)
-        if not breaker.refuses(now, timeout, rng):
+        if not breaker.rejects(now, timeout, rng):
             return endpoint
         refusals += (_refusal(endpoint.id, breaker, now, timeout),)
     return refusals
 
 
-def _refusal(ident: str, breaker: Breaker, now: float, timeout: float) -> Refusal:
-    errors, latency = breaker.error_ratio(now), breaker.latency_ratio(timeout)
+def _refusal(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> Refusal:
+    errors, latency = breaker.error_probability(now), breaker.latency_probability(timeout)
     return Refusal(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
 
 
--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from lugspur.load_balancing.budget import Budget
+from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.claims import Settled
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.dataplane.endpoints import Endpoint
@@ -80,7 +80,7 @@
     def request_closed(self, request: OpenRequest) -> None:
         """Note that a request has been answered, or that its caller has disconnected."""
 
-    def budget(self, service: str) -> Budget:
+    def budget(self, service: str) -> RetryBudget:
         """Return this process's part of the service's retry budget."""
 
     def reservation_id(self, attempt: bytes) -> bytes:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -82,7 +82,7 @@
             reject(self.caller, Kind.TOO_LATE)
             return
         proxy.request_opened(self)
-        proxy.budget(self.service).take(now)
+        proxy.budget(self.service).count_request(now)
         self.caller.gone = self._gone
         self._timer = loop.call_at(self.deadline + MARGIN, self._late)
         if self.key:
@@ -156,7 +156,7 @@
         endpoint.inflight += 1
         self.sends += 1
         if self.sends > 1:
-            self.proxy.budget(self.service).spend(now)
+            self.proxy.budget(self.service).count_retry(now)
         check(self.sends <= self.route.max_attempts, Invariant.TRIES, attempt=self.attempt, sends=self.sends)
         self.out[number] = (endpoint, now, NOT_UNDER_WAY)
         carried = self.proxy.carrier.carry(endpoint.ip, forward, lambda reply: self._replied(number, reply))
@@ -180,7 +180,7 @@
         now = self.proxy.loop.time()
         if self.over or len(self.out) != 1 or self.sends >= self.route.max_attempts:
             return  # a further try may have been sent since the hedge was set
-        if self.proxy.budget(self.service).allows(now):
+        if self.proxy.budget(self.service).allows_retry(now):
             self._go(now, True)
 
     def _write_lines(self) -> list[bytes]:
@@ -216,8 +216,8 @@
                 )
                 relative = took / route.average_latency
                 breaker = endpoint.breaker(route.name)
-                breaker.accepted(now)
-                breaker.sample(relative)
+                breaker.count_accepted(now)
+                breaker.observe_latency(relative)
                 endpoint.learn(relative)
             else:
                 self._failed(now, endpoint)
@@ -235,7 +235,7 @@
             if not reply.was_sent:
                 self.sends -= 1  # no backend was offered it
             if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
-                endpoint.breaker(route.name).failed(now)
+                endpoint.breaker(route.name).count_failed(now)
                 endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
         else:
             self._failed(now, endpoint)
@@ -259,7 +259,7 @@
         self.steps.append(Step(endpoint.id, since - arrived, now - since, RequestOutcome(reply.outcome).label, cause))
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
-        endpoint.breaker(self.route.name).failed(now)
+        endpoint.breaker(self.route.name).count_failed(now)
         endpoint.learn(LATE)
 
     def _again(self, now: float) -> bool:
@@ -270,7 +270,7 @@
             return False
         if self.rounds >= ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
             return False
-        if self.sends and not self.proxy.budget(self.service).allows(now):
+        if self.sends and not self.proxy.budget(self.service).allows_retry(now):
             return False
         return self._go(now, True)
 
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from lugspur.load_balancing.budget import Budget
+from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.errors import Kind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
@@ -45,7 +45,7 @@
         self.zone = zone
         self.proxies = 1  # how many share the budget
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self.sender = ""  # the service of this machine
         self.open_requests: set[OpenRequest] = set()
         self._life = os.urandom(8).hex().encode()
@@ -67,12 +67,12 @@
         else:
             self.services.pop(service, None)
 
-    def budget(self, service: str) -> Budget:
+    def budget(self, service: str) -> RetryBudget:
         """This process's part of the service's retry budget."""
         found = self.budgets.get(service)
         if found is None:
-            found = self.budgets[service] = Budget(0.0, self._ratio, self._span)
-        found.allot(self._slack / max(1, self.proxies))
+            found = self.budgets[service] = RetryBudget(0.0, self._ratio, self._span)
+        found.set_minimum(self._slack / max(1, self.proxies))
         return found
 
     def reservation_id(self, attempt: bytes) -> bytes:
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -79,5 +79,5 @@
         "reached": reached,
         "in_flight": endpoint.inflight,
         "latency": round(endpoint.latency, 3),
-        "refuses": {name: round(breaker.error_ratio(now), 3) for name, breaker in endpoint.breakers.items()},
+        "refuses": {name: round(breaker.error_probability(now), 3) for name, breaker in endpoint.breakers.items()},
     }
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -14,7 +14,7 @@
 from lugspur.daemon.persistence.aging import BEYOND, HALF, age_of, aged
 from lugspur.daemon.persistence.file import Pool
 from lugspur.discovery.endpoints import Endpoint
-from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
@@ -43,7 +43,7 @@
     for row, was in zip(later.servers, pool.learned.servers, strict=True):
         assert row.seen == pytest.approx(was.seen + 5000.0)
         assert row.breaker is not None and was.breaker is not None
-        shift = round(5000.0 / (WINDOW / BUCKETS))
+        shift = round(5000.0 / (WINDOW_SECONDS / WINDOW_BUCKETS))
         assert set(row.breaker.window) <= {(n + shift, r, a, f) for n, r, a, f in was.breaker.window}
 
 
@@ -77,10 +77,10 @@
     assert found is not None
     assert all(isfinite(value) for value in numbers(found))
     assert all(row.seen <= now for row in found.servers)
-    last = int(now / (WINDOW / BUCKETS))
+    last = int(now / (WINDOW_SECONDS / WINDOW_BUCKETS))
     for row in found.servers:
         if row.breaker is not None:
-            assert all(last - BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
+            assert all(last - WINDOW_BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
     after(rows, found, now)
 
 
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -420,7 +420,7 @@
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
-        assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
+        assert endpoint.rests_until == 0.0 and not endpoint.breaker("r").failure_ratio(rig.proxy.loop.time())
 
     play(what, kind=kind)
 
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -63,11 +63,11 @@
         rid = f"r{number}"
         one.request(1.0, rid)
         one.finish_attempt(1.0, rid, 0, Outcome.INTERRUPTED, 0.0)
-    spent = len(one.budget._extra)
+    spent = len(one.budget._retries)
     one.change_settings(
         1.0, replace(one.settings, classes=(replace(READ, latency_target=0.9),)) if not one.requests else one.settings
     )
-    assert len(one.budget._extra) == spent > 0
+    assert len(one.budget._retries) == spent > 0
 
 
 def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -4,50 +4,50 @@
 
 import pytest
 
-from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 
 
 def test_error_ratio_with_k_falling() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     for _ in range(20):
-        b.failed(0.0)
+        b.count_failed(0.0)
     # one failing bucket of 40: k does not matter without accepts; (20 - 5) / 21
-    assert b.error_ratio(0.0) == pytest.approx(15 / 21)
-    b.accepted(0.0)
+    assert b.error_probability(0.0) == pytest.approx(15 / 21)
+    b.count_accepted(0.0)
     # an accept ends the run of failing buckets: (21 - 5 - 1.5) / 22
-    assert b.error_ratio(0.0) == pytest.approx(14.5 / 22)
-    b.failed(0.3)
+    assert b.error_probability(0.0) == pytest.approx(14.5 / 22)
+    b.count_failed(0.3)
     # one newest bucket failed only: k = 1.5 - 0.4 / 40 = 1.49; (22 - 5 - 1.49) / 23
-    assert b.error_ratio(0.3) == pytest.approx(15.51 / 23)
+    assert b.error_probability(0.3) == pytest.approx(15.51 / 23)
 
 
 def test_protection_and_window() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     for _ in range(5):
-        b.failed(0.0)
-    assert b.error_ratio(0.0) == 0.0
-    b.failed(0.0)
-    assert b.error_ratio(9.9) == pytest.approx(1 / 7)
-    assert b.error_ratio(10.0) == 0.0  # bucket 0 has left the window
+        b.count_failed(0.0)
+    assert b.error_probability(0.0) == 0.0
+    b.count_failed(0.0)
+    assert b.error_probability(9.9) == pytest.approx(1 / 7)
+    assert b.error_probability(10.0) == 0.0  # bucket 0 has left the window
 
 
 def test_local_refusals_count_as_requests() -> None:
-    b = Breaker()
+    b = CircuitBreaker()
     for _ in range(6):
-        b.refused(0.0)
-    assert b.error_ratio(0.0) == pytest.approx(1 / 7)
+        b.count_rejected(0.0)
+    assert b.error_probability(0.0) == pytest.approx(1 / 7)
 
 
 def test_both_averages() -> None:
-    b = Breaker()
-    b.sample(0.1)
-    assert (b.baseline, b.current) == (0.1, 0.1)
-    b.sample(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
-    assert b.baseline == pytest.approx(0.104)
-    assert b.current == pytest.approx(0.2)
-    b.sample(0.004)  # down: (0.004 + 3 * 0.104) / 4 and (0.004 + 3 * 0.2) / 4
-    assert b.baseline == pytest.approx(0.079)
-    assert b.current == pytest.approx(0.151)
+    b = CircuitBreaker()
+    b.observe_latency(0.1)
+    assert (b.baseline_latency, b.current_latency) == (0.1, 0.1)
+    b.observe_latency(0.5)  # up: (0.5 + 99 * 0.1) / 100 and (0.5 + 3 * 0.1) / 4
+    assert b.baseline_latency == pytest.approx(0.104)
+    assert b.current_latency == pytest.approx(0.2)
+    b.observe_latency(0.004)  # down: (0.004 + 3 * 0.104) / 4 and (0.004 + 3 * 0.2) / 4
+    assert b.baseline_latency == pytest.approx(0.079)
+    assert b.current_latency == pytest.approx(0.151)
 
 
 @pytest.mark.parametrize(
@@ -63,19 +63,19 @@
     ],
 )
 def test_latency_ratio(baseline: float, current: float, timeout: float, expected: float) -> None:
-    b = Breaker()
-    b.baseline, b.current = baseline, current
-    assert b.latency_ratio(timeout) == pytest.approx(expected)
+    b = CircuitBreaker()
+    b.baseline_latency, b.current_latency = baseline, current
+    assert b.latency_probability(timeout) == pytest.approx(expected)
 
 
 def test_larger_term_wins_and_one_call_a_second_passes() -> None:
-    b = Breaker()
-    b.baseline, b.current = 0.1, 5.0
-    assert b.drop_probability(0.0, 1.0) == pytest.approx(0.3)
+    b = CircuitBreaker()
+    b.baseline_latency, b.current_latency = 0.1, 5.0
+    assert b.rejection_probability(0.0, 1.0) == pytest.approx(0.3)
     for _ in range(500):
-        b.failed(0.0)
-    assert b.drop_probability(0.0, 1.0) == pytest.approx(495 / 501)
+        b.count_failed(0.0)
+    assert b.rejection_probability(0.0, 1.0) == pytest.approx(495 / 501)
     rng = Random(1)
-    assert not b.refuses(0.0, 1.0, rng)  # the forced pass
-    assert sum(b.refuses(0.5, 1.0, rng) for _ in range(20)) >= 18
-    assert not b.refuses(b.last_pass + 1.0, 1.0, rng)
+    assert not b.rejects(0.0, 1.0, rng)  # the forced pass
+    assert sum(b.rejects(0.5, 1.0, rng) for _ in range(20)) >= 18
+    assert not b.rejects(b.last_passed_at + 1.0, 1.0, rng)
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -394,7 +394,7 @@
     b.request(100.0, "r", 0, 0, 104.0)
     b.finish_attempt(100.9, "r", 0, Outcome.OK, 0.9, True)
     breaker = b.servers[1].breaker
-    assert breaker is not None and breaker.baseline < 0.11
+    assert breaker is not None and breaker.baseline_latency < 0.11
 
 
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 4), (80, 3)])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from lugspur.load_balancing import budget, decide, servers
+from lugspur.load_balancing import decide, retry_budget, servers
 from lugspur.load_balancing.model import (
     DeduplicationScope,
     DiscoveryMode,
@@ -230,7 +230,7 @@
 
 
 def test_a_module_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(budget.Budget, "allows", lambda self, now: True)
+    monkeypatch.setattr(retry_budget.RetryBudget, "allows_retry", lambda self, now: True)
     with pytest.raises(AssertionError, match="beyond the attempt budget"):
         spend(True)
 
