--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -20,12 +20,13 @@
 from lugspur.http1.upstream import Connection, Exchange
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, ForwardRequest
-from lugspur.mesh.dataplane import proxied_request
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane import backend_exchange, proxied_request
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
-from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
 from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
@@ -82,7 +83,7 @@
     return False
 
 
-_heard = Freshness.heard
+_heard = Freshness.receive
 
 
 def _count_words_of_the_deaf(self: Freshness, now: float, ip: str, delta: Delta) -> float:
@@ -90,7 +91,9 @@
     return _heard(self, now, ip, delta)
 
 
-def _any_life_is_present(self: BackendIncarnations, now: float, ident: str, sequence: int, silent: bool) -> bool:
+def _any_incarnation_is_present(
+    self: BackendIncarnations, now: float, ident: str, sequence: int, has_ended: bool
+) -> bool:
     return True
 
 
@@ -106,7 +109,7 @@
     return False
 
 
-def _all_is_proven(self: RequestOutcomes, life: str, number: int) -> bool:
+def _all_is_proven(self: UnrunRequests, life: str, number: int) -> bool:
     return True
 
 
@@ -122,15 +125,13 @@
     SoakGuard("a request runs at the life that it names", ConcurrencyLimiter, "accepts", _takes_any_life),
     SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
     SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
-    SoakGuard(
-        "an answer bears its request's id", ConcurrencyLimiter, "_is_valid_response", staticmethod(_sound_whatever_came)
-    ),
+    SoakGuard("an answer bears its request's id", backend_exchange, "is_valid_response", _sound_whatever_came),
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
-    SoakGuard("only what never came is proven so", RequestOutcomes, "proven_unrun", _all_is_proven),
-    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
-    SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
+    SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
+    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_incarnation_is_present),
+    SoakGuard("a voter's word counts only while it hears us", Freshness, "receive", _count_words_of_the_deaf),
 ]
 
 GUARDS = [
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -11,8 +11,8 @@
 from lugspur.emulator.control.operators import CALLER_WAITS, TRIES, Operators
 from lugspur.emulator.control.register_world import SERVICE
 from lugspur.emulator.control.settings import Setting
+from lugspur.mesh.control.change_requests import Confirmed
 from lugspur.mesh.control.messages import Entry
-from lugspur.mesh.control.orders import Confirmed
 from lugspur.mesh.control.quorum import majority
 
 WELL_WITHIN = 20.0  # seconds after the last fault until all has to be well
@@ -93,7 +93,7 @@
         world, rng = self.world, self.rng
         proxy = rng.choice(list(world.proxies.values()))
         world.hear(proxy)
-        proxy.claims.look(world.now)
+        proxy.claims.tick(world.now)
         if len(proxy.claims) > CLAIMS_OPEN:
             return
         self.claims += 1
@@ -112,8 +112,8 @@
         membership = nodes[0].replica.membership
         if membership is None or {node.replica.index for node in nodes} != {self.world.chain.last}:
             return False
-        wanted = min(self.setting.tolerance.voters, len(nodes))
-        complete = [node for node in nodes if node.replica.complete]
+        wanted = min(self.setting.tolerance.voter_count, len(nodes))
+        complete = [node for node in nodes if node.replica.is_complete]
         if len(membership.voters) < wanted or len(complete) < majority(len(membership.voters)):
             return False
         return all(node.age(self.world.now) < 1.0 for node in nodes)
--- a/lugspur/management/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The second address: calls of operators to one running proxy."""
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -25,8 +25,8 @@
         "epoch": replica.epoch,
         "index": replica.index,
         "voter": replica.is_voter,
-        "complete": replica.complete,
-        "pending": replica.register.pending,
+        "complete": replica.is_complete,
+        "pending": replica.register.has_pending_change,
         "voters": [] if replica.membership is None else [voter.ip for voter in replica.membership.voters],
         "voters_wanted": voters_wanted,
         "age_s": round(min(1e6, age), 3),
@@ -41,8 +41,8 @@
             for ip, p in presences_of(store).items()
         },
         "entries": kinds,
-        "configuration_bytes": replica.register.bytes,
-        "claims": len(replica.claims),
+        "configuration_bytes": replica.register.size_bytes,
+        "claims": len(replica.reservations),
         "subscribers": subscribers,
         "disk": {"commits": disk.commits, "fault": disk.fault},
     }
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -5,10 +5,16 @@
 import asyncio
 
 from lugspur.invariants import Invariant, check
-from lugspur.mesh.control.claims import Known, Settled, Taken, Unsettled, Won
-from lugspur.mesh.control.errors import Kind
+from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
-from lugspur.mesh.dataplane.endpoints import Endpoint, pick
+from lugspur.mesh.control.reservation_client import (
+    Acquired,
+    AlreadyCompleted,
+    ReservationOutcome,
+    TakenByAnother,
+    Undecided,
+)
+from lugspur.mesh.dataplane.endpoints import Endpoint, select_endpoint
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.interfaces import RequestHost, SentRequest
 from lugspur.mesh.dataplane.rejection import reject
@@ -31,7 +37,12 @@
 GONE = "gone"  # how a request ends whose caller has left
 BACKEND_FAILED = "backend-failed"  # ...and one whose backend answered with a failure of its own
 #: How a claim ended, as accounts of failed requests say it.
-CLAIM_LABELS: dict[type[Settled], str] = {Won: "won", Known: "known", Taken: "taken", Unsettled: "unsettled"}
+CLAIM_LABELS: dict[type[ReservationOutcome], str] = {
+    Acquired: "won",
+    AlreadyCompleted: "known",
+    TakenByAnother: "taken",
+    Undecided: "unsettled",
+}
 LATE = 3.0  # how much a failure counts as, in usual latencies: a backend that fails fast must not look quick
 
 
@@ -78,8 +89,8 @@
         proxy, loop = self.proxy, self.proxy.loop
         now = loop.time()
         if now >= self.deadline:
-            self._record(Kind.TOO_LATE.value)
-            reject(self.caller, Kind.TOO_LATE)
+            self._record(ErrorKind.TOO_LATE.value)
+            reject(self.caller, ErrorKind.TOO_LATE)
             return
         proxy.request_opened(self)
         proxy.budget(self.service).count_request(now)
@@ -91,19 +102,19 @@
         else:
             self._go(now)
 
-    def _claimed(self, how: Settled) -> None:
+    def _claimed(self, how: ReservationOutcome) -> None:
         self.claim = CLAIM_LABELS[type(how)]
-        self.won = isinstance(how, Won)
+        self.won = isinstance(how, Acquired)
         if self.over:
             self._release_unrun()
         elif self.won:
             self._go(self.proxy.loop.time())
-        elif isinstance(how, Known):
-            self._answer(how.answer)
-        elif isinstance(how, Taken):
-            self._refuse(Kind.KEY_BUSY if how.busy else Kind.KEY_SPENT)
+        elif isinstance(how, AlreadyCompleted):
+            self._answer(how.response)
+        elif isinstance(how, TakenByAnother):
+            self._refuse(ErrorKind.KEY_BUSY if how.is_running else ErrorKind.KEY_SPENT)
         else:
-            self._refuse(Kind.NO_QUORUM)
+            self._refuse(ErrorKind.NO_QUORUM)
 
     # ---- the pick ------------------------------------------------------------------------
 
@@ -112,9 +123,9 @@
         known = proxy.services.get(self.service, {})
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.tried]
         reached = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
-        rested = [endpoint for endpoint in reached if now >= endpoint.rests_until]
+        rested = [endpoint for endpoint in reached if now >= endpoint.deprioritised_until]
         # Those that have just turned one away come last, but before a refusal: asking a gate costs no backend anything.
-        found = pick(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        found = select_endpoint(rested or reached, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
         if isinstance(found, Endpoint):
             return found
         proxy.count("breaker-refused" if reached else "none-ready")
@@ -153,7 +164,7 @@
             self.reservation_id,
             self.back,
         )
-        endpoint.inflight += 1
+        endpoint.in_flight += 1
         self.sends += 1
         if self.sends > 1:
             self.proxy.budget(self.service).count_retry(now)
@@ -200,9 +211,9 @@
             self._proved_later(reply)
             return
         endpoint, since, _ = self.out.pop(number)
-        endpoint.inflight -= 1
+        endpoint.in_flight -= 1
         self._note(endpoint, since, reply)
-        check(endpoint.inflight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
+        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
         loop = self.proxy.loop
         now = loop.time()
         # Guards the first answer on a route against a division by nothing: the loop counts whole milliseconds.
@@ -218,7 +229,7 @@
                 breaker = endpoint.breaker(route.name)
                 breaker.count_accepted(now)
                 breaker.observe_latency(relative)
-                endpoint.learn(relative)
+                endpoint.record_latency(relative)
             else:
                 self._failed(now, endpoint)
             if self.over:
@@ -236,7 +247,7 @@
                 self.sends -= 1  # no backend was offered it
             if reply.cause != FailureCause.CANCELLED:  # what was withdrawn says nothing of its backend
                 endpoint.breaker(route.name).count_failed(now)
-                endpoint.rests_until = now + REST * (0.5 + self.proxy.rng.random())
+                endpoint.deprioritised_until = now + REST * (0.5 + self.proxy.rng.random())
         else:
             self._failed(now, endpoint)
             self.maybe = True
@@ -260,7 +271,7 @@
 
     def _failed(self, now: float, endpoint: Endpoint) -> None:
         endpoint.breaker(self.route.name).count_failed(now)
-        endpoint.learn(LATE)
+        endpoint.record_latency(LATE)
 
     def _again(self, now: float) -> bool:
         """Whether it goes on: something is under way, or another backend may have it."""
@@ -283,13 +294,13 @@
     def _give_up(self) -> None:
         """Nobody will run it: refused where that is proven, else failed."""
         if self.maybe and not self.route.is_safe:
-            self._refuse(Kind.MAYBE_RAN)
+            self._refuse(ErrorKind.MAYBE_RAN)
             return
-        self._refuse(Kind.MAYBE_RAN if self.maybe else Kind.NO_BACKEND)
+        self._refuse(ErrorKind.MAYBE_RAN if self.maybe else ErrorKind.NO_BACKEND)
 
     def _late(self) -> None:
         if not self.over:
-            self._refuse(Kind.TOO_LATE)
+            self._refuse(ErrorKind.TOO_LATE)
 
     def _release_unrun(self) -> None:
         """Give the claim back once the request is over, nothing of it is under way, and nothing ran.
@@ -310,7 +321,7 @@
             self._record(BACKEND_FAILED)
         self.caller.answer(answer.status, answer.head, answer.body)
 
-    def _refuse(self, kind: Kind) -> None:
+    def _refuse(self, kind: ErrorKind) -> None:
         self._record(kind.value)
         self._finish()
         reject(self.caller, kind, self.deadline - self.proxy.loop.time())
@@ -321,7 +332,7 @@
         Guards its caller against a connection that ends without an answer.
         """
         if not self.over:
-            self._refuse(Kind.MAYBE_RAN if self.out or self.maybe or self.ran else Kind.LEAVING)
+            self._refuse(ErrorKind.MAYBE_RAN if self.out or self.maybe or self.ran else ErrorKind.LEAVING)
 
     def _gone(self) -> None:
         """Its caller has left."""
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -16,7 +16,8 @@
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.settings_watcher import SettingsWatcher
-from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Dialer, Link
+from lugspur.mesh.transport.dialer import Dialer
+from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Link
 
 TICK_SECONDS = 0.1  # between two calls of `tick`
 HEARTBEAT_FRACTION = 1 / 8  # of `edition_ms`: how often an update says that nothing has changed
@@ -105,7 +106,7 @@
             )
         for ip in [ip for ip in self.peers if ip not in wanted and not self.needs_peer(ip)]:
             self.peers.pop(ip).close()
-            self.freshness.lost(ip)
+            self.freshness.disconnected(ip)
             self.positions.pop(ip, None)
 
     def keepalive_idle_seconds(self, ip: str) -> int:
@@ -125,7 +126,7 @@
 
     def disconnected(self, dialer: Dialer) -> None:
         """A connection that this process dialled has ended."""
-        self.freshness.lost(dialer.ip)
+        self.freshness.disconnected(dialer.ip)
 
     def send_to(self, ip: str, message: Message) -> None:
         """Send a message to a peer; it is dropped where there is no connection."""
@@ -158,7 +159,7 @@
         """Ask a peer for all updates from now on, and report to it what this process says of itself."""
         if dialer.link is not None:
             incarnation, sequence = self.positions.get(dialer.ip, FollowedPosition("", 0))
-            self.freshness.asked(self.loop.time(), dialer.ip)
+            self.freshness.subscribed(self.loop.time(), dialer.ip)
             dialer.link.send(Subscribe(incarnation, sequence))
             own = self.own_entries(renew=True)
             if own:
@@ -170,12 +171,12 @@
 
     def next_edition(self, kind: str, name: str) -> int:
         """A new edition of an entry of this process: by the time of day, and above all that is known."""
-        standing = self.store.get(kind, name)
-        return max(time.time_ns() // 1_000_000, 0 if standing is None else standing.edition + 1)
+        current = self.store.get(kind, name)
+        return max(time.time_ns() // 1_000_000, 0 if current is None else current.edition + 1)
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Take an update of a peer, and acknowledge it."""
-        sent_at = self.freshness.heard(now, ip, message)
+        sent_at = self.freshness.receive(now, ip, message)
         self.merge_update(message)
         self.positions[ip] = FollowedPosition(message.incarnation, message.latest_sequence)
         self.update_taken(now, ip, sent_at - message.majority_age)
--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -6,7 +6,6 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lugspur.mesh.control.claims import Claims, Settled
 from lugspur.mesh.control.messages import (
     BackendResponse,
     CompleteKey,
@@ -16,6 +15,7 @@
     ReleaseKey,
     ReserveKeyReply,
 )
+from lugspur.mesh.control.reservation_client import ReservationClient, ReservationOutcome
 
 
 class ReservingProcess(Protocol):
@@ -28,24 +28,26 @@
         """Send a message to a peer."""
 
 
-class KeyReservations:
+class VoterReservations:
     """Reserves keys at the voters of the membership that the process knows."""
 
     def __init__(self, process: ReservingProcess) -> None:
         self._process = process
-        self._claims = Claims(process.send_to)
+        self._client = ReservationClient(process.send_to)
 
     def __len__(self) -> int:
-        return len(self._claims)
+        return len(self._client)
 
-    def claim(self, key: bytes, by: bytes, left: float, within: float, over: Callable[[Settled], None]) -> None:
+    def claim(
+        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    ) -> None:
         """Ask for the right to run the operation of a key; `over` is called once, after `within` seconds at most.
 
         `by` names the request and is never used again; `left`: seconds until the request ends.
         """
         membership = self._process.membership
         assert membership is not None
-        self._claims.begin(self._process.loop.time(), membership, key, by, left, within, over)
+        self._client.reserve(self._process.loop.time(), membership, key, by, left, within, over)
 
     def release(self, key: bytes, by: bytes) -> None:
         """Give the right back: nothing ran, and nothing will."""
@@ -53,7 +55,7 @@
 
     def drop(self, key: bytes, by: bytes) -> None:
         """Nobody waits for the right any more."""
-        self._claims.drop(key, by)
+        self._client.abandon(key, by)
 
     def complete(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for requests that repeat it."""
@@ -66,17 +68,17 @@
 
     def receive(self, now: float, ip: str, message: ReserveKeyReply) -> None:
         """Take a voter's reply."""
-        self._claims.verdict(now, ip, message)
+        self._client.receive(now, ip, message)
 
     def connected(self, now: float, ip: str) -> None:
         """A peer can be reached anew: what a voter may not have received is sent again."""
-        self._claims.reach(now, ip)
+        self._client.voter_connected(now, ip)
 
     def membership_changed(self, now: float) -> None:
         """Other voters are in force: what the former ones granted no longer counts, and is asked for anew."""
         if self._process.membership is not None:
-            self._claims.again(now, self._process.membership)
+            self._client.membership_changed(now, self._process.membership)
 
     def tick(self, now: float) -> None:
         """End what has waited for too long."""
-        self._claims.look(now)
+        self._client.tick(now)
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -7,8 +7,9 @@
 from typing import Any, Protocol
 
 from lugspur.mesh.control.messages import Membership
-from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.update_source import UpdateSource
@@ -52,7 +53,7 @@
         "age_s": round(min(1e6, now - sidecar.update_source.confirmed_at), 3),
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
-        "busy": sidecar.limiter.busy,
+        "busy": sidecar.limiter.in_flight,
         "backend": _backend(sidecar.limiter.local),
         "backends": [_endpoint(endpoint, proxy.carrier.ready(endpoint.ip), now) for endpoint in endpoints],
     }
@@ -77,7 +78,7 @@
         "ip": endpoint.ip,
         "zone": endpoint.zone,
         "reached": reached,
-        "in_flight": endpoint.inflight,
+        "in_flight": endpoint.in_flight,
         "latency": round(endpoint.latency, 3),
         "refuses": {name: round(breaker.error_probability(now), 3) for name, breaker in endpoint.breakers.items()},
     }
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -19,13 +19,15 @@
     Message,
     WithdrawRequest,
 )
-from lugspur.mesh.dataplane.concurrency_limiter import AdmittedRequest, ConcurrencyLimiter, LocalBackend
+from lugspur.mesh.dataplane.admitted_request import AdmittedRequest
+from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.failure_cause import FailureCause
+from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, UploadScheduler
 from lugspur.mesh.sidecar.incoming import IncomingExchanges
 from lugspur.mesh.sidecar.outgoing import MAX_UNPROVEN_REQUESTS, OutgoingExchanges
-from lugspur.mesh.sidecar.request_outcomes import MAX_UNRUN_REQUESTS, RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import MAX_UNRUN_REQUESTS, UnrunRequests
 
 OWN = Hello("127.0.0.9", "own", False)
 
@@ -34,15 +36,15 @@
     """One end of a connection: what was sent on it, and whether it is open."""
 
     def __init__(self, peer: str = "", life: str = "") -> None:
-        self.peer, self.life, self.open = peer, life, True
+        self.peer, self.peer_incarnation, self.is_open = peer, life, True
         self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
-        if self.open:
+        if self.is_open:
             self.sent.append(message)
 
     def close(self) -> None:
-        self.open = False
+        self.is_open = False
 
     @property
     def replies(self) -> list[tuple[int, RequestOutcome]]:
@@ -59,16 +61,16 @@
         self.now = asyncio.get_running_loop().time()
         self.limiter.local = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
         self.limiter.local.concurrency = 99
-        self.limiter._send = self._send  # type: ignore[method-assign]
+        self.limiter._start = self._start  # type: ignore[method-assign]
         self.incoming = IncomingExchanges(self.limiter, UploadScheduler(330_000.0, 1 << 20), OWN)
 
-    def _send(self, admitted: AdmittedRequest) -> None:
-        self.ran.append(admitted.forward.attempt_id)
-        self.admitted.append(admitted)
+    def _start(self, request: AdmittedRequest) -> None:
+        self.ran.append(request.forward.attempt_id)
+        self.admitted.append(request)
 
     def hear(self, wire: Wire, *messages: Message) -> None:
         for message in messages:
-            self.incoming.heard(wire, message)  # type: ignore[arg-type]
+            self.incoming.receive(wire, message)  # type: ignore[arg-type]
 
     def greeted(self, life: str = "one", sent: float | None = None) -> Wire:
         wire = Wire()
@@ -101,17 +103,17 @@
     def what(rig: Rig) -> None:
         stranger = Wire()
         rig.hear(stranger, forward(1, rig.stamp()))
-        assert not stranger.open and rig.ran == []
+        assert not stranger.is_open and rig.ran == []
         wire = rig.greeted()
         assert wire.sent == [OWN]  # the second one, which bears a time, is not answered
         rig.hear(wire, forward(1, rig.stamp()), forward(3, rig.stamp()))
-        assert rig.ran == [b"a1", b"a3"] and wire.open
+        assert rig.ran == [b"a1", b"a3"] and wire.is_open
         for again in (3, 2):
             wire = rig.greeted()
             rig.hear(wire, forward(3, rig.stamp()))
             rig.ran.clear()
             rig.hear(wire, forward(again, rig.stamp()))
-            assert rig.ran == [] and not wire.open
+            assert rig.ran == [] and not wire.is_open
 
     play(what)
 
@@ -122,12 +124,12 @@
         rig.hear(before, forward(1, rig.stamp(), size=20_000))
         rig.hear(after, forward(1, rig.stamp(), size=30_000))
         rig.hear(before, BodyChunk(1, bytes(CHUNK_BYTES)), CancelRequest(1))  # of its own number 1 alone
-        rig.incoming.ended(before)  # type: ignore[arg-type]
+        rig.incoming.link_ended(before)  # type: ignore[arg-type]
         for n in range(4):
             rig.hear(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
-        assert rig.ran == [b"a1"] and before.replies == [] and after.open
+        assert rig.ran == [b"a1"] and before.replies == [] and after.is_open
         rig.hear(after, Hello("127.0.0.2", "three", False))
-        assert not after.open  # one connection is of one life
+        assert not after.is_open  # one connection is of one life
 
     play(what)
 
@@ -170,25 +172,25 @@
             message = forward(0, 0.0)
             message.body = bytes(body)
             rate = 330_000.0 if body else 0.0
-            outgoing.carry(1.0, wire.peer, wire, rate, message, lambda r: replies.append((name, r)))  # type: ignore[arg-type]
+            outgoing.send(1.0, wire.peer, wire, rate, message, lambda r: replies.append((name, r)))  # type: ignore[arg-type]
             return message.number
 
         old = carry("old", first)
-        outgoing.lost(first.peer)
+        outgoing.disconnected(first.peer)
         assert [(name, RequestOutcome(r.outcome)) for name, r in replies] == [("old", RequestOutcome.UNKNOWN)]
         new, large = carry("new", second), carry("large", second, 50_000)
         assert len({old, new, large}) == 3
         replies.clear()
         for wire in (first, other):  # a late answer on the old connection, and one of another machine
             for n in (old, new, large):
-                outgoing.reply(wire, ForwardResponse(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
-            outgoing.grant(wire, GrantBody(large, CHUNK_BYTES))  # type: ignore[arg-type]
-        outgoing.reply(second, ForwardResponse(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+                outgoing.receive_response(wire, ForwardResponse(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.receive_grant(wire, GrantBody(large, CHUNK_BYTES))  # type: ignore[arg-type]
+        outgoing.receive_response(second, ForwardResponse(old, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [] and not [m for m in second.sent if isinstance(m, BodyChunk)]
-        outgoing.reply(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
-        outgoing.reply(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
+        outgoing.receive_response(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
+        outgoing.receive_response(second, ForwardResponse(new, RequestOutcome.ANSWERED))  # type: ignore[arg-type]
         assert [name for name, _ in replies] == ["new"]
-        outgoing.lost(second.peer)
+        outgoing.disconnected(second.peer)
         assert [(name, RequestOutcome(r.outcome)) for name, r in replies] == [
             ("new", RequestOutcome.ANSWERED),
             ("large", RequestOutcome.NOT_RUN),
@@ -206,7 +208,7 @@
         rig.limiter._finish(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
         rig.limiter._finish(answered, RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         former.close()
-        rig.incoming.ended(former)  # type: ignore[arg-type]
+        rig.incoming.link_ended(former)  # type: ignore[arg-type]
         after = rig.greeted()
         rig.hear(after, FetchOutcomes([1, 2, 3, 4, 5]))
         assert after.replies == [
@@ -225,10 +227,11 @@
         former, after = rig.greeted(), rig.greeted()
         rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
         rig.hear(after, FetchOutcomes([2]))
-        assert after.replies == [(2, RequestOutcome.NOT_RUN)] and not former.open  # so that nothing more is read on it
+        assert after.replies == [(2, RequestOutcome.NOT_RUN)]
+        assert not former.is_open  # so that nothing more is read on it
         other = rig.greeted("two")
         rig.hear(other, FetchOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
-        assert other.replies == [] and after.open
+        assert other.replies == [] and after.is_open
 
     play(what)
 
@@ -237,19 +240,19 @@
     def what(rig: Rig) -> None:
         stranger = Wire()
         rig.hear(stranger, FetchOutcomes([1]))
-        assert stranger.sent == [] and not stranger.open
+        assert stranger.sent == [] and not stranger.is_open
 
     play(what)
 
 
 def test_what_was_forgotten_is_not_proven() -> None:
-    outcomes = RequestOutcomes()
-    assert not outcomes.proven_unrun("life", 1)  # nothing has come of that life, as far as is remembered
+    outcomes = UnrunRequests()
+    assert not outcomes.is_proven_unrun("life", 1)  # nothing has come of that life, as far as is remembered
     for number in range(1, MAX_UNRUN_REQUESTS + 2):
-        outcomes.came("life", number)
+        outcomes.received("life", number)
         outcomes.did_not_run("life", number)
-    assert not outcomes.proven_unrun("life", 1) and outcomes.proven_unrun("life", 2)
-    assert outcomes.proven_unrun("life", MAX_UNRUN_REQUESTS + 2)
+    assert not outcomes.is_proven_unrun("life", 1) and outcomes.is_proven_unrun("life", 2)
+    assert outcomes.is_proven_unrun("life", MAX_UNRUN_REQUESTS + 2)
 
 
 def test_the_proof_for_a_lost_request_is_asked_for_and_reaches_who_sent_it() -> None:
@@ -263,24 +266,24 @@
             def note(reply: ForwardResponse) -> None:
                 replies.append((reply.number, RequestOutcome(reply.outcome)))
 
-            outgoing.carry(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
+            outgoing.send(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
             return message.number
 
         one, two, unkeyed = carry(b"k1"), carry(b"k2"), carry(b"")
-        outgoing.lost(former.peer)
+        outgoing.disconnected(former.peer)
         assert replies == [(n, RequestOutcome.UNKNOWN) for n in (one, two, unkeyed)]
         replies.clear()
         after, elsewhere = Wire("10.0.0.1", "theirs"), Wire("10.0.0.2", "theirs")
         for wire in (elsewhere, after):
-            outgoing.reached(wire)  # type: ignore[arg-type]
+            outgoing.greeted(wire)  # type: ignore[arg-type]
         assert elsewhere.sent == [] and after.sent == [FetchOutcomes([one, two])]
-        outgoing.reply(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.receive_response(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
         for _again in range(2):
-            outgoing.reply(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+            outgoing.receive_response(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
-        outgoing.reached(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
-        outgoing.reply(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
+        outgoing.greeted(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
+        outgoing.receive_response(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # the life that knew of it has ended
 
     play(what)
@@ -289,10 +292,10 @@
 def test_requests_that_are_asked_for_are_bounded() -> None:
     outgoing, former = OutgoingExchanges(), Wire("10.0.0.1", "theirs")
     for _ in range(MAX_UNPROVEN_REQUESTS + 10):
-        outgoing.carry(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
-    outgoing.lost(former.peer)
+        outgoing.send(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
+    outgoing.disconnected(former.peer)
     after = Wire("10.0.0.1", "theirs")
-    outgoing.reached(after)  # type: ignore[arg-type]
+    outgoing.greeted(after)  # type: ignore[arg-type]
     [asked] = after.sent
     assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == MAX_UNPROVEN_REQUESTS
 
@@ -303,9 +306,9 @@
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
         rig.admitted[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
         rig.hear(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
-        assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.open
+        assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.is_open
         rig.hear(wire, BodyChunk(2, bytes(CHUNK_BYTES)))  # a part that was on its way
-        assert rig.ran == [b"a1"] and wire.open
+        assert rig.ran == [b"a1"] and wire.is_open
         rig.limiter._finish(rig.admitted[0], RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
 
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/test_sidecar.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import (
     BodyChunk,
     ForwardRequest,
@@ -27,7 +27,7 @@
 from lugspur.mesh.settings import load_settings
 from lugspur.mesh.sidecar.backend_status import BackendStatus
 from lugspur.mesh.sidecar.process import Sidecar
-from lugspur.mesh.transport.link import Dialer
+from lugspur.mesh.transport.dialer import Dialer
 from lugspur.seams import Request
 
 FILE = """
@@ -211,7 +211,7 @@
             sidecar.is_leaving = leaving
             with pytest.raises(MeshError) as told:
                 sidecar.api.readiness(asked, Caller(), [])
-            assert told.value.kind is (Kind.LEAVING if leaving else Kind.NOT_READY)
+            assert told.value.kind is (ErrorKind.LEAVING if leaving else ErrorKind.NOT_READY)
 
     play(tmp_path, what)
 
@@ -243,7 +243,7 @@
 
     def __init__(self, peer: str) -> None:
         self.sent: list[Message] = []
-        self.peer, self.answered = peer, False
+        self.peer, self.is_greeted, self.peer_incarnation = peer, False, ""
 
     def send(self, message: Message) -> None:
         self.sent.append(message)
