--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
-from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 
 #: The time in which an average loses half its weight. What makes a backend slow often lasts minutes.
@@ -69,9 +69,9 @@
 def _decay_breaker(
     row: LearnedBreaker, pooled: float, weight: float, clock_offset: float, now: float
 ) -> LearnedBreaker:
-    width = WINDOW / BUCKETS
+    width = WINDOW_SECONDS / WINDOW_BUCKETS
     shift, last = round(clock_offset / width), int(now / width)
-    window = tuple((n + shift, r, a, f) for n, r, a, f in row.window if last - BUCKETS < n + shift <= last)
+    window = tuple((n + shift, r, a, f) for n, r, a, f in row.window if last - WINDOW_BUCKETS < n + shift <= last)
     return LearnedBreaker(
         _pull_towards_mean(row.baseline, pooled, weight), _pull_towards_mean(row.current, pooled, weight), window
     )
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -69,7 +69,7 @@
             reject(self.caller, ErrorKind.TOO_LATE)
             return
         proxy.request_opened(self)
-        proxy.budget(self.service).take(now)
+        proxy.budget(self.service).count_request(now)
         self.caller.gone = self._caller_disconnected
         self._deadline_timer = proxy.loop.call_at(self.deadline + DEADLINE_MARGIN_SECONDS, self._deadline_passed)
         if self.reservation.key:
@@ -123,7 +123,7 @@
         attempts = self.attempts
         number = attempts.begin(endpoint, now)
         if attempts.offered > 1:
-            self.proxy.budget(self.service).spend(now)
+            self.proxy.budget(self.service).count_retry(now)
         is_allowed = attempts.offered <= self.route.max_attempts
         check(is_allowed, Invariant.TRIES, attempt=self.attempt_id, sends=attempts.offered)
         forward = self._encode(endpoint, now)
@@ -181,7 +181,7 @@
         now = self.proxy.loop.time()
         if self.is_finished or len(self.attempts.in_flight) != 1 or self.attempts.offered >= self.route.max_attempts:
             return  # a retry may have been sent since the timer was set
-        if self.proxy.budget(self.service).allows(now):
+        if self.proxy.budget(self.service).allows_retry(now):
             self._send(now, is_retry=True)
 
     def _retry(self, now: float) -> bool:
@@ -195,7 +195,7 @@
             return False
         if attempts.offered >= self.route.max_attempts:
             return False
-        if attempts.offered and not self.proxy.budget(self.service).allows(now):
+        if attempts.offered and not self.proxy.budget(self.service).allows_retry(now):
             return False
         return self._send(now, is_retry=True)
 
