--- a/lugspur/discovery/source.py
+++ b/lugspur/discovery/source.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from lugspur.discovery.rows import Endpoint, Reader
+from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.load_balancing.model import ListUpdateKind
 
 Told = Callable[[ListUpdateKind, list[Endpoint]], None]
@@ -37,7 +37,7 @@
 
     def open(self) -> None:
         """Tell it once."""
-        self._told(ListUpdateKind.WHOLE, self._endpoints)
+        self._told(ListUpdateKind.COMPLETE, self._endpoints)
 
     def close(self) -> None:
         """Nothing is left to do."""
@@ -49,7 +49,7 @@
     One that is missing or can't be read changes nothing: the last good list stays, and one line says why.
     """
 
-    def __init__(self, path: str, reader: Reader, told: Told) -> None:
+    def __init__(self, path: str, reader: EndpointReader, told: Told) -> None:
         self._path, self._reader = path, reader
         self._told = told
         self._seen: tuple[int, ...] = ()
@@ -65,7 +65,7 @@
             if seen != self._seen:
                 endpoints = self._read(found.st_size)
                 self._seen, self._said = seen, ""  # a half-written file is no news: it is read again
-                self._told(ListUpdateKind.WHOLE, endpoints)
+                self._told(ListUpdateKind.COMPLETE, endpoints)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as fault:
             self._complain(f"{fault.strerror}" if isinstance(fault, OSError) else f"no list: {fault!r}")
 
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -12,12 +12,13 @@
 import pytest
 from loopback import HOST, soon
 
-from lugspur.daemon.hot_restart.packets import decode_state
-from lugspur.discovery import learned as forms
+from lugspur.daemon.hot_restart.process_state import decode_state
+from lugspur.discovery import state_codec
 from lugspur.discovery.announce import Box
+from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id, server_name
 from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.nodes import Node, Nodes, read_entry
-from lugspur.discovery.rows import Endpoint, Reader, server_id, server_name
+from lugspur.discovery.node_formats import RegistryNode, read_entry
+from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.watch import Discovery
 from lugspur.load_balancing.model import ListUpdateKind
 
@@ -32,14 +33,14 @@
 
 def stored(endpoint: Endpoint) -> bytes:
     """An entry of the list as it is kept on disk."""
-    return orjson.dumps(forms.entry(endpoint))
+    return orjson.dumps(state_codec.encode_endpoint(endpoint))
 
 
 # ---- the platform's list ---------------------------------------------------------------------------------------------
 
 
 def test_an_entry_of_the_platforms_list_has_these_fields() -> None:
-    assert stored(Reader(ZONES, TYPES).endpoint(orjson.loads(PLATFORM_ENTRY))) == STORED_ENTRY
+    assert stored(EndpointReader(ZONES, TYPES).endpoint(orjson.loads(PLATFORM_ENTRY))) == STORED_ENTRY
 
 
 @pytest.mark.parametrize(
@@ -56,7 +57,7 @@
 def test_fields_that_may_be_missing_have_these_defaults(missing: str, expected: bytes) -> None:
     raw = orjson.loads(PLATFORM_ENTRY)
     del raw[missing]
-    assert stored(Reader(ZONES, TYPES).endpoint(raw)) == expected
+    assert stored(EndpointReader(ZONES, TYPES).endpoint(raw)) == expected
 
 
 @pytest.mark.parametrize("missing", ["name", "address", "status"])
@@ -64,7 +65,7 @@
     raw = orjson.loads(PLATFORM_ENTRY)
     del raw[missing]
     with pytest.raises(KeyError, match=missing):
-        Reader(ZONES, TYPES).endpoint(raw)
+        EndpointReader(ZONES, TYPES).endpoint(raw)
 
 
 @pytest.mark.parametrize(
@@ -74,14 +75,14 @@
     raw = orjson.loads(PLATFORM_ENTRY) | {"status": status}
     if state is None:
         with pytest.raises(KeyError):
-            Reader(ZONES, TYPES).endpoint(raw)
+            EndpointReader(ZONES, TYPES).endpoint(raw)
     else:
-        assert forms.entry(Reader(ZONES, TYPES).endpoint(raw))[1] == state
+        assert state_codec.encode_endpoint(EndpointReader(ZONES, TYPES).endpoint(raw))[1] == state
 
 
 def test_without_known_names_a_zone_is_its_name_as_a_number() -> None:
     raw = orjson.loads(PLATFORM_ENTRY)
-    assert stored(Reader().endpoint(raw)) == (
+    assert stored(EndpointReader().endpoint(raw)) == (
         b'["channel-7","draining","98",3,2.5,1700000000.25,"465491355493","10.0.0.7",9001,true]'
     )
     assert server_id("channel-7") == 1833749077570358095159
@@ -89,11 +90,11 @@
 
 
 def test_a_list_with_its_index_is_what_the_platform_hands_to_a_process_at_its_start() -> None:
-    reader = Reader(ZONES, TYPES)
-    reader.check(orjson.loads(b'{"index":7,"snapshot":true,"endpoints":[%b]}' % PLATFORM_ENTRY))
+    reader = EndpointReader(ZONES, TYPES)
+    reader.check_initial_list(orjson.loads(b'{"index":7,"snapshot":true,"endpoints":[%b]}' % PLATFORM_ENTRY))
     for spoilt in (b'{"endpoints":[]}', b'{"index":7}', b'{"index":"x","endpoints":[]}', b"[]"):
         with pytest.raises(ValueError, match="the known list can't be read"):
-            reader.check(orjson.loads(spoilt))
+            reader.check_initial_list(orjson.loads(spoilt))
 
 
 def chunk(line: bytes) -> bytes:
@@ -120,7 +121,7 @@
             heard.put_nowait((kind.value, [stored(endpoint) for endpoint in endpoints]))
 
         server = await asyncio.start_server(serve, HOST, 0)
-        followed = Discovery(server.sockets[0].getsockname()[:2], Reader(ZONES, TYPES), 11, listen)
+        followed = Discovery(server.sockets[0].getsockname()[:2], EndpointReader(ZONES, TYPES), 11, listen)
         followed.open()
         assert [await soon(heard.get()) for _ in range(4)] == [
             ("whole", [STORED_ENTRY]),
@@ -161,9 +162,9 @@
 )
 
 
-def node(data: bytes) -> Node:
+def node(data: bytes) -> RegistryNode:
     """A node that was made 5 s after 1970."""
-    return Node(data, 1, 1, 5000)
+    return RegistryNode(data, 1, 1, 5000)
 
 
 @pytest.mark.parametrize(
@@ -213,15 +214,15 @@
 
 def test_a_node_without_a_protocol_speaks_that_of_its_pool() -> None:
     plain, told = node(b'{"address":"h:1"}'), node(b'{"address":"h:1","protocol":"http"}')
-    [first], _ = Nodes("auto", "grpc").present("n", plain)
-    [second], _ = Nodes("auto", "grpc").present("n", told)
+    [first] = RegistryEndpoints("auto", "grpc").update_node("n", plain).endpoints
+    [second] = RegistryEndpoints("auto", "grpc").update_node("n", told).endpoints
     assert stored(first) == b'["n","up","0",0,1.0,5.0,"0","h",1,true]'
     assert stored(second) == b'["n","up","0",0,1.0,5.0,"0","h",1,false]'
 
 
 def test_what_is_logged_of_nodes_that_cannot_be_read() -> None:
-    _, lines = Nodes("auto").present("x", node(b"?"))
-    assert lines == ["node 'x': it holds no JSON; it is left out"]
+    changes = RegistryEndpoints("auto").update_node("x", node(b"?"))
+    assert changes.problems == ["node 'x': it holds no JSON; it is left out"]
 
 
 # ---- what is registered ----------------------------------------------------------------------------------------------
@@ -261,18 +262,20 @@
 
 
 def test_an_entry_of_the_list_is_read_as_it_was_written() -> None:
-    assert stored(forms.read_entry(orjson.loads(STORED_ENTRY))) == STORED_ENTRY
+    assert stored(state_codec.decode_endpoint(orjson.loads(STORED_ENTRY))) == STORED_ENTRY
 
 
 @pytest.mark.parametrize("text", [LEARNED_SERVER, LEARNED_SERVER_UNTRIED])
 def test_what_was_learned_of_a_backend_is_read_as_it_was_written(text: bytes) -> None:
-    assert orjson.dumps(forms.server(forms.read_server(orjson.loads(text)))) == text
+    assert (
+        orjson.dumps(state_codec.encode_learned_server(state_codec.decode_learned_server(orjson.loads(text)))) == text
+    )
 
 
 def test_what_was_learned_of_a_pool_is_read_as_it_was_written() -> None:
-    learned = forms.read_learned(orjson.loads(LEARNED_REST), [orjson.loads(LEARNED_SERVER)])
-    assert orjson.dumps(forms.tier(learned)) == LEARNED_REST
-    assert [orjson.dumps(forms.server(known)) for known in learned.servers] == [LEARNED_SERVER]
+    learned = state_codec.decode_learned(orjson.loads(LEARNED_REST), [orjson.loads(LEARNED_SERVER)])
+    assert orjson.dumps(state_codec.encode_learned_pools(learned)) == LEARNED_REST
+    assert [orjson.dumps(state_codec.encode_learned_server(known)) for known in learned.servers] == [LEARNED_SERVER]
 
 
 # ---- bans ------------------------------------------------------------------------------------------------------------
@@ -293,10 +296,10 @@
     over = Maintenance()
     over.restore(decode_state(orjson.dumps(estate).decode()).bans)
     up = orjson.loads(STORED_ENTRY.replace(b"draining", b"up"))
-    [banned] = over.lay(ListUpdateKind.PATCH, [forms.read_entry(up)])
+    [banned] = over.lay(ListUpdateKind.PATCH, [state_codec.decode_endpoint(up)])
     assert stored(banned) == STORED_ENTRY  # it is banned, and so it drains
     up[0] = "channel-6"
-    [cold] = over.lay(ListUpdateKind.PATCH, [forms.read_entry(up)])
+    [cold] = over.lay(ListUpdateKind.PATCH, [state_codec.decode_endpoint(up)])
     assert stored(cold) == b'["channel-6","up","1",3,2.5,1700000000.5,"2","10.0.0.7",9001,true]'
     known = over.save()
     assert [server_name(server) for server in known.listed] == ["channel-7", "channel-6"]
