--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -28,15 +28,15 @@
         """Send a message to a peer."""
 
 
-class KeyReservations:
+class VoterReservations:
     """Reserves keys at the voters of the membership that the process knows."""
 
     def __init__(self, process: ReservingProcess) -> None:
         self._process = process
-        self._claims = ReservationClient(process.send_to)
+        self._client = ReservationClient(process.send_to)
 
     def __len__(self) -> int:
-        return len(self._claims)
+        return len(self._client)
 
     def claim(
         self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
@@ -47,7 +47,7 @@
         """
         membership = self._process.membership
         assert membership is not None
-        self._claims.reserve(self._process.loop.time(), membership, key, by, left, within, over)
+        self._client.reserve(self._process.loop.time(), membership, key, by, left, within, over)
 
     def release(self, key: bytes, by: bytes) -> None:
         """Give the right back: nothing ran, and nothing will."""
@@ -55,7 +55,7 @@
 
     def drop(self, key: bytes, by: bytes) -> None:
         """Nobody waits for the right any more."""
-        self._claims.abandon(key, by)
+        self._client.abandon(key, by)
 
     def complete(self, forward: ForwardRequest, answer: BackendResponse) -> None:
         """A keyed operation has run: the voters keep its answer for requests that repeat it."""
@@ -68,17 +68,17 @@
 
     def receive(self, now: float, ip: str, message: ReserveKeyReply) -> None:
         """Take a voter's reply."""
-        self._claims.receive(now, ip, message)
+        self._client.receive(now, ip, message)
 
     def connected(self, now: float, ip: str) -> None:
         """A peer can be reached anew: what a voter may not have received is sent again."""
-        self._claims.voter_connected(now, ip)
+        self._client.voter_connected(now, ip)
 
     def membership_changed(self, now: float) -> None:
         """Other voters are in force: what the former ones granted no longer counts, and is asked for anew."""
         if self._process.membership is not None:
-            self._claims.membership_changed(now, self._process.membership)
+            self._client.membership_changed(now, self._process.membership)
 
     def tick(self, now: float) -> None:
         """End what has waited for too long."""
-        self._claims.tick(now)
+        self._client.tick(now)
