--- a/lugspur/emulator/control/settings.py
+++ b/lugspur/emulator/control/settings.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, replace
 
-from lugspur.mesh.control.membership import Tolerance
 from lugspur.mesh.control.reservation_table import RETENTION_MARGIN_SECONDS
+from lugspur.mesh.control.voter_membership import Tolerance
 
 WINDOW_S = 60.0  # seconds for which a key runs once: longer than a short history
 SHORT_WINDOW_S = 4.0  # so that claims end within a history
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -254,7 +254,7 @@
 
 def _reader_key(node: Node) -> object:
     reader = node.reader
-    current = reader._round
+    current = reader._query
     asked = (
         None
         if current is None
--- a/lugspur/mesh/control/change_forwarding.py
+++ b/lugspur/mesh/control/change_forwarding.py
@@ -1,9 +1,9 @@
-"""Orders that are handed to the control node that proposes for all, without I/O.
+"""Change requests that are forwarded to the control node that proposes for all, without I/O.
 
-Any control node may propose, and agreement does not depend on who does. But proposers that compete keep each other
-from deciding, so that in calm times all orders go to one of them: the first voter that is heard from. Whoever hears
-nothing back in time proposes the order itself. That is safe, since an order that is decided twice has no effect the
-second time; but from then on a refusal proves nothing, because the other one may still propose it.
+Any control node may propose, and agreement does not depend on which one does. But competing proposers keep each other
+from deciding, so that in calm times all requests are sent to one of them: the first voter that can be reached. A node
+that gets no result in time proposes the request itself. That is safe, since a change that is decided twice has no
+effect the second time; but from then on a refusal proves nothing, because the other node may still propose it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import ChangeResult, ForwardChange
 
-RESULT_TIMEOUT_SECONDS = 0.3  # seconds until an order that was handed over is proposed here
+RESULT_TIMEOUT_SECONDS = 0.3  # until a forwarded request is proposed here
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
 
 
 def result_of(number: int, outcome: Outcome) -> ChangeResult:
-    """What whoever handed an order over is told."""
+    """The message that tells the forwarding node about an outcome."""
     if isinstance(outcome, Confirmed):
         return ChangeResult(number, is_confirmed=True)
     if isinstance(outcome, Refused):
@@ -34,7 +34,7 @@
 
 
 def outcome_of(result: ChangeResult) -> Outcome:
-    """How the order ended at the other control node."""
+    """The outcome at the other control node."""
     if result.is_confirmed:
         return Confirmed()
     if result.error_kind:
@@ -43,7 +43,7 @@
 
 
 class ChangeForwarder:
-    """The orders of one control node that others have in hand."""
+    """The requests of one control node that it has forwarded and that have no result yet."""
 
     def __init__(self) -> None:
         self._forwarded: dict[int, _ForwardedChange] = {}
@@ -53,30 +53,30 @@
         return len(self._forwarded)
 
     def forward(self, now: float, ip: str, request: ChangeRequest) -> ForwardChange:
-        """The message that hands an order to another control node."""
+        """The message that forwards a request to another control node."""
         self._number += 1
         self._forwarded[self._number] = _ForwardedChange(request, ip, now)
         return ForwardChange(self._number, max(0.0, request.deadline - now), request.entries)
 
     def receive(self, ip: str, result: ChangeResult) -> None:
-        """Another control node's answer; a late one says nothing any more."""
+        """Process another control node's result; a late one is ignored."""
         forwarded = self._forwarded.get(result.number)
         if forwarded is not None and forwarded.ip == ip:
             del self._forwarded[result.number]
             forwarded.request.on_outcome(outcome_of(result))
 
     def withdraw(self, request: ChangeRequest) -> None:
-        """Nobody waits for an order any more."""
+        """Forget a request that nobody waits for any more."""
         for number, forwarded in list(self._forwarded.items()):
             if forwarded.request is request:
                 del self._forwarded[number]
 
     def disconnected(self, ip: str) -> list[ChangeRequest]:
-        """The connection to a control node has ended; returns the orders to be proposed here."""
+        """The connection to a control node has ended; returns the requests to propose here."""
         return self._take_back([n for n, forwarded in self._forwarded.items() if forwarded.ip == ip])
 
     def overdue(self, now: float) -> list[ChangeRequest]:
-        """Orders without an answer in time, to be proposed here."""
+        """The requests without a result in time, to be proposed here."""
         return self._take_back(
             [n for n, forwarded in self._forwarded.items() if now - forwarded.sent_at >= RESULT_TIMEOUT_SECONDS]
         )
@@ -86,12 +86,12 @@
 
     @staticmethod
     def _to_propose_here(request: ChangeRequest) -> ChangeRequest:
-        """The order as it is proposed here: only a confirmation is clear, whatever the other one does with it."""
+        """Weaken the outcome: once proposed here too, only a confirmation is certain, as both nodes may propose it."""
 
-        told = request.on_outcome
+        on_outcome = request.on_outcome
 
-        def over(outcome: Outcome) -> None:
-            told(outcome if isinstance(outcome, Confirmed) else Unclear())
+        def weaken(outcome: Outcome) -> None:
+            on_outcome(outcome if isinstance(outcome, Confirmed) else Unclear())
 
-        request.on_outcome = over
+        request.on_outcome = weaken
         return request
--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -1,4 +1,4 @@
-"""Changes that wait to be decided, and how each may end."""
+"""Change requests that wait for a decision, and how each may end."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Confirmed:
-    """It is decided, or has no effect beside what is decided."""
+    """It is decided, or it has no effect on what is decided."""
 
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """It may not stand beside what is decided, and was not proposed: it is never in force."""
+    """It conflicts with what is decided and was not proposed, so that it never comes into force."""
 
     error: MeshError
 
 
 @dataclass(slots=True, frozen=True)
 class Unclear:
-    """It was proposed, and whether it is decided is not known: it may come into force."""
+    """It was proposed, and whether it is decided is unknown: it may come into force."""
 
 
 @dataclass(slots=True, frozen=True)
 class NoQuorum:
-    """Too few voters answered, and it was not proposed."""
+    """Too few voters replied, and it was not proposed."""
 
 
 Outcome = Confirmed | Refused | Unclear | NoQuorum
@@ -36,22 +36,23 @@
 
 @dataclass(slots=True, eq=False)
 class ChangeRequest:
-    """One change that somebody waits for, until `until` by the steady clock; `over` is told once.
+    """Entries that a caller wants decided together, until `deadline` by the steady clock.
 
-    `base_epoch`: a change of the voters, which counts only as the next step after that epoch.
+    `on_outcome` is called once. `base_epoch` is set for a change of the voters, which counts only as the next step
+    after that epoch.
     """
 
     entries: list[Entry]
     deadline: float
     on_outcome: Callable[[Outcome], None]
     base_epoch: int | None = None
-    was_proposed: bool = False  # whether it has been proposed: from then on nothing proves that it is not in force
-    change_id: str = ""  # of the change that it was proposed in last
-    submitted_after: int = 0  # the proposer's latest proposal when it came: only a later one may refuse it
+    was_proposed: bool = False  # from then on nothing proves that it is not in force
+    change_id: str = ""  # of the change in which it was proposed last
+    submitted_after: int = 0  # the proposer's proposals by then: only a later one may refuse it
 
 
 def error_of(outcome: Outcome) -> MeshError | None:
-    """What a caller is told; None: it is confirmed."""
+    """The error that a caller gets for an outcome; None for a confirmation."""
     if isinstance(outcome, Refused):
         return outcome.error
     if isinstance(outcome, Unclear):
--- a/lugspur/mesh/control/errors.py
+++ b/lugspur/mesh/control/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of what can go wrong, and what a caller is told of each."""
+"""The closed list of errors of the mesh, and the response that a caller gets for each."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 
 
 class ErrorKind(enum.Enum):
-    """What went wrong; each has one row in `ANSWERS`."""
+    """What went wrong; each kind has one row in `RESPONSES`."""
 
     NO_ROUTE = "no-route"  # no route has this host and path
-    BAD_REQUEST = "bad-request"  # the request can't be read or lacks what it must have
-    BAD_CONFIG = "bad-config"  # a call of the operator that may not come into force
-    TOO_LARGE = "too-large"  # a call of the operator that a disk of the mesh could not take
-    CONFLICT = "conflict"  # another content stands under the same version
-    NO_CALL = "no-call"  # no call of that method and path
-    NOT_READY = "not-ready"  # nothing is known yet
-    NO_BACKEND = "no-backend"  # nobody who could run it would take it
-    NO_QUORUM = "no-quorum"  # too few replicas answered
-    UNCLEAR = "unclear"  # too few replicas answered, and something may have been written
-    KEY_BUSY = "key-busy"  # the key's first request is still at work
-    KEY_SPENT = "key-spent"  # the key's first request ended in a way that nobody knows
-    MAYBE_RAN = "maybe-ran"  # it was sent, and how it ended is not known
-    BAD_ANSWER = "bad-answer"  # the backend's answer was spoilt
-    TOO_LATE = "too-late"  # the time is up
-    LEAVING = "leaving"  # this process ends
+    BAD_REQUEST = "bad-request"  # the request can't be parsed or lacks a required part
+    BAD_CONFIG = "bad-config"  # a call of an operator that is invalid
+    TOO_LARGE = "too-large"  # a call of an operator that does not fit on a disk of the mesh
+    CONFLICT = "conflict"  # other content is in force under the same edition
+    NO_CALL = "no-call"  # there is no call of that method and path
+    NOT_READY = "not-ready"  # no configuration is known yet
+    NO_BACKEND = "no-backend"  # no backend accepted the request
+    NO_QUORUM = "no-quorum"  # too few voters replied
+    UNCLEAR = "unclear"  # too few voters replied, and the change may come into force
+    KEY_BUSY = "key-busy"  # the key's first request may still be running
+    KEY_SPENT = "key-spent"  # the outcome of the key's first request is unknown
+    MAYBE_RAN = "maybe-ran"  # the request was sent, and its outcome is unknown
+    BAD_ANSWER = "bad-answer"  # the backend's response was invalid
+    TOO_LATE = "too-late"  # the deadline has passed
+    LEAVING = "leaving"  # this process is shutting down
     SETTINGS = "settings"  # the settings file can't be used
     STATE = "state"  # what is on disk can't be used
 
 
 @dataclass(slots=True, frozen=True)
 class ErrorResponse:
-    """What a caller is told: a status, and seconds after which it may come back (0: it is not told).
+    """The response to an error: its status, and the seconds after which a retry makes sense (0: not said).
 
-    `spread`: over a good part of the time that it has.
+    `spreads_retries`: the retry is spread over a good part of the time that the caller has left.
     """
 
     status: int
@@ -41,9 +41,9 @@
     spreads_retries: bool = False
 
 
-RETRY_DELAY_SECONDS = 0.25  # seconds: long enough that a queue moves, short against the shortest deadlines
+RETRY_DELAY_SECONDS = 0.25  # long enough for a queue to move, short against the shortest deadlines
 
-#: 408, 421, 429 and 503 promise that the request has not run and never will: only kinds that prove it have them.
+#: 408, 421, 429 and 503 promise that the request has not run and never will: only kinds that prove this have them.
 RESPONSES = {
     ErrorKind.NO_ROUTE: ErrorResponse(404),
     ErrorKind.BAD_REQUEST: ErrorResponse(400),
@@ -67,7 +67,7 @@
 
 
 class MeshError(Exception):
-    """Something of the closed list; `code` is its kind's name."""
+    """An error of the closed list, with a detail for the log or the caller."""
 
     def __init__(self, kind: ErrorKind, detail: str = "") -> None:
         super().__init__(f"{kind.value}: {detail}" if detail else kind.value)
@@ -76,5 +76,5 @@
 
     @property
     def code(self) -> str:
-        """The name of its kind, as logs and answers have it."""
+        """The name of the kind, as it appears in logs and responses."""
         return self.kind.value
--- a/lugspur/mesh/control/freshness.py
+++ b/lugspur/mesh/control/freshness.py
@@ -1,7 +1,7 @@
-"""How old what a process knows may be, without I/O.
+"""How old the state that a process knows may be, without I/O.
 
-A message that was held up on its way (by a cut, or because its receiver was frozen) says what was true when it was
-sent. So each is dated by its sender's steady clock, and the receiver estimates how long it has been under way.
+A message that was delayed on its way, by a partition or because its receiver was frozen, says what was true when it was
+sent. So each message bears its sender's steady clock, and the receiver estimates how long it has been under way.
 """
 
 from __future__ import annotations
@@ -11,26 +11,24 @@
 from lugspur.mesh.control.messages import Delta, Membership
 from lugspur.mesh.control.quorum import majority
 
-MAX_CLOCK_DRIFT = 5e-4  # of the time that passes, by which two steady clocks may part
-MAX_FIRST_DELAY_SECONDS = (
-    0.25  # seconds that the first message of a connection may take longer than the question for it
-)
+MAX_CLOCK_DRIFT = 5e-4  # by which two steady clocks may diverge, as a fraction of the time that passes
+MAX_FIRST_DELAY_SECONDS = 0.25  # that a connection's first message is taken to have been under way at most
 NEVER = float("-inf")
 
 
 class DelayEstimate:
-    """One connection's messages: when each was sent, by the receiver's clock."""
+    """Estimates when each message of one connection was sent, by the receiver's clock."""
 
     def __init__(self, asked_at: float) -> None:
         self._asked_at = asked_at
-        self._offset: float | None = None  # the receiver's clock less the sender's
+        self._offset: float | None = None  # the receiver's clock minus the sender's
         self._arrived_at = 0.0
 
     def sent_at(self, now: float, sent: float) -> float:
         """The receiver's time when a message that arrives now, and is dated `sent`, was sent."""
         latest = now - sent
         if self._offset is None:
-            # It answers a question: it was sent after that.
+            # It answers the subscription, so that it was sent after that.
             self._offset = min(latest, self._asked_at - sent + MAX_FIRST_DELAY_SECONDS)
         else:
             self._offset = min(latest, self._offset + MAX_CLOCK_DRIFT * (now - self._arrived_at))
@@ -40,36 +38,38 @@
 
 @dataclass(slots=True, frozen=True)
 class VoterUpdate:
-    """What a voter said when: nothing after change `index` had been decided with its vote."""
+    """What a voter's latest Delta proves: when it was sent, nothing after change `index` was decided by its vote."""
 
     sent_at: float
     index: int
-    echoed_at: float  # the latest time of ours that it has heard: who can't be heard is cut off too
+    echoed_at: (
+        float  # the latest time of this process that the voter has received: contact counts in both directions only
+    )
 
 
 class Freshness:
-    """The latest word of each voter, and how old this replica's state may be by them."""
+    """The latest update of each voter, and up to when this replica's state is known to be complete by them."""
 
     def __init__(self, echo_timeout: float) -> None:
-        """`two_way_within`: seconds since a voter last heard of this process, for its word to count."""
+        """`echo_timeout`: seconds since a voter last received a message of this process, for its updates to count."""
         self._echo_timeout = echo_timeout
         self._updates: dict[str, VoterUpdate] = {}
         self._delays: dict[str, DelayEstimate] = {}
         self._subscribed_at: dict[str, float] = {}
 
     def subscribed(self, now: float, ip: str) -> None:
-        """A subscription to this peer's news begins.
+        """A subscription to this peer's updates begins.
 
-        On a connection that has brought news before, the estimate stays: what was held up there may still come.
+        On a connection that has brought updates before, the estimate stays: delayed ones may still arrive.
         """
         self._delays.setdefault(ip, DelayEstimate(now))
         self._subscribed_at[ip] = now
         self._updates.pop(ip, None)
 
     def receive(self, now: float, ip: str, delta: Delta) -> float:
-        """News of a peer; returns when it was sent, `NEVER` where nothing tells."""
+        """Take in an update; returns when it was sent, or `NEVER` where that is not known."""
         delay = self._delays.get(ip)
-        if delay is None:  # Guards against news of a connection that has ended: it may have waited for any time.
+        if delay is None:  # guards against an update of a connection that has ended: it may have waited for any time
             return NEVER
         at = delay.sent_at(now, delta.sent_at)
         if delta.is_voter:
@@ -89,15 +89,15 @@
         self._subscribed_at.pop(ip, None)
 
     def latest_update_at(self, ip: str) -> float:
-        """When this peer sent its latest word."""
+        """When this peer sent its latest update, or `NEVER`."""
         update = self._updates.get(ip)
         return NEVER if update is None else update.sent_at
 
     def known_up_to(self, now: float, membership: Membership, index: int, own_vote: str) -> float:
-        """Up to when all that was decided is known here, by what a majority of the voters has said.
+        """The time up to which all that was decided is known here, by a majority of the voters, or `NEVER`.
 
-        `index`: the latest change that is known here; `own_vote`: this replica's IP number where it has a vote and has
-        accepted nothing later.
+        `index`: the latest change that is known here; `own_vote`: this replica's IP address, where it has a vote and
+        has accepted nothing later, else empty.
         """
         times = []
         for voter in membership.voters:
--- a/lugspur/mesh/control/read_index.py
+++ b/lugspur/mesh/control/read_index.py
@@ -1,7 +1,8 @@
-"""Reads of the latest state, without I/O: a majority says that nothing later is decided.
+"""Linearizable reads, without I/O: a majority confirms that nothing later is decided.
 
-A read is over once a majority of the voters says that it knows no later change than this replica, and has accepted
-none. Else what is missing is learned, what may be decided is finished, and the question is asked anew.
+This is the read index of Raft (Ongaro's dissertation, section 6.4), asked of all voters since there is no leader. A
+read succeeds once a majority of the voters says that it knows no later change than this replica, and has accepted none.
+Else the replica learns what it lacks, a pending change is resolved, and the voters are asked again.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
-RETRY_DELAY_SECONDS = 0.1  # seconds after which a question that brought nothing is asked anew
+RETRY_DELAY_SECONDS = 0.1  # after which an unsuccessful query is repeated
 
 
 @dataclass(slots=True, eq=False)
 class Read:
-    """Somebody waits until `until`; `over` is told whether the replica's state is the latest."""
+    """A reader that waits until `deadline`; `on_result` gets whether the replica's state is the latest."""
 
     deadline: float
     on_result: Callable[[bool], None]
 
 
 @dataclass(slots=True)
-class _Round:
+class _Query:
     number: int
     index: int
     voters: frozenset[str]
@@ -41,25 +42,25 @@
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self._waiting: list[Read] = []
-        self._round: _Round | None = None
+        self._query: _Query | None = None
         self._number = 0
 
     def submit(self, now: float, read: Read) -> Effects:
-        """Ask for the latest state. A round that is under way began before this read did, and is not enough."""
+        """Ask for the latest state. A query that is under way began before this read did, and does not count for it."""
         self._waiting.append(read)
-        return self._start(now) if self._round is None else Effects()
+        return self._start(now) if self._query is None else Effects()
 
     def tick(self, now: float) -> Effects:
-        """End what has gone on for too long, and ask again."""
+        """End reads whose deadline has passed, and repeat a query whose time is up."""
         for read in [read for read in self._waiting if read.deadline <= now]:
             self._end(read, False)
-        if self._round is not None and now >= self._round.retry_at:
-            self._round = None
-        return self._start(now) if self._round is None else Effects()
+        if self._query is not None and now >= self._query.retry_at:
+            self._query = None
+        return self._start(now) if self._query is None else Effects()
 
     def replica_advanced(self, now: float) -> Effects:
-        """The replica has learned of further changes."""
-        self._round = None
+        """Ask anew, since the replica has learned further changes."""
+        self._query = None
         return self._start(now)
 
     def _start(self, now: float) -> Effects:
@@ -68,12 +69,12 @@
             return Effects()
         self._number += 1
         voters = frozenset(voter.ip for voter in membership.voters)
-        self._round = _Round(self._number, self._replica.index, voters, now + RETRY_DELAY_SECONDS, self._waiting[:])
+        self._query = _Query(self._number, self._replica.index, voters, now + RETRY_DELAY_SECONDS, self._waiting[:])
         return Effects(send=[(ip, ReadIndexQuery(self._number)) for ip in sorted(voters)])
 
     def receive(self, now: float, ip: str, message: ReadIndexReply) -> tuple[Effects, bool]:
-        """A voter's answer; also whether something that was accepted there has to be finished."""
-        current = self._round
+        """Process a voter's reply; also returns whether a change that is pending there has to be resolved first."""
+        current = self._query
         if current is None or message.number != current.number or ip not in current.voters:
             return Effects(), False
         if message.decided_index > current.index:
@@ -85,7 +86,7 @@
         current.answered.add(ip)
         if len(current.answered) < majority(len(current.voters)):
             return Effects(), False
-        self._round = None
+        self._query = None
         for read in [read for read in current.reads if read in self._waiting]:
             self._end(read, read.deadline > now)
         return self._start(now), False
--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from collections.abc import Set as AbstractSet
 
-from lugspur.mesh.control.membership import Presence, Situation, Tolerance, next_membership
+from lugspur.mesh.control.voter_membership import Presence, Situation, Tolerance, next_membership
 from lugspur.mesh.control.messages import Membership
 from lugspur.mesh.control.replica import Replica
 
--- a/lugspur/mesh/control/membership.py
+++ b/lugspur/mesh/control/voter_membership.py
@@ -1,4 +1,7 @@
-"""Which replicas should vote next, without I/O. Each step changes one voter, so that majorities of two epochs meet."""
+"""Which replicas should vote next, without I/O.
+
+Each step changes one voter, so that the majorities of two consecutive epochs intersect.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +16,22 @@
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
 
-MIN_VOTERS = 3  # voters where there are so many replicas: one may always be away
+MIN_VOTERS = 3  # where there are enough replicas: one voter may always be away
 
 
 class Presence(msgspec.Struct, array_like=True, frozen=True):
-    """What a control node says of itself, as a leased entry under its IP number."""
+    """What a control node announces about itself, as a leased entry under its IP address."""
 
     uid: str
     zone: str
-    leaving: bool = False
+    leaving: bool = False  # it is shutting down for good
     failing: bool = False  # its disk takes no writes
-    disk_bytes: int = 0  # that its disk takes; 0: unknown
+    disk_bytes: int = 0  # that its disk can store; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Tolerance:
-    """What may be lost at once."""
+    """How many machines, zones and regions may be lost at once."""
 
     machines: int
     zones: int
@@ -36,7 +39,7 @@
 
     @property
     def voter_count(self) -> int:
-        """How many voters bear the loss of so many machines, or of so many zones or regions with what is in them."""
+        """How many voters are needed to survive these losses, each zone or region with all that is in it."""
         return max(MIN_VOTERS, 2 * self.machines + 1, 2 * max(self.zones, self.regions) + 1 if not self.machines else 0)
 
 
@@ -44,10 +47,11 @@
 class Situation:
     """What one voter knows of the others when it looks for the next step.
 
-    `absent`: seconds for which each voter that is out of reach has been; `patience`: how long that may be; `complete`:
-    IP numbers of voters that hold all claims, itself included; `overdue`: the present epoch has stood for so long that
-    a voter that is not complete will not be soon; `avoid`: IP numbers that were out of reach a moment ago; `regions`:
-    the region of each zone; `configuration`: bytes of all items that stand.
+    `absent`: seconds for which each voter has been unreachable; `absence_timeout`: after how many it is replaced;
+    `complete_voters`: IP addresses of the voters that hold all reservations, its own included; `is_overdue`: the
+    present epoch has lasted for so long that a voter that is not complete will not be soon; `recently_absent`: IP
+    addresses that were unreachable a moment ago; `regions`: the region of each zone; `configuration_bytes`: of all
+    items in force.
     """
 
     membership: Membership
@@ -62,17 +66,17 @@
     configuration_bytes: int = 0
 
     def zone(self, voter: Voter) -> str:
-        """The zone of a voter: those of the first membership are known by their addresses alone."""
+        """The zone of a voter; those of the first membership are known by their addresses alone."""
         presence = self.presences.get(voter.ip)
         return presence.zone if presence is not None else voter.zone
 
     def failure_domain(self, voter: Voter) -> str:
-        """What is lost at once with this voter: its region where regions may be lost, else its zone."""
+        """What fails together with this voter: its region where regions may be lost, else its zone."""
         zone = self.zone(voter)
         return self.regions.get(zone, zone) if self.tolerance.regions else zone
 
     def candidates(self) -> list[Voter]:
-        """Replicas without a vote that could have one."""
+        """Replicas that have no vote and could be given one."""
         voters = {voter.ip for voter in self.membership.voters}
         found = []
         for ip, presence in self.presences.items():
@@ -82,13 +86,13 @@
         return [voter for voter in found if voter.ip not in self.recently_absent] or found
 
     def may_lose_vote(self, voter: Voter) -> bool:
-        """Whether enough of the others hold all claims: whoever is new reads them from a majority."""
-        left = len(self.complete_voters - {voter.ip})
-        return left >= majority(len(self.membership.voters)) or self.is_overdue
+        """Whether enough of the others are complete: a new voter reads the reservations from a majority."""
+        remaining = len(self.complete_voters - {voter.ip})
+        return remaining >= majority(len(self.membership.voters)) or self.is_overdue
 
 
 def next_membership(situation: Situation) -> Membership | None:
-    """The membership that should follow, or None where the present one is right."""
+    """The membership that should follow, or None where the present one is as it should be."""
     return (
         _replace_lost_disk(situation)
         or _replace_unfit(situation)
@@ -98,7 +102,7 @@
 
 
 def _replace_lost_disk(situation: Situation) -> Membership | None:
-    """A voter has come back with another disk: what it had promised is gone."""
+    """Replace a voter that has come back with another disk, since its promises are lost."""
     for voter in situation.membership.voters:
         presence = situation.presences.get(voter.ip)
         if presence is None or presence.uid == voter.uid or presence.leaving or presence.failing:
@@ -109,47 +113,47 @@
 
 
 def _replace_unfit(situation: Situation) -> Membership | None:
-    """A voter leaves, can't write, or has been out of reach for too long, and another could take its place."""
+    """Replace a voter that leaves, can't write, or has been unreachable for too long, if there is a candidate."""
     candidates = situation.candidates()
     if not candidates:
         return None
     for voter in situation.membership.voters:
         presence = situation.presences.get(voter.ip)
-        goes = presence is not None and presence.uid == voter.uid and (presence.leaving or presence.failing)
-        if not goes and situation.absent.get(voter.ip, 0.0) <= situation.absence_timeout:
+        is_unfit = presence is not None and presence.uid == voter.uid and (presence.leaving or presence.failing)
+        if not is_unfit and situation.absent.get(voter.ip, 0.0) <= situation.absence_timeout:
             continue
         if situation.may_lose_vote(voter):
             others = [other for other in situation.membership.voters if other != voter]
-            return _replace(situation.membership, voter, _least_crowded(situation, candidates, others))
+            return _replace(situation.membership, voter, _least_loaded(situation, candidates, others))
     return None
 
 
 def _add_voter(situation: Situation) -> Membership | None:
-    """There are fewer voters than the tolerated losses ask for."""
+    """Add a voter where there are fewer than the tolerated losses require."""
     voters = situation.membership.voters
     candidates = situation.candidates()
     if len(voters) >= situation.tolerance.voter_count or not candidates:
         return None
     if len(situation.complete_voters) < majority(len(voters) + 1):
         return None
-    added = _least_crowded(situation, candidates, voters)
+    added = _least_loaded(situation, candidates, voters)
     return _follow(situation.membership, [*voters, added])
 
 
 def _spread_over_domains(situation: Situation) -> Membership | None:
-    """The loss of one zone or region would take the majority with it, and another could have one of its votes."""
+    """Move a vote out of a zone or region whose loss would take the majority with it."""
     voters = situation.membership.voters
     if not situation.tolerance.zones and not situation.tolerance.regions:
         return None
-    crowd = Counter(situation.failure_domain(voter) for voter in voters)
-    crowded = max(crowd, key=lambda domain: (crowd[domain], domain))
-    if len(voters) - crowd[crowded] >= majority(len(voters)):
+    votes = Counter(situation.failure_domain(voter) for voter in voters)
+    fullest = max(votes, key=lambda domain: (votes[domain], domain))
+    if len(voters) - votes[fullest] >= majority(len(voters)):
         return None
-    elsewhere = [c for c in situation.candidates() if crowd[situation.failure_domain(c)] + 1 < crowd[crowded]]
+    elsewhere = [c for c in situation.candidates() if votes[situation.failure_domain(c)] + 1 < votes[fullest]]
     for voter in voters:
-        if elsewhere and situation.failure_domain(voter) == crowded and situation.may_lose_vote(voter):
+        if elsewhere and situation.failure_domain(voter) == fullest and situation.may_lose_vote(voter):
             others = [other for other in voters if other != voter]
-            return _replace(situation.membership, voter, _least_crowded(situation, elsewhere, others))
+            return _replace(situation.membership, voter, _least_loaded(situation, elsewhere, others))
     return None
 
 
@@ -161,8 +165,8 @@
     return Membership(membership.epoch + 1, sorted(voters, key=lambda voter: voter.ip), membership.voters)
 
 
-def _least_crowded(situation: Situation, candidates: list[Voter], others: list[Voter]) -> Voter:
-    """One of the region or zone that has fewest votes: what is lost at once takes the least with it."""
+def _least_loaded(situation: Situation, candidates: list[Voter], others: list[Voter]) -> Voter:
+    """A candidate of the failure domain with the fewest votes, so that the loss of one domain costs the fewest."""
     domains = Counter(situation.failure_domain(voter) for voter in others)
     zones = Counter(situation.zone(voter) for voter in others)
     return min(candidates, key=lambda c: (domains[situation.failure_domain(c)], zones[situation.zone(c)], c.ip))
--- a/lugspur/mesh/control_node/announcement.py
+++ b/lugspur/mesh/control_node/announcement.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from lugspur.mesh.control.items import CONTROL
-from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Entry, Report
 from lugspur.mesh.control.store import Store
+from lugspur.mesh.control.voter_membership import Presence
 
 _encode = msgspec.msgpack.Encoder().encode
 
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -11,7 +11,6 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
 from lugspur.mesh.control.learned_pages import LearnedPages
-from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
     ChangeResult,
@@ -36,6 +35,7 @@
 from lugspur.mesh.control.replica import UID_ROW, read_membership
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
+from lugspur.mesh.control.voter_membership import Presence, Tolerance
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -14,7 +14,6 @@
 
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind
 from lugspur.mesh.control.items import RequestLimits, Route, Service, Share
-from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
@@ -60,6 +59,7 @@
 from lugspur.mesh.control.register import AcceptorState, Register
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.reservation_table import ReservationTable
+from lugspur.mesh.control.voter_membership import Presence
 
 ENTRY = Entry(kind="routes", name="a", edition=2, value=b"v")
 WITHDRAWAL = Entry(kind="services", name="b", edition=3, value=None)
--- a/tests/mesh/test_configuration_size.py
+++ b/tests/mesh/test_configuration_size.py
@@ -17,10 +17,10 @@
 from lugspur.mesh.control.capacity import CONFIGURATION_DISK_FRACTION, fits, item_bytes, max_configuration_bytes
 from lugspur.mesh.control.change_requests import Confirmed, Refused
 from lugspur.mesh.control.errors import ErrorKind
-from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Change, Entry
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.register import Register
+from lugspur.mesh.control.voter_membership import Presence
 from lugspur.mesh.storage.disk import Disk
 
 SMALL = 60_000  # bytes of a small disk: 10,000 of the configuration
--- a/tests/mesh/test_drawn_histories.py
+++ b/tests/mesh/test_drawn_histories.py
@@ -12,11 +12,11 @@
 from lugspur.emulator.control.settings import COMPLETE_BY_TIME, HASTY_LOSSES, MANY_CHANGES, SETTINGS, Setting
 from lugspur.mesh.control import reservation_client
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.membership import Situation
 from lugspur.mesh.control.messages import ReserveKey, Voter
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.reservation_table import ReservationTable
+from lugspur.mesh.control.voter_membership import Situation
 
 DRAWN = [(seed, setting) for number, setting in enumerate(SETTINGS) for seed in range(5 if number < 5 else 4)]
 LONG = [(seed, setting) for setting in (*COMPLETE_BY_TIME, *HASTY_LOSSES) for seed in range(2)]
--- a/tests/mesh/test_membership_changes.py
+++ b/tests/mesh/test_membership_changes.py
@@ -7,7 +7,6 @@
 import pytest
 from controlparts import seed
 
-from lugspur.mesh.control.membership import Presence, Situation, Tolerance, next_membership
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.reconfiguration import (
@@ -20,6 +19,7 @@
     absence_timeout,
     leaves_time,
 )
+from lugspur.mesh.control.voter_membership import Presence, Situation, Tolerance, next_membership
 
 CURRENT = Membership(4, [Voter(f"10.0.0.{n}", f"u{n}", f"z{n}") for n in (1, 2, 3)])
 THERE = {voter.ip: Presence(voter.uid, voter.zone) for voter in CURRENT.voters}
