--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -660,6 +660,15 @@
     assert warnings == WARNINGS
 
 
+def test_the_operators_page_lists_all_events_with_their_levels() -> None:
+    page = (ROOT / "docs" / "mesh-operating.md").read_text()
+    listed: dict[str, str] = {}
+    for names, level in re.findall(r"^\| ((?:`[a-z-]+`(?:, )?)+) \| (info|warning|info, warning) \|", page, re.M):
+        listed |= dict.fromkeys(re.findall(r"`([a-z-]+)`", names), level)
+    assert listed.keys() == EVENTS.keys()
+    assert {event for event, level in listed.items() if "warning" in level} == WARNINGS
+
+
 def test_the_lines_of_the_log(seen: Seen) -> None:
     found = {}
     for line in seen.log:
