--- a/lugspur/bench/revisions.py
+++ b/lugspur/bench/revisions.py
@@ -7,6 +7,10 @@
 
 from lugspur.bench.mesh import ROOT
 
+# The last revision before packages, classes and fields got the terms of the field. Tests play its build against the
+# present one; a clone without it (a shallow one) fails there with RevisionError, which says so.
+BEFORE_RENAMES = "6c859c63bc182eec65c13e167b36f7e20d079198"
+
 
 class RevisionError(Exception):
     """A former build cannot be taken out of the repository's history."""
--- a/tests/daemon/hot_restart/test_process_replacement.py
+++ b/tests/daemon/hot_restart/test_process_replacement.py
@@ -15,6 +15,7 @@
 
 from loopback import HOST, OK, WIDE, WIRE, Backend, Client, backend, book, entry, read, soon, status, watches
 
+from lugspur.bench.revisions import BEFORE_RENAMES, extract_build
 from lugspur.bench.sockets import free_port
 
 ROOT = Path(__file__).parents[3]
@@ -38,8 +39,8 @@
             "known": {"index": 7, "snapshot": True, "endpoints": entries},
         }
 
-    async def start(self, **changed: Any) -> int:
-        """One more process: its second address, once it says yes."""
+    async def start(self, root: Path = ROOT, **changed: Any) -> int:
+        """Start one more process from the build at `root`; returns the port of its admin listener once it is ready."""
         port = free_port()
         path = self.directory / f"config-{len(self.processes)}.json"
         path.write_text(json.dumps(self.raw | {"management": f"{HOST}:{port}"} | changed))
@@ -48,7 +49,7 @@
         environment = os.environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(temp)}
         with open(self.directory / "log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lugspur", cwd=ROOT, env=environment, stderr=log
+                sys.executable, "-m", "lugspur", cwd=root, env=environment, stderr=log
             )
         self.processes.append(process)
         self.ports.append(port)
@@ -427,3 +428,51 @@
             assert set(answers) == {200}
 
     asyncio.run(play())
+
+
+def test_processes_of_a_former_build_and_the_present_one_replace_each_other_without_a_loss(tmp_path: Path) -> None:
+    """The former build serves, then the present one, then the former one again."""
+    former = tmp_path / "former"
+    former.mkdir()
+    extract_build(BEFORE_RENAMES, former)
+
+    async def play() -> None:
+        ran: Counter[bytes] = Counter()
+
+        def script(request: bytes) -> bytes:
+            ran[request.split(b"X-Request-ID: ")[1].split(b"\r\n")[0]] += 1
+            return OK
+
+        async with (
+            backend(script) as one,
+            backend(lambda _: OK) as banned,
+            proxy_processes(tmp_path, one, banned) as up,
+        ):
+            port = await up.start(former)
+            assert await call(port, "POST", "/backends/disable", "s-2") == 200
+            over = False
+            answers: Counter[int] = Counter()
+
+            async def load(mine: int) -> None:
+                client, number = await up.client(), 0
+                while not over:
+                    number += 1
+                    form = book if number % 2 else read
+                    answers[status(await client.ask(form(mine * 1_000_000 + number)))] += 1
+                    await asyncio.sleep(0.002 * mine)
+                client.writer.close()
+
+            clients = [asyncio.create_task(load(mine)) for mine in range(1, 6)]
+            for root in (ROOT, former):
+                await up.start(root)
+                await up.end()
+            over = True
+            await soon(asyncio.gather(*clients))
+            assert set(answers) == {200} and answers[200] > 20
+            assert sum(ran.values()) == answers[200] and set(ran.values()) == {1}
+            assert banned.got.empty()  # the ban went over twice
+        lines = up.log().splitlines()
+        assert [line for line in lines if "no hand-over" in line or "Traceback" in line] == []
+        assert lines.count("lugspur: replacement: this process serves in the place of the one before") == 2
+
+    asyncio.run(play())
--- a/tests/mesh/test_upgrade.py
+++ b/tests/mesh/test_upgrade.py
@@ -8,12 +8,9 @@
 import pytest
 
 from lugspur.bench import upgrade
-from lugspur.bench.revisions import RevisionError, extract_build
+from lugspur.bench.revisions import BEFORE_RENAMES, RevisionError, extract_build
 from lugspur.bench.upgrade import Builds, Direction, Outcome, Plan, play, table
 
-# The last revision before packages, classes and fields got the names of the field. It stays in the history; a clone
-# without it (a shallow one) fails here with RevisionError, which says so.
-FORMER_REVISION = "6c859c63bc182eec65c13e167b36f7e20d079198"
 SHORT = Plan(seed=1, pause_seconds=0.3)
 
 
@@ -22,7 +19,7 @@
     """The directory of a former build."""
     directory = tmp_path / "former"
     directory.mkdir()
-    extract_build(FORMER_REVISION, directory)
+    extract_build(BEFORE_RENAMES, directory)
     return directory
 
 
@@ -75,9 +72,9 @@
         return outcome
 
     monkeypatch.setattr(upgrade, "play", found)
-    assert upgrade.main(["--from", FORMER_REVISION]) == 1
+    assert upgrade.main(["--from", BEFORE_RENAMES]) == 1
     lines = capsys.readouterr().out.splitlines()
     assert [line.split(" | ")[0] for line in lines[2:4]] == ["| former to present", "| present to former"]
     assert lines[4:] == ["FOUND present to former: ran twice: k7"]
     spoilt.clear()
-    assert upgrade.main(["--from", FORMER_REVISION]) == 0
+    assert upgrade.main(["--from", BEFORE_RENAMES]) == 0
