--- a/lugspur/daemon/persistence/directory.py
+++ b/lugspur/daemon/persistence/directory.py
@@ -75,17 +75,17 @@
         """Return the content of a file. Raises ValueError if it is not a regular one or larger than `max_bytes`."""
         fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC, dir_fd=self._fd)
         try:
-            found = os.fstat(fd)
-            if not stat.S_ISREG(found.st_mode):  # Guards a start against a pipe to which nobody writes.
+            status = os.fstat(fd)
+            if not stat.S_ISREG(status.st_mode):  # Guards a start against a pipe to which nobody writes.
                 raise ValueError("it is no plain file")
-            if found.st_size > max_bytes:
-                raise ValueError(f"it has {found.st_size} bytes, and {max_bytes} are the most")
-            parts: list[bytes] = []
-            while part := os.read(fd, CHUNK_BYTES):
-                parts.append(part)
-                if sum(map(len, parts)) > max_bytes:  # It grows while it is read.
+            if status.st_size > max_bytes:
+                raise ValueError(f"it has {status.st_size} bytes, and {max_bytes} are the most")
+            chunks: list[bytes] = []
+            while chunk := os.read(fd, CHUNK_BYTES):
+                chunks.append(chunk)
+                if sum(map(len, chunks)) > max_bytes:  # It grows while it is read.
                     raise ValueError(f"it has more than {max_bytes} bytes")
-            return b"".join(parts)
+            return b"".join(chunks)
         finally:
             os.close(fd)
 
--- a/lugspur/daemon/persistence/snapshot_format.py
+++ b/lugspur/daemon/persistence/snapshot_format.py
@@ -50,9 +50,9 @@
     return orjson.dumps([kind, pool, value]) + b"\n"
 
 
-def encode_snapshot(written_at: float, facts: Iterable[bytes]) -> bytes:
+def encode_snapshot(written_at: float, records: Iterable[bytes]) -> bytes:
     """Join records to a complete file."""
-    lines = [b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, written_at), *facts]
+    lines = [b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, written_at), *records]
     text = b"".join(lines)
     count = text.count(b"\n")
     return text + b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), count)
@@ -61,40 +61,40 @@
 def decode_snapshot(data: bytes) -> Snapshot:
     """Decode a complete file. Raises UnreadableSnapshotError."""
     first, _, _ = data.partition(b"\n")
-    form, _, rest = first.rpartition(b" ")
-    form, _, version = form.rpartition(b" ")
-    if form != MAGIC:
+    magic, _, written_at = first.rpartition(b" ")
+    magic, _, version = magic.rpartition(b" ")
+    if magic != MAGIC:
         raise UnreadableSnapshotError("it is no state file")
     if version != b"%d" % FORMAT_VERSION:  # checked before the checksum, which may differ in another version
         raise UnreadableSnapshotError(
             f"it is of version {version[:9].decode('latin-1')}, and this program reads {FORMAT_VERSION}"
         )
-    at = data.rfind(b"\nend ", 0, -1) + 1
-    text, end = data[:at], data[at:]
-    if end != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
+    end_at = data.rfind(b"\nend ", 0, -1) + 1
+    text, last_line = data[:end_at], data[end_at:]
+    if last_line != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
         raise UnreadableSnapshotError("its checksum does not fit: it is cut or changed")
     try:
-        return Snapshot(state_codec.finite_number(rest), _pools(text.splitlines()[1:]))
-    except state_codec.DECODE_ERRORS as fault:  # The checksum fits, but the values do not.
-        raise UnreadableSnapshotError(f"it makes no sense: {fault!r:.200}") from fault
+        return Snapshot(state_codec.finite_number(written_at), _decode_records(text.splitlines()[1:]))
+    except state_codec.DECODE_ERRORS as error:  # The checksum fits, but the values do not.
+        raise UnreadableSnapshotError(f"it makes no sense: {error!r:.200}") from error
 
 
-def _pools(lines: Sequence[bytes]) -> dict[str, PoolSnapshot]:
-    found: dict[str, PoolSnapshot] = {}
-    tiers: dict[str, dict[str, Any]] = {}
-    servers: dict[str, list[dict[str, Any]]] = {}
+def _decode_records(lines: Sequence[bytes]) -> dict[str, PoolSnapshot]:
+    pools: dict[str, PoolSnapshot] = {}
+    learned_pools: dict[str, dict[str, Any]] = {}
+    learned_servers: dict[str, list[dict[str, Any]]] = {}
     for line in lines:
         kind, name, value = orjson.loads(line)
         if kind == "pool":
-            found[name] = PoolSnapshot(state_codec.finite_number(value["at"]))
+            pools[name] = PoolSnapshot(state_codec.finite_number(value["at"]))
         elif kind == "backend":
-            found[name].endpoints.append(state_codec.decode_endpoint(value))
+            pools[name].endpoints.append(state_codec.decode_endpoint(value))
         elif kind == "learned":
-            servers.setdefault(name, []).append(value)
+            learned_servers.setdefault(name, []).append(value)
         elif kind == "tier":
-            tiers[name] = value
+            learned_pools[name] = value
         else:
             raise ValueError(f"an unknown fact {kind!r}")
-    for name, tier in tiers.items():
-        found[name].learned = state_codec.decode_learned(tier, servers.get(name, []))
-    return found
+    for name, learned in learned_pools.items():
+        pools[name].learned = state_codec.decode_learned(learned, learned_servers.get(name, []))
+    return pools
--- a/lugspur/daemon/persistence/snapshot_store.py
+++ b/lugspur/daemon/persistence/snapshot_store.py
@@ -138,25 +138,25 @@
         """Rename a file so that it is not used again, and return the line for the log."""
         try:
             names = self._directory.list_names()
-            kept = sorted(
-                (int(each.rpartition(QUARANTINE_INFIX)[2]), each)
-                for each in names
-                if QUARANTINE_INFIX in each and each.rpartition(QUARANTINE_INFIX)[2].isdigit()
+            quarantined = sorted(
+                (int(file_name.rpartition(QUARANTINE_INFIX)[2]), file_name)
+                for file_name in names
+                if QUARANTINE_INFIX in file_name and file_name.rpartition(QUARANTINE_INFIX)[2].isdigit()
             )
-            for _, each in kept[: max(0, len(kept) - MAX_QUARANTINED_FILES + 1)]:
-                self._directory.remove(each)
-            place = f"{CURRENT_FILE}{QUARANTINE_INFIX}{kept[-1][0] + 1 if kept else 1}"
-            self._directory.rename(name, place)
+            for _, file_name in quarantined[: max(0, len(quarantined) - MAX_QUARANTINED_FILES + 1)]:
+                self._directory.remove(file_name)
+            new_name = f"{CURRENT_FILE}{QUARANTINE_INFIX}{quarantined[-1][0] + 1 if quarantined else 1}"
+            self._directory.rename(name, new_name)
         except OSError as error:
             return f"{name} is not used: {reason}; it can't be set aside: {error.strerror}"
-        return f"{name} is not used: {reason}; it is now {place}"
+        return f"{name} is not used: {reason}; it is now {new_name}"
 
 
-def open_store(folder: str, directory: Callable[[str], Directory] = Directory) -> SnapshotStore:
+def open_store(path: str, open_directory: Callable[[str], Directory] = Directory) -> SnapshotStore:
     """Open the store of a directory. Raises OSError and DirectoryInUseError."""
-    made = directory(folder)
+    directory = open_directory(path)
     try:
-        return SnapshotStore(made)
+        return SnapshotStore(directory)
     except BaseException:
-        made.close()
+        directory.close()
         raise
