--- a/tests/daemon/leases/test_explored_states.py
+++ b/tests/daemon/leases/test_explored_states.py
@@ -1,4 +1,4 @@
-"""Every order of events in the smallest worlds; the larger ones are `python -m lugspur.bench.explore`."""
+"""Every order of events in the smallest worlds; `python -m lugspur.bench.explore` explores larger ones."""
 
 from __future__ import annotations
 
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -1,4 +1,7 @@
-"""Leases under drawn faults in virtual time: never two in office, and somebody soon again. More seeds: the emulator."""
+"""Leases under random faults in virtual time: there are never two leaders, and soon there is one again.
+
+`python -m lugspur.emulator duties` plays more seeds.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +24,10 @@
     assert world.offices > 1
 
 
-def _caught(most: int, electors: int = 3, memory: bool = True) -> bool:
-    for seed in range(most):
+def _caught(max_seeds: int, voters: int = 3, memory: bool = True) -> bool:
+    for seed in range(max_seeds):
         try:
-            play(seed, memory, electors)
+            play(seed, memory, voters)
         except TwoInOffice:
             return True
         except AssertionError:
@@ -40,11 +43,11 @@
 def test_a_build_without_the_silence_after_a_start_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     begin: Callable[..., None] = LeaseVoter.__init__
 
-    def at_once(self: LeaseVoter, lease: float, now: float, memory: object, floor: int) -> None:
+    def speaks_at_once(self: LeaseVoter, lease: float, now: float, memory: object, floor: int) -> None:
         begin(self, lease, now, memory, floor)
         self.silent_until = now
 
-    monkeypatch.setattr(LeaseVoter, "__init__", at_once)
+    monkeypatch.setattr(LeaseVoter, "__init__", speaks_at_once)
     assert _caught(60, memory=False)
 
 
@@ -90,7 +93,7 @@
     assert len(world.holders()) == 1
     asked = 0
     network.run(60.0)
-    # The holder and two that stand by ask three electors some three times a lease; all the others seldom.
+    # The holder and two standby candidates ask three voters about three times in a lease; all others ask rarely.
     assert asked / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE
     assert len(world.holders()) == 1
 
@@ -103,7 +106,7 @@
     assert len(world.holders()) == 1
     world.network.kill(world.address(1))
     world.network.run(2 * LEASE)
-    assert not world.holders()  # a minority promises nothing
+    assert not world.holders()  # A minority can't promise a lease.
     world.start(1)
     world.network.run(4 * LEASE)
     assert len(world.holders()) == 1
--- a/tests/daemon/leases/test_promise_store.py
+++ b/tests/daemon/leases/test_promise_store.py
@@ -1,4 +1,4 @@
-"""What an elector writes down is there after a crash at any moment, or the former is."""
+"""After a crash at any moment the promises of a lease voter are there, or the former ones are."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     first.close()
     second = PromiseStore(str(tmp_path), "x", 5.0)
     assert not second.is_new and second.promises == TWO
-    assert second.lease_seconds == 10.0  # the longest that was ever promised for
+    assert second.lease_seconds == 10.0  # the longest time that was ever promised
     second.close()
 
 
@@ -46,10 +46,10 @@
     first = PromiseStore(str(tmp_path), "x", 10.0)
     first.write(ONE)
     first.close()
-    whole = (tmp_path / PROMISES_FILE).read_bytes()
-    spoilt = [whole[:at] for at in range(len(whole))]
-    spoilt += [whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :] for at in range(len(whole))]
-    for data in spoilt:
+    complete = (tmp_path / PROMISES_FILE).read_bytes()
+    corrupt = [complete[:at] for at in range(len(complete))]
+    corrupt += [complete[:at] + bytes([complete[at] ^ 1]) + complete[at + 1 :] for at in range(len(complete))]
+    for data in corrupt:
         (tmp_path / PROMISES_FILE).write_bytes(data)
         with pytest.raises(CorruptPromiseStoreError):
             PromiseStore(str(tmp_path), "x", 10.0)
--- a/tests/daemon/leases/test_voter.py
+++ b/tests/daemon/leases/test_voter.py
@@ -36,13 +36,11 @@
     assert reply_of(voter, 9.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 1, 1, "a", 1.0)
     assert reply_of(voter, 9.5, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)
     assert reply_of(voter, 19.0, B, RequestLease("d", 2, 2, LEASE)) == DenyLease("d", 1, 2, "a", 0.5)
-    assert reply_of(voter, 19.5, B, RequestLease("d", 1, 3, LEASE)) == DenyLease(
-        "d", 1, 3, "", 0.0
-    )  # The epoch is used.
+    # The epoch is used.
+    assert reply_of(voter, 19.5, B, RequestLease("d", 1, 3, LEASE)) == DenyLease("d", 1, 3, "", 0.0)
     assert reply_of(voter, 19.5, B, RequestLease("d", 2, 4, LEASE)) == GrantLease("d", 2, 4)
-    assert reply_of(voter, 19.5, A, RequestLease("d", 1, 3, LEASE)) == DenyLease(
-        "d", 2, 3, "b", 1.0
-    )  # A fresh promise may come to nothing.
+    # A fresh promise may come to nothing.
+    assert reply_of(voter, 19.5, A, RequestLease("d", 1, 3, LEASE)) == DenyLease("d", 2, 3, "b", 1.0)
     reply_of(voter, 20.0, B, RequestLease("d", 2, 5, LEASE))
     assert reply_of(voter, 20.0, A, RequestLease("d", 1, 4, LEASE)) == DenyLease("d", 2, 4, "b", 10.0)
 
@@ -61,9 +59,8 @@
     reply_of(voter, 0.5, B, RequestLease("d", 2, 1, LEASE))
     voter.receive(1.0, A, ReleaseLease("d", 1, 1))
     assert voter.take_messages() == [("b", RoleAvailable("d", 1))]
-    assert reply_of(voter, 1.0, A, RequestLease("d", 1, 1, LEASE)) == DenyLease(
-        "d", 1, 1, "", 0.0
-    )  # It is late, or repeated.
+    # It is late, or repeated.
+    assert reply_of(voter, 1.0, A, RequestLease("d", 1, 1, LEASE)) == DenyLease("d", 1, 1, "", 0.0)
     assert reply_of(voter, 1.0, B, RequestLease("d", 2, 2, LEASE)) == GrantLease("d", 2, 2)
     voter.receive(1.1, A, ReleaseLease("d", 1, 1))
     assert voter.current_promise("d", 1.1)[:2] == (2, "b")
@@ -107,9 +104,8 @@
     voter = new_voter(is_durable=True)
     assert reply_of(voter, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
     assert reply_of(voter, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
-    assert reply_of(voter, 0.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease(
-        "d", 0, 1, "", SAVE_RETRY_DELAY_SECONDS
-    )  # not before the first request is saved
+    # Not before the first request is saved.
+    assert reply_of(voter, 0.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 0, 1, "", SAVE_RETRY_DELAY_SECONDS)
     assert voter.promises() == [Promise("d", 1, "a", 1)]
     voter.unsaved = {}
     voter.confirm_saved(5.0, ["d"])
--- a/tests/daemon/persistence/snapshots.py
+++ b/tests/daemon/persistence/snapshots.py
@@ -1,4 +1,4 @@
-"""A small state for the tests of its file."""
+"""Small snapshots for the tests of persistence."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def taught(rows: list[Endpoint], now: float = 1000.0, slow: int = 0, bad: int = 0, rounds: int = 60) -> Balancer:
-    """A module that has met boxes of which the first are slow and the next ones fail."""
+    """Return a balancer that has sent requests to backends, of which the first are slow and the next ones fail."""
     balancer = Balancer(SETTINGS, 7)
     balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     names = [row.row.server for row in rows]
@@ -56,7 +56,7 @@
 def text(
     written: float = 1000.0, rows: list[Endpoint] | None = None, learned: Learned | None = None, name: str = "channel"
 ) -> bytes:
-    """A whole file of one pool."""
+    """Return a complete file of one pool."""
     rows = endpoints() if rows is None else rows
     learned = taught(rows).export_learned() if learned is None else learned
     facts = [encode_record("pool", name, {"at": written})]
@@ -67,5 +67,5 @@
 
 
 def other(seed: int) -> bytes:
-    """Another whole file, of another length."""
+    """Return another complete file, of another length."""
     return text(1000.0 + seed, endpoints(1 + Random(seed).randrange(4)))
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -1,4 +1,4 @@
-"""How much of what was kept still counts, and what the module does with it."""
+"""How much of a snapshot still counts, and what the balancer does with it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
-AT = 1002.0  # when the module of `taught` was asked: right after its last request
+AT = 1002.0  # when the state of `taught` is captured: right after its last request
 
 
 def kept(rows: list[Endpoint], **more: int) -> PoolSnapshot:
@@ -27,7 +27,7 @@
 
 def test_the_age_is_unknown_where_the_clock_went_back() -> None:
     assert snapshot_age(100.0, 160.0) == 60.0
-    assert snapshot_age(100.0, 99.5) == 0.0  # a step of NTP
+    assert snapshot_age(100.0, 99.5) == 0.0  # a step by NTP
     assert snapshot_age(100.0, 90.0) is None
 
 
@@ -95,7 +95,7 @@
     bad: int = 0,
     seed: int = 3,
 ) -> Counter[int]:
-    """What a module that begins with this sends, by the boxes' places; the first are slow, the next ones fail."""
+    """Count what a balancer that starts with this state sends to each backend. The first are slow, the next fail."""
     balancer = Balancer(SETTINGS, seed)
     balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     if learned is not None:
@@ -121,22 +121,22 @@
         for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
             sent = after(rows, learned, AT + 1.0, slow=5, bad=2, seed=seed)
             met[name] += sum(sent[place] for place in range(7))
-        # What a process meets that never ended: of two candidates both are bad now and then.
+        # What a balancer sends that was not restarted: now and then both of two candidates are bad.
         long, short = (after(rows, None, AT + 1.0, count, slow=5, bad=2, seed=seed) for count in (440, 400))
         met["steady"] += sum(long[place] - short[place] for place in range(7))
     assert met["fresh"] - met["steady"] < 0.5 * (met["none"] - met["steady"])
 
 
 def test_a_snapshot_from_before_an_incident_is_unlearned_soon() -> None:
-    # It says of all boxes but the last that they are slow; that one is broken now.
+    # The snapshot says that all backends but the last are slow; the last one is broken now.
     rows = endpoints(6)
     pool = kept(rows, slow=5, rounds=200)
-    turned = list(reversed(rows))  # the first is now the one that was best
+    turned = list(reversed(rows))  # The first is now the one that was best.
     met: Counter[str] = Counter()
     for seed in range(20):
         for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
             met[name] += after(turned, learned, AT + 1.0, count=100, bad=1, seed=seed)[0]
-    assert met["fresh"] <= met["none"] + 20 * 5  # five more calls of a hundred at most, for each start
+    assert met["fresh"] <= met["none"] + 20 * 5  # At each start, at most five more requests of a hundred.
 
 
 def test_a_backend_that_restarted_since_is_in_slow_start_whatever_the_snapshot_says() -> None:
@@ -152,7 +152,7 @@
             balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
             if known is not None:
                 balancer.import_learned(now, known)
-            young = replace(rows[0].row, started_at=now - 0.5)  # the first list that is told
+            young = replace(rows[0].row, started_at=now - 0.5)  # the first list that arrives
             balancer.update_servers(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
@@ -161,8 +161,8 @@
                     if isinstance(action, Send):
                         sent[name] += action.server == young.server
                         balancer.finish_attempt(at + 0.01, rid, 0, Outcome.OK, 0.01)
-    assert sent["fresh"] <= sent["none"] + 30  # one call for each start: its budget is no larger
-    assert sent["fresh"] < 30 * 60 / 6  # less than a warm box's part
+    assert sent["fresh"] <= sent["none"] + 30  # One request for each start: its budget is not larger.
+    assert sent["fresh"] < 30 * 60 / 6  # less than the share of a warm backend
 
 
 def test_state_of_a_backend_with_another_start_or_not_listed_is_dropped() -> None:
--- a/tests/daemon/persistence/test_snapshot_format.py
+++ b/tests/daemon/persistence/test_snapshot_format.py
@@ -1,4 +1,4 @@
-"""The file's form: all of it or nothing, whatever has happened to it."""
+"""A reader accepts the whole file or nothing, whatever has happened to it."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     "facts",
     [
-        encode_record("backend", "a", ROW),  # of a pool that is not there
+        encode_record("backend", "a", ROW),  # of a pool without a record
         POOL + encode_record("backend", "a", ROW[:-1]),
         POOL + encode_record("backend", "a", [*ROW[:1], "maybe", *ROW[2:]]),
         POOL + encode_record("rumour", "a", {}),
@@ -94,7 +94,7 @@
 
 
 @given(st.binary(max_size=400))
-@settings(deadline=None)  # a loaded machine is no fault
+@settings(deadline=None)  # A loaded machine is not a failure.
 def test_random_bytes_are_rejected(noise: bytes) -> None:
     for data in (noise, b"lugspur state 1 1.0\n" + noise, signed(b"lugspur state 1 1.0\n" + noise + b"\n")):
         with suppress(UnreadableSnapshotError):
--- a/tests/daemon/persistence/test_snapshot_store.py
+++ b/tests/daemon/persistence/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""Two generations in a folder, whatever stops, fails or lies there."""
+"""Two generations in a directory, whatever stops, fails or is found there."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 )
 
 CALLS = ("create", "write", "sync", "close_file", "rename", "remove", "sync_directory")
-assert all(callable(getattr(Directory, name)) for name in CALLS)  # else no fault would be met
+assert all(callable(getattr(Directory, name)) for name in CALLS)  # Otherwise no fault would be met.
 OLD, NEW = text(1000.0), text(2000.0, endpoints(1))
 
 
 class Stopped(BaseException):
-    """As if the process had ended here."""
+    """Raised as if the process had ended at this call."""
 
 
 class FaultyDirectory(Directory):
-    """Fails at one call, before or after it is done; writes little at a time."""
+    """Fails at one system call, before or after it is done, and writes few bytes at a time."""
 
     def __init__(
         self, directory: str, at: int, fault: Callable[[], BaseException], after_call: bool, chunk_bytes: int
@@ -78,7 +78,7 @@
 
 
 def load_and_confirm(directory: Path) -> tuple[float | None, list[str]]:
-    """When what is found was written, and what the log would tell."""
+    """Return when the loaded snapshot was written, and the lines for the log."""
     store = open_store(str(directory))
     try:
         found = store.load()
@@ -91,7 +91,7 @@
 def save_with_fault(
     directory: Path, at: int, fault: Callable[[], BaseException], after_call: bool, chunk_bytes: int, data: bytes = NEW
 ) -> tuple[FaultyDirectory, bool]:
-    """Save once more with a fault; whether it met it."""
+    """Save once more with a fault; return the directory, and whether the fault was met."""
     made: list[FaultyDirectory] = []
 
     def open_faulty(name: str) -> Directory:
@@ -125,7 +125,7 @@
         written, warnings = load_and_confirm(directory)
         assert not warnings
         assert written in ((1000.0, 2000.0) if before else (None, 2000.0))
-        save_all(directory, NEW)  # the next process goes on
+        save_all(directory, NEW)  # The next process goes on.
         assert load_and_confirm(directory) == (2000.0, [])
     assert at > 6
 
@@ -133,7 +133,7 @@
 def test_a_stop_after_any_byte_leaves_the_former_generation(tmp_path: Path) -> None:
     save_all(tmp_path, OLD)
     short = encode_snapshot(2000.0, [])
-    for at in range(3, 3 + len(short)):  # the first calls make the file
+    for at in range(3, 3 + len(short)):  # The first calls create the file.
         assert save_with_fault(tmp_path, at, Stopped, True, 1, short)[1]
         assert load_and_confirm(tmp_path) == (1000.0, [])
 
@@ -160,7 +160,7 @@
             for at in count(number):
                 store.save(texts[at % len(texts)])
                 os.write(write_end, b".")
-        if number % 2:  # whatever a disk takes to sync, some generations are whole...
+        if number % 2:  # However long a disk takes to sync, some generations are complete...
             os.read(read_end, 1)
         time.sleep(rng.random() * 0.006)
         os.kill(child, signal.SIGKILL)
@@ -171,7 +171,7 @@
         assert written in written_ever
         assert not warnings
         seen.add(written)
-    assert len(seen) > 2  # ...and it was killed while it wrote the next
+    assert len(seen) > 2  # ...and the process was killed while it wrote the next one.
 
 
 def test_a_corrupt_generation_is_quarantined_and_the_former_one_used(tmp_path: Path) -> None:
@@ -183,9 +183,8 @@
         assert len(warnings) == 1 and "state is not used: " in warnings[0] and QUARANTINE_INFIX in warnings[0]
     save_all(tmp_path, NEW)
     assert load_and_confirm(tmp_path) == (2000.0, [])
-    assert (
-        decode_snapshot((tmp_path / PREVIOUS_FILE).read_bytes()).written_at == 1000.0
-    )  # nothing whole was lost by that
+    # No complete generation was lost.
+    assert decode_snapshot((tmp_path / PREVIOUS_FILE).read_bytes()).written_at == 1000.0
 
 
 def test_a_file_that_is_not_regular_is_quarantined(tmp_path: Path) -> None:
@@ -213,7 +212,7 @@
         assert written == 1000.0
         assert len(warnings) == 1 and "is not used" in warnings[0]
         assert not (tmp_path / CURRENT_FILE).exists()
-    assert target.read_bytes() == NEW  # nothing was written through the link
+    assert target.read_bytes() == NEW  # Nothing was written through the link.
 
 
 def test_quarantined_files_are_bounded(tmp_path: Path) -> None:
@@ -222,7 +221,7 @@
         load_and_confirm(tmp_path)
     kept = [each for each in os.listdir(tmp_path) if QUARANTINE_INFIX in each]
     assert len(kept) == MAX_QUARANTINED_FILES
-    assert f"{CURRENT_FILE}{QUARANTINE_INFIX}{3 * MAX_QUARANTINED_FILES}" in kept  # the latest
+    assert f"{CURRENT_FILE}{QUARANTINE_INFIX}{3 * MAX_QUARANTINED_FILES}" in kept  # The latest one is kept.
 
 
 def test_a_file_that_is_too_large_is_never_read(tmp_path: Path) -> None:
@@ -240,7 +239,7 @@
     def start() -> float | None:
         store = open_store(str(tmp_path))
         found = store.load()
-        store.close()  # as a process does that ends before it serves
+        store.close()  # as a process that ends before it serves
         return None if found.snapshot is None else found.snapshot.written_at
 
     assert [start() for _ in range(MAX_START_ATTEMPTS)] == [2000.0] * MAX_START_ATTEMPTS
@@ -248,7 +247,7 @@
     assert start() is None
     assert (tmp_path / ATTEMPTS_FILE).exists()
     save_all(tmp_path, NEW)
-    for _ in range(2 * MAX_START_ATTEMPTS):  # one that came to serve is used again and again
+    for _ in range(2 * MAX_START_ATTEMPTS):  # A generation with which a start was confirmed is used again and again.
         assert load_and_confirm(tmp_path)[0] == 2000.0
 
 
@@ -275,7 +274,7 @@
     for each in directory.iterdir():
         each.unlink()
     directory.rmdir()
-    (tmp_path / "gone").mkdir()  # another one under its name is not the same
+    (tmp_path / "gone").mkdir()  # Another directory of the same name is not the same one.
     with pytest.raises(OSError):
         store.save(NEW)
     assert not list(directory.iterdir())
