--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -14,7 +14,7 @@
 from lugspur.daemon.persistence.aging import HALF_LIFE_SECONDS, MAX_AGE_SECONDS, decay, snapshot_age
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.discovery.endpoints import Endpoint
-from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
@@ -43,7 +43,7 @@
     for row, was in zip(later.servers, pool.learned.servers, strict=True):
         assert row.seen == pytest.approx(was.seen + 5000.0)
         assert row.breaker is not None and was.breaker is not None
-        shift = round(5000.0 / (WINDOW / BUCKETS))
+        shift = round(5000.0 / (WINDOW_SECONDS / WINDOW_BUCKETS))
         assert set(row.breaker.window) <= {(n + shift, r, a, f) for n, r, a, f in was.breaker.window}
 
 
@@ -79,10 +79,10 @@
     assert found is not None
     assert all(isfinite(value) for value in numbers(found))
     assert all(row.seen <= now for row in found.servers)
-    last = int(now / (WINDOW / BUCKETS))
+    last = int(now / (WINDOW_SECONDS / WINDOW_BUCKETS))
     for row in found.servers:
         if row.breaker is not None:
-            assert all(last - BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
+            assert all(last - WINDOW_BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
     after(rows, found, now)
 
 
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -78,7 +78,9 @@
         table = RouteTable()
         for entry in read_changes(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
             table.apply(entry)
-        self.proxy = Proxy(table, self, self, Random(1), 0.2, slack, 10.0, "z0")
+        self.proxy = Proxy(
+            table, self, self, Random(1), retry_ratio=0.2, retry_slack=slack, retry_window=10.0, zone="z0"
+        )
         self.proxy.sender = "mine"
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
@@ -90,16 +92,21 @@
         self.sent.append((ip, forward, respond))
         return SentRequest(self, len(self.sent) - 1)
 
-    def claim(
-        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        self.claimed.append((key, over))
-        self.reservation_ids.append(by)
+        self.claimed.append((key, on_outcome))
+        self.reservation_ids.append(owner)
 
-    def release(self, key: bytes, by: bytes) -> None:
+    def release(self, key: bytes, owner: bytes) -> None:
         self.released.append(key)
 
-    def drop(self, key: bytes, by: bytes) -> None:
+    def abandon(self, key: bytes, owner: bytes) -> None:
         self.released.append(key)
 
     def ask(self, target: bytes = b"/r/1", **headers: str) -> Caller:
@@ -430,7 +437,7 @@
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
-        assert endpoint.deprioritised_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
+        assert endpoint.deprioritised_until == 0.0 and not endpoint.breaker("r").failure_ratio(rig.proxy.loop.time())
 
     play(what, kind=kind)
 
@@ -457,7 +464,7 @@
         assert len(rig.sent) == 3
         [request] = rig.proxy.open_requests
         assert isinstance(request, ProxiedRequest)
-        request._second()  # the copy that was set with the first try falls due while the second one is at work
+        request._send_hedge()  # the copy that was set with the first try falls due while the second one is at work
         assert len(rig.sent) == 3 and not caller.answers
 
     play(what, slack=100.0)
