--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -1,10 +1,11 @@
-"""The proposer's side of the register, without I/O: one proposal at a time, for all orders that wait.
-
-A proposal has two rounds. In the first (prepare) a majority promises to accept nothing lower and tells what it has
-accepted. If anything was, it may be decided already and is proposed again. If nothing was, the state that this replica
-knows is the latest decided one, so that orders are judged against it, and those that take effect are proposed together
-(accept). An order is refused only by a state that is known to be the latest, and never once it has been proposed
-without an outcome.
+"""The proposer of the register, without I/O: one proposal at a time, for all change requests that wait.
+
+A proposal is one of single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2). In its first phase (prepare)
+a majority promises to accept nothing lower, and says what it has accepted. If anything was accepted, it may be decided
+already, and the value of the highest such proposal is proposed again. If nothing was, the state that this replica knows
+is the latest decided one: the waiting requests are checked against it, and those that take effect are proposed together
+in the second phase (accept). A request is refused only by a state that is known to be the latest, and never once it has
+been proposed without a known outcome.
 """
 
 from __future__ import annotations
@@ -16,11 +17,10 @@
 
 from lugspur.invariants import Invariant
 from lugspur.invariants import check as check_invariant
-from lugspur.mesh.control.capacity import item_bytes, max_configuration_bytes
+from lugspur.mesh.control.change_batch import ChangeBatch
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Refused, Unclear
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.errors import ErrorKind, MeshError
-from lugspur.mesh.control.items import Draft, check_changes
+from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
@@ -32,50 +32,25 @@
     ProposalNumber,
 )
 from lugspur.mesh.control.quorum import majority
-from lugspur.mesh.control.register import Register
 from lugspur.mesh.control.replica import Replica
 
-ROUND_TIMEOUT_SECONDS = 0.3  # seconds for one round of a proposal: then it is given up, and another one is made...
-MAX_ROUND_TIMEOUT_SECONDS = 2.0  # ...which has more time, up to this
-BACKOFF_SECONDS = (
-    0.02  # seconds before another proposal after one that met a competitor, drawn from half to one and a half...
-)
-MAX_BACKOFF_SECONDS = 0.16  # ...doubled each time up to this
-MAX_BATCHED_ITEMS = 64  # items in one change that holds several orders...
-MAX_BATCHED_BYTES = 1 << 20  # ...and bytes of their contents: connections and disks take it whole
-MAX_CATCH_UPS_PER_VOTER = 3  # times that one voter is told within a proposal what it lacks
+ROUND_TIMEOUT_SECONDS = 0.3  # of one phase of a proposal: then it is given up for another one...
+MAX_ROUND_TIMEOUT_SECONDS = 2.0  # ...that is given more time, up to this
+BACKOFF_SECONDS = 0.02  # before the next proposal after a conflict with a competitor, times a random 0.5 to 1.5...
+MAX_BACKOFF_SECONDS = 0.16  # ...and doubled with each conflict up to this
+MAX_CATCH_UPS_PER_VOTER = 3  # how often a proposal sends one voter what it lacks
 
 
 class Phase(Enum):
-    """What a proposal waits for."""
+    """What a proposal waits for: promises or acceptances."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
 
 
-class RegisterView:
-    """The decided items as `items.check` reads them."""
-
-    def __init__(self, register: Register) -> None:
-        self._register = register
-
-    def get(self, kind: str, name: str) -> Entry | None:
-        """What is known of a name, withdrawn ones too."""
-        item = self._register.items.get((kind, name))
-        return None if item is None else item.entry
-
-    def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind, by name, of those that are not withdrawn."""
-        found = {}
-        for (of, name), item in self._register.items.items():
-            if of == kind and item.entry.value is not None:
-                found[name] = item.entry.value
-        return found
-
-
 @dataclass(slots=True)
 class Proposal:
-    """One ballot for one index; messages count only from the voters of the membership that it began with."""
+    """One proposal for one index; only the voters of the membership that it began with count."""
 
     index: int
     number: ProposalNumber
@@ -94,53 +69,53 @@
 
 
 class Proposer:
-    """The proposals of one control node. `identity`: of the process and its life, unique among all."""
+    """The proposals of one control node. `identity` names the process and its incarnation, and is unique among all."""
 
     def __init__(
-        self, replica: Replica, identity: str, rng: Random, disks: Callable[[], Iterable[int]] = tuple
+        self, replica: Replica, identity: str, rng: Random, disk_sizes: Callable[[], Iterable[int]] = tuple
     ) -> None:
-        """`disks`: bytes that each control node's disk takes, 0 where that is not known."""
+        """`disk_sizes`: bytes that each control node's disk stores, 0 where that is not known."""
         self._replica = replica
-        self._disk_sizes = disks
+        self._disk_sizes = disk_sizes
         self._identity = identity
         self._rng = rng
         self._requests: list[ChangeRequest] = []
         self._proposal: Proposal | None = None
-        self._number = 0  # the highest ballot's number that was used or heard of
+        self._number = 0  # the highest number of a proposal that was used or seen
         self._changes = 0
         self._proposals = 0
-        self._failures = 0  # proposals in a row that came to nothing
+        self._failures = 0  # consecutive proposals without a decision
         self._not_before = 0.0
-        self._has_pending = False  # something that was accepted somewhere is to be decided or given up
+        self._has_pending = False  # a voter has accepted a change that is to be decided or ruled out
 
     def __len__(self) -> int:
         return len(self._requests)
 
     @property
     def proposals(self) -> int:
-        """How many it has made."""
+        """The number of proposals made so far."""
         return self._proposals
 
     # ---- inputs --------------------------------------------------------------------------
 
-    def submit(self, now: float, order: ChangeRequest) -> Effects:
-        """Have an order decided."""
-        order.submitted_after = self._proposals
-        self._requests.append(order)
+    def submit(self, now: float, request: ChangeRequest) -> Effects:
+        """Have a request decided."""
+        request.submitted_after = self._proposals
+        self._requests.append(request)
         return self._start(now)
 
-    def withdraw(self, order: ChangeRequest) -> None:
-        """Nobody waits for an order any more; what has been proposed goes on."""
-        if order in self._requests and not order.was_proposed:
-            self._requests.remove(order)
+    def withdraw(self, request: ChangeRequest) -> None:
+        """Forget a request that nobody waits for any more, unless it has been proposed."""
+        if request in self._requests and not request.was_proposed:
+            self._requests.remove(request)
 
     def resolve_pending(self, now: float) -> Effects:
-        """A voter has accepted a change that nobody has decided for a while: decide it, or prove that it never is."""
+        """Decide a change that a voter accepted some time ago, or rule it out by another decision for its index."""
         self._has_pending = True
         return self._start(now)
 
     def replica_advanced(self, now: float) -> Effects:
-        """The replica has learned of further changes: what is under way is for an index that is taken."""
+        """Give up a proposal for an index that the replica has learned to be decided, and begin anew."""
         proposal = self._proposal
         if proposal is not None and proposal.index <= self._replica.index:
             self._proposal = None
@@ -148,7 +123,7 @@
         return self._start(now)
 
     def tick(self, now: float) -> Effects:
-        """End what has gone on for too long, and begin what is due."""
+        """End requests and proposals whose time is up, and begin the proposal that is due."""
         self._expire(now)
         if self._proposal is not None and now >= self._proposal.deadline:
             self._proposal = None
@@ -156,7 +131,7 @@
         return self._start(now)
 
     def receive(self, now: float, ip: str, message: Promise | Accepted) -> Effects:
-        """A voter's answer."""
+        """Process a voter's answer to Prepare or Accept."""
         proposal = self._proposal
         if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.number):
             return Effects()
@@ -168,7 +143,7 @@
             return self._on_promise(now, ip, proposal, message)
         return self._on_accepted(now, ip, proposal)
 
-    # ---- the first round -----------------------------------------------------------------
+    # ---- first phase: prepare --------------------------------------------------------------
 
     def _start(self, now: float) -> Effects:
         membership = self._replica.membership
@@ -180,22 +155,22 @@
         self._proposals += 1
         index = self._replica.index + 1
         voters = frozenset(voter.ip for voter in membership.voters)
-        ballot = ProposalNumber(self._number, self._identity)
-        self._proposal = Proposal(index, ballot, voters, now + self._round_timeout())
-        return Effects(send=[(ip, Prepare(index, ballot)) for ip in sorted(voters)])
+        number = ProposalNumber(self._number, self._identity)
+        self._proposal = Proposal(index, number, voters, now + self._round_timeout())
+        return Effects(send=[(ip, Prepare(index, number)) for ip in sorted(voters)])
 
     def _on_refusal(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
         self._number = max(self._number, message.promised.number)
-        if message.decided_index >= proposal.index:  # the voter knows more
+        if message.decided_index >= proposal.index:  # the voter knows more changes
             return Effects(send=[(ip, FetchDecided(self._replica.index))])
-        if message.promised > proposal.number:  # a competitor
+        if message.promised > proposal.number:  # the voter has promised a competitor
             self._proposal = None
             self._back_off(now)
             return Effects()
-        if message.decided_index < proposal.index - 1 and proposal.phase is Phase.PREPARE:  # the voter knows less
-            told = proposal.catch_ups.get(ip, 0)
-            if told < MAX_CATCH_UPS_PER_VOTER:
-                proposal.catch_ups[ip] = told + 1
+        if message.decided_index < proposal.index - 1 and proposal.phase is Phase.PREPARE:  # the voter lacks changes
+            sent = proposal.catch_ups.get(ip, 0)
+            if sent < MAX_CATCH_UPS_PER_VOTER:
+                proposal.catch_ups[ip] = sent + 1
                 effects = Effects(
                     send=[(ip, page) for page in self._replica.register.pages_after(message.decided_index)]
                 )
@@ -207,24 +182,24 @@
         proposal.promises[ip] = message
         if proposal.phase is not Phase.PREPARE or len(proposal.promises) < proposal.majority:
             return Effects()
-        self._expire(now)  # what nobody waits for any more is not proposed, as after a freeze
+        self._expire(now)  # so that nothing is proposed that nobody waits for, as after a freeze
         proposal.change = self._highest_accepted(proposal) or self._evaluate_requests()
         if proposal.change is None and self._has_pending:
-            # What a minority has accepted is given up for good: an empty change takes its index.
+            # A value that only a minority has accepted is ruled out for good: an empty change takes its index.
             proposal.change = Change(f"{self._identity}:{self._changes}", [])
         self._has_pending = False
         if proposal.change is None:
             self._proposal = None
             self._failures = 0
-            return self._start(now)  # for orders that came meanwhile
+            return self._start(now)  # for requests that came meanwhile
         proposal.phase = Phase.ACCEPT
-        proposal.deadline = now + self._round_timeout()  # a second write to slow disks
+        proposal.deadline = now + self._round_timeout()  # for a second write to slow disks
         accept = Accept(proposal.index, proposal.number, proposal.change)
         return Effects(send=[(voter, accept) for voter in sorted(proposal.voters)])
 
     @staticmethod
     def _highest_accepted(proposal: Proposal) -> Change | None:
-        """What may be decided already: the only change that may be proposed then."""
+        """The value of the highest accepted proposal among the promises: it may be decided and is proposed again."""
         highest: Promise | None = None
         for promise in proposal.promises.values():
             if promise.accepted is None:
@@ -233,73 +208,43 @@
                 highest = promise
         return None if highest is None else highest.change
 
-    # ---- judging orders --------------------------------------------------------------------
+    # ---- evaluation of requests -------------------------------------------------------------
 
     def _evaluate_requests(self) -> Change | None:
-        """Answer what the latest state answers, and put what takes effect into one change."""
+        """Answer the requests that the latest state answers, and put those that take effect into one change."""
         self._changes += 1
-        change_id = f"{self._identity}:{self._changes}"
-        view = RegisterView(self._replica.register)
-        draft = Draft(view)
-        for order in self._requests[:]:
-            if order.base_epoch is not None:
-                if order.base_epoch != self._replica.epoch:
-                    self._end(order, NoQuorum())  # another change of the voters came first
-                elif not draft.entries:  # a change of the voters goes alone
-                    self._mark_proposed(order, change_id)
-                    return Change(change_id, order.entries)
-                continue
-            try:
-                taking = check_changes(order.entries, view)
-                self._check_size(taking)
-            except MeshError as fault:
-                # Guards against a state that was the latest when voters promised, before this order came.
-                if order.submitted_after < self._proposals:
-                    self._end(order, Refused(fault))
-                continue
-            if not taking:
-                self._end(order, Confirmed())
-            elif self._is_independent(order, taking, draft) and self._fits_batch(taking, draft):
-                draft.add(taking)
-                self._mark_proposed(order, change_id)
-        return Change(change_id, list(draft.entries.values())) if draft.entries else None
-
-    def _check_size(self, taking: list[Entry]) -> None:
-        """Guards all disks: what one of them can't take would fail there each time that it is proposed."""
-        register = self._replica.register
-        added = 0
-        for entry in taking:
-            standing = register.items.get((entry.kind, entry.name))
-            added += item_bytes(entry) - (0 if standing is None else item_bytes(standing.entry))
-        most = max_configuration_bytes(register.size_bytes, self._disk_sizes())
-        if added > 0 and most and register.size_bytes + added > most:
-            size = register.size_bytes + added
-            raise MeshError(ErrorKind.TOO_LARGE, f"all items would have {size} bytes, the smallest disk takes {most}")
-
-    @staticmethod
-    def _fits_batch(taking: list[Entry], draft: Draft) -> bool:
-        """Whether a change that holds some entries may hold these too; a single order always goes."""
-        if not draft.entries:
-            return True
-        size = sum(len(entry.value or b"") for entry in (*draft.entries.values(), *taking))
-        return len(draft.entries) < MAX_BATCHED_ITEMS and size <= MAX_BATCHED_BYTES
-
-    @staticmethod
-    def _is_independent(order: ChangeRequest, taking: list[Entry], draft: Draft) -> bool:
-        """Whether an order takes the same effect beside those of the same change; else it waits for the next one."""
-        if any((entry.kind, entry.name) in draft.entries for entry in taking):
-            return False
+        batch = ChangeBatch(f"{self._identity}:{self._changes}", self._replica.register, self._disk_sizes)
+        for request in self._requests[:]:
+            if request.base_epoch is None:
+                self._evaluate(request, batch)
+            elif request.base_epoch != self._replica.epoch:
+                self._end(request, NoQuorum())  # another change of the voters came first
+            elif batch.is_empty:  # a change of the voters is proposed alone
+                self._mark_proposed(request, batch.change_id)
+                return Change(batch.change_id, request.entries)
+        return batch.change()
+
+    def _evaluate(self, request: ChangeRequest, batch: ChangeBatch) -> None:
+        """Add a request to the batch, or end it where the latest state already gives its outcome."""
         try:
-            return check_changes(order.entries, draft) == taking
-        except MeshError:
-            return False
+            effective = batch.effective_entries(request)
+        except MeshError as error:
+            # Guards against a state that was the latest when voters promised, before this request came.
+            if request.submitted_after < self._proposals:
+                self._end(request, Refused(error))
+            return
+        if not effective:
+            self._end(request, Confirmed())
+        elif batch.takes(request, effective):
+            batch.add(effective)
+            self._mark_proposed(request, batch.change_id)
 
     @staticmethod
-    def _mark_proposed(order: ChangeRequest, change_id: str) -> None:
-        order.was_proposed = True
-        order.change_id = change_id
+    def _mark_proposed(request: ChangeRequest, change_id: str) -> None:
+        request.was_proposed = True
+        request.change_id = change_id
 
-    # ---- the second round ------------------------------------------------------------------
+    # ---- second phase: accept --------------------------------------------------------------
 
     def _on_accepted(self, now: float, ip: str, proposal: Proposal) -> Effects:
         if proposal.phase is not Phase.ACCEPT or proposal.change is None:
@@ -314,37 +259,39 @@
         pages = self._replica.register.pages_after(since)
         for voter in sorted(proposal.voters - {self._replica.voter.ip}):
             effects.send += [(voter, page) for page in pages]
-        for order in [o for o in self._requests if o.change_id == proposal.change.id]:
-            self._end(order, Confirmed())
+        for request in [o for o in self._requests if o.change_id == proposal.change.id]:
+            self._end(request, Confirmed())
         effects.add(self._start(now))
         return effects
 
-    # ---- how orders end --------------------------------------------------------------------
+    # ---- outcomes of requests --------------------------------------------------------------
 
-    def _end(self, order: ChangeRequest, outcome: Confirmed | Refused | Unclear | NoQuorum) -> None:
-        self._requests.remove(order)
+    def _end(self, request: ChangeRequest, outcome: Confirmed | Refused | Unclear | NoQuorum) -> None:
+        self._requests.remove(request)
         if isinstance(outcome, Confirmed):
-            stands = all(self._is_in_force(entry) for entry in order.entries)
-            check_invariant(stands, Invariant.CONFIRMED_STANDS, change=order.change_id, index=self._replica.index)
-        order.on_outcome(outcome)
+            is_in_force = all(self._is_in_force(entry) for entry in request.entries)
+            check_invariant(
+                is_in_force, Invariant.CONFIRMED_STANDS, change=request.change_id, index=self._replica.index
+            )
+        request.on_outcome(outcome)
 
     def _is_in_force(self, entry: Entry) -> bool:
-        """Whether an entry is decided, or a later one of its name is; a withdrawal may be forgotten by now."""
+        """Whether an entry, or a later one of its name, is decided; a withdrawal may be forgotten by now."""
         item = self._replica.register.items.get((entry.kind, entry.name))
         if item is None:
             return entry.value is None
         return item.entry.edition > entry.edition or item.entry == entry
 
     def _expire(self, now: float) -> None:
-        for order in [order for order in self._requests if order.deadline <= now]:
-            self._end(order, Unclear() if order.was_proposed else NoQuorum())
+        for request in [request for request in self._requests if request.deadline <= now]:
+            self._end(request, Unclear() if request.was_proposed else NoQuorum())
 
     def _round_timeout(self) -> float:
-        """Seconds for one round: longer after each proposal that came to nothing, since voters' disks may be slow."""
+        """Seconds for one phase: more after each proposal without a decision, since voters' disks may be slow."""
         return min(MAX_ROUND_TIMEOUT_SECONDS, ROUND_TIMEOUT_SECONDS * 1.5**self._failures)
 
     def _back_off(self, now: float) -> None:
-        """Guards against proposers that keep each other from deciding anything."""
-        pause = min(MAX_BACKOFF_SECONDS, BACKOFF_SECONDS * 2.0**self._failures)
+        """Wait for a random while: competing proposers would keep each other from deciding anything."""
+        delay = min(MAX_BACKOFF_SECONDS, BACKOFF_SECONDS * 2.0**self._failures)
         self._failures = min(self._failures + 1, 10)
-        self._not_before = now + pause * (0.5 + self._rng.random())
+        self._not_before = now + delay * (0.5 + self._rng.random())
