--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -10,6 +10,7 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.majority_contact import MajorityContact
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
+from lugspur.mesh.process import MAX_AGE_SECONDS
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.dialer import Dialer
@@ -54,7 +55,11 @@
             "1 while a change is accepted and not known as decided.",
             replica.register.has_pending_change,
         ),
-        gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.majority_contact.age(now))),
+        gauge(
+            "news_age_seconds",
+            "Seconds since word of a majority.",
+            min(MAX_AGE_SECONDS, node.majority_contact.age(now)),
+        ),
         gauge("claims", "Claims of operation keys that are held.", len(replica.reservations)),
         gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
         gauge("peers_up", "Processes that can be reached.", sum(d.link is not None for d in node.peers.values())),
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -49,7 +49,7 @@
 from lugspur.mesh.control_node.recovery import StoredRows, begin_as_first_voter, is_first_voter, restore_replica
 from lugspur.mesh.control_node.status import control_node_status
 from lugspur.mesh.control_node.subscribers import Subscribers
-from lugspur.mesh.process import TICK_SECONDS, MeshProcess
+from lugspur.mesh.process import MAX_AGE_SECONDS, TICK_SECONDS, MeshProcess
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
@@ -65,7 +65,6 @@
 CATCH_UP_DELAY_SECONDS = 0.05  # for which a replica waits to be sent what it lacks before it asks
 DISK_FAILURE_SECONDS = 1.0  # for which a disk may refuse writes until its vote goes to another one
 DISK_CLOSE_SECONDS = 1.0  # for which the last writes are waited for
-MAX_AGE_SECONDS = 1e6  # in what others are told: more means that there was no contact with a majority
 
 
 class LocalPeer:
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -7,6 +7,7 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.control_node.membership_changes import presences_of
+from lugspur.mesh.process import MAX_AGE_SECONDS
 from lugspur.mesh.settings import Own
 from lugspur.mesh.storage.disk import Disk
 
@@ -29,7 +30,7 @@
         "pending": replica.register.has_pending_change,
         "voters": [] if replica.membership is None else [voter.ip for voter in replica.membership.voters],
         "voters_wanted": voters_wanted,
-        "age_s": round(min(1e6, age), 3),
+        "age_s": round(min(MAX_AGE_SECONDS, age), 3),
         "replicas": {
             ip: {
                 "uid": p.uid,
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -50,7 +50,7 @@
     causes = {cause.label: float(count) for cause, count in limiter.causes.items()}
     rejections = {str(status): float(count) for status, count in front.rejections.items()}
     selections = sidecar.update_source.selections
-    up = sum(dialler.link is not None for dialler in sidecar.peers.values())
+    up = sum(dialer.link is not None for dialer in sidecar.peers.values())
     return [
         counters("requests_total", "Requests of this machine's callers, by how they ended.", "how", proxy.ended),
         counters("rejections_total", "Requests that could not be read or taken, by status.", "status", rejections),
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -18,7 +18,7 @@
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import fail
-from lugspur.mesh.process import MeshProcess
+from lugspur.mesh.process import MAX_AGE_SECONDS, MeshProcess
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.api import SidecarApi
@@ -48,7 +48,6 @@
 DRAIN_DELAY_SECONDS = 0.5  # until idle connections of callers are closed while this process ends
 SHUTDOWN_POLL_SECONDS = 0.05  # between two looks at whether all has ended
 FLUSH_SECONDS = 0.05  # in which the last answers are written
-MAX_AGE_SECONDS = 1e6  # of updates, in what operators see: more means that there were none
 
 
 class Sidecar(MeshProcess):
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -11,6 +11,7 @@
 from lugspur.mesh.dataplane.endpoints import Endpoint
 from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.process import MAX_AGE_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.update_source import UpdateSource
 
@@ -50,7 +51,7 @@
         "epoch": 0 if membership is None else membership.epoch,
         "voters": [] if membership is None else [voter.ip for voter in membership.voters],
         "source": sidecar.update_source.ip,
-        "age_s": round(min(1e6, now - sidecar.update_source.confirmed_at), 3),
+        "age_s": round(min(MAX_AGE_SECONDS, now - sidecar.update_source.confirmed_at), 3),
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
         "busy": sidecar.limiter.in_flight,
--- a/tests/mesh/test_subscribers.py
+++ b/tests/mesh/control_node/test_subscribers.py
@@ -1,4 +1,4 @@
-"""Who is told of changes by a control node, and until when."""
+"""Which processes get updates of a control node, and until when."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     asyncio.run(run())
 
 
-def test_a_subscriber_is_told_of_changes_until_it_ends_its_subscription() -> None:
+def test_a_subscriber_gets_changes_until_it_ends_its_subscription() -> None:
     async def what(store: Store, subscribers: Subscribers, wire: Wire) -> None:
         link = cast(Link, wire)
         subscribers.add(link, 0)
@@ -61,7 +61,7 @@
     play(what)
 
 
-def test_a_subscriber_is_pinged_and_hears_its_own_answer_and_a_silent_one_is_closed() -> None:
+def test_a_subscriber_gets_heartbeats_with_its_own_echo_and_a_silent_one_is_closed() -> None:
     async def what(store: Store, subscribers: Subscribers, wire: Wire) -> None:
         link = cast(Link, wire)
         subscribers.add(link, 0)
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/sidecar/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Requests between machines over loopback: nothing of another connection, another life or another time counts."""
+"""Requests between machines: nothing of another connection, another incarnation or another time counts."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 class Wire:
     """One end of a connection: what was sent on it, and whether it is open."""
 
-    def __init__(self, peer: str = "", life: str = "") -> None:
-        self.peer, self.peer_incarnation, self.is_open = peer, life, True
+    def __init__(self, peer: str = "", incarnation: str = "") -> None:
+        self.peer, self.peer_incarnation, self.is_open = peer, incarnation, True
         self.sent: list[Message] = []
 
     def send(self, message: Message) -> None:
@@ -72,9 +72,13 @@
         for message in messages:
             self.incoming.receive(wire, message)  # type: ignore[arg-type]
 
-    def greeted(self, life: str = "one", sent: float | None = None) -> Wire:
+    def greeted(self, incarnation: str = "one", sent: float | None = None) -> Wire:
         wire = Wire()
-        self.hear(wire, Hello("127.0.0.2", life, False), Hello("127.0.0.2", life, False, self.stamp(sent or 0.0)))
+        self.hear(
+            wire,
+            Hello("127.0.0.2", incarnation, False),
+            Hello("127.0.0.2", incarnation, False, self.stamp(sent or 0.0)),
+        )
         return wire
 
     def stamp(self, ago: float = 0.0) -> float:
@@ -99,7 +103,7 @@
     asyncio.run(run())
 
 
-def test_a_request_is_taken_only_behind_a_hello_and_once() -> None:
+def test_a_request_is_taken_only_after_a_hello_and_once() -> None:
     def what(rig: Rig) -> None:
         stranger = Wire()
         rig.hear(stranger, forward(1, rig.stamp()))
@@ -118,7 +122,7 @@
     play(what)
 
 
-def test_numbers_of_another_life_at_the_same_address_are_others() -> None:
+def test_numbers_of_another_incarnation_at_the_same_address_are_others() -> None:
     def what(rig: Rig) -> None:
         before, after = rig.greeted("one"), rig.greeted("two")
         rig.hear(before, forward(1, rig.stamp(), size=20_000))
@@ -129,13 +133,13 @@
             rig.hear(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
         assert rig.ran == [b"a1"] and before.replies == [] and after.is_open
         rig.hear(after, Hello("127.0.0.2", "three", False))
-        assert not after.is_open  # one connection is of one life
+        assert not after.is_open  # one connection is of one incarnation
 
     play(what)
 
 
 @pytest.mark.parametrize("held", [0.0, 1.0, 1.9, 2.1, 30.0])
-def test_what_was_held_up_for_longer_than_it_had_is_turned_away_as_not_run(held: float) -> None:
+def test_a_request_delayed_for_longer_than_it_had_is_rejected_as_not_run(held: float) -> None:
     def what(rig: Rig) -> None:
         wire = rig.greeted()
         rig.hear(wire, forward(1, rig.stamp(held)), forward(2, rig.stamp(held), size=50_000))
@@ -163,7 +167,7 @@
     play(what)
 
 
-def test_what_is_said_of_a_number_on_another_connection_counts_for_nothing() -> None:
+def test_a_message_about_a_number_on_another_connection_is_ignored() -> None:
     async def what() -> None:
         outgoing, replies = OutgoingExchanges(), list[tuple[str, ForwardResponse]]()
         first, second, other = Wire("10.0.0.1"), Wire("10.0.0.1"), Wire("10.0.0.2")
@@ -199,7 +203,7 @@
     asyncio.run(what())
 
 
-def test_a_gate_tells_on_a_new_connection_what_is_proven_of_those_lost_with_the_former_one() -> None:
+def test_proofs_for_requests_of_a_lost_connection_are_sent_on_the_new_one() -> None:
     def what(rig: Rig) -> None:
         former = rig.greeted()
         rig.hear(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
@@ -222,7 +226,7 @@
     play(what)
 
 
-def test_what_a_gate_has_said_never_ran_does_not_run_when_it_comes_after_all() -> None:
+def test_a_request_that_was_proven_unrun_does_not_run_when_it_arrives_after_all() -> None:
     def what(rig: Rig) -> None:
         former, after = rig.greeted(), rig.greeted()
         rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
@@ -230,13 +234,13 @@
         assert after.replies == [(2, RequestOutcome.NOT_RUN)]
         assert not former.is_open  # so that nothing more is read on it
         other = rig.greeted("two")
-        rig.hear(other, FetchOutcomes([1, 2]))  # of another life: nothing is known, and nothing is closed
+        rig.hear(other, FetchOutcomes([1, 2]))  # of another incarnation: nothing is known, and nothing is closed
         assert other.replies == [] and after.is_open
 
     play(what)
 
 
-def test_who_has_not_said_which_life_it_is_can_ask_nothing() -> None:
+def test_a_peer_that_has_not_said_which_incarnation_it_is_can_fetch_no_outcomes() -> None:
     def what(rig: Rig) -> None:
         stranger = Wire()
         rig.hear(stranger, FetchOutcomes([1]))
@@ -247,15 +251,15 @@
 
 def test_what_was_forgotten_is_not_proven() -> None:
     outcomes = UnrunRequests()
-    assert not outcomes.is_proven_unrun("life", 1)  # nothing has come of that life, as far as is remembered
+    assert not outcomes.is_proven_unrun("incarnation", 1)  # nothing of it has arrived, as far as is remembered
     for number in range(1, MAX_UNRUN_REQUESTS + 2):
-        outcomes.received("life", number)
-        outcomes.did_not_run("life", number)
-    assert not outcomes.is_proven_unrun("life", 1) and outcomes.is_proven_unrun("life", 2)
-    assert outcomes.is_proven_unrun("life", MAX_UNRUN_REQUESTS + 2)
+        outcomes.received("incarnation", number)
+        outcomes.did_not_run("incarnation", number)
+    assert not outcomes.is_proven_unrun("incarnation", 1) and outcomes.is_proven_unrun("incarnation", 2)
+    assert outcomes.is_proven_unrun("incarnation", MAX_UNRUN_REQUESTS + 2)
 
 
-def test_the_proof_for_a_lost_request_is_asked_for_and_reaches_who_sent_it() -> None:
+def test_the_proof_for_a_lost_request_is_fetched_and_reaches_its_sender() -> None:
     def what(_: Rig) -> None:
         outgoing, replies = OutgoingExchanges(), list[tuple[int, RequestOutcome]]()
         former = Wire("10.0.0.1", "theirs")
@@ -282,14 +286,14 @@
         for _again in range(2):
             outgoing.receive_response(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
-        outgoing.greeted(Wire("10.0.0.1", "another life"))  # type: ignore[arg-type]
+        outgoing.greeted(Wire("10.0.0.1", "another incarnation"))  # type: ignore[arg-type]
         outgoing.receive_response(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, RequestOutcome.NOT_RUN)]  # the life that knew of it has ended
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # the incarnation that knew of it has ended
 
     play(what)
 
 
-def test_requests_that_are_asked_for_are_bounded() -> None:
+def test_requests_whose_outcomes_are_fetched_are_bounded() -> None:
     outgoing, former = OutgoingExchanges(), Wire("10.0.0.1", "theirs")
     for _ in range(MAX_UNPROVEN_REQUESTS + 10):
         outgoing.send(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
@@ -300,7 +304,7 @@
     assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == MAX_UNPROVEN_REQUESTS
 
 
-def test_what_is_withdrawn_is_not_begun_and_what_is_at_work_goes_on() -> None:
+def test_a_withdrawn_request_is_not_started_and_one_that_runs_goes_on() -> None:
     def what(rig: Rig) -> None:
         wire = rig.greeted()
         rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
--- a/tests/mesh/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -1,4 +1,4 @@
-"""What a proxy takes from its backend's beats: late ones, doubled ones, those of another life, and silence."""
+"""What a proxy makes of its backend's heartbeats, of callers without a configuration, and of lost connections."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
         path.write_text(FILE)
         sidecar = Sidecar(load_settings(path), str(path))
         what(sidecar)
-        for dialler in sidecar.peers.values():
-            dialler.close()
+        for dialer in sidecar.peers.values():
+            dialer.close()
 
     asyncio.run(run())
 
@@ -78,7 +78,9 @@
     return Request(b"POST", b"/", {}, [], body, 0.0, True)
 
 
-def beat(sidecar: Sidecar, sequence: int, state: str = "accepting", life: str = "i-1", service: str = "rooms") -> int:
+def heartbeat(
+    sidecar: Sidecar, sequence: int, state: str = "accepting", ident: str = "i-1", service: str = "rooms"
+) -> int:
     caller = Caller()
     body = json.dumps(
         {
@@ -92,112 +94,113 @@
             "sequence": sequence,
         }
     ).encode()
-    sidecar.api.heartbeat(request(body), caller, [life])
+    sidecar.api.heartbeat(request(body), caller, [ident])
     return caller.status
 
 
-def told(sidecar: Sidecar) -> tuple[str, str]:
-    """What the mesh is told of the machine's backend."""
+def announced(sidecar: Sidecar) -> tuple[str, str]:
+    """What the mesh knows of the machine's backend."""
     status = sidecar.backends.by_ip[sidecar.ip]
     return status.id, status.state
 
 
-def test_closing_counts_once_and_for_good_whatever_comes_behind_it(tmp_path: Path) -> None:
+def test_closing_counts_once_and_for_good_whatever_comes_after_it(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
-        assert beat(sidecar, 1) == 200 and told(sidecar) == ("i-1", "accepting")
-        assert beat(sidecar, 3, "closing") == 200 and told(sidecar) == ("i-1", "closing")
+        assert heartbeat(sidecar, 1) == 200 and announced(sidecar) == ("i-1", "accepting")
+        assert heartbeat(sidecar, 3, "closing") == 200 and announced(sidecar) == ("i-1", "closing")
         local = sidecar.limiter.local
         assert local is not None
         since, edition = local.closing_at, sidecar.registration.announced
-        assert beat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
+        assert heartbeat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
         assert sidecar.registration.announced is edition  # nor is the mesh told again
-        assert beat(sidecar, 2) == 200 and told(sidecar) == ("i-1", "closing")  # a late one
-        assert beat(sidecar, 5) == 200 and told(sidecar) == ("i-1", "closing")  # a life that leaves does not come back
+        assert heartbeat(sidecar, 2) == 200 and announced(sidecar) == ("i-1", "closing")  # a late one
+        # An incarnation that closes does not come back.
+        assert heartbeat(sidecar, 5) == 200 and announced(sidecar) == ("i-1", "closing")
 
     play(tmp_path, what)
 
 
-def test_another_life_takes_the_place_and_the_former_ones_last_word_does_not_take_it_back(tmp_path: Path) -> None:
+def test_another_incarnation_takes_the_place_and_the_former_ones_sign_off_does_not_take_it_back(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
-        beat(sidecar, 7)
-        assert beat(sidecar, 1, life="i-2", service="desk") == 200  # sequences are each life's own
-        assert told(sidecar) == ("i-2", "accepting") and sidecar.proxy.sender == "desk"
-        assert beat(sidecar, 8, "closing", life="i-1") == 200 and told(sidecar) == ("i-2", "accepting")
+        heartbeat(sidecar, 7)
+        assert heartbeat(sidecar, 1, ident="i-2", service="desk") == 200  # sequence numbers are each incarnation's own
+        assert announced(sidecar) == ("i-2", "accepting") and sidecar.proxy.sender == "desk"
+        assert heartbeat(sidecar, 8, "closing", ident="i-1") == 200 and announced(sidecar) == ("i-2", "accepting")
         caller = Caller()
         sidecar.registration.sign_off(request(b""), caller, ["i-1"])
-        assert caller.status == 200 and told(sidecar) == ("i-2", "accepting")
+        assert caller.status == 200 and announced(sidecar) == ("i-2", "accepting")
         sidecar.registration.sign_off(request(b""), caller, ["i-2"])
-        assert told(sidecar) == ("i-2", "gone")
+        assert announced(sidecar) == ("i-2", "gone")
         now = sidecar.loop.time()
         assert not sidecar.limiter.accepts(now + 9.0, "i-2") and not sidecar.limiter.accepts(now, "i-1")
 
     play(tmp_path, what)
 
 
-def test_a_backend_whose_first_word_to_this_process_is_closing_gets_nothing_at_all(tmp_path: Path) -> None:
+def test_a_backend_whose_first_heartbeat_to_this_process_is_closing_gets_nothing_at_all(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         # It may have said so seconds ago, to the process that was here before this one.
-        assert beat(sidecar, 9, "closing") == 200 and told(sidecar) == ("i-1", "closing")
+        assert heartbeat(sidecar, 9, "closing") == 200 and announced(sidecar) == ("i-1", "closing")
         assert not sidecar.limiter.accepts(sidecar.loop.time(), "i-1")
 
     play(tmp_path, what)
 
 
-def test_a_late_heartbeat_of_a_former_life_does_not_take_the_present_ones_place(tmp_path: Path) -> None:
+def test_a_late_heartbeat_of_a_former_incarnation_does_not_take_the_present_ones_place(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
-        beat(sidecar, 7)
-        beat(sidecar, 1, life="i-2")
-        assert beat(sidecar, 8, life="i-1") == 200 and told(sidecar) == ("i-2", "accepting")
+        heartbeat(sidecar, 7)
+        heartbeat(sidecar, 1, ident="i-2")
+        assert heartbeat(sidecar, 8, ident="i-1") == 200 and announced(sidecar) == ("i-2", "accepting")
         assert sidecar.limiter.accepts(sidecar.loop.time(), "i-2")
 
     play(tmp_path, what)
 
 
-def test_who_has_signed_off_is_not_taken_for_a_new_backend_by_a_late_heartbeat(tmp_path: Path) -> None:
+def test_a_backend_that_has_signed_off_is_not_taken_for_a_new_one_by_a_late_heartbeat(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         caller = Caller()
         sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # this process has just started
-        assert caller.status == 200 and beat(sidecar, 9) == 200
+        assert caller.status == 200 and heartbeat(sidecar, 9) == 200
         assert sidecar.limiter.local is None and sidecar.ip not in sidecar.backends.by_ip
 
     play(tmp_path, what)
 
 
-def test_a_backend_that_says_nothing_is_gone_until_it_speaks(tmp_path: Path) -> None:
+def test_a_backend_that_sends_no_heartbeat_is_gone_until_it_sends_one(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
-        beat(sidecar, 1)
+        heartbeat(sidecar, 1)
         now = sidecar.loop.time()
         for step in range(40):
             sidecar.tick(now + step * 0.1)
-        assert told(sidecar)[1] == "accepting"
+        assert announced(sidecar)[1] == "accepting"
         for step in range(40, 42):
             sidecar.tick(now + step * 0.1)
-        assert told(sidecar)[1] == "gone"
-        assert beat(sidecar, 2) == 200 and told(sidecar)[1] == "accepting"
-        beat(sidecar, 3, "closing")
+        assert announced(sidecar)[1] == "gone"
+        assert heartbeat(sidecar, 2) == 200 and announced(sidecar)[1] == "accepting"
+        heartbeat(sidecar, 3, "closing")
         for step in range(90):
             sidecar.tick(now + step * 0.1)
-        assert told(sidecar)[1] == "gone"
-        assert beat(sidecar, 4) == 200 and told(sidecar)[1] == "closing"  # it had said so
+        assert announced(sidecar)[1] == "gone"
+        assert heartbeat(sidecar, 4) == 200 and announced(sidecar)[1] == "closing"  # it had said so
 
     play(tmp_path, what)
 
 
-def test_who_was_frozen_itself_does_not_call_its_backend_silent(tmp_path: Path) -> None:
+def test_a_proxy_that_was_paused_itself_does_not_call_its_backend_silent(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
-        beat(sidecar, 1)
+        heartbeat(sidecar, 1)
         now = sidecar.loop.time()
         sidecar.tick(now + 0.1)
         sidecar.tick(now + 30.0)
-        assert told(sidecar)[1] == "accepting"
+        assert announced(sidecar)[1] == "accepting"
         for step in range(100):
             sidecar.tick(now + 30.0 + step * 0.1)
-        assert told(sidecar)[1] == "gone"
+        assert announced(sidecar)[1] == "gone"
 
     play(tmp_path, what)
 
 
-def test_a_proxy_that_knows_no_configuration_or_that_leaves_says_so_by_503(tmp_path: Path) -> None:
+def test_a_proxy_without_a_configuration_or_that_shuts_down_answers_503(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         asked, caller = Request(b"GET", b"/r/1", {b"host": b"a"}, [], b"", sidecar.loop.time(), True), Caller()
         sidecar.handle(asked, caller)  # no news yet: 404 would say that there is no such route
@@ -228,12 +231,12 @@
         b"x" * 9000,
     ],
 )
-def test_a_beat_that_is_none_changes_nothing(tmp_path: Path, body: bytes) -> None:
+def test_an_invalid_heartbeat_changes_nothing(tmp_path: Path, body: bytes) -> None:
     def what(sidecar: Sidecar) -> None:
-        beat(sidecar, 1)
+        heartbeat(sidecar, 1)
         with pytest.raises(MeshError):
             sidecar.api.heartbeat(request(body), Caller(), ["i-1"])
-        assert told(sidecar) == ("i-1", "accepting")
+        assert announced(sidecar) == ("i-1", "accepting")
 
     play(tmp_path, what)
 
@@ -265,14 +268,14 @@
     ("granted", "how"),
     [(0, RequestOutcome.NOT_RUN), (CHUNK_BYTES, RequestOutcome.NOT_RUN), (50_000, RequestOutcome.UNKNOWN)],
 )
-def test_a_body_whose_end_was_not_sent_has_not_run_and_a_whole_one_may_have(
+def test_a_body_whose_end_was_not_sent_has_not_run_and_a_complete_one_may_have(
     tmp_path: Path, granted: int, how: RequestOutcome
 ) -> None:
     def what(sidecar: Sidecar) -> None:
         ip, replies = "127.0.0.2", list[ForwardResponse]()
         wire = Wire(ip)
-        dialler = unconnected_dialer(ip)
-        dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
+        dialer = unconnected_dialer(ip)
+        dialer.link, sidecar.peers[ip] = wire, dialer  # type: ignore[assignment]
         sidecar.backends.by_ip[ip] = BackendStatus("i-9", "rooms", "z", "accepting", 9, 0.0, 330_000.0)
         body = bytes(50_000)
         forward = ForwardRequest(0, "i-9", b"POST", b"/", [], body, 5.0, 1.0, b"a", 1, False, "r")
@@ -283,41 +286,41 @@
             sidecar.message_received(wire, GrantBody(offer.number, min(upto, len(body))))  # type: ignore[arg-type]
         parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
         assert b"".join(p.data for p in parts) == body[:granted]
-        sidecar.disconnected(dialler)
+        sidecar.disconnected(dialer)
         assert [(r.outcome, r.was_sent) for r in replies] == [(how, how == RequestOutcome.UNKNOWN)]
         assert not sidecar.outgoing.waits_for(ip)
-        dialler.link = None
-        dialler.close()
+        dialer.link = None
+        dialer.close()
 
     play(tmp_path, what)
 
 
-def test_a_machine_is_sent_requests_only_once_its_process_has_answered(tmp_path: Path) -> None:
+def test_a_machine_is_sent_requests_only_once_its_process_has_said_hello(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         ip = "127.0.0.2"
-        dialler = unconnected_dialer(ip)
-        sidecar.peers[ip] = dialler
+        dialer = unconnected_dialer(ip)
+        sidecar.peers[ip] = dialer
         assert not sidecar.proxy.carrier.ready(ip)
         wire = Wire(ip)
-        dialler.link = wire  # type: ignore[assignment]
+        dialer.link = wire  # type: ignore[assignment]
         assert not sidecar.proxy.carrier.ready(ip)  # its kernel took the connection: a frozen one's does as well
         sidecar.message_received(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
         assert sidecar.proxy.carrier.ready(ip)
         [stamped] = wire.sent
         assert isinstance(stamped, Hello) and stamped.sent_at > 0.0 and stamped.incarnation == sidecar.incarnation
-        dialler.link = None
+        dialer.link = None
         assert not sidecar.proxy.carrier.ready(ip)
-        dialler.close()
+        dialer.close()
 
     play(tmp_path, what)
 
 
-def test_who_follows_another_control_node_ends_its_former_subscription(tmp_path: Path) -> None:
+def test_a_proxy_that_follows_another_control_node_ends_its_former_subscription(tmp_path: Path) -> None:
     def what(sidecar: Sidecar) -> None:
         wires = {ip: Wire(ip) for ip in ("127.0.0.2", "127.0.0.3")}
         for ip, wire in wires.items():
-            dialler = unconnected_dialer(ip)
-            dialler.link, sidecar.peers[ip] = wire, dialler  # type: ignore[assignment]
+            dialer = unconnected_dialer(ip)
+            dialer.link, sidecar.peers[ip] = wire, dialer  # type: ignore[assignment]
         sidecar.membership = Membership(1, [Voter(ip, "u", "z") for ip in wires])
         sidecar.update_source.select()
         former = wires[sidecar.update_source.ip]
--- a/tests/mesh/test_data_directory.py
+++ b/tests/mesh/storage/test_data_directory.py
@@ -1,4 +1,4 @@
-"""A replica's folder: what a command says of it, and what a replica does with one that is damaged."""
+"""A control node's data directory: what commands say of it, and what a process does with one that is damaged."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
             txn.put(key, value)
 
 
-def test_a_folder_is_shown_and_its_items_can_be_brought_to_another_mesh(
+def test_a_data_directory_is_shown_and_its_items_can_be_brought_to_another_mesh(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     keep(tmp_path)
@@ -68,7 +68,7 @@
     assert sorted(path.read_bytes() for path in (tmp_path / DIRECTORY_NAME).iterdir()) == before  # nothing is written
 
 
-def test_faults_are_told_each(tmp_path: Path) -> None:
+def test_each_fault_is_reported(tmp_path: Path) -> None:
     keep(tmp_path)
     put(tmp_path, [(b"ck", b"\xc1junk"), (b"zz", b"1"), (b"iroutes\0other", read_row(tmp_path, b"iroutes\0r"))])
     faults = read_directory(tmp_path).faults
@@ -90,7 +90,7 @@
         return bytes(found)
 
 
-def test_what_does_not_fit_together_is_a_fault(tmp_path: Path) -> None:
+def test_rows_that_contradict_each_other_are_a_fault(tmp_path: Path) -> None:
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     rows = dict(voter.begin(0.0, SEEDS).write)
     rows[b"muid"] = b"another"
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/storage/test_disk.py
@@ -1,4 +1,4 @@
-"""A replica's disk that refuses writes: nothing is promised, and nothing is forgotten."""
+"""A control node's disk that refuses writes: nothing is promised, and nothing is forgotten."""
 
 from __future__ import annotations
 
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -1,4 +1,4 @@
-"""Answers to calls that come to nothing: their bodies are JSON whatever the detail quotes."""
+"""Answers to calls that fail: their bodies are JSON whatever the detail quotes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("detail", ['a "name"', "a\\b", "line\nline", "\x00\x1f\x7f", "é \u2028 \U0001f3dd", "\ud800"])
-def test_a_detail_of_any_characters_is_told_in_valid_json(detail: str) -> None:
+def test_a_detail_of_any_characters_is_valid_json(detail: str) -> None:
     def refuse(request: Request, caller: Answerable, found: list[str]) -> None:
         raise MeshError(ErrorKind.BAD_CONFIG, detail)
 
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -107,7 +107,7 @@
     play(tmp_path, what, replicas=4)
 
 
-def test_a_proxy_that_is_stopped_ends_what_it_has_and_exits_well(tmp_path: Path) -> None:
+def test_a_proxy_that_is_stopped_finishes_what_is_in_flight_and_exits_with_status_0(tmp_path: Path) -> None:
     async def what(mesh: Mesh) -> None:
         one, other = mesh.proxy_ips
         for ip in mesh.proxy_ips:  # else the one that stays may not know yet whom to send to but itself
@@ -176,7 +176,7 @@
     assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1 and b"event=settings" in ended.stderr
 
 
-def test_a_stop_answers_what_it_can_not_finish(tmp_path: Path) -> None:
+def test_a_proxy_that_is_stopped_answers_what_it_can_not_finish(tmp_path: Path) -> None:
     class Short(Mesh):
         """Processes have little time to end, and a backend has long work."""
 
@@ -231,7 +231,7 @@
     play(tmp_path, what)
 
 
-def test_a_reload_that_is_told_while_a_process_starts_is_carried_out(tmp_path: Path) -> None:
+def test_a_reload_that_is_asked_for_while_a_process_starts_is_carried_out(tmp_path: Path) -> None:
     """The settings file is a pipe at first, so that the start waits until it has been written."""
 
     async def run() -> None:
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/transport/test_link.py
@@ -1,4 +1,4 @@
-"""Connections between processes: frames in pieces, and what ends a connection without harm to others."""
+"""Connections between processes: split frames, and what ends a connection without harm to others."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
             await self.turn.wait()
 
 
-def test_frames_come_whole_and_in_order_however_they_are_cut() -> None:
+def test_frames_arrive_complete_and_in_order_however_they_are_split() -> None:
     async def what(server: Server) -> None:
         sent: list[Message] = [Hello("10.0.0.1", "life", False), ReserveKey(b"k", b"b", 3, 1.5), Pong()]
         data = b"".join(map(encode, sent))
@@ -116,38 +116,38 @@
     play(what)
 
 
-def test_who_dials_dials_again_until_it_is_closed() -> None:
+def test_a_dialer_dials_again_until_it_is_closed() -> None:
     async def what(server: Server) -> None:
         ups: list[Dialer] = []
         downs: list[Dialer] = []
 
-        def up(dialler: Dialer) -> None:
-            ups.append(dialler)
+        def up(dialer: Dialer) -> None:
+            ups.append(dialer)
             server.turn.set()
 
-        def down(dialler: Dialer) -> None:
-            downs.append(dialler)
+        def down(dialer: Dialer) -> None:
+            downs.append(dialer)
             server.turn.set()
 
-        dialler = Dialer(
+        dialer = Dialer(
             "127.0.0.1", server.port, "127.0.0.1", on_message=lambda *_: None, on_connected=up, on_disconnected=down
         )
         await server.until(lambda: len(ups) == 1 and bool(server.links))
         server.links[0].close()
         await server.until(lambda: len(ups) == 2)
-        assert len(downs) == 1 and dialler.link is not None
-        dialler.close()
+        assert len(downs) == 1 and dialer.link is not None
+        dialer.close()
         await server.until(lambda: len(server.ended) == 2)
         assert len(downs) == 1
 
     play(what)
 
 
-def test_a_connection_to_a_former_life_ends_once_the_next_one_dials_here() -> None:
+def test_a_connection_to_a_former_incarnation_ends_once_the_next_one_dials_here() -> None:
     async def what(server: Server) -> None:
         up: asyncio.Queue[Dialer] = asyncio.Queue()
         down: list[Dialer] = []
-        dialler = Dialer(
+        dialer = Dialer(
             "127.0.0.1",
             server.port,
             "127.0.0.1",
@@ -157,24 +157,24 @@
             keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS,
         )
         await up.get()
-        assert dialler.link is not None
-        dialler.met("first")  # its Hello has not been answered yet: nothing is known of the life behind it
-        dialler.link.peer_incarnation = "first"
-        dialler.met("first")
-        assert not down and dialler.link is not None
-        dialler.met("second")
-        assert down == [dialler] and dialler.link is None
+        assert dialer.link is not None
+        dialer.met("first")  # its Hello has not been answered yet: nothing is known of the incarnation behind it
+        dialer.link.peer_incarnation = "first"
+        dialer.met("first")
+        assert not down and dialer.link is not None
+        dialer.met("second")
+        assert down == [dialer] and dialer.link is None
         assert (await up.get()).link is not None  # and it dials again
-        dialler.close()
+        dialer.close()
 
     play(what)
 
 
-def test_probes_between_proxies_are_rarer() -> None:
+def test_keepalive_probes_between_proxies_are_rarer() -> None:
     async def what(server: Server) -> None:
         for keep_idle in (KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS):
             up: asyncio.Queue[Dialer] = asyncio.Queue()
-            dialler = Dialer(
+            dialer = Dialer(
                 "127.0.0.1",
                 server.port,
                 "127.0.0.1",
@@ -187,6 +187,6 @@
             assert link is not None and link._transport is not None
             sock = link._transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == keep_idle
-            dialler.close()
+            dialer.close()
 
     play(what)
