--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -8,7 +8,7 @@
 
 from cachetools import LRUCache
 
-from lugspur.load_balancing.breaker import Breaker
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import Refusal
 
@@ -49,17 +49,17 @@
     def __init__(self, ident: str, service: str, ip: str, zone: str) -> None:
         self.id, self.service, self.ip, self.zone = ident, service, ip, zone
         # One for each route: a limiter that rejects requests which may wait says nothing of those which may not.
-        self.breakers: LRUCache[str, Breaker] = LRUCache(MAX_BREAKERS)
+        self.breakers: LRUCache[str, CircuitBreaker] = LRUCache(MAX_BREAKERS)
         self.latency = 0.0  # moving average, relative to the route's average; 0: nothing has been measured
         self.in_flight = 0  # requests of this process
         self.slow_start_until = 0.0
         self.deprioritised_until = 0.0  # it rejected a request a moment ago: until then others are preferred
 
-    def breaker(self, route: str) -> Breaker:
+    def breaker(self, route: str) -> CircuitBreaker:
         """Return the breaker of a route's requests to this backend."""
         found = self.breakers.get(route)
         if found is None:
-            found = self.breakers[route] = Breaker()
+            found = self.breakers[route] = CircuitBreaker()
         return found
 
     def record_success(self, now: float, route: RouteEntry, latency: float) -> None:
@@ -67,18 +67,18 @@
         route.record_latency(latency)
         relative = latency / route.average_latency
         breaker = self.breaker(route.name)
-        breaker.accepted(now)
-        breaker.sample(relative)
+        breaker.count_accepted(now)
+        breaker.observe_latency(relative)
         self._record_latency(relative)
 
     def record_failure(self, now: float, route: str) -> None:
         """Count a failed request."""
-        self.breaker(route).failed(now)
+        self.breaker(route).count_failed(now)
         self._record_latency(FAILURE_LATENCY)
 
     def record_rejection(self, now: float, route: str, rng: Random) -> None:
         """Count a request that the backend's limiter rejected, and prefer other backends for a moment."""
-        self.breaker(route).failed(now)
+        self.breaker(route).count_failed(now)
         self.deprioritised_until = now + DEPRIORITISED_SECONDS * (0.5 + rng.random())
 
     def _record_latency(self, latency: float) -> None:
@@ -107,14 +107,14 @@
     refusals: tuple[Refusal, ...] = ()
     for endpoint in sorted(_draw_two(candidates, zone, rng), key=cost):
         breaker = endpoint.breaker(route.name)
-        if not breaker.refuses(now, timeout, rng):
+        if not breaker.rejects(now, timeout, rng):
             return endpoint
         refusals += (_explain_refusal(endpoint.id, breaker, now, timeout),)
     return refusals
 
 
-def _explain_refusal(ident: str, breaker: Breaker, now: float, timeout: float) -> Refusal:
-    errors, latency = breaker.error_ratio(now), breaker.latency_ratio(timeout)
+def _explain_refusal(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> Refusal:
+    errors, latency = breaker.error_probability(now), breaker.latency_probability(timeout)
     return Refusal(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
 
 
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from lugspur.load_balancing.budget import Budget
+from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
@@ -57,7 +57,7 @@
         self.zone = zone
         self.proxies = 1  # processes that share the retry budgets
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
-        self.budgets: dict[str, Budget] = {}  # by service
+        self.budgets: dict[str, RetryBudget] = {}  # by service
         self.sender = ""  # the service of this machine
         self.open_requests: set[OpenRequest] = set()
         self._process_id = os.urandom(PROCESS_ID_BYTES).hex().encode()
@@ -79,12 +79,12 @@
         else:
             self.services.pop(service, None)
 
-    def budget(self, service: str) -> Budget:
+    def budget(self, service: str) -> RetryBudget:
         """Return this process's part of the service's retry budget."""
         found = self.budgets.get(service)
         if found is None:
-            found = self.budgets[service] = Budget(0.0, self._retry_ratio, self._retry_window)
-        found.allot(self._retry_slack / max(1, self.proxies))
+            found = self.budgets[service] = RetryBudget(0.0, self._retry_ratio, self._retry_window)
+        found.set_minimum(self._retry_slack / max(1, self.proxies))
         return found
 
     def reservation_id(self, attempt_id: bytes) -> bytes:
--- a/tests/daemon/leases/test_promise_store.py
+++ b/tests/daemon/leases/test_promise_store.py
@@ -1,4 +1,4 @@
-"""What an elector writes down is there after a crash at any moment, or the former is."""
+"""After a crash at any moment the promises of a lease voter are there, or the former ones are."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 ONE, TWO = [Promise("d", 1, "a", 7)], [Promise("d", 2, "b", 8), Promise("e", 5, "a", 7)]
 
 
-def test_what_was_written_is_read(tmp_path: Path) -> None:
+def test_promises_that_were_written_are_read(tmp_path: Path) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
     assert first.is_new and first.promises == []
     first.write(ONE)
@@ -28,11 +28,11 @@
     first.close()
     second = PromiseStore(str(tmp_path), "x", 5.0)
     assert not second.is_new and second.promises == TWO
-    assert second.lease_seconds == 10.0  # the longest that was ever promised for
+    assert second.lease_seconds == 10.0  # the longest time that was ever promised
     second.close()
 
 
-def test_one_elector_to_a_folder(tmp_path: Path) -> None:
+def test_a_directory_belongs_to_one_voter(tmp_path: Path) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
     with pytest.raises(PromiseStoreInUseError):
         PromiseStore(str(tmp_path), "x", 10.0)
@@ -42,21 +42,21 @@
         PromiseStore(str(tmp_path), "y", 10.0)
 
 
-def test_every_flipped_byte_and_every_cut_is_noticed(tmp_path: Path) -> None:
+def test_every_changed_byte_and_every_truncation_is_detected(tmp_path: Path) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
     first.write(ONE)
     first.close()
-    whole = (tmp_path / PROMISES_FILE).read_bytes()
-    spoilt = [whole[:at] for at in range(len(whole))]
-    spoilt += [whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :] for at in range(len(whole))]
-    for data in spoilt:
+    complete = (tmp_path / PROMISES_FILE).read_bytes()
+    corrupt = [complete[:at] for at in range(len(complete))]
+    corrupt += [complete[:at] + bytes([complete[at] ^ 1]) + complete[at + 1 :] for at in range(len(complete))]
+    for data in corrupt:
         (tmp_path / PROMISES_FILE).write_bytes(data)
         with pytest.raises(CorruptPromiseStoreError):
             PromiseStore(str(tmp_path), "x", 10.0)
 
 
 @pytest.mark.parametrize("call", ["create", "write", "sync", "close_file", "rename", "sync_directory"])
-def test_a_disk_that_fails_at_any_call_leaves_the_former_or_the_new(
+def test_a_failure_at_any_system_call_leaves_the_former_or_the_new_promises(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
     first = PromiseStore(str(tmp_path), "x", 10.0)
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -1,4 +1,4 @@
-"""How much of what was kept still counts, and what the module does with it."""
+"""How much of a snapshot still counts, and what the balancer does with it."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from kept import SETTINGS, endpoints, send_number, taught
+from snapshots import SETTINGS, endpoints, send_number, taught
 
 from lugspur.daemon.persistence.aging import HALF_LIFE_SECONDS, MAX_AGE_SECONDS, decay, snapshot_age
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.discovery.endpoints import Endpoint
-from lugspur.load_balancing.breaker import BUCKETS, WINDOW
+from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
 from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
-AT = 1002.0  # when the module of `taught` was asked: right after its last request
+AT = 1002.0  # when the state of `taught` is captured: right after its last request
 
 
 def kept(rows: list[Endpoint], **more: int) -> PoolSnapshot:
     return PoolSnapshot(AT, rows, taught(rows, **more).export_learned())
 
 
-def test_an_age_is_known_only_where_clocks_are_steady() -> None:
+def test_the_age_is_unknown_where_the_clock_went_back() -> None:
     assert snapshot_age(100.0, 160.0) == 60.0
-    assert snapshot_age(100.0, 99.5) == 0.0  # a step of NTP
+    assert snapshot_age(100.0, 99.5) == 0.0  # a step by NTP
     assert snapshot_age(100.0, 90.0) is None
 
 
-def test_what_is_fresh_counts_as_it_was_on_the_new_clock() -> None:
+def test_a_fresh_snapshot_is_unchanged_but_for_the_clock() -> None:
     pool = kept(endpoints(4), slow=1)
     assert pool.learned is not None
     found = decay(pool, 0.0, AT)
@@ -43,11 +43,11 @@
     for row, was in zip(later.servers, pool.learned.servers, strict=True):
         assert row.seen == pytest.approx(was.seen + 5000.0)
         assert row.breaker is not None and was.breaker is not None
-        shift = round(5000.0 / (WINDOW / BUCKETS))
+        shift = round(5000.0 / (WINDOW_SECONDS / WINDOW_BUCKETS))
         assert set(row.breaker.window) <= {(n + shift, r, a, f) for n, r, a, f in was.breaker.window}
 
 
-def test_what_is_older_counts_less_and_what_is_too_old_not_at_all() -> None:
+def test_older_state_counts_less_and_beyond_the_limit_not_at_all() -> None:
     pool = kept(endpoints(4), slow=1)
     assert pool.learned is not None
     pooled = pool.learned.pooled
@@ -70,17 +70,19 @@
 
 @given(st.floats(0.0, MAX_AGE_SECONDS), st.floats(-1e9, 1e9), st.integers(0, 4), st.integers(0, 4), st.integers(1, 80))
 @settings(deadline=None, max_examples=60)
-def test_whatever_the_clocks_say_the_module_goes_on(age: float, clock: float, slow: int, bad: int, rounds: int) -> None:
+def test_the_balancer_works_with_any_age_and_any_clock(
+    age: float, clock: float, slow: int, bad: int, rounds: int
+) -> None:
     rows = endpoints(4)
     now = AT + clock
     found = decay(kept(rows, slow=slow, bad=bad, rounds=rounds), age, now)
     assert found is not None
     assert all(isfinite(value) for value in numbers(found))
     assert all(row.seen <= now for row in found.servers)
-    last = int(now / (WINDOW / BUCKETS))
+    last = int(now / (WINDOW_SECONDS / WINDOW_BUCKETS))
     for row in found.servers:
         if row.breaker is not None:
-            assert all(last - BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
+            assert all(last - WINDOW_BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
     after(rows, found, now)
 
 
@@ -93,7 +95,7 @@
     bad: int = 0,
     seed: int = 3,
 ) -> Counter[int]:
-    """What a module that begins with this sends, by the boxes' places; the first are slow, the next ones fail."""
+    """Count what a balancer that starts with this state sends to each backend. The first are slow, the next fail."""
     balancer = Balancer(SETTINGS, seed)
     balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     if learned is not None:
@@ -111,7 +113,7 @@
     return sent
 
 
-def test_a_fresh_file_spares_slow_and_failing_boxes_from_the_first_request_on() -> None:
+def test_a_fresh_snapshot_avoids_slow_and_failing_backends_from_the_first_request() -> None:
     rows = endpoints(20)
     pool = kept(rows, slow=5, bad=2, rounds=100)
     met: Counter[str] = Counter()
@@ -119,25 +121,25 @@
         for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
             sent = after(rows, learned, AT + 1.0, slow=5, bad=2, seed=seed)
             met[name] += sum(sent[place] for place in range(7))
-        # What a process meets that never ended: of two candidates both are bad now and then.
+        # What a balancer sends that was not restarted: now and then both of two candidates are bad.
         long, short = (after(rows, None, AT + 1.0, count, slow=5, bad=2, seed=seed) for count in (440, 400))
         met["steady"] += sum(long[place] - short[place] for place in range(7))
     assert met["fresh"] - met["steady"] < 0.5 * (met["none"] - met["steady"])
 
 
-def test_a_file_from_before_an_incident_is_unlearned_soon() -> None:
-    # It says of all boxes but the last that they are slow; that one is broken now.
+def test_a_snapshot_from_before_an_incident_is_unlearned_soon() -> None:
+    # The snapshot says that all backends but the last are slow; the last one is broken now.
     rows = endpoints(6)
     pool = kept(rows, slow=5, rounds=200)
-    turned = list(reversed(rows))  # the first is now the one that was best
+    turned = list(reversed(rows))  # The first is now the one that was best.
     met: Counter[str] = Counter()
     for seed in range(20):
         for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
             met[name] += after(turned, learned, AT + 1.0, count=100, bad=1, seed=seed)[0]
-    assert met["fresh"] <= met["none"] + 20 * 5  # five more calls of a hundred at most, for each start
+    assert met["fresh"] <= met["none"] + 20 * 5  # At each start, at most five more requests of a hundred.
 
 
-def test_a_box_that_restarted_since_is_cold_whatever_the_file_says() -> None:
+def test_a_backend_that_restarted_since_is_in_slow_start_whatever_the_snapshot_says() -> None:
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=10.0)
     rows = endpoints(6, started=500.0)
     learned = decay(kept(rows, rounds=200), 5.0, AT + 5.0)
@@ -150,7 +152,7 @@
             balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
             if known is not None:
                 balancer.import_learned(now, known)
-            young = replace(rows[0].row, started_at=now - 0.5)  # the first list that is told
+            young = replace(rows[0].row, started_at=now - 0.5)  # the first list that arrives
             balancer.update_servers(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
             assert balancer.servers[young.server].breaker is None
             for number in range(60):
@@ -159,11 +161,11 @@
                     if isinstance(action, Send):
                         sent[name] += action.server == young.server
                         balancer.finish_attempt(at + 0.01, rid, 0, Outcome.OK, 0.01)
-    assert sent["fresh"] <= sent["none"] + 30  # one call for each start: its budget is no larger
-    assert sent["fresh"] < 30 * 60 / 6  # less than a warm box's part
+    assert sent["fresh"] <= sent["none"] + 30  # One request for each start: its budget is not larger.
+    assert sent["fresh"] < 30 * 60 / 6  # less than the share of a warm backend
 
 
-def test_nothing_is_taken_up_for_a_box_with_another_start_or_that_is_not_listed() -> None:
+def test_state_of_a_backend_with_another_start_or_not_listed_is_dropped() -> None:
     rows = endpoints(2, started=500.0)
     learned = decay(kept(rows), 1.0, AT + 1.0)
     assert learned is not None
@@ -175,7 +177,7 @@
 
 
 @pytest.mark.parametrize("age", [0.5, 5.0, 600.0, MAX_AGE_SECONDS])
-def test_a_burst_at_the_start_is_taken_as_from_nothing(age: float) -> None:
+def test_a_burst_at_the_start_is_admitted_as_without_a_snapshot(age: float) -> None:
     rows = endpoints(8)
     learned = decay(kept(rows, rounds=200), age, AT + age)
     assert learned is not None
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -439,7 +439,7 @@
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
         assert not caller.answers and len(rig.sent) == 1
         [endpoint] = [e for e in rig.proxy.services["s"].values() if e.id == forward.backend]
-        assert endpoint.deprioritised_until == 0.0 and not endpoint.breaker("r").failed_part(rig.proxy.loop.time())
+        assert endpoint.deprioritised_until == 0.0 and not endpoint.breaker("r").failure_ratio(rig.proxy.loop.time())
 
     play(what, kind=kind)
 
