--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -74,7 +74,7 @@
 
 
 def _takes_any_life(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
-    return self.local is not None and not self.leaving and not self.local.is_unreachable
+    return self.local_backend is not None and not self.is_shutting_down and not self.local_backend.is_unreachable
 
 
 def _takes_whatever_waits(self: ConcurrencyLimiter, now: float, admitted: Any) -> bool:
@@ -116,8 +116,8 @@
 
 
 def _no_closing(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
-    local: LocalBackend | None = self.local
-    return local is not None and local.id == backend and not self.leaving and not local.is_unreachable
+    local: LocalBackend | None = self.local_backend
+    return local is not None and local.id == backend and not self.is_shutting_down and not local.is_unreachable
 
 
 DATA_PLANE = [
--- a/lugspur/mesh/dataplane/admitted_request.py
+++ b/lugspur/mesh/dataplane/admitted_request.py
@@ -15,12 +15,21 @@
 class AdmittedRequest:
     """A request that was accepted for the backend and has no result yet; times are the loop's."""
 
-    __slots__ = ("deadline", "exchange", "forward", "is_finished", "local", "offered_at", "respond", "was_offered")
+    __slots__ = (
+        "deadline",
+        "exchange",
+        "forward",
+        "is_finished",
+        "local_backend",
+        "offered_at",
+        "respond",
+        "was_offered",
+    )
 
     def __init__(
         self, forward: ForwardRequest, local: LocalBackend, now: float, respond: Callable[[ForwardResponse], None]
     ) -> None:
-        self.forward, self.local, self.respond = forward, local, respond
+        self.forward, self.local_backend, self.respond = forward, local, respond
         self.deadline = now + forward.seconds_left
         self.exchange: Exchange | None = None  # with the backend, once the request has been offered to it
         self.was_offered = False
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -75,8 +75,8 @@
         self._loop = asyncio.get_running_loop()
         self._drain_seconds = drain_seconds
         self._on_completed, self._on_unreachable = on_completed, on_unreachable
-        self.local: LocalBackend | None = None
-        self.leaving = False  # this process shuts down: nothing new is accepted
+        self.local_backend: LocalBackend | None = None
+        self.is_shutting_down = False  # this process shuts down: nothing new is accepted
         self._upstream = Upstream(
             Shares(files, {}),
             "",
@@ -107,7 +107,7 @@
     def submit(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> AdmittedRequest | None:
         """Have the backend run a request; `respond` is called once. Returns None where it is rejected at once."""
         now = self._loop.time()
-        local = self.local
+        local = self.local_backend
         cause = self._rejection_cause(now, forward)
         if local is None or cause:
             respond(self.reject(forward.number, cause))
@@ -125,9 +125,9 @@
         # Guards against a request that was delayed on its way, or whose body was, until its caller had given it up.
         if forward.seconds_left <= 0.0:
             return FailureCause.EXPIRED
-        if self.local is None or not self.accepts(now, forward.backend):
+        if self.local_backend is None or not self.accepts(now, forward.backend):
             return FailureCause.NOT_ACCEPTED
-        if not self._would_be_in_time(self.local, forward):
+        if not self._would_be_in_time(self.local_backend, forward):
             return FailureCause.QUEUE_FULL
         return FailureCause.NONE
 
@@ -138,15 +138,15 @@
 
     def accepts(self, now: float, backend: str) -> bool:
         """Whether new requests for that incarnation of the backend are accepted."""
-        local = self.local
-        if local is None or local.id != backend or self.leaving or local.is_unreachable:
+        local = self.local_backend
+        if local is None or local.id != backend or self.is_shutting_down or local.is_unreachable:
             return False
         grace = min(MAX_CLOSING_ACCEPT_SECONDS, CLOSING_ACCEPT_FRACTION * self._drain_seconds)
         return now <= local.closing_at + grace
 
     def has_capacity(self, forward: ForwardRequest) -> bool:
         """Whether a request would be accepted now."""
-        local, now = self.local, self._loop.time()
+        local, now = self.local_backend, self._loop.time()
         return local is not None and self.accepts(now, forward.backend) and self._would_be_in_time(local, forward)
 
     def _would_be_in_time(self, local: LocalBackend, forward: ForwardRequest) -> bool:
@@ -204,7 +204,7 @@
     def _start_waiting(self) -> None:
         """Start the most urgent requests, as far as the backend has capacity."""
         while len(self._queue):
-            concurrency = 0 if self.local is None else self.local.concurrency
+            concurrency = 0 if self.local_backend is None else self.local_backend.concurrency
             if self._running >= concurrency + EXTRA_REQUESTS:
                 return
             request = self._queue.pop()
@@ -230,8 +230,8 @@
 
         The backend must be the same incarnation, and its time to drain must not be nearly over.
         """
-        local = request.local
-        if local is not self.local or local.is_unreachable:
+        local = request.local_backend
+        if local is not self.local_backend or local.is_unreachable:
             return False
         return now < local.closing_at + DRAIN_START_FRACTION * self._drain_seconds
 
@@ -247,7 +247,7 @@
         self._running += 1
         request.was_offered, request.offered_at = True, now
         exchange = Exchange(
-            request.local.backend,
+            request.local_backend.backend,
             now,
             request.deadline + GRACE_SECONDS,
             lambda seconds_left: encode_request(forward, seconds_left - GRACE_SECONDS),
@@ -261,7 +261,7 @@
 
     def _exchange_ended(self, request: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
         self._running -= 1
-        check(self._running >= 0, Invariant.IN_FLIGHT, backend=request.local.id)
+        check(self._running >= 0, Invariant.IN_FLIGHT, backend=request.local_backend.id)
         if outcome is Outcome.OK and response is not None:
             self._answered(request, response)
         elif outcome in NOT_RUN_CAUSES:
@@ -283,8 +283,8 @@
         self._finish(request, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
 
     def _not_run(self, request: AdmittedRequest, outcome: Outcome) -> None:
-        local = request.local
-        if outcome is Outcome.UNREACHABLE and not local.is_unreachable and local is self.local:
+        local = request.local_backend
+        if outcome is Outcome.UNREACHABLE and not local.is_unreachable and local is self.local_backend:
             local.is_unreachable = True
             self._on_unreachable(local)
         if outcome is not Outcome.OVERLOADED:
--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -29,7 +29,7 @@
 class RequestCarrier(Protocol):
     """Takes requests to the concurrency limiter beside a backend."""
 
-    def ready(self, ip: str) -> bool:
+    def is_reachable(self, ip: str) -> bool:
         """Whether that machine can be reached now."""
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -97,7 +97,7 @@
         proxy = self.proxy
         known = proxy.services.get(self.service, {})
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.tried]
-        reachable = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
+        reachable = [endpoint for endpoint in untried if proxy.carrier.is_reachable(endpoint.ip)]
         preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
         # Those that rejected a request a moment ago come last, but before a rejection here: to ask them costs nothing.
         candidates = preferred or reachable
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -55,7 +55,7 @@
         self._retry_slack = retry_slack * RETRY_BUDGET_FRACTION
         self._retry_window = retry_window
         self.zone = zone
-        self.proxies = 1  # processes that share the retry budgets
+        self.proxy_count = 1  # processes that share the retry budgets
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
         self.budgets: dict[str, RetryBudget] = {}  # by service
         self.sender = ""  # the service of this machine
@@ -84,7 +84,7 @@
         found = self.budgets.get(service)
         if found is None:
             found = self.budgets[service] = RetryBudget(0.0, self._retry_ratio, self._retry_window)
-        found.set_minimum(self._retry_slack / max(1, self.proxies))
+        found.set_minimum(self._retry_slack / max(1, self.proxy_count))
         return found
 
     def reservation_id(self, attempt_id: bytes) -> bytes:
--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -32,7 +32,7 @@
         self._peers, self._backends = peers, backends
         self._limiter, self._outgoing = limiter, outgoing
 
-    def ready(self, ip: str) -> bool:
+    def is_reachable(self, ip: str) -> bool:
         """Whether that machine can be reached now."""
         if ip == self._ip:
             return True
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -74,7 +74,7 @@
 
 
 def _silent(sidecar: SidecarParts, now: float) -> float:
-    local = sidecar.limiter.local
+    local = sidecar.limiter.local_backend
     return 0.0 if local is None else now - local.last_heartbeat_at
 
 
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -116,7 +116,7 @@
 
     def update_sender(self) -> None:
         """Take up the service that this machine's requests come from: its backend's, else that of the settings."""
-        local = self.limiter.local
+        local = self.limiter.local_backend
         self.proxy.sender = local.service if local is not None else self.settings.own.service
 
     # ---- serving -------------------------------------------------------------------------
@@ -255,7 +255,7 @@
     def _services_changed(self, services: set[str]) -> None:
         for service in services:
             self.proxy.update_endpoints(service, self.backends.accepting(service))
-        self.proxy.proxies = max(1, len(self.backends.by_ip))
+        self.proxy.proxy_count = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
     # ---- what operators see --------------------------------------------------------------
@@ -297,7 +297,7 @@
         await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._callers_socket)
         self.front.close()
-        self.limiter.leaving = True
+        self.limiter.is_shutting_down = True
         while self.loop.time() < started_at + SHUTDOWN_FRACTION * grace and self._has_work():
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
         for proxied_request in list(self.proxy.open_requests):
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -101,7 +101,7 @@
 
     def _is_present(self, ident: str, heartbeat: Heartbeat) -> bool:
         """Whether a heartbeat is one of the present incarnation, or of one that takes its place."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is not None and local.id != ident and heartbeat.state != "accepting" and heartbeat.sequence > 0:
             return False  # an incarnation that ends can take nobody's place
         has_ended = local is not None and local.state in ("gone", "silent")
@@ -112,14 +112,14 @@
 
     def _present_backend(self, ident: str, heartbeat: Heartbeat) -> LocalBackend:
         """The backend with that id; it takes the place of another one."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is not None and local.id == ident:
             return local
         local = LocalBackend(ident, heartbeat.service, heartbeat.address, self._process.loop.time())
         if heartbeat.state != "accepting":
             # Guards its drain: it may have said so long ago, to a process that was here before this one.
             local.closing_at = float("-inf")
-        self._limiter.local = local
+        self._limiter.local_backend = local
         events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
         return local
 
@@ -141,7 +141,7 @@
     def sign_off(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Take the backend's sign-off, with its id in `found`: it has ended."""
         self._incarnations.signed_off(found[0])
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is not None and local.id == found[0]:
             local.state = "gone"
             local.closing_at = min(local.closing_at, self._process.loop.time())
@@ -158,7 +158,7 @@
 
     def publish(self) -> None:
         """Tell the mesh how this machine's backend is, where that has changed."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is None:
             return
         status = self._status_of(local)
@@ -222,7 +222,7 @@
 
     def tick(self, now: float) -> None:
         """Notice a backend that sends no heartbeats."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         since_tick, self._ticked_at = now - self._ticked_at, now
         if local is None or local.state in ("gone", "silent"):
             return
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -55,8 +55,8 @@
         "routes": len(sidecar.table),
         "open": len(proxy.open_requests),
         "busy": sidecar.limiter.in_flight,
-        "backend": _backend(sidecar.limiter.local),
-        "backends": [_endpoint(endpoint, proxy.carrier.ready(endpoint.ip), now) for endpoint in endpoints],
+        "backend": _backend(sidecar.limiter.local_backend),
+        "backends": [_endpoint(endpoint, proxy.carrier.is_reachable(endpoint.ip), now) for endpoint in endpoints],
     }
 
 
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -203,7 +203,7 @@
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), log_failure)
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
-    def ready(self, ip: str) -> bool:
+    def is_reachable(self, ip: str) -> bool:
         return True
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
@@ -283,7 +283,7 @@
         async with scripted(lambda request: answer) as stub:
             mesh = Mesh(backends=1)
             mesh.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            mesh.limiter.local = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
+            mesh.limiter.local_backend = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
             told = await mesh.ask(answered=lambda: mesh.claims[0](Acquired()))
             got = stub.got.get_nowait()
         assert matches(AT_BACKEND, got), got
@@ -311,7 +311,7 @@
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 204 X\r\nLugspur-Attempt-Id: t1\r\n\r\n") as stub:
             limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            limiter.local_backend = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             limiter.submit(
                 ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
                 lambda reply: None,
@@ -342,7 +342,7 @@
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
             limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            limiter.local_backend = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
             limiter.submit(
                 ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result
--- a/tests/mesh/dataplane/test_concurrency_limiter.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -90,7 +90,7 @@
             64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append
         )
         self.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
-        self.limiter.local = self.local
+        self.limiter.local_backend = self.local
 
     def run(self, message: ForwardRequest) -> asyncio.Future[ForwardResponse]:
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
@@ -157,7 +157,7 @@
             assert (name, RequestOutcome(reply.outcome), reply.was_sent) == (name, end, True)
         backend.server.close()
         await backend.server.wait_closed()
-        rig.limiter.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
+        rig.limiter.local_backend = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         reply = await rig.run(forward(99))
         assert (reply.outcome, reply.was_sent) == (RequestOutcome.NOT_RUN, False) and len(rig.downs) == 1
         again = await rig.run(forward(100))  # until its next beat nobody is sent there
@@ -216,7 +216,7 @@
         rig.local.closing_at = now - 0.5
         reply = await rig.run(forward(2))
         assert (reply.outcome, reply.was_sent, len(backend.heads)) == (RequestOutcome.NOT_RUN, False, 1)
-        rig.limiter.local = LocalBackend("i-2", "s", backend.address, now)
+        rig.limiter.local_backend = LocalBackend("i-2", "s", backend.address, now)
         assert (await rig.run(forward(3))).outcome == RequestOutcome.NOT_RUN
         assert len(backend.heads) == 1
 
@@ -317,7 +317,7 @@
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
+        limiter.local_backend = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
         admitted = limiter.submit(forward(1), found.set_result)
         assert admitted is not None
@@ -456,7 +456,7 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         replies: list[ForwardResponse] = []
         limiter = ConcurrencyLimiter(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
-        limiter.local = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
+        limiter.local_backend = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         limiter.submit(forward(1, body=body, left=5.0), replies.append)
         while not replies:
             await asyncio.sleep(0.001)
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -85,7 +85,7 @@
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
     # the carrier and the keys
-    def ready(self, ip: str) -> bool:
+    def is_reachable(self, ip: str) -> bool:
         return ip not in self.unreachable
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
@@ -231,7 +231,7 @@
 
 def test_retries_of_all_requests_stay_within_the_budget() -> None:
     def what(rig: Rig) -> None:
-        rig.proxy.proxies = 2
+        rig.proxy.proxy_count = 2
         for _ in range(100):
             rig.ask()
             rig.reply(RequestOutcome.UNKNOWN)
--- a/tests/mesh/sidecar/test_exchanges.py
+++ b/tests/mesh/sidecar/test_exchanges.py
@@ -59,8 +59,8 @@
         self.admitted: list[AdmittedRequest] = []
         self.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
         self.now = asyncio.get_running_loop().time()
-        self.limiter.local = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
-        self.limiter.local.concurrency = 99
+        self.limiter.local_backend = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
+        self.limiter.local_backend.concurrency = 99
         self.limiter._start = self._start  # type: ignore[method-assign]
         self.incoming = IncomingExchanges(self.limiter, UploadScheduler(330_000.0, 1 << 20), OWN)
 
--- a/tests/mesh/sidecar/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -108,7 +108,7 @@
     def what(sidecar: Sidecar) -> None:
         assert heartbeat(sidecar, 1) == 200 and announced(sidecar) == ("i-1", "accepting")
         assert heartbeat(sidecar, 3, "closing") == 200 and announced(sidecar) == ("i-1", "closing")
-        local = sidecar.limiter.local
+        local = sidecar.limiter.local_backend
         assert local is not None
         since, edition = local.closing_at, sidecar.registration.announced
         assert heartbeat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
@@ -161,7 +161,7 @@
         caller = Caller()
         sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # this process has just started
         assert caller.status == 200 and heartbeat(sidecar, 9) == 200
-        assert sidecar.limiter.local is None and sidecar.ip not in sidecar.backends.by_ip
+        assert sidecar.limiter.local_backend is None and sidecar.ip not in sidecar.backends.by_ip
 
     play(tmp_path, what)
 
@@ -300,16 +300,16 @@
         ip = "127.0.0.2"
         dialer = unconnected_dialer(ip)
         sidecar.peers[ip] = dialer
-        assert not sidecar.proxy.carrier.ready(ip)
+        assert not sidecar.proxy.carrier.is_reachable(ip)
         wire = Wire(ip)
         dialer.link = wire  # type: ignore[assignment]
-        assert not sidecar.proxy.carrier.ready(ip)  # its kernel took the connection: a frozen one's does as well
+        assert not sidecar.proxy.carrier.is_reachable(ip)  # its kernel took the connection: a frozen one's does as well
         sidecar.message_received(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
-        assert sidecar.proxy.carrier.ready(ip)
+        assert sidecar.proxy.carrier.is_reachable(ip)
         [stamped] = wire.sent
         assert isinstance(stamped, Hello) and stamped.sent_at > 0.0 and stamped.incarnation == sidecar.incarnation
         dialer.link = None
-        assert not sidecar.proxy.carrier.ready(ip)
+        assert not sidecar.proxy.carrier.is_reachable(ip)
         dialer.close()
 
     play(tmp_path, what)
