--- a/lugspur/daemon/health_checks/__init__.py
+++ b/lugspur/daemon/health_checks/__init__.py
@@ -1,1 +1,1 @@
-"""One process looks after a pool's boxes that are down or doubted, and tells all others."""
+"""Health checks by one daemon of the fleet for all: it checks backends that others report, and sends out the result."""
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -10,14 +10,21 @@
 from lugspur.config.model import Check
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
-from lugspur.daemon.health_checks.hearsay import REFRESH, Hearsay
-from lugspur.daemon.health_checks.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
-from lugspur.daemon.health_checks.prober import Prober
+from lugspur.daemon.health_checks.health_checker import HealthChecker
+from lugspur.daemon.health_checks.messages import (
+    MAX_BACKEND_CHARACTERS,
+    ConnectionFailure,
+    HealthReport,
+    Message,
+    decode_message,
+    encode_message,
+    names_that_fit,
+)
+from lugspur.daemon.health_checks.received_reports import REPORT_INTERVAL_SECONDS, ReceivedReports
 from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, Candidate, LeadershipChanged
 from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.discovery.endpoints import server_id, server_name
-from lugspur.discovery.health_check import CheckResult
-from lugspur.discovery.health_check import check_health
+from lugspur.discovery.health_check import CheckResult, check_health
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
@@ -64,8 +71,8 @@
     def __init__(self, name: str, row: Check) -> None:
         self.duty = f"probe:{name}"
         self.row = row
-        self.prober = Prober(row.every)
-        self.hearsay = Hearsay(self.duty)
+        self.health_checker = HealthChecker(row.every)
+        self.received_reports = ReceivedReports(self.duty)
         self.told = -1  # the serial of what was told last...
         self.told_at = float("-inf")  # ...and when
         self.epoch = 0  # of the prober that was heard last
@@ -96,7 +103,7 @@
             if pool is None:
                 pool = self._pools[name] = _Pool(name, row)
                 self._company.want(pool.duty)
-            pool.row, pool.prober.every = row, row.every
+            pool.row, pool.health_checker.interval_seconds = row, row.every
             station = self._stations()[name]
             station.tried, station.shown = self._tried, self._listed
             self._listed(name)
@@ -122,7 +129,7 @@
 
     def _listed(self, name: str) -> None:
         told = self._stations()[name].maintenance.told
-        self._pools[name].prober.listed([server_name(server) for server in told])
+        self._pools[name].health_checker.update_backends([server_name(server) for server in told])
 
     def _tried(self, name: str, server: int, up: bool) -> None:
         """Whether a connection came up: if not, whoever probes the pool is to know."""
@@ -141,8 +148,8 @@
 
     def _doubt(self, name: str, server: int) -> None:
         box = server_name(server)
-        if len(box) <= BOX_MOST:
-            self._pass_on(Doubt(name, box))
+        if len(box) <= MAX_BACKEND_CHARACTERS:
+            self._pass_on(ConnectionFailure(name, box))
 
     def _doubt_again(self, name: str) -> None:
         """There is another prober, who has not heard of what could not be reached before."""
@@ -150,13 +157,13 @@
             if pool == name:
                 self._doubt(pool, server)
 
-    def _pass_on(self, doubt: Doubt) -> None:
+    def _pass_on(self, doubt: ConnectionFailure) -> None:
         pool = self._pools[doubt.pool]
         if self._company.may(pool.duty) is not None:
-            pool.prober.doubt(clock.now(), doubt.box)
+            pool.health_checker.report_failure(clock.now(), doubt.backend)
             self._turn()
             return
-        if doubt.passed_on:
+        if doubt.is_forwarded:
             return
         # Who holds it is known to those who stand by; one of them may hold it.
         holder = self._company.claims[pool.duty].term.holder
@@ -164,14 +171,14 @@
         names |= dict.fromkeys(self._company.first(pool.duty, STANDBY_CANDIDATES))
         for name in names:
             if name != self._company.name:
-                self._company.post(name, PROBING, pack(doubt))
+                self._company.post(name, PROBING, encode_message(doubt))
         self._company.transport.flush()
 
     def turned(self, turned: LeadershipChanged) -> None:
         """A duty is this process's, or no more."""
         for name, pool in self._pools.items():
             if pool.duty == turned.role and turned.is_leader:
-                pool.prober.begin(clock.now(), pool.hearsay.said(clock.now()))
+                pool.health_checker.take_over(clock.now(), pool.received_reports.unhealthy(clock.now()))
                 pool.told = -1
                 self._loop.call_soon(self._doubt_again, name)
         self._loop.call_soon(self._turn)
@@ -181,15 +188,17 @@
     def heard(self, body: bytes) -> None:
         """A message of another member."""
         with suppress(MalformedMessageError):
-            self._message(unpack(body))
+            self._message(decode_message(body))
 
     def _message(self, message: Message) -> None:
         pool = self._pools.get(message.pool)
         if pool is None:
             return
-        if isinstance(message, Doubt):
-            self._pass_on(Doubt(message.pool, message.box, not self._is_first(pool) or message.passed_on))
-        elif pool.hearsay.hear(clock.now(), message):
+        if isinstance(message, ConnectionFailure):
+            self._pass_on(
+                ConnectionFailure(message.pool, message.backend, not self._is_first(pool) or message.is_forwarded)
+            )
+        elif pool.received_reports.receive(clock.now(), message):
             if message.epoch != pool.epoch:
                 pool.epoch = message.epoch
                 self._doubt_again(message.pool)
@@ -205,7 +214,7 @@
         if station is None:
             return
         listed = {server_name(server) for server in station.maintenance.told}
-        absent = {server_id(box) for box in pool.hearsay.absent(clock.now(), listed)}
+        absent = {server_id(box) for box in pool.received_reports.excluded(clock.now(), listed)}
         if absent != station.maintenance.absent:
             station.away(absent, station.pool.now())
 
@@ -216,36 +225,38 @@
         due = float("inf")
         for name, pool in self._pools.items():
             self._obey(name, pool)
-            due = min(due, pool.hearsay.due())
+            due = min(due, pool.received_reports.due())
             epoch = self._company.may(pool.duty, pool.row.within)
             if epoch is None:
                 continue
-            for box in pool.prober.looks(now):
+            for box in pool.health_checker.start_checks(now):
                 task = self._loop.create_task(self._look(name, pool, box))
                 self._looks.add(task)
                 task.add_done_callback(self._looks.discard)
             self._tell(name, pool, now)
-            due = min(due, pool.prober.due())
-            if pool.prober.down:
-                due = min(due, pool.told_at + REFRESH)
+            due = min(due, pool.health_checker.due())
+            if pool.health_checker.unhealthy:
+                due = min(due, pool.told_at + REPORT_INTERVAL_SECONDS)
         if self._timer is not None:
             self._timer.cancel()
         if due != float("inf"):
             self._timer = self._loop.call_later(max(0.005, due - now), self._turn)
 
     def _tell(self, name: str, pool: _Pool, now: float) -> None:
-        down = pool.prober.down
-        if pool.told == pool.prober.serial and (not down or now - pool.told_at < REFRESH):
+        down = pool.health_checker.unhealthy
+        if pool.told == pool.health_checker.sequence_number and (
+            not down or now - pool.told_at < REPORT_INTERVAL_SECONDS
+        ):
             return
         epoch = self._company.may(pool.duty)  # right before the act
         if epoch is None:
             return
-        pool.told, pool.told_at = pool.prober.serial, now
-        verdict = Verdict(name, epoch, pool.prober.serial, fitting(down))
-        body = pack(verdict)
+        pool.told, pool.told_at = pool.health_checker.sequence_number, now
+        report = HealthReport(name, epoch, pool.health_checker.sequence_number, names_that_fit(down))
+        body = encode_message(report)
         for other in self._company.others():
             self._company.post(other, PROBING, body)
-        pool.hearsay.hear(now, verdict)
+        pool.received_reports.receive(now, report)
         self._obey(name, pool)
         self._company.transport.flush()
 
@@ -258,6 +269,6 @@
         place = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         url = f"http://{place}{pool.row.path}" if pool.row.path else f"tcp://{place}"
         well = await check_health(url, pool.row.within) is CheckResult.HEALTHY
-        if pool.prober.answered(clock.now(), box, well):
+        if pool.health_checker.finish_check(clock.now(), box, well):
             self._company.say(f"pool {name}: box {box} is {'up' if well else 'down'}, as its prober")
         self._turn()
--- a/tests/compatibility/test_health_reports.py
+++ b/tests/compatibility/test_health_reports.py
@@ -9,24 +9,30 @@
 import msgspec
 import pytest
 
-from lugspur.daemon.health_checks.messages import Doubt, Message, Verdict, pack, unpack
+from lugspur.daemon.health_checks.messages import (
+    ConnectionFailure,
+    HealthReport,
+    Message,
+    decode_message,
+    encode_message,
+)
 from lugspur.daemon.probers import PROBING
 
 FORMS: dict[str, tuple[Message, str]] = {
     "report of a failed connection": (
-        Doubt(pool="main", box="b-1", passed_on=False),
+        ConnectionFailure(pool="main", backend="b-1", is_forwarded=False),
         "94 01 a46d61696e a3622d31 c2",
     ),
-    "the same, passed on": (
-        Doubt(pool="main", box="b-1", passed_on=True),
+    "the same, forwarded": (
+        ConnectionFailure(pool="main", backend="b-1", is_forwarded=True),
         "94 01 a46d61696e a3622d31 c3",
     ),
     "backends that are down": (
-        Verdict(pool="main", epoch=5, serial=6, down=["b-1", "b-2"]),
+        HealthReport(pool="main", epoch=5, sequence_number=6, unhealthy=["b-1", "b-2"]),
         "95 02 a46d61696e 05 06 92 a3622d31 a3622d32",
     ),
     "none is down": (
-        Verdict(pool="main", epoch=(1 << 52) - 2, serial=(1 << 52) - 1, down=[]),
+        HealthReport(pool="main", epoch=(1 << 52) - 2, sequence_number=(1 << 52) - 1, unhealthy=[]),
         "95 02 a46d61696e cf000ffffffffffffe cf000fffffffffffff 90",
     ),
 }
@@ -36,8 +42,8 @@
 def test_each_report_is_read_and_written_byte_for_byte(form: str) -> None:
     message, text = FORMS[form]
     literal = bytes.fromhex(text)
-    assert unpack(literal) == message
-    assert pack(message) == literal
+    assert decode_message(literal) == message
+    assert encode_message(message) == literal
 
 
 def test_there_is_a_literal_for_every_kind_of_report() -> None:
@@ -45,8 +51,8 @@
     assert {type(message) for message, _ in FORMS.values()} == kinds
 
 
-def test_a_report_that_was_not_passed_on_may_leave_that_out() -> None:
-    assert unpack(bytes.fromhex("93 01 a46d61696e a3622d31")) == Doubt(pool="main", box="b-1")
+def test_a_report_that_was_not_forwarded_may_leave_that_out() -> None:
+    assert decode_message(bytes.fromhex("93 01 a46d61696e a3622d31")) == ConnectionFailure(pool="main", backend="b-1")
 
 
 def test_the_topic_under_which_reports_travel() -> None:
--- a/tests/daemon/gossip/test_lean.py
+++ b/tests/daemon/gossip/test_lean.py
@@ -9,7 +9,7 @@
 import pytest
 
 LIBRARIES = ("msgspec", "rich", "click")
-MODULES = ("lugspur.daemon.gossip", "lugspur.daemon.leases", "lugspur.daemon.company")
+MODULES = ("lugspur.daemon.gossip", "lugspur.daemon.health_checks", "lugspur.daemon.leases", "lugspur.daemon.company")
 PRINT_IMPORTED = f"""
 import sys
 import lugspur.{{module}}
--- a/tests/daemon/health_checks/test_one_prober.py
+++ b/tests/daemon/health_checks/test_fleet_health_checks.py
@@ -1,4 +1,4 @@
-"""One prober for a fleet, over processes: a dead box is left out by all, and one process alone looks at it."""
+"""Health checks for a fleet of processes: one checks a dead backend, and all exclude it."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from lugspur.bench.fleet import WITHIN, Rig
 from lugspur.bench.sockets import free_port
 
-EVERY = 0.2
-POOL = """
+EVERY_SECONDS = 0.2
+POOL_SETTINGS = """
 [classes.read]
 repeat = "safe"
 [pools.main]
@@ -26,30 +26,30 @@
 class = "read"
 """
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-ILL = b"HTTP/1.1 500 Ill\r\nContent-Length: 0\r\n\r\n"
+UNHEALTHY = b"HTTP/1.1 500 Ill\r\nContent-Length: 0\r\n\r\n"
 
 
 async def ask(rig: Rig, number: int) -> None:
-    """One request through a member, whatever becomes of it."""
+    """Send one request through a member, whatever its answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", rig.port(number))
     writer.write(b"GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
     await reader.read()
     writer.close()
 
 
-async def down(rig: Rig, wanted: list[str], among: list[int]) -> None:
-    """Traffic through these members until all of them leave out just these boxes."""
+async def wait_for_excluded(rig: Rig, wanted: list[str], among: list[int]) -> None:
+    """Send requests through these members until all of them exclude just these backends."""
     async with asyncio.timeout(WITHIN):
         while True:
             await asyncio.gather(*(ask(rig, number) for number in among))
-            told = [(await rig.call(number, "GET", "/fleet/duties"))[1] for number in among]
-            if all(one.get("down") == {"main": wanted} for one in told):
+            duties = [(await rig.call(number, "GET", "/fleet/duties"))[1] for number in among]
+            if all(one.get("down") == {"main": wanted} for one in duties):
                 return
 
 
 @asynccontextmanager
 async def listening(port: int, seen: Counter[bytes], answer: bytes) -> AsyncIterator[None]:
-    """A box that comes up at a port and counts what it is asked."""
+    """Serve a backend at a port, and count the paths of its requests."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         line = await reader.readline()
@@ -65,34 +65,35 @@
         await server.wait_closed()
 
 
-def test_one_looks_and_all_leave_out(tmp_path: Path) -> None:
+def test_one_daemon_checks_and_all_exclude_the_backend(tmp_path: Path) -> None:
     async def run() -> None:
         dead = free_port()
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             places = [one.address, two.address, f"127.0.0.1:{dead}"]
             members = ", ".join(f'{{ name = "b{at}", address = "{place}" }}' for at, place in enumerate(places))
             everybody = [0, 1, 2, 3]
-            async with Rig(tmp_path, 4, more=POOL.format(members=members, every=EVERY)) as rig:
+            async with Rig(tmp_path, 4, more=POOL_SETTINGS.format(members=members, every=EVERY_SECONDS)) as rig:
                 await rig.agree()
-                await down(rig, ["b2"], everybody)
+                await wait_for_excluded(rig, ["b2"], everybody)
                 seen: Counter[bytes] = Counter()
-                async with listening(dead, seen, ILL):  # it takes connections again, and says that it is not well
-                    await asyncio.sleep(4.0 * EVERY)
+                # It accepts connections again, and fails its health checks.
+                async with listening(dead, seen, UNHEALTHY):
+                    await asyncio.sleep(4.0 * EVERY_SECONDS)
                     before, began = seen[b"/healthz"], asyncio.get_running_loop().time()
                     for _ in range(5):
                         await asyncio.gather(*(ask(rig, number) for number in everybody))
-                    await asyncio.sleep(4.0 * EVERY)
-                    looks, passed = seen[b"/healthz"] - before, asyncio.get_running_loop().time() - began
-                    assert 0 < looks <= passed / EVERY + 1  # as many as one process's
-                    assert set(seen) == {b"/healthz"}  # nobody sent it anything
-                    # Whoever probes dies: another goes on where it stood.
+                    await asyncio.sleep(4.0 * EVERY_SECONDS)
+                    checks, elapsed = seen[b"/healthz"] - before, asyncio.get_running_loop().time() - began
+                    assert 0 < checks <= elapsed / EVERY_SECONDS + 1  # as many as of one process
+                    assert set(seen) == {b"/healthz"}  # no daemon sent it a request
+                    # The health checker dies: its successor takes over what it held for unhealthy.
                     prober = [number for number in everybody if "as its prober" in rig.members[number].log()][-1]
                     await rig.kill(prober)
                     left = [number for number in everybody if number != prober]
                     await asyncio.sleep(3.0 * rig.lease)
-                    await down(rig, ["b2"], left)
+                    await wait_for_excluded(rig, ["b2"], left)
                 async with listening(dead, seen, OK):
-                    await down(rig, [], left)
+                    await wait_for_excluded(rig, [], left)
                     for _ in range(10):
                         await asyncio.gather(*(ask(rig, number) for number in left))
                     assert seen[b"/"] > 0  # it serves again
