--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -11,7 +11,6 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
 from lugspur.mesh.control.learned_pages import LearnedPages
-from lugspur.mesh.control.membership import Presence, Tolerance
 from lugspur.mesh.control.messages import (
     Accepted,
     ChangeResult,
@@ -36,6 +35,7 @@
 from lugspur.mesh.control.replica import UID_ROW, read_membership
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
+from lugspur.mesh.control.voter_membership import Presence, Tolerance
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
@@ -49,7 +49,7 @@
 from lugspur.mesh.control_node.recovery import StoredRows, begin_as_first_voter, is_first_voter, restore_replica
 from lugspur.mesh.control_node.status import control_node_status
 from lugspur.mesh.control_node.subscribers import Subscribers
-from lugspur.mesh.process import TICK_SECONDS, MeshProcess
+from lugspur.mesh.process import MAX_AGE_SECONDS, TICK_SECONDS, MeshProcess
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import Disk
@@ -65,7 +65,6 @@
 CATCH_UP_DELAY_SECONDS = 0.05  # for which a replica waits to be sent what it lacks before it asks
 DISK_FAILURE_SECONDS = 1.0  # for which a disk may refuse writes until its vote goes to another one
 DISK_CLOSE_SECONDS = 1.0  # for which the last writes are waited for
-MAX_AGE_SECONDS = 1e6  # in what others are told: more means that there was no contact with a majority
 
 
 class LocalPeer:
@@ -122,11 +121,11 @@
         return ChangeRouter(
             self.loop,
             self.ip,
-            self.proposer,
-            self.pause_detector,
-            self.majority_contact.preferred_proposer,
-            self.run_effects,
-            self.send_to,
+            proposer=self.proposer,
+            pause_detector=self.pause_detector,
+            preferred_proposer=self.majority_contact.preferred_proposer,
+            run_effects=self.run_effects,
+            send_to=self.send_to,
         )
 
     def _make_reconfiguration(self) -> Reconfiguration:
@@ -140,13 +139,13 @@
     def _make_membership_changes(self) -> MembershipChanges:
         return MembershipChanges(
             self.ip,
-            self.replica,
-            self.reconfiguration,
-            self.store,
-            self.freshness,
-            self.max_staleness,
-            self.pause_detector,
-            self._propose,
+            replica=self.replica,
+            reconfiguration=self.reconfiguration,
+            store=self.store,
+            freshness=self.freshness,
+            max_staleness=self.max_staleness,
+            pause_detector=self.pause_detector,
+            propose=self._propose,
         )
 
     def _start(self, rows: StoredRows) -> None:
@@ -166,7 +165,7 @@
 
     async def serve(self) -> None:
         """Listen to the mesh, and to operators."""
-        ip, port = self.settings.inner_bind
+        ip, port = self.settings.inner_bind_address
         await self.loop.create_server(lambda: Link(self._take_request, self._link_ended), ip, port, backlog=512)
         memory_bytes = self.settings.own.limits.memory_mb << 20
         self.front = await self.api.dispatch_calls().serve(self.settings.network.listen.dispatch, memory_bytes)
@@ -234,10 +233,12 @@
     # ---- what peers say --------------------------------------------------------------------
 
     def receive(self, ip: str, message: Message) -> None:
+        """Take a message of a peer that this process dialled, or of its own replica."""
         self.membership_changes.message_received(self.loop.time(), ip)
         super().receive(ip, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
+        """Take a reply to what this control node has asked as a proposer, reader, forwarder or newcomer."""
         if isinstance(message, Promise | Accepted):
             self.run_effects(self.proposer.receive(now, ip, message))
         elif isinstance(message, ReadIndexReply):
@@ -269,6 +270,7 @@
             self.subscribers.update_soon()
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
+        """Take an update of a peer; where that knows later changes, ask for them unless they come by themselves."""
         super().receive_update(now, ip, message)
         self.membership_changes.complete_for(ip, message.complete_epoch)
         if message.decided_index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
@@ -288,6 +290,7 @@
         self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def disconnected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled has ended: what was under way on it is taken back."""
         self.catch_up.disconnected(dialer.ip)
         self.decided_pages.disconnected(dialer.ip)
         self.membership_changes.disconnected(dialer.ip)
@@ -295,10 +298,12 @@
         self.router.disconnected(self.loop.time(), dialer.ip)
 
     def membership_changed(self) -> None:
+        """Another membership is in force."""
         super().membership_changed()
         self.membership_changes.membership_changed(self.membership)
 
     def wanted_peers(self) -> set[str]:
+        """The voters and seeds, and while it lacks reservations the voters of the epoch before, which have them."""
         found = super().wanted_peers()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.is_complete:
@@ -308,12 +313,15 @@
     # ---- what peers are told ---------------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
+        """Whether this process subscribes to that peer's updates: a control node follows all."""
         return True
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
+        """The leased entry by which this control node describes itself."""
         return self.announcement.entries()
 
     def entry_changed(self, entry: Entry) -> None:
+        """An entry has changed: subscribers get it, and what contradicts this control node's own entry is corrected."""
         self.subscribers.update_soon()
         if self.announcement.is_contradicted_by(entry):
             self.loop.call_soon(self.announce)
@@ -361,6 +369,7 @@
     # ---- time ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
+        """Do what is due by time in each part."""
         self.pause_detector.tick(now)
         self.leases.tick(now)
         self.subscribers.tick(now)
