--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -85,7 +85,7 @@
                     kept, age = self.remembering.of(name)
                 station = self.stations[name] = Station(name, self._sockets, self, self._epoch, self.registries)
                 for other in self.stations.values():  # what operators have taken out is out of every pool
-                    station.maintenance.banned.update(other.maintenance.banned)
+                    station.overrides.banned.update(other.overrides.banned)
             station.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
         standings = {name: station.standing for name, station in self.stations.items()}
         self.joins.tune(limits.joined, limits.memory)
--- a/lugspur/daemon/hot_restart/process_state.py
+++ b/lugspur/daemon/hot_restart/process_state.py
@@ -9,8 +9,8 @@
 from lugspur.daemon.hot_restart import packets
 from lugspur.daemon.hot_restart.packets import PROTOCOL_VERSION, Packet, PacketError
 from lugspur.discovery import state_codec
+from lugspur.discovery.endpoint_overrides import SavedBans
 from lugspur.discovery.endpoints import Endpoint, server_id, server_name
-from lugspur.discovery.maintenance import Bans
 from lugspur.load_balancing.model import Learned
 
 # Of the state's text in one packet: quoted in JSON and as UTF-8 they take four times as many bytes at most.
@@ -24,7 +24,7 @@
 
     index: int  # of the list of backends
     endpoints: list[Endpoint]  # as discovery listed them
-    bans: Bans
+    bans: SavedBans
     drained: bool
     open: list[bytes]  # ids of requests that are not answered yet
     learned: Learned
@@ -39,7 +39,7 @@
             "endpoints": [state_codec.encode_endpoint(endpoint) for endpoint in state.endpoints],
             "listed": [server_name(server) for server in state.bans.listed],
             "banned": [server_name(server) for server in state.bans.banned],
-            "floors": {server_name(server): at for server, at in state.bans.floors.items()},
+            "floors": {server_name(server): at for server, at in state.bans.earliest_start.items()},
             "drained": state.drained,
             "open": [request_id.decode() for request_id in state.open],
             "learned": state_codec.encode_learned_pools(state.learned)
@@ -60,7 +60,7 @@
         return ProcessState(
             int(raw["index"]),
             [state_codec.decode_endpoint(row) for row in raw["endpoints"]],
-            Bans(
+            SavedBans(
                 [server_id(name) for name in raw["listed"]],
                 [server_id(name) for name in raw["banned"]],
                 {server_id(name): float(at) for name, at in raw["floors"].items()},
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -84,7 +84,7 @@
     def _each(self, name: str, off: bool) -> bool:
         server, now = server_id(name), time.time()
         stations = self._stations().values()
-        known = any(station.maintenance.known(server) for station in stations)
+        known = any(station.overrides.was_listed(server) for station in stations)
         if known:  # in pools, too, that may list it later
             for station in stations:
                 station.ban(server, off, now)
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -105,7 +105,7 @@
         """By pools: the boxes that are left out here on a prober's word."""
         stations = self._stations()
         return {
-            name: sorted(server_name(server) for server in stations[name].maintenance.absent)
+            name: sorted(server_name(server) for server in stations[name].overrides.unhealthy)
             for name in self._pools
             if name in stations
         }
@@ -120,7 +120,7 @@
     # ---- what happens here -----------------------------------------------------------------------
 
     def _listed(self, name: str) -> None:
-        told = self._stations()[name].maintenance.told
+        told = self._stations()[name].overrides.latest
         self._pools[name].prober.listed([server_name(server) for server in told])
 
     def _tried(self, name: str, server: int, up: bool) -> None:
@@ -203,9 +203,9 @@
         station = self._stations().get(name)
         if station is None:
             return
-        listed = {server_name(server) for server in station.maintenance.told}
+        listed = {server_name(server) for server in station.overrides.latest}
         absent = {server_id(box) for box in pool.hearsay.absent(clock.now(), listed)}
-        if absent != station.maintenance.absent:
+        if absent != station.overrides.unhealthy:
             station.away(absent, station.pool.now())
 
     # ---- looking -------------------------------------------------------------------------------
@@ -250,7 +250,7 @@
 
     async def _look(self, name: str, pool: _Pool, box: str) -> None:
         station = self._stations().get(name)
-        endpoint = None if station is None else station.maintenance.told.get(server_id(box))
+        endpoint = None if station is None else station.overrides.latest.get(server_id(box))
         if endpoint is None:
             return
         host, port = endpoint.address
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -13,8 +13,8 @@
 from lugspur.daemon.pool import Call, Facts, Pool
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
+from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
-from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
@@ -82,7 +82,7 @@
         # Set aside, so that full callers can't lock operators out.
         spare = SPARE_SOCKETS + (0 if config.management is None else MANAGEMENT_SOCKETS)
         sockets = max(8, config.sockets - spare)
-        self.maintenance = Maintenance()
+        self.overrides = EndpointOverrides()
         callers = int(CALLERS_PART * sockets)
         self._sockets, self._sockets_most = Shares(sockets - callers, {}), sockets - callers
         connections = Upstream(
@@ -103,13 +103,13 @@
         self.pool = Pool(config.settings, config.seed, connections, self, epoch, self._discovery.open)
         known = reader.endpoints(config.known) if inherited is None else inherited.endpoints
         if inherited is not None:
-            self.maintenance.restore(inherited.bans)
+            self.overrides.restore(inherited.bans)
         self.pool.streams = True
-        self.pool.members(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, known))
+        self.pool.members(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, known))
         if inherited is not None:
             self.pool.balancer.import_learned(self.pool.now(), inherited.learned)
             self._peer_request_ids.update(inherited.open)
-            for server, at in inherited.bans.floors.items():
+            for server, at in inherited.bans.earliest_start.items():
                 if self.pool.now() - at < BACK_LATELY:
                     self.pool.put_back(server)
             if inherited.drained:
@@ -149,7 +149,7 @@
 
     def _told(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if endpoints or kind is not ListUpdateKind.PATCH:
-            self.pool.members(kind, self.maintenance.lay(kind, endpoints))
+            self.pool.members(kind, self.overrides.apply(kind, endpoints))
         self._loaded()
 
     def _loaded(self) -> None:
@@ -172,8 +172,8 @@
 
         return ProcessState(
             self._discovery.index,
-            list(self.maintenance.told.values()),
-            self.maintenance.save(),
+            list(self.overrides.latest.values()),
+            self.overrides.save(),
             self.front.drained_at is not None,
             [*self._open, *self._peer_request_ids],
             self.pool.balancer.export_learned(),
@@ -186,7 +186,7 @@
     def apply_peer_ban(self, server: int, on: bool, at: float) -> None:
         """Begin or end the ban of a backend, as an operator has told a peer."""
         if on:
-            self._patch(self.maintenance.disable(server))
+            self._patch(self.overrides.disable(server))
         else:
             self._enable(server, at)
 
@@ -247,9 +247,9 @@
     def disable(self, name: str) -> bool:
         """Nothing more to this backend, whatever lists say; whether it was ever listed."""
         server = server_id(name)
-        if not self.maintenance.known(server):
+        if not self.overrides.was_listed(server):
             return False
-        self._patch(self.maintenance.disable(server))
+        self._patch(self.overrides.disable(server))
         if self.peers is not None:
             self.peers.broadcast_ban(server, True, self.pool.now())
         return True
@@ -257,7 +257,7 @@
     def enable(self, name: str) -> bool:
         """It may serve again, and begins cold; whether it was ever listed."""
         server = server_id(name)
-        if not self.maintenance.known(server):
+        if not self.overrides.was_listed(server):
             return False
         now = self.pool.now()
         self._enable(server, now)
@@ -286,7 +286,7 @@
         return self.pool.failures.latest()
 
     def _enable(self, server: int, at: float) -> None:
-        endpoints = self.maintenance.enable(server, at)
+        endpoints = self.overrides.enable(server, at)
         self._patch(endpoints)
         if endpoints:
             self.pool.put_back(server)
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -129,7 +129,7 @@
                 if self._loop.time() - begun >= SLICE:
                     await asyncio.sleep(PAUSE)
                     begun = self._loop.time()
-            left = max(0, left - len(station.maintenance.told))
+            left = max(0, left - len(station.overrides.latest))
         return found
 
     async def close(self) -> None:
@@ -181,7 +181,7 @@
     """What is kept of a pool, at most so many of its backends."""
     name, pool = station.name, station.pool
     yield encode_record("pool", name, {"at": pool.now()})
-    told = tuple(station.maintenance.told.values())[:most]
+    told = tuple(station.overrides.latest.values())[:most]
     for endpoint in told:
         yield encode_record("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(told), EACH):
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -13,8 +13,8 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Owner, Pool
+from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
-from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
 from lugspur.discovery.registry_sessions import Ensemble, RegistrySessions
@@ -52,7 +52,7 @@
     def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
         self.name = name
         self.standing = Standing()
-        self.maintenance = Maintenance()
+        self.overrides = EndpointOverrides()
         self._registries = registries
         self._sockets, self._owner, self._epoch = sockets, owner, epoch
         self._loop = asyncio.get_running_loop()
@@ -100,7 +100,7 @@
         if self._streams is not None:
             self._streams.tune(row.keep, row.connect, held_most, answer_most)
         if kept is not None:  # until its source has told a list, that one serves
-            self._show(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, kept.endpoints))
+            self._show(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, kept.endpoints))
         self._feed(row, beside, registries)
         if kept is not None:
             self._recall(kept, age)
@@ -198,11 +198,11 @@
                 replace(endpoint, row=replace(endpoint.row, host_type=GRPC)) if endpoint.speaks_grpc else endpoint
                 for endpoint in endpoints
             ]
-        self._show(kind, self.maintenance.lay(kind, endpoints))
+        self._show(kind, self.overrides.apply(kind, endpoints))
 
     def ban(self, server: int, on: bool, now: float) -> None:
         """Operators take a box out, or put it back."""
-        changed = self.maintenance.disable(server) if on else self.maintenance.enable(server, now)
+        changed = self.overrides.disable(server) if on else self.overrides.enable(server, now)
         if changed:
             self._show(ListUpdateKind.PATCH, changed)
             if not on:
@@ -210,11 +210,11 @@
 
     def away(self, servers: set[int], now: float) -> None:
         """The pool's prober holds these for down, and no others; operators' bans are another matter."""
-        before = self.maintenance.absent
-        changed = self.maintenance.away(servers, now)
+        before = self.overrides.unhealthy
+        changed = self.overrides.set_unhealthy(servers, now)
         if changed:
             self._show(ListUpdateKind.PATCH, changed)
-        for server in (before - servers).intersection(self.maintenance.told) - self.maintenance.banned:
+        for server in (before - servers).intersection(self.overrides.latest) - self.overrides.banned:
             self.pool.put_back(server)
 
     def _show(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
--- a/tests/compatibility/test_discovery_forms.py
+++ b/tests/compatibility/test_discovery_forms.py
@@ -15,8 +15,8 @@
 from lugspur.daemon.hot_restart.process_state import decode_state
 from lugspur.discovery import state_codec
 from lugspur.discovery.backend_registration import RegisteredBackend
+from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id, server_name
-from lugspur.discovery.maintenance import Maintenance
 from lugspur.discovery.node_formats import RegistryNode, read_entry
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
@@ -293,15 +293,15 @@
         "open": [],
         "learned": orjson.loads(LEARNED_REST) | {"servers": []},
     }
-    over = Maintenance()
+    over = EndpointOverrides()
     over.restore(decode_state(orjson.dumps(estate).decode()).bans)
     up = orjson.loads(STORED_ENTRY.replace(b"draining", b"up"))
-    [banned] = over.lay(ListUpdateKind.PATCH, [state_codec.decode_endpoint(up)])
+    [banned] = over.apply(ListUpdateKind.PATCH, [state_codec.decode_endpoint(up)])
     assert stored(banned) == STORED_ENTRY  # it is banned, and so it drains
     up[0] = "channel-6"
-    [cold] = over.lay(ListUpdateKind.PATCH, [state_codec.decode_endpoint(up)])
+    [cold] = over.apply(ListUpdateKind.PATCH, [state_codec.decode_endpoint(up)])
     assert stored(cold) == b'["channel-6","up","1",3,2.5,1700000000.5,"2","10.0.0.7",9001,true]'
     known = over.save()
     assert [server_name(server) for server in known.listed] == ["channel-7", "channel-6"]
     assert [server_name(server) for server in known.banned] == ["channel-7"]
-    assert {server_name(server): at for server, at in known.floors.items()} == {"channel-6": 1700000000.5}
+    assert {server_name(server): at for server, at in known.earliest_start.items()} == {"channel-6": 1700000000.5}
--- a/tests/compatibility/test_hot_restart_messages.py
+++ b/tests/compatibility/test_hot_restart_messages.py
@@ -22,8 +22,8 @@
 from lugspur.daemon.hot_restart.hot_restart import HotRestart
 from lugspur.daemon.hot_restart.packets import PacketError
 from lugspur.daemon.hot_restart.process_state import ProcessState, StateAssembler, decode_state, encode_state
+from lugspur.discovery.endpoint_overrides import SavedBans
 from lugspur.discovery.endpoints import Endpoint, server_id
-from lugspur.discovery.maintenance import Bans
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer, ServerRow, ServerState
 
 SOCKET_NAME = "lugspur-127.0.0.1-7.sock"  # in the directory for temporary files, for clients at 127.0.0.1:7
@@ -67,7 +67,7 @@
         Endpoint(ServerRow(ONE, ServerState.UP, 1, 2, 1.5, 3.25, 0), ("127.0.0.1", 81), True),
         Endpoint(ServerRow(TWO, ServerState.DRAINING, -1, 0, 1.0, 0.0, -1), ("127.0.0.1", 82)),
     ],
-    Bans([ONE, TWO], [TWO], {ONE: 7.5}),
+    SavedBans([ONE, TWO], [TWO], {ONE: 7.5}),
     True,
     [b"id1", b"id2"],
     Learned(
--- a/tests/daemon/hot_restart/test_process_state.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -18,8 +18,8 @@
     decode_state,
     encode_state,
 )
+from lugspur.discovery.endpoint_overrides import SavedBans
 from lugspur.discovery.endpoints import Endpoint, server_id, server_name
-from lugspur.discovery.maintenance import Bans
 from lugspur.load_balancing import Balancer, ListUpdateKind, Outcome, Send, ServerRow, ServerState, Settings
 from lugspur.load_balancing.model import Learned
 
@@ -52,7 +52,7 @@
     values: dict[str, Any] = {
         "index": 41,
         "endpoints": rows,
-        "bans": Bans(servers, servers[:1], dict.fromkeys(servers[1:2], 7.5)),
+        "bans": SavedBans(servers, servers[:1], dict.fromkeys(servers[1:2], 7.5)),
         "drained": True,
         "open": [b"id1", b"id2"],
         "learned": LEARNED,
@@ -80,7 +80,7 @@
 
 def test_the_largest_process_state_fits_its_bounds() -> None:
     names = [f"backend-of-a-long-name-{n:020}" for n in range(16_384)]
-    packets = encode_state(process_state(names[:4000], bans=Bans([server_id(name) for name in names], [], {})))
+    packets = encode_state(process_state(names[:4000], bans=SavedBans([server_id(name) for name in names], [], {})))
     assert len(packets) <= MAX_STATE_PARTS
     assert all(len(packet) <= MAX_PACKET_BYTES for packet in packets)
 
--- a/tests/daemon/hot_restart/test_takeover.py
+++ b/tests/daemon/hot_restart/test_takeover.py
@@ -18,7 +18,7 @@
 from lugspur.daemon.hot_restart.packets import MAX_PACKET_BYTES, PROTOCOL_VERSION, pack, unpack
 from lugspur.daemon.hot_restart.process_state import ProcessState, encode_state
 from lugspur.daemon.hot_restart.rendezvous_socket import short_directory_path, socket_location
-from lugspur.discovery.maintenance import Bans
+from lugspur.discovery.endpoint_overrides import SavedBans
 from lugspur.load_balancing.model import Learned
 
 ADDRESS = (HOST, 7)
@@ -71,7 +71,7 @@
     return asyncio.run(play())
 
 
-STATE = ProcessState(1, [], Bans([], [], {}), False, [], Learned((), (), 0.0, 0.0, 0))
+STATE = ProcessState(1, [], SavedBans([], [], {}), False, [], Learned((), (), 0.0, 0.0, 0))
 STATE_PACKETS = encode_state(STATE)
 STATE_PACKETS_OF_VERSION_9 = [part.replace(b'\\"version\\":1', b'\\"version\\":9') for part in STATE_PACKETS]
 
@@ -204,13 +204,13 @@
             assert old.proxy.disable("s-2")  # before the new one serves
             found.listener.close()
             async with running([entry("s-1", one.address), entry("s-2", one.address)]) as new:
-                new.proxy.maintenance.restore(found.state.bans)
+                new.proxy.overrides.restore(found.state.bans)
                 new.proxy.attach_peers(second)
                 [server] = new.proxy.front._server.sockets
                 second.attach(new.proxy, server)
-                await until(lambda: len(new.proxy.maintenance.banned) == 2)
+                await until(lambda: len(new.proxy.overrides.banned) == 2)
                 assert new.proxy.enable("s-1")  # told to the new one
-                await until(lambda: len(old.proxy.maintenance.banned) == 1)
+                await until(lambda: len(old.proxy.overrides.banned) == 1)
                 client = await new.client()
                 assert status(await client.ask(read())) == 200
                 second.close()
--- a/tests/daemon/test_company.py
+++ b/tests/daemon/test_company.py
@@ -28,7 +28,7 @@
             company = up.running.company
             assert company is not None and set(company.claims) == {"mine", "probe:p"}
             station = up.daemon.stations["p"]
-            station.away(set(station.maintenance.told), station.pool.now())
+            station.away(set(station.overrides.latest), station.pool.now())
             assert station.standing.empty()
             await up.reload(CHECKED.replace('check = { every = "1s" }', "") + FLEET)
             assert set(company.claims) == {"mine"}
@@ -57,7 +57,7 @@
     async def play() -> None:
         async with served(CHECKED + FLEET) as up:
             station = up.daemon.stations["p"]
-            [server] = station.maintenance.told
+            [server] = station.overrides.latest
             station.away({server}, station.pool.now())
             station.ban(server, True, station.pool.now())
             station.away(set(), station.pool.now())
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -297,7 +297,7 @@
             folder.mkdir()
             async with keeping(folder, text) as up:
                 await asked(up, 2)
-                told = up.daemon.stations["a"].maintenance.told
+                told = up.daemon.stations["a"].overrides.latest
                 [(server, endpoint)] = told.items()
                 told[server] = replace(endpoint, address=(object(), 1))  # type: ignore[arg-type]  # on purpose
                 kept_now = up.daemon.remembering
--- /dev/null
+++ b/tests/discovery/test_endpoint_overrides.py
@@ -0,0 +1,120 @@
+"""Bans and health applied overrides lists: what the pool sees, whatever the list says."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from lugspur.discovery.endpoint_overrides import MAX_EARLIEST_STARTS, MAX_LISTED_BACKENDS, EndpointOverrides
+from lugspur.discovery.endpoints import Endpoint
+from lugspur.load_balancing.model import ListUpdateKind, ServerRow, ServerState
+
+ADDRESS = ("127.0.0.1", 9)
+
+
+def row(server: int, state: ServerState = ServerState.UP, started: float = 0.0) -> Endpoint:
+    return Endpoint(ServerRow(server, state, started_at=started), ADDRESS)
+
+
+def states(endpoints: list[Endpoint]) -> dict[int, ServerState]:
+    return {endpoint.row.server: endpoint.row.state for endpoint in endpoints}
+
+
+def test_a_ban_holds_over_every_list_until_one_call_back() -> None:
+    overrides = EndpointOverrides()
+    overrides.apply(ListUpdateKind.STALE, [row(1), row(2)])
+    assert states(overrides.disable(1)) == {1: ServerState.DRAINING}
+    assert states(overrides.disable(1)) == {1: ServerState.DRAINING}  # repeats may come
+    assert states(overrides.apply(ListUpdateKind.COMPLETE, [row(1), row(2)])) == {
+        1: ServerState.DRAINING,
+        2: ServerState.UP,
+    }
+    overrides.apply(ListUpdateKind.PATCH, [row(1, ServerState.GONE)])
+    assert states(overrides.apply(ListUpdateKind.PATCH, [row(1, started=5.0)])) == {1: ServerState.DRAINING}
+    moved = replace(row(1, started=6.0), address=("127.0.0.1", 10))
+    overrides.apply(ListUpdateKind.PATCH, [moved])
+    [back] = overrides.enable(1, 50.0)
+    assert back.row.state is ServerState.UP
+    assert back.address == ("127.0.0.1", 10)
+
+
+def test_a_backend_comes_back_in_slow_start_whatever_the_list_says_of_its_start() -> None:
+    overrides = EndpointOverrides()
+    overrides.apply(ListUpdateKind.COMPLETE, [row(1, started=3.0)])
+    overrides.disable(1)
+    assert overrides.enable(1, 50.0)[0].row.started_at == 50.0
+    assert overrides.apply(ListUpdateKind.COMPLETE, [row(1, started=3.0)])[0].row.started_at == 50.0
+    assert overrides.apply(ListUpdateKind.PATCH, [row(1, started=60.0)])[0].row.started_at == 60.0
+    assert overrides.enable(1, 99.0) == []  # no ban, no restart
+
+
+def test_a_ban_ends_into_what_the_list_says() -> None:
+    overrides = EndpointOverrides()
+    overrides.apply(ListUpdateKind.COMPLETE, [row(1)])
+    overrides.disable(1)
+    overrides.apply(ListUpdateKind.PATCH, [row(1, ServerState.DRAINING)])
+    assert states(overrides.enable(1, 50.0)) == {1: ServerState.DRAINING}
+    overrides.disable(1)
+    overrides.apply(ListUpdateKind.PATCH, [row(1, ServerState.GONE)])
+    assert overrides.enable(1, 60.0) == []
+
+
+def test_a_removed_backend_was_listed_and_an_unknown_one_was_not() -> None:
+    overrides = EndpointOverrides()
+    overrides.apply(ListUpdateKind.COMPLETE, [row(1)])
+    overrides.apply(ListUpdateKind.COMPLETE, [])
+    assert overrides.was_listed(1)
+    assert not overrides.was_listed(2)
+    assert overrides.disable(1) == []
+    assert states(overrides.apply(ListUpdateKind.COMPLETE, [row(1)])) == {1: ServerState.DRAINING}
+
+
+def test_names_and_earliest_starts_are_bounded_and_those_that_count_are_kept() -> None:
+    overrides = EndpointOverrides()
+    overrides.apply(ListUpdateKind.PATCH, [row(1), row(2)])
+    overrides.disable(2)
+    overrides.apply(ListUpdateKind.PATCH, [row(2, ServerState.GONE)])
+    for server in range(10, 10 + MAX_LISTED_BACKENDS + 100):
+        overrides.apply(ListUpdateKind.PATCH, [row(server)])
+        overrides.apply(ListUpdateKind.PATCH, [row(server, ServerState.GONE)])
+    assert len(overrides.listed) == MAX_LISTED_BACKENDS
+    assert overrides.was_listed(1)
+    assert overrides.was_listed(2)
+    assert not overrides.was_listed(10)
+    for server in range(5000, 5000 + MAX_EARLIEST_STARTS + 5):
+        overrides.disable(server)
+        overrides.enable(server, 1.0)
+    assert len(overrides.earliest_start) == MAX_EARLIEST_STARTS
+
+
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(["ban", "back", "up", "gone", "terminating", "whole", "process"]), st.integers(1, 3))
+    )
+)
+@settings(deadline=None)  # a loaded machine is no fault
+def test_no_sequence_lets_a_banned_backend_serve(steps: list[tuple[str, int]]) -> None:
+    overrides, seen, banned = EndpointOverrides(), dict[int, ServerState](), set[int]()
+    overrides.apply(ListUpdateKind.COMPLETE, [row(1), row(2), row(3)])
+    for at, (what, server) in enumerate(steps):
+        if what == "ban":
+            banned.add(server)
+            out = overrides.disable(server)
+        elif what == "back":
+            banned.discard(server)
+            out = overrides.enable(server, float(at))
+        elif what == "whole":
+            seen.clear()
+            out = overrides.apply(ListUpdateKind.COMPLETE, [row(server)])
+        elif what == "process":
+            former, overrides = overrides, EndpointOverrides()
+            overrides.restore(former.save())
+            seen.clear()
+            out = overrides.apply(ListUpdateKind.COMPLETE, [row(1), row(2), row(3)])
+        else:
+            state = {"up": ServerState.UP, "gone": ServerState.GONE, "terminating": ServerState.DRAINING}[what]
+            out = overrides.apply(ListUpdateKind.PATCH, [row(server, state)])
+        seen.update(states(out))
+        assert not any(seen.get(server) is ServerState.UP for server in banned)
