--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -33,7 +33,7 @@
     StartTimer,
     Subscribe,
 )
-from lugspur.observability.failures import FailureLog, Standing, Step, keep_only
+from lugspur.observability.failures import AttemptRecord, ConfigurationState, FailureLog, log_nothing
 from lugspur.seams import Answerable, Attempt, Lane, Request, Response
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
         self.last = Outcome.NOT_PROCESSED  # how its latest attempt ended...
         self.response: Response | None = None  # ...and with what answer
         self.timer: asyncio.TimerHandle | None = None
-        self.steps: list[Step] = []  # what became of each attempt, for an account of its failure
+        self.steps: list[AttemptRecord] = []  # what became of each attempt, for an account of its failure
 
     def bytes_for(self, left: float) -> bytes:
         """The request as it goes to an HTTP/1.1 backend that is waited for so many seconds."""
@@ -200,7 +200,7 @@
         self.attempts: Counter[str] = Counter()  # since the start, by how they ended
         self.answers: Counter[int] = Counter()  # final answers that were not passed on as they came, by status
         self.left = 0  # requests whose callers went before their answer
-        self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
+        self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
         self.streams = False  # whether large answers are passed on as they come
 
     def start(self) -> None:
@@ -498,7 +498,7 @@
         name = "{}:{}".format(*exchange.backend.address)
         status = "" if response is None else str(response.status)
         call.steps.append(
-            Step(name, exchange.started - call.request.arrived, now - exchange.started, outcome.value, status)
+            AttemptRecord(name, exchange.started - call.request.arrived, now - exchange.started, outcome.value, status)
         )
         call.last, call.response = outcome, response
         call.may_have_run = call.may_have_run or outcome not in NEVER_RAN
--- a/lugspur/mesh/dataplane/attempts.py
+++ b/lugspur/mesh/dataplane/attempts.py
@@ -9,7 +9,7 @@
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.interfaces import SentRequest
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.observability.failures import Step
+from lugspur.observability.failures import AttemptRecord
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
     in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
     may_have_run: bool = False  # an attempt ended, and its outcome is not known
     has_run: bool = False  # a backend has answered
-    records: list[Step] = field(default_factory=list)  # of ended attempts, for an account of a failure
+    records: list[AttemptRecord] = field(default_factory=list)  # of ended attempts, for an account of a failure
     _latest: int = field(default=0, init=False)
 
     @property
@@ -60,7 +60,7 @@
         cause = FailureCause(result.cause).label if result.cause else ""
         outcome = RequestOutcome(result.outcome).label
         sent_at = attempt.sent_at
-        self.records.append(Step(attempt.endpoint.id, sent_at - arrived, now - sent_at, outcome, cause))
+        self.records.append(AttemptRecord(attempt.endpoint.id, sent_at - arrived, now - sent_at, outcome, cause))
 
 
 class _NotSent:
--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -10,7 +10,7 @@
 
 from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.mesh.dataplane.route_table import RouteEntry
-from lugspur.observability.failures import Refusal
+from lugspur.observability.failures import BreakerRejection
 
 SLOW_START_LATENCY = 2.0  # relative latency that a backend counts with while it warms up and none has been measured
 # A backend of another zone costs this many times its score, since bytes between zones cost...
@@ -92,7 +92,7 @@
 
 def select_endpoint(
     candidates: Sequence[Endpoint], route: RouteEntry, zone: str, body_bytes: int, now: float, rng: Random
-) -> Endpoint | tuple[Refusal, ...]:
+) -> Endpoint | tuple[BreakerRejection, ...]:
     """Select a backend by the power of two choices: draw two and prefer the lower score, unless its breaker rejects.
 
     Returns the endpoint, or why each that was drawn was rejected. Source: Mitzenmacher, "The Power of Two Choices in
@@ -104,7 +104,7 @@
     def cost(endpoint: Endpoint) -> float:
         return endpoint.score(now) * (1.0 if endpoint.zone == zone else remote_cost)
 
-    refusals: tuple[Refusal, ...] = ()
+    refusals: tuple[BreakerRejection, ...] = ()
     for endpoint in sorted(_draw_two(candidates, zone, rng), key=cost):
         breaker = endpoint.breaker(route.name)
         if not breaker.rejects(now, timeout, rng):
@@ -113,9 +113,9 @@
     return refusals
 
 
-def _explain_refusal(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> Refusal:
+def _explain_refusal(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> BreakerRejection:
     errors, latency = breaker.error_probability(now), breaker.latency_probability(timeout)
-    return Refusal(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
+    return BreakerRejection(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
 
 
 def _draw_two(candidates: Sequence[Endpoint], zone: str, rng: Random) -> Sequence[Endpoint]:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -17,7 +17,7 @@
 from lugspur.mesh.dataplane.request_headers import encode_headers
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteEntry
-from lugspur.observability.failures import PickView
+from lugspur.observability.failures import SelectionSummary
 from lugspur.seams import Answerable, Request
 
 MIN_LATENCY_SECONDS = 0.001  # of an answer: the loop's clock counts whole milliseconds
@@ -56,7 +56,7 @@
         self.attempts = Attempts()
         self.is_finished = False
         self.last_failure: BackendResponse | None = None  # the backend's own, to be passed on if nothing better comes
-        self.last_selection: PickView | None = None  # where no backend was found
+        self.last_selection: SelectionSummary | None = None  # where no backend was found
         self._header_lines: list[bytes] | None = None
         self._deadline_timer: asyncio.TimerHandle | None = None
         self._hedge_timer: asyncio.TimerHandle | None = None
@@ -106,7 +106,7 @@
             return found
         proxy.count("breaker-refused" if reachable else "none-ready")
         tried, unreachable = len(known) - len(untried), len(untried) - len(reachable)
-        self.last_selection = PickView(len(known), tried, unreachable, len(reachable) - len(preferred), found)
+        self.last_selection = SelectionSummary(len(known), tried, unreachable, len(reachable) - len(preferred), found)
         return None
 
     def _send(self, now: float, is_retry: bool = False) -> bool:
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -18,7 +18,7 @@
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_headers import loggable_attempt_id, read_ids, read_seconds_left
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.observability.failures import FailureLog, Standing, keep_only
+from lugspur.observability.failures import ConfigurationState, FailureLog, log_nothing
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
@@ -64,7 +64,7 @@
         self._reservation_numbers = itertools.count(1)
         self.ended: Counter[str] = Counter()  # requests since the start, by how they ended
         self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
-        self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
+        self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
 
     def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
         """Replace the backends of a service that accept requests, by id; what was learned of others is forgotten."""
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -14,7 +14,7 @@
 from lugspur.mesh.sidecar.known_backends import KnownBackends
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.mesh.transport.dialer import Dialer
-from lugspur.observability.failures import FailedRequest, Standing
+from lugspur.observability.failures import ConfigurationState, FailedRequest
 from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
 
 
@@ -39,7 +39,7 @@
     def table(self) -> Sized:
         """Routes in force."""
 
-    def configuration_state(self) -> Standing:
+    def configuration_state(self) -> ConfigurationState:
         """What requests are judged by at this moment."""
 
 
@@ -63,9 +63,9 @@
         gauge("routes", "Routes in force.", len(sidecar.table)),
         gauge("backends", "Backends that the mesh tells of.", len(sidecar.backends.by_ip)),
         gauge("peers_up", "Processes that can be reached.", up),
-        gauge("configuration_index", "The latest change of the configuration that is known.", state.change),
+        gauge("configuration_index", "The latest change of the configuration that is known.", state.index),
         gauge("membership_epoch", "The membership that this process goes by.", state.epoch),
-        gauge("news_age_seconds", "Seconds since word of a majority.", state.news_age_s),
+        gauge("news_age_seconds", "Seconds since word of a majority.", state.update_age_seconds),
         counter("news_sources_total", "How often another control node's news was followed.", selections),
         gauge("leaving", "1 while this process ends.", float(sidecar.is_leaving)),
         gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _silent(sidecar, now)),
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -35,7 +35,7 @@
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.mesh.transport.dialer import Dialer
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
-from lugspur.observability.failures import FailureLog, Standing
+from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
 from lugspur.seams import Answerable, Request
 
@@ -260,11 +260,11 @@
 
     # ---- what operators see --------------------------------------------------------------
 
-    def configuration_state(self) -> Standing:
+    def configuration_state(self) -> ConfigurationState:
         """The configuration and the membership that requests are judged by at this moment."""
         epoch = 0 if self.membership is None else self.membership.epoch
         age = self.loop.time() - self.update_source.confirmed_at
-        return Standing(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
+        return ConfigurationState(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
 
     def metrics(self) -> bytes:
         """The metrics of this proxy, in the text format of Prometheus."""
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -21,7 +21,7 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.observability.failures import FailedRequest, PickView, Refusal, Step
+from lugspur.observability.failures import AttemptRecord, BreakerRejection, FailedRequest, SelectionSummary
 from lugspur.observability.metrics import Histogram, render
 
 METRICS = b"""\
@@ -161,8 +161,8 @@
         index=4,
         epoch=5,
         news_age_s=0.5,
-        steps=(Step("10.0.0.7:9001", 0.125, 0.0625, "maybe", "broken"),),
-        pick=PickView(6, 1, 2, 3, (Refusal("b-3", 0.75, "latency"),)),
+        steps=(AttemptRecord("10.0.0.7:9001", 0.125, 0.0625, "maybe", "broken"),),
+        pick=SelectionSummary(6, 1, 2, 3, (BreakerRejection("b-3", 0.75, "latency"),)),
     )
     assert orjson.dumps(account) == (
         b'{"at":1.5,"attempt":"a-1","how":"no-backend","route":"read","service":"channel","keyed":true,"claim":"won",'
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -44,7 +44,7 @@
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.http_api import fail
 from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
-from lugspur.observability.failures import FailureLog, Standing
+from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
 from lugspur.seams import Request
 
@@ -200,7 +200,7 @@
             table, self, self, Random(1), retry_ratio=0.2, retry_slack=20.0, retry_window=10.0, zone="z0"
         )
         self.proxy.sender = "mine"
-        self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), log_failure)
+        self.proxy.failures = FailureLog(lambda: ConfigurationState(41, 3, 0.25), log_failure)
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
     def ready(self, ip: str) -> bool:
@@ -601,7 +601,7 @@
             reservations=(),
             table=(),
             backends=SimpleNamespace(by_ip={}),
-            configuration_state=lambda: Standing(41, 3, 0.25),
+            configuration_state=lambda: ConfigurationState(41, 3, 0.25),
         )
         text = render(sidecar_metrics(sidecar), [mesh.proxy.seconds])
         for name in list(CAUSES.values())[1:]:
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -25,7 +25,7 @@
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.observability.failures import PickView, Refusal
+from lugspur.observability.failures import BreakerRejection, SelectionSummary
 from lugspur.seams import Request
 
 OK = BackendResponse(200, b"Lugspur-Postmark: p\r\n", b"hi")
@@ -406,8 +406,10 @@
         assert drawn and all(r.term == "errors" and r.chance > 0.3 and r.backend in ("i-1", "i-2") for r in drawn)
         rig.unreachable = {f"10.0.0.{n}" for n in range(3)}
         rig.ask()
-        assert rig.proxy.failures.latest()[-1].pick == PickView(3, 0, 3, 0)
-        assert PickView(3, 0, 1, 1, (Refusal("i-1", 0.5, "errors"),)).text() == "3/0/1/1/i-1:errors:0.50"
+        assert rig.proxy.failures.latest()[-1].pick == SelectionSummary(3, 0, 3, 0)
+        assert (
+            SelectionSummary(3, 0, 1, 1, (BreakerRejection("i-1", 0.5, "errors"),)).text() == "3/0/1/1/i-1:errors:0.50"
+        )
 
     play(what, slack=0.0)
 
