--- a/lugspur/daemon/admin/actions.py
+++ b/lugspur/daemon/admin/actions.py
@@ -11,7 +11,7 @@
 
 from lugspur.daemon.admin.action import Action, ActionResult
 from lugspur.observability.failures import FailedRequest
-from lugspur.observability.metrics import Figure, render
+from lugspur.observability.metrics import Metric, render
 
 MAX_BACKEND_NAME_BYTES = 128
 
@@ -35,7 +35,7 @@
     def undrain(self) -> None:
         """Take clients again."""
 
-    def figures(self) -> list[Figure]:
+    def metrics(self) -> list[Metric]:
         """Return the metrics of this process."""
 
     def failures(self) -> list[FailedRequest]:
@@ -69,7 +69,7 @@
 
     def metrics(self, _: str) -> ActionResult:
         try:
-            return ActionResult(HTTPStatus.OK, render(self._proxy.figures()).decode().rstrip("\n"))
+            return ActionResult(HTTPStatus.OK, render(self._proxy.metrics()).decode().rstrip("\n"))
         except ImportError:  # the platform's proxy stays lean: the library is an extra there
             return ActionResult(HTTPStatus.NOT_IMPLEMENTED, "figures need the extra `metrics`")
 
--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/operated.py
@@ -9,12 +9,12 @@
 from lugspur.daemon.admin.action import Action
 from lugspur.daemon.admin.actions import admin_actions
 from lugspur.daemon.admin.listener import AdminListener
-from lugspur.daemon.service_figures import service_figures
+from lugspur.daemon.service_metrics import service_metrics
 from lugspur.daemon.station import Station
 from lugspur.discovery.endpoints import server_id
 from lugspur.http1.front import Front
 from lugspur.observability.failures import FailedRequest
-from lugspur.observability.metrics import Figure
+from lugspur.observability.metrics import Metric
 
 
 class Operators:
@@ -97,10 +97,10 @@
         for front in self._fronts():
             front.drain()
 
-    def figures(self) -> list[Figure]:
+    def metrics(self) -> list[Metric]:
         """Return the metrics of this process."""
         pools = {name: station.pool for name, station in self._stations().items()}
-        return service_figures(pools, self._fronts())
+        return service_metrics(pools, self._fronts())
 
     def failures(self) -> list[FailedRequest]:
         """Return the latest requests that failed, the latest last."""
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -11,7 +11,7 @@
 from lugspur.config.platform import Config
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Call, Facts, Pool
-from lugspur.daemon.service_figures import service_figures
+from lugspur.daemon.service_metrics import service_metrics
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
@@ -29,7 +29,7 @@
 
     from lugspur.daemon.hot_restart.process_state import ProcessState
     from lugspur.observability.failures import FailedRequest
-    from lugspur.observability.metrics import Figure
+    from lugspur.observability.metrics import Metric
     from lugspur.pipe import Pipe
 
 MANAGEMENT_SOCKETS = 32  # descriptors set aside where there is a second address, for its listener and callers
@@ -277,9 +277,9 @@
         if self.peers is not None:
             self.peers.broadcast_drain(False)
 
-    def figures(self) -> list[Figure]:
+    def metrics(self) -> list[Metric]:
         """What this process counts."""
-        return service_figures({"": self.pool}, [self.front])
+        return service_metrics({"": self.pool}, [self.front])
 
     def failures(self) -> list[FailedRequest]:
         """The latest requests that failed, the latest last."""
--- a/lugspur/daemon/service_figures.py
+++ b/lugspur/daemon/service_metrics.py
@@ -1,4 +1,4 @@
-"""What the proxy in service and the daemon tell of themselves in figures."""
+"""The metrics of the platform proxy and of the daemon."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from collections.abc import Iterable, Mapping
 from typing import TYPE_CHECKING
 
-from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
+from lugspur.observability.metrics import Metric, counter, gauge, invariant_metrics, labelled_counter
 
 if TYPE_CHECKING:
     from lugspur.daemon.pool import Pool
     from lugspur.http1.front import Front
 
 
-def service_figures(pools: Mapping[str, Pool], fronts: Iterable[Front]) -> list[Figure]:
-    """All figures of one process at this moment; pools are added up, and told apart where that explains something."""
+def service_metrics(pools: Mapping[str, Pool], fronts: Iterable[Front]) -> list[Metric]:
+    """All metrics of one process at this moment: sums over its pools, except for requests, which are counted by pool."""
     attempts, answers, rejections = Counter[str](), Counter[str](), Counter[str]()
     callers, held = 0, 0
     for pool in pools.values():
@@ -26,12 +26,14 @@
         held += front.held
     by_pool = {name: float(pool.taken) for name, pool in pools.items()}
     return [
-        counters("requests_total", "Requests taken up, by pool.", "pool", by_pool),
-        counters("attempts_total", "Attempts at backends, by how they ended.", "outcome", attempts),
-        counters(
+        labelled_counter("requests_total", "Requests taken up, by pool.", "pool", by_pool),
+        labelled_counter("attempts_total", "Attempts at backends, by how they ended.", "outcome", attempts),
+        labelled_counter(
             "answers_total", "Final answers, by status; large ones that are passed on are not here.", "status", answers
         ),
-        counters("rejections_total", "Requests that could not be read or taken, by status.", "status", rejections),
+        labelled_counter(
+            "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
+        ),
         counter("callers_gone_total", "Requests whose callers left first.", sum(p.left for p in pools.values())),
         gauge(
             "requests_open",
@@ -41,5 +43,5 @@
         gauge("backend_connections", "Connections to backends.", sum(p.upstream.sockets() for p in pools.values())),
         gauge("callers", "Connections of callers.", callers),
         gauge("held_bytes", "Bytes of bodies that are not whole.", held),
-        *invariant_figures(),
+        *invariant_metrics(),
     ]
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -14,7 +14,7 @@
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.dialer import Dialer
-from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
+from lugspur.observability.metrics import Metric, counter, gauge, invariant_metrics, labelled_counter
 
 
 class ControlParts(Protocol):
@@ -34,12 +34,12 @@
         """Processes that follow this one's news."""
 
 
-def control_node_metrics(node: ControlParts) -> list[Figure]:
+def control_node_metrics(node: ControlParts) -> list[Metric]:
     """All figures of one control node at this moment."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
-        counters("orders_total", "Operators' changes, by how they ended.", "how", calls.changes),
-        counters("reads_total", "Operators' reads, by how they ended.", "how", calls.reads),
+        labelled_counter("orders_total", "Operators' changes, by how they ended.", "how", calls.changes),
+        labelled_counter("reads_total", "Operators' reads, by how they ended.", "how", calls.reads),
         gauge("operator_calls_open", "Operators' calls that have no answer yet.", len(calls.waiting)),
         counter("proposals_total", "Proposals of changes.", node.proposer.proposals),
         counter("disk_commits_total", "Writes that were synced.", disk.commits),
@@ -63,5 +63,5 @@
         gauge("claims", "Claims of operation keys that are held.", len(replica.reservations)),
         gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
         gauge("peers_up", "Processes that can be reached.", sum(d.link is not None for d in node.peers.values())),
-        *invariant_figures(),
+        *invariant_metrics(),
     ]
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -15,7 +15,7 @@
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.mesh.transport.dialer import Dialer
 from lugspur.observability.failures import ConfigurationState, FailedRequest
-from lugspur.observability.metrics import Figure, counter, counters, gauge, invariant_figures
+from lugspur.observability.metrics import Metric, counter, gauge, invariant_metrics, labelled_counter
 
 
 class SidecarParts(Protocol):
@@ -43,7 +43,7 @@
         """What requests are judged by at this moment."""
 
 
-def sidecar_metrics(sidecar: SidecarParts) -> list[Figure]:
+def sidecar_metrics(sidecar: SidecarParts) -> list[Metric]:
     """All figures of one proxy at this moment."""
     now, limiter, proxy, front = sidecar.loop.time(), sidecar.limiter, sidecar.proxy, sidecar.front
     state = sidecar.configuration_state()
@@ -52,9 +52,15 @@
     selections = sidecar.update_source.selections
     up = sum(dialer.link is not None for dialer in sidecar.peers.values())
     return [
-        counters("requests_total", "Requests of this machine's callers, by how they ended.", "how", proxy.ended),
-        counters("rejections_total", "Requests that could not be read or taken, by status.", "status", rejections),
-        counters("gate_unanswered_total", "Requests for the backend without its answer, by cause.", "cause", causes),
+        labelled_counter(
+            "requests_total", "Requests of this machine's callers, by how they ended.", "how", proxy.ended
+        ),
+        labelled_counter(
+            "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
+        ),
+        labelled_counter(
+            "gate_unanswered_total", "Requests for the backend without its answer, by cause.", "cause", causes
+        ),
         gauge("requests_open", "Requests of callers that are not answered yet.", len(proxy.open_requests)),
         gauge("gate_in_hand", "Requests for the backend that run or wait.", limiter.in_flight),
         gauge("uploads_open", "Bodies that arrive in parts.", len(sidecar.incoming.uploads)),
@@ -69,7 +75,7 @@
         counter("news_sources_total", "How often another control node's news was followed.", selections),
         gauge("leaving", "1 while this process ends.", float(sidecar.is_leaving)),
         gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _silent(sidecar, now)),
-        *invariant_figures(),
+        *invariant_metrics(),
     ]
 
 
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures as a scraper reads them, and what a process that is never asked does not load."""
+"""Metrics as a scraper reads them, and what a process that is never asked does not load."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from lugspur.invariants import Invariant
 from lugspur.observability.metrics import (
-    BUCKETS,
-    Figure,
+    BUCKET_BOUNDS_SECONDS,
     Histogram,
+    Metric,
     counter,
-    counters,
     gauge,
-    invariant_figures,
+    invariant_metrics,
+    labelled_counter,
     render,
 )
 
 
-def samples(figures: list[Figure], histograms: tuple[Histogram, ...] = ()) -> dict[tuple[str, str], float]:
+def samples(metrics: list[Metric], histograms: tuple[Histogram, ...] = ()) -> dict[tuple[str, str], float]:
     """Values by name and the value of their only label."""
-    text = render(figures, histograms).decode()
+    text = render(metrics, histograms).decode()
     return {
         (sample.name, next(iter(sample.labels.values()), "")): sample.value
         for family in text_string_to_metric_families(text)
@@ -30,12 +30,12 @@
     }
 
 
-def test_figures_have_their_names_labels_and_values() -> None:
+def test_metrics_have_their_names_labels_and_values() -> None:
     found = samples(
         [
             gauge("open", "Open.", 3),
             counter("commits_total", "Commits.", 7),
-            counters("requests_total", "Requests.", "how", {"answered": 5, 'a "quoted"\nway': 1}),
+            labelled_counter("requests_total", "Requests.", "how", {"answered": 5, 'a "quoted"\nway': 1}),
         ]
     )
     assert found["lugspur_open", ""] == 3 and found["lugspur_commits_total", ""] == 7
@@ -45,16 +45,16 @@
 
 def test_a_histogram_counts_what_took_no_longer_and_all() -> None:
     histogram = Histogram("seconds", "Seconds.")
-    for seconds in (0.001, BUCKETS[0], 0.3, 99.0):
+    for seconds in (0.001, BUCKET_BOUNDS_SECONDS[0], 0.3, 99.0):
         histogram.add(seconds)
     found = samples([], (histogram,))
-    assert found["lugspur_seconds_bucket", str(BUCKETS[0])] == 2
+    assert found["lugspur_seconds_bucket", str(BUCKET_BOUNDS_SECONDS[0])] == 2
     assert found["lugspur_seconds_bucket", "0.5"] == 3 and found["lugspur_seconds_bucket", "+Inf"] == 4
     assert found["lugspur_seconds_count", ""] == 4 and found["lugspur_seconds_sum", ""] == sum((0.001, 0.005, 0.3, 99))
 
 
 def test_each_invariant_is_shown_also_while_it_holds() -> None:
-    found = samples(invariant_figures())
+    found = samples(invariant_metrics())
     assert found == {("lugspur_invariant_violations_total", invariant.value): 0.0 for invariant in Invariant}
 
 
