--- a/lugspur/daemon/service_metrics.py
+++ b/lugspur/daemon/service_metrics.py
@@ -14,7 +14,7 @@
 
 
 def service_metrics(pools: Mapping[str, Pool], fronts: Iterable[Front]) -> list[Metric]:
-    """All metrics of one process at this moment: sums over its pools, except for requests, which are counted by pool."""
+    """All metrics of one process at this moment: sums over its pools, and requests by pool."""
     attempts, answers, rejections = Counter[str](), Counter[str](), Counter[str]()
     callers, held = 0, 0
     for pool in pools.values():
