--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -1,9 +1,10 @@
-"""A voter's part of the configuration's register, without I/O: decided items, and the vote on the next change.
+"""A replica's part of the configuration's register, without I/O: decided items, and the acceptor of the next change.
 
-The configuration is a chain of changes, each decided by single-decree agreement (Paxos) among the voters that the
-change before it left. A voter keeps state and no history: the items as they stand after change `index`, and what it
-has promised and accepted for change `index + 1`. A change is decided once a majority of the voters has accepted it
-under one ballot; whoever proposes the same index later finds it there, and can only propose it again.
+The configuration is a chain of changes, each decided by single-decree Paxos (Lamport, "Paxos Made Simple", 2001) among
+the voters that the change before it left. A replica keeps state and no history: the items as they are after change
+`index`, and what its acceptor has promised and accepted for change `index + 1`. A change is decided once a majority of
+the voters has accepted it under one proposal number; whoever proposes the same index later finds it there, and can only
+propose it again.
 """
 
 from __future__ import annotations
@@ -33,10 +34,10 @@
 )
 from lugspur.mesh.control.store import EntryKey, supersedes
 
-MAX_WITHDRAWALS = 20_000  # withdrawals that are remembered: an older change of such a name has no effect
-WITHDRAWALS_KEPT_FRACTION = 0.9  # of these, once they are too many: the oldest are forgotten
+MAX_WITHDRAWALS = 20_000  # that are remembered: an older change of such a name has no effect
+WITHDRAWALS_KEPT_FRACTION = 0.9  # of these, once there are more; the oldest are forgotten
 
-MAX_KEY_BYTES = 511  # bytes of a row's key: lmdb takes no more
+MAX_KEY_BYTES = 511  # of a row's key, by lmdb
 ITEM_PREFIX = b"i"
 INDEX_ROW, VOTE_ROW = b"mindex", b"mvote"
 
@@ -46,7 +47,7 @@
 
 
 class AcceptorState(msgspec.Struct, array_like=True):
-    """What a voter has promised and accepted, as it lies on disk; the latter for change `index`."""
+    """What an acceptor has promised, and accepted for change `index`, as it is kept on disk."""
 
     index: int
     promised: ProposalNumber
@@ -58,37 +59,37 @@
 
 
 def item_row(entry: Entry) -> bytes:
-    """The key under which an item lies on disk."""
+    """The key of an item's row on disk."""
     return ITEM_PREFIX + entry.kind.encode() + b"\0" + entry.name.encode()
 
 
 @dataclass(slots=True)
 class Applied:
-    """What a decided change, or several, did to the items."""
+    """The effect of one or several decided changes on the items."""
 
-    entries: list[Entry] = field(default_factory=list)  # that took their places
-    forgotten: list[EntryKey] = field(default_factory=list)  # that are gone without a word
+    entries: list[Entry] = field(default_factory=list)  # that came into force
+    forgotten: list[EntryKey] = field(default_factory=list)  # that were dropped without a withdrawal
     write: Rows = field(default_factory=list)
 
 
 class Register:
-    """Items by name as they stand after change `index`, and the vote on the next one."""
+    """The items as they are after change `index`, and the acceptor of the next change."""
 
     def __init__(self) -> None:
         self.items: dict[EntryKey, Item] = {}
-        self.size_bytes = 0  # of all items, as `capacity` counts them
+        self.size_bytes = 0  # of all items, by `capacity.item_bytes`
         self.index = 0
         self.pruned_index = 0  # withdrawals up to this change are forgotten
         self.promised = NO_PROPOSAL
         self.accepted: ProposalNumber | None = None
         self.accepted_change: Change | None = None
         self._withdrawals = 0
-        self._pruned_to = 0  # as far as `pruned` has been carried out
+        self._pruned_to = 0  # up to which withdrawals have been forgotten here
 
     # ---- start ---------------------------------------------------------------------------
 
     def restore(self, rows: Iterable[tuple[bytes, bytes]]) -> None:
-        """Take up what is on disk; rows of others are passed over."""
+        """Load what is on disk; other rows are ignored."""
         vote: AcceptorState | None = None
         for key, value in rows:
             if key.startswith(ITEM_PREFIX):
@@ -106,15 +107,15 @@
             if vote.index == self.index + 1:
                 self.accepted, self.accepted_change = vote.accepted, vote.change
 
-    # ---- the vote ------------------------------------------------------------------------
+    # ---- acceptor ------------------------------------------------------------------------
 
     @property
     def has_pending_change(self) -> bool:
-        """Whether the next change has been accepted here: it may be decided already."""
+        """Whether the acceptor has accepted the next change, which may be decided already."""
         return self.accepted_change is not None
 
     def prepare(self, peer: Peer, message: Prepare, voter: bool) -> Effects:
-        """A proposer wants to hear what was accepted, and that no lower ballot counts any more."""
+        """Phase 1b: promise to accept no lower proposal, unless a higher one was promised; synced before it is sent."""
         granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
         if not granted:
             refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
@@ -126,7 +127,7 @@
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def accept(self, peer: Peer, message: Accept, voter: bool) -> Effects:
-        """A proposer wants this to be the next change."""
+        """Phase 2b: accept a value for the next change, unless a higher one was promised; synced before it is sent."""
         granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
         answer = Accepted(message.index, message.proposal, granted, self.index, self.promised)
         if not granted:
@@ -139,35 +140,35 @@
         return VOTE_ROW, _pack(AcceptorState(self.index + 1, self.promised, self.accepted, self.accepted_change))
 
     def read_index(self, peer: Peer, message: ReadIndexQuery, voter: bool) -> Effects:
-        """A reader wants to know which change is the latest."""
+        """Answer a reader with the latest change that is known here."""
         return Effects(send=[(peer, ReadIndexReply(message.number, voter, self.index, self.has_pending_change))])
 
-    # ---- what is decided -----------------------------------------------------------------
+    # ---- learner -------------------------------------------------------------------------
 
     def decide(self, change: Change) -> Applied:
-        """This is the next change."""
+        """Put the next change into force."""
         applied = Applied()
         index = self.index + 1
         for entry in change.entries:
-            standing = self.items.get((entry.kind, entry.name))
-            if supersedes(entry, None if standing is None else standing.entry):
+            current = self.items.get((entry.kind, entry.name))
+            if supersedes(entry, None if current is None else current.entry):
                 self._put(Item(entry, index), applied)
         self._advance(index, applied)
         return applied
 
     def learn(self, pages: list[Learn]) -> Applied:
-        """All pages of what was decided after a change that is known here."""
+        """Put into force all pages of what was decided after a change that is known here; others are ignored."""
         applied = Applied()
         first = pages[0]
         if first.index <= self.index or first.after_index > self.index:
             return applied
-        found = {(i.entry.kind, i.entry.name): i for page in pages for i in page.items}
+        learned = {(i.entry.kind, i.entry.name): i for page in pages for i in page.items}
         if first.after_index == 0:
-            for name in [name for name in self.items if name not in found]:
+            for name in [name for name in self.items if name not in learned]:
                 self._forget(name, applied)
-        for name, item in found.items():
-            standing = self.items.get(name)
-            if standing is None or standing.index < item.index:
+        for name, item in learned.items():
+            current = self.items.get(name)
+            if current is None or current.index < item.index:
                 self._put(item, applied)
         self.pruned_index = first.pruned_index
         self._advance(first.index, applied)
@@ -175,11 +176,11 @@
 
     def _put(self, item: Item, applied: Applied) -> None:
         name = (item.entry.kind, item.entry.name)
-        standing = self.items.get(name)
-        rises = standing is None or item.entry.edition > standing.entry.edition
-        check(rises, Invariant.EDITIONS_RISE, kind=name[0], name=name[1], edition=item.entry.edition)
-        self._withdrawals += (item.entry.value is None) - (standing is not None and standing.entry.value is None)
-        self.size_bytes += item_bytes(item.entry) - (0 if standing is None else item_bytes(standing.entry))
+        current = self.items.get(name)
+        is_later = current is None or item.entry.edition > current.entry.edition
+        check(is_later, Invariant.EDITIONS_RISE, kind=name[0], name=name[1], edition=item.entry.edition)
+        self._withdrawals += (item.entry.value is None) - (current is not None and current.entry.value is None)
+        self.size_bytes += item_bytes(item.entry) - (0 if current is None else item_bytes(current.entry))
         self.items[name] = item
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
@@ -202,7 +203,7 @@
         applied.write.append((INDEX_ROW, _pack((self.index, self.pruned_index))))
 
     def _prune(self, applied: Applied) -> None:
-        """Forget the oldest withdrawals: the same ones on every replica, since all hold the same items."""
+        """Forget the oldest withdrawals; they are the same on every replica, since all hold the same items."""
         if self.pruned_index == self._pruned_to:
             return
         self._pruned_to = self.pruned_index
@@ -210,18 +211,18 @@
         for name in old:
             self._forget(name, applied)
 
-    def pages_after(self, since: int) -> list[Learn]:
-        """What was decided after change `since`, in frames of a bounded size."""
-        if since < self.pruned_index or since > self.index:
-            since = 0  # what was withdrawn since then may be forgotten: only the whole state tells
-        pages = [Learn(since, self.index, self.pruned_index, 0, [], False)]
+    def pages_after(self, index: int) -> list[Learn]:
+        """What was decided after a change, in pages of a bounded size."""
+        if index < self.pruned_index or index > self.index:
+            index = 0  # withdrawals since then may be forgotten here: only a snapshot shows them
+        pages = [Learn(index, self.index, self.pruned_index, 0, [], False)]
         size = 0
         for item in self.items.values():
-            if item.index <= since:
+            if item.index <= index:
                 continue
             size += len(item.entry.name) + len(item.entry.value or b"") + 32
             if size > MAX_PAGE_BYTES:
-                pages.append(Learn(since, self.index, self.pruned_index, len(pages), [], False))
+                pages.append(Learn(index, self.index, self.pruned_index, len(pages), [], False))
                 size = 0
             pages[-1].items.append(item)
         pages[-1].is_last = True
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -1,13 +1,13 @@
-"""One control node's state, without I/O: the register, the voters that it names, and claims of operation keys.
+"""One control node's state, without I/O: the register, the voters that it names, and reservations of idempotency keys.
 
 Every method takes inputs and returns what to send at once, what to write, and what to send once that is on disk.
 Nothing is promised before it is synced.
 
-Claims are granted by the majority of one epoch's voters. A voter grants while it is *complete*: it holds every claim
-that may have been won with the voters of earlier epochs. Who votes in two epochs, one after the other, stays complete;
-who is new becomes complete by hearing a majority of the epoch before (`catch_up`), or once it has been a voter for
-longer than any claim counts. Accepting a change of the voters ends granting in the present epoch, so that
-nothing is won there after that change has been decided.
+Reservations are granted by the majority of one epoch's voters. A voter grants while it is *complete*: it holds every
+reservation that may have been acquired from the voters of earlier epochs. A voter of two consecutive epochs stays
+complete; a new one becomes complete by reading the reservations of a majority of the epoch before
+(`reservation_catch_up`), or once it has been a voter for longer than any reservation lasts. Accepting a change of the
+voters ends granting in the present epoch, so that nothing is acquired there after that change has been decided.
 """
 
 from __future__ import annotations
@@ -50,20 +50,20 @@
 
 
 def membership_entry(membership: Membership) -> Entry:
-    """A membership as an entry like others: it is decided, kept and told like the configuration."""
+    """A membership as an entry, which is decided, kept and sent to subscribers like the configuration."""
     return Entry(MEMBERSHIP, "", membership.epoch, _pack(membership))
 
 
 def read_membership(value: bytes) -> Membership:
-    """The membership of its entry."""
+    """Decode the membership of its entry."""
     return _membership.decode(value)
 
 
 class Replica:
     """The state of one control node.
 
-    `window`: seconds in which a key runs once; `memory`: bytes that the process may use; `publish` is told of entries
-    that were decided, and of names that are gone without a word.
+    `window`: seconds in which the operation of a key runs once; `memory`: bytes that the process may use; `publish` is
+    called with entries that were decided, and with the keys of entries that were forgotten without a withdrawal.
     """
 
     def __init__(
@@ -79,14 +79,14 @@
         self.register = Register()
         self.reservations = ReservationTable(window, memory)
         self.membership: Membership | None = None
-        self.complete_epoch = 0  # the latest epoch for which it holds all claims that a voter must hold
-        self.epoch_since = 0.0  # when it took up the present epoch
+        self.complete_epoch = 0  # the latest epoch for which it holds all reservations that a voter must hold
+        self.epoch_since = 0.0  # when it learned the present epoch
         self._publish = publish
 
     # ---- start ---------------------------------------------------------------------------
 
     def begin(self, now: float, seeds: Iterable[Voter]) -> Effects:
-        """The very first start of the whole system: the seeds vote, and there is nothing to catch up with."""
+        """Start a new mesh: the seeds are the voters, and there is nothing to catch up with."""
         first = Membership(1, sorted(seeds, key=lambda voter: voter.ip))
         self.complete_epoch = 1 if self._votes_in(first) else 0
         effects = self._apply(now, self.register.decide(Change(GENESIS, [membership_entry(first)])))
@@ -94,7 +94,7 @@
         return effects
 
     def restore(self, rows: list[tuple[bytes, bytes]], now: float) -> None:
-        """Take up what is on disk."""
+        """Load what is on disk."""
         self.register.restore(rows)
         self.reservations.restore(rows, now)
         for key, value in rows:
@@ -108,16 +108,16 @@
             self.epoch_since = now
         self._publish([item.entry for item in self.register.items.values()], [])
 
-    # ---- what it is ----------------------------------------------------------------------
+    # ---- role ----------------------------------------------------------------------------
 
     @property
     def epoch(self) -> int:
-        """The epoch that it goes by, 0 before any."""
+        """The epoch of the membership that it knows, 0 before any."""
         return 0 if self.membership is None else self.membership.epoch
 
     @property
     def index(self) -> int:
-        """The latest change that it knows as decided."""
+        """The index of the latest change that it knows as decided."""
         return self.register.index
 
     def _votes_in(self, membership: Membership) -> bool:
@@ -125,32 +125,32 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this disk has a vote."""
+        """Whether this replica, with this disk, has a vote."""
         return self.membership is not None and self._votes_in(self.membership)
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has a vote and all claims that a voter must hold."""
+        """Whether it has a vote and holds all reservations that a voter must hold."""
         return self.is_voter and self.complete_epoch == self.epoch
 
     @property
     def was_voter(self) -> bool:
-        """Whether this disk had a vote in the epoch before."""
+        """Whether this replica, with this disk, had a vote in the epoch before."""
         previous = [] if self.membership is None else self.membership.previous_voters
         return any((v.ip, v.uid) == (self.voter.ip, self.voter.uid) for v in previous)
 
     @property
     def was_complete(self) -> bool:
-        """Whether it was complete in the epoch before, by what it holds.
+        """Whether it was complete in the epoch before, by what is on its disk.
 
-        If not, it has granted nothing in that epoch: a grant is told once it is on disk, and the epoch before it.
+        If not, it has granted nothing in that epoch: a grant is sent once it is on disk, and the epoch before that.
         """
         return self.was_voter and self.complete_epoch >= self.epoch - 1
 
     # ---- messages ------------------------------------------------------------------------
 
     def handle(self, now: float, peer: Peer, message: Message) -> Effects:
-        """Something for this replica."""
+        """Process a message to this replica."""
         if isinstance(message, ReserveKey):
             return self._reserve(now, peer, message)
         if isinstance(message, CompleteKey):
@@ -167,10 +167,10 @@
             return self._catch_up(peer, message)
         if isinstance(message, FetchReservations):
             return self._fetch_reservations(now, peer, message)
-        return Effects()  # nothing that a replica is asked
+        return Effects()  # not a message to a replica
 
     def sweep(self, now: float) -> Effects:
-        """What time alone brings about: claims end, and a voter that has waited for longer than that is complete."""
+        """End reservations whose window is over, and become complete after more time than any lasts."""
         effects = self.reservations.sweep(now)
         if self.is_voter and not self.is_complete and now - self.epoch_since > self.reservations.retention_seconds:
             effects.add(self._become_complete())
@@ -179,11 +179,11 @@
     # ---- the register --------------------------------------------------------------------
 
     def decide(self, now: float, change: Change) -> Effects:
-        """This is the next change."""
+        """Put the next change into force."""
         return self._apply(now, self.register.decide(change))
 
     def learn(self, now: float, pages: list[Learn]) -> Effects:
-        """All pages of what others know as decided."""
+        """Put into force what others know as decided."""
         return self._apply(now, self.register.learn(pages))
 
     def _apply(self, now: float, applied: Applied) -> Effects:
@@ -197,7 +197,7 @@
         return effects
 
     def _take_up(self, now: float, membership: Membership) -> None:
-        """Go by the next membership. What it holds stays complete only from one epoch to the very next one."""
+        """Take up a membership. A replica stays complete only from one epoch to the very next one."""
         self._check_step(membership)
         follows = self.is_complete and membership.epoch == self.epoch + 1
         self.membership = membership
@@ -206,7 +206,7 @@
             self.complete_epoch = membership.epoch
 
     def _check_step(self, membership: Membership) -> None:
-        """What must hold before the next membership is taken up; several may follow each other unseen."""
+        """Check what must hold before a membership is taken up; epochs between may not have been seen here."""
         check(membership.epoch > self.epoch, Invariant.EPOCHS_RISE, epoch=membership.epoch, standing=self.epoch)
         if self.membership is None or membership.epoch != self.epoch + 1:
             return
@@ -219,11 +219,11 @@
             return Effects()
         return Effects(send=[(peer, page) for page in self.register.pages_after(message.after_index)])
 
-    # ---- claims --------------------------------------------------------------------------
+    # ---- reservations --------------------------------------------------------------------
 
     @property
     def grants_reservations(self) -> bool:
-        """Whether it grants claims: not while a change of the voters that it has accepted may be decided."""
+        """Whether it grants reservations: not while a change of the voters that it has accepted may be decided."""
         change = self.register.accepted_change
         return self.is_complete and (change is None or all(entry.kind != MEMBERSHIP for entry in change.entries))
 
@@ -233,7 +233,7 @@
         return self.reservations.reserve(now, peer, message, self.epoch)
 
     def _fetch_reservations(self, now: float, peer: Peer, message: FetchReservations) -> Effects:
-        """A new voter wants all claims; this one has gone by the new epoch, and grants nothing in an older one."""
+        """Send all reservations to a new voter; this one knows the new epoch, and grants nothing in an older one."""
         if message.epoch > self.epoch:
             return Effects(send=[(peer, FetchDecided(self.index))])
         if message.epoch != self.epoch or not self.was_voter:
@@ -241,11 +241,11 @@
         pages: list[tuple[Peer, Message]] = [(peer, ReservationsPage(self.epoch, 0, [], True, False))]
         if self.was_complete:
             pages = [(peer, page) for page in self.reservations.pages(now, self.epoch)]
-        # The epoch has to be on disk before anybody relies on it.
+        # The epoch must be on disk before the new voter relies on it.
         return Effects(write=[(COMPLETE_ROW, _pack(self.complete_epoch))], after_sync=pages)
 
     def take_reservations(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
-        """All that was won in the epochs before (see `catch_up`)."""
+        """Take in all reservations of the epochs before (see `reservation_catch_up`) and become complete."""
         if not self.is_voter or self.is_complete:
             return Effects()
         effects = Effects()
