--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -10,13 +10,13 @@
 from lugspur.config.model import Check
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
+from lugspur.daemon.health_checks.hearsay import REFRESH, Hearsay
+from lugspur.daemon.health_checks.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
+from lugspur.daemon.health_checks.prober import Prober
 from lugspur.daemon.leases.candidate import STANDBY_CANDIDATES, Candidate, LeadershipChanged
 from lugspur.daemon.leases.messages import MalformedMessageError
 from lugspur.discovery.endpoints import server_id, server_name
 from lugspur.discovery.health_check import CheckResult, check_health
-from lugspur.probing.hearsay import REFRESH, Hearsay
-from lugspur.probing.messages import BOX_MOST, Doubt, Message, Verdict, fitting, pack, unpack
-from lugspur.probing.prober import Prober
 
 if TYPE_CHECKING:
     from lugspur.daemon.station import Station
@@ -29,7 +29,7 @@
 class DutyHolder(Protocol):
     """The daemon's place in its fleet, as far as duties of probing need it."""
 
-    claims: dict[str, Candidate]
+    candidates: dict[str, Candidate]
     transport: Transport
 
     @property
@@ -158,7 +158,7 @@
         if doubt.passed_on:
             return
         # Who holds it is known to those who stand by; one of them may hold it.
-        holder = self._company.claims[pool.duty].term.holder
+        holder = self._company.candidates[pool.duty].term.holder
         names = dict.fromkeys([holder] if holder else [])
         names |= dict.fromkeys(self._company.first(pool.duty, STANDBY_CANDIDATES))
         for name in names:
