--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -114,9 +114,9 @@
         """Whether the acceptor has accepted the next change, which may be decided already."""
         return self.accepted_change is not None
 
-    def prepare(self, peer: Peer, message: Prepare, voter: bool) -> Effects:
+    def prepare(self, peer: Peer, message: Prepare, is_voter: bool) -> Effects:
         """Phase 1b: promise to accept no lower proposal, unless a higher one was promised; synced before it is sent."""
-        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
+        granted = is_voter and message.index == self.index + 1 and message.proposal >= self.promised
         if not granted:
             refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
             return Effects(send=[(peer, refusal)])
@@ -126,9 +126,9 @@
         )
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
-    def accept(self, peer: Peer, message: Accept, voter: bool) -> Effects:
+    def accept(self, peer: Peer, message: Accept, is_voter: bool) -> Effects:
         """Phase 2b: accept a value for the next change, unless a higher one was promised; synced before it is sent."""
-        granted = voter and message.index == self.index + 1 and message.proposal >= self.promised
+        granted = is_voter and message.index == self.index + 1 and message.proposal >= self.promised
         answer = Accepted(message.index, message.proposal, granted, self.index, self.promised)
         if not granted:
             return Effects(send=[(peer, answer)])
@@ -139,9 +139,9 @@
     def _vote_row(self) -> tuple[bytes, bytes]:
         return VOTE_ROW, _pack(AcceptorState(self.index + 1, self.promised, self.accepted, self.accepted_change))
 
-    def read_index(self, peer: Peer, message: ReadIndexQuery, voter: bool) -> Effects:
+    def read_index(self, peer: Peer, message: ReadIndexQuery, is_voter: bool) -> Effects:
         """Answer a reader with the latest change that is known here."""
-        return Effects(send=[(peer, ReadIndexReply(message.number, voter, self.index, self.has_pending_change))])
+        return Effects(send=[(peer, ReadIndexReply(message.number, is_voter, self.index, self.has_pending_change))])
 
     # ---- learner -------------------------------------------------------------------------
 
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -1,4 +1,4 @@
-"""Replicas, pages and answers of voters as the tests of the control side need them."""
+"""Replicas, changes and answers of voters for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return Change(name, list(entries))
 
 
-def exchange(membership: Membership = NEXT) -> Change:
+def voter_change(membership: Membership = NEXT) -> Change:
     """A change of the voters."""
     return change(membership_entry(membership), name=f"membership {membership.epoch}")
 
@@ -58,20 +58,20 @@
     return message
 
 
-def claim(to: Replica, by: bytes, now: float = 0.0, epoch: int = 1, key: bytes = b"k") -> ReserveKeyReply:
-    """The verdict on a claim."""
+def reserve(to: Replica, by: bytes, now: float = 0.0, epoch: int = 1, key: bytes = b"k") -> ReserveKeyReply:
+    """The reply to a request for a key."""
     message = only(to.handle(now, None, ReserveKey(key, by, epoch, 2.0)))
     assert isinstance(message, ReserveKeyReply)
     return message
 
 
 def promise(
-    index: int, ballot: ProposalNumber, accepted: ProposalNumber | None = None, value: Change | None = None
+    index: int, proposal: ProposalNumber, accepted: ProposalNumber | None = None, value: Change | None = None
 ) -> Promise:
     """A voter's promise."""
-    return Promise(index, ballot, True, index - 1, ballot, accepted, value)
+    return Promise(index, proposal, True, index - 1, proposal, accepted, value)
 
 
-def accepted(index: int, ballot: ProposalNumber) -> Accepted:
-    """A voter's word that it has accepted."""
-    return Accepted(index, ballot, True, index - 1, ballot)
+def accepted(index: int, proposal: ProposalNumber) -> Accepted:
+    """A voter's answer that it has accepted."""
+    return Accepted(index, proposal, True, index - 1, proposal)
--- a/tests/mesh/control/test_configuration_size.py
+++ b/tests/mesh/control/test_configuration_size.py
@@ -11,7 +11,7 @@
 from controlparts import IPS, seed
 from hypothesis import given
 from hypothesis import strategies as st
-from test_proposer import Node, ballot_of
+from test_proposer import Node, proposal_of
 from test_voter_membership import SPARE, THERE, follows, situation
 
 from lugspur.mesh.control.capacity import CONFIGURATION_DISK_FRACTION, fits, item_bytes, max_configuration_bytes
@@ -37,17 +37,17 @@
 
 
 def settle(found: Node, *entries: Entry) -> None:
-    ballot = ballot_of(found.submit(*entries))
-    found.promises(ballot, *IPS[:2])
-    found.accepts(ballot, *IPS[:2])
+    proposal = proposal_of(found.submit(*entries))
+    found.promises(proposal, *IPS[:2])
+    found.accepts(proposal, *IPS[:2])
 
 
 def test_a_request_that_the_smallest_disk_cannot_store_is_refused_and_never_proposed() -> None:
     found = node(600_000, SMALL, 0)
-    ballot = ballot_of(found.submit(large("a", 12_000)))
-    effects = found.promises(ballot, *IPS[:2])
+    proposal = proposal_of(found.submit(large("a", 12_000)))
+    effects = found.promises(proposal, *IPS[:2])
     assert not [message for _, message in effects.send if "Accept" in type(message).__name__]
-    [refused] = found.how
+    [refused] = found.outcomes
     assert (
         isinstance(refused, Refused) and refused.error.kind is ErrorKind.TOO_LARGE and "10000" in refused.error.detail
     )
@@ -57,20 +57,20 @@
     found = node(SMALL)
     for name in "ab":
         settle(found, large(name, 4_500))
-    settle_refused = ballot_of(found.submit(large("c", 4_500)))
+    settle_refused = proposal_of(found.submit(large("c", 4_500)))
     found.promises(settle_refused, *IPS[:2])
-    assert [type(how) for how in found.how] == [Confirmed, Confirmed, Refused]
+    assert [type(how) for how in found.outcomes] == [Confirmed, Confirmed, Refused]
     found.proposer._disk_sizes = lambda: (SMALL // 10,)  # a disk that can't hold what stands is no reason to refuse
     settle(found, large("c", 4_500))
     found.proposer._disk_sizes = lambda: (SMALL,)
     settle(found, large("a", 4_400, 2), large("b", 4_400, 2), Entry("notes", "c", 2, None))  # above its part, and less
-    assert [type(how) for how in found.how[3:]] == [Confirmed, Confirmed]
+    assert [type(how) for how in found.outcomes[3:]] == [Confirmed, Confirmed]
 
 
 def test_where_no_disk_is_known_nothing_is_refused() -> None:
     found = node()
     settle(found, large("a", 100_000))
-    assert [type(how) for how in found.how] == [Confirmed]
+    assert [type(how) for how in found.outcomes] == [Confirmed]
 
 
 def test_a_machine_whose_disk_cannot_store_the_configuration_gets_no_vote() -> None:
--- a/tests/mesh/control/test_proposer.py
+++ b/tests/mesh/control/test_proposer.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from controlparts import IPS, NEW, NEXT, accepted, change, exchange, item, promise, seed
+from controlparts import IPS, NEW, NEXT, accepted, change, item, promise, seed, voter_change
 from meshcalls import call, route, service
 
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
@@ -29,47 +29,47 @@
 
 
 class Node:
-    """A proposer on the first of three voters, and how its orders ended."""
+    """A proposer on the first of three voters, and the outcomes of its requests."""
 
     def __init__(self) -> None:
         self.replica = seed(A)
         self.proposer = Proposer(self.replica, f"{A}/life", Random(1))
-        self.how: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
 
-    def order(
+    def request(
         self, *entries: Entry, now: float = 0.0, until: float = 0.8, base_epoch: int | None = None
     ) -> ChangeRequest:
-        return ChangeRequest(list(entries), now + until, self.how.append, base_epoch)
+        return ChangeRequest(list(entries), now + until, self.outcomes.append, base_epoch)
 
     def submit(self, *entries: Entry, now: float = 0.0) -> list[tuple[str, Message]]:
-        return self.proposer.submit(now, self.order(*entries, now=now)).send
+        return self.proposer.submit(now, self.request(*entries, now=now)).send
 
-    def promises(self, ballot: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
+    def promises(self, proposal: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
         effects = Effects()
         for ip in ips:
-            effects.add(self.proposer.receive(now, ip, promise(self.replica.index + 1, ballot)))
+            effects.add(self.proposer.receive(now, ip, promise(self.replica.index + 1, proposal)))
         return effects
 
-    def accepts(self, ballot: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
+    def accepts(self, proposal: ProposalNumber, *ips: str, now: float = 0.0) -> Effects:
         effects, index = Effects(), self.replica.index + 1
         for ip in ips:
-            effects.add(self.proposer.receive(now, ip, accepted(index, ballot)))
+            effects.add(self.proposer.receive(now, ip, accepted(index, proposal)))
         return effects
 
     def decide(self, *entries: Entry) -> None:
-        """From the order to the confirmation."""
-        ballot = ballot_of(self.submit(*entries))
-        self.promises(ballot, A, B)
-        self.accepts(ballot, A, B)
+        """From the request to the confirmation."""
+        proposal = proposal_of(self.submit(*entries))
+        self.promises(proposal, A, B)
+        self.accepts(proposal, A, B)
 
 
-def ballot_of(sent: list[tuple[str, Message]]) -> ProposalNumber:
-    ballots = {m.proposal for _, m in sent if isinstance(m, Prepare)}
-    [ballot] = ballots
-    return ballot
+def proposal_of(sent: list[tuple[str, Message]]) -> ProposalNumber:
+    proposals = {m.proposal for _, m in sent if isinstance(m, Prepare)}
+    [proposal] = proposals
+    return proposal
 
 
-def offered(effects: Effects) -> Accept:
+def proposed_in(effects: Effects) -> Accept:
     accepts = [m for _, m in effects.send if isinstance(m, Accept)]
     assert len(accepts) == len(IPS) and all(m == accepts[0] for m in accepts)
     return accepts[0]
@@ -79,232 +79,236 @@
     node = Node()
     sent = node.submit(item("r", 7))
     assert [ip for ip, _ in sent] == list(IPS)
-    ballot = ballot_of(sent)
-    assert node.promises(ballot, A, A).send == []  # one voter is one promise
-    accept = offered(node.promises(ballot, B))
-    assert accept.change.entries == [item("r", 7)] and node.how == []
-    assert node.accepts(ballot, A, A).send == [] and node.how == []
-    effects = node.accepts(ballot, C)
-    assert node.how == [Confirmed()] and node.replica.index == 2
+    proposal = proposal_of(sent)
+    assert node.promises(proposal, A, A).send == []  # one voter is one promise
+    accept = proposed_in(node.promises(proposal, B))
+    assert accept.change.entries == [item("r", 7)] and node.outcomes == []
+    assert node.accepts(proposal, A, A).send == [] and node.outcomes == []
+    effects = node.accepts(proposal, C)
+    assert node.outcomes == [Confirmed()] and node.replica.index == 2
     assert [ip for ip, m in effects.send if isinstance(m, Learn)] == [B, C]
 
 
 def test_answers_of_others_or_to_other_proposals_are_ignored() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7)))
-    assert node.promises(ballot, A, NEW, "10.0.0.9").send == []
+    proposal = proposal_of(node.submit(item("r", 7)))
+    assert node.promises(proposal, A, NEW, "10.0.0.9").send == []
     assert node.promises(ProposalNumber(9, "other"), B, C).send == []
-    offered(node.promises(ballot, B))
-    assert node.accepts(ballot, A, NEW).send == [] and node.accepts(ProposalNumber(9, "other"), B, C).send == []
-    assert node.proposer.receive(0.0, B, accepted(3, ballot)).send == [] and node.how == []
+    proposed_in(node.promises(proposal, B))
+    assert node.accepts(proposal, A, NEW).send == [] and node.accepts(ProposalNumber(9, "other"), B, C).send == []
+    assert node.proposer.receive(0.0, B, accepted(3, proposal)).send == [] and node.outcomes == []
 
 
 def test_the_value_of_the_highest_accepted_proposal_is_proposed_before_the_request() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7, b"mine")))
+    proposal = proposal_of(node.submit(item("r", 7, b"mine")))
     low, high = ProposalNumber(1, "b"), ProposalNumber(2, "c")
-    node.proposer.receive(0.0, A, promise(2, ballot, low, change(item("r", 7, b"low"))))
-    accept = offered(node.proposer.receive(0.0, C, promise(2, ballot, high, change(item("r", 7, b"high"), name="x"))))
+    node.proposer.receive(0.0, A, promise(2, proposal, low, change(item("r", 7, b"low"))))
+    accept = proposed_in(
+        node.proposer.receive(0.0, C, promise(2, proposal, high, change(item("r", 7, b"high"), name="x")))
+    )
     assert accept.change.entries == [item("r", 7, b"high")]
-    again = ballot_of(node.accepts(ballot, A, C).send)
-    assert node.how == [] and again > ballot
+    again = proposal_of(node.accepts(proposal, A, C).send)
+    assert node.outcomes == [] and again > proposal
     node.promises(again, A, C)
-    [how] = node.how
-    assert isinstance(how, Refused) and how.error.kind is ErrorKind.CONFLICT  # the other content was decided
+    [outcome] = node.outcomes
+    assert isinstance(outcome, Refused) and outcome.error.kind is ErrorKind.CONFLICT  # the other content was decided
 
 
 def test_a_request_that_was_decided_already_is_confirmed_without_another_change() -> None:
     node = Node()
     node.decide(item("r", 7))
-    ballot = ballot_of(node.submit(item("r", 7)))
-    assert node.promises(ballot, B, C).send == [] and node.how == [Confirmed(), Confirmed()]
+    proposal = proposal_of(node.submit(item("r", 7)))
+    assert node.promises(proposal, B, C).send == [] and node.outcomes == [Confirmed(), Confirmed()]
     assert node.replica.index == 2
-    older = ballot_of(node.submit(item("r", 5, b"older")))
+    older = proposal_of(node.submit(item("r", 5, b"older")))
     node.promises(older, B, C)
-    assert node.how[2:] == [Confirmed()] and node.replica.index == 2
+    assert node.outcomes[2:] == [Confirmed()] and node.replica.index == 2
 
 
 def test_nothing_is_refused_before_a_majority_has_promised() -> None:
     node = Node()
     node.decide(item("r", 7))
-    ballot = ballot_of(node.submit(item("r", 7, b"other")))
-    node.promises(ballot, A)
-    assert len(node.how) == 1
+    proposal = proposal_of(node.submit(item("r", 7, b"other")))
+    node.promises(proposal, A)
+    assert len(node.outcomes) == 1
     node.proposer.tick(0.9)
-    assert node.how[1:] == [NoQuorum()]
+    assert node.outcomes[1:] == [NoQuorum()]
 
 
 def test_a_request_that_came_during_the_prepare_phase_is_refused_only_by_the_next_proposal() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7)))
-    node.promises(ballot, A)
+    proposal = proposal_of(node.submit(item("r", 7)))
+    node.promises(proposal, A)
     # Another may have decided what this one rests on since B has promised: its word is old when it comes.
     node.submit(*read_changes(call(route("a"))))
-    offered(node.promises(ballot, B))
-    assert node.how == []
-    again = ballot_of(node.accepts(ballot, A, B).send)
+    proposed_in(node.promises(proposal, B))
+    assert node.outcomes == []
+    again = proposal_of(node.accepts(proposal, A, B).send)
     node.promises(again, A, B)
-    assert node.how[0] == Confirmed() and isinstance(node.how[1], Refused)
+    assert node.outcomes[0] == Confirmed() and isinstance(node.outcomes[1], Refused)
     alone = Node()
     alone.decide(item("r", 7))
-    ballot = ballot_of(alone.submit(item("r", 7)))  # which needs no change
-    alone.promises(ballot, A)
+    proposal = proposal_of(alone.submit(item("r", 7)))  # which needs no change
+    alone.promises(proposal, A)
     alone.submit(*read_changes(call(route("a"))))
-    again = ballot_of(alone.promises(ballot, B).send)
-    assert alone.how == [Confirmed(), Confirmed()]
+    again = proposal_of(alone.promises(proposal, B).send)
+    assert alone.outcomes == [Confirmed(), Confirmed()]
     alone.promises(again, A, B)
-    assert isinstance(alone.how[2], Refused)
+    assert isinstance(alone.outcomes[2], Refused)
 
 
 def test_requests_are_batched_and_one_that_conflicts_with_the_batch_waits_for_the_next_change() -> None:
     node = Node()
     node.decide(*read_changes(call(services=[service()])))
-    node.how.clear()
+    node.outcomes.clear()
     same_place = read_changes(call(route("b", path_prefix="/a/")))
-    ballot = ballot_of(node.submit(*read_changes(call(route("a")))))
+    proposal = proposal_of(node.submit(*read_changes(call(route("a")))))
     for entries in (same_place, [item("r", 7)], [item("r", 8)]):
         assert node.submit(*entries) == []  # one proposal at a time
-    accept = offered(node.promises(ballot, A, B))
+    accept = proposed_in(node.promises(proposal, A, B))
     assert sorted(e.name for e in accept.change.entries) == ["a", "r"]
-    again = ballot_of(node.accepts(ballot, A, B).send)
-    assert node.how == [Confirmed(), Confirmed()]
-    accept = offered(node.promises(again, A, B))
-    refused = node.how[2]
+    again = proposal_of(node.accepts(proposal, A, B).send)
+    assert node.outcomes == [Confirmed(), Confirmed()]
+    accept = proposed_in(node.promises(again, A, B))
+    refused = node.outcomes[2]
     assert isinstance(refused, Refused) and refused.error.kind is ErrorKind.BAD_CONFIG
     assert accept.change.entries == [item("r", 8)]
 
 
 def test_a_request_that_was_proposed_ends_as_unclear_and_is_never_refused() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7)))
-    offered(node.promises(ballot, A, B))
-    node.accepts(ballot, A)
+    proposal = proposal_of(node.submit(item("r", 7)))
+    proposed_in(node.promises(proposal, A, B))
+    node.accepts(proposal, A)
     node.proposer.tick(0.9)
-    assert node.how == [Unclear()]
-    fault = error_of(node.how[0])
+    assert node.outcomes == [Unclear()]
+    fault = error_of(node.outcomes[0])
     assert fault is not None and fault.kind is ErrorKind.UNCLEAR
-    node.accepts(ballot, B, now=1.0)  # it counts all the same
-    assert node.how == [Unclear()]
+    node.accepts(proposal, B, now=1.0)  # it counts all the same
+    assert node.outcomes == [Unclear()]
 
 
 def test_a_caller_that_left_withdraws_only_what_was_not_proposed() -> None:
     node = Node()
-    first, second = node.order(item("r", 7)), node.order(item("s", 7))
-    ballot = ballot_of(node.proposer.submit(0.0, first).send)
-    node.promises(ballot, A, B)
+    first, second = node.request(item("r", 7)), node.request(item("s", 7))
+    proposal = proposal_of(node.proposer.submit(0.0, first).send)
+    node.promises(proposal, A, B)
     node.proposer.submit(0.0, second)
     node.proposer.withdraw(first)
     node.proposer.withdraw(second)
     assert len(node.proposer) == 1
-    node.accepts(ballot, A, B)
-    assert node.how == [Confirmed()] and node.replica.register.items["notes", "r"].index == 2
+    node.accepts(proposal, A, B)
+    assert node.outcomes == [Confirmed()] and node.replica.register.items["notes", "r"].index == 2
 
 
 def test_a_proposal_that_nobody_waits_for_after_a_freeze_is_not_made() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7)))
-    effects = node.promises(ballot, A, B, now=30.0)
-    assert node.how == [NoQuorum()] and not any(isinstance(m, Accept) for _, m in effects.send)
+    proposal = proposal_of(node.submit(item("r", 7)))
+    effects = node.promises(proposal, A, B, now=30.0)
+    assert node.outcomes == [NoQuorum()] and not any(isinstance(m, Accept) for _, m in effects.send)
 
 
 def test_a_competitor_ends_a_proposal_and_the_next_one_is_higher_after_a_backoff() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7)))
-    node.proposer.receive(0.0, B, Promise(2, ballot, False, 1, ProposalNumber(9_000_000, "b")))
+    proposal = proposal_of(node.submit(item("r", 7)))
+    node.proposer.receive(0.0, B, Promise(2, proposal, False, 1, ProposalNumber(9_000_000, "b")))
     assert node.proposer.tick(0.0).send == []
-    again = ballot_of(node.proposer.tick(0.5).send)
+    again = proposal_of(node.proposer.tick(0.5).send)
     assert again.number == 9_000_001 and again.proposer == f"{A}/life"
-    assert node.promises(ballot, A, B).send == []  # to the one that was given up
+    assert node.promises(proposal, A, B).send == []  # to the one that was given up
 
 
 def test_a_proposal_that_times_out_is_replaced_by_another() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7)))
+    proposal = proposal_of(node.submit(item("r", 7)))
     assert node.proposer.tick(ROUND_TIMEOUT_SECONDS - 0.01).send == []
     assert node.proposer.tick(ROUND_TIMEOUT_SECONDS).send == []
-    assert ballot_of(node.proposer.tick(ROUND_TIMEOUT_SECONDS + 0.1).send) > ballot
+    assert proposal_of(node.proposer.tick(ROUND_TIMEOUT_SECONDS + 0.1).send) > proposal
 
 
 def test_a_voter_that_knows_more_is_asked_and_one_that_knows_less_is_caught_up() -> None:
     node = Node()
     node.decide(item("r", 7))
-    ballot = ballot_of(node.submit(item("s", 7)))
-    less = Promise(3, ballot, False, 1, ProposalNumber(0, ""))
+    proposal = proposal_of(node.submit(item("s", 7)))
+    less = Promise(3, proposal, False, 1, ProposalNumber(0, ""))
     for turn in range(MAX_CATCH_UPS_PER_VOTER + 1):
         sent = [m for _, m in node.proposer.receive(0.0, C, less).send]
         if turn < MAX_CATCH_UPS_PER_VOTER:
             page, prepare = sent
-            assert isinstance(page, Learn) and page.after_index == 1 and prepare == Prepare(3, ballot)
+            assert isinstance(page, Learn) and page.after_index == 1 and prepare == Prepare(3, proposal)
         else:
             assert sent == []
-    more = Promise(3, ballot, False, 9, ProposalNumber(0, ""))
+    more = Promise(3, proposal, False, 9, ProposalNumber(0, ""))
     assert node.proposer.receive(0.0, B, more).send == [(B, FetchDecided(2))]
-    assert node.proposer.receive(0.0, B, Accepted(3, ballot, False, 9, ProposalNumber(0, ""))).send == [
+    assert node.proposer.receive(0.0, B, Accepted(3, proposal, False, 9, ProposalNumber(0, ""))).send == [
         (B, FetchDecided(2))
     ]
 
 
 def test_another_decision_ends_the_proposal_and_requests_are_evaluated_anew() -> None:
     node = Node()
-    ballot = ballot_of(node.submit(item("r", 7, b"mine")))
+    proposal = proposal_of(node.submit(item("r", 7, b"mine")))
     node.replica.decide(0.1, change(item("r", 7, b"other"), name="other"))
     node.proposer.replica_advanced(0.1)
-    assert node.promises(ballot, A, B).send == []
-    again = ballot_of(node.proposer.tick(0.5).send)
+    assert node.promises(proposal, A, B).send == []
+    again = proposal_of(node.proposer.tick(0.5).send)
     node.promises(again, A, B, now=0.5)
-    [how] = node.how
-    assert isinstance(how, Refused) and how.error.kind is ErrorKind.CONFLICT
+    [outcome] = node.outcomes
+    assert isinstance(outcome, Refused) and outcome.error.kind is ErrorKind.CONFLICT
 
 
 def test_a_value_that_a_minority_accepted_is_decided_or_ruled_out() -> None:
     node = Node()
-    ballot = ballot_of(node.proposer.resolve_pending(0.0).send)
-    accept = offered(node.promises(ballot, A, B))  # C alone has accepted something
+    proposal = proposal_of(node.proposer.resolve_pending(0.0).send)
+    accept = proposed_in(node.promises(proposal, A, B))  # C alone has accepted something
     assert accept.change.entries == []
-    node.accepts(ballot, A, B)
+    node.accepts(proposal, A, B)
     assert node.replica.index == 2
     found = Node()
-    ballot = ballot_of(found.proposer.resolve_pending(0.0).send)
-    found.promises(ballot, A)
+    proposal = proposal_of(found.proposer.resolve_pending(0.0).send)
+    found.promises(proposal, A)
     value = change(item("r", 7))
-    assert offered(found.proposer.receive(0.0, C, promise(2, ballot, ProposalNumber(0, "c"), value))).change == value
+    assert (
+        proposed_in(found.proposer.receive(0.0, C, promise(2, proposal, ProposalNumber(0, "c"), value))).change == value
+    )
 
 
 def test_a_change_of_the_voters_is_proposed_alone_and_only_from_the_epoch_that_it_follows() -> None:
     node = Node()
-    entries = exchange().entries
-    ballot = ballot_of(node.submit(item("r", 7)))
-    node.proposer.submit(0.0, node.order(*entries, base_epoch=1))
-    accept = offered(node.promises(ballot, A, B))
+    entries = voter_change().entries
+    proposal = proposal_of(node.submit(item("r", 7)))
+    node.proposer.submit(0.0, node.request(*entries, base_epoch=1))
+    accept = proposed_in(node.promises(proposal, A, B))
     assert accept.change.entries == [item("r", 7)]
-    again = ballot_of(node.accepts(ballot, A, B).send)
-    assert offered(node.promises(again, A, B)).change.entries == entries
+    again = proposal_of(node.accepts(proposal, A, B).send)
+    assert proposed_in(node.promises(again, A, B)).change.entries == entries
     sent = node.accepts(again, A, B).send
-    assert node.how == [Confirmed(), Confirmed()] and node.replica.epoch == 2 and sent
-    late = ballot_of(node.proposer.submit(0.0, node.order(membership_entry(NEXT), base_epoch=1)).send)
+    assert node.outcomes == [Confirmed(), Confirmed()] and node.replica.epoch == 2 and sent
+    late = proposal_of(node.proposer.submit(0.0, node.request(membership_entry(NEXT), base_epoch=1)).send)
     node.promises(late, A, NEW)
-    assert node.how[2:] == [NoQuorum()] and node.replica.epoch == 2
+    assert node.outcomes[2:] == [NoQuorum()] and node.replica.epoch == 2
 
 
 def test_the_next_change_is_decided_by_the_voters_that_this_one_left() -> None:
     node = Node()
-    ballot = ballot_of(node.proposer.submit(0.0, node.order(*exchange().entries, base_epoch=1)).send)
-    node.promises(ballot, A, B)
-    node.accepts(ballot, A, B)
+    proposal = proposal_of(node.proposer.submit(0.0, node.request(*voter_change().entries, base_epoch=1)).send)
+    node.promises(proposal, A, B)
+    node.accepts(proposal, A, B)
     sent = node.submit(item("r", 7))
     assert [ip for ip, _ in sent] == [A, B, NEW]
-    again = ballot_of(sent)
+    again = proposal_of(sent)
     assert node.promises(again, A, C).send == []
-    offered(node.promises(again, NEW))
+    proposed_in(node.promises(again, NEW))
 
 
 def test_large_requests_are_proposed_in_changes_of_their_own() -> None:
     node = Node()
     large = [item(name, 7, b"x" * (600 << 10)) for name in ("r", "s")]
-    ballot = ballot_of(node.submit(large[0]))
+    proposal = proposal_of(node.submit(large[0]))
     node.submit(large[1])
-    first = offered(node.promises(ballot, A, B))
+    first = proposed_in(node.promises(proposal, A, B))
     assert first.change.entries == large[:1]
-    again = ballot_of(node.accepts(ballot, A, B).send)
-    second = offered(node.promises(again, A, B))
-    assert second.change.entries == large[1:] and node.how == [Confirmed()]
+    again = proposal_of(node.accepts(proposal, A, B).send)
+    second = proposed_in(node.promises(again, A, B))
+    assert second.change.entries == large[1:] and node.outcomes == [Confirmed()]
--- a/tests/mesh/control/test_register.py
+++ b/tests/mesh/control/test_register.py
@@ -1,4 +1,4 @@
-"""A voter's vote: what is on disk first, what a higher ballot ends, and state in place of history."""
+"""A voter's vote: what is on disk first, what a higher proposal ends, and state in place of history."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_replica.py
+++ b/tests/mesh/control/test_replica.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from controlparts import FIRST, IPS, NEW, NEXT, SEEDS, claim, exchange, item, only, replica, seed
+from controlparts import FIRST, IPS, NEW, NEXT, SEEDS, item, only, replica, reserve, seed, voter_change
 
 from lugspur.mesh.control.messages import (
     Accept,
@@ -17,19 +17,19 @@
 )
 from lugspur.mesh.control.replica import COMPLETE_ROW, membership_entry
 
-BALLOT = ProposalNumber(1, "a")
+PROPOSAL = ProposalNumber(1, "a")
 
 
 def test_another_epoch_is_reported_and_nothing_is_granted() -> None:
     voter = seed()
-    old = claim(voter, b"a", epoch=7)
+    old = reserve(voter, b"a", epoch=7)
     assert (old.is_granted, old.epoch, old.is_taken) == (False, 1, False)
     assert len(voter.reservations) == 0
 
 
 def test_a_replica_stays_complete_only_from_one_epoch_to_the_next() -> None:
     voter = seed()
-    voter.decide(0.0, exchange())
+    voter.decide(0.0, voter_change())
     assert voter.is_complete and voter.was_complete
     older = Change("late", [membership_entry(FIRST)])
     voter.decide(0.0, older)
@@ -40,64 +40,64 @@
     assert (
         skipping.is_voter and not skipping.is_complete and not skipping.was_complete
     )  # who knows what epoch 3 granted
-    assert not claim(skipping, b"a", epoch=4).is_granted
+    assert not reserve(skipping, b"a", epoch=4).is_granted
     out = seed(IPS[2])
-    out.decide(0.0, exchange())
+    out.decide(0.0, voter_change())
     assert not out.is_complete and not out.is_voter and out.was_complete
 
 
 def _pages_after(membership: Membership) -> list[Learn]:
     """What a replica tells that has gone through further epochs."""
     source = seed()
-    source.decide(0.0, exchange())
-    source.decide(0.0, exchange(Membership(3, NEXT.voters, NEXT.voters)))
-    source.decide(0.0, exchange(membership))
+    source.decide(0.0, voter_change())
+    source.decide(0.0, voter_change(Membership(3, NEXT.voters, NEXT.voters)))
+    source.decide(0.0, voter_change(membership))
     return source.register.pages_after(1)
 
 
 def test_a_wiped_replica_has_no_vote_under_its_old_address() -> None:
     wiped = replica(IPS[0], "another-disk")
     wiped.learn(0.0, seed().register.pages_after(0))
-    assert wiped.epoch == 1 and not wiped.is_voter and not wiped.is_complete and not claim(wiped, b"a").is_granted
+    assert wiped.epoch == 1 and not wiped.is_voter and not wiped.is_complete and not reserve(wiped, b"a").is_granted
 
 
 def test_an_accepted_change_of_the_voters_ends_granting_over_a_loss_of_power_too() -> None:
     voter = seed()
-    accepted = voter.handle(0.0, None, Accept(2, BALLOT, exchange()))
-    assert not claim(voter, b"a").is_granted
+    accepted = voter.handle(0.0, None, Accept(2, PROPOSAL, voter_change()))
+    assert not reserve(voter, b"a").is_granted
     rows = dict(replica().begin(0.0, SEEDS).write) | dict(accepted.write)
     again = replica()
     again.restore([(k, v) for k, v in rows.items() if v is not None], 0.0)
-    assert again.is_complete and not again.grants_reservations and not claim(again, b"a").is_granted
+    assert again.is_complete and not again.grants_reservations and not reserve(again, b"a").is_granted
     ordinary = seed()
-    ordinary.handle(0.0, None, Accept(2, BALLOT, Change("c", [item("r", 1)])))
-    assert claim(ordinary, b"a").is_granted
+    ordinary.handle(0.0, None, Accept(2, PROPOSAL, Change("c", [item("r", 1)])))
+    assert reserve(ordinary, b"a").is_granted
 
 
 def test_a_voter_has_the_new_epoch_on_disk_before_it_sends_reservations() -> None:
     voter, new = seed(), replica(NEW, "new")
-    claim(voter, b"a")
+    reserve(voter, b"a")
     assert only(voter.handle(0.0, NEW, FetchReservations(2))) == FetchDecided(
         1
     )  # it grants in the old epoch until it knows
-    voter.decide(0.0, exchange())
+    voter.decide(0.0, voter_change())
     effects = voter.handle(0.0, NEW, FetchReservations(2))
     assert [key for key, _ in effects.write] == [COMPLETE_ROW] and not effects.send
     [(_, page)] = effects.after_sync
     assert isinstance(page, ReservationsPage) and page.is_last and [key for key, _ in page.reservations] == [b"k"]
-    assert not claim(voter, b"b", epoch=1).is_granted  # the old epoch is over here
+    assert not reserve(voter, b"b", epoch=1).is_granted  # the old epoch is over here
     new.learn(0.0, voter.register.pages_after(0))
-    assert new.is_voter and not new.is_complete and not claim(new, b"b", epoch=2).is_granted
+    assert new.is_voter and not new.is_complete and not reserve(new, b"b", epoch=2).is_granted
     new.take_reservations(0.0, [page])
-    assert new.is_complete and claim(new, b"b", epoch=2).is_taken
+    assert new.is_complete and reserve(new, b"b", epoch=2).is_taken
     again = voter.handle(0.0, NEW, FetchReservations(2))
     assert again.write and again.after_sync  # told again, and still only behind the disk
 
 
 def test_a_former_voter_sends_its_reservations_and_an_incomplete_one_says_so() -> None:
     left = seed(IPS[2])
-    claim(left, b"a")
-    left.decide(0.0, exchange())
+    reserve(left, b"a")
+    left.decide(0.0, voter_change())
     [(_, page)] = left.handle(0.0, NEW, FetchReservations(2)).after_sync
     assert isinstance(page, ReservationsPage) and [key for key, _ in page.reservations] == [b"k"]
     stranger = replica("10.0.0.9", "other")
@@ -111,11 +111,11 @@
 
 def test_a_new_voter_grants_a_key_with_two_reported_owners_to_neither() -> None:
     first, second, new = seed(IPS[0]), seed(IPS[1]), replica(NEW, "new")
-    claim(first, b"a")
-    claim(second, b"b")
+    reserve(first, b"a")
+    reserve(second, b"b")
     pages = []
     for voter in (first, second):
-        voter.decide(0.0, exchange())
+        voter.decide(0.0, voter_change())
         pages += [
             m for _, m in voter.handle(0.0, NEW, FetchReservations(2)).after_sync if isinstance(m, ReservationsPage)
         ]
@@ -126,14 +126,14 @@
     for holder in (new, again):
         assert holder.is_complete
         for by in (b"a", b"b", b"c"):
-            verdict = claim(holder, by, epoch=2)
-            assert isinstance(verdict, ReserveKeyReply) and not verdict.is_granted and verdict.is_taken
+            reply = reserve(holder, by, epoch=2)
+            assert isinstance(reply, ReserveKeyReply) and not reply.is_granted and reply.is_taken
 
 
 def test_a_voter_becomes_complete_once_no_earlier_reservation_counts() -> None:
     new = replica(NEW, "new", window=60.0)
     source = seed()
-    source.decide(0.0, exchange())
+    source.decide(0.0, voter_change())
     new.learn(100.0, source.register.pages_after(0))
     new.sweep(169.0)
     assert not new.is_complete
--- a/tests/mesh/control/test_reservation_catch_up.py
+++ b/tests/mesh/control/test_reservation_catch_up.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from controlparts import IPS, NEW, claim, exchange, replica, seed
+from controlparts import IPS, NEW, replica, reserve, seed, voter_change
 
 from lugspur.mesh.control.messages import FetchReservations, Membership, ReservationsPage, StoredReservation, Voter
 from lugspur.mesh.control.replica import Replica
@@ -14,7 +14,7 @@
 
 def newcomer() -> tuple[Replica, ReservationCatchUp]:
     source, new = seed(), replica(NEW, "new")
-    source.decide(0.0, exchange())
+    source.decide(0.0, voter_change())
     new.learn(0.0, source.register.pages_after(0))
     return new, ReservationCatchUp(new)
 
@@ -41,7 +41,7 @@
     catch_up.receive(1.1, B, page(epoch=1))
     assert not new.is_complete
     effects = catch_up.receive(1.2, C, page())
-    assert new.is_complete and effects.write and claim(new, b"b", epoch=2).is_taken
+    assert new.is_complete and effects.write and reserve(new, b"b", epoch=2).is_taken
     assert catch_up.tick(9.0).send == []
 
 
@@ -66,7 +66,7 @@
     catch_up.tick(1.0)
     catch_up.receive(1.1, A, page())
     voters = new.membership.voters if new.membership is not None else []
-    new.decide(1.2, exchange(Membership(3, voters, voters)))
+    new.decide(1.2, voter_change(Membership(3, voters, voters)))
     catch_up.receive(1.3, B, page())
     catch_up.tick(1.3)
     assert not new.is_complete
@@ -81,7 +81,7 @@
     catch_up.receive(1.1, B, page(complete=False))
     assert not new.is_complete  # neither holds what was won before the last epoch
     catch_up.receive(1.2, C, page())
-    assert new.is_complete and claim(new, b"b", epoch=2).is_taken
+    assert new.is_complete and reserve(new, b"b", epoch=2).is_taken
 
 
 def test_a_voter_that_was_not_complete_counts_itself() -> None:
@@ -91,7 +91,7 @@
     five = [*four, Voter("10.0.0.6", "u6", "")]
     # One voter at a time, as memberships follow each other; it is told of nothing in between.
     for membership in (Membership(3, four, voters), Membership(4, five, four), Membership(5, five, five)):
-        new.decide(1.0, exchange(membership))
+        new.decide(1.0, voter_change(membership))
     catch_up.tick(1.0)
     catch_up.receive(1.1, A, page(epoch=5))
     assert not new.is_complete
--- a/tests/mesh/control/test_reservation_table.py
+++ b/tests/mesh/control/test_reservation_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from controlparts import SEEDS, claim, replica, seed
+from controlparts import SEEDS, replica, reserve, seed
 
 from lugspur.mesh.control.messages import (
     BackendResponse,
@@ -19,33 +19,33 @@
     voter = seed()
     effects = voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0))
     assert effects.write and not effects.send and isinstance(effects.after_sync[0][1], ReserveKeyReply)
-    assert claim(voter, b"a").is_granted  # said again: granted again, and written again
-    other = claim(voter, b"b", 1.0)
+    assert reserve(voter, b"a").is_granted  # said again: granted again, and written again
+    other = reserve(voter, b"b", 1.0)
     assert (other.is_granted, other.is_taken, other.is_running) == (False, True, True)
-    assert not claim(voter, b"b", 3.0).is_running  # its request has ended, and nobody knows how
+    assert not reserve(voter, b"b", 3.0).is_running  # its request has ended, and nobody knows how
 
 
 def test_a_response_is_sent_to_repeats_and_a_released_key_is_free() -> None:
     voter = seed()
-    claim(voter, b"a")
+    reserve(voter, b"a")
     voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))
-    repeat = claim(voter, b"b", 1.0)
+    repeat = reserve(voter, b"b", 1.0)
     assert repeat.response is not None and repeat.response.body == b"body" and not repeat.is_granted
-    assert claim(voter, b"a", 1.0).response is not None  # the claimant's own repeat of a try
+    assert reserve(voter, b"a", 1.0).response is not None  # the claimant's own repeat of a try
     voter.handle(1.0, None, ReleaseKey(b"k", b"a"))  # too late: it has run
-    assert not claim(voter, b"c", 1.0).is_granted
-    claim(voter, b"x", key=b"other")
+    assert not reserve(voter, b"c", 1.0).is_granted
+    reserve(voter, b"x", key=b"other")
     voter.handle(1.0, None, ReleaseKey(b"other", b"y"))  # another's
-    assert not claim(voter, b"z", key=b"other").is_granted
+    assert not reserve(voter, b"z", key=b"other").is_granted
     voter.handle(1.0, None, ReleaseKey(b"other", b"x"))
-    assert claim(voter, b"z", key=b"other").is_granted
+    assert reserve(voter, b"z", key=b"other").is_granted
 
 
 def test_a_response_is_stored_whoever_the_key_was_granted_to() -> None:
     voter = seed()
-    claim(voter, b"loser")
+    reserve(voter, b"loser")
     voter.handle(1.0, None, CompleteKey(b"k", b"winner", BackendResponse(200, b"", b"w")))
-    repeat = claim(voter, b"c", 1.0)
+    repeat = reserve(voter, b"c", 1.0)
     assert repeat.response is not None and repeat.response.body == b"w"
 
 
@@ -57,25 +57,25 @@
     again.restore([(k, v) for k, v in rows.items() if v is not None], 1000.0)
     assert again.is_complete and again.voter.uid == GENESIS
     again.sweep(1065.0)
-    assert not claim(again, b"b", 1065.0).is_granted
+    assert not reserve(again, b"b", 1065.0).is_granted
     effects = again.sweep(1071.0)
-    assert effects.write == [(b"ck", None)] and claim(again, b"b", 1071.0).is_granted
+    assert effects.write == [(b"ck", None)] and reserve(again, b"b", 1071.0).is_granted
 
 
 def test_memory_is_bounded_by_refused_reservations_and_dropped_responses() -> None:
     voter = seed(memory=64 << 10)
-    verdicts = [claim(voter, b"a", key=b"%d" % n) for n in range(40)]
-    assert 10 <= sum(v.is_granted for v in verdicts) <= 20 and not verdicts[-1].is_taken
+    replies = [reserve(voter, b"a", key=b"%d" % n) for n in range(40)]
+    assert 10 <= sum(v.is_granted for v in replies) <= 20 and not replies[-1].is_taken
     for n in range(10):
         voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(4000))))
-    kept = [claim(voter, b"b", key=b"%d" % n) for n in range(10)]
+    kept = [reserve(voter, b"b", key=b"%d" % n) for n in range(10)]
     assert kept[0].response is None and kept[0].is_taken and kept[9].response is not None
 
 
 def test_reservations_are_sent_to_other_voters_in_pages_of_a_bounded_size() -> None:
     voter = seed()
     for n in range(40):
-        claim(voter, b"a", key=b"%d" % n)
+        reserve(voter, b"a", key=b"%d" % n)
         voter.handle(0.0, None, CompleteKey(b"%d" % n, b"a", BackendResponse(200, b"", bytes(60 << 10))))
     pages = voter.reservations.pages(0.0, 1)
     assert len(pages) > 3 and [p.is_last for p in pages] == [False] * (len(pages) - 1) + [True]
@@ -87,9 +87,9 @@
     voter.reservations.merge(0.0, [(b"k", StoredReservation(b"a", 2.0))])
     voter.reservations.merge(0.0, [(b"k", StoredReservation(b"b", 1.0))])
     for by in (b"a", b"b", b"c"):
-        verdict = claim(voter, by)
-        assert not verdict.is_granted and verdict.is_taken
+        reply = reserve(voter, by)
+        assert not reply.is_granted and reply.is_taken
     voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"body")))  # it had won
-    assert claim(voter, b"b", 1.0).response is not None
+    assert reserve(voter, b"b", 1.0).response is not None
     voter.reservations.merge(1.0, [(b"k", StoredReservation(b"b", 9.0))])
-    assert claim(voter, b"b", 1.0).response is not None  # an answer is the last word
+    assert reserve(voter, b"b", 1.0).response is not None  # an answer is the last word
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 import pytest
-from controlparts import exchange, seed
+from controlparts import seed, voter_change
 
 from lugspur import invariants
 from lugspur.invariants import TOLD_MOST, Invariant, check, violations
@@ -39,9 +39,9 @@
 @pytest.mark.usefixtures("told")
 def test_a_membership_that_goes_back_or_changes_two_voters_is_noticed() -> None:
     replica = seed()
-    replica.decide(0.0, exchange())
+    replica.decide(0.0, voter_change())
     assert replica.membership is not None and not violations
     voters = replica.membership.voters
     others = [voters[0], Voter("10.0.0.8", "u8", ""), Voter("10.0.0.9", "u9", "")]
-    replica.decide(0.0, exchange(Membership(3, others, voters)))
+    replica.decide(0.0, voter_change(Membership(3, others, voters)))
     assert violations == {Invariant.ONE_VOTER_AT_A_TIME: 1}
