--- a/tests/mesh/control/test_change_forwarding.py
+++ b/tests/mesh/control/test_change_forwarding.py
@@ -1,4 +1,4 @@
-"""Orders that are handed to the control node that proposes for all."""
+"""Change requests that are forwarded to the control node that proposes for all."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_configuration_size.py
+++ b/tests/mesh/control/test_configuration_size.py
@@ -1,4 +1,4 @@
-"""How large the configuration may be: what every disk takes, whoever joins."""
+"""How large the configuration may be: what every disk can store, whichever machine joins."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -1,4 +1,4 @@
-"""Promises over drawn histories; thousands of them: `python -m lugspur.emulator control`."""
+"""Guarantees over randomly drawn histories; thousands of them: `python -m lugspur.emulator control`."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -1,4 +1,4 @@
-"""Orders of events in small worlds, by the code that runs; more of them: `python -m lugspur.emulator explore`."""
+"""All orders of events in small worlds, with the code that runs; more worlds: `python -m lugspur.emulator explore`."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_freshness.py
+++ b/tests/mesh/control/test_freshness.py
@@ -1,4 +1,4 @@
-"""How old a replica's state may be, by words of voters that are dated by when they were sent."""
+"""How old a replica's state may be, by updates of voters that are dated by when they were sent."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_items.py
+++ b/tests/mesh/control/test_items.py
@@ -1,4 +1,4 @@
-"""Items of the configuration: what a call may bring, what stands, and what is read back."""
+"""Items of the configuration: which calls are accepted, conflicts with items in force, and their encoding."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_learned_pages.py
+++ b/tests/mesh/control/test_learned_pages.py
@@ -1,4 +1,4 @@
-"""Pages of what others decided take effect only once all of them are there."""
+"""Pages of decided state take effect only once all of them have arrived."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_proposer.py
+++ b/tests/mesh/control/test_proposer.py
@@ -1,4 +1,4 @@
-"""One control node's proposals: what a majority has accepted goes first, and an order ends as it stands."""
+"""One control node's proposals: accepted values are proposed again first, and how requests end."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_read_index.py
+++ b/tests/mesh/control/test_read_index.py
@@ -1,4 +1,4 @@
-"""Reads: over only once a majority knows nothing later and has accepted nothing."""
+"""Reads succeed only once a majority knows nothing later and has accepted nothing."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_register.py
+++ b/tests/mesh/control/test_register.py
@@ -1,4 +1,4 @@
-"""A voter's vote: what is on disk first, what a higher proposal ends, and state in place of history."""
+"""The register as acceptor and learner: what is synced first, what a higher proposal ends, pages of state."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_replica.py
+++ b/tests/mesh/control/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica: its vote goes with its disk, and what it must hold before it grants a key."""
+"""One replica: its vote belongs to its disk, and what it must hold before it grants a key."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_reservation_catch_up.py
+++ b/tests/mesh/control/test_reservation_catch_up.py
@@ -1,4 +1,4 @@
-"""A newcomer reads the claims of a majority of the voters before it, the one that left included."""
+"""A new voter reads the reservations of a majority of the epoch before, the voter that left included."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_reservation_client.py
+++ b/tests/mesh/control/test_reservation_client.py
@@ -1,4 +1,4 @@
-"""The claimant's side of operation keys."""
+"""A proxy's side of reservations of idempotency keys."""
 
 from __future__ import annotations
 
--- a/tests/mesh/control/test_reservation_table.py
+++ b/tests/mesh/control/test_reservation_table.py
@@ -1,4 +1,4 @@
-"""Claims of one voter: to whom a key is granted, what is kept for repeats, and the bounds."""
+"""Reservations of one voter: to whom a key is granted, what is stored for repeats, and the limits."""
 
 from __future__ import annotations
 
