--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -10,7 +10,6 @@
 from lugspur.mesh.control.change_requests import ChangeRequest
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
-from lugspur.mesh.control.learned_pages import LearnedPages
 from lugspur.mesh.control.messages import (
     Accepted,
     ChangeResult,
@@ -33,12 +32,13 @@
 from lugspur.mesh.control.read_index import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, leaves_time
 from lugspur.mesh.control.replica import UID_ROW, read_membership
-from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
+from lugspur.mesh.control_node.catching_up import CatchingUp
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
+from lugspur.mesh.control_node.disk_health import DiskHealth
 from lugspur.mesh.control_node.effect_runner import EffectRunner
 from lugspur.mesh.control_node.leases import Leases
 from lugspur.mesh.control_node.majority_contact import MajorityContact
@@ -62,8 +62,6 @@
 HANDOFF_FRACTION = 0.8  # of the time that a process has to end, for handing over its vote and its reservations...
 SHUTDOWN_FRACTION = 0.95  # ...and by which no call is waited for any more
 LAST_UPDATES_SECONDS = 0.3  # after the handover, in which subscribers hear of it
-CATCH_UP_DELAY_SECONDS = 0.05  # for which a replica waits to be sent what it lacks before it asks
-DISK_FAILURE_SECONDS = 1.0  # for which a disk may refuse writes until its vote goes to another one
 DISK_CLOSE_SECONDS = 1.0  # for which the last writes are waited for
 
 
@@ -98,23 +96,21 @@
         self.leases = Leases(self.store)
         self.announcement = Announcement(self.ip, self.store, self.next_edition, self._report)
         self.subscribers = Subscribers(self.loop, self.store, self.heartbeat_interval, self._update_since)
+        self.disk_health = DiskHealth(self.disk)
         self.effect_runner = EffectRunner(self.loop, self.disk, self.send_to)
         self.replica = restore_replica(settings, self.disk, rows, self.loop.time(), self._publish)
         self.majority_contact = MajorityContact(self.ip, self.replica, self.freshness, self.max_staleness)
-        self.decided_pages = LearnedPages()
         self.proposer = Proposer(self.replica, f"{self.ip}/{self.incarnation}", self.rng, self._disk_sizes)
         self.reader = Reader(self.replica)
         self.router = self._make_router()
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.run_effects)
-        self.catch_up = ReservationCatchUp(self.replica)
+        self.catching_up = self._make_catching_up()
         self.reconfiguration = self._make_reconfiguration()
         self.membership_changes = self._make_membership_changes()
         self.pending_changes = PendingChanges(self.ip, self.replica, self._resolve_pending)
         self.api = ControlNodeApi(self)
         self._sweep_at = 0.0
         self._published_index = self.replica.index  # the latest change that the parts above have been told of
-        self._asked_at = 0.0  # when a peer was last asked for changes that this replica lacks
-        self._disk_failing_since: float | None = None
         self._start(rows)
 
     def _make_router(self) -> ChangeRouter:
@@ -128,6 +124,15 @@
             send_to=self.send_to,
         )
 
+    def _make_catching_up(self) -> CatchingUp:
+        return CatchingUp(
+            self.loop,
+            self.replica,
+            run_effects=self.run_effects,
+            send_to=self.send_to,
+            on_complete=self.subscribers.update_soon,
+        )
+
     def _make_reconfiguration(self) -> Reconfiguration:
         bounds, tolerate = self.settings.tariffs.bounds, self.settings.tariffs.tolerate
         if not leaves_time(bounds.catch_up_s):
@@ -172,7 +177,7 @@
 
     def _link_ended(self, link: Link) -> None:
         self.subscribers.remove(link)
-        self.decided_pages.disconnected(link)
+        self.catching_up.link_ended(link)
 
     def _take_request(self, link: Link, message: Message) -> None:
         """Take a message on a connection that a peer dialled."""
@@ -189,7 +194,7 @@
         elif isinstance(message, Report):
             self.leases.report(self.loop.time(), link, message.entries)
         elif isinstance(message, Learn):
-            self._learn(link, message)
+            self.catching_up.take_changes(link, message)
         elif isinstance(message, ForwardChange):
             self.router.take_forwarded(link, message)
         elif isinstance(message, Pong):
@@ -247,40 +252,19 @@
             if has_pending:
                 self.pending_changes.found_pending(now)
         elif isinstance(message, Learn):
-            self._learn(ip, message)
+            self.catching_up.take_changes(ip, message)
         elif isinstance(message, ChangeResult):
             self.router.forwarder.receive(ip, message)
         elif isinstance(message, FetchDecided):
             self.run_effects(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
-            self._take_reservations(now, ip, message)
-
-    def _learn(self, source: Link | str, page: Learn) -> None:
-        """Take a page of decided changes; they are applied with the last page."""
-        pages = self.decided_pages.add(source, page)
-        if pages:
-            self.run_effects(self.replica.learn(self.loop.time(), pages))
-
-    def _take_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
-        """Take a page of the reservations that a voter of the epoch before has."""
-        was_complete = self.replica.is_complete
-        self.run_effects(self.catch_up.receive(now, ip, page))
-        if self.replica.is_complete and not was_complete:
-            events.info("complete", epoch=self.replica.epoch, claims=len(self.replica.reservations))
-            self.subscribers.update_soon()
+            self.catching_up.take_reservations(now, ip, message)
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Take an update of a peer; where that knows later changes, ask for them unless they come by themselves."""
         super().receive_update(now, ip, message)
         self.membership_changes.complete_for(ip, message.complete_epoch)
-        if message.decided_index > self.replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
-            self._asked_at = now
-            self.loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, message.decided_index)
-
-    def _ask_for_changes(self, ip: str, index: int) -> None:
-        """Ask a peer for the changes up to an index, unless they have come meanwhile."""
-        if self.replica.index < index:
-            self.send_to(ip, FetchDecided(self.replica.index))
+        self.catching_up.peer_knows(now, ip, message.decided_index)
 
     def merge_update(self, message: Delta) -> None:
         """Take leased entries from anybody; what is decided comes by the register alone."""
@@ -291,8 +275,7 @@
 
     def disconnected(self, dialer: Dialer) -> None:
         """A connection that this process dialled has ended: what was under way on it is taken back."""
-        self.catch_up.disconnected(dialer.ip)
-        self.decided_pages.disconnected(dialer.ip)
+        self.catching_up.disconnected(dialer.ip)
         self.membership_changes.disconnected(dialer.ip)
         super().disconnected(dialer)
         self.router.disconnected(self.loop.time(), dialer.ip)
@@ -344,8 +327,7 @@
 
     def announce(self) -> None:
         """Say what this control node is."""
-        since = self._disk_failing_since
-        is_failing = since is not None and self.loop.time() - since > DISK_FAILURE_SECONDS
+        is_failing = self.disk_health.is_failing(self.loop.time())
         uid, zone = self.replica.voter.uid, self.settings.own.zone
         self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.max_bytes))
 
@@ -376,22 +358,15 @@
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_INTERVAL_SECONDS
             self.run_effects(self.replica.sweep(now))
-            self._check_disk(now)
+            self.disk_health.check(now)
+            self.announce()
         self.router.tick(now)
         self.run_effects(self.proposer.tick(now))
         self.run_effects(self.reader.tick(now))
-        self.run_effects(self.catch_up.tick(now))
+        self.catching_up.tick(now)
         self.pending_changes.tick(now)
         self.membership_changes.tick(now)
 
-    def _check_disk(self, now: float) -> None:
-        """Announce a disk that has refused writes for a while, so that its vote goes to another one."""
-        if not self.disk.fault:
-            self._disk_failing_since = None
-        elif self._disk_failing_since is None:
-            self._disk_failing_since = now
-        self.announce()
-
     # ---- what operators see ----------------------------------------------------------------
 
     def metrics(self) -> bytes:
