--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -14,6 +14,7 @@
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.emulator.control.small_world import PAUSE, SmallWorld
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
+from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import (
     BackendResponse,
     CompleteKey,
@@ -26,7 +27,6 @@
     Voter,
 )
 from lugspur.mesh.control.quorum import majority
-from lugspur.mesh.control.replica import membership_entry
 from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
 
 VOTERS, LEAVING, NEW, FIRST = ["a", "b", "c"], "c", "d", "a"
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -12,6 +12,7 @@
 from lugspur.mesh.control.change_requests import ChangeRequest, NoQuorum, Outcome
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
+from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import (
     Delta,
     Entry,
@@ -25,7 +26,6 @@
 )
 from lugspur.mesh.control.read_index import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout
-from lugspur.mesh.control.replica import membership_entry
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
 from lugspur.mesh.control_node.catching_up import CATCH_UP_DELAY_SECONDS
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, MAX_PENDING_CALLS
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -19,6 +19,7 @@
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.effects import Effects, Peer
 from lugspur.mesh.control.items import MEMBERSHIP
+from lugspur.mesh.control.membership_entry import membership_entry, read_membership
 from lugspur.mesh.control.messages import (
     Accept,
     Change,
@@ -45,20 +46,9 @@
 UID_ROW, COMPLETE_ROW = b"muid", b"mcomplete"
 
 _pack = msgspec.msgpack.Encoder().encode
-_membership = msgspec.msgpack.Decoder(Membership)
 _epoch = msgspec.msgpack.Decoder(int)
 
 
-def membership_entry(membership: Membership) -> Entry:
-    """A membership as an entry like others: it is decided, kept and told like the configuration."""
-    return Entry(MEMBERSHIP, "", membership.epoch, _pack(membership))
-
-
-def read_membership(value: bytes) -> Membership:
-    """The membership of its entry."""
-    return _membership.decode(value)
-
-
 class Replica:
     """The state of one control node.
 
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -10,9 +10,10 @@
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
+from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import Membership
 from lugspur.mesh.control.reconfiguration import Reconfiguration
-from lugspur.mesh.control.replica import Replica, membership_entry
+from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.control.voter_membership import Presence
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -10,6 +10,7 @@
 from lugspur.mesh.control.change_requests import ChangeRequest
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.items import LEASED_KINDS, MEMBERSHIP
+from lugspur.mesh.control.membership_entry import read_membership
 from lugspur.mesh.control.messages import (
     Accepted,
     ChangeResult,
@@ -31,7 +32,7 @@
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.read_index import Reader
 from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, leaves_time
-from lugspur.mesh.control.replica import UID_ROW, read_membership
+from lugspur.mesh.control.replica import UID_ROW
 from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
 from lugspur.mesh.control_node.announcement import Announcement
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -11,8 +11,8 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import MEMBERSHIP, RESERVED_KINDS
+from lugspur.mesh.control.membership_entry import read_membership
 from lugspur.mesh.control.messages import Delta, Entry, Hello, Membership, Message, Pong, Report, Subscribe
-from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.settings_watcher import SettingsWatcher
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -15,9 +15,10 @@
 
 from lugspur.mesh.control import items
 from lugspur.mesh.control.errors import ErrorKind, MeshError
+from lugspur.mesh.control.membership_entry import read_membership
 from lugspur.mesh.control.messages import Item, Membership, StoredReservation
 from lugspur.mesh.control.register import INDEX_ROW, ITEM_PREFIX, VOTE_ROW, AcceptorState, item_row
-from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW, read_membership
+from lugspur.mesh.control.replica import COMPLETE_ROW, UID_ROW
 from lugspur.mesh.control.reservation_table import RESERVATION_PREFIX
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.storage.disk import DIRECTORY_NAME
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from lugspur.mesh.control.effects import Effects
+from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import (
     Accepted,
     Change,
@@ -15,7 +16,7 @@
     ReserveKeyReply,
     Voter,
 )
-from lugspur.mesh.control.replica import GENESIS, Replica, membership_entry
+from lugspur.mesh.control.replica import GENESIS, Replica
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 NEW = "10.0.0.4"
--- a/tests/mesh/test_proposer.py
+++ b/tests/mesh/test_proposer.py
@@ -11,6 +11,7 @@
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.items import read_changes
+from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import (
     Accept,
     Accepted,
@@ -23,7 +24,6 @@
     ProposalNumber,
 )
 from lugspur.mesh.control.proposer import MAX_CATCH_UPS_PER_VOTER, ROUND_TIMEOUT_SECONDS, Proposer
-from lugspur.mesh.control.replica import membership_entry
 
 A, B, C = IPS
 
--- a/tests/mesh/test_replica.py
+++ b/tests/mesh/test_replica.py
@@ -4,6 +4,7 @@
 
 from controlparts import FIRST, IPS, NEW, NEXT, SEEDS, claim, exchange, item, only, replica, seed
 
+from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import (
     Accept,
     Change,
@@ -15,7 +16,7 @@
     ReservationsPage,
     ReserveKeyReply,
 )
-from lugspur.mesh.control.replica import COMPLETE_ROW, membership_entry
+from lugspur.mesh.control.replica import COMPLETE_ROW
 
 BALLOT = ProposalNumber(1, "a")
 
