--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -45,18 +45,18 @@
         if self._pause_detector.is_stale(now):
             raise MeshError(ErrorKind.NO_QUORUM, "this process has stood still")
 
-    def submit(self, now: float, order: ChangeRequest) -> None:
+    def submit(self, now: float, request: ChangeRequest) -> None:
         """Propose a change, or forward it to the preferred proposer."""
         proposer_ip = self._preferred_proposer(now)
         if proposer_ip == self._ip:
-            self._propose(now, order)
+            self._propose(now, request)
         else:
-            self._send_to(proposer_ip, self.forwarder.forward(now, proposer_ip, order))
+            self._send_to(proposer_ip, self.forwarder.forward(now, proposer_ip, request))
 
-    def withdraw(self, order: ChangeRequest) -> None:
+    def withdraw(self, request: ChangeRequest) -> None:
         """Nobody waits for a change any more: it is not proposed if it has not been."""
-        self._proposer.withdraw(order)
-        self.forwarder.withdraw(order)
+        self._proposer.withdraw(request)
+        self.forwarder.withdraw(request)
 
     def take_forwarded(self, link: Link, message: ForwardChange) -> None:
         """Propose a change that another control node has forwarded, and send it the result."""
@@ -81,9 +81,9 @@
         """Propose here what other control nodes have not answered in time."""
         self._propose_all(now, self.forwarder.overdue(now))
 
-    def _propose_all(self, now: float, orders: list[ChangeRequest]) -> None:
-        for order in orders:
-            self._propose(now, order)
+    def _propose_all(self, now: float, requests: list[ChangeRequest]) -> None:
+        for request in requests:
+            self._propose(now, request)
 
-    def _propose(self, now: float, order: ChangeRequest) -> None:
-        self._run_effects(self._proposer.submit(now, order))
+    def _propose(self, now: float, request: ChangeRequest) -> None:
+        self._run_effects(self._proposer.submit(now, request))
--- a/lugspur/mesh/control_node/majority_contact.py
+++ b/lugspur/mesh/control_node/majority_contact.py
@@ -27,7 +27,7 @@
     def preferred_proposer(self, now: float) -> str:
         """The IP number of the control node that proposes for all: the first voter that is heard from, or this one.
 
-        A control node that is cut off forwards nothing: it is to confirm and refuse nothing by another's word.
+        A control node that is cut off forwards nothing: it is to confirm and reject nothing by what another one says.
         """
         membership = self._replica.membership
         if self.age(now) > self._max_staleness:
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -42,7 +42,7 @@
         pause_detector: PauseDetector,
         propose: Callable[[float, ChangeRequest], None],
     ) -> None:
-        """`max_staleness`: the age in seconds of a voter's latest update from which on it tells nothing any more."""
+        """`max_staleness`: the age in seconds of a voter's latest update from which on it is not relied on."""
         self._ip, self._replica, self._reconfiguration, self._store = ip, replica, reconfiguration, store
         self._freshness, self._max_staleness = freshness, max_staleness
         self._pause_detector, self._propose = pause_detector, propose
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -1,4 +1,4 @@
-"""What a control node tells of itself in figures."""
+"""The metrics of a control node."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ControlParts(Protocol):
-    """The parts of a control node that figures are read from."""
+    """The parts of a control node that metrics are read from."""
 
     loop: asyncio.AbstractEventLoop
     replica: Replica
@@ -31,11 +31,11 @@
 
     @property
     def subscribers(self) -> Sized:
-        """Processes that follow this one's news."""
+        """Processes that are sent updates."""
 
 
 def control_node_metrics(node: ControlParts) -> list[Figure]:
-    """All figures of one control node at this moment."""
+    """All metrics of one control node at this moment."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
         counters("orders_total", "Operators' changes, by how they ended.", "how", calls.changes),
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -43,14 +43,14 @@
         now = self._loop.time()
         entries = items.read_changes(request.body)
         self._router.check_admission(now)
-        order = ChangeRequest(
+        change = ChangeRequest(
             entries,
             now + DECISION_TIMEOUT_SECONDS,
             lambda outcome: self._amended(caller, len(request.body), outcome),
         )
-        caller.gone = lambda: self._amend_abandoned(caller, order)
+        caller.gone = lambda: self._amend_abandoned(caller, change)
         self.waiting.add(caller)
-        self._router.submit(now, order)
+        self._router.submit(now, change)
 
     def _amended(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
         is_waiting = caller in self.waiting
@@ -65,10 +65,10 @@
         else:
             fail(caller, fault)
 
-    def _amend_abandoned(self, caller: Answerable, order: ChangeRequest) -> None:
+    def _amend_abandoned(self, caller: Answerable, change: ChangeRequest) -> None:
         """The caller has left, and may have been refused elsewhere meanwhile: the change is not proposed any more."""
         self.waiting.discard(caller)
-        self._router.withdraw(order)
+        self._router.withdraw(change)
 
     def read(self, _request: Request, caller: Answerable, _: list[str]) -> None:
         """Read the configuration; the caller is answered once a majority has confirmed that it is the latest."""
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -111,7 +111,7 @@
         self.pending_changes = PendingChanges(self.ip, self.replica, self._resolve_pending)
         self.api = ControlNodeApi(self)
         self._sweep_at = 0.0
-        self._published_index = self.replica.index  # the latest change that the parts above have been told of
+        self._published_index = self.replica.index  # the latest change that the parts above have been notified of
         self._start(rows)
 
     def _make_router(self) -> ChangeRouter:
@@ -211,7 +211,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        """Tell whoever waits for it that the replica knows of further changes."""
+        """Notify the parts that wait for it that the replica knows of further changes."""
         if self._published_index == self.replica.index:
             return
         self._published_index = self.configuration_index = self.replica.index
@@ -236,7 +236,7 @@
         self.store.merge(entries)
         self.store.forget(forgotten)
 
-    # ---- what peers say --------------------------------------------------------------------
+    # ---- messages of peers -----------------------------------------------------------------
 
     def receive(self, ip: str, message: Message) -> None:
         """Take a message of a peer that this process dialled, or of its own replica."""
@@ -294,7 +294,7 @@
             found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
         return found
 
-    # ---- what peers are told ---------------------------------------------------------------
+    # ---- updates and announcements ---------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
         """Whether this process subscribes to that peer's updates: a control node follows all."""
@@ -343,8 +343,8 @@
 
     # ---- changes ---------------------------------------------------------------------------
 
-    def _propose(self, now: float, order: ChangeRequest) -> None:
-        self.run_effects(self.proposer.submit(now, order))
+    def _propose(self, now: float, request: ChangeRequest) -> None:
+        self.run_effects(self.proposer.submit(now, request))
 
     def _resolve_pending(self, now: float) -> None:
         self.run_effects(self.proposer.resolve_pending(now))
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -15,7 +15,7 @@
 def control_node_status(
     own: Own, replica: Replica, store: Store, disk: Disk, *, ip: str, age: float, voters_wanted: int, subscribers: int
 ) -> dict[str, Any]:
-    """The fields of /mesh/status; `age`: seconds since word of a majority."""
+    """The fields of /mesh/status; `age`: seconds since the latest contact with a majority."""
     kinds = {kind: len(store.values_of(kind)) for kind in sorted({e.kind for e in store.all()})}
     return {
         "node": own.node_name,
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -51,7 +51,7 @@
         self._subscribers.pop(link, None)
 
     def acknowledged(self, link: Link, pong: Pong) -> None:
-        """A subscriber has acknowledged an update; the next one tells it so."""
+        """A subscriber has acknowledged an update; the next update echoes that."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
             subscriber.echo = pong.sent_at
@@ -78,7 +78,7 @@
 
     def _update(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
-        # What was forgotten meanwhile is in no list of changes: only a snapshot tells of it.
+        # What was forgotten meanwhile is in no list of changes: only a snapshot shows it.
         after = subscriber.sequence if subscriber.sequence >= self._store.forgotten_sequence else 0
         subscriber.sequence = self._store.latest_sequence
         subscriber.updated_at = now
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -14,7 +14,7 @@
 
 JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 # Bytes of a call's body: the whole configuration comes in one, 20,000 items of 800 bytes. Three of them have to fit
-# into what a connection between two processes may hold unsent: an order goes to each voter, and may be proposed again.
+# into what a connection between two processes may hold unsent: a change goes to each voter, and may be proposed again.
 MAX_CALL_BYTES = 16 << 20
 MAX_CALLERS = 256  # connections at one address
 #: Handles a call; it is given the segments of the path that `*` stood for, and may raise MeshError.
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -23,7 +23,7 @@
 HEARTBEAT_FRACTION = 1 / 8  # of `edition_ms`: how often an update says that nothing has changed
 STALENESS_FRACTION = 0.4  # of `edition_ms`: the age of updates from which on they are sought elsewhere
 MAX_MISSED_HEARTBEATS = 4.0  # until a peer that no longer hears of this process counts as cut off from it
-MAX_AGE_SECONDS = 1e6  # of what is known, in what others are told: more means that nothing is known
+MAX_AGE_SECONDS = 1e6  # of what is known, in updates, status and metrics: more means that nothing is known
 SETTINGS_CHECK_SECONDS = 1.0  # between two looks at whether the settings file has changed
 
 
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -16,7 +16,7 @@
 DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
 MAX_PORT = 65535
 POSITIVE_BOUNDS = ("edition_ms", "stamp_window_s", "grace_s", "retry_window_s")  # periods that can't be 0
-Number = float | int  # TOML tells 1 from 1.0, operators need not
+Number = float | int  # TOML distinguishes 1 and 1.0, operators need not
 
 
 @dataclass(slots=True, frozen=True)
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -1,4 +1,4 @@
-"""The backends of all machines, as the leased entries of the mesh tell of them."""
+"""The backends of all machines, by the leased entries of the mesh."""
 
 from __future__ import annotations
 
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -1,4 +1,4 @@
-"""What a proxy's process tells of itself in figures, and of a failed request in its log."""
+"""The metrics of a proxy, and the line of its log for a failed request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SidecarParts(Protocol):
-    """The parts of a proxy's process that figures are read from."""
+    """The parts of a proxy's process that metrics are read from."""
 
     loop: asyncio.AbstractEventLoop
     limiter: ConcurrencyLimiter
@@ -44,7 +44,7 @@
 
 
 def sidecar_metrics(sidecar: SidecarParts) -> list[Figure]:
-    """All figures of one proxy at this moment."""
+    """All metrics of one proxy at this moment."""
     now, limiter, proxy, front = sidecar.loop.time(), sidecar.limiter, sidecar.proxy, sidecar.front
     state = sidecar.configuration_state()
     causes = {cause.label: float(count) for cause, count in limiter.causes.items()}
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -225,7 +225,7 @@
         return ip == self.update_source.ip
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
-        """The leased entry that tells of this machine's backend."""
+        """The leased entry of this machine's backend."""
         return self.registration.own_entries(renew=renew)
 
     def report(self) -> None:
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -1,4 +1,4 @@
-"""A proxy's registration of its machine's backend: heartbeats, sign-off, silence, and what the mesh is told of it."""
+"""A proxy's registration of its machine's backend: heartbeats, sign-off, silence, and its entry in the mesh."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 class BackendRegistration:
-    """The present incarnation of this machine's backend, and the leased entry that tells the mesh of it."""
+    """The present incarnation of this machine's backend, and its leased entry."""
 
     def __init__(
         self,
@@ -154,10 +154,10 @@
         events.info("backend-down", id=local.id)
         self.publish()
 
-    # ---- what the mesh is told -------------------------------------------------------------
+    # ---- the entry of the backend ----------------------------------------------------------
 
     def publish(self) -> None:
-        """Tell the mesh how this machine's backend is, where that has changed."""
+        """Announce the status of this machine's backend to the mesh, where that has changed."""
         local = self._limiter.local
         if local is None:
             return
@@ -195,7 +195,7 @@
         self._process.store.merge([self.announced])
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
-        """The entry that tells of the backend; `renew`: for another peer, under a new edition."""
+        """The entry of the backend; `renew`: for another peer, under a new edition."""
         now = self._process.loop.time()
         # Guards subscribers against a fleet that seeks sources all the time while the voters are unsettled: under the
         # same edition it is no update. The former source may drop the entry when its lease ends there, and is then
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -195,7 +195,7 @@
         while not self._is_closing:
             with self._wake:
                 self._wake.wait(REOPEN_DELAY_SECONDS)
-                # Guards memory and the promise: what came meanwhile is not on disk, and nobody is told that it is.
+                # Guards memory and the promise: what came meanwhile is not on disk, and nobody is notified.
                 self._keep_unwritten(self._pending_rows)
                 self._pending_rows, self._pending_callbacks = [], []
             try:
@@ -208,5 +208,5 @@
     def _call_in_loop(self, callback: Callable[[], None]) -> None:
         try:
             self._loop.call_soon_threadsafe(callback)
-        except RuntimeError:  # the loop has ended: nobody is to be told
+        except RuntimeError:  # the loop has ended: nobody is to be notified
             return
