--- /dev/null
+++ b/lugspur/bench/upgrade/judgement.py
@@ -0,0 +1,71 @@
+"""Judges what was seen of one direction: the history, the logs and the data directories."""
+
+from __future__ import annotations
+
+import re
+import subprocess
+import sys
+from collections import Counter
+
+from lugspur.bench.faults.checker import check
+from lugspur.bench.faults.cluster import Cluster
+from lugspur.bench.upgrade.plan import Builds, Outcome
+
+DIRECTORY_CHECK_SECONDS = 30.0  # for one run of `replica check`
+UNDECODABLE_FINDING = "message or disk that could not be decoded"
+# What a process writes where a message of a peer, or what lies on its disk, is not of a form that it knows.
+UNDECODABLE = re.compile(r"event=(?:frame|set-aside)\b.*|.*\b(?:DecodeError|ValidationError)\b.*")
+
+
+def judge(outcome: Outcome, cluster: Cluster) -> None:
+    """Add to the verdict what was done, and all that must not be: by the history and by the processes' logs."""
+    verdict = outcome.verdict
+    for violation in check(outcome.history, cluster.bounds):
+        verdict.add(violation.rule.value, f"{violation.subject} {violation.detail} {violation.where}")
+    verdict.read_logs(cluster.folder)
+    for path in sorted(cluster.folder.glob("*.log")):
+        lines = Counter(UNDECODABLE.findall(path.read_text(errors="replace")))
+        for line, times in lines.items():
+            verdict.add(UNDECODABLE_FINDING, f"at {path.stem}, {times} times: {line}")
+    _count_changes(outcome)
+    _count_requests(outcome, cluster)
+    for what, count in verdict.done.items():
+        if count == 0:  # Guards the verdict against a run in which nothing could go wrong.
+            verdict.add("nothing was done", what)
+
+
+def _count_changes(outcome: Outcome) -> None:
+    """Count the changes that were confirmed; `while mixed`: between the first and the last replacement."""
+    since, until = outcome.mixed_span()
+    confirmed = [sent for sent in outcome.history.tries if sent.confirmed]
+    mixed = [sent for sent in confirmed if since <= sent.began <= until]
+    outcome.verdict.done["changes confirmed"] = len({sent.order.ident for sent in confirmed})
+    outcome.verdict.done["changes confirmed while mixed"] = len({sent.order.ident for sent in mixed})
+
+
+def _count_requests(outcome: Outcome, cluster: Cluster) -> None:
+    """Count the requests and keyed operations that were served, and those of each proxy once it was replaced."""
+    since, until = outcome.mixed_span()
+    done = outcome.verdict.done
+    served = [call for call in outcome.history.calls if call.status == 200]
+    keyed = [call for call in served if call.key]
+    done["requests served"] = len(served)
+    done["keyed operations served"] = len({call.key for call in keyed})
+    done["keyed operations served while mixed"] = len({call.key for call in keyed if since <= call.began <= until})
+    for replaced in outcome.replacements:
+        if replaced.ip in cluster.proxy_ips:
+            after = [call for call in served if call.sidecar == replaced.ip and call.began >= replaced.useful_at]
+            done[f"requests served by {replaced.ip} once replaced"] = len(after)
+
+
+def check_data_directories(outcome: Outcome, cluster: Cluster, builds: Builds) -> None:
+    """Have both builds read the data directory of every control node; no process may run on it."""
+    for root in (builds.former, builds.present):
+        for ip in cluster.control:
+            command = [sys.executable, "-m", "lugspur.mesh", "replica", "check", str(cluster.folder / ip)]
+            checked = subprocess.run(
+                command, cwd=root, capture_output=True, check=False, timeout=DIRECTORY_CHECK_SECONDS
+            )
+            if checked.returncode != 0:
+                output = (checked.stdout + checked.stderr).decode(errors="replace").strip()
+                outcome.verdict.add("data directory that a build cannot read", f"{ip}: {output}")
--- a/tests/mesh/test_upgrade.py
+++ b/tests/mesh/test_upgrade.py
@@ -7,9 +7,13 @@
 
 import pytest
 
-from lugspur.bench import upgrade
 from lugspur.bench.revisions import BEFORE_RENAMES, RevisionError, extract_build
-from lugspur.bench.upgrade import Builds, Direction, Outcome, Plan, play, table
+from lugspur.bench.upgrade import __main__ as command
+from lugspur.bench.upgrade import run
+from lugspur.bench.upgrade.judgement import UNDECODABLE_FINDING
+from lugspur.bench.upgrade.plan import Builds, Direction, Outcome, Plan
+from lugspur.bench.upgrade.report import table
+from lugspur.bench.upgrade.run import play
 
 SHORT = Plan(seed=1, pause_seconds=0.3)
 
@@ -37,13 +41,13 @@
     tmp_path: Path, former: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The former build numbers one message differently, so that the two cannot read each other's."""
-    monkeypatch.setattr(upgrade, "USEFUL_WITHIN_SECONDS", 2.0)
+    monkeypatch.setattr(run, "USEFUL_WITHIN_SECONDS", 2.0)
     messages = former / "lugspur" / "control" / "messages.py"
     text = messages.read_text()
     assert "class Learn(msgspec.Struct, tag=24," in text
     messages.write_text(text.replace("class Learn(msgspec.Struct, tag=24,", "class Learn(msgspec.Struct, tag=44,"))
     outcome = asyncio.run(play(tmp_path, Builds(former=former), Direction.UPGRADE, SHORT))
-    details = [detail for kind, detail in outcome.verdict.findings if kind == upgrade.UNDECODABLE_FINDING]
+    details = [detail for kind, detail in outcome.verdict.findings if kind == UNDECODABLE_FINDING]
     assert any("Invalid value 24" in detail or "Invalid value 44" in detail for detail in details), details
 
 
@@ -54,7 +58,7 @@
     with pytest.raises(RevisionError) as raised:
         extract_build(revision, tmp_path)
     assert raised.value.revision == revision
-    assert upgrade.main([f"--from={revision}"]) == 2
+    assert command.main([f"--from={revision}"]) == 2
     told = capsys.readouterr()
     assert told.out == "" and len(told.err.splitlines()) == 1 and "shallow clone" in told.err
 
@@ -71,10 +75,10 @@
             outcome.verdict.add("ran twice", "k7")
         return outcome
 
-    monkeypatch.setattr(upgrade, "play", found)
-    assert upgrade.main(["--from", BEFORE_RENAMES]) == 1
+    monkeypatch.setattr(command, "play", found)
+    assert command.main(["--from", BEFORE_RENAMES]) == 1
     lines = capsys.readouterr().out.splitlines()
     assert [line.split(" | ")[0] for line in lines[2:4]] == ["| former to present", "| present to former"]
     assert lines[4:] == ["FOUND present to former: ran twice: k7"]
     spoilt.clear()
-    assert upgrade.main(["--from", BEFORE_RENAMES]) == 0
+    assert command.main(["--from", BEFORE_RENAMES]) == 0
