--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -26,7 +26,7 @@
 from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
-from lugspur.mesh.sidecar.request_outcomes import RequestOutcomes
+from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
 from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
@@ -51,28 +51,30 @@
 
 
 def _send_again_whatever_ran(self: ProxiedRequest, now: float) -> bool:
-    if self.out:
+    attempts = self.attempts
+    if attempts.in_flight:
         return True
-    if self.rounds >= proxied_request.ROUNDS or now >= self.deadline or self.sends >= self.route.max_attempts:
+    if attempts.rejections >= proxied_request.MAX_REJECTIONS or now >= self.deadline:
         return False
-    self.maybe = False
-    return self._go(now, True)
+    if attempts.offered >= self.route.max_attempts:
+        return False
+    attempts.may_have_run = False
+    return self._send(now, True)
 
 
 def _release_without_proof(self: ProxiedRequest) -> None:
-    if self.won:
-        self.won = False
-        self.proxy.keys.release(self.key, self.reservation_id)
+    if self.reservation.is_held:
+        self.reservation.release()
 
 
-def _run_without_claim(self: ProxiedRequest, how: Any) -> None:
-    self.won = True
-    if not self.over:
-        self._go(self.proxy.loop.time())
+def _run_without_claim(self: ProxiedRequest, outcome: Any) -> None:
+    self.reservation.is_held = True
+    if not self.is_finished:
+        self._send(self.proxy.loop.time())
 
 
 def _takes_any_life(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
-    return self.local is not None and not self.leaving and not self.local.is_unreachable
+    return self.local_backend is not None and not self.is_shutting_down and not self.local_backend.is_unreachable
 
 
 def _takes_whatever_waits(self: ConcurrencyLimiter, now: float, admitted: Any) -> bool:
@@ -83,7 +85,7 @@
     return False
 
 
-_heard = Freshness.heard
+_heard = Freshness.receive
 
 
 def _count_words_of_the_deaf(self: Freshness, now: float, ip: str, delta: Delta) -> float:
@@ -91,7 +93,9 @@
     return _heard(self, now, ip, delta)
 
 
-def _any_life_is_present(self: BackendIncarnations, now: float, ident: str, sequence: int, silent: bool) -> bool:
+def _any_incarnation_is_present(
+    self: BackendIncarnations, now: float, ident: str, sequence: int, has_ended: bool
+) -> bool:
     return True
 
 
@@ -107,19 +111,19 @@
     return False
 
 
-def _all_is_proven(self: RequestOutcomes, life: str, number: int) -> bool:
+def _all_is_proven(self: UnrunRequests, life: str, number: int) -> bool:
     return True
 
 
 def _no_closing(self: ConcurrencyLimiter, now: float, backend: str) -> bool:
-    local: LocalBackend | None = self.local
-    return local is not None and local.id == backend and not self.leaving and not local.is_unreachable
+    local: LocalBackend | None = self.local_backend
+    return local is not None and local.id == backend and not self.is_shutting_down and not local.is_unreachable
 
 
 DATA_PLANE = [
-    SoakGuard("what may have run is not sent again", ProxiedRequest, "_again", _send_again_whatever_ran),
+    SoakGuard("what may have run is not sent again", ProxiedRequest, "_retry", _send_again_whatever_ran),
     SoakGuard("a claim is given back with proof alone", ProxiedRequest, "_release_unrun", _release_without_proof),
-    SoakGuard("an operation runs only once its key is won", ProxiedRequest, "_claimed", _run_without_claim),
+    SoakGuard("an operation runs only once its key is won", ProxiedRequest, "_reservation_ended", _run_without_claim),
     SoakGuard("a request runs at the life that it names", ConcurrencyLimiter, "accepts", _takes_any_life),
     SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
     SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
@@ -127,9 +131,9 @@
     SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
-    SoakGuard("only what never came is proven so", RequestOutcomes, "proven_unrun", _all_is_proven),
-    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_life_is_present),
-    SoakGuard("a voter's word counts only while it hears us", Freshness, "heard", _count_words_of_the_deaf),
+    SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
+    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_incarnation_is_present),
+    SoakGuard("a voter's word counts only while it hears us", Freshness, "receive", _count_words_of_the_deaf),
 ]
 
 GUARDS = [
--- a/lugspur/daemon/persistence/snapshot_format.py
+++ b/lugspur/daemon/persistence/snapshot_format.py
@@ -1,7 +1,8 @@
-"""The file's form: lines in, lines out, all of it or nothing. No I/O.
+"""The format of a snapshot file, of which a reader accepts all or nothing. No I/O.
 
-A line that names the form, one line of JSON for each fact, and a last line with the SHA-256 of all before it and the
-count of lines: what is cut, mixed or flipped anywhere can't pass for whole.
+The first line names the format, its version and the time of writing. Each further line is a record, a JSON array of its
+kind, the name of its pool and a value. The last line holds the SHA-256 of all lines before it and their number, so that
+a file that was cut, mixed with another or changed in any bit is rejected.
 """
 
 from __future__ import annotations
@@ -19,81 +20,81 @@
 
 MAGIC = b"lugspur state"
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 64 << 20  # bytes: 10,000 backends with full windows take some 8 MB
-MAX_BACKENDS = 50_000  # of all pools together, so that what is written can be read again
+MAX_FILE_BYTES = 64 << 20  # 10,000 backends with full windows need about 8 MB.
+MAX_BACKENDS = 50_000  # of all pools together, so that a file that was written can be read again
 
 
 class UnreadableSnapshotError(Exception):
-    """The file is none that this program can use, and why."""
+    """The file can't be used by this program; the text says why."""
 
 
 @dataclass(slots=True)
 class PoolSnapshot:
-    """What was kept of one pool."""
+    """One pool in a snapshot: its list of endpoints and its learned state."""
 
-    captured_at: float  # the time of its lists when it was asked
+    captured_at: float  # by the clock that the times in the learned state are of
     endpoints: list[Endpoint] = field(default_factory=list)
     learned: Learned | None = None
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """What a file says."""
+    """All that a file holds."""
 
-    written_at: float  # the wall clock's time
+    written_at: float  # by the wall clock, in seconds since the epoch
     pools: dict[str, PoolSnapshot]
 
 
 def encode_record(kind: str, pool: str, value: object) -> bytes:
-    """One line."""
+    """Encode one record as a line."""
     return orjson.dumps([kind, pool, value]) + b"\n"
 
 
-def encode_snapshot(written_at: float, facts: Iterable[bytes]) -> bytes:
-    """A whole file."""
-    lines = [b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, written_at), *facts]
+def encode_snapshot(written_at: float, records: Iterable[bytes]) -> bytes:
+    """Join records to a complete file."""
+    lines = [b"%b %d %.3f\n" % (MAGIC, FORMAT_VERSION, written_at), *records]
     text = b"".join(lines)
     count = text.count(b"\n")
     return text + b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), count)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """What a file says; raises Unreadable."""
+    """Decode a complete file. Raises UnreadableSnapshotError."""
     first, _, _ = data.partition(b"\n")
-    form, _, rest = first.rpartition(b" ")
-    form, _, version = form.rpartition(b" ")
-    if form != MAGIC:
+    magic, _, written_at = first.rpartition(b" ")
+    magic, _, version = magic.rpartition(b" ")
+    if magic != MAGIC:
         raise UnreadableSnapshotError("it is no state file")
-    if version != b"%d" % FORMAT_VERSION:  # before the checksum: another version may have another one
+    if version != b"%d" % FORMAT_VERSION:  # checked before the checksum, which may differ in another version
         raise UnreadableSnapshotError(
             f"it is of version {version[:9].decode('latin-1')}, and this program reads {FORMAT_VERSION}"
         )
-    at = data.rfind(b"\nend ", 0, -1) + 1
-    text, end = data[:at], data[at:]
-    if end != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
+    end_at = data.rfind(b"\nend ", 0, -1) + 1
+    text, last_line = data[:end_at], data[end_at:]
+    if last_line != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
         raise UnreadableSnapshotError("its checksum does not fit: it is cut or changed")
     try:
-        return Snapshot(state_codec.finite_number(rest), _pools(text.splitlines()[1:]))
-    except state_codec.DECODE_ERRORS as fault:  # well written, and yet it makes no sense
-        raise UnreadableSnapshotError(f"it makes no sense: {fault!r:.200}") from fault
+        return Snapshot(state_codec.finite_number(written_at), _decode_records(text.splitlines()[1:]))
+    except state_codec.DECODE_ERRORS as error:  # The checksum fits, but the values do not.
+        raise UnreadableSnapshotError(f"it makes no sense: {error!r:.200}") from error
 
 
-def _pools(lines: Sequence[bytes]) -> dict[str, PoolSnapshot]:
-    found: dict[str, PoolSnapshot] = {}
-    tiers: dict[str, dict[str, Any]] = {}
-    servers: dict[str, list[dict[str, Any]]] = {}
+def _decode_records(lines: Sequence[bytes]) -> dict[str, PoolSnapshot]:
+    pools: dict[str, PoolSnapshot] = {}
+    learned_pools: dict[str, dict[str, Any]] = {}
+    learned_servers: dict[str, list[dict[str, Any]]] = {}
     for line in lines:
         kind, name, value = orjson.loads(line)
         if kind == "pool":
-            found[name] = PoolSnapshot(state_codec.finite_number(value["at"]))
+            pools[name] = PoolSnapshot(state_codec.finite_number(value["at"]))
         elif kind == "backend":
-            found[name].endpoints.append(state_codec.decode_endpoint(value))
+            pools[name].endpoints.append(state_codec.decode_endpoint(value))
         elif kind == "learned":
-            servers.setdefault(name, []).append(value)
+            learned_servers.setdefault(name, []).append(value)
         elif kind == "tier":
-            tiers[name] = value
+            learned_pools[name] = value
         else:
             raise ValueError(f"an unknown fact {kind!r}")
-    for name, tier in tiers.items():
-        found[name].learned = state_codec.decode_learned(tier, servers.get(name, []))
-    return found
+    for name, learned in learned_pools.items():
+        pools[name].learned = state_codec.decode_learned(learned, learned_servers.get(name, []))
+    return pools
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -13,9 +13,9 @@
 from lugspur.daemon.pool import Call, Facts, Pool
 from lugspur.daemon.service_figures import service_figures
 from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
-from lugspur.discovery import watch
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.maintenance import Maintenance
+from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
@@ -95,7 +95,7 @@
         connections.flow_most = int(FLOW_PART * config.memory)
         self.front = Front(config.listen, callers, config.memory, self._request)
         self._reader = reader = EndpointReader(config.zones, config.types)
-        self._discovery = watch.Discovery(
+        self._discovery = PlatformWatch(
             config.discovery, reader, config.known["index"] if inherited is None else inherited.index, self._told
         )
         # One epoch for good: the list's times are comparable, and steps of the system's clock do no harm.
@@ -107,7 +107,7 @@
         self.pool.streams = True
         self.pool.members(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, known))
         if inherited is not None:
-            self.pool.balancer.recall(self.pool.now(), inherited.learned)
+            self.pool.balancer.import_learned(self.pool.now(), inherited.learned)
             self._peer_request_ids.update(inherited.open)
             for server, at in inherited.bans.floors.items():
                 if self.pool.now() - at < BACK_LATELY:
@@ -134,7 +134,7 @@
         self.wire, self._tenants = config.wire, config.tenants
         self._reader.set_names(config.zones, config.types)
         self.pool.upstream.retime(config.conn_idle, config.dial_timeout)
-        self._discovery.move(config.discovery)
+        self._discovery.change_address(config.discovery)
 
     def _settle(self) -> None:
         settings = self._terms.settle(self._loop.time())
@@ -176,7 +176,7 @@
             self.maintenance.save(),
             self.front.drained_at is not None,
             [*self._open, *self._peer_request_ids],
-            self.pool.balancer.learned(),
+            self.pool.balancer.export_learned(),
         )
 
     def accept_transferred_list(self) -> None:
@@ -212,7 +212,7 @@
 
         Both share one budget of sockets and one of requests to cold backends.
         """
-        self.pool.balancer.retire(on)
+        self.pool.balancer.set_superseded(on)
         self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
 
     def attach_peers(self, peers: PeerProcesses) -> None:
--- a/lugspur/load_balancing/decide.py
+++ b/lugspur/load_balancing/decide.py
@@ -23,8 +23,7 @@
     ROOM_LEAST,
     SHARE_SPAN,
 )
-from lugspur.load_balancing.breaker import Breaker
-from lugspur.load_balancing.budget import EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN, Budget
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
@@ -49,6 +48,12 @@
     Subscribe,
 )
 from lugspur.load_balancing.pick import Picker
+from lugspur.load_balancing.retry_budget import (
+    DEFAULT_MINIMUM_RETRIES,
+    DEFAULT_RETRY_RATIO,
+    DEFAULT_WINDOW_SECONDS,
+    RetryBudget,
+)
 from lugspur.load_balancing.servers import Attempt, Pool, Request, Server
 
 BACK_FROM, BACK_TO = 0.5, 3.0  # seconds after operators put a server back: its first call is due then
@@ -81,9 +86,9 @@
         self.pooled = 0.0  # current latency of the tier
         self.requests: dict[RequestId, Request] = {}
         rules = settings.rules
-        self.budget = Budget(EXTRA_FREE, EXTRA_SHARE, EXTRA_SPAN)
+        self.budget = RetryBudget(DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS)
         if rules.retry_budget_window > 0.0:
-            self.budget = Budget(
+            self.budget = RetryBudget(
                 rules.retry_budget_minimum, rules.retry_budget_ratio, rules.retry_budget_window
             )
         self.asking = False
@@ -99,7 +104,7 @@
         self.retired = False  # another goes on in its place
         self.back: dict[Server, float] = {}  # put back, and when a call is due where none has come
 
-    def adopt(self, now: float, settings: Settings) -> None:
+    def change_settings(self, now: float, settings: Settings) -> None:
         """Go on by other settings, keep what was learned of servers; raises ValueError and changes nothing.
 
         Guards requests that are open: each is judged by the class that it began with, so that one must stand
@@ -126,12 +131,12 @@
         self.shares, self.due, self.due_at = fresh.shares, fresh.due, fresh.due_at
         self.room, self.accept_worth = fresh.room, fresh.accept_worth
         self.lengths, self.usual = fresh.lengths, fresh.usual
-        self.budget.adopt(fresh.budget)
+        self.budget.use_limits_of(fresh.budget)
         self._arrange(now)
 
     # ---- going on in another's place -------------------------------------------------------
 
-    def learned(self, among: Sequence[ServerId] | None = None) -> Learned:
+    def export_learned(self, among: Sequence[ServerId] | None = None) -> Learned:
         """What was learned, but for requests: they end where they began. `among`: of these servers alone."""
         if among is None:
             among = tuple(self.servers)
@@ -147,15 +152,15 @@
                     s.down_until,
                     s.cold_credit,
                     s.cold_seen,
-                    s.breaker.save() if s.breaker is not None else None,
+                    s.breaker.export_learned() if s.breaker is not None else None,
                 )
                 for s in found
             ),
             tuple(
                 LearnedPool(
-                    (p.rate.save(), p.sent.save(), p.served.save()),
+                    (p.rate.export_learned(), p.sent.export_learned(), p.served.export_learned()),
                     p.born if p.born < float("inf") else None,
-                    p.breaker.save(),
+                    p.breaker.export_learned(),
                 )
                 for p in self.pools
             ),
@@ -164,7 +169,7 @@
             self.paced,
         )
 
-    def recall(self, now: float, learned: Learned) -> None:
+    def import_learned(self, now: float, learned: Learned) -> None:
         """Go on with what another learned; call it once the list is there, before the first request.
 
         A server counts as the same by its name and its start: of one that was restarted nothing holds.
@@ -178,17 +183,17 @@
             server.downs, server.down_until = known.downs, known.down_until
             server.cold_credit, server.cold_seen = known.cold_credit, known.cold_seen
             if known.breaker is not None:
-                server.breaker = Breaker()
-                server.breaker.load(known.breaker)
+                server.breaker = CircuitBreaker()
+                server.breaker.import_learned(known.breaker)
         if len(learned.pools) == len(self.pools):
             for pool, saved in zip(self.pools, learned.pools, strict=True):
                 for rate, value in zip((pool.rate, pool.sent, pool.served), saved.rates, strict=True):
-                    rate.load(value)
+                    rate.import_learned(value)
                 pool.born = float("inf") if saved.born is None else saved.born
-                pool.breaker.load(saved.breaker)
+                pool.breaker.import_learned(saved.breaker)
         self._resize(now)
 
-    def put_back(self, now: float, server_id: ServerId) -> None:
+    def reinstate(self, now: float, server_id: ServerId) -> None:
         """Operators say that this server may serve again.
 
         Guards it against being left out for long where calls are few: cold servers are drawn seldom. One call
@@ -198,7 +203,7 @@
         if server is not None:
             self.back[server] = now + BACK_FROM + (BACK_TO - BACK_FROM) * self.rng.random()
 
-    def retire(self, on: bool) -> None:
+    def set_superseded(self, on: bool) -> None:
         """Another goes on in its place (or does not): cold servers get their budget from that one alone.
 
         Guards cold servers: two that follow each other are one proxy, and both budgets would add up.
@@ -220,7 +225,7 @@
         self.asking = True
         return [StartTimer(now + delay, SUBSCRIBE)]
 
-    def members(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
+    def update_servers(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
         """A list, a change to it, or the news that a call to discovery failed."""
         if kind is ListUpdateKind.FAILED:
             # Jittered and doubling: every instance lost the same service at the same time.
@@ -301,9 +306,9 @@
         request = Request(rid, kind, deadline, self.settings.limits.max_attempts)
         request.until = self._worth_until(now, kind, deadline, retry)
         self.requests[rid] = request
-        self.budget.take(now)
+        self.budget.count_request(now)
         pool = self.pool_of[kind]
-        pool.rate.add(now)
+        pool.rate.count(now)
         if now >= self.look_at:
             self._resize(now)
         out: list[Action] = []
@@ -330,8 +335,8 @@
         timeout = self.settings.classes[request.kind].latency_target
         for server in self._offers(now, request, among, first):
             if server.breaker is None:
-                server.breaker = Breaker()
-            if not server.breaker.refuses(now, timeout, self.rng):
+                server.breaker = CircuitBreaker()
+            if not server.breaker.rejects(now, timeout, self.rng):
                 break
         else:
             return False
@@ -339,11 +344,11 @@
         if server.cold_credit > 0.0:
             server.cold_credit -= 1.0
         if request.attempts:
-            self.budget.spend(now)
+            self.budget.count_retry(now)
         attempt = Attempt(server, now)
         if not request.partial:
             server.out[attempt] = None
-        self.pool_of[request.kind].sent.add(now)
+        self.pool_of[request.kind].sent.count(now)
         request.attempts.append(attempt)
         request.open += 1
         within = request.until - now if request.until < request.deadline else 0.0
@@ -352,7 +357,7 @@
 
     def _again(self, now: float, request: Request, out: list[Action]) -> bool:
         """Try a further attempt within the rules and the retry budget."""
-        if request.done or request.bound or now >= request.until or not self.budget.allows(now):
+        if request.done or request.bound or now >= request.until or not self.budget.allows_retry(now):
             return False
         if len(request.attempts) >= request.most:
             return False
@@ -364,7 +369,7 @@
         # refusing work does not cure them. Could harm: an overloaded tier that fails fast, as proxies that
         # refuse make it, shows in what is owed alone.
         if any(attempt.strained for attempt in request.attempts):
-            self.pool_of[request.kind].breaker.failed(now)
+            self.pool_of[request.kind].breaker.count_failed(now)
         kind = self.settings.classes[request.kind]
         free = kind.retry_safety is RetrySafety.SAFE or (
             kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
@@ -378,7 +383,7 @@
             request.counted = on
             self.pool_of[request.kind].owed += 1 if on else -1
 
-    def whole(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+    def complete_body(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
         """The last byte of a partial request has come: its time counts from here.
 
         Guards servers and admission against slow uploads: while one comes nothing runs, so that it says
@@ -393,7 +398,7 @@
             if attempt.open and not request.begun:
                 attempt.since = now
                 attempt.server.out[attempt] = None
-        return self.extend(now, rid, deadline)
+        return self.extend_deadline(now, rid, deadline)
 
     def _finish(self, request: Request, out: list[Action]) -> None:
         request.done = True
@@ -408,7 +413,7 @@
             return []
         return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.open and n != spared]
 
-    def extend(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+    def extend_deadline(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
         """Somebody else waits for its answer too, and longer: attempts that are out keep their time."""
         request = self.requests.get(rid)
         if request is not None and not request.done and deadline > request.deadline:
@@ -420,7 +425,7 @@
             request.deadline = deadline
         return []
 
-    def outcome(
+    def finish_attempt(
         self, now: float, rid: RequestId, number: int, how: Outcome, latency: float, last: bool = False
     ) -> list[Action]:
         """An attempt ended; unknown ones are ignored."""
@@ -446,8 +451,8 @@
                 self.requests.pop(rid, None)
         elif last or how is Outcome.OK:
             pool = self.pool_of[request.kind]
-            pool.served.add(now)
-            pool.breaker.accepted(now)
+            pool.served.count(now)
+            pool.breaker.count_accepted(now)
             self._finish(request, out)
         elif not request.open and not self._again(now, request, out):
             self._answer(now, request, out)
@@ -464,18 +469,18 @@
         elif how in (Outcome.OK, Outcome.ERROR):
             server.took()
         if how is Outcome.OK:
-            breaker.accepted(now)
-            if breaker.current <= 0.0 and self.pooled > 0.0:
-                breaker.sample(min(latency, self.pooled))  # no baseline from one slow answer alone
-            breaker.sample(latency)
+            breaker.count_accepted(now)
+            if breaker.current_latency <= 0.0 and self.pooled > 0.0:
+                breaker.observe_latency(min(latency, self.pooled))  # no baseline from one slow answer alone
+            breaker.observe_latency(latency)
             server.learn(now, latency)
             self.pooled += (latency - self.pooled) / 32.0 if self.pooled > 0.0 else latency
         elif how is not Outcome.CANCELLED:
-            breaker.failed(now)
+            breaker.count_failed(now)
             # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
             server.learn(now, max(latency, timeout))
 
-    def bind(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def bind_to_attempt(self, now: float, rid: RequestId, number: int) -> list[Action]:
         """A part of a stream has gone to this attempt's server: the request belongs to it."""
         request = self.requests.get(rid)
         if request is None or request.done:
@@ -483,7 +488,7 @@
         request.bound = True
         return self._cancels(request, number)
 
-    def begun(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def begin_response(self, now: float, rid: RequestId, number: int) -> list[Action]:
         """The answer of a stream has begun: the request belongs to this attempt, and waits for nothing.
 
         Guards admission against streams that go on for long: they are no queue that would make others late.
@@ -495,9 +500,9 @@
             # Guards a server that gives a long answer against looking as if it hung.
             for attempt in request.attempts:
                 attempt.server.out.pop(attempt, None)
-        return self.bind(now, rid, number)
+        return self.bind_to_attempt(now, rid, number)
 
-    def gone(self, now: float, rid: RequestId) -> list[Action]:
+    def cancel_request(self, now: float, rid: RequestId) -> list[Action]:
         """The client left; no answer is owed any more."""
         request = self.requests.get(rid)
         out: list[Action] = []
@@ -505,7 +510,7 @@
             self._finish(request, out)
         return out
 
-    def timer(self, now: float, token: int) -> list[Action]:
+    def fire_timer(self, now: float, token: int) -> list[Action]:
         """A timer fell due; stale ones are ignored."""
         if token == SUBSCRIBE and self.asking:
             self.asking = False
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -10,11 +10,11 @@
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import CONTROL
-from lugspur.mesh.control.membership import Presence
 from lugspur.mesh.control.messages import Membership
 from lugspur.mesh.control.reconfiguration import Reconfiguration
 from lugspur.mesh.control.replica import Replica, membership_entry
 from lugspur.mesh.control.store import Store
+from lugspur.mesh.control.voter_membership import Presence
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS
 from lugspur.mesh.process_pause import PauseDetector
 
@@ -32,6 +32,7 @@
     def __init__(
         self,
         ip: str,
+        *,
         replica: Replica,
         reconfiguration: Reconfiguration,
         store: Store,
@@ -78,13 +79,13 @@
             absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
             if self._is_complete(now, voter.ip, membership.epoch):
                 complete.add(voter.ip)
-        step = self._reconfiguration.look(now, presences_of(self._store), complete, absent)
+        step = self._reconfiguration.next_step(now, presences_of(self._store), complete, absent)
         if step is not None:
             self._propose_step(now, step)
 
     def _is_complete(self, now: float, ip: str, epoch: int) -> bool:
         """Whether a voter's latest update is fresh and says that it is complete for the epoch."""
-        is_fresh = now - self._freshness.word_at(ip) < self._max_staleness
+        is_fresh = now - self._freshness.latest_update_at(ip) < self._max_staleness
         return is_fresh and self._complete_epochs.get(ip, 0) == epoch
 
     def _propose_step(self, now: float, step: Membership) -> None:
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -10,6 +10,7 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.majority_contact import MajorityContact
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
+from lugspur.mesh.process import MAX_AGE_SECONDS
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.storage.disk import Disk
 from lugspur.mesh.transport.dialer import Dialer
@@ -49,8 +50,16 @@
         gauge("membership_epoch", "The membership that this process goes by.", replica.epoch),
         gauge("voter", "1 while this disk has a vote.", float(replica.is_voter)),
         gauge("complete", "1 while it holds all claims that a voter must hold.", float(replica.is_complete)),
-        gauge("change_pending", "1 while a change is accepted and not known as decided.", replica.register.pending),
-        gauge("news_age_seconds", "Seconds since word of a majority.", min(1e6, node.majority_contact.age(now))),
+        gauge(
+            "change_pending",
+            "1 while a change is accepted and not known as decided.",
+            replica.register.has_pending_change,
+        ),
+        gauge(
+            "news_age_seconds",
+            "Seconds since word of a majority.",
+            min(MAX_AGE_SECONDS, node.majority_contact.age(now)),
+        ),
         gauge("claims", "Claims of operation keys that are held.", len(replica.reservations)),
         gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
         gauge("peers_up", "Processes that can be reached.", sum(d.link is not None for d in node.peers.values())),
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -7,6 +7,7 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.control_node.membership_changes import presences_of
+from lugspur.mesh.process import MAX_AGE_SECONDS
 from lugspur.mesh.settings import Own
 from lugspur.mesh.storage.disk import Disk
 
@@ -26,10 +27,10 @@
         "index": replica.index,
         "voter": replica.is_voter,
         "complete": replica.is_complete,
-        "pending": replica.register.pending,
+        "pending": replica.register.has_pending_change,
         "voters": [] if replica.membership is None else [voter.ip for voter in replica.membership.voters],
         "voters_wanted": voters_wanted,
-        "age_s": round(min(1e6, age), 3),
+        "age_s": round(min(MAX_AGE_SECONDS, age), 3),
         "replicas": {
             ip: {
                 "uid": p.uid,
@@ -41,7 +42,7 @@
             for ip, p in presences_of(store).items()
         },
         "entries": kinds,
-        "configuration_bytes": replica.register.bytes,
+        "configuration_bytes": replica.register.size_bytes,
         "claims": len(replica.reservations),
         "subscribers": subscribers,
         "disk": {"commits": disk.commits, "fault": disk.fault},
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -23,6 +23,7 @@
 HEARTBEAT_FRACTION = 1 / 8  # of `edition_ms`: how often an update says that nothing has changed
 STALENESS_FRACTION = 0.4  # of `edition_ms`: the age of updates from which on they are sought elsewhere
 MAX_MISSED_HEARTBEATS = 4.0  # until a peer that no longer hears of this process counts as cut off from it
+MAX_AGE_SECONDS = 1e6  # of what is known, in what others are told: more means that nothing is known
 SETTINGS_CHECK_SECONDS = 1.0  # between two looks at whether the settings file has changed
 
 
@@ -99,14 +100,14 @@
                 ip,
                 port,
                 self.ip,
-                self.message_received,
-                self.connected,
-                self.disconnected,
-                self.keepalive_idle_seconds(ip),
+                on_message=self.message_received,
+                on_connected=self.connected,
+                on_disconnected=self.disconnected,
+                keep_idle=self.keepalive_idle_seconds(ip),
             )
         for ip in [ip for ip in self.peers if ip not in wanted and not self.needs_peer(ip)]:
             self.peers.pop(ip).close()
-            self.freshness.lost(ip)
+            self.freshness.disconnected(ip)
             self.positions.pop(ip, None)
 
     def keepalive_idle_seconds(self, ip: str) -> int:
@@ -126,7 +127,7 @@
 
     def disconnected(self, dialer: Dialer) -> None:
         """A connection that this process dialled has ended."""
-        self.freshness.lost(dialer.ip)
+        self.freshness.disconnected(dialer.ip)
 
     def send_to(self, ip: str, message: Message) -> None:
         """Send a message to a peer; it is dropped where there is no connection."""
@@ -159,7 +160,7 @@
         """Ask a peer for all updates from now on, and report to it what this process says of itself."""
         if dialer.link is not None:
             incarnation, sequence = self.positions.get(dialer.ip, FollowedPosition("", 0))
-            self.freshness.asked(self.loop.time(), dialer.ip)
+            self.freshness.subscribed(self.loop.time(), dialer.ip)
             dialer.link.send(Subscribe(incarnation, sequence))
             own = self.own_entries(renew=True)
             if own:
@@ -176,7 +177,7 @@
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Take an update of a peer, and acknowledge it."""
-        sent_at = self.freshness.heard(now, ip, message)
+        sent_at = self.freshness.receive(now, ip, message)
         self.merge_update(message)
         self.positions[ip] = FollowedPosition(message.incarnation, message.latest_sequence)
         self.update_taken(now, ip, sent_at - message.majority_age)
--- a/lugspur/mesh/sidecar/api.py
+++ b/lugspur/mesh/sidecar/api.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.http_api import HttpApi, reply
@@ -73,9 +73,9 @@
         """Whether callers may be sent here; raises MeshError (LEAVING, NOT_READY) where they may not."""
         process = self._process
         if process.is_leaving:
-            raise MeshError(Kind.LEAVING)
+            raise MeshError(ErrorKind.LEAVING)
         if not process.update_source.has_configuration or not len(process.table):
-            raise MeshError(Kind.NOT_READY)
+            raise MeshError(ErrorKind.NOT_READY)
         reply(caller)
 
     def redirect(self, request: Request, caller: Answerable, _: list[str]) -> None:
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 
 from lugspur.mesh.control.messages import Entry
+from lugspur.mesh.dataplane.endpoints import EndpointListing
 from lugspur.mesh.sidecar.backend_status import BackendStatus, decode_status
 
 
@@ -32,16 +33,16 @@
             self._changed_services.add(status.service)
             self._slow_start_until[entry.name] = self._loop.time() + status.cold
         if len(self._changed_services) == 1 or before is None:
-            self._loop.call_soon(self._tell)
+            self._loop.call_soon(self._report_changes)
 
-    def _tell(self) -> None:
+    def _report_changes(self) -> None:
         changed, self._changed_services = self._changed_services, set()
         self._on_change(changed)
 
-    def accepting(self, service: str) -> dict[str, tuple[str, str, int, float]]:
-        """The service's backends that accept work, by id, as `Proxy.members` takes them."""
+    def accepting(self, service: str) -> dict[str, EndpointListing]:
+        """The service's backends that accept work, by id, as `Proxy.update_endpoints` takes them."""
         return {
-            status.id: (ip, status.zone, status.berths, self._slow_start_until.get(ip, 0.0))
+            status.id: EndpointListing(ip, status.zone, self._slow_start_until.get(ip, 0.0))
             for ip, status in self.by_ip.items()
             if status.service == service and status.state == "accepting"
         }
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -25,7 +25,7 @@
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Sizes
-from lugspur.mesh.control.errors import Kind, MeshError
+from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import (
@@ -36,6 +36,7 @@
     Undecided,
 )
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
+from lugspur.mesh.dataplane.endpoints import EndpointListing
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.local_backend import LocalBackend
 from lugspur.mesh.dataplane.proxy import Proxy
@@ -195,12 +196,14 @@
         table = RouteTable()
         for item in read_changes(call(route("r", mail_class=kind, deadline_ms=30_000, target_ms=200))):
             table.apply(item)
-        self.proxy = Proxy(table, self, self, Random(1), 0.2, 20.0, 10.0, "z0")
+        self.proxy = Proxy(
+            table, self, self, Random(1), retry_ratio=0.2, retry_slack=20.0, retry_window=10.0, zone="z0"
+        )
         self.proxy.sender = "mine"
         self.proxy.failures = FailureLog(lambda: Standing(41, 3, 0.25), log_failure)
-        self.proxy.members("s", {f"i-{n}": (f"10.0.0.{n}", f"z{n}", 9, 0.0) for n in range(backends)})
+        self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
-    def ready(self, ip: str) -> bool:
+    def is_reachable(self, ip: str) -> bool:
         return True
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
@@ -209,15 +212,20 @@
             self.limiter.submit(forward, respond)
         return SentRequest()
 
-    def claim(
-        self, key: bytes, by: bytes, left: float, within: float, over: Callable[[ReservationOutcome], None]
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        self.claims.append(over)
+        self.claims.append(on_outcome)
 
-    def release(self, key: bytes, by: bytes) -> None:
+    def release(self, key: bytes, owner: bytes) -> None:
         pass
 
-    def drop(self, key: bytes, by: bytes) -> None:
+    def abandon(self, key: bytes, owner: bytes) -> None:
         pass
 
     async def ask(self, request: bytes = FROM_CALLER, answered: Callable[[], None] = lambda: None) -> bytes:
@@ -275,7 +283,7 @@
         async with scripted(lambda request: answer) as stub:
             mesh = Mesh(backends=1)
             mesh.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            mesh.limiter.local = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
+            mesh.limiter.local_backend = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
             told = await mesh.ask(answered=lambda: mesh.claims[0](Acquired()))
             got = stub.got.get_nowait()
         assert matches(AT_BACKEND, got), got
@@ -303,7 +311,7 @@
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 204 X\r\nLugspur-Attempt-Id: t1\r\n\r\n") as stub:
             limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            limiter.local_backend = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             limiter.submit(
                 ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
                 lambda reply: None,
@@ -334,7 +342,7 @@
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
             limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
-            limiter.local = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
+            limiter.local_backend = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
             limiter.submit(
                 ForwardRequest(1, "i-0", b"GET", b"/", [], b"", 0.2, 0.1, b"t1", 0, False, "r"), said.set_result
@@ -426,7 +434,7 @@
     status, span = FAULTS[fault]
     for _ in range(50):
         caller = Caller()
-        reject(caller, Kind(fault))
+        reject(caller, ErrorKind(fault))
         [(told, head, body)] = caller.answers
         assert (told, body) == (status, fault.encode() + b"\n")
         if span is None:
@@ -437,21 +445,21 @@
 
 
 def test_all_faults_are_frozen() -> None:
-    assert {kind.value for kind in Kind} == set(FAULTS)
+    assert {kind.value for kind in ErrorKind} == set(FAULTS)
 
 
 def test_where_all_backends_are_full_retry_after_is_a_part_of_the_time_that_is_left() -> None:
     told = set()
     for _ in range(200):
         caller = Caller()
-        reject(caller, Kind("no-backend"), 30.0)
+        reject(caller, ErrorKind("no-backend"), 30.0)
         [(_, head, _)] = caller.answers
         found = re.fullmatch(rb"Retry-After: (\d+\.\d{3})\r\n", head)
         assert found is not None
         told.add(float(found[1]))
     assert min(told) >= 6.0 and max(told) <= 10.0 and len(told) > 100
     caller = Caller()
-    reject(caller, Kind("no-backend"), 0.001)
+    reject(caller, ErrorKind("no-backend"), 0.001)
     assert caller.answers == [(503, b"Retry-After: 0.050\r\n", b"no-backend\n")]
 
 
@@ -459,7 +467,7 @@
 def test_callers_of_the_api_are_told_of_a_fault_byte_for_byte(fault: str) -> None:
     status, span = FAULTS[fault]
     caller = Caller()
-    fail(caller, MeshError(Kind(fault), 'what "it" was'))
+    fail(caller, MeshError(ErrorKind(fault), 'what "it" was'))
     head = (b"" if span is None else b"Retry-After: 0.25\r\n") + b"Content-Type: application/json\r\n"
     body = b'{"error":"' + fault.encode() + b'","detail":"what \\"it\\" was"}'
     assert caller.answers == [(status, head, body)]
@@ -593,7 +601,7 @@
             reservations=(),
             table=(),
             backends=SimpleNamespace(by_ip={}),
-            standing=lambda: Standing(41, 3, 0.25),
+            configuration_state=lambda: Standing(41, 3, 0.25),
         )
         text = render(sidecar_metrics(sidecar), [mesh.proxy.seconds])
         for name in list(CAUSES.values())[1:]:
--- a/tests/mesh/test_drawn_histories.py
+++ b/tests/mesh/test_drawn_histories.py
@@ -12,11 +12,11 @@
 from lugspur.emulator.control.settings import COMPLETE_BY_TIME, HASTY_LOSSES, MANY_CHANGES, SETTINGS, Setting
 from lugspur.mesh.control import reservation_client
 from lugspur.mesh.control.effects import Effects
-from lugspur.mesh.control.membership import Situation
 from lugspur.mesh.control.messages import ReserveKey, Voter
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.reservation_table import ReservationTable
+from lugspur.mesh.control.voter_membership import Situation
 
 DRAWN = [(seed, setting) for number, setting in enumerate(SETTINGS) for seed in range(5 if number < 5 else 4)]
 LONG = [(seed, setting) for setting in (*COMPLETE_BY_TIME, *HASTY_LOSSES) for seed in range(2)]
@@ -83,7 +83,7 @@
 
 
 def goes_never(self: Situation, voter: Voter) -> bool:
-    return len(self.complete - {voter.ip}) >= majority(len(self.membership.voters))
+    return len(self.complete_voters - {voter.ip}) >= majority(len(self.membership.voters))
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
         (reservation_client, "majority", lambda count: 1, [SETTINGS[0]]),  # one grant is enough
         (Replica, "sweep", complete_too_soon, COMPLETE_BY_TIME),  # claims of earlier epochs may still count
         (Replica, "sweep", never_complete_by_time, COMPLETE_BY_TIME),  # nobody is complete ever again
-        (Situation, "may_go", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
+        (Situation, "may_lose_vote", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
     ],
 )
 def test_a_guard_that_is_taken_out_is_caught(
