--- a/lugspur/daemon/operated.py
+++ b/lugspur/daemon/daemon_admin.py
@@ -17,22 +17,22 @@
 from lugspur.observability.metrics import Figure
 
 
-class Operators:
+class DaemonAdmin:
     """The daemon's admin listener, whose address changes with the file; actions go by the pools of their moment."""
 
     def __init__(
         self,
         fronts: Callable[[], list[Front]],
         stations: Callable[[], Mapping[str, Station]],
-        more: Mapping[tuple[str, str], Action],
-        drains: Callable[[bool], None],
+        more_actions: Mapping[tuple[str, str], Action],
+        on_drain: Callable[[bool], None],
     ) -> None:
         self._fronts, self._stations = fronts, stations
-        self._more = more  # actions beside those that every proxy has
-        self._drains = drains  # called with True when callers are sent away, with False when they are taken again
+        self._more_actions = more_actions  # actions beside those that every proxy has
+        self._on_drain = on_drain  # called with True when callers are sent away, with False when they are taken again
         self._row: Management | None = None
         self._admin_listener: AdminListener | None = None
-        self.drained = False
+        self.is_drained = False
 
     async def prepare(self, row: Management) -> AdminListener | None:
         """Listen at the address that a file names; raises OSError and changes nothing.
@@ -41,7 +41,7 @@
         """
         if row.address is None or row == self._row:
             return None
-        admin_listener = AdminListener(row.address, {**admin_actions(self), **self._more})
+        admin_listener = AdminListener(row.address, {**admin_actions(self), **self._more_actions})
         try:
             await admin_listener.open()
         except OSError as fault:
@@ -49,7 +49,7 @@
             raise OSError(f"management can't have {host}:{port}: {fault.strerror or fault}") from fault
         return admin_listener
 
-    def swap(self, row: Management, admin_listener: AdminListener | None) -> None:
+    def use(self, row: Management, admin_listener: AdminListener | None) -> None:
         """Use a prepared listener, now that its file is in force."""
         if row != self._row:
             self.close()
@@ -75,25 +75,25 @@
 
     def disable(self, name: str) -> bool:
         """Send nothing more to a backend of any pool; return whether one ever listed it."""
-        return self._each(name, True)
+        return self._set_ban(name, True)
 
     def enable(self, name: str) -> bool:
         """Let a backend serve again in all pools, warming up first; return whether one ever listed it."""
-        return self._each(name, False)
+        return self._set_ban(name, False)
 
-    def _each(self, name: str, off: bool) -> bool:
+    def _set_ban(self, name: str, banned: bool) -> bool:
         server, now = server_id(name), time.time()
         stations = self._stations().values()
         known = any(station.maintenance.known(server) for station in stations)
         if known:  # in pools, too, that may list it later
             for station in stations:
-                station.ban(server, off, now)
+                station.ban(server, banned, now)
         return known
 
     def drain(self) -> None:
         """Send callers away, from all listeners."""
-        self.drained = True
-        self._drains(True)
+        self.is_drained = True
+        self._on_drain(True)
         for front in self._fronts():
             front.drain()
 
@@ -109,7 +109,7 @@
 
     def undrain(self) -> None:
         """Take callers again."""
-        self.drained = False
-        self._drains(False)
+        self.is_drained = False
+        self._on_drain(False)
         for front in self._fronts():
             front.undrain()
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from lugspur.daemon.admin.action import Action
     from lugspur.daemon.company import Company
-    from lugspur.daemon.operated import Operators
+    from lugspur.daemon.daemon_admin import DaemonAdmin
 
 Listening = tuple[Front, socket.socket]
 
@@ -40,7 +40,7 @@
         self._leaving: set[asyncio.Task[None]] = set()
         self._reloading: asyncio.Task[None] | None = None
         self._again = False
-        self.operators: Operators | None = None
+        self.admin: DaemonAdmin | None = None
         self.company: Company | None = None
 
     async def start(self, plan: Plan) -> None:
@@ -70,7 +70,7 @@
         if self.daemon.remembering is not None:
             self.daemon.remembering.begin(lambda: self.daemon.stations)
 
-    def _fleet_calls(self) -> dict[tuple[str, str], Action]:
+    def _fleet_actions(self) -> dict[tuple[str, str], Action]:
         company = self.company
         if company is None:
             return {}
@@ -83,7 +83,7 @@
             ("POST", "/fleet/may"): lambda body: ActionResult(*company.ask(body)),
         }
 
-    def _drains(self, on: bool) -> None:
+    def _on_drain(self, on: bool) -> None:
         """Who sends its callers away holds no duties either."""
         if self.company is not None:
             if on:
@@ -143,17 +143,17 @@
         bound: dict[str, socket.socket] = {}
         admin_listener = None
         try:
-            if plan.file.management.address is not None and self.operators is None:
-                from lugspur.daemon.operated import Operators
+            if plan.file.management.address is not None and self.admin is None:
+                from lugspur.daemon.daemon_admin import DaemonAdmin
 
-                self.operators = Operators(
+                self.admin = DaemonAdmin(
                     lambda: [front for front, _ in self.listeners.values()],
                     lambda: self.daemon.stations,
-                    self._fleet_calls(),
-                    self._drains,
+                    self._fleet_actions(),
+                    self._on_drain,
                 )
-            if self.operators is not None:
-                admin_listener = await self.operators.prepare(plan.file.management)
+            if self.admin is not None:
+                admin_listener = await self.admin.prepare(plan.file.management)
             for name, row in rows.items():
                 if name not in kept:
                     # The same address under other terms or another name: its queue of connections goes on.
@@ -177,10 +177,10 @@
         for name in kept:
             self.daemon.retune(self.listeners[name][0])
         self._rows = dict(rows)
-        if self.operators is not None:
-            self.operators.swap(plan.file.management, admin_listener)
-            if self.operators.drained:  # new listeners too
-                self.operators.drain()
+        if self.admin is not None:
+            self.admin.use(plan.file.management, admin_listener)
+            if self.admin.is_drained:  # new listeners too
+                self.admin.drain()
         self.announcers.apply(plan.file, addresses)
         if self.company is not None:
             self.company.apply(plan.file, lambda: self.daemon.stations)
@@ -197,8 +197,8 @@
         if self.company is not None:
             self.company.hand_on()
         await self.announcers.leave()
-        if self.operators is not None:
-            self.operators.close()
+        if self.admin is not None:
+            self.admin.close()
         for name in tuple(self.listeners):
             self._leave(name)
         await asyncio.gather(*self._leaving)
--- a/tests/compatibility/test_admin_answers.py
+++ b/tests/compatibility/test_admin_answers.py
@@ -109,9 +109,9 @@
 
     async def play() -> None:
         async with served(text) as up:
-            operators = up.running.operators
-            assert operators is not None
-            await check_exchanges(operators.port())
+            admin = up.running.admin
+            assert admin is not None
+            await check_exchanges(admin.port())
 
     asyncio.run(play())
     assert [line for line in capsys.readouterr().err.splitlines() if "management:" in line] == LOGGED
@@ -133,10 +133,10 @@
     async def play() -> None:
         text = pool("p", f"{HOST}:9") + route("r", "/*", 'pool = "p"\nclass = "read"')
         async with served(text + '[management]\naddress = "127.0.0.1:0"\n') as up:
-            operators = up.running.operators
-            assert operators is not None
+            admin = up.running.admin
+            assert admin is not None
             for method, path in (("GET", "members"), ("GET", "view"), ("GET", "duties"), ("POST", "may")):
-                assert await exchanged(operators.port(), request(method, f"/fleet/{path}")) == NO_SUCH_CALL
+                assert await exchanged(admin.port(), request(method, f"/fleet/{path}")) == NO_SUCH_CALL
 
     asyncio.run(play())
 
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -137,8 +137,8 @@
             async with served(text + '[management]\naddress = "127.0.0.1:0"\n') as up:
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/", b"room", X_Request_ID="id1"))) == 502
-                assert up.running.operators is not None
-                await check_answers(up.running.operators.port(), closing, b"main", "class-2")
+                assert up.running.admin is not None
+                await check_answers(up.running.admin.port(), closing, b"main", "class-2")
 
     asyncio.run(play())
 
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -310,8 +310,8 @@
 
 async def called(up: Served, method: str, path: str, body: str = "") -> tuple[int, dict[str, Any]]:
     """One call of the management address, as the commands make it."""
-    assert up.running.operators is not None
-    reader, writer = await asyncio.open_connection(HOST, up.running.operators.port())
+    assert up.running.admin is not None
+    reader, writer = await asyncio.open_connection(HOST, up.running.admin.port())
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
     head, _, text = (await soon(reader.read())).partition(b"\r\n\r\n")
     writer.close()
--- a/tests/daemon/test_operated.py
+++ b/tests/daemon/test_daemon_admin.py
@@ -18,8 +18,8 @@
 
 async def call(up: Served, method: str, path: str, body: str = "") -> int:
     """One call's status."""
-    assert up.running.operators is not None
-    reader, writer = await asyncio.open_connection(HOST, up.running.operators.port())
+    assert up.running.admin is not None
+    reader, writer = await asyncio.open_connection(HOST, up.running.admin.port())
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
     told = await soon(reader.read())
     writer.close()
@@ -117,23 +117,23 @@
 def test_the_second_address_moves_with_the_file_and_one_that_is_taken_changes_nothing() -> None:
     async def play() -> None:
         async with two_pools("") as (up, _):
-            assert up.running.operators is None
+            assert up.running.admin is None
             text = up.file.read_text().removeprefix(HEAD)
             await up.reload(text + MANAGED)
-            assert up.running.operators is not None
-            before = up.running.operators.port()
+            assert up.running.admin is not None
+            before = up.running.admin.port()
             assert await call(up, "GET", "/ready") == 200
             taken = await asyncio.start_server(lambda _, writer: writer.close(), HOST, 0)
             port = taken.sockets[0].getsockname()[1]
             await up.reload(text + MANAGED.replace(":0", f":{port}"))
-            assert up.running.operators.port() == before
+            assert up.running.admin.port() == before
             assert await call(up, "GET", "/ready") == 200
             taken.close()
             await taken.wait_closed()
             await up.reload(text + MANAGED.replace(":0", f":{port}"))
-            assert up.running.operators.port() == port
+            assert up.running.admin.port() == port
             assert await call(up, "GET", "/ready") == 200
             await up.reload(text)
-            assert up.running.operators.port() == 0
+            assert up.running.admin.port() == 0
 
     asyncio.run(play())
