--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -5,12 +5,13 @@
 import asyncio
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol, TypedDict, Unpack
 
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import ReservationOutcome
 from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.observability.failures import PickView, Step
 
 
 class SentRequest(Protocol):
@@ -62,6 +63,23 @@
         """Forget a reservation whose outcome nobody waits for any more."""
 
 
+class FailureFacts(TypedDict, total=False):
+    """What a request knows of its failure, as fields of `FailedRequest`."""
+
+    route: str
+    service: str
+    keyed: bool
+    claim: str
+    took_s: float
+    had_s: float
+    sends: int
+    turned_away: int
+    waited_for: tuple[str, ...]
+    edition: int
+    steps: tuple[Step, ...]
+    pick: PickView | None
+
+
 class OpenRequest(Protocol):
     """A request that has no answer yet."""
 
@@ -98,5 +116,5 @@
     def request_served(self, seconds: float) -> None:
         """Count a request that a backend answered successfully, `seconds` after it arrived."""
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -8,12 +8,12 @@
 from collections import Counter
 from collections.abc import Mapping
 from random import Random
-from typing import Any
+from typing import Unpack
 
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
-from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
+from lugspur.mesh.dataplane.interfaces import FailureFacts, KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_headers import loggable_attempt_id, read_ids, read_seconds_left
@@ -112,7 +112,7 @@
         self.count(SERVED)
         self.seconds.add(seconds)
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
         self.count(ending)
         self.failures.add(attempt_id, ending, **facts)
@@ -129,7 +129,7 @@
 
     def _accept(self, request: Request, caller: Answerable) -> ProxiedRequest:
         """Check a request and find its route; raises MeshError for one that can't be served."""
-        attempt_id, key = read_ids(request)
+        ids = read_ids(request)
         if not request.target.startswith(b"/"):
             raise MeshError(ErrorKind.BAD_REQUEST)
         if not len(self.table):
@@ -147,7 +147,7 @@
             caller,
             route,
             deadline=request.arrived + seconds_left,
-            attempt_id=attempt_id,
-            key=key,
+            attempt_id=ids.attempt_id,
+            key=ids.idempotency_key,
             was_rejected=was_rejected,
         )
--- a/lugspur/mesh/dataplane/request_headers.py
+++ b/lugspur/mesh/dataplane/request_headers.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.seams import Request
 
@@ -18,8 +20,15 @@
 MAX_DELIVER_BY_DIGITS = 9
 
 
-def read_ids(request: Request) -> tuple[bytes, bytes]:
-    """Return a request's attempt id and its idempotency key, which may be empty; raises MeshError (BAD_REQUEST)."""
+class RequestIds(NamedTuple):
+    """What a caller names its request by; the key is empty where it has none."""
+
+    attempt_id: bytes
+    idempotency_key: bytes
+
+
+def read_ids(request: Request) -> RequestIds:
+    """Return the ids of a request; raises MeshError (BAD_REQUEST)."""
     attempt_id = request.headers.get(ATTEMPT_ID_HEADER, b"")
     key = request.headers.get(IDEMPOTENCY_KEY_HEADER, b"")
     if not 0 < len(attempt_id) <= MAX_ID_BYTES or len(key) > MAX_ID_BYTES:
@@ -27,7 +36,7 @@
     # Guards what must run once against two readings of one id: repeated headers are joined by commas.
     if b"," in attempt_id:
         raise MeshError(ErrorKind.BAD_REQUEST)
-    return attempt_id, key
+    return RequestIds(attempt_id, key)
 
 
 def loggable_attempt_id(request: Request) -> bytes:
--- a/lugspur/mesh/dataplane/upload_scheduler.py
+++ b/lugspur/mesh/dataplane/upload_scheduler.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
 
 from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.urgency import Urgency
@@ -22,8 +22,21 @@
 MAX_WAIT_FRACTION = 0.5
 MAX_WAIT_FRACTION_OF_RETRIES = 0.9  # ...and where its caller was rejected before: rejected once more, it is lost
 
-UploadKey = tuple[Any, int]
-"""The connection that a body comes on, and its request's number there."""
+Source = TypeVar("Source")
+
+
+class UploadKey(NamedTuple, Generic[Source]):
+    """Names a body: the connection that it comes on, and its request's number there."""
+
+    source: Source
+    number: int
+
+
+class Grant(NamedTuple, Generic[Source]):
+    """What the sender of a body may send: its bytes up to an offset."""
+
+    key: UploadKey[Source]
+    up_to_offset: int
 
 
 def is_chunked(size: int, link_rate: float) -> bool:
@@ -61,8 +74,8 @@
         return self.outstanding_bytes > 0 and now - self.progress_at >= STALL_TIMEOUT_SECONDS
 
 
-class UploadScheduler:
-    """All bodies that arrive in chunks, and who of them may send how much."""
+class UploadScheduler(Generic[Source]):
+    """All bodies that arrive in chunks, and how much of each may be sent; `Source` is the type of a connection."""
 
     def __init__(self, link_rate: float, max_bytes: int) -> None:
         """`link_rate`: bytes a second of this machine's link, 0 where it is unknown: then no body is accepted.
@@ -72,13 +85,15 @@
         self._rate = link_rate * USABLE_LINK_FRACTION
         self._max_bytes = max_bytes
         self._max_outstanding_bytes = max(2 * CHUNK_BYTES, int(link_rate * GRANT_AHEAD_SECONDS))
-        self._uploads: dict[UploadKey, Upload] = {}
+        self._uploads: dict[UploadKey[Source], Upload] = {}
 
     def __len__(self) -> int:
         """Return the number of bodies that are being received."""
         return len(self._uploads)
 
-    def offer(self, now: float, key: UploadKey, request: ForwardRequest, urgency: Urgency, service_time: float) -> bool:
+    def offer(
+        self, now: float, key: UploadKey[Source], request: ForwardRequest, urgency: Urgency, service_time: float
+    ) -> bool:
         """Accept a body, or return False where there is no memory for it or its answer would come too late.
 
         `service_time`: seconds that the backend takes for the request once its body is complete.
@@ -105,7 +120,7 @@
         fraction = MAX_WAIT_FRACTION_OF_RETRIES if request.was_rejected else MAX_WAIT_FRACTION
         return wait <= fraction * (request.latency_target_left - own_time)
 
-    def receive(self, now: float, key: UploadKey, data: bytes) -> ForwardRequest | None:
+    def receive(self, now: float, key: UploadKey[Source], data: bytes) -> ForwardRequest | None:
         """Take bytes that have arrived; return the request once its body is complete, its times counted from now.
 
         Bytes of a body that was dropped while they were on their way are ignored. Raises ValueError for more bytes
@@ -127,39 +142,36 @@
         request.latency_target_left -= now - upload.accepted_at
         return request
 
-    def drop(self, key: UploadKey) -> bool:
+    def drop(self, key: UploadKey[Source]) -> bool:
         """Forget a body that nobody sends any more; return whether it was known."""
         return self._uploads.pop(key, None) is not None
 
-    def keys_from(self, source: Any) -> list[UploadKey]:
+    def keys_from(self, source: Source) -> list[UploadKey[Source]]:
         """Return the keys of all bodies that come on one connection."""
-        return [key for key in self._uploads if key[0] is source]
+        return [key for key in self._uploads if key.source is source]
 
-    def drop_expired(self, now: float) -> list[UploadKey]:
+    def drop_expired(self, now: float) -> list[UploadKey[Source]]:
         """Drop the bodies whose deadline has passed, and return their keys."""
         expired = [key for key, upload in self._uploads.items() if now >= upload.deadline]
         for key in expired:
             del self._uploads[key]
         return expired
 
-    def grant(self, now: float) -> list[tuple[UploadKey, int]]:
-        """GrantBody what the link can take to the most urgent bodies.
-
-        Returns the keys of those that may send more, each with the offset in its body up to which it may now send.
-        """
+    def grant(self, now: float) -> list[Grant[Source]]:
+        """Grant what the link can take to the most urgent bodies; return a grant for each that may now send more."""
         # Guards the link against a sender that says nothing: what it was granted delays nobody for long, and it is
         # granted no more until it delivers what is outstanding, or its whole body could come at once when it wakes.
         sending = [(key, upload) for key, upload in self._uploads.items() if not upload.is_stalled(now)]
         outstanding = sum(upload.outstanding_bytes for _, upload in sending)
-        grants: dict[UploadKey, int] = {}
+        offsets: dict[UploadKey[Source], int] = {}
         for key, upload in sorted(sending, key=lambda row: row[1].urgency):
             while upload.granted_bytes < upload.request.body_bytes:
                 if outstanding + CHUNK_BYTES > self._max_outstanding_bytes:
-                    return list(grants.items())
+                    return [Grant(key, offset) for key, offset in offsets.items()]
                 if upload.outstanding_bytes == 0:
                     upload.progress_at = now
                 step = min(CHUNK_BYTES, upload.request.body_bytes - upload.granted_bytes)
                 upload.granted_bytes += step
                 outstanding += step
-                grants[key] = upload.granted_bytes
-        return list(grants.items())
+                offsets[key] = upload.granted_bytes
+        return [Grant(key, offset) for key, offset in offsets.items()]
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -21,7 +21,7 @@
 from lugspur.mesh.dataplane.delay_estimation import ExcessDelayEstimator
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
+from lugspur.mesh.dataplane.upload_scheduler import UploadKey, UploadScheduler
 from lugspur.mesh.dataplane.urgency import urgency_of
 from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
 from lugspur.mesh.transport.link import Link
@@ -45,7 +45,7 @@
     Requests are taken only after a Hello, which names the incarnation, and with rising numbers: none is taken twice.
     """
 
-    def __init__(self, limiter: ConcurrencyLimiter, uploads: UploadScheduler, hello: Hello) -> None:
+    def __init__(self, limiter: ConcurrencyLimiter, uploads: UploadScheduler[Link], hello: Hello) -> None:
         """`hello`: what this process answers to who dials it."""
         self._loop = asyncio.get_running_loop()
         self._limiter, self.uploads, self._hello = limiter, uploads, hello
@@ -129,7 +129,7 @@
         admitted = self._admitted.pop((link, number), None)
         if admitted is not None:
             self._limiter.cancel(admitted)
-        elif self.uploads.drop((link, number)):
+        elif self.uploads.drop(UploadKey(link, number)):
             self._grant()
 
     def _withdraw(self, link: Link, number: int) -> None:
@@ -137,7 +137,7 @@
         admitted = self._admitted.get((link, number))
         if admitted is not None:
             self._limiter.withdraw(admitted)
-        elif self.uploads.drop((link, number)):
+        elif self.uploads.drop(UploadKey(link, number)):
             self._reject(link, number, FailureCause.CANCELLED)
             self._grant()
 
@@ -176,14 +176,16 @@
         """Have the body of a request scheduled, or reject the request where it would come too late."""
         now, number = self._loop.time(), forward.number
         urgency, seconds = urgency_of(now, forward), self._limiter.service_times.expected(forward.route)
-        if self._limiter.has_capacity(forward) and self.uploads.offer(now, (link, number), forward, urgency, seconds):
+        if self._limiter.has_capacity(forward) and self.uploads.offer(
+            now, UploadKey(link, number), forward, urgency, seconds
+        ):
             self._grant()
         else:
             self._reject(link, number, FailureCause.UPLOAD_TOO_LATE)
 
     def _take_chunk(self, link: Link, message: BodyChunk) -> None:
         try:
-            complete = self.uploads.receive(self._loop.time(), (link, message.number), message.data)
+            complete = self.uploads.receive(self._loop.time(), UploadKey(link, message.number), message.data)
         except ValueError as fault:
             events.warn("part", peer=link.peer, fault=str(fault))
             link.close()
@@ -194,19 +196,18 @@
 
     def _grant(self) -> None:
         """Let the senders whose turn it is send their next bytes."""
-        for key, up_to_offset in self.uploads.grant(self._loop.time()):
-            link, number = key
-            link.send(GrantBody(number, up_to_offset))
+        for grant in self.uploads.grant(self._loop.time()):
+            grant.key.source.send(GrantBody(grant.key.number, grant.up_to_offset))
 
     # ---- the end of connections and of time ------------------------------------------------
 
     def link_ended(self, link: Link) -> None:
         """A connection that was dialled to here has ended."""
         sender = self._senders.pop(link, None)
-        for key in self.uploads.keys_from(link):
-            self.uploads.drop(key)
+        for upload_key in self.uploads.keys_from(link):
+            self.uploads.drop(upload_key)
             if sender is not None:
-                self._unrun_requests.did_not_run(sender.incarnation, key[1])
+                self._unrun_requests.did_not_run(sender.incarnation, upload_key.number)
         for key in [key for key in self._admitted if key[0] is link]:
             admitted = self._admitted.pop(key)
             if admitted.forward.is_safe:  # nobody receives its answer; those of others may be stored for a repeat
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -76,7 +76,7 @@
         )
         self.registration = BackendRegistration(self, self.limiter, self.backends.by_ip, link_rate)
         self.outgoing = OutgoingExchanges()
-        uploads = UploadScheduler(link_rate, memory_bytes // 4)
+        uploads = UploadScheduler[Link](link_rate, memory_bytes // 4)
         self.incoming = IncomingExchanges(self.limiter, uploads, Hello(self.ip, self.incarnation, self.is_control_node))
         self.proxy = self._make_proxy()
         self._summary = RequestSummary(self.proxy, self.limiter)
--- a/tests/mesh/dataplane/test_upload_scheduler.py
+++ b/tests/mesh/dataplane/test_upload_scheduler.py
@@ -27,7 +27,7 @@
 
 
 def offer(
-    uploads: UploadScheduler,
+    uploads: UploadScheduler[str],
     n: int,
     size: int,
     now: float = 0.0,
@@ -36,7 +36,7 @@
     back: bool = False,
     pace: float = 0.2,
 ) -> bool:
-    return uploads.offer(now, ("x", n), forward(size, aim, left, back), (1, now + aim), pace)
+    return uploads.offer(now, UploadKey("x", n), forward(size, aim, left, back), (1, now + aim), pace)
 
 
 def test_a_body_is_chunked_only_where_it_would_delay_others_on_the_link() -> None:
@@ -45,16 +45,16 @@
 
 
 def test_bytes_are_granted_a_little_ahead_until_the_request_is_complete() -> None:
-    uploads, sent, now = UploadScheduler(RATE, 1 << 20), 0, 0.0
+    uploads, sent, now = UploadScheduler[str](RATE, 1 << 20), 0, 0.0
     assert offer(uploads, 1, 60_000)
     complete = None
     while complete is None:
         for key, upto in uploads.grant(now):
-            assert key == ("x", 1) and upto - sent <= max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
+            assert key == UploadKey("x", 1) and upto - sent <= max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
         [_] = uploads.keys_from("x")
         now += 0.02
         step = min(CHUNK_BYTES, 60_000 - sent)
-        complete = uploads.receive(now, ("x", 1), b"%c" % (65 + sent // CHUNK_BYTES) * step)
+        complete = uploads.receive(now, UploadKey("x", 1), b"%c" % (65 + sent // CHUNK_BYTES) * step)
         sent += step
     assert sent == len(complete.body) == 60_000 and complete.body[:CHUNK_BYTES] == b"A" * CHUNK_BYTES
     assert complete.seconds_left == pytest.approx(10.0 - now) and complete.latency_target_left == pytest.approx(
@@ -64,16 +64,16 @@
 
 
 def test_the_earliest_deadline_goes_first_and_grants_stay_within_the_link_rate() -> None:
-    uploads = UploadScheduler(RATE, 1 << 20)
+    uploads = UploadScheduler[str](RATE, 1 << 20)
     assert offer(uploads, 1, 60_000, aim=9.0) and offer(uploads, 2, 60_000, aim=1.0)
     assert {key[1] for key, _ in uploads.grant(0.0)} == {2}
     assert uploads.grant(0.1) == []  # it is all under way
-    uploads.receive(0.1, ("x", 2), bytes(CHUNK_BYTES))
+    uploads.receive(0.1, UploadKey("x", 2), bytes(CHUNK_BYTES))
     assert [key[1] for key, _ in uploads.grant(0.1)] == [2]
 
 
 def test_a_stalled_sender_delays_no_other_body() -> None:
-    uploads = UploadScheduler(RATE, 1 << 20)
+    uploads = UploadScheduler[str](RATE, 1 << 20)
     assert offer(uploads, 1, 60_000, aim=1.0) and offer(uploads, 2, 60_000, aim=9.0)
     assert {key[1] for key, _ in uploads.grant(0.0)} == {1}
     assert uploads.grant(STALL_TIMEOUT_SECONDS - 0.01) == []
@@ -81,7 +81,7 @@
 
 
 def test_a_late_body_is_rejected_unless_its_caller_was_before_and_the_first_is_always_accepted() -> None:
-    uploads = UploadScheduler(RATE, 8 << 20)
+    uploads = UploadScheduler[str](RATE, 8 << 20)
     assert offer(uploads, 0, 300_000, aim=1.0)  # it takes longer than it has, and nobody waits
     assert not offer(uploads, 1, 60_000)
     assert offer(uploads, 2, 60_000, back=True)
@@ -89,25 +89,25 @@
 
 
 def test_memory_is_bounded_and_expired_or_dropped_bodies_free_it() -> None:
-    uploads = UploadScheduler(RATE, 100_000)
+    uploads = UploadScheduler[str](RATE, 100_000)
     assert offer(uploads, 1, 60_000, left=1.0) and not offer(uploads, 2, 60_000, aim=99.0)
     assert not offer(uploads, 1, 10)  # a number that is in use
-    assert uploads.drop_expired(0.9) == [] and uploads.drop_expired(1.0) == [("x", 1)]
-    assert offer(uploads, 3, 60_000) and uploads.drop(("x", 3)) and not uploads.drop(("x", 3))
-    assert uploads.receive(0.0, ("x", 3), b"late") is None  # on its way when it was dropped
+    assert uploads.drop_expired(0.9) == [] and uploads.drop_expired(1.0) == [UploadKey("x", 1)]
+    assert offer(uploads, 3, 60_000) and uploads.drop(UploadKey("x", 3)) and not uploads.drop(UploadKey("x", 3))
+    assert uploads.receive(0.0, UploadKey("x", 3), b"late") is None  # on its way when it was dropped
     assert offer(uploads, 4, 60_000)
     with pytest.raises(ValueError, match="granted"):
-        uploads.receive(0.0, ("x", 4), b"unasked")
+        uploads.receive(0.0, UploadKey("x", 4), b"unasked")
 
 
 def test_a_stalled_sender_is_granted_no_more_until_outstanding_bytes_arrive() -> None:
-    uploads, now = UploadScheduler(RATE, 1 << 20), 0.0
+    uploads, now = UploadScheduler[str](RATE, 1 << 20), 0.0
     assert offer(uploads, 1, 200_000, left=99.0)
     [(_, upto)] = uploads.grant(now)
     for _ in range(50):
         now += STALL_TIMEOUT_SECONDS / 2
         assert uploads.grant(now) == []
-    uploads.receive(now, ("x", 1), bytes(upto))
+    uploads.receive(now, UploadKey("x", 1), bytes(upto))
     assert uploads.grant(now) != []
 
 
@@ -120,13 +120,13 @@
 def test_in_any_order_all_accepted_bodies_arrive_and_grants_stay_within_the_link(
     steps: list[tuple[int, int, float, float]],
 ) -> None:
-    uploads, now, sent = UploadScheduler(RATE, 1 << 20), 0.0, dict[UploadKey, int]()
-    due, granted = dict[UploadKey, int](), dict[UploadKey, int]()
+    uploads, now, sent = UploadScheduler[str](RATE, 1 << 20), 0.0, dict[UploadKey[str], int]()
+    due, granted = dict[UploadKey[str], int](), dict[UploadKey[str], int]()
     for n, (what, size, aim, gap) in enumerate(steps):
         now += gap
         if what == 0:
             if offer(uploads, n, size, now, aim, 1e6):
-                due["x", n], sent["x", n], granted["x", n] = size, 0, 0
+                due[UploadKey("x", n)], sent[UploadKey("x", n)], granted[UploadKey("x", n)] = size, 0, 0
         elif what == 1 and due:
             key = min(due)
             if uploads.drop(key):
