--- a/tests/mesh/test_catch_up.py
+++ b/tests/mesh/control/test_reservation_catch_up.py
@@ -1,8 +1,8 @@
-"""A newcomer reads the claims of a majority of the voters before it, the one that left included."""
+"""A new voter reads the reservations of a majority of the epoch before, the voter that left included."""
 
 from __future__ import annotations
 
-from controlparts import IPS, NEW, claim, exchange, replica, seed
+from controlparts import IPS, NEW, replica, reserve, seed, voter_change
 
 from lugspur.mesh.control.messages import FetchReservations, Membership, ReservationsPage, StoredReservation, Voter
 from lugspur.mesh.control.replica import Replica
@@ -14,7 +14,7 @@
 
 def newcomer() -> tuple[Replica, ReservationCatchUp]:
     source, new = seed(), replica(NEW, "new")
-    source.decide(0.0, exchange())
+    source.decide(0.0, voter_change())
     new.learn(0.0, source.register.pages_after(0))
     return new, ReservationCatchUp(new)
 
@@ -23,7 +23,7 @@
     return ReservationsPage(epoch, number, CLAIMS if complete else [], last, complete)
 
 
-def test_it_asks_the_voters_of_the_epoch_before_and_again_after_a_silence() -> None:
+def test_it_asks_the_voters_of_the_epoch_before_and_again_after_a_timeout() -> None:
     _, catch_up = newcomer()
     assert catch_up.tick(1.0).send == [(ip, FetchReservations(2)) for ip in IPS]  # C has left: it holds claims still
     assert catch_up.tick(1.0 + RETRY_DELAY_SECONDS / 2).send == []
@@ -31,7 +31,7 @@
     assert [ip for ip, _ in catch_up.tick(1.0 + RETRY_DELAY_SECONDS).send] == [B, C]
 
 
-def test_a_majority_makes_it_complete_and_one_others_word_does_not() -> None:
+def test_a_majority_makes_it_complete_and_one_other_voter_does_not() -> None:
     new, catch_up = newcomer()
     catch_up.tick(1.0)
     catch_up.receive(1.1, A, page())
@@ -41,11 +41,11 @@
     catch_up.receive(1.1, B, page(epoch=1))
     assert not new.is_complete
     effects = catch_up.receive(1.2, C, page())
-    assert new.is_complete and effects.write and claim(new, b"b", epoch=2).is_taken
+    assert new.is_complete and effects.write and reserve(new, b"b", epoch=2).is_taken
     assert catch_up.tick(9.0).send == []
 
 
-def test_answers_in_parts_count_only_whole() -> None:
+def test_an_answer_counts_only_with_all_of_its_pages() -> None:
     new, catch_up = newcomer()
     catch_up.tick(1.0)
     catch_up.receive(1.1, A, page())
@@ -66,7 +66,7 @@
     catch_up.tick(1.0)
     catch_up.receive(1.1, A, page())
     voters = new.membership.voters if new.membership is not None else []
-    new.decide(1.2, exchange(Membership(3, voters, voters)))
+    new.decide(1.2, voter_change(Membership(3, voters, voters)))
     catch_up.receive(1.3, B, page())
     catch_up.tick(1.3)
     assert not new.is_complete
@@ -81,7 +81,7 @@
     catch_up.receive(1.1, B, page(complete=False))
     assert not new.is_complete  # neither holds what was won before the last epoch
     catch_up.receive(1.2, C, page())
-    assert new.is_complete and claim(new, b"b", epoch=2).is_taken
+    assert new.is_complete and reserve(new, b"b", epoch=2).is_taken
 
 
 def test_a_voter_that_was_not_complete_counts_itself() -> None:
@@ -91,7 +91,7 @@
     five = [*four, Voter("10.0.0.6", "u6", "")]
     # One voter at a time, as memberships follow each other; it is told of nothing in between.
     for membership in (Membership(3, four, voters), Membership(4, five, four), Membership(5, five, five)):
-        new.decide(1.0, exchange(membership))
+        new.decide(1.0, voter_change(membership))
     catch_up.tick(1.0)
     catch_up.receive(1.1, A, page(epoch=5))
     assert not new.is_complete
