--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -5,13 +5,13 @@
 import asyncio
 from collections.abc import Callable
 from random import Random
-from typing import Protocol, TypedDict, Unpack
+from typing import Protocol, Unpack
 
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import ReservationOutcome
 from lugspur.mesh.dataplane.endpoints import Endpoint
-from lugspur.observability.failures import PickView, Step
+from lugspur.observability.failures import FailureFacts
 
 
 class SentRequest(Protocol):
@@ -63,23 +63,6 @@
         """Forget a reservation whose outcome nobody waits for any more."""
 
 
-class FailureFacts(TypedDict, total=False):
-    """What a request knows of its failure, as fields of `FailedRequest`."""
-
-    route: str
-    service: str
-    keyed: bool
-    claim: str
-    took_s: float
-    had_s: float
-    sends: int
-    turned_away: int
-    waited_for: tuple[str, ...]
-    edition: int
-    steps: tuple[Step, ...]
-    pick: PickView | None
-
-
 class OpenRequest(Protocol):
     """A request that has no answer yet."""
 
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -13,12 +13,12 @@
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
-from lugspur.mesh.dataplane.interfaces import FailureFacts, KeyReservations, OpenRequest, RequestCarrier
+from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_headers import loggable_attempt_id, read_ids, read_seconds_left
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.observability.failures import ConfigurationState, FailureLog, log_nothing
+from lugspur.observability.failures import ConfigurationState, FailureFacts, FailureLog, log_nothing
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
