--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -91,11 +91,12 @@
 
 
 def select_endpoint(
-    candidates: Sequence[Endpoint], route: RouteEntry, zone: str, body_bytes: int, now: float, rng: Random
+    candidates: Sequence[Endpoint], route: RouteEntry, *, zone: str, body_bytes: int, now: float, rng: Random
 ) -> Endpoint | tuple[BreakerRejection, ...]:
     """Select a backend by the power of two choices: draw two and prefer the lower score, unless its breaker rejects.
 
-    Returns the endpoint, or why each that was drawn was rejected. Source: Mitzenmacher, "The Power of Two Choices in
+    `zone`: of this process, since bytes to another zone cost; `body_bytes`: of the request's body. Returns the
+    endpoint, or why each that was drawn was rejected. Source: Mitzenmacher, "The Power of Two Choices in
     Randomized Load Balancing", IEEE Transactions on Parallel and Distributed Systems 12(10), 2001.
     """
     timeout = route.deadline / route.average_latency if route.average_latency else 0.0
@@ -104,16 +105,16 @@
     def cost(endpoint: Endpoint) -> float:
         return endpoint.score(now) * (1.0 if endpoint.zone == zone else remote_cost)
 
-    refusals: tuple[BreakerRejection, ...] = ()
+    rejections: tuple[BreakerRejection, ...] = ()
     for endpoint in sorted(_draw_two(candidates, zone, rng), key=cost):
         breaker = endpoint.breaker(route.name)
         if not breaker.rejects(now, timeout, rng):
             return endpoint
-        refusals += (_explain_refusal(endpoint.id, breaker, now, timeout),)
-    return refusals
+        rejections += (_explain_rejection(endpoint.id, breaker, now, timeout),)
+    return rejections
 
 
-def _explain_refusal(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> BreakerRejection:
+def _explain_rejection(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> BreakerRejection:
     errors, latency = breaker.error_probability(now), breaker.latency_probability(timeout)
     return BreakerRejection(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
 
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -101,7 +101,8 @@
         preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
         # Those that rejected a request a moment ago come last, but before a rejection here: to ask them costs nothing.
         candidates = preferred or reachable
-        found = select_endpoint(candidates, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        body_bytes = len(self.request.body)
+        found = select_endpoint(candidates, self.route, zone=proxy.zone, body_bytes=body_bytes, now=now, rng=proxy.rng)
         if isinstance(found, Endpoint):
             return found
         proxy.count("breaker-refused" if reachable else "none-ready")
