--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -5,12 +5,13 @@
 import asyncio
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol, Unpack
 
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import ReservationOutcome
 from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.observability.failures import FailureFacts
 
 
 class SentRequest(Protocol):
@@ -98,5 +99,5 @@
     def request_served(self, seconds: float) -> None:
         """Count a request that a backend answered successfully, `seconds` after it arrived."""
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
