--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -245,7 +245,7 @@
     told = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
-    invariants.tell_to(invariants.tell_standard_error)
+    invariants.add_listener(invariants.log_to_standard_error)
     running = Running(path)
     await running.start(plan)
     reloads.carry_out(loop, running.reload)
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -129,7 +129,7 @@
     except (ConfigError, ValueError) as fault:
         print(f"lugspur: {fault}", file=sys.stderr)
         return 2
-    invariants.tell_to(invariants.tell_standard_error)
+    invariants.add_listener(invariants.log_to_standard_error)
     try:
         asyncio.run(serve(config))
     except StartError as fault:
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -126,7 +126,7 @@
             return
         self.open = False
         unrun = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
-        check(not (unrun and self._may_have_run()), Invariant.PROVEN_UNRUN, outcome=outcome.value.upper())
+        check(not (unrun and self._may_have_run()), Invariant.PROVEN_NOT_RUN, outcome=outcome.value.upper())
         if self.body is not None:
             self.body.told = None
         if self.timer is not None:
--- a/lugspur/invariants.py
+++ b/lugspur/invariants.py
@@ -1,7 +1,7 @@
-"""Promises that are checked while the program runs. A violation is counted and told, and never stops the process.
+"""Invariants that are checked while the program runs. A violation is counted and logged, and never stops the process.
 
-Each check costs one comparison where it holds. What is counted is read by `/metrics`, by the soak, and by the fixture
-in tests/conftest.py, which fails any test in whose process an invariant was violated.
+A check costs one comparison where its invariant holds. The counts are read by `/metrics`, by the soak test, and by the
+fixture in tests/conftest.py that fails any test in whose process an invariant was violated.
 """
 
 from __future__ import annotations
@@ -11,53 +11,78 @@
 from collections import Counter
 from collections.abc import Callable
 
-TOLD_MOST = 20  # violations of one invariant that are told: a fault on the path of each request must not fill the log
-
-Teller = Callable[["Invariant", dict[str, object]], None]
-
 
 class Invariant(enum.Enum):
-    """What must hold at all times; the value names it in logs and metrics."""
-
-    ONE_ANSWER = "one-answer"  # a request gets one final answer
-    SENT_WHILE_OPEN = "sent-while-open"  # nothing is sent for a request whose answer is not owed any more
-    RUN_ONCE = "run-once"  # what may not be repeated is not sent again while it may have run
-    TRIES = "tries"  # a request is offered to no more backends than its route allows
-    CLAIM_WON = "claim-won"  # an operation key is sent under a claim that was won
-    RELEASED_UNRUN = "released-unrun"  # a claim is given back only where nothing ran under it
-    IN_FLIGHT = "in-flight"  # counts of what is under way are never below nothing
-    OFFERED_ONCE = "offered-once"  # a gate offers a request to its backend once
-    PROVEN_UNRUN = "proven-unrun"  # what was written whole to a backend does not count as never run
-    ONE_EXCHANGE = "one-exchange"  # a connection to a backend carries one exchange at a time
-    INDEX_RISES = "index-rises"  # changes of the configuration are decided one after another
-    EDITIONS_RISE = "editions-rise"  # an item's place is taken by a later edition alone
-    EPOCHS_RISE = "epochs-rise"  # memberships follow each other
-    ONE_VOTER_AT_A_TIME = "one-voter-at-a-time"  # two memberships in a row differ in one voter at most
-    CONFIRMED_STANDS = "confirmed-stands"  # what is confirmed stands, or something later does
-    ROW_FITS = "row-fits"  # no row is written whose key no disk takes
-    ONE_HOLDER = "one-holder"  # an operation key has one holder until its window is over
-
-
+    """What holds at all times; the value names the invariant in logs and metrics."""
+
+    # ---- requests --------------------------------------------------------------------------
+
+    #: A request gets exactly one final answer.
+    ONE_ANSWER = "one-answer"
+    #: An attempt is sent only for a request that has not been answered yet.
+    SENT_WHILE_OPEN = "sent-while-open"
+    #: A request that must not be repeated is not sent again while an attempt of it may have run.
+    RUN_ONCE = "run-once"
+    #: A request is offered to no more backends than its route allows.
+    ATTEMPTS_WITHIN_LIMIT = "tries"
+    #: A request with an idempotency key is sent only under a reservation that it was granted.
+    RESERVATION_GRANTED = "claim-won"
+    #: A reservation is released only where nothing has run under it.
+    RELEASED_ONLY_UNRUN = "released-unrun"
+    #: Counts of what is in flight are never negative.
+    IN_FLIGHT_NOT_NEGATIVE = "in-flight"
+    #: A concurrency limiter offers a request to its backend once.
+    OFFERED_ONCE = "offered-once"
+    #: A request that was written completely to a backend does not count as proven not to have run.
+    PROVEN_NOT_RUN = "proven-unrun"
+    #: A connection to a backend carries one exchange at a time.
+    ONE_EXCHANGE = "one-exchange"
+
+    # ---- agreement and configuration -------------------------------------------------------
+
+    #: Changes of the configuration are decided one after another, each with the next index.
+    INDEX_RISES = "index-rises"
+    #: A configuration item is replaced only by one of a later edition.
+    EDITIONS_RISE = "editions-rise"
+    #: Voter memberships follow each other with rising epochs.
+    EPOCHS_RISE = "epochs-rise"
+    #: Two consecutive memberships differ in one voter at most.
+    ONE_VOTER_AT_A_TIME = "one-voter-at-a-time"
+    #: A change that was confirmed to an operator is kept, or has been replaced by a later one.
+    CONFIRMED_IS_KEPT = "confirmed-stands"
+    #: No row is written whose key is longer than the disk takes.
+    ROW_KEY_FITS = "row-fits"
+    #: An idempotency key has one owner until its retention time is over.
+    ONE_KEY_OWNER = "one-holder"
+
+
+#: Called with a violated invariant and details that say where.
+ViolationListener = Callable[[Invariant, dict[str, object]], None]
+
+#: Violations of one invariant that are reported: a fault on the path of each request must not fill the log.
+MAX_REPORTED_VIOLATIONS = 20
+
+#: How often each invariant was violated since the process started.
 violations: Counter[Invariant] = Counter()
-_tellers: list[Teller] = []
+_listeners: list[ViolationListener] = []
 
 
 def check(holds: bool, invariant: Invariant, **details: object) -> None:
-    """Count a violation unless it holds, and tell of it; `details` say of what."""
+    """Count a violation unless `holds`, and report the first ones to the listeners with these details."""
     if holds:
         return
     violations[invariant] += 1
-    if violations[invariant] <= TOLD_MOST:
-        for tell in _tellers:
-            tell(invariant, details)
+    if violations[invariant] <= MAX_REPORTED_VIOLATIONS:
+        for listener in _listeners:
+            listener(invariant, details)
 
 
-def tell_standard_error(invariant: Invariant, details: dict[str, object]) -> None:
-    """One line of the daemon's and the platform's proxy's log."""
-    told = " ".join(f"{key}={value}" for key, value in details.items())
-    print(f"lugspur: invariant violated: {invariant.value} {told}", file=sys.stderr, flush=True)
+def add_listener(listener: ViolationListener) -> None:
+    """Report violations to `listener` from now on."""
+    _listeners.append(listener)
 
 
-def tell_to(teller: Teller) -> None:
-    """Have violations told, as by a line in the log."""
-    _tellers.append(teller)
+def log_to_standard_error(invariant: Invariant, details: dict[str, object]) -> None:
+    """The listener of the daemon and the platform proxy: writes one line to their log."""
+    fields = " ".join(f"{key}={value}" for key, value in details.items())
+    print(f"lugspur: invariant violated: {invariant.value} {fields}", file=sys.stderr, flush=True)
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -271,7 +271,7 @@
         if isinstance(outcome, Confirmed):
             is_in_force = all(self._is_in_force(entry) for entry in request.entries)
             check_invariant(
-                is_in_force, Invariant.CONFIRMED_STANDS, change=request.change_id, index=self._replica.index
+                is_in_force, Invariant.CONFIRMED_IS_KEPT, change=request.change_id, index=self._replica.index
             )
         request.on_outcome(outcome)
 
--- a/lugspur/mesh/control/reservation_table.py
+++ b/lugspur/mesh/control/reservation_table.py
@@ -91,7 +91,7 @@
             return Effects(send=[(peer, ReserveKeyReply(key, owner, epoch, False, True, is_running, current.response))])
         if current is None and len(self._reservations) >= self._max_reservations:
             return Effects(send=[(peer, ReserveKeyReply(key, owner, epoch, False))])
-        check(current is None or current.owner == owner, Invariant.ONE_HOLDER, by=owner)
+        check(current is None or current.owner == owner, Invariant.ONE_KEY_OWNER, by=owner)
         self._put(key, Reservation(owner, now, now + message.seconds_left, None))
         row = (RESERVATION_PREFIX + key, _pack(StoredReservation(owner, message.seconds_left)))
         return Effects(write=[row], after_sync=[(peer, ReserveKeyReply(key, owner, epoch, True))])
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -261,7 +261,7 @@
 
     def _exchange_ended(self, request: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
         self._running -= 1
-        check(self._running >= 0, Invariant.IN_FLIGHT, backend=request.local.id)
+        check(self._running >= 0, Invariant.IN_FLIGHT_NOT_NEGATIVE, backend=request.local.id)
         if outcome is Outcome.OK and response is not None:
             self._answered(request, response)
         elif outcome in NOT_RUN_CAUSES:
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -125,7 +125,7 @@
         if attempts.offered > 1:
             self.proxy.budget(self.service).count_retry(now)
         is_allowed = attempts.offered <= self.route.max_attempts
-        check(is_allowed, Invariant.TRIES, attempt=self.attempt_id, sends=attempts.offered)
+        check(is_allowed, Invariant.ATTEMPTS_WITHIN_LIMIT, attempt=self.attempt_id, sends=attempts.offered)
         forward = self._encode(endpoint, now)
         handle = self.proxy.carrier.carry(endpoint.ip, forward, lambda result: self._receive_result(number, result))
         attempt = attempts.in_flight.get(number)
@@ -141,7 +141,7 @@
         holds_key = not self.reservation.key or self.reservation.is_held
         check(not self.is_finished, Invariant.SENT_WHILE_OPEN, attempt=self.attempt_id)
         check(self.route.is_safe or is_unrun, Invariant.RUN_ONCE, attempt=self.attempt_id, route=self.route.name)
-        check(holds_key, Invariant.CLAIM_WON, attempt=self.attempt_id)
+        check(holds_key, Invariant.RESERVATION_GRANTED, attempt=self.attempt_id)
 
     def _encode(self, endpoint: Endpoint, now: float) -> ForwardRequest:
         request, route = self.request, self.route
@@ -208,7 +208,7 @@
             return
         now, endpoint = self.proxy.loop.time(), attempt.endpoint
         self.attempts.record(attempt, now, self.request.arrived, result)
-        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
+        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT_NOT_NEGATIVE, backend=endpoint.id)
         if result.outcome == RequestOutcome.ANSWERED and result.response is not None:
             self._receive_answer(now, attempt, result.response)
             return
@@ -322,7 +322,7 @@
         after its caller has disconnected or its deadline has passed.
         """
         if self.reservation.is_held and not self.attempts.can_have_run:
-            check(self.is_finished, Invariant.RELEASED_UNRUN, attempt=self.attempt_id)
+            check(self.is_finished, Invariant.RELEASED_ONLY_UNRUN, attempt=self.attempt_id)
             self.reservation.release()
 
     def _record_failure(self, ending: str) -> None:
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -28,7 +28,7 @@
         events.warn("settings", fault=fault.detail)
         return 2
     events.start(settings.own.node_name)
-    invariants.tell_to(lambda invariant, details: events.warn("invariant", violated=invariant.value, **details))
+    invariants.add_listener(lambda invariant, details: events.warn("invariant", violated=invariant.value, **details))
     try:
         return uvloop.run(_run(settings, path))
     except MeshError as fault:
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -119,7 +119,7 @@
         of a failed write go with the next one, so that one such row would fail each write from then on.
         """
         fitting = [row for row in rows if len(row[0]) <= MAX_KEY_BYTES]
-        check(len(fitting) == len(rows), Invariant.ROW_FITS, rows=len(rows) - len(fitting))
+        check(len(fitting) == len(rows), Invariant.ROW_KEY_FITS, rows=len(rows) - len(fitting))
         if len(fitting) < len(rows):
             rows, on_synced = fitting, None
         with self._wake:
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -182,8 +182,8 @@
 
 
 def test_the_line_of_a_violated_invariant(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(invariants, "_tellers", [])
-    invariants.tell_to(invariants.tell_standard_error)
+    monkeypatch.setattr(invariants, "_listeners", [])
+    invariants.add_listener(invariants.log_to_standard_error)
     invariants.check(False, invariants.Invariant("run-once"), attempt="a-1", sent=2)
     invariants.violations.clear()
     assert capsys.readouterr().err == "lugspur: invariant violated: run-once attempt=a-1 sent=2\n"
--- a/tests/mesh/storage/test_disk.py
+++ b/tests/mesh/storage/test_disk.py
@@ -86,7 +86,7 @@
         async with asyncio.timeout(20.0):
             await written.wait()
         assert not told and not disk.fault and disk.read_rows() == [(b"k" * MAX_KEY_BYTES, b"v")]
-        assert violations.pop(Invariant.ROW_FITS) == 1
+        assert violations.pop(Invariant.ROW_KEY_FITS) == 1
         disk.close(1.0)
 
     asyncio.run(run())
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants: counted and told, a bounded number of times, and each one caught where it is violated on purpose."""
+"""Invariants: counted and reported, a bounded number of times, and each one caught where it is violated on purpose."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from controlparts import exchange, seed
 
 from lugspur import invariants
-from lugspur.invariants import TOLD_MOST, Invariant, check, violations
+from lugspur.invariants import MAX_REPORTED_VIOLATIONS, Invariant, check, violations
 from lugspur.mesh.control.messages import Membership, Voter
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[tuple[Invariant, dict[str, object]]]]:
-    """What is told while a test violates invariants on purpose; nothing is left counted."""
+def reported(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[tuple[Invariant, dict[str, object]]]]:
+    """What is reported while a test violates invariants on purpose; nothing is left counted."""
     found: list[tuple[Invariant, dict[str, object]]] = []
-    monkeypatch.setattr(invariants, "_tellers", [lambda invariant, details: found.append((invariant, details))])
+    monkeypatch.setattr(invariants, "_listeners", [lambda invariant, details: found.append((invariant, details))])
     yield found
     violations.clear()
 
 
-def test_what_holds_is_neither_counted_nor_told(told: list[tuple[Invariant, dict[str, object]]]) -> None:
+def test_what_holds_is_neither_counted_nor_reported(reported: list[tuple[Invariant, dict[str, object]]]) -> None:
     check(True, Invariant.ONE_ANSWER, attempt="a")
-    assert not violations and not told
+    assert not violations and not reported
 
 
-def test_a_violation_is_counted_always_and_told_a_bounded_number_of_times(
-    told: list[tuple[Invariant, dict[str, object]]],
+def test_a_violation_is_always_counted_and_reported_a_bounded_number_of_times(
+    reported: list[tuple[Invariant, dict[str, object]]],
 ) -> None:
-    for number in range(3 * TOLD_MOST):
+    for number in range(3 * MAX_REPORTED_VIOLATIONS):
         check(False, Invariant.RUN_ONCE, attempt=number)
-    check(False, Invariant.TRIES)
-    assert violations == {Invariant.RUN_ONCE: 3 * TOLD_MOST, Invariant.TRIES: 1}
-    assert told[0] == (Invariant.RUN_ONCE, {"attempt": 0}) and len(told) == TOLD_MOST + 1
+    check(False, Invariant.ATTEMPTS_WITHIN_LIMIT)
+    assert violations == {Invariant.RUN_ONCE: 3 * MAX_REPORTED_VIOLATIONS, Invariant.ATTEMPTS_WITHIN_LIMIT: 1}
+    assert reported[0] == (Invariant.RUN_ONCE, {"attempt": 0}) and len(reported) == MAX_REPORTED_VIOLATIONS + 1
 
 
-@pytest.mark.usefixtures("told")
+@pytest.mark.usefixtures("reported")
 def test_a_membership_that_goes_back_or_changes_two_voters_is_noticed() -> None:
     replica = seed()
     replica.decide(0.0, exchange())
