--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -1,4 +1,4 @@
-"""A proxy's registration of its machine's backend: heartbeats, sign-off, silence, and what the mesh is told of it."""
+"""A proxy's registration of its machine's backend: heartbeats, sign-off, silence, and its entry in the mesh."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
 
 
 class BackendRegistration:
-    """The present incarnation of this machine's backend, and the leased entry that tells the mesh of it."""
+    """The present incarnation of this machine's backend, and its leased entry."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
 
     def _is_present(self, ident: str, heartbeat: Heartbeat) -> bool:
         """Whether a heartbeat is one of the present incarnation, or of one that takes its place."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is not None and local.id != ident and heartbeat.state != "accepting" and heartbeat.sequence > 0:
             return False  # an incarnation that ends can take nobody's place
         has_ended = local is not None and local.state in ("gone", "silent")
@@ -112,14 +112,14 @@
 
     def _present_backend(self, ident: str, heartbeat: Heartbeat) -> LocalBackend:
         """The backend with that id; it takes the place of another one."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is not None and local.id == ident:
             return local
         local = LocalBackend(ident, heartbeat.service, heartbeat.address, self._process.loop.time())
         if heartbeat.state != "accepting":
             # Guards its drain: it may have said so long ago, to a process that was here before this one.
             local.closing_at = float("-inf")
-        self._limiter.local = local
+        self._limiter.local_backend = local
         events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
         return local
 
@@ -141,7 +141,7 @@
     def sign_off(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Take the backend's sign-off, with its id in `found`: it has ended."""
         self._incarnations.signed_off(found[0])
-        local = self._limiter.local
+        local = self._limiter.local_backend
         if local is not None and local.id == found[0]:
             local.state = "gone"
             local.closing_at = min(local.closing_at, self._process.loop.time())
@@ -154,11 +154,11 @@
         events.info("backend-down", id=local.id)
         self.publish()
 
-    # ---- what the mesh is told -------------------------------------------------------------
+    # ---- the entry of the backend ----------------------------------------------------------
 
     def publish(self) -> None:
-        """Tell the mesh how this machine's backend is, where that has changed."""
-        local = self._limiter.local
+        """Announce the status of this machine's backend to the mesh, where that has changed."""
+        local = self._limiter.local_backend
         if local is None:
             return
         status = self._status_of(local)
@@ -195,7 +195,7 @@
         self._process.store.merge([self.announced])
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
-        """The entry that tells of the backend; `renew`: for another peer, under a new edition."""
+        """The entry of the backend; `renew`: for another peer, under a new edition."""
         now = self._process.loop.time()
         # Guards subscribers against a fleet that seeks sources all the time while the voters are unsettled: under the
         # same edition it is no update. The former source may drop the entry when its lease ends there, and is then
@@ -222,7 +222,7 @@
 
     def tick(self, now: float) -> None:
         """Notice a backend that sends no heartbeats."""
-        local = self._limiter.local
+        local = self._limiter.local_backend
         since_tick, self._ticked_at = now - self._ticked_at, now
         if local is None or local.state in ("gone", "silent"):
             return
