--- a/lugspur/discovery/__init__.py
+++ b/lugspur/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which backends there are: sources of lists, each telling whole lists and changes of them."""
+"""Service discovery: where the endpoint lists of pools come from, and what is applied over them."""
--- a/lugspur/discovery/backend_registration.py
+++ b/lugspur/discovery/backend_registration.py
@@ -30,7 +30,7 @@
     weight: float = 1.0
 
     def node_data(self, started_ms: int) -> bytes:
-        """The data of its node: an entry of the platform's form. `started_ms` is in milliseconds since 1970."""
+        """Return the data of its node, an entry of the platform's form; `started_ms` is in milliseconds since 1970."""
         return orjson.dumps(
             {
                 "name": self.name,
@@ -44,7 +44,7 @@
         )
 
     def owns_node(self, data: bytes) -> bool:
-        """Whether a node with this data is this backend's own: only one process can listen at an address."""
+        """Return whether a node with this data is this backend's own: only one process can listen at an address."""
         try:
             found = orjson.loads(data)
         except orjson.JSONDecodeError:
--- a/lugspur/discovery/endpoint_overrides.py
+++ b/lugspur/discovery/endpoint_overrides.py
@@ -65,7 +65,7 @@
         return endpoint if row is endpoint.row else replace(endpoint, row=row)
 
     def was_listed(self, server: int) -> bool:
-        """Whether the backend was ever listed."""
+        """Return whether the backend was ever listed."""
         return server in self.listed or server in self.banned
 
     def disable(self, server: int) -> list[Endpoint]:
@@ -95,7 +95,7 @@
         return [endpoint for server in changed for endpoint in self._changed(server)]
 
     def save(self) -> SavedBans:
-        """What a successor process has to know."""
+        """Return what a successor process has to know."""
         return SavedBans(list(self.listed), sorted(self.banned), dict(self.earliest_start))
 
     def restore(self, saved: SavedBans) -> None:
--- a/lugspur/discovery/endpoints.py
+++ b/lugspur/discovery/endpoints.py
@@ -27,7 +27,7 @@
 
 
 def read_address(text: str) -> Address:
-    """Host and port of `host:port`; raises ValueError for any other text."""
+    """Return host and port of `host:port`; raises ValueError for any other text."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit() and int(port) < 65536):
         raise ValueError(f"{text!r} is not an address of the form host:port")
@@ -35,12 +35,12 @@
 
 
 def server_id(name: str) -> int:
-    """The number by which load balancing knows a backend: its name's bytes, so that all proxies agree on it."""
+    """Return the number by which load balancing knows a backend: its name's bytes, so that all proxies agree on it."""
     return int.from_bytes(name.encode(), "big")
 
 
 def server_name(server: int) -> str:
-    """The name that `server_id` made this number from."""
+    """Return the name that `server_id` made this number from."""
     return server.to_bytes((server.bit_length() + 7) // 8, "big").decode()
 
 
@@ -61,7 +61,7 @@
         self._zones, self._types = zones, types
 
     def endpoint(self, entry: Mapping[str, Any]) -> Endpoint:
-        """The endpoint of one entry.
+        """Return the endpoint of one entry.
 
         Raises KeyError where name, address or status is missing or the status is unknown, and ValueError, TypeError or
         AttributeError for values of the wrong form.
@@ -78,7 +78,7 @@
         return Endpoint(row, read_address(entry["address"]), entry.get("protocol", self._protocol) == "grpc")
 
     def endpoints(self, message: Mapping[str, Any]) -> list[Endpoint]:
-        """The endpoints of all entries of a list; raises as `endpoint` does."""
+        """Return the endpoints of all entries of a list; raises as `endpoint` does."""
         return [self.endpoint(entry) for entry in message["endpoints"]]
 
     def check_initial_list(self, known: Mapping[str, Any]) -> None:
--- a/lugspur/discovery/node_formats.py
+++ b/lugspur/discovery/node_formats.py
@@ -49,7 +49,7 @@
 
 
 def read_entry(form: str, name: str, node: RegistryNode) -> Entry | None:
-    """The entry that a node's data holds, or None for a node that describes no backend.
+    """Return the entry that a node's data holds, or None for a node that describes no backend.
 
     form: one of `FORMATS`; `auto` tells the format by the keys of the data.
     name: name of the node within its directory.
--- a/lugspur/discovery/registry_endpoints.py
+++ b/lugspur/discovery/registry_endpoints.py
@@ -48,7 +48,7 @@
         self._problems: dict[str, str] = {}  # what was last reported of a node that cannot be read
 
     def __len__(self) -> int:
-        """The number of backends."""
+        """Return the number of backends."""
         return len(self._nodes_of)
 
     def replace_all(self, nodes: Mapping[str, RegistryNode | None]) -> EndpointChanges:
@@ -81,7 +81,7 @@
         return EndpointChanges(endpoints=[] if known is None else self._without(known))
 
     def _without(self, known: _NodeEndpoint) -> list[Endpoint]:
-        """The backend of a node that is gone: by its other nodes, or as removed."""
+        """Return the backend of a node that is gone: by its other nodes, or as removed."""
         if known.server in self._nodes_of:
             return [self._endpoint(known.server)]
         return [replace(known.endpoint, row=replace(known.endpoint.row, state=ServerState.GONE))]
--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -55,7 +55,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     def get(self, ensemble: Ensemble) -> RegistrySession:
-        """The session with these servers; it connects once it has a user."""
+        """Return the session with these servers; it connects once it has a user."""
         return self._sessions.setdefault(ensemble, RegistrySession(ensemble))
 
     def close_unused(self) -> None:
--- a/lugspur/discovery/staleness.py
+++ b/lugspur/discovery/staleness.py
@@ -52,7 +52,7 @@
         self._reason = ""  # the last reason that was logged, so that it is logged once
 
     def freshness(self, now: float) -> ListFreshness:
-        """The state of the list at `now`."""
+        """Return the state of the list at `now`."""
         if self._is_current:
             return ListFreshness.CURRENT
         if not self._has_been_read:
@@ -67,23 +67,23 @@
         return ListFreshness.SESSION_MAY_LIVE
 
     def age_seconds(self, now: float) -> float:
-        """Seconds for which the list may have been out of date; 0 while it is current."""
+        """Return the seconds for which the list may have been out of date; 0 while it is current."""
         return 0.0 if self._is_current else now - self._current_at
 
     def next_tick_at(self) -> float:
-        """The time at which `tick` has to be called; infinite where nothing is pending."""
+        """Return the time at which `tick` has to be called; infinite where nothing is pending."""
         return float("inf") if self._is_current or self._is_stale else self._current_at + self._stale_after
 
     # ---- events ------------------------------------------------------------------------------
 
     def record_connection(self, session_timeout: float) -> None:
-        """A server has accepted the session, new or resumed, with this time-out in seconds."""
+        """Note that a server has accepted the session, new or resumed, with this time-out in seconds."""
         self._is_connected = True
         self._is_session_expired = False
         self._session_timeout = session_timeout
 
     def record_disconnection(self, now: float, last_heard_at: float, reason: str) -> None:
-        """The connection has ended; a server was last heard at `last_heard_at`."""
+        """Note that the connection has ended; a server was last heard at `last_heard_at`."""
         if self._is_current:
             self._current_at = min(now, last_heard_at)
         self._is_connected = self._is_current = False
@@ -92,11 +92,11 @@
             self._log(f"{self.freshness(now).value}: a server is left: {reason}; {self._retained_list()}")
 
     def record_session_expiry(self) -> None:
-        """A server reports that the proxy's own session has expired, which ends nothing but the proxy's own nodes."""
+        """Note that the proxy's own session has expired, which ends nothing but the proxy's own nodes."""
         self._is_session_expired = True
 
     def record_list_read(self, now: float, backend_count: int) -> None:
-        """All nodes have been read, so that the list equals the registry's. An empty list counts as well."""
+        """Note that all nodes have been read: the list equals the registry's, also where it is empty."""
         if not backend_count:
             self._log("the registry holds no box; its folder is empty or gone, and so is the pool")
         elif not self._has_been_read or self._is_stale or self._reason:
@@ -107,7 +107,7 @@
         self._current_at = now
 
     def record_read_failure(self, reason: str) -> None:
-        """Connected, but the directory node cannot be read; that removes no backend."""
+        """Note that the directory cannot be read though a server is connected; that removes no backend."""
         if reason != self._reason:
             self._reason = reason
             self._log(f"the folder can't be read: {reason}; {self._retained_list()}")
--- a/lugspur/discovery/state_codec.py
+++ b/lugspur/discovery/state_codec.py
@@ -18,7 +18,7 @@
 
 
 def finite_number(value: Any) -> float:
-    """`value` as a float; raises ValueError for NaN, which makes every comparison false, and for infinity."""
+    """Return `value` as a float; raises ValueError for NaN, which makes every comparison false, and for infinity."""
     number = float(value)
     if not isfinite(number):
         raise ValueError(f"{value!r} is no finite number")
@@ -26,7 +26,7 @@
 
 
 def encode_endpoint(endpoint: Endpoint) -> list[Any]:
-    """One endpoint as an array: name, state, zone, cell, weight, start, kind, host, port, whether it speaks gRPC."""
+    """Return an array of name, state, zone, cell, weight, start, kind, host, port, and whether it speaks gRPC."""
     row = endpoint.row
     # A zone or kind that the settings do not list is its name as a number (see `server_id`), which may exceed the
     # integers of JSON: both are written as text.
@@ -44,7 +44,7 @@
 
 
 def decode_endpoint(raw: list[Any]) -> Endpoint:
-    """The endpoint that `encode_endpoint` wrote."""
+    """Return the endpoint that `encode_endpoint` wrote."""
     name, state, zone, cell, size, started, kind, host, port, grpc = raw
     row = ServerRow(
         server_id(name),
@@ -59,12 +59,12 @@
 
 
 def encode_learned_server(learned: LearnedServer) -> dict[str, Any]:
-    """What was learned of one backend, which is named by its name rather than by its number."""
+    """Return what was learned of one backend, which is named by its name rather than by its number."""
     return dataclasses.asdict(learned) | {"server": server_name(learned.server)}
 
 
 def decode_learned_server(raw: dict[str, Any]) -> LearnedServer:
-    """What `encode_learned_server` wrote."""
+    """Return what `encode_learned_server` wrote."""
     breaker = raw["breaker"]
     return LearnedServer(
         server_id(raw["server"]),
@@ -80,7 +80,7 @@
 
 
 def encode_learned_pools(learned: Learned) -> dict[str, Any]:
-    """What was learned of the pools of request classes; backends are encoded one by one beside it."""
+    """Return what was learned of the pools of request classes; backends are encoded one by one beside it."""
     return {
         "pools": [dataclasses.asdict(pool) for pool in learned.pools],
         "pooled": learned.pooled,
@@ -90,7 +90,7 @@
 
 
 def decode_learned(raw: dict[str, Any], servers: list[dict[str, Any]]) -> Learned:
-    """All learned state, from the values of `encode_learned_pools` and `encode_learned_server`."""
+    """Return all learned state, from the values of `encode_learned_pools` and `encode_learned_server`."""
     return Learned(
         tuple(decode_learned_server(row) for row in servers),
         tuple(_decode_pool(row) for row in raw["pools"]),
--- a/lugspur/invariants.py
+++ b/lugspur/invariants.py
@@ -83,6 +83,6 @@
 
 
 def log_to_standard_error(invariant: Invariant, details: dict[str, object]) -> None:
-    """The listener of the daemon and the platform proxy: writes one line to their log."""
+    """Write one line to the log of the daemon or the platform proxy."""
     fields = " ".join(f"{key}={value}" for key, value in details.items())
     print(f"lugspur: invariant violated: {invariant.value} {fields}", file=sys.stderr, flush=True)
--- a/lugspur/observability/__init__.py
+++ b/lugspur/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see of a process from outside: figures, and an account of each request that failed."""
+"""What operators see of a process from outside: metrics, and records of failed requests."""
--- a/lugspur/observability/failures.py
+++ b/lugspur/observability/failures.py
@@ -48,7 +48,7 @@
     refusals: tuple[BreakerRejection, ...] = ()  # of the backends that were drawn; empty: none could be drawn
 
     def text(self) -> str:
-        """All of it as one word for the log."""
+        """Return all of it as one word for the log."""
         drawn = ",".join(f"{r.backend}:{r.term}:{r.chance:.2f}" for r in self.refusals)
         return f"{self.known}/{self.tried}/{self.unreachable}/{self.resting}/{drawn}"
 
@@ -108,7 +108,7 @@
 
 
 def log_nothing(failed: FailedRequest, unlogged_count: int) -> None:
-    """The logger of a process that keeps records and logs none."""
+    """Log nothing: for a process that only keeps its records."""
 
 
 class FailureLog:
@@ -148,5 +148,5 @@
             self._unlogged += 1
 
     def latest(self) -> list[FailedRequest]:
-        """All records that are kept, the latest last."""
+        """Return all records that are kept, the latest last."""
         return list(self._kept)
--- a/lugspur/observability/metrics.py
+++ b/lugspur/observability/metrics.py
@@ -42,17 +42,17 @@
 
 
 def gauge(name: str, help: str, value: float) -> Metric:
-    """A metric that is a present value."""
+    """Return a metric that is a present value."""
     return Metric(name, help, MetricKind.GAUGE, {"": value})
 
 
 def counter(name: str, help: str, value: float) -> Metric:
-    """A metric that rises."""
+    """Return a metric that rises."""
     return Metric(name, help, MetricKind.COUNTER, {"": value})
 
 
 def labelled_counter(name: str, help: str, label: str, values: Mapping[str, float]) -> Metric:
-    """A metric that rises, with a value for each value of a label."""
+    """Return a metric that rises, with a value for each value of a label."""
     return Metric(name, help, MetricKind.COUNTER, values, label)
 
 
@@ -73,14 +73,14 @@
 
 
 def invariant_metrics() -> list[Metric]:
-    """Violations of each invariant; those that were never violated are there with 0."""
+    """Return the violations of each invariant; those that were never violated are there with 0."""
     values = {invariant.value: float(violations[invariant]) for invariant in Invariant}
     help_text = "Invariants that were found violated; anything above 0 is a fault of the program."
     return [labelled_counter("invariant_violations", help_text, "invariant", values)]
 
 
 def render(metrics: Iterable[Metric], histograms: Iterable[Histogram] = ()) -> bytes:
-    """The text that a scraper reads; raises ImportError where `prometheus_client` is not installed."""
+    """Return the text that a scraper reads; raises ImportError where `prometheus_client` is not installed."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.registry import Collector
 
