--- a/lugspur/mesh/__init__.py
+++ b/lugspur/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Programs of the mesh: sockets, disks and clocks around `lugspur.mesh.control` and `lugspur.mesh.dataplane`."""
+"""The program `python -m lugspur.mesh`: sockets, disks and clocks around the decisions of `control` and `dataplane`."""
