--- a/tests/mesh/control_node/test_subscribers.py
+++ b/tests/mesh/control_node/test_subscribers.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.transport.link import Link
 
-PING = 0.25
+HEARTBEAT_SECONDS = 0.25
 
 
 class Wire:
@@ -33,12 +33,21 @@
     async def run() -> None:
         store = Store()
 
-        def news(now: float, since: int) -> Delta:
+        def make_update(now: float, sequence: int) -> Delta:
             return Delta(
-                "life", store.latest_sequence, now, 0.0, 0, False, True, 1, since == 0, store.changed_after(since)
+                "incarnation",
+                store.latest_sequence,
+                now,
+                0.0,
+                0,
+                False,
+                True,
+                1,
+                sequence == 0,
+                store.changed_after(sequence),
             )
 
-        await what(store, Subscribers(asyncio.get_running_loop(), store, PING, news), Wire())
+        await what(store, Subscribers(asyncio.get_running_loop(), store, HEARTBEAT_SECONDS, make_update), Wire())
 
     asyncio.run(run())
 
@@ -55,7 +64,7 @@
         store.merge([Entry("notes", "a", 2, b"y")])
         subscribers.update_soon()
         await asyncio.sleep(0)
-        subscribers.tick(wire.last_received_at + 10.0 * PING)
+        subscribers.tick(wire.last_received_at + 10.0 * HEARTBEAT_SECONDS)
         assert len(wire.sent) == 2 and not len(subscribers) and not wire.closed
 
     play(what)
@@ -66,7 +75,7 @@
         link = cast(Link, wire)
         subscribers.add(link, 0)
         subscribers.acknowledged(link, Pong(42.0))
-        subscribers.tick(wire.last_received_at + 2.0 * PING)
+        subscribers.tick(wire.last_received_at + 2.0 * HEARTBEAT_SECONDS)
         assert [cast(Delta, message).echoed_at for message in wire.sent] == [0.0, 42.0]
         subscribers.tick(wire.last_received_at + LEASE_SECONDS + 0.1)
         assert wire.closed
