--- a/lugspur/mesh/control/membership_entry.py
+++ b/lugspur/mesh/control/membership_entry.py
@@ -12,10 +12,10 @@
 
 
 def membership_entry(membership: Membership) -> Entry:
-    """A membership as an entry like others: it is decided, kept and told like the configuration."""
+    """A membership as an entry, which is decided, kept and sent to subscribers like the configuration."""
     return Entry(MEMBERSHIP, "", membership.epoch, _encode(membership))
 
 
 def read_membership(value: bytes) -> Membership:
-    """The membership of its entry."""
+    """Decode the membership of its entry."""
     return _decoder.decode(value)
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -18,7 +18,7 @@
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_headers import loggable_attempt_id, read_ids, read_seconds_left
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.observability.failures import FailureLog, Standing, keep_only
+from lugspur.observability.failures import ConfigurationState, FailureLog, log_nothing
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
@@ -55,7 +55,7 @@
         self._retry_slack = retry_slack * RETRY_BUDGET_FRACTION
         self._retry_window = retry_window
         self.zone = zone
-        self.proxies = 1  # processes that share the retry budgets
+        self.proxy_count = 1  # processes that share the retry budgets
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
         self.budgets: dict[str, RetryBudget] = {}  # by service
         self.sender = ""  # the service of this machine
@@ -64,7 +64,7 @@
         self._reservation_numbers = itertools.count(1)
         self.ended: Counter[str] = Counter()  # requests since the start, by how they ended
         self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
-        self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
+        self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
 
     def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
         """Replace the backends of a service that accept requests, by id; what was learned of others is forgotten."""
@@ -84,7 +84,7 @@
         found = self.budgets.get(service)
         if found is None:
             found = self.budgets[service] = RetryBudget(0.0, self._retry_ratio, self._retry_window)
-        found.set_minimum(self._retry_slack / max(1, self.proxies))
+        found.set_minimum(self._retry_slack / max(1, self.proxy_count))
         return found
 
     def reservation_id(self, attempt_id: bytes) -> bytes:
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -35,7 +35,7 @@
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.mesh.transport.dialer import Dialer
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
-from lugspur.observability.failures import FailureLog, Standing
+from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
 from lugspur.seams import Answerable, Request
 
@@ -116,7 +116,7 @@
 
     def update_sender(self) -> None:
         """Take up the service that this machine's requests come from: its backend's, else that of the settings."""
-        local = self.limiter.local
+        local = self.limiter.local_backend
         self.proxy.sender = local.service if local is not None else self.settings.own.service
 
     # ---- serving -------------------------------------------------------------------------
@@ -255,16 +255,16 @@
     def _services_changed(self, services: set[str]) -> None:
         for service in services:
             self.proxy.update_endpoints(service, self.backends.accepting(service))
-        self.proxy.proxies = max(1, len(self.backends.by_ip))
+        self.proxy.proxy_count = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
     # ---- what operators see --------------------------------------------------------------
 
-    def configuration_state(self) -> Standing:
+    def configuration_state(self) -> ConfigurationState:
         """The configuration and the membership that requests are judged by at this moment."""
         epoch = 0 if self.membership is None else self.membership.epoch
         age = self.loop.time() - self.update_source.confirmed_at
-        return Standing(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
+        return ConfigurationState(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
 
     def metrics(self) -> bytes:
         """The metrics of this proxy, in the text format of Prometheus."""
@@ -297,7 +297,7 @@
         await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._callers_socket)
         self.front.close()
-        self.limiter.leaving = True
+        self.limiter.is_shutting_down = True
         while self.loop.time() < started_at + SHUTDOWN_FRACTION * grace and self._has_work():
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
         for proxied_request in list(self.proxy.open_requests):
