--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -60,15 +60,16 @@
 
     def __init__(
         self,
-        memory: int,
-        files: int,
+        *,
+        memory_bytes: int,
+        max_connections: int,
         drain_seconds: float,
         on_completed: Callable[[ForwardRequest, BackendResponse], None],
         on_unreachable: Callable[[LocalBackend], None],
     ) -> None:
         """Make a limiter without a backend.
 
-        `memory`: bytes that the process may use; `files`: descriptors for connections to the backend;
+        `memory_bytes`: that the process may use; `max_connections`: to the backend;
         `drain_seconds`: time that a closing backend has. `on_completed` is called with each answer to a request that
         has an idempotency key, `on_unreachable` when the backend accepts no connection.
         """
@@ -78,12 +79,12 @@
         self.local_backend: LocalBackend | None = None
         self.is_shutting_down = False  # this process shuts down: nothing new is accepted
         self._upstream = Upstream(
-            Shares(files, {}),
+            Shares(max_connections, {}),
             "",
             MAX_IDLE_SECONDS,
             CONNECT_TIMEOUT_SECONDS,
-            memory // 4,
-            memory // 8,
+            memory_bytes // 4,
+            memory_bytes // 8,
             classify_response,
             proof=NOT_DELIVERED_HEADER,
             echo=ATTEMPT_ID_HEADER,
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -68,11 +68,11 @@
         self.reservations = VoterReservations(self)
         self.backends = KnownBackends(self.loop, self._services_changed)
         self.limiter = ConcurrencyLimiter(
-            memory_bytes,
-            max(16, limits.file_handles // 4),
-            settings.tariffs.bounds.drain_ms / 1000.0,
-            self.reservations.complete,
-            lambda local: self.registration.unreachable(local),
+            memory_bytes=memory_bytes,
+            max_connections=max(16, limits.file_handles // 4),
+            drain_seconds=settings.tariffs.bounds.drain_ms / 1000.0,
+            on_completed=self.reservations.complete,
+            on_unreachable=lambda local: self.registration.unreachable(local),
         )
         self.registration = BackendRegistration(self, self.limiter, self.backends.by_ip, link_rate)
         self.outgoing = OutgoingExchanges()
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -186,6 +186,17 @@
         pass
 
 
+def make_limiter() -> ConcurrencyLimiter:
+    """A limiter of a machine whose backend is still to be set."""
+    return ConcurrencyLimiter(
+        memory_bytes=64 << 20,
+        max_connections=64,
+        drain_seconds=2.0,
+        on_completed=lambda forward, answer: None,
+        on_unreachable=lambda local: None,
+    )
+
+
 class Mesh:
     """A proxy behind a real listener; limiters and keys are played, unless there is a real limiter."""
 
@@ -282,7 +293,7 @@
     async def what() -> None:
         async with scripted(lambda request: answer) as stub:
             mesh = Mesh(backends=1)
-            mesh.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            mesh.limiter = make_limiter()
             mesh.limiter.local_backend = LocalBackend("i-0", "s", stub.address, mesh.proxy.loop.time())
             told = await mesh.ask(answered=lambda: mesh.claims[0](Acquired()))
             got = stub.got.get_nowait()
@@ -310,7 +321,7 @@
 def test_how_a_body_is_framed_for_the_backend(method: bytes, body: bytes, framing: bytes) -> None:
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 204 X\r\nLugspur-Attempt-Id: t1\r\n\r\n") as stub:
-            limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            limiter = make_limiter()
             limiter.local_backend = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             limiter.submit(
                 ForwardRequest(1, "i-0", method, b"/p", [b"Host: h\r\n"], body, 9.0, 1.0, b"t1", 0, False, "r"),
@@ -341,7 +352,7 @@
 def test_what_each_header_of_a_backend_proves(answer: bytes, how: int, cause: int) -> None:
     async def what() -> None:
         async with scripted(lambda request: b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % answer) as stub:
-            limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+            limiter = make_limiter()
             limiter.local_backend = LocalBackend("i-0", "s", stub.address, asyncio.get_running_loop().time())
             said: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
             limiter.submit(
@@ -586,7 +597,7 @@
 def test_what_ended_without_the_backends_answer_is_counted_by_the_names_of_causes() -> None:
     async def what() -> None:
         mesh = Mesh()
-        limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda forward, answer: None, lambda local: None)
+        limiter = make_limiter()
         for cause in list(CAUSES)[1:]:
             limiter.reject(1, FailureCause(cause))
         sidecar: Any = SimpleNamespace(
--- a/tests/mesh/dataplane/test_concurrency_limiter.py
+++ b/tests/mesh/dataplane/test_concurrency_limiter.py
@@ -79,6 +79,17 @@
     )
 
 
+def make_limiter(memory_bytes: int = 64 << 20) -> ConcurrencyLimiter:
+    """A limiter whose answers and losses are noted by nobody."""
+    return ConcurrencyLimiter(
+        memory_bytes=memory_bytes,
+        max_connections=64,
+        drain_seconds=2.0,
+        on_completed=lambda forward, answer: None,
+        on_unreachable=lambda local: None,
+    )
+
+
 class Rig:
     """A limiter, its backend, and what it replied."""
 
@@ -87,7 +98,11 @@
         self.replies: dict[int, asyncio.Future[ForwardResponse]] = {}
         self.downs: list[LocalBackend] = []
         self.limiter = ConcurrencyLimiter(
-            64 << 20, 64, drain, lambda f, a: self.done.append((f.key, a)), self.downs.append
+            memory_bytes=64 << 20,
+            max_connections=64,
+            drain_seconds=drain,
+            on_completed=lambda f, a: self.done.append((f.key, a)),
+            on_unreachable=self.downs.append,
         )
         self.local = LocalBackend("i-1", "s", backend.address, asyncio.get_running_loop().time())
         self.limiter.local_backend = self.local
@@ -315,7 +330,7 @@
 
         heard = asyncio.Event()
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        limiter = make_limiter()
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         limiter.local_backend = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         found: asyncio.Future[ForwardResponse] = asyncio.get_running_loop().create_future()
@@ -455,7 +470,7 @@
         server = await asyncio.start_server(answer_early, "127.0.0.1", 0, limit=1 << 16)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         replies: list[ForwardResponse] = []
-        limiter = ConcurrencyLimiter(256 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        limiter = make_limiter(256 << 20)
         limiter.local_backend = LocalBackend("i-1", "s", address, asyncio.get_running_loop().time())
         limiter.submit(forward(1, body=body, left=5.0), replies.append)
         while not replies:
--- a/tests/mesh/sidecar/test_exchanges.py
+++ b/tests/mesh/sidecar/test_exchanges.py
@@ -57,7 +57,13 @@
     def __init__(self) -> None:
         self.ran: list[bytes] = []
         self.admitted: list[AdmittedRequest] = []
-        self.limiter = ConcurrencyLimiter(64 << 20, 64, 2.0, lambda f, a: None, lambda local: None)
+        self.limiter = ConcurrencyLimiter(
+            memory_bytes=64 << 20,
+            max_connections=64,
+            drain_seconds=2.0,
+            on_completed=lambda forward, answer: None,
+            on_unreachable=lambda local: None,
+        )
         self.now = asyncio.get_running_loop().time()
         self.limiter.local_backend = LocalBackend("i-1", "s", "127.0.0.1:9", self.now)
         self.limiter.local_backend.concurrency = 99
