--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -137,8 +137,8 @@
             async with served(text + '[management]\naddress = "127.0.0.1:0"\n') as up:
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/", b"room", X_Request_ID="id1"))) == 502
-                assert up.running.operators is not None
-                await check_answers(up.running.operators.port(), closing, b"main", "class-2")
+                assert up.running.admin is not None
+                await check_answers(up.running.admin.port(), closing, b"main", "class-2")
 
     asyncio.run(play())
 
@@ -182,8 +182,8 @@
 
 
 def test_the_line_of_a_violated_invariant(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(invariants, "_tellers", [])
-    invariants.tell_to(invariants.tell_standard_error)
+    monkeypatch.setattr(invariants, "_listeners", [])
+    invariants.add_listener(invariants.log_to_standard_error)
     invariants.check(False, invariants.Invariant("run-once"), attempt="a-1", sent=2)
     invariants.violations.clear()
     assert capsys.readouterr().err == "lugspur: invariant violated: run-once attempt=a-1 sent=2\n"
