--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -51,8 +51,11 @@
 MIN_TIME_FRACTION = 0.3  # of its service time that a request must have left to be started
 GRACE_SECONDS = 0.03  # after the deadline in which the backend's own answer to it may come
 CONNECT_TIMEOUT_SECONDS = 0.5  # the backend is on this machine
-MAX_IDLE_SECONDS = 20.0  # of a connection to the backend
+BACKEND_IDLE_TIMEOUT_SECONDS = 20.0  # after which the backend is taken to close an idle connection
 MAX_IDLE_CONNECTIONS = 64
+# Parts of the process's memory that all incomplete answers of the backend, and one of them, may take: one in...
+ALL_ANSWERS_MEMORY_DIVISOR = 4
+ONE_ANSWER_MEMORY_DIVISOR = 8
 
 
 class ConcurrencyLimiter:
@@ -80,12 +83,12 @@
         self.is_shutting_down = False  # this process shuts down: nothing new is accepted
         self._upstream = Upstream(
             Shares(max_connections, {}),
-            "",
-            MAX_IDLE_SECONDS,
-            CONNECT_TIMEOUT_SECONDS,
-            memory_bytes // 4,
-            memory_bytes // 8,
-            classify_response,
+            name="",
+            conn_idle=BACKEND_IDLE_TIMEOUT_SECONDS,
+            dial_timeout=CONNECT_TIMEOUT_SECONDS,
+            held_most=memory_bytes // ALL_ANSWERS_MEMORY_DIVISOR,
+            answer_most=memory_bytes // ONE_ANSWER_MEMORY_DIVISOR,
+            judge=classify_response,
             proof=NOT_DELIVERED_HEADER,
             echo=ATTEMPT_ID_HEADER,
             keeps=MAX_IDLE_CONNECTIONS,
