--- /dev/null
+++ b/tests/simulatedproxy.py
@@ -0,0 +1,126 @@
+"""A proxy whose backends and key reservations are simulated, for the tests of the request path."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from meshcalls import call, route
+
+from lugspur.mesh.control.items import read_changes
+from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
+from lugspur.mesh.control.reservation_client import (
+    ReservationOutcome,
+)
+from lugspur.mesh.dataplane.endpoints import EndpointListing
+from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.dataplane.request_outcome import RequestOutcome
+from lugspur.mesh.dataplane.route_table import RouteTable
+from lugspur.seams import Request
+
+OK = BackendResponse(200, b"Lugspur-Postmark: p\r\n", b"hi")
+BROKE = BackendResponse(500, b"Lugspur-Postmark: p\r\n", b"no")
+
+
+class Caller:
+    """A caller that waits for one answer."""
+
+    peer = ""
+
+    def __init__(self) -> None:
+        self.gone: Callable[[], None] | None = None
+        self.answers: list[tuple[int, bytes, bytes]] = []
+
+    def admit(self) -> None:
+        pass
+
+    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+        self.answers.append((status, head, body))
+
+    def passing(self) -> None:
+        return None
+
+
+class SentRequest:
+    """A request that was handed to the simulated backends."""
+
+    def __init__(self, rig: SimulatedProxy, at: int) -> None:
+        self._rig, self._at = rig, at
+
+    def cancel(self) -> None:
+        self._rig.cancelled.append(self._at)
+
+    def withdraw(self) -> None:
+        self._rig.withdrawn.append(self._at)
+
+
+class SimulatedProxy:
+    """A proxy whose backends and key reservations are simulated."""
+
+    def __init__(self, kind: str = "safe", tries: int = 2, backends: int = 3, slack: float = 20.0) -> None:
+        self.sent: list[tuple[str, ForwardRequest, Callable[[ForwardResponse], None]]] = []
+        self.cancelled: list[int] = []
+        self.withdrawn: list[int] = []
+        self.claimed: list[tuple[bytes, Callable[[ReservationOutcome], None]]] = []
+        self.reservation_ids: list[bytes] = []
+        self.released: list[bytes] = []
+        self.unreachable: set[str] = set()
+        table = RouteTable()
+        for entry in read_changes(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
+            table.apply(entry)
+        self.proxy = Proxy(
+            table, self, self, Random(1), retry_ratio=0.2, retry_slack=slack, retry_window=10.0, zone="z0"
+        )
+        self.proxy.sender = "mine"
+        self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
+
+    # the carrier and the keys
+    def is_reachable(self, ip: str) -> bool:
+        return ip not in self.unreachable
+
+    def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
+        self.sent.append((ip, forward, respond))
+        return SentRequest(self, len(self.sent) - 1)
+
+    def reserve(
+        self,
+        key: bytes,
+        owner: bytes,
+        seconds_left: float,
+        timeout: float,
+        on_outcome: Callable[[ReservationOutcome], None],
+    ) -> None:
+        self.claimed.append((key, on_outcome))
+        self.reservation_ids.append(owner)
+
+    def release(self, key: bytes, owner: bytes) -> None:
+        self.released.append(key)
+
+    def abandon(self, key: bytes, owner: bytes) -> None:
+        self.released.append(key)
+
+    def ask(self, target: bytes = b"/r/1", **headers: str) -> Caller:
+        caller = Caller()
+        named = {b"host": b"a.example", b"lugspur-attempt-id": b"t1"}
+        named |= {k.replace("_", "-").encode(): v.encode() for k, v in headers.items()}
+        lines = [b"%b: %b\r\n" % (k.title(), v) for k, v in named.items() if k != b"host"]
+        self.proxy.handle(Request(b"GET", target, named, lines, b"", self.proxy.loop.time(), True), caller)
+        return caller
+
+    def reply(
+        self, how: RequestOutcome, answer: BackendResponse | None = None, sent: bool = True, at: int = -1
+    ) -> None:
+        _, forward, respond = self.sent[at]
+        respond(ForwardResponse(forward.number, how, answer, sent))
+
+
+def play(what: Callable[[Any], Any], **settings: Any) -> None:
+    async def run() -> None:
+        async with asyncio.timeout(10.0):
+            done = what(SimulatedProxy(**settings))
+            if done is not None:
+                await done
+
+    asyncio.run(run())
