--- /dev/null
+++ b/tests/daemon/gossip/test_pauses.py
@@ -0,0 +1,67 @@
+"""A process that did not run for a while draws no conclusions from what it did not receive."""
+
+from __future__ import annotations
+
+from random import Random
+
+from lugspur.daemon.gossip.counters import GossipCounter
+from lugspur.daemon.gossip.datagrams import DatagramCodec
+from lugspur.daemon.gossip.messages import MemberMetadata, MemberRecord, Packet, Ping, Status
+from lugspur.daemon.gossip.protocol import GossipProtocol
+
+PEER = MemberRecord("m1", 7, 1, "10.0.0.2", 7946)
+PAUSE_SECONDS = 30.0
+
+
+def protocol_that_knows_a_peer() -> GossipProtocol:
+    codec = DatagramCodec("edge")
+    protocol = GossipProtocol(
+        codec=codec,
+        name="m0",
+        address=("10.0.0.1", 7946),
+        metadata=MemberMetadata(),
+        seeds=[],
+        now=0.0,
+        wall_clock=lambda: 1e9,
+        rng=Random(1),
+    )
+    ping = codec.encode(Packet(PEER.name, PEER.instance_id, "m0", Ping(1, protocol.digest, [PEER])))
+    protocol.receive(0.0, ping, PEER.address)
+    return protocol
+
+
+def run_until_suspected(protocol: GossipProtocol) -> float:
+    """Run without any answer of the peer, and return when it was suspected."""
+    now = 0.0
+    while protocol.members[PEER.name].record.status is Status.ALIVE:
+        assert now < 10.0
+        now = protocol.due()
+        protocol.tick(now)
+    return now
+
+
+def test_a_member_that_does_not_answer_is_suspected_and_declared_dead() -> None:
+    protocol = protocol_that_knows_a_peer()
+    now = run_until_suspected(protocol)
+    while protocol.members[PEER.name].record.status is Status.SUSPECT:
+        assert now < 10.0
+        now = protocol.due()
+        protocol.tick(now)
+    assert protocol.members[PEER.name].record.status is Status.DEAD
+    assert GossipCounter.PAUSED not in protocol.counters
+
+
+def test_a_probe_that_a_pause_interrupted_is_dropped() -> None:
+    protocol = protocol_that_knows_a_peer()
+    protocol.tick(protocol.due())  # begins the probe
+    protocol.tick(protocol.due() + PAUSE_SECONDS)
+    assert protocol.members[PEER.name].record.status is Status.ALIVE
+    assert protocol.counters[GossipCounter.PAUSED] == 1 and protocol.local_health_score == 1
+
+
+def test_a_suspicion_lasts_longer_by_a_pause() -> None:
+    protocol = protocol_that_knows_a_peer()
+    run_until_suspected(protocol)
+    protocol.tick(protocol.due() + PAUSE_SECONDS)
+    assert protocol.members[PEER.name].record.status is Status.SUSPECT
+    assert protocol.counters[GossipCounter.PAUSED] == 1
