--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -5,12 +5,13 @@
 import asyncio
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
+from typing import Protocol, Unpack
 
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.messages import ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import ReservationOutcome
 from lugspur.mesh.dataplane.endpoints import Endpoint
+from lugspur.observability.failures import FailureFacts
 
 
 class SentRequest(Protocol):
@@ -29,7 +30,7 @@
 class RequestCarrier(Protocol):
     """Takes requests to the concurrency limiter beside a backend."""
 
-    def ready(self, ip: str) -> bool:
+    def is_reachable(self, ip: str) -> bool:
         """Whether that machine can be reached now."""
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
@@ -98,5 +99,5 @@
     def request_served(self, seconds: float) -> None:
         """Count a request that a backend answered successfully, `seconds` after it arrived."""
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -17,7 +17,7 @@
 from lugspur.mesh.dataplane.request_headers import encode_headers
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteEntry
-from lugspur.observability.failures import PickView
+from lugspur.observability.failures import SelectionSummary
 from lugspur.seams import Answerable, Request
 
 MIN_LATENCY_SECONDS = 0.001  # of an answer: the loop's clock counts whole milliseconds
@@ -56,7 +56,7 @@
         self.attempts = Attempts()
         self.is_finished = False
         self.last_failure: BackendResponse | None = None  # the backend's own, to be passed on if nothing better comes
-        self.last_selection: PickView | None = None  # where no backend was found
+        self.last_selection: SelectionSummary | None = None  # where no backend was found
         self._header_lines: list[bytes] | None = None
         self._deadline_timer: asyncio.TimerHandle | None = None
         self._hedge_timer: asyncio.TimerHandle | None = None
@@ -97,16 +97,17 @@
         proxy = self.proxy
         known = proxy.services.get(self.service, {})
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.tried]
-        reachable = [endpoint for endpoint in untried if proxy.carrier.ready(endpoint.ip)]
+        reachable = [endpoint for endpoint in untried if proxy.carrier.is_reachable(endpoint.ip)]
         preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
         # Those that rejected a request a moment ago come last, but before a rejection here: to ask them costs nothing.
         candidates = preferred or reachable
-        found = select_endpoint(candidates, self.route, proxy.zone, len(self.request.body), now, proxy.rng)
+        body_bytes = len(self.request.body)
+        found = select_endpoint(candidates, self.route, zone=proxy.zone, body_bytes=body_bytes, now=now, rng=proxy.rng)
         if isinstance(found, Endpoint):
             return found
         proxy.count("breaker-refused" if reachable else "none-ready")
         tried, unreachable = len(known) - len(untried), len(untried) - len(reachable)
-        self.last_selection = PickView(len(known), tried, unreachable, len(reachable) - len(preferred), found)
+        self.last_selection = SelectionSummary(len(known), tried, unreachable, len(reachable) - len(preferred), found)
         return None
 
     def _send(self, now: float, is_retry: bool = False) -> bool:
@@ -125,7 +126,7 @@
         if attempts.offered > 1:
             self.proxy.budget(self.service).count_retry(now)
         is_allowed = attempts.offered <= self.route.max_attempts
-        check(is_allowed, Invariant.TRIES, attempt=self.attempt_id, sends=attempts.offered)
+        check(is_allowed, Invariant.ATTEMPTS_WITHIN_LIMIT, attempt=self.attempt_id, sends=attempts.offered)
         forward = self._encode(endpoint, now)
         handle = self.proxy.carrier.carry(endpoint.ip, forward, lambda result: self._receive_result(number, result))
         attempt = attempts.in_flight.get(number)
@@ -141,7 +142,7 @@
         holds_key = not self.reservation.key or self.reservation.is_held
         check(not self.is_finished, Invariant.SENT_WHILE_OPEN, attempt=self.attempt_id)
         check(self.route.is_safe or is_unrun, Invariant.RUN_ONCE, attempt=self.attempt_id, route=self.route.name)
-        check(holds_key, Invariant.CLAIM_WON, attempt=self.attempt_id)
+        check(holds_key, Invariant.RESERVATION_GRANTED, attempt=self.attempt_id)
 
     def _encode(self, endpoint: Endpoint, now: float) -> ForwardRequest:
         request, route = self.request, self.route
@@ -208,7 +209,7 @@
             return
         now, endpoint = self.proxy.loop.time(), attempt.endpoint
         self.attempts.record(attempt, now, self.request.arrived, result)
-        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT, backend=endpoint.id)
+        check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT_NOT_NEGATIVE, backend=endpoint.id)
         if result.outcome == RequestOutcome.ANSWERED and result.response is not None:
             self._receive_answer(now, attempt, result.response)
             return
@@ -322,7 +323,7 @@
         after its caller has disconnected or its deadline has passed.
         """
         if self.reservation.is_held and not self.attempts.can_have_run:
-            check(self.is_finished, Invariant.RELEASED_UNRUN, attempt=self.attempt_id)
+            check(self.is_finished, Invariant.RELEASED_ONLY_UNRUN, attempt=self.attempt_id)
             self.reservation.release()
 
     def _record_failure(self, ending: str) -> None:
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -8,7 +8,7 @@
 from collections import Counter
 from collections.abc import Mapping
 from random import Random
-from typing import Any
+from typing import Unpack
 
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.errors import ErrorKind, MeshError
@@ -18,7 +18,7 @@
 from lugspur.mesh.dataplane.rejection import reject
 from lugspur.mesh.dataplane.request_headers import loggable_attempt_id, read_ids, read_seconds_left
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.observability.failures import FailureLog, Standing, keep_only
+from lugspur.observability.failures import ConfigurationState, FailureFacts, FailureLog, log_nothing
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
@@ -55,7 +55,7 @@
         self._retry_slack = retry_slack * RETRY_BUDGET_FRACTION
         self._retry_window = retry_window
         self.zone = zone
-        self.proxies = 1  # processes that share the retry budgets
+        self.proxy_count = 1  # processes that share the retry budgets
         self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
         self.budgets: dict[str, RetryBudget] = {}  # by service
         self.sender = ""  # the service of this machine
@@ -64,7 +64,7 @@
         self._reservation_numbers = itertools.count(1)
         self.ended: Counter[str] = Counter()  # requests since the start, by how they ended
         self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
-        self.failures = FailureLog(lambda: Standing(0, 0, 0.0), keep_only)
+        self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
 
     def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
         """Replace the backends of a service that accept requests, by id; what was learned of others is forgotten."""
@@ -84,7 +84,7 @@
         found = self.budgets.get(service)
         if found is None:
             found = self.budgets[service] = RetryBudget(0.0, self._retry_ratio, self._retry_window)
-        found.set_minimum(self._retry_slack / max(1, self.proxies))
+        found.set_minimum(self._retry_slack / max(1, self.proxy_count))
         return found
 
     def reservation_id(self, attempt_id: bytes) -> bytes:
@@ -112,7 +112,7 @@
         self.count(SERVED)
         self.seconds.add(seconds)
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Any) -> None:
+    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
         self.count(ending)
         self.failures.add(attempt_id, ending, **facts)
@@ -129,7 +129,7 @@
 
     def _accept(self, request: Request, caller: Answerable) -> ProxiedRequest:
         """Check a request and find its route; raises MeshError for one that can't be served."""
-        attempt_id, key = read_ids(request)
+        ids = read_ids(request)
         if not request.target.startswith(b"/"):
             raise MeshError(ErrorKind.BAD_REQUEST)
         if not len(self.table):
@@ -147,7 +147,7 @@
             caller,
             route,
             deadline=request.arrived + seconds_left,
-            attempt_id=attempt_id,
-            key=key,
+            attempt_id=ids.attempt_id,
+            key=ids.idempotency_key,
             was_rejected=was_rejected,
         )
