--- a/lugspur/mesh/control/reservation_client.py
+++ b/lugspur/mesh/control/reservation_client.py
@@ -27,7 +27,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from cachetools import LRUCache
 
@@ -64,41 +64,38 @@
 ReservationOutcome = Acquired | AlreadyCompleted | TakenByAnother | Undecided
 
 
+@dataclass(slots=True, kw_only=True, eq=False)
 class _OpenReservation:
-    __slots__ = (
-        "owner",
-        "request_ends_at",
-        "granted_by",
-        "key",
-        "seconds_left",
-        "taken_at",
-        "on_outcome",
-        "membership",
-        "is_running",
-        "deadline",
-    )
-
-    def __init__(
-        self,
-        key: bytes,
-        owner: bytes,
-        seconds_left: float,
-        request_ends_at: float,
-        deadline: float,
-        on_outcome: Callable[[ReservationOutcome], None],
-    ) -> None:
-        self.key, self.owner, self.seconds_left, self.request_ends_at, self.deadline, self.on_outcome = (
-            key,
-            owner,
-            seconds_left,
-            request_ends_at,
-            deadline,
-            on_outcome,
-        )
-        self.granted_by: set[str] = set()
-        self.taken_at: set[str] = set()
-        self.is_running = False
-        self.membership: Membership | None = None
+    """A reservation that is not decided yet, and which voters of `membership` have replied how."""
+
+    key: bytes
+    owner: bytes
+    membership: Membership
+    request_ends_at: float
+    deadline: float
+    on_outcome: Callable[[ReservationOutcome], None]
+    granted_by: set[str] = field(default_factory=set)
+    taken_at: set[str] = field(default_factory=set)  # voters that have granted the key to another owner...
+    is_running: bool = False  # ...one of which may still be running its operation
+
+    def begin_anew(self, membership: Membership) -> None:
+        """Count the replies of another membership alone."""
+        self.membership = membership
+        self.granted_by.clear()
+        self.taken_at.clear()
+
+    def message(self, now: float) -> ReserveKey:
+        """The message that asks a voter for the key."""
+        return ReserveKey(self.key, self.owner, self.membership.epoch, max(0.0, self.request_ends_at - now))
+
+    def outcome(self, now: float) -> ReservationOutcome | None:
+        """What the replies so far decide, if anything."""
+        voters = len(self.membership.voters)
+        if len(self.granted_by) >= majority(voters) and now < self.deadline:
+            return Acquired()
+        if voters - len(self.taken_at) < majority(voters):
+            return TakenByAnother(self.is_running)
+        return None
 
 
 class ReservationClient:
@@ -129,70 +126,59 @@
         `seconds_left`: until the request of the owner ends; `timeout`: seconds after which `on_outcome` has been
         called.
         """
-        reservation = _OpenReservation(key, owner, seconds_left, now + seconds_left, now + timeout, on_outcome)
+        reservation = _OpenReservation(
+            key=key,
+            owner=owner,
+            membership=membership,
+            request_ends_at=now + seconds_left,
+            deadline=now + timeout,
+            on_outcome=on_outcome,
+        )
         self._open[key, owner] = reservation
-        self._send_to_all(now, reservation, membership)
-
-    def _send_to_all(self, now: float, reservation: _OpenReservation, membership: Membership) -> None:
-        reservation.membership = membership
-        reservation.granted_by.clear()
-        reservation.taken_at.clear()
-        for voter in membership.voters:
-            self._send(
-                voter.ip,
-                ReserveKey(
-                    reservation.key, reservation.owner, membership.epoch, max(0.0, reservation.request_ends_at - now)
-                ),
-            )
+        self._ask_all(now, reservation)
+
+    def _ask_all(self, now: float, reservation: _OpenReservation) -> None:
+        for voter in reservation.membership.voters:
+            self._send(voter.ip, reservation.message(now))
 
     def membership_changed(self, now: float, membership: Membership) -> None:
         """Ask for all open reservations anew: grants under another membership do not count any more."""
         for reservation in list(self._open.values()):
-            self._send_to_all(now, reservation, membership)
+            reservation.begin_anew(membership)
+            self._ask_all(now, reservation)
 
     def voter_connected(self, now: float, ip: str) -> None:
         """Repeat to a voter that is connected again what it may not have received."""
         for reservation in self._open.values():
-            membership = reservation.membership
-            if (
-                membership is not None
-                and ip in {voter.ip for voter in membership.voters}
-                and ip not in reservation.granted_by | reservation.taken_at
-            ):
-                self._send(
-                    ip,
-                    ReserveKey(
-                        reservation.key,
-                        reservation.owner,
-                        membership.epoch,
-                        max(0.0, reservation.request_ends_at - now),
-                    ),
-                )
+            has_replied = ip in reservation.granted_by | reservation.taken_at
+            if ip in _addresses(reservation.membership) and not has_replied:
+                self._send(ip, reservation.message(now))
 
     def receive(self, now: float, ip: str, message: ReserveKeyReply) -> None:
         """Process a voter's reply."""
         reservation = self._open.get((message.key, message.owner))
         if reservation is None:
-            if message.is_granted and (message.key, message.owner) in self._failed:
-                # The grant came too late, and nothing ran or will: no other owner shall wait for it.
-                self._send(ip, ReleaseKey(message.key, message.owner))
+            self._release_late_grant(ip, message)
             return
-        membership = reservation.membership
-        assert membership is not None
         if message.response is not None:
             self._end(reservation, AlreadyCompleted(message.response))
             return
-        if message.epoch != membership.epoch or ip not in {voter.ip for voter in membership.voters}:
+        membership = reservation.membership
+        if message.epoch != membership.epoch or ip not in _addresses(membership):
             return
         if message.is_granted:
             reservation.granted_by.add(ip)
-            if len(reservation.granted_by) >= majority(len(membership.voters)) and now < reservation.deadline:
-                self._end(reservation, Acquired())
         elif message.is_taken:
             reservation.taken_at.add(ip)
             reservation.is_running = reservation.is_running or message.is_running
-            if len(membership.voters) - len(reservation.taken_at) < majority(len(membership.voters)):
-                self._end(reservation, TakenByAnother(reservation.is_running))
+        outcome = reservation.outcome(now)
+        if outcome is not None:
+            self._end(reservation, outcome)
+
+    def _release_late_grant(self, ip: str, message: ReserveKeyReply) -> None:
+        """Release a grant of a reservation that has failed: nothing ran or will, so that no other owner shall wait."""
+        if message.is_granted and (message.key, message.owner) in self._failed:
+            self._send(ip, ReleaseKey(message.key, message.owner))
 
     def tick(self, now: float) -> None:
         """End the reservations whose time is up."""
@@ -210,11 +196,15 @@
         del self._open[reservation.key, reservation.owner]
         if not isinstance(outcome, Acquired):
             self._failed[reservation.key, reservation.owner] = None
-            for voter in reservation.membership.voters if reservation.membership is not None else ():
+            for voter in reservation.membership.voters:
                 if voter.ip not in reservation.taken_at:
                     self._send(voter.ip, ReleaseKey(reservation.key, reservation.owner))
         reservation.on_outcome(outcome)
 
 
+def _addresses(membership: Membership) -> set[str]:
+    return {voter.ip for voter in membership.voters}
+
+
 def _ignore(outcome: ReservationOutcome) -> None:
     """Takes the outcome of a reservation that nobody waits for."""
--- a/lugspur/mesh/control/reservation_table.py
+++ b/lugspur/mesh/control/reservation_table.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
 
 import msgspec
 
@@ -38,15 +39,14 @@
 _stored_decoder = msgspec.msgpack.Decoder(StoredReservation)
 
 
+@dataclass(slots=True, eq=False)
 class Reservation:
     """One reservation in memory; both times are of the steady clock."""
 
-    __slots__ = ("response", "reserved_at", "owner", "running_until")
-
-    def __init__(
-        self, owner: bytes, reserved_at: float, running_until: float, response: BackendResponse | None
-    ) -> None:
-        self.owner, self.reserved_at, self.running_until, self.response = owner, reserved_at, running_until, response
+    owner: bytes
+    reserved_at: float
+    running_until: float  # the owner's operation may run until then
+    response: BackendResponse | None
 
 
 def _response_size(response: BackendResponse | None) -> int:
