--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -49,7 +49,6 @@
         """`hello`: what this process answers to who dials it."""
         self._loop = asyncio.get_running_loop()
         self._limiter, self.uploads, self._hello = limiter, uploads, hello
-        self.expired = 0  # requests whose time was over when they were read
         self._admitted: dict[tuple[Link, int], AdmittedRequest] = {}
         self._senders: dict[Link, _Sender] = {}
         self._unrun_requests = UnrunRequests()
@@ -98,7 +97,6 @@
         forward.seconds_left -= excess
         forward.latency_target_left -= excess
         if forward.seconds_left <= 0.0:
-            self.expired += 1
             self._reject(link, forward.number, FailureCause.EXPIRED)
         elif forward.body_bytes:
             self._offer_upload(link, forward)
