--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -8,9 +8,8 @@
 
 from dataclasses import replace
 
-from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS
-from lugspur.load_balancing.adaptive_throttling import WINDOW_SECONDS
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
+from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
 from lugspur.load_balancing.model import Learned, LearnedBreaker, LearnedPool, LearnedServer
 
 #: The time in which an average loses half its weight. What makes a backend slow often lasts minutes.
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -18,7 +18,7 @@
 from lugspur.http1 import upstream
 from lugspur.http1.body import Body
 from lugspur.invariants import Invariant, check
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -220,7 +220,7 @@
         self._lists += 1
         self.pool.members(kind, endpoints)
         self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
-        up = (key for key, server in self.pool.balancer.servers.items() if server.row.state is ServerState.UP)
+        up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
         self.standing.listed(up)
         if self.shown is not None:
             self.shown(self.name)
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -7,7 +7,7 @@
 
 from lugspur.emulator.boxes import Box, Kind, Work
 from lugspur.emulator.clock import Clock
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     Action,
     Cancel,
--- a/lugspur/load_balancing/__init__.py
+++ b/lugspur/load_balancing/__init__.py
@@ -1,7 +1,7 @@
 """Load-balancing decisions for services that call services: a sans-I/O library."""
 
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.circuit_breaker import CircuitBreaker
-from lugspur.load_balancing.decide import Balancer
 from lugspur.load_balancing.model import (
     Action,
     Cancel,
--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     Action,
     Cancel,
--- a/lugspur/load_balancing/adaptive_throttling.py
+++ b/lugspur/load_balancing/adaptive_throttling.py
@@ -1,16 +1,14 @@
 """Adaptive throttling of the SRE book: reject locally as requests outnumber accepted ones.
 
 Method: *Site Reliability Engineering* (2016), chapter 21, "Client-Side Throttling"; K, the window of
-buckets and the protected requests are those of go-zero's breaker (PR #5366). Sans I/O: every method takes
-the time in seconds.
+buckets and the protected requests are those of go-zero's breaker (PR #5366). Times are in seconds.
 """
 
-from __future__ import annotations
-
 from collections import deque
 
 WINDOW_SECONDS = 10.0  # that the rejection probability looks back
 WINDOW_BUCKETS = 40
+BUCKET_SECONDS = WINDOW_SECONDS / WINDOW_BUCKETS
 K = 1.5  # accepted requests are worth this many requests...
 MIN_K = 1.1  # ...and this many when every recent bucket fails
 PROTECTED_REQUESTS = 5  # that never count against a server
@@ -26,13 +24,11 @@
     Of the others only errors, time-outs, overload answers and failed connections are failures.
     """
 
-    __slots__ = ("_accepts", "_bucket_seconds", "_buckets", "_failing_buckets", "_failures", "_requests")
+    __slots__ = ("_accepts", "_buckets", "_failing_buckets", "_failures", "_requests")
 
-    def __init__(self, window: float = WINDOW_SECONDS) -> None:
-        self._bucket_seconds = window / WINDOW_BUCKETS
-        self._buckets: deque[list[int]] = (
-            deque()
-        )  # [bucket number, requests, accepts, failures], oldest first
+    def __init__(self) -> None:
+        # [bucket number, requests, accepts, failures], oldest first
+        self._buckets: deque[list[int]] = deque()
         self._requests = self._accepts = self._failures = 0  # sums over the window
         self._failing_buckets = 0  # newest run of buckets that only failed
 
@@ -56,28 +52,26 @@
 
     def failure_ratio(self, now: float) -> float:
         """Failures as a part of the requests that were sent, with the protected ones counted as accepted."""
-        self._expire(int(now / self._bucket_seconds))
+        self._expire(int(now / BUCKET_SECONDS))
         return self._failures / (self._failures + self._accepts + PROTECTED_REQUESTS)
 
     def is_outlier(self, now: float) -> bool:
         """Whether most of the requests that were sent failed, and not just one."""
-        self._expire(int(now / self._bucket_seconds))
+        self._expire(int(now / BUCKET_SECONDS))
         return self._failures >= MIN_OUTLIER_FAILURES and self._failures > self._accepts
 
-    def error_probability(
-        self, now: float, max_k: float = K, protection: float = PROTECTED_REQUESTS
-    ) -> float:
-        """Rejection probability max(0, (requests - protection - K x accepts) / (requests + 1)).
+    def error_probability(self, now: float, max_k: float = K, protected: float = PROTECTED_REQUESTS) -> float:
+        """Rejection probability max(0, (requests - protected - K x accepts) / (requests + 1)).
 
         K falls from `max_k` towards MIN_K with the newest run of buckets that only failed.
         """
-        self._expire(int(now / self._bucket_seconds))
+        self._expire(int(now / BUCKET_SECONDS))
         k = max_k - (max_k - MIN_K) * self._failing_buckets / WINDOW_BUCKETS
-        return max(0.0, (self._requests - protection - k * self._accepts) / (self._requests + 1))
+        return max(0.0, (self._requests - protected - k * self._accepts) / (self._requests + 1))
 
     def _count_request(self, now: float) -> list[int]:
         """Count one more request in the bucket of `now`, and return the bucket."""
-        number = int(now / self._bucket_seconds)
+        number = int(now / BUCKET_SECONDS)
         buckets = self._buckets
         if not buckets or buckets[-1][NUMBER] < number:
             self._expire(number)
@@ -96,9 +90,7 @@
         self._failing_buckets = min(self._failing_buckets, len(buckets))
 
     def _export_window(self) -> tuple[tuple[int, int, int, int], ...]:
-        return tuple(
-            (number, requests, accepts, failures) for number, requests, accepts, failures in self._buckets
-        )
+        return tuple((n, requests, accepts, failures) for n, requests, accepts, failures in self._buckets)
 
     def _import_window(self, window: tuple[tuple[int, int, int, int], ...]) -> None:
         self._buckets = deque([list(bucket) for bucket in window[-WINDOW_BUCKETS:]])
--- /dev/null
+++ b/lugspur/load_balancing/attempt_deadlines.py
@@ -0,0 +1,61 @@
+"""Until when an answer to a request is of use."""
+
+from __future__ import annotations
+
+from math import log
+
+from lugspur.load_balancing.model import Settings
+
+TARGET_FRACTION = 0.98  # of the latency target, at which attempts end: the answer has to reach the client
+MAX_LATE_VALUE = 0.5  # classes whose late answers keep more of their value are waited for
+MAX_LENGTHS = 256  # lengths of attempts that are told apart; rarer ones are forgotten first
+MIN_SEEN = 4  # attempts of the usual length before another length means anything
+
+
+class AttemptDeadlines:
+    """Reads from the time that clients give whether an attempt of theirs is the first."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self._lengths: list[dict[int, int]] = [
+            {} for _ in settings.classes
+        ]  # counts by length in steps of 2%
+        self._usual_length = [0] * len(settings.classes)
+
+    def with_settings(self, settings: Settings) -> AttemptDeadlines:
+        """The same for other settings; counts of classes that are the same in both are kept."""
+        new = AttemptDeadlines(settings)
+        for i, (before, after) in enumerate(zip(self._settings.classes, settings.classes, strict=False)):
+            if before == after:
+                new._lengths[i], new._usual_length[i] = self._lengths[i], self._usual_length[i]
+        return new
+
+    def useful_until(self, now: float, class_index: int, deadline: float, is_retry: bool) -> float:
+        """Until when an answer earns something.
+
+        Guards against work for answers that are worth little: servers full of it keep timely ones waiting.
+        Acts where late answers lose half or more. First attempts of a class all last alike and are the
+        commonest; another length is a client's last, begun a class deadline before its end. Where clients
+        mark their retries an unmarked attempt is the first, however short: that client has little patience.
+        """
+        row = self._settings.classes[class_index]
+        if row.late_value > MAX_LATE_VALUE or row.streaming:
+            return deadline
+        begun = now
+        if self._settings.tier == 0:
+            is_unusual = self._is_unusual_length(class_index, deadline - now)
+            if (is_retry or not self._settings.clients_mark_retries) and is_unusual:
+                begun = min(now, deadline - row.deadline)
+        elif self._settings.callers_pass_deadline:
+            return deadline
+        return min(deadline, begun + TARGET_FRACTION * row.latency_target)
+
+    def _is_unusual_length(self, class_index: int, seconds: float) -> bool:
+        seen, length = self._lengths[class_index], round(50.0 * log(max(seconds, 1e-6)))
+        seen[length] = seen.get(length, 0) + 1
+        if len(seen) > MAX_LENGTHS:  # Guards memory against callers that never ask for the same time.
+            self._lengths[class_index] = seen = {k: n // 2 for k, n in seen.items() if n > 1}
+        if seen[length] > seen.get(self._usual_length[class_index], 0):
+            self._usual_length[class_index] = length
+        usual = self._usual_length[class_index]
+        return abs(length - usual) > 1 and seen[usual] >= MIN_SEEN
--- /dev/null
+++ b/lugspur/load_balancing/balancer.py
@@ -0,0 +1,372 @@
+"""The balancer: which server gets a request, whether any does, and whether a failed attempt is retried.
+
+Interface (settings, list rows, outcomes, actions): lugspur/load_balancing/model.py.
+
+Pure and sans-I/O: every method takes the time, returns the actions to carry out, and reads no clock.
+All randomness comes from the seed. The mechanism is that of go-zero PR #5366 with the SRE book's adaptive
+throttling (docs/design.md). Each decision has a module of its own beside this one.
+"""
+
+from collections.abc import Sequence
+from random import Random
+
+from lugspur.load_balancing import learned_state
+from lugspur.load_balancing.admission import AdmissionControl
+from lugspur.load_balancing.attempt_deadlines import TARGET_FRACTION, AttemptDeadlines
+from lugspur.load_balancing.circuit_breaker import CircuitBreaker
+from lugspur.load_balancing.cost_baseline import CostBaseline
+from lugspur.load_balancing.discovery_subscription import DiscoverySubscription
+from lugspur.load_balancing.model import (
+    NEVER_RAN,
+    Action,
+    Cancel,
+    DeduplicationScope,
+    Fail,
+    Learned,
+    ListUpdateKind,
+    Outcome,
+    Reject,
+    RequestId,
+    RetrySafety,
+    Send,
+    ServerId,
+    ServerRow,
+    Settings,
+)
+from lugspur.load_balancing.request_state import Request
+from lugspur.load_balancing.retry_budget import RetryBudget
+from lugspur.load_balancing.server import Attempt, Server
+from lugspur.load_balancing.server_table import ServerTable
+from lugspur.load_balancing.slow_start import SlowStart
+from lugspur.load_balancing.tenant_quotas import TenantQuotas
+from lugspur.load_balancing.two_choice_pick import TwoChoicePick
+
+MIN_REINSTATE_SECONDS, MAX_REINSTATE_SECONDS = 0.5, 3.0  # after which a reinstated server is owed a request
+TIER_LATENCY_FACTOR = 32.0  # of the moving average over all servers
+
+#: Outcomes that speak of too much work for the servers there are.
+OVERLOAD_OUTCOMES = frozenset({Outcome.OVERLOADED, Outcome.TIMEOUT, Outcome.UNREACHABLE})
+
+
+class Balancer:
+    """One instance: a method for each event, each returning the actions to carry out in order."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        settings.check()
+        self.settings = settings
+        self.rng = Random(seed)
+        self.requests: dict[RequestId, Request] = {}
+        self.table = ServerTable(settings)
+        self.slow_start = SlowStart(self.table, self.rng)
+        self.pick = TwoChoicePick(self.table, self.slow_start, self.rng)
+        self.admission = AdmissionControl(settings, self.rng)
+        self.quotas = TenantQuotas(settings)
+        self.deadlines = AttemptDeadlines(settings)
+        self.costs = CostBaseline()
+        self.retry_budget = RetryBudget.by_rules(settings.rules)
+        self.subscription = DiscoverySubscription(self.rng)
+
+    def change_settings(self, now: float, settings: Settings) -> None:
+        """Continue with other settings, keep what was learned; raises ValueError and then changes nothing.
+
+        Guards open requests: each is judged by the class that it began with, so that one must stand at the
+        same place as before.
+        """
+        settings.check()
+        before, after = self.settings.classes, settings.classes
+        for request in self.requests.values():
+            index = request.class_index
+            if index >= len(after) or after[index] != before[index]:
+                raise ValueError(f"classes[{index}]: a request of it is open")
+        self.settings = settings
+        self.deadlines = self.deadlines.with_settings(settings)
+        self.quotas = TenantQuotas(settings)
+        self.admission = AdmissionControl(settings, self.rng)
+        self.retry_budget.use_limits_of(RetryBudget.by_rules(settings.rules))
+        self.table.change_settings(now, settings)
+
+    def export_learned(self, server_ids: Sequence[ServerId] | None = None) -> Learned:
+        """The learned state for an instance that replaces this one: of all servers, or of those named."""
+        return learned_state.export_learned(self.table, self.costs, server_ids)
+
+    def import_learned(self, now: float, learned: Learned) -> None:
+        """Continue from another instance's learned state; call it after the first list, before requests."""
+        learned_state.import_learned(now, self.table, self.costs, learned)
+
+    def set_superseded(self, is_superseded: bool) -> None:
+        """Whether another instance goes on in this one's place: that one alone warms up cold servers.
+
+        Guards cold servers: two that follow each other are one proxy, and both budgets would add up.
+        """
+        self.slow_start.is_superseded = is_superseded
+
+    def start(self, now: float) -> list[Action]:
+        """Call once, after the first list was given."""
+        return self.subscription.start(now, self.settings)
+
+    def update_servers(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
+        """A server list, a change to it, or the news that discovery failed."""
+        if kind is ListUpdateKind.FAILED:
+            return self.subscription.list_failed(now, self.settings)
+        if kind is not ListUpdateKind.STALE:
+            self.subscription.list_received()
+        self.table.update(now, kind, rows)
+        return []
+
+    def reinstate(self, now: float, server_id: ServerId) -> None:
+        """Operators say that this server may serve again.
+
+        Guards it against being left out for long where requests are few: cold servers are drawn seldom. One
+        request goes to it at a moment that differs from instance to instance: they must not come together.
+        """
+        server = self.table.servers.get(server_id)
+        if server is not None:
+            spread = MAX_REINSTATE_SECONDS - MIN_REINSTATE_SECONDS
+            self.table.reinstated[server] = now + MIN_REINSTATE_SECONDS + spread * self.rng.random()
+
+    def fire_timer(self, now: float, token: int) -> list[Action]:
+        """A timer fell due; stale ones are ignored."""
+        return self.subscription.fire_timer(token)
+
+    def request(
+        self,
+        now: float,
+        rid: RequestId,
+        kind: int = 0,
+        tenant: int = 0,
+        deadline: float | None = None,
+        cost: float = 0.0,
+        retry: bool = False,
+        partial: bool = False,
+    ) -> list[Action]:
+        """A new request of the class at index `kind`; exactly one final answer follows, now or later.
+
+        `cost`: the work that is expected of it (0: unknown). `retry`: the client marked it as a retry.
+        `partial`: a part of its body is still to come; `complete_body` tells when it has.
+        Raises ValueError, and changes nothing, for arguments that are out of range.
+        """
+        self.settings.check_request(kind, tenant, deadline, cost)
+        if rid in self.requests:
+            raise ValueError(f"rid: {rid!r} is open already")
+        if deadline is None:
+            deadline = now + self.settings.classes[kind].deadline
+        request = Request(rid, kind, deadline, self.settings.limits.max_attempts)
+        request.useful_until = self.deadlines.useful_until(now, kind, deadline, retry)
+        request.cost = cost or 1.0
+        request.is_incomplete = partial
+        self._count_request(now, request)
+        actions = self._send_first(now, request) if self._admits(now, request, tenant) else []
+        return actions or self._answer(now, request)
+
+    def _count_request(self, now: float, request: Request) -> None:
+        self.requests[request.id] = request
+        self.retry_budget.count_request(now)
+        pool = self.table.pool_of[request.class_index]
+        pool.offered.count(now)
+        if now >= self.table.next_subsets_at:
+            self.table.choose_subsets(now)
+        self._set_pending(request, not request.is_incomplete)
+        pool.first_request_at = min(pool.first_request_at, now)
+
+    def _admits(self, now: float, request: Request, tenant: int) -> bool:
+        # Guards against work that cannot end in time: a heavy request, a caller with too little time left.
+        is_too_late = now + self.costs.min_seconds(request.cost) >= request.useful_until
+        if is_too_late:
+            self.costs.count_rejected()
+        is_over_quota = self.quotas.is_over(now, tenant)
+        pool = self.table.pool_of[request.class_index]
+        return not is_too_late and self.admission.admits(now, request.class_index, pool, is_over_quota)
+
+    def _send_first(self, now: float, request: Request) -> list[Action]:
+        pool = self.table.pool_of[request.class_index]
+        # The list stands in for a dead subset, less its cold servers: others' subsets share their budget.
+        return self._send(now, request, pool.subset, True) or self._send(now, request, pool.ready, False)
+
+    def _send(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Action]:
+        """Send an attempt to the best candidate whose breaker does not reject; no action if there is none."""
+        timeout = self.settings.classes[request.class_index].latency_target
+        for server in self.pick.ranked(now, request, servers, is_first):
+            if server.breaker is None:
+                server.breaker = CircuitBreaker()
+            if not server.breaker.rejects(now, timeout, self.rng):
+                return [self._start_attempt(now, request, server)]
+        return []
+
+    def _start_attempt(self, now: float, request: Request, server: Server) -> Send:
+        self.table.reinstated.pop(server, None)
+        if server.slow_start_credit > 0.0:
+            server.slow_start_credit -= 1.0
+        if request.attempts:
+            self.retry_budget.count_retry(now)
+        attempt = Attempt(server, now)
+        if not request.is_incomplete:
+            server.in_flight[attempt] = None
+        self.table.pool_of[request.class_index].sent.count(now)
+        request.attempts.append(attempt)
+        request.open_attempts += 1
+        timeout = request.useful_until - now if request.useful_until < request.deadline else 0.0
+        return Send(request.id, server.row.server, timeout)
+
+    def _retry(self, now: float, request: Request) -> list[Action]:
+        """Send a retry within the rules and the retry budget; no action if that is not possible."""
+        if request.is_answered or request.is_bound or now >= request.useful_until:
+            return []
+        if not self.retry_budget.allows_retry(now) or len(request.attempts) >= request.max_attempts:
+            return []
+        return self._send(now, request, self.pick.retry_servers(now, request), False)
+
+    def _answer(self, now: float, request: Request) -> list[Action]:
+        """The final answer: rejected where trying again is harmless, else failed."""
+        # Guards admission against failures that no load made, from invalid answers to a server's own faults:
+        # rejecting work does not cure them. Could harm: an overloaded tier that fails fast, as proxies that
+        # reject make it, shows in what is pending alone.
+        if any(attempt.shows_overload for attempt in request.attempts):
+            self.table.pool_of[request.class_index].breaker.count_failed(now)
+        kind = self.settings.classes[request.class_index]
+        is_keyed = (
+            kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
+        )
+        is_harmless = kind.retry_safety is RetrySafety.SAFE or is_keyed
+        never_ran = request.first_that_may_have_run() is None
+        answer: Action = Reject(request.id) if is_harmless or never_ran else Fail(request.id)
+        return [answer, *self._finish(request)]
+
+    def _set_pending(self, request: Request, is_pending: bool) -> None:
+        """Count it among those that wait for an answer, or not: work that the servers have before them."""
+        if request.is_pending is not is_pending:
+            request.is_pending = is_pending
+            self.table.pool_of[request.class_index].pending += 1 if is_pending else -1
+
+    def _finish(self, request: Request) -> list[Action]:
+        request.is_answered = True
+        self._set_pending(request, False)
+        actions = [] if request.is_bound else self._cancel_attempts(request)
+        if not request.open_attempts:
+            self.requests.pop(request.id, None)
+        return actions
+
+    def _cancel_attempts(self, request: Request, spared: int = -1) -> list[Action]:
+        if not self.settings.limits.allows_cancel:
+            return []
+        return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.is_open and n != spared]
+
+    def complete_body(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+        """The last byte of a partial request has come: its time counts from here.
+
+        Guards servers and admission against slow uploads: while one comes nothing runs, so that it says
+        neither that its server hangs nor that requests pile up.
+        """
+        request = self.requests.get(rid)
+        if request is None or request.is_answered or not request.is_incomplete:
+            return []
+        request.is_incomplete = False
+        self._set_pending(request, not request.has_response_begun)
+        for attempt in request.attempts:
+            if attempt.is_open and not request.has_response_begun:
+                attempt.work_started_at = now
+                attempt.server.in_flight[attempt] = None
+        return self.extend_deadline(now, rid, deadline)
+
+    def extend_deadline(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+        """Another client waits for its answer too, and longer: attempts that are out keep their time."""
+        request = self.requests.get(rid)
+        if request is None or request.is_answered or deadline <= request.deadline:
+            return []
+        if request.useful_until >= request.deadline:
+            request.useful_until = deadline
+        else:  # late answers are worth little: the newcomer's latency target counts from now
+            target = self.settings.classes[request.class_index].latency_target
+            useful_until = min(deadline, now + TARGET_FRACTION * target)
+            request.useful_until = max(request.useful_until, useful_until)
+        request.deadline = deadline
+        return []
+
+    def finish_attempt(
+        self, now: float, rid: RequestId, number: int, how: Outcome, latency: float, last: bool = False
+    ) -> list[Action]:
+        """An attempt ended, `latency` seconds after it was sent; unknown ones are ignored.
+
+        `last`: its answer has gone to the client.
+        """
+        request = self.requests.get(rid)
+        if request is None or not 0 <= number < len(request.attempts):
+            return []
+        attempt = request.attempts[number]
+        if not attempt.is_open:
+            return []
+        self._close_attempt(request, attempt, how, latency)
+        self._learn(now, attempt, how, latency, self.settings.classes[request.class_index].latency_target)
+        if how is Outcome.OK:
+            self.costs.observe(latency, request.cost)
+        if request.is_answered:
+            if not request.open_attempts:
+                self.requests.pop(rid, None)
+            return []
+        if last or how is Outcome.OK:
+            pool = self.table.pool_of[request.class_index]
+            pool.served.count(now)
+            pool.breaker.count_accepted(now)
+            return self._finish(request)
+        return [] if request.open_attempts else self._retry(now, request) or self._answer(now, request)
+
+    def _close_attempt(self, request: Request, attempt: Attempt, how: Outcome, latency: float) -> None:
+        attempt.is_open = False
+        attempt.may_have_run = how not in NEVER_RAN
+        # An error that took longer than requests are admitted to wait speaks of a time-out behind.
+        max_wait = self.admission.max_wait[request.class_index]
+        attempt.shows_overload = how in OVERLOAD_OUTCOMES or latency > max_wait
+        request.open_attempts -= 1
+
+    def _learn(self, now: float, attempt: Attempt, how: Outcome, latency: float, timeout: float) -> None:
+        server = attempt.server
+        server.in_flight.pop(attempt, None)
+        if server.breaker is None or how is Outcome.NOT_PROCESSED or attempt.sent_at < server.row.started_at:
+            return
+        if how in NEVER_RAN:
+            server.eject(now, self.rng)
+        elif how in (Outcome.OK, Outcome.ERROR):
+            server.end_ejection()
+        if how is Outcome.OK:
+            self._learn_success(now, server, server.breaker, latency)
+        elif how is not Outcome.CANCELLED:
+            server.breaker.count_failed(now)
+            # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
+            server.observe_latency(now, max(latency, timeout))
+
+    def _learn_success(self, now: float, server: Server, breaker: CircuitBreaker, latency: float) -> None:
+        table = self.table
+        breaker.count_accepted(now)
+        if breaker.current_latency <= 0.0 and table.tier_latency > 0.0:
+            # No baseline from one slow answer alone.
+            breaker.observe_latency(min(latency, table.tier_latency))
+        breaker.observe_latency(latency)
+        server.observe_latency(now, latency)
+        gap = latency - table.tier_latency
+        table.tier_latency += gap / TIER_LATENCY_FACTOR if table.tier_latency > 0.0 else latency
+
+    def bind_to_attempt(self, now: float, rid: RequestId, number: int) -> list[Action]:
+        """A part of a stream has gone to this attempt's server: the request belongs to it."""
+        request = self.requests.get(rid)
+        if request is None or request.is_answered:
+            return []
+        request.is_bound = True
+        return self._cancel_attempts(request, number)
+
+    def begin_response(self, now: float, rid: RequestId, number: int) -> list[Action]:
+        """The answer of a stream has begun: the request belongs to this attempt, and waits for nothing.
+
+        Guards admission against streams that go on for long: they are no queue that would make others late.
+        """
+        request = self.requests.get(rid)
+        if request is not None and not request.is_answered and not request.has_response_begun:
+            request.has_response_begun = True
+            self._set_pending(request, False)
+            # Guards a server that gives a long answer against looking as if it hung.
+            for attempt in request.attempts:
+                attempt.server.in_flight.pop(attempt, None)
+        return self.bind_to_attempt(now, rid, number)
+
+    def cancel_request(self, now: float, rid: RequestId) -> list[Action]:
+        """The client left; no answer is expected any more."""
+        request = self.requests.get(rid)
+        return [] if request is None or request.is_answered else self._finish(request)
--- a/lugspur/load_balancing/circuit_breaker.py
+++ b/lugspur/load_balancing/circuit_breaker.py
@@ -1,14 +1,11 @@
 """Circuit breaker that rejects locally with the larger of an error probability and a latency probability.
 
-The mechanism is that of go-zero PR #5366 (docs/design.md) on adaptive throttling. Sans I/O: every method
-takes the time in seconds.
+The mechanism is that of go-zero PR #5366 (docs/design.md) on adaptive throttling. Times are in seconds.
 """
 
-from __future__ import annotations
-
 from random import Random
 
-from lugspur.load_balancing.adaptive_throttling import WINDOW_SECONDS, AdaptiveThrottle
+from lugspur.load_balancing.adaptive_throttling import AdaptiveThrottle
 from lugspur.load_balancing.model import LearnedBreaker
 
 FORCED_PASS_INTERVAL_SECONDS = 1.0  # between requests that pass whatever the probability
@@ -29,8 +26,8 @@
 
     __slots__ = ("baseline_latency", "current_latency", "last_passed_at")
 
-    def __init__(self, window: float = WINDOW_SECONDS) -> None:
-        super().__init__(window)
+    def __init__(self) -> None:
+        super().__init__()
         self.baseline_latency = self.current_latency = 0.0
         self.last_passed_at = float("-inf")
 
--- /dev/null
+++ b/lugspur/load_balancing/discovery_subscription.py
@@ -0,0 +1,50 @@
+"""When to ask discovery for the server list, where it has to be asked."""
+
+from random import Random
+
+from lugspur.load_balancing.model import Action, DiscoveryMode, Settings, StartTimer, Subscribe
+
+SUBSCRIBE_TOKEN = 1  # of the timer
+FIRST_RETRY_DELAY_SECONDS = 1.0
+START_FRACTION = 0.4  # of the discovery interval, over which the first calls of all instances are spread
+
+
+class DiscoverySubscription:
+    """Asks for the list at the start, and again after failures with exponential backoff."""
+
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
+        self._is_timer_running = False
+        self._retry_delay = FIRST_RETRY_DELAY_SECONDS
+
+    def start(self, now: float, settings: Settings) -> list[Action]:
+        """Ask soon. All instances start together: the first calls are spread over what the rules allow."""
+        if settings.discovery is not DiscoveryMode.ON_REQUEST:
+            return []
+        interval = settings.rules.discovery_interval
+        return self._subscribe_in(now, START_FRACTION * interval * self._rng.random())
+
+    def list_failed(self, now: float, settings: Settings) -> list[Action]:
+        """Ask again later, jittered and doubling: every instance lost the same service at the same time."""
+        delay = self._retry_delay * (0.5 + self._rng.random())
+        self._retry_delay = min(
+            2.0 * self._retry_delay, max(FIRST_RETRY_DELAY_SECONDS, settings.rules.discovery_interval)
+        )
+        return self._subscribe_in(now, delay)
+
+    def list_received(self) -> None:
+        """Discovery works: the next failure is the first again."""
+        self._retry_delay = FIRST_RETRY_DELAY_SECONDS
+
+    def fire_timer(self, token: int) -> list[Action]:
+        """Ask now; stale timers are ignored."""
+        if token == SUBSCRIBE_TOKEN and self._is_timer_running:
+            self._is_timer_running = False
+            return [Subscribe()]
+        return []
+
+    def _subscribe_in(self, now: float, delay: float) -> list[Action]:
+        if self._is_timer_running:
+            return []
+        self._is_timer_running = True
+        return [StartTimer(now + delay, SUBSCRIBE_TOKEN)]
--- a/lugspur/load_balancing/event_rate.py
+++ b/lugspur/load_balancing/event_rate.py
@@ -1,7 +1,5 @@
 """Smoothed rate of events."""
 
-from __future__ import annotations
-
 SMOOTHING_SECONDS = 2.0
 
 
--- a/lugspur/load_balancing/retry_budget.py
+++ b/lugspur/load_balancing/retry_budget.py
@@ -4,6 +4,8 @@
 
 from collections import deque
 
+from lugspur.load_balancing.model import Rules
+
 DEFAULT_MINIMUM_RETRIES = 5.0  # in any window, where no retry budget is stated...
 DEFAULT_RETRY_RATIO = 0.2  # ...and for each request taken in it: more would feed an overload...
 DEFAULT_WINDOW_SECONDS = 10.0  # ...over so long a window
@@ -24,6 +26,14 @@
         self._requests: deque[float] = deque()  # times at which requests were taken
         self._retries: deque[float] = deque()  # times at which retries were sent
 
+    @staticmethod
+    def by_rules(rules: Rules) -> RetryBudget:
+        """The budget that the rules state, or the default one."""
+        free, ratio, window = rules.retry_budget_minimum, rules.retry_budget_ratio, rules.retry_budget_window
+        if window > 0.0:
+            return RetryBudget(free, ratio, window)
+        return RetryBudget(DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS)
+
     def use_limits_of(self, other: RetryBudget) -> None:
         """Take over the limits of another budget; requests and retries counted so far stay."""
         self._minimum, self._ratio, self._window = other._minimum, other._ratio, other._window
--- /dev/null
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -0,0 +1,110 @@
+"""The power of two choices (Mitzenmacher 2001): of two random ready servers the better one comes first."""
+
+from bisect import bisect_right
+from random import Random
+
+from lugspur.load_balancing.model import RetrySafety
+from lugspur.load_balancing.request_state import Request
+from lugspur.load_balancing.server import Server
+from lugspur.load_balancing.server_pool import ServerPool
+from lugspur.load_balancing.server_table import ServerTable
+from lugspur.load_balancing.slow_start import MAX_DRAWS, SlowStart
+
+RETRY_WINDOW_FRACTION = 0.9  # the part of a keyed class's deduplication window in which retries are sent
+
+
+class TwoChoicePick:
+    """Finds the candidates for an attempt; it sends nothing."""
+
+    def __init__(self, table: ServerTable, slow_start: SlowStart, rng: Random) -> None:
+        self._table = table
+        self._slow_start = slow_start
+        self._rng = rng
+
+    def ranked(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
+        """The candidates among `servers`, the best first; `is_first`: for the first attempt in the subset.
+
+        Guards requests against waiting behind others in a subset while servers outside it stand idle, most of
+        all where it is narrow or a server of it is slow or dead: where all candidates of the subset are busy
+        or outliers, two of all servers are drawn too, taken to hold of others' what ours hold of ours on
+        average. Could harm where others have far more traffic: their servers are busier than they seem.
+        """
+        table = self._table
+        kind = table.settings.classes[request.class_index]
+        tier_latency = table.tier_latency or kind.latency_target  # before any answer all are alike
+        drawn = self._draw_two(now, request, servers, is_first)
+        scores = {server: server.score(now, tier_latency) for server in drawn}
+        if is_first and all(s.in_flight or s.ejected_until > now or s.is_outlier(now) for s in scores):
+            pool = table.pool_of[request.class_index]
+            others = pool.sent.per_second(now) * table.tier_latency / max(1, len(pool.subset))
+            for server in self._draw_two(now, request, pool.ready, False):
+                if server not in pool.subset:
+                    scores[server] = server.score(now, tier_latency, others)
+        if kind.retry_safety is RetrySafety.UNSAFE:
+            # Guards what can't be tried again against an outlier: its breaker passes requests until it has
+            # seen enough, and one a second then. What can be goes on finding out whether it has recovered.
+            # Could harm where requests themselves are at fault: their server is shunned for a window.
+            return sorted(scores, key=lambda s: (s.ejected_until > now, s.is_outlier(now), scores[s]))
+        return sorted(scores, key=lambda s: (s not in table.reinstated, s.ejected_until > now, scores[s]))
+
+    def _draw_two(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
+        """Two random servers, fewer where there are no more; an ejected one if there is no other."""
+        pool = self._table.pool_of[request.class_index]
+        if now >= pool.next_warm_at:
+            pool.count_warm(now, self._table.settings.rules)
+        tried = [attempt.server for attempt in request.attempts]
+        found = self._due_reinstated(now, pool) if is_first and self._table.reinstated else []
+        ejected: list[Server] = []
+        for _ in range(MAX_DRAWS if servers else 0):
+            server = self._draw(servers, pool)
+            if server in found or server in tried or self._is_too_cold(now, server, pool, is_first):
+                continue
+            if server.ejected_until > now:
+                ejected = [server]
+                continue
+            found.append(server)
+            if len(found) == 2:
+                break
+        if not found and tried:
+            found = self._draw_untried(now, servers, tried)
+        return found or ejected
+
+    def _draw(self, servers: list[Server], pool: ServerPool) -> Server:
+        """One random server; those of the subset by their parts of it."""
+        if servers is not pool.subset:
+            return servers[int(self._rng.random() * len(servers))]
+        place = pool.subset_begin + pool.subset_width * self._rng.random()
+        return servers[min(bisect_right(pool.subset_ends, place), len(servers) - 1)]
+
+    def _is_too_cold(self, now: float, server: Server, pool: ServerPool, is_first: bool) -> bool:
+        """Whether slow start keeps this request away; retries never go to a cold server."""
+        if server.warm_at(self._table.settings.rules) <= now:
+            return False
+        return not is_first or self._slow_start.skips(now, server, pool)
+
+    def _draw_untried(self, now: float, servers: list[Server], tried: list[Server]) -> list[Server]:
+        """One of the warm servers that were not tried.
+
+        Guards the last attempt where servers are few: draws with replacement may meet nothing but what was
+        tried, one time in 256 with two servers and one in ten with four of which three were.
+        """
+        rules = self._table.settings.rules
+        left = [s for s in servers if s not in tried and max(s.ejected_until, s.warm_at(rules)) <= now]
+        return [self._rng.choice(left)] if left else []
+
+    def _due_reinstated(self, now: float, pool: ServerPool) -> list[Server]:
+        """A server that was reinstated and has got nothing since, if its moment has come."""
+        due = [server for server, at in self._table.reinstated.items() if at <= now and server in pool.ready]
+        return due[:1] if not self._slow_start.is_superseded else []
+
+    def retry_servers(self, now: float, request: Request) -> list[Server]:
+        """Where a retry may go by the rules; empty if nowhere. Guards the rule against running twice."""
+        kind = self._table.settings.classes[request.class_index]
+        pool = self._table.pool_of[request.class_index]
+        first = request.first_that_may_have_run()
+        if first is None or kind.retry_safety is RetrySafety.SAFE:
+            return pool.ready
+        window = RETRY_WINDOW_FRACTION * kind.deduplication_window
+        if kind.retry_safety is RetrySafety.UNSAFE or now - first.sent_at >= window:
+            return []
+        return pool.retry_servers(kind, first.server.row)
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -11,10 +11,8 @@
 from typing import Any
 
 from lugspur.load_balancing.retry_budget import RetryBudget
-from lugspur.mesh.control.errors import MeshError
-from lugspur.mesh.dataplane.endpoints import Endpoint
-from lugspur.mesh.control.errors import ErrorKind
-from lugspur.mesh.dataplane.endpoints import EndpointListing
+from lugspur.mesh.control.errors import ErrorKind, MeshError
+from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
 from lugspur.mesh.dataplane.interfaces import KeyReservations, OpenRequest, RequestCarrier
 from lugspur.mesh.dataplane.proxied_request import BY_MS, ProxiedRequest
 from lugspur.mesh.dataplane.rejection import reject
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -19,7 +19,7 @@
 import pytest
 
 from lugspur.load_balancing.adapter import Link, read_row, read_settings, serve, write_action
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import ListUpdateKind, Outcome
 
 Message = dict[str, Any]
--- a/tests/daemon/hot_restart/test_process_state.py
+++ b/tests/daemon/hot_restart/test_process_state.py
@@ -148,7 +148,11 @@
     assert again[rows[1].server] == before[rows[1].server]
     assert again[rows[2].server].latency == 0.0
     assert balancer.export_learned().pools == LEARNED.pools
-    assert (balancer.pooled, balancer.pace, balancer.paced) == (LEARNED.pooled, LEARNED.pace, LEARNED.paced)
+    assert (balancer.table.tier_latency, balancer.costs.seconds_per_cost, balancer.costs.samples) == (
+        LEARNED.pooled,
+        LEARNED.pace,
+        LEARNED.paced,
+    )
 
 
 def test_a_superseded_instance_sends_nothing_to_backends_that_warm_up() -> None:
--- a/tests/daemon/persistence/kept.py
+++ b/tests/daemon/persistence/kept.py
@@ -7,7 +7,7 @@
 from lugspur.daemon.persistence.snapshot_format import encode_record, encode_snapshot
 from lugspur.discovery import state_codec
 from lugspur.discovery.endpoints import Endpoint, server_id
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     Learned,
     ListUpdateKind,
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
 AT = 1002.0  # when the module of `taught` was asked: right after its last request
@@ -152,7 +152,7 @@
                 balancer.import_learned(now, known)
             young = replace(rows[0].row, started_at=now - 0.5)  # the first list that is told
             balancer.update_servers(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
-            assert balancer.servers[young.server].breaker is None
+            assert balancer.table.servers[young.server].breaker is None
             for number in range(60):
                 at, rid = now + 0.02 * number, f"q{number}"
                 for action in balancer.request(at, rid, deadline=at + 1.0):
@@ -170,8 +170,8 @@
     balancer = Balancer(SETTINGS, 1)
     balancer.update_servers(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
     balancer.import_learned(AT + 1.0, learned)
-    assert [server.latency for server in balancer.servers.values()] == [0.0]
-    assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
+    assert [server.latency for server in balancer.table.servers.values()] == [0.0]
+    assert all(server.row.state is ServerState.UP for server in balancer.table.servers.values())
 
 
 @pytest.mark.parametrize("age", [0.5, 5.0, 600.0, MAX_AGE_SECONDS])
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -95,7 +95,7 @@
 
     def states(self) -> dict[int, ServerState]:
         """The pool's boxes, as the decision module sees them."""
-        servers = self.up.daemon.stations["a"].pool.balancer.servers
+        servers = self.up.daemon.stations["a"].pool.balancer.table.servers
         return {key: server.row.state for key, server in servers.items() if server.row.state is not ServerState.GONE}
 
     async def knows(self, **states: ServerState) -> None:
@@ -135,7 +135,7 @@
             await folder.knows(one=ServerState.UP, two=ServerState.UP)
             folder.cluster.write("/boxes/one", box(status="terminating", weight=2.0))
             await folder.knows(one=ServerState.DRAINING, two=ServerState.UP)
-            servers = folder.up.daemon.stations["a"].pool.balancer.servers
+            servers = folder.up.daemon.stations["a"].pool.balancer.table.servers
             assert servers[server_id("one")].row.weight == 2.0
 
     asyncio.run(play())
@@ -158,7 +158,7 @@
     async def play() -> None:
         async with following('cold = { part = 0.3, warm-after = "1h" }') as folder:
             now = int(time.time() * 1000)
-            servers = folder.up.daemon.stations["a"].pool.balancer.servers
+            servers = folder.up.daemon.stations["a"].pool.balancer.table.servers
             key = server_id("one")
             folder.cluster.box("/boxes/one", box(since_ms=now))
             await folder.knows(one=ServerState.UP)
@@ -310,7 +310,7 @@
         async with following(more) as folder:
             folder.cluster.write("/others/member_1", b'{"serviceEndpoint":{"host":"127.0.0.1","port":9}}')
             folder.cluster.write("/others/vector_1", b"whatever")
-            servers = folder.up.daemon.stations["b"].pool.balancer.servers
+            servers = folder.up.daemon.stations["b"].pool.balancer.table.servers
             await until(lambda: list(servers) == [server_id("member_1")])
             assert len(folder.cluster.ensemble.sessions) == 1
             await folder.knows()
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -87,7 +87,7 @@
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
                 station = up.daemon.stations["a"]
-                [server] = station.pool.balancer.servers.values()
+                [server] = station.pool.balancer.table.servers.values()
                 learned = server.latency
                 await up.reload(text + route("s", "/s", 'pool = "a"'), HEAD.replace('aim = "30s"', 'aim = "29s"'))
                 assert up.daemon.stations["a"] is station and server.latency == learned > 0.0
--- a/tests/daemon/test_same_decisions.py
+++ b/tests/daemon/test_same_decisions.py
@@ -16,7 +16,7 @@
 from loopback import HOST, soon, status
 
 from lugspur.daemon import pool as pools
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import Action, Outcome
 from lugspur.standins.grpc.box import Box, Call
 from lugspur.standins.grpc.caller import Caller
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -45,7 +45,7 @@
 
 
 def latencies(up: Served) -> dict[int, float]:
-    servers = up.daemon.stations["a"].pool.balancer.servers
+    servers = up.daemon.stations["a"].pool.balancer.table.servers
     return {key: server.latency for key, server in servers.items()}
 
 
@@ -323,7 +323,7 @@
             async with keeping(tmp_path, text) as up:
                 await asked(up, 5)
             async with keeping(tmp_path, text) as up:
-                both = [next(iter(up.daemon.stations[name].pool.balancer.servers.values())) for name in "ab"]
+                both = [next(iter(up.daemon.stations[name].pool.balancer.table.servers.values())) for name in "ab"]
                 assert both[0].latency > 0.0 and both[1].latency == 0.0
 
     asyncio.run(play())
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,7 +12,7 @@
 import pytest
 
 from lugspur.load_balancing import adapter
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import DiscoveryMode, Outcome, RetrySafety
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -41,7 +41,7 @@
     one.change_settings(
         2.0, Settings(classes=(replace(READ, latency_target=0.5), BOOK), tenants=(Tenant("t", quota=3.0),))
     )
-    assert one.servers[send.server].latency == 0.2 and one.paced == 1
+    assert one.table.servers[send.server].latency == 0.2 and one.costs.samples == 1
     [again] = one.request(2.0, "b", kind=1, tenant=0)
     assert isinstance(again, Send)
 
@@ -63,11 +63,11 @@
         rid = f"r{number}"
         one.request(1.0, rid)
         one.finish_attempt(1.0, rid, 0, Outcome.INTERRUPTED, 0.0)
-    spent = len(one.budget._retries)
+    spent = len(one.retry_budget._retries)
     one.change_settings(
         1.0, replace(one.settings, classes=(replace(READ, latency_target=0.9),)) if not one.requests else one.settings
     )
-    assert len(one.budget._retries) == spent > 0
+    assert len(one.retry_budget._retries) == spent > 0
 
 
 def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
@@ -75,16 +75,16 @@
     one.update_servers(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, host_type=7)])
     one.request(1.0, "free")
     bound = replace(READ, allowed_host_types=(7,))
-    before = one.pool_of[0]
+    before = one.table.pool_of[0]
     one.change_settings(1.0, Settings(classes=(READ, bound)))
-    assert one.pool_of[0] is before and before.owed == 1
+    assert one.table.pool_of[0] is before and before.pending == 1
     for number in range(10):
         [send] = one.request(1.1, f"r{number}", 1)
         assert isinstance(send, Send) and send.server == 2
     one.finish_attempt(1.2, "free", 0, Outcome.OK, 0.1)
-    assert before.owed == 0 and one.pool_of[1].owed == 10
+    assert before.pending == 0 and one.table.pool_of[1].pending == 10
     one.change_settings(1.3, Settings(classes=(READ, bound)))
-    assert len(one.pools) == 2
+    assert len(one.table.pools) == 2
 
 
 def test_a_stream_that_has_begun_is_no_queue_and_one_that_is_bound_goes_nowhere_else() -> None:
@@ -94,12 +94,12 @@
     one.bind_to_attempt(1.1, "bound", 0)
     one.begin_response(1.1, "begun", 0)
     one.begin_response(1.2, "begun", 0)
-    assert one.pool_of[0].owed == 1
+    assert one.table.pool_of[0].pending == 1
     for rid in ("bound", "begun"):
         assert [type(action) for action in one.finish_attempt(1.3, rid, 0, Outcome.INTERRUPTED, 0.3)] == [
             Reject
         ]  # safe: no harm
-    assert one.pool_of[0].owed == 0 and not one.requests
+    assert one.table.pool_of[0].pending == 0 and not one.requests
     assert one.bind_to_attempt(1.4, "bound", 0) == [] and one.begin_response(1.4, "begun", 0) == []
 
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     Fail,
     Limits,
@@ -116,7 +116,7 @@
         one.request(2.0, "open")
     with pytest.raises(ValueError, match=name):
         b.request(3.0, **{"rid": "new", **values})
-    assert list(b.requests) == ["open"] and b.pools[0].owed == twin.pools[0].owed
+    assert list(b.requests) == ["open"] and b.table.pools[0].pending == twin.table.pools[0].pending
     # the same random numbers follow: nothing was drawn either
     assert b.request(4.0, "next") == twin.request(4.0, "next")
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -75,14 +75,14 @@
     for rid in ("hangs", "dials"):
         balancer.request(1.0, rid, deadline=2.0)
     balancer.finish_attempt(1.1, "dials", 0, Outcome.UNREACHABLE, 0.1)
-    [server] = balancer.servers.values()
-    until = server.down_until
+    [server] = balancer.table.servers.values()
+    until = server.ejected_until
     assert until > 1.1
     balancer.finish_attempt(1.2, "hangs", 0, Outcome.TIMEOUT, 0.2)
-    assert server.down_until == until
+    assert server.ejected_until == until
     balancer.request(1.3, "answered", deadline=2.0)
     balancer.finish_attempt(1.4, "answered", 0, Outcome.OK, 0.1, last=True)
-    assert server.down_until == 0.0
+    assert server.ejected_until == 0.0
 
 
 def test_a_server_that_comes_back_is_used_again_at_once() -> None:
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -7,7 +7,7 @@
 import pytest
 from harness import Checker
 
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     Fail,
     Limits,
@@ -92,8 +92,8 @@
     for me in range(balancers):
         b = Balancer(Settings(classes=(SAFE,), instance_count=balancers, instance_index=me), me)
         b.update_servers(100.0, ListUpdateKind.STALE, [ServerRow(i) for i in shares])
-        begin, width = b.pools[0].begin, b.pools[0].width
-        for server, end in zip(b.pools[0].working, b.pools[0].ends, strict=True):
+        begin, width = b.table.pools[0].subset_begin, b.table.pools[0].subset_width
+        for server, end in zip(b.table.pools[0].subset, b.table.pools[0].subset_ends, strict=True):
             low = max(begin, end - 1.0)
             shares[server.row.server] += max(0.0, min(begin + width, end) - low) / width
     return list(shares.values())
@@ -111,9 +111,9 @@
 def test_slices_widen_with_the_calls_in_flight() -> None:
     settings = Settings(classes=(SAFE,), instance_count=40)
     checker = Checker(settings, 1, [ServerRow(i) for i in range(40)])
-    assert len(checker.balancer.pools[0].working) == 1
+    assert len(checker.balancer.table.pools[0].subset) == 1
     steady(checker, 8.0, 100.0)
-    assert 3 < len(checker.balancer.pools[0].working) < 40
+    assert 3 < len(checker.balancer.table.pools[0].subset) < 40
 
 
 def steady(checker: Checker, seconds: float, rate: float, kind: int = 0) -> None:
@@ -230,7 +230,7 @@
             sent += 1
             b.finish_attempt(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
             b.cancel_request(now + 0.2, f"r{n}")
-        for server in b.servers.values():
+        for server in b.table.servers.values():
             server.breaker = None  # as if it had not been seen before
     assert (sent < 14) is (protection == 1.0)
 
@@ -256,7 +256,7 @@
 
 def test_an_unfair_baseline_does_not_refuse_for_good() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    b.pace, b.paced = 90.0, 100
+    b.costs.seconds_per_cost, b.costs.samples = 90.0, 100
     answers = [b.request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
     assert isinstance(answers[0], Reject)
     assert any(isinstance(a, Send) for a in answers)
@@ -265,21 +265,21 @@
 def test_a_restart_draws_the_cold_phase_anew() -> None:
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=9.0, overload_multiple=3.0, overload_seconds=2.0)
     b = balancer(Settings(classes=(SAFE,), rules=rules), [ServerRow(1, started_at=99.0), ServerRow(2)])
-    server = b.servers[1]
+    server = b.table.servers[1]
     for _ in range(200):
-        b._spares_cold(100.0, server, b.pools[0])
-    assert server.cold_seen > 0.0
+        b.slow_start.skips(100.0, server, b.table.pools[0])
+    assert server.slow_start_credited_at > 0.0
     b.update_servers(500.0, ListUpdateKind.PATCH, [ServerRow(1, started_at=499.0)])
-    assert (server.cold_seen, server.cold_credit) == (0.0, 0.0)
-    while server.cold_seen <= 0.0:
-        b._spares_cold(500.0, server, b.pools[0])
-    assert server.cold_credit < 1.0, "credit from before the restart"
+    assert (server.slow_start_credited_at, server.slow_start_credit) == (0.0, 0.0)
+    while server.slow_start_credited_at <= 0.0:
+        b.slow_start.skips(500.0, server, b.table.pools[0])
+    assert server.slow_start_credit < 1.0, "credit from before the restart"
 
 
 def test_absence_from_a_list_keeps_start_and_size() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, weight=2.0, started_at=99.0), ServerRow(2)])
     b.update_servers(101.0, ListUpdateKind.COMPLETE, [ServerRow(2)])
-    assert b.servers[1].row == ServerRow(1, ServerState.GONE, weight=2.0, started_at=99.0)
+    assert b.table.servers[1].row == ServerRow(1, ServerState.GONE, weight=2.0, started_at=99.0)
 
 
 def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
@@ -291,7 +291,7 @@
 def test_the_rest_of_the_list_stands_in_for_a_dead_slice() -> None:
     rows = [ServerRow(i) for i in range(1, 21)]
     b = balancer(Settings(classes=(SAFE,), instance_count=20, limits=Limits(max_attempts=3)), rows)
-    [own] = b.pools[0].working
+    [own] = b.table.pools[0].subset
     for n in range(40):  # the only server of the slice cannot be reached
         now = 100.0 + n / 10
         sends = b.request(now, f"r{n}", 0, 0, now + 4.0)
@@ -302,7 +302,7 @@
                 b.finish_attempt(now + 0.02, f"r{n}", 1, Outcome.OK, 0.01, True)
         elif isinstance(sends[0], Send):
             b.finish_attempt(now + 0.02, f"r{n}", 0, Outcome.OK, 0.01, True)
-    used = {s.row.server for s in b.servers.values() if s.breaker is not None}
+    used = {s.row.server for s in b.table.servers.values() if s.breaker is not None}
     assert len(used) > 8
 
 
@@ -329,10 +329,10 @@
 def test_cold_servers_outside_the_slice_get_nothing_when_it_refuses() -> None:
     rows = [ServerRow(i) for i in range(1, 21)]
     b = balancer(Settings(classes=(SAFE,), instance_count=20), rows)
-    [own] = b.pools[0].working
+    [own] = b.table.pools[0].subset
     cold = [ServerRow(i, started_at=100.0) for i in range(1, 21) if i != own.row.server]
     b.update_servers(100.1, ListUpdateKind.PATCH, cold)
-    assert b.pools[0].working == [own]
+    assert b.table.pools[0].subset == [own]
     for n in range(60):
         now = 100.2 + n / 20
         for action in b.request(now, f"r{n}", 0, 0, now + 4.0):
@@ -355,21 +355,21 @@
             for k in range(refused):
                 b.request(now, f"p{n}_{k}", 0, 0, now)
         b.update_servers(now, ListUpdateKind.PATCH, [ServerRow(1, started_at=now)])
-        server = b.servers[1]
-        while server.cold_seen <= 0.0:
-            b._spares_cold(now, server, b.pools[0])
-        server.cold_credit = 0.0
+        server = b.table.servers[1]
+        while server.slow_start_credited_at <= 0.0:
+            b.slow_start.skips(now, server, b.table.pools[0])
+        server.slow_start_credit = 0.0
         for _ in range(300):
-            b._spares_cold(now + 0.05, server, b.pools[0])
-        return server.cold_credit
+            b.slow_start.skips(now + 0.05, server, b.table.pools[0])
+        return server.slow_start_credit
 
     # one of eight is cold, and that part still goes by what is offered: 7/8 + 4/8
     assert 0.0 < credit(3) <= 1.4 * credit(0)
 
 
 def test_a_silent_servers_average_fades_to_the_tiers() -> None:
-    server = balancer(Settings(classes=(SAFE,))).servers[1]
-    server.learn(100.0, 1.0)
+    server = balancer(Settings(classes=(SAFE,))).table.servers[1]
+    server.observe_latency(100.0, 1.0)
     assert server.score(100.0, 0.1) == pytest.approx(1.0)
     assert server.score(105.0, 0.1) == pytest.approx(0.55)
     assert server.score(1000.0, 0.1) < 0.11
@@ -378,22 +378,22 @@
 def test_the_age_of_the_oldest_call_out_is_a_sample() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.request(100.0, "r", 0, 0, 104.0)
-    assert b.servers[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
+    assert b.table.servers[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
 
 
 def test_a_failure_costs_a_time_out_in_the_pick() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.request(100.0, "r", 0, 0, 104.0)
     b.finish_attempt(100.001, "r", 0, Outcome.ERROR, 0.001)
-    assert b.servers[1].latency == pytest.approx(1.0)
+    assert b.table.servers[1].latency == pytest.approx(1.0)
 
 
 def test_one_slow_first_answer_makes_no_baseline() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
-    b.pooled = 0.1
+    b.table.tier_latency = 0.1
     b.request(100.0, "r", 0, 0, 104.0)
     b.finish_attempt(100.9, "r", 0, Outcome.OK, 0.9, True)
-    breaker = b.servers[1].breaker
+    breaker = b.table.servers[1].breaker
     assert breaker is not None and breaker.baseline_latency < 0.11
 
 
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -50,7 +50,7 @@
     made.begin_response(20.1, "long", 0)
     assert shares(made, 30.0)[send.server] >= 10  # a hung attempt of 10 s would keep all from it
     made.finish_attempt(95.0, "long", 0, Outcome.OK, 0.1, True)
-    assert not any(server.out for server in made.servers.values())
+    assert not any(server.in_flight for server in made.table.servers.values())
 
 
 def test_a_server_that_gets_a_slow_upload_does_not_look_hung_until_it_is_whole() -> None:
@@ -60,7 +60,7 @@
     got = shares(made, 30.0)
     assert got[send.server] >= 10
     made.complete_body(95.0, "slow", 96.0)
-    assert next(iter(made.servers[send.server].out)).since == 95.0
+    assert next(iter(made.table.servers[send.server].in_flight)).work_started_at == 95.0
     assert shares(made, 105.0)[send.server] == 0  # now it hangs
 
 
@@ -68,7 +68,7 @@
     made = balancer()
     for number in range(50):
         made.request(20.0 + number / 100.0, f"u{number}", 0, 0, 22.0, 0.0, False, True)
-    assert made.pools[0].owed == 0
+    assert made.table.pools[0].pending == 0
     assert any(isinstance(action, Send) for action in made.request(20.6, "next"))
 
 
@@ -89,7 +89,7 @@
             actions = made.complete_body(now, rid, now + 1.0)
         elif what == "gone":
             actions = made.cancel_request(now, rid)
-        elif request is None or not request.attempts or not request.attempts[-1].open:
+        elif request is None or not request.attempts or not request.attempts[-1].is_open:
             continue
         elif what == "begun":
             actions = made.begin_response(now, rid, len(request.attempts) - 1)
@@ -97,13 +97,13 @@
             how = {"ok": Outcome.OK, "broken": Outcome.INTERRUPTED, "late": Outcome.TIMEOUT}[what]
             actions = made.finish_attempt(now, rid, len(request.attempts) - 1, how, 0.1)
         del actions
-        waiting = [r for r in made.requests.values() if not (r.done or r.begun or r.partial)]
-        assert made.pools[0].owed == len(waiting)
+        waiting = [r for r in made.requests.values() if not (r.is_answered or r.has_response_begun or r.is_incomplete)]
+        assert made.table.pools[0].pending == len(waiting)
     for rid, request in list(made.requests.items()):
         made.cancel_request(now, rid)
         for number, attempt in enumerate(request.attempts):
-            if attempt.open:
+            if attempt.is_open:
                 made.finish_attempt(now, rid, number, Outcome.CANCELLED, 0.1)
-    assert made.pools[0].owed == 0
+    assert made.table.pools[0].pending == 0
     assert not made.requests
-    assert not any(server.out for server in made.servers.values())
+    assert not any(server.in_flight for server in made.table.servers.values())
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -512,7 +512,7 @@
                 up.tell([entry(f"b{number}", one.address, since_ms=1000)])
                 assert status(await client.ask(read(number))) == 200
                 up.tell([entry(f"b{number}", one.address, "terminated", since_ms=1000)])
-            assert len(up.proxy.pool.backends) == len(up.proxy.pool.balancer.servers) == 1
+            assert len(up.proxy.pool.backends) == len(up.proxy.pool.balancer.table.servers) == 1
             await until(lambda: up.proxy.pool.upstream.sockets() <= 1)
 
     asyncio.run(play())
--- a/tests/test_put_back.py
+++ b/tests/test_put_back.py
@@ -17,7 +17,7 @@
     ServerState,
     Settings,
 )
-from lugspur.load_balancing.decide import BACK_FROM, BACK_TO
+from lugspur.load_balancing.balancer import MAX_REINSTATE_SECONDS, MIN_REINSTATE_SECONDS
 from lugspur.load_balancing.model import Rules
 
 SETTINGS = Settings(
@@ -55,7 +55,9 @@
 def test_with_few_calls_a_server_that_was_put_back_gets_one_within_5_s(kind: int) -> None:
     waits = [first_call(seed, kind, True) for seed in range(30)]
     assert max(waits) < 5.0
-    assert max(waits) - min(waits) > (BACK_TO - BACK_FROM) / 2  # instances don't come together
+    assert (
+        max(waits) - min(waits) > (MAX_REINSTATE_SECONDS - MIN_REINSTATE_SECONDS) / 2
+    )  # instances don't come together
     assert sum(first_call(seed, kind, False) > 5.0 for seed in range(30)) > 10  # what would be without
 
 
@@ -70,4 +72,4 @@
             assert isinstance(action, Send) and action.server == 2
             balancer.finish_attempt(10.1 + number, str(number), 0, Outcome.OK, 0.1, True)
     balancer.update_servers(40.0, ListUpdateKind.PATCH, [ServerRow(1, ServerState.GONE)])
-    assert not balancer.back
+    assert not balancer.table.reinstated
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from lugspur.load_balancing import decide, retry_budget, servers
+from lugspur.load_balancing import balancer, retry_budget, server_pool, server_table, slow_start, two_choice_pick
 from lugspur.load_balancing.model import (
     DeduplicationScope,
     DiscoveryMode,
@@ -27,6 +27,8 @@
     Settings,
     Tenant,
 )
+from lugspur.load_balancing.request_state import Request
+from lugspur.load_balancing.server import Server
 
 RULES = Rules(
     answer_slack=0.02, slow_start_fraction=0.14, slow_start_seconds=20.0, overload_multiple=3.0, overload_seconds=1.0
@@ -158,7 +160,7 @@
 
 
 def test_a_module_that_ignores_cold_starts_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.Balancer, "_spares_cold", lambda self, now, server, pool: False)
+    monkeypatch.setattr(slow_start.SlowStart, "skips", lambda *_: False)
     with pytest.raises(AssertionError, match="pushed"):
         cold_push(0)
 
@@ -171,17 +173,17 @@
             checker.request(0, 3.0)
 
     drained()
-    arrange = decide.Balancer._arrange
+    rebuild_pools = server_table.ServerTable.rebuild_pools
 
-    def keep(self: decide.Balancer, now: float) -> None:
+    def keep(self: server_table.ServerTable, now: float) -> None:
         told = {server: server.row for server in self.servers.values()}
         for server in told:
             server.row = ServerRow(server.row.server)
-        arrange(self, now)
+        rebuild_pools(self, now)
         for server, row in told.items():
             server.row = row
 
-    monkeypatch.setattr(decide.Balancer, "_arrange", keep)
+    monkeypatch.setattr(server_table.ServerTable, "rebuild_pools", keep)
     with pytest.raises(AssertionError, match="drains or is gone"):
         drained()
 
@@ -209,7 +211,7 @@
         return before
 
     assert bound() > 15
-    monkeypatch.setattr(servers.Pool, "opens", lambda self, row: True)
+    monkeypatch.setattr(server_pool.ServerPool, "allows", lambda self, row: True)
     with pytest.raises(AssertionError, match="not open to its class"):
         bound()
 
@@ -263,11 +265,15 @@
     tenants = (Tenant("a"), Tenant("b"))
     config = Settings(classes=KINDS, zone_count=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
     play(Checker(config, 1, rows), steps)
+
+    def anywhere(self: two_choice_pick.TwoChoicePick, now: float, request: Request) -> list[Server]:
+        return self._table.pool_of[request.class_index].ready
+
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_among", lambda self, now, request: self.pool_of[request.kind].ready)
+        patch.setattr(two_choice_pick.TwoChoicePick, "retry_servers", anywhere)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
             play(Checker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_answer", lambda self, *rest: None)
+        patch.setattr(balancer.Balancer, "_answer", lambda self, *rest: [])
         with pytest.raises(AssertionError, match="final answers"):
             play(Checker(config, 1, rows), steps)
