--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -16,7 +16,7 @@
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
 from lugspur.daemon.station import GRPC, Station
 from lugspur.daemon.ticket import End, Ticket
-from lugspur.discovery.registry import Registries
+from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected, Sizes
@@ -63,7 +63,7 @@
         self._reloads = 0
         self.regime: Regime
         self.stations: dict[str, Station] = {}
-        self.registries = Registries()
+        self.registries = RegistrySessions()
         self.remembering: Remembering | None = None
 
     def apply(self, plan: Plan, path: str) -> None:
@@ -85,7 +85,7 @@
                     kept, age = self.remembering.of(name)
                 station = self.stations[name] = Station(name, self._sockets, self, self._epoch, self.registries)
                 for other in self.stations.values():  # what operators have taken out is out of every pool
-                    station.maintenance.banned.update(other.maintenance.banned)
+                    station.overrides.banned.update(other.overrides.banned)
             station.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
         standings = {name: station.standing for name, station in self.stations.items()}
         self.joins.tune(limits.joined, limits.memory)
--- a/lugspur/daemon/station.py
+++ b/lugspur/daemon/station.py
@@ -13,12 +13,13 @@
 from lugspur.config.load import resolved
 from lugspur.daemon.places import places
 from lugspur.daemon.pool import Owner, Pool
+from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
-from lugspur.discovery.maintenance import Maintenance
-from lugspur.discovery.registry import Ensemble, Followed, Registries
+from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.discovery.registry_endpoints import RegistryEndpoints
-from lugspur.discovery.source import FixedList, Source, WatchedFile
-from lugspur.discovery.watch import Discovery
+from lugspur.discovery.registry_sessions import Ensemble, RegistrySessions
+from lugspur.discovery.registry_source import RegistrySource
+from lugspur.discovery.sources import EndpointSource, StaticList, WatchedFile
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
 from lugspur.routing.shares import Shares
@@ -48,16 +49,16 @@
 class Station:
     """A pool by its name in the file."""
 
-    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: Registries) -> None:
+    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
         self.name = name
         self.standing = Standing()
-        self.maintenance = Maintenance()
+        self.overrides = EndpointOverrides()
         self._registries = registries
         self._sockets, self._owner, self._epoch = sockets, owner, epoch
         self._loop = asyncio.get_running_loop()
         self._row: model.Pool | None = None
         self._origin: object = None  # what its source was made from
-        self._source: Source | None = None
+        self._source: EndpointSource | None = None
         self.pool: Pool
         self.speaks_grpc = False  # whether a backend of it does
         self._streams: Streams | None = None  # connections to those
@@ -99,7 +100,7 @@
         if self._streams is not None:
             self._streams.tune(row.keep, row.connect, held_most, answer_most)
         if kept is not None:  # until its source has told a list, that one serves
-            self._show(ListUpdateKind.STALE, self.maintenance.lay(ListUpdateKind.STALE, kept.endpoints))
+            self._show(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, kept.endpoints))
         self._feed(row, beside, registries)
         if kept is not None:
             self._recall(kept, age)
@@ -167,27 +168,27 @@
         if former is not None:
             former.close()  # what it told stays until the new one tells a whole list
 
-    def _made(self, row: model.Pool, beside: str, ensemble: model.Registry | None) -> Source:
+    def _made(self, row: model.Pool, beside: str, ensemble: model.Registry | None) -> EndpointSource:
         reader = EndpointReader(protocol=row.protocol)
         fixed = [reader.endpoint(_entry(member)) for member in row.members]
         if row.file:
             return WatchedFile(resolved(row.file, beside), reader, self._members)
         if row.watch:
-            return Discovery(row.watch, reader, 0, self._members)
+            return PlatformWatch(row.watch, reader, 0, self._members)
         if row.registry is not None and ensemble is not None:
             follow, known = row.registry, bool(self.pool.backends)
             # Guards a pool whose registry has moved: its last list is better than the fixed one.
-            return Followed(
+            return RegistrySource(
                 self._registries,
                 servers(ensemble),
                 follow.path,
                 RegistryEndpoints(follow.format, row.protocol),
-                follow.stale_after,
-                [] if known else fixed,
-                self._members,
-                self.name,
+                stale_after=follow.stale_after,
+                static=[] if known else fixed,
+                on_update=self._members,
+                pool=self.name,
             )
-        return FixedList(fixed, self._members)
+        return StaticList(fixed, self._members)
 
     def _members(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if not endpoints and kind is ListUpdateKind.PATCH:
@@ -197,11 +198,11 @@
                 replace(endpoint, row=replace(endpoint.row, host_type=GRPC)) if endpoint.speaks_grpc else endpoint
                 for endpoint in endpoints
             ]
-        self._show(kind, self.maintenance.lay(kind, endpoints))
+        self._show(kind, self.overrides.apply(kind, endpoints))
 
     def ban(self, server: int, on: bool, now: float) -> None:
         """Operators take a box out, or put it back."""
-        changed = self.maintenance.disable(server) if on else self.maintenance.enable(server, now)
+        changed = self.overrides.disable(server) if on else self.overrides.enable(server, now)
         if changed:
             self._show(ListUpdateKind.PATCH, changed)
             if not on:
@@ -209,11 +210,11 @@
 
     def away(self, servers: set[int], now: float) -> None:
         """The pool's prober holds these for down, and no others; operators' bans are another matter."""
-        before = self.maintenance.absent
-        changed = self.maintenance.away(servers, now)
+        before = self.overrides.unhealthy
+        changed = self.overrides.set_unhealthy(servers, now)
         if changed:
             self._show(ListUpdateKind.PATCH, changed)
-        for server in (before - servers).intersection(self.maintenance.told) - self.maintenance.banned:
+        for server in (before - servers).intersection(self.overrides.latest) - self.overrides.banned:
             self.pool.put_back(server)
 
     def _show(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -7,6 +7,7 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.control_node.membership_changes import presences_of
+from lugspur.mesh.process import MAX_AGE_SECONDS
 from lugspur.mesh.settings import Own
 from lugspur.mesh.storage.disk import Disk
 
@@ -14,7 +15,7 @@
 def control_node_status(
     own: Own, replica: Replica, store: Store, disk: Disk, *, ip: str, age: float, voters_wanted: int, subscribers: int
 ) -> dict[str, Any]:
-    """The fields of /mesh/status; `age`: seconds since word of a majority."""
+    """The fields of /mesh/status; `age`: seconds since the latest contact with a majority."""
     kinds = {kind: len(store.values_of(kind)) for kind in sorted({e.kind for e in store.all()})}
     return {
         "node": own.node_name,
@@ -29,7 +30,7 @@
         "pending": replica.register.has_pending_change,
         "voters": [] if replica.membership is None else [voter.ip for voter in replica.membership.voters],
         "voters_wanted": voters_wanted,
-        "age_s": round(min(1e6, age), 3),
+        "age_s": round(min(MAX_AGE_SECONDS, age), 3),
         "replicas": {
             ip: {
                 "uid": p.uid,
--- a/lugspur/mesh/dataplane/endpoints.py
+++ b/lugspur/mesh/dataplane/endpoints.py
@@ -10,12 +10,14 @@
 
 from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 from lugspur.mesh.dataplane.route_table import RouteEntry
-from lugspur.observability.failures import Refusal
+from lugspur.observability.failures import BreakerRejection
 
 SLOW_START_LATENCY = 2.0  # relative latency that a backend counts with while it warms up and none has been measured
 # A backend of another zone costs this many times its score, since bytes between zones cost...
 REMOTE_ZONE_COST = 1.6
 REMOTE_ZONE_BYTES = 16 << 10  # ...and once more for each so many bytes of the body
+FAILURE_LATENCY = 3.0  # relative latency that a failure counts as: a backend that fails fast must not look quick
+DEPRIORITISED_SECONDS = 0.04  # on the average: drawn from half to one and a half of it
 MAX_BREAKERS = 256  # routes with a breaker of their own for one backend, those used last
 LATENCY_WEIGHT = 1 / 4  # of one answer in a backend's latency
 
@@ -60,8 +62,26 @@
             found = self.breakers[route] = CircuitBreaker()
         return found
 
-    def record_latency(self, latency: float) -> None:
-        """Move the average by one answer; `latency` is relative to the route's average."""
+    def record_success(self, now: float, route: RouteEntry, latency: float) -> None:
+        """Count a successful answer; `latency` in seconds, above 0."""
+        route.record_latency(latency)
+        relative = latency / route.average_latency
+        breaker = self.breaker(route.name)
+        breaker.count_accepted(now)
+        breaker.observe_latency(relative)
+        self._record_latency(relative)
+
+    def record_failure(self, now: float, route: str) -> None:
+        """Count a failed request."""
+        self.breaker(route).count_failed(now)
+        self._record_latency(FAILURE_LATENCY)
+
+    def record_rejection(self, now: float, route: str, rng: Random) -> None:
+        """Count a request that the backend's limiter rejected, and prefer other backends for a moment."""
+        self.breaker(route).count_failed(now)
+        self.deprioritised_until = now + DEPRIORITISED_SECONDS * (0.5 + rng.random())
+
+    def _record_latency(self, latency: float) -> None:
         self.latency += (latency - self.latency) * LATENCY_WEIGHT if self.latency > 0.0 else latency
 
     def score(self, now: float) -> float:
@@ -71,11 +91,12 @@
 
 
 def select_endpoint(
-    candidates: Sequence[Endpoint], route: RouteEntry, zone: str, body_bytes: int, now: float, rng: Random
-) -> Endpoint | tuple[Refusal, ...]:
+    candidates: Sequence[Endpoint], route: RouteEntry, *, zone: str, body_bytes: int, now: float, rng: Random
+) -> Endpoint | tuple[BreakerRejection, ...]:
     """Select a backend by the power of two choices: draw two and prefer the lower score, unless its breaker rejects.
 
-    Returns the endpoint, or why each that was drawn was rejected. Source: Mitzenmacher, "The Power of Two Choices in
+    `zone`: of this process, since bytes to another zone cost; `body_bytes`: of the request's body. Returns the
+    endpoint, or why each that was drawn was rejected. Source: Mitzenmacher, "The Power of Two Choices in
     Randomized Load Balancing", IEEE Transactions on Parallel and Distributed Systems 12(10), 2001.
     """
     timeout = route.deadline / route.average_latency if route.average_latency else 0.0
@@ -84,18 +105,18 @@
     def cost(endpoint: Endpoint) -> float:
         return endpoint.score(now) * (1.0 if endpoint.zone == zone else remote_cost)
 
-    refusals: tuple[Refusal, ...] = ()
+    rejections: tuple[BreakerRejection, ...] = ()
     for endpoint in sorted(_draw_two(candidates, zone, rng), key=cost):
         breaker = endpoint.breaker(route.name)
         if not breaker.rejects(now, timeout, rng):
             return endpoint
-        refusals += (_explain_refusal(endpoint.id, breaker, now, timeout),)
-    return refusals
+        rejections += (_explain_rejection(endpoint.id, breaker, now, timeout),)
+    return rejections
 
 
-def _explain_refusal(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> Refusal:
+def _explain_rejection(ident: str, breaker: CircuitBreaker, now: float, timeout: float) -> BreakerRejection:
     errors, latency = breaker.error_probability(now), breaker.latency_probability(timeout)
-    return Refusal(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
+    return BreakerRejection(ident, round(max(errors, latency), 3), "errors" if errors >= latency else "latency")
 
 
 def _draw_two(candidates: Sequence[Endpoint], zone: str, rng: Random) -> Sequence[Endpoint]:
--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -11,8 +11,8 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.items import MEMBERSHIP, RESERVED_KINDS
+from lugspur.mesh.control.membership_entry import read_membership
 from lugspur.mesh.control.messages import Delta, Entry, Hello, Membership, Message, Pong, Report, Subscribe
-from lugspur.mesh.control.replica import read_membership
 from lugspur.mesh.control.store import Store
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.settings_watcher import SettingsWatcher
@@ -23,6 +23,7 @@
 HEARTBEAT_FRACTION = 1 / 8  # of `edition_ms`: how often an update says that nothing has changed
 STALENESS_FRACTION = 0.4  # of `edition_ms`: the age of updates from which on they are sought elsewhere
 MAX_MISSED_HEARTBEATS = 4.0  # until a peer that no longer hears of this process counts as cut off from it
+MAX_AGE_SECONDS = 1e6  # of what is known, in updates, status and metrics: more means that nothing is known
 SETTINGS_CHECK_SECONDS = 1.0  # between two looks at whether the settings file has changed
 
 
@@ -99,10 +100,10 @@
                 ip,
                 port,
                 self.ip,
-                self.message_received,
-                self.connected,
-                self.disconnected,
-                self.keepalive_idle_seconds(ip),
+                on_message=self.message_received,
+                on_connected=self.connected,
+                on_disconnected=self.disconnected,
+                keep_idle=self.keepalive_idle_seconds(ip),
             )
         for ip in [ip for ip in self.peers if ip not in wanted and not self.needs_peer(ip)]:
             self.peers.pop(ip).close()
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -14,11 +14,12 @@
 from lugspur.mesh.control.messages import Entry, ForwardResponse, GrantBody, Hello, Message, Report, ReserveKeyReply
 from lugspur.mesh.dataplane.concurrency_limiter import ConcurrencyLimiter
 from lugspur.mesh.dataplane.delay_estimation import FreezeDetector
-from lugspur.mesh.dataplane.proxy import ATTEMPT, ID_MOST, Proxy
+from lugspur.mesh.dataplane.proxy import Proxy
+from lugspur.mesh.dataplane.request_headers import loggable_attempt_id
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.mesh.dataplane.upload_scheduler import UploadScheduler
 from lugspur.mesh.http_api import fail
-from lugspur.mesh.process import MeshProcess
+from lugspur.mesh.process import MAX_AGE_SECONDS, MeshProcess
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.api import SidecarApi
@@ -34,7 +35,7 @@
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.mesh.transport.dialer import Dialer
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
-from lugspur.observability.failures import FailureLog, Standing
+from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
 from lugspur.seams import Answerable, Request
 
@@ -48,7 +49,6 @@
 DRAIN_DELAY_SECONDS = 0.5  # until idle connections of callers are closed while this process ends
 SHUTDOWN_POLL_SECONDS = 0.05  # between two looks at whether all has ended
 FLUSH_SECONDS = 0.05  # in which the last answers are written
-MAX_AGE_SECONDS = 1e6  # of updates, in what operators see: more means that there were none
 
 
 class Sidecar(MeshProcess):
@@ -76,7 +76,7 @@
         )
         self.registration = BackendRegistration(self, self.limiter, self.backends.by_ip, link_rate)
         self.outgoing = OutgoingExchanges()
-        uploads = UploadScheduler(link_rate, memory_bytes // 4)
+        uploads = UploadScheduler[Link](link_rate, memory_bytes // 4)
         self.incoming = IncomingExchanges(self.limiter, uploads, Hello(self.ip, self.incarnation, self.is_control_node))
         self.proxy = self._make_proxy()
         self._summary = RequestSummary(self.proxy, self.limiter)
@@ -98,24 +98,25 @@
             carrier,
             self.reservations,
             self.rng,
-            bounds.retry_ratio,
-            bounds.retry_slack,
-            bounds.retry_window_s,
-            settings.own.zone,
+            retry_ratio=bounds.retry_ratio,
+            retry_slack=bounds.retry_slack,
+            retry_window=bounds.retry_window_s,
+            zone=settings.own.zone,
         )
         proxy.sender = settings.own.service
-        proxy.failures = FailureLog(self.standing, log_failure)
+        proxy.failures = FailureLog(self.configuration_state, log_failure)
         return proxy
 
     # ---- settings ------------------------------------------------------------------------
 
     def settings_changed(self) -> None:
+        """Other settings are in force: the seeds or the service may be others."""
         super().settings_changed()
         self.update_sender()
 
     def update_sender(self) -> None:
         """Take up the service that this machine's requests come from: its backend's, else that of the settings."""
-        local = self.limiter.local
+        local = self.limiter.local_backend
         self.proxy.sender = local.service if local is not None else self.settings.own.service
 
     # ---- serving -------------------------------------------------------------------------
@@ -123,7 +124,7 @@
     async def serve(self) -> None:
         """Listen to other proxies, to callers, to the platform, and to operators and the backend."""
         settings = self.settings
-        ip, port = settings.inner_bind
+        ip, port = settings.inner_bind_address
         listen, memory_bytes = settings.network.listen, settings.own.limits.memory_mb << 20
         await self.loop.create_server(self._accept, ip, port, backlog=512)
         self.front = Front(read_address(listen.outgoing), self._max_callers(), memory_bytes, self.handle)
@@ -154,7 +155,7 @@
     def handle(self, request: Request, caller: Answerable) -> None:
         """Take a caller's request; it gets one answer."""
         if not self.update_source.has_configuration:
-            self.proxy.request_failed(request.headers.get(ATTEMPT, b"")[:ID_MOST], ErrorKind.NOT_READY.value)
+            self.proxy.request_failed(loggable_attempt_id(request), ErrorKind.NOT_READY.value)
             fail(caller, MeshError(ErrorKind.NOT_READY))
             return
         self.proxy.handle(request, caller)
@@ -162,27 +163,34 @@
     # ---- connections ---------------------------------------------------------------------
 
     def wanted_peers(self) -> set[str]:
+        """The voters, seeds where needed, and the machines of all backends."""
         return super().wanted_peers() | (set(self.backends.by_ip) - {self.ip})
 
     def may_be_cut_off(self) -> bool:
+        """Whether updates are so old that the membership which is known may be an old one."""
         return self.update_source.may_be_cut_off()
 
     def needs_peer(self, ip: str) -> bool:
+        """Whether a request still waits for a reply of that machine."""
         return self.outgoing.waits_for(ip)
 
     def keepalive_idle_seconds(self, ip: str) -> int:
+        """Seconds without a byte after which a connection is probed: rarely between proxies, which are many."""
         return PROXY_KEEPALIVE_IDLE_SECONDS if ip in self.backends.by_ip else KEEPALIVE_IDLE_SECONDS
 
     def connected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled is up."""
         super().connected(dialer)
         self.reservations.connected(self.loop.time(), dialer.ip)
 
     def disconnected(self, dialer: Dialer) -> None:
+        """A connection that this process dialled has ended: what waits for replies on it gets them now."""
         super().disconnected(dialer)
         self.update_source.disconnected(dialer.ip)
         self.outgoing.disconnected(dialer.ip)
 
     def message_received(self, link: Link, message: Message) -> None:
+        """Take a message on a connection that this process dialled."""
         if isinstance(message, ForwardResponse):
             self.outgoing.receive_response(link, message)
         elif isinstance(message, GrantBody):
@@ -195,6 +203,7 @@
             super().message_received(link, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
+        """Take a voter's reply on a key."""
         if isinstance(message, ReserveKeyReply):
             self.reservations.receive(now, ip, message)
 
@@ -212,9 +221,11 @@
     # ---- updates -------------------------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
+        """Whether this process subscribes to that peer's updates: a proxy follows one control node."""
         return ip == self.update_source.ip
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
+        """The leased entry of this machine's backend."""
         return self.registration.own_entries(renew=renew)
 
     def report(self) -> None:
@@ -224,14 +235,17 @@
             self.send_to(self.update_source.ip, Report(own))
 
     def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+        """An update was merged; all that had been confirmed before `confirmed_at` is known here."""
         self.update_source.update_taken(now, ip, confirmed_at)
 
     def membership_changed(self) -> None:
+        """Another membership is in force: keys are asked for at its voters."""
         super().membership_changed()
         self.reservations.membership_changed(self.loop.time())
         self.update_source.membership_changed()
 
     def entry_changed(self, entry: Entry) -> None:
+        """An entry has changed: a backend, a route or the limits of requests."""
         if entry.kind == BACKEND:
             if entry.name != self.ip or not self.registration.overtaken_by(entry):
                 self.backends.take(entry)
@@ -241,16 +255,16 @@
     def _services_changed(self, services: set[str]) -> None:
         for service in services:
             self.proxy.update_endpoints(service, self.backends.accepting(service))
-        self.proxy.proxies = max(1, len(self.backends.by_ip))
+        self.proxy.proxy_count = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
     # ---- what operators see --------------------------------------------------------------
 
-    def standing(self) -> Standing:
+    def configuration_state(self) -> ConfigurationState:
         """The configuration and the membership that requests are judged by at this moment."""
         epoch = 0 if self.membership is None else self.membership.epoch
         age = self.loop.time() - self.update_source.confirmed_at
-        return Standing(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
+        return ConfigurationState(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
 
     def metrics(self) -> bytes:
         """The metrics of this proxy, in the text format of Prometheus."""
@@ -263,6 +277,7 @@
     # ---- time ----------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
+        """Do what is due by time in each part."""
         self.reservations.tick(now)
         self.update_source.tick(now)
         self._pauses.record_turn(now)
@@ -282,7 +297,7 @@
         await asyncio.sleep(ACCEPTING_FRACTION * grace)
         await self.front.stop_listening(self._callers_socket)
         self.front.close()
-        self.limiter.leaving = True
+        self.limiter.is_shutting_down = True
         while self.loop.time() < started_at + SHUTDOWN_FRACTION * grace and self._has_work():
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
         for proxied_request in list(self.proxy.open_requests):
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -21,7 +21,7 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
-from lugspur.observability.failures import FailedRequest, PickView, Refusal, Step
+from lugspur.observability.failures import AttemptRecord, BreakerRejection, FailedRequest, SelectionSummary
 from lugspur.observability.metrics import Histogram, render
 
 METRICS = b"""\
@@ -137,8 +137,8 @@
             async with served(text + '[management]\naddress = "127.0.0.1:0"\n') as up:
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/", b"room", X_Request_ID="id1"))) == 502
-                assert up.running.operators is not None
-                await check_answers(up.running.operators.port(), closing, b"main", "class-2")
+                assert up.running.admin is not None
+                await check_answers(up.running.admin.port(), closing, b"main", "class-2")
 
     asyncio.run(play())
 
@@ -161,8 +161,8 @@
         index=4,
         epoch=5,
         news_age_s=0.5,
-        steps=(Step("10.0.0.7:9001", 0.125, 0.0625, "maybe", "broken"),),
-        pick=PickView(6, 1, 2, 3, (Refusal("b-3", 0.75, "latency"),)),
+        steps=(AttemptRecord("10.0.0.7:9001", 0.125, 0.0625, "maybe", "broken"),),
+        pick=SelectionSummary(6, 1, 2, 3, (BreakerRejection("b-3", 0.75, "latency"),)),
     )
     assert orjson.dumps(account) == (
         b'{"at":1.5,"attempt":"a-1","how":"no-backend","route":"read","service":"channel","keyed":true,"claim":"won",'
@@ -182,8 +182,8 @@
 
 
 def test_the_line_of_a_violated_invariant(capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(invariants, "_tellers", [])
-    invariants.tell_to(invariants.tell_standard_error)
+    monkeypatch.setattr(invariants, "_listeners", [])
+    invariants.add_listener(invariants.log_to_standard_error)
     invariants.check(False, invariants.Invariant("run-once"), attempt="a-1", sent=2)
     invariants.violations.clear()
     assert capsys.readouterr().err == "lugspur: invariant violated: run-once attempt=a-1 sent=2\n"
