--- a/tests/harness.py
+++ b/tests/load_balancing/rule_checker.py
@@ -50,7 +50,7 @@
     begun: bool = False
 
 
-class Checker:
+class RuleChecker:
     """Feeds events to one balancer; every broken rule is an AssertionError."""
 
     def __init__(self, settings: Settings, seed: int, rows: list[ServerRow]) -> None:
--- a/tests/test_found.py
+++ b/tests/load_balancing/test_failures_found.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from harness import Checker
+from rule_checker import RuleChecker
 
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
@@ -110,13 +110,13 @@
 
 def test_slices_widen_with_the_calls_in_flight() -> None:
     settings = Settings(classes=(SAFE,), instance_count=40)
-    checker = Checker(settings, 1, [ServerRow(i) for i in range(40)])
+    checker = RuleChecker(settings, 1, [ServerRow(i) for i in range(40)])
     assert len(checker.balancer.table.pools[0].subset) == 1
     steady(checker, 8.0, 100.0)
     assert 3 < len(checker.balancer.table.pools[0].subset) < 40
 
 
-def steady(checker: Checker, seconds: float, rate: float, kind: int = 0) -> None:
+def steady(checker: RuleChecker, seconds: float, rate: float, kind: int = 0) -> None:
     """Calls at an even pace, each answered after about a third of a second."""
     rng = Random(7)
     end = checker.now + seconds
@@ -400,7 +400,7 @@
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 4), (80, 3)])
 def test_a_burst_at_a_proxy_with_few_calls_is_no_overload(balancers: int, taken: int) -> None:
     settings = Settings(classes=(DEAR,), instance_count=balancers, zone_count=2, limits=Limits(allows_cancel=True))
-    checker = Checker(settings, 5, ROWS)
+    checker = RuleChecker(settings, 5, ROWS)
     for _ in range(8):
         rid = checker.request(0, 4.0)
         checker.advance(0.05)
--- a/tests/test_limits.py
+++ b/tests/load_balancing/test_policy_size.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 POLICY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 
 
--- a/tests/test_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -7,9 +7,9 @@
 from random import Random
 
 import pytest
-from harness import Checker
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from rule_checker import RuleChecker
 
 from lugspur.load_balancing import balancer, retry_budget, server_pool, server_table, slow_start, two_choice_pick
 from lugspur.load_balancing.model import (
@@ -56,7 +56,7 @@
 step = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
 
 
-def play(checker: Checker, steps: list[tuple[int, int, int]]) -> None:
+def play(checker: RuleChecker, steps: list[tuple[int, int, int]]) -> None:
     for what, a, b in steps:
         if what <= 3:
             checker.request(a % len(KINDS), 0.05 + (b % 300) / 100.0, a % 2)
@@ -121,10 +121,10 @@
         limits=Limits(allows_cancel=cancel, allows_hedging=second, max_attempts=attempts),
     )
     rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3, host_type=i % 3) for i in range(servers)]
-    play(Checker(config, seed, rows), steps)
+    play(RuleChecker(config, seed, rows), steps)
 
 
-def steady(checker: Checker, seconds: float, rate: float, rng: Random) -> None:
+def steady(checker: RuleChecker, seconds: float, rate: float, rng: Random) -> None:
     """Answer a steady stream of calls, each after about a tenth of a second."""
     end = checker.now + seconds
     while checker.now < end:
@@ -139,7 +139,7 @@
     """A server restarts under a steady stream; asserts that it gets no more than it can do for certain."""
     config = Settings(classes=KINDS, rules=RULES)
     rows = [ServerRow(i) for i in range(10)]
-    checker = Checker(config, seed, rows)
+    checker = RuleChecker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
     checker.members(ListUpdateKind.PATCH, [ServerRow(3, started_at=checker.now)])
@@ -167,7 +167,7 @@
 
 def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
-        checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
+        checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
         checker.members(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
         for _ in range(20):
             checker.request(0, 3.0)
@@ -188,7 +188,7 @@
         drained()
 
 
-def fail_unseen(checker: Checker, kind: int, tries: int) -> None:
+def fail_unseen(checker: RuleChecker, kind: int, tries: int) -> None:
     """A request of which so many attempts in a row cannot be delivered."""
     rid = checker.request(kind, 3.0)
     for number in range(tries):
@@ -199,7 +199,7 @@
 def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def bound() -> int:
         rows = [ServerRow(i, zone=i % 2, host_type=i % 3) for i in range(12)]
-        checker = Checker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
+        checker = RuleChecker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
         for n in range(40):
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
@@ -219,7 +219,7 @@
 def spend(stated: bool) -> int:
     """Every attempt fails unseen; returns how many further attempts were sent in 20 s."""
     rules = BUDGETED if stated else RULES
-    checker = Checker(Settings(classes=KINDS, rules=rules), 1, [ServerRow(i) for i in range(40)])
+    checker = RuleChecker(Settings(classes=KINDS, rules=rules), 1, [ServerRow(i) for i in range(40)])
     for _ in range(200):
         fail_unseen(checker, 0, 3)
         checker.advance(0.1)
@@ -238,7 +238,7 @@
 
 
 def test_the_checker_covers_copies_and_streams() -> None:
-    checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
+    checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
     rid = checker.request(0, 3.0)
     with pytest.raises(AssertionError, match="second copy"):
         checker.apply([Send(rid, 2)])
@@ -251,7 +251,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_all_cold_at_once(seed: int) -> None:
     rows = [ServerRow(i, started_at=100.0) for i in range(10)]
-    checker = Checker(Settings(classes=KINDS, rules=RULES), seed, rows)
+    checker = RuleChecker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
     sent = sum(len(v) for v in checker.sends.values())
     # with everything cold there is no warm peer to compare with: about the certain part of the calls goes out
@@ -264,7 +264,7 @@
     rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
     config = Settings(classes=KINDS, zone_count=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
-    play(Checker(config, 1, rows), steps)
+    play(RuleChecker(config, 1, rows), steps)
 
     def anywhere(self: two_choice_pick.TwoChoicePick, now: float, request: Request) -> list[Server]:
         return self._table.pool_of[request.class_index].ready
@@ -272,8 +272,8 @@
     with monkeypatch.context() as patch:
         patch.setattr(two_choice_pick.TwoChoicePick, "retry_servers", anywhere)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
-            play(Checker(config, 1, rows), steps)
+            play(RuleChecker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(balancer.Balancer, "_answer", lambda self, *rest: [])
         with pytest.raises(AssertionError, match="final answers"):
-            play(Checker(config, 1, rows), steps)
+            play(RuleChecker(config, 1, rows), steps)
--- a/tests/test_adapter.py
+++ b/tests/load_balancing/test_simulator_adapter.py
@@ -15,7 +15,7 @@
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import DiscoveryMode, Outcome, RetrySafety
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 Message = dict[str, Any]
 
 SETTINGS: Message = {
