--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -61,8 +61,8 @@
     world.hear(proxy)
     assert proxy.membership is not None
     by = b"by %s %f" % (name.encode(), world.now)
-    proxy.claims.begin(world.now, proxy.membership, b"key", by, 1.0, 2.0, how.append)
-    world.later(2.0, lambda: proxy.claims.look(world.now))
+    proxy.claims.reserve(world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append)
+    world.later(2.0, lambda: proxy.claims.tick(world.now))
 
 
 def settle(world: MeshWorld) -> None:
