--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -33,7 +33,7 @@
 from lugspur.load_balancing.retry_budget import DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS
 from lugspur.routing.model import WITHIN_MOST
 
-FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; membership/nodes.py reads them
+FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; discovery/node_formats.py reads them
 
 MEMORY_MOST = 1 << 40
 
