--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
 from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.adaptive_throttling import WINDOW_BUCKETS, WINDOW_SECONDS
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import Learned, ListUpdateKind, Outcome, Rules, Send, ServerState
 
 AT = 1002.0  # when the state of `taught` is captured: right after its last request
@@ -154,7 +154,7 @@
                 balancer.import_learned(now, known)
             young = replace(rows[0].row, started_at=now - 0.5)  # the first list that arrives
             balancer.update_servers(now, ListUpdateKind.COMPLETE, [young, *(row.row for row in rows[1:])])
-            assert balancer.servers[young.server].breaker is None
+            assert balancer.table.servers[young.server].breaker is None
             for number in range(60):
                 at, rid = now + 0.02 * number, f"q{number}"
                 for action in balancer.request(at, rid, deadline=at + 1.0):
@@ -172,8 +172,8 @@
     balancer = Balancer(SETTINGS, 1)
     balancer.update_servers(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
     balancer.import_learned(AT + 1.0, learned)
-    assert [server.latency for server in balancer.servers.values()] == [0.0]
-    assert all(server.row.state is ServerState.UP for server in balancer.servers.values())
+    assert [server.latency for server in balancer.table.servers.values()] == [0.0]
+    assert all(server.row.state is ServerState.UP for server in balancer.table.servers.values())
 
 
 @pytest.mark.parametrize("age", [0.5, 5.0, 600.0, MAX_AGE_SECONDS])
--- a/tests/harness.py
+++ b/tests/load_balancing/rule_checker.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from lugspur.load_balancing.decide import Balancer
+from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
     NEVER_RAN,
     Action,
@@ -50,7 +50,7 @@
     begun: bool = False
 
 
-class Checker:
+class RuleChecker:
     """Feeds events to one balancer; every broken rule is an AssertionError."""
 
     def __init__(self, settings: Settings, seed: int, rows: list[ServerRow]) -> None:
