--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -1,11 +1,14 @@
-"""Adapter between the simulator's wire (JSON lines) and the decision module; it decides nothing."""
+"""Adapter between the simulator's wire (JSON lines) and the balancer; it decides nothing.
+
+A batch is a `Tick` with the time, events, and a `Flush`; its answer is the actions, one a line, and an `Eor`.
+"""
 
 from __future__ import annotations
 
 import os
 import sys
 from collections.abc import Callable
-from typing import Any, BinaryIO
+from typing import Any, BinaryIO, TextIO
 
 import orjson
 
@@ -69,6 +72,11 @@
     "retry_budget_ratio": "ExtraPerRequest",
     "retry_budget_window": "RatioSpan",
 }
+TENANT = {
+    "name": "Name",
+    "share": "Share",
+    "quota": "AllowancePerS",
+}
 LIMITS = {
     "allows_cancel": "Cancel",
     "allows_hedging": "SecondCopies",
@@ -76,50 +84,41 @@
 }
 
 
-class WireFault(Exception):
-    """A line that the wire does not allow."""
+class WireError(Exception):
+    """A line that the wire does not allow; the message says why."""
 
 
-def _named(kind: Any, names: dict[str, str], values: dict[str, Any]) -> Any:
-    return kind(**pick_known(kind, {ours: values.get(theirs) for ours, theirs in names.items()}))
+def _read_dataclass(kind: Any, names: dict[str, str], values: dict[str, Any]) -> Any:
+    """A dataclass from `values`, whose keys `names` gives by the fields; absent ones take their defaults."""
+    return kind(**pick_known(kind, {field: values.get(key) for field, key in names.items()}))
 
 
-def _places(bound: list[int] | None) -> tuple[int, ...] | None:
+def _read_indices(bound: list[int] | None) -> tuple[int, ...] | None:
     return None if bound is None else tuple(bound)
 
 
+def _read_class(row: dict[str, Any]) -> RequestClass:
+    values = {
+        "name": row.get("Name"),
+        "latency_target": row.get("Aim"),
+        "deadline": row.get("HardLimit"),
+        "retry_safety": RETRY_SAFETIES.get(row.get("Repeat", ""), RetrySafety.UNSAFE),
+        "deduplication_scope": DEDUPLICATION_SCOPES.get(row.get("Group", ""), DeduplicationScope.CELL),
+        "deduplication_window": row.get("Window"),
+        "value": row.get("Credit"),
+        "late_value": row.get("LateWorth"),
+        "streaming": row.get("Streaming"),
+        "allowed_host_types": _read_indices(row.get("BoundTo")),
+        "allowed_zones": _read_indices(row.get("AllowedIn")),
+    }
+    return RequestClass(**pick_known(RequestClass, values))
+
+
 def read_settings(wire: dict[str, Any]) -> Settings:
-    """Settings of the wire in the module's own terms; unknown keys are ignored, absent ones defaulted."""
-    classes = tuple(
-        RequestClass(
-            **pick_known(
-                RequestClass,
-                {
-                    "name": row.get("Name"),
-                    "latency_target": row.get("Aim"),
-                    "deadline": row.get("HardLimit"),
-                    "retry_safety": RETRY_SAFETIES.get(row.get("Repeat"), RetrySafety.UNSAFE),
-                    "deduplication_scope": DEDUPLICATION_SCOPES.get(
-                        row.get("Group"), DeduplicationScope.CELL
-                    ),
-                    "deduplication_window": row.get("Window"),
-                    "value": row.get("Credit"),
-                    "late_value": row.get("LateWorth"),
-                    "streaming": row.get("Streaming"),
-                    "allowed_host_types": _places(row.get("BoundTo")),
-                    "allowed_zones": _places(row.get("AllowedIn")),
-                },
-            )
-        )
-        for row in wire.get("Services") or ()
-    )
-    tenants = tuple(
-        _named(Tenant, {"name": "Name", "share": "Share", "quota": "AllowancePerS"}, row)
-        for row in wire.get("Orgs") or ()
-    )
+    """Settings of the wire as settings of the balancer; unknown keys are ignored, absent ones defaulted."""
     values = {
-        "classes": classes or None,
-        "tenants": tenants,
+        "classes": tuple(_read_class(row) for row in wire.get("Services") or ()) or None,
+        "tenants": tuple(_read_dataclass(Tenant, TENANT, row) for row in wire.get("Orgs") or ()),
         "instance_count": wire.get("Instances"),
         "instance_index": wire.get("Ordinal"),
         "tier": wire.get("Tier"),
@@ -130,14 +129,14 @@
         "over_quota_value": wire.get("OverShareWorth"),
         "callers_pass_deadline": (wire.get("FamilyInfo") or {}).get("PassesDeadline"),
         "clients_mark_retries": (wire.get("ClientHabits") or {}).get("MarksRetry"),
-        "limits": _named(Limits, LIMITS, wire.get("Bounds") or {}),
-        "rules": _named(Rules, RULES, wire.get("Rules") or {}),
+        "limits": _read_dataclass(Limits, LIMITS, wire.get("Bounds") or {}),
+        "rules": _read_dataclass(Rules, RULES, wire.get("Rules") or {}),
     }
     return Settings(**pick_known(Settings, values))
 
 
 def read_row(row: dict[str, Any]) -> ServerRow:
-    """One entry of a `Register`."""
+    """One row of a `Register` message; raises KeyError without `Backend` or for an unknown `Readiness`."""
     return ServerRow(
         row["Backend"],
         SERVER_STATES[row.get("Readiness", "U")],
@@ -181,145 +180,175 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.fresh: set[int] = set()
+        self.unstarted: set[int] = set()  # instances that have had no list yet
         self.lists: dict[int, tuple[ServerRow, ...]] = {}
 
-    def _members(self, b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        kind = LIST_UPDATE_KINDS[e["Mode"]]
-        rows: tuple[ServerRow, ...] = ()
-        if kind is not ListUpdateKind.FAILED:
-            if e["List"] not in self.lists:
-                raise WireFault(f"unknown list number {e['List']}")
-            rows = self.lists[e["List"]]
-        out = b.update_servers(now, kind, rows)
-        if e["ProxyId"] in self.fresh:
-            self.fresh.discard(e["ProxyId"])
-            out += b.start(now)
-        return out
-
-    @staticmethod
-    def _call(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        return b.request(
-            now,
-            e["Ref"],
-            e.get("Kind", 0),
-            e.get("ClientGroup", 0),
-            e.get("Deadline"),
-            e.get("Effort", 0.0),
-            e.get("Retry", False),
-        )
-
-    @staticmethod
-    def _returned(b: Balancer, now: float, e: dict[str, Any]) -> list[Action]:
-        how = OUTCOMES[e["How"]]
-        return b.finish_attempt(
-            now, e["Ref"], e.get("RoundNo", 0), how, e.get("CostTime", 0.0), e.get("Last", False)
-        )
-
-    def event(self, now: float, e: dict[str, Any]) -> list[Action]:
-        """Hand one event to its instance; returns the instance's actions."""
-        name = e["m"]
+    def event(self, now: float, event: dict[str, Any]) -> list[Action]:
+        """Pass one event to its instance and return the instance's actions; raises WireError or KeyError."""
+        name = event["m"]
         if name == "Register":
-            self.lists[e["List"]] = tuple(read_row(row) for row in e.get("Rows") or ())
+            self.lists[event["List"]] = tuple(read_row(row) for row in event.get("Rows") or ())
             return []
-        instance = e["ProxyId"]
+        instance = event["ProxyId"]
         if name == "OpenInstance":
-            self.instances[instance] = Balancer(read_settings(e.get("Settings") or {}), e.get("Entropy", 0))
-            self.fresh.add(instance)
+            settings = read_settings(event.get("Settings") or {})
+            self.instances[instance] = Balancer(settings, event.get("Entropy", 0))
+            self.unstarted.add(instance)
             return []
         balancer = self.instances.get(instance)
         if balancer is None:
-            raise WireFault(f"instance {instance} was never opened")
+            raise WireError(f"instance {instance} was never opened")
         if name == "Teardown":
             del self.instances[instance]
-            self.fresh.discard(instance)
+            self.unstarted.discard(instance)
             return []
         if name == "Members":
-            return self._members(balancer, now, e)
+            return self._update_servers(balancer, now, event)
         handler = HANDLERS.get(name)
         if handler is None:
-            raise WireFault(f"unknown message {name!r}")
-        return handler(balancer, now, e)
+            raise WireError(f"unknown message {name!r}")
+        return handler(balancer, now, event)
+
+    def _update_servers(self, balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+        kind = LIST_UPDATE_KINDS[event["Mode"]]
+        rows: tuple[ServerRow, ...] = ()
+        if kind is not ListUpdateKind.FAILED:
+            if event["List"] not in self.lists:
+                raise WireError(f"unknown list number {event['List']}")
+            rows = self.lists[event["List"]]
+        actions = balancer.update_servers(now, kind, rows)
+        if event["ProxyId"] in self.unstarted:
+            self.unstarted.discard(event["ProxyId"])
+            actions += balancer.start(now)
+        return actions
+
+
+def _request(balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+    return balancer.request(
+        now,
+        event["Ref"],
+        event.get("Kind", 0),
+        event.get("ClientGroup", 0),
+        event.get("Deadline"),
+        event.get("Effort", 0.0),
+        event.get("Retry", False),
+    )
+
+
+def _finish_attempt(balancer: Balancer, now: float, event: dict[str, Any]) -> list[Action]:
+    how = OUTCOMES[event["How"]]
+    number, latency, last = event.get("RoundNo", 0), event.get("CostTime", 0.0), event.get("Last", False)
+    return balancer.finish_attempt(now, event["Ref"], number, how, latency, last)
 
 
 HANDLERS: dict[str, Callable[[Balancer, float, dict[str, Any]], list[Action]]] = {
-    "Call": Link._call,
-    "Returned": Link._returned,
-    "Wake": lambda b, now, e: b.fire_timer(now, e["Tag"]),
-    "Aborted": lambda b, now, e: b.cancel_request(now, e["Ref"]),
-    "Started": lambda b, now, e: b.begin_response(now, e["Ref"], e.get("RoundNo", 0)),
-    "PingResult": lambda b, now, e: [],
-    "NeighbourSays": lambda b, now, e: [],
+    "Call": _request,
+    "Returned": _finish_attempt,
+    "Wake": lambda balancer, now, event: balancer.fire_timer(now, event["Tag"]),
+    "Aborted": lambda balancer, now, event: balancer.cancel_request(now, event["Ref"]),
+    "Started": lambda balancer, now, event: balancer.begin_response(
+        now, event["Ref"], event.get("RoundNo", 0)
+    ),
+    "PingResult": lambda balancer, now, event: [],
+    "NeighbourSays": lambda balancer, now, event: [],
 }
 
 
-def serve(source: BinaryIO, sink: BinaryIO, errors: Any) -> int:
+class Batches:
+    """Reads lines, and collects the answers of a batch."""
+
+    def __init__(self) -> None:
+        self._link = Link()
+        self._now: float | None = None  # of the open batch
+        self._latest = float("-inf")
+        self._replies: list[bytes] = []
+
+    @property
+    def is_open(self) -> bool:
+        """Whether a batch has begun that is not flushed."""
+        return self._now is not None
+
+    def read(self, line: bytes) -> bytes | None:
+        """Take one line; returns the whole answer at the end of a batch.
+
+        Raises WireError, ValueError, KeyError or TypeError for a line that the wire does not allow.
+        """
+        event: Any = orjson.loads(line)
+        if not isinstance(event, dict) or "m" not in event:
+            raise WireError("not a message")
+        if event["m"] == "Tick":
+            self._begin(event)
+        elif self._now is None:
+            raise WireError(f"{event['m']!r} outside a batch")
+        elif event["m"] == "Flush":
+            return self._flush()
+        else:
+            self._answer(self._now, event)
+        return None
+
+    def _begin(self, tick: dict[str, Any]) -> None:
+        if self._now is not None:
+            raise WireError("a Tick inside a batch")
+        now = float(tick["Time"])
+        if not now >= self._latest:
+            raise WireError("the clock goes backwards")
+        self._now = self._latest = now
+
+    def _flush(self) -> bytes:
+        answer = b"\n".join([*self._replies, b'{"m":"Eor"}\n'])
+        self._replies.clear()
+        self._now = None
+        return answer
+
+    def _answer(self, now: float, event: dict[str, Any]) -> None:
+        """Collect the actions; an exception of the balancer fails this event alone, with a BailOut."""
+        try:
+            actions = self._link.event(now, event)
+        except Exception as error:
+            if _is_wire_error(error):
+                raise
+            self._replies.append(_bail_out(event, error))
+            return
+        for action in actions:
+            self._replies.append(orjson.dumps(write_action(event["ProxyId"], action)))
+
+
+def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
     """Answer batches until the input ends; returns the exit code."""
-    link = Link()
-    now: float | None = None
-    latest = float("-inf")
+    batches = Batches()
     number = 0
-    replies: list[bytes] = []
-    event: Any
     for number, line in enumerate(source, 1):
         try:
-            event = orjson.loads(line)
-            if not isinstance(event, dict) or "m" not in event:
-                raise WireFault("not a message")
-            name = event["m"]
-            if name == "Tick":
-                if now is not None:
-                    raise WireFault("a Tick inside a batch")
-                now = float(event["Time"])
-                if not now >= latest:
-                    raise WireFault("the clock goes backwards")
-                latest = now
-                continue
-            if now is None:
-                raise WireFault(f"{name!r} outside a batch")
-            if name == "Flush":
-                replies.append(b'{"m":"Eor"}\n')
-                sink.write(b"\n".join(replies))
-                sink.flush()
-                replies.clear()
-                now = None
-                continue
-        except (WireFault, ValueError, KeyError, TypeError) as fault:
-            return _reject(errors, number, fault)
-        try:
-            actions = link.event(now, event)
-        except (WireFault, KeyError, TypeError) as fault:
-            if isinstance(fault, WireFault) or _in_adapter(fault):
-                return _reject(errors, number, fault)
-            replies.append(_bail(event, fault))
-            continue
-        except Exception as fault:
-            replies.append(_bail(event, fault))
-            continue
-        if actions:
-            instance = event["ProxyId"]
-            for action in actions:
-                replies.append(orjson.dumps(write_action(instance, action)))
-    if now is not None:
-        return _reject(errors, number, WireFault("the input ended inside a batch"))
+            answer = batches.read(line)
+        except (WireError, ValueError, KeyError, TypeError) as error:
+            return _reject(errors, number, error)
+        if answer is not None:
+            sink.write(answer)
+            sink.flush()
+    if batches.is_open:
+        return _reject(errors, number, WireError("the input ended inside a batch"))
     return 0
 
 
-def _in_adapter(fault: BaseException) -> bool:
-    """Whether the fault arose in reading the message (a missing or odd field), not in a decision."""
-    trace = fault.__traceback__
+def _is_wire_error(error: BaseException) -> bool:
+    """Whether it arose in reading the message (a missing or odd field), not in a decision."""
+    if isinstance(error, WireError):
+        return True
+    if not isinstance(error, KeyError | TypeError):
+        return False
+    trace = error.__traceback__
     while trace is not None and trace.tb_next is not None:
         trace = trace.tb_next
     return trace is not None and trace.tb_frame.f_code.co_filename == __file__
 
 
-def _bail(event: dict[str, Any], fault: BaseException) -> bytes:
-    text = f"{type(fault).__name__}: {fault}"
+def _bail_out(event: dict[str, Any], error: BaseException) -> bytes:
+    text = f"{type(error).__name__}: {error}"
     return orjson.dumps({"m": "BailOut", "ProxyId": event.get("ProxyId", 0), "NoteText": text})
 
 
-def _reject(errors: Any, number: int, fault: BaseException) -> int:
-    what = f"missing field {fault}" if isinstance(fault, KeyError) else str(fault)
+def _reject(errors: TextIO, number: int, error: BaseException) -> int:
+    what = f"missing field {error}" if isinstance(error, KeyError) else str(error)
     print(f"adapter: line {number}: {what}".replace("\n", " "), file=errors)
     return 2
 
@@ -329,7 +358,7 @@
     try:
         return serve(sys.stdin.buffer, sys.stdout.buffer, sys.stderr)
     except BrokenPipeError:
-        # The reader is gone: nothing is owed to it, and the flush at exit must not complain either.
+        # The reader is gone: no answer is due, and the flush at exit must not complain either.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -114,6 +114,7 @@
         (b"[1]\n", 1, "not a message"),
         (b'{"m":"Tick","Time":2}\n{"m":"Flush"}\n{"m":"Tick","Time":1}\n', 3, "the clock goes backwards"),
         (b'{"m":"Call"}\n', 1, "'Call' outside a batch"),
+        (b'{"m":"Tick","Time":1}\n{"m":"Tick"}\n', 2, "a Tick inside a batch"),
         (b'{"m":"Tick","Time":1}\n{"m":"Call","ProxyId":5,"Ref":"a"}\n', 2, "instance 5 was never opened"),
     ],
 )
