--- a/tests/load_balancing/rule_checker.py
+++ b/tests/load_balancing/rule_checker.py
@@ -25,27 +25,27 @@
 
 
 @dataclass
-class Try:
+class AttemptRecord:
     """One attempt as the checker sees it."""
 
     row: ServerRow
     sent: float
-    until: float
-    how: Outcome | None = None
+    ends_at: float
+    outcome: Outcome | None = None
 
     @property
     def maybe_ran(self) -> bool:
-        return self.how is None or self.how not in NEVER_RAN
+        return self.outcome is None or self.outcome not in NEVER_RAN
 
 
 @dataclass
-class Owed:
+class RequestRecord:
     """One request as the checker sees it."""
 
     kind: int
     deadline: float
-    tries: list[Try] = field(default_factory=list)
-    finals: int = 0
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    final_answers: int = 0
     ended: bool = False
     begun: bool = False
 
@@ -58,17 +58,17 @@
         self.balancer = Balancer(settings, seed)
         self.now = 100.0
         self.rows: dict[int, ServerRow] = {}
-        self.owed: dict[str, Owed] = {}
+        self.requests: dict[str, RequestRecord] = {}
         self.timers: list[tuple[float, int]] = []
-        self.sends: dict[int, list[float]] = {}
-        self.subscribed = 0
+        self.send_times: dict[int, list[float]] = {}
+        self.subscriptions = 0
         self.count = 0
-        self.taken: list[float] = []
-        self.further: list[float] = []
-        self.members(ListUpdateKind.STALE, rows)
+        self.request_times: list[float] = []
+        self.retry_times: list[float] = []
+        self.update_servers(ListUpdateKind.STALE, rows)
         self.apply(self.balancer.start(self.now))
 
-    def members(self, kind: ListUpdateKind, rows: list[ServerRow]) -> None:
+    def update_servers(self, kind: ListUpdateKind, rows: list[ServerRow]) -> None:
         if kind in (ListUpdateKind.STALE, ListUpdateKind.COMPLETE):
             self.rows = {r.server: r for r in rows}
         elif kind is ListUpdateKind.PATCH:
@@ -77,42 +77,47 @@
 
     def request(self, kind: int, wait: float, tenant: int = 0) -> str:
         self.count += 1
-        self.taken.append(self.now)
+        self.request_times.append(self.now)
         rid = f"r{self.count}"
-        self.owed[rid] = Owed(kind, self.now + wait)
+        self.requests[rid] = RequestRecord(kind, self.now + wait)
         self.apply(self.balancer.request(self.now, rid, kind, tenant, self.now + wait))
         return rid
 
-    def open_tries(self) -> list[tuple[str, int]]:
-        return [(rid, n) for rid, o in self.owed.items() for n, t in enumerate(o.tries) if t.how is None]
-
-    def end(self, rid: str, number: int, how: Outcome) -> None:
-        owed = self.owed[rid]
-        attempt = owed.tries[number]
-        attempt.how = how
-        if (how is Outcome.OK or owed.begun) and not owed.ended:
-            owed.finals += 1
-            owed.ended = True
-        self.apply(self.balancer.finish_attempt(self.now, rid, number, how, self.now - attempt.sent, owed.ended))
-
-    def leave(self, rid: str) -> None:
-        owed = self.owed[rid]
-        if not owed.ended:
-            owed.ended = True
-            owed.finals += 1  # nothing is owed any more
+    def open_attempts(self) -> list[tuple[str, int]]:
+        return [(rid, n) for rid, o in self.requests.items() for n, t in enumerate(o.attempts) if t.outcome is None]
+
+    def finish_attempt(self, rid: str, number: int, how: Outcome) -> None:
+        request = self.requests[rid]
+        attempt = request.attempts[number]
+        attempt.outcome = how
+        if (how is Outcome.OK or request.begun) and not request.ended:
+            request.final_answers += 1
+            request.ended = True
+        self.apply(self.balancer.finish_attempt(self.now, rid, number, how, self.now - attempt.sent, request.ended))
+
+    def cancel_request(self, rid: str) -> None:
+        request = self.requests[rid]
+        if not request.ended:
+            request.ended = True
+            request.final_answers += 1  # no answer is expected any more
         self.apply(self.balancer.cancel_request(self.now, rid))
 
-    def begin(self, rid: str, number: int) -> None:
+    def begin_response(self, rid: str, number: int) -> None:
         """The answer has begun as a stream: it belongs to one attempt and knows no deadline."""
-        owed = self.owed[rid]
+        request = self.requests[rid]
         self.apply(self.balancer.begin_response(self.now, rid, number))
-        owed.begun = True
-        owed.tries[number].until = owed.deadline = float("inf")
+        request.begun = True
+        request.attempts[number].ends_at = request.deadline = float("inf")
 
     def advance(self, span: float) -> None:
         target = self.now + span
         while True:
-            due = [(t.until, 0, rid, n) for rid, o in self.owed.items() for n, t in enumerate(o.tries) if t.how is None]
+            due = [
+                (t.ends_at, 0, rid, n)
+                for rid, o in self.requests.items()
+                for n, t in enumerate(o.attempts)
+                if t.outcome is None
+            ]
             due += [(at, 1, "", token) for at, token in self.timers]
             due = [d for d in due if d[0] <= target]
             if not due:
@@ -123,12 +128,12 @@
                 self.timers.remove((at, n))
                 self.apply(self.balancer.fire_timer(self.now, n))
             else:
-                self.end(rid, n, Outcome.TIMEOUT)
+                self.finish_attempt(rid, n, Outcome.TIMEOUT)
         self.now = target
         slack = self.settings.rules.answer_slack
-        for rid, owed in self.owed.items():
-            if self.now > owed.deadline + slack:
-                assert owed.finals == 1, f"{rid} has {owed.finals} final answers after its deadline"
+        for rid, request in self.requests.items():
+            if self.now > request.deadline + slack:
+                assert request.final_answers == 1, f"{rid} has {request.final_answers} final answers after its deadline"
 
     def apply(self, actions: list[Action]) -> None:
         for action in actions:
@@ -136,31 +141,31 @@
                 assert action.at >= self.now
                 self.timers.append((max(action.at, self.now + 1e-6), action.token))
             elif isinstance(action, Subscribe):
-                self.subscribed += 1
+                self.subscriptions += 1
             elif isinstance(action, Send):
-                self.sent(action)
+                self.check_send(action)
             elif isinstance(action, Cancel):
                 assert self.settings.limits.allows_cancel, "cancel is not permitted"
-                attempt = self.owed[action.request].tries[action.attempt]
-                assert attempt.how is None, "cancelled an attempt that had ended"
-                attempt.until = self.now  # ends at once, as cancelled or as something on its way
+                attempt = self.requests[action.request].attempts[action.attempt]
+                assert attempt.outcome is None, "cancelled an attempt that had ended"
+                attempt.ends_at = self.now  # ends at once, as cancelled or as something on its way
             else:
-                self.final(action)
+                self.check_final_answer(action)
 
-    def sent(self, action: Send) -> None:
-        owed = self.owed[action.request]
-        kind = self.settings.classes[owed.kind]
+    def check_send(self, action: Send) -> None:
+        request = self.requests[action.request]
+        kind = self.settings.classes[request.kind]
         limits = self.settings.limits
-        assert not owed.ended, "sent after the final answer"
-        assert not owed.begun, "sent after its stream began"
+        assert not request.ended, "sent after the final answer"
+        assert not request.begun, "sent after its stream began"
         row = self.rows[action.server]
         assert row.state is ServerState.UP, "sent to a server that drains or is gone"
         for bound, place in ((kind.allowed_host_types, row.host_type), (kind.allowed_zones, row.zone)):
             assert bound is None or place in bound, "sent to a server that is not open to its class"
-        assert len(owed.tries) < limits.max_attempts
-        if any(t.how is None for t in owed.tries):
+        assert len(request.attempts) < limits.max_attempts
+        if any(t.outcome is None for t in request.attempts):
             assert limits.allows_hedging, "a second copy is not permitted"
-        maybe = [t for t in owed.tries if t.maybe_ran]
+        maybe = [t for t in request.attempts if t.maybe_ran]
         if maybe and kind.retry_safety is not RetrySafety.SAFE:
             assert kind.retry_safety is RetrySafety.KEYED, "an unsafe request was sent twice"
             assert self.now - min(t.sent for t in maybe) <= kind.deduplication_window, "repeated after its window"
@@ -170,26 +175,26 @@
                 if kind.deduplication_scope is DeduplicationScope.CELL:
                     assert t.row.cell == row.cell, "repeated in another cell"
         rules = self.settings.rules
-        if owed.tries and rules.retry_budget_window:
-            self.further.append(self.now)
+        if request.attempts and rules.retry_budget_window:
+            self.retry_times.append(self.now)
             since = self.now - rules.retry_budget_window
-            most = rules.retry_budget_minimum + rules.retry_budget_ratio * sum(t > since for t in self.taken)
-            assert sum(t >= since for t in self.further) <= most, "beyond the attempt budget"
-        until = owed.deadline
+            most = rules.retry_budget_minimum + rules.retry_budget_ratio * sum(t > since for t in self.request_times)
+            assert sum(t >= since for t in self.retry_times) <= most, "beyond the attempt budget"
+        until = request.deadline
         if action.timeout > 0.0:
             until = min(until, self.now + action.timeout)
-        owed.tries.append(Try(replace(row), self.now, until))
-        self.sends.setdefault(action.server, []).append(self.now)
+        request.attempts.append(AttemptRecord(replace(row), self.now, until))
+        self.send_times.setdefault(action.server, []).append(self.now)
 
-    def final(self, action: Reject | Fail) -> None:
-        owed = self.owed[action.request]
-        kind = self.settings.classes[owed.kind]
-        assert not owed.ended, "a second final answer"
+    def check_final_answer(self, action: Reject | Fail) -> None:
+        request = self.requests[action.request]
+        kind = self.settings.classes[request.kind]
+        assert not request.ended, "a second final answer"
         if isinstance(action, Reject):
-            harmless = kind.retry_safety is RetrySafety.SAFE or not any(t.maybe_ran for t in owed.tries)
+            harmless = kind.retry_safety is RetrySafety.SAFE or not any(t.maybe_ran for t in request.attempts)
             harmless = harmless or (
                 kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
             )
             assert harmless, "refused although it may have run"
-        owed.ended = True
-        owed.finals += 1
+        request.ended = True
+        request.final_answers += 1
--- a/tests/load_balancing/test_failures_found.py
+++ b/tests/load_balancing/test_failures_found.py
@@ -123,9 +123,9 @@
     while checker.now < end:
         checker.request(kind, 4.0)
         checker.advance(1.0 / rate)
-        for rid, number in checker.open_tries():
+        for rid, number in checker.open_attempts():
             if rng.random() < 3.0 / rate:
-                checker.end(rid, number, Outcome.OK)
+                checker.finish_attempt(rid, number, Outcome.OK)
 
 
 def test_overload_refuses_the_cheapest_class_first() -> None:
@@ -404,10 +404,10 @@
     for _ in range(8):
         rid = checker.request(0, 4.0)
         checker.advance(0.05)
-        checker.end(rid, 0, Outcome.OK)
+        checker.finish_attempt(rid, 0, Outcome.OK)
         checker.advance(0.95)
     rids = [checker.request(0, 4.0) for _ in range(4)]
-    assert sum(bool(checker.owed[rid].tries) for rid in rids) == taken
+    assert sum(bool(checker.requests[rid].attempts) for rid in rids) == taken
 
 
 @pytest.mark.parametrize("count", [2, 3, 5])
--- a/tests/load_balancing/test_repeat_and_budget_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -61,9 +61,9 @@
         if what <= 3:
             checker.request(a % len(KINDS), 0.05 + (b % 300) / 100.0, a % 2)
         elif what <= 6:
-            tries = checker.open_tries()
+            tries = checker.open_attempts()
             if tries:
-                checker.end(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
+                checker.finish_attempt(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
         elif what == 7:
             rows = list(checker.rows.values())
             if not rows:
@@ -75,16 +75,16 @@
             changed = replace(row, state=state, started_at=started)
             if kind is ListUpdateKind.COMPLETE:
                 rest = [r for r in rows if r.server != row.server and r.state is not ServerState.GONE]
-                checker.members(kind, rest if state is ServerState.GONE else [*rest, changed])
+                checker.update_servers(kind, rest if state is ServerState.GONE else [*rest, changed])
             else:
-                checker.members(kind, [changed] if kind is ListUpdateKind.PATCH else [])
-        elif what == 8 and checker.owed:
-            rid = list(checker.owed)[a % len(checker.owed)]
-            numbers = [n for r, n in checker.open_tries() if r == rid]
-            if b % 3 == 0 and numbers and not checker.owed[rid].ended and not checker.owed[rid].begun:
-                checker.begin(rid, numbers[-1])
+                checker.update_servers(kind, [changed] if kind is ListUpdateKind.PATCH else [])
+        elif what == 8 and checker.requests:
+            rid = list(checker.requests)[a % len(checker.requests)]
+            numbers = [n for r, n in checker.open_attempts() if r == rid]
+            if b % 3 == 0 and numbers and not checker.requests[rid].ended and not checker.requests[rid].begun:
+                checker.begin_response(rid, numbers[-1])
             else:
-                checker.leave(rid)
+                checker.cancel_request(rid)
         else:
             checker.advance((a % 1000) / 1000.0)
     checker.advance(10.0)
@@ -130,9 +130,9 @@
     while checker.now < end:
         checker.request(0, 3.0)
         checker.advance(1.0 / rate)
-        for rid, number in checker.open_tries():
+        for rid, number in checker.open_attempts():
             if rng.random() < 0.3:
-                checker.end(rid, number, Outcome.OK)
+                checker.finish_attempt(rid, number, Outcome.OK)
 
 
 def cold_push(seed: int) -> None:
@@ -142,12 +142,12 @@
     checker = RuleChecker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
-    checker.members(ListUpdateKind.PATCH, [ServerRow(3, started_at=checker.now)])
+    checker.update_servers(ListUpdateKind.PATCH, [ServerRow(3, started_at=checker.now)])
     begin = checker.now
-    checker.sends.clear()
+    checker.send_times.clear()
     steady(checker, 4.0, 100.0, rng)
-    cold = [t for t in checker.sends.get(3, []) if t >= begin]
-    warm = sum(len(v) for k, v in checker.sends.items() if k != 3) / 9
+    cold = [t for t in checker.send_times.get(3, []) if t >= begin]
+    warm = sum(len(v) for k, v in checker.send_times.items() if k != 3) / 9
     # after 4 s it can do 0.14 + 0.86 * 4 / 20 = 0.31 for certain; three times that would push it over
     assert len(cold) <= 0.31 * 2 * warm, "a cold server was pushed"
     for first, later in pairwise(cold):
@@ -168,7 +168,7 @@
 def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
         checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
-        checker.members(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
+        checker.update_servers(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
         for _ in range(20):
             checker.request(0, 3.0)
 
@@ -192,8 +192,8 @@
     """A request of which so many attempts in a row cannot be delivered."""
     rid = checker.request(kind, 3.0)
     for number in range(tries):
-        if (rid, number) in checker.open_tries():
-            checker.end(rid, number, Outcome.UNREACHABLE)
+        if (rid, number) in checker.open_attempts():
+            checker.finish_attempt(rid, number, Outcome.UNREACHABLE)
 
 
 def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -204,10 +204,10 @@
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
         none_open = [replace(row, state=ServerState.GONE) for row in rows if row.host_type == 1]
-        checker.members(ListUpdateKind.PATCH, none_open)
-        before = sum(len(v) for v in checker.sends.values())
+        checker.update_servers(ListUpdateKind.PATCH, none_open)
+        before = sum(len(v) for v in checker.send_times.values())
         checker.request(5, 3.0)
-        assert sum(len(v) for v in checker.sends.values()) == before
+        assert sum(len(v) for v in checker.send_times.values()) == before
         return before
 
     assert bound() > 15
@@ -223,7 +223,7 @@
     for _ in range(200):
         fail_unseen(checker, 0, 3)
         checker.advance(0.1)
-    return sum(max(0, len(owed.tries) - 1) for owed in checker.owed.values())
+    return sum(max(0, len(request.attempts) - 1) for request in checker.requests.values())
 
 
 @pytest.mark.parametrize(("stated", "low", "high"), [(True, 8, 77), (False, 8, 50)])
@@ -242,7 +242,7 @@
     rid = checker.request(0, 3.0)
     with pytest.raises(AssertionError, match="second copy"):
         checker.apply([Send(rid, 2)])
-    checker.begin(rid, 0)
+    checker.begin_response(rid, 0)
     checker.advance(20.0)  # a begun stream knows no deadline...
     with pytest.raises(AssertionError, match="after its stream began"):
         checker.apply([Send(rid, 2)])
@@ -253,7 +253,7 @@
     rows = [ServerRow(i, started_at=100.0) for i in range(10)]
     checker = RuleChecker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
-    sent = sum(len(v) for v in checker.sends.values())
+    sent = sum(len(v) for v in checker.send_times.values())
     # with everything cold there is no warm peer to compare with: about the certain part of the calls goes out
     assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
 
