--- a/tests/daemon/gossip/test_pauses.py
+++ b/tests/daemon/gossip/test_pauses.py
@@ -2,34 +2,15 @@
 
 from __future__ import annotations
 
-from random import Random
+from gossipprotocol import PEER, protocol_that_knows_a_peer
 
 from lugspur.daemon.gossip.counters import GossipCounter
-from lugspur.daemon.gossip.datagrams import DatagramCodec
-from lugspur.daemon.gossip.messages import MemberMetadata, MemberRecord, Packet, Ping, Status
+from lugspur.daemon.gossip.messages import Status
 from lugspur.daemon.gossip.protocol import GossipProtocol
 
-PEER = MemberRecord("m1", 7, 1, "10.0.0.2", 7946)
 PAUSE_SECONDS = 30.0
 
 
-def protocol_that_knows_a_peer() -> GossipProtocol:
-    codec = DatagramCodec("edge")
-    protocol = GossipProtocol(
-        codec=codec,
-        name="m0",
-        address=("10.0.0.1", 7946),
-        metadata=MemberMetadata(),
-        seeds=[],
-        now=0.0,
-        wall_clock=lambda: 1e9,
-        rng=Random(1),
-    )
-    ping = codec.encode(Packet(PEER.name, PEER.instance_id, "m0", Ping(1, protocol.digest, [PEER])))
-    protocol.receive(0.0, ping, PEER.address)
-    return protocol
-
-
 def run_until_suspected(protocol: GossipProtocol) -> float:
     """Run without any answer of the peer, and return when it was suspected."""
     now = 0.0
