--- a/lugspur/discovery/registry_endpoints.py
+++ b/lugspur/discovery/registry_endpoints.py
@@ -22,7 +22,7 @@
     problems: list[str] = field(default_factory=list)  # lines for the log about nodes that cannot be read
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class _NodeEndpoint:
     created_zxid: int
     modified_zxid: int
