--- a/tests/test_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -7,11 +7,11 @@
 from random import Random
 
 import pytest
-from harness import Checker
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
+from rule_checker import RuleChecker
 
-from lugspur.load_balancing import decide, retry_budget, servers
+from lugspur.load_balancing import balancer, retry_budget, server_pool, server_table, slow_start, two_choice_pick
 from lugspur.load_balancing.model import (
     DeduplicationScope,
     DiscoveryMode,
@@ -27,6 +27,8 @@
     Settings,
     Tenant,
 )
+from lugspur.load_balancing.request_state import Request
+from lugspur.load_balancing.server import Server
 
 RULES = Rules(
     answer_slack=0.02, slow_start_fraction=0.14, slow_start_seconds=20.0, overload_multiple=3.0, overload_seconds=1.0
@@ -54,14 +56,14 @@
 step = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 10_000))
 
 
-def play(checker: Checker, steps: list[tuple[int, int, int]]) -> None:
+def play(checker: RuleChecker, steps: list[tuple[int, int, int]]) -> None:
     for what, a, b in steps:
         if what <= 3:
             checker.request(a % len(KINDS), 0.05 + (b % 300) / 100.0, a % 2)
         elif what <= 6:
-            tries = checker.open_tries()
+            tries = checker.open_attempts()
             if tries:
-                checker.end(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
+                checker.finish_attempt(*tries[a % len(tries)], OUTCOMES[b % len(OUTCOMES)])
         elif what == 7:
             rows = list(checker.rows.values())
             if not rows:
@@ -73,16 +75,16 @@
             changed = replace(row, state=state, started_at=started)
             if kind is ListUpdateKind.COMPLETE:
                 rest = [r for r in rows if r.server != row.server and r.state is not ServerState.GONE]
-                checker.members(kind, rest if state is ServerState.GONE else [*rest, changed])
+                checker.update_servers(kind, rest if state is ServerState.GONE else [*rest, changed])
             else:
-                checker.members(kind, [changed] if kind is ListUpdateKind.PATCH else [])
-        elif what == 8 and checker.owed:
-            rid = list(checker.owed)[a % len(checker.owed)]
-            numbers = [n for r, n in checker.open_tries() if r == rid]
-            if b % 3 == 0 and numbers and not checker.owed[rid].ended and not checker.owed[rid].begun:
-                checker.begin(rid, numbers[-1])
+                checker.update_servers(kind, [changed] if kind is ListUpdateKind.PATCH else [])
+        elif what == 8 and checker.requests:
+            rid = list(checker.requests)[a % len(checker.requests)]
+            numbers = [n for r, n in checker.open_attempts() if r == rid]
+            if b % 3 == 0 and numbers and not checker.requests[rid].ended and not checker.requests[rid].begun:
+                checker.begin_response(rid, numbers[-1])
             else:
-                checker.leave(rid)
+                checker.cancel_request(rid)
         else:
             checker.advance((a % 1000) / 1000.0)
     checker.advance(10.0)
@@ -119,33 +121,33 @@
         limits=Limits(allows_cancel=cancel, allows_hedging=second, max_attempts=attempts),
     )
     rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3, host_type=i % 3) for i in range(servers)]
-    play(Checker(config, seed, rows), steps)
+    play(RuleChecker(config, seed, rows), steps)
 
 
-def steady(checker: Checker, seconds: float, rate: float, rng: Random) -> None:
+def steady(checker: RuleChecker, seconds: float, rate: float, rng: Random) -> None:
     """Answer a steady stream of calls, each after about a tenth of a second."""
     end = checker.now + seconds
     while checker.now < end:
         checker.request(0, 3.0)
         checker.advance(1.0 / rate)
-        for rid, number in checker.open_tries():
+        for rid, number in checker.open_attempts():
             if rng.random() < 0.3:
-                checker.end(rid, number, Outcome.OK)
+                checker.finish_attempt(rid, number, Outcome.OK)
 
 
 def cold_push(seed: int) -> None:
     """A server restarts under a steady stream; asserts that it gets no more than it can do for certain."""
     config = Settings(classes=KINDS, rules=RULES)
     rows = [ServerRow(i) for i in range(10)]
-    checker = Checker(config, seed, rows)
+    checker = RuleChecker(config, seed, rows)
     rng = Random(seed)
     steady(checker, 5.0, 100.0, rng)
-    checker.members(ListUpdateKind.PATCH, [ServerRow(3, started_at=checker.now)])
+    checker.update_servers(ListUpdateKind.PATCH, [ServerRow(3, started_at=checker.now)])
     begin = checker.now
-    checker.sends.clear()
+    checker.send_times.clear()
     steady(checker, 4.0, 100.0, rng)
-    cold = [t for t in checker.sends.get(3, []) if t >= begin]
-    warm = sum(len(v) for k, v in checker.sends.items() if k != 3) / 9
+    cold = [t for t in checker.send_times.get(3, []) if t >= begin]
+    warm = sum(len(v) for k, v in checker.send_times.items() if k != 3) / 9
     # after 4 s it can do 0.14 + 0.86 * 4 / 20 = 0.31 for certain; three times that would push it over
     assert len(cold) <= 0.31 * 2 * warm, "a cold server was pushed"
     for first, later in pairwise(cold):
@@ -158,58 +160,58 @@
 
 
 def test_a_module_that_ignores_cold_starts_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.Balancer, "_spares_cold", lambda self, now, server, pool: False)
+    monkeypatch.setattr(slow_start.SlowStart, "skips", lambda *_: False)
     with pytest.raises(AssertionError, match="pushed"):
         cold_push(0)
 
 
 def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
-        checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
-        checker.members(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
+        checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
+        checker.update_servers(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
         for _ in range(20):
             checker.request(0, 3.0)
 
     drained()
-    arrange = decide.Balancer._arrange
+    rebuild_pools = server_table.ServerTable.rebuild_pools
 
-    def keep(self: decide.Balancer, now: float) -> None:
+    def keep(self: server_table.ServerTable, now: float) -> None:
         told = {server: server.row for server in self.servers.values()}
         for server in told:
             server.row = ServerRow(server.row.server)
-        arrange(self, now)
+        rebuild_pools(self, now)
         for server, row in told.items():
             server.row = row
 
-    monkeypatch.setattr(decide.Balancer, "_arrange", keep)
+    monkeypatch.setattr(server_table.ServerTable, "rebuild_pools", keep)
     with pytest.raises(AssertionError, match="drains or is gone"):
         drained()
 
 
-def fail_unseen(checker: Checker, kind: int, tries: int) -> None:
+def fail_unseen(checker: RuleChecker, kind: int, tries: int) -> None:
     """A request of which so many attempts in a row cannot be delivered."""
     rid = checker.request(kind, 3.0)
     for number in range(tries):
-        if (rid, number) in checker.open_tries():
-            checker.end(rid, number, Outcome.UNREACHABLE)
+        if (rid, number) in checker.open_attempts():
+            checker.finish_attempt(rid, number, Outcome.UNREACHABLE)
 
 
 def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def bound() -> int:
         rows = [ServerRow(i, zone=i % 2, host_type=i % 3) for i in range(12)]
-        checker = Checker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
+        checker = RuleChecker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
         for n in range(40):
             fail_unseen(checker, 5 + n % 2, 4)
             checker.advance(0.5)
         none_open = [replace(row, state=ServerState.GONE) for row in rows if row.host_type == 1]
-        checker.members(ListUpdateKind.PATCH, none_open)
-        before = sum(len(v) for v in checker.sends.values())
+        checker.update_servers(ListUpdateKind.PATCH, none_open)
+        before = sum(len(v) for v in checker.send_times.values())
         checker.request(5, 3.0)
-        assert sum(len(v) for v in checker.sends.values()) == before
+        assert sum(len(v) for v in checker.send_times.values()) == before
         return before
 
     assert bound() > 15
-    monkeypatch.setattr(servers.Pool, "opens", lambda self, row: True)
+    monkeypatch.setattr(server_pool.ServerPool, "allows", lambda self, row: True)
     with pytest.raises(AssertionError, match="not open to its class"):
         bound()
 
@@ -217,11 +219,11 @@
 def spend(stated: bool) -> int:
     """Every attempt fails unseen; returns how many further attempts were sent in 20 s."""
     rules = BUDGETED if stated else RULES
-    checker = Checker(Settings(classes=KINDS, rules=rules), 1, [ServerRow(i) for i in range(40)])
+    checker = RuleChecker(Settings(classes=KINDS, rules=rules), 1, [ServerRow(i) for i in range(40)])
     for _ in range(200):
         fail_unseen(checker, 0, 3)
         checker.advance(0.1)
-    return sum(max(0, len(owed.tries) - 1) for owed in checker.owed.values())
+    return sum(max(0, len(request.attempts) - 1) for request in checker.requests.values())
 
 
 @pytest.mark.parametrize(("stated", "low", "high"), [(True, 8, 77), (False, 8, 50)])
@@ -236,11 +238,11 @@
 
 
 def test_the_checker_covers_copies_and_streams() -> None:
-    checker = Checker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
+    checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
     rid = checker.request(0, 3.0)
     with pytest.raises(AssertionError, match="second copy"):
         checker.apply([Send(rid, 2)])
-    checker.begin(rid, 0)
+    checker.begin_response(rid, 0)
     checker.advance(20.0)  # a begun stream knows no deadline...
     with pytest.raises(AssertionError, match="after its stream began"):
         checker.apply([Send(rid, 2)])
@@ -249,9 +251,9 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_all_cold_at_once(seed: int) -> None:
     rows = [ServerRow(i, started_at=100.0) for i in range(10)]
-    checker = Checker(Settings(classes=KINDS, rules=RULES), seed, rows)
+    checker = RuleChecker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
-    sent = sum(len(v) for v in checker.sends.values())
+    sent = sum(len(v) for v in checker.send_times.values())
     # with everything cold there is no warm peer to compare with: about the certain part of the calls goes out
     assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
 
@@ -262,12 +264,16 @@
     rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
     config = Settings(classes=KINDS, zone_count=2, rules=RULES, limits=Limits(max_attempts=4), tenants=tenants)
-    play(Checker(config, 1, rows), steps)
+    play(RuleChecker(config, 1, rows), steps)
+
+    def anywhere(self: two_choice_pick.TwoChoicePick, now: float, request: Request) -> list[Server]:
+        return self._table.pool_of[request.class_index].ready
+
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_among", lambda self, now, request: self.pool_of[request.kind].ready)
+        patch.setattr(two_choice_pick.TwoChoicePick, "retry_servers", anywhere)
         with pytest.raises(AssertionError, match=r"sent twice|another"):
-            play(Checker(config, 1, rows), steps)
+            play(RuleChecker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(decide.Balancer, "_answer", lambda self, *rest: None)
+        patch.setattr(balancer.Balancer, "_answer", lambda self, *rest: [])
         with pytest.raises(AssertionError, match="final answers"):
-            play(Checker(config, 1, rows), steps)
+            play(RuleChecker(config, 1, rows), steps)
