--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -131,29 +131,29 @@
     def request(
         self,
         now: float,
-        rid: RequestId,
-        kind: int = 0,
+        request_id: RequestId,
+        class_index: int = 0,
         tenant: int = 0,
         deadline: float | None = None,
         cost: float = 0.0,
-        retry: bool = False,
-        partial: bool = False,
+        is_retry: bool = False,
+        is_incomplete: bool = False,
     ) -> list[Action]:
-        """A new request of the class at index `kind`; exactly one final answer follows, now or later.
+        """A new request of the class at `class_index`; exactly one final answer follows, now or later.
 
-        `cost`: the work that is expected of it (0: unknown). `retry`: the client marked it as a retry.
-        `partial`: a part of its body is still to come; `complete_body` tells when it has.
+        `cost`: the work that is expected of it (0: unknown). `is_retry`: the client marked it as a retry.
+        `is_incomplete`: a part of its body is still to come; `complete_body` tells when it has.
         Raises ValueError, and changes nothing, for arguments that are out of range.
         """
-        self.settings.check_request(kind, tenant, deadline, cost)
-        if rid in self.requests:
-            raise ValueError(f"rid: {rid!r} is open already")
+        self.settings.check_request(class_index, tenant, deadline, cost)
+        if request_id in self.requests:
+            raise ValueError(f"rid: {request_id!r} is open already")
         if deadline is None:
-            deadline = now + self.settings.classes[kind].deadline
-        request = Request(rid, kind, deadline, self.settings.limits.max_attempts)
-        request.useful_until = self.deadlines.useful_until(now, kind, deadline, retry)
+            deadline = now + self.settings.classes[class_index].deadline
+        request = Request(request_id, class_index, deadline, self.settings.limits.max_attempts)
+        request.useful_until = self.deadlines.useful_until(now, class_index, deadline, is_retry)
         request.cost = cost or 1.0
-        request.is_incomplete = partial
+        request.is_incomplete = is_incomplete
         self._count_request(now, request)
         actions = self._send_first(now, request) if self._admits(now, request, tenant) else []
         return actions or self._answer(now, request)
@@ -250,13 +250,13 @@
             return []
         return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.is_open and n != spared]
 
-    def complete_body(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+    def complete_body(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
         """The last byte of a partial request has come: its time counts from here.
 
         Guards servers and admission against slow uploads: while one comes nothing runs, so that it says
         neither that its server hangs nor that requests pile up.
         """
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         if request is None or request.is_answered or not request.is_incomplete:
             return []
         request.is_incomplete = False
@@ -265,11 +265,11 @@
             if attempt.is_open and not request.has_response_begun:
                 attempt.work_started_at = now
                 attempt.server.in_flight[attempt] = None
-        return self.extend_deadline(now, rid, deadline)
+        return self.extend_deadline(now, request_id, deadline)
 
-    def extend_deadline(self, now: float, rid: RequestId, deadline: float) -> list[Action]:
+    def extend_deadline(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
         """Another client waits for its answer too, and longer: attempts that are out keep their time."""
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         if request is None or request.is_answered or deadline <= request.deadline:
             return []
         if request.useful_until >= request.deadline:
@@ -282,54 +282,58 @@
         return []
 
     def finish_attempt(
-        self, now: float, rid: RequestId, number: int, how: Outcome, latency: float, last: bool = False
+        self,
+        now: float,
+        request_id: RequestId,
+        number: int,
+        outcome: Outcome,
+        latency: float,
+        is_final: bool = False,
     ) -> list[Action]:
-        """An attempt ended, `latency` seconds after it was sent; unknown ones are ignored.
-
-        `last`: its answer has gone to the client.
-        """
-        request = self.requests.get(rid)
+        """An attempt ended after `latency` seconds; `is_final`: the client has its answer. Ignores others."""
+        request = self.requests.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
             return []
         attempt = request.attempts[number]
         if not attempt.is_open:
             return []
-        self._close_attempt(request, attempt, how, latency)
-        self._learn(now, attempt, how, latency, self.settings.classes[request.class_index].latency_target)
-        if how is Outcome.OK:
+        self._close_attempt(request, attempt, outcome, latency)
+        self._learn(now, attempt, outcome, latency, self.settings.classes[request.class_index].latency_target)
+        if outcome is Outcome.OK:
             self.costs.observe(latency, request.cost)
         if request.is_answered:
             if not request.open_attempts:
-                self.requests.pop(rid, None)
+                self.requests.pop(request_id, None)
             return []
-        if last or how is Outcome.OK:
+        if is_final or outcome is Outcome.OK:
             pool = self.table.pool_of[request.class_index]
             pool.served.count(now)
             pool.breaker.count_accepted(now)
             return self._finish(request)
         return [] if request.open_attempts else self._retry(now, request) or self._answer(now, request)
 
-    def _close_attempt(self, request: Request, attempt: Attempt, how: Outcome, latency: float) -> None:
+    def _close_attempt(self, request: Request, attempt: Attempt, outcome: Outcome, latency: float) -> None:
         attempt.is_open = False
-        attempt.may_have_run = how not in NEVER_RAN
+        attempt.may_have_run = outcome not in NEVER_RAN
         # An error that took longer than requests are admitted to wait speaks of a time-out behind.
         max_wait = self.admission.max_wait[request.class_index]
-        attempt.shows_overload = how in OVERLOAD_OUTCOMES or latency > max_wait
+        attempt.shows_overload = outcome in OVERLOAD_OUTCOMES or latency > max_wait
         request.open_attempts -= 1
 
-    def _learn(self, now: float, attempt: Attempt, how: Outcome, latency: float, timeout: float) -> None:
+    def _learn(self, now: float, attempt: Attempt, outcome: Outcome, latency: float, timeout: float) -> None:
         server = attempt.server
         server.in_flight.pop(attempt, None)
-        if server.breaker is None or how is Outcome.NOT_PROCESSED or attempt.sent_at < server.row.started_at:
+        breaker, is_former_process = server.breaker, attempt.sent_at < server.row.started_at
+        if breaker is None or outcome is Outcome.NOT_PROCESSED or is_former_process:
             return
-        if how in NEVER_RAN:
+        if outcome in NEVER_RAN:
             server.eject(now, self.rng)
-        elif how in (Outcome.OK, Outcome.ERROR):
+        elif outcome in (Outcome.OK, Outcome.ERROR):
             server.end_ejection()
-        if how is Outcome.OK:
-            self._learn_success(now, server, server.breaker, latency)
-        elif how is not Outcome.CANCELLED:
-            server.breaker.count_failed(now)
+        if outcome is Outcome.OK:
+            self._learn_success(now, server, breaker, latency)
+        elif outcome is not Outcome.CANCELLED:
+            breaker.count_failed(now)
             # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
             server.observe_latency(now, max(latency, timeout))
 
@@ -344,29 +348,29 @@
         gap = latency - table.tier_latency
         table.tier_latency += gap / TIER_LATENCY_FACTOR if table.tier_latency > 0.0 else latency
 
-    def bind_to_attempt(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def bind_to_attempt(self, now: float, request_id: RequestId, number: int) -> list[Action]:
         """A part of a stream has gone to this attempt's server: the request belongs to it."""
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return []
         request.is_bound = True
         return self._cancel_attempts(request, number)
 
-    def begin_response(self, now: float, rid: RequestId, number: int) -> list[Action]:
+    def begin_response(self, now: float, request_id: RequestId, number: int) -> list[Action]:
         """The answer of a stream has begun: the request belongs to this attempt, and waits for nothing.
 
         Guards admission against streams that go on for long: they are no queue that would make others late.
         """
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         if request is not None and not request.is_answered and not request.has_response_begun:
             request.has_response_begun = True
             self._set_pending(request, False)
             # Guards a server that gives a long answer against looking as if it hung.
             for attempt in request.attempts:
                 attempt.server.in_flight.pop(attempt, None)
-        return self.bind_to_attempt(now, rid, number)
+        return self.bind_to_attempt(now, request_id, number)
 
-    def cancel_request(self, now: float, rid: RequestId) -> list[Action]:
+    def cancel_request(self, now: float, request_id: RequestId) -> list[Action]:
         """The client left; no answer is expected any more."""
-        request = self.requests.get(rid)
+        request = self.requests.get(request_id)
         return [] if request is None or request.is_answered else self._finish(request)
--- a/lugspur/load_balancing/discovery_subscription.py
+++ b/lugspur/load_balancing/discovery_subscription.py
@@ -21,8 +21,8 @@
         """Ask soon. All instances start together: the first calls are spread over what the rules allow."""
         if settings.discovery is not DiscoveryMode.ON_REQUEST:
             return []
-        interval = settings.rules.discovery_interval
-        return self._subscribe_in(now, START_FRACTION * interval * self._rng.random())
+        spread = START_FRACTION * settings.rules.discovery_interval
+        return self._subscribe_in(now, spread * self._rng.random())
 
     def list_failed(self, now: float, settings: Settings) -> list[Action]:
         """Ask again later, jittered and doubling: every instance lost the same service at the same time."""
--- a/lugspur/load_balancing/learned_state.py
+++ b/lugspur/load_balancing/learned_state.py
@@ -13,14 +13,10 @@
 def export_learned(table: ServerTable, costs: CostBaseline, server_ids: Sequence[ServerId] | None) -> Learned:
     """The learned state of all servers, or of those that are named."""
     wanted = tuple(table.servers) if server_ids is None else server_ids
-    servers = (table.servers[server_id] for server_id in wanted if server_id in table.servers)
-    return Learned(
-        servers=tuple(_export_server(server) for server in servers),
-        pools=tuple(_export_pool(pool) for pool in table.pools),
-        pooled=table.tier_latency,
-        pace=costs.seconds_per_cost,
-        paced=costs.samples,
-    )
+    known = (table.servers[server_id] for server_id in wanted if server_id in table.servers)
+    servers = tuple(_export_server(server) for server in known)
+    pools = tuple(_export_pool(pool) for pool in table.pools)
+    return Learned(servers, pools, table.tier_latency, costs.seconds_per_cost, costs.samples)
 
 
 def import_learned(now: float, table: ServerTable, costs: CostBaseline, learned: Learned) -> None:
@@ -64,11 +60,9 @@
 
 
 def _export_pool(pool: ServerPool) -> LearnedPool:
-    return LearnedPool(
-        rates=(pool.offered.export_learned(), pool.sent.export_learned(), pool.served.export_learned()),
-        born=pool.first_request_at if pool.first_request_at < float("inf") else None,
-        breaker=pool.breaker.export_learned(),
-    )
+    rates = pool.offered.export_learned(), pool.sent.export_learned(), pool.served.export_learned()
+    first_request_at = pool.first_request_at if pool.first_request_at < float("inf") else None
+    return LearnedPool(rates, first_request_at, pool.breaker.export_learned())
 
 
 def _import_pool(pool: ServerPool, saved: LearnedPool) -> None:
--- a/lugspur/load_balancing/model.py
+++ b/lugspur/load_balancing/model.py
@@ -234,9 +234,9 @@
         self.limits.check("limits")
         self.rules.check("rules")
 
-    def check_request(self, kind: int, tenant: int, deadline: float | None, cost: float) -> None:
+    def check_request(self, class_index: int, tenant: int, deadline: float | None, cost: float) -> None:
         """Raise ValueError naming the first argument of a request that is out of range."""
-        _check_index("kind", kind, len(self.classes))
+        _check_index("kind", class_index, len(self.classes))
         _check_index("tenant", tenant, max(1, len(self.tenants)))
         if deadline is not None:
             _check_number("deadline", deadline, -math.inf)
--- a/lugspur/load_balancing/request_state.py
+++ b/lugspur/load_balancing/request_state.py
@@ -7,8 +7,8 @@
 class Request:
     """A request that has no final answer yet, or that still has attempts out; times in seconds."""
 
-    def __init__(self, rid: RequestId, class_index: int, deadline: float, max_attempts: int) -> None:
-        self.id = rid
+    def __init__(self, request_id: RequestId, class_index: int, deadline: float, max_attempts: int) -> None:
+        self.id = request_id
         self.class_index = class_index
         self.deadline = deadline
         self.max_attempts = max_attempts  # by the settings that it began with
--- a/tests/load_balancing/test_changed_settings.py
+++ b/tests/load_balancing/test_changed_settings.py
@@ -42,7 +42,7 @@
         2.0, Settings(classes=(replace(READ, latency_target=0.5), BOOK), tenants=(Tenant("t", quota=3.0),))
     )
     assert one.table.servers[send.server].latency == 0.2 and one.costs.samples == 1
-    [again] = one.request(2.0, "b", kind=1, tenant=0)
+    [again] = one.request(2.0, "b", class_index=1, tenant=0)
     assert isinstance(again, Send)
 
 
--- a/tests/load_balancing/test_extended_deadlines.py
+++ b/tests/load_balancing/test_extended_deadlines.py
@@ -52,5 +52,5 @@
     one.request(1.0, "a", deadline=3.0)
     assert one.extend_deadline(1.1, "a", 2.0) == [] and one.requests["a"].deadline == 3.0
     assert one.extend_deadline(1.1, "b", 2.0) == []
-    one.finish_attempt(1.2, "a", 0, Outcome.OK, 0.2, last=True)
+    one.finish_attempt(1.2, "a", 0, Outcome.OK, 0.2, is_final=True)
     assert one.extend_deadline(1.3, "a", 9.0) == [] and not one.requests
--- a/tests/load_balancing/test_invalid_input.py
+++ b/tests/load_balancing/test_invalid_input.py
@@ -98,16 +98,16 @@
 @pytest.mark.parametrize(
     ("name", "values"),
     [
-        ("kind", {"kind": 1}),
-        ("kind", {"kind": -1}),
-        ("kind", {"kind": "0"}),
+        ("kind", {"class_index": 1}),
+        ("kind", {"class_index": -1}),
+        ("kind", {"class_index": "0"}),
         ("tenant", {"tenant": 1}),
         ("tenant", {"tenant": -1}),
         ("deadline", {"deadline": math.nan}),
         ("deadline", {"deadline": "soon"}),
         ("cost", {"cost": -1.0}),
         ("cost", {"cost": math.inf}),
-        ("rid", {"rid": "open"}),
+        ("rid", {"request_id": "open"}),
     ],
 )
 def test_a_request_that_makes_no_sense_changes_nothing(name: str, values: dict[str, Any]) -> None:
@@ -115,7 +115,7 @@
     for one in (b, twin):
         one.request(2.0, "open")
     with pytest.raises(ValueError, match=name):
-        b.request(3.0, **{"rid": "new", **values})
+        b.request(3.0, **{"request_id": "new", **values})
     assert list(b.requests) == ["open"] and b.table.pools[0].pending == twin.table.pools[0].pending
     # the same random numbers follow: nothing was drawn either
     assert b.request(4.0, "next") == twin.request(4.0, "next")
--- a/tests/load_balancing/test_many_instances.py
+++ b/tests/load_balancing/test_many_instances.py
@@ -40,7 +40,7 @@
     served = 0
     while ends and ends[0][0] <= now:
         at, rid, number = ends.pop(0)
-        balancer.finish_attempt(at, rid, number, Outcome.OK, 0.3, last=True)
+        balancer.finish_attempt(at, rid, number, Outcome.OK, 0.3, is_final=True)
         served += 1
     return served
 
@@ -81,7 +81,7 @@
     balancer.finish_attempt(1.2, "hangs", 0, Outcome.TIMEOUT, 0.2)
     assert server.ejected_until == until
     balancer.request(1.3, "answered", deadline=2.0)
-    balancer.finish_attempt(1.4, "answered", 0, Outcome.OK, 0.1, last=True)
+    balancer.finish_attempt(1.4, "answered", 0, Outcome.OK, 0.1, is_final=True)
     assert server.ejected_until == 0.0
 
 
@@ -100,7 +100,7 @@
         actions = balancer.request(now, f"u{n}", deadline=now + 1.0)
         assert isinstance(actions[0], Send)
         seen.add(actions[0].server)
-        balancer.finish_attempt(now, f"u{n}", 0, Outcome.OK, 0.3, last=True)
+        balancer.finish_attempt(now, f"u{n}", 0, Outcome.OK, 0.3, is_final=True)
     assert seen == {0, 1}
 
 
@@ -115,7 +115,7 @@
         balancer.update_servers(0.0, ListUpdateKind.STALE, [ServerRow(n) for n in range(servers)])
         for n in range(8):
             balancer.request(1.0 + n, f"w{n}", deadline=2.0 + n)
-            balancer.finish_attempt(1.1 + n, f"w{n}", 0, Outcome.OK, 0.1, last=True)
+            balancer.finish_attempt(1.1 + n, f"w{n}", 0, Outcome.OK, 0.1, is_final=True)
         sent = [balancer.request(9.0, f"b{n}", deadline=10.0) for n in range(size)]
         taken.append(sum(isinstance(actions[0], Send) for actions in sent))
     return taken[0], sum(taken)
