--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -12,7 +12,7 @@
 from lugspur.config.build import Plan
 from lugspur.config.units import Wrong, duration, folder, nearest, node
 from lugspur.config.units import address as read_place
-from lugspur.daemon.station import servers
+from lugspur.daemon.cluster import registry_ensemble
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
 from lugspur.discovery.health_check import check_health
 from lugspur.discovery.registry_sessions import Ensemble, RegistrySessions
@@ -53,7 +53,7 @@
         host, port = read_place(address)
         box = RegisteredBackend(node(name), f"{host}:{port}", zone, cell, weight)
         wish = Wish(
-            servers(known[registry]),
+            registry_ensemble(known[registry]),
             folder(path),
             box,
             uuid.uuid4().hex if sequential else "",
--- a/lugspur/daemon/announcers.py
+++ b/lugspur/daemon/announcers.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from lugspur.config import model
-from lugspur.daemon.station import servers
+from lugspur.daemon.cluster import registry_ensemble
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
 from lugspur.discovery.endpoints import Address
 from lugspur.discovery.health_check import CheckResult
@@ -44,7 +44,7 @@
             box = RegisteredBackend(register.name, f"{host}:{port}", zone, register.cell, register.weight)
             ident = uuid.uuid4().hex if register.sequential else ""
             announcer = BackendRegistrar(
-                self._registries.get(servers(ensemble)), register.path, box, ident, lambda: self._began
+                self._registries.get(registry_ensemble(ensemble)), register.path, box, ident, lambda: self._began
             )
             self._known[name] = wish, announcer
             announcer.open()
--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/company.py
@@ -38,7 +38,7 @@
 from lugspur.daemon.probers import PROBING, Probers
 
 if TYPE_CHECKING:
-    from lugspur.daemon.station import Station
+    from lugspur.daemon.cluster import UpstreamCluster
 
 LEASES = 1  # the topic of these messages among a fleet's posts
 BODY_MESSAGES = 7  # in one datagram: each takes up to some 150 bytes
@@ -143,11 +143,11 @@
             self._promise_store.close()
             self._promise_store = None
 
-    def apply(self, file: model.File, stations: Callable[[], Mapping[str, Station]]) -> None:
+    def apply(self, file: model.File, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
         """A file is in force: its checked pools are probed by one for all."""
         checks = {name: row.check for name, row in file.pools.items() if row.check is not None}
         if checks and self.probers is None and self._row.electors:
-            self.probers = Probers(self, stations)
+            self.probers = Probers(self, clusters)
         if self.probers is not None:
             self.probers.apply(checks)
 
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -10,11 +10,11 @@
 
 from lugspur.config import model
 from lugspur.config.build import METHODS, NOBODY, Plan
+from lugspur.daemon.cluster import GRPC_HOST_TYPE, UpstreamCluster
 from lugspur.daemon.joins import Joins
 from lugspur.daemon.outgoing import Headers, changed, drawn, outgoing
 from lugspur.daemon.pool import Call, Facts
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
-from lugspur.daemon.station import GRPC, Station
 from lugspur.daemon.ticket import End, Ticket
 from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
@@ -44,7 +44,7 @@
     """One file in force: requests are judged by the one that was in force when their head had come."""
 
     plan: Plan
-    stations: dict[str, Station]
+    clusters: dict[str, UpstreamCluster]
     standings: dict[str, Standing]
     number: int  # of the reload that brought it
 
@@ -62,7 +62,7 @@
         self.guard: Guarding | None = None
         self._reloads = 0
         self.regime: Regime
-        self.stations: dict[str, Station] = {}
+        self.clusters: dict[str, UpstreamCluster] = {}
         self.registries = RegistrySessions()
         self.remembering: Remembering | None = None
 
@@ -75,23 +75,23 @@
         self._sockets.reset(sockets - callers, even(sockets - callers, weights))
         self._places.reset(callers, even(callers, weights))
         held = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
-        for name in self.stations.keys() - pools.keys():
-            self.stations.pop(name).leave(self.regime.plan.file.limits.read)
+        for name in self.clusters.keys() - pools.keys():
+            self.clusters.pop(name).close_when_idle(self.regime.plan.file.limits.read)
         for name, row in pools.items():
-            station = self.stations.get(name)
+            cluster = self.clusters.get(name)
             kept, age = None, None
-            if station is None:
+            if cluster is None:
                 if self.remembering is not None:
                     kept, age = self.remembering.of(name)
-                station = self.stations[name] = Station(name, self._sockets, self, self._epoch, self.registries)
-                for other in self.stations.values():  # what operators have taken out is out of every pool
-                    station.overrides.banned.update(other.overrides.banned)
-            station.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
-        standings = {name: station.standing for name, station in self.stations.items()}
+                cluster = self.clusters[name] = UpstreamCluster(name, self._sockets, self, self._epoch, self.registries)
+                for other in self.clusters.values():  # what operators have taken out is out of every pool
+                    cluster.overrides.banned.update(other.overrides.banned)
+            cluster.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
+        standings = {name: cluster.standing for name, cluster in self.clusters.items()}
         self.joins.tune(limits.joined, limits.memory)
         self._guard(plan)
         self._reloads += 1
-        self.regime = Regime(plan, dict(self.stations), standings, self._reloads)
+        self.regime = Regime(plan, dict(self.clusters), standings, self._reloads)
 
     def _guard(self, plan: Plan) -> None:
         """Begin or end to guard the proxy itself, or go on by other classes."""
@@ -154,8 +154,8 @@
         """Whether a pool, or for "" the listener, serves; None for a name that nobody has."""
         if not name:
             return front.healthy()
-        station = self.stations.get(name)
-        return None if station is None else station.standing.usable(self._loop.time()) and front.healthy()
+        cluster = self.clusters.get(name)
+        return None if cluster is None else cluster.standing.usable(self._loop.time()) and front.healthy()
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -221,8 +221,8 @@
             caller.answer(503, COME_BACK, b"no backend\n")
             return
         sent = outgoing(request, target, match, forward, caller.peer, row.trust_forwarded)
-        station, *rest = (regime.stations[name] for name in found)
-        ticket = Ticket(kind, forward, sent, tenant, read_cost(request), deadline, station, rest)
+        cluster, *rest = (regime.clusters[name] for name in found)
+        ticket = Ticket(kind, forward, sent, tenant, read_cost(request), deadline, cluster, rest)
         stream = request.stream
         if stream is not None and not stream.ended:
             self._stream(ticket, stream, timeout, caller)
@@ -231,7 +231,7 @@
             self._submit(ticket, caller)
             return
         # Reads of two files, or with and without what a trusted listener lets through, are never the same.
-        route = regime.number, match.route.name, station.name, row.trust_forwarded
+        route = regime.number, match.route.name, cluster.name, row.trust_forwarded
         self.joins.take(request, ticket, route, forward.join, caller)
 
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
@@ -255,14 +255,14 @@
             deadline = self._loop.time() + timeout - ANSWER_EARLY
             ticket.deadline, ticket.expected = deadline, float("inf")
             if ticket.call is not None:
-                ticket.station.pool.whole(ticket.call, deadline)
+                ticket.cluster.pool.whole(ticket.call, deadline)
 
         def gathered(body: bytes) -> None:
             ticket.request.body, ticket.request.stream = body, None
             whole()
             self._submit(ticket, caller)
 
-        if any(station.speaks_grpc for station in (ticket.station, *ticket.rest)):
+        if any(cluster.speaks_grpc for cluster in (ticket.cluster, *ticket.rest)):
             stream.gather(gathered)  # a gRPC box is sent one message, whose length goes ahead of it
             return
         ticket.expected = ticket.deadline
@@ -271,22 +271,22 @@
         self._submit(ticket, caller)
 
     def _submit(self, ticket: Ticket, caller: Answerable) -> None:
-        """Give a request to its station, if that has a place left."""
-        station, form = ticket.station, ticket.request.form
+        """Submit a request to its upstream cluster, if that has capacity left."""
+        cluster, form = ticket.cluster, ticket.request.form
         kind = ticket.kind
         if form is not None and form.bound:
-            if not station.speaks_grpc:
+            if not cluster.speaks_grpc:
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
-            kind = replace(kind, allowed_host_types=(GRPC,))
-        if not self._places.fits(station.name):
+            kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
+        if not self._places.fits(cluster.name):
             # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
             ticket.end = End.TURNED
             caller.answer(503, COME_BACK, b"no place\n")
             return
-        self._places.take(station.name)
-        facts = Facts(station.kind(kind), station.tenant(ticket.tenant), 0.0, ticket.cost, False)
-        call = station.pool.submit(ticket.request, facts, caller, ticket.deadline, ticket, ticket.expected)
+        self._places.take(cluster.name)
+        facts = Facts(cluster.class_index(kind), cluster.tenant_index(ticket.tenant), 0.0, ticket.cost, False)
+        call = cluster.pool.submit(ticket.request, facts, caller, ticket.deadline, ticket, ticket.expected)
         if call.caller is not None:  # else it is answered, or another pool has taken over by now
             ticket.call = call
 
@@ -301,7 +301,7 @@
         ticket = _ticket(call)
         _note(ticket, call, End.SERVED)
         if ticket.begun is not None:
-            ticket.station.pool.release(call)
+            ticket.cluster.pool.release(call)
             ticket.begun.finish_answer()
         else:
             self._pass_on(call, response)
@@ -309,7 +309,7 @@
     def _pass_on(self, call: Call, response: Response) -> None:
         ticket = _ticket(call)
         head = changed(response.head, ticket.forward.response)
-        ticket.station.pool.answer(call, response.status, head, response.body, response.length, response.trailers)
+        ticket.cluster.pool.answer(call, response.status, head, response.body, response.length, response.trailers)
 
     def begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Pass on what there is of an answer, and the rest as it comes."""
@@ -320,20 +320,20 @@
         passing = None if call.caller is None else call.caller.passing()
         if passing is not None:  # nothing of ours ends it from here on
             ticket.begun = passing
-            ticket.station.pool.untimed(call)
+            ticket.cluster.pool.untimed(call)
             head = changed(response.head, ticket.forward.response)
             passing.begin_answer(response.status, head, response.length, body)
 
     def refused(self, call: Call, retry_after: float) -> None:
         """Let the next pool take over where this one has no usable backend and nothing ran; else answer 503."""
         ticket = _ticket(call)
-        station, now = ticket.station, self._loop.time()
+        cluster, now = ticket.cluster, self._loop.time()
         rest = [other for other in ticket.rest if other.standing.usable(now)]
         stream = ticket.request.stream
         gone = stream is not None and stream.bound  # a part of its body is not there any more
-        if rest and not gone and not call.may_have_run and not station.standing.usable(now) and now < call.deadline:
-            caller = station.pool.release(call)
-            ticket.station, *ticket.rest = rest
+        if rest and not gone and not call.may_have_run and not cluster.standing.usable(now) and now < call.deadline:
+            caller = cluster.pool.release(call)
+            ticket.cluster, *ticket.rest = rest
             if caller is not None:
                 self._submit(ticket, caller)
             return
@@ -341,7 +341,7 @@
         head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else COME_BACK
         # gRPC has a word for what its caller's time has run out for, harmless or not.
         late = call.request.form is not None and now >= call.deadline
-        station.pool.answer(call, 504 if late else 503, head, b"the time is up\n" if late else b"refused\n")
+        cluster.pool.answer(call, 504 if late else 503, head, b"the time is up\n" if late else b"refused\n")
 
     def failed(self, call: Call) -> None:
         """Pass on the backend's own word of its failure, if it has one that promises nothing; else 502 or 504."""
@@ -350,12 +350,12 @@
         if response is not None and response.status >= 400 and response.status not in REFUSALS:
             self._pass_on(call, response)
         else:
-            ticket.station.pool.answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
+            ticket.cluster.pool.answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
 
     def settled(self, call: Call) -> None:
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         ticket = _ticket(call)
-        self._places.give(ticket.station.name)
+        self._places.give(ticket.cluster.name)
         if ticket.kind.retry_safety is not RetrySafety.SAFE:
             self.joins.wrote(ticket.tenant)
 
--- a/lugspur/daemon/daemon_admin.py
+++ b/lugspur/daemon/daemon_admin.py
@@ -9,8 +9,8 @@
 from lugspur.daemon.admin.action import Action
 from lugspur.daemon.admin.actions import admin_actions
 from lugspur.daemon.admin.listener import AdminListener
+from lugspur.daemon.cluster import UpstreamCluster
 from lugspur.daemon.service_metrics import service_metrics
-from lugspur.daemon.station import Station
 from lugspur.discovery.endpoints import server_id
 from lugspur.http1.front import Front
 from lugspur.observability.failures import FailedRequest
@@ -23,11 +23,11 @@
     def __init__(
         self,
         fronts: Callable[[], list[Front]],
-        stations: Callable[[], Mapping[str, Station]],
+        clusters: Callable[[], Mapping[str, UpstreamCluster]],
         more_actions: Mapping[tuple[str, str], Action],
         on_drain: Callable[[bool], None],
     ) -> None:
-        self._fronts, self._stations = fronts, stations
+        self._fronts, self._clusters = fronts, clusters
         self._more_actions = more_actions  # actions beside those that every proxy has
         self._on_drain = on_drain  # called with True when callers are sent away, with False when they are taken again
         self._row: Management | None = None
@@ -83,11 +83,11 @@
 
     def _set_ban(self, name: str, banned: bool) -> bool:
         server, now = server_id(name), time.time()
-        stations = self._stations().values()
-        known = any(station.overrides.was_listed(server) for station in stations)
+        clusters = self._clusters().values()
+        known = any(cluster.overrides.was_listed(server) for cluster in clusters)
         if known:  # in pools, too, that may list it later
-            for station in stations:
-                station.ban(server, banned, now)
+            for cluster in clusters:
+                cluster.set_banned(server, banned, now)
         return known
 
     def drain(self) -> None:
@@ -99,12 +99,12 @@
 
     def metrics(self) -> list[Metric]:
         """Return the metrics of this process."""
-        pools = {name: station.pool for name, station in self._stations().items()}
+        pools = {name: cluster.pool for name, cluster in self._clusters().items()}
         return service_metrics(pools, self._fronts())
 
     def failures(self) -> list[FailedRequest]:
         """Return the latest requests that failed, the latest last."""
-        found = [failed for station in self._stations().values() for failed in station.pool.failures.latest()]
+        found = [failed for cluster in self._clusters().values() for failed in cluster.pool.failures.latest()]
         return sorted(found, key=lambda failed: failed.at)
 
     def undrain(self) -> None:
--- a/lugspur/daemon/joins.py
+++ b/lugspur/daemon/joins.py
@@ -122,7 +122,7 @@
         self._alone = left
         left.caller.gone = self.gone
         if self.ticket.call is not None:
-            self.ticket.station.pool.retime(self.ticket.call, left.ticket.deadline)
+            self.ticket.cluster.pool.retime(self.ticket.call, left.ticket.deadline)
         _form(left).begin_messages(head, body)
 
 
@@ -245,7 +245,7 @@
         if flight is not None:
             flight.ticket.deadline = deadline
             if flight.ticket.call is not None:
-                flight.ticket.station.pool.retime(flight.ticket.call, deadline)
+                flight.ticket.cluster.pool.retime(flight.ticket.call, deadline)
 
     def _part(self, reader: Reader | None, action: Action) -> None:
         """One leaves the others."""
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -27,7 +27,7 @@
 from lugspur.discovery.health_check import CheckResult, check_health
 
 if TYPE_CHECKING:
-    from lugspur.daemon.station import Station
+    from lugspur.daemon.cluster import UpstreamCluster
 
 PROBING = 2  # the topic of these messages among a fleet's posts
 DOUBT_EVERY = 1.0  # seconds between two doubts of one box that are told
@@ -81,8 +81,8 @@
 class Probers:
     """All pools of the daemon that are checked."""
 
-    def __init__(self, company: DutyHolder, stations: Callable[[], Mapping[str, Station]]) -> None:
-        self._company, self._stations = company, stations
+    def __init__(self, company: DutyHolder, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
+        self._company, self._clusters = company, clusters
         self._loop = asyncio.get_running_loop()
         self._pools: dict[str, _Pool] = {}
         self._doubted: dict[tuple[str, int], float] = {}  # boxes that could not be reached from here, and when told
@@ -94,28 +94,28 @@
         """A file is in force."""
         for name in self._pools.keys() - checks.keys():
             self._company.drop(self._pools.pop(name).duty)
-            station = self._stations().get(name)
-            if station is not None:
-                station.tried = station.shown = None
-                station.away(set(), station.pool.now())
+            cluster = self._clusters().get(name)
+            if cluster is not None:
+                cluster.on_connection_attempt = cluster.on_endpoints_changed = None
+                cluster.set_unhealthy(set(), cluster.pool.now())
         for name, row in checks.items():
             pool = self._pools.get(name)
             if pool is None:
                 pool = self._pools[name] = _Pool(name, row)
                 self._company.want(pool.duty)
             pool.row, pool.health_checker.interval_seconds = row, row.every
-            station = self._stations()[name]
-            station.tried, station.shown = self._tried, self._listed
+            cluster = self._clusters()[name]
+            cluster.on_connection_attempt, cluster.on_endpoints_changed = self._tried, self._listed
             self._listed(name)
         self._turn()
 
     def down(self) -> dict[str, list[str]]:
         """By pools: the boxes that are left out here on a prober's word."""
-        stations = self._stations()
+        clusters = self._clusters()
         return {
-            name: sorted(server_name(server) for server in stations[name].overrides.unhealthy)
+            name: sorted(server_name(server) for server in clusters[name].overrides.unhealthy)
             for name in self._pools
-            if name in stations
+            if name in clusters
         }
 
     def close(self) -> None:
@@ -128,7 +128,7 @@
     # ---- what happens here -----------------------------------------------------------------------
 
     def _listed(self, name: str) -> None:
-        told = self._stations()[name].overrides.latest
+        told = self._clusters()[name].overrides.latest
         self._pools[name].health_checker.update_backends([server_name(server) for server in told])
 
     def _tried(self, name: str, server: int, up: bool) -> None:
@@ -210,13 +210,13 @@
         return self._company.name in self._company.first(pool.duty, 1)
 
     def _obey(self, name: str, pool: _Pool) -> None:
-        station = self._stations().get(name)
-        if station is None:
+        cluster = self._clusters().get(name)
+        if cluster is None:
             return
-        listed = {server_name(server) for server in station.overrides.latest}
+        listed = {server_name(server) for server in cluster.overrides.latest}
         absent = {server_id(box) for box in pool.received_reports.excluded(clock.now(), listed)}
-        if absent != station.overrides.unhealthy:
-            station.away(absent, station.pool.now())
+        if absent != cluster.overrides.unhealthy:
+            cluster.set_unhealthy(absent, cluster.pool.now())
 
     # ---- looking -------------------------------------------------------------------------------
 
@@ -261,8 +261,8 @@
         self._company.transport.flush()
 
     async def _look(self, name: str, pool: _Pool, box: str) -> None:
-        station = self._stations().get(name)
-        endpoint = None if station is None else station.overrides.latest.get(server_id(box))
+        cluster = self._clusters().get(name)
+        endpoint = None if cluster is None else cluster.overrides.latest.get(server_id(box))
         if endpoint is None:
             return
         host, port = endpoint.address
--- a/lugspur/daemon/remembering.py
+++ b/lugspur/daemon/remembering.py
@@ -23,7 +23,7 @@
 from lugspur.discovery import state_codec
 
 if TYPE_CHECKING:
-    from lugspur.daemon.station import Station
+    from lugspur.daemon.cluster import UpstreamCluster
 
 Done = TypeVar("Done")
 SLICE = 0.0003  # seconds of the loop's time that a slice takes, about: requests that come meanwhile wait for it...
@@ -82,12 +82,12 @@
         """What was kept of a pool, and its age."""
         return (None if self._snapshot is None else self._snapshot.pools.get(name)), self._age
 
-    def begin(self, stations: Callable[[], Mapping[str, Station]]) -> None:
+    def begin(self, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
         """The daemon serves: keep on writing."""
         self._snapshot = None
         if self._store is None:
             return
-        self._stations = stations
+        self._clusters = clusters
         self._served = self._loop.call_later(SERVED_AFTER, self._went_well)
         self._task = self._loop.create_task(self._keep())
 
@@ -102,7 +102,7 @@
 
     async def _write(self) -> None:
         store = self._store
-        seen = {name: station.seen() for name, station in self._stations().items()}
+        seen = {name: cluster.change_counts() for name, cluster in self._clusters().items()}
         if store is None or seen == self._written:
             return
         try:
@@ -123,13 +123,13 @@
         """All lines of a file, in slices."""
         found: list[bytes] = []
         begun, left = self._loop.time(), MAX_BACKENDS
-        for station in tuple(self._stations().values()):
-            for line in lines(station, left):
+        for cluster in tuple(self._clusters().values()):
+            for line in lines(cluster, left):
                 found.append(line)
                 if self._loop.time() - begun >= SLICE:
                     await asyncio.sleep(PAUSE)
                     begun = self._loop.time()
-            left = max(0, left - len(station.overrides.latest))
+            left = max(0, left - len(cluster.overrides.latest))
         return found
 
     async def close(self) -> None:
@@ -177,11 +177,11 @@
         return await done
 
 
-def lines(station: Station, most: int) -> Iterator[bytes]:
+def lines(cluster: UpstreamCluster, most: int) -> Iterator[bytes]:
     """What is kept of a pool, at most so many of its backends."""
-    name, pool = station.name, station.pool
+    name, pool = cluster.name, cluster.pool
     yield encode_record("pool", name, {"at": pool.now()})
-    told = tuple(station.overrides.latest.values())[:most]
+    told = tuple(cluster.overrides.latest.values())[:most]
     for endpoint in told:
         yield encode_record("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(told), EACH):
--- a/lugspur/daemon/ticket.py
+++ b/lugspur/daemon/request_context.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from lugspur.daemon.cluster import UpstreamCluster
 from lugspur.daemon.pool import Call
-from lugspur.daemon.station import Station
 from lugspur.load_balancing.model import RequestClass
 from lugspur.routing.model import Forward
 from lugspur.seams import Passing, Request
@@ -30,8 +30,8 @@
     tenant: str
     cost: float
     deadline: float  # in the loop's time
-    station: Station
-    rest: list[Station]  # those that may still take over
+    cluster: UpstreamCluster
+    rest: list[UpstreamCluster]  # those that may still take over
     call: Call | None = None  # in the pool that has it now
     end: End = End.FAILED  # as of its final answer
     expected: float = float("inf")  # until when an answer is expected, while the deadline is not known
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -68,7 +68,7 @@
                 await self.daemon.remembering.close()
             raise
         if self.daemon.remembering is not None:
-            self.daemon.remembering.begin(lambda: self.daemon.stations)
+            self.daemon.remembering.begin(lambda: self.daemon.clusters)
 
     def _fleet_actions(self) -> dict[tuple[str, str], Action]:
         company = self.company
@@ -148,7 +148,7 @@
 
                 self.admin = DaemonAdmin(
                     lambda: [front for front, _ in self.listeners.values()],
-                    lambda: self.daemon.stations,
+                    lambda: self.daemon.clusters,
                     self._fleet_actions(),
                     self._on_drain,
                 )
@@ -183,7 +183,7 @@
                 self.admin.drain()
         self.announcers.apply(plan.file, addresses)
         if self.company is not None:
-            self.company.apply(plan.file, lambda: self.daemon.stations)
+            self.company.apply(plan.file, lambda: self.daemon.clusters)
 
     def _leave(self, name: str) -> None:
         task = asyncio.get_running_loop().create_task(drain(*self.listeners.pop(name)))
@@ -204,8 +204,8 @@
         await asyncio.gather(*self._leaving)
         if self.daemon.remembering is not None:
             await self.daemon.remembering.close()
-        for station in self.daemon.stations.values():
-            station.close()
+        for cluster in self.daemon.clusters.values():
+            cluster.close()
         self.daemon.close()
         await self.daemon.registries.close()
         if self.company is not None:
--- a/tests/daemon/test_company.py
+++ b/tests/daemon/test_company.py
@@ -27,14 +27,14 @@
         async with served(CHECKED + FLEET) as up:
             company = up.running.company
             assert company is not None and set(company.candidates) == {"mine", "probe:p"}
-            station = up.daemon.stations["p"]
-            station.away(set(station.overrides.latest), station.pool.now())
-            assert station.standing.empty()
+            cluster = up.daemon.clusters["p"]
+            cluster.set_unhealthy(set(cluster.overrides.latest), cluster.pool.now())
+            assert cluster.standing.empty()
             await up.reload(CHECKED.replace('check = { every = "1s" }', "") + FLEET)
             assert set(company.candidates) == {"mine"}
-            assert station.tried is None and not station.standing.empty()
+            assert cluster.on_connection_attempt is None and not cluster.standing.empty()
             await up.reload(CHECKED + FLEET)
-            assert set(company.candidates) == {"mine", "probe:p"} and station.tried is not None
+            assert set(company.candidates) == {"mine", "probe:p"} and cluster.on_connection_attempt is not None
 
     asyncio.run(play())
 
@@ -56,14 +56,14 @@
 def test_what_operators_have_taken_out_a_prober_does_not_put_back() -> None:
     async def play() -> None:
         async with served(CHECKED + FLEET) as up:
-            station = up.daemon.stations["p"]
-            [server] = station.overrides.latest
-            station.away({server}, station.pool.now())
-            station.ban(server, True, station.pool.now())
-            station.away(set(), station.pool.now())
-            assert station.standing.empty()
-            station.ban(server, False, station.pool.now())
-            assert not station.standing.empty()
+            cluster = up.daemon.clusters["p"]
+            [server] = cluster.overrides.latest
+            cluster.set_unhealthy({server}, cluster.pool.now())
+            cluster.set_banned(server, True, cluster.pool.now())
+            cluster.set_unhealthy(set(), cluster.pool.now())
+            assert cluster.standing.empty()
+            cluster.set_banned(server, False, cluster.pool.now())
+            assert not cluster.standing.empty()
 
     asyncio.run(play())
 
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -49,14 +49,14 @@
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 1
                 tell(entry)
-                await until(lambda: not up.daemon.stations["a"].standing.empty())
+                await until(lambda: not up.daemon.clusters["a"].standing.empty())
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and one.got.qsize() == 1
                 tell(*([entry | {"status": "terminating"}] if left == "drained" else []))
-                await until(up.daemon.stations["a"].standing.empty)
+                await until(up.daemon.clusters["a"].standing.empty)
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 2
                 listed.write_text("{ not a list")
                 tell(entry)
-                await until(lambda: not up.daemon.stations["a"].standing.empty())
+                await until(lambda: not up.daemon.clusters["a"].standing.empty())
 
     asyncio.run(play())
 
@@ -85,9 +85,9 @@
                 client = await up.client()
                 client.writer.write(ask("POST", path, b"x"))
                 await soon(one.got.get())
-                station = up.daemon.stations["a"]
-                for server in station.pool.backends:
-                    station.standing.unreachable(asyncio.get_running_loop().time(), server)
+                cluster = up.daemon.clusters["a"]
+                for server in cluster.pool.backends:
+                    cluster.standing.unreachable(asyncio.get_running_loop().time(), server)
                 one.open[0].close()
                 assert status(await client.answer()) == expected and two.got.empty()
 
@@ -208,7 +208,7 @@
                 assert await soon(discovery.asked.get()) == "/v1/servers?follow=1&since=0"
                 assert status(await client.ask(ask())) == 503
                 discovery.say(3, [entry("one", one.address)], snapshot=True)
-                standing = up.daemon.stations["a"].standing
+                standing = up.daemon.clusters["a"].standing
                 await until(lambda: not standing.empty())
                 assert status(await client.ask(ask())) == 200
                 discovery.say(4, [entry("one", one.address, "terminating")])
@@ -226,13 +226,13 @@
             async with served(f'[pools.a]\nwatch = "127.0.0.1:{discovery.port}"\n' + way) as up:
                 await soon(discovery.asked.get())
                 discovery.say(3, [entry("one", GONE)], snapshot=True)
-                standing = up.daemon.stations["a"].standing
+                standing = up.daemon.clusters["a"].standing
                 await until(lambda: not standing.empty())
                 await up.reload(pool("a", one.address) + way)
                 await soon(discovery.ended.get())
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/", b"x"))) == 200
-                assert len(up.daemon.stations["a"].pool.backends) == 1
+                assert len(up.daemon.clusters["a"].pool.backends) == 1
 
     asyncio.run(play())
 
@@ -241,7 +241,7 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             async with served('[pools.a]\nfile = "a.json"\n' + route("r", "/", 'pool = "a"')) as up:
-                listed, standing = up.file.with_name("a.json"), up.daemon.stations["a"].standing
+                listed, standing = up.file.with_name("a.json"), up.daemon.clusters["a"].standing
                 listed.write_text(json.dumps({"endpoints": [entry("one", one.address)]}))
                 await until(lambda: not standing.empty())
                 assert capsys.readouterr().err.count("\n") == 1  # that there was none at first
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -34,7 +34,7 @@
             await body(world)
             await until(lambda: not world.up.in_hand())
             assert not any(front.held for front, _ in world.up.running.listeners.values())
-            streams = world.up.daemon.stations["a"]._streams
+            streams = world.up.daemon.clusters["a"]._streams
             assert streams is None or not streams.held
 
     asyncio.run(run())
@@ -423,7 +423,7 @@
         assert (await caller.call("/book/Do", b"x")).status == 0
         box.stall()
         waiting = asyncio.get_running_loop().create_task(caller.call("/book/Do", b"x", metadata=script("", "r")))
-        [held] = world.up.daemon.stations["a"]._streams._boxes.values()  # type: ignore[union-attr]
+        [held] = world.up.daemon.clusters["a"]._streams._boxes.values()  # type: ignore[union-attr]
         await until(lambda: any(link.waiting for link in held.links))
         member = f'{{ address = "{box.address}", protocol = "grpc", drain = true }}'
         await world.up.reload(f"[pools.a]\nmembers = [{member}]\n" + ROUTES, HTTP2)
--- a/tests/daemon/test_joining.py
+++ b/tests/daemon/test_joining.py
@@ -110,7 +110,7 @@
     async def body(up: Served, one: Backend) -> None:
         short, long, longest = await asking(up, ask(X_Timeout="1.5"), ask(X_Timeout="9"), ask(X_Timeout="20"))
         assert status(await short.answer()) == 504 and not one.got.empty()
-        [call] = up.daemon.stations["a"].pool.calls.values()
+        [call] = up.daemon.clusters["a"].pool.calls.values()
         assert call.deadline - asyncio.get_running_loop().time() > 9.0  # the longest has moved it...
         [flight] = up.daemon.joins._flights.values()
         assert flight.ticket.deadline == call.deadline  # ...for a pool that takes over, too
@@ -309,7 +309,7 @@
         def by_agent(sent: bytes) -> bytes:
             return answer(fields(sent)["x-agency"].encode(), Vary="User-Agent")
 
-        pool = up.daemon.stations["a"].pool
+        pool = up.daemon.clusters["a"].pool
         submit, asked = pool.balancer.request, list[str]()
 
         def refuse_a(now: float, rid: str, kind: int, tenant: int, *more: Any) -> object:
--- a/tests/daemon/test_large_bodies.py
+++ b/tests/daemon/test_large_bodies.py
@@ -49,7 +49,7 @@
                 client = await up.client()
                 sent = ask("POST", "/book", BODY)
                 client.writer.write(sent[: HOLD + 3000])
-                await until(lambda: bool(up.daemon.stations["b"].pool.calls))
+                await until(lambda: bool(up.daemon.clusters["b"].pool.calls))
                 client.writer.write(sent[HOLD + 3000 :])
                 assert (await client.answer()).endswith(hashlib.sha256(BODY).hexdigest().encode())
 
@@ -71,7 +71,7 @@
                     assert b"X-Note: a\r\n" in got
                     assert (b"X-Front: lugspur\r\n" in got) == (target == "/read")
                 await until(lambda: up.in_hand() == 0)
-                assert up.daemon.stations["a"].pool.upstream.flow_held == 0
+                assert up.daemon.clusters["a"].pool.upstream.flow_held == 0
 
     asyncio.run(play())
 
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -64,7 +64,7 @@
     """Nothing is left in the daemon's hands."""
     await until(lambda: up.in_hand() == 0)
     assert held(up) == 0
-    assert all(station.pool.upstream.flow_held == 0 for station in up.daemon.stations.values())
+    assert all(cluster.pool.upstream.flow_held == 0 for cluster in up.daemon.clusters.values())
 
 
 @pytest.mark.parametrize("size", [HOLD, HOLD + 1, 5 * HOLD, len(BODY)])
@@ -169,7 +169,7 @@
             deaf, other = await caller_of(up), await caller_of(up)
             deaf.credit = False
             streams = [begin(deaf, "/read", end=True) for _ in range(20)]
-            upstream = up.daemon.stations["a"].pool.upstream
+            upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
                 assert bytes((await soon(other.answer(begin(other, "/read", end=True)))).data) == BODY
                 assert upstream.flow_held <= upstream.flow_most + 20 * HOLD
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -95,7 +95,7 @@
 
     def states(self) -> dict[int, ServerState]:
         """The pool's boxes, as the decision module sees them."""
-        servers = self.up.daemon.stations["a"].pool.balancer.table.servers
+        servers = self.up.daemon.clusters["a"].pool.balancer.table.servers
         return {key: server.row.state for key, server in servers.items() if server.row.state is not ServerState.GONE}
 
     async def knows(self, **states: ServerState) -> None:
@@ -135,7 +135,7 @@
             await folder.knows(one=ServerState.UP, two=ServerState.UP)
             folder.cluster.write("/boxes/one", box(status="terminating", weight=2.0))
             await folder.knows(one=ServerState.DRAINING, two=ServerState.UP)
-            servers = folder.up.daemon.stations["a"].pool.balancer.table.servers
+            servers = folder.up.daemon.clusters["a"].pool.balancer.table.servers
             assert servers[server_id("one")].row.weight == 2.0
 
     asyncio.run(play())
@@ -158,7 +158,7 @@
     async def play() -> None:
         async with following('cold = { part = 0.3, warm-after = "1h" }') as folder:
             now = int(time.time() * 1000)
-            servers = folder.up.daemon.stations["a"].pool.balancer.table.servers
+            servers = folder.up.daemon.clusters["a"].pool.balancer.table.servers
             key = server_id("one")
             folder.cluster.box("/boxes/one", box(since_ms=now))
             await folder.knows(one=ServerState.UP)
@@ -184,7 +184,7 @@
             for name in ("one", "two"):
                 folder.cluster.box(f"/boxes/{name}", box())
             await folder.knows(one=ServerState.UP, two=ServerState.UP)
-            source = folder.up.daemon.stations["a"]._source
+            source = folder.up.daemon.clusters["a"]._source
             assert isinstance(source, RegistrySource)
             told: list[tuple[ListUpdateKind, set[int]]] = []
             tell = source._on_update
@@ -245,7 +245,7 @@
                 folder = Folder(cluster, up)
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
-                source = up.daemon.stations["a"]._source
+                source = up.daemon.clusters["a"]._source
                 assert isinstance(source, RegistrySource)
                 await until(lambda: source.staleness.next_tick_at() == float("inf"))  # shown as stale, and still served
                 assert status(await client.ask(ask())) == 200
@@ -310,7 +310,7 @@
         async with following(more) as folder:
             folder.cluster.write("/others/member_1", b'{"serviceEndpoint":{"host":"127.0.0.1","port":9}}')
             folder.cluster.write("/others/vector_1", b"whatever")
-            servers = folder.up.daemon.stations["b"].pool.balancer.table.servers
+            servers = folder.up.daemon.clusters["b"].pool.balancer.table.servers
             await until(lambda: list(servers) == [server_id("member_1")])
             assert len(folder.cluster.ensemble.sessions) == 1
             await folder.knows()
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -66,9 +66,9 @@
                 client, new = await up.client(), await up.client()
                 client.writer.write(ask())
                 await soon(one.got.get())
-                old = up.daemon.stations["a"]
+                old = up.daemon.clusters["a"]
                 await up.reload(pool("b", one.address) + route("r", "/", 'pool = "b"'))
-                assert list(up.daemon.stations) == ["b"]
+                assert list(up.daemon.clusters) == ["b"]
                 new.writer.write(ask())
                 await soon(one.got.get())
                 for writer in one.open:
@@ -86,14 +86,14 @@
             async with served(text) as up:
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
-                station = up.daemon.stations["a"]
-                [server] = station.pool.balancer.table.servers.values()
+                cluster = up.daemon.clusters["a"]
+                [server] = cluster.pool.balancer.table.servers.values()
                 learned = server.latency
                 await up.reload(text + route("s", "/s", 'pool = "a"'), HEAD.replace('aim = "30s"', 'aim = "29s"'))
-                assert up.daemon.stations["a"] is station and server.latency == learned > 0.0
+                assert up.daemon.clusters["a"] is cluster and server.latency == learned > 0.0
                 assert status(await client.ask(ask())) == 200
                 assert len(one.open) == 1
-                assert station.pool.settings.classes[1].latency_target == 29.0
+                assert cluster.pool.settings.classes[1].latency_target == 29.0
 
     asyncio.run(play())
 
@@ -237,8 +237,8 @@
                     stop.set()
                 assert counts["asked"] == counts["served"] == len(seen) > 50
                 assert set(seen.values()) == {1}
-                assert len(up.daemon.stations) == 2
-                classes = next(iter(up.daemon.stations.values())).pool.settings.classes
+                assert len(up.daemon.clusters) == 2
+                classes = next(iter(up.daemon.clusters.values())).pool.settings.classes
                 assert len(classes) <= 8
 
     asyncio.run(play())
--- a/tests/daemon/test_same_decisions.py
+++ b/tests/daemon/test_same_decisions.py
@@ -194,7 +194,7 @@
 @pytest.fixture(autouse=True)
 def seeded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pools, "Balancer", Traced)
-    monkeypatch.setattr("lugspur.daemon.station.os.urandom", lambda size: b"\7" * size)
+    monkeypatch.setattr("lugspur.daemon.cluster.os.urandom", lambda size: b"\7" * size)
 
 
 PLANS = st.lists(
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state.py
@@ -45,7 +45,7 @@
 
 
 def latencies(up: Served) -> dict[int, float]:
-    servers = up.daemon.stations["a"].pool.balancer.table.servers
+    servers = up.daemon.clusters["a"].pool.balancer.table.servers
     return {key: server.latency for key, server in servers.items()}
 
 
@@ -103,8 +103,8 @@
                 registry.say(6, [row | {"name": "y", "address": two.address}], snapshot=True)
                 await until(
                     lambda: (
-                        len(up.daemon.stations["a"].pool.backends) == 1
-                        and up.daemon.stations["a"].pool.backends.popitem()[1].address[1]
+                        len(up.daemon.clusters["a"].pool.backends) == 1
+                        and up.daemon.clusters["a"].pool.backends.popitem()[1].address[1]
                         == int(two.address.split(":")[1])
                     )
                 )
@@ -297,7 +297,7 @@
             folder.mkdir()
             async with keeping(folder, text) as up:
                 await asked(up, 2)
-                told = up.daemon.stations["a"].overrides.latest
+                told = up.daemon.clusters["a"].overrides.latest
                 [(server, endpoint)] = told.items()
                 told[server] = replace(endpoint, address=(object(), 1))  # type: ignore[arg-type]  # on purpose
                 kept_now = up.daemon.remembering
@@ -323,7 +323,7 @@
             async with keeping(tmp_path, text) as up:
                 await asked(up, 5)
             async with keeping(tmp_path, text) as up:
-                both = [next(iter(up.daemon.stations[name].pool.balancer.table.servers.values())) for name in "ab"]
+                both = [next(iter(up.daemon.clusters[name].pool.balancer.table.servers.values())) for name in "ab"]
                 assert both[0].latency > 0.0 and both[1].latency == 0.0
 
     asyncio.run(play())
--- a/tests/daemonic.py
+++ b/tests/daemonic.py
@@ -78,7 +78,7 @@
 
     def in_hand(self) -> int:
         """Requests that some pool has in hand."""
-        return sum(len(station.pool.calls) for station in self.daemon.stations.values())
+        return sum(len(cluster.pool.calls) for cluster in self.daemon.clusters.values())
 
 
 @asynccontextmanager
