--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.outgoing import Headers, changed, drawn, outgoing
 from lugspur.daemon.pool import Call, Facts
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
-from lugspur.daemon.ticket import End, Ticket
+from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
@@ -222,17 +222,17 @@
             return
         sent = outgoing(request, target, match, forward, caller.peer, row.trust_forwarded)
         cluster, *rest = (regime.clusters[name] for name in found)
-        ticket = Ticket(kind, forward, sent, tenant, read_cost(request), deadline, cluster, rest)
+        context = RequestContext(kind, forward, sent, tenant, read_cost(request), deadline, cluster, rest)
         stream = request.stream
         if stream is not None and not stream.ended:
-            self._stream(ticket, stream, timeout, caller)
+            self._stream(context, stream, timeout, caller)
             return
         if forward.join is None or stream is not None:
-            self._submit(ticket, caller)
+            self._submit(context, caller)
             return
         # Reads of two files, or with and without what a trusted listener lets through, are never the same.
         route = regime.number, match.route.name, cluster.name, row.trust_forwarded
-        self.joins.take(request, ticket, route, forward.join, caller)
+        self.joins.take(request, context, route, forward.join, caller)
 
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
         """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
@@ -248,32 +248,32 @@
             timeout = min(timeout, float(wanted) - (self._loop.time() - request.arrived))
         return timeout
 
-    def _stream(self, ticket: Ticket, stream: Body, timeout: float, caller: Answerable) -> None:
+    def _stream(self, context: RequestContext, stream: Body, timeout: float, caller: Answerable) -> None:
         """Pass on a body as it comes; its request's time counts from its last byte."""
 
         def whole() -> None:
             deadline = self._loop.time() + timeout - ANSWER_EARLY
-            ticket.deadline, ticket.expected = deadline, float("inf")
-            if ticket.call is not None:
-                ticket.cluster.pool.whole(ticket.call, deadline)
+            context.deadline, context.expected_by = deadline, float("inf")
+            if context.call is not None:
+                context.cluster.pool.whole(context.call, deadline)
 
         def gathered(body: bytes) -> None:
-            ticket.request.body, ticket.request.stream = body, None
+            context.request.body, context.request.stream = body, None
             whole()
-            self._submit(ticket, caller)
+            self._submit(context, caller)
 
-        if any(cluster.speaks_grpc for cluster in (ticket.cluster, *ticket.rest)):
+        if any(cluster.speaks_grpc for cluster in (context.cluster, *context.fallback_clusters)):
             stream.gather(gathered)  # a gRPC box is sent one message, whose length goes ahead of it
             return
-        ticket.expected = ticket.deadline
-        ticket.deadline += UPLOAD_MOST
+        context.expected_by = context.deadline
+        context.deadline += UPLOAD_MOST
         stream.whole = whole
-        self._submit(ticket, caller)
+        self._submit(context, caller)
 
-    def _submit(self, ticket: Ticket, caller: Answerable) -> None:
+    def _submit(self, context: RequestContext, caller: Answerable) -> None:
         """Submit a request to its upstream cluster, if that has capacity left."""
-        cluster, form = ticket.cluster, ticket.request.form
-        kind = ticket.kind
+        cluster, form = context.cluster, context.request.form
+        kind = context.request_class
         if form is not None and form.bound:
             if not cluster.speaks_grpc:
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
@@ -281,14 +281,14 @@
             kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
         if not self._places.fits(cluster.name):
             # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
-            ticket.end = End.TURNED
+            context.ending = Ending.REJECTED
             caller.answer(503, COME_BACK, b"no place\n")
             return
         self._places.take(cluster.name)
-        facts = Facts(cluster.class_index(kind), cluster.tenant_index(ticket.tenant), 0.0, ticket.cost, False)
-        call = cluster.pool.submit(ticket.request, facts, caller, ticket.deadline, ticket, ticket.expected)
+        facts = Facts(cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False)
+        call = cluster.pool.submit(context.request, facts, caller, context.deadline, context, context.expected_by)
         if call.caller is not None:  # else it is answered, or another pool has taken over by now
-            ticket.call = call
+            context.call = call
 
     # ---- what pools ask of their owner -----------------------------------------------------------
 
@@ -298,46 +298,46 @@
 
     def served(self, call: Call, response: Response) -> None:
         """Pass the answer on, or end it."""
-        ticket = _ticket(call)
-        _note(ticket, call, End.SERVED)
-        if ticket.begun is not None:
-            ticket.cluster.pool.release(call)
-            ticket.begun.finish_answer()
+        context = _context_of(call)
+        _note_ending(context, call, Ending.SERVED)
+        if context.streaming_caller is not None:
+            context.cluster.pool.release(call)
+            context.streaming_caller.finish_answer()
         else:
             self._pass_on(call, response)
 
     def _pass_on(self, call: Call, response: Response) -> None:
-        ticket = _ticket(call)
-        head = changed(response.head, ticket.forward.response)
-        ticket.cluster.pool.answer(call, response.status, head, response.body, response.length, response.trailers)
+        context = _context_of(call)
+        head = changed(response.head, context.forward.response)
+        context.cluster.pool.answer(call, response.status, head, response.body, response.length, response.trailers)
 
     def begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Pass on what there is of an answer, and the rest as it comes."""
-        ticket = _ticket(call)
-        if ticket.request.form is not None:
-            ticket.request.form.begin_messages(changed(response.head, ticket.forward.response), body)
+        context = _context_of(call)
+        if context.request.form is not None:
+            context.request.form.begin_messages(changed(response.head, context.forward.response), body)
             return
         passing = None if call.caller is None else call.caller.passing()
         if passing is not None:  # nothing of ours ends it from here on
-            ticket.begun = passing
-            ticket.cluster.pool.untimed(call)
-            head = changed(response.head, ticket.forward.response)
+            context.streaming_caller = passing
+            context.cluster.pool.untimed(call)
+            head = changed(response.head, context.forward.response)
             passing.begin_answer(response.status, head, response.length, body)
 
     def refused(self, call: Call, retry_after: float) -> None:
         """Let the next pool take over where this one has no usable backend and nothing ran; else answer 503."""
-        ticket = _ticket(call)
-        cluster, now = ticket.cluster, self._loop.time()
-        rest = [other for other in ticket.rest if other.standing.usable(now)]
-        stream = ticket.request.stream
+        context = _context_of(call)
+        cluster, now = context.cluster, self._loop.time()
+        rest = [other for other in context.fallback_clusters if other.standing.usable(now)]
+        stream = context.request.stream
         gone = stream is not None and stream.bound  # a part of its body is not there any more
         if rest and not gone and not call.may_have_run and not cluster.standing.usable(now) and now < call.deadline:
             caller = cluster.pool.release(call)
-            ticket.cluster, *ticket.rest = rest
+            context.cluster, *context.fallback_clusters = rest
             if caller is not None:
-                self._submit(ticket, caller)
+                self._submit(context, caller)
             return
-        _note(ticket, call, End.FAILED if call.exchanges else End.TURNED)
+        _note_ending(context, call, Ending.FAILED if call.exchanges else Ending.REJECTED)
         head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else COME_BACK
         # gRPC has a word for what its caller's time has run out for, harmless or not.
         late = call.request.form is not None and now >= call.deadline
@@ -345,28 +345,28 @@
 
     def failed(self, call: Call) -> None:
         """Pass on the backend's own word of its failure, if it has one that promises nothing; else 502 or 504."""
-        response, ticket = call.response, _ticket(call)
-        _note(ticket, call, End.FAILED)
+        response, context = call.response, _context_of(call)
+        _note_ending(context, call, Ending.FAILED)
         if response is not None and response.status >= 400 and response.status not in REFUSALS:
             self._pass_on(call, response)
         else:
-            ticket.cluster.pool.answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
+            context.cluster.pool.answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
 
     def settled(self, call: Call) -> None:
         """Its place is free again; what it may have changed is not in answers that were begun before."""
-        ticket = _ticket(call)
-        self._places.give(ticket.cluster.name)
-        if ticket.kind.retry_safety is not RetrySafety.SAFE:
-            self.joins.wrote(ticket.tenant)
+        context = _context_of(call)
+        self._places.give(context.cluster.name)
+        if context.request_class.retry_safety is not RetrySafety.SAFE:
+            self.joins.wrote(context.tenant)
 
 
-def _note(ticket: Ticket, call: Call, end: End) -> None:
-    """How its pool has left a request, before its answer is worded."""
-    ticket.end, ticket.said = end, 0 if call.response is None else call.response.status
+def _note_ending(context: RequestContext, call: Call, ending: Ending) -> None:
+    """Record how its cluster ended a request, before the final answer is written."""
+    context.ending, context.backend_status = ending, 0 if call.response is None else call.response.status
 
 
-def _ticket(call: Call) -> Ticket:
-    assert isinstance(call.context, Ticket)
+def _context_of(call: Call) -> RequestContext:
+    assert isinstance(call.context, RequestContext)
     return call.context
 
 
--- a/lugspur/daemon/joins.py
+++ b/lugspur/daemon/joins.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from lugspur.config.build import NOBODY
-from lugspur.daemon.ticket import End, Ticket
+from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import key_of, told_of
 from lugspur.joining.sharing import depends, worded_for
@@ -23,7 +23,7 @@
 COPIES_PART = 0.25  # of the memory limit that copies of one answer may take, where callers read slowly
 COME_BACK = b"Retry-After: 1\r\n"  # where no place is left to wait: nothing tells when one will be
 
-Submit = Callable[[Ticket, Answerable], None]
+Submit = Callable[[RequestContext, Answerable], None]
 Write = Callable[["Reader"], None]
 
 
@@ -32,12 +32,12 @@
     """One read that waits: who owes what to whom."""
 
     number: int
-    ticket: Ticket
+    context: RequestContext
     caller: Answerable
 
     def rid(self) -> bytes | None:
         """The id that its caller gave it."""
-        return self.ticket.request.headers.get(b"x-request-id")
+        return self.context.request.headers.get(b"x-request-id")
 
 
 class Flight:
@@ -50,10 +50,12 @@
         self._joins, self.number = joins, number
         self.gone: Callable[[], None] | None = None
         self.peer = leader.caller.peer
-        self.ticket = replace(leader.ticket, deadline=deadline, rest=list(leader.ticket.rest))
-        self._form = leader.ticket.request.form
+        self.context = replace(
+            leader.context, deadline=deadline, fallback_clusters=list(leader.context.fallback_clusters)
+        )
+        self._form = leader.context.request.form
         if self._form is not None:
-            self.ticket.request = replace(self.ticket.request, form=self)
+            self.context.request = replace(self.context.request, form=self)
         self._alone: Reader | None = None  # to whom all that is still to come belongs
 
     def admit(self) -> None:
@@ -102,14 +104,14 @@
         if self._alone is not None:
             write(self._alone)
             return
-        ticket, join = self.ticket, self.ticket.forward.join
+        context, join = self.context, self.context.forward.join
         assert join is not None
-        if ticket.end is End.TURNED:
+        if context.ending is Ending.REJECTED:
             self._joins.refused(self.number, write)
             return
         # A failure is everybody's, unless the backend spoke of the caller.
-        said = head if ticket.end is End.SERVED else b""
-        among = depends(ticket.said, said, join, trailers)
+        said = head if context.ending is Ending.SERVED else b""
+        among = depends(context.backend_status, said, join, trailers)
         self._joins.ended(self.number, among, size, write)
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
@@ -121,13 +123,13 @@
             return
         self._alone = left
         left.caller.gone = self.gone
-        if self.ticket.call is not None:
-            self.ticket.cluster.pool.retime(self.ticket.call, left.ticket.deadline)
+        if self.context.call is not None:
+            self.context.cluster.pool.retime(self.context.call, left.context.deadline)
         _form(left).begin_messages(head, body)
 
 
 def _form(reader: Reader) -> Form:
-    form = reader.ticket.request.form
+    form = reader.context.request.form
     assert form is not None
     return form
 
@@ -158,21 +160,27 @@
         self.desk.most = most
         self._copies = int(COPIES_PART * memory)
 
-    def take(self, came: Request, ticket: Ticket, route: Hashable, join: Join, caller: Answerable) -> None:
+    def take(self, came: Request, context: RequestContext, route: Hashable, join: Join, caller: Answerable) -> None:
         """A read that may share its call; `route` is what the file says of it, as it came it is `came`."""
-        form = ticket.request.form
+        form = context.request.form
         bound = form is not None and form.bound
-        tenant = _named(ticket.tenant)
-        key = None if bound else key_of(came, ticket.request, route, tenant, join)
+        tenant = _named(context.tenant)
+        key = None if bound else key_of(came, context.request, route, tenant, join)
         self._count += 1
         if key is None:
-            self._submit(ticket, caller)
+            self._submit(context, caller)
             return
-        reader = self._readers[self._count] = Reader(self._count, ticket, caller)
+        reader = self._readers[self._count] = Reader(self._count, context, caller)
         caller.gone = lambda: self._gone(reader)
         self._perform(
             self.desk.ask(
-                self._loop.time(), reader.number, key, join.within, tenant, ticket.deadline, told_of(came, tenant, join)
+                self._loop.time(),
+                reader.number,
+                key,
+                join.within,
+                tenant,
+                context.deadline,
+                told_of(came, tenant, join),
             )
         )
 
@@ -231,7 +239,7 @@
         if isinstance(action, Start):
             leader = self._readers[action.member]
             flight = self._flights[action.flight] = Flight(self, action.flight, leader, action.deadline)
-            self._submit(flight.ticket, flight)
+            self._submit(flight.context, flight)
         elif isinstance(action, Extend):
             self._extend(self._flights.get(action.flight), action.deadline)
         elif isinstance(action, Drop):
@@ -243,16 +251,16 @@
 
     def _extend(self, flight: Flight | None, deadline: float) -> None:
         if flight is not None:
-            flight.ticket.deadline = deadline
-            if flight.ticket.call is not None:
-                flight.ticket.cluster.pool.retime(flight.ticket.call, deadline)
+            flight.context.deadline = deadline
+            if flight.context.call is not None:
+                flight.context.cluster.pool.retime(flight.context.call, deadline)
 
     def _part(self, reader: Reader | None, action: Action) -> None:
         """One leaves the others."""
         if reader is None:
             return
         if isinstance(action, Alone):
-            self._submit(reader.ticket, reader.caller)
+            self._submit(reader.context, reader.caller)
         elif isinstance(action, Expire):
             reader.caller.answer(504, b"", b"the time is up\n")
         elif isinstance(action, Turn):
@@ -287,7 +295,7 @@
                 self._loop.call_soon(self._write_some)
 
     def _write(self, reader: Reader, write: Write) -> None:
-        if self._loop.time() > reader.ticket.deadline:  # Guards its deadline against a loop that is late.
+        if self._loop.time() > reader.context.deadline:  # Guards its deadline against a loop that is late.
             reader.caller.answer(504, b"", b"the time is up\n")
         else:
             write(reader)
--- a/lugspur/daemon/request_context.py
+++ b/lugspur/daemon/request_context.py
@@ -1,4 +1,4 @@
-"""What a request began with and how its pools have left it: nothing that a reload changes touches it."""
+"""The context of one request: what it began with, which no reload changes, and how its clusters ended it."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from lugspur.seams import Passing, Request
 
 
-class End(Enum):
-    """How the pools have left a request."""
+class Ending(Enum):
+    """How the upstream clusters ended a request."""
 
     SERVED = "served"
-    TURNED = "turned away before any attempt"
+    REJECTED = "turned away before any attempt"
     FAILED = "failed, or refused after attempts"
 
 
 @dataclass(slots=True)
-class Ticket:
-    """One request on its way through the pools that may serve it."""
+class RequestContext:
+    """One request on its way through the upstream clusters that may serve it."""
 
-    kind: RequestClass
+    request_class: RequestClass
     forward: Forward
     request: Request
     tenant: str
     cost: float
     deadline: float  # in the loop's time
     cluster: UpstreamCluster
-    rest: list[UpstreamCluster]  # those that may still take over
-    call: Call | None = None  # in the pool that has it now
-    end: End = End.FAILED  # as of its final answer
-    expected: float = float("inf")  # until when an answer is expected, while the deadline is not known
-    begun: Passing | None = None  # to whom an answer is passed on as it comes
-    said: int = 0  # the status of the backend's answer behind it; 0 where there is none
+    fallback_clusters: list[UpstreamCluster]  # clusters that may still take over
+    call: Call | None = None  # in the cluster that has it now
+    ending: Ending = Ending.FAILED  # as of its final answer
+    expected_by: float = float("inf")  # in the loop's time; used while the body's end, and so the deadline, is unknown
+    streaming_caller: Passing | None = None  # receives the answer as it arrives; None for one that is sent complete
+    backend_status: int = 0  # status of the backend's answer behind the final one; 0 where there is none
--- a/tests/daemon/test_joining.py
+++ b/tests/daemon/test_joining.py
@@ -113,7 +113,7 @@
         [call] = up.daemon.clusters["a"].pool.calls.values()
         assert call.deadline - asyncio.get_running_loop().time() > 9.0  # the longest has moved it...
         [flight] = up.daemon.joins._flights.values()
-        assert flight.ticket.deadline == call.deadline  # ...for a pool that takes over, too
+        assert flight.context.deadline == call.deadline  # ...for a pool that takes over, too
         reply(one, OK)
         assert status(await long.answer()) == status(await longest.answer()) == 200
         assert one.got.qsize() == 1
