--- a/lugspur/load_balancing/two_choice_pick.py
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -49,15 +49,18 @@
 
     def _draw_two(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
         """Two random servers, fewer where there are no more; an ejected one if there is no other."""
-        pool = self._table.pool_of[request.class_index]
+        pool, rules = self._table.pool_of[request.class_index], self._table.settings.rules
         if now >= pool.next_warm_at:
-            pool.count_warm(now, self._table.settings.rules)
+            pool.count_warm(now, rules)
         tried = [attempt.server for attempt in request.attempts]
         found = self._due_reinstated(now, pool) if is_first and self._table.reinstated else []
         ejected: list[Server] = []
         for _ in range(MAX_DRAWS if servers else 0):
             server = self._draw(servers, pool)
-            if server in found or server in tried or self._is_too_cold(now, server, pool, is_first):
+            if server in found or server in tried:
+                continue
+            # A cold server gets no retries, and first attempts as far as slow start allows.
+            if server.warm_at(rules) > now and (not is_first or self._slow_start.skips(now, server, pool)):
                 continue
             if server.ejected_until > now:
                 ejected = [server]
@@ -76,12 +79,6 @@
         place = pool.subset_begin + pool.subset_width * self._rng.random()
         return servers[min(bisect_right(pool.subset_ends, place), len(servers) - 1)]
 
-    def _is_too_cold(self, now: float, server: Server, pool: ServerPool, is_first: bool) -> bool:
-        """Whether slow start keeps this request away; retries never go to a cold server."""
-        if server.warm_at(self._table.settings.rules) <= now:
-            return False
-        return not is_first or self._slow_start.skips(now, server, pool)
-
     def _draw_untried(self, now: float, servers: list[Server], tried: list[Server]) -> list[Server]:
         """One of the warm servers that were not tried.
 
