--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -11,7 +11,7 @@
 from lugspur.config import model
 from lugspur.config.build import member_name
 from lugspur.config.load import resolved
-from lugspur.daemon.places import places
+from lugspur.daemon.class_indexes import keep_class_indexes
 from lugspur.daemon.pool import Owner, Pool
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
@@ -91,7 +91,10 @@
         else:
             open_classes = {call.facts.kind for call in self.pool.calls.values()}
             self.pool.adopt(
-                replace(settings, classes=tuple(places(self.pool.settings.classes, settings.classes, open_classes)))
+                replace(
+                    settings,
+                    classes=tuple(keep_class_indexes(self.pool.settings.classes, settings.classes, open_classes)),
+                )
             )
         self._config = row
         self._tenant_indexes = {tenant.name: at for at, tenant in enumerate(settings.tenants)}
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -9,10 +9,10 @@
 from typing import TYPE_CHECKING, Protocol
 
 from lugspur.config.platform import Config
-from lugspur.daemon.places import places
+from lugspur.daemon.class_indexes import keep_class_indexes
 from lugspur.daemon.pool import Call, Facts, Pool
+from lugspur.daemon.request_policy import CHANGEOVER_SECONDS, LATE_REQUEST_SECONDS, RequestPolicy
 from lugspur.daemon.service_metrics import service_metrics
-from lugspur.daemon.terms import CHANGE_WITHIN, STILL_COMING, Terms
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.platform_watch import PlatformWatch
@@ -76,7 +76,7 @@
         self.taken_up: Callable[[], None] | None = None  # told once clients are taken
         self.wire = config.wire
         self._tenants = config.tenants
-        self._terms = Terms(config.settings)
+        self._policy = RequestPolicy(config.settings)
         self._loop = loop
         self._open: set[bytes] = set()  # the callers' ids of the requests that an answer is owed for
         # Set aside, so that full callers can't lock operators out.
@@ -123,29 +123,29 @@
 
     def reload(self, config: Config) -> None:
         """Take over other settings and where discovery is, in one step; raises ValueError and changes nothing."""
-        before = self._terms
-        self._terms = before.copy()
+        before = self._policy
+        self._policy = before.copy()
         try:
-            self._adopt(self._terms.retune(config.settings, self._loop.time()))
+            self._adopt(self._policy.change_settings(config.settings, self._loop.time()))
         except ValueError:
-            self._terms = before
+            self._policy = before
             raise
-        self._loop.call_later(CHANGE_WITHIN + STILL_COMING, self._settle)
+        self._loop.call_later(CHANGEOVER_SECONDS + LATE_REQUEST_SECONDS, self._settle)
         self.wire, self._tenants = config.wire, config.tenants
         self._reader.set_names(config.zones, config.types)
         self.pool.upstream.retime(config.conn_idle, config.dial_timeout)
         self._discovery.change_address(config.discovery)
 
     def _settle(self) -> None:
-        settings = self._terms.settle(self._loop.time())
+        settings = self._policy.end_changeover(self._loop.time())
         if settings is not None:
             self._adopt(settings)
 
     def _adopt(self, settings: Settings) -> None:
         held = {call.facts.kind for call in self.pool.calls.values()}
-        classes = places(self.pool.settings.classes, settings.classes, held)
+        classes = keep_class_indexes(self.pool.settings.classes, settings.classes, held)
         self.pool.adopt(replace(settings, classes=tuple(classes)))
-        self._terms.placed(self.pool.settings)
+        self._policy.record_indexes(self.pool.settings)
 
     def _told(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if endpoints or kind is not ListUpdateKind.PATCH:
@@ -341,7 +341,7 @@
         if not ID.fullmatch(get(b"x-request-id", b"")):
             raise Rejected(400, "no request id, or a malformed one")
         name = get(b"x-priority-class", b"").decode("latin-1")
-        rows = self._terms.rows(name, request.arrived)
+        rows = self._policy.classes_for(name, request.arrived)
         if not rows:
             raise Rejected(400, "unknown class")
         fitting = [(kind, row) for kind, row in rows if fits(request, row.retry_safety)]
--- a/tests/daemon/test_settings_change.py
+++ b/tests/daemon/test_settings_change.py
@@ -46,7 +46,7 @@
             client.writer.write(book(1))
             await soon(one.got.get())
             told(up, tmp_path, monkeypatch, changed(book=None, new={}))
-            up.proxy._terms._until = 0.0  # the change-over has passed
+            up.proxy._policy._changeover_ends_at = 0.0  # the change-over has passed
             other = await up.client()
             assert status(await other.ask(book(2))) == 400
             fresh = await up.client()
@@ -150,7 +150,7 @@
                 told(up, tmp_path, monkeypatch, b"")
             client = await up.client()
             assert status(await client.ask(read(1, X_Priority_Class="c29"))) == 200
-            up.proxy._terms._until = -100.0
+            up.proxy._policy._changeover_ends_at = -100.0
             up.proxy._settle()
             names = [row.name for row in up.proxy.pool.settings.classes]
             assert len(names) <= len(WIRE["Services"]) + 30 + 1
--- a/tests/load_balancing/test_changed_settings.py
+++ b/tests/load_balancing/test_changed_settings.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.daemon.places import places
+from lugspur.daemon.class_indexes import keep_class_indexes
 from lugspur.load_balancing import (
     Balancer,
     Fail,
@@ -109,13 +109,13 @@
 
 
 @given(st.lists(st.tuples(CLASSES, st.sets(st.integers(0, 12))), min_size=1, max_size=6))
-def test_places_of_open_requests_stay_and_the_list_does_not_grow_for_ever(
+def test_indexes_of_open_requests_stay_and_the_list_does_not_grow_for_ever(
     steps: list[tuple[list[RequestClass], set[int]]],
 ) -> None:
     known: list[RequestClass] = []
     for wanted, open_ in steps:
         held = {at for at in open_ if at < len(known)}
-        after = places(known, wanted, held)
+        after = keep_class_indexes(known, wanted, held)
         assert all(after[at] == known[at] for at in held) and set(wanted) <= set(after)
         assert len(after) <= max(len(known), len(held) + len(wanted))
         known = after
