--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -41,9 +41,9 @@
     """The loop to run in: one whose turns can be felt where the daemon guards itself."""
     if not plan.file.guard.on:
         return None
-    from lugspur.daemon.senses import WatchedLoop
+    from lugspur.daemon.load_signals import TimedEventLoop
 
-    return WatchedLoop
+    return TimedEventLoop
 
 
 @cli.command()
--- a/tests/daemon/test_guard.py
+++ b/tests/daemon/test_guard.py
@@ -14,8 +14,8 @@
 from daemonic import HEAD, Served, answer, ask, backend, fields, pool, route, served, target_of, until
 from loopback import OK, Backend, soon, status
 
-from lugspur.daemon import senses as feeling
-from lugspur.daemon.senses import Senses, WatchedLoop, Watching
+from lugspur.daemon import load_signals
+from lugspur.daemon.load_signals import LoadSignals, TimedEventLoop, TimedSelector
 from lugspur.guard import limiter
 from lugspur.guard.limiter import REST, WINDOW, Limiter, Sample
 
@@ -29,7 +29,7 @@
 
 def run(body: Coroutine[Any, Any, None]) -> None:
     """In a loop whose turns can be felt."""
-    with asyncio.Runner(loop_factory=WatchedLoop) as runner:
+    with asyncio.Runner(loop_factory=TimedEventLoop) as runner:
         runner.run(body)
 
 
@@ -47,7 +47,7 @@
     guard = up.daemon.guard
     assert guard is not None
     guard.close()  # no sample comes between
-    guard.senses._due = float("inf")
+    guard.signals._next_sample_at = float("inf")
     for level in guard.limiter._levels:
         if not cheap or level.worth < 1.0:
             level.share = [0.0] * len(level.share)
@@ -205,57 +205,58 @@
 
 
 def test_answers_are_shown_before_new_work() -> None:
-    watching = Watching()
+    selector = TimedSelector()
     pairs = [socket.socketpair() for _ in range(6)]
     for ours, theirs in pairs:
-        watching.register(ours, 1)
+        selector.register(ours, 1)
         theirs.send(b"x")
-    watching.work.update(ours.fileno() for ours, _ in pairs[:3])
-    shown = [key.fd in watching.work for key, _ in watching.select(0)]
+    selector.caller_descriptors.update(ours.fileno() for ours, _ in pairs[:3])
+    shown = [key.fd in selector.caller_descriptors for key, _ in selector.select(0)]
     assert shown == [False] * 3 + [True] * 3
     for pair in pairs:
         for sock in pair:
             sock.close()
-    watching.close()
+    selector.close()
 
 
 def test_what_is_shown_at_once_may_have_waited_since_the_selector_was_last_asked() -> None:
-    watching = Watching()
+    selector = TimedSelector()
     ours, theirs = socket.socketpair()
-    watching.register(ours, 1)
+    selector.register(ours, 1)
     took = float("inf")
-    while took > feeling.WAITED:  # a process that lost its core within the call can't be told from one that waited
-        watching.select(0)
+    # A process that lost its core within the call can't be told from one that waited.
+    while took > load_signals.MIN_BLOCKED_SECONDS:
+        selector.select(0)
         asked = time.monotonic()
         theirs.send(b"x")
         time.sleep(0.05)
         began = time.monotonic()
-        watching.select(1.0)
+        selector.select(1.0)
         took = time.monotonic() - began
         ours.recv(1)
-    assert watching.seen <= asked
-    watching.select(0.05)  # it had to wait: what comes then is news
-    assert watching.seen > asked + 0.05 and watching.slept >= 0.04
+    assert selector.earliest_arrival <= asked
+    selector.select(0.05)  # it had to wait: what comes then is news
+    assert selector.earliest_arrival > asked + 0.05 and selector.idle_seconds >= 0.04
     ours.close()
     theirs.close()
-    watching.close()
+    selector.close()
 
 
 def test_the_memory_is_felt_as_a_part_of_its_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        felt = Senses(1 << 30).sample().memory
-        assert 0.01 < felt < 1.0 and Senses(0).sample().memory == 0.0
-        monkeypatch.setattr(feeling, "Path", lambda _: (_ for _ in ()).throw(OSError()))
-        assert Senses(1 << 30).sample().memory == 0.0  # what can't be felt is no reason
+        felt = LoadSignals(1 << 30).sample().memory
+        assert 0.01 < felt < 1.0 and LoadSignals(0).sample().memory == 0.0
+        monkeypatch.setattr(load_signals, "Path", lambda _: (_ for _ in ()).throw(OSError()))
+        assert LoadSignals(1 << 30).sample().memory == 0.0  # what can't be felt is no reason
 
     asyncio.run(body())
 
 
 def test_a_plain_loop_feels_how_late_its_samples_are() -> None:
     async def body() -> None:
-        senses = Senses(0)
+        signals = LoadSignals(0)
         time.sleep(WINDOW + 0.1)
-        sample = senses.sample()
+        sample = signals.sample()
         assert sample.lag >= 0.09 and sample.idle == 1.0 and 0.0 < sample.starved <= 1.0
 
     asyncio.run(body())
@@ -303,7 +304,7 @@
 def test_without_it_the_platforms_proxy_imports_nothing_of_it() -> None:
     code = (
         "import sys, lugspur.daemon.service\n"
-        "ours = ('lugspur.guard', 'lugspur.joining', 'lugspur.emulator', 'lugspur.daemon.senses')\n"
+        "ours = ('lugspur.guard', 'lugspur.joining', 'lugspur.emulator', 'lugspur.daemon.load_signals')\n"
         "print([name for name in sys.modules if name.startswith(ours)])"
     )
     said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=True)
