--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -31,7 +31,7 @@
 from lugspur.seams import Answerable, Request, Response
 
 if TYPE_CHECKING:
-    from lugspur.daemon.guarding import Guarding
+    from lugspur.daemon.overload_protection import OverloadProtection
     from lugspur.daemon.remembering import Remembering
     from lugspur.pipe import Pipe
 
@@ -59,7 +59,7 @@
         self._sockets = Shares(0, {})
         self._places = Shares(0, {})  # requests in hand, by pool
         self.joins = Joins(self._submit)
-        self.guard: Guarding | None = None
+        self.overload_protection: OverloadProtection | None = None
         self._reloads = 0
         self.regime: Regime
         self.clusters: dict[str, UpstreamCluster] = {}
@@ -89,27 +89,27 @@
             cluster.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
         standings = {name: cluster.standing for name, cluster in self.clusters.items()}
         self.joins.tune(limits.joined, limits.memory)
-        self._guard(plan)
+        self._apply_overload_protection(plan)
         self._reloads += 1
         self.regime = Regime(plan, dict(self.clusters), standings, self._reloads)
 
-    def _guard(self, plan: Plan) -> None:
-        """Begin or end to guard the proxy itself, or go on by other classes."""
+    def _apply_overload_protection(self, plan: Plan) -> None:
+        """Start or stop the overload protection, or change its classes, as the plan says."""
         row = plan.file.guard
         if not row.on:
             self.close()
-        elif self.guard is None:
-            from lugspur.daemon.guarding import Guarding
+        elif self.overload_protection is None:
+            from lugspur.daemon.overload_protection import OverloadProtection
 
-            self.guard = Guarding(plan.classes, row.memory)
+            self.overload_protection = OverloadProtection(plan.classes, row.memory)
         else:
-            self.guard.adopt(plan.classes, row.memory)
+            self.overload_protection.change_classes(plan.classes, row.memory)
 
     def close(self) -> None:
-        """Guard nothing any more."""
-        if self.guard is not None:
-            self.guard.close()
-            self.guard = None
+        """Stop the overload protection."""
+        if self.overload_protection is not None:
+            self.overload_protection.close()
+            self.overload_protection = None
 
     def front(self, row: model.Listener) -> Front:
         """A front for one listener of the plan."""
@@ -137,8 +137,8 @@
         file = self.regime.plan.file
         limits, count = file.limits, len(file.listeners)
         sockets = max(8, limits.sockets - SPARE_SOCKETS)
-        if self.guard is not None:
-            self.guard.watch(front)
+        if self.overload_protection is not None:
+            self.overload_protection.attach(front)
         else:
             front.came = front.work = None
         front.tune(
@@ -203,13 +203,13 @@
         if timeout <= 0.0:  # It came too late, or lay too long: what nobody waits for costs no more than this.
             caller.answer(504, b"", b"the time is up\n")
             return
-        if self.guard is not None and regime is self.regime:
+        if self.overload_protection is not None and regime is self.regime:
             who = caller.peer if tenant == NOBODY else tenant
             place = regime.plan.kinds[forward.kind]
             size = len(request.body) if request.stream is None else request.stream.came
-            if not self.guard.admits(place, who, size):
+            if not self.overload_protection.admits(place, who, size):
                 caller.answer(503, COME_BACK, b"too busy\n")
-                self.guard.rest(caller, place)
+                self.overload_protection.pause_reading(caller, place)
                 return
         if forward.key is not None:
             key = drawn(forward.key, Headers(request.headers), query, match.captured)
--- a/tests/daemon/test_guard.py
+++ b/tests/daemon/test_overload_protection.py
@@ -1,4 +1,4 @@
-"""The guard round a daemon: what it feels on real sockets, and what becomes of requests that it turns away."""
+"""Overload protection of a daemon: load signals on real sockets, and what happens to rejected requests."""
 
 from __future__ import annotations
 
@@ -44,34 +44,37 @@
 
 def turn_away(up: Served, cheap: bool) -> None:
     """As it would be after too long a wait: the cheapest class, or everything."""
-    guard = up.daemon.guard
-    assert guard is not None
-    guard.close()  # no sample comes between
-    guard.signals._next_sample_at = float("inf")
-    for level in guard.limiter._levels:
+    protection = up.daemon.overload_protection
+    assert protection is not None
+    protection.close()  # no sample comes between
+    protection.signals._next_sample_at = float("inf")
+    for level in protection.limiter._levels:
         if not cheap or level.worth < 1.0:
             level.share = [0.0] * len(level.share)
 
 
-def test_it_is_off_unless_it_is_asked_for_and_a_reload_turns_it_on_and_off() -> None:
+def test_protection_is_off_by_default_and_a_reload_turns_it_on_and_off() -> None:
     async def body(up: Served, one: Backend) -> None:
         [(front, _)] = up.running.listeners.values()
-        assert up.daemon.guard is None and front.came is None and front.work is None
+        assert up.daemon.overload_protection is None and front.came is None and front.work is None
         text = pool("a", one.address) + ROUTES
         await up.reload(text, GUARDED)
-        guard = up.daemon.guard
-        assert guard is not None and front.came is not None and front.work is not None
+        protection = up.daemon.overload_protection
+        assert protection is not None and front.came is not None and front.work is not None
         client = await up.client()
         assert status(await client.ask(ask())) == 200 and len(front.work) == 1
         await up.reload(text, GUARDED.replace("worth = 0.1", "worth = 0.2"))
-        assert up.daemon.guard is guard and min(level.worth for level in guard.limiter._levels) == 0.2
+        assert (
+            up.daemon.overload_protection is protection
+            and min(level.worth for level in protection.limiter._levels) == 0.2
+        )
         await up.reload(text, GUARDED.replace("on = true", "on = false"))
-        assert up.daemon.guard is None and status(await client.ask(ask())) == 200
+        assert up.daemon.overload_protection is None and status(await client.ask(ask())) == 200
 
     play(body, head=GUARDED.replace("on = true", "on = false"))
 
 
-def test_what_is_cheap_is_turned_away_at_once_and_costs_no_backend_anything() -> None:
+def test_low_value_request_is_rejected_at_once_and_reaches_no_backend() -> None:
     async def body(up: Served, one: Backend) -> None:
         turn_away(up, cheap=True)
         client, dear = await up.client(), await up.client()
@@ -84,17 +87,17 @@
     play(body)
 
 
-def test_nothing_is_read_from_a_caller_that_was_turned_away_for_a_moment() -> None:
+def test_rejected_caller_is_not_read_from_for_a_moment() -> None:
     async def body(up: Served, one: Backend) -> None:
-        guard = up.daemon.guard
-        assert guard is not None
+        protection = up.daemon.overload_protection
+        assert protection is not None
         turn_away(up, cheap=False)
         client = await up.client()
         loop = asyncio.get_running_loop()
         begun = loop.time()
         for _ in range(3):
             await client.ask(ask(target="/cheap"))
-        assert loop.time() - begun >= 2.0 * REST and guard.limiter.turned == 3
+        assert loop.time() - begun >= 2.0 * REST and protection.limiter.turned == 3
         await client.ask(ask(target="/cheap"))
         client.writer.transport.abort()  # gone while it is not heard: no harm
         front = up.running.listeners["main"][0]
@@ -105,13 +108,13 @@
     play(body)
 
 
-def test_what_comes_while_a_caller_is_not_heard_keeps_its_time_and_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bytes_of_a_paused_caller_keep_their_arrival_time_and_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limiter, "REST_MOST", 3.0)  # on a slow machine what is sent meanwhile comes later
 
     async def body(up: Served, one: Backend) -> None:
         turn_away(up, cheap=True)
-        guard = up.daemon.guard
-        assert guard is not None
+        protection = up.daemon.overload_protection
+        assert protection is not None
         client = await up.client()
         assert status(await client.ask(ask(target="/cheap"))) == 503
         begun = asyncio.get_running_loop().time()
@@ -128,7 +131,7 @@
     play(body)
 
 
-def test_nothing_is_lost_of_what_comes_while_a_caller_is_not_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_bytes_of_a_paused_caller_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(limiter, "REST_MOST", 3.0)  # on a slow machine what is sent meanwhile comes later
 
     async def body(up: Served, one: Backend) -> None:
@@ -156,7 +159,7 @@
     play(body, script=None)
 
 
-def test_what_a_backend_has_is_never_turned_away() -> None:
+def test_request_that_a_backend_has_is_never_rejected() -> None:
     async def body(up: Served, one: Backend) -> None:
         client = await up.client()
         client.writer.write(ask("POST", "/book", b"x"))
@@ -169,7 +172,7 @@
     play(body, script=None)
 
 
-def test_a_request_that_lay_unread_until_its_time_was_up_is_answered_and_not_sent() -> None:
+def test_request_that_lay_unread_past_its_deadline_is_answered_and_not_sent() -> None:
     async def body(up: Served, one: Backend) -> None:
         old, new = await up.client(), await up.client()
         assert status(await old.ask(ask())) == status(await new.ask(ask())) == 200
@@ -191,7 +194,7 @@
     play(body)
 
 
-def test_a_newcomer_that_waited_to_be_accepted_has_waited_as_well() -> None:
+def test_wait_of_a_new_connection_to_be_accepted_counts() -> None:
     async def body(up: Served, one: Backend) -> None:
         with socket.socket() as raw:
             raw.connect(("127.0.0.1", up.port()))
@@ -204,7 +207,7 @@
     play(body)
 
 
-def test_answers_are_shown_before_new_work() -> None:
+def test_selector_returns_answers_before_new_requests() -> None:
     selector = TimedSelector()
     pairs = [socket.socketpair() for _ in range(6)]
     for ours, theirs in pairs:
@@ -219,7 +222,7 @@
     selector.close()
 
 
-def test_what_is_shown_at_once_may_have_waited_since_the_selector_was_last_asked() -> None:
+def test_events_returned_without_a_wait_may_date_from_the_last_poll() -> None:
     selector = TimedSelector()
     ours, theirs = socket.socketpair()
     selector.register(ours, 1)
@@ -242,7 +245,7 @@
     selector.close()
 
 
-def test_the_memory_is_felt_as_a_part_of_its_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_memory_signal_is_a_share_of_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         felt = LoadSignals(1 << 30).sample().memory
         assert 0.01 < felt < 1.0 and LoadSignals(0).sample().memory == 0.0
@@ -252,7 +255,7 @@
     asyncio.run(body())
 
 
-def test_a_plain_loop_feels_how_late_its_samples_are() -> None:
+def test_plain_loop_measures_the_delay_of_its_samples() -> None:
     async def body() -> None:
         signals = LoadSignals(0)
         time.sleep(WINDOW + 0.1)
@@ -262,7 +265,7 @@
     asyncio.run(body())
 
 
-def test_a_turn_without_end_is_sampled_all_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_long_turn_of_the_loop_is_sampled(monkeypatch: pytest.MonkeyPatch) -> None:
     taken: list[float] = []
     sample = Limiter.sample
 
@@ -271,18 +274,18 @@
         return sample(self, now, state)
 
     async def body(up: Served, one: Backend) -> None:
-        guard = up.daemon.guard
-        assert guard is not None
+        protection = up.daemon.overload_protection
+        assert protection is not None
         monkeypatch.setattr(Limiter, "sample", noted)
         for _ in range(3):  # no timer can come between
             time.sleep(2.5 * WINDOW)
-            guard.admits(0, "caller", 0)
+            protection.admits(0, "caller", 0)
         assert len(taken) == 3
 
     play(body)
 
 
-def test_run_prints_one_line_when_it_turns_away(tmp_path: Any) -> None:
+def test_run_prints_one_line_when_it_rejects(tmp_path: Any) -> None:
     file = tmp_path / "f.toml"
     file.write_text(GUARDED + pool("a", "127.0.0.1:9") + ROUTES)
     code = (
@@ -301,7 +304,7 @@
         process.stderr.close()
 
 
-def test_without_it_the_platforms_proxy_imports_nothing_of_it() -> None:
+def test_platform_proxy_imports_nothing_of_it() -> None:
     code = (
         "import sys, lugspur.daemon.service\n"
         "ours = ('lugspur.guard', 'lugspur.joining', 'lugspur.emulator', 'lugspur.daemon.load_signals')\n"
