--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -32,7 +32,7 @@
 
 if TYPE_CHECKING:
     from lugspur.daemon.overload_protection import OverloadProtection
-    from lugspur.daemon.remembering import Remembering
+    from lugspur.daemon.state_persistence import StatePersistence
     from lugspur.pipe import Pipe
 
 COME_BACK = b"Retry-After: 1\r\n"  # where no backend is there, or no place: nothing tells when one will be
@@ -64,7 +64,7 @@
         self.regime: Regime
         self.clusters: dict[str, UpstreamCluster] = {}
         self.registries = RegistrySessions()
-        self.remembering: Remembering | None = None
+        self.state_persistence: StatePersistence | None = None
 
     def apply(self, plan: Plan, path: str) -> None:
         """Take over a plan in one step: requests in hand keep what they began with."""
@@ -81,8 +81,8 @@
             cluster = self.clusters.get(name)
             kept, age = None, None
             if cluster is None:
-                if self.remembering is not None:
-                    kept, age = self.remembering.of(name)
+                if self.state_persistence is not None:
+                    kept, age = self.state_persistence.snapshot_of(name)
                 cluster = self.clusters[name] = UpstreamCluster(name, self._sockets, self, self._epoch, self.registries)
                 for other in self.clusters.values():  # what operators have taken out is out of every pool
                     cluster.overrides.banned.update(other.overrides.banned)
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -48,10 +48,10 @@
         row = plan.file.state
         if row.folder:
             # Imported only here: a daemon that keeps nothing has no use for it.
-            from lugspur.daemon.remembering import Remembering
+            from lugspur.daemon.state_persistence import StatePersistence
 
-            self.daemon.remembering = Remembering(row.folder, row.every, self.path)
-            await self.daemon.remembering.open()
+            self.daemon.state_persistence = StatePersistence(row.folder, row.every, self.path)
+            await self.daemon.state_persistence.open()
         try:
             if plan.file.fleet.name:
                 # Imported only here: a daemon that is alone has no use for it.
@@ -64,11 +64,11 @@
         except BaseException:
             if self.company is not None:
                 self.company.leave()
-            if self.daemon.remembering is not None:
-                await self.daemon.remembering.close()
+            if self.daemon.state_persistence is not None:
+                await self.daemon.state_persistence.close()
             raise
-        if self.daemon.remembering is not None:
-            self.daemon.remembering.begin(lambda: self.daemon.clusters)
+        if self.daemon.state_persistence is not None:
+            self.daemon.state_persistence.start_writing(lambda: self.daemon.clusters)
 
     def _fleet_actions(self) -> dict[tuple[str, str], Action]:
         company = self.company
@@ -202,8 +202,8 @@
         for name in tuple(self.listeners):
             self._leave(name)
         await asyncio.gather(*self._leaving)
-        if self.daemon.remembering is not None:
-            await self.daemon.remembering.close()
+        if self.daemon.state_persistence is not None:
+            await self.daemon.state_persistence.close()
         for cluster in self.daemon.clusters.values():
             cluster.close()
         self.daemon.close()
--- a/tests/daemon/test_state.py
+++ b/tests/daemon/test_state_persistence.py
@@ -23,7 +23,7 @@
 from loopback import HOST, OK, Backend, soon, status, until, watches
 
 from lugspur.cli.main import cli
-from lugspur.daemon import remembering
+from lugspur.daemon import state_persistence
 from lugspur.daemon.persistence.snapshot_format import decode_snapshot
 from lugspur.daemon.persistence.snapshot_store import CURRENT_FILE, SnapshotStore, open_store
 
@@ -56,7 +56,7 @@
     return sorted(str(row.server) for row in learned.servers)
 
 
-def test_what_was_learned_is_there_after_a_restart(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_learned_state_is_there_after_a_restart(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             text = pool("a", one.address, two.address) + ALL
@@ -77,7 +77,7 @@
     assert "lugspur: state: 2 backends of 1 pools, " in capsys.readouterr().err
 
 
-def test_the_last_view_serves_while_the_source_is_silent_and_gives_way_to_its_first_list(tmp_path: Path) -> None:
+def test_snapshot_serves_until_the_source_delivers_its_first_list(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two, watches() as registry:
             text = f'[pools.a]\nwatch = "{HOST}:{registry.port}"\n' + ALL
@@ -112,10 +112,10 @@
     asyncio.run(play())
 
 
-def test_more_backends_than_can_be_kept_are_left_out_and_the_rest_is_read_again(
+def test_backends_beyond_the_maximum_are_left_out_and_the_rest_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(remembering, "MAX_BACKENDS", 3)
+    monkeypatch.setattr(state_persistence, "MAX_BACKENDS", 3)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one:
@@ -133,7 +133,7 @@
     asyncio.run(play())
 
 
-def test_a_box_that_moved_to_another_address_keeps_what_was_learned_and_is_called_there(tmp_path: Path) -> None:
+def test_backend_with_a_new_address_keeps_its_learned_state_and_is_called_there(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             for box in (one, two):
@@ -146,27 +146,27 @@
     asyncio.run(play())
 
 
-def test_nothing_is_written_where_nothing_changes(tmp_path: Path) -> None:
+def test_nothing_is_written_while_nothing_changes(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             async with keeping(tmp_path, pool("a", one.address) + ALL) as up:
                 await asked(up, 2)
                 await until(lambda: (tmp_path / CURRENT_FILE).exists())
-                kept_now = up.daemon.remembering
-                assert kept_now is not None
-                await until(lambda: kept_now._written is not None)
+                persistence = up.daemon.state_persistence
+                assert persistence is not None
+                await until(lambda: persistence._last_written_counts is not None)
                 before = (tmp_path / CURRENT_FILE).stat().st_ino  # each writing makes a file; times have a coarse tick
-                await kept_now._write()
+                await persistence._write()
                 assert (tmp_path / CURRENT_FILE).stat().st_ino == before
                 await asked(up, 1)
-                await kept_now._write()
+                await persistence._write()
                 assert (tmp_path / CURRENT_FILE).stat().st_ino != before
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("bad", ["no folder", "a file in its place", "broken", "newer", "taken"])
-def test_a_folder_or_file_of_no_use_is_one_line_and_the_daemon_serves(
+def test_unusable_directory_or_file_is_one_log_line_and_the_daemon_serves(
     bad: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     folder = tmp_path / "kept"
@@ -195,7 +195,7 @@
     assert len(said) == 1
 
 
-def test_a_disk_that_fails_is_one_line_and_another_when_it_works_again(
+def test_failing_disk_is_one_log_line_and_another_when_it_works_again(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     save, full, tries = SnapshotStore.save, True, 0
@@ -212,15 +212,15 @@
     async def play() -> None:
         nonlocal full
         async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
-            kept_now = up.daemon.remembering
-            assert kept_now is not None
+            persistence = up.daemon.state_persistence
+            assert persistence is not None
             await asked(up, 2)
             for _ in range(3):
-                await kept_now._write()
-            assert kept_now._delay == 4.0  # 500 ms doubled three times: it backs off
+                await persistence._write()
+            assert persistence._delay_seconds == 4.0  # 500 ms doubled three times: it backs off
             full = False
-            await kept_now._write()
-            assert kept_now._delay == 0.5
+            await persistence._write()
+            assert persistence._delay_seconds == 0.5
             await asked(up, 2)
 
     asyncio.run(play())
@@ -229,7 +229,7 @@
     assert tries >= 4
 
 
-def test_a_slow_disk_holds_up_no_request_and_the_end_for_a_moment_only(
+def test_slow_disk_delays_no_request_and_the_end_for_a_moment_only(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     go, begun = threading.Event(), threading.Event()
@@ -239,7 +239,7 @@
         go.wait(20.0)
 
     monkeypatch.setattr(SnapshotStore, "save", slow)
-    monkeypatch.setattr(remembering, "LAST_WITHIN", 0.2)
+    monkeypatch.setattr(state_persistence, "LAST_WRITE_TIMEOUT_SECONDS", 0.2)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
@@ -253,12 +253,12 @@
     assert "too slow" in capsys.readouterr().err
 
 
-def test_a_disk_that_hangs_at_the_start_is_not_waited_for(
+def test_disk_that_hangs_at_the_start_is_not_waited_for(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     go = threading.Event()
     monkeypatch.setattr(SnapshotStore, "load", lambda store: go.wait(20.0))
-    monkeypatch.setattr(remembering, "OPEN_WITHIN", 0.1)
+    monkeypatch.setattr(state_persistence, "READ_TIMEOUT_SECONDS", 0.1)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
@@ -269,7 +269,7 @@
     assert "too slow: nothing is taken up or kept" in capsys.readouterr().err
 
 
-def test_what_no_file_can_hold_is_one_line_and_stops_neither_service_nor_its_end(
+def test_state_that_can_not_be_encoded_is_one_log_line_and_stops_neither_service_nor_its_end(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def play() -> None:
@@ -300,17 +300,17 @@
                 told = up.daemon.clusters["a"].overrides.latest
                 [(server, endpoint)] = told.items()
                 told[server] = replace(endpoint, address=(object(), 1))  # type: ignore[arg-type]  # on purpose
-                kept_now = up.daemon.remembering
-                assert kept_now is not None
+                persistence = up.daemon.state_persistence
+                assert persistence is not None
                 for _ in range(2):
-                    await kept_now._write()
+                    await persistence._write()
                 await asked(up, 2)
 
     asyncio.run(play())
     assert capsys.readouterr().err.count("can't write to") == 1
 
 
-def test_two_backends_with_one_name_in_two_pools_are_told_apart(tmp_path: Path) -> None:
+def test_backends_of_one_name_in_two_pools_are_distinguished(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             text = (
@@ -329,7 +329,7 @@
     asyncio.run(play())
 
 
-def test_a_real_process_keeps_its_state_over_sigkill_and_sigterm(tmp_path: Path) -> None:
+def test_process_keeps_its_state_over_sigkill_and_sigterm(tmp_path: Path) -> None:
     folder = tmp_path / "kept"
     folder.mkdir()
 
@@ -377,16 +377,16 @@
     asyncio.run(play())
 
 
-def test_a_process_that_dies_with_a_file_uses_it_no_third_time(tmp_path: Path) -> None:
+def test_process_that_dies_with_a_file_uses_it_no_third_time(tmp_path: Path) -> None:
     folder = tmp_path / "kept"
     folder.mkdir()
     program = (
         "import asyncio, sys, os\n"
-        "from lugspur.daemon.remembering import Remembering\n"
+        "from lugspur.daemon.state_persistence import StatePersistence\n"
         "async def play():\n"
-        "    kept = Remembering('kept', 5.0, sys.argv[1])\n"
+        "    kept = StatePersistence('kept', 5.0, sys.argv[1])\n"
         "    await kept.open()\n"
-        "    print(kept.of('a')[0] is not None, flush=True)\n"
+        "    print(kept.snapshot_of('a')[0] is not None, flush=True)\n"
         "    os._exit(1)\n"
         "asyncio.run(play())\n"
     )
@@ -405,21 +405,21 @@
     assert told == ["True", "True", "False", "False"]
 
 
-def test_nothing_of_it_is_imported_where_nobody_asks_for_it(tmp_path: Path) -> None:
+def test_nothing_of_it_is_imported_without_a_state_table(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     file.write_text(HEAD + pool("a", f"{HOST}:1") + ALL)
     program = (
         "import asyncio, sys\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import Running\n"
         "async def play():\n    running = Running(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
         "    await running.stop()\nasyncio.run(play())\n"
-        "optional = ('lugspur.daemon.persistence', 'lugspur.daemon.remembering')\n"
+        "optional = ('lugspur.daemon.persistence', 'lugspur.daemon.state_persistence')\n"
         "print([name for name in sys.modules if name.startswith(optional)])\n"
     )
     done = subprocess.run([sys.executable, "-c", program, str(file)], cwd=ROOT, text=True, capture_output=True)
     assert done.stdout.strip() == "[]"
 
 
-def test_the_commands_show_verify_and_prune(tmp_path: Path) -> None:
+def test_commands_show_verify_and_prune(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
             await asked(up, 5)
