--- a/lugspur/daemon/company.py
+++ b/lugspur/daemon/peers.py
@@ -1,4 +1,4 @@
-"""The daemon among its like: its place in the fleet, the duties that it wants, its promises where it is an elector."""
+"""The daemon among its peers: its membership in the fleet, its singleton roles, and its lease voter if it is one."""
 
 from __future__ import annotations
 
@@ -40,40 +40,41 @@
 if TYPE_CHECKING:
     from lugspur.daemon.cluster import UpstreamCluster
 
-LEASES = 1  # the topic of these messages among a fleet's posts
-BODY_MESSAGES = 7  # in one datagram: each takes up to some 150 bytes
-AGAIN = (0.03, 0.09)  # seconds after which it is said again that a duty is given back: a datagram may be lost
-SAID = {Status.ALIVE: "is there", Status.SUSPECT: "is doubted", Status.DEAD: "is gone", Status.LEFT: "has left"}
+LEASES_TOPIC = 1  # topic of lease messages in gossip datagrams
+MAX_MESSAGES_PER_DATAGRAM = 7  # each takes up to some 150 bytes
+# Messages that hand over a role are repeated, because a datagram may be lost.
+HAND_OVER_REPEAT_DELAYS_SECONDS = (0.03, 0.09)
+STATUS_TEXTS = {Status.ALIVE: "is there", Status.SUSPECT: "is doubted", Status.DEAD: "is gone", Status.LEFT: "has left"}
 
 
-class Company:
-    """Runs one daemon's place in its fleet; `say` writes a line to the log."""
+class Peers:
+    """Runs one daemon's membership in its fleet; `log` writes a line to the log."""
 
-    def __init__(self, row: model.Fleet, zone: str, beside: str, say: Callable[[str], None]) -> None:
-        self._row, self._beside, self.say = row, beside, say
+    def __init__(self, row: model.Fleet, zone: str, config_path: str, log: Callable[[str], None]) -> None:
+        self._config, self._config_path, self.log = row, config_path, log
         self.probers: Probers | None = None
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
-        self._facts = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
+        self._metadata = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
         self.candidates: dict[str, Candidate] = {}
         self.voter: LeaseVoter | None = None
         self._promise_store: PromiseStore | None = None
-        self._writing = False
-        self._handed: list[tuple[str, Message]] = []
-        self._drained = False
+        self._is_saving = False
+        self._hand_over_messages: list[tuple[str, Message]] = []
+        self._is_drained = False
         self._history: TextIO | None = None
         self.transport: Transport
 
     @property
     def fleet(self) -> GossipProtocol:
-        """What it knows of the others."""
+        """Return the gossip protocol, which knows all members."""
         return self.transport.protocol
 
     def open(self) -> None:
-        """Begin; raises OSError where the address, the key or the elector's folder can't be had."""
-        row = self._row
+        """Join the fleet; raises OSError if the address, the key or the voter's directory can't be used."""
+        row = self._config
         assert row.bind is not None
-        wire = DatagramCodec(row.name, self._key())
+        wire = DatagramCodec(row.name, self._read_key())
         if row.member in row.electors:
             self._open_voter()
         try:
@@ -87,29 +88,29 @@
             codec=wire,
             name=row.member,
             address=(host, port),
-            metadata=self._facts,
+            metadata=self._metadata,
             seeds=list(row.seeds),
             now=clock.now(),
             wall_clock=time.time,
             rng=self._rng,
             period_seconds=row.period,
         )
-        self.transport = Transport(sock, fleet, self._heard, self._woken, self._dues)
+        self.transport = Transport(sock, fleet, self._receive_event, self._run_due_candidates, self._due_times)
         if row.history:
-            path = resolved(row.history, self._beside)
+            path = resolved(row.history, self._config_path)
             try:
-                self._history = open(path, "a", buffering=1, encoding="utf-8")  # noqa: SIM115  (until `leave`)
+                self._history = open(path, "a", buffering=1, encoding="utf-8")  # noqa: SIM115  (until `close`)
             except OSError as fault:
                 raise OSError(f"fleet: history {path}: {fault.strerror or fault}") from fault
-        for duty in row.duties:
-            self.want(duty)
-        self.say(f"member {row.member} of {row.name} at {host}:{port}")
+        for role in row.duties:
+            self.request_role(role)
+        self.log(f"member {row.member} of {row.name} at {host}:{port}")
         self.transport.flush()
 
-    def _key(self) -> bytes:
-        if not self._row.key:
+    def _read_key(self) -> bytes:
+        if not self._config.key:
             return b""
-        path = resolved(self._row.key, self._beside)
+        path = resolved(self._config.key, self._config_path)
         try:
             with open(path, "rb") as file:
                 key = file.read(MAX_KEY_BYTES + 1)
@@ -120,10 +121,10 @@
         return key
 
     def _open_voter(self) -> None:
-        row = self._row
+        row = self._config
         lease, promises = row.lease, None
         if row.folder:
-            folder = resolved(row.folder, self._beside)
+            folder = resolved(row.folder, self._config_path)
             try:
                 self._promise_store = PromiseStore(folder, row.member, row.lease)
             except PromiseStoreInUseError as fault:
@@ -135,7 +136,7 @@
                 raise OSError(f"fleet: {folder}: {fault.strerror or fault}") from fault
             lease, promises = self._promise_store.lease_seconds, self._promise_store.promises
             if self._promise_store.is_new:
-                self.say(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
+                self.log(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
         self.voter = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
     def _close_promise_store(self) -> None:
@@ -144,94 +145,97 @@
             self._promise_store = None
 
     def apply(self, file: model.File, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
-        """A file is in force: its checked pools are probed by one for all."""
+        """Put a file into force: each of its checked pools gets one health checker for the whole fleet."""
         checks = {name: row.check for name, row in file.pools.items() if row.check is not None}
-        if checks and self.probers is None and self._row.electors:
+        if checks and self.probers is None and self._config.electors:
             self.probers = Probers(self, clusters)
         if self.probers is not None:
             self.probers.apply(checks)
 
-    # ---- duties ------------------------------------------------------------------------------------
+    # ---- roles ------------------------------------------------------------------------------------
 
-    def want(self, duty: str) -> Candidate:
-        """Ask for a duty from now on, whenever nobody holds it."""
-        row = self._row
-        candidate = self.candidates[duty] = Candidate(duty, row.electors, row.lease, clock.now(), self._rng, self._rank)
-        if self._drained:  # a reload brings a duty while callers are sent away: it is wanted once they are taken again
+    def request_role(self, role: str) -> Candidate:
+        """Campaign for a role from now on, whenever it has no leader."""
+        row = self._config
+        candidate = self.candidates[role] = Candidate(
+            role, row.electors, row.lease, clock.now(), self._rng, self._rank_for
+        )
+        if self._is_drained:  # a reload added it during a drain: it campaigns once that ends
             candidate.resign(clock.now())
         return candidate
 
-    def drop(self, duty: str) -> None:
-        """Want a duty no more."""
-        self.candidates[duty].resign(clock.now())
-        self._woken(clock.now())
-        del self.candidates[duty]
+    def withdraw_from_role(self, role: str) -> None:
+        """Resign from a role, and no longer campaign for it."""
+        self.candidates[role].resign(clock.now())
+        self._run_due_candidates(clock.now())
+        del self.candidates[role]
         self.transport.flush()
 
     @property
     def name(self) -> str:
-        """This process's name in the fleet."""
-        return self._row.member
+        """Return this process's name in the fleet."""
+        return self._config.member
 
-    def others(self) -> list[str]:
-        """All others that count as there."""
-        return [name for name in self.fleet.present_members() if name != self._row.member]
+    def other_members(self) -> list[str]:
+        """Return the names of all other members that are present."""
+        return [name for name in self.fleet.present_members() if name != self._config.member]
 
-    def first(self, duty: str, count: int) -> list[str]:
-        """The first members in the order of a duty."""
-        return self._ordered(duty)[:count]
+    def first_members(self, role: str, count: int) -> list[str]:
+        """Return the first `count` members in the role's order of succession."""
+        return self._members_in_order(role)[:count]
 
-    def post(self, name: str, topic: int, body: bytes) -> None:
-        """Send something to a member, when the transport has its next turn."""
+    def send_message(self, name: str, topic: int, body: bytes) -> None:
+        """Send a message to a member with the transport's next datagrams."""
         self.fleet.send_message(clock.now(), name, topic, body)
 
-    def may(self, duty: str, needs: float = 0.0) -> int | None:
-        """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
-        candidate = self.candidates.get(duty)
-        return None if candidate is None else candidate.fencing_token(clock.now(), needs)
+    def fencing_token(self, role: str, duration_seconds: float = 0.0) -> int | None:
+        """Return the fencing token for an action of that duration under the role; None if it must not begin."""
+        candidate = self.candidates.get(role)
+        return None if candidate is None else candidate.fencing_token(clock.now(), duration_seconds)
 
-    def _rank(self, duty: str) -> int:
-        return self._ordered(duty).index(self._row.member)
+    def _rank_for(self, role: str) -> int:
+        return self._members_in_order(role).index(self._config.member)
 
-    def _ordered(self, duty: str) -> list[str]:
+    def _members_in_order(self, role: str) -> list[str]:
         ready = [name for name, record in self.fleet.present_members().items() if not record.metadata.is_draining]
-        return rendezvous_order(duty, list({*ready, self._row.member}))
+        return rendezvous_order(role, list({*ready, self._config.member}))
 
-    def hand_on(self) -> None:
-        """This daemon goes: its duties go to those who are next, at once."""
-        self._drained = True
-        facts = self._facts
+    def hand_over_roles(self) -> None:
+        """Resign from all roles and name the successors at once, since this daemon is draining."""
+        self._is_drained = True
+        metadata = self._metadata
         self.fleet.update_metadata(
-            clock.now(), MemberMetadata(facts.zone, facts.version, facts.started_at, True, facts.requests_per_second)
+            clock.now(),
+            MemberMetadata(metadata.zone, metadata.version, metadata.started_at, True, metadata.requests_per_second),
         )
-        for duty, candidate in self.candidates.items():
+        for role, candidate in self.candidates.items():
             if not candidate.resign(clock.now()):
                 continue
-            heirs = [name for name in self._ordered(duty) if name != self._row.member]
-            if heirs:
-                self._handed.append((heirs[0], RoleAvailable(duty, candidate.term.epoch)))
-            self._handed += [
-                (name, ReleaseLease(duty, candidate.term.epoch, candidate.term.round_number))
+            successors = [name for name in self._members_in_order(role) if name != self._config.member]
+            if successors:
+                self._hand_over_messages.append((successors[0], RoleAvailable(role, candidate.term.epoch)))
+            self._hand_over_messages += [
+                (name, ReleaseLease(role, candidate.term.epoch, candidate.term.round_number))
                 for name in candidate.term.voters
             ]
-        for delay in (0.0, *AGAIN):
-            self._loop.call_later(delay, self._say_again)
+        for delay in (0.0, *HAND_OVER_REPEAT_DELAYS_SECONDS):
+            self._loop.call_later(delay, self._repeat_hand_over)
 
-    def _say_again(self) -> None:
-        self._send(self._handed)
+    def _repeat_hand_over(self) -> None:
+        self._send_messages(self._hand_over_messages)
         self.transport.flush()
 
-    def take_up(self) -> None:
-        """This daemon stays after all: it wants its duties again."""
-        self._handed.clear()
-        self._drained = False
-        self.fleet.update_metadata(clock.now(), self._facts)
+    def reclaim_roles(self) -> None:
+        """Campaign for all roles again, since the drain has ended."""
+        self._hand_over_messages.clear()
+        self._is_drained = False
+        self.fleet.update_metadata(clock.now(), self._metadata)
         for candidate in self.candidates.values():
             candidate.campaign(clock.now())
         self.transport.flush()
 
-    def leave(self) -> None:
-        """Say goodbye, and let go of everything."""
+    def close(self) -> None:
+        """Announce the departure, and close the transport, the promise store and the history."""
         if self.probers is not None:
             self.probers.close()
         self.fleet.leave(clock.now())
@@ -240,22 +244,22 @@
         if self._history is not None:
             self._history.close()
 
-    # ---- what happens --------------------------------------------------------------------------------
+    # ---- events --------------------------------------------------------------------------------
 
-    def _heard(self, event: Event) -> None:
+    def _receive_event(self, event: Event) -> None:
         if isinstance(event, MessageReceived):
-            if event.topic == LEASES:
-                self._body(event)
+            if event.topic == LEASES_TOPIC:
+                self._receive_lease_messages(event)
             elif event.topic == PROBING and self.probers is not None:
                 self.probers.heard(event.body)
         elif isinstance(event, MemberChanged):
-            self._changed(event)
+            self._record_member_change(event)
         elif isinstance(event, NameConflict):
             host, port = event.address
             done = "this one is the younger and is silent for a while" if event.is_yielding else "it is the younger"
-            self.say(f"another process at {host}:{port} uses the name {self._row.member}: {done}")
+            self.log(f"another process at {host}:{port} uses the name {self._config.member}: {done}")
 
-    def _changed(self, event: MemberChanged) -> None:
+    def _record_member_change(self, event: MemberChanged) -> None:
         record, former = event.record, event.previous
         if (
             former is None
@@ -264,16 +268,16 @@
             or (former.instance_id != record.instance_id)
         ):
             host, port = record.address
-            self.say(f"member {record.name} {SAID[Status(record.status)]} ({event.cause}) at {host}:{port}")
+            self.log(f"member {record.name} {STATUS_TEXTS[Status(record.status)]} ({event.cause}) at {host}:{port}")
             for candidate in self.candidates.values():
                 candidate.members_changed(clock.now())
 
-    def _body(self, event: MessageReceived) -> None:
+    def _receive_lease_messages(self, event: MessageReceived) -> None:
         with suppress(MalformedMessageError):
             for message in decode_messages(event.body):
-                self._lease(CandidateId(event.sender, event.instance_id), message)
+                self._route_lease_message(CandidateId(event.sender, event.instance_id), message)
 
-    def _lease(self, sender: CandidateId, message: Message) -> None:
+    def _route_lease_message(self, sender: CandidateId, message: Message) -> None:
         now = clock.now()
         if isinstance(message, RequestLease | ReleaseLease):
             if self.voter is not None:
@@ -283,80 +287,81 @@
         if candidate is not None and isinstance(message, GrantLease | DenyLease | RoleAvailable):
             candidate.receive(now, sender.name, message)
 
-    def _dues(self) -> Iterator[float]:
+    def _due_times(self) -> Iterator[float]:
         for candidate in self.candidates.values():
             yield candidate.due()
 
-    def _woken(self, now: float) -> None:
-        """Duties have their turn: what they say to this process's own elector, and it to them, takes no datagram."""
+    def _run_due_candidates(self, now: float) -> None:
+        """Run the candidates that are due; messages between them and this process's own voter need no datagram."""
         out: list[tuple[str, Message]] = []
         for candidate in self.candidates.values():
             if now >= candidate.due():
                 candidate.tick(now)
         while True:
-            said = [word for candidate in self.candidates.values() for word in candidate.take_messages()]
+            messages = [message for candidate in self.candidates.values() for message in candidate.take_messages()]
             if self.voter is not None:
-                said += self.voter.take_messages()
-            if not said:
+                messages += self.voter.take_messages()
+            if not messages:
                 break
-            me = CandidateId(self._row.member, self.fleet.local_record.instance_id)
-            for name, message in said:
-                if name == me.name:
-                    self._lease(me, message)
+            local_id = CandidateId(self._config.member, self.fleet.local_record.instance_id)
+            for name, message in messages:
+                if name == local_id.name:
+                    self._route_lease_message(local_id, message)
                 else:
                     out.append((name, message))
         for candidate in self.candidates.values():
             for event in candidate.take_events():
-                self._turned(event)
-        if self._promise_store is not None and self.voter is not None and self.voter.unsaved and not self._writing:
-            self._write(self._promise_store, self.voter)
-        self._send(out)
+                self._record_leadership(event)
+        if self._promise_store is not None and self.voter is not None and self.voter.unsaved and not self._is_saving:
+            self._save_promises(self._promise_store, self.voter)
+        self._send_messages(out)
 
-    def _send(self, messages: list[tuple[str, Message]]) -> None:
-        """One datagram for all that one member is to be told, as far as that fits."""
+    def _send_messages(self, messages: list[tuple[str, Message]]) -> None:
+        """Send messages, those of one member in as few datagrams as they fit."""
         bodies: defaultdict[str, list[Message]] = defaultdict(list)
         for name, message in messages:
             bodies[name].append(message)
-        for name, words in bodies.items():
-            for at in range(0, len(words), BODY_MESSAGES):
-                self.fleet.send_message(clock.now(), name, LEASES, encode_messages(words[at : at + BODY_MESSAGES]))
+        for name, member_messages in bodies.items():
+            for at in range(0, len(member_messages), MAX_MESSAGES_PER_DATAGRAM):
+                body = encode_messages(member_messages[at : at + MAX_MESSAGES_PER_DATAGRAM])
+                self.fleet.send_message(clock.now(), name, LEASES_TOPIC, body)
 
-    def _turned(self, turned: LeadershipChanged | LeaseAcquired) -> None:
-        if self._history is not None and (isinstance(turned, LeaseAcquired) or not turned.is_leader):
+    def _record_leadership(self, change: LeadershipChanged | LeaseAcquired) -> None:
+        if self._history is not None and (isinstance(change, LeaseAcquired) or not change.is_leader):
             left = (
-                self.candidates[turned.role].term.remaining(clock.now()) if isinstance(turned, LeaseAcquired) else 0.0
+                self.candidates[change.role].term.remaining(clock.now()) if isinstance(change, LeaseAcquired) else 0.0
             )
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
-                "member": self._row.member,
+                "member": self._config.member,
                 "life": self.fleet.local_record.instance_id,
-                "duty": turned.role,
-                "epoch": turned.epoch,
+                "duty": change.role,
+                "epoch": change.epoch,
                 "left": left,
             }
             self._history.write(json.dumps(row) + "\n")
-        if isinstance(turned, LeaseAcquired):
+        if isinstance(change, LeaseAcquired):
             return
         if self.probers is not None:
-            self.probers.turned(turned)
-        what = "is ours" if turned.is_leader else "is ours no more"
-        self.say(f"duty {turned.role} {what} under epoch {turned.epoch}: {turned.reason}")
+            self.probers.turned(change)
+        what = "is ours" if change.is_leader else "is ours no more"
+        self.log(f"duty {change.role} {what} under epoch {change.epoch}: {change.reason}")
 
-    # ---- an elector's memory -----------------------------------------------------------------------
+    # ---- the voter's promises -----------------------------------------------------------------------
 
-    def _write(self, promise_store: PromiseStore, voter: LeaseVoter) -> None:
-        """Write promises down, in a thread; they are told when they will survive."""
+    def _save_promises(self, promise_store: PromiseStore, voter: LeaseVoter) -> None:
+        """Save promises to disk in a thread; the voter grants them only after that."""
         promises = voter.promises()
-        duties, voter.unsaved = list(voter.unsaved), {}
-        self._writing = True
+        roles, voter.unsaved = list(voter.unsaved), {}
+        self._is_saving = True
 
         def done(fault: OSError | None) -> None:
-            self._writing = False
+            self._is_saving = False
             if fault is None:
-                voter.confirm_saved(clock.now(), duties)
+                voter.confirm_saved(clock.now(), roles)
             else:
-                self.say(f"promises can't be written, so none are given: {fault.strerror or fault}")
-                voter.report_save_failure(duties)
+                self.log(f"promises can't be written, so none are given: {fault.strerror or fault}")
+                voter.report_save_failure(roles)
             self.transport.flush()
 
         def work() -> None:
@@ -365,21 +370,21 @@
                 promise_store.write(promises)
             except OSError as raised:
                 fault = raised
-            with suppress(RuntimeError):  # the loop is gone, and nobody is told
+            with suppress(RuntimeError):  # the loop has closed, so nobody waits any more
                 self._loop.call_soon_threadsafe(done, fault)
 
         threading.Thread(target=work, name="promises", daemon=True).start()
 
-    # ---- what operators see ------------------------------------------------------------------------
+    # ---- admin answers ------------------------------------------------------------------------
 
-    def members(self) -> str:
-        """All members that are known, as one line of JSON."""
+    def members_json(self) -> str:
+        """Return all known members as one line of JSON."""
         fleet = self.fleet
         rows = [fleet.local_record, *(member.record for member in fleet.members.values())]
         return json.dumps(
             {
-                "fleet": self._row.name,
-                "member": self._row.member,
+                "fleet": self._config.name,
+                "member": self._config.member,
                 "digest": fleet.digest,
                 "members": [
                     {
@@ -390,7 +395,7 @@
                         "version": row.metadata.version,
                         "started": row.metadata.started_at,
                         "draining": row.metadata.is_draining,
-                        "elector": row.name in self._row.electors,
+                        "elector": row.name in self._config.electors,
                     }
                     for row in sorted(rows, key=lambda row: row.name)
                 ],
@@ -398,51 +403,51 @@
             }
         )
 
-    def view(self) -> str:
-        """How many are there, and a number that is the same for all that see the same: a line for scripts."""
+    def summary_json(self) -> str:
+        """Return the number of present members and a digest, equal for equal views, as one line of JSON for scripts."""
         fleet = self.fleet
         return json.dumps(
             {
-                "member": self._row.member,
+                "member": self._config.member,
                 "there": fleet.present_count,
                 "digest": fleet.digest,
                 "bytes": fleet.counters["bytes sent"],
             }
         )
 
-    def duties(self) -> str:
-        """All duties that this daemon wants, as one line of JSON."""
+    def roles_json(self) -> str:
+        """Return all roles that this daemon campaigns for as one line of JSON."""
         now = clock.now()
         rows = []
-        for duty, candidate in sorted(self.candidates.items()):
+        for role, candidate in sorted(self.candidates.items()):
             term = candidate.term
             held = candidate.fencing_token(now) is not None
             rows.append(
                 {
-                    "duty": duty,
+                    "duty": role,
                     "ours": held,
                     "epoch": term.epoch if held else term.highest_epoch,
-                    "holder": self._row.member if held else term.holder,
+                    "holder": self._config.member if held else term.holder,
                     "left": round(term.remaining(now), 3),
                 }
             )
         down, vain = ({}, 0) if self.probers is None else (self.probers.down(), self.probers.vain)
-        return json.dumps({"member": self._row.member, "duties": rows, "down": down, "vain": vain})
+        return json.dumps({"member": self._config.member, "duties": rows, "down": down, "vain": vain})
 
-    def ask(self, asked: str) -> tuple[int, str]:
-        """`DUTY [SECONDS]`: whether an act of that duty may begin here that takes so long, and under which epoch."""
-        duty, _, needs = asked.partition(" ")
+    def check_role(self, asked: str) -> tuple[int, str]:
+        """Answer `ROLE [SECONDS]`: whether an action of that duration may begin here under the role, and its epoch."""
+        role, _, needs = asked.partition(" ")
         try:
             seconds = float(needs or 0.0)
         except ValueError:
             return 400, "the body has to be a duty's name, and seconds if you like"
-        if duty not in self.candidates:
-            return 404, f"no duty {duty!r} is wanted here"
-        epoch = self.may(duty, seconds) if seconds >= 0.0 else None
-        candidate = self.candidates[duty]
+        if role not in self.candidates:
+            return 404, f"no duty {role!r} is wanted here"
+        epoch = self.fencing_token(role, seconds) if seconds >= 0.0 else None
+        candidate = self.candidates[role]
         if epoch is None:
-            return 409, json.dumps({"duty": duty, "holder": candidate.term.holder})
-        return 200, json.dumps({"duty": duty, "epoch": epoch, "left": round(candidate.term.remaining(clock.now()), 3)})
+            return 409, json.dumps({"duty": role, "holder": candidate.term.holder})
+        return 200, json.dumps({"duty": role, "epoch": epoch, "left": round(candidate.term.remaining(clock.now()), 3)})
 
 
 def _version() -> str:
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -42,29 +42,29 @@
 
     @property
     def name(self) -> str:
-        """This process's name in the fleet."""
+        """Return this process's name in the fleet."""
 
     @property
-    def say(self) -> Callable[[str], None]:
+    def log(self) -> Callable[[str], None]:
         """Writes a line to the log."""
 
-    def want(self, duty: str) -> Candidate:
-        """Ask for a duty from now on, whenever nobody holds it."""
+    def request_role(self, role: str) -> Candidate:
+        """Campaign for a role from now on, whenever it has no leader."""
 
-    def drop(self, duty: str) -> None:
-        """Want a duty no more."""
+    def withdraw_from_role(self, role: str) -> None:
+        """Resign from a role, and no longer campaign for it."""
 
-    def may(self, duty: str, needs: float = 0.0) -> int | None:
-        """The epoch that an act of this duty has to carry that takes so many seconds; None: it must not begin."""
+    def fencing_token(self, role: str, duration_seconds: float = 0.0) -> int | None:
+        """Return the fencing token for an action of that duration under the role; None if it must not begin."""
 
-    def first(self, duty: str, count: int) -> list[str]:
-        """The first members in the order of a duty."""
+    def first_members(self, role: str, count: int) -> list[str]:
+        """Return the first `count` members in the role's order of succession."""
 
-    def others(self) -> list[str]:
-        """All others that count as there."""
+    def other_members(self) -> list[str]:
+        """Return the names of all other members that are present."""
 
-    def post(self, name: str, topic: int, body: bytes) -> None:
-        """Send something to a member, when the transport has its next turn."""
+    def send_message(self, name: str, topic: int, body: bytes) -> None:
+        """Send a message to a member with the transport's next datagrams."""
 
 
 class _Pool:
@@ -81,8 +81,8 @@
 class Probers:
     """All pools of the daemon that are checked."""
 
-    def __init__(self, company: DutyHolder, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
-        self._company, self._clusters = company, clusters
+    def __init__(self, peers: DutyHolder, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
+        self._peers, self._clusters = peers, clusters
         self._loop = asyncio.get_running_loop()
         self._pools: dict[str, _Pool] = {}
         self._doubted: dict[tuple[str, int], float] = {}  # boxes that could not be reached from here, and when told
@@ -93,7 +93,7 @@
     def apply(self, checks: Mapping[str, Check]) -> None:
         """A file is in force."""
         for name in self._pools.keys() - checks.keys():
-            self._company.drop(self._pools.pop(name).duty)
+            self._peers.withdraw_from_role(self._pools.pop(name).duty)
             cluster = self._clusters().get(name)
             if cluster is not None:
                 cluster.on_connection_attempt = cluster.on_endpoints_changed = None
@@ -102,7 +102,7 @@
             pool = self._pools.get(name)
             if pool is None:
                 pool = self._pools[name] = _Pool(name, row)
-                self._company.want(pool.duty)
+                self._peers.request_role(pool.duty)
             pool.row, pool.health_checker.interval_seconds = row, row.every
             cluster = self._clusters()[name]
             cluster.on_connection_attempt, cluster.on_endpoints_changed = self._tried, self._listed
@@ -159,20 +159,20 @@
 
     def _pass_on(self, doubt: ConnectionFailure) -> None:
         pool = self._pools[doubt.pool]
-        if self._company.may(pool.duty) is not None:
+        if self._peers.fencing_token(pool.duty) is not None:
             pool.health_checker.report_failure(clock.now(), doubt.backend)
             self._turn()
             return
         if doubt.is_forwarded:
             return
         # Who holds it is known to those who stand by; one of them may hold it.
-        holder = self._company.candidates[pool.duty].term.holder
+        holder = self._peers.candidates[pool.duty].term.holder
         names = dict.fromkeys([holder] if holder else [])
-        names |= dict.fromkeys(self._company.first(pool.duty, STANDBY_CANDIDATES))
+        names |= dict.fromkeys(self._peers.first_members(pool.duty, STANDBY_CANDIDATES))
         for name in names:
-            if name != self._company.name:
-                self._company.post(name, PROBING, encode_message(doubt))
-        self._company.transport.flush()
+            if name != self._peers.name:
+                self._peers.send_message(name, PROBING, encode_message(doubt))
+        self._peers.transport.flush()
 
     def turned(self, turned: LeadershipChanged) -> None:
         """A duty is this process's, or no more."""
@@ -207,7 +207,7 @@
 
     def _is_first(self, pool: _Pool) -> bool:
         """Whether doubts that come here are passed on to the holder: by one of those that stand by, not by three."""
-        return self._company.name in self._company.first(pool.duty, 1)
+        return self._peers.name in self._peers.first_members(pool.duty, 1)
 
     def _obey(self, name: str, pool: _Pool) -> None:
         cluster = self._clusters().get(name)
@@ -226,7 +226,7 @@
         for name, pool in self._pools.items():
             self._obey(name, pool)
             due = min(due, pool.received_reports.due())
-            epoch = self._company.may(pool.duty, pool.row.within)
+            epoch = self._peers.fencing_token(pool.duty, pool.row.within)
             if epoch is None:
                 continue
             for box in pool.health_checker.start_checks(now):
@@ -248,17 +248,17 @@
             not down or now - pool.told_at < REPORT_INTERVAL_SECONDS
         ):
             return
-        epoch = self._company.may(pool.duty)  # right before the act
+        epoch = self._peers.fencing_token(pool.duty)  # right before the act
         if epoch is None:
             return
         pool.told, pool.told_at = pool.health_checker.sequence_number, now
         report = HealthReport(name, epoch, pool.health_checker.sequence_number, names_that_fit(down))
         body = encode_message(report)
-        for other in self._company.others():
-            self._company.post(other, PROBING, body)
+        for other in self._peers.other_members():
+            self._peers.send_message(other, PROBING, body)
         pool.received_reports.receive(now, report)
         self._obey(name, pool)
-        self._company.transport.flush()
+        self._peers.transport.flush()
 
     async def _look(self, name: str, pool: _Pool, box: str) -> None:
         cluster = self._clusters().get(name)
@@ -270,5 +270,5 @@
         url = f"http://{place}{pool.row.path}" if pool.row.path else f"tcp://{place}"
         well = await check_health(url, pool.row.within) is CheckResult.HEALTHY
         if pool.health_checker.finish_check(clock.now(), box, well):
-            self._company.say(f"pool {name}: box {box} is {'up' if well else 'down'}, as its prober")
+            self._peers.log(f"pool {name}: box {box} is {'up' if well else 'down'}, as its prober")
         self._turn()
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -22,8 +22,8 @@
 
 if TYPE_CHECKING:
     from lugspur.daemon.admin.action import Action
-    from lugspur.daemon.company import Company
     from lugspur.daemon.daemon_admin import DaemonAdmin
+    from lugspur.daemon.peers import Peers
 
 Listening = tuple[Front, socket.socket]
 
@@ -41,7 +41,7 @@
         self._reloading: asyncio.Task[None] | None = None
         self._again = False
         self.admin: DaemonAdmin | None = None
-        self.company: Company | None = None
+        self.peers: Peers | None = None
 
     async def start(self, plan: Plan) -> None:
         """Begin; raises OSError, with the listener's name, where an address can't be had."""
@@ -55,15 +55,15 @@
         try:
             if plan.file.fleet.name:
                 # Imported only here: a daemon that is alone has no use for it.
-                from lugspur.daemon.company import Company
+                from lugspur.daemon.peers import Peers
 
-                company = Company(plan.file.fleet, plan.file.daemon.zone, self.path, _say_fleet)
-                company.open()
-                self.company = company
+                peers = Peers(plan.file.fleet, plan.file.daemon.zone, self.path, _say_fleet)
+                peers.open()
+                self.peers = peers
             await self._apply(plan)
         except BaseException:
-            if self.company is not None:
-                self.company.leave()
+            if self.peers is not None:
+                self.peers.close()
             if self.daemon.state_persistence is not None:
                 await self.daemon.state_persistence.close()
             raise
@@ -71,25 +71,25 @@
             self.daemon.state_persistence.start_writing(lambda: self.daemon.clusters)
 
     def _fleet_actions(self) -> dict[tuple[str, str], Action]:
-        company = self.company
-        if company is None:
+        peers = self.peers
+        if peers is None:
             return {}
         from lugspur.daemon.admin.action import ActionResult
 
         return {
-            ("GET", "/fleet/members"): lambda _: ActionResult(200, company.members()),
-            ("GET", "/fleet/view"): lambda _: ActionResult(200, company.view()),
-            ("GET", "/fleet/duties"): lambda _: ActionResult(200, company.duties()),
-            ("POST", "/fleet/may"): lambda body: ActionResult(*company.ask(body)),
+            ("GET", "/fleet/members"): lambda _: ActionResult(200, peers.members_json()),
+            ("GET", "/fleet/view"): lambda _: ActionResult(200, peers.summary_json()),
+            ("GET", "/fleet/duties"): lambda _: ActionResult(200, peers.roles_json()),
+            ("POST", "/fleet/may"): lambda body: ActionResult(*peers.check_role(body)),
         }
 
     def _on_drain(self, on: bool) -> None:
         """Who sends its callers away holds no duties either."""
-        if self.company is not None:
+        if self.peers is not None:
             if on:
-                self.company.hand_on()
+                self.peers.hand_over_roles()
             else:
-                self.company.take_up()
+                self.peers.reclaim_roles()
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         """Where each listener can be reached."""
@@ -182,8 +182,8 @@
             if self.admin.is_drained:  # new listeners too
                 self.admin.drain()
         self.announcers.apply(plan.file, addresses)
-        if self.company is not None:
-            self.company.apply(plan.file, lambda: self.daemon.clusters)
+        if self.peers is not None:
+            self.peers.apply(plan.file, lambda: self.daemon.clusters)
 
     def _leave(self, name: str) -> None:
         task = asyncio.get_running_loop().create_task(drain(*self.listeners.pop(name)))
@@ -194,8 +194,8 @@
 
     async def stop(self) -> None:
         """Tell registries first, finish what was taken, then let go of everything."""
-        if self.company is not None:
-            self.company.hand_on()
+        if self.peers is not None:
+            self.peers.hand_over_roles()
         await self.announcers.leave()
         if self.admin is not None:
             self.admin.close()
@@ -208,8 +208,8 @@
             cluster.close()
         self.daemon.close()
         await self.daemon.registries.close()
-        if self.company is not None:
-            self.company.leave()
+        if self.peers is not None:
+            self.peers.close()
 
 
 def _terms(row: model.Listener) -> model.Listener:
--- a/tests/daemon/gossip/test_lean.py
+++ b/tests/daemon/gossip/test_lean.py
@@ -9,7 +9,7 @@
 import pytest
 
 LIBRARIES = ("msgspec", "rich", "click")
-MODULES = ("lugspur.daemon.gossip", "lugspur.daemon.health_checks", "lugspur.daemon.leases", "lugspur.daemon.company")
+MODULES = ("lugspur.daemon.gossip", "lugspur.daemon.health_checks", "lugspur.daemon.leases", "lugspur.daemon.peers")
 PRINT_IMPORTED = f"""
 import sys
 import lugspur.{{module}}
@@ -31,6 +31,6 @@
 
 
 def test_an_import_of_gossip_is_noticed() -> None:
-    command = [sys.executable, "-c", PRINT_IMPORTED.format(module="daemon.company")]
+    command = [sys.executable, "-c", PRINT_IMPORTED.format(module="daemon.peers")]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     assert "'lugspur.daemon.gossip.protocol'" in done.stdout and "'msgspec'" in done.stdout
--- a/tests/daemon/test_company.py
+++ b/tests/daemon/test_peers.py
@@ -1,4 +1,4 @@
-"""A daemon in a fleet: what reloads, drains and failing starts do to its duties."""
+"""A daemon in a fleet: what reloads, drains and failing starts do to its singleton roles."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 CHECKED = pool("p", "127.0.0.1:9", more='check = { every = "1s" }') + route("r", "/*", 'pool = "p"\nclass = "read"')
 
 
-def test_a_reload_begins_and_ends_what_a_pool_asks_for() -> None:
+def test_reload_starts_and_ends_the_role_of_a_checked_pool() -> None:
     async def play() -> None:
         async with served(CHECKED + FLEET) as up:
-            company = up.running.company
-            assert company is not None and set(company.candidates) == {"mine", "probe:p"}
+            peers = up.running.peers
+            assert peers is not None and set(peers.candidates) == {"mine", "probe:p"}
             cluster = up.daemon.clusters["p"]
             cluster.set_unhealthy(set(cluster.overrides.latest), cluster.pool.now())
             assert cluster.standing.empty()
             await up.reload(CHECKED.replace('check = { every = "1s" }', "") + FLEET)
-            assert set(company.candidates) == {"mine"}
+            assert set(peers.candidates) == {"mine"}
             assert cluster.on_connection_attempt is None and not cluster.standing.empty()
             await up.reload(CHECKED + FLEET)
-            assert set(company.candidates) == {"mine", "probe:p"} and cluster.on_connection_attempt is not None
+            assert set(peers.candidates) == {"mine", "probe:p"} and cluster.on_connection_attempt is not None
 
     asyncio.run(play())
 
 
-def test_a_drained_daemon_wants_no_duty_that_a_reload_brings() -> None:
+def test_drained_daemon_does_not_campaign_for_a_role_that_a_reload_adds() -> None:
     async def play() -> None:
         async with served(CHECKED.replace('check = { every = "1s" }', "") + FLEET) as up:
-            company = up.running.company
-            assert company is not None
-            company.hand_on()
+            peers = up.running.peers
+            assert peers is not None
+            peers.hand_over_roles()
             await up.reload(CHECKED + FLEET)
-            assert company.candidates["probe:p"].due() == float("inf")
-            company.take_up()
-            assert company.candidates["probe:p"].due() < float("inf")
+            assert peers.candidates["probe:p"].due() == float("inf")
+            peers.reclaim_roles()
+            assert peers.candidates["probe:p"].due() < float("inf")
 
     asyncio.run(play())
 
 
-def test_what_operators_have_taken_out_a_prober_does_not_put_back() -> None:
+def test_health_checker_does_not_put_back_a_banned_backend() -> None:
     async def play() -> None:
         async with served(CHECKED + FLEET) as up:
             cluster = up.daemon.clusters["p"]
@@ -76,7 +76,7 @@
         ('history = "none/x"', "history .*none/x: No such file"),
     ],
 )
-def test_a_start_without_its_files_is_one_fault(tmp_path: Path, more: str, said: str) -> None:
+def test_start_without_its_files_raises_one_error(tmp_path: Path, more: str, said: str) -> None:
     async def play() -> None:
         file = tmp_path / "f.toml"
         file.write_text(HEAD + CHECKED + FLEET + more + "\n")
@@ -86,7 +86,7 @@
     asyncio.run(play())
 
 
-def test_a_key_of_a_wrong_length_is_one_fault(tmp_path: Path) -> None:
+def test_key_of_a_wrong_length_raises_one_error(tmp_path: Path) -> None:
     async def play() -> None:
         file = tmp_path / "f.toml"
         file.write_text(HEAD + CHECKED + FLEET + 'key = "key"\n')
