--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -11,10 +11,10 @@
 from lugspur.config import model
 from lugspur.config.build import METHODS, NOBODY, Plan
 from lugspur.daemon.cluster import GRPC_HOST_TYPE, UpstreamCluster
-from lugspur.daemon.joins import Joins
 from lugspur.daemon.outgoing import Headers, changed, drawn, outgoing
 from lugspur.daemon.pool import Call, Facts
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
+from lugspur.daemon.request_coalescing import RequestCoalescer
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
@@ -58,7 +58,7 @@
         self._rng = random.Random()
         self._sockets = Shares(0, {})
         self._places = Shares(0, {})  # requests in hand, by pool
-        self.joins = Joins(self._submit)
+        self.coalescer = RequestCoalescer(self._submit)
         self.overload_protection: OverloadProtection | None = None
         self._reloads = 0
         self.regime: Regime
@@ -88,7 +88,7 @@
                     cluster.overrides.banned.update(other.overrides.banned)
             cluster.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
         standings = {name: cluster.standing for name, cluster in self.clusters.items()}
-        self.joins.tune(limits.joined, limits.memory)
+        self.coalescer.tune(limits.joined, limits.memory)
         self._apply_overload_protection(plan)
         self._reloads += 1
         self.regime = Regime(plan, dict(self.clusters), standings, self._reloads)
@@ -232,7 +232,7 @@
             return
         # Reads of two files, or with and without what a trusted listener lets through, are never the same.
         route = regime.number, match.route.name, cluster.name, row.trust_forwarded
-        self.joins.take(request, context, route, forward.join, caller)
+        self.coalescer.coalesce(request, context, route, forward.join, caller)
 
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
         """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
@@ -357,7 +357,7 @@
         context = _context_of(call)
         self._places.give(context.cluster.name)
         if context.request_class.retry_safety is not RetrySafety.SAFE:
-            self.joins.wrote(context.tenant)
+            self.coalescer.record_write(context.tenant)
 
 
 def _note_ending(context: RequestContext, call: Call, ending: Ending) -> None:
--- /dev/null
+++ b/lugspur/daemon/request_coalescing.py
@@ -0,0 +1,301 @@
+"""Request coalescing of the daemon: carries out the desk's actions on callers, clusters and timers."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable, Hashable
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from lugspur.config.build import NOBODY
+from lugspur.daemon.request_context import Ending, RequestContext
+from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
+from lugspur.joining.keys import key_of, told_of
+from lugspur.joining.sharing import depends, worded_for
+from lugspur.routing.model import Join
+from lugspur.seams import Answerable, Form, Request
+
+if TYPE_CHECKING:
+    from lugspur.pipe import Pipe
+
+MAX_ANSWERS_PER_TURN = 32  # in one turn of the event loop, so that other reads and timers run between
+COPIES_MEMORY_SHARE = 0.25  # of the memory limit, for copies of one answer whose callers read slowly
+COME_BACK = b"Retry-After: 1\r\n"  # nothing tells when there will be capacity to wait
+
+Submit = Callable[[RequestContext, Answerable], None]
+Write = Callable[["WaitingRequest"], None]
+
+
+@dataclass(slots=True)
+class WaitingRequest:
+    """One read that waits for the answer of a shared call."""
+
+    number: int
+    context: RequestContext
+    caller: Answerable
+
+    def request_id(self) -> bytes | None:
+        """Return the id that its caller gave it."""
+        return self.context.request.headers.get(b"x-request-id")
+
+
+class SharedCall:
+    """One call for several waiting requests: the cluster sees one caller, and its answer goes to all of them.
+
+    It is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.Form).
+    """
+
+    def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
+        self._coalescer, self.number = coalescer, number
+        self.gone: Callable[[], None] | None = None
+        self.peer = first.caller.peer
+        self.context = replace(
+            first.context, deadline=deadline, fallback_clusters=list(first.context.fallback_clusters)
+        )
+        self._form = first.context.request.form
+        if self._form is not None:
+            self.context.request = replace(self.context.request, form=self)
+        self._stream_receiver: WaitingRequest | None = None  # the request that a streamed answer goes to
+
+    def admit(self) -> None:
+        """Do nothing: the waiting requests were admitted before."""
+
+    # ---- the request as gRPC (seams.Form) --------------------------------------------------------
+
+    @property
+    def pipe(self) -> None:
+        """Return None: a stream is never coalesced."""
+
+    @property
+    def bound(self) -> bool:
+        """Return False: a stream is never coalesced."""
+        return False
+
+    def plain(self, request: Request) -> Request:
+        """Return the request in the form for a backend that speaks HTTP/1.1."""
+        assert self._form is not None
+        return self._form.plain(request)
+
+    # ---- the answer ------------------------------------------------------------------------------
+
+    def passing(self) -> None:
+        """Return None: an answer for several requests is complete before any of them gets it."""
+
+    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+        """Pass the final answer on to all waiting requests."""
+
+        def write(waiting: WaitingRequest) -> None:
+            waiting.caller.answer(status, worded_for(head, waiting.request_id()), body, length)
+
+        self._finish(status, head, b"", len(body), write)
+
+    def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
+        """Pass on the answer of a gRPC backend, or the rest of one that was begun."""
+
+        def write(waiting: WaitingRequest) -> None:
+            waiting.caller.gone = None
+            _form_of(waiting).finish(worded_for(head, waiting.request_id()), body, trailers)
+
+        self._finish(200, head, trailers, len(body), write)
+
+    def _finish(self, status: int, head: bytes, trailers: bytes, size: int, write: Write) -> None:
+        self.gone = None
+        if self._stream_receiver is not None:
+            write(self._stream_receiver)
+            return
+        context, join = self.context, self.context.forward.join
+        assert join is not None
+        if context.ending is Ending.REJECTED:
+            self._coalescer.reject_call(self.number, write)
+            return
+        # A failure concerns all, unless the backend's answer depends on the caller.
+        said = head if context.ending is Ending.SERVED else b""
+        among = depends(context.backend_status, said, join, trailers)
+        self._coalescer.finish_call(self.number, among, size, write)
+
+    def begin_messages(self, head: bytes, body: Pipe) -> None:
+        """Pass a streamed answer on to the request that the call was made for; the others get calls of their own."""
+        receiver = self._coalescer.take_streaming_request(self.number)
+        if receiver is None:
+            if self.gone is not None:
+                self.gone()
+            return
+        self._stream_receiver = receiver
+        receiver.caller.gone = self.gone
+        if self.context.call is not None:
+            self.context.cluster.pool.retime(self.context.call, receiver.context.deadline)
+        _form_of(receiver).begin_messages(head, body)
+
+
+def _form_of(waiting: WaitingRequest) -> Form:
+    form = waiting.context.request.form
+    assert form is not None
+    return form
+
+
+def _tenant_key(tenant: str) -> str:
+    return "" if tenant == NOBODY else tenant
+
+
+class RequestCoalescer:
+    """Coalesces equal reads of one daemon into shared calls."""
+
+    def __init__(self, submit: Submit) -> None:
+        self._submit = submit
+        self._loop = asyncio.get_running_loop()
+        self.desk = Desk(0)
+        self._max_copied_bytes = 0  # in all copies of one answer together
+        self._waiting: dict[int, WaitingRequest] = {}
+        self._shared_calls: dict[int, SharedCall] = {}
+        self._request_count = 0
+        self._pending_actions: deque[Action] = deque()
+        self._is_acting = False
+        self._pending_answers: deque[tuple[WaitingRequest, Write]] = deque()  # decided, not yet written
+        self._is_writing = False
+        self._timer: asyncio.TimerHandle | None = None
+
+    def tune(self, max_waiting: int, memory_limit_bytes: int) -> None:
+        """Set how many reads may wait for others' calls, and the memory limit that copies of answers share."""
+        self.desk.most = max_waiting
+        self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
+
+    def coalesce(self, came: Request, context: RequestContext, route: Hashable, join: Join, caller: Answerable) -> None:
+        """Share a call with equal reads where that is possible; `came` is the request as received, before routing."""
+        form = context.request.form
+        bound = form is not None and form.bound
+        tenant = _tenant_key(context.tenant)
+        key = None if bound else key_of(came, context.request, route, tenant, join)
+        self._request_count += 1
+        if key is None:
+            self._submit(context, caller)
+            return
+        waiting = self._waiting[self._request_count] = WaitingRequest(self._request_count, context, caller)
+        caller.gone = lambda: self._caller_disconnected(waiting)
+        self._carry_out(
+            self.desk.ask(
+                self._loop.time(),
+                waiting.number,
+                key,
+                join.within,
+                tenant,
+                context.deadline,
+                told_of(came, tenant, join),
+            )
+        )
+
+    def record_write(self, tenant: str) -> None:
+        """Record that a request that may have changed something was answered: later reads get no older answer."""
+        self.desk.wrote(self._loop.time(), _tenant_key(tenant))
+
+    def _caller_disconnected(self, waiting: WaitingRequest) -> None:
+        if self._waiting.pop(waiting.number, None) is not None:
+            self._carry_out(self.desk.gone(waiting.number))
+
+    # ---- events of shared calls -----------------------------------------------------------------------
+
+    def finish_call(self, number: int, among: frozenset[bytes] | None, size: int, write: Write) -> None:
+        """Give the answer of a shared call, with a body of `size` bytes, to the requests that may have it."""
+        most = max(1, self._max_copied_bytes // max(1, size))
+        self._carry_out(self.desk.ended(self._loop.time(), number, among, most), write)
+        self._shared_calls.pop(number, None)
+
+    def reject_call(self, number: int, write: Write) -> None:
+        """Pass on the rejection of a shared call, of which no attempt was made."""
+        self._carry_out(self.desk.refused(self._loop.time(), number), write)
+        self._shared_calls.pop(number, None)
+
+    def take_streaming_request(self, number: int) -> WaitingRequest | None:
+        """Return the request that a streamed answer goes to, if it still waits; the others leave the call."""
+        self._shared_calls.pop(number, None)
+        actions = self.desk.parted(self._loop.time(), number)
+        kept = [action for action in actions if isinstance(action, Give)]
+        self._carry_out([action for action in actions if not isinstance(action, Give)])
+        return self._waiting.pop(kept[0].member) if kept else None
+
+    # ---- the desk's actions ----------------------------------------------------------------------
+
+    def _carry_out(self, actions: list[Action], write: Write | None = None) -> None:
+        """Carry out actions one after another; those that follow from one come after all earlier ones."""
+        for action in actions:
+            if isinstance(action, Give):
+                assert write is not None
+                self._pending_answers.append((self._waiting[action.member], write))
+            else:
+                self._pending_actions.append(action)
+        if not self._is_writing:
+            self._write_next_answers()
+        if self._is_acting:
+            return
+        self._is_acting = True
+        try:
+            while self._pending_actions:
+                self._carry_out_one(self._pending_actions.popleft())
+        finally:
+            self._is_acting = False
+        self._schedule_timer()
+
+    def _carry_out_one(self, action: Action) -> None:
+        if isinstance(action, Start):
+            first = self._waiting[action.member]
+            shared_call = self._shared_calls[action.flight] = SharedCall(self, action.flight, first, action.deadline)
+            self._submit(shared_call.context, shared_call)
+        elif isinstance(action, Extend):
+            self._extend_deadline(self._shared_calls.get(action.flight), action.deadline)
+        elif isinstance(action, Drop):
+            dropped = self._shared_calls.pop(action.flight, None)
+            if dropped is not None and dropped.gone is not None:
+                dropped.gone()
+        elif not isinstance(action, Give):
+            self._separate(self._waiting.pop(action.member, None), action)
+
+    def _extend_deadline(self, shared_call: SharedCall | None, deadline: float) -> None:
+        if shared_call is not None:
+            shared_call.context.deadline = deadline
+            if shared_call.context.call is not None:
+                shared_call.context.cluster.pool.retime(shared_call.context.call, deadline)
+
+    def _separate(self, waiting: WaitingRequest | None, action: Action) -> None:
+        """Take a request out of its shared call, with a call of its own or an error."""
+        if waiting is None:
+            return
+        if isinstance(action, Alone):
+            self._submit(waiting.context, waiting.caller)
+        elif isinstance(action, Expire):
+            waiting.caller.answer(504, b"", b"the time is up\n")
+        elif isinstance(action, Turn):
+            waiting.caller.answer(503, COME_BACK, b"no place to wait\n")
+
+    def _schedule_timer(self) -> None:
+        """Set the timer to the next request whose deadline is before its shared call's."""
+        due = self.desk.next_due()
+        if self._timer is not None:
+            if due is not None and self._timer.when() <= due:
+                return
+            self._timer.cancel()
+        self._timer = None if due is None else self._loop.call_at(due, self._run_due)
+
+    def _run_due(self) -> None:
+        self._timer = None
+        self._carry_out(self.desk.due(self._loop.time()))
+
+    # ---- answers -----------------------------------------------------------------------------------
+
+    def _write_next_answers(self) -> None:
+        """Write pending answers, a few in each turn of the event loop."""
+        self._is_writing = True
+        try:
+            for _ in range(min(MAX_ANSWERS_PER_TURN, len(self._pending_answers))):
+                waiting, write = self._pending_answers.popleft()
+                if self._waiting.pop(waiting.number, None) is not None:  # else its caller has disconnected meanwhile
+                    self._write_answer(waiting, write)
+        finally:
+            self._is_writing = bool(self._pending_answers)
+            if self._is_writing:
+                self._loop.call_soon(self._write_next_answers)
+
+    def _write_answer(self, waiting: WaitingRequest, write: Write) -> None:
+        if self._loop.time() > waiting.context.deadline:  # Guards its deadline against a late event loop.
+            waiting.caller.answer(504, b"", b"the time is up\n")
+        else:
+            write(waiting)
--- a/tests/daemon/test_joining.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -14,7 +14,7 @@
 from grpcpeers import HTTP2, World, boxed
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, Backend, Client, soon, status
 
-from lugspur.daemon import joins
+from lugspur.daemon import request_coalescing
 from lugspur.load_balancing import Reject
 from lugspur.standins.grpc.box import Call
 from lugspur.standins.grpc.script import Script
@@ -41,10 +41,10 @@
         async with backend(lambda _: script) as one, served(pool("a", one.address, more=of_pool) + text, head) as up:
             await body(up, one)
             await until(lambda: up.in_hand() == 0)
-            desk = up.daemon.joins.desk
-            await until(lambda: not up.daemon.joins._readers)
+            desk = up.daemon.coalescer.desk
+            await until(lambda: not up.daemon.coalescer._waiting)
             assert not desk.members and not desk.flights and not desk._open and not desk.waiting and not desk.joined
-            assert not up.daemon.joins._flights and up.daemon._places.used("a") == 0
+            assert not up.daemon.coalescer._shared_calls and up.daemon._places.used("a") == 0
 
     asyncio.run(run())
 
@@ -53,10 +53,10 @@
     """A caller for each request, all of which the daemon has taken up."""
     clients = []
     for request in requests:
-        taken = up.daemon.joins._count
+        taken = up.daemon.coalescer._request_count
         clients.append(await up.client())
         clients[-1].writer.write(request)
-        await until(lambda taken=taken: up.daemon.joins._count > taken)  # type: ignore[misc]
+        await until(lambda taken=taken: up.daemon.coalescer._request_count > taken)  # type: ignore[misc]
     return clients
 
 
@@ -66,7 +66,7 @@
         writer.write(raw)
 
 
-def test_200_like_reads_are_one_call_and_each_is_answered() -> None:
+def test_200_equal_reads_are_one_call_and_each_is_answered() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(target="/h/1", X_Request_ID=f"r{n}") for n in range(200)))
         assert one.got.qsize() == 1 and up.in_hand() == 1
@@ -95,7 +95,7 @@
     play(reads(), body)
 
 
-def test_heads_are_joined_and_have_no_body() -> None:
+def test_head_requests_are_coalesced_and_have_no_body() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, ask("HEAD"), ask("HEAD"))
         reply(one, b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
@@ -106,14 +106,14 @@
     play(reads(), body)
 
 
-def test_a_short_deadline_is_kept_and_holds_nobody_else_up() -> None:
+def test_short_deadline_is_kept_and_delays_no_other_caller() -> None:
     async def body(up: Served, one: Backend) -> None:
         short, long, longest = await asking(up, ask(X_Timeout="1.5"), ask(X_Timeout="9"), ask(X_Timeout="20"))
         assert status(await short.answer()) == 504 and not one.got.empty()
         [call] = up.daemon.clusters["a"].pool.calls.values()
         assert call.deadline - asyncio.get_running_loop().time() > 9.0  # the longest has moved it...
-        [flight] = up.daemon.joins._flights.values()
-        assert flight.context.deadline == call.deadline  # ...for a pool that takes over, too
+        [shared_call] = up.daemon.coalescer._shared_calls.values()
+        assert shared_call.context.deadline == call.deadline  # ...for a pool that takes over, too
         reply(one, OK)
         assert status(await long.answer()) == status(await longest.answer()) == 200
         assert one.got.qsize() == 1
@@ -121,7 +121,7 @@
     play(reads(), body)
 
 
-def test_a_call_that_its_own_reader_gives_up_is_tried_again_for_the_others() -> None:
+def test_call_whose_first_caller_times_out_is_retried_for_the_others() -> None:
     async def run() -> None:
         async with backend(lambda _: None) as one, backend(lambda _: OK) as two:
             async with served(pool("a", one.address, two.address) + reads()) as up:
@@ -136,7 +136,7 @@
     asyncio.run(run())
 
 
-def test_when_all_time_is_up_each_is_told_so_once() -> None:
+def test_each_caller_gets_one_time_out_when_all_deadlines_pass() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(X_Timeout=f"0.{n}") for n in (4, 2, 3)))
         assert {status(await client.answer()) for client in clients} <= {503, 504}
@@ -157,7 +157,7 @@
         (NEVER_RAN, 503),
     ],
 )
-def test_a_failure_reaches_every_caller(script: bytes, expected: int) -> None:
+def test_failure_reaches_every_caller(script: bytes, expected: int) -> None:
     """A read that may run again is refused in the end, as it is where it waits alone."""
 
     async def body(up: Served, one: Backend) -> None:
@@ -182,11 +182,11 @@
     play(reads(), body, of_pool="attempts = 3")
 
 
-def test_the_reader_that_a_call_was_made_for_may_leave_and_the_last_one_ends_it() -> None:
+def test_first_caller_may_disconnect_and_the_last_one_cancels_the_call() -> None:
     async def body(up: Served, one: Backend) -> None:
         first, second = await asking(up, ask(target="/x"), ask(target="/x"))
         first.writer.transport.abort()
-        await until(lambda: len(up.daemon.joins._readers) == 1)
+        await until(lambda: len(up.daemon.coalescer._waiting) == 1)
         assert one.ended.empty()
         third, fourth = await asking(up, ask(target="/y"), ask(target="/y"))
         for client in (third, fourth):
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("mark", [{"Cache_Control": "private"}, {"Set_Cookie": "s=1"}, {"Vary": "*"}])
-def test_an_answer_for_one_caller_reaches_no_other(mark: dict[str, str]) -> None:
+def test_answer_for_one_caller_reaches_no_other(mark: dict[str, str]) -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(target="/x") for _ in range(5)))
         one.script = lambda _: answer(b"own", **mark)
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("code", ["401 Who", "403 No"])
-def test_a_word_about_the_caller_is_its_tenants_own(code: str) -> None:
+def test_status_about_the_caller_reaches_its_own_tenant_only(code: str) -> None:
     async def body(up: Served, one: Backend) -> None:
         def judge(sent: bytes) -> bytes:
             return answer(b"no", code) if fields(sent)["x-agency"] == "a" else OK
@@ -304,7 +304,7 @@
     play(TENANTS + reads(ACROSS), body, head=head)
 
 
-def test_a_tenant_that_is_turned_away_takes_no_other_along() -> None:
+def test_rejection_of_one_tenant_does_not_reach_the_others() -> None:
     async def body(up: Served, one: Backend) -> None:
         def by_agent(sent: bytes) -> bytes:
             return answer(fields(sent)["x-agency"].encode(), Vary="User-Agent")
@@ -334,7 +334,7 @@
     play(TENANTS + reads(ACROSS), body)
 
 
-def test_where_a_pool_has_no_place_left_each_tenant_is_told_so_once() -> None:
+def test_each_tenant_is_rejected_once_where_a_cluster_has_no_capacity() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(User_Agent=agent, X_Agency=name) for agent, name in ("xc", "ya", "yb")))
         up.daemon._places.fits = lambda *_: False  # type: ignore[method-assign]
@@ -346,7 +346,7 @@
     play(TENANTS + reads(ACROSS), body)
 
 
-def test_a_call_that_failed_is_not_made_again_in_other_tenants_names() -> None:
+def test_failed_call_is_not_retried_for_other_tenants() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(X_Agency=name) for name in "abc"))
         one.script = lambda _: answer(b"", "500 Oh")
@@ -385,26 +385,26 @@
     play(reads(), body, head=head)
 
 
-def test_an_answer_that_comes_too_late_for_one_is_a_time_out_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answer_that_is_too_late_for_one_caller_is_a_time_out_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
     def slow(head: bytes, rid: bytes | None) -> bytes:
         time.sleep(2.2)  # the loop is held up while answers go out
         return head
 
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(X_Timeout="2") for _ in range(2)))
-        monkeypatch.setattr(joins, "worded_for", slow)
+        monkeypatch.setattr(request_coalescing, "worded_for", slow)
         reply(one, OK)
         assert sorted([status(await client.answer()) for client in clients]) == [200, 504]
 
     play(reads(), body)
 
 
-def test_answers_go_out_a_few_in_each_turn_of_the_loop(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(joins, "AT_ONCE", 3)
+def test_a_few_answers_are_written_in_each_turn_of_the_loop(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(request_coalescing, "MAX_ANSWERS_PER_TURN", 3)
 
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask() for _ in range(20)))
-        up.daemon.joins._write_some()  # nothing is promised yet: harmless
+        up.daemon.coalescer._write_next_answers()  # nothing is promised yet: harmless
         reply(one, OK)
         clients[-1].writer.transport.abort()  # one leaves between the promise and its turn, or before
         assert {status(await client.answer()) for client in clients[:-1]} == {200}
@@ -413,7 +413,7 @@
 
 
 def test_copies_of_a_large_answer_stay_within_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(joins, "COPIES_PART", 2.5 / (1 << 8))  # of 256 MiB: two and a half MiB
+    monkeypatch.setattr(request_coalescing, "COPIES_MEMORY_SHARE", 2.5 / (1 << 8))  # of 256 MiB: two and a half MiB
 
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask() for _ in range(4)))
@@ -426,7 +426,7 @@
     play(reads(), body)
 
 
-def test_a_reload_leaves_calls_to_their_readers_and_joins_nobody_to_them() -> None:
+def test_reload_keeps_calls_for_their_callers_and_adds_nobody_to_them() -> None:
     async def body(up: Served, one: Backend) -> None:
         old = await asking(up, ask(), ask())
         text = pool("a", one.address) + reads(more='response = { set = { X-New = "1" }, remove = ["X-Old"] }')
@@ -447,7 +447,7 @@
     play(reads(), body)
 
 
-def test_a_pool_that_takes_over_answers_all() -> None:
+def test_fallback_cluster_answers_all() -> None:
     async def run() -> None:
         async with backend(lambda _: OK) as two:
             more = 'fallback = ["b"]'
@@ -455,7 +455,7 @@
                 clients = [await up.client() for _ in range(10)]
                 got = await asyncio.gather(*(client.ask(ask()) for client in clients))
                 assert {status(each) for each in got} == {200}
-                await until(lambda: up.in_hand() == 0 and not up.daemon.joins._readers)
+                await until(lambda: up.in_hand() == 0 and not up.daemon.coalescer._waiting)
 
     asyncio.run(run())
 
@@ -477,7 +477,7 @@
 
             await asyncio.gather(*(work(client, n % 3) for n, client in enumerate(clients)))
             assert sum(box.got.qsize() for box in boxes) <= 600
-            await until(lambda: not up.daemon.joins._readers)
+            await until(lambda: not up.daemon.coalescer._waiting)
 
     asyncio.run(run())
 
@@ -489,7 +489,7 @@
     async def run() -> None:
         async with boxed(work=work, text=reads(), head=HTTP2) as world:
             await body(world)
-            await until(lambda: not world.up.daemon.joins._readers and not world.up.daemon.joins._flights)
+            await until(lambda: not world.up.daemon.coalescer._waiting and not world.up.daemon.coalescer._shared_calls)
 
     asyncio.run(run())
 
@@ -508,7 +508,7 @@
         streams = [(caller, caller.begin("/read/Get")) for caller in (one, two, one, two)]
         for caller, stream in streams:
             await caller.send(stream, b"q", end=True)
-        await until(lambda: world.up.daemon.joins._count == 4)
+        await until(lambda: world.up.daemon.coalescer._request_count == 4)
         await until(lambda: world.ran() == 1)
         gate.set()
         for caller, stream in streams:
@@ -519,7 +519,7 @@
     grpc(body, work)
 
 
-def test_a_stream_of_answers_goes_to_the_caller_that_it_was_made_for() -> None:
+def test_streamed_answer_goes_to_the_caller_that_the_call_was_made_for() -> None:
     async def work(call: Call, _: Script) -> None:
         await call.message()
         for n in range(3):
@@ -539,7 +539,7 @@
     grpc(body, work)
 
 
-def test_a_stream_that_was_parted_ends_with_its_callers_own_time_and_its_leaving() -> None:
+def test_separated_stream_ends_with_its_callers_deadline_or_disconnection() -> None:
     async def work(call: Call, _: Script) -> None:
         await call.message()
         for n in range(2):
@@ -552,9 +552,9 @@
             path = f"/read/List{leaves}"
             first = one.begin(path, ("grpc-timeout", "29S" if leaves else "2S"))
             second = two.begin(path, ("grpc-timeout", "28S"))
-            taken = world.up.daemon.joins._count
+            taken = world.up.daemon.coalescer._request_count
             await one.send(first, b"q", end=True)
-            await until(lambda taken=taken: world.up.daemon.joins._count > taken)  # type: ignore[misc]
+            await until(lambda taken=taken: world.up.daemon.coalescer._request_count > taken)  # type: ignore[misc]
             await two.send(second, b"q", end=True)
             await until(lambda one=one, first=first: bool(one.answers[first].data))  # type: ignore[misc]
             if leaves:
