--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -15,8 +15,8 @@
 from lugspur.config import model
 from lugspur.config.build import Plan
 from lugspur.config.load import FileFaults, load
-from lugspur.daemon.announcers import Announcers
 from lugspur.daemon.daemon import Daemon
+from lugspur.daemon.registrations import ListenerRegistrations
 from lugspur.daemon.service import drain
 from lugspur.http1.front import BACKLOG, Front
 
@@ -34,7 +34,7 @@
     def __init__(self, path: str) -> None:
         self.path = path
         self.daemon = Daemon()
-        self.announcers = Announcers(self.daemon.registries)
+        self.registrations = ListenerRegistrations(self.daemon.registries)
         self.listeners: dict[str, Listening] = {}
         self._rows: dict[str, model.Listener] = {}
         self._leaving: set[asyncio.Task[None]] = set()
@@ -167,7 +167,7 @@
             raise
         addresses = {name: sock.getsockname()[:2] for name, sock in bound.items()}
         addresses |= {name: address for name, address in self.addresses().items() if name in kept}
-        self.announcers.retire(plan.file, addresses)
+        self.registrations.deregister_changed(plan.file, addresses)
         self.daemon.apply(plan, self.path)
         for name in self.listeners.keys() - kept:
             self._leave(name)
@@ -181,7 +181,7 @@
             self.admin.use(plan.file.management, admin_listener)
             if self.admin.is_drained:  # new listeners too
                 self.admin.drain()
-        self.announcers.apply(plan.file, addresses)
+        self.registrations.register(plan.file, addresses)
         if self.peers is not None:
             self.peers.apply(plan.file, lambda: self.daemon.clusters)
 
@@ -196,7 +196,7 @@
         """Tell registries first, finish what was taken, then let go of everything."""
         if self.peers is not None:
             self.peers.hand_over_roles()
-        await self.announcers.leave()
+        await self.registrations.deregister_all()
         if self.admin is not None:
             self.admin.close()
         for name in tuple(self.listeners):
