--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -15,15 +15,15 @@
 from lugspur.config import model
 from lugspur.config.build import Plan
 from lugspur.config.load import FileFaults, load
-from lugspur.daemon.announcers import Announcers
 from lugspur.daemon.daemon import Daemon
+from lugspur.daemon.registrations import ListenerRegistrations
 from lugspur.daemon.service import drain
 from lugspur.http1.front import BACKLOG, Front
 
 if TYPE_CHECKING:
     from lugspur.daemon.admin.action import Action
-    from lugspur.daemon.company import Company
     from lugspur.daemon.daemon_admin import DaemonAdmin
+    from lugspur.daemon.peers import Peers
 
 Listening = tuple[Front, socket.socket]
 
@@ -34,62 +34,62 @@
     def __init__(self, path: str) -> None:
         self.path = path
         self.daemon = Daemon()
-        self.announcers = Announcers(self.daemon.registries)
+        self.registrations = ListenerRegistrations(self.daemon.registries)
         self.listeners: dict[str, Listening] = {}
         self._rows: dict[str, model.Listener] = {}
         self._leaving: set[asyncio.Task[None]] = set()
         self._reloading: asyncio.Task[None] | None = None
         self._again = False
         self.admin: DaemonAdmin | None = None
-        self.company: Company | None = None
+        self.peers: Peers | None = None
 
     async def start(self, plan: Plan) -> None:
         """Begin; raises OSError, with the listener's name, where an address can't be had."""
         row = plan.file.state
         if row.folder:
             # Imported only here: a daemon that keeps nothing has no use for it.
-            from lugspur.daemon.remembering import Remembering
+            from lugspur.daemon.state_persistence import StatePersistence
 
-            self.daemon.remembering = Remembering(row.folder, row.every, self.path)
-            await self.daemon.remembering.open()
+            self.daemon.state_persistence = StatePersistence(row.folder, row.every, self.path)
+            await self.daemon.state_persistence.open()
         try:
             if plan.file.fleet.name:
                 # Imported only here: a daemon that is alone has no use for it.
-                from lugspur.daemon.company import Company
+                from lugspur.daemon.peers import Peers
 
-                company = Company(plan.file.fleet, plan.file.daemon.zone, self.path, _say_fleet)
-                company.open()
-                self.company = company
+                peers = Peers(plan.file.fleet, plan.file.daemon.zone, self.path, _say_fleet)
+                peers.open()
+                self.peers = peers
             await self._apply(plan)
         except BaseException:
-            if self.company is not None:
-                self.company.leave()
-            if self.daemon.remembering is not None:
-                await self.daemon.remembering.close()
+            if self.peers is not None:
+                self.peers.close()
+            if self.daemon.state_persistence is not None:
+                await self.daemon.state_persistence.close()
             raise
-        if self.daemon.remembering is not None:
-            self.daemon.remembering.begin(lambda: self.daemon.clusters)
+        if self.daemon.state_persistence is not None:
+            self.daemon.state_persistence.start_writing(lambda: self.daemon.clusters)
 
     def _fleet_actions(self) -> dict[tuple[str, str], Action]:
-        company = self.company
-        if company is None:
+        peers = self.peers
+        if peers is None:
             return {}
         from lugspur.daemon.admin.action import ActionResult
 
         return {
-            ("GET", "/fleet/members"): lambda _: ActionResult(200, company.members()),
-            ("GET", "/fleet/view"): lambda _: ActionResult(200, company.view()),
-            ("GET", "/fleet/duties"): lambda _: ActionResult(200, company.duties()),
-            ("POST", "/fleet/may"): lambda body: ActionResult(*company.ask(body)),
+            ("GET", "/fleet/members"): lambda _: ActionResult(200, peers.members_json()),
+            ("GET", "/fleet/view"): lambda _: ActionResult(200, peers.summary_json()),
+            ("GET", "/fleet/duties"): lambda _: ActionResult(200, peers.roles_json()),
+            ("POST", "/fleet/may"): lambda body: ActionResult(*peers.check_role(body)),
         }
 
     def _on_drain(self, on: bool) -> None:
         """Who sends its callers away holds no duties either."""
-        if self.company is not None:
+        if self.peers is not None:
             if on:
-                self.company.hand_on()
+                self.peers.hand_over_roles()
             else:
-                self.company.take_up()
+                self.peers.reclaim_roles()
 
     def addresses(self) -> dict[str, tuple[str, int]]:
         """Where each listener can be reached."""
@@ -167,7 +167,7 @@
             raise
         addresses = {name: sock.getsockname()[:2] for name, sock in bound.items()}
         addresses |= {name: address for name, address in self.addresses().items() if name in kept}
-        self.announcers.retire(plan.file, addresses)
+        self.registrations.deregister_changed(plan.file, addresses)
         self.daemon.apply(plan, self.path)
         for name in self.listeners.keys() - kept:
             self._leave(name)
@@ -181,9 +181,9 @@
             self.admin.use(plan.file.management, admin_listener)
             if self.admin.is_drained:  # new listeners too
                 self.admin.drain()
-        self.announcers.apply(plan.file, addresses)
-        if self.company is not None:
-            self.company.apply(plan.file, lambda: self.daemon.clusters)
+        self.registrations.register(plan.file, addresses)
+        if self.peers is not None:
+            self.peers.apply(plan.file, lambda: self.daemon.clusters)
 
     def _leave(self, name: str) -> None:
         task = asyncio.get_running_loop().create_task(drain(*self.listeners.pop(name)))
@@ -194,22 +194,22 @@
 
     async def stop(self) -> None:
         """Tell registries first, finish what was taken, then let go of everything."""
-        if self.company is not None:
-            self.company.hand_on()
-        await self.announcers.leave()
+        if self.peers is not None:
+            self.peers.hand_over_roles()
+        await self.registrations.deregister_all()
         if self.admin is not None:
             self.admin.close()
         for name in tuple(self.listeners):
             self._leave(name)
         await asyncio.gather(*self._leaving)
-        if self.daemon.remembering is not None:
-            await self.daemon.remembering.close()
+        if self.daemon.state_persistence is not None:
+            await self.daemon.state_persistence.close()
         for cluster in self.daemon.clusters.values():
             cluster.close()
         self.daemon.close()
         await self.daemon.registries.close()
-        if self.company is not None:
-            self.company.leave()
+        if self.peers is not None:
+            self.peers.close()
 
 
 def _terms(row: model.Listener) -> model.Listener:
