--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -1,4 +1,4 @@
-"""A proxy's reservations of idempotency keys at the voters (see `lugspur.mesh.dataplane.interfaces.Keys`)."""
+"""Reservations of idempotency keys at the voters, see `lugspur.mesh.dataplane.interfaces.KeyReservations`."""
 
 from __future__ import annotations
 
