--- a/lugspur/guard/__init__.py
+++ b/lugspur/guard/__init__.py
@@ -1,1 +1,1 @@
-"""What may still come in when the proxy itself is short of CPU or memory. No I/O."""
+"""Load shedding: which requests are admitted while the proxy itself is short of CPU or memory. No I/O."""
--- a/tests/guard/test_limiter.py
+++ b/tests/guard/test_limiter.py
@@ -1,4 +1,4 @@
-"""The guard's decisions on a core in virtual time: no sockets, no sleeps."""
+"""Decisions of the load-shedding limiter on a simulated core in virtual time: no sockets, no sleeps."""
 
 from __future__ import annotations
 
@@ -11,90 +11,97 @@
 from squeezed import Core
 
 from lugspur.guard.limiter import (
-    CUT_MOST,
-    FIRST,
-    GROWTH,
-    LEAST,
-    PLACES,
+    CALLER_BUCKETS,
+    FIRST_CUT_SECONDS,
+    LOG_INTERVAL_SECONDS,
+    MAX_CUT,
+    MAX_GROWTH,
+    MIN_LIMIT,
     REST,
     REST_MOST,
-    SAY_EVERY,
     WINDOW,
     Limiter,
     Sample,
-    fill,
+    fair_share,
 )
 
-CAN = 400.0
+CAPACITY = 400.0
 
 
 def steady(_: float) -> float:
-    return CAN
+    return CAPACITY
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_at_nine_tenths_of_what_the_core_can_do_nobody_is_turned_away(seed: int) -> None:
+def test_no_request_is_rejected_at_nine_tenths_of_the_capacity(seed: int) -> None:
     core = Core(steady, seed=seed)
-    core.play(20.0, 0.9 * CAN)
-    assert not core.turned and core.limiter.limit == inf
+    core.run(20.0, 0.9 * CAPACITY)
+    assert not core.rejected_at and core.limiter.limit == inf
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_stops_of_the_process_at_half_load_turn_nobody_away(seed: int) -> None:
-    core = Core(lambda now: 0.0 if now % 2.0 < 0.32 else CAN, seed=seed)
-    core.play(12.0, 0.5 * CAN)
-    assert not core.turned
+def test_pauses_of_the_process_at_half_load_reject_no_request(seed: int) -> None:
+    core = Core(lambda now: 0.0 if now % 2.0 < 0.32 else CAPACITY, seed=seed)
+    core.run(12.0, 0.5 * CAPACITY)
+    assert not core.rejected_at
 
 
 @pytest.mark.parametrize("load", [1.5, 2.0, 3.0])
 @pytest.mark.parametrize("seed", range(2))
-def test_over_what_it_can_do_the_dearest_are_served_and_the_wait_stays_short(load: float, seed: int) -> None:
+def test_under_overload_the_most_valuable_class_is_served_and_waits_stay_short(load: float, seed: int) -> None:
     core = Core(steady, seed=seed)
-    core.play(3.0, load * CAN)
-    core.let_in.clear()
-    core.came.clear()
-    core.play(5.0, load * CAN)
-    assert core.let_in[0] >= 0.97 * core.came[0]
-    assert core.let_in[2] < 0.6 * core.came[2]
+    core.run(3.0, load * CAPACITY)
+    core.admitted.clear()
+    core.arrived.clear()
+    core.run(5.0, load * CAPACITY)
+    assert core.admitted[0] >= 0.97 * core.arrived[0]
+    assert core.admitted[2] < 0.6 * core.arrived[2]
     late = sorted(wait for at, wait in core.waits if at >= 3.0)
     assert late[len(late) // 2] < 0.05 and late[-1] < 0.41
-    assert sum(core.let_in.values()) > 0.5 * (CAN - 0.2 * len([at for at in core.turned if at >= 3.0]) / 5.0) * 5.0
+    assert (
+        sum(core.admitted.values())
+        > 0.5 * (CAPACITY - 0.2 * len([at for at in core.rejected_at if at >= 3.0]) / 5.0) * 5.0
+    )
 
 
 @pytest.mark.parametrize("load", [2.0, 4.0])
-def test_the_limit_settles_and_does_not_swing(load: float) -> None:
+def test_limit_converges_and_does_not_oscillate(load: float) -> None:
     core = Core(steady)
-    core.play(8.0, load * CAN)
+    core.run(8.0, load * CAPACITY)
     limits = core.since(4.0)
     assert max(limits) < inf and max(limits) <= 2.0 * min(limits)
 
 
-@pytest.mark.parametrize("squeezed_to", [0.25, 0.4])
-def test_two_seconds_after_relief_nobody_is_turned_away(squeezed_to: float) -> None:
-    core = Core(lambda now: CAN * squeezed_to if now < 4.0 else CAN)
-    core.play(4.0, 0.8 * CAN)
-    assert core.turned
-    core.play(4.0, 0.8 * CAN)
-    assert max(core.turned) < 6.0 and core.limiter.limit == inf
+@pytest.mark.parametrize("capacity_fraction", [0.25, 0.4])
+def test_no_request_is_rejected_two_seconds_after_capacity_returns(capacity_fraction: float) -> None:
+    core = Core(lambda now: CAPACITY * capacity_fraction if now < 4.0 else CAPACITY)
+    core.run(4.0, 0.8 * CAPACITY)
+    assert core.rejected_at
+    core.run(4.0, 0.8 * CAPACITY)
+    assert max(core.rejected_at) < 6.0 and core.limiter.limit == inf
 
 
-def test_the_cheapest_go_first_and_one_caller_with_half_the_load_takes_no_other_along() -> None:
-    core = Core(steady, mix=((3.0, 0.2), (1.0, 0.8)))
-    turned: list[int] = []
+def test_least_valuable_class_is_rejected_first_and_mostly_the_caller_with_half_the_load() -> None:
+    core = Core(steady, classes=((3.0, 0.2), (1.0, 0.8)))
+    rejected_callers: list[int] = []
     admits = core.limiter.admits
 
-    def noted(kind: int, who: int, cost: float, wait: float, newcomer: bool = False) -> bool:
-        let_in = admits(kind, who, cost, wait, newcomer)
-        if core.now > 4.0 and not let_in:
-            turned.append(who if kind else -1)
-        return let_in
+    def record(class_index: int, caller: int, cost: float, wait: float, is_new_connection: bool = False) -> bool:
+        admitted = admits(class_index, caller, cost, wait, is_new_connection)
+        if core.now > 4.0 and not admitted:
+            rejected_callers.append(caller if class_index else -1)
+        return admitted
 
-    core.limiter.admits = noted  # type: ignore[method-assign]
-    core.play(8.0, 1.2 * CAN, lambda rng: 0 if rng.random() < 0.5 else 1 + rng.randrange(30))
-    assert len(turned) > 100 and turned.count(0) > 0.7 * len(turned) and turned.count(-1) < 0.02 * len(turned)
+    core.limiter.admits = record  # type: ignore[method-assign]
+    core.run(8.0, 1.2 * CAPACITY, lambda rng: 0 if rng.random() < 0.5 else 1 + rng.randrange(30))
+    assert (
+        len(rejected_callers) > 100
+        and rejected_callers.count(0) > 0.7 * len(rejected_callers)
+        and rejected_callers.count(-1) < 0.02 * len(rejected_callers)
+    )
 
 
-def test_memory_that_runs_out_lets_in_less_though_nobody_waits() -> None:
+def test_high_memory_use_lowers_the_limit_though_no_request_waits() -> None:
     limiter = Limiter([1.0], 0.0)
     now = 0.0
     for step in range(40):
@@ -110,7 +117,7 @@
     assert limiter.limit == inf
 
 
-def test_no_cut_before_it_has_lasted_and_none_for_what_is_over() -> None:
+def test_no_cut_before_the_wait_has_lasted_and_none_for_bursts_that_are_over() -> None:
     limiter = Limiter([1.0], 0.0)
     now = 0.0
     for wait in (0.3, 0.2, 0.1, 0.001) * 5:
@@ -118,32 +125,32 @@
         limiter.admits(0, 1, 1.0, wait)
         limiter.sample(now, Sample(lag=wait))
     assert limiter.limit == inf
-    for _ in range(int(FIRST / WINDOW) + 2):
+    for _ in range(int(FIRST_CUT_SECONDS / WINDOW) + 2):
         now += WINDOW
         limiter.admits(0, 1, 1.0, 0.1)
         limiter.sample(now, Sample())
     assert limiter.limit < inf
 
 
-def test_newcomers_that_wait_to_be_accepted_count_though_all_others_are_served_at_once() -> None:
+def test_waits_of_new_connections_count_though_all_other_requests_are_served_at_once() -> None:
     limiter = Limiter([1.0], 0.0)
     now = 0.0
     for at in range(20):
         now += WINDOW
         limiter.admits(0, 1, 1.0, 0.0)
         if at % 3 == 0:  # not in every window
-            limiter.admits(0, 2, 1.0, 0.5, newcomer=True)
+            limiter.admits(0, 2, 1.0, 0.5, is_new_connection=True)
         limiter.sample(now, Sample())
     assert limiter.limit < inf
 
 
-def test_a_caller_that_was_turned_away_is_heard_later_the_more_so_where_its_like_is_turned_away_whole() -> None:
+def test_reading_from_a_rejected_caller_pauses_longer_where_its_whole_class_is_rejected() -> None:
     core = Core(steady)
-    core.play(4.0, 3.0 * CAN)
+    core.run(4.0, 3.0 * CAPACITY)
     assert core.limiter.rest(2) == REST_MOST and core.limiter.rest(0) == REST
 
 
-def test_one_line_a_second_at_most_says_what_changes_and_why() -> None:
+def test_changes_are_logged_with_their_reason_at_most_once_a_second() -> None:
     limiter = Limiter([20.0, 1.0], 0.0)
     limiter.adopt([20.0, 1.0], ["booking-new", "rate-push"])
     lines, now = [], 0.0
@@ -154,17 +161,21 @@
         line = limiter.sample(now, Sample(starved=0.6, memory=0.87))
         if line:
             lines.append((now, line))
-    assert lines[0][1].startswith(("turned away: rate-push", "let in in part: rate-push")), lines[0]
-    assert "requests wait 84 ms, 60% of the CPU time that it wanted it did not get, memory at 87%" in lines[0][1]
-    assert all(b[0] - a[0] >= SAY_EVERY for a, b in pairwise(lines))
+    assert lines[0][1].startswith(("rejected: rate-push", "rejected in part: rate-push")), lines[0]
+    assert "requests wait 84 ms, the process lacked the CPU for 60% of the time, memory at 87%" in lines[0][1]
+    assert all(b[0] - a[0] >= LOG_INTERVAL_SECONDS for a, b in pairwise(lines))
 
 
-def test_another_file_keeps_what_is_known_of_its_worths() -> None:
+def test_changed_classes_keep_the_state_of_values_that_stay() -> None:
     core = Core(steady)
-    core.play(4.0, 3.0 * CAN)
+    core.run(4.0, 3.0 * CAPACITY)
     core.limiter.adopt([1.0, 20.0, 5.0], ["push", "book", "new"])
-    assert core.limiter.limit < inf and not any(core.limiter._of[0].share) and all(core.limiter._of[1].share)
-    assert len(core.limiter._levels) == 3 and "push" in core.limiter.standing()
+    assert (
+        core.limiter.limit < inf
+        and not any(core.limiter._class_levels[0].share)
+        and all(core.limiter._class_levels[1].share)
+    )
+    assert len(core.limiter._levels) == 3 and "push" in core.limiter.describe()
 
 
 @settings(max_examples=60, deadline=None)
@@ -172,8 +183,8 @@
     st.lists(st.tuples(st.floats(0.0, 1.0), st.floats(0.0, 2.0), st.integers(0, 40)), min_size=1, max_size=60),
     st.floats(0.0, 1.0),
 )
-def test_whatever_is_felt_changes_stay_bounded(steps: list[tuple[float, float, int]], memory: float) -> None:
-    """A clock that leaps, waits of any length, bursts: the limit moves by a bounded part, and shares are parts."""
+def test_limit_changes_stay_bounded_for_any_input(steps: list[tuple[float, float, int]], memory: float) -> None:
+    """With clock jumps, waits of any length and bursts, the limit changes by a bounded part; shares are in [0, 1]."""
     limiter = Limiter([3.0, 1.0], 0.0)
     now = 0.0
     for span, wait, count in steps:
@@ -182,17 +193,17 @@
             limiter.admits(who % 2, who, 1.0, wait, who % 5 == 0)
         before = limiter.limit
         limiter.sample(now, Sample(memory=memory))
-        assert limiter.limit >= LEAST
+        assert limiter.limit >= MIN_LIMIT
         if before < inf and limiter.limit < inf:
-            assert limiter.limit <= max(before * (1.0 + GROWTH), LEAST, limiter._did) + 1e-6
-            assert limiter.limit >= min(before * (1.0 - CUT_MOST) ** 2, before) - 1e-6
+            assert limiter.limit <= max(before * (1.0 + MAX_GROWTH), MIN_LIMIT, limiter._work_done) + 1e-6
+            assert limiter.limit >= min(before * (1.0 - MAX_CUT) ** 2, before) - 1e-6
         for level in limiter._levels:
-            assert len(level.share) == PLACES and all(0.0 <= share <= 1.0 for share in level.share)
+            assert len(level.share) == CALLER_BUCKETS and all(0.0 <= share <= 1.0 for share in level.share)
 
 
 @given(st.lists(st.floats(0.0, 1e6), max_size=20), st.floats(0.0, 1e6))
-def test_who_wants_less_than_the_others_gets_it_all(wanted: list[float], total: float) -> None:
-    each = fill(wanted, total)
+def test_fair_share_gives_small_demands_in_full(wanted: list[float], total: float) -> None:
+    each = fair_share(wanted, total)
     given_ = [min(want, each) for want in wanted]
     assert sum(given_) <= total * (1 + 1e-9) + 1e-6 or sum(wanted) <= total
     if sum(wanted) > total:
