--- a/tests/guard/test_limiter.py
+++ b/tests/guard/test_limiter.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from squeezed import Core
+from simulated_core import Core
 
 from lugspur.guard.limiter import (
     CALLER_BUCKETS,
