--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -109,7 +109,7 @@
 
 
 def test_bytes_of_a_paused_caller_keep_their_arrival_time_and_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limiter, "REST_MOST", 3.0)  # on a slow machine what is sent meanwhile comes later
+    monkeypatch.setattr(limiter, "MAX_READ_PAUSE_SECONDS", 3.0)  # on a slow machine what is sent meanwhile comes later
 
     async def body(up: Served, one: Backend) -> None:
         turn_away(up, cheap=True)
@@ -132,7 +132,7 @@
 
 
 def test_no_bytes_of_a_paused_caller_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limiter, "REST_MOST", 3.0)  # on a slow machine what is sent meanwhile comes later
+    monkeypatch.setattr(limiter, "MAX_READ_PAUSE_SECONDS", 3.0)  # on a slow machine what is sent meanwhile comes later
 
     async def body(up: Served, one: Backend) -> None:
         turn_away(up, cheap=True)
