--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -36,7 +36,7 @@
 MEMORY_FULL = 0.9  # part of the memory limit that leads to a cut, as too long a wait does
 MEMORY_CALM = 0.85  # part of the memory limit under which the limit may rise again
 CALLER_BUCKETS = 64  # callers are told apart by hash bucket; those in the same bucket share its part
-REST = 0.1  # in which nothing is read from a rejected caller whose level is rejected in part
+READ_PAUSE_SECONDS = 0.1  # in which nothing is read from a rejected caller whose level is rejected in part
 MAX_READ_PAUSE_SECONDS = 0.5  # the same where the whole level is rejected
 LOG_INTERVAL_SECONDS = 1.0  # between two lines in the log
 
@@ -133,7 +133,7 @@
 
     def rest(self, class_index: int) -> float:
         """Return the seconds for which to read nothing from a caller whose request of that class was rejected."""
-        return REST if any(self._class_levels[class_index].share) else MAX_READ_PAUSE_SECONDS
+        return READ_PAUSE_SECONDS if any(self._class_levels[class_index].share) else MAX_READ_PAUSE_SECONDS
 
     # ---- samples -------------------------------------------------------------------------------
 
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -17,7 +17,7 @@
 from lugspur.daemon import load_signals
 from lugspur.daemon.load_signals import LoadSignals, TimedEventLoop, TimedSelector
 from lugspur.guard import limiter
-from lugspur.guard.limiter import REST, WINDOW, Limiter, Sample
+from lugspur.guard.limiter import READ_PAUSE_SECONDS, WINDOW, Limiter, Sample
 
 GUARDED = HEAD.replace("[classes.read]", "[guard]\non = true\n[classes.cheap]\nworth = 0.1\n[classes.read]")
 ROUTES = (
@@ -97,7 +97,7 @@
         begun = loop.time()
         for _ in range(3):
             await client.ask(ask(target="/cheap"))
-        assert loop.time() - begun >= 2.0 * REST and protection.limiter.turned == 3
+        assert loop.time() - begun >= 2.0 * READ_PAUSE_SECONDS and protection.limiter.turned == 3
         await client.ask(ask(target="/cheap"))
         client.writer.transport.abort()  # gone while it is not heard: no harm
         front = up.running.listeners["main"][0]
