--- a/lugspur/bench/guard.py
+++ b/lugspur/bench/guard.py
@@ -325,7 +325,7 @@
 from lugspur.__main__ import main
 from lugspur.guard.limiter import Limiter
 Limiter.admits = lambda *_: False
-Limiter.rest = lambda *_: 0.0
+Limiter.read_pause_seconds = lambda *_: 0.0
 sys.argv = ["lugspur", "run", sys.argv[1]]
 main()
 """
--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -131,7 +131,7 @@
         self._admitted_work += cost
         return True
 
-    def rest(self, class_index: int) -> float:
+    def read_pause_seconds(self, class_index: int) -> float:
         """Return the seconds for which to read nothing from a caller whose request of that class was rejected."""
         return READ_PAUSE_SECONDS if any(self._class_levels[class_index].share) else MAX_READ_PAUSE_SECONDS
 
--- a/tests/guard/test_limiter.py
+++ b/tests/guard/test_limiter.py
@@ -147,7 +147,10 @@
 def test_reading_from_a_rejected_caller_pauses_longer_where_its_whole_class_is_rejected() -> None:
     core = Core(steady)
     core.run(4.0, 3.0 * CAPACITY)
-    assert core.limiter.rest(2) == MAX_READ_PAUSE_SECONDS and core.limiter.rest(0) == READ_PAUSE_SECONDS
+    assert (
+        core.limiter.read_pause_seconds(2) == MAX_READ_PAUSE_SECONDS
+        and core.limiter.read_pause_seconds(0) == READ_PAUSE_SECONDS
+    )
 
 
 def test_changes_are_logged_with_their_reason_at_most_once_a_second() -> None:
