--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -28,7 +28,7 @@
     def change_classes(self, classes: Sequence[RequestClass], memory_limit_bytes: int) -> None:
         """Put the classes and the memory limit of a reloaded file into force."""
         self.signals.memory_limit_bytes = memory_limit_bytes
-        self.limiter.adopt([row.value for row in classes], [row.name for row in classes])
+        self.limiter.change_classes([row.value for row in classes], [row.name for row in classes])
 
     def admits(self, class_index: int, caller: str, body_bytes: int) -> bool:
         """Return whether a request of that class and caller, with a body of that size, is admitted."""
--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -82,9 +82,9 @@
         self._levels: list[_Level] = []
         self._class_levels: list[_Level] = []
         self._names: list[str] = []
-        self.adopt(worths, [str(index) for index in range(len(worths))])
+        self.change_classes(worths, [str(index) for index in range(len(worths))])
 
-    def adopt(self, worths: Sequence[float], names: Sequence[str]) -> None:
+    def change_classes(self, worths: Sequence[float], names: Sequence[str]) -> None:
         """Continue with other classes; the state of levels whose value stays is kept."""
         known = {level.worth: level for level in self._levels}
         for worth in set(worths) - known.keys():
--- a/tests/guard/test_limiter.py
+++ b/tests/guard/test_limiter.py
@@ -155,7 +155,7 @@
 
 def test_changes_are_logged_with_their_reason_at_most_once_a_second() -> None:
     limiter = Limiter([20.0, 1.0], 0.0)
-    limiter.adopt([20.0, 1.0], ["booking-new", "rate-push"])
+    limiter.change_classes([20.0, 1.0], ["booking-new", "rate-push"])
     lines, now = [], 0.0
     for _ in range(200):
         now += WINDOW
@@ -172,7 +172,7 @@
 def test_changed_classes_keep_the_state_of_values_that_stay() -> None:
     core = Core(steady)
     core.run(4.0, 3.0 * CAPACITY)
-    core.limiter.adopt([1.0, 20.0, 5.0], ["push", "book", "new"])
+    core.limiter.change_classes([1.0, 20.0, 5.0], ["push", "book", "new"])
     assert (
         core.limiter.limit < inf
         and not any(core.limiter._class_levels[0].share)
