--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -77,7 +77,7 @@
         # Both of the latest window with new connections.
         self._accept_wait, self._accept_wait_at = 0.0, -inf
         self._logged_at, self._logged = -inf, "all requests are admitted"
-        self.turned = 0  # requests rejected so far
+        self.rejected_count = 0  # requests rejected so far
         self._reset_window()
         self._levels: list[_Level] = []
         self._class_levels: list[_Level] = []
@@ -125,7 +125,7 @@
             credit = level.credit[bucket] + share
             level.credit[bucket] = credit - 1.0 if credit >= 1.0 else credit
             if credit < 1.0:
-                self.turned += 1
+                self.rejected_count += 1
                 self._rejection_work += REJECTION_COST
                 return False
         self._admitted_work += cost
@@ -251,7 +251,7 @@
             reasons.append(f"the process lacked the CPU for {state.starved:.0%} of the time")
         if state.memory >= MEMORY_CALM:
             reasons.append(f"memory at {state.memory:.0%} of its limit")
-        return f"{decision}: {', '.join(reasons)}; {self.turned} requests rejected so far"
+        return f"{decision}: {', '.join(reasons)}; {self.rejected_count} requests rejected so far"
 
     def describe(self) -> str:
         """Return which classes are rejected, and which of them in part."""
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -97,7 +97,7 @@
         begun = loop.time()
         for _ in range(3):
             await client.ask(ask(target="/cheap"))
-        assert loop.time() - begun >= 2.0 * READ_PAUSE_SECONDS and protection.limiter.turned == 3
+        assert loop.time() - begun >= 2.0 * READ_PAUSE_SECONDS and protection.limiter.rejected_count == 3
         await client.ask(ask(target="/cheap"))
         client.writer.transport.abort()  # gone while it is not heard: no harm
         front = up.running.listeners["main"][0]
--- a/tests/guard/test_limiter.py
+++ b/tests/guard/test_limiter.py
@@ -110,7 +110,7 @@
         now += WINDOW
         limiter.sample(now, Sample(memory=0.91 if step < 20 else 0.5))
         if step == 19:
-            assert limiter.limit < 200.0 and limiter.turned
+            assert limiter.limit < 200.0 and limiter.rejected_count
     for _ in range(40):
         now += WINDOW
         limiter.sample(now, Sample(memory=0.5))
