--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -64,9 +64,9 @@
 
 
 class Limiter:
-    """The admission limit of one proxy. `worths` has the value of a response of each class, by class index."""
+    """The admission limit of one proxy. `values` has the value of a response of each class, by class index."""
 
-    def __init__(self, worths: Sequence[float], now: float) -> None:
+    def __init__(self, values: Sequence[float], now: float) -> None:
         self.limit = inf  # units of work a second
         self._sampled_at = now
         self._fits_since: float | None = None
@@ -82,12 +82,12 @@
         self._levels: list[_Level] = []
         self._class_levels: list[_Level] = []
         self._names: list[str] = []
-        self.change_classes(worths, [str(index) for index in range(len(worths))])
+        self.change_classes(values, [str(index) for index in range(len(values))])
 
-    def change_classes(self, worths: Sequence[float], names: Sequence[str]) -> None:
+    def change_classes(self, values: Sequence[float], names: Sequence[str]) -> None:
         """Continue with other classes; the state of levels whose value stays is kept."""
         known = {level.worth: level for level in self._levels}
-        for worth in set(worths) - known.keys():
+        for worth in set(values) - known.keys():
             known[worth] = _Level(
                 worth,
                 [0.0] * CALLER_BUCKETS,
@@ -96,8 +96,8 @@
                 [1.0] * CALLER_BUCKETS,
                 [0.0] * CALLER_BUCKETS,
             )
-        self._levels = sorted((known[worth] for worth in set(worths)), key=lambda level: -level.worth)
-        self._class_levels = [known[worth] for worth in worths]
+        self._levels = sorted((known[worth] for worth in set(values)), key=lambda level: -level.worth)
+        self._class_levels = [known[worth] for worth in values]
         self._names = list(names)
 
     def _reset_window(self) -> None:
