--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -55,7 +55,7 @@
 class _Level:
     """All classes of the same value. Lists are indexed by caller bucket; work is in units of an admitted request."""
 
-    worth: float
+    value: float
     window_work: list[float]  # work that arrived in this window
     offered: list[float]  # work a second, smoothed
     total: float  # work a second of all buckets, which follows a rise faster than `offered`
@@ -86,18 +86,18 @@
 
     def change_classes(self, values: Sequence[float], names: Sequence[str]) -> None:
         """Continue with other classes; the state of levels whose value stays is kept."""
-        known = {level.worth: level for level in self._levels}
-        for worth in set(values) - known.keys():
-            known[worth] = _Level(
-                worth,
+        known = {level.value: level for level in self._levels}
+        for value in set(values) - known.keys():
+            known[value] = _Level(
+                value,
                 [0.0] * CALLER_BUCKETS,
                 [0.0] * CALLER_BUCKETS,
                 0.0,
                 [1.0] * CALLER_BUCKETS,
                 [0.0] * CALLER_BUCKETS,
             )
-        self._levels = sorted((known[worth] for worth in set(values)), key=lambda level: -level.worth)
-        self._class_levels = [known[worth] for worth in values]
+        self._levels = sorted((known[value] for value in set(values)), key=lambda level: -level.value)
+        self._class_levels = [known[value] for value in values]
         self._names = list(names)
 
     def _reset_window(self) -> None:
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -49,7 +49,7 @@
     protection.close()  # no sample comes between
     protection.signals._next_sample_at = float("inf")
     for level in protection.limiter._levels:
-        if not cheap or level.worth < 1.0:
+        if not cheap or level.value < 1.0:
             level.share = [0.0] * len(level.share)
 
 
@@ -66,7 +66,7 @@
         await up.reload(text, GUARDED.replace("worth = 0.1", "worth = 0.2"))
         assert (
             up.daemon.overload_protection is protection
-            and min(level.worth for level in protection.limiter._levels) == 0.2
+            and min(level.value for level in protection.limiter._levels) == 0.2
         )
         await up.reload(text, GUARDED.replace("on = true", "on = false"))
         assert up.daemon.overload_protection is None and status(await client.ask(ask())) == 200
--- a/tests/guard/simulated_core.py
+++ b/tests/guard/simulated_core.py
@@ -30,7 +30,7 @@
     rejected_at: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.limiter = Limiter([worth for worth, _ in self.classes], 0.0)
+        self.limiter = Limiter([value for value, _ in self.classes], 0.0)
         self._rng = Random(self.seed)
         self._queue: deque[tuple[float, int, int]] = deque()
         self._work_credit = 0.0  # work that may be done now
