--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -74,10 +74,10 @@
         self._waits: deque[tuple[float, float]] = deque()
         self._last_cut_at = now
         self._work_done = 0.0  # work a second, smoothed
-        # Both of the latest window with new connections.
+        # The least wait of new connections in the latest window that had any, and when that window ended.
         self._accept_wait, self._accept_wait_at = 0.0, -inf
         self._logged_at, self._logged = -inf, "all requests are admitted"
-        self.rejected_count = 0  # requests rejected so far
+        self.rejected_count = 0
         self._reset_window()
         self._levels: list[_Level] = []
         self._class_levels: list[_Level] = []
--- a/lugspur/routing/__init__.py
+++ b/lugspur/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where a request goes, sans I/O: routes, splits, fallbacks and shares; no sockets and no clock."""
+"""Request routing without I/O: routes, weighted splits, fallbacks and shared limits; no sockets and no clock."""
--- a/lugspur/routing/conflicts.py
+++ b/lugspur/routing/conflicts.py
@@ -1,4 +1,4 @@
-"""Routes that some request meets both of, with nothing to say which one takes it."""
+"""Conflicts: pairs of routes that can match the same request with equal precedence."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def conflicts(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
-    """Each pair of equal precedence that one request can meet."""
+    """Yield each pair of routes of equal precedence that can match the same request."""
     groups: dict[object, Group] = {}
     for route in routes:
         for host in route.hosts:
@@ -27,7 +27,7 @@
 
 
 def overlap(one: Route, two: Route) -> bool:
-    """Whether a request of a host and path that fit both can meet the rest of both."""
+    """Return whether a request whose host and path match both routes can match both in everything else."""
     if one.methods and two.methods and not one.methods & two.methods:
         return False
     return not (_excluded(one.headers, two.headers) or _excluded(one.query, two.query))
@@ -38,10 +38,10 @@
 
 
 def _pairs(group: Group) -> Iterator[tuple[Route, Route]]:
-    """Pairs that may overlap.
+    """Yield the pairs that may overlap.
 
-    Guards `check` against thousands of routes of one path that differ by a header's value: comparing each
-    with each would take minutes. Those with different values of the commonest exact header never overlap.
+    Guards `check` against thousands of routes of one path that differ by a header's value: comparing all
+    pairs would take minutes. Routes with different values of the most common exact header never overlap.
     """
     names = Counter(c.name for route in group for c in route.headers if c.test is Test.EXACT)
     if len(group) < 8 or not names:
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -1,4 +1,4 @@
-"""What a route is: conditions, and what becomes of a request that meets them."""
+"""Data model of routes: their conditions, and the action for a request that matches."""
 
 from __future__ import annotations
 
@@ -12,39 +12,42 @@
 ANY_HOST = "*"
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*")
 HOST = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]|\*")
-LITERAL, VARIABLE, END, REST = range(4)  # a pattern's parts, the more special before the less
+LITERAL, VARIABLE, END, REST = range(4)  # kinds of segments of a pattern, the more specific first
 
 
 class PatternError(ValueError):
-    """A path pattern or template that makes no sense; its text tells what to write."""
+    """A path pattern or template is invalid; the message says what to write."""
 
 
 @dataclass(slots=True, frozen=True)
 class Pattern:
-    """A path pattern: literal parts, `{name}` for any one part, `*` at the end for any number of them."""
+    """A path pattern: literal segments, `{name}` for any one segment, `*` at the end for any number of them."""
 
     text: str
-    parts: tuple[str | None, ...]  # None: any one part
-    names: tuple[str, ...]  # of the parts that are None
-    rest: bool  # whether more may follow
+    parts: tuple[str | None, ...]  # segments; None stands for any one segment
+    names: tuple[str, ...]  # names of the variables, one for each None in `parts`
+    rest: bool  # whether the pattern ends in `*`, so that further segments may follow
 
     @property
     def rank(self) -> tuple[int, ...]:
-        """Its precedence, part by part: the lower one is the more special."""
+        """Return the precedence, segment by segment; a lower rank is more specific."""
         kinds = [VARIABLE if part is None else LITERAL for part in self.parts]
         return (*kinds, REST if self.rest else END)
 
     def matches(self, segments: tuple[str, ...]) -> bool:
-        """Whether a path's parts fit; a variable stands for one part that is not empty."""
+        """Return whether the segments of a path match; a variable matches one segment that is not empty."""
         if len(segments) < len(self.parts) or (len(segments) > len(self.parts) and not self.rest):
             return False
-        return all(seen == part if part is not None else seen for part, seen in zip(self.parts, segments, strict=False))
+        return all(
+            segment == part if part is not None else segment
+            for part, segment in zip(self.parts, segments, strict=False)
+        )
 
 
 def read_pattern(text: str) -> Pattern:
-    """`/hotels/{id}/rooms/*` as a pattern; raises PatternError.
+    """Parse a pattern such as `/hotels/{id}/rooms/*`; raises PatternError.
 
-    Literal parts are taken in their plain form, so `/caf\u00e9` and `/caf%C3%A9` are the same pattern.
+    Literal segments are normalized, so `/caf\u00e9` and `/caf%C3%A9` are the same pattern.
     """
     if not text.startswith("/"):
         raise PatternError(f'path "{text}" does not begin with a slash; write "/{text}"')
@@ -59,13 +62,13 @@
         else:
             parts.append(_literal(piece, text))
     if "" in parts[:-1] or (rest and "" in parts):
-        raise PatternError(f'path "{text}" has an empty part; write a single slash between two parts')
+        raise PatternError(f'path "{text}" has an empty segment; write a single slash between two segments')
     return Pattern(text, tuple(parts), tuple(names), rest)
 
 
 def _name(name: str, known: list[str], text: str) -> str:
     if not NAME.fullmatch(name):
-        raise PatternError(f'path "{text}": "{{{name}}}" is no name; write letters, as in {{id}}')
+        raise PatternError(f'path "{text}": "{{{name}}}" is not a valid name; write letters, as in {{id}}')
     if name in known:
         raise PatternError(f'path "{text}" has {{{name}}} twice; write another name')
     return name
@@ -73,13 +76,13 @@
 
 def _literal(piece: str, text: str) -> str:
     if "*" in piece:
-        raise PatternError(f'path "{text}": "*" may only stand alone at the end; write {{name}} for one part')
+        raise PatternError(f'path "{text}": "*" is allowed only alone at the end; write {{name}} for one segment')
     if "{" in piece or "}" in piece:
-        raise PatternError(f'path "{text}": a variable is a whole part; write /{{name}}/')
+        raise PatternError(f'path "{text}": a variable must be a whole segment; write /{{name}}/')
     if set(piece) & set(";?#"):
-        raise PatternError(f'path "{text}" holds one of ;?# which routes never see; leave it out')
+        raise PatternError(f'path "{text}" has one of ;?# which routes never match; leave it out')
     if piece in (".", ".."):
-        raise PatternError(f'path "{text}" has a dot segment; write the path that it leads to')
+        raise PatternError(f'path "{text}" has a dot segment; write the resolved path')
     try:
         escaped = "".join(c if c < "\x7f" else "".join(f"%{b:02X}" for b in c.encode()) for c in piece)
         return read_path(b"/" + escaped.encode())[1][0]
@@ -89,42 +92,42 @@
 
 @dataclass(slots=True, frozen=True)
 class Template:
-    """Where a path or URL leads: text with the `{name}` parts and the `*` rest of a pattern filled in."""
+    """A path or URL in which `{name}` and a final `*` stand for what a pattern captured."""
 
     text: str
-    pieces: tuple[str, ...]  # text and, at odd places, names; `*` is the rest
+    pieces: tuple[str, ...]  # literal text at even indexes, names at odd ones; `*` is the captured remainder
 
     def fill(self, captured: Mapping[str, str]) -> str:
-        """The text for one request; the rest brings its own slash, none where it is empty."""
-        return "".join(captured[piece] if at % 2 else piece for at, piece in enumerate(self.pieces))
+        """Return the text for one request; the remainder starts with a slash unless it is empty."""
+        return "".join(captured[piece] if index % 2 else piece for index, piece in enumerate(self.pieces))
 
 
 def read_template(text: str, pattern: Pattern) -> Template:
-    """A template that takes its parts from that pattern; raises PatternError."""
+    """Parse a template whose variables are those of the pattern; raises PatternError."""
     pieces = re.split(r"\{([^{}/]*)\}", text)
     for name in pieces[1::2]:
         if name not in pattern.names:
             known = ", ".join(f"{{{known}}}" for known in pattern.names) or "none"
-            raise PatternError(f'"{text}" takes {{{name}}} from a path that has {known}')
+            raise PatternError(f'"{text}" uses {{{name}}}, but the variables of the path are: {known}')
     if any(ord(c) < 33 or ord(c) > 126 for c in text) or any(set(p) & set("{}#\\") for p in pieces[::2]):
-        raise PatternError(f'"{text}" has characters that a URL can\'t hold; escape them')
+        raise PatternError(f'"{text}" has characters that are not allowed in a URL; escape them')
     last = pieces[-1]
     if ("*" in last and not last.endswith("/*")) or any("*" in piece for piece in pieces[:-1:2]):
-        raise PatternError(f'"{text}": "*" may only stand alone at the end')
+        raise PatternError(f'"{text}": "*" is allowed only alone at the end')
     if last.endswith("/*"):
         if not pattern.rest:
-            raise PatternError(f'"{text}" takes * from a path that does not end in "/*"')
+            raise PatternError(f'"{text}" uses *, but the path does not end in "/*"')
         pieces[-1:] = [last[:-2], "*", ""]
     return Template(text, tuple(pieces))
 
 
-TWICE = "\ud800"  # a parameter's value where there are two: no text that a request can hold
+TWICE = "\ud800"  # stands for the value of a repeated parameter: no request can contain this text
 
 
 class Test(Enum):
-    """How a header or query parameter is looked at."""
+    """How a header or query parameter is compared."""
 
-    __test__ = False  # no test of pytest's
+    __test__ = False  # keeps pytest from collecting a class whose name begins with Test
 
     EXACT = "exact"
     PREFIX = "prefix"
@@ -134,14 +137,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Condition:
-    """What a route asks of one header or query parameter."""
+    """A route's condition on one header or query parameter."""
 
-    name: str  # a header's in lower case
+    name: str  # in lower case for a header
     test: Test
     value: str = ""
 
     def holds(self, found: str | None) -> bool:
-        """Whether it is met by this value; None: there is none."""
+        """Return whether this value meets the condition; None means that the header or parameter is absent."""
         if found is None:
             return self.test is Test.ABSENT
         if self.test is Test.EXACT:
@@ -151,7 +154,7 @@
         return self.test is Test.PRESENT
 
     def excludes(self, other: Condition) -> bool:
-        """Whether no value meets both; they are of one name."""
+        """Return whether no value meets both conditions, which have the same name."""
         tests = {self.test, other.test}
         if Test.ABSENT in tests:
             return tests != {Test.ABSENT}
@@ -167,7 +170,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Source:
-    """Where a tenant or key is taken from: exactly one of a header, a path variable, a parameter, a text."""
+    """Where a tenant or key comes from; exactly one field is set.
+
+    The fields name a header, a path variable or a query parameter, or hold a constant.
+    """
 
     header: str = ""
     path: str = ""
@@ -177,34 +183,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Changes:
-    """Header lines to take out and to set, by names in lower case."""
+    """Header fields to remove and to set, by names in lower case."""
 
     remove: frozenset[str] = frozenset()
     set: tuple[tuple[str, str], ...] = ()
 
 
-WITHIN_MOST = 10.0  # seconds: the oldest call that any route may let its reads join
+WITHIN_MOST = 10.0  # seconds; the greatest age of a call that a route may allow a read to join
 
 
 @dataclass(slots=True, frozen=True)
 class Join:
-    """Identical reads share one call. `within`: how old, in seconds, a call may be for a further read to join it."""
+    """Request coalescing: identical reads share one call."""
 
-    within: float = 0.1
-    ignored: frozenset[bytes] = frozenset()  # headers, in lower case, that say nothing of what is asked
-    across: bool = False  # also between tenants
+    within: float = 0.1  # seconds; the greatest age of a call that a further read may join
+    ignored: frozenset[bytes] = frozenset()  # headers, in lower case, that do not distinguish two reads
+    across: bool = False  # whether reads of different tenants share calls too
 
 
 @dataclass(slots=True, frozen=True)
 class Forward:
-    """Send it to a pool: the splits by weight, then the pools that take over where those have no backend."""
+    """Forward the request to a pool."""
 
-    splits: tuple[tuple[str, float], ...]
-    fallback: tuple[str, ...] = ()
-    kind: str = ""  # the class; empty: unsafe, with the defaults of a class
-    deadline: float | None = None  # seconds; None: that of the class
+    splits: tuple[tuple[str, float], ...]  # pools and their weights
+    fallback: tuple[str, ...] = ()  # pools for when those of `splits` have no usable backend, in order
+    kind: str = ""  # name of the request class; empty: unsafe to retry, with the defaults of a class
+    deadline: float | None = None  # seconds; None: the deadline of the class
     tenant: Source | None = None
-    key: Source | None = None  # a split is sticky by it
+    key: Source | None = None  # requests with the same key go to the same pool of `splits`
     rewrite: Template | None = None
     request: Changes = Changes()
     response: Changes = Changes()
@@ -213,7 +219,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """Answer it here."""
+    """Respond from the proxy itself, without a backend."""
 
     status: int
     body: bytes = b""
@@ -222,7 +228,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Redirect:
-    """Send the caller elsewhere; the query goes along."""
+    """Redirect the caller to another URL; the query is kept."""
 
     status: int
     to: Template
@@ -230,21 +236,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Conditions that must all be met, and what follows. Hosts: exact, `*.suffix`, or `*` for any."""
+    """Conditions, all of which a request must meet, and the action for requests that do."""
 
     name: str
     path: Pattern
     action: Forward | Reply | Redirect
-    hosts: tuple[str, ...] = (ANY_HOST,)
-    methods: frozenset[str] = frozenset()  # none: any
+    hosts: tuple[str, ...] = (ANY_HOST,)  # host patterns, one of which must match: exact, `*.suffix`, or `*` for any
+    methods: frozenset[str] = frozenset()  # empty: any method
     headers: tuple[Condition, ...] = ()
     query: tuple[Condition, ...] = ()
-    priority: int = 0  # the higher wins between routes that are equal otherwise
+    priority: int = 0  # the higher priority wins between routes that are otherwise equal
 
 
 @dataclass(slots=True)
 class Asked:
-    """A request as routes see it: header names in lower case, parameters, and TWICE for one that comes twice."""
+    """The parts of a request that routes compare.
+
+    Header names are in lower case; the value of a query parameter that is repeated is TWICE.
+    """
 
     method: str
     target: Target
@@ -253,14 +262,14 @@
 
 
 def host_matches(pattern: str, host: str) -> bool:
-    """Whether a host pattern fits; `*.suffix` takes any number of labels, one at least."""
+    """Return whether a host pattern matches; the `*` of `*.suffix` stands for one or more labels."""
     if pattern in (ANY_HOST, host):
         return True
     return pattern.startswith("*.") and host.endswith(pattern[1:]) and len(host) > len(pattern) - 1
 
 
 def host_rank(pattern: str) -> tuple[int, int]:
-    """A host pattern's precedence: exact, then the longer suffix, then any."""
+    """Return a host pattern's precedence: exact, then the longer suffix, then any host."""
     if pattern == ANY_HOST:
         return 2, 0
     return (1, -pattern.count(".")) if pattern.startswith("*.") else (0, 0)
@@ -270,10 +279,10 @@
 
 
 def rank(route: Route, host: str) -> Rank:
-    """The written precedence of a route by one of its hosts: the lowest of those that match is taken.
+    """Return the precedence of a route by one of its hosts; of the routes that match, the lowest rank is chosen.
 
-    In this order: host, path, a method given, the number of header conditions, that of query conditions, and
-    `priority`. It does not depend on the order of the file.
+    It compares, in this order: host, path, whether methods are given, the number of header conditions, the number
+    of query conditions, and `priority`. It does not depend on the order of routes in the file.
     """
     return (
         host_rank(host),
@@ -286,7 +295,7 @@
 
 
 def conditions_hold(route: Route, asked: Asked) -> bool:
-    """Whether the headers and parameters are as the route wants them."""
+    """Return whether the request meets the route's conditions on headers and query parameters."""
     for condition in route.headers:
         if not condition.holds(asked.headers.get(condition.name)):
             return False
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -1,17 +1,17 @@
-"""Whether a pool could serve: what decides between a pool and the one that takes over for it."""
+"""Health of whole pools, which decides between a pool and its fallback."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping, Sequence
 
-DEAD_FOR = 1.0  # seconds for which a backend that could not be connected to counts as unusable
+DEAD_FOR = 1.0  # seconds for which a backend counts as unusable after a failed connection attempt
 
 
 class Standing:
-    """What is known of one pool's backends: which are in service, and which could not be reached of late.
+    """The backends of one pool that are in service, and those of them that recently could not be reached.
 
-    Only what proves that nothing ran counts against a backend here: a pool that is slow, full or wrong is not
-    a pool without backends, and its load on a fallback would take that down as well.
+    Only failed connections, after which nothing can have run, count against a backend here: a pool that is slow,
+    full or returns errors still has backends, and its load would take down the fallback as well.
     """
 
     __slots__ = ("_failed", "_up")
@@ -21,25 +21,25 @@
         self._failed: dict[int, float] = {}
 
     def listed(self, up: Iterable[int]) -> None:
-        """The backends that are in service now."""
+        """Set the backends that are in service now."""
         self._up = frozenset(up)
         self._failed = {server: at for server, at in self._failed.items() if server in self._up}
 
     def reached(self, server: int) -> None:
-        """An attempt got through to it."""
+        """Record that an attempt reached the backend."""
         self._failed.pop(server, None)
 
     def unreachable(self, now: float, server: int) -> None:
-        """No connection to it came up."""
+        """Record that no connection to the backend could be established."""
         if server in self._up:
             self._failed[server] = now
 
     def empty(self) -> bool:
-        """Whether no backend is in service."""
+        """Return whether no backend is in service."""
         return not self._up
 
     def usable(self, now: float) -> bool:
-        """Whether a backend is in service that was not found dead in the last second."""
+        """Return whether a backend is in service that was not unreachable in the last second."""
         if len(self._failed) < len(self._up):
             return True
         return any(now - at >= DEAD_FOR for at in self._failed.values())
@@ -48,14 +48,14 @@
 def candidates(
     splits: Sequence[str], fallback: Sequence[str], standings: Mapping[str, Standing], now: float
 ) -> list[str]:
-    """The pools to try, in order: usable ones first, then those that have backends at all.
+    """Return the pools to attempt, in order: the usable ones, or else the first that has backends in service.
 
-    `splits` are in the order of the key or the draw. Empty: nobody could take it.
+    `splits` are in order of preference for the request. The result is empty if no pool has a backend in service.
     """
-    if len(splits) == 1 and not fallback:  # most routes
+    if len(splits) == 1 and not fallback:  # the common case
         return [] if standings[splits[0]].empty() else list(splits)
     order = list(dict.fromkeys((*splits, *fallback)))
     usable = [name for name in order if name in standings and standings[name].usable(now)]
-    # Better a try at what may be back by now than a refusal; the first of them is enough.
-    dead = [name for name in order if name in standings and name not in usable]
-    return usable or [name for name in dead if not standings[name].empty()][:1]
+    # An attempt at a pool that may have recovered is better than a rejection; the first such pool is enough.
+    unusable = [name for name in order if name in standings and name not in usable]
+    return usable or [name for name in unusable if not standings[name].empty()][:1]
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -1,4 +1,4 @@
-"""The compiled table: which route takes a request, in a time that does not grow with their number."""
+"""The compiled route table: finds a request's route in a time that does not grow with the number of routes."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(slots=True)
 class Node:
-    """A place in the tree of path parts."""
+    """A node of the prefix tree of path segments."""
 
     literal: dict[str, Node] = field(default_factory=dict)
     variable: Node | None = None
-    ends: list[tuple[Rank, Route]] = field(default_factory=list)  # routes whose path ends here, best first
-    rests: list[tuple[Rank, Route]] = field(default_factory=list)  # routes whose path may go on
+    exact: list[tuple[Rank, Route]] = field(default_factory=list)  # routes whose path ends here, lowest rank first
+    prefix: list[tuple[Rank, Route]] = field(default_factory=list)  # routes whose path ends in `*` after this node
 
-    def place(self, pattern: Pattern) -> list[tuple[Rank, Route]]:
-        """Where routes of that path are kept; made if need be."""
+    def entries_for(self, pattern: Pattern) -> list[tuple[Rank, Route]]:
+        """Return the list of the routes with that path; adds the nodes that are missing."""
         node = self
         for part in pattern.parts:
             if part is not None:
@@ -27,83 +27,83 @@
             else:
                 node.variable = node.variable or Node()
                 node = node.variable
-        return node.rests if pattern.rest else node.ends
-
-    def walk(self, segments: tuple[str, ...], at: int = 0) -> Iterator[list[tuple[Rank, Route]]]:
-        """The lists that fit a path, the more special first; each place is looked at once at most."""
-        if at < len(segments):
-            part = segments[at]
-            found = self.literal.get(part)
-            if found is not None:
-                yield from found.walk(segments, at + 1)
-            if self.variable is not None and part:
-                yield from self.variable.walk(segments, at + 1)
-        elif self.ends:
-            yield self.ends
-        if self.rests:
-            yield self.rests
+        return node.prefix if pattern.rest else node.exact
+
+    def walk(self, segments: tuple[str, ...], index: int = 0) -> Iterator[list[tuple[Rank, Route]]]:
+        """Yield the lists of routes that match a path, the more specific first; visits each node at most once."""
+        if index < len(segments):
+            segment = segments[index]
+            child = self.literal.get(segment)
+            if child is not None:
+                yield from child.walk(segments, index + 1)
+            if self.variable is not None and segment:
+                yield from self.variable.walk(segments, index + 1)
+        elif self.exact:
+            yield self.exact
+        if self.prefix:
+            yield self.prefix
 
 
 @dataclass(slots=True, frozen=True)
 class Match:
-    """The route that takes a request, and what its path's variables stand for."""
+    """The route of a request, and the values of the variables in its path."""
 
     route: Route
-    captured: dict[str, str]  # as they go on; `*` is the rest, with its slash
+    captured: dict[str, str]  # values by name, as `capture` returns them
 
 
 @dataclass(slots=True, frozen=True)
 class Miss:
-    """No route takes it; `allow` has the methods that would have been taken (RFC 9110 15.5.6)."""
+    """No route matches; `allow` has the methods that would have matched (RFC 9110 15.5.6)."""
 
     allow: frozenset[str]
 
 
 class Table:
-    """Routes by host, then path, then the rest of the precedence that `model.rank` states."""
+    """Routes indexed by host, then by path, then sorted by the precedence that `model.rank` defines."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self.routes = tuple(routes)
         self._hosts: dict[str, Node] = {}
-        self._suffixes = False
+        self._has_suffix_hosts = False
         self.reads_query = any(route.query for route in self.routes)
         for route in self.routes:
             for host in route.hosts:
-                self._suffixes = self._suffixes or host.startswith("*.")
-                place = self._hosts.setdefault(host, Node()).place(route.path)
-                place.append((rank(route, host), route))
+                self._has_suffix_hosts = self._has_suffix_hosts or host.startswith("*.")
+                entries = self._hosts.setdefault(host, Node()).entries_for(route.path)
+                entries.append((rank(route, host), route))
         for node in self._hosts.values():
             _sort(node)
 
     def find(self, asked: Asked) -> Match | Miss:
-        """The route of the lowest rank that matches."""
+        """Return the matching route of the lowest rank, or a Miss."""
         method = asked.method
-        for _, route in self._fitting(asked):
+        for _, route in self._candidates(asked):
             if (not route.methods or method in route.methods) and conditions_hold(route, asked):
                 return Match(route, capture(route.path, asked.target.whole, asked.target.segments))
         allow: set[str] = set()
-        for _, route in self._fitting(asked):
+        for _, route in self._candidates(asked):
             if conditions_hold(route, asked):
                 allow |= route.methods
         return Miss(frozenset(allow))
 
-    def _fitting(self, asked: Asked) -> Iterator[tuple[Rank, Route]]:
-        """Routes whose host and path fit, the best first."""
-        for host in self._names(asked.target.host):
+    def _candidates(self, asked: Asked) -> Iterator[tuple[Rank, Route]]:
+        """Yield the routes whose host and path match, the more specific first."""
+        for host in self._host_patterns(asked.target.host):
             node = self._hosts.get(host)
             if node is not None:
-                for place in node.walk(asked.target.segments):
-                    yield from place
+                for entries in node.walk(asked.target.segments):
+                    yield from entries
 
-    def _names(self, host: str) -> Iterator[str]:
-        """The patterns that a host fits, the more special first."""
+    def _host_patterns(self, host: str) -> Iterator[str]:
+        """Yield the patterns that match a host, the more specific first."""
         if host:
             yield host
-        if self._suffixes and not host.startswith("["):
-            rest = host
-            while (dot := rest.find(".")) >= 0:
-                rest = rest[dot + 1 :]
-                yield "*." + rest
+        if self._has_suffix_hosts and not host.startswith("["):
+            suffix = host
+            while (dot := suffix.find(".")) >= 0:
+                suffix = suffix[dot + 1 :]
+                yield "*." + suffix
         yield ANY_HOST
 
 
@@ -111,30 +111,34 @@
     stack = [node]
     while stack:
         node = stack.pop()
-        for place in (node.ends, node.rests):
-            place.sort(key=lambda entry: (entry[0], entry[1].name))
+        for entries in (node.exact, node.prefix):
+            entries.sort(key=lambda entry: (entry[0], entry[1].name))
         stack += node.literal.values()
         if node.variable is not None:
             stack.append(node.variable)
 
 
 def capture(path: Pattern, whole: tuple[str, ...], segments: tuple[str, ...]) -> dict[str, str]:
-    """What a path's variables stand for, whole as they go on, and under `=name` without their parameters."""
+    """Return the values of the variables in a path.
+
+    A variable's value as it is forwarded is under its name, and without path parameters under `=name`. `*` has the
+    remainder of the path with its leading slash, if the pattern ends in `*`.
+    """
     captured: dict[str, str] = {}
-    places = (at for at, part in enumerate(path.parts) if part is None)
-    for name, at in zip(path.names, places, strict=True):
-        captured[name] = whole[at]
-        captured["=" + name] = segments[at]
+    indexes = (index for index, part in enumerate(path.parts) if part is None)
+    for name, index in zip(path.names, indexes, strict=True):
+        captured[name] = whole[index]
+        captured["=" + name] = segments[index]
     if path.rest:
         captured["*"] = "".join("/" + part for part in whole[len(path.parts) :])
     return captured
 
 
 def read_query(query: bytes | None) -> dict[str, str]:
-    """Parameters by name, for conditions.
+    """Parse a query into parameters by name, for conditions.
 
-    One that comes twice is there and has no value that could be asked for: backends differ in which of the
-    two they read, so neither may choose a route.
+    A parameter that is repeated is present, but its value matches no condition on a value: backends differ in
+    which of the values they read, so none of them may decide the route.
     """
     found: dict[str, str] = {}
     for name, value in parse_qsl((query or b"").decode("latin-1"), keep_blank_values=True):
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -47,7 +47,7 @@
     status, said = command("explain", EXAMPLE, "put", "/hotels/7/./rates/x?y=1", "-H", "X-Tenant-Id: a")
     assert status == 0 and "route rates: pool channel 90%, channel-canary 10%; then channel-standby" in said
     assert "path hotel = 7, * = /x" in said and "class rate-push: safe, given up after 1s" in said
-    assert "not book: path /hotels/7/rates/x does not fit /bookings" in said
+    assert "not book: path /hotels/7/rates/x does not match /bookings" in said
     status, said = command("explain", EXAMPLE, "GET", "http://a.inventory.example/v1/rooms/9")
     assert status == 0 and "route rooms" in said and "backends see /rooms/9" in said
     status, said = command("explain", EXAMPLE, "GET", "/rooms/9")
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -1,4 +1,4 @@
-"""Splits by weight, fallback and shares: who gets what, and what moves when a weight does."""
+"""Weighted splits, fallback between pools, and shared limits."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 
 def shares(targets: list[tuple[str, float]]) -> dict[str, float]:
+    """Return the part of all keys that each pool gets."""
     count = Counter(by_key(targets, key)[0] for key in KEYS)
     return {name: count[name] / len(KEYS) for name, _ in targets}
 
 
-def test_shares_are_the_weights_within_a_point() -> None:
+def test_shares_match_the_weights_within_one_percentage_point() -> None:
     targets = [("old", 70.0), ("new", 20.0), ("canary", 10.0)]
     for name, part in shares(targets).items():
         assert abs(part - dict(targets)[name] / 100.0) < 0.01
@@ -30,7 +31,7 @@
     assert all(abs(drawn[name] / 100_000 - weight / 100.0) < 0.01 for name, weight in targets)
 
 
-def test_a_changed_weight_moves_only_what_must_move() -> None:
+def test_changed_weight_moves_no_more_keys_than_necessary() -> None:
     before = {key: by_key([("old", 90.0), ("new", 10.0)], key)[0] for key in KEYS}
     after = {key: by_key([("new", 20.0), ("old", 80.0)], key)[0] for key in KEYS}
     moved = [key for key in KEYS if before[key] != after[key]]
@@ -43,31 +44,31 @@
     st.floats(0.0, 100.0),
     st.binary(max_size=20),
 )
-def test_one_weight_moves_keys_to_or_from_its_pool_alone(
-    weights: list[float], at: int, weight: float, key: bytes
+def test_changed_weight_moves_keys_only_to_or_from_its_pool(
+    weights: list[float], index: int, weight: float, key: bytes
 ) -> None:
-    at %= len(weights)
+    index %= len(weights)
     names = [f"p{n}" for n in range(len(weights))]
     before = by_key(list(zip(names, weights, strict=True)), key)
-    weights[at] = weight
+    weights[index] = weight
     after = by_key(list(zip(names, weights, strict=True)), key)
-    assert [n for n in before if n != names[at]] == [n for n in after if n != names[at]]
+    assert [n for n in before if n != names[index]] == [n for n in after if n != names[index]]
 
 
-def test_a_weight_of_nothing_gets_nothing() -> None:
+def test_pool_of_weight_zero_gets_no_request() -> None:
     assert by_key([("a", 0.0), ("b", 1.0)], b"k") == ["b"]
     assert by_chance([("a", 0.0)], Random(1)) == []
 
 
-def standing(up: set[int], dead: set[int], now: float) -> Standing:
+def standing(up: set[int], unreachable: set[int], now: float) -> Standing:
     one = Standing()
     one.listed(up)
-    for server in dead:
+    for server in unreachable:
         one.unreachable(now, server)
     return one
 
 
-def test_a_pool_without_backends_gives_way_and_comes_back() -> None:
+def test_pool_without_backends_is_passed_over_until_it_recovers() -> None:
     pools = {"a": standing(set(), set(), 0.0), "b": standing({1, 2}, {1, 2}, 10.0), "c": standing({3}, set(), 0.0)}
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["c"]
     pools["b"].reached(2)
@@ -76,14 +77,14 @@
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["a", "b", "c"]
 
 
-def test_where_all_are_dead_one_is_tried_and_where_none_is_listed_none() -> None:
+def test_one_pool_is_attempted_where_all_are_unreachable_and_none_without_backends() -> None:
     pools = {"a": standing(set(), set(), 0.0), "b": standing({1}, {1}, 10.0), "c": standing({3}, {3}, 10.0)}
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["b"]
     assert candidates(["a"], [], pools, 10.5) == []
     assert candidates(["b"], ["c"], pools, 10.0 + DEAD_FOR) == ["b", "c"]
 
 
-def test_a_backend_that_left_the_list_is_not_remembered() -> None:
+def test_backend_that_left_the_list_is_forgotten() -> None:
     one = standing({1, 2}, {1, 2}, 0.0)
     one.listed({2, 3})
     assert one.usable(0.1)
@@ -93,7 +94,7 @@
 
 
 @given(st.integers(1, 40), st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=80))
-def test_what_one_is_sure_of_is_there_whatever_the_others_do(total: int, steps: list[tuple[str, bool]]) -> None:
+def test_guaranteed_part_is_available_whatever_other_users_hold(total: int, steps: list[tuple[str, bool]]) -> None:
     parts = even(total, {"a": 1.0, "b": 2.0})
     shares, held = Shares(total, parts), Counter[str]()
     for name, takes in steps:
@@ -109,7 +110,7 @@
             assert held[user] >= part or shares.fits(user, part - held[user])
 
 
-def test_parts_change_while_some_are_in_use() -> None:
+def test_parts_may_change_while_they_are_in_use() -> None:
     shares = Shares(10, {"a": 5})
     shares.take("a", 5)
     shares.reset(10, {"b": 5})
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""The compiled table against the plain search by the written precedence; conflicts; shapes and sizes."""
+"""The compiled route table compared with a linear search; conflicts; patterns and templates."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
     return Route(name, read_pattern(path), TO, **more)  # type: ignore[arg-type]
 
 
-def asked(target: str, method: str = "GET", host: str = "h", **headers: str) -> Asked:
+def request_for(target: str, method: str = "GET", host: str = "h", **headers: str) -> Asked:
     found = read_target(target.encode(), host.encode())
     return Asked(method, found, headers, read_query(found.query))
 
 
-def taken(routes: list[Route], request: Asked) -> str:
+def chosen(routes: list[Route], request: Asked) -> str:
     found = Table(routes).find(request)
     return found.route.name if isinstance(found, Match) else "-"
 
 
-ORDERED = [  # each beats those below it where both match
+ORDERED = [  # each route takes precedence over those below it where both match
     route("exact host", "/a/b", hosts=("x.example",)),
     route("longer suffix", "/a/b", hosts=("*.x.example",)),
     route("suffix", "/a/b", hosts=("*.example",)),
@@ -70,17 +70,17 @@
 ]
 
 
-@pytest.mark.parametrize("at", range(len(ORDERED)))
-def test_the_precedence_as_written_whatever_the_order_of_the_file(at: int) -> None:
-    host = ("x.example", "y.x.example", "z.example", *["h"] * 20)[at]
-    request = asked("/a/b?q=1", host=host, h="1", i="")
-    rest = ORDERED[at:]
-    assert taken(rest, request) == taken(rest[::-1], request) == rest[0].name
+@pytest.mark.parametrize("index", range(len(ORDERED)))
+def test_precedence_does_not_depend_on_the_order_of_the_file(index: int) -> None:
+    host = ("x.example", "y.x.example", "z.example", *["h"] * 20)[index]
+    request = request_for("/a/b?q=1", host=host, h="1", i="")
+    rest = ORDERED[index:]
+    assert chosen(rest, request) == chosen(rest[::-1], request) == rest[0].name
     assert explain(rest, request)[0].route is rest[0]
 
 
-def test_the_reason_that_decided_is_told() -> None:
-    verdicts = {v.route.name: v for v in explain(ORDERED, asked("/a/b", host="z.example"))}
+def test_explain_names_the_deciding_rule_and_why_routes_do_not_match() -> None:
+    verdicts = {v.route.name: v for v in explain(ORDERED, request_for("/a/b", host="z.example"))}
     winner, loser = verdicts["suffix"].rank, verdicts["any method"].rank
     assert winner is not None and loser is not None and decided_by(winner, loser) == "host"
     assert verdicts["exact host"].against == "host z.example is not x.example"
@@ -113,13 +113,13 @@
         ("/caf\u00e9", "/caf%c3%a9", True),
     ],
 )
-def test_which_paths_fit(path: str, target: str, matches: bool) -> None:
-    request = asked(target)
-    assert (taken([route("r", path)], request) == "r") is matches
+def test_which_paths_match(path: str, target: str, matches: bool) -> None:
+    request = request_for(target)
+    assert (chosen([route("r", path)], request) == "r") is matches
     assert read_pattern(path).matches(request.target.segments) is matches
 
 
-def test_no_spelling_reaches_what_the_plain_form_would_not() -> None:
+def test_all_spellings_of_a_path_reach_the_route_of_its_normalized_form() -> None:
     routes = [route("closed", "/admin/*"), route("open", "/*")]
     for spelling in (
         "/admin/x",
@@ -132,29 +132,29 @@
         "/admin/../admin/x",
         "/admin",
     ):
-        assert taken(routes, asked(spelling)) == "closed"
+        assert chosen(routes, request_for(spelling)) == "closed"
 
 
-def test_a_parameter_that_comes_twice_chooses_no_route() -> None:
+def test_repeated_parameter_matches_no_condition() -> None:
     routes = [
         route("one", "/", query=(Condition("d", Test.EXACT, "1"),)),
         route("none", "/", query=(Condition("d", Test.ABSENT),)),
     ]
-    assert taken(routes, asked("/?d=1")) == "one" and taken(routes, asked("/?e=1")) == "none"
-    assert taken(routes, asked("/?%64=1")) == "one"
-    assert taken(routes, asked("/?d=1&d=1")) == taken(routes, asked("/?d=2&d=1")) == "-"
+    assert chosen(routes, request_for("/?d=1")) == "one" and chosen(routes, request_for("/?e=1")) == "none"
+    assert chosen(routes, request_for("/?%64=1")) == "one"
+    assert chosen(routes, request_for("/?d=1&d=1")) == chosen(routes, request_for("/?d=2&d=1")) == "-"
 
 
-def test_a_miss_tells_the_methods_that_would_do() -> None:
+def test_miss_has_the_methods_that_would_match() -> None:
     routes = [route("r", "/a", methods=frozenset({"GET", "PUT"})), route("s", "/a", methods=frozenset({"POST"}))]
-    found = Table(routes).find(asked("/a", "DELETE"))
+    found = Table(routes).find(request_for("/a", "DELETE"))
     assert isinstance(found, Miss) and found.allow == {"GET", "PUT", "POST"}
-    assert Table(routes).find(asked("/b")) == Miss(frozenset())
+    assert Table(routes).find(request_for("/b")) == Miss(frozenset())
 
 
 def test_variables_are_captured_and_filled_in() -> None:
     pattern = read_pattern("/hotels/{id}/rooms/*")
-    found = Table([Route("r", pattern, TO)]).find(asked("/hotels/a;v=1/rooms/2/x/"))
+    found = Table([Route("r", pattern, TO)]).find(request_for("/hotels/a;v=1/rooms/2/x/"))
     assert isinstance(found, Match) and found.captured == {"id": "a;v=1", "=id": "a", "*": "/2/x/"}
     assert read_template("/v2/{id}/*", pattern).fill(found.captured) == "/v2/a;v=1/2/x/"
     assert read_template("https://x/{id}?h={id}", pattern).fill(found.captured) == "https://x/a;v=1?h=a;v=1"
@@ -163,13 +163,13 @@
 @pytest.mark.parametrize(
     "path", ["a", "/a//b", "/a/*/b", "/a*", "/{id}x", "/{}", "/{a}/{a}", "/a;b", "/a?b", "/../a", "/a%2fb", "//*"]
 )
-def test_a_pattern_that_makes_no_sense_is_refused(path: str) -> None:
+def test_invalid_pattern_is_rejected(path: str) -> None:
     with pytest.raises(PatternError):
         read_pattern(path)
 
 
 @pytest.mark.parametrize("text", ["/{x}", "/a*", "/*/b", "/a b", "/{id", "/{id}\\", "/{id}#x"])
-def test_a_template_that_makes_no_sense_is_refused(text: str) -> None:
+def test_invalid_template_is_rejected(text: str) -> None:
     with pytest.raises(PatternError):
         read_template(text, read_pattern("/{id}/*"))
     with pytest.raises(PatternError):
@@ -216,7 +216,7 @@
 
 
 @given(ROUTES, st.lists(REQUESTS, max_size=6))
-def test_the_table_agrees_with_a_plain_search(routes: list[Route], requests: list[Asked]) -> None:
+def test_table_agrees_with_a_linear_search(routes: list[Route], requests: list[Asked]) -> None:
     table = Table(routes)
     for request in requests:
         found, verdicts = table.find(request), explain(routes, request)
@@ -242,7 +242,7 @@
             assert one.rank != two.rank or frozenset((one.route.name, two.route.name)) in tied
 
 
-def test_two_routes_of_equal_precedence_are_named() -> None:
+def test_conflict_names_both_routes_of_equal_precedence() -> None:
     one = route("one", "/a/{x}", headers=(Condition("h", Test.EXACT, "1"),))
     two = route("two", "/a/{y}", headers=(Condition("i", Test.EXACT, "1"),))
     assert [(a.name, b.name) for a, b in conflicts([one, two])] == [("one", "two")]
@@ -250,7 +250,7 @@
     assert not list(conflicts([one, other]))
 
 
-def test_thousands_of_routes_of_one_path_are_checked_in_time() -> None:
+def test_conflict_check_of_thousands_of_routes_of_one_path_is_fast() -> None:
     routes = [route(f"r{n}", "/a", headers=(Condition("v", Test.EXACT, str(n)),)) for n in range(10_000)]
     routes += [route("again", "/a", headers=(Condition("v", Test.EXACT, "77"),))]
     assert [(a.name, b.name) for a, b in conflicts(routes)] == [("r77", "again")]
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_target.py
@@ -1,4 +1,4 @@
-"""A target's plain form: every spelling of a path is decided on, and sent on, as one."""
+"""Normalized targets: every spelling of a path is routed and forwarded as the same path."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lugspur.routing.target import SEGMENTS_MOST, Target, TargetError, read_target
 
 
-def plain(target: bytes, host: bytes = b"h.example") -> Target:
+def normalized(target: bytes, host: bytes = b"h.example") -> Target:
     return read_target(target, host)
 
 
@@ -29,17 +29,17 @@
         (b"/%61/b", b"/a/b"),
         (b"/%7ex", b"/~x"),
         (b"/caf%c3%a9", b"/caf%C3%A9"),
-        (b"/a%3ab", b"/a%3Ab"),  # a reserved character and its escape are not the same (RFC 3986 2.2)
+        (b"/a%3ab", b"/a%3Ab"),  # a reserved character is not equivalent to its escape (RFC 3986 2.2)
         (b"/a:b", b"/a:b"),
         (b"/a|b", b"/a%7Cb"),
-        (b"/%252e%252e/a", b"/%252e%252e/a"),  # an escaped escape stays one
+        (b"/%252e%252e/a", b"/%252e%252e/a"),  # an escaped percent sign is not decoded again
         (b"/.well-known/x", b"/.well-known/x"),
         (b"/a;v=1/b", b"/a;v=1/b"),
     ],
 )
-def test_a_path_in_its_plain_form(target: bytes, path: bytes) -> None:
-    assert plain(target).path == path
-    assert plain(path).path == path  # which is its own plain form
+def test_path_is_normalized(target: bytes, path: bytes) -> None:
+    assert normalized(target).path == path
+    assert normalized(path).path == path  # normalizing twice changes nothing
 
 
 @pytest.mark.parametrize(
@@ -78,9 +78,9 @@
         b"/x" * (SEGMENTS_MOST + 1),
     ],
 )
-def test_what_servers_read_in_different_ways_is_refused(target: bytes) -> None:
+def test_target_that_servers_interpret_differently_is_rejected(target: bytes) -> None:
     with pytest.raises(TargetError):
-        plain(target)
+        normalized(target)
 
 
 @pytest.mark.parametrize(
@@ -94,26 +94,26 @@
         (b"127.0.0.1", "127.0.0.1", b"127.0.0.1"),
     ],
 )
-def test_a_host_in_its_plain_form(host: bytes, name: str, authority: bytes) -> None:
-    assert (plain(b"/", host).host, plain(b"/", host).authority) == (name, authority)
+def test_host_is_normalized(host: bytes, name: str, authority: bytes) -> None:
+    assert (normalized(b"/", host).host, normalized(b"/", host).authority) == (name, authority)
 
 
 @pytest.mark.parametrize(
     "host", [b"h..", b".h", b"a..b", b"h h", b"h/a", b"h:x", b"h:70000", b"u@h", b"h,h", b"%68", b"[::1", b"."]
 )
-def test_a_malformed_host_is_refused(host: bytes) -> None:
+def test_malformed_host_is_rejected(host: bytes) -> None:
     with pytest.raises(TargetError):
-        plain(b"/", host)
+        normalized(b"/", host)
 
 
-def test_an_absolute_form_replaces_the_host() -> None:
-    found = plain(b"HTTP://Other.example:81/a/../b?x=1", b"h.example")
+def test_authority_of_an_absolute_form_replaces_the_host() -> None:
+    found = normalized(b"HTTP://Other.example:81/a/../b?x=1", b"h.example")
     assert (found.host, found.authority, found.bytes) == ("other.example", b"other.example:81", b"/b?x=1")
-    assert plain(b"http://other.example").path == b"/" and plain(b"http://other.example?x").bytes == b"/?x"
+    assert normalized(b"http://other.example").path == b"/" and normalized(b"http://other.example?x").bytes == b"/?x"
 
 
-def test_routes_look_at_parts_without_their_parameters() -> None:
-    found = plain(b"/admin;x=1/%6Cist%3Bb")
+def test_routes_compare_segments_without_their_parameters() -> None:
+    found = normalized(b"/admin;x=1/%6Cist%3Bb")
     assert found.segments == ("admin", "list") and found.whole == ("admin;x=1", "list%3Bb")
     assert found.path == b"/admin;x=1/list%3Bb"
 
@@ -146,12 +146,12 @@
 
 
 @given(PIECES)
-def test_the_plain_form_is_a_fixed_point_without_anything_to_misread(pieces: list[bytes]) -> None:
+def test_normalized_path_is_a_fixed_point_without_dot_and_empty_segments(pieces: list[bytes]) -> None:
     try:
-        found = plain(b"/" + b"/".join(pieces))
+        found = normalized(b"/" + b"/".join(pieces))
     except TargetError:
         return
-    again = plain(found.path)
+    again = normalized(found.path)
     assert again == found
     assert b"//" not in found.path and found.path.startswith(b"/")
     assert not {"", ".", ".."} & set(found.segments[:-1]) and not {".", ".."} & set(found.segments)
