--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from lugspur.routing.model import TWICE, Asked, Condition, Rank, Route, host_matches, rank
+from lugspur.routing.model import REPEATED_PARAMETER, Asked, Condition, Rank, Route, host_matches, rank
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,7 +37,7 @@
 def _unmet(kind: str, conditions: Iterable[Condition], found: Mapping[str, str]) -> str:
     for condition in conditions:
         value = found.get(condition.name)
-        value = "(repeated)" if value == TWICE else value
+        value = "(repeated)" if value == REPEATED_PARAMETER else value
         if not condition.holds(value):
             actual = "is absent" if value is None else f'is "{value}"'
             return f"{kind} {condition.name} {actual}, wanted {condition.test.value} {condition.value}".rstrip()
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -121,7 +121,7 @@
     return Template(text, tuple(pieces))
 
 
-TWICE = "\ud800"  # stands for the value of a repeated parameter: no request can contain this text
+REPEATED_PARAMETER = "\ud800"  # stands for the value of a repeated parameter: no request can contain this text
 
 
 class Test(Enum):
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qsl
 
-from lugspur.routing.model import ANY_HOST, TWICE, Asked, Pattern, Rank, Route, conditions_hold, rank
+from lugspur.routing.model import ANY_HOST, REPEATED_PARAMETER, Asked, Pattern, Rank, Route, conditions_hold, rank
 
 
 @dataclass(slots=True)
@@ -142,5 +142,5 @@
     """
     found: dict[str, str] = {}
     for name, value in parse_qsl((query or b"").decode("latin-1"), keep_blank_values=True):
-        found[name] = TWICE if name in found else value
+        found[name] = REPEATED_PARAMETER if name in found else value
     return found
