--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -13,7 +13,7 @@
 
 from lugspur.bench.processes import Process, daemon, platform, standin
 from lugspur.config.load import load
-from lugspur.routing.model import Asked, Forward, Route, read_pattern
+from lugspur.routing.model import Forward, RequestView, Route, read_pattern
 from lugspur.routing.table import Table
 from lugspur.routing.target import read_target
 from lugspur.standins.callers import closed_loop
@@ -112,7 +112,7 @@
     for count, table in tables:
         last = count - 1
         target = read_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
-        asked = Asked("GET", target, {})
+        asked = RequestView("GET", target, {})
         best = float("inf")
         for _ in range(5):
             begun = time.perf_counter()
--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -13,7 +13,7 @@
 from lugspur.config.build import Plan, warnings
 from lugspur.config.load import FileFaults, load
 from lugspur.routing.explain import Verdict, decided_by, explain
-from lugspur.routing.model import Asked, Forward, Redirect, Route
+from lugspur.routing.model import Forward, Redirect, RequestView, Route
 from lugspur.routing.table import capture, read_query
 from lugspur.routing.target import TargetError, read_target
 
@@ -118,7 +118,7 @@
     sys.exit(0 if matching else 1)
 
 
-def _asked(method: str, url: str, headers: tuple[str, ...]) -> Asked:
+def _asked(method: str, url: str, headers: tuple[str, ...]) -> RequestView:
     found: dict[str, str] = {}
     for line in headers:
         name, colon, value = line.partition(":")
@@ -132,10 +132,10 @@
     except (TargetError, ValueError) as fault:
         click.echo(f"{url}: answered 400: {fault}", err=True)
         sys.exit(FAULTY)
-    return Asked(method.upper(), target, found, read_query(target.query))
+    return RequestView(method.upper(), target, found, read_query(target.query))
 
 
-def _show_winner(plan: Plan, verdict: Verdict, asked: Asked) -> None:
+def _show_winner(plan: Plan, verdict: Verdict, asked: RequestView) -> None:
     route = verdict.route
     click.echo(f"route {route.name}: {_leads(plan, route)}")
     captured = capture(route.path, asked.target.whole, asked.target.segments)
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -22,7 +22,7 @@
 from lugspur.http1.intake import Rejected, Sizes
 from lugspur.http1.upstream import HELD_PART
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
-from lugspur.routing.model import Asked, Forward, Redirect, Reply
+from lugspur.routing.model import Forward, Redirect, Reply, RequestView
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import by_chance, by_key
 from lugspur.routing.standing import Standing, candidates
@@ -172,7 +172,7 @@
         table = regime.plan.table
         headers = Headers(request.headers)
         query = read_query(target.query) if table.reads_query else {}
-        match = table.find(Asked(method, target, headers, query))
+        match = table.find(RequestView(method, target, headers, query))
         if isinstance(match, Miss):
             _answer_miss(match, caller)
         elif isinstance(match.route.action, Reply):
--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from lugspur.routing.model import REPEATED_PARAMETER, Asked, Condition, Rank, Route, host_matches, rank
+from lugspur.routing.model import REPEATED_PARAMETER, Condition, Rank, RequestView, Route, host_matches, rank
 
 
 @dataclass(slots=True, frozen=True)
@@ -17,7 +17,7 @@
     rank: Rank | None  # the precedence of a route that matches
 
 
-def judge(route: Route, asked: Asked) -> Verdict:
+def judge(route: Route, asked: RequestView) -> Verdict:
     """Return the verdict on one route, with the first condition that does not hold."""
     matching_hosts = [host for host in route.hosts if host_matches(host, asked.target.host)]
     against = ""
@@ -44,7 +44,7 @@
     return ""
 
 
-def explain(routes: Iterable[Route], asked: Asked) -> list[Verdict]:
+def explain(routes: Iterable[Route], asked: RequestView) -> list[Verdict]:
     """Return the verdict on every route: the chosen route first, then other matches by precedence, then the rest."""
     verdicts = [judge(route, asked) for route in routes]
     matching = sorted((v for v in verdicts if v.rank is not None), key=lambda v: (v.rank or (), v.route.name))
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -249,7 +249,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestView:
     """The parts of a request that routes compare.
 
     Header names are in lower case; the value of a query parameter that is repeated is TWICE.
@@ -294,7 +294,7 @@
     )
 
 
-def conditions_hold(route: Route, asked: Asked) -> bool:
+def conditions_hold(route: Route, asked: RequestView) -> bool:
     """Return whether the request meets the route's conditions on headers and query parameters."""
     for condition in route.headers:
         if not condition.holds(asked.headers.get(condition.name)):
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qsl
 
-from lugspur.routing.model import ANY_HOST, REPEATED_PARAMETER, Asked, Pattern, Rank, Route, conditions_hold, rank
+from lugspur.routing.model import ANY_HOST, REPEATED_PARAMETER, Pattern, Rank, RequestView, Route, conditions_hold, rank
 
 
 @dataclass(slots=True)
@@ -75,7 +75,7 @@
         for node in self._hosts.values():
             _sort(node)
 
-    def find(self, asked: Asked) -> Match | Miss:
+    def find(self, asked: RequestView) -> Match | Miss:
         """Return the matching route of the lowest rank, or a Miss."""
         method = asked.method
         for _, route in self._candidates(asked):
@@ -87,7 +87,7 @@
                 allow |= route.methods
         return Miss(frozenset(allow))
 
-    def _candidates(self, asked: Asked) -> Iterator[tuple[Rank, Route]]:
+    def _candidates(self, asked: RequestView) -> Iterator[tuple[Rank, Route]]:
         """Yield the routes whose host and path match, the more specific first."""
         for host in self._host_patterns(asked.target.host):
             node = self._hosts.get(host)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -11,10 +11,10 @@
 from lugspur.routing.conflicts import conflicts
 from lugspur.routing.explain import decided_by, explain
 from lugspur.routing.model import (
-    Asked,
     Condition,
     Forward,
     PatternError,
+    RequestView,
     Route,
     Test,
     read_pattern,
@@ -30,12 +30,12 @@
     return Route(name, read_pattern(path), TO, **more)  # type: ignore[arg-type]
 
 
-def request_for(target: str, method: str = "GET", host: str = "h", **headers: str) -> Asked:
+def request_for(target: str, method: str = "GET", host: str = "h", **headers: str) -> RequestView:
     found = read_target(target.encode(), host.encode())
-    return Asked(method, found, headers, read_query(found.query))
+    return RequestView(method, found, headers, read_query(found.query))
 
 
-def chosen(routes: list[Route], request: Asked) -> str:
+def chosen(routes: list[Route], request: RequestView) -> str:
     found = Table(routes).find(request)
     return found.route.name if isinstance(found, Match) else "-"
 
@@ -204,7 +204,7 @@
     max_size=8,
 ).map(lambda rows: [route(f"r{n}", path, **more) for n, (path, more) in enumerate(rows)])
 REQUESTS = st.builds(
-    lambda parts, host, method, headers, query: Asked(
+    lambda parts, host, method, headers, query: RequestView(
         method, read_target(("/" + "/".join(parts)).encode(), host.encode()), headers, query
     ),
     st.lists(st.sampled_from(["a", "b", "c"]), max_size=4),
@@ -216,7 +216,7 @@
 
 
 @given(ROUTES, st.lists(REQUESTS, max_size=6))
-def test_table_agrees_with_a_linear_search(routes: list[Route], requests: list[Asked]) -> None:
+def test_table_agrees_with_a_linear_search(routes: list[Route], requests: list[RequestView]) -> None:
     table = Table(routes)
     for request in requests:
         found, verdicts = table.find(request), explain(routes, request)
@@ -228,13 +228,13 @@
             allowed = [
                 m
                 for m in ("GET", "POST")
-                if any(v.rank for v in explain(routes, Asked(m, request.target, request.headers, request.query)))
+                if any(v.rank for v in explain(routes, RequestView(m, request.target, request.headers, request.query)))
             ]
             assert sorted(found.allow) == allowed
 
 
 @given(ROUTES, st.lists(REQUESTS, max_size=6))
-def test_routes_without_a_conflict_never_tie(routes: list[Route], requests: list[Asked]) -> None:
+def test_routes_without_a_conflict_never_tie(routes: list[Route], requests: list[RequestView]) -> None:
     tied = {frozenset((a.name, b.name)) for a, b in conflicts(routes)}
     for request in requests:
         matching = [v for v in explain(routes, request) if v.rank is not None]
