--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -19,13 +19,13 @@
     Condition,
     Forward,
     Join,
+    MatchType,
     Pattern,
     PatternError,
     Redirect,
     Reply,
     Route,
     Source,
-    Test,
     read_pattern,
     read_template,
 )
@@ -416,7 +416,7 @@
 def _condition(name: str, value: Any, place: Place) -> Condition | None:
     try:
         if not isinstance(value, Mapping):
-            return Condition(name, Test.EXACT, text(value))
+            return Condition(name, MatchType.EXACT, text(value))
         if len(value) != 1 or not set(value) <= {"prefix", "present", "absent"}:
             raise Wrong(
                 f'{shown(value)} is no condition; write "text", {{ prefix = "text" }}, {{ present = true }} '
@@ -426,11 +426,11 @@
         if test == "prefix":
             if not text(wanted):
                 raise Wrong("an empty prefix asks nothing; write { present = true }")
-            return Condition(name, Test.PREFIX, wanted)
+            return Condition(name, MatchType.PREFIX, wanted)
         if wanted is not True:
             other = "absent" if test == "present" else "present"
             raise Wrong(f"{test} = {shown(wanted)}; write {{ {other} = true }} for the opposite")
-        return Condition(name, Test(test))
+        return Condition(name, MatchType(test))
     except Wrong as fault:
         place.wrong(str(fault))
         return None
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -124,7 +124,7 @@
 REPEATED_PARAMETER = "\ud800"  # stands for the value of a repeated parameter: no request can contain this text
 
 
-class Test(Enum):
+class MatchType(Enum):
     """How a header or query parameter is compared."""
 
     __test__ = False  # keeps pytest from collecting a class whose name begins with Test
@@ -140,30 +140,30 @@
     """A route's condition on one header or query parameter."""
 
     name: str  # in lower case for a header
-    test: Test
+    test: MatchType
     value: str = ""
 
     def holds(self, found: str | None) -> bool:
         """Return whether this value meets the condition; None means that the header or parameter is absent."""
         if found is None:
-            return self.test is Test.ABSENT
-        if self.test is Test.EXACT:
+            return self.test is MatchType.ABSENT
+        if self.test is MatchType.EXACT:
             return found == self.value
-        if self.test is Test.PREFIX:
+        if self.test is MatchType.PREFIX:
             return found.startswith(self.value)
-        return self.test is Test.PRESENT
+        return self.test is MatchType.PRESENT
 
     def excludes(self, other: Condition) -> bool:
         """Return whether no value meets both conditions, which have the same name."""
         tests = {self.test, other.test}
-        if Test.ABSENT in tests:
-            return tests != {Test.ABSENT}
-        if Test.PRESENT in tests:
+        if MatchType.ABSENT in tests:
+            return tests != {MatchType.ABSENT}
+        if MatchType.PRESENT in tests:
             return False
-        if tests == {Test.EXACT}:
+        if tests == {MatchType.EXACT}:
             return self.value != other.value
-        short, long = (self, other) if self.test is Test.PREFIX else (other, self)
-        if tests == {Test.PREFIX}:
+        short, long = (self, other) if self.test is MatchType.PREFIX else (other, self)
+        if tests == {MatchType.PREFIX}:
             return not (short.value.startswith(long.value) or long.value.startswith(short.value))
         return not long.value.startswith(short.value)
 
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -13,10 +13,10 @@
 from lugspur.routing.model import (
     Condition,
     Forward,
+    MatchType,
     PatternError,
     RequestView,
     Route,
-    Test,
     read_pattern,
     read_template,
 )
@@ -48,17 +48,17 @@
         "three conditions",
         "/a/b",
         methods=frozenset({"GET"}),
-        headers=(Condition("h", Test.EXACT, "1"), Condition("i", Test.PRESENT)),
-        query=(Condition("q", Test.EXACT, "1"),),
+        headers=(Condition("h", MatchType.EXACT, "1"), Condition("i", MatchType.PRESENT)),
+        query=(Condition("q", MatchType.EXACT, "1"),),
     ),
     route(
         "headers",
         "/a/b",
         methods=frozenset({"GET"}),
-        headers=(Condition("h", Test.PREFIX, "1"), Condition("i", Test.PRESENT)),
+        headers=(Condition("h", MatchType.PREFIX, "1"), Condition("i", MatchType.PRESENT)),
     ),
-    route("header", "/a/b", methods=frozenset({"GET"}), headers=(Condition("h", Test.EXACT, "1"),)),
-    route("query", "/a/b", methods=frozenset({"GET"}), query=(Condition("q", Test.EXACT, "1"),)),
+    route("header", "/a/b", methods=frozenset({"GET"}), headers=(Condition("h", MatchType.EXACT, "1"),)),
+    route("query", "/a/b", methods=frozenset({"GET"}), query=(Condition("q", MatchType.EXACT, "1"),)),
     route("priority", "/a/b", methods=frozenset({"GET"}), priority=1),
     route("method", "/a/b", methods=frozenset({"GET"})),
     route("any method", "/a/b"),
@@ -137,8 +137,8 @@
 
 def test_repeated_parameter_matches_no_condition() -> None:
     routes = [
-        route("one", "/", query=(Condition("d", Test.EXACT, "1"),)),
-        route("none", "/", query=(Condition("d", Test.ABSENT),)),
+        route("one", "/", query=(Condition("d", MatchType.EXACT, "1"),)),
+        route("none", "/", query=(Condition("d", MatchType.ABSENT),)),
     ]
     assert chosen(routes, request_for("/?d=1")) == "one" and chosen(routes, request_for("/?e=1")) == "none"
     assert chosen(routes, request_for("/?%64=1")) == "one"
@@ -178,7 +178,7 @@
 
 VALUES = st.sampled_from(["1", "2", "12"])
 CONDITIONS = st.lists(
-    st.builds(Condition, st.sampled_from("ab"), st.sampled_from(Test), VALUES),
+    st.builds(Condition, st.sampled_from("ab"), st.sampled_from(MatchType), VALUES),
     max_size=2,
     unique_by=lambda c: c.name,
 ).map(tuple)
@@ -243,14 +243,14 @@
 
 
 def test_conflict_names_both_routes_of_equal_precedence() -> None:
-    one = route("one", "/a/{x}", headers=(Condition("h", Test.EXACT, "1"),))
-    two = route("two", "/a/{y}", headers=(Condition("i", Test.EXACT, "1"),))
+    one = route("one", "/a/{x}", headers=(Condition("h", MatchType.EXACT, "1"),))
+    two = route("two", "/a/{y}", headers=(Condition("i", MatchType.EXACT, "1"),))
     assert [(a.name, b.name) for a, b in conflicts([one, two])] == [("one", "two")]
-    other = route("two", "/a/{y}", headers=(Condition("h", Test.EXACT, "2"),))
+    other = route("two", "/a/{y}", headers=(Condition("h", MatchType.EXACT, "2"),))
     assert not list(conflicts([one, other]))
 
 
 def test_conflict_check_of_thousands_of_routes_of_one_path_is_fast() -> None:
-    routes = [route(f"r{n}", "/a", headers=(Condition("v", Test.EXACT, str(n)),)) for n in range(10_000)]
-    routes += [route("again", "/a", headers=(Condition("v", Test.EXACT, "77"),))]
+    routes = [route(f"r{n}", "/a", headers=(Condition("v", MatchType.EXACT, str(n)),)) for n in range(10_000)]
+    routes += [route("again", "/a", headers=(Condition("v", MatchType.EXACT, "77"),))]
     assert [(a.name, b.name) for a, b in conflicts(routes)] == [("r77", "again")]
