--- a/lugspur/routing/conflicts.py
+++ b/lugspur/routing/conflicts.py
@@ -43,7 +43,7 @@
     Guards `check` against thousands of routes of one path that differ by a header's value: comparing all
     pairs would take minutes. Routes with different values of the most common exact header never overlap.
     """
-    names = Counter(c.name for route in group for c in route.headers if c.test is MatchType.EXACT)
+    names = Counter(c.name for route in group for c in route.headers if c.match_type is MatchType.EXACT)
     if len(group) < 8 or not names:
         yield from combinations(group, 2)
         return
@@ -51,7 +51,7 @@
     by_value: dict[str, Group] = {}
     others: Group = []
     for route in group:
-        value = next((c.value for c in route.headers if c.name == name and c.test is MatchType.EXACT), None)
+        value = next((c.value for c in route.headers if c.name == name and c.match_type is MatchType.EXACT), None)
         (others if value is None else by_value.setdefault(value, [])).append(route)
     for same in by_value.values():
         yield from combinations(same, 2)
--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -40,7 +40,7 @@
         value = "(repeated)" if value == REPEATED_PARAMETER else value
         if not condition.holds(value):
             actual = "is absent" if value is None else f'is "{value}"'
-            return f"{kind} {condition.name} {actual}, wanted {condition.test.value} {condition.value}".rstrip()
+            return f"{kind} {condition.name} {actual}, wanted {condition.match_type.value} {condition.value}".rstrip()
     return ""
 
 
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -140,29 +140,29 @@
     """A route's condition on one header or query parameter."""
 
     name: str  # in lower case for a header
-    test: MatchType
+    match_type: MatchType
     value: str = ""
 
     def holds(self, found: str | None) -> bool:
         """Return whether this value meets the condition; None means that the header or parameter is absent."""
         if found is None:
-            return self.test is MatchType.ABSENT
-        if self.test is MatchType.EXACT:
+            return self.match_type is MatchType.ABSENT
+        if self.match_type is MatchType.EXACT:
             return found == self.value
-        if self.test is MatchType.PREFIX:
+        if self.match_type is MatchType.PREFIX:
             return found.startswith(self.value)
-        return self.test is MatchType.PRESENT
+        return self.match_type is MatchType.PRESENT
 
     def excludes(self, other: Condition) -> bool:
         """Return whether no value meets both conditions, which have the same name."""
-        tests = {self.test, other.test}
+        tests = {self.match_type, other.match_type}
         if MatchType.ABSENT in tests:
             return tests != {MatchType.ABSENT}
         if MatchType.PRESENT in tests:
             return False
         if tests == {MatchType.EXACT}:
             return self.value != other.value
-        short, long = (self, other) if self.test is MatchType.PREFIX else (other, self)
+        short, long = (self, other) if self.match_type is MatchType.PREFIX else (other, self)
         if tests == {MatchType.PREFIX}:
             return not (short.value.startswith(long.value) or long.value.startswith(short.value))
         return not long.value.startswith(short.value)
