--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -38,7 +38,7 @@
     for condition in conditions:
         value = found.get(condition.name)
         value = "(repeated)" if value == REPEATED_PARAMETER else value
-        if not condition.holds(value):
+        if not condition.matches(value):
             actual = "is absent" if value is None else f'is "{value}"'
             return f"{kind} {condition.name} {actual}, wanted {condition.match_type.value} {condition.value}".rstrip()
     return ""
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -143,7 +143,7 @@
     match_type: MatchType
     value: str = ""
 
-    def holds(self, found: str | None) -> bool:
+    def matches(self, found: str | None) -> bool:
         """Return whether this value meets the condition; None means that the header or parameter is absent."""
         if found is None:
             return self.match_type is MatchType.ABSENT
@@ -297,6 +297,6 @@
 def conditions_hold(route: Route, asked: RequestView) -> bool:
     """Return whether the request meets the route's conditions on headers and query parameters."""
     for condition in route.headers:
-        if not condition.holds(asked.headers.get(condition.name)):
+        if not condition.matches(asked.headers.get(condition.name)):
             return False
-    return all(c.holds(asked.query.get(c.name)) for c in route.query)
+    return all(c.matches(asked.query.get(c.name)) for c in route.query)
