--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -294,7 +294,7 @@
     )
 
 
-def conditions_hold(route: Route, asked: RequestView) -> bool:
+def conditions_match(route: Route, asked: RequestView) -> bool:
     """Return whether the request meets the route's conditions on headers and query parameters."""
     for condition in route.headers:
         if not condition.matches(asked.headers.get(condition.name)):
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -6,7 +6,16 @@
 from dataclasses import dataclass, field
 from urllib.parse import parse_qsl
 
-from lugspur.routing.model import ANY_HOST, REPEATED_PARAMETER, Pattern, Rank, RequestView, Route, conditions_hold, rank
+from lugspur.routing.model import (
+    ANY_HOST,
+    REPEATED_PARAMETER,
+    Pattern,
+    Rank,
+    RequestView,
+    Route,
+    conditions_match,
+    rank,
+)
 
 
 @dataclass(slots=True)
@@ -79,11 +88,11 @@
         """Return the matching route of the lowest rank, or a Miss."""
         method = asked.method
         for _, route in self._candidates(asked):
-            if (not route.methods or method in route.methods) and conditions_hold(route, asked):
+            if (not route.methods or method in route.methods) and conditions_match(route, asked):
                 return Match(route, capture(route.path, asked.target.whole, asked.target.segments))
         allow: set[str] = set()
         for _, route in self._candidates(asked):
-            if conditions_hold(route, asked):
+            if conditions_match(route, asked):
                 allow |= route.methods
         return Miss(frozenset(allow))
 
