--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -14,7 +14,7 @@
 import re
 from dataclasses import dataclass
 
-SEGMENTS_MOST = 64  # segments of a path; the route table visits each for every request
+MAX_SEGMENTS = 64  # segments of a path; the route table visits each for every request
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 SIMPLE_PATH = re.compile(rb"/[A-Za-z0-9\-_~!$&'()*+,=:@/.]*")  # without escapes and parameters, as most paths are
 PATH_CHARS = re.compile(rb"[\x21-\x7e]*")
@@ -95,7 +95,7 @@
         path = _remove_dot_segments(path)
     text = path.decode()
     whole = tuple(text[1:].split("/"))
-    if len(whole) > SEGMENTS_MOST:
+    if len(whole) > MAX_SEGMENTS:
         raise TargetError("the path has too many parts")
     if ";" not in text and "%3B" not in text:
         return path, whole, whole
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_target.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.routing.target import SEGMENTS_MOST, Target, TargetError, read_target
+from lugspur.routing.target import MAX_SEGMENTS, Target, TargetError, read_target
 
 
 def normalized(target: bytes, host: bytes = b"h.example") -> Target:
@@ -75,7 +75,7 @@
         b"http://h:99999/a",
         b"/a?b c",
         b"/a?b\x00",
-        b"/x" * (SEGMENTS_MOST + 1),
+        b"/x" * (MAX_SEGMENTS + 1),
     ],
 )
 def test_target_that_servers_interpret_differently_is_rejected(target: bytes) -> None:
