--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-DEAD_FOR = 1.0  # seconds for which a backend counts as unusable after a failed connection attempt
+UNREACHABLE_SECONDS = 1.0  # seconds for which a backend counts as unusable after a failed connection attempt
 
 
 class Standing:
@@ -42,7 +42,7 @@
         """Return whether a backend is in service that was not unreachable in the last second."""
         if len(self._failed) < len(self._up):
             return True
-        return any(now - at >= DEAD_FOR for at in self._failed.values())
+        return any(now - at >= UNREACHABLE_SECONDS for at in self._failed.values())
 
 
 def candidates(
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -11,7 +11,7 @@
 
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import by_chance, by_key
-from lugspur.routing.standing import DEAD_FOR, Standing, candidates
+from lugspur.routing.standing import UNREACHABLE_SECONDS, Standing, candidates
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
 
@@ -81,7 +81,7 @@
     pools = {"a": standing(set(), set(), 0.0), "b": standing({1}, {1}, 10.0), "c": standing({3}, {3}, 10.0)}
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["b"]
     assert candidates(["a"], [], pools, 10.5) == []
-    assert candidates(["b"], ["c"], pools, 10.0 + DEAD_FOR) == ["b", "c"]
+    assert candidates(["b"], ["c"], pools, 10.0 + UNREACHABLE_SECONDS) == ["b", "c"]
 
 
 def test_backend_that_left_the_list_is_forgotten() -> None:
