--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -127,8 +127,6 @@
 class MatchType(Enum):
     """How a header or query parameter is compared."""
 
-    __test__ = False  # keeps pytest from collecting a class whose name begins with Test
-
     EXACT = "exact"
     PREFIX = "prefix"
     PRESENT = "present"
@@ -252,7 +250,7 @@
 class RequestView:
     """The parts of a request that routes compare.
 
-    Header names are in lower case; the value of a query parameter that is repeated is TWICE.
+    Header names are in lower case; the value of a query parameter that is repeated is REPEATED_PARAMETER.
     """
 
     method: str
