--- a/lugspur/routing/splits.py
+++ b/lugspur/routing/splits.py
@@ -8,7 +8,7 @@
 from random import Random
 
 
-def by_key(targets: Sequence[tuple[str, float]], key: bytes) -> list[str]:
+def order_by_key(targets: Sequence[tuple[str, float]], key: bytes) -> list[str]:
     """Return the pools in the order of preference for this key, without those of weight 0.
 
     Weighted rendezvous hashing (Thaler and Ravishankar 1998; the logarithm by Schindelhauer and Schomaker
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -11,7 +11,7 @@
 from daemonic import answer, ask, backend, fields, pool, route, served, until
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, entry, soon, status, watches
 
-from lugspur.routing.splits import by_key
+from lugspur.routing.splits import order_by_key
 
 BOTH = 'pool = "a"\nfallback = ["b"]\n'
 BOOK, READ = route("book", "/book", BOTH + 'class = "book"'), route("read", "/read", BOTH + 'class = "read"')
@@ -174,7 +174,9 @@
                         await up.reload(pools + split(weight))
                         for number in range(30):
                             got = await clients[3].ask(ask(target=f"/key-{number}"))
-                            wanted = by_key([("a", 100.0 - weight), ("b", float(weight))], f"key-{number}".encode())
+                            wanted = order_by_key(
+                                [("a", 100.0 - weight), ("b", float(weight))], f"key-{number}".encode()
+                            )
                             assert got[-1:].decode() == wanted[0]
                     stop.set()
                 assert seen["a"] > seen["b"] > 0
@@ -187,7 +189,7 @@
 
     async def play() -> None:
         async with backend(lambda _: answer(b"b")) as two:
-            key = next(k for k in map(str, range(99)) if by_key([("a", 50.0), ("b", 50.0)], k.encode())[0] == "a")
+            key = next(k for k in map(str, range(99)) if order_by_key([("a", 50.0), ("b", 50.0)], k.encode())[0] == "a")
             async with served(pool("a", GONE) + pool("b", two.address) + text) as up:
                 client = await up.client()
                 assert (await client.ask(ask(target=f"/{key}"))).endswith(b"b")
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lugspur.routing.shares import Shares, even
-from lugspur.routing.splits import by_chance, by_key
+from lugspur.routing.splits import by_chance, order_by_key
 from lugspur.routing.standing import UNREACHABLE_SECONDS, Standing, candidates
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
@@ -18,7 +18,7 @@
 
 def shares(targets: list[tuple[str, float]]) -> dict[str, float]:
     """Return the part of all keys that each pool gets."""
-    count = Counter(by_key(targets, key)[0] for key in KEYS)
+    count = Counter(order_by_key(targets, key)[0] for key in KEYS)
     return {name: count[name] / len(KEYS) for name, _ in targets}
 
 
@@ -32,8 +32,8 @@
 
 
 def test_changed_weight_moves_no_more_keys_than_necessary() -> None:
-    before = {key: by_key([("old", 90.0), ("new", 10.0)], key)[0] for key in KEYS}
-    after = {key: by_key([("new", 20.0), ("old", 80.0)], key)[0] for key in KEYS}
+    before = {key: order_by_key([("old", 90.0), ("new", 10.0)], key)[0] for key in KEYS}
+    after = {key: order_by_key([("new", 20.0), ("old", 80.0)], key)[0] for key in KEYS}
     moved = [key for key in KEYS if before[key] != after[key]]
     assert len(moved) / len(KEYS) <= 0.11 and all(after[key] == "new" for key in moved)
 
@@ -49,14 +49,14 @@
 ) -> None:
     index %= len(weights)
     names = [f"p{n}" for n in range(len(weights))]
-    before = by_key(list(zip(names, weights, strict=True)), key)
+    before = order_by_key(list(zip(names, weights, strict=True)), key)
     weights[index] = weight
-    after = by_key(list(zip(names, weights, strict=True)), key)
+    after = order_by_key(list(zip(names, weights, strict=True)), key)
     assert [n for n in before if n != names[index]] == [n for n in after if n != names[index]]
 
 
 def test_pool_of_weight_zero_gets_no_request() -> None:
-    assert by_key([("a", 0.0), ("b", 1.0)], b"k") == ["b"]
+    assert order_by_key([("a", 0.0), ("b", 1.0)], b"k") == ["b"]
     assert by_chance([("a", 0.0)], Random(1)) == []
 
 
