--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -24,7 +24,7 @@
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import Forward, Redirect, Reply, RequestView
 from lugspur.routing.shares import Shares, even
-from lugspur.routing.splits import by_chance, order_by_key
+from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.standing import Standing, candidates
 from lugspur.routing.table import Match, Miss, read_query
 from lugspur.routing.target import Target, TargetError, read_target
@@ -215,7 +215,7 @@
             key = drawn(forward.key, Headers(request.headers), query, match.captured)
             order = order_by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
         else:
-            order = by_chance(forward.splits, self._rng)
+            order = order_at_random(forward.splits, self._rng)
         found = candidates(order, forward.fallback, regime.standings, self._loop.time())
         if not found:
             caller.answer(503, COME_BACK, b"no backend\n")
--- a/lugspur/routing/splits.py
+++ b/lugspur/routing/splits.py
@@ -18,7 +18,7 @@
     return _order(targets, [_hash_fraction(name, key) for name, _ in targets])
 
 
-def by_chance(targets: Sequence[tuple[str, float]], rng: Random) -> list[str]:
+def order_at_random(targets: Sequence[tuple[str, float]], rng: Random) -> list[str]:
     """Return the pools in a random order by weight, as if each request had a key of its own."""
     if len(targets) == 1:
         return [targets[0][0]] if targets[0][1] > 0.0 else []
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lugspur.routing.shares import Shares, even
-from lugspur.routing.splits import by_chance, order_by_key
+from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.standing import UNREACHABLE_SECONDS, Standing, candidates
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
@@ -27,7 +27,7 @@
     for name, part in shares(targets).items():
         assert abs(part - dict(targets)[name] / 100.0) < 0.01
     rng = Random(5)
-    drawn = Counter(by_chance(targets, rng)[0] for _ in range(100_000))
+    drawn = Counter(order_at_random(targets, rng)[0] for _ in range(100_000))
     assert all(abs(drawn[name] / 100_000 - weight / 100.0) < 0.01 for name, weight in targets)
 
 
@@ -57,7 +57,7 @@
 
 def test_pool_of_weight_zero_gets_no_request() -> None:
     assert order_by_key([("a", 0.0), ("b", 1.0)], b"k") == ["b"]
-    assert by_chance([("a", 0.0)], Random(1)) == []
+    assert order_at_random([("a", 0.0)], Random(1)) == []
 
 
 def standing(up: set[int], unreachable: set[int], now: float) -> Standing:
