--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -25,7 +25,7 @@
     Redirect,
     Reply,
     Route,
-    Source,
+    ValueSource,
     read_pattern,
     read_template,
 )
@@ -436,7 +436,7 @@
         return None
 
 
-def _source(row: model.Source | None, pattern: Pattern, place: Place) -> Source | None:
+def _source(row: model.Source | None, pattern: Pattern, place: Place) -> ValueSource | None:
     if row is None:
         return None
     given = [key for key in ("header", "path", "query", "value") if getattr(row, key)]
@@ -445,7 +445,7 @@
     if row.path and row.path not in pattern.names:
         known = ", ".join(pattern.names) or "none"
         place.at("path").wrong(f'the path has no variable "{row.path}"; it has {known}')
-    return Source(row.header.lower(), row.path, row.query, row.value)
+    return ValueSource(row.header.lower(), row.path, row.query, row.value)
 
 
 def _changes(row: model.Changes, place: Place) -> Changes:
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 from secrets import token_hex
 
-from lugspur.routing.model import Changes, Forward, Source
+from lugspur.routing.model import Changes, Forward, ValueSource
 from lugspur.routing.table import Match
 from lugspur.routing.target import Target
 from lugspur.seams import Request
@@ -88,7 +88,9 @@
     return b"".join(lines)
 
 
-def drawn(source: Source, headers: Mapping[str, str], query: Mapping[str, str], captured: Mapping[str, str]) -> str:
+def drawn(
+    source: ValueSource, headers: Mapping[str, str], query: Mapping[str, str], captured: Mapping[str, str]
+) -> str:
     """What a tenant's or key's source says for this request; empty where it says nothing."""
     if source.header:
         return headers.get(source.header, "")
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -167,7 +167,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Source:
+class ValueSource:
     """Where a tenant or key comes from; exactly one field is set.
 
     The fields name a header, a path variable or a query parameter, or hold a constant.
@@ -207,8 +207,8 @@
     fallback: tuple[str, ...] = ()  # pools for when those of `splits` have no usable backend, in order
     kind: str = ""  # name of the request class; empty: unsafe to retry, with the defaults of a class
     deadline: float | None = None  # seconds; None: the deadline of the class
-    tenant: Source | None = None
-    key: Source | None = None  # requests with the same key go to the same pool of `splits`
+    tenant: ValueSource | None = None
+    key: ValueSource | None = None  # requests with the same key go to the same pool of `splits`
     rewrite: Template | None = None
     request: Changes = Changes()
     response: Changes = Changes()
