--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -15,9 +15,9 @@
 from lugspur.routing.conflicts import conflicts
 from lugspur.routing.model import (
     HOST,
-    Changes,
     Condition,
     Forward,
+    HeaderChanges,
     Join,
     MatchType,
     Pattern,
@@ -448,12 +448,12 @@
     return ValueSource(row.header.lower(), row.path, row.query, row.value)
 
 
-def _changes(row: model.Changes, place: Place) -> Changes:
+def _changes(row: model.Changes, place: Place) -> HeaderChanges:
     lines = _lines(row.set, place.at("set"))
     for at, name in enumerate(row.remove):
         _check_name(name, place.at("remove", at))
     removed = frozenset(name.lower() for name in row.remove)
-    return Changes(removed | {name.lower() for name, _ in lines}, lines)
+    return HeaderChanges(removed | {name.lower() for name, _ in lines}, lines)
 
 
 def _lines(raw: Any, place: Place) -> tuple[tuple[str, str], ...]:
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 from secrets import token_hex
 
-from lugspur.routing.model import Changes, Forward, ValueSource
+from lugspur.routing.model import Forward, HeaderChanges, ValueSource
 from lugspur.routing.table import Match
 from lugspur.routing.target import Target
 from lugspur.seams import Request
@@ -78,7 +78,7 @@
     return gone if trusts else gone | CLAIMS
 
 
-def changed(head: bytes, changes: Changes) -> bytes:
+def changed(head: bytes, changes: HeaderChanges) -> bytes:
     """An answer's header lines after the route's changes."""
     if not changes.remove:
         return head
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -180,7 +180,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Changes:
+class HeaderChanges:
     """Header fields to remove and to set, by names in lower case."""
 
     remove: frozenset[str] = frozenset()
@@ -210,8 +210,8 @@
     tenant: ValueSource | None = None
     key: ValueSource | None = None  # requests with the same key go to the same pool of `splits`
     rewrite: Template | None = None
-    request: Changes = Changes()
-    response: Changes = Changes()
+    request: HeaderChanges = HeaderChanges()
+    response: HeaderChanges = HeaderChanges()
     join: Join | None = None
 
 
