--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -16,6 +16,7 @@
 from lugspur.routing.model import (
     HOST,
     Condition,
+    DirectResponse,
     Forward,
     HeaderChanges,
     Join,
@@ -23,7 +24,6 @@
     Pattern,
     PatternError,
     Redirect,
-    Reply,
     Route,
     ValueSource,
     read_pattern,
@@ -280,7 +280,7 @@
         hosts = row.hosts or ("*",)
         return Route(name, pattern, action, hosts, frozenset(row.methods), headers, query, row.priority)
 
-    def _action(self, row: model.Route, pattern: Pattern, place: Place) -> Forward | Reply | Redirect | None:
+    def _action(self, row: model.Route, pattern: Pattern, place: Place) -> Forward | DirectResponse | Redirect | None:
         given = [key for key in ("pool", "split", "reply", "redirect") if getattr(row, key)]
         if len(given) != 1:
             said = f"{' and '.join(given)} are both given" if given else "it leads nowhere"
@@ -478,11 +478,11 @@
         place.wrong(f'header "{name}" is set by the proxy itself; leave it out')
 
 
-def _reply(row: model.Reply, place: Place) -> Reply:
+def _reply(row: model.Reply, place: Place) -> DirectResponse:
     if not isinstance(row.body, str):
         place.at("body").wrong(f"{shown(row.body)} is no text; write it in quotes")
-        return Reply(row.status)
-    return Reply(row.status, row.body.encode(), _lines(row.headers, place.at("headers")))
+        return DirectResponse(row.status)
+    return DirectResponse(row.status, row.body.encode(), _lines(row.headers, place.at("headers")))
 
 
 def _redirect(row: model.Route, pattern: Pattern, place: Place) -> Redirect | None:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -22,7 +22,7 @@
 from lugspur.http1.intake import Rejected, Sizes
 from lugspur.http1.upstream import HELD_PART
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
-from lugspur.routing.model import Forward, Redirect, Reply, RequestView
+from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.standing import Standing, candidates
@@ -175,7 +175,7 @@
         match = table.find(RequestView(method, target, headers, query))
         if isinstance(match, Miss):
             _answer_miss(match, caller)
-        elif isinstance(match.route.action, Reply):
+        elif isinstance(match.route.action, DirectResponse):
             reply = match.route.action
             lines = "".join(f"{name}: {value}\r\n" for name, value in reply.headers)
             caller.answer(reply.status, lines.encode(), reply.body)
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -216,7 +216,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
+class DirectResponse:
     """Respond from the proxy itself, without a backend."""
 
     status: int
@@ -238,7 +238,7 @@
 
     name: str
     path: Pattern
-    action: Forward | Reply | Redirect
+    action: Forward | DirectResponse | Redirect
     hosts: tuple[str, ...] = (ANY_HOST,)  # host patterns, one of which must match: exact, `*.suffix`, or `*` for any
     methods: frozenset[str] = frozenset()  # empty: any method
     headers: tuple[Condition, ...] = ()
