--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -26,7 +26,7 @@
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.standing import Standing, candidates
-from lugspur.routing.table import Match, Miss, read_query
+from lugspur.routing.table import Match, NoMatch, read_query
 from lugspur.routing.target import Target, TargetError, read_target
 from lugspur.seams import Answerable, Request, Response
 
@@ -173,7 +173,7 @@
         headers = Headers(request.headers)
         query = read_query(target.query) if table.reads_query else {}
         match = table.find(RequestView(method, target, headers, query))
-        if isinstance(match, Miss):
+        if isinstance(match, NoMatch):
             _answer_miss(match, caller)
         elif isinstance(match.route.action, DirectResponse):
             reply = match.route.action
@@ -384,7 +384,7 @@
     return any(source is not None and source.query for source in (forward.key, forward.tenant))
 
 
-def _answer_miss(miss: Miss, caller: Answerable) -> None:
+def _answer_miss(miss: NoMatch, caller: Answerable) -> None:
     if miss.allow:
         head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allow)).encode()
         caller.answer(405, head, b"method not allowed\n")
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Miss:
+class NoMatch:
     """No route matches; `allow` has the methods that would have matched (RFC 9110 15.5.6)."""
 
     allow: frozenset[str]
@@ -84,8 +84,8 @@
         for node in self._hosts.values():
             _sort(node)
 
-    def find(self, asked: RequestView) -> Match | Miss:
-        """Return the matching route of the lowest rank, or a Miss."""
+    def find(self, asked: RequestView) -> Match | NoMatch:
+        """Return the matching route of the lowest rank, or a NoMatch."""
         method = asked.method
         for _, route in self._candidates(asked):
             if (not route.methods or method in route.methods) and conditions_match(route, asked):
@@ -94,7 +94,7 @@
         for _, route in self._candidates(asked):
             if conditions_match(route, asked):
                 allow |= route.methods
-        return Miss(frozenset(allow))
+        return NoMatch(frozenset(allow))
 
     def _candidates(self, asked: RequestView) -> Iterator[tuple[Rank, Route]]:
         """Yield the routes whose host and path match, the more specific first."""
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -20,7 +20,7 @@
     read_pattern,
     read_template,
 )
-from lugspur.routing.table import Match, Miss, Table, read_query
+from lugspur.routing.table import Match, NoMatch, Table, read_query
 from lugspur.routing.target import read_target
 
 TO = Forward((("p", 1.0),))
@@ -148,8 +148,8 @@
 def test_miss_has_the_methods_that_would_match() -> None:
     routes = [route("r", "/a", methods=frozenset({"GET", "PUT"})), route("s", "/a", methods=frozenset({"POST"}))]
     found = Table(routes).find(request_for("/a", "DELETE"))
-    assert isinstance(found, Miss) and found.allow == {"GET", "PUT", "POST"}
-    assert Table(routes).find(request_for("/b")) == Miss(frozenset())
+    assert isinstance(found, NoMatch) and found.allow == {"GET", "PUT", "POST"}
+    assert Table(routes).find(request_for("/b")) == NoMatch(frozenset())
 
 
 def test_variables_are_captured_and_filled_in() -> None:
