--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -14,7 +14,7 @@
 from lugspur.bench.processes import Process, daemon, platform, standin
 from lugspur.config.load import load
 from lugspur.routing.model import Forward, RequestView, Route, read_pattern
-from lugspur.routing.table import Table
+from lugspur.routing.table import RouteTable
 from lugspur.routing.target import read_target
 from lugspur.standins.callers import closed_loop
 
@@ -108,7 +108,7 @@
 def lookups() -> list[tuple[int, float]]:
     """Seconds of one look-up by the number of routes; the best of some rounds."""
     found = []
-    tables = [(count, Table(routes(count))) for count in COUNTS]
+    tables = [(count, RouteTable(routes(count))) for count in COUNTS]
     for count, table in tables:
         last = count - 1
         target = read_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -29,7 +29,7 @@
     read_pattern,
     read_template,
 )
-from lugspur.routing.table import Table
+from lugspur.routing.table import RouteTable
 
 METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "PATCH", "DELETE", "POST")
 TOKEN = re.compile(r"[!#$%&'*+.^`|~0-9A-Za-z-]+")  # RFC 9110 5.6.2, but for `_`, which intake drops
@@ -71,7 +71,7 @@
     """What a file asks for, whole and checked."""
 
     file: model.File
-    table: Table
+    table: RouteTable
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     kinds: dict[str, int]  # classes by name, as places in `classes`
@@ -130,7 +130,7 @@
             if not POOL.fullmatch(name):
                 place.at("pools", name).wrong(f"a checked pool has a name of 1 to 64 characters, not {len(name)}")
     routes = _Routes(file, raw, place.at("routes"))
-    table = Table(routes.read())
+    table = RouteTable(routes.read())
     for found, (one, two) in enumerate(conflicts(table.routes)):
         if found >= CONFLICTS_MOST:
             break
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -68,7 +68,7 @@
     allow: frozenset[str]
 
 
-class Table:
+class RouteTable:
     """Routes indexed by host, then by path, then sorted by the precedence that `model.rank` defines."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -20,7 +20,7 @@
     read_pattern,
     read_template,
 )
-from lugspur.routing.table import Match, NoMatch, Table, read_query
+from lugspur.routing.table import Match, NoMatch, RouteTable, read_query
 from lugspur.routing.target import read_target
 
 TO = Forward((("p", 1.0),))
@@ -36,7 +36,7 @@
 
 
 def chosen(routes: list[Route], request: RequestView) -> str:
-    found = Table(routes).find(request)
+    found = RouteTable(routes).find(request)
     return found.route.name if isinstance(found, Match) else "-"
 
 
@@ -147,14 +147,14 @@
 
 def test_miss_has_the_methods_that_would_match() -> None:
     routes = [route("r", "/a", methods=frozenset({"GET", "PUT"})), route("s", "/a", methods=frozenset({"POST"}))]
-    found = Table(routes).find(request_for("/a", "DELETE"))
+    found = RouteTable(routes).find(request_for("/a", "DELETE"))
     assert isinstance(found, NoMatch) and found.allow == {"GET", "PUT", "POST"}
-    assert Table(routes).find(request_for("/b")) == NoMatch(frozenset())
+    assert RouteTable(routes).find(request_for("/b")) == NoMatch(frozenset())
 
 
 def test_variables_are_captured_and_filled_in() -> None:
     pattern = read_pattern("/hotels/{id}/rooms/*")
-    found = Table([Route("r", pattern, TO)]).find(request_for("/hotels/a;v=1/rooms/2/x/"))
+    found = RouteTable([Route("r", pattern, TO)]).find(request_for("/hotels/a;v=1/rooms/2/x/"))
     assert isinstance(found, Match) and found.captured == {"id": "a;v=1", "=id": "a", "*": "/2/x/"}
     assert read_template("/v2/{id}/*", pattern).fill(found.captured) == "/v2/a;v=1/2/x/"
     assert read_template("https://x/{id}?h={id}", pattern).fill(found.captured) == "https://x/a;v=1?h=a;v=1"
@@ -217,7 +217,7 @@
 
 @given(ROUTES, st.lists(REQUESTS, max_size=6))
 def test_table_agrees_with_a_linear_search(routes: list[Route], requests: list[RequestView]) -> None:
-    table = Table(routes)
+    table = RouteTable(routes)
     for request in requests:
         found, verdicts = table.find(request), explain(routes, request)
         best = verdicts[0] if verdicts and verdicts[0].rank is not None else None
