--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -13,7 +13,7 @@
 
 from lugspur.bench.processes import Process, daemon, platform, standin
 from lugspur.config.load import load
-from lugspur.routing.model import Forward, RequestView, Route, read_pattern
+from lugspur.routing.model import Forward, RequestView, Route, parse_pattern
 from lugspur.routing.table import RouteTable
 from lugspur.routing.target import read_target
 from lugspur.standins.callers import closed_loop
@@ -96,7 +96,7 @@
     return [
         Route(
             f"r{n}",
-            read_pattern(f"/svc{n // 100}/hotels/{{id}}/rooms/*"),
+            parse_pattern(f"/svc{n // 100}/hotels/{{id}}/rooms/*"),
             to,
             (f"h{n % 100}.example",),
             frozenset({"GET"}),
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -26,7 +26,7 @@
     Redirect,
     Route,
     ValueSource,
-    read_pattern,
+    parse_pattern,
     read_template,
 )
 from lugspur.routing.table import RouteTable
@@ -266,7 +266,7 @@
 
     def _route(self, name: str, row: model.Route, place: Place) -> Route | None:
         before = len(place.faults)
-        pattern = _tried(place.at("path"), lambda: read_pattern(row.path))
+        pattern = _tried(place.at("path"), lambda: parse_pattern(row.path))
         for at, host in enumerate(row.hosts):
             _check_host(host, place.at("hosts", at))
         for at, method in enumerate(row.methods):
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -44,7 +44,7 @@
         )
 
 
-def read_pattern(text: str) -> Pattern:
+def parse_pattern(text: str) -> Pattern:
     """Parse a pattern such as `/hotels/{id}/rooms/*`; raises PatternError.
 
     Literal segments are normalized, so `/caf\u00e9` and `/caf%C3%A9` are the same pattern.
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -17,7 +17,7 @@
     PatternError,
     RequestView,
     Route,
-    read_pattern,
+    parse_pattern,
     read_template,
 )
 from lugspur.routing.table import Match, NoMatch, RouteTable, read_query
@@ -27,7 +27,7 @@
 
 
 def route(name: str, path: str, **more: object) -> Route:
-    return Route(name, read_pattern(path), TO, **more)  # type: ignore[arg-type]
+    return Route(name, parse_pattern(path), TO, **more)  # type: ignore[arg-type]
 
 
 def request_for(target: str, method: str = "GET", host: str = "h", **headers: str) -> RequestView:
@@ -116,7 +116,7 @@
 def test_which_paths_match(path: str, target: str, matches: bool) -> None:
     request = request_for(target)
     assert (chosen([route("r", path)], request) == "r") is matches
-    assert read_pattern(path).matches(request.target.segments) is matches
+    assert parse_pattern(path).matches(request.target.segments) is matches
 
 
 def test_all_spellings_of_a_path_reach_the_route_of_its_normalized_form() -> None:
@@ -153,7 +153,7 @@
 
 
 def test_variables_are_captured_and_filled_in() -> None:
-    pattern = read_pattern("/hotels/{id}/rooms/*")
+    pattern = parse_pattern("/hotels/{id}/rooms/*")
     found = RouteTable([Route("r", pattern, TO)]).find(request_for("/hotels/a;v=1/rooms/2/x/"))
     assert isinstance(found, Match) and found.captured == {"id": "a;v=1", "=id": "a", "*": "/2/x/"}
     assert read_template("/v2/{id}/*", pattern).fill(found.captured) == "/v2/a;v=1/2/x/"
@@ -165,15 +165,15 @@
 )
 def test_invalid_pattern_is_rejected(path: str) -> None:
     with pytest.raises(PatternError):
-        read_pattern(path)
+        parse_pattern(path)
 
 
 @pytest.mark.parametrize("text", ["/{x}", "/a*", "/*/b", "/a b", "/{id", "/{id}\\", "/{id}#x"])
 def test_invalid_template_is_rejected(text: str) -> None:
     with pytest.raises(PatternError):
-        read_template(text, read_pattern("/{id}/*"))
+        read_template(text, parse_pattern("/{id}/*"))
     with pytest.raises(PatternError):
-        read_template("/*", read_pattern("/{id}"))
+        read_template("/*", parse_pattern("/{id}"))
 
 
 VALUES = st.sampled_from(["1", "2", "12"])
