--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -27,7 +27,7 @@
     Route,
     ValueSource,
     parse_pattern,
-    read_template,
+    parse_template,
 )
 from lugspur.routing.table import RouteTable
 
@@ -310,7 +310,7 @@
             _known(row.kind, self._classes, "class", place.at("class"))
         rewrite = None
         if row.rewrite:
-            rewrite = _tried(place.at("rewrite"), lambda: read_template(row.rewrite, pattern))
+            rewrite = _tried(place.at("rewrite"), lambda: parse_template(row.rewrite, pattern))
             if not row.rewrite.startswith("/") or set(row.rewrite) & set("?;"):
                 place.at("rewrite").wrong(f'{shown(row.rewrite)} is no path; begin with "/", without a query')
         return Forward(
@@ -493,5 +493,5 @@
     # Guards against a caller's word in the host's place: https://x{name} would lead wherever the caller likes.
     if not re.match(r"/(?!/)|https?://[0-9A-Za-z.:\[\]_-]+(?:[/?]|$)", to):
         place.at("to").wrong(f'{shown(to)} leads nowhere; begin with "/" or "https://host"')
-    template = _tried(place.at("to"), lambda: read_template(to, pattern))
+    template = _tried(place.at("to"), lambda: parse_template(to, pattern))
     return Redirect(status, template) if template else None
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -102,7 +102,7 @@
         return "".join(captured[piece] if index % 2 else piece for index, piece in enumerate(self.pieces))
 
 
-def read_template(text: str, pattern: Pattern) -> Template:
+def parse_template(text: str, pattern: Pattern) -> Template:
     """Parse a template whose variables are those of the pattern; raises PatternError."""
     pieces = re.split(r"\{([^{}/]*)\}", text)
     for name in pieces[1::2]:
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -18,7 +18,7 @@
     RequestView,
     Route,
     parse_pattern,
-    read_template,
+    parse_template,
 )
 from lugspur.routing.table import Match, NoMatch, RouteTable, read_query
 from lugspur.routing.target import read_target
@@ -156,8 +156,8 @@
     pattern = parse_pattern("/hotels/{id}/rooms/*")
     found = RouteTable([Route("r", pattern, TO)]).find(request_for("/hotels/a;v=1/rooms/2/x/"))
     assert isinstance(found, Match) and found.captured == {"id": "a;v=1", "=id": "a", "*": "/2/x/"}
-    assert read_template("/v2/{id}/*", pattern).fill(found.captured) == "/v2/a;v=1/2/x/"
-    assert read_template("https://x/{id}?h={id}", pattern).fill(found.captured) == "https://x/a;v=1?h=a;v=1"
+    assert parse_template("/v2/{id}/*", pattern).fill(found.captured) == "/v2/a;v=1/2/x/"
+    assert parse_template("https://x/{id}?h={id}", pattern).fill(found.captured) == "https://x/a;v=1?h=a;v=1"
 
 
 @pytest.mark.parametrize(
@@ -171,9 +171,9 @@
 @pytest.mark.parametrize("text", ["/{x}", "/a*", "/*/b", "/a b", "/{id", "/{id}\\", "/{id}#x"])
 def test_invalid_template_is_rejected(text: str) -> None:
     with pytest.raises(PatternError):
-        read_template(text, parse_pattern("/{id}/*"))
+        parse_template(text, parse_pattern("/{id}/*"))
     with pytest.raises(PatternError):
-        read_template("/*", parse_pattern("/{id}"))
+        parse_template("/*", parse_pattern("/{id}"))
 
 
 VALUES = st.sampled_from(["1", "2", "12"])
