--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -15,7 +15,7 @@
 from lugspur.config.load import load
 from lugspur.routing.model import Forward, RequestView, Route, parse_pattern
 from lugspur.routing.table import RouteTable
-from lugspur.routing.target import read_target
+from lugspur.routing.target import parse_target
 from lugspur.standins.callers import closed_loop
 
 CALLERS, BACKENDS, SIZE = 16, 3, 200
@@ -111,7 +111,7 @@
     tables = [(count, RouteTable(routes(count))) for count in COUNTS]
     for count, table in tables:
         last = count - 1
-        target = read_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
+        target = parse_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
         asked = RequestView("GET", target, {})
         best = float("inf")
         for _ in range(5):
--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -15,7 +15,7 @@
 from lugspur.routing.explain import Verdict, decided_by, explain
 from lugspur.routing.model import Forward, Redirect, RequestView, Route
 from lugspur.routing.table import capture, read_query
-from lugspur.routing.target import TargetError, read_target
+from lugspur.routing.target import TargetError, parse_target
 
 FAULTY = 2  # the exit status for a file or a command that makes no sense
 
@@ -128,7 +128,7 @@
     try:
         if not url.startswith("/") and urlsplit(url).scheme in ("http", "https"):
             found["host"] = urlsplit(url).netloc
-        target = read_target(url.partition("#")[0].encode(), found.get("host", "").encode())
+        target = parse_target(url.partition("#")[0].encode(), found.get("host", "").encode())
     except (TargetError, ValueError) as fault:
         click.echo(f"{url}: answered 400: {fault}", err=True)
         sys.exit(FAULTY)
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -27,7 +27,7 @@
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.standing import Standing, candidates
 from lugspur.routing.table import Match, NoMatch, read_query
-from lugspur.routing.target import Target, TargetError, read_target
+from lugspur.routing.target import Target, TargetError, parse_target
 from lugspur.seams import Answerable, Request, Response
 
 if TYPE_CHECKING:
@@ -164,7 +164,7 @@
         if method not in METHODS:
             raise Rejected(501, "the method is not served")
         try:
-            target = read_target(request.target, request.headers.get(b"host"))
+            target = parse_target(request.target, request.headers.get(b"host"))
         except TargetError as fault:
             raise Rejected(400, str(fault)) from fault
         regime = request.terms
--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -47,7 +47,7 @@
         return self.path if self.query is None else self.path + b"?" + self.query
 
 
-def read_target(target: bytes, host: bytes | None) -> Target:
+def parse_target(target: bytes, host: bytes | None) -> Target:
     """Parse and normalize a request's target and `Host`; raises TargetError.
 
     The authority of a target in absolute form replaces `Host` (RFC 9112 3.2.2).
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -21,7 +21,7 @@
     parse_template,
 )
 from lugspur.routing.table import Match, NoMatch, RouteTable, read_query
-from lugspur.routing.target import read_target
+from lugspur.routing.target import parse_target
 
 TO = Forward((("p", 1.0),))
 
@@ -31,7 +31,7 @@
 
 
 def request_for(target: str, method: str = "GET", host: str = "h", **headers: str) -> RequestView:
-    found = read_target(target.encode(), host.encode())
+    found = parse_target(target.encode(), host.encode())
     return RequestView(method, found, headers, read_query(found.query))
 
 
@@ -205,7 +205,7 @@
 ).map(lambda rows: [route(f"r{n}", path, **more) for n, (path, more) in enumerate(rows)])
 REQUESTS = st.builds(
     lambda parts, host, method, headers, query: RequestView(
-        method, read_target(("/" + "/".join(parts)).encode(), host.encode()), headers, query
+        method, parse_target(("/" + "/".join(parts)).encode(), host.encode()), headers, query
     ),
     st.lists(st.sampled_from(["a", "b", "c"]), max_size=4),
     st.sampled_from(["h", "x.h", "y.x.h", "z"]),
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_target.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.routing.target import MAX_SEGMENTS, Target, TargetError, read_target
+from lugspur.routing.target import MAX_SEGMENTS, Target, TargetError, parse_target
 
 
 def normalized(target: bytes, host: bytes = b"h.example") -> Target:
-    return read_target(target, host)
+    return parse_target(target, host)
 
 
 @pytest.mark.parametrize(
