--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -64,12 +64,12 @@
     path, mark, query = target.partition(b"?")
     if not QUERY.fullmatch(query):
         raise TargetError("the query has characters that need escapes")
-    name, authority = read_host(host or b"")
+    name, authority = parse_host(host or b"")
     normalized, segments, whole = read_path(path)
     return Target(name, authority, normalized, segments, whole, query if mark else None)
 
 
-def read_host(host: bytes) -> tuple[str, bytes]:
+def parse_host(host: bytes) -> tuple[str, bytes]:
     """Return a host's normalized name, without and with its port; raises TargetError."""
     found = AUTHORITY.fullmatch(host)
     if found is None:
