--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lugspur.routing.target import Target, TargetError, read_path
+from lugspur.routing.target import Target, TargetError, parse_path
 
 ANY_HOST = "*"
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*")
@@ -85,7 +85,7 @@
         raise PatternError(f'path "{text}" has a dot segment; write the resolved path')
     try:
         escaped = "".join(c if c < "\x7f" else "".join(f"%{b:02X}" for b in c.encode()) for c in piece)
-        return read_path(b"/" + escaped.encode())[1][0]
+        return parse_path(b"/" + escaped.encode())[1][0]
     except TargetError as fault:
         raise PatternError(f'path "{text}": {fault}') from fault
 
--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -65,7 +65,7 @@
     if not QUERY.fullmatch(query):
         raise TargetError("the query has characters that need escapes")
     name, authority = parse_host(host or b"")
-    normalized, segments, whole = read_path(path)
+    normalized, segments, whole = parse_path(path)
     return Target(name, authority, normalized, segments, whole, query if mark else None)
 
 
@@ -87,7 +87,7 @@
     return name.decode(), name + b":" + port if port else name
 
 
-def read_path(path: bytes) -> tuple[bytes, tuple[str, ...], tuple[str, ...]]:
+def parse_path(path: bytes) -> tuple[bytes, tuple[str, ...], tuple[str, ...]]:
     """Return a normalized path, its segments without parameters, and its whole segments; raises TargetError."""
     if not SIMPLE_PATH.fullmatch(path):
         path = _normalize_escapes(path)
