--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -14,7 +14,7 @@
 from lugspur.config.load import FileFaults, load
 from lugspur.routing.explain import Verdict, decided_by, explain
 from lugspur.routing.model import Forward, Redirect, RequestView, Route
-from lugspur.routing.table import capture, read_query
+from lugspur.routing.table import capture, parse_query
 from lugspur.routing.target import TargetError, parse_target
 
 FAULTY = 2  # the exit status for a file or a command that makes no sense
@@ -132,7 +132,7 @@
     except (TargetError, ValueError) as fault:
         click.echo(f"{url}: answered 400: {fault}", err=True)
         sys.exit(FAULTY)
-    return RequestView(method.upper(), target, found, read_query(target.query))
+    return RequestView(method.upper(), target, found, parse_query(target.query))
 
 
 def _show_winner(plan: Plan, verdict: Verdict, asked: RequestView) -> None:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -26,7 +26,7 @@
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.standing import Standing, candidates
-from lugspur.routing.table import Match, NoMatch, read_query
+from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
 from lugspur.seams import Answerable, Request, Response
 
@@ -171,7 +171,7 @@
         assert isinstance(regime, Regime)
         table = regime.plan.table
         headers = Headers(request.headers)
-        query = read_query(target.query) if table.reads_query else {}
+        query = parse_query(target.query) if table.reads_query else {}
         match = table.find(RequestView(method, target, headers, query))
         if isinstance(match, NoMatch):
             _answer_miss(match, caller)
@@ -196,7 +196,7 @@
     ) -> None:
         kind = regime.plan.classes[regime.plan.kinds[forward.kind]]
         timeout = self._timeout(kind, forward, request)
-        query = read_query(target.query) if _reads_query(forward) else {}
+        query = parse_query(target.query) if _reads_query(forward) else {}
         tenant = _tenant(regime.plan, match, forward, request, query)
         caller.admit()
         deadline = self._loop.time() + timeout - ANSWER_EARLY
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -143,7 +143,7 @@
     return captured
 
 
-def read_query(query: bytes | None) -> dict[str, str]:
+def parse_query(query: bytes | None) -> dict[str, str]:
     """Parse a query into parameters by name, for conditions.
 
     A parameter that is repeated is present, but its value matches no condition on a value: backends differ in
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -20,7 +20,7 @@
     parse_pattern,
     parse_template,
 )
-from lugspur.routing.table import Match, NoMatch, RouteTable, read_query
+from lugspur.routing.table import Match, NoMatch, RouteTable, parse_query
 from lugspur.routing.target import parse_target
 
 TO = Forward((("p", 1.0),))
@@ -32,7 +32,7 @@
 
 def request_for(target: str, method: str = "GET", host: str = "h", **headers: str) -> RequestView:
     found = parse_target(target.encode(), host.encode())
-    return RequestView(method, found, headers, read_query(found.query))
+    return RequestView(method, found, headers, parse_query(found.query))
 
 
 def chosen(routes: list[Route], request: RequestView) -> str:
