--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -12,7 +12,7 @@
 
 from lugspur.config.build import Plan, warnings
 from lugspur.config.load import FileFaults, load
-from lugspur.routing.explain import Verdict, decided_by, explain
+from lugspur.routing.explain import Verdict, deciding_rule, explain
 from lugspur.routing.model import Forward, Redirect, RequestView, Route
 from lugspur.routing.table import capture, parse_query
 from lugspur.routing.target import TargetError, parse_target
@@ -108,7 +108,7 @@
         _show_winner(plan, matching[0], asked)
         for verdict in matching[1:]:
             assert verdict.rank is not None and matching[0].rank is not None
-            click.echo(f"  beats {verdict.route.name}: by {decided_by(matching[0].rank, verdict.rank)}")
+            click.echo(f"  beats {verdict.route.name}: by {deciding_rule(matching[0].rank, verdict.rank)}")
     others = verdicts[len(matching) :]
     shown = others if everything else others[:10]
     for verdict in shown:
--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -62,6 +62,6 @@
 )
 
 
-def decided_by(winner: Rank, loser: Rank) -> str:
+def deciding_rule(winner: Rank, loser: Rank) -> str:
     """Return the rule of the precedence by which one rank beats another."""
     return next((rule for rule, a, b in zip(RULES, winner, loser, strict=False) if a != b), RULES[-1])
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.routing.conflicts import conflicts
-from lugspur.routing.explain import decided_by, explain
+from lugspur.routing.explain import deciding_rule, explain
 from lugspur.routing.model import (
     Condition,
     Forward,
@@ -82,7 +82,7 @@
 def test_explain_names_the_deciding_rule_and_why_routes_do_not_match() -> None:
     verdicts = {v.route.name: v for v in explain(ORDERED, request_for("/a/b", host="z.example"))}
     winner, loser = verdicts["suffix"].rank, verdicts["any method"].rank
-    assert winner is not None and loser is not None and decided_by(winner, loser) == "host"
+    assert winner is not None and loser is not None and deciding_rule(winner, loser) == "host"
     assert verdicts["exact host"].against == "host z.example is not x.example"
     assert verdicts["header"].against == "header h is absent, wanted exact 1"
 
