--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -12,7 +12,7 @@
 from lugspur.config.schema import Place
 from lugspur.config.units import MARK, Wrong, nearest, shown, text
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Rules, Settings, Tenant
-from lugspur.routing.conflicts import conflicts
+from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.model import (
     HOST,
     Condition,
@@ -131,7 +131,7 @@
                 place.at("pools", name).wrong(f"a checked pool has a name of 1 to 64 characters, not {len(name)}")
     routes = _Routes(file, raw, place.at("routes"))
     table = RouteTable(routes.read())
-    for found, (one, two) in enumerate(conflicts(table.routes)):
+    for found, (one, two) in enumerate(find_conflicts(table.routes)):
         if found >= CONFLICTS_MOST:
             break
         place.at("routes", two.name).wrong(
--- a/lugspur/routing/conflicts.py
+++ b/lugspur/routing/conflicts.py
@@ -11,7 +11,7 @@
 Group = list[Route]
 
 
-def conflicts(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
+def find_conflicts(routes: Iterable[Route]) -> Iterator[tuple[Route, Route]]:
     """Yield each pair of routes of equal precedence that can match the same request."""
     groups: dict[object, Group] = {}
     for route in routes:
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.routing.conflicts import conflicts
+from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.explain import deciding_rule, explain
 from lugspur.routing.model import (
     Condition,
@@ -235,7 +235,7 @@
 
 @given(ROUTES, st.lists(REQUESTS, max_size=6))
 def test_routes_without_a_conflict_never_tie(routes: list[Route], requests: list[RequestView]) -> None:
-    tied = {frozenset((a.name, b.name)) for a, b in conflicts(routes)}
+    tied = {frozenset((a.name, b.name)) for a, b in find_conflicts(routes)}
     for request in requests:
         matching = [v for v in explain(routes, request) if v.rank is not None]
         for one, two in pairwise(matching):
@@ -245,12 +245,12 @@
 def test_conflict_names_both_routes_of_equal_precedence() -> None:
     one = route("one", "/a/{x}", headers=(Condition("h", MatchType.EXACT, "1"),))
     two = route("two", "/a/{y}", headers=(Condition("i", MatchType.EXACT, "1"),))
-    assert [(a.name, b.name) for a, b in conflicts([one, two])] == [("one", "two")]
+    assert [(a.name, b.name) for a, b in find_conflicts([one, two])] == [("one", "two")]
     other = route("two", "/a/{y}", headers=(Condition("h", MatchType.EXACT, "2"),))
-    assert not list(conflicts([one, other]))
+    assert not list(find_conflicts([one, other]))
 
 
 def test_conflict_check_of_thousands_of_routes_of_one_path_is_fast() -> None:
     routes = [route(f"r{n}", "/a", headers=(Condition("v", MatchType.EXACT, str(n)),)) for n in range(10_000)]
     routes += [route("again", "/a", headers=(Condition("v", MatchType.EXACT, "77"),))]
-    assert [(a.name, b.name) for a, b in conflicts(routes)] == [("r77", "again")]
+    assert [(a.name, b.name) for a, b in find_conflicts(routes)] == [("r77", "again")]
