--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -17,7 +17,7 @@
     rank: Rank | None  # the precedence of a route that matches
 
 
-def judge(route: Route, asked: RequestView) -> Verdict:
+def evaluate_route(route: Route, asked: RequestView) -> Verdict:
     """Return the verdict on one route, with the first condition that does not hold."""
     matching_hosts = [host for host in route.hosts if host_matches(host, asked.target.host)]
     against = ""
@@ -46,7 +46,7 @@
 
 def explain(routes: Iterable[Route], asked: RequestView) -> list[Verdict]:
     """Return the verdict on every route: the chosen route first, then other matches by precedence, then the rest."""
-    verdicts = [judge(route, asked) for route in routes]
+    verdicts = [evaluate_route(route, asked) for route in routes]
     matching = sorted((v for v in verdicts if v.rank is not None), key=lambda v: (v.rank or (), v.route.name))
     return matching + [v for v in verdicts if v.rank is None]
 
