--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -101,7 +101,7 @@
     asked = _asked(method, url, headers)
     verdicts = explain(plan.table.routes, asked)
     matching = [v for v in verdicts if not v.against]
-    click.echo(f"{asked.method} {asked.target.bytes.decode()}  host {asked.target.host or '(none)'}")
+    click.echo(f"{asked.method} {asked.target.origin_form.decode()}  host {asked.target.host or '(none)'}")
     if not matching:
         click.echo("no route takes it:" if verdicts else "the file has no route")
     else:
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -37,7 +37,7 @@
 
 def outgoing(request: Request, target: Target, match: Match, forward: Forward, peer: str, trusts: bool) -> Request:
     """The request as backends see it: by the route's path and header changes, with what a proxy adds."""
-    path = target.bytes
+    path = target.origin_form
     if forward.rewrite is not None:
         path = forward.rewrite.fill(match.captured).encode() or b"/"
         path += b"" if target.query is None else b"?" + target.query
--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -42,7 +42,7 @@
     query: bytes | None  # as received; None where the target has no `?`
 
     @property
-    def bytes(self) -> bytes:
+    def origin_form(self) -> bytes:
         """Return the origin form (RFC 9112 3.2.1)."""
         return self.path if self.query is None else self.path + b"?" + self.query
 
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_target.py
@@ -108,8 +108,10 @@
 
 def test_authority_of_an_absolute_form_replaces_the_host() -> None:
     found = normalized(b"HTTP://Other.example:81/a/../b?x=1", b"h.example")
-    assert (found.host, found.authority, found.bytes) == ("other.example", b"other.example:81", b"/b?x=1")
-    assert normalized(b"http://other.example").path == b"/" and normalized(b"http://other.example?x").bytes == b"/?x"
+    assert (found.host, found.authority, found.origin_form) == ("other.example", b"other.example:81", b"/b?x=1")
+    assert (
+        normalized(b"http://other.example").path == b"/" and normalized(b"http://other.example?x").origin_form == b"/?x"
+    )
 
 
 def test_routes_compare_segments_without_their_parameters() -> None:
