--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -138,7 +138,7 @@
 def _show_winner(plan: Plan, verdict: Verdict, asked: RequestView) -> None:
     route = verdict.route
     click.echo(f"route {route.name}: {_leads(plan, route)}")
-    captured = capture(route.path, asked.target.whole, asked.target.segments)
+    captured = capture(route.path, asked.target.forwarded_segments, asked.target.segments)
     names = {name: value for name, value in captured.items() if not name.startswith("=")}
     if names:
         click.echo("  path " + ", ".join(f"{name} = {value or '(empty)'}" for name, value in names.items()))
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -89,7 +89,7 @@
         method = asked.method
         for _, route in self._candidates(asked):
             if (not route.methods or method in route.methods) and conditions_match(route, asked):
-                return Match(route, capture(route.path, asked.target.whole, asked.target.segments))
+                return Match(route, capture(route.path, asked.target.forwarded_segments, asked.target.segments))
         allow: set[str] = set()
         for _, route in self._candidates(asked):
             if conditions_match(route, asked):
@@ -127,7 +127,7 @@
             stack.append(node.variable)
 
 
-def capture(path: Pattern, whole: tuple[str, ...], segments: tuple[str, ...]) -> dict[str, str]:
+def capture(path: Pattern, forwarded_segments: tuple[str, ...], segments: tuple[str, ...]) -> dict[str, str]:
     """Return the values of the variables in a path.
 
     A variable's value as it is forwarded is under its name, and without path parameters under `=name`. `*` has the
@@ -136,10 +136,10 @@
     captured: dict[str, str] = {}
     indexes = (index for index, part in enumerate(path.parts) if part is None)
     for name, index in zip(path.names, indexes, strict=True):
-        captured[name] = whole[index]
+        captured[name] = forwarded_segments[index]
         captured["=" + name] = segments[index]
     if path.rest:
-        captured["*"] = "".join("/" + part for part in whole[len(path.parts) :])
+        captured["*"] = "".join("/" + part for part in forwarded_segments[len(path.parts) :])
     return captured
 
 
--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -38,7 +38,7 @@
     authority: bytes  # the host with its port, as it is forwarded
     path: bytes  # the absolute path, as it is forwarded
     segments: tuple[str, ...]  # segments of the path without their parameters, which routes compare
-    whole: tuple[str, ...]  # segments of the path as they are forwarded
+    forwarded_segments: tuple[str, ...]  # segments of the path as they are forwarded
     query: bytes | None  # as received; None where the target has no `?`
 
     @property
@@ -65,8 +65,8 @@
     if not QUERY.fullmatch(query):
         raise TargetError("the query has characters that need escapes")
     name, authority = parse_host(host or b"")
-    normalized, segments, whole = parse_path(path)
-    return Target(name, authority, normalized, segments, whole, query if mark else None)
+    normalized, segments, forwarded_segments = parse_path(path)
+    return Target(name, authority, normalized, segments, forwarded_segments, query if mark else None)
 
 
 def parse_host(host: bytes) -> tuple[str, bytes]:
@@ -88,18 +88,18 @@
 
 
 def parse_path(path: bytes) -> tuple[bytes, tuple[str, ...], tuple[str, ...]]:
-    """Return a normalized path, its segments without parameters, and its whole segments; raises TargetError."""
+    """Return a normalized path, its segments without and with their parameters; raises TargetError."""
     if not SIMPLE_PATH.fullmatch(path):
         path = _normalize_escapes(path)
     if b"/." in path or b"//" in path:
         path = _remove_dot_segments(path)
     text = path.decode()
-    whole = tuple(text[1:].split("/"))
-    if len(whole) > MAX_SEGMENTS:
+    forwarded_segments = tuple(text[1:].split("/"))
+    if len(forwarded_segments) > MAX_SEGMENTS:
         raise TargetError("the path has too many parts")
     if ";" not in text and "%3B" not in text:
-        return path, whole, whole
-    return path, tuple(_without_parameters(part) for part in whole), whole
+        return path, forwarded_segments, forwarded_segments
+    return path, tuple(_without_parameters(part) for part in forwarded_segments), forwarded_segments
 
 
 def _normalize_escapes(path: bytes) -> bytes:
--- a/tests/routing/test_target.py
+++ b/tests/routing/test_target.py
@@ -116,7 +116,7 @@
 
 def test_routes_compare_segments_without_their_parameters() -> None:
     found = normalized(b"/admin;x=1/%6Cist%3Bb")
-    assert found.segments == ("admin", "list") and found.whole == ("admin;x=1", "list%3Bb")
+    assert found.segments == ("admin", "list") and found.forwarded_segments == ("admin;x=1", "list%3Bb")
     assert found.path == b"/admin;x=1/list%3Bb"
 
 
