--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -26,17 +26,17 @@
     text: str
     parts: tuple[str | None, ...]  # segments; None stands for any one segment
     names: tuple[str, ...]  # names of the variables, one for each None in `parts`
-    rest: bool  # whether the pattern ends in `*`, so that further segments may follow
+    is_prefix: bool  # whether the pattern ends in `*`, so that further segments may follow
 
     @property
     def rank(self) -> tuple[int, ...]:
         """Return the precedence, segment by segment; a lower rank is more specific."""
         kinds = [VARIABLE if part is None else LITERAL for part in self.parts]
-        return (*kinds, REST if self.rest else END)
+        return (*kinds, REST if self.is_prefix else END)
 
     def matches(self, segments: tuple[str, ...]) -> bool:
         """Return whether the segments of a path match; a variable matches one segment that is not empty."""
-        if len(segments) < len(self.parts) or (len(segments) > len(self.parts) and not self.rest):
+        if len(segments) < len(self.parts) or (len(segments) > len(self.parts) and not self.is_prefix):
             return False
         return all(
             segment == part if part is not None else segment
@@ -115,7 +115,7 @@
     if ("*" in last and not last.endswith("/*")) or any("*" in piece for piece in pieces[:-1:2]):
         raise PatternError(f'"{text}": "*" is allowed only alone at the end')
     if last.endswith("/*"):
-        if not pattern.rest:
+        if not pattern.is_prefix:
             raise PatternError(f'"{text}" uses *, but the path does not end in "/*"')
         pieces[-1:] = [last[:-2], "*", ""]
     return Template(text, tuple(pieces))
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -36,7 +36,7 @@
             else:
                 node.variable = node.variable or Node()
                 node = node.variable
-        return node.prefix if pattern.rest else node.exact
+        return node.prefix if pattern.is_prefix else node.exact
 
     def walk(self, segments: tuple[str, ...], index: int = 0) -> Iterator[list[tuple[Rank, Route]]]:
         """Yield the lists of routes that match a path, the more specific first; visits each node at most once."""
@@ -138,7 +138,7 @@
     for name, index in zip(path.names, indexes, strict=True):
         captured[name] = forwarded_segments[index]
         captured["=" + name] = segments[index]
-    if path.rest:
+    if path.is_prefix:
         captured["*"] = "".join("/" + part for part in forwarded_segments[len(path.parts) :])
     return captured
 
