--- a/lugspur/routing/conflicts.py
+++ b/lugspur/routing/conflicts.py
@@ -16,7 +16,7 @@
     groups: dict[object, Group] = {}
     for route in routes:
         for host in route.hosts:
-            groups.setdefault((host, route.path.parts, rank(route, host)), []).append(route)
+            groups.setdefault((host, route.path.segments, rank(route, host)), []).append(route)
     seen: set[tuple[str, str]] = set()
     for group in groups.values():
         for one, two in _pairs(group):
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -24,23 +24,23 @@
     """A path pattern: literal segments, `{name}` for any one segment, `*` at the end for any number of them."""
 
     text: str
-    parts: tuple[str | None, ...]  # segments; None stands for any one segment
-    names: tuple[str, ...]  # names of the variables, one for each None in `parts`
+    segments: tuple[str | None, ...]  # segments; None stands for any one segment
+    names: tuple[str, ...]  # names of the variables, one for each None in `segments`
     is_prefix: bool  # whether the pattern ends in `*`, so that further segments may follow
 
     @property
     def rank(self) -> tuple[int, ...]:
         """Return the precedence, segment by segment; a lower rank is more specific."""
-        kinds = [VARIABLE if part is None else LITERAL for part in self.parts]
+        kinds = [VARIABLE if part is None else LITERAL for part in self.segments]
         return (*kinds, REST if self.is_prefix else END)
 
     def matches(self, segments: tuple[str, ...]) -> bool:
         """Return whether the segments of a path match; a variable matches one segment that is not empty."""
-        if len(segments) < len(self.parts) or (len(segments) > len(self.parts) and not self.is_prefix):
+        if len(segments) < len(self.segments) or (len(segments) > len(self.segments) and not self.is_prefix):
             return False
         return all(
             segment == part if part is not None else segment
-            for part, segment in zip(self.parts, segments, strict=False)
+            for part, segment in zip(self.segments, segments, strict=False)
         )
 
 
