--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -12,7 +12,7 @@
 ANY_HOST = "*"
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*")
 HOST = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]|\*")
-LITERAL, VARIABLE, END, REST = range(4)  # kinds of segments of a pattern, the more specific first
+LITERAL, VARIABLE, END, REMAINDER = range(4)  # kinds of segments of a pattern, the more specific first
 
 
 class PatternError(ValueError):
@@ -32,7 +32,7 @@
     def rank(self) -> tuple[int, ...]:
         """Return the precedence, segment by segment; a lower rank is more specific."""
         kinds = [VARIABLE if part is None else LITERAL for part in self.segments]
-        return (*kinds, REST if self.is_prefix else END)
+        return (*kinds, REMAINDER if self.is_prefix else END)
 
     def matches(self, segments: tuple[str, ...]) -> bool:
         """Return whether the segments of a path match; a variable matches one segment that is not empty."""
@@ -57,16 +57,16 @@
     rest = pieces[-1] == "*"
     for piece in pieces[:-1] if rest else pieces:
         if piece.startswith("{") and piece.endswith("}"):
-            names.append(_name(piece[1:-1], names, text))
+            names.append(_parse_variable_name(piece[1:-1], names, text))
             parts.append(None)
         else:
-            parts.append(_literal(piece, text))
+            parts.append(_parse_literal(piece, text))
     if "" in parts[:-1] or (rest and "" in parts):
         raise PatternError(f'path "{text}" has an empty segment; write a single slash between two segments')
     return Pattern(text, tuple(parts), tuple(names), rest)
 
 
-def _name(name: str, known: list[str], text: str) -> str:
+def _parse_variable_name(name: str, known: list[str], text: str) -> str:
     if not NAME.fullmatch(name):
         raise PatternError(f'path "{text}": "{{{name}}}" is not a valid name; write letters, as in {{id}}')
     if name in known:
@@ -74,7 +74,7 @@
     return name
 
 
-def _literal(piece: str, text: str) -> str:
+def _parse_literal(piece: str, text: str) -> str:
     if "*" in piece:
         raise PatternError(f'path "{text}": "*" is allowed only alone at the end; write {{name}} for one segment')
     if "{" in piece or "}" in piece:
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -30,9 +30,9 @@
     def entries_for(self, pattern: Pattern) -> list[tuple[Rank, Route]]:
         """Return the list of the routes with that path; adds the nodes that are missing."""
         node = self
-        for part in pattern.segments:
-            if part is not None:
-                node = node.literal.setdefault(part, Node())
+        for segment in pattern.segments:
+            if segment is not None:
+                node = node.literal.setdefault(segment, Node())
             else:
                 node.variable = node.variable or Node()
                 node = node.variable
@@ -134,12 +134,12 @@
     remainder of the path with its leading slash, if the pattern ends in `*`.
     """
     captured: dict[str, str] = {}
-    indexes = (index for index, part in enumerate(path.segments) if part is None)
+    indexes = (index for index, segment in enumerate(path.segments) if segment is None)
     for name, index in zip(path.names, indexes, strict=True):
         captured[name] = forwarded_segments[index]
         captured["=" + name] = segments[index]
     if path.is_prefix:
-        captured["*"] = "".join("/" + part for part in forwarded_segments[len(path.segments) :])
+        captured["*"] = "".join("/" + segment for segment in forwarded_segments[len(path.segments) :])
     return captured
 
 
