--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -100,7 +100,7 @@
     plan = _load(file)
     asked = _asked(method, url, headers)
     verdicts = explain(plan.table.routes, asked)
-    matching = [v for v in verdicts if not v.against]
+    matching = [v for v in verdicts if not v.reason]
     click.echo(f"{asked.method} {asked.target.origin_form.decode()}  host {asked.target.host or '(none)'}")
     if not matching:
         click.echo("no route takes it:" if verdicts else "the file has no route")
@@ -112,7 +112,7 @@
     others = verdicts[len(matching) :]
     shown = others if everything else others[:10]
     for verdict in shown:
-        click.echo(f"  not {verdict.route.name}: {verdict.against}")
+        click.echo(f"  not {verdict.route.name}: {verdict.reason}")
     if len(others) > len(shown):
         click.echo(f"  and {len(others) - len(shown)} more that don't fit (--all names them)")
     sys.exit(0 if matching else 1)
--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -13,24 +13,24 @@
     """Whether one route matches a request."""
 
     route: Route
-    against: str  # why the route does not match; empty where it does
+    reason: str  # why the route does not match; empty where it does
     rank: Rank | None  # the precedence of a route that matches
 
 
 def evaluate_route(route: Route, asked: RequestView) -> Verdict:
     """Return the verdict on one route, with the first condition that does not hold."""
     matching_hosts = [host for host in route.hosts if host_matches(host, asked.target.host)]
-    against = ""
+    reason = ""
     if not matching_hosts:
-        against = f"host {asked.target.host or '(none)'} is not {' or '.join(route.hosts)}"
+        reason = f"host {asked.target.host or '(none)'} is not {' or '.join(route.hosts)}"
     elif not route.path.matches(asked.target.segments):
-        against = f"path {asked.target.path.decode()} does not match {route.path.text}"
+        reason = f"path {asked.target.path.decode()} does not match {route.path.text}"
     elif route.methods and asked.method not in route.methods:
-        against = f"method {asked.method} is not {' or '.join(sorted(route.methods))}"
+        reason = f"method {asked.method} is not {' or '.join(sorted(route.methods))}"
     else:
-        against = _unmet("header", route.headers, asked.headers) or _unmet("query", route.query, asked.query)
-    if against:
-        return Verdict(route, against, None)
+        reason = _unmet("header", route.headers, asked.headers) or _unmet("query", route.query, asked.query)
+    if reason:
+        return Verdict(route, reason, None)
     return Verdict(route, "", min(rank(route, host) for host in matching_hosts))
 
 
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -83,8 +83,8 @@
     verdicts = {v.route.name: v for v in explain(ORDERED, request_for("/a/b", host="z.example"))}
     winner, loser = verdicts["suffix"].rank, verdicts["any method"].rank
     assert winner is not None and loser is not None and deciding_rule(winner, loser) == "host"
-    assert verdicts["exact host"].against == "host z.example is not x.example"
-    assert verdicts["header"].against == "header h is absent, wanted exact 1"
+    assert verdicts["exact host"].reason == "host z.example is not x.example"
+    assert verdicts["header"].reason == "header h is absent, wanted exact 1"
 
 
 @pytest.mark.parametrize(
