--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -15,11 +15,11 @@
 from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.model import (
     HOST,
+    CoalescingPolicy,
     Condition,
     DirectResponse,
     Forward,
     HeaderChanges,
-    Join,
     MatchType,
     Pattern,
     PatternError,
@@ -326,7 +326,7 @@
             self._join(row, place.at("join")),
         )
 
-    def _join(self, row: model.Route, place: Place) -> Join | None:
+    def _join(self, row: model.Route, place: Place) -> CoalescingPolicy | None:
         join = row.join
         if join is None:
             return None
@@ -360,7 +360,7 @@
             elif row.tenant.header:
                 ignored.add(row.tenant.header.lower().encode())
         ignored |= {name.lower().encode() for name in row.request.remove}  # backends never see them
-        return Join(join.within, frozenset(ignored), join.across_tenants)
+        return CoalescingPolicy(join.within, frozenset(ignored), join.across_tenants)
 
 
 def _known(name: str, among: Mapping[str, object], what: str, place: Place) -> None:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -13,7 +13,7 @@
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import key_of, told_of
 from lugspur.joining.sharing import depends, worded_for
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
 
 if TYPE_CHECKING:
@@ -160,7 +160,9 @@
         self.desk.most = max_waiting
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
-    def coalesce(self, came: Request, context: RequestContext, route: Hashable, join: Join, caller: Answerable) -> None:
+    def coalesce(
+        self, came: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Answerable
+    ) -> None:
         """Share a call with equal reads where that is possible; `came` is the request as received, before routing."""
         form = context.request.form
         bound = form is not None and form.bound
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable, Mapping
 from typing import TYPE_CHECKING
 
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 
 if TYPE_CHECKING:
     from lugspur.seams import Request
@@ -46,7 +46,7 @@
     return words | {word.partition(b"=")[0] for word in words}
 
 
-def key_of(request: Request, sent: Request, route: Hashable, tenant: str, join: Join) -> Hashable | None:
+def key_of(request: Request, sent: Request, route: Hashable, tenant: str, join: CoalescingPolicy) -> Hashable | None:
     """What all reads have in common that may share one call; None: this one wants its own.
 
     `request` is as it came and `sent` as it goes on; `route` stands for everything that the file says of it. All
@@ -62,7 +62,7 @@
     return (route, "" if join.across else tenant, sent.method, sent.target, fields, sent.body, sent.form is not None)
 
 
-def told_of(request: Request, tenant: str, join: Join) -> Mapping[bytes, bytes]:
+def told_of(request: Request, tenant: str, join: CoalescingPolicy) -> Mapping[bytes, bytes]:
     """What a read says where the route does not ask: by it those are told apart whose answers turn out to differ."""
     told = {name: request.headers[name] for name in join.ignored if name in request.headers}
     told[TENANT] = tenant.encode("utf-8", "surrogatepass")
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 
 from lugspur.joining.keys import OF_ONE_TRY, TENANT, directives
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 
 #: By what an answer differs among those who asked alike: nothing, some header names, or None: it is one caller's.
 Depends = frozenset[bytes] | None
@@ -28,7 +28,7 @@
         yield name.strip().lower(), value.strip()
 
 
-def depends(status: int, head: bytes, join: Join, trailers: bytes = b"") -> Depends:
+def depends(status: int, head: bytes, join: CoalescingPolicy, trailers: bytes = b"") -> Depends:
     """By what an answer with these header lines differs among those whose reads were the same."""
     names = {TENANT} if status in OF_THE_CALLER else set()
     for name, value in fields_of(head + trailers):
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -191,7 +191,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Join:
+class CoalescingPolicy:
     """Request coalescing: identical reads share one call."""
 
     within: float = 0.1  # seconds; the greatest age of a call that a further read may join
@@ -212,7 +212,7 @@
     rewrite: Template | None = None
     request: HeaderChanges = HeaderChanges()
     response: HeaderChanges = HeaderChanges()
-    join: Join | None = None
+    join: CoalescingPolicy | None = None
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -10,17 +10,17 @@
 
 from lugspur.joining.keys import BODY_MOST, OF_ONE_TRY, TENANT, key_of, told_of
 from lugspur.joining.sharing import EVERYONE, NOBODY, Depends, depends, worded_for
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
-JOIN = Join(0.1, frozenset({b"user-agent", b"x-agency"}), True)
+JOIN = CoalescingPolicy(0.1, frozenset({b"user-agent", b"x-agency"}), True)
 
 
 def request(headers: dict[bytes, bytes] | None = None, body: bytes = b"", target: bytes = b"/h/1") -> Request:
     return Request(b"GET", target, {b"host": b"h.example"} | (headers or {}), [], body, 0.0, True)
 
 
-def key(one: Request, tenant: str = "a", join: Join = JOIN, route: Hashable = "r") -> Hashable | None:
+def key(one: Request, tenant: str = "a", join: CoalescingPolicy = JOIN, route: Hashable = "r") -> Hashable | None:
     return key_of(one, one, route, tenant, join)
 
 
@@ -59,7 +59,7 @@
 
 
 def test_tenants_share_only_where_the_file_says_so() -> None:
-    within = Join(0.1, frozenset())
+    within = CoalescingPolicy(0.1, frozenset())
     assert key(request(), "a") == key(request(), "b")
     assert key(request(), "a", within) != key(request(), "b", within)
 
