--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -31,7 +31,7 @@
 from lugspur.discovery.endpoints import PROTOCOLS, Address
 from lugspur.load_balancing.model import DeduplicationScope, RetrySafety
 from lugspur.load_balancing.retry_budget import DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS
-from lugspur.routing.model import WITHIN_MOST
+from lugspur.routing.model import MAX_COALESCING_AGE_SECONDS
 
 FORMATS = ("auto", "own", "curator", "serverset")  # of nodes; discovery/node_formats.py reads them
 
@@ -325,7 +325,9 @@
     """Reads that are the same share one call, while it runs. The route's class must be safe to repeat."""
 
     within: float = option(
-        duration(0.001, WITHIN_MOST), "how old a call may be that a further read joins; beyond it another begins", 0.1
+        duration(0.001, MAX_COALESCING_AGE_SECONDS),
+        "how old a call may be that a further read joins; beyond it another begins",
+        0.1,
     )
     ignore: tuple[str, ...] = option(
         words, "headers that say nothing of what is asked; any other that differs makes another read", ()
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from lugspur.joining.sharing import EVERYONE, NOBODY, Depends
-from lugspur.routing.model import WITHIN_MOST
+from lugspur.routing.model import MAX_COALESCING_AGE_SECONDS
 
 APART_FOR = 10.0  # seconds in which reads are told apart, or kept apart, as the last answer to their like asked
 DUE_SPARE = 64  # deadlines of members that have gone, kept beyond those of as many as wait
@@ -256,7 +256,7 @@
         """A request that may have changed something has been answered, or its caller has given it up."""
         self._wrote[tenant] = self._wrote_any = now
         if len(self._wrote) > WRITERS_MOST:  # Guards memory against files that name ever new tenants.
-            self._wrote = {name: at for name, at in self._wrote.items() if now - at <= WITHIN_MOST}
+            self._wrote = {name: at for name, at in self._wrote.items() if now - at <= MAX_COALESCING_AGE_SECONDS}
 
     def next_due(self) -> float | None:
         """When `due` is to be called next; None: not until something else happens."""
