--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -153,7 +153,7 @@
             click.echo(f"  backends see {action.rewrite.fill(captured) or '/'}")
         if action.join is not None:
             who = "all tenants" if action.join.across else "one tenant"
-            click.echo(f"  like reads of {who} share a call that began at most {action.join.within:g}s before")
+            click.echo(f"  like reads of {who} share a call that began at most {action.join.max_age_seconds:g}s before")
 
 
 def _leads(plan: Plan, route: Route) -> str:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -179,7 +179,7 @@
                 self._loop.time(),
                 waiting.number,
                 key,
-                join.within,
+                join.max_age_seconds,
                 tenant,
                 context.deadline,
                 told_of(came, tenant, join),
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -194,7 +194,7 @@
 class CoalescingPolicy:
     """Request coalescing: identical reads share one call."""
 
-    within: float = 0.1  # seconds; the greatest age of a call that a further read may join
+    max_age_seconds: float = 0.1  # the greatest age of a call that a further read may join
     ignored: frozenset[bytes] = frozenset()  # headers, in lower case, that do not distinguish two reads
     across: bool = False  # whether reads of different tenants share calls too
 
