--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -57,13 +57,13 @@
     if len(sent.body) > BODY_MOST or cached & OF_ITS_OWN or headers.get(b"pragma", b"").lower() == b"no-cache":
         return None
     fields = frozenset(
-        field for field in headers.items() if field[0] not in OF_ONE_TRY and field[0] not in join.ignored
+        field for field in headers.items() if field[0] not in OF_ONE_TRY and field[0] not in join.ignored_headers
     )
     return (route, "" if join.across else tenant, sent.method, sent.target, fields, sent.body, sent.form is not None)
 
 
 def told_of(request: Request, tenant: str, join: CoalescingPolicy) -> Mapping[bytes, bytes]:
     """What a read says where the route does not ask: by it those are told apart whose answers turn out to differ."""
-    told = {name: request.headers[name] for name in join.ignored if name in request.headers}
+    told = {name: request.headers[name] for name in join.ignored_headers if name in request.headers}
     told[TENANT] = tenant.encode("utf-8", "surrogatepass")
     return told
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -40,7 +40,7 @@
             wanted = {word.strip().lower() for word in value.split(b",")}
             if b"*" in wanted or wanted & OF_ONE_TRY:
                 return NOBODY
-            names |= wanted & join.ignored  # the others are the same anyway
+            names |= wanted & join.ignored_headers  # the others are the same anyway
     return frozenset(names)
 
 
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -195,7 +195,7 @@
     """Request coalescing: identical reads share one call."""
 
     max_age_seconds: float = 0.1  # the greatest age of a call that a further read may join
-    ignored: frozenset[bytes] = frozenset()  # headers, in lower case, that do not distinguish two reads
+    ignored_headers: frozenset[bytes] = frozenset()  # headers, in lower case, that do not distinguish two reads
     across: bool = False  # whether reads of different tenants share calls too
 
 
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -24,7 +24,7 @@
     return key_of(one, one, route, tenant, join)
 
 
-@pytest.mark.parametrize("name", sorted(OF_ONE_TRY | JOIN.ignored))
+@pytest.mark.parametrize("name", sorted(OF_ONE_TRY | JOIN.ignored_headers))
 def test_what_names_a_try_or_is_ignored_makes_no_other_read(name: bytes) -> None:
     assert key(request({name: b"1"})) == key(request({name: b"2"})) == key(request())
 
@@ -124,7 +124,7 @@
 @given(st.binary(max_size=200), st.integers(200, 599))
 def test_no_header_lines_break_it(head: bytes, status: int) -> None:
     found = depends(status, head, JOIN)
-    assert found is None or found <= JOIN.ignored | {TENANT}
+    assert found is None or found <= JOIN.ignored_headers | {TENANT}
 
 
 def test_a_request_id_in_an_answer_is_each_callers_own() -> None:
