--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -59,7 +59,15 @@
     fields = frozenset(
         field for field in headers.items() if field[0] not in OF_ONE_TRY and field[0] not in join.ignored_headers
     )
-    return (route, "" if join.across else tenant, sent.method, sent.target, fields, sent.body, sent.form is not None)
+    return (
+        route,
+        "" if join.across_tenants else tenant,
+        sent.method,
+        sent.target,
+        fields,
+        sent.body,
+        sent.form is not None,
+    )
 
 
 def told_of(request: Request, tenant: str, join: CoalescingPolicy) -> Mapping[bytes, bytes]:
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -196,7 +196,7 @@
 
     max_age_seconds: float = 0.1  # the greatest age of a call that a further read may join
     ignored_headers: frozenset[bytes] = frozenset()  # headers, in lower case, that do not distinguish two reads
-    across: bool = False  # whether reads of different tenants share calls too
+    across_tenants: bool = False  # whether reads of different tenants share calls too
 
 
 @dataclass(slots=True, frozen=True)
