--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -151,9 +151,11 @@
         )
         if action.rewrite is not None:
             click.echo(f"  backends see {action.rewrite.fill(captured) or '/'}")
-        if action.join is not None:
-            who = "all tenants" if action.join.across_tenants else "one tenant"
-            click.echo(f"  like reads of {who} share a call that began at most {action.join.max_age_seconds:g}s before")
+        if action.coalescing is not None:
+            who = "all tenants" if action.coalescing.across_tenants else "one tenant"
+            click.echo(
+                f"  like reads of {who} share a call that began at most {action.coalescing.max_age_seconds:g}s before"
+            )
 
 
 def _leads(plan: Plan, route: Route) -> str:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -227,12 +227,12 @@
         if stream is not None and not stream.ended:
             self._stream(context, stream, timeout, caller)
             return
-        if forward.join is None or stream is not None:
+        if forward.coalescing is None or stream is not None:
             self._submit(context, caller)
             return
         # Reads of two files, or with and without what a trusted listener lets through, are never the same.
         route = regime.number, match.route.name, cluster.name, row.trust_forwarded
-        self.coalescer.coalesce(request, context, route, forward.join, caller)
+        self.coalescer.coalesce(request, context, route, forward.coalescing, caller)
 
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
         """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -104,7 +104,7 @@
         if self._stream_receiver is not None:
             write(self._stream_receiver)
             return
-        context, join = self.context, self.context.forward.join
+        context, join = self.context, self.context.forward.coalescing
         assert join is not None
         if context.ending is Ending.REJECTED:
             self._coalescer.reject_call(self.number, write)
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -212,7 +212,7 @@
     rewrite: Template | None = None
     request: HeaderChanges = HeaderChanges()
     response: HeaderChanges = HeaderChanges()
-    join: CoalescingPolicy | None = None
+    coalescing: CoalescingPolicy | None = None
 
 
 @dataclass(slots=True, frozen=True)
