--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -194,7 +194,7 @@
         target: Target,
         caller: Answerable,
     ) -> None:
-        kind = regime.plan.classes[regime.plan.kinds[forward.kind]]
+        kind = regime.plan.classes[regime.plan.kinds[forward.class_name]]
         timeout = self._timeout(kind, forward, request)
         query = parse_query(target.query) if _reads_query(forward) else {}
         tenant = _tenant(regime.plan, match, forward, request, query)
@@ -205,7 +205,7 @@
             return
         if self.overload_protection is not None and regime is self.regime:
             who = caller.peer if tenant == NOBODY else tenant
-            place = regime.plan.kinds[forward.kind]
+            place = regime.plan.kinds[forward.class_name]
             size = len(request.body) if request.stream is None else request.stream.came
             if not self.overload_protection.admits(place, who, size):
                 caller.answer(503, COME_BACK, b"too busy\n")
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -205,7 +205,7 @@
 
     splits: tuple[tuple[str, float], ...]  # pools and their weights
     fallback: tuple[str, ...] = ()  # pools for when those of `splits` have no usable backend, in order
-    kind: str = ""  # name of the request class; empty: unsafe to retry, with the defaults of a class
+    class_name: str = ""  # of the request class; empty: unsafe to retry, with the defaults of a class
     deadline: float | None = None  # seconds; None: the deadline of the class
     tenant: ValueSource | None = None
     key: ValueSource | None = None  # requests with the same key go to the same pool of `splits`
