--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -161,7 +161,7 @@
 def _leads(plan: Plan, route: Route) -> str:
     action = route.action
     if isinstance(action, Redirect):
-        return f"redirect {action.status} to {action.to.text}"
+        return f"redirect {action.status} to {action.location.text}"
     if not isinstance(action, Forward):
         return f"answered here with {action.status}"
     total = sum(weight for _, weight in action.splits)
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -393,7 +393,7 @@
 
 
 def _answer_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
-    to = redirect.to.fill(match.captured).encode()
+    to = redirect.location.fill(match.captured).encode()
     if target.query is not None:
         to += (b"&" if b"?" in to else b"?") + target.query
     caller.answer(redirect.status, b"Location: %b\r\n" % to, b"")
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -229,7 +229,7 @@
     """Redirect the caller to another URL; the query is kept."""
 
     status: int
-    to: Template
+    location: Template
 
 
 @dataclass(slots=True, frozen=True)
