--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -385,8 +385,8 @@
 
 
 def _answer_miss(miss: NoMatch, caller: Answerable) -> None:
-    if miss.allow:
-        head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allow)).encode()
+    if miss.allowed_methods:
+        head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allowed_methods)).encode()
         caller.answer(405, head, b"method not allowed\n")
     else:
         caller.answer(404, b"", b"no route\n")
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -63,9 +63,9 @@
 
 @dataclass(slots=True, frozen=True)
 class NoMatch:
-    """No route matches; `allow` has the methods that would have matched (RFC 9110 15.5.6)."""
+    """No route matches; `allowed_methods` has the methods that would have matched (RFC 9110 15.5.6)."""
 
-    allow: frozenset[str]
+    allowed_methods: frozenset[str]
 
 
 class RouteTable:
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -148,7 +148,7 @@
 def test_miss_has_the_methods_that_would_match() -> None:
     routes = [route("r", "/a", methods=frozenset({"GET", "PUT"})), route("s", "/a", methods=frozenset({"POST"}))]
     found = RouteTable(routes).find(request_for("/a", "DELETE"))
-    assert isinstance(found, NoMatch) and found.allow == {"GET", "PUT", "POST"}
+    assert isinstance(found, NoMatch) and found.allowed_methods == {"GET", "PUT", "POST"}
     assert RouteTable(routes).find(request_for("/b")) == NoMatch(frozenset())
 
 
@@ -230,7 +230,7 @@
                 for m in ("GET", "POST")
                 if any(v.rank for v in explain(routes, RequestView(m, request.target, request.headers, request.query)))
             ]
-            assert sorted(found.allow) == allowed
+            assert sorted(found.allowed_methods) == allowed
 
 
 @given(ROUTES, st.lists(REQUESTS, max_size=6))
