--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -241,7 +241,7 @@
         self.pool.members(kind, endpoints)
         self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
-        self.standing.listed(up)
+        self.standing.set_backends(up)
         if self.on_endpoints_changed is not None:
             self.on_endpoints_changed(self.name)
 
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -20,7 +20,7 @@
         self._up: frozenset[int] = frozenset()
         self._failed: dict[int, float] = {}
 
-    def listed(self, up: Iterable[int]) -> None:
+    def set_backends(self, up: Iterable[int]) -> None:
         """Set the backends that are in service now."""
         self._up = frozenset(up)
         self._failed = {server: at for server, at in self._failed.items() if server in self._up}
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -62,7 +62,7 @@
 
 def standing(up: set[int], unreachable: set[int], now: float) -> Standing:
     one = Standing()
-    one.listed(up)
+    one.set_backends(up)
     for server in unreachable:
         one.unreachable(now, server)
     return one
@@ -73,7 +73,7 @@
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["c"]
     pools["b"].reached(2)
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["b", "c"]
-    pools["a"].listed({9})
+    pools["a"].set_backends({9})
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["a", "b", "c"]
 
 
@@ -86,7 +86,7 @@
 
 def test_backend_that_left_the_list_is_forgotten() -> None:
     one = standing({1, 2}, {1, 2}, 0.0)
-    one.listed({2, 3})
+    one.set_backends({2, 3})
     assert one.usable(0.1)
     one.unreachable(0.2, 7)  # not listed any more
     one.unreachable(0.2, 3)
