--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -165,7 +165,7 @@
 
     def _record_connection_attempt(self, server: int, up: bool) -> None:
         if up:
-            self.standing.reached(server)
+            self.standing.mark_reachable(server)
         else:
             self.standing.unreachable(self._loop.time(), server)
         if self.on_connection_attempt is not None:
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -25,7 +25,7 @@
         self._up = frozenset(up)
         self._failed = {server: at for server, at in self._failed.items() if server in self._up}
 
-    def reached(self, server: int) -> None:
+    def mark_reachable(self, server: int) -> None:
         """Record that an attempt reached the backend."""
         self._failed.pop(server, None)
 
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -71,7 +71,7 @@
 def test_pool_without_backends_is_passed_over_until_it_recovers() -> None:
     pools = {"a": standing(set(), set(), 0.0), "b": standing({1, 2}, {1, 2}, 10.0), "c": standing({3}, set(), 0.0)}
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["c"]
-    pools["b"].reached(2)
+    pools["b"].mark_reachable(2)
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["b", "c"]
     pools["a"].set_backends({9})
     assert candidates(["a", "b"], ["c"], pools, 10.5) == ["a", "b", "c"]
