--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -167,7 +167,7 @@
         if up:
             self.standing.mark_reachable(server)
         else:
-            self.standing.unreachable(self._loop.time(), server)
+            self.standing.mark_unreachable(self._loop.time(), server)
         if self.on_connection_attempt is not None:
             self.on_connection_attempt(self.name, server, up)
 
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -29,7 +29,7 @@
         """Record that an attempt reached the backend."""
         self._failed.pop(server, None)
 
-    def unreachable(self, now: float, server: int) -> None:
+    def mark_unreachable(self, now: float, server: int) -> None:
         """Record that no connection to the backend could be established."""
         if server in self._up:
             self._failed[server] = now
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -87,7 +87,7 @@
                 await soon(one.got.get())
                 cluster = up.daemon.clusters["a"]
                 for server in cluster.pool.backends:
-                    cluster.standing.unreachable(asyncio.get_running_loop().time(), server)
+                    cluster.standing.mark_unreachable(asyncio.get_running_loop().time(), server)
                 one.open[0].close()
                 assert status(await client.answer()) == expected and two.got.empty()
 
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -64,7 +64,7 @@
     one = Standing()
     one.set_backends(up)
     for server in unreachable:
-        one.unreachable(now, server)
+        one.mark_unreachable(now, server)
     return one
 
 
@@ -88,8 +88,8 @@
     one = standing({1, 2}, {1, 2}, 0.0)
     one.set_backends({2, 3})
     assert one.usable(0.1)
-    one.unreachable(0.2, 7)  # not listed any more
-    one.unreachable(0.2, 3)
+    one.mark_unreachable(0.2, 7)  # not listed any more
+    one.mark_unreachable(0.2, 3)
     assert not one.usable(0.3)
 
 
