--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -34,7 +34,7 @@
         if server in self._up:
             self._failed[server] = now
 
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether no backend is in service."""
         return not self._up
 
@@ -53,9 +53,9 @@
     `splits` are in order of preference for the request. The result is empty if no pool has a backend in service.
     """
     if len(splits) == 1 and not fallback:  # the common case
-        return [] if standings[splits[0]].empty() else list(splits)
+        return [] if standings[splits[0]].is_empty() else list(splits)
     order = list(dict.fromkeys((*splits, *fallback)))
     usable = [name for name in order if name in standings and standings[name].usable(now)]
     # An attempt at a pool that may have recovered is better than a rejection; the first such pool is enough.
     unusable = [name for name in order if name in standings and name not in usable]
-    return usable or [name for name in unusable if not standings[name].empty()][:1]
+    return usable or [name for name in unusable if not standings[name].is_empty()][:1]
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -49,14 +49,14 @@
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 1
                 tell(entry)
-                await until(lambda: not up.daemon.clusters["a"].standing.empty())
+                await until(lambda: not up.daemon.clusters["a"].standing.is_empty())
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and one.got.qsize() == 1
                 tell(*([entry | {"status": "terminating"}] if left == "drained" else []))
-                await until(up.daemon.clusters["a"].standing.empty)
+                await until(up.daemon.clusters["a"].standing.is_empty)
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 2
                 listed.write_text("{ not a list")
                 tell(entry)
-                await until(lambda: not up.daemon.clusters["a"].standing.empty())
+                await until(lambda: not up.daemon.clusters["a"].standing.is_empty())
 
     asyncio.run(play())
 
@@ -211,10 +211,10 @@
                 assert status(await client.ask(ask())) == 503
                 discovery.say(3, [entry("one", one.address)], snapshot=True)
                 standing = up.daemon.clusters["a"].standing
-                await until(lambda: not standing.empty())
+                await until(lambda: not standing.is_empty())
                 assert status(await client.ask(ask())) == 200
                 discovery.say(4, [entry("one", one.address, "terminating")])
-                await until(standing.empty)
+                await until(standing.is_empty)
                 assert status(await client.ask(ask())) == 503 and one.got.qsize() == 1
             await soon(discovery.ended.get())  # a daemon that ends lets go of its watch
 
@@ -229,7 +229,7 @@
                 await soon(discovery.asked.get())
                 discovery.say(3, [entry("one", GONE)], snapshot=True)
                 standing = up.daemon.clusters["a"].standing
-                await until(lambda: not standing.empty())
+                await until(lambda: not standing.is_empty())
                 await up.reload(pool("a", one.address) + way)
                 await soon(discovery.ended.get())
                 client = await up.client()
@@ -245,7 +245,7 @@
             async with served('[pools.a]\nfile = "a.json"\n' + route("r", "/", 'pool = "a"')) as up:
                 listed, standing = up.file.with_name("a.json"), up.daemon.clusters["a"].standing
                 listed.write_text(json.dumps({"endpoints": [entry("one", one.address)]}))
-                await until(lambda: not standing.empty())
+                await until(lambda: not standing.is_empty())
                 assert capsys.readouterr().err.count("\n") == 1  # that there was none at first
                 for odd in ("[]", '{"endpoints": [{"name": "x"}]}', '{"endpoints": 7}', "\x00"):
                     said = len(capsys.readouterr().err)
@@ -257,7 +257,7 @@
                         )
                     )
                     assert said == 0 and "the last list stays" in "".join(complaints)
-                    assert not standing.empty()
+                    assert not standing.is_empty()
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
 
