--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -155,7 +155,7 @@
         if not name:
             return front.healthy()
         cluster = self.clusters.get(name)
-        return None if cluster is None else cluster.standing.usable(self._loop.time()) and front.healthy()
+        return None if cluster is None else cluster.standing.is_usable(self._loop.time()) and front.healthy()
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -328,10 +328,10 @@
         """Let the next pool take over where this one has no usable backend and nothing ran; else answer 503."""
         context = _context_of(call)
         cluster, now = context.cluster, self._loop.time()
-        rest = [other for other in context.fallback_clusters if other.standing.usable(now)]
+        rest = [other for other in context.fallback_clusters if other.standing.is_usable(now)]
         stream = context.request.stream
         gone = stream is not None and stream.bound  # a part of its body is not there any more
-        if rest and not gone and not call.may_have_run and not cluster.standing.usable(now) and now < call.deadline:
+        if rest and not gone and not call.may_have_run and not cluster.standing.is_usable(now) and now < call.deadline:
             caller = cluster.pool.release(call)
             context.cluster, *context.fallback_clusters = rest
             if caller is not None:
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -38,7 +38,7 @@
         """Return whether no backend is in service."""
         return not self._up
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Return whether a backend is in service that was not unreachable in the last second."""
         if len(self._failed) < len(self._up):
             return True
@@ -55,7 +55,7 @@
     if len(splits) == 1 and not fallback:  # the common case
         return [] if standings[splits[0]].is_empty() else list(splits)
     order = list(dict.fromkeys((*splits, *fallback)))
-    usable = [name for name in order if name in standings and standings[name].usable(now)]
+    usable = [name for name in order if name in standings and standings[name].is_usable(now)]
     # An attempt at a pool that may have recovered is better than a rejection; the first such pool is enough.
     unusable = [name for name in order if name in standings and name not in usable]
     return usable or [name for name in unusable if not standings[name].is_empty()][:1]
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -87,10 +87,10 @@
 def test_backend_that_left_the_list_is_forgotten() -> None:
     one = standing({1, 2}, {1, 2}, 0.0)
     one.set_backends({2, 3})
-    assert one.usable(0.1)
+    assert one.is_usable(0.1)
     one.mark_unreachable(0.2, 7)  # not listed any more
     one.mark_unreachable(0.2, 3)
-    assert not one.usable(0.3)
+    assert not one.is_usable(0.3)
 
 
 @given(st.integers(1, 40), st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=80))
