--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -23,7 +23,7 @@
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
 from lugspur.routing.shares import Shares
-from lugspur.routing.standing import Standing
+from lugspur.routing.standing import PoolHealth
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
 
     def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
         self.name = name
-        self.standing = Standing()
+        self.standing = PoolHealth()
         self.overrides = EndpointOverrides()
         self._registries = registries
         self._sockets, self._owner, self._epoch = sockets, owner, epoch
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -25,7 +25,7 @@
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
-from lugspur.routing.standing import Standing, candidates
+from lugspur.routing.standing import PoolHealth, candidates
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
 from lugspur.seams import Answerable, Request, Response
@@ -45,7 +45,7 @@
 
     plan: Plan
     clusters: dict[str, UpstreamCluster]
-    standings: dict[str, Standing]
+    standings: dict[str, PoolHealth]
     number: int  # of the reload that brought it
 
 
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -7,7 +7,7 @@
 UNREACHABLE_SECONDS = 1.0  # seconds for which a backend counts as unusable after a failed connection attempt
 
 
-class Standing:
+class PoolHealth:
     """The backends of one pool that are in service, and those of them that recently could not be reached.
 
     Only failed connections, after which nothing can have run, count against a backend here: a pool that is slow,
@@ -46,7 +46,7 @@
 
 
 def candidates(
-    splits: Sequence[str], fallback: Sequence[str], standings: Mapping[str, Standing], now: float
+    splits: Sequence[str], fallback: Sequence[str], standings: Mapping[str, PoolHealth], now: float
 ) -> list[str]:
     """Return the pools to attempt, in order: the usable ones, or else the first that has backends in service.
 
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -11,7 +11,7 @@
 
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
-from lugspur.routing.standing import UNREACHABLE_SECONDS, Standing, candidates
+from lugspur.routing.standing import UNREACHABLE_SECONDS, PoolHealth, candidates
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
 
@@ -60,8 +60,8 @@
     assert order_at_random([("a", 0.0)], Random(1)) == []
 
 
-def standing(up: set[int], unreachable: set[int], now: float) -> Standing:
-    one = Standing()
+def standing(up: set[int], unreachable: set[int], now: float) -> PoolHealth:
+    one = PoolHealth()
     one.set_backends(up)
     for server in unreachable:
         one.mark_unreachable(now, server)
