--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -25,7 +25,7 @@
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
-from lugspur.routing.standing import PoolHealth, candidates
+from lugspur.routing.standing import PoolHealth, pools_to_attempt
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
 from lugspur.seams import Answerable, Request, Response
@@ -216,7 +216,7 @@
             order = order_by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
         else:
             order = order_at_random(forward.splits, self._rng)
-        found = candidates(order, forward.fallback, regime.standings, self._loop.time())
+        found = pools_to_attempt(order, forward.fallback, regime.standings, self._loop.time())
         if not found:
             caller.answer(503, COME_BACK, b"no backend\n")
             return
--- a/lugspur/routing/standing.py
+++ b/lugspur/routing/standing.py
@@ -45,7 +45,7 @@
         return any(now - at >= UNREACHABLE_SECONDS for at in self._failed.values())
 
 
-def candidates(
+def pools_to_attempt(
     splits: Sequence[str], fallback: Sequence[str], standings: Mapping[str, PoolHealth], now: float
 ) -> list[str]:
     """Return the pools to attempt, in order: the usable ones, or else the first that has backends in service.
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -11,7 +11,7 @@
 
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
-from lugspur.routing.standing import UNREACHABLE_SECONDS, PoolHealth, candidates
+from lugspur.routing.standing import UNREACHABLE_SECONDS, PoolHealth, pools_to_attempt
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
 
@@ -70,18 +70,18 @@
 
 def test_pool_without_backends_is_passed_over_until_it_recovers() -> None:
     pools = {"a": standing(set(), set(), 0.0), "b": standing({1, 2}, {1, 2}, 10.0), "c": standing({3}, set(), 0.0)}
-    assert candidates(["a", "b"], ["c"], pools, 10.5) == ["c"]
+    assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["c"]
     pools["b"].mark_reachable(2)
-    assert candidates(["a", "b"], ["c"], pools, 10.5) == ["b", "c"]
+    assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["b", "c"]
     pools["a"].set_backends({9})
-    assert candidates(["a", "b"], ["c"], pools, 10.5) == ["a", "b", "c"]
+    assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["a", "b", "c"]
 
 
 def test_one_pool_is_attempted_where_all_are_unreachable_and_none_without_backends() -> None:
     pools = {"a": standing(set(), set(), 0.0), "b": standing({1}, {1}, 10.0), "c": standing({3}, {3}, 10.0)}
-    assert candidates(["a", "b"], ["c"], pools, 10.5) == ["b"]
-    assert candidates(["a"], [], pools, 10.5) == []
-    assert candidates(["b"], ["c"], pools, 10.0 + UNREACHABLE_SECONDS) == ["b", "c"]
+    assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["b"]
+    assert pools_to_attempt(["a"], [], pools, 10.5) == []
+    assert pools_to_attempt(["b"], ["c"], pools, 10.0 + UNREACHABLE_SECONDS) == ["b", "c"]
 
 
 def test_backend_that_left_the_list_is_forgotten() -> None:
