--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -22,8 +22,8 @@
 from lugspur.discovery.sources import EndpointSource, StaticList, WatchedFile
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
+from lugspur.routing.pool_health import PoolHealth
 from lugspur.routing.shares import Shares
-from lugspur.routing.standing import PoolHealth
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -23,9 +23,9 @@
 from lugspur.http1.upstream import HELD_PART
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
+from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
-from lugspur.routing.standing import PoolHealth, pools_to_attempt
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
 from lugspur.seams import Answerable, Request, Response
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lugspur.routing.pool_health import UNREACHABLE_SECONDS, PoolHealth, pools_to_attempt
 from lugspur.routing.shares import Shares, even
 from lugspur.routing.splits import order_at_random, order_by_key
-from lugspur.routing.standing import UNREACHABLE_SECONDS, PoolHealth, pools_to_attempt
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
 
