--- a/lugspur/routing/pool_health.py
+++ b/lugspur/routing/pool_health.py
@@ -46,16 +46,16 @@
 
 
 def pools_to_attempt(
-    splits: Sequence[str], fallback: Sequence[str], standings: Mapping[str, PoolHealth], now: float
+    splits: Sequence[str], fallback: Sequence[str], pool_health: Mapping[str, PoolHealth], now: float
 ) -> list[str]:
     """Return the pools to attempt, in order: the usable ones, or else the first that has backends in service.
 
     `splits` are in order of preference for the request. The result is empty if no pool has a backend in service.
     """
     if len(splits) == 1 and not fallback:  # the common case
-        return [] if standings[splits[0]].is_empty() else list(splits)
+        return [] if pool_health[splits[0]].is_empty() else list(splits)
     order = list(dict.fromkeys((*splits, *fallback)))
-    usable = [name for name in order if name in standings and standings[name].is_usable(now)]
+    usable = [name for name in order if name in pool_health and pool_health[name].is_usable(now)]
     # An attempt at a pool that may have recovered is better than a rejection; the first such pool is enough.
-    unusable = [name for name in order if name in standings and name not in usable]
-    return usable or [name for name in unusable if not standings[name].is_empty()][:1]
+    unusable = [name for name in order if name in pool_health and name not in usable]
+    return usable or [name for name in unusable if not pool_health[name].is_empty()][:1]
