--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -60,7 +60,7 @@
     assert order_at_random([("a", 0.0)], Random(1)) == []
 
 
-def standing(up: set[int], unreachable: set[int], now: float) -> PoolHealth:
+def health_of(up: set[int], unreachable: set[int], now: float) -> PoolHealth:
     one = PoolHealth()
     one.set_backends(up)
     for server in unreachable:
@@ -69,7 +69,7 @@
 
 
 def test_pool_without_backends_is_passed_over_until_it_recovers() -> None:
-    pools = {"a": standing(set(), set(), 0.0), "b": standing({1, 2}, {1, 2}, 10.0), "c": standing({3}, set(), 0.0)}
+    pools = {"a": health_of(set(), set(), 0.0), "b": health_of({1, 2}, {1, 2}, 10.0), "c": health_of({3}, set(), 0.0)}
     assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["c"]
     pools["b"].mark_reachable(2)
     assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["b", "c"]
@@ -78,14 +78,14 @@
 
 
 def test_one_pool_is_attempted_where_all_are_unreachable_and_none_without_backends() -> None:
-    pools = {"a": standing(set(), set(), 0.0), "b": standing({1}, {1}, 10.0), "c": standing({3}, {3}, 10.0)}
+    pools = {"a": health_of(set(), set(), 0.0), "b": health_of({1}, {1}, 10.0), "c": health_of({3}, {3}, 10.0)}
     assert pools_to_attempt(["a", "b"], ["c"], pools, 10.5) == ["b"]
     assert pools_to_attempt(["a"], [], pools, 10.5) == []
     assert pools_to_attempt(["b"], ["c"], pools, 10.0 + UNREACHABLE_SECONDS) == ["b", "c"]
 
 
 def test_backend_that_left_the_list_is_forgotten() -> None:
-    one = standing({1, 2}, {1, 2}, 0.0)
+    one = health_of({1, 2}, {1, 2}, 0.0)
     one.set_backends({2, 3})
     assert one.is_usable(0.1)
     one.mark_unreachable(0.2, 7)  # not listed any more
