--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -284,7 +284,7 @@
             context.ending = Ending.REJECTED
             caller.answer(503, COME_BACK, b"no place\n")
             return
-        self._places.take(cluster.name)
+        self._places.acquire(cluster.name)
         facts = Facts(cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False)
         call = cluster.pool.submit(context.request, facts, caller, context.deadline, context, context.expected_by)
         if call.caller is not None:  # else it is answered, or another pool has taken over by now
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -656,7 +656,7 @@
                 self._loop.call_soon(exchange.end, Outcome.UNREACHABLE)
                 return
             self._drop(next(iter(self._idle)))
-        self._sockets.take(self._name)
+        self._sockets.acquire(self._name)
         exchange.dial = Dial(self, exchange, exchange.backend, self._dial_timeout)
 
     def connected(self, exchange: Exchange, sock: socket.socket) -> None:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -619,7 +619,7 @@
         staying = sum(not link.leaving for link in box.links)
         if staying >= LINKS_MOST or not self._sockets.fits(self._name):
             return best
-        self._sockets.take(self._name)
+        self._sockets.acquire(self._name)
         link = Link(self, box)
         box.links.append(link)
         return link
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -40,7 +40,7 @@
         # What exceeds the user's part is borrowed from what no user is guaranteed.
         return beyond <= 0 or beyond <= self.total - self._total_used - self._reserved
 
-    def take(self, name: str, amount: int = 1) -> None:
+    def acquire(self, name: str, amount: int = 1) -> None:
         """Count the amount as acquired; does not check the limit, as some callers can't be refused."""
         self._change_used(name, amount)
 
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -99,7 +99,7 @@
     shares, held = Shares(total, parts), Counter[str]()
     for name, takes in steps:
         if takes and shares.fits(name):
-            shares.take(name)
+            shares.acquire(name)
             held[name] += 1
         elif not takes and held[name]:
             shares.give(name)
@@ -112,7 +112,7 @@
 
 def test_parts_may_change_while_they_are_in_use() -> None:
     shares = Shares(10, {"a": 5})
-    shares.take("a", 5)
+    shares.acquire("a", 5)
     shares.reset(10, {"b": 5})
     assert not shares.fits("a") and shares.fits("b", 5)
     shares.give("a", 5)
