--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -355,7 +355,7 @@
     def settled(self, call: Call) -> None:
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         context = _context_of(call)
-        self._places.give(context.cluster.name)
+        self._places.release(context.cluster.name)
         if context.request_class.retry_safety is not RetrySafety.SAFE:
             self.coalescer.record_write(context.tenant)
 
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -674,7 +674,7 @@
 
     def undone(self) -> None:
         """A dial needs no socket any more."""
-        self._sockets.give(self._name)
+        self._sockets.release(self._name)
 
     def _transmit(self, exchange: Exchange, connection: Connection) -> None:
         """Write the first byte, if the attempt still may go out."""
@@ -731,7 +731,7 @@
 
     def lost(self, connection: Connection) -> None:
         """A connection has ended."""
-        self._sockets.give(self._name)
+        self._sockets.release(self._name)
         self._forget(connection)
 
     def _forget(self, connection: Connection) -> None:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -655,7 +655,7 @@
 
     def lost(self, link: Link) -> None:
         """A connection has ended."""
-        self._sockets.give(self._name)
+        self._sockets.release(self._name)
         link.box.links.remove(link)
         if link.blamed:
             self.reached(link.box.backend, False)
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -44,7 +44,7 @@
         """Count the amount as acquired; does not check the limit, as some callers can't be refused."""
         self._change_used(name, amount)
 
-    def give(self, name: str, amount: int = 1) -> None:
+    def release(self, name: str, amount: int = 1) -> None:
         """Count the amount as released."""
         self._change_used(name, -amount)
 
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -102,7 +102,7 @@
             shares.acquire(name)
             held[name] += 1
         elif not takes and held[name]:
-            shares.give(name)
+            shares.release(name)
             held[name] -= 1
         assert sum(held.values()) <= total
         for user, part in parts.items():
@@ -115,7 +115,7 @@
     shares.acquire("a", 5)
     shares.reset(10, {"b": 5})
     assert not shares.fits("a") and shares.fits("b", 5)
-    shares.give("a", 5)
+    shares.release("a", 5)
     assert shares.fits("a", 5) and not shares.fits("a", 6) and shares.used("a") == 0
     with pytest.raises(ValueError):
         shares.reset(3, {"a": 4})
