--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -723,7 +723,7 @@
 
     def sockets(self) -> int:
         """How many connections are up or being made."""
-        return self._sockets.used(self._name)
+        return self._sockets.held_by(self._name)
 
     def now(self) -> float:
         """The loop's time."""
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -27,15 +27,15 @@
         if sum(parts.values()) > total:
             raise ValueError(f"the guaranteed parts sum up to {sum(parts.values())}, more than the total of {total}")
         self.total, self._parts = total, dict(parts)
-        self._reserved = sum(max(0, part - self.used(name)) for name, part in parts.items())
+        self._reserved = sum(max(0, part - self.held_by(name)) for name, part in parts.items())
 
-    def used(self, name: str) -> int:
+    def held_by(self, name: str) -> int:
         """Return the amount that this user holds."""
         return self._used.get(name, 0)
 
     def fits(self, name: str, amount: int = 1) -> bool:
         """Return whether this user may acquire that much more."""
-        free = max(0, self._parts.get(name, 0) - self.used(name))
+        free = max(0, self._parts.get(name, 0) - self.held_by(name))
         beyond = amount - free
         # What exceeds the user's part is borrowed from what no user is guaranteed.
         return beyond <= 0 or beyond <= self.total - self._total_used - self._reserved
@@ -49,7 +49,7 @@
         self._change_used(name, -amount)
 
     def _change_used(self, name: str, amount: int) -> None:
-        part, before = self._parts.get(name, 0), self.used(name)
+        part, before = self._parts.get(name, 0), self.held_by(name)
         after = before + amount
         self._total_used += amount
         self._reserved += max(0, part - after) - max(0, part - before)
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -44,7 +44,7 @@
             desk = up.daemon.coalescer.desk
             await until(lambda: not up.daemon.coalescer._waiting)
             assert not desk.members and not desk.flights and not desk._open and not desk.waiting and not desk.joined
-            assert not up.daemon.coalescer._shared_calls and up.daemon._places.used("a") == 0
+            assert not up.daemon.coalescer._shared_calls and up.daemon._places.held_by("a") == 0
 
     asyncio.run(run())
 
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -106,7 +106,7 @@
             held[name] -= 1
         assert sum(held.values()) <= total
         for user, part in parts.items():
-            assert shares.used(user) == held[user]
+            assert shares.held_by(user) == held[user]
             assert held[user] >= part or shares.fits(user, part - held[user])
 
 
@@ -116,6 +116,6 @@
     shares.reset(10, {"b": 5})
     assert not shares.fits("a") and shares.fits("b", 5)
     shares.release("a", 5)
-    assert shares.fits("a", 5) and not shares.fits("a", 6) and shares.used("a") == 0
+    assert shares.fits("a", 5) and not shares.fits("a", 6) and shares.held_by("a") == 0
     with pytest.raises(ValueError):
         shares.reset(3, {"a": 4})
