--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -72,8 +72,8 @@
         sockets = max(8, limits.sockets - SPARE_SOCKETS)
         callers = int(CALLERS_PART * sockets)
         weights = {name: row.share for name, row in pools.items()}
-        self._sockets.reset(sockets - callers, even(sockets - callers, weights))
-        self._places.reset(callers, even(callers, weights))
+        self._sockets.set_parts(sockets - callers, even(sockets - callers, weights))
+        self._places.set_parts(callers, even(callers, weights))
         held = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.regime.plan.file.limits.read)
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -213,17 +213,17 @@
         Both share one budget of sockets and one of requests to cold backends.
         """
         self.pool.balancer.set_superseded(on)
-        self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
+        self._sockets.set_parts(self._sockets_most // 2 if on else self._sockets_most, {})
 
     def attach_peers(self, peers: PeerProcesses) -> None:
         """Broadcast to peers what binds all processes, and leave half of the sockets to them."""
         self.peers = peers
-        self._sockets.reset(self._sockets_most // 2, {})
+        self._sockets.set_parts(self._sockets_most // 2, {})
 
     def detach_peers(self) -> None:
         """Note that no peer is left, so that all sockets are this process's own."""
         self._peer_request_ids.clear()
-        self._sockets.reset(self._sockets_most, {})
+        self._sockets.set_parts(self._sockets_most, {})
 
     @property
     def arriving(self) -> bool:
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -17,9 +17,9 @@
         self._used: dict[str, int] = {}
         self._total_used = 0
         self._reserved = 0  # the unused rest of all guaranteed parts
-        self.reset(total, parts)
+        self.set_parts(total, parts)
 
-    def reset(self, total: int, parts: Mapping[str, int]) -> None:
+    def set_parts(self, total: int, parts: Mapping[str, int]) -> None:
         """Change the total and the guaranteed parts; what is in use stays in use, also by users without a part.
 
         Raises ValueError where the parts exceed the total.
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -113,9 +113,9 @@
 def test_parts_may_change_while_they_are_in_use() -> None:
     shares = Shares(10, {"a": 5})
     shares.acquire("a", 5)
-    shares.reset(10, {"b": 5})
+    shares.set_parts(10, {"b": 5})
     assert not shares.fits("a") and shares.fits("b", 5)
     shares.release("a", 5)
     assert shares.fits("a", 5) and not shares.fits("a", 6) and shares.held_by("a") == 0
     with pytest.raises(ValueError):
-        shares.reset(3, {"a": 4})
+        shares.set_parts(3, {"a": 4})
