--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -23,7 +23,7 @@
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
 from lugspur.routing.pool_health import PoolHealth
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
@@ -49,7 +49,9 @@
 class UpstreamCluster:
     """The backends of one pool of the configuration file, from its first load until it is removed and idle."""
 
-    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
+    def __init__(
+        self, name: str, sockets: SharedLimit, owner: Owner, epoch: float, registries: RegistrySessions
+    ) -> None:
         self.name = name
         self.standing = PoolHealth()
         self.overrides = EndpointOverrides()
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -24,7 +24,7 @@
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
-from lugspur.routing.shares import Shares, even
+from lugspur.routing.shares import SharedLimit, even
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
@@ -56,8 +56,8 @@
         self._loop = asyncio.get_running_loop()
         self._epoch = time.time() - self._loop.time()
         self._rng = random.Random()
-        self._sockets = Shares(0, {})
-        self._places = Shares(0, {})  # requests in hand, by pool
+        self._sockets = SharedLimit(0, {})
+        self._places = SharedLimit(0, {})  # requests in hand, by pool
         self.coalescer = RequestCoalescer(self._submit)
         self.overload_protection: OverloadProtection | None = None
         self._reloads = 0
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -20,7 +20,7 @@
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Request, Response
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
         sockets = max(8, config.sockets - spare)
         self.overrides = EndpointOverrides()
         callers = int(CALLERS_PART * sockets)
-        self._sockets, self._sockets_most = Shares(sockets - callers, {}), sockets - callers
+        self._sockets, self._sockets_most = SharedLimit(sockets - callers, {}), sockets - callers
         connections = Upstream(
             self._sockets,
             "",
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -17,7 +17,7 @@
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Lane, Response
 
 ANSWER_MOST = 1 << 20  # bytes of an answer that is held whole, where nothing else is said
@@ -572,7 +572,7 @@
 
     def __init__(
         self,
-        sockets: Shares,
+        sockets: SharedLimit,
         name: str,
         conn_idle: float,
         dial_timeout: float,
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -31,7 +31,7 @@
 from lugspur.http2.wire import Wire
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Listed, Request, Response, Watcher
 
 LINKS_MOST = 4  # connections to one box: one core of a box rarely serves more than one at full speed
@@ -551,7 +551,7 @@
 class Streams:
     """All connections to one pool's gRPC boxes, within that pool's share of the sockets: its lane."""
 
-    def __init__(self, sockets: Shares, name: str, judge: Judge, dialled: Callable[[int, bool], None]) -> None:
+    def __init__(self, sockets: SharedLimit, name: str, judge: Judge, dialled: Callable[[int, bool], None]) -> None:
         self._sockets, self._name, self._dialled = sockets, name, dialled
         self._loop = asyncio.get_running_loop()
         self.judge = judge
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -31,7 +31,7 @@
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.service_times import ServiceTimes
 from lugspur.mesh.dataplane.urgency import urgency_of
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Response
 
 # A backend that closes is given new requests a little longer, as the update reaches all proxies: for a fraction of its
@@ -82,7 +82,7 @@
         self.local_backend: LocalBackend | None = None
         self.is_shutting_down = False  # this process shuts down: nothing new is accepted
         self._upstream = Upstream(
-            Shares(max_connections, {}),
+            SharedLimit(max_connections, {}),
             name="",
             conn_idle=BACKEND_IDLE_TIMEOUT_SECONDS,
             dial_timeout=CONNECT_TIMEOUT_SECONDS,
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 
-class Shares:
+class SharedLimit:
     """A total that users draw from; each has a guaranteed part and may borrow what nobody is guaranteed.
 
     Guards a user against the others: whatever they hold or request, its guaranteed part is available to it.
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -41,7 +41,7 @@
 from lugspur.http1.upstream import Backend as Known
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import Outcome, Reject, Settings
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Response
 
 
@@ -329,7 +329,7 @@
     """Exchanges of one pool, and how each ended."""
 
     def __init__(self, one: Backend, most: int = 9, conn_idle: float = 60.0) -> None:
-        self.upstream = Upstream(Shares(most, {}), "", conn_idle, WIDE, 8 << 20)
+        self.upstream = Upstream(SharedLimit(most, {}), "", conn_idle, WIDE, 8 << 20)
         host, _, port = one.address.rpartition(":")
         self.known = Known((host, int(port)))
         self.upstream.update(self.known, self.known.address, 0.0, True)
@@ -708,7 +708,7 @@
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
             told: list[tuple[int, bool]] = []
-            pool = Upstream(Shares(9, {}), "", 60.0, 0.2, 1 << 20, dialled=lambda *what: told.append(what))
+            pool = Upstream(SharedLimit(9, {}), "", 60.0, 0.2, 1 << 20, dialled=lambda *what: told.append(what))
             known, ended = Known(full.getsockname(), 7), asyncio.Queue[Outcome]()
             pool.update(known, known.address, 0.0, True)
             now = asyncio.get_running_loop().time()
