--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -24,7 +24,7 @@
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
-from lugspur.routing.shares import SharedLimit, even
+from lugspur.routing.shares import SharedLimit, guaranteed_parts
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
@@ -72,8 +72,8 @@
         sockets = max(8, limits.sockets - SPARE_SOCKETS)
         callers = int(CALLERS_PART * sockets)
         weights = {name: row.share for name, row in pools.items()}
-        self._sockets.set_parts(sockets - callers, even(sockets - callers, weights))
-        self._places.set_parts(callers, even(callers, weights))
+        self._sockets.set_parts(sockets - callers, guaranteed_parts(sockets - callers, weights))
+        self._places.set_parts(callers, guaranteed_parts(callers, weights))
         held = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.regime.plan.file.limits.read)
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -59,7 +59,7 @@
             self._used.pop(name, None)
 
 
-def even(total: int, names: Mapping[str, float]) -> dict[str, int]:
+def guaranteed_parts(total: int, names: Mapping[str, float]) -> dict[str, int]:
     """Return guaranteed parts by weight; they sum up to half of the total, so that any user may borrow the other."""
     weights = sum(names.values())
     return {name: int(0.5 * total * weight / weights) for name, weight in names.items()} if weights else {}
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lugspur.routing.pool_health import UNREACHABLE_SECONDS, PoolHealth, pools_to_attempt
-from lugspur.routing.shares import SharedLimit, even
+from lugspur.routing.shares import SharedLimit, guaranteed_parts
 from lugspur.routing.splits import order_at_random, order_by_key
 
 KEYS = [f"guest-{n}".encode() for n in range(100_000)]
@@ -95,7 +95,7 @@
 
 @given(st.integers(1, 40), st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=80))
 def test_guaranteed_part_is_available_whatever_other_users_hold(total: int, steps: list[tuple[str, bool]]) -> None:
-    parts = even(total, {"a": 1.0, "b": 2.0})
+    parts = guaranteed_parts(total, {"a": 1.0, "b": 2.0})
     shares, held = SharedLimit(total, parts), Counter[str]()
     for name, takes in steps:
         if takes and shares.fits(name):
