--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -279,7 +279,7 @@
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
             kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
-        if not self._places.fits(cluster.name):
+        if not self._places.can_acquire(cluster.name):
             # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
             context.ending = Ending.REJECTED
             caller.answer(503, COME_BACK, b"no place\n")
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -650,7 +650,7 @@
                 self._transmit(exchange, connection)
                 return
             connection.abandon()
-        if not self._sockets.fits(self._name):
+        if not self._sockets.can_acquire(self._name):
             # Guards the limit on sockets: idle ones make room, else it never ran and may go elsewhere.
             if not self._idle:
                 self._loop.call_soon(exchange.end, Outcome.UNREACHABLE)
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -617,7 +617,7 @@
         if best is not None and best.load() < SPREAD:
             return best
         staying = sum(not link.leaving for link in box.links)
-        if staying >= LINKS_MOST or not self._sockets.fits(self._name):
+        if staying >= LINKS_MOST or not self._sockets.can_acquire(self._name):
             return best
         self._sockets.acquire(self._name)
         link = Link(self, box)
--- a/lugspur/routing/shares.py
+++ b/lugspur/routing/shares.py
@@ -33,7 +33,7 @@
         """Return the amount that this user holds."""
         return self._used.get(name, 0)
 
-    def fits(self, name: str, amount: int = 1) -> bool:
+    def can_acquire(self, name: str, amount: int = 1) -> bool:
         """Return whether this user may acquire that much more."""
         free = max(0, self._parts.get(name, 0) - self.held_by(name))
         beyond = amount - free
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -337,7 +337,7 @@
 def test_each_tenant_is_rejected_once_where_a_cluster_has_no_capacity() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(User_Agent=agent, X_Agency=name) for agent, name in ("xc", "ya", "yb")))
-        up.daemon._places.fits = lambda *_: False  # type: ignore[method-assign]
+        up.daemon._places.can_acquire = lambda *_: False  # type: ignore[method-assign]
         reply(one, answer(b"", Vary="User-Agent"))
         got = [await client.answer() for client in clients]
         assert [status(each) for each in got] == [200, 503, 503]
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -98,7 +98,7 @@
     parts = guaranteed_parts(total, {"a": 1.0, "b": 2.0})
     shares, held = SharedLimit(total, parts), Counter[str]()
     for name, takes in steps:
-        if takes and shares.fits(name):
+        if takes and shares.can_acquire(name):
             shares.acquire(name)
             held[name] += 1
         elif not takes and held[name]:
@@ -107,15 +107,15 @@
         assert sum(held.values()) <= total
         for user, part in parts.items():
             assert shares.held_by(user) == held[user]
-            assert held[user] >= part or shares.fits(user, part - held[user])
+            assert held[user] >= part or shares.can_acquire(user, part - held[user])
 
 
 def test_parts_may_change_while_they_are_in_use() -> None:
     shares = SharedLimit(10, {"a": 5})
     shares.acquire("a", 5)
     shares.set_parts(10, {"b": 5})
-    assert not shares.fits("a") and shares.fits("b", 5)
+    assert not shares.can_acquire("a") and shares.can_acquire("b", 5)
     shares.release("a", 5)
-    assert shares.fits("a", 5) and not shares.fits("a", 6) and shares.held_by("a") == 0
+    assert shares.can_acquire("a", 5) and not shares.can_acquire("a", 6) and shares.held_by("a") == 0
     with pytest.raises(ValueError):
         shares.set_parts(3, {"a": 4})
