--- a/lugspur/load_balancing/__init__.py
+++ b/lugspur/load_balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Load-balancing decisions for services that call services: a sans-I/O library."""
+"""Load balancing of requests between services: a library of decisions without I/O."""
 
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.circuit_breaker import CircuitBreaker
--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -1,6 +1,6 @@
-"""Adapter between the simulator's wire (JSON lines) and the balancer; it decides nothing.
+"""Adapter between the simulator's protocol (JSON lines) and the balancer; it makes no decisions.
 
-A batch is a `Tick` with the time, events, and a `Flush`; its answer is the actions, one a line, and an `Eor`.
+A batch is a `Tick` with the time, events, and a `Flush`; the reply is the actions, one a line, and an `Eor`.
 """
 
 from __future__ import annotations
@@ -85,11 +85,11 @@
 
 
 class WireError(Exception):
-    """A line that the wire does not allow; the message says why."""
+    """A line violates the protocol; the message says why."""
 
 
 def _read_dataclass(kind: Any, names: dict[str, str], values: dict[str, Any]) -> Any:
-    """A dataclass from `values`, whose keys `names` gives by the fields; absent ones take their defaults."""
+    """Build a dataclass from `values`; `names` maps fields to keys, and absent keys take defaults."""
     return kind(**pick_known(kind, {field: values.get(key) for field, key in names.items()}))
 
 
@@ -115,7 +115,7 @@
 
 
 def read_settings(wire: dict[str, Any]) -> Settings:
-    """Settings of the wire as settings of the balancer; unknown keys are ignored, absent ones defaulted."""
+    """Convert settings from the protocol; unknown keys are ignored, absent keys take defaults."""
     values = {
         "classes": tuple(_read_class(row) for row in wire.get("Services") or ()) or None,
         "tenants": tuple(_read_dataclass(Tenant, TENANT, row) for row in wire.get("Orgs") or ()),
@@ -136,7 +136,7 @@
 
 
 def read_row(row: dict[str, Any]) -> ServerRow:
-    """One row of a `Register` message; raises KeyError without `Backend` or for an unknown `Readiness`."""
+    """Convert a `Register` row; raises KeyError without `Backend` or for an unknown `Readiness`."""
     return ServerRow(
         row["Backend"],
         SERVER_STATES[row.get("Readiness", "U")],
@@ -149,7 +149,7 @@
 
 
 def write_action(instance: int, action: Action) -> dict[str, Any]:
-    """One action as a message of the wire."""
+    """Convert an action to a message of the protocol."""
     if isinstance(action, Send):
         return {
             "m": "Relay",
@@ -176,11 +176,11 @@
 
 
 class Link:
-    """All instances of one process, and the numbered lists that they share read-only."""
+    """All balancer instances of one process, and the numbered server lists that they share read-only."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
-        self.unstarted: set[int] = set()  # instances that have had no list yet
+        self.unstarted: set[int] = set()  # instances that have not received a server list yet
         self.lists: dict[int, tuple[ServerRow, ...]] = {}
 
     def event(self, now: float, event: dict[str, Any]) -> list[Action]:
@@ -255,23 +255,23 @@
 
 
 class Batches:
-    """Reads lines, and collects the answers of a batch."""
+    """Reads lines and collects the replies of a batch."""
 
     def __init__(self) -> None:
         self._link = Link()
-        self._now: float | None = None  # of the open batch
+        self._now: float | None = None  # time of the open batch; None outside batches
         self._latest = float("-inf")
         self._replies: list[bytes] = []
 
     @property
     def is_open(self) -> bool:
-        """Whether a batch has begun that is not flushed."""
+        """Return whether a batch has begun and is not flushed yet."""
         return self._now is not None
 
     def read(self, line: bytes) -> bytes | None:
-        """Take one line; returns the whole answer at the end of a batch.
+        """Process one line; return the reply to the whole batch at its end, else None.
 
-        Raises WireError, ValueError, KeyError or TypeError for a line that the wire does not allow.
+        Raises WireError, ValueError, KeyError or TypeError for a line that violates the protocol.
         """
         event: Any = orjson.loads(line)
         if not isinstance(event, dict) or "m" not in event:
@@ -283,7 +283,7 @@
         elif event["m"] == "Flush":
             return self._flush()
         else:
-            self._answer(self._now, event)
+            self._handle_event(self._now, event)
         return None
 
     def _begin(self, tick: dict[str, Any]) -> None:
@@ -295,13 +295,13 @@
         self._now = self._latest = now
 
     def _flush(self) -> bytes:
-        answer = b"\n".join([*self._replies, b'{"m":"Eor"}\n'])
+        reply = b"\n".join([*self._replies, b'{"m":"Eor"}\n'])
         self._replies.clear()
         self._now = None
-        return answer
+        return reply
 
-    def _answer(self, now: float, event: dict[str, Any]) -> None:
-        """Collect the actions; an exception of the balancer fails this event alone, with a BailOut."""
+    def _handle_event(self, now: float, event: dict[str, Any]) -> None:
+        """Collect an event's actions; an exception of the balancer fails this event alone, with a BailOut."""
         try:
             actions = self._link.event(now, event)
         except Exception as error:
@@ -314,16 +314,16 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
-    """Answer batches until the input ends; returns the exit code."""
+    """Reply to batches until the input ends; return the exit code."""
     batches = Batches()
     number = 0
     for number, line in enumerate(source, 1):
         try:
-            answer = batches.read(line)
+            reply = batches.read(line)
         except (WireError, ValueError, KeyError, TypeError) as error:
             return _reject(errors, number, error)
-        if answer is not None:
-            sink.write(answer)
+        if reply is not None:
+            sink.write(reply)
             sink.flush()
     if batches.is_open:
         return _reject(errors, number, WireError("the input ended inside a batch"))
@@ -331,7 +331,7 @@
 
 
 def _is_wire_error(error: BaseException) -> bool:
-    """Whether it arose in reading the message (a missing or odd field), not in a decision."""
+    """Return whether the error arose in reading the message (a missing or odd field), not in a decision."""
     if isinstance(error, WireError):
         return True
     if not isinstance(error, KeyError | TypeError):
@@ -358,7 +358,7 @@
     try:
         return serve(sys.stdin.buffer, sys.stdout.buffer, sys.stderr)
     except BrokenPipeError:
-        # The reader is gone: no answer is due, and the flush at exit must not complain either.
+        # The reader has closed the pipe: no reply is due, and the flush at exit must not fail either.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
--- a/lugspur/load_balancing/adaptive_throttling.py
+++ b/lugspur/load_balancing/adaptive_throttling.py
@@ -1,4 +1,4 @@
-"""Adaptive throttling of the SRE book: reject locally as requests outnumber accepted ones.
+"""Adaptive throttling of the SRE book: rejects locally as requests outnumber accepted ones.
 
 Method: *Site Reliability Engineering* (2016), chapter 21, "Client-Side Throttling"; K, the window of
 buckets and the protected requests are those of go-zero's breaker (PR #5366). Times are in seconds.
@@ -6,22 +6,22 @@
 
 from collections import deque
 
-WINDOW_SECONDS = 10.0  # that the rejection probability looks back
+WINDOW_SECONDS = 10.0  # length of the sliding window from which the rejection probability is computed
 WINDOW_BUCKETS = 40
 BUCKET_SECONDS = WINDOW_SECONDS / WINDOW_BUCKETS
-K = 1.5  # accepted requests are worth this many requests...
-MIN_K = 1.1  # ...and this many when every recent bucket fails
-PROTECTED_REQUESTS = 5  # that never count against a server
-MIN_OUTLIER_FAILURES = 2  # in the window: one alone makes no outlier
+K = 1.5  # requests allowed for each accepted request before the throttle rejects
+MIN_K = 1.1  # the value that K falls to when every recent bucket only failed
+PROTECTED_REQUESTS = 5  # requests in the window that never count against a server
+MIN_OUTLIER_FAILURES = 2  # in the window; a single failure makes no outlier
 
-NUMBER, REQUESTS, ACCEPTS, FAILURES = range(4)  # places in a bucket
+NUMBER, REQUESTS, ACCEPTS, FAILURES = range(4)  # indexes in a bucket
 
 
 class AdaptiveThrottle:
-    """Counts of requests, accepts and failures in a sliding window of buckets, and what follows from them.
+    """Counts requests, accepts and failures in a sliding window of buckets, and derives probabilities.
 
-    Every attempt is a request, also one that is rejected locally; an accept is one that the server served.
-    Of the others only errors, time-outs, overload answers and failed connections are failures.
+    Every attempt is a request, even if it is rejected locally; an accept is an attempt that the server
+    served. Of the others, only errors, timeouts, overload responses and failed connections are failures.
     """
 
     __slots__ = ("_accepts", "_buckets", "_failing_buckets", "_failures", "_requests")
@@ -30,7 +30,7 @@
         # [bucket number, requests, accepts, failures], oldest first
         self._buckets: deque[list[int]] = deque()
         self._requests = self._accepts = self._failures = 0  # sums over the window
-        self._failing_buckets = 0  # newest run of buckets that only failed
+        self._failing_buckets = 0  # length of the newest run of buckets with failures alone
 
     def count_rejected(self, now: float) -> None:
         """Count a request that was rejected locally."""
@@ -43,7 +43,7 @@
         self._failing_buckets = 0
 
     def count_failed(self, now: float) -> None:
-        """Count an error, time-out, overload answer or failed connection."""
+        """Count an error, timeout, overload response or failed connection."""
         bucket = self._count_request(now)
         if not bucket[ACCEPTS] and not bucket[FAILURES]:
             self._failing_buckets += 1
@@ -51,19 +51,19 @@
         self._failures += 1
 
     def failure_ratio(self, now: float) -> float:
-        """Failures as a part of the requests that were sent, with the protected ones counted as accepted."""
+        """Return failures as a part of the requests sent, with the protected ones counted as accepted."""
         self._expire(int(now / BUCKET_SECONDS))
         return self._failures / (self._failures + self._accepts + PROTECTED_REQUESTS)
 
     def is_outlier(self, now: float) -> bool:
-        """Whether most of the requests that were sent failed, and not just one."""
+        """Return whether most of the requests that were sent failed, and more than one did."""
         self._expire(int(now / BUCKET_SECONDS))
         return self._failures >= MIN_OUTLIER_FAILURES and self._failures > self._accepts
 
     def error_probability(self, now: float, max_k: float = K, protected: float = PROTECTED_REQUESTS) -> float:
-        """Rejection probability max(0, (requests - protected - K x accepts) / (requests + 1)).
+        """Return the rejection probability max(0, (requests - protected - K x accepts) / (requests + 1)).
 
-        K falls from `max_k` towards MIN_K with the newest run of buckets that only failed.
+        K falls from `max_k` towards MIN_K with the length of the newest run of buckets that only failed.
         """
         self._expire(int(now / BUCKET_SECONDS))
         k = max_k - (max_k - MIN_K) * self._failing_buckets / WINDOW_BUCKETS
--- a/lugspur/load_balancing/admission.py
+++ b/lugspur/load_balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: whether a request is taken at all."""
+"""Admission control: whether a request is admitted at all."""
 
 from math import exp, sqrt
 from random import Random
@@ -6,21 +6,21 @@
 from lugspur.load_balancing.model import Settings
 from lugspur.load_balancing.server_pool import ServerPool
 
-MAX_WAIT_FRACTION = 0.7  # of its latency target: the wait that the class of most value is taken with...
-MIN_WAIT_FRACTION = 0.35  # ...and one without value
-FAILING_WAIT_FACTOR = 0.57  # each shrinks to this part of itself, at servers that lose what they are sent...
-FAILING_SLOPE = 8.0  # ...which it reaches where one request in so many fails
-OFFERED_FRACTION = 0.1  # of the offered rate counts as served: stuck requests must not hold all room
-ALWAYS_ADMITTED = 3.0  # whatever was served lately: a start, a proxy with few requests...
-ADMITTED_PER_SERVER = 2.0  # ...and for each server of its part, beyond one by the root: chance
+MAX_WAIT_FRACTION = 0.7  # part of the latency target; the class of most value is admitted up to this wait
+MIN_WAIT_FRACTION = 0.35  # the same for a class of no value
+FAILING_WAIT_FACTOR = 0.57  # the admitted wait shrinks to this part of itself at servers that fail requests
+FAILING_SLOPE = 8.0  # the shrinking is complete where one request in this many fails
+OFFERED_FRACTION = 0.1  # of the offered rate counts as served: hung requests must not block admission
+ALWAYS_ADMITTED = 3.0  # pending requests admitted whatever the served rate: at a start, and with few requests
+ADMITTED_PER_SERVER = 2.0  # the same for each server of this proxy's part; beyond one, for the part's root
 POOL_PROTECTION = 1.0  # requests that never count against a pool: all of a proxy's requests fill its window
-MIN_ACCEPT_FRACTION = 0.85  # worthless requests are rejected beyond 1 / this times those served...
-VALUE_ACCEPT_FRACTION = 0.45  # ...the ones of most value beyond 1 / (this less)
-MIN_RATE_SECONDS = 0.2  # over which rates are read at least
+MIN_ACCEPT_FRACTION = 0.85  # requests of no value are rejected beyond 1 / this times the requests served
+VALUE_ACCEPT_FRACTION = 0.45  # subtracted from MIN_ACCEPT_FRACTION for the class of most value
+MIN_RATE_SECONDS = 0.2  # the shortest time over which the served rate is computed
 
 
 class AdmissionControl:
-    """Rejects what would end late, before it costs work, and the classes of least value first."""
+    """Rejects requests that would end late, before they cost work, and the classes of least value first."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self._settings = settings
@@ -28,21 +28,20 @@
         rows = settings.classes
         top = max(row.value for row in rows) or 1.0
         slope = (MAX_WAIT_FRACTION - MIN_WAIT_FRACTION) / top
-        # Seconds of expected wait that each class is taken with, and its K of the pool's adaptive throttling.
+        # For each class, the expected wait in seconds up to which it is admitted, and its K of throttling.
         self.max_wait = [row.latency_target * (MIN_WAIT_FRACTION + slope * row.value) for row in rows]
         self._max_k = [1.0 / (MIN_ACCEPT_FRACTION - VALUE_ACCEPT_FRACTION * row.value / top) for row in rows]
 
     def admits(self, now: float, class_index: int, pool: ServerPool, is_over_quota: bool) -> bool:
-        """Whether the tiers below can be expected to serve one more request of this class in time.
+        """Return whether the tiers below can be expected to serve one more request of this class in time.
 
-        By pool, so that a jam of a bound class holds no room of the others: rejects once the pending
-        requests, over those served a second, make a wait too long for the class, or by adaptive throttling
-        of whole requests. That guards against sparse windows: at many proxies each breaker of one server is
-        under its protection while all of them fail. Could harm: a short burst at a proxy with few requests.
+        By pool, so that a backlog of a class that is bound to some servers does not block the others. Rejects
+        a request if the pending requests, over those served a second, make a wait too long for the class, or
+        by adaptive throttling of whole requests. The throttling guards against sparse windows: with many
+        proxies, each server's breaker stays under its protection while all servers fail. It can harm a short
+        burst at a proxy with few requests.
         """
-        if (
-            self._settings.tier
-        ):  # acts at the first tier alone: a rejection further down wastes the work above
+        if self._settings.tier:  # Only the first tier rejects: elsewhere, work of tiers above is wasted.
             return True
         max_wait = self._max_wait_now(now, class_index, pool, is_over_quota)
         if pool.pending > max_wait * self._served_rate(now, pool, max_wait) + self._always_admitted(pool):
@@ -54,7 +53,7 @@
         return True
 
     def _max_wait_now(self, now: float, class_index: int, pool: ServerPool, is_over_quota: bool) -> float:
-        """It shrinks with the part that fails: queues that lose requests must drain before they serve."""
+        """Return the admitted wait; shrinks as requests fail: queues that lose requests must drain first."""
         shrink = min(1.0, FAILING_SLOPE * pool.breaker.failure_ratio(now))
         max_wait = (1.0 - (1.0 - FAILING_WAIT_FACTOR) * shrink) * self.max_wait[class_index]
         if is_over_quota:
@@ -63,19 +62,19 @@
 
     @staticmethod
     def _served_rate(now: float, pool: ServerPool, max_wait: float) -> float:
-        """Requests served a second."""
+        """Return the requests served a second."""
         age = now - pool.first_request_at
-        # Guards the start: nothing can have been served yet, and smoothed rates still count from zero.
+        # Guards the start: nothing can have been served yet, and the smoothed rates still rise from zero.
         served = pool.offered.per_second(now) * (1.0 if age < max_wait else OFFERED_FRACTION)
         served = max(served, pool.served.per_second(now))
         return served / (1.0 - exp(-max(age, MIN_RATE_SECONDS) / 2.0))
 
     def _always_admitted(self, pool: ServerPool) -> float:
-        """How many requests may be pending whatever was served lately.
+        """Return how many requests may be pending whatever the served rate is.
 
-        Guards thin traffic: what one of many proxies has in hand by chance is no queue while servers could
-        take it. Chance goes with the root of the part of the tier that is this proxy's; never more than two a
-        server, one in work and one that waits, so that all proxies together stay under that sum.
+        Guards sparse traffic: requests that one of many proxies has pending by chance are no queue while
+        servers could serve them. Chance grows with the root of the proxy's part of the tier; it counts for at
+        most two requests a server, one served and one waiting, so that all proxies stay under that sum.
         """
         part = len(pool.ready) / self._settings.instance_count
         return ALWAYS_ADMITTED + ADMITTED_PER_SERVER * min(part, sqrt(part))
--- a/lugspur/load_balancing/attempt_deadlines.py
+++ b/lugspur/load_balancing/attempt_deadlines.py
@@ -1,4 +1,4 @@
-"""Until when an answer to a request is of use."""
+"""Attempt deadlines: the time until which a response to a request is useful to its client."""
 
 from __future__ import annotations
 
@@ -6,24 +6,23 @@
 
 from lugspur.load_balancing.model import Settings
 
-TARGET_FRACTION = 0.98  # of the latency target, at which attempts end: the answer has to reach the client
-MAX_LATE_VALUE = 0.5  # classes whose late answers keep more of their value are waited for
-MAX_LENGTHS = 256  # lengths of attempts that are told apart; rarer ones are forgotten first
-MIN_SEEN = 4  # attempts of the usual length before another length means anything
+TARGET_FRACTION = 0.98  # of the latency target, at which attempts end: responses have to reach the client
+MAX_LATE_VALUE = 0.5  # where late responses keep more of their value, attempts run beyond the target
+MAX_LENGTHS = 256  # lengths of clients' attempts that are counted; the rarest are forgotten first
+MIN_SEEN = 4  # attempts of the usual length before another length is taken for a retry's
 
 
 class AttemptDeadlines:
-    """Reads from the time that clients give whether an attempt of theirs is the first."""
+    """Infers from the time that clients leave for a request whether it is the client's first attempt."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._lengths: list[dict[int, int]] = [
-            {} for _ in settings.classes
-        ]  # counts by length in steps of 2%
+        # Counts by length in steps of 2%.
+        self._lengths: list[dict[int, int]] = [{} for _ in settings.classes]
         self._usual_length = [0] * len(settings.classes)
 
     def with_settings(self, settings: Settings) -> AttemptDeadlines:
-        """The same for other settings; counts of classes that are the same in both are kept."""
+        """Return attempt deadlines for other settings; the counts of classes that are unchanged are kept."""
         new = AttemptDeadlines(settings)
         for i, (before, after) in enumerate(zip(self._settings.classes, settings.classes, strict=False)):
             if before == after:
@@ -31,12 +30,13 @@
         return new
 
     def useful_until(self, now: float, class_index: int, deadline: float, is_retry: bool) -> float:
-        """Until when an answer earns something.
+        """Return the time until which a response has enough value to be waited for.
 
-        Guards against work for answers that are worth little: servers full of it keep timely ones waiting.
-        Acts where late answers lose half or more. First attempts of a class all last alike and are the
-        commonest; another length is a client's last, begun a class deadline before its end. Where clients
-        mark their retries an unmarked attempt is the first, however short: that client has little patience.
+        Guards against work for responses of little value: servers full of it delay timely ones. Acts in
+        classes whose late responses lose half of their value or more. The first attempts of clients in a
+        class have the same length, which is the most common one; another length is that of a client's last
+        attempt, whose request began a class deadline before its end. Where clients mark their retries, an
+        unmarked attempt is the first, however short: that client waits less long.
         """
         row = self._settings.classes[class_index]
         if row.late_value > MAX_LATE_VALUE or row.streaming:
@@ -53,7 +53,7 @@
     def _is_unusual_length(self, class_index: int, seconds: float) -> bool:
         seen, length = self._lengths[class_index], round(50.0 * log(max(seconds, 1e-6)))
         seen[length] = seen.get(length, 0) + 1
-        if len(seen) > MAX_LENGTHS:  # Guards memory against callers that never ask for the same time.
+        if len(seen) > MAX_LENGTHS:  # Guards memory against callers whose lengths never repeat.
             seen = {k: n // 2 for k, n in seen.items() if n > 1} | {length: max(1, seen[length] // 2)}
             self._lengths[class_index] = seen
         if seen[length] > seen.get(self._usual_length[class_index], 0):
--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -1,10 +1,10 @@
-"""The balancer: which server gets a request, whether any does, and whether a failed attempt is retried.
+"""The balancer: decides which server gets a request, if any, and whether a failed attempt is retried.
 
 Interface (settings, list rows, outcomes, actions): lugspur/load_balancing/model.py.
 
-Pure and sans-I/O: every method takes the time, returns the actions to carry out, and reads no clock.
+Without I/O: every method takes the time, returns the actions to carry out, and reads no clock.
 All randomness comes from the seed. The mechanism is that of go-zero PR #5366 with the SRE book's adaptive
-throttling (docs/design.md). Each decision has a module of its own beside this one.
+throttling (docs/design.md). Each decision has a module of its own in this package.
 """
 
 from collections.abc import Sequence
@@ -41,15 +41,15 @@
 from lugspur.load_balancing.tenant_quotas import TenantQuotas
 from lugspur.load_balancing.two_choice_pick import TwoChoicePick
 
-MIN_REINSTATE_SECONDS, MAX_REINSTATE_SECONDS = 0.5, 3.0  # after which a reinstated server is owed a request
-TIER_LATENCY_FACTOR = 32.0  # of the moving average over all servers
+MIN_REINSTATE_SECONDS, MAX_REINSTATE_SECONDS = 0.5, 3.0  # until a reinstated server is due a request
+TIER_LATENCY_FACTOR = 32.0  # divides each step of the moving average over all servers
 
-#: Outcomes that speak of too much work for the servers there are.
+#: Outcomes that indicate that the servers are overloaded.
 OVERLOAD_OUTCOMES = frozenset({Outcome.OVERLOADED, Outcome.TIMEOUT, Outcome.UNREACHABLE})
 
 
 class Balancer:
-    """One instance: a method for each event, each returning the actions to carry out in order."""
+    """One balancer instance; each event has a method that returns the actions to carry out, in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         settings.check()
@@ -67,17 +67,17 @@
         self.subscription = DiscoverySubscription(self.rng)
 
     def change_settings(self, now: float, settings: Settings) -> None:
-        """Continue with other settings, keep what was learned; raises ValueError and then changes nothing.
+        """Continue with other settings and the learned state; raises ValueError without changing anything.
 
-        Guards open requests: each is judged by the class that it began with, so that one must stand at the
-        same place as before.
+        Guards open requests: each is judged by the class that it began with, so that class must be unchanged
+        at its index.
         """
         settings.check()
         before, after = self.settings.classes, settings.classes
         for request in self.requests.values():
             index = request.class_index
             if index >= len(after) or after[index] != before[index]:
-                raise ValueError(f"classes[{index}]: a request of it is open")
+                raise ValueError(f"classes[{index}]: a request of this class is open")
         self.settings = settings
         self.deadlines = self.deadlines.with_settings(settings)
         self.quotas = TenantQuotas(settings)
@@ -86,26 +86,26 @@
         self.table.change_settings(now, settings)
 
     def export_learned(self, server_ids: Sequence[ServerId] | None = None) -> Learned:
-        """The learned state for an instance that replaces this one: of all servers, or of those named."""
+        """Return the learned state, for an instance that replaces this one, of these servers or of all."""
         return learned_state.export_learned(self.table, self.costs, server_ids)
 
     def import_learned(self, now: float, learned: Learned) -> None:
-        """Continue from another instance's learned state; call it after the first list, before requests."""
+        """Continue from another instance's learned state; call after the first list and before requests."""
         learned_state.import_learned(now, self.table, self.costs, learned)
 
     def set_superseded(self, is_superseded: bool) -> None:
-        """Whether another instance goes on in this one's place: that one alone warms up cold servers.
+        """Set whether another instance has replaced this one; only the newest instance warms up cold servers.
 
-        Guards cold servers: two that follow each other are one proxy, and both budgets would add up.
+        Guards cold servers: both instances belong to one proxy, and their budgets would add up.
         """
         self.slow_start.is_superseded = is_superseded
 
     def start(self, now: float) -> list[Action]:
-        """Call once, after the first list was given."""
+        """Start the instance; call once, after the first server list."""
         return self.subscription.start(now, self.settings)
 
     def update_servers(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> list[Action]:
-        """A server list, a change to it, or the news that discovery failed."""
+        """Apply a server list or a change to it, or handle a failure of discovery."""
         if kind is ListUpdateKind.FAILED:
             return self.subscription.list_failed(now, self.settings)
         if kind is not ListUpdateKind.STALE:
@@ -114,10 +114,10 @@
         return []
 
     def reinstate(self, now: float, server_id: ServerId) -> None:
-        """Operators say that this server may serve again.
+        """Let a server serve again, as operators ordered.
 
-        Guards it against being left out for long where requests are few: cold servers are drawn seldom. One
-        request goes to it at a moment that differs from instance to instance: they must not come together.
+        Guards the server against getting no request for long where requests are few, as cold servers are
+        drawn seldom. It is due one request at a random time: those of all instances must not come together.
         """
         server = self.table.servers.get(server_id)
         if server is not None:
@@ -125,7 +125,7 @@
             self.table.reinstated[server] = now + MIN_REINSTATE_SECONDS + spread * self.rng.random()
 
     def fire_timer(self, now: float, token: int) -> list[Action]:
-        """A timer fell due; stale ones are ignored."""
+        """Handle a timer that is due; stale timers are ignored."""
         return self.subscription.fire_timer(token)
 
     def request(
@@ -139,10 +139,10 @@
         is_retry: bool = False,
         is_incomplete: bool = False,
     ) -> list[Action]:
-        """A new request of the class at `class_index`; exactly one final answer follows, now or later.
+        """Handle a new request; exactly one final response follows, now or later.
 
-        `cost`: the work that is expected of it (0: unknown). `is_retry`: the client marked it as a retry.
-        `is_incomplete`: a part of its body is still to come; `complete_body` tells when it has.
+        `cost`: the work that the request is expected to take (0: unknown). `is_retry`: the client marked it
+        as a retry. `is_incomplete`: a part of its body is still to come, until `complete_body` is called.
         Raises ValueError, and changes nothing, for arguments that are out of range.
         """
         self.settings.check_request(class_index, tenant, deadline, cost)
@@ -156,7 +156,7 @@
         request.is_incomplete = is_incomplete
         self._count_request(now, request)
         actions = self._send_first(now, request) if self._admits(now, request, tenant) else []
-        return actions or self._answer(now, request)
+        return actions or self._respond(now, request)
 
     def _count_request(self, now: float, request: Request) -> None:
         self.requests[request.id] = request
@@ -169,7 +169,7 @@
         pool.first_request_at = min(pool.first_request_at, now)
 
     def _admits(self, now: float, request: Request, tenant: int) -> bool:
-        # Guards against work that cannot end in time: a heavy request, a caller with too little time left.
+        # Guards against work that can't end in time: a heavy request, or a caller with too little time left.
         is_too_late = now + self.costs.min_seconds(request.cost) >= request.useful_until
         if is_too_late:
             self.costs.count_rejected()
@@ -179,11 +179,11 @@
 
     def _send_first(self, now: float, request: Request) -> list[Action]:
         pool = self.table.pool_of[request.class_index]
-        # The list stands in for a dead subset, less its cold servers: others' subsets share their budget.
+        # All ready servers replace a dead subset, but for cold ones, whose budget other subsets use.
         return self._send(now, request, pool.subset, True) or self._send(now, request, pool.ready, False)
 
     def _send(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Action]:
-        """Send an attempt to the best candidate whose breaker does not reject; no action if there is none."""
+        """Send an attempt to the best candidate whose breaker admits it; no action if there is none."""
         timeout = self.settings.classes[request.class_index].latency_target
         for server in self.pick.ranked(now, request, servers, is_first):
             if server.breaker is None:
@@ -215,11 +215,11 @@
             return []
         return self._send(now, request, self.pick.retry_servers(now, request), False)
 
-    def _answer(self, now: float, request: Request) -> list[Action]:
-        """The final answer: rejected where trying again is harmless, else failed."""
-        # Guards admission against failures that no load made, from invalid answers to a server's own faults:
-        # rejecting work does not cure them. Could harm: an overloaded tier that fails fast, as proxies that
-        # reject make it, shows in what is pending alone.
+    def _respond(self, now: float, request: Request) -> list[Action]:
+        """Return the final response: a rejection if the client may safely retry, else a failure."""
+        # Guards admission against failures without load, from invalid responses to a server's own faults:
+        # rejecting work does not cure them. Could harm: an overloaded tier that fails fast, as behind proxies
+        # that reject, shows only in the pending requests.
         if any(attempt.shows_overload for attempt in request.attempts):
             self.table.pool_of[request.class_index].breaker.count_failed(now)
         kind = self.settings.classes[request.class_index]
@@ -228,11 +228,11 @@
         )
         is_harmless = kind.retry_safety is RetrySafety.SAFE or is_keyed
         never_ran = request.first_that_may_have_run() is None
-        answer: Action = Reject(request.id) if is_harmless or never_ran else Fail(request.id)
-        return [answer, *self._finish(request)]
+        response: Action = Reject(request.id) if is_harmless or never_ran else Fail(request.id)
+        return [response, *self._finish(request)]
 
     def _set_pending(self, request: Request, is_pending: bool) -> None:
-        """Count it among those that wait for an answer, or not: work that the servers have before them."""
+        """Count the request among those that wait for a response, which the servers have still to work on."""
         if request.is_pending is not is_pending:
             request.is_pending = is_pending
             self.table.pool_of[request.class_index].pending += 1 if is_pending else -1
@@ -251,10 +251,10 @@
         return [Cancel(request.id, n) for n, a in enumerate(request.attempts) if a.is_open and n != spared]
 
     def complete_body(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
-        """The last byte of a partial request has come: its time counts from here.
+        """Handle the last byte of a partial request; its latency counts from now on.
 
-        Guards servers and admission against slow uploads: while one comes nothing runs, so that it says
-        neither that its server hangs nor that requests pile up.
+        Guards servers and admission against slow uploads: nothing runs during an upload, which therefore
+        shows neither that its server hangs nor that requests queue up.
         """
         request = self.requests.get(request_id)
         if request is None or request.is_answered or not request.is_incomplete:
@@ -268,13 +268,13 @@
         return self.extend_deadline(now, request_id, deadline)
 
     def extend_deadline(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
-        """Another client waits for its answer too, and longer: attempts that are out keep their time."""
+        """Extend the deadline for another client that waits for the response; open attempts keep theirs."""
         request = self.requests.get(request_id)
         if request is None or request.is_answered or deadline <= request.deadline:
             return []
         if request.useful_until >= request.deadline:
             request.useful_until = deadline
-        else:  # late answers are worth little: the newcomer's latency target counts from now
+        else:  # late responses have little value: the joining client's latency target counts from now
             target = self.settings.classes[request.class_index].latency_target
             useful_until = min(deadline, now + TARGET_FRACTION * target)
             request.useful_until = max(request.useful_until, useful_until)
@@ -290,7 +290,7 @@
         latency: float,
         is_final: bool = False,
     ) -> list[Action]:
-        """An attempt ended after `latency` seconds; `is_final`: the client has its answer. Ignores others."""
+        """Handle the end of an attempt after `latency` seconds; `is_final`: the client has its response."""
         request = self.requests.get(request_id)
         if request is None or not 0 <= number < len(request.attempts):
             return []
@@ -310,12 +310,12 @@
             pool.served.count(now)
             pool.breaker.count_accepted(now)
             return self._finish(request)
-        return [] if request.open_attempts else self._retry(now, request) or self._answer(now, request)
+        return [] if request.open_attempts else self._retry(now, request) or self._respond(now, request)
 
     def _close_attempt(self, request: Request, attempt: Attempt, outcome: Outcome, latency: float) -> None:
         attempt.is_open = False
         attempt.may_have_run = outcome not in NEVER_RAN
-        # An error that took longer than requests are admitted to wait speaks of a time-out behind.
+        # An error after more than the wait up to which requests are admitted indicates a timeout further on.
         max_wait = self.admission.max_wait[request.class_index]
         attempt.shows_overload = outcome in OVERLOAD_OUTCOMES or latency > max_wait
         request.open_attempts -= 1
@@ -334,14 +334,14 @@
             self._learn_success(now, server, breaker, latency)
         elif outcome is not Outcome.CANCELLED:
             breaker.count_failed(now)
-            # Guards against a server that fails fast and so looks quick: a failure costs a time-out.
+            # Guards against a server that fails fast and so looks quick: a failure counts as a timeout.
             server.observe_latency(now, max(latency, timeout))
 
     def _learn_success(self, now: float, server: Server, breaker: CircuitBreaker, latency: float) -> None:
         table = self.table
         breaker.count_accepted(now)
         if breaker.current_latency <= 0.0 and table.tier_latency > 0.0:
-            # No baseline from one slow answer alone.
+            # A single slow response must not set the baseline.
             breaker.observe_latency(min(latency, table.tier_latency))
         breaker.observe_latency(latency)
         server.observe_latency(now, latency)
@@ -349,7 +349,7 @@
         table.tier_latency += gap / TIER_LATENCY_FACTOR if table.tier_latency > 0.0 else latency
 
     def bind_to_attempt(self, now: float, request_id: RequestId, number: int) -> list[Action]:
-        """A part of a stream has gone to this attempt's server: the request belongs to it."""
+        """Bind a request to an attempt, since a part of a stream was sent to the attempt's server."""
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
             return []
@@ -357,20 +357,20 @@
         return self._cancel_attempts(request, number)
 
     def begin_response(self, now: float, request_id: RequestId, number: int) -> list[Action]:
-        """The answer of a stream has begun: the request belongs to this attempt, and waits for nothing.
+        """Handle the start of a streamed response: binds the request to the attempt, no longer pending.
 
-        Guards admission against streams that go on for long: they are no queue that would make others late.
+        Guards admission against streams that last long: they are no queue that would make others late.
         """
         request = self.requests.get(request_id)
         if request is not None and not request.is_answered and not request.has_response_begun:
             request.has_response_begun = True
             self._set_pending(request, False)
-            # Guards a server that gives a long answer against looking as if it hung.
+            # Guards a server that sends a long response against looking as if it hung.
             for attempt in request.attempts:
                 attempt.server.in_flight.pop(attempt, None)
         return self.bind_to_attempt(now, request_id, number)
 
     def cancel_request(self, now: float, request_id: RequestId) -> list[Action]:
-        """The client left; no answer is expected any more."""
+        """Handle the departure of the client, which expects no response any more."""
         request = self.requests.get(request_id)
         return [] if request is None or request.is_answered else self._finish(request)
--- a/lugspur/load_balancing/circuit_breaker.py
+++ b/lugspur/load_balancing/circuit_breaker.py
@@ -8,13 +8,13 @@
 from lugspur.load_balancing.adaptive_throttling import AdaptiveThrottle
 from lugspur.load_balancing.model import LearnedBreaker
 
-FORCED_PASS_INTERVAL_SECONDS = 1.0  # between requests that pass whatever the probability
-BASELINE_DECAY_FACTOR = 4.0  # the baseline latency follows a lower latency fast...
-BASELINE_RISE_FACTOR = 100.0  # ...and a higher one slowly
-CURRENT_LATENCY_FACTOR = 4.0
-LATENCY_ACTIVATION_MULTIPLE = 3.0  # the latency probability starts at this multiple of the baseline...
-LATENCY_CEILING_RATIO = 0.95  # ...and is full at this part of the time-out...
-MAX_LATENCY_PROBABILITY = 0.3  # ...where it has this value
+FORCED_PASS_INTERVAL_SECONDS = 1.0  # between requests that pass whatever the rejection probability
+BASELINE_DECAY_FACTOR = 4.0  # divides the step of the baseline towards a lower latency, which it follows fast
+BASELINE_RISE_FACTOR = 100.0  # divides its step towards a higher latency, which it follows slowly
+CURRENT_LATENCY_FACTOR = 4.0  # divides each step of the current latency
+LATENCY_ACTIVATION_MULTIPLE = 3.0  # multiple of the baseline from which the latency probability is above 0
+LATENCY_CEILING_RATIO = 0.95  # part of the timeout at which the latency probability reaches its maximum
+MAX_LATENCY_PROBABILITY = 0.3
 
 
 class CircuitBreaker(AdaptiveThrottle):
@@ -32,7 +32,7 @@
         self.last_passed_at = float("-inf")
 
     def export_learned(self) -> LearnedBreaker:
-        """The window and both averages, for a breaker that replaces this one."""
+        """Return the window and both averages, for a breaker that replaces this one."""
         return LearnedBreaker(self.baseline_latency, self.current_latency, self._export_window())
 
     def import_learned(self, learned: LearnedBreaker) -> None:
@@ -41,7 +41,7 @@
         self._import_window(learned.window)
 
     def observe_latency(self, latency: float) -> None:
-        """Move both averages by the latency of a success."""
+        """Update both averages with the latency of a success."""
         if self.current_latency <= 0.0:
             self.baseline_latency = self.current_latency = latency
             return
@@ -50,9 +50,9 @@
         self.current_latency += (latency - self.current_latency) / CURRENT_LATENCY_FACTOR
 
     def latency_probability(self, timeout: float) -> float:
-        """(current - 3 x baseline) / (0.95 x timeout - 3 x baseline) x 0.3, clamped to 0 and 0.3.
+        """Return (current - 3 x baseline) / (0.95 x timeout - 3 x baseline) x 0.3, clamped to 0 and 0.3.
 
-        It is 0 without a baseline, and where the ceiling is not above the threshold.
+        The probability is 0 without a baseline, and where the ceiling is not above the threshold.
         """
         threshold = LATENCY_ACTIVATION_MULTIPLE * self.baseline_latency
         span = LATENCY_CEILING_RATIO * timeout - threshold
@@ -62,11 +62,11 @@
         return min(max(probability, 0.0), MAX_LATENCY_PROBABILITY)
 
     def rejection_probability(self, now: float, timeout: float) -> float:
-        """The larger of the error and the latency probability."""
+        """Return the larger of the error probability and the latency probability."""
         return max(self.error_probability(now), self.latency_probability(timeout))
 
     def rejects(self, now: float, timeout: float, rng: Random) -> bool:
-        """Whether to reject this attempt; one attempt a second passes while others are rejected."""
+        """Return whether to reject this attempt; one attempt a second passes while others are rejected."""
         probability = self.rejection_probability(now, timeout)
         if probability <= 0.0:
             return False
--- a/lugspur/load_balancing/cost_baseline.py
+++ b/lugspur/load_balancing/cost_baseline.py
@@ -1,20 +1,20 @@
-"""How long an answer takes at least, by the work that a request is expected to be."""
+"""Estimates the least time that a request takes, from the cost that its caller states."""
 
-MIN_SAMPLES = 16  # answers before the baseline rejects anything: the first may have stood in a queue
-REQUIRED_FRACTION = 0.6  # of the baseline that a request needs at least: costs are hints, servers differ
-DECAY_FACTOR, RISE_FACTOR = 4.0, 100.0  # it follows a lower latency fast and a higher one slowly
-REJECTION_DECAY = 0.94  # a rejection teaches nothing: no unfair baseline stays for good
+MIN_SAMPLES = 16  # responses before the baseline rejects requests: the first ones may have waited in a queue
+REQUIRED_FRACTION = 0.6  # part of the baseline that a request surely takes: costs are hints, servers differ
+DECAY_FACTOR, RISE_FACTOR = 4.0, 100.0  # the baseline follows a lower latency fast and a higher one slowly
+REJECTION_DECAY = 0.94  # lowers the baseline at each rejection, so that one that is too high does not last
 
 
 class CostBaseline:
-    """Baseline of latency, in seconds for each unit of cost."""
+    """Baseline of the latency, in seconds for each unit of cost."""
 
     def __init__(self) -> None:
         self.seconds_per_cost = 0.0
         self.samples = 0
 
     def observe(self, latency: float, cost: float) -> None:
-        """Move the baseline by the latency of a success."""
+        """Update the baseline with the latency of a success."""
         gap = latency / cost - self.seconds_per_cost
         if self.samples:
             gap /= DECAY_FACTOR if gap < 0.0 else RISE_FACTOR
@@ -22,9 +22,9 @@
         self.samples += 1
 
     def min_seconds(self, cost: float) -> float:
-        """The time that a request of this cost needs at least; 0 while too little is known."""
+        """Return the least seconds that a request of this cost takes; 0 while there are too few samples."""
         return REQUIRED_FRACTION * self.seconds_per_cost * cost if self.samples >= MIN_SAMPLES else 0.0
 
     def count_rejected(self) -> None:
-        """Lower the baseline: a request was rejected by it."""
+        """Lower the baseline after it rejected a request."""
         self.seconds_per_cost *= REJECTION_DECAY
--- a/lugspur/load_balancing/discovery_subscription.py
+++ b/lugspur/load_balancing/discovery_subscription.py
@@ -1,16 +1,16 @@
-"""When to ask discovery for the server list, where it has to be asked."""
+"""Decides when to request the server list from a discovery service that does not push it."""
 
 from random import Random
 
 from lugspur.load_balancing.model import Action, DiscoveryMode, Settings, StartTimer, Subscribe
 
-SUBSCRIBE_TOKEN = 1  # of the timer
-FIRST_RETRY_DELAY_SECONDS = 1.0
-START_FRACTION = 0.4  # of the discovery interval, over which the first calls of all instances are spread
+SUBSCRIBE_TOKEN = 1  # token of the timer
+FIRST_RETRY_DELAY_SECONDS = 1.0  # after a failure; doubles with each further one
+START_FRACTION = 0.4  # part of the discovery interval over which the first calls of all instances are spread
 
 
 class DiscoverySubscription:
-    """Asks for the list at the start, and again after failures with exponential backoff."""
+    """Subscribes at the start, and again after failures with exponential backoff and jitter."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -18,14 +18,14 @@
         self._retry_delay = FIRST_RETRY_DELAY_SECONDS
 
     def start(self, now: float, settings: Settings) -> list[Action]:
-        """Ask soon. All instances start together: the first calls are spread over what the rules allow."""
+        """Schedule the first call, at random: all instances start together, and their calls are spread."""
         if settings.discovery is not DiscoveryMode.ON_REQUEST:
             return []
         spread = START_FRACTION * settings.rules.discovery_interval
         return self._subscribe_in(now, spread * self._rng.random())
 
     def list_failed(self, now: float, settings: Settings) -> list[Action]:
-        """Ask again later, jittered and doubling: every instance lost the same service at the same time."""
+        """Schedule a retry; the delay doubles and has jitter, as all instances fail at the same time."""
         delay = self._retry_delay * (0.5 + self._rng.random())
         self._retry_delay = min(
             2.0 * self._retry_delay, max(FIRST_RETRY_DELAY_SECONDS, settings.rules.discovery_interval)
@@ -33,11 +33,11 @@
         return self._subscribe_in(now, delay)
 
     def list_received(self) -> None:
-        """Discovery works: the next failure is the first again."""
+        """Reset the retry delay: discovery works."""
         self._retry_delay = FIRST_RETRY_DELAY_SECONDS
 
     def fire_timer(self, token: int) -> list[Action]:
-        """Ask now; stale timers are ignored."""
+        """Subscribe now; stale timers are ignored."""
         if token == SUBSCRIBE_TOKEN and self._is_timer_running:
             self._is_timer_running = False
             return [Subscribe()]
--- a/lugspur/load_balancing/event_rate.py
+++ b/lugspur/load_balancing/event_rate.py
@@ -1,10 +1,10 @@
 """Smoothed rate of events."""
 
-SMOOTHING_SECONDS = 2.0
+SMOOTHING_SECONDS = 2.0  # without events, after which the rate is 0
 
 
 class EventRate:
-    """Events a second, smoothed over two seconds."""
+    """Events a second, smoothed over SMOOTHING_SECONDS."""
 
     __slots__ = ("_updated_at", "_value")
 
@@ -17,11 +17,11 @@
         self._updated_at = now
 
     def per_second(self, now: float) -> float:
-        """Events a second as of `now`."""
+        """Return events a second as of `now`."""
         return self._value * max(0.0, 1.0 - (now - self._updated_at) / SMOOTHING_SECONDS)
 
     def export_learned(self) -> tuple[float, float]:
-        """The rate and the time at which it was counted."""
+        """Return the rate and the time of its latest event."""
         return self._value, self._updated_at
 
     def import_learned(self, learned: tuple[float, float]) -> None:
--- a/lugspur/load_balancing/learned_state.py
+++ b/lugspur/load_balancing/learned_state.py
@@ -1,4 +1,4 @@
-"""Learned state: what an instance passes on to the one that replaces it. Requests end where they began."""
+"""Learned state that an instance hands over to its replacement; open requests are not handed over."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 def export_learned(table: ServerTable, costs: CostBaseline, server_ids: Sequence[ServerId] | None) -> Learned:
-    """The learned state of all servers, or of those that are named."""
+    """Return the learned state of the servers with these ids, or of all servers."""
     wanted = tuple(table.servers) if server_ids is None else server_ids
     known = (table.servers[server_id] for server_id in wanted if server_id in table.servers)
     servers = tuple(_export_server(server) for server in known)
@@ -22,7 +22,7 @@
 def import_learned(now: float, table: ServerTable, costs: CostBaseline, learned: Learned) -> None:
     """Continue from another instance's state.
 
-    A server counts as the same by its name and its start: of one that was restarted nothing holds.
+    A server is the same if its id and start time are; what was learned of a server before a restart is lost.
     """
     table.tier_latency = learned.pooled
     costs.seconds_per_cost, costs.samples = learned.pace, learned.paced
--- a/lugspur/load_balancing/model.py
+++ b/lugspur/load_balancing/model.py
@@ -1,6 +1,6 @@
-"""The interface of the decisions: settings, rows of the server list, outcomes and actions as plain types.
+"""Interface of the load balancer: settings, rows of the server list, outcomes and actions as plain types.
 
-Nothing here decides anything or knows a wire format. Times are seconds on the caller's clock. Errors in
+This module makes no decisions and knows no wire format. Times are seconds on the caller's clock. Errors in
 settings name the value by its key in the settings file (`aim`, `cold_from`), which differs from the field's
 name here.
 """
@@ -35,7 +35,7 @@
 
 
 class DiscoveryMode(Enum):
-    """Whether discovery pushes changes of the server list, or sends them after a subscription."""
+    """Whether discovery pushes changes of the server list, or sends them only after a subscription."""
 
     PUSHED = "pushed"
     ON_REQUEST = "on_request"
@@ -45,33 +45,33 @@
     """State of a server in the server list."""
 
     UP = "up"
-    DRAINING = "draining"  # finishes what it has, gets no new requests
+    DRAINING = "draining"  # finishes its requests and gets no new ones
     GONE = "gone"
 
 
 class ListUpdateKind(Enum):
-    """What an update of the server list holds."""
+    """What an update of the server list contains."""
 
-    STALE = "stale"  # a complete list of unknown age, as known at the start
-    COMPLETE = "whole"  # all servers that there are
-    PATCH = "patch"  # the rows that changed
-    FAILED = "broken"  # no rows: discovery could not be reached
+    STALE = "stale"  # a complete list of unknown age, as at the start
+    COMPLETE = "whole"  # the rows of all servers
+    PATCH = "patch"  # only the rows that changed
+    FAILED = "broken"  # no rows, as discovery could not be reached
 
 
 class Outcome(Enum):
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # the server answered with an error
+    ERROR = "error"  # the server responded with an error
     OVERLOADED = "full"  # the server rejected the request before running it
     TIMEOUT = "timeout"
-    UNREACHABLE = "unreachable"  # no connection
+    UNREACHABLE = "unreachable"  # no connection could be established
     INTERRUPTED = "broken"  # the connection broke after the request was sent
     CANCELLED = "cancelled"
-    NOT_PROCESSED = "void"  # never ran, for a reason that says nothing of the server
+    NOT_PROCESSED = "void"  # the attempt never ran, for a reason that says nothing about the server
 
 
-#: Outcomes that prove that the attempt never ran.
+#: Outcomes that prove that an attempt never ran.
 NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.UNREACHABLE, Outcome.NOT_PROCESSED})
 
 
@@ -95,10 +95,10 @@
 class RequestClass:
     """Policy for one class of request; times in seconds.
 
-    An answer within `latency_target` earns `value`, a later one the part `late_value` of it, and after
+    A response within `latency_target` is worth `value` and a later one the part `late_value` of it; after
     `deadline` the client has given up. Servers remember the idempotency key of a keyed request for
-    `deduplication_window`. The class is placed on servers of `allowed_host_types` and `allowed_zones`
-    alone; None places no bound.
+    `deduplication_window`. Requests go only to servers of `allowed_host_types` and `allowed_zones`; None
+    allows all.
     """
 
     name: str = "request"
@@ -114,7 +114,7 @@
     allowed_zones: tuple[int, ...] | None = None
 
     def check(self, at: str) -> None:
-        """Raise ValueError naming the first value that is out of range; `at` is the place of this class."""
+        """Raise ValueError naming the first value that is out of range; `at` is the key of this class."""
         _check_number(f"{at}.aim", self.latency_target)
         _check_number(f"{at}.deadline", self.deadline)
         _check_number(f"{at}.window", self.deduplication_window)
@@ -144,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment permits of attempts; `max_attempts` of one request, the first included."""
+    """What the deployment permits; `max_attempts` is for each request and includes the first attempt."""
 
     allows_cancel: bool = False
     allows_hedging: bool = False
@@ -159,10 +159,10 @@
 class Rules:
     """Bounds that the deployment guarantees its servers; times in seconds.
 
-    A server started within `slow_start_seconds` can do the part `slow_start_fraction` of its capacity at
-    first and falls over when it gets `overload_multiple` times what it can do for `overload_seconds`.
-    Within any `retry_budget_window` there may be `retry_budget_minimum` retries, and `retry_budget_ratio`
-    more for each request; a window of 0 states no retry budget.
+    A server has the part `slow_start_fraction` of its capacity when it starts, and all of it after
+    `slow_start_seconds`; it fails when it gets `overload_multiple` times its capacity for
+    `overload_seconds`. Within any `retry_budget_window` there may be `retry_budget_minimum` retries, and
+    `retry_budget_ratio` more for each request; with a window of 0 no retry budget is stated.
     """
 
     drain_grace: float = 0.0
@@ -197,10 +197,10 @@
 class Settings:
     """Configuration of one balancer instance.
 
-    It is instance `instance_index` of `instance_count` that send to the same servers, in tier `tier` of
-    `tier_count` (0: the tier that clients call). A request over its tenant's quota counts the part
-    `over_quota_value` of its class's value. `callers_pass_deadline`: deadlines of requests from the tier
-    above are their callers' own. `clients_mark_retries`: a request that is not marked as a retry is the
+    The instance is number `instance_index` of `instance_count` that send to the same servers, in tier `tier`
+    of `tier_count` (0: the tier that clients call). A request over its tenant's quota has the part
+    `over_quota_value` of its class's value. `callers_pass_deadline`: requests from the tier above carry the
+    deadlines of the original callers. `clients_mark_retries`: a request that is not marked as a retry is the
     client's first attempt.
     """
 
@@ -244,7 +244,7 @@
 
 
 def pick_known(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
-    """The entries of `values` that are fields of `kind` and not None; others are ignored."""
+    """Return the entries of `values` that are fields of `kind` and not None."""
     names = {item.name for item in fields(kind)}
     return {k: v for k, v in values.items() if k in names and v is not None}
 
@@ -253,7 +253,7 @@
 class ServerRow:
     """One server of the server list.
 
-    `weight` is its capacity in proportion to the others'; `started_at` is 0 where it started long ago.
+    `weight` is its capacity relative to other servers; `started_at` is 0 if it started long ago.
     """
 
     server: ServerId
@@ -269,7 +269,7 @@
 class LearnedBreaker:
     """State of a circuit breaker: window buckets, and its latency averages in seconds.
 
-    The names of the fields of all `Learned...` types are keys of the file in which the daemon keeps them.
+    The field names of all `Learned...` types are keys of the file in which the daemon stores them.
     """
 
     baseline: float
@@ -279,25 +279,26 @@
 
 @dataclass(slots=True, frozen=True)
 class LearnedServer:
-    """Learned state of one server; it holds only for the process that started at `started`."""
+    """Learned state of one server; valid only for the process that started at `started`."""
 
     server: ServerId
     started: float
     latency: float
-    seen: float
-    downs: int
-    down_until: float
-    cold_credit: float
-    cold_seen: float
+    seen: float  # time of the latest latency sample
+    downs: int  # consecutive rejections
+    down_until: float  # end of the ejection
+    cold_credit: float  # slow start credit
+    cold_seen: float  # time of the latest update of the credit
     breaker: LearnedBreaker | None
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedPool:
-    """Learned state of a pool; rates as value and time: requests offered, attempts, requests served."""
+    """Learned state of a pool."""
 
+    # Value and time of each rate: requests offered, attempts sent, requests served.
     rates: tuple[tuple[float, float], tuple[float, float], tuple[float, float]]
-    born: float | None
+    born: float | None  # time of the first request
     breaker: LearnedBreaker
 
 
@@ -307,14 +308,14 @@
 
     servers: tuple[LearnedServer, ...]
     pools: tuple[LearnedPool, ...]  # in the order of the settings' classes
-    pooled: float
-    pace: float
-    paced: int
+    pooled: float  # latency over all servers
+    pace: float  # seconds for each unit of cost
+    paced: int  # samples of `pace`
 
 
 @dataclass(slots=True)
 class Send:
-    """Send an attempt to a server; `timeout` 0 means until the client gives up."""
+    """Send an attempt to a server; a `timeout` of 0 means until the client gives up."""
 
     request: RequestId
     server: ServerId
@@ -323,7 +324,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, and trying again is harmless."""
+    """Final response: the request is rejected, and a retry by the client is harmless."""
 
     request: RequestId
     retry_after: float = 0.0
@@ -331,7 +332,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, and the request may have run."""
+    """Final response: the request failed and may have run."""
 
     request: RequestId
 
@@ -346,7 +347,7 @@
 
 @dataclass(slots=True)
 class StartTimer:
-    """Call the balancer's timer method with `token` at the time `at` or soon after."""
+    """Call `Balancer.fire_timer` with `token` at the time `at` or soon after."""
 
     at: float
     token: int
--- a/lugspur/load_balancing/server_table.py
+++ b/lugspur/load_balancing/server_table.py
@@ -1,4 +1,4 @@
-"""The servers of the list that discovery sends, and the pools that they are in."""
+"""The servers of the list from discovery, and their pools."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -7,7 +7,7 @@
 from lugspur.load_balancing.server import Server
 from lugspur.load_balancing.server_pool import ServerPool
 
-SUBSET_INTERVAL_SECONDS = 3.0  # between two choices of the subsets
+SUBSET_INTERVAL_SECONDS = 3.0  # after which the subsets are chosen again
 HASH_MULTIPLIER = 0x9E3779B1  # Knuth's multiplicative hashing
 
 
@@ -18,16 +18,17 @@
         self.settings = settings
         self.servers: dict[ServerId, Server] = {}
         self.pools: list[ServerPool] = []
-        self.pool_of: list[ServerPool] = []  # by the class's index
-        self.tier_latency = 0.0  # current latency over all servers; 0 before the first answer
+        self.pool_of: list[ServerPool] = []  # by class index
+        self.tier_latency = 0.0  # moving average over all servers; 0 before the first success
         self.next_subsets_at = 0.0
-        self.reinstated: dict[Server, float] = {}  # when a request is due where none has come since
+        # Servers that have got no request since they were reinstated, and the times from which one is due.
+        self.reinstated: dict[Server, float] = {}
         self._assign_pools()
 
     def change_settings(self, now: float, settings: Settings) -> None:
         """Assign the classes of other settings to pools.
 
-        A pool stays when no class is bound to it any more: there are as many as ways of binding ever used.
+        A pool stays even if no class uses it any more, so there is one for each placement that was ever used.
         """
         self.settings = settings
         self._assign_pools()
@@ -59,14 +60,14 @@
     def _mark_absent(self, listed: set[ServerId]) -> None:
         for server in self.servers.values():
             if server.row.server not in listed:
-                # Weight and start time are kept: it may come back as the same process, still cold.
+                # Weight and start time are kept: the server may return as the same process, still cold.
                 server.row = replace(server.row, state=ServerState.GONE)
 
     def _forget_gone(self, now: float) -> None:
-        """Guards memory against servers that are replaced under new ids for as long as the program runs.
+        """Delete servers that are gone: else memory would grow with each server replaced under a new id.
 
-        One that is gone stays while attempts are out, and while it would still be cold: it may come back as
-        the same process.
+        One that is gone stays while it has open attempts, and while it would be cold: it may return as the
+        same process.
         """
         for server_id, server in tuple(self.servers.items()):
             is_gone = server.row.state is ServerState.GONE and not server.in_flight
@@ -75,16 +76,16 @@
                 self.reinstated.pop(server, None)
 
     def rebuild_pools(self, now: float) -> None:
-        """Rebuild the lists of ready servers; drained and gone ones leave them at once."""
+        """Rebuild the lists of ready servers; draining and gone servers leave them at once."""
         ready = [server for server in self.servers.values() if server.row.state is ServerState.UP]
-        # A ring in scattered order, the same at every instance.
+        # The ring is in hash order, which is the same at every instance.
         ready.sort(key=lambda s: (s.row.server * HASH_MULTIPLIER & 0xFFFFFFFF, s.row.server))
         for pool in self.pools:
             pool.set_ready(ready)
         self.choose_subsets(now)
 
     def choose_subsets(self, now: float) -> None:
-        """Choose the subset of each pool by its current load."""
+        """Choose the subset of each pool for the pool's current load."""
         self.next_subsets_at = now + SUBSET_INTERVAL_SECONDS
         for pool in self.pools:
             pool.choose_subset(now, self.settings, self.tier_latency)
--- a/lugspur/load_balancing/slow_start.py
+++ b/lugspur/load_balancing/slow_start.py
@@ -6,22 +6,22 @@
 from lugspur.load_balancing.server_pool import ServerPool
 from lugspur.load_balancing.server_table import ServerTable
 
-MAX_DRAWS = 8  # random draws for two candidates
+MAX_DRAWS = 8  # random draws at most to find two candidates
 
 
 class SlowStart:
-    """Decides which requests pass over a cold server."""
+    """Decides which requests skip a cold server."""
 
     def __init__(self, table: ServerTable, rng: Random) -> None:
         self._table = table
         self._rng = rng
-        self.is_superseded = False  # another instance goes on in this one's place
+        self.is_superseded = False  # another instance has replaced this one
 
     def skips(self, now: float, server: Server, pool: ServerPool) -> bool:
-        """Whether a cold server is passed over for this request.
+        """Return whether this request skips a cold server.
 
-        Guards against pushing it over: this instance alone gives it at most the part of a warm peer's
-        share that it can do for certain, both on average (a draw) and in any short span (a token bucket).
+        Guards it against overload: this instance alone gives it at most the part of a warm server's requests
+        that it can certainly handle, both on average (a draw) and in any short span (a token bucket).
         """
         if self.is_superseded:
             return True
@@ -33,7 +33,7 @@
             return True
         rate = 2.0 * capacity * sum(p.rate_per_server(now) for p in self._table.pools if p.allows(server.row))
         if server.slow_start_credited_at <= 0.0:
-            server.slow_start_credit = self._rng.random()  # instances must not all begin at the same moment
+            server.slow_start_credit = self._rng.random()  # instances must not all send at the same moment
             server.slow_start_credited_at = now
         max_credit = max(1.0, rate * rules.overload_seconds)
         earned = rate * (now - server.slow_start_credited_at)
--- a/lugspur/load_balancing/tenant_quotas.py
+++ b/lugspur/load_balancing/tenant_quotas.py
@@ -1,16 +1,16 @@
-"""Which requests are over their tenant's quota, by token buckets."""
+"""Token buckets that tell which requests are over their tenant's quota."""
 
 from lugspur.load_balancing.model import Settings
 
-BURST_SECONDS = 5.0  # of its quota that a tenant may use at once: a burst, not a surplus
+BURST_SECONDS = 5.0  # seconds of its quota that a tenant may use at once: a burst, but no lasting surplus
 
 
 class TenantQuotas:
-    """One token bucket for each tenant, filled at this instance's part of its quota.
+    """One token bucket for each tenant, filled at this instance's part of the tenant's quota.
 
-    Guards the others against one tenant's burst: what is over the quota is worth little and goes first.
-    Acts where requests fail, in the measure that they do. Could harm where one instance has most of a
-    tenant's traffic: its part of the quota is soon used up.
+    Guards tenants against the burst of another: requests over the quota have little value and are rejected
+    first. Acts only where requests fail, and more the more of them do. It can harm where one instance has
+    most of a tenant's traffic: its part of the quota is soon used up.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -20,7 +20,7 @@
         self._filled_at = [0.0] * len(self._rates)
 
     def is_over(self, now: float, tenant: int) -> bool:
-        """Whether a request is over its tenant's quota; one that is not takes a token."""
+        """Return whether a request is over its tenant's quota; a request that is not takes a token."""
         rate = self._rates[tenant] if self._rates else 0.0
         if rate <= 0.0:
             return False
--- a/lugspur/load_balancing/two_choice_pick.py
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -1,4 +1,4 @@
-"""The power of two choices (Mitzenmacher 2001): of two random ready servers the better one comes first."""
+"""The power of two choices (Mitzenmacher 2001): of two random ready servers, the better one is used."""
 
 from bisect import bisect_right
 from random import Random
@@ -10,11 +10,11 @@
 from lugspur.load_balancing.server_table import ServerTable
 from lugspur.load_balancing.slow_start import MAX_DRAWS, SlowStart
 
-RETRY_WINDOW_FRACTION = 0.9  # the part of a keyed class's deduplication window in which retries are sent
+RETRY_WINDOW_FRACTION = 0.9  # part of a keyed class's deduplication window in which retries are sent
 
 
 class TwoChoicePick:
-    """Finds the candidates for an attempt; it sends nothing."""
+    """Finds the candidate servers for an attempt; it sends nothing."""
 
     def __init__(self, table: ServerTable, slow_start: SlowStart, rng: Random) -> None:
         self._table = table
@@ -22,16 +22,17 @@
         self._rng = rng
 
     def ranked(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
-        """The candidates among `servers`, the best first; `is_first`: for the first attempt in the subset.
+        """Return the candidates among `servers`, best first; `is_first` for the first attempt in the subset.
 
-        Guards requests against waiting behind others in a subset while servers outside it stand idle, most of
-        all where it is narrow or a server of it is slow or dead: where all candidates of the subset are busy
-        or outliers, two of all servers are drawn too, taken to hold of others' what ours hold of ours on
-        average. Could harm where others have far more traffic: their servers are busier than they seem.
+        Guards requests against waiting in a subset while servers outside it are idle, above all where it is
+        narrow or a server of it is slow or dead. Where all candidates of the subset are busy, ejected or
+        outliers, two of all servers are drawn as well; those outside are assumed to have as many requests of
+        other instances in flight as the subset's have of this one on average. Could harm where others have
+        far more traffic: their servers are busier than assumed.
         """
         table = self._table
         kind = table.settings.classes[request.class_index]
-        tier_latency = table.tier_latency or kind.latency_target  # before any answer all are alike
+        tier_latency = table.tier_latency or kind.latency_target  # equal for all before the first success
         drawn = self._draw_two(now, request, servers, is_first)
         scores = {server: server.score(now, tier_latency) for server in drawn}
         if is_first and all(s.in_flight or s.ejected_until > now or s.is_outlier(now) for s in scores):
@@ -41,14 +42,14 @@
                 if server not in pool.subset:
                     scores[server] = server.score(now, tier_latency, others)
         if kind.retry_safety is RetrySafety.UNSAFE:
-            # Guards what can't be tried again against an outlier: its breaker passes requests until it has
-            # seen enough, and one a second then. What can be goes on finding out whether it has recovered.
-            # Could harm where requests themselves are at fault: their server is shunned for a window.
+            # Guards requests that can't be retried against an outlier: its breaker passes requests until it
+            # has seen enough, and one a second then. Others still find out whether it has recovered.
+            # Could harm where requests themselves cause the errors: their server is avoided for a window.
             return sorted(scores, key=lambda s: (s.ejected_until > now, s.is_outlier(now), scores[s]))
         return sorted(scores, key=lambda s: (s not in table.reinstated, s.ejected_until > now, scores[s]))
 
     def _draw_two(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
-        """Two random servers, fewer where there are no more; an ejected one if there is no other."""
+        """Return two random servers, fewer if there are no more; an ejected one if there is no other."""
         pool, rules = self._table.pool_of[request.class_index], self._table.settings.rules
         if now >= pool.next_warm_at:
             pool.count_warm(now, rules)
@@ -59,7 +60,7 @@
             server = self._draw(servers, pool)
             if server in found or server in tried:
                 continue
-            # A cold server gets no retries, and first attempts as far as slow start allows.
+            # A cold server gets no retries, and only as many first attempts as slow start allows.
             if server.warm_at(rules) > now and (not is_first or self._slow_start.skips(now, server, pool)):
                 continue
             if server.ejected_until > now:
@@ -73,29 +74,29 @@
         return found or ejected
 
     def _draw(self, servers: list[Server], pool: ServerPool) -> Server:
-        """One random server; those of the subset by their parts of it."""
+        """Return a random server, weighted by its part of the subset if `servers` is the subset."""
         if servers is not pool.subset:
             return servers[int(self._rng.random() * len(servers))]
         place = pool.subset_begin + pool.subset_width * self._rng.random()
         return servers[min(bisect_right(pool.subset_ends, place), len(servers) - 1)]
 
     def _draw_untried(self, now: float, servers: list[Server], tried: list[Server]) -> list[Server]:
-        """One of the warm servers that were not tried.
+        """Return one of the warm servers that had no attempt of this request yet, if there is one.
 
-        Guards the last attempt where servers are few: draws with replacement may meet nothing but what was
-        tried, one time in 256 with two servers and one in ten with four of which three were.
+        Guards the last attempt where servers are few: draws with replacement may find only servers that had
+        one, one time in 256 with two servers and one in ten with four of which three had one.
         """
         rules = self._table.settings.rules
         left = [s for s in servers if s not in tried and max(s.ejected_until, s.warm_at(rules)) <= now]
         return [self._rng.choice(left)] if left else []
 
     def _due_reinstated(self, now: float, pool: ServerPool) -> list[Server]:
-        """A server that was reinstated and has got nothing since, if its moment has come."""
+        """Return a reinstated server that is due a request and has got none since, if there is one."""
         due = [server for server, at in self._table.reinstated.items() if at <= now and server in pool.ready]
         return due[:1] if not self._slow_start.is_superseded else []
 
     def retry_servers(self, now: float, request: Request) -> list[Server]:
-        """Where a retry may go by the rules; empty if nowhere. Guards the rule against running twice."""
+        """Return the servers that a retry may be sent to; guards requests against running twice."""
         kind = self._table.settings.classes[request.class_index]
         pool = self._table.pool_of[request.class_index]
         first = request.first_that_may_have_run()
--- a/tests/load_balancing/test_changed_settings.py
+++ b/tests/load_balancing/test_changed_settings.py
@@ -49,7 +49,7 @@
 def test_an_open_request_is_judged_by_the_class_that_it_began_with() -> None:
     one = balancer(BOOK)
     one.request(1.0, "a")
-    with pytest.raises(ValueError, match=r"classes\[0\]: a request of it is open"):
+    with pytest.raises(ValueError, match=r"classes\[0\]: a request of this class is open"):
         one.change_settings(1.1, Settings(classes=(READ,)))
     one.change_settings(1.1, Settings(classes=(BOOK, READ)))
     [fail] = one.finish_attempt(1.2, "a", 0, Outcome.INTERRUPTED, 0.2)
--- a/tests/load_balancing/test_repeat_and_budget_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -274,6 +274,6 @@
         with pytest.raises(AssertionError, match=r"sent twice|another"):
             play(RuleChecker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
-        patch.setattr(balancer.Balancer, "_answer", lambda self, *rest: [])
+        patch.setattr(balancer.Balancer, "_respond", lambda self, *rest: [])
         with pytest.raises(AssertionError, match="final answers"):
             play(RuleChecker(config, 1, rows), steps)
