--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -175,7 +175,7 @@
     return {"m": "Watch", "ProxyId": instance, "Want": True}
 
 
-class Link:
+class Instances:
     """All balancer instances of one process, and the numbered server lists that they share read-only."""
 
     def __init__(self) -> None:
@@ -258,7 +258,7 @@
     """Reads lines and collects the replies of a batch."""
 
     def __init__(self) -> None:
-        self._link = Link()
+        self._link = Instances()
         self._now: float | None = None  # time of the open batch; None outside batches
         self._latest = float("-inf")
         self._replies: list[bytes] = []
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -18,7 +18,7 @@
 import orjson
 import pytest
 
-from lugspur.load_balancing.adapter import Link, read_row, read_settings, serve, write_action
+from lugspur.load_balancing.adapter import Instances, read_row, read_settings, serve, write_action
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import ListUpdateKind, Outcome
 
@@ -208,7 +208,7 @@
 
     def __init__(self, settings: Message, seed: int, servers: int) -> None:
         self.script = Random(seed)
-        self.link = Link()
+        self.link = Instances()
         self.lines: list[bytes] = []
         self.now = 100.0
         self.ends: dict[tuple[str, int], tuple[float, str]] = {}  # by request and attempt: when and how it ends
--- a/tests/load_balancing/test_simulator_adapter.py
+++ b/tests/load_balancing/test_simulator_adapter.py
@@ -237,7 +237,7 @@
 
     for name in ("request", "finish_attempt"):
         monkeypatch.setattr(Balancer, name, note)
-    link = adapter.Link()
+    link = adapter.Instances()
     for event in opened(0):
         link.event(1.0, event)
     link.event(2.0, {"m": "Call", "ProxyId": 0, "Ref": "a", "Deadline": 3.0, "Effort": 0.5, "Retry": True})
