--- a/lugspur/load_balancing/adapter.py
+++ b/lugspur/load_balancing/adapter.py
@@ -254,7 +254,7 @@
 }
 
 
-class Batches:
+class BatchReader:
     """Reads lines and collects the replies of a batch."""
 
     def __init__(self) -> None:
@@ -315,7 +315,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
     """Reply to batches until the input ends; return the exit code."""
-    batches = Batches()
+    batches = BatchReader()
     number = 0
     for number, line in enumerate(source, 1):
         try:
