--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -161,7 +161,7 @@
     def _count_request(self, now: float, request: Request) -> None:
         self.requests[request.id] = request
         self.retry_budget.count_request(now)
-        pool = self.table.pool_of[request.class_index]
+        pool = self.table.class_pools[request.class_index]
         pool.offered.count(now)
         if now >= self.table.next_subsets_at:
             self.table.choose_subsets(now)
@@ -174,11 +174,11 @@
         if is_too_late:
             self.costs.count_rejected()
         is_over_quota = self.quotas.is_over(now, tenant)
-        pool = self.table.pool_of[request.class_index]
+        pool = self.table.class_pools[request.class_index]
         return not is_too_late and self.admission.admits(now, request.class_index, pool, is_over_quota)
 
     def _send_first(self, now: float, request: Request) -> list[Action]:
-        pool = self.table.pool_of[request.class_index]
+        pool = self.table.class_pools[request.class_index]
         # All ready servers replace a dead subset, but for cold ones, whose budget other subsets use.
         return self._send(now, request, pool.subset, True) or self._send(now, request, pool.ready, False)
 
@@ -201,7 +201,7 @@
         attempt = Attempt(server, now)
         if not request.is_incomplete:
             server.in_flight[attempt] = None
-        self.table.pool_of[request.class_index].sent.count(now)
+        self.table.class_pools[request.class_index].sent.count(now)
         request.attempts.append(attempt)
         request.open_attempts += 1
         timeout = request.useful_until - now if request.useful_until < request.deadline else 0.0
@@ -221,7 +221,7 @@
         # rejecting work does not cure them. Could harm: an overloaded tier that fails fast, as behind proxies
         # that reject, shows only in the pending requests.
         if any(attempt.shows_overload for attempt in request.attempts):
-            self.table.pool_of[request.class_index].breaker.count_failed(now)
+            self.table.class_pools[request.class_index].breaker.count_failed(now)
         kind = self.settings.classes[request.class_index]
         is_keyed = (
             kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
@@ -235,7 +235,7 @@
         """Count the request among those that wait for a response, which the servers have still to work on."""
         if request.is_pending is not is_pending:
             request.is_pending = is_pending
-            self.table.pool_of[request.class_index].pending += 1 if is_pending else -1
+            self.table.class_pools[request.class_index].pending += 1 if is_pending else -1
 
     def _finish(self, request: Request) -> list[Action]:
         request.is_answered = True
@@ -306,7 +306,7 @@
                 self.requests.pop(request_id, None)
             return []
         if is_final or outcome is Outcome.OK:
-            pool = self.table.pool_of[request.class_index]
+            pool = self.table.class_pools[request.class_index]
             pool.served.count(now)
             pool.breaker.count_accepted(now)
             return self._finish(request)
--- a/lugspur/load_balancing/server_table.py
+++ b/lugspur/load_balancing/server_table.py
@@ -18,7 +18,7 @@
         self.settings = settings
         self.servers: dict[ServerId, Server] = {}
         self.pools: list[ServerPool] = []
-        self.pool_of: list[ServerPool] = []  # by class index
+        self.class_pools: list[ServerPool] = []  # by class index
         self.tier_latency = 0.0  # moving average over all servers; 0 before the first success
         self.next_subsets_at = 0.0
         # Servers that have got no request since they were reinstated, and the times from which one is due.
@@ -41,7 +41,7 @@
             if placement not in pools:
                 pools[placement] = ServerPool(*placement)
         self.pools = list(pools.values())
-        self.pool_of = [pools[row.allowed_host_types, row.allowed_zones] for row in self.settings.classes]
+        self.class_pools = [pools[row.allowed_host_types, row.allowed_zones] for row in self.settings.classes]
 
     def update(self, now: float, kind: ListUpdateKind, rows: Sequence[ServerRow]) -> None:
         """Apply a complete list, or the rows that changed."""
--- a/lugspur/load_balancing/two_choice_pick.py
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -36,7 +36,7 @@
         drawn = self._draw_two(now, request, servers, is_first)
         scores = {server: server.score(now, tier_latency) for server in drawn}
         if is_first and all(s.in_flight or s.ejected_until > now or s.is_outlier(now) for s in scores):
-            pool = table.pool_of[request.class_index]
+            pool = table.class_pools[request.class_index]
             others = pool.sent.per_second(now) * table.tier_latency / max(1, len(pool.subset))
             for server in self._draw_two(now, request, pool.ready, False):
                 if server not in pool.subset:
@@ -50,7 +50,7 @@
 
     def _draw_two(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
         """Return two random servers, fewer if there are no more; an ejected one if there is no other."""
-        pool, rules = self._table.pool_of[request.class_index], self._table.settings.rules
+        pool, rules = self._table.class_pools[request.class_index], self._table.settings.rules
         if now >= pool.next_warm_at:
             pool.count_warm(now, rules)
         tried = [attempt.server for attempt in request.attempts]
@@ -98,7 +98,7 @@
     def retry_servers(self, now: float, request: Request) -> list[Server]:
         """Return the servers that a retry may be sent to; guards requests against running twice."""
         kind = self._table.settings.classes[request.class_index]
-        pool = self._table.pool_of[request.class_index]
+        pool = self._table.class_pools[request.class_index]
         first = request.first_that_may_have_run()
         if first is None or kind.retry_safety is RetrySafety.SAFE:
             return pool.ready
--- a/tests/load_balancing/test_changed_settings.py
+++ b/tests/load_balancing/test_changed_settings.py
@@ -75,14 +75,14 @@
     one.update_servers(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, host_type=7)])
     one.request(1.0, "free")
     bound = replace(READ, allowed_host_types=(7,))
-    before = one.table.pool_of[0]
+    before = one.table.class_pools[0]
     one.change_settings(1.0, Settings(classes=(READ, bound)))
-    assert one.table.pool_of[0] is before and before.pending == 1
+    assert one.table.class_pools[0] is before and before.pending == 1
     for number in range(10):
         [send] = one.request(1.1, f"r{number}", 1)
         assert isinstance(send, Send) and send.server == 2
     one.finish_attempt(1.2, "free", 0, Outcome.OK, 0.1)
-    assert before.pending == 0 and one.table.pool_of[1].pending == 10
+    assert before.pending == 0 and one.table.class_pools[1].pending == 10
     one.change_settings(1.3, Settings(classes=(READ, bound)))
     assert len(one.table.pools) == 2
 
@@ -94,12 +94,12 @@
     one.bind_to_attempt(1.1, "bound", 0)
     one.begin_response(1.1, "begun", 0)
     one.begin_response(1.2, "begun", 0)
-    assert one.table.pool_of[0].pending == 1
+    assert one.table.class_pools[0].pending == 1
     for rid in ("bound", "begun"):
         assert [type(action) for action in one.finish_attempt(1.3, rid, 0, Outcome.INTERRUPTED, 0.3)] == [
             Reject
         ]  # safe: no harm
-    assert one.table.pool_of[0].pending == 0 and not one.requests
+    assert one.table.class_pools[0].pending == 0 and not one.requests
     assert one.bind_to_attempt(1.4, "bound", 0) == [] and one.begin_response(1.4, "begun", 0) == []
 
 
--- a/tests/load_balancing/test_repeat_and_budget_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -267,7 +267,7 @@
     play(RuleChecker(config, 1, rows), steps)
 
     def anywhere(self: two_choice_pick.TwoChoicePick, now: float, request: Request) -> list[Server]:
-        return self._table.pool_of[request.class_index].ready
+        return self._table.class_pools[request.class_index].ready
 
     with monkeypatch.context() as patch:
         patch.setattr(two_choice_pick.TwoChoicePick, "retry_servers", anywhere)
