--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -63,7 +63,7 @@
         self.quotas = TenantQuotas(settings)
         self.deadlines = AttemptDeadlines(settings)
         self.costs = CostBaseline()
-        self.retry_budget = RetryBudget.by_rules(settings.rules)
+        self.retry_budget = RetryBudget.from_rules(settings.rules)
         self.subscription = DiscoverySubscription(self.rng)
 
     def change_settings(self, now: float, settings: Settings) -> None:
@@ -82,7 +82,7 @@
         self.deadlines = self.deadlines.with_settings(settings)
         self.quotas = TenantQuotas(settings)
         self.admission = AdmissionControl(settings, self.rng)
-        self.retry_budget.use_limits_of(RetryBudget.by_rules(settings.rules))
+        self.retry_budget.use_limits_of(RetryBudget.from_rules(settings.rules))
         self.table.change_settings(now, settings)
 
     def export_learned(self, server_ids: Sequence[ServerId] | None = None) -> Learned:
--- a/lugspur/load_balancing/retry_budget.py
+++ b/lugspur/load_balancing/retry_budget.py
@@ -27,7 +27,7 @@
         self._retries: deque[float] = deque()  # times at which retries were sent
 
     @staticmethod
-    def by_rules(rules: Rules) -> RetryBudget:
+    def from_rules(rules: Rules) -> RetryBudget:
         """Return the budget that the rules state, or the default one."""
         free, ratio, window = rules.retry_budget_minimum, rules.retry_budget_ratio, rules.retry_budget_window
         if window > 0.0:
