--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -82,7 +82,7 @@
         self.deadlines = self.deadlines.with_settings(settings)
         self.quotas = TenantQuotas(settings)
         self.admission = AdmissionControl(settings, self.rng)
-        self.retry_budget.use_limits_of(RetryBudget.from_rules(settings.rules))
+        self.retry_budget.adopt_limits(RetryBudget.from_rules(settings.rules))
         self.table.change_settings(now, settings)
 
     def export_learned(self, server_ids: Sequence[ServerId] | None = None) -> Learned:
--- a/lugspur/load_balancing/retry_budget.py
+++ b/lugspur/load_balancing/retry_budget.py
@@ -34,7 +34,7 @@
             return RetryBudget(free, ratio, window)
         return RetryBudget(DEFAULT_MINIMUM_RETRIES, DEFAULT_RETRY_RATIO, DEFAULT_WINDOW_SECONDS)
 
-    def use_limits_of(self, other: RetryBudget) -> None:
+    def adopt_limits(self, other: RetryBudget) -> None:
         """Adopt the limits of another budget; the requests and retries counted so far stay."""
         self._minimum, self._ratio, self._window = other._minimum, other._ratio, other._window
 
