--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -185,7 +185,7 @@
     def _send(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Action]:
         """Send an attempt to the best candidate whose breaker admits it; no action if there is none."""
         timeout = self.settings.classes[request.class_index].latency_target
-        for server in self.pick.ranked(now, request, servers, is_first):
+        for server in self.pick.rank_candidates(now, request, servers, is_first):
             if server.breaker is None:
                 server.breaker = CircuitBreaker()
             if not server.breaker.rejects(now, timeout, self.rng):
--- a/lugspur/load_balancing/two_choice_pick.py
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -21,7 +21,9 @@
         self._slow_start = slow_start
         self._rng = rng
 
-    def ranked(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Server]:
+    def rank_candidates(
+        self, now: float, request: Request, servers: list[Server], is_first: bool
+    ) -> list[Server]:
         """Return the candidates among `servers`, best first; `is_first` for the first attempt in the subset.
 
         Guards requests against waiting in a subset while servers outside it are idle, above all where it is
