--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -209,7 +209,7 @@
 
     def _retry(self, now: float, request: Request) -> list[Action]:
         """Send a retry within the rules and the retry budget; no action if that is not possible."""
-        if request.is_answered or request.is_bound or now >= request.useful_until:
+        if request.is_finished or request.is_bound or now >= request.useful_until:
             return []
         if not self.retry_budget.allows_retry(now) or len(request.attempts) >= request.max_attempts:
             return []
@@ -238,7 +238,7 @@
             self.table.class_pools[request.class_index].pending += 1 if is_pending else -1
 
     def _finish(self, request: Request) -> list[Action]:
-        request.is_answered = True
+        request.is_finished = True
         self._set_pending(request, False)
         actions = [] if request.is_bound else self._cancel_attempts(request)
         if not request.open_attempts:
@@ -257,7 +257,7 @@
         shows neither that its server hangs nor that requests queue up.
         """
         request = self.requests.get(request_id)
-        if request is None or request.is_answered or not request.is_incomplete:
+        if request is None or request.is_finished or not request.is_incomplete:
             return []
         request.is_incomplete = False
         self._set_pending(request, not request.has_response_begun)
@@ -270,7 +270,7 @@
     def extend_deadline(self, now: float, request_id: RequestId, deadline: float) -> list[Action]:
         """Extend the deadline for another client that waits for the response; open attempts keep theirs."""
         request = self.requests.get(request_id)
-        if request is None or request.is_answered or deadline <= request.deadline:
+        if request is None or request.is_finished or deadline <= request.deadline:
             return []
         if request.useful_until >= request.deadline:
             request.useful_until = deadline
@@ -301,7 +301,7 @@
         self._learn(now, attempt, outcome, latency, self.settings.classes[request.class_index].latency_target)
         if outcome is Outcome.OK:
             self.costs.observe(latency, request.cost)
-        if request.is_answered:
+        if request.is_finished:
             if not request.open_attempts:
                 self.requests.pop(request_id, None)
             return []
@@ -351,7 +351,7 @@
     def bind_to_attempt(self, now: float, request_id: RequestId, number: int) -> list[Action]:
         """Bind a request to an attempt, since a part of a stream was sent to the attempt's server."""
         request = self.requests.get(request_id)
-        if request is None or request.is_answered:
+        if request is None or request.is_finished:
             return []
         request.is_bound = True
         return self._cancel_attempts(request, number)
@@ -362,7 +362,7 @@
         Guards admission against streams that last long: they are no queue that would make others late.
         """
         request = self.requests.get(request_id)
-        if request is not None and not request.is_answered and not request.has_response_begun:
+        if request is not None and not request.is_finished and not request.has_response_begun:
             request.has_response_begun = True
             self._set_pending(request, False)
             # Guards a server that sends a long response against looking as if it hung.
@@ -373,4 +373,4 @@
     def cancel_request(self, now: float, request_id: RequestId) -> list[Action]:
         """Handle the departure of the client, which expects no response any more."""
         request = self.requests.get(request_id)
-        return [] if request is None or request.is_answered else self._finish(request)
+        return [] if request is None or request.is_finished else self._finish(request)
--- a/lugspur/load_balancing/request_state.py
+++ b/lugspur/load_balancing/request_state.py
@@ -16,7 +16,7 @@
         self.cost = 1.0  # the work that the request is expected to take, in the caller's units
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
-        self.is_answered = False
+        self.is_finished = False
         self.is_bound = False  # a part of the stream was forwarded, so that only one attempt may continue
         self.has_response_begun = False
         self.is_incomplete = False  # a part of the body is still to come, and no server works on the request
--- a/tests/load_balancing/test_partial_requests.py
+++ b/tests/load_balancing/test_partial_requests.py
@@ -97,7 +97,7 @@
             how = {"ok": Outcome.OK, "broken": Outcome.INTERRUPTED, "late": Outcome.TIMEOUT}[what]
             actions = made.finish_attempt(now, rid, len(request.attempts) - 1, how, 0.1)
         del actions
-        waiting = [r for r in made.requests.values() if not (r.is_answered or r.has_response_begun or r.is_incomplete)]
+        waiting = [r for r in made.requests.values() if not (r.is_finished or r.has_response_begun or r.is_incomplete)]
         assert made.table.pools[0].pending == len(waiting)
     for rid, request in list(made.requests.items()):
         made.cancel_request(now, rid)
