--- a/lugspur/load_balancing/attempt_deadlines.py
+++ b/lugspur/load_balancing/attempt_deadlines.py
@@ -9,7 +9,7 @@
 TARGET_FRACTION = 0.98  # of the latency target, at which attempts end: responses have to reach the client
 MAX_LATE_VALUE = 0.5  # where late responses keep more of their value, attempts run beyond the target
 MAX_LENGTHS = 256  # lengths of clients' attempts that are counted; the rarest are forgotten first
-MIN_SEEN = 4  # attempts of the usual length before another length is taken for a retry's
+MIN_USUAL_ATTEMPTS = 4  # attempts of the usual length before another length is taken for a retry's
 
 
 class AttemptDeadlines:
@@ -59,4 +59,4 @@
         if seen[length] > seen.get(self._usual_length[class_index], 0):
             self._usual_length[class_index] = length
         usual = self._usual_length[class_index]
-        return abs(length - usual) > 1 and seen[usual] >= MIN_SEEN
+        return abs(length - usual) > 1 and seen[usual] >= MIN_USUAL_ATTEMPTS
