--- a/tests/load_balancing/rule_checker.py
+++ b/tests/load_balancing/rule_checker.py
@@ -1,4 +1,4 @@
-"""A checker of the six rules: plays legal events to a balancer and asserts on its actions."""
+"""Checks the rules of retries and budgets: feeds valid events to a balancer and asserts on its actions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass
 class AttemptRecord:
-    """One attempt as the checker sees it."""
+    """The checker's record of an attempt."""
 
     row: ServerRow
     sent: float
@@ -40,7 +40,7 @@
 
 @dataclass
 class RequestRecord:
-    """One request as the checker sees it."""
+    """The checker's record of a request."""
 
     kind: int
     deadline: float
@@ -51,7 +51,7 @@
 
 
 class RuleChecker:
-    """Feeds events to one balancer; every broken rule is an AssertionError."""
+    """Feeds events to one balancer; raises AssertionError for each violation of a rule."""
 
     def __init__(self, settings: Settings, seed: int, rows: list[ServerRow]) -> None:
         self.settings = settings
@@ -99,11 +99,11 @@
         request = self.requests[rid]
         if not request.ended:
             request.ended = True
-            request.final_answers += 1  # no answer is expected any more
+            request.final_answers += 1  # no response is expected any more
         self.apply(self.balancer.cancel_request(self.now, rid))
 
     def begin_response(self, rid: str, number: int) -> None:
-        """The answer has begun as a stream: it belongs to one attempt and knows no deadline."""
+        """Begin the response as a stream: the request is bound to one attempt and has no deadline any more."""
         request = self.requests[rid]
         self.apply(self.balancer.begin_response(self.now, rid, number))
         request.begun = True
@@ -148,7 +148,7 @@
                 assert self.settings.limits.allows_cancel, "cancel is not permitted"
                 attempt = self.requests[action.request].attempts[action.attempt]
                 assert attempt.outcome is None, "cancelled an attempt that had ended"
-                attempt.ends_at = self.now  # ends at once, as cancelled or as something on its way
+                attempt.ends_at = self.now  # ends at once, as cancelled or with an outcome that was on its way
             else:
                 self.check_final_answer(action)
 
@@ -164,22 +164,22 @@
             assert bound is None or place in bound, "sent to a server that is not open to its class"
         assert len(request.attempts) < limits.max_attempts
         if any(t.outcome is None for t in request.attempts):
-            assert limits.allows_hedging, "a second copy is not permitted"
+            assert limits.allows_hedging, "hedging is not permitted"
         maybe = [t for t in request.attempts if t.maybe_ran]
         if maybe and kind.retry_safety is not RetrySafety.SAFE:
             assert kind.retry_safety is RetrySafety.KEYED, "an unsafe request was sent twice"
-            assert self.now - min(t.sent for t in maybe) <= kind.deduplication_window, "repeated after its window"
+            assert self.now - min(t.sent for t in maybe) <= kind.deduplication_window, "retried after its window"
             for t in maybe:
                 if kind.deduplication_scope is DeduplicationScope.ZONE:
-                    assert t.row.zone == row.zone, "repeated in another zone"
+                    assert t.row.zone == row.zone, "retried in another zone"
                 if kind.deduplication_scope is DeduplicationScope.CELL:
-                    assert t.row.cell == row.cell, "repeated in another cell"
+                    assert t.row.cell == row.cell, "retried in another cell"
         rules = self.settings.rules
         if request.attempts and rules.retry_budget_window:
             self.retry_times.append(self.now)
             since = self.now - rules.retry_budget_window
             most = rules.retry_budget_minimum + rules.retry_budget_ratio * sum(t > since for t in self.request_times)
-            assert sum(t >= since for t in self.retry_times) <= most, "beyond the attempt budget"
+            assert sum(t >= since for t in self.retry_times) <= most, "beyond the retry budget"
         until = request.deadline
         if action.timeout > 0.0:
             until = min(until, self.now + action.timeout)
@@ -195,6 +195,6 @@
             harmless = harmless or (
                 kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
             )
-            assert harmless, "refused although it may have run"
+            assert harmless, "rejected although it may have run"
         request.ended = True
         request.final_answers += 1
--- a/tests/load_balancing/test_attempt_deadlines.py
+++ b/tests/load_balancing/test_attempt_deadlines.py
@@ -1,4 +1,4 @@
-"""Until when an answer is of use, for clients whose requests last differently long."""
+"""Attempt deadlines for clients whose requests have different lengths."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lugspur.load_balancing.model import RequestClass, Settings
 
 
-def test_more_lengths_than_are_told_apart_harm_no_request() -> None:
+def test_more_lengths_than_are_counted_shorten_no_deadline_wrongly() -> None:
     deadlines = AttemptDeadlines(
         Settings(classes=(RequestClass(name="read", latency_target=0.5, deadline=2.0),), tier=0)
     )
@@ -17,7 +17,7 @@
         assert deadlines.useful_until(0.0, 0, until, is_retry=False) <= until
 
 
-def test_the_usual_length_stays_known_among_many_that_are_seen_once() -> None:
+def test_usual_length_is_remembered_among_many_rare_ones() -> None:
     deadlines = AttemptDeadlines(
         Settings(classes=(RequestClass(name="read", latency_target=0.5, deadline=2.0),), tier=0)
     )
@@ -25,4 +25,6 @@
         deadlines.useful_until(0.0, 0, 2.0, is_retry=False)
     for step in range(MAX_LENGTHS + 1):
         deadlines.useful_until(0.0, 0, exp(step / 50.0) / 1000.0, is_retry=False)
-    assert deadlines.useful_until(0.0, 0, 0.4, is_retry=False) < 0.0  # a client's last attempt, begun long before
+    assert (
+        deadlines.useful_until(0.0, 0, 0.4, is_retry=False) < 0.0
+    )  # taken for a client's last attempt, whose request began long before
--- a/tests/load_balancing/test_changed_settings.py
+++ b/tests/load_balancing/test_changed_settings.py
@@ -1,4 +1,4 @@
-"""The decision module goes on by other settings: what it learned stays, open requests keep their class."""
+"""The balancer continues with other settings: learned state is kept, open requests keep their class."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return one
 
 
-def test_what_was_learned_stays() -> None:
+def test_learned_state_is_kept() -> None:
     one = balancer(READ)
     [send] = one.request(1.0, "a")
     assert isinstance(send, Send)
@@ -46,7 +46,7 @@
     assert isinstance(again, Send)
 
 
-def test_an_open_request_is_judged_by_the_class_that_it_began_with() -> None:
+def test_class_of_an_open_request_cannot_change() -> None:
     one = balancer(BOOK)
     one.request(1.0, "a")
     with pytest.raises(ValueError, match=r"classes\[0\]: a request of this class is open"):
@@ -54,10 +54,10 @@
     one.change_settings(1.1, Settings(classes=(BOOK, READ)))
     [fail] = one.finish_attempt(1.2, "a", 0, Outcome.INTERRUPTED, 0.2)
     assert isinstance(fail, Fail)
-    one.change_settings(1.3, Settings(classes=(READ,)))  # now nothing stands against it
+    one.change_settings(1.3, Settings(classes=(READ,)))  # allowed, as no request of the class is open
 
 
-def test_the_retry_budget_goes_on_with_what_was_spent() -> None:
+def test_retry_budget_keeps_the_retries_counted_so_far() -> None:
     one = balancer(READ)
     for number in range(30):
         rid = f"r{number}"
@@ -70,7 +70,7 @@
     assert len(one.retry_budget._retries) == spent > 0
 
 
-def test_a_class_that_is_bound_to_servers_goes_to_those_alone_and_open_requests_keep_their_pool() -> None:
+def test_bound_class_goes_only_to_its_servers_and_open_requests_keep_their_pool() -> None:
     one = balancer(READ)
     one.update_servers(1.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2, host_type=7)])
     one.request(1.0, "free")
@@ -87,7 +87,7 @@
     assert len(one.table.pools) == 2
 
 
-def test_a_stream_that_has_begun_is_no_queue_and_one_that_is_bound_goes_nowhere_else() -> None:
+def test_begun_stream_is_not_pending_and_bound_stream_is_not_retried() -> None:
     one = balancer(READ)
     for rid in ("bound", "begun"):
         one.request(1.0, rid)
@@ -98,7 +98,7 @@
     for rid in ("bound", "begun"):
         assert [type(action) for action in one.finish_attempt(1.3, rid, 0, Outcome.INTERRUPTED, 0.3)] == [
             Reject
-        ]  # safe: no harm
+        ]  # a rejection, as retries of the class are safe
     assert one.table.class_pools[0].pending == 0 and not one.requests
     assert one.bind_to_attempt(1.4, "bound", 0) == [] and one.begin_response(1.4, "begun", 0) == []
 
@@ -109,7 +109,7 @@
 
 
 @given(st.lists(st.tuples(CLASSES, st.sets(st.integers(0, 12))), min_size=1, max_size=6))
-def test_indexes_of_open_requests_stay_and_the_list_does_not_grow_for_ever(
+def test_indexes_of_open_requests_stay_and_the_list_stays_bounded(
     steps: list[tuple[list[RequestClass], set[int]]],
 ) -> None:
     known: list[RequestClass] = []
--- a/tests/load_balancing/test_circuit_breaker.py
+++ b/tests/load_balancing/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The design's formulas on figures worked out by hand."""
+"""The circuit breaker's formulas, with values computed by hand."""
 
 from random import Random
 
@@ -7,7 +7,7 @@
 from lugspur.load_balancing.circuit_breaker import CircuitBreaker
 
 
-def test_error_ratio_with_k_falling() -> None:
+def test_error_probability_as_k_falls() -> None:
     b = CircuitBreaker()
     for _ in range(20):
         b.count_failed(0.0)
@@ -31,14 +31,14 @@
     assert b.error_probability(10.0) == 0.0  # bucket 0 has left the window
 
 
-def test_local_refusals_count_as_requests() -> None:
+def test_local_rejections_count_as_requests() -> None:
     b = CircuitBreaker()
     for _ in range(6):
         b.count_rejected(0.0)
     assert b.error_probability(0.0) == pytest.approx(1 / 7)
 
 
-def test_both_averages() -> None:
+def test_baseline_and_current_latency() -> None:
     b = CircuitBreaker()
     b.observe_latency(0.1)
     assert (b.baseline_latency, b.current_latency) == (0.1, 0.1)
@@ -62,13 +62,13 @@
         (0.0, 0.0, 1.0, 0.0),  # nothing seen
     ],
 )
-def test_latency_ratio(baseline: float, current: float, timeout: float, expected: float) -> None:
+def test_latency_probability(baseline: float, current: float, timeout: float, expected: float) -> None:
     b = CircuitBreaker()
     b.baseline_latency, b.current_latency = baseline, current
     assert b.latency_probability(timeout) == pytest.approx(expected)
 
 
-def test_larger_term_wins_and_one_call_a_second_passes() -> None:
+def test_larger_probability_applies_and_one_request_a_second_passes() -> None:
     b = CircuitBreaker()
     b.baseline_latency, b.current_latency = 0.1, 5.0
     assert b.rejection_probability(0.0, 1.0) == pytest.approx(0.3)
--- a/tests/load_balancing/test_extended_deadlines.py
+++ b/tests/load_balancing/test_extended_deadlines.py
@@ -1,4 +1,4 @@
-"""A request whose answer is waited for longer than it was at first, since somebody else has joined it."""
+"""Requests whose deadline is extended because another client has joined them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return one
 
 
-def test_a_further_attempt_may_be_sent_in_the_time_that_was_added() -> None:
+def test_retry_is_sent_within_the_extended_deadline() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=1.1)
     one.extend_deadline(1.05, "a", 3.0)
@@ -32,13 +32,13 @@
     assert isinstance(again, Send) and again.timeout == 0.0  # until the caller gives up
 
 
-def test_without_it_that_is_the_end() -> None:
+def test_without_an_extension_the_deadline_ends_the_request() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=1.1)
     assert one.finish_attempt(1.2, "a", 0, Outcome.TIMEOUT, 0.2) == [Reject("a")]
 
 
-def test_where_late_answers_are_worth_little_the_aim_of_who_joins_counts() -> None:
+def test_latency_target_of_the_joining_client_counts_where_late_responses_have_little_value() -> None:
     one = balancer(EAGER)
     [first] = one.request(1.0, "a", deadline=4.0)
     assert isinstance(first, Send) and abs(first.timeout - 0.392) < 1e-6
@@ -47,7 +47,7 @@
     assert isinstance(again, Send) and abs(again.timeout - 0.092) < 1e-6
 
 
-def test_no_time_is_taken_away_and_what_is_over_stays_over() -> None:
+def test_deadline_is_never_shortened_and_ended_requests_stay_ended() -> None:
     one = balancer(PATIENT)
     one.request(1.0, "a", deadline=3.0)
     assert one.extend_deadline(1.1, "a", 2.0) == [] and one.requests["a"].deadline == 3.0
--- a/tests/load_balancing/test_failures_found.py
+++ b/tests/load_balancing/test_failures_found.py
@@ -1,4 +1,4 @@
-"""One small test for each failure found; each fails without its fix."""
+"""Regression tests: one for each failure found."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 SAFE = RequestClass("a", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.SAFE, value=1.0)
-DEAR = RequestClass("b", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.UNSAFE, value=10.0)
+VALUABLE = RequestClass("b", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.UNSAFE, value=10.0)
 ROWS = [ServerRow(i) for i in range(1, 9)]
 
 
@@ -36,7 +36,7 @@
     return made
 
 
-def test_attempts_end_at_the_aim_where_late_answers_are_worth_nothing() -> None:
+def test_attempts_end_at_the_latency_target_where_late_responses_have_no_value() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     [send] = b.request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(0.98)
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.parametrize(("late_value", "timeout"), [(0.0, 0.98), (0.3, 0.98), (0.5, 0.98), (0.8, 0.0)])
-def test_attempts_run_to_the_deadline_where_late_answers_keep_most_worth(late_value: float, timeout: float) -> None:
+def test_attempts_run_to_the_deadline_where_late_responses_keep_most_value(late_value: float, timeout: float) -> None:
     late = RequestClass("a", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.SAFE, late_value=late_value)
     [send] = balancer(Settings(classes=(late,))).request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(timeout)
 
 
-def tries(b: Balancer, lengths: list[float]) -> list[type]:
-    """The first action for tries that last so long, a second apart."""
+def first_actions(b: Balancer, lengths: list[float]) -> list[type]:
+    """Return the type of the first action for requests with that much time, a second apart."""
     out = []
     for n, length in enumerate(lengths):
         now = 200.0 + n
@@ -61,33 +61,33 @@
     return out
 
 
-def test_a_late_repeat_of_a_client_is_refused_at_once() -> None:
+def test_late_retry_of_a_client_is_rejected_at_once() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    # Only 2 s to go: its first try came 2 s ago, and its aim is past.
-    assert tries(b, [3.0] * 5 + [2.0]) == [Send] * 5 + [Reject]
+    # With 2 s left the client's first attempt was 2 s ago, and its latency target has passed.
+    assert first_actions(b, [3.0] * 5 + [2.0]) == [Send] * 5 + [Reject]
 
 
 @pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, Send), (True, True, Reject)])
-def test_a_short_try_is_a_repeat_only_where_no_mark_says_otherwise(marks: bool, repeats: bool, answer: type) -> None:
+def test_short_attempt_counts_as_a_retry_unless_clients_mark_retries(marks: bool, repeats: bool, answer: type) -> None:
     b = balancer(Settings(classes=(SAFE,), clients_mark_retries=marks))
-    tries(b, [3.0] * 5)
+    first_actions(b, [3.0] * 5)
     assert isinstance(b.request(300.0, "s", 0, 0, 301.5, 0.0, repeats)[0], answer)
 
 
-def test_a_long_last_try_does_not_make_first_tries_late() -> None:
+def test_longer_retries_do_not_make_first_attempts_late() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    assert tries(b, [3.0] * 5 + [3.7, 3.0, 3.72, 3.0, 3.74, 3.0])[5:] == [Send] * 6
+    assert first_actions(b, [3.0] * 5 + [3.7, 3.0, 3.72, 3.0, 3.74, 3.0])[5:] == [Send] * 6
 
 
-def test_a_lower_tier_that_is_told_the_callers_time_keeps_to_it() -> None:
+def test_lower_tier_keeps_to_the_deadline_that_callers_pass() -> None:
     b = balancer(Settings(classes=(SAFE,), tier=1, tier_count=2))
     assert isinstance(b.request(100.0, "r", 0, 0, 103.0)[0], Send)
     [send] = b.request(110.0, "s", 0, 0, 110.5)
     assert isinstance(send, Send) and send.timeout == 0.0
 
 
-def slice_shares(balancers: int, servers: int) -> list[float]:
-    """How much each server gets when every instance sends one call after another."""
+def subset_shares(balancers: int, servers: int) -> list[float]:
+    """Return the part of the load that each server gets if every instance sends the same number of requests."""
     shares = dict.fromkeys(range(1, servers + 1), 0.0)
     for me in range(balancers):
         b = Balancer(Settings(classes=(SAFE,), instance_count=balancers, instance_index=me), me)
@@ -100,15 +100,15 @@
 
 
 @pytest.mark.parametrize(("balancers", "servers"), [(12, 20), (20, 12), (7, 7), (60, 15), (1, 5)])
-def test_slices_cover_every_server_alike(balancers: int, servers: int) -> None:
-    shares = slice_shares(balancers, servers)
+def test_subsets_cover_all_servers_equally(balancers: int, servers: int) -> None:
+    shares = subset_shares(balancers, servers)
     if balancers >= servers:
         assert shares == pytest.approx([balancers / servers] * servers)
-    else:  # narrow slices leave gaps that load closes by widening them
+    else:  # narrow subsets leave gaps, which close as load widens them
         assert sum(shares) == pytest.approx(balancers) and max(shares) <= 1.0 + 1e-9
 
 
-def test_slices_widen_with_the_calls_in_flight() -> None:
+def test_subsets_widen_with_the_requests_in_flight() -> None:
     settings = Settings(classes=(SAFE,), instance_count=40)
     checker = RuleChecker(settings, 1, [ServerRow(i) for i in range(40)])
     assert len(checker.balancer.table.pools[0].subset) == 1
@@ -117,7 +117,7 @@
 
 
 def steady(checker: RuleChecker, seconds: float, rate: float, kind: int = 0) -> None:
-    """Calls at an even pace, each answered after about a third of a second."""
+    """Send requests at a constant rate, each served after about a third of a second."""
     rng = Random(7)
     end = checker.now + seconds
     while checker.now < end:
@@ -128,15 +128,15 @@
                 checker.finish_attempt(rid, number, Outcome.OK)
 
 
-def test_overload_refuses_the_cheapest_class_first() -> None:
-    b = balancer(Settings(classes=(SAFE, DEAR)))
+def test_overload_rejects_the_least_valuable_class_first() -> None:
+    b = balancer(Settings(classes=(SAFE, VALUABLE)))
     now = 100.0
     for n in range(400):  # 100 a second, each served at once
         now += 0.01
         b.request(now, f"w{n}", 1, 0, now + 4.0)
         b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
     refused = {0: 0, 1: 0}
-    for n in range(120):  # then nothing comes back any more
+    for n in range(120):  # then no request ends any more
         now += 0.001
         for kind in (0, 1):
             if isinstance(b.request(now, f"x{kind}{n}", kind, 0, now + 4.0)[0], Reject):
@@ -146,38 +146,38 @@
     assert refused[1] > 0
 
 
-def test_lower_tiers_never_refuse_for_overload() -> None:
-    b = balancer(Settings(classes=(SAFE, DEAR), tier=1, tier_count=2))
+def test_lower_tiers_never_reject_for_overload() -> None:
+    b = balancer(Settings(classes=(SAFE, VALUABLE), tier=1, tier_count=2))
     answers = [b.request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
     assert all(isinstance(a, Send) for a in answers)
 
 
-def test_nothing_served_yet_is_no_overload() -> None:
+def test_start_without_served_requests_is_no_overload() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     answers = [b.request(100.0 + n / 100, f"x{n}", 0, 0, 110.0)[0] for n in range(30)]
     assert sum(isinstance(a, Send) for a in answers) >= 27
 
 
-def test_sparse_proxies_shed_by_what_they_lost() -> None:
-    b = balancer(Settings(classes=(SAFE, DEAR)))
+def test_proxy_with_sparse_traffic_rejects_after_failures() -> None:
+    b = balancer(Settings(classes=(SAFE, VALUABLE)))
     now = 100.0
-    for n in range(8):  # one call a second, all lost
+    for n in range(8):  # one request a second, all timing out
         now += 1.0
         if isinstance(b.request(now, f"r{n}", 1, 0, now + 4.0)[0], Send):
             b.finish_attempt(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
     answers = [b.request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
     later = b.request(now + 60.0, "t", 0, 0, now + 64.0)[0]
     assert any(isinstance(a, Reject) for a in answers)
-    assert isinstance(later, Send), "a loss long ago still counts"
+    assert isinstance(later, Send), "a failure long ago still counts"
 
 
-def test_a_jam_of_a_bound_class_holds_no_room_of_the_others() -> None:
+def test_backlog_of_a_bound_class_does_not_block_other_classes() -> None:
     bound = RequestClass(
         "bound", latency_target=1.0, deadline=4.0, retry_safety=RetrySafety.SAFE, allowed_host_types=(1,)
     )
     b = balancer(Settings(classes=(SAFE, bound)), [*ROWS, ServerRow(9, host_type=1)])
     now = 100.0
-    for n in range(100):  # the only server open to the bound class answers nothing
+    for n in range(100):  # the only server open to the bound class never responds
         now += 0.02
         b.request(now, f"b{n}", 1, 0, now + 4.0)
         b.request(now, f"f{n}", 0, 0, now + 4.0)
@@ -187,7 +187,7 @@
 
 
 def calls(b: Balancer, tenant: int, fifth: Outcome) -> float:
-    """Eight seconds of 50 calls a second, of which one in five ends so; returns the time after them."""
+    """Send 50 requests a second for 8 s, one in five of which has that outcome; return the time after them."""
     now = 100.0
     for n in range(400):
         now += 0.02
@@ -197,18 +197,18 @@
 
 
 @pytest.mark.parametrize(("fifth", "answer"), [(Outcome.OK, Send), (Outcome.ERROR, Send), (Outcome.TIMEOUT, Reject)])
-def test_room_shrinks_where_load_makes_requests_fail(fifth: Outcome, answer: type) -> None:
-    b = balancer(Settings(classes=(DEAR,)))
+def test_fewer_requests_are_admitted_where_load_makes_requests_fail(fifth: Outcome, answer: type) -> None:
+    b = balancer(Settings(classes=(VALUABLE,)))
     now = calls(b, 0, fifth)
-    for n in range(27):  # room for 0.7 x 50 in a second, or for 0.4 x 40
+    for n in range(27):  # admits 0.7 x 50 pending, or 0.4 x 40
         b.request(now, f"x{n}", 0, 0, now + 4.0)
     assert isinstance(b.request(now, "y", 0, 0, now + 4.0)[0], answer)
 
 
 @pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, Send), (0.0, Send)])
-def test_what_is_over_a_share_goes_first_where_requests_fail(quota: float, answer: type) -> None:
+def test_requests_over_quota_are_rejected_first_where_requests_fail(quota: float, answer: type) -> None:
     tenants = (Tenant("calm", 0.5, 1000.0), Tenant("burst", 0.5, quota))
-    b = balancer(Settings(classes=(DEAR,), tenants=tenants, over_quota_value=0.1))
+    b = balancer(Settings(classes=(VALUABLE,), tenants=tenants, over_quota_value=0.1))
     now = calls(b, 1, Outcome.TIMEOUT)
     for n in range(10):
         b.request(now, f"x{n}", 0, 0, now + 4.0)
@@ -217,13 +217,13 @@
 
 
 @pytest.mark.parametrize("protection", [1.0, 1000.0])
-def test_whole_requests_are_throttled_where_each_server_is_seldom_seen(
+def test_whole_requests_are_throttled_where_each_server_gets_few(
     protection: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("lugspur.load_balancing.admission.POOL_PROTECTION", protection)
     b = balancer(Settings(classes=(SAFE,), instance_count=40), [ServerRow(i) for i in range(40)])
     sent = 0
-    for n in range(20):  # four a second, each on another server, none answered
+    for n in range(20):  # four a second, each to another server, none served
         now = 100.0 + n / 4.0
         actions = b.request(now, f"r{n}", 0, 0, now + 4.0)
         if isinstance(actions[0], Send):
@@ -231,11 +231,11 @@
             b.finish_attempt(now + 0.2, f"r{n}", 0, Outcome.TIMEOUT, 0.2)
             b.cancel_request(now + 0.2, f"r{n}")
         for server in b.table.servers.values():
-            server.breaker = None  # as if it had not been seen before
+            server.breaker = None  # as if the server had got no request before
     assert (sent < 14) is (protection == 1.0)
 
 
-def test_a_request_too_heavy_for_its_time_is_refused() -> None:
+def test_request_too_heavy_for_its_deadline_is_rejected() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     now = 100.0
     for n in range(50):
@@ -246,15 +246,15 @@
     assert isinstance(b.request(now + 1.0, "light", 0, 0, now + 5.0, 0.1)[0], Send)
 
 
-def test_unfair_first_samples_do_not_refuse() -> None:
+def test_slow_first_samples_do_not_reject() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    for n in range(3):  # 90 times their cost: they stood in a queue
+    for n in range(3):  # 90 times their cost, as they waited in a queue
         b.request(100.0 + n, f"r{n}", 0, 0, 104.0 + n, 0.01)
         b.finish_attempt(100.9 + n, f"r{n}", 0, Outcome.OK, 0.9, True)
     assert isinstance(b.request(110.0, "s", 0, 0, 114.0, 0.1)[0], Send)
 
 
-def test_an_unfair_baseline_does_not_refuse_for_good() -> None:
+def test_baseline_that_is_too_high_does_not_reject_for_ever() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     b.costs.seconds_per_cost, b.costs.samples = 90.0, 100
     answers = [b.request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
@@ -262,7 +262,7 @@
     assert any(isinstance(a, Send) for a in answers)
 
 
-def test_a_restart_draws_the_cold_phase_anew() -> None:
+def test_restart_resets_the_slow_start_credit() -> None:
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=9.0, overload_multiple=3.0, overload_seconds=2.0)
     b = balancer(Settings(classes=(SAFE,), rules=rules), [ServerRow(1, started_at=99.0), ServerRow(2)])
     server = b.table.servers[1]
@@ -276,23 +276,23 @@
     assert server.slow_start_credit < 1.0, "credit from before the restart"
 
 
-def test_absence_from_a_list_keeps_start_and_size() -> None:
+def test_server_missing_from_a_list_keeps_start_time_and_weight() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1, weight=2.0, started_at=99.0), ServerRow(2)])
     b.update_servers(101.0, ListUpdateKind.COMPLETE, [ServerRow(2)])
     assert b.table.servers[1].row == ServerRow(1, ServerState.GONE, weight=2.0, started_at=99.0)
 
 
-def test_an_unsafe_request_that_may_have_run_fails_at_its_aim() -> None:
-    b = balancer(Settings(classes=(DEAR,), limits=Limits(max_attempts=4)))
+def test_unsafe_request_that_may_have_run_fails_at_its_latency_target() -> None:
+    b = balancer(Settings(classes=(VALUABLE,), limits=Limits(max_attempts=4)))
     b.request(100.0, "r", 0, 0, 104.0)
     assert b.finish_attempt(100.98, "r", 0, Outcome.TIMEOUT, 0.98) == [Fail("r")]
 
 
-def test_the_rest_of_the_list_stands_in_for_a_dead_slice() -> None:
+def test_other_servers_replace_a_dead_subset() -> None:
     rows = [ServerRow(i) for i in range(1, 21)]
     b = balancer(Settings(classes=(SAFE,), instance_count=20, limits=Limits(max_attempts=3)), rows)
     [own] = b.table.pools[0].subset
-    for n in range(40):  # the only server of the slice cannot be reached
+    for n in range(40):  # the only server of the subset cannot be reached
         now = 100.0 + n / 10
         sends = b.request(now, f"r{n}", 0, 0, now + 4.0)
         if isinstance(sends[0], Send) and sends[0].server == own.row.server:
@@ -306,15 +306,15 @@
     assert len(used) > 8
 
 
-def test_requests_stuck_on_dead_servers_do_not_hold_all_the_room() -> None:
-    b = balancer(Settings(classes=(DEAR,)))
+def test_requests_hung_on_dead_servers_do_not_block_admission() -> None:
+    b = balancer(Settings(classes=(VALUABLE,)))
     now = 100.0
     for n in range(250):
         now += 0.02
         b.request(now, f"w{n}", 0, 0, now + 4.0)
         b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
     sent: dict[str, float] = {}
-    for n in range(500):  # ten seconds in which every attempt ends by its time-out alone
+    for n in range(500):  # ten seconds in which every attempt times out
         now += 0.02
         for rid, until in list(sent.items()):
             if until <= now:
@@ -322,11 +322,11 @@
                 b.finish_attempt(now, rid, 0, Outcome.TIMEOUT, 0.98)
         if isinstance(b.request(now, f"x{n}", 0, 0, now + 4.0)[0], Send):
             sent[f"x{n}"] = now + 0.98
-    tried = sum(isinstance(b.request(now, f"y{n}", 0, 0, now + 4.0)[0], Send) for n in range(2))
-    assert len(sent) + tried > 2, "only what is always let through was tried"
+    admitted = sum(isinstance(b.request(now, f"y{n}", 0, 0, now + 4.0)[0], Send) for n in range(2))
+    assert len(sent) + admitted > 2, "only the requests that are always admitted were sent"
 
 
-def test_cold_servers_outside_the_slice_get_nothing_when_it_refuses() -> None:
+def test_cold_servers_outside_the_subset_get_nothing_when_it_rejects() -> None:
     rows = [ServerRow(i) for i in range(1, 21)]
     b = balancer(Settings(classes=(SAFE,), instance_count=20), rows)
     [own] = b.table.pools[0].subset
@@ -341,8 +341,8 @@
                 b.finish_attempt(now + 0.01, f"r{n}", 0, Outcome.UNREACHABLE, 0.01)
 
 
-def test_refused_clients_that_come_back_do_not_fill_a_cold_budget() -> None:
-    """The budget goes by calls sent: four offered for each one sent must not give it four times as much."""
+def test_retries_of_rejected_clients_do_not_raise_the_slow_start_credit() -> None:
+    """The credit grows with attempts sent: four requests offered for each one sent must not make it grow fourfold."""
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=20.0, overload_multiple=3.0, overload_seconds=2.0)
 
     def credit(refused: int) -> float:
@@ -363,11 +363,11 @@
             b.slow_start.skips(now + 0.05, server, b.table.pools[0])
         return server.slow_start_credit
 
-    # one of eight is cold, and that part still goes by what is offered: 7/8 + 4/8
+    # one server of eight is cold, and its part still counts by requests offered: 7/8 + 4/8
     assert 0.0 < credit(3) <= 1.4 * credit(0)
 
 
-def test_a_silent_servers_average_fades_to_the_tiers() -> None:
+def test_latency_without_samples_drifts_to_the_tiers() -> None:
     server = balancer(Settings(classes=(SAFE,))).table.servers[1]
     server.observe_latency(100.0, 1.0)
     assert server.score(100.0, 0.1) == pytest.approx(1.0)
@@ -375,20 +375,20 @@
     assert server.score(1000.0, 0.1) < 0.11
 
 
-def test_the_age_of_the_oldest_call_out_is_a_sample() -> None:
+def test_age_of_the_oldest_open_attempt_is_a_sample() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.request(100.0, "r", 0, 0, 104.0)
     assert b.table.servers[1].score(100.9, 0.1) == pytest.approx(0.9 * 2.0)
 
 
-def test_a_failure_costs_a_time_out_in_the_pick() -> None:
+def test_failure_counts_as_a_timeout_in_the_latency() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.request(100.0, "r", 0, 0, 104.0)
     b.finish_attempt(100.001, "r", 0, Outcome.ERROR, 0.001)
     assert b.table.servers[1].latency == pytest.approx(1.0)
 
 
-def test_one_slow_first_answer_makes_no_baseline() -> None:
+def test_single_slow_response_makes_no_baseline() -> None:
     b = balancer(Settings(classes=(SAFE,)), [ServerRow(1)])
     b.table.tier_latency = 0.1
     b.request(100.0, "r", 0, 0, 104.0)
@@ -398,8 +398,8 @@
 
 
 @pytest.mark.parametrize(("balancers", "taken"), [(2, 4), (3, 4), (80, 3)])
-def test_a_burst_at_a_proxy_with_few_calls_is_no_overload(balancers: int, taken: int) -> None:
-    settings = Settings(classes=(DEAR,), instance_count=balancers, zone_count=2, limits=Limits(allows_cancel=True))
+def test_burst_at_a_proxy_with_few_requests_is_no_overload(balancers: int, taken: int) -> None:
+    settings = Settings(classes=(VALUABLE,), instance_count=balancers, zone_count=2, limits=Limits(allows_cancel=True))
     checker = RuleChecker(settings, 5, ROWS)
     for _ in range(8):
         rid = checker.request(0, 4.0)
@@ -411,8 +411,8 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 5])
-def test_a_further_attempt_finds_every_server_that_is_left(count: int) -> None:
-    # A safe read that every server turns down gets each of them once, whatever the draws are.
+def test_retries_reach_every_remaining_server(count: int) -> None:
+    # A safe read that fails at every server is sent to each of them once, whatever the random draws are.
     for seed in range(1000):
         b = Balancer(Settings(classes=(SAFE,), limits=Limits(max_attempts=5)), seed)
         b.update_servers(100.0, ListUpdateKind.STALE, ROWS[:count])
--- a/tests/load_balancing/test_invalid_input.py
+++ b/tests/load_balancing/test_invalid_input.py
@@ -1,4 +1,4 @@
-"""Input that makes no sense: refused by name, or answered by the rules, never a crash."""
+"""Invalid input is rejected with the name of the value, or handled by the rules; it never causes a crash."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 BAD_NUMBERS: list[Any] = [math.nan, math.inf, -math.inf, -1.0, "1", None]
-RULE_KEYS = {  # by the fields: an error names the key that operators write
+RULE_KEYS = {  # by field; errors name the key that operators write
     "drain_grace": "drain_grace",
     "answer_slack": "answer_slack",
     "discovery_interval": "ask_within",
@@ -110,18 +110,18 @@
         ("rid", {"request_id": "open"}),
     ],
 )
-def test_a_request_that_makes_no_sense_changes_nothing(name: str, values: dict[str, Any]) -> None:
+def test_invalid_request_changes_nothing(name: str, values: dict[str, Any]) -> None:
     b, twin = ready(), ready()
     for one in (b, twin):
         one.request(2.0, "open")
     with pytest.raises(ValueError, match=name):
         b.request(3.0, **{"request_id": "new", **values})
     assert list(b.requests) == ["open"] and b.table.pools[0].pending == twin.table.pools[0].pending
-    # the same random numbers follow: nothing was drawn either
+    # the same random numbers follow, so none was drawn
     assert b.request(4.0, "next") == twin.request(4.0, "next")
 
 
-def test_a_deadline_already_past_is_answered_at_once() -> None:
+def test_request_past_its_deadline_is_rejected_at_once() -> None:
     assert ready().request(5.0, "late", 0, 0, 4.0) == [Reject("late")]
 
 
@@ -141,13 +141,13 @@
     "rows",
     [[], [ServerRow(1, ServerState.DRAINING), ServerRow(2, ServerState.DRAINING)], [ServerRow(1, ServerState.GONE)]],
 )
-def test_nowhere_to_send(rows: list[ServerRow]) -> None:
+def test_request_is_rejected_without_a_ready_server(rows: list[ServerRow]) -> None:
     b = Balancer(Settings(), 1)
     b.update_servers(1.0, ListUpdateKind.STALE, rows)
     assert b.request(2.0, "r") == [Reject("r")]
 
 
-def test_all_cold_answers_every_request() -> None:
+def test_every_request_gets_an_action_where_all_servers_are_cold() -> None:
     b = Balancer(Settings(), 1)
     b.update_servers(100.0, ListUpdateKind.STALE, [ServerRow(i, started_at=100.0) for i in range(4)])
     for n in range(50):
--- a/tests/load_balancing/test_many_instances.py
+++ b/tests/load_balancing/test_many_instances.py
@@ -1,4 +1,4 @@
-"""What many instances do together: each acts on what it alone has seen, and the servers feel the sum."""
+"""Many instances together: each acts on its own observations, and the servers get the sum of their requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def ask(balancer: Balancer, now: float, rid: str, dead: frozenset[int], ends: list[tuple[float, str, int]]) -> int:
-    """One request; how many connections were tried in vain. Where it is served at last it ends 0.3 s later."""
+    """Send a request; return the number of failed connection attempts. If it is served it ends 0.3 s later."""
     vain, actions = 0, balancer.request(now, rid, deadline=now + 1.0)
     while actions and isinstance(actions[0], Send):
         if actions[0].server not in dead:
@@ -45,24 +45,24 @@
     return served
 
 
-def test_a_dead_server_that_is_still_listed_costs_the_fleet_few_dials() -> None:
+def test_dead_server_that_is_still_listed_costs_few_connection_attempts() -> None:
     for count in (4, 40):
         instances, dead = fleet(count, count, 1), frozenset({count // 2})
         open_: list[list[tuple[float, str, int]]] = [[] for _ in instances]
         vain = served = asked = 0
-        for step in range(800):  # twenty seconds, the last eight with a dead server; each asks eight times a second
+        for step in range(800):  # 20 s, the last eight with a dead server; each instance sends eight requests a second
             now = 1.0 + step / 40.0
             for me, balancer in enumerate(instances):
                 served += serve(balancer, now, open_[me])
                 if (step + me) % 5 == 0:
                     vain += ask(balancer, now, f"{step}", dead if step >= 480 else frozenset(), open_[me])
                     asked += step >= 480
-        assert served + sum(map(len, open_)) == 160 * count  # nobody was turned away
-        # It looks idle to everyone, so all who know it came back to it whenever the others were busy.
+        assert served + sum(map(len, open_)) == 160 * count  # no request was rejected
+        # The dead server looks idle, so all instances would return to it whenever the other servers are busy.
         assert vain <= 0.01 * asked + 15, (count, vain, asked)
 
 
-def test_where_all_servers_are_down_they_are_tried_all_the_same() -> None:
+def test_servers_are_attempted_where_all_are_down() -> None:
     [balancer] = fleet(1, 2, 3)
     for n in range(3):
         assert ask(balancer, 1.0 + n * 0.01, f"d{n}", frozenset({0, 1}), [])
@@ -70,7 +70,7 @@
     assert ask(balancer, 1.1, "up", frozenset(), ends) == 0 and ends
 
 
-def test_an_attempt_that_hung_since_before_a_server_died_does_not_bring_it_back() -> None:
+def test_timeout_of_an_attempt_older_than_the_ejection_does_not_end_it() -> None:
     [balancer] = fleet(1, 1, 4)
     for rid in ("hangs", "dials"):
         balancer.request(1.0, rid, deadline=2.0)
@@ -85,7 +85,7 @@
     assert server.ejected_until == 0.0
 
 
-def test_a_server_that_comes_back_is_used_again_at_once() -> None:
+def test_restarted_server_is_used_again_at_once() -> None:
     [balancer] = fleet(1, 2, 5)
     seen, ends = set(), list[tuple[float, str, int]]()
     for n in range(200):
@@ -108,7 +108,7 @@
 
 
 def burst(balancers: int, servers: int, size: int) -> tuple[int, int]:
-    """Instances with a call a second each get `size` at once: how many one takes, and all together."""
+    """Send `size` requests at once to each instance, after one a second; return those one admits, and all admit."""
     taken = []
     for me in range(balancers):
         balancer = Balancer(replace(FRONT, instance_count=balancers, instance_index=me), me)
@@ -121,12 +121,12 @@
     return taken[0], sum(taken)
 
 
-def test_a_burst_that_the_tier_could_take_is_no_overload_at_thin_traffic() -> None:
-    assert burst(7, 14, 7)[0] == 5  # its part is two servers; it took three, whatever the tier could do
+def test_burst_within_the_tiers_capacity_is_no_overload_at_sparse_traffic() -> None:
+    assert burst(7, 14, 7)[0] == 5  # its part is two servers; three are admitted whatever the capacity
     assert burst(40, 10, 7)[0] == 3
 
 
-def test_what_all_take_at_once_grows_with_proxies_and_servers_not_with_their_product() -> None:
+def test_total_admitted_at_once_is_linear_in_proxies_and_servers() -> None:
     for balancers in (4, 40, 400):
         _, together = burst(balancers, 60, 60)
         assert together <= 4 * balancers + 2 * 60, (balancers, together)
--- a/tests/load_balancing/test_partial_requests.py
+++ b/tests/load_balancing/test_partial_requests.py
@@ -1,4 +1,4 @@
-"""Requests that come in parts and answers that go on for long: neither a queue nor a server that hangs."""
+"""Requests that arrive in parts and responses that last long: they are no queue, and their server does not hang."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def balancer() -> Balancer:
-    """One that has seen both servers answer in 0.1 s."""
+    """Return a balancer that has seen both servers respond in 0.1 s."""
     made = Balancer(SETTINGS, 5)
     made.update_servers(0.0, ListUpdateKind.COMPLETE, ROWS)
     for number in range(40):
@@ -33,7 +33,7 @@
 
 
 def shares(made: Balancer, now: float) -> dict[int, int]:
-    """Where the next requests go, one after another."""
+    """Return how many of the next requests, one after another, go to each server."""
     got = {1: 0, 2: 0}
     for number in range(60):
         for action in made.request(now + number, f"s{number}"):
@@ -43,17 +43,19 @@
     return got
 
 
-def test_a_server_that_gives_a_long_answer_does_not_look_hung() -> None:
+def test_server_with_a_long_response_does_not_look_hung() -> None:
     made = balancer()
     [send] = made.request(20.0, "long")
     assert isinstance(send, Send)
     made.begin_response(20.1, "long", 0)
-    assert shares(made, 30.0)[send.server] >= 10  # a hung attempt of 10 s would keep all from it
+    assert (
+        shares(made, 30.0)[send.server] >= 10
+    )  # an attempt that hung for 10 s would keep all requests from the server
     made.finish_attempt(95.0, "long", 0, Outcome.OK, 0.1, True)
     assert not any(server.in_flight for server in made.table.servers.values())
 
 
-def test_a_server_that_gets_a_slow_upload_does_not_look_hung_until_it_is_whole() -> None:
+def test_server_with_a_slow_upload_does_not_look_hung_until_it_is_complete() -> None:
     made = balancer()
     [send] = made.request(20.0, "slow", 0, 0, 21.0, 0.0, False, True)
     assert isinstance(send, Send)
@@ -61,10 +63,10 @@
     assert got[send.server] >= 10
     made.complete_body(95.0, "slow", 96.0)
     assert next(iter(made.table.servers[send.server].in_flight)).work_started_at == 95.0
-    assert shares(made, 105.0)[send.server] == 0  # now it hangs
+    assert shares(made, 105.0)[send.server] == 0  # now the server looks hung
 
 
-def test_slow_uploads_take_no_room_from_others() -> None:
+def test_slow_uploads_do_not_block_admission() -> None:
     made = balancer()
     for number in range(50):
         made.request(20.0 + number / 100.0, f"u{number}", 0, 0, 22.0, 0.0, False, True)
@@ -73,8 +75,8 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["whole", "begun", "gone", "ok", "broken", "late"]), st.integers(0, 3))))
-@settings(deadline=None)  # a loaded machine is no fault
-def test_nothing_is_counted_twice_or_left_over(steps: list[tuple[str, int]]) -> None:
+@settings(deadline=None)  # examples may be slow on a loaded machine
+def test_pending_and_in_flight_counts_stay_consistent(steps: list[tuple[str, int]]) -> None:
     made, sent = balancer(), dict[str, int]()
     for number in range(4):
         for action in made.request(20.0, f"r{number}", 0, 0, 21.0, 0.0, False, number % 2 == 0):
--- a/tests/load_balancing/test_policy_size.py
+++ b/tests/load_balancing/test_policy_size.py
@@ -1,4 +1,4 @@
-"""The decision module stays small enough to read: the limits its users set."""
+"""The policy files stay within the size limits that their users set, so that they can be read."""
 
 import re
 import tomllib
@@ -11,7 +11,7 @@
 
 
 def faults(text: str) -> list[str]:
-    """What is over the limits: 1,200 lines that are not blank, 110 characters a line."""
+    """Return violations of the limits: 1,200 lines that are not blank, 110 characters a line."""
     lines = text.splitlines()
     found = [f"line {n} has {len(line)} characters" for n, line in enumerate(lines, 1) if len(line) > 110]
     count = sum(1 for line in lines if line.strip())
@@ -20,8 +20,8 @@
     return found
 
 
-def test_policy_files_keep_the_limits() -> None:
-    # All that decides is named there: of the package, what is left is the interface and the simulator's wire.
+def test_policy_files_keep_to_the_limits() -> None:
+    # The list names all modules that make decisions; the others are the interface and the simulator's adapter.
     rest = {
         "lugspur/load_balancing/__init__.py",
         "lugspur/load_balancing/adapter.py",
@@ -36,6 +36,6 @@
     assert len(faults(text)) == count
 
 
-def test_the_module_names_its_interface_at_the_top() -> None:
+def test_policy_names_its_interface_at_the_top() -> None:
     head = (ROOT / POLICY[0]).read_text().splitlines()[:5]
     assert re.search(r"lugspur/load_balancing/model\.py", "\n".join(head))
--- a/tests/load_balancing/test_reinstated_servers.py
+++ b/tests/load_balancing/test_reinstated_servers.py
@@ -1,4 +1,4 @@
-"""Servers that operators put back are used soon, one call at a time, and by no two instances together."""
+"""Servers that operators reinstate get a request soon, at a different time from each instance."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 
 
-def first_call(seed: int, kind: int, told: bool, servers: int = 18, rate: float = 3.0) -> float:
-    """Seconds after the call back until the server gets its first request, of few that are offered."""
+def first_request(seed: int, kind: int, reinstated: bool, servers: int = 18, rate: float = 3.0) -> float:
+    """Return the seconds from a server's return until its first request, at a low request rate."""
     balancer = Balancer(SETTINGS, seed)
     rows = [ServerRow(n) for n in range(servers)]
     balancer.update_servers(0.0, ListUpdateKind.COMPLETE, rows)
@@ -39,7 +39,7 @@
                 balancer.finish_attempt(now + 0.1, f"a{number}", 0, Outcome.OK, 0.1, True)
     balancer.update_servers(now, ListUpdateKind.PATCH, [replace(rows[0], started_at=now)])
     back = now
-    if told:
+    if reinstated:
         balancer.reinstate(now, 0)
     for number in range(60):
         now += 1.0 / rate
@@ -52,16 +52,18 @@
 
 
 @pytest.mark.parametrize("kind", [0, 1])
-def test_with_few_calls_a_server_that_was_put_back_gets_one_within_5_s(kind: int) -> None:
-    waits = [first_call(seed, kind, True) for seed in range(30)]
+def test_reinstated_server_gets_a_request_within_5_s_of_sparse_traffic(kind: int) -> None:
+    waits = [first_request(seed, kind, True) for seed in range(30)]
     assert max(waits) < 5.0
     assert (
         max(waits) - min(waits) > (MAX_REINSTATE_SECONDS - MIN_REINSTATE_SECONDS) / 2
-    )  # instances don't come together
-    assert sum(first_call(seed, kind, False) > 5.0 for seed in range(30)) > 10  # what would be without
+    )  # instances do not send at the same time
+    assert (
+        sum(first_request(seed, kind, False) > 5.0 for seed in range(30)) > 10
+    )  # without a reinstatement it takes longer
 
 
-def test_one_that_is_gone_or_drains_again_is_owed_nothing() -> None:
+def test_reinstated_server_that_is_gone_or_drains_gets_no_request() -> None:
     balancer = Balancer(SETTINGS, 1)
     balancer.update_servers(0.0, ListUpdateKind.COMPLETE, [ServerRow(1), ServerRow(2)])
     balancer.reinstate(0.0, 1)
--- a/tests/load_balancing/test_repeat_and_budget_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -1,4 +1,4 @@
-"""The six rules over random legal event sequences, and a check that the checker can fail."""
+"""The rules of retries and budgets over random valid event sequences, and tests that the checker can fail."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
 
 
 def steady(checker: RuleChecker, seconds: float, rate: float, rng: Random) -> None:
-    """Answer a steady stream of calls, each after about a tenth of a second."""
+    """Send a steady stream of requests, each served after about a tenth of a second."""
     end = checker.now + seconds
     while checker.now < end:
         checker.request(0, 3.0)
@@ -136,7 +136,7 @@
 
 
 def cold_push(seed: int) -> None:
-    """A server restarts under a steady stream; asserts that it gets no more than it can do for certain."""
+    """Restart a server under a steady load; assert that it gets no more than it can certainly handle."""
     config = Settings(classes=KINDS, rules=RULES)
     rows = [ServerRow(i) for i in range(10)]
     checker = RuleChecker(config, seed, rows)
@@ -155,17 +155,17 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_cold_server_gets_at_most_its_part_of_a_warm_peers_share(seed: int) -> None:
+def test_cold_server_gets_at_most_its_part_of_a_warm_servers_requests(seed: int) -> None:
     cold_push(seed)
 
 
-def test_a_module_that_ignores_cold_starts_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_ignored_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(slow_start.SlowStart, "skips", lambda *_: False)
     with pytest.raises(AssertionError, match="pushed"):
         cold_push(0)
 
 
-def test_a_module_that_ignores_drains_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_ignored_drains(monkeypatch: pytest.MonkeyPatch) -> None:
     def drained() -> None:
         checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
         checker.update_servers(ListUpdateKind.PATCH, [ServerRow(1, ServerState.DRAINING)])
@@ -189,14 +189,14 @@
 
 
 def fail_unseen(checker: RuleChecker, kind: int, tries: int) -> None:
-    """A request of which so many attempts in a row cannot be delivered."""
+    """Send a request of which that many attempts in a row cannot reach a server."""
     rid = checker.request(kind, 3.0)
     for number in range(tries):
         if (rid, number) in checker.open_attempts():
             checker.finish_attempt(rid, number, Outcome.UNREACHABLE)
 
 
-def test_a_module_that_ignores_placement_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_ignored_placement(monkeypatch: pytest.MonkeyPatch) -> None:
     def bound() -> int:
         rows = [ServerRow(i, zone=i % 2, host_type=i % 3) for i in range(12)]
         checker = RuleChecker(Settings(classes=KINDS, zone_count=2, limits=Limits(max_attempts=4)), 1, rows)
@@ -217,7 +217,7 @@
 
 
 def spend(stated: bool) -> int:
-    """Every attempt fails unseen; returns how many further attempts were sent in 20 s."""
+    """Let every attempt fail before it reaches a server; return how many retries were sent in 20 s."""
     rules = BUDGETED if stated else RULES
     checker = RuleChecker(Settings(classes=KINDS, rules=rules), 1, [ServerRow(i) for i in range(40)])
     for _ in range(200):
@@ -227,23 +227,23 @@
 
 
 @pytest.mark.parametrize(("stated", "low", "high"), [(True, 8, 77), (False, 8, 50)])
-def test_further_attempts_stay_within_the_budget(stated: bool, low: int, high: int) -> None:
+def test_retries_stay_within_the_budget(stated: bool, low: int, high: int) -> None:
     assert low <= spend(stated) <= high
 
 
-def test_a_module_that_ignores_the_budget_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_detects_an_ignored_retry_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(retry_budget.RetryBudget, "allows_retry", lambda self, now: True)
-    with pytest.raises(AssertionError, match="beyond the attempt budget"):
+    with pytest.raises(AssertionError, match="beyond the retry budget"):
         spend(True)
 
 
-def test_the_checker_covers_copies_and_streams() -> None:
+def test_checker_detects_hedging_and_attempts_after_a_stream_began() -> None:
     checker = RuleChecker(Settings(classes=KINDS), 1, [ServerRow(1), ServerRow(2)])
     rid = checker.request(0, 3.0)
-    with pytest.raises(AssertionError, match="second copy"):
+    with pytest.raises(AssertionError, match="hedging is not permitted"):
         checker.apply([Send(rid, 2)])
     checker.begin_response(rid, 0)
-    checker.advance(20.0)  # a begun stream knows no deadline...
+    checker.advance(20.0)  # a begun stream has no deadline
     with pytest.raises(AssertionError, match="after its stream began"):
         checker.apply([Send(rid, 2)])
 
@@ -254,12 +254,12 @@
     checker = RuleChecker(Settings(classes=KINDS, rules=RULES), seed, rows)
     steady(checker, 3.0, 200.0, Random(seed))
     sent = sum(len(v) for v in checker.send_times.values())
-    # with everything cold there is no warm peer to compare with: about the certain part of the calls goes out
+    # with all servers cold there is no warm one to compare with: about the certain part of the requests is sent
     assert 0 < sent <= 600 * (0.14 + 0.86 * 3 / 20) * 2
 
 
-def test_a_broken_module_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The checker fails for a module that ignores the repeat rules, and for one that never answers."""
+def test_checker_detects_broken_retry_rules_and_missing_responses(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The checker fails for a balancer that ignores the retry rules, and for one that never responds."""
     steps = [(0, 1, 250), (4, 0, 1), (0, 4, 250), (4, 0, 1), (0, 3, 250), (4, 0, 1)] * 12
     rows = [ServerRow(1000 + i, ServerState.UP, i % 2, i // 3) for i in range(9)]
     tenants = (Tenant("a"), Tenant("b"))
--- a/tests/load_balancing/test_simulator_adapter.py
+++ b/tests/load_balancing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, on conversations written here."""
+"""The adapter as a process, with scripted conversations."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def conversation(instances: list[int]) -> str:
-    """Start, list, calls, outcomes, a drain, a restart."""
+    """Return a start, a list, requests, outcomes, a drain and a restart."""
     text = batch(9.0, []) + batch(10.0, [e for i in instances for e in opened(i)])
     text += batch(10.1, [e for i in instances for e in calls(i, 0, 3)])
     text += batch(
@@ -111,7 +111,7 @@
     return text + batch(10.5, [e for i in instances for e in [*opened(i), *calls(i, 90, 2)]])
 
 
-def test_a_conversation() -> None:
+def test_conversation_of_several_batches() -> None:
     got = replies(conversation([0]))
     assert got[0] == got[1] == []
     assert [m["m"] for m in got[2]] == ["Relay"] * 3
@@ -123,7 +123,7 @@
     assert [m["m"] for m in got[6]] == ["Relay"] * 2
 
 
-def test_one_process_or_several_and_any_hash_seed() -> None:
+def test_actions_do_not_depend_on_the_process_or_the_hash_seed() -> None:
     def by_instance(batches: list[list[Message]]) -> dict[int, list[Message]]:
         return {i: [m for b in batches for m in b if m["ProxyId"] == i] for i in (0, 1)}
 
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize(("field", "row"), [("BoundTo", "Hw"), ("AllowedIn", "FailureDomain")])
-def test_placement_is_passed_on(field: str, row: str) -> None:
+def test_placement_reaches_the_balancer(field: str, row: str) -> None:
     settings = json.loads(json.dumps(SETTINGS)) | {"Zones": ["here", "there"], "HostTypes": ["k", "l"]}
     settings["Services"][0][field] = [1]
     events = opened(0, settings)
@@ -145,7 +145,7 @@
     assert to == {0: {1}, 1: {0, 1}}
 
 
-def test_names_change_no_action() -> None:
+def test_actions_do_not_depend_on_names() -> None:
     renamed = json.loads(json.dumps(SETTINGS))
     for row, name in zip(renamed["Services"], ("p", "q"), strict=True):
         row["Name"] = name
@@ -177,20 +177,20 @@
         ('{"m":"Tick","Time":1}\n', 1, "the input ended inside a batch"),
     ],
 )
-def test_a_line_that_the_wire_does_not_allow(text: str, line: int, says: str) -> None:
+def test_invalid_line_is_reported_with_its_number(text: str, line: int, says: str) -> None:
     done = converse(text)
     assert done.returncode == 2
     [told] = done.stderr.splitlines()
     assert f"line {line}" in told and says in told and "Traceback" not in told
 
 
-def test_an_exception_in_a_decision_bails_out() -> None:
+def test_exception_in_a_decision_is_reported_as_bail_out() -> None:
     bad = [{"m": "Call", "ProxyId": 0, "Ref": "a", "Kind": 9, "Deadline": 3.0}]
     [_, [message]] = replies(batch(1.0, opened(0)) + batch(2.0, bad))
     assert message["m"] == "BailOut" and message["NoteText"].startswith("ValueError: kind")
 
 
-def test_a_reader_that_is_gone_ends_it_quietly() -> None:
+def test_closed_output_ends_the_process_without_an_error() -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "lugspur.load_balancing.adapter"],
         cwd=ROOT,
@@ -210,7 +210,7 @@
     process.stderr.close()
 
 
-def test_settings_of_the_wire() -> None:
+def test_settings_are_read_from_the_protocol() -> None:
     settings = adapter.read_settings(
         {
             **SETTINGS,
@@ -228,7 +228,7 @@
     assert adapter.read_settings({}).classes, "absent keys take defaults"
 
 
-def test_costs_reach_the_decisions_and_reports_do_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_costs_reach_the_balancer_and_unused_messages_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     seen: list[tuple[Any, ...]] = []
 
     def note(_: Balancer, *given: Any) -> list[Any]:
