--- a/lugspur/routing/explain.py
+++ b/lugspur/routing/explain.py
@@ -17,18 +17,18 @@
     rank: Rank | None  # the precedence of a route that matches
 
 
-def evaluate_route(route: Route, asked: RequestView) -> Verdict:
+def evaluate_route(route: Route, request: RequestView) -> Verdict:
     """Return the verdict on one route, with the first condition that does not hold."""
-    matching_hosts = [host for host in route.hosts if host_matches(host, asked.target.host)]
+    matching_hosts = [host for host in route.hosts if host_matches(host, request.target.host)]
     reason = ""
     if not matching_hosts:
-        reason = f"host {asked.target.host or '(none)'} is not {' or '.join(route.hosts)}"
-    elif not route.path.matches(asked.target.segments):
-        reason = f"path {asked.target.path.decode()} does not match {route.path.text}"
-    elif route.methods and asked.method not in route.methods:
-        reason = f"method {asked.method} is not {' or '.join(sorted(route.methods))}"
+        reason = f"host {request.target.host or '(none)'} is not {' or '.join(route.hosts)}"
+    elif not route.path.matches(request.target.segments):
+        reason = f"path {request.target.path.decode()} does not match {route.path.text}"
+    elif route.methods and request.method not in route.methods:
+        reason = f"method {request.method} is not {' or '.join(sorted(route.methods))}"
     else:
-        reason = _unmet("header", route.headers, asked.headers) or _unmet("query", route.query, asked.query)
+        reason = _unmet("header", route.headers, request.headers) or _unmet("query", route.query, request.query)
     if reason:
         return Verdict(route, reason, None)
     return Verdict(route, "", min(rank(route, host) for host in matching_hosts))
@@ -44,9 +44,9 @@
     return ""
 
 
-def explain(routes: Iterable[Route], asked: RequestView) -> list[Verdict]:
+def explain(routes: Iterable[Route], request: RequestView) -> list[Verdict]:
     """Return the verdict on every route: the chosen route first, then other matches by precedence, then the rest."""
-    verdicts = [evaluate_route(route, asked) for route in routes]
+    verdicts = [evaluate_route(route, request) for route in routes]
     matching = sorted((v for v in verdicts if v.rank is not None), key=lambda v: (v.rank or (), v.route.name))
     return matching + [v for v in verdicts if v.rank is None]
 
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -292,9 +292,9 @@
     )
 
 
-def conditions_match(route: Route, asked: RequestView) -> bool:
+def conditions_match(route: Route, request: RequestView) -> bool:
     """Return whether the request meets the route's conditions on headers and query parameters."""
     for condition in route.headers:
-        if not condition.matches(asked.headers.get(condition.name)):
+        if not condition.matches(request.headers.get(condition.name)):
             return False
-    return all(c.matches(asked.query.get(c.name)) for c in route.query)
+    return all(c.matches(request.query.get(c.name)) for c in route.query)
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -84,24 +84,24 @@
         for node in self._hosts.values():
             _sort(node)
 
-    def find(self, asked: RequestView) -> Match | NoMatch:
+    def find(self, request: RequestView) -> Match | NoMatch:
         """Return the matching route of the lowest rank, or a NoMatch."""
-        method = asked.method
-        for _, route in self._candidates(asked):
-            if (not route.methods or method in route.methods) and conditions_match(route, asked):
-                return Match(route, capture(route.path, asked.target.forwarded_segments, asked.target.segments))
+        method = request.method
+        for _, route in self._candidates(request):
+            if (not route.methods or method in route.methods) and conditions_match(route, request):
+                return Match(route, capture(route.path, request.target.forwarded_segments, request.target.segments))
         allow: set[str] = set()
-        for _, route in self._candidates(asked):
-            if conditions_match(route, asked):
+        for _, route in self._candidates(request):
+            if conditions_match(route, request):
                 allow |= route.methods
         return NoMatch(frozenset(allow))
 
-    def _candidates(self, asked: RequestView) -> Iterator[tuple[Rank, Route]]:
+    def _candidates(self, request: RequestView) -> Iterator[tuple[Rank, Route]]:
         """Yield the routes whose host and path match, the more specific first."""
-        for host in self._host_patterns(asked.target.host):
+        for host in self._host_patterns(request.target.host):
             node = self._hosts.get(host)
             if node is not None:
-                for entries in node.walk(asked.target.segments):
+                for entries in node.walk(request.target.segments):
                     yield from entries
 
     def _host_patterns(self, host: str) -> Iterator[str]:
