--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -14,7 +14,7 @@
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Rules, Settings, Tenant
 from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.model import (
-    HOST,
+    HOST_PATTERN,
     CoalescingPolicy,
     Condition,
     DirectResponse,
@@ -390,7 +390,7 @@
         place.wrong(f'hosts are compared without ports; write "{host.rpartition(":")[0]}"')
     elif host.endswith(".") and host != ".":
         place.wrong(f'hosts are compared without a dot at the end; write "{host.rstrip(".")}"')
-    elif not HOST.fullmatch(host):
+    elif not HOST_PATTERN.fullmatch(host):
         place.wrong(f'{shown(host)} is no host; write "a.example", "*.example" or "*"')
 
 
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -11,7 +11,7 @@
 
 ANY_HOST = "*"
 NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*")
-HOST = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]|\*")
+HOST_PATTERN = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]|\*")
 LITERAL, VARIABLE, END, REMAINDER = range(4)  # kinds of segments of a pattern, the more specific first
 
 
