--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -10,7 +10,7 @@
 from lugspur.routing.target import Target, TargetError, parse_path
 
 ANY_HOST = "*"
-NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*")
+VARIABLE_NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*")
 HOST_PATTERN = re.compile(r"(\*\.)?[a-z0-9_-]+(\.[a-z0-9_-]+)*|\[[0-9a-f:.]+\]|\*")
 LITERAL, VARIABLE, END, REMAINDER = range(4)  # kinds of segments of a pattern, the more specific first
 
@@ -67,7 +67,7 @@
 
 
 def _parse_variable_name(name: str, known: list[str], text: str) -> str:
-    if not NAME.fullmatch(name):
+    if not VARIABLE_NAME.fullmatch(name):
         raise PatternError(f'path "{text}": "{{{name}}}" is not a valid name; write letters, as in {{id}}')
     if name in known:
         raise PatternError(f'path "{text}" has {{{name}}} twice; write another name')
