--- a/lugspur/guard/limiter.py
+++ b/lugspur/guard/limiter.py
@@ -199,7 +199,7 @@
     def _cut(self, now: float, wait: float, admitted: float) -> None:
         """Lower the limit: too much was admitted.
 
-        A single window may be mostly idle, so the cut starts from the limit in force as well as from `admitted`.
+        A single window may be mostly idle, so the limit in force counts as well as the work admitted in the window.
         """
         base = (
             max(admitted, MIN_LIMIT)
--- a/lugspur/load_balancing/admission.py
+++ b/lugspur/load_balancing/admission.py
@@ -37,9 +37,8 @@
 
         By pool, so that a backlog of a class that is bound to some servers does not block the others. Rejects
         a request if the pending requests, over those served a second, make a wait too long for the class, or
-        by adaptive throttling of whole requests. The throttling guards against sparse windows: with many
-        proxies, each server's breaker stays under its protection while all servers fail. It can harm a short
-        burst at a proxy with few requests.
+        by adaptive throttling of whole requests. Throttling guards against sparse windows: with many proxies,
+        each breaker is under its protection while all fail. Could harm bursts at a proxy with few requests.
         """
         if self._settings.tier:  # Only the first tier rejects: elsewhere, work of tiers above is wasted.
             return True
--- a/lugspur/load_balancing/server.py
+++ b/lugspur/load_balancing/server.py
@@ -58,9 +58,8 @@
     def score(self, now: float, tier_latency: float, others_in_flight: float = 0.0) -> float:
         """Return current latency x (in-flight + 1); the server with the lower score is picked.
 
-        Guards against stale averages (without new samples the latency drifts to the tier's, so that a
-        recovered server gets requests again) and against hung servers (the age of the oldest open attempt
-        counts as a sample if it exceeds the latency).
+        Guards against stale averages (without samples the latency drifts to the tier's, so that a recovered
+        server gets requests) and hung servers (an open attempt older than the latency counts as a sample).
         """
         latency = tier_latency
         if self.latency > 0.0:
--- a/lugspur/load_balancing/two_choice_pick.py
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -26,11 +26,10 @@
     ) -> list[Server]:
         """Return the candidates among `servers`, best first; `is_first` for the first attempt in the subset.
 
-        Guards requests against waiting in a subset while servers outside it are idle, above all where it is
-        narrow or a server of it is slow or dead. Where all candidates of the subset are busy, ejected or
-        outliers, two of all servers are drawn as well; those outside are assumed to have as many requests of
-        other instances in flight as the subset's have of this one on average. Could harm where others have
-        far more traffic: their servers are busier than assumed.
+        Guards requests against waiting while servers outside the subset are idle, above all where it is
+        narrow or a server of it is slow or dead: where its candidates are all busy or outliers, two of all
+        servers are drawn too, and assumed to have as many requests of other instances in flight as the
+        subset's have of this one. Could harm where others have far more traffic: their servers are busier.
         """
         table = self._table
         kind = table.settings.classes[request.class_index]
--- a/lugspur/routing/table.py
+++ b/lugspur/routing/table.py
@@ -97,7 +97,7 @@
         return NoMatch(frozenset(allow))
 
     def _candidates(self, request: RequestView) -> Iterator[tuple[Rank, Route]]:
-        """Yield the routes whose host and path match, the more specific first."""
+        """Yield the routes whose host and path match, the lowest rank first."""
         for host in self._host_patterns(request.target.host):
             node = self._hosts.get(host)
             if node is not None:
--- a/lugspur/routing/target.py
+++ b/lugspur/routing/target.py
@@ -76,9 +76,7 @@
         raise TargetError("the host is malformed")
     name = (found[1] or found[2] or b"").lower()
     if found[1]:
-        name = name.removesuffix(
-            b"."
-        )  # RFC 3986 3.2.2: a trailing dot marks a fully qualified name; the host is the same
+        name = name.removesuffix(b".")  # RFC 3986 3.2.2: a name with a trailing dot is the same host
         if not name or b".." in name or name.startswith(b".") or name.endswith(b"."):
             raise TargetError("the host is malformed")
     port = found[3]
