--- a/tests/load_balancing/rule_checker.py
+++ b/tests/load_balancing/rule_checker.py
@@ -29,12 +29,12 @@
     """The checker's record of an attempt."""
 
     row: ServerRow
-    sent: float
+    sent_at: float
     ends_at: float
     outcome: Outcome | None = None
 
     @property
-    def maybe_ran(self) -> bool:
+    def may_have_run(self) -> bool:
         return self.outcome is None or self.outcome not in NEVER_RAN
 
 
@@ -45,9 +45,9 @@
     kind: int
     deadline: float
     attempts: list[AttemptRecord] = field(default_factory=list)
-    final_answers: int = 0
-    ended: bool = False
-    begun: bool = False
+    final_responses: int = 0
+    has_ended: bool = False
+    has_response_begun: bool = False
 
 
 class RuleChecker:
@@ -90,23 +90,25 @@
         request = self.requests[rid]
         attempt = request.attempts[number]
         attempt.outcome = how
-        if (how is Outcome.OK or request.begun) and not request.ended:
-            request.final_answers += 1
-            request.ended = True
-        self.apply(self.balancer.finish_attempt(self.now, rid, number, how, self.now - attempt.sent, request.ended))
+        if (how is Outcome.OK or request.has_response_begun) and not request.has_ended:
+            request.final_responses += 1
+            request.has_ended = True
+        self.apply(
+            self.balancer.finish_attempt(self.now, rid, number, how, self.now - attempt.sent_at, request.has_ended)
+        )
 
     def cancel_request(self, rid: str) -> None:
         request = self.requests[rid]
-        if not request.ended:
-            request.ended = True
-            request.final_answers += 1  # no response is expected any more
+        if not request.has_ended:
+            request.has_ended = True
+            request.final_responses += 1  # no response is expected any more
         self.apply(self.balancer.cancel_request(self.now, rid))
 
     def begin_response(self, rid: str, number: int) -> None:
         """Begin the response as a stream: the request is bound to one attempt and has no deadline any more."""
         request = self.requests[rid]
         self.apply(self.balancer.begin_response(self.now, rid, number))
-        request.begun = True
+        request.has_response_begun = True
         request.attempts[number].ends_at = request.deadline = float("inf")
 
     def advance(self, span: float) -> None:
@@ -133,7 +135,9 @@
         slack = self.settings.rules.answer_slack
         for rid, request in self.requests.items():
             if self.now > request.deadline + slack:
-                assert request.final_answers == 1, f"{rid} has {request.final_answers} final answers after its deadline"
+                assert request.final_responses == 1, (
+                    f"{rid} has {request.final_responses} final responses after its deadline"
+                )
 
     def apply(self, actions: list[Action]) -> None:
         for action in actions:
@@ -150,14 +154,14 @@
                 assert attempt.outcome is None, "cancelled an attempt that had ended"
                 attempt.ends_at = self.now  # ends at once, as cancelled or with an outcome that was on its way
             else:
-                self.check_final_answer(action)
+                self.check_final_response(action)
 
     def check_send(self, action: Send) -> None:
         request = self.requests[action.request]
         kind = self.settings.classes[request.kind]
         limits = self.settings.limits
-        assert not request.ended, "sent after the final answer"
-        assert not request.begun, "sent after its stream began"
+        assert not request.has_ended, "sent after the final response"
+        assert not request.has_response_begun, "sent after its stream began"
         row = self.rows[action.server]
         assert row.state is ServerState.UP, "sent to a server that drains or is gone"
         for bound, place in ((kind.allowed_host_types, row.host_type), (kind.allowed_zones, row.zone)):
@@ -165,10 +169,10 @@
         assert len(request.attempts) < limits.max_attempts
         if any(t.outcome is None for t in request.attempts):
             assert limits.allows_hedging, "hedging is not permitted"
-        maybe = [t for t in request.attempts if t.maybe_ran]
+        maybe = [t for t in request.attempts if t.may_have_run]
         if maybe and kind.retry_safety is not RetrySafety.SAFE:
             assert kind.retry_safety is RetrySafety.KEYED, "an unsafe request was sent twice"
-            assert self.now - min(t.sent for t in maybe) <= kind.deduplication_window, "retried after its window"
+            assert self.now - min(t.sent_at for t in maybe) <= kind.deduplication_window, "retried after its window"
             for t in maybe:
                 if kind.deduplication_scope is DeduplicationScope.ZONE:
                     assert t.row.zone == row.zone, "retried in another zone"
@@ -177,24 +181,26 @@
         rules = self.settings.rules
         if request.attempts and rules.retry_budget_window:
             self.retry_times.append(self.now)
-            since = self.now - rules.retry_budget_window
-            most = rules.retry_budget_minimum + rules.retry_budget_ratio * sum(t > since for t in self.request_times)
-            assert sum(t >= since for t in self.retry_times) <= most, "beyond the retry budget"
+            window_start = self.now - rules.retry_budget_window
+            limit = rules.retry_budget_minimum + rules.retry_budget_ratio * sum(
+                t > window_start for t in self.request_times
+            )
+            assert sum(t >= window_start for t in self.retry_times) <= limit, "beyond the retry budget"
         until = request.deadline
         if action.timeout > 0.0:
             until = min(until, self.now + action.timeout)
         request.attempts.append(AttemptRecord(replace(row), self.now, until))
         self.send_times.setdefault(action.server, []).append(self.now)
 
-    def check_final_answer(self, action: Reject | Fail) -> None:
+    def check_final_response(self, action: Reject | Fail) -> None:
         request = self.requests[action.request]
         kind = self.settings.classes[request.kind]
-        assert not request.ended, "a second final answer"
+        assert not request.has_ended, "a second final response"
         if isinstance(action, Reject):
-            harmless = kind.retry_safety is RetrySafety.SAFE or not any(t.maybe_ran for t in request.attempts)
+            harmless = kind.retry_safety is RetrySafety.SAFE or not any(t.may_have_run for t in request.attempts)
             harmless = harmless or (
                 kind.retry_safety is RetrySafety.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
             )
             assert harmless, "rejected although it may have run"
-        request.ended = True
-        request.final_answers += 1
+        request.has_ended = True
+        request.final_responses += 1
--- a/tests/load_balancing/test_repeat_and_budget_rules.py
+++ b/tests/load_balancing/test_repeat_and_budget_rules.py
@@ -81,7 +81,12 @@
         elif what == 8 and checker.requests:
             rid = list(checker.requests)[a % len(checker.requests)]
             numbers = [n for r, n in checker.open_attempts() if r == rid]
-            if b % 3 == 0 and numbers and not checker.requests[rid].ended and not checker.requests[rid].begun:
+            if (
+                b % 3 == 0
+                and numbers
+                and not checker.requests[rid].has_ended
+                and not checker.requests[rid].has_response_begun
+            ):
                 checker.begin_response(rid, numbers[-1])
             else:
                 checker.cancel_request(rid)
@@ -275,5 +280,5 @@
             play(RuleChecker(config, 1, rows), steps)
     with monkeypatch.context() as patch:
         patch.setattr(balancer.Balancer, "_respond", lambda self, *rest: [])
-        with pytest.raises(AssertionError, match="final answers"):
+        with pytest.raises(AssertionError, match="final responses"):
             play(RuleChecker(config, 1, rows), steps)
