--- a/tests/load_balancing/test_retry_and_budget_rules.py
+++ b/tests/load_balancing/test_retry_and_budget_rules.py
@@ -181,11 +181,11 @@
     rebuild_pools = server_table.ServerTable.rebuild_pools
 
     def keep(self: server_table.ServerTable, now: float) -> None:
-        told = {server: server.row for server in self.servers.values()}
-        for server in told:
+        rows = {server: server.row for server in self.servers.values()}
+        for server in rows:
             server.row = ServerRow(server.row.server)
         rebuild_pools(self, now)
-        for server, row in told.items():
+        for server, row in rows.items():
             server.row = row
 
     monkeypatch.setattr(server_table.ServerTable, "rebuild_pools", keep)
@@ -193,10 +193,10 @@
         drained()
 
 
-def fail_unseen(checker: RuleChecker, kind: int, tries: int) -> None:
+def fail_unseen(checker: RuleChecker, kind: int, attempts: int) -> None:
     """Send a request of which that many attempts in a row cannot reach a server."""
     rid = checker.request(kind, 3.0)
-    for number in range(tries):
+    for number in range(attempts):
         if (rid, number) in checker.open_attempts():
             checker.finish_attempt(rid, number, Outcome.UNREACHABLE)
 
