--- a/lugspur/load_balancing/two_choice_pick.py
+++ b/lugspur/load_balancing/two_choice_pick.py
@@ -54,12 +54,12 @@
         pool, rules = self._table.class_pools[request.class_index], self._table.settings.rules
         if now >= pool.next_warm_at:
             pool.count_warm(now, rules)
-        tried = [attempt.server for attempt in request.attempts]
+        attempted = [attempt.server for attempt in request.attempts]
         found = self._due_reinstated(now, pool) if is_first and self._table.reinstated else []
         ejected: list[Server] = []
         for _ in range(MAX_DRAWS if servers else 0):
             server = self._draw(servers, pool)
-            if server in found or server in tried:
+            if server in found or server in attempted:
                 continue
             # A cold server gets no retries, and only as many first attempts as slow start allows.
             if server.warm_at(rules) > now and (not is_first or self._slow_start.skips(now, server, pool)):
@@ -70,8 +70,8 @@
             found.append(server)
             if len(found) == 2:
                 break
-        if not found and tried:
-            found = self._draw_untried(now, servers, tried)
+        if not found and attempted:
+            found = self._draw_unattempted(now, servers, attempted)
         return found or ejected
 
     def _draw(self, servers: list[Server], pool: ServerPool) -> Server:
@@ -81,14 +81,14 @@
         place = pool.subset_begin + pool.subset_width * self._rng.random()
         return servers[min(bisect_right(pool.subset_ends, place), len(servers) - 1)]
 
-    def _draw_untried(self, now: float, servers: list[Server], tried: list[Server]) -> list[Server]:
+    def _draw_unattempted(self, now: float, servers: list[Server], attempted: list[Server]) -> list[Server]:
         """Return one of the warm servers that had no attempt of this request yet, if there is one.
 
         Guards the last attempt where servers are few: draws with replacement may find only servers that had
         one, one time in 256 with two servers and one in ten with four of which three had one.
         """
         rules = self._table.settings.rules
-        left = [s for s in servers if s not in tried and max(s.ejected_until, s.warm_at(rules)) <= now]
+        left = [s for s in servers if s not in attempted and max(s.ejected_until, s.warm_at(rules)) <= now]
         return [self._rng.choice(left)] if left else []
 
     def _due_reinstated(self, now: float, pool: ServerPool) -> list[Server]:
--- a/lugspur/routing/model.py
+++ b/lugspur/routing/model.py
@@ -187,7 +187,7 @@
     set: tuple[tuple[str, str], ...] = ()
 
 
-MAX_COALESCING_AGE_SECONDS = 10.0  # seconds; the greatest age of a call that a route may allow a read to join
+MAX_COALESCING_AGE_SECONDS = 10.0  # the greatest age of a call that a route may allow a read to join
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/guard/simulated_core.py
+++ b/tests/guard/simulated_core.py
@@ -36,16 +36,18 @@
         self._work_credit = 0.0  # work that may be done now
         self._sampled = self._idle = 0.0
 
-    def run(self, seconds: float, rate: float, who: Callable[[Random], int] = lambda rng: rng.randrange(64)) -> None:
+    def run(
+        self, seconds: float, rate: float, draw_caller: Callable[[Random], int] = lambda rng: rng.randrange(64)
+    ) -> None:
         """Let requests arrive at random, at that rate a second."""
-        until, kinds = self.now + seconds, range(len(self.classes))
+        until, class_indexes = self.now + seconds, range(len(self.classes))
         while self.now < until:
             self.now += STEP
             count = sum(self._rng.random() < rate * STEP / 20 for _ in range(20))
             for _ in range(count):
-                kind = self._rng.choices(kinds, [part for _, part in self.classes])[0]
-                self._queue.append((self.now, kind, who(self._rng)))
-                self.arrived[kind] += 1
+                class_index = self._rng.choices(class_indexes, [part for _, part in self.classes])[0]
+                self._queue.append((self.now, class_index, draw_caller(self._rng)))
+                self.arrived[class_index] += 1
             self._work()
             if self.now - self._sampled >= WINDOW:
                 self.limiter.sample(self.now, Sample(idle=self._idle / (self.now - self._sampled)))
@@ -57,10 +59,10 @@
             self._idle += STEP
         self._work_credit = min(self._work_credit, 1.0) + STEP * self.capacity(self.now)
         while self._queue and self._work_credit > 0.0:
-            arrived, kind, who = self._queue.popleft()
+            arrived, class_index, caller = self._queue.popleft()
             self.waits.append((self.now, self.now - arrived))
-            if self.limiter.admits(kind, who, 1.0, self.now - arrived):
-                self.admitted[kind] += 1
+            if self.limiter.admits(class_index, caller, 1.0, self.now - arrived):
+                self.admitted[class_index] += 1
                 self._work_credit -= 1.0
             else:
                 self.rejected_at.append(self.now)
--- a/tests/guard/test_limiter.py
+++ b/tests/guard/test_limiter.py
@@ -105,8 +105,8 @@
     limiter = Limiter([1.0], 0.0)
     now = 0.0
     for step in range(40):
-        for who in range(10):
-            limiter.admits(0, who, 1.0, 0.0)
+        for caller in range(10):
+            limiter.admits(0, caller, 1.0, 0.0)
         now += WINDOW
         limiter.sample(now, Sample(memory=0.91 if step < 20 else 0.5))
         if step == 19:
@@ -159,8 +159,8 @@
     lines, now = [], 0.0
     for _ in range(200):
         now += WINDOW
-        for who in range(20):
-            limiter.admits(who % 2, who, 1.0, 0.084)
+        for caller in range(20):
+            limiter.admits(caller % 2, caller, 1.0, 0.084)
         line = limiter.sample(now, Sample(starved=0.6, memory=0.87))
         if line:
             lines.append((now, line))
@@ -192,8 +192,8 @@
     now = 0.0
     for span, wait, count in steps:
         now += span
-        for who in range(count):
-            limiter.admits(who % 2, who, 1.0, wait, who % 5 == 0)
+        for caller in range(count):
+            limiter.admits(caller % 2, caller, 1.0, wait, caller % 5 == 0)
         before = limiter.limit
         limiter.sample(now, Sample(memory=memory))
         assert limiter.limit >= MIN_LIMIT
--- a/tests/load_balancing/test_failures_found.py
+++ b/tests/load_balancing/test_failures_found.py
@@ -40,8 +40,8 @@
     b = balancer(Settings(classes=(SAFE,)))
     [send] = b.request(100.0, "r", 0, 0, 104.0)
     assert isinstance(send, Send) and send.timeout == pytest.approx(0.98)
-    [answer] = b.finish_attempt(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
-    assert isinstance(answer, Reject)
+    [action] = b.finish_attempt(100.98, "r", 0, Outcome.TIMEOUT, 0.98)
+    assert isinstance(action, Reject)
 
 
 @pytest.mark.parametrize(("late_value", "timeout"), [(0.0, 0.98), (0.3, 0.98), (0.5, 0.98), (0.8, 0.0)])
@@ -67,11 +67,13 @@
     assert first_actions(b, [3.0] * 5 + [2.0]) == [Send] * 5 + [Reject]
 
 
-@pytest.mark.parametrize(("marks", "repeats", "answer"), [(True, False, Send), (True, True, Reject)])
-def test_short_attempt_counts_as_a_retry_unless_clients_mark_retries(marks: bool, repeats: bool, answer: type) -> None:
-    b = balancer(Settings(classes=(SAFE,), clients_mark_retries=marks))
+@pytest.mark.parametrize(("clients_mark", "is_marked", "action"), [(True, False, Send), (True, True, Reject)])
+def test_short_attempt_counts_as_a_retry_unless_clients_mark_retries(
+    clients_mark: bool, is_marked: bool, action: type
+) -> None:
+    b = balancer(Settings(classes=(SAFE,), clients_mark_retries=clients_mark))
     first_actions(b, [3.0] * 5)
-    assert isinstance(b.request(300.0, "s", 0, 0, 301.5, 0.0, repeats)[0], answer)
+    assert isinstance(b.request(300.0, "s", 0, 0, 301.5, 0.0, is_marked)[0], action)
 
 
 def test_longer_retries_do_not_make_first_attempts_late() -> None:
@@ -135,27 +137,27 @@
         now += 0.01
         b.request(now, f"w{n}", 1, 0, now + 4.0)
         b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
-    refused = {0: 0, 1: 0}
+    rejected = {0: 0, 1: 0}
     for n in range(120):  # then no request ends any more
         now += 0.001
         for kind in (0, 1):
             if isinstance(b.request(now, f"x{kind}{n}", kind, 0, now + 4.0)[0], Reject):
-                refused[kind] += 1
+                rejected[kind] += 1
         if n == 30:
-            assert refused[0] > 0 == refused[1]
-    assert refused[1] > 0
+            assert rejected[0] > 0 == rejected[1]
+    assert rejected[1] > 0
 
 
 def test_lower_tiers_never_reject_for_overload() -> None:
     b = balancer(Settings(classes=(SAFE, VALUABLE), tier=1, tier_count=2))
-    answers = [b.request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
-    assert all(isinstance(a, Send) for a in answers)
+    actions = [b.request(100.0 + n / 1000, f"x{n}", 0, 0, 104.0)[0] for n in range(200)]
+    assert all(isinstance(a, Send) for a in actions)
 
 
 def test_start_without_served_requests_is_no_overload() -> None:
     b = balancer(Settings(classes=(SAFE,)))
-    answers = [b.request(100.0 + n / 100, f"x{n}", 0, 0, 110.0)[0] for n in range(30)]
-    assert sum(isinstance(a, Send) for a in answers) >= 27
+    actions = [b.request(100.0 + n / 100, f"x{n}", 0, 0, 110.0)[0] for n in range(30)]
+    assert sum(isinstance(a, Send) for a in actions) >= 27
 
 
 def test_proxy_with_sparse_traffic_rejects_after_failures() -> None:
@@ -165,9 +167,9 @@
         now += 1.0
         if isinstance(b.request(now, f"r{n}", 1, 0, now + 4.0)[0], Send):
             b.finish_attempt(now + 0.98, f"r{n}", 0, Outcome.TIMEOUT, 0.98)
-    answers = [b.request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
+    actions = [b.request(now + 1.0, f"s{n}", 0, 0, now + 5.0)[0] for n in range(2)]
     later = b.request(now + 60.0, "t", 0, 0, now + 64.0)[0]
-    assert any(isinstance(a, Reject) for a in answers)
+    assert any(isinstance(a, Reject) for a in actions)
     assert isinstance(later, Send), "a failure long ago still counts"
 
 
@@ -186,33 +188,35 @@
     assert isinstance(b.request(now, "free", 0, 0, now + 4.0)[0], Send)
 
 
-def calls(b: Balancer, tenant: int, fifth: Outcome) -> float:
+def send_requests(b: Balancer, tenant: int, fifth_outcome: Outcome) -> float:
     """Send 50 requests a second for 8 s, one in five of which has that outcome; return the time after them."""
     now = 100.0
     for n in range(400):
         now += 0.02
         b.request(now, f"w{n}", 0, tenant, now + 4.0)
-        b.finish_attempt(now, f"w{n}", 0, Outcome.OK if n % 5 else fifth, 0.1)
+        b.finish_attempt(now, f"w{n}", 0, Outcome.OK if n % 5 else fifth_outcome, 0.1)
     return now
 
 
-@pytest.mark.parametrize(("fifth", "answer"), [(Outcome.OK, Send), (Outcome.ERROR, Send), (Outcome.TIMEOUT, Reject)])
-def test_fewer_requests_are_admitted_where_load_makes_requests_fail(fifth: Outcome, answer: type) -> None:
+@pytest.mark.parametrize(
+    ("fifth_outcome", "action"), [(Outcome.OK, Send), (Outcome.ERROR, Send), (Outcome.TIMEOUT, Reject)]
+)
+def test_fewer_requests_are_admitted_where_load_makes_requests_fail(fifth_outcome: Outcome, action: type) -> None:
     b = balancer(Settings(classes=(VALUABLE,)))
-    now = calls(b, 0, fifth)
+    now = send_requests(b, 0, fifth_outcome)
     for n in range(27):  # admits 0.7 x 50 pending, or 0.4 x 40
         b.request(now, f"x{n}", 0, 0, now + 4.0)
-    assert isinstance(b.request(now, "y", 0, 0, now + 4.0)[0], answer)
+    assert isinstance(b.request(now, "y", 0, 0, now + 4.0)[0], action)
 
 
-@pytest.mark.parametrize(("quota", "answer"), [(1.0, Reject), (1000.0, Send), (0.0, Send)])
-def test_requests_over_quota_are_rejected_first_where_requests_fail(quota: float, answer: type) -> None:
+@pytest.mark.parametrize(("quota", "action"), [(1.0, Reject), (1000.0, Send), (0.0, Send)])
+def test_requests_over_quota_are_rejected_first_where_requests_fail(quota: float, action: type) -> None:
     tenants = (Tenant("calm", 0.5, 1000.0), Tenant("burst", 0.5, quota))
     b = balancer(Settings(classes=(VALUABLE,), tenants=tenants, over_quota_value=0.1))
-    now = calls(b, 1, Outcome.TIMEOUT)
+    now = send_requests(b, 1, Outcome.TIMEOUT)
     for n in range(10):
         b.request(now, f"x{n}", 0, 0, now + 4.0)
-    assert isinstance(b.request(now, "over", 0, 1, now + 4.0)[0], answer)
+    assert isinstance(b.request(now, "over", 0, 1, now + 4.0)[0], action)
     assert isinstance(b.request(now, "within", 0, 0, now + 4.0)[0], Send)
 
 
@@ -257,9 +261,9 @@
 def test_baseline_that_is_too_high_does_not_reject_for_ever() -> None:
     b = balancer(Settings(classes=(SAFE,)))
     b.costs.seconds_per_cost, b.costs.samples = 90.0, 100
-    answers = [b.request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
-    assert isinstance(answers[0], Reject)
-    assert any(isinstance(a, Send) for a in answers)
+    actions = [b.request(110.0 + n, f"s{n}", 0, 0, 114.0 + n, 0.1)[0] for n in range(60)]
+    assert isinstance(actions[0], Reject)
+    assert any(isinstance(a, Send) for a in actions)
 
 
 def test_restart_resets_the_slow_start_credit() -> None:
@@ -345,14 +349,14 @@
     """The credit grows with attempts sent: four requests offered for each one sent must not make it grow fourfold."""
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=20.0, overload_multiple=3.0, overload_seconds=2.0)
 
-    def credit(refused: int) -> float:
+    def credit(rejected: int) -> float:
         b = balancer(Settings(classes=(SAFE,), rules=rules))
         now = 100.0
         for n in range(400):
             now += 0.01
             if isinstance(b.request(now, f"w{n}", 0, 0, now + 4.0)[0], Send):
                 b.finish_attempt(now, f"w{n}", 0, Outcome.OK, 0.1, True)
-            for k in range(refused):
+            for k in range(rejected):
                 b.request(now, f"p{n}_{k}", 0, 0, now)
         b.update_servers(now, ListUpdateKind.PATCH, [ServerRow(1, started_at=now)])
         server = b.table.servers[1]
--- a/tests/load_balancing/test_retry_and_budget_rules.py
+++ b/tests/load_balancing/test_retry_and_budget_rules.py
@@ -156,7 +156,7 @@
     # after 4 s it can do 0.14 + 0.86 * 4 / 20 = 0.31 for certain; three times that would push it over
     assert len(cold) <= 0.31 * 2 * warm, "a cold server was pushed"
     for first, later in pairwise(cold):
-        assert later > first, "two calls to a server that has just started, at the same moment"
+        assert later > first, "two requests to a server that has just started, at the same moment"
 
 
 @pytest.mark.parametrize("seed", range(5))
