--- a/lugspur/routing/pool_health.py
+++ b/lugspur/routing/pool_health.py
@@ -14,35 +14,35 @@
     full or returns errors still has backends, and its load would take down the fallback as well.
     """
 
-    __slots__ = ("_failed", "_up")
+    __slots__ = ("_failed_at", "_in_service")
 
     def __init__(self) -> None:
-        self._up: frozenset[int] = frozenset()
-        self._failed: dict[int, float] = {}
+        self._in_service: frozenset[int] = frozenset()
+        self._failed_at: dict[int, float] = {}  # times of the latest failed connection attempts
 
     def set_backends(self, up: Iterable[int]) -> None:
         """Set the backends that are in service now."""
-        self._up = frozenset(up)
-        self._failed = {server: at for server, at in self._failed.items() if server in self._up}
+        self._in_service = frozenset(up)
+        self._failed_at = {server: at for server, at in self._failed_at.items() if server in self._in_service}
 
     def mark_reachable(self, server: int) -> None:
         """Record that an attempt reached the backend."""
-        self._failed.pop(server, None)
+        self._failed_at.pop(server, None)
 
     def mark_unreachable(self, now: float, server: int) -> None:
         """Record that no connection to the backend could be established."""
-        if server in self._up:
-            self._failed[server] = now
+        if server in self._in_service:
+            self._failed_at[server] = now
 
     def is_empty(self) -> bool:
         """Return whether no backend is in service."""
-        return not self._up
+        return not self._in_service
 
     def is_usable(self, now: float) -> bool:
         """Return whether a backend is in service that was not unreachable in the last second."""
-        if len(self._failed) < len(self._up):
+        if len(self._failed_at) < len(self._in_service):
             return True
-        return any(now - at >= UNREACHABLE_SECONDS for at in self._failed.values())
+        return any(now - at >= UNREACHABLE_SECONDS for at in self._failed_at.values())
 
 
 def pools_to_attempt(
