--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -13,9 +13,9 @@
 
 from lugspur.bench.processes import Process, daemon, platform, standin
 from lugspur.config.load import load
-from lugspur.routing.model import Asked, Forward, Route, read_pattern
-from lugspur.routing.table import Table
-from lugspur.routing.target import read_target
+from lugspur.routing.model import Forward, RequestView, Route, parse_pattern
+from lugspur.routing.table import RouteTable
+from lugspur.routing.target import parse_target
 from lugspur.standins.callers import closed_loop
 
 CALLERS, BACKENDS, SIZE = 16, 3, 200
@@ -96,7 +96,7 @@
     return [
         Route(
             f"r{n}",
-            read_pattern(f"/svc{n // 100}/hotels/{{id}}/rooms/*"),
+            parse_pattern(f"/svc{n // 100}/hotels/{{id}}/rooms/*"),
             to,
             (f"h{n % 100}.example",),
             frozenset({"GET"}),
@@ -108,11 +108,11 @@
 def lookups() -> list[tuple[int, float]]:
     """Seconds of one look-up by the number of routes; the best of some rounds."""
     found = []
-    tables = [(count, Table(routes(count))) for count in COUNTS]
+    tables = [(count, RouteTable(routes(count))) for count in COUNTS]
     for count, table in tables:
         last = count - 1
-        target = read_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
-        asked = Asked("GET", target, {})
+        target = parse_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
+        asked = RequestView("GET", target, {})
         best = float("inf")
         for _ in range(5):
             begun = time.perf_counter()
--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -12,10 +12,10 @@
 
 from lugspur.config.build import Plan, warnings
 from lugspur.config.load import FileFaults, load
-from lugspur.routing.explain import Verdict, decided_by, explain
-from lugspur.routing.model import Asked, Forward, Redirect, Route
-from lugspur.routing.table import capture, read_query
-from lugspur.routing.target import TargetError, read_target
+from lugspur.routing.explain import Verdict, deciding_rule, explain
+from lugspur.routing.model import Forward, Redirect, RequestView, Route
+from lugspur.routing.table import capture, parse_query
+from lugspur.routing.target import TargetError, parse_target
 
 FAULTY = 2  # the exit status for a file or a command that makes no sense
 
@@ -100,25 +100,25 @@
     plan = _load(file)
     asked = _asked(method, url, headers)
     verdicts = explain(plan.table.routes, asked)
-    matching = [v for v in verdicts if not v.against]
-    click.echo(f"{asked.method} {asked.target.bytes.decode()}  host {asked.target.host or '(none)'}")
+    matching = [v for v in verdicts if not v.reason]
+    click.echo(f"{asked.method} {asked.target.origin_form.decode()}  host {asked.target.host or '(none)'}")
     if not matching:
         click.echo("no route takes it:" if verdicts else "the file has no route")
     else:
         _show_winner(plan, matching[0], asked)
         for verdict in matching[1:]:
             assert verdict.rank is not None and matching[0].rank is not None
-            click.echo(f"  beats {verdict.route.name}: by {decided_by(matching[0].rank, verdict.rank)}")
+            click.echo(f"  beats {verdict.route.name}: by {deciding_rule(matching[0].rank, verdict.rank)}")
     others = verdicts[len(matching) :]
     shown = others if everything else others[:10]
     for verdict in shown:
-        click.echo(f"  not {verdict.route.name}: {verdict.against}")
+        click.echo(f"  not {verdict.route.name}: {verdict.reason}")
     if len(others) > len(shown):
         click.echo(f"  and {len(others) - len(shown)} more that don't fit (--all names them)")
     sys.exit(0 if matching else 1)
 
 
-def _asked(method: str, url: str, headers: tuple[str, ...]) -> Asked:
+def _asked(method: str, url: str, headers: tuple[str, ...]) -> RequestView:
     found: dict[str, str] = {}
     for line in headers:
         name, colon, value = line.partition(":")
@@ -128,38 +128,40 @@
     try:
         if not url.startswith("/") and urlsplit(url).scheme in ("http", "https"):
             found["host"] = urlsplit(url).netloc
-        target = read_target(url.partition("#")[0].encode(), found.get("host", "").encode())
+        target = parse_target(url.partition("#")[0].encode(), found.get("host", "").encode())
     except (TargetError, ValueError) as fault:
         click.echo(f"{url}: answered 400: {fault}", err=True)
         sys.exit(FAULTY)
-    return Asked(method.upper(), target, found, read_query(target.query))
+    return RequestView(method.upper(), target, found, parse_query(target.query))
 
 
-def _show_winner(plan: Plan, verdict: Verdict, asked: Asked) -> None:
+def _show_winner(plan: Plan, verdict: Verdict, asked: RequestView) -> None:
     route = verdict.route
     click.echo(f"route {route.name}: {_leads(plan, route)}")
-    captured = capture(route.path, asked.target.whole, asked.target.segments)
+    captured = capture(route.path, asked.target.forwarded_segments, asked.target.segments)
     names = {name: value for name, value in captured.items() if not name.startswith("=")}
     if names:
         click.echo("  path " + ", ".join(f"{name} = {value or '(empty)'}" for name, value in names.items()))
     action = route.action
     if isinstance(action, Forward):
-        kind = plan.classes[plan.kinds[action.kind]]
+        kind = plan.classes[plan.kinds[action.class_name]]
         click.echo(
             f"  class {kind.name}: {kind.retry_safety.value}, given up after "
             f"{min(kind.deadline, action.deadline or kind.deadline):g}s"
         )
         if action.rewrite is not None:
             click.echo(f"  backends see {action.rewrite.fill(captured) or '/'}")
-        if action.join is not None:
-            who = "all tenants" if action.join.across else "one tenant"
-            click.echo(f"  like reads of {who} share a call that began at most {action.join.within:g}s before")
+        if action.coalescing is not None:
+            who = "all tenants" if action.coalescing.across_tenants else "one tenant"
+            click.echo(
+                f"  like reads of {who} share a call that began at most {action.coalescing.max_age_seconds:g}s before"
+            )
 
 
 def _leads(plan: Plan, route: Route) -> str:
     action = route.action
     if isinstance(action, Redirect):
-        return f"redirect {action.status} to {action.to.text}"
+        return f"redirect {action.status} to {action.location.text}"
     if not isinstance(action, Forward):
         return f"answered here with {action.status}"
     total = sum(weight for _, weight in action.splits)
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -12,24 +12,24 @@
 from lugspur.config.schema import Place
 from lugspur.config.units import MARK, Wrong, nearest, shown, text
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Rules, Settings, Tenant
-from lugspur.routing.conflicts import conflicts
+from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.model import (
-    HOST,
-    Changes,
+    HOST_PATTERN,
+    CoalescingPolicy,
     Condition,
+    DirectResponse,
     Forward,
-    Join,
+    HeaderChanges,
+    MatchType,
     Pattern,
     PatternError,
     Redirect,
-    Reply,
     Route,
-    Source,
-    Test,
-    read_pattern,
-    read_template,
+    ValueSource,
+    parse_pattern,
+    parse_template,
 )
-from lugspur.routing.table import Table
+from lugspur.routing.table import RouteTable
 
 METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "PATCH", "DELETE", "POST")
 TOKEN = re.compile(r"[!#$%&'*+.^`|~0-9A-Za-z-]+")  # RFC 9110 5.6.2, but for `_`, which intake drops
@@ -71,7 +71,7 @@
     """What a file asks for, whole and checked."""
 
     file: model.File
-    table: Table
+    table: RouteTable
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     kinds: dict[str, int]  # classes by name, as places in `classes`
@@ -130,8 +130,8 @@
             if not POOL.fullmatch(name):
                 place.at("pools", name).wrong(f"a checked pool has a name of 1 to 64 characters, not {len(name)}")
     routes = _Routes(file, raw, place.at("routes"))
-    table = Table(routes.read())
-    for found, (one, two) in enumerate(conflicts(table.routes)):
+    table = RouteTable(routes.read())
+    for found, (one, two) in enumerate(find_conflicts(table.routes)):
         if found >= CONFLICTS_MOST:
             break
         place.at("routes", two.name).wrong(
@@ -266,7 +266,7 @@
 
     def _route(self, name: str, row: model.Route, place: Place) -> Route | None:
         before = len(place.faults)
-        pattern = _tried(place.at("path"), lambda: read_pattern(row.path))
+        pattern = _tried(place.at("path"), lambda: parse_pattern(row.path))
         for at, host in enumerate(row.hosts):
             _check_host(host, place.at("hosts", at))
         for at, method in enumerate(row.methods):
@@ -280,7 +280,7 @@
         hosts = row.hosts or ("*",)
         return Route(name, pattern, action, hosts, frozenset(row.methods), headers, query, row.priority)
 
-    def _action(self, row: model.Route, pattern: Pattern, place: Place) -> Forward | Reply | Redirect | None:
+    def _action(self, row: model.Route, pattern: Pattern, place: Place) -> Forward | DirectResponse | Redirect | None:
         given = [key for key in ("pool", "split", "reply", "redirect") if getattr(row, key)]
         if len(given) != 1:
             said = f"{' and '.join(given)} are both given" if given else "it leads nowhere"
@@ -310,7 +310,7 @@
             _known(row.kind, self._classes, "class", place.at("class"))
         rewrite = None
         if row.rewrite:
-            rewrite = _tried(place.at("rewrite"), lambda: read_template(row.rewrite, pattern))
+            rewrite = _tried(place.at("rewrite"), lambda: parse_template(row.rewrite, pattern))
             if not row.rewrite.startswith("/") or set(row.rewrite) & set("?;"):
                 place.at("rewrite").wrong(f'{shown(row.rewrite)} is no path; begin with "/", without a query')
         return Forward(
@@ -326,7 +326,7 @@
             self._join(row, place.at("join")),
         )
 
-    def _join(self, row: model.Route, place: Place) -> Join | None:
+    def _join(self, row: model.Route, place: Place) -> CoalescingPolicy | None:
         join = row.join
         if join is None:
             return None
@@ -360,7 +360,7 @@
             elif row.tenant.header:
                 ignored.add(row.tenant.header.lower().encode())
         ignored |= {name.lower().encode() for name in row.request.remove}  # backends never see them
-        return Join(join.within, frozenset(ignored), join.across_tenants)
+        return CoalescingPolicy(join.within, frozenset(ignored), join.across_tenants)
 
 
 def _known(name: str, among: Mapping[str, object], what: str, place: Place) -> None:
@@ -390,7 +390,7 @@
         place.wrong(f'hosts are compared without ports; write "{host.rpartition(":")[0]}"')
     elif host.endswith(".") and host != ".":
         place.wrong(f'hosts are compared without a dot at the end; write "{host.rstrip(".")}"')
-    elif not HOST.fullmatch(host):
+    elif not HOST_PATTERN.fullmatch(host):
         place.wrong(f'{shown(host)} is no host; write "a.example", "*.example" or "*"')
 
 
@@ -416,7 +416,7 @@
 def _condition(name: str, value: Any, place: Place) -> Condition | None:
     try:
         if not isinstance(value, Mapping):
-            return Condition(name, Test.EXACT, text(value))
+            return Condition(name, MatchType.EXACT, text(value))
         if len(value) != 1 or not set(value) <= {"prefix", "present", "absent"}:
             raise Wrong(
                 f'{shown(value)} is no condition; write "text", {{ prefix = "text" }}, {{ present = true }} '
@@ -426,17 +426,17 @@
         if test == "prefix":
             if not text(wanted):
                 raise Wrong("an empty prefix asks nothing; write { present = true }")
-            return Condition(name, Test.PREFIX, wanted)
+            return Condition(name, MatchType.PREFIX, wanted)
         if wanted is not True:
             other = "absent" if test == "present" else "present"
             raise Wrong(f"{test} = {shown(wanted)}; write {{ {other} = true }} for the opposite")
-        return Condition(name, Test(test))
+        return Condition(name, MatchType(test))
     except Wrong as fault:
         place.wrong(str(fault))
         return None
 
 
-def _source(row: model.Source | None, pattern: Pattern, place: Place) -> Source | None:
+def _source(row: model.Source | None, pattern: Pattern, place: Place) -> ValueSource | None:
     if row is None:
         return None
     given = [key for key in ("header", "path", "query", "value") if getattr(row, key)]
@@ -445,15 +445,15 @@
     if row.path and row.path not in pattern.names:
         known = ", ".join(pattern.names) or "none"
         place.at("path").wrong(f'the path has no variable "{row.path}"; it has {known}')
-    return Source(row.header.lower(), row.path, row.query, row.value)
+    return ValueSource(row.header.lower(), row.path, row.query, row.value)
 
 
-def _changes(row: model.Changes, place: Place) -> Changes:
+def _changes(row: model.Changes, place: Place) -> HeaderChanges:
     lines = _lines(row.set, place.at("set"))
     for at, name in enumerate(row.remove):
         _check_name(name, place.at("remove", at))
     removed = frozenset(name.lower() for name in row.remove)
-    return Changes(removed | {name.lower() for name, _ in lines}, lines)
+    return HeaderChanges(removed | {name.lower() for name, _ in lines}, lines)
 
 
 def _lines(raw: Any, place: Place) -> tuple[tuple[str, str], ...]:
@@ -478,11 +478,11 @@
         place.wrong(f'header "{name}" is set by the proxy itself; leave it out')
 
 
-def _reply(row: model.Reply, place: Place) -> Reply:
+def _reply(row: model.Reply, place: Place) -> DirectResponse:
     if not isinstance(row.body, str):
         place.at("body").wrong(f"{shown(row.body)} is no text; write it in quotes")
-        return Reply(row.status)
-    return Reply(row.status, row.body.encode(), _lines(row.headers, place.at("headers")))
+        return DirectResponse(row.status)
+    return DirectResponse(row.status, row.body.encode(), _lines(row.headers, place.at("headers")))
 
 
 def _redirect(row: model.Route, pattern: Pattern, place: Place) -> Redirect | None:
@@ -493,5 +493,5 @@
     # Guards against a caller's word in the host's place: https://x{name} would lead wherever the caller likes.
     if not re.match(r"/(?!/)|https?://[0-9A-Za-z.:\[\]_-]+(?:[/?]|$)", to):
         place.at("to").wrong(f'{shown(to)} leads nowhere; begin with "/" or "https://host"')
-    template = _tried(place.at("to"), lambda: read_template(to, pattern))
+    template = _tried(place.at("to"), lambda: parse_template(to, pattern))
     return Redirect(status, template) if template else None
--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -22,8 +22,8 @@
 from lugspur.discovery.sources import EndpointSource, StaticList, WatchedFile
 from lugspur.http1.upstream import Upstream
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
-from lugspur.routing.shares import Shares
-from lugspur.routing.standing import Standing
+from lugspur.routing.pool_health import PoolHealth
+from lugspur.routing.shares import SharedLimit
 from lugspur.zookeeper.session import Terms
 
 if TYPE_CHECKING:
@@ -49,9 +49,11 @@
 class UpstreamCluster:
     """The backends of one pool of the configuration file, from its first load until it is removed and idle."""
 
-    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
+    def __init__(
+        self, name: str, sockets: SharedLimit, owner: Owner, epoch: float, registries: RegistrySessions
+    ) -> None:
         self.name = name
-        self.standing = Standing()
+        self.standing = PoolHealth()
         self.overrides = EndpointOverrides()
         self._registries = registries
         self._sockets, self._owner, self._epoch = sockets, owner, epoch
@@ -165,9 +167,9 @@
 
     def _record_connection_attempt(self, server: int, up: bool) -> None:
         if up:
-            self.standing.reached(server)
+            self.standing.mark_reachable(server)
         else:
-            self.standing.unreachable(self._loop.time(), server)
+            self.standing.mark_unreachable(self._loop.time(), server)
         if self.on_connection_attempt is not None:
             self.on_connection_attempt(self.name, server, up)
 
@@ -241,7 +243,7 @@
         self.pool.members(kind, endpoints)
         self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
-        self.standing.listed(up)
+        self.standing.set_backends(up)
         if self.on_endpoints_changed is not None:
             self.on_endpoints_changed(self.name)
 
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -22,12 +22,12 @@
 from lugspur.http1.intake import Rejected, Sizes
 from lugspur.http1.upstream import HELD_PART
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
-from lugspur.routing.model import Asked, Forward, Redirect, Reply
-from lugspur.routing.shares import Shares, even
-from lugspur.routing.splits import by_chance, by_key
-from lugspur.routing.standing import Standing, candidates
-from lugspur.routing.table import Match, Miss, read_query
-from lugspur.routing.target import Target, TargetError, read_target
+from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
+from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
+from lugspur.routing.shares import SharedLimit, guaranteed_parts
+from lugspur.routing.splits import order_at_random, order_by_key
+from lugspur.routing.table import Match, NoMatch, parse_query
+from lugspur.routing.target import Target, TargetError, parse_target
 from lugspur.seams import Answerable, Request, Response
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 
     plan: Plan
     clusters: dict[str, UpstreamCluster]
-    standings: dict[str, Standing]
+    standings: dict[str, PoolHealth]
     number: int  # of the reload that brought it
 
 
@@ -56,8 +56,8 @@
         self._loop = asyncio.get_running_loop()
         self._epoch = time.time() - self._loop.time()
         self._rng = random.Random()
-        self._sockets = Shares(0, {})
-        self._places = Shares(0, {})  # requests in hand, by pool
+        self._sockets = SharedLimit(0, {})
+        self._places = SharedLimit(0, {})  # requests in hand, by pool
         self.coalescer = RequestCoalescer(self._submit)
         self.overload_protection: OverloadProtection | None = None
         self._reloads = 0
@@ -72,8 +72,8 @@
         sockets = max(8, limits.sockets - SPARE_SOCKETS)
         callers = int(CALLERS_PART * sockets)
         weights = {name: row.share for name, row in pools.items()}
-        self._sockets.reset(sockets - callers, even(sockets - callers, weights))
-        self._places.reset(callers, even(callers, weights))
+        self._sockets.set_parts(sockets - callers, guaranteed_parts(sockets - callers, weights))
+        self._places.set_parts(callers, guaranteed_parts(callers, weights))
         held = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.regime.plan.file.limits.read)
@@ -155,7 +155,7 @@
         if not name:
             return front.healthy()
         cluster = self.clusters.get(name)
-        return None if cluster is None else cluster.standing.usable(self._loop.time()) and front.healthy()
+        return None if cluster is None else cluster.standing.is_usable(self._loop.time()) and front.healthy()
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -164,18 +164,18 @@
         if method not in METHODS:
             raise Rejected(501, "the method is not served")
         try:
-            target = read_target(request.target, request.headers.get(b"host"))
+            target = parse_target(request.target, request.headers.get(b"host"))
         except TargetError as fault:
             raise Rejected(400, str(fault)) from fault
         regime = request.terms
         assert isinstance(regime, Regime)
         table = regime.plan.table
         headers = Headers(request.headers)
-        query = read_query(target.query) if table.reads_query else {}
-        match = table.find(Asked(method, target, headers, query))
-        if isinstance(match, Miss):
+        query = parse_query(target.query) if table.reads_query else {}
+        match = table.find(RequestView(method, target, headers, query))
+        if isinstance(match, NoMatch):
             _answer_miss(match, caller)
-        elif isinstance(match.route.action, Reply):
+        elif isinstance(match.route.action, DirectResponse):
             reply = match.route.action
             lines = "".join(f"{name}: {value}\r\n" for name, value in reply.headers)
             caller.answer(reply.status, lines.encode(), reply.body)
@@ -194,9 +194,9 @@
         target: Target,
         caller: Answerable,
     ) -> None:
-        kind = regime.plan.classes[regime.plan.kinds[forward.kind]]
+        kind = regime.plan.classes[regime.plan.kinds[forward.class_name]]
         timeout = self._timeout(kind, forward, request)
-        query = read_query(target.query) if _reads_query(forward) else {}
+        query = parse_query(target.query) if _reads_query(forward) else {}
         tenant = _tenant(regime.plan, match, forward, request, query)
         caller.admit()
         deadline = self._loop.time() + timeout - ANSWER_EARLY
@@ -205,7 +205,7 @@
             return
         if self.overload_protection is not None and regime is self.regime:
             who = caller.peer if tenant == NOBODY else tenant
-            place = regime.plan.kinds[forward.kind]
+            place = regime.plan.kinds[forward.class_name]
             size = len(request.body) if request.stream is None else request.stream.came
             if not self.overload_protection.admits(place, who, size):
                 caller.answer(503, COME_BACK, b"too busy\n")
@@ -213,10 +213,10 @@
                 return
         if forward.key is not None:
             key = drawn(forward.key, Headers(request.headers), query, match.captured)
-            order = by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
+            order = order_by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
         else:
-            order = by_chance(forward.splits, self._rng)
-        found = candidates(order, forward.fallback, regime.standings, self._loop.time())
+            order = order_at_random(forward.splits, self._rng)
+        found = pools_to_attempt(order, forward.fallback, regime.standings, self._loop.time())
         if not found:
             caller.answer(503, COME_BACK, b"no backend\n")
             return
@@ -227,12 +227,12 @@
         if stream is not None and not stream.ended:
             self._stream(context, stream, timeout, caller)
             return
-        if forward.join is None or stream is not None:
+        if forward.coalescing is None or stream is not None:
             self._submit(context, caller)
             return
         # Reads of two files, or with and without what a trusted listener lets through, are never the same.
         route = regime.number, match.route.name, cluster.name, row.trust_forwarded
-        self.coalescer.coalesce(request, context, route, forward.join, caller)
+        self.coalescer.coalesce(request, context, route, forward.coalescing, caller)
 
     def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
         """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
@@ -279,12 +279,12 @@
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
             kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
-        if not self._places.fits(cluster.name):
+        if not self._places.can_acquire(cluster.name):
             # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
             context.ending = Ending.REJECTED
             caller.answer(503, COME_BACK, b"no place\n")
             return
-        self._places.take(cluster.name)
+        self._places.acquire(cluster.name)
         facts = Facts(cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False)
         call = cluster.pool.submit(context.request, facts, caller, context.deadline, context, context.expected_by)
         if call.caller is not None:  # else it is answered, or another pool has taken over by now
@@ -328,10 +328,10 @@
         """Let the next pool take over where this one has no usable backend and nothing ran; else answer 503."""
         context = _context_of(call)
         cluster, now = context.cluster, self._loop.time()
-        rest = [other for other in context.fallback_clusters if other.standing.usable(now)]
+        rest = [other for other in context.fallback_clusters if other.standing.is_usable(now)]
         stream = context.request.stream
         gone = stream is not None and stream.bound  # a part of its body is not there any more
-        if rest and not gone and not call.may_have_run and not cluster.standing.usable(now) and now < call.deadline:
+        if rest and not gone and not call.may_have_run and not cluster.standing.is_usable(now) and now < call.deadline:
             caller = cluster.pool.release(call)
             context.cluster, *context.fallback_clusters = rest
             if caller is not None:
@@ -355,7 +355,7 @@
     def settled(self, call: Call) -> None:
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         context = _context_of(call)
-        self._places.give(context.cluster.name)
+        self._places.release(context.cluster.name)
         if context.request_class.retry_safety is not RetrySafety.SAFE:
             self.coalescer.record_write(context.tenant)
 
@@ -384,16 +384,16 @@
     return any(source is not None and source.query for source in (forward.key, forward.tenant))
 
 
-def _answer_miss(miss: Miss, caller: Answerable) -> None:
-    if miss.allow:
-        head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allow)).encode()
+def _answer_miss(miss: NoMatch, caller: Answerable) -> None:
+    if miss.allowed_methods:
+        head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allowed_methods)).encode()
         caller.answer(405, head, b"method not allowed\n")
     else:
         caller.answer(404, b"", b"no route\n")
 
 
 def _answer_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
-    to = redirect.to.fill(match.captured).encode()
+    to = redirect.location.fill(match.captured).encode()
     if target.query is not None:
         to += (b"&" if b"?" in to else b"?") + target.query
     caller.answer(redirect.status, b"Location: %b\r\n" % to, b"")
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 from secrets import token_hex
 
-from lugspur.routing.model import Changes, Forward, Source
+from lugspur.routing.model import Forward, HeaderChanges, ValueSource
 from lugspur.routing.table import Match
 from lugspur.routing.target import Target
 from lugspur.seams import Request
@@ -37,7 +37,7 @@
 
 def outgoing(request: Request, target: Target, match: Match, forward: Forward, peer: str, trusts: bool) -> Request:
     """The request as backends see it: by the route's path and header changes, with what a proxy adds."""
-    path = target.bytes
+    path = target.origin_form
     if forward.rewrite is not None:
         path = forward.rewrite.fill(match.captured).encode() or b"/"
         path += b"" if target.query is None else b"?" + target.query
@@ -78,7 +78,7 @@
     return gone if trusts else gone | CLAIMS
 
 
-def changed(head: bytes, changes: Changes) -> bytes:
+def changed(head: bytes, changes: HeaderChanges) -> bytes:
     """An answer's header lines after the route's changes."""
     if not changes.remove:
         return head
@@ -88,7 +88,9 @@
     return b"".join(lines)
 
 
-def drawn(source: Source, headers: Mapping[str, str], query: Mapping[str, str], captured: Mapping[str, str]) -> str:
+def drawn(
+    source: ValueSource, headers: Mapping[str, str], query: Mapping[str, str], captured: Mapping[str, str]
+) -> str:
     """What a tenant's or key's source says for this request; empty where it says nothing."""
     if source.header:
         return headers.get(source.header, "")
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -20,7 +20,7 @@
 from lugspur.http1.intake import Rejected
 from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Request, Response
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
         sockets = max(8, config.sockets - spare)
         self.overrides = EndpointOverrides()
         callers = int(CALLERS_PART * sockets)
-        self._sockets, self._sockets_most = Shares(sockets - callers, {}), sockets - callers
+        self._sockets, self._sockets_most = SharedLimit(sockets - callers, {}), sockets - callers
         connections = Upstream(
             self._sockets,
             "",
@@ -213,17 +213,17 @@
         Both share one budget of sockets and one of requests to cold backends.
         """
         self.pool.balancer.set_superseded(on)
-        self._sockets.reset(self._sockets_most // 2 if on else self._sockets_most, {})
+        self._sockets.set_parts(self._sockets_most // 2 if on else self._sockets_most, {})
 
     def attach_peers(self, peers: PeerProcesses) -> None:
         """Broadcast to peers what binds all processes, and leave half of the sockets to them."""
         self.peers = peers
-        self._sockets.reset(self._sockets_most // 2, {})
+        self._sockets.set_parts(self._sockets_most // 2, {})
 
     def detach_peers(self) -> None:
         """Note that no peer is left, so that all sockets are this process's own."""
         self._peer_request_ids.clear()
-        self._sockets.reset(self._sockets_most, {})
+        self._sockets.set_parts(self._sockets_most, {})
 
     @property
     def arriving(self) -> bool:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -13,7 +13,7 @@
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import key_of, told_of
 from lugspur.joining.sharing import depends, worded_for
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
 
 if TYPE_CHECKING:
@@ -104,7 +104,7 @@
         if self._stream_receiver is not None:
             write(self._stream_receiver)
             return
-        context, join = self.context, self.context.forward.join
+        context, join = self.context, self.context.forward.coalescing
         assert join is not None
         if context.ending is Ending.REJECTED:
             self._coalescer.reject_call(self.number, write)
@@ -160,7 +160,9 @@
         self.desk.most = max_waiting
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
-    def coalesce(self, came: Request, context: RequestContext, route: Hashable, join: Join, caller: Answerable) -> None:
+    def coalesce(
+        self, came: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Answerable
+    ) -> None:
         """Share a call with equal reads where that is possible; `came` is the request as received, before routing."""
         form = context.request.form
         bound = form is not None and form.bound
@@ -177,7 +179,7 @@
                 self._loop.time(),
                 waiting.number,
                 key,
-                join.within,
+                join.max_age_seconds,
                 tenant,
                 context.deadline,
                 told_of(came, tenant, join),
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -17,7 +17,7 @@
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Lane, Response
 
 ANSWER_MOST = 1 << 20  # bytes of an answer that is held whole, where nothing else is said
@@ -572,7 +572,7 @@
 
     def __init__(
         self,
-        sockets: Shares,
+        sockets: SharedLimit,
         name: str,
         conn_idle: float,
         dial_timeout: float,
@@ -650,13 +650,13 @@
                 self._transmit(exchange, connection)
                 return
             connection.abandon()
-        if not self._sockets.fits(self._name):
+        if not self._sockets.can_acquire(self._name):
             # Guards the limit on sockets: idle ones make room, else it never ran and may go elsewhere.
             if not self._idle:
                 self._loop.call_soon(exchange.end, Outcome.UNREACHABLE)
                 return
             self._drop(next(iter(self._idle)))
-        self._sockets.take(self._name)
+        self._sockets.acquire(self._name)
         exchange.dial = Dial(self, exchange, exchange.backend, self._dial_timeout)
 
     def connected(self, exchange: Exchange, sock: socket.socket) -> None:
@@ -674,7 +674,7 @@
 
     def undone(self) -> None:
         """A dial needs no socket any more."""
-        self._sockets.give(self._name)
+        self._sockets.release(self._name)
 
     def _transmit(self, exchange: Exchange, connection: Connection) -> None:
         """Write the first byte, if the attempt still may go out."""
@@ -723,7 +723,7 @@
 
     def sockets(self) -> int:
         """How many connections are up or being made."""
-        return self._sockets.used(self._name)
+        return self._sockets.held_by(self._name)
 
     def now(self) -> float:
         """The loop's time."""
@@ -731,7 +731,7 @@
 
     def lost(self, connection: Connection) -> None:
         """A connection has ended."""
-        self._sockets.give(self._name)
+        self._sockets.release(self._name)
         self._forget(connection)
 
     def _forget(self, connection: Connection) -> None:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -31,7 +31,7 @@
 from lugspur.http2.wire import Wire
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
-from lugspur.routing.shares import Shares
+from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Listed, Request, Response, Watcher
 
 LINKS_MOST = 4  # connections to one box: one core of a box rarely serves more than one at full speed
@@ -551,7 +551,7 @@
 class Streams:
     """All connections to one pool's gRPC boxes, within that pool's share of the sockets: its lane."""
 
-    def __init__(self, sockets: Shares, name: str, judge: Judge, dialled: Callable[[int, bool], None]) -> None:
+    def __init__(self, sockets: SharedLimit, name: str, judge: Judge, dialled: Callable[[int, bool], None]) -> None:
         self._sockets, self._name, self._dialled = sockets, name, dialled
         self._loop = asyncio.get_running_loop()
         self.judge = judge
@@ -617,9 +617,9 @@
         if best is not None and best.load() < SPREAD:
             return best
         staying = sum(not link.leaving for link in box.links)
-        if staying >= LINKS_MOST or not self._sockets.fits(self._name):
+        if staying >= LINKS_MOST or not self._sockets.can_acquire(self._name):
             return best
-        self._sockets.take(self._name)
+        self._sockets.acquire(self._name)
         link = Link(self, box)
         box.links.append(link)
         return link
@@ -655,7 +655,7 @@
 
     def lost(self, link: Link) -> None:
         """A connection has ended."""
-        self._sockets.give(self._name)
+        self._sockets.release(self._name)
         link.box.links.remove(link)
         if link.blamed:
             self.reached(link.box.backend, False)
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 
 from lugspur.joining.keys import OF_ONE_TRY, TENANT, directives
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 
 #: By what an answer differs among those who asked alike: nothing, some header names, or None: it is one caller's.
 Depends = frozenset[bytes] | None
@@ -28,7 +28,7 @@
         yield name.strip().lower(), value.strip()
 
 
-def depends(status: int, head: bytes, join: Join, trailers: bytes = b"") -> Depends:
+def depends(status: int, head: bytes, join: CoalescingPolicy, trailers: bytes = b"") -> Depends:
     """By what an answer with these header lines differs among those whose reads were the same."""
     names = {TENANT} if status in OF_THE_CALLER else set()
     for name, value in fields_of(head + trailers):
@@ -40,7 +40,7 @@
             wanted = {word.strip().lower() for word in value.split(b",")}
             if b"*" in wanted or wanted & OF_ONE_TRY:
                 return NOBODY
-            names |= wanted & join.ignored  # the others are the same anyway
+            names |= wanted & join.ignored_headers  # the others are the same anyway
     return frozenset(names)
 
 
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -11,7 +11,7 @@
 from daemonic import answer, ask, backend, fields, pool, route, served, until
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, entry, soon, status, watches
 
-from lugspur.routing.splits import by_key
+from lugspur.routing.splits import order_by_key
 
 BOTH = 'pool = "a"\nfallback = ["b"]\n'
 BOOK, READ = route("book", "/book", BOTH + 'class = "book"'), route("read", "/read", BOTH + 'class = "read"')
@@ -28,7 +28,7 @@
                     assert status(await client.ask(ask("POST", path, b"x"))) == 200
                 assert two.got.qsize() == 4
                 await until(lambda: up.in_hand() == 0)
-                assert up.daemon._places.used("a") == up.daemon._places.used("b") == 0
+                assert up.daemon._places.held_by("a") == up.daemon._places.held_by("b") == 0
 
     asyncio.run(play())
 
@@ -49,14 +49,14 @@
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 1
                 tell(entry)
-                await until(lambda: not up.daemon.clusters["a"].standing.empty())
+                await until(lambda: not up.daemon.clusters["a"].standing.is_empty())
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and one.got.qsize() == 1
                 tell(*([entry | {"status": "terminating"}] if left == "drained" else []))
-                await until(up.daemon.clusters["a"].standing.empty)
+                await until(up.daemon.clusters["a"].standing.is_empty)
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 2
                 listed.write_text("{ not a list")
                 tell(entry)
-                await until(lambda: not up.daemon.clusters["a"].standing.empty())
+                await until(lambda: not up.daemon.clusters["a"].standing.is_empty())
 
     asyncio.run(play())
 
@@ -87,7 +87,7 @@
                 await soon(one.got.get())
                 cluster = up.daemon.clusters["a"]
                 for server in cluster.pool.backends:
-                    cluster.standing.unreachable(asyncio.get_running_loop().time(), server)
+                    cluster.standing.mark_unreachable(asyncio.get_running_loop().time(), server)
                 one.open[0].close()
                 assert status(await client.answer()) == expected and two.got.empty()
 
@@ -129,20 +129,20 @@
                 hung = [await up.client() for _ in range(36)]  # of 40 callers
                 for client in hung[:30]:
                     client.writer.write(ask(target="/hung"))
-                await until(lambda: daemon._places.used("a") == 30)  # its own 10, and all that is nobody's
+                await until(lambda: daemon._places.held_by("a") == 30)  # its own 10, and all that is nobody's
                 for client in hung[30:]:
                     turned = await client.ask(ask(target="/hung"))
                     assert status(turned) == 503 and fields(turned)["retry-after"] == "1"
                     assert turned.endswith(b"no place\n")  # and not the module's word: that comes on top
-                assert daemon._sockets.used("a") <= 30
+                assert daemon._sockets.held_by("a") <= 30
                 well = [await up.client() for _ in range(8)]
                 for _ in range(5):
                     got = await asyncio.gather(*(client.ask(ask(target="/well")) for client in well))
                     assert [status(one) for one in got] == [200] * 8
-                assert daemon._sockets.used("b") >= 1 and two.got.qsize() == 40
+                assert daemon._sockets.held_by("b") >= 1 and two.got.qsize() == 40
                 for client in hung:
                     client.writer.close()
-                await until(lambda: daemon._places.used("a") == daemon._sockets.used("a") == 0)
+                await until(lambda: daemon._places.held_by("a") == daemon._sockets.held_by("a") == 0)
 
     asyncio.run(play())
 
@@ -174,7 +174,9 @@
                         await up.reload(pools + split(weight))
                         for number in range(30):
                             got = await clients[3].ask(ask(target=f"/key-{number}"))
-                            wanted = by_key([("a", 100.0 - weight), ("b", float(weight))], f"key-{number}".encode())
+                            wanted = order_by_key(
+                                [("a", 100.0 - weight), ("b", float(weight))], f"key-{number}".encode()
+                            )
                             assert got[-1:].decode() == wanted[0]
                     stop.set()
                 assert seen["a"] > seen["b"] > 0
@@ -187,7 +189,7 @@
 
     async def play() -> None:
         async with backend(lambda _: answer(b"b")) as two:
-            key = next(k for k in map(str, range(99)) if by_key([("a", 50.0), ("b", 50.0)], k.encode())[0] == "a")
+            key = next(k for k in map(str, range(99)) if order_by_key([("a", 50.0), ("b", 50.0)], k.encode())[0] == "a")
             async with served(pool("a", GONE) + pool("b", two.address) + text) as up:
                 client = await up.client()
                 assert (await client.ask(ask(target=f"/{key}"))).endswith(b"b")
@@ -209,10 +211,10 @@
                 assert status(await client.ask(ask())) == 503
                 discovery.say(3, [entry("one", one.address)], snapshot=True)
                 standing = up.daemon.clusters["a"].standing
-                await until(lambda: not standing.empty())
+                await until(lambda: not standing.is_empty())
                 assert status(await client.ask(ask())) == 200
                 discovery.say(4, [entry("one", one.address, "terminating")])
-                await until(standing.empty)
+                await until(standing.is_empty)
                 assert status(await client.ask(ask())) == 503 and one.got.qsize() == 1
             await soon(discovery.ended.get())  # a daemon that ends lets go of its watch
 
@@ -227,7 +229,7 @@
                 await soon(discovery.asked.get())
                 discovery.say(3, [entry("one", GONE)], snapshot=True)
                 standing = up.daemon.clusters["a"].standing
-                await until(lambda: not standing.empty())
+                await until(lambda: not standing.is_empty())
                 await up.reload(pool("a", one.address) + way)
                 await soon(discovery.ended.get())
                 client = await up.client()
@@ -243,7 +245,7 @@
             async with served('[pools.a]\nfile = "a.json"\n' + route("r", "/", 'pool = "a"')) as up:
                 listed, standing = up.file.with_name("a.json"), up.daemon.clusters["a"].standing
                 listed.write_text(json.dumps({"endpoints": [entry("one", one.address)]}))
-                await until(lambda: not standing.empty())
+                await until(lambda: not standing.is_empty())
                 assert capsys.readouterr().err.count("\n") == 1  # that there was none at first
                 for odd in ("[]", '{"endpoints": [{"name": "x"}]}', '{"endpoints": 7}', "\x00"):
                     said = len(capsys.readouterr().err)
@@ -255,7 +257,7 @@
                         )
                     )
                     assert said == 0 and "the last list stays" in "".join(complaints)
-                    assert not standing.empty()
+                    assert not standing.is_empty()
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
 
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -17,7 +17,7 @@
 from lugspur.daemon import load_signals
 from lugspur.daemon.load_signals import LoadSignals, TimedEventLoop, TimedSelector
 from lugspur.guard import limiter
-from lugspur.guard.limiter import REST, WINDOW, Limiter, Sample
+from lugspur.guard.limiter import READ_PAUSE_SECONDS, WINDOW, Limiter, Sample
 
 GUARDED = HEAD.replace("[classes.read]", "[guard]\non = true\n[classes.cheap]\nworth = 0.1\n[classes.read]")
 ROUTES = (
@@ -49,7 +49,7 @@
     protection.close()  # no sample comes between
     protection.signals._next_sample_at = float("inf")
     for level in protection.limiter._levels:
-        if not cheap or level.worth < 1.0:
+        if not cheap or level.value < 1.0:
             level.share = [0.0] * len(level.share)
 
 
@@ -66,7 +66,7 @@
         await up.reload(text, GUARDED.replace("worth = 0.1", "worth = 0.2"))
         assert (
             up.daemon.overload_protection is protection
-            and min(level.worth for level in protection.limiter._levels) == 0.2
+            and min(level.value for level in protection.limiter._levels) == 0.2
         )
         await up.reload(text, GUARDED.replace("on = true", "on = false"))
         assert up.daemon.overload_protection is None and status(await client.ask(ask())) == 200
@@ -80,7 +80,7 @@
         client, dear = await up.client(), await up.client()
         got = await client.ask(ask(target="/cheap"))
         assert status(got) == 503 and fields(got)["retry-after"] == "1" and got.endswith(b"too busy\n")
-        assert one.got.empty() and up.in_hand() == 0 and up.daemon._places.used("a") == 0
+        assert one.got.empty() and up.in_hand() == 0 and up.daemon._places.held_by("a") == 0
         assert status(await dear.ask(ask("POST", "/book", b"x"))) == 200 == status(await dear.ask(ask()))
         assert status(await client.ask(ask("POST", "/book", b"x"))) == 200  # the connection lives, after a rest
 
@@ -97,7 +97,7 @@
         begun = loop.time()
         for _ in range(3):
             await client.ask(ask(target="/cheap"))
-        assert loop.time() - begun >= 2.0 * REST and protection.limiter.turned == 3
+        assert loop.time() - begun >= 2.0 * READ_PAUSE_SECONDS and protection.limiter.rejected_count == 3
         await client.ask(ask(target="/cheap"))
         client.writer.transport.abort()  # gone while it is not heard: no harm
         front = up.running.listeners["main"][0]
@@ -109,7 +109,7 @@
 
 
 def test_bytes_of_a_paused_caller_keep_their_arrival_time_and_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limiter, "REST_MOST", 3.0)  # on a slow machine what is sent meanwhile comes later
+    monkeypatch.setattr(limiter, "MAX_READ_PAUSE_SECONDS", 3.0)  # on a slow machine what is sent meanwhile comes later
 
     async def body(up: Served, one: Backend) -> None:
         turn_away(up, cheap=True)
@@ -132,7 +132,7 @@
 
 
 def test_no_bytes_of_a_paused_caller_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limiter, "REST_MOST", 3.0)  # on a slow machine what is sent meanwhile comes later
+    monkeypatch.setattr(limiter, "MAX_READ_PAUSE_SECONDS", 3.0)  # on a slow machine what is sent meanwhile comes later
 
     async def body(up: Served, one: Backend) -> None:
         turn_away(up, cheap=True)
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -10,21 +10,21 @@
 
 from lugspur.joining.keys import BODY_MOST, OF_ONE_TRY, TENANT, key_of, told_of
 from lugspur.joining.sharing import EVERYONE, NOBODY, Depends, depends, worded_for
-from lugspur.routing.model import Join
+from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
-JOIN = Join(0.1, frozenset({b"user-agent", b"x-agency"}), True)
+JOIN = CoalescingPolicy(0.1, frozenset({b"user-agent", b"x-agency"}), True)
 
 
 def request(headers: dict[bytes, bytes] | None = None, body: bytes = b"", target: bytes = b"/h/1") -> Request:
     return Request(b"GET", target, {b"host": b"h.example"} | (headers or {}), [], body, 0.0, True)
 
 
-def key(one: Request, tenant: str = "a", join: Join = JOIN, route: Hashable = "r") -> Hashable | None:
+def key(one: Request, tenant: str = "a", join: CoalescingPolicy = JOIN, route: Hashable = "r") -> Hashable | None:
     return key_of(one, one, route, tenant, join)
 
 
-@pytest.mark.parametrize("name", sorted(OF_ONE_TRY | JOIN.ignored))
+@pytest.mark.parametrize("name", sorted(OF_ONE_TRY | JOIN.ignored_headers))
 def test_what_names_a_try_or_is_ignored_makes_no_other_read(name: bytes) -> None:
     assert key(request({name: b"1"})) == key(request({name: b"2"})) == key(request())
 
@@ -59,7 +59,7 @@
 
 
 def test_tenants_share_only_where_the_file_says_so() -> None:
-    within = Join(0.1, frozenset())
+    within = CoalescingPolicy(0.1, frozenset())
     assert key(request(), "a") == key(request(), "b")
     assert key(request(), "a", within) != key(request(), "b", within)
 
@@ -124,7 +124,7 @@
 @given(st.binary(max_size=200), st.integers(200, 599))
 def test_no_header_lines_break_it(head: bytes, status: int) -> None:
     found = depends(status, head, JOIN)
-    assert found is None or found <= JOIN.ignored | {TENANT}
+    assert found is None or found <= JOIN.ignored_headers | {TENANT}
 
 
 def test_a_request_id_in_an_answer_is_each_callers_own() -> None:
