--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -1,13 +1,14 @@
-"""One control node's state, without I/O: the register, the voters that it names, and reservations of idempotency keys.
+"""The state of one control node, without I/O: the register, the current membership and idempotency key reservations.
 
-Every method takes inputs and returns what to send at once, what to write, and what to send once that is on disk.
-Nothing is promised before it is synced.
+Every method takes inputs and returns the messages to send at once, the rows to write, and the messages to send once
+those rows are on disk. A promise, an acceptance or a grant is sent only after it has been synced.
 
-Reservations are granted by the majority of one epoch's voters. A voter grants while it is *complete*: it holds every
-reservation that may have been acquired from the voters of earlier epochs. A voter of two consecutive epochs stays
-complete; a new one becomes complete by reading the reservations of a majority of the epoch before
-(`reservation_catch_up`), or once it has been a voter for longer than any reservation lasts. Accepting a change of the
-voters ends granting in the present epoch, so that nothing is acquired there after that change has been decided.
+A reservation is granted by a majority of the voters of one epoch. A voter grants reservations while it is *complete*,
+that is, while it holds every reservation that may have been acquired from the voters of earlier epochs. A voter of two
+consecutive epochs stays complete. A new voter becomes complete by reading the reservations of a majority of the
+previous epoch's voters (`reservation_catch_up`), or once it has been a voter for longer than any reservation lasts. A
+voter that accepts a change of the membership stops granting in the current epoch, so that no reservation is acquired
+there after that change has been decided.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 from lugspur.mesh.control.reservation_table import ReservationTable
 from lugspur.mesh.control.store import EntryKey
 
-GENESIS = "genesis"  # the uid of a voter of the first membership
+GENESIS = "genesis"  # the disk uid of each voter of the first membership
 UID_ROW, COMPLETE_ROW = b"muid", b"mcomplete"
 
 _pack = msgspec.msgpack.Encoder().encode
@@ -52,8 +53,9 @@
 class Replica:
     """The state of one control node.
 
-    `window`: seconds in which the operation of a key runs once; `memory`: bytes that the process may use; `publish` is
-    called with entries that were decided, and with the keys of entries that were forgotten without a withdrawal.
+    `window`: seconds during which the operation of a key runs at most once; `memory`: bytes that the process may use;
+    `publish` is called with the entries that were decided, and with the keys of the entries that were dropped without a
+    withdrawal.
     """
 
     def __init__(
@@ -69,14 +71,14 @@
         self.register = Register()
         self.reservations = ReservationTable(window, memory)
         self.membership: Membership | None = None
-        self.complete_epoch = 0  # the latest epoch for which it holds all reservations that a voter must hold
-        self.epoch_since = 0.0  # when it learned the present epoch
+        self.complete_epoch = 0  # the latest epoch for which this replica holds all reservations that a voter must hold
+        self.epoch_since = 0.0  # the time at which this replica learned the current epoch
         self._publish = publish
 
     # ---- start ---------------------------------------------------------------------------
 
     def begin(self, now: float, seeds: Iterable[Voter]) -> Effects:
-        """Start a new mesh: the seeds are the voters, and there is nothing to catch up with."""
+        """Bootstrap a new mesh: the seeds become the voters, and no earlier state has to be read."""
         first = Membership(1, sorted(seeds, key=lambda voter: voter.ip))
         self.complete_epoch = 1 if self._votes_in(first) else 0
         effects = self._apply(now, self.register.decide(Change(GENESIS, [membership_entry(first)])))
@@ -84,7 +86,7 @@
         return effects
 
     def restore(self, rows: list[tuple[bytes, bytes]], now: float) -> None:
-        """Load what is on disk."""
+        """Load the state from the rows on disk."""
         self.register.restore(rows)
         self.reservations.restore(rows, now)
         for key, value in rows:
@@ -102,12 +104,12 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch of the membership that it knows, 0 before any."""
+        """The epoch of the membership that this replica knows, 0 before it knows one."""
         return 0 if self.membership is None else self.membership.epoch
 
     @property
     def index(self) -> int:
-        """The index of the latest change that it knows as decided."""
+        """The index of the latest change that this replica knows to be decided."""
         return self.register.index
 
     def _votes_in(self, membership: Membership) -> bool:
@@ -115,25 +117,26 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica, with this disk, has a vote."""
+        """Whether this replica, with its current disk, has a vote."""
         return self.membership is not None and self._votes_in(self.membership)
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has a vote and holds all reservations that a voter must hold."""
+        """Whether this replica has a vote and holds all reservations that a voter must hold."""
         return self.is_voter and self.complete_epoch == self.epoch
 
     @property
     def was_voter(self) -> bool:
-        """Whether this replica, with this disk, had a vote in the epoch before."""
+        """Whether this replica, with its current disk, had a vote in the previous epoch."""
         previous = [] if self.membership is None else self.membership.previous_voters
         return any((v.ip, v.uid) == (self.voter.ip, self.voter.uid) for v in previous)
 
     @property
     def was_complete(self) -> bool:
-        """Whether it was complete in the epoch before, by what is on its disk.
+        """Whether this replica was complete in the previous epoch, according to its disk.
 
-        If not, it has granted nothing in that epoch: a grant is sent once it is on disk, and the epoch before that.
+        If it was not, it granted nothing in that epoch: the epoch is written to disk before the grant, and the grant is
+        sent only once it is on disk.
         """
         return self.was_voter and self.complete_epoch >= self.epoch - 1
 
@@ -157,10 +160,10 @@
             return self._catch_up(peer, message)
         if isinstance(message, FetchReservations):
             return self._fetch_reservations(now, peer, message)
-        return Effects()  # not a message to a replica
+        return Effects()  # replicas don't handle messages of other types
 
     def sweep(self, now: float) -> Effects:
-        """End reservations whose window is over, and become complete after more time than any lasts."""
+        """Drop expired reservations, and become complete once every reservation of earlier epochs has expired."""
         effects = self.reservations.sweep(now)
         if self.is_voter and not self.is_complete and now - self.epoch_since > self.reservations.retention_seconds:
             effects.add(self._become_complete())
@@ -169,11 +172,11 @@
     # ---- the register --------------------------------------------------------------------
 
     def decide(self, now: float, change: Change) -> Effects:
-        """Put the next change into force."""
+        """Apply the next change, which has been decided."""
         return self._apply(now, self.register.decide(change))
 
     def learn(self, now: float, pages: list[Learn]) -> Effects:
-        """Put into force what others know as decided."""
+        """Apply decided state that another replica has sent."""
         return self._apply(now, self.register.learn(pages))
 
     def _apply(self, now: float, applied: Applied) -> Effects:
@@ -187,22 +190,22 @@
         return effects
 
     def _take_up(self, now: float, membership: Membership) -> None:
-        """Take up a membership. A replica stays complete only from one epoch to the very next one."""
-        self._check_step(membership)
-        follows = self.is_complete and membership.epoch == self.epoch + 1
+        """Make a membership the current one. A replica stays complete only from one epoch to the very next one."""
+        self._check_transition(membership)
+        stays_complete = self.is_complete and membership.epoch == self.epoch + 1
         self.membership = membership
         self.epoch_since = now
-        if follows and self.is_voter:
+        if stays_complete and self.is_voter:
             self.complete_epoch = membership.epoch
 
-    def _check_step(self, membership: Membership) -> None:
-        """Check what must hold before a membership is taken up; epochs between may not have been seen here."""
+    def _check_transition(self, membership: Membership) -> None:
+        """Check the invariants of a transition to a membership; this replica may have missed epochs in between."""
         check(membership.epoch > self.epoch, Invariant.EPOCHS_RISE, epoch=membership.epoch, standing=self.epoch)
         if self.membership is None or membership.epoch != self.epoch + 1:
             return
         before, after = set(self.membership.voters), set(membership.voters)
-        differ = max(len(before - after), len(after - before))
-        check(differ <= 1, Invariant.ONE_VOTER_AT_A_TIME, epoch=membership.epoch, differ=differ)
+        changed_voters = max(len(before - after), len(after - before))
+        check(changed_voters <= 1, Invariant.ONE_VOTER_AT_A_TIME, epoch=membership.epoch, differ=changed_voters)
 
     def _catch_up(self, peer: Peer, message: FetchDecided) -> Effects:
         if message.after_index >= self.index:
@@ -213,7 +216,7 @@
 
     @property
     def grants_reservations(self) -> bool:
-        """Whether it grants reservations: not while a change of the voters that it has accepted may be decided."""
+        """Whether this replica is complete and has accepted no change of the membership, which may be decided."""
         change = self.register.accepted_change
         return self.is_complete and (change is None or all(entry.kind != MEMBERSHIP for entry in change.entries))
 
@@ -223,7 +226,7 @@
         return self.reservations.reserve(now, peer, message, self.epoch)
 
     def _fetch_reservations(self, now: float, peer: Peer, message: FetchReservations) -> Effects:
-        """Send all reservations to a new voter; this one knows the new epoch, and grants nothing in an older one."""
+        """Send all reservations to a new voter, once this replica knows the new epoch and grants none in older ones."""
         if message.epoch > self.epoch:
             return Effects(send=[(peer, FetchDecided(self.index))])
         if message.epoch != self.epoch or not self.was_voter:
@@ -235,7 +238,7 @@
         return Effects(write=[(COMPLETE_ROW, _pack(self.complete_epoch))], after_sync=pages)
 
     def take_reservations(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
-        """Take in all reservations of the epochs before (see `reservation_catch_up`) and become complete."""
+        """Merge all reservations of earlier epochs (see `reservation_catch_up`) and become complete."""
         if not self.is_voter or self.is_complete:
             return Effects()
         effects = Effects()
