--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -1,11 +1,11 @@
-"""The proposer of the register, without I/O: one proposal at a time, for all change requests that wait.
-
-A proposal is one of single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2). In its first phase (prepare)
-a majority promises to accept nothing lower, and says what it has accepted. If anything was accepted, it may be decided
-already, and the value of the highest such proposal is proposed again. If nothing was, the state that this replica knows
-is the latest decided one: the waiting requests are checked against it, and those that take effect are proposed together
-in the second phase (accept). A request is refused only by a state that is known to be the latest, and never once it has
-been proposed without a known outcome.
+"""The proposer of the register, without I/O: it makes one proposal at a time for all waiting change requests.
+
+A proposal follows single-decree Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2). In the first phase (prepare) a
+majority promises to accept no lower proposal, and reports the proposals that it has accepted. If any was accepted, its
+value may be decided already, and the value of the highest such proposal is proposed again. If none was, the state of
+this replica is the latest decided one: the waiting requests are checked against it, and those that take effect are
+proposed together in the second phase (accept). A request is rejected only on the basis of a state that is known to be
+the latest, and never after it has been proposed without a known outcome.
 """
 
 from __future__ import annotations
@@ -34,15 +34,20 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
-ROUND_TIMEOUT_SECONDS = 0.3  # of one phase of a proposal: then it is given up for another one...
-MAX_ROUND_TIMEOUT_SECONDS = 2.0  # ...that is given more time, up to this
-BACKOFF_SECONDS = 0.02  # before the next proposal after a conflict with a competitor, times a random 0.5 to 1.5...
-MAX_BACKOFF_SECONDS = 0.16  # ...and doubled with each conflict up to this
-MAX_CATCH_UPS_PER_VOTER = 3  # how often a proposal sends one voter what it lacks
+#: Initial timeout of one phase of a proposal, after which the proposal is abandoned and a new one is made.
+ROUND_TIMEOUT_SECONDS = 0.3
+#: Upper bound of the phase timeout, which grows with each consecutive proposal without a decision.
+MAX_ROUND_TIMEOUT_SECONDS = 2.0
+#: Delay before the next proposal after a conflict with a competing proposer, multiplied by a random 0.5 to 1.5.
+BACKOFF_SECONDS = 0.02
+#: Upper bound of the backoff delay, which doubles with each conflict.
+MAX_BACKOFF_SECONDS = 0.16
+#: Number of times that one proposal sends a lagging voter the changes that it lacks.
+MAX_CATCH_UPS_PER_VOTER = 3
 
 
 class Phase(Enum):
-    """What a proposal waits for: promises or acceptances."""
+    """The phase of a proposal: it waits for promises or for acceptances."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
@@ -50,7 +55,7 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """One proposal for one index; only the voters of the membership that it began with count."""
+    """One proposal for one index; only replies of the voters of the membership at its start count."""
 
     index: int
     number: ProposalNumber
@@ -64,29 +69,29 @@
 
     @property
     def majority(self) -> int:
-        """How many voters decide."""
+        """The number of voters that form a majority."""
         return majority(len(self.voters))
 
 
 class Proposer:
-    """The proposals of one control node. `identity` names the process and its incarnation, and is unique among all."""
+    """The proposer of one control node. `identity` names the process and its incarnation, and is unique in the mesh."""
 
     def __init__(
         self, replica: Replica, identity: str, rng: Random, disk_sizes: Callable[[], Iterable[int]] = tuple
     ) -> None:
-        """`disk_sizes`: bytes that each control node's disk stores, 0 where that is not known."""
+        """`disk_sizes`: the capacity of each control node's disk in bytes, 0 where it is unknown."""
         self._replica = replica
         self._disk_sizes = disk_sizes
         self._identity = identity
         self._rng = rng
         self._requests: list[ChangeRequest] = []
         self._proposal: Proposal | None = None
-        self._number = 0  # the highest number of a proposal that was used or seen
-        self._changes = 0
+        self._number = 0  # the highest proposal number that was used or seen
+        self._changes = 0  # numbers the ids of changes
         self._proposals = 0
         self._failures = 0  # consecutive proposals without a decision
-        self._not_before = 0.0
-        self._has_pending = False  # a voter has accepted a change that is to be decided or ruled out
+        self._not_before = 0.0  # the time before which no proposal is made
+        self._has_pending = False  # whether a voter has accepted a change that has to be decided or ruled out
 
     def __len__(self) -> int:
         return len(self._requests)
@@ -99,13 +104,13 @@
     # ---- inputs --------------------------------------------------------------------------
 
     def submit(self, now: float, request: ChangeRequest) -> Effects:
-        """Have a request decided."""
+        """Add a request to the next proposal."""
         request.submitted_after = self._proposals
         self._requests.append(request)
         return self._start(now)
 
     def withdraw(self, request: ChangeRequest) -> None:
-        """Forget a request that nobody waits for any more, unless it has been proposed."""
+        """Drop a request whose caller has left, unless it has been proposed."""
         if request in self._requests and not request.was_proposed:
             self._requests.remove(request)
 
@@ -115,7 +120,7 @@
         return self._start(now)
 
     def replica_advanced(self, now: float) -> Effects:
-        """Give up a proposal for an index that the replica has learned to be decided, and begin anew."""
+        """Abandon a proposal for an index that the replica has learned to be decided, and start a new one."""
         proposal = self._proposal
         if proposal is not None and proposal.index <= self._replica.index:
             self._proposal = None
@@ -123,7 +128,7 @@
         return self._start(now)
 
     def tick(self, now: float) -> Effects:
-        """End requests and proposals whose time is up, and begin the proposal that is due."""
+        """End expired requests and timed-out proposals, and start the next proposal if one is due."""
         self._expire(now)
         if self._proposal is not None and now >= self._proposal.deadline:
             self._proposal = None
@@ -131,14 +136,14 @@
         return self._start(now)
 
     def receive(self, now: float, ip: str, message: Promise | Accepted) -> Effects:
-        """Process a voter's answer to Prepare or Accept."""
+        """Process a voter's reply to Prepare or Accept."""
         proposal = self._proposal
         if proposal is None or (message.index, message.proposal) != (proposal.index, proposal.number):
             return Effects()
         if ip not in proposal.voters or proposal.index != self._replica.index + 1:
             return Effects()
         if not message.is_granted:
-            return self._on_refusal(now, ip, proposal, message)
+            return self._on_rejection(now, ip, proposal, message)
         if isinstance(message, Promise):
             return self._on_promise(now, ip, proposal, message)
         return self._on_accepted(now, ip, proposal)
@@ -159,11 +164,11 @@
         self._proposal = Proposal(index, number, voters, now + self._round_timeout())
         return Effects(send=[(ip, Prepare(index, number)) for ip in sorted(voters)])
 
-    def _on_refusal(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
+    def _on_rejection(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
         self._number = max(self._number, message.promised.number)
-        if message.decided_index >= proposal.index:  # the voter knows more changes
+        if message.decided_index >= proposal.index:  # the voter knows later decided changes
             return Effects(send=[(ip, FetchDecided(self._replica.index))])
-        if message.promised > proposal.number:  # the voter has promised a competitor
+        if message.promised > proposal.number:  # the voter has promised a higher proposal
             self._proposal = None
             self._back_off(now)
             return Effects()
@@ -182,24 +187,26 @@
         proposal.promises[ip] = message
         if proposal.phase is not Phase.PREPARE or len(proposal.promises) < proposal.majority:
             return Effects()
-        self._expire(now)  # so that nothing is proposed that nobody waits for, as after a freeze
+        self._expire(
+            now
+        )  # guards against proposing requests that have expired, for example while the process was frozen
         proposal.change = self._highest_accepted(proposal) or self._evaluate_requests()
         if proposal.change is None and self._has_pending:
-            # A value that only a minority has accepted is ruled out for good: an empty change takes its index.
+            # An empty change takes the index, so that a value that only a minority has accepted can't be decided there.
             proposal.change = Change(f"{self._identity}:{self._changes}", [])
         self._has_pending = False
         if proposal.change is None:
             self._proposal = None
             self._failures = 0
-            return self._start(now)  # for requests that came meanwhile
+            return self._start(now)  # for requests that were submitted in the meantime
         proposal.phase = Phase.ACCEPT
-        proposal.deadline = now + self._round_timeout()  # for a second write to slow disks
+        proposal.deadline = now + self._round_timeout()  # slow disks need time for a second write
         accept = Accept(proposal.index, proposal.number, proposal.change)
         return Effects(send=[(voter, accept) for voter in sorted(proposal.voters)])
 
     @staticmethod
     def _highest_accepted(proposal: Proposal) -> Change | None:
-        """The value of the highest accepted proposal among the promises: it may be decided and is proposed again."""
+        """Return the value of the highest accepted proposal among the promises, which may be decided already."""
         highest: Promise | None = None
         for promise in proposal.promises.values():
             if promise.accepted is None:
@@ -211,25 +218,26 @@
     # ---- evaluation of requests -------------------------------------------------------------
 
     def _evaluate_requests(self) -> Change | None:
-        """Answer the requests that the latest state answers, and put those that take effect into one change."""
+        """End the requests whose outcome follows from the latest state, and combine the others in one change."""
         self._changes += 1
         batch = ChangeBatch(f"{self._identity}:{self._changes}", self._replica.register, self._disk_sizes)
         for request in self._requests[:]:
             if request.base_epoch is None:
                 self._evaluate(request, batch)
             elif request.base_epoch != self._replica.epoch:
-                self._end(request, NoQuorum())  # another change of the voters came first
-            elif batch.is_empty:  # a change of the voters is proposed alone
+                self._end(request, NoQuorum())  # another membership change was decided first
+            elif batch.is_empty:  # a membership change is proposed alone
                 self._mark_proposed(request, batch.change_id)
                 return Change(batch.change_id, request.entries)
         return batch.change()
 
     def _evaluate(self, request: ChangeRequest, batch: ChangeBatch) -> None:
-        """Add a request to the batch, or end it where the latest state already gives its outcome."""
+        """Add a request to the batch, or end it if its outcome follows from the latest state."""
         try:
             effective = batch.effective_entries(request)
         except MeshError as error:
-            # Guards against a state that was the latest when voters promised, before this request came.
+            # Guards against an outdated state: voters that promised before this request was submitted vouch only for
+            # what was decided until then.
             if request.submitted_after < self._proposals:
                 self._end(request, Refused(error))
             return
@@ -254,12 +262,12 @@
             return Effects()
         self._proposal = None
         self._failures = 0
-        since = self._replica.index
+        previous_index = self._replica.index
         effects = self._replica.decide(now, proposal.change)
-        pages = self._replica.register.pages_after(since)
+        pages = self._replica.register.pages_after(previous_index)
         for voter in sorted(proposal.voters - {self._replica.voter.ip}):
             effects.send += [(voter, page) for page in pages]
-        for request in [o for o in self._requests if o.change_id == proposal.change.id]:
+        for request in [r for r in self._requests if r.change_id == proposal.change.id]:
             self._end(request, Confirmed())
         effects.add(self._start(now))
         return effects
@@ -276,7 +284,7 @@
         request.on_outcome(outcome)
 
     def _is_in_force(self, entry: Entry) -> bool:
-        """Whether an entry, or a later one of its name, is decided; a withdrawal may be forgotten by now."""
+        """Whether an entry or a later one of the same name is decided; a withdrawal may have been pruned by now."""
         item = self._replica.register.items.get((entry.kind, entry.name))
         if item is None:
             return entry.value is None
@@ -287,11 +295,11 @@
             self._end(request, Unclear() if request.was_proposed else NoQuorum())
 
     def _round_timeout(self) -> float:
-        """Seconds for one phase: more after each proposal without a decision, since voters' disks may be slow."""
+        """Return the timeout of one phase; it grows with each failed proposal, since the voters' disks may be slow."""
         return min(MAX_ROUND_TIMEOUT_SECONDS, ROUND_TIMEOUT_SECONDS * 1.5**self._failures)
 
     def _back_off(self, now: float) -> None:
-        """Wait for a random while: competing proposers would keep each other from deciding anything."""
+        """Delay the next proposal by a random time, since competing proposers could block each other indefinitely."""
         delay = min(MAX_BACKOFF_SECONDS, BACKOFF_SECONDS * 2.0**self._failures)
         self._failures = min(self._failures + 1, 10)
         self._not_before = now + delay * (0.5 + self._rng.random())
