--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -1,10 +1,10 @@
-"""A replica's part of the configuration's register, without I/O: decided items, and the acceptor of the next change.
+"""A replica's copy of the configuration register, without I/O: the decided items, and the acceptor of the next change.
 
-The configuration is a chain of changes, each decided by single-decree Paxos (Lamport, "Paxos Made Simple", 2001) among
-the voters that the change before it left. A replica keeps state and no history: the items as they are after change
-`index`, and what its acceptor has promised and accepted for change `index + 1`. A change is decided once a majority of
-the voters has accepted it under one proposal number; whoever proposes the same index later finds it there, and can only
-propose it again.
+The configuration is a sequence of changes. Each one is decided by single-decree Paxos (Lamport, "Paxos Made Simple",
+2001) among the voters of the membership that the preceding changes established. A replica keeps the state and no
+history: the items after change `index`, and what its acceptor has promised and accepted for change `index + 1`. A
+change is decided once a majority of the voters has accepted it under one proposal number. A later proposer of the same
+index learns of it from the promises, and can only propose it again.
 """
 
 from __future__ import annotations
@@ -34,10 +34,12 @@
 )
 from lugspur.mesh.control.store import EntryKey, supersedes
 
-MAX_WITHDRAWALS = 20_000  # that are remembered: an older change of such a name has no effect
-WITHDRAWALS_KEPT_FRACTION = 0.9  # of these, once there are more; the oldest are forgotten
+#: Number of withdrawals that are kept, so that an older change of a withdrawn name has no effect.
+MAX_WITHDRAWALS = 20_000
+#: Fraction of MAX_WITHDRAWALS that remains once there are more; the oldest are pruned.
+WITHDRAWALS_KEPT_FRACTION = 0.9
 
-MAX_KEY_BYTES = 511  # of a row's key, by lmdb
+MAX_KEY_BYTES = 511  # the limit of lmdb for the key of a row
 ITEM_PREFIX = b"i"
 INDEX_ROW, VOTE_ROW = b"mindex", b"mvote"
 
@@ -47,7 +49,7 @@
 
 
 class AcceptorState(msgspec.Struct, array_like=True):
-    """What an acceptor has promised, and accepted for change `index`, as it is kept on disk."""
+    """The proposals that an acceptor has promised and accepted for change `index`, as stored on disk."""
 
     index: int
     promised: ProposalNumber
@@ -67,29 +69,29 @@
 class Applied:
     """The effect of one or several decided changes on the items."""
 
-    entries: list[Entry] = field(default_factory=list)  # that came into force
-    forgotten: list[EntryKey] = field(default_factory=list)  # that were dropped without a withdrawal
+    entries: list[Entry] = field(default_factory=list)  # entries that came into force
+    forgotten: list[EntryKey] = field(default_factory=list)  # keys of items that were dropped without a withdrawal
     write: Rows = field(default_factory=list)
 
 
 class Register:
-    """The items as they are after change `index`, and the acceptor of the next change."""
+    """The items after change `index`, and the acceptor of the next change."""
 
     def __init__(self) -> None:
         self.items: dict[EntryKey, Item] = {}
-        self.size_bytes = 0  # of all items, by `capacity.item_bytes`
+        self.size_bytes = 0  # the size of all items, as `capacity.item_bytes` counts it
         self.index = 0
-        self.pruned_index = 0  # withdrawals up to this change are forgotten
+        self.pruned_index = 0  # withdrawals up to this change may be pruned
         self.promised = NO_PROPOSAL
         self.accepted: ProposalNumber | None = None
         self.accepted_change: Change | None = None
         self._withdrawals = 0
-        self._pruned_to = 0  # up to which withdrawals have been forgotten here
+        self._pruned_to = 0  # the change up to which this replica has pruned withdrawals
 
     # ---- start ---------------------------------------------------------------------------
 
     def restore(self, rows: Iterable[tuple[bytes, bytes]]) -> None:
-        """Load what is on disk; other rows are ignored."""
+        """Load the items and the acceptor's state from the rows on disk; other rows are ignored."""
         vote: AcceptorState | None = None
         for key, value in rows:
             if key.startswith(ITEM_PREFIX):
@@ -111,15 +113,15 @@
 
     @property
     def has_pending_change(self) -> bool:
-        """Whether the acceptor has accepted the next change, which may be decided already."""
+        """Whether the acceptor has accepted a value for the next change, which may be decided already."""
         return self.accepted_change is not None
 
     def prepare(self, peer: Peer, message: Prepare, is_voter: bool) -> Effects:
-        """Phase 1b: promise to accept no lower proposal, unless a higher one was promised; synced before it is sent."""
+        """Phase 1b: promise to accept no lower proposal, unless a higher one was promised; synced before the reply."""
         granted = is_voter and message.index == self.index + 1 and message.proposal >= self.promised
         if not granted:
-            refusal = Promise(message.index, message.proposal, False, self.index, self.promised)
-            return Effects(send=[(peer, refusal)])
+            rejection = Promise(message.index, message.proposal, False, self.index, self.promised)
+            return Effects(send=[(peer, rejection)])
         self.promised = message.proposal
         promise = Promise(
             message.index, message.proposal, True, self.index, self.promised, self.accepted, self.accepted_change
@@ -127,26 +129,26 @@
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def accept(self, peer: Peer, message: Accept, is_voter: bool) -> Effects:
-        """Phase 2b: accept a value for the next change, unless a higher one was promised; synced before it is sent."""
+        """Phase 2b: accept a value for the next change, unless a higher one was promised; synced before the reply."""
         granted = is_voter and message.index == self.index + 1 and message.proposal >= self.promised
-        answer = Accepted(message.index, message.proposal, granted, self.index, self.promised)
+        reply = Accepted(message.index, message.proposal, granted, self.index, self.promised)
         if not granted:
-            return Effects(send=[(peer, answer)])
+            return Effects(send=[(peer, reply)])
         self.promised = self.accepted = message.proposal
         self.accepted_change = message.change
-        return Effects(write=[self._vote_row()], after_sync=[(peer, answer)])
+        return Effects(write=[self._vote_row()], after_sync=[(peer, reply)])
 
     def _vote_row(self) -> tuple[bytes, bytes]:
         return VOTE_ROW, _pack(AcceptorState(self.index + 1, self.promised, self.accepted, self.accepted_change))
 
     def read_index(self, peer: Peer, message: ReadIndexQuery, is_voter: bool) -> Effects:
-        """Answer a reader with the latest change that is known here."""
+        """Reply to a reader with the index of the latest change that this replica knows to be decided."""
         return Effects(send=[(peer, ReadIndexReply(message.number, is_voter, self.index, self.has_pending_change))])
 
     # ---- learner -------------------------------------------------------------------------
 
     def decide(self, change: Change) -> Applied:
-        """Put the next change into force."""
+        """Apply the next change, which has been decided."""
         applied = Applied()
         index = self.index + 1
         for entry in change.entries:
@@ -157,7 +159,7 @@
         return applied
 
     def learn(self, pages: list[Learn]) -> Applied:
-        """Put into force all pages of what was decided after a change that is known here; others are ignored."""
+        """Apply all pages of decided state; pages that bring nothing new or start after `index` are ignored."""
         applied = Applied()
         first = pages[0]
         if first.index <= self.index or first.after_index > self.index:
@@ -165,7 +167,7 @@
         learned = {(i.entry.kind, i.entry.name): i for page in pages for i in page.items}
         if first.after_index == 0:
             for name in [name for name in self.items if name not in learned]:
-                self._forget(name, applied)
+                self._drop(name, applied)
         for name, item in learned.items():
             current = self.items.get(name)
             if current is None or current.index < item.index:
@@ -185,7 +187,7 @@
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
 
-    def _forget(self, name: EntryKey, applied: Applied) -> None:
+    def _drop(self, name: EntryKey, applied: Applied) -> None:
         item = self.items.pop(name)
         self.size_bytes -= item_bytes(item.entry)
         self._withdrawals -= item.entry.value is None
@@ -203,18 +205,18 @@
         applied.write.append((INDEX_ROW, _pack((self.index, self.pruned_index))))
 
     def _prune(self, applied: Applied) -> None:
-        """Forget the oldest withdrawals; they are the same on every replica, since all hold the same items."""
+        """Drop the oldest withdrawals; every replica drops the same ones, since all hold the same items."""
         if self.pruned_index == self._pruned_to:
             return
         self._pruned_to = self.pruned_index
         old = [n for n, i in self.items.items() if i.entry.value is None and i.index <= self.pruned_index]
         for name in old:
-            self._forget(name, applied)
+            self._drop(name, applied)
 
     def pages_after(self, index: int) -> list[Learn]:
-        """What was decided after a change, in pages of a bounded size."""
+        """Return the state that was decided after a change, in pages of a bounded size."""
         if index < self.pruned_index or index > self.index:
-            index = 0  # withdrawals since then may be forgotten here: only a snapshot shows them
+            index = 0  # withdrawals after that change may have been pruned, so that only a snapshot conveys them
         pages = [Learn(index, self.index, self.pruned_index, 0, [], False)]
         size = 0
         for item in self.items.values():
