--- a/lugspur/mesh/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -1,4 +1,4 @@
-"""Configuration items of operators: decoded from a call, checked against those in force, encoded as they were sent."""
+"""Configuration items of operators: decoding an API call, checking it against the items in force, encoding items."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 ROUTES, SERVICES, LIMITS = "routes", "services", "limits"
 BACKEND, CONTROL, MEMBERSHIP = "backend", "control", "membership"
-LEASED_KINDS = frozenset({BACKEND, CONTROL})  # kinds that processes announce about themselves, by lease
-RESERVED_KINDS = LEASED_KINDS | {MEMBERSHIP}  # kinds of the mesh itself: no call of an operator may name them
-MAX_DEADLINE_MS = 600_000.0  # by the operators' protocol
-MAX_ITEMS_PER_CALL = 20_000  # the first call of an operator holds some thousands at the most
-MAX_KIND_BYTES, MAX_NAME_BYTES = 64, 432  # together with their separators less than `register.MAX_KEY_BYTES`
-# Of the item `limits`: a value beyond these is a mistake, and no process could apply it.
-MAX_HEAD_BYTES = 16 << 20  # of a request's head
-MAX_BODY_BYTES = 4 << 30
-MIN_WAIT_MS, MAX_WAIT_MS = 0.001, 86_400_000.0
-MAX_CACHED_ROUTES = 4_096  # decoded routes: each change is checked against all routes
+LEASED_KINDS = frozenset({BACKEND, CONTROL})  # kinds of entries that processes announce about themselves under a lease
+RESERVED_KINDS = LEASED_KINDS | {MEMBERSHIP}  # kinds that the mesh itself manages: operators may not change them
+MAX_DEADLINE_MS = 600_000.0  # the limit that the operators' API sets
+MAX_ITEMS_PER_CALL = 20_000  # an operator's first call contains a few thousand items at most
+MAX_KIND_BYTES, MAX_NAME_BYTES = 64, 432  # with their separators, both fit into `register.MAX_KEY_BYTES`
+# Bounds for the item `limits`: a value outside of them is a mistake, and no process could apply it.
+MAX_HEAD_BYTES = 16 << 20  # upper bound of `label_bytes`
+MAX_BODY_BYTES = 4 << 30  # upper bound of `payload_bytes`
+MIN_WAIT_MS, MAX_WAIT_MS = 0.001, 86_400_000.0  # bounds of `label_wait_ms` and `idle_ms`
+MAX_CACHED_ROUTES = 4_096  # size of the cache of decoded routes: each change is checked against all routes
 MAIL_CLASSES = ("safe", "unsafe", "upload", "tracked")
 EDITION_PATTERN = re.compile(r"[0-9a-fA-F]{8}")
 
@@ -37,7 +37,7 @@
 
 
 class Route(msgspec.Struct):
-    """A route as operators send it; times in milliseconds."""
+    """A route as operators send it. `office` is its host; times are in milliseconds."""
 
     name: str
     office: str
@@ -52,7 +52,7 @@
     tries: int = 1
 
     def service_names(self) -> list[str]:
-        """The services that requests of this route may go to."""
+        """Return the names of the services that requests on this route may be sent to."""
         return [part.service for part in self.split] if self.split else [self.service] if self.service else []
 
 
@@ -67,7 +67,10 @@
 
 
 class RequestLimits(msgspec.Struct):
-    """The item `limits`: how much a client may send, in bytes, and how long it may take, in milliseconds."""
+    """The item `limits`: how much a client may send, in bytes, and how long it may take, in milliseconds.
+
+    The fields that start with `label` are for the head of a request, `payload_bytes` is for its body.
+    """
 
     edition: str = "00000000"
     label_bytes: int = 16384
@@ -112,35 +115,37 @@
 
 
 def read_limits(value: bytes) -> RequestLimits:
-    """Decode the limits of their entry."""
+    """Decode the limits of an entry."""
     return _limits_decoder.decode(value)
 
 
 def read_changes(body: bytes) -> list[Entry]:
-    """Decode the entries of an operator's call and check each by itself; raises MeshError (BAD_CONFIG)."""
+    """Decode the entries of an operator's API call and check each on its own; raises MeshError (BAD_CONFIG)."""
     try:
-        msgspec.json.decode(body)  # guards against bytes that Raw does not look at
+        msgspec.json.decode(body)  # guards against invalid bytes in a `Raw` field, which msgspec does not check
         call = _call_decoder.decode(body)
         entries = [entry for kind, raw in call.upsert.items() for entry in _read_upsert(kind, raw)]
-        for kind, dropped in call.withdraw.items():
+        for kind, withdrawals in call.withdraw.items():
             _check_kind(kind)
-            entries += [Entry(kind, _check_name(d.name), _read_edition(d.edition), None) for d in dropped]
-    except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise MeshError(ErrorKind.BAD_CONFIG, str(fault)) from None
+            entries += [Entry(kind, _check_name(w.name), _read_edition(w.edition), None) for w in withdrawals]
+    except (msgspec.DecodeError, msgspec.ValidationError) as error:
+        raise MeshError(ErrorKind.BAD_CONFIG, str(error)) from None
     if len(entries) > MAX_ITEMS_PER_CALL:
         raise MeshError(ErrorKind.BAD_CONFIG, f"more than {MAX_ITEMS_PER_CALL} items in one call")
     seen: dict[tuple[str, str], Entry] = {}
     for entry in entries:
-        before = seen.get((entry.kind, entry.name))
-        if before is not None and before.edition == entry.edition and before.value != entry.value:
-            raise MeshError(ErrorKind.BAD_CONFIG, f"{entry.kind} {entry.name!r} comes twice under one edition")
-        if supersedes(entry, before):
+        previous = seen.get((entry.kind, entry.name))
+        if previous is not None and previous.edition == entry.edition and previous.value != entry.value:
+            raise MeshError(
+                ErrorKind.BAD_CONFIG, f"{entry.kind} {entry.name!r} has two different contents under one edition"
+            )
+        if supersedes(entry, previous):
             seen[(entry.kind, entry.name)] = entry
     return list(seen.values())
 
 
 def _check_kind(kind: str) -> None:
-    # Guards the disks: a kind and a name form the key of a row, which lmdb limits in bytes (see
+    # Guards against rows that no disk can store: a kind and a name form the key of a row, whose size lmdb limits (see
     # `register.MAX_KEY_BYTES`).
     if kind in RESERVED_KINDS or not kind.isascii() or not kind.isidentifier() or len(kind) > MAX_KIND_BYTES:
         raise MeshError(ErrorKind.BAD_CONFIG, f"no items of kind {kind!r}")
@@ -148,106 +153,110 @@
 
 def _check_name(name: str) -> str:
     if not name or len(name.encode()) > MAX_NAME_BYTES:
-        raise MeshError(ErrorKind.BAD_CONFIG, "a name is empty or too long")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"a name is empty or has more than {MAX_NAME_BYTES} bytes")
     return name
 
 
 def _read_upsert(kind: str, raw: msgspec.Raw) -> list[Entry]:
     _check_kind(kind)
     if kind == LIMITS:
-        bounds = _limits_decoder.decode(raw)
-        _check_limits(bounds)
-        return [Entry(LIMITS, "", _read_edition(bounds.edition), bytes(raw))]
+        limits = _limits_decoder.decode(raw)
+        _check_limits(limits)
+        return [Entry(LIMITS, "", _read_edition(limits.edition), bytes(raw))]
     entries = []
     for item in _list_decoder.decode(raw):
-        named = _name_decoder.decode(item)
+        identity = _name_decoder.decode(item)
         if kind == ROUTES:
             _check_route(_route_decoder.decode(item))
         elif kind == SERVICES:
             _service_decoder.decode(item)
-        entries.append(Entry(kind, _check_name(named.name), _read_edition(named.edition), bytes(item)))
+        entries.append(Entry(kind, _check_name(identity.name), _read_edition(identity.edition), bytes(item)))
     return entries
 
 
-def _check_limits(bounds: RequestLimits) -> None:
-    """Raise MeshError for invalid limits. It guards all requests: a negative number would reject each one."""
-    allowed = {
+def _check_limits(limits: RequestLimits) -> None:
+    """Raise MeshError for invalid limits. A negative limit, for example, would make proxies reject every request."""
+    allowed_ranges = {
         "label_bytes": (1.0, MAX_HEAD_BYTES),
         "payload_bytes": (0.0, MAX_BODY_BYTES),
         "label_wait_ms": (MIN_WAIT_MS, MAX_WAIT_MS),
         "idle_ms": (MIN_WAIT_MS, MAX_WAIT_MS),
     }
-    for name, (minimum, maximum) in allowed.items():
-        value = getattr(bounds, name)
+    for name, (minimum, maximum) in allowed_ranges.items():
+        value = getattr(limits, name)
         if not minimum <= value <= maximum:
-            raise MeshError(ErrorKind.BAD_CONFIG, f"limits: {name} {value:g} is not from {minimum:g} to {maximum:.0f}")
+            raise MeshError(
+                ErrorKind.BAD_CONFIG, f"limits: {name} {value:g} is not between {minimum:g} and {maximum:.0f}"
+            )
 
 
 def _check_route(route: Route) -> None:
-    """Raise MeshError for a route that is invalid whatever the other items are."""
+    """Raise MeshError for a route that is invalid independently of other items."""
     name = route.name
     if not 0.0 < route.deadline_ms <= MAX_DEADLINE_MS:
         raise MeshError(
             ErrorKind.BAD_CONFIG, f"route {name!r}: deadline_ms {route.deadline_ms:g} is not in (0, 600000]"
         )
     if not route.path_prefix.startswith("/"):
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: path_prefix does not begin with a slash")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: path_prefix does not start with a slash")
     if route.mail_class not in MAIL_CLASSES:
         raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: mail_class {route.mail_class!r} is unknown")
     if not route.service_names() or (route.split and route.service):
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} needs a service or a split")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} needs either a service or a split")
     shares = [part.share for part in route.split or ()]
-    # Guards each request on the route: no draw can be made by shares whose sum is no finite number.
+    # Guards the requests on the route: a random choice by shares needs a positive and finite sum.
     if shares and (min(shares) < 0.0 or not 0.0 < sum(shares) < float("inf")):
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: the shares of its split say nothing")
+        raise MeshError(
+            ErrorKind.BAD_CONFIG, f"route {name!r}: the shares of its split are negative or have no positive finite sum"
+        )
     if not route.office or route.tries < 1:
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: office is empty or tries is under 1")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: office is empty or tries is less than 1")
 
 
 class EntryView(Protocol):
     """Read access to entries by kind and name."""
 
     def get(self, kind: str, name: str) -> Entry | None:
-        """The entry of a name, also where it is a withdrawal."""
+        """Return the entry of a name, which may be a withdrawal."""
 
     def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind by name, without those that are withdrawn."""
+        """Return the values of a kind by name, without withdrawn ones."""
 
 
-class Draft:
-    """A view as it will be once further entries are in force."""
+class EntryOverlay:
+    """A view with further entries put over a base view, as it will be once these are in force."""
 
     def __init__(self, base: EntryView) -> None:
         self._base = base
         self.entries: dict[EntryKey, Entry] = {}
 
     def add(self, entries: Iterable[Entry]) -> None:
-        """Put entries into force in this draft."""
+        """Put entries over the base view."""
         for entry in entries:
             self.entries[entry.kind, entry.name] = entry
 
     def get(self, kind: str, name: str) -> Entry | None:
-        """The entry of a name, also where it is a withdrawal."""
+        """Return the entry of a name, which may be a withdrawal."""
         return self.entries.get((kind, name)) or self._base.get(kind, name)
 
     def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind by name, without those that are withdrawn."""
-        found = dict(self._base.values_of(kind))
+        """Return the values of a kind by name, without withdrawn ones."""
+        values = dict(self._base.values_of(kind))
         for (entry_kind, name), entry in self.entries.items():
             if entry_kind != kind:
                 continue
             if entry.value is None:
-                found.pop(name, None)
+                values.pop(name, None)
             else:
-                found[name] = entry.value
-        return found
+                values[name] = entry.value
+        return values
 
 
 def check_changes(entries: list[Entry], view: EntryView) -> list[Entry]:
     """Return the entries that take effect; raises MeshError where they conflict with the items in force.
 
-    Only entries that take effect are checked: an old change that arrives again changes nothing and is no error.
-    CONFLICT: a name has other content under the same edition. BAD_CONFIG: routes and services do not fit together.
+    Only entries that take effect are checked: a repeated old change has no effect and is not an error. CONFLICT: a name
+    has different content under the same edition. BAD_CONFIG: routes and services are inconsistent.
     """
     effective = []
     for entry in entries:
@@ -257,18 +266,18 @@
         if supersedes(entry, current):
             effective.append(entry)
     if effective:
-        _check_together(effective, view)
+        _check_routes_and_services(effective, view)
     return effective
 
 
-def _check_together(effective: list[Entry], view: EntryView) -> None:
-    """Check that routes and services fit together once these entries are in force."""
-    draft = Draft(view)
-    draft.add(effective)
-    services = draft.values_of(SERVICES)
-    routes = {name: read_route(value) for name, value in draft.values_of(ROUTES).items()}
-    changed = {name for kind, name in draft.entries if kind == ROUTES}
-    withdrawn = {name for (kind, name), entry in draft.entries.items() if kind == SERVICES and entry.value is None}
+def _check_routes_and_services(effective: list[Entry], view: EntryView) -> None:
+    """Check that routes and services are consistent once these entries are in force."""
+    overlay = EntryOverlay(view)
+    overlay.add(effective)
+    services = overlay.values_of(SERVICES)
+    routes = {name: read_route(value) for name, value in overlay.values_of(ROUTES).items()}
+    changed = {name for kind, name in overlay.entries if kind == ROUTES}
+    withdrawn = {name for (kind, name), entry in overlay.entries.items() if kind == SERVICES and entry.value is None}
     by_prefix: dict[tuple[str, str], list[str]] = {}
     for name, route in routes.items():
         by_prefix.setdefault((route.office.lower(), route.path_prefix), []).append(name)
@@ -278,11 +287,13 @@
                 raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} names the unknown service {service!r}")
         others = [other for other in by_prefix[route.office.lower(), route.path_prefix] if other != name]
         if name in changed and others:
-            raise MeshError(ErrorKind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} share host and prefix")
+            raise MeshError(
+                ErrorKind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} have the same office and path_prefix"
+            )
 
 
 def encode_items(entries: Iterable[Entry]) -> bytes:
-    """Encode all items in force to JSON, as operators sent them."""
+    """Encode all items in force as JSON, each as the operators sent it."""
     kinds: dict[str, Any] = {ROUTES: [], SERVICES: []}
     for entry in entries:
         if entry.kind in RESERVED_KINDS or entry.value is None:
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -243,7 +243,7 @@
             return
         if not effective:
             self._end(request, Confirmed())
-        elif batch.takes(request, effective):
+        elif batch.may_add(request, effective):
             batch.add(effective)
             self._mark_proposed(request, batch.change_id)
 
