--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -1,8 +1,8 @@
-"""When a voter proposes the next membership, without I/O. What that membership is, `voter_membership` decides.
+"""When a voter proposes the next membership, without I/O; `voter_membership` decides what that membership is.
 
-How long a voter may be unreachable until its vote is given to another follows from the settings. A machine that is
-replaced counts as lost until its successor has run for `catch_up_s`; after that another machine may be lost, with its
-disk. By then the vote must have moved and the successor must hold all reservations, which takes
+The time for which a voter may be unreachable before another replica gets its vote follows from the settings. A machine
+that is replaced counts as lost until its successor has run for `catch_up_s`; after that another machine may be lost,
+with its disk. By then the vote must have moved and the successor must hold all reservations, which takes
 `CHANGE_DURATION_SECONDS`.
 """
 
@@ -15,28 +15,34 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.voter_membership import Presence, Situation, Tolerance, next_membership
 
-CHANGE_DURATION_SECONDS = 1.5  # for the start of a process, two rounds of agreement, and reservations to be read
-MIN_ABSENCE_TIMEOUT_SECONDS = 1.0  # a shorter absence is an ordinary restart
-SETTLING_SECONDS = 0.3  # that a membership lasts before it is changed, so that all voters have learned it
-RANK_DELAY_SECONDS = 0.25  # by which each voter lets the one before it propose first
-RETRY_DELAY_SECONDS = 1.0  # until a step is proposed again
-AVOIDANCE_SECONDS = 10.0  # for which a replica that was unreachable gets no vote, where there is another candidate
+#: Time that it takes to move a vote: the start of a process, two rounds of agreement, and reading the reservations.
+CHANGE_DURATION_SECONDS = 1.5
+#: Lower bound of the absence timeout; a shorter absence is an ordinary restart.
+MIN_ABSENCE_TIMEOUT_SECONDS = 1.0
+#: Minimum age of a membership before it is changed again, so that all voters have learned it.
+SETTLING_SECONDS = 0.3
+#: Delay by which each voter lets the voter of the preceding rank propose first.
+RANK_DELAY_SECONDS = 0.25
+#: Delay after which an undecided step is proposed again.
+RETRY_DELAY_SECONDS = 1.0
+#: Time for which a replica that was unreachable gets no vote if there is another candidate.
+AVOIDANCE_SECONDS = 10.0
 
 
 def absence_timeout(catch_up_s: float, contact_s: float) -> float:
-    """The seconds for which a voter may be unreachable, by two values of the settings."""
+    """Return the seconds for which a voter may be unreachable, by two values of the settings."""
     return max(
         MIN_ABSENCE_TIMEOUT_SECONDS, min(catch_up_s - CHANGE_DURATION_SECONDS, contact_s + CHANGE_DURATION_SECONDS)
     )
 
 
 def leaves_time(catch_up_s: float) -> bool:
-    """Whether a lost voter can be replaced before the next loss; else two losses may meet (see docs/control.md)."""
+    """Whether a lost voter can be replaced before the next loss; if not, two losses may overlap (docs/control.md)."""
     return catch_up_s >= MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS
 
 
 class Reconfiguration:
-    """The steps of the membership that one voter proposes."""
+    """The membership changes that one voter proposes."""
 
     def __init__(
         self,
@@ -46,9 +52,9 @@
         regions: Mapping[str, str] | None = None,
         is_complete: Callable[[], bool] | None = None,
     ) -> None:
-        """`absence_timeout`: seconds that a voter may be unreachable; `regions`: the region of each zone.
+        """`absence_timeout`: seconds for which a voter may be unreachable; `regions`: the region of each zone.
 
-        `is_complete`: whether this voter has all that a voter must have; without it that is what the replica says.
+        `is_complete`: tells whether this voter holds everything that a voter must hold; default: `Replica.is_complete`.
         """
         self._replica = replica
         self._is_complete = is_complete or (lambda: replica.is_complete)
@@ -58,7 +64,7 @@
         self._epoch = 0
         self._epoch_since = 0.0
         self._propose_at = 0.0
-        self._removed: dict[str, float] = {}  # unreachable voters, and when their replacement was proposed
+        self._removed_at: dict[str, float] = {}  # when the replacement of each unreachable voter was proposed
 
     def next_step(
         self,
@@ -67,9 +73,9 @@
         complete: AbstractSet[str],
         absent: Mapping[str, float],
     ) -> Membership | None:
-        """The step to propose now, or None.
+        """Return the membership to propose now, or None.
 
-        `complete`: voters that have lately said that they hold all reservations; `absent`: seconds for which each
+        `complete`: voters that have recently reported that they hold all reservations; `absent`: seconds for which each
         voter has been unreachable.
         """
         membership = self._replica.membership
@@ -85,7 +91,7 @@
             return None
         for voter in membership.voters:
             if voter not in step.voters and absent.get(voter.ip, 0.0) > self.absence_timeout:
-                self._removed[voter.ip] = now
+                self._removed_at[voter.ip] = now
         return step
 
     def _situation(
@@ -107,13 +113,13 @@
             complete_voters=(complete & voters) | own,
             is_overdue=now - self._epoch_since > self.absence_timeout,
             tolerance=self.tolerance,
-            recently_absent={ip for ip, at in self._removed.items() if now - at < AVOIDANCE_SECONDS},
+            recently_absent={ip for ip, at in self._removed_at.items() if now - at < AVOIDANCE_SECONDS},
             regions=self._regions,
             configuration_bytes=replica.register.size_bytes,
         )
 
     def _is_due(self, now: float, membership: Membership) -> bool:
-        """Whether it is this voter's turn to propose; if so, its next turn is set."""
+        """Whether it is this voter's turn to propose; if so, sets the time of its next turn."""
         if not self._propose_at:
             rank = [voter.ip for voter in membership.voters].index(self._replica.voter.ip)
             self._propose_at = max(now, self._epoch_since + SETTLING_SECONDS) + RANK_DELAY_SECONDS * rank
--- a/lugspur/mesh/control/voter_membership.py
+++ b/lugspur/mesh/control/voter_membership.py
@@ -1,4 +1,4 @@
-"""Which replicas should vote next, without I/O.
+"""Choice of the voters of the next epoch, without I/O.
 
 Each step changes one voter, so that the majorities of two consecutive epochs intersect.
 """
@@ -16,22 +16,22 @@
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
 
-MIN_VOTERS = 3  # where there are enough replicas: one voter may always be away
+MIN_VOTERS = 3  # if there are enough replicas, so that one voter may always be absent
 
 
 class Presence(msgspec.Struct, array_like=True, frozen=True):
-    """What a control node announces about itself, as a leased entry under its IP address."""
+    """The status that a control node announces, as a leased entry under its IP address."""
 
-    uid: str
+    uid: str  # of its disk
     zone: str
-    leaving: bool = False  # it is shutting down for good
-    failing: bool = False  # its disk takes no writes
-    disk_bytes: int = 0  # that its disk can store; 0: unknown
+    leaving: bool = False  # the control node is shutting down for good
+    failing: bool = False  # writes to the control node's disk fail
+    disk_bytes: int = 0  # the capacity of the control node's disk; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Tolerance:
-    """How many machines, zones and regions may be lost at once."""
+    """The numbers of machines, zones and regions that may be lost at once."""
 
     machines: int
     zones: int
@@ -39,19 +39,20 @@
 
     @property
     def voter_count(self) -> int:
-        """How many voters are needed to survive these losses, each zone or region with all that is in it."""
+        """The number of voters needed to survive these losses, each zone or region with everything in it."""
         return max(MIN_VOTERS, 2 * self.machines + 1, 2 * max(self.zones, self.regions) + 1 if not self.machines else 0)
 
 
 @dataclass(slots=True, frozen=True)
 class Situation:
-    """What one voter knows of the others when it looks for the next step.
-
-    `absent`: seconds for which each voter has been unreachable; `absence_timeout`: after how many it is replaced;
-    `complete_voters`: IP addresses of the voters that hold all reservations, its own included; `is_overdue`: the
-    present epoch has lasted for so long that a voter that is not complete will not be soon; `recently_absent`: IP
-    addresses that were unreachable a moment ago; `regions`: the region of each zone; `configuration_bytes`: of all
-    items in force.
+    """The state of the control nodes, as one voter knows it when it chooses the next membership.
+
+    `presences`: the status of each control node by its IP address; `absent`: seconds for which each voter has been
+    unreachable; `absence_timeout`: seconds after which an unreachable voter is replaced; `complete_voters`: IP
+    addresses of the voters that hold all reservations, including the choosing voter; `is_overdue`: whether the current
+    epoch has lasted so long that voters that are still incomplete won't become complete soon; `recently_absent`: IP
+    addresses of replicas that were unreachable recently; `regions`: the region of each zone; `configuration_bytes`: the
+    size of all items in force.
     """
 
     membership: Membership
@@ -66,33 +67,35 @@
     configuration_bytes: int = 0
 
     def zone(self, voter: Voter) -> str:
-        """The zone of a voter; those of the first membership are known by their addresses alone."""
+        """Return the zone of a voter, as announced if possible: the first membership lists only addresses."""
         presence = self.presences.get(voter.ip)
         return presence.zone if presence is not None else voter.zone
 
     def failure_domain(self, voter: Voter) -> str:
-        """What fails together with this voter: its region where regions may be lost, else its zone."""
+        """Return the domain that fails together with a voter: its region if regions may be lost, else its zone."""
         zone = self.zone(voter)
         return self.regions.get(zone, zone) if self.tolerance.regions else zone
 
     def candidates(self) -> list[Voter]:
-        """Replicas that have no vote and could be given one."""
+        """Return the replicas that have no vote and could be given one."""
         voters = {voter.ip for voter in self.membership.voters}
-        found = []
+        eligible = []
         for ip, presence in self.presences.items():
-            fit = not presence.leaving and not presence.failing and fits(self.configuration_bytes, presence.disk_bytes)
-            if ip not in voters and fit:
-                found.append(Voter(ip, presence.uid, presence.zone))
-        return [voter for voter in found if voter.ip not in self.recently_absent] or found
+            is_fit = (
+                not presence.leaving and not presence.failing and fits(self.configuration_bytes, presence.disk_bytes)
+            )
+            if ip not in voters and is_fit:
+                eligible.append(Voter(ip, presence.uid, presence.zone))
+        return [voter for voter in eligible if voter.ip not in self.recently_absent] or eligible
 
     def may_lose_vote(self, voter: Voter) -> bool:
-        """Whether enough of the others are complete: a new voter reads the reservations from a majority."""
+        """Whether enough other voters are complete: a new voter has to read the reservations of a majority."""
         remaining = len(self.complete_voters - {voter.ip})
         return remaining >= majority(len(self.membership.voters)) or self.is_overdue
 
 
 def next_membership(situation: Situation) -> Membership | None:
-    """The membership that should follow, or None where the present one is as it should be."""
+    """Return the membership that should follow, or None if the current one needs no change."""
     return (
         _replace_lost_disk(situation)
         or _replace_unfit(situation)
@@ -102,7 +105,7 @@
 
 
 def _replace_lost_disk(situation: Situation) -> Membership | None:
-    """Replace a voter that has come back with another disk, since its promises are lost."""
+    """Replace a voter that has returned with another disk, since its promises are lost."""
     for voter in situation.membership.voters:
         presence = situation.presences.get(voter.ip)
         if presence is None or presence.uid == voter.uid or presence.leaving or presence.failing:
@@ -113,7 +116,7 @@
 
 
 def _replace_unfit(situation: Situation) -> Membership | None:
-    """Replace a voter that leaves, can't write, or has been unreachable for too long, if there is a candidate."""
+    """Replace a voter that leaves, has a failing disk or has been unreachable for too long, if there is a candidate."""
     candidates = situation.candidates()
     if not candidates:
         return None
@@ -129,7 +132,7 @@
 
 
 def _add_voter(situation: Situation) -> Membership | None:
-    """Add a voter where there are fewer than the tolerated losses require."""
+    """Add a voter if there are fewer than the tolerated losses require."""
     voters = situation.membership.voters
     candidates = situation.candidates()
     if len(voters) >= situation.tolerance.voter_count or not candidates:
@@ -137,11 +140,11 @@
     if len(situation.complete_voters) < majority(len(voters) + 1):
         return None
     added = _least_loaded(situation, candidates, voters)
-    return _follow(situation.membership, [*voters, added])
+    return _successor(situation.membership, [*voters, added])
 
 
 def _spread_over_domains(situation: Situation) -> Membership | None:
-    """Move a vote out of a zone or region whose loss would take the majority with it."""
+    """Move a vote out of a zone or region whose loss would cost the majority."""
     voters = situation.membership.voters
     if not situation.tolerance.zones and not situation.tolerance.regions:
         return None
@@ -157,16 +160,16 @@
     return None
 
 
-def _replace(membership: Membership, voter: Voter, by: Voter) -> Membership:
-    return _follow(membership, [by if other == voter else other for other in membership.voters])
+def _replace(membership: Membership, voter: Voter, replacement: Voter) -> Membership:
+    return _successor(membership, [replacement if other == voter else other for other in membership.voters])
 
 
-def _follow(membership: Membership, voters: list[Voter]) -> Membership:
+def _successor(membership: Membership, voters: list[Voter]) -> Membership:
     return Membership(membership.epoch + 1, sorted(voters, key=lambda voter: voter.ip), membership.voters)
 
 
 def _least_loaded(situation: Situation, candidates: list[Voter], others: list[Voter]) -> Voter:
-    """A candidate of the failure domain with the fewest votes, so that the loss of one domain costs the fewest."""
+    """Return a candidate of the failure domain with the fewest votes, so that losing one domain costs few votes."""
     domains = Counter(situation.failure_domain(voter) for voter in others)
     zones = Counter(situation.zone(voter) for voter in others)
     return min(candidates, key=lambda c: (domains[situation.failure_domain(c)], zones[situation.zone(c)], c.ip))
