--- a/lugspur/mesh/control/read_index.py
+++ b/lugspur/mesh/control/read_index.py
@@ -1,8 +1,9 @@
-"""Linearizable reads, without I/O: a majority confirms that nothing later is decided.
+"""Linearizable reads, without I/O: a majority confirms that no later change is decided.
 
-This is the read index of Raft (Ongaro's dissertation, section 6.4), asked of all voters since there is no leader. A
-read succeeds once a majority of the voters says that it knows no later change than this replica, and has accepted none.
-Else the replica learns what it lacks, a pending change is resolved, and the voters are asked again.
+This is the read index of Raft (Ongaro's dissertation, section 6.4), with a query to all voters since there is no
+leader. A read succeeds once a majority of the voters has replied that it knows no later change than this replica, and
+has accepted none. Otherwise the replica learns the changes that it lacks, a pending change is resolved, and the voters
+are queried again.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 
-RETRY_DELAY_SECONDS = 0.1  # after which an unsuccessful query is repeated
+RETRY_DELAY_SECONDS = 0.1  # the time after which a query without a result is repeated
 
 
 @dataclass(slots=True, eq=False)
 class Read:
-    """A reader that waits until `deadline`; `on_result` gets whether the replica's state is the latest."""
+    """A read that waits until `deadline`; `on_result` is called with whether the replica's state is the latest."""
 
     deadline: float
     on_result: Callable[[bool], None]
@@ -46,12 +47,12 @@
         self._number = 0
 
     def submit(self, now: float, read: Read) -> Effects:
-        """Ask for the latest state. A query that is under way began before this read did, and does not count for it."""
+        """Start a read. A query that is under way started before this read, and does not count for it."""
         self._waiting.append(read)
         return self._start(now) if self._query is None else Effects()
 
     def tick(self, now: float) -> Effects:
-        """End reads whose deadline has passed, and repeat a query whose time is up."""
+        """End reads whose deadline has passed, and repeat a query that has timed out."""
         for read in [read for read in self._waiting if read.deadline <= now]:
             self._end(read, False)
         if self._query is not None and now >= self._query.retry_at:
@@ -59,7 +60,7 @@
         return self._start(now) if self._query is None else Effects()
 
     def replica_advanced(self, now: float) -> Effects:
-        """Ask anew, since the replica has learned further changes."""
+        """Query the voters again, since the replica has learned further changes."""
         self._query = None
         return self._start(now)
 
@@ -73,7 +74,7 @@
         return Effects(send=[(ip, ReadIndexQuery(self._number)) for ip in sorted(voters)])
 
     def receive(self, now: float, ip: str, message: ReadIndexReply) -> tuple[Effects, bool]:
-        """Process a voter's reply; also returns whether a change that is pending there has to be resolved first."""
+        """Process a voter's reply; also returns whether a pending change of this voter has to be resolved first."""
         current = self._query
         if current is None or message.number != current.number or ip not in current.voters:
             return Effects(), False
@@ -91,6 +92,6 @@
             self._end(read, read.deadline > now)
         return self._start(now), False
 
-    def _end(self, read: Read, latest: bool) -> None:
+    def _end(self, read: Read, is_latest: bool) -> None:
         self._waiting.remove(read)
-        read.on_result(latest)
+        read.on_result(is_latest)
