--- a/lugspur/mesh/control/__init__.py
+++ b/lugspur/mesh/control/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the control side, without I/O: state machines that take inputs and return what to send and write."""
+"""The state machines of the control plane, without I/O: they take inputs and return what to send and write."""
--- a/lugspur/mesh/control/capacity.py
+++ b/lugspur/mesh/control/capacity.py
@@ -1,8 +1,8 @@
-"""How large the configuration may be, without I/O: every disk that holds it must be able to store all of it.
+"""The maximum size of the configuration, without I/O: every disk that holds it must be able to store all of it.
 
-A change is written twice, as an accepted value and then as items, and the pages of a disk are free again only once a
-later write has been synced. So the items in force, those that replace them, and the accepted values of both have to fit
-beside the reservations of keys.
+A change is written twice, as an accepted value and then as items, and the pages that a write replaces are reused only
+after a later write has been synced. The items in force, the items that replace them, and the accepted values of both
+therefore have to fit on the disk beside the reservations of keys.
 """
 
 from __future__ import annotations
@@ -11,25 +11,24 @@
 
 from lugspur.mesh.control.messages import Entry
 
-CONFIGURATION_DISK_FRACTION = (
-    1 / 6
-)  # of what a disk stores, for all items; a change that replaces all of them needs four times that
-ITEM_OVERHEAD_BYTES = 64  # of an item on disk, beside its kind, name and value
+#: Fraction of a disk's capacity that all items may take; a change that replaces all of them needs four times as much.
+CONFIGURATION_DISK_FRACTION = 1 / 6
+ITEM_OVERHEAD_BYTES = 64  # the size of an item on disk beyond its kind, name and value
 
 
 def item_bytes(entry: Entry) -> int:
-    """The bytes that an item takes on disk."""
+    """Return the size of an item on disk, in bytes."""
     return ITEM_OVERHEAD_BYTES + len(entry.kind) + len(entry.name.encode()) + len(entry.value or b"")
 
 
 def fits(configuration: int, disk: int) -> bool:
-    """Whether a disk that stores `disk` bytes (0: unknown) has room for a configuration of `configuration` bytes."""
+    """Whether a disk with a capacity of `disk` bytes (0: unknown) has room for `configuration` bytes of items."""
     return not disk or configuration <= disk * CONFIGURATION_DISK_FRACTION
 
 
 def max_configuration_bytes(current: int, disks: Iterable[int]) -> int:
-    """The bytes that all items may take, by the smallest of the disks that have room for `current` bytes; 0: unknown.
+    """Return the size that all items may have in bytes, by the smallest disk with room for `current`; 0: unknown.
 
-    A disk without room for the items in force is no reason to refuse a change: its replica gets no vote.
+    A disk that has no room for the items in force does not limit changes, since its replica gets no vote.
     """
     return min((int(disk * CONFIGURATION_DISK_FRACTION) for disk in disks if disk and fits(current, disk)), default=0)
--- a/lugspur/mesh/control/effects.py
+++ b/lugspur/mesh/control/effects.py
@@ -1,4 +1,4 @@
-"""What a state machine asks its process to do: messages to send, rows to write, and messages to send once synced."""
+"""The output of a state machine: messages to send, rows to write, and messages to send once these rows are synced."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from lugspur.mesh.control.messages import Message
 
-Peer = Any  # an IP address, or whatever a message came from; it is only handed back
-Rows = list[tuple[bytes, bytes | None]]  # key and value; no value: the row is removed
+Peer = Any  # an IP address or another source of a message; state machines only pass it back
+Rows = list[tuple[bytes, bytes | None]]  # keys and values; a row whose value is None is removed
 
 
 @dataclass(slots=True)
 class Effects:
-    """To be done in this order; `after_sync` is sent once `write` is synced to disk, and dropped where that fails."""
+    """Effects to carry out in this order; `after_sync` is sent once `write` is synced, and dropped if that fails."""
 
     send: list[tuple[Peer, Message]] = field(default_factory=list)
     write: Rows = field(default_factory=list)
--- a/lugspur/mesh/control/errors.py
+++ b/lugspur/mesh/control/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of errors of the mesh, and the response that a caller gets for each."""
+"""The complete list of errors of the mesh, and the response that a caller gets for each."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 
 class ErrorKind(enum.Enum):
-    """What went wrong; each kind has one row in `RESPONSES`."""
+    """The kind of an error; each kind has one row in `RESPONSES`."""
 
     NO_ROUTE = "no-route"  # no route has this host and path
     BAD_REQUEST = "bad-request"  # the request can't be parsed or lacks a required part
-    BAD_CONFIG = "bad-config"  # a call of an operator that is invalid
-    TOO_LARGE = "too-large"  # a call of an operator that does not fit on a disk of the mesh
-    CONFLICT = "conflict"  # other content is in force under the same edition
-    NO_CALL = "no-call"  # there is no call of that method and path
+    BAD_CONFIG = "bad-config"  # an operator's API call is invalid
+    TOO_LARGE = "too-large"  # the configuration of an operator's API call does not fit on a disk of the mesh
+    CONFLICT = "conflict"  # different content is in force under the same edition
+    NO_CALL = "no-call"  # the API has no call with this method and path
     NOT_READY = "not-ready"  # no configuration is known yet
     NO_BACKEND = "no-backend"  # no backend accepted the request
     NO_QUORUM = "no-quorum"  # too few voters replied
     UNCLEAR = "unclear"  # too few voters replied, and the change may come into force
-    TOO_MANY = "too-many"  # a bound of coordination is reached, and nothing was done
+    TOO_MANY = "too-many"  # a limit of the coordination service is reached, and nothing was done
     LOCK_HELD = "lock-held"  # another holder may hold the lock
-    LOCK_LOST = "lock-lost"  # the caller does not hold the lock any more
+    LOCK_LOST = "lock-lost"  # the caller no longer holds the lock
     KEY_MISSING = "key-missing"  # the key was never put
-    HISTORY_GONE = "history-gone"  # a watch asks for puts that are forgotten
+    HISTORY_GONE = "history-gone"  # a watch asks for puts that have been pruned
     KEY_BUSY = "key-busy"  # the key's first request may still be running
     KEY_SPENT = "key-spent"  # the outcome of the key's first request is unknown
     MAYBE_RAN = "maybe-ran"  # the request was sent, and its outcome is unknown
     BAD_ANSWER = "bad-answer"  # the backend's response was invalid
     TOO_LATE = "too-late"  # the deadline has passed
     LEAVING = "leaving"  # this process is shutting down
-    SETTINGS = "settings"  # the settings file can't be used
-    STATE = "state"  # what is on disk can't be used
+    SETTINGS = "settings"  # the settings file is not usable
+    STATE = "state"  # the state on disk is not usable
 
 
 @dataclass(slots=True, frozen=True)
 class ErrorResponse:
-    """The response to an error: its status, and the seconds after which a retry makes sense (0: not said).
+    """The response to an error: its status, and the seconds after which a retry makes sense (0: not specified).
 
-    `spreads_retries`: the retry is spread over a good part of the time that the caller has left.
+    `spreads_retries`: retries are spread over a large part of the time that the caller has left.
     """
 
     status: int
@@ -46,9 +46,10 @@
     spreads_retries: bool = False
 
 
-RETRY_DELAY_SECONDS = 0.25  # long enough for a queue to move, short against the shortest deadlines
+RETRY_DELAY_SECONDS = 0.25  # long enough for a queue to advance, short compared with the shortest deadlines
 
-#: 408, 421, 429 and 503 promise that the request has not run and never will: only kinds that prove this have them.
+#: 408, 421, 429 and 503 promise that the request has not run and never will; only kinds for which this is proven use
+#: them.
 RESPONSES = {
     ErrorKind.NO_ROUTE: ErrorResponse(404),
     ErrorKind.BAD_REQUEST: ErrorResponse(400),
@@ -77,7 +78,7 @@
 
 
 class MeshError(Exception):
-    """An error of the closed list, with a detail for the log or the caller."""
+    """An error of one of the kinds, with a detail for the log or the caller."""
 
     def __init__(self, kind: ErrorKind, detail: str = "") -> None:
         super().__init__(f"{kind.value}: {detail}" if detail else kind.value)
@@ -86,5 +87,5 @@
 
     @property
     def code(self) -> str:
-        """The name of the kind, as it appears in logs and responses."""
+        """The code of the kind, as it appears in logs and responses."""
         return self.kind.value
--- a/lugspur/mesh/control/quorum.py
+++ b/lugspur/mesh/control/quorum.py
@@ -4,5 +4,5 @@
 
 
 def majority(count: int) -> int:
-    """The smallest number that is more than half of `count`."""
+    """Return the smallest number that is more than half of `count`."""
     return count // 2 + 1
