--- a/lugspur/mesh/control/change_forwarding.py
+++ b/lugspur/mesh/control/change_forwarding.py
@@ -1,9 +1,9 @@
-"""Change requests that are forwarded to the control node that proposes for all, without I/O.
+"""Forwarding of change requests to the control node that proposes on behalf of all, without I/O.
 
-Any control node may propose, and agreement does not depend on which one does. But competing proposers keep each other
-from deciding, so that in calm times all requests are sent to one of them: the first voter that can be reached. A node
-that gets no result in time proposes the request itself. That is safe, since a change that is decided twice has no
-effect the second time; but from then on a refusal proves nothing, because the other node may still propose it.
+Any control node may propose, and agreement does not depend on which one does. But competing proposers block each other,
+so that all requests are normally forwarded to one of them: the first voter that can be reached. A node that gets no
+result in time proposes the request itself. That is safe, since a change that is decided twice has no effect the second
+time; but from then on a rejection proves nothing, because the other node may still propose the request.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import ChangeResult, ForwardChange
 
-RESULT_TIMEOUT_SECONDS = 0.3  # until a forwarded request is proposed here
+RESULT_TIMEOUT_SECONDS = 0.3  # time without a result after which a node proposes a forwarded request itself
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +25,7 @@
 
 
 def result_of(number: int, outcome: Outcome) -> ChangeResult:
-    """The message that tells the forwarding node about an outcome."""
+    """Return the message that reports an outcome to the forwarding node."""
     if isinstance(outcome, Confirmed):
         return ChangeResult(number, is_confirmed=True)
     if isinstance(outcome, Refused):
@@ -34,7 +34,7 @@
 
 
 def outcome_of(result: ChangeResult) -> Outcome:
-    """The outcome at the other control node."""
+    """Return the outcome that another control node reports."""
     if result.is_confirmed:
         return Confirmed()
     if result.error_kind:
@@ -43,7 +43,7 @@
 
 
 class ChangeForwarder:
-    """The requests of one control node that it has forwarded and that have no result yet."""
+    """The requests that one control node has forwarded and that have no result yet."""
 
     def __init__(self) -> None:
         self._forwarded: dict[int, _ForwardedChange] = {}
@@ -53,7 +53,7 @@
         return len(self._forwarded)
 
     def forward(self, now: float, ip: str, request: ChangeRequest) -> ForwardChange:
-        """The message that forwards a request to another control node."""
+        """Register a request as forwarded, and return the message that forwards it to another control node."""
         self._number += 1
         self._forwarded[self._number] = _ForwardedChange(request, ip, now)
         return ForwardChange(self._number, max(0.0, request.deadline - now), request.entries)
@@ -66,32 +66,32 @@
             forwarded.request.on_outcome(outcome_of(result))
 
     def withdraw(self, request: ChangeRequest) -> None:
-        """Forget a request that nobody waits for any more."""
+        """Drop a request whose caller has left."""
         for number, forwarded in list(self._forwarded.items()):
             if forwarded.request is request:
                 del self._forwarded[number]
 
     def disconnected(self, ip: str) -> list[ChangeRequest]:
-        """The connection to a control node has ended; returns the requests to propose here."""
+        """Handle the end of the connection to a control node; returns the requests to propose locally."""
         return self._take_back([n for n, forwarded in self._forwarded.items() if forwarded.ip == ip])
 
     def overdue(self, now: float) -> list[ChangeRequest]:
-        """The requests without a result in time, to be proposed here."""
+        """Remove and return the requests whose result is overdue, to be proposed locally."""
         return self._take_back(
             [n for n, forwarded in self._forwarded.items() if now - forwarded.sent_at >= RESULT_TIMEOUT_SECONDS]
         )
 
     def _take_back(self, numbers: list[int]) -> list[ChangeRequest]:
-        return [self._to_propose_here(self._forwarded.pop(number).request) for number in numbers]
+        return [self._weaken_outcome(self._forwarded.pop(number).request) for number in numbers]
 
     @staticmethod
-    def _to_propose_here(request: ChangeRequest) -> ChangeRequest:
-        """Weaken the outcome: once proposed here too, only a confirmation is certain, as both nodes may propose it."""
+    def _weaken_outcome(request: ChangeRequest) -> ChangeRequest:
+        """Make any outcome but a confirmation unclear, since both nodes may propose the request."""
 
         on_outcome = request.on_outcome
 
-        def weaken(outcome: Outcome) -> None:
+        def on_weakened_outcome(outcome: Outcome) -> None:
             on_outcome(outcome if isinstance(outcome, Confirmed) else Unclear())
 
-        request.on_outcome = weaken
+        request.on_outcome = on_weakened_outcome
         return request
--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -1,4 +1,4 @@
-"""Change requests that wait for a decision, and how each may end."""
+"""Change requests that wait for a decision, and their possible outcomes."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Confirmed:
-    """It is decided, or it has no effect on what is decided."""
+    """The change is decided, or has no effect on the decided state."""
 
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """It conflicts with what is decided and was not proposed, so that it never comes into force."""
+    """The change conflicts with the decided state and was not proposed, so that it never comes into force."""
 
     error: MeshError
 
 
 @dataclass(slots=True, frozen=True)
 class Unclear:
-    """It was proposed, and whether it is decided is unknown: it may come into force."""
+    """The change was proposed, and whether it is decided is unknown: it may come into force."""
 
 
 @dataclass(slots=True, frozen=True)
 class NoQuorum:
-    """Too few voters replied, and it was not proposed."""
+    """Too few voters replied, and the change was not proposed."""
 
 
 Outcome = Confirmed | Refused | Unclear | NoQuorum
@@ -36,23 +36,23 @@
 
 @dataclass(slots=True, eq=False)
 class ChangeRequest:
-    """Entries that a caller wants decided together, until `deadline` by the steady clock.
+    """Entries to be decided together, before `deadline` by the monotonic clock.
 
-    `on_outcome` is called once. `base_epoch` is set for a change of the voters, which counts only as the next step
-    after that epoch.
+    `on_outcome` is called once. `base_epoch` is set for a change of the membership, which is valid only as the direct
+    successor of that epoch.
     """
 
     entries: list[Entry]
     deadline: float
     on_outcome: Callable[[Outcome], None]
     base_epoch: int | None = None
-    was_proposed: bool = False  # from then on nothing proves that it is not in force
-    change_id: str = ""  # of the change in which it was proposed last
-    submitted_after: int = 0  # the proposer's proposals by then: only a later one may refuse it
+    was_proposed: bool = False  # a request that was proposed may be in force, so that it is never rejected
+    change_id: str = ""  # the id of the change in which the request was proposed last
+    submitted_after: int = 0  # the proposer's number of proposals at submission: only a later proposal may reject it
 
 
 def error_of(outcome: Outcome) -> MeshError | None:
-    """The error that a caller gets for an outcome; None for a confirmation."""
+    """Return the error that a caller gets for an outcome, or None for a confirmation."""
     if isinstance(outcome, Refused):
         return outcome.error
     if isinstance(outcome, Unclear):
