--- a/lugspur/mesh/control/learned_pages.py
+++ b/lugspur/mesh/control/learned_pages.py
@@ -1,4 +1,4 @@
-"""Pages of decided state from other control nodes, collected until an answer is complete."""
+"""Pages of decided state from other control nodes, collected until a reply is complete."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class LearnedPages:
-    """The incomplete answers, by the connection that they come from; on one connection pages arrive in order."""
+    """The incomplete replies, by the connection that they come from; pages of one connection arrive in order."""
 
     def __init__(self) -> None:
         self._pages: dict[Hashable, list[Learn]] = {}
 
     def add(self, source: Hashable, page: Learn) -> list[Learn]:
-        """Add a page; returns all pages of the answer once the last one has arrived, else an empty list."""
+        """Add a page; returns all pages of the reply once the last one has arrived, else an empty list."""
         pages = self._pages.setdefault(source, [])
         if page.page == 0:
             pages.clear()
         elif not pages or self._next(pages[-1]) != (page.after_index, page.index, page.page):
-            return []  # of an answer whose first pages are missing
+            return []  # the page belongs to a reply with missing pages
         pages.append(page)
         if not page.is_last:
             return []
@@ -31,5 +31,5 @@
         return page.after_index, page.index, page.page + 1
 
     def disconnected(self, source: Hashable) -> None:
-        """Forget an incomplete answer of a connection that has ended."""
+        """Drop the incomplete reply of a connection that has ended."""
         self._pages.pop(source, None)
--- a/lugspur/mesh/control/membership_entry.py
+++ b/lugspur/mesh/control/membership_entry.py
@@ -1,4 +1,4 @@
-"""The membership of the voters as an entry like others, which all processes read; a proxy needs no replica for it."""
+"""The voters' membership as an ordinary entry, which every process can read: a proxy needs no replica for it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def membership_entry(membership: Membership) -> Entry:
-    """A membership as an entry, which is decided, kept and sent to subscribers like the configuration."""
+    """Return the entry of a membership, which is decided, stored and sent to subscribers like the configuration."""
     return Entry(MEMBERSHIP, "", membership.epoch, _encode(membership))
 
 
 def read_membership(value: bytes) -> Membership:
-    """Decode the membership of its entry."""
+    """Decode the membership from the value of its entry."""
     return _decoder.decode(value)
--- a/lugspur/mesh/control/store.py
+++ b/lugspur/mesh/control/store.py
@@ -1,7 +1,7 @@
 """All entries that a process knows, merged from several sources, with a sequence number for each change.
 
-Subscribers resume from a sequence number: it is a position in this process's own order of changes, and means nothing to
-another process or to a later incarnation of this one.
+Subscribers resume from a sequence number. It is a position in this process's own order of changes, and has no meaning
+to another process or to a later incarnation of this one.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 def supersedes(entry: Entry, current: Entry | None, *, by_content: bool = False) -> bool:
-    """Whether an entry replaces the current one of its name: the higher edition does.
+    """Whether an entry replaces the current one of its name, which the entry with the higher edition does.
 
-    With `by_content`, the larger content wins under one edition, so that processes that see both agree whatever the
-    order in which they see them. Leased entries need it: a control node may drop an entry when its lease ends while its
-    owner announces it again under the same edition. What operators send is decided once for each edition (see
-    `register`).
+    With `by_content`, the larger content wins among entries of the same edition, so that processes agree independently
+    of the order in which they receive them. Leased entries need that: a control node may drop an entry when its lease
+    ends while its owner announces it again under the same edition. Entries of operators don't, since one content is
+    decided for each edition (see `register`).
     """
     if current is None or entry.edition != current.edition:
         return current is None or entry.edition > current.edition
@@ -27,31 +27,32 @@
 
 
 class Store:
-    """Entries by kind and name; `on_change` is called with each entry that is taken in."""
+    """Entries by kind and name; `on_change` is called with each entry that changes."""
 
     def __init__(self, on_change: Callable[[Entry], None] | None = None) -> None:
         self._entries: dict[EntryKey, Entry] = {}
-        self._sequences: dict[EntryKey, int] = {}  # in order of the latest change: popped and inserted again
+        # Sequence numbers in ascending order: the key of a changed entry is removed and inserted again at the end.
+        self._sequences: dict[EntryKey, int] = {}
         self.latest_sequence = 0
-        # The sequence number at which an entry was forgotten last: a subscriber that is behind it needs a snapshot.
+        # The sequence number at which an entry was last dropped: a subscriber that is behind it needs a snapshot.
         self.forgotten_sequence = 0
         self.on_change = on_change
 
     def get(self, kind: str, name: str) -> Entry | None:
-        """The entry of a name, also where it is a withdrawal."""
+        """Return the entry of a name, which may be a withdrawal."""
         return self._entries.get((kind, name))
 
     def values_of(self, kind: str) -> dict[str, bytes]:
-        """The values of a kind by name, without those that are withdrawn."""
+        """Return the values of a kind by name, without withdrawn ones."""
         return {n: e.value for (k, n), e in self._entries.items() if k == kind and e.value is not None}
 
     def all(self) -> Iterable[Entry]:
-        """All entries, withdrawals included."""
+        """Return all entries, including withdrawals."""
         return self._entries.values()
 
     def merge(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Take in the entries that supersede what is known, and return those."""
-        taken = []
+        """Store the entries that supersede the known ones, and return them."""
+        merged = []
         for entry in entries:
             key = (entry.kind, entry.name)
             if not supersedes(entry, self._entries.get(key), by_content=True):
@@ -60,13 +61,13 @@
             self.latest_sequence += 1
             self._sequences.pop(key, None)
             self._sequences[key] = self.latest_sequence
-            taken.append(entry)
+            merged.append(entry)
             if self.on_change is not None:
                 self.on_change(entry)
-        return taken
+        return merged
 
     def forget(self, keys: Iterable[EntryKey]) -> None:
-        """Drop entries without a change for subscribers; `on_change` is called as for a withdrawal."""
+        """Drop entries without sending a change to subscribers; `on_change` is called as for a withdrawal."""
         for key in keys:
             entry = self._entries.pop(key, None)
             if entry is None:
@@ -78,11 +79,11 @@
                 self.on_change(Entry(entry.kind, entry.name, entry.edition, None))
 
     def changed_after(self, sequence: int) -> list[Entry]:
-        """The entries that changed after a sequence number, the oldest change first."""
-        found = []
+        """Return the entries that changed after a sequence number, oldest change first."""
+        changed = []
         for key in reversed(self._sequences):
             if self._sequences[key] <= sequence:
                 break
-            found.append(self._entries[key])
-        found.reverse()
-        return found
+            changed.append(self._entries[key])
+        changed.reverse()
+        return changed
