--- a/lugspur/mesh/control/reservation_client.py
+++ b/lugspur/mesh/control/reservation_client.py
@@ -1,27 +1,27 @@
-"""A proxy's side of reservations of idempotency keys, without I/O: a majority of the voters decides who may run.
-
-A reservation is acquired when a majority of one membership's voters has it on disk, each granting a key to one owner at
-a time. Two owners can't both acquire it, since majorities intersect. An owner that can't acquire it any more releases
-what it was granted, which is safe: its operation never ran.
-
-`owner` names one attempt to reserve a key, of one incarnation of one process, and is never used again (see
-`Proxy.claim_id`). A reply about an owner that is not known here, because a former process at this address asked or
-because it is too long ago, is therefore never answered: only a reservation that is known to have failed is released. In
-doubt it stays until its window ends, which costs a repeat its response and never runs anything twice.
-
-Why a reservation that was acquired under epoch e excludes other owners under e + 1 and later, also where its operation
-begins after e + 1 came into force or where a reply was late:
-
-- Each reply that counts names e, and its voter wrote the reservation to disk before it replied. A voter that has taken
-  up e + 1 grants nothing under e. So the whole majority M had the reservation on disk while each of them was still in
-  e, whenever the replies arrive here.
-- A new voter of e + 1 counts only once a majority F of the voters of e has sent it all reservations, each having
-  written to disk that it has taken up e + 1. M and F share a voter, which granted before it took up e + 1 and therefore
-  sends the reservation.
-- A voter that stays keeps its reservations. One voter changes at a time, so that the members of M that stay, and the
-  new voter, are a majority under e + 1, and another owner's majority there intersects them.
-- A reservation that is still open while the membership changes is asked for anew: grants of e and e + 1 are never
-  added.
+"""The proxy's side of idempotency key reservations, without I/O: a majority of the voters decides which owner may run.
+
+A reservation is acquired when a majority of the voters of one membership has it on disk. Each voter grants a key to one
+owner at a time, so that two owners can't both acquire it: majorities intersect. An owner that can no longer acquire a
+key releases its grants, which is safe since its operation never ran.
+
+`owner` names one attempt to reserve a key, of one incarnation of one process, and is never reused (see
+`Proxy.claim_id`). A reply for an unknown owner, because a former process at this address asked or because the attempt
+was too long ago, is therefore ignored: only a reservation that is known to have failed is released. In doubt a
+reservation stays until its window ends. That costs a repeated request its response, but never runs an operation twice.
+
+A reservation that was acquired under epoch e excludes other owners under epoch e + 1 and later, even if its operation
+starts after e + 1 came into force, or if a reply was late. The reasons:
+
+- Each reply that counts names e, and its voter wrote the reservation to disk before it replied. A voter that has
+  adopted e + 1 grants nothing under e. So each voter of the majority M had the reservation on disk while it was still
+  in e, whenever its reply arrives here.
+- A new voter of e + 1 counts only once a majority F of the voters of e has sent it all reservations, each after writing
+  to disk that it has adopted e + 1. M and F share a voter, which granted before it adopted e + 1 and therefore sends
+  the reservation.
+- A voter that stays keeps its reservations. One voter changes at a time, so that the members of M that stay and the new
+  voter form a majority under e + 1, and another owner's majority there intersects them.
+- A reservation that is still open while the membership changes is requested again: grants of e and e + 1 are never
+  added up.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 from lugspur.mesh.control.messages import BackendResponse, Membership, ReleaseKey, ReserveKey, ReserveKeyReply
 from lugspur.mesh.control.quorum import majority
 
-MAX_FAILED_RESERVATIONS = 10_000  # the latest ones; a late grant of an older one is not released
+MAX_FAILED_RESERVATIONS = 10_000  # only the latest ones are kept; a late grant of an older one is not released
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class TakenByAnother:
-    """Another owner has the key; `is_running`: its operation may still be running."""
+    """Another owner has the key; `is_running`: that owner's operation may still be running."""
 
     is_running: bool
 
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class _OpenReservation:
-    """A reservation that is not decided yet, and which voters of `membership` have replied how."""
+    """A reservation that is not decided yet, and the replies of the voters of `membership`."""
 
     key: bytes
     owner: bytes
@@ -75,21 +75,21 @@
     deadline: float
     on_outcome: Callable[[ReservationOutcome], None]
     granted_by: set[str] = field(default_factory=set)
-    taken_at: set[str] = field(default_factory=set)  # voters that have granted the key to another owner...
-    is_running: bool = False  # ...one of which may still be running its operation
+    taken_at: set[str] = field(default_factory=set)  # voters that have granted the key to another owner
+    is_running: bool = False  # whether one of these other owners may still be running its operation
 
-    def begin_anew(self, membership: Membership) -> None:
-        """Count the replies of another membership alone."""
+    def restart(self, membership: Membership) -> None:
+        """Discard all replies, and count those of another membership from now on."""
         self.membership = membership
         self.granted_by.clear()
         self.taken_at.clear()
 
     def message(self, now: float) -> ReserveKey:
-        """The message that asks a voter for the key."""
+        """Return the message that asks a voter for the key."""
         return ReserveKey(self.key, self.owner, self.membership.epoch, max(0.0, self.request_ends_at - now))
 
     def outcome(self, now: float) -> ReservationOutcome | None:
-        """What the replies so far decide, if anything."""
+        """Return the outcome if the replies so far decide it."""
         voters = len(self.membership.voters)
         if len(self.granted_by) >= majority(voters) and now < self.deadline:
             return Acquired()
@@ -99,13 +99,14 @@
 
 
 class ReservationClient:
-    """The reservations of one process that are not decided yet. `send` sends a message to a voter by its IP address."""
+    """The undecided reservations of one process. `send` sends a message to a voter by its IP address."""
 
     def __init__(self, send: Callable[[str, ReserveKey | ReleaseKey], None]) -> None:
         self._send = send
         self._open: dict[tuple[bytes, bytes], _OpenReservation] = {}
-        # Late grants are released for these alone. What is evicted is released by nobody, and ends with its window: to
-        # forget that a reservation was acquired, and release it, would let its operation run twice.
+        # Late grants are released for these reservations alone. An evicted one is never released, and ends with its
+        # window: releasing a grant without knowing whether its reservation was acquired could let an operation run
+        # twice.
         self._failed: LRUCache[tuple[bytes, bytes], None] = LRUCache(MAX_FAILED_RESERVATIONS)
 
     def __len__(self) -> int:
@@ -123,8 +124,7 @@
     ) -> None:
         """Reserve a key for `owner`, a name that was never used before.
 
-        `seconds_left`: until the request of the owner ends; `timeout`: seconds after which `on_outcome` has been
-        called.
+        `seconds_left`: time until the owner's request ends; `timeout`: seconds within which `on_outcome` is called.
         """
         reservation = _OpenReservation(
             key=key,
@@ -142,13 +142,13 @@
             self._send(voter.ip, reservation.message(now))
 
     def membership_changed(self, now: float, membership: Membership) -> None:
-        """Ask for all open reservations anew: grants under another membership do not count any more."""
+        """Request all open reservations again: grants under the former membership no longer count."""
         for reservation in list(self._open.values()):
-            reservation.begin_anew(membership)
+            reservation.restart(membership)
             self._ask_all(now, reservation)
 
     def voter_connected(self, now: float, ip: str) -> None:
-        """Repeat to a voter that is connected again what it may not have received."""
+        """Repeat the requests that a reconnected voter may not have received."""
         for reservation in self._open.values():
             has_replied = ip in reservation.granted_by | reservation.taken_at
             if ip in _addresses(reservation.membership) and not has_replied:
@@ -176,17 +176,17 @@
             self._end(reservation, outcome)
 
     def _release_late_grant(self, ip: str, message: ReserveKeyReply) -> None:
-        """Release a grant of a reservation that has failed: nothing ran or will, so that no other owner shall wait."""
+        """Release a grant of a failed reservation: its operation never runs, so that another owner need not wait."""
         if message.is_granted and (message.key, message.owner) in self._failed:
             self._send(ip, ReleaseKey(message.key, message.owner))
 
     def tick(self, now: float) -> None:
-        """End the reservations whose time is up."""
+        """End the reservations whose deadline has passed."""
         for reservation in [reservation for reservation in self._open.values() if reservation.deadline <= now]:
             self._end(reservation, TakenByAnother(reservation.is_running) if reservation.taken_at else Undecided())
 
     def abandon(self, key: bytes, owner: bytes) -> None:
-        """End a reservation that nobody waits for any more, without calling `on_outcome`."""
+        """End a reservation whose caller has left, without calling `on_outcome`."""
         reservation = self._open.get((key, owner))
         if reservation is not None:
             reservation.on_outcome = _ignore
@@ -207,4 +207,4 @@
 
 
 def _ignore(outcome: ReservationOutcome) -> None:
-    """Takes the outcome of a reservation that nobody waits for."""
+    """Ignore the outcome of a reservation whose caller has left."""
--- a/lugspur/mesh/control/reservation_table.py
+++ b/lugspur/mesh/control/reservation_table.py
@@ -1,8 +1,8 @@
-"""A voter's reservations of idempotency keys, without I/O: who owns a key, and the response once it has run.
+"""A voter's reservations of idempotency keys, without I/O: the owner of each key, and the response of its operation.
 
-A key is granted to one owner at a time and kept until its window is over, so that an owner with the grants of a
-majority is the only one. No grant is taken back for lack of memory: beyond the limit no new key is granted. Responses
-may be dropped, the oldest first; a repeat of such a request learns only that the operation has run.
+A key is granted to one owner at a time and kept until its window is over, so that at most one owner has the grants of a
+majority. No grant is revoked for lack of memory: beyond the limit no new key is granted. Responses may be dropped,
+oldest first; a repeat of such a request learns only that the operation has run.
 """
 
 from __future__ import annotations
@@ -25,14 +25,20 @@
     StoredReservation,
 )
 
-RETENTION_MARGIN_SECONDS = 10.0  # beyond the window: a first attempt may take long to arrive here
-MAX_STORED_RESPONSE_BYTES = 64 << 10  # of a response that is kept for repeats
-RESPONSES_MEMORY_FRACTION = 0.15  # for all responses; the oldest are dropped, their reservations stay
-RESPONSES_TRIM_FRACTION = 0.8  # of the former, down to which responses are dropped
-RESERVATIONS_MEMORY_FRACTION = 0.15  # beyond it no key is granted
-RESERVATION_BYTES = 600  # of memory for one reservation without its response
-#: Owns a key for which other voters name two owners: either may have acquired it, so that it is granted to neither.
-NO_OWNER = b""
+#: Time for which a reservation is kept beyond its window, since the first attempt may take long to arrive here.
+RETENTION_MARGIN_SECONDS = 10.0
+#: Maximum size of the body of a response that is kept for repeats.
+MAX_STORED_RESPONSE_BYTES = 64 << 10
+#: Fraction of the memory for all responses; beyond it the oldest are dropped, and their reservations stay.
+RESPONSES_MEMORY_FRACTION = 0.15
+#: Fraction of the memory for responses down to which they are dropped.
+RESPONSES_TRIM_FRACTION = 0.8
+#: Fraction of the memory for all reservations; beyond it no key is granted.
+RESERVATIONS_MEMORY_FRACTION = 0.15
+#: Memory that one reservation takes without its response.
+RESERVATION_BYTES = 600
+#: The owner of a key for which other voters report two owners: either may have acquired it, so neither is granted it.
+CONTESTED_OWNER = b""
 RESERVATION_PREFIX = b"c"
 
 _pack = msgspec.msgpack.Encoder().encode
@@ -41,11 +47,11 @@
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """One reservation in memory; both times are of the steady clock."""
+    """One reservation in memory; both times are of the monotonic clock."""
 
     owner: bytes
     reserved_at: float
-    running_until: float  # the owner's operation may run until then
+    running_until: float  # the time until which the owner's operation may run
     response: BackendResponse | None
 
 
@@ -54,9 +60,9 @@
 
 
 class ReservationTable:
-    """Reservations by key, the oldest first.
+    """Reservations by key, oldest first.
 
-    `window`: seconds in which the operation of a key runs once; `memory`: bytes that the process may use.
+    `window`: seconds during which the operation of a key runs at most once; `memory`: bytes that the process may use.
     """
 
     def __init__(self, window: float, memory: int) -> None:
@@ -70,11 +76,11 @@
         return len(self._reservations)
 
     def items(self) -> Iterator[tuple[bytes, Reservation]]:
-        """All reservations by key."""
+        """Iterate over all reservations by key."""
         return iter(self._reservations.items())
 
     def restore(self, rows: Iterable[tuple[bytes, bytes]], now: float) -> None:
-        """Load the reservations on disk; other rows are ignored."""
+        """Load the reservations from the rows on disk; other rows are ignored."""
         for key, value in rows:
             if key.startswith(RESERVATION_PREFIX):
                 stored = _stored_decoder.decode(value)
@@ -97,9 +103,9 @@
         return Effects(write=[row], after_sync=[(peer, ReserveKeyReply(key, owner, epoch, True))])
 
     def complete(self, now: float, message: CompleteKey, is_complete: bool) -> Effects:
-        """Store that a key's operation has run; another owner of it here never ran it and never will.
+        """Store that a key's operation has run. Another owner of the key in this table has not run it and never will.
 
-        A voter that is not complete takes this from the owner that it granted the key to, and from no other.
+        A voter that is not complete accepts this only from the owner to which it granted the key.
         """
         response = message.response if len(message.response.body) <= MAX_STORED_RESPONSE_BYTES else None
         current = self._reservations.get(message.key)
@@ -125,7 +131,7 @@
         return Effects(write=[(RESERVATION_PREFIX + message.key, None)])
 
     def sweep(self, now: float) -> Effects:
-        """Forget reservations whose window is over."""
+        """Drop reservations whose window is over."""
         effects = Effects()
         for key, reservation in self._reservations.items():
             if reservation.reserved_at + self.retention_seconds > now:
@@ -138,7 +144,7 @@
     # ---- other voters --------------------------------------------------------------------
 
     def pages(self, now: float, epoch: int) -> list[ReservationsPage]:
-        """All reservations, in pages of a bounded size."""
+        """Return all reservations, in pages of a bounded size."""
         pages = [ReservationsPage(epoch, 0, [], False)]
         size = 0
         for key, reservation in self._reservations.items():
@@ -158,15 +164,15 @@
         return pages
 
     def merge(self, now: float, reservations: Iterable[tuple[bytes, StoredReservation]]) -> Rows:
-        """Take in the reservations of another voter; returns the rows to write."""
+        """Merge the reservations of another voter; returns the rows to write."""
         rows: Rows = []
         for key, stored in reservations:
             current = self._reservations.get(key)
             if current is not None and current.response is not None:
                 continue
             if current is not None and stored.response is None and current.owner != stored.owner:
-                # Guards against a second run: one of the two may have acquired it from voters of the epoch before.
-                stored = StoredReservation(NO_OWNER, max(current.running_until - now, stored.seconds_left, 0.0))
+                # Guards against a second run: either owner may have acquired the key from voters of the previous epoch.
+                stored = StoredReservation(CONTESTED_OWNER, max(current.running_until - now, stored.seconds_left, 0.0))
             self._put(key, Reservation(stored.owner, now, now + stored.seconds_left, stored.response))
             rows.append((RESERVATION_PREFIX + key, _pack(stored)))
         self._trim()
@@ -189,7 +195,7 @@
         reservation.response = None
 
     def _trim(self) -> None:
-        """Drop the oldest responses where they take too much memory; a repeat then learns only that it has run."""
+        """Drop the oldest responses if they take too much memory; a repeat then learns only that the operation ran."""
         if self._response_bytes <= self._max_response_bytes:
             return
         for reservation in self._reservations.values():
