--- a/lugspur/mesh/control/messages/__init__.py
+++ b/lugspur/mesh/control/messages/__init__.py
@@ -2,7 +2,7 @@
 
 Each message is a msgspec struct that is encoded as an array: its tag, then its fields in the order of the class. Python
 names may change, but tags and the order of fields are the wire format. A field is only ever added at the end and with a
-default, so that a process can read what a process of an older build sends.
+default, so that a process can read the messages of a process with an older build.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 )
 from lugspur.mesh.control.messages.updates import Delta, Hello, Pong, Report, Subscribe, Unsubscribe
 
-#: Of items or reservations in one page: other messages are sent between the pages of a large state.
+#: Maximum size of the items or reservations in one page: other messages are sent between the pages of a large state.
 MAX_PAGE_BYTES = 512 << 10
 
 __all__ = [
--- a/lugspur/mesh/control/messages/codec.py
+++ b/lugspur/mesh/control/messages/codec.py
@@ -1,4 +1,4 @@
-"""The union of all messages, and frames of them in bytes."""
+"""The union of all messages, and their encoding as frames."""
 
 from __future__ import annotations
 
@@ -83,11 +83,11 @@
 
 
 def encode(message: Message) -> bytes:
-    """The frame of a message: its length in four bytes, then the message in MessagePack."""
+    """Return the frame of a message: its length in four bytes (big-endian), then the message in MessagePack."""
     data = _encoder.encode(message)
     return len(data).to_bytes(4, "big") + data
 
 
 def decode(data: memoryview | bytes) -> Message:
-    """The message of one frame without its length; raises msgspec.DecodeError or msgspec.ValidationError."""
+    """Decode the message of a frame without its length; raises msgspec.DecodeError or msgspec.ValidationError."""
     return _decoder.decode(data)
--- a/lugspur/mesh/control/messages/coordination.py
+++ b/lugspur/mesh/control/messages/coordination.py
@@ -1,7 +1,7 @@
-"""Messages by which control nodes agree on locks, numbers and cells, over connections of their own.
+"""Messages by which control nodes agree on locks, numbers and cells, over separate connections.
 
 The agreement is Multi-Paxos (Lamport, "Paxos Made Simple", 2001, section 3): a leader prepares once, and then has each
-change accepted in one round. All messages of it name the epoch of the voters' membership, and count in that alone.
+change accepted in one round. Each of its messages names the epoch of the membership, and counts in that epoch alone.
 """
 
 from __future__ import annotations
@@ -22,43 +22,43 @@
 
 
 class CoordinationHello(msgspec.Struct, tag=30, array_like=True):
-    """The answer to the greeting on a connection for coordination."""
+    """The reply to the greeting on a coordination connection."""
 
     ip: str
     incarnation: str
-    clock: float  # the sender's steady clock
+    clock: float  # the sender's monotonic clock
 
 
 class CoordinationHeartbeat(msgspec.Struct, tag=31, array_like=True):
-    """What a voter says to all who have dialled it."""
+    """The heartbeat of a voter to all processes that have connected to it."""
 
-    clock: float
-    index: int  # of the latest change that it knows as decided
-    is_available: bool  # whether it may lead
-    leading_number: int  # the number of its proposal while it leads, else 0
+    clock: float  # the sender's monotonic clock
+    index: int  # the latest change that the sender knows to be decided
+    is_available: bool  # whether the sender may become leader
+    leading_number: int  # the number of the sender's proposal while it is the leader, else 0
 
 
 class CoordinationPrepare(msgspec.Struct, tag=32, array_like=True):
-    """Asks an acceptor to accept nothing lower than `proposal` from now on, and what it has accepted."""
+    """Asks an acceptor to promise to accept no lower proposal from now on, and to report what it accepted."""
 
     epoch: int
     proposal: ProposalNumber
 
 
 class CoordinationPromise(msgspec.Struct, tag=33, array_like=True):
-    """An acceptor's answer to CoordinationPrepare."""
+    """An acceptor's reply to CoordinationPrepare."""
 
     epoch: int
     proposal: ProposalNumber
     is_granted: bool
-    decided_index: int  # of the latest change that the acceptor knows as decided
+    decided_index: int  # the latest change that the acceptor knows to be decided
     promised: ProposalNumber
-    accepted: ProposalNumber | None = None  # the highest proposal that it has accepted for the next index...
-    change: CoordinationChange | None = None  # ...and the value of that
+    accepted: ProposalNumber | None = None  # the highest proposal that the acceptor has accepted for the next index
+    change: CoordinationChange | None = None  # the value of the proposal `accepted`
 
 
 class CoordinationAccept(msgspec.Struct, tag=34, array_like=True):
-    """Asks an acceptor to accept a value as change `index`, once that before it is decided."""
+    """Asks an acceptor to accept a value as change `index`, once the preceding change is decided."""
 
     epoch: int
     proposal: ProposalNumber
@@ -67,7 +67,7 @@
 
 
 class CoordinationAccepted(msgspec.Struct, tag=35, array_like=True):
-    """An acceptor's answer to CoordinationAccept; where it is granted, the acceptance has been synced to its disk."""
+    """An acceptor's reply to CoordinationAccept; if granted, the acceptance has been synced to the acceptor's disk."""
 
     epoch: int
     proposal: ProposalNumber
@@ -78,15 +78,15 @@
 
 
 class CoordinationConfirm(msgspec.Struct, tag=36, array_like=True):
-    """Asks whether anything higher was promised: if not by a majority, the leader's state is the latest."""
+    """Asks whether a higher proposal was promised: if a majority denies it, the leader's state is the latest."""
 
     epoch: int
     proposal: ProposalNumber
-    round: int  # answers count for this round alone
+    round: int  # replies count for this round alone
 
 
 class CoordinationConfirmed(msgspec.Struct, tag=37, array_like=True):
-    """The answer to CoordinationConfirm."""
+    """The reply to CoordinationConfirm."""
 
     epoch: int
     proposal: ProposalNumber
@@ -96,14 +96,14 @@
 
 
 class FetchCoordination(msgspec.Struct, tag=38, array_like=True):
-    """Asks for all changes after `after_index`; `is_following`: and for all later ones as they are decided."""
+    """Asks for all changes after `after_index`; `is_following`: also for later changes as they are decided."""
 
     after_index: int
     is_following: bool
 
 
 class UnfollowCoordination(msgspec.Struct, tag=39, array_like=True):
-    """Asks for no further changes."""
+    """Ends the stream of changes that FetchCoordination with `is_following` has asked for."""
 
 
 class CoordinationChanges(msgspec.Struct, tag=40, array_like=True):
@@ -114,11 +114,11 @@
 
 
 class GroupHistory(msgspec.Struct, array_like=True, frozen=True):
-    """A group of keys: its revision, and the puts that watches are still told of."""
+    """A group of keys: its revision, and the puts that are kept for watches."""
 
     name: str
     revision: int
-    pruned_revision: int  # puts up to this revision are forgotten
+    pruned_revision: int  # puts up to this revision are pruned
     puts: list[CellRecord]
 
 
@@ -140,28 +140,28 @@
 
 
 class AcceptorReport(msgspec.Struct, tag=43, array_like=True):
-    """The answer to FetchAcceptor by a process that knows the epoch, and accepts nothing in an older one."""
+    """The reply to FetchAcceptor by a process that knows the epoch, and accepts nothing in an older one."""
 
     epoch: int
-    is_previous_voter: bool  # whether it had a vote in the epoch before...
-    was_complete: bool  # ...and all that a voter of that epoch must know
-    genesis_epoch: int  # the epoch in which coordination began, 0 where it knows of none
+    is_previous_voter: bool  # whether the sender had a vote in the previous epoch
+    was_complete: bool  # whether the sender had all state that a voter of the previous epoch must have
+    genesis_epoch: int  # the epoch in which coordination began, 0 if the sender doesn't know one
     accepted: ProposalNumber | None
     change: CoordinationChange | None
     snapshot: CoordinationSnapshot
 
 
 class CoordinationCall(msgspec.Struct, tag=44, array_like=True):
-    """Asks the leader to carry out a command."""
+    """Asks the leader to execute a command."""
 
     number: int
-    clock: float  # the leader's steady clock as its latest heartbeat showed it: no older call is carried out
+    clock: float  # the leader's monotonic clock in its latest heartbeat: the leader executes no older call
     seconds_left: float
     command: Command
 
 
 class CoordinationReply(msgspec.Struct, tag=45, array_like=True):
-    """The answer to CoordinationCall."""
+    """The reply to CoordinationCall."""
 
     number: int
     result: Result
--- a/lugspur/mesh/control/messages/coordination_records.py
+++ b/lugspur/mesh/control/messages/coordination_records.py
@@ -1,7 +1,7 @@
-"""What coordination decides and answers: records of locks, numbers and cells, commands of applications, results.
+"""The data of the coordination service: records of locks, numbers and cells, commands of applications, and results.
 
-Records are what a decided change puts into force; they hold state and not commands, so that every replica applies them
-alike whatever its clock says.
+A decided change consists of records. They hold state and not commands, so that every replica applies them in the same
+way, independently of its clock.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 
 class LockRecord(msgspec.Struct, tag=1, array_like=True, frozen=True):
-    """A lock was granted, or its holder was given more time."""
+    """A lock was granted, or its lease was extended."""
 
     name: str
     holder: str
-    fence: int  # the fencing token of this holder; rises with each grant of any lock
-    hold_ms: int  # for which it is held, from when a replica learns of this record
+    fence: int  # the fencing token of this lock holder; it increases with each grant of any lock
+    hold_ms: int  # the duration of the lease, counted from the time at which a replica learns this record
 
 
 class LockReleased(msgspec.Struct, tag=2, array_like=True, frozen=True):
-    """A lock is free."""
+    """A lock was released."""
 
     name: str
 
 
 class NumberRecord(msgspec.Struct, tag=3, array_like=True, frozen=True):
-    """The latest value that was given under a name."""
+    """The latest number that was issued under a name."""
 
     name: str
     value: int
 
 
 class CellRecord(msgspec.Struct, tag=4, array_like=True, frozen=True):
-    """A key's value, and its revision in the count of its group."""
+    """A key's value, and its revision, which is counted per group of keys."""
 
     name: str
     value: str
@@ -49,7 +49,7 @@
 class CoordinationChange(msgspec.Struct, array_like=True, frozen=True):
     """The value of one decision: records that come into force together."""
 
-    id: str  # of the batch, unique over all processes and their incarnations
+    id: str  # the id of the batch, unique across all processes and their incarnations
     records: list[Record]
 
 
@@ -57,7 +57,7 @@
 
 
 class OpenLock(msgspec.Struct, tag=1, array_like=True, frozen=True):
-    """Acquire a lock, or extend it where the holder has it already."""
+    """Acquire a lock, or extend its lease if the holder has it already."""
 
     name: str
     holder: str
@@ -65,7 +65,7 @@
 
 
 class RenewLock(msgspec.Struct, tag=2, array_like=True, frozen=True):
-    """Extend a lock that is held under a fencing token."""
+    """Extend the lease of a lock that is held under a fencing token."""
 
     name: str
     holder: str
@@ -82,17 +82,17 @@
 
 
 class TakeNumber(msgspec.Struct, tag=4, array_like=True, frozen=True):
-    """Take the next number under a name."""
+    """Issue the next number under a name."""
 
     name: str
 
 
 class PutCell(msgspec.Struct, tag=5, array_like=True, frozen=True):
-    """Put a value to a key."""
+    """Set the value of a key."""
 
     name: str
     value: str
-    expected_revision: int | None = None  # that the key must have, 0: none; None: whatever it has
+    expected_revision: int | None = None  # the revision that the key must have; 0: the key must not exist; None: any
 
 
 class ReadCell(msgspec.Struct, tag=6, array_like=True, frozen=True):
@@ -102,7 +102,7 @@
 
 
 class ReadGroup(msgspec.Struct, tag=7, array_like=True, frozen=True):
-    """Read the present revision of a group of keys."""
+    """Read the current revision of a group of keys."""
 
     name: str
 
@@ -131,23 +131,23 @@
 
 
 class LockClosed(msgspec.Struct, tag=5, array_like=True, frozen=True):
-    """The caller does not hold the lock any more."""
+    """The caller no longer holds the lock."""
 
 
 class NumberTaken(msgspec.Struct, tag=6, array_like=True, frozen=True):
-    """A number above all that were given before."""
+    """A number that is higher than all numbers issued before."""
 
     value: int
 
 
 class CellWritten(msgspec.Struct, tag=7, array_like=True, frozen=True):
-    """The revision that the put gave the key, now or when it was first made."""
+    """The revision that the put gave the key, now or when the put was first made."""
 
     revision: int
 
 
 class RevisionMismatch(msgspec.Struct, tag=8, array_like=True, frozen=True):
-    """The key has this revision and not the expected one."""
+    """The key has this revision instead of the expected one."""
 
     revision: int
 
@@ -164,17 +164,17 @@
 
 
 class GroupRevision(msgspec.Struct, tag=11, array_like=True, frozen=True):
-    """The present revision of a group, 0 where nothing was put."""
+    """The current revision of a group, 0 if nothing was put."""
 
     revision: int
 
 
 class CommandFailed(msgspec.Struct, tag=12, array_like=True, frozen=True):
-    """The command was not carried out, or (`unclear`) may have been."""
+    """The command was not executed, or may have been executed (`ErrorKind.UNCLEAR`)."""
 
     error_kind: str  # the value of an `errors.ErrorKind`
     detail: str = ""
-    may_retry: bool = False  # nothing was done, and another node may be the leader by now
+    may_retry: bool = False  # the command was not executed, and another node may be the leader by now
 
 
 Result: TypeAlias = (
--- a/lugspur/mesh/control/messages/forwarding.py
+++ b/lugspur/mesh/control/messages/forwarding.py
@@ -20,21 +20,20 @@
     backend: str
     method: bytes
     target: bytes
-    header_lines: list[bytes]  # each with its line end, `Host` among them; none that frames the body
+    header_lines: list[bytes]  # each with its line end; includes `Host`, excludes fields that frame the body
     body: bytes
-    seconds_left: float  # until the request's deadline
-    latency_target_left: float  # seconds in which a response has its full value; below 0 when they are over
+    seconds_left: float  # time until the request's deadline
+    latency_target_left: float  # time until the latency target; a response has its full value until then; can be < 0
     attempt_id: bytes
     priority: int
     is_safe: bool
     route: str
     key: bytes = b""
     owner: bytes = b""
-    was_rejected: bool = False  # its caller has been rejected before, or has little time for other reasons
-    body_bytes: int = 0  # of a body that is sent in chunks, as they are granted
-    sent_at: float = (
-        0.0  # the sender's steady clock for which both times left are right, see `dataplane.delay_estimation`
-    )
+    was_rejected: bool = False  # whether the caller was rejected before, or has little time left for other reasons
+    body_bytes: int = 0  # the size of a body that is sent in chunks, as the receiver grants them
+    #: The time of the sender's monotonic clock at which both remaining times are exact (`dataplane.delay_estimation`).
+    sent_at: float = 0.0
 
 
 class ForwardResponse(msgspec.Struct, tag=20, array_like=True):
@@ -43,21 +42,21 @@
     number: int
     outcome: int  # a value of lugspur.mesh.dataplane.request_outcome.RequestOutcome
     response: BackendResponse | None = None
-    was_sent: bool = True  # whether the request was offered to the backend
-    in_flight: int = 0  # requests at that backend
+    was_sent: bool = True  # whether the request was sent to the backend
+    in_flight: int = 0  # the number of requests in flight at that backend
     cause: int = 0  # a value of lugspur.mesh.dataplane.failure_cause.FailureCause
 
 
 class CancelRequest(msgspec.Struct, tag=21, array_like=True):
-    """Nobody waits for the request any more."""
+    """Cancels a request whose caller has left."""
 
     number: int
 
 
 class WithdrawRequest(msgspec.Struct, tag=28, array_like=True):
-    """Nobody waits for the request any more, so that it is not to be started.
+    """Withdraws a request whose caller has left, so that it is not started any more.
 
-    A request that the backend works on goes on. A ForwardResponse follows in both cases.
+    A request that the backend already processes continues. A ForwardResponse follows in both cases.
     """
 
     number: int
@@ -66,14 +65,15 @@
 class FetchOutcomes(msgspec.Struct, tag=29, array_like=True):
     """Asks which of these requests, sent on a connection that has ended, have not run and never will.
 
-    A ForwardResponse follows for each that is proven not to have run, now or later; nothing follows for the others.
+    A ForwardResponse follows, now or later, for each request that is proven not to have run; nothing follows for the
+    others.
     """
 
     numbers: list[int]
 
 
 class GrantBody(msgspec.Struct, tag=22, array_like=True):
-    """Allows the sender of a body to send its bytes up to an offset."""
+    """Permits the sender of a body to send its bytes up to an offset."""
 
     number: int
     up_to_offset: int
--- a/lugspur/mesh/control/messages/records.py
+++ b/lugspur/mesh/control/messages/records.py
@@ -1,4 +1,4 @@
-"""The records that messages carry and disks hold: entries, decided changes and the membership of the voters."""
+"""The records in messages and on disk: entries, decided changes and the voters' membership."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One value under a kind and a name. Of several entries of one name, the one with the highest edition counts.
+    """A value under a kind and a name. Of several entries of one name, the one with the highest edition is valid.
 
-    An entry without a value is a withdrawal: the name is no longer in force.
+    An entry without a value is a withdrawal: it removes the name from the configuration.
     """
 
     kind: str
@@ -18,7 +18,7 @@
 
 
 class Item(msgspec.Struct, array_like=True, frozen=True):
-    """An entry that was decided, and the index of the change that brought it into force."""
+    """A decided entry, and the index of the change that brought it into force."""
 
     entry: Entry
     index: int
@@ -27,20 +27,20 @@
 class Change(msgspec.Struct, array_like=True, frozen=True):
     """The value of one decision of the register: entries that come into force together."""
 
-    id: str  # of the proposal, unique over all processes and their incarnations
+    id: str  # unique across all processes and their incarnations
     entries: list[Entry]
 
 
 class Voter(msgspec.Struct, array_like=True, frozen=True):
-    """One voting replica: an address and the disk behind it, since a replica with an empty disk is a different one."""
+    """A voting replica: an address and the disk behind it, since a replica with a new disk is a different one."""
 
     ip: str
-    uid: str  # of the disk
+    uid: str  # the id of the disk
     zone: str
 
 
 class Membership(msgspec.Struct, array_like=True, frozen=True):
-    """The replicas whose majority decides from this epoch on, and those of the epoch before."""
+    """The replicas whose majority decides from this epoch on, and those of the previous epoch."""
 
     epoch: int
     voters: list[Voter]
--- a/lugspur/mesh/control/messages/reservations.py
+++ b/lugspur/mesh/control/messages/reservations.py
@@ -1,6 +1,6 @@
-"""Messages by which proxies reserve idempotency keys with the voters, and voters hand reservations to new voters.
+"""Messages by which proxies reserve idempotency keys at the voters, and voters send reservations to new voters.
 
-`owner` names one attempt to reserve one key, and is never used again (see `lugspur.mesh.control.reservation_client`).
+`owner` names one attempt to reserve one key, and is never reused (see `lugspur.mesh.control.reservation_client`).
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
     key: bytes
     owner: bytes
     epoch: int
-    seconds_left: float  # until the owner's request ends
+    seconds_left: float  # time until the owner's request ends
 
 
 class ReserveKeyReply(msgspec.Struct, tag=10, array_like=True):
-    """The answer to ReserveKey: granted, taken by another owner, or neither, where the voter grants nothing now."""
+    """The reply to ReserveKey: granted, taken by another owner, or neither if the voter currently grants no keys."""
 
     key: bytes
     owner: bytes
     epoch: int
     is_granted: bool
-    is_taken: bool = False  # another owner has it...
-    is_running: bool = False  # ...and its operation may still be running
-    response: BackendResponse | None = None  # of the operation, where it has run
+    is_taken: bool = False  # whether another owner has the key
+    is_running: bool = False  # whether the other owner's operation may still be running
+    response: BackendResponse | None = None  # the response of the operation, if it has run
 
 
 class CompleteKey(msgspec.Struct, tag=11, array_like=True):
-    """The operation of this key has run, and this is its response."""
+    """Reports that the operation of a key has run, with its response."""
 
     key: bytes
     owner: bytes
@@ -40,35 +40,35 @@
 
 
 class ReleaseKey(msgspec.Struct, tag=12, array_like=True):
-    """The operation of this key did not run for this owner and never will."""
+    """Releases a key whose operation did not run for this owner and never will."""
 
     key: bytes
     owner: bytes
 
 
 class FetchReservations(msgspec.Struct, tag=17, array_like=True):
-    """A new voter of this epoch asks a voter of the epoch before for all its reservations."""
+    """Asks a voter of the previous epoch for all its reservations, for a new voter of this epoch."""
 
     epoch: int
 
 
 class StoredReservation(msgspec.Struct, array_like=True):
-    """One reservation as it is kept on disk and sent to other voters.
+    """One reservation as it is stored on disk and sent to other voters.
 
-    It holds no time of day, since clocks are set, and a reservation that is forgotten too early lets an operation run
-    twice. Whoever reads it counts its whole window from then.
+    The record has no wall clock time: clocks can be adjusted, and a reservation that is dropped too early lets an
+    operation run twice. A process that reads a reservation counts its whole window from the time of reading.
     """
 
     owner: bytes
-    seconds_left: float  # for which the owner's operation may be running
+    seconds_left: float  # time for which the owner's operation may still be running
     response: BackendResponse | None = None
 
 
 class ReservationsPage(msgspec.Struct, tag=18, array_like=True):
-    """A page of the answer to FetchReservations."""
+    """A page of the reply to FetchReservations."""
 
     epoch: int
     page: int  # from 0
-    reservations: list[tuple[bytes, StoredReservation]]  # each behind its key
+    reservations: list[tuple[bytes, StoredReservation]]  # keys and reservations
     is_last: bool
-    was_complete: bool = True  # false: the sender was not complete in the epoch before, and has granted nothing in it
+    was_complete: bool = True  # false: the sender was not complete in the previous epoch, and granted nothing in it
