--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -8,6 +8,8 @@
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
 
+# The names of these outcomes appear in log lines (`event=reconfiguration`).
+
 
 @dataclass(slots=True, frozen=True)
 class Confirmed:
