--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -2,10 +2,10 @@
 
 Four are not here. Three are held by unit tests, since no history that was played brings about what they are for: one of
 the voters whom a newcomer hears was complete (`ReservationCatchUp.receive`), completeness ends where epochs are missing
-(`Replica._take_up`), a step leaves a complete majority (`Situation.may_lose_vote`). Nothing that is played needs the
-fourth: no claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A voter tells a
-newcomer its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so that a claim
-that is won in the old epoch was granted by one whom every newcomer hears.
+(`Replica._install_membership`), a step leaves a complete majority (`Situation.may_lose_vote`). Nothing that is played
+needs the fourth: no claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A
+voter tells a newcomer its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so
+that a claim that is won in the old epoch was granted by one whom every newcomer hears.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 _reader_heard, _catch_up_look, _adopt, _merge = (
     read_index.Reader.receive,
     reservation_catch_up.ReservationCatchUp.tick,
-    Replica._take_up,
+    Replica._install_membership,
     ReservationTable.merge,
 )
 _proposer_init, _freshness_heard = Proposer.__init__, Freshness.receive
@@ -314,7 +314,9 @@
         ask_present_voters,
         claims(LOST_AFTER),
     ),
-    Guard("a newcomer reads claims before it grants", Replica, "_take_up", complete_at_once, claims(EXCHANGED)),
+    Guard(
+        "a newcomer reads claims before it grants", Replica, "_install_membership", complete_at_once, claims(EXCHANGED)
+    ),
     Guard("a key with two holders is nobody's", ReservationTable, "merge", last_word, claims(EXCHANGED)),
     Guard("a vote goes with its disk", Replica, "_votes_in", vote_by_address, register(WIPED)),
     Guard("held-up news is old news", DelayEstimate, "sent_at", all_news_is_fresh, drawn()),
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -183,13 +183,13 @@
         effects = Effects(write=applied.write)
         for entry in applied.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
-                self._take_up(now, read_membership(entry.value))
+                self._install_membership(now, read_membership(entry.value))
                 effects.write.append((COMPLETE_ROW, _pack(self.complete_epoch)))
         if applied.entries or applied.forgotten:
             self._publish(applied.entries, applied.forgotten)
         return effects
 
-    def _take_up(self, now: float, membership: Membership) -> None:
+    def _install_membership(self, now: float, membership: Membership) -> None:
         """Make a membership the current one. A replica stays complete only from one epoch to the very next one."""
         self._check_transition(membership)
         stays_complete = self.is_complete and membership.epoch == self.epoch + 1
