--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -36,7 +36,7 @@
     )
 
 
-def leaves_time(catch_up_s: float) -> bool:
+def allows_timely_replacement(catch_up_s: float) -> bool:
     """Whether a lost voter can be replaced before the next loss; if not, two losses may overlap (docs/control.md)."""
     return catch_up_s >= MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS
 
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -33,7 +33,7 @@
 from lugspur.mesh.control.messages.coordination import CoordinationMessage
 from lugspur.mesh.control.proposer import Proposer
 from lugspur.mesh.control.read_index import Reader
-from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, leaves_time
+from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout, allows_timely_replacement
 from lugspur.mesh.control.replica import UID_ROW
 from lugspur.mesh.control.store import EntryKey
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
@@ -156,7 +156,7 @@
 
     def _make_reconfiguration(self) -> Reconfiguration:
         bounds, tolerate = self.settings.tariffs.bounds, self.settings.tariffs.tolerate
-        if not leaves_time(bounds.catch_up_s):
+        if not allows_timely_replacement(bounds.catch_up_s):
             events.warn("bounds", fault="catch_up_s leaves no time to replace a lost voter before the next loss")
         patience = absence_timeout(bounds.catch_up_s, bounds.contact_ms / 1000.0)
         tolerance = Tolerance(tolerate.machines, tolerate.zones, tolerate.regions)
--- a/tests/mesh/control/test_reconfiguration.py
+++ b/tests/mesh/control/test_reconfiguration.py
@@ -13,7 +13,7 @@
     SETTLING_SECONDS,
     Reconfiguration,
     absence_timeout,
-    leaves_time,
+    allows_timely_replacement,
 )
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
 
@@ -24,9 +24,9 @@
     assert absence_timeout(4.0, 3.0) == pytest.approx(4.0 - CHANGE_DURATION_SECONDS)  # before the next loss
     assert absence_timeout(60.0, 3.0) == pytest.approx(3.0 + CHANGE_DURATION_SECONDS)
     assert absence_timeout(1.0, 3.0) == MIN_ABSENCE_TIMEOUT_SECONDS  # a shorter silence is an ordinary restart
-    assert leaves_time(MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS) and not leaves_time(
-        MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS - 0.1
-    )
+    assert allows_timely_replacement(
+        MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS
+    ) and not allows_timely_replacement(MIN_ABSENCE_TIMEOUT_SECONDS + CHANGE_DURATION_SECONDS - 0.1)
 
 
 def watcher(ip: str) -> Reconfiguration:
