--- a/lugspur/mesh/control/change_forwarding.py
+++ b/lugspur/mesh/control/change_forwarding.py
@@ -24,7 +24,7 @@
     sent_at: float
 
 
-def result_of(number: int, outcome: Outcome) -> ChangeResult:
+def result_from_outcome(number: int, outcome: Outcome) -> ChangeResult:
     """Return the message that reports an outcome to the forwarding node."""
     if isinstance(outcome, Confirmed):
         return ChangeResult(number, is_confirmed=True)
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.mesh.control.change_forwarding import ChangeForwarder, result_of
+from lugspur.mesh.control.change_forwarding import ChangeForwarder, result_from_outcome
 from lugspur.mesh.control.change_requests import ChangeRequest, NoQuorum, Outcome
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import ErrorKind, MeshError
@@ -62,7 +62,7 @@
         """Propose a change that another control node has forwarded, and send it the result."""
 
         def send_result(outcome: Outcome) -> None:
-            link.send(result_of(message.number, outcome))
+            link.send(result_from_outcome(message.number, outcome))
 
         now = self._loop.time()
         try:
--- a/tests/mesh/control/test_change_forwarding.py
+++ b/tests/mesh/control/test_change_forwarding.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from lugspur.mesh.control.change_forwarding import RESULT_TIMEOUT_SECONDS, ChangeForwarder, outcome_of, result_of
+from lugspur.mesh.control.change_forwarding import (
+    RESULT_TIMEOUT_SECONDS,
+    ChangeForwarder,
+    outcome_of,
+    result_from_outcome,
+)
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
@@ -24,7 +29,7 @@
 @pytest.mark.parametrize("outcome", [Confirmed(), REFUSED, Unclear(), NoQuorum()])
 def test_an_outcome_is_returned_unchanged(outcome: Outcome) -> None:
     forwarder, ends, number = handed_over()
-    forwarder.receive(FIRST, result_of(number, outcome))
+    forwarder.receive(FIRST, result_from_outcome(number, outcome))
     [told] = ends
     assert type(told) is type(outcome)
     fault, sent = error_of(told), error_of(outcome)
@@ -34,8 +39,8 @@
 
 def test_a_result_of_another_control_node_is_ignored() -> None:
     forwarder, ends, number = handed_over()
-    forwarder.receive("10.0.0.2", result_of(number, Confirmed()))
-    forwarder.receive(FIRST, result_of(number + 1, Confirmed()))
+    forwarder.receive("10.0.0.2", result_from_outcome(number, Confirmed()))
+    forwarder.receive(FIRST, result_from_outcome(number + 1, Confirmed()))
     assert ends == [] and len(forwarder) == 1
 
 
@@ -51,7 +56,7 @@
         [order] = forwarder.disconnected(FIRST)
     order.on_outcome(outcome)  # the other one may still propose it
     assert ends == [Unclear()]
-    forwarder.receive(FIRST, result_of(number, REFUSED))  # late
+    forwarder.receive(FIRST, result_from_outcome(number, REFUSED))  # late
     assert ends == [Unclear()]
 
 
@@ -67,11 +72,11 @@
     [handed] = [h.request for h in forwarder._forwarded.values()]
     forwarder.withdraw(handed)
     assert forwarder.overdue(99.0) == []
-    forwarder.receive(FIRST, result_of(number, Confirmed()))
+    forwarder.receive(FIRST, result_from_outcome(number, Confirmed()))
     assert ends == []
 
 
 def test_a_refusal_keeps_its_kind_and_detail() -> None:
-    outcome = outcome_of(result_of(3, REFUSED))
+    outcome = outcome_of(result_from_outcome(3, REFUSED))
     assert isinstance(outcome, Refused)
     assert (outcome.error.kind, outcome.error.detail) == (ErrorKind.CONFLICT, "another content")
