--- a/lugspur/mesh/control/change_forwarding.py
+++ b/lugspur/mesh/control/change_forwarding.py
@@ -33,7 +33,7 @@
     return ChangeResult(number, may_be_decided=isinstance(outcome, Unclear))
 
 
-def outcome_of(result: ChangeResult) -> Outcome:
+def outcome_from_result(result: ChangeResult) -> Outcome:
     """Return the outcome that another control node reports."""
     if result.is_confirmed:
         return Confirmed()
@@ -63,7 +63,7 @@
         forwarded = self._forwarded.get(result.number)
         if forwarded is not None and forwarded.ip == ip:
             del self._forwarded[result.number]
-            forwarded.request.on_outcome(outcome_of(result))
+            forwarded.request.on_outcome(outcome_from_result(result))
 
     def withdraw(self, request: ChangeRequest) -> None:
         """Drop a request whose caller has left."""
--- a/tests/mesh/control/test_change_forwarding.py
+++ b/tests/mesh/control/test_change_forwarding.py
@@ -7,7 +7,7 @@
 from lugspur.mesh.control.change_forwarding import (
     RESULT_TIMEOUT_SECONDS,
     ChangeForwarder,
-    outcome_of,
+    outcome_from_result,
     result_from_outcome,
 )
 from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
@@ -77,6 +77,6 @@
 
 
 def test_a_refusal_keeps_its_kind_and_detail() -> None:
-    outcome = outcome_of(result_from_outcome(3, REFUSED))
+    outcome = outcome_from_result(result_from_outcome(3, REFUSED))
     assert isinstance(outcome, Refused)
     assert (outcome.error.kind, outcome.error.detail) == (ErrorKind.CONFLICT, "another content")
