--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -36,7 +36,7 @@
 )
 from lugspur.mesh.control.proposer import Phase, Proposal, Proposer
 from lugspur.mesh.control.quorum import majority
-from lugspur.mesh.control.register import Applied, Register
+from lugspur.mesh.control.register import ApplyResult, Register
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.reservation_table import ReservationTable
 
@@ -127,7 +127,7 @@
     )
 
 
-def learn_from_the_middle(self: Register, pages: list[Learn]) -> Applied:
+def learn_from_the_middle(self: Register, pages: list[Learn]) -> ApplyResult:
     first = pages[0]
     if first.after_index > self.index:
         pages = [Learn(self.index, p.index, p.pruned_index, p.page, p.items, p.is_last) for p in pages]
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class Applied:
+class ApplyResult:
     """The effect of one or several decided changes on the items."""
 
     entries: list[Entry] = field(default_factory=list)  # entries that came into force
@@ -147,9 +147,9 @@
 
     # ---- learner -------------------------------------------------------------------------
 
-    def decide(self, change: Change) -> Applied:
+    def decide(self, change: Change) -> ApplyResult:
         """Apply the next change, which has been decided."""
-        applied = Applied()
+        applied = ApplyResult()
         index = self.index + 1
         for entry in change.entries:
             current = self.items.get((entry.kind, entry.name))
@@ -158,9 +158,9 @@
         self._advance(index, applied)
         return applied
 
-    def learn(self, pages: list[Learn]) -> Applied:
+    def learn(self, pages: list[Learn]) -> ApplyResult:
         """Apply all pages of decided state; pages that bring nothing new or start after `index` are ignored."""
-        applied = Applied()
+        applied = ApplyResult()
         first = pages[0]
         if first.index <= self.index or first.after_index > self.index:
             return applied
@@ -176,7 +176,7 @@
         self._advance(first.index, applied)
         return applied
 
-    def _put(self, item: Item, applied: Applied) -> None:
+    def _put(self, item: Item, applied: ApplyResult) -> None:
         name = (item.entry.kind, item.entry.name)
         current = self.items.get(name)
         is_later = current is None or item.entry.edition > current.entry.edition
@@ -187,14 +187,14 @@
         applied.entries.append(item.entry)
         applied.write.append((item_row(item.entry), _pack(item)))
 
-    def _drop(self, name: EntryKey, applied: Applied) -> None:
+    def _drop(self, name: EntryKey, applied: ApplyResult) -> None:
         item = self.items.pop(name)
         self.size_bytes -= item_bytes(item.entry)
         self._withdrawals -= item.entry.value is None
         applied.forgotten.append(name)
         applied.write.append((item_row(item.entry), None))
 
-    def _advance(self, index: int, applied: Applied) -> None:
+    def _advance(self, index: int, applied: ApplyResult) -> None:
         check(index > self.index, Invariant.INDEX_RISES, index=index, standing=self.index)
         self.index = index
         self.accepted = self.accepted_change = None
@@ -204,7 +204,7 @@
         self._prune(applied)
         applied.write.append((INDEX_ROW, _pack((self.index, self.pruned_index))))
 
-    def _prune(self, applied: Applied) -> None:
+    def _prune(self, applied: ApplyResult) -> None:
         """Drop the oldest withdrawals; every replica drops the same ones, since all hold the same items."""
         if self.pruned_index == self._pruned_to:
             return
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -39,7 +39,7 @@
     ReserveKeyReply,
     Voter,
 )
-from lugspur.mesh.control.register import Applied, Register
+from lugspur.mesh.control.register import ApplyResult, Register
 from lugspur.mesh.control.reservation_table import ReservationTable
 from lugspur.mesh.control.store import EntryKey
 
@@ -179,7 +179,7 @@
         """Apply decided state that another replica has sent."""
         return self._apply(now, self.register.learn(pages))
 
-    def _apply(self, now: float, applied: Applied) -> Effects:
+    def _apply(self, now: float, applied: ApplyResult) -> Effects:
         effects = Effects(write=applied.write)
         for entry in applied.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
