--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -109,7 +109,7 @@
 
 def refuse_at_once(self: Proposer) -> Any:
     for order in self._requests:
-        order.submitted_after = -1
+        order.proposals_at_submission = -1
     return _judge(self)
 
 
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -233,7 +233,7 @@
 def _proposer_key(node: Node, now: float) -> object:
     proposer, proposal = node.proposer, node.proposer._proposal
     orders = tuple(
-        (id_of(order.entries), order.was_proposed, order.change_id, order.submitted_after)
+        (id_of(order.entries), order.was_proposed, order.change_id, order.proposals_at_submission)
         for order in proposer._requests
     )
     under_way: object = None
--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -50,7 +50,9 @@
     base_epoch: int | None = None
     was_proposed: bool = False  # a request that was proposed may be in force, so that it is never rejected
     change_id: str = ""  # the id of the change in which the request was proposed last
-    submitted_after: int = 0  # the proposer's number of proposals at submission: only a later proposal may reject it
+    proposals_at_submission: int = (
+        0  # the proposer's number of proposals at submission: only a later proposal may reject it
+    )
 
 
 def error_of(outcome: Outcome) -> MeshError | None:
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -105,7 +105,7 @@
 
     def submit(self, now: float, request: ChangeRequest) -> Effects:
         """Add a request to the next proposal."""
-        request.submitted_after = self._proposals
+        request.proposals_at_submission = self._proposals
         self._requests.append(request)
         return self._start(now)
 
@@ -238,7 +238,7 @@
         except MeshError as error:
             # Guards against an outdated state: voters that promised before this request was submitted vouch only for
             # what was decided until then.
-            if request.submitted_after < self._proposals:
+            if request.proposals_at_submission < self._proposals:
                 self._end(request, Refused(error))
             return
         if not effective:
