--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -72,7 +72,7 @@
         self.reservations = ReservationTable(window, memory)
         self.membership: Membership | None = None
         self.complete_epoch = 0  # the latest epoch for which this replica holds all reservations that a voter must hold
-        self.epoch_since = 0.0  # the time at which this replica learned the current epoch
+        self.epoch_learned_at = 0.0  # the time at which this replica learned the current epoch
         self._publish = publish
 
     # ---- start ---------------------------------------------------------------------------
@@ -97,7 +97,7 @@
         item = self.register.items.get((MEMBERSHIP, ""))
         if item is not None and item.entry.value is not None:
             self.membership = read_membership(item.entry.value)
-            self.epoch_since = now
+            self.epoch_learned_at = now
         self._publish([item.entry for item in self.register.items.values()], [])
 
     # ---- role ----------------------------------------------------------------------------
@@ -165,7 +165,7 @@
     def sweep(self, now: float) -> Effects:
         """Drop expired reservations, and become complete once every reservation of earlier epochs has expired."""
         effects = self.reservations.sweep(now)
-        if self.is_voter and not self.is_complete and now - self.epoch_since > self.reservations.retention_seconds:
+        if self.is_voter and not self.is_complete and now - self.epoch_learned_at > self.reservations.retention_seconds:
             effects.add(self._become_complete())
         return effects
 
@@ -194,7 +194,7 @@
         self._check_transition(membership)
         stays_complete = self.is_complete and membership.epoch == self.epoch + 1
         self.membership = membership
-        self.epoch_since = now
+        self.epoch_learned_at = now
         if stays_complete and self.is_voter:
             self.complete_epoch = membership.epoch
 
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -73,7 +73,7 @@
 
 def complete_too_soon(self: Replica, now: float) -> Effects:
     effects = _sweep(self, now)
-    if self.is_voter and not self.is_complete and now - self.epoch_since > 0.5:
+    if self.is_voter and not self.is_complete and now - self.epoch_learned_at > 0.5:
         effects.add(self._become_complete())
     return effects
 
