--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -2,7 +2,7 @@
 
 Four are not here. Three are held by unit tests, since no history that was played brings about what they are for: one of
 the voters whom a newcomer hears was complete (`ReservationCatchUp.receive`), completeness ends where epochs are missing
-(`Replica._install_membership`), a step leaves a complete majority (`Situation.may_lose_vote`). Nothing that is played
+(`Replica._install_membership`), a step leaves a complete majority (`ClusterView.may_lose_vote`). Nothing that is played
 needs the fourth: no claims are granted while a change of the voters is accepted (`Replica.grants_reservations`). A
 voter tells a newcomer its claims only once it goes by the new epoch, and grants nothing in the old one from then on, so
 that a claim that is won in the old epoch was granted by one whom every newcomer hears.
--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -13,7 +13,7 @@
 
 from lugspur.mesh.control.messages import Membership
 from lugspur.mesh.control.replica import Replica
-from lugspur.mesh.control.voter_membership import Presence, Situation, Tolerance, next_membership
+from lugspur.mesh.control.voter_membership import ClusterView, Presence, Tolerance, next_membership
 
 #: Time that it takes to move a vote: the start of a process, two rounds of agreement, and reading the reservations.
 CHANGE_DURATION_SECONDS = 1.5
@@ -101,11 +101,11 @@
         presences: Mapping[str, Presence],
         complete: AbstractSet[str],
         absent: Mapping[str, float],
-    ) -> Situation:
+    ) -> ClusterView:
         replica = self._replica
         voters = {voter.ip for voter in membership.voters}
         own = {replica.voter.ip} if self._is_complete() else set()
-        return Situation(
+        return ClusterView(
             membership=membership,
             presences=presences,
             absent=absent,
--- a/lugspur/mesh/control/voter_membership.py
+++ b/lugspur/mesh/control/voter_membership.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Situation:
+class ClusterView:
     """The state of the control nodes, as one voter knows it when it chooses the next membership.
 
     `presences`: the status of each control node by its IP address; `absent`: seconds for which each voter has been
@@ -94,7 +94,7 @@
         return remaining >= majority(len(self.membership.voters)) or self.is_overdue
 
 
-def next_membership(situation: Situation) -> Membership | None:
+def next_membership(situation: ClusterView) -> Membership | None:
     """Return the membership that should follow, or None if the current one needs no change."""
     return (
         _replace_lost_disk(situation)
@@ -104,7 +104,7 @@
     )
 
 
-def _replace_lost_disk(situation: Situation) -> Membership | None:
+def _replace_lost_disk(situation: ClusterView) -> Membership | None:
     """Replace a voter that has returned with another disk, since its promises are lost."""
     for voter in situation.membership.voters:
         presence = situation.presences.get(voter.ip)
@@ -115,7 +115,7 @@
     return None
 
 
-def _replace_unfit(situation: Situation) -> Membership | None:
+def _replace_unfit(situation: ClusterView) -> Membership | None:
     """Replace a voter that leaves, has a failing disk or has been unreachable for too long, if there is a candidate."""
     candidates = situation.candidates()
     if not candidates:
@@ -131,7 +131,7 @@
     return None
 
 
-def _add_voter(situation: Situation) -> Membership | None:
+def _add_voter(situation: ClusterView) -> Membership | None:
     """Add a voter if there are fewer than the tolerated losses require."""
     voters = situation.membership.voters
     candidates = situation.candidates()
@@ -143,7 +143,7 @@
     return _successor(situation.membership, [*voters, added])
 
 
-def _spread_over_domains(situation: Situation) -> Membership | None:
+def _spread_over_domains(situation: ClusterView) -> Membership | None:
     """Move a vote out of a zone or region whose loss would cost the majority."""
     voters = situation.membership.voters
     if not situation.tolerance.zones and not situation.tolerance.regions:
@@ -168,7 +168,7 @@
     return Membership(membership.epoch + 1, sorted(voters, key=lambda voter: voter.ip), membership.voters)
 
 
-def _least_loaded(situation: Situation, candidates: list[Voter], others: list[Voter]) -> Voter:
+def _least_loaded(situation: ClusterView, candidates: list[Voter], others: list[Voter]) -> Voter:
     """Return a candidate of the failure domain with the fewest votes, so that losing one domain costs few votes."""
     domains = Counter(situation.failure_domain(voter) for voter in others)
     zones = Counter(situation.zone(voter) for voter in others)
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -16,7 +16,7 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control.reservation_table import ReservationTable
-from lugspur.mesh.control.voter_membership import Situation
+from lugspur.mesh.control.voter_membership import ClusterView
 
 DRAWN = [(seed, setting) for number, setting in enumerate(SETTINGS) for seed in range(5 if number < 5 else 4)]
 LONG = [(seed, setting) for setting in (*COMPLETE_BY_TIME, *HASTY_LOSSES) for seed in range(2)]
@@ -82,7 +82,7 @@
     return self.reservations.sweep(now)
 
 
-def goes_never(self: Situation, voter: Voter) -> bool:
+def goes_never(self: ClusterView, voter: Voter) -> bool:
     return len(self.complete_voters - {voter.ip}) >= majority(len(self.membership.voters))
 
 
@@ -93,7 +93,7 @@
         (reservation_client, "majority", lambda count: 1, [SETTINGS[0]]),  # one grant is enough
         (Replica, "sweep", complete_too_soon, COMPLETE_BY_TIME),  # claims of earlier epochs may still count
         (Replica, "sweep", never_complete_by_time, COMPLETE_BY_TIME),  # nobody is complete ever again
-        (Situation, "may_lose_vote", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
+        (ClusterView, "may_lose_vote", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
     ],
 )
 def test_a_guard_that_is_taken_out_is_caught(
--- a/tests/mesh/control/test_voter_membership.py
+++ b/tests/mesh/control/test_voter_membership.py
@@ -8,7 +8,7 @@
 
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
-from lugspur.mesh.control.voter_membership import Presence, Situation, Tolerance, next_membership
+from lugspur.mesh.control.voter_membership import ClusterView, Presence, Tolerance, next_membership
 
 CURRENT = Membership(4, [Voter(f"10.0.0.{n}", f"u{n}", f"z{n}") for n in (1, 2, 3)])
 THERE = {voter.ip: Presence(voter.uid, voter.zone) for voter in CURRENT.voters}
@@ -25,8 +25,8 @@
     overdue: bool = False,
     avoid: frozenset[str] = frozenset(),
     membership: Membership = CURRENT,
-) -> Situation:
-    return Situation(
+) -> ClusterView:
+    return ClusterView(
         membership,
         presences,
         absent or {},
@@ -38,7 +38,7 @@
     )
 
 
-def follows(found: Situation) -> set[str] | None:
+def follows(found: ClusterView) -> set[str] | None:
     """Who is new on the next membership, which changes one voter at the most."""
     following = next_membership(found)
     if following is None:
