--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -125,7 +125,7 @@
 
     def _open(self) -> None:
         lock, hold_ms = self._world.rng.choice(LOCKS), self._world.rng.choice((300, 700, 1500))
-        command = records.OpenLock(lock, self._name, hold_ms)
+        command = records.AcquireLock(lock, self._name, hold_ms)
         Call(self._world, command, lambda result, sent: self._opened(lock, hold_ms, result, sent))
 
     def _opened(self, lock: str, hold_ms: int, result: records.Result | None, sent: float) -> None:
--- a/lugspur/emulator/coordination/world.py
+++ b/lugspur/emulator/coordination/world.py
@@ -123,7 +123,7 @@
         waiting: set[str] = set()
         commands: list[records.Command] = [records.ReadCell(key) for key in KEYS]
         commands += [records.TakeNumber(name) for name in NUMBERS]
-        commands += [records.OpenLock(lock, "last", 100) for lock in LOCKS]
+        commands += [records.AcquireLock(lock, "last", 100) for lock in LOCKS]
         for command in commands:
             waiting.add(str(command))
             self._last_call(command, waiting)
--- a/lugspur/mesh/control/messages/coordination_records.py
+++ b/lugspur/mesh/control/messages/coordination_records.py
@@ -56,7 +56,7 @@
 # ---- commands --------------------------------------------------------------------------------
 
 
-class OpenLock(msgspec.Struct, tag=1, array_like=True, frozen=True):
+class AcquireLock(msgspec.Struct, tag=1, array_like=True, frozen=True):
     """Acquire a lock, or extend its lease if the holder has it already."""
 
     name: str
@@ -107,7 +107,7 @@
     name: str
 
 
-Command: TypeAlias = OpenLock | RenewLock | CloseLock | TakeNumber | PutCell | ReadCell | ReadGroup
+Command: TypeAlias = AcquireLock | RenewLock | CloseLock | TakeNumber | PutCell | ReadCell | ReadGroup
 
 # ---- results ---------------------------------------------------------------------------------
 
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -17,6 +17,7 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellWritten,
@@ -30,7 +31,6 @@
     LockLost,
     LockRenewed,
     NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -196,7 +196,7 @@
         """Acquire a lock, or extend it."""
         body = read_body(_open_decoder, request)
         hold_ms = _check_range("hold_ms", body.hold_ms, 1, MAX_HOLD_MS)
-        self._carry_out("open", caller, OpenLock(check_name(found[0]), _check_holder(body.holder), hold_ms))
+        self._carry_out("open", caller, AcquireLock(check_name(found[0]), _check_holder(body.holder), hold_ms))
 
     def renew_lock(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Extend a lock that is held."""
@@ -239,7 +239,7 @@
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         self._count(call, result)
-        if isinstance(result, LockGranted) and isinstance(command, OpenLock):
+        if isinstance(result, LockGranted) and isinstance(command, AcquireLock):
             events.info("lock-granted", lock=command.name, holder=command.holder, fence=result.fence)
         elif isinstance(result, LockLost) and isinstance(command, RenewLock):
             events.info("lock-lost", lock=command.name, holder=command.holder, fence=command.fence)
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -6,6 +6,7 @@
 
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellRecord,
@@ -24,7 +25,6 @@
     LockRenewed,
     NumberRecord,
     NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -63,7 +63,7 @@
 
     def evaluate(self, command: Command) -> Result:
         """The result of a command if this batch is decided; its records, if any, are added."""
-        if isinstance(command, OpenLock):
+        if isinstance(command, AcquireLock):
             return self._open(command)
         if isinstance(command, RenewLock):
             return self._renew(command)
@@ -86,7 +86,7 @@
         lock = self._state.locks.get(name)
         return lock.record if lock is not None and lock.is_held(self._now) else None
 
-    def _open(self, command: OpenLock) -> Result:
+    def _open(self, command: AcquireLock) -> Result:
         holder = self._holder(command.name)
         if holder is not None and holder.holder != command.holder:
             return LockDenied()
--- a/tests/compatibility/test_coordination_messages.py
+++ b/tests/compatibility/test_coordination_messages.py
@@ -33,6 +33,7 @@
     UnfollowCoordination,
 )
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellRecord,
@@ -51,7 +52,6 @@
     LockRenewed,
     NumberRecord,
     NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -126,7 +126,7 @@
         ),
     ),
     (
-        CoordinationCall(11, 1.5, 0.5, OpenLock("l", "h", 2000)),
+        CoordinationCall(11, 1.5, 0.5, AcquireLock("l", "h", 2000)),
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 94 01 a1 6c a1 68 cd 07 d0"),
     ),
     (
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -6,6 +6,7 @@
 
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellWritten,
@@ -19,7 +20,6 @@
     LockLost,
     LockRenewed,
     NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -51,33 +51,33 @@
 
 
 def test_a_lock_is_denied_to_others_until_its_time_is_over(state: CoordinationState) -> None:
-    assert carry_out(state, 10.0, OpenLock("l", "a", 1000)) == [LockGranted(1)]
-    assert carry_out(state, 10.9, OpenLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 11.1, OpenLock("l", "b", 1000)) == [LockGranted(2)]
+    assert carry_out(state, 10.0, AcquireLock("l", "a", 1000)) == [LockGranted(1)]
+    assert carry_out(state, 10.9, AcquireLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(state, 11.1, AcquireLock("l", "b", 1000)) == [LockGranted(2)]
 
 
 def test_a_holder_gets_its_fence_again_and_more_time(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 10.5, OpenLock("l", "a", 1000)) == [LockGranted(1)]
-    assert carry_out(state, 11.3, OpenLock("l", "b", 1000)) == [LockDenied()]
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
+    assert carry_out(state, 10.5, AcquireLock("l", "a", 1000)) == [LockGranted(1)]
+    assert carry_out(state, 11.3, AcquireLock("l", "b", 1000)) == [LockDenied()]
 
 
 def test_a_shorter_time_takes_nothing_from_a_holder(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 5000))
+    carry_out(state, 10.0, AcquireLock("l", "a", 5000))
     carry_out(state, 10.1, RenewLock("l", "a", 1, 100))
-    assert carry_out(state, 14.0, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(state, 14.0, AcquireLock("l", "b", 1000)) == [LockDenied()]
     restored = CoordinationState(20.0)
     restored.replace(100.0, state.snapshot())
-    assert carry_out(restored, 104.0, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(restored, 104.0, AcquireLock("l", "b", 1000)) == [LockDenied()]
 
 
 def test_a_holder_that_died_comes_again_under_its_name_with_a_new_fence(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 12.0, OpenLock("l", "a", 1000)) == [LockGranted(2)]
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
+    assert carry_out(state, 12.0, AcquireLock("l", "a", 1000)) == [LockGranted(2)]
 
 
 def test_a_renewal_of_a_lost_lock_is_refused(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
     assert carry_out(state, 10.5, RenewLock("l", "a", 1, 1000)) == [LockRenewed()]
     assert carry_out(state, 10.6, RenewLock("l", "a", 2, 1000)) == [LockLost()]
     assert carry_out(state, 10.6, RenewLock("l", "b", 1, 1000)) == [LockLost()]
@@ -85,11 +85,11 @@
 
 
 def test_a_close_that_comes_late_closes_nothing(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
     assert carry_out(state, 10.1, CloseLock("l", "a", 1)) == [LockClosed()]
-    assert carry_out(state, 10.2, OpenLock("l", "a", 1000)) == [LockGranted(2)]
+    assert carry_out(state, 10.2, AcquireLock("l", "a", 1000)) == [LockGranted(2)]
     assert carry_out(state, 10.3, CloseLock("l", "a", 1)) == [LockClosed()]
-    assert carry_out(state, 10.4, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(state, 10.4, AcquireLock("l", "b", 1000)) == [LockDenied()]
     assert carry_out(state, 10.4, CloseLock("never", "a", 1)) == [LockClosed()]
 
 
@@ -97,30 +97,30 @@
     assert carry_out(
         state,
         10.0,
-        OpenLock("l", "a", 1000),
-        OpenLock("l", "b", 1000),
+        AcquireLock("l", "a", 1000),
+        AcquireLock("l", "b", 1000),
         RenewLock("l", "a", 1, 10),
         CloseLock("l", "a", 1),
-        OpenLock("l", "b", 1000),
+        AcquireLock("l", "b", 1000),
     ) == [LockGranted(1), LockDenied(), LockRenewed(), LockClosed(), LockGranted(2)]
 
 
 def test_fences_rise_over_all_locks_and_restarts(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000), OpenLock("m", "a", 1000), CloseLock("m", "a", 2))
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000), AcquireLock("m", "a", 1000), CloseLock("m", "a", 2))
     rows = {key: value for key, value in state._rows() if value is not None}
     restored = CoordinationState(20.0)
     restored.restore(rows.items(), 0.0)
-    assert carry_out(restored, 0.0, OpenLock("m", "a", 1000)) == [LockGranted(3)]
+    assert carry_out(restored, 0.0, AcquireLock("m", "a", 1000)) == [LockGranted(3)]
 
 
 def test_locks_beyond_the_bound_are_rejected_until_others_run_out(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(batch_module, "MAX_LOCKS", 3)
-    carry_out(state, 10.0, *[OpenLock(f"l{n}", "a", 1000) for n in range(3)])
-    [rejected] = carry_out(state, 10.0, OpenLock("more", "a", 1000))
+    carry_out(state, 10.0, *[AcquireLock(f"l{n}", "a", 1000) for n in range(3)])
+    [rejected] = carry_out(state, 10.0, AcquireLock("more", "a", 1000))
     assert isinstance(rejected, CommandFailed) and rejected.error_kind == ErrorKind.TOO_MANY.value
-    assert carry_out(state, 12.0, OpenLock("more", "a", 1000)) == [LockGranted(4)]
+    assert carry_out(state, 12.0, AcquireLock("more", "a", 1000)) == [LockGranted(4)]
     assert set(state.locks) == {"more"}
 
 
--- a/tests/mesh/coordination/test_node.py
+++ b/tests/mesh/coordination/test_node.py
@@ -17,11 +17,11 @@
     CoordinationReply,
 )
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CommandFailed,
     LockGranted,
     NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     Result,
@@ -68,7 +68,7 @@
             elif not self.drops(peer, message):
                 self._group.wire.append(lambda p=peer, m=message: self._group.deliver(self.ip, p, m))  # type: ignore[misc]
 
-    def submit(self, command: TakeNumber | OpenLock | PutCell | ReadCell) -> list[Result]:
+    def submit(self, command: TakeNumber | AcquireLock | PutCell | ReadCell) -> list[Result]:
         """Submit a command; what is returned gets its result."""
         results: list[Result] = []
         self.run(self.node.submit(self._group.now, command, results.append))
@@ -227,7 +227,7 @@
 def test_a_call_that_was_delayed_on_its_way_is_not_carried_out() -> None:
     group = Group()
     leader = group.machines[IPS[0]]
-    call = CoordinationCall(1, group.now, 0.8, OpenLock("l", "a", 1000))
+    call = CoordinationCall(1, group.now, 0.8, AcquireLock("l", "a", 1000))
     answers: list[Message] = []
     group.now += MAX_CALL_AGE_SECONDS + 0.01
     effects = leader.node.handle(group.now, Reply(IPS[1]), call)
@@ -269,7 +269,7 @@
     for machine in group.machines.values():
         machine.may_lead = False
     group.pass_time(0.3)
-    results = group.machines[IPS[2]].submit(OpenLock("l", "a", 1000))
+    results = group.machines[IPS[2]].submit(AcquireLock("l", "a", 1000))
     group.settle()
     assert not results
     group.machines[IPS[1]].may_lead = True
