--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -141,7 +141,7 @@
 
     def _close(self, tenure: LockTenure, hold_ms: int) -> None:
         tenure.ended = min(tenure.ended, self._world.clock.now)
-        command = records.CloseLock(tenure.lock, self._name, tenure.fence)
+        command = records.ReleaseLock(tenure.lock, self._name, tenure.fence)
         Call(self._world, command, lambda result, sent: self._pause(), seconds=1.5)
 
     def _renew(self, tenure: LockTenure, hold_ms: int) -> None:
--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -17,7 +17,7 @@
     CoordinationPrepare,
     CoordinationSnapshot,
 )
-from lugspur.mesh.control.messages.coordination_records import CloseLock, LockClosed, LockReleased, Result
+from lugspur.mesh.control.messages.coordination_records import LockClosed, LockReleased, ReleaseLock, Result
 from lugspur.mesh.coordination import node as node_module
 from lugspur.mesh.coordination.acceptor import CoordinationAcceptor
 from lugspur.mesh.coordination.batch import CommandBatch
@@ -123,7 +123,7 @@
     _apply_lock(self, now - 0.3, record)
 
 
-def close_any_fence(self: CommandBatch, command: CloseLock) -> Result:
+def close_any_fence(self: CommandBatch, command: ReleaseLock) -> Result:
     if self._holder(command.name) is not None:
         self._locks[command.name] = None
         self.records.append(LockReleased(command.name))
--- a/lugspur/mesh/control/messages/coordination_records.py
+++ b/lugspur/mesh/control/messages/coordination_records.py
@@ -73,7 +73,7 @@
     hold_ms: int
 
 
-class CloseLock(msgspec.Struct, tag=3, array_like=True, frozen=True):
+class ReleaseLock(msgspec.Struct, tag=3, array_like=True, frozen=True):
     """Release a lock that is held under a fencing token."""
 
     name: str
@@ -107,7 +107,7 @@
     name: str
 
 
-Command: TypeAlias = AcquireLock | RenewLock | CloseLock | TakeNumber | PutCell | ReadCell | ReadGroup
+Command: TypeAlias = AcquireLock | RenewLock | ReleaseLock | TakeNumber | PutCell | ReadCell | ReadGroup
 
 # ---- results ---------------------------------------------------------------------------------
 
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -21,7 +21,6 @@
     CellFound,
     CellMissing,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     GroupRevision,
@@ -34,6 +33,7 @@
     PutCell,
     ReadCell,
     ReadGroup,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
@@ -210,7 +210,7 @@
         """Release a lock."""
         body = read_body(_close_decoder, request)
         fence = _check_range("fence", body.fence, 0, MAX_NUMBER)
-        self._carry_out("close", caller, CloseLock(check_name(found[0]), _check_holder(body.holder), fence))
+        self._carry_out("close", caller, ReleaseLock(check_name(found[0]), _check_holder(body.holder), fence))
 
     def take_number(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Take the next number under a name."""
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -11,7 +11,6 @@
     CellMissing,
     CellRecord,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     CoordinationChange,
@@ -29,6 +28,7 @@
     ReadCell,
     ReadGroup,
     Record,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
@@ -67,7 +67,7 @@
             return self._open(command)
         if isinstance(command, RenewLock):
             return self._renew(command)
-        if isinstance(command, CloseLock):
+        if isinstance(command, ReleaseLock):
             return self._close(command)
         if isinstance(command, TakeNumber):
             return self._take_number(command)
@@ -106,7 +106,7 @@
         self._extend(holder, command.hold_ms)
         return LockRenewed()
 
-    def _close(self, command: CloseLock) -> Result:
+    def _close(self, command: ReleaseLock) -> Result:
         holder = self._holder(command.name)
         if holder is not None and (holder.holder, holder.fence) == (command.holder, command.fence):
             self._locks[command.name] = None
--- a/tests/compatibility/test_coordination_messages.py
+++ b/tests/compatibility/test_coordination_messages.py
@@ -38,7 +38,6 @@
     CellMissing,
     CellRecord,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     CoordinationChange,
@@ -55,6 +54,7 @@
     PutCell,
     ReadCell,
     ReadGroup,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
@@ -134,7 +134,7 @@
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 95 02 a1 6c a1 68 03 cd 07 d0"),
     ),
     (
-        CoordinationCall(11, 1.5, 0.5, CloseLock("l", "h", 3)),
+        CoordinationCall(11, 1.5, 0.5, ReleaseLock("l", "h", 3)),
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 94 03 a1 6c a1 68 03"),
     ),
     (
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -10,7 +10,6 @@
     CellFound,
     CellMissing,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     GroupRevision,
@@ -23,6 +22,7 @@
     PutCell,
     ReadCell,
     ReadGroup,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
@@ -86,11 +86,11 @@
 
 def test_a_close_that_comes_late_closes_nothing(state: CoordinationState) -> None:
     carry_out(state, 10.0, AcquireLock("l", "a", 1000))
-    assert carry_out(state, 10.1, CloseLock("l", "a", 1)) == [LockClosed()]
+    assert carry_out(state, 10.1, ReleaseLock("l", "a", 1)) == [LockClosed()]
     assert carry_out(state, 10.2, AcquireLock("l", "a", 1000)) == [LockGranted(2)]
-    assert carry_out(state, 10.3, CloseLock("l", "a", 1)) == [LockClosed()]
+    assert carry_out(state, 10.3, ReleaseLock("l", "a", 1)) == [LockClosed()]
     assert carry_out(state, 10.4, AcquireLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 10.4, CloseLock("never", "a", 1)) == [LockClosed()]
+    assert carry_out(state, 10.4, ReleaseLock("never", "a", 1)) == [LockClosed()]
 
 
 def test_commands_of_one_batch_see_each_other(state: CoordinationState) -> None:
@@ -100,13 +100,13 @@
         AcquireLock("l", "a", 1000),
         AcquireLock("l", "b", 1000),
         RenewLock("l", "a", 1, 10),
-        CloseLock("l", "a", 1),
+        ReleaseLock("l", "a", 1),
         AcquireLock("l", "b", 1000),
     ) == [LockGranted(1), LockDenied(), LockRenewed(), LockClosed(), LockGranted(2)]
 
 
 def test_fences_rise_over_all_locks_and_restarts(state: CoordinationState) -> None:
-    carry_out(state, 10.0, AcquireLock("l", "a", 1000), AcquireLock("m", "a", 1000), CloseLock("m", "a", 2))
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000), AcquireLock("m", "a", 1000), ReleaseLock("m", "a", 2))
     rows = {key: value for key, value in state._rows() if value is not None}
     restored = CoordinationState(20.0)
     restored.restore(rows.items(), 0.0)
