--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -17,7 +17,7 @@
     CoordinationPrepare,
     CoordinationSnapshot,
 )
-from lugspur.mesh.control.messages.coordination_records import LockClosed, LockReleased, ReleaseLock, Result
+from lugspur.mesh.control.messages.coordination_records import LockReleaseConfirmed, LockReleased, ReleaseLock, Result
 from lugspur.mesh.coordination import node as node_module
 from lugspur.mesh.coordination.acceptor import CoordinationAcceptor
 from lugspur.mesh.coordination.batch import CommandBatch
@@ -127,7 +127,7 @@
     if self._holder(command.name) is not None:
         self._locks[command.name] = None
         self.records.append(LockReleased(command.name))
-    return LockClosed()
+    return LockReleaseConfirmed()
 
 
 def lead_behind(self: CoordinationProposer, now: float) -> Effects:
--- a/lugspur/mesh/control/messages/coordination_records.py
+++ b/lugspur/mesh/control/messages/coordination_records.py
@@ -130,7 +130,7 @@
     """The caller does not hold the lock under that fencing token."""
 
 
-class LockClosed(msgspec.Struct, tag=5, array_like=True, frozen=True):
+class LockReleaseConfirmed(msgspec.Struct, tag=5, array_like=True, frozen=True):
     """The caller no longer holds the lock."""
 
 
@@ -182,7 +182,7 @@
     | LockDenied
     | LockRenewed
     | LockLost
-    | LockClosed
+    | LockReleaseConfirmed
     | NumberTaken
     | CellWritten
     | RevisionMismatch
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -24,10 +24,10 @@
     Command,
     CommandFailed,
     GroupRevision,
-    LockClosed,
     LockDenied,
     LockGranted,
     LockLost,
+    LockReleaseConfirmed,
     LockRenewed,
     NumberTaken,
     PutCell,
@@ -364,7 +364,7 @@
     LockDenied: "lock-held",
     LockRenewed: "renewed",
     LockLost: "lock-lost",
-    LockClosed: "closed",
+    LockReleaseConfirmed: "closed",
     NumberTaken: "taken",
     CellWritten: "written",
     RevisionMismatch: "revision-mismatch",
@@ -386,7 +386,7 @@
     """Answer a call with the result of its command."""
     if isinstance(result, LockGranted):
         reply(caller, _encode({"fence": result.fence}))
-    elif isinstance(result, LockRenewed | LockClosed):
+    elif isinstance(result, LockRenewed | LockReleaseConfirmed):
         reply(caller)
     elif isinstance(result, LockDenied):
         fail(caller, MeshError(ErrorKind.LOCK_HELD))
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -15,11 +15,11 @@
     CommandFailed,
     CoordinationChange,
     GroupRevision,
-    LockClosed,
     LockDenied,
     LockGranted,
     LockLost,
     LockRecord,
+    LockReleaseConfirmed,
     LockReleased,
     LockRenewed,
     NumberRecord,
@@ -111,7 +111,7 @@
         if holder is not None and (holder.holder, holder.fence) == (command.holder, command.fence):
             self._locks[command.name] = None
             self.records.append(LockReleased(command.name))
-        return LockClosed()
+        return LockReleaseConfirmed()
 
     def _extend(self, holder: LockRecord, hold_ms: int) -> None:
         """Give a holder more time, and never less than it has: its calls may arrive in another order."""
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -13,10 +13,10 @@
     Command,
     CommandFailed,
     GroupRevision,
-    LockClosed,
     LockDenied,
     LockGranted,
     LockLost,
+    LockReleaseConfirmed,
     LockRenewed,
     NumberTaken,
     PutCell,
@@ -86,11 +86,11 @@
 
 def test_a_close_that_comes_late_closes_nothing(state: CoordinationState) -> None:
     carry_out(state, 10.0, AcquireLock("l", "a", 1000))
-    assert carry_out(state, 10.1, ReleaseLock("l", "a", 1)) == [LockClosed()]
+    assert carry_out(state, 10.1, ReleaseLock("l", "a", 1)) == [LockReleaseConfirmed()]
     assert carry_out(state, 10.2, AcquireLock("l", "a", 1000)) == [LockGranted(2)]
-    assert carry_out(state, 10.3, ReleaseLock("l", "a", 1)) == [LockClosed()]
+    assert carry_out(state, 10.3, ReleaseLock("l", "a", 1)) == [LockReleaseConfirmed()]
     assert carry_out(state, 10.4, AcquireLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 10.4, ReleaseLock("never", "a", 1)) == [LockClosed()]
+    assert carry_out(state, 10.4, ReleaseLock("never", "a", 1)) == [LockReleaseConfirmed()]
 
 
 def test_commands_of_one_batch_see_each_other(state: CoordinationState) -> None:
@@ -102,7 +102,7 @@
         RenewLock("l", "a", 1, 10),
         ReleaseLock("l", "a", 1),
         AcquireLock("l", "b", 1000),
-    ) == [LockGranted(1), LockDenied(), LockRenewed(), LockClosed(), LockGranted(2)]
+    ) == [LockGranted(1), LockDenied(), LockRenewed(), LockReleaseConfirmed(), LockGranted(2)]
 
 
 def test_fences_rise_over_all_locks_and_restarts(state: CoordinationState) -> None:
