--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -172,7 +172,7 @@
 
     def _take(self) -> None:
         name = self._world.rng.choice(NUMBERS)
-        Call(self._world, records.TakeNumber(name), lambda result, sent: self._taken(name, result, sent))
+        Call(self._world, records.IssueNumber(name), lambda result, sent: self._taken(name, result, sent))
 
     def _taken(self, name: str, result: records.Result | None, sent: float) -> None:
         now = self._world.clock.now
--- a/lugspur/emulator/coordination/world.py
+++ b/lugspur/emulator/coordination/world.py
@@ -122,7 +122,7 @@
         """Read back what was acknowledged; returns the calls that wait for their answer."""
         waiting: set[str] = set()
         commands: list[records.Command] = [records.ReadCell(key) for key in KEYS]
-        commands += [records.TakeNumber(name) for name in NUMBERS]
+        commands += [records.IssueNumber(name) for name in NUMBERS]
         commands += [records.AcquireLock(lock, "last", 100) for lock in LOCKS]
         for command in commands:
             waiting.add(str(command))
@@ -141,7 +141,7 @@
                 self.history.reads.append(ReadCell(command.name, result.value, result.revision, sent, now))
             elif isinstance(command, records.ReadCell) and isinstance(result, records.CellMissing):
                 self.history.reads.append(ReadCell(command.name, "", 0, sent, now))
-            elif isinstance(result, records.NumberTaken) and isinstance(command, records.TakeNumber):
+            elif isinstance(result, records.NumberTaken) and isinstance(command, records.IssueNumber):
                 self.history.numbers.append(TakenNumber(command.name, result.value, sent, now))
             elif isinstance(result, records.LockDenied):  # until its time is over
                 self.clock.at(now + 0.2, partial(self._last_call, command, waiting))
--- a/lugspur/mesh/control/messages/coordination_records.py
+++ b/lugspur/mesh/control/messages/coordination_records.py
@@ -81,7 +81,7 @@
     fence: int
 
 
-class TakeNumber(msgspec.Struct, tag=4, array_like=True, frozen=True):
+class IssueNumber(msgspec.Struct, tag=4, array_like=True, frozen=True):
     """Issue the next number under a name."""
 
     name: str
@@ -107,7 +107,7 @@
     name: str
 
 
-Command: TypeAlias = AcquireLock | RenewLock | ReleaseLock | TakeNumber | PutCell | ReadCell | ReadGroup
+Command: TypeAlias = AcquireLock | RenewLock | ReleaseLock | IssueNumber | PutCell | ReadCell | ReadGroup
 
 # ---- results ---------------------------------------------------------------------------------
 
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -24,6 +24,7 @@
     Command,
     CommandFailed,
     GroupRevision,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
@@ -37,7 +38,6 @@
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.control_node.coordination_service import steady_clock
 from lugspur.mesh.coordination.state import GROUP_SEPARATOR
@@ -215,7 +215,7 @@
     def take_number(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Take the next number under a name."""
         read_body(_empty_decoder, request)
-        self._carry_out("number", caller, TakeNumber(check_name(found[0])))
+        self._carry_out("number", caller, IssueNumber(check_name(found[0])))
 
     def put_cell(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Put a value to a key."""
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -15,6 +15,7 @@
     CommandFailed,
     CoordinationChange,
     GroupRevision,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
@@ -32,7 +33,6 @@
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.coordination.state import CoordinationState, group_of, record_bytes
 
@@ -69,7 +69,7 @@
             return self._renew(command)
         if isinstance(command, ReleaseLock):
             return self._close(command)
-        if isinstance(command, TakeNumber):
+        if isinstance(command, IssueNumber):
             return self._take_number(command)
         if isinstance(command, PutCell):
             return self._put(command)
@@ -137,7 +137,7 @@
 
     # ---- numbers -------------------------------------------------------------------------
 
-    def _take_number(self, command: TakeNumber) -> Result:
+    def _take_number(self, command: IssueNumber) -> Result:
         latest = self._numbers.get(command.name, self._state.numbers.get(command.name, 0))
         if latest == 0 and len(self._state.numbers) + len(self._numbers) >= MAX_NUMBERS:
             return _too_many("numbers")
--- a/tests/compatibility/test_coordination_messages.py
+++ b/tests/compatibility/test_coordination_messages.py
@@ -42,6 +42,7 @@
     CommandFailed,
     CoordinationChange,
     GroupRevision,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
@@ -58,7 +59,6 @@
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.coordination.acceptor import StoredEpoch, StoredVote
 from lugspur.mesh.coordination.state import CoordinationState, StoredGroup, StoredMeta
@@ -138,7 +138,7 @@
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 94 03 a1 6c a1 68 03"),
     ),
     (
-        CoordinationCall(11, 1.5, 0.5, TakeNumber("n")),
+        CoordinationCall(11, 1.5, 0.5, IssueNumber("n")),
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 92 04 a1 6e"),
     ),
     (
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -13,6 +13,7 @@
     Command,
     CommandFailed,
     GroupRevision,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
@@ -26,7 +27,6 @@
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.coordination import batch as batch_module
 from lugspur.mesh.coordination.batch import CommandBatch
@@ -128,22 +128,22 @@
 
 
 def test_numbers_rise_by_name(state: CoordinationState) -> None:
-    assert carry_out(state, 0.0, TakeNumber("n"), TakeNumber("n"), TakeNumber("m")) == [
+    assert carry_out(state, 0.0, IssueNumber("n"), IssueNumber("n"), IssueNumber("m")) == [
         NumberTaken(1),
         NumberTaken(2),
         NumberTaken(1),
     ]
-    assert carry_out(state, 0.0, TakeNumber("n")) == [NumberTaken(3)]
+    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberTaken(3)]
 
 
 def test_names_of_numbers_beyond_the_bound_are_rejected(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(batch_module, "MAX_NUMBERS", 1)
-    carry_out(state, 0.0, TakeNumber("n"))
-    [rejected] = carry_out(state, 0.0, TakeNumber("m"))
+    carry_out(state, 0.0, IssueNumber("n"))
+    [rejected] = carry_out(state, 0.0, IssueNumber("m"))
     assert isinstance(rejected, CommandFailed)
-    assert carry_out(state, 0.0, TakeNumber("n")) == [NumberTaken(2)]
+    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberTaken(2)]
 
 
 # ---- keys ------------------------------------------------------------------------------------
--- a/tests/mesh/coordination/test_node.py
+++ b/tests/mesh/coordination/test_node.py
@@ -20,12 +20,12 @@
     AcquireLock,
     CellFound,
     CommandFailed,
+    IssueNumber,
     LockGranted,
     NumberTaken,
     PutCell,
     ReadCell,
     Result,
-    TakeNumber,
 )
 from lugspur.mesh.control.replica import GENESIS, Replica
 from lugspur.mesh.coordination.acceptor import CoordinationAcceptor
@@ -68,7 +68,7 @@
             elif not self.drops(peer, message):
                 self._group.wire.append(lambda p=peer, m=message: self._group.deliver(self.ip, p, m))  # type: ignore[misc]
 
-    def submit(self, command: TakeNumber | AcquireLock | PutCell | ReadCell) -> list[Result]:
+    def submit(self, command: IssueNumber | AcquireLock | PutCell | ReadCell) -> list[Result]:
         """Submit a command; what is returned gets its result."""
         results: list[Result] = []
         self.run(self.node.submit(self._group.now, command, results.append))
@@ -128,7 +128,7 @@
 def test_the_first_voter_leads_and_takes_the_calls_of_all() -> None:
     group = Group()
     assert group.leaders == [IPS[0]]
-    results = [group.machines[ip].submit(TakeNumber("n")) for ip in IPS]
+    results = [group.machines[ip].submit(IssueNumber("n")) for ip in IPS]
     group.settle()
     assert sorted(r.value for [r] in results if isinstance(r, NumberTaken)) == [1, 2, 3]
 
@@ -174,7 +174,7 @@
     group = Group()
     leader = group.machines[IPS[0]]
     leader.drops = lambda to, message: isinstance(message, CoordinationAccept) and to != IPS[0]
-    results = leader.submit(TakeNumber("n"))
+    results = leader.submit(IssueNumber("n"))
     group.settle()
     group.pass_time(CALL_TIMEOUT_SECONDS + 0.2)
     assert len(results) == 1 and isinstance(results[0], CommandFailed)
@@ -200,7 +200,7 @@
     group = Group()
     leader = group.machines[IPS[0]]
     leader.drops = lambda to, message: isinstance(message, CoordinationAccept)
-    results = leader.submit(TakeNumber("n"))
+    results = leader.submit(IssueNumber("n"))
     group.settle()
     leader.drops = lambda to, message: False
     after = Membership(2, SEEDS, SEEDS)
@@ -241,9 +241,9 @@
     group = Group()
     machine = group.machines[IPS[1]]
     machine.is_paused = True
-    [paused] = machine.submit(TakeNumber("n"))
+    [paused] = machine.submit(IssueNumber("n"))
     machine.is_paused, machine.has_majority = False, False
-    [cut_off] = machine.submit(TakeNumber("n"))
+    [cut_off] = machine.submit(IssueNumber("n"))
     for result in (paused, cut_off):
         assert isinstance(result, CommandFailed) and result.error_kind == ErrorKind.NO_QUORUM.value
     group.settle()
@@ -254,7 +254,7 @@
     group = Group()
     machine = group.machines[IPS[1]]
     group.machines[IPS[0]].drops = lambda to, message: isinstance(message, CoordinationReply)
-    results = machine.submit(TakeNumber("n"))
+    results = machine.submit(IssueNumber("n"))
     group.settle()
     machine.run(machine.node.disconnected(group.now, IPS[0]))
     assert len(results) == 1 and isinstance(results[0], CommandFailed)
@@ -282,7 +282,7 @@
     for machine in group.machines.values():
         machine.may_lead = False
     group.pass_time(0.3)
-    results = group.machines[IPS[2]].submit(TakeNumber("n"))
+    results = group.machines[IPS[2]].submit(IssueNumber("n"))
     group.pass_time(CALL_TIMEOUT_SECONDS + 0.2)
     assert len(results) == 1 and isinstance(results[0], CommandFailed)
     assert results[0].error_kind == ErrorKind.NO_QUORUM.value
@@ -292,7 +292,7 @@
     group = Group()
     leader = group.machines[IPS[0]]
     leader.drops = lambda to, message: to != IPS[0]
-    results = leader.submit(TakeNumber("n"))
+    results = leader.submit(IssueNumber("n"))
     group.settle()
     newcomer = Voter("10.0.0.9", "u", "z")
     leader.replica.decide(group.now, Change("m2", [membership_entry(Membership(2, [*SEEDS[:2], newcomer], SEEDS))]))
