--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -176,7 +176,7 @@
 
     def _taken(self, name: str, result: records.Result | None, sent: float) -> None:
         now = self._world.clock.now
-        if isinstance(result, records.NumberTaken):
+        if isinstance(result, records.NumberIssued):
             self._world.history.numbers.append(TakenNumber(name, result.value, sent, now))
         if self._world.is_open:
             self._world.clock.at(now + self._world.rng.uniform(0.02, 0.3), self._take)
--- a/lugspur/emulator/coordination/world.py
+++ b/lugspur/emulator/coordination/world.py
@@ -141,7 +141,7 @@
                 self.history.reads.append(ReadCell(command.name, result.value, result.revision, sent, now))
             elif isinstance(command, records.ReadCell) and isinstance(result, records.CellMissing):
                 self.history.reads.append(ReadCell(command.name, "", 0, sent, now))
-            elif isinstance(result, records.NumberTaken) and isinstance(command, records.IssueNumber):
+            elif isinstance(result, records.NumberIssued) and isinstance(command, records.IssueNumber):
                 self.history.numbers.append(TakenNumber(command.name, result.value, sent, now))
             elif isinstance(result, records.LockDenied):  # until its time is over
                 self.clock.at(now + 0.2, partial(self._last_call, command, waiting))
--- a/lugspur/mesh/control/messages/coordination_records.py
+++ b/lugspur/mesh/control/messages/coordination_records.py
@@ -134,7 +134,7 @@
     """The caller no longer holds the lock."""
 
 
-class NumberTaken(msgspec.Struct, tag=6, array_like=True, frozen=True):
+class NumberIssued(msgspec.Struct, tag=6, array_like=True, frozen=True):
     """A number that is higher than all numbers issued before."""
 
     value: int
@@ -183,7 +183,7 @@
     | LockRenewed
     | LockLost
     | LockReleaseConfirmed
-    | NumberTaken
+    | NumberIssued
     | CellWritten
     | RevisionMismatch
     | CellFound
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -30,7 +30,7 @@
     LockLost,
     LockReleaseConfirmed,
     LockRenewed,
-    NumberTaken,
+    NumberIssued,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -365,7 +365,7 @@
     LockRenewed: "renewed",
     LockLost: "lock-lost",
     LockReleaseConfirmed: "closed",
-    NumberTaken: "taken",
+    NumberIssued: "taken",
     CellWritten: "written",
     RevisionMismatch: "revision-mismatch",
     CellFound: "found",
@@ -392,7 +392,7 @@
         fail(caller, MeshError(ErrorKind.LOCK_HELD))
     elif isinstance(result, LockLost):
         fail(caller, MeshError(ErrorKind.LOCK_LOST))
-    elif isinstance(result, NumberTaken):
+    elif isinstance(result, NumberIssued):
         reply(caller, _encode({"value": result.value}))
     elif isinstance(result, CellWritten):
         reply(caller, _encode({"revision": result.revision}))
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -23,8 +23,8 @@
     LockReleaseConfirmed,
     LockReleased,
     LockRenewed,
+    NumberIssued,
     NumberRecord,
-    NumberTaken,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -143,7 +143,7 @@
             return _too_many("numbers")
         self._numbers[command.name] = latest + 1
         self.records.append(NumberRecord(command.name, latest + 1))
-        return NumberTaken(latest + 1)
+        return NumberIssued(latest + 1)
 
     # ---- keys ----------------------------------------------------------------------------
 
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -19,7 +19,7 @@
     LockLost,
     LockReleaseConfirmed,
     LockRenewed,
-    NumberTaken,
+    NumberIssued,
     PutCell,
     ReadCell,
     ReadGroup,
@@ -129,11 +129,11 @@
 
 def test_numbers_rise_by_name(state: CoordinationState) -> None:
     assert carry_out(state, 0.0, IssueNumber("n"), IssueNumber("n"), IssueNumber("m")) == [
-        NumberTaken(1),
-        NumberTaken(2),
-        NumberTaken(1),
+        NumberIssued(1),
+        NumberIssued(2),
+        NumberIssued(1),
     ]
-    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberTaken(3)]
+    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberIssued(3)]
 
 
 def test_names_of_numbers_beyond_the_bound_are_rejected(
@@ -143,7 +143,7 @@
     carry_out(state, 0.0, IssueNumber("n"))
     [rejected] = carry_out(state, 0.0, IssueNumber("m"))
     assert isinstance(rejected, CommandFailed)
-    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberTaken(2)]
+    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberIssued(2)]
 
 
 # ---- keys ------------------------------------------------------------------------------------
--- a/tests/mesh/coordination/test_node.py
+++ b/tests/mesh/coordination/test_node.py
@@ -22,7 +22,7 @@
     CommandFailed,
     IssueNumber,
     LockGranted,
-    NumberTaken,
+    NumberIssued,
     PutCell,
     ReadCell,
     Result,
@@ -130,7 +130,7 @@
     assert group.leaders == [IPS[0]]
     results = [group.machines[ip].submit(IssueNumber("n")) for ip in IPS]
     group.settle()
-    assert sorted(r.value for [r] in results if isinstance(r, NumberTaken)) == [1, 2, 3]
+    assert sorted(r.value for [r] in results if isinstance(r, NumberIssued)) == [1, 2, 3]
 
 
 def test_a_leader_stays_while_others_could_lead() -> None:
@@ -207,7 +207,7 @@
     for machine in group.machines.values():
         machine.replica.decide(group.now, Change("m2", [membership_entry(after)]))
     group.pass_time(0.3)
-    assert results == [NumberTaken(1)]
+    assert results == [NumberIssued(1)]
 
 
 def test_a_read_waits_for_a_majority_to_confirm_the_leader() -> None:
