--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -193,7 +193,7 @@
         for number in self.left:
             yield "order", str(number)
         for ip, node in self.nodes.items():
-            waits = node.proposer._requests or node.proposer._has_pending or node.reader._waiting
+            waits = node.proposer._requests or node.proposer._has_pending_change or node.reader._waiting
             if self.retries and waits:
                 yield "retry", ip
             if self.retries and node.replica.register.has_pending_change:
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -249,7 +249,15 @@
             told,
         )
     pauses = proposer._not_before > now
-    return orders, under_way, proposer._number, proposer._changes, proposer._proposals, proposer._has_pending, pauses
+    return (
+        orders,
+        under_way,
+        proposer._number,
+        proposer._changes,
+        proposer._proposals,
+        proposer._has_pending_change,
+        pauses,
+    )
 
 
 def _reader_key(node: Node) -> object:
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -91,7 +91,7 @@
         self._proposals = 0
         self._failures = 0  # consecutive proposals without a decision
         self._not_before = 0.0  # the time before which no proposal is made
-        self._has_pending = False  # whether a voter has accepted a change that has to be decided or ruled out
+        self._has_pending_change = False  # whether a voter has accepted a change that has to be decided or ruled out
 
     def __len__(self) -> int:
         return len(self._requests)
@@ -116,7 +116,7 @@
 
     def resolve_pending(self, now: float) -> Effects:
         """Decide a change that a voter accepted some time ago, or rule it out by another decision for its index."""
-        self._has_pending = True
+        self._has_pending_change = True
         return self._start(now)
 
     def replica_advanced(self, now: float) -> Effects:
@@ -154,7 +154,7 @@
         membership = self._replica.membership
         if self._proposal is not None or membership is None or now < self._not_before:
             return Effects()
-        if not self._requests and not self._has_pending:
+        if not self._requests and not self._has_pending_change:
             return Effects()
         self._number += 1
         self._proposals += 1
@@ -191,10 +191,10 @@
             now
         )  # guards against proposing requests that have expired, for example while the process was frozen
         proposal.change = self._highest_accepted(proposal) or self._evaluate_requests()
-        if proposal.change is None and self._has_pending:
+        if proposal.change is None and self._has_pending_change:
             # An empty change takes the index, so that a value that only a minority has accepted can't be decided there.
             proposal.change = Change(f"{self._identity}:{self._changes}", [])
-        self._has_pending = False
+        self._has_pending_change = False
         if proposal.change is None:
             self._proposal = None
             self._failures = 0
