--- a/lugspur/emulator/control/node.py
+++ b/lugspur/emulator/control/node.py
@@ -102,7 +102,7 @@
             self.replica.restore(list(self.disk.items()), now)
         elif seeds:
             self.replica.voter = Voter(self.ip, GENESIS, self.zone)
-            keep(self.disk, self.replica.begin(now, seeds).write)
+            keep(self.disk, self.replica.bootstrap(now, seeds).write)
         else:
             self.disk[UID_ROW] = self.replica.voter.uid.encode()
         self.index_seen = self.replica.index
--- a/lugspur/emulator/coordination/node.py
+++ b/lugspur/emulator/coordination/node.py
@@ -129,7 +129,7 @@
 
         seeds = [Voter(ip, GENESIS, "") for ip in self._world.mesh_seeds()]
         replica.voter = Voter(self.ip, GENESIS, "z")
-        self.configuration.write(replica.begin(self.steady(), seeds).write, lambda: None)
+        self.configuration.write(replica.bootstrap(self.steady(), seeds).write, lambda: None)
         self.run(acceptor.begin())
 
     def stop(self, *, loses_power: bool) -> None:
--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -77,7 +77,7 @@
 
     # ---- start ---------------------------------------------------------------------------
 
-    def begin(self, now: float, seeds: Iterable[Voter]) -> Effects:
+    def bootstrap(self, now: float, seeds: Iterable[Voter]) -> Effects:
         """Bootstrap a new mesh: the seeds become the voters, and no earlier state has to be read."""
         first = Membership(1, sorted(seeds, key=lambda voter: voter.ip))
         self.complete_epoch = 1 if self._votes_in(first) else 0
--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -124,4 +124,4 @@
 def begin_as_first_voter(settings: Settings, replica: Replica, now: float) -> Effects:
     """Take up the first membership, in which the seeds vote whatever their disks are called."""
     replica.voter = Voter(settings.own.ip, GENESIS, settings.own.zone)
-    return replica.begin(now, [Voter(ip, GENESIS, "") for ip in settings.seeds])
+    return replica.bootstrap(now, [Voter(ip, GENESIS, "") for ip in settings.seeds])
--- a/tests/compatibility/test_control_disk.py
+++ b/tests/compatibility/test_control_disk.py
@@ -203,7 +203,7 @@
 def test_a_first_start_writes_the_first_membership_and_its_identity(tmp_path: Path) -> None:
     replica = Replica("10.0.0.1", "genesis", "", 60.0, 64 << 20, lambda *_: None)
     seeds = [Voter(f"10.0.0.{n}", "genesis", "") for n in (3, 1, 2)]
-    write(tmp_path, replica.begin(0.0, seeds).write)
+    write(tmp_path, replica.bootstrap(0.0, seeds).write)
     assert rows_of(tmp_path) == {
         b"imembership\x00": (
             b"\x92\x94\xaamembership\xa0\x01\xc4=\x93\x01"
--- a/tests/compatibility/test_control_messages.py
+++ b/tests/compatibility/test_control_messages.py
@@ -438,7 +438,7 @@
 
 def test_rows_of_a_replica_at_its_first_start_lie_under_these_keys_with_these_values() -> None:
     replica = Replica("10.0.0.1", "u1", "z1", 60.0, 64 << 20, lambda entries, forgotten: None)
-    rows = replica.begin(0.0, VOTERS).write
+    rows = replica.bootstrap(0.0, VOTERS).write
     assert rows == [
         (
             b"imembership\x00",
--- a/tests/controlparts.py
+++ b/tests/controlparts.py
@@ -33,7 +33,7 @@
 def seed(ip: str = IPS[0], window: float = 60.0, memory: int = 64 << 20) -> Replica:
     """A voter of the first membership, which nothing has happened to."""
     found = replica(ip, window=window, memory=memory)
-    found.begin(0.0, SEEDS)
+    found.bootstrap(0.0, SEEDS)
     return found
 
 
--- a/tests/mesh/control/test_register.py
+++ b/tests/mesh/control/test_register.py
@@ -36,7 +36,7 @@
 
 def test_the_acceptors_state_outlives_a_loss_of_power() -> None:
     voter, value = seed(), change(item("r", 7))
-    rows = dict(replica().begin(0.0, SEEDS).write)
+    rows = dict(replica().bootstrap(0.0, SEEDS).write)
     rows |= dict(voter.handle(0.0, None, Accept(2, MIDDLE, value)).write)
     rows |= dict(voter.handle(0.0, None, Prepare(2, HIGH)).write)
     again = replica(uid="drawn")
--- a/tests/mesh/control/test_replica.py
+++ b/tests/mesh/control/test_replica.py
@@ -66,7 +66,7 @@
     voter = seed()
     accepted = voter.handle(0.0, None, Accept(2, PROPOSAL, voter_change()))
     assert not reserve(voter, b"a").is_granted
-    rows = dict(replica().begin(0.0, SEEDS).write) | dict(accepted.write)
+    rows = dict(replica().bootstrap(0.0, SEEDS).write) | dict(accepted.write)
     again = replica()
     again.restore([(k, v) for k, v in rows.items() if v is not None], 0.0)
     assert again.is_complete and not again.grants_reservations and not reserve(again, b"a").is_granted
--- a/tests/mesh/control/test_reservation_table.py
+++ b/tests/mesh/control/test_reservation_table.py
@@ -51,7 +51,7 @@
 
 def test_a_reservation_lasts_its_whole_window_over_a_restart() -> None:
     voter = seed(window=60.0)
-    rows = dict(replica().begin(0.0, SEEDS).write)
+    rows = dict(replica().bootstrap(0.0, SEEDS).write)
     rows |= dict(voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0)).write)
     again = replica(uid="drawn", window=60.0)
     again.restore([(k, v) for k, v in rows.items() if v is not None], 1000.0)
--- a/tests/mesh/coordination/test_acceptor.py
+++ b/tests/mesh/coordination/test_acceptor.py
@@ -36,7 +36,7 @@
 def replica_of(membership_of_seeds: bool = True, uid: str = GENESIS, ip: str = OWN.ip) -> Replica:
     """A replica of a new mesh."""
     replica = Replica(ip, uid, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
-    replica.begin(0.0, SEEDS)
+    replica.bootstrap(0.0, SEEDS)
     return replica
 
 
--- a/tests/mesh/coordination/test_node.py
+++ b/tests/mesh/coordination/test_node.py
@@ -45,7 +45,7 @@
         self.has_majority, self.is_paused, self.may_lead = True, False, True
         self.drops: Callable[[str, Message], bool] = lambda to, message: False
         replica = Replica(ip, GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
-        replica.begin(0.0, SEEDS)
+        replica.bootstrap(0.0, SEEDS)
         acceptor = CoordinationAcceptor(replica, 20.0)
         acceptor.begin()
         self.replica = replica
--- a/tests/mesh/storage/test_data_directory.py
+++ b/tests/mesh/storage/test_data_directory.py
@@ -30,7 +30,7 @@
     """What a voter has written after a configuration, a claim and an answer."""
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     effects = [
-        voter.begin(0.0, SEEDS),
+        voter.bootstrap(0.0, SEEDS),
         voter.decide(0.0, Change("first", read_changes(CALL))),
         voter.handle(0.0, None, ReserveKey(b"k", b"a", 1, 2.0)),
         voter.handle(0.0, None, ReserveKey(b"l", b"b", 1, 2.0)),
@@ -95,7 +95,7 @@
 
 def test_rows_that_contradict_each_other_are_a_fault(tmp_path: Path) -> None:
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
-    rows = dict(voter.begin(0.0, SEEDS).write)
+    rows = dict(voter.bootstrap(0.0, SEEDS).write)
     rows[b"muid"] = b"another"
     entry = next(e for e in read_changes(call(route("r"))) if e.kind == "routes")
     rows[b"iroutes\0r"] = msgspec.msgpack.encode(Item(entry, 2))
@@ -136,7 +136,7 @@
 def keep_coordination(folder: Path) -> None:
     """What coordination has written after one decided change, and one that was accepted."""
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
-    voter.begin(0.0, SEEDS)
+    voter.bootstrap(0.0, SEEDS)
     acceptor = CoordinationAcceptor(voter, 20.0)
     change = CoordinationChange("c", [LockRecord("l", "h", 1, 1000), CellRecord("g.a", "v", 1)])
     accept = CoordinationAccept(1, ProposalNumber(4, "p"), 2, change)
