--- a/lugspur/mesh/control/replica.py
+++ b/lugspur/mesh/control/replica.py
@@ -237,7 +237,7 @@
         # The epoch must be on disk before the new voter relies on it.
         return Effects(write=[(COMPLETE_ROW, _pack(self.complete_epoch))], after_sync=pages)
 
-    def take_reservations(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
+    def merge_reservations(self, now: float, pages: Iterable[ReservationsPage]) -> Effects:
         """Merge all reservations of earlier epochs (see `reservation_catch_up`) and become complete."""
         if not self.is_voter or self.is_complete:
             return Effects()
--- a/lugspur/mesh/control/reservation_catch_up.py
+++ b/lugspur/mesh/control/reservation_catch_up.py
@@ -65,7 +65,7 @@
         count = len(replies) + replica.was_voter  # this replica counts: it was not complete and granted nothing then
         if count < majority(len(membership.previous_voters)) or not any(pages[0].was_complete for pages in replies):
             return Effects()
-        effects = replica.take_reservations(now, [page for pages in replies for page in pages])
+        effects = replica.merge_reservations(now, [page for pages in replies for page in pages])
         self._pages.clear()
         return effects
 
--- a/tests/mesh/control/test_replica.py
+++ b/tests/mesh/control/test_replica.py
@@ -89,7 +89,7 @@
     assert not reserve(voter, b"b", epoch=1).is_granted  # the old epoch is over here
     new.learn(0.0, voter.register.pages_after(0))
     assert new.is_voter and not new.is_complete and not reserve(new, b"b", epoch=2).is_granted
-    new.take_reservations(0.0, [page])
+    new.merge_reservations(0.0, [page])
     assert new.is_complete and reserve(new, b"b", epoch=2).is_taken
     again = voter.handle(0.0, NEW, FetchReservations(2))
     assert again.write and again.after_sync  # told again, and still only behind the disk
@@ -121,7 +121,7 @@
             m for _, m in voter.handle(0.0, NEW, FetchReservations(2)).after_sync if isinstance(m, ReservationsPage)
         ]
     rows = dict(new.learn(0.0, first.register.pages_after(0)).write)
-    rows |= dict(new.take_reservations(0.0, pages).write)
+    rows |= dict(new.merge_reservations(0.0, pages).write)
     again = replica(NEW, "new")
     again.restore([(b"muid", b"new"), *((k, v) for k, v in rows.items() if v is not None)], 0.0)
     for holder in (new, again):
