--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -55,7 +55,7 @@
     )
 
 
-def error_of(outcome: Outcome) -> MeshError | None:
+def error_from_outcome(outcome: Outcome) -> MeshError | None:
     """Return the error that a caller gets for an outcome, or None for a confirmation."""
     if isinstance(outcome, Refused):
         return outcome.error
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -8,7 +8,7 @@
 
 from lugspur.mesh import events
 from lugspur.mesh.control import items
-from lugspur.mesh.control.change_requests import ChangeRequest, Outcome, error_of
+from lugspur.mesh.control.change_requests import ChangeRequest, Outcome, error_from_outcome
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.read_index import Read, Reader
@@ -55,7 +55,7 @@
     def _amended(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
-        fault = error_of(outcome)
+        fault = error_from_outcome(outcome)
         self.changes["confirmed" if fault is None else fault.code] += 1
         events.info("amend", bytes=body_bytes, fault=fault or "none", index=self._replica.index)
         if not is_waiting:
--- a/tests/mesh/control/test_change_forwarding.py
+++ b/tests/mesh/control/test_change_forwarding.py
@@ -10,7 +10,15 @@
     outcome_from_result,
     result_from_outcome,
 )
-from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
+from lugspur.mesh.control.change_requests import (
+    ChangeRequest,
+    Confirmed,
+    NoQuorum,
+    Outcome,
+    Refused,
+    Unclear,
+    error_from_outcome,
+)
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import Entry
 
@@ -32,7 +40,7 @@
     forwarder.receive(FIRST, result_from_outcome(number, outcome))
     [told] = ends
     assert type(told) is type(outcome)
-    fault, sent = error_of(told), error_of(outcome)
+    fault, sent = error_from_outcome(told), error_from_outcome(outcome)
     assert (fault and fault.kind) == (sent and sent.kind)
     assert len(forwarder) == 0
 
--- a/tests/mesh/control/test_proposer.py
+++ b/tests/mesh/control/test_proposer.py
@@ -7,7 +7,15 @@
 from controlparts import IPS, NEW, NEXT, accepted, change, item, promise, seed, voter_change
 from meshcalls import call, route, service
 
-from lugspur.mesh.control.change_requests import ChangeRequest, Confirmed, NoQuorum, Outcome, Refused, Unclear, error_of
+from lugspur.mesh.control.change_requests import (
+    ChangeRequest,
+    Confirmed,
+    NoQuorum,
+    Outcome,
+    Refused,
+    Unclear,
+    error_from_outcome,
+)
 from lugspur.mesh.control.effects import Effects
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.items import read_changes
@@ -183,7 +191,7 @@
     node.accepts(proposal, A)
     node.proposer.tick(0.9)
     assert node.outcomes == [Unclear()]
-    fault = error_of(node.outcomes[0])
+    fault = error_from_outcome(node.outcomes[0])
     assert fault is not None and fault.kind is ErrorKind.UNCLEAR
     node.accepts(proposal, B, now=1.0)  # it counts all the same
     assert node.outcomes == [Unclear()]
