--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -97,7 +97,7 @@
         return len(self._requests)
 
     @property
-    def proposals(self) -> int:
+    def proposal_count(self) -> int:
         """The number of proposals made so far."""
         return self._proposals
 
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -52,7 +52,7 @@
             node.dispatch_calls.unknown_calls,
         ),
         gauge("operator_calls_open", "Operators' calls that have no answer yet.", len(calls.waiting)),
-        counter("proposals_total", "Proposals of changes.", node.proposer.proposals),
+        counter("proposals_total", "Proposals of changes.", node.proposer.proposal_count),
         counter("disk_commits_total", "Writes that were synced.", disk.commits),
         counter("disk_failures_total", "Writes that failed.", disk.failures),
         counter("stalls_total", "How often this process stood still for a second or more.", node.pause_detector.pauses),
