--- a/lugspur/mesh/control/change_forwarding.py
+++ b/lugspur/mesh/control/change_forwarding.py
@@ -75,7 +75,7 @@
         """Handle the end of the connection to a control node; returns the requests to propose locally."""
         return self._take_back([n for n, forwarded in self._forwarded.items() if forwarded.ip == ip])
 
-    def overdue(self, now: float) -> list[ChangeRequest]:
+    def pop_overdue(self, now: float) -> list[ChangeRequest]:
         """Remove and return the requests whose result is overdue, to be proposed locally."""
         return self._take_back(
             [n for n, forwarded in self._forwarded.items() if now - forwarded.sent_at >= RESULT_TIMEOUT_SECONDS]
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -79,7 +79,7 @@
 
     def tick(self, now: float) -> None:
         """Propose here what other control nodes have not answered in time."""
-        self._propose_all(now, self.forwarder.overdue(now))
+        self._propose_all(now, self.forwarder.pop_overdue(now))
 
     def _propose_all(self, now: float, requests: list[ChangeRequest]) -> None:
         for request in requests:
--- a/tests/mesh/control/test_change_forwarding.py
+++ b/tests/mesh/control/test_change_forwarding.py
@@ -57,8 +57,8 @@
 def test_a_request_proposed_here_after_it_was_forwarded_is_never_refused(by: str, outcome: Outcome) -> None:
     forwarder, ends, number = handed_over()
     if by == "time":
-        assert forwarder.overdue(1.0 + RESULT_TIMEOUT_SECONDS - 0.01) == []
-        [order] = forwarder.overdue(1.0 + RESULT_TIMEOUT_SECONDS)
+        assert forwarder.pop_overdue(1.0 + RESULT_TIMEOUT_SECONDS - 0.01) == []
+        [order] = forwarder.pop_overdue(1.0 + RESULT_TIMEOUT_SECONDS)
     else:
         assert forwarder.disconnected("10.0.0.2") == []
         [order] = forwarder.disconnected(FIRST)
@@ -79,7 +79,7 @@
     forwarder, ends, number = handed_over()
     [handed] = [h.request for h in forwarder._forwarded.values()]
     forwarder.withdraw(handed)
-    assert forwarder.overdue(99.0) == []
+    assert forwarder.pop_overdue(99.0) == []
     forwarder.receive(FIRST, result_from_outcome(number, Confirmed()))
     assert ends == []
 
