--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -264,9 +264,7 @@
     reader = node.reader
     current = reader._query
     asked = (
-        None
-        if current is None
-        else (current.number, current.index, tuple(sorted(current.answered)), len(current.reads))
+        None if current is None else (current.number, current.index, tuple(sorted(current.replied)), len(current.reads))
     )
     return reader._number, len(reader._waiting), asked
 
--- a/lugspur/mesh/control/read_index.py
+++ b/lugspur/mesh/control/read_index.py
@@ -34,7 +34,7 @@
     voters: frozenset[str]
     retry_at: float
     reads: list[Read]
-    answered: set[str] = field(default_factory=set)
+    replied: set[str] = field(default_factory=set)
 
 
 class Reader:
@@ -84,8 +84,8 @@
             return Effects(), False
         if message.decided_index == current.index and message.has_pending_change:
             return Effects(), True
-        current.answered.add(ip)
-        if len(current.answered) < majority(len(current.voters)):
+        current.replied.add(ip)
+        if len(current.replied) < majority(len(current.voters)):
             return Effects(), False
         self._query = None
         for read in [read for read in current.reads if read in self._waiting]:
