--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -254,7 +254,7 @@
         under_way,
         proposer._number,
         proposer._changes,
-        proposer._proposals,
+        proposer._proposal_count,
         proposer._has_pending_change,
         pauses,
     )
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -88,7 +88,7 @@
         self._proposal: Proposal | None = None
         self._number = 0  # the highest proposal number that was used or seen
         self._changes = 0  # numbers the ids of changes
-        self._proposals = 0
+        self._proposal_count = 0
         self._failures = 0  # consecutive proposals without a decision
         self._not_before = 0.0  # the time before which no proposal is made
         self._has_pending_change = False  # whether a voter has accepted a change that has to be decided or ruled out
@@ -99,13 +99,13 @@
     @property
     def proposal_count(self) -> int:
         """The number of proposals made so far."""
-        return self._proposals
+        return self._proposal_count
 
     # ---- inputs --------------------------------------------------------------------------
 
     def submit(self, now: float, request: ChangeRequest) -> Effects:
         """Add a request to the next proposal."""
-        request.proposals_at_submission = self._proposals
+        request.proposals_at_submission = self._proposal_count
         self._requests.append(request)
         return self._start(now)
 
@@ -157,7 +157,7 @@
         if not self._requests and not self._has_pending_change:
             return Effects()
         self._number += 1
-        self._proposals += 1
+        self._proposal_count += 1
         index = self._replica.index + 1
         voters = frozenset(voter.ip for voter in membership.voters)
         number = ProposalNumber(self._number, self._identity)
@@ -238,7 +238,7 @@
         except MeshError as error:
             # Guards against an outdated state: voters that promised before this request was submitted vouch only for
             # what was decided until then.
-            if request.proposals_at_submission < self._proposals:
+            if request.proposals_at_submission < self._proposal_count:
                 self._end(request, Refused(error))
             return
         if not effective:
