--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -253,7 +253,7 @@
         orders,
         under_way,
         proposer._number,
-        proposer._changes,
+        proposer._change_count,
         proposer._proposal_count,
         proposer._has_pending_change,
         pauses,
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -87,7 +87,7 @@
         self._requests: list[ChangeRequest] = []
         self._proposal: Proposal | None = None
         self._number = 0  # the highest proposal number that was used or seen
-        self._changes = 0  # numbers the ids of changes
+        self._change_count = 0  # numbers the ids of changes
         self._proposal_count = 0
         self._failures = 0  # consecutive proposals without a decision
         self._not_before = 0.0  # the time before which no proposal is made
@@ -193,7 +193,7 @@
         proposal.change = self._highest_accepted(proposal) or self._evaluate_requests()
         if proposal.change is None and self._has_pending_change:
             # An empty change takes the index, so that a value that only a minority has accepted can't be decided there.
-            proposal.change = Change(f"{self._identity}:{self._changes}", [])
+            proposal.change = Change(f"{self._identity}:{self._change_count}", [])
         self._has_pending_change = False
         if proposal.change is None:
             self._proposal = None
@@ -219,8 +219,8 @@
 
     def _evaluate_requests(self) -> Change | None:
         """End the requests whose outcome follows from the latest state, and combine the others in one change."""
-        self._changes += 1
-        batch = ChangeBatch(f"{self._identity}:{self._changes}", self._replica.register, self._disk_sizes)
+        self._change_count += 1
+        batch = ChangeBatch(f"{self._identity}:{self._change_count}", self._replica.register, self._disk_sizes)
         for request in self._requests[:]:
             if request.base_epoch is None:
                 self._evaluate(request, batch)
