--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -252,7 +252,7 @@
     return (
         orders,
         under_way,
-        proposer._number,
+        proposer._highest_number,
         proposer._change_count,
         proposer._proposal_count,
         proposer._has_pending_change,
--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -86,7 +86,7 @@
         self._rng = rng
         self._requests: list[ChangeRequest] = []
         self._proposal: Proposal | None = None
-        self._number = 0  # the highest proposal number that was used or seen
+        self._highest_number = 0  # the highest proposal number that was used or seen
         self._change_count = 0  # numbers the ids of changes
         self._proposal_count = 0
         self._failures = 0  # consecutive proposals without a decision
@@ -156,16 +156,16 @@
             return Effects()
         if not self._requests and not self._has_pending_change:
             return Effects()
-        self._number += 1
+        self._highest_number += 1
         self._proposal_count += 1
         index = self._replica.index + 1
         voters = frozenset(voter.ip for voter in membership.voters)
-        number = ProposalNumber(self._number, self._identity)
+        number = ProposalNumber(self._highest_number, self._identity)
         self._proposal = Proposal(index, number, voters, now + self._round_timeout())
         return Effects(send=[(ip, Prepare(index, number)) for ip in sorted(voters)])
 
     def _on_rejection(self, now: float, ip: str, proposal: Proposal, message: Promise | Accepted) -> Effects:
-        self._number = max(self._number, message.promised.number)
+        self._highest_number = max(self._highest_number, message.promised.number)
         if message.decided_index >= proposal.index:  # the voter knows later decided changes
             return Effects(send=[(ip, FetchDecided(self._replica.index))])
         if message.promised > proposal.number:  # the voter has promised a higher proposal
