--- a/lugspur/mesh/control/store.py
+++ b/lugspur/mesh/control/store.py
@@ -35,7 +35,7 @@
         self._sequences: dict[EntryKey, int] = {}
         self.latest_sequence = 0
         # The sequence number at which an entry was last dropped: a subscriber that is behind it needs a snapshot.
-        self.forgotten_sequence = 0
+        self.dropped_sequence = 0
         self.on_change = on_change
 
     def get(self, kind: str, name: str) -> Entry | None:
@@ -74,7 +74,7 @@
                 continue
             self._sequences.pop(key, None)
             self.latest_sequence += 1
-            self.forgotten_sequence = self.latest_sequence
+            self.dropped_sequence = self.latest_sequence
             if self.on_change is not None and entry.value is not None:
                 self.on_change(Entry(entry.kind, entry.name, entry.edition, None))
 
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -79,7 +79,7 @@
     def _update(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
         # What was forgotten meanwhile is in no list of changes: only a snapshot shows it.
-        after = subscriber.sequence if subscriber.sequence >= self._store.forgotten_sequence else 0
+        after = subscriber.sequence if subscriber.sequence >= self._store.dropped_sequence else 0
         subscriber.sequence = self._store.latest_sequence
         subscriber.updated_at = now
         update = self._make_update(now, after)
