--- a/lugspur/mesh/control/capacity.py
+++ b/lugspur/mesh/control/capacity.py
@@ -21,7 +21,7 @@
     return ITEM_OVERHEAD_BYTES + len(entry.kind) + len(entry.name.encode()) + len(entry.value or b"")
 
 
-def fits(configuration: int, disk: int) -> bool:
+def fits_on_disk(configuration: int, disk: int) -> bool:
     """Whether a disk with a capacity of `disk` bytes (0: unknown) has room for `configuration` bytes of items."""
     return not disk or configuration <= disk * CONFIGURATION_DISK_FRACTION
 
@@ -31,4 +31,6 @@
 
     A disk that has no room for the items in force does not limit changes, since its replica gets no vote.
     """
-    return min((int(disk * CONFIGURATION_DISK_FRACTION) for disk in disks if disk and fits(current, disk)), default=0)
+    return min(
+        (int(disk * CONFIGURATION_DISK_FRACTION) for disk in disks if disk and fits_on_disk(current, disk)), default=0
+    )
--- a/lugspur/mesh/control/voter_membership.py
+++ b/lugspur/mesh/control/voter_membership.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lugspur.mesh.control.capacity import fits
+from lugspur.mesh.control.capacity import fits_on_disk
 from lugspur.mesh.control.messages import Membership, Voter
 from lugspur.mesh.control.quorum import majority
 
@@ -82,7 +82,9 @@
         eligible = []
         for ip, presence in self.presences.items():
             is_fit = (
-                not presence.leaving and not presence.failing and fits(self.configuration_bytes, presence.disk_bytes)
+                not presence.leaving
+                and not presence.failing
+                and fits_on_disk(self.configuration_bytes, presence.disk_bytes)
             )
             if ip not in voters and is_fit:
                 eligible.append(Voter(ip, presence.uid, presence.zone))
--- a/tests/mesh/control/test_configuration_size.py
+++ b/tests/mesh/control/test_configuration_size.py
@@ -14,7 +14,7 @@
 from test_proposer import Node, proposal_of
 from test_voter_membership import SPARE, THERE, follows, situation
 
-from lugspur.mesh.control.capacity import CONFIGURATION_DISK_FRACTION, fits, item_bytes, max_configuration_bytes
+from lugspur.mesh.control.capacity import CONFIGURATION_DISK_FRACTION, fits_on_disk, item_bytes, max_configuration_bytes
 from lugspur.mesh.control.change_requests import Confirmed, Refused
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import Change, Entry
@@ -87,7 +87,7 @@
     five = [600_000] * 5
     assert max_configuration_bytes(50_000, [*five, SMALL]) == 100_000
     assert max_configuration_bytes(9_000, [*five, SMALL]) == 10_000
-    assert fits(1 << 40, 0) and max_configuration_bytes(5, []) == 0
+    assert fits_on_disk(1 << 40, 0) and max_configuration_bytes(5, []) == 0
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(1, 9), st.one_of(st.none(), st.binary(max_size=50)))))
