--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -83,7 +83,7 @@
             return None
         if membership.epoch != self._epoch:
             self._epoch, self._epoch_since, self._propose_at = membership.epoch, now, 0.0
-        step = next_membership(self._situation(now, membership, presences, complete, absent))
+        step = next_membership(self._cluster_view(now, membership, presences, complete, absent))
         if step is None:
             self._propose_at = 0.0
             return None
@@ -94,7 +94,7 @@
                 self._removed_at[voter.ip] = now
         return step
 
-    def _situation(
+    def _cluster_view(
         self,
         now: float,
         membership: Membership,
--- a/lugspur/mesh/control/voter_membership.py
+++ b/lugspur/mesh/control/voter_membership.py
@@ -96,69 +96,64 @@
         return remaining >= majority(len(self.membership.voters)) or self.is_overdue
 
 
-def next_membership(situation: ClusterView) -> Membership | None:
+def next_membership(view: ClusterView) -> Membership | None:
     """Return the membership that should follow, or None if the current one needs no change."""
-    return (
-        _replace_lost_disk(situation)
-        or _replace_unfit(situation)
-        or _add_voter(situation)
-        or _spread_over_domains(situation)
-    )
+    return _replace_lost_disk(view) or _replace_unfit(view) or _add_voter(view) or _spread_over_domains(view)
 
 
-def _replace_lost_disk(situation: ClusterView) -> Membership | None:
+def _replace_lost_disk(view: ClusterView) -> Membership | None:
     """Replace a voter that has returned with another disk, since its promises are lost."""
-    for voter in situation.membership.voters:
-        presence = situation.presences.get(voter.ip)
+    for voter in view.membership.voters:
+        presence = view.presences.get(voter.ip)
         if presence is None or presence.uid == voter.uid or presence.leaving or presence.failing:
             continue
-        if situation.may_lose_vote(voter):
-            return _replace(situation.membership, voter, Voter(voter.ip, presence.uid, presence.zone))
+        if view.may_lose_vote(voter):
+            return _replace(view.membership, voter, Voter(voter.ip, presence.uid, presence.zone))
     return None
 
 
-def _replace_unfit(situation: ClusterView) -> Membership | None:
+def _replace_unfit(view: ClusterView) -> Membership | None:
     """Replace a voter that leaves, has a failing disk or has been unreachable for too long, if there is a candidate."""
-    candidates = situation.candidates()
+    candidates = view.candidates()
     if not candidates:
         return None
-    for voter in situation.membership.voters:
-        presence = situation.presences.get(voter.ip)
+    for voter in view.membership.voters:
+        presence = view.presences.get(voter.ip)
         is_unfit = presence is not None and presence.uid == voter.uid and (presence.leaving or presence.failing)
-        if not is_unfit and situation.absent.get(voter.ip, 0.0) <= situation.absence_timeout:
+        if not is_unfit and view.absent.get(voter.ip, 0.0) <= view.absence_timeout:
             continue
-        if situation.may_lose_vote(voter):
-            others = [other for other in situation.membership.voters if other != voter]
-            return _replace(situation.membership, voter, _least_loaded(situation, candidates, others))
+        if view.may_lose_vote(voter):
+            others = [other for other in view.membership.voters if other != voter]
+            return _replace(view.membership, voter, _least_loaded(view, candidates, others))
     return None
 
 
-def _add_voter(situation: ClusterView) -> Membership | None:
+def _add_voter(view: ClusterView) -> Membership | None:
     """Add a voter if there are fewer than the tolerated losses require."""
-    voters = situation.membership.voters
-    candidates = situation.candidates()
-    if len(voters) >= situation.tolerance.voter_count or not candidates:
+    voters = view.membership.voters
+    candidates = view.candidates()
+    if len(voters) >= view.tolerance.voter_count or not candidates:
         return None
-    if len(situation.complete_voters) < majority(len(voters) + 1):
+    if len(view.complete_voters) < majority(len(voters) + 1):
         return None
-    added = _least_loaded(situation, candidates, voters)
-    return _successor(situation.membership, [*voters, added])
+    added = _least_loaded(view, candidates, voters)
+    return _successor(view.membership, [*voters, added])
 
 
-def _spread_over_domains(situation: ClusterView) -> Membership | None:
+def _spread_over_domains(view: ClusterView) -> Membership | None:
     """Move a vote out of a zone or region whose loss would cost the majority."""
-    voters = situation.membership.voters
-    if not situation.tolerance.zones and not situation.tolerance.regions:
+    voters = view.membership.voters
+    if not view.tolerance.zones and not view.tolerance.regions:
         return None
-    votes = Counter(situation.failure_domain(voter) for voter in voters)
+    votes = Counter(view.failure_domain(voter) for voter in voters)
     fullest = max(votes, key=lambda domain: (votes[domain], domain))
     if len(voters) - votes[fullest] >= majority(len(voters)):
         return None
-    elsewhere = [c for c in situation.candidates() if votes[situation.failure_domain(c)] + 1 < votes[fullest]]
+    elsewhere = [c for c in view.candidates() if votes[view.failure_domain(c)] + 1 < votes[fullest]]
     for voter in voters:
-        if elsewhere and situation.failure_domain(voter) == fullest and situation.may_lose_vote(voter):
+        if elsewhere and view.failure_domain(voter) == fullest and view.may_lose_vote(voter):
             others = [other for other in voters if other != voter]
-            return _replace(situation.membership, voter, _least_loaded(situation, elsewhere, others))
+            return _replace(view.membership, voter, _least_loaded(view, elsewhere, others))
     return None
 
 
@@ -170,8 +165,8 @@
     return Membership(membership.epoch + 1, sorted(voters, key=lambda voter: voter.ip), membership.voters)
 
 
-def _least_loaded(situation: ClusterView, candidates: list[Voter], others: list[Voter]) -> Voter:
+def _least_loaded(view: ClusterView, candidates: list[Voter], others: list[Voter]) -> Voter:
     """Return a candidate of the failure domain with the fewest votes, so that losing one domain costs few votes."""
-    domains = Counter(situation.failure_domain(voter) for voter in others)
-    zones = Counter(situation.zone(voter) for voter in others)
-    return min(candidates, key=lambda c: (domains[situation.failure_domain(c)], zones[situation.zone(c)], c.ip))
+    domains = Counter(view.failure_domain(voter) for voter in others)
+    zones = Counter(view.zone(voter) for voter in others)
+    return min(candidates, key=lambda c: (domains[view.failure_domain(c)], zones[view.zone(c)], c.ip))
