--- a/tests/mesh/control/test_proposer.py
+++ b/tests/mesh/control/test_proposer.py
@@ -1,4 +1,4 @@
-"""One control node's proposals: accepted values are proposed again first, and how requests end."""
+"""The proposals of one control node: accepted values are proposed again first, and requests get their outcomes."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         return effects
 
     def decide(self, *entries: Entry) -> None:
-        """From the request to the confirmation."""
+        """Submit a request and process all replies up to its confirmation."""
         proposal = proposal_of(self.submit(*entries))
         self.promises(proposal, A, B)
         self.accepts(proposal, A, B)
@@ -88,7 +88,7 @@
     sent = node.submit(item("r", 7))
     assert [ip for ip, _ in sent] == list(IPS)
     proposal = proposal_of(sent)
-    assert node.promises(proposal, A, A).send == []  # one voter is one promise
+    assert node.promises(proposal, A, A).send == []  # several promises of one voter count once
     accept = proposed_in(node.promises(proposal, B))
     assert accept.change.entries == [item("r", 7)] and node.outcomes == []
     assert node.accepts(proposal, A, A).send == [] and node.outcomes == []
@@ -97,7 +97,7 @@
     assert [ip for ip, m in effects.send if isinstance(m, Learn)] == [B, C]
 
 
-def test_answers_of_others_or_to_other_proposals_are_ignored() -> None:
+def test_replies_of_others_or_to_other_proposals_are_ignored() -> None:
     node = Node()
     proposal = proposal_of(node.submit(item("r", 7)))
     assert node.promises(proposal, A, NEW, "10.0.0.9").send == []
@@ -120,7 +120,7 @@
     assert node.outcomes == [] and again > proposal
     node.promises(again, A, C)
     [outcome] = node.outcomes
-    assert isinstance(outcome, Refused) and outcome.error.kind is ErrorKind.CONFLICT  # the other content was decided
+    assert isinstance(outcome, Refused) and outcome.error.kind is ErrorKind.CONFLICT  # other content was decided first
 
 
 def test_a_request_that_was_decided_already_is_confirmed_without_another_change() -> None:
@@ -134,7 +134,7 @@
     assert node.outcomes[2:] == [Confirmed()] and node.replica.index == 2
 
 
-def test_nothing_is_refused_before_a_majority_has_promised() -> None:
+def test_nothing_is_rejected_before_a_majority_has_promised() -> None:
     node = Node()
     node.decide(item("r", 7))
     proposal = proposal_of(node.submit(item("r", 7, b"other")))
@@ -144,11 +144,11 @@
     assert node.outcomes[1:] == [NoQuorum()]
 
 
-def test_a_request_that_came_during_the_prepare_phase_is_refused_only_by_the_next_proposal() -> None:
+def test_a_request_submitted_during_the_prepare_phase_is_rejected_only_by_the_next_proposal() -> None:
     node = Node()
     proposal = proposal_of(node.submit(item("r", 7)))
     node.promises(proposal, A)
-    # Another may have decided what this one rests on since B has promised: its word is old when it comes.
+    # After B sent its promise, another proposer may have decided what this request depends on: the promise is outdated.
     node.submit(*read_changes(call(route("a"))))
     proposed_in(node.promises(proposal, B))
     assert node.outcomes == []
@@ -157,7 +157,7 @@
     assert node.outcomes[0] == Confirmed() and isinstance(node.outcomes[1], Refused)
     alone = Node()
     alone.decide(item("r", 7))
-    proposal = proposal_of(alone.submit(item("r", 7)))  # which needs no change
+    proposal = proposal_of(alone.submit(item("r", 7)))  # this request has no effect
     alone.promises(proposal, A)
     alone.submit(*read_changes(call(route("a"))))
     again = proposal_of(alone.promises(proposal, B).send)
@@ -179,21 +179,21 @@
     again = proposal_of(node.accepts(proposal, A, B).send)
     assert node.outcomes == [Confirmed(), Confirmed()]
     accept = proposed_in(node.promises(again, A, B))
-    refused = node.outcomes[2]
-    assert isinstance(refused, Refused) and refused.error.kind is ErrorKind.BAD_CONFIG
+    rejected = node.outcomes[2]
+    assert isinstance(rejected, Refused) and rejected.error.kind is ErrorKind.BAD_CONFIG
     assert accept.change.entries == [item("r", 8)]
 
 
-def test_a_request_that_was_proposed_ends_as_unclear_and_is_never_refused() -> None:
+def test_a_request_that_was_proposed_ends_as_unclear_and_is_never_rejected() -> None:
     node = Node()
     proposal = proposal_of(node.submit(item("r", 7)))
     proposed_in(node.promises(proposal, A, B))
     node.accepts(proposal, A)
     node.proposer.tick(0.9)
     assert node.outcomes == [Unclear()]
-    fault = error_from_outcome(node.outcomes[0])
-    assert fault is not None and fault.kind is ErrorKind.UNCLEAR
-    node.accepts(proposal, B, now=1.0)  # it counts all the same
+    error = error_from_outcome(node.outcomes[0])
+    assert error is not None and error.kind is ErrorKind.UNCLEAR
+    node.accepts(proposal, B, now=1.0)  # the acceptance still counts
     assert node.outcomes == [Unclear()]
 
 
@@ -210,7 +210,7 @@
     assert node.outcomes == [Confirmed()] and node.replica.register.items["notes", "r"].index == 2
 
 
-def test_a_proposal_that_nobody_waits_for_after_a_freeze_is_not_made() -> None:
+def test_a_request_that_expires_while_the_process_is_frozen_is_not_proposed() -> None:
     node = Node()
     proposal = proposal_of(node.submit(item("r", 7)))
     effects = node.promises(proposal, A, B, now=30.0)
@@ -224,7 +224,7 @@
     assert node.proposer.tick(0.0).send == []
     again = proposal_of(node.proposer.tick(0.5).send)
     assert again.number == 9_000_001 and again.proposer == f"{A}/life"
-    assert node.promises(proposal, A, B).send == []  # to the one that was given up
+    assert node.promises(proposal, A, B).send == []  # promises for the abandoned proposal
 
 
 def test_a_proposal_that_times_out_is_replaced_by_another() -> None:
@@ -239,22 +239,22 @@
     node = Node()
     node.decide(item("r", 7))
     proposal = proposal_of(node.submit(item("s", 7)))
-    less = Promise(3, proposal, False, 1, ProposalNumber(0, ""))
+    behind = Promise(3, proposal, False, 1, ProposalNumber(0, ""))
     for turn in range(MAX_CATCH_UPS_PER_VOTER + 1):
-        sent = [m for _, m in node.proposer.receive(0.0, C, less).send]
+        sent = [m for _, m in node.proposer.receive(0.0, C, behind).send]
         if turn < MAX_CATCH_UPS_PER_VOTER:
             page, prepare = sent
             assert isinstance(page, Learn) and page.after_index == 1 and prepare == Prepare(3, proposal)
         else:
             assert sent == []
-    more = Promise(3, proposal, False, 9, ProposalNumber(0, ""))
-    assert node.proposer.receive(0.0, B, more).send == [(B, FetchDecided(2))]
+    ahead = Promise(3, proposal, False, 9, ProposalNumber(0, ""))
+    assert node.proposer.receive(0.0, B, ahead).send == [(B, FetchDecided(2))]
     assert node.proposer.receive(0.0, B, Accepted(3, proposal, False, 9, ProposalNumber(0, ""))).send == [
         (B, FetchDecided(2))
     ]
 
 
-def test_another_decision_ends_the_proposal_and_requests_are_evaluated_anew() -> None:
+def test_another_decision_ends_the_proposal_and_requests_are_evaluated_again() -> None:
     node = Node()
     proposal = proposal_of(node.submit(item("r", 7, b"mine")))
     node.replica.decide(0.1, change(item("r", 7, b"other"), name="other"))
@@ -273,16 +273,16 @@
     assert accept.change.entries == []
     node.accepts(proposal, A, B)
     assert node.replica.index == 2
-    found = Node()
-    proposal = proposal_of(found.proposer.resolve_pending(0.0).send)
-    found.promises(proposal, A)
+    other = Node()
+    proposal = proposal_of(other.proposer.resolve_pending(0.0).send)
+    other.promises(proposal, A)
     value = change(item("r", 7))
     assert (
-        proposed_in(found.proposer.receive(0.0, C, promise(2, proposal, ProposalNumber(0, "c"), value))).change == value
+        proposed_in(other.proposer.receive(0.0, C, promise(2, proposal, ProposalNumber(0, "c"), value))).change == value
     )
 
 
-def test_a_change_of_the_voters_is_proposed_alone_and_only_from_the_epoch_that_it_follows() -> None:
+def test_a_membership_change_is_proposed_alone_and_only_from_the_epoch_that_it_follows() -> None:
     node = Node()
     entries = voter_change().entries
     proposal = proposal_of(node.submit(item("r", 7)))
@@ -298,7 +298,7 @@
     assert node.outcomes[2:] == [NoQuorum()] and node.replica.epoch == 2
 
 
-def test_the_next_change_is_decided_by_the_voters_that_this_one_left() -> None:
+def test_the_change_after_a_membership_change_is_decided_by_the_new_voters() -> None:
     node = Node()
     proposal = proposal_of(node.proposer.submit(0.0, node.request(*voter_change().entries, base_epoch=1)).send)
     node.promises(proposal, A, B)
--- a/tests/mesh/control/test_register.py
+++ b/tests/mesh/control/test_register.py
@@ -1,4 +1,4 @@
-"""The register as acceptor and learner: what is synced first, what a higher proposal ends, pages of state."""
+"""The register as acceptor and learner: replies after a sync, competing proposals, and pages of decided state."""
 
 from __future__ import annotations
 
@@ -20,21 +20,23 @@
 LOW, MIDDLE, HIGH = ProposalNumber(2, "c"), ProposalNumber(5, "a"), ProposalNumber(6, "b")
 
 
-def test_promises_are_on_disk_before_the_answer_and_no_lower_proposal_follows() -> None:
+def test_promises_are_on_disk_before_the_reply_and_lower_proposals_are_rejected() -> None:
     voter, value = seed(), change(item("r", 7))
     first = voter.handle(0.0, None, Prepare(2, MIDDLE))
     assert first.write and not first.send and first.after_sync == [(None, Promise(2, MIDDLE, True, 1, MIDDLE))]
-    again = voter.handle(0.0, None, Prepare(2, MIDDLE))  # the same proposer's: it has missed the answer
+    again = voter.handle(0.0, None, Prepare(2, MIDDLE))  # the same proposer has missed the reply
     assert again.after_sync == first.after_sync
-    taken = voter.handle(0.0, None, Accept(2, MIDDLE, value))
-    assert taken.write and not taken.send and taken.after_sync == [(None, Accepted(2, MIDDLE, True, 1, MIDDLE))]
+    accepted = voter.handle(0.0, None, Accept(2, MIDDLE, value))
+    assert (
+        accepted.write and not accepted.send and accepted.after_sync == [(None, Accepted(2, MIDDLE, True, 1, MIDDLE))]
+    )
     later = voter.handle(0.0, None, Prepare(2, HIGH)).after_sync[0][1]
     assert isinstance(later, Promise) and later.accepted == MIDDLE and later.change == value
     assert only(voter.handle(0.0, None, Prepare(2, LOW))) == Promise(2, LOW, False, 1, HIGH)
     assert only(voter.handle(0.0, None, Accept(2, MIDDLE, value))) == Accepted(2, MIDDLE, False, 1, HIGH)
 
 
-def test_the_acceptors_state_outlives_a_loss_of_power() -> None:
+def test_the_acceptors_state_survives_a_loss_of_power() -> None:
     voter, value = seed(), change(item("r", 7))
     rows = dict(replica().bootstrap(0.0, SEEDS).write)
     rows |= dict(voter.handle(0.0, None, Accept(2, MIDDLE, value)).write)
@@ -44,8 +46,8 @@
     assert again.register.has_pending_change and only(again.handle(0.0, None, Prepare(2, MIDDLE))) == Promise(
         2, MIDDLE, False, 1, HIGH
     )
-    found = again.handle(0.0, None, Prepare(2, HIGH)).after_sync[0][1]
-    assert isinstance(found, Promise) and (found.accepted, found.change) == (MIDDLE, value)
+    promise = again.handle(0.0, None, Prepare(2, HIGH)).after_sync[0][1]
+    assert isinstance(promise, Promise) and (promise.accepted, promise.change) == (MIDDLE, value)
 
 
 def test_only_the_next_change_is_voted_on_and_only_by_voters() -> None:
@@ -55,8 +57,8 @@
         assert only(voter.handle(0.0, None, Prepare(index, HIGH))) == Promise(
             index, HIGH, False, 1, ProposalNumber(0, "")
         )
-        refused = only(voter.handle(0.0, None, Accept(index, HIGH, change())))
-        assert isinstance(refused, Accepted) and not refused.is_granted
+        rejected = only(voter.handle(0.0, None, Accept(index, HIGH, change())))
+        assert isinstance(rejected, Accepted) and not rejected.is_granted
     assert wiped.index == 1
     assert only(wiped.handle(0.0, None, Prepare(2, HIGH))) == Promise(2, HIGH, False, 1, ProposalNumber(0, ""))
     assert only(wiped.handle(0.0, None, Accept(2, HIGH, change()))) == Accepted(
@@ -96,7 +98,7 @@
     behind.learn([page])
     assert behind.items == source.items and behind.index == 299
     late.decide(change(item("r0", 2)))
-    late.learn([page])  # it knows more than the page begins with
+    late.learn([page])  # `late` knows later changes than the one after which the page starts
     assert late.items == source.items
 
 
@@ -104,7 +106,7 @@
     source, new = Register(), Register()
     for edition in range(1, 5):
         source.decide(change(item(f"r{edition}", edition)))
-    assert new.learn(source.pages_after(2)).write == [] and new.index == 0  # it lacks changes 1 and 2
+    assert new.learn(source.pages_after(2)).write == [] and new.index == 0  # `new` lacks changes 1 and 2
     old = source.pages_after(0)
     source.decide(change(item("r1", 9)))
     new.learn(source.pages_after(0))
@@ -131,7 +133,7 @@
     assert new.items == source.items
 
 
-def test_withdrawals_are_bounded_and_forgotten_alike_on_all_replicas(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_withdrawals_are_bounded_and_pruned_alike_on_all_replicas(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(register_module, "MAX_WITHDRAWALS", 20)
     source, step_by_step, at_once = Register(), Register(), Register()
     source.decide(change(item("stays", 1)))
@@ -142,6 +144,6 @@
             step_by_step.learn(source.pages_after(step_by_step.index))
     assert 10 <= len(source.items) <= 22 and source.pruned_index > 0
     pages = source.pages_after(at_once.index)
-    assert pages[0].after_index == 0  # what was withdrawn meanwhile may be forgotten: only the whole state tells
+    assert pages[0].after_index == 0  # withdrawals since then may have been pruned, so that the page is a snapshot
     at_once.learn(pages)
     assert source.items == step_by_step.items == at_once.items
--- a/tests/mesh/control/test_replica.py
+++ b/tests/mesh/control/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica: its vote belongs to its disk, and what it must hold before it grants a key."""
+"""A single replica: its vote belongs to its disk, and it grants a key only while it is complete."""
 
 from __future__ import annotations
 
@@ -34,21 +34,20 @@
     assert voter.is_complete and voter.was_complete
     older = Change("late", [membership_entry(FIRST)])
     voter.decide(0.0, older)
-    assert voter.epoch == 2  # never back
+    assert voter.epoch == 2  # an older membership has no effect
     skipping = seed()
-    far = Membership(4, NEXT.voters, NEXT.voters)
-    skipping.learn(0.0, _pages_after(far))
-    assert (
-        skipping.is_voter and not skipping.is_complete and not skipping.was_complete
-    )  # who knows what epoch 3 granted
+    later = Membership(4, NEXT.voters, NEXT.voters)
+    skipping.learn(0.0, _pages_after(later))
+    # The replica can't know what was granted in epoch 3.
+    assert skipping.is_voter and not skipping.is_complete and not skipping.was_complete
     assert not reserve(skipping, b"a", epoch=4).is_granted
-    out = seed(IPS[2])
-    out.decide(0.0, voter_change())
-    assert not out.is_complete and not out.is_voter and out.was_complete
+    former = seed(IPS[2])
+    former.decide(0.0, voter_change())
+    assert not former.is_complete and not former.is_voter and former.was_complete
 
 
 def _pages_after(membership: Membership) -> list[Learn]:
-    """What a replica tells that has gone through further epochs."""
+    """Return the pages that a replica sends which has learned two further epochs and then `membership`."""
     source = seed()
     source.decide(0.0, voter_change())
     source.decide(0.0, voter_change(Membership(3, NEXT.voters, NEXT.voters)))
@@ -78,33 +77,32 @@
 def test_a_voter_has_the_new_epoch_on_disk_before_it_sends_reservations() -> None:
     voter, new = seed(), replica(NEW, "new")
     reserve(voter, b"a")
-    assert only(voter.handle(0.0, NEW, FetchReservations(2))) == FetchDecided(
-        1
-    )  # it grants in the old epoch until it knows
+    # The voter grants in the old epoch until it knows the new one.
+    assert only(voter.handle(0.0, NEW, FetchReservations(2))) == FetchDecided(1)
     voter.decide(0.0, voter_change())
     effects = voter.handle(0.0, NEW, FetchReservations(2))
     assert [key for key, _ in effects.write] == [COMPLETE_ROW] and not effects.send
     [(_, page)] = effects.after_sync
     assert isinstance(page, ReservationsPage) and page.is_last and [key for key, _ in page.reservations] == [b"k"]
-    assert not reserve(voter, b"b", epoch=1).is_granted  # the old epoch is over here
+    assert not reserve(voter, b"b", epoch=1).is_granted  # the old epoch has ended here
     new.learn(0.0, voter.register.pages_after(0))
     assert new.is_voter and not new.is_complete and not reserve(new, b"b", epoch=2).is_granted
     new.merge_reservations(0.0, [page])
     assert new.is_complete and reserve(new, b"b", epoch=2).is_taken
     again = voter.handle(0.0, NEW, FetchReservations(2))
-    assert again.write and again.after_sync  # told again, and still only behind the disk
+    assert again.write and again.after_sync  # the reply is sent again, and again only after a sync
 
 
 def test_a_former_voter_sends_its_reservations_and_an_incomplete_one_says_so() -> None:
-    left = seed(IPS[2])
-    reserve(left, b"a")
-    left.decide(0.0, voter_change())
-    [(_, page)] = left.handle(0.0, NEW, FetchReservations(2)).after_sync
+    former = seed(IPS[2])
+    reserve(former, b"a")
+    former.decide(0.0, voter_change())
+    [(_, page)] = former.handle(0.0, NEW, FetchReservations(2)).after_sync
     assert isinstance(page, ReservationsPage) and [key for key, _ in page.reservations] == [b"k"]
-    stranger = replica("10.0.0.9", "other")
-    stranger.learn(0.0, left.register.pages_after(0))
-    assert stranger.handle(0.0, NEW, FetchReservations(2)).after_sync == []
-    late = seed(IPS[1])  # it missed an epoch, and can't know what others granted there
+    other = replica("10.0.0.9", "other")
+    other.learn(0.0, former.register.pages_after(0))
+    assert other.handle(0.0, NEW, FetchReservations(2)).after_sync == []
+    late = seed(IPS[1])  # this voter missed an epoch, and can't know what others granted there
     late.learn(0.0, _pages_after(Membership(4, NEXT.voters, NEXT.voters)))
     effects = late.handle(0.0, NEW, FetchReservations(4))
     assert effects.write and effects.after_sync == [(NEW, ReservationsPage(4, 0, [], True, was_complete=False))]
@@ -143,7 +141,7 @@
     without = replica("10.0.0.9", "other", window=60.0)
     without.learn(0.0, source.register.pages_after(0))
     without.sweep(1000.0)
-    assert not without.is_complete  # no vote, nothing to be complete for
+    assert not without.is_complete  # a replica without a vote is never complete
 
 
 def test_a_replica_that_catches_up_is_sent_what_was_decided_since() -> None:
