--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -1,4 +1,4 @@
-"""Guarantees over randomly drawn histories; thousands of them: `python -m lugspur.emulator control`."""
+"""Guarantees over random histories. `python -m lugspur.emulator control` runs thousands of them."""
 
 from __future__ import annotations
 
@@ -23,38 +23,38 @@
 
 
 @pytest.mark.parametrize(("seed", "setting"), [*DRAWN, *LONG], ids=str)
-def test_promises_hold_over_drawn_losses(seed: int, setting: Setting) -> None:
+def test_guarantees_hold_over_random_losses(seed: int, setting: Setting) -> None:
     histories.play(100 + seed, setting)
 
 
-def total(found: list[Figures], of: str) -> int:
-    return sum(getattr(figures, of) for figures in found)
+def total(played: list[Figures], name: str) -> int:
+    return sum(getattr(figures, name) for figures in played)
 
 
-def test_histories_bring_about_what_they_are_for() -> None:
-    found = [histories.play(seed, Setting(4, 1, 0)) for seed in range(12)]
-    assert min(total(found, name) for name in ("confirmed", "refused", "reads", "runs")) > 20
-    faults: set[str] = set().union(*(figures.faults for figures in found))
+def test_histories_contain_all_kinds_of_events_and_faults() -> None:
+    played = [histories.play(seed, Setting(4, 1, 0)) for seed in range(12)]
+    assert min(total(played, name) for name in ("confirmed", "refused", "reads", "runs")) > 20
+    faults: set[str] = set().union(*(figures.faults for figures in played))
     assert {"kill", "wipe", "replace", "leave", "cut", "power"} <= faults
-    assert total(found, "unclear") + total(found, "turned_away") > 10
-    assert max(figures.epochs for figures in found) > 2
+    assert total(played, "unclear") + total(played, "turned_away") > 10
+    assert max(figures.epochs for figures in played) > 2
 
 
 @pytest.mark.parametrize("setting", MANY_CHANGES, ids=str)
 def test_a_node_that_missed_hundreds_of_changes_learns_them_soon(setting: Setting) -> None:
-    found = [histories.play(seed, setting) for seed in range(2)]
-    assert max(figures.missed for figures in found) > 100
-    assert all(figures.caught_up_after < 1.0 for figures in found)
+    played = [histories.play(seed, setting) for seed in range(2)]
+    assert max(figures.missed for figures in played) > 100
+    assert all(figures.caught_up_after < 1.0 for figures in played)
 
 
-def test_voters_become_complete_by_time_where_no_reservations_arrive() -> None:
-    found = [histories.play(seed, COMPLETE_BY_TIME[3]) for seed in range(3)]
-    assert max(figures.well_after for figures in found) > 5.0
-    assert total(found, "runs") > 20
+def test_voters_become_complete_by_time_if_no_reservations_arrive() -> None:
+    played = [histories.play(seed, COMPLETE_BY_TIME[3]) for seed in range(3)]
+    assert max(figures.well_after for figures in played) > 5.0
+    assert total(played, "runs") > 20
 
 
-def caught(settings: list[Setting], seeds: int) -> bool:
-    """Whether some seed shows a broken promise."""
+def finds_violation(settings: list[Setting], seeds: int) -> bool:
+    """Whether the history of some seed violates a guarantee."""
     for seed in range(seeds):
         try:
             histories.play(seed, settings[seed % len(settings)])
@@ -63,12 +63,12 @@
     return False
 
 
-_claim, _sweep = ReservationTable.reserve, Replica.sweep
+_reserve, _sweep = ReservationTable.reserve, Replica.sweep
 
 
-def grants_twice(self: ReservationTable, now: float, peer: Any, message: ReserveKey, epoch: int) -> Effects:
+def grant_twice(self: ReservationTable, now: float, peer: Any, message: ReserveKey, epoch: int) -> Effects:
     self._drop(message.key)
-    return _claim(self, now, peer, message, epoch)
+    return _reserve(self, now, peer, message, epoch)
 
 
 def complete_too_soon(self: Replica, now: float) -> Effects:
@@ -82,30 +82,30 @@
     return self.reservations.sweep(now)
 
 
-def goes_never(self: ClusterView, voter: Voter) -> bool:
+def never_overdue(self: ClusterView, voter: Voter) -> bool:
     return len(self.complete_voters - {voter.ip}) >= majority(len(self.membership.voters))
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "wrong", "settings"),
+    ("owner", "name", "faulty", "settings"),
     [
-        (ReservationTable, "reserve", grants_twice, [SETTINGS[0]]),  # a voter that forgets whom it granted a key
+        (ReservationTable, "reserve", grant_twice, [SETTINGS[0]]),  # a voter forgets to which owner it granted a key
         (reservation_client, "majority", lambda count: 1, [SETTINGS[0]]),  # one grant is enough
-        (Replica, "sweep", complete_too_soon, COMPLETE_BY_TIME),  # claims of earlier epochs may still count
-        (Replica, "sweep", never_complete_by_time, COMPLETE_BY_TIME),  # nobody is complete ever again
-        (ClusterView, "may_lose_vote", goes_never, COMPLETE_BY_TIME),  # a lost voter is never replaced
+        (Replica, "sweep", complete_too_soon, COMPLETE_BY_TIME),  # reservations of earlier epochs may still be valid
+        (Replica, "sweep", never_complete_by_time, COMPLETE_BY_TIME),  # no voter becomes complete again
+        (ClusterView, "may_lose_vote", never_overdue, COMPLETE_BY_TIME),  # a lost voter is never replaced
     ],
 )
-def test_a_guard_that_is_taken_out_is_caught(
+def test_histories_find_a_guard_that_is_missing(
     monkeypatch: pytest.MonkeyPatch,
-    where: Any,
+    owner: Any,
     name: str,
-    wrong: Any,
+    faulty: Any,
     settings: list[Setting],
 ) -> None:
-    monkeypatch.setattr(where, name, wrong)
-    assert caught(settings, 40)
+    monkeypatch.setattr(owner, name, faulty)
+    assert finds_violation(settings, 40)
 
 
-def test_without_a_wrong_guard_nothing_is_caught() -> None:
-    assert not caught([SETTINGS[0]], 5)
+def test_histories_find_no_violation_while_all_guards_are_in_place() -> None:
+    assert not finds_violation([SETTINGS[0]], 5)
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -1,4 +1,4 @@
-"""All orders of events in small worlds, with the code that runs; more worlds: `python -m lugspur.emulator explore`."""
+"""All orders of events in small worlds, with the production code; more worlds: `python -m lugspur.emulator explore`."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from lugspur.emulator.control.register_world import Limits, RegisterWorld
 
 ONE_ORDER = Limits("one order", (("x", "a"),), retries=0, powers=1)
-NEAREST = 300
-WALKED = 250
+NEAREST = 300  # states that are explored in order of their distance
+WALKED = 250  # states that are explored by random walks
 
 
 def test_every_order_of_events_of_one_request() -> None:
--- a/tests/mesh/control/test_items.py
+++ b/tests/mesh/control/test_items.py
@@ -1,4 +1,4 @@
-"""Items of the configuration: which calls are accepted, conflicts with items in force, and their encoding."""
+"""Items of the configuration: validation of calls, conflicts with the items in force, and the encoding of items."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from lugspur.mesh.transport.link import MAX_UNSENT_BYTES
 
 
-def standing(body: bytes) -> Store:
+def store_with(body: bytes) -> Store:
     store = Store()
     store.merge(read_changes(body))
     return store
 
 
-def refused(body: bytes, store: Store | None = None) -> ErrorKind:
+def rejection_of(body: bytes, store: Store | None = None) -> ErrorKind:
     with pytest.raises(MeshError) as caught:
-        check_changes(read_changes(body), store or standing(call(services=[service()])))
+        check_changes(read_changes(body), store or store_with(call(services=[service()])))
     return caught.value.kind
 
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_an_invalid_call_is_rejected_as_a_whole(change: dict[str, Any]) -> None:
-    assert refused(call(route("good"), route() | change)) is ErrorKind.BAD_CONFIG
+    assert rejection_of(call(route("good"), route() | change)) is ErrorKind.BAD_CONFIG
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
     ],
 )
 def test_a_call_that_cannot_be_decoded_is_rejected(body: bytes) -> None:
-    assert refused(body) is ErrorKind.BAD_CONFIG
+    assert rejection_of(body) is ErrorKind.BAD_CONFIG
 
 
 @pytest.mark.parametrize(
@@ -114,28 +114,28 @@
     assert caught.value.kind is ErrorKind.BAD_CONFIG
 
 
-def test_limits_of_the_protocols_own_example_and_small_ones_are_accepted() -> None:
+def test_limits_of_the_protocols_example_and_small_limits_are_accepted() -> None:
     for limits in ({}, {"label_bytes": 16384, "payload_bytes": 64 << 20}, {"payload_bytes": 0, "idle_ms": 1}):
         [entry] = read_changes(json.dumps({"upsert": {"limits": {"edition": "0000000a", **limits}}}).encode())
         assert entry.kind == "limits"
 
 
 def test_two_routes_of_one_prefix_are_rejected_in_one_call_and_against_the_items_in_force() -> None:
-    assert refused(call(route("a"), route("b", path_prefix="/a/"))) is ErrorKind.BAD_CONFIG
-    store = standing(call(route("a"), services=[service()]))
-    assert refused(call(route("b", path_prefix="/a/")), store) is ErrorKind.BAD_CONFIG
-    # Where the one that stands goes in the same call, its place is free.
+    assert rejection_of(call(route("a"), route("b", path_prefix="/a/"))) is ErrorKind.BAD_CONFIG
+    store = store_with(call(route("a"), services=[service()]))
+    assert rejection_of(call(route("b", path_prefix="/a/")), store) is ErrorKind.BAD_CONFIG
+    # A call that also withdraws the route in force frees its prefix.
     check_changes(read_changes(call(route("b", path_prefix="/a/"), drop=[{"name": "a", "edition": "00000008"}])), store)
 
 
 def test_a_service_that_routes_need_cannot_be_withdrawn() -> None:
-    store = standing(call(route(), services=[service()]))
+    store = store_with(call(route(), services=[service()]))
     body = json.dumps({"withdraw": {"services": [{"name": "s", "edition": "00000009"}]}}).encode()
-    assert refused(body, store) is ErrorKind.BAD_CONFIG
+    assert rejection_of(body, store) is ErrorKind.BAD_CONFIG
 
 
 def test_an_old_change_that_arrives_again_is_accepted_and_changes_nothing() -> None:
-    store = standing(call(route(edition="00000009"), services=[service()]))
+    store = store_with(call(route(edition="00000009"), services=[service()]))
     store.merge([Entry("services", "s", 20, None), Entry("routes", "r", 21, None)])
     entries = read_changes(call(route(edition="00000009"), services=[service()]))
     check_changes(entries, store)
@@ -143,9 +143,9 @@
 
 
 def test_other_content_under_the_current_edition_is_a_conflict() -> None:
-    store = standing(call(route(), services=[service()]))
-    check_changes(read_changes(call(route())), store)  # the same content is a repeat
-    assert refused(call(route(deadline_ms=700)), store) is ErrorKind.CONFLICT
+    store = store_with(call(route(), services=[service()]))
+    check_changes(read_changes(call(route())), store)  # a call with the same content is a repeat
+    assert rejection_of(call(route(deadline_ms=700)), store) is ErrorKind.CONFLICT
 
 
 def test_one_name_set_and_withdrawn_in_one_call() -> None:
@@ -154,13 +154,13 @@
     assert entry.value is None
     [entry] = [e for e in read_changes(call(route(edition="00000009"), drop=drop)) if e.name == "r"]
     assert entry.value is not None
-    assert refused(call(route(edition="00000008"), drop=drop)) is ErrorKind.BAD_CONFIG
+    assert rejection_of(call(route(edition="00000008"), drop=drop)) is ErrorKind.BAD_CONFIG
 
 
 def test_shares_without_a_finite_sum_are_rejected() -> None:
     for shares in ((1e308, 1e308), (0.0, 0.0), (-1.0, 2.0)):
         split = [{"service": "s", "share": share} for share in shares]
-        assert refused(call(route(service=None, split=split))) is ErrorKind.BAD_CONFIG
+        assert rejection_of(call(route(service=None, split=split))) is ErrorKind.BAD_CONFIG
 
 
 def test_a_change_that_is_proposed_three_times_fits_into_a_connections_send_buffer() -> None:
@@ -168,7 +168,7 @@
 
 
 def test_an_item_whose_row_no_disk_takes_is_rejected() -> None:
-    """One such row would fail each write of every control node, for ever."""
+    """Such a row would make every later write of every control node fail."""
     for kind, name in (("é" * 64, "n" * 432), ("notes", "n" * 433), ("notes", "ü" * 217)):
         body = json.dumps({"upsert": {kind: [{"name": name, "edition": "00000001"}]}}).encode()
         with pytest.raises(MeshError) as caught:
--- a/tests/mesh/control/test_store.py
+++ b/tests/mesh/control/test_store.py
@@ -1,4 +1,4 @@
-"""The store of entries: copies agree whatever the order of changes, and subscribers resume from a sequence number."""
+"""The store of entries: copies agree for any order of changes, and subscribers resume from a sequence number."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @given(st.lists(entries), st.randoms())
-def test_stores_agree_whatever_the_order_and_never_go_back(changes: list[Entry], rng: Any) -> None:
+def test_stores_agree_for_any_order_of_changes_and_editions_never_decrease(changes: list[Entry], rng: Any) -> None:
     one, other = Store(), Store()
     for entry in changes:
         before = one.get(entry.kind, entry.name)
@@ -38,7 +38,7 @@
     source, copy = Store(), Store()
     source.merge(changes[:cut])
     copy.merge(source.all())
-    place = source.latest_sequence
+    sequence = source.latest_sequence
     source.merge(changes[cut:])
-    copy.merge(source.changed_after(place))
+    copy.merge(source.changed_after(sequence))
     assert {(e.name, e.edition, e.value) for e in copy.all()} == {(e.name, e.edition, e.value) for e in source.all()}
