--- a/lugspur/mesh/control/change_requests.py
+++ b/lugspur/mesh/control/change_requests.py
@@ -30,7 +30,10 @@
 
 @dataclass(slots=True, frozen=True)
 class NoQuorum:
-    """Too few voters replied, and the change was not proposed."""
+    """Too few voters replied, and the change was not proposed.
+
+    Also the outcome of a membership change whose base epoch has passed.
+    """
 
 
 Outcome = Confirmed | Refused | Unclear | NoQuorum
@@ -50,9 +53,8 @@
     base_epoch: int | None = None
     was_proposed: bool = False  # a request that was proposed may be in force, so that it is never rejected
     change_id: str = ""  # the id of the change in which the request was proposed last
-    proposals_at_submission: int = (
-        0  # the proposer's number of proposals at submission: only a later proposal may reject it
-    )
+    # The proposer's number of proposals at the submission of this request: only a later proposal may reject it.
+    proposals_at_submission: int = 0
 
 
 def error_from_outcome(outcome: Outcome) -> MeshError | None:
--- a/lugspur/mesh/control/register.py
+++ b/lugspur/mesh/control/register.py
@@ -81,7 +81,7 @@
         self.items: dict[EntryKey, Item] = {}
         self.size_bytes = 0  # the size of all items, as `capacity.item_bytes` counts it
         self.index = 0
-        self.pruned_index = 0  # withdrawals up to this change may be pruned
+        self.pruned_index = 0  # withdrawals up to this change are pruned
         self.promised = NO_PROPOSAL
         self.accepted: ProposalNumber | None = None
         self.accepted_change: Change | None = None
--- a/lugspur/mesh/control/reservation_catch_up.py
+++ b/lugspur/mesh/control/reservation_catch_up.py
@@ -62,7 +62,7 @@
         pages.append(page)
         self._last_active_at[ip] = now
         replies = [pages for pages in self._pages.values() if pages and pages[-1].is_last]
-        count = len(replies) + replica.was_voter  # this replica counts: it was not complete and granted nothing then
+        count = len(replies) + replica.was_voter  # a previous voter counts itself: it granted nothing then
         if count < majority(len(membership.previous_voters)) or not any(pages[0].was_complete for pages in replies):
             return Effects()
         effects = replica.merge_reservations(now, [page for pages in replies for page in pages])
