--- a/lugspur/mesh/control/reconfiguration.py
+++ b/lugspur/mesh/control/reconfiguration.py
@@ -71,26 +71,26 @@
         now: float,
         presences: Mapping[str, Presence],
         complete: AbstractSet[str],
-        absent: Mapping[str, float],
+        absence_seconds: Mapping[str, float],
     ) -> Membership | None:
         """Return the membership to propose now, or None.
 
-        `complete`: voters that have recently reported that they hold all reservations; `absent`: seconds for which each
-        voter has been unreachable.
+        `complete`: voters that have recently reported that they hold all reservations; `absence_seconds`: seconds for
+        which each voter has been unreachable.
         """
         membership = self._replica.membership
         if membership is None or not self._replica.is_voter:
             return None
         if membership.epoch != self._epoch:
             self._epoch, self._epoch_since, self._propose_at = membership.epoch, now, 0.0
-        step = next_membership(self._cluster_view(now, membership, presences, complete, absent))
+        step = next_membership(self._cluster_view(now, membership, presences, complete, absence_seconds))
         if step is None:
             self._propose_at = 0.0
             return None
         if not self._is_due(now, membership):
             return None
         for voter in membership.voters:
-            if voter not in step.voters and absent.get(voter.ip, 0.0) > self.absence_timeout:
+            if voter not in step.voters and absence_seconds.get(voter.ip, 0.0) > self.absence_timeout:
                 self._removed_at[voter.ip] = now
         return step
 
@@ -100,7 +100,7 @@
         membership: Membership,
         presences: Mapping[str, Presence],
         complete: AbstractSet[str],
-        absent: Mapping[str, float],
+        absence_seconds: Mapping[str, float],
     ) -> ClusterView:
         replica = self._replica
         voters = {voter.ip for voter in membership.voters}
@@ -108,7 +108,7 @@
         return ClusterView(
             membership=membership,
             presences=presences,
-            absent=absent,
+            absence_seconds=absence_seconds,
             absence_timeout=self.absence_timeout,
             complete_voters=(complete & voters) | own,
             is_overdue=now - self._epoch_since > self.absence_timeout,
--- a/lugspur/mesh/control/reservation_client.py
+++ b/lugspur/mesh/control/reservation_client.py
@@ -5,8 +5,8 @@
 key releases its grants, which is safe since its operation never ran.
 
 `owner` names one attempt to reserve a key, of one incarnation of one process, and is never reused (see
-`Proxy.claim_id`). A reply for an unknown owner, because a former process at this address asked or because the attempt
-was too long ago, is therefore ignored: only a reservation that is known to have failed is released. In doubt a
+`Proxy.reservation_id`). A reply for an unknown owner, because a former process at this address asked or because the
+attempt was too long ago, is therefore ignored: only a reservation that is known to have failed is released. In doubt a
 reservation stays until its window ends. That costs a repeated request its response, but never runs an operation twice.
 
 A reservation that was acquired under epoch e excludes other owners under epoch e + 1 and later, even if its operation
--- a/lugspur/mesh/control/voter_membership.py
+++ b/lugspur/mesh/control/voter_membership.py
@@ -47,8 +47,8 @@
 class ClusterView:
     """The state of the control nodes, as one voter knows it when it chooses the next membership.
 
-    `presences`: the status of each control node by its IP address; `absent`: seconds for which each voter has been
-    unreachable; `absence_timeout`: seconds after which an unreachable voter is replaced; `complete_voters`: IP
+    `presences`: the status of each control node by its IP address; `absence_seconds`: seconds for which each voter has
+    been unreachable; `absence_timeout`: seconds after which an unreachable voter is replaced; `complete_voters`: IP
     addresses of the voters that hold all reservations, including the choosing voter; `is_overdue`: whether the current
     epoch has lasted so long that voters that are still incomplete won't become complete soon; `recently_absent`: IP
     addresses of replicas that were unreachable recently; `regions`: the region of each zone; `configuration_bytes`: the
@@ -57,7 +57,7 @@
 
     membership: Membership
     presences: Mapping[str, Presence]
-    absent: Mapping[str, float]
+    absence_seconds: Mapping[str, float]
     absence_timeout: float
     complete_voters: AbstractSet[str]
     is_overdue: bool
@@ -120,7 +120,7 @@
     for voter in view.membership.voters:
         presence = view.presences.get(voter.ip)
         is_unfit = presence is not None and presence.uid == voter.uid and (presence.leaving or presence.failing)
-        if not is_unfit and view.absent.get(voter.ip, 0.0) <= view.absence_timeout:
+        if not is_unfit and view.absence_seconds.get(voter.ip, 0.0) <= view.absence_timeout:
             continue
         if view.may_lose_vote(voter):
             others = [other for other in view.membership.voters if other != voter]
