--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -233,7 +233,7 @@
 def _proposer_key(node: Node, now: float) -> object:
     proposer, proposal = node.proposer, node.proposer._proposal
     orders = tuple(
-        (id_of(order.entries), order.was_proposed, order.change_id, order.submitted_after)
+        (id_of(order.entries), order.was_proposed, order.change_id, order.proposals_at_submission)
         for order in proposer._requests
     )
     under_way: object = None
@@ -249,16 +249,22 @@
             told,
         )
     pauses = proposer._not_before > now
-    return orders, under_way, proposer._number, proposer._changes, proposer._proposals, proposer._has_pending, pauses
+    return (
+        orders,
+        under_way,
+        proposer._highest_number,
+        proposer._change_count,
+        proposer._proposal_count,
+        proposer._has_pending_change,
+        pauses,
+    )
 
 
 def _reader_key(node: Node) -> object:
     reader = node.reader
     current = reader._query
     asked = (
-        None
-        if current is None
-        else (current.number, current.index, tuple(sorted(current.answered)), len(current.reads))
+        None if current is None else (current.number, current.index, tuple(sorted(current.replied)), len(current.reads))
     )
     return reader._number, len(reader._waiting), asked
 
--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -125,7 +125,7 @@
 
     def _open(self) -> None:
         lock, hold_ms = self._world.rng.choice(LOCKS), self._world.rng.choice((300, 700, 1500))
-        command = records.OpenLock(lock, self._name, hold_ms)
+        command = records.AcquireLock(lock, self._name, hold_ms)
         Call(self._world, command, lambda result, sent: self._opened(lock, hold_ms, result, sent))
 
     def _opened(self, lock: str, hold_ms: int, result: records.Result | None, sent: float) -> None:
@@ -141,7 +141,7 @@
 
     def _close(self, tenure: LockTenure, hold_ms: int) -> None:
         tenure.ended = min(tenure.ended, self._world.clock.now)
-        command = records.CloseLock(tenure.lock, self._name, tenure.fence)
+        command = records.ReleaseLock(tenure.lock, self._name, tenure.fence)
         Call(self._world, command, lambda result, sent: self._pause(), seconds=1.5)
 
     def _renew(self, tenure: LockTenure, hold_ms: int) -> None:
@@ -172,11 +172,11 @@
 
     def _take(self) -> None:
         name = self._world.rng.choice(NUMBERS)
-        Call(self._world, records.TakeNumber(name), lambda result, sent: self._taken(name, result, sent))
+        Call(self._world, records.IssueNumber(name), lambda result, sent: self._taken(name, result, sent))
 
     def _taken(self, name: str, result: records.Result | None, sent: float) -> None:
         now = self._world.clock.now
-        if isinstance(result, records.NumberTaken):
+        if isinstance(result, records.NumberIssued):
             self._world.history.numbers.append(TakenNumber(name, result.value, sent, now))
         if self._world.is_open:
             self._world.clock.at(now + self._world.rng.uniform(0.02, 0.3), self._take)
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -17,27 +17,27 @@
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     GroupRevision,
-    LockClosed,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
+    LockReleaseConfirmed,
     LockRenewed,
-    NumberTaken,
-    OpenLock,
+    NumberIssued,
     PutCell,
     ReadCell,
     ReadGroup,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.control_node.coordination_service import steady_clock
 from lugspur.mesh.coordination.state import GROUP_SEPARATOR
@@ -196,7 +196,7 @@
         """Acquire a lock, or extend it."""
         body = read_body(_open_decoder, request)
         hold_ms = _check_range("hold_ms", body.hold_ms, 1, MAX_HOLD_MS)
-        self._carry_out("open", caller, OpenLock(check_name(found[0]), _check_holder(body.holder), hold_ms))
+        self._carry_out("open", caller, AcquireLock(check_name(found[0]), _check_holder(body.holder), hold_ms))
 
     def renew_lock(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Extend a lock that is held."""
@@ -210,12 +210,12 @@
         """Release a lock."""
         body = read_body(_close_decoder, request)
         fence = _check_range("fence", body.fence, 0, MAX_NUMBER)
-        self._carry_out("close", caller, CloseLock(check_name(found[0]), _check_holder(body.holder), fence))
+        self._carry_out("close", caller, ReleaseLock(check_name(found[0]), _check_holder(body.holder), fence))
 
     def take_number(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Take the next number under a name."""
         read_body(_empty_decoder, request)
-        self._carry_out("number", caller, TakeNumber(check_name(found[0])))
+        self._carry_out("number", caller, IssueNumber(check_name(found[0])))
 
     def put_cell(self, request: Request, caller: Answerable, found: list[str]) -> None:
         """Put a value to a key."""
@@ -239,7 +239,7 @@
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         self._count(call, result)
-        if isinstance(result, LockGranted) and isinstance(command, OpenLock):
+        if isinstance(result, LockGranted) and isinstance(command, AcquireLock):
             events.info("lock-granted", lock=command.name, holder=command.holder, fence=result.fence)
         elif isinstance(result, LockLost) and isinstance(command, RenewLock):
             events.info("lock-lost", lock=command.name, holder=command.holder, fence=command.fence)
@@ -364,8 +364,8 @@
     LockDenied: "lock-held",
     LockRenewed: "renewed",
     LockLost: "lock-lost",
-    LockClosed: "closed",
-    NumberTaken: "taken",
+    LockReleaseConfirmed: "closed",
+    NumberIssued: "taken",
     CellWritten: "written",
     RevisionMismatch: "revision-mismatch",
     CellFound: "found",
@@ -386,13 +386,13 @@
     """Answer a call with the result of its command."""
     if isinstance(result, LockGranted):
         reply(caller, _encode({"fence": result.fence}))
-    elif isinstance(result, LockRenewed | LockClosed):
+    elif isinstance(result, LockRenewed | LockReleaseConfirmed):
         reply(caller)
     elif isinstance(result, LockDenied):
         fail(caller, MeshError(ErrorKind.LOCK_HELD))
     elif isinstance(result, LockLost):
         fail(caller, MeshError(ErrorKind.LOCK_LOST))
-    elif isinstance(result, NumberTaken):
+    elif isinstance(result, NumberIssued):
         reply(caller, _encode({"value": result.value}))
     elif isinstance(result, CellWritten):
         reply(caller, _encode({"revision": result.revision}))
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -6,33 +6,33 @@
 
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellRecord,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     CoordinationChange,
     GroupRevision,
-    LockClosed,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
     LockRecord,
+    LockReleaseConfirmed,
     LockReleased,
     LockRenewed,
+    NumberIssued,
     NumberRecord,
-    NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     ReadGroup,
     Record,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.coordination.state import CoordinationState, group_of, record_bytes
 
@@ -63,13 +63,13 @@
 
     def evaluate(self, command: Command) -> Result:
         """The result of a command if this batch is decided; its records, if any, are added."""
-        if isinstance(command, OpenLock):
+        if isinstance(command, AcquireLock):
             return self._open(command)
         if isinstance(command, RenewLock):
             return self._renew(command)
-        if isinstance(command, CloseLock):
+        if isinstance(command, ReleaseLock):
             return self._close(command)
-        if isinstance(command, TakeNumber):
+        if isinstance(command, IssueNumber):
             return self._take_number(command)
         if isinstance(command, PutCell):
             return self._put(command)
@@ -86,7 +86,7 @@
         lock = self._state.locks.get(name)
         return lock.record if lock is not None and lock.is_held(self._now) else None
 
-    def _open(self, command: OpenLock) -> Result:
+    def _open(self, command: AcquireLock) -> Result:
         holder = self._holder(command.name)
         if holder is not None and holder.holder != command.holder:
             return LockDenied()
@@ -106,12 +106,12 @@
         self._extend(holder, command.hold_ms)
         return LockRenewed()
 
-    def _close(self, command: CloseLock) -> Result:
+    def _close(self, command: ReleaseLock) -> Result:
         holder = self._holder(command.name)
         if holder is not None and (holder.holder, holder.fence) == (command.holder, command.fence):
             self._locks[command.name] = None
             self.records.append(LockReleased(command.name))
-        return LockClosed()
+        return LockReleaseConfirmed()
 
     def _extend(self, holder: LockRecord, hold_ms: int) -> None:
         """Give a holder more time, and never less than it has: its calls may arrive in another order."""
@@ -137,13 +137,13 @@
 
     # ---- numbers -------------------------------------------------------------------------
 
-    def _take_number(self, command: TakeNumber) -> Result:
+    def _take_number(self, command: IssueNumber) -> Result:
         latest = self._numbers.get(command.name, self._state.numbers.get(command.name, 0))
         if latest == 0 and len(self._state.numbers) + len(self._numbers) >= MAX_NUMBERS:
             return _too_many("numbers")
         self._numbers[command.name] = latest + 1
         self.records.append(NumberRecord(command.name, latest + 1))
-        return NumberTaken(latest + 1)
+        return NumberIssued(latest + 1)
 
     # ---- keys ----------------------------------------------------------------------------
 
--- a/tests/compatibility/test_coordination_messages.py
+++ b/tests/compatibility/test_coordination_messages.py
@@ -33,32 +33,32 @@
     UnfollowCoordination,
 )
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellRecord,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     CoordinationChange,
     GroupRevision,
-    LockClosed,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
     LockRecord,
+    LockReleaseConfirmed,
     LockReleased,
     LockRenewed,
+    NumberIssued,
     NumberRecord,
-    NumberTaken,
-    OpenLock,
     PutCell,
     ReadCell,
     ReadGroup,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.coordination.acceptor import StoredEpoch, StoredVote
 from lugspur.mesh.coordination.state import CoordinationState, StoredGroup, StoredMeta
@@ -126,7 +126,7 @@
         ),
     ),
     (
-        CoordinationCall(11, 1.5, 0.5, OpenLock("l", "h", 2000)),
+        CoordinationCall(11, 1.5, 0.5, AcquireLock("l", "h", 2000)),
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 94 01 a1 6c a1 68 cd 07 d0"),
     ),
     (
@@ -134,11 +134,11 @@
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 95 02 a1 6c a1 68 03 cd 07 d0"),
     ),
     (
-        CoordinationCall(11, 1.5, 0.5, CloseLock("l", "h", 3)),
+        CoordinationCall(11, 1.5, 0.5, ReleaseLock("l", "h", 3)),
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 94 03 a1 6c a1 68 03"),
     ),
     (
-        CoordinationCall(11, 1.5, 0.5, TakeNumber("n")),
+        CoordinationCall(11, 1.5, 0.5, IssueNumber("n")),
         bytes.fromhex("95 2c 0b cb 3f f8 00 00 00 00 00 00 cb 3f e0 00 00 00 00 00 00 92 04 a1 6e"),
     ),
     (
@@ -161,8 +161,8 @@
     (CoordinationReply(11, LockDenied()), bytes.fromhex("93 2d 0b 91 02")),
     (CoordinationReply(11, LockRenewed()), bytes.fromhex("93 2d 0b 91 03")),
     (CoordinationReply(11, LockLost()), bytes.fromhex("93 2d 0b 91 04")),
-    (CoordinationReply(11, LockClosed()), bytes.fromhex("93 2d 0b 91 05")),
-    (CoordinationReply(11, NumberTaken(4)), bytes.fromhex("93 2d 0b 92 06 04")),
+    (CoordinationReply(11, LockReleaseConfirmed()), bytes.fromhex("93 2d 0b 91 05")),
+    (CoordinationReply(11, NumberIssued(4)), bytes.fromhex("93 2d 0b 92 06 04")),
     (CoordinationReply(11, CellWritten(5)), bytes.fromhex("93 2d 0b 92 07 05")),
     (CoordinationReply(11, RevisionMismatch(5)), bytes.fromhex("93 2d 0b 92 08 05")),
     (CoordinationReply(11, CellFound("v", 5)), bytes.fromhex("93 2d 0b 93 09 a1 76 05")),
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -6,27 +6,27 @@
 
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages.coordination_records import (
+    AcquireLock,
     CellFound,
     CellMissing,
     CellWritten,
-    CloseLock,
     Command,
     CommandFailed,
     GroupRevision,
-    LockClosed,
+    IssueNumber,
     LockDenied,
     LockGranted,
     LockLost,
+    LockReleaseConfirmed,
     LockRenewed,
-    NumberTaken,
-    OpenLock,
+    NumberIssued,
     PutCell,
     ReadCell,
     ReadGroup,
+    ReleaseLock,
     RenewLock,
     Result,
     RevisionMismatch,
-    TakeNumber,
 )
 from lugspur.mesh.coordination import batch as batch_module
 from lugspur.mesh.coordination.batch import CommandBatch
@@ -51,33 +51,33 @@
 
 
 def test_a_lock_is_denied_to_others_until_its_time_is_over(state: CoordinationState) -> None:
-    assert carry_out(state, 10.0, OpenLock("l", "a", 1000)) == [LockGranted(1)]
-    assert carry_out(state, 10.9, OpenLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 11.1, OpenLock("l", "b", 1000)) == [LockGranted(2)]
+    assert carry_out(state, 10.0, AcquireLock("l", "a", 1000)) == [LockGranted(1)]
+    assert carry_out(state, 10.9, AcquireLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(state, 11.1, AcquireLock("l", "b", 1000)) == [LockGranted(2)]
 
 
 def test_a_holder_gets_its_fence_again_and_more_time(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 10.5, OpenLock("l", "a", 1000)) == [LockGranted(1)]
-    assert carry_out(state, 11.3, OpenLock("l", "b", 1000)) == [LockDenied()]
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
+    assert carry_out(state, 10.5, AcquireLock("l", "a", 1000)) == [LockGranted(1)]
+    assert carry_out(state, 11.3, AcquireLock("l", "b", 1000)) == [LockDenied()]
 
 
 def test_a_shorter_time_takes_nothing_from_a_holder(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 5000))
+    carry_out(state, 10.0, AcquireLock("l", "a", 5000))
     carry_out(state, 10.1, RenewLock("l", "a", 1, 100))
-    assert carry_out(state, 14.0, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(state, 14.0, AcquireLock("l", "b", 1000)) == [LockDenied()]
     restored = CoordinationState(20.0)
     restored.replace(100.0, state.snapshot())
-    assert carry_out(restored, 104.0, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(restored, 104.0, AcquireLock("l", "b", 1000)) == [LockDenied()]
 
 
 def test_a_holder_that_died_comes_again_under_its_name_with_a_new_fence(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 12.0, OpenLock("l", "a", 1000)) == [LockGranted(2)]
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
+    assert carry_out(state, 12.0, AcquireLock("l", "a", 1000)) == [LockGranted(2)]
 
 
 def test_a_renewal_of_a_lost_lock_is_refused(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
     assert carry_out(state, 10.5, RenewLock("l", "a", 1, 1000)) == [LockRenewed()]
     assert carry_out(state, 10.6, RenewLock("l", "a", 2, 1000)) == [LockLost()]
     assert carry_out(state, 10.6, RenewLock("l", "b", 1, 1000)) == [LockLost()]
@@ -85,42 +85,42 @@
 
 
 def test_a_close_that_comes_late_closes_nothing(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 10.1, CloseLock("l", "a", 1)) == [LockClosed()]
-    assert carry_out(state, 10.2, OpenLock("l", "a", 1000)) == [LockGranted(2)]
-    assert carry_out(state, 10.3, CloseLock("l", "a", 1)) == [LockClosed()]
-    assert carry_out(state, 10.4, OpenLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 10.4, CloseLock("never", "a", 1)) == [LockClosed()]
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000))
+    assert carry_out(state, 10.1, ReleaseLock("l", "a", 1)) == [LockReleaseConfirmed()]
+    assert carry_out(state, 10.2, AcquireLock("l", "a", 1000)) == [LockGranted(2)]
+    assert carry_out(state, 10.3, ReleaseLock("l", "a", 1)) == [LockReleaseConfirmed()]
+    assert carry_out(state, 10.4, AcquireLock("l", "b", 1000)) == [LockDenied()]
+    assert carry_out(state, 10.4, ReleaseLock("never", "a", 1)) == [LockReleaseConfirmed()]
 
 
 def test_commands_of_one_batch_see_each_other(state: CoordinationState) -> None:
     assert carry_out(
         state,
         10.0,
-        OpenLock("l", "a", 1000),
-        OpenLock("l", "b", 1000),
+        AcquireLock("l", "a", 1000),
+        AcquireLock("l", "b", 1000),
         RenewLock("l", "a", 1, 10),
-        CloseLock("l", "a", 1),
-        OpenLock("l", "b", 1000),
-    ) == [LockGranted(1), LockDenied(), LockRenewed(), LockClosed(), LockGranted(2)]
+        ReleaseLock("l", "a", 1),
+        AcquireLock("l", "b", 1000),
+    ) == [LockGranted(1), LockDenied(), LockRenewed(), LockReleaseConfirmed(), LockGranted(2)]
 
 
 def test_fences_rise_over_all_locks_and_restarts(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000), OpenLock("m", "a", 1000), CloseLock("m", "a", 2))
+    carry_out(state, 10.0, AcquireLock("l", "a", 1000), AcquireLock("m", "a", 1000), ReleaseLock("m", "a", 2))
     rows = {key: value for key, value in state._rows() if value is not None}
     restored = CoordinationState(20.0)
     restored.restore(rows.items(), 0.0)
-    assert carry_out(restored, 0.0, OpenLock("m", "a", 1000)) == [LockGranted(3)]
+    assert carry_out(restored, 0.0, AcquireLock("m", "a", 1000)) == [LockGranted(3)]
 
 
 def test_locks_beyond_the_bound_are_rejected_until_others_run_out(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(batch_module, "MAX_LOCKS", 3)
-    carry_out(state, 10.0, *[OpenLock(f"l{n}", "a", 1000) for n in range(3)])
-    [rejected] = carry_out(state, 10.0, OpenLock("more", "a", 1000))
+    carry_out(state, 10.0, *[AcquireLock(f"l{n}", "a", 1000) for n in range(3)])
+    [rejected] = carry_out(state, 10.0, AcquireLock("more", "a", 1000))
     assert isinstance(rejected, CommandFailed) and rejected.error_kind == ErrorKind.TOO_MANY.value
-    assert carry_out(state, 12.0, OpenLock("more", "a", 1000)) == [LockGranted(4)]
+    assert carry_out(state, 12.0, AcquireLock("more", "a", 1000)) == [LockGranted(4)]
     assert set(state.locks) == {"more"}
 
 
@@ -128,22 +128,22 @@
 
 
 def test_numbers_rise_by_name(state: CoordinationState) -> None:
-    assert carry_out(state, 0.0, TakeNumber("n"), TakeNumber("n"), TakeNumber("m")) == [
-        NumberTaken(1),
-        NumberTaken(2),
-        NumberTaken(1),
+    assert carry_out(state, 0.0, IssueNumber("n"), IssueNumber("n"), IssueNumber("m")) == [
+        NumberIssued(1),
+        NumberIssued(2),
+        NumberIssued(1),
     ]
-    assert carry_out(state, 0.0, TakeNumber("n")) == [NumberTaken(3)]
+    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberIssued(3)]
 
 
 def test_names_of_numbers_beyond_the_bound_are_rejected(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(batch_module, "MAX_NUMBERS", 1)
-    carry_out(state, 0.0, TakeNumber("n"))
-    [rejected] = carry_out(state, 0.0, TakeNumber("m"))
+    carry_out(state, 0.0, IssueNumber("n"))
+    [rejected] = carry_out(state, 0.0, IssueNumber("m"))
     assert isinstance(rejected, CommandFailed)
-    assert carry_out(state, 0.0, TakeNumber("n")) == [NumberTaken(2)]
+    assert carry_out(state, 0.0, IssueNumber("n")) == [NumberIssued(2)]
 
 
 # ---- keys ------------------------------------------------------------------------------------
