--- a/lugspur/mesh/coordination/__init__.py
+++ b/lugspur/mesh/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination as a service, without I/O: locks, numbers, keys and watches, decided by a majority of the voters."""
+"""The coordination service without I/O: locks, numbers, keys and watches, decided by a majority of the voters."""
--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -1,10 +1,10 @@
-"""A replica's part in the agreement: it promises, accepts, and learns what was decided.
+"""The acceptor and learner of one replica: it promises, accepts, and learns what was decided.
 
-A replica accepts in one epoch of the voters' membership, and only while it is *complete* there: it knows of all that
-the voters of earlier epochs may have decided. A voter of two consecutive epochs stays complete; a new one becomes
-complete by the reports of a majority of the epoch before (`voter_catch_up`). A replica that has accepted a change of
-the voters accepts nothing more in the present epoch, so that nothing is decided there once the next epoch has begun.
-These are the rules of reservations (`control.replica`), and rest on the same argument.
+A replica accepts in one epoch of the voters' membership, and only while it is *complete* in that epoch: it knows all
+that the voters of earlier epochs may have decided. A voter of two consecutive epochs stays complete; a new voter
+becomes complete by the reports of a majority of the previous epoch's voters (`voter_catch_up`). A replica that has
+accepted a change of the voters accepts nothing more in the current epoch, so that nothing is decided in it once the
+next epoch has begun. Reservations follow the same rules for the same reason (`control.replica`).
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class StoredVote(msgspec.Struct, array_like=True, frozen=True):
-    """What a replica has promised, and accepted for change `index`, as it is kept on disk."""
+    """The row on disk of what a replica has promised, and of what it has accepted for change `index`."""
 
     index: int
     promised: ProposalNumber
@@ -46,11 +46,11 @@
 
 
 class StoredEpoch(msgspec.Struct, array_like=True, frozen=True):
-    """What a replica knows of epochs, as it is kept on disk."""
+    """The row on disk of what a replica knows of epochs."""
 
-    complete_epoch: int  # the latest one in which it was complete
-    genesis_epoch: int  # the one in which coordination began
-    reported_epoch: int  # the latest one in which it has reported to a new voter: it accepts nothing in an older one
+    complete_epoch: int  # the latest epoch in which the replica was complete
+    genesis_epoch: int  # the epoch in which coordination began
+    reported_epoch: int  # the latest epoch in which it reported to a new voter: it accepts nothing in an older epoch
 
 
 _vote_decoder = msgspec.msgpack.Decoder(StoredVote)
@@ -61,31 +61,31 @@
     """The acceptor and learner of one replica."""
 
     def __init__(self, replica: Replica, history_seconds: float, max_state_bytes: int = MAX_STATE_BYTES) -> None:
-        """`replica`: the same process's replica of the configuration, which names the voters."""
+        """`replica` is the same process's replica of the configuration, which names the voters."""
         self._replica = replica
         self.state = CoordinationState(history_seconds, max_state_bytes)
         self.promised = NO_PROPOSAL
-        self.accepted: ProposalNumber | None = None  # for the index after the state's
+        self.accepted: ProposalNumber | None = None  # for the index after `state.index`
         self.accepted_change: CoordinationChange | None = None
         self.complete_epoch = 0
-        self.genesis_epoch = 0  # 0: coordination has not begun, as far as it is known here
+        self.genesis_epoch = 0  # 0 if coordination has not begun, as far as this replica knows
         self._reported_epoch = 0
-        self.is_without_coordination = False  # whether the disk is of a build that did not know it
+        self.is_without_coordination = False  # whether a build without coordination wrote the disk
 
     # ---- start ---------------------------------------------------------------------------
 
     def begin(self) -> Effects:
-        """Begin in the first epoch of a new mesh."""
+        """Become complete in the first epoch of a new mesh."""
         return self.become_complete(self._replica.epoch)
 
     def begin_as_newcomer(self) -> Effects:
-        """Begin with an empty disk in a mesh that may have decided anything."""
+        """Start with an empty disk in a mesh that may have decided changes already."""
         return Effects(write=[self._epoch_row()])
 
     def restore(self, rows: list[tuple[bytes, bytes]], now: float, *, is_without_coordination: bool) -> None:
-        """Load what is on disk. Raises msgspec.MsgspecError for rows that can't be read.
+        """Load the state from the rows on disk. Raises msgspec.MsgspecError for rows that can't be decoded.
 
-        `is_without_coordination`: the configuration was kept on this disk by a build without coordination.
+        `is_without_coordination`: whether a build without coordination wrote the configuration on this disk.
         """
         self.state.restore(rows, now)
         for key, value in rows:
@@ -103,7 +103,7 @@
     # ---- role ----------------------------------------------------------------------------
 
     def follow_epoch(self) -> Effects:
-        """Stay complete from one epoch to the very next one; to be called before anything is decided by the epoch."""
+        """Stay complete from one epoch to the next; must run before anything that depends on the epoch."""
         replica = self._replica
         follows = self.genesis_epoch > 0 and self.complete_epoch == replica.epoch - 1
         if not (follows and replica.was_voter and replica.is_voter):
@@ -113,15 +113,16 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has a vote, and knows of everything that a voter must know."""
+        """Whether this replica has a vote, and knows all that a voter must know."""
         return self._replica.is_voter and self.genesis_epoch > 0 and self.complete_epoch == self._replica.epoch
 
     @property
     def accepts(self) -> bool:
-        """Whether it promises and accepts: not while a change of the voters that it has accepted may be decided.
+        """Whether this replica promises and accepts.
 
-        The configuration is kept in another environment: after a loss of power that may be of an older epoch than this
-        replica has reported in.
+        It does neither while a change of the voters that it has accepted may be decided, nor in an epoch older than
+        one in which it has reported. The latter happens after a power loss: the configuration is in another lmdb
+        environment, which may then hold an older epoch.
         """
         change = self._replica.register.accepted_change
         if not self.is_complete or self._replica.epoch < self._reported_epoch:
@@ -129,7 +130,7 @@
         return change is None or all(entry.kind != MEMBERSHIP for entry in change.entries)
 
     def become_complete(self, genesis_epoch: int) -> Effects:
-        """Take up the vote of the present epoch."""
+        """Become complete in the current epoch, and thereby start to vote."""
         self.complete_epoch, self.genesis_epoch = self._replica.epoch, genesis_epoch
         return Effects(write=[self._epoch_row()])
 
@@ -142,7 +143,7 @@
     # ---- acceptor ------------------------------------------------------------------------
 
     def prepare(self, peer: Peer, message: CoordinationPrepare) -> Effects:
-        """Phase 1b: promise to accept nothing lower, for all indexes from now on; synced before it is sent."""
+        """Phase 1b: promise to accept no lower proposal for any later index; the promise is sent after the sync."""
         if not self._counts(message.epoch, message.proposal):
             return Effects(send=[(peer, self._promise(message, is_granted=False))])
         self.promised = message.proposal
@@ -150,24 +151,25 @@
         return Effects(write=[self._vote_row()], after_sync=[(peer, promise)])
 
     def _promise(self, message: CoordinationPrepare, *, is_granted: bool) -> CoordinationPromise:
-        found = CoordinationPromise(message.epoch, message.proposal, is_granted, self.state.index, self.promised)
+        promise = CoordinationPromise(message.epoch, message.proposal, is_granted, self.state.index, self.promised)
         if is_granted:
-            found.accepted, found.change = self.accepted, self.accepted_change
-        return found
+            promise.accepted, promise.change = self.accepted, self.accepted_change
+        return promise
 
     def _counts(self, epoch: int, proposal: ProposalNumber) -> bool:
         return self.accepts and epoch == self._replica.epoch and proposal >= self.promised
 
     def accept(self, now: float, peer: Peer, message: CoordinationAccept) -> Effects:
-        """Phase 2b: accept a value for the next index, unless a higher one was promised; synced before it is sent."""
+        """Phase 2b: accept a change for the next index unless a higher proposal was promised; reply after the sync."""
         effects = Effects()
-        granted = self._counts(message.epoch, message.proposal)
-        if granted and message.index == self.state.index + 2 and self.accepted == message.proposal:
-            # A proposer goes on to the next index once the one before is decided, by the only value it proposed there.
+        is_granted = self._counts(message.epoch, message.proposal)
+        if is_granted and message.index == self.state.index + 2 and self.accepted == message.proposal:
+            # A proposer moves to the next index only once the previous one is decided, and it proposes a single change
+            # per index: the change that was accepted from it here is the decided one.
             assert self.accepted_change is not None
             effects.add(self.decide(now, self.state.index + 1, self.accepted_change))
-        granted = granted and message.index == self.state.index + 1
-        if not granted:
+        is_granted = is_granted and message.index == self.state.index + 1
+        if not is_granted:
             effects.send.append((peer, self._accepted(message, is_granted=False)))
             return effects
         self.promised = self.accepted = message.proposal
@@ -182,15 +184,15 @@
         )
 
     def confirm(self, peer: Peer, message: CoordinationConfirm) -> Effects:
-        """Say whether nothing higher was promised here: then nothing was decided that the proposer does not know."""
-        granted = self._counts(message.epoch, message.proposal)
-        answer = CoordinationConfirmed(message.epoch, message.proposal, message.round, granted, self.promised)
-        return Effects(send=[(peer, answer)])
+        """Reply whether no higher proposal was promised; a majority proves that the proposer knows all decisions."""
+        is_granted = self._counts(message.epoch, message.proposal)
+        reply = CoordinationConfirmed(message.epoch, message.proposal, message.round, is_granted, self.promised)
+        return Effects(send=[(peer, reply)])
 
     # ---- learner -------------------------------------------------------------------------
 
     def decide(self, now: float, index: int, change: CoordinationChange) -> Effects:
-        """Put a decided change into force; one that is known, or not the next, is ignored."""
+        """Apply a decided change; one that is already known, or is not the next one, is ignored."""
         if index != self.state.index + 1:
             return Effects()
         rows: Rows = self.state.apply(now, change)
@@ -198,14 +200,14 @@
         return Effects(write=rows)
 
     def learn_changes(self, now: float, message: CoordinationChanges) -> Effects:
-        """Put into force those of the decided changes that come next."""
+        """Apply those of the decided changes that are next in sequence."""
         effects = Effects()
         for offset, change in enumerate(message.changes):
             effects.add(self.decide(now, message.first_index + offset, change))
         return effects
 
     def learn_snapshot(self, now: float, snapshot: CoordinationSnapshot) -> Effects:
-        """Take over a later state."""
+        """Replace the state by a snapshot of a later one; an older snapshot is ignored."""
         if snapshot.index <= self.state.index:
             return Effects()
         rows = self.state.replace(now, snapshot)
@@ -213,7 +215,7 @@
         return Effects(write=rows)
 
     def pages_after(self, index: int) -> CoordinationChanges | CoordinationSnapshot | None:
-        """What a peer lacks that knows all changes up to an index; None where that is nothing."""
+        """Return what a peer that knows all changes up to an index lacks, or None if it lacks nothing."""
         if index >= self.state.index:
             return None
         changes = self.state.changes_after(index)
@@ -222,7 +224,7 @@
     # ---- new voters ----------------------------------------------------------------------
 
     def report(self, peer: Peer, message: FetchAcceptor) -> Effects:
-        """Report to a new voter, once the epoch is on disk: nothing is accepted in an older one from then on."""
+        """Report to a new voter once the epoch is on disk; from then on accept nothing in an older epoch."""
         if message.epoch != self._replica.epoch:
             return Effects()
         self._reported_epoch = max(self._reported_epoch, message.epoch)
@@ -239,7 +241,7 @@
         return Effects(write=[self._epoch_row()], after_sync=[(peer, report)])
 
     def take_reports(self, now: float, reports: list[AcceptorReport], genesis_epoch: int) -> Effects:
-        """Take over what the voters before know, and become complete."""
+        """Adopt what the previous epoch's voters have reported, and become complete."""
         effects = Effects()
         latest = max((report.snapshot for report in reports), key=lambda snapshot: snapshot.index)
         effects.add(self.learn_snapshot(now, latest))
@@ -255,7 +257,7 @@
         return effects
 
     def check_same_change(self, index: int, change: CoordinationChange) -> None:
-        """Check that what is decided elsewhere under an index is what is kept here."""
+        """Check that a change that is decided for an index at another node is the one that is decided here."""
         known = self.state.changes_after(index - 1)
         if known:
             check(known[0].id == change.id, Invariant.ONE_CHANGE_PER_INDEX, index=index, change=change.id)
--- a/lugspur/mesh/coordination/node.py
+++ b/lugspur/mesh/coordination/node.py
@@ -1,7 +1,8 @@
-"""Coordination at one node: it joins the acceptor, the proposer, the calls, and the voters that it hears.
+"""Coordination at one node: it connects the acceptor, the proposer, the calls, and the heartbeats of the voters.
 
-All times are those of the steady clock *at the moment of the call*, and not of the beginning of an event loop's turn: a
-process that is suspended in the middle of a turn would else count a lock that it learns of from before it was granted.
+All times are read from the steady clock *at the moment of the call*, and not at the start of an event loop iteration.
+Otherwise a process that is suspended in the middle of an iteration would count the time of a lock that it then learns
+of from a moment before the lock was granted.
 """
 
 from __future__ import annotations
@@ -39,13 +40,15 @@
 from lugspur.mesh.coordination.proposer import CoordinationProposer
 from lugspur.mesh.coordination.voter_catch_up import VoterCatchUp, voters_of
 
-MAX_CALL_AGE_SECONDS = 1.0  # since the leader's heartbeat that a forwarded call names, for it to be carried out
-REFETCH_DELAY_SECONDS = 0.5  # for which a node waits for changes that it knows of before it asks again
-PRUNE_INTERVAL_SECONDS = 1.0  # between two searches for puts that are too old to be kept
+#: Maximum age of the leader's heartbeat whose clock a forwarded call contains; the leader rejects a call with an older
+#: one, as it was delayed.
+MAX_CALL_AGE_SECONDS = 1.0
+REFETCH_DELAY_SECONDS = 0.5  # minimum time between two requests for changes that a node lacks
+PRUNE_INTERVAL_SECONDS = 1.0  # time between two searches for puts that have exceeded their retention
 
 
 class CoordinationNode:
-    """The coordination of one control node, without I/O. Every public method returns what to send and write."""
+    """The coordination of one control node, without I/O. Methods return the messages to send and rows to write."""
 
     def __init__(
         self,
@@ -58,9 +61,10 @@
         is_paused: Callable[[float], bool],
         may_lead: Callable[[], bool],
     ) -> None:
-        """`has_majority`: whether this node has contact with a majority of the voters at a time.
+        """`has_majority`: whether this node has contact with a majority of the voters at a given time.
 
-        `is_paused`: whether it stood still a moment ago; `may_lead`: false while it leaves, or its disk fails.
+        `is_paused`: whether this process was paused just before a given time; `may_lead`: false while this node shuts
+        down or its disk fails.
         """
         self._replica = replica
         self._own_ip = replica.voter.ip
@@ -72,15 +76,15 @@
         self.calls = CallRouter(self._own_ip, self.proposer.submit, self.leader_choice.clock_of)
         self.catch_up = VoterCatchUp(replica, self.acceptor)
         self.followers = Followers(self.acceptor)
-        self.leader: str | None = None  # who should lead, as far as this node knows
-        self._followed = ""  # the node whose decided changes this one is sent
+        self.leader: str | None = None  # the node that should lead, as far as this node knows
+        self._followed_ip = ""  # the node that sends this one its decided changes; empty if none
         self._fetched_at = float("-inf")
         self._prune_at = 0.0
-        self.on_advance: Callable[[float], None] = lambda now: None  # called when the state has changed
+        self.on_advance: Callable[[float], None] = lambda now: None  # is called after the state has changed
 
     @property
     def is_idle(self) -> bool:
-        """Whether nobody waits for this node."""
+        """Whether no call and no command waits at this node."""
         return not len(self.calls) and self.proposer.is_idle
 
     def _emit(self, effects: Effects) -> None:
@@ -93,23 +97,23 @@
     # ---- calls ---------------------------------------------------------------------------
 
     def submit(self, now: float, command: Command, on_result: Callable[[Result], None]) -> Effects:
-        """Have a command of an application carried out; it has its result within `CALL_TIMEOUT_SECONDS`."""
+        """Run a command of an application; `on_result` is called within `CALL_TIMEOUT_SECONDS`."""
         if self._is_paused(now):
-            on_result(CommandFailed(ErrorKind.NO_QUORUM.value, "this process has stood still"))
+            on_result(CommandFailed(ErrorKind.NO_QUORUM.value, "this process was paused"))
         elif not self._has_majority(now):
             on_result(CommandFailed(ErrorKind.NO_QUORUM.value, "no contact with a majority of the voters"))
         else:
             self._emit(self.calls.submit(now, self.leader, command, on_result))
         return self._take_effects()
 
-    def _take_call(self, now: float, peer: Peer, message: CoordinationCall) -> None:
-        """Carry out a command that another node has handed on, unless it may be an old one."""
+    def _receive_call(self, now: float, peer: Peer, message: CoordinationCall) -> None:
+        """Run a command that another node has forwarded, unless it may have been delayed."""
 
         def reply(result: Result) -> None:
             self._effects.send.append((peer, CoordinationReply(message.number, result)))
 
         if now - message.clock > MAX_CALL_AGE_SECONDS or self._is_paused(now):
-            # Guards against calls that were delayed on their way: their callers have asked elsewhere by now.
+            # Guards against calls that were delayed in transit: their callers have asked another node by now.
             reply(CommandFailed(ErrorKind.NO_QUORUM.value, "the call was delayed", True))
             return
         timeout = min(CALL_TIMEOUT_SECONDS, message.seconds_left)
@@ -118,7 +122,7 @@
     # ---- messages ------------------------------------------------------------------------
 
     def handle(self, now: float, peer: Peer, message: Message) -> Effects:
-        """Take a message of a node that has dialled this one; `peer` is where the answer goes."""
+        """Handle a message of a node that has dialled this one; `peer` is the connection that replies go to."""
         self._emit(self.acceptor.follow_epoch())
         if isinstance(message, CoordinationAccept):
             before = self.acceptor.state.index
@@ -128,7 +132,7 @@
         elif isinstance(message, CoordinationConfirm):
             self._emit(self.acceptor.confirm(peer, message))
         elif isinstance(message, CoordinationCall):
-            self._take_call(now, peer, message)
+            self._receive_call(now, peer, message)
         elif isinstance(message, FetchCoordination):
             self._emit(self.followers.fetch(peer, message.after_index, is_following=message.is_following))
         elif isinstance(message, UnfollowCoordination):
@@ -136,18 +140,18 @@
         elif isinstance(message, FetchAcceptor):
             self._emit(self.acceptor.report(peer, message))
         elif isinstance(message, CoordinationChanges | CoordinationSnapshot):
-            self._take_pages(now, message)
+            self._receive_changes(now, message)
         return self._take_effects()
 
     def receive(self, now: float, ip: str, message: Message) -> Effects:
-        """Take a message of a node that this one has dialled."""
+        """Handle a message of a node that this one has dialled."""
         self._emit(self.acceptor.follow_epoch())
         if isinstance(message, CoordinationPromise | CoordinationAccepted | CoordinationConfirmed):
             self._emit(self.proposer.receive(now, ip, message))
         elif isinstance(message, CoordinationReply):
             self.calls.take_reply(message)
         elif isinstance(message, CoordinationChanges | CoordinationSnapshot):
-            self._take_pages(now, message)
+            self._receive_changes(now, message)
         elif isinstance(message, CoordinationHeartbeat):
             self.leader_choice.heard(now, ip, message)
             self._choose_leader(now)
@@ -157,14 +161,14 @@
         return self._take_effects()
 
     def connected(self, now: float, ip: str) -> Effects:
-        """A node that this one has dialled can be reached."""
-        if ip == self._followed:
+        """Handle a new connection to a node that this one has dialled."""
+        if ip == self._followed_ip:
             self._fetch(now)
         self._emit(self.proposer.voter_connected(ip))
         return self._take_effects()
 
     def disconnected(self, now: float, ip: str) -> Effects:
-        """The connection to a node that this one has dialled has ended."""
+        """Handle the end of the connection to a node that this one has dialled."""
         self.leader_choice.disconnected(ip)
         self.calls.disconnected(ip)
         self.catch_up.disconnected(ip)
@@ -172,30 +176,30 @@
         return self._take_effects()
 
     def link_ended(self, peer: Peer) -> None:
-        """A connection on which a node has dialled this one has ended."""
+        """Handle the end of a connection on which a node has dialled this one."""
         self.followers.remove(peer)
 
     # ---- decided changes -------------------------------------------------------------------
 
     def _decide(self, now: float, index: int, change: CoordinationChange) -> Effects:
-        """Put into force what this node's proposer has had decided."""
+        """Apply a change that this node's proposer has had decided."""
         before = self.acceptor.state.index
         self._learn(now, self.acceptor.decide(now, index, change), before)
         return Effects()
 
-    def _take_pages(self, now: float, message: CoordinationChanges | CoordinationSnapshot) -> None:
+    def _receive_changes(self, now: float, message: CoordinationChanges | CoordinationSnapshot) -> None:
         before = self.acceptor.state.index
         if isinstance(message, CoordinationSnapshot):
             self._learn(now, self.acceptor.learn_snapshot(now, message), before)
             return
         for offset, change in enumerate(message.changes):
             self.acceptor.check_same_change(message.first_index + offset, change)
-        if message.first_index > before + 1:  # what lies between was lost with a connection
+        if message.first_index > before + 1:  # the changes in between were lost with a connection
             self._fetch(now)
         self._learn(now, self.acceptor.learn_changes(now, message), before)
 
     def _learn(self, now: float, effects: Effects, before: int) -> None:
-        """Carry out effects that may have brought changes into force, and notify the parts that wait for them."""
+        """Emit effects that may have advanced the state from index `before`, and notify those who wait for changes."""
         self._emit(effects)
         state = self.acceptor.state
         if state.index == before:
@@ -210,15 +214,15 @@
         self.on_advance(now)
 
     def _fetch(self, now: float) -> None:
-        """Ask the node that this one follows for what it lacks, and for everything from now on."""
+        """Request the changes that this node lacks, and all later ones, from the node that it follows."""
         self._fetched_at = now
-        if self._followed:
-            self._effects.send.append((self._followed, FetchCoordination(self.acceptor.state.index, True)))
+        if self._followed_ip:
+            self._effects.send.append((self._followed_ip, FetchCoordination(self.acceptor.state.index, True)))
 
     # ---- leadership ------------------------------------------------------------------------
 
     def heartbeat(self, now: float) -> CoordinationHeartbeat:
-        """What this node says to all who have dialled it."""
+        """Return the heartbeat for all nodes that have dialled this one."""
         is_available = self.acceptor.is_complete and self._may_lead() and self._has_majority(now)
         return CoordinationHeartbeat(
             now, self.acceptor.state.index, is_available, self.proposer.leading_number if is_available else 0
@@ -235,22 +239,22 @@
 
     def _follow(self, now: float, leader: str) -> None:
         if not leader:
-            return  # go on following the former one, which knows what was decided until it fell silent
-        if self._followed and self._followed != leader:
-            self._effects.send.append((self._followed, UnfollowCoordination()))
-        self._followed = leader if leader != self._own_ip else ""
+            return  # keep following the previous leader, which knows what was decided before it became silent
+        if self._followed_ip and self._followed_ip != leader:
+            self._effects.send.append((self._followed_ip, UnfollowCoordination()))
+        self._followed_ip = leader if leader != self._own_ip else ""
         self._fetch(now)
 
     # ---- time ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> Effects:
-        """Do what is due by time."""
+        """Run what is due at this time."""
         self._emit(self.acceptor.follow_epoch())
         self._choose_leader(now)
         self._emit(self.catch_up.tick(now))
         self._emit(self.proposer.tick(now))
         self._emit(self.calls.tick(now, self.leader))
-        known_index = self.leader_choice.index_of(self._followed)
+        known_index = self.leader_choice.index_of(self._followed_ip)
         if known_index > self.acceptor.state.index and now - self._fetched_at >= REFETCH_DELAY_SECONDS:
             self._fetch(now)
         if now >= self._prune_at:
@@ -259,10 +263,10 @@
         return self._take_effects()
 
     def flush(self) -> Effects:
-        """Send the followers what was decided since the last time."""
+        """Send the followers what was decided since the last flush."""
         self._emit(self.followers.flush())
         return self._take_effects()
 
     def wanted_peers(self) -> set[str]:
-        """The IP numbers of the nodes to keep a connection to."""
+        """Return the IP addresses of the nodes to keep a connection to."""
         return (voters_of(self._replica.membership) | self.catch_up.sources()) - {self._own_ip}
