--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -1,4 +1,4 @@
-"""Evaluates commands against the latest state, and collects the records of those that take effect in one change."""
+"""Evaluates commands against the latest state, and collects the records that they produce in one change."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 )
 from lugspur.mesh.coordination.state import CoordinationState, group_of, record_bytes
 
-MAX_LOCKS = 10_000
-MAX_NUMBERS = 10_000
-MAX_CELLS = 20_000
-MAX_PUTS = 50_000  # that are kept for watches
+MAX_LOCKS = 10_000  # locks that are kept, including expired ones
+MAX_NUMBERS = 10_000  # names of numbers
+MAX_CELLS = 20_000  # keys
+MAX_PUTS = 50_000  # puts that are kept for watches
 
 
 class CommandBatch:
     """Commands that are decided together; each sees the effects of those before it."""
 
     def __init__(self, state: CoordinationState, now: float) -> None:
-        """`now`: by the steady clock of the replica whose state this is."""
+        """`now` is the time by the steady clock of the replica that the state belongs to."""
         self._state, self._now = state, now
         self.records: list[Record] = []
-        self._locks: dict[str, LockRecord | None] = {}  # as they will be; None: free
+        self._locks: dict[str, LockRecord | None] = {}  # locks as this batch leaves them; None if free
         self._numbers: dict[str, int] = {}
         self._cells: dict[str, CellRecord] = {}
         self._put_revisions: dict[tuple[str, str], int] = {}  # by key and value
@@ -58,11 +58,11 @@
         self._added_bytes = 0
 
     def change(self, change_id: str) -> CoordinationChange:
-        """The records so far as the value of a decision."""
+        """Return the records so far as a change that can be proposed."""
         return CoordinationChange(change_id, self.records)
 
     def evaluate(self, command: Command) -> Result:
-        """The result of a command if this batch is decided; its records, if any, are added."""
+        """Return the result that a command has if this batch is decided, and add its records, if any."""
         if isinstance(command, OpenLock):
             return self._open(command)
         if isinstance(command, RenewLock):
@@ -80,19 +80,19 @@
     # ---- locks ---------------------------------------------------------------------------
 
     def _holder(self, name: str) -> LockRecord | None:
-        """Who may count on a lock."""
+        """Return the record of a lock that its holder may still rely on, or None if the lock is free."""
         if name in self._locks:
             return self._locks[name]
         lock = self._state.locks.get(name)
         return lock.record if lock is not None and lock.is_held(self._now) else None
 
     def _open(self, command: OpenLock) -> Result:
-        holder = self._holder(command.name)
-        if holder is not None and holder.holder != command.holder:
+        lock = self._holder(command.name)
+        if lock is not None and lock.holder != command.holder:
             return LockDenied()
-        if holder is not None:
-            self._extend(holder, command.hold_ms)
-            return LockGranted(holder.fence)
+        if lock is not None:
+            self._extend(lock, command.hold_ms)
+            return LockGranted(lock.fence)
         if not self._has_room_for_lock(command.name):
             return _too_many("locks")
         self._last_fence += 1
@@ -100,32 +100,32 @@
         return LockGranted(self._last_fence)
 
     def _renew(self, command: RenewLock) -> Result:
-        holder = self._holder(command.name)
-        if holder is None or (holder.holder, holder.fence) != (command.holder, command.fence):
+        lock = self._holder(command.name)
+        if lock is None or (lock.holder, lock.fence) != (command.holder, command.fence):
             return LockLost()
-        self._extend(holder, command.hold_ms)
+        self._extend(lock, command.hold_ms)
         return LockRenewed()
 
     def _close(self, command: CloseLock) -> Result:
-        holder = self._holder(command.name)
-        if holder is not None and (holder.holder, holder.fence) == (command.holder, command.fence):
+        lock = self._holder(command.name)
+        if lock is not None and (lock.holder, lock.fence) == (command.holder, command.fence):
             self._locks[command.name] = None
             self.records.append(LockReleased(command.name))
         return LockClosed()
 
-    def _extend(self, holder: LockRecord, hold_ms: int) -> None:
-        """Give a holder more time, and never less than it has: its calls may arrive in another order."""
-        left_ms = holder.hold_ms
-        if holder.name not in self._locks:
-            left_ms = ceil(1000.0 * (self._state.locks[holder.name].expires_at - self._now))
-        self._set_lock(LockRecord(holder.name, holder.holder, holder.fence, max(hold_ms, left_ms)))
+    def _extend(self, lock: LockRecord, hold_ms: int) -> None:
+        """Extend a lock, and never shorten it: the holder's calls may arrive out of order."""
+        remaining_ms = lock.hold_ms
+        if lock.name not in self._locks:
+            remaining_ms = ceil(1000.0 * (self._state.locks[lock.name].expires_at - self._now))
+        self._set_lock(LockRecord(lock.name, lock.holder, lock.fence, max(hold_ms, remaining_ms)))
 
     def _set_lock(self, record: LockRecord) -> None:
         self._locks[record.name] = record
         self.records.append(record)
 
     def _has_room_for_lock(self, name: str) -> bool:
-        """Whether one more lock may be kept; where there are too many, those that have run out are dropped."""
+        """Whether one more lock may be kept; if there are too many locks, expired ones are released first."""
         locks = self._state.locks
         if name in locks or len(locks) + len(self._locks) < MAX_LOCKS:
             return True
@@ -151,17 +151,17 @@
         return self._cells.get(name) or self._state.cells.get(name)
 
     def _put(self, command: PutCell) -> Result:
-        known = self._put_revisions.get((command.name, command.value))
-        if known is None:
-            known = self._state.revision_of_value(command.name, command.value)
-        if known is not None:
-            return CellWritten(known)
+        known_revision = self._put_revisions.get((command.name, command.value))
+        if known_revision is None:
+            known_revision = self._state.revision_of_value(command.name, command.value)
+        if known_revision is not None:
+            return CellWritten(known_revision)
         cell = self._cell(command.name)
         revision = 0 if cell is None else cell.revision
         if command.expected_revision is not None and command.expected_revision != revision:
             return RevisionMismatch(revision)
         if not self._has_room_for_put(command, cell is None):
-            return _too_many("keys, or puts of late")
+            return _too_many("keys or recent puts")
         group = group_of(command.name)
         next_revision = self._group_revision(group) + 1
         record = CellRecord(command.name, command.value, next_revision)
--- a/lugspur/mesh/coordination/call_router.py
+++ b/lugspur/mesh/coordination/call_router.py
@@ -1,4 +1,4 @@
-"""Calls that this node has taken: handed on to the leader, one hop, or kept until there is one."""
+"""Routes the calls that this node accepts: to the leader, in one hop, or to a queue until there is a leader."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from lugspur.mesh.control.messages.coordination_records import Command, CommandFailed, Result
 from lugspur.mesh.coordination.pending import PendingCommand
 
-CALL_TIMEOUT_SECONDS = 0.8  # until a call is answered: callers try elsewhere after a second
-MAX_CALLS = 512  # that wait for an answer here; beyond these they are rejected
+CALL_TIMEOUT_SECONDS = 0.8  # maximum time until a call has a result, as callers retry at another node after a second
+MAX_CALLS = 512  # calls that wait for a result at this node; further ones are rejected
 
 
 @dataclass(slots=True)
 class ForwardedCall:
-    """A call that was handed on to the leader."""
+    """A call that was forwarded to the leader."""
 
     pending: PendingCommand
     leader: str
 
 
 class CallRouter:
-    """The calls of one node."""
+    """The calls that one node has accepted and that have no result yet."""
 
     def __init__(
         self,
@@ -31,60 +31,60 @@
         submit_here: Callable[[float, PendingCommand], Effects],
         clock_of: Callable[[str], float | None],
     ) -> None:
-        """`submit_here` has a command decided by this node; `clock_of`: a voter's clock, None where it is unknown."""
+        """`submit_here` has this node decide a command; `clock_of` returns a voter's clock, or None if unknown."""
         self._own_ip, self._submit_here, self._clock_of = own_ip, submit_here, clock_of
-        self._waiting: list[PendingCommand] = []  # for a leader that can be reached
+        self._waiting: list[PendingCommand] = []  # calls that wait for a reachable leader
         self._forwarded: dict[int, ForwardedCall] = {}
-        self._number = 0
-        self._open = 0
+        self._last_number = 0
+        self._open_calls = 0
 
     def __len__(self) -> int:
-        return self._open
+        return self._open_calls
 
     def submit(self, now: float, leader: str | None, command: Command, on_result: Callable[[Result], None]) -> Effects:
-        """Have a command carried out by the leader."""
-        self._open += 1
+        """Have the leader run a command."""
+        self._open_calls += 1
 
-        def finished(result: Result) -> None:
-            self._open -= 1
+        def on_finished(result: Result) -> None:
+            self._open_calls -= 1
             on_result(result)
 
-        pending = PendingCommand(command, now + CALL_TIMEOUT_SECONDS, finished)
-        if self._open > MAX_CALLS:  # Guards memory and the leader against a flood of calls.
-            pending.reject("too many calls in hand")
+        pending = PendingCommand(command, now + CALL_TIMEOUT_SECONDS, on_finished)
+        if self._open_calls > MAX_CALLS:  # Guards memory and the leader against a flood of calls.
+            pending.reject("too many calls are pending")
             return Effects()
         return self._route(now, leader, pending)
 
     def _route(self, now: float, leader: str | None, pending: PendingCommand) -> Effects:
         if leader == self._own_ip:
-            return self._submit_here(now, self._attempt(pending))
+            return self._submit_here(now, self._local_command(pending))
         clock = None if leader is None else self._clock_of(leader)
         if leader is None or clock is None:
             self._waiting.append(pending)
             return Effects()
-        self._number += 1
-        self._forwarded[self._number] = ForwardedCall(pending, leader)
-        call = CoordinationCall(self._number, clock, pending.deadline - now, pending.command)
+        self._last_number += 1
+        self._forwarded[self._last_number] = ForwardedCall(pending, leader)
+        call = CoordinationCall(self._last_number, clock, pending.deadline - now, pending.command)
         return Effects(send=[(leader, call)])
 
-    def _attempt(self, pending: PendingCommand) -> PendingCommand:
-        """The command for this node's own proposer."""
+    def _local_command(self, pending: PendingCommand) -> PendingCommand:
+        """Return the command for this node's own proposer, which may fail without ending the call."""
         return PendingCommand(pending.command, pending.deadline, lambda result: self._take_result(pending, result))
 
     def _take_result(self, pending: PendingCommand, result: Result) -> None:
         if isinstance(result, CommandFailed) and result.may_retry:
-            self._waiting.append(pending)  # nothing was done: another node may lead by now
+            self._waiting.append(pending)  # the command had no effect, and another node may lead by now
         else:
             pending.finish(result)
 
     def take_reply(self, message: CoordinationReply) -> None:
-        """The leader has answered a call."""
+        """Handle the leader's reply to a call."""
         call = self._forwarded.pop(message.number, None)
         if call is not None:
             self._take_result(call.pending, message.result)
 
     def disconnected(self, ip: str) -> None:
-        """The connection to a node has ended: what was handed on to it may have been done, and is not run again."""
+        """Handle the end of the connection to a node: calls forwarded to it may have run, so only reads are retried."""
         for number, call in list(self._forwarded.items()):
             if call.leader != ip:
                 continue
@@ -95,7 +95,7 @@
                 call.pending.give_up()
 
     def tick(self, now: float, leader: str | None) -> Effects:
-        """End calls whose time is up, and hand on those that wait."""
+        """Fail expired calls, and route those that wait."""
         for number, call in list(self._forwarded.items()):
             if call.pending.deadline <= now:
                 del self._forwarded[number]
@@ -103,7 +103,7 @@
         return self.route_waiting(now, leader)
 
     def route_waiting(self, now: float, leader: str | None) -> Effects:
-        """Hand on the calls that wait for a leader."""
+        """Route the calls that wait for a leader, and reject expired ones."""
         effects = Effects()
         waiting, self._waiting = self._waiting, []
         for pending in waiting:
--- a/lugspur/mesh/coordination/followers.py
+++ b/lugspur/mesh/coordination/followers.py
@@ -1,15 +1,15 @@
-"""Nodes that are sent each decided change, several at a time."""
+"""Sends decided changes to the nodes that follow this one, several changes per message."""
 
 from __future__ import annotations
 
 from lugspur.mesh.control.effects import Effects, Peer
 from lugspur.mesh.coordination.acceptor import CoordinationAcceptor
 
-FLUSH_DELAY_SECONDS = 0.03  # for which decided changes wait for others, so that one message carries several
+FLUSH_DELAY_SECONDS = 0.03  # how long a decided change waits, so that one message can contain several changes
 
 
 class Followers:
-    """How far each follower is, by the connection that it has asked on."""
+    """The latest index that was sent to each follower, by the follower's connection."""
 
     def __init__(self, acceptor: CoordinationAcceptor) -> None:
         self._acceptor = acceptor
@@ -19,28 +19,28 @@
         return len(self._sent_index)
 
     def fetch(self, peer: Peer, after_index: int, *, is_following: bool) -> Effects:
-        """Send what a peer lacks; `is_following`: and everything from now on."""
+        """Send what a peer lacks, and if `is_following` all later changes too."""
         if is_following:
             self._sent_index[peer] = max(after_index, self._acceptor.state.index)
         pages = self._acceptor.pages_after(after_index)
         return Effects() if pages is None else Effects(send=[(peer, pages)])
 
     def remove(self, peer: Peer) -> None:
-        """A peer follows no longer."""
+        """Stop sending changes to a peer."""
         self._sent_index.pop(peer, None)
 
     def peers(self) -> list[Peer]:
-        """Those who follow."""
+        """Return the connections of all followers."""
         return list(self._sent_index)
 
     @property
     def is_flush_due(self) -> bool:
-        """Whether a follower lacks a change."""
+        """Whether a follower has not been sent the latest change."""
         index = self._acceptor.state.index
         return any(sent < index for sent in self._sent_index.values())
 
     def flush(self) -> Effects:
-        """Send all followers what they lack."""
+        """Send each follower the changes that it lacks."""
         effects = Effects()
         for peer, sent in self._sent_index.items():
             pages = self._acceptor.pages_after(sent)
--- a/lugspur/mesh/coordination/pending.py
+++ b/lugspur/mesh/coordination/pending.py
@@ -24,17 +24,17 @@
         return isinstance(self.command, ReadCell | ReadGroup)
 
     def finish(self, result: Result) -> None:
-        """Hand over the result, unless the command has one."""
+        """Pass the result to the caller, unless the command already has one."""
         if not self.is_done:
             self.is_done = True
             self.on_result(result)
 
     def reject(self, detail: str, *, may_retry: bool = False) -> None:
-        """Say that nothing was done; `may_retry`: another node may be able to."""
+        """Fail a command that had no effect; `may_retry`: another node may be able to run it."""
         self.finish(CommandFailed(ErrorKind.NO_QUORUM.value, detail, may_retry))
 
     def give_up(self) -> None:
-        """Say that the command was proposed, or handed on, and that its outcome is not known."""
+        """Fail a command that was proposed or forwarded, and whose outcome is unknown."""
         if self.is_read:
             self.reject("too few voters answered")
         else:
--- a/lugspur/mesh/coordination/state.py
+++ b/lugspur/mesh/coordination/state.py
@@ -1,10 +1,10 @@
-"""The state of coordination at one replica: locks, numbers, keys and the puts that watches are told of.
+"""The state of coordination at one replica: locks, numbers, keys, and the puts that watches return.
 
-Decided changes carry records and not commands, so that every replica has the same state after the same change. Only
-times differ: each replica counts how long a lock is held, and how old a put is, from when it learned of it, by its own
-steady clock. It never learns of a grant before that was decided, and a grant is never decided before its holder asked
-for it, so that a lock is free at no replica before its holder has stopped counting on it. A replica that was restarted
-learns of all anew, and lets every lock last its full time.
+Decided changes contain records and not commands, so that every replica has the same state after the same change. Only
+times differ: each replica measures the time of a lock and the age of a put from when it learned of them, by its own
+steady clock. A replica never learns of a grant before it was decided, and a grant is never decided before its holder
+requested it. Therefore no replica considers a lock free before its holder has stopped relying on it. A restarted
+replica learns everything anew, and lets each lock last its full time again.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
     Record,
 )
 
-HISTORY_FACTOR = 2.0  # times `history_s`, for which puts are kept: replicas learn of a put at different moments
-RECENT_CHANGES = 512  # kept in memory for replicas that lack a few; others are sent the whole state
-MAX_STATE_BYTES = 8 << 20  # of cells and puts: the state goes to new voters as one message
+HISTORY_FACTOR = 2.0  # puts are kept for this many times `history_s`, as replicas learn of a put at different times
+RECENT_CHANGES = 512  # changes kept in memory for replicas that lack a few; a replica that lacks more gets a snapshot
+MAX_STATE_BYTES = 8 << 20  # maximum size of cells and puts, as the state is sent to new voters in one message
 GROUP_SEPARATOR = "."
-ROW_PREFIX = b"k"  # of all rows of coordination on disk
+ROW_PREFIX = b"k"  # prefix of all rows of coordination on disk
 LOCK_PREFIX, NUMBER_PREFIX, CELL_PREFIX, PUT_PREFIX, GROUP_PREFIX = b"kl", b"kn", b"kc", b"kp", b"kg"
 META_ROW = b"kmeta"
-REVISION_BYTES = 8  # of a revision in the key of a put's row
+REVISION_BYTES = 8  # size of a revision in the key of a put's row
 
 _pack = msgspec.msgpack.Encoder().encode
 _lock_decoder = msgspec.msgpack.Decoder(LockRecord)
@@ -44,14 +44,14 @@
 
 
 class StoredGroup(msgspec.Struct, array_like=True, frozen=True):
-    """A group's row on disk."""
+    """The row on disk of a group."""
 
     revision: int
     pruned_revision: int
 
 
 class StoredMeta(msgspec.Struct, array_like=True, frozen=True):
-    """The row of what concerns the whole state."""
+    """The row on disk of what concerns the whole state."""
 
     index: int
     last_fence: int
@@ -62,25 +62,25 @@
 
 
 def group_of(key: str) -> str:
-    """The group of a key: its name up to the first separator, with that."""
+    """Return the group of a key: the key's name up to and including the first separator."""
     return key[: key.index(GROUP_SEPARATOR) + 1]
 
 
 @dataclass(slots=True)
 class Lock:
-    """A lock that was granted; it may have run out since."""
+    """A lock that was granted; it may have expired since."""
 
     record: LockRecord
-    expires_at: float  # by this replica's steady clock
+    expires_at: float  # by this replica's steady clock, in seconds
 
     def is_held(self, now: float) -> bool:
-        """Whether its holder may still count on it."""
+        """Whether the holder may still rely on the lock."""
         return now < self.expires_at
 
 
 @dataclass(slots=True)
 class Put:
-    """A put that watches are told of."""
+    """A put that is kept for watches."""
 
     record: CellRecord
     learned_at: float
@@ -88,20 +88,20 @@
 
 @dataclass(slots=True)
 class Group:
-    """The keys that share one count of revisions."""
+    """The keys that share one sequence of revisions."""
 
     revision: int = 0
-    pruned_revision: int = 0  # puts up to this revision are forgotten
-    puts: deque[Put] = field(default_factory=deque)  # by rising revision
+    pruned_revision: int = 0  # puts up to this revision have been removed
+    puts: deque[Put] = field(default_factory=deque)  # in the order of their revisions
 
 
 class CoordinationState:
-    """All that was decided up to change `index`."""
+    """The result of all decided changes up to change `index`."""
 
     def __init__(self, history_seconds: float, max_bytes: int = MAX_STATE_BYTES) -> None:
-        """`history_seconds`: for how long a watch may go on from a revision that it was given.
+        """`history_seconds`: for how long a watch may resume from a revision that it was given.
 
-        `max_bytes`: of cells and kept puts, beyond which no put is taken.
+        `max_bytes`: the maximum size of cells and kept puts; a put that would exceed it is rejected.
         """
         self.max_bytes = max_bytes
         self._retention_seconds = HISTORY_FACTOR * history_seconds
@@ -114,27 +114,27 @@
         self.numbers: dict[str, int] = {}
         self.cells: dict[str, CellRecord] = {}
         self.groups: dict[str, Group] = {}
-        self.size_bytes = 0  # of cells and kept puts
-        self.put_count = 0  # kept puts of all groups
-        self._revisions: dict[tuple[str, str], int] = {}  # of each kept put, by key and value
+        self.size_bytes = 0  # the size of cells and kept puts
+        self.put_count = 0  # the number of kept puts of all groups
+        self._revisions: dict[tuple[str, str], int] = {}  # the latest revision of each kept put, by key and value
         self._recent: deque[CoordinationChange] = deque(maxlen=RECENT_CHANGES)
 
     # ---- reading -------------------------------------------------------------------------
 
     def group_revision(self, name: str) -> int:
-        """The present revision of a group, 0 where nothing was put."""
+        """Return the current revision of a group, or 0 if nothing was put to it."""
         group = self.groups.get(name)
         return 0 if group is None else group.revision
 
     def revision_of_value(self, key: str, value: str) -> int | None:
-        """The revision that a put of this value to this key got, as long as that is remembered."""
+        """Return the revision of the put of this value to this key, or None if no such put is kept."""
         cell = self.cells.get(key)
         if cell is not None and cell.value == value:
             return cell.revision
         return self._revisions.get((key, value))
 
     def puts_after(self, name: str, revision: int, limit: int) -> list[CellRecord] | None:
-        """The first puts of a group above a revision, or None where some of them are forgotten."""
+        """Return the first puts of a group above a revision, or None if some of them have been removed."""
         group = self.groups.get(name)
         if group is None:
             return []
@@ -149,7 +149,7 @@
         return found[:limit]
 
     def changes_after(self, index: int) -> list[CoordinationChange] | None:
-        """The changes after an index, or None where they are not kept any more."""
+        """Return the changes after an index, or None if some of them are no longer kept."""
         missing = self.index - index
         if missing < 0 or missing > len(self._recent):
             return None
@@ -158,7 +158,7 @@
     # ---- decided changes -----------------------------------------------------------------
 
     def apply(self, now: float, change: CoordinationChange) -> Rows:
-        """Put the next change into force; returns the rows to write."""
+        """Apply the next change and return the rows to write."""
         rows: Rows = []
         self.index += 1
         self._recent.append(change)
@@ -183,14 +183,14 @@
             self._apply_put(now, record, rows)
 
     def _apply_lock(self, now: float, record: LockRecord) -> None:
-        standing = self.locks.get(record.name)
-        is_same_grant = standing is not None and standing.record.fence == record.fence
+        current = self.locks.get(record.name)
+        is_same_grant = current is not None and current.record.fence == record.fence
         rises = is_same_grant or record.fence > self.last_fence
         check(rises, Invariant.FENCES_RISE, name=record.name, fence=record.fence, last=self.last_fence)
         self.last_fence = max(self.last_fence, record.fence)
         expires_at = now + _hold_seconds(record)
-        if standing is not None and is_same_grant:
-            expires_at = max(expires_at, standing.expires_at)
+        if current is not None and is_same_grant:
+            expires_at = max(expires_at, current.expires_at)
         self.locks[record.name] = Lock(record, expires_at)
 
     def _apply_put(self, now: float, record: CellRecord, rows: Rows) -> None:
@@ -206,8 +206,8 @@
         rows.append(_group_row(name, group))
 
     def _set_cell(self, record: CellRecord) -> None:
-        standing = self.cells.get(record.name)
-        self.size_bytes += record_bytes(record) - (0 if standing is None else record_bytes(standing))
+        current = self.cells.get(record.name)
+        self.size_bytes += record_bytes(record) - (0 if current is None else record_bytes(current))
         self.cells[record.name] = record
 
     def _keep_put(self, group: Group, put: Put) -> None:
@@ -217,7 +217,7 @@
         self._revisions[put.record.name, put.record.value] = put.record.revision
 
     def prune(self, now: float) -> Rows:
-        """Forget puts that no watch may ask for any more; returns the rows to write."""
+        """Remove puts that no watch may request any more, and return the rows to write."""
         rows: Rows = []
         for name, group in self.groups.items():
             before = group.pruned_revision
@@ -236,10 +236,10 @@
         if self._revisions.get((record.name, record.value)) == record.revision:
             del self._revisions[record.name, record.value]
 
-    # ---- the whole state -----------------------------------------------------------------
+    # ---- snapshots and the disk ----------------------------------------------------------
 
     def snapshot(self) -> CoordinationSnapshot:
-        """The state as a message."""
+        """Return the state as a message."""
         groups = [
             GroupHistory(name, group.revision, group.pruned_revision, [put.record for put in group.puts])
             for name, group in self.groups.items()
@@ -254,7 +254,7 @@
         )
 
     def replace(self, now: float, snapshot: CoordinationSnapshot) -> Rows:
-        """Take over a later state as a whole; returns the rows to write."""
+        """Replace the state by a later one, and return the rows to write."""
         rows: dict[bytes, bytes | None] = dict.fromkeys((key for key, _ in self._rows()), None)
         self._clear()
         self._load(now, snapshot)
@@ -284,7 +284,10 @@
         return rows
 
     def restore(self, rows: Iterable[tuple[bytes, bytes]], now: float) -> None:
-        """Load what is on disk; other rows are ignored. Raises msgspec.MsgspecError for rows that can't be read."""
+        """Load the state from the rows on disk; other rows are ignored.
+
+        Raises msgspec.MsgspecError for rows that can't be decoded.
+        """
         index = last_fence = 0
         locks, numbers, cells, groups = [], [], [], {}
         puts: dict[str, list[CellRecord]] = {}
@@ -312,12 +315,12 @@
 
 
 def record_bytes(record: CellRecord) -> int:
-    """What a put takes in memory and on disk, about."""
+    """Return approximately how many bytes a put takes in memory and on disk."""
     return len(record.name) + len(record.value) + 64
 
 
 def _hold_seconds(record: LockRecord) -> float:
-    """For how long a holder may count on a lock, by a clock that runs slower than this one."""
+    """Return how long a holder may rely on a lock if its clock runs slower than this one, in seconds of this clock."""
     return record.hold_ms / 1000.0 * (1.0 + MAX_CLOCK_DRIFT)
 
 
--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -1,4 +1,4 @@
-"""Watches that wait at one node for puts in a group of keys."""
+"""Watches: calls that wait at one node for puts in a group of keys."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from lugspur.mesh.control.messages.coordination_records import CellRecord
 from lugspur.mesh.coordination.state import CoordinationState
 
-MAX_WATCHES = 160  # that wait at one node: each holds one of its callers' connections
-MAX_PUTS_PER_ANSWER = 256  # a watch goes on from the revision of the answer
+MAX_WATCHES = 160  # watches that wait at one node, as each of them occupies a caller's connection
+MAX_PUTS_PER_ANSWER = 256  # puts in one response; the next watch resumes from the response's revision
 
 
 @dataclass(slots=True, frozen=True)
 class WatchAnswer:
-    """All puts of a group above the revision that was asked for, and up to `revision`."""
+    """All puts of a group above the requested revision, and up to `revision`."""
 
     puts: list[CellRecord]
     revision: int
@@ -23,13 +23,18 @@
 
 @dataclass(slots=True, eq=False)
 class Watch:
-    """A caller that waits for puts of a group above a revision; one of the functions is called once."""
+    """A caller that waits for puts of a group above a revision.
+
+    One of the functions is called, once, unless the watch is removed before.
+
+    `on_deadline` is called if no put has arrived: that there is none must be confirmed before the response.
+    """
 
     group: str
     after: int
     deadline: float
     on_answer: Callable[[WatchAnswer], None]
-    on_deadline: Callable[[], None]  # nothing came: what is answered then has to be proven first
+    on_deadline: Callable[[], None]
     on_failure: Callable[[MeshError], None]
 
 
@@ -40,35 +45,35 @@
         self._state = state
         self._watches: dict[str, list[Watch]] = {}  # by group
         self._count = 0
-        self._index = 0  # of the latest change that the watches have been answered by
+        self._index = 0  # the latest change that the watches were checked against
 
     def __len__(self) -> int:
         return self._count
 
     def answer(self, group: str, after: int) -> WatchAnswer | None:
-        """What is known here above a revision, None where that is nothing; raises MeshError (HISTORY_GONE)."""
+        """Return the known puts above a revision, or None if there are none; raises MeshError (HISTORY_GONE)."""
         puts = self._state.puts_after(group, after, MAX_PUTS_PER_ANSWER)
         if puts is None:
-            raise MeshError(ErrorKind.HISTORY_GONE, f"puts of {group} above {after} are forgotten")
+            raise MeshError(ErrorKind.HISTORY_GONE, f"puts of {group} above {after} are no longer kept")
         return WatchAnswer(puts, puts[-1].revision) if puts else None
 
     def revision(self, group: str) -> int:
-        """The revision of a group that is known here."""
+        """Return the revision of a group that this node knows."""
         return self._state.group_revision(group)
 
     def is_waiting(self, watch: Watch) -> bool:
-        """Whether a watch has not been answered."""
+        """Whether a watch is still waiting."""
         return watch in self._watches.get(watch.group, [])
 
     def add(self, watch: Watch) -> None:
-        """Let a watch wait; raises MeshError (TOO_MANY) where too many do."""
+        """Add a waiting watch; raises MeshError (TOO_MANY) if there are too many."""
         if self._count >= MAX_WATCHES:
             raise MeshError(ErrorKind.TOO_MANY, "there are too many watches")
         self._count += 1
         self._watches.setdefault(watch.group, []).append(watch)
 
     def remove(self, watch: Watch) -> None:
-        """A watch does not wait any more."""
+        """Remove a watch, if it is still waiting."""
         waiting = self._watches.get(watch.group, [])
         if watch not in waiting:
             return
@@ -78,7 +83,7 @@
             del self._watches[watch.group]
 
     def advanced(self) -> None:
-        """The state has changed: answer the watches that have got puts."""
+        """Respond to the watches that the changed state has puts for."""
         if self._index == self._state.index:
             return
         self._index = self._state.index
@@ -92,22 +97,22 @@
     def _answer_waiting(self, watch: Watch) -> None:
         try:
             answer = self.answer(watch.group, watch.after)
-        except MeshError as fault:
+        except MeshError as error:
             self.remove(watch)
-            watch.on_failure(fault)
+            watch.on_failure(error)
             return
         if answer is not None:
             self.remove(watch)
             watch.on_answer(answer)
 
     def tick(self, now: float) -> None:
-        """End the watches whose time is up."""
+        """End the watches whose deadline has passed."""
         for watch in [watch for waiting in self._watches.values() for watch in waiting if watch.deadline <= now]:
             self.remove(watch)
             watch.on_deadline()
 
-    def fail_all(self, fault: MeshError) -> None:
-        """End all watches: this node can't say any more what is put, or is leaving."""
+    def fail_all(self, error: MeshError) -> None:
+        """Fail all watches, since this node has lost contact with the voters or shuts down."""
         for watch in [watch for waiting in self._watches.values() for watch in waiting]:
             self.remove(watch)
-            watch.on_failure(fault)
+            watch.on_failure(error)
