--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -28,7 +28,7 @@
 
 MAX_HISTORIES = 1200  # until a guard counts as missed
 
-_prepare, _accept, _counts = CoordinationAcceptor.prepare, CoordinationAcceptor.accept, CoordinationAcceptor._counts
+_prepare, _accept, _may_grant = CoordinationAcceptor.prepare, CoordinationAcceptor.accept, CoordinationAcceptor._may_grant
 _take_reports, _follow_epoch = CoordinationAcceptor.take_reports, CoordinationAcceptor.follow_epoch
 _next_batch, _step_down = CoordinationProposer._next_batch, CoordinationProposer._step_down
 _load, _apply_lock = CoordinationState._load, CoordinationState._apply_lock
@@ -49,7 +49,7 @@
 
 def count_below_promise(self: CoordinationAcceptor, epoch: int, proposal: ProposalNumber) -> bool:
     self.promised = min(self.promised, proposal)
-    return _counts(self, epoch, proposal)
+    return _may_grant(self, epoch, proposal)
 
 
 def count_in_any_epoch(self: CoordinationAcceptor, epoch: int, proposal: ProposalNumber) -> bool:
@@ -158,8 +158,8 @@
 GUARDS = (
     Guard("a promise is on disk before it is sent", CoordinationAcceptor, "prepare", promise_in_memory),
     Guard("an acceptance is on disk before it is sent", CoordinationAcceptor, "accept", accept_before_sync),
-    Guard("nothing below a promise is accepted", CoordinationAcceptor, "_counts", count_below_promise),
-    Guard("a message counts in its epoch alone", CoordinationAcceptor, "_counts", count_in_any_epoch),
+    Guard("nothing below a promise is accepted", CoordinationAcceptor, "_may_grant", count_below_promise),
+    Guard("a message counts in its epoch alone", CoordinationAcceptor, "_may_grant", count_in_any_epoch),
     Guard(
         "nothing is accepted while a change of the voters may be decided",
         CoordinationAcceptor,
--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -144,7 +144,7 @@
 
     def prepare(self, peer: Peer, message: CoordinationPrepare) -> Effects:
         """Phase 1b: promise to accept no lower proposal for any later index; the promise is sent after the sync."""
-        if not self._counts(message.epoch, message.proposal):
+        if not self._may_grant(message.epoch, message.proposal):
             return Effects(send=[(peer, self._promise(message, is_granted=False))])
         self.promised = message.proposal
         promise = self._promise(message, is_granted=True)
@@ -156,13 +156,13 @@
             promise.accepted, promise.change = self.accepted, self.accepted_change
         return promise
 
-    def _counts(self, epoch: int, proposal: ProposalNumber) -> bool:
+    def _may_grant(self, epoch: int, proposal: ProposalNumber) -> bool:
         return self.accepts and epoch == self._replica.epoch and proposal >= self.promised
 
     def accept(self, now: float, peer: Peer, message: CoordinationAccept) -> Effects:
         """Phase 2b: accept a change for the next index unless a higher proposal was promised; reply after the sync."""
         effects = Effects()
-        is_granted = self._counts(message.epoch, message.proposal)
+        is_granted = self._may_grant(message.epoch, message.proposal)
         if is_granted and message.index == self.state.index + 2 and self.accepted == message.proposal:
             # A proposer moves to the next index only once the previous one is decided, and it proposes a single change
             # per index: the change that was accepted from it here is the decided one.
@@ -185,7 +185,7 @@
 
     def confirm(self, peer: Peer, message: CoordinationConfirm) -> Effects:
         """Reply whether no higher proposal was promised; a majority proves that the proposer knows all decisions."""
-        is_granted = self._counts(message.epoch, message.proposal)
+        is_granted = self._may_grant(message.epoch, message.proposal)
         reply = CoordinationConfirmed(message.epoch, message.proposal, message.round, is_granted, self.promised)
         return Effects(send=[(peer, reply)])
 
