--- a/lugspur/mesh/control_node/announcement.py
+++ b/lugspur/mesh/control_node/announcement.py
@@ -1,4 +1,4 @@
-"""What a control node says of itself to all others."""
+"""The entry by which a control node describes itself to all other nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class Announcement:
     """The leased entry of this control node.
 
-    `next_edition` gives a new entry its number, `report` sends it to all peers.
+    `next_edition` returns the edition of a new entry, and `report` sends the entry to all peers.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._announced: Entry | None = None
 
     def announce(self, presence: Presence) -> None:
-        """Announce the presence, unless just that was announced and is what the store has."""
+        """Announce the presence, unless the store still has the entry in which the same presence was announced."""
         value = _encode(presence)
         current = self._store.get(CONTROL, self._ip)
         if current is not None and current == self._announced and current.value == value:
@@ -37,10 +37,10 @@
         self._report(Report([self._announced]))
 
     def entries(self) -> list[Entry]:
-        """What was announced last."""
+        """Return the entry that was announced last, if any."""
         return [] if self._announced is None else [self._announced]
 
     def is_contradicted_by(self, entry: Entry) -> bool:
-        """Whether an entry shows that the announcement was withdrawn, or is still one of a former incarnation."""
+        """Whether an entry in place of the announced one withdraws it, or stems from an earlier incarnation."""
         announced = self._announced
         return entry.kind == CONTROL and entry.name == self._ip and announced is not None and entry != announced
--- a/lugspur/mesh/control_node/api.py
+++ b/lugspur/mesh/control_node/api.py
@@ -1,4 +1,4 @@
-"""The calls that a control node takes of operators."""
+"""The HTTP calls that a control node serves at its `dispatch` address."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class ServingProcess(Protocol):
-    """The process whose calls these are."""
+    """The process that serves the calls."""
 
     operator_calls: OperatorCalls
     coordination_calls: CoordinationCalls
 
     def status(self) -> dict[str, Any]:
-        """What operators see of this control node."""
+        """Return the status of this control node for operators."""
 
     def coordination_contents(self) -> dict[str, Any]:
-        """What operators see of locks, numbers and keys."""
+        """Return the locks, numbers and keys for operators."""
 
     def metrics(self) -> bytes:
-        """The metrics of this control node, in the text format of Prometheus."""
+        """Return the metrics of this control node, in the text format of Prometheus."""
 
 
 class ControlNodeApi:
@@ -38,7 +38,7 @@
         self._process = process
 
     def dispatch_calls(self) -> HttpApi:
-        """All calls, by method and path."""
+        """Return all calls, by method and path."""
         calls = HttpApi()
         calls.add("POST", "/config/amend", self._process.operator_calls.amend)
         calls.add("GET", "/config/read", self._process.operator_calls.read)
@@ -49,13 +49,13 @@
         return calls
 
     def status(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Answer what operators see of this control node, whether a majority can be reached or not."""
+        """Respond with the status of this control node, whether a majority can be reached or not."""
         reply(caller, _encode_json(self._process.status()))
 
     def coordination(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Answer what this control node knows of locks, numbers and keys, whether a majority can be reached or not."""
+        """Respond with the locks, numbers and keys that this node knows, whether a majority can be reached or not."""
         reply(caller, _encode_json(self._process.coordination_contents()))
 
     def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Answer the metrics of this control node."""
+        """Respond with the metrics of this control node."""
         caller.answer(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/mesh/control_node/catching_up.py
+++ b/lugspur/mesh/control_node/catching_up.py
@@ -1,4 +1,4 @@
-"""How a replica gets what it lacks: changes from any peer, reservations from the voters of the epoch before."""
+"""Fetches what a replica lacks: changes from any peer, reservations from the previous epoch's voters."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from lugspur.mesh.control.reservation_catch_up import ReservationCatchUp
 from lugspur.mesh.transport.link import Link
 
-CATCH_UP_DELAY_SECONDS = 0.05  # for which a replica waits to be sent what it lacks before it asks
+CATCH_UP_DELAY_SECONDS = 0.05  # how long a replica waits for changes that it lacks to arrive unasked
 
 
 class CatchingUp:
-    """Collects pages of changes and reservations, and asks for those that don't come by themselves."""
+    """Collects pages of changes and reservations, and requests those that don't arrive unasked."""
 
     def __init__(
         self,
@@ -28,21 +28,21 @@
         send_to: Callable[[str, Message], None],
         on_complete: Callable[[], None],
     ) -> None:
-        """`on_complete` is called when the replica has got all reservations that a voter must have."""
+        """`on_complete` is called once the replica has all reservations that a voter must have."""
         self._loop, self._replica = loop, replica
         self._run_effects, self._send_to, self._on_complete = run_effects, send_to, on_complete
         self._pages = LearnedPages()
         self._reservations = ReservationCatchUp(replica)
-        self._asked_at = 0.0  # when a peer was last asked for changes
+        self._requested_at = 0.0  # the time of the latest request for changes
 
     def take_changes(self, source: Link | str, page: Learn) -> None:
-        """Take a page of decided changes; they are applied with the last page."""
+        """Handle a page of decided changes; all pages are applied when the last one has arrived."""
         pages = self._pages.add(source, page)
         if pages:
             self._run_effects(self._replica.learn(self._loop.time(), pages))
 
     def take_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
-        """Take a page of the reservations that a voter of the epoch before has."""
+        """Handle a page of the reservations of a voter of the previous epoch."""
         was_complete = self._replica.is_complete
         self._run_effects(self._reservations.receive(now, ip, page))
         if self._replica.is_complete and not was_complete:
@@ -50,24 +50,24 @@
             self._on_complete()
 
     def peer_knows(self, now: float, ip: str, index: int) -> None:
-        """A peer knows all changes up to an index: ask it for them unless they come by themselves."""
-        if index > self._replica.index and now - self._asked_at > CATCH_UP_DELAY_SECONDS:
-            self._asked_at = now
-            self._loop.call_later(CATCH_UP_DELAY_SECONDS, self._ask_for_changes, ip, index)
+        """Request changes from a peer that knows all up to an index, unless they arrive unasked."""
+        if index > self._replica.index and now - self._requested_at > CATCH_UP_DELAY_SECONDS:
+            self._requested_at = now
+            self._loop.call_later(CATCH_UP_DELAY_SECONDS, self._request_changes, ip, index)
 
-    def _ask_for_changes(self, ip: str, index: int) -> None:
+    def _request_changes(self, ip: str, index: int) -> None:
         if self._replica.index < index:
             self._send_to(ip, FetchDecided(self._replica.index))
 
     def link_ended(self, link: Link) -> None:
-        """A connection that a peer dialled has ended: the rest of its pages never comes."""
+        """Discard the pages of a connection that a peer dialled and that has ended, as the rest won't arrive."""
         self._pages.disconnected(link)
 
     def disconnected(self, ip: str) -> None:
-        """The connection to a peer has ended: the rest of its pages never comes."""
+        """Discard the pages of a peer whose connection has ended, as the rest won't arrive."""
         self._reservations.disconnected(ip)
         self._pages.disconnected(ip)
 
     def tick(self, now: float) -> None:
-        """Ask voters for reservations where that is due."""
+        """Request reservations from voters if a request is due."""
         self._run_effects(self._reservations.tick(now))
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -1,4 +1,7 @@
-"""Where changes are proposed: here, or by the control node that proposes for all in calm times."""
+"""Routes changes to a proposer: this node's own, or that of the preferred proposer.
+
+One node proposes for all while voters hear each other, so that proposers don't compete.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 from lugspur.mesh.process_pause import PauseDetector
 from lugspur.mesh.transport.link import Link
 
-DECISION_TIMEOUT_SECONDS = 0.8  # for a call of an operator: callers try elsewhere after a second
-MAX_PENDING_CALLS = 64  # calls of operators that are not decided
+DECISION_TIMEOUT_SECONDS = 0.8  # maximum time for an operator's call, as callers retry at another node after a second
+MAX_PENDING_CALLS = 64  # undecided calls of operators; further ones are rejected
 
 
 class ChangeRouter:
@@ -32,18 +35,18 @@
         run_effects: Callable[[Effects], None],
         send_to: Callable[[str, Message], None],
     ) -> None:
-        """`preferred_proposer` returns the IP number of the control node that proposes for all at a time."""
+        """`preferred_proposer` returns the IP address of the control node that proposes for all at a given time."""
         self._loop, self._ip, self._proposer, self._pause_detector = loop, ip, proposer, pause_detector
         self._preferred_proposer, self._run_effects, self._send_to = preferred_proposer, run_effects, send_to
         self.forwarder = ChangeForwarder()
 
     def check_admission(self, now: float) -> None:
-        """Raise MeshError (NO_QUORUM) where no change can be taken now."""
+        """Raise MeshError (NO_QUORUM) if no change can be accepted now."""
         pending = len(self._proposer) + len(self.forwarder)
         if pending >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
-            raise MeshError(ErrorKind.NO_QUORUM, "too many calls in hand")
+            raise MeshError(ErrorKind.NO_QUORUM, "too many calls are pending")
         if self._pause_detector.is_stale(now):
-            raise MeshError(ErrorKind.NO_QUORUM, "this process has stood still")
+            raise MeshError(ErrorKind.NO_QUORUM, "this process was paused")
 
     def submit(self, now: float, request: ChangeRequest) -> None:
         """Propose a change, or forward it to the preferred proposer."""
@@ -54,12 +57,12 @@
             self._send_to(proposer_ip, self.forwarder.forward(now, proposer_ip, request))
 
     def withdraw(self, request: ChangeRequest) -> None:
-        """Nobody waits for a change any more: it is not proposed if it has not been."""
+        """Withdraw a change that no caller waits for any more: it is not proposed unless it already was."""
         self._proposer.withdraw(request)
         self.forwarder.withdraw(request)
 
     def take_forwarded(self, link: Link, message: ForwardChange) -> None:
-        """Propose a change that another control node has forwarded, and send it the result."""
+        """Propose a change that another control node has forwarded, and return the result to that node."""
 
         def send_result(outcome: Outcome) -> None:
             link.send(result_of(message.number, outcome))
@@ -74,11 +77,11 @@
         self._propose(now, ChangeRequest(message.entries, now + timeout, send_result))
 
     def disconnected(self, now: float, ip: str) -> None:
-        """The connection to a control node has ended: propose here what it has not answered."""
+        """Propose here the changes that a control node whose connection has ended has not replied to."""
         self._propose_all(now, self.forwarder.disconnected(ip))
 
     def tick(self, now: float) -> None:
-        """Propose here what other control nodes have not answered in time."""
+        """Propose here the changes that other control nodes have not replied to in time."""
         self._propose_all(now, self.forwarder.overdue(now))
 
     def _propose_all(self, now: float, requests: list[ChangeRequest]) -> None:
--- a/lugspur/mesh/control_node/coordination_status.py
+++ b/lugspur/mesh/control_node/coordination_status.py
@@ -1,4 +1,4 @@
-"""What operators see of coordination at one control node: it shows what the node itself knows, proven by nobody."""
+"""The status and metrics of coordination at one control node: what the node itself knows, not confirmed by others."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def coordination_summary(parts: CoordinationParts) -> dict[str, Any]:
-    """The field `coordination` of /mesh/status."""
+    """Return the field `coordination` of /mesh/status."""
     node = parts.coordination.node
     state = node.acceptor.state
     return {
@@ -37,7 +37,7 @@
 
 
 def coordination_contents(parts: CoordinationParts, now: float) -> dict[str, Any]:
-    """The answer to `GET /mesh/coordination`; `now`: by the steady clock."""
+    """Return the response to `GET /mesh/coordination`; `now` is the time by the steady clock."""
     state = parts.coordination.node.acceptor.state
     return {
         "locks": {
@@ -54,29 +54,31 @@
 
 
 def coordination_metrics(parts: CoordinationParts) -> list[Metric]:
-    """The metrics of coordination at this moment."""
+    """Return the current metrics of coordination."""
     node, disk = parts.coordination.node, parts.coordination_disk
     state, proposer = node.acceptor.state, node.proposer
     return [
         labelled_counter(
             "coordination_answers_total",
-            "Calls for locks, numbers, keys and watches, by call and answer.",
+            "Calls for locks, numbers, keys and watches, by call and outcome.",
             "answer",
             parts.coordination_calls.answers,
         ),
-        gauge("coordination_calls_open", "Calls that have no answer yet.", len(node.calls)),
+        gauge("coordination_calls_open", "Calls that have no result yet.", len(node.calls)),
         gauge("coordination_watches", "Watches that wait for puts.", len(parts.watches)),
-        gauge("coordination_index", "The latest decided change that is known.", state.index),
-        gauge("coordination_leading", "1 while this process leads.", float(proposer.is_leading)),
+        gauge("coordination_index", "Index of the latest change known to be decided.", state.index),
+        gauge("coordination_leading", "1 while this process is the leader.", float(proposer.is_leading)),
         gauge(
             "coordination_complete", "1 while it knows all that a voter must know.", float(node.acceptor.is_complete)
         ),
-        counter("coordination_elections_total", "How often this process began to lead.", proposer.elections),
-        counter("coordination_batches_total", "Changes that this process has had decided.", proposer.batches),
-        gauge("coordination_locks", "Locks that are kept, held or run out.", len(state.locks)),
+        counter("coordination_elections_total", "Times that this process has become the leader.", proposer.elections),
+        counter(
+            "coordination_batches_total", "Changes that were decided by this process as the leader.", proposer.batches
+        ),
+        gauge("coordination_locks", "Locks that are kept, both held and expired.", len(state.locks)),
         gauge("coordination_keys", "Keys that are kept.", len(state.cells)),
         gauge("coordination_puts", "Puts that are kept for watches.", state.put_count),
-        gauge("coordination_state_bytes", "Bytes of keys and puts.", state.size_bytes),
+        gauge("coordination_state_bytes", "Bytes of kept keys and puts.", state.size_bytes),
         counter("coordination_disk_commits_total", "Writes that were synced.", disk.commits),
         counter("coordination_disk_failures_total", "Writes that failed.", disk.failures),
     ]
--- a/lugspur/mesh/control_node/leases.py
+++ b/lugspur/mesh/control_node/leases.py
@@ -1,4 +1,4 @@
-"""Leases on what processes say of themselves: the entries of those that have fallen silent are withdrawn."""
+"""Leases on the entries by which processes describe themselves; a silent process's entries are withdrawn."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from lugspur.mesh.control.store import EntryKey, Store
 from lugspur.mesh.transport.link import Link
 
-LEASE_SECONDS = 4.0  # without a message, after which a process's entries are withdrawn
-RENEWAL_SECONDS = 1.0  # between two renewals of a lease whose connection is open
+LEASE_SECONDS = 4.0  # time without a message after which a process's entries are withdrawn
+RENEWAL_SECONDS = 1.0  # time between two renewals of a lease whose connection is open
 
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """Who reported an entry, under which edition, and when that process was heard last."""
+    """The connection on which an entry was reported, its edition, and when the process was last heard."""
 
     link: Link
     edition: int
@@ -30,7 +30,7 @@
         self._leases: dict[EntryKey, Lease] = {}
 
     def report(self, now: float, link: Link, entries: list[Entry]) -> None:
-        """Take what a process says of itself; entries of other kinds are ignored."""
+        """Store the entries by which a process describes itself; entries of other kinds are ignored."""
         leased = [entry for entry in entries if entry.kind in LEASED_KINDS]
         for entry in leased:
             self._leases[entry.kind, entry.name] = Lease(link, entry.edition, now)
@@ -48,7 +48,7 @@
                 self._withdraw(key, lease.edition)
 
     def _withdraw(self, key: EntryKey, edition: int) -> None:
-        """Withdraw an entry, unless a later edition has taken its place."""
+        """Withdraw an entry, unless a later edition has replaced it."""
         current = self._store.get(*key)
         if current is not None and current.edition == edition and current.value is not None:
             self._store.merge([Entry(*key, edition + 1, None)])
--- a/lugspur/mesh/control_node/majority_contact.py
+++ b/lugspur/mesh/control_node/majority_contact.py
@@ -1,23 +1,23 @@
-"""When a control node last had contact with a majority of the voters, and who proposes changes therefore."""
+"""A control node's latest contact with a majority of the voters, and the preferred proposer that follows from it."""
 
 from __future__ import annotations
 
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.replica import Replica
 
-NO_CONTACT_SECONDS = 1e9  # the age of the latest contact where no membership is known
-PROPOSER_SILENCE_SECONDS = 0.5  # since the latest message of a voter to whom changes are forwarded, at most
+NO_CONTACT_SECONDS = 1e9  # the age of the latest contact if no membership is known
+PROPOSER_SILENCE_SECONDS = 0.5  # maximum age of the latest update of a voter to which changes are forwarded
 
 
 class MajorityContact:
-    """What this control node knows of the others by their updates. Times are those of the loop's steady clock."""
+    """The contact that follows from the updates of other nodes; times are those of the loop's steady clock."""
 
     def __init__(self, ip: str, replica: Replica, freshness: Freshness, max_staleness: float) -> None:
-        """`max_staleness`: seconds without contact after which this control node counts as cut off."""
+        """`max_staleness`: seconds without contact after which this control node counts as partitioned."""
         self._ip, self._replica, self._freshness, self._max_staleness = ip, replica, freshness, max_staleness
 
     def age(self, now: float) -> float:
-        """Seconds since the latest contact: what had been confirmed before then is known here."""
+        """Return the seconds since the latest contact; all changes confirmed before that contact are known here."""
         replica = self._replica
         if replica.membership is None:
             return NO_CONTACT_SECONDS
@@ -25,9 +25,9 @@
         return now - self._freshness.known_up_to(now, replica.membership, replica.index, own_vote)
 
     def preferred_proposer(self, now: float) -> str:
-        """The IP number of the control node that proposes for all: the first voter that is heard from, or this one.
+        """Return the IP address of the node that proposes for all: the first voter that is heard, or this node.
 
-        A control node that is cut off forwards nothing: it is to confirm and reject nothing by what another one says.
+        A partitioned control node forwards nothing: it must not confirm or reject a change by another node's reply.
         """
         membership = self._replica.membership
         if self.age(now) > self._max_staleness:
--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -1,4 +1,4 @@
-"""The membership as a control node sees it: which voters are heard and complete, and the next step where one is due."""
+"""Tracks which voters are heard and complete, and proposes the next step of the membership when one is due."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def presences_of(store: Store) -> dict[str, Presence]:
-    """What the control nodes say of themselves, by IP number."""
+    """Return the presences that control nodes have announced, by IP address."""
     return {ip: _presence_decoder.decode(value) for ip, value in store.values_of(CONTROL).items()}
 
 
@@ -42,32 +42,33 @@
         pause_detector: PauseDetector,
         propose: Callable[[float, ChangeRequest], None],
     ) -> None:
-        """`max_staleness`: the age in seconds of a voter's latest update from which on it is not relied on."""
+        """`max_staleness`: the age in seconds from which on a voter's latest update is no longer relied on."""
         self._ip, self._replica, self._reconfiguration, self._store = ip, replica, reconfiguration, store
         self._freshness, self._max_staleness = freshness, max_staleness
         self._pause_detector, self._propose = pause_detector, propose
-        self._last_heard_at: dict[str, float] = {}  # by voter; for one that was never heard, when it was first expected
-        self._complete_epochs: dict[str, int] = {}  # the epoch for which each peer has said that it is complete
+        #: When each voter was last heard; for a voter that was never heard, when it was first expected.
+        self._last_heard_at: dict[str, float] = {}
+        self._complete_epochs: dict[str, int] = {}  # the epoch for which each peer has reported that it is complete
 
     def message_received(self, now: float, ip: str) -> None:
-        """A peer has sent any message."""
+        """Record that a peer has sent a message of any kind."""
         self._last_heard_at[ip] = now
 
     def complete_for(self, ip: str, epoch: int) -> None:
-        """A peer has said for which epoch it has all reservations that a voter must have."""
+        """Record the epoch for which a peer has reported that it has all that a voter must have."""
         self._complete_epochs[ip] = epoch
 
     def disconnected(self, ip: str) -> None:
-        """The connection to a peer has ended."""
+        """Forget the completeness of a peer whose connection has ended."""
         self._complete_epochs.pop(ip, None)
 
     def membership_changed(self, membership: Membership | None) -> None:
-        """Another membership is in force: forget when control nodes were heard that don't vote in it."""
+        """Forget when nodes were last heard that are no voters of the new membership."""
         voters = {voter.ip for voter in membership.voters} if membership is not None else set()
         self._last_heard_at = {ip: at for ip, at in self._last_heard_at.items() if ip in voters}
 
     def tick(self, now: float) -> None:
-        """Propose the next step of the membership where one is due."""
+        """Propose the next step of the membership if one is due."""
         membership = self._replica.membership
         if membership is None or not self._replica.is_voter:
             return
@@ -75,7 +76,7 @@
         for voter in membership.voters:
             if voter.ip == self._ip:
                 continue
-            # A peer that takes connections and sends nothing is as absent as one that takes none.
+            # A peer that accepts connections but sends nothing is as absent as one that accepts none.
             heard_at = self._last_heard_at.setdefault(voter.ip, now)
             absent[voter.ip] = now - max(heard_at, self._pause_detector.resumed_at)
             if self._is_complete(now, voter.ip, membership.epoch):
@@ -85,20 +86,20 @@
             self._propose_step(now, step)
 
     def _is_complete(self, now: float, ip: str, epoch: int) -> bool:
-        """Whether a voter's latest update is fresh and says that it is complete for the epoch."""
+        """Whether a voter's latest update is fresh and reports that the voter is complete for the epoch."""
         is_fresh = now - self._freshness.latest_update_at(ip) < self._max_staleness
         return is_fresh and self._complete_epochs.get(ip, 0) == epoch
 
     def _propose_step(self, now: float, step: Membership) -> None:
-        def decided(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             voters = ",".join(voter.ip for voter in step.voters)
             events.info("reconfiguration", epoch=step.epoch, voters=voters, outcome=type(outcome).__name__)
 
         entries = [membership_entry(step)]
-        self._propose(now, ChangeRequest(entries, now + DECISION_TIMEOUT_SECONDS, decided, step.epoch - 1))
+        self._propose(now, ChangeRequest(entries, now + DECISION_TIMEOUT_SECONDS, on_outcome, step.epoch - 1))
 
     def is_handed_over(self) -> bool:
-        """Whether nobody needs this process: others vote, and have all reservations that it had as a voter."""
+        """Whether this process is no longer needed: other nodes vote, and have all that it had as a voter."""
         membership = self._replica.membership
         if membership is None:
             return True
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls at a control node that need a majority: change the configuration, and read it."""
+"""Operators' calls that need a majority: changing the configuration, and reading it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OperatorCalls:
-    """Answers operators once a majority has confirmed a change, or that what is read is the latest."""
+    """Responds to operators once a majority has decided a change, or confirmed that a read is up to date."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
     ) -> None:
         self._loop, self._replica, self._router, self._reader = loop, replica, router, reader
         self._run_effects = run_effects
-        self.waiting: set[Answerable] = set()  # callers without an answer
-        self.changes: Counter[str] = Counter()  # since the start of the process, by how they ended
-        self.reads: Counter[str] = Counter()
+        self.waiting: set[Answerable] = set()  # callers that have no response yet
+        self.changes: Counter[str] = Counter()  # since the start of the process, by outcome
+        self.reads: Counter[str] = Counter()  # since the start of the process, by outcome
 
     def amend(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Change the configuration; the caller is answered once a majority has decided it, or with the fault.
+        """Change the configuration; the response follows once a majority has decided the change, or it has failed.
 
-        Raises MeshError where the call is invalid, or can't be taken now.
+        Raises MeshError if the call is invalid, or can't be accepted now.
         """
         now = self._loop.time()
         entries = items.read_changes(request.body)
@@ -46,13 +46,13 @@
         change = ChangeRequest(
             entries,
             now + DECISION_TIMEOUT_SECONDS,
-            lambda outcome: self._amended(caller, len(request.body), outcome),
+            lambda outcome: self._on_outcome(caller, len(request.body), outcome),
         )
-        caller.gone = lambda: self._amend_abandoned(caller, change)
+        caller.gone = lambda: self._on_caller_gone(caller, change)
         self.waiting.add(caller)
         self._router.submit(now, change)
 
-    def _amended(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
+    def _on_outcome(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         fault = error_of(outcome)
@@ -65,20 +65,20 @@
         else:
             fail(caller, fault)
 
-    def _amend_abandoned(self, caller: Answerable, change: ChangeRequest) -> None:
-        """The caller has left, and may have been refused elsewhere meanwhile: the change is not proposed any more."""
+    def _on_caller_gone(self, caller: Answerable, change: ChangeRequest) -> None:
+        """Withdraw the change of a caller that has left, as another node may have rejected its call in the meantime."""
         self.waiting.discard(caller)
         self._router.withdraw(change)
 
     def read(self, _request: Request, caller: Answerable, _: list[str]) -> None:
-        """Read the configuration; the caller is answered once a majority has confirmed that it is the latest."""
+        """Read the configuration; the response follows once a majority has confirmed that it is up to date."""
         now = self._loop.time()
         caller.gone = lambda: self.waiting.discard(caller)
         self.waiting.add(caller)
-        read = Read(now + DECISION_TIMEOUT_SECONDS, lambda is_latest: self._read_checked(caller, is_latest))
+        read = Read(now + DECISION_TIMEOUT_SECONDS, lambda is_latest: self._on_read_checked(caller, is_latest))
         self._run_effects(self._reader.submit(now, read))
 
-    def _read_checked(self, caller: Answerable, is_latest: bool) -> None:
+    def _on_read_checked(self, caller: Answerable, is_latest: bool) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         self.reads["answered" if is_latest else ErrorKind.NO_QUORUM.value] += 1
--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -1,4 +1,4 @@
-"""How a control node comes by its state at the start: from its disk, as a voter of the first membership, or anew."""
+"""How a control node gets its state at the start: from its disk, as a voter of the first membership, or empty."""
 
 from __future__ import annotations
 
@@ -17,17 +17,16 @@
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.storage.disk import COORDINATION_AREA, Disk
 
-DISK_BYTES_PER_STATE_BYTE = 4  # rows have keys, lmdb copies what it writes, and locks take room too
+DISK_BYTES_PER_STATE_BYTE = 4  # rows have keys, lmdb copies the pages it writes, and locks need space too
 
 StoredRows = list[tuple[bytes, bytes]]
-Publish = Callable[
-    [list[Entry], list[EntryKey]], None
-]  # is given entries that were decided, and names that are forgotten
+#: Receives the entries that were decided, and the keys of entries that were removed.
+Publish = Callable[[list[Entry], list[EntryKey]], None]
 
 
 @dataclass(slots=True, frozen=True)
 class RestoredState:
-    """What a control node knows when it starts."""
+    """The state with which a control node starts."""
 
     replica: Replica
     coordination: CoordinationAcceptor
@@ -35,13 +34,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ControlNodeDisk:
-    """The environments on one disk. What is promised in one rests on the other: they are kept or set aside together."""
+    """The lmdb environments on one disk.
+
+    Promises in one of them depend on the other, so both are either kept or set aside.
+    """
 
     configuration: Disk
     coordination: Disk
 
     def read_rows(self) -> DiskRows:
-        """All rows, none where any can't be used; raises MeshError (STATE) where the disk fails."""
+        """Return all rows, or none if any of them can't be used; raises MeshError (STATE) if the disk fails."""
         rows = DiskRows(self.configuration.read_rows(), self.coordination.read_rows())
         damage = self.configuration.damage or self.coordination.damage or self._missing_part(rows)
         if damage:
@@ -50,27 +52,28 @@
         return rows
 
     def _missing_part(self, rows: DiskRows) -> str:
-        """What was lost, where one environment is empty and the other is not; empty: nothing."""
+        """Return what was lost if one environment is empty and the other is not, or an empty string."""
         if rows.coordination and not rows.configuration:
-            return "the configuration beside it is gone"
+            return "the configuration that belongs to it is missing"
         if rows.configuration and not rows.coordination and self.coordination.has_damaged_copy:
-            # Guards against an end between the two: a disk of a build without coordination looks alike.
-            return "coordination was set aside alone"
+            # Guards against a process that ended between setting aside the two environments. The rows alone look like
+            # those of a build without coordination.
+            return "only coordination was set aside"
         return ""
 
     def set_aside(self, reason: str) -> None:
-        """Keep what is on disk under other names, and go on with an empty one; raises MeshError (STATE)."""
+        """Keep both environments under other names, and continue with empty ones; raises MeshError (STATE)."""
         for part in (self.configuration, self.coordination):
             if not part.damage:
                 part.set_aside(reason)
 
     def start(self) -> None:
-        """Start to write."""
+        """Start the writers of both environments."""
         self.configuration.start()
         self.coordination.start()
 
     def close(self, timeout: float) -> None:
-        """Write what is pending, then close; gives up after `timeout` seconds for each where the disk hangs."""
+        """Write pending rows and close; waits at most `timeout` seconds for each environment if the disk hangs."""
         self.configuration.close(timeout)
         self.coordination.close(timeout)
 
@@ -92,36 +95,36 @@
 def restore_state(
     settings: Settings, disk: ControlNodeDisk, rows: DiskRows, now: float, publish: Publish
 ) -> RestoredState:
-    """The state that the rows of a disk describe, or a newcomer's where they can't be used.
+    """Return the state that the rows of a disk describe, or an empty state if they can't be used.
 
-    In the latter case the disk is set aside; raises MeshError (STATE) where that fails.
+    In the latter case the disk is set aside; raises MeshError (STATE) if that fails.
     """
     own, bounds = settings.own, settings.tariffs.bounds
-    for found in (rows, DiskRows([], [])):
+    for candidate in (rows, DiskRows([], [])):
         uid, memory_bytes = os.urandom(8).hex(), own.limits.memory_mb << 20
         replica = Replica(own.ip, uid, own.zone, bounds.stamp_window_s, memory_bytes, publish)
         max_state_bytes = min(MAX_STATE_BYTES, disk.coordination.max_bytes // DISK_BYTES_PER_STATE_BYTE)
         coordination = CoordinationAcceptor(replica, bounds.history_s, max_state_bytes)
-        is_without_coordination = bool(found.configuration) and not found.coordination
+        is_without_coordination = bool(candidate.configuration) and not candidate.coordination
         try:
-            coordination.restore(found.coordination, now, is_without_coordination=is_without_coordination)
-            replica.restore(found.configuration, now)
+            coordination.restore(candidate.coordination, now, is_without_coordination=is_without_coordination)
+            replica.restore(candidate.configuration, now)
             break
-        except (msgspec.MsgspecError, UnicodeDecodeError, ValueError) as fault:
-            disk.set_aside(str(fault))
+        except (msgspec.MsgspecError, UnicodeDecodeError, ValueError) as error:
+            disk.set_aside(str(error))
     return RestoredState(replica, coordination)
 
 
 def is_first_voter(settings: Settings, disk: Disk) -> bool:
     """Whether a process without state votes from the start, as the seeds do at the very first start of the mesh.
 
-    Where state was set aside it does not: what was promised by it is gone.
+    It does not if state was set aside, as the promises in that state are lost.
     """
     own = settings.own
     return own.first_start and own.ip in settings.seeds and not disk.damage
 
 
 def begin_as_first_voter(settings: Settings, replica: Replica, now: float) -> Effects:
-    """Take up the first membership, in which the seeds vote whatever their disks are called."""
+    """Start the first membership, in which the seeds vote whatever the uids of their disks are."""
     replica.voter = Voter(settings.own.ip, GENESIS, settings.own.zone)
     return replica.begin(now, [Voter(ip, GENESIS, "") for ip in settings.seeds])
--- a/lugspur/mesh/control_node/status.py
+++ b/lugspur/mesh/control_node/status.py
@@ -1,4 +1,4 @@
-"""What operators see of a control node."""
+"""The status of a control node for operators."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     subscribers: int,
     coordination: dict[str, Any],
 ) -> dict[str, Any]:
-    """The fields of /mesh/status; `age`: seconds since the latest contact with a majority."""
+    """Return the fields of /mesh/status; `age` is the seconds since the latest contact with a majority."""
     kinds = {kind: len(store.values_of(kind)) for kind in sorted({e.kind for e in store.all()})}
     return {
         "node": own.node_name,
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -1,4 +1,4 @@
-"""Sends updates to subscribers: of changes at the end of the loop's turn, and heartbeats while nothing changes."""
+"""Sends updates to subscribers: changes at the end of the event loop's iteration, and heartbeats in between."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lugspur.mesh.process import TICK_SECONDS
 from lugspur.mesh.transport.link import Link
 
-#: Makes the update at a time for a subscriber that knows all changes up to a sequence number (0: none).
+#: Returns the update at a given time for a subscriber that knows all changes up to a sequence number (0: none).
 MakeUpdate = Callable[[float, int], Delta]
 
 
@@ -22,13 +22,13 @@
 
     def __init__(self, link: Link, sequence: int) -> None:
         self.link = link
-        self.sequence = sequence  # of the latest change that it was sent
+        self.sequence = sequence  # the sequence number of the latest change that was sent to it
         self.updated_at = 0.0
         self.echo = 0.0  # the time of its latest Pong, by its own clock
 
 
 class Subscribers:
-    """All processes that are sent updates; `heartbeat_interval`: seconds between two updates without a change."""
+    """All processes that are sent updates; without changes one is sent every `heartbeat_interval` seconds."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, store: Store, heartbeat_interval: float, make_update: MakeUpdate
@@ -42,22 +42,22 @@
         return len(self._subscribers)
 
     def add(self, link: Link, sequence: int) -> None:
-        """Send the peer all changes after a sequence number of the store's, and each change from now on."""
+        """Send the peer all changes after a sequence number of the store, and all later changes."""
         subscriber = self._subscribers[link] = Subscriber(link, sequence)
         self._update(subscriber)
 
     def remove(self, link: Link) -> None:
-        """Send the peer no more: it has unsubscribed, or its connection has ended."""
+        """Stop sending updates to a peer that has unsubscribed, or whose connection has ended."""
         self._subscribers.pop(link, None)
 
     def acknowledged(self, link: Link, pong: Pong) -> None:
-        """A subscriber has acknowledged an update; the next update echoes that."""
+        """Record a subscriber's acknowledgement, which its next update echoes."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
             subscriber.echo = pong.sent_at
 
     def update_soon(self) -> None:
-        """Send all subscribers what has changed, at the end of this turn of the loop."""
+        """Schedule an update of all subscribers for the end of this iteration of the event loop."""
         if not self._is_flush_due:
             self._is_flush_due = True
             self._loop.call_soon(self._flush)
@@ -78,7 +78,7 @@
 
     def _update(self, subscriber: Subscriber) -> None:
         now = self._loop.time()
-        # What was forgotten meanwhile is in no list of changes: only a snapshot shows it.
+        # Removed entries are in no list of changes: a subscriber that missed a removal needs a snapshot.
         after = subscriber.sequence if subscriber.sequence >= self._store.forgotten_sequence else 0
         subscriber.sequence = self._store.latest_sequence
         subscriber.updated_at = now
--- a/lugspur/mesh/control_node/synced_epoch.py
+++ b/lugspur/mesh/control_node/synced_epoch.py
@@ -1,7 +1,8 @@
-"""The latest epoch in which a disk is known to say that its replica is complete.
+"""The latest epoch for which it is synced to disk that the replica is complete.
 
-Others give votes away, and may lose their disks, once a voter says that it is complete. It says so when that has been
-synced: else a loss of power takes it back, at the same moment as their disks.
+Other nodes hand over their votes, and may then lose their disks, once a voter reports that it is complete. A voter
+therefore reports it only after the sync: otherwise a power loss could revoke it at the same moment as it destroys the
+other nodes' disks.
 """
 
 from __future__ import annotations
@@ -10,21 +11,21 @@
 
 
 class SyncedEpoch:
-    """Follows an epoch that is written with other rows, by a write behind them."""
+    """Tracks when the row of an epoch is synced, by an empty write that is queued behind it."""
 
     def __init__(self, disk: Disk, epoch: int) -> None:
-        """`epoch`: as it was read from the disk."""
+        """`epoch` is the one that was read from the disk."""
         self._disk = disk
-        self._asked_epoch = epoch
+        self._requested_epoch = epoch
         self._failures = disk.failures
         self.epoch = epoch
 
     def follow(self, epoch: int) -> None:
-        """The replica is complete in an epoch, and has written so; ask again where a write has failed since."""
-        if epoch == self._asked_epoch and self._failures == self._disk.failures:
+        """Track the epoch that the replica has written as complete; repeat the write if one has failed since."""
+        if epoch == self._requested_epoch and self._failures == self._disk.failures:
             return
-        self._asked_epoch, self._failures = epoch, self._disk.failures
-        self._disk.write([], lambda: self._synced(epoch))
+        self._requested_epoch, self._failures = epoch, self._disk.failures
+        self._disk.write([], lambda: self._on_synced(epoch))
 
-    def _synced(self, epoch: int) -> None:
+    def _on_synced(self, epoch: int) -> None:
         self.epoch = max(self.epoch, epoch)
