--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -28,7 +28,11 @@
 
 MAX_HISTORIES = 1200  # until a guard counts as missed
 
-_prepare, _accept, _may_grant = CoordinationAcceptor.prepare, CoordinationAcceptor.accept, CoordinationAcceptor._may_grant
+_prepare, _accept, _may_grant = (
+    CoordinationAcceptor.prepare,
+    CoordinationAcceptor.accept,
+    CoordinationAcceptor._may_grant,
+)
 _take_reports, _follow_epoch = CoordinationAcceptor.take_reports, CoordinationAcceptor.follow_epoch
 _next_batch, _step_down = CoordinationProposer._next_batch, CoordinationProposer._step_down
 _load, _apply_lock = CoordinationState._load, CoordinationState._apply_lock
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -1,6 +1,6 @@
-"""The calls of applications: locks, numbers, cells and watches.
+"""The HTTP calls of applications: locks, numbers, keys and watches.
 
-Each body is checked before anything is done; what is wrong with it is one answer of the closed list.
+Each call is validated before anything is submitted; an invalid one gets an error response of the kinds in `ErrorKind`.
 """
 
 from __future__ import annotations
@@ -45,13 +45,14 @@
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.seams import Answerable, Request
 
-MAX_HOLD_MS = 600_000
-MAX_WAIT_MS = 60_000
-MAX_VALUE_CHARACTERS = 4096
-MAX_NUMBER = (1 << 63) - 1  # of a fence or a revision
+MAX_HOLD_MS = 600_000  # maximum time of a lock, in milliseconds
+MAX_WAIT_MS = 60_000  # maximum time that a watch waits, in milliseconds
+MAX_VALUE_CHARACTERS = 4096  # maximum length of a key's value
+MAX_NUMBER = (1 << 63) - 1  # maximum fencing token or revision
 NAME = re.compile(r"[A-Za-z0-9_~-][A-Za-z0-9_.~-]{0,127}")
 HOLDER = re.compile(r"[!-~]{1,128}")  # printable, without spaces
-BEHIND_TIMEOUT_SECONDS = 0.5  # for which a watch waits for this node to know what a majority has proven
+#: How long an expired watch waits for this node to learn of puts that a majority knows.
+LEARN_DELAY_SECONDS = 0.5
 
 _encode = msgspec.json.Encoder().encode
 
@@ -79,7 +80,7 @@
 
 
 class EmptyBody(msgspec.Struct):
-    """A body whose content does not matter, as long as it is an object."""
+    """A body that must be an object, but whose content is ignored."""
 
 
 class ReplaceBody(msgspec.Struct):
@@ -100,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchQuery:
-    """What a watch asks for."""
+    """The parameters of a watch."""
 
     group: str
     after: int
@@ -111,28 +112,28 @@
     """Decode a call's body; raises MeshError (BAD_REQUEST)."""
     try:
         return decoder.decode(request.body or b"{}")
-    except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        raise MeshError(ErrorKind.BAD_REQUEST, str(fault)) from None
+    except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+        raise MeshError(ErrorKind.BAD_REQUEST, str(error)) from None
 
 
 def check_name(name: str) -> str:
-    """Return the name of a lock, number or key; raises MeshError (BAD_REQUEST) for what is none."""
+    """Return the name of a lock, number or key; raises MeshError (BAD_REQUEST) if it is invalid."""
     if not NAME.fullmatch(name):
         raise MeshError(
-            ErrorKind.BAD_REQUEST, "a name has 1 to 128 letters, digits and _ . ~ -, and begins with no dot"
+            ErrorKind.BAD_REQUEST, "a name has 1 to 128 letters, digits and _ . ~ -, and does not begin with a dot"
         )
     return name
 
 
 def check_key(name: str) -> str:
-    """Return the name of a key, which has a group; raises MeshError (BAD_REQUEST)."""
+    """Return the name of a key, which must contain a group; raises MeshError (BAD_REQUEST) if it is invalid."""
     if GROUP_SEPARATOR not in check_name(name):
         raise MeshError(ErrorKind.BAD_REQUEST, "a key's name begins with its group and a dot")
     return name
 
 
 def check_group(name: str) -> str:
-    """Return the name of a group; raises MeshError (BAD_REQUEST)."""
+    """Return the name of a group; raises MeshError (BAD_REQUEST) if it is invalid."""
     if check_name(name).find(GROUP_SEPARATOR) != len(name) - 1:
         raise MeshError(ErrorKind.BAD_REQUEST, "a group's name ends with its only dot")
     return name
@@ -144,20 +145,20 @@
     return holder
 
 
-def _check_range(field: str, value: int, least: int, most: int) -> int:
-    if not least <= value <= most:
-        raise MeshError(ErrorKind.BAD_REQUEST, f"{field} is not from {least} to {most}")
+def _check_range(field: str, value: int, minimum: int, maximum: int) -> int:
+    if not minimum <= value <= maximum:
+        raise MeshError(ErrorKind.BAD_REQUEST, f"{field} is not in the range from {minimum} to {maximum}")
     return value
 
 
 def read_watch_query(request: Request, name: str) -> WatchQuery:
-    """What a watch asks for; raises MeshError (BAD_REQUEST)."""
+    """Return the parameters of a watch; raises MeshError (BAD_REQUEST) if they are invalid."""
     query = parse_qs(request.target.partition(b"?")[2].decode("ascii", "replace"))
     found: dict[str, int] = {}
     for field in ("after", "wait_ms"):
         values = query.get(field, [])
         if len(values) > 1 or not all(re.fullmatch("[0-9]{1,19}", value, re.ASCII) for value in values):
-            raise MeshError(ErrorKind.BAD_REQUEST, f"{field} is given once, as a whole number")
+            raise MeshError(ErrorKind.BAD_REQUEST, f"{field} must be given at most once, as a whole number")
         found[field] = int(values[0]) if values else 0
     after = _check_range("after", found["after"], 0, MAX_NUMBER)
     wait_ms = _check_range("wait_ms", found["wait_ms"], 0, MAX_WAIT_MS)
@@ -165,7 +166,7 @@
 
 
 class CoordinationCalls:
-    """Handlers of the calls; the answer comes once a majority has decided or confirmed it, or with the fault."""
+    """Handlers of the calls; a call gets its response once a majority has decided or confirmed it, or it failed."""
 
     def __init__(
         self,
@@ -173,15 +174,15 @@
         watches: WatchTable,
         call_later: Callable[[float, Callable[[], None]], Any],
     ) -> None:
-        """`submit` has a command carried out; `call_later` calls a function after so many seconds."""
+        """`submit` runs a command; `call_later` calls a function after a number of seconds."""
         self._submit, self._watches, self._call_later = submit, watches, call_later
-        self.waiting: set[Answerable] = set()  # callers without an answer, but for watches
-        self._watching: set[Answerable] = set()  # callers of watches without an answer
-        self.answers: Counter[str] = Counter()  # since the start, by call and outcome
+        self.waiting: set[Answerable] = set()  # callers without a response, except those of watches
+        self._watching: set[Answerable] = set()  # callers of watches without a response
+        self.answers: Counter[str] = Counter()  # responses since the start of the process, by call and outcome
         self.is_leaving = False
 
     def add_to(self, calls: HttpApi) -> None:
-        """Take the calls at an address."""
+        """Register the handlers at an address."""
         calls.add("POST", "/locks/*/open", self.open_lock)
         calls.add("POST", "/locks/*/heartbeat", self.renew_lock)
         calls.add("POST", "/locks/*/close", self.close_lock)
@@ -190,52 +191,52 @@
         calls.add("GET", "/cells/*/read", self.read_cell)
         calls.add("GET", "/watch/*", self.watch)
 
-    # ---- calls that are answered by one command --------------------------------------------------
+    # ---- calls that run one command ----------------------------------------------------------------
 
-    def open_lock(self, request: Request, caller: Answerable, found: list[str]) -> None:
+    def open_lock(self, request: Request, caller: Answerable, names: list[str]) -> None:
         """Acquire a lock, or extend it."""
         body = read_body(_open_decoder, request)
         hold_ms = _check_range("hold_ms", body.hold_ms, 1, MAX_HOLD_MS)
-        self._carry_out("open", caller, OpenLock(check_name(found[0]), _check_holder(body.holder), hold_ms))
+        self._run_command("open", caller, OpenLock(check_name(names[0]), _check_holder(body.holder), hold_ms))
 
-    def renew_lock(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """Extend a lock that is held."""
+    def renew_lock(self, request: Request, caller: Answerable, names: list[str]) -> None:
+        """Extend a lock that the caller holds."""
         body = read_body(_heartbeat_decoder, request)
         fence = _check_range("fence", body.fence, 0, MAX_NUMBER)
         hold_ms = _check_range("hold_ms", body.hold_ms, 1, MAX_HOLD_MS)
-        command = RenewLock(check_name(found[0]), _check_holder(body.holder), fence, hold_ms)
-        self._carry_out("heartbeat", caller, command)
+        command = RenewLock(check_name(names[0]), _check_holder(body.holder), fence, hold_ms)
+        self._run_command("heartbeat", caller, command)
 
-    def close_lock(self, request: Request, caller: Answerable, found: list[str]) -> None:
+    def close_lock(self, request: Request, caller: Answerable, names: list[str]) -> None:
         """Release a lock."""
         body = read_body(_close_decoder, request)
         fence = _check_range("fence", body.fence, 0, MAX_NUMBER)
-        self._carry_out("close", caller, CloseLock(check_name(found[0]), _check_holder(body.holder), fence))
+        self._run_command("close", caller, CloseLock(check_name(names[0]), _check_holder(body.holder), fence))
 
-    def take_number(self, request: Request, caller: Answerable, found: list[str]) -> None:
+    def take_number(self, request: Request, caller: Answerable, names: list[str]) -> None:
         """Take the next number under a name."""
         read_body(_empty_decoder, request)
-        self._carry_out("number", caller, TakeNumber(check_name(found[0])))
+        self._run_command("number", caller, TakeNumber(check_name(names[0])))
 
-    def put_cell(self, request: Request, caller: Answerable, found: list[str]) -> None:
+    def put_cell(self, request: Request, caller: Answerable, names: list[str]) -> None:
         """Put a value to a key."""
         body = read_body(_replace_decoder, request)
         if len(body.value) > MAX_VALUE_CHARACTERS:
-            raise MeshError(ErrorKind.TOO_LARGE, f"a value has {MAX_VALUE_CHARACTERS} characters at most")
+            raise MeshError(ErrorKind.TOO_LARGE, f"a value has at most {MAX_VALUE_CHARACTERS} characters")
         if body.enabled is not None:
             _check_range("enabled", body.enabled, 0, MAX_NUMBER)
-        self._carry_out("replace", caller, PutCell(check_key(found[0]), body.value, body.enabled))
+        self._run_command("replace", caller, PutCell(check_key(names[0]), body.value, body.enabled))
 
-    def read_cell(self, _request: Request, caller: Answerable, found: list[str]) -> None:
+    def read_cell(self, _request: Request, caller: Answerable, names: list[str]) -> None:
         """Read a key."""
-        self._carry_out("read", caller, ReadCell(check_key(found[0])))
+        self._run_command("read", caller, ReadCell(check_key(names[0])))
 
-    def _carry_out(self, call: str, caller: Answerable, command: Command) -> None:
+    def _run_command(self, call: str, caller: Answerable, command: Command) -> None:
         caller.gone = lambda: self.waiting.discard(caller)
         self.waiting.add(caller)
-        self._submit(command, lambda result: self._answer(call, caller, command, result))
+        self._submit(command, lambda result: self._respond(call, caller, command, result))
 
-    def _answer(self, call: str, caller: Answerable, command: Command, result: Result) -> None:
+    def _respond(self, call: str, caller: Answerable, command: Command, result: Result) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         self._count(call, result)
@@ -252,90 +253,92 @@
 
     # ---- watches -------------------------------------------------------------------------
 
-    def watch(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """Answer with the puts of a group above a revision, as soon as there are any."""
-        query = read_watch_query(request, found[0])
+    def watch(self, request: Request, caller: Answerable, names: list[str]) -> None:
+        """Respond with the puts of a group above a revision, as soon as there are any."""
+        query = read_watch_query(request, names[0])
         if self.is_leaving:
             raise MeshError(ErrorKind.LEAVING)
         caller.gone = lambda: self._watching.discard(caller)
         self._watching.add(caller)
         if query.after == 0:
-            self._answer_revision(caller, query)
+            self._respond_with_revision(caller, query)
             return
         try:
             answer = self._watches.answer(query.group, query.after)
             if answer is not None:
-                self._answer_watch(caller, answer)
+                self._respond_to_watch(caller, answer)
             else:
                 self._wait(caller, query)
-        except MeshError as fault:
-            self._fail_watch(caller, fault)
+        except MeshError as error:
+            self._fail_watch(caller, error)
 
-    def _answer_revision(self, caller: Answerable, query: WatchQuery) -> None:
-        def answered(result: Result) -> None:
+    def _respond_with_revision(self, caller: Answerable, query: WatchQuery) -> None:
+        def on_result(result: Result) -> None:
             if isinstance(result, GroupRevision):
-                self._answer_watch(caller, WatchAnswer([], result.revision))
+                self._respond_to_watch(caller, WatchAnswer([], result.revision))
             else:
                 self._fail_watch(caller, error_of(result))
 
-        self._submit(ReadGroup(query.group), answered)
+        self._submit(ReadGroup(query.group), on_result)
 
     def _wait(self, caller: Answerable, query: WatchQuery) -> None:
-        """Wait for puts; what is asked for may lie above what this node knows, or above all that there is."""
+        """Wait for puts; the requested revision may be above the one that this node knows, or above the latest one."""
         watch = Watch(
             query.group,
             query.after,
             steady_clock() + query.wait_seconds,
-            on_answer=lambda answer: self._answer_watch(caller, answer),
-            on_deadline=lambda: self._prove_silence(caller, query),
-            on_failure=lambda fault: self._fail_watch(caller, fault),
+            on_answer=lambda answer: self._respond_to_watch(caller, answer),
+            on_deadline=lambda: self._confirm_no_puts(caller, query),
+            on_failure=lambda error: self._fail_watch(caller, error),
         )
 
-        def left() -> None:
+        def on_caller_gone() -> None:
             self._watching.discard(caller)
             self._watches.remove(watch)
 
-        caller.gone = left
+        caller.gone = on_caller_gone
         self._watches.add(watch)
         if query.after > self._watches.revision(query.group):
-            self._check_after(caller, query, watch)
+            self._check_revision_exists(caller, query, watch)
 
-    def _check_after(self, caller: Answerable, query: WatchQuery, watch: Watch) -> None:
-        """Fail a watch for what is above all that a majority knows."""
+    def _check_revision_exists(self, caller: Answerable, query: WatchQuery, watch: Watch) -> None:
+        """Fail a watch whose revision is above the latest one that a majority confirms."""
 
-        def answered(result: Result) -> None:
+        def on_result(result: Result) -> None:
             if isinstance(result, GroupRevision) and query.after > result.revision and self._watches.is_waiting(watch):
                 self._watches.remove(watch)
-                fault = MeshError(ErrorKind.BAD_REQUEST, f"after is above the present revision {result.revision}")
-                self._fail_watch(caller, fault)
+                error = MeshError(ErrorKind.BAD_REQUEST, f"after is above the current revision {result.revision}")
+                self._fail_watch(caller, error)
 
-        self._submit(ReadGroup(query.group), answered)
+        self._submit(ReadGroup(query.group), on_result)
 
-    def _prove_silence(self, caller: Answerable, query: WatchQuery) -> None:
-        """Nothing came: answer so once a majority confirms it, or with what this node had not learned yet."""
+    def _confirm_no_puts(self, caller: Answerable, query: WatchQuery) -> None:
+        """Respond to an expired watch: without puts once a majority confirms there are none, or with late puts."""
 
-        def answered(result: Result) -> None:
+        def on_result(result: Result) -> None:
             if not isinstance(result, GroupRevision):
                 self._fail_watch(caller, error_of(result))
             elif result.revision <= max(query.after, self._watches.revision(query.group)):
-                self._answer_known(caller, query)
+                self._respond_with_known_puts(caller, query)
             else:
-                self._call_later(BEHIND_TIMEOUT_SECONDS, lambda: self._answer_known(caller, query, result.revision))
+                self._call_later(
+                    LEARN_DELAY_SECONDS, lambda: self._respond_with_known_puts(caller, query, result.revision)
+                )
 
-        self._submit(ReadGroup(query.group), answered)
+        self._submit(ReadGroup(query.group), on_result)
 
-    def _answer_known(self, caller: Answerable, query: WatchQuery, proven_revision: int = 0) -> None:
+    def _respond_with_known_puts(self, caller: Answerable, query: WatchQuery, proven_revision: int = 0) -> None:
         try:
             answer = self._watches.answer(query.group, query.after)
-        except MeshError as fault:
-            self._fail_watch(caller, fault)
+        except MeshError as error:
+            self._fail_watch(caller, error)
             return
         if self._watches.revision(query.group) < proven_revision:
-            self._fail_watch(caller, MeshError(ErrorKind.NO_QUORUM, "this node lacks the latest puts"))
+            self._fail_watch(caller, MeshError(ErrorKind.NO_QUORUM, "this node does not have the latest puts yet"))
         else:
-            self._answer_watch(caller, answer or WatchAnswer([], query.after))
+            self._respond_to_watch(caller, answer or WatchAnswer([], query.after))
 
-    def _answer_watch(self, caller: Answerable, answer: WatchAnswer) -> None:
+    def _respond_to_watch(self, caller: Answerable, answer: WatchAnswer) -> None:
         if caller not in self._watching:
             return
         self._watching.discard(caller)
@@ -343,22 +346,22 @@
         puts = [{"name": put.name, "value": put.value, "revision": put.revision} for put in answer.puts]
         reply(caller, _encode({"events": puts, "revision": answer.revision}))
 
-    def _fail_watch(self, caller: Answerable, fault: MeshError) -> None:
+    def _fail_watch(self, caller: Answerable, error: MeshError) -> None:
         if caller not in self._watching:
             return
         self._watching.discard(caller)
-        self.answers[f"watch {fault.code}"] += 1
-        fail(caller, fault)
+        self.answers[f"watch {error.code}"] += 1
+        fail(caller, error)
 
-    # ---- the end ---------------------------------------------------------------------------
+    # ---- shutdown --------------------------------------------------------------------------
 
     def leave(self) -> None:
-        """Answer all watches: this process is about to end."""
+        """Fail all watches, since this process is shutting down."""
         self.is_leaving = True
         self._watches.fail_all(MeshError(ErrorKind.LEAVING))
 
 
-#: How each result is counted.
+#: The outcome under which each type of result is counted.
 OUTCOMES: dict[type, str] = {
     LockGranted: "granted",
     LockDenied: "lock-held",
@@ -376,14 +379,14 @@
 
 
 def error_of(result: Result) -> MeshError:
-    """The error of a command that has failed."""
+    """Return the error of a failed command; any other result belongs to another call."""
     if isinstance(result, CommandFailed):
         return MeshError(ErrorKind(result.error_kind), result.detail)
-    return MeshError(ErrorKind.UNCLEAR, "the answer belongs to another call")
+    return MeshError(ErrorKind.UNCLEAR, "the result belongs to another call")
 
 
 def answer_result(caller: Answerable, result: Result) -> None:
-    """Answer a call with the result of its command."""
+    """Respond to a call with the result of its command."""
     if isinstance(result, LockGranted):
         reply(caller, _encode({"fence": result.fence}))
     elif isinstance(result, LockRenewed | LockClosed):
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -1,4 +1,4 @@
-"""The process of a control node: it keeps the mesh's state, sends updates to subscribers and takes operators' calls."""
+"""The process of a control node: it keeps the mesh's state, updates subscribers and serves operators' calls."""
 
 from __future__ import annotations
 
@@ -71,36 +71,37 @@
 from lugspur.mesh.transport.link import Link
 from lugspur.observability.metrics import render
 
-SWEEP_INTERVAL_SECONDS = 1.0  # between two searches for reservations whose window is over
-FLUSH_SECONDS = 0.02  # in which the last answers are written
-HANDOFF_FRACTION = 0.8  # of the time that a process has to end, for handing over its vote and its reservations...
-SHUTDOWN_FRACTION = 0.95  # ...and by which no call is waited for any more
-LAST_UPDATES_SECONDS = 0.3  # after the handover, in which subscribers hear of it
-DISK_CLOSE_SECONDS = 1.0  # for which the last writes are waited for
-COORDINATION_CONTACT_SECONDS = 1.5  # since the latest contact with a majority, for calls of applications to be taken
+SWEEP_INTERVAL_SECONDS = 1.0  # time between two searches for reservations whose window has ended
+FLUSH_SECONDS = 0.02  # time for writing the last responses at shutdown
+HANDOFF_FRACTION = 0.8  # share of the grace period for handing over the vote and the reservations
+SHUTDOWN_FRACTION = 0.95  # share of the grace period after which no call is waited for any more
+LAST_UPDATES_SECONDS = 0.3  # time after the handover in which subscribers learn of it
+DISK_CLOSE_SECONDS = 1.0  # maximum time to wait for the last writes of each environment
+#: Maximum age of the latest contact with a majority at which calls of applications are accepted.
+COORDINATION_CONTACT_SECONDS = 1.5
 
 
 class LocalPeer:
-    """This process as a peer of its own replica."""
+    """The process itself as a peer of its own replica."""
 
     def __init__(self, process: ControlNode) -> None:
         self._process = process
         self.peer = process.ip
 
     def send(self, message: Message) -> None:
-        """Hand a message over in the loop's next turn, as a connection would."""
+        """Deliver a message in the next iteration of the event loop, as a connection would."""
         self._process.loop.call_soon(self._process.receive, self._process.ip, message)
 
 
 class ControlNode(MeshProcess):
     """The process of one control node."""
 
-    front: Front  # of operators, once it serves
+    front: Front  # the listener for operators and applications; set by `serve`
 
     def __init__(self, settings: Settings, path: str) -> None:
-        """`path`: the settings file, which is read again when it changes.
+        """`path` is the settings file, which is read again when it changes.
 
-        Raises MeshError (STATE) where the disk can't be used.
+        Raises MeshError (STATE) if the disk can't be used.
         """
         self._disk = open_disk(settings)
         self.disk, self.coordination_disk = self._disk.configuration, self._disk.coordination
@@ -131,7 +132,7 @@
         self.dispatch_calls = ControlNodeApi(self).dispatch_calls()
         self._synced_epoch = SyncedEpoch(self.disk, self.replica.complete_epoch)
         self._sweep_at = 0.0
-        self._published_index = self.replica.index  # the latest change that the parts above have been notified of
+        self._published_index = self.replica.index  # the latest change that the other parts were notified of
         self._start(rows.configuration)
 
     def _make_router(self) -> ChangeRouter:
@@ -195,7 +196,7 @@
         )
 
     def _start(self, rows: StoredRows) -> None:
-        """Begin to write, and to vote where this is a voter of the first membership."""
+        """Start the disk writers, and start to vote if this is a voter of the first membership."""
         self._disk.start()
         if self.disk.damage:
             rows = []
@@ -204,7 +205,9 @@
             self.run_effects(begin_as_first_voter(self.settings, replica, self.loop.time()))
             self.coordination.begin(is_first_voter=True)
         elif not rows:
-            self.disk.write([(UID_ROW, replica.voter.uid.encode())], lambda: None)  # at once: it wakes the writer
+            self.disk.write(
+                [(UID_ROW, replica.voter.uid.encode())], lambda: None
+            )  # the callback makes the disk write at once
             self.coordination.begin(is_first_voter=False)
         events.info("control", uid=replica.voter.uid, epoch=replica.epoch, index=replica.index, rows=len(rows))
         self.announce()
@@ -212,7 +215,7 @@
     # ---- serving ---------------------------------------------------------------------------
 
     async def serve(self) -> None:
-        """Listen to the mesh, and to operators."""
+        """Listen for peers, and for operators and applications."""
         ip, port = self.settings.inner_bind_address
         await self.loop.create_server(lambda: Link(self._take_request, self._link_ended), ip, port, backlog=512)
         memory_bytes = self.settings.own.limits.memory_mb << 20
@@ -224,7 +227,7 @@
         self.coordination.link_ended(link)
 
     def _take_request(self, link: Link, message: Message) -> None:
-        """Take a message on a connection that a peer dialled."""
+        """Handle a message on a connection that a peer dialled."""
         if isinstance(message, Hello) and is_coordination_hello(message):
             self.coordination.take_hello(link, message)
         elif isinstance(message, Hello):
@@ -253,12 +256,12 @@
     # ---- effects ---------------------------------------------------------------------------
 
     def run_effects(self, effects: Effects) -> None:
-        """Send, write, and send the rest once that is on disk."""
+        """Send messages and write rows, and send the `after_sync` messages once the rows are on disk."""
         self.effect_runner.run(effects)
         self._advance()
 
     def _advance(self) -> None:
-        """Notify the parts that wait for it that the replica knows of further changes."""
+        """Notify the parts that wait for changes if the replica has learned of further ones."""
         if self._published_index == self.replica.index:
             return
         self._published_index = self.configuration_index = self.replica.index
@@ -279,19 +282,19 @@
         self.run_effects(self.replica.handle(self.loop.time(), self.local_peer, message))
 
     def _publish(self, entries: list[Entry], forgotten: list[EntryKey]) -> None:
-        """The replica has decided entries, or forgotten names."""
+        """Store entries that the replica has learned as decided, and remove those that it has removed."""
         self.store.merge(entries)
         self.store.forget(forgotten)
 
     # ---- messages of peers -----------------------------------------------------------------
 
     def receive(self, ip: str, message: Message) -> None:
-        """Take a message of a peer that this process dialled, or of its own replica."""
+        """Handle a message of a peer that this process dialled, or of its own replica."""
         self.membership_changes.message_received(self.loop.time(), ip)
         super().receive(ip, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
-        """Take a reply to what this control node has asked as a proposer, reader, forwarder or newcomer."""
+        """Handle a reply to a message that this node sent as a proposer, reader, forwarder or newcomer."""
         if isinstance(message, Promise | Accepted):
             self.run_effects(self.proposer.receive(now, ip, message))
         elif isinstance(message, ReadIndexReply):
@@ -309,32 +312,32 @@
             self.catching_up.take_reservations(now, ip, message)
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
-        """Take an update of a peer; where that knows later changes, ask for them unless they come by themselves."""
+        """Handle an update of a peer, and request the later changes that the peer knows unless they arrive unasked."""
         super().receive_update(now, ip, message)
         self.membership_changes.complete_for(ip, message.complete_epoch)
         self.catching_up.peer_knows(now, ip, message.decided_index)
 
     def merge_update(self, message: Delta) -> None:
-        """Take leased entries from anybody; what is decided comes by the register alone."""
+        """Store the leased entries of any node's update; decided entries come only from the register."""
         for entry in message.entries:
             if entry.kind == MEMBERSHIP and entry.value is not None:
                 self.adopt_membership(read_membership(entry.value))
         self.store.merge([entry for entry in message.entries if entry.kind in LEASED_KINDS])
 
     def disconnected(self, dialer: Dialer) -> None:
-        """A connection that this process dialled has ended: what was under way on it is taken back."""
+        """Handle the end of a connection that this process dialled, and reroute the changes forwarded on it."""
         self.catching_up.disconnected(dialer.ip)
         self.membership_changes.disconnected(dialer.ip)
         super().disconnected(dialer)
         self.router.disconnected(self.loop.time(), dialer.ip)
 
     def membership_changed(self) -> None:
-        """Another membership is in force."""
+        """Handle a new membership."""
         super().membership_changed()
         self.membership_changes.membership_changed(self.membership)
 
     def wanted_peers(self) -> set[str]:
-        """The voters and seeds, and while it lacks reservations the voters of the epoch before, which have them."""
+        """Return the voters and seeds, and while this node lacks reservations the previous voters, which have them."""
         found = super().wanted_peers()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.is_complete:
@@ -344,21 +347,21 @@
     # ---- updates and announcements ---------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
-        """Whether this process subscribes to that peer's updates: a control node follows all."""
+        """Whether this process subscribes to a peer's updates: a control node subscribes to those of all peers."""
         return True
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
-        """The leased entry by which this control node describes itself."""
+        """Return the leased entry by which this control node describes itself."""
         return self.announcement.entries()
 
     def entry_changed(self, entry: Entry) -> None:
-        """An entry has changed: subscribers get it, and what contradicts this control node's own entry is corrected."""
+        """Send a changed entry to subscribers, and announce this node again if the entry contradicts its own."""
         self.subscribers.update_soon()
         if self.announcement.is_contradicted_by(entry):
             self.loop.call_soon(self.announce)
 
     def _update_since(self, now: float, sequence: int) -> Delta:
-        """The update for a subscriber that knows all changes up to a sequence number; 0: a snapshot."""
+        """Return the update for a subscriber that knows all changes up to a sequence number; 0 requests a snapshot."""
         replica = self.replica
         return Delta(
             self.incarnation,
@@ -374,7 +377,7 @@
         )
 
     def _complete_epoch(self) -> int:
-        """The epoch for which this node has all that a voter must have: reservations, and what coordination decided."""
+        """Return the epoch for which this node has all that a voter must have: reservations and coordination."""
         replica = self.replica
         if not replica.is_voter:
             return 0
@@ -382,7 +385,7 @@
         return epoch if self.coordination.is_complete_for(replica.epoch) else min(epoch, replica.epoch - 1)
 
     def announce(self) -> None:
-        """Say what this control node is."""
+        """Announce the presence of this control node."""
         is_failing = self.disk_health.is_failing(self.loop.time())
         uid, zone = self.replica.voter.uid, self.settings.own.zone
         self.announcement.announce(Presence(uid, zone, self.is_leaving, is_failing, self.disk.max_bytes))
@@ -393,7 +396,7 @@
                 dialer.link.send(report)
 
     def _disk_sizes(self) -> list[int]:
-        """Bytes that the disk of each control node takes, as far as they have said so."""
+        """Return the disk size in bytes of each control node that has announced it."""
         return [presence.disk_bytes for presence in presences_of(self.store).values()]
 
     # ---- changes ---------------------------------------------------------------------------
@@ -407,7 +410,7 @@
     # ---- time ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Do what is due by time in each part."""
+        """Run what is due at this time in each part."""
         self.pause_detector.tick(now)
         self.leases.tick(now)
         self.subscribers.tick(now)
@@ -431,14 +434,14 @@
             self.watches.fail_all(MeshError(ErrorKind.NO_QUORUM, "no contact with a majority of the voters"))
         self.watches.tick(steady_clock())
 
-    # ---- what operators see ----------------------------------------------------------------
+    # ---- status and metrics ----------------------------------------------------------------
 
     def metrics(self) -> bytes:
-        """The metrics of this control node, in the text format of Prometheus."""
+        """Return the metrics of this control node, in the text format of Prometheus."""
         return render(control_node_metrics(self))
 
     def status(self) -> dict[str, Any]:
-        """What operators see of this control node, as the fields of /mesh/status."""
+        """Return the fields of /mesh/status."""
         return control_node_status(
             self.settings.own,
             self.replica,
@@ -452,25 +455,25 @@
         )
 
     def coordination_contents(self) -> dict[str, Any]:
-        """What operators see of locks, numbers and keys, as the fields of /mesh/coordination."""
+        """Return the fields of /mesh/coordination."""
         return coordination_contents(self, steady_clock())
 
-    # ---- the end ---------------------------------------------------------------------------
+    # ---- shutdown --------------------------------------------------------------------------
 
     async def shut_down(self) -> None:
-        """End gracefully: hand over the vote and the reservations where another control node can take them."""
+        """Shut down gracefully: hand over the vote and the reservations if another control node can take them."""
         self.is_leaving = True
         self.announce()
         self.coordination.resign()
         self.coordination_calls.leave()
-        began, grace = self.loop.time(), self.settings.tariffs.bounds.grace_s
-        until = began + HANDOFF_FRACTION * grace
-        while self.loop.time() < until and not self.membership_changes.is_handed_over():
+        started_at, grace = self.loop.time(), self.settings.tariffs.bounds.grace_s
+        deadline = started_at + HANDOFF_FRACTION * grace
+        while self.loop.time() < deadline and not self.membership_changes.is_handed_over():
             await asyncio.sleep(TICK_SECONDS)
         await asyncio.sleep(LAST_UPDATES_SECONDS)
-        # Guards operators against connections that end without an answer: no call waits for longer.
-        until = min(self.loop.time() + DECISION_TIMEOUT_SECONDS, began + SHUTDOWN_FRACTION * grace)
-        while self.loop.time() < until and (self.operator_calls.waiting or self.coordination_calls.waiting):
+        # Guards callers against connections that end without a response: no call waits longer than this.
+        deadline = min(self.loop.time() + DECISION_TIMEOUT_SECONDS, started_at + SHUTDOWN_FRACTION * grace)
+        while self.loop.time() < deadline and (self.operator_calls.waiting or self.coordination_calls.waiting):
             await asyncio.sleep(FLUSH_SECONDS)
         self.front.close()
         await asyncio.sleep(FLUSH_SECONDS)
