--- a/lugspur/mesh/coordination/leader_choice.py
+++ b/lugspur/mesh/coordination/leader_choice.py
@@ -11,7 +11,7 @@
 from lugspur.mesh.control.messages.coordination import CoordinationHeartbeat
 
 HEARTBEAT_INTERVAL_SECONDS = 0.25  # time between two heartbeats of a voter
-LEADER_SILENCE_SECONDS = 0.75  # time without a heartbeat after which a voter counts as unavailable
+HEARTBEAT_TIMEOUT_SECONDS = 0.75  # time without a heartbeat after which a voter counts as unavailable
 
 
 @dataclass(slots=True)
@@ -67,5 +67,7 @@
     def _fresh_heartbeat(self, now: float, ip: str) -> CoordinationHeartbeat | None:
         received = self._received.get(ip)
         return (
-            received.heartbeat if received is not None and now - received.received_at < LEADER_SILENCE_SECONDS else None
+            received.heartbeat
+            if received is not None and now - received.received_at < HEARTBEAT_TIMEOUT_SECONDS
+            else None
         )
--- a/tests/mesh/coordination/test_node.py
+++ b/tests/mesh/coordination/test_node.py
@@ -30,7 +30,7 @@
 from lugspur.mesh.control.replica import GENESIS, Replica
 from lugspur.mesh.coordination.acceptor import CoordinationAcceptor
 from lugspur.mesh.coordination.call_router import CALL_TIMEOUT_SECONDS
-from lugspur.mesh.coordination.leader_choice import LEADER_SILENCE_SECONDS
+from lugspur.mesh.coordination.leader_choice import HEARTBEAT_TIMEOUT_SECONDS
 from lugspur.mesh.coordination.node import MAX_CALL_AGE_SECONDS, CoordinationNode
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -148,7 +148,7 @@
     group.machines[IPS[0]].submit(PutCell("g.a", "v"))
     group.settle()
     group.machines[IPS[0]].drops = lambda to, message: to != IPS[0]
-    group.pass_time(LEADER_SILENCE_SECONDS + 0.6)
+    group.pass_time(HEARTBEAT_TIMEOUT_SECONDS + 0.6)
     assert IPS[1] in group.leaders
     results = group.machines[IPS[2]].submit(ReadCell("g.a"))
     group.settle()
@@ -159,7 +159,7 @@
     group = Group()
     old = group.machines[IPS[0]]
     old.drops = lambda to, message: to != IPS[0]
-    group.pass_time(LEADER_SILENCE_SECONDS + 0.6)
+    group.pass_time(HEARTBEAT_TIMEOUT_SECONDS + 0.6)
     group.machines[IPS[1]].submit(PutCell("g.a", "v"))
     group.settle()
     results = old.submit(ReadCell("g.a"))
