--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -24,7 +24,7 @@
 from lugspur.emulator.coordination.node import ModelNode
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import coordination_records as records
-from lugspur.mesh.coordination.watches import Watch, WatchAnswer
+from lugspur.mesh.coordination.watches import Watch, WatchResponse
 
 TRY_SECONDS = 1.0  # of silence, after which another node is called
 MIN_DELAY_SECONDS, MAX_DELAY_SECONDS = 0.0005, 0.003  # of a call or an answer on its way
@@ -301,7 +301,7 @@
         self._number += 1
         self._begin()
 
-    def _answered(self, number: int, sent: float, answer: WatchAnswer) -> None:
+    def _answered(self, number: int, sent: float, answer: WatchResponse) -> None:
         if number != self._number:
             return
         now = self._world.clock.now
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -41,7 +41,7 @@
 )
 from lugspur.mesh.control_node.coordination_service import steady_clock
 from lugspur.mesh.coordination.state import GROUP_SEPARATOR
-from lugspur.mesh.coordination.watches import Watch, WatchAnswer, WatchTable
+from lugspur.mesh.coordination.watches import Watch, WatchResponse, WatchTable
 from lugspur.mesh.http_api import HttpApi, fail, reply
 from lugspur.seams import Answerable, Request
 
@@ -275,7 +275,7 @@
     def _respond_with_revision(self, caller: Answerable, query: WatchQuery) -> None:
         def on_result(result: Result) -> None:
             if isinstance(result, GroupRevision):
-                self._respond_to_watch(caller, WatchAnswer([], result.revision))
+                self._respond_to_watch(caller, WatchResponse([], result.revision))
             else:
                 self._fail_watch(caller, error_of(result))
 
@@ -336,9 +336,9 @@
         if self._watches.revision(query.group) < proven_revision:
             self._fail_watch(caller, MeshError(ErrorKind.NO_QUORUM, "this node does not have the latest puts yet"))
         else:
-            self._respond_to_watch(caller, answer or WatchAnswer([], query.after))
+            self._respond_to_watch(caller, answer or WatchResponse([], query.after))
 
-    def _respond_to_watch(self, caller: Answerable, answer: WatchAnswer) -> None:
+    def _respond_to_watch(self, caller: Answerable, answer: WatchResponse) -> None:
         if caller not in self._watching:
             return
         self._watching.discard(caller)
--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WatchAnswer:
+class WatchResponse:
     """All puts of a group above the requested revision, and up to `revision`."""
 
     puts: list[CellRecord]
@@ -33,7 +33,7 @@
     group: str
     after: int
     deadline: float
-    on_answer: Callable[[WatchAnswer], None]
+    on_answer: Callable[[WatchResponse], None]
     on_deadline: Callable[[], None]
     on_failure: Callable[[MeshError], None]
 
@@ -50,12 +50,12 @@
     def __len__(self) -> int:
         return self._count
 
-    def answer(self, group: str, after: int) -> WatchAnswer | None:
+    def answer(self, group: str, after: int) -> WatchResponse | None:
         """Return the known puts above a revision, or None if there are none; raises MeshError (HISTORY_GONE)."""
         puts = self._state.puts_after(group, after, MAX_PUTS_PER_ANSWER)
         if puts is None:
             raise MeshError(ErrorKind.HISTORY_GONE, f"puts of {group} above {after} are no longer kept")
-        return WatchAnswer(puts, puts[-1].revision) if puts else None
+        return WatchResponse(puts, puts[-1].revision) if puts else None
 
     def revision(self, group: str) -> int:
         """Return the revision of a group that this node knows."""
--- a/tests/mesh/coordination/test_watches.py
+++ b/tests/mesh/coordination/test_watches.py
@@ -8,14 +8,14 @@
 from lugspur.mesh.control.messages.coordination_records import CellRecord, CoordinationChange
 from lugspur.mesh.coordination import watches as watches_module
 from lugspur.mesh.coordination.state import CoordinationState
-from lugspur.mesh.coordination.watches import Watch, WatchAnswer, WatchTable
+from lugspur.mesh.coordination.watches import Watch, WatchResponse, WatchTable
 
 
 class Waiting:
     """A watch, and what it was told."""
 
     def __init__(self, table: WatchTable, group: str, after: int, deadline: float = 100.0) -> None:
-        self.told: list[WatchAnswer | MeshError | str] = []
+        self.told: list[WatchResponse | MeshError | str] = []
         self.watch = Watch(
             group,
             after,
@@ -39,12 +39,12 @@
     here, ahead, elsewhere = Waiting(table, "g.", 1), Waiting(table, "g.", 2), Waiting(table, "h.", 0)
     put(state, "g.b", "2")
     table.advanced()
-    assert here.told == [WatchAnswer([CellRecord("g.b", "2", 2)], 2)]
+    assert here.told == [WatchResponse([CellRecord("g.b", "2", 2)], 2)]
     assert not ahead.told and not elsewhere.told and len(table) == 2
     put(state, "g.a", "3")
     put(state, "g.a", "4")
     table.advanced()
-    assert ahead.told == [WatchAnswer([CellRecord("g.a", "3", 3), CellRecord("g.a", "4", 4)], 4)]
+    assert ahead.told == [WatchResponse([CellRecord("g.a", "3", 3), CellRecord("g.a", "4", 4)], 4)]
 
 
 def test_a_long_answer_ends_at_its_last_put_and_the_next_one_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
