--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -10,7 +10,7 @@
 from lugspur.mesh.coordination.state import CoordinationState
 
 MAX_WATCHES = 160  # watches that wait at one node, as each of them occupies a caller's connection
-MAX_PUTS_PER_ANSWER = 256  # puts in one response; the next watch resumes from the response's revision
+MAX_PUTS_PER_RESPONSE = 256  # puts in one response; the next watch resumes from the response's revision
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
 
     def answer(self, group: str, after: int) -> WatchResponse | None:
         """Return the known puts above a revision, or None if there are none; raises MeshError (HISTORY_GONE)."""
-        puts = self._state.puts_after(group, after, MAX_PUTS_PER_ANSWER)
+        puts = self._state.puts_after(group, after, MAX_PUTS_PER_RESPONSE)
         if puts is None:
             raise MeshError(ErrorKind.HISTORY_GONE, f"puts of {group} above {after} are no longer kept")
         return WatchResponse(puts, puts[-1].revision) if puts else None
--- a/tests/mesh/coordination/test_watches.py
+++ b/tests/mesh/coordination/test_watches.py
@@ -48,7 +48,7 @@
 
 
 def test_a_long_answer_ends_at_its_last_put_and_the_next_one_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watches_module, "MAX_PUTS_PER_ANSWER", 2)
+    monkeypatch.setattr(watches_module, "MAX_PUTS_PER_RESPONSE", 2)
     state = CoordinationState(20.0)
     table = WatchTable(state)
     for number in range(5):
