--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -288,7 +288,7 @@
             GROUP,
             self.revision,
             node.steady() + 0.7,
-            on_answer=lambda found: self._answered(number, sent, found),
+            on_response=lambda found: self._answered(number, sent, found),
             on_deadline=lambda: self._silent(number),
             on_failure=lambda fault: self._silent(number),
         )
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -287,7 +287,7 @@
             query.group,
             query.after,
             steady_clock() + query.wait_seconds,
-            on_answer=lambda answer: self._respond_to_watch(caller, answer),
+            on_response=lambda response: self._respond_to_watch(caller, response),
             on_deadline=lambda: self._confirm_no_puts(caller, query),
             on_failure=lambda error: self._fail_watch(caller, error),
         )
--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -33,7 +33,7 @@
     group: str
     after: int
     deadline: float
-    on_answer: Callable[[WatchResponse], None]
+    on_response: Callable[[WatchResponse], None]
     on_deadline: Callable[[], None]
     on_failure: Callable[[MeshError], None]
 
@@ -103,7 +103,7 @@
             return
         if answer is not None:
             self.remove(watch)
-            watch.on_answer(answer)
+            watch.on_response(answer)
 
     def tick(self, now: float) -> None:
         """End the watches whose deadline has passed."""
--- a/tests/mesh/coordination/test_watches.py
+++ b/tests/mesh/coordination/test_watches.py
@@ -20,7 +20,7 @@
             group,
             after,
             deadline,
-            on_answer=self.told.append,
+            on_response=self.told.append,
             on_deadline=lambda: self.told.append("deadline"),
             on_failure=self.told.append,
         )
