--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -277,7 +277,7 @@
         if node.watches is None or number != self._number:
             return
         try:
-            answer = node.watches.answer(GROUP, self.revision)
+            answer = node.watches.find_response(GROUP, self.revision)
         except MeshError:
             self._gone(number)
             return
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -264,9 +264,9 @@
             self._respond_with_revision(caller, query)
             return
         try:
-            answer = self._watches.answer(query.group, query.after)
-            if answer is not None:
-                self._respond_to_watch(caller, answer)
+            response = self._watches.find_response(query.group, query.after)
+            if response is not None:
+                self._respond_to_watch(caller, response)
             else:
                 self._wait(caller, query)
         except MeshError as error:
@@ -329,22 +329,22 @@
 
     def _respond_with_known_puts(self, caller: Answerable, query: WatchQuery, proven_revision: int = 0) -> None:
         try:
-            answer = self._watches.answer(query.group, query.after)
+            response = self._watches.find_response(query.group, query.after)
         except MeshError as error:
             self._fail_watch(caller, error)
             return
         if self._watches.revision(query.group) < proven_revision:
             self._fail_watch(caller, MeshError(ErrorKind.NO_QUORUM, "this node does not have the latest puts yet"))
         else:
-            self._respond_to_watch(caller, answer or WatchResponse([], query.after))
+            self._respond_to_watch(caller, response or WatchResponse([], query.after))
 
-    def _respond_to_watch(self, caller: Answerable, answer: WatchResponse) -> None:
+    def _respond_to_watch(self, caller: Answerable, response: WatchResponse) -> None:
         if caller not in self._watching:
             return
         self._watching.discard(caller)
         self.answers["watch answered"] += 1
-        puts = [{"name": put.name, "value": put.value, "revision": put.revision} for put in answer.puts]
-        reply(caller, _encode({"events": puts, "revision": answer.revision}))
+        puts = [{"name": put.name, "value": put.value, "revision": put.revision} for put in response.puts]
+        reply(caller, _encode({"events": puts, "revision": response.revision}))
 
     def _fail_watch(self, caller: Answerable, error: MeshError) -> None:
         if caller not in self._watching:
--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -50,7 +50,7 @@
     def __len__(self) -> int:
         return self._count
 
-    def answer(self, group: str, after: int) -> WatchResponse | None:
+    def find_response(self, group: str, after: int) -> WatchResponse | None:
         """Return the known puts above a revision, or None if there are none; raises MeshError (HISTORY_GONE)."""
         puts = self._state.puts_after(group, after, MAX_PUTS_PER_RESPONSE)
         if puts is None:
@@ -92,18 +92,18 @@
             if self._state.group_revision(group) <= lowest:
                 continue
             for watch in waiting[:]:
-                self._answer_waiting(watch)
+                self._respond_if_ready(watch)
 
-    def _answer_waiting(self, watch: Watch) -> None:
+    def _respond_if_ready(self, watch: Watch) -> None:
         try:
-            answer = self.answer(watch.group, watch.after)
+            response = self.find_response(watch.group, watch.after)
         except MeshError as error:
             self.remove(watch)
             watch.on_failure(error)
             return
-        if answer is not None:
+        if response is not None:
             self.remove(watch)
-            watch.on_response(answer)
+            watch.on_response(response)
 
     def tick(self, now: float) -> None:
         """End the watches whose deadline has passed."""
--- a/tests/mesh/coordination/test_watches.py
+++ b/tests/mesh/coordination/test_watches.py
@@ -54,7 +54,7 @@
     for number in range(5):
         put(state, "g.a", str(number))
     after, seen = 0, []
-    while (answer := table.answer("g.", after)) is not None:
+    while (answer := table.find_response("g.", after)) is not None:
         assert len(answer.puts) <= 2
         seen += [record.revision for record in answer.puts]
         after = answer.revision
@@ -68,9 +68,9 @@
     put(state, "g.a", "2")
     state.prune(41.0)
     with pytest.raises(MeshError) as caught:
-        table.answer("g.", 1)
+        table.find_response("g.", 1)
     assert caught.value.kind is ErrorKind.HISTORY_GONE
-    assert table.answer("g.", 2) is None
+    assert table.find_response("g.", 2) is None
 
 
 def test_time_and_failures_end_watches_once() -> None:
