--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -167,7 +167,7 @@
     Guard(
         "nothing is accepted while a change of the voters may be decided",
         CoordinationAcceptor,
-        "accepts",
+        "can_vote",
         property(lambda self: self.is_complete),
     ),
     Guard("a new voter hears a majority", VoterCatchUp, "receive", begin_at_once),
--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -117,7 +117,7 @@
         return self._replica.is_voter and self.genesis_epoch > 0 and self.complete_epoch == self._replica.epoch
 
     @property
-    def accepts(self) -> bool:
+    def can_vote(self) -> bool:
         """Whether this replica promises and accepts.
 
         It does neither while a change of the voters that it has accepted may be decided, nor in an epoch older than
@@ -157,7 +157,7 @@
         return promise
 
     def _may_grant(self, epoch: int, proposal: ProposalNumber) -> bool:
-        return self.accepts and epoch == self._replica.epoch and proposal >= self.promised
+        return self.can_vote and epoch == self._replica.epoch and proposal >= self.promised
 
     def accept(self, now: float, peer: Peer, message: CoordinationAccept) -> Effects:
         """Phase 2b: accept a change for the next index unless a higher proposal was promised; reply after the sync."""
--- a/tests/mesh/coordination/test_acceptor.py
+++ b/tests/mesh/coordination/test_acceptor.py
@@ -77,7 +77,7 @@
     again = CoordinationAcceptor(replica, 20.0)
     again.restore(list(rows.items()), 0.0, is_without_coordination=False)
     assert (again.promised, again.accepted, again.accepted_change) == (HIGH, LOW, change(1))
-    assert again.is_complete and again.accepts
+    assert again.is_complete and again.can_vote
 
 
 def test_nothing_below_a_promise_is_granted(acceptor: CoordinationAcceptor) -> None:
@@ -125,7 +125,7 @@
     for voters in ([OWN, SEEDS[1], SEEDS[2]], others):
         replica.decide(0.0, next_epoch(replica, voters))
     acceptor.follow_epoch()
-    assert not acceptor.is_complete and not acceptor.accepts
+    assert not acceptor.is_complete and not acceptor.can_vote
 
 
 def test_a_node_that_has_reported_in_an_epoch_accepts_nothing_in_an_older_one_after_a_loss_of_power(
@@ -141,7 +141,7 @@
     again = CoordinationAcceptor(before, 20.0)
     found = [(key, value) for key, value in rows.items() if value is not None]
     again.restore(found, 0.0, is_without_coordination=False)
-    assert before.epoch == 1 and not again.accepts
+    assert before.epoch == 1 and not again.can_vote
     assert again.prepare("p", CoordinationPrepare(1, LOW)).send
 
 
