--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -188,7 +188,7 @@
     Guard("a majority confirms what changes nothing", CoordinationProposer, "_next_batch", answer_unconfirmed),
     Guard("what was proposed is not rejected", CoordinationProposer, "_step_down", reject_doubtful),
     Guard("what was proposed is not run again", CoordinationProposer, "_step_down", requeue_doubtful),
-    Guard("what waits too long is unclear", PendingCommand, "give_up", give_up_pending_as_rejected),
+    Guard("what waits too long is unclear", PendingCommand, "fail_as_unclear", give_up_pending_as_rejected),
     Guard(
         "a value that is put again keeps its revision",
         CoordinationState,
--- a/lugspur/mesh/coordination/call_router.py
+++ b/lugspur/mesh/coordination/call_router.py
@@ -92,14 +92,14 @@
             if call.pending.is_read:
                 self._waiting.append(call.pending)
             else:
-                call.pending.give_up()
+                call.pending.fail_as_unclear()
 
     def tick(self, now: float, leader: str | None) -> Effects:
         """Fail expired calls, and route those that wait."""
         for number, call in list(self._forwarded.items()):
             if call.pending.deadline <= now:
                 del self._forwarded[number]
-                call.pending.give_up()
+                call.pending.fail_as_unclear()
         return self.route_waiting(now, leader)
 
     def route_waiting(self, now: float, leader: str | None) -> Effects:
--- a/lugspur/mesh/coordination/pending.py
+++ b/lugspur/mesh/coordination/pending.py
@@ -33,7 +33,7 @@
         """Fail a command that had no effect; `may_retry`: another node may be able to run it."""
         self.finish(CommandFailed(ErrorKind.NO_QUORUM.value, detail, may_retry))
 
-    def give_up(self) -> None:
+    def fail_as_unclear(self) -> None:
         """Fail a command that was proposed or forwarded, and whose outcome is unknown."""
         if self.is_read:
             self.reject("too few voters answered")
--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -174,7 +174,7 @@
                 continue
             self._remove_batch(batch)
             if change is None or batch.index < index:
-                self._give_up(batch)  # the state does not show whether the batch was decided
+                self._fail_as_unclear(batch)  # the state does not show whether the batch was decided
             elif batch.change.id == change.id:
                 self._finish(batch)
             else:
@@ -405,12 +405,12 @@
             pending.reject("this node is no longer the leader", may_retry=True)
 
     @staticmethod
-    def _give_up(batch: Batch) -> None:
+    def _fail_as_unclear(batch: Batch) -> None:
         for item in batch.items:
             if isinstance(item.result, CommandFailed):
                 item.pending.finish(item.result)  # its evaluation failed: it was no part of the change
             else:
-                item.pending.give_up()
+                item.pending.fail_as_unclear()
 
     def _expire(self, now: float) -> None:
         for pending in self._queue:
@@ -424,5 +424,5 @@
                 if batch.change is None:
                     item.pending.reject("too few voters answered")
                 else:
-                    item.pending.give_up()
+                    item.pending.fail_as_unclear()
         self._in_doubt = [batch for batch in self._in_doubt if any(not item.pending.is_done for item in batch.items)]
