--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -214,7 +214,7 @@
         self.accepted = self.accepted_change = None
         return Effects(write=rows)
 
-    def pages_after(self, index: int) -> CoordinationChanges | CoordinationSnapshot | None:
+    def changes_or_snapshot_after(self, index: int) -> CoordinationChanges | CoordinationSnapshot | None:
         """Return what a peer that knows all changes up to an index lacks, or None if it lacks nothing."""
         if index >= self.state.index:
             return None
--- a/lugspur/mesh/coordination/followers.py
+++ b/lugspur/mesh/coordination/followers.py
@@ -22,8 +22,8 @@
         """Send what a peer lacks, and if `is_following` all later changes too."""
         if is_following:
             self._sent_index[peer] = max(after_index, self._acceptor.state.index)
-        pages = self._acceptor.pages_after(after_index)
-        return Effects() if pages is None else Effects(send=[(peer, pages)])
+        update = self._acceptor.changes_or_snapshot_after(after_index)
+        return Effects() if update is None else Effects(send=[(peer, update)])
 
     def remove(self, peer: Peer) -> None:
         """Stop sending changes to a peer."""
@@ -43,8 +43,8 @@
         """Send each follower the changes that it lacks."""
         effects = Effects()
         for peer, sent in self._sent_index.items():
-            pages = self._acceptor.pages_after(sent)
-            if pages is not None:
+            update = self._acceptor.changes_or_snapshot_after(sent)
+            if update is not None:
                 self._sent_index[peer] = self._acceptor.state.index
-                effects.send.append((peer, pages))
+                effects.send.append((peer, update))
         return effects
--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -300,9 +300,9 @@
         self._failure_count = 0
         effects = Effects()
         for ip, promise in candidacy.promises.items():
-            pages = self._acceptor.pages_after(promise.decided_index)
-            if pages is not None and ip != self._replica.voter.ip:
-                effects.send.append((ip, pages))
+            update = self._acceptor.changes_or_snapshot_after(promise.decided_index)
+            if update is not None and ip != self._replica.voter.ip:
+                effects.send.append((ip, update))
         change = self._highest_accepted(candidacy)
         if change is not None:
             self._batch = Batch(state.index + 1, change, [], 0)
@@ -353,10 +353,10 @@
             return Effects(send=[(ip, FetchCoordination(self._acceptor.state.index, False))])
         if message.decided_index < batch.index - 1 and batch.catch_ups.get(ip, 0) < MAX_CATCH_UPS_PER_VOTER:
             batch.catch_ups[ip] = batch.catch_ups.get(ip, 0) + 1
-            pages = self._acceptor.pages_after(message.decided_index)
-            if pages is not None:
+            update = self._acceptor.changes_or_snapshot_after(message.decided_index)
+            if update is not None:
                 accept = CoordinationAccept(self._epoch, self._proposal(), batch.index, batch.change)
-                return Effects(send=[(ip, pages), (ip, accept)])
+                return Effects(send=[(ip, update), (ip, accept)])
         return Effects()
 
     def _on_confirmed(self, now: float, ip: str, message: CoordinationConfirmed) -> Effects:
--- a/tests/mesh/coordination/test_acceptor.py
+++ b/tests/mesh/coordination/test_acceptor.py
@@ -154,8 +154,8 @@
 ) -> None:
     for number in range(1, 5):
         acceptor.decide(0.0, number, change(number))
-    pages = acceptor.pages_after(2)
-    assert pages == CoordinationChanges(3, [change(3), change(4)]) and acceptor.pages_after(4) is None
+    pages = acceptor.changes_or_snapshot_after(2)
+    assert pages == CoordinationChanges(3, [change(3), change(4)]) and acceptor.changes_or_snapshot_after(4) is None
     learner = CoordinationAcceptor(replica_of(ip="10.0.0.2"), 20.0)
     learner.learn_changes(0.0, CoordinationChanges(3, [change(3)]))
     assert learner.state.index == 0  # the two before are missing
@@ -164,7 +164,7 @@
     assert learner.state.index == 3 and learner.state.numbers == {"n": 3}
     for number in range(5, RECENT_CHANGES + 10):
         acceptor.decide(0.0, number, change(number))
-    snapshot = acceptor.pages_after(3)
+    snapshot = acceptor.changes_or_snapshot_after(3)
     assert isinstance(snapshot, CoordinationSnapshot)
     learner.learn_snapshot(0.0, snapshot)
     assert learner.state.snapshot() == acceptor.state.snapshot()
