--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -110,7 +110,7 @@
         self._round_deadline = 0.0  # the time at which the current round is sent again
         self._failure_count = 0  # consecutive rounds and proposals that failed
         self._backoff_until = 0.0  # the time until which this node backs off
-        self.is_wanted = False  # whether this node should lead, as far as it knows
+        self.should_lead = False  # whether this node should lead, as far as it knows
         self.is_leading = False
         self.elections = 0  # how many times this node has become the leader
         self.batches = 0  # decided batches that contained a change
@@ -129,7 +129,7 @@
 
     def submit(self, now: float, pending: PendingCommand) -> Effects:
         """Queue a command to be decided; a node that should not lead rejects it."""
-        if not self.is_wanted:
+        if not self.should_lead:
             pending.reject("this node is not the leader", may_retry=True)
             return Effects()
         if len(self._queue) >= MAX_QUEUED_COMMANDS:  # Guards memory and processor time against a flood of calls.
@@ -138,12 +138,12 @@
         self._queue.append(pending)
         return self._advance(now)
 
-    def want(self, now: float, is_wanted: bool) -> Effects:
+    def want(self, now: float, should_lead: bool) -> Effects:
         """Set whether this node should lead."""
-        if self.is_wanted == is_wanted:
+        if self.should_lead == should_lead:
             return Effects()
-        self.is_wanted = is_wanted
-        if is_wanted:
+        self.should_lead = should_lead
+        if should_lead:
             return self._advance(now)
         self._resign()
         return Effects()
@@ -206,7 +206,7 @@
 
     def _advance(self, now: float) -> Effects:
         """Start a candidacy, or as the leader the next batch, if this node may."""
-        if not self.is_wanted or now < self._backoff_until or self._replica.membership is None:
+        if not self.should_lead or now < self._backoff_until or self._replica.membership is None:
             return Effects()
         if self.is_leading and self._epoch == self._replica.epoch:
             return self._next_batch(now) if self._batch is None and self._queue else Effects()
@@ -398,7 +398,7 @@
     def _requeue(self, batch: Batch) -> None:
         """Requeue the commands of a batch that can no longer be decided; reject them if this node should not lead."""
         waiting = [item.pending for item in batch.items if not item.pending.is_done]
-        if self.is_wanted:
+        if self.should_lead:
             self._queue = waiting + self._queue
             return
         for pending in waiting:
