--- a/lugspur/mesh/coordination/node.py
+++ b/lugspur/mesh/coordination/node.py
@@ -230,7 +230,7 @@
 
     def _choose_leader(self, now: float) -> None:
         leader = self.leader_choice.choose(now, self._replica.membership, self.heartbeat(now))
-        self._emit(self.proposer.want(now, leader == self._own_ip))
+        self._emit(self.proposer.set_should_lead(now, leader == self._own_ip))
         if leader == self.leader:
             return
         self.leader = leader
--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -138,7 +138,7 @@
         self._queue.append(pending)
         return self._advance(now)
 
-    def want(self, now: float, should_lead: bool) -> Effects:
+    def set_should_lead(self, now: float, should_lead: bool) -> Effects:
         """Set whether this node should lead."""
         if self.should_lead == should_lead:
             return Effects()
