--- a/lugspur/emulator/coordination/node.py
+++ b/lugspur/emulator/coordination/node.py
@@ -101,7 +101,7 @@
         acceptor = CoordinationAcceptor(replica, HISTORY_SECONDS)
         if self.coordination.rows and is_newcomer:
             self.coordination.wipe()  # as recovery does: what is beside it is gone
-        acceptor.restore(list(self.coordination.rows.items()), self.steady(), is_without_coordination=False)
+        acceptor.restore(list(self.coordination.rows.items()), self.steady(), predates_coordination=False)
         replica.restore(list(self.configuration.rows.items()), self.steady())
         self.replica = replica
         identity = f"{self.ip}/{self._lives}"
--- a/lugspur/mesh/control_node/recovery.py
+++ b/lugspur/mesh/control_node/recovery.py
@@ -105,9 +105,9 @@
         replica = Replica(own.ip, uid, own.zone, bounds.stamp_window_s, memory_bytes, publish)
         max_state_bytes = min(MAX_STATE_BYTES, disk.coordination.max_bytes // DISK_BYTES_PER_STATE_BYTE)
         coordination = CoordinationAcceptor(replica, bounds.history_s, max_state_bytes)
-        is_without_coordination = bool(candidate.configuration) and not candidate.coordination
+        predates_coordination = bool(candidate.configuration) and not candidate.coordination
         try:
-            coordination.restore(candidate.coordination, now, is_without_coordination=is_without_coordination)
+            coordination.restore(candidate.coordination, now, predates_coordination=predates_coordination)
             replica.restore(candidate.configuration, now)
             break
         except (msgspec.MsgspecError, UnicodeDecodeError, ValueError) as error:
--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -70,7 +70,7 @@
         self.complete_epoch = 0
         self.genesis_epoch = 0  # 0 if coordination has not begun, as far as this replica knows
         self._reported_epoch = 0
-        self.is_without_coordination = False  # whether a build without coordination wrote the disk
+        self.predates_coordination = False  # whether a build without coordination wrote the disk
 
     # ---- start ---------------------------------------------------------------------------
 
@@ -82,10 +82,10 @@
         """Start with an empty disk in a mesh that may have decided changes already."""
         return Effects(write=[self._epoch_row()])
 
-    def restore(self, rows: list[tuple[bytes, bytes]], now: float, *, is_without_coordination: bool) -> None:
+    def restore(self, rows: list[tuple[bytes, bytes]], now: float, *, predates_coordination: bool) -> None:
         """Load the state from the rows on disk. Raises msgspec.MsgspecError for rows that can't be decoded.
 
-        `is_without_coordination`: whether a build without coordination wrote the configuration on this disk.
+        `predates_coordination`: whether a build without coordination wrote the configuration on this disk.
         """
         self.state.restore(rows, now)
         for key, value in rows:
@@ -98,7 +98,7 @@
                 epoch = _epoch_decoder.decode(value)
                 self.complete_epoch, self.genesis_epoch = epoch.complete_epoch, epoch.genesis_epoch
                 self._reported_epoch = epoch.reported_epoch
-        self.is_without_coordination = is_without_coordination
+        self.predates_coordination = predates_coordination
 
     # ---- role ----------------------------------------------------------------------------
 
--- a/tests/mesh/coordination/test_acceptor.py
+++ b/tests/mesh/coordination/test_acceptor.py
@@ -75,7 +75,7 @@
     effects.append(acceptor.prepare("p", CoordinationPrepare(1, HIGH)))
     rows = {key: value for effect in effects for key, value in effect.write if value is not None}
     again = CoordinationAcceptor(replica, 20.0)
-    again.restore(list(rows.items()), 0.0, is_without_coordination=False)
+    again.restore(list(rows.items()), 0.0, predates_coordination=False)
     assert (again.promised, again.accepted, again.accepted_change) == (HIGH, LOW, change(1))
     assert again.is_complete and again.can_vote
 
@@ -140,7 +140,7 @@
     before = replica_of()  # the configuration's environment had not been synced
     again = CoordinationAcceptor(before, 20.0)
     found = [(key, value) for key, value in rows.items() if value is not None]
-    again.restore(found, 0.0, is_without_coordination=False)
+    again.restore(found, 0.0, predates_coordination=False)
     assert before.epoch == 1 and not again.can_vote
     assert again.prepare("p", CoordinationPrepare(1, LOW)).send
 
