--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -178,7 +178,7 @@
         self._submit, self._watches, self._call_later = submit, watches, call_later
         self.waiting: set[Answerable] = set()  # callers without a response, except those of watches
         self._watching: set[Answerable] = set()  # callers of watches without a response
-        self.answers: Counter[str] = Counter()  # responses since the start of the process, by call and outcome
+        self.outcome_counts: Counter[str] = Counter()  # responses since the start of the process, by call and outcome
         self.is_leaving = False
 
     def add_to(self, calls: HttpApi) -> None:
@@ -249,7 +249,7 @@
 
     def _count(self, call: str, result: Result) -> None:
         outcome = result.error_kind if isinstance(result, CommandFailed) else OUTCOMES[type(result)]
-        self.answers[f"{call} {outcome}"] += 1
+        self.outcome_counts[f"{call} {outcome}"] += 1
 
     # ---- watches -------------------------------------------------------------------------
 
@@ -342,7 +342,7 @@
         if caller not in self._watching:
             return
         self._watching.discard(caller)
-        self.answers["watch answered"] += 1
+        self.outcome_counts["watch answered"] += 1
         puts = [{"name": put.name, "value": put.value, "revision": put.revision} for put in response.puts]
         reply(caller, _encode({"events": puts, "revision": response.revision}))
 
@@ -350,7 +350,7 @@
         if caller not in self._watching:
             return
         self._watching.discard(caller)
-        self.answers[f"watch {error.code}"] += 1
+        self.outcome_counts[f"watch {error.code}"] += 1
         fail(caller, error)
 
     # ---- shutdown --------------------------------------------------------------------------
--- a/lugspur/mesh/control_node/coordination_status.py
+++ b/lugspur/mesh/control_node/coordination_status.py
@@ -62,7 +62,7 @@
             "coordination_answers_total",
             "Calls for locks, numbers, keys and watches, by call and outcome.",
             "answer",
-            parts.coordination_calls.answers,
+            parts.coordination_calls.outcome_counts,
         ),
         gauge("coordination_calls_open", "Calls that have no result yet.", len(node.calls)),
         gauge("coordination_watches", "Watches that wait for puts.", len(parts.watches)),
--- a/tests/mesh/test_coordination_input.py
+++ b/tests/mesh/test_coordination_input.py
@@ -213,4 +213,4 @@
         PutCell("g.a", "v", 7),
     ]
     address.commands[0][1](CellWritten(3))
-    assert address.calls.answers == {"replace written": 1}
+    assert address.calls.outcome_counts == {"replace written": 1}
