--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -245,7 +245,7 @@
         elif isinstance(result, LockLost) and isinstance(command, RenewLock):
             events.info("lock-lost", lock=command.name, holder=command.holder, fence=command.fence)
         if is_waiting:
-            answer_result(caller, result)
+            respond_with_result(caller, result)
 
     def _count(self, call: str, result: Result) -> None:
         outcome = result.error_kind if isinstance(result, CommandFailed) else OUTCOMES[type(result)]
@@ -385,7 +385,7 @@
     return MeshError(ErrorKind.UNCLEAR, "the result belongs to another call")
 
 
-def answer_result(caller: Answerable, result: Result) -> None:
+def respond_with_result(caller: Answerable, result: Result) -> None:
     """Respond to a call with the result of its command."""
     if isinstance(result, LockGranted):
         reply(caller, _encode({"fence": result.fence}))
