--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -41,8 +41,8 @@
     """Return all current metrics of one control node."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
-        labelled_counter("orders_total", "Operators' changes, by outcome.", "how", calls.changes),
-        labelled_counter("reads_total", "Operators' reads, by outcome.", "how", calls.reads),
+        labelled_counter("orders_total", "Operators' changes, by outcome.", "how", calls.change_outcomes),
+        labelled_counter("reads_total", "Operators' reads, by outcome.", "how", calls.read_outcomes),
         labelled_counter(
             "calls_total", "Calls at the dispatch address, by method and path.", "call", node.dispatch_calls.calls
         ),
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -32,8 +32,8 @@
         self._loop, self._replica, self._router, self._reader = loop, replica, router, reader
         self._run_effects = run_effects
         self.waiting: set[Answerable] = set()  # callers that have no response yet
-        self.changes: Counter[str] = Counter()  # since the start of the process, by outcome
-        self.reads: Counter[str] = Counter()  # since the start of the process, by outcome
+        self.change_outcomes: Counter[str] = Counter()  # since the start of the process, by outcome
+        self.read_outcomes: Counter[str] = Counter()  # since the start of the process, by outcome
 
     def amend(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """Change the configuration; the response follows once a majority has decided the change, or it has failed.
@@ -56,7 +56,7 @@
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         fault = error_of(outcome)
-        self.changes["confirmed" if fault is None else fault.code] += 1
+        self.change_outcomes["confirmed" if fault is None else fault.code] += 1
         events.info("amend", bytes=body_bytes, fault=fault or "none", index=self._replica.index)
         if not is_waiting:
             return
@@ -81,7 +81,7 @@
     def _on_read_checked(self, caller: Answerable, is_latest: bool) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
-        self.reads["answered" if is_latest else ErrorKind.NO_QUORUM.value] += 1
+        self.read_outcomes["answered" if is_latest else ErrorKind.NO_QUORUM.value] += 1
         if not is_waiting:
             return
         if is_latest:
