--- a/lugspur/mesh/coordination/node.py
+++ b/lugspur/mesh/coordination/node.py
@@ -38,7 +38,7 @@
 from lugspur.mesh.coordination.leader_choice import LeaderChoice
 from lugspur.mesh.coordination.pending import PendingCommand
 from lugspur.mesh.coordination.proposer import CoordinationProposer
-from lugspur.mesh.coordination.voter_catch_up import VoterCatchUp, voters_of
+from lugspur.mesh.coordination.voter_catch_up import VoterCatchUp, voter_ips
 
 #: Maximum age of the leader's heartbeat whose clock a forwarded call contains; the leader rejects a call with an older
 #: one, as it was delayed.
@@ -269,4 +269,4 @@
 
     def wanted_peers(self) -> set[str]:
         """Return the IP addresses of the nodes to keep a connection to."""
-        return (voters_of(self._replica.membership) | self.catch_up.sources()) - {self._own_ip}
+        return (voter_ips(self._replica.membership) | self.catch_up.sources()) - {self._own_ip}
--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -31,7 +31,7 @@
 from lugspur.mesh.coordination.acceptor import CoordinationAcceptor
 from lugspur.mesh.coordination.batch import CommandBatch
 from lugspur.mesh.coordination.pending import PendingCommand
-from lugspur.mesh.coordination.voter_catch_up import voters_of
+from lugspur.mesh.coordination.voter_catch_up import voter_ips
 
 #: Time after which a round's message is sent again to the voters that have not replied. The timeout grows by half
 #: with each consecutive failure.
@@ -218,7 +218,7 @@
         """Start a candidacy: ask all voters for a promise."""
         self._step_down()
         self._epoch = self._replica.epoch
-        self._voters = frozenset(voters_of(self._replica.membership))
+        self._voters = frozenset(voter_ips(self._replica.membership))
         self._highest_number = max(self._highest_number, self._acceptor.promised.number) + 1
         self._candidacy = Candidacy()
         return self._send_round(now)
--- a/lugspur/mesh/coordination/voter_catch_up.py
+++ b/lugspur/mesh/coordination/voter_catch_up.py
@@ -95,6 +95,6 @@
         return bool(self._acceptor.genesis_epoch) or any(r.genesis_epoch for r in self._reports.values())
 
 
-def voters_of(membership: Membership | None) -> set[str]:
+def voter_ips(membership: Membership | None) -> set[str]:
     """Return the IP addresses of the voters of a membership."""
     return set() if membership is None else {voter.ip for voter in membership.voters}
