--- a/lugspur/mesh/control_node/coordination_service.py
+++ b/lugspur/mesh/control_node/coordination_service.py
@@ -229,6 +229,6 @@
         has begun.
         """
         acceptor = self.node.acceptor
-        if acceptor.predates_coordination and not self.node.catch_up.knows_of_beginning():
+        if acceptor.predates_coordination and not self.node.catch_up.knows_genesis():
             return True
         return acceptor.is_complete and acceptor.complete_epoch == epoch == self._synced_epoch.epoch
--- a/lugspur/mesh/coordination/voter_catch_up.py
+++ b/lugspur/mesh/coordination/voter_catch_up.py
@@ -90,7 +90,7 @@
         is_unknown_to_all = all(report.genesis_epoch == 0 for report in reports) and not self._acceptor.genesis_epoch
         return is_unknown_to_all and self.sources() <= self._reports.keys()
 
-    def knows_of_beginning(self) -> bool:
+    def knows_genesis(self) -> bool:
         """Whether this node knows, by itself or by a report, that coordination has begun."""
         return bool(self._acceptor.genesis_epoch) or any(r.genesis_epoch for r in self._reports.values())
 
