--- a/lugspur/mesh/control_node/coordination_status.py
+++ b/lugspur/mesh/control_node/coordination_status.py
@@ -73,7 +73,9 @@
         ),
         counter("coordination_elections_total", "Times that this process has become the leader.", proposer.elections),
         counter(
-            "coordination_batches_total", "Changes that were decided by this process as the leader.", proposer.batches
+            "coordination_batches_total",
+            "Changes that were decided by this process as the leader.",
+            proposer.decided_batches,
         ),
         gauge("coordination_locks", "Locks that are kept, both held and expired.", len(state.locks)),
         gauge("coordination_keys", "Keys that are kept.", len(state.cells)),
--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -113,7 +113,7 @@
         self.should_lead = False  # whether this node should lead, as far as it knows
         self.is_leading = False
         self.elections = 0  # how many times this node has become the leader
-        self.batches = 0  # decided batches that contained a change
+        self.decided_batches = 0  # decided batches that contained a change
 
     @property
     def leading_number(self) -> int:
@@ -376,7 +376,7 @@
             self._batch = None
             self._finish(batch)
         else:
-            self.batches += 1
+            self.decided_batches += 1
             # This calls `replica_advanced`, which finishes the batch.
             effects.add(self._on_decided(now, batch.index, batch.change))
         effects.add(self._advance(now))
