--- a/lugspur/mesh/coordination/leader_choice.py
+++ b/lugspur/mesh/coordination/leader_choice.py
@@ -29,7 +29,7 @@
         self._own_ip = own_ip
         self._received: dict[str, ReceivedHeartbeat] = {}
 
-    def heard(self, now: float, ip: str, heartbeat: CoordinationHeartbeat) -> None:
+    def record_heartbeat(self, now: float, ip: str, heartbeat: CoordinationHeartbeat) -> None:
         """Record a voter's heartbeat."""
         self._received[ip] = ReceivedHeartbeat(heartbeat, now)
 
--- a/lugspur/mesh/coordination/node.py
+++ b/lugspur/mesh/coordination/node.py
@@ -153,7 +153,7 @@
         elif isinstance(message, CoordinationChanges | CoordinationSnapshot):
             self._receive_changes(now, message)
         elif isinstance(message, CoordinationHeartbeat):
-            self.leader_choice.heard(now, ip, message)
+            self.leader_choice.record_heartbeat(now, ip, message)
             self._choose_leader(now)
         elif isinstance(message, AcceptorReport):
             before = self.acceptor.state.index
