--- a/lugspur/mesh/control_node/pending_changes.py
+++ b/lugspur/mesh/control_node/pending_changes.py
@@ -22,7 +22,7 @@
         """Reset the time, since the replica has learned of further decided changes."""
         self._pending_since = None
 
-    def found_pending(self, now: float) -> None:
+    def report_pending(self, now: float) -> None:
         """Resolve a change if it was pending for long: a minority, or unnoticed a majority, has accepted it."""
         if self._pending_since is None:
             self._pending_since = now
@@ -40,4 +40,4 @@
         if self._pending_since is None:
             self._pending_since = now + MAX_PENDING_SECONDS * rank
         else:
-            self.found_pending(now)
+            self.report_pending(now)
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -301,7 +301,7 @@
             effects, has_pending = self.reader.receive(now, ip, message)
             self.run_effects(effects)
             if has_pending:
-                self.pending_changes.found_pending(now)
+                self.pending_changes.report_pending(now)
         elif isinstance(message, Learn):
             self.catching_up.take_changes(ip, message)
         elif isinstance(message, ChangeResult):
