--- a/lugspur/mesh/control_node/membership_changes.py
+++ b/lugspur/mesh/control_node/membership_changes.py
@@ -54,7 +54,7 @@
         """Record that a peer has sent a message of any kind."""
         self._last_heard_at[ip] = now
 
-    def complete_for(self, ip: str, epoch: int) -> None:
+    def record_complete_epoch(self, ip: str, epoch: int) -> None:
         """Record the epoch for which a peer has reported that it has all that a voter must have."""
         self._complete_epochs[ip] = epoch
 
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -314,7 +314,7 @@
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Handle an update of a peer, and request the later changes that the peer knows unless they arrive unasked."""
         super().receive_update(now, ip, message)
-        self.membership_changes.complete_for(ip, message.complete_epoch)
+        self.membership_changes.record_complete_epoch(ip, message.complete_epoch)
         self.catching_up.peer_knows(now, ip, message.decided_index)
 
     def merge_update(self, message: Delta) -> None:
