--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -247,7 +247,7 @@
         elif isinstance(message, ForwardChange):
             self.router.take_forwarded(link, message)
         elif isinstance(message, Pong):
-            self.subscribers.acknowledged(link, message)
+            self.subscribers.record_acknowledgement(link, message)
         elif isinstance(message, CoordinationMessage):
             self.coordination.take(link, message)
         else:
--- a/lugspur/mesh/control_node/subscribers.py
+++ b/lugspur/mesh/control_node/subscribers.py
@@ -50,7 +50,7 @@
         """Stop sending updates to a peer that has unsubscribed, or whose connection has ended."""
         self._subscribers.pop(link, None)
 
-    def acknowledged(self, link: Link, pong: Pong) -> None:
+    def record_acknowledgement(self, link: Link, pong: Pong) -> None:
         """Record a subscriber's acknowledgement, which its next update echoes."""
         subscriber = self._subscribers.get(link)
         if subscriber is not None:
--- a/tests/mesh/control_node/test_subscribers.py
+++ b/tests/mesh/control_node/test_subscribers.py
@@ -74,7 +74,7 @@
     async def what(store: Store, subscribers: Subscribers, wire: Wire) -> None:
         link = cast(Link, wire)
         subscribers.add(link, 0)
-        subscribers.acknowledged(link, Pong(42.0))
+        subscribers.record_acknowledgement(link, Pong(42.0))
         subscribers.tick(wire.last_received_at + 2.0 * HEARTBEAT_SECONDS)
         assert [cast(Delta, message).echoed_at for message in wire.sent] == [0.0, 42.0]
         subscribers.tick(wire.last_received_at + LEASE_SECONDS + 0.1)
