--- a/lugspur/emulator/coordination/node.py
+++ b/lugspur/emulator/coordination/node.py
@@ -321,7 +321,7 @@
 
     def _advanced(self) -> None:
         if self.watches is not None:
-            self.watches.advanced()
+            self.watches.respond_to_ready()
 
     def _tick(self, lives: int) -> None:
         if lives != self._lives or self.node is None:
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -126,7 +126,7 @@
         self.membership_changes = self._make_membership_changes()
         self.coordination = self._make_coordination(restored.coordination)
         self.watches = WatchTable(restored.coordination.state)
-        self.coordination.node.on_advance = lambda now: self.watches.advanced()
+        self.coordination.node.on_advance = lambda now: self.watches.respond_to_ready()
         self.coordination_calls = CoordinationCalls(self.coordination.submit, self.watches, self.loop.call_later)
         self.pending_changes = PendingChanges(self.ip, self.replica, self._resolve_pending)
         self.dispatch_calls = ControlNodeApi(self).dispatch_calls()
--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -82,7 +82,7 @@
         if not waiting:
             del self._watches[watch.group]
 
-    def advanced(self) -> None:
+    def respond_to_ready(self) -> None:
         """Respond to the watches that the changed state has puts for."""
         if self._index == self._state.index:
             return
--- a/tests/mesh/coordination/test_watches.py
+++ b/tests/mesh/coordination/test_watches.py
@@ -38,12 +38,12 @@
     put(state, "g.a", "1")
     here, ahead, elsewhere = Waiting(table, "g.", 1), Waiting(table, "g.", 2), Waiting(table, "h.", 0)
     put(state, "g.b", "2")
-    table.advanced()
+    table.respond_to_ready()
     assert here.told == [WatchResponse([CellRecord("g.b", "2", 2)], 2)]
     assert not ahead.told and not elsewhere.told and len(table) == 2
     put(state, "g.a", "3")
     put(state, "g.a", "4")
-    table.advanced()
+    table.respond_to_ready()
     assert ahead.told == [WatchResponse([CellRecord("g.a", "3", 3), CellRecord("g.a", "4", 4)], 4)]
 
 
