--- a/lugspur/mesh/control_node/coordination_service.py
+++ b/lugspur/mesh/control_node/coordination_service.py
@@ -211,7 +211,7 @@
 
     def _track_completeness(self) -> None:
         is_complete = self.node.acceptor.is_complete
-        self._synced_epoch.follow(self.node.acceptor.complete_epoch)
+        self._synced_epoch.track(self.node.acceptor.complete_epoch)
         if is_complete and not self._was_complete:
             state = self.node.acceptor.state
             events.info("coordination-complete", epoch=self._replica.epoch, index=state.index)
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -425,7 +425,7 @@
         self.catching_up.tick(now)
         self.pending_changes.tick(now)
         self.membership_changes.tick(now)
-        self._synced_epoch.follow(self.replica.complete_epoch)
+        self._synced_epoch.track(self.replica.complete_epoch)
         self.coordination.tick()
         self._tick_watches()
 
--- a/lugspur/mesh/control_node/synced_epoch.py
+++ b/lugspur/mesh/control_node/synced_epoch.py
@@ -20,7 +20,7 @@
         self._failures = disk.failures
         self.epoch = epoch
 
-    def follow(self, epoch: int) -> None:
+    def track(self, epoch: int) -> None:
         """Track the epoch that the replica has written as complete; repeat the write if one has failed since."""
         if epoch == self._requested_epoch and self._failures == self._disk.failures:
             return
