--- a/lugspur/mesh/control_node/coordination_service.py
+++ b/lugspur/mesh/control_node/coordination_service.py
@@ -135,7 +135,7 @@
 
     # ---- nodes that have dialled this one ----------------------------------------------------
 
-    def take_hello(self, link: Link, message: Hello) -> None:
+    def handle_hello(self, link: Link, message: Hello) -> None:
         """Handle the first message of a node that has dialled this one for coordination."""
         now = steady_clock()
         link.peer = message.ip
@@ -146,7 +146,7 @@
         if dialer is not None:
             dialer.nudge()
 
-    def take(self, link: Link, message: Message) -> None:
+    def handle_message(self, link: Link, message: Message) -> None:
         """Handle a message on a connection that a node has dialled."""
         self._run(self.node.handle(steady_clock(), link, message))
 
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -229,7 +229,7 @@
     def _take_request(self, link: Link, message: Message) -> None:
         """Handle a message on a connection that a peer dialled."""
         if isinstance(message, Hello) and is_coordination_hello(message):
-            self.coordination.take_hello(link, message)
+            self.coordination.handle_hello(link, message)
         elif isinstance(message, Hello):
             link.peer = message.ip
             dialer = self.peers.get(message.ip)
@@ -249,7 +249,7 @@
         elif isinstance(message, Pong):
             self.subscribers.record_acknowledgement(link, message)
         elif isinstance(message, CoordinationMessage):
-            self.coordination.take(link, message)
+            self.coordination.handle_message(link, message)
         else:
             self.run_effects(self.replica.handle(self.loop.time(), link, message))
 
