--- a/lugspur/mesh/coordination/call_router.py
+++ b/lugspur/mesh/coordination/call_router.py
@@ -77,7 +77,7 @@
         else:
             pending.finish(result)
 
-    def take_reply(self, message: CoordinationReply) -> None:
+    def handle_reply(self, message: CoordinationReply) -> None:
         """Handle the leader's reply to a call."""
         call = self._forwarded.pop(message.number, None)
         if call is not None:
--- a/lugspur/mesh/coordination/node.py
+++ b/lugspur/mesh/coordination/node.py
@@ -149,7 +149,7 @@
         if isinstance(message, CoordinationPromise | CoordinationAccepted | CoordinationConfirmed):
             self._emit(self.proposer.receive(now, ip, message))
         elif isinstance(message, CoordinationReply):
-            self.calls.take_reply(message)
+            self.calls.handle_reply(message)
         elif isinstance(message, CoordinationChanges | CoordinationSnapshot):
             self._receive_changes(now, message)
         elif isinstance(message, CoordinationHeartbeat):
