--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -61,7 +61,7 @@
         self._proposer.withdraw(request)
         self.forwarder.withdraw(request)
 
-    def take_forwarded(self, link: Link, message: ForwardChange) -> None:
+    def handle_forwarded(self, link: Link, message: ForwardChange) -> None:
         """Propose a change that another control node has forwarded, and return the result to that node."""
 
         def send_result(outcome: Outcome) -> None:
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -245,7 +245,7 @@
         elif isinstance(message, Learn):
             self.catching_up.take_changes(link, message)
         elif isinstance(message, ForwardChange):
-            self.router.take_forwarded(link, message)
+            self.router.handle_forwarded(link, message)
         elif isinstance(message, Pong):
             self.subscribers.record_acknowledgement(link, message)
         elif isinstance(message, CoordinationMessage):
