--- a/lugspur/mesh/control_node/catching_up.py
+++ b/lugspur/mesh/control_node/catching_up.py
@@ -35,13 +35,13 @@
         self._reservations = ReservationCatchUp(replica)
         self._requested_at = 0.0  # the time of the latest request for changes
 
-    def take_changes(self, source: Link | str, page: Learn) -> None:
+    def handle_changes(self, source: Link | str, page: Learn) -> None:
         """Handle a page of decided changes; all pages are applied when the last one has arrived."""
         pages = self._pages.add(source, page)
         if pages:
             self._run_effects(self._replica.learn(self._loop.time(), pages))
 
-    def take_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
+    def handle_reservations(self, now: float, ip: str, page: ReservationsPage) -> None:
         """Handle a page of the reservations of a voter of the previous epoch."""
         was_complete = self._replica.is_complete
         self._run_effects(self._reservations.receive(now, ip, page))
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -243,7 +243,7 @@
         elif isinstance(message, Report):
             self.leases.report(self.loop.time(), link, message.entries)
         elif isinstance(message, Learn):
-            self.catching_up.take_changes(link, message)
+            self.catching_up.handle_changes(link, message)
         elif isinstance(message, ForwardChange):
             self.router.handle_forwarded(link, message)
         elif isinstance(message, Pong):
@@ -303,13 +303,13 @@
             if has_pending:
                 self.pending_changes.report_pending(now)
         elif isinstance(message, Learn):
-            self.catching_up.take_changes(ip, message)
+            self.catching_up.handle_changes(ip, message)
         elif isinstance(message, ChangeResult):
             self.router.forwarder.receive(ip, message)
         elif isinstance(message, FetchDecided):
             self.run_effects(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
-            self.catching_up.take_reservations(now, ip, message)
+            self.catching_up.handle_reservations(now, ip, message)
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Handle an update of a peer, and request the later changes that the peer knows unless they arrive unasked."""
