--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -33,7 +33,7 @@
     CoordinationAcceptor.accept,
     CoordinationAcceptor._may_grant,
 )
-_take_reports, _follow_epoch = CoordinationAcceptor.take_reports, CoordinationAcceptor.follow_epoch
+_adopt_reports, _follow_epoch = CoordinationAcceptor.adopt_reports, CoordinationAcceptor.follow_epoch
 _next_batch, _step_down = CoordinationProposer._next_batch, CoordinationProposer._step_down
 _load, _apply_lock = CoordinationState._load, CoordinationState._apply_lock
 
@@ -64,12 +64,12 @@
     return self._acceptor.become_complete(report.genesis_epoch) if report.genesis_epoch else Effects()
 
 
-def take_reports_of_decisions(
+def adopt_reports_of_decisions(
     self: CoordinationAcceptor, now: float, reports: list[AcceptorReport], genesis_epoch: int
 ) -> Effects:
     for report in reports:
         report.accepted = report.change = None
-    return _take_reports(self, now, reports, genesis_epoch)
+    return _adopt_reports(self, now, reports, genesis_epoch)
 
 
 def stay_complete(self: CoordinationAcceptor) -> Effects:
@@ -174,8 +174,8 @@
     Guard(
         "a new voter takes over what was accepted",
         CoordinationAcceptor,
-        "take_reports",
-        take_reports_of_decisions,
+        "adopt_reports",
+        adopt_reports_of_decisions,
     ),
     Guard("completeness ends where epochs are missing", CoordinationAcceptor, "follow_epoch", stay_complete),
     Guard(
--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -240,7 +240,7 @@
         )
         return Effects(write=[self._epoch_row()], after_sync=[(peer, report)])
 
-    def take_reports(self, now: float, reports: list[AcceptorReport], genesis_epoch: int) -> Effects:
+    def adopt_reports(self, now: float, reports: list[AcceptorReport], genesis_epoch: int) -> Effects:
         """Adopt what the previous epoch's voters have reported, and become complete."""
         effects = Effects()
         latest = max((report.snapshot for report in reports), key=lambda snapshot: snapshot.index)
--- a/lugspur/mesh/coordination/voter_catch_up.py
+++ b/lugspur/mesh/coordination/voter_catch_up.py
@@ -80,7 +80,7 @@
         if report_count < majority(len(previous)) or not any(report.was_complete for report in reports):
             return Effects()
         genesis = max(report.genesis_epoch for report in reports)
-        return self._acceptor.take_reports(now, reports, genesis)
+        return self._acceptor.adopt_reports(now, reports, genesis)
 
     def _begins_in_this_epoch(self) -> bool:
         """Whether coordination begins in this epoch, so that there is nothing to adopt."""
