--- a/lugspur/mesh/coordination/voter_catch_up.py
+++ b/lugspur/mesh/coordination/voter_catch_up.py
@@ -32,14 +32,14 @@
         self._requested_at: dict[str, float] = {}
 
     @property
-    def is_due(self) -> bool:
+    def is_needed(self) -> bool:
         """Whether this node has a vote and is not complete."""
         return self._replica.is_voter and not self._acceptor.is_complete
 
     def sources(self) -> set[str]:
         """Return the IP addresses of the nodes to ask: the other voters of this epoch and of the previous one."""
         membership = self._replica.membership
-        if membership is None or not self.is_due:
+        if membership is None or not self.is_needed:
             return set()
         ips = {voter.ip for voter in [*membership.voters, *membership.previous_voters]}
         return ips - {self._replica.voter.ip}
@@ -55,7 +55,7 @@
         return effects
 
     def _follow_epoch(self) -> None:
-        if self._epoch != self._replica.epoch or not self.is_due:
+        if self._epoch != self._replica.epoch or not self.is_needed:
             self._epoch = self._replica.epoch
             self._reports.clear()
             self._requested_at.clear()
