--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -27,12 +27,12 @@
 from lugspur.mesh.control.read_index import Read
 from lugspur.mesh.control.reconfiguration import Reconfiguration, absence_timeout
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
-from lugspur.mesh.control_node.catching_up import CATCH_UP_DELAY_SECONDS
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, MAX_PENDING_CALLS
 from lugspur.mesh.control_node.disk_health import DISK_FAILURE_SECONDS
 from lugspur.mesh.control_node.leases import LEASE_SECONDS
 from lugspur.mesh.control_node.pending_changes import MAX_PENDING_SECONDS
 from lugspur.mesh.control_node.process import SWEEP_INTERVAL_SECONDS
+from lugspur.mesh.control_node.replica_catch_up import CATCH_UP_DELAY_SECONDS
 from lugspur.mesh.process import HEARTBEAT_FRACTION, MAX_MISSED_HEARTBEATS, STALENESS_FRACTION, TICK_SECONDS
 from lugspur.mesh.process_pause import PAUSE_THRESHOLD_SECONDS, REJECT_AFTER_PAUSE_SECONDS
 
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -39,7 +39,6 @@
 from lugspur.mesh.control.voter_membership import Presence, Tolerance
 from lugspur.mesh.control_node.announcement import Announcement
 from lugspur.mesh.control_node.api import ControlNodeApi
-from lugspur.mesh.control_node.catching_up import CatchingUp
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.control_node.coordination_calls import CoordinationCalls
 from lugspur.mesh.control_node.coordination_service import CoordinationService, is_coordination_hello, steady_clock
@@ -59,6 +58,7 @@
     open_disk,
     restore_state,
 )
+from lugspur.mesh.control_node.replica_catch_up import CatchingUp
 from lugspur.mesh.control_node.status import control_node_status
 from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.control_node.synced_epoch import SyncedEpoch
