--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -58,7 +58,7 @@
     open_disk,
     restore_state,
 )
-from lugspur.mesh.control_node.replica_catch_up import CatchingUp
+from lugspur.mesh.control_node.replica_catch_up import ReplicaCatchUp
 from lugspur.mesh.control_node.status import control_node_status
 from lugspur.mesh.control_node.subscribers import Subscribers
 from lugspur.mesh.control_node.synced_epoch import SyncedEpoch
@@ -121,7 +121,7 @@
         self.reader = Reader(self.replica)
         self.router = self._make_router()
         self.operator_calls = OperatorCalls(self.loop, self.replica, self.router, self.reader, self.run_effects)
-        self.catching_up = self._make_catching_up()
+        self.replica_catch_up = self._make_replica_catch_up()
         self.reconfiguration = self._make_reconfiguration()
         self.membership_changes = self._make_membership_changes()
         self.coordination = self._make_coordination(restored.coordination)
@@ -146,8 +146,8 @@
             send_to=self.send_to,
         )
 
-    def _make_catching_up(self) -> CatchingUp:
-        return CatchingUp(
+    def _make_replica_catch_up(self) -> ReplicaCatchUp:
+        return ReplicaCatchUp(
             self.loop,
             self.replica,
             run_effects=self.run_effects,
@@ -223,7 +223,7 @@
 
     def _link_ended(self, link: Link) -> None:
         self.subscribers.remove(link)
-        self.catching_up.link_ended(link)
+        self.replica_catch_up.link_ended(link)
         self.coordination.link_ended(link)
 
     def _take_request(self, link: Link, message: Message) -> None:
@@ -243,7 +243,7 @@
         elif isinstance(message, Report):
             self.leases.report(self.loop.time(), link, message.entries)
         elif isinstance(message, Learn):
-            self.catching_up.handle_changes(link, message)
+            self.replica_catch_up.handle_changes(link, message)
         elif isinstance(message, ForwardChange):
             self.router.handle_forwarded(link, message)
         elif isinstance(message, Pong):
@@ -303,19 +303,19 @@
             if has_pending:
                 self.pending_changes.report_pending(now)
         elif isinstance(message, Learn):
-            self.catching_up.handle_changes(ip, message)
+            self.replica_catch_up.handle_changes(ip, message)
         elif isinstance(message, ChangeResult):
             self.router.forwarder.receive(ip, message)
         elif isinstance(message, FetchDecided):
             self.run_effects(self.replica.handle(now, ip, message))
         elif isinstance(message, ReservationsPage):
-            self.catching_up.handle_reservations(now, ip, message)
+            self.replica_catch_up.handle_reservations(now, ip, message)
 
     def receive_update(self, now: float, ip: str, message: Delta) -> None:
         """Handle an update of a peer, and request the later changes that the peer knows unless they arrive unasked."""
         super().receive_update(now, ip, message)
         self.membership_changes.record_complete_epoch(ip, message.complete_epoch)
-        self.catching_up.peer_knows(now, ip, message.decided_index)
+        self.replica_catch_up.peer_knows(now, ip, message.decided_index)
 
     def merge_update(self, message: Delta) -> None:
         """Store the leased entries of any node's update; decided entries come only from the register."""
@@ -326,7 +326,7 @@
 
     def disconnected(self, dialer: Dialer) -> None:
         """Handle the end of a connection that this process dialled, and reroute the changes forwarded on it."""
-        self.catching_up.disconnected(dialer.ip)
+        self.replica_catch_up.disconnected(dialer.ip)
         self.membership_changes.disconnected(dialer.ip)
         super().disconnected(dialer)
         self.router.disconnected(self.loop.time(), dialer.ip)
@@ -422,7 +422,7 @@
         self.router.tick(now)
         self.run_effects(self.proposer.tick(now))
         self.run_effects(self.reader.tick(now))
-        self.catching_up.tick(now)
+        self.replica_catch_up.tick(now)
         self.pending_changes.tick(now)
         self.membership_changes.tick(now)
         self._synced_epoch.track(self.replica.complete_epoch)
--- a/lugspur/mesh/control_node/replica_catch_up.py
+++ b/lugspur/mesh/control_node/replica_catch_up.py
@@ -16,7 +16,7 @@
 CATCH_UP_DELAY_SECONDS = 0.05  # how long a replica waits for changes that it lacks to arrive unasked
 
 
-class CatchingUp:
+class ReplicaCatchUp:
     """Collects pages of changes and reservations, and requests those that don't arrive unasked."""
 
     def __init__(
