--- a/tests/mesh/coordination/test_acceptor.py
+++ b/tests/mesh/coordination/test_acceptor.py
@@ -1,4 +1,4 @@
-"""What an acceptor promises and accepts, and when it answers."""
+"""Tests of what an acceptor promises and accepts, and when it replies."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def change(number: int) -> CoordinationChange:
-    """A change with an effect."""
+    """Return a change that sets the number `n`."""
     return CoordinationChange(f"c{number}", [NumberRecord("n", number)])
 
 
 def replica_of(membership_of_seeds: bool = True, uid: str = GENESIS, ip: str = OWN.ip) -> Replica:
-    """A replica of a new mesh."""
+    """Return a replica of a new mesh whose voters are the seeds."""
     replica = Replica(ip, uid, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     replica.begin(0.0, SEEDS)
     return replica
@@ -47,17 +47,17 @@
 
 @pytest.fixture
 def acceptor(replica: Replica) -> CoordinationAcceptor:
-    found = CoordinationAcceptor(replica, 20.0)
-    found.begin()
-    return found
+    acceptor = CoordinationAcceptor(replica, 20.0)
+    acceptor.begin()
+    return acceptor
 
 
 def next_epoch(replica: Replica, voters: list[Voter]) -> Change:
-    """The change that makes these the voters of the next epoch."""
+    """Return the change that makes these the voters of the next epoch."""
     membership = replica.membership
     assert membership is not None
-    after = Membership(membership.epoch + 1, voters, membership.voters)
-    return Change(f"m{after.epoch}", [membership_entry(after)])
+    following = Membership(membership.epoch + 1, voters, membership.voters)
+    return Change(f"m{following.epoch}", [membership_entry(following)])
 
 
 def test_promises_and_acceptances_are_sent_once_they_are_on_disk(acceptor: CoordinationAcceptor) -> None:
@@ -74,10 +74,10 @@
     effects.append(acceptor.accept(0.0, "p", CoordinationAccept(1, LOW, 1, change(1))))
     effects.append(acceptor.prepare("p", CoordinationPrepare(1, HIGH)))
     rows = {key: value for effect in effects for key, value in effect.write if value is not None}
-    again = CoordinationAcceptor(replica, 20.0)
-    again.restore(list(rows.items()), 0.0, predates_coordination=False)
-    assert (again.promised, again.accepted, again.accepted_change) == (HIGH, LOW, change(1))
-    assert again.is_complete and again.can_vote
+    restarted = CoordinationAcceptor(replica, 20.0)
+    restarted.restore(list(rows.items()), 0.0, predates_coordination=False)
+    assert (restarted.promised, restarted.accepted, restarted.accepted_change) == (HIGH, LOW, change(1))
+    assert restarted.is_complete and restarted.can_vote
 
 
 def test_nothing_below_a_promise_is_granted(acceptor: CoordinationAcceptor) -> None:
@@ -101,7 +101,7 @@
     granted = acceptor.accept(0.0, "p", CoordinationAccept(1, LOW, 2, change(2)))
     assert acceptor.state.numbers == {"n": 1} and granted.after_sync
     by_another = acceptor.accept(0.0, "p", CoordinationAccept(1, HIGH, 3, change(3)))
-    assert by_another.send and acceptor.state.index == 1  # what HIGH proposed for index 2 is not known here
+    assert by_another.send and acceptor.state.index == 1  # this acceptor does not know what HIGH proposed for index 2
 
 
 def test_nothing_is_granted_while_a_change_of_the_voters_may_be_decided(
@@ -118,11 +118,11 @@
 def test_a_voter_of_two_epochs_stays_complete_and_one_that_missed_an_epoch_does_not(
     replica: Replica, acceptor: CoordinationAcceptor
 ) -> None:
-    others = [OWN, SEEDS[1], Voter("10.0.0.4", "u", "z")]
-    replica.decide(0.0, next_epoch(replica, others))
+    new_voters = [OWN, SEEDS[1], Voter("10.0.0.4", "u", "z")]
+    replica.decide(0.0, next_epoch(replica, new_voters))
     acceptor.follow_epoch()
     assert acceptor.is_complete and acceptor.complete_epoch == 2
-    for voters in ([OWN, SEEDS[1], SEEDS[2]], others):
+    for voters in ([OWN, SEEDS[1], SEEDS[2]], new_voters):
         replica.decide(0.0, next_epoch(replica, voters))
     acceptor.follow_epoch()
     assert not acceptor.is_complete and not acceptor.can_vote
@@ -137,12 +137,12 @@
     report = acceptor.report("p", FetchAcceptor(2))
     assert not report.send and isinstance(report.after_sync[0][1], AcceptorReport)
     rows.update(report.write)
-    before = replica_of()  # the configuration's environment had not been synced
-    again = CoordinationAcceptor(before, 20.0)
-    found = [(key, value) for key, value in rows.items() if value is not None]
-    again.restore(found, 0.0, predates_coordination=False)
-    assert before.epoch == 1 and not again.can_vote
-    assert again.prepare("p", CoordinationPrepare(1, LOW)).send
+    old_replica = replica_of()  # the configuration's environment had not been synced before the power loss
+    restarted = CoordinationAcceptor(old_replica, 20.0)
+    stored = [(key, value) for key, value in rows.items() if value is not None]
+    restarted.restore(stored, 0.0, predates_coordination=False)
+    assert old_replica.epoch == 1 and not restarted.can_vote
+    assert restarted.prepare("p", CoordinationPrepare(1, LOW)).send
 
 
 def test_a_report_is_for_the_present_epoch_alone(acceptor: CoordinationAcceptor) -> None:
@@ -154,11 +154,11 @@
 ) -> None:
     for number in range(1, 5):
         acceptor.decide(0.0, number, change(number))
-    pages = acceptor.changes_or_snapshot_after(2)
-    assert pages == CoordinationChanges(3, [change(3), change(4)]) and acceptor.changes_or_snapshot_after(4) is None
+    update = acceptor.changes_or_snapshot_after(2)
+    assert update == CoordinationChanges(3, [change(3), change(4)]) and acceptor.changes_or_snapshot_after(4) is None
     learner = CoordinationAcceptor(replica_of(ip="10.0.0.2"), 20.0)
     learner.learn_changes(0.0, CoordinationChanges(3, [change(3)]))
-    assert learner.state.index == 0  # the two before are missing
+    assert learner.state.index == 0  # the two previous changes are missing
     learner.learn_changes(0.0, CoordinationChanges(1, [change(1), change(2)]))
     learner.learn_changes(0.0, CoordinationChanges(2, [change(2), change(3)]))
     assert learner.state.index == 3 and learner.state.numbers == {"n": 3}
--- a/tests/mesh/coordination/test_batch.py
+++ b/tests/mesh/coordination/test_batch.py
@@ -1,4 +1,4 @@
-"""What each command answers and changes, by the state that it meets."""
+"""Tests of the result and the records of each command, by the state that it is evaluated against."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from lugspur.mesh.coordination.state import CoordinationState
 
 
-def carry_out(state: CoordinationState, now: float, *commands: Command) -> list[Result]:
-    """Evaluate commands as one batch, and put it into force."""
+def run_batch(state: CoordinationState, now: float, *commands: Command) -> list[Result]:
+    """Evaluate commands as one batch, apply its change, and return the results."""
     batch = CommandBatch(state, now)
     results = [batch.evaluate(command) for command in commands]
     if batch.records:
@@ -51,50 +51,50 @@
 
 
 def test_a_lock_is_denied_to_others_until_its_time_is_over(state: CoordinationState) -> None:
-    assert carry_out(state, 10.0, OpenLock("l", "a", 1000)) == [LockGranted(1)]
-    assert carry_out(state, 10.9, OpenLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 11.1, OpenLock("l", "b", 1000)) == [LockGranted(2)]
+    assert run_batch(state, 10.0, OpenLock("l", "a", 1000)) == [LockGranted(1)]
+    assert run_batch(state, 10.9, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert run_batch(state, 11.1, OpenLock("l", "b", 1000)) == [LockGranted(2)]
 
 
 def test_a_holder_gets_its_fence_again_and_more_time(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 10.5, OpenLock("l", "a", 1000)) == [LockGranted(1)]
-    assert carry_out(state, 11.3, OpenLock("l", "b", 1000)) == [LockDenied()]
+    run_batch(state, 10.0, OpenLock("l", "a", 1000))
+    assert run_batch(state, 10.5, OpenLock("l", "a", 1000)) == [LockGranted(1)]
+    assert run_batch(state, 11.3, OpenLock("l", "b", 1000)) == [LockDenied()]
 
 
 def test_a_shorter_time_takes_nothing_from_a_holder(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 5000))
-    carry_out(state, 10.1, RenewLock("l", "a", 1, 100))
-    assert carry_out(state, 14.0, OpenLock("l", "b", 1000)) == [LockDenied()]
+    run_batch(state, 10.0, OpenLock("l", "a", 5000))
+    run_batch(state, 10.1, RenewLock("l", "a", 1, 100))
+    assert run_batch(state, 14.0, OpenLock("l", "b", 1000)) == [LockDenied()]
     restored = CoordinationState(20.0)
     restored.replace(100.0, state.snapshot())
-    assert carry_out(restored, 104.0, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert run_batch(restored, 104.0, OpenLock("l", "b", 1000)) == [LockDenied()]
 
 
 def test_a_holder_that_died_comes_again_under_its_name_with_a_new_fence(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 12.0, OpenLock("l", "a", 1000)) == [LockGranted(2)]
+    run_batch(state, 10.0, OpenLock("l", "a", 1000))
+    assert run_batch(state, 12.0, OpenLock("l", "a", 1000)) == [LockGranted(2)]
 
 
 def test_a_renewal_of_a_lost_lock_is_refused(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 10.5, RenewLock("l", "a", 1, 1000)) == [LockRenewed()]
-    assert carry_out(state, 10.6, RenewLock("l", "a", 2, 1000)) == [LockLost()]
-    assert carry_out(state, 10.6, RenewLock("l", "b", 1, 1000)) == [LockLost()]
-    assert carry_out(state, 12.0, RenewLock("l", "a", 1, 1000)) == [LockLost()]  # it has given the lock up
+    run_batch(state, 10.0, OpenLock("l", "a", 1000))
+    assert run_batch(state, 10.5, RenewLock("l", "a", 1, 1000)) == [LockRenewed()]
+    assert run_batch(state, 10.6, RenewLock("l", "a", 2, 1000)) == [LockLost()]
+    assert run_batch(state, 10.6, RenewLock("l", "b", 1, 1000)) == [LockLost()]
+    assert run_batch(state, 12.0, RenewLock("l", "a", 1, 1000)) == [LockLost()]  # the lock has expired
 
 
 def test_a_close_that_comes_late_closes_nothing(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000))
-    assert carry_out(state, 10.1, CloseLock("l", "a", 1)) == [LockClosed()]
-    assert carry_out(state, 10.2, OpenLock("l", "a", 1000)) == [LockGranted(2)]
-    assert carry_out(state, 10.3, CloseLock("l", "a", 1)) == [LockClosed()]
-    assert carry_out(state, 10.4, OpenLock("l", "b", 1000)) == [LockDenied()]
-    assert carry_out(state, 10.4, CloseLock("never", "a", 1)) == [LockClosed()]
+    run_batch(state, 10.0, OpenLock("l", "a", 1000))
+    assert run_batch(state, 10.1, CloseLock("l", "a", 1)) == [LockClosed()]
+    assert run_batch(state, 10.2, OpenLock("l", "a", 1000)) == [LockGranted(2)]
+    assert run_batch(state, 10.3, CloseLock("l", "a", 1)) == [LockClosed()]
+    assert run_batch(state, 10.4, OpenLock("l", "b", 1000)) == [LockDenied()]
+    assert run_batch(state, 10.4, CloseLock("never", "a", 1)) == [LockClosed()]
 
 
 def test_commands_of_one_batch_see_each_other(state: CoordinationState) -> None:
-    assert carry_out(
+    assert run_batch(
         state,
         10.0,
         OpenLock("l", "a", 1000),
@@ -106,21 +106,21 @@
 
 
 def test_fences_rise_over_all_locks_and_restarts(state: CoordinationState) -> None:
-    carry_out(state, 10.0, OpenLock("l", "a", 1000), OpenLock("m", "a", 1000), CloseLock("m", "a", 2))
+    run_batch(state, 10.0, OpenLock("l", "a", 1000), OpenLock("m", "a", 1000), CloseLock("m", "a", 2))
     rows = {key: value for key, value in state._rows() if value is not None}
     restored = CoordinationState(20.0)
     restored.restore(rows.items(), 0.0)
-    assert carry_out(restored, 0.0, OpenLock("m", "a", 1000)) == [LockGranted(3)]
+    assert run_batch(restored, 0.0, OpenLock("m", "a", 1000)) == [LockGranted(3)]
 
 
 def test_locks_beyond_the_bound_are_rejected_until_others_run_out(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(batch_module, "MAX_LOCKS", 3)
-    carry_out(state, 10.0, *[OpenLock(f"l{n}", "a", 1000) for n in range(3)])
-    [rejected] = carry_out(state, 10.0, OpenLock("more", "a", 1000))
+    run_batch(state, 10.0, *[OpenLock(f"l{n}", "a", 1000) for n in range(3)])
+    [rejected] = run_batch(state, 10.0, OpenLock("more", "a", 1000))
     assert isinstance(rejected, CommandFailed) and rejected.error_kind == ErrorKind.TOO_MANY.value
-    assert carry_out(state, 12.0, OpenLock("more", "a", 1000)) == [LockGranted(4)]
+    assert run_batch(state, 12.0, OpenLock("more", "a", 1000)) == [LockGranted(4)]
     assert set(state.locks) == {"more"}
 
 
@@ -128,34 +128,34 @@
 
 
 def test_numbers_rise_by_name(state: CoordinationState) -> None:
-    assert carry_out(state, 0.0, TakeNumber("n"), TakeNumber("n"), TakeNumber("m")) == [
+    assert run_batch(state, 0.0, TakeNumber("n"), TakeNumber("n"), TakeNumber("m")) == [
         NumberTaken(1),
         NumberTaken(2),
         NumberTaken(1),
     ]
-    assert carry_out(state, 0.0, TakeNumber("n")) == [NumberTaken(3)]
+    assert run_batch(state, 0.0, TakeNumber("n")) == [NumberTaken(3)]
 
 
 def test_names_of_numbers_beyond_the_bound_are_rejected(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(batch_module, "MAX_NUMBERS", 1)
-    carry_out(state, 0.0, TakeNumber("n"))
-    [rejected] = carry_out(state, 0.0, TakeNumber("m"))
+    run_batch(state, 0.0, TakeNumber("n"))
+    [rejected] = run_batch(state, 0.0, TakeNumber("m"))
     assert isinstance(rejected, CommandFailed)
-    assert carry_out(state, 0.0, TakeNumber("n")) == [NumberTaken(2)]
+    assert run_batch(state, 0.0, TakeNumber("n")) == [NumberTaken(2)]
 
 
 # ---- keys ------------------------------------------------------------------------------------
 
 
 def test_a_group_shares_one_count_of_revisions_from_1(state: CoordinationState) -> None:
-    assert carry_out(state, 0.0, PutCell("g.a", "1"), PutCell("g.b", "2"), PutCell("h.a", "3")) == [
+    assert run_batch(state, 0.0, PutCell("g.a", "1"), PutCell("g.b", "2"), PutCell("h.a", "3")) == [
         CellWritten(1),
         CellWritten(2),
         CellWritten(1),
     ]
-    assert carry_out(state, 0.0, ReadGroup("g."), ReadGroup("none."), ReadCell("g.b"), ReadCell("g.c")) == [
+    assert run_batch(state, 0.0, ReadGroup("g."), ReadGroup("none."), ReadCell("g.b"), ReadCell("g.c")) == [
         GroupRevision(2),
         GroupRevision(0),
         CellFound("2", 2),
@@ -164,17 +164,17 @@
 
 
 def test_a_put_compares_the_revision_of_its_key(state: CoordinationState) -> None:
-    assert carry_out(state, 0.0, PutCell("g.a", "1", 0)) == [CellWritten(1)]
-    assert carry_out(state, 0.0, PutCell("g.a", "2", 0)) == [RevisionMismatch(1)]
-    assert carry_out(state, 0.0, PutCell("g.b", "3", 1)) == [RevisionMismatch(0)]
-    assert carry_out(state, 0.0, PutCell("g.a", "4", 1)) == [CellWritten(2)]
+    assert run_batch(state, 0.0, PutCell("g.a", "1", 0)) == [CellWritten(1)]
+    assert run_batch(state, 0.0, PutCell("g.a", "2", 0)) == [RevisionMismatch(1)]
+    assert run_batch(state, 0.0, PutCell("g.b", "3", 1)) == [RevisionMismatch(0)]
+    assert run_batch(state, 0.0, PutCell("g.a", "4", 1)) == [CellWritten(2)]
 
 
 def test_a_value_that_is_put_again_has_its_first_revision_also_after_others(state: CoordinationState) -> None:
-    carry_out(state, 0.0, PutCell("g.a", "1", 0), PutCell("g.a", "2", 1))
-    assert carry_out(state, 0.0, PutCell("g.a", "1", 0)) == [CellWritten(1)]
-    assert carry_out(state, 0.0, PutCell("g.a", "2", 1)) == [CellWritten(2)]
-    assert carry_out(state, 0.0, PutCell("g.a", "3", 2), PutCell("g.a", "4", 3), PutCell("g.a", "3", 2)) == [
+    run_batch(state, 0.0, PutCell("g.a", "1", 0), PutCell("g.a", "2", 1))
+    assert run_batch(state, 0.0, PutCell("g.a", "1", 0)) == [CellWritten(1)]
+    assert run_batch(state, 0.0, PutCell("g.a", "2", 1)) == [CellWritten(2)]
+    assert run_batch(state, 0.0, PutCell("g.a", "3", 2), PutCell("g.a", "4", 3), PutCell("g.a", "3", 2)) == [
         CellWritten(3),
         CellWritten(4),
         CellWritten(3),
@@ -186,12 +186,12 @@
 def test_puts_beyond_a_bound_are_rejected_with_nothing_done(
     state: CoordinationState, monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
-    carry_out(state, 0.0, PutCell("g.a", "1"))
+    run_batch(state, 0.0, PutCell("g.a", "1"))
     if name == "bytes":
         state.max_bytes = state.size_bytes
     else:
         monkeypatch.setattr(batch_module, name, 1)
     index = state.index
-    [rejected] = carry_out(state, 0.0, PutCell("g.b", "2"))
+    [rejected] = run_batch(state, 0.0, PutCell("g.b", "2"))
     assert isinstance(rejected, CommandFailed) and rejected.error_kind == ErrorKind.TOO_MANY.value
-    assert state.index == index and carry_out(state, 0.0, PutCell("g.a", "1")) == [CellWritten(1)]
+    assert state.index == index and run_batch(state, 0.0, PutCell("g.a", "1")) == [CellWritten(1)]
--- a/tests/mesh/coordination/test_state.py
+++ b/tests/mesh/coordination/test_state.py
@@ -1,4 +1,4 @@
-"""The state at one replica: what is kept for how long, and that disks and snapshots hold all of it."""
+"""Tests of the state at one replica: how long it keeps what, and that rows and snapshots contain all of it."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     state.apply(now, CoordinationChange(f"c{state.index}", [CellRecord(key, value, revision)]))
 
 
-def restored(state: CoordinationState, now: float) -> CoordinationState:
-    """The state as it is after a restart."""
-    again = CoordinationState(HISTORY_SECONDS)
-    again.restore([(key, value) for key, value in state._rows() if value is not None], now)
-    return again
+def restart(state: CoordinationState, now: float) -> CoordinationState:
+    """Return the state after a restart."""
+    restarted = CoordinationState(HISTORY_SECONDS)
+    restarted.restore([(key, value) for key, value in state._rows() if value is not None], now)
+    return restarted
 
 
 def test_puts_are_kept_for_twice_the_history_from_when_they_are_learned() -> None:
@@ -47,9 +47,9 @@
 def test_the_age_of_a_put_begins_anew_with_a_restart() -> None:
     state = CoordinationState(HISTORY_SECONDS)
     put(state, 0.0, "g.a", "1")
-    again = restored(state, 1000.0)
-    again.prune(1039.0)
-    assert [p.revision for p in again.puts_after("g.", 0, 9) or []] == [1]
+    restarted = restart(state, 1000.0)
+    restarted.prune(1039.0)
+    assert [p.revision for p in restarted.puts_after("g.", 0, 9) or []] == [1]
 
 
 def test_what_was_forgotten_stays_forgotten_over_a_restart() -> None:
@@ -57,9 +57,9 @@
     put(state, 0.0, "g.a", "1")
     put(state, 0.0, "g.a", "2")
     state.prune(41.0)
-    again = restored(state, 0.0)
-    assert again.puts_after("g.", 1, 9) is None and again.puts_after("g.", 2, 9) == []
-    assert again.group_revision("g.") == 2
+    restarted = restart(state, 0.0)
+    assert restarted.puts_after("g.", 1, 9) is None and restarted.puts_after("g.", 2, 9) == []
+    assert restarted.group_revision("g.") == 2
 
 
 def test_a_replica_that_lacks_a_few_changes_is_sent_these_and_others_the_whole_state() -> None:
@@ -79,8 +79,8 @@
 )
 
 
-def rising(found: list[Record]) -> list[Record]:
-    """The records with fences, numbers and revisions that rise, as a leader gives them."""
+def with_increasing_values(found: list[Record]) -> list[Record]:
+    """Return the records with increasing fences, numbers and revisions, as a leader assigns them."""
     return [
         LockRecord(r.name, r.holder, n, r.hold_ms)
         if isinstance(r, LockRecord)
@@ -96,7 +96,7 @@
 @given(st.lists(records, max_size=12), st.booleans())
 def test_the_rows_that_are_written_hold_the_whole_state(found: list[Record], prunes: bool) -> None:
     state, rows = CoordinationState(HISTORY_SECONDS), dict[bytes, bytes]()
-    for number, record in enumerate(rising(found)):
+    for number, record in enumerate(with_increasing_values(found)):
         written = state.apply(float(number), CoordinationChange(f"c{number}", [record]))
         written += state.prune(number + 35.0) if prunes else []
         for key, value in written:
@@ -104,9 +104,9 @@
                 rows.pop(key, None)
             else:
                 rows[key] = value
-    again = CoordinationState(HISTORY_SECONDS)
-    again.restore(rows.items(), 0.0)
-    assert again.snapshot() == state.snapshot()
-    assert again.size_bytes == state.size_bytes and again.put_count == state.put_count
-    taken_over = CoordinationState(HISTORY_SECONDS)
-    assert dict(taken_over.replace(0.0, state.snapshot())) == {k: v for k, v in state._rows() if v is not None}
+    restarted = CoordinationState(HISTORY_SECONDS)
+    restarted.restore(rows.items(), 0.0)
+    assert restarted.snapshot() == state.snapshot()
+    assert restarted.size_bytes == state.size_bytes and restarted.put_count == state.put_count
+    replaced = CoordinationState(HISTORY_SECONDS)
+    assert dict(replaced.replace(0.0, state.snapshot())) == {k: v for k, v in state._rows() if v is not None}
