--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -154,14 +154,14 @@
 def read_watch_query(request: Request, name: str) -> WatchQuery:
     """Return the parameters of a watch; raises MeshError (BAD_REQUEST) if they are invalid."""
     query = parse_qs(request.target.partition(b"?")[2].decode("ascii", "replace"))
-    found: dict[str, int] = {}
+    numbers: dict[str, int] = {}
     for field in ("after", "wait_ms"):
         values = query.get(field, [])
         if len(values) > 1 or not all(re.fullmatch("[0-9]{1,19}", value, re.ASCII) for value in values):
             raise MeshError(ErrorKind.BAD_REQUEST, f"{field} must be given at most once, as a whole number")
-        found[field] = int(values[0]) if values else 0
-    after = _check_range("after", found["after"], 0, MAX_NUMBER)
-    wait_ms = _check_range("wait_ms", found["wait_ms"], 0, MAX_WAIT_MS)
+        numbers[field] = int(values[0]) if values else 0
+    after = _check_range("after", numbers["after"], 0, MAX_NUMBER)
+    wait_ms = _check_range("wait_ms", numbers["wait_ms"], 0, MAX_WAIT_MS)
     return WatchQuery(check_group(name), after, wait_ms / 1000.0)
 
 
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -55,15 +55,15 @@
     def _on_outcome(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
-        fault = error_of(outcome)
-        self.change_outcomes["confirmed" if fault is None else fault.code] += 1
-        events.info("amend", bytes=body_bytes, fault=fault or "none", index=self._replica.index)
+        error = error_of(outcome)
+        self.change_outcomes["confirmed" if error is None else error.code] += 1
+        events.info("amend", bytes=body_bytes, fault=error or "none", index=self._replica.index)
         if not is_waiting:
             return
-        if fault is None:
+        if error is None:
             reply(caller)
         else:
-            fail(caller, fault)
+            fail(caller, error)
 
     def _on_caller_gone(self, caller: Answerable, change: ChangeRequest) -> None:
         """Withdraw the change of a caller that has left, as another node may have rejected its call in the meantime."""
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -338,11 +338,11 @@
 
     def wanted_peers(self) -> set[str]:
         """Return the voters and seeds, and while this node lacks reservations the previous voters, which have them."""
-        found = super().wanted_peers()
+        wanted = super().wanted_peers()
         membership = self.replica.membership
         if membership is not None and self.replica.is_voter and not self.replica.is_complete:
-            found |= {voter.ip for voter in membership.previous_voters} - {self.ip}
-        return found
+            wanted |= {voter.ip for voter in membership.previous_voters} - {self.ip}
+        return wanted
 
     # ---- updates and announcements ---------------------------------------------------------
 
--- a/lugspur/mesh/coordination/acceptor.py
+++ b/lugspur/mesh/coordination/acceptor.py
@@ -143,7 +143,7 @@
     # ---- acceptor ------------------------------------------------------------------------
 
     def prepare(self, peer: Peer, message: CoordinationPrepare) -> Effects:
-        """Phase 1b: promise to accept no lower proposal for any later index; the promise is sent after the sync."""
+        """Phase 1b: promise to accept no lower proposal for any index from now on; reply after the sync."""
         if not self._may_grant(message.epoch, message.proposal):
             return Effects(send=[(peer, self._promise(message, is_granted=False))])
         self.promised = message.proposal
@@ -184,7 +184,10 @@
         )
 
     def confirm(self, peer: Peer, message: CoordinationConfirm) -> Effects:
-        """Reply whether no higher proposal was promised; a majority proves that the proposer knows all decisions."""
+        """Reply whether no higher proposal was promised.
+
+        If a majority confirms that, nothing was decided that the proposer does not know.
+        """
         is_granted = self._may_grant(message.epoch, message.proposal)
         reply = CoordinationConfirmed(message.epoch, message.proposal, message.round, is_granted, self.promised)
         return Effects(send=[(peer, reply)])
@@ -257,7 +260,7 @@
         return effects
 
     def check_same_change(self, index: int, change: CoordinationChange) -> None:
-        """Check that a change that is decided for an index at another node is the one that is decided here."""
+        """Check that the change that another node has decided for an index is the one that is kept here."""
         known = self.state.changes_after(index - 1)
         if known:
             check(known[0].id == change.id, Invariant.ONE_CHANGE_PER_INDEX, index=index, change=change.id)
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -192,5 +192,5 @@
         return GroupRevision(self._group_revision(command.name))
 
 
-def _too_many(what: str) -> CommandFailed:
-    return CommandFailed(ErrorKind.TOO_MANY.value, f"there are too many {what}")
+def _too_many(items: str) -> CommandFailed:
+    return CommandFailed(ErrorKind.TOO_MANY.value, f"there are too many {items}")
--- a/lugspur/mesh/coordination/state.py
+++ b/lugspur/mesh/coordination/state.py
@@ -140,13 +140,13 @@
             return []
         if revision < group.pruned_revision:
             return None
-        found: list[CellRecord] = []
+        records: list[CellRecord] = []
         for put in reversed(group.puts):
             if put.record.revision <= revision:
                 break
-            found.append(put.record)
-        found.reverse()
-        return found[:limit]
+            records.append(put.record)
+        records.reverse()
+        return records[:limit]
 
     def changes_after(self, index: int) -> list[CoordinationChange] | None:
         """Return the changes after an index, or None if some of them are no longer kept."""
