--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -315,7 +315,7 @@
         """Handle an update of a peer, and request the later changes that the peer knows unless they arrive unasked."""
         super().receive_update(now, ip, message)
         self.membership_changes.record_complete_epoch(ip, message.complete_epoch)
-        self.replica_catch_up.peer_knows(now, ip, message.decided_index)
+        self.replica_catch_up.request_changes_up_to(now, ip, message.decided_index)
 
     def merge_update(self, message: Delta) -> None:
         """Store the leased entries of any node's update; decided entries come only from the register."""
--- a/lugspur/mesh/control_node/replica_catch_up.py
+++ b/lugspur/mesh/control_node/replica_catch_up.py
@@ -49,7 +49,7 @@
             events.info("complete", epoch=self._replica.epoch, claims=len(self._replica.reservations))
             self._on_complete()
 
-    def peer_knows(self, now: float, ip: str, index: int) -> None:
+    def request_changes_up_to(self, now: float, ip: str, index: int) -> None:
         """Request changes from a peer that knows all up to an index, unless they arrive unasked."""
         if index > self._replica.index and now - self._requested_at > CATCH_UP_DELAY_SECONDS:
             self._requested_at = now
