--- a/lugspur/mesh/control_node/majority_contact.py
+++ b/lugspur/mesh/control_node/majority_contact.py
@@ -6,7 +6,7 @@
 from lugspur.mesh.control.replica import Replica
 
 NO_CONTACT_SECONDS = 1e9  # the age of the latest contact if no membership is known
-PROPOSER_SILENCE_SECONDS = 0.5  # maximum age of the latest update of a voter to which changes are forwarded
+MAX_PROPOSER_SILENCE_SECONDS = 0.5  # maximum age of the latest update of a voter to which changes are forwarded
 
 
 class MajorityContact:
@@ -33,6 +33,6 @@
         if self.age(now) > self._max_staleness:
             return self._ip
         for voter in membership.voters if membership is not None else ():
-            if voter.ip == self._ip or now - self._freshness.latest_update_at(voter.ip) < PROPOSER_SILENCE_SECONDS:
+            if voter.ip == self._ip or now - self._freshness.latest_update_at(voter.ip) < MAX_PROPOSER_SILENCE_SECONDS:
                 return voter.ip
         return self._ip
--- a/tests/mesh/control_node/test_majority_contact.py
+++ b/tests/mesh/control_node/test_majority_contact.py
@@ -6,7 +6,7 @@
 
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta
-from lugspur.mesh.control_node.majority_contact import NO_CONTACT_SECONDS, PROPOSER_SILENCE_SECONDS, MajorityContact
+from lugspur.mesh.control_node.majority_contact import MAX_PROPOSER_SILENCE_SECONDS, NO_CONTACT_SECONDS, MajorityContact
 
 MAX_STALENESS = 0.8
 FIRST, OWN, LAST = IPS  # the voters, in the order in which they propose
@@ -31,7 +31,7 @@
     receive_update(freshness, 10.0, FIRST)
     receive_update(freshness, 10.0, LAST)
     assert majority.age(10.0) == 0.0 and majority.preferred_proposer(10.0) == FIRST
-    now = 10.0 + PROPOSER_SILENCE_SECONDS
+    now = 10.0 + MAX_PROPOSER_SILENCE_SECONDS
     receive_update(freshness, now, LAST)
     assert majority.preferred_proposer(now) == OWN  # the first voter has been silent for too long
 
