--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -205,9 +205,8 @@
             self.run_effects(begin_as_first_voter(self.settings, replica, self.loop.time()))
             self.coordination.begin(is_first_voter=True)
         elif not rows:
-            self.disk.write(
-                [(UID_ROW, replica.voter.uid.encode())], lambda: None
-            )  # the callback makes the disk write at once
+            # The callback makes the disk write at once: it wakes the writer.
+            self.disk.write([(UID_ROW, replica.voter.uid.encode())], lambda: None)
             self.coordination.begin(is_first_voter=False)
         events.info("control", uid=replica.voter.uid, epoch=replica.epoch, index=replica.index, rows=len(rows))
         self.announce()
@@ -217,7 +216,7 @@
     async def serve(self) -> None:
         """Listen for peers, and for operators and applications."""
         ip, port = self.settings.inner_bind_address
-        await self.loop.create_server(lambda: Link(self._take_request, self._link_ended), ip, port, backlog=512)
+        await self.loop.create_server(lambda: Link(self._handle_peer_message, self._link_ended), ip, port, backlog=512)
         memory_bytes = self.settings.own.limits.memory_mb << 20
         self.front = await self.dispatch_calls.serve(self.settings.network.listen.dispatch, memory_bytes)
 
@@ -226,7 +225,7 @@
         self.replica_catch_up.link_ended(link)
         self.coordination.link_ended(link)
 
-    def _take_request(self, link: Link, message: Message) -> None:
+    def _handle_peer_message(self, link: Link, message: Message) -> None:
         """Handle a message on a connection that a peer dialled."""
         if isinstance(message, Hello) and is_coordination_hello(message):
             self.coordination.handle_hello(link, message)
@@ -274,11 +273,11 @@
     def send_to(self, ip: str, message: Message) -> None:
         """Send a message to a control node, which may be this one."""
         if ip == self.ip:
-            self.loop.call_soon(self._take_own_request, message)
+            self.loop.call_soon(self._handle_own_message, message)
         else:
             super().send_to(ip, message)
 
-    def _take_own_request(self, message: Message) -> None:
+    def _handle_own_message(self, message: Message) -> None:
         self.run_effects(self.replica.handle(self.loop.time(), self.local_peer, message))
 
     def _publish(self, entries: list[Entry], forgotten: list[EntryKey]) -> None:
