--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -1,6 +1,6 @@
 """Routes changes to a proposer: this node's own, or that of the preferred proposer.
 
-One node proposes for all while voters hear each other, so that proposers don't compete.
+While voters hear each other one node proposes for all, as competing proposers keep each other from deciding.
 """
 
 from __future__ import annotations
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -178,7 +178,7 @@
         self._submit, self._watches, self._call_later = submit, watches, call_later
         self.waiting: set[Answerable] = set()  # callers without a response, except those of watches
         self._watching: set[Answerable] = set()  # callers of watches without a response
-        self.outcome_counts: Counter[str] = Counter()  # responses since the start of the process, by call and outcome
+        self.outcome_counts: Counter[str] = Counter()  # calls since the start of the process, by call and outcome
         self.is_leaving = False
 
     def add_to(self, calls: HttpApi) -> None:
