--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -28,8 +28,12 @@
 
 MAX_HISTORIES = 1200  # until a guard counts as missed
 
-_prepare, _accept, _counts = CoordinationAcceptor.prepare, CoordinationAcceptor.accept, CoordinationAcceptor._counts
-_take_reports, _follow_epoch = CoordinationAcceptor.take_reports, CoordinationAcceptor.follow_epoch
+_prepare, _accept, _may_grant = (
+    CoordinationAcceptor.prepare,
+    CoordinationAcceptor.accept,
+    CoordinationAcceptor._may_grant,
+)
+_adopt_reports, _follow_epoch = CoordinationAcceptor.adopt_reports, CoordinationAcceptor.follow_epoch
 _next_batch, _step_down = CoordinationProposer._next_batch, CoordinationProposer._step_down
 _load, _apply_lock = CoordinationState._load, CoordinationState._apply_lock
 
@@ -49,7 +53,7 @@
 
 def count_below_promise(self: CoordinationAcceptor, epoch: int, proposal: ProposalNumber) -> bool:
     self.promised = min(self.promised, proposal)
-    return _counts(self, epoch, proposal)
+    return _may_grant(self, epoch, proposal)
 
 
 def count_in_any_epoch(self: CoordinationAcceptor, epoch: int, proposal: ProposalNumber) -> bool:
@@ -60,12 +64,12 @@
     return self._acceptor.become_complete(report.genesis_epoch) if report.genesis_epoch else Effects()
 
 
-def take_reports_of_decisions(
+def adopt_reports_of_decisions(
     self: CoordinationAcceptor, now: float, reports: list[AcceptorReport], genesis_epoch: int
 ) -> Effects:
     for report in reports:
         report.accepted = report.change = None
-    return _take_reports(self, now, reports, genesis_epoch)
+    return _adopt_reports(self, now, reports, genesis_epoch)
 
 
 def stay_complete(self: CoordinationAcceptor) -> Effects:
@@ -158,20 +162,20 @@
 GUARDS = (
     Guard("a promise is on disk before it is sent", CoordinationAcceptor, "prepare", promise_in_memory),
     Guard("an acceptance is on disk before it is sent", CoordinationAcceptor, "accept", accept_before_sync),
-    Guard("nothing below a promise is accepted", CoordinationAcceptor, "_counts", count_below_promise),
-    Guard("a message counts in its epoch alone", CoordinationAcceptor, "_counts", count_in_any_epoch),
+    Guard("nothing below a promise is accepted", CoordinationAcceptor, "_may_grant", count_below_promise),
+    Guard("a message counts in its epoch alone", CoordinationAcceptor, "_may_grant", count_in_any_epoch),
     Guard(
         "nothing is accepted while a change of the voters may be decided",
         CoordinationAcceptor,
-        "accepts",
+        "can_vote",
         property(lambda self: self.is_complete),
     ),
     Guard("a new voter hears a majority", VoterCatchUp, "receive", begin_at_once),
     Guard(
         "a new voter takes over what was accepted",
         CoordinationAcceptor,
-        "take_reports",
-        take_reports_of_decisions,
+        "adopt_reports",
+        adopt_reports_of_decisions,
     ),
     Guard("completeness ends where epochs are missing", CoordinationAcceptor, "follow_epoch", stay_complete),
     Guard(
@@ -184,7 +188,7 @@
     Guard("a majority confirms what changes nothing", CoordinationProposer, "_next_batch", answer_unconfirmed),
     Guard("what was proposed is not rejected", CoordinationProposer, "_step_down", reject_doubtful),
     Guard("what was proposed is not run again", CoordinationProposer, "_step_down", requeue_doubtful),
-    Guard("what waits too long is unclear", PendingCommand, "give_up", give_up_pending_as_rejected),
+    Guard("what waits too long is unclear", PendingCommand, "fail_as_unclear", give_up_pending_as_rejected),
     Guard(
         "a value that is put again keeps its revision",
         CoordinationState,
