--- a/lugspur/mesh/dataplane/admitted_request.py
+++ b/lugspur/mesh/dataplane/admitted_request.py
@@ -1,4 +1,4 @@
-"""A request that the concurrency limiter has accepted, and the queue of those that wait for the backend."""
+"""Requests that the concurrency limiter has admitted, and the priority queue in which they wait for the backend."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AdmittedRequest:
-    """A request that was accepted for the backend and has no result yet; times are the loop's."""
+    """A request that was admitted for the backend and has no result yet; times are in event loop time."""
 
     __slots__ = (
         "deadline",
@@ -31,16 +31,16 @@
     ) -> None:
         self.forward, self.local_backend, self.respond = forward, local, respond
         self.deadline = now + forward.seconds_left
-        self.exchange: Exchange | None = None  # with the backend, once the request has been offered to it
+        self.exchange: Exchange | None = None  # the HTTP exchange with the backend, once it has started
         self.was_offered = False
         self.offered_at = now
         self.is_finished = False
 
 
 class AdmissionQueue:
-    """Accepted requests that wait for the backend, the most urgent first; equally urgent ones in order of arrival.
+    """Admitted requests that wait for the backend, most urgent first and FIFO among equally urgent ones.
 
-    Finished requests stay in the queue until they come to its head, where the limiter passes over them.
+    A request that finishes while it waits stays queued until it reaches the head, where the limiter skips it.
     """
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         self._sequence_numbers = itertools.count()
 
     def __len__(self) -> int:
-        """Return the number of requests, finished ones included."""
+        """Return the number of queued requests, including finished ones that have not been removed yet."""
         return len(self._heap)
 
     def push(self, now: float, request: AdmittedRequest) -> None:
@@ -56,18 +56,18 @@
         heapq.heappush(self._heap, (urgency_of(now, request.forward), next(self._sequence_numbers), request))
 
     def pop(self) -> AdmittedRequest:
-        """Remove and return the most urgent request; raises IndexError where the queue is empty."""
+        """Remove and return the most urgent request; raises IndexError if the queue is empty."""
         return heapq.heappop(self._heap)[2]
 
     def pop_least_urgent(self) -> AdmittedRequest:
-        """Remove and return the least urgent request; raises ValueError where the queue is empty."""
-        last = max(self._heap)
-        self._heap.remove(last)
+        """Remove and return the least urgent request; raises ValueError if the queue is empty."""
+        least_urgent = max(self._heap)
+        self._heap.remove(least_urgent)
         heapq.heapify(self._heap)
-        return last[2]
+        return least_urgent[2]
 
     def routes_ahead_of(self, urgency: Urgency) -> list[str]:
-        """Return the routes of unfinished requests that would be served before a new one of this urgency."""
+        """Return the routes of the unfinished requests that would be served before a new request of this urgency."""
         return [
             request.forward.route
             for waiting_urgency, _, request in self._heap
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -1,8 +1,8 @@
-"""The concurrency limiter of the local backend: who runs at once, who waits, and who is rejected.
+"""The concurrency limiter of the local backend, with a bounded priority queue and load shedding.
 
-All requests for the backend of this machine go through one limiter. It lets as many run as the backend says it can,
-keeps a short queue of the most urgent others, and rejects at once what would be answered too late: a queue in which
-everybody is late serves no more than a short one.
+All requests for the backend of this machine go through one limiter. It runs as many at once as the backend declares in
+its heartbeats, queues a few of the most urgent others, and immediately rejects those whose response would be too late:
+a long queue in which every request is late achieves no more throughput than a short one.
 """
 
 from __future__ import annotations
@@ -34,32 +34,34 @@
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
-# A backend that closes is given new requests a little longer, as the update reaches all proxies: for a fraction of its
-# time to drain...
+# A closing backend still gets new requests while the update that it closes reaches all proxies. That time is this
+# fraction of the drain time, and at most MAX_CLOSING_ACCEPT_SECONDS.
 CLOSING_ACCEPT_FRACTION = 0.25
-MAX_CLOSING_ACCEPT_SECONDS = 0.4  # ...but no longer
-DRAIN_START_FRACTION = 0.8  # of the time to drain, in which requests that were accepted before may still start
-EXTRA_REQUESTS = 1  # at the backend beyond its concurrency, so that the next one is there when one ends
-MAX_QUEUE_FACTOR = 2  # requests that wait, as a multiple of the backend's concurrency
-# A request may wait for a fraction of its latency target less its service time...
+MAX_CLOSING_ACCEPT_SECONDS = 0.4
+DRAIN_START_FRACTION = 0.8  # fraction of the drain time during which queued requests may still be started
+EXTRA_REQUESTS = 1  # requests sent to the backend beyond its concurrency, so that it never waits for the next one
+MAX_QUEUE_FACTOR = 2  # maximum queue length, as a multiple of the backend's concurrency
+# Maximum queueing time of a request, as a fraction of its latency target minus its service time.
 MAX_WAIT_FRACTION = 0.6
-MAX_WAIT_FRACTION_OF_RETRIES = 1.0  # ...where its caller was rejected before: rejected once more, it is lost
-MAX_WAIT_FRACTION_OF_SHORT = 0.5  # ...and of its deadline if it is short: its caller may occupy a backend elsewhere
-# A request is short up to this fraction of the longest service time of a route: it costs little, and is often a call
-# that another request waits for.
+MAX_WAIT_FRACTION_OF_RETRIES = 1.0  # the same for a request that was rejected before: another rejection would lose it
+# Maximum queueing time of a short request, as a fraction of its deadline minus its service time: its caller may be a
+# request that occupies another backend meanwhile.
+MAX_WAIT_FRACTION_OF_SHORT = 0.5
+# A request is short if its service time is at most this fraction of that of the slowest route. Such a request is cheap,
+# and is often a nested call that another request waits for.
 SHORT_FRACTION = 0.5
-MIN_TIME_FRACTION = 0.3  # of its service time that a request must have left to be started
-GRACE_SECONDS = 0.03  # after the deadline in which the backend's own answer to it may come
-CONNECT_TIMEOUT_SECONDS = 0.5  # the backend is on this machine
-BACKEND_IDLE_TIMEOUT_SECONDS = 20.0  # after which the backend is taken to close an idle connection
+MIN_TIME_FRACTION = 0.3  # a request is started only if at least this fraction of its service time is left
+GRACE_SECONDS = 0.03  # time after the deadline in which the backend's own response to the missed deadline may arrive
+CONNECT_TIMEOUT_SECONDS = 0.5  # short, since the backend is on this machine
+BACKEND_IDLE_TIMEOUT_SECONDS = 20.0  # idle time after which the backend is assumed to close a connection
 MAX_IDLE_CONNECTIONS = 64
-# Parts of the process's memory that all incomplete answers of the backend, and one of them, may take: one in...
-ALL_ANSWERS_MEMORY_DIVISOR = 4
-ONE_ANSWER_MEMORY_DIVISOR = 8
+# Divisors of the process's memory: limits for all incomplete responses of the backend together, and for a single one.
+ALL_RESPONSES_MEMORY_DIVISOR = 4
+ONE_RESPONSE_MEMORY_DIVISOR = 8
 
 
 class ConcurrencyLimiter:
-    """Admits requests to the backend of this machine, `local`, and replies to each exactly once."""
+    """Admits requests to the backend of this machine (`local_backend`), and replies to each exactly once."""
 
     def __init__(
         self,
@@ -70,24 +72,24 @@
         on_completed: Callable[[ForwardRequest, BackendResponse], None],
         on_unreachable: Callable[[LocalBackend], None],
     ) -> None:
-        """Make a limiter without a backend.
+        """Create a limiter without a backend.
 
-        `memory_bytes`: that the process may use; `max_connections`: to the backend;
-        `drain_seconds`: time that a closing backend has. `on_completed` is called with each answer to a request that
-        has an idempotency key, `on_unreachable` when the backend accepts no connection.
+        `memory_bytes`: memory limit of the process; `max_connections`: maximum number of connections to the backend;
+        `drain_seconds`: time that a closing backend has to drain. `on_completed` is called with each response to a
+        request that has an idempotency key, `on_unreachable` when the backend accepts no connection.
         """
         self._loop = asyncio.get_running_loop()
         self._drain_seconds = drain_seconds
         self._on_completed, self._on_unreachable = on_completed, on_unreachable
         self.local_backend: LocalBackend | None = None
-        self.is_shutting_down = False  # this process shuts down: nothing new is accepted
+        self.is_shutting_down = False  # while this process shuts down, new requests are rejected
         self._upstream = Upstream(
             Shares(max_connections, {}),
             name="",
             conn_idle=BACKEND_IDLE_TIMEOUT_SECONDS,
             dial_timeout=CONNECT_TIMEOUT_SECONDS,
-            held_most=memory_bytes // ALL_ANSWERS_MEMORY_DIVISOR,
-            answer_most=memory_bytes // ONE_ANSWER_MEMORY_DIVISOR,
+            held_most=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
+            answer_most=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
             judge=classify_response,
             proof=NOT_DELIVERED_HEADER,
             echo=ATTEMPT_ID_HEADER,
@@ -95,21 +97,21 @@
         )
         self._queue = AdmissionQueue()
         self._running = 0
-        self.service_times = ServiceTimes()  # from when the backend is offered a request
-        self.rejected = 0  # requests without capacity for them
-        self.evicted = 0  # requests that left the queue for more urgent ones
-        self.expired = 0  # requests whose time was over when their turn came
-        self.causes: Counter[FailureCause] = Counter()  # of all that did not end with the backend's answer
+        self.service_times = ServiceTimes()  # measured from the time at which a request is sent to the backend
+        self.rejected = 0  # requests rejected for lack of capacity
+        self.evicted = 0  # requests evicted from the queue by more urgent ones
+        self.expired = 0  # requests that could no longer be started when they reached the head of the queue
+        self.causes: Counter[FailureCause] = Counter()  # of all requests that ended without a response of the backend
 
     @property
     def in_flight(self) -> int:
-        """Return the number of requests that run or wait."""
+        """Return the number of requests that are running or queued."""
         return self._running + len(self._queue)
 
     # ---- admission ---------------------------------------------------------------------------------
 
     def submit(self, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> AdmittedRequest | None:
-        """Have the backend run a request; `respond` is called once. Returns None where it is rejected at once."""
+        """Run or queue a request; `respond` is called once. Returns None if the request is rejected immediately."""
         now = self._loop.time()
         local = self.local_backend
         cause = self._rejection_cause(now, forward)
@@ -126,7 +128,7 @@
         return request
 
     def _rejection_cause(self, now: float, forward: ForwardRequest) -> FailureCause:
-        # Guards against a request that was delayed on its way, or whose body was, until its caller had given it up.
+        # The request or its body was delayed in transit until its caller had given it up.
         if forward.seconds_left <= 0.0:
             return FailureCause.EXPIRED
         if self.local_backend is None or not self.accepts(now, forward.backend):
@@ -136,12 +138,12 @@
         return FailureCause.NONE
 
     def reject(self, number: int, cause: FailureCause) -> ForwardResponse:
-        """Count a rejected request and return the reply to it."""
+        """Count a rejected request and return the reply that reports it."""
         self.causes[cause] += 1
         return ForwardResponse(number, RequestOutcome.NOT_RUN, None, False, self.in_flight, cause)
 
     def accepts(self, now: float, backend: str) -> bool:
-        """Whether new requests for that incarnation of the backend are accepted."""
+        """Whether new requests for this incarnation of the backend are accepted."""
         local = self.local_backend
         if local is None or local.id != backend or self.is_shutting_down or local.is_unreachable:
             return False
@@ -149,15 +151,15 @@
         return now <= local.closing_at + grace
 
     def has_capacity(self, forward: ForwardRequest) -> bool:
-        """Whether a request would be accepted now."""
+        """Whether a request would be admitted now; counts it as rejected if capacity is lacking."""
         local, now = self.local_backend, self._loop.time()
         return local is not None and self.accepts(now, forward.backend) and self._would_be_in_time(local, forward)
 
     def _would_be_in_time(self, local: LocalBackend, forward: ForwardRequest) -> bool:
-        """Whether a request would get its turn while its answer still has its value; counts it if not.
+        """Whether a request would be started early enough for its response to be of use; counts it as rejected if not.
 
-        Guards the value of all answers: once everybody waits until late, nobody is served in time, and no more is
-        served than without a queue.
+        Prevents a queue in which every request waits until it is late: it would serve none in time, and achieve no
+        more throughput than no queue at all.
         """
         if self._running < local.concurrency + EXTRA_REQUESTS:
             return True
@@ -170,7 +172,7 @@
         return False
 
     def _may_wait(self, forward: ForwardRequest, wait: float) -> bool:
-        """Whether a request can afford to wait so many seconds."""
+        """Whether a request can afford to wait for `wait` seconds."""
         own_time = self.service_times.expected(forward.route)
         fraction = MAX_WAIT_FRACTION_OF_RETRIES if forward.was_rejected else MAX_WAIT_FRACTION
         if wait <= fraction * (forward.latency_target_left - own_time):
@@ -184,29 +186,29 @@
             self.evicted += 1
             self._finish(request, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
 
-    # ---- callers that disconnect -------------------------------------------------------------------
+    # ---- cancellation ------------------------------------------------------------------------------
 
     def cancel(self, request: AdmittedRequest) -> None:
-        """End a request that nobody waits for any more, also at the backend."""
+        """Cancel a request whose caller no longer waits, also at the backend."""
         if request.is_finished:
             return
         if request.exchange is not None:
             request.exchange.end(Outcome.CANCELLED)
-        else:  # it stays in the queue, and is passed over when its turn comes
+        else:  # The request stays in the queue, and is skipped when it reaches the head.
             self._finish(request, RequestOutcome.UNKNOWN, FailureCause.CANCELLED)
 
     def withdraw(self, request: AdmittedRequest) -> None:
-        """Keep a request that nobody waits for from being started; what the backend works on goes on.
+        """Prevent a request whose caller no longer waits from being started; a request that is running goes on.
 
-        Guards backends against work that nobody wants and that can't be cancelled once it has started.
+        Keeps useless requests, which can't be cancelled once they have started, away from the backend.
         """
         if not request.is_finished and request.exchange is None:
             self._finish(request, RequestOutcome.NOT_RUN, FailureCause.CANCELLED)
 
     # ---- the backend -------------------------------------------------------------------------------
 
-    def _start_waiting(self) -> None:
-        """Start the most urgent requests, as far as the backend has capacity."""
+    def _start_queued(self) -> None:
+        """Start queued requests, the most urgent first, while the backend has capacity."""
         while len(self._queue):
             concurrency = 0 if self.local_backend is None else self.local_backend.concurrency
             if self._running >= concurrency + EXTRA_REQUESTS:
@@ -217,10 +219,10 @@
 
     def _start_or_expire(self, request: AdmittedRequest) -> None:
         now = self._loop.time()
-        needed = MIN_TIME_FRACTION * self.service_times.expected(request.forward.route)
+        min_time_left = MIN_TIME_FRACTION * self.service_times.expected(request.forward.route)
         if not self.may_start(now, request):
             self._expire(request, FailureCause.NOT_ACCEPTED)
-        elif now + needed >= request.deadline:
+        elif now + min_time_left >= request.deadline:
             self._expire(request, FailureCause.TOO_LITTLE_TIME)
         else:
             self._start(request)
@@ -230,9 +232,9 @@
         self._finish(request, RequestOutcome.NOT_RUN, cause)
 
     def may_start(self, now: float, request: AdmittedRequest) -> bool:
-        """Whether a request that was accepted may still go to the backend.
+        """Whether an admitted request may still be sent to the backend.
 
-        The backend must be the same incarnation, and its time to drain must not be nearly over.
+        The backend must still be the same incarnation, and its drain must not be almost over.
         """
         local = request.local_backend
         if local is not self.local_backend or local.is_unreachable:
@@ -242,7 +244,7 @@
     def _start(self, request: AdmittedRequest) -> None:
         """Send a request to the backend."""
         forward, now = request.forward, self._loop.time()
-        # Guards against a freeze in the middle of a turn of the loop, whose time stands still meanwhile.
+        # The event loop's time is fixed during one iteration, so a freeze within it shows in the monotonic clock only.
         if monotonic() >= request.deadline + GRACE_SECONDS:
             self._expire(request, FailureCause.TOO_LITTLE_TIME)
             return
@@ -255,7 +257,7 @@
             now,
             request.deadline + GRACE_SECONDS,
             lambda seconds_left: encode_request(forward, seconds_left - GRACE_SECONDS),
-            lambda exchange, outcome, response: self._exchange_ended(request, outcome, response),
+            lambda exchange, outcome, response: self._exchange_finished(request, outcome, response),
             repeatable=forward.is_safe,
             bodyless=forward.method == b"HEAD",
         )
@@ -263,30 +265,30 @@
         request.exchange = exchange
         self._upstream.start(exchange)
 
-    def _exchange_ended(self, request: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
+    def _exchange_finished(self, request: AdmittedRequest, outcome: Outcome, response: Response | None) -> None:
         self._running -= 1
         check(self._running >= 0, Invariant.IN_FLIGHT_NOT_NEGATIVE, backend=request.local_backend.id)
         if outcome is Outcome.OK and response is not None:
-            self._answered(request, response)
+            self._response_received(request, response)
         elif outcome in NOT_RUN_CAUSES:
-            self._not_run(request, outcome)
+            self._request_not_run(request, outcome)
         else:
             cause = UNKNOWN_CAUSES.get(outcome, FailureCause.INVALID_RESPONSE)
             self._finish(request, RequestOutcome.UNKNOWN, cause)
-        self._start_waiting()
+        self._start_queued()
 
-    def _answered(self, request: AdmittedRequest, response: Response) -> None:
+    def _response_received(self, request: AdmittedRequest, response: Response) -> None:
         forward = request.forward
         self.service_times.record(forward.route, self._loop.time() - request.offered_at)
         if not backend_exchange.is_valid_response(forward, response):
             self._finish(request, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
             return
-        answer = BackendResponse(response.status, response.head, response.body)
+        backend_response = BackendResponse(response.status, response.head, response.body)
         if forward.key:
-            self._on_completed(forward, answer)
-        self._finish(request, RequestOutcome.ANSWERED, FailureCause.NONE, answer)
+            self._on_completed(forward, backend_response)
+        self._finish(request, RequestOutcome.ANSWERED, FailureCause.NONE, backend_response)
 
-    def _not_run(self, request: AdmittedRequest, outcome: Outcome) -> None:
+    def _request_not_run(self, request: AdmittedRequest, outcome: Outcome) -> None:
         local = request.local_backend
         if outcome is Outcome.UNREACHABLE and not local.is_unreachable and local is self.local_backend:
             local.is_unreachable = True
@@ -300,14 +302,14 @@
         request: AdmittedRequest,
         outcome: RequestOutcome,
         cause: FailureCause,
-        answer: BackendResponse | None = None,
+        response: BackendResponse | None = None,
     ) -> None:
-        """Reply to a request, unless that has been done."""
+        """Reply to a request, unless it has already been replied to."""
         if request.is_finished:
             return
         request.is_finished = True
         if cause:
             self.causes[cause] += 1
         request.respond(
-            ForwardResponse(request.forward.number, outcome, answer, request.was_offered, self.in_flight, cause)
+            ForwardResponse(request.forward.number, outcome, response, request.was_offered, self.in_flight, cause)
         )
