--- a/lugspur/mesh/dataplane/attempts.py
+++ b/lugspur/mesh/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: what was sent where, what is in flight, and whether anything may have run."""
+"""The attempts of one request: backends tried, attempts in flight, and whether the request may have run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """A request on its way to one backend; `sent_at` is the loop's time."""
+    """One attempt that is in flight to one backend; `sent_at` is in event loop time."""
 
     endpoint: Endpoint
     sent_at: float
@@ -25,38 +25,38 @@
 class Attempts:
     """All attempts of one request."""
 
-    offered: int = 0  # backends that the request was offered to, or may have been
-    rejections: int = 0  # results that prove that a backend did not run it
-    tried: set[str] = field(default_factory=set)  # ids of backends
-    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by number
-    may_have_run: bool = False  # an attempt ended, and its outcome is not known
-    has_run: bool = False  # a backend has answered
-    records: list[AttemptRecord] = field(default_factory=list)  # of ended attempts, for an account of a failure
-    _latest: int = field(default=0, init=False)
+    offered: int = 0  # attempts in which a backend received the request, or may have
+    rejections: int = 0  # attempts that provably did not run
+    tried: set[str] = field(default_factory=set)  # ids of the backends of all attempts
+    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by attempt number
+    may_have_run: bool = False  # an attempt ended with an unknown outcome
+    has_run: bool = False  # a backend has responded
+    records: list[AttemptRecord] = field(default_factory=list)  # of ended attempts, for the failure log
+    _latest_number: int = field(default=0, init=False)
 
     @property
     def can_have_run(self) -> bool:
-        """Whether it is not proven that no backend has run the request and none will."""
+        """Whether a backend may have run the request or may still run it."""
         return bool(self.in_flight) or self.may_have_run or self.has_run
 
     def begin(self, endpoint: Endpoint, now: float) -> int:
-        """Count an attempt that is about to be sent; return its number."""
+        """Record an attempt that is about to be sent; return its number."""
         self.tried.add(endpoint.id)
-        self._latest += 1
+        self._latest_number += 1
         self.offered += 1
         endpoint.in_flight += 1
-        self.in_flight[self._latest] = Attempt(endpoint, now, NOT_SENT)
-        return self._latest
+        self.in_flight[self._latest_number] = Attempt(endpoint, now, NOT_SENT)
+        return self._latest_number
 
     def end(self, number: int) -> Attempt | None:
-        """Take an attempt whose result has come; None where it ended before."""
+        """Remove and return an attempt whose result has arrived, or return None if it had already ended."""
         attempt = self.in_flight.pop(number, None)
         if attempt is not None:
             attempt.endpoint.in_flight -= 1
         return attempt
 
     def record(self, attempt: Attempt, now: float, arrived: float, result: ForwardResponse) -> None:
-        """Keep what became of an attempt; `arrived`: when the request came."""
+        """Add an ended attempt to `records`; `arrived` is the time at which the request arrived."""
         cause = FailureCause(result.cause).label if result.cause else ""
         outcome = RequestOutcome(result.outcome).label
         sent_at = attempt.sent_at
@@ -64,13 +64,13 @@
 
 
 class _NotSent:
-    """Stands for an attempt that the carrier has not taken yet."""
+    """The handle of an attempt that the carrier has not accepted yet."""
 
     def cancel(self) -> None:
-        """Do nothing: there is nothing to end."""
+        """Do nothing: the request has not been sent."""
 
     def withdraw(self) -> None:
-        """Do nothing: there is nothing to keep from being started."""
+        """Do nothing: the request has not been sent."""
 
 
 NOT_SENT = _NotSent()
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from the reservation of its key over the backends it is sent to, to its one answer."""
+"""The life cycle of one request of a caller: key reservation, attempts with retries and hedging, and the response."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from lugspur.observability.failures import SelectionSummary
 from lugspur.seams import Answerable, Request
 
-MIN_LATENCY_SECONDS = 0.001  # of an answer: the loop's clock counts whole milliseconds
-DEADLINE_MARGIN_SECONDS = 0.02  # after the deadline in which the backend's own answer to it may come
+MIN_LATENCY_SECONDS = 0.001  # lower bound of a measured latency, since the event loop's clock has a 1 ms resolution
+DEADLINE_MARGIN_SECONDS = 0.02  # time after the deadline in which the backend's own response to it may arrive
 MAX_REJECTIONS = 4  # backends that may reject one request before it is given up
-# A safe request is sent to a second backend (hedged) after this multiple of its route's average latency...
+# A safe request is hedged, i.e. sent to a second backend, after this multiple of its route's average latency, but not
+# before HEDGE_TARGET_FRACTION of its latency target has passed.
 HEDGE_LATENCY_FACTOR = 3.0
-HEDGE_TARGET_FRACTION = 0.6  # ...and not before this fraction of its latency target
-# How a request ended whose caller disconnected, and one whose backend answered with a failure of its own; other
-# failures are counted under the name of their kind.
+HEDGE_TARGET_FRACTION = 0.6
+# Results in metrics and logs. Other failures are counted under the name of their error kind.
 CALLER_DISCONNECTED = "gone"
-BACKEND_FAILED = "backend-failed"
+BACKEND_FAILED = "backend-failed"  # the backend responded with a status of 500 or above
 
 
 class ProxiedRequest:
-    """A request that this proxy has accepted and answers exactly once; times are the loop's."""
+    """A request that this proxy has accepted and responds to exactly once; times are in event loop time."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         key: bytes,
         was_rejected: bool,
     ) -> None:
-        """`was_rejected`: the caller has probably sent the request before and was rejected."""
+        """`was_rejected`: the caller has probably sent this request before, and it was rejected."""
         self.proxy, self.request, self.caller, self.route = proxy, request, caller, route
         self.deadline, self.attempt_id, self.was_rejected = deadline, attempt_id, was_rejected
         self.service = route.draw_service(proxy.rng)
@@ -55,14 +55,14 @@
         self.reservation = KeyReservation(proxy.keys, key if route.is_keyed else b"", owner)
         self.attempts = Attempts()
         self.is_finished = False
-        self.last_failure: BackendResponse | None = None  # the backend's own, to be passed on if nothing better comes
-        self.last_selection: SelectionSummary | None = None  # where no backend was found
+        self.last_failure: BackendResponse | None = None  # a backend's own, returned if no attempt succeeds
+        self.last_selection: SelectionSummary | None = None  # set if no backend could be selected
         self._header_lines: list[bytes] | None = None
         self._deadline_timer: asyncio.TimerHandle | None = None
         self._hedge_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Reserve the key, if there is one, and send the request to a backend."""
+        """Send the request to a backend, after reserving its key if it has one."""
         proxy, now = self.proxy, self.proxy.loop.time()
         if now >= self.deadline:
             self._record_failure(ErrorKind.TOO_LATE.value)
@@ -84,7 +84,7 @@
         elif isinstance(outcome, Acquired):
             self._send(self.proxy.loop.time())
         elif isinstance(outcome, AlreadyCompleted):
-            self._answer(outcome.response)
+            self._respond(outcome.response)
         elif isinstance(outcome, TakenByAnother):
             self._reject(ErrorKind.KEY_BUSY if outcome.is_running else ErrorKind.KEY_SPENT)
         else:
@@ -93,27 +93,31 @@
     # ---- attempts --------------------------------------------------------------------------
 
     def _select_endpoint(self, now: float) -> Endpoint | None:
-        """Select a backend that has not been tried; None, and the reasons in `last_selection`, where none is left."""
+        """Select a backend that has not been tried, or set `last_selection` to the reasons and return None."""
         proxy = self.proxy
         known = proxy.services.get(self.service, {})
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.tried]
         reachable = [endpoint for endpoint in untried if proxy.carrier.is_reachable(endpoint.ip)]
         preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
-        # Those that rejected a request a moment ago come last, but before a rejection here: to ask them costs nothing.
+        # A backend that has just rejected a request is the last resort; another rejection costs less than giving up.
         candidates = preferred or reachable
         body_bytes = len(self.request.body)
-        found = select_endpoint(candidates, self.route, zone=proxy.zone, body_bytes=body_bytes, now=now, rng=proxy.rng)
-        if isinstance(found, Endpoint):
-            return found
+        selected = select_endpoint(
+            candidates, self.route, zone=proxy.zone, body_bytes=body_bytes, now=now, rng=proxy.rng
+        )
+        if isinstance(selected, Endpoint):
+            return selected
         proxy.count("breaker-refused" if reachable else "none-ready")
         tried, unreachable = len(known) - len(untried), len(untried) - len(reachable)
-        self.last_selection = SelectionSummary(len(known), tried, unreachable, len(reachable) - len(preferred), found)
+        self.last_selection = SelectionSummary(
+            len(known), tried, unreachable, len(reachable) - len(preferred), selected
+        )
         return None
 
     def _send(self, now: float, is_retry: bool = False) -> bool:
         """Send the request to a backend; return whether one was found.
 
-        Without one the request is given up, unless it `is_retry`: then the caller of this method decides.
+        If none was found, the request is given up, unless `is_retry`: then the calling method decides.
         """
         endpoint = self._select_endpoint(now)
         if endpoint is None:
@@ -130,13 +134,13 @@
         forward = self._encode(endpoint, now)
         handle = self.proxy.carrier.carry(endpoint.ip, forward, lambda result: self._receive_result(number, result))
         attempt = attempts.in_flight.get(number)
-        if attempt is not None:  # else its result has come at once
+        if attempt is not None:  # None if its result has already arrived
             attempt.handle = handle
             self._schedule_hedge(now)
         return True
 
     def _check_send(self) -> None:
-        """Check what must hold before a request is sent to a backend."""
+        """Check the invariants that must hold before a request is sent to a backend."""
         attempts = self.attempts
         is_unrun = not (attempts.may_have_run or attempts.in_flight or self.last_failure is not None)
         holds_key = not self.reservation.key or self.reservation.is_held
@@ -167,7 +171,7 @@
         )
 
     def _schedule_hedge(self, now: float) -> None:
-        """Have a safe request sent to a second backend if the first has not answered for long.
+        """Set the timer for hedging a safe request, i.e. sending it to a second backend if the first one is slow.
 
         Source: Dean and Barroso, "The Tail at Scale", Communications of the ACM 56(2), 2013.
         """
@@ -181,12 +185,12 @@
     def _send_hedge(self) -> None:
         now = self.proxy.loop.time()
         if self.is_finished or len(self.attempts.in_flight) != 1 or self.attempts.offered >= self.route.max_attempts:
-            return  # a retry may have been sent since the timer was set
+            return  # A retry may have been sent since the timer was set.
         if self.proxy.budget(self.service).allows_retry(now):
             self._send(now, is_retry=True)
 
     def _retry(self, now: float) -> bool:
-        """Whether the request goes on: an attempt is in flight, or another backend has been sent it."""
+        """Retry the request if that is allowed; return whether any attempt is in flight."""
         attempts = self.attempts
         if attempts.in_flight:
             return True
@@ -211,7 +215,7 @@
         self.attempts.record(attempt, now, self.request.arrived, result)
         check(endpoint.in_flight >= 0, Invariant.IN_FLIGHT_NOT_NEGATIVE, backend=endpoint.id)
         if result.outcome == RequestOutcome.ANSWERED and result.response is not None:
-            self._receive_answer(now, attempt, result.response)
+            self._receive_response(now, attempt, result.response)
             return
         if result.outcome == RequestOutcome.NOT_RUN:
             self._receive_rejection(now, endpoint, result)
@@ -221,45 +225,45 @@
         if self.is_finished:
             self._release_unrun()
         elif not self._retry(now):
-            self._answer_failure()
+            self._respond_with_failure()
 
-    def _receive_answer(self, now: float, attempt: Attempt, response: BackendResponse) -> None:
+    def _receive_response(self, now: float, attempt: Attempt, response: BackendResponse) -> None:
         route = self.route
         self.attempts.has_run = True
         if response.status < 500:
-            # Guards the first answer on a route against a division by zero.
+            # The lower bound prevents a division by a zero average on the first response of a route.
             attempt.endpoint.record_success(now, route, max(MIN_LATENCY_SECONDS, now - attempt.sent_at))
         else:
             attempt.endpoint.record_failure(now, route.name)
         if self.is_finished:
             return
         if response.status < 500 or not route.is_safe:
-            self._answer(response)
+            self._respond(response)
             return
         self.last_failure = response
         if not self._retry(now):
-            self._answer_failure()
+            self._respond_with_failure()
 
     def _receive_rejection(self, now: float, endpoint: Endpoint, result: ForwardResponse) -> None:
         self.attempts.rejections += 1
         if not result.was_sent:
-            self.attempts.offered -= 1  # no backend was offered the request
-        if result.cause != FailureCause.CANCELLED:  # a withdrawn request says nothing of its backend
+            self.attempts.offered -= 1  # the request did not reach the backend
+        if result.cause != FailureCause.CANCELLED:  # a withdrawn request says nothing about its backend
             endpoint.record_rejection(now, self.route.name, self.proxy.rng)
 
     def _receive_late_proof(self, result: ForwardResponse) -> None:
-        """Take the result of an attempt whose connection was lost: proof that it has not run and never will."""
+        """Handle a late result that may prove that an attempt on a lost connection has not run and never will."""
         if result.outcome != RequestOutcome.NOT_RUN or not self.is_finished or self.route.is_safe:
             return
         if not self.attempts.in_flight and not self.attempts.has_run:
-            # A request that is not safe is retried only once nothing may have run: this was its only attempt.
+            # An unsafe request is retried only if no earlier attempt may have run, so no other attempt can have run.
             self.attempts.may_have_run = False
             self._release_unrun()
 
-    # ---- the answer ------------------------------------------------------------------------
+    # ---- the response ----------------------------------------------------------------------
 
-    def _answer(self, response: BackendResponse) -> None:
-        """Answer with a backend's response."""
+    def _respond(self, response: BackendResponse) -> None:
+        """Return a backend's response to the caller."""
         self._finish()
         if response.status < 500:
             self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
@@ -267,15 +271,15 @@
             self._record_failure(BACKEND_FAILED)
         self.caller.answer(response.status, response.head, response.body)
 
-    def _answer_failure(self) -> None:
-        """Answer with the backend's own failure, if there was one."""
+    def _respond_with_failure(self) -> None:
+        """Return the backend's own failure to the caller if there was one, else give the request up."""
         if self.last_failure is not None:
-            self._answer(self.last_failure)
+            self._respond(self.last_failure)
         else:
             self._give_up()
 
     def _give_up(self) -> None:
-        """Reject the request where it is proven that it did not run, else say that it may have run."""
+        """Reject the request, with an error that says whether it may have run."""
         self._reject(ErrorKind.MAYBE_RAN if self.attempts.may_have_run else ErrorKind.NO_BACKEND)
 
     def _reject(self, kind: ErrorKind) -> None:
@@ -293,15 +297,15 @@
             self._finish()
 
     def end(self) -> None:
-        """Answer the request now, whatever is in flight: this process ends.
+        """Respond to the caller now, even if attempts are in flight, because this process is shutting down.
 
-        Guards its caller against a connection that ends without an answer.
+        Otherwise the connection would be closed without a response.
         """
         if not self.is_finished:
             self._reject(ErrorKind.MAYBE_RAN if self.attempts.can_have_run else ErrorKind.LEAVING)
 
     def _finish(self) -> None:
-        """Let go of everything that the request has, but for attempts that must not be ended."""
+        """Mark the request as finished, and release its timers, its reservation and the attempts that may be ended."""
         check(not self.is_finished, Invariant.ONE_ANSWER, attempt=self.attempt_id)
         self.is_finished = True
         self.proxy.request_closed(self)
@@ -313,25 +317,25 @@
         for attempt in list(self.attempts.in_flight.values()):
             if self.route.is_safe:
                 attempt.handle.cancel()
-            elif not self.reservation.key:  # the answer of a keyed request is kept for a repeat
+            elif not self.reservation.key:  # the response of a keyed request is stored for repeats
                 attempt.handle.withdraw()
 
     def _release_unrun(self) -> None:
         """Release the key once the request is finished and it is proven that nothing ran.
 
-        Guards an operation that never ran against being rejected until its window ends, also where the proof comes
-        after its caller has disconnected or its deadline has passed.
+        Otherwise an operation that never ran would be rejected until its deduplication window ends. The proof may also
+        arrive after the caller has disconnected or the deadline has passed.
         """
         if self.reservation.is_held and not self.attempts.can_have_run:
             check(self.is_finished, Invariant.RELEASED_ONLY_UNRUN, attempt=self.attempt_id)
             self.reservation.release()
 
-    def _record_failure(self, ending: str) -> None:
-        """Count a failed request and keep an account of it."""
+    def _record_failure(self, result: str) -> None:
+        """Count the failed request and add it to the failure log."""
         route, request, attempts = self.route, self.request, self.attempts
         self.proxy.request_failed(
             self.attempt_id,
-            ending,
+            result,
             route=route.name,
             service=self.service,
             keyed=bool(self.reservation.key),
