--- a/lugspur/mesh/dataplane/route_table.py
+++ b/lugspur/mesh/dataplane/route_table.py
@@ -1,4 +1,4 @@
-"""The routes in force, and which of them a request is on: by its host and the longest matching path prefix."""
+"""The routes in force, and the lookup of a request's route by host and longest matching path prefix."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 from lugspur.mesh.control.items import LIMITS, ROUTES, RequestLimits, Route, read_limits, read_route
 from lugspur.mesh.control.messages import Entry
 
-LONGEST_TIME_DECAY = 1 / 256  # of the difference by which one caller's time lowers the longest that is known
-LATENCY_WEIGHT = 1 / 32  # of one answer in a route's average latency
-RETURNING_FRACTION = 0.97  # of the longest time: callers round
+LONGEST_TIME_DECAY = 1 / 256  # fraction of the difference by which a shorter time lowers the longest known time
+LATENCY_WEIGHT = 1 / 32  # weight of one response in the moving average of a route's latency
+RETURNING_FRACTION = (
+    0.97  # fraction of the longest time below which a caller has sent before; below 1, as callers round
+)
 
 
 class RouteEntry:
-    """A route as requests use it, with what this process has learned of it; times in seconds."""
+    """A route in the form that requests use, with the statistics that this process keeps about it; times in seconds."""
 
     __slots__ = (
         "average_latency",
@@ -38,13 +40,13 @@
         self.host = route.office.lower().encode()
         self.prefix = route.path_prefix.encode()
         self.request_class = route.mail_class
-        self.deadline = route.deadline_ms / 1000.0  # counted from a request's arrival
+        self.deadline = route.deadline_ms / 1000.0  # from the arrival of a request
         self.latency_target = (route.target_ms or route.deadline_ms) / 1000.0
         self.priority, self.max_attempts = route.priority, route.tries
         self.services = route.service_names()
         self.weights = [part.share for part in route.split] if route.split else [1.0]
-        self.average_latency = 0.0  # of answers, as measured here; 0: none has come yet
-        self.longest_time = 0.0  # that callers give a request on this route when they first send it
+        self.average_latency = 0.0  # moving average measured by this process; 0 before the first response
+        self.longest_time = 0.0  # time that callers give a request when they first send it; decays slowly
 
     @property
     def is_safe(self) -> bool:
@@ -57,31 +59,33 @@
         return self.request_class == "tracked"
 
     def is_returning_caller(self, time_left: float) -> bool:
-        """Whether a caller that gives its request `time_left` seconds has sent it before: most others give more.
+        """Whether a caller has probably sent its request before, judged by its `time_left` in seconds.
 
-        Also learns the time that callers usually give.
+        A returning caller has less time left than most others. Also updates the longest time that callers give.
         """
         self.longest_time = max(time_left, self.longest_time + (time_left - self.longest_time) * LONGEST_TIME_DECAY)
         return time_left < RETURNING_FRACTION * self.longest_time
 
     def record_latency(self, latency: float) -> None:
-        """Move the average by one answer (an exponentially weighted moving average)."""
+        """Add the latency of one response to the exponentially weighted moving average."""
         self.average_latency += (latency - self.average_latency) * (LATENCY_WEIGHT if self.average_latency else 1.0)
 
     def draw_service(self, rng: Random) -> str:
-        """Draw the service that a request goes to, by the weights of the route's split."""
+        """Draw the service for a request, by the weights of the route's traffic split."""
         if len(self.services) == 1:
             return self.services[0]
         return rng.choices(self.services, self.weights)[0]
 
 
 class RouteTable:
-    """All routes and request limits in force; each changed item applies at once."""
+    """All routes and the request limits in force; each changed item takes effect immediately."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, RouteEntry] = {}  # by the item's name
-        self._hosts: dict[bytes, dict[bytes, RouteEntry]] = {}  # by host and prefix
-        self._candidates: dict[tuple[bytes, bytes], dict[str, RouteEntry]] = {}  # all of a host and prefix, by name
+        self._entries: dict[str, RouteEntry] = {}  # by item name
+        self._hosts: dict[bytes, dict[bytes, RouteEntry]] = {}  # by host, then path prefix
+        self._candidates: dict[
+            tuple[bytes, bytes], dict[str, RouteEntry]
+        ] = {}  # all routes with one host and prefix, by item name
         self.request_limits = RequestLimits()
 
     def __len__(self) -> int:
@@ -89,7 +93,7 @@
         return len(self._entries)
 
     def apply(self, entry: Entry) -> bool:
-        """Apply a changed item; return whether it was the request limits. Items of other kinds are ignored."""
+        """Apply a changed item; return whether the request limits changed. Items of other kinds are ignored."""
         if entry.kind == LIMITS and entry.value is not None:
             self.request_limits = read_limits(entry.value)
             return True
@@ -105,7 +109,9 @@
             return
         try:
             route = read_route(entry.value)
-        except msgspec.MsgspecError:  # Guards the other routes: the item was checked, but by another build
+        except (
+            msgspec.MsgspecError
+        ):  # An item that another version of the program accepted must not affect other routes.
             return
         route_entry = RouteEntry(route, entry.edition)
         if previous is not None:
@@ -133,11 +139,14 @@
 
     @staticmethod
     def _preferred(candidates: dict[str, RouteEntry]) -> RouteEntry:
-        """Choose between routes of one host and prefix, which two operators may have made: all proxies choose alike."""
+        """Choose between routes with the same host and prefix; all proxies make the same choice.
+
+        Two operators may have created such routes independently.
+        """
         return max(candidates.values(), key=lambda route_entry: (route_entry.edition, route_entry.name))
 
     def find(self, host: bytes, target: bytes) -> RouteEntry | None:
-        """Return the route of a request by its `Host` header and target, or None."""
+        """Return the route for a `Host` header and a request target, or None."""
         prefixes = self._hosts.get(host.partition(b":")[0].lower())
         if not prefixes:
             return None
--- a/lugspur/mesh/dataplane/service_times.py
+++ b/lugspur/mesh/dataplane/service_times.py
@@ -1,11 +1,11 @@
-"""How long the local backend takes for requests, by route."""
+"""Average service times of the local backend, by route."""
 
 from __future__ import annotations
 
 from cachetools import LRUCache
 
-MAX_KNOWN_ROUTES = 256  # routes whose average is kept, those used last
-SAMPLE_WEIGHT = 1 / 16  # of one answer in an average
+MAX_KNOWN_ROUTES = 256  # most recently used routes, of which averages are kept
+SAMPLE_WEIGHT = 1 / 16  # weight of one response in a moving average
 
 
 class ServiceTimes:
@@ -13,18 +13,18 @@
 
     def __init__(self) -> None:
         self.by_route: LRUCache[str, float] = LRUCache(MAX_KNOWN_ROUTES)
-        self.average = 0.0  # 0: nothing has been measured
+        self.average = 0.0  # 0 if nothing has been measured
 
     def record(self, route: str, seconds: float) -> None:
-        """Count one answer."""
+        """Add the service time of one response."""
         self.average += (seconds - self.average) * (SAMPLE_WEIGHT if self.average else 1.0)
-        known = self.by_route.get(route, seconds)
-        self.by_route[route] = known + (seconds - known) * SAMPLE_WEIGHT
+        average = self.by_route.get(route, seconds)
+        self.by_route[route] = average + (seconds - average) * SAMPLE_WEIGHT
 
     def expected(self, route: str) -> float:
-        """Return the seconds that a request on a route is expected to take; of an unknown route the overall average."""
+        """Return the expected service time in seconds of a request; for an unknown route, the overall average."""
         return self.by_route.get(route, self.average)
 
     def longest(self) -> float:
-        """Return the largest average of a route; 0 where none is known."""
+        """Return the largest average of any route, or 0 if none is known."""
         return max(self.by_route.values(), default=0.0)
