--- a/lugspur/mesh/dataplane/delay_estimation.py
+++ b/lugspur/mesh/dataplane/delay_estimation.py
@@ -1,17 +1,18 @@
-"""Estimation of how old a message is when it is read, without I/O and without synchronised clocks.
+"""Estimation of how long a message was delayed before it was read, without synchronised clocks. No I/O.
 
-Requests carry the time that they have left as a duration, so that machines need no common time of day. A duration that
-lay in a socket while its reader was frozen, or while a link was partitioned, is wrong by as long. Therefore the sender
-stamps each message with its monotonic clock. The difference between the reader's clock and the stamp is the offset of
-the two clocks plus the delay of the message. The smallest difference seen on a connection is taken for the offset; what
-a message has above it is its excess delay. LEDBAT estimates queuing delay over its base delay alike (RFC 6817).
+Requests carry their remaining time as a duration, so that machines need no common wall clock. A message that waited in
+a socket buffer while its reader was frozen, or while the network was partitioned, overstates its remaining time by that
+wait. The sender therefore stamps each message with its monotonic clock. The difference between the reader's clock and
+the stamp is the offset of the two clocks plus the delay of the message. The smallest difference seen on a connection is
+taken as the offset; what a message has above it is its excess delay. LEDBAT estimates queuing delay above a base delay
+in the same way (RFC 6817).
 """
 
 from __future__ import annotations
 
-MAX_CLOCK_DRIFT = 1e-3  # seconds a second by which two monotonic clocks may run apart: ten times what crystals do
+MAX_CLOCK_DRIFT = 1e-3  # seconds per second between two monotonic clocks; ten times the drift of a quartz crystal
 LATE_THRESHOLD_SECONDS = 0.25  # excess delay from which a message counts as late
-CLOCK_JUMP_SECONDS = 2.0  # after so long with late messages alone the clocks themselves must have moved
+CLOCK_JUMP_SECONDS = 2.0  # if all messages are late for this long, one of the clocks must have jumped
 
 
 class ExcessDelayEstimator:
@@ -23,10 +24,10 @@
         self._late_since: float | None = None
 
     def observe(self, now: float, sent_at: float) -> float:
-        """Return the excess delay in seconds of a message that is read `now` and was stamped `sent_at`.
+        """Return the excess delay in seconds of a message that is read at `now` and was stamped with `sent_at`.
 
-        The first message of a connection counts as prompt. Apart from the clocks' drift the estimate never exceeds
-        the true delay, so a message that is reported as too late is too late.
+        The first message of a connection is assumed to be undelayed. Apart from clock drift the estimate never
+        exceeds the true delay, so a message that is reported as too late is too late.
         """
         difference = now - sent_at
         if self._offset is None:
@@ -40,7 +41,7 @@
         elif self._late_since is None:
             self._late_since = now
         elif now - self._late_since > CLOCK_JUMP_SECONDS:
-            # Guards all requests against a monotonic clock that was moved: without this none would be accepted again.
+            # A monotonic clock has jumped: without a new offset every later request would be rejected as late.
             self._offset, self._late_since = difference, None
         return excess
 
@@ -48,13 +49,13 @@
 class FreezeDetector:
     """Detects that this process did not run for a while (SIGSTOP, a paused machine, a starved processor).
 
-    What is read right after a freeze may have arrived at any time since the process last ran.
+    Bytes that are read right after a freeze may have arrived at any time since the process last ran.
     """
 
     def __init__(self, threshold_seconds: float, settle_seconds: float) -> None:
-        """`threshold_seconds` without a turn of the event loop count as a freeze.
+        """`threshold_seconds`: time without an iteration of the event loop that counts as a freeze.
 
-        `settle_seconds` after a freeze all that arrived during it has been read.
+        `settle_seconds`: time after a freeze by which all bytes that arrived during it have been read.
         """
         self._threshold_seconds = threshold_seconds
         self._settle_seconds = settle_seconds
@@ -63,16 +64,16 @@
         self._settled_at = float("-inf")
 
     def record_turn(self, now: float) -> None:
-        """Note that the process runs; to be called several times within `threshold_seconds`."""
+        """Record that the process is running; must be called several times within `threshold_seconds`."""
         previous, self._ran_at = self._ran_at, now
         if previous is None or now - previous <= self._threshold_seconds:
             return
-        # In a second freeze before the first has settled, unread bytes may still date from the first one.
+        # If a second freeze starts before the first has settled, unread bytes may still date from the first one.
         if now > self._settled_at:
             self._frozen_since = previous
         self._settled_at = now + self._settle_seconds
 
     def earliest_arrival(self, now: float) -> float:
-        """Return the earliest time at which bytes that are read now can have arrived."""
+        """Return the earliest time at which bytes that are read at `now` can have arrived."""
         self.record_turn(now)
         return self._frozen_since if now < self._settled_at else now
--- a/lugspur/mesh/dataplane/upload_scheduler.py
+++ b/lugspur/mesh/dataplane/upload_scheduler.py
@@ -1,8 +1,9 @@
-"""Flow control of large request bodies, without I/O: in which order they cross this machine's link.
+"""Flow control of large request bodies on the link of the receiving machine. No I/O.
 
-A sender of a large body first says how many bytes it has, and then sends as many as it is granted, so that small
-messages get by. A body that would arrive too late is rejected before any of its bytes have crossed the link. The bytes
-that are granted and have not arrived are bounded, and with them the time for which answers and calls wait behind them.
+The sender of a large body first announces its size, and then sends only as many bytes as it is granted, so that small
+messages can overtake it. A body that would arrive too late is rejected before any of its bytes have crossed the link.
+The number of granted bytes that have not arrived is bounded, which bounds the time for which responses and calls wait
+behind them.
 """
 
 from __future__ import annotations
@@ -13,36 +14,37 @@
 from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.urgency import Urgency
 
-CHUNK_BYTES = 8 << 10  # of one grant: 25 ms of the slowest links that are known
-GRANT_AHEAD_SECONDS = 0.05  # of the link that are granted ahead: longer than a grant and its bytes take to travel
-MAX_UNCHUNKED_SECONDS = 0.03  # of the receiver's link: a body that takes less is sent at once, with its request
-STALL_TIMEOUT_SECONDS = 0.3  # after which a sender that has delivered nothing delays nobody
-USABLE_LINK_FRACTION = 0.9  # of the link, for granted bytes; the rest is for everything else
-# A body may wait for its turn so long, as a fraction of the latency target less the time that it takes itself...
+CHUNK_BYTES = 8 << 10  # bytes per grant; takes 25 ms on the slowest known links
+GRANT_AHEAD_SECONDS = 0.05  # link time that is granted ahead; exceeds the round trip of a grant and its bytes
+MAX_UNCHUNKED_SECONDS = 0.03  # a body that takes less link time than this is sent together with its request
+STALL_TIMEOUT_SECONDS = 0.3  # time without progress after which a sender no longer delays other bodies
+USABLE_LINK_FRACTION = 0.9  # fraction of the link rate for granted bytes; the rest is for all other traffic
+# Maximum time that a body may wait for its turn, as a fraction of its latency target minus its own transfer and service
+# time.
 MAX_WAIT_FRACTION = 0.5
-MAX_WAIT_FRACTION_OF_RETRIES = 0.9  # ...and where its caller was rejected before: rejected once more, it is lost
+MAX_WAIT_FRACTION_OF_RETRIES = 0.9  # the same for a request that was rejected before: another rejection would lose it
 
 Source = TypeVar("Source")
 
 
 class UploadKey(NamedTuple, Generic[Source]):
-    """Names a body: the connection that it comes on, and its request's number there."""
+    """Identifies a body by its connection and the number of its request on that connection."""
 
     source: Source
     number: int
 
 
 class Grant(NamedTuple, Generic[Source]):
-    """What the sender of a body may send: its bytes up to an offset."""
+    """A permission for the sender of a body to send its bytes up to an offset."""
 
     key: UploadKey[Source]
     up_to_offset: int
 
 
 def is_chunked(size: int, link_rate: float) -> bool:
-    """Whether a body of `size` bytes is sent in chunks, to a machine whose link carries `link_rate` bytes a second.
+    """Whether a body of `size` bytes is sent in chunks to a machine with a link of `link_rate` bytes per second.
 
-    A rate of 0 is an unknown one: such a body is sent at once.
+    A rate of 0 means unknown: the body is then sent together with its request.
     """
     return link_rate > 0.0 and size > max(CHUNK_BYTES, link_rate * MAX_UNCHUNKED_SECONDS)
 
@@ -61,26 +63,26 @@
 
     @property
     def missing_bytes(self) -> int:
-        """Bytes that have not arrived, granted or not."""
+        """The number of bytes that have not arrived, whether granted or not."""
         return self.request.body_bytes - len(self.body)
 
     @property
     def outstanding_bytes(self) -> int:
-        """Bytes that were granted and have not arrived."""
+        """The number of bytes that were granted and have not arrived."""
         return self.granted_bytes - len(self.body)
 
     def is_stalled(self, now: float) -> bool:
-        """Whether bytes are outstanding and none have arrived for long."""
+        """Whether bytes are outstanding and none have arrived within the stall timeout."""
         return self.outstanding_bytes > 0 and now - self.progress_at >= STALL_TIMEOUT_SECONDS
 
 
 class UploadScheduler(Generic[Source]):
-    """All bodies that arrive in chunks, and how much of each may be sent; `Source` is the type of a connection."""
+    """Schedules all bodies that arrive in chunks; `Source` is the type of a connection."""
 
     def __init__(self, link_rate: float, max_bytes: int) -> None:
-        """`link_rate`: bytes a second of this machine's link, 0 where it is unknown: then no body is accepted.
+        """`link_rate`: bytes per second of this machine's link; if it is unknown (0), no body is accepted.
 
-        `max_bytes`: memory that all bodies together may take.
+        `max_bytes`: memory limit for all bodies together.
         """
         self._rate = link_rate * USABLE_LINK_FRACTION
         self._max_bytes = max_bytes
@@ -94,9 +96,9 @@
     def offer(
         self, now: float, key: UploadKey[Source], request: ForwardRequest, urgency: Urgency, service_time: float
     ) -> bool:
-        """Accept a body, or return False where there is no memory for it or its answer would come too late.
+        """Accept a body, or return False if there is no memory for it or its response would be too late.
 
-        `service_time`: seconds that the backend takes for the request once its body is complete.
+        `service_time`: expected service time of the request in seconds, once its body is complete.
         """
         size = request.body_bytes
         reserved = sum(upload.request.body_bytes for upload in self._uploads.values())
@@ -108,9 +110,9 @@
         return True
 
     def _arrives_in_time(self, request: ForwardRequest, urgency: Urgency, service_time: float) -> bool:
-        """Whether a body's turn comes early enough.
+        """Whether a body would wait briefly enough for its response to be of use.
 
-        Guards the value of all answers: a queue in which everybody is late serves no more than a short one.
+        Prevents a long queue in which every request is late: it would achieve no more throughput than a short one.
         """
         bytes_ahead = sum(upload.missing_bytes for upload in self._uploads.values() if upload.urgency <= urgency)
         if bytes_ahead == 0:
@@ -121,16 +123,16 @@
         return wait <= fraction * (request.latency_target_left - own_time)
 
     def receive(self, now: float, key: UploadKey[Source], data: bytes) -> ForwardRequest | None:
-        """Take bytes that have arrived; return the request once its body is complete, its times counted from now.
+        """Add received bytes to a body; return the request once its body is complete, with its remaining times updated.
 
-        Bytes of a body that was dropped while they were on their way are ignored. Raises ValueError for more bytes
+        Bytes of a body that was dropped while they were in transit are ignored. Raises ValueError if more bytes arrive
         than were granted.
         """
         upload = self._uploads.get(key)
         if upload is None:
             return None
         if len(upload.body) + len(data) > upload.granted_bytes:
-            raise ValueError("more bytes than were granted")
+            raise ValueError("sender exceeded its granted bytes")
         upload.body += data
         upload.progress_at = now
         request = upload.request
@@ -143,11 +145,11 @@
         return request
 
     def drop(self, key: UploadKey[Source]) -> bool:
-        """Forget a body that nobody sends any more; return whether it was known."""
+        """Drop a body that is no longer wanted or sent; return whether it was being received."""
         return self._uploads.pop(key, None) is not None
 
     def keys_from(self, source: Source) -> list[UploadKey[Source]]:
-        """Return the keys of all bodies that come on one connection."""
+        """Return the keys of all bodies on one connection."""
         return [key for key in self._uploads if key.source is source]
 
     def drop_expired(self, now: float) -> list[UploadKey[Source]]:
@@ -158,9 +160,9 @@
         return expired
 
     def grant(self, now: float) -> list[Grant[Source]]:
-        """Grant what the link can take to the most urgent bodies; return a grant for each that may now send more."""
-        # Guards the link against a sender that says nothing: what it was granted delays nobody for long, and it is
-        # granted no more until it delivers what is outstanding, or its whole body could come at once when it wakes.
+        """Grant bytes up to the capacity of the link, most urgent bodies first; return the new grants, one per body."""
+        # A stalled sender must not delay others, so its outstanding bytes no longer count. It gets no further grant
+        # until it delivers them; otherwise its whole body could arrive at once when it resumes.
         sending = [(key, upload) for key, upload in self._uploads.items() if not upload.is_stalled(now)]
         outstanding = sum(upload.outstanding_bytes for _, upload in sending)
         offsets: dict[UploadKey[Source], int] = {}
