--- a/lugspur/mesh/dataplane/__init__.py
+++ b/lugspur/mesh/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The request path of the mesh: routes, selection of backends, retries, and the concurrency limiter of each backend."""
+"""The request path of the mesh: routing, backend selection, retries, and the concurrency limiter of each backend."""
--- a/lugspur/mesh/dataplane/backend_exchange.py
+++ b/lugspur/mesh/dataplane/backend_exchange.py
@@ -1,4 +1,4 @@
-"""What goes to the local backend over HTTP/1.1, and what its answer proves."""
+"""Encoding of requests to the local backend over HTTP/1.1, and classification of its responses."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from lugspur.mesh.dataplane.request_headers import ATTEMPT_ID_HEADER
 from lugspur.seams import Response
 
-NOT_DELIVERED_HEADER = b"lugspur-not-delivered"  # proves that the backend did not run the request
-POSTMARK_HEADER = b"lugspur-postmark"  # each successful answer has one
-METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")  # RFC 9110, section 8.6: their Content-Length is sent also if it is 0
-MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: another backend has the address now
+NOT_DELIVERED_HEADER = b"lugspur-not-delivered"  # in a response: proof that the backend did not run the request
+POSTMARK_HEADER = b"lugspur-postmark"  # present in every successful response
+METHODS_WITH_BODY = (b"POST", b"PUT", b"PATCH")  # Content-Length is sent even if it is 0 (RFC 9110, section 8.6)
+MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: another backend now listens at the address
 
 NOT_RUN_CAUSES = {
     Outcome.OVERLOADED: FailureCause.REFUSED,
@@ -29,12 +29,12 @@
 
 
 def classify_response(status: int, is_not_delivered: bool) -> Outcome:
-    """Return OVERLOADED for an answer that proves that the request did not run, else OK: it is the backend's answer."""
+    """Return OVERLOADED if a response proves that the request did not run, else OK."""
     return Outcome.OVERLOADED if is_not_delivered or status == MISDIRECTED_REQUEST else Outcome.OK
 
 
 def encode_request(forward: ForwardRequest, seconds_left: float) -> bytes:
-    """Return the bytes of a request for the backend, which tell it whom they are for and how much time is left."""
+    """Return a request as HTTP/1.1 bytes, with headers for the backend's incarnation id and the time left."""
     length = b""
     if forward.body or forward.method in METHODS_WITH_BODY:
         length = b"Content-Length: %d\r\n" % len(forward.body)
@@ -50,12 +50,12 @@
 
 
 def is_valid_response(forward: ForwardRequest, response: Response) -> bool:
-    """Whether an answer is the one to this request, as the backend meant it."""
+    """Whether a response is intact and belongs to this request."""
     headers: dict[bytes, bytes] = {}
     for line in response.head.split(b"\r\n"):
         name, _, value = line.partition(b":")
         name = name.lower()
-        if name == ATTEMPT_ID_HEADER and name in headers:  # Guards against two readings of whose answer it is.
+        if name == ATTEMPT_ID_HEADER and name in headers:  # Ambiguous: the request of the response is unclear.
             return False
         headers[name] = value.strip(b" \t")
     if headers.get(ATTEMPT_ID_HEADER) != forward.attempt_id or b"content-encoding" in headers:
--- a/lugspur/mesh/dataplane/failure_cause.py
+++ b/lugspur/mesh/dataplane/failure_cause.py
@@ -1,4 +1,4 @@
-"""Causes of requests that were rejected, or whose outcome at their backend is not known."""
+"""Causes for which an attempt ended without a response of its backend."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 
 
 class FailureCause(enum.IntEnum):
-    """Why a request has no answer of its backend; the numbers are fixed, since other processes read them."""
+    """Why an attempt has no response of its backend; the numbers are part of the wire protocol and must not change."""
 
-    NONE = 0  # the backend answered
+    NONE = 0  # the backend responded
     EXPIRED = 1  # the deadline had passed when the request was read
-    NOT_ACCEPTED = 2  # that incarnation of the backend accepts nothing new: draining, gone, or this process shuts down
-    QUEUE_FULL = 3  # the queue is full, or the answer would come too late
-    EVICTED = 4  # a more urgent request took its place in the queue
-    TOO_LITTLE_TIME = 5  # too little time was left when its turn came
-    REFUSED = 6  # the backend proved that it did not run the request
+    NOT_ACCEPTED = (
+        2  # the incarnation of the backend is draining, gone or unreachable, or this process is shutting down
+    )
+    QUEUE_FULL = 3  # the queue is full, or the response would be too late
+    EVICTED = 4  # evicted from the queue by a more urgent request
+    TOO_LITTLE_TIME = 5  # too little time was left when the request reached the head of the queue
+    REFUSED = 6  # the backend refused the request, with proof that it did not run it
     UNREACHABLE = 7  # the backend accepted no connection
-    TIMED_OUT = 8  # the backend had the request when the deadline passed
-    CONNECTION_BROKEN = 9  # the connection broke while the backend had the request
-    INVALID_RESPONSE = 10  # what the backend sent is no answer to the request
-    CANCELLED = 11  # the caller no longer waits
+    TIMED_OUT = 8  # the deadline passed after the request had been sent to the backend
+    CONNECTION_BROKEN = 9  # the connection to the backend broke after the request had been sent
+    INVALID_RESPONSE = 10  # the response of the backend is invalid, or belongs to another request
+    CANCELLED = 11  # cancelled or withdrawn, since the caller no longer waits
     LINK_LOST = 12  # the connection between the two proxies ended
     UPLOAD_TOO_LATE = 13  # the body would have arrived too late
     NEVER_RECEIVED = 14  # the connection between the two proxies ended before the request arrived
 
     @property
     def label(self) -> str:
-        """The text in logs, metrics and accounts of failed requests, which stays when a member is renamed."""
+        """The stable name in logs, metrics and failure records, independent of the member's name."""
         return _LABELS[self]
 
 
--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces between a request, the proxy that accepted it, and what carries requests and reserves their keys."""
+"""Interfaces between a proxied request, its proxy, the request carrier, and the store of key reservations."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 class SentRequest(Protocol):
-    """A request that was handed to a carrier and has no result yet."""
+    """The handle of a request that was passed to a carrier and has no result yet."""
 
     def cancel(self) -> None:
-        """End the request, wherever it is: nobody waits for it, and it may run again."""
+        """Cancel the request, even if it is running; used for safe requests whose caller no longer waits."""
 
     def withdraw(self) -> None:
-        """Keep the request from being started: nobody waits for it.
+        """Prevent the request from being started, since its caller no longer waits.
 
-        What a backend already works on goes on, and its result still comes.
+        A request that a backend is already running goes on, and its result is still reported.
         """
 
 
 class RequestCarrier(Protocol):
-    """Takes requests to the concurrency limiter beside a backend."""
+    """Sends requests to the concurrency limiter of a backend, on any machine."""
 
     def is_reachable(self, ip: str) -> bool:
-        """Whether that machine can be reached now."""
+        """Whether the machine can be reached now."""
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send a request; `respond` is called once with its result.
 
-        After a result that reports a lost connection a second one may follow: proof that the request did not run.
+        After a result that reports a lost connection, a second call may prove that the request did not run.
         """
 
 
@@ -51,27 +51,27 @@
         timeout: float,
         on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        """Ask for the right to run the operation with this key; `on_outcome` is called once, within `timeout` seconds.
+        """Reserve the right to run the operation with this key; `on_outcome` is called once, within `timeout` seconds.
 
-        `owner` names this reservation, and no other. `seconds_left`: the time that its request has.
+        `owner`: unique id of this reservation; `seconds_left`: time until the deadline of its request.
         """
 
     def release(self, key: bytes, owner: bytes) -> None:
-        """Give a reservation back under which nothing ran."""
+        """Release a reservation under which nothing has run or will run."""
 
     def abandon(self, key: bytes, owner: bytes) -> None:
-        """Forget a reservation whose outcome nobody waits for any more."""
+        """Abandon a reservation whose outcome is no longer of interest."""
 
 
 class OpenRequest(Protocol):
-    """A request that has no answer yet."""
+    """A request that has no response yet."""
 
     def end(self) -> None:
-        """Answer the request now, whatever is in flight."""
+        """Respond to the caller now, even if attempts are in flight."""
 
 
 class RequestHost(Protocol):
-    """The proxy that accepted a request, as far as the request needs it."""
+    """The interface of the proxy to the requests that it has accepted."""
 
     loop: asyncio.AbstractEventLoop
     rng: Random
@@ -79,25 +79,25 @@
     sender: str  # the service of this machine
     carrier: RequestCarrier
     keys: KeyReservations
-    services: dict[str, dict[str, Endpoint]]  # by the backend's id
+    services: dict[str, dict[str, Endpoint]]  # endpoints by service name and backend id
 
     def request_opened(self, request: OpenRequest) -> None:
-        """Note a request that has no answer yet."""
+        """Add a request to the open ones."""
 
     def request_closed(self, request: OpenRequest) -> None:
-        """Note that a request has been answered, or that its caller has disconnected."""
+        """Remove a request from the open ones: it has a response, or its caller has disconnected."""
 
     def budget(self, service: str) -> RetryBudget:
-        """Return this process's part of the service's retry budget."""
+        """Return this process's share of the service's retry budget."""
 
     def reservation_id(self, attempt_id: bytes) -> bytes:
-        """Return a name for one reservation of an idempotency key that no other reservation has."""
+        """Return a unique id for one reservation of an idempotency key."""
 
     def count(self, ending: str) -> None:
-        """Count a request by how it ended, or by why it could not go on."""
+        """Count a request by its result, or by the reason for which no backend was selected."""
 
     def request_served(self, seconds: float) -> None:
-        """Count a request that a backend answered successfully, `seconds` after it arrived."""
+        """Count a request with a successful response, sent `seconds` after the request arrived."""
 
     def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
-        """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
+        """Count a failed request and add it to the failure log; `facts` are fields of `FailedRequest`."""
--- a/lugspur/mesh/dataplane/local_backend.py
+++ b/lugspur/mesh/dataplane/local_backend.py
@@ -1,4 +1,4 @@
-"""The backend of this machine, as its limiter and its registration see it."""
+"""The state of the backend of this machine, shared by its limiter and its registration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class LocalBackend:
-    """One incarnation of the backend of this machine; times are the loop's."""
+    """One incarnation of the backend of this machine; times are in event loop time."""
 
     __slots__ = (
         "backend",
@@ -26,10 +26,10 @@
         self.id, self.service = ident, service
         self.backend = Backend(read_address(address))
         self.backend.in_service = True
-        self.concurrency = 1  # requests that it can work on at once, by its own word
-        self.sequence = -1  # number of its latest heartbeat
+        self.concurrency = 1  # requests that it can run at once, as declared in its heartbeats
+        self.sequence = -1  # sequence number of its latest heartbeat
         self.state = "accepting"
-        self.closing_at = float("inf")  # when it said that it closes
+        self.closing_at = float("inf")  # when it announced that it is closing
         self.last_heartbeat_at = now
-        self.warm_at = now
-        self.is_unreachable = False  # it accepted no connection since its latest heartbeat
+        self.warm_at = now  # end of its slow start
+        self.is_unreachable = False  # it has refused a connection since its latest heartbeat
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy for all requests that start on one machine: it accepts, counts and keeps them until they are answered."""
+"""The proxy for all requests of one machine's callers: it accepts, routes and counts them."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from lugspur.observability.metrics import Histogram
 from lugspur.seams import Answerable, Request
 
-# Of the service's retry budget, which rules allow: retries within nested calls count, too, and what this process knows
-# of the others lags behind.
+# Fraction of the allowed retry budget that is used. Retries within nested calls count too, and the number of proxies
+# that share the budget is known only with a delay.
 RETRY_BUDGET_FRACTION = 0.5
 PROCESS_ID_BYTES = 8
-SERVED = "answered"  # how a request is counted that a backend answered successfully
+SERVED = "answered"  # the result of a request with a successful response, in metrics and logs
 
 
 class Proxy:
-    """All requests that start on this machine (see `RequestHost` for what they need of it)."""
+    """The proxy of this machine's callers; it implements `RequestHost` for its requests."""
 
     def __init__(
         self,
@@ -44,10 +44,10 @@
         retry_window: float,
         zone: str,
     ) -> None:
-        """Make a proxy that knows no backends.
+        """Create a proxy that knows no backends.
 
         Each service's retry budget over `retry_window` seconds is `retry_ratio` of its requests plus `retry_slack`,
-        which all proxies share. `zone`: of this machine.
+        which all proxies share. `zone`: zone of this machine.
         """
         self.loop = asyncio.get_running_loop()
         self.table, self.carrier, self.keys, self.rng = table, carrier, keys, rng
@@ -56,18 +56,20 @@
         self._retry_window = retry_window
         self.zone = zone
         self.proxy_count = 1  # processes that share the retry budgets
-        self.services: dict[str, dict[str, Endpoint]] = {}  # by the backend's id
-        self.budgets: dict[str, RetryBudget] = {}  # by service
+        self.services: dict[str, dict[str, Endpoint]] = {}  # by service name and backend id
+        self.budgets: dict[str, RetryBudget] = {}  # by service name
         self.sender = ""  # the service of this machine
         self.open_requests: set[OpenRequest] = set()
         self._process_id = os.urandom(PROCESS_ID_BYTES).hex().encode()
         self._reservation_numbers = itertools.count(1)
-        self.ended: Counter[str] = Counter()  # requests since the start, by how they ended
-        self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
+        self.ended: Counter[str] = Counter()  # requests since the start of the process, by result
+        self.seconds = Histogram(
+            "request_seconds", "Seconds from the first byte of a request to its response, if it was successful."
+        )
         self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
 
     def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
-        """Replace the backends of a service that accept requests, by id; what was learned of others is forgotten."""
+        """Replace the backends of a service, by id; the state of backends that are no longer listed is dropped."""
         known = self.services.get(service, {})
         endpoints: dict[str, Endpoint] = {}
         for ident, listing in listings.items():
@@ -80,45 +82,45 @@
             self.services.pop(service, None)
 
     def budget(self, service: str) -> RetryBudget:
-        """Return this process's part of the service's retry budget."""
-        found = self.budgets.get(service)
-        if found is None:
-            found = self.budgets[service] = RetryBudget(0.0, self._retry_ratio, self._retry_window)
-        found.set_minimum(self._retry_slack / max(1, self.proxy_count))
-        return found
+        """Return this process's share of the service's retry budget."""
+        budget = self.budgets.get(service)
+        if budget is None:
+            budget = self.budgets[service] = RetryBudget(0.0, self._retry_ratio, self._retry_window)
+        budget.set_minimum(self._retry_slack / max(1, self.proxy_count))
+        return budget
 
     def reservation_id(self, attempt_id: bytes) -> bytes:
-        """Return a name for one reservation of an idempotency key that none has had, of any process at any time.
+        """Return an id for one reservation of an idempotency key that is unique over all processes and all time.
 
-        Guards against a second run: a voter grants a key again to the owner that it has granted it to. By the attempt
-        id alone two requests that bear one id, or a request of a former process here, would count as one reservation.
+        This prevents a second run, since a voter grants a key again to its present owner. With the attempt id alone,
+        two requests with the same id, or a request of an earlier process on this machine, would count as one owner.
         """
         return b"%b.%b.%d" % (attempt_id, self._process_id, next(self._reservation_numbers))
 
     def request_opened(self, request: OpenRequest) -> None:
-        """Note a request that has no answer yet."""
+        """Add a request to the open ones."""
         self.open_requests.add(request)
 
     def request_closed(self, request: OpenRequest) -> None:
-        """Note that a request has been answered, or that its caller has disconnected."""
+        """Remove a request from the open ones: it has a response, or its caller has disconnected."""
         self.open_requests.discard(request)
 
     def count(self, ending: str) -> None:
-        """Count a request by how it ended, or by why it could not go on."""
+        """Count a request by its result, or by the reason for which no backend was selected."""
         self.ended[ending] += 1
 
     def request_served(self, seconds: float) -> None:
-        """Count a request that a backend answered successfully, `seconds` after it arrived."""
+        """Count a request with a successful response, sent `seconds` after the request arrived."""
         self.count(SERVED)
         self.seconds.add(seconds)
 
     def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
-        """Count a request that failed and keep an account of it; `facts` are fields of `FailedRequest`."""
+        """Count a failed request and add it to the failure log; `facts` are fields of `FailedRequest`."""
         self.count(ending)
         self.failures.add(attempt_id, ending, **facts)
 
     def handle(self, request: Request, caller: Answerable) -> None:
-        """Take a request; its caller gets exactly one answer."""
+        """Handle a request; its caller gets exactly one response."""
         try:
             proxied_request = self._accept(request, caller)
         except MeshError as error:
@@ -128,7 +130,7 @@
         proxied_request.start()
 
     def _accept(self, request: Request, caller: Answerable) -> ProxiedRequest:
-        """Check a request and find its route; raises MeshError for one that can't be served."""
+        """Validate a request and find its route; raises MeshError if it can't be served."""
         ids = read_ids(request)
         if not request.target.startswith(b"/"):
             raise MeshError(ErrorKind.BAD_REQUEST)
--- a/lugspur/mesh/dataplane/request_outcome.py
+++ b/lugspur/mesh/dataplane/request_outcome.py
@@ -1,4 +1,4 @@
-"""How a request ended at its backend."""
+"""The outcome of one attempt at its backend."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class RequestOutcome(enum.IntEnum):
-    """What is known of a request once it has ended; the numbers are fixed, since other processes read them."""
+    """What is known about an attempt that has ended; the numbers are part of the wire protocol and must not change."""
 
-    ANSWERED = 0  # the backend's complete answer has arrived
-    NOT_RUN = 1  # proven: the backend has not run the request and never will
-    UNKNOWN = 2  # the request was sent, and nothing is known of it
-    INVALID_RESPONSE = 3  # the request was sent, and what came back is no answer to it
+    ANSWERED = 0  # the complete response of the backend has arrived
+    NOT_RUN = 1  # it is proven that the backend has not run the request and never will
+    UNKNOWN = 2  # the request was sent, and it is not known whether it has run
+    INVALID_RESPONSE = 3  # the request was sent, and its response is invalid or belongs to another request
 
     @property
     def label(self) -> str:
-        """The text in logs and accounts of failed requests, which stays when a member is renamed."""
+        """The stable name in logs and failure records, independent of the member's name."""
         return _LABELS[self]
 
 
