--- a/lugspur/mesh/sidecar/backend_status.py
+++ b/lugspur/mesh/sidecar/backend_status.py
@@ -1,4 +1,4 @@
-"""What a proxy says of its backend to the whole mesh."""
+"""The status of a backend, which its sidecar publishes to the whole mesh."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class BackendStatus(msgspec.Struct, array_like=True, frozen=True):
-    """The value of a leased entry of the kind `backend`, under the IP number of the backend's machine."""
+    """The value of a leased entry of the kind `backend`, whose name is the IP address of the backend's machine."""
 
-    id: str  # drawn by the backend at each of its starts
+    id: str  # drawn by the backend at each start
     service: str
     zone: str
     state: str  # `accepting`, `closing` or `gone`
-    berths: int  # requests that it works on at once
-    cold: float  # seconds for which it stays slow, from when this was said
-    rate: float = 0.0  # bytes a second of its machine's link; 0: unknown
+    berths: int  # requests that it can run at once
+    cold: float  # seconds of slow start that are left when the status is published
+    rate: float = 0.0  # bytes per second of its machine's link; 0 if unknown
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -22,10 +22,10 @@
 
 
 def encode_status(status: BackendStatus) -> bytes:
-    """The value of the entry."""
+    """Return a status as the value of an entry."""
     return _encoder.encode(status)
 
 
 def decode_status(value: bytes) -> BackendStatus:
-    """The status of an entry's value; raises msgspec.MsgspecError where it is none."""
+    """Return the status in the value of an entry; raises msgspec.MsgspecError if it is invalid."""
     return _decoder.decode(value)
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -1,4 +1,4 @@
-"""A proxy's registration of its machine's backend: heartbeats, sign-off, silence, and its entry in the mesh."""
+"""The registration of a machine's backend by its sidecar: heartbeats, sign-off, time-out, and its entry in the mesh."""
 
 from __future__ import annotations
 
@@ -23,29 +23,30 @@
 from lugspur.mesh.sidecar.backend_status import BackendStatus, encode_status
 from lugspur.seams import Answerable, Request
 
-MAX_MISSED_HEARTBEATS = 3.0  # until a backend counts as gone...
-HEARTBEAT_MARGIN_SECONDS = 1.0  # ...and so much longer
+# A backend without a heartbeat for this many heartbeat intervals, plus HEARTBEAT_MARGIN_SECONDS, counts as gone.
+MAX_MISSED_HEARTBEATS = 3.0
+HEARTBEAT_MARGIN_SECONDS = 1.0
 MAX_HEARTBEAT_BYTES = 4096
-REANNOUNCE_SECONDS = 2.0  # between two editions of the same status for another source of updates
-NEVER = float("inf")  # when a backend closes that has not said so
+REANNOUNCE_SECONDS = 2.0  # minimum interval between new editions of an unchanged status after a change of source
+NEVER = float("inf")  # closing time of a backend that has not announced that it is closing
 
 
 class Heartbeat(msgspec.Struct):
-    """A backend's heartbeat, as it sends it."""
+    """The JSON body of a backend's heartbeat."""
 
     service: str
     address: str
     state: str
-    sequence: int  # rises from heartbeat to heartbeat of one incarnation
-    berths: int = 1
-    warmup_left_ms: float = 0.0
+    sequence: int  # increases with each heartbeat of one incarnation
+    berths: int = 1  # requests that the backend can run at once
+    warmup_left_ms: float = 0.0  # time of slow start that is left
 
 
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
 
 
 def read_heartbeat(body: bytes) -> Heartbeat:
-    """The heartbeat of a call's body; raises MeshError (BAD_REQUEST) where it is none."""
+    """Decode a heartbeat from the body of a call; raises MeshError (BAD_REQUEST) if it is invalid."""
     try:
         heartbeat = _heartbeat_decoder.decode(body[:MAX_HEARTBEAT_BYTES])
         read_address(heartbeat.address)
@@ -55,7 +56,7 @@
 
 
 class RegisteringProcess(Protocol):
-    """The process beside the backend, as far as it is needed here."""
+    """The interface of the sidecar process to the registration."""
 
     loop: asyncio.AbstractEventLoop
     ip: str
@@ -67,14 +68,14 @@
         """The settings that are in force."""
 
     def next_edition(self, kind: str, name: str) -> int:
-        """A new edition of an entry of this process."""
+        """Return a new edition for an entry of this process."""
 
     def report(self) -> None:
-        """Report the entries of this process to whom it follows."""
+        """Report the entries of this process to the control node that it follows."""
 
 
 class BackendRegistration:
-    """The present incarnation of this machine's backend, and its leased entry."""
+    """The current incarnation of this machine's backend, and its leased entry."""
 
     def __init__(
         self,
@@ -83,48 +84,48 @@
         backends: Mapping[str, BackendStatus],
         rate: float,
     ) -> None:
-        """`backends`: what the mesh knows of each machine's, by IP number; `rate`: bytes a second of the link."""
+        """`backends`: statuses known to the mesh, by IP address; `rate`: bytes per second of this machine's link."""
         self._process, self._limiter, self._backends, self._rate = process, limiter, backends, rate
         self.announced: Entry | None = None
-        self._renew_at = 0.0  # when the entry may get a new edition without a new content
+        self._renew_at = 0.0  # earliest time for a new edition of an unchanged entry
         self._ticked_at = float("inf")  # until the first tick
         self._incarnations = BackendIncarnations(process.settings.depot.heartbeat_ms / 1000.0)
 
-    # ---- calls of the backend --------------------------------------------------------------
+    # ---- calls from the backend ------------------------------------------------------------
 
-    def heartbeat(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """Take a heartbeat, with the backend's id in `found`; raises MeshError (BAD_REQUEST) for what is none."""
+    def heartbeat(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
+        """Handle a heartbeat; the path contains the backend's id. Raises MeshError (BAD_REQUEST) if it is invalid."""
         heartbeat = read_heartbeat(request.body)
-        if self._is_present(found[0], heartbeat):
-            self._apply(self._present_backend(found[0], heartbeat), heartbeat)
+        if self._accepts_heartbeat(path_segments[0], heartbeat):
+            self._apply(self._current_backend(path_segments[0], heartbeat), heartbeat)
         reply(caller)
 
-    def _is_present(self, ident: str, heartbeat: Heartbeat) -> bool:
-        """Whether a heartbeat is one of the present incarnation, or of one that takes its place."""
+    def _accepts_heartbeat(self, ident: str, heartbeat: Heartbeat) -> bool:
+        """Whether a heartbeat is from the current incarnation, or from one that replaces it."""
         local = self._limiter.local_backend
         if local is not None and local.id != ident and heartbeat.state != "accepting" and heartbeat.sequence > 0:
-            return False  # an incarnation that ends can take nobody's place
+            return False  # An incarnation that is ending can't replace another.
         has_ended = local is not None and local.state in ("gone", "silent")
         if self._incarnations.is_present(self._process.loop.time(), ident, heartbeat.sequence, has_ended):
             return True
         events.info("late-heartbeat", id=ident, sequence=heartbeat.sequence, state=heartbeat.state)
         return False
 
-    def _present_backend(self, ident: str, heartbeat: Heartbeat) -> LocalBackend:
-        """The backend with that id; it takes the place of another one."""
+    def _current_backend(self, ident: str, heartbeat: Heartbeat) -> LocalBackend:
+        """Return the backend with this id; if it is a new one, it replaces the former one."""
         local = self._limiter.local_backend
         if local is not None and local.id == ident:
             return local
         local = LocalBackend(ident, heartbeat.service, heartbeat.address, self._process.loop.time())
         if heartbeat.state != "accepting":
-            # Guards its drain: it may have said so long ago, to a process that was here before this one.
+            # It may have announced its closing long ago, to an earlier sidecar process, so it gets no more requests.
             local.closing_at = float("-inf")
         self._limiter.local_backend = local
         events.info("backend", id=local.id, service=local.service, address=heartbeat.address, state=heartbeat.state)
         return local
 
     def _apply(self, local: LocalBackend, heartbeat: Heartbeat) -> None:
-        """Take over what a heartbeat says, unless a later one has come before it."""
+        """Apply the contents of a heartbeat, unless a later one has already been applied."""
         if heartbeat.sequence <= local.sequence:
             return
         now = self._process.loop.time()
@@ -134,15 +135,15 @@
         if heartbeat.state != "accepting" and local.closing_at == NEVER:
             local.closing_at = now
             events.info("closing", id=local.id)
-        if local.state != "gone":  # one that was silent speaks again; one that signed off does not
+        if local.state != "gone":  # A heartbeat ends the silence of a backend, but not its sign-off.
             local.state = "accepting" if local.closing_at == NEVER else "closing"
         self.publish()
 
-    def sign_off(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """Take the backend's sign-off, with its id in `found`: it has ended."""
-        self._incarnations.signed_off(found[0])
+    def sign_off(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
+        """Handle the sign-off of a backend that has ended; the path contains its id."""
+        self._incarnations.signed_off(path_segments[0])
         local = self._limiter.local_backend
-        if local is not None and local.id == found[0]:
+        if local is not None and local.id == path_segments[0]:
             local.state = "gone"
             local.closing_at = min(local.closing_at, self._process.loop.time())
             events.info("sign-off", id=local.id)
@@ -150,14 +151,14 @@
         reply(caller)
 
     def unreachable(self, local: LocalBackend) -> None:
-        """The backend has refused a connection."""
+        """Handle a backend that has refused a connection."""
         events.info("backend-down", id=local.id)
         self.publish()
 
     # ---- the entry of the backend ----------------------------------------------------------
 
     def publish(self) -> None:
-        """Announce the status of this machine's backend to the mesh, where that has changed."""
+        """Announce the status of this machine's backend to the mesh if it has changed."""
         local = self._limiter.local_backend
         if local is None:
             return
@@ -179,7 +180,7 @@
         )
 
     def _is_announced(self, status: BackendStatus) -> bool:
-        """Whether the mesh knows it already; how long the backend stays slow is no reason to announce it anew."""
+        """Whether the mesh knows the status; a different time of slow start left is no reason to announce it again."""
         known = self._backends.get(self._process.ip)
         if known is None or self.announced is None or self.announced.value is None:
             return False
@@ -195,39 +196,39 @@
         self._process.store.merge([self.announced])
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
-        """The entry of the backend; `renew`: for another peer, under a new edition."""
+        """Return the entry of the backend, if any; with `renew`, under a new edition for another peer."""
         now = self._process.loop.time()
-        # Guards subscribers against a fleet that seeks sources all the time while the voters are unsettled: under the
-        # same edition it is no update. The former source may drop the entry when its lease ends there, and is then
-        # contradicted (see `overtaken_by`).
+        # While the voters are unsettled, all proxies change their sources again and again. The interval limits the load
+        # on subscribers: an entry with the same edition is no update. If a former source drops the entry when its lease
+        # expires there, the entry is published again (see `overtaken_by`).
         if self.announced is not None and renew and now >= self._renew_at:
             self._renew_at = now + REANNOUNCE_SECONDS
             self._announce(self._process.next_edition(BACKEND, self._process.ip), self.announced.value)
         return [] if self.announced is None else [self.announced]
 
     def overtaken_by(self, entry: Entry) -> bool:
-        """Whether somebody else has written a later entry of this machine's backend; its own one follows."""
+        """Republish this machine's entry if another process has written a later edition; return whether it has."""
         if self.announced is None or entry.edition <= self.announced.edition:
             return False
         self.announced = Entry(BACKEND, self._process.ip, entry.edition + 1, self.announced.value)
-        self._process.loop.call_soon(self._contradict)
+        self._process.loop.call_soon(self._republish)
         return True
 
-    def _contradict(self) -> None:
+    def _republish(self) -> None:
         if self.announced is not None:
             self._process.store.merge([self.announced])
             self._process.report()
 
-    # ---- time ------------------------------------------------------------------------------
+    # ---- periodic work ---------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Notice a backend that sends no heartbeats."""
+        """Mark the backend as silent if its heartbeats have stopped."""
         local = self._limiter.local_backend
         since_tick, self._ticked_at = now - self._ticked_at, now
         if local is None or local.state in ("gone", "silent"):
             return
         if since_tick > PAUSE_THRESHOLD_SECONDS:
-            # Guards against a verdict after a pause of this process itself: the heartbeats wait unread.
+            # After a pause of this process the heartbeats are still unread, so the backend must not count as silent.
             local.last_heartbeat_at += since_tick
         interval = self._process.settings.depot.heartbeat_ms / 1000.0
         if now - local.last_heartbeat_at > MAX_MISSED_HEARTBEATS * interval + HEARTBEAT_MARGIN_SECONDS:
