--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -1,4 +1,4 @@
-"""Carries requests to the concurrency limiter beside a backend, of this machine or of another."""
+"""Sends requests to the concurrency limiter of a backend, on this machine or another."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MeshRequestCarrier:
-    """The way to all backends (see `lugspur.mesh.dataplane.interfaces.RequestCarrier`)."""
+    """Implements `lugspur.mesh.dataplane.interfaces.RequestCarrier` with local calls and connections to peers."""
 
     def __init__(
         self,
@@ -27,20 +27,20 @@
         limiter: ConcurrencyLimiter,
         outgoing: OutgoingExchanges,
     ) -> None:
-        """`ip`: of this machine; `peers` and `backends`: by IP number; `limiter`: of this machine's backend."""
+        """`ip`: this machine's address; `peers` and `backends`: by IP address; `limiter`: of the local backend."""
         self._loop, self._ip = loop, ip
         self._peers, self._backends = peers, backends
         self._limiter, self._outgoing = limiter, outgoing
 
     def is_reachable(self, ip: str) -> bool:
-        """Whether that machine can be reached now."""
+        """Whether the machine can be reached now."""
         if ip == self._ip:
             return True
         dialer = self._peers.get(ip)
         return dialer is not None and dialer.link is not None and dialer.link.is_greeted
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
-        """Send a request to the limiter beside that machine's backend; `respond` gets how it ended."""
+        """Send a request to the limiter of a machine's backend; `respond` is called with its result."""
         if ip == self._ip:
             return LocalRequest(self._limiter, self._limiter.submit(forward, respond))
         link = self._peers[ip].link
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -1,4 +1,4 @@
-"""Requests of other machines for the backend of this one: from connections dialled here to the concurrency limiter."""
+"""Requests of other machines for the local backend: from incoming connections to the concurrency limiter."""
 
 from __future__ import annotations
 
@@ -28,25 +28,26 @@
 
 
 class _Sender:
-    """The process at the other end of one connection."""
+    """The state of the process at the other end of one connection."""
 
     __slots__ = ("delay", "highest_number", "incarnation")
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.highest_number = 0  # of its requests on this connection
+        self.highest_number = 0  # highest number of its requests on this connection
         self.delay = ExcessDelayEstimator()
 
 
 class IncomingExchanges:
-    """All requests of other machines that are in flight here, by connection and number.
+    """All requests of other machines that are in flight on this one, by connection and number.
 
-    A connection lies between one incarnation of a process and one of another: what came on it belongs to no other.
-    Requests are taken only after a Hello, which names the incarnation, and with rising numbers: none is taken twice.
+    A connection belongs to one incarnation of a process at each end, and so do all messages on it. Requests are
+    accepted only after a Hello, which names the incarnation, and only with increasing numbers, so that none is
+    accepted twice.
     """
 
     def __init__(self, limiter: ConcurrencyLimiter, uploads: UploadScheduler[Link], hello: Hello) -> None:
-        """`hello`: what this process answers to who dials it."""
+        """`hello`: the reply of this process to the Hello of a connecting peer."""
         self._loop = asyncio.get_running_loop()
         self._limiter, self.uploads, self._hello = limiter, uploads, hello
         self._admitted: dict[tuple[Link, int], AdmittedRequest] = {}
@@ -54,13 +55,13 @@
         self._unrun_requests = UnrunRequests()
 
     def receive(self, link: Link, message: Message) -> None:
-        """Take a message of a process that has dialled this one."""
+        """Handle a message on an incoming connection."""
         if isinstance(message, Hello):
-            self._greet(link, message)
+            self._receive_hello(link, message)
         elif isinstance(message, ForwardRequest):
-            self._take(link, message)
+            self._receive_request(link, message)
         elif isinstance(message, BodyChunk):
-            self._take_chunk(link, message)
+            self._receive_chunk(link, message)
         elif isinstance(message, CancelRequest):
             self._cancel(link, message.number)
         elif isinstance(message, WithdrawRequest):
@@ -68,7 +69,7 @@
         elif isinstance(message, FetchOutcomes):
             self._send_outcomes(link, message)
 
-    def _greet(self, link: Link, message: Hello) -> None:
+    def _receive_hello(self, link: Link, message: Hello) -> None:
         link.peer = message.ip
         sender = self._senders.setdefault(link, _Sender(message.incarnation))
         if message.incarnation != sender.incarnation:
@@ -81,8 +82,8 @@
 
     # ---- requests --------------------------------------------------------------------------
 
-    def _take(self, link: Link, forward: ForwardRequest) -> None:
-        """Take a request, or the announcement of one whose body is sent in chunks."""
+    def _receive_request(self, link: Link, forward: ForwardRequest) -> None:
+        """Handle a request, or the announcement of a request whose body is sent in chunks."""
         sender = self._senders.get(link)
         if sender is None or forward.number <= sender.highest_number:
             events.warn("forward", peer=link.peer, n=forward.number)
@@ -91,8 +92,8 @@
         sender.highest_number = forward.number
         if forward.key:
             self._unrun_requests.received(sender.incarnation, forward.number)
-        # Guards against running what was delayed (by a partition, or while this process was paused) until nobody waits
-        # for it any more.
+        # A request that was delayed, by a partition or a pause of this process, must not run after its caller has given
+        # up.
         excess = sender.delay.observe(self._loop.time(), forward.sent_at)
         forward.seconds_left -= excess
         forward.latency_target_left -= excess
@@ -101,10 +102,10 @@
         elif forward.body_bytes:
             self._offer_upload(link, forward)
         else:
-            self._run(link, forward)
+            self._submit(link, forward)
 
-    def _run(self, link: Link, forward: ForwardRequest) -> None:
-        """Hand a complete request to the limiter."""
+    def _submit(self, link: Link, forward: ForwardRequest) -> None:
+        """Submit a complete request to the limiter."""
         number, incarnation = forward.number, self._senders[link].incarnation
 
         def respond(response: ForwardResponse) -> None:
@@ -118,12 +119,12 @@
             self._admitted[link, number] = admitted
 
     def _reject(self, link: Link, number: int, cause: FailureCause) -> None:
-        """Reply to a request that was not handed to the limiter."""
+        """Reject a request that was not submitted to the limiter."""
         self._unrun_requests.did_not_run(self._senders[link].incarnation, number)
         link.send(self._limiter.reject(number, cause))
 
     def _cancel(self, link: Link, number: int) -> None:
-        """Nobody waits for a request any more: it is ended."""
+        """Cancel a request whose caller no longer waits."""
         admitted = self._admitted.pop((link, number), None)
         if admitted is not None:
             self._limiter.cancel(admitted)
@@ -131,7 +132,7 @@
             self._grant()
 
     def _withdraw(self, link: Link, number: int) -> None:
-        """Nobody waits for a request that may not be cancelled: it is not started if it has not been."""
+        """Prevent a request from being started if it has not been; once started, it may not be cancelled."""
         admitted = self._admitted.get((link, number))
         if admitted is not None:
             self._limiter.withdraw(admitted)
@@ -142,7 +143,7 @@
     # ---- proofs that a request did not run -------------------------------------------------
 
     def _keep_proof(self, link: Link, incarnation: str, response: ForwardResponse) -> None:
-        """Keep the proof for a sender that may not receive it, and send it where that has connected anew."""
+        """Store the proof, since the reply may be lost; if its connection has ended, send it on the sender's others."""
         self._unrun_requests.did_not_run(incarnation, response.number)
         if not link.is_open:
             for other in self._links_of(incarnation):
@@ -152,13 +153,13 @@
         return [link for link, sender in self._senders.items() if sender.incarnation == incarnation]
 
     def _send_outcomes(self, link: Link, message: FetchOutcomes) -> None:
-        """Send which requests of lost connections are proven not to have run."""
+        """Send proofs for those requests of lost connections that have not run."""
         sender = self._senders.get(link)
         if sender is None:
             events.warn("outcomes", peer=link.peer)
             link.close()
             return
-        # Guards the proof: nothing that is unread on a former connection may be taken after it.
+        # A request that is still unread on a former connection must not be accepted after the proof that it never runs.
         for other in self._links_of(sender.incarnation):
             if other is not link:
                 other.close()
@@ -171,17 +172,17 @@
     # ---- bodies in chunks ------------------------------------------------------------------
 
     def _offer_upload(self, link: Link, forward: ForwardRequest) -> None:
-        """Have the body of a request scheduled, or reject the request where it would come too late."""
+        """Schedule the body of a request, or reject the request if its body would arrive too late."""
         now, number = self._loop.time(), forward.number
-        urgency, seconds = urgency_of(now, forward), self._limiter.service_times.expected(forward.route)
+        urgency, service_time = urgency_of(now, forward), self._limiter.service_times.expected(forward.route)
         if self._limiter.has_capacity(forward) and self.uploads.offer(
-            now, UploadKey(link, number), forward, urgency, seconds
+            now, UploadKey(link, number), forward, urgency, service_time
         ):
             self._grant()
         else:
             self._reject(link, number, FailureCause.UPLOAD_TOO_LATE)
 
-    def _take_chunk(self, link: Link, message: BodyChunk) -> None:
+    def _receive_chunk(self, link: Link, message: BodyChunk) -> None:
         try:
             complete = self.uploads.receive(self._loop.time(), UploadKey(link, message.number), message.data)
         except ValueError as fault:
@@ -189,18 +190,18 @@
             link.close()
             return
         if complete is not None:
-            self._run(link, complete)
+            self._submit(link, complete)
         self._grant()
 
     def _grant(self) -> None:
-        """Let the senders whose turn it is send their next bytes."""
+        """Send grants to the senders whose bodies are next."""
         for grant in self.uploads.grant(self._loop.time()):
             grant.key.source.send(GrantBody(grant.key.number, grant.up_to_offset))
 
-    # ---- the end of connections and of time ------------------------------------------------
+    # ---- lost connections and time-outs ----------------------------------------------------
 
     def link_ended(self, link: Link) -> None:
-        """A connection that was dialled to here has ended."""
+        """Handle the end of an incoming connection."""
         sender = self._senders.pop(link, None)
         for upload_key in self.uploads.keys_from(link):
             self.uploads.drop(upload_key)
@@ -208,11 +209,11 @@
                 self._unrun_requests.did_not_run(sender.incarnation, upload_key.number)
         for key in [key for key in self._admitted if key[0] is link]:
             admitted = self._admitted.pop(key)
-            if admitted.forward.is_safe:  # nobody receives its answer; those of others may be stored for a repeat
+            if admitted.forward.is_safe:  # Responses of other requests may be stored for a repeat.
                 self._limiter.cancel(admitted)
 
     def tick(self, now: float) -> None:
-        """End bodies whose time is over."""
+        """Reject requests whose bodies have not arrived by their deadline, and grant more bytes."""
         if len(self.uploads):
             for link, number in self.uploads.drop_expired(now):
                 self._reject(link, number, FailureCause.UPLOAD_TOO_LATE)
--- a/lugspur/mesh/sidecar/local_requests.py
+++ b/lugspur/mesh/sidecar/local_requests.py
@@ -1,4 +1,4 @@
-"""Requests of this machine's callers for this machine's own backend: they go to its limiter without a connection."""
+"""Requests of local callers for the local backend, which go to its limiter without a connection."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class LocalRequest:
-    """A request for the backend of this machine, as its sender handles it."""
+    """The handle of a request for the local backend."""
 
     __slots__ = ("_admitted", "_limiter")
 
     def __init__(self, limiter: ConcurrencyLimiter, admitted: AdmittedRequest | None) -> None:
-        """`admitted`: none where the limiter has rejected it."""
+        """`admitted`: None if the limiter has rejected the request."""
         self._limiter, self._admitted = limiter, admitted
 
     def cancel(self) -> None:
-        """Nobody waits for it: it is ended."""
+        """Cancel the request, whose caller no longer waits."""
         if self._admitted is not None:
             self._limiter.cancel(self._admitted)
 
     def withdraw(self) -> None:
-        """Nobody waits for it: it is not started if it has not been."""
+        """Prevent the request from being started if it has not been; its caller no longer waits."""
         if self._admitted is not None:
             self._limiter.withdraw(self._admitted)
--- a/lugspur/mesh/sidecar/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -1,4 +1,4 @@
-"""Requests that this machine sends to the limiters of others: what waits for a reply, and bodies on their way."""
+"""Requests that this machine sends to the limiters of other machines, with their bodies and pending replies."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from lugspur.mesh.dataplane.upload_scheduler import CHUNK_BYTES, is_chunked
 from lugspur.mesh.transport.link import Link
 
-MAX_UNPROVEN_REQUESTS = 1024  # of lost connections, whose outcome is asked for; the latest
+MAX_UNPROVEN_REQUESTS = 1024  # latest requests on lost connections whose outcome may still be fetched
 
 Respond = Callable[[ForwardResponse], None]
 
@@ -36,25 +36,25 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """One request that waits for its reply."""
+    """One request that is waiting for its reply."""
 
     link: Link
     respond: Respond
-    is_keyed: bool  # a proof that it did not run is worth asking for once its connection is lost
-    unsent_body: _Body | None = None  # until its end has been sent
+    is_keyed: bool  # after a lost connection, a proof that the request did not run is of use
+    unsent_body: _Body | None = None  # None once the end of the body has been sent
 
 
 @dataclass(slots=True, frozen=True)
 class _Unproven:
-    """A request whose connection was lost before its reply came."""
+    """A request whose connection was lost before its reply arrived."""
 
     ip: str
-    incarnation: str  # of the process that it was sent to
+    incarnation: str  # incarnation of the process that the request was sent to
     respond: Respond
 
 
 class RemoteRequest:
-    """One request that waits for its reply, as its sender handles it."""
+    """The handle of a request that was sent to another machine."""
 
     __slots__ = ("_exchanges", "_ip", "_number")
 
@@ -62,35 +62,35 @@
         self._exchanges, self._ip, self._number = exchanges, ip, number
 
     def cancel(self) -> None:
-        """Nobody waits for it: it is ended."""
+        """Cancel the request, whose caller no longer waits."""
         self._exchanges.cancel(self._ip, self._number)
 
     def withdraw(self) -> None:
-        """Nobody waits for it: it is not started if it has not been."""
+        """Prevent the request from being started if it has not been; its caller no longer waits."""
         self._exchanges.withdraw(self._ip, self._number)
 
 
 class OutgoingExchanges:
-    """All requests that wait for a reply, by machine and number.
+    """All requests that are waiting for a reply, by machine and number.
 
-    A number is never used again by this incarnation of the process.
+    This incarnation of the process never reuses a number.
     """
 
     def __init__(self) -> None:
         self._latest_number = 0
-        self._exchanges: dict[str, dict[int, _Exchange]] = {}  # by IP number and number
+        self._exchanges: dict[str, dict[int, _Exchange]] = {}  # by IP address, then request number
         self._unproven: LRUCache[int, _Unproven] = LRUCache(MAX_UNPROVEN_REQUESTS)
 
     def waits_for(self, ip: str) -> bool:
-        """Whether any request waits for a reply of that machine."""
+        """Whether any request is waiting for a reply of the machine."""
         return bool(self._exchanges.get(ip))
 
     def send(
         self, now: float, ip: str, link: Link, rate: float, forward: ForwardRequest, respond: Respond
     ) -> RemoteRequest:
-        """Send a request; `respond` is called once, and again with a proof that comes later.
+        """Send a request; `respond` is called once, and again if a proof of its outcome arrives later.
 
-        `rate`: bytes a second of that machine's link; 0: unknown.
+        `rate`: bytes per second of the receiving machine's link; 0 if unknown.
         """
         self._latest_number += 1
         number = forward.number = self._latest_number
@@ -104,28 +104,28 @@
         return RemoteRequest(self, ip, number)
 
     def cancel(self, ip: str, number: int) -> None:
-        """Have a request ended; its outcome is unknown."""
+        """Cancel a request; its outcome is reported as unknown."""
         exchange = self._exchanges.get(ip, {}).pop(number, None)
         if exchange is not None:
             exchange.link.send(CancelRequest(number))
             exchange.respond(ForwardResponse(number, RequestOutcome.UNKNOWN, cause=FailureCause.CANCELLED))
 
     def withdraw(self, ip: str, number: int) -> None:
-        """Have a request not started if it has not been; its reply comes all the same."""
+        """Prevent a request from being started if it has not been; its reply is still reported."""
         exchange = self._exchanges.get(ip, {}).get(number)
         if exchange is not None:
             exchange.link.send(WithdrawRequest(number))
 
     def _exchange_on(self, link: Link, number: int) -> _Exchange | None:
-        """The exchange that a message on this connection is about.
+        """Return the exchange with this number on this connection, or None.
 
-        Guards an exchange against what is said of its number on any other connection than its own.
+        A message on another connection than that of the exchange must not affect it, even if it has the same number.
         """
         exchange = self._exchanges.get(link.peer, {}).get(number)
         return exchange if exchange is not None and exchange.link is link else None
 
     def receive_response(self, link: Link, message: ForwardResponse) -> None:
-        """Take the reply to a request, or a later proof of how it ended."""
+        """Handle the reply to a request, or a later proof of its outcome."""
         exchange = self._exchange_on(link, message.number)
         if exchange is not None:
             del self._exchanges[link.peer][message.number]
@@ -134,7 +134,7 @@
             self._receive_proof(link, message)
 
     def _receive_proof(self, link: Link, message: ForwardResponse) -> None:
-        """Take the outcome of a request whose connection was lost, from the process that it was sent to."""
+        """Handle the outcome of a request whose connection was lost, from the process that it was sent to."""
         unproven = self._unproven.get(message.number)
         if unproven is None or (unproven.ip, unproven.incarnation) != (link.peer, link.peer_incarnation):
             return
@@ -142,7 +142,7 @@
         unproven.respond(message)
 
     def receive_grant(self, link: Link, message: GrantBody) -> None:
-        """Send the next bytes of a body, as many as are granted."""
+        """Send the newly granted bytes of a body."""
         exchange = self._exchange_on(link, message.number)
         body = None if exchange is None else exchange.unsent_body
         if exchange is None or body is None or body.sent_bytes >= message.up_to_offset:
@@ -155,7 +155,7 @@
             exchange.link.send(BodyChunk(message.number, data))
 
     def greeted(self, link: Link) -> None:
-        """A process has said which incarnation it is: ask it for the outcomes of what former connections have lost."""
+        """Handle a peer's Hello: fetch the outcomes of requests on lost connections to the same incarnation."""
         numbers = []
         for number, unproven in list(self._unproven.items()):
             if unproven.ip != link.peer:
@@ -163,15 +163,15 @@
             if unproven.incarnation == link.peer_incarnation:
                 numbers.append(number)
             else:
-                del self._unproven[number]  # another incarnation does not know what the one before had started
+                del self._unproven[number]  # Another incarnation does not know what the former one had started.
         if numbers:
             link.send(FetchOutcomes(sorted(numbers)))
 
     def disconnected(self, ip: str) -> None:
-        """The connection to that machine has ended: respond to all that wait for it.
+        """Handle the end of the connection to a machine: report a result for all requests that wait for its reply.
 
-        What was sent may run or have run; nothing proves otherwise until that process says so. A body whose end was not
-        sent proves that its request did not run: the limiter starts complete requests alone.
+        A request that was sent completely may have run or may still run, unless that process proves otherwise later. A
+        request whose body was not sent completely has not run, since the limiter starts only complete requests.
         """
         for number, exchange in self._exchanges.pop(ip, {}).items():
             is_unsent = exchange.unsent_body is not None
