--- a/lugspur/mesh/sidecar/__init__.py
+++ b/lugspur/mesh/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The process of a proxy beside one backend: requests of its machine out, requests for its backend in."""
+"""The sidecar: the proxy process beside one backend, for outgoing requests of its machine and incoming ones."""
--- a/lugspur/mesh/sidecar/api.py
+++ b/lugspur/mesh/sidecar/api.py
@@ -1,4 +1,4 @@
-"""The calls that a proxy takes: of the platform, of operators, and of its machine's backend."""
+"""The HTTP API of a sidecar for the platform, for operators, and for the backend of its machine."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ServingProcess(Protocol):
-    """The process whose calls these are."""
+    """The interface of the sidecar process to its API."""
 
     rng: Random
     proxy: Proxy
@@ -35,30 +35,30 @@
         """The settings that are in force."""
 
     def update_sender(self) -> None:
-        """Take up the service that this machine's requests come from."""
+        """Update the service name that this machine's requests are sent under."""
 
     def status(self) -> dict[str, Any]:
-        """What operators see of this proxy."""
+        """Return the status of this sidecar for operators."""
 
     def metrics(self) -> bytes:
-        """The metrics of this proxy, in the text format of Prometheus."""
+        """Return the metrics of this sidecar in the Prometheus text format."""
 
 
 class SidecarApi:
-    """Handlers of the calls; `*` in a path hands over the backend's id."""
+    """Handlers of the API calls; in a path, `*` stands for the backend's id."""
 
     def __init__(self, process: ServingProcess) -> None:
         self._process = process
 
     def platform_calls(self) -> HttpApi:
-        """The calls at the `readiness` address."""
+        """Return the calls that are served at the `readiness` address."""
         calls = HttpApi()
         calls.add("GET", "/readiness", self.readiness)
         calls.add("GET", "/metrics", self.metrics)
         return calls
 
     def dispatch_calls(self) -> HttpApi:
-        """The calls at the `dispatch` address."""
+        """Return the calls that are served at the `dispatch` address."""
         calls = HttpApi()
         calls.add("POST", "/backends/*/heartbeat", self.heartbeat)
         calls.add("POST", "/backends/*/sign-off", self._process.registration.sign_off)
@@ -70,7 +70,7 @@
         return calls
 
     def readiness(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Whether callers may be sent here; raises MeshError (LEAVING, NOT_READY) where they may not."""
+        """Reply to a readiness check; raises MeshError (LEAVING, NOT_READY) if the sidecar is not ready."""
         process = self._process
         if process.is_leaving:
             raise MeshError(ErrorKind.LEAVING)
@@ -79,23 +79,23 @@
         reply(caller)
 
     def redirect(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Send a call that only a control node can answer to one of the seeds."""
+        """Redirect a call that only a control node can handle to one of the seed nodes."""
         seed = self._process.rng.choice(self._process.settings.network.seed_nodes)
         reply(caller, status=307, head=b"Location: http://%b%b\r\n" % (seed.encode(), request.target))
 
-    def heartbeat(self, request: Request, caller: Answerable, found: list[str]) -> None:
-        """Take a heartbeat of the backend; raises MeshError (BAD_REQUEST) for what is none."""
-        self._process.registration.heartbeat(request, caller, found)
+    def heartbeat(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
+        """Handle a heartbeat of the backend; raises MeshError (BAD_REQUEST) if it is invalid."""
+        self._process.registration.heartbeat(request, caller, path_segments)
         self._process.update_sender()
 
     def status(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Answer what operators see of this proxy."""
+        """Reply with the status of this sidecar."""
         reply(caller, _encode_json(self._process.status()))
 
     def failures(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Answer the latest requests that failed, and why."""
+        """Reply with the latest failed requests and their causes."""
         reply(caller, _encode_json(self._process.proxy.failures.latest()))
 
     def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
-        """Answer the metrics of this proxy."""
+        """Reply with the metrics of this sidecar."""
         caller.answer(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -1,4 +1,4 @@
-"""The process of a proxy: requests of its machine's callers out, requests for its backend in, and its registration."""
+"""The sidecar process: outgoing requests of local callers, incoming requests for the backend, and its registration."""
 
 from __future__ import annotations
 
@@ -39,25 +39,25 @@
 from lugspur.observability.metrics import render
 from lugspur.seams import Answerable, Request
 
-RESERVED_FILES = 264  # descriptors for files and what is not counted here; 200 are reserved by the platform
-CALLER_FILES_FRACTION = 0.5  # of the descriptors, for callers; the rest is for the backend and other proxies
-MIN_CALLERS = 64  # connections of callers that are taken however few descriptors there are
-BACKLOG_READ_SECONDS = 1.0  # after a pause, in which all that waited meanwhile is read
-STREAM_GRACE_SECONDS = 2.0  # for answers that are passed on as they come, once callers are sent away
-ACCEPTING_FRACTION = 0.35  # of the time that a process has to end, in which callers are still served anew...
-SHUTDOWN_FRACTION = 0.9  # ...and by which all ends
-DRAIN_DELAY_SECONDS = 0.5  # until idle connections of callers are closed while this process ends
-SHUTDOWN_POLL_SECONDS = 0.05  # between two looks at whether all has ended
-FLUSH_SECONDS = 0.05  # in which the last answers are written
+RESERVED_FILES = 264  # file descriptors for other uses, including 200 that the platform reserves
+CALLER_FILES_FRACTION = 0.5  # fraction of the other descriptors for callers; the rest is for the backend and proxies
+MIN_CALLERS = 64  # caller connections that are accepted even if there are too few descriptors
+BACKLOG_READ_SECONDS = 1.0  # time after a pause by which everything that arrived during it has been read
+STREAM_GRACE_SECONDS = 2.0  # time that streamed responses have left once the connections of callers are being closed
+ACCEPTING_FRACTION = 0.35  # fraction of the shutdown grace period in which new requests of callers are accepted
+SHUTDOWN_FRACTION = 0.9  # fraction of the shutdown grace period after which all remaining requests are ended
+DRAIN_DELAY_SECONDS = 0.5  # time after which idle connections of callers are closed during a shutdown
+SHUTDOWN_POLL_SECONDS = 0.05  # interval between two checks whether all requests have ended during a shutdown
+FLUSH_SECONDS = 0.05  # time to write the last responses before the process exits
 
 
 class Sidecar(MeshProcess):
-    """The process of one proxy."""
+    """The process of one sidecar proxy."""
 
-    front: Front  # of this machine's callers, once it serves
+    front: Front  # the HTTP listener for local callers; set in `serve`
 
     def __init__(self, settings: Settings, path: str) -> None:
-        """`path`: the settings file, which is read again when it changes."""
+        """`path`: the settings file, which is reloaded when it changes."""
         super().__init__(settings, path, is_control_node=False)
         limits = settings.own.limits
         memory_bytes, link_rate = limits.memory_mb << 20, limits.link_mbps * 1e6 / 8.0
@@ -110,25 +110,26 @@
     # ---- settings ------------------------------------------------------------------------
 
     def settings_changed(self) -> None:
-        """Other settings are in force: the seeds or the service may be others."""
+        """Handle new settings: the seeds or the service may have changed."""
         super().settings_changed()
         self.update_sender()
 
     def update_sender(self) -> None:
-        """Take up the service that this machine's requests come from: its backend's, else that of the settings."""
+        """Update the service name of this machine's requests: its backend's if known, else that of the settings."""
         local = self.limiter.local_backend
         self.proxy.sender = local.service if local is not None else self.settings.own.service
 
     # ---- serving -------------------------------------------------------------------------
 
     async def serve(self) -> None:
-        """Listen to other proxies, to callers, to the platform, and to operators and the backend."""
+        """Start the listeners for other proxies, callers, the platform, and operators and the backend."""
         settings = self.settings
         ip, port = settings.inner_bind_address
         listen, memory_bytes = settings.network.listen, settings.own.limits.memory_mb << 20
         await self.loop.create_server(self._accept, ip, port, backlog=512)
         self.front = Front(read_address(listen.outgoing), self._max_callers(), memory_bytes, self.handle)
-        # Guards against requests that waited unread while this process was paused: their callers have given them up.
+        # Requests may have waited unread while this process was paused, until their callers gave them up. Their
+        # deadlines therefore count from the earliest time at which they can have arrived.
         self.front.came = lambda now, transport, first: self._pauses.earliest_arrival(now)
         self._is_serving = True
         self._apply_limits()
@@ -141,7 +142,7 @@
         return max(MIN_CALLERS, int(files * CALLER_FILES_FRACTION))
 
     def _apply_limits(self) -> None:
-        """Hold callers to the operators' limits."""
+        """Apply the configured request limits to callers."""
         bounds = self.table.request_limits
         self.front.tune(
             self._max_callers(),
@@ -153,7 +154,7 @@
         )
 
     def handle(self, request: Request, caller: Answerable) -> None:
-        """Take a caller's request; it gets one answer."""
+        """Handle a request of a caller, who gets exactly one response."""
         if not self.update_source.has_configuration:
             self.proxy.request_failed(loggable_attempt_id(request), ErrorKind.NOT_READY.value)
             fail(caller, MeshError(ErrorKind.NOT_READY))
@@ -163,34 +164,34 @@
     # ---- connections ---------------------------------------------------------------------
 
     def wanted_peers(self) -> set[str]:
-        """The voters, seeds where needed, and the machines of all backends."""
+        """Return the voters, the seeds if needed, and the machines of all backends."""
         return super().wanted_peers() | (set(self.backends.by_ip) - {self.ip})
 
     def may_be_cut_off(self) -> bool:
-        """Whether updates are so old that the membership which is known may be an old one."""
+        """Whether updates are so stale that the known membership may be outdated."""
         return self.update_source.may_be_cut_off()
 
     def needs_peer(self, ip: str) -> bool:
-        """Whether a request still waits for a reply of that machine."""
+        """Whether a request is still waiting for a reply of the machine."""
         return self.outgoing.waits_for(ip)
 
     def keepalive_idle_seconds(self, ip: str) -> int:
-        """Seconds without a byte after which a connection is probed: rarely between proxies, which are many."""
+        """Return the idle time after which a connection is probed; it is longer between proxies, as there are many."""
         return PROXY_KEEPALIVE_IDLE_SECONDS if ip in self.backends.by_ip else KEEPALIVE_IDLE_SECONDS
 
     def connected(self, dialer: Dialer) -> None:
-        """A connection that this process dialled is up."""
+        """Handle an outgoing connection that has been established."""
         super().connected(dialer)
         self.reservations.connected(self.loop.time(), dialer.ip)
 
     def disconnected(self, dialer: Dialer) -> None:
-        """A connection that this process dialled has ended: what waits for replies on it gets them now."""
+        """Handle the end of an outgoing connection: end all requests that are waiting for replies on it."""
         super().disconnected(dialer)
         self.update_source.disconnected(dialer.ip)
         self.outgoing.disconnected(dialer.ip)
 
     def message_received(self, link: Link, message: Message) -> None:
-        """Take a message on a connection that this process dialled."""
+        """Handle a message on an outgoing connection."""
         if isinstance(message, ForwardResponse):
             self.outgoing.receive_response(link, message)
         elif isinstance(message, GrantBody):
@@ -203,7 +204,7 @@
             super().message_received(link, message)
 
     def receive_other(self, now: float, ip: str, message: Message) -> None:
-        """Take a voter's reply on a key."""
+        """Handle a voter's reply to a key reservation."""
         if isinstance(message, ReserveKeyReply):
             self.reservations.receive(now, ip, message)
 
@@ -211,7 +212,7 @@
         return Link(self._incoming_message, self.incoming.link_ended, keep_idle=PROXY_KEEPALIVE_IDLE_SECONDS)
 
     def _incoming_message(self, link: Link, message: Message) -> None:
-        """A message has come on a connection that another proxy dialled: requests for this machine's backend."""
+        """Handle a message on an incoming connection of another proxy."""
         self.incoming.receive(link, message)
         if isinstance(message, Hello):
             dialer = self.peers.get(message.ip)
@@ -221,31 +222,31 @@
     # ---- updates -------------------------------------------------------------------------
 
     def follows(self, ip: str) -> bool:
-        """Whether this process subscribes to that peer's updates: a proxy follows one control node."""
+        """Whether this process subscribes to the peer's updates; a proxy follows one control node."""
         return ip == self.update_source.ip
 
     def own_entries(self, *, renew: bool) -> list[Entry]:
-        """The leased entry of this machine's backend."""
+        """Return the leased entry of this machine's backend."""
         return self.registration.own_entries(renew=renew)
 
     def report(self) -> None:
-        """Report the entry of this machine's backend to the control node that is followed."""
+        """Report the entry of this machine's backend to the control node that this process follows."""
         own = self.own_entries(renew=False)
         if own:
             self.send_to(self.update_source.ip, Report(own))
 
     def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
-        """An update was merged; all that had been confirmed before `confirmed_at` is known here."""
+        """Handle a merged update, after which this process knows everything confirmed before `confirmed_at`."""
         self.update_source.update_taken(now, ip, confirmed_at)
 
     def membership_changed(self) -> None:
-        """Another membership is in force: keys are asked for at its voters."""
+        """Handle a new membership: pending keys are requested from its voters."""
         super().membership_changed()
         self.reservations.membership_changed(self.loop.time())
         self.update_source.membership_changed()
 
     def entry_changed(self, entry: Entry) -> None:
-        """An entry has changed: a backend, a route or the limits of requests."""
+        """Apply a changed entry: a backend, a route or the request limits."""
         if entry.kind == BACKEND:
             if entry.name != self.ip or not self.registration.overtaken_by(entry):
                 self.backends.take(entry)
@@ -258,26 +259,26 @@
         self.proxy.proxy_count = max(1, len(self.backends.by_ip))
         self.connect_peers()
 
-    # ---- what operators see --------------------------------------------------------------
+    # ---- status and metrics --------------------------------------------------------------
 
     def configuration_state(self) -> ConfigurationState:
-        """The configuration and the membership that requests are judged by at this moment."""
+        """Return the versions of the configuration and the membership in force, and the staleness of updates."""
         epoch = 0 if self.membership is None else self.membership.epoch
         age = self.loop.time() - self.update_source.confirmed_at
         return ConfigurationState(self.configuration_index, epoch, round(min(MAX_AGE_SECONDS, age), 3))
 
     def metrics(self) -> bytes:
-        """The metrics of this proxy, in the text format of Prometheus."""
+        """Return the metrics of this sidecar in the Prometheus text format."""
         return render(sidecar_metrics(self), [self.proxy.seconds])
 
     def status(self) -> dict[str, Any]:
-        """What operators see of this proxy, as the fields of /mesh/status."""
+        """Return the fields of /mesh/status for this sidecar."""
         return sidecar_status(self)
 
-    # ---- time ----------------------------------------------------------------------------
+    # ---- periodic work -------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Do what is due by time in each part."""
+        """Do the periodic work of all parts."""
         self.reservations.tick(now)
         self.update_source.tick(now)
         self._pauses.record_turn(now)
@@ -285,10 +286,10 @@
         self.incoming.tick(now)
         self.registration.tick(now)
 
-    # ---- the end -------------------------------------------------------------------------
+    # ---- shutdown ------------------------------------------------------------------------
 
     async def shut_down(self) -> None:
-        """End gracefully: be no longer ready, serve on while callers go elsewhere, end when nothing is in flight."""
+        """Shut down gracefully: report not ready, serve while callers move on, and end once nothing is in flight."""
         self.is_leaving = True
         grace = self.settings.tariffs.bounds.grace_s
         started_at = self.loop.time()
