--- a/lugspur/mesh/sidecar/key_reservations.py
+++ b/lugspur/mesh/sidecar/key_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations of idempotency keys at the voters, see `lugspur.mesh.dataplane.interfaces.KeyReservations`."""
+"""Reservations of idempotency keys at the voters (see `lugspur.mesh.dataplane.interfaces.KeyReservations`)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ReservingProcess(Protocol):
-    """The process whose requests need keys."""
+    """The interface of the process to its key reservations."""
 
     loop: asyncio.AbstractEventLoop
     membership: Membership | None
@@ -29,7 +29,7 @@
 
 
 class VoterReservations:
-    """Reserves keys at the voters of the membership that the process knows."""
+    """Reserves keys at the voters of the membership in force."""
 
     def __init__(self, process: ReservingProcess) -> None:
         self._process = process
@@ -46,9 +46,9 @@
         timeout: float,
         on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        """Ask for the right to run the operation of a key; `on_outcome` is called once, within `timeout` seconds.
+        """Reserve the right to run the operation with this key; `on_outcome` is called once, within `timeout` seconds.
 
-        `owner` names the request and is never used again; `seconds_left`: until the request ends.
+        `owner`: unique id of this reservation; `seconds_left`: time until the deadline of the request.
         """
         membership = self._process.membership
         assert membership is not None
@@ -56,16 +56,16 @@
         self._client.reserve(now, membership, key, owner, seconds_left, timeout, on_outcome)
 
     def release(self, key: bytes, owner: bytes) -> None:
-        """Give the right back: nothing ran, and nothing will."""
+        """Release a reservation under which nothing has run or will run."""
         self._send_to_voters(ReleaseKey(key, owner))
 
     def abandon(self, key: bytes, owner: bytes) -> None:
-        """Wait for the right no longer."""
+        """Abandon a reservation whose outcome is no longer of interest."""
         self._client.abandon(key, owner)
 
-    def complete(self, forward: ForwardRequest, answer: BackendResponse) -> None:
-        """A keyed operation has run: the voters keep its answer for requests that repeat it."""
-        self._send_to_voters(CompleteKey(forward.key, forward.owner, answer))
+    def complete(self, forward: ForwardRequest, response: BackendResponse) -> None:
+        """Send the response of a keyed operation to the voters, which store it for repeated requests."""
+        self._send_to_voters(CompleteKey(forward.key, forward.owner, response))
 
     def _send_to_voters(self, message: Message) -> None:
         membership = self._process.membership
@@ -73,18 +73,18 @@
             self._process.send_to(voter.ip, message)
 
     def receive(self, now: float, ip: str, message: ReserveKeyReply) -> None:
-        """Take a voter's reply."""
+        """Handle the reply of a voter."""
         self._client.receive(now, ip, message)
 
     def connected(self, now: float, ip: str) -> None:
-        """A peer can be reached anew: what a voter may not have received is sent again."""
+        """Handle a new connection to a peer: resend what a voter may not have received."""
         self._client.voter_connected(now, ip)
 
     def membership_changed(self, now: float) -> None:
-        """Other voters are in force: what the former ones granted no longer counts, and is asked for anew."""
+        """Handle a change of voters: grants of the former voters no longer count, and are requested again."""
         if self._process.membership is not None:
             self._client.membership_changed(now, self._process.membership)
 
     def tick(self, now: float) -> None:
-        """End what has waited for too long."""
+        """End reservations that have timed out."""
         self._client.tick(now)
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -1,4 +1,4 @@
-"""The backends of all machines, by the leased entries of the mesh."""
+"""The backends of all machines, from the leased entries of the mesh."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 
 
 class KnownBackends:
-    """Each machine's backend by the machine's IP number.
+    """The backend of each machine, by IP address.
 
-    `on_change` is called with the services whose backends have changed, once for all changes of one turn of the loop.
+    `on_change` is called with the services whose backends have changed, once for all changes of one iteration of the
+    event loop.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_change: Callable[[set[str]], None]) -> None:
         self._loop, self._on_change = loop, on_change
         self.by_ip: dict[str, BackendStatus] = {}
-        self._slow_start_until: dict[str, float] = {}  # by IP number, by the loop's clock
+        self._slow_start_until: dict[str, float] = {}  # by IP address, in event loop time
         self._changed_services: set[str] = set()
 
     def take(self, entry: Entry) -> None:
-        """An entry of the kind `backend` was added, replaced or withdrawn."""
-        before = self.by_ip.pop(entry.name, None)
-        if before is not None:
-            self._changed_services.add(before.service)
+        """Apply an entry of the kind `backend` that was added, replaced or withdrawn."""
+        previous = self.by_ip.pop(entry.name, None)
+        if previous is not None:
+            self._changed_services.add(previous.service)
         if entry.value is not None:
             status = decode_status(entry.value)
             self.by_ip[entry.name] = status
             self._changed_services.add(status.service)
             self._slow_start_until[entry.name] = self._loop.time() + status.cold
-        if len(self._changed_services) == 1 or before is None:
+        if len(self._changed_services) == 1 or previous is None:
             self._loop.call_soon(self._report_changes)
 
     def _report_changes(self) -> None:
@@ -40,7 +41,7 @@
         self._on_change(changed)
 
     def accepting(self, service: str) -> dict[str, EndpointListing]:
-        """The service's backends that accept work, by id, as `Proxy.update_endpoints` takes them."""
+        """Return the service's backends that accept requests, by id, for `Proxy.update_endpoints`."""
         return {
             status.id: EndpointListing(ip, status.zone, self._slow_start_until.get(ip, 0.0))
             for ip, status in self.by_ip.items()
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a proxy, and the line of its log for a failed request."""
+"""The metrics of a sidecar, and its log line for a failed request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class SidecarParts(Protocol):
-    """The parts of a proxy's process that metrics are read from."""
+    """The parts of a sidecar that metrics are read from."""
 
     loop: asyncio.AbstractEventLoop
     limiter: ConcurrencyLimiter
@@ -33,59 +33,64 @@
 
     @property
     def reservations(self) -> Sized:
-        """Reservations of keys that are not decided."""
+        """The pending key reservations."""
 
     @property
     def table(self) -> Sized:
-        """Routes in force."""
+        """The routes in force."""
 
     def configuration_state(self) -> ConfigurationState:
-        """What requests are judged by at this moment."""
+        """Return the state of the configuration that requests are handled by now."""
 
 
 def sidecar_metrics(sidecar: SidecarParts) -> list[Metric]:
-    """All metrics of one proxy at this moment."""
+    """Return the current values of all metrics of a sidecar."""
     now, limiter, proxy, front = sidecar.loop.time(), sidecar.limiter, sidecar.proxy, sidecar.front
     state = sidecar.configuration_state()
     causes = {cause.label: float(count) for cause, count in limiter.causes.items()}
     rejections = {str(status): float(count) for status, count in front.rejections.items()}
     selections = sidecar.update_source.selections
-    up = sum(dialer.link is not None for dialer in sidecar.peers.values())
+    connected_peers = sum(dialer.link is not None for dialer in sidecar.peers.values())
     return [
+        labelled_counter("requests_total", "Requests of this machine's callers, by result.", "how", proxy.ended),
         labelled_counter(
-            "requests_total", "Requests of this machine's callers, by how they ended.", "how", proxy.ended
+            "rejections_total", "Requests that could not be read or accepted, by response status.", "status", rejections
         ),
         labelled_counter(
-            "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
+            "gate_unanswered_total",
+            "Requests for the backend that ended without its response, by cause.",
+            "cause",
+            causes,
         ),
-        labelled_counter(
-            "gate_unanswered_total", "Requests for the backend without its answer, by cause.", "cause", causes
-        ),
-        gauge("requests_open", "Requests of callers that are not answered yet.", len(proxy.open_requests)),
-        gauge("gate_in_hand", "Requests for the backend that run or wait.", limiter.in_flight),
-        gauge("uploads_open", "Bodies that arrive in parts.", len(sidecar.incoming.uploads)),
-        gauge("callers", "Connections of callers.", len(front.callers)),
-        gauge("claims_open", "Claims of operation keys that are not settled.", len(sidecar.reservations)),
+        gauge("requests_open", "Requests of callers without a response so far.", len(proxy.open_requests)),
+        gauge("gate_in_hand", "Requests for the backend that are running or queued.", limiter.in_flight),
+        gauge("uploads_open", "Request bodies that are being received in chunks.", len(sidecar.incoming.uploads)),
+        gauge("callers", "Open connections of callers.", len(front.callers)),
+        gauge("claims_open", "Pending reservations of idempotency keys.", len(sidecar.reservations)),
         gauge("routes", "Routes in force.", len(sidecar.table)),
-        gauge("backends", "Backends that the mesh tells of.", len(sidecar.backends.by_ip)),
-        gauge("peers_up", "Processes that can be reached.", up),
-        gauge("configuration_index", "The latest change of the configuration that is known.", state.index),
-        gauge("membership_epoch", "The membership that this process goes by.", state.epoch),
-        gauge("news_age_seconds", "Seconds since word of a majority.", state.update_age_seconds),
-        counter("news_sources_total", "How often another control node's news was followed.", selections),
-        gauge("leaving", "1 while this process ends.", float(sidecar.is_leaving)),
-        gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _silent(sidecar, now)),
+        gauge("backends", "Backends in the endpoint list of the mesh.", len(sidecar.backends.by_ip)),
+        gauge("peers_up", "Peers that this process is connected to.", connected_peers),
+        gauge("configuration_index", "Index of the latest known change of the configuration.", state.index),
+        gauge("membership_epoch", "Epoch of the membership in force in this process.", state.epoch),
+        gauge(
+            "news_age_seconds",
+            "Staleness of updates: seconds since the latest confirmation by a majority.",
+            state.update_age_seconds,
+        ),
+        counter("news_sources_total", "Selections of a control node as the source of updates.", selections),
+        gauge("leaving", "1 while this process is shutting down, else 0.", float(sidecar.is_leaving)),
+        gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _heartbeat_age(sidecar, now)),
         *invariant_metrics(),
     ]
 
 
-def _silent(sidecar: SidecarParts, now: float) -> float:
+def _heartbeat_age(sidecar: SidecarParts, now: float) -> float:
     local = sidecar.limiter.local_backend
     return 0.0 if local is None else now - local.last_heartbeat_at
 
 
-def log_failure(failed: FailedRequest, untold: int) -> None:
-    """One failed request as a line; `untold`: how many before it had none."""
+def log_failure(failed: FailedRequest, unlogged_count: int) -> None:
+    """Log a failed request; `unlogged_count`: number of failures without a log line since the previous line."""
     steps = ";".join(f"{s.backend}@{s.sent_s:.3f}+{s.took_s:.3f}:{s.how}:{s.cause}" for s in failed.steps)
     events.info(
         "request-failed",
@@ -105,5 +110,5 @@
         epoch=failed.epoch,
         news_age=failed.news_age_s,
         steps=steps,
-        untold=untold,
+        untold=unlogged_count,
     )
--- a/lugspur/mesh/sidecar/request_summary.py
+++ b/lugspur/mesh/sidecar/request_summary.py
@@ -1,4 +1,4 @@
-"""One line of the log every few seconds: how requests ended since the line before."""
+"""A periodic log line with the results of the requests since the previous line."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class RequestSummary:
-    """Sums up the requests of this machine's callers and those for its backend."""
+    """Summarises the requests of this machine's callers and those for its backend."""
 
     def __init__(self, proxy: Proxy, limiter: ConcurrencyLimiter) -> None:
         self._proxy, self._limiter = proxy, limiter
         self._logged_at = 0.0
-        self._logged: Counter[str] = Counter()  # ends of requests that are in the log
+        self._logged: Counter[str] = Counter()  # requests by result that have been logged
 
     def tick(self, now: float) -> None:
-        """Log a line where one is due and there is something to say."""
+        """Log a line if it is due and there is anything to report."""
         if now < self._logged_at + SUMMARY_INTERVAL_SECONDS:
             return
         self._logged_at = now
--- a/lugspur/mesh/sidecar/status.py
+++ b/lugspur/mesh/sidecar/status.py
@@ -1,4 +1,4 @@
-"""What operators see of a proxy."""
+"""The status of a sidecar for operators."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StatusParts(Protocol):
-    """The parts of a proxy's process that its status is read from."""
+    """The parts of a sidecar that its status is read from."""
 
     loop: asyncio.AbstractEventLoop
     ip: str
@@ -29,7 +29,7 @@
 
     @property
     def table(self) -> Sized:
-        """Routes in force."""
+        """The routes in force."""
 
     @property
     def settings(self) -> Settings:
@@ -37,9 +37,9 @@
 
 
 def sidecar_status(sidecar: StatusParts) -> dict[str, Any]:
-    """The fields of /mesh/status: what the proxy goes by, how old that is, and whom it would send to."""
+    """Return the fields of /mesh/status: the configuration in force, its staleness, and the known backends."""
     now, membership, proxy = sidecar.loop.time(), sidecar.membership, sidecar.proxy
-    endpoints = [endpoint for found in proxy.services.values() for endpoint in found.values()]
+    endpoints = [endpoint for by_id in proxy.services.values() for endpoint in by_id.values()]
     return {
         "node": sidecar.settings.own.node_name,
         "role": "proxy",
@@ -72,13 +72,13 @@
     }
 
 
-def _endpoint(endpoint: Endpoint, reached: bool, now: float) -> dict[str, Any]:
+def _endpoint(endpoint: Endpoint, is_reachable: bool, now: float) -> dict[str, Any]:
     return {
         "id": endpoint.id,
         "service": endpoint.service,
         "ip": endpoint.ip,
         "zone": endpoint.zone,
-        "reached": reached,
+        "reached": is_reachable,
         "in_flight": endpoint.in_flight,
         "latency": round(endpoint.latency, 3),
         "refuses": {name: round(breaker.error_probability(now), 3) for name, breaker in endpoint.breakers.items()},
