--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -132,7 +132,9 @@
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
     SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
-    SoakGuard("a late heartbeat takes nobody's place", BackendIncarnations, "is_present", _any_incarnation_is_present),
+    SoakGuard(
+        "a late heartbeat takes nobody's place", BackendIncarnations, "record_heartbeat", _any_incarnation_is_present
+    ),
     SoakGuard("a voter's word counts only while it hears us", Freshness, "receive", _count_words_of_the_deaf),
 ]
 
--- a/lugspur/mesh/sidecar/backend_incarnations.py
+++ b/lugspur/mesh/sidecar/backend_incarnations.py
@@ -46,7 +46,7 @@
         """Record that an incarnation, known or not, has ended; its later heartbeats are late ones."""
         self._incarnation(ident).has_signed_off = True
 
-    def is_present(self, now: float, ident: str, sequence: int, has_ended: bool) -> bool:
+    def record_heartbeat(self, now: float, ident: str, sequence: int, has_ended: bool) -> bool:
         """Record a heartbeat, and return whether its incarnation is the current one from now on.
 
         `has_ended`: whether the incarnation that was current is silent or has signed off. The check prevents a late
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -106,7 +106,7 @@
         if local is not None and local.id != ident and heartbeat.state != "accepting" and heartbeat.sequence > 0:
             return False  # An incarnation that is ending can't replace another.
         has_ended = local is not None and local.state in ("gone", "silent")
-        if self._incarnations.is_present(self._process.loop.time(), ident, heartbeat.sequence, has_ended):
+        if self._incarnations.record_heartbeat(self._process.loop.time(), ident, heartbeat.sequence, has_ended):
             return True
         events.info("late-heartbeat", id=ident, sequence=heartbeat.sequence, state=heartbeat.state)
         return False
--- a/tests/mesh/sidecar/test_backend_incarnations.py
+++ b/tests/mesh/sidecar/test_backend_incarnations.py
@@ -12,11 +12,11 @@
 
 def test_a_new_incarnations_first_heartbeat_counts_at_once_and_a_late_one_of_the_former_one_does_not() -> None:
     incarnations = BackendIncarnations(INTERVAL)
-    assert incarnations.is_present(0.0, "a", 7, False) and incarnations.is_present(1.5, "a", 8, False)
-    assert incarnations.is_present(2.0, "b", 0, False)
-    assert not incarnations.is_present(2.1, "a", 9, False)
-    assert incarnations.is_present(3.5, "b", 1, False)
-    assert not incarnations.is_present(
+    assert incarnations.record_heartbeat(0.0, "a", 7, False) and incarnations.record_heartbeat(1.5, "a", 8, False)
+    assert incarnations.record_heartbeat(2.0, "b", 0, False)
+    assert not incarnations.record_heartbeat(2.1, "a", 9, False)
+    assert incarnations.record_heartbeat(3.5, "b", 1, False)
+    assert not incarnations.record_heartbeat(
         3.6, "a", 10, False
     )  # another late one: the present incarnation has spoken in between
 
@@ -24,18 +24,18 @@
 def test_late_heartbeats_that_come_together_count_as_one() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     for sequence in range(3):
-        incarnations.is_present(1.5 * sequence, "a", sequence, False)
+        incarnations.record_heartbeat(1.5 * sequence, "a", sequence, False)
     for sequence in range(2):
-        incarnations.is_present(5.0 + 1.5 * sequence, "b", sequence, False)
-    assert [incarnations.is_present(7.0, "a", sequence, False) for sequence in (3, 4, 5)] == [False] * 3
+        incarnations.record_heartbeat(5.0 + 1.5 * sequence, "b", sequence, False)
+    assert [incarnations.record_heartbeat(7.0, "a", sequence, False) for sequence in (3, 4, 5)] == [False] * 3
 
 
 def test_an_incarnation_whose_first_heartbeat_was_lost_counts_from_its_second_on() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     for sequence in range(3):
-        incarnations.is_present(1.5 * sequence, "a", sequence, False)
-    assert not incarnations.is_present(5.0, "b", 2, False)
-    assert incarnations.is_present(6.5, "b", 3, False)
+        incarnations.record_heartbeat(1.5 * sequence, "a", sequence, False)
+    assert not incarnations.record_heartbeat(5.0, "b", 2, False)
+    assert incarnations.record_heartbeat(6.5, "b", 3, False)
 
 
 def test_where_the_present_incarnation_has_ended_another_takes_its_place_at_once_unless_it_was_replaced_before() -> (
@@ -44,39 +44,39 @@
     incarnations = BackendIncarnations(INTERVAL)
     for ident, first in (("a", 0.0), ("b", 4.0)):
         for sequence in range(2):
-            assert incarnations.is_present(first + 1.5 * sequence, ident, sequence, False)
-    assert not incarnations.is_present(8.0, "a", 2, True)
-    assert incarnations.is_present(8.1, "c", 5, True)
+            assert incarnations.record_heartbeat(first + 1.5 * sequence, ident, sequence, False)
+    assert not incarnations.record_heartbeat(8.0, "a", 2, True)
+    assert incarnations.record_heartbeat(8.1, "c", 5, True)
 
 
 def test_after_a_start_a_late_heartbeat_that_came_first_gives_way_at_once() -> None:
     incarnations = BackendIncarnations(INTERVAL)
-    assert incarnations.is_present(0.0, "former", 40, False)  # this process knows nothing yet
-    assert incarnations.is_present(0.2, "present", 12, False)
-    assert incarnations.is_present(1.7, "present", 13, False)
+    assert incarnations.record_heartbeat(0.0, "former", 40, False)  # this process knows nothing yet
+    assert incarnations.record_heartbeat(0.2, "present", 12, False)
+    assert incarnations.record_heartbeat(1.7, "present", 13, False)
 
 
 def test_a_late_heartbeat_that_came_second_after_a_start_gives_way_at_the_next() -> None:
     incarnations = BackendIncarnations(INTERVAL)
-    assert incarnations.is_present(0.0, "present", 12, False)
+    assert incarnations.record_heartbeat(0.0, "present", 12, False)
     # As good as the other one, as far as this process can tell.
-    assert incarnations.is_present(0.2, "former", 40, False)
-    assert incarnations.is_present(1.5, "present", 13, False)
+    assert incarnations.record_heartbeat(0.2, "former", 40, False)
+    assert incarnations.record_heartbeat(1.5, "present", 13, False)
 
 
 def test_who_signed_off_does_not_come_back_whether_it_was_heard_of_before_or_not() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     incarnations.signed_off("a")
     assert not any(
-        incarnations.is_present(now, "a", sequence, True) for now, sequence in ((0.0, 0), (2.0, 1), (9.0, 2))
+        incarnations.record_heartbeat(now, "a", sequence, True) for now, sequence in ((0.0, 0), (2.0, 1), (9.0, 2))
     )
-    assert incarnations.is_present(9.0, "b", 5, False)
+    assert incarnations.record_heartbeat(9.0, "b", 5, False)
 
 
 def test_incarnations_are_bounded() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     for number in range(10 * MAX_INCARNATIONS):
-        incarnations.is_present(float(number), f"i-{number}", 0, False)
+        incarnations.record_heartbeat(float(number), f"i-{number}", 0, False)
     assert len(incarnations._incarnations) == MAX_INCARNATIONS
 
 
@@ -93,7 +93,7 @@
             heartbeats.append((INTERVAL * (5 * incarnation + sequence) + held_up, incarnation, sequence))
     latest = 0
     for at, incarnation, sequence in sorted(heartbeats):
-        present = incarnations.is_present(at, f"i-{incarnation}", sequence, False)
+        present = incarnations.record_heartbeat(at, f"i-{incarnation}", sequence, False)
         latest = max(latest, incarnation)
         assert not present or incarnation == latest
         assert present or incarnation < latest
