--- a/lugspur/mesh/sidecar/backend_incarnations.py
+++ b/lugspur/mesh/sidecar/backend_incarnations.py
@@ -42,7 +42,7 @@
         self._candidate_id = ""  # an unconfirmed incarnation, seen since the latest heartbeat of the current one
         self._candidate_since = 0.0
 
-    def signed_off(self, ident: str) -> None:
+    def record_sign_off(self, ident: str) -> None:
         """Record that an incarnation, known or not, has ended; its later heartbeats are late ones."""
         self._incarnation(ident).has_signed_off = True
 
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -91,7 +91,7 @@
             return
         sender.highest_number = forward.number
         if forward.key:
-            self._unrun_requests.received(sender.incarnation, forward.number)
+            self._unrun_requests.record_received(sender.incarnation, forward.number)
         # A request that was delayed, by a partition or a pause of this process, must not run after its caller has given
         # up.
         excess = sender.delay.observe(self._loop.time(), forward.sent_at)
@@ -120,7 +120,7 @@
 
     def _reject(self, link: Link, number: int, cause: FailureCause) -> None:
         """Reject a request that was not submitted to the limiter."""
-        self._unrun_requests.did_not_run(self._senders[link].incarnation, number)
+        self._unrun_requests.record_unrun(self._senders[link].incarnation, number)
         link.send(self._limiter.reject(number, cause))
 
     def _cancel(self, link: Link, number: int) -> None:
@@ -144,7 +144,7 @@
 
     def _keep_proof(self, link: Link, incarnation: str, response: ForwardResponse) -> None:
         """Store the proof, since the reply may be lost; if its connection has ended, send it on the sender's others."""
-        self._unrun_requests.did_not_run(incarnation, response.number)
+        self._unrun_requests.record_unrun(incarnation, response.number)
         if not link.is_open:
             for other in self._links_of(incarnation):
                 other.send(response)
@@ -206,7 +206,7 @@
         for upload_key in self.uploads.keys_from(link):
             self.uploads.drop(upload_key)
             if sender is not None:
-                self._unrun_requests.did_not_run(sender.incarnation, upload_key.number)
+                self._unrun_requests.record_unrun(sender.incarnation, upload_key.number)
         for key in [key for key in self._admitted if key[0] is link]:
             admitted = self._admitted.pop(key)
             if admitted.forward.is_safe:  # Responses of other requests may be stored for a repeat.
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -23,7 +23,7 @@
         self._slow_start_until: dict[str, float] = {}  # by IP address, in event loop time
         self._changed_services: set[str] = set()
 
-    def take(self, entry: Entry) -> None:
+    def apply(self, entry: Entry) -> None:
         """Apply an entry of the kind `backend` that was added, replaced or withdrawn."""
         previous = self.by_ip.pop(entry.name, None)
         if previous is not None:
--- a/lugspur/mesh/sidecar/outgoing.py
+++ b/lugspur/mesh/sidecar/outgoing.py
@@ -154,7 +154,7 @@
             data = body.data[offset : min(offset + CHUNK_BYTES, body.sent_bytes)]
             exchange.link.send(BodyChunk(message.number, data))
 
-    def greeted(self, link: Link) -> None:
+    def hello_received(self, link: Link) -> None:
         """Handle a peer's Hello: fetch the outcomes of requests on lost connections to the same incarnation."""
         numbers = []
         for number, unproven in list(self._unproven.items()):
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -72,7 +72,7 @@
             max_connections=max(16, limits.file_handles // 4),
             drain_seconds=settings.tariffs.bounds.drain_ms / 1000.0,
             on_completed=self.reservations.complete,
-            on_unreachable=lambda local: self.registration.unreachable(local),
+            on_unreachable=lambda local: self.registration.backend_unreachable(local),
         )
         self.registration = BackendRegistration(self, self.limiter, self.backends.by_ip, link_rate)
         self.outgoing = OutgoingExchanges()
@@ -199,7 +199,7 @@
         elif isinstance(message, Hello):
             link.is_greeted, link.peer_incarnation = True, message.incarnation
             link.send(Hello(self.ip, self.incarnation, self.is_control_node, self.loop.time()))
-            self.outgoing.greeted(link)
+            self.outgoing.hello_received(link)
         else:
             super().message_received(link, message)
 
@@ -237,7 +237,7 @@
 
     def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
         """Handle a merged update, after which this process knows everything confirmed before `confirmed_at`."""
-        self.update_source.update_taken(now, ip, confirmed_at)
+        self.update_source.update_merged(now, ip, confirmed_at)
 
     def membership_changed(self) -> None:
         """Handle a new membership: pending keys are requested from its voters."""
@@ -248,8 +248,8 @@
     def entry_changed(self, entry: Entry) -> None:
         """Apply a changed entry: a backend, a route or the request limits."""
         if entry.kind == BACKEND:
-            if entry.name != self.ip or not self.registration.overtaken_by(entry):
-                self.backends.take(entry)
+            if entry.name != self.ip or not self.registration.republish_if_superseded(entry):
+                self.backends.apply(entry)
         elif entry.kind in (ROUTES, LIMITS) and self.table.apply(entry) and self._is_serving:
             self._apply_limits()
 
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -141,7 +141,7 @@
 
     def sign_off(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
         """Handle the sign-off of a backend that has ended; the path contains its id."""
-        self._incarnations.signed_off(path_segments[0])
+        self._incarnations.record_sign_off(path_segments[0])
         local = self._limiter.local_backend
         if local is not None and local.id == path_segments[0]:
             local.state = "gone"
@@ -150,7 +150,7 @@
             self.publish()
         reply(caller)
 
-    def unreachable(self, local: LocalBackend) -> None:
+    def backend_unreachable(self, local: LocalBackend) -> None:
         """Handle a backend that has refused a connection."""
         events.info("backend-down", id=local.id)
         self.publish()
@@ -200,13 +200,13 @@
         now = self._process.loop.time()
         # While the voters are unsettled, all proxies change their sources again and again. The interval limits the load
         # on subscribers: an entry with the same edition is no update. If a former source drops the entry when its lease
-        # expires there, the entry is published again (see `overtaken_by`).
+        # expires there, the entry is published again (see `republish_if_superseded`).
         if self.announced is not None and renew and now >= self._renew_at:
             self._renew_at = now + REANNOUNCE_SECONDS
             self._announce(self._process.next_edition(BACKEND, self._process.ip), self.announced.value)
         return [] if self.announced is None else [self.announced]
 
-    def overtaken_by(self, entry: Entry) -> bool:
+    def republish_if_superseded(self, entry: Entry) -> bool:
         """Republish this machine's entry if another process has written a later edition; return whether it has."""
         if self.announced is None or entry.edition <= self.announced.edition:
             return False
--- a/lugspur/mesh/sidecar/unrun_requests.py
+++ b/lugspur/mesh/sidecar/unrun_requests.py
@@ -20,11 +20,11 @@
         self._highest_number: LRUCache[str, int] = LRUCache(MAX_INCARNATIONS)
         self._unrun: LRUCache[tuple[str, int], None] = LRUCache(MAX_UNRUN_REQUESTS)
 
-    def received(self, incarnation: str, number: int) -> None:
+    def record_received(self, incarnation: str, number: int) -> None:
         """Record that a keyed request has arrived; it may run from now on."""
         self._highest_number[incarnation] = max(number, self._highest_number.get(incarnation, 0))
 
-    def did_not_run(self, incarnation: str, number: int) -> None:
+    def record_unrun(self, incarnation: str, number: int) -> None:
         """Record that a request that has arrived has not run and never will."""
         self._unrun[incarnation, number] = None
 
--- a/lugspur/mesh/sidecar/update_source.py
+++ b/lugspur/mesh/sidecar/update_source.py
@@ -80,7 +80,7 @@
             default="",
         )
 
-    def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+    def update_merged(self, now: float, ip: str, confirmed_at: float) -> None:
         """Handle a merged update of a peer; everything confirmed before `confirmed_at` is now known."""
         if ip == self.ip:
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
--- a/tests/mesh/sidecar/test_backend_incarnations.py
+++ b/tests/mesh/sidecar/test_backend_incarnations.py
@@ -66,7 +66,7 @@
 
 def test_who_signed_off_does_not_come_back_whether_it_was_heard_of_before_or_not() -> None:
     incarnations = BackendIncarnations(INTERVAL)
-    incarnations.signed_off("a")
+    incarnations.record_sign_off("a")
     assert not any(
         incarnations.record_heartbeat(now, "a", sequence, True) for now, sequence in ((0.0, 0), (2.0, 1), (9.0, 2))
     )
--- a/tests/mesh/sidecar/test_exchanges.py
+++ b/tests/mesh/sidecar/test_exchanges.py
@@ -259,8 +259,8 @@
     outcomes = UnrunRequests()
     assert not outcomes.is_proven_unrun("incarnation", 1)  # nothing of it has arrived, as far as is remembered
     for number in range(1, MAX_UNRUN_REQUESTS + 2):
-        outcomes.received("incarnation", number)
-        outcomes.did_not_run("incarnation", number)
+        outcomes.record_received("incarnation", number)
+        outcomes.record_unrun("incarnation", number)
     assert not outcomes.is_proven_unrun("incarnation", 1) and outcomes.is_proven_unrun("incarnation", 2)
     assert outcomes.is_proven_unrun("incarnation", MAX_UNRUN_REQUESTS + 2)
 
@@ -285,14 +285,14 @@
         replies.clear()
         after, elsewhere = Wire("10.0.0.1", "theirs"), Wire("10.0.0.2", "theirs")
         for wire in (elsewhere, after):
-            outgoing.greeted(wire)  # type: ignore[arg-type]
+            outgoing.hello_received(wire)  # type: ignore[arg-type]
         assert elsewhere.sent == [] and after.sent == [FetchOutcomes([one, two])]
         outgoing.receive_response(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
         for _again in range(2):
             outgoing.receive_response(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
-        outgoing.greeted(Wire("10.0.0.1", "another incarnation"))  # type: ignore[arg-type]
+        outgoing.hello_received(Wire("10.0.0.1", "another incarnation"))  # type: ignore[arg-type]
         outgoing.receive_response(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == [(one, RequestOutcome.NOT_RUN)]  # the incarnation that knew of it has ended
 
@@ -305,7 +305,7 @@
         outgoing.send(1.0, former.peer, former, 0.0, forward(0, 0.0, key=b"k"), lambda r: None)  # type: ignore[arg-type]
     outgoing.disconnected(former.peer)
     after = Wire("10.0.0.1", "theirs")
-    outgoing.greeted(after)  # type: ignore[arg-type]
+    outgoing.hello_received(after)  # type: ignore[arg-type]
     [asked] = after.sent
     assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == MAX_UNPROVEN_REQUESTS
 
--- a/tests/mesh/sidecar/test_update_source.py
+++ b/tests/mesh/sidecar/test_update_source.py
@@ -40,7 +40,7 @@
 
     def updated(self) -> None:
         """A fresh update of the source has come."""
-        self.source.update_taken(self.now, self.source.ip, self.now)
+        self.source.update_merged(self.now, self.source.ip, self.now)
 
     def advance(self, seconds: float) -> None:
         self.now += seconds
