--- a/lugspur/mesh/dataplane/local_backend.py
+++ b/lugspur/mesh/dataplane/local_backend.py
@@ -18,8 +18,8 @@
         "last_heartbeat_at",
         "sequence",
         "service",
+        "slow_start_until",
         "state",
-        "warm_at",
     )
 
     def __init__(self, ident: str, service: str, address: str, now: float) -> None:
@@ -31,5 +31,5 @@
         self.state = "accepting"
         self.closing_at = float("inf")  # when it announced that it is closing
         self.last_heartbeat_at = now
-        self.warm_at = now  # end of its slow start
+        self.slow_start_until = now  # end of its slow start
         self.is_unreachable = False  # it has refused a connection since its latest heartbeat
--- a/lugspur/mesh/sidecar/backend_status.py
+++ b/lugspur/mesh/sidecar/backend_status.py
@@ -12,9 +12,9 @@
     service: str
     zone: str
     state: str  # `accepting`, `closing` or `gone`
-    berths: int  # requests that it can run at once
-    cold: float  # seconds of slow start that are left when the status is published
-    rate: float = 0.0  # bytes per second of its machine's link; 0 if unknown
+    concurrency: int  # requests that it can run at once
+    slow_start_seconds: float  # seconds of slow start that are left when the status is published
+    link_rate: float = 0.0  # bytes per second of its machine's link; 0 if unknown
 
 
 _encoder = msgspec.msgpack.Encoder()
--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -46,5 +46,5 @@
         link = self._peers[ip].link
         assert link is not None
         status = self._backends.get(ip)
-        rate = 0.0 if status is None else status.rate
+        rate = 0.0 if status is None else status.link_rate
         return self._outgoing.send(self._loop.time(), ip, link, rate, forward, respond)
--- a/lugspur/mesh/sidecar/known_backends.py
+++ b/lugspur/mesh/sidecar/known_backends.py
@@ -32,7 +32,7 @@
             status = decode_status(entry.value)
             self.by_ip[entry.name] = status
             self._changed_services.add(status.service)
-            self._slow_start_until[entry.name] = self._loop.time() + status.cold
+            self._slow_start_until[entry.name] = self._loop.time() + status.slow_start_seconds
         if len(self._changed_services) == 1 or previous is None:
             self._loop.call_soon(self._report_changes)
 
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -82,10 +82,10 @@
         process: RegisteringProcess,
         limiter: ConcurrencyLimiter,
         backends: Mapping[str, BackendStatus],
-        rate: float,
+        link_rate: float,
     ) -> None:
-        """`backends`: statuses known to the mesh, by IP address; `rate`: bytes per second of this machine's link."""
-        self._process, self._limiter, self._backends, self._rate = process, limiter, backends, rate
+        """`backends`: statuses known to the mesh, by IP address; `link_rate`: bytes per second of the link."""
+        self._process, self._limiter, self._backends, self._link_rate = process, limiter, backends, link_rate
         self.announced: Entry | None = None
         self._renew_at = 0.0  # earliest time for a new edition of an unchanged entry
         self._ticked_at = float("inf")  # until the first tick
@@ -131,7 +131,7 @@
         now = self._process.loop.time()
         local.sequence, local.last_heartbeat_at, local.is_unreachable = heartbeat.sequence, now, False
         local.concurrency = max(1, heartbeat.berths)
-        local.warm_at = now + heartbeat.warmup_left_ms / 1000.0
+        local.slow_start_until = now + heartbeat.warmup_left_ms / 1000.0
         if heartbeat.state != "accepting" and local.closing_at == NEVER:
             local.closing_at = now
             events.info("closing", id=local.id)
@@ -175,8 +175,8 @@
             self._process.settings.own.zone,
             "gone" if has_ended else local.state,
             local.concurrency,
-            round(max(0.0, local.warm_at - self._process.loop.time()), 1),
-            self._rate,
+            round(max(0.0, local.slow_start_until - self._process.loop.time()), 1),
+            self._link_rate,
         )
 
     def _is_announced(self, status: BackendStatus) -> bool:
@@ -184,11 +184,11 @@
         known = self._backends.get(self._process.ip)
         if known is None or self.announced is None or self.announced.value is None:
             return False
-        return (known.id, known.service, known.state, known.berths) == (
+        return (known.id, known.service, known.state, known.concurrency) == (
             status.id,
             status.service,
             status.state,
-            status.berths,
+            status.concurrency,
         )
 
     def _announce(self, edition: int, value: bytes | None) -> None:
