--- a/lugspur/mesh/dataplane/attempts.py
+++ b/lugspur/mesh/dataplane/attempts.py
@@ -27,7 +27,7 @@
 
     offered: int = 0  # attempts in which a backend received the request, or may have
     rejections: int = 0  # attempts that provably did not run
-    tried: set[str] = field(default_factory=set)  # ids of the backends of all attempts
+    backend_ids: set[str] = field(default_factory=set)  # ids of the backends of all attempts
     in_flight: dict[int, Attempt] = field(default_factory=dict)  # by attempt number
     may_have_run: bool = False  # an attempt ended with an unknown outcome
     has_run: bool = False  # a backend has responded
@@ -41,7 +41,7 @@
 
     def begin(self, endpoint: Endpoint, now: float) -> int:
         """Record an attempt that is about to be sent; return its number."""
-        self.tried.add(endpoint.id)
+        self.backend_ids.add(endpoint.id)
         self._latest_number += 1
         self.offered += 1
         endpoint.in_flight += 1
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -96,7 +96,7 @@
         """Select a backend that has not been tried, or set `last_selection` to the reasons and return None."""
         proxy = self.proxy
         known = proxy.services.get(self.service, {})
-        untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.tried]
+        untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.backend_ids]
         reachable = [endpoint for endpoint in untried if proxy.carrier.is_reachable(endpoint.ip)]
         preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
         # A backend that has just rejected a request is the last resort; another rejection costs less than giving up.
--- a/lugspur/mesh/dataplane/route_table.py
+++ b/lugspur/mesh/dataplane/route_table.py
@@ -9,11 +9,11 @@
 from lugspur.mesh.control.items import LIMITS, ROUTES, RequestLimits, Route, read_limits, read_route
 from lugspur.mesh.control.messages import Entry
 
-LONGEST_TIME_DECAY = 1 / 256  # fraction of the difference by which a shorter time lowers the longest known time
+LONGEST_TIMEOUT_DECAY = 1 / 256  # fraction of the difference by which a shorter timeout lowers the longest one
 LATENCY_WEIGHT = 1 / 32  # weight of one response in the moving average of a route's latency
-RETURNING_FRACTION = (
-    0.97  # fraction of the longest time below which a caller has sent before; below 1, as callers round
-)
+# A caller that gives less than this fraction of the longest timeout has probably sent its request before. The
+# fraction is below 1, since callers round their timeouts.
+RETURNING_CALLER_FRACTION = 0.97
 
 
 class RouteEntry:
@@ -25,7 +25,7 @@
         "edition",
         "host",
         "latency_target",
-        "longest_time",
+        "longest_timeout",
         "max_attempts",
         "name",
         "prefix",
@@ -46,7 +46,7 @@
         self.services = route.service_names()
         self.weights = [part.share for part in route.split] if route.split else [1.0]
         self.average_latency = 0.0  # moving average measured by this process; 0 before the first response
-        self.longest_time = 0.0  # time that callers give a request when they first send it; decays slowly
+        self.longest_timeout = 0.0  # time that callers give a request when they first send it
 
     @property
     def is_safe(self) -> bool:
@@ -61,10 +61,12 @@
     def is_returning_caller(self, time_left: float) -> bool:
         """Whether a caller has probably sent its request before, judged by its `time_left` in seconds.
 
-        A returning caller has less time left than most others. Also updates the longest time that callers give.
+        A returning caller has less time left than most others. Also updates the longest timeout.
         """
-        self.longest_time = max(time_left, self.longest_time + (time_left - self.longest_time) * LONGEST_TIME_DECAY)
-        return time_left < RETURNING_FRACTION * self.longest_time
+        self.longest_timeout = max(
+            time_left, self.longest_timeout + (time_left - self.longest_timeout) * LONGEST_TIMEOUT_DECAY
+        )
+        return time_left < RETURNING_CALLER_FRACTION * self.longest_timeout
 
     def record_latency(self, latency: float) -> None:
         """Add the latency of one response to the exponentially weighted moving average."""
@@ -116,7 +118,7 @@
         route_entry = RouteEntry(route, entry.edition)
         if previous is not None:
             route_entry.average_latency = previous.average_latency
-            route_entry.longest_time = previous.longest_time
+            route_entry.longest_timeout = previous.longest_timeout
         self._insert(entry.name, route_entry)
 
     def _insert(self, name: str, route_entry: RouteEntry) -> None:
--- a/tests/mesh/dataplane/test_accepted_requests.py
+++ b/tests/mesh/dataplane/test_accepted_requests.py
@@ -69,7 +69,7 @@
         for told, back in (("500", False), ("499", False), ("400", True), ("500", False)):
             rig.ask(lugspur_deliver_by_ms=told)
             assert rig.sent[-1][1].was_rejected is back
-        rig.proxy.table.find(b"a.example", b"/r/").longest_time = 0.0  # type: ignore[union-attr]
+        rig.proxy.table.find(b"a.example", b"/r/").longest_timeout = 0.0  # type: ignore[union-attr]
         rig.ask(lugspur_deliver_by_ms="300")
         assert not rig.sent[-1][1].was_rejected
         for _ in range(2000):  # callers give less than they did: what is usual is learned anew
