--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -93,11 +93,11 @@
     def reservation_id(self, attempt_id: bytes) -> bytes:
         """Return a unique id for one reservation of an idempotency key."""
 
-    def count(self, ending: str) -> None:
+    def count(self, result: str) -> None:
         """Count a request by its result, or by the reason for which no backend was selected."""
 
     def request_served(self, seconds: float) -> None:
         """Count a request with a successful response, sent `seconds` after the request arrived."""
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
+    def request_failed(self, attempt_id: bytes, result: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a failed request and add it to the failure log; `facts` are fields of `FailedRequest`."""
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -62,7 +62,7 @@
         self.open_requests: set[OpenRequest] = set()
         self._process_id = os.urandom(PROCESS_ID_BYTES).hex().encode()
         self._reservation_numbers = itertools.count(1)
-        self.ended: Counter[str] = Counter()  # requests since the start of the process, by result
+        self.results: Counter[str] = Counter()  # requests since the start of the process, by result
         self.seconds = Histogram(
             "request_seconds", "Seconds from the first byte of a request to its response, if it was successful."
         )
@@ -105,19 +105,19 @@
         """Remove a request from the open ones: it has a response, or its caller has disconnected."""
         self.open_requests.discard(request)
 
-    def count(self, ending: str) -> None:
+    def count(self, result: str) -> None:
         """Count a request by its result, or by the reason for which no backend was selected."""
-        self.ended[ending] += 1
+        self.results[result] += 1
 
     def request_served(self, seconds: float) -> None:
         """Count a request with a successful response, sent `seconds` after the request arrived."""
         self.count(SERVED)
         self.seconds.add(seconds)
 
-    def request_failed(self, attempt_id: bytes, ending: str, **facts: Unpack[FailureFacts]) -> None:
+    def request_failed(self, attempt_id: bytes, result: str, **facts: Unpack[FailureFacts]) -> None:
         """Count a failed request and add it to the failure log; `facts` are fields of `FailedRequest`."""
-        self.count(ending)
-        self.failures.add(attempt_id, ending, **facts)
+        self.count(result)
+        self.failures.add(attempt_id, result, **facts)
 
     def handle(self, request: Request, caller: Answerable) -> None:
         """Handle a request; its caller gets exactly one response."""
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -52,7 +52,7 @@
     selections = sidecar.update_source.selections
     connected_peers = sum(dialer.link is not None for dialer in sidecar.peers.values())
     return [
-        labelled_counter("requests_total", "Requests of this machine's callers, by result.", "how", proxy.ended),
+        labelled_counter("requests_total", "Requests of this machine's callers, by result.", "how", proxy.results),
         labelled_counter(
             "rejections_total", "Requests that could not be read or accepted, by response status.", "status", rejections
         ),
--- a/lugspur/mesh/sidecar/request_summary.py
+++ b/lugspur/mesh/sidecar/request_summary.py
@@ -24,13 +24,13 @@
         if now < self._logged_at + SUMMARY_INTERVAL_SECONDS:
             return
         self._logged_at = now
-        ended = self._proxy.ended - self._logged
-        self._logged = self._proxy.ended.copy()
+        results = self._proxy.results - self._logged
+        self._logged = self._proxy.results.copy()
         limiter = self._limiter
-        if ended or limiter.rejected or limiter.evicted or limiter.expired:
+        if results or limiter.rejected or limiter.evicted or limiter.expired:
             events.info(
                 "requests",
-                **ended,
+                **results,
                 turned=limiter.rejected,
                 evicted=limiter.evicted,
                 hopeless=limiter.expired,
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -251,7 +251,7 @@
         sock = await front.listen()
         reader, writer = await asyncio.open_connection(*sock.getsockname())
         writer.write(request)
-        while not (self.sent or self.claims or self.proxy.ended):
+        while not (self.sent or self.claims or self.proxy.results):
             await asyncio.sleep(0.001)
         answered()
         head = await reader.readuntil(b"\r\n\r\n")
@@ -547,7 +547,7 @@
         assert caller.gone is not None
         caller.gone()
         assert b'"how":"gone","route":"r"' in mesh.failures()
-        assert mesh.proxy.ended == {"backend-failed": 1, "gone": 1}
+        assert mesh.proxy.results == {"backend-failed": 1, "gone": 1}
 
     play(what)
 
@@ -580,7 +580,7 @@
         mesh.ask_at_once()
         if mesh.sent:
             mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(200, b"", b"")))
-        assert dict(mesh.proxy.ended) == how
+        assert dict(mesh.proxy.results) == how
 
     play(what)
 
@@ -592,7 +592,7 @@
             mesh.ask_at_once()
             while mesh.proxy.open_requests:
                 mesh.sent[-1][1](ForwardResponse(0, 1, None, False, 0, 3))
-        assert mesh.proxy.ended["breaker-refused"] > 0
+        assert mesh.proxy.results["breaker-refused"] > 0
         assert b'"refusals":[{"backend":"i-0","chance":' in mesh.failures()
         assert b'"term":"errors"}]' in mesh.failures()
 
--- a/tests/mesh/dataplane/test_accepted_requests.py
+++ b/tests/mesh/dataplane/test_accepted_requests.py
@@ -107,6 +107,6 @@
         left, strayed = rig.proxy.failures.latest()
         assert left.how == "gone" and left.waited_for == (rig.sent[0][1].backend,)
         assert strayed.how == "no-route" and strayed.attempt == "t1"
-        assert rig.proxy.ended == {"gone": 1, "no-route": 1}
+        assert rig.proxy.results == {"gone": 1, "no-route": 1}
 
     play(what)
--- a/tests/mesh/dataplane/test_endpoint_selection.py
+++ b/tests/mesh/dataplane/test_endpoint_selection.py
@@ -51,7 +51,7 @@
             rig.ask()
             while rig.proxy.open_requests:
                 rig.reply(RequestOutcome.NOT_RUN, sent=False)
-        assert rig.proxy.ended["breaker-refused"] > 20  # those that may wait are refused here by now
+        assert rig.proxy.results["breaker-refused"] > 20  # those that may wait are refused here by now
         before = len(rig.sent)
         for _ in range(20):
             rig.ask(b"/urgent/1")
