--- a/lugspur/mesh/dataplane/interfaces.py
+++ b/lugspur/mesh/dataplane/interfaces.py
@@ -66,7 +66,7 @@
 class OpenRequest(Protocol):
     """A request that has no response yet."""
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Respond to the caller now, even if attempts are in flight."""
 
 
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -296,7 +296,7 @@
             self._record_failure(CALLER_DISCONNECTED)
             self._finish()
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Respond to the caller now, even if attempts are in flight, because this process is shutting down.
 
         Otherwise the connection would be closed without a response.
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -302,7 +302,7 @@
         while self.loop.time() < started_at + SHUTDOWN_FRACTION * grace and self._has_work():
             await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
         for proxied_request in list(self.proxy.open_requests):
-            proxied_request.end()
+            proxied_request.abort()
         await asyncio.sleep(FLUSH_SECONDS)
         seconds = self.loop.time() - started_at
         events.info("left", flights=len(self.proxy.open_requests), busy=self.limiter.in_flight, after=seconds)
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -168,7 +168,7 @@
         caller = rig.ask(lugspur_operation_key="k")
         rig.claimed[0][1](Acquired())
         [proxied_request] = rig.proxy.open_requests
-        proxied_request.end()
+        proxied_request.abort()
         assert caller.answers[0][0] == 502 and not rig.released
         rig.reply(RequestOutcome.ANSWERED, OK)
         assert len(caller.answers) == 1
@@ -176,7 +176,7 @@
     def waits(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         [proxied_request] = rig.proxy.open_requests
-        proxied_request.end()
+        proxied_request.abort()
         assert caller.answers[0][0] == 503 and rig.released == [b"k"] and not rig.sent
 
     for case in (under_way, waits):
