--- a/tests/mesh/sidecar/test_backend_incarnations.py
+++ b/tests/mesh/sidecar/test_backend_incarnations.py
@@ -1,4 +1,4 @@
-"""Which incarnation of a backend is the present one: late heartbeats of former ones, lost first ones, and starts."""
+"""Detection of the current incarnation of a backend with late and lost heartbeats, and after starts of the sidecar."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 INTERVAL = 1.5
 
 
-def test_a_new_incarnations_first_heartbeat_counts_at_once_and_a_late_one_of_the_former_one_does_not() -> None:
+def test_the_first_heartbeat_of_a_new_incarnation_counts_at_once_and_a_late_one_of_the_former_does_not() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     assert incarnations.record_heartbeat(0.0, "a", 7, False) and incarnations.record_heartbeat(1.5, "a", 8, False)
     assert incarnations.record_heartbeat(2.0, "b", 0, False)
@@ -38,9 +38,7 @@
     assert incarnations.record_heartbeat(6.5, "b", 3, False)
 
 
-def test_where_the_present_incarnation_has_ended_another_takes_its_place_at_once_unless_it_was_replaced_before() -> (
-    None
-):
+def test_an_incarnation_that_has_ended_is_replaced_at_once_unless_by_one_that_was_replaced_before() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     for ident, first in (("a", 0.0), ("b", 4.0)):
         for sequence in range(2):
@@ -49,22 +47,22 @@
     assert incarnations.record_heartbeat(8.1, "c", 5, True)
 
 
-def test_after_a_start_a_late_heartbeat_that_came_first_gives_way_at_once() -> None:
+def test_after_a_start_a_late_first_heartbeat_is_overridden_at_once() -> None:
     incarnations = BackendIncarnations(INTERVAL)
-    assert incarnations.record_heartbeat(0.0, "former", 40, False)  # this process knows nothing yet
+    assert incarnations.record_heartbeat(0.0, "former", 40, False)  # Nothing else is known after the start.
     assert incarnations.record_heartbeat(0.2, "present", 12, False)
     assert incarnations.record_heartbeat(1.7, "present", 13, False)
 
 
-def test_a_late_heartbeat_that_came_second_after_a_start_gives_way_at_the_next() -> None:
+def test_after_a_start_a_late_second_heartbeat_is_overridden_by_the_next() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     assert incarnations.record_heartbeat(0.0, "present", 12, False)
-    # As good as the other one, as far as this process can tell.
+    # As far as the sidecar can tell, either incarnation may be the current one.
     assert incarnations.record_heartbeat(0.2, "former", 40, False)
     assert incarnations.record_heartbeat(1.5, "present", 13, False)
 
 
-def test_who_signed_off_does_not_come_back_whether_it_was_heard_of_before_or_not() -> None:
+def test_an_incarnation_that_signed_off_never_becomes_current_whether_it_was_known_or_not() -> None:
     incarnations = BackendIncarnations(INTERVAL)
     incarnations.record_sign_off("a")
     assert not any(
@@ -81,19 +79,19 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 4), st.floats(0.0, 6.0)), min_size=3, max_size=3))
-def test_one_late_heartbeat_of_each_incarnation_never_takes_the_place_of_one_that_came_after_it(
+def test_one_late_heartbeat_of_each_incarnation_never_replaces_a_later_incarnation(
     late: list[tuple[int, float]],
 ) -> None:
-    """Four incarnations of five heartbeats, one after another; of each but the last one heartbeat is held up."""
+    """Four consecutive incarnations of five heartbeats; one heartbeat of each except the last is delayed."""
     incarnations = BackendIncarnations(INTERVAL)
     heartbeats = []
     for incarnation in range(4):
         for sequence in range(5):
-            held_up = late[incarnation][1] if incarnation < 3 and late[incarnation][0] == sequence else 0.0
-            heartbeats.append((INTERVAL * (5 * incarnation + sequence) + held_up, incarnation, sequence))
+            delay = late[incarnation][1] if incarnation < 3 and late[incarnation][0] == sequence else 0.0
+            heartbeats.append((INTERVAL * (5 * incarnation + sequence) + delay, incarnation, sequence))
     latest = 0
     for at, incarnation, sequence in sorted(heartbeats):
-        present = incarnations.record_heartbeat(at, f"i-{incarnation}", sequence, False)
+        is_current = incarnations.record_heartbeat(at, f"i-{incarnation}", sequence, False)
         latest = max(latest, incarnation)
-        assert not present or incarnation == latest
-        assert present or incarnation < latest
+        assert not is_current or incarnation == latest
+        assert is_current or incarnation < latest
--- a/tests/mesh/sidecar/test_exchanges.py
+++ b/tests/mesh/sidecar/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Requests between machines: nothing of another connection, another incarnation or another time counts."""
+"""Exchanges between sidecars: messages of other connections or incarnations, delayed requests, and proofs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Wire:
-    """One end of a connection: what was sent on it, and whether it is open."""
+    """One end of a connection, which records the messages sent on it."""
 
     def __init__(self, peer: str = "", incarnation: str = "") -> None:
         self.peer, self.peer_incarnation, self.is_open = peer, incarnation, True
@@ -52,16 +52,16 @@
 
 
 class Rig:
-    """What takes requests of others, with a limiter whose backend answers by hand."""
+    """The incoming exchanges, with a limiter whose requests the test finishes itself."""
 
     def __init__(self) -> None:
-        self.ran: list[bytes] = []
+        self.started: list[bytes] = []
         self.admitted: list[AdmittedRequest] = []
         self.limiter = ConcurrencyLimiter(
             memory_bytes=64 << 20,
             max_connections=64,
             drain_seconds=2.0,
-            on_completed=lambda forward, answer: None,
+            on_completed=lambda forward, response: None,
             on_unreachable=lambda local: None,
         )
         self.now = asyncio.get_running_loop().time()
@@ -71,110 +71,127 @@
         self.incoming = IncomingExchanges(self.limiter, UploadScheduler(330_000.0, 1 << 20), OWN)
 
     def _start(self, request: AdmittedRequest) -> None:
-        self.ran.append(request.forward.attempt_id)
+        self.started.append(request.forward.attempt_id)
         self.admitted.append(request)
 
-    def hear(self, wire: Wire, *messages: Message) -> None:
+    def receive(self, wire: Wire, *messages: Message) -> None:
         for message in messages:
             self.incoming.receive(wire, message)  # type: ignore[arg-type]
 
-    def greeted(self, incarnation: str = "one", sent: float | None = None) -> Wire:
+    def connect(self, incarnation: str = "one", hello_age: float | None = None) -> Wire:
+        """Return a new incoming connection on which both Hellos have been received."""
         wire = Wire()
-        self.hear(
+        self.receive(
             wire,
             Hello("127.0.0.2", incarnation, False),
-            Hello("127.0.0.2", incarnation, False, self.stamp(sent or 0.0)),
+            Hello("127.0.0.2", incarnation, False, self.stamp(hello_age or 0.0)),
         )
         return wire
 
-    def stamp(self, ago: float = 0.0) -> float:
-        """The clock of the peer, which has nothing to do with the one here."""
-        return asyncio.get_running_loop().time() + 5000.0 - ago
+    def stamp(self, age: float = 0.0) -> float:
+        """Return the time `age` seconds ago on the clock of the peer, which differs from the local one."""
+        return asyncio.get_running_loop().time() + 5000.0 - age
 
 
-def forward(n: int, sent: float, left: float = 2.0, size: int = 0, key: bytes = b"") -> ForwardRequest:
+def forward(n: int, sent_at: float, seconds_left: float = 2.0, size: int = 0, key: bytes = b"") -> ForwardRequest:
     attempt = b"a%d" % n
     return ForwardRequest(
-        n, "i-1", b"POST", b"/p", [], b"", left, left, attempt, 0, False, "r", key, body_bytes=size, sent_at=sent
+        n,
+        "i-1",
+        b"POST",
+        b"/p",
+        [],
+        b"",
+        seconds_left,
+        seconds_left,
+        attempt,
+        0,
+        False,
+        "r",
+        key,
+        body_bytes=size,
+        sent_at=sent_at,
     )
 
 
-def play(what: Callable[[Rig], Awaitable[None] | None]) -> None:
+def run_scenario(scenario: Callable[[Rig], Awaitable[None] | None]) -> None:
     async def run() -> None:
         async with asyncio.timeout(10.0):
-            done = what(Rig())
-            if done is not None:
-                await done
+            coroutine = scenario(Rig())
+            if coroutine is not None:
+                await coroutine
 
     asyncio.run(run())
 
 
-def test_a_request_is_taken_only_after_a_hello_and_once() -> None:
-    def what(rig: Rig) -> None:
+def test_a_request_is_accepted_only_after_a_hello_and_once() -> None:
+    def scenario(rig: Rig) -> None:
         stranger = Wire()
-        rig.hear(stranger, forward(1, rig.stamp()))
-        assert not stranger.is_open and rig.ran == []
-        wire = rig.greeted()
-        assert wire.sent == [OWN]  # the second one, which bears a time, is not answered
-        rig.hear(wire, forward(1, rig.stamp()), forward(3, rig.stamp()))
-        assert rig.ran == [b"a1", b"a3"] and wire.is_open
-        for again in (3, 2):
-            wire = rig.greeted()
-            rig.hear(wire, forward(3, rig.stamp()))
-            rig.ran.clear()
-            rig.hear(wire, forward(again, rig.stamp()))
-            assert rig.ran == [] and not wire.is_open
-
-    play(what)
-
-
-def test_numbers_of_another_incarnation_at_the_same_address_are_others() -> None:
-    def what(rig: Rig) -> None:
-        before, after = rig.greeted("one"), rig.greeted("two")
-        rig.hear(before, forward(1, rig.stamp(), size=20_000))
-        rig.hear(after, forward(1, rig.stamp(), size=30_000))
-        rig.hear(before, BodyChunk(1, bytes(CHUNK_BYTES)), CancelRequest(1))  # of its own number 1 alone
+        rig.receive(stranger, forward(1, rig.stamp()))
+        assert not stranger.is_open and rig.started == []
+        wire = rig.connect()
+        assert wire.sent == [OWN]  # The second Hello, which has a time stamp, gets no reply.
+        rig.receive(wire, forward(1, rig.stamp()), forward(3, rig.stamp()))
+        assert rig.started == [b"a1", b"a3"] and wire.is_open
+        for repeated in (3, 2):
+            wire = rig.connect()
+            rig.receive(wire, forward(3, rig.stamp()))
+            rig.started.clear()
+            rig.receive(wire, forward(repeated, rig.stamp()))
+            assert rig.started == [] and not wire.is_open
+
+    run_scenario(scenario)
+
+
+def test_requests_of_two_incarnations_at_one_address_may_have_the_same_number() -> None:
+    def scenario(rig: Rig) -> None:
+        before, after = rig.connect("one"), rig.connect("two")
+        rig.receive(before, forward(1, rig.stamp(), size=20_000))
+        rig.receive(after, forward(1, rig.stamp(), size=30_000))
+        # These messages concern request 1 of their own connection only.
+        rig.receive(before, BodyChunk(1, bytes(CHUNK_BYTES)), CancelRequest(1))
         rig.incoming.link_ended(before)  # type: ignore[arg-type]
         for n in range(4):
-            rig.hear(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
-        assert rig.ran == [b"a1"] and before.replies == [] and after.is_open
-        rig.hear(after, Hello("127.0.0.2", "three", False))
-        assert not after.is_open  # one connection is of one incarnation
+            rig.receive(after, BodyChunk(1, bytes(min(CHUNK_BYTES, 30_000 - n * CHUNK_BYTES))))
+        assert rig.started == [b"a1"] and before.replies == [] and after.is_open
+        rig.receive(after, Hello("127.0.0.2", "three", False))
+        assert not after.is_open  # A connection belongs to one incarnation.
 
-    play(what)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("held", [0.0, 1.0, 1.9, 2.1, 30.0])
-def test_a_request_delayed_for_longer_than_it_had_is_rejected_as_not_run(held: float) -> None:
-    def what(rig: Rig) -> None:
-        wire = rig.greeted()
-        rig.hear(wire, forward(1, rig.stamp(held)), forward(2, rig.stamp(held), size=50_000))
-        if held < 2.0:
-            assert rig.ran == [b"a1"] and wire.replies == []
+@pytest.mark.parametrize("delay", [0.0, 1.0, 1.9, 2.1, 30.0])
+def test_a_request_delayed_for_longer_than_it_had_is_rejected_as_not_run(delay: float) -> None:
+    def scenario(rig: Rig) -> None:
+        wire = rig.connect()
+        rig.receive(wire, forward(1, rig.stamp(delay)), forward(2, rig.stamp(delay), size=50_000))
+        if delay < 2.0:
+            assert rig.started == [b"a1"] and wire.replies == []
         else:
-            assert rig.ran == [] and wire.replies == [(1, RequestOutcome.NOT_RUN), (2, RequestOutcome.NOT_RUN)]
-        rig.hear(wire, forward(3, rig.stamp()))
-        assert rig.ran[-1] == b"a3"
+            assert rig.started == [] and wire.replies == [(1, RequestOutcome.NOT_RUN), (2, RequestOutcome.NOT_RUN)]
+        rig.receive(wire, forward(3, rig.stamp()))
+        assert rig.started[-1] == b"a3"
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_body_whose_end_comes_after_its_time_does_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    def what(rig: Rig) -> None:
-        loop, wire = asyncio.get_running_loop(), rig.greeted()
-        rig.hear(wire, forward(1, rig.stamp(), size=CHUNK_BYTES))
+def test_a_request_whose_body_ends_after_its_deadline_does_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    def scenario(rig: Rig) -> None:
+        loop, wire = asyncio.get_running_loop(), rig.connect()
+        rig.receive(wire, forward(1, rig.stamp(), size=CHUNK_BYTES))
         [grant] = [m for m in wire.sent if isinstance(m, GrantBody)]
         now = loop.time()
-        monkeypatch.setattr(loop, "time", lambda: now + 30.0)  # frozen: the part waited, and no timer has run yet
-        rig.hear(wire, BodyChunk(1, bytes(grant.up_to_offset)))
-        assert rig.ran == [] and wire.replies == [(1, RequestOutcome.NOT_RUN)]
+        # After a freeze the chunk is read before any timer has run.
+        monkeypatch.setattr(loop, "time", lambda: now + 30.0)
+        rig.receive(wire, BodyChunk(1, bytes(grant.up_to_offset)))
+        assert rig.started == [] and wire.replies == [(1, RequestOutcome.NOT_RUN)]
         monkeypatch.undo()
 
-    play(what)
+    run_scenario(scenario)
 
 
 def test_a_message_about_a_number_on_another_connection_is_ignored() -> None:
-    async def what() -> None:
+    async def scenario() -> None:
         outgoing, replies = OutgoingExchanges(), list[tuple[str, ForwardResponse]]()
         first, second, other = Wire("10.0.0.1"), Wire("10.0.0.1"), Wire("10.0.0.2")
 
@@ -191,7 +208,7 @@
         new, large = carry("new", second), carry("large", second, 50_000)
         assert len({old, new, large}) == 3
         replies.clear()
-        for wire in (first, other):  # a late answer on the old connection, and one of another machine
+        for wire in (first, other):  # A late reply on the old connection, and one of another machine.
             for n in (old, new, large):
                 outgoing.receive_response(wire, ForwardResponse(n, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
             outgoing.receive_grant(wire, GrantBody(large, CHUNK_BYTES))  # type: ignore[arg-type]
@@ -206,58 +223,59 @@
             ("large", RequestOutcome.NOT_RUN),
         ]
 
-    asyncio.run(what())
+    asyncio.run(scenario())
 
 
 def test_proofs_for_requests_of_a_lost_connection_are_sent_on_the_new_one() -> None:
-    def what(rig: Rig) -> None:
-        former = rig.greeted()
-        rig.hear(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
-        rig.hear(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # its body never comes whole
-        never_ran, answered, at_work = rig.admitted
+    def scenario(rig: Rig) -> None:
+        former = rig.connect()
+        rig.receive(former, *(forward(n, rig.stamp(), key=b"k%d" % n) for n in (1, 2, 3)))
+        rig.receive(former, forward(4, rig.stamp(), size=50_000, key=b"k4"))  # Its body never arrives completely.
+        never_ran, answered, running = rig.admitted
         rig.limiter._finish(never_ran, RequestOutcome.NOT_RUN, FailureCause.EVICTED)
         rig.limiter._finish(answered, RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         former.close()
         rig.incoming.link_ended(former)  # type: ignore[arg-type]
-        after = rig.greeted()
-        rig.hear(after, FetchOutcomes([1, 2, 3, 4, 5]))
+        after = rig.connect()
+        rig.receive(after, FetchOutcomes([1, 2, 3, 4, 5]))
+        # Request 5 has never arrived.
         assert after.replies == [
             (1, RequestOutcome.NOT_RUN),
             (4, RequestOutcome.NOT_RUN),
             (5, RequestOutcome.NOT_RUN),
-        ]  # 5 has never come
-        rig.limiter._finish(at_work, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
-        assert after.replies[3:] == [(3, RequestOutcome.NOT_RUN)]  # told once it is known
+        ]
+        rig.limiter._finish(running, RequestOutcome.NOT_RUN, FailureCause.TOO_LITTLE_TIME)
+        assert after.replies[3:] == [(3, RequestOutcome.NOT_RUN)]  # The proof is sent once it exists.
 
-    play(what)
+    run_scenario(scenario)
 
 
 def test_a_request_that_was_proven_unrun_does_not_run_when_it_arrives_after_all() -> None:
-    def what(rig: Rig) -> None:
-        former, after = rig.greeted(), rig.greeted()
-        rig.hear(former, forward(1, rig.stamp(), key=b"k1"))
-        rig.hear(after, FetchOutcomes([2]))
+    def scenario(rig: Rig) -> None:
+        former, after = rig.connect(), rig.connect()
+        rig.receive(former, forward(1, rig.stamp(), key=b"k1"))
+        rig.receive(after, FetchOutcomes([2]))
         assert after.replies == [(2, RequestOutcome.NOT_RUN)]
-        assert not former.is_open  # so that nothing more is read on it
-        other = rig.greeted("two")
-        rig.hear(other, FetchOutcomes([1, 2]))  # of another incarnation: nothing is known, and nothing is closed
+        assert not former.is_open  # Nothing more may be read on it.
+        other = rig.connect("two")
+        rig.receive(other, FetchOutcomes([1, 2]))  # It is unknown, so it closes no connection.
         assert other.replies == [] and after.is_open
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_a_peer_that_has_not_said_which_incarnation_it_is_can_fetch_no_outcomes() -> None:
-    def what(rig: Rig) -> None:
+def test_a_peer_without_a_hello_can_fetch_no_outcomes() -> None:
+    def scenario(rig: Rig) -> None:
         stranger = Wire()
-        rig.hear(stranger, FetchOutcomes([1]))
+        rig.receive(stranger, FetchOutcomes([1]))
         assert stranger.sent == [] and not stranger.is_open
 
-    play(what)
+    run_scenario(scenario)
 
 
-def test_what_was_forgotten_is_not_proven() -> None:
+def test_nothing_is_proven_about_requests_that_are_no_longer_remembered() -> None:
     outcomes = UnrunRequests()
-    assert not outcomes.is_proven_unrun("incarnation", 1)  # nothing of it has arrived, as far as is remembered
+    assert not outcomes.is_proven_unrun("incarnation", 1)  # No request of it is remembered.
     for number in range(1, MAX_UNRUN_REQUESTS + 2):
         outcomes.record_received("incarnation", number)
         outcomes.record_unrun("incarnation", number)
@@ -266,17 +284,17 @@
 
 
 def test_the_proof_for_a_lost_request_is_fetched_and_reaches_its_sender() -> None:
-    def what(_: Rig) -> None:
+    def scenario(_: Rig) -> None:
         outgoing, replies = OutgoingExchanges(), list[tuple[int, RequestOutcome]]()
         former = Wire("10.0.0.1", "theirs")
 
         def carry(key: bytes) -> int:
             message = forward(0, 0.0, key=key)
 
-            def note(reply: ForwardResponse) -> None:
+            def record(reply: ForwardResponse) -> None:
                 replies.append((reply.number, RequestOutcome(reply.outcome)))
 
-            outgoing.send(1.0, former.peer, former, 0.0, message, note)  # type: ignore[arg-type]
+            outgoing.send(1.0, former.peer, former, 0.0, message, record)  # type: ignore[arg-type]
             return message.number
 
         one, two, unkeyed = carry(b"k1"), carry(b"k2"), carry(b"")
@@ -289,14 +307,14 @@
         assert elsewhere.sent == [] and after.sent == [FetchOutcomes([one, two])]
         outgoing.receive_response(elsewhere, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
         assert replies == []
-        for _again in range(2):
+        for _repetition in range(2):
             outgoing.receive_response(after, ForwardResponse(one, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, RequestOutcome.NOT_RUN)]  # once
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # It is reported once.
         outgoing.hello_received(Wire("10.0.0.1", "another incarnation"))  # type: ignore[arg-type]
         outgoing.receive_response(after, ForwardResponse(two, RequestOutcome.NOT_RUN))  # type: ignore[arg-type]
-        assert replies == [(one, RequestOutcome.NOT_RUN)]  # the incarnation that knew of it has ended
+        assert replies == [(one, RequestOutcome.NOT_RUN)]  # The incarnation that knew the outcome has ended.
 
-    play(what)
+    run_scenario(scenario)
 
 
 def test_requests_whose_outcomes_are_fetched_are_bounded() -> None:
@@ -306,20 +324,20 @@
     outgoing.disconnected(former.peer)
     after = Wire("10.0.0.1", "theirs")
     outgoing.hello_received(after)  # type: ignore[arg-type]
-    [asked] = after.sent
-    assert isinstance(asked, FetchOutcomes) and len(asked.numbers) == MAX_UNPROVEN_REQUESTS
+    [message] = after.sent
+    assert isinstance(message, FetchOutcomes) and len(message.numbers) == MAX_UNPROVEN_REQUESTS
 
 
 def test_a_withdrawn_request_is_not_started_and_one_that_runs_goes_on() -> None:
-    def what(rig: Rig) -> None:
-        wire = rig.greeted()
-        rig.hear(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
-        rig.admitted[0].exchange = object()  # type: ignore[assignment]  # the backend works on it
-        rig.hear(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
+    def scenario(rig: Rig) -> None:
+        wire = rig.connect()
+        rig.receive(wire, forward(1, rig.stamp()), forward(2, rig.stamp(), size=50_000))
+        rig.admitted[0].exchange = object()  # type: ignore[assignment]  # The backend is running it.
+        rig.receive(wire, WithdrawRequest(1), WithdrawRequest(2), WithdrawRequest(3))
         assert wire.replies == [(2, RequestOutcome.NOT_RUN)] and wire.is_open
-        rig.hear(wire, BodyChunk(2, bytes(CHUNK_BYTES)))  # a part that was on its way
-        assert rig.ran == [b"a1"] and wire.is_open
+        rig.receive(wire, BodyChunk(2, bytes(CHUNK_BYTES)))  # A chunk that was in transit.
+        assert rig.started == [b"a1"] and wire.is_open
         rig.limiter._finish(rig.admitted[0], RequestOutcome.ANSWERED, FailureCause.NONE, BackendResponse(200, b"", b""))
         assert wire.replies[1:] == [(1, RequestOutcome.ANSWERED)]
 
-    play(what)
+    run_scenario(scenario)
--- a/tests/mesh/sidecar/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -1,4 +1,4 @@
-"""What a proxy makes of its backend's heartbeats, of callers without a configuration, and of lost connections."""
+"""The sidecar process: heartbeats of its backend, callers without a configuration, and connections to peers."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Caller:
-    """Who waits for the answer to a call."""
+    """A caller that records the status of its response."""
 
     peer = ""
     gone: Callable[[], None] | None = None
@@ -62,12 +62,12 @@
         return None
 
 
-def play(folder: Path, what: Callable[[Sidecar], None]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[Sidecar], None]) -> None:
     async def run() -> None:
         path = folder / "f.toml"
         path.write_text(FILE)
         sidecar = Sidecar(load_settings(path), str(path))
-        what(sidecar)
+        scenario(sidecar)
         for dialer in sidecar.peers.values():
             dialer.close()
 
@@ -99,31 +99,31 @@
 
 
 def announced(sidecar: Sidecar) -> tuple[str, str]:
-    """What the mesh knows of the machine's backend."""
+    """Return the id and state that the mesh knows of the machine's backend."""
     status = sidecar.backends.by_ip[sidecar.ip]
     return status.id, status.state
 
 
-def test_closing_counts_once_and_for_good_whatever_comes_after_it(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_a_backend_that_has_announced_its_closing_stays_closing(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         assert heartbeat(sidecar, 1) == 200 and announced(sidecar) == ("i-1", "accepting")
         assert heartbeat(sidecar, 3, "closing") == 200 and announced(sidecar) == ("i-1", "closing")
         local = sidecar.limiter.local_backend
         assert local is not None
         since, edition = local.closing_at, sidecar.registration.announced
-        assert heartbeat(sidecar, 4, "closing") == 200 and local.closing_at == since  # its drain does not begin anew
-        assert sidecar.registration.announced is edition  # nor is the mesh told again
-        assert heartbeat(sidecar, 2) == 200 and announced(sidecar) == ("i-1", "closing")  # a late one
-        # An incarnation that closes does not come back.
+        assert heartbeat(sidecar, 4, "closing") == 200 and local.closing_at == since  # The drain does not restart.
+        assert sidecar.registration.announced is edition  # The status is not announced again.
+        assert heartbeat(sidecar, 2) == 200 and announced(sidecar) == ("i-1", "closing")  # A late heartbeat.
+        # A closing incarnation never accepts requests again.
         assert heartbeat(sidecar, 5) == 200 and announced(sidecar) == ("i-1", "closing")
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_another_incarnation_takes_the_place_and_the_former_ones_sign_off_does_not_take_it_back(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_a_new_incarnation_replaces_the_former_one_whose_sign_off_then_has_no_effect(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         heartbeat(sidecar, 7)
-        assert heartbeat(sidecar, 1, ident="i-2", service="desk") == 200  # sequence numbers are each incarnation's own
+        assert heartbeat(sidecar, 1, ident="i-2", service="desk") == 200  # Each incarnation has its own sequence.
         assert announced(sidecar) == ("i-2", "accepting") and sidecar.proxy.sender == "desk"
         assert heartbeat(sidecar, 8, "closing", ident="i-1") == 200 and announced(sidecar) == ("i-2", "accepting")
         caller = Caller()
@@ -134,40 +134,40 @@
         now = sidecar.loop.time()
         assert not sidecar.limiter.accepts(now + 9.0, "i-2") and not sidecar.limiter.accepts(now, "i-1")
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_backend_whose_first_heartbeat_to_this_process_is_closing_gets_nothing_at_all(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
-        # It may have said so seconds ago, to the process that was here before this one.
+def test_a_backend_whose_first_heartbeat_says_closing_gets_no_requests(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
+        # The backend may have announced its closing seconds ago, to an earlier sidecar process.
         assert heartbeat(sidecar, 9, "closing") == 200 and announced(sidecar) == ("i-1", "closing")
         assert not sidecar.limiter.accepts(sidecar.loop.time(), "i-1")
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_late_heartbeat_of_a_former_incarnation_does_not_take_the_present_ones_place(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_a_late_heartbeat_of_a_former_incarnation_does_not_replace_the_current_one(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         heartbeat(sidecar, 7)
         heartbeat(sidecar, 1, ident="i-2")
         assert heartbeat(sidecar, 8, ident="i-1") == 200 and announced(sidecar) == ("i-2", "accepting")
         assert sidecar.limiter.accepts(sidecar.loop.time(), "i-2")
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_backend_that_has_signed_off_is_not_taken_for_a_new_one_by_a_late_heartbeat(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_a_late_heartbeat_does_not_register_a_backend_that_has_signed_off(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         caller = Caller()
-        sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # this process has just started
+        sidecar.registration.sign_off(request(b""), caller, ["i-1"])  # The sidecar has just started.
         assert caller.status == 200 and heartbeat(sidecar, 9) == 200
         assert sidecar.limiter.local_backend is None and sidecar.ip not in sidecar.backends.by_ip
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_backend_that_sends_no_heartbeat_is_gone_until_it_sends_one(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         heartbeat(sidecar, 1)
         now = sidecar.loop.time()
         for step in range(40):
@@ -181,13 +181,13 @@
         for step in range(90):
             sidecar.tick(now + step * 0.1)
         assert announced(sidecar)[1] == "gone"
-        assert heartbeat(sidecar, 4) == 200 and announced(sidecar)[1] == "closing"  # it had said so
+        assert heartbeat(sidecar, 4) == 200 and announced(sidecar)[1] == "closing"  # It had announced its closing.
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_proxy_that_was_paused_itself_does_not_call_its_backend_silent(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_a_pause_of_the_sidecar_does_not_make_its_backend_silent(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         heartbeat(sidecar, 1)
         now = sidecar.loop.time()
         sidecar.tick(now + 0.1)
@@ -197,26 +197,26 @@
             sidecar.tick(now + 30.0 + step * 0.1)
         assert announced(sidecar)[1] == "gone"
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_proxy_without_a_configuration_or_that_shuts_down_answers_503(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
-        asked, caller = Request(b"GET", b"/r/1", {b"host": b"a"}, [], b"", sidecar.loop.time(), True), Caller()
-        sidecar.handle(asked, caller)  # no news yet: 404 would say that there is no such route
+def test_a_proxy_without_a_configuration_or_that_shuts_down_responds_with_503(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
+        message, caller = Request(b"GET", b"/r/1", {b"host": b"a"}, [], b"", sidecar.loop.time(), True), Caller()
+        sidecar.handle(message, caller)  # There is no update yet; 404 would mean that the route does not exist.
         assert caller.status == 503
         sidecar.update_source.has_configuration = True
-        asked.headers[b"lugspur-attempt-id"] = b"t1"
+        message.headers[b"lugspur-attempt-id"] = b"t1"
         caller = Caller()
-        sidecar.handle(asked, caller)  # news without a single route
+        sidecar.handle(message, caller)  # The configuration contains no routes.
         assert caller.status == 503
         for leaving in (False, True):
             sidecar.is_leaving = leaving
-            with pytest.raises(MeshError) as told:
-                sidecar.api.readiness(asked, Caller(), [])
-            assert told.value.kind is (ErrorKind.LEAVING if leaving else ErrorKind.NOT_READY)
+            with pytest.raises(MeshError) as raised:
+                sidecar.api.readiness(message, Caller(), [])
+            assert raised.value.kind is (ErrorKind.LEAVING if leaving else ErrorKind.NOT_READY)
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -232,17 +232,17 @@
     ],
 )
 def test_an_invalid_heartbeat_changes_nothing(tmp_path: Path, body: bytes) -> None:
-    def what(sidecar: Sidecar) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         heartbeat(sidecar, 1)
         with pytest.raises(MeshError):
             sidecar.api.heartbeat(request(body), Caller(), ["i-1"])
         assert announced(sidecar) == ("i-1", "accepting")
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
 def unconnected_dialer(ip: str) -> Dialer:
-    """A dialer that reaches nobody: nothing listens at its port."""
+    """Return a dialer that never connects, since nothing listens at its port."""
     return Dialer(
         ip,
         1,
@@ -254,7 +254,7 @@
 
 
 class Wire:
-    """A connection to another proxy, as far as it is used here."""
+    """A connection to another proxy, which records the messages sent on it."""
 
     def __init__(self, peer: str) -> None:
         self.sent: list[Message] = []
@@ -271,7 +271,7 @@
 def test_a_body_whose_end_was_not_sent_has_not_run_and_a_complete_one_may_have(
     tmp_path: Path, granted: int, how: RequestOutcome
 ) -> None:
-    def what(sidecar: Sidecar) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         ip, replies = "127.0.0.2", list[ForwardResponse]()
         wire = Wire(ip)
         dialer = unconnected_dialer(ip)
@@ -282,41 +282,42 @@
         sidecar.proxy.carrier.carry(ip, forward, replies.append)
         [offer] = wire.sent
         assert isinstance(offer, ForwardRequest) and (offer.body_bytes, offer.body) == (len(body), b"")
-        for upto in range(CHUNK_BYTES, granted + CHUNK_BYTES, CHUNK_BYTES):
-            sidecar.message_received(wire, GrantBody(offer.number, min(upto, len(body))))  # type: ignore[arg-type]
-        parts = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
-        assert b"".join(p.data for p in parts) == body[:granted]
+        for up_to_offset in range(CHUNK_BYTES, granted + CHUNK_BYTES, CHUNK_BYTES):
+            sidecar.message_received(wire, GrantBody(offer.number, min(up_to_offset, len(body))))  # type: ignore[arg-type]
+        chunks = [m for m in wire.sent[1:] if isinstance(m, BodyChunk)]
+        assert b"".join(chunk.data for chunk in chunks) == body[:granted]
         sidecar.disconnected(dialer)
         assert [(r.outcome, r.was_sent) for r in replies] == [(how, how == RequestOutcome.UNKNOWN)]
         assert not sidecar.outgoing.waits_for(ip)
         dialer.link = None
         dialer.close()
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_machine_is_sent_requests_only_once_its_process_has_said_hello(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_a_machine_gets_requests_only_after_its_hello(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         ip = "127.0.0.2"
         dialer = unconnected_dialer(ip)
         sidecar.peers[ip] = dialer
         assert not sidecar.proxy.carrier.is_reachable(ip)
         wire = Wire(ip)
         dialer.link = wire  # type: ignore[assignment]
-        assert not sidecar.proxy.carrier.is_reachable(ip)  # its kernel took the connection: a frozen one's does as well
+        # The kernel of a frozen process accepts connections too.
+        assert not sidecar.proxy.carrier.is_reachable(ip)
         sidecar.message_received(wire, Hello(ip, "theirs", False))  # type: ignore[arg-type]
         assert sidecar.proxy.carrier.is_reachable(ip)
-        [stamped] = wire.sent
-        assert isinstance(stamped, Hello) and stamped.sent_at > 0.0 and stamped.incarnation == sidecar.incarnation
+        [hello] = wire.sent
+        assert isinstance(hello, Hello) and hello.sent_at > 0.0 and hello.incarnation == sidecar.incarnation
         dialer.link = None
         assert not sidecar.proxy.carrier.is_reachable(ip)
         dialer.close()
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_proxy_that_follows_another_control_node_ends_its_former_subscription(tmp_path: Path) -> None:
-    def what(sidecar: Sidecar) -> None:
+def test_following_another_control_node_ends_the_former_subscription(tmp_path: Path) -> None:
+    def scenario(sidecar: Sidecar) -> None:
         wires = {ip: Wire(ip) for ip in ("127.0.0.2", "127.0.0.3")}
         for ip, wire in wires.items():
             dialer = unconnected_dialer(ip)
@@ -332,4 +333,4 @@
             sidecar.peers[ip].link = None
             sidecar.peers[ip].close()
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, scenario)
--- a/tests/mesh/sidecar/test_update_source.py
+++ b/tests/mesh/sidecar/test_update_source.py
@@ -1,4 +1,4 @@
-"""Which control node a proxy follows: of its own zone first, another one once updates are old, seeds when cut off."""
+"""Selection of the control node that a proxy follows: local zone first, others if stale, seeds if cut off."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Follower:
-    """A proxy of zone `a` whose clock is moved by hand; all that it has dialled is connected."""
+    """A proxy of zone `a` with a manual clock; all its peers are connected."""
 
     def __init__(self, seed: int) -> None:
         self.now = 100.0
@@ -38,8 +38,8 @@
     def send_to(self, ip: str, message: Message) -> None:
         self.sent.append((ip, message))
 
-    def updated(self) -> None:
-        """A fresh update of the source has come."""
+    def receive_update(self) -> None:
+        """Receive a fresh update from the source."""
         self.source.update_merged(self.now, self.source.ip, self.now)
 
     def advance(self, seconds: float) -> None:
@@ -48,13 +48,13 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_voter_of_the_own_zone_is_followed_first_and_left_once_its_updates_are_old(seed: int) -> None:
+def test_a_voter_of_the_local_zone_is_followed_first_and_given_up_once_its_updates_are_stale(seed: int) -> None:
     follower = Follower(seed)
     source = follower.source
-    source.confirmed_at = follower.now  # the membership is known to be the present one
+    source.confirmed_at = follower.now  # The known membership is up to date.
     source.select()
     assert source.ip == NEAR and not source.has_configuration
-    follower.updated()
+    follower.receive_update()
     assert source.has_configuration
     follower.advance(MAX_STALENESS - 0.1)
     assert source.ip == NEAR and follower.subscribed == [NEAR]
@@ -64,20 +64,20 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_source_that_was_given_up_comes_last_for_a_while(seed: int) -> None:
+def test_a_source_that_was_given_up_is_avoided_for_a_while(seed: int) -> None:
     follower = Follower(seed)
     source = follower.source
     source.confirmed_at = follower.now
     source.select()
-    follower.updated()
+    follower.receive_update()
     follower.advance(MAX_STALENESS + 0.1)
-    follower.updated()
+    follower.receive_update()
     del follower.peers[source.ip]
     source.disconnected(source.ip)
-    assert source.ip in (FAR, FARTHER)  # the near one is avoided, though it is of the own zone
-    follower.updated()
+    assert source.ip in (FAR, FARTHER)  # The voter of the local zone is still avoided.
+    follower.receive_update()
     follower.now += AVOID_SECONDS
-    follower.updated()
+    follower.receive_update()
     source.disconnected(source.ip)
     assert source.ip == NEAR
 
@@ -104,7 +104,7 @@
     assert chosen == {FAR, FARTHER, SEED}
 
 
-def test_nothing_is_followed_while_nobody_can_be_reached() -> None:
+def test_no_source_is_selected_while_none_can_be_reached() -> None:
     follower = Follower(1)
     for peer in follower.peers.values():
         peer.link = None
