--- a/tests/mesh/dataplane/test_key_reservation.py
+++ b/tests/mesh/dataplane/test_key_reservation.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from simulatedproxy import OK, SimulatedProxy, play
+from simulatedproxy import OK, SimulatedProxy, run_scenario
 
 from lugspur.mesh.control.messages import ForwardResponse
 from lugspur.mesh.control.reservation_client import (
@@ -22,133 +22,133 @@
 def test_reservation_ids_are_unique_over_requests_and_processes() -> None:
     names: list[bytes] = []
 
-    def what(rig: SimulatedProxy) -> None:
+    def scenario(rig: SimulatedProxy) -> None:
         for _ in range(3):
             rig.ask(lugspur_operation_key="k")
         names.extend(rig.reservation_ids)
-        rig.claimed[1][1](Acquired())
+        rig.reservations[1][1](Acquired())
         [(_, forward, _)] = rig.sent
         assert (forward.key, forward.owner, forward.attempt_id) == (b"k", rig.reservation_ids[1], b"t1")
 
-    play(what, kind="tracked")
-    play(what, kind="tracked")  # another process
+    run_scenario(scenario, kind="tracked")
+    run_scenario(scenario, kind="tracked")  # Another process.
     assert len(names) == len(set(names)) == 6
 
 
 def test_a_keyed_request_is_sent_only_once_its_key_is_reserved() -> None:
-    def what(rig: SimulatedProxy) -> None:
+    def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        [(key, over)] = rig.claimed
+        [(key, on_outcome)] = rig.reservations
         assert key == b"k" and not rig.sent
-        over(Acquired())
+        on_outcome(Acquired())
         assert rig.sent[0][1].key == b"k" and rig.sent[0][1].owner == rig.reservation_ids[0]
         rig.reply(RequestOutcome.ANSWERED, OK)
         assert caller.answers[0][0] == 200 and not rig.released
 
-    play(what, kind="tracked")
+    run_scenario(scenario, kind="tracked")
 
 
 @pytest.mark.parametrize(
     ("how", "status"),
     [(AlreadyCompleted(OK), 200), (TakenByAnother(True), 409), (TakenByAnother(False), 503), (Undecided(), 503)],
 )
-def test_a_repeated_keyed_request_gets_the_first_answer_or_the_state_of_the_key(
+def test_a_repeated_keyed_request_gets_the_first_response_or_the_state_of_the_key(
     how: ReservationOutcome, status: int
 ) -> None:
-    def what(rig: SimulatedProxy) -> None:
+    def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](how)
+        rig.reservations[0][1](how)
         assert caller.answers[0][0] == status and not rig.sent
 
-    play(what, kind="tracked")
+    run_scenario(scenario, kind="tracked")
 
 
 def test_a_key_is_released_only_with_proof_that_nothing_ran() -> None:
     def proven(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
+        rig.reservations[0][1](Acquired())
         for _ in range(3):
-            rig.reply(RequestOutcome.NOT_RUN, sent=False)
+            rig.reply(RequestOutcome.NOT_RUN, was_sent=False)
         assert caller.answers[0][0] == 503 and rig.released == [b"k"]
 
     def unknown(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
-        rig.reply(RequestOutcome.NOT_RUN, sent=False)
+        rig.reservations[0][1](Acquired())
+        rig.reply(RequestOutcome.NOT_RUN, was_sent=False)
         rig.reply(RequestOutcome.UNKNOWN)
         assert caller.answers[0][0] == 502 and not rig.released
 
-    def left(rig: SimulatedProxy) -> None:
+    def disconnected(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         assert caller.gone is not None
         caller.gone()
         assert rig.released == [b"k"]
-        rig.claimed[0][1](Acquired())  # it was won all the same
+        rig.reservations[0][1](Acquired())  # The reservation is granted after it was abandoned.
         assert rig.released == [b"k", b"k"] and not rig.sent
 
-    for case in (proven, unknown, left):
-        play(case, kind="tracked")
+    for case in (proven, unknown, disconnected):
+        run_scenario(case, kind="tracked")
 
 
 def test_an_unused_key_is_released_also_after_the_caller_has_disconnected() -> None:
-    def left(rig: SimulatedProxy) -> None:
+    def disconnected(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
+        rig.reservations[0][1](Acquired())
         assert caller.gone is not None
         caller.gone()
-        assert not rig.released  # it may run yet
-        rig.reply(RequestOutcome.NOT_RUN, sent=False)
+        assert not rig.released  # The request may still run.
+        rig.reply(RequestOutcome.NOT_RUN, was_sent=False)
         assert rig.released == [b"k"] and len(rig.sent) == 1
 
     async def late(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
+        rig.reservations[0][1](Acquired())
         while not caller.answers:
             await asyncio.sleep(0.01)
         assert caller.answers[0][0] == 504 and not rig.released
-        rig.reply(RequestOutcome.NOT_RUN, sent=False)
+        rig.reply(RequestOutcome.NOT_RUN, was_sent=False)
         assert rig.released == [b"k"] and len(rig.sent) == 1
 
-    for case in (left, late):
-        play(case, kind="tracked")
+    for case in (disconnected, late):
+        run_scenario(case, kind="tracked")
 
 
 def test_a_key_is_kept_if_the_request_may_have_run_after_the_caller_disconnected() -> None:
-    def what(rig: SimulatedProxy) -> None:
+    def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
+        rig.reservations[0][1](Acquired())
         assert caller.gone is not None
         caller.gone()
         rig.reply(RequestOutcome.UNKNOWN)
         assert not rig.released
 
-    play(what, kind="tracked")
+    run_scenario(scenario, kind="tracked")
 
 
 def test_a_key_is_released_when_proof_comes_after_a_lost_connection() -> None:
-    def what(rig: SimulatedProxy) -> None:
+    def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
+        rig.reservations[0][1](Acquired())
         _, forward, respond = rig.sent[0]
         respond(ForwardResponse(forward.number, RequestOutcome.UNKNOWN, cause=FailureCause.LINK_LOST))
         assert caller.answers[0][0] == 502 and not rig.released
-        for how in (RequestOutcome.UNKNOWN, RequestOutcome.ANSWERED):
-            respond(ForwardResponse(forward.number, how))
-            assert not rig.released  # no proof
+        for outcome in (RequestOutcome.UNKNOWN, RequestOutcome.ANSWERED):
+            respond(ForwardResponse(forward.number, outcome))
+            assert not rig.released  # Neither outcome is a proof.
         for _ in range(2):
             respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, cause=FailureCause.NEVER_RECEIVED))
         assert rig.released == [b"k"] and len(caller.answers) == 1 and len(rig.sent) == 1
 
-    play(what, kind="tracked")
+    run_scenario(scenario, kind="tracked")
 
 
 def test_a_proof_after_an_answer_does_not_release_the_key() -> None:
-    def what(rig: SimulatedProxy) -> None:
+    def scenario(rig: SimulatedProxy) -> None:
         rig.ask(lugspur_operation_key="k")
-        rig.claimed[0][1](Acquired())
+        rig.reservations[0][1](Acquired())
         _, forward, respond = rig.sent[0]
         respond(ForwardResponse(forward.number, RequestOutcome.ANSWERED, OK))
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN))
         assert not rig.released
 
-    play(what, kind="tracked")
+    run_scenario(scenario, kind="tracked")
--- a/tests/mesh/dataplane/test_route_table.py
+++ b/tests/mesh/dataplane/test_route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request is on."""
+"""The lookup of a request's route, changes of routes, and traffic splits."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def table(*routes: dict[str, object]) -> RouteTable:
-    found = RouteTable()
+    route_table = RouteTable()
     for entry in read_changes(call(*routes)):
-        found.apply(entry)
-    return found
+        route_table.apply(entry)
+    return route_table
 
 
-def name(found: RouteTable, target: bytes, host: bytes = b"a.example") -> str | None:
-    entry = found.find(host, target)
+def name(routes: RouteTable, target: bytes, host: bytes = b"a.example") -> str | None:
+    entry = routes.find(host, target)
     return None if entry is None else entry.name
 
 
@@ -32,7 +32,7 @@
     )
     assert name(routes, b"/a/b/c/1") == "long"
     assert name(routes, b"/a/b/") == "long"
-    assert name(routes, b"/a/b") == "short"  # the prefix has a slash at its end that this path lacks
+    assert name(routes, b"/a/b") == "short"  # The path lacks the trailing slash of the longer prefix.
     assert name(routes, b"/a/x?p=/a/b/") == "short"
     assert name(routes, b"/z") == "all"
     assert name(routes, b"/a/b/c/1", b"B.Example:8080") == "other"
--- a/tests/mesh/dataplane/test_upload_scheduler.py
+++ b/tests/mesh/dataplane/test_upload_scheduler.py
@@ -1,4 +1,4 @@
-"""Large bodies cross a link in chunks: the earliest deadline goes first, late bodies are rejected unsent."""
+"""Flow control of large bodies: earliest deadline first, bounded grants, and rejection of late bodies."""
 
 from __future__ import annotations
 
@@ -17,12 +17,27 @@
     is_chunked,
 )
 
-RATE = 330_000.0  # bytes a second
+RATE = 330_000.0  # bytes per second
 
 
-def forward(size: int, aim: float = 1.7, left: float = 10.0, back: bool = False) -> ForwardRequest:
+def forward(
+    size: int, latency_target: float = 1.7, seconds_left: float = 10.0, was_rejected: bool = False
+) -> ForwardRequest:
     return ForwardRequest(
-        0, "i-1", b"POST", b"/p", [], b"", left, aim, b"a", 1, False, "r", was_rejected=back, body_bytes=size
+        0,
+        "i-1",
+        b"POST",
+        b"/p",
+        [],
+        b"",
+        seconds_left,
+        latency_target,
+        b"a",
+        1,
+        False,
+        "r",
+        was_rejected=was_rejected,
+        body_bytes=size,
     )
 
 
@@ -31,12 +46,18 @@
     n: int,
     size: int,
     now: float = 0.0,
-    aim: float = 1.7,
-    left: float = 10.0,
-    back: bool = False,
-    pace: float = 0.2,
+    latency_target: float = 1.7,
+    seconds_left: float = 10.0,
+    was_rejected: bool = False,
+    service_time: float = 0.2,
 ) -> bool:
-    return uploads.offer(now, UploadKey("x", n), forward(size, aim, left, back), (1, now + aim), pace)
+    return uploads.offer(
+        now,
+        UploadKey("x", n),
+        forward(size, latency_target, seconds_left, was_rejected),
+        (1, now + latency_target),
+        service_time,
+    )
 
 
 def test_a_body_is_chunked_only_where_it_would_delay_others_on_the_link() -> None:
@@ -49,8 +70,8 @@
     assert offer(uploads, 1, 60_000)
     complete = None
     while complete is None:
-        for key, upto in uploads.grant(now):
-            assert key == UploadKey("x", 1) and upto - sent <= max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
+        for key, up_to_offset in uploads.grant(now):
+            assert key == UploadKey("x", 1) and up_to_offset - sent <= max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
         [_] = uploads.keys_from("x")
         now += 0.02
         step = min(CHUNK_BYTES, 60_000 - sent)
@@ -65,16 +86,16 @@
 
 def test_the_earliest_deadline_goes_first_and_grants_stay_within_the_link_rate() -> None:
     uploads = UploadScheduler[str](RATE, 1 << 20)
-    assert offer(uploads, 1, 60_000, aim=9.0) and offer(uploads, 2, 60_000, aim=1.0)
+    assert offer(uploads, 1, 60_000, latency_target=9.0) and offer(uploads, 2, 60_000, latency_target=1.0)
     assert {key[1] for key, _ in uploads.grant(0.0)} == {2}
-    assert uploads.grant(0.1) == []  # it is all under way
+    assert uploads.grant(0.1) == []  # All bytes that may be outstanding are outstanding.
     uploads.receive(0.1, UploadKey("x", 2), bytes(CHUNK_BYTES))
     assert [key[1] for key, _ in uploads.grant(0.1)] == [2]
 
 
 def test_a_stalled_sender_delays_no_other_body() -> None:
     uploads = UploadScheduler[str](RATE, 1 << 20)
-    assert offer(uploads, 1, 60_000, aim=1.0) and offer(uploads, 2, 60_000, aim=9.0)
+    assert offer(uploads, 1, 60_000, latency_target=1.0) and offer(uploads, 2, 60_000, latency_target=9.0)
     assert {key[1] for key, _ in uploads.grant(0.0)} == {1}
     assert uploads.grant(STALL_TIMEOUT_SECONDS - 0.01) == []
     assert uploads.grant(STALL_TIMEOUT_SECONDS + 0.01) != []
@@ -82,19 +103,20 @@
 
 def test_a_late_body_is_rejected_unless_its_caller_was_before_and_the_first_is_always_accepted() -> None:
     uploads = UploadScheduler[str](RATE, 8 << 20)
-    assert offer(uploads, 0, 300_000, aim=1.0)  # it takes longer than it has, and nobody waits
+    assert offer(uploads, 0, 300_000, latency_target=1.0)  # It can't meet its target, but no body is ahead of it.
     assert not offer(uploads, 1, 60_000)
-    assert offer(uploads, 2, 60_000, back=True)
-    assert not offer(uploads, 3, 60_000, aim=1.2, back=True)
+    assert offer(uploads, 2, 60_000, was_rejected=True)
+    assert not offer(uploads, 3, 60_000, latency_target=1.2, was_rejected=True)
 
 
 def test_memory_is_bounded_and_expired_or_dropped_bodies_free_it() -> None:
     uploads = UploadScheduler[str](RATE, 100_000)
-    assert offer(uploads, 1, 60_000, left=1.0) and not offer(uploads, 2, 60_000, aim=99.0)
-    assert not offer(uploads, 1, 10)  # a number that is in use
+    assert offer(uploads, 1, 60_000, seconds_left=1.0) and not offer(uploads, 2, 60_000, latency_target=99.0)
+    assert not offer(uploads, 1, 10)  # The number is in use.
     assert uploads.drop_expired(0.9) == [] and uploads.drop_expired(1.0) == [UploadKey("x", 1)]
     assert offer(uploads, 3, 60_000) and uploads.drop(UploadKey("x", 3)) and not uploads.drop(UploadKey("x", 3))
-    assert uploads.receive(0.0, UploadKey("x", 3), b"late") is None  # on its way when it was dropped
+    # Bytes that were in transit when their body was dropped are ignored.
+    assert uploads.receive(0.0, UploadKey("x", 3), b"late") is None
     assert offer(uploads, 4, 60_000)
     with pytest.raises(ValueError, match="granted"):
         uploads.receive(0.0, UploadKey("x", 4), b"unasked")
@@ -102,12 +124,12 @@
 
 def test_a_stalled_sender_is_granted_no_more_until_outstanding_bytes_arrive() -> None:
     uploads, now = UploadScheduler[str](RATE, 1 << 20), 0.0
-    assert offer(uploads, 1, 200_000, left=99.0)
-    [(_, upto)] = uploads.grant(now)
+    assert offer(uploads, 1, 200_000, seconds_left=99.0)
+    [(_, up_to_offset)] = uploads.grant(now)
     for _ in range(50):
         now += STALL_TIMEOUT_SECONDS / 2
         assert uploads.grant(now) == []
-    uploads.receive(now, UploadKey("x", 1), bytes(upto))
+    uploads.receive(now, UploadKey("x", 1), bytes(up_to_offset))
     assert uploads.grant(now) != []
 
 
@@ -121,37 +143,37 @@
     steps: list[tuple[int, int, float, float]],
 ) -> None:
     uploads, now, sent = UploadScheduler[str](RATE, 1 << 20), 0.0, dict[UploadKey[str], int]()
-    due, granted = dict[UploadKey[str], int](), dict[UploadKey[str], int]()
-    for n, (what, size, aim, gap) in enumerate(steps):
+    pending, granted = dict[UploadKey[str], int](), dict[UploadKey[str], int]()
+    for n, (action, size, latency_target, gap) in enumerate(steps):
         now += gap
-        if what == 0:
-            if offer(uploads, n, size, now, aim, 1e6):
-                due[UploadKey("x", n)], sent[UploadKey("x", n)], granted[UploadKey("x", n)] = size, 0, 0
-        elif what == 1 and due:
-            key = min(due)
+        if action == 0:
+            if offer(uploads, n, size, now, latency_target, 1e6):
+                pending[UploadKey("x", n)], sent[UploadKey("x", n)], granted[UploadKey("x", n)] = size, 0, 0
+        elif action == 1 and pending:
+            key = min(pending)
             if uploads.drop(key):
-                del due[key]
-        elif due:
-            key = max(due)
+                del pending[key]
+        elif pending:
+            key = max(pending)
             step = min(CHUNK_BYTES, granted[key] - sent[key])
             if step and uploads.receive(now, key, bytes(step)) is not None:
-                assert sent[key] + step == due.pop(key)
+                assert sent[key] + step == pending.pop(key)
             sent[key] += step
-        for key, upto in uploads.grant(now):
-            assert granted[key] < upto <= due[key]
-            granted[key] = upto
-        most = max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
-        assert all(granted[key] - sent[key] <= most for key in due)
-        assert sum(granted[key] - sent[key] for key in due) <= most * (1 + len(due))
+        for key, up_to_offset in uploads.grant(now):
+            assert granted[key] < up_to_offset <= pending[key]
+            granted[key] = up_to_offset
+        max_outstanding = max(2 * CHUNK_BYTES, RATE * GRANT_AHEAD_SECONDS)
+        assert all(granted[key] - sent[key] <= max_outstanding for key in pending)
+        assert sum(granted[key] - sent[key] for key in pending) <= max_outstanding * (1 + len(pending))
     for _ in range(5000):
-        if not due:
+        if not pending:
             break
         now += CHUNK_BYTES / (RATE * USABLE_LINK_FRACTION)
-        for key in list(due):
+        for key in list(pending):
             step = min(CHUNK_BYTES, granted[key] - sent[key])
             if step and uploads.receive(now, key, bytes(step)) is not None:
-                due.pop(key)
+                pending.pop(key)
             sent[key] += step
-        for key, upto in uploads.grant(now):
-            granted[key] = upto
-    assert not due and len(uploads) == 0
+        for key, up_to_offset in uploads.grant(now):
+            granted[key] = up_to_offset
+    assert not pending and len(uploads) == 0
--- a/tests/simulatedproxy.py
+++ b/tests/simulatedproxy.py
@@ -21,11 +21,11 @@
 from lugspur.seams import Request
 
 OK = BackendResponse(200, b"Lugspur-Postmark: p\r\n", b"hi")
-BROKE = BackendResponse(500, b"Lugspur-Postmark: p\r\n", b"no")
+SERVER_ERROR = BackendResponse(500, b"Lugspur-Postmark: p\r\n", b"no")
 
 
 class Caller:
-    """A caller that waits for one answer."""
+    """A caller that records its responses."""
 
     peer = ""
 
@@ -44,31 +44,33 @@
 
 
 class SentRequest:
-    """A request that was handed to the simulated backends."""
+    """The handle of a request that was sent to a simulated backend; it records cancellations."""
 
-    def __init__(self, rig: SimulatedProxy, at: int) -> None:
-        self._rig, self._at = rig, at
+    def __init__(self, rig: SimulatedProxy, index: int) -> None:
+        self._rig, self._index = rig, index
 
     def cancel(self) -> None:
-        self._rig.cancelled.append(self._at)
+        self._rig.cancelled.append(self._index)
 
     def withdraw(self) -> None:
-        self._rig.withdrawn.append(self._at)
+        self._rig.withdrawn.append(self._index)
 
 
 class SimulatedProxy:
     """A proxy whose backends and key reservations are simulated."""
 
-    def __init__(self, kind: str = "safe", tries: int = 2, backends: int = 3, slack: float = 20.0) -> None:
+    def __init__(self, kind: str = "safe", max_attempts: int = 2, backends: int = 3, slack: float = 20.0) -> None:
         self.sent: list[tuple[str, ForwardRequest, Callable[[ForwardResponse], None]]] = []
         self.cancelled: list[int] = []
         self.withdrawn: list[int] = []
-        self.claimed: list[tuple[bytes, Callable[[ReservationOutcome], None]]] = []
+        self.reservations: list[tuple[bytes, Callable[[ReservationOutcome], None]]] = []
         self.reservation_ids: list[bytes] = []
         self.released: list[bytes] = []
         self.unreachable: set[str] = set()
         table = RouteTable()
-        for entry in read_changes(call(route("r", mail_class=kind, tries=tries, deadline_ms=500, target_ms=200))):
+        for entry in read_changes(
+            call(route("r", mail_class=kind, tries=max_attempts, deadline_ms=500, target_ms=200))
+        ):
             table.apply(entry)
         self.proxy = Proxy(
             table, self, self, Random(1), retry_ratio=0.2, retry_slack=slack, retry_window=10.0, zone="z0"
@@ -76,7 +78,7 @@
         self.proxy.sender = "mine"
         self.proxy.update_endpoints("s", {f"i-{n}": EndpointListing(f"10.0.0.{n}", f"z{n}") for n in range(backends)})
 
-    # the carrier and the keys
+    # The methods of `RequestCarrier` and `KeyReservations`.
     def is_reachable(self, ip: str) -> bool:
         return ip not in self.unreachable
 
@@ -92,7 +94,7 @@
         timeout: float,
         on_outcome: Callable[[ReservationOutcome], None],
     ) -> None:
-        self.claimed.append((key, on_outcome))
+        self.reservations.append((key, on_outcome))
         self.reservation_ids.append(owner)
 
     def release(self, key: bytes, owner: bytes) -> None:
@@ -110,17 +112,19 @@
         return caller
 
     def reply(
-        self, how: RequestOutcome, answer: BackendResponse | None = None, sent: bool = True, at: int = -1
+        self, outcome: RequestOutcome, response: BackendResponse | None = None, was_sent: bool = True, index: int = -1
     ) -> None:
-        _, forward, respond = self.sent[at]
-        respond(ForwardResponse(forward.number, how, answer, sent))
+        _, forward, respond = self.sent[index]
+        respond(ForwardResponse(forward.number, outcome, response, was_sent))
 
 
-def play(what: Callable[[Any], Any], **settings: Any) -> None:
+def run_scenario(scenario: Callable[[Any], Any], **settings: Any) -> None:
+    """Run a scenario, which may be a coroutine function, with a simulated proxy."""
+
     async def run() -> None:
         async with asyncio.timeout(10.0):
-            done = what(SimulatedProxy(**settings))
-            if done is not None:
-                await done
+            coroutine = scenario(SimulatedProxy(**settings))
+            if coroutine is not None:
+                await coroutine
 
     asyncio.run(run())
