--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -34,12 +34,12 @@
 from lugspur.routing.shares import Shares
 from lugspur.seams import Response
 
-# A closing backend still gets new requests while the update that it closes reaches all proxies. That time is this
-# fraction of the drain time, and at most MAX_CLOSING_ACCEPT_SECONDS.
+# A closing backend still gets new requests while the update about its closing reaches all proxies. That time is
+# this fraction of the drain time, and at most MAX_CLOSING_ACCEPT_SECONDS.
 CLOSING_ACCEPT_FRACTION = 0.25
 MAX_CLOSING_ACCEPT_SECONDS = 0.4
 DRAIN_START_FRACTION = 0.8  # fraction of the drain time during which queued requests may still be started
-EXTRA_REQUESTS = 1  # requests sent to the backend beyond its concurrency, so that it never waits for the next one
+EXTRA_REQUESTS = 1  # requests sent to the backend beyond its concurrency, so that the next one is there when one ends
 MAX_QUEUE_FACTOR = 2  # maximum queue length, as a multiple of the backend's concurrency
 # Maximum queueing time of a request, as a fraction of its latency target minus its service time.
 MAX_WAIT_FRACTION = 0.6
--- a/lugspur/mesh/dataplane/failure_cause.py
+++ b/lugspur/mesh/dataplane/failure_cause.py
@@ -10,9 +10,7 @@
 
     NONE = 0  # the backend responded
     EXPIRED = 1  # the deadline had passed when the request was read
-    NOT_ACCEPTED = (
-        2  # the incarnation of the backend is draining, gone or unreachable, or this process is shutting down
-    )
+    NOT_ACCEPTED = 2  # the backend's incarnation is draining, gone or unreachable, or this process is shutting down
     QUEUE_FULL = 3  # the queue is full, or the response would be too late
     EVICTED = 4  # evicted from the queue by a more urgent request
     TOO_LITTLE_TIME = 5  # too little time was left when the request reached the head of the queue
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -99,7 +99,7 @@
         untried = [endpoint for ident, endpoint in known.items() if ident not in self.attempts.backend_ids]
         reachable = [endpoint for endpoint in untried if proxy.carrier.is_reachable(endpoint.ip)]
         preferred = [endpoint for endpoint in reachable if now >= endpoint.deprioritised_until]
-        # A backend that has just rejected a request is the last resort; another rejection costs less than giving up.
+        # Backends that have just rejected a request come last, but before giving up: asking them costs nothing.
         candidates = preferred or reachable
         body_bytes = len(self.request.body)
         selected = select_endpoint(
@@ -190,7 +190,7 @@
             self._send(now, is_retry=True)
 
     def _retry(self, now: float) -> bool:
-        """Retry the request if that is allowed; return whether any attempt is in flight."""
+        """Retry the request if no attempt is in flight and a retry is allowed; return whether the request goes on."""
         attempts = self.attempts
         if attempts.in_flight:
             return True
--- a/lugspur/mesh/dataplane/rejection.py
+++ b/lugspur/mesh/dataplane/rejection.py
@@ -22,7 +22,7 @@
         # Jitter spreads the retries of callers that were rejected at the same moment.
         delay = response.retry_after_seconds * (0.5 + random())
         if response.spreads_retries and seconds_left > 0.0:
-            # If all backends are full, only a late retry helps: the queues must drain first, and a caller that is
+            # If all backends are full, only a late retry helps: the queues must empty first, and a caller that is
             # rejected again has no time left.
             delay = max(MIN_RETRY_AFTER_SECONDS, seconds_left * MAX_RETRY_AFTER_FRACTION * (0.6 + 0.4 * random()))
         head = b"Retry-After: %.3f\r\n" % delay
--- a/lugspur/mesh/dataplane/route_table.py
+++ b/lugspur/mesh/dataplane/route_table.py
@@ -85,9 +85,8 @@
     def __init__(self) -> None:
         self._entries: dict[str, RouteEntry] = {}  # by item name
         self._hosts: dict[bytes, dict[bytes, RouteEntry]] = {}  # by host, then path prefix
-        self._candidates: dict[
-            tuple[bytes, bytes], dict[str, RouteEntry]
-        ] = {}  # all routes with one host and prefix, by item name
+        # All routes with the same host and prefix, by item name.
+        self._candidates: dict[tuple[bytes, bytes], dict[str, RouteEntry]] = {}
         self.request_limits = RequestLimits()
 
     def __len__(self) -> int:
@@ -111,9 +110,8 @@
             return
         try:
             route = read_route(entry.value)
-        except (
-            msgspec.MsgspecError
-        ):  # An item that another version of the program accepted must not affect other routes.
+        except msgspec.MsgspecError:
+            # Another version of the program accepted the item; it must not affect other routes.
             return
         route_entry = RouteEntry(route, entry.edition)
         if previous is not None:
--- a/lugspur/mesh/dataplane/upload_scheduler.py
+++ b/lugspur/mesh/dataplane/upload_scheduler.py
@@ -16,7 +16,7 @@
 
 CHUNK_BYTES = 8 << 10  # bytes per grant; takes 25 ms on the slowest known links
 GRANT_AHEAD_SECONDS = 0.05  # link time that is granted ahead; exceeds the round trip of a grant and its bytes
-MAX_UNCHUNKED_SECONDS = 0.03  # a body that takes less link time than this is sent together with its request
+MAX_UNCHUNKED_SECONDS = 0.03  # a body that takes less on the receiver's link is sent together with its request
 STALL_TIMEOUT_SECONDS = 0.3  # time without progress after which a sender no longer delays other bodies
 USABLE_LINK_FRACTION = 0.9  # fraction of the link rate for granted bytes; the rest is for all other traffic
 # Maximum time that a body may wait for its turn, as a fraction of its latency target minus its own transfer and service
--- a/lugspur/mesh/sidecar/incoming.py
+++ b/lugspur/mesh/sidecar/incoming.py
@@ -143,7 +143,7 @@
     # ---- proofs that a request did not run -------------------------------------------------
 
     def _keep_proof(self, link: Link, incarnation: str, response: ForwardResponse) -> None:
-        """Store the proof, since the reply may be lost; if its connection has ended, send it on the sender's others."""
+        """Store the proof, since the reply may be lost; if its connection has ended, use the sender's others."""
         self._unrun_requests.record_unrun(incarnation, response.number)
         if not link.is_open:
             for other in self._links_of(incarnation):
@@ -209,7 +209,7 @@
                 self._unrun_requests.record_unrun(sender.incarnation, upload_key.number)
         for key in [key for key in self._admitted if key[0] is link]:
             admitted = self._admitted.pop(key)
-            if admitted.forward.is_safe:  # Responses of other requests may be stored for a repeat.
+            if admitted.forward.is_safe:  # An unsafe request goes on: its response may be stored for a repeat.
                 self._limiter.cancel(admitted)
 
     def tick(self, now: float) -> None:
--- a/lugspur/mesh/sidecar/update_source.py
+++ b/lugspur/mesh/sidecar/update_source.py
@@ -63,7 +63,7 @@
             follower.subscribe(follower.peers[self.ip])
 
     def _choose(self) -> str:
-        """Return the address of a random voter, of the local zone if possible; empty if none can be reached."""
+        """Return the address of a random candidate, of the local zone if possible; empty if none can be reached."""
         follower = self._follower
         membership, seeds = follower.membership, follower.settings.seeds
         connected = {ip for ip, dialer in follower.peers.items() if dialer.link is not None}
