--- a/lugspur/mesh/dataplane/admitted_request.py
+++ b/lugspur/mesh/dataplane/admitted_request.py
@@ -21,9 +21,9 @@
         "forward",
         "is_finished",
         "local_backend",
-        "offered_at",
         "respond",
-        "was_offered",
+        "sent_at",
+        "was_sent",
     )
 
     def __init__(
@@ -32,8 +32,8 @@
         self.forward, self.local_backend, self.respond = forward, local, respond
         self.deadline = now + forward.seconds_left
         self.exchange: Exchange | None = None  # the HTTP exchange with the backend, once it has started
-        self.was_offered = False
-        self.offered_at = now
+        self.was_sent = False  # to the backend
+        self.sent_at = now  # when it was sent to the backend, once it has been
         self.is_finished = False
 
 
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -248,10 +248,10 @@
         if monotonic() >= request.deadline + GRACE_SECONDS:
             self._expire(request, FailureCause.TOO_LITTLE_TIME)
             return
-        is_first = not request.was_offered and not request.is_finished
+        is_first = not request.was_sent and not request.is_finished
         check(is_first, Invariant.OFFERED_ONCE, attempt=forward.attempt_id)
         self._running += 1
-        request.was_offered, request.offered_at = True, now
+        request.was_sent, request.sent_at = True, now
         exchange = Exchange(
             request.local_backend.backend,
             now,
@@ -279,7 +279,7 @@
 
     def _response_received(self, request: AdmittedRequest, response: Response) -> None:
         forward = request.forward
-        self.service_times.record(forward.route, self._loop.time() - request.offered_at)
+        self.service_times.record(forward.route, self._loop.time() - request.sent_at)
         if not backend_exchange.is_valid_response(forward, response):
             self._finish(request, RequestOutcome.INVALID_RESPONSE, FailureCause.INVALID_RESPONSE)
             return
@@ -294,7 +294,7 @@
             local.is_unreachable = True
             self._on_unreachable(local)
         if outcome is not Outcome.OVERLOADED:
-            request.was_offered = False
+            request.was_sent = False
         self._finish(request, RequestOutcome.NOT_RUN, NOT_RUN_CAUSES[outcome])
 
     def _finish(
@@ -311,5 +311,5 @@
         if cause:
             self.causes[cause] += 1
         request.respond(
-            ForwardResponse(request.forward.number, outcome, response, request.was_offered, self.in_flight, cause)
+            ForwardResponse(request.forward.number, outcome, response, request.was_sent, self.in_flight, cause)
         )
