--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -56,7 +56,7 @@
         return True
     if attempts.rejections >= proxied_request.MAX_REJECTIONS or now >= self.deadline:
         return False
-    if attempts.offered >= self.route.max_attempts:
+    if attempts.sent_count >= self.route.max_attempts:
         return False
     attempts.may_have_run = False
     return self._send(now, True)
--- a/lugspur/mesh/dataplane/attempts.py
+++ b/lugspur/mesh/dataplane/attempts.py
@@ -25,7 +25,7 @@
 class Attempts:
     """All attempts of one request."""
 
-    offered: int = 0  # attempts in which a backend received the request, or may have
+    sent_count: int = 0  # attempts in which a backend received the request, or may have
     rejections: int = 0  # attempts that provably did not run
     backend_ids: set[str] = field(default_factory=set)  # ids of the backends of all attempts
     in_flight: dict[int, Attempt] = field(default_factory=dict)  # by attempt number
@@ -43,7 +43,7 @@
         """Record an attempt that is about to be sent; return its number."""
         self.backend_ids.add(endpoint.id)
         self._latest_number += 1
-        self.offered += 1
+        self.sent_count += 1
         endpoint.in_flight += 1
         self.in_flight[self._latest_number] = Attempt(endpoint, now, NOT_SENT)
         return self._latest_number
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -127,10 +127,10 @@
         self._check_send()
         attempts = self.attempts
         number = attempts.begin(endpoint, now)
-        if attempts.offered > 1:
+        if attempts.sent_count > 1:
             self.proxy.budget(self.service).count_retry(now)
-        is_allowed = attempts.offered <= self.route.max_attempts
-        check(is_allowed, Invariant.ATTEMPTS_WITHIN_LIMIT, attempt=self.attempt_id, sends=attempts.offered)
+        is_allowed = attempts.sent_count <= self.route.max_attempts
+        check(is_allowed, Invariant.ATTEMPTS_WITHIN_LIMIT, attempt=self.attempt_id, sends=attempts.sent_count)
         forward = self._encode(endpoint, now)
         handle = self.proxy.carrier.carry(endpoint.ip, forward, lambda result: self._receive_result(number, result))
         attempt = attempts.in_flight.get(number)
@@ -179,12 +179,12 @@
         if not route.is_safe or not latency or self._hedge_timer is not None:
             return
         hedge_at = now + max(HEDGE_LATENCY_FACTOR * latency, HEDGE_TARGET_FRACTION * route.latency_target)
-        if self.attempts.offered < route.max_attempts and hedge_at + latency < self.deadline:
+        if self.attempts.sent_count < route.max_attempts and hedge_at + latency < self.deadline:
             self._hedge_timer = self.proxy.loop.call_at(hedge_at, self._send_hedge)
 
     def _send_hedge(self) -> None:
         now = self.proxy.loop.time()
-        if self.is_finished or len(self.attempts.in_flight) != 1 or self.attempts.offered >= self.route.max_attempts:
+        if self.is_finished or len(self.attempts.in_flight) != 1 or self.attempts.sent_count >= self.route.max_attempts:
             return  # A retry may have been sent since the timer was set.
         if self.proxy.budget(self.service).allows_retry(now):
             self._send(now, is_retry=True)
@@ -198,9 +198,9 @@
             return False
         if attempts.rejections >= MAX_REJECTIONS or now >= self.deadline:
             return False
-        if attempts.offered >= self.route.max_attempts:
+        if attempts.sent_count >= self.route.max_attempts:
             return False
-        if attempts.offered and not self.proxy.budget(self.service).allows_retry(now):
+        if attempts.sent_count and not self.proxy.budget(self.service).allows_retry(now):
             return False
         return self._send(now, is_retry=True)
 
@@ -247,7 +247,7 @@
     def _receive_rejection(self, now: float, endpoint: Endpoint, result: ForwardResponse) -> None:
         self.attempts.rejections += 1
         if not result.was_sent:
-            self.attempts.offered -= 1  # the request did not reach the backend
+            self.attempts.sent_count -= 1  # the request did not reach the backend
         if result.cause != FailureCause.CANCELLED:  # a withdrawn request says nothing about its backend
             endpoint.record_rejection(now, self.route.name, self.proxy.rng)
 
@@ -342,7 +342,7 @@
             claim=self.reservation.label,
             took_s=self.proxy.loop.time() - request.arrived,
             had_s=self.deadline - request.arrived,
-            sends=attempts.offered,
+            sends=attempts.sent_count,
             turned_away=attempts.rejections,
             waited_for=tuple(attempt.endpoint.id for attempt in attempts.in_flight.values()),
             edition=route.edition,
