--- a/lugspur/load_balancing/balancer.py
+++ b/lugspur/load_balancing/balancer.py
@@ -179,7 +179,7 @@
 
     def _send_first(self, now: float, request: Request) -> list[Action]:
         pool = self.table.class_pools[request.class_index]
-        # All ready servers replace a dead subset, but for cold ones, whose budget other subsets use.
+        # All ready servers replace a dead subset, except cold ones: other instances use their budget.
         return self._send(now, request, pool.subset, True) or self._send(now, request, pool.ready, False)
 
     def _send(self, now: float, request: Request, servers: list[Server], is_first: bool) -> list[Action]:
