--- a/tests/load_balancing/test_simulator_adapter.py
+++ b/tests/load_balancing/test_simulator_adapter.py
@@ -105,8 +105,8 @@
         ],
     )
     drained = [{"m": "Register", "List": 3, "Rows": [{"Backend": 70, "Readiness": "L"}]}]
-    told = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
-    text += batch(10.3, [*drained, *told, *(e for i in instances for e in calls(i, 3, 40))])
+    updates = [{"m": "Members", "ProxyId": i, "Mode": "patch", "Version": 2, "List": 3} for i in instances]
+    text += batch(10.3, [*drained, *updates, *(e for i in instances for e in calls(i, 3, 40))])
     text += batch(10.4, [{"m": "Teardown", "ProxyId": i} for i in instances])
     return text + batch(10.5, [e for i in instances for e in [*opened(i), *calls(i, 90, 2)]])
 
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "says"),
+    ("text", "line", "message"),
     [
         ("{\n", 1, "line 1"),
         ("[1]\n", 1, "not a message"),
@@ -177,11 +177,11 @@
         ('{"m":"Tick","Time":1}\n', 1, "the input ended inside a batch"),
     ],
 )
-def test_invalid_line_is_reported_with_its_number(text: str, line: int, says: str) -> None:
+def test_invalid_line_is_reported_with_its_number(text: str, line: int, message: str) -> None:
     done = converse(text)
     assert done.returncode == 2
-    [told] = done.stderr.splitlines()
-    assert f"line {line}" in told and says in told and "Traceback" not in told
+    [error] = done.stderr.splitlines()
+    assert f"line {line}" in error and message in error and "Traceback" not in error
 
 
 def test_exception_in_a_decision_is_reported_as_bail_out() -> None:
