--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -1,6 +1,6 @@
-"""One pool of backends: what happens on its sockets becomes the decision module's events, and back.
+"""One pool of backends: passes events from its sockets to the load balancer, and carries out the balancer's actions.
 
-This file alone calls the module, and decides nothing. What a final answer looks like is its owner's matter.
+Only this module calls the balancer. It takes no decisions itself; its owner writes the final responses.
 """
 
 from __future__ import annotations
@@ -39,13 +39,16 @@
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
 
-COMPLAIN_EVERY = 1.0  # seconds between two tracebacks in the log
-FAILED_FROM = 500  # statuses of final answers that count as failures
+TRACEBACK_INTERVAL_SECONDS = 1.0  # minimum time between two tracebacks in the log
+MIN_FAILURE_STATUS = 500  # final responses with this status or a higher one count as failures
 
 
 @dataclass(slots=True)
 class Facts:
-    """What the decisions need of a request: class and tenant by their places in the settings, seconds."""
+    """The attributes of a request that the balancer decides by.
+
+    `kind` and `tenant` are the indexes of its class and tenant in the settings; `timeout` and `cost` are in seconds.
+    """
 
     kind: int
     tenant: int
@@ -55,7 +58,7 @@
 
 
 class Call:
-    """A request that a final answer is owed for, or that still has attempts out."""
+    """A request that still awaits its final response, or that still has open attempts."""
 
     __slots__ = (
         "bound",
@@ -79,19 +82,19 @@
         self.rid = rid
         self.request = request
         self.facts = facts
-        self.caller: Answerable | None = caller  # None once nothing is owed
+        self.caller: Answerable | None = caller  # None after the final response, or once the caller has been released
         self.deadline = deadline  # in the loop's time
-        self.context = context  # the owner's
+        self.context = context  # used by the owner only
         self.exchanges: list[Attempt] = []
-        self.bound = False  # whether a message has passed: the request belongs to that attempt
-        self.may_have_run = False  # whether any attempt may
-        self.last = Outcome.NOT_PROCESSED  # how its latest attempt ended...
-        self.response: Response | None = None  # ...and with what answer
+        self.bound = False  # whether a message was passed on, which binds the request to that attempt
+        self.may_have_run = False  # whether a backend may have run any attempt
+        self.last = Outcome.NOT_PROCESSED  # outcome of the attempt that ended last
+        self.response: Response | None = None  # response of the attempt that ended last
         self.timer: asyncio.TimerHandle | None = None
-        self.steps: list[AttemptRecord] = []  # what became of each attempt, for an account of its failure
+        self.steps: list[AttemptRecord] = []  # of the attempts that have ended, for the failure log
 
     def bytes_for(self, left: float) -> bytes:
-        """The request as it goes to an HTTP/1.1 backend that is waited for so many seconds."""
+        """Return the request as sent to an HTTP/1.1 backend that has `left` seconds to respond."""
         request = self.request if self.request.form is None else self.request.form.plain(self.request)
         framed = request.body or request.method not in (b"GET", b"HEAD")
         length = b"Content-Length: %d\r\n" % len(request.body) if framed else b""
@@ -102,7 +105,7 @@
                 if stream.length is None
                 else (b"Content-Length: %d\r\n" % stream.length)
             )
-            left = self.facts.timeout  # counted from its last byte, whenever that comes
+            left = self.facts.timeout  # counted from the last byte of the body, whose arrival time is not known yet
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
             request.method,
             request.target,
@@ -114,44 +117,50 @@
 
 
 class Owner(Protocol):
-    """Who words the final answers that the module has decided on."""
+    """The owner of a pool, which writes the final responses that the balancer has decided on."""
 
     def at_fault(self, status: int) -> bool:
-        """Whether a backend's answer says that the request itself is wrong, and would be anywhere else."""
+        """Return whether a backend's status means that the request is invalid, and would be at any other backend."""
 
     def served(self, call: Call, response: Response) -> None:
-        """A backend has served it in time."""
+        """Handle a request that a backend has served in time."""
 
     def begun(self, call: Call, response: Response, body: Pipe) -> None:
-        """A backend's answer is passed on as it comes; `served` or `failed` ends it."""
+        """Start to stream a backend's response to the caller; `served` or `failed` ends it."""
 
     def refused(self, call: Call, retry_after: float) -> None:
-        """No attempt ran, or another does no harm: say so (0: no time to come back is known)."""
+        """Reject a request of which no attempt ran, or whose retry does no harm.
+
+        `retry_after` is in seconds; 0: it is not known when a retry could succeed.
+        """
 
     def failed(self, call: Call) -> None:
-        """It may have run; nothing is promised."""
+        """Fail a request that may have run: the response must not say that a retry is harmless."""
 
     def settled(self, call: Call) -> None:
-        """Nothing is owed for it any more."""
+        """Handle that the pool owes no response for the request any more."""
 
 
-class Complaints:
-    """Tracebacks in the log, few of them."""
+class TracebackLog:
+    """Prints tracebacks to standard error, at a limited rate."""
 
     def __init__(self) -> None:
         self._last = float("-inf")
 
-    def add(self) -> None:
-        """Guards the loop against a log that nobody empties: writing to a full pipe would stop it."""
+    def print_current(self) -> None:
+        """Print the current exception, unless another one was printed a moment ago.
+
+        The limit protects the event loop: if nobody reads the log, a write to the full pipe blocks it.
+        """
         now = time.monotonic()
-        if now - self._last >= COMPLAIN_EVERY:
+        if now - self._last >= TRACEBACK_INTERVAL_SECONDS:
             self._last = now
             traceback.print_exc()
             sys.stderr.flush()
 
 
-class Sending:
-    """What a pool is told of one attempt of a call."""
+class AttemptWatcher:
+    """Passes the events of one attempt on to the pool (seams.Watcher)."""
 
     __slots__ = ("_call", "_number", "_pool")
 
@@ -159,20 +168,20 @@
         self._pool, self._call, self._number = pool, call, number
 
     def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-        """Its one outcome."""
+        """Handle the end of the attempt; called once."""
         self._pool.outcome(self._call, self._number, attempt, outcome, response)
 
     def bound(self) -> None:
-        """A message has passed: the request belongs to this attempt from now on."""
+        """Bind the request to this attempt, because a message was passed on."""
         self._pool.bound(self._call, self._number)
 
     def begun(self, response: Response, body: Pipe) -> None:
-        """Its answer is passed on as it comes."""
+        """Start to stream the attempt's response."""
         self._pool.begun(self._call, self._number, response, body)
 
 
 class Pool:
-    """One instance of the decision module, its backends, and the requests that it has in hand."""
+    """One load balancer with its backends and its open requests."""
 
     def __init__(
         self,
@@ -193,53 +202,55 @@
         self.calls: dict[str, Call] = {}
         self._owner = owner
         self._subscribe = subscribe
-        self._lane = lane  # makes what carries attempts to boxes that speak no HTTP/1.1, where there are any
-        self._repeatable = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
-        self._count = 0
-        self._complaints = Complaints()
-        self.attempts: Counter[str] = Counter()  # since the start, by how they ended
-        self.answers: Counter[int] = Counter()  # final answers that were not passed on as they came, by status
-        self.left = 0  # requests whose callers went before their answer
+        self._lane = lane  # creates the connections to gRPC backends; None: all backends speak HTTP/1.1
+        self._retryable_classes = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
+        self._request_count = 0
+        self._tracebacks = TracebackLog()
+        self.attempts: Counter[str] = Counter()  # attempts since the start, by outcome
+        self.answers: Counter[int] = Counter()  # final responses since the start, by status, except streamed ones
+        self.left = 0  # requests whose callers disconnected before the response
         self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
-        self.streams = False  # whether large answers are passed on as they come
+        self.streams = False  # whether large responses are streamed
 
     def start(self) -> None:
-        """Call once, after the list known at the start was given."""
-        self._perform(self._decide(self.balancer.start))
+        """Start the balancer; to be called once, after the endpoint list known at the start was passed in."""
+        self._perform(self._call_balancer(self.balancer.start))
 
     @property
     def taken(self) -> int:
-        """Requests so far."""
-        return self._count
+        """Return the number of requests submitted so far."""
+        return self._request_count
 
     def now(self) -> float:
-        """The time that lists use."""
+        """Return the time of the clock that endpoint lists use."""
         return self._loop.time() + self._epoch
 
-    def _decide(self, method: Callable[..., list[Action]], *args: object, call: Call | None = None) -> list[Action]:
-        """Ask the module; an exception there fails the request that it was about, and nothing else."""
+    def _call_balancer(
+        self, method: Callable[..., list[Action]], *args: object, call: Call | None = None
+    ) -> list[Action]:
+        """Call the balancer; an exception there fails only the request that the call concerns."""
         try:
             return method(self.now(), *args)
         except Exception:
-            self._complaints.add()
+            self._tracebacks.print_current()
             if call is not None:
-                self._abandon(call)
+                self._fail_unanswered(call)
             return []
 
     def adopt(self, settings: Settings) -> None:
-        """Go on by other settings; the classes of requests in hand must keep their places."""
+        """Change the settings; the classes of open requests must keep their indexes."""
         self.balancer.change_settings(self.now(), settings)
         self.settings = settings
-        self._repeatable = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
+        self._retryable_classes = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
 
     def put_back(self, server: int) -> None:
-        """Operators say that it may serve again."""
+        """Let a backend that operators or health checks took out of service serve again."""
         self.balancer.reinstate(self.now(), server)
 
     # ---- the list ----------------------------------------------------------------------------
 
     def members(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """A whole list, or a change of it."""
+        """Apply a complete endpoint list, or changes to it."""
         listed = {endpoint.row.server for endpoint in endpoints}
         if kind is not ListUpdateKind.PATCH:
             for server in self.backends.keys() - listed:
@@ -252,10 +263,10 @@
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
             self._update(backend, endpoint.address, row.started_at, row.state is ServerState.UP)
             backend.lane = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
-        self._perform(self._decide(self.balancer.update_servers, kind, [endpoint.row for endpoint in endpoints]))
+        self._perform(self._call_balancer(self.balancer.update_servers, kind, [endpoint.row for endpoint in endpoints]))
 
     def _remove(self, server: int) -> None:
-        """Guards memory against backends that are gone for good; attempts that are out keep theirs."""
+        """Remove a backend, so that removed ones do not use memory; its open attempts keep a reference to it."""
         backend = self.backends.pop(server, None)
         if backend is not None:
             self._update(backend, backend.address, backend.started, False)
@@ -276,17 +287,17 @@
         context: object = None,
         expected: float = float("inf"),
     ) -> Call:
-        """Take up a request; `deadline` is in the loop's time, and an answer is owed until then.
+        """Submit a request, which has to be answered by `deadline`, in the loop's time.
 
-        `expected`: until when the module is to expect an answer, where the deadline is not known yet.
+        `expected` is the time by which the balancer should expect a response while the deadline is not known yet.
         """
-        self._count += 1
-        call = Call(str(self._count), request, facts, caller, deadline, context)
+        self._request_count += 1
+        call = Call(str(self._request_count), request, facts, caller, deadline, context)
         self.calls[call.rid] = call
-        caller.gone = lambda: self._gone(call)
-        call.timer = self._loop.call_at(deadline, self._overdue, call)
+        caller.gone = lambda: self._caller_disconnected(call)
+        call.timer = self._loop.call_at(deadline, self._deadline_passed, call)
         self._perform(
-            self._decide(
+            self._call_balancer(
                 self.balancer.request,
                 call.rid,
                 facts.kind,
@@ -301,50 +312,52 @@
         return call
 
     def retime(self, call: Call, deadline: float) -> None:
-        """Its answer is owed until another time; the module hears of a later one."""
-        if self._owe(call, deadline):
-            self._perform(self._decide(self.balancer.extend_deadline, call.rid, deadline + self._epoch, call=call))
+        """Change the deadline of a request, here and in the balancer."""
+        if self._set_deadline(call, deadline):
+            self._perform(
+                self._call_balancer(self.balancer.extend_deadline, call.rid, deadline + self._epoch, call=call)
+            )
 
     def whole(self, call: Call, deadline: float) -> None:
-        """The last byte of its body has come; an answer is owed until then."""
-        if self._owe(call, deadline):
-            self._perform(self._decide(self.balancer.complete_body, call.rid, deadline + self._epoch, call=call))
+        """Note that the last byte of the request's body has arrived, and set its deadline."""
+        if self._set_deadline(call, deadline):
+            self._perform(self._call_balancer(self.balancer.complete_body, call.rid, deadline + self._epoch, call=call))
 
-    def _owe(self, call: Call, deadline: float) -> bool:
-        """Whether an answer is still owed by a time, which is this one from now on."""
+    def _set_deadline(self, call: Call, deadline: float) -> bool:
+        """Set the deadline, and return True; return False if no response is owed or the deadline was cleared."""
         if call.caller is None or call.timer is None or call.deadline == float("inf"):
             return False
         call.timer.cancel()
         call.deadline = deadline
-        call.timer = self._loop.call_at(deadline, self._overdue, call)
+        call.timer = self._loop.call_at(deadline, self._deadline_passed, call)
         return True
 
     def untimed(self, call: Call) -> None:
-        """Its answer is on its way to the caller: no deadline ends it any more."""
+        """Clear the deadline, since the response is being sent to the caller."""
         if call.timer is not None:
             call.timer.cancel()
         call.deadline = float("inf")
 
-    def _gone(self, call: Call) -> None:
+    def _caller_disconnected(self, call: Call) -> None:
         self.left += 1
-        self._keep_account(call, "gone")
-        self._settle(call)
-        self._perform(self._decide(self.balancer.cancel_request, call.rid, call=call))
-        if call.bound:  # the module leaves a stream to its attempt, whose box need not go on for nobody
+        self._record_failure(call, "gone")
+        self._close(call)
+        self._perform(self._call_balancer(self.balancer.cancel_request, call.rid, call=call))
+        if call.bound:  # The balancer does not cancel a bound attempt, but its response has no receiver any more.
             for exchange in tuple(call.exchanges):
                 exchange.end(Outcome.CANCELLED)
 
-    def _overdue(self, call: Call) -> None:
-        """The client's time is up: an answer is owed now, whatever the module says."""
+    def _deadline_passed(self, call: Call) -> None:
+        """Answer a request whose deadline has passed, even if the balancer did not."""
         for exchange in tuple(call.exchanges):
             exchange.expire()
-        if call.caller is not None and call.deadline < float("inf"):  # else its answer has just been begun
-            self._abandon(call)
+        if call.caller is not None and call.deadline < float("inf"):  # else its response has just been started
+            self._fail_unanswered(call)
 
-    def _abandon(self, call: Call) -> None:
-        """Fail a request that the module did not answer, and tell it so."""
+    def _fail_unanswered(self, call: Call) -> None:
+        """Fail a request that the balancer left unanswered, and cancel it there."""
         self.answer(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
-        self._perform(self._decide(self.balancer.cancel_request, call.rid))
+        self._perform(self._call_balancer(self.balancer.cancel_request, call.rid))
         for exchange in tuple(call.exchanges):
             exchange.end(Outcome.CANCELLED)
 
@@ -357,11 +370,11 @@
         length: int | None = None,
         trailers: bytes | None = None,
     ) -> None:
-        """Write the one final answer of a request; with trailers it goes back as gRPC as it came."""
+        """Write the final response of a request; one with trailers returns as gRPC, as the request arrived."""
         if call.caller is not None:
             self.answers[status] += 1
-            if status >= FAILED_FROM:
-                self._keep_account(call, str(status))
+            if status >= MIN_FAILURE_STATUS:
+                self._record_failure(call, str(status))
         caller, form = self.release(call), call.request.form
         if caller is None:
             return
@@ -371,8 +384,8 @@
         else:
             caller.answer(status, head, body, length)
 
-    def _keep_account(self, call: Call, how: str) -> None:
-        """Keep what is known of a request that failed."""
+    def _record_failure(self, call: Call, how: str) -> None:
+        """Add a failed request to the failure log."""
         row = self.settings.classes[call.facts.kind]
         request, now = call.request, self._loop.time()
         self.failures.add(
@@ -387,44 +400,44 @@
         )
 
     def release(self, call: Call) -> Answerable | None:
-        """Let go of a request; who is given its caller owes the answer from then on."""
+        """Release a request, and return its caller, whom this method's user has to answer from then on."""
         caller = call.caller
-        self._settle(call)
+        self._close(call)
         return caller
 
-    def _settle(self, call: Call) -> None:
-        """Nothing is owed any more."""
+    def _close(self, call: Call) -> None:
+        """Note that the pool owes no response for the request any more."""
         if call.caller is not None:
             call.caller = None
             self._owner.settled(call)
         if call.timer is not None:
             call.timer.cancel()
-        self._forget(call)
+        self._forget_if_finished(call)
 
-    def _forget(self, call: Call) -> None:
+    def _forget_if_finished(self, call: Call) -> None:
         if call.caller is None and not any(exchange.open for exchange in call.exchanges):
             self.calls.pop(call.rid, None)
-            call.exchanges.clear()  # Guards memory: a call and its exchanges hold each other.
+            call.exchanges.clear()  # Breaks the reference cycle between a call and its attempts.
 
-    # ---- the module's actions ----------------------------------------------------------------
+    # ---- the balancer's actions --------------------------------------------------------------
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, StartTimer):
-                self._loop.call_at(action.at - self._epoch, self._timer, action.token)
+                self._loop.call_at(action.at - self._epoch, self._fire_timer, action.token)
             elif isinstance(action, Subscribe):
                 self._subscribe()
             else:
                 call = self.calls.get(action.request)
                 if call is not None:
-                    self._act(call, action)
+                    self._perform_one(call, action)
 
-    def _timer(self, token: int) -> None:
-        self._perform(self._decide(self.balancer.fire_timer, token))
+    def _fire_timer(self, token: int) -> None:
+        self._perform(self._call_balancer(self.balancer.fire_timer, token))
 
-    def _act(self, call: Call, action: Action) -> None:
+    def _perform_one(self, call: Call, action: Action) -> None:
         if isinstance(action, Send):
-            self._send(call, action)
+            self._send_attempt(call, action)
         elif isinstance(action, Cancel):
             call.exchanges[action.attempt].end(Outcome.CANCELLED)
         elif isinstance(action, Reject):
@@ -432,24 +445,24 @@
         else:
             self._owner.failed(call)
 
-    def _send(self, call: Call, action: Send) -> None:
+    def _send_attempt(self, call: Call, action: Send) -> None:
         now = self._loop.time()
-        until = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
+        expires_at = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
         number = len(call.exchanges)
-        repeatable = self._repeatable[call.facts.kind]
-        unrun = not call.may_have_run and not any(exchange.open for exchange in call.exchanges)
+        repeatable = self._retryable_classes[call.facts.kind]
+        none_ran = not call.may_have_run and not any(exchange.open for exchange in call.exchanges)
         check(call.caller is not None, Invariant.SENT_WHILE_OPEN, request=call.rid, attempt=number)
-        check(repeatable or unrun, Invariant.RUN_ONCE, request=call.rid, attempt=number)
-        watcher = Sending(self, call, number)
-        timed = until < call.deadline  # at the deadline the call's own timer ends it
+        check(repeatable or none_ran, Invariant.RUN_ONCE, request=call.rid, attempt=number)
+        watcher = AttemptWatcher(self, call, number)
+        timed = expires_at < call.deadline  # otherwise the call's own timer ends it at the deadline
         backend = self.backends[action.server]
         if backend.lane is not None:
-            call.exchanges.append(backend.lane.start(backend, call.request, until, watcher, repeatable, timed))
+            call.exchanges.append(backend.lane.start(backend, call.request, expires_at, watcher, repeatable, timed))
             return
         exchange = upstream.Exchange(
             backend,
             now,
-            until,
+            expires_at,
             call.bytes_for,
             watcher.ended,
             repeatable,
@@ -459,12 +472,12 @@
         if self.streams and call.caller is not None and call.caller.passing() is not None:
             exchange.begin = watcher.begun
         if call.request.stream is not None:
-            self._stream(call, call.request.stream, exchange, number, action.timeout)
+            self._stream_body(call, call.request.stream, exchange, number, action.timeout)
         call.exchanges.append(exchange)
         self.upstream.start(exchange)
 
-    def _stream(self, call: Call, body: Body, exchange: upstream.Exchange, number: int, timeout: float) -> None:
-        """Its body is passed on as it comes; the attempt is waited for from its last byte on."""
+    def _stream_body(self, call: Call, body: Body, exchange: upstream.Exchange, number: int, timeout: float) -> None:
+        """Stream the request's body to the attempt, whose timeout starts with the last byte."""
         exchange.body, exchange.timed, exchange.until = body, False, call.deadline
 
         def written() -> None:
@@ -480,19 +493,19 @@
         exchange.written, body.dropped = written, dropped
 
     def bound(self, call: Call, number: int) -> None:
-        """A message has passed: no other attempt may have this request."""
+        """Bind a request to an attempt, because a message was passed on: no other attempt may be made."""
         call.bound = True
-        self._perform(self._decide(self.balancer.bind_to_attempt, call.rid, number, call=call))
+        self._perform(self._call_balancer(self.balancer.bind_to_attempt, call.rid, number, call=call))
 
     def begun(self, call: Call, number: int, response: Response, body: Pipe) -> None:
-        """An answer is passed on as it comes."""
+        """Start to stream the response of an attempt."""
         call.bound = True
-        self._perform(self._decide(self.balancer.begin_response, call.rid, number, call=call))
+        self._perform(self._call_balancer(self.balancer.begin_response, call.rid, number, call=call))
         if call.caller is not None:
             self._owner.begun(call, response, body)
 
     def outcome(self, call: Call, number: int, exchange: Attempt, outcome: Outcome, response: Response | None) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
         now = self._loop.time()
         self.attempts[outcome.value] += 1
         name = "{}:{}".format(*exchange.backend.address)
@@ -503,18 +516,18 @@
         call.last, call.response = outcome, response
         call.may_have_run = call.may_have_run or outcome not in NEVER_RAN
         if response is not None and self._owner.at_fault(response.status):
-            # Guards backends against callers: the request is at fault, and would be anywhere else.
+            # Protects backends from invalid requests, which any other backend would reject too.
             self.answer(call, response.status, b"", b"rejected\n")
-            self._perform(self._decide(self.balancer.cancel_request, call.rid, call=call))
+            self._perform(self._call_balancer(self.balancer.cancel_request, call.rid, call=call))
             outcome = Outcome.NOT_PROCESSED
         elif outcome is Outcome.OK and response is not None:
             if now <= call.deadline:
                 self._owner.served(call, response)
-            else:  # Guards the client's deadline against a late timer.
+            else:  # The deadline has passed, but its timer is late.
                 outcome = Outcome.TIMEOUT
-        self._forget(call)
+        self._forget_if_finished(call)
         self._perform(
-            self._decide(
+            self._call_balancer(
                 self.balancer.finish_attempt,
                 call.rid,
                 number,
