--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -12,7 +12,7 @@
 from lugspur.config.build import member_name
 from lugspur.config.load import resolved
 from lugspur.daemon.class_indexes import keep_class_indexes
-from lugspur.daemon.pool import Owner, Pool
+from lugspur.daemon.pool import Pool, PoolOwner
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.platform_watch import PlatformWatch
@@ -49,7 +49,9 @@
 class UpstreamCluster:
     """The backends of one pool of the configuration file, from its first load until it is removed and idle."""
 
-    def __init__(self, name: str, sockets: Shares, owner: Owner, epoch: float, registries: RegistrySessions) -> None:
+    def __init__(
+        self, name: str, sockets: Shares, owner: PoolOwner, epoch: float, registries: RegistrySessions
+    ) -> None:
         self.name = name
         self.standing = Standing()
         self.overrides = EndpointOverrides()
@@ -89,8 +91,8 @@
         if self._config is None:
             self._start_pool(row, settings)
         else:
-            open_classes = {call.facts.kind for call in self.pool.calls.values()}
-            self.pool.adopt(
+            open_classes = {call.attributes.class_index for call in self.pool.calls.values()}
+            self.pool.change_settings(
                 replace(
                     settings,
                     classes=tuple(keep_class_indexes(self.pool.settings.classes, settings.classes, open_classes)),
@@ -122,7 +124,7 @@
 
     def change_counts(self) -> tuple[int, int]:
         """Return counts of outcomes and list changes; while both are unchanged, nothing new was learned."""
-        return self.pool.taken, self._list_changes
+        return self.pool.request_count, self._list_changes
 
     def class_index(self, row: RequestClass) -> int:
         """Return the class's index in this pool's settings.
@@ -131,7 +133,7 @@
         """
         known = self.pool.settings.classes
         if row not in known:
-            self.pool.adopt(replace(self.pool.settings, classes=(*known, row)))
+            self.pool.change_settings(replace(self.pool.settings, classes=(*known, row)))
         return self.pool.settings.classes.index(row)
 
     def tenant_index(self, name: str) -> int:
@@ -150,7 +152,7 @@
         )
         seed = int.from_bytes(os.urandom(8), "big")
         self.pool = Pool(settings, seed, connections, self._owner, self._epoch, lane=self._grpc_streams)
-        self.pool.streams = True
+        self.pool.streams_responses = True
         self.pool.start()
 
     def _grpc_streams(self) -> Streams:
@@ -225,7 +227,7 @@
         if changed:
             self._publish(ListUpdateKind.PATCH, changed)
             if not is_banned:
-                self.pool.put_back(server)
+                self.pool.reinstate(server)
 
     def set_unhealthy(self, servers: set[int], now: float) -> None:
         """Record which backends the pool's health checker found unhealthy; all others count as healthy. Bans stay."""
@@ -234,11 +236,11 @@
         if changed:
             self._publish(ListUpdateKind.PATCH, changed)
         for server in (before - servers).intersection(self.overrides.latest) - self.overrides.banned:
-            self.pool.put_back(server)
+            self.pool.reinstate(server)
 
     def _publish(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         self._list_changes += 1
-        self.pool.members(kind, endpoints)
+        self.pool.update_endpoints(kind, endpoints)
         self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
         self.standing.listed(up)
@@ -265,7 +267,7 @@
         source, self._source = self._source, None
         if source is not None:
             source.close()
-        self.pool.members(ListUpdateKind.COMPLETE, [])
+        self.pool.update_endpoints(ListUpdateKind.COMPLETE, [])
         self.pool.upstream.close()
         if self._streams is not None:
             self._streams.close()
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -12,7 +12,7 @@
 from lugspur.config.build import METHODS, NOBODY, Plan
 from lugspur.daemon.cluster import GRPC_HOST_TYPE, UpstreamCluster
 from lugspur.daemon.outgoing import Headers, changed, drawn, outgoing
-from lugspur.daemon.pool import Call, Facts
+from lugspur.daemon.pool import Call, RequestAttributes
 from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
 from lugspur.daemon.request_coalescing import RequestCoalescer
 from lugspur.daemon.request_context import Ending, RequestContext
@@ -255,7 +255,7 @@
             deadline = self._loop.time() + timeout - ANSWER_EARLY
             context.deadline, context.expected_by = deadline, float("inf")
             if context.call is not None:
-                context.cluster.pool.whole(context.call, deadline)
+                context.cluster.pool.complete_body(context.call, deadline)
 
         def gathered(body: bytes) -> None:
             context.request.body, context.request.stream = body, None
@@ -285,18 +285,20 @@
             caller.answer(503, COME_BACK, b"no place\n")
             return
         self._places.take(cluster.name)
-        facts = Facts(cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False)
-        call = cluster.pool.submit(context.request, facts, caller, context.deadline, context, context.expected_by)
+        attributes = RequestAttributes(
+            cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False
+        )
+        call = cluster.pool.submit(context.request, attributes, caller, context.deadline, context, context.expected_by)
         if call.caller is not None:  # else it is answered, or another pool has taken over by now
             context.call = call
 
     # ---- what pools ask of their owner -----------------------------------------------------------
 
-    def at_fault(self, status: int) -> bool:
+    def is_request_invalid(self, status: int) -> bool:
         """An ordinary backend's 4xx is an answer like any other."""
         return False
 
-    def served(self, call: Call, response: Response) -> None:
+    def request_served(self, call: Call, response: Response) -> None:
         """Pass the answer on, or end it."""
         context = _context_of(call)
         _note_ending(context, call, Ending.SERVED)
@@ -309,9 +311,9 @@
     def _pass_on(self, call: Call, response: Response) -> None:
         context = _context_of(call)
         head = changed(response.head, context.forward.response)
-        context.cluster.pool.answer(call, response.status, head, response.body, response.length, response.trailers)
+        context.cluster.pool.respond(call, response.status, head, response.body, response.length, response.trailers)
 
-    def begun(self, call: Call, response: Response, body: Pipe) -> None:
+    def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Pass on what there is of an answer, and the rest as it comes."""
         context = _context_of(call)
         if context.request.form is not None:
@@ -320,11 +322,11 @@
         passing = None if call.caller is None else call.caller.passing()
         if passing is not None:  # nothing of ours ends it from here on
             context.streaming_caller = passing
-            context.cluster.pool.untimed(call)
+            context.cluster.pool.clear_deadline(call)
             head = changed(response.head, context.forward.response)
             passing.begin_answer(response.status, head, response.length, body)
 
-    def refused(self, call: Call, retry_after: float) -> None:
+    def request_rejected(self, call: Call, retry_after: float) -> None:
         """Let the next pool take over where this one has no usable backend and nothing ran; else answer 503."""
         context = _context_of(call)
         cluster, now = context.cluster, self._loop.time()
@@ -337,22 +339,22 @@
             if caller is not None:
                 self._submit(context, caller)
             return
-        _note_ending(context, call, Ending.FAILED if call.exchanges else Ending.REJECTED)
+        _note_ending(context, call, Ending.FAILED if call.attempts else Ending.REJECTED)
         head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else COME_BACK
         # gRPC has a word for what its caller's time has run out for, harmless or not.
         late = call.request.form is not None and now >= call.deadline
-        cluster.pool.answer(call, 504 if late else 503, head, b"the time is up\n" if late else b"refused\n")
+        cluster.pool.respond(call, 504 if late else 503, head, b"the time is up\n" if late else b"refused\n")
 
-    def failed(self, call: Call) -> None:
+    def request_failed(self, call: Call) -> None:
         """Pass on the backend's own word of its failure, if it has one that promises nothing; else 502 or 504."""
-        response, context = call.response, _context_of(call)
+        response, context = call.last_response, _context_of(call)
         _note_ending(context, call, Ending.FAILED)
         if response is not None and response.status >= 400 and response.status not in REFUSALS:
             self._pass_on(call, response)
         else:
-            context.cluster.pool.answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
+            context.cluster.pool.respond(call, 504 if call.last_outcome is Outcome.TIMEOUT else 502, b"", b"failed\n")
 
-    def settled(self, call: Call) -> None:
+    def request_released(self, call: Call) -> None:
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         context = _context_of(call)
         self._places.give(context.cluster.name)
@@ -362,7 +364,7 @@
 
 def _note_ending(context: RequestContext, call: Call, ending: Ending) -> None:
     """Record how its cluster ended a request, before the final answer is written."""
-    context.ending, context.backend_status = ending, 0 if call.response is None else call.response.status
+    context.ending, context.backend_status = ending, 0 if call.last_response is None else call.last_response.status
 
 
 def _context_of(call: Call) -> RequestContext:
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -44,56 +44,59 @@
 
 
 @dataclass(slots=True)
-class Facts:
-    """The attributes of a request that the balancer decides by.
+class RequestAttributes:
+    """The attributes of a request that the balancer decides by; `timeout` and `cost` are in seconds."""
 
-    `kind` and `tenant` are the indexes of its class and tenant in the settings; `timeout` and `cost` are in seconds.
-    """
-
-    kind: int
-    tenant: int
+    class_index: int  # in the settings
+    tenant_index: int  # in the settings
     timeout: float
     cost: float
-    retry: bool
+    is_retry: bool
 
 
 class Call:
     """A request that still awaits its final response, or that still has open attempts."""
 
     __slots__ = (
-        "bound",
+        "attempt_records",
+        "attempts",
+        "attributes",
+        "balancer_id",
         "caller",
         "context",
         "deadline",
-        "exchanges",
-        "facts",
-        "last",
+        "is_bound",
+        "last_outcome",
+        "last_response",
         "may_have_run",
         "request",
-        "response",
-        "rid",
-        "steps",
         "timer",
     )
 
     def __init__(
-        self, rid: str, request: Request, facts: Facts, caller: Answerable, deadline: float, context: object
+        self,
+        balancer_id: str,
+        request: Request,
+        attributes: RequestAttributes,
+        caller: Answerable,
+        deadline: float,
+        context: object,
     ) -> None:
-        self.rid = rid
+        self.balancer_id = balancer_id
         self.request = request
-        self.facts = facts
+        self.attributes = attributes
         self.caller: Answerable | None = caller  # None after the final response, or once the caller has been released
         self.deadline = deadline  # in the loop's time
         self.context = context  # used by the owner only
-        self.exchanges: list[Attempt] = []
-        self.bound = False  # whether a message was passed on, which binds the request to that attempt
+        self.attempts: list[Attempt] = []
+        self.is_bound = False  # whether a message was passed on, which binds the request to that attempt
         self.may_have_run = False  # whether a backend may have run any attempt
-        self.last = Outcome.NOT_PROCESSED  # outcome of the attempt that ended last
-        self.response: Response | None = None  # response of the attempt that ended last
+        self.last_outcome = Outcome.NOT_PROCESSED  # outcome of the attempt that ended last
+        self.last_response: Response | None = None  # response of the attempt that ended last
         self.timer: asyncio.TimerHandle | None = None
-        self.steps: list[AttemptRecord] = []  # of the attempts that have ended, for the failure log
+        self.attempt_records: list[AttemptRecord] = []  # of the attempts that have ended, for the failure log
 
-    def bytes_for(self, left: float) -> bytes:
+    def encode_http1(self, left: float) -> bytes:
         """Return the request as sent to an HTTP/1.1 backend that has `left` seconds to respond."""
         request = self.request if self.request.form is None else self.request.form.plain(self.request)
         framed = request.body or request.method not in (b"GET", b"HEAD")
@@ -105,7 +108,7 @@
                 if stream.length is None
                 else (b"Content-Length: %d\r\n" % stream.length)
             )
-            left = self.facts.timeout  # counted from the last byte of the body, whose arrival time is not known yet
+            left = self.attributes.timeout  # counted from the body's last byte, whose arrival time is not known yet
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
             request.method,
             request.target,
@@ -116,28 +119,28 @@
         )
 
 
-class Owner(Protocol):
+class PoolOwner(Protocol):
     """The owner of a pool, which writes the final responses that the balancer has decided on."""
 
-    def at_fault(self, status: int) -> bool:
+    def is_request_invalid(self, status: int) -> bool:
         """Return whether a backend's status means that the request is invalid, and would be at any other backend."""
 
-    def served(self, call: Call, response: Response) -> None:
+    def request_served(self, call: Call, response: Response) -> None:
         """Handle a request that a backend has served in time."""
 
-    def begun(self, call: Call, response: Response, body: Pipe) -> None:
-        """Start to stream a backend's response to the caller; `served` or `failed` ends it."""
+    def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
+        """Start to stream a backend's response to the caller; `request_served` or `request_failed` ends it."""
 
-    def refused(self, call: Call, retry_after: float) -> None:
+    def request_rejected(self, call: Call, retry_after: float) -> None:
         """Reject a request of which no attempt ran, or whose retry does no harm.
 
         `retry_after` is in seconds; 0: it is not known when a retry could succeed.
         """
 
-    def failed(self, call: Call) -> None:
+    def request_failed(self, call: Call) -> None:
         """Fail a request that may have run: the response must not say that a retry is harmless."""
 
-    def settled(self, call: Call) -> None:
+    def request_released(self, call: Call) -> None:
         """Handle that the pool owes no response for the request any more."""
 
 
@@ -169,15 +172,15 @@
 
     def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Handle the end of the attempt; called once."""
-        self._pool.outcome(self._call, self._number, attempt, outcome, response)
+        self._pool.finish_attempt(self._call, self._number, attempt, outcome, response)
 
     def bound(self) -> None:
         """Bind the request to this attempt, because a message was passed on."""
-        self._pool.bound(self._call, self._number)
+        self._pool.bind_to_attempt(self._call, self._number)
 
     def begun(self, response: Response, body: Pipe) -> None:
         """Start to stream the attempt's response."""
-        self._pool.begun(self._call, self._number, response, body)
+        self._pool.begin_response(self._call, self._number, response, body)
 
 
 class Pool:
@@ -188,7 +191,7 @@
         settings: Settings,
         seed: int,
         connections: upstream.Upstream,
-        owner: Owner,
+        owner: PoolOwner,
         epoch: float,
         subscribe: Callable[[], None] = lambda: None,
         lane: Callable[[], Lane] | None = None,
@@ -206,18 +209,18 @@
         self._retryable_classes = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
         self._request_count = 0
         self._tracebacks = TracebackLog()
-        self.attempts: Counter[str] = Counter()  # attempts since the start, by outcome
-        self.answers: Counter[int] = Counter()  # final responses since the start, by status, except streamed ones
-        self.left = 0  # requests whose callers disconnected before the response
+        self.attempt_counts: Counter[str] = Counter()  # attempts since the start, by outcome
+        self.response_counts: Counter[int] = Counter()  # final responses by status, except streamed ones
+        self.disconnected_callers = 0  # callers that disconnected before their response
         self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
-        self.streams = False  # whether large responses are streamed
+        self.streams_responses = False  # whether large responses are streamed
 
     def start(self) -> None:
         """Start the balancer; to be called once, after the endpoint list known at the start was passed in."""
         self._perform(self._call_balancer(self.balancer.start))
 
     @property
-    def taken(self) -> int:
+    def request_count(self) -> int:
         """Return the number of requests submitted so far."""
         return self._request_count
 
@@ -237,19 +240,19 @@
                 self._fail_unanswered(call)
             return []
 
-    def adopt(self, settings: Settings) -> None:
+    def change_settings(self, settings: Settings) -> None:
         """Change the settings; the classes of open requests must keep their indexes."""
         self.balancer.change_settings(self.now(), settings)
         self.settings = settings
         self._retryable_classes = [row.retry_safety is not RetrySafety.UNSAFE for row in settings.classes]
 
-    def put_back(self, server: int) -> None:
+    def reinstate(self, server: int) -> None:
         """Let a backend that operators or health checks took out of service serve again."""
         self.balancer.reinstate(self.now(), server)
 
     # ---- the list ----------------------------------------------------------------------------
 
-    def members(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+    def update_endpoints(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Apply a complete endpoint list, or changes to it."""
         listed = {endpoint.row.server for endpoint in endpoints}
         if kind is not ListUpdateKind.PATCH:
@@ -281,7 +284,7 @@
     def submit(
         self,
         request: Request,
-        facts: Facts,
+        attributes: RequestAttributes,
         caller: Answerable,
         deadline: float,
         context: object = None,
@@ -292,36 +295,38 @@
         `expected` is the time by which the balancer should expect a response while the deadline is not known yet.
         """
         self._request_count += 1
-        call = Call(str(self._request_count), request, facts, caller, deadline, context)
-        self.calls[call.rid] = call
+        call = Call(str(self._request_count), request, attributes, caller, deadline, context)
+        self.calls[call.balancer_id] = call
         caller.gone = lambda: self._caller_disconnected(call)
         call.timer = self._loop.call_at(deadline, self._deadline_passed, call)
         self._perform(
             self._call_balancer(
                 self.balancer.request,
-                call.rid,
-                facts.kind,
-                facts.tenant,
+                call.balancer_id,
+                attributes.class_index,
+                attributes.tenant_index,
                 min(deadline, expected) + self._epoch,
-                facts.cost,
-                facts.retry,
+                attributes.cost,
+                attributes.is_retry,
                 expected < deadline,
                 call=call,
             )
         )
         return call
 
-    def retime(self, call: Call, deadline: float) -> None:
+    def change_deadline(self, call: Call, deadline: float) -> None:
         """Change the deadline of a request, here and in the balancer."""
         if self._set_deadline(call, deadline):
             self._perform(
-                self._call_balancer(self.balancer.extend_deadline, call.rid, deadline + self._epoch, call=call)
+                self._call_balancer(self.balancer.extend_deadline, call.balancer_id, deadline + self._epoch, call=call)
             )
 
-    def whole(self, call: Call, deadline: float) -> None:
+    def complete_body(self, call: Call, deadline: float) -> None:
         """Note that the last byte of the request's body has arrived, and set its deadline."""
         if self._set_deadline(call, deadline):
-            self._perform(self._call_balancer(self.balancer.complete_body, call.rid, deadline + self._epoch, call=call))
+            self._perform(
+                self._call_balancer(self.balancer.complete_body, call.balancer_id, deadline + self._epoch, call=call)
+            )
 
     def _set_deadline(self, call: Call, deadline: float) -> bool:
         """Set the deadline, and return True; return False if no response is owed or the deadline was cleared."""
@@ -332,36 +337,36 @@
         call.timer = self._loop.call_at(deadline, self._deadline_passed, call)
         return True
 
-    def untimed(self, call: Call) -> None:
+    def clear_deadline(self, call: Call) -> None:
         """Clear the deadline, since the response is being sent to the caller."""
         if call.timer is not None:
             call.timer.cancel()
         call.deadline = float("inf")
 
     def _caller_disconnected(self, call: Call) -> None:
-        self.left += 1
+        self.disconnected_callers += 1
         self._record_failure(call, "gone")
         self._close(call)
-        self._perform(self._call_balancer(self.balancer.cancel_request, call.rid, call=call))
-        if call.bound:  # The balancer does not cancel a bound attempt, but its response has no receiver any more.
-            for exchange in tuple(call.exchanges):
+        self._perform(self._call_balancer(self.balancer.cancel_request, call.balancer_id, call=call))
+        if call.is_bound:  # The balancer does not cancel a bound attempt, but its response has no receiver any more.
+            for exchange in tuple(call.attempts):
                 exchange.end(Outcome.CANCELLED)
 
     def _deadline_passed(self, call: Call) -> None:
         """Answer a request whose deadline has passed, even if the balancer did not."""
-        for exchange in tuple(call.exchanges):
+        for exchange in tuple(call.attempts):
             exchange.expire()
         if call.caller is not None and call.deadline < float("inf"):  # else its response has just been started
             self._fail_unanswered(call)
 
     def _fail_unanswered(self, call: Call) -> None:
         """Fail a request that the balancer left unanswered, and cancel it there."""
-        self.answer(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
-        self._perform(self._call_balancer(self.balancer.cancel_request, call.rid))
-        for exchange in tuple(call.exchanges):
+        self.respond(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
+        self._perform(self._call_balancer(self.balancer.cancel_request, call.balancer_id))
+        for exchange in tuple(call.attempts):
             exchange.end(Outcome.CANCELLED)
 
-    def answer(
+    def respond(
         self,
         call: Call,
         status: int,
@@ -372,7 +377,7 @@
     ) -> None:
         """Write the final response of a request; one with trailers returns as gRPC, as the request arrived."""
         if call.caller is not None:
-            self.answers[status] += 1
+            self.response_counts[status] += 1
             if status >= MIN_FAILURE_STATUS:
                 self._record_failure(call, str(status))
         caller, form = self.release(call), call.request.form
@@ -386,17 +391,17 @@
 
     def _record_failure(self, call: Call, how: str) -> None:
         """Add a failed request to the failure log."""
-        row = self.settings.classes[call.facts.kind]
+        row = self.settings.classes[call.attributes.class_index]
         request, now = call.request, self._loop.time()
         self.failures.add(
             request.headers.get(b"x-request-id", b""),
             how,
-            route=f"class-{call.facts.kind}",
+            route=f"class-{call.attributes.class_index}",
             keyed=row.retry_safety is RetrySafety.KEYED,
             took_s=now - request.arrived,
             had_s=call.deadline - request.arrived,
-            sends=len(call.exchanges),
-            steps=tuple(call.steps),
+            sends=len(call.attempts),
+            steps=tuple(call.attempt_records),
         )
 
     def release(self, call: Call) -> Answerable | None:
@@ -409,15 +414,15 @@
         """Note that the pool owes no response for the request any more."""
         if call.caller is not None:
             call.caller = None
-            self._owner.settled(call)
+            self._owner.request_released(call)
         if call.timer is not None:
             call.timer.cancel()
         self._forget_if_finished(call)
 
     def _forget_if_finished(self, call: Call) -> None:
-        if call.caller is None and not any(exchange.open for exchange in call.exchanges):
-            self.calls.pop(call.rid, None)
-            call.exchanges.clear()  # Breaks the reference cycle between a call and its attempts.
+        if call.caller is None and not any(exchange.open for exchange in call.attempts):
+            self.calls.pop(call.balancer_id, None)
+            call.attempts.clear()  # Breaks the reference cycle between a call and its attempts.
 
     # ---- the balancer's actions --------------------------------------------------------------
 
@@ -439,41 +444,41 @@
         if isinstance(action, Send):
             self._send_attempt(call, action)
         elif isinstance(action, Cancel):
-            call.exchanges[action.attempt].end(Outcome.CANCELLED)
+            call.attempts[action.attempt].end(Outcome.CANCELLED)
         elif isinstance(action, Reject):
-            self._owner.refused(call, action.retry_after)
+            self._owner.request_rejected(call, action.retry_after)
         else:
-            self._owner.failed(call)
+            self._owner.request_failed(call)
 
     def _send_attempt(self, call: Call, action: Send) -> None:
         now = self._loop.time()
         expires_at = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
-        number = len(call.exchanges)
-        repeatable = self._retryable_classes[call.facts.kind]
-        none_ran = not call.may_have_run and not any(exchange.open for exchange in call.exchanges)
-        check(call.caller is not None, Invariant.SENT_WHILE_OPEN, request=call.rid, attempt=number)
-        check(repeatable or none_ran, Invariant.RUN_ONCE, request=call.rid, attempt=number)
+        number = len(call.attempts)
+        repeatable = self._retryable_classes[call.attributes.class_index]
+        none_ran = not call.may_have_run and not any(exchange.open for exchange in call.attempts)
+        check(call.caller is not None, Invariant.SENT_WHILE_OPEN, request=call.balancer_id, attempt=number)
+        check(repeatable or none_ran, Invariant.RUN_ONCE, request=call.balancer_id, attempt=number)
         watcher = AttemptWatcher(self, call, number)
         timed = expires_at < call.deadline  # otherwise the call's own timer ends it at the deadline
         backend = self.backends[action.server]
         if backend.lane is not None:
-            call.exchanges.append(backend.lane.start(backend, call.request, expires_at, watcher, repeatable, timed))
+            call.attempts.append(backend.lane.start(backend, call.request, expires_at, watcher, repeatable, timed))
             return
         exchange = upstream.Exchange(
             backend,
             now,
             expires_at,
-            call.bytes_for,
+            call.encode_http1,
             watcher.ended,
             repeatable,
             call.request.method == b"HEAD",
             timed,
         )
-        if self.streams and call.caller is not None and call.caller.passing() is not None:
+        if self.streams_responses and call.caller is not None and call.caller.passing() is not None:
             exchange.begin = watcher.begun
         if call.request.stream is not None:
             self._stream_body(call, call.request.stream, exchange, number, action.timeout)
-        call.exchanges.append(exchange)
+        call.attempts.append(exchange)
         self.upstream.start(exchange)
 
     def _stream_body(self, call: Call, body: Body, exchange: upstream.Exchange, number: int, timeout: float) -> None:
@@ -488,48 +493,50 @@
                 exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
 
         def dropped() -> None:
-            self.bound(call, number)
+            self.bind_to_attempt(call, number)
 
         exchange.written, body.dropped = written, dropped
 
-    def bound(self, call: Call, number: int) -> None:
+    def bind_to_attempt(self, call: Call, number: int) -> None:
         """Bind a request to an attempt, because a message was passed on: no other attempt may be made."""
-        call.bound = True
-        self._perform(self._call_balancer(self.balancer.bind_to_attempt, call.rid, number, call=call))
+        call.is_bound = True
+        self._perform(self._call_balancer(self.balancer.bind_to_attempt, call.balancer_id, number, call=call))
 
-    def begun(self, call: Call, number: int, response: Response, body: Pipe) -> None:
+    def begin_response(self, call: Call, number: int, response: Response, body: Pipe) -> None:
         """Start to stream the response of an attempt."""
-        call.bound = True
-        self._perform(self._call_balancer(self.balancer.begin_response, call.rid, number, call=call))
+        call.is_bound = True
+        self._perform(self._call_balancer(self.balancer.begin_response, call.balancer_id, number, call=call))
         if call.caller is not None:
-            self._owner.begun(call, response, body)
+            self._owner.response_begun(call, response, body)
 
-    def outcome(self, call: Call, number: int, exchange: Attempt, outcome: Outcome, response: Response | None) -> None:
+    def finish_attempt(
+        self, call: Call, number: int, exchange: Attempt, outcome: Outcome, response: Response | None
+    ) -> None:
         """Handle the end of an attempt."""
         now = self._loop.time()
-        self.attempts[outcome.value] += 1
+        self.attempt_counts[outcome.value] += 1
         name = "{}:{}".format(*exchange.backend.address)
         status = "" if response is None else str(response.status)
-        call.steps.append(
+        call.attempt_records.append(
             AttemptRecord(name, exchange.started - call.request.arrived, now - exchange.started, outcome.value, status)
         )
-        call.last, call.response = outcome, response
+        call.last_outcome, call.last_response = outcome, response
         call.may_have_run = call.may_have_run or outcome not in NEVER_RAN
-        if response is not None and self._owner.at_fault(response.status):
+        if response is not None and self._owner.is_request_invalid(response.status):
             # Protects backends from invalid requests, which any other backend would reject too.
-            self.answer(call, response.status, b"", b"rejected\n")
-            self._perform(self._call_balancer(self.balancer.cancel_request, call.rid, call=call))
+            self.respond(call, response.status, b"", b"rejected\n")
+            self._perform(self._call_balancer(self.balancer.cancel_request, call.balancer_id, call=call))
             outcome = Outcome.NOT_PROCESSED
         elif outcome is Outcome.OK and response is not None:
             if now <= call.deadline:
-                self._owner.served(call, response)
+                self._owner.request_served(call, response)
             else:  # The deadline has passed, but its timer is late.
                 outcome = Outcome.TIMEOUT
         self._forget_if_finished(call)
         self._perform(
             self._call_balancer(
                 self.balancer.finish_attempt,
-                call.rid,
+                call.balancer_id,
                 number,
                 outcome,
                 exchange.latency(now),
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.platform import Config
 from lugspur.daemon.class_indexes import keep_class_indexes
-from lugspur.daemon.pool import Call, Facts, Pool
+from lugspur.daemon.pool import Call, Pool, RequestAttributes
 from lugspur.daemon.request_policy import CHANGEOVER_SECONDS, LATE_REQUEST_SECONDS, RequestPolicy
 from lugspur.daemon.service_metrics import service_metrics
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
@@ -104,14 +104,14 @@
         known = reader.endpoints(config.known) if inherited is None else inherited.endpoints
         if inherited is not None:
             self.overrides.restore(inherited.bans)
-        self.pool.streams = True
-        self.pool.members(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, known))
+        self.pool.streams_responses = True
+        self.pool.update_endpoints(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, known))
         if inherited is not None:
             self.pool.balancer.import_learned(self.pool.now(), inherited.learned)
             self._peer_request_ids.update(inherited.open)
             for server, at in inherited.bans.earliest_start.items():
                 if self.pool.now() - at < BACK_LATELY:
-                    self.pool.put_back(server)
+                    self.pool.reinstate(server)
             if inherited.drained:
                 self.front.drain(0.0)
         self.pool.start()
@@ -142,14 +142,14 @@
             self._adopt(settings)
 
     def _adopt(self, settings: Settings) -> None:
-        held = {call.facts.kind for call in self.pool.calls.values()}
+        held = {call.attributes.class_index for call in self.pool.calls.values()}
         classes = keep_class_indexes(self.pool.settings.classes, settings.classes, held)
-        self.pool.adopt(replace(settings, classes=tuple(classes)))
+        self.pool.change_settings(replace(settings, classes=tuple(classes)))
         self._policy.record_indexes(self.pool.settings)
 
     def _told(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if endpoints or kind is not ListUpdateKind.PATCH:
-            self.pool.members(kind, self.overrides.apply(kind, endpoints))
+            self.pool.update_endpoints(kind, self.overrides.apply(kind, endpoints))
         self._loaded()
 
     def _loaded(self) -> None:
@@ -289,11 +289,11 @@
         endpoints = self.overrides.enable(server, at)
         self._patch(endpoints)
         if endpoints:
-            self.pool.put_back(server)
+            self.pool.reinstate(server)
 
     def _patch(self, endpoints: list[Endpoint]) -> None:
         if endpoints:
-            self.pool.members(ListUpdateKind.PATCH, endpoints)
+            self.pool.update_endpoints(ListUpdateKind.PATCH, endpoints)
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -312,7 +312,7 @@
             raise Rejected(404, "no such path")
 
     def _submit(self, request: Request, caller: Caller) -> None:
-        facts = self._classify(request)
+        attributes = self._classify(request)
         name = request.headers[b"x-request-id"]
         # Guards against a second request that backends would take for the first.
         if name in self._open or name in self._peer_request_ids:
@@ -321,21 +321,21 @@
         if self.peers is not None:
             self.peers.request_started(name)
         # A request's time counts from its last byte.
-        deadline = request.ended + facts.timeout - ANSWER_EARLY
+        deadline = request.ended + attributes.timeout - ANSWER_EARLY
         stream = request.stream
         if stream is None or stream.ended:
-            self.pool.submit(request, facts, caller, deadline)
+            self.pool.submit(request, attributes, caller, deadline)
             return
         # Until that has come the caller's own pace is what bounds it (http1/front.py).
-        call = self.pool.submit(request, facts, caller, deadline + UPLOAD_MOST, expected=deadline)
+        call = self.pool.submit(request, attributes, caller, deadline + UPLOAD_MOST, expected=deadline)
 
         def whole() -> None:
-            self.pool.whole(call, self._loop.time() + facts.timeout - ANSWER_EARLY)
+            self.pool.complete_body(call, self._loop.time() + attributes.timeout - ANSWER_EARLY)
 
         if call.caller is not None:
             stream.whole = whole
 
-    def _classify(self, request: Request) -> Facts:
+    def _classify(self, request: Request) -> RequestAttributes:
         """Read what the decisions need; raises Rejected where it is malformed or unknown."""
         get = request.headers.get
         if not ID.fullmatch(get(b"x-request-id", b"")):
@@ -358,41 +358,41 @@
             raise Rejected(400, "the time is malformed")
         # Guards timers and memory against absurd times: no client waits longer than its class's deadline.
         within = min(float(timeout), row.deadline)
-        return Facts(kind, tenant, within, read_cost(request), get(b"x-retried") == b"1")
+        return RequestAttributes(kind, tenant, within, read_cost(request), get(b"x-retried") == b"1")
 
     # ---- what the pool asks of its owner -------------------------------------------------------
 
-    def at_fault(self, status: int) -> bool:
+    def is_request_invalid(self, status: int) -> bool:
         """By the platform's protocol a 4xx is the request's own fault, but for two."""
         return 400 <= status < 500 and status not in RETRIABLE
 
-    def served(self, call: Call, response: Response) -> None:
+    def request_served(self, call: Call, response: Response) -> None:
         """Pass the answer on, or end it."""
         begun = call.context
         if isinstance(begun, Caller):
             self.pool.release(call)
             begun.finish_answer()
         else:
-            self.pool.answer(call, 200, response.head, response.body)
+            self.pool.respond(call, 200, response.head, response.body)
 
-    def begun(self, call: Call, response: Response, body: Pipe) -> None:
+    def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Pass on a large answer as it comes; nothing of ours ends it from here on."""
         caller = call.caller
         assert isinstance(caller, Caller)
-        self.pool.untimed(call)
+        self.pool.clear_deadline(call)
         call.context = caller
         caller.begin_answer(200, response.head, response.length, body)
 
-    def refused(self, call: Call, retry_after: float) -> None:
+    def request_rejected(self, call: Call, retry_after: float) -> None:
         """Answer 503."""
         head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else b""
-        self.pool.answer(call, 503, head, b"refused\n")
+        self.pool.respond(call, 503, head, b"refused\n")
 
-    def failed(self, call: Call) -> None:
+    def request_failed(self, call: Call) -> None:
         """Answer 502, or 504 where time ran out; an answer that was begun is cut off."""
-        self.pool.answer(call, 504 if call.last is Outcome.TIMEOUT else 502, b"", b"failed\n")
+        self.pool.respond(call, 504 if call.last_outcome is Outcome.TIMEOUT else 502, b"", b"failed\n")
 
-    def settled(self, call: Call) -> None:
+    def request_released(self, call: Call) -> None:
         """Its id may come again."""
         name = call.request.headers[b"x-request-id"]
         self._open.discard(name)
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -124,7 +124,7 @@
         self._stream_receiver = receiver
         receiver.caller.gone = self.gone
         if self.context.call is not None:
-            self.context.cluster.pool.retime(self.context.call, receiver.context.deadline)
+            self.context.cluster.pool.change_deadline(self.context.call, receiver.context.deadline)
         _form_of(receiver).begin_messages(head, body)
 
 
@@ -253,7 +253,7 @@
         if shared_call is not None:
             shared_call.context.deadline = deadline
             if shared_call.context.call is not None:
-                shared_call.context.cluster.pool.retime(shared_call.context.call, deadline)
+                shared_call.context.cluster.pool.change_deadline(shared_call.context.call, deadline)
 
     def _separate(self, waiting: WaitingRequest | None, action: Action) -> None:
         """Take a request out of its shared call, with a call of its own or an error."""
--- a/lugspur/daemon/service_metrics.py
+++ b/lugspur/daemon/service_metrics.py
@@ -18,13 +18,13 @@
     attempts, answers, rejections = Counter[str](), Counter[str](), Counter[str]()
     callers, held = 0, 0
     for pool in pools.values():
-        attempts.update(pool.attempts)
-        answers.update({str(status): count for status, count in pool.answers.items()})
+        attempts.update(pool.attempt_counts)
+        answers.update({str(status): count for status, count in pool.response_counts.items()})
     for front in fronts:
         rejections.update({str(status): count for status, count in front.rejections.items()})
         callers += len(front.callers)
         held += front.held
-    by_pool = {name: float(pool.taken) for name, pool in pools.items()}
+    by_pool = {name: float(pool.request_count) for name, pool in pools.items()}
     return [
         labelled_counter("requests_total", "Requests taken up, by pool.", "pool", by_pool),
         labelled_counter("attempts_total", "Attempts at backends, by how they ended.", "outcome", attempts),
@@ -34,7 +34,11 @@
         labelled_counter(
             "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
         ),
-        counter("callers_gone_total", "Requests whose callers left first.", sum(p.left for p in pools.values())),
+        counter(
+            "callers_gone_total",
+            "Requests whose callers left first.",
+            sum(p.disconnected_callers for p in pools.values()),
+        ),
         gauge(
             "requests_open",
             "Requests that an answer or an attempt is out for.",
