--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -13,7 +13,14 @@
 from lugspur.daemon.cluster import GRPC_HOST_TYPE, UpstreamCluster
 from lugspur.daemon.outgoing import Headers, changed, drawn, outgoing
 from lugspur.daemon.pool import Call, RequestAttributes
-from lugspur.daemon.proxy import ANSWER_EARLY, CALLERS_PART, SPARE_SOCKETS, TIME, UPLOAD_MOST, read_cost
+from lugspur.daemon.proxy import (
+    CALLER_SOCKETS_SHARE,
+    MAX_UPLOAD_SECONDS,
+    RESERVED_SOCKETS,
+    RESPONSE_MARGIN_SECONDS,
+    SECONDS_PATTERN,
+    read_cost,
+)
 from lugspur.daemon.request_coalescing import RequestCoalescer
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.discovery.registry_sessions import RegistrySessions
@@ -69,8 +76,8 @@
     def apply(self, plan: Plan, path: str) -> None:
         """Take over a plan in one step: requests in hand keep what they began with."""
         limits, pools = plan.file.limits, plan.file.pools
-        sockets = max(8, limits.sockets - SPARE_SOCKETS)
-        callers = int(CALLERS_PART * sockets)
+        sockets = max(8, limits.sockets - RESERVED_SOCKETS)
+        callers = int(CALLER_SOCKETS_SHARE * sockets)
         weights = {name: row.share for name, row in pools.items()}
         self._sockets.reset(sockets - callers, even(sockets - callers, weights))
         self._places.reset(callers, even(callers, weights))
@@ -136,13 +143,13 @@
         """Give a front its part of the plan's limits: listeners share callers and memory evenly."""
         file = self.regime.plan.file
         limits, count = file.limits, len(file.listeners)
-        sockets = max(8, limits.sockets - SPARE_SOCKETS)
+        sockets = max(8, limits.sockets - RESERVED_SOCKETS)
         if self.overload_protection is not None:
             self.overload_protection.attach(front)
         else:
             front.came = front.work = None
         front.tune(
-            max(1, int(CALLERS_PART * sockets) // count),
+            max(1, int(CALLER_SOCKETS_SHARE * sockets) // count),
             limits.memory // count,
             Sizes(limits.head, limits.body, ordinary=True, hold=limits.hold),
             limits.read,
@@ -199,7 +206,7 @@
         query = read_query(target.query) if _reads_query(forward) else {}
         tenant = _tenant(regime.plan, match, forward, request, query)
         caller.admit()
-        deadline = self._loop.time() + timeout - ANSWER_EARLY
+        deadline = self._loop.time() + timeout - RESPONSE_MARGIN_SECONDS
         if timeout <= 0.0:  # It came too late, or lay too long: what nobody waits for costs no more than this.
             caller.answer(504, b"", b"the time is up\n")
             return
@@ -242,7 +249,7 @@
         timeout = min(kind.deadline, forward.deadline or kind.deadline)
         wanted = get(b"x-timeout")
         if wanted is not None:
-            if not TIME.fullmatch(wanted):
+            if not SECONDS_PATTERN.fullmatch(wanted):
                 raise Rejected(400, "X-Timeout is malformed")
             # A caller counts from when it began to send; what has passed since is gone.
             timeout = min(timeout, float(wanted) - (self._loop.time() - request.arrived))
@@ -252,7 +259,7 @@
         """Pass on a body as it comes; its request's time counts from its last byte."""
 
         def whole() -> None:
-            deadline = self._loop.time() + timeout - ANSWER_EARLY
+            deadline = self._loop.time() + timeout - RESPONSE_MARGIN_SECONDS
             context.deadline, context.expected_by = deadline, float("inf")
             if context.call is not None:
                 context.cluster.pool.complete_body(context.call, deadline)
@@ -266,7 +273,7 @@
             stream.gather(gathered)  # a gRPC box is sent one message, whose length goes ahead of it
             return
         context.expected_by = context.deadline
-        context.deadline += UPLOAD_MOST
+        context.deadline += MAX_UPLOAD_SECONDS
         stream.whole = whole
         self._submit(context, caller)
 
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -57,7 +57,7 @@
             raise StartError(f"management {config.management[0]}:{config.management[1]}: {fault}") from fault
     listener = await front.listen(None if takeover is None else takeover.listener, hot_restart is not None)
     if hot_restart is not None:
-        proxy.taken_up = hot_restart.announce_ready
+        proxy.on_ready = hot_restart.announce_ready
         proxy.attach_peers(hot_restart)
         hot_restart.attach(proxy, listener)
     if takeover is not None:
--- a/tests/daemon/test_settings_change.py
+++ b/tests/daemon/test_settings_change.py
@@ -151,7 +151,7 @@
             client = await up.client()
             assert status(await client.ask(read(1, X_Priority_Class="c29"))) == 200
             up.proxy._policy._changeover_ends_at = -100.0
-            up.proxy._settle()
+            up.proxy._end_changeover()
             names = [row.name for row in up.proxy.pool.settings.classes]
             assert len(names) <= len(WIRE["Services"]) + 30 + 1
             assert status(await client.ask(read(2, X_Priority_Class="c29"))) == 200
