--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -99,7 +99,10 @@
         self.front = Front(config.listen, max_callers, config.memory, self._request)
         self._reader = reader = EndpointReader(config.zones, config.types)
         self._discovery = PlatformWatch(
-            config.discovery, reader, config.known["index"] if inherited is None else inherited.index, self._told
+            config.discovery,
+            reader,
+            config.known["index"] if inherited is None else inherited.index,
+            self._receive_endpoints,
         )
         # Fixed at the start, so that times of lists stay comparable when the system's clock is stepped.
         epoch = time.time() - loop.time()
@@ -153,7 +156,7 @@
         self.pool.change_settings(replace(settings, classes=tuple(classes)))
         self._policy.record_indexes(self.pool.settings)
 
-    def _told(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
+    def _receive_endpoints(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         if endpoints or kind is not ListUpdateKind.PATCH:
             self.pool.update_endpoints(kind, self.overrides.apply(kind, endpoints))
         self._set_ready()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -203,7 +203,7 @@
     def tell(self, entries: list[dict[str, Any]]) -> None:
         """Changes of the list, as if discovery had told them."""
         reader = EndpointReader({"here": 0, "there": 1}, {"k": 0})
-        self.proxy._told(ListUpdateKind.PATCH, reader.endpoints({"endpoints": entries}))
+        self.proxy._receive_endpoints(ListUpdateKind.PATCH, reader.endpoints({"endpoints": entries}))
 
     async def client(self) -> Client:
         """A new connection to it."""
