--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -81,7 +81,7 @@
         self._tenants = config.tenants
         self._policy = RequestPolicy(config.settings)
         self._loop = loop
-        self._open: set[bytes] = set()  # X-Request-ID values of the requests that are not answered yet
+        self._open_request_ids: set[bytes] = set()  # X-Request-ID values of the requests that are not answered yet
         # Reserved, so that operators can connect even if callers use all of their descriptors.
         reserved = RESERVED_SOCKETS + (0 if config.management is None else RESERVED_ADMIN_SOCKETS)
         sockets = max(8, config.sockets - reserved)
@@ -184,7 +184,7 @@
             list(self.overrides.latest.values()),
             self.overrides.save(),
             self.front.drained_at is not None,
-            [*self._open, *self._peer_request_ids],
+            [*self._open_request_ids, *self._peer_request_ids],
             self.pool.balancer.export_learned(),
         )
 
@@ -324,9 +324,9 @@
         attributes = self._read_attributes(request)
         name = request.headers[b"x-request-id"]
         # Backends would take a second request with the same id for the first one.
-        if name in self._open or name in self._peer_request_ids:
+        if name in self._open_request_ids or name in self._peer_request_ids:
             raise Rejected(409, "a request with this id is open")
-        self._open.add(name)
+        self._open_request_ids.add(name)
         if self.peers is not None:
             self.peers.request_started(name)
         # A request's timeout counts from its last byte.
@@ -404,7 +404,7 @@
     def request_released(self, call: Call) -> None:
         """Let callers use the id of the request again."""
         name = call.request.headers[b"x-request-id"]
-        self._open.discard(name)
+        self._open_request_ids.discard(name)
         if self.peers is not None:
             self.peers.request_finished(name)
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -499,7 +499,9 @@
                 for number in range(30):
                     assert status(await client.ask(read(number))) == 400
                 assert one.got.qsize() == 30  # neither sent again nor refused by the breaker
-                assert not up.proxy.pool.calls and not up.proxy.pool.balancer.requests and not up.proxy._open
+                assert (
+                    not up.proxy.pool.calls and not up.proxy.pool.balancer.requests and not up.proxy._open_request_ids
+                )
 
     asyncio.run(play())
 
