--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -64,7 +64,7 @@
         self._epoch = time.time() - self._loop.time()
         self._rng = random.Random()
         self._sockets = Shares(0, {})
-        self._places = Shares(0, {})  # requests in hand, by pool
+        self._request_slots = Shares(0, {})  # requests in hand, by pool
         self.coalescer = RequestCoalescer(self._submit)
         self.overload_protection: OverloadProtection | None = None
         self._reloads = 0
@@ -80,7 +80,7 @@
         callers = int(CALLER_SOCKETS_SHARE * sockets)
         weights = {name: row.share for name, row in pools.items()}
         self._sockets.reset(sockets - callers, even(sockets - callers, weights))
-        self._places.reset(callers, even(callers, weights))
+        self._request_slots.reset(callers, even(callers, weights))
         held = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.regime.plan.file.limits.read)
@@ -286,12 +286,12 @@
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
             kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
-        if not self._places.fits(cluster.name):
+        if not self._request_slots.fits(cluster.name):
             # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
             context.ending = Ending.REJECTED
             caller.answer(503, COME_BACK, b"no place\n")
             return
-        self._places.take(cluster.name)
+        self._request_slots.take(cluster.name)
         attributes = RequestAttributes(
             cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False
         )
@@ -364,7 +364,7 @@
     def request_released(self, call: Call) -> None:
         """Its place is free again; what it may have changed is not in answers that were begun before."""
         context = _context_of(call)
-        self._places.give(context.cluster.name)
+        self._request_slots.give(context.cluster.name)
         if context.request_class.retry_safety is not RetrySafety.SAFE:
             self.coalescer.record_write(context.tenant)
 
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -28,7 +28,7 @@
                     assert status(await client.ask(ask("POST", path, b"x"))) == 200
                 assert two.got.qsize() == 4
                 await until(lambda: up.in_hand() == 0)
-                assert up.daemon._places.used("a") == up.daemon._places.used("b") == 0
+                assert up.daemon._request_slots.used("a") == up.daemon._request_slots.used("b") == 0
 
     asyncio.run(play())
 
@@ -129,7 +129,7 @@
                 hung = [await up.client() for _ in range(36)]  # of 40 callers
                 for client in hung[:30]:
                     client.writer.write(ask(target="/hung"))
-                await until(lambda: daemon._places.used("a") == 30)  # its own 10, and all that is nobody's
+                await until(lambda: daemon._request_slots.used("a") == 30)  # its own 10, and all that is nobody's
                 for client in hung[30:]:
                     turned = await client.ask(ask(target="/hung"))
                     assert status(turned) == 503 and fields(turned)["retry-after"] == "1"
@@ -142,7 +142,7 @@
                 assert daemon._sockets.used("b") >= 1 and two.got.qsize() == 40
                 for client in hung:
                     client.writer.close()
-                await until(lambda: daemon._places.used("a") == daemon._sockets.used("a") == 0)
+                await until(lambda: daemon._request_slots.used("a") == daemon._sockets.used("a") == 0)
 
     asyncio.run(play())
 
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -80,7 +80,7 @@
         client, dear = await up.client(), await up.client()
         got = await client.ask(ask(target="/cheap"))
         assert status(got) == 503 and fields(got)["retry-after"] == "1" and got.endswith(b"too busy\n")
-        assert one.got.empty() and up.in_hand() == 0 and up.daemon._places.used("a") == 0
+        assert one.got.empty() and up.in_hand() == 0 and up.daemon._request_slots.used("a") == 0
         assert status(await dear.ask(ask("POST", "/book", b"x"))) == 200 == status(await dear.ask(ask()))
         assert status(await client.ask(ask("POST", "/book", b"x"))) == 200  # the connection lives, after a rest
 
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -44,7 +44,7 @@
             desk = up.daemon.coalescer.desk
             await until(lambda: not up.daemon.coalescer._waiting)
             assert not desk.members and not desk.flights and not desk._open and not desk.waiting and not desk.joined
-            assert not up.daemon.coalescer._shared_calls and up.daemon._places.used("a") == 0
+            assert not up.daemon.coalescer._shared_calls and up.daemon._request_slots.used("a") == 0
 
     asyncio.run(run())
 
@@ -337,7 +337,7 @@
 def test_each_tenant_is_rejected_once_where_a_cluster_has_no_capacity() -> None:
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask(User_Agent=agent, X_Agency=name) for agent, name in ("xc", "ya", "yb")))
-        up.daemon._places.fits = lambda *_: False  # type: ignore[method-assign]
+        up.daemon._request_slots.fits = lambda *_: False  # type: ignore[method-assign]
         reply(one, answer(b"", Vary="User-Agent"))
         got = [await client.answer() for client in clients]
         assert [status(each) for each in got] == [200, 503, 503]
