--- a/lugspur/daemon/admin/actions.py
+++ b/lugspur/daemon/admin/actions.py
@@ -20,8 +20,8 @@
     """What operators can ask of a proxy."""
 
     @property
-    def takes_clients(self) -> bool:
-        """Whether this process takes clients."""
+    def accepts_clients(self) -> bool:
+        """Whether this process accepts clients."""
 
     def disable(self, name: str) -> bool:
         """Send nothing more to a backend; return whether it was ever listed."""
@@ -63,7 +63,7 @@
         self._proxy = proxy
 
     def ready(self, _: str) -> ActionResult:
-        if self._proxy.takes_clients:
+        if self._proxy.accepts_clients:
             return ActionResult(HTTPStatus.OK, "ready")
         return ActionResult(HTTPStatus.SERVICE_UNAVAILABLE, "not ready")
 
--- a/lugspur/daemon/daemon_admin.py
+++ b/lugspur/daemon/daemon_admin.py
@@ -68,7 +68,7 @@
     # ---- the actions ---------------------------------------------------------------------------
 
     @property
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether all listeners are there."""
         fronts = self._fronts()
         return bool(fronts) and all(front.ready and front.serving for front in fronts)
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -168,7 +168,7 @@
 
     def begin(self) -> None:
         """Announce that clients are accepted, once the endpoint list is loaded and the listener is open."""
-        if self.takes_clients and self.on_ready is not None:
+        if self.accepts_clients and self.on_ready is not None:
             self.on_ready()
             self.on_ready = None
 
@@ -249,7 +249,7 @@
     # ---- admin actions ---------------------------------------------------------------------------
 
     @property
-    def takes_clients(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether this process accepts clients: the endpoint list is loaded, and the listener is open."""
         return self.front.ready and self.front.serving
 
