--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -235,7 +235,7 @@
         self._sockets.reset(self._max_sockets, {})
 
     @property
-    def arriving(self) -> bool:
+    def has_incoming_connections(self) -> bool:
         """Whether connections that the predecessor transferred are still being set up."""
         return bool(self._connection_tasks)
 
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -95,7 +95,7 @@
     asyncio.get_running_loop().remove_reader(listener.fileno())
     front.pass_all(hot_restart.transfer_connection)
     await asyncio.sleep(CLOSE_AFTER)  # what has just been accepted becomes a caller
-    while front.callers or proxy.arriving or hot_restart.has_unsent_transfers:
+    while front.callers or proxy.has_incoming_connections or hot_restart.has_unsent_transfers:
         if hot_restart.successor is None:
             front.pass_to = None
             await front.listen(listener)
--- a/tests/daemon/hot_restart/test_connection_transfer.py
+++ b/tests/daemon/hot_restart/test_connection_transfer.py
@@ -28,7 +28,7 @@
     """The proxy that ends."""
 
     def __init__(self) -> None:
-        self.front, self.arriving = Front(), 0
+        self.front, self.has_incoming_connections = Front(), 0
 
 
 class HotRestart:
