--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: listeners, the table and the pools of one file, and what becomes of each request."""
+"""The daemon: routes requests from listeners to upstream clusters, by one configuration file at a time."""
 
 from __future__ import annotations
 
@@ -42,66 +42,75 @@
     from lugspur.daemon.state_persistence import StatePersistence
     from lugspur.pipe import Pipe
 
-COME_BACK = b"Retry-After: 1\r\n"  # where no backend is there, or no place: nothing tells when one will be
-REFUSALS = (429, 503)  # say that trying again is harmless, so no failure may be worded so
+RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # without a backend or slot; it is not known when one will be available
+RETRIABLE_STATUSES = (429, 503)  # statuses that declare a retry harmless, so that a failed request must not get them
 
 
 @dataclass(slots=True, frozen=True)
-class Regime:
-    """One file in force: requests are judged by the one that was in force when their head had come."""
+class LoadedConfiguration:
+    """One loaded configuration file; a request is handled by the one that was in force when its head had arrived."""
 
     plan: Plan
     clusters: dict[str, UpstreamCluster]
     standings: dict[str, Standing]
-    number: int  # of the reload that brought it
+    reload_number: int  # of the reload that put it into force
 
 
 class Daemon:
-    """Everything that runs by one file; `apply` begins it, and takes over another file later."""
+    """The clusters and the request handling of one process; `apply` starts it, and applies reloaded files later."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._epoch = time.time() - self._loop.time()
         self._rng = random.Random()
         self._sockets = Shares(0, {})
-        self._request_slots = Shares(0, {})  # requests in hand, by pool
+        self._request_slots = Shares(0, {})  # open requests, by pool
         self.coalescer = RequestCoalescer(self._submit)
         self.overload_protection: OverloadProtection | None = None
         self._reloads = 0
-        self.regime: Regime
+        self.configuration: LoadedConfiguration
         self.clusters: dict[str, UpstreamCluster] = {}
         self.registries = RegistrySessions()
         self.state_persistence: StatePersistence | None = None
 
     def apply(self, plan: Plan, path: str) -> None:
-        """Take over a plan in one step: requests in hand keep what they began with."""
+        """Put a plan into force in one step; open requests keep the configuration that they began with."""
         limits, pools = plan.file.limits, plan.file.pools
         sockets = max(8, limits.sockets - RESERVED_SOCKETS)
         callers = int(CALLER_SOCKETS_SHARE * sockets)
         weights = {name: row.share for name, row in pools.items()}
         self._sockets.reset(sockets - callers, even(sockets - callers, weights))
         self._request_slots.reset(callers, even(callers, weights))
-        held = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
+        held_bytes_per_weight = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
-            self.clusters.pop(name).close_when_idle(self.regime.plan.file.limits.read)
+            self.clusters.pop(name).close_when_idle(self.configuration.plan.file.limits.read)
         for name, row in pools.items():
             cluster = self.clusters.get(name)
-            kept, age = None, None
+            snapshot, snapshot_age = None, None
             if cluster is None:
                 if self.state_persistence is not None:
-                    kept, age = self.state_persistence.snapshot_of(name)
+                    snapshot, snapshot_age = self.state_persistence.snapshot_of(name)
                 cluster = self.clusters[name] = UpstreamCluster(name, self._sockets, self, self._epoch, self.registries)
-                for other in self.clusters.values():  # what operators have taken out is out of every pool
+                for other in self.clusters.values():  # an operator's ban applies to every pool
                     cluster.overrides.banned.update(other.overrides.banned)
-            cluster.apply(row, plan.settings(row), int(held * row.share), limits, path, plan.file.registries, kept, age)
+            cluster.apply(
+                row,
+                plan.settings(row),
+                int(held_bytes_per_weight * row.share),
+                limits,
+                path,
+                plan.file.registries,
+                snapshot,
+                snapshot_age,
+            )
         standings = {name: cluster.standing for name, cluster in self.clusters.items()}
         self.coalescer.tune(limits.joined, limits.memory)
         self._apply_overload_protection(plan)
         self._reloads += 1
-        self.regime = Regime(plan, dict(self.clusters), standings, self._reloads)
+        self.configuration = LoadedConfiguration(plan, dict(self.clusters), standings, self._reloads)
 
     def _apply_overload_protection(self, plan: Plan) -> None:
-        """Start or stop the overload protection, or change its classes, as the plan says."""
+        """Start or stop the overload protection, or change its classes, as configured."""
         row = plan.file.guard
         if not row.on:
             self.close()
@@ -118,8 +127,8 @@
             self.overload_protection.close()
             self.overload_protection = None
 
-    def front(self, row: model.Listener) -> Front:
-        """A front for one listener of the plan."""
+    def create_front(self, row: model.Listener) -> Front:
+        """Return a front for one listener of the plan."""
 
         def handle(request: Request, caller: Answerable) -> None:
             self._handle(row, request, caller)
@@ -130,18 +139,18 @@
             from lugspur.daemon import health
             from lugspur.http2.front import Connection
 
-            def handle2(request: Request, caller: Answerable) -> None:
+            def handle_http2(request: Request, caller: Answerable) -> None:
                 if not health.takes(request, caller, front, lambda name: self._serves(front, name)):
                     self._handle(row, request, caller)
 
-            front.http2 = lambda front: Connection(front, handle2, row.streams)
-        front.terms = lambda: self.regime
-        self.retune(front)
+            front.http2 = lambda front: Connection(front, handle_http2, row.streams)
+        front.terms = lambda: self.configuration
+        self.apply_limits(front)
         return front
 
-    def retune(self, front: Front) -> None:
-        """Give a front its part of the plan's limits: listeners share callers and memory evenly."""
-        file = self.regime.plan.file
+    def apply_limits(self, front: Front) -> None:
+        """Apply the plan's limits to a front; listeners share connections and memory evenly."""
+        file = self.configuration.plan.file
         limits, count = file.limits, len(file.listeners)
         sockets = max(8, limits.sockets - RESERVED_SOCKETS)
         if self.overload_protection is not None:
@@ -158,7 +167,7 @@
         )
 
     def _serves(self, front: Front, name: str) -> bool | None:
-        """Whether a pool, or for "" the listener, serves; None for a name that nobody has."""
+        """Return whether a pool, or for "" the listener, serves; None if no pool has that name."""
         if not name:
             return front.healthy()
         cluster = self.clusters.get(name)
@@ -172,109 +181,109 @@
             raise Rejected(501, "the method is not served")
         try:
             target = read_target(request.target, request.headers.get(b"host"))
-        except TargetError as fault:
-            raise Rejected(400, str(fault)) from fault
-        regime = request.terms
-        assert isinstance(regime, Regime)
-        table = regime.plan.table
+        except TargetError as error:
+            raise Rejected(400, str(error)) from error
+        configuration = request.terms
+        assert isinstance(configuration, LoadedConfiguration)
+        table = configuration.plan.table
         headers = Headers(request.headers)
         query = read_query(target.query) if table.reads_query else {}
         match = table.find(Asked(method, target, headers, query))
         if isinstance(match, Miss):
-            _answer_miss(match, caller)
+            _respond_to_miss(match, caller)
         elif isinstance(match.route.action, Reply):
             reply = match.route.action
             lines = "".join(f"{name}: {value}\r\n" for name, value in reply.headers)
             caller.answer(reply.status, lines.encode(), reply.body)
         elif isinstance(match.route.action, Redirect):
-            _answer_redirect(match.route.action, match, target, caller)
+            _respond_with_redirect(match.route.action, match, target, caller)
         else:
-            self._forward(row, regime, match, match.route.action, request, target, caller)
+            self._forward(row, configuration, match, match.route.action, request, target, caller)
 
     def _forward(
         self,
         row: model.Listener,
-        regime: Regime,
+        configuration: LoadedConfiguration,
         match: Match,
         forward: Forward,
         request: Request,
         target: Target,
         caller: Answerable,
     ) -> None:
-        kind = regime.plan.classes[regime.plan.kinds[forward.kind]]
-        timeout = self._timeout(kind, forward, request)
+        kind = configuration.plan.classes[configuration.plan.kinds[forward.kind]]
+        timeout = self._read_timeout(kind, forward, request)
         query = read_query(target.query) if _reads_query(forward) else {}
-        tenant = _tenant(regime.plan, match, forward, request, query)
+        tenant = _read_tenant(configuration.plan, match, forward, request, query)
         caller.admit()
         deadline = self._loop.time() + timeout - RESPONSE_MARGIN_SECONDS
-        if timeout <= 0.0:  # It came too late, or lay too long: what nobody waits for costs no more than this.
+        if timeout <= 0.0:  # The request arrived too late or was queued too long: no work is spent on it.
             caller.answer(504, b"", b"the time is up\n")
             return
-        if self.overload_protection is not None and regime is self.regime:
-            who = caller.peer if tenant == NOBODY else tenant
-            place = regime.plan.kinds[forward.kind]
+        if self.overload_protection is not None and configuration is self.configuration:
+            client = caller.peer if tenant == NOBODY else tenant
+            class_index = configuration.plan.kinds[forward.kind]
             size = len(request.body) if request.stream is None else request.stream.came
-            if not self.overload_protection.admits(place, who, size):
-                caller.answer(503, COME_BACK, b"too busy\n")
-                self.overload_protection.pause_reading(caller, place)
+            if not self.overload_protection.admits(class_index, client, size):
+                caller.answer(503, RETRY_AFTER_HEADER, b"too busy\n")
+                self.overload_protection.pause_reading(caller, class_index)
                 return
         if forward.key is not None:
             key = drawn(forward.key, Headers(request.headers), query, match.captured)
             order = by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
         else:
             order = by_chance(forward.splits, self._rng)
-        found = candidates(order, forward.fallback, regime.standings, self._loop.time())
+        found = candidates(order, forward.fallback, configuration.standings, self._loop.time())
         if not found:
-            caller.answer(503, COME_BACK, b"no backend\n")
+            caller.answer(503, RETRY_AFTER_HEADER, b"no backend\n")
             return
-        sent = outgoing(request, target, match, forward, caller.peer, row.trust_forwarded)
-        cluster, *rest = (regime.clusters[name] for name in found)
-        context = RequestContext(kind, forward, sent, tenant, read_cost(request), deadline, cluster, rest)
+        upstream_request = outgoing(request, target, match, forward, caller.peer, row.trust_forwarded)
+        cluster, *rest = (configuration.clusters[name] for name in found)
+        context = RequestContext(kind, forward, upstream_request, tenant, read_cost(request), deadline, cluster, rest)
         stream = request.stream
         if stream is not None and not stream.ended:
-            self._stream(context, stream, timeout, caller)
+            self._submit_streaming(context, stream, timeout, caller)
             return
         if forward.join is None or stream is not None:
             self._submit(context, caller)
             return
-        # Reads of two files, or with and without what a trusted listener lets through, are never the same.
-        route = regime.number, match.route.name, cluster.name, row.trust_forwarded
+        # Reads are not equal if they belong to different reloads, or to listeners that trust forwarded headers or not.
+        route = configuration.reload_number, match.route.name, cluster.name, row.trust_forwarded
         self.coalescer.coalesce(request, context, route, forward.join, caller)
 
-    def _timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
-        """Seconds until it is given up; raises Rejected where it lacks what its class asks for."""
+    def _read_timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
+        """Return the request's timeout in seconds; raises Rejected if a header that its class requires is missing."""
         get = request.headers.get
         if kind.retry_safety is RetrySafety.KEYED and not get(b"idempotency-key"):
             raise Rejected(400, "no Idempotency-Key, which this class needs")
         timeout = min(kind.deadline, forward.deadline or kind.deadline)
-        wanted = get(b"x-timeout")
-        if wanted is not None:
-            if not SECONDS_PATTERN.fullmatch(wanted):
+        requested_timeout = get(b"x-timeout")
+        if requested_timeout is not None:
+            if not SECONDS_PATTERN.fullmatch(requested_timeout):
                 raise Rejected(400, "X-Timeout is malformed")
-            # A caller counts from when it began to send; what has passed since is gone.
-            timeout = min(timeout, float(wanted) - (self._loop.time() - request.arrived))
+            # The caller counts from the start of its request, so the time since its arrival is subtracted.
+            timeout = min(timeout, float(requested_timeout) - (self._loop.time() - request.arrived))
         return timeout
 
-    def _stream(self, context: RequestContext, stream: Body, timeout: float, caller: Answerable) -> None:
-        """Pass on a body as it comes; its request's time counts from its last byte."""
+    def _submit_streaming(self, context: RequestContext, stream: Body, timeout: float, caller: Answerable) -> None:
+        """Submit a request whose body is streamed; its timeout counts from the body's last byte."""
 
-        def whole() -> None:
+        def complete_body() -> None:
             deadline = self._loop.time() + timeout - RESPONSE_MARGIN_SECONDS
             context.deadline, context.expected_by = deadline, float("inf")
             if context.call is not None:
                 context.cluster.pool.complete_body(context.call, deadline)
 
-        def gathered(body: bytes) -> None:
+        def body_gathered(body: bytes) -> None:
             context.request.body, context.request.stream = body, None
-            whole()
+            complete_body()
             self._submit(context, caller)
 
         if any(cluster.speaks_grpc for cluster in (context.cluster, *context.fallback_clusters)):
-            stream.gather(gathered)  # a gRPC box is sent one message, whose length goes ahead of it
+            stream.gather(body_gathered)  # a gRPC backend receives the body as one message, whose length precedes it
             return
         context.expected_by = context.deadline
         context.deadline += MAX_UPLOAD_SECONDS
-        stream.whole = whole
+        stream.whole = complete_body
         self._submit(context, caller)
 
     def _submit(self, context: RequestContext, caller: Answerable) -> None:
@@ -287,90 +296,98 @@
                 return
             kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
         if not self._request_slots.fits(cluster.name):
-            # Guards the other pools: one that hangs fills its own places and what nobody else is sure of.
+            # Protects the other pools: one that hangs fills only its own slots and those that are not reserved.
             context.ending = Ending.REJECTED
-            caller.answer(503, COME_BACK, b"no place\n")
+            caller.answer(503, RETRY_AFTER_HEADER, b"no place\n")
             return
         self._request_slots.take(cluster.name)
         attributes = RequestAttributes(
             cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False
         )
         call = cluster.pool.submit(context.request, attributes, caller, context.deadline, context, context.expected_by)
-        if call.caller is not None:  # else it is answered, or another pool has taken over by now
+        if call.caller is not None:  # otherwise it is answered already, or another pool has taken over
             context.call = call
 
-    # ---- what pools ask of their owner -----------------------------------------------------------
+    # ---- the pools' owner (pool.PoolOwner) -------------------------------------------------------
 
     def is_request_invalid(self, status: int) -> bool:
-        """An ordinary backend's 4xx is an answer like any other."""
+        """Return False: a 4xx of an ordinary backend is forwarded like any other response."""
         return False
 
     def request_served(self, call: Call, response: Response) -> None:
-        """Pass the answer on, or end it."""
+        """Send the response to the caller, or finish a streamed one."""
         context = _context_of(call)
-        _note_ending(context, call, Ending.SERVED)
+        _record_ending(context, call, Ending.SERVED)
         if context.streaming_caller is not None:
             context.cluster.pool.release(call)
             context.streaming_caller.finish_answer()
         else:
-            self._pass_on(call, response)
+            self._send_response(call, response)
 
-    def _pass_on(self, call: Call, response: Response) -> None:
+    def _send_response(self, call: Call, response: Response) -> None:
         context = _context_of(call)
         head = changed(response.head, context.forward.response)
         context.cluster.pool.respond(call, response.status, head, response.body, response.length, response.trailers)
 
     def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
-        """Pass on what there is of an answer, and the rest as it comes."""
+        """Start to stream a response to the caller."""
         context = _context_of(call)
         if context.request.form is not None:
             context.request.form.begin_messages(changed(response.head, context.forward.response), body)
             return
-        passing = None if call.caller is None else call.caller.passing()
-        if passing is not None:  # nothing of ours ends it from here on
-            context.streaming_caller = passing
+        streaming_caller = None if call.caller is None else call.caller.passing()
+        if streaming_caller is not None:  # from here on, no deadline ends the response
+            context.streaming_caller = streaming_caller
             context.cluster.pool.clear_deadline(call)
             head = changed(response.head, context.forward.response)
-            passing.begin_answer(response.status, head, response.length, body)
+            streaming_caller.begin_answer(response.status, head, response.length, body)
 
     def request_rejected(self, call: Call, retry_after: float) -> None:
-        """Let the next pool take over where this one has no usable backend and nothing ran; else answer 503."""
+        """Fail over to the next pool if this one has no usable backend and nothing ran; otherwise respond with 503."""
         context = _context_of(call)
         cluster, now = context.cluster, self._loop.time()
         rest = [other for other in context.fallback_clusters if other.standing.usable(now)]
         stream = context.request.stream
-        gone = stream is not None and stream.bound  # a part of its body is not there any more
-        if rest and not gone and not call.may_have_run and not cluster.standing.usable(now) and now < call.deadline:
+        body_partly_dropped = stream is not None and stream.bound  # a part of the body is no longer buffered
+        if (
+            rest
+            and not body_partly_dropped
+            and not call.may_have_run
+            and not cluster.standing.usable(now)
+            and now < call.deadline
+        ):
             caller = cluster.pool.release(call)
             context.cluster, *context.fallback_clusters = rest
             if caller is not None:
                 self._submit(context, caller)
             return
-        _note_ending(context, call, Ending.FAILED if call.attempts else Ending.REJECTED)
-        head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else COME_BACK
-        # gRPC has a word for what its caller's time has run out for, harmless or not.
-        late = call.request.form is not None and now >= call.deadline
-        cluster.pool.respond(call, 504 if late else 503, head, b"the time is up\n" if late else b"refused\n")
+        _record_ending(context, call, Ending.FAILED if call.attempts else Ending.REJECTED)
+        head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else RETRY_AFTER_HEADER
+        # gRPC has a status for requests whose deadline has passed, whether a retry is harmless or not.
+        deadline_passed = call.request.form is not None and now >= call.deadline
+        cluster.pool.respond(
+            call, 504 if deadline_passed else 503, head, b"the time is up\n" if deadline_passed else b"refused\n"
+        )
 
     def request_failed(self, call: Call) -> None:
-        """Pass on the backend's own word of its failure, if it has one that promises nothing; else 502 or 504."""
+        """Forward the backend's error response, if that does not declare a retry harmless; else respond 502 or 504."""
         response, context = call.last_response, _context_of(call)
-        _note_ending(context, call, Ending.FAILED)
-        if response is not None and response.status >= 400 and response.status not in REFUSALS:
-            self._pass_on(call, response)
+        _record_ending(context, call, Ending.FAILED)
+        if response is not None and response.status >= 400 and response.status not in RETRIABLE_STATUSES:
+            self._send_response(call, response)
         else:
             context.cluster.pool.respond(call, 504 if call.last_outcome is Outcome.TIMEOUT else 502, b"", b"failed\n")
 
     def request_released(self, call: Call) -> None:
-        """Its place is free again; what it may have changed is not in answers that were begun before."""
+        """Free the request's slot, and record a write: responses that were begun before may not include it."""
         context = _context_of(call)
         self._request_slots.give(context.cluster.name)
         if context.request_class.retry_safety is not RetrySafety.SAFE:
             self.coalescer.record_write(context.tenant)
 
 
-def _note_ending(context: RequestContext, call: Call, ending: Ending) -> None:
-    """Record how its cluster ended a request, before the final answer is written."""
+def _record_ending(context: RequestContext, call: Call, ending: Ending) -> None:
+    """Record how its cluster ended a request, before the final response is written."""
     context.ending, context.backend_status = ending, 0 if call.last_response is None else call.last_response.status
 
 
@@ -379,8 +396,8 @@
     return call.context
 
 
-def _tenant(plan: Plan, match: Match, forward: Forward, request: Request, query: dict[str, str]) -> str:
-    """Whose request it is; raises Rejected where its route tells tenants apart and this is none of them."""
+def _read_tenant(plan: Plan, match: Match, forward: Forward, request: Request, query: dict[str, str]) -> str:
+    """Return the request's tenant; raises Rejected if its route requires one and it names none that is known."""
     if forward.tenant is None:
         return NOBODY
     name = drawn(forward.tenant, Headers(request.headers), query, match.captured)
@@ -393,7 +410,7 @@
     return any(source is not None and source.query for source in (forward.key, forward.tenant))
 
 
-def _answer_miss(miss: Miss, caller: Answerable) -> None:
+def _respond_to_miss(miss: Miss, caller: Answerable) -> None:
     if miss.allow:
         head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allow)).encode()
         caller.answer(405, head, b"method not allowed\n")
@@ -401,7 +418,7 @@
         caller.answer(404, b"", b"no route\n")
 
 
-def _answer_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
+def _respond_with_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
     to = redirect.to.fill(match.captured).encode()
     if target.query is not None:
         to += (b"&" if b"?" in to else b"?") + target.query
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -21,7 +21,7 @@
 
 MAX_ANSWERS_PER_TURN = 32  # in one turn of the event loop, so that other reads and timers run between
 COPIES_MEMORY_SHARE = 0.25  # of the memory limit, for copies of one answer whose callers read slowly
-COME_BACK = b"Retry-After: 1\r\n"  # nothing tells when there will be capacity to wait
+RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # nothing tells when there will be capacity to wait
 
 Submit = Callable[[RequestContext, Answerable], None]
 Write = Callable[["WaitingRequest"], None]
@@ -264,7 +264,7 @@
         elif isinstance(action, Expire):
             waiting.caller.answer(504, b"", b"the time is up\n")
         elif isinstance(action, Turn):
-            waiting.caller.answer(503, COME_BACK, b"no place to wait\n")
+            waiting.caller.answer(503, RETRY_AFTER_HEADER, b"no place to wait\n")
 
     def _schedule_timer(self) -> None:
         """Set the timer to the next request whose deadline is before its shared call's."""
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -172,10 +172,10 @@
         for name in self.listeners.keys() - kept:
             self._leave(name)
         for name, sock in bound.items():
-            front = self.daemon.front(rows[name])
+            front = self.daemon.create_front(rows[name])
             self.listeners[name] = front, await front.listen(sock)
         for name in kept:
-            self.daemon.retune(self.listeners[name][0])
+            self.daemon.apply_limits(self.listeners[name][0])
         self._rows = dict(rows)
         if self.admin is not None:
             self.admin.use(plan.file.management, admin_listener)
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -180,9 +180,9 @@
         async with backend(lambda _: OK) as one:
             good = pool("a", one.address) + route("r", "/", 'pool = "a"')
             async with served(good) as up:
-                before = up.daemon.regime
+                before = up.daemon.configuration
                 await up.reload(good + text.replace("PORT", one.address.rpartition(":")[2]))
-                assert up.daemon.regime is before and list(up.running.listeners) == ["main"]
+                assert up.daemon.configuration is before and list(up.running.listeners) == ["main"]
                 [line] = capsys.readouterr().err.splitlines()
                 assert line.startswith("lugspur: reload: nothing is changed: ") and said in line
                 client = await up.client()
