--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -11,7 +11,7 @@
 from lugspur.config import model
 from lugspur.config.build import METHODS, NOBODY, Plan
 from lugspur.daemon.cluster import GRPC_HOST_TYPE, UpstreamCluster
-from lugspur.daemon.outgoing import Headers, changed, drawn, outgoing
+from lugspur.daemon.outgoing import Headers, build_upstream_request, change_headers, extract_value
 from lugspur.daemon.pool import Call, RequestAttributes
 from lugspur.daemon.proxy import (
     CALLER_SOCKETS_SHARE,
@@ -228,7 +228,7 @@
                 self.overload_protection.pause_reading(caller, class_index)
                 return
         if forward.key is not None:
-            key = drawn(forward.key, Headers(request.headers), query, match.captured)
+            key = extract_value(forward.key, Headers(request.headers), query, match.captured)
             order = by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
         else:
             order = by_chance(forward.splits, self._rng)
@@ -236,7 +236,7 @@
         if not found:
             caller.answer(503, RETRY_AFTER_HEADER, b"no backend\n")
             return
-        upstream_request = outgoing(request, target, match, forward, caller.peer, row.trust_forwarded)
+        upstream_request = build_upstream_request(request, target, match, forward, caller.peer, row.trust_forwarded)
         cluster, *rest = (configuration.clusters[name] for name in found)
         context = RequestContext(kind, forward, upstream_request, tenant, read_cost(request), deadline, cluster, rest)
         stream = request.stream
@@ -326,20 +326,20 @@
 
     def _send_response(self, call: Call, response: Response) -> None:
         context = _context_of(call)
-        head = changed(response.head, context.forward.response)
+        head = change_headers(response.head, context.forward.response)
         context.cluster.pool.respond(call, response.status, head, response.body, response.length, response.trailers)
 
     def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Start to stream a response to the caller."""
         context = _context_of(call)
         if context.request.form is not None:
-            context.request.form.begin_messages(changed(response.head, context.forward.response), body)
+            context.request.form.begin_messages(change_headers(response.head, context.forward.response), body)
             return
         streaming_caller = None if call.caller is None else call.caller.passing()
         if streaming_caller is not None:  # from here on, no deadline ends the response
             context.streaming_caller = streaming_caller
             context.cluster.pool.clear_deadline(call)
-            head = changed(response.head, context.forward.response)
+            head = change_headers(response.head, context.forward.response)
             streaming_caller.begin_answer(response.status, head, response.length, body)
 
     def request_rejected(self, call: Call, retry_after: float) -> None:
@@ -400,7 +400,7 @@
     """Return the request's tenant; raises Rejected if its route requires one and it names none that is known."""
     if forward.tenant is None:
         return NOBODY
-    name = drawn(forward.tenant, Headers(request.headers), query, match.captured)
+    name = extract_value(forward.tenant, Headers(request.headers), query, match.captured)
     if name not in plan.file.tenants:
         raise Rejected(403, "unknown tenant")
     return name
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -1,4 +1,4 @@
-"""What goes on to a backend, and what comes back to a caller: header lines by RFC 9110 and by the route."""
+"""Rewriting of requests for backends and of response headers for callers, by RFC 9110 and by the route."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from lugspur.routing.target import Target
 from lugspur.seams import Request
 
-ID = re.compile(rb"[\x21-\x7e]{1,128}")
+REQUEST_ID_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
 VIA = b"Via: 1.1 lugspur\r\n"  # RFC 9110 7.6.3
-CLAIMS = frozenset(  # what only a trusted caller may say of where a request came from
+FORWARDING_HEADERS = frozenset(  # accepted from trusted callers only, since they say where a request came from
     {b"forwarded", b"x-forwarded-host", b"x-forwarded-port", b"x-forwarded-prefix", b"x-real-ip"}
 )
 
 
 class Headers(Mapping[str, str]):
-    """A request's headers as text, read only where a route asks for one."""
+    """A request's headers as text; only those that a route uses are decoded."""
 
     def __init__(self, raw: Mapping[bytes, bytes]) -> None:
         self._raw = raw
@@ -35,31 +35,33 @@
         return len(self._raw)
 
 
-def outgoing(request: Request, target: Target, match: Match, forward: Forward, peer: str, trusts: bool) -> Request:
-    """The request as backends see it: by the route's path and header changes, with what a proxy adds."""
+def build_upstream_request(
+    request: Request, target: Target, match: Match, forward: Forward, peer: str, is_trusted: bool
+) -> Request:
+    """Return the request for backends: with the route's path and header changes, and the headers that proxies add."""
     path = target.bytes
     if forward.rewrite is not None:
         path = forward.rewrite.fill(match.captured).encode() or b"/"
         path += b"" if target.query is None else b"?" + target.query
-    dropped, lines = _dropped(forward.request.remove, trusts), request.lines
-    if not dropped.isdisjoint(request.headers):
-        lines = [line for line in lines if line.partition(b":")[0].lower() not in dropped]
+    removed, lines = _headers_to_remove(forward.request.remove, is_trusted), request.lines
+    if not removed.isdisjoint(request.headers):
+        lines = [line for line in lines if line.partition(b":")[0].lower() not in removed]
     get = request.headers.get
-    name = get(b"x-request-id", b"")
-    came, scheme = get(b"x-forwarded-for", b""), get(b"x-forwarded-proto", b"")
-    added = b"Host: %b\r\nX-Request-ID: %b\r\nX-Forwarded-For: %b\r\nX-Forwarded-Proto: %b\r\n%b" % (
+    request_id = get(b"x-request-id", b"")
+    forwarded_for, scheme = get(b"x-forwarded-for", b""), get(b"x-forwarded-proto", b"")
+    added_lines = b"Host: %b\r\nX-Request-ID: %b\r\nX-Forwarded-For: %b\r\nX-Forwarded-Proto: %b\r\n%b" % (
         target.authority,
-        name if ID.fullmatch(name) else token_hex(8).encode(),
-        came + b", " + peer.encode() if trusts and came else peer.encode(),
-        scheme if trusts and scheme else b"http",
+        request_id if REQUEST_ID_PATTERN.fullmatch(request_id) else token_hex(8).encode(),
+        forwarded_for + b", " + peer.encode() if is_trusted and forwarded_for else peer.encode(),
+        scheme if is_trusted and scheme else b"http",
         VIA,
     )
-    more = [f"{key}: {value}\r\n".encode() for key, value in forward.request.set]
+    route_lines = [f"{key}: {value}\r\n".encode() for key, value in forward.request.set]
     return Request(
         request.method,
         path,
         request.headers,
-        [*lines, added, *more],
+        [*lines, added_lines, *route_lines],
         request.body,
         request.arrived,
         request.keep_alive,
@@ -72,24 +74,26 @@
 
 
 @lru_cache(maxsize=1024)
-def _dropped(remove: frozenset[str], trusts: bool) -> frozenset[bytes]:
-    """Which of a caller's header lines go no further."""
-    gone = frozenset(name.encode() for name in remove)
-    return gone if trusts else gone | CLAIMS
+def _headers_to_remove(remove: frozenset[str], is_trusted: bool) -> frozenset[bytes]:
+    """Return the names of the caller's headers that are not forwarded."""
+    names = frozenset(name.encode() for name in remove)
+    return names if is_trusted else names | FORWARDING_HEADERS
 
 
-def changed(head: bytes, changes: Changes) -> bytes:
-    """An answer's header lines after the route's changes."""
+def change_headers(head: bytes, changes: Changes) -> bytes:
+    """Return a response's header lines with the route's changes."""
     if not changes.remove:
         return head
-    gone = {name.encode() for name in changes.remove}
-    lines = [line for line in head.splitlines(keepends=True) if line.partition(b":")[0].lower() not in gone]
+    removed = {name.encode() for name in changes.remove}
+    lines = [line for line in head.splitlines(keepends=True) if line.partition(b":")[0].lower() not in removed]
     lines += (f"{key}: {value}\r\n".encode() for key, value in changes.set)
     return b"".join(lines)
 
 
-def drawn(source: Source, headers: Mapping[str, str], query: Mapping[str, str], captured: Mapping[str, str]) -> str:
-    """What a tenant's or key's source says for this request; empty where it says nothing."""
+def extract_value(
+    source: Source, headers: Mapping[str, str], query: Mapping[str, str], captured: Mapping[str, str]
+) -> str:
+    """Return the value of a tenant's or key's source in this request; empty if the request has none."""
     if source.header:
         return headers.get(source.header, "")
     if source.path:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -1,4 +1,4 @@
-"""Request coalescing of the daemon: carries out the desk's actions on callers, clusters and timers."""
+"""Request coalescing of the daemon: carries out the actions that the coalescing logic (joining/desk.py) decides on."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
 
-MAX_ANSWERS_PER_TURN = 32  # in one turn of the event loop, so that other reads and timers run between
-COPIES_MEMORY_SHARE = 0.25  # of the memory limit, for copies of one answer whose callers read slowly
-RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # nothing tells when there will be capacity to wait
+MAX_RESPONSES_PER_TURN = 32  # written in one turn of the event loop, so that reads and timers run between turns
+COPIES_MEMORY_SHARE = 0.25  # share of the memory limit for copies of one response whose callers read slowly
+RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # it is not known when there will be room to wait
 
 Submit = Callable[[RequestContext, Answerable], None]
 Write = Callable[["WaitingRequest"], None]
@@ -29,21 +29,21 @@
 
 @dataclass(slots=True)
 class WaitingRequest:
-    """One read that waits for the answer of a shared call."""
+    """One read that waits for the response of a shared call."""
 
     number: int
     context: RequestContext
     caller: Answerable
 
     def request_id(self) -> bytes | None:
-        """Return the id that its caller gave it."""
+        """Return the id that the caller gave the request."""
         return self.context.request.headers.get(b"x-request-id")
 
 
 class SharedCall:
-    """One call for several waiting requests: the cluster sees one caller, and its answer goes to all of them.
+    """One call for several waiting requests: the cluster sees one caller, and its response goes to all of them.
 
-    It is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.Form).
+    The shared call is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.Form).
     """
 
     def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
@@ -56,7 +56,7 @@
         self._form = first.context.request.form
         if self._form is not None:
             self.context.request = replace(self.context.request, form=self)
-        self._stream_receiver: WaitingRequest | None = None  # the request that a streamed answer goes to
+        self._stream_receiver: WaitingRequest | None = None  # the request that a streamed response goes to
 
     def admit(self) -> None:
         """Do nothing: the waiting requests were admitted before."""
@@ -77,13 +77,13 @@
         assert self._form is not None
         return self._form.plain(request)
 
-    # ---- the answer ------------------------------------------------------------------------------
+    # ---- the response ----------------------------------------------------------------------------
 
     def passing(self) -> None:
-        """Return None: an answer for several requests is complete before any of them gets it."""
+        """Return None: a response for several requests is complete before any of them gets it."""
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
-        """Pass the final answer on to all waiting requests."""
+        """Send the final response to all waiting requests."""
 
         def write(waiting: WaitingRequest) -> None:
             waiting.caller.answer(status, worded_for(head, waiting.request_id()), body, length)
@@ -91,7 +91,7 @@
         self._finish(status, head, b"", len(body), write)
 
     def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
-        """Pass on the answer of a gRPC backend, or the rest of one that was begun."""
+        """Send the response of a gRPC backend, or the rest of a streamed one."""
 
         def write(waiting: WaitingRequest) -> None:
             waiting.caller.gone = None
@@ -109,13 +109,13 @@
         if context.ending is Ending.REJECTED:
             self._coalescer.reject_call(self.number, write)
             return
-        # A failure concerns all, unless the backend's answer depends on the caller.
-        said = head if context.ending is Ending.SERVED else b""
-        among = depends(context.backend_status, said, join, trailers)
-        self._coalescer.finish_call(self.number, among, size, write)
+        # A failure goes to all waiting requests, unless the backend's response depends on the caller.
+        compared_head = head if context.ending is Ending.SERVED else b""
+        varies_by = depends(context.backend_status, compared_head, join, trailers)
+        self._coalescer.finish_call(self.number, varies_by, size, write)
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
-        """Pass a streamed answer on to the request that the call was made for; the others get calls of their own."""
+        """Stream a response to the request that the call was made for; the others get calls of their own."""
         receiver = self._coalescer.take_streaming_request(self.number)
         if receiver is None:
             if self.gone is not None:
@@ -145,27 +145,29 @@
         self._submit = submit
         self._loop = asyncio.get_running_loop()
         self.desk = Desk(0)
-        self._max_copied_bytes = 0  # in all copies of one answer together
+        self._max_copied_bytes = 0  # in all copies of one response together
         self._waiting: dict[int, WaitingRequest] = {}
         self._shared_calls: dict[int, SharedCall] = {}
         self._request_count = 0
         self._pending_actions: deque[Action] = deque()
         self._is_acting = False
-        self._pending_answers: deque[tuple[WaitingRequest, Write]] = deque()  # decided, not yet written
+        self._pending_responses: deque[tuple[WaitingRequest, Write]] = deque()  # responses to write
         self._is_writing = False
         self._timer: asyncio.TimerHandle | None = None
 
     def tune(self, max_waiting: int, memory_limit_bytes: int) -> None:
-        """Set how many reads may wait for others' calls, and the memory limit that copies of answers share."""
+        """Set how many reads may wait for others' calls, and the memory limit that copies of responses share."""
         self.desk.most = max_waiting
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
-    def coalesce(self, came: Request, context: RequestContext, route: Hashable, join: Join, caller: Answerable) -> None:
-        """Share a call with equal reads where that is possible; `came` is the request as received, before routing."""
+    def coalesce(
+        self, received: Request, context: RequestContext, route: Hashable, join: Join, caller: Answerable
+    ) -> None:
+        """Share a call with equal reads where that is possible; `received` is the request before routing."""
         form = context.request.form
         bound = form is not None and form.bound
         tenant = _tenant_key(context.tenant)
-        key = None if bound else key_of(came, context.request, route, tenant, join)
+        key = None if bound else key_of(received, context.request, route, tenant, join)
         self._request_count += 1
         if key is None:
             self._submit(context, caller)
@@ -180,12 +182,12 @@
                 join.within,
                 tenant,
                 context.deadline,
-                told_of(came, tenant, join),
+                told_of(received, tenant, join),
             )
         )
 
     def record_write(self, tenant: str) -> None:
-        """Record that a request that may have changed something was answered: later reads get no older answer."""
+        """Record the end of a request that may have changed something, so that later reads get no older response."""
         self.desk.wrote(self._loop.time(), _tenant_key(tenant))
 
     def _caller_disconnected(self, waiting: WaitingRequest) -> None:
@@ -194,37 +196,40 @@
 
     # ---- events of shared calls -----------------------------------------------------------------------
 
-    def finish_call(self, number: int, among: frozenset[bytes] | None, size: int, write: Write) -> None:
-        """Give the answer of a shared call, with a body of `size` bytes, to the requests that may have it."""
-        most = max(1, self._max_copied_bytes // max(1, size))
-        self._carry_out(self.desk.ended(self._loop.time(), number, among, most), write)
+    def finish_call(self, number: int, varies_by: frozenset[bytes] | None, size: int, write: Write) -> None:
+        """Send the response of a shared call, with a body of `size` bytes, to the requests that may share it.
+
+        `varies_by` is what the response depends on, as `joining.sharing.depends` returns it.
+        """
+        max_recipients = max(1, self._max_copied_bytes // max(1, size))
+        self._carry_out(self.desk.ended(self._loop.time(), number, varies_by, max_recipients), write)
         self._shared_calls.pop(number, None)
 
     def reject_call(self, number: int, write: Write) -> None:
-        """Pass on the rejection of a shared call, of which no attempt was made."""
+        """Send the rejection of a shared call of which no attempt was made."""
         self._carry_out(self.desk.refused(self._loop.time(), number), write)
         self._shared_calls.pop(number, None)
 
     def take_streaming_request(self, number: int) -> WaitingRequest | None:
-        """Return the request that a streamed answer goes to, if it still waits; the others leave the call."""
+        """Return the request that a streamed response goes to, if it still waits; the others leave the call."""
         self._shared_calls.pop(number, None)
         actions = self.desk.parted(self._loop.time(), number)
-        kept = [action for action in actions if isinstance(action, Give)]
+        receivers = [action for action in actions if isinstance(action, Give)]
         self._carry_out([action for action in actions if not isinstance(action, Give)])
-        return self._waiting.pop(kept[0].member) if kept else None
+        return self._waiting.pop(receivers[0].member) if receivers else None
 
-    # ---- the desk's actions ----------------------------------------------------------------------
+    # ---- actions ---------------------------------------------------------------------------------
 
     def _carry_out(self, actions: list[Action], write: Write | None = None) -> None:
-        """Carry out actions one after another; those that follow from one come after all earlier ones."""
+        """Carry out actions in order; an action that is caused by another one comes after all that already wait."""
         for action in actions:
             if isinstance(action, Give):
                 assert write is not None
-                self._pending_answers.append((self._waiting[action.member], write))
+                self._pending_responses.append((self._waiting[action.member], write))
             else:
                 self._pending_actions.append(action)
         if not self._is_writing:
-            self._write_next_answers()
+            self._write_next_responses()
         if self._is_acting:
             return
         self._is_acting = True
@@ -256,7 +261,7 @@
                 shared_call.context.cluster.pool.change_deadline(shared_call.context.call, deadline)
 
     def _separate(self, waiting: WaitingRequest | None, action: Action) -> None:
-        """Take a request out of its shared call, with a call of its own or an error."""
+        """Remove a request from its shared call: it gets a call of its own or an error."""
         if waiting is None:
             return
         if isinstance(action, Alone):
@@ -267,7 +272,7 @@
             waiting.caller.answer(503, RETRY_AFTER_HEADER, b"no place to wait\n")
 
     def _schedule_timer(self) -> None:
-        """Set the timer to the next request whose deadline is before its shared call's."""
+        """Schedule the timer for the next request whose deadline is earlier than its shared call's."""
         due = self.desk.next_due()
         if self._timer is not None:
             if due is not None and self._timer.when() <= due:
@@ -279,23 +284,23 @@
         self._timer = None
         self._carry_out(self.desk.due(self._loop.time()))
 
-    # ---- answers -----------------------------------------------------------------------------------
+    # ---- responses ---------------------------------------------------------------------------------
 
-    def _write_next_answers(self) -> None:
-        """Write pending answers, a few in each turn of the event loop."""
+    def _write_next_responses(self) -> None:
+        """Write pending responses, a few in each turn of the event loop."""
         self._is_writing = True
         try:
-            for _ in range(min(MAX_ANSWERS_PER_TURN, len(self._pending_answers))):
-                waiting, write = self._pending_answers.popleft()
-                if self._waiting.pop(waiting.number, None) is not None:  # else its caller has disconnected meanwhile
-                    self._write_answer(waiting, write)
+            for _ in range(min(MAX_RESPONSES_PER_TURN, len(self._pending_responses))):
+                waiting, write = self._pending_responses.popleft()
+                if self._waiting.pop(waiting.number, None) is not None:  # otherwise the caller has disconnected
+                    self._write_response(waiting, write)
         finally:
-            self._is_writing = bool(self._pending_answers)
+            self._is_writing = bool(self._pending_responses)
             if self._is_writing:
-                self._loop.call_soon(self._write_next_answers)
+                self._loop.call_soon(self._write_next_responses)
 
-    def _write_answer(self, waiting: WaitingRequest, write: Write) -> None:
-        if self._loop.time() > waiting.context.deadline:  # Guards its deadline against a late event loop.
+    def _write_response(self, waiting: WaitingRequest, write: Write) -> None:
+        if self._loop.time() > waiting.context.deadline:  # The deadline has passed, but its timer is late.
             waiting.caller.answer(504, b"", b"the time is up\n")
         else:
             write(waiting)
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -400,11 +400,11 @@
 
 
 def test_a_few_answers_are_written_in_each_turn_of_the_loop(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_coalescing, "MAX_ANSWERS_PER_TURN", 3)
+    monkeypatch.setattr(request_coalescing, "MAX_RESPONSES_PER_TURN", 3)
 
     async def body(up: Served, one: Backend) -> None:
         clients = await asking(up, *(ask() for _ in range(20)))
-        up.daemon.coalescer._write_next_answers()  # nothing is promised yet: harmless
+        up.daemon.coalescer._write_next_responses()  # nothing is promised yet: harmless
         reply(one, OK)
         clients[-1].writer.transport.abort()  # one leaves between the promise and its turn, or before
         assert {status(await client.answer()) for client in clients[:-1]} == {200}
