--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -1,4 +1,4 @@
-"""One upstream cluster of the daemon: pool, source of endpoints, health, and settings over reloads."""
+"""One upstream cluster of the daemon: its pool, endpoint source, health, and settings over reloads."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
     from lugspur.http2.upstream import Streams
 
-GRPC_HOST_TYPE = 1  # host type of gRPC backends in the decision module: streams are sent to these only
+GRPC_HOST_TYPE = 1  # host type of gRPC backends in the balancer: streams are sent to these only
 IDLE_CHECK_INTERVAL_SECONDS = 0.1  # between checks whether a removed cluster has finished its last request
 
 
-def classify_answer(status: int, unseen: bool) -> Outcome:
-    """Return the outcome of an attempt that an ordinary backend answered with this status.
+def classify_response(status: int, unseen: bool) -> Outcome:
+    """Return the outcome of an attempt to which an ordinary backend responded with this status.
 
-    Below 500 the backend did its work, whatever it answered, except for 408 and 429, by which it gave up. 501
+    A status below 500 means that the backend did its work, except for 408 and 429, by which it gave up. 501
     concerns the request too: another backend would not support it either.
     Only `X-Not-Processed: 1` (`unseen`) proves that nothing ran.
     """
@@ -62,9 +62,9 @@
         self._source_key: object = None  # the settings that the source was created from
         self._source: EndpointSource | None = None
         self.pool: Pool
-        self.speaks_grpc = False  # whether any backend does
+        self.speaks_grpc = False  # whether any backend speaks gRPC
         self._streams: Streams | None = None  # connections to gRPC backends
-        self._byte_limits = 0, 0  # bytes of all incomplete answers, and of one answer
+        self._byte_limits = 0, 0  # bytes of all incomplete responses, and of one response
         self._tenant_indexes: dict[str, int] = {}
         self._list_changes = 0  # endpoint lists and changes received so far
         self.on_connection_attempt: Callable[[str, int, bool], None] | None = (
@@ -83,7 +83,7 @@
         snapshot: PoolSnapshot | None = None,
         snapshot_age: float | None = None,
     ) -> None:
-        """Put the pool's row of the file at `config_path` into force; statistics of backends are kept.
+        """Put the pool's settings in the file at `config_path` into force; statistics of backends are kept.
 
         `snapshot` is what an earlier process learned of the pool, `snapshot_age` its age in seconds, or None
         where that is unknown.
@@ -100,13 +100,13 @@
             )
         self._config = row
         self._tenant_indexes = {tenant.name: at for at, tenant in enumerate(settings.tenants)}
-        max_answer_bytes = limits.answer
-        self._byte_limits = max_held_bytes, max_answer_bytes
+        max_response_bytes = limits.answer
+        self._byte_limits = max_held_bytes, max_response_bytes
         upstream = self.pool.upstream
-        upstream.tune(row.keep, row.connect, max_held_bytes, max_answer_bytes, row.idle)
-        upstream.pass_from, upstream.pass_most, upstream.flow_most = limits.hold, max_answer_bytes, max_held_bytes
+        upstream.tune(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
+        upstream.pass_from, upstream.pass_most, upstream.flow_most = limits.hold, max_response_bytes, max_held_bytes
         if self._streams is not None:
-            self._streams.tune(row.keep, row.connect, max_held_bytes, max_answer_bytes)
+            self._streams.tune(row.keep, row.connect, max_held_bytes, max_response_bytes)
         if snapshot is not None:  # serves until the source has delivered a list
             self._publish(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, snapshot.endpoints))
         self._follow_source(row, config_path, registries)
@@ -147,7 +147,7 @@
             row.keep,
             row.connect,
             0,
-            judge=classify_answer,
+            judge=classify_response,
             dialled=self._record_connection_attempt,
         )
         seed = int.from_bytes(os.urandom(8), "big")
@@ -161,7 +161,7 @@
 
         if self._streams is None:
             assert self._config is not None
-            self._streams = Streams(self._sockets, self.name, classify_answer, self._record_connection_attempt)
+            self._streams = Streams(self._sockets, self.name, classify_response, self._record_connection_attempt)
             self._streams.tune(self._config.keep, self._config.connect, *self._byte_limits)
         return self._streams
 
@@ -222,7 +222,7 @@
         self._publish(kind, self.overrides.apply(kind, endpoints))
 
     def set_banned(self, server: int, is_banned: bool, now: float) -> None:
-        """Take a backend out of service, or put it back, on an operator's call."""
+        """Take a backend out of service, or let it serve again, at an operator's request."""
         changed = self.overrides.disable(server) if is_banned else self.overrides.enable(server, now)
         if changed:
             self._publish(ListUpdateKind.PATCH, changed)
@@ -250,7 +250,7 @@
     # ---- removal -----------------------------------------------------------------------------
 
     def close_when_idle(self, delay_seconds: float) -> None:
-        """Close after the last open request, in `delay_seconds` at the earliest; the file no longer names the pool.
+        """Close after the last open request, in `delay_seconds` at the earliest, since the file no longer has the pool.
 
         The delay protects requests whose bodies are still arriving: their heads were routed by the former file.
         """
--- a/lugspur/daemon/request_context.py
+++ b/lugspur/daemon/request_context.py
@@ -1,4 +1,4 @@
-"""The context of one request: what it began with, which no reload changes, and how its clusters ended it."""
+"""The context of one request: its configuration, which no reload changes, and how its clusters ended it."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     """How the upstream clusters ended a request."""
 
     SERVED = "served"
-    REJECTED = "turned away before any attempt"
-    FAILED = "failed, or refused after attempts"
+    REJECTED = "rejected before any attempt"
+    FAILED = "failed, or rejected after attempts"
 
 
 @dataclass(slots=True)
 class RequestContext:
-    """One request on its way through the upstream clusters that may serve it."""
+    """One request, and the upstream clusters that may serve it."""
 
     request_class: RequestClass
     forward: Forward
@@ -32,8 +32,8 @@
     deadline: float  # in the loop's time
     cluster: UpstreamCluster
     fallback_clusters: list[UpstreamCluster]  # clusters that may still take over
-    call: Call | None = None  # in the cluster that has it now
-    ending: Ending = Ending.FAILED  # as of its final answer
+    call: Call | None = None  # the call in the current cluster
+    ending: Ending = Ending.FAILED  # set before the final response
     expected_by: float = float("inf")  # in the loop's time; used while the body's end, and so the deadline, is unknown
-    streaming_caller: Passing | None = None  # receives the answer as it arrives; None for one that is sent complete
-    backend_status: int = 0  # status of the backend's answer behind the final one; 0 where there is none
+    streaming_caller: Passing | None = None  # receives a streamed response; None: the response is not streamed
+    backend_status: int = 0  # status of the backend's response that the final one is based on; 0: there is none
--- a/lugspur/daemon/request_policy.py
+++ b/lugspur/daemon/request_policy.py
@@ -1,7 +1,7 @@
-"""The request policy: by which class a request is judged while the settings change. No I/O.
+"""The request policy: which class applies to a request while the settings change. No I/O.
 
-Callers change over at some unknown moment after the signal. Until it has surely passed, a request is judged by the
-class that its method fits; where the former and the new class both fit, by what both allow.
+Callers switch to the new settings at some unknown moment after the signal. Until all have surely switched, the class
+that fits a request's method applies to it; if both the former and the new class fit, only what both allow is allowed.
 """
 
 from __future__ import annotations
@@ -11,8 +11,9 @@
 
 from lugspur.load_balancing.model import DeduplicationScope, RequestClass, Settings
 
-CHANGEOVER_SECONDS = 1.5  # after the signal, for callers to change over: 1.2 by the operators' page, and a late loop
-# A request of a former class may still take so long to arrive: 2 s for its head, the rest for its body.
+# After the signal, for callers to change over: 1.2 s by the operators' page, the rest for a late event loop.
+CHANGEOVER_SECONDS = 1.5
+# A request of a former class may take this long to arrive: 2 s for its head, the rest for its body.
 LATE_REQUEST_SECONDS = 4.0
 SCOPES_NARROWEST_FIRST = (DeduplicationScope.CELL, DeduplicationScope.ZONE, DeduplicationScope.ALL)
 
@@ -45,7 +46,7 @@
         return copy(self)
 
     def change_settings(self, settings: Settings, now: float) -> Settings:
-        """Put other settings into force; return those for the decision module, with the classes for the change-over."""
+        """Put other settings into force; return those for the balancer, with the classes for the change-over."""
         former_classes = {row.name: row for row in self._settings.classes}
         older_classes = self._former if now < self._changeover_ends_at else {}
         is_unchanged = self._settings == settings
@@ -70,7 +71,7 @@
         return self._settings
 
     def record_indexes(self, settings: Settings) -> None:
-        """Record the indexes at which the decision module has these classes."""
+        """Record the indexes at which the balancer has these classes."""
         known = {row: at for at, row in enumerate(settings.classes)}
         self._current, self._during_changeover = (
             {
@@ -94,5 +95,5 @@
         return found
 
     def classes_for(self, name: str, began: float) -> list[tuple[int, RequestClass]]:
-        """Return the classes of this name, with their indexes, that may judge a request that began then."""
+        """Return the classes of this name, with their indexes, that may apply to a request that began then."""
         return (self._during_changeover if began < self._changeover_ends_at else self._current).get(name, [])
