--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -251,7 +251,7 @@
             if event.topic == LEASES_TOPIC:
                 self._receive_lease_messages(event)
             elif event.topic == PROBING and self.probers is not None:
-                self.probers.heard(event.body)
+                self.probers.receive(event.body)
         elif isinstance(event, MemberChanged):
             self._record_member_change(event)
         elif isinstance(event, NameConflict):
@@ -343,7 +343,7 @@
         if isinstance(change, LeaseAcquired):
             return
         if self.probers is not None:
-            self.probers.turned(change)
+            self.probers.leadership_changed(change)
         what = "is ours" if change.is_leader else "is ours no more"
         self.log(f"duty {change.role} {what} under epoch {change.epoch}: {change.reason}")
 
@@ -431,7 +431,9 @@
                     "left": round(term.remaining(now), 3),
                 }
             )
-        down, vain = ({}, 0) if self.probers is None else (self.probers.down(), self.probers.vain)
+        down, vain = (
+            ({}, 0) if self.probers is None else (self.probers.excluded_backends(), self.probers.failed_connections)
+        )
         return json.dumps({"member": self._config.member, "duties": rows, "down": down, "vain": vain})
 
     def check_role(self, asked: str) -> tuple[int, str]:
