--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -35,7 +35,7 @@
 )
 from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore, PromiseStoreInUseError
 from lugspur.daemon.leases.voter import CandidateId, LeaseVoter
-from lugspur.daemon.probers import PROBING, Probers
+from lugspur.daemon.probers import HEALTH_CHECKS_TOPIC, Probers
 
 if TYPE_CHECKING:
     from lugspur.daemon.cluster import UpstreamCluster
@@ -250,7 +250,7 @@
         if isinstance(event, MessageReceived):
             if event.topic == LEASES_TOPIC:
                 self._receive_lease_messages(event)
-            elif event.topic == PROBING and self.probers is not None:
+            elif event.topic == HEALTH_CHECKS_TOPIC and self.probers is not None:
                 self.probers.receive(event.body)
         elif isinstance(event, MemberChanged):
             self._record_member_change(event)
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from lugspur.daemon.cluster import UpstreamCluster
 
-PROBING = 2  # topic of health check messages in gossip datagrams
+HEALTH_CHECKS_TOPIC = 2  # topic of health check messages in gossip datagrams
 FAILURE_REPORT_INTERVAL_SECONDS = 1.0  # minimum time between two reports of failed connections to one backend
 MAX_FAILED_BACKENDS = 1024  # backends whose latest connection failure is remembered
 
@@ -177,7 +177,7 @@
         names |= dict.fromkeys(self._peers.first_members(pool.role, STANDBY_CANDIDATES))
         for name in names:
             if name != self._peers.name:
-                self._peers.send_message(name, PROBING, encode_message(failure))
+                self._peers.send_message(name, HEALTH_CHECKS_TOPIC, encode_message(failure))
         self._peers.transport.flush()
 
     def leadership_changed(self, change: LeadershipChanged) -> None:
@@ -261,7 +261,7 @@
         report = HealthReport(name, epoch, pool.health_checker.sequence_number, names_that_fit(unhealthy))
         body = encode_message(report)
         for other in self._peers.other_members():
-            self._peers.send_message(other, PROBING, body)
+            self._peers.send_message(other, HEALTH_CHECKS_TOPIC, body)
         pool.received_reports.receive(now, report)
         self._apply_report(name, pool)
         self._peers.transport.flush()
--- a/tests/compatibility/test_health_reports.py
+++ b/tests/compatibility/test_health_reports.py
@@ -16,7 +16,7 @@
     decode_message,
     encode_message,
 )
-from lugspur.daemon.probers import PROBING
+from lugspur.daemon.probers import HEALTH_CHECKS_TOPIC
 
 FORMS: dict[str, tuple[Message, str]] = {
     "report of a failed connection": (
@@ -56,4 +56,4 @@
 
 
 def test_the_topic_under_which_reports_travel() -> None:
-    assert PROBING == 2
+    assert HEALTH_CHECKS_TOPIC == 2
