--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -1,4 +1,4 @@
-"""The daemon among its peers: its membership in the fleet, its singleton roles, and its lease voter if it is one."""
+"""The daemon in its fleet: its membership, its singleton roles, and its lease voter if it is one of the voters."""
 
 from __future__ import annotations
 
@@ -44,11 +44,16 @@
 MAX_MESSAGES_PER_DATAGRAM = 7  # each takes up to some 150 bytes
 # Messages that hand over a role are repeated, because a datagram may be lost.
 HAND_OVER_REPEAT_DELAYS_SECONDS = (0.03, 0.09)
-STATUS_TEXTS = {Status.ALIVE: "is there", Status.SUSPECT: "is doubted", Status.DEAD: "is gone", Status.LEFT: "has left"}
+STATUS_TEXTS = {
+    Status.ALIVE: "is alive",
+    Status.SUSPECT: "is suspected",
+    Status.DEAD: "is dead",
+    Status.LEFT: "has left",
+}
 
 
 class Peers:
-    """Runs one daemon's membership in its fleet; `log` writes a line to the log."""
+    """The membership of one daemon in its fleet; `log` writes a line to the log."""
 
     def __init__(self, row: model.Fleet, zone: str, config_path: str, log: Callable[[str], None]) -> None:
         self._config, self._config_path, self.log = row, config_path, log
@@ -74,18 +79,18 @@
         """Join the fleet; raises OSError if the address, the key or the voter's directory can't be used."""
         row = self._config
         assert row.bind is not None
-        wire = DatagramCodec(row.name, self._read_key())
+        codec = DatagramCodec(row.name, self._read_key())
         if row.member in row.electors:
             self._open_voter()
         try:
             sock = bind_socket(row.bind)
-        except OSError as fault:
+        except OSError as error:
             self._close_promise_store()
             host, port = row.bind
-            raise OSError(f"fleet can't have {host}:{port}: {fault.strerror or fault}") from fault
+            raise OSError(f"fleet can't have {host}:{port}: {error.strerror or error}") from error
         host, port = row.advertise or sock.getsockname()[:2]
         fleet = GossipProtocol(
-            codec=wire,
+            codec=codec,
             name=row.member,
             address=(host, port),
             metadata=self._metadata,
@@ -100,8 +105,8 @@
             path = resolved(row.history, self._config_path)
             try:
                 self._history = open(path, "a", buffering=1, encoding="utf-8")  # noqa: SIM115  (until `close`)
-            except OSError as fault:
-                raise OSError(f"fleet: history {path}: {fault.strerror or fault}") from fault
+            except OSError as error:
+                raise OSError(f"fleet: history {path}: {error.strerror or error}") from error
         for role in row.duties:
             self.request_role(role)
         self.log(f"member {row.member} of {row.name} at {host}:{port}")
@@ -114,8 +119,8 @@
         try:
             with open(path, "rb") as file:
                 key = file.read(MAX_KEY_BYTES + 1)
-        except OSError as fault:
-            raise OSError(f"fleet: key {path}: {fault.strerror or fault}") from fault
+        except OSError as error:
+            raise OSError(f"fleet: key {path}: {error.strerror or error}") from error
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
             raise OSError(f"fleet: key {path}: it has to have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
         return key
@@ -127,16 +132,16 @@
             folder = resolved(row.folder, self._config_path)
             try:
                 self._promise_store = PromiseStore(folder, row.member, row.lease)
-            except PromiseStoreInUseError as fault:
-                raise OSError(f"fleet: {folder} is another elector's, which runs") from fault
-            except CorruptPromiseStoreError as fault:
-                # Guards against epochs that go back: only operators can know that nothing was promised since.
-                raise OSError(f"fleet: {folder}: promises can't be read: {fault}") from fault
-            except OSError as fault:
-                raise OSError(f"fleet: {folder}: {fault.strerror or fault}") from fault
+            except PromiseStoreInUseError as error:
+                raise OSError(f"fleet: {folder} is in use by another elector") from error
+            except CorruptPromiseStoreError as error:
+                # Without them, epochs could go back; only operators can know that nothing was promised since.
+                raise OSError(f"fleet: {folder}: promises can't be read: {error}") from error
+            except OSError as error:
+                raise OSError(f"fleet: {folder}: {error.strerror or error}") from error
             lease, promises = self._promise_store.lease_seconds, self._promise_store.promises
             if self._promise_store.is_new:
-                self.log(f"elector {row.member} remembers nothing: a new one, or its folder was lost")
+                self.log(f"elector {row.member} has no promises on disk: it is new, or its folder was lost")
         self.voter = LeaseVoter(lease, clock.now(), promises, int(time.time() * 1000))
 
     def _close_promise_store(self) -> None:
@@ -256,8 +261,12 @@
             self._record_member_change(event)
         elif isinstance(event, NameConflict):
             host, port = event.address
-            done = "this one is the younger and is silent for a while" if event.is_yielding else "it is the younger"
-            self.log(f"another process at {host}:{port} uses the name {self._config.member}: {done}")
+            resolution = (
+                "this process is the younger one and sends nothing for a while"
+                if event.is_yielding
+                else "the other is the younger one"
+            )
+            self.log(f"another process at {host}:{port} uses the name {self._config.member}: {resolution}")
 
     def _record_member_change(self, event: MemberChanged) -> None:
         record, former = event.record, event.previous
@@ -293,7 +302,7 @@
 
     def _run_due_candidates(self, now: float) -> None:
         """Run the candidates that are due; messages between them and this process's own voter need no datagram."""
-        out: list[tuple[str, Message]] = []
+        remote_messages: list[tuple[str, Message]] = []
         for candidate in self.candidates.values():
             if now >= candidate.due():
                 candidate.tick(now)
@@ -308,13 +317,13 @@
                 if name == local_id.name:
                     self._route_lease_message(local_id, message)
                 else:
-                    out.append((name, message))
+                    remote_messages.append((name, message))
         for candidate in self.candidates.values():
             for event in candidate.take_events():
                 self._record_leadership(event)
         if self._promise_store is not None and self.voter is not None and self.voter.unsaved and not self._is_saving:
             self._save_promises(self._promise_store, self.voter)
-        self._send_messages(out)
+        self._send_messages(remote_messages)
 
     def _send_messages(self, messages: list[tuple[str, Message]]) -> None:
         """Send messages, those of one member in as few datagrams as they fit."""
@@ -350,32 +359,32 @@
     # ---- the voter's promises -----------------------------------------------------------------------
 
     def _save_promises(self, promise_store: PromiseStore, voter: LeaseVoter) -> None:
-        """Save promises to disk in a thread; the voter grants them only after that."""
+        """Save promises to disk in a thread; the voter grants the leases only after that."""
         promises = voter.promises()
         roles, voter.unsaved = list(voter.unsaved), {}
         self._is_saving = True
 
-        def done(fault: OSError | None) -> None:
+        def done(error: OSError | None) -> None:
             self._is_saving = False
-            if fault is None:
+            if error is None:
                 voter.confirm_saved(clock.now(), roles)
             else:
-                self.log(f"promises can't be written, so none are given: {fault.strerror or fault}")
+                self.log(f"promises can't be written, so no leases are granted: {error.strerror or error}")
                 voter.report_save_failure(roles)
             self.transport.flush()
 
-        def work() -> None:
-            fault = None
+        def write() -> None:
+            error = None
             try:
                 promise_store.write(promises)
             except OSError as raised:
-                fault = raised
-            with suppress(RuntimeError):  # the loop has closed, so nobody waits any more
-                self._loop.call_soon_threadsafe(done, fault)
+                error = raised
+            with suppress(RuntimeError):  # the loop has closed, so there is nothing to report to
+                self._loop.call_soon_threadsafe(done, error)
 
-        threading.Thread(target=work, name="promises", daemon=True).start()
+        threading.Thread(target=write, name="promises", daemon=True).start()
 
-    # ---- admin answers ------------------------------------------------------------------------
+    # ---- admin responses ----------------------------------------------------------------------
 
     def members_json(self) -> str:
         """Return all known members as one line of JSON."""
@@ -421,26 +430,31 @@
         rows = []
         for role, candidate in sorted(self.candidates.items()):
             term = candidate.term
-            held = candidate.fencing_token(now) is not None
+            is_leader = candidate.fencing_token(now) is not None
             rows.append(
                 {
                     "duty": role,
-                    "ours": held,
-                    "epoch": term.epoch if held else term.highest_epoch,
-                    "holder": self._config.member if held else term.holder,
+                    "ours": is_leader,
+                    "epoch": term.epoch if is_leader else term.highest_epoch,
+                    "holder": self._config.member if is_leader else term.holder,
                     "left": round(term.remaining(now), 3),
                 }
             )
-        down, vain = (
+        unhealthy, failed_connections = (
             ({}, 0) if self.probers is None else (self.probers.excluded_backends(), self.probers.failed_connections)
         )
-        return json.dumps({"member": self._config.member, "duties": rows, "down": down, "vain": vain})
+        return json.dumps(
+            {"member": self._config.member, "duties": rows, "down": unhealthy, "vain": failed_connections}
+        )
+
+    def check_role(self, request: str) -> tuple[int, str]:
+        """Return the status and body for `ROLE [SECONDS]`: whether such an action may begin here under the role.
 
-    def check_role(self, asked: str) -> tuple[int, str]:
-        """Answer `ROLE [SECONDS]`: whether an action of that duration may begin here under the role, and its epoch."""
-        role, _, needs = asked.partition(" ")
+        The body of a permission has the epoch, which is the fencing token.
+        """
+        role, _, duration = request.partition(" ")
         try:
-            seconds = float(needs or 0.0)
+            seconds = float(duration or 0.0)
         except ValueError:
             return 400, "the body has to be a duty's name, and seconds if you like"
         if role not in self.candidates:
