--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -29,7 +29,7 @@
 
 
 class Running:
-    """The daemon with its listeners, by one file that may be read again."""
+    """The daemon with its listeners, configured by one file that can be reloaded."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -37,27 +37,27 @@
         self.registrations = ListenerRegistrations(self.daemon.registries)
         self.listeners: dict[str, Listening] = {}
         self._rows: dict[str, model.Listener] = {}
-        self._leaving: set[asyncio.Task[None]] = set()
-        self._reloading: asyncio.Task[None] | None = None
-        self._again = False
+        self._drain_tasks: set[asyncio.Task[None]] = set()
+        self._reload_task: asyncio.Task[None] | None = None
+        self._reload_again = False
         self.admin: DaemonAdmin | None = None
         self.peers: Peers | None = None
 
     async def start(self, plan: Plan) -> None:
-        """Begin; raises OSError, with the listener's name, where an address can't be had."""
+        """Start all parts; raises OSError, with the listener's name, if an address can't be bound."""
         row = plan.file.state
         if row.folder:
-            # Imported only here: a daemon that keeps nothing has no use for it.
+            # Imported only here: a daemon without persistence does not need it.
             from lugspur.daemon.state_persistence import StatePersistence
 
             self.daemon.state_persistence = StatePersistence(row.folder, row.every, self.path)
             await self.daemon.state_persistence.open()
         try:
             if plan.file.fleet.name:
-                # Imported only here: a daemon that is alone has no use for it.
+                # Imported only here: a daemon without a fleet does not need it.
                 from lugspur.daemon.peers import Peers
 
-                peers = Peers(plan.file.fleet, plan.file.daemon.zone, self.path, _say_fleet)
+                peers = Peers(plan.file.fleet, plan.file.daemon.zone, self.path, _log_fleet)
                 peers.open()
                 self.peers = peers
             await self._apply(plan)
@@ -84,7 +84,7 @@
         }
 
     def _on_drain(self, on: bool) -> None:
-        """Who sends its callers away holds no duties either."""
+        """Give up all roles while the daemon is drained, and campaign for them again afterwards."""
         if self.peers is not None:
             if on:
                 self.peers.hand_over_roles()
@@ -92,54 +92,56 @@
                 self.peers.reclaim_roles()
 
     def addresses(self) -> dict[str, tuple[str, int]]:
-        """Where each listener can be reached."""
+        """Return the address of each listener by its name."""
         return {name: sock.getsockname()[:2] for name, (_, sock) in self.listeners.items()}
 
     # ---- reload ------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Read the file again; one reload at a time, and another one after it if it was asked for meanwhile."""
-        if self._reloading is None:
-            self._reloading = asyncio.get_running_loop().create_task(self._reload())
+        """Reload the file; a request during a reload causes one more reload after it."""
+        if self._reload_task is None:
+            self._reload_task = asyncio.get_running_loop().create_task(self._reload())
         else:
-            self._again = True
+            self._reload_again = True
 
     async def reloaded(self) -> None:
-        """Wait until no reload is under way."""
-        while self._reloading is not None:
-            await asyncio.shield(self._reloading)
+        """Wait until no reload is in progress."""
+        while self._reload_task is not None:
+            await asyncio.shield(self._reload_task)
 
     async def _reload(self) -> None:
         try:
             while True:
-                self._again = False
+                self._reload_again = False
                 await self._reload_once()
-                if not self._again:
+                if not self._reload_again:
                     return
         finally:
-            self._reloading = None
+            self._reload_task = None
 
     async def _reload_once(self) -> None:
-        """Check it whole, then swap it in one step; one with a fault changes nothing."""
+        """Check the whole file, then put it into force in one step; an invalid file changes nothing."""
         try:
-            # In a thread: ten thousand routes take a second or two, and requests must not wait for them.
+            # In a thread: a file of ten thousand routes takes a second or two, for which requests must not wait.
             plan = await asyncio.to_thread(load, self.path)
             await self._apply(plan)
-        except FileFaults as fault:
-            more = f" (and {len(fault.lines) - 1} more; see lugspur check)" if len(fault.lines) > 1 else ""
-            _say(f"reload: nothing is changed: {fault.lines[0]}{more}")
-        except OSError as fault:
-            _say(f"reload: nothing is changed: {fault}")
+        except FileFaults as error:
+            more = f" (and {len(error.lines) - 1} more; see lugspur check)" if len(error.lines) > 1 else ""
+            _log(f"reload: nothing is changed: {error.lines[0]}{more}")
+        except OSError as error:
+            _log(f"reload: nothing is changed: {error}")
         else:
-            _say("reload: done")
+            _log("reload: done")
 
     async def _apply(self, plan: Plan) -> None:
-        """Take the new listeners' addresses first: what can fail comes before anything is changed."""
+        """Put a plan into force; new addresses are bound first, so that a failure leaves everything unchanged."""
         rows = plan.file.listeners
-        kept = {
-            name for name, row in rows.items() if name in self.listeners and _terms(self._rows[name]) == _terms(row)
+        unchanged = {
+            name
+            for name, row in rows.items()
+            if name in self.listeners and _listener_settings(self._rows[name]) == _listener_settings(row)
         }
-        taken = {sock.getsockname()[:2]: sock for _, sock in self.listeners.values()}
+        bound_before = {sock.getsockname()[:2]: sock for _, sock in self.listeners.values()}
         bound: dict[str, socket.socket] = {}
         admin_listener = None
         try:
@@ -155,10 +157,10 @@
             if self.admin is not None:
                 admin_listener = await self.admin.prepare(plan.file.management)
             for name, row in rows.items():
-                if name not in kept:
-                    # The same address under other terms or another name: its queue of connections goes on.
-                    ours = taken.get(row.address)
-                    bound[name] = _bind(name, row) if ours is None else ours.dup()
+                if name not in unchanged:
+                    # An address that stays keeps its socket, and so its backlog, if its settings or name change.
+                    former_socket = bound_before.get(row.address)
+                    bound[name] = _bind(name, row) if former_socket is None else former_socket.dup()
         except OSError:
             for sock in bound.values():
                 sock.close()
@@ -166,42 +168,42 @@
                 admin_listener.close()
             raise
         addresses = {name: sock.getsockname()[:2] for name, sock in bound.items()}
-        addresses |= {name: address for name, address in self.addresses().items() if name in kept}
+        addresses |= {name: address for name, address in self.addresses().items() if name in unchanged}
         self.registrations.deregister_changed(plan.file, addresses)
         self.daemon.apply(plan, self.path)
-        for name in self.listeners.keys() - kept:
-            self._leave(name)
+        for name in self.listeners.keys() - unchanged:
+            self._start_drain(name)
         for name, sock in bound.items():
             front = self.daemon.create_front(rows[name])
             self.listeners[name] = front, await front.listen(sock)
-        for name in kept:
+        for name in unchanged:
             self.daemon.apply_limits(self.listeners[name][0])
         self._rows = dict(rows)
         if self.admin is not None:
             self.admin.use(plan.file.management, admin_listener)
-            if self.admin.is_drained:  # new listeners too
+            if self.admin.is_drained:  # so that new listeners drain too
                 self.admin.drain()
         self.registrations.register(plan.file, addresses)
         if self.peers is not None:
             self.peers.apply(plan.file, lambda: self.daemon.clusters)
 
-    def _leave(self, name: str) -> None:
+    def _start_drain(self, name: str) -> None:
         task = asyncio.get_running_loop().create_task(drain(*self.listeners.pop(name)))
-        self._leaving.add(task)
-        task.add_done_callback(self._leaving.discard)
+        self._drain_tasks.add(task)
+        task.add_done_callback(self._drain_tasks.discard)
 
-    # ---- the end -----------------------------------------------------------------------------
+    # ---- shutdown ----------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Tell registries first, finish what was taken, then let go of everything."""
+        """Hand over roles and deregister the listeners, finish open requests, and then release all resources."""
         if self.peers is not None:
             self.peers.hand_over_roles()
         await self.registrations.deregister_all()
         if self.admin is not None:
             self.admin.close()
         for name in tuple(self.listeners):
-            self._leave(name)
-        await asyncio.gather(*self._leaving)
+            self._start_drain(name)
+        await asyncio.gather(*self._drain_tasks)
         if self.daemon.state_persistence is not None:
             await self.daemon.state_persistence.close()
         for cluster in self.daemon.clusters.values():
@@ -212,8 +214,8 @@
             self.peers.close()
 
 
-def _terms(row: model.Listener) -> model.Listener:
-    """What of a row needs another listener where it changes."""
+def _listener_settings(row: model.Listener) -> model.Listener:
+    """Return the settings of a listener whose change requires another listener."""
     return replace(row, register=None)
 
 
@@ -224,27 +226,28 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
         sock.bind((host, port))
-        sock.listen(BACKLOG)  # now, since it may fail where another socket is bound: nothing is changed yet
-    except OSError as fault:
+        # Listening may fail if another socket is bound to the address, so it starts here, before anything is changed.
+        sock.listen(BACKLOG)
+    except OSError as error:
         sock.close()
-        raise OSError(f"listener {name} can't have {host}:{port}: {fault.strerror or fault}") from fault
+        raise OSError(f"listener {name} can't have {host}:{port}: {error.strerror or error}") from error
     return sock
 
 
-def _say(line: str) -> None:
+def _log(line: str) -> None:
     print(f"lugspur: {line}", file=sys.stderr, flush=True)
 
 
-def _say_fleet(line: str) -> None:
-    _say(f"fleet: {line}")
+def _log_fleet(line: str) -> None:
+    _log(f"fleet: {line}")
 
 
 async def serve(path: str, plan: Plan, ready: Callable[[Running], None]) -> None:
-    """Run until SIGTERM or SIGINT, then finish what was taken; SIGHUP reads the file again."""
+    """Run until SIGTERM or SIGINT, then finish open requests; SIGHUP reloads the file."""
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     invariants.add_listener(invariants.log_to_standard_error)
     running = Running(path)
     await running.start(plan)
@@ -252,5 +255,5 @@
     gc.collect()
     gc.freeze()
     ready(running)
-    await told.wait()
+    await stop_requested.wait()
     await running.stop()
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -20,25 +20,26 @@
     from lugspur.daemon.hot_restart.hot_restart import HotRestart
     from lugspur.daemon.hot_restart.takeover import Takeover
 
-LISTEN_LEAST, LISTEN_MOST = 0.45, 0.6  # seconds after SIGTERM in which new connections are still taken...
-LISTEN_QUIET = 0.1  # ...until none has come for so long
-CLOSE_AFTER = 0.02  # seconds in which what has just been accepted can still be read
+# After SIGTERM, new connections are accepted for at least and at most this long.
+LISTEN_LEAST, MAX_LISTEN_SECONDS = 0.45, 0.6
+LISTEN_QUIET = 0.1  # between the two limits, listening ends once no connection has arrived for this long
+READ_SECONDS = 0.02  # time in which requests of connections that have just been accepted can still be read
 
 
 class StartError(Exception):
-    """The proxy can't take up service."""
+    """The proxy can't start."""
 
 
 async def serve(config: Config) -> None:
-    """Run until SIGTERM, then finish what was taken."""
+    """Run until SIGTERM or SIGINT, then finish open requests."""
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     hot_restart: HotRestart | None = None
     takeover: Takeover | None = None
     if config.management is not None:
-        # Imported only here: a proxy without a second address stays lean, and alone under its address.
+        # Imported only here, to save memory in a proxy without an admin listener, which has no hot restart either.
         from lugspur.daemon.hot_restart.hot_restart import HotRestart
 
         hot_restart = HotRestart(config.listen)
@@ -53,8 +54,8 @@
         admin_listener = AdminListener(config.management, admin_actions(proxy))
         try:
             await admin_listener.open()
-        except OSError as fault:
-            raise StartError(f"management {config.management[0]}:{config.management[1]}: {fault}") from fault
+        except OSError as error:
+            raise StartError(f"management {config.management[0]}:{config.management[1]}: {error}") from error
     listener = await front.listen(None if takeover is None else takeover.listener, hot_restart is not None)
     if hot_restart is not None:
         proxy.on_ready = hot_restart.announce_ready
@@ -65,7 +66,7 @@
     proxy.begin()
     gc.collect()
     gc.freeze()
-    await told.wait()
+    await stop_requested.wait()
     if hot_restart is not None and hot_restart.has_successor():
         await transfer_connections(proxy, listener, hot_restart)
     else:
@@ -75,26 +76,26 @@
 
 
 def reload(proxy: Proxy) -> None:
-    """Read the configuration file again; one that can't be read changes nothing."""
+    """Reload the configuration file; an invalid one changes nothing."""
     try:
-        # The file alone: the environment still names the discovery of the start.
+        # Only the file: the environment still has the discovery address of the start.
         config = load({"RELAY_CONFIG": os.environ.get("RELAY_CONFIG", "")}, proxy.wire)
         proxy.reload(config)
-    except (ConfigError, ValueError) as fault:
-        print(f"lugspur: reload: {fault}; the former settings stay", file=sys.stderr, flush=True)
+    except (ConfigError, ValueError) as error:
+        print(f"lugspur: reload: {error}; the former settings stay", file=sys.stderr, flush=True)
 
 
 async def transfer_connections(proxy: Proxy, listener: socket.socket, hot_restart: HotRestart) -> None:
-    """Finish the requests that are open here, and give every caller's connection to the successor.
+    """Finish the open requests, and transfer every caller's connection to the successor.
 
-    Where the successor ends before that, this process drains as without a successor.
+    If the successor ends before that, this process drains as without a successor.
     """
     front = proxy.front
     front.serving = False
-    # Not closed: should the other process end, this one has to serve on.
+    # The listener stays open, because this process has to serve on if the successor ends.
     asyncio.get_running_loop().remove_reader(listener.fileno())
     front.pass_all(hot_restart.transfer_connection)
-    await asyncio.sleep(CLOSE_AFTER)  # what has just been accepted becomes a caller
+    await asyncio.sleep(READ_SECONDS)  # connections that have just been accepted become callers
     while front.callers or proxy.has_incoming_connections or hot_restart.has_unsent_transfers:
         if hot_restart.successor is None:
             front.pass_to = None
@@ -105,37 +106,37 @@
 
 
 async def drain(front: Front, listener: socket.socket) -> None:
-    """Take what is still coming, answer all that was taken, and let go of the callers."""
+    """Accept the connections that still arrive, finish all requests, and close the callers' connections."""
     loop = asyncio.get_running_loop()
     front.serving = False
-    # Guards what is on its way: the callers' front goes on sending connections for a moment.
-    begun = loop.time()
-    while (passed := loop.time() - begun) < LISTEN_MOST:
-        if passed >= LISTEN_LEAST and loop.time() - front.last_accept >= LISTEN_QUIET:
+    # The load balancer in front of the proxy goes on sending connections for a moment.
+    began = loop.time()
+    while (elapsed := loop.time() - began) < MAX_LISTEN_SECONDS:
+        if elapsed >= LISTEN_LEAST and loop.time() - front.last_accept >= LISTEN_QUIET:
             break
         await asyncio.sleep(0.02)
     await front.stop_listening(listener)
-    await asyncio.sleep(CLOSE_AFTER)
+    await asyncio.sleep(READ_SECONDS)
     front.close()
     while front.callers:
         await asyncio.sleep(0.01)
 
 
 def main() -> int:
-    """Run with the configuration that the environment names."""
+    """Run with the configuration that the environment names; return the exit status."""
     try:
         config = load(os.environ)
         EndpointReader(config.zones, config.types).check_initial_list(config.known)
-    except (ConfigError, ValueError) as fault:
-        print(f"lugspur: {fault}", file=sys.stderr)
+    except (ConfigError, ValueError) as error:
+        print(f"lugspur: {error}", file=sys.stderr)
         return 2
     invariants.add_listener(invariants.log_to_standard_error)
     try:
         asyncio.run(serve(config))
-    except StartError as fault:
-        print(f"lugspur: {fault}", file=sys.stderr)
+    except StartError as error:
+        print(f"lugspur: {error}", file=sys.stderr)
         return 1
-    except OSError as fault:
-        print(f"lugspur: {config.listen[0]}:{config.listen[1]}: {fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"lugspur: {config.listen[0]}:{config.listen[1]}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -141,7 +141,7 @@
                 assert status(await moved.answer()) == 200
                 assert status(await client.answer()) == 200
                 assert await soon(idle.reader.read()) == b"" and await soon(client.reader.read()) == b""
-                await until(lambda: not up.running._leaving)
+                await until(lambda: not up.running._drain_tasks)
                 with pytest.raises(ConnectionRefusedError):
                     await asyncio.open_connection("127.0.0.1", old)
 
@@ -158,7 +158,7 @@
                 await up.reload(text, first)  # now it is named by its port
                 trusting = first.replace("[classes.read]", "trust-forwarded = true\n[classes.read]")
                 await up.reload(text, trusting)
-                await until(lambda: not up.running._leaving)
+                await until(lambda: not up.running._drain_tasks)
                 assert up.port() == old
                 client = await up.client()
                 assert status(await client.ask(ask(X_Real_IP="6.6.6.6"))) == 200
