--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -57,7 +57,7 @@
 def no_wait_for_late_connections(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
     """A daemon that is told to stop stops at once in its tests: no front layer goes on sending it connections."""
     if request.path.parent.name == "daemon":
-        monkeypatch.setattr("lugspur.daemon.service.LISTEN_LEAST", 0.0)
+        monkeypatch.setattr("lugspur.daemon.service.MIN_LISTEN_SECONDS", 0.0)
         monkeypatch.setattr("lugspur.daemon.service.LISTEN_QUIET", 0.0)
 
 
