--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -22,7 +22,7 @@
 
 # After SIGTERM, new connections are accepted for at least and at most this long.
 MIN_LISTEN_SECONDS, MAX_LISTEN_SECONDS = 0.45, 0.6
-LISTEN_QUIET = 0.1  # between the two limits, listening ends once no connection has arrived for this long
+QUIET_SECONDS = 0.1  # between the two limits, listening ends once no connection has arrived for this long
 READ_SECONDS = 0.02  # time in which requests of connections that have just been accepted can still be read
 
 
@@ -112,7 +112,7 @@
     # The load balancer in front of the proxy goes on sending connections for a moment.
     began = loop.time()
     while (elapsed := loop.time() - began) < MAX_LISTEN_SECONDS:
-        if elapsed >= MIN_LISTEN_SECONDS and loop.time() - front.last_accept >= LISTEN_QUIET:
+        if elapsed >= MIN_LISTEN_SECONDS and loop.time() - front.last_accept >= QUIET_SECONDS:
             break
         await asyncio.sleep(0.02)
     await front.stop_listening(listener)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -58,7 +58,7 @@
     """A daemon that is told to stop stops at once in its tests: no front layer goes on sending it connections."""
     if request.path.parent.name == "daemon":
         monkeypatch.setattr("lugspur.daemon.service.MIN_LISTEN_SECONDS", 0.0)
-        monkeypatch.setattr("lugspur.daemon.service.LISTEN_QUIET", 0.0)
+        monkeypatch.setattr("lugspur.daemon.service.QUIET_SECONDS", 0.0)
 
 
 @pytest.fixture(autouse=True)
