--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -23,7 +23,7 @@
 
 from lugspur.bench.processes import Process, daemon, standin
 from lugspur.config.load import load
-from lugspur.daemon.run import Running
+from lugspur.daemon.run import RunningDaemon
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.callers import Caller, Outcome, Tally, closed_loop
 
@@ -113,7 +113,7 @@
         folder = stack.enter_context(TemporaryDirectory())
         file = Path(folder) / "joining.toml"
         file.write_text(text(boxes, join, joined, aim, deadline))
-        running = Running(str(file))
+        running = RunningDaemon(str(file))
         await running.start(load(str(file)))
         try:
             await body(World(boxes, running.addresses()["main"][1]))
--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -50,11 +50,11 @@
 @click.argument("file")
 def run(file: str) -> None:
     """Serve by FILE; SIGHUP reads it again, SIGTERM finishes what was taken."""
-    from lugspur.daemon.run import Running, serve
+    from lugspur.daemon.run import RunningDaemon, serve
 
     plan = _load(file)
 
-    def ready(running: Running) -> None:
+    def ready(running: RunningDaemon) -> None:
         for name, (host, port) in running.addresses().items():
             click.echo(f"lugspur: listener {name} at {host}:{port}", err=True)
 
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -28,7 +28,7 @@
 Listening = tuple[Front, socket.socket]
 
 
-class Running:
+class RunningDaemon:
     """The daemon with its listeners, configured by one file that can be reloaded."""
 
     def __init__(self, path: str) -> None:
@@ -242,14 +242,14 @@
     _log(f"fleet: {line}")
 
 
-async def serve(path: str, plan: Plan, ready: Callable[[Running], None]) -> None:
+async def serve(path: str, plan: Plan, ready: Callable[[RunningDaemon], None]) -> None:
     """Run until SIGTERM or SIGINT, then finish open requests; SIGHUP reloads the file."""
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
     invariants.add_listener(invariants.log_to_standard_error)
-    running = Running(path)
+    running = RunningDaemon(path)
     await running.start(plan)
     reloads.carry_out(loop, running.reload)
     gc.collect()
--- a/tests/compatibility/test_persisted_state.py
+++ b/tests/compatibility/test_persisted_state.py
@@ -26,7 +26,7 @@
 from lugspur.daemon.leases.voter import Promise
 from lugspur.daemon.persistence.snapshot_format import UnreadableSnapshotError, decode_snapshot, encode_snapshot
 from lugspur.daemon.persistence.snapshot_store import open_store
-from lugspur.daemon.run import Running
+from lugspur.daemon.run import RunningDaemon
 
 # Every kind of line, and of each field the values that differ in form: the states of a backend, a zone by its place and
 # by its name, a backend without a breaker, a pool without a start, and a pool of which nothing was learned.
@@ -300,7 +300,7 @@
     pid = os.getpid()  # A part of the loopback range that no other test process uses.
     text = VOTER.format(network=f"127.{64 + (pid >> 8) % 128}.{pid % 256}", number=number, roles=roles)
     file.write_text(HEAD + pool("p", f"{HOST}:9") + route("r", "/*", 'pool = "p"\nclass = "read"') + text)
-    running = Running(str(file))
+    running = RunningDaemon(str(file))
     await running.start(load(str(file)))
     try:
         yield Served(running, file)
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -858,8 +858,8 @@
 
 def test_nothing_of_http2_is_imported_where_nobody_asks_for_it() -> None:
     code = (
-        "import sys, asyncio\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import Running\n"
-        "async def play():\n    running = Running(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
+        "import sys, asyncio\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import RunningDaemon\n"
+        "async def play():\n    running = RunningDaemon(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
         "asyncio.run(play())\n"
         "print([name for name in sys.modules if name.split('.')[0] in ('h2', 'hpack', 'hyperframe')"
         " or name.startswith(('lugspur.http2', 'lugspur.grpc'))])\n"
--- a/tests/daemon/test_peers.py
+++ b/tests/daemon/test_peers.py
@@ -9,7 +9,7 @@
 from daemonic import HEAD, pool, route, served
 
 from lugspur.config.load import load
-from lugspur.daemon.run import Running
+from lugspur.daemon.run import RunningDaemon
 
 FLEET = """[fleet]
 name = "f"
@@ -81,7 +81,7 @@
         file = tmp_path / "f.toml"
         file.write_text(HEAD + CHECKED + FLEET + more + "\n")
         with pytest.raises(OSError, match=said):
-            await Running(str(file)).start(load(str(file)))
+            await RunningDaemon(str(file)).start(load(str(file)))
 
     asyncio.run(play())
 
@@ -93,6 +93,6 @@
         for size in (0, 15, 65):
             (tmp_path / "key").write_bytes(b"k" * size)
             with pytest.raises(OSError, match="it has to have 16 to 64 bytes"):
-                await Running(str(file)).start(load(str(file)))
+                await RunningDaemon(str(file)).start(load(str(file)))
 
     asyncio.run(play())
--- a/tests/daemon/test_state_persistence.py
+++ b/tests/daemon/test_state_persistence.py
@@ -409,8 +409,8 @@
     file = tmp_path / "f.toml"
     file.write_text(HEAD + pool("a", f"{HOST}:1") + ALL)
     program = (
-        "import asyncio, sys\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import Running\n"
-        "async def play():\n    running = Running(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
+        "import asyncio, sys\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import RunningDaemon\n"
+        "async def play():\n    running = RunningDaemon(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
         "    await running.stop()\nasyncio.run(play())\n"
         "optional = ('lugspur.daemon.persistence', 'lugspur.daemon.state_persistence')\n"
         "print([name for name in sys.modules if name.startswith(optional)])\n"
--- a/tests/daemonic.py
+++ b/tests/daemonic.py
@@ -12,7 +12,7 @@
 
 from lugspur.config.load import load
 from lugspur.daemon.daemon import Daemon
-from lugspur.daemon.run import Running
+from lugspur.daemon.run import RunningDaemon
 
 HEAD = """
 [limits]
@@ -49,7 +49,7 @@
 class Served:
     """A running daemon and its file."""
 
-    def __init__(self, running: Running, file: Path) -> None:
+    def __init__(self, running: RunningDaemon, file: Path) -> None:
         self.running, self.file = running, file
         self.clients: list[Client] = []
 
@@ -87,7 +87,7 @@
     with TemporaryDirectory() as folder:
         file = Path(folder) / "lugspur.toml"
         file.write_text(head + text)
-        running = Running(str(file))
+        running = RunningDaemon(str(file))
         await running.start(load(str(file)))
         up = Served(running, file)
         try:
