--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -104,7 +104,7 @@
         else:
             self._reload_again = True
 
-    async def reloaded(self) -> None:
+    async def wait_for_reload(self) -> None:
         """Wait until no reload is in progress."""
         while self._reload_task is not None:
             await asyncio.shield(self._reload_task)
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -719,7 +719,7 @@
         )
         world.up.file.write_text(text)
         world.up.running.reload()
-        await soon(world.up.running.reloaded())
+        await soon(world.up.running.wait_for_reload())
         await until(lambda: bool(caller.goaways))
         await caller.send(stream, b"two", end=True)
         got = await caller.answer(stream)
--- a/tests/daemonic.py
+++ b/tests/daemonic.py
@@ -74,7 +74,7 @@
         fresh.write_text(head + text)
         fresh.rename(self.file)
         self.running.reload()
-        await soon(self.running.reloaded())
+        await soon(self.running.wait_for_reload())
 
     def in_hand(self) -> int:
         """Requests that some pool has in hand."""
