--- a/lugspur/daemon/__init__.py
+++ b/lugspur/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The running program: the decision module between callers, backends and lists."""
+"""The running programs: they connect callers, backends and endpoint lists by the load balancer."""
--- a/lugspur/daemon/class_indexes.py
+++ b/lugspur/daemon/class_indexes.py
@@ -13,7 +13,7 @@
     """Return the list of classes that a pool uses after a reload.
 
     It holds all `wanted` classes, and those of open requests at their former indexes (`in_use`), because an open
-    request is judged by the class that it began with. An index that no open request and no wanted class needs is
+    request keeps the class that it began with. An index that no open request and no wanted class needs is
     used again, so that the list does not grow with the number of reloads.
     """
     kept: list[RequestClass | None] = []
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -140,7 +140,7 @@
             from lugspur.http2.front import Connection
 
             def handle_http2(request: Request, caller: Answerable) -> None:
-                if not health.takes(request, caller, front, lambda name: self._serves(front, name)):
+                if not health.handle_health_request(request, caller, front, lambda name: self._serves(front, name)):
                     self._handle(row, request, caller)
 
             front.http2 = lambda front: Connection(front, handle_http2, row.streams)
--- a/lugspur/daemon/daemon_admin.py
+++ b/lugspur/daemon/daemon_admin.py
@@ -1,4 +1,4 @@
-"""The admin side of the daemon: bans over all pools, drains over all listeners."""
+"""Admin actions of the daemon: bans apply to all pools, drains to all listeners."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class DaemonAdmin:
-    """The daemon's admin listener, whose address changes with the file; actions go by the pools of their moment."""
+    """The daemon's admin listener, whose address a reload may change; actions apply to the pools of their time."""
 
     def __init__(
         self,
@@ -28,8 +28,8 @@
         on_drain: Callable[[bool], None],
     ) -> None:
         self._fronts, self._clusters = fronts, clusters
-        self._more_actions = more_actions  # actions beside those that every proxy has
-        self._on_drain = on_drain  # called with True when callers are sent away, with False when they are taken again
+        self._more_actions = more_actions  # besides those that every proxy has
+        self._on_drain = on_drain  # called with True when a drain starts, with False when it ends
         self._row: Management | None = None
         self._admin_listener: AdminListener | None = None
         self.is_drained = False
@@ -37,16 +37,16 @@
     async def prepare(self, row: Management) -> AdminListener | None:
         """Listen at the address that a file names; raises OSError and changes nothing.
 
-        Returns None where the file names no address, or the one that is in use.
+        Returns None if the file names no address, or the one that is in use.
         """
         if row.address is None or row == self._row:
             return None
         admin_listener = AdminListener(row.address, {**admin_actions(self), **self._more_actions})
         try:
             await admin_listener.open()
-        except OSError as fault:
+        except OSError as error:
             host, port = row.address
-            raise OSError(f"management can't have {host}:{port}: {fault.strerror or fault}") from fault
+            raise OSError(f"management can't have {host}:{port}: {error.strerror or error}") from error
         return admin_listener
 
     def use(self, row: Management, admin_listener: AdminListener | None) -> None:
@@ -56,11 +56,11 @@
             self._row, self._admin_listener = row, admin_listener
 
     def port(self) -> int:
-        """Return the port of the admin listener; 0: there is none."""
+        """Return the port of the admin listener; 0 if there is none."""
         return 0 if self._admin_listener is None else self._admin_listener.port
 
     def close(self) -> None:
-        """Take no more requests."""
+        """Stop accepting requests."""
         if self._admin_listener is not None:
             self._admin_listener.close()
             self._admin_listener = None
@@ -69,7 +69,7 @@
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether all listeners are there."""
+        """Whether all listeners accept callers."""
         fronts = self._fronts()
         return bool(fronts) and all(front.ready and front.serving for front in fronts)
 
@@ -85,13 +85,13 @@
         server, now = server_id(name), time.time()
         clusters = self._clusters().values()
         known = any(cluster.overrides.was_listed(server) for cluster in clusters)
-        if known:  # in pools, too, that may list it later
+        if known:  # also in pools that may list it later
             for cluster in clusters:
                 cluster.set_banned(server, banned, now)
         return known
 
     def drain(self) -> None:
-        """Send callers away, from all listeners."""
+        """Drain all listeners."""
         self.is_drained = True
         self._on_drain(True)
         for front in self._fronts():
@@ -104,11 +104,11 @@
 
     def failures(self) -> list[FailedRequest]:
         """Return the latest requests that failed, the latest last."""
-        found = [failed for cluster in self._clusters().values() for failed in cluster.pool.failures.latest()]
-        return sorted(found, key=lambda failed: failed.at)
+        records = [record for cluster in self._clusters().values() for record in cluster.pool.failures.latest()]
+        return sorted(records, key=lambda record: record.at)
 
     def undrain(self) -> None:
-        """Take callers again."""
+        """Accept callers again at all listeners."""
         self.is_drained = False
         self._on_drain(False)
         for front in self._fronts():
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -1,6 +1,6 @@
-"""The standard health service on gRPC listeners: the listener under the name "", each pool under its own.
+"""The standard health service on gRPC listeners: the listener has the name "", and each pool its own name.
 
-Imported where a listener takes HTTP/2.
+Imported only if a listener accepts HTTP/2.
 """
 
 from __future__ import annotations
@@ -16,45 +16,45 @@
 from lugspur.seams import Answerable, Form, Request
 
 CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
-LOOK_EVERY = 0.2  # seconds between looks for whoever watches: a drain is to be known well within 500 ms
-Serves = Callable[[str], bool | None]  # None: nobody has that name
+WATCH_INTERVAL_SECONDS = 0.2  # between checks of a watched service: a drain has to be reported well within 500 ms
+Serves = Callable[[str], bool | None]  # returns None for an unknown name
 
 
-def takes(request: Request, caller: Answerable, front: Front, serves: Serves) -> bool:
-    """Answer a Check or take up a Watch; False for any other request. Raises Rejected."""
+def handle_health_request(request: Request, caller: Answerable, front: Front, serves: Serves) -> bool:
+    """Respond to a Check or start a Watch; return False for any other request. Raises Rejected."""
     if request.form is None or request.target not in (CHECK, WATCH):
         return False
     try:
         [(compressed, message)] = unpack(request.body)
         service = read_service(message)
-    except (Spoilt, ValueError) as fault:
-        raise Rejected(400, f"no HealthCheckRequest: {fault}") from fault
+    except (Spoilt, ValueError) as error:
+        raise Rejected(400, f"no HealthCheckRequest: {error}") from error
     if compressed:
         raise Rejected(501, "compressed messages are not read here")
     caller.admit()
     if request.target == CHECK:
-        _check(request.form, serves(service))
+        _respond_to_check(request.form, serves(service))
     else:
-        _Watch(request, request.form, caller, front, lambda: serves(service)).look()
+        _Watch(request, request.form, caller, front, lambda: serves(service)).check()
     return True
 
 
-def _check(form: Form, serves: bool | None) -> None:
+def _respond_to_check(form: Form, serves: bool | None) -> None:
     if serves is None:
         raise Rejected(404, "unknown service")
     form.finish(b"", pack(write_serving(Serving.SERVING if serves else Serving.NOT_SERVING)), b"grpc-status: 0\r\n")
 
 
 class _Watch:
-    """One caller that is told of each change, until it leaves, its time is up, or the listener closes."""
+    """A Watch: reports each change until the caller disconnects, its deadline passes, or the listener closes."""
 
     def __init__(
         self, request: Request, form: Form, caller: Answerable, front: Front, serves: Callable[[], bool | None]
     ) -> None:
         self._caller, self._front, self._serves = caller, front, serves
         self._loop = asyncio.get_running_loop()
-        self._until = request.arrived + float(request.headers.get(b"x-timeout", b"inf"))
-        self._told: Serving | None = None
+        self._deadline = request.arrived + float(request.headers.get(b"x-timeout", b"inf"))
+        self._reported_status: Serving | None = None
         self._pipe = Pipe(nothing)
         self._timer: asyncio.TimerHandle | None = None
         caller.gone = self._stop
@@ -64,16 +64,16 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def look(self) -> None:
-        """Tell what has changed."""
+    def check(self) -> None:
+        """Report a change of the status, and schedule the next check."""
         serves = self._serves()
-        state = Serving.SERVICE_UNKNOWN if serves is None else Serving.SERVING if serves else Serving.NOT_SERVING
-        if state is not self._told:
-            self._told = state
-            self._pipe.put(pack(write_serving(state)))
+        status = Serving.SERVICE_UNKNOWN if serves is None else Serving.SERVING if serves else Serving.NOT_SERVING
+        if status is not self._reported_status:
+            self._reported_status = status
+            self._pipe.put(pack(write_serving(status)))
         if self._front.closing:
             self._caller.answer(503, b"", b"the proxy leaves\n")
-        elif self._loop.time() >= self._until:
+        elif self._loop.time() >= self._deadline:
             self._caller.answer(504, b"", b"the time is up\n")
         else:
-            self._timer = self._loop.call_later(LOOK_EVERY, self.look)
+            self._timer = self._loop.call_later(WATCH_INTERVAL_SECONDS, self.check)
--- a/lugspur/daemon/load_signals.py
+++ b/lugspur/daemon/load_signals.py
@@ -1,4 +1,4 @@
-"""Load signals of this process: delays of its event loop, CPU time it lacked, memory. Nothing is decided here."""
+"""Load signals of this process: delays of its event loop, CPU time that it lacked, and memory use."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 from lugspur.guard.limiter import WINDOW, Sample
 
-MEMORY_READ_INTERVAL_SECONDS = 0.5  # each read opens a file of the kernel's
-MIN_KERNEL_QUERY_WAIT_SECONDS = 0.005  # from this possible wait on, the kernel is asked how long the bytes lay there
-TCP_INFO_BYTES = 60  # of struct tcp_info (linux/tcp.h), up to and including tcpi_last_data_recv...
-LAST_DATA_RECV_OFFSET = 52  # ...which is a u32 at this offset: milliseconds since data arrived (tcp(7))
-MIN_BLOCKED_SECONDS = 1e-4  # in the selector, from which its events have just arrived and were not queued
+MEMORY_READ_INTERVAL_SECONDS = 0.5  # each read opens a file of /proc
+MIN_KERNEL_QUERY_WAIT_SECONDS = 0.005  # from this possible wait on, the kernel is asked when the bytes arrived
+TCP_INFO_BYTES = 60  # of struct tcp_info (linux/tcp.h), up to and including tcpi_last_data_recv
+LAST_DATA_RECV_OFFSET = 52  # of tcpi_last_data_recv, a u32: milliseconds since data arrived (tcp(7))
+MIN_BLOCKED_SECONDS = 1e-4  # if the selector waited this long, its events have just arrived and were not queued
 
 
 class TimedSelector(selectors.DefaultSelector):
@@ -31,7 +31,7 @@
         self.idle_seconds = 0.0  # time that it waited for events, since the start
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for events, backends' first: requests in hand are answered before more are accepted."""
+        """Wait for events, and return backends' first: open requests are answered before more are accepted."""
         called = time.monotonic()
         events = super().select(timeout)
         now = time.monotonic()
@@ -51,7 +51,7 @@
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         (seconds_ago,) = struct.unpack_from("=I", info, LAST_DATA_RECV_OFFSET)
-    except (AttributeError, OSError, struct.error):  # no TCP, or another system's form
+    except (AttributeError, OSError, struct.error):  # not a TCP socket, or another operating system
         return 0.0
     return float(seconds_ago) / 1e3
 
@@ -77,13 +77,13 @@
         self._last_memory_share, self._memory_read_at = 0.0, float("-inf")
         self._last_idle_seconds = 0.0 if self.selector is None else self.selector.idle_seconds
         self._page_bytes = os.sysconf("SC_PAGE_SIZE")
-        self.waited_seconds = 0.0  # how long the request handled now waited for this process...
-        self.is_new_connection = False  # ...and whether it is the first of its connection
+        self.waited_seconds = 0.0  # time that the request handled now waited for this process
+        self.is_new_connection = False  # whether the request handled now is the first of its connection
 
     def arrival_time(self, now: float, transport: asyncio.Transport, is_new_connection: bool) -> float:
-        """Return when the kernel received the bytes that are handled now, as far as that can be known.
+        """Return when the kernel received the bytes that are handled now, as far as that can be determined.
 
-        Those of a new connection may have waited for as long as it was not accepted, whatever the loop did.
+        Bytes of a new connection may have waited until it was accepted, however short the turns of the loop were.
         """
         max_wait = self._sample_delay if self.selector is None else now - self.selector.earliest_arrival
         self.is_new_connection, self.waited_seconds = is_new_connection, 0.0
@@ -116,7 +116,11 @@
             self._memory_read_at = now
             try:
                 pages = int(Path("/proc/self/statm").read_bytes().split()[1])
-            except (OSError, ValueError, IndexError):  # another system: unknown memory must not limit requests
+            except (
+                OSError,
+                ValueError,
+                IndexError,
+            ):  # another operating system: unknown memory use must not limit requests
                 pages = 0
             self._last_memory_share = pages * self._page_bytes / self.memory_limit_bytes
         return self._last_memory_share
--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -12,11 +12,11 @@
 from lugspur.load_balancing.model import RequestClass
 from lugspur.seams import Answerable
 
-BODY_BYTES_PER_REQUEST_COST = 16 << 10  # a body of this size costs as much work here as a request without one
+BODY_BYTES_PER_REQUEST_COST = 16 << 10  # a body of this size costs as much work as a request without one
 
 
 class OverloadProtection:
-    """Rejects the least valuable requests while the daemon is short of CPU or memory; samples from its creation on."""
+    """Rejects the least valuable requests while CPU or memory is short; takes samples from its creation on."""
 
     def __init__(self, classes: Sequence[RequestClass], memory_limit_bytes: int) -> None:
         self._loop = asyncio.get_running_loop()
@@ -33,7 +33,7 @@
     def admits(self, class_index: int, caller: str, body_bytes: int) -> bool:
         """Return whether a request of that class and caller, with a body of that size, is admitted."""
         now = self._loop.time()
-        # Guards against turns of the loop that are so long that no timer comes.
+        # The sample timer is late if a turn of the event loop takes too long.
         if now >= self.signals.next_sample_at + WINDOW:
             self._sample_now()
         signals = self.signals
@@ -51,7 +51,7 @@
             caller.rest(self.limiter.rest(class_index))
 
     def attach(self, front: Front) -> None:
-        """Measure when the bytes of the front's callers arrived, and handle answers before its new requests."""
+        """Measure when the bytes of the front's callers arrived, and handle responses before their new requests."""
         front.came = self.signals.arrival_time
         if self.signals.selector is not None:
             front.work = self.signals.selector.caller_descriptors
--- a/lugspur/daemon/registrations.py
+++ b/lugspur/daemon/registrations.py
@@ -1,4 +1,4 @@
-"""Registrations of the daemon's listeners in registries: one node for each, for as long as it listens."""
+"""Registrations of the daemon's listeners in registries: one node for each listener while it is open."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from lugspur.discovery.health_check import CheckResult
 from lugspur.discovery.registry_sessions import RegistrySessions
 
-RegistrationSettings = tuple[model.Register, model.Registry, Address, str]  # what a node is made from
+RegistrationSettings = tuple[model.Register, model.Registry, Address, str]  # the settings that a node is created from
 
 
 class ListenerRegistrations:
-    """Creates the nodes that the file asks for, and deletes those that it no longer asks for."""
+    """Creates the nodes that the file configures, and deletes those that it no longer configures."""
 
     def __init__(self, registries: RegistrySessions) -> None:
         self._registries = registries
@@ -27,7 +27,7 @@
         self._started_at = time.time()
 
     def deregister_changed(self, file: model.File, addresses: Mapping[str, Address]) -> None:
-        """Delete the nodes of listeners that a reload removes or registers differently, before it does so."""
+        """Delete the nodes of listeners that a reload is about to remove or to register differently."""
         for name, (settings, registrar) in tuple(self._registrars.items()):
             row = file.listeners.get(name)
             if row is None or row.register is None or settings != _registration_settings(file, row, addresses[name]):
@@ -61,7 +61,7 @@
         task.add_done_callback(lambda _: self._registries.close_unused())
 
     async def deregister_all(self) -> None:
-        """Delete all nodes; returns when the registries have confirmed it, or after a time-out."""
+        """Delete all nodes; returns when the registries have confirmed it, or after a timeout."""
         for _, registrar in self._registrars.values():
             self._start_deregistration(registrar)
         self._registrars.clear()
--- a/lugspur/daemon/service_metrics.py
+++ b/lugspur/daemon/service_metrics.py
@@ -14,22 +14,25 @@
 
 
 def service_metrics(pools: Mapping[str, Pool], fronts: Iterable[Front]) -> list[Metric]:
-    """All metrics of one process at this moment: sums over its pools, and requests by pool."""
-    attempts, answers, rejections = Counter[str](), Counter[str](), Counter[str]()
-    callers, held = 0, 0
+    """Return all metrics of one process: sums over its pools and fronts, and requests by pool."""
+    attempts, responses, rejections = Counter[str](), Counter[str](), Counter[str]()
+    callers, held_bytes = 0, 0
     for pool in pools.values():
         attempts.update(pool.attempt_counts)
-        answers.update({str(status): count for status, count in pool.response_counts.items()})
+        responses.update({str(status): count for status, count in pool.response_counts.items()})
     for front in fronts:
         rejections.update({str(status): count for status, count in front.rejections.items()})
         callers += len(front.callers)
-        held += front.held
+        held_bytes += front.held
     by_pool = {name: float(pool.request_count) for name, pool in pools.items()}
     return [
         labelled_counter("requests_total", "Requests taken up, by pool.", "pool", by_pool),
         labelled_counter("attempts_total", "Attempts at backends, by how they ended.", "outcome", attempts),
         labelled_counter(
-            "answers_total", "Final answers, by status; large ones that are passed on are not here.", "status", answers
+            "answers_total",
+            "Final answers, by status; large ones that are passed on are not here.",
+            "status",
+            responses,
         ),
         labelled_counter(
             "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
@@ -46,6 +49,6 @@
         ),
         gauge("backend_connections", "Connections to backends.", sum(p.upstream.sockets() for p in pools.values())),
         gauge("callers", "Connections of callers.", callers),
-        gauge("held_bytes", "Bytes of bodies that are not whole.", held),
+        gauge("held_bytes", "Bytes of bodies that are not whole.", held_bytes),
         *invariant_metrics(),
     ]
--- a/lugspur/daemon/state_persistence.py
+++ b/lugspur/daemon/state_persistence.py
@@ -1,4 +1,4 @@
-"""Persists what the pools learned of their backends: encodes in slices on the loop, writes the file in a thread."""
+"""Persists what the pools learned of their backends; encodes it in slices on the loop, and writes it in a thread."""
 
 from __future__ import annotations
 
@@ -26,13 +26,15 @@
     from lugspur.daemon.cluster import UpstreamCluster
 
 Result = TypeVar("Result")
-ENCODE_SLICE_SECONDS = 0.0003  # of the loop's time, about, in one go: requests that arrive meanwhile wait for it...
-ENCODE_PAUSE_SECONDS = 0.002  # ...and between two: a request takes several turns and would meet a slice in each
+# Approximate time that the loop spends encoding without a pause; requests that arrive meanwhile wait for it.
+ENCODE_SLICE_SECONDS = 0.0003
+# Between two slices: a request takes several turns of the loop, and without a pause would wait for a slice in each.
+ENCODE_PAUSE_SECONDS = 0.002
 BACKENDS_PER_EXPORT = 4  # a backend with full statistics takes some 30 us
-CONFIRM_START_DELAY_SECONDS = 10.0  # of service, after which a start with a file counts as a success
+CONFIRM_START_DELAY_SECONDS = 10.0  # time in service after which a start with a file counts as a success
 MAX_RETRY_DELAY_SECONDS = 60.0  # between two attempts while the disk fails
-LAST_WRITE_TIMEOUT_SECONDS = 2.0  # by which the last write may delay the process's end...
-READ_TIMEOUT_SECONDS = 5.0  # ...and by which reading may delay its start
+LAST_WRITE_TIMEOUT_SECONDS = 2.0  # time by which the last write may delay the end of the process
+READ_TIMEOUT_SECONDS = 5.0  # time by which reading may delay the start
 
 
 class StatePersistence:
@@ -56,13 +58,13 @@
             async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 self._store, found = await self._run_in_thread(self._open)
         except DirectoryInUseError:
-            _log(f"{self._directory} is kept by another process: this one keeps nothing")
+            _log(f"{self._directory} is in use by another process: this one persists nothing")
             return
         except TimeoutError:  # before OSError, which it is too
             _log(f"{self._directory} is too slow: nothing is taken up or kept")
             return
-        except OSError as fault:
-            _log(f"{self._directory} can't be used: {fault.strerror or fault}; nothing is kept")
+        except OSError as error:
+            _log(f"{self._directory} can't be used: {error.strerror or error}; nothing is persisted")
             return
         for line in found.warnings:
             _log(line)
@@ -108,10 +110,10 @@
         try:
             records = await self._encode_records()
             await self._run_in_thread(lambda: store.save(encode_snapshot(time.time(), records)))
-        except Exception as fault:  # Guards service and its orderly end: a list may hold what no file can.
+        except Exception as error:  # Must not stop service or shutdown: a list may hold values that can't be encoded.
             if not self._is_failing:
-                why = fault.strerror if isinstance(fault, OSError) and fault.strerror else repr(fault)
-                _log(f"can't write to {self._directory}: {why}; tried again and again")
+                why = error.strerror if isinstance(error, OSError) and error.strerror else repr(error)
+                _log(f"can't write to {self._directory}: {why}; retrying")
             self._is_failing = True
             self._delay_seconds = min(MAX_RETRY_DELAY_SECONDS, 2.0 * self._delay_seconds)
         else:
@@ -121,16 +123,16 @@
 
     async def _encode_records(self) -> list[bytes]:
         """Return the encoded records of all clusters; yields to the loop after each slice."""
-        found: list[bytes] = []
-        begun, left = self._loop.time(), MAX_BACKENDS
+        records: list[bytes] = []
+        begun, remaining = self._loop.time(), MAX_BACKENDS
         for cluster in tuple(self._clusters().values()):
-            for record in encode_cluster(cluster, left):
-                found.append(record)
+            for record in encode_cluster(cluster, remaining):
+                records.append(record)
                 if self._loop.time() - begun >= ENCODE_SLICE_SECONDS:
                     await asyncio.sleep(ENCODE_PAUSE_SECONDS)
                     begun = self._loop.time()
-            left = max(0, left - len(cluster.overrides.latest))
-        return found
+            remaining = max(0, remaining - len(cluster.overrides.latest))
+        return records
 
     async def close(self) -> None:
         """Write for the last time, and release the directory."""
@@ -143,7 +145,7 @@
                 async with asyncio.timeout(LAST_WRITE_TIMEOUT_SECONDS):
                     await self._write()
             except TimeoutError:
-                _log(f"{self._directory} is too slow: what was learned last is not kept")
+                _log(f"{self._directory} is too slow: what was learned last is not persisted")
                 return  # the thread may still write; the lock ends with the process
         store, self._store = self._store, None
         if store is not None:
@@ -155,23 +157,23 @@
         """Return the result of `work`, run in a thread that doesn't delay the end of the process."""
         done: asyncio.Future[Result] = self._loop.create_future()
 
-        def finish(result: Result | None, fault: BaseException | None) -> None:
+        def finish(result: Result | None, error: BaseException | None) -> None:
             if done.done():
                 return
-            if fault is not None:
-                done.set_exception(fault)
+            if error is not None:
+                done.set_exception(error)
             else:
                 done.set_result(result)  # type: ignore[arg-type]  # the result of `work`
 
         def run() -> None:
             result: Result | None = None
-            fault: BaseException | None = None
+            error: BaseException | None = None
             try:
                 result = work()
-            except BaseException as raised:  # of any kind: the waiting coroutine must not wait for ever
-                fault = raised
-            with suppress(RuntimeError):  # the loop has closed, so nobody waits any more
-                self._loop.call_soon_threadsafe(finish, result, fault)
+            except BaseException as raised:  # of any kind, because the coroutine would wait for ever
+                error = raised
+            with suppress(RuntimeError):  # the loop has closed, so no coroutine waits any more
+                self._loop.call_soon_threadsafe(finish, result, error)
 
         threading.Thread(target=run, name="state", daemon=True).start()
         return await done
@@ -185,8 +187,8 @@
     for endpoint in endpoints:
         yield encode_record("backend", name, state_codec.encode_endpoint(endpoint))
     for at in range(0, len(endpoints), BACKENDS_PER_EXPORT):
-        among = [endpoint.row.server for endpoint in endpoints[at : at + BACKENDS_PER_EXPORT]]
-        for row in pool.balancer.export_learned(among).servers:
+        servers = [endpoint.row.server for endpoint in endpoints[at : at + BACKENDS_PER_EXPORT]]
+        for row in pool.balancer.export_learned(servers).servers:
             yield encode_record("learned", name, state_codec.encode_learned_server(row))
     yield encode_record("tier", name, state_codec.encode_learned_pools(pool.balancer.export_learned(())))
 
