--- a/lugspur/daemon/state_persistence.py
+++ b/lugspur/daemon/state_persistence.py
@@ -61,7 +61,7 @@
             _log(f"{self._directory} is in use by another process: this one persists nothing")
             return
         except TimeoutError:  # before OSError, which it is too
-            _log(f"{self._directory} is too slow: nothing is taken up or kept")
+            _log(f"{self._directory} is too slow: nothing is loaded or persisted")
             return
         except OSError as error:
             _log(f"{self._directory} can't be used: {error.strerror or error}; nothing is persisted")
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -1,4 +1,4 @@
-"""Fallbacks, splits and shares when pools fail."""
+"""Fallbacks, splits and reserved shares when pools fail."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 BOTH = 'pool = "a"\nfallback = ["b"]\n'
 BOOK, READ = route("book", "/book", BOTH + 'class = "book"'), route("read", "/read", BOTH + 'class = "read"')
-GONE = "127.0.0.1:9"  # nobody listens there
+UNREACHABLE = "127.0.0.1:9"  # no process listens at this address
 
 
 @pytest.mark.parametrize("path", ["/book", "/read"])
-def test_a_pool_that_nobody_can_connect_to_gives_way(path: str) -> None:
+def test_requests_fail_over_from_an_unreachable_pool(path: str) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as two:
-            async with served(pool("a", GONE) + pool("b", two.address) + BOOK + READ) as up:
+            async with served(pool("a", UNREACHABLE) + pool("b", two.address) + BOOK + READ) as up:
                 client = await up.client()
                 for _ in range(4):
                     assert status(await client.ask(ask("POST", path, b"x"))) == 200
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("left", ["drained", "gone"])
-def test_a_pool_without_a_backend_in_service_gives_way_and_comes_back(left: str) -> None:
+def test_requests_fail_over_from_a_pool_without_backends_in_service_and_return(left: str) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             a = '[pools.a]\nfile = "a.json"\n'
@@ -42,20 +42,20 @@
                 entry = {"name": "one", "address": one.address, "status": "in_service"}
                 listed = up.file.with_name("a.json")
 
-                def tell(*entries: dict[str, str]) -> None:
+                def write_list(*entries: dict[str, str]) -> None:
                     listed.with_suffix(".new").write_text(json.dumps({"endpoints": entries}))
                     listed.with_suffix(".new").rename(listed)
 
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 1
-                tell(entry)
+                write_list(entry)
                 await until(lambda: not up.daemon.clusters["a"].standing.empty())
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and one.got.qsize() == 1
-                tell(*([entry | {"status": "terminating"}] if left == "drained" else []))
+                write_list(*([entry | {"status": "terminating"}] if left == "drained" else []))
                 await until(up.daemon.clusters["a"].standing.empty)
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 2
                 listed.write_text("{ not a list")
-                tell(entry)
+                write_list(entry)
                 await until(lambda: not up.daemon.clusters["a"].standing.empty())
 
     asyncio.run(play())
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("script", [CLOSE, MAY_HAVE_RUN, b"nonsense cut", answer(b"", "500 Oh")])
 @pytest.mark.parametrize("path", ["/book", "/read"])
-def test_what_may_have_run_is_never_sent_to_the_second_pool(script: bytes, path: str) -> None:
+def test_a_request_that_may_have_run_is_never_sent_to_the_fallback(script: bytes, path: str) -> None:
     async def play() -> None:
         async with backend(lambda _: script) as one, backend(lambda _: OK) as two:
             async with served(pool("a", one.address) + pool("b", two.address) + BOOK + READ) as up:
@@ -94,7 +94,7 @@
     asyncio.run(play())
 
 
-def test_a_full_pool_is_not_poured_over_the_second_one() -> None:
+def test_requests_do_not_fail_over_from_an_overloaded_pool() -> None:
     async def play() -> None:
         async with backend(lambda _: NEVER_RAN) as one, backend(lambda _: OK) as two:
             async with served(pool("a", one.address) + pool("b", two.address) + BOOK) as up:
@@ -105,7 +105,7 @@
     asyncio.run(play())
 
 
-def test_where_no_pool_has_a_backend_the_caller_is_told_when_to_come_back() -> None:
+def test_response_has_retry_after_if_no_pool_has_a_backend() -> None:
     async def play() -> None:
         empty = '[pools.a]\nfile = "none"\n[pools.b]\nfile = "none"\n'
         async with served(empty + BOOK) as up:
@@ -116,8 +116,8 @@
     asyncio.run(play())
 
 
-def test_a_hung_pool_leaves_the_others_what_they_need() -> None:
-    """Its every backend is silent, at full load: the healthy one keeps its answers and its sockets."""
+def test_a_hung_pool_leaves_other_pools_their_slots_and_sockets() -> None:
+    """All backends of one pool hang at full load: the other pool keeps its slots and sockets, and serves."""
     text = route("hung", "/hung", 'pool = "a"\nclass = "read"') + route("well", "/well", 'pool = "b"\nclass = "read"')
     small = '[limits]\nsockets = 128\n[listeners.main]\naddress = "127.0.0.1:0"\n'
     classes = '[classes.read]\naim = "20s"\ndeadline = "20s"\nrepeat = "safe"\n'
@@ -129,11 +129,12 @@
                 hung = [await up.client() for _ in range(36)]  # of 40 callers
                 for client in hung[:30]:
                     client.writer.write(ask(target="/hung"))
-                await until(lambda: daemon._request_slots.used("a") == 30)  # its own 10, and all that is nobody's
+                # The pool uses its reserved 10 slots, and all that are not reserved.
+                await until(lambda: daemon._request_slots.used("a") == 30)
                 for client in hung[30:]:
-                    turned = await client.ask(ask(target="/hung"))
-                    assert status(turned) == 503 and fields(turned)["retry-after"] == "1"
-                    assert turned.endswith(b"no place\n")  # and not the module's word: that comes on top
+                    rejected = await client.ask(ask(target="/hung"))
+                    assert status(rejected) == 503 and fields(rejected)["retry-after"] == "1"
+                    assert rejected.endswith(b"no place\n")  # the daemon's rejection, not the balancer's
                 assert daemon._sockets.used("a") <= 30
                 well = [await up.client() for _ in range(8)]
                 for _ in range(5):
@@ -182,13 +183,13 @@
     asyncio.run(play())
 
 
-def test_a_key_whose_pool_is_gone_goes_to_the_next_one_and_back() -> None:
+def test_a_key_moves_to_the_next_pool_while_its_own_is_unreachable() -> None:
     text = route("r", "/{k}", 'split = { a = 50, b = 50 }\nkey = { path = "k" }\nclass = "read"')
 
     async def play() -> None:
         async with backend(lambda _: answer(b"b")) as two:
             key = next(k for k in map(str, range(99)) if by_key([("a", 50.0), ("b", 50.0)], k.encode())[0] == "a")
-            async with served(pool("a", GONE) + pool("b", two.address) + text) as up:
+            async with served(pool("a", UNREACHABLE) + pool("b", two.address) + text) as up:
                 client = await up.client()
                 assert (await client.ask(ask(target=f"/{key}"))).endswith(b"b")
             async with backend(lambda _: answer(b"a")) as one:
@@ -214,18 +215,18 @@
                 discovery.say(4, [entry("one", one.address, "terminating")])
                 await until(standing.empty)
                 assert status(await client.ask(ask())) == 503 and one.got.qsize() == 1
-            await soon(discovery.ended.get())  # a daemon that ends lets go of its watch
+            await soon(discovery.ended.get())  # a daemon closes its watch when it stops
 
     asyncio.run(play())
 
 
-def test_a_list_that_another_source_has_replaced_tells_nothing_more() -> None:
+def test_a_replaced_endpoint_source_changes_nothing_more() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, watches() as discovery:
             way = route("r", "/", 'pool = "a"')
             async with served(f'[pools.a]\nwatch = "127.0.0.1:{discovery.port}"\n' + way) as up:
                 await soon(discovery.asked.get())
-                discovery.say(3, [entry("one", GONE)], snapshot=True)
+                discovery.say(3, [entry("one", UNREACHABLE)], snapshot=True)
                 standing = up.daemon.clusters["a"].standing
                 await until(lambda: not standing.empty())
                 await up.reload(pool("a", one.address) + way)
@@ -237,24 +238,24 @@
     asyncio.run(play())
 
 
-def test_odd_lists_change_nothing_and_are_named_once(capsys: pytest.CaptureFixture[str]) -> None:
+def test_malformed_lists_change_nothing_and_are_logged_once(capsys: pytest.CaptureFixture[str]) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             async with served('[pools.a]\nfile = "a.json"\n' + route("r", "/", 'pool = "a"')) as up:
                 listed, standing = up.file.with_name("a.json"), up.daemon.clusters["a"].standing
                 listed.write_text(json.dumps({"endpoints": [entry("one", one.address)]}))
                 await until(lambda: not standing.empty())
-                assert capsys.readouterr().err.count("\n") == 1  # that there was none at first
-                for odd in ("[]", '{"endpoints": [{"name": "x"}]}', '{"endpoints": 7}', "\x00"):
-                    said = len(capsys.readouterr().err)
-                    listed.write_text(odd)
+                assert capsys.readouterr().err.count("\n") == 1  # one line says that there was no list at first
+                for malformed in ("[]", '{"endpoints": [{"name": "x"}]}', '{"endpoints": 7}', "\x00"):
+                    logged_bytes = len(capsys.readouterr().err)
+                    listed.write_text(malformed)
                     complaints: list[str] = []
                     await until(
                         lambda seen=complaints: bool(  # type: ignore[misc]
                             seen.append(capsys.readouterr().err) or "".join(seen)
                         )
                     )
-                    assert said == 0 and "the last list stays" in "".join(complaints)
+                    assert logged_bytes == 0 and "the last list stays" in "".join(complaints)
                     assert not standing.empty()
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
--- a/tests/daemon/test_peers.py
+++ b/tests/daemon/test_peers.py
@@ -69,18 +69,18 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("more", "message"),
     [
         ('key = "none"', "key .*none: No such file"),
         ('folder = "none"', "none: No such file"),
         ('history = "none/x"', "history .*none/x: No such file"),
     ],
 )
-def test_start_without_its_files_raises_one_error(tmp_path: Path, more: str, said: str) -> None:
+def test_start_without_its_files_raises_one_error(tmp_path: Path, more: str, message: str) -> None:
     async def play() -> None:
         file = tmp_path / "f.toml"
         file.write_text(HEAD + CHECKED + FLEET + more + "\n")
-        with pytest.raises(OSError, match=said):
+        with pytest.raises(OSError, match=message):
             await RunningDaemon(str(file)).start(load(str(file)))
 
     asyncio.run(play())
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload in the midst of everything: what has begun is judged by what it began with."""
+"""Reloads during requests: an open request keeps the configuration that it began with."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 @pytest.mark.parametrize("change", ["the route's", "its own"])
-def test_an_open_request_keeps_its_class_when_that_becomes_safe(change: str) -> None:
-    """Its only attempt breaks after the reload: it may have run, and must not be sent again."""
+def test_an_open_request_keeps_its_class_when_the_class_becomes_safe(change: str) -> None:
+    """The only attempt fails after the reload: the request may have run, and must not be retried."""
 
     async def play() -> None:
         scripts: list[bytes | None] = [None]
 
-        def say(_: bytes) -> bytes | None:
+        def respond(_: bytes) -> bytes | None:
             return scripts.pop() if scripts else OK
 
-        async with backend(say) as one, backend(say) as two:
+        async with backend(respond) as one, backend(respond) as two:
             text = pool("a", one.address, two.address) + route("r", "/", 'pool = "a"\nclass = "book"')
             async with served(text) as up:
                 client, other = await up.client(), await up.client()
@@ -34,14 +34,14 @@
                 first.open[0].close()
                 assert status(await client.answer()) == 502
                 assert one.got.qsize() + two.got.qsize() == 1
-                scripts.append(CLOSE)  # a new request is tried again
+                scripts.append(CLOSE)  # a new request is retried
                 assert status(await other.ask(ask("POST", "/", b"x"))) == 200
                 assert one.got.qsize() + two.got.qsize() == 3
 
     asyncio.run(play())
 
 
-def test_a_request_in_mid_body_goes_where_its_head_was_judged_to() -> None:
+def test_a_request_whose_body_is_arriving_goes_where_its_head_was_routed() -> None:
     async def play() -> None:
         async with backend(lambda _: answer(b"1")) as one, backend(lambda _: answer(b"2")) as two:
             a, b = pool("a", one.address), pool("b", two.address)
@@ -50,7 +50,7 @@
                 client.writer.write(ask("POST", "/", b"body")[:-2])
                 [front] = [front for front, _ in up.running.listeners.values()]
                 await until(lambda: bool(front.reading))
-                await up.reload(b + route("r", "/", 'pool = "b"'))  # the pool is gone, and its route leads elsewhere
+                await up.reload(b + route("r", "/", 'pool = "b"'))  # removes the pool and changes the route's target
                 assert (await other.ask(ask("POST", "/", b"x"))).endswith(b"2")
                 got = await client.ask(b"dy")
                 assert status(got) == 200 and got.endswith(b"1")
@@ -59,7 +59,7 @@
     asyncio.run(play())
 
 
-def test_a_renamed_pool_finishes_what_it_has() -> None:
+def test_a_renamed_pool_finishes_its_open_requests() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one:
             async with served(pool("a", one.address) + route("r", "/", 'pool = "a"')) as up:
@@ -148,14 +148,14 @@
     asyncio.run(play())
 
 
-def test_a_listener_changes_its_terms_and_keeps_its_address() -> None:
+def test_a_listener_changes_its_settings_and_keeps_its_address() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             text = pool("a", one.address) + route("r", "/", 'pool = "a"')
             async with served(text) as up:
                 first = HEAD.replace("127.0.0.1:0", f"127.0.0.1:{up.port()}")
                 old = up.port()
-                await up.reload(text, first)  # now it is named by its port
+                await up.reload(text, first)  # the file now has the port number
                 trusting = first.replace("[classes.read]", "trust-forwarded = true\n[classes.read]")
                 await up.reload(text, trusting)
                 await until(lambda: not up.running._drain_tasks)
@@ -168,14 +168,16 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         ("[pools", "lugspur.toml:"),
         (route("q", "/q", 'pool = "none"'), 'pool "none" is not in this file'),
         ('[listeners.more]\naddress = "127.0.0.1:PORT"\n', "listener more can't have 127.0.0.1:"),
     ],
 )
-def test_a_broken_file_changes_nothing_and_says_why(text: str, said: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_file_changes_nothing_and_logs_why(
+    text: str, expected: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             good = pool("a", one.address) + route("r", "/", 'pool = "a"')
@@ -184,29 +186,29 @@
                 await up.reload(good + text.replace("PORT", one.address.rpartition(":")[2]))
                 assert up.daemon.configuration is before and list(up.running.listeners) == ["main"]
                 [line] = capsys.readouterr().err.splitlines()
-                assert line.startswith("lugspur: reload: nothing is changed: ") and said in line
+                assert line.startswith("lugspur: reload: nothing is changed: ") and expected in line
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
 
     asyncio.run(play())
 
 
-def test_fifty_reloads_under_load_lose_double_and_misroute_nothing() -> None:
+def test_fifty_reloads_under_load_lose_repeat_and_misroute_no_request() -> None:
     async def play() -> None:
         seen = Counter[bytes]()
 
         def script(mark: bytes):  # type: ignore[no-untyped-def]
-            def say(request: bytes) -> bytes:
+            def respond(request: bytes) -> bytes:
                 seen[request.split(b" ", 2)[1]] += 1
                 return answer(mark)
 
-            return say
+            return respond
 
         async with backend(script(b"1")) as one, backend(script(b"2")) as two:
             a, b = pool("a", one.address), pool("b", two.address)
 
             def text(n: int) -> str:
-                """Pools change their names, classes their figures and the rest of the table its routes."""
+                """Return a file in which pool names, class values and routes depend on `n`."""
                 x, y = ("a", "b") if n % 2 else ("c", "d")
                 more = "".join(route(f"m{n}x{i}", f"/m{n}/{i}", f'pool = "{x}"') for i in range(n % 5))
                 return (
--- a/tests/daemon/test_request_policy.py
+++ b/tests/daemon/test_request_policy.py
@@ -1,4 +1,4 @@
-"""Which class a request is judged by while settings change."""
+"""Which class applies to a request while the settings change."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     return [row for _, row in policy.classes_for(name, began)]
 
 
-def changed(former: Settings, new: Settings, now: float = 10.0) -> tuple[RequestPolicy, Settings]:
+def change_policy(former: Settings, new: Settings, now: float = 10.0) -> tuple[RequestPolicy, Settings]:
     policy = RequestPolicy(former)
-    given_ = policy.change_settings(new, now)
-    policy.record_indexes(given_)
-    return policy, given_
+    applied = policy.change_settings(new, now)
+    policy.record_indexes(applied)
+    return policy, applied
 
 
 def test_added_class_counts_at_once_and_removed_class_until_the_changeover_ends() -> None:
-    policy, _ = changed(settings(SAFE, BOOK), settings(SAFE, KEYED))
+    policy, _ = change_policy(settings(SAFE, BOOK), settings(SAFE, KEYED))
     late = 10.0 + CHANGEOVER_SECONDS
     assert allowed_classes(policy, "once", 10.0) == [KEYED]
     assert allowed_classes(policy, "book", 11.0) == [BOOK]
@@ -44,7 +44,7 @@
 
 def test_method_selects_the_class_where_retry_safety_changes() -> None:
     other = replace(SAFE, retry_safety=RetrySafety.UNSAFE)
-    policy, _ = changed(settings(SAFE), settings(other))
+    policy, _ = change_policy(settings(SAFE), settings(other))
     assert allowed_classes(policy, "read", 11.0) == [other, SAFE]
     assert allowed_classes(policy, "read", 12.0) == [other]
 
@@ -52,16 +52,16 @@
 def test_changeover_allows_only_what_both_classes_allow() -> None:
     narrow = replace(KEYED, deduplication_scope=DeduplicationScope.CELL, deduplication_window=20.0)
     for former, new in ((KEYED, narrow), (narrow, KEYED)):
-        policy, given_ = changed(settings(former, most=5), settings(new, most=2))
+        policy, applied = change_policy(settings(former, most=5), settings(new, most=2))
         [row] = allowed_classes(policy, "once", 11.0)
         assert (row.deduplication_scope, row.deduplication_window) == (DeduplicationScope.CELL, 9.0)
-        assert given_.limits.max_attempts == 2
+        assert applied.limits.max_attempts == 2
         assert allowed_classes(policy, "once", 12.0) == [new]
 
 
 def test_higher_attempt_limit_applies_after_the_changeover_even_if_sent_again() -> None:
-    policy, given_ = changed(settings(SAFE, most=2), settings(SAFE, most=5))
-    assert given_.limits.max_attempts == 2
+    policy, applied = change_policy(settings(SAFE, most=2), settings(SAFE, most=5))
+    assert applied.limits.max_attempts == 2
     assert policy.change_settings(settings(SAFE, most=5), 10.5).limits.max_attempts == 2
     after = policy.end_changeover(10.0 + CHANGEOVER_SECONDS + LATE_REQUEST_SECONDS)
     assert after is not None
@@ -81,18 +81,18 @@
 
 
 @given(st.lists(st.tuples(FILES, st.sampled_from([0.0, 0.5, 2.0, 9.0]))))
-@steady(deadline=None)  # a loaded machine is no fault
+@steady(deadline=None)  # a loaded machine must not fail the test
 def test_no_sequence_of_files_mixes_two(files: list[tuple[list[RequestClass], float]]) -> None:
-    """Indexes always hold what the policy says, and after the change-over the last file alone counts."""
+    """Indexes always have the classes that the policy returns; after the change-over only the last file applies."""
     now, last = 100.0, settings(SAFE)
     policy = RequestPolicy(last)
     known = last.classes
-    for rows, passed in files:
-        now += passed
-        given_ = policy.change_settings(settings(*rows), now)
+    for rows, elapsed in files:
+        now += elapsed
+        applied = policy.change_settings(settings(*rows), now)
         last = settings(*rows)
-        known = tuple(keep_class_indexes(known, given_.classes, set()))
-        policy.record_indexes(replace(given_, classes=known))
+        known = tuple(keep_class_indexes(known, applied.classes, set()))
+        policy.record_indexes(replace(applied, classes=known))
         for name in ("a", "b", "c", "read"):
             for index, row in policy.classes_for(name, now):
                 assert known[index] == row
--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -1,4 +1,4 @@
-"""What ordinary callers meet: routes on real bytes, header lines, statuses, bodies."""
+"""Requests of ordinary clients over real sockets: routes, header lines, statuses and bodies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 ALL = route("all", "/*", 'pool = "a"\nclass = "read"')
 
 
-def test_a_request_goes_on_with_what_a_proxy_adds() -> None:
+def test_a_request_is_forwarded_with_the_headers_that_a_proxy_adds() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, served(pool("a", one.address) + ALL) as up:
             client = await up.client()
@@ -51,7 +51,7 @@
     asyncio.run(play())
 
 
-def test_a_trusted_callers_word_is_kept_and_added_to() -> None:
+def test_forwarding_headers_of_a_trusted_caller_are_kept_and_appended_to() -> None:
     async def play() -> None:
         head = '[listeners.main]\naddress = "127.0.0.1:0"\ntrust-forwarded = true\n'
         async with backend(lambda _: OK) as one:
@@ -65,7 +65,7 @@
     asyncio.run(play())
 
 
-def test_a_header_that_ends_here_chooses_no_route() -> None:
+def test_a_hop_by_hop_header_selects_no_route_and_no_tenant() -> None:
     text = (
         ALL
         + route("beta", "/*", 'pool = "b"\nheaders = { X-Beta = "1" }')
@@ -166,7 +166,7 @@
         (ask(target="/none/at/all", Host="x"), 200),
     ],
 )
-def test_what_is_served_and_what_is_not(request_: bytes, expected: int) -> None:
+def test_status_of_valid_and_invalid_requests(request_: bytes, expected: int) -> None:
     text = (
         "[tenants.acme]\nquota = 5\n"
         + ALL
@@ -193,7 +193,7 @@
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, served(pool("a", one.address) + text) as up:
-            client = await up.client()  # all on one connection
+            client = await up.client()  # all requests use one connection
             got = await client.ask(ask("DELETE", "/a"))
             assert status(got) == 405 and fields(got)["allow"] == "GET, PUT"
             assert status(await client.ask(ask(target="/b"))) == 404
@@ -205,7 +205,7 @@
     asyncio.run(play())
 
 
-def test_a_head_is_answered_without_a_body_and_its_callers_connection_serves_on() -> None:
+def test_a_head_response_has_no_body_and_the_connection_stays_usable() -> None:
     def script(request: bytes) -> bytes:
         return (
             answer(b"", "200 OK").replace(b"Content-Length: 0", b"Content-Length: 12345")
@@ -225,7 +225,7 @@
     asyncio.run(play())
 
 
-def test_a_body_that_comes_to_a_head_is_no_answer_to_the_next_request() -> None:
+def test_a_body_in_a_head_response_is_not_the_response_to_the_next_request() -> None:
     def script(request: bytes) -> bytes:
         return answer(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil") if request.startswith(b"HEAD") else OK
 
@@ -235,13 +235,13 @@
             for _ in range(5):
                 client.writer.write(ask("HEAD"))
                 await soon(client.reader.readuntil(b"\r\n\r\n"))
-                await soon(one.ended.get())  # or it could still come, on a connection that serves on
+                await soon(one.ended.get())  # otherwise the body could still arrive on a reused connection
                 assert (await client.ask(ask())).endswith(b"done")
 
     asyncio.run(play())
 
 
-def test_a_caller_that_waits_for_a_word_before_its_body_gets_it() -> None:
+def test_a_caller_that_expects_100_continue_gets_it() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, served(pool("a", one.address) + ALL) as up:
             client = await up.client()
@@ -251,9 +251,9 @@
             assert status(await client.ask(b"body")) == 200
             sent = await soon(one.got.get())
             assert sent.endswith(b"\r\n\r\nbody") and "expect" not in fields(sent)
-            refused = await up.client()
-            got = await refused.ask(ask("PUT", "/x", Expect="100-continue", Content_Length=str(9 << 20)))
-            assert status(got) == 413  # with no word before it
+            rejected = await up.client()
+            got = await rejected.ask(ask("PUT", "/x", Expect="100-continue", Content_Length=str(9 << 20)))
+            assert status(got) == 413  # without a 100 Continue before it
 
     asyncio.run(play())
 
@@ -264,24 +264,24 @@
         (OK, 200, 200, 1),
         (answer(b"no", "404 No", X_N="1"), 404, 404, 1),
         (answer(b"", "204 None"), 204, 204, 1),
-        (answer(b"oh", "500 Oh"), 200, 500, 1),  # a safe one is tried again
+        (answer(b"oh", "500 Oh"), 200, 500, 1),  # a safe request is retried
         (NEVER_RAN, 200, 200, 2),
-        (MAY_HAVE_RUN, 200, 502, 1),  # a refusal of what may have run would promise what nobody knows
+        (MAY_HAVE_RUN, 200, 502, 1),  # a 503 would say that nothing ran, which is not known
         (answer(b"", "429 Slow"), 200, 502, 1),
         (CLOSE, 200, 502, 1),
         (b"nonsense cut", 200, 502, 1),
     ],
 )
-def test_what_a_backends_answer_comes_to(script: bytes, safe: int, unsafe: int, sent: int) -> None:
+def test_final_status_by_the_backends_response(script: bytes, safe: int, unsafe: int, sent: int) -> None:
     text = route("r", "/r", 'pool = "a"\nclass = "read"') + route("b", "/b", 'pool = "a"\nclass = "book"')
 
     async def play(path: str, expected: int) -> int:
-        left = [script]
+        scripts = [script]
 
-        def say(_: bytes) -> bytes:
-            return left.pop() if left else OK
+        def respond(_: bytes) -> bytes:
+            return scripts.pop() if scripts else OK
 
-        async with backend(say) as one, backend(say) as two:
+        async with backend(respond) as one, backend(respond) as two:
             async with served(pool("a", one.address, two.address) + text) as up:
                 client = await up.client()
                 client.writer.write(ask("POST", path, b"x"))
@@ -320,16 +320,16 @@
     return answer(whole, X_Echo=target.decode())
 
 
-def in_a_thread(up: Served, play: Callable[[str], None]) -> asyncio.Future[None]:
-    """A blocking client beside the daemon's loop."""
+def run_in_thread(up: Served, play: Callable[[str], None]) -> asyncio.Future[None]:
+    """Run a blocking client in a thread, next to the daemon's event loop."""
     loop = asyncio.get_running_loop()
     done: asyncio.Future[None] = loop.create_future()
 
     def run() -> None:
         try:
             play(up.url)
-        except BaseException as fault:
-            loop.call_soon_threadsafe(done.set_exception, fault)
+        except BaseException as error:
+            loop.call_soon_threadsafe(done.set_exception, error)
         else:
             loop.call_soon_threadsafe(done.set_result, None)
 
@@ -365,7 +365,7 @@
             return echo(request)
 
         async with backend(script) as one, served(pool("a", one.address) + ALL) as up:
-            await soon(in_a_thread(up, client))
+            await soon(run_in_thread(up, client))
             await until(lambda: up.in_hand() == 0)
             assert len(one.open) < 12 and one.got.qsize() >= 8
 
--- a/tests/daemon/test_settings_change.py
+++ b/tests/daemon/test_settings_change.py
@@ -1,4 +1,4 @@
-"""SIGHUP with other settings, on loopback: what is open keeps its class, broken files change nothing."""
+"""SIGHUP with other settings, on loopback: open requests keep their classes, invalid files change nothing."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 PART = {"settings": WIRE, "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}}
 
 
-def told(up: Running, folder: Path, monkeypatch: pytest.MonkeyPatch, wire: Any) -> None:
-    """The signal, with this file; `wire` is its settings, or the file's bytes."""
+def reload_with(up: Running, folder: Path, monkeypatch: pytest.MonkeyPatch, wire: Any) -> None:
+    """Reload as SIGHUP does, with a file of these settings; `wire` is the settings, or the bytes of the file."""
     raw = {"name": "n0", "listen": f"{HOST}:0", "discovery": f"{HOST}:9", "seed": "1", **PART, "settings": wire}
     path = folder / "config.json"
     path.write_bytes(wire if isinstance(wire, bytes) else json.dumps(raw).encode())
@@ -26,7 +26,7 @@
 
 
 def changed(**rows: dict[str, Any] | None) -> dict[str, Any]:
-    """The usual settings with other classes: by name what is other in them, None to drop one."""
+    """Return the usual settings with other classes: the changed values by class name, None to drop a class."""
     wire = copy.deepcopy(WIRE)
     kept = [
         row | (rows[row["Name"]] or {}) if row["Name"] in rows else row
@@ -45,14 +45,14 @@
             client = await up.client()
             client.writer.write(book(1))
             await soon(one.got.get())
-            told(up, tmp_path, monkeypatch, changed(book=None, new={}))
-            up.proxy._policy._changeover_ends_at = 0.0  # the change-over has passed
+            reload_with(up, tmp_path, monkeypatch, changed(book=None, new={}))
+            up.proxy._policy._changeover_ends_at = 0.0  # the change-over has ended
             other = await up.client()
             assert status(await other.ask(book(2))) == 400
             fresh = await up.client()
             fresh.writer.write(read(3, X_Priority_Class="new"))
             await soon(one.got.get())
-            one.open[0].write(MAY_HAVE_RUN)  # unsafe still: no repeat, and no promise
+            one.open[0].write(MAY_HAVE_RUN)  # still unsafe: no retry, and no 503, which would allow one
             assert status(await client.answer()) == 502
             one.open[1].write(OK)
             assert status(await fresh.answer()) == 200
@@ -60,7 +60,7 @@
     asyncio.run(play())
 
 
-def test_safe_that_becomes_unsafe_is_not_repeated_and_what_is_open_still_is(
+def test_a_class_that_becomes_unsafe_is_not_retried_but_its_open_requests_are(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def play() -> None:
@@ -70,9 +70,9 @@
                 client.writer.write(read(1))
                 await soon(one.got.get())
                 up.tell([entry("s-2", two.address)])
-                told(up, tmp_path, monkeypatch, changed(read={"Repeat": "fragile"}))
+                reload_with(up, tmp_path, monkeypatch, changed(read={"Repeat": "fragile"}))
                 one.open[0].write(MAY_HAVE_RUN)
-                await soon(two.got.get())  # its repeat
+                await soon(two.got.get())  # the retry
                 two.open[0].write(OK)
                 assert status(await client.answer()) == 200
                 other.writer.write(book(2, X_Priority_Class="read"))
@@ -84,9 +84,7 @@
     asyncio.run(play())
 
 
-def test_fewer_attempts_than_already_made_end_nothing_and_open_requests_keep_theirs(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_lower_attempt_limit_does_not_apply_to_open_requests(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, backend(lambda _: None) as two:
             async with running([entry("s-1", one.address)], wire=PART) as up:
@@ -96,7 +94,7 @@
                 up.tell([entry("s-2", two.address)])
                 wire = copy.deepcopy(WIRE)
                 wire["Bounds"]["MaxAttempts"] = 1
-                told(up, tmp_path, monkeypatch, wire)
+                reload_with(up, tmp_path, monkeypatch, wire)
                 one.open[0].write(MAY_HAVE_RUN)
                 await soon(two.got.get())
                 two.open[0].write(OK)
@@ -104,12 +102,12 @@
                 client.writer.write(read(2))
                 await until(lambda: one.got.qsize() + two.got.qsize() == 1)
                 (one if one.got.qsize() else two).open[-1].write(MAY_HAVE_RUN)
-                assert status(await client.answer()) == 503  # safe to repeat: refused, and not tried again
+                assert status(await client.answer()) == 503  # safe to retry: rejected, but no second attempt is made
 
     asyncio.run(play())
 
 
-BROKEN = [
+INVALID_FILES = [
     b"",
     b"{",
     b"null",
@@ -123,17 +121,17 @@
 ]
 
 
-@pytest.mark.parametrize("wire", BROKEN, ids=range(len(BROKEN)))
-def test_a_broken_file_changes_nothing_and_says_so_in_one_line(
+@pytest.mark.parametrize("wire", INVALID_FILES, ids=range(len(INVALID_FILES)))
+def test_an_invalid_file_changes_nothing_and_logs_one_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], wire: Any
 ) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)], wire=PART) as up:
             before = up.proxy.pool.settings
-            told(up, tmp_path, monkeypatch, wire)
-            said = capsys.readouterr().err
-            assert said.startswith("lugspur: reload: ")
-            assert said.count("\n") == 1
+            reload_with(up, tmp_path, monkeypatch, wire)
+            output = capsys.readouterr().err
+            assert output.startswith("lugspur: reload: ")
+            assert output.count("\n") == 1
             assert up.proxy.pool.settings == before
             assert up.proxy.pool.balancer.settings == before
             client = await up.client()
@@ -142,12 +140,12 @@
     asyncio.run(play())
 
 
-def test_signals_in_a_row_end_with_the_last_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_after_several_signals_the_last_valid_file_is_in_force(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)], wire=PART) as up:
             for number in range(30):
-                told(up, tmp_path, monkeypatch, changed(**{f"c{number}": {}}))
-                told(up, tmp_path, monkeypatch, b"")
+                reload_with(up, tmp_path, monkeypatch, changed(**{f"c{number}": {}}))
+                reload_with(up, tmp_path, monkeypatch, b"")
             client = await up.client()
             assert status(await client.ask(read(1, X_Priority_Class="c29"))) == 200
             up.proxy._policy._changeover_ends_at = -100.0
--- a/tests/daemon/test_state_persistence.py
+++ b/tests/daemon/test_state_persistence.py
@@ -1,4 +1,4 @@
-"""A daemon that keeps what it learned: restarts, silent sources, bad folders, slow and failing disks."""
+"""A daemon that persists what it learned: restarts, silent sources, bad directories, slow and failing disks."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 @asynccontextmanager
-async def keeping(folder: Path, text: str, every: str = "500ms") -> AsyncIterator[Served]:
-    """A daemon that keeps its state in this folder."""
+async def persisting_daemon(folder: Path, text: str, every: str = "500ms") -> AsyncIterator[Served]:
+    """Run a daemon that persists its state in this directory."""
     async with served(f'[state]\nfolder = "{folder}"\nevery = "{every}"\n' + text) as up:
         yield up
 
 
-async def asked(up: Served, count: int = 30) -> None:
+async def send_requests(up: Served, count: int = 30) -> None:
     client = await up.client()
     for _ in range(count):
         assert status(await client.ask(ask())) == 200
@@ -49,8 +49,8 @@
     return {key: server.latency for key, server in servers.items()}
 
 
-def kept(folder: Path) -> list[str]:
-    """The backends that the file knows something of."""
+def persisted_backends(folder: Path) -> list[str]:
+    """Return the backends whose learned state is in the file."""
     learned = decode_snapshot((folder / CURRENT_FILE).read_bytes()).pools["a"].learned
     assert learned is not None
     return sorted(str(row.server) for row in learned.servers)
@@ -60,17 +60,18 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
             text = pool("a", one.address, two.address) + ALL
-            async with keeping(tmp_path, text) as up:
-                await asked(up)
+            async with persisting_daemon(tmp_path, text) as up:
+                await send_requests(up)
                 known = latencies(up)
-                assert any(known.values())  # few calls may all go to one of them
-            async with keeping(tmp_path, text) as up:
+                assert any(known.values())  # few requests may all go to one backend
+            async with persisting_daemon(tmp_path, text) as up:
                 again = latencies(up)
                 assert again.keys() == known.keys()
-                # Drawn towards the mean by what a second or so costs.
+                # About a second of aging moves the values towards the mean.
                 assert all(again[key] == pytest.approx(known[key], rel=0.05) for key in known)
-                await asked(up, 1)
-            async with keeping(tmp_path, pool("a", f"{HOST}:1") + ALL) as up:  # both are gone, and another is new
+                await send_requests(up, 1)
+            # Both backends are replaced by a new one.
+            async with persisting_daemon(tmp_path, pool("a", f"{HOST}:1") + ALL) as up:
                 assert list(latencies(up).values()) == [0.0]
 
     asyncio.run(play())
@@ -91,13 +92,13 @@
                 "weight": 1.0,
                 "since_ms": 0,
             }
-            async with keeping(tmp_path, text) as up:
+            async with persisting_daemon(tmp_path, text) as up:
                 await soon(registry.asked.get())
                 registry.say(5, [row], snapshot=True)
                 await until(lambda: bool(latencies(up)))
-                await asked(up, 3)
-            async with keeping(tmp_path, text) as up:
-                await asked(up, 3)  # the source has said nothing yet
+                await send_requests(up, 3)
+            async with persisting_daemon(tmp_path, text) as up:
+                await send_requests(up, 3)  # the source has not delivered a list yet
                 assert one.got.qsize() == 6
                 await soon(registry.asked.get())
                 registry.say(6, [row | {"name": "y", "address": two.address}], snapshot=True)
@@ -123,12 +124,12 @@
             for name in "ab":
                 members = ", ".join(f'{{ name = "{name}{n}", address = "{one.address}" }}' for n in range(2))
                 both += f"[pools.{name}]\nmembers = [{members}]\n"
-            async with keeping(tmp_path, both) as up:
-                await asked(up, 5)
+            async with persisting_daemon(tmp_path, both) as up:
+                await send_requests(up, 5)
             pools = decode_snapshot((tmp_path / CURRENT_FILE).read_bytes()).pools
             assert [len(pools[name].endpoints) for name in "ab"] == [2, 1]
-            async with keeping(tmp_path, both) as up:
-                await asked(up, 5)
+            async with persisting_daemon(tmp_path, both) as up:
+                await send_requests(up, 5)
 
     asyncio.run(play())
 
@@ -136,11 +137,11 @@
 def test_backend_with_a_new_address_keeps_its_learned_state_and_is_called_there(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as two:
-            for box in (one, two):
-                text = f'[pools.a]\nmembers = [{{ name = "x", address = "{box.address}" }}]\n' + ALL
-                async with keeping(tmp_path, text) as up:
-                    assert any(latencies(up).values()) == (box is two)
-                    await asked(up, 4)
+            for current in (one, two):
+                text = f'[pools.a]\nmembers = [{{ name = "x", address = "{current.address}" }}]\n' + ALL
+                async with persisting_daemon(tmp_path, text) as up:
+                    assert any(latencies(up).values()) == (current is two)
+                    await send_requests(up, 4)
             assert (one.got.qsize(), two.got.qsize()) == (4, 4)
 
     asyncio.run(play())
@@ -149,16 +150,17 @@
 def test_nothing_is_written_while_nothing_changes(tmp_path: Path) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            async with keeping(tmp_path, pool("a", one.address) + ALL) as up:
-                await asked(up, 2)
+            async with persisting_daemon(tmp_path, pool("a", one.address) + ALL) as up:
+                await send_requests(up, 2)
                 await until(lambda: (tmp_path / CURRENT_FILE).exists())
                 persistence = up.daemon.state_persistence
                 assert persistence is not None
                 await until(lambda: persistence._last_written_counts is not None)
-                before = (tmp_path / CURRENT_FILE).stat().st_ino  # each writing makes a file; times have a coarse tick
+                # Each write creates a file, whose inode tells it apart; the clock of file times is too coarse.
+                before = (tmp_path / CURRENT_FILE).stat().st_ino
                 await persistence._write()
                 assert (tmp_path / CURRENT_FILE).stat().st_ino == before
-                await asked(up, 1)
+                await send_requests(up, 1)
                 await persistence._write()
                 assert (tmp_path / CURRENT_FILE).stat().st_ino != before
 
@@ -182,27 +184,27 @@
     other = open_store(str(folder)) if bad == "taken" else None
 
     async def play() -> None:
-        async with backend(lambda _: OK) as one, keeping(folder, pool("a", one.address) + ALL) as up:
-            await asked(up, 2)
+        async with backend(lambda _: OK) as one, persisting_daemon(folder, pool("a", one.address) + ALL) as up:
+            await send_requests(up, 2)
             if bad in ("broken", "newer"):
-                await until(lambda: (folder / CURRENT_FILE).exists())  # and goes on keeping
+                await until(lambda: (folder / CURRENT_FILE).exists())  # the daemon writes a new file
 
     asyncio.run(play())
     if other is not None:
         other.close()
         assert not (folder / CURRENT_FILE).exists()
-    said = [line for line in capsys.readouterr().err.splitlines() if line.startswith("lugspur: state: ")]
-    assert len(said) == 1
+    output = [line for line in capsys.readouterr().err.splitlines() if line.startswith("lugspur: state: ")]
+    assert len(output) == 1
 
 
 def test_failing_disk_is_one_log_line_and_another_when_it_works_again(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    save, full, tries = SnapshotStore.save, True, 0
+    save, full, write_attempts = SnapshotStore.save, True, 0
 
     def failing(store: SnapshotStore, data: bytes) -> None:
-        nonlocal tries
-        tries += 1
+        nonlocal write_attempts
+        write_attempts += 1
         if full:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         save(store, data)
@@ -211,62 +213,62 @@
 
     async def play() -> None:
         nonlocal full
-        async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
+        async with backend(lambda _: OK) as one, persisting_daemon(tmp_path, pool("a", one.address) + ALL) as up:
             persistence = up.daemon.state_persistence
             assert persistence is not None
-            await asked(up, 2)
+            await send_requests(up, 2)
             for _ in range(3):
                 await persistence._write()
-            assert persistence._delay_seconds == 4.0  # 500 ms doubled three times: it backs off
+            assert persistence._delay_seconds == 4.0  # 500 ms doubled three times by the backoff
             full = False
             await persistence._write()
             assert persistence._delay_seconds == 0.5
-            await asked(up, 2)
+            await send_requests(up, 2)
 
     asyncio.run(play())
-    said = [line for line in capsys.readouterr().err.splitlines() if "state: can" in line]
-    assert len(said) == 2 and "No space left" in said[0] and "again" in said[1]
-    assert tries >= 4
+    output = [line for line in capsys.readouterr().err.splitlines() if "state: can" in line]
+    assert len(output) == 2 and "No space left" in output[0] and "again" in output[1]
+    assert write_attempts >= 4
 
 
 def test_slow_disk_delays_no_request_and_the_end_for_a_moment_only(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go, begun = threading.Event(), threading.Event()
+    release, started = threading.Event(), threading.Event()
 
     def slow(store: SnapshotStore, data: bytes) -> None:
-        begun.set()
-        go.wait(20.0)
+        started.set()
+        release.wait(20.0)
 
     monkeypatch.setattr(SnapshotStore, "save", slow)
     monkeypatch.setattr(state_persistence, "LAST_WRITE_TIMEOUT_SECONDS", 0.2)
 
     async def play() -> None:
-        async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
-            await asked(up, 2)
-            await until(begun.is_set)
-            await asked(up, 20)  # the disk is at it all the while
-            assert not go.is_set()
+        async with backend(lambda _: OK) as one, persisting_daemon(tmp_path, pool("a", one.address) + ALL) as up:
+            await send_requests(up, 2)
+            await until(started.is_set)
+            await send_requests(up, 20)  # the write is in progress all the while
+            assert not release.is_set()
 
     asyncio.run(play())
-    go.set()
+    release.set()
     assert "too slow" in capsys.readouterr().err
 
 
 def test_disk_that_hangs_at_the_start_is_not_waited_for(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go = threading.Event()
-    monkeypatch.setattr(SnapshotStore, "load", lambda store: go.wait(20.0))
+    release = threading.Event()
+    monkeypatch.setattr(SnapshotStore, "load", lambda store: release.wait(20.0))
     monkeypatch.setattr(state_persistence, "READ_TIMEOUT_SECONDS", 0.1)
 
     async def play() -> None:
-        async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
-            await asked(up, 2)
+        async with backend(lambda _: OK) as one, persisting_daemon(tmp_path, pool("a", one.address) + ALL) as up:
+            await send_requests(up, 2)
 
     asyncio.run(play())
-    go.set()
-    assert "too slow: nothing is taken up or kept" in capsys.readouterr().err
+    release.set()
+    assert "too slow: nothing is loaded or persisted" in capsys.readouterr().err
 
 
 def test_state_that_can_not_be_encoded_is_one_log_line_and_stops_neither_service_nor_its_end(
@@ -295,16 +297,16 @@
             text = f'[pools.a]\nfile = "{listed}"\n' + ALL
             folder = tmp_path / "kept"
             folder.mkdir()
-            async with keeping(folder, text) as up:
-                await asked(up, 2)
-                told = up.daemon.clusters["a"].overrides.latest
-                [(server, endpoint)] = told.items()
-                told[server] = replace(endpoint, address=(object(), 1))  # type: ignore[arg-type]  # on purpose
+            async with persisting_daemon(folder, text) as up:
+                await send_requests(up, 2)
+                latest = up.daemon.clusters["a"].overrides.latest
+                [(server, endpoint)] = latest.items()
+                latest[server] = replace(endpoint, address=(object(), 1))  # type: ignore[arg-type]  # on purpose
                 persistence = up.daemon.state_persistence
                 assert persistence is not None
                 for _ in range(2):
                     await persistence._write()
-                await asked(up, 2)
+                await send_requests(up, 2)
 
     asyncio.run(play())
     assert capsys.readouterr().err.count("can't write to") == 1
@@ -320,9 +322,9 @@
                 )
                 + ALL
             )
-            async with keeping(tmp_path, text) as up:
-                await asked(up, 5)
-            async with keeping(tmp_path, text) as up:
+            async with persisting_daemon(tmp_path, text) as up:
+                await send_requests(up, 5)
+            async with persisting_daemon(tmp_path, text) as up:
                 both = [next(iter(up.daemon.clusters[name].pool.balancer.table.servers.values())) for name in "ab"]
                 assert both[0].latency > 0.0 and both[1].latency == 0.0
 
@@ -348,7 +350,7 @@
             [sys.executable, "-m", "lugspur", "run", str(file)], cwd=ROOT, text=True, stderr=subprocess.PIPE
         ), port
 
-    async def ask_of(port: int) -> None:
+    async def send_request(port: int) -> None:
         async with asyncio.timeout(20.0):
             while True:
                 try:
@@ -364,15 +366,15 @@
         async with backend(lambda _: OK) as one:
             for number in (signal.SIGKILL, signal.SIGTERM, signal.SIGTERM):
                 process, port = start(one)
-                await ask_of(port)
+                await send_request(port)
                 before = (folder / CURRENT_FILE).stat().st_mtime_ns if (folder / CURRENT_FILE).exists() else 0
                 if number == signal.SIGKILL:
                     await until(lambda: (folder / CURRENT_FILE).exists())
                 process.send_signal(number)
-                _, said = await asyncio.to_thread(process.communicate)
+                _, output = await asyncio.to_thread(process.communicate)
                 assert (folder / CURRENT_FILE).stat().st_mtime_ns > before
-                assert len(kept(folder)) == 1
-                assert ("backends of 1 pools" in said) == (before > 0)
+                assert len(persisted_backends(folder)) == 1
+                assert ("backends of 1 pools" in output) == (before > 0)
 
     asyncio.run(play())
 
@@ -384,25 +386,25 @@
         "import asyncio, sys, os\n"
         "from lugspur.daemon.state_persistence import StatePersistence\n"
         "async def play():\n"
-        "    kept = StatePersistence('kept', 5.0, sys.argv[1])\n"
-        "    await kept.open()\n"
-        "    print(kept.snapshot_of('a')[0] is not None, flush=True)\n"
+        "    persistence = StatePersistence('kept', 5.0, sys.argv[1])\n"
+        "    await persistence.open()\n"
+        "    print(persistence.snapshot_of('a')[0] is not None, flush=True)\n"
         "    os._exit(1)\n"
         "asyncio.run(play())\n"
     )
 
     async def play() -> None:
-        async with backend(lambda _: OK) as one, keeping(folder, pool("a", one.address) + ALL) as up:
-            await asked(up, 2)
+        async with backend(lambda _: OK) as one, persisting_daemon(folder, pool("a", one.address) + ALL) as up:
+            await send_requests(up, 2)
 
     asyncio.run(play())
-    told = [
+    found = [
         subprocess.run(
             [sys.executable, "-c", program, str(tmp_path / "f.toml")], cwd=ROOT, text=True, capture_output=True
         ).stdout.strip()
         for _ in range(4)
     ]
-    assert told == ["True", "True", "False", "False"]
+    assert found == ["True", "True", "False", "False"]
 
 
 def test_nothing_of_it_is_imported_without_a_state_table(tmp_path: Path) -> None:
@@ -421,10 +423,10 @@
 
 def test_commands_show_verify_and_prune(tmp_path: Path) -> None:
     async def play() -> None:
-        async with backend(lambda _: OK) as one, keeping(tmp_path, pool("a", one.address) + ALL) as up:
-            await asked(up, 5)
+        async with backend(lambda _: OK) as one, persisting_daemon(tmp_path, pool("a", one.address) + ALL) as up:
+            await send_requests(up, 5)
             await until(lambda: (tmp_path / CURRENT_FILE).exists())
-            assert run("prune", str(tmp_path / CURRENT_FILE))[0] == 1  # a daemon is at it
+            assert run("prune", str(tmp_path / CURRENT_FILE))[0] == 1  # a daemon uses the file
 
     def run(*words: str) -> tuple[int, str]:
         got = CliRunner().invoke(cli, ("state", *words))
@@ -432,10 +434,10 @@
 
     asyncio.run(play())
     file = str(tmp_path / CURRENT_FILE)
-    status_, said = run("show", file)
-    assert status_ == 0 and "pool a" in said and "127.0.0.1:" in said
-    status_, said = run("show", "--json", file)
-    [row] = json.loads(said)["pools"]["a"]
+    status_, output = run("show", file)
+    assert status_ == 0 and "pool a" in output and "127.0.0.1:" in output
+    status_, output = run("show", "--json", file)
+    [row] = json.loads(output)["pools"]["a"]
     assert row["calls"] == 5 and row["failed"] == 0 and row["latency_ms"] > 0.0
     assert run("verify", file) == (0, f"{file}: whole; 1 pools, 1 backends\n")
     time.sleep(0.01)
@@ -445,5 +447,5 @@
     assert run("prune", file, "--unseen", "soon")[0] == 2
     (tmp_path / CURRENT_FILE).write_bytes((tmp_path / CURRENT_FILE).read_bytes()[:-3])
     for words in (("show", file), ("verify", file), ("prune", file), ("verify", str(tmp_path / "none"))):
-        status_, said = run(*words)
-        assert status_ == 2 and len(said.splitlines()) == 1, words
+        status_, output = run(*words)
+        assert status_ == 2 and len(output.splitlines()) == 1, words
