--- a/lugspur/daemon/daemon_admin.py
+++ b/lugspur/daemon/daemon_admin.py
@@ -46,7 +46,7 @@
             await admin_listener.open()
         except OSError as error:
             host, port = row.address
-            raise OSError(f"management can't have {host}:{port}: {error.strerror or error}") from error
+            raise OSError(f"management can't bind {host}:{port}: {error.strerror or error}") from error
         return admin_listener
 
     def use(self, row: Management, admin_listener: AdminListener | None) -> None:
--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -87,7 +87,7 @@
         except OSError as error:
             self._close_promise_store()
             host, port = row.bind
-            raise OSError(f"fleet can't have {host}:{port}: {error.strerror or error}") from error
+            raise OSError(f"fleet can't bind {host}:{port}: {error.strerror or error}") from error
         host, port = row.advertise or sock.getsockname()[:2]
         fleet = GossipProtocol(
             codec=codec,
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -230,7 +230,7 @@
         sock.listen(BACKLOG)
     except OSError as error:
         sock.close()
-        raise OSError(f"listener {name} can't have {host}:{port}: {error.strerror or error}") from error
+        raise OSError(f"listener {name} can't bind {host}:{port}: {error.strerror or error}") from error
     return sock
 
 
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -117,7 +117,7 @@
         file = tmp_path / "f.toml"
         file.write_text(f'[listeners.main]\naddress = "127.0.0.1:{taken.getsockname()[1]}"\n')
         status, said = command("run", str(file))
-        assert status == 1 and len(said.splitlines()) == 1 and "listener main can't have 127.0.0.1:" in said
+        assert status == 1 and len(said.splitlines()) == 1 and "listener main can't bind 127.0.0.1:" in said
     status, said = command("run", str(tmp_path / "none"))
     assert status == 2 and said == f"{tmp_path}/none: No such file or directory\n"
 
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -172,7 +172,7 @@
     [
         ("[pools", "lugspur.toml:"),
         (route("q", "/q", 'pool = "none"'), 'pool "none" is not in this file'),
-        ('[listeners.more]\naddress = "127.0.0.1:PORT"\n', "listener more can't have 127.0.0.1:"),
+        ('[listeners.more]\naddress = "127.0.0.1:PORT"\n', "listener more can't bind 127.0.0.1:"),
     ],
 )
 def test_an_invalid_file_changes_nothing_and_logs_why(
