--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -67,9 +67,8 @@
         self._byte_limits = 0, 0  # bytes of all incomplete responses, and of one response
         self._tenant_indexes: dict[str, int] = {}
         self._list_changes = 0  # endpoint lists and changes received so far
-        self.on_connection_attempt: Callable[[str, int, bool], None] | None = (
-            None  # called with cluster, backend, and whether it connected
-        )
+        # Called with the cluster's name, the backend, and whether a connection to it was established.
+        self.on_connection_attempt: Callable[[str, int, bool], None] | None = None
         self.on_endpoints_changed: Callable[[str], None] | None = None  # called with the cluster's name
 
     def apply(
@@ -123,11 +122,11 @@
             self.pool.balancer.import_learned(now, learned)
 
     def change_counts(self) -> tuple[int, int]:
-        """Return counts of outcomes and list changes; while both are unchanged, nothing new was learned."""
+        """Return the counts of requests and of list changes; while both are unchanged, nothing new was learned."""
         return self.pool.request_count, self._list_changes
 
     def class_index(self, row: RequestClass) -> int:
-        """Return the class's index in this pool's settings.
+        """Return the index of a class in this pool's settings.
 
         A class that a reload removed while the request's body was arriving is added again.
         """
@@ -137,7 +136,7 @@
         return self.pool.settings.classes.index(row)
 
     def tenant_index(self, name: str) -> int:
-        """Return the tenant's index in this pool's settings, or 0 for a tenant that a reload removed."""
+        """Return the index of a tenant in this pool's settings, or 0 for a tenant that a reload removed."""
         return self._tenant_indexes.get(name, 0)
 
     def _start_pool(self, row: model.Pool, settings: Settings) -> None:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -77,10 +77,10 @@
         """Put a plan into force in one step; open requests keep the configuration that they began with."""
         limits, pools = plan.file.limits, plan.file.pools
         sockets = max(8, limits.sockets - RESERVED_SOCKETS)
-        callers = int(CALLER_SOCKETS_SHARE * sockets)
+        max_callers = int(CALLER_SOCKETS_SHARE * sockets)
         weights = {name: row.share for name, row in pools.items()}
-        self._sockets.reset(sockets - callers, even(sockets - callers, weights))
-        self._request_slots.reset(callers, even(callers, weights))
+        self._sockets.reset(sockets - max_callers, even(sockets - max_callers, weights))
+        self._request_slots.reset(max_callers, even(max_callers, weights))
         held_bytes_per_weight = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.configuration.plan.file.limits.read)
@@ -210,8 +210,8 @@
         target: Target,
         caller: Answerable,
     ) -> None:
-        kind = configuration.plan.classes[configuration.plan.kinds[forward.kind]]
-        timeout = self._read_timeout(kind, forward, request)
+        request_class = configuration.plan.classes[configuration.plan.kinds[forward.kind]]
+        timeout = self._read_timeout(request_class, forward, request)
         query = read_query(target.query) if _reads_query(forward) else {}
         tenant = _read_tenant(configuration.plan, match, forward, request, query)
         caller.admit()
@@ -232,13 +232,15 @@
             order = by_key(forward.splits, key.encode("utf-8", "surrogatepass"))
         else:
             order = by_chance(forward.splits, self._rng)
-        found = candidates(order, forward.fallback, configuration.standings, self._loop.time())
-        if not found:
+        names = candidates(order, forward.fallback, configuration.standings, self._loop.time())
+        if not names:
             caller.answer(503, RETRY_AFTER_HEADER, b"no backend\n")
             return
         upstream_request = build_upstream_request(request, target, match, forward, caller.peer, row.trust_forwarded)
-        cluster, *rest = (configuration.clusters[name] for name in found)
-        context = RequestContext(kind, forward, upstream_request, tenant, read_cost(request), deadline, cluster, rest)
+        cluster, *fallback_clusters = (configuration.clusters[name] for name in names)
+        context = RequestContext(
+            request_class, forward, upstream_request, tenant, read_cost(request), deadline, cluster, fallback_clusters
+        )
         stream = request.stream
         if stream is not None and not stream.ended:
             self._submit_streaming(context, stream, timeout, caller)
@@ -250,12 +252,12 @@
         route = configuration.reload_number, match.route.name, cluster.name, row.trust_forwarded
         self.coalescer.coalesce(request, context, route, forward.join, caller)
 
-    def _read_timeout(self, kind: RequestClass, forward: Forward, request: Request) -> float:
+    def _read_timeout(self, request_class: RequestClass, forward: Forward, request: Request) -> float:
         """Return the request's timeout in seconds; raises Rejected if a header that its class requires is missing."""
         get = request.headers.get
-        if kind.retry_safety is RetrySafety.KEYED and not get(b"idempotency-key"):
+        if request_class.retry_safety is RetrySafety.KEYED and not get(b"idempotency-key"):
             raise Rejected(400, "no Idempotency-Key, which this class needs")
-        timeout = min(kind.deadline, forward.deadline or kind.deadline)
+        timeout = min(request_class.deadline, forward.deadline or request_class.deadline)
         requested_timeout = get(b"x-timeout")
         if requested_timeout is not None:
             if not SECONDS_PATTERN.fullmatch(requested_timeout):
@@ -289,12 +291,12 @@
     def _submit(self, context: RequestContext, caller: Answerable) -> None:
         """Submit a request to its upstream cluster, if that has capacity left."""
         cluster, form = context.cluster, context.request.form
-        kind = context.request_class
+        request_class = context.request_class
         if form is not None and form.bound:
             if not cluster.speaks_grpc:
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
-            kind = replace(kind, allowed_host_types=(GRPC_HOST_TYPE,))
+            request_class = replace(request_class, allowed_host_types=(GRPC_HOST_TYPE,))
         if not self._request_slots.fits(cluster.name):
             # Protects the other pools: one that hangs fills only its own slots and those that are not reserved.
             context.ending = Ending.REJECTED
@@ -302,7 +304,7 @@
             return
         self._request_slots.take(cluster.name)
         attributes = RequestAttributes(
-            cluster.class_index(kind), cluster.tenant_index(context.tenant), 0.0, context.cost, False
+            cluster.class_index(request_class), cluster.tenant_index(context.tenant), 0.0, context.cost, False
         )
         call = cluster.pool.submit(context.request, attributes, caller, context.deadline, context, context.expected_by)
         if call.caller is not None:  # otherwise it is answered already, or another pool has taken over
@@ -346,18 +348,18 @@
         """Fail over to the next pool if this one has no usable backend and nothing ran; otherwise respond with 503."""
         context = _context_of(call)
         cluster, now = context.cluster, self._loop.time()
-        rest = [other for other in context.fallback_clusters if other.standing.usable(now)]
+        fallbacks = [other for other in context.fallback_clusters if other.standing.usable(now)]
         stream = context.request.stream
         body_partly_dropped = stream is not None and stream.bound  # a part of the body is no longer buffered
         if (
-            rest
+            fallbacks
             and not body_partly_dropped
             and not call.may_have_run
             and not cluster.standing.usable(now)
             and now < call.deadline
         ):
             caller = cluster.pool.release(call)
-            context.cluster, *context.fallback_clusters = rest
+            context.cluster, *context.fallback_clusters = fallbacks
             if caller is not None:
                 self._submit(context, caller)
             return
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -1,6 +1,6 @@
 """One pool of backends: passes events from its sockets to the load balancer, and carries out the balancer's actions.
 
-Only this module calls the balancer. It takes no decisions itself; its owner writes the final responses.
+Only this module passes events to the balancer. It takes no decisions itself; its owner writes the final responses.
 """
 
 from __future__ import annotations
@@ -99,8 +99,8 @@
     def encode_http1(self, left: float) -> bytes:
         """Return the request as sent to an HTTP/1.1 backend that has `left` seconds to respond."""
         request = self.request if self.request.form is None else self.request.form.plain(self.request)
-        framed = request.body or request.method not in (b"GET", b"HEAD")
-        length = b"Content-Length: %d\r\n" % len(request.body) if framed else b""
+        sends_length = request.body or request.method not in (b"GET", b"HEAD")
+        length = b"Content-Length: %d\r\n" % len(request.body) if sends_length else b""
         stream = request.stream
         if stream is not None:
             length = (
@@ -250,7 +250,7 @@
         """Let a backend that operators or health checks took out of service serve again."""
         self.balancer.reinstate(self.now(), server)
 
-    # ---- the list ----------------------------------------------------------------------------
+    # ---- endpoints ---------------------------------------------------------------------------
 
     def update_endpoints(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Apply a complete endpoint list, or changes to it."""
@@ -349,22 +349,22 @@
         self._close(call)
         self._perform(self._call_balancer(self.balancer.cancel_request, call.balancer_id, call=call))
         if call.is_bound:  # The balancer does not cancel a bound attempt, but its response has no receiver any more.
-            for exchange in tuple(call.attempts):
-                exchange.end(Outcome.CANCELLED)
+            for attempt in tuple(call.attempts):
+                attempt.end(Outcome.CANCELLED)
 
     def _deadline_passed(self, call: Call) -> None:
-        """Answer a request whose deadline has passed, even if the balancer did not."""
-        for exchange in tuple(call.attempts):
-            exchange.expire()
-        if call.caller is not None and call.deadline < float("inf"):  # else its response has just been started
+        """Send a response now, since the deadline has passed, whatever the balancer does."""
+        for attempt in tuple(call.attempts):
+            attempt.expire()
+        if call.caller is not None and call.deadline < float("inf"):  # otherwise its response has just been started
             self._fail_unanswered(call)
 
     def _fail_unanswered(self, call: Call) -> None:
         """Fail a request that the balancer left unanswered, and cancel it there."""
         self.respond(call, 504 if self._loop.time() >= call.deadline else 500, b"", b"")
         self._perform(self._call_balancer(self.balancer.cancel_request, call.balancer_id))
-        for exchange in tuple(call.attempts):
-            exchange.end(Outcome.CANCELLED)
+        for attempt in tuple(call.attempts):
+            attempt.end(Outcome.CANCELLED)
 
     def respond(
         self,
@@ -389,13 +389,13 @@
         else:
             caller.answer(status, head, body, length)
 
-    def _record_failure(self, call: Call, how: str) -> None:
+    def _record_failure(self, call: Call, ending: str) -> None:
         """Add a failed request to the failure log."""
         row = self.settings.classes[call.attributes.class_index]
         request, now = call.request, self._loop.time()
         self.failures.add(
             request.headers.get(b"x-request-id", b""),
-            how,
+            ending,
             route=f"class-{call.attributes.class_index}",
             keyed=row.retry_safety is RetrySafety.KEYED,
             took_s=now - request.arrived,
@@ -405,7 +405,7 @@
         )
 
     def release(self, call: Call) -> Answerable | None:
-        """Release a request, and return its caller, whom this method's user has to answer from then on."""
+        """Release a request, and return its caller; whoever calls this has to send the response from then on."""
         caller = call.caller
         self._close(call)
         return caller
@@ -420,7 +420,7 @@
         self._forget_if_finished(call)
 
     def _forget_if_finished(self, call: Call) -> None:
-        if call.caller is None and not any(exchange.open for exchange in call.attempts):
+        if call.caller is None and not any(attempt.open for attempt in call.attempts):
             self.calls.pop(call.balancer_id, None)
             call.attempts.clear()  # Breaks the reference cycle between a call and its attempts.
 
@@ -454,15 +454,15 @@
         now = self._loop.time()
         expires_at = min(call.deadline, now + action.timeout) if action.timeout > 0.0 else call.deadline
         number = len(call.attempts)
-        repeatable = self._retryable_classes[call.attributes.class_index]
-        none_ran = not call.may_have_run and not any(exchange.open for exchange in call.attempts)
+        is_retryable = self._retryable_classes[call.attributes.class_index]
+        none_ran = not call.may_have_run and not any(attempt.open for attempt in call.attempts)
         check(call.caller is not None, Invariant.SENT_WHILE_OPEN, request=call.balancer_id, attempt=number)
-        check(repeatable or none_ran, Invariant.RUN_ONCE, request=call.balancer_id, attempt=number)
+        check(is_retryable or none_ran, Invariant.RUN_ONCE, request=call.balancer_id, attempt=number)
         watcher = AttemptWatcher(self, call, number)
         timed = expires_at < call.deadline  # otherwise the call's own timer ends it at the deadline
         backend = self.backends[action.server]
         if backend.lane is not None:
-            call.attempts.append(backend.lane.start(backend, call.request, expires_at, watcher, repeatable, timed))
+            call.attempts.append(backend.lane.start(backend, call.request, expires_at, watcher, is_retryable, timed))
             return
         exchange = upstream.Exchange(
             backend,
@@ -470,7 +470,7 @@
             expires_at,
             call.encode_http1,
             watcher.ended,
-            repeatable,
+            is_retryable,
             call.request.method == b"HEAD",
             timed,
         )
@@ -485,17 +485,17 @@
         """Stream the request's body to the attempt, whose timeout starts with the last byte."""
         exchange.body, exchange.timed, exchange.until = body, False, call.deadline
 
-        def written() -> None:
+        def body_written() -> None:
             now = self._loop.time()
             exchange.started = now
             exchange.until = min(call.deadline, now + timeout) if timeout > 0.0 else call.deadline
             if exchange.until < call.deadline:
                 exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
 
-        def dropped() -> None:
+        def body_dropped() -> None:
             self.bind_to_attempt(call, number)
 
-        exchange.written, body.dropped = written, dropped
+        exchange.written, body.dropped = body_written, body_dropped
 
     def bind_to_attempt(self, call: Call, number: int) -> None:
         """Bind a request to an attempt, because a message was passed on: no other attempt may be made."""
@@ -510,15 +510,15 @@
             self._owner.response_begun(call, response, body)
 
     def finish_attempt(
-        self, call: Call, number: int, exchange: Attempt, outcome: Outcome, response: Response | None
+        self, call: Call, number: int, attempt: Attempt, outcome: Outcome, response: Response | None
     ) -> None:
         """Handle the end of an attempt."""
         now = self._loop.time()
         self.attempt_counts[outcome.value] += 1
-        name = "{}:{}".format(*exchange.backend.address)
+        name = "{}:{}".format(*attempt.backend.address)
         status = "" if response is None else str(response.status)
         call.attempt_records.append(
-            AttemptRecord(name, exchange.started - call.request.arrived, now - exchange.started, outcome.value, status)
+            AttemptRecord(name, attempt.started - call.request.arrived, now - attempt.started, outcome.value, status)
         )
         call.last_outcome, call.last_response = outcome, response
         call.may_have_run = call.may_have_run or outcome not in NEVER_RAN
@@ -539,7 +539,7 @@
                 call.balancer_id,
                 number,
                 outcome,
-                exchange.latency(now),
+                attempt.latency(now),
                 call.caller is None,
                 call=call,
             )
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -164,9 +164,9 @@
     def _set_ready(self) -> None:
         if not self.front.ready:
             self.front.ready = True
-            self.begin()
+            self.announce_ready()
 
-    def begin(self) -> None:
+    def announce_ready(self) -> None:
         """Announce that clients are accepted, once the endpoint list is loaded and the listener is open."""
         if self.accepts_clients and self.on_ready is not None:
             self.on_ready()
@@ -353,10 +353,10 @@
         rows = self._policy.classes_for(name, request.arrived)
         if not rows:
             raise Rejected(400, "unknown class")
-        candidates = [(kind, row) for kind, row in rows if matches_retry_safety(request, row.retry_safety)]
+        candidates = [(index, row) for index, row in rows if matches_retry_safety(request, row.retry_safety)]
         if not candidates:
             raise Rejected(400, "the method does not fit the class")
-        kind, row = candidates[0]
+        class_index, request_class = candidates[0]
         tenant: int | None = 0
         if self._tenants:
             tenant = self._tenants.get(get(b"x-tenant-id", b"").decode("latin-1"))
@@ -366,8 +366,8 @@
         if not SECONDS_PATTERN.fullmatch(timeout):
             raise Rejected(400, "the time is malformed")
         # Protects timers and memory from absurd timeouts: no client waits longer than its class's deadline.
-        timeout_seconds = min(float(timeout), row.deadline)
-        return RequestAttributes(kind, tenant, timeout_seconds, read_cost(request), get(b"x-retried") == b"1")
+        timeout_seconds = min(float(timeout), request_class.deadline)
+        return RequestAttributes(class_index, tenant, timeout_seconds, read_cost(request), get(b"x-retried") == b"1")
 
     # ---- the pool's owner (pool.PoolOwner) -----------------------------------------------------
 
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -158,7 +158,7 @@
                 admin_listener = await self.admin.prepare(plan.file.management)
             for name, row in rows.items():
                 if name not in unchanged:
-                    # An address that stays keeps its socket, and so its backlog, if its settings or name change.
+                    # An address that stays keeps its socket, and so its backlog, under other settings or another name.
                     former_socket = bound_before.get(row.address)
                     bound[name] = _bind(name, row) if former_socket is None else former_socket.dup()
         except OSError:
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -39,7 +39,7 @@
     hot_restart: HotRestart | None = None
     takeover: Takeover | None = None
     if config.management is not None:
-        # Imported only here, to save memory in a proxy without an admin listener, which has no hot restart either.
+        # Imported only here, to save memory in a proxy without an admin listener, which is alone at its address.
         from lugspur.daemon.hot_restart.hot_restart import HotRestart
 
         hot_restart = HotRestart(config.listen)
@@ -63,7 +63,7 @@
         hot_restart.attach(proxy, listener)
     if takeover is not None:
         proxy.accept_transferred_list()
-    proxy.begin()
+    proxy.announce_ready()
     gc.collect()
     gc.freeze()
     await stop_requested.wait()
@@ -109,7 +109,7 @@
     """Accept the connections that still arrive, finish all requests, and close the callers' connections."""
     loop = asyncio.get_running_loop()
     front.serving = False
-    # The load balancer in front of the proxy goes on sending connections for a moment.
+    # The front layer goes on sending connections to this proxy for a moment.
     began = loop.time()
     while (elapsed := loop.time() - began) < MAX_LISTEN_SECONDS:
         if elapsed >= MIN_LISTEN_SECONDS and loop.time() - front.last_accept >= QUIET_SECONDS:
