--- a/lugspur/daemon/load_signals.py
+++ b/lugspur/daemon/load_signals.py
@@ -116,11 +116,7 @@
             self._memory_read_at = now
             try:
                 pages = int(Path("/proc/self/statm").read_bytes().split()[1])
-            except (
-                OSError,
-                ValueError,
-                IndexError,
-            ):  # another operating system: unknown memory use must not limit requests
+            except (OSError, ValueError, IndexError):  # not Linux: unknown memory use must not limit requests
                 pages = 0
             self._last_memory_share = pages * self._page_bytes / self.memory_limit_bytes
         return self._last_memory_share
