--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -35,7 +35,7 @@
 )
 from lugspur.daemon.leases.promise_store import CorruptPromiseStoreError, PromiseStore, PromiseStoreInUseError
 from lugspur.daemon.leases.voter import CandidateId, LeaseVoter
-from lugspur.daemon.probers import HEALTH_CHECKS_TOPIC, Probers
+from lugspur.daemon.probers import HEALTH_CHECKS_TOPIC, PoolHealthChecks
 
 if TYPE_CHECKING:
     from lugspur.daemon.cluster import UpstreamCluster
@@ -57,7 +57,7 @@
 
     def __init__(self, row: model.Fleet, zone: str, config_path: str, log: Callable[[str], None]) -> None:
         self._config, self._config_path, self.log = row, config_path, log
-        self.probers: Probers | None = None
+        self.health_checks: PoolHealthChecks | None = None
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random()
         self._metadata = MemberMetadata(zone[:MAX_ZONE_CHARACTERS], _version(), time.time())
@@ -152,10 +152,10 @@
     def apply(self, file: model.File, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
         """Put a file into force: each of its checked pools gets one health checker for the whole fleet."""
         checks = {name: row.check for name, row in file.pools.items() if row.check is not None}
-        if checks and self.probers is None and self._config.electors:
-            self.probers = Probers(self, clusters)
-        if self.probers is not None:
-            self.probers.apply(checks)
+        if checks and self.health_checks is None and self._config.electors:
+            self.health_checks = PoolHealthChecks(self, clusters)
+        if self.health_checks is not None:
+            self.health_checks.apply(checks)
 
     # ---- roles ------------------------------------------------------------------------------------
 
@@ -241,8 +241,8 @@
 
     def close(self) -> None:
         """Announce the departure, and close the transport, the promise store and the history."""
-        if self.probers is not None:
-            self.probers.close()
+        if self.health_checks is not None:
+            self.health_checks.close()
         self.fleet.leave(clock.now())
         self.transport.close()
         self._close_promise_store()
@@ -255,8 +255,8 @@
         if isinstance(event, MessageReceived):
             if event.topic == LEASES_TOPIC:
                 self._receive_lease_messages(event)
-            elif event.topic == HEALTH_CHECKS_TOPIC and self.probers is not None:
-                self.probers.receive(event.body)
+            elif event.topic == HEALTH_CHECKS_TOPIC and self.health_checks is not None:
+                self.health_checks.receive(event.body)
         elif isinstance(event, MemberChanged):
             self._record_member_change(event)
         elif isinstance(event, NameConflict):
@@ -351,8 +351,8 @@
             self._history.write(json.dumps(row) + "\n")
         if isinstance(change, LeaseAcquired):
             return
-        if self.probers is not None:
-            self.probers.leadership_changed(change)
+        if self.health_checks is not None:
+            self.health_checks.leadership_changed(change)
         what = "is ours" if change.is_leader else "is ours no more"
         self.log(f"duty {change.role} {what} under epoch {change.epoch}: {change.reason}")
 
@@ -441,7 +441,9 @@
                 }
             )
         unhealthy, failed_connections = (
-            ({}, 0) if self.probers is None else (self.probers.excluded_backends(), self.probers.failed_connections)
+            ({}, 0)
+            if self.health_checks is None
+            else (self.health_checks.excluded_backends(), self.health_checks.failed_connections)
         )
         return json.dumps(
             {"member": self._config.member, "duties": rows, "down": unhealthy, "vain": failed_connections}
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -81,7 +81,7 @@
         self.epoch = 0  # of the prober whose report was received last
 
 
-class Probers:
+class PoolHealthChecks:
     """The health checks of all pools of the daemon that are checked."""
 
     def __init__(self, peers: FleetMembership, clusters: Callable[[], Mapping[str, UpstreamCluster]]) -> None:
