--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -1,4 +1,4 @@
-"""One upstream cluster of the daemon: pool, source of endpoints, health, and settings over reloads."""
+"""One upstream cluster of the daemon: its pool, endpoint source, health, and settings over reloads."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lugspur.config.build import member_name
 from lugspur.config.load import resolved
 from lugspur.daemon.class_indexes import keep_class_indexes
-from lugspur.daemon.pool import Owner, Pool
+from lugspur.daemon.pool import Pool, PoolOwner
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.discovery.platform_watch import PlatformWatch
@@ -30,14 +30,14 @@
     from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
     from lugspur.http2.upstream import Streams
 
-GRPC_HOST_TYPE = 1  # host type of gRPC backends in the decision module: streams are sent to these only
+GRPC_HOST_TYPE = 1  # host type of gRPC backends in the balancer: streams are sent to these only
 IDLE_CHECK_INTERVAL_SECONDS = 0.1  # between checks whether a removed cluster has finished its last request
 
 
-def classify_answer(status: int, unseen: bool) -> Outcome:
-    """Return the outcome of an attempt that an ordinary backend answered with this status.
+def classify_response(status: int, unseen: bool) -> Outcome:
+    """Return the outcome of an attempt to which an ordinary backend responded with this status.
 
-    Below 500 the backend did its work, whatever it answered, except for 408 and 429, by which it gave up. 501
+    A status below 500 means that the backend did its work, except for 408 and 429, by which it gave up. 501
     concerns the request too: another backend would not support it either.
     Only `X-Not-Processed: 1` (`unseen`) proves that nothing ran.
     """
@@ -50,7 +50,7 @@
     """The backends of one pool of the configuration file, from its first load until it is removed and idle."""
 
     def __init__(
-        self, name: str, sockets: SharedLimit, owner: Owner, epoch: float, registries: RegistrySessions
+        self, name: str, sockets: SharedLimit, owner: PoolOwner, epoch: float, registries: RegistrySessions
     ) -> None:
         self.name = name
         self.standing = PoolHealth()
@@ -62,14 +62,13 @@
         self._source_key: object = None  # the settings that the source was created from
         self._source: EndpointSource | None = None
         self.pool: Pool
-        self.speaks_grpc = False  # whether any backend does
+        self.speaks_grpc = False  # whether any backend speaks gRPC
         self._streams: Streams | None = None  # connections to gRPC backends
-        self._byte_limits = 0, 0  # bytes of all incomplete answers, and of one answer
+        self._byte_limits = 0, 0  # bytes of all incomplete responses, and of one response
         self._tenant_indexes: dict[str, int] = {}
         self._list_changes = 0  # endpoint lists and changes received so far
-        self.on_connection_attempt: Callable[[str, int, bool], None] | None = (
-            None  # called with cluster, backend, and whether it connected
-        )
+        # Called with the cluster's name, the backend, and whether a connection to it was established.
+        self.on_connection_attempt: Callable[[str, int, bool], None] | None = None
         self.on_endpoints_changed: Callable[[str], None] | None = None  # called with the cluster's name
 
     def apply(
@@ -83,7 +82,7 @@
         snapshot: PoolSnapshot | None = None,
         snapshot_age: float | None = None,
     ) -> None:
-        """Put the pool's row of the file at `config_path` into force; statistics of backends are kept.
+        """Put the pool's settings in the file at `config_path` into force; statistics of backends are kept.
 
         `snapshot` is what an earlier process learned of the pool, `snapshot_age` its age in seconds, or None
         where that is unknown.
@@ -91,8 +90,8 @@
         if self._config is None:
             self._start_pool(row, settings)
         else:
-            open_classes = {call.facts.kind for call in self.pool.calls.values()}
-            self.pool.adopt(
+            open_classes = {call.attributes.class_index for call in self.pool.calls.values()}
+            self.pool.change_settings(
                 replace(
                     settings,
                     classes=tuple(keep_class_indexes(self.pool.settings.classes, settings.classes, open_classes)),
@@ -100,13 +99,13 @@
             )
         self._config = row
         self._tenant_indexes = {tenant.name: at for at, tenant in enumerate(settings.tenants)}
-        max_answer_bytes = limits.answer
-        self._byte_limits = max_held_bytes, max_answer_bytes
+        max_response_bytes = limits.answer
+        self._byte_limits = max_held_bytes, max_response_bytes
         upstream = self.pool.upstream
-        upstream.tune(row.keep, row.connect, max_held_bytes, max_answer_bytes, row.idle)
-        upstream.pass_from, upstream.pass_most, upstream.flow_most = limits.hold, max_answer_bytes, max_held_bytes
+        upstream.tune(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
+        upstream.pass_from, upstream.pass_most, upstream.flow_most = limits.hold, max_response_bytes, max_held_bytes
         if self._streams is not None:
-            self._streams.tune(row.keep, row.connect, max_held_bytes, max_answer_bytes)
+            self._streams.tune(row.keep, row.connect, max_held_bytes, max_response_bytes)
         if snapshot is not None:  # serves until the source has delivered a list
             self._publish(ListUpdateKind.STALE, self.overrides.apply(ListUpdateKind.STALE, snapshot.endpoints))
         self._follow_source(row, config_path, registries)
@@ -123,21 +122,21 @@
             self.pool.balancer.import_learned(now, learned)
 
     def change_counts(self) -> tuple[int, int]:
-        """Return counts of outcomes and list changes; while both are unchanged, nothing new was learned."""
-        return self.pool.taken, self._list_changes
+        """Return the counts of requests and of list changes; while both are unchanged, nothing new was learned."""
+        return self.pool.request_count, self._list_changes
 
     def class_index(self, row: RequestClass) -> int:
-        """Return the class's index in this pool's settings.
+        """Return the index of a class in this pool's settings.
 
         A class that a reload removed while the request's body was arriving is added again.
         """
         known = self.pool.settings.classes
         if row not in known:
-            self.pool.adopt(replace(self.pool.settings, classes=(*known, row)))
+            self.pool.change_settings(replace(self.pool.settings, classes=(*known, row)))
         return self.pool.settings.classes.index(row)
 
     def tenant_index(self, name: str) -> int:
-        """Return the tenant's index in this pool's settings, or 0 for a tenant that a reload removed."""
+        """Return the index of a tenant in this pool's settings, or 0 for a tenant that a reload removed."""
         return self._tenant_indexes.get(name, 0)
 
     def _start_pool(self, row: model.Pool, settings: Settings) -> None:
@@ -147,12 +146,12 @@
             row.keep,
             row.connect,
             0,
-            judge=classify_answer,
+            judge=classify_response,
             dialled=self._record_connection_attempt,
         )
         seed = int.from_bytes(os.urandom(8), "big")
         self.pool = Pool(settings, seed, connections, self._owner, self._epoch, lane=self._grpc_streams)
-        self.pool.streams = True
+        self.pool.streams_responses = True
         self.pool.start()
 
     def _grpc_streams(self) -> Streams:
@@ -161,7 +160,7 @@
 
         if self._streams is None:
             assert self._config is not None
-            self._streams = Streams(self._sockets, self.name, classify_answer, self._record_connection_attempt)
+            self._streams = Streams(self._sockets, self.name, classify_response, self._record_connection_attempt)
             self._streams.tune(self._config.keep, self._config.connect, *self._byte_limits)
         return self._streams
 
@@ -222,12 +221,12 @@
         self._publish(kind, self.overrides.apply(kind, endpoints))
 
     def set_banned(self, server: int, is_banned: bool, now: float) -> None:
-        """Take a backend out of service, or put it back, on an operator's call."""
+        """Take a backend out of service, or let it serve again, at an operator's request."""
         changed = self.overrides.disable(server) if is_banned else self.overrides.enable(server, now)
         if changed:
             self._publish(ListUpdateKind.PATCH, changed)
             if not is_banned:
-                self.pool.put_back(server)
+                self.pool.reinstate(server)
 
     def set_unhealthy(self, servers: set[int], now: float) -> None:
         """Record which backends the pool's health checker found unhealthy; all others count as healthy. Bans stay."""
@@ -236,11 +235,11 @@
         if changed:
             self._publish(ListUpdateKind.PATCH, changed)
         for server in (before - servers).intersection(self.overrides.latest) - self.overrides.banned:
-            self.pool.put_back(server)
+            self.pool.reinstate(server)
 
     def _publish(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         self._list_changes += 1
-        self.pool.members(kind, endpoints)
+        self.pool.update_endpoints(kind, endpoints)
         self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
         self.standing.set_backends(up)
@@ -250,7 +249,7 @@
     # ---- removal -----------------------------------------------------------------------------
 
     def close_when_idle(self, delay_seconds: float) -> None:
-        """Close after the last open request, in `delay_seconds` at the earliest; the file no longer names the pool.
+        """Close after the last open request, in `delay_seconds` at the earliest, since the file no longer has the pool.
 
         The delay protects requests whose bodies are still arriving: their heads were routed by the former file.
         """
@@ -267,7 +266,7 @@
         source, self._source = self._source, None
         if source is not None:
             source.close()
-        self.pool.members(ListUpdateKind.COMPLETE, [])
+        self.pool.update_endpoints(ListUpdateKind.COMPLETE, [])
         self.pool.upstream.close()
         if self._streams is not None:
             self._streams.close()
--- a/lugspur/daemon/service_metrics.py
+++ b/lugspur/daemon/service_metrics.py
@@ -14,34 +14,41 @@
 
 
 def service_metrics(pools: Mapping[str, Pool], fronts: Iterable[Front]) -> list[Metric]:
-    """All metrics of one process at this moment: sums over its pools, and requests by pool."""
-    attempts, answers, rejections = Counter[str](), Counter[str](), Counter[str]()
-    callers, held = 0, 0
+    """Return all metrics of one process: sums over its pools and fronts, and requests by pool."""
+    attempts, responses, rejections = Counter[str](), Counter[str](), Counter[str]()
+    callers, held_bytes = 0, 0
     for pool in pools.values():
-        attempts.update(pool.attempts)
-        answers.update({str(status): count for status, count in pool.answers.items()})
+        attempts.update(pool.attempt_counts)
+        responses.update({str(status): count for status, count in pool.response_counts.items()})
     for front in fronts:
         rejections.update({str(status): count for status, count in front.rejections.items()})
         callers += len(front.callers)
-        held += front.held
-    by_pool = {name: float(pool.taken) for name, pool in pools.items()}
+        held_bytes += front.held
+    by_pool = {name: float(pool.request_count) for name, pool in pools.items()}
     return [
-        labelled_counter("requests_total", "Requests taken up, by pool.", "pool", by_pool),
-        labelled_counter("attempts_total", "Attempts at backends, by how they ended.", "outcome", attempts),
+        labelled_counter("requests_total", "Requests submitted, by pool.", "pool", by_pool),
+        labelled_counter("attempts_total", "Attempts at backends, by outcome.", "outcome", attempts),
         labelled_counter(
-            "answers_total", "Final answers, by status; large ones that are passed on are not here.", "status", answers
+            "answers_total",
+            "Final responses by status, except large ones that are streamed.",
+            "status",
+            responses,
         ),
         labelled_counter(
-            "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
+            "rejections_total", "Requests that a listener could not read or rejected, by status.", "status", rejections
+        ),
+        counter(
+            "callers_gone_total",
+            "Requests whose callers disconnected before the response.",
+            sum(p.disconnected_callers for p in pools.values()),
         ),
-        counter("callers_gone_total", "Requests whose callers left first.", sum(p.left for p in pools.values())),
         gauge(
             "requests_open",
-            "Requests that an answer or an attempt is out for.",
+            "Requests that await a response or have open attempts.",
             sum(len(p.calls) for p in pools.values()),
         ),
         gauge("backend_connections", "Connections to backends.", sum(p.upstream.sockets() for p in pools.values())),
         gauge("callers", "Connections of callers.", callers),
-        gauge("held_bytes", "Bytes of bodies that are not whole.", held),
+        gauge("held_bytes", "Bytes of incomplete bodies.", held_bytes),
         *invariant_metrics(),
     ]
