--- a/lugspur/daemon/gossip/__init__.py
+++ b/lugspur/daemon/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip membership of the daemons: which processes of the fleet are present, by SWIM with Lifeguard's rules."""
+"""Gossip membership of the daemons: SWIM with Lifeguard's extensions tracks which processes of a fleet are present."""
--- a/lugspur/daemon/gossip/anti_entropy.py
+++ b/lugspur/daemon/gossip/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: where two views differ though nothing changes, one member reads the other's view page by page.
+"""Anti-entropy: if two views still differ when no updates are on their way, one member reads the other's view by pages.
 
-SWIM has no such exchange. Each ping and ack carries the digest of the sender's view, so a quiet fleet whose views
-agree never pays for it.
+SWIM has no such exchange. Each ping and ack carries a digest of the sender's view, so the exchange costs nothing in a
+quiet fleet whose views agree.
 """
 
 from __future__ import annotations
@@ -19,25 +19,28 @@
     encoded_size,
 )
 
-QUIET_PERIODS = 1.0  # without a change, after which a different digest is no update that is still on its way
-PAGE_TIMEOUT_PERIODS = 0.5
-MAX_PAGE_ATTEMPTS = 3
-PAGE_OVERHEAD_BYTES = 160  # of a page's packet without its records, at most
+# Protocol periods without a change of the local view after which a different digest is no longer explained by an update
+# that is still on its way.
+QUIET_PERIODS = 1.0
+PAGE_TIMEOUT_PERIODS = 0.5  # protocol periods until a page request times out
+MAX_PAGE_ATTEMPTS = 3  # requests for one page before the exchange is abandoned
+# Upper bound on the encoded size of a page's packet without its records, in bytes.
+PAGE_OVERHEAD_BYTES = 160
 
 
 @dataclass(slots=True)
 class _Exchange:
-    """A view that is being read."""
+    """An exchange in progress, which reads the view of another member."""
 
-    name: str  # of the member whose view it is
+    name: str  # the member whose view is read
     address: Address
-    deadline: float  # of the page that was requested last, in seconds of the local clock
-    after_name: str = ""  # the last name of the pages that were read
-    attempts: int = 1  # to get this page
+    deadline: float  # when the latest page request times out, in seconds of the local clock
+    after_name: str = ""  # the last name on the pages received so far
+    attempts: int = 1  # requests sent for the current page
 
 
 class AntiEntropy:
-    """Reads at most one other view at a time, and answers requests of pages."""
+    """Reads the view of at most one other member at a time, and replies to page requests."""
 
     def __init__(self, context: ProtocolContext, membership: Membership) -> None:
         self._table, self._outbox = context.table, context.outbox
@@ -47,11 +50,11 @@
         self._next_exchange_at = context.started_at
 
     def due(self) -> float:
-        """When the page that was requested times out, in seconds of the local clock."""
+        """Return when the open page request times out, in seconds of the local clock; infinity if none is open."""
         return float("inf") if self._exchange is None else self._exchange.deadline
 
     def tick(self, now: float) -> None:
-        """Request a page again that did not come in time, or give the exchange up."""
+        """Repeat a page request that timed out, or abandon the exchange after `MAX_PAGE_ATTEMPTS` requests."""
         exchange = self._exchange
         if exchange is None or now < exchange.deadline:
             return
@@ -62,13 +65,13 @@
         self._request_page(now, exchange)
 
     def abandon(self) -> None:
-        """Give up the exchange that is under way."""
+        """Abandon the exchange in progress, if any."""
         self._exchange = None
 
     def compare_digest(self, now: float, name: str, digest: int) -> None:
-        """Begin to read a member's view if its digest differs though nothing has changed here for a while.
+        """Start reading a member's view if its digest differs and the local view has not changed for a while.
 
-        A process that knows of two other members at most does not wait: it has just joined.
+        A process that knows at most two other members does not wait: it has just joined.
         """
         if digest == self._table.digest or self._exchange is not None or now < self._next_exchange_at:
             return
@@ -85,13 +88,13 @@
         self._outbox.send(now, exchange.address, FetchPage(exchange.after_name), exchange.name)
 
     def receive_request(self, now: float, requester: str, after_name: str, source: Address) -> None:
-        """Answer a request with as many records as fit, in the order of names."""
+        """Reply to a page request with as many records as fit, in the order of names."""
         names = sorted(name for name in (*self._table.members, self._table.local_record.name) if name > after_name)
-        max_bytes, records = self._outbox.max_packet_bytes - PAGE_OVERHEAD_BYTES, list[MemberRecord]()
+        remaining_bytes, records = self._outbox.max_packet_bytes - PAGE_OVERHEAD_BYTES, list[MemberRecord]()
         for name in names:
             record = self._record_of(name)
-            max_bytes -= encoded_size(record)
-            if max_bytes < 0 or len(records) >= MAX_RECORDS_PER_DATAGRAM:
+            remaining_bytes -= encoded_size(record)
+            if remaining_bytes < 0 or len(records) >= MAX_RECORDS_PER_DATAGRAM:
                 break
             records.append(record)
         is_last = len(records) == len(names)
@@ -102,9 +105,9 @@
         return local if name == local.name else self._table.members[name].record
 
     def receive_page(self, now: float, sender: str, page: Page) -> None:
-        """Merge a page of the view that is being read, and request the next one."""
+        """Merge a page of the view that is being read, and request the next page."""
         exchange = self._exchange
-        # Guards against pages of an exchange that is over, and against the second copy of a page.
+        # Ignores pages of an exchange that has ended, and duplicates of a page.
         if exchange is None or exchange.name != sender or exchange.after_name != page.after_name:
             return
         for record in page.records:
--- a/lugspur/daemon/gossip/clock.py
+++ b/lugspur/daemon/gossip/clock.py
@@ -1,4 +1,4 @@
-"""The clock of gossip and leases: it never steps, and it counts the time in which the machine is suspended."""
+"""The clock of gossip and leases, which never steps and keeps counting while the machine is suspended."""
 
 from __future__ import annotations
 
--- a/lugspur/daemon/gossip/context.py
+++ b/lugspur/daemon/gossip/context.py
@@ -1,4 +1,4 @@
-"""The state that the parts of one member's protocol share."""
+"""The state that the components of one member's gossip protocol share."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True, kw_only=True, frozen=True)
 class ProtocolContext:
-    """One member's state and surroundings; each part of the protocol takes from it what it works on."""
+    """One member's state and environment, from which each component of the protocol takes what it uses."""
 
     period_seconds: float  # SWIM's protocol period
-    started_at: float  # seconds of the local clock
+    started_at: float  # when the protocol was started, in seconds of the local clock
     wall_clock: Callable[[], float]  # returns seconds since 1970
-    rng: random.Random  # the source of all random draws
+    rng: random.Random  # the source of all random numbers
     table: MembershipTable
     updates: UpdateQueue
     outbox: Outbox
     local_health: LocalHealth
     sequence_numbers: SequenceNumbers
     counters: Counter[str]
-    emit: Callable[[Event], None]  # reports an event to the program
+    emit: Callable[[Event], None]  # reports an event to the program that runs the protocol
--- a/lugspur/daemon/gossip/datagrams.py
+++ b/lugspur/daemon/gossip/datagrams.py
@@ -3,10 +3,10 @@
     2 bytes   "LG"
     1 byte    version
     8 bytes   BLAKE2b digest of the fleet's name
-    16 bytes  with a key only: keyed BLAKE2b tag over the header and the packet
+    16 bytes  only with a key: keyed BLAKE2b tag over the header and the packet
     the rest  the packet, in msgpack
 
-A datagram is checked completely before anything in it counts.
+A datagram is validated as a whole before any part of it is used.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 MAGIC, VERSION = b"LG", 1
 FLEET_ID_BYTES, TAG_BYTES = 8, 16
 HEADER_BYTES = len(MAGIC) + 1 + FLEET_ID_BYTES
-MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # BLAKE2b takes keys of 64 bytes at most
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # bounds of a key's length; BLAKE2b accepts keys of up to 64 bytes
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Packet)
 
 
 class RejectionReason(StrEnum):
-    """Why a datagram was rejected. The values are names of counters that operators read."""
+    """Why a datagram was rejected. Each value is the name of a counter that operators read."""
 
     TOO_LARGE = "too large"
     MALFORMED = "garbage"
@@ -40,7 +40,7 @@
 
 
 class DatagramRejectedError(Exception):
-    """A received datagram is not a valid one of this fleet."""
+    """A received datagram is not a valid datagram of this fleet."""
 
     def __init__(self, reason: RejectionReason) -> None:
         super().__init__(reason.value)
@@ -51,8 +51,8 @@
     """Encodes and decodes the datagrams of one fleet.
 
     Args:
-        fleet_name: Members of fleets with other names reject each other's datagrams.
-        key: Secret of the fleet, `MIN_KEY_BYTES` to `MAX_KEY_BYTES` long; empty: datagrams carry no tag.
+        fleet_name: The fleet's name. Members of fleets with different names reject each other's datagrams.
+        key: The fleet's secret of `MIN_KEY_BYTES` to `MAX_KEY_BYTES` bytes; if it is empty, datagrams carry no tag.
     """
 
     def __init__(self, fleet_name: str, key: bytes = b"") -> None:
@@ -73,7 +73,7 @@
         """Return the packet of a datagram.
 
         Raises:
-            DatagramRejectedError: It is too large, of another version, fleet or key, or malformed.
+            DatagramRejectedError: The datagram is too large, malformed, or of another version, fleet or key.
         """
         self._check_header(datagram)
         body = datagram[self._packet_offset :]
@@ -98,7 +98,7 @@
 
 
 def _check_numbers(message: Message) -> None:
-    """Reject numbers that are not finite: msgspec's bounds let NaN through."""
+    """Reject numbers that are not finite, since msgspec's bounds accept NaN."""
     records = message.records if isinstance(message, Page) else updates_in(message)
     for record in records:
         metadata = record.metadata
--- a/lugspur/daemon/gossip/local_health.py
+++ b/lugspur/daemon/gossip/local_health.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-MAX_SCORE = 4  # half of the 8 in Lifeguard (Dadgar, Phillips, Currey, 2018), section IV-A
+MAX_SCORE = 4  # half of the maximum of 8 in Lifeguard (Dadgar, Phillips, Currey, 2018), section IV-A
 
 
 class LocalHealth:
-    """The score of this process: 0 is healthy; each point makes a probe last one protocol period longer."""
+    """The health score of this process: 0 is healthy, and each point extends a probe by one protocol period."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def degrade(self) -> None:
-        """Note a sign that this process is slow or cut off."""
+        """Record a sign that this process is slow or cut off from the network."""
         self.score = min(MAX_SCORE, self.score + 1)
 
     def improve(self) -> None:
-        """Note a probe that was answered in time."""
+        """Record a probe that was acked in time."""
         self.score = max(0, self.score - 1)
--- a/lugspur/daemon/gossip/member_sampler.py
+++ b/lugspur/daemon/gossip/member_sampler.py
@@ -1,4 +1,4 @@
-"""A set of member names that random samples are drawn from, at a cost that does not grow with the set."""
+"""A set of member names from which random samples are drawn, at a cost that does not grow with the set."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
         index = self._indexes.pop(name, None)
         if index is None:
             return
-        last = self._names.pop()
-        if last != name:
-            self._names[index] = last
-            self._indexes[last] = index
+        last_name = self._names.pop()
+        if last_name != name:
+            self._names[index] = last_name
+            self._indexes[last_name] = index
 
     def sample(self, rng: random.Random, count: int) -> list[str]:
         """Return `count` different names in random order, or all of them if there are fewer."""
--- a/lugspur/daemon/gossip/membership_table.py
+++ b/lugspur/daemon/gossip/membership_table.py
@@ -1,4 +1,4 @@
-"""The table of known members: their records, who is present or suspected, and the digest of the view. No I/O."""
+"""The table of known members: their records, which are present or suspected, and the digest of the view. No I/O."""
 
 from __future__ import annotations
 
@@ -12,36 +12,39 @@
 from lugspur.daemon.gossip.messages import MemberRecord, Status
 from lugspur.daemon.gossip.suspicion import Suspicion
 
-MAX_MEMBERS = 1024  # records with this process's own one, those of dead members too: some 0.5 MB
-FORGET_DEAD_SECONDS = 3600.0  # most network partitions are over by then, and dead members can still be contacted
-FORGET_LEFT_SECONDS = 600.0
-DIGEST_BYTES = 8
+# Upper bound on the known members, with this process and absent members: their records take about 0.5 MB.
+MAX_MEMBERS = 1024
+# How long the record of a dead member is kept. As long as it is kept, the member can still be contacted; most network
+# partitions are over within this time.
+FORGET_DEAD_SECONDS = 3600.0
+FORGET_LEFT_SECONDS = 600.0  # how long the record of a member that left is kept
+DIGEST_BYTES = 8  # size of the hash that a record's digest is taken from
 
 
 @dataclass(slots=True)
 class MemberEntry:
-    """What is known of one member beside its record."""
+    """The record of another member, with what this process derives from it."""
 
     record: MemberRecord
-    status_since: float  # seconds of the local clock
-    digest: int = 0  # its part of the view's digest: 0 while it is not present
+    status_since: float  # when the status last changed, in seconds of the local clock
+    digest: int = 0  # contribution to the digest of the view; 0 while the member is not present
 
 
 def record_digest(record: MemberRecord) -> int:
-    """Return a record's part of the digest of a view: an int of 63 bits over name, process and incarnation."""
+    """Return a record's contribution to a view's digest: a 63-bit hash of its name, instance id and incarnation."""
     text = f"{record.name} {record.instance_id} {record.incarnation}".encode()
     return int.from_bytes(blake2b(text, digest_size=DIGEST_BYTES).digest(), "big") >> 1
 
 
 class MembershipTable:
-    """All known members with this process's own record.
+    """All known members, and this process's own record.
 
     Attributes:
-        local_record: What this process announces of itself.
-        members: The other members by name, also those that are dead or have left.
-        suspicions: Of the members that are suspected, by name.
-        digest: XOR of the digests of all present members: equal where two views are.
-        changed_at: When the view changed last, in seconds of the local clock.
+        local_record: The record that this process announces of itself.
+        members: The other members by name, including those that are dead or have left.
+        suspicions: The suspicions of all suspected members, by name.
+        digest: XOR of the digests of all present members, so that equal views have equal digests.
+        changed_at: When the view last changed, in seconds of the local clock.
     """
 
     def __init__(self, local_record: MemberRecord, period_seconds: float, now: float) -> None:
@@ -52,7 +55,7 @@
         self.changed_at = now
         self._period = period_seconds
         self._present = MemberSampler()
-        self._absent: dict[str, None] = {}  # names of dead members and of those that left, in the order of their loss
+        self._absent: dict[str, None] = {}  # names of members that died or left, in the order in which they did
         self._present_addresses: Counter[Address] = Counter()
         self._forget_at = now
 
@@ -91,13 +94,16 @@
     # ---- writing ---------------------------------------------------------------------------------
 
     def replace_local_record(self, now: float, record: MemberRecord) -> None:
-        """Announce something else of this process."""
+        """Replace this process's own record."""
         self.digest ^= record_digest(self.local_record) ^ record_digest(record)
         self.local_record = record
         self.changed_at = now
 
     def make_room(self) -> bool:
-        """Make sure that one more member fits, if need be by forgetting the absent one whose status is the oldest."""
+        """Make sure that one more member fits, if necessary by forgetting the absent one whose status is the oldest.
+
+        Returns False if the table is full of present members.
+        """
         if len(self.members) < MAX_MEMBERS - 1:
             return True
         if not self._absent:
@@ -107,7 +113,7 @@
         return True
 
     def store(self, now: float, record: MemberRecord) -> None:
-        """Store the record of another member, known or new; `make_room` comes before a new one."""
+        """Store the record of another member; `make_room` has to be called before a new member is stored."""
         entry = self.members.get(record.name)
         previous = None if entry is None else entry.record
         if entry is None:
@@ -142,12 +148,12 @@
             self.suspicions[name] = Suspicion(now, self._period, self.present_count, record.reported_by)
 
     def confirm_suspicion(self, name: str, suspected_by: str) -> bool:
-        """Note that a member suspects a suspected one too; return whether that shortens the timeout."""
+        """Record that one more member suspects a suspected member; return whether that shortens the timeout."""
         suspicion = self.suspicions.get(name)
         return suspicion is not None and suspicion.confirm(suspected_by)
 
     def postpone_suspicions(self, seconds: float) -> None:
-        """Extend the timeouts of all suspicions by the time in which this process did not run."""
+        """Extend the timeouts of all suspicions by the time for which this process did not run."""
         for suspicion in self.suspicions.values():
             suspicion.postpone(seconds)
 
@@ -156,7 +162,7 @@
         return [name for name, suspicion in self.suspicions.items() if now >= suspicion.deadline]
 
     def forget_absent(self, now: float) -> None:
-        """Drop members that died or left long ago; looks at most once in each period."""
+        """Drop members that died or left long ago; the check runs at most once per protocol period."""
         if now < self._forget_at:
             return
         self._forget_at = now + self._period
--- a/lugspur/daemon/gossip/outbox.py
+++ b/lugspur/daemon/gossip/outbox.py
@@ -1,4 +1,4 @@
-"""The datagrams that wait to be sent, within the rate limit."""
+"""The queue of datagrams to be sent, which applies the rate limit."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Outbox:
-    """Encodes this process's messages and holds them until the transport takes them.
+    """Encodes this process's messages and queues the datagrams until the transport takes them.
 
     Attributes:
         codec: The fleet's datagram format.
-        silent_until: Until when nothing is sent, in seconds of the local clock.
+        silent_until: The time before which nothing is sent, in seconds of the local clock.
     """
 
     def __init__(
@@ -35,17 +35,17 @@
 
     @property
     def max_packet_bytes(self) -> int:
-        """Bytes that a packet may take."""
+        """The largest size of an encoded packet that fits into a datagram."""
         return self.codec.max_packet_bytes
 
     def send(self, now: float, address: Address, message: Message, recipient: str) -> None:
-        """Queue a message, unless this process is silent or over its rate limit.
+        """Queue a message, unless this process is silent or exceeds its rate limit.
 
         Args:
             now: Seconds of the local clock.
-            address: Where the datagram goes.
-            message: What it says.
-            recipient: The member that it is meant for; empty: whoever receives at that address.
+            address: The address to which the datagram is sent.
+            message: The message.
+            recipient: The name of the member that has to handle it; empty if any process at that address may.
         """
         if now < self.silent_until:
             return
--- a/lugspur/daemon/gossip/probe_order.py
+++ b/lugspur/daemon/gossip/probe_order.py
@@ -10,20 +10,20 @@
 class ProbeOrder:
     """SWIM's round-robin probe target selection (section 4.3).
 
-    A member that died is probed within one round at the latest, and a new one is put at a random position, so its
-    first probe does not depend on when it joined.
+    A member that died is probed within one round at the latest. A new member is inserted at a random position, so that
+    the time of its first probe does not depend on when it joined.
     """
 
     def __init__(self, table: MembershipTable, rng: random.Random) -> None:
         self._table, self._rng = table, rng
-        self._remaining: list[str] = []  # of this round, the next one last
+        self._remaining: list[str] = []  # the members still to be probed in this round, the next one last
 
     def insert(self, name: str) -> None:
-        """Put a new member at a random position of this round."""
+        """Insert a new member at a random position of the current round."""
         self._remaining.insert(self._rng.randrange(len(self._remaining) + 1), name)
 
     def next_target(self) -> str | None:
-        """Return the name of the member to probe now, or None if no other one is present."""
+        """Return the name of the member to probe next, or None if no other member is present."""
         while self._remaining:
             name = self._remaining.pop()
             if self._table.is_present(name):
--- a/lugspur/daemon/gossip/protocol.py
+++ b/lugspur/daemon/gossip/protocol.py
@@ -1,15 +1,16 @@
-"""One member's gossip protocol without I/O: datagrams and the time go in, datagrams and events come out.
-
-SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's rules (Dadgar, Phillips, Currey, 2018) and two additions:
-
-- `failure_detector`: each period one member is pinged, by turns; one that does not answer is pinged through others,
-  then suspected, then declared dead.
-- `dissemination`: what is learned is piggybacked on these datagrams.
-- `local_member`: only the member itself raises its incarnation, and so refutes a suspicion.
-- `suspicion`, `local_health`: Lifeguard. A process that was slow itself suspects nobody, and suspicions last longer
-  the fewer members share them.
-- `anti_entropy`: views that differ though nothing changes are read page by page.
-- `rejoin`: dead members are still contacted, so that the halves of a partition find each other again.
+"""One member's gossip protocol without I/O: its inputs are datagrams and the time, its outputs datagrams and events.
+
+SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey, 2018) and two additions,
+`anti_entropy` and `rejoin`:
+
+- `failure_detector`: in each protocol period, one member is pinged in turn; one that does not respond is pinged through
+  other members, then suspected, then declared dead.
+- `dissemination`: updates about members are piggybacked on these datagrams.
+- `local_member`: only the member itself raises its incarnation, by which it refutes a suspicion.
+- `suspicion`, `local_health`: Lifeguard. A process that was slow itself waits longer before it suspects a member, and a
+  suspicion lasts longer the fewer members share it.
+- `anti_entropy`: a view that differs although no updates are on their way is read page by page.
+- `rejoin`: dead members are still contacted, so that the halves of a network partition merge again.
 """
 
 from __future__ import annotations
@@ -53,24 +54,25 @@
 from lugspur.daemon.gossip.sequence_numbers import SequenceNumbers
 from lugspur.daemon.gossip.update_queue import UpdateQueue
 
-MAX_LATENESS_PERIODS = 0.15  # of a timer, above which this process counts as having been paused
+# How late a timer may run, in protocol periods, before this process counts as having been paused.
+MAX_LATENESS_PERIODS = 0.15
 
 
 class GossipProtocol:
     """This process as a member of its fleet.
 
-    All methods that take `now` expect seconds of a monotonic clock that also counts the time in which the machine is
-    suspended. After each call, `take_events` and `take_datagrams` have what came of it, and `due` may have changed.
+    All methods that take `now` expect seconds of a monotonic clock that keeps counting while the machine is suspended.
+    After each call, its results are available from `take_events` and `take_datagrams`, and `due` may have changed.
 
     Args:
         codec: The fleet's datagram format.
         name: This member's name, unique in the fleet.
-        address: Where the others reach it.
-        metadata: What it announces of itself.
-        seeds: Addresses of members to join by.
-        now: The time.
+        address: The address at which this member receives datagrams.
+        metadata: What this member announces about itself.
+        seeds: Addresses of members to join the fleet through.
+        now: The current time.
         wall_clock: Returns seconds since 1970.
-        rng: The source of all random draws.
+        rng: The source of all random numbers.
         period_seconds: SWIM's protocol period.
     """
 
@@ -88,14 +90,14 @@
         period_seconds: float = 1.0,
     ) -> None:
         self.counters: Counter[str] = Counter()
-        self.is_alone = True  # nobody has ever answered a ping
+        self.is_alone = True  # whether no member has ever sent this process an ack
         self.has_left = False
-        self.last_received_at = float("-inf")  # when any member was heard last
+        self.last_received_at = float("-inf")  # when the latest datagram of a member was accepted
         self._period = period_seconds
         self._events: list[Event] = []
         self._last_input_at = now
         self._rate_limiter = DatagramRateLimiter(now)
-        record = _first_record(name, address, metadata, wall_clock, rng)
+        record = _initial_record(name, address, metadata, wall_clock, rng)
         context = ProtocolContext(
             period_seconds=period_seconds,
             started_at=now,
@@ -122,27 +124,27 @@
 
     @property
     def local_record(self) -> MemberRecord:
-        """What this process announces of itself."""
+        """The record that this process announces of itself."""
         return self._table.local_record
 
     @property
     def members(self) -> dict[str, MemberEntry]:
-        """All other members that are known, by name, also those that are dead or have left."""
+        """All other known members by name, including those that are dead or have left."""
         return self._table.members
 
     @property
     def present_count(self) -> int:
-        """The number of present members, this process among them."""
+        """The number of present members, including this process."""
         return self._table.present_count
 
     @property
     def digest(self) -> int:
-        """A number that is equal for all members with the same view."""
+        """The digest of this member's view; members with equal views have equal digests."""
         return self._table.digest
 
     @property
     def local_health_score(self) -> int:
-        """Lifeguard's score of this process: 0 is healthy."""
+        """The score of Lifeguard's local health: 0 is healthy."""
         return self._local_health.score
 
     @property
@@ -152,11 +154,11 @@
 
     @property
     def seeds(self) -> list[Address]:
-        """Addresses of members to join by."""
+        """Addresses of members to join the fleet through."""
         return self._rejoiner.seeds
 
     def present_members(self) -> dict[str, MemberRecord]:
-        """Return the records of all present members by name, this process's own one among them until it leaves."""
+        """Return the records of all present members by name, including this process's own until it leaves."""
         records = self._table.present_records()
         if not self.has_left:
             records[self.local_record.name] = self.local_record
@@ -169,7 +171,7 @@
         return self._outbox.take()
 
     def take_events(self) -> list[Event]:
-        """Remove and return what has happened since the last call."""
+        """Remove and return the events since the last call."""
         events = list(self._events)
         self._events.clear()
         return events
@@ -177,7 +179,7 @@
     # ---- requests of the program -----------------------------------------------------------------
 
     def send_message(self, now: float, name: str, topic: int, body: bytes) -> bool:
-        """Send a message to a part of another member's program; return False if its address is not known."""
+        """Send a message to a component of another member; return False if the member is unknown or has left."""
         entry = self._table.members.get(name)
         if entry is None or entry.record.status is Status.LEFT:
             return False
@@ -185,15 +187,15 @@
         return True
 
     def update_metadata(self, now: float, metadata: MemberMetadata) -> None:
-        """Announce other metadata; the same as before changes nothing."""
+        """Announce new metadata; nothing is announced if it equals the current metadata."""
         self._local_member.update_metadata(now, metadata)
 
     def change_address(self, now: float, address: Address) -> None:
-        """Announce that this process receives datagrams at another address from now on."""
+        """Announce that this process receives datagrams at a new address from now on."""
         self._local_member.change_address(now, address)
 
     def leave(self, now: float) -> None:
-        """Announce to some members that this process leaves; it answers nothing any more."""
+        """Announce to some members that this process leaves; from then on, it ignores all datagrams."""
         self._local_member.leave(now)
         self.has_left = True
         self._dissemination.notify_of_leave(now)
@@ -202,7 +204,7 @@
     # ---- time ------------------------------------------------------------------------------------
 
     def due(self) -> float:
-        """When `tick` is due next, in seconds of the local clock; infinity after `leave`."""
+        """Return when `tick` is due next, in seconds of the local clock; infinity after `leave`."""
         if self.has_left:
             return float("inf")
         deadlines = [suspicion.deadline for suspicion in self._table.suspicions.values()]
@@ -213,14 +215,14 @@
             self._anti_entropy.due(),
             *deadlines,
         )
-        # Guards against a lateness that nobody could have avoided: what an input has made due was not due before it.
+        # What an input made due was not due before that input, so it must not count as late.
         return max(self._last_input_at, earliest)
 
     def tick(self, now: float) -> None:
-        """Do what is due. The caller first passes on the datagrams that were waiting in the socket."""
+        """Run what is due. The caller first passes the datagrams that wait in the socket to `receive`."""
         if self.has_left:
             return
-        self._note_pause(now)
+        self._handle_pause(now)
         self._table.forget_absent(now)
         if now < self._outbox.silent_until:
             self._stay_silent()
@@ -231,8 +233,8 @@
         self._rejoiner.tick(now)
         self._anti_entropy.tick(now)
 
-    def _note_pause(self, now: float) -> None:
-        """Disregard what was not received while this process did not run: it says nothing of others."""
+    def _handle_pause(self, now: float) -> None:
+        """Detect a pause of this process and discount it: what was not received meanwhile says nothing about others."""
         lateness = now - self.due()
         self._last_input_at = max(self._last_input_at, now)
         if lateness <= MAX_LATENESS_PERIODS * self._period:
@@ -251,21 +253,21 @@
     # ---- datagrams -------------------------------------------------------------------------------
 
     def receive(self, now: float, data: bytes, source: Address) -> None:
-        """Handle a datagram; one that is rejected is counted, and has no other effect."""
+        """Handle a datagram; a rejected datagram is counted and has no other effect."""
         if self.has_left or now < self._outbox.silent_until:
             return
-        self._note_pause(now)
+        self._handle_pause(now)
         packet = self._accept(now, data, source)
         if packet is None:
             return
         if packet.sender == self.local_record.name:
-            self._answer_namesake(now, packet, source)
+            self._handle_name_conflict(now, packet, source)
             return
         entry = self._table.members.get(packet.sender)
         if (
             entry is not None
             and entry.record.instance_id != packet.sender_instance_id
-            and not _announces_sender(packet)
+            and not _contains_sender_record(packet)
         ):
             self.counters[GossipCounter.OF_OTHER_INSTANCE] += 1
             return
@@ -274,7 +276,7 @@
         self._dispatch(now, packet, source)
 
     def _accept(self, now: float, data: bytes, source: Address) -> Packet | None:
-        """Return the packet of a datagram that is within the rate limit, valid, and meant for this member."""
+        """Return a datagram's packet if it is within the rate limit, valid and addressed to this member, else None."""
         if not self._rate_limiter.allows_receive(f"{source[0]}:{source[1]}", now):
             self.counters[GossipCounter.OVER_RATE_LIMIT] += 1
             return None
@@ -288,8 +290,8 @@
             return None
         return packet
 
-    def _answer_namesake(self, now: float, packet: Packet, source: Address) -> None:
-        """Answer another process under this member's name: with our record, so that it notices the conflict too."""
+    def _handle_name_conflict(self, now: float, packet: Packet, source: Address) -> None:
+        """Reply to another process under this member's name with the local record, which shows it the conflict too."""
         if packet.sender_instance_id == self.local_record.instance_id:
             return
         for record in updates_in(packet.message):
@@ -303,7 +305,7 @@
             self._membership.merge(now, record, is_first_hand=record.name == sender)
         match message:
             case Ping():
-                self._answer_ping(now, packet, message, source)
+                self._reply_to_ping(now, packet, message, source)
             case Ack():
                 self.is_alone = False
                 self._failure_detector.receive_ack(now, message)
@@ -318,25 +320,28 @@
                 event = MessageReceived(sender, packet.sender_instance_id, message.topic, message.body)
                 self._events.append(event)
             case Updates() | Nack():
-                pass  # updates were merged above; a nack shows that its sender is reachable, which was noted before
+                pass  # updates were merged above; a nack only shows that its sender is reachable, as `receive` recorded
 
-    def _answer_ping(self, now: float, packet: Packet, ping: Ping, source: Address) -> None:
+    def _reply_to_ping(self, now: float, packet: Packet, ping: Ping, source: Address) -> None:
         ack = self._dissemination.ack(packet.sender, ping.sequence_number, packet.sender_instance_id)
         self._outbox.send(now, source, ack, packet.sender)
         self._anti_entropy.compare_digest(now, packet.sender, ping.digest)
 
 
-def _first_record(
+def _initial_record(
     name: str, address: Address, metadata: MemberMetadata, wall_clock: Callable[[], float], rng: random.Random
 ) -> MemberRecord:
-    """Return the record of a process that starts; its incarnation is above its former ones' if the clock is right."""
+    """Return the first record of a process that starts.
+
+    Its incarnation is greater than those of former processes under its name if the wall clock is right.
+    """
     instance_id = rng.randrange(1, INSTANCE_ID_LIMIT)
     incarnation = max(1, min(int(wall_clock() * 1000), INCARNATION_LIMIT >> 1))
     return MemberRecord(name, instance_id, incarnation, *address, metadata=metadata)
 
 
-def _announces_sender(packet: Packet) -> bool:
-    """Return whether a packet carries its sender's own record: it may be a new process under that name."""
+def _contains_sender_record(packet: Packet) -> bool:
+    """Return whether a packet carries the sender's own record, which a new process under its name has to announce."""
     return any(
         record.name == packet.sender and record.instance_id == packet.sender_instance_id
         for record in updates_in(packet.message)
--- a/lugspur/daemon/gossip/rejoin.py
+++ b/lugspur/daemon/gossip/rejoin.py
@@ -1,7 +1,7 @@
-"""Contacts seeds that nobody here has heard of, and members that were declared dead.
+"""Contacts seeds at whose addresses no member is present, and members that were declared dead.
 
-The first is how a process joins. The second is how two halves of a fleet that each declared the other dead in a
-network partition find each other again; SWIM leaves that open.
+By contacting seeds, a process joins. By contacting dead members, two halves of a fleet that each declared the other
+dead in a network partition merge again, which SWIM does not provide for.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from lugspur.daemon.gossip.dissemination import Dissemination
 from lugspur.daemon.gossip.events import Address
 
-CONTACT_PERIODS = 1.0  # between two contacts, on average
+CONTACT_PERIODS = 1.0  # protocol periods between two contacts, on average
 
 
 class Rejoiner:
-    """Pings one such address in each period, drawn at random.
+    """Pings one such address per protocol period on average, drawn at random.
 
     Attributes:
-        seeds: Addresses of members that the settings name.
+        seeds: Addresses of members to join the fleet through, from the settings.
     """
 
     def __init__(self, context: ProtocolContext, dissemination: Dissemination, seeds: list[Address]) -> None:
@@ -28,15 +28,15 @@
         self._next_contact_at = context.started_at
 
     def due(self) -> float:
-        """When the next contact is due, in seconds of the local clock."""
+        """Return when the next contact is due, in seconds of the local clock."""
         return self._next_contact_at
 
     def pause_until(self, time: float) -> None:
-        """Contact nobody before a time."""
+        """Contact no address before this time, in seconds of the local clock."""
         self._next_contact_at = time
 
     def tick(self, now: float) -> None:
-        """Ping a seed or a dead member, if one is due."""
+        """Ping a seed or a dead member if a contact is due."""
         if now < self._next_contact_at:
             return
         self._next_contact_at = now + CONTACT_PERIODS * self._period * (0.5 + self._rng.random())
--- a/lugspur/daemon/gossip/transport.py
+++ b/lugspur/daemon/gossip/transport.py
@@ -12,11 +12,12 @@
 from lugspur.daemon.gossip.messages import MAX_DATAGRAM_BYTES
 from lugspur.daemon.gossip.protocol import GossipProtocol
 
-MAX_DATAGRAMS_PER_WAKEUP = 64  # some 10 ms of the event loop, after which requests have their turn
+# Datagrams that are read in one run: about 10 ms of the event loop, after which it can serve requests.
+MAX_DATAGRAMS_PER_WAKEUP = 64
 
 
 def bind_socket(address: Address) -> socket.socket:
-    """Return a non-blocking UDP socket that is bound to an address; raise OSError if it can't be."""
+    """Return a non-blocking UDP socket that is bound to an address; raise OSError if it can't be bound."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
     try:
         sock.setblocking(False)
@@ -31,12 +32,12 @@
     """Runs one member's gossip protocol on the current event loop.
 
     Args:
-        sock: A socket from `bind_socket`; `close` closes it.
+        sock: A socket from `bind_socket`, which `close` closes.
         protocol: The state machine to run.
         on_event: Called with each event of the protocol.
-        on_wake: Called with the time, in seconds of `clock.now`, after each datagram, timer and `flush`, before
-            datagrams are sent: what it hands to the protocol goes out at once.
-        further_deadlines: Returns times, in seconds of `clock.now`, at which `on_wake` is wanted as well.
+        on_wake: Called with the time, in seconds of `clock.now`, when datagrams were received, the timer expired or
+            `flush` was called. It runs before datagrams are sent, so messages that it sends leave at once.
+        further_deadlines: Returns further times, in seconds of `clock.now`, at which `on_wake` has to be called.
     """
 
     def __init__(
@@ -55,8 +56,11 @@
         self._loop.add_reader(sock.fileno(), self._receive)
 
     def flush(self) -> None:
-        """Deliver the protocol's events, send its datagrams and set the timer; to be called after each input to it."""
-        # Guards against a second flush from within a callback, which the first one's loop covers.
+        """Deliver the protocol's events, send its datagrams and set the timer.
+
+        Has to be called after each input to the protocol.
+        """
+        # Ignores a nested flush from within a callback: the outer flush does its work.
         if self._is_flushing or self._sock.fileno() < 0:
             return
         self._is_flushing = True
@@ -69,7 +73,7 @@
         self._set_timer()
 
     def close(self) -> None:
-        """Send what waits to be sent, and close the socket."""
+        """Send the queued datagrams and close the socket."""
         self.flush()
         if self._timer is not None:
             self._timer.cancel()
@@ -82,7 +86,7 @@
                 data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # an earlier datagram of ours met a closed port, which pings find out anyway
+            except OSError:  # an earlier datagram was sent to a closed port, which pings detect anyway
                 continue
             self.protocol.receive(clock.now(), data, source[:2])
         self.flush()
@@ -96,7 +100,7 @@
         for address, data in self.protocol.take_datagrams():
             try:
                 self._sock.sendto(data, address)
-            except OSError:  # no buffer or no route: treated like a datagram that the network lost
+            except OSError:  # no buffer space or no route: treated like a datagram that the network lost
                 self.protocol.counters[GossipCounter.NOT_SENT] += 1
 
     def _set_timer(self) -> None:
