--- a/lugspur/daemon/gossip/membership.py
+++ b/lugspur/daemon/gossip/membership.py
@@ -1,4 +1,4 @@
-"""Applies updates about other members: to the table, to the queue of updates to pass on, and to the log of events."""
+"""Applies updates about other members to the table, the queue of updates to disseminate, and the events."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 from lugspur.daemon.gossip.messages import MemberRecord, Status
 from lugspur.daemon.gossip.probe_order import ProbeOrder
 
-MAX_INCARNATION_LEAD = 86_400_000  # above our wall clock in milliseconds: a day; incarnations start as wall clocks
-NO_ANSWER = "does not answer"
+# How far a received incarnation may be ahead of the local wall clock: one day. A process takes its first incarnation
+# from its wall clock, in milliseconds.
+MAX_INCARNATION_LEAD_MILLISECONDS = 86_400_000
+NO_RESPONSE = "does not respond"
 
 
 class Membership:
-    """The way in which all changes of other members go."""
+    """The only component that adds other members to the table and replaces their records."""
 
     def __init__(self, context: ProtocolContext, probe_order: ProbeOrder, local_member: LocalMember) -> None:
         self._table, self._updates = context.table, context.updates
@@ -27,33 +29,33 @@
 
         Args:
             now: Seconds of the local clock.
-            record: What another member reports.
-            is_first_hand: Whether it reports it of itself.
+            record: The record of a member, as another member sent it.
+            is_first_hand: Whether the member that the record is about sent it.
         """
-        if record.incarnation > self._wall_clock() * 1000 + MAX_INCARNATION_LEAD:
+        if record.incarnation > self._wall_clock() * 1000 + MAX_INCARNATION_LEAD_MILLISECONDS:
             self._counters[GossipCounter.INCARNATION_TOO_HIGH] += 1
         elif record.name == self._table.local_record.name:
             self._local_member.receive_report(now, record)
         elif record.name in self._table.members:
             self._merge_known(now, self._table.members[record.name].record, record)
         elif record.is_present:
-            self._apply(now, record, "came" if is_first_hand else "heard of")
+            self._apply(now, record, "came" if is_first_hand else "reported by another member")
 
     def suspect(self, now: float, name: str) -> None:
-        """Suspect a member that has not answered this process, or confirm the suspicion of another member."""
+        """Suspect a member that did not respond to this process, or confirm another member's suspicion of it."""
         record = self._table.members[name].record
         local_name = self._table.local_record.name
         suspected = with_status(record, Status.SUSPECT, local_name)
         if record.status is Status.ALIVE:
-            self._apply(now, suspected, NO_ANSWER)
+            self._apply(now, suspected, NO_RESPONSE)
         elif self._table.confirm_suspicion(name, local_name):
             self._updates.enqueue(suspected)
 
     def declare_expired_dead(self, now: float) -> None:
-        """Declare the members dead that did not refute their suspicion in time."""
+        """Declare the members dead that have not refuted a suspicion before its timeout."""
         for name in self._table.expired_suspicions(now):
             record = with_status(self._table.members[name].record, Status.DEAD, self._table.local_record.name)
-            self._apply(now, record, NO_ANSWER)
+            self._apply(now, record, NO_RESPONSE)
 
     def _merge_known(self, now: float, known: MemberRecord, received: MemberRecord) -> None:
         merged = merged_record(known, received)
--- a/lugspur/daemon/gossip/merge_rules.py
+++ b/lugspur/daemon/gossip/merge_rules.py
@@ -1,4 +1,7 @@
-"""Which of two reports of one member counts (SWIM, section 4.2, with two guards of our own). No I/O, no state."""
+"""Rules by which one of two reports about a member takes precedence. No I/O, no state.
+
+The rules are those of SWIM, section 4.2, with two additional ones that protect members from false reports.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def supersedes(received: MemberRecord, known: MemberRecord) -> bool:
-    """Return whether a report is newer: a greater incarnation, or the same one with a greater status."""
+    """Return whether a report takes precedence, by a greater incarnation, or a greater status under the same one."""
     return (received.incarnation, received.status) > (known.incarnation, known.status)
 
 
@@ -22,24 +25,24 @@
     if not supersedes(received, known):
         return None
     if received.status is Status.DEAD and known.status is Status.ALIVE:
-        # Guards a member against the report of a single other one: it is suspected first, and has time to refute that.
+        # Protects a member from a single other member's report: it is suspected first, and has time to refute that.
         return with_status(received, Status.SUSPECT, received.reported_by)
-    # Guards a member against others that claim that it has left.
+    # Protects a member from other members that claim that it has left.
     if received.status is Status.LEFT and received.reported_by != received.name:
         return None
     return received
 
 
 def cause_of_change(previous: MemberRecord, record: MemberRecord) -> str:
-    """Return a few words for the log on why a member's record changed."""
+    """Return a short text for the log on why a member's record changed."""
     if record.status is Status.LEFT:
-        return "said goodbye"
+        return "announced by itself"
     if record.status is not Status.ALIVE:
         return f"by {record.reported_by}"
     if record.instance_id != previous.instance_id:
-        return "started anew"
+        return "restarted"
     if not previous.is_present:
-        return "is back"
+        return "returned"
     if previous.status is Status.SUSPECT:
-        return "refuted it"
-    return "moved" if record.address != previous.address else "told of itself"
+        return "refuted the suspicion"
+    return "moved" if record.address != previous.address else "announced new metadata"
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -293,7 +293,7 @@
         if who == "m0" and change.record.name == "m2"
     ]
     causes = [cause for cause, _ in seen]
-    assert causes[0] in ("came", "heard of") and "started anew" in causes
+    assert causes[0] in ("came", "reported by another member") and "restarted" in causes
     assert [state for _, state in seen if state in (Status.SUSPECT, Status.DEAD)][-1] is Status.DEAD
     assert isinstance(fleet.changes[0][2], MemberChanged)
 
