--- a/lugspur/daemon/leases/__init__.py
+++ b/lugspur/daemon/leases/__init__.py
@@ -1,7 +1,7 @@
-"""Leader election for singleton roles: one process at a time holds the lease of a role, by the promises of a majority.
+"""Leader election for singleton roles: at most one process holds the lease of a role, promised by a majority of voters.
 
 A `Candidate` requests the lease from the `LeaseVoter`s and renews it (`candidate`, `lease_term`, `voter`, `messages`,
-`timing`); the voters keep their promises on disk (`promise_store`); receivers of the leader's actions check its fencing
-token (`fencing`). Settings keys, commands and files on disk call a role a duty, a voter an elector and an instance id a
-life.
+`timing`); the voters store their promises on disk (`promise_store`); receivers of the leader's actions check its
+fencing token (`fencing`). In settings keys, commands and files on disk, a role is called a duty, a voter an elector and
+an instance id a life.
 """
--- a/lugspur/daemon/leases/candidate.py
+++ b/lugspur/daemon/leases/candidate.py
@@ -1,8 +1,8 @@
-"""When a candidate requests the lease of a role, and when it tries again: without I/O, and without a thundering herd.
+"""Decides when a candidate requests the lease of a role and when it retries, so that no thundering herd arises. No I/O.
 
-All candidates for a role are ordered by rendezvous hashing over the members that are present, so that all of them
-compute the same order. The first few stand by: they request the lease as soon as it becomes available. The others
-request it at growing intervals, for the case that none of those few can.
+All candidates for a role are ordered by rendezvous hashing over the present members, so that all of them compute the
+same order. The first few are standby candidates, which request the lease as soon as it becomes available. The others
+request it at intervals that grow with their rank, in case none of the standby candidates can.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, RoleAvailable
 from lugspur.daemon.leases.timing import RENEWAL_FRACTION, RENEWAL_RETRY_FRACTION, holder_lease_seconds
 
-#: How many candidates request a lease as soon as it is available: as many as may fail within the time of one lease.
+#: The number of standby candidates: as many as may fail within the time of one lease.
 STANDBY_CANDIDATES = 3
-#: The delay from one standby candidate to the next. A round takes a few milliseconds in one network.
+#: The delay from one standby candidate to the next. A round takes a few milliseconds within one network.
 STANDBY_STAGGER_SECONDS = 0.05
-#: The longest time between two attempts of a candidate that does not stand by, in leases.
+#: The longest time between two attempts of a candidate that is not a standby candidate, as a multiple of a lease.
 MAX_RETRY_DELAY_LEASES = 30
-#: The share of a round's time, times a random number, to wait after two candidates kept each other from a majority.
+#: The longest random backoff after two candidates kept each other from a majority, as a fraction of a round's timeout.
 CONTENTION_BACKOFF_FRACTION = 0.3
 
 
 @dataclass(slots=True, frozen=True)
 class LeadershipChanged:
-    """From now on this process leads the role, or no longer does. The reason is a text for the log."""
+    """This process has become the leader of a role, or has ceased to be. `reason` is a text for the log."""
 
     role: str
     epoch: int
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseAcquired:
-    """A majority has promised the role, for the first time or as a renewal."""
+    """A majority of the voters has promised the role to this process, for the first time or as a renewal."""
 
     role: str
     epoch: int
 
 
 def rendezvous_order(role: str, names: Sequence[str]) -> list[str]:
-    """Return the order in which members are candidates for a role; it is the same wherever it is computed.
+    """Return the order in which members are candidates for a role; all processes compute the same order.
 
     The method is rendezvous hashing (Thaler and Ravishankar, 1998): a member that leaves does not change the order of
     the others.
@@ -56,8 +56,8 @@
 class Candidate:
     """One process that campaigns for one role, and leads it while it holds the lease.
 
-    Times are in seconds of a clock that also counts the time for which the machine is suspended (CLOCK_BOOTTIME). The
-    caller calls `tick` when it is `due`, sends what `take_messages` returns, and reads `take_events`.
+    Times are in seconds of a clock that keeps counting while the machine is suspended (CLOCK_BOOTTIME). The caller
+    calls `tick` when it is `due`, sends what `take_messages` returns, and reads `take_events`.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         rng: random.Random,
         rank: Callable[[str], int],
     ) -> None:
-        """Start to campaign. `rank` returns how many present members come before this one in the order of a role."""
+        """Start campaigning. `rank` returns how many present members precede this one in the order of a role."""
         self.term = LeaseTerm(role, voters, lease_seconds, rng.randrange(1 << 40))
         self._rng, self._rank = rng, rank
         self._is_campaigning = True
-        self._available_at = now  # when the lease is available, as far as is known
+        self._available_at = now  # when the lease becomes available, as far as this candidate knows
         self._next_round_at = now + self._standby_delay()
-        self._last_release_at = float("-inf")  # when a message said that the role was released
-        self._led_epoch = 0  # the epoch of the latest event that said this process leads; 0 if it does not lead
+        self._last_release_at = float("-inf")  # when a message last announced the release of the role
+        self._led_epoch = 0  # the epoch under which this process leads, by its events; 0 if it does not lead
         self._events: list[LeadershipChanged | LeaseAcquired] = []
 
     @property
@@ -85,26 +85,26 @@
         return self.term.role
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """Return the messages to be sent, each with the name of its voter, and forget them."""
+        """Remove and return the messages to be sent, each with the name of the voter to which it is sent."""
         return self.term.take_messages()
 
     def take_events(self) -> list[LeadershipChanged | LeaseAcquired]:
-        """Return what has happened since the last call."""
+        """Remove and return the events since the last call."""
         events, self._events = self._events, []
         return events
 
-    def fencing_token(self, now: float, needs: float = 0.0) -> int | None:
-        """Return the epoch that an action of so many seconds has to carry, or None if it must not start.
+    def fencing_token(self, now: float, duration_seconds: float = 0.0) -> int | None:
+        """Return the epoch that an action of this duration has to carry, or None if the action must not start.
 
-        This has to be called right before each action. The receiver rejects an action with a lower epoch than one it
-        has seen.
+        This has to be called right before each action. The receiver rejects an action whose epoch is lower than one
+        that it has seen.
         """
-        return self._led_epoch if self._led_epoch and self.term.remaining(now) > needs else None
+        return self._led_epoch if self._led_epoch and self.term.remaining(now) > duration_seconds else None
 
     # ---- time --------------------------------------------------------------------------------------
 
     def due(self) -> float:
-        """Return when `tick` has to be called next; infinity if it does not have to be."""
+        """Return when `tick` has to be called next; infinity if nothing will become due."""
         times = [self.term.expires_at] if self._led_epoch else []
         if self.term.has_open_round:
             times += [self.term.round_deadline, self.term.retry_at()]
@@ -113,7 +113,7 @@
         return min(times, default=float("inf"))
 
     def tick(self, now: float) -> None:
-        """Do what is due: step down, end a round that took too long, ask voters again, or start a round."""
+        """Run what is due: step down, end a round that timed out, repeat requests to voters, or start a round."""
         self._update_leadership(now, "not renewed in time")
         if self.term.has_open_round and now >= self.term.round_deadline:
             self._finish_round(now, self.term.abandon_round(now))
@@ -131,10 +131,10 @@
         if not epoch:
             self._next_round_at = now
 
-    # ---- messages of voters ------------------------------------------------------------------------
+    # ---- received messages -------------------------------------------------------------------------
 
     def receive(self, now: float, name: str, message: GrantLease | DenyLease | RoleAvailable) -> None:
-        """Handle a message of a voter, or of a former holder that resigns."""
+        """Handle a message of a voter, or of a lease holder that resigns."""
         if isinstance(message, RoleAvailable):
             self._handle_release(now, message)
             return
@@ -162,35 +162,35 @@
             self._schedule_campaign(now)
 
     def _schedule_campaign(self, now: float) -> None:
-        # Guards the next candidate against a round that started before the release: its denials are out of date.
+        # The denials of a round that started before a release are out of date and must not delay the next candidate.
         was_released_since = self._last_release_at >= self.term.round_started_at
         self._available_at = now if was_released_since else self.term.available_at(now)
-        if self._available_at <= now:  # The epoch was used already, or two candidates asked at the same time.
+        if self._available_at <= now:  # The epoch was already used, or two candidates sent requests at the same time.
             self._next_round_at = now + CONTENTION_BACKOFF_FRACTION * self.term.round_timeout * self._rng.random()
         else:
             self._next_round_at = self._available_at + self._standby_delay()
 
     def _standby_delay(self) -> float:
-        """Return for how many seconds this candidate lets others go first."""
+        """Return for how many seconds this candidate waits for those that precede it in the order."""
         rank = self._rank(self.role)
         if rank < STANDBY_CANDIDATES:
             return STANDBY_STAGGER_SECONDS * rank
         return self.term.lease_seconds * (min(rank, MAX_RETRY_DELAY_LEASES) + self._rng.random())
 
     def members_changed(self, now: float) -> None:
-        """Take note that a member came or went, after which this candidate may stand by."""
+        """Handle a change of the membership, by which this candidate may have become a standby candidate."""
         if not self._led_epoch and not self.term.has_open_round and self._rank(self.role) < STANDBY_CANDIDATES:
             self._next_round_at = min(self._next_round_at, max(now, self._available_at) + self._standby_delay())
 
-    # ---- calls of the process ----------------------------------------------------------------------
+    # ---- requests of the program -------------------------------------------------------------------
 
     def campaign(self, now: float) -> None:
-        """Request the role again after `resign`."""
+        """Start campaigning again after `resign`."""
         self._is_campaigning = True
         self._next_round_at = max(now, self._available_at) + self._standby_delay()
 
     def resign(self, now: float) -> bool:
-        """Release the lease and stop to campaign; return whether the lease was held."""
+        """Release the lease and stop campaigning; return whether the lease was held."""
         was_held = self.term.is_held(now)
         if was_held or self.term.has_open_round:
             self.term.release()
--- a/lugspur/daemon/leases/lease_term.py
+++ b/lugspur/daemon/leases/lease_term.py
@@ -1,8 +1,8 @@
-"""One candidate's lease on one role, without I/O: rounds of requests to the voters, and what they lead to.
+"""One candidate's lease on one role, without I/O: the rounds of requests to the voters, and their results.
 
-A round requests one epoch of all voters. With the promises of a majority the candidate holds the lease, counted from
-before it sent the requests. A renewal is another round under the same epoch. The promises of a failed round are
-released.
+In a round, the candidate requests one epoch from all voters. With the promises of a majority it holds the lease, whose
+time counts from before the requests were sent. A renewal is another round under the same epoch. The promises of a
+failed round are released.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease
 from lugspur.daemon.leases.timing import MAX_ROUND_TIMEOUT_SECONDS, ROUND_TIMEOUT_FRACTION, holder_lease_seconds
 
-#: The shortest time between two requests to one voter in one round. More than two may be needed where clocks drift
-#: apart.
+#: The shortest time between two requests to one voter in one round. More than two requests may be needed where clocks
+#: drift apart.
 MIN_RETRY_DELAY_SECONDS = 0.01
 
 
@@ -26,9 +26,9 @@
 
 
 class LeaseTerm:
-    """A candidate's lease on one role, and the round that is open, if any.
+    """A candidate's lease on one role, and the open round, if any.
 
-    Every `now` is in seconds of a clock that also counts the time for which the machine is suspended (CLOCK_BOOTTIME).
+    Every `now` is in seconds of a clock that keeps counting while the machine is suspended (CLOCK_BOOTTIME).
     """
 
     def __init__(self, role: str, voters: Sequence[str], lease_seconds: float, round_number: int) -> None:
@@ -38,24 +38,24 @@
         self.lease_seconds = lease_seconds
         self.epoch = 0  # the epoch under which the lease is held, or was held last
         self.expires_at = float("-inf")
-        self.highest_epoch = 0  # that a message has named
-        self.holder = ""  # the holder that a voter named last
-        self.round_number = round_number  # of the latest round
+        self.highest_epoch = 0  # the highest epoch known from messages and own rounds
+        self.holder = ""  # the lease holder named by the latest denial that named one
+        self.round_number = round_number  # the number of the latest round
         self.round_started_at = 0.0
-        self._requested_epoch = 0  # of the open round; 0 if there is none
+        self._requested_epoch = 0  # the epoch requested in the open round; 0 if no round is open
         self._granted_by: set[str] = set()
-        self._denied_until: dict[str, float] = {}  # voters that denied, and when they can promise the role
-        self._retry_times: dict[str, float] = {}  # voters that can promise the role before the round ends, and when
+        self._denied_until: dict[str, float] = {}  # when the voters that denied the role can promise it
+        self._retry_times: dict[str, float] = {}  # when to repeat the requests to voters that denied
         self._outbox: list[tuple[str, Message]] = []
 
     @property
     def majority(self) -> int:
-        """The number of promises that are needed."""
+        """The number of promises that a round needs."""
         return len(self.voters) // 2 + 1
 
     @property
     def has_open_round(self) -> bool:
-        """Whether requests are waiting for answers."""
+        """Whether a round is open, so that requests may be waiting for replies."""
         return self._requested_epoch > 0
 
     @property
@@ -65,16 +65,16 @@
 
     @property
     def round_deadline(self) -> float:
-        """When the open round is abandoned."""
+        """When the open round times out."""
         return self.round_started_at + self.round_timeout
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """Return the messages to be sent, each with the name of its voter, and forget them."""
+        """Remove and return the messages to be sent, each with the name of the voter to which it is sent."""
         messages, self._outbox = self._outbox, []
         return messages
 
     def is_held(self, now: float) -> bool:
-        """Whether the lease is held. This has to be asked right before each action under the lease."""
+        """Return whether the lease is held. This has to be called right before each action under the lease."""
         return now < self.expires_at
 
     def remaining(self, now: float) -> float:
@@ -84,7 +84,7 @@
     # ---- rounds ------------------------------------------------------------------------------------
 
     def start_round(self, now: float) -> None:
-        """Request the lease of all voters: under its epoch if it is held, otherwise under a new one."""
+        """Request the lease from all voters, under its current epoch if it is held, otherwise under a new one."""
         is_renewal = self.is_held(now) and self.highest_epoch <= self.epoch
         self._requested_epoch = self.epoch if is_renewal else max(self.highest_epoch, self.epoch) + 1
         self.round_number += 1
@@ -95,9 +95,9 @@
         self._outbox += [(voter, self._request()) for voter in self.voters]
 
     def receive(self, now: float, voter: str, message: GrantLease | DenyLease) -> RoundResult | None:
-        """Handle a voter's answer; return how the round ended if this answer ended it.
+        """Handle a voter's reply; return how the round ended if this reply ended it.
 
-        Answers to former rounds are ignored, but for the epoch that a denial names.
+        Replies to former rounds are ignored, except for the epoch in a denial.
         """
         if isinstance(message, DenyLease):
             self.highest_epoch = max(self.highest_epoch, message.epoch)
@@ -130,7 +130,7 @@
     def _record_majority(self, now: float) -> RoundResult:
         expires_at = self.round_started_at + holder_lease_seconds(self.lease_seconds)
         if now >= expires_at:
-            # Guards other candidates: the promises arrived after their time had passed.
+            # Protects other candidates: the majority was reached after the time of its promises had passed.
             return self.abandon_round(now)
         self.epoch = self._requested_epoch
         self.expires_at = expires_at
@@ -139,13 +139,13 @@
         return RoundResult.WON
 
     def retry_at(self) -> float:
-        """Return when a voter has to be asked again within the open round; infinity if none has to."""
+        """Return when the next request has to be repeated within the open round; infinity if none has to."""
         return min(self._retry_times.values(), default=float("inf")) if self.has_open_round else float("inf")
 
     def retry(self, now: float) -> None:
-        """Ask those voters again whose promise to another candidate has expired by now.
+        """Repeat the requests to voters whose promise to another candidate has expired by now.
 
-        Guards a round that comes a moment too early for one voter's clock: the promises of the others are not wasted.
+        Otherwise a round that starts a moment too early for one voter's clock would waste the promises of the others.
         """
         for voter in [voter for voter, retry_at in self._retry_times.items() if retry_at <= now]:
             del self._retry_times[voter]
@@ -155,18 +155,18 @@
         """End the open round without a majority, and release its promises unless the lease is held."""
         abandoned_epoch, self._requested_epoch = self._requested_epoch, 0
         if not self.is_held(now):
-            # Never while it is held: the promises may be a part of the majority that the lease stands on.
+            # While the lease is held, these promises may belong to the majority that it depends on.
             self._send_release(abandoned_epoch)
         return RoundResult.LOST
 
     def available_at(self, now: float) -> float:
-        """Return when a majority of the voters can promise the role, by their answers in the latest round."""
-        # A voter that did not answer is not counted: it may be down.
+        """Return when a majority of the voters can promise the role, by their replies in the latest round."""
+        # A voter that did not reply is not counted, since it may be down.
         times = sorted([*self._denied_until.values(), *[now] * len(self._granted_by)])
         return times[self.majority - 1] if len(times) >= self.majority else now
 
     def release(self) -> None:
-        """Stop holding the lease at once, and let the voters promise the role to others."""
+        """Give up the lease at once, and let the voters promise the role to other candidates."""
         self.expires_at = float("-inf")
         self._send_release(*{self._requested_epoch, self.epoch} - {0})
         self._requested_epoch = 0
--- a/lugspur/daemon/leases/timing.py
+++ b/lugspur/daemon/leases/timing.py
@@ -1,9 +1,9 @@
-"""How long a lease lasts for the voters and for its holder, and when the holder renews it.
+"""The duration of a lease for the voters and for its holder, and when the holder renews it.
 
 A voter promises a role for the whole time of the lease, by its own clock. The holder counts from before it sent its
 requests, by its own clock, and relies on a shorter time. Even if the holder's clock runs slow by `MAX_CLOCK_DRIFT` and
-the voters' clocks run fast by as much, the holder has stopped before any of these voters promises the role to another
-candidate. No clock has to show the right time; it only has to run at about the right rate.
+the voters' clocks run fast by as much, the holder has stopped acting before any of these voters promises the role to
+another candidate. No clock has to show the right time; it only has to run at about the right rate.
 
 Source: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency"
 (1989), which bounds the drift of clocks in the same way.
@@ -11,16 +11,18 @@
 
 from __future__ import annotations
 
-#: The share by which a clock may run fast or slow. The requirement is 5%; real clocks stay below 0.05% (NTP's bound).
+#: By which fraction a clock may run fast or slow. The requirement is 5%; real clocks stay below 0.05%, NTP's bound.
 MAX_CLOCK_DRIFT = 0.06
 
-# Shares of the time for which the holder relies on its lease.
-RENEWAL_FRACTION = 1 / 3  # after which the holder renews: two more attempts fit into the rest
-RENEWAL_RETRY_FRACTION = 1 / 8  # between two attempts to renew
+#: When the holder renews its lease, as a fraction of the time for which it relies on it: two more attempts fit into the
+#: rest.
+RENEWAL_FRACTION = 1 / 3
+#: The average time between two attempts to renew, as a fraction of the time for which the holder relies on its lease.
+RENEWAL_RETRY_FRACTION = 1 / 8
 
-# A round of requests takes this share of a lease at most, and no more than this number of seconds: a voter's disk may
-# need some of it.
+#: The timeout of a round of requests, as a fraction of a lease. A voter's disk may need some of this time.
 ROUND_TIMEOUT_FRACTION = 1 / 10
+#: The upper bound on the timeout of a round, which applies to long leases.
 MAX_ROUND_TIMEOUT_SECONDS = 1.0
 
 
--- a/lugspur/daemon/leases/voter.py
+++ b/lugspur/daemon/leases/voter.py
@@ -1,14 +1,14 @@
 """The promises of one lease voter, without I/O.
 
-A promise names a candidate and an epoch, and lasts for the time of the lease by the voter's own clock. The voter
+A promise names a candidate and an epoch, and lasts for the time of the lease on the voter's own clock. The voter
 promises a role to another candidate only after the former promise has expired or was released, and only under a higher
 epoch. Any two majorities share a voter, so at most one candidate has the promises of a majority at a time, and no epoch
 is used by two candidates.
 
 The highest epoch and the candidate that it was promised to have to survive a restart, so they are saved before the
-promise is sent. The time for which the promise lasts is not saved. For the time of one lease after its start a voter
-therefore promises a role to nobody but the candidate that its saved promise names. A voter without saved promises does
-not know even that candidate; it starts above an epoch that is taken from the wall clock, which is as reliable as that
+promise is sent. The time until which the promise lasts is not saved. For the time of one lease after its start, a voter
+therefore promises a role only to the candidate that its saved promise names. A voter without saved promises does not
+know that candidate either; it starts above an epoch that is taken from the wall clock, which is as reliable as that
 clock.
 
 This is PaxosLease (Trencseni, Gazso and Reinhardt, 2012) without its prepare phase, and with epochs that are kept on
@@ -23,20 +23,21 @@
 
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message, ReleaseLease, RequestLease, RoleAvailable
 
-#: A voter keeps the promises of this many roles and promises no further one.
+#: The maximum number of roles for which a voter keeps promises; it denies requests for further roles.
 MAX_ROLES = 512
-#: The share of a lease after which a candidate may ask again while a promise is still unconfirmed: its round is over
-#: then.
+#: When a denied candidate may ask again while a promise to another one has not been renewed yet, as a fraction of a
+#: lease: by then, the round of that promise is over.
 FRESH_PROMISE_RETRY_FRACTION = 0.1
-#: When to ask again while another candidate's promise is being saved, which takes a disk some milliseconds.
+#: When a denied candidate may ask again while a promise to another one is being saved, which takes a disk some
+#: milliseconds.
 SAVE_RETRY_DELAY_SECONDS = 0.02
-#: How many of the candidates that were denied are notified when a role is released: enough for one to take it over.
+#: The maximum number of denied candidates that are notified when a role is released: enough for one to take it over.
 MAX_WAITING_CANDIDATES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class CandidateId:
-    """One run of a process: its name in the gossip membership, and the number that it drew at its start."""
+    """One run of a process: its name in the gossip membership, and the number that it drew at random at its start."""
 
     name: str
     instance_id: int
@@ -47,9 +48,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """What a voter has to know of a role after a restart: its highest epoch, and the candidate that it was promised to.
+    """What a voter has to know about a role after a restart: its highest epoch, and the candidate with that promise.
 
-    The name is empty and the instance id 0 where the epoch is used up without being promised to anybody.
+    The name is empty and the instance id 0 if the epoch is used up without being promised to any candidate.
     """
 
     role: str
@@ -59,7 +60,7 @@
 
 
 class CurrentPromise(NamedTuple):
-    """A role as its voter sees it at one moment; the holder is empty while the role is promised to nobody."""
+    """The state of a role's promise at one time; `holder` is empty while the role is promised to no candidate."""
 
     highest_epoch: int
     holder: str
@@ -68,21 +69,21 @@
 
 @dataclass(slots=True)
 class _RoleState:
-    epoch: int  # the highest epoch that was promised, or that is known to be used
-    grantee: CandidateId | None = None  # the candidate that it was promised to
-    promised_until: float = float("-inf")  # by this voter's clock
-    round_number: int = 0  # the round of the candidate in which it was promised last
+    epoch: int  # the highest epoch that was promised or is known to be used
+    grantee: CandidateId | None = None  # the candidate to which the role was promised
+    promised_until: float = float("-inf")  # in seconds of this voter's clock
+    round_number: int = 0  # the grantee's round in which the role was last promised
     is_released: bool = False
-    is_renewed: bool = False  # The grantee has asked again in a later round, so it had a majority and leads.
-    waiting: dict[str, None] = field(default_factory=dict)  # names of denied candidates, the latest one last
-    pending: tuple[CandidateId, RequestLease] | None = None  # the request that is granted once it has been saved
+    is_renewed: bool = False  # The grantee requested it again in a later round, so it had a majority and leads.
+    waiting_names: dict[str, None] = field(default_factory=dict)  # names of denied candidates, the most recent one last
+    pending_request: tuple[CandidateId, RequestLease] | None = None  # the request to grant once it is saved
 
     def is_promised_to(self, candidate: CandidateId, epoch: int) -> bool:
-        """Whether this very promise was given, whether or not it has expired since."""
+        """Return whether the latest promise is this one and was not released; it may have expired."""
         return self.grantee == candidate and self.epoch == epoch and not self.is_released
 
     def holder_at(self, now: float) -> str:
-        """Return the name of the candidate that the role is promised to now; empty if there is none."""
+        """Return the name of the candidate to which the role is promised now; empty if there is none."""
         if self.grantee is None or self.is_released or now >= self.promised_until:
             return ""
         return self.grantee.name
@@ -100,8 +101,9 @@
     ) -> None:
         """Start a voter.
 
-        `lease_seconds` is the longest time for which it has ever promised a role, `saved_promises` what it had saved
-        before, or None if it saves nothing. A voter that has no saved promise of a role starts above `epoch_floor`.
+        `lease_seconds` is the longest time for which it has ever promised a role. `saved_promises` are those that it
+        saved before its start, or None if it saves none. For a role without a saved promise, it starts above
+        `epoch_floor`.
         """
         self.lease_seconds = lease_seconds
         self.silent_until = now + lease_seconds
@@ -115,12 +117,12 @@
         self._outbox: list[tuple[str, Message]] = []
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """Return the messages to be sent, each with the name of its recipient, and forget them."""
+        """Remove and return the messages to be sent, each with the name of its recipient."""
         messages, self._outbox = self._outbox, []
         return messages
 
     def promises(self) -> list[Promise]:
-        """Return all promises that have to be saved, with those in `unsaved`, which the caller clears afterwards."""
+        """Return all promises to save, including those in `unsaved`, which the caller clears afterwards."""
         promises = {}
         for role, state in self._roles.items():
             grantee = state.grantee or NO_CANDIDATE
@@ -128,7 +130,7 @@
         return list((promises | self.unsaved).values())
 
     def current_promise(self, role: str, now: float) -> CurrentPromise:
-        """Return the highest epoch of a role, the candidate that it is promised to, and for how long."""
+        """Return the highest epoch of a role, the candidate to which it is promised, and for how long."""
         state = self._roles.get(role)
         if state is None:
             return CurrentPromise(0, "", 0.0)
@@ -139,7 +141,7 @@
     # ---- messages of candidates --------------------------------------------------------------------
 
     def receive(self, now: float, candidate: CandidateId, message: Message) -> None:
-        """Handle a message of a candidate; messages that are not for a voter are ignored."""
+        """Handle a message of a candidate; messages that are not meant for voters are ignored."""
         if isinstance(message, RequestLease):
             self._handle_request(now, candidate, message)
         elif isinstance(message, ReleaseLease):
@@ -148,7 +150,7 @@
     def _handle_request(self, now: float, candidate: CandidateId, request: RequestLease) -> None:
         state = self._roles.get(request.role)
         if request.lease_seconds > self.lease_seconds:
-            # Guards a holder that relies on a longer time than this voter is silent for after a restart.
+            # Protects a holder that would rely on a longer time than that of this voter's silence after a restart.
             epoch = 0 if state is None else state.epoch
             self._deny(candidate, request, epoch, "", self.lease_seconds)
             return
@@ -157,22 +159,22 @@
                 self._deny(candidate, request, 0, "", self.lease_seconds)
                 return
             state = self._roles[request.role] = _RoleState(self._epoch_floor)
-        if state.pending is not None:
-            self._handle_request_while_saving(now, state, state.pending[0], candidate, request)
+        if state.pending_request is not None:
+            self._handle_request_while_saving(now, state, state.pending_request[0], candidate, request)
         elif state.is_promised_to(candidate, request.epoch):
             self._renew(now, state, candidate, request)
         else:
             self._promise_if_available(now, state, candidate, request)
 
     def _handle_request_while_saving(
-        self, now: float, state: _RoleState, first: CandidateId, candidate: CandidateId, request: RequestLease
+        self, now: float, state: _RoleState, pending_id: CandidateId, candidate: CandidateId, request: RequestLease
     ) -> None:
-        # The first request is answered once it is saved; another candidate asks again soon after that.
-        if candidate != first:
+        # The pending request is granted once it is saved; another candidate may ask again soon after that.
+        if candidate != pending_id:
             self._deny_and_queue(now, state, candidate, request, SAVE_RETRY_DELAY_SECONDS)
 
     def _renew(self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease) -> None:
-        # The role was promised to nobody else since, so the promise may be given anew even if it has expired.
+        # The role has been promised to no other candidate since, so the promise is renewed even if it has expired.
         if request.round_number < state.round_number:
             return
         if request.round_number > state.round_number:
@@ -188,8 +190,8 @@
         elif request.epoch <= state.epoch:
             self._deny(candidate, request, state.epoch, "", 0.0)
         elif self.is_durable:
-            # The former promise stands as it is until this one has been saved.
-            state.pending = candidate, request
+            # The former promise remains unchanged until this one has been saved.
+            state.pending_request = candidate, request
             self.unsaved[request.role] = Promise(request.role, request.epoch, candidate.name, candidate.instance_id)
         else:
             self._grant(now, state, candidate, request)
@@ -199,7 +201,7 @@
         if state.grantee is not None and state.grantee != candidate and not state.is_released:
             wait = max(wait, state.promised_until - now)
         if wait > 0.0 and not state.is_renewed and now >= self.silent_until:
-            # Only a hint: the grantee may not get a majority, and releases the promise then.
+            # This is only a hint: a grantee that gets no majority releases the promise.
             wait = min(wait, FRESH_PROMISE_RETRY_FRACTION * self.lease_seconds)
         return wait
 
@@ -207,35 +209,35 @@
         state = self._roles.get(release.role)
         if state is None or not state.is_promised_to(candidate, release.epoch):
             return
-        if release.round_number < state.round_number:  # A late message: the promise was renewed after it was sent.
+        if release.round_number < state.round_number:  # Late: the promise was renewed after it was sent.
             return
         state.is_released = True
-        waiting, state.waiting = state.waiting, {}
-        for name in waiting:
+        waiting_names, state.waiting_names = state.waiting_names, {}
+        for name in waiting_names:
             if name != candidate.name:
                 self._outbox.append((name, RoleAvailable(release.role, release.epoch)))
 
     # ---- saving ------------------------------------------------------------------------------------
 
     def confirm_saved(self, now: float, roles: Iterable[str]) -> None:
-        """Grant the pending requests of these roles, whose promises survive a restart from now on."""
+        """Grant the pending requests for these roles, since their promises now survive a restart."""
         for role in roles:
             state = self._roles[role]
-            pending, state.pending = state.pending, None
-            if pending is not None:
-                self._grant(now, state, *pending)
+            pending_request, state.pending_request = state.pending_request, None
+            if pending_request is not None:
+                self._grant(now, state, *pending_request)
 
     def report_save_failure(self, roles: Iterable[str]) -> None:
-        """Drop the pending requests of these roles. Their epochs are used up, since they may be on the disk or not."""
+        """Drop the pending requests for these roles. Their epochs are used up, since they may have reached the disk."""
         for role in roles:
             state = self._roles[role]
-            pending, state.pending = state.pending, None
-            if pending is not None:
-                # The former promise still binds this voter, but it is not renewed: the disk may name either candidate.
-                state.epoch = pending[1].epoch
+            pending_request, state.pending_request = state.pending_request, None
+            if pending_request is not None:
+                # The former promise still binds this voter but is not renewed: the disk may name either candidate.
+                state.epoch = pending_request[1].epoch
                 state.grantee = NO_CANDIDATE
 
-    # ---- answers -----------------------------------------------------------------------------------
+    # ---- replies -----------------------------------------------------------------------------------
 
     def _grant(self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease) -> None:
         if request.epoch != state.epoch or candidate != state.grantee:
@@ -245,16 +247,16 @@
         state.round_number = request.round_number
         state.is_released = False
         state.promised_until = now + self.lease_seconds
-        state.waiting.pop(candidate.name, None)
+        state.waiting_names.pop(candidate.name, None)
         self._outbox.append((candidate.name, GrantLease(request.role, request.epoch, request.round_number)))
 
     def _deny_and_queue(
         self, now: float, state: _RoleState, candidate: CandidateId, request: RequestLease, wait: float
     ) -> None:
-        state.waiting.pop(candidate.name, None)
-        state.waiting[candidate.name] = None
-        if len(state.waiting) > MAX_WAITING_CANDIDATES:
-            del state.waiting[next(iter(state.waiting))]
+        state.waiting_names.pop(candidate.name, None)
+        state.waiting_names[candidate.name] = None
+        if len(state.waiting_names) > MAX_WAITING_CANDIDATES:
+            del state.waiting_names[next(iter(state.waiting_names))]
         self._deny(candidate, request, state.epoch, state.holder_at(now), wait)
 
     def _deny(self, candidate: CandidateId, request: RequestLease, epoch: int, holder: str, wait: float) -> None:
