--- a/lugspur/daemon/leases/candidate.py
+++ b/lugspur/daemon/leases/candidate.py
@@ -195,5 +195,5 @@
         if was_held or self.term.has_open_round:
             self.term.release()
         self._is_campaigning = False
-        self._update_leadership(now, "handed on")
+        self._update_leadership(now, "resigned")
         return was_held
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -84,7 +84,7 @@
         await another(rig, holder)
         assert now() - began < rig.lease  # else nobody could have it before the lease's end
         assert await asyncio.wait_for(member.process.wait(), WITHIN) == 0
-        assert "handed on" in member.log()
+        assert "resigned" in member.log()
         await rig.agree([number for number in range(len(rig.members)) if number != holder])
 
     play(tmp_path, what)
