--- a/lugspur/daemon/gossip/dissemination.py
+++ b/lugspur/daemon/gossip/dissemination.py
@@ -50,7 +50,7 @@
         if not names:
             self._updates.clear()
 
-    def notify_of_leave(self, now: float) -> None:
+    def announce_leave(self, now: float) -> None:
         """Send this process's final record to some members, which disseminate it."""
         for name in self._table.sample_present(self._rng, LEAVE_FANOUT):
             address = self._table.members[name].record.address
--- a/lugspur/daemon/gossip/protocol.py
+++ b/lugspur/daemon/gossip/protocol.py
@@ -198,7 +198,7 @@
         """Announce to some members that this process leaves; from then on, it ignores all datagrams."""
         self._local_member.leave(now)
         self.has_left = True
-        self._dissemination.notify_of_leave(now)
+        self._dissemination.announce_leave(now)
         self._failure_detector.abandon_probe()
 
     # ---- time ------------------------------------------------------------------------------------
