--- a/lugspur/daemon/leases/candidate.py
+++ b/lugspur/daemon/leases/candidate.py
@@ -177,7 +177,7 @@
             return STANDBY_STAGGER_SECONDS * rank
         return self.term.lease_seconds * (min(rank, MAX_RETRY_DELAY_LEASES) + self._rng.random())
 
-    def members_changed(self, now: float) -> None:
+    def handle_membership_change(self, now: float) -> None:
         """Handle a change of the membership, by which this candidate may have become a standby candidate."""
         if not self._led_epoch and not self.term.has_open_round and self._rank(self.role) < STANDBY_CANDIDATES:
             self._next_round_at = min(self._next_round_at, max(now, self._available_at) + self._standby_delay())
--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -270,7 +270,7 @@
             host, port = record.address
             self.log(f"member {record.name} {STATUS_TEXTS[Status(record.status)]} ({event.cause}) at {host}:{port}")
             for candidate in self.candidates.values():
-                candidate.members_changed(clock.now())
+                candidate.handle_membership_change(clock.now())
 
     def _receive_lease_messages(self, event: MessageReceived) -> None:
         with suppress(MalformedMessageError):
--- a/tests/daemon/leases/test_candidate.py
+++ b/tests/daemon/leases/test_candidate.py
@@ -118,10 +118,10 @@
     rank = 50
     candidate = Candidate("d", VOTERS, LEASE, 0.0, Random(1), lambda _: rank)
     assert LEASE * MAX_RETRY_DELAY_LEASES <= candidate.due() <= LEASE * (MAX_RETRY_DELAY_LEASES + 1)
-    candidate.members_changed(1.0)
+    candidate.handle_membership_change(1.0)
     assert candidate.due() > LEASE
     rank = STANDBY_CANDIDATES - 1
-    candidate.members_changed(1.0)
+    candidate.handle_membership_change(1.0)
     assert candidate.due() <= 1.0 + STANDBY_STAGGER_SECONDS * STANDBY_CANDIDATES
 
 
