--- a/lugspur/daemon/leases/candidate.py
+++ b/lugspur/daemon/leases/candidate.py
@@ -99,7 +99,7 @@
         This has to be called right before each action. The receiver rejects an action whose epoch is lower than one
         that it has seen.
         """
-        return self._led_epoch if self._led_epoch and self.term.remaining(now) > duration_seconds else None
+        return self._led_epoch if self._led_epoch and self.term.remaining_seconds(now) > duration_seconds else None
 
     # ---- time --------------------------------------------------------------------------------------
 
--- a/lugspur/daemon/leases/lease_term.py
+++ b/lugspur/daemon/leases/lease_term.py
@@ -77,7 +77,7 @@
         """Return whether the lease is held. This has to be called right before each action under the lease."""
         return now < self.expires_at
 
-    def remaining(self, now: float) -> float:
+    def remaining_seconds(self, now: float) -> float:
         """Return for how many seconds the lease is still held."""
         return max(0.0, self.expires_at - now)
 
--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -329,7 +329,9 @@
     def _record_leadership(self, change: LeadershipChanged | LeaseAcquired) -> None:
         if self._history is not None and (isinstance(change, LeaseAcquired) or not change.is_leader):
             left = (
-                self.candidates[change.role].term.remaining(clock.now()) if isinstance(change, LeaseAcquired) else 0.0
+                self.candidates[change.role].term.remaining_seconds(clock.now())
+                if isinstance(change, LeaseAcquired)
+                else 0.0
             )
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
@@ -428,7 +430,7 @@
                     "ours": held,
                     "epoch": term.epoch if held else term.highest_epoch,
                     "holder": self._config.member if held else term.holder,
-                    "left": round(term.remaining(now), 3),
+                    "left": round(term.remaining_seconds(now), 3),
                 }
             )
         down, vain = ({}, 0) if self.probers is None else (self.probers.down(), self.probers.vain)
@@ -447,7 +449,9 @@
         candidate = self.candidates[role]
         if epoch is None:
             return 409, json.dumps({"duty": role, "holder": candidate.term.holder})
-        return 200, json.dumps({"duty": role, "epoch": epoch, "left": round(candidate.term.remaining(clock.now()), 3)})
+        return 200, json.dumps(
+            {"duty": role, "epoch": epoch, "left": round(candidate.term.remaining_seconds(clock.now()), 3)}
+        )
 
 
 def _version() -> str:
