--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -170,12 +170,12 @@
             _, origin, message = self.messages[number]
             elector.receive(clock, CandidateId(EVERYBODY[origin], 1), message)
         elif how == "has written":
-            unsaved, elector.unsaved = elector.unsaved, {}
+            unsaved, elector.unsaved_promises = elector.unsaved_promises, {}
             part.disk |= unsaved
             elector.confirm_saved(clock, unsaved)
         else:
             if how == "restarts with what it wrote":
-                part.disk |= elector.unsaved
+                part.disk |= elector.unsaved_promises
             memory = list(part.disk.values()) if self.limits.memory else None
             part.elector = LeaseVoter(LEASE, clock, memory, int(WALL * (1 + clock)))
         return 0
@@ -210,7 +210,7 @@
         """Whether an elector has something to write down."""
         key = number, -1.0
         if key not in self._inside:
-            self._inside[key] = bool(self.get(number).elector.unsaved)
+            self._inside[key] = bool(self.get(number).elector.unsaved_promises)
         return bool(self._inside[key])
 
 
--- a/lugspur/daemon/leases/voter.py
+++ b/lugspur/daemon/leases/voter.py
@@ -92,8 +92,8 @@
 class LeaseVoter:
     """Promises each role to one candidate at a time. Times are in seconds of the voter's own clock.
 
-    Inputs are `receive`, `confirm_saved` and `report_save_failure`; outputs are `take_messages`, and in `unsaved` the
-    promises that the caller has to save before it calls `confirm_saved`.
+    Inputs are `receive`, `confirm_saved` and `report_save_failure`; outputs are `take_messages` and `unsaved_promises`,
+    which the caller has to save before it calls `confirm_saved`.
     """
 
     def __init__(
@@ -113,7 +113,7 @@
             p.role: _RoleState(p.epoch, CandidateId(p.name, p.instance_id) if p.name else None)
             for p in saved_promises or ()
         }
-        self.unsaved: dict[str, Promise] = {}
+        self.unsaved_promises: dict[str, Promise] = {}
         self._outbox: list[tuple[str, Message]] = []
 
     def take_messages(self) -> list[tuple[str, Message]]:
@@ -122,12 +122,12 @@
         return messages
 
     def promises(self) -> list[Promise]:
-        """Return all promises to save, including those in `unsaved`, which the caller clears afterwards."""
+        """Return all promises to save, including those in `unsaved_promises`, which the caller clears afterwards."""
         promises = {}
         for role, state in self._roles.items():
             grantee = state.grantee or NO_CANDIDATE
             promises[role] = Promise(role, state.epoch, grantee.name, grantee.instance_id)
-        return list((promises | self.unsaved).values())
+        return list((promises | self.unsaved_promises).values())
 
     def current_promise(self, role: str, now: float) -> CurrentPromise:
         """Return the highest epoch of a role, the candidate to which it is promised, and for how long."""
@@ -192,7 +192,9 @@
         elif self.is_durable:
             # The former promise remains unchanged until this one has been saved.
             state.pending_request = candidate, request
-            self.unsaved[request.role] = Promise(request.role, request.epoch, candidate.name, candidate.instance_id)
+            self.unsaved_promises[request.role] = Promise(
+                request.role, request.epoch, candidate.name, candidate.instance_id
+            )
         else:
             self._grant(now, state, candidate, request)
 
--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -312,7 +312,12 @@
         for candidate in self.candidates.values():
             for event in candidate.take_events():
                 self._record_leadership(event)
-        if self._promise_store is not None and self.voter is not None and self.voter.unsaved and not self._is_saving:
+        if (
+            self._promise_store is not None
+            and self.voter is not None
+            and self.voter.unsaved_promises
+            and not self._is_saving
+        ):
             self._save_promises(self._promise_store, self.voter)
         self._send_messages(out)
 
@@ -354,7 +359,7 @@
     def _save_promises(self, promise_store: PromiseStore, voter: LeaseVoter) -> None:
         """Save promises to disk in a thread; the voter grants them only after that."""
         promises = voter.promises()
-        roles, voter.unsaved = list(voter.unsaved), {}
+        roles, voter.unsaved_promises = list(voter.unsaved_promises), {}
         self._is_saving = True
 
         def done(fault: OSError | None) -> None:
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -113,8 +113,8 @@
                             self.candidate_id.instance_id.to_bytes(8, "big") + encode_messages([message]),
                         )
                     )
-        if self.voter is not None and self.voter.unsaved and self._written is None:
-            promises, self.voter.unsaved = self.voter.unsaved, {}
+        if self.voter is not None and self.voter.unsaved_promises and self._written is None:
+            promises, self.voter.unsaved_promises = self.voter.unsaved_promises, {}
             self._written = now + DISK * self._rng.random(), promises
         if self.candidate is not None:
             for event in self.candidate.take_events():
--- a/tests/daemon/leases/test_voter.py
+++ b/tests/daemon/leases/test_voter.py
@@ -107,22 +107,22 @@
     # Not before the first request is saved.
     assert reply_of(voter, 0.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 0, 1, "", SAVE_RETRY_DELAY_SECONDS)
     assert voter.promises() == [Promise("d", 1, "a", 1)]
-    voter.unsaved = {}
+    voter.unsaved_promises = {}
     voter.confirm_saved(5.0, ["d"])
     assert voter.take_messages() == [("a", GrantLease("d", 1, 1))]
     assert voter.current_promise("d", 5.0) == (1, "a", LEASE)  # counted from when it is sent
     assert reply_of(voter, 6.0, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)  # A renewal needs no disk.
-    assert not voter.unsaved
+    assert not voter.unsaved_promises
 
 
 def test_a_promise_that_cannot_be_saved_is_not_sent_and_its_epoch_is_used_up() -> None:
     voter = new_voter(is_durable=True)
     reply_of(voter, 0.0, A, RequestLease("d", 1, 1, LEASE))
-    voter.unsaved = {}
+    voter.unsaved_promises = {}
     voter.confirm_saved(0.0, ["d"])
     voter.take_messages()
     reply_of(voter, 10.0, B, RequestLease("d", 2, 1, LEASE))
-    voter.unsaved = {}
+    voter.unsaved_promises = {}
     voter.report_save_failure(["d"])
     assert voter.take_messages() == []
     for candidate in (A, B):  # The disk may name either.
