--- a/tests/daemon/gossip/test_datagrams.py
+++ b/tests/daemon/gossip/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams that are malformed or not of this fleet are rejected, whatever they contain."""
+"""Datagrams that are malformed or of another fleet are rejected, whatever they contain."""
 
 from __future__ import annotations
 
@@ -71,16 +71,16 @@
 @given(st.binary(max_size=2 * MAX_DATAGRAM_BYTES))
 def test_random_bytes_raise_no_other_error(body: bytes) -> None:
     codec = DatagramCodec("edge")
-    head = codec.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
-    for data in (body, head + body):
+    header = codec.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
+    for data in (body, header + body):
         try:
             packet = codec.decode(data)
         except DatagramRejectedError:
             continue
-        assert codec.encode(packet)  # by chance it was a valid one
+        assert codec.encode(packet)  # the random bytes happened to be a valid packet
 
 
-def _raw(**changed: object) -> bytes:
+def encoded_packet(**changed: object) -> bytes:
     fields = {
         "name": "a",
         "instance_id": 1,
@@ -121,8 +121,8 @@
 )
 def test_values_out_of_bounds_are_malformed(changed: dict[str, object]) -> None:
     codec = DatagramCodec("edge")
-    head = codec.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
-    if changed != {"metadata": []}:  # fields that are left out have their defaults
+    header = codec.encode(Packet("a", 1, "", MESSAGES[0]))[:HEADER_BYTES]
+    if changed != {"metadata": []}:  # omitted fields take their default values
         with pytest.raises(DatagramRejectedError):
-            codec.decode(head + _raw(**changed))
-    assert codec.decode(head + _raw()).sender == "sender"
+            codec.decode(header + encoded_packet(**changed))
+    assert codec.decode(header + encoded_packet()).sender == "sender"
--- a/tests/daemon/gossip/test_lean.py
+++ b/tests/daemon/gossip/test_lean.py
@@ -1,4 +1,4 @@
-"""A daemon that is in no fleet imports neither gossip and leases nor the libraries that they need."""
+"""A daemon outside a fleet imports neither the gossip and leases packages nor the libraries that they need."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 @pytest.mark.parametrize("module", ["daemon.service", "daemon.run", "__main__"])
 def test_daemon_without_a_fleet_imports_no_gossip(module: str) -> None:
     command = [sys.executable, "-c", PRINT_IMPORTED.format(module=module)]
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    assert done.stdout == "[]\n"
+    result = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert result.stdout == "[]\n"
 
 
 @pytest.mark.parametrize("name", [*LIBRARIES, *MODULES])
 def test_the_names_that_are_looked_for_exist(name: str) -> None:
-    """A module that was renamed would never be found among the imported ones."""
+    """Guards against names that no longer exist, which would never be among the imported ones."""
     assert find_spec(name) is not None
 
 
 def test_an_import_of_gossip_is_noticed() -> None:
     command = [sys.executable, "-c", PRINT_IMPORTED.format(module="daemon.peers")]
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
-    assert "'lugspur.daemon.gossip.protocol'" in done.stdout and "'msgspec'" in done.stdout
+    result = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert "'lugspur.daemon.gossip.protocol'" in result.stdout and "'msgspec'" in result.stdout
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -1,4 +1,4 @@
-"""Members in virtual time: the faults of docs/duties.md, and what each does to the views of all members."""
+"""Gossip members in virtual time: how the faults listed in docs/duties.md affect the views of all members."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from lugspur.emulator.datagrams import Address, halves
 from lugspur.emulator.members import Members
 
-CONVERGENCE_SECONDS = 10.0  # ten periods, in which all views have to agree again
+CONVERGENCE_SECONDS = 10.0  # ten protocol periods, within which all views have to agree again
 
 
 def status(fleet: Members, at: int, of: str) -> Status | None:
@@ -49,14 +49,14 @@
 def test_member_that_leaves_is_removed_at_once_and_never_suspected() -> None:
     fleet = Members(10, 4)
     fleet.settle()
-    began = fleet.network.now
+    started_at = fleet.network.now
     leaving = fleet.all()[fleet.address(3)]
-    leaving.leave(began)
+    leaving.leave(started_at)
     fleet.network.turn(fleet.address(3))
     fleet.network.kill(fleet.address(3))
     assert fleet.settle(2.0) <= 2.0
     assert all(status(fleet, at, "m3") is Status.LEFT for at in range(10) if at != 3)
-    assert fleet.doubts(began) == 0
+    assert fleet.doubts(started_at) == 0
 
 
 @pytest.mark.parametrize(("count", "cut"), [(5, 2), (20, 10), (50, 17)])
@@ -66,8 +66,8 @@
     inside = [fleet.address(number) for number in range(cut)]
     fleet.network.cut = halves(inside)
     fleet.network.run(40.0)
-    for address, machine in fleet.all().items():
-        assert machine.present_count == (cut if address in inside else count - cut)
+    for address, protocol in fleet.all().items():
+        assert protocol.present_count == (cut if address in inside else count - cut)
     fleet.network.cut = lambda origin, to: False
     fleet.settle(CONVERGENCE_SECONDS)
 
@@ -75,8 +75,8 @@
 def test_member_that_only_receives_is_declared_dead_and_returns() -> None:
     fleet = Members(8, 6)
     fleet.settle()
-    mute = fleet.address(5)
-    fleet.network.cut = lambda origin, to: origin == mute
+    receive_only = fleet.address(5)
+    fleet.network.cut = lambda origin, to: origin == receive_only
     fleet.network.run(15.0)
     assert all(status(fleet, at, "m5") is Status.DEAD for at in range(8) if at != 5)
     fleet.network.cut = lambda origin, to: False
@@ -87,23 +87,23 @@
 def test_paused_process_suspects_nobody(seconds: float) -> None:
     fleet = Members(10, 7)
     fleet.settle()
-    began = fleet.network.now
-    stopped = fleet.address(4)
-    fleet.network.stop(stopped, seconds)
+    started_at = fleet.network.now
+    paused = fleet.address(4)
+    fleet.network.stop(paused, seconds)
     fleet.network.run(seconds)
     fleet.settle(CONVERGENCE_SECONDS)
-    assert fleet.doubts(began, but=["m4"]) == 0
+    assert fleet.doubts(started_at, but=["m4"]) == 0
 
 
 def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
     fleet = Members(20, 8)
     fleet.settle()
     fleet.network.loss, fleet.network.twice, fleet.network.late = 0.05, 0.1, 0.05
-    began = fleet.network.now
-    while fleet.network.now < began + 60.0:
+    started_at = fleet.network.now
+    while fleet.network.now < started_at + 60.0:
         fleet.network.stop(fleet.address(Random(fleet.network.now).randrange(20)), 0.3)
         fleet.network.run(1.0)
-    assert fleet.doubts(began) == 0
+    assert fleet.doubts(started_at) == 0
 
 
 def test_restarted_member_has_another_instance_id_and_a_greater_incarnation() -> None:
@@ -114,7 +114,7 @@
     fleet.network.run(1.0)
     fleet.start(3)
     fleet.settle(CONVERGENCE_SECONDS)
-    seen = [machine.members["m3"].record for at, machine in fleet.all().items() if at != fleet.address(3)]
+    seen = [protocol.members["m3"].record for at, protocol in fleet.all().items() if at != fleet.address(3)]
     assert all(record.instance_id != before.instance_id and record.incarnation > before.incarnation for record in seen)
 
 
@@ -149,26 +149,28 @@
     fleet.settle()
     conflicts: list[tuple[str, NameConflict]] = []
 
-    def after(address: Address, machine: GossipProtocol) -> None:
-        conflicts.extend((f"{address[0]}", event) for event in machine.take_events() if isinstance(event, NameConflict))
+    def after(address: Address, protocol: GossipProtocol) -> None:
+        conflicts.extend(
+            (f"{address[0]}", event) for event in protocol.take_events() if isinstance(event, NameConflict)
+        )
 
-    fleet.network.after = after  # type: ignore[assignment]  # all machines here are fleets
+    fleet.network.after = after  # type: ignore[assignment]  # all nodes of this network are gossip members
     fleet.start(7, "m2")
     fleet.network.run(25.0)
     assert any(event.is_yielding for where, event in conflicts if where == fleet.address(7)[0])
     assert not any(event.is_yielding for where, event in conflicts if where == fleet.address(2)[0])
     fleet.network.run(1.0)
     others = [fleet.all()[fleet.address(at)] for at in (0, 1, 3, 4)]
-    assert {machine.members["m2"].record.address for machine in others} == {fleet.address(2)}
+    assert {protocol.members["m2"].record.address for protocol in others} == {fleet.address(2)}
 
 
 def test_member_changes_its_address() -> None:
     fleet = Members(5, 13)
     fleet.settle()
-    machine = fleet.all()[fleet.address(2)]
+    protocol = fleet.all()[fleet.address(2)]
     fleet.network.kill(fleet.address(2))
-    machine.change_address(fleet.network.now, fleet.address(9))
-    fleet.network.add(fleet.address(9), machine)
+    protocol.change_address(fleet.network.now, fleet.address(9))
+    fleet.network.add(fleet.address(9), protocol)
     fleet.settle(CONVERGENCE_SECONDS)
     assert fleet.all()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
     fleet.network.run(10.0)
@@ -182,8 +184,8 @@
     fleet.network.turn(fleet.address(2))
     fleet.network.until(
         lambda: all(
-            machine.members["m2"].record.metadata.is_draining
-            for at, machine in fleet.all().items()
+            protocol.members["m2"].record.metadata.is_draining
+            for at, protocol in fleet.all().items()
             if at != fleet.address(2)
         ),
         CONVERGENCE_SECONDS,
@@ -194,56 +196,62 @@
     fleet = Members(1, 15)
     alone = fleet.start(5)
     fleet.network.kill(fleet.address(0))
-    stranger = fleet.start(6, fleet="another")
+    foreign = fleet.start(6, fleet="another")
     alone.seeds.append(fleet.address(6))
     fleet.network.run(60.0)
-    assert alone.is_alone and stranger.is_alone and alone.present_count == 1
-    assert alone.counters["sent"] <= 130  # about one ping each period, and no acks
-    assert stranger.counters["another fleet"] > 10
+    assert alone.is_alone and foreign.is_alone and alone.present_count == 1
+    assert alone.counters["sent"] <= 130  # about one ping per protocol period, and no acks
+    assert foreign.counters["another fleet"] > 10
 
 
 def test_membership_table_is_bounded_and_absent_members_make_room() -> None:
-    machine = Members(1, 16).all()[Members.address(0)]
+    protocol = Members(1, 16).all()[Members.address(0)]
     for number in range(MAX_MEMBERS + 100):
         record = MemberRecord(f"x{number}", number, 1, "10.1.0.1", 1 + number)
-        data = machine.codec.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
-        machine.receive(number * 0.1, data, ("10.1.0.1", 1 + number))
-        machine.take_datagrams()
-    assert len(machine.members) == MAX_MEMBERS - 1 and machine.present_count == MAX_MEMBERS
-    assert machine.counters["too many members"] == 101
-    gone = machine.members["x5"].record
-    dead = MemberRecord(gone.name, gone.instance_id, gone.incarnation, gone.host, gone.port, Status.LEFT, gone.name)
-    machine.receive(200.0, machine.codec.encode(Packet("x5", gone.instance_id, "m0", Updates([dead]))), gone.address)
+        data = protocol.codec.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
+        protocol.receive(number * 0.1, data, ("10.1.0.1", 1 + number))
+        protocol.take_datagrams()
+    assert len(protocol.members) == MAX_MEMBERS - 1 and protocol.present_count == MAX_MEMBERS
+    assert protocol.counters["too many members"] == 101
+    known = protocol.members["x5"].record
+    left = MemberRecord(
+        known.name, known.instance_id, known.incarnation, known.host, known.port, Status.LEFT, known.name
+    )
+    protocol.receive(
+        200.0, protocol.codec.encode(Packet("x5", known.instance_id, "m0", Updates([left]))), known.address
+    )
     late = MemberRecord("late", 1, 1, "10.1.0.2", 5)
-    machine.receive(200.1, machine.codec.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
-    assert "late" in machine.members and "x5" not in machine.members  # absent members make room
+    protocol.receive(200.1, protocol.codec.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
+    assert "late" in protocol.members and "x5" not in protocol.members  # the absent member made room for the new one
 
 
 def test_false_reports_do_not_kill_members_that_answer() -> None:
     fleet = Members(8, 17)
     fleet.settle()
-    began = fleet.network.now
-    liar = fleet.all()[fleet.address(7)]
+    started_at = fleet.network.now
+    false_reporter = fleet.all()[fleet.address(7)]
 
-    def lie() -> None:
+    def send_false_reports() -> None:
         for at in range(6):
-            record = liar.members[f"m{at}"].record
+            record = false_reporter.members[f"m{at}"].record
             for state in (Status.SUSPECT, Status.DEAD):
                 report = MemberRecord(
                     record.name, record.instance_id, record.incarnation, record.host, record.port, state, "m7"
                 )
                 for to in range(7):
-                    data = liar.codec.encode(Packet("m7", liar.local_record.instance_id, f"m{to}", Updates([report])))
+                    data = false_reporter.codec.encode(
+                        Packet("m7", false_reporter.local_record.instance_id, f"m{to}", Updates([report]))
+                    )
                     fleet.all()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
                     fleet.network.turn(fleet.address(to))
 
     for _ in range(20):
-        lie()
+        send_false_reports()
         fleet.network.run(0.5)
     deaths = {
         (change.record.name, who)
         for when, who, change in fleet.changes
-        if when >= began and change.record.status is Status.DEAD and change.record.reported_by != "m7"
+        if when >= started_at and change.record.status is Status.DEAD and change.record.reported_by != "m7"
     }
     assert not deaths
     fleet.settle(CONVERGENCE_SECONDS)
@@ -252,21 +260,21 @@
 def test_flood_from_one_address_leaves_others_served() -> None:
     fleet = Members(6, 18)
     fleet.settle()
-    began, victim = fleet.network.now, fleet.all()[fleet.address(1)]
+    started_at, victim = fleet.network.now, fleet.all()[fleet.address(1)]
     rng = Random(1)
     for _ in range(100):
         for _ in range(100):
             victim.receive(fleet.network.now, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), ("10.9.9.9", 9))
         fleet.network.run(0.1)
     assert victim.counters["too many"] > 10_000 - MAX_SOURCE_BURST_DATAGRAMS - 1100
-    assert fleet.doubts(began) == 0 and fleet.agree()
+    assert fleet.doubts(started_at) == 0 and fleet.agree()
 
 
 def test_incarnations_far_ahead_of_the_wall_clock_are_rejected() -> None:
-    machine = Members(1, 19).all()[Members.address(0)]
+    protocol = Members(1, 19).all()[Members.address(0)]
     record = MemberRecord("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
-    machine.receive(1.0, machine.codec.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
-    assert not machine.members and machine.counters["from the future"] == 1
+    protocol.receive(1.0, protocol.codec.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
+    assert not protocol.members and protocol.counters["from the future"] == 1
 
 
 def test_updates_are_retransmitted_a_bounded_number_of_times() -> None:
@@ -277,7 +285,7 @@
     fleet.network.run(30.0)
     assert (
         fleet.total("sent") - sent <= 30 * 30 * 2.1
-    )  # a ping and an ack each period: no update is retransmitted any more
+    )  # a ping and an ack per protocol period: no update is retransmitted any more
 
 
 def test_member_changes_carry_their_cause() -> None:
@@ -303,4 +311,4 @@
     keyed = fleet.start(3, key=b"k" * 16)
     fleet.network.run(10.0)
     assert keyed.present_count == 1 and keyed.counters["garbage"] + keyed.counters["another key"] == 0
-    assert all(machine.present_count == 2 for at, machine in fleet.all().items() if at != fleet.address(3))
+    assert all(protocol.present_count == 2 for at, protocol in fleet.all().items() if at != fleet.address(3))
--- a/tests/daemon/gossip/test_merge_rules.py
+++ b/tests/daemon/gossip/test_merge_rules.py
@@ -1,4 +1,4 @@
-"""Which of two reports of one member counts."""
+"""Which of two reports about a member takes precedence."""
 
 from __future__ import annotations
 
--- a/tests/daemon/gossip/test_pauses.py
+++ b/tests/daemon/gossip/test_pauses.py
@@ -1,4 +1,4 @@
-"""A process that did not run for a while draws no conclusions from what it did not receive."""
+"""A process that was paused draws no conclusions from what it did not receive in the meantime."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_until_suspected(protocol: GossipProtocol) -> float:
-    """Run without any answer of the peer, and return when it was suspected."""
+    """Run without any reply of the peer, and return the time at which it was suspected."""
     now = 0.0
     while protocol.members[PEER.name].record.status is Status.ALIVE:
         assert now < 10.0
@@ -34,7 +34,7 @@
 
 def test_a_probe_that_a_pause_interrupted_is_dropped() -> None:
     protocol = protocol_that_knows_a_peer()
-    protocol.tick(protocol.due())  # begins the probe
+    protocol.tick(protocol.due())  # starts the probe
     protocol.tick(protocol.due() + PAUSE_SECONDS)
     assert protocol.members[PEER.name].record.status is Status.ALIVE
     assert protocol.counters[GossipCounter.PAUSED] == 1 and protocol.local_health_score == 1
--- a/tests/daemon/leases/test_candidate.py
+++ b/tests/daemon/leases/test_candidate.py
@@ -1,4 +1,4 @@
-"""When a candidate requests the lease of a role, and when it tries again."""
+"""When a candidate requests the lease of a role, and when it retries."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         candidate.fencing_token(holder_lease_seconds(LEASE) - 0.1) == 1
         and candidate.fencing_token(holder_lease_seconds(LEASE)) is None
     )
-    # An action that would outlast the lease.
+    # The action would outlast the lease.
     assert candidate.fencing_token(1.0, holder_lease_seconds(LEASE) - 1.0) is None
     again = win_round(candidate, candidate.due())
     assert (
--- a/tests/daemon/leases/test_explored_states.py
+++ b/tests/daemon/leases/test_explored_states.py
@@ -1,4 +1,4 @@
-"""Every order of events in the smallest worlds; `python -m lugspur.bench.explore` explores larger ones."""
+"""Explores every order of events in the smallest models; `python -m lugspur.bench.explore` explores larger ones."""
 
 from __future__ import annotations
 
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -1,6 +1,6 @@
-"""Leases under random faults in virtual time: there are never two leaders, and soon there is one again.
+"""Leases under random faults in virtual time: there are never two leaders, and a lost one is soon replaced.
 
-`python -m lugspur.emulator duties` plays more seeds.
+`python -m lugspur.emulator duties` runs more seeds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     assert world.offices > 1
 
 
-def _caught(max_seeds: int, voters: int = 3, memory: bool = True) -> bool:
+def is_caught(max_seeds: int, voters: int = 3, memory: bool = True) -> bool:
     for seed in range(max_seeds):
         try:
             play(seed, memory, voters)
@@ -37,18 +37,18 @@
 
 def test_a_build_without_the_margin_for_clock_drift_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timing, "MAX_CLOCK_DRIFT", -0.06)
-    assert _caught(60)
+    assert is_caught(60)
 
 
 def test_a_build_without_the_silence_after_a_start_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin: Callable[..., None] = LeaseVoter.__init__
+    original_init: Callable[..., None] = LeaseVoter.__init__
 
-    def speaks_at_once(self: LeaseVoter, lease: float, now: float, memory: object, floor: int) -> None:
-        begin(self, lease, now, memory, floor)
+    def start_without_silence(self: LeaseVoter, lease: float, now: float, memory: object, floor: int) -> None:
+        original_init(self, lease, now, memory, floor)
         self.silent_until = now
 
-    monkeypatch.setattr(LeaseVoter, "__init__", speaks_at_once)
-    assert _caught(60, memory=False)
+    monkeypatch.setattr(LeaseVoter, "__init__", start_without_silence)
+    assert is_caught(60, memory=False)
 
 
 def test_a_build_that_releases_promises_while_it_leads_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -58,7 +58,7 @@
         return RoundResult.LOST
 
     monkeypatch.setattr(LeaseTerm, "abandon_round", abandon_round)
-    assert _caught(60)
+    assert is_caught(60)
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -71,30 +71,30 @@
         world = World(seed)
         world.network.run(CALM)
         [holder] = world.holders()
-        count = world.offices
+        leadership_count = world.offices
         holder.hand_on(world.network.clock(holder.address))
         world.network.turn(holder.address)
-        took = world.network.until(lambda: world.offices > count, 1.0, 0.001)  # noqa: B023
-        assert took <= 0.2
+        takeover_seconds = world.network.until(lambda: world.offices > leadership_count, 1.0, 0.001)  # noqa: B023
+        assert takeover_seconds <= 0.2
 
 
 def test_two_hundred_candidates_load_the_voters_little() -> None:
     world = World(1, others=197)
     network = world.network
-    asked = 0
+    request_count = 0
 
     def after(address: tuple[str, int], node: object) -> None:
-        nonlocal asked
+        nonlocal request_count
         assert isinstance(node, duties.Node)
-        asked += len(node.candidate.term._outbox) if node.candidate is not None else 0
+        request_count += len(node.candidate.term._outbox) if node.candidate is not None else 0
 
     network.after = after
     network.run(CALM)
     assert len(world.holders()) == 1
-    asked = 0
+    request_count = 0
     network.run(60.0)
-    # The holder and two standby candidates ask three voters about three times in a lease; all others ask rarely.
-    assert asked / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE
+    # The holder and two standby candidates ask three voters about three times per lease; all others ask rarely.
+    assert request_count / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE
     assert len(world.holders()) == 1
 
 
@@ -106,7 +106,7 @@
     assert len(world.holders()) == 1
     world.network.kill(world.address(1))
     world.network.run(2 * LEASE)
-    assert not world.holders()  # A minority can't promise a lease.
+    assert not world.holders()  # A minority of the voters can't grant a lease.
     world.start(1)
     world.network.run(4 * LEASE)
     assert len(world.holders()) == 1
@@ -115,9 +115,9 @@
 def test_the_rendezvous_order_is_the_same_everywhere_and_stable_when_a_member_leaves() -> None:
     names = [f"m{number}" for number in range(50)]
     rng = Random(1)
-    for duty in ("a", "b", "c"):
-        found = rendezvous_order(duty, names)
-        assert found == rendezvous_order(duty, rng.sample(names, 50))
-        without = [name for name in found if name != found[7]]
-        assert rendezvous_order(duty, without) == without
+    for role in ("a", "b", "c"):
+        order = rendezvous_order(role, names)
+        assert order == rendezvous_order(role, rng.sample(names, 50))
+        without = [name for name in order if name != order[7]]
+        assert rendezvous_order(role, without) == without
     assert rendezvous_order("a", names) != rendezvous_order("b", names)
--- a/tests/daemon/leases/test_promise_store.py
+++ b/tests/daemon/leases/test_promise_store.py
@@ -1,4 +1,4 @@
-"""After a crash at any moment the promises of a lease voter are there, or the former ones are."""
+"""A crash at any moment leaves either the new or the former promises of a lease voter on disk."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lugspur.daemon.leases import promise_store as module
+from lugspur.daemon.leases import promise_store
 from lugspur.daemon.leases.promise_store import (
     PROMISES_FILE,
     CorruptPromiseStoreError,
@@ -21,35 +21,35 @@
 
 
 def test_promises_that_were_written_are_read(tmp_path: Path) -> None:
-    first = PromiseStore(str(tmp_path), "x", 10.0)
-    assert first.is_new and first.promises == []
-    first.write(ONE)
-    first.write(TWO)
-    first.close()
-    second = PromiseStore(str(tmp_path), "x", 5.0)
-    assert not second.is_new and second.promises == TWO
-    assert second.lease_seconds == 10.0  # the longest time that was ever promised
-    second.close()
+    store = PromiseStore(str(tmp_path), "x", 10.0)
+    assert store.is_new and store.promises == []
+    store.write(ONE)
+    store.write(TWO)
+    store.close()
+    reopened = PromiseStore(str(tmp_path), "x", 5.0)
+    assert not reopened.is_new and reopened.promises == TWO
+    assert reopened.lease_seconds == 10.0  # the longest time that was ever promised
+    reopened.close()
 
 
 def test_a_directory_belongs_to_one_voter(tmp_path: Path) -> None:
-    first = PromiseStore(str(tmp_path), "x", 10.0)
+    store = PromiseStore(str(tmp_path), "x", 10.0)
     with pytest.raises(PromiseStoreInUseError):
         PromiseStore(str(tmp_path), "x", 10.0)
-    first.write(ONE)
-    first.close()
+    store.write(ONE)
+    store.close()
     with pytest.raises(CorruptPromiseStoreError, match="elector 'x'"):
         PromiseStore(str(tmp_path), "y", 10.0)
 
 
 def test_every_changed_byte_and_every_truncation_is_detected(tmp_path: Path) -> None:
-    first = PromiseStore(str(tmp_path), "x", 10.0)
-    first.write(ONE)
-    first.close()
-    complete = (tmp_path / PROMISES_FILE).read_bytes()
-    corrupt = [complete[:at] for at in range(len(complete))]
-    corrupt += [complete[:at] + bytes([complete[at] ^ 1]) + complete[at + 1 :] for at in range(len(complete))]
-    for data in corrupt:
+    store = PromiseStore(str(tmp_path), "x", 10.0)
+    store.write(ONE)
+    store.close()
+    valid = (tmp_path / PROMISES_FILE).read_bytes()
+    corrupt_files = [valid[:index] for index in range(len(valid))]
+    corrupt_files += [valid[:index] + bytes([valid[index] ^ 1]) + valid[index + 1 :] for index in range(len(valid))]
+    for data in corrupt_files:
         (tmp_path / PROMISES_FILE).write_bytes(data)
         with pytest.raises(CorruptPromiseStoreError):
             PromiseStore(str(tmp_path), "x", 10.0)
@@ -59,19 +59,19 @@
 def test_a_failure_at_any_system_call_leaves_the_former_or_the_new_promises(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    first = PromiseStore(str(tmp_path), "x", 10.0)
-    first.write(ONE)
+    store = PromiseStore(str(tmp_path), "x", 10.0)
+    store.write(ONE)
 
-    def fails(*_: object) -> None:
-        raise OSError(errno.EIO, "broken")
+    def fail(*_: object) -> None:
+        raise OSError(errno.EIO, "injected failure")
 
-    with monkeypatch.context() as patched:
-        patched.setattr(Directory, call, fails)
+    with monkeypatch.context() as patch:
+        patch.setattr(Directory, call, fail)
         with pytest.raises(OSError):
-            first.write(TWO)
-    first.close()
-    second = PromiseStore(str(tmp_path), "x", 10.0)
-    assert second.promises in (ONE, TWO)
-    second.write(TWO)
-    second.close()
-    assert module.PROMISES_FILE in {path.name for path in tmp_path.iterdir()}
+            store.write(TWO)
+    store.close()
+    reopened = PromiseStore(str(tmp_path), "x", 10.0)
+    assert reopened.promises in (ONE, TWO)
+    reopened.write(TWO)
+    reopened.close()
+    assert promise_store.PROMISES_FILE in {path.name for path in tmp_path.iterdir()}
--- a/tests/daemon/leases/test_voter.py
+++ b/tests/daemon/leases/test_voter.py
@@ -1,4 +1,4 @@
-"""The promises of one lease voter: to which candidate, for how long, and what a restart leaves of them."""
+"""The promises of one lease voter: to which candidate, for how long, and which of them survive a restart."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
     assert reply_of(voter, 9.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 1, 1, "a", 1.0)
     assert reply_of(voter, 9.5, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)
     assert reply_of(voter, 19.0, B, RequestLease("d", 2, 2, LEASE)) == DenyLease("d", 1, 2, "a", 0.5)
-    # The epoch is used.
+    # The epoch was already used.
     assert reply_of(voter, 19.5, B, RequestLease("d", 1, 3, LEASE)) == DenyLease("d", 1, 3, "", 0.0)
     assert reply_of(voter, 19.5, B, RequestLease("d", 2, 4, LEASE)) == GrantLease("d", 2, 4)
-    # A fresh promise may come to nothing.
+    # A promise that was not renewed yet may be released soon, so the candidate may ask again early.
     assert reply_of(voter, 19.5, A, RequestLease("d", 1, 3, LEASE)) == DenyLease("d", 2, 3, "b", 1.0)
     reply_of(voter, 20.0, B, RequestLease("d", 2, 5, LEASE))
     assert reply_of(voter, 20.0, A, RequestLease("d", 1, 4, LEASE)) == DenyLease("d", 2, 4, "b", 10.0)
@@ -59,7 +59,7 @@
     reply_of(voter, 0.5, B, RequestLease("d", 2, 1, LEASE))
     voter.receive(1.0, A, ReleaseLease("d", 1, 1))
     assert voter.take_messages() == [("b", RoleAvailable("d", 1))]
-    # It is late, or repeated.
+    # The request is late or a duplicate.
     assert reply_of(voter, 1.0, A, RequestLease("d", 1, 1, LEASE)) == DenyLease("d", 1, 1, "", 0.0)
     assert reply_of(voter, 1.0, B, RequestLease("d", 2, 2, LEASE)) == GrantLease("d", 2, 2)
     voter.receive(1.1, A, ReleaseLease("d", 1, 1))
@@ -104,14 +104,14 @@
     voter = new_voter(is_durable=True)
     assert reply_of(voter, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
     assert reply_of(voter, 0.0, A, RequestLease("d", 1, 1, LEASE)) is None
-    # Not before the first request is saved.
+    # The role is denied to other candidates until the first request is saved.
     assert reply_of(voter, 0.0, B, RequestLease("d", 2, 1, LEASE)) == DenyLease("d", 0, 1, "", SAVE_RETRY_DELAY_SECONDS)
     assert voter.promises() == [Promise("d", 1, "a", 1)]
     voter.unsaved_promises = {}
     voter.confirm_saved(5.0, ["d"])
     assert voter.take_messages() == [("a", GrantLease("d", 1, 1))]
-    assert voter.current_promise("d", 5.0) == (1, "a", LEASE)  # counted from when it is sent
-    assert reply_of(voter, 6.0, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)  # A renewal needs no disk.
+    assert voter.current_promise("d", 5.0) == (1, "a", LEASE)  # counted from when the promise is sent
+    assert reply_of(voter, 6.0, A, RequestLease("d", 1, 2, LEASE)) == GrantLease("d", 1, 2)  # A renewal is not saved.
     assert not voter.unsaved_promises
 
 
@@ -125,7 +125,7 @@
     voter.unsaved_promises = {}
     voter.report_save_failure(["d"])
     assert voter.take_messages() == []
-    for candidate in (A, B):  # The disk may name either.
+    for candidate in (A, B):  # The disk may name either candidate.
         assert isinstance(reply_of(voter, 10.0, candidate, RequestLease("d", 2, 9, LEASE)), DenyLease)
     assert isinstance(reply_of(voter, 10.0, A, RequestLease("d", 1, 9, LEASE)), DenyLease)
     reply_of(voter, 10.0, B, RequestLease("d", 3, 2, LEASE))
