--- a/lugspur/daemon/gossip/counters.py
+++ b/lugspur/daemon/gossip/counters.py
@@ -14,7 +14,7 @@
     SENT = "sent"
     BYTES_SENT = "bytes sent"
     NOT_SENT = "not sent"  # datagrams that exceeded the rate limit or that the socket refused
-    READ = "read"  # datagrams that were accepted and handled
+    READ = "read"  # datagrams that were accepted
     OVER_RATE_LIMIT = "too many"
     FOR_OTHER_RECIPIENT = "for another"
     OF_OTHER_INSTANCE = "of another life"  # datagrams of a former or a second process under the sender's name
--- a/lugspur/daemon/gossip/protocol.py
+++ b/lugspur/daemon/gossip/protocol.py
@@ -7,8 +7,8 @@
   other members, then suspected, then declared dead.
 - `dissemination`: updates about members are piggybacked on these datagrams.
 - `local_member`: only the member itself raises its incarnation, by which it refutes a suspicion.
-- `suspicion`, `local_health`: Lifeguard. A process that was slow itself waits longer before it suspects a member, and a
-  suspicion lasts longer the fewer members share it.
+- `suspicion`, `local_health`: Lifeguard. A process that is slow itself waits longer before it suspects a member, and
+  after a pause it drops its probe; a suspicion lasts longer the fewer members share it.
 - `anti_entropy`: a view that differs although no updates are on their way is read page by page.
 - `rejoin`: dead members are still contacted, so that the halves of a network partition merge again.
 """
--- a/lugspur/daemon/leases/lease_term.py
+++ b/lugspur/daemon/leases/lease_term.py
@@ -45,7 +45,7 @@
         self._requested_epoch = 0  # the epoch requested in the open round; 0 if no round is open
         self._granted_by: set[str] = set()
         self._denied_until: dict[str, float] = {}  # when the voters that denied the role can promise it
-        self._retry_times: dict[str, float] = {}  # when to repeat the requests to voters that denied
+        self._retry_times: dict[str, float] = {}  # when to ask voters again that can grant before the round ends
         self._outbox: list[tuple[str, Message]] = []
 
     @property
--- a/tests/daemon/leases/test_candidate.py
+++ b/tests/daemon/leases/test_candidate.py
@@ -57,7 +57,7 @@
     )
 
 
-def test_a_process_that_was_suspended_has_lost_its_lease_before_any_message_or_timer() -> None:
+def test_a_suspended_process_has_lost_its_lease_before_any_message_or_timer() -> None:
     candidate = new_candidate()
     win_round(candidate, 0.0)
     leadership_changes(candidate)
@@ -66,7 +66,7 @@
     assert leadership_changes(candidate) == [(1, False)]
 
 
-def test_promises_of_a_former_round_or_after_their_time_are_ignored() -> None:
+def test_promises_of_a_former_round_or_of_an_unknown_voter_are_ignored() -> None:
     candidate = new_candidate()
     candidate.tick(0.0)
     request = requests(candidate)[0]
@@ -94,7 +94,7 @@
     assert {message.epoch for message in requests(candidate)} == {5}
 
 
-def test_a_leader_renews_under_a_higher_epoch_when_its_own_was_passed() -> None:
+def test_a_leader_whose_epoch_was_superseded_renews_under_a_higher_one() -> None:
     candidate = new_candidate()
     win_round(candidate, 0.0)
     candidate.receive(1.0, "z", DenyLease("d", 7, 0, "", 0.0))
--- a/tests/daemon/leases/test_voter.py
+++ b/tests/daemon/leases/test_voter.py
@@ -79,7 +79,7 @@
         assert voter.current_promise("d", 1.0) == (3, "a", 9.0)
 
 
-def test_a_repeated_request_is_answered_alike() -> None:
+def test_a_duplicate_request_gets_the_same_reply() -> None:
     voter = new_voter()
     for _ in range(10):
         assert reply_of(voter, 0.0, A, RequestLease("d", 1, 1, LEASE)) == GrantLease("d", 1, 1)
