--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -279,7 +279,7 @@
             host, port = record.address
             self.log(f"member {record.name} {STATUS_TEXTS[Status(record.status)]} ({event.cause}) at {host}:{port}")
             for candidate in self.candidates.values():
-                candidate.members_changed(clock.now())
+                candidate.handle_membership_change(clock.now())
 
     def _receive_lease_messages(self, event: MessageReceived) -> None:
         with suppress(MalformedMessageError):
@@ -321,7 +321,12 @@
         for candidate in self.candidates.values():
             for event in candidate.take_events():
                 self._record_leadership(event)
-        if self._promise_store is not None and self.voter is not None and self.voter.unsaved and not self._is_saving:
+        if (
+            self._promise_store is not None
+            and self.voter is not None
+            and self.voter.unsaved_promises
+            and not self._is_saving
+        ):
             self._save_promises(self._promise_store, self.voter)
         self._send_messages(remote_messages)
 
@@ -338,7 +343,9 @@
     def _record_leadership(self, change: LeadershipChanged | LeaseAcquired) -> None:
         if self._history is not None and (isinstance(change, LeaseAcquired) or not change.is_leader):
             left = (
-                self.candidates[change.role].term.remaining(clock.now()) if isinstance(change, LeaseAcquired) else 0.0
+                self.candidates[change.role].term.remaining_seconds(clock.now())
+                if isinstance(change, LeaseAcquired)
+                else 0.0
             )
             row = {
                 "at": time.clock_gettime(time.CLOCK_BOOTTIME),
@@ -361,7 +368,7 @@
     def _save_promises(self, promise_store: PromiseStore, voter: LeaseVoter) -> None:
         """Save promises to disk in a thread; the voter grants the leases only after that."""
         promises = voter.promises()
-        roles, voter.unsaved = list(voter.unsaved), {}
+        roles, voter.unsaved_promises = list(voter.unsaved_promises), {}
         self._is_saving = True
 
         def done(error: OSError | None) -> None:
@@ -437,7 +444,7 @@
                     "ours": is_leader,
                     "epoch": term.epoch if is_leader else term.highest_epoch,
                     "holder": self._config.member if is_leader else term.holder,
-                    "left": round(term.remaining(now), 3),
+                    "left": round(term.remaining_seconds(now), 3),
                 }
             )
         unhealthy, failed_connections = (
@@ -465,7 +472,9 @@
         candidate = self.candidates[role]
         if epoch is None:
             return 409, json.dumps({"duty": role, "holder": candidate.term.holder})
-        return 200, json.dumps({"duty": role, "epoch": epoch, "left": round(candidate.term.remaining(clock.now()), 3)})
+        return 200, json.dumps(
+            {"duty": role, "epoch": epoch, "left": round(candidate.term.remaining_seconds(clock.now()), 3)}
+        )
 
 
 def _version() -> str:
--- a/tests/daemon/leases/test_candidate.py
+++ b/tests/daemon/leases/test_candidate.py
@@ -1,4 +1,4 @@
-"""When a candidate requests the lease of a role, and when it tries again."""
+"""When a candidate requests the lease of a role, and when it retries."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         candidate.fencing_token(holder_lease_seconds(LEASE) - 0.1) == 1
         and candidate.fencing_token(holder_lease_seconds(LEASE)) is None
     )
-    # An action that would outlast the lease.
+    # The action would outlast the lease.
     assert candidate.fencing_token(1.0, holder_lease_seconds(LEASE) - 1.0) is None
     again = win_round(candidate, candidate.due())
     assert (
@@ -57,7 +57,7 @@
     )
 
 
-def test_a_process_that_was_suspended_has_lost_its_lease_before_any_message_or_timer() -> None:
+def test_a_suspended_process_has_lost_its_lease_before_any_message_or_timer() -> None:
     candidate = new_candidate()
     win_round(candidate, 0.0)
     leadership_changes(candidate)
@@ -66,7 +66,7 @@
     assert leadership_changes(candidate) == [(1, False)]
 
 
-def test_promises_of_a_former_round_or_after_their_time_are_ignored() -> None:
+def test_promises_of_a_former_round_or_of_an_unknown_voter_are_ignored() -> None:
     candidate = new_candidate()
     candidate.tick(0.0)
     request = requests(candidate)[0]
@@ -94,7 +94,7 @@
     assert {message.epoch for message in requests(candidate)} == {5}
 
 
-def test_a_leader_renews_under_a_higher_epoch_when_its_own_was_passed() -> None:
+def test_a_leader_whose_epoch_was_superseded_renews_under_a_higher_one() -> None:
     candidate = new_candidate()
     win_round(candidate, 0.0)
     candidate.receive(1.0, "z", DenyLease("d", 7, 0, "", 0.0))
@@ -118,10 +118,10 @@
     rank = 50
     candidate = Candidate("d", VOTERS, LEASE, 0.0, Random(1), lambda _: rank)
     assert LEASE * MAX_RETRY_DELAY_LEASES <= candidate.due() <= LEASE * (MAX_RETRY_DELAY_LEASES + 1)
-    candidate.members_changed(1.0)
+    candidate.handle_membership_change(1.0)
     assert candidate.due() > LEASE
     rank = STANDBY_CANDIDATES - 1
-    candidate.members_changed(1.0)
+    candidate.handle_membership_change(1.0)
     assert candidate.due() <= 1.0 + STANDBY_STAGGER_SECONDS * STANDBY_CANDIDATES
 
 
