--- a/lugspur/joining/__init__.py
+++ b/lugspur/joining/__init__.py
@@ -1,1 +1,1 @@
-"""Joining like reads: which reads are one, who waits for whose call, and who may have its answer. No I/O."""
+"""Request coalescing: which reads are equal, which wait for a shared call, and which may get its response. No I/O."""
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -1,9 +1,9 @@
-"""Who waits for whose call: a machine without I/O. Reads, ends of calls and the time go in, actions come out.
+"""The state machine of request coalescing, without I/O: reads, ends of calls and the time go in, actions come out.
 
-A call that several may wait for is a flight. It is made for the read that began it and outlives that one; each
-of its members keeps its own deadline. A read joins only a flight that began a moment ago, and after every write of
-its tenant that has been answered, so that no answer is older than its caller can know. What was weighed:
-docs/joining.md.
+A call that several reads may wait for is a flight, and the reads that wait for it are its members. The call is made
+with the request of one member, the leader, and goes on when the leader leaves; each member keeps its own deadline. A
+read joins a flight only if that started recently, and after the response to every write of the read's tenant, so that
+no response is older than its caller can know. Alternatives are discussed in docs/joining.md.
 """
 
 from __future__ import annotations
@@ -13,18 +13,22 @@
 from collections.abc import Hashable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lugspur.joining.sharing import EVERYONE, NOBODY, Depends
+from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames
 from lugspur.routing.model import MAX_COALESCING_AGE_SECONDS
 
-APART_FOR = 10.0  # seconds in which reads are told apart, or kept apart, as the last answer to their like asked
-DUE_SPARE = 64  # deadlines of members that have gone, kept beyond those of as many as wait
-WRITERS_MOST = 1024  # tenants whose writes are kept, unless more have written in the last so many seconds
-APART_MOST = 1024  # keys for which that is known; the oldest are forgotten, and found out again by one more flight
+#: The time for which reads of a key are separated by the names by which the latest response to such a read varied.
+VARY_LIFETIME_SECONDS = 10.0
+#: Deadlines that the heap may hold beyond twice the number of members before those of former members are removed.
+SPARE_DEADLINES = 64
+#: Tenants whose latest write is kept, unless more of them have written within MAX_COALESCING_AGE_SECONDS.
+MAX_WRITERS = 1024
+#: Keys whose names of variation are kept. The oldest are forgotten, and learned again from one more flight.
+MAX_VARY_KEYS = 1024
 
 
 @dataclass(slots=True)
 class Start:
-    """Make a call by this member's request, to be waited for until the deadline."""
+    """Start the call of a flight with this member's request and this deadline."""
 
     flight: int
     member: int
@@ -33,7 +37,7 @@
 
 @dataclass(slots=True)
 class Extend:
-    """A flight is waited for longer now."""
+    """Extend the deadline of a flight's call."""
 
     flight: int
     deadline: float
@@ -41,35 +45,35 @@
 
 @dataclass(slots=True)
 class Drop:
-    """Nobody waits for a flight any more."""
+    """Cancel the call of a flight that has no members left."""
 
     flight: int
 
 
 @dataclass(slots=True)
 class Give:
-    """A member's final answer is that of its flight."""
+    """Send a member the response of its flight."""
 
     member: int
 
 
 @dataclass(slots=True)
 class Alone:
-    """A member goes its own way: its own call, and nothing more is heard of it here."""
+    """Make a separate call for a former member, which is no longer tracked here."""
 
     member: int
 
 
 @dataclass(slots=True)
 class Turn:
-    """A member is turned away: nothing ran for it alone, and there is no place to wait."""
+    """Reject a member: no call was made for it alone, and too many reads wait already."""
 
     member: int
 
 
 @dataclass(slots=True)
 class Expire:
-    """A member's time is up."""
+    """Send a member a timeout: its deadline has passed."""
 
     member: int
 
@@ -79,51 +83,52 @@
 
 @dataclass(slots=True)
 class Member:
-    """One read that waits."""
+    """One read that waits for the response of a flight."""
 
     number: int
     tenant: str
     deadline: float
-    told: Mapping[bytes, bytes]
+    selecting_values: Mapping[bytes, bytes]  # by the names by which a response may vary (RFC 9111 4.1)
     flight: Flight
-    joined: bool  # it waits for a call that was made without it
+    has_joined: bool  # whether the flight was started for other reads
 
     def variant(self, names: Iterable[bytes]) -> tuple[bytes | None, ...]:
-        """What it says where an answer depends on it."""
-        return tuple(self.told.get(name) for name in names)
+        """Return the values by which this read's response is selected if responses vary by these names."""
+        return tuple(self.selecting_values.get(name) for name in names)
 
 
 @dataclass(slots=True)
 class Flight:
-    """One call and who waits for it."""
+    """One call and the reads that wait for it."""
 
     number: int
-    key: Hashable  # what its members have in common, variants included
-    base: Hashable  # the same without variants
-    began: float
-    tenant: str  # in whose name the call is made...
-    told: Mapping[bytes, bytes]  # ...and what the read said that it was made for
-    leader: int  # that read, which may have left
+    key: Hashable  # what its members have in common, including the variant
+    base_key: Hashable  # what its members have in common, without the variant
+    began: float  # in seconds of the caller's clock
+    tenant: str  # of the leader, under which the call is made
+    selecting_values: Mapping[bytes, bytes]  # of the leader
+    leader: int  # the member whose request the call is made with; it may have left
     deadline: float = 0.0
     members: dict[int, Member] = field(default_factory=dict)
-    refused: frozenset[str] = frozenset()  # tenants in whose name it was refused before
+    rejected_tenants: frozenset[str] = frozenset()  # under which the call was rejected before
 
 
 class Desk:
-    """All flights of a daemon. `most`: reads that may wait for others' calls at once."""
+    """All flights of a daemon. At most `most` reads may wait at once for calls that were started for others."""
 
     def __init__(self, most: int) -> None:
         self.most = most
         self.flights: dict[int, Flight] = {}
         self.members: dict[int, Member] = {}
-        self.waiting: dict[str, dict[int, None]] = {}  # members that joined, by tenant, oldest first
-        self.joined = 0  # how many they are
-        self._open: dict[Hashable, Flight] = {}  # the youngest of each key
-        self._apart: OrderedDict[Hashable, tuple[float, Depends]] = OrderedDict()
-        self._wrote: dict[str, float] = {}  # when a write of the tenant was last answered
-        self._wrote_any = float("-inf")
-        self._due: list[tuple[float, int]] = []  # a heap of deadlines; may name members that have gone
-        self._count = 0
+        self.waiting: dict[str, dict[int, None]] = {}  # members that joined a flight, by tenant, the oldest first
+        self.joined = 0  # the number of members in `waiting`
+        self._open: dict[Hashable, Flight] = {}  # the latest flight of each key
+        # By key without the variant: when the names by which its responses vary were learned, and the names.
+        self._vary_names: OrderedDict[Hashable, tuple[float, VaryNames]] = OrderedDict()
+        self._last_writes: dict[str, float] = {}  # when the latest write of each tenant was answered
+        self._last_write = float("-inf")  # of any tenant
+        self._deadlines: list[tuple[float, int]] = []  # a heap of deadlines and members, some of which may have left
+        self._flight_count = 0
 
     # ---- reads ---------------------------------------------------------------------------------
 
@@ -132,118 +137,145 @@
         now: float,
         number: int,
         key: Hashable,
-        within: float,
+        max_age: float,
         tenant: str,
         deadline: float,
-        told: Mapping[bytes, bytes],
+        selecting_values: Mapping[bytes, bytes],
     ) -> list[Action]:
-        """A read has come; `within` is how old a flight may be, in seconds, for it to join."""
-        names = self._kept_apart(now, key)
+        """Add a read, which may join a flight that started at most `max_age` seconds ago."""
+        names = self._known_vary_names(now, key)
         if names is None:
             return [Alone(number)]
-        whole = (key, *((name, told.get(name)) for name in sorted(names)))
-        flight = self._open.get(whole)
-        if flight is None or not self._young(now, flight, within, tenant):
-            return [self._start(now, whole, key, [Member(number, tenant, deadline, told, _NONE, False)])]
+        full_key = (key, *((name, selecting_values.get(name)) for name in sorted(names)))
+        flight = self._open.get(full_key)
+        if flight is None or not self._may_join(now, flight, max_age, tenant):
+            return [
+                self._start(now, full_key, key, [Member(number, tenant, deadline, selecting_values, _NO_FLIGHT, False)])
+            ]
         out: list[Action] = []
         if self.joined >= self.most and not self._make_room(tenant, out):
             return [Turn(number)]
         if flight.number not in self.flights:
-            # Guards the newcomer: who made room was the last of that flight, whose call has been dropped.
-            return [*out, self._start(now, whole, key, [Member(number, tenant, deadline, told, _NONE, False)])]
-        member = Member(number, tenant, deadline, told, flight, True)
+            # Guards the new read: the member that made room was the last of this flight, whose call was cancelled.
+            return [
+                *out,
+                self._start(
+                    now, full_key, key, [Member(number, tenant, deadline, selecting_values, _NO_FLIGHT, False)]
+                ),
+            ]
+        member = Member(number, tenant, deadline, selecting_values, flight, True)
         self.waiting.setdefault(tenant, {})[number] = None
         self.joined += 1
-        self._enter(flight, member)
+        self._add_member(flight, member)
         if deadline > flight.deadline:
-            self._extend(flight, deadline)
+            self._extend_deadline(flight, deadline)
             out.append(Extend(flight.number, deadline))
         return out
 
-    def _kept_apart(self, now: float, key: Hashable) -> Depends:
-        found = self._apart.get(key)
-        if found is None:
+    def _known_vary_names(self, now: float, key: Hashable) -> VaryNames:
+        """Return the names by which responses to reads of this key vary, as far as is known."""
+        known = self._vary_names.get(key)
+        if known is None:
             return EVERYONE
-        if now - found[0] >= APART_FOR:
-            del self._apart[key]
+        if now - known[0] >= VARY_LIFETIME_SECONDS:
+            del self._vary_names[key]
             return EVERYONE
-        return found[1]
+        return known[1]
 
-    def _young(self, now: float, flight: Flight, within: float, tenant: str) -> bool:
-        """Whether a read that comes now may have what that flight brings.
+    def _may_join(self, now: float, flight: Flight, max_age: float, tenant: str) -> bool:
+        """Return whether a read that arrives now may get the response of a flight.
 
-        Guards callers that have written against an answer from before: the flight must have begun after the
-        answer to their write. Who has no name ("") may be any tenant, and any tenant may have written without one.
+        Guards callers that have written against a response from before: the flight must have started after the
+        response to their write. A caller without a name ("") may be any tenant, and any tenant may have written
+        without a name.
         """
-        wrote = max(self._wrote.get(tenant, float("-inf")), self._wrote.get("", float("-inf")))
-        return now - flight.began <= within and flight.began > (wrote if tenant else self._wrote_any)
+        last_write = max(self._last_writes.get(tenant, float("-inf")), self._last_writes.get("", float("-inf")))
+        return now - flight.began <= max_age and flight.began > (last_write if tenant else self._last_write)
 
     def _make_room(self, tenant: str, out: list[Action]) -> bool:
-        """Guards the other tenants against one that fills all places: its newest read makes room for theirs."""
+        """Reject the newest read of the tenant with the most waiting reads, to make room for a read of `tenant`.
+
+        Returns False, and rejects none, if the other tenant would then have fewer waiting reads than `tenant`. Guards
+        tenants against one that takes all places.
+        """
         if not self.waiting:
             return False
-        widest = max(self.waiting, key=lambda name: len(self.waiting[name]))
-        if len(self.waiting[widest]) <= len(self.waiting.get(tenant, ())) + 1:
+        largest = max(self.waiting, key=lambda name: len(self.waiting[name]))
+        if len(self.waiting[largest]) <= len(self.waiting.get(tenant, ())) + 1:
             return False
-        number = next(reversed(self.waiting[widest]))
+        number = next(reversed(self.waiting[largest]))
         out.append(Turn(number))
         out += self._leave(number)
         return True
 
     def _start(
-        self, now: float, key: Hashable, base: Hashable, members: list[Member], refused: frozenset[str] = frozenset()
+        self,
+        now: float,
+        key: Hashable,
+        base_key: Hashable,
+        members: list[Member],
+        rejected_tenants: frozenset[str] = frozenset(),
     ) -> Start:
-        """A new flight for them, by the request of the one that waits longest."""
+        """Start a flight for these reads, with the request of the one whose deadline is the latest."""
         leader = max(members, key=lambda member: member.deadline)
-        self._count += 1
+        self._flight_count += 1
         flight = Flight(
-            self._count, key, base, now, leader.tenant, leader.told, leader.number, leader.deadline, refused=refused
+            self._flight_count,
+            key,
+            base_key,
+            now,
+            leader.tenant,
+            leader.selecting_values,
+            leader.number,
+            leader.deadline,
+            rejected_tenants=rejected_tenants,
         )
         self.flights[flight.number] = self._open[key] = flight
         for member in members:
-            self._enter(flight, member)
+            self._add_member(flight, member)
         return Start(flight.number, leader.number, leader.deadline)
 
-    def _enter(self, flight: Flight, member: Member) -> None:
+    def _add_member(self, flight: Flight, member: Member) -> None:
         member.flight = flight
         flight.members[member.number] = self.members[member.number] = member
-        if member.deadline < flight.deadline:  # at the flight's own deadline the call itself ends
-            self._time(member)
+        if member.deadline < flight.deadline:  # The call itself ends at the deadline of the flight.
+            self._schedule_expiry(member)
 
-    def _time(self, member: Member) -> None:
-        if len(self._due) >= DUE_SPARE + 2 * len(self.members):  # Guards memory: most that it names have gone.
-            self._due = [(m.deadline, m.number) for m in self.members.values() if m.deadline < m.flight.deadline]
-            heapq.heapify(self._due)
-        heapq.heappush(self._due, (member.deadline, member.number))
+    def _schedule_expiry(self, member: Member) -> None:
+        if len(self._deadlines) >= SPARE_DEADLINES + 2 * len(self.members):
+            # Guards memory: most deadlines in the heap are of members that have left.
+            self._deadlines = [(m.deadline, m.number) for m in self.members.values() if m.deadline < m.flight.deadline]
+            heapq.heapify(self._deadlines)
+        heapq.heappush(self._deadlines, (member.deadline, member.number))
 
-    def _extend(self, flight: Flight, deadline: float) -> None:
+    def _extend_deadline(self, flight: Flight, deadline: float) -> None:
         for member in flight.members.values():
             if member.deadline == flight.deadline:
-                self._time(member)
+                self._schedule_expiry(member)
         flight.deadline = deadline
 
-    # ---- what becomes of them --------------------------------------------------------------------
+    # ---- members that leave, writes and deadlines ------------------------------------------------
 
     def gone(self, number: int) -> list[Action]:
-        """A member's caller has left."""
+        """Remove a member whose caller has disconnected."""
         return self._leave(number) if number in self.members else []
 
     def _leave(self, number: int) -> list[Action]:
-        """It waits no more; a flight that nobody waits for is dropped."""
-        flight = self._forget(number).flight
+        """Remove a member; the call of a flight without members is cancelled."""
+        flight = self._remove_member(number).flight
         if flight.members:
             return []
         self._close(flight)
         return [Drop(flight.number)]
 
-    def _forget(self, number: int) -> Member:
+    def _remove_member(self, number: int) -> Member:
         member = self.members.pop(number)
         member.flight.members.pop(number, None)
-        if member.joined:
+        if member.has_joined:
             self.joined -= 1
-            own = self.waiting[member.tenant]
-            del own[number]
-            if not own:  # Guards memory against tenants without number.
+            waiting_of_tenant = self.waiting[member.tenant]
+            del waiting_of_tenant[number]
+            if not waiting_of_tenant:  # Guards memory against an unbounded number of tenants.
                 del self.waiting[member.tenant]
         return member
 
@@ -253,96 +285,100 @@
             del self._open[flight.key]
 
     def wrote(self, now: float, tenant: str) -> None:
-        """A request that may have changed something has been answered, or its caller has given it up."""
-        self._wrote[tenant] = self._wrote_any = now
-        if len(self._wrote) > WRITERS_MOST:  # Guards memory against files that name ever new tenants.
-            self._wrote = {name: at for name, at in self._wrote.items() if now - at <= MAX_COALESCING_AGE_SECONDS}
+        """Record that a request that may have changed something was answered, or that its caller gave it up."""
+        self._last_writes[tenant] = self._last_write = now
+        if len(self._last_writes) > MAX_WRITERS:  # Guards memory against routes that name ever new tenants.
+            self._last_writes = {
+                name: at for name, at in self._last_writes.items() if now - at <= MAX_COALESCING_AGE_SECONDS
+            }
 
     def next_due(self) -> float | None:
-        """When `due` is to be called next; None: not until something else happens."""
-        while self._due:
-            deadline, number = self._due[0]
+        """Return when `due` is to be called next, or None if no member has a deadline before its flight's."""
+        while self._deadlines:
+            deadline, number = self._deadlines[0]
             member = self.members.get(number)
             if member is not None and member.deadline < member.flight.deadline:
                 return deadline
-            heapq.heappop(self._due)
+            heapq.heappop(self._deadlines)
         return None
 
     def due(self, now: float) -> list[Action]:
-        """Members whose time is up, while their flight goes on for others."""
+        """Remove the members whose deadline has passed while their flight goes on for others."""
         out: list[Action] = []
         while (deadline := self.next_due()) is not None and deadline <= now:
-            number = heapq.heappop(self._due)[1]
+            number = heapq.heappop(self._deadlines)[1]
             out.append(Expire(number))
             out += self._leave(number)
         return out
 
     # ---- ends of calls ---------------------------------------------------------------------------
 
-    def ended(self, now: float, number: int, among: Depends, most: int) -> list[Action]:
-        """A call has ended with an answer: it depends on that, and so many may have it at once.
+    def ended(self, now: float, number: int, vary_names: VaryNames, max_recipients: int) -> list[Action]:
+        """End a flight whose call got a response that varies by these names and may be sent to so many members.
 
-        Those who may not have it are flown again, each variant of them together; those who would be too many
-        for the memory that copies of the answer take go alone.
+        Members that may not have the response get new flights, one for each variant. Members beyond
+        `max_recipients` would need too much memory for copies of the response, and get calls of their own.
         """
         flight = self.flights.get(number)
         if flight is None:
             return []
         self._close(flight)
         members = sorted(flight.members.values(), key=lambda member: member.deadline)
-        if among != EVERYONE:
-            among = self._keep_apart(now, flight.base, among)
-        if among is None:
-            return [self._settle(m, Give if m.number == flight.leader else Alone) for m in members]
-        names = sorted(among)
-        own = tuple(flight.told.get(name) for name in names)
+        if vary_names != EVERYONE:
+            vary_names = self._learn_vary_names(now, flight.base_key, vary_names)
+        if vary_names is None:
+            return [self._finish_member(m, Give if m.number == flight.leader else Alone) for m in members]
+        names = sorted(vary_names)
+        response_variant = tuple(flight.selecting_values.get(name) for name in names)
         out: list[Action] = []
         others: dict[tuple[bytes | None, ...], list[Member]] = {}
         for member in members:
             variant = member.variant(names)
-            if variant != own:
+            if variant != response_variant:
                 others.setdefault(variant, []).append(member)
             else:
-                out.append(self._settle(member, Give if len(out) < most else Alone))
+                out.append(self._finish_member(member, Give if len(out) < max_recipients else Alone))
         for variant, group in others.items():
-            key = (flight.base, *zip(names, variant, strict=True))
-            out.append(self._start(now, key, flight.base, group))
+            key = (flight.base_key, *zip(names, variant, strict=True))
+            out.append(self._start(now, key, flight.base_key, group))
         return out
 
-    def _settle(self, member: Member, how: type[Give] | type[Alone]) -> Action:
-        self._forget(member.number)
-        return how(member.number)
-
-    def _keep_apart(self, now: float, base: Hashable, among: Depends) -> Depends:
-        """Know it for a while, with what was known before."""
-        known = self._kept_apart(now, base)
-        both = None if among is None or known is None else known | among
-        self._apart.pop(base, None)
-        self._apart[base] = now, both
-        if len(self._apart) > APART_MOST:
-            self._apart.popitem(last=False)
+    def _finish_member(self, member: Member, action: type[Give] | type[Alone]) -> Action:
+        self._remove_member(member.number)
+        return action(member.number)
+
+    def _learn_vary_names(self, now: float, base_key: Hashable, vary_names: VaryNames) -> VaryNames:
+        """Keep the names by which a response varied, together with those known before, and return all of them."""
+        known = self._known_vary_names(now, base_key)
+        both = None if vary_names is None or known is None else known | vary_names
+        self._vary_names.pop(base_key, None)
+        self._vary_names[base_key] = now, both
+        if len(self._vary_names) > MAX_VARY_KEYS:
+            self._vary_names.popitem(last=False)
         return both
 
     def refused(self, now: float, number: int) -> list[Action]:
-        """A call was refused before any attempt: that is the word for its tenant's members, and not for others'.
+        """End a flight whose call was rejected before any attempt; the rejection is sent to its tenant's members only.
 
-        Guards tenants against one that is beyond its share: its refusals are its own. Each tenant is tried once.
+        Guards tenants against one that is over its share, whose rejections must not reach the others. The call is
+        made once under each tenant.
         """
         flight = self.flights.get(number)
         if flight is None:
             return []
         self._close(flight)
-        over = flight.refused | {flight.tenant}
+        rejected_tenants = flight.rejected_tenants | {flight.tenant}
         members = list(flight.members.values())
-        out: list[Action] = [self._settle(m, Give) for m in members if m.tenant in over]
-        rest = [member for member in members if member.tenant not in over]
+        out: list[Action] = [self._finish_member(m, Give) for m in members if m.tenant in rejected_tenants]
+        rest = [member for member in members if member.tenant not in rejected_tenants]
         if rest:
-            out.append(self._start(now, flight.key, flight.base, rest, over))
+            out.append(self._start(now, flight.key, flight.base_key, rest, rejected_tenants))
         return out
 
     def parted(self, now: float, number: int) -> list[Action]:
-        """Its answer comes as a stream and belongs to the leader: the others go alone, and so does their like."""
+        """End a flight whose response is a stream: it belongs to the leader, and equal reads get separate calls."""
         return self.ended(now, number, NOBODY, 1)
 
 
-_NONE = Flight(0, None, None, 0.0, "", {}, 0)  # that of a member until it enters one
+#: The flight of a member that has not been added to one yet.
+_NO_FLIGHT = Flight(0, None, None, 0.0, "", {}, 0)
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -1,4 +1,4 @@
-"""Which reads are the same, and what tells them apart all the same. Sans I/O."""
+"""The key that equal reads have in common, and the values by which their responses may still vary. No I/O."""
 
 from __future__ import annotations
 
@@ -10,12 +10,14 @@
 if TYPE_CHECKING:
     from lugspur.seams import Request
 
-TENANT = b":tenant"  # stands beside header names, which never begin so
-BODY_MOST = 16 << 10  # bytes of a body that a read may be known by: it is compared with those of others
+#: Stands for the tenant among header names, which never begin with a colon.
+TENANT = b":tenant"
+#: The largest request body that a key may contain: keys are compared with each other, body included.
+MAX_KEY_BODY_BYTES = 16 << 10
 
-#: Headers that say nothing of what is asked: they name one try, hop or trace, where it came from, or give a hint. An
-#: answer that depends on one of them is its caller's alone.
-OF_ONE_TRY = frozenset(
+#: Headers that do not affect what is requested: they identify one attempt, hop or trace, tell where it came from, or
+#: give a hint. A response that varies by one of them belongs to its caller alone.
+PER_ATTEMPT_HEADERS = frozenset(
     {
         b"x-request-id",
         b"x-timeout",
@@ -36,32 +38,39 @@
         b"transfer-encoding",
     }
 )
-#: Words of a request's Cache-Control by which its caller asks for a call of its own (RFC 9111 5.2.1).
-OF_ITS_OWN = frozenset({b"no-cache", b"no-store", b"max-age=0"})
+#: Directives of a request's Cache-Control by which its caller demands a call of its own (RFC 9111 5.2.1).
+UNSHARED_CALL_DIRECTIVES = frozenset({b"no-cache", b"no-store", b"max-age=0"})
 
 
-def directives(value: bytes) -> set[bytes]:
-    """The words of a Cache-Control line in lower case, those with an argument both with it and without."""
-    words = {word.strip().lower() for word in value.split(b",")}
-    return words | {word.partition(b"=")[0] for word in words}
+def parse_directives(value: bytes) -> set[bytes]:
+    """Return the directives of a Cache-Control line in lower case, those with an argument both with it and without."""
+    directives = {directive.strip().lower() for directive in value.split(b",")}
+    return directives | {directive.partition(b"=")[0] for directive in directives}
 
 
-def key_of(request: Request, sent: Request, route: Hashable, tenant: str, join: CoalescingPolicy) -> Hashable | None:
-    """What all reads have in common that may share one call; None: this one wants its own.
+def key_of(request: Request, sent: Request, route: Hashable, tenant: str, policy: CoalescingPolicy) -> Hashable | None:
+    """Return the key of all reads that may share one call with this one, or None if it needs a call of its own.
 
-    `request` is as it came and `sent` as it goes on; `route` stands for everything that the file says of it. All
-    headers count but those of one try, those that the route ignores, and those that it takes out.
+    `request` is the request as received and `sent` as it will be forwarded; `route` stands for everything that the
+    configuration says of the route. All headers count except those of a single attempt and those that the route
+    ignores or removes.
     """
     headers = request.headers
-    cached = directives(headers.get(b"cache-control", b""))
-    if len(sent.body) > BODY_MOST or cached & OF_ITS_OWN or headers.get(b"pragma", b"").lower() == b"no-cache":
+    directives = parse_directives(headers.get(b"cache-control", b""))
+    if (
+        len(sent.body) > MAX_KEY_BODY_BYTES
+        or directives & UNSHARED_CALL_DIRECTIVES
+        or headers.get(b"pragma", b"").lower() == b"no-cache"
+    ):
         return None
     fields = frozenset(
-        field for field in headers.items() if field[0] not in OF_ONE_TRY and field[0] not in join.ignored_headers
+        field
+        for field in headers.items()
+        if field[0] not in PER_ATTEMPT_HEADERS and field[0] not in policy.ignored_headers
     )
     return (
         route,
-        "" if join.across_tenants else tenant,
+        "" if policy.across_tenants else tenant,
         sent.method,
         sent.target,
         fields,
@@ -70,8 +79,8 @@
     )
 
 
-def told_of(request: Request, tenant: str, join: CoalescingPolicy) -> Mapping[bytes, bytes]:
-    """What a read says where the route does not ask: by it those are told apart whose answers turn out to differ."""
-    told = {name: request.headers[name] for name in join.ignored_headers if name in request.headers}
-    told[TENANT] = tenant.encode("utf-8", "surrogatepass")
-    return told
+def told_of(request: Request, tenant: str, policy: CoalescingPolicy) -> Mapping[bytes, bytes]:
+    """Return the tenant and the headers that the route ignores: reads are told apart by them if responses vary."""
+    values = {name: request.headers[name] for name in policy.ignored_headers if name in request.headers}
+    values[TENANT] = tenant.encode("utf-8", "surrogatepass")
+    return values
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -1,4 +1,4 @@
-"""Which reads are the same, and who may have their answer."""
+"""Which reads are equal, and which callers may get their response."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.joining.keys import BODY_MOST, OF_ONE_TRY, TENANT, key_of, told_of
-from lugspur.joining.sharing import EVERYONE, NOBODY, Depends, depends, worded_for
+from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, key_of, told_of
+from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
-JOIN = CoalescingPolicy(0.1, frozenset({b"user-agent", b"x-agency"}), True)
+POLICY = CoalescingPolicy(0.1, frozenset({b"user-agent", b"x-agency"}), True)
 
 
 def request(headers: dict[bytes, bytes] | None = None, body: bytes = b"", target: bytes = b"/h/1") -> Request:
     return Request(b"GET", target, {b"host": b"h.example"} | (headers or {}), [], body, 0.0, True)
 
 
-def key(one: Request, tenant: str = "a", join: CoalescingPolicy = JOIN, route: Hashable = "r") -> Hashable | None:
-    return key_of(one, one, route, tenant, join)
+def key(read: Request, tenant: str = "a", policy: CoalescingPolicy = POLICY, route: Hashable = "r") -> Hashable | None:
+    return key_of(read, read, route, tenant, policy)
 
 
-@pytest.mark.parametrize("name", sorted(OF_ONE_TRY | JOIN.ignored_headers))
-def test_what_names_a_try_or_is_ignored_makes_no_other_read(name: bytes) -> None:
+@pytest.mark.parametrize("name", sorted(PER_ATTEMPT_HEADERS | POLICY.ignored_headers))
+def test_per_attempt_and_ignored_headers_are_not_part_of_the_key(name: bytes) -> None:
     assert key(request({name: b"1"})) == key(request({name: b"2"})) == key(request())
 
 
@@ -42,31 +42,31 @@
         request(target=b"/h/1?x"),
     ],
 )
-def test_whatever_else_differs_makes_another_read(other: Request) -> None:
+def test_any_other_difference_changes_the_key(other: Request) -> None:
     assert key(other) != key(request())
 
 
-def test_routes_and_methods_make_other_reads() -> None:
+def test_routes_and_methods_are_part_of_the_key() -> None:
     head = request()
     head.method = b"HEAD"
     assert key(head) != key(request()) != key(request(), route="s")
 
 
-def test_calls_of_grpc_and_of_http_are_never_the_same() -> None:
+def test_grpc_and_http_requests_never_share_a_key() -> None:
     form = request()
     form.form = object()  # type: ignore[assignment]
     assert key(form) != key(request())
 
 
-def test_tenants_share_only_where_the_file_says_so() -> None:
-    within = CoalescingPolicy(0.1, frozenset())
+def test_tenants_share_a_key_only_where_the_policy_allows_it() -> None:
+    per_tenant = CoalescingPolicy(0.1, frozenset())
     assert key(request(), "a") == key(request(), "b")
-    assert key(request(), "a", within) != key(request(), "b", within)
+    assert key(request(), "a", per_tenant) != key(request(), "b", per_tenant)
 
 
-def test_the_target_is_that_which_goes_on() -> None:
-    came, sent = request(target=b"/old/1"), request(target=b"/new/1")
-    assert key_of(came, sent, "r", "a", JOIN) == key(sent)
+def test_the_key_has_the_target_that_is_forwarded() -> None:
+    received, sent = request(target=b"/old/1"), request(target=b"/new/1")
+    assert key_of(received, sent, "r", "a", POLICY) == key(sent)
 
 
 @pytest.mark.parametrize(
@@ -78,24 +78,27 @@
         {b"pragma": b"no-cache"},
     ],
 )
-def test_who_asks_for_a_call_of_its_own_gets_one(headers: dict[bytes, bytes]) -> None:
+def test_request_cache_directives_demand_a_separate_call(headers: dict[bytes, bytes]) -> None:
     assert key(request(headers)) is None
     assert key(request({b"cache-control": b"max-age=5"})) is not None
 
 
-def test_a_large_body_is_not_compared() -> None:
-    assert key(request(body=b"x" * BODY_MOST)) is not None and key(request(body=b"x" * (BODY_MOST + 1))) is None
+def test_a_read_with_a_large_body_has_no_key() -> None:
+    assert (
+        key(request(body=b"x" * MAX_KEY_BODY_BYTES)) is not None
+        and key(request(body=b"x" * (MAX_KEY_BODY_BYTES + 1))) is None
+    )
 
 
-def test_what_was_ignored_is_told_apart_by_name() -> None:
-    assert told_of(request({b"user-agent": b"x", b"accept": b"y"}), "t", JOIN) == {b"user-agent": b"x", TENANT: b"t"}
+def test_selecting_values_are_the_tenant_and_the_ignored_headers() -> None:
+    assert told_of(request({b"user-agent": b"x", b"accept": b"y"}), "t", POLICY) == {b"user-agent": b"x", TENANT: b"t"}
 
 
 VARY = frozenset({b"user-agent"})
 
 
 @pytest.mark.parametrize(
-    ("status", "head", "trailers", "among"),
+    ("status", "head", "trailers", "vary_names"),
     [
         (200, b"", b"", EVERYONE),
         (404, b"Content-Type: a\r\n", b"", EVERYONE),
@@ -117,17 +120,19 @@
         (200, b"", b"cache-control: private\r\n", NOBODY),
     ],
 )
-def test_an_answer_says_who_may_have_it(status: int, head: bytes, trailers: bytes, among: Depends) -> None:
-    assert depends(status, head, JOIN, trailers) == among
+def test_a_response_varies_by_the_names_that_its_status_and_headers_tell(
+    status: int, head: bytes, trailers: bytes, vary_names: VaryNames
+) -> None:
+    assert depends(status, head, POLICY, trailers) == vary_names
 
 
 @given(st.binary(max_size=200), st.integers(200, 599))
-def test_no_header_lines_break_it(head: bytes, status: int) -> None:
-    found = depends(status, head, JOIN)
-    assert found is None or found <= JOIN.ignored_headers | {TENANT}
+def test_any_header_lines_are_accepted(head: bytes, status: int) -> None:
+    vary_names = depends(status, head, POLICY)
+    assert vary_names is None or vary_names <= POLICY.ignored_headers | {TENANT}
 
 
-def test_a_request_id_in_an_answer_is_each_callers_own() -> None:
+def test_each_caller_gets_its_own_request_id_in_the_response() -> None:
     head = b"A: b\r\nx-request-id: leader\r\nC: d\r\n"
     assert worded_for(head, b"mine") == b"A: b\r\nX-Request-ID: mine\r\nC: d\r\n"
     assert worded_for(head, None) == b"A: b\r\nC: d\r\n"
