--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -11,7 +11,7 @@
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
-from lugspur.joining.keys import key_of, told_of
+from lugspur.joining.keys import coalescing_key, told_of
 from lugspur.joining.sharing import depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
@@ -167,7 +167,7 @@
         form = context.request.form
         bound = form is not None and form.bound
         tenant = _tenant_key(context.tenant)
-        key = None if bound else key_of(came, context.request, route, tenant, join)
+        key = None if bound else coalescing_key(came, context.request, route, tenant, join)
         self._request_count += 1
         if key is None:
             self._submit(context, caller)
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -48,7 +48,9 @@
     return directives | {directive.partition(b"=")[0] for directive in directives}
 
 
-def key_of(request: Request, sent: Request, route: Hashable, tenant: str, policy: CoalescingPolicy) -> Hashable | None:
+def coalescing_key(
+    request: Request, sent: Request, route: Hashable, tenant: str, policy: CoalescingPolicy
+) -> Hashable | None:
     """Return the key of all reads that may share one call with this one, or None if it needs a call of its own.
 
     `request` is the request as received and `sent` as it will be forwarded; `route` stands for everything that the
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, key_of, told_of
+from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, told_of
 from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
@@ -21,7 +21,7 @@
 
 
 def key(read: Request, tenant: str = "a", policy: CoalescingPolicy = POLICY, route: Hashable = "r") -> Hashable | None:
-    return key_of(read, read, route, tenant, policy)
+    return coalescing_key(read, read, route, tenant, policy)
 
 
 @pytest.mark.parametrize("name", sorted(PER_ATTEMPT_HEADERS | POLICY.ignored_headers))
@@ -66,7 +66,7 @@
 
 def test_the_key_has_the_target_that_is_forwarded() -> None:
     received, sent = request(target=b"/old/1"), request(target=b"/new/1")
-    assert key_of(received, sent, "r", "a", POLICY) == key(sent)
+    assert coalescing_key(received, sent, "r", "a", POLICY) == key(sent)
 
 
 @pytest.mark.parametrize(
