--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -11,7 +11,7 @@
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
-from lugspur.joining.keys import coalescing_key, told_of
+from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
@@ -182,7 +182,7 @@
                 join.max_age_seconds,
                 tenant,
                 context.deadline,
-                told_of(came, tenant, join),
+                selecting_values(came, tenant, join),
             )
         )
 
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -81,7 +81,7 @@
     )
 
 
-def told_of(request: Request, tenant: str, policy: CoalescingPolicy) -> Mapping[bytes, bytes]:
+def selecting_values(request: Request, tenant: str, policy: CoalescingPolicy) -> Mapping[bytes, bytes]:
     """Return the tenant and the headers that the route ignores: reads are told apart by them if responses vary."""
     values = {name: request.headers[name] for name in policy.ignored_headers if name in request.headers}
     values[TENANT] = tenant.encode("utf-8", "surrogatepass")
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, told_of
+from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, selecting_values
 from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
@@ -91,7 +91,10 @@
 
 
 def test_selecting_values_are_the_tenant_and_the_ignored_headers() -> None:
-    assert told_of(request({b"user-agent": b"x", b"accept": b"y"}), "t", POLICY) == {b"user-agent": b"x", TENANT: b"t"}
+    assert selecting_values(request({b"user-agent": b"x", b"accept": b"y"}), "t", POLICY) == {
+        b"user-agent": b"x",
+        TENANT: b"t",
+    }
 
 
 VARY = frozenset({b"user-agent"})
