--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -12,7 +12,7 @@
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import coalescing_key, selecting_values
-from lugspur.joining.sharing import depends, worded_for
+from lugspur.joining.sharing import response_vary_names, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
 
@@ -109,9 +109,9 @@
         if context.ending is Ending.REJECTED:
             self._coalescer.reject_call(self.number, write)
             return
-        # A failure concerns all, unless the backend's answer depends on the caller.
+        # A failure concerns all, unless the backend's answer response_vary_names on the caller.
         said = head if context.ending is Ending.SERVED else b""
-        among = depends(context.backend_status, said, join, trailers)
+        among = response_vary_names(context.backend_status, said, join, trailers)
         self._coalescer.finish_call(self.number, among, size, write)
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -29,7 +29,7 @@
         yield name.strip().lower(), value.strip()
 
 
-def depends(status: int, head: bytes, policy: CoalescingPolicy, trailers: bytes = b"") -> VaryNames:
+def response_vary_names(status: int, head: bytes, policy: CoalescingPolicy, trailers: bytes = b"") -> VaryNames:
     """Return the names by which a response with these header lines varies among callers whose reads were equal."""
     names = {TENANT} if status in CALLER_STATUSES else set()
     for name, value in parse_header_lines(head + trailers):
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, selecting_values
-from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, depends, worded_for
+from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, response_vary_names, worded_for
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
@@ -126,12 +126,12 @@
 def test_a_response_varies_by_the_names_that_its_status_and_headers_tell(
     status: int, head: bytes, trailers: bytes, vary_names: VaryNames
 ) -> None:
-    assert depends(status, head, POLICY, trailers) == vary_names
+    assert response_vary_names(status, head, POLICY, trailers) == vary_names
 
 
 @given(st.binary(max_size=200), st.integers(200, 599))
 def test_any_header_lines_are_accepted(head: bytes, status: int) -> None:
-    vary_names = depends(status, head, POLICY)
+    vary_names = response_vary_names(status, head, POLICY)
     assert vary_names is None or vary_names <= POLICY.ignored_headers | {TENANT}
 
 
