--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -12,7 +12,7 @@
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import coalescing_key, selecting_values
-from lugspur.joining.sharing import response_vary_names, worded_for
+from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
 
@@ -86,7 +86,7 @@
         """Pass the final answer on to all waiting requests."""
 
         def write(waiting: WaitingRequest) -> None:
-            waiting.caller.answer(status, worded_for(head, waiting.request_id()), body, length)
+            waiting.caller.answer(status, with_request_id(head, waiting.request_id()), body, length)
 
         self._finish(status, head, b"", len(body), write)
 
@@ -95,7 +95,7 @@
 
         def write(waiting: WaitingRequest) -> None:
             waiting.caller.gone = None
-            _form_of(waiting).finish(worded_for(head, waiting.request_id()), body, trailers)
+            _form_of(waiting).finish(with_request_id(head, waiting.request_id()), body, trailers)
 
         self._finish(200, head, trailers, len(body), write)
 
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -47,7 +47,7 @@
     return frozenset(names)
 
 
-def worded_for(head: bytes, request_id: bytes | None) -> bytes:
+def with_request_id(head: bytes, request_id: bytes | None) -> bytes:
     """Return a response's header lines for one of its callers: a request id becomes the caller's, or is removed."""
     if b"x-request-id:" not in head.lower():
         return head
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, selecting_values
-from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, response_vary_names, worded_for
+from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
@@ -137,6 +137,6 @@
 
 def test_each_caller_gets_its_own_request_id_in_the_response() -> None:
     head = b"A: b\r\nx-request-id: leader\r\nC: d\r\n"
-    assert worded_for(head, b"mine") == b"A: b\r\nX-Request-ID: mine\r\nC: d\r\n"
-    assert worded_for(head, None) == b"A: b\r\nC: d\r\n"
-    assert worded_for(b"A: b\r\n", b"mine") == b"A: b\r\n"
+    assert with_request_id(head, b"mine") == b"A: b\r\nX-Request-ID: mine\r\nC: d\r\n"
+    assert with_request_id(head, None) == b"A: b\r\nC: d\r\n"
+    assert with_request_id(b"A: b\r\n", b"mine") == b"A: b\r\n"
