--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -17,7 +17,7 @@
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start
-from lugspur.joining.sharing import EVERYONE
+from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
 AIM, DEADLINE, SHORT = 0.41, 1.0, 0.06  # seconds; one read in ten has the short deadline
@@ -132,7 +132,9 @@
     def _landed(self, flight: int, how: str) -> None:
         self._calls.pop(flight, None)
         now = self._world.clock.now
-        actions = self.desk.refused(now, flight) if how == TURNED else self.desk.ended(now, flight, EVERYONE, 1 << 20)
+        actions = (
+            self.desk.refused(now, flight) if how == TURNED else self.desk.ended(now, flight, SHARED_BY_ALL, 1 << 20)
+        )
         self._perform(actions, how)
 
 
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -13,7 +13,7 @@
 from collections.abc import Hashable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames
+from lugspur.joining.sharing import NOBODY, SHARED_BY_ALL, VaryNames
 from lugspur.routing.model import MAX_COALESCING_AGE_SECONDS
 
 #: The time for which reads of a key are separated by the names by which the latest response to such a read varied.
@@ -176,10 +176,10 @@
         """Return the names by which responses to reads of this key vary, as far as is known."""
         known = self._vary_names.get(key)
         if known is None:
-            return EVERYONE
+            return SHARED_BY_ALL
         if now - known[0] >= VARY_LIFETIME_SECONDS:
             del self._vary_names[key]
-            return EVERYONE
+            return SHARED_BY_ALL
         return known[1]
 
     def _may_join(self, now: float, flight: Flight, max_age: float, tenant: str) -> bool:
@@ -324,7 +324,7 @@
             return []
         self._close(flight)
         members = sorted(flight.members.values(), key=lambda member: member.deadline)
-        if vary_names != EVERYONE:
+        if vary_names != SHARED_BY_ALL:
             vary_names = self._learn_vary_names(now, flight.base_key, vary_names)
         if vary_names is None:
             return [self._finish_member(m, Give if m.number == flight.leader else Alone) for m in members]
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -14,7 +14,7 @@
 #: The names by which a response varies among equal reads: header names or TENANT. None: it belongs to one caller.
 VaryNames = frozenset[bytes] | None
 
-EVERYONE: VaryNames = frozenset()
+SHARED_BY_ALL: VaryNames = frozenset()
 NOBODY: VaryNames = None
 #: Statuses that depend on the caller and not on what is requested.
 CALLER_STATUSES = frozenset({401, 402, 403, 407, 429})
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -26,7 +26,7 @@
     Turn,
 )
 from lugspur.joining.keys import TENANT
-from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames
+from lugspur.joining.sharing import NOBODY, SHARED_BY_ALL, VaryNames
 
 MAX_AGE = 0.1
 AGENT = b"user-agent"
@@ -59,7 +59,7 @@
     source = ReadSource()
     assert source.ask(0.0) == [Start(1, 1, 9.0)]
     assert [source.ask(0.01 * n) for n in range(1, 4)] == [[], [], []]
-    assert source.desk.ended(0.2, 1, EVERYONE, 100) == [Give(1), Give(2), Give(3), Give(4)]
+    assert source.desk.ended(0.2, 1, SHARED_BY_ALL, 100) == [Give(1), Give(2), Give(3), Give(4)]
     assert not source.desk.members and not source.desk.flights and not source.desk.joined
     assert source.ask(0.2) == [Start(2, 5, 9.0)]  # no response is stored
 
@@ -74,9 +74,9 @@
     source.ask(0.0)
     assert source.ask(MAX_AGE) == [] and source.ask(MAX_AGE + 0.01) == [Start(2, 3, 9.0)]
     assert source.ask(MAX_AGE + 0.02) == []  # joins the later call
-    assert source.desk.ended(0.3, 1, EVERYONE, 100) == [Give(1), Give(2)]
+    assert source.desk.ended(0.3, 1, SHARED_BY_ALL, 100) == [Give(1), Give(2)]
     assert source.ask(0.15) == []  # The later call can still be joined after the end of the earlier one.
-    assert source.desk.ended(0.3, 2, EVERYONE, 100) == [Give(3), Give(4), Give(5)]
+    assert source.desk.ended(0.3, 2, SHARED_BY_ALL, 100) == [Give(3), Give(4), Give(5)]
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
     assert source.desk.next_due() == 1.0 and source.desk.due(0.99) == []
     assert source.desk.due(3.0) == [Expire(1), Expire(3)]
     assert source.desk.next_due() is None
-    assert source.desk.ended(4.0, 1, EVERYONE, 100) == [Give(2)]
+    assert source.desk.ended(4.0, 1, SHARED_BY_ALL, 100) == [Give(2)]
 
 
 def test_a_call_goes_on_when_its_leader_leaves() -> None:
@@ -124,7 +124,7 @@
     assert source.desk.gone(1) == [] and source.desk.gone(1) == []
     assert source.desk.gone(2) == [Drop(1)]
     assert source.ask(0.0) == [Start(2, 3, 9.0)]  # A cancelled call is not joined.
-    assert source.desk.ended(0.1, 1, EVERYONE, 100) == [] and source.desk.refused(0.1, 1) == []
+    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
 
 
 def test_a_response_for_one_caller_goes_to_the_leader_and_equal_reads_stay_separate_for_a_while() -> None:
@@ -213,7 +213,7 @@
     source = ReadSource()
     for deadline in (9.0, 8.0, 7.0):
         source.ask(0.0, deadline=deadline)
-    assert source.desk.ended(0.1, 1, EVERYONE, 1) == [Give(3), Alone(2), Alone(1)]
+    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 1) == [Give(3), Alone(2), Alone(1)]
 
 
 # ---- bounds of what callers can make grow --------------------------------------------------------
@@ -365,7 +365,7 @@
     @rule(
         data=st.data(),
         vary_names=st.sampled_from(
-            [EVERYONE, NOBODY, frozenset({AGENT}), frozenset({TENANT}), frozenset({AGENT, TENANT})]
+            [SHARED_BY_ALL, NOBODY, frozenset({AGENT}), frozenset({TENANT}), frozenset({AGENT, TENANT})]
         ),
         max_recipients=st.integers(1, 5),
     )
@@ -411,7 +411,7 @@
         """End every call: no state may be left."""
         for number in sorted(self.calls):
             call = self.calls.pop(number)
-            self.apply(self.desk.ended(self.now, number, EVERYONE, 100), call.members.copy())
+            self.apply(self.desk.ended(self.now, number, SHARED_BY_ALL, 100), call.members.copy())
         assert not self.reads and not self.desk.members and not self.desk.waiting and not self.desk._open
 
 
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, selecting_values
-from lugspur.joining.sharing import EVERYONE, NOBODY, VaryNames, response_vary_names, with_request_id
+from lugspur.joining.sharing import NOBODY, SHARED_BY_ALL, VaryNames, response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
@@ -103,10 +103,10 @@
 @pytest.mark.parametrize(
     ("status", "head", "trailers", "vary_names"),
     [
-        (200, b"", b"", EVERYONE),
-        (404, b"Content-Type: a\r\n", b"", EVERYONE),
-        (503, b"", b"", EVERYONE),
-        (200, b"Cache-Control: max-age=5, no-cache\r\n", b"", EVERYONE),
+        (200, b"", b"", SHARED_BY_ALL),
+        (404, b"Content-Type: a\r\n", b"", SHARED_BY_ALL),
+        (503, b"", b"", SHARED_BY_ALL),
+        (200, b"Cache-Control: max-age=5, no-cache\r\n", b"", SHARED_BY_ALL),
         (200, b"cache-control: Private\r\n", b"", NOBODY),
         (200, b'Cache-Control: private="x-a"\r\n', b"", NOBODY),
         (200, b"Cache-Control: public\r\nCache-Control: no-store\r\n", b"", NOBODY),
@@ -115,10 +115,10 @@
         (200, b"Vary: X-Request-ID\r\n", b"", NOBODY),
         (200, b"Vary: Accept, User-Agent\r\n", b"", VARY),
         (200, b"Vary: Accept\r\nVary: user-agent\r\n", b"", VARY),
-        (200, b"Vary: Accept-Language\r\n", b"", EVERYONE),
+        (200, b"Vary: Accept-Language\r\n", b"", SHARED_BY_ALL),
         (403, b"", b"", frozenset({TENANT})),
         (429, b"Vary: User-Agent\r\n", b"", VARY | {TENANT}),
-        (200, b"", b"grpc-status: 0\r\n", EVERYONE),
+        (200, b"", b"grpc-status: 0\r\n", SHARED_BY_ALL),
         (200, b"", b"grpc-status: 7\r\n", frozenset({TENANT})),
         (200, b"", b"cache-control: private\r\n", NOBODY),
     ],
