--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -13,7 +13,7 @@
 from collections.abc import Hashable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lugspur.joining.sharing import NOBODY, SHARED_BY_ALL, VaryNames
+from lugspur.joining.sharing import NOT_SHARED, SHARED_BY_ALL, VaryNames
 from lugspur.routing.model import MAX_COALESCING_AGE_SECONDS
 
 #: The time for which reads of a key are separated by the names by which the latest response to such a read varied.
@@ -377,7 +377,7 @@
 
     def parted(self, now: float, number: int) -> list[Action]:
         """End a flight whose response is a stream: it belongs to the leader, and equal reads get separate calls."""
-        return self.ended(now, number, NOBODY, 1)
+        return self.ended(now, number, NOT_SHARED, 1)
 
 
 #: The flight of a member that has not been added to one yet.
--- a/lugspur/joining/sharing.py
+++ b/lugspur/joining/sharing.py
@@ -15,7 +15,7 @@
 VaryNames = frozenset[bytes] | None
 
 SHARED_BY_ALL: VaryNames = frozenset()
-NOBODY: VaryNames = None
+NOT_SHARED: VaryNames = None
 #: Statuses that depend on the caller and not on what is requested.
 CALLER_STATUSES = frozenset({401, 402, 403, 407, 429})
 CALLER_GRPC_STATUSES = frozenset({b"7", b"8", b"16"})  # PERMISSION_DENIED, RESOURCE_EXHAUSTED, UNAUTHENTICATED
@@ -36,13 +36,13 @@
         if name == b"set-cookie" or (
             name == b"cache-control" and parse_directives(value) & UNSHARED_RESPONSE_DIRECTIVES
         ):
-            return NOBODY
+            return NOT_SHARED
         if name == b"grpc-status" and value in CALLER_GRPC_STATUSES:
             names.add(TENANT)
         if name == b"vary":
             vary = {vary_name.strip().lower() for vary_name in value.split(b",")}
             if b"*" in vary or vary & PER_ATTEMPT_HEADERS:
-                return NOBODY
+                return NOT_SHARED
             names |= vary & policy.ignored_headers  # Equal reads have the same values of all other headers.
     return frozenset(names)
 
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -26,7 +26,7 @@
     Turn,
 )
 from lugspur.joining.keys import TENANT
-from lugspur.joining.sharing import NOBODY, SHARED_BY_ALL, VaryNames
+from lugspur.joining.sharing import NOT_SHARED, SHARED_BY_ALL, VaryNames
 
 MAX_AGE = 0.1
 AGENT = b"user-agent"
@@ -131,7 +131,7 @@
     source = ReadSource()
     for _ in range(3):
         source.ask(0.0)
-    assert source.desk.ended(0.1, 1, NOBODY, 100) == [Give(1), Alone(2), Alone(3)]
+    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Give(1), Alone(2), Alone(3)]
     assert source.ask(0.1) == [Alone(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [Alone(5)]
     assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [Start(2, 6, 9.0)]
 
@@ -141,7 +141,7 @@
     source.ask(0.0)
     source.ask(0.0)
     source.desk.gone(1)
-    assert source.desk.ended(0.1, 1, NOBODY, 100) == [Alone(2)]
+    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Alone(2)]
 
 
 def test_members_of_other_variants_get_one_new_flight_for_each_variant() -> None:
@@ -224,7 +224,7 @@
     for n in range(MAX_VARY_KEYS + 10):
         [start] = source.ask(0.0, key=f"k{n}")
         assert isinstance(start, Start)
-        source.desk.ended(0.1, start.flight, NOBODY, 1)
+        source.desk.ended(0.1, start.flight, NOT_SHARED, 1)
     assert len(source.desk._vary_names) == MAX_VARY_KEYS
     assert isinstance(source.ask(0.2, key="k0")[0], Start) and isinstance(source.ask(0.2, key="k20")[0], Alone)
 
@@ -365,7 +365,7 @@
     @rule(
         data=st.data(),
         vary_names=st.sampled_from(
-            [SHARED_BY_ALL, NOBODY, frozenset({AGENT}), frozenset({TENANT}), frozenset({AGENT, TENANT})]
+            [SHARED_BY_ALL, NOT_SHARED, frozenset({AGENT}), frozenset({TENANT}), frozenset({AGENT, TENANT})]
         ),
         max_recipients=st.integers(1, 5),
     )
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, selecting_values
-from lugspur.joining.sharing import NOBODY, SHARED_BY_ALL, VaryNames, response_vary_names, with_request_id
+from lugspur.joining.sharing import NOT_SHARED, SHARED_BY_ALL, VaryNames, response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Request
 
@@ -107,12 +107,12 @@
         (404, b"Content-Type: a\r\n", b"", SHARED_BY_ALL),
         (503, b"", b"", SHARED_BY_ALL),
         (200, b"Cache-Control: max-age=5, no-cache\r\n", b"", SHARED_BY_ALL),
-        (200, b"cache-control: Private\r\n", b"", NOBODY),
-        (200, b'Cache-Control: private="x-a"\r\n', b"", NOBODY),
-        (200, b"Cache-Control: public\r\nCache-Control: no-store\r\n", b"", NOBODY),
-        (200, b"Set-Cookie: a=b\r\n", b"", NOBODY),
-        (200, b"Vary: *\r\n", b"", NOBODY),
-        (200, b"Vary: X-Request-ID\r\n", b"", NOBODY),
+        (200, b"cache-control: Private\r\n", b"", NOT_SHARED),
+        (200, b'Cache-Control: private="x-a"\r\n', b"", NOT_SHARED),
+        (200, b"Cache-Control: public\r\nCache-Control: no-store\r\n", b"", NOT_SHARED),
+        (200, b"Set-Cookie: a=b\r\n", b"", NOT_SHARED),
+        (200, b"Vary: *\r\n", b"", NOT_SHARED),
+        (200, b"Vary: X-Request-ID\r\n", b"", NOT_SHARED),
         (200, b"Vary: Accept, User-Agent\r\n", b"", VARY),
         (200, b"Vary: Accept\r\nVary: user-agent\r\n", b"", VARY),
         (200, b"Vary: Accept-Language\r\n", b"", SHARED_BY_ALL),
@@ -120,7 +120,7 @@
         (429, b"Vary: User-Agent\r\n", b"", VARY | {TENANT}),
         (200, b"", b"grpc-status: 0\r\n", SHARED_BY_ALL),
         (200, b"", b"grpc-status: 7\r\n", frozenset({TENANT})),
-        (200, b"", b"cache-control: private\r\n", NOBODY),
+        (200, b"", b"cache-control: private\r\n", NOT_SHARED),
     ],
 )
 def test_a_response_varies_by_the_names_that_its_status_and_headers_tell(
