--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
+from lugspur.joining.desk import Action, CallSeparately, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
@@ -261,7 +261,7 @@
         """Take a request out of its shared call, with a call of its own or an error."""
         if waiting is None:
             return
-        if isinstance(action, Alone):
+        if isinstance(action, CallSeparately):
             self._submit(waiting.context, waiting.caller)
         elif isinstance(action, Expire):
             waiting.caller.answer(504, b"", b"the time is up\n")
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,7 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start
+from lugspur.joining.desk import Action, CallSeparately, Desk, Drop, Expire, Extend, Give, Start
 from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
@@ -115,7 +115,7 @@
                 self._world.extend(self._calls[action.flight], action.deadline)
             elif isinstance(action, Drop):
                 self._world.gone(self._calls.pop(action.flight))
-            elif isinstance(action, Alone):
+            elif isinstance(action, CallSeparately):
                 EachItsOwn(self._world).ask(self._reads.pop(action.member))
             else:
                 ways = {Give: how, Expire: LATE}
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Alone:
+class CallSeparately:
     """Make a separate call for a former member, which is no longer tracked here."""
 
     member: int
@@ -78,7 +78,7 @@
     member: int
 
 
-Action = Start | Extend | Drop | Give | Alone | Turn | Expire
+Action = Start | Extend | Drop | Give | CallSeparately | Turn | Expire
 
 
 @dataclass(slots=True)
@@ -145,7 +145,7 @@
         """Add a read, which may join a flight that started at most `max_age` seconds ago."""
         names = self._known_vary_names(now, key)
         if names is None:
-            return [Alone(number)]
+            return [CallSeparately(number)]
         full_key = (key, *((name, selecting_values.get(name)) for name in sorted(names)))
         flight = self._open.get(full_key)
         if flight is None or not self._may_join(now, flight, max_age, tenant):
@@ -327,7 +327,7 @@
         if vary_names != SHARED_BY_ALL:
             vary_names = self._learn_vary_names(now, flight.base_key, vary_names)
         if vary_names is None:
-            return [self._finish_member(m, Give if m.number == flight.leader else Alone) for m in members]
+            return [self._finish_member(m, Give if m.number == flight.leader else CallSeparately) for m in members]
         names = sorted(vary_names)
         response_variant = tuple(flight.selecting_values.get(name) for name in names)
         out: list[Action] = []
@@ -337,13 +337,13 @@
             if variant != response_variant:
                 others.setdefault(variant, []).append(member)
             else:
-                out.append(self._finish_member(member, Give if len(out) < max_recipients else Alone))
+                out.append(self._finish_member(member, Give if len(out) < max_recipients else CallSeparately))
         for variant, group in others.items():
             key = (flight.base_key, *zip(names, variant, strict=True))
             out.append(self._start(now, key, flight.base_key, group))
         return out
 
-    def _finish_member(self, member: Member, action: type[Give] | type[Alone]) -> Action:
+    def _finish_member(self, member: Member, action: type[Give] | type[CallSeparately]) -> Action:
         self._remove_member(member.number)
         return action(member.number)
 
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -16,7 +16,7 @@
     SPARE_DEADLINES,
     VARY_LIFETIME_SECONDS,
     Action,
-    Alone,
+    CallSeparately,
     Desk,
     Drop,
     Expire,
@@ -131,8 +131,8 @@
     source = ReadSource()
     for _ in range(3):
         source.ask(0.0)
-    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Give(1), Alone(2), Alone(3)]
-    assert source.ask(0.1) == [Alone(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [Alone(5)]
+    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Give(1), CallSeparately(2), CallSeparately(3)]
+    assert source.ask(0.1) == [CallSeparately(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [CallSeparately(5)]
     assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [Start(2, 6, 9.0)]
 
 
@@ -141,7 +141,7 @@
     source.ask(0.0)
     source.ask(0.0)
     source.desk.gone(1)
-    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Alone(2)]
+    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [CallSeparately(2)]
 
 
 def test_members_of_other_variants_get_one_new_flight_for_each_variant() -> None:
@@ -213,7 +213,7 @@
     source = ReadSource()
     for deadline in (9.0, 8.0, 7.0):
         source.ask(0.0, deadline=deadline)
-    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 1) == [Give(3), Alone(2), Alone(1)]
+    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 1) == [Give(3), CallSeparately(2), CallSeparately(1)]
 
 
 # ---- bounds of what callers can make grow --------------------------------------------------------
@@ -226,7 +226,7 @@
         assert isinstance(start, Start)
         source.desk.ended(0.1, start.flight, NOT_SHARED, 1)
     assert len(source.desk._vary_names) == MAX_VARY_KEYS
-    assert isinstance(source.ask(0.2, key="k0")[0], Start) and isinstance(source.ask(0.2, key="k20")[0], Alone)
+    assert isinstance(source.ask(0.2, key="k0")[0], Start) and isinstance(source.ask(0.2, key="k20")[0], CallSeparately)
 
 
 def test_deadlines_of_former_members_are_bounded() -> None:
