--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, CallSeparately, Desk, Drop, Expire, Extend, Give, Start, Turn
+from lugspur.joining.desk import Action, CallSeparately, Desk, Drop, Expire, Extend, Give, Reject, Start
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
@@ -265,7 +265,7 @@
             self._submit(waiting.context, waiting.caller)
         elif isinstance(action, Expire):
             waiting.caller.answer(504, b"", b"the time is up\n")
-        elif isinstance(action, Turn):
+        elif isinstance(action, Reject):
             waiting.caller.answer(503, COME_BACK, b"no place to wait\n")
 
     def _schedule_timer(self) -> None:
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Turn:
+class Reject:
     """Reject a member: no call was made for it alone, and too many reads wait already."""
 
     member: int
@@ -78,7 +78,7 @@
     member: int
 
 
-Action = Start | Extend | Drop | Give | CallSeparately | Turn | Expire
+Action = Start | Extend | Drop | Give | CallSeparately | Reject | Expire
 
 
 @dataclass(slots=True)
@@ -154,7 +154,7 @@
             ]
         out: list[Action] = []
         if self.joined >= self.most and not self._make_room(tenant, out):
-            return [Turn(number)]
+            return [Reject(number)]
         if flight.number not in self.flights:
             # Guards the new read: the member that made room was the last of this flight, whose call was cancelled.
             return [
@@ -204,7 +204,7 @@
         if len(self.waiting[largest]) <= len(self.waiting.get(tenant, ())) + 1:
             return False
         number = next(reversed(self.waiting[largest]))
-        out.append(Turn(number))
+        out.append(Reject(number))
         out += self._leave(number)
         return True
 
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -22,8 +22,8 @@
     Expire,
     Extend,
     Give,
+    Reject,
     Start,
-    Turn,
 )
 from lugspur.joining.keys import TENANT
 from lugspur.joining.sharing import NOT_SHARED, SHARED_BY_ALL, VaryNames
@@ -183,9 +183,9 @@
     source.ask(0.0, "a")
     for _ in range(3):
         source.ask(0.0, "a")
-    assert source.ask(0.0, "b") == [Turn(4)] and source.ask(0.0, "a") == [Turn(6)]
-    assert source.ask(0.0, "b") == [Turn(7)]  # two and one: another place would only reverse that
-    assert source.ask(0.0, "c") == [Turn(3)]
+    assert source.ask(0.0, "b") == [Reject(4)] and source.ask(0.0, "a") == [Reject(6)]
+    assert source.ask(0.0, "b") == [Reject(7)]  # two and one: another place would only reverse that
+    assert source.ask(0.0, "c") == [Reject(3)]
     assert source.ask(0.0, "c", key="l") == [Start(2, 9, 9.0)]  # A read that starts a call needs no place.
     assert source.desk.joined == 3 and {name: len(own) for name, own in source.desk.waiting.items()} == {
         "a": 1,
@@ -199,14 +199,14 @@
     for key in ("k", "k", "l", "l"):
         source.ask(0.0, "a", key=key)
     assert source.desk.gone(3) == []  # The leader has left: only the fourth read waits for this flight.
-    assert source.ask(0.0, "b", key="l") == [Turn(4), Drop(2), Start(3, 5, 9.0)]
+    assert source.ask(0.0, "b", key="l") == [Reject(4), Drop(2), Start(3, 5, 9.0)]
     assert source.desk.gone(5) == [Drop(3)] and not source.desk.waiting.get("b")
 
 
 def test_a_desk_without_places_lets_no_read_join() -> None:
     source = ReadSource(0)
     source.ask(0.0)
-    assert source.ask(0.0) == [Turn(2)]
+    assert source.ask(0.0) == [Reject(2)]
 
 
 def test_a_response_is_copied_to_no_more_members_than_allowed() -> None:
@@ -332,7 +332,7 @@
             assert self.now - call.began <= MAX_AGE
             writes = [at for name, at in self.wrote.items() if not tenant or name in (tenant, "")]
             assert all(call.began > at for at in writes)
-        for reject in (action for action in actions if isinstance(action, Turn)):
+        for reject in (action for action in actions if isinstance(action, Reject)):
             tenant_of_rejected = self.reads[reject.member].tenant
             assert sum(before.values()) == MAX_WAITING
             assert (
