--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, CallSeparately, Desk, Drop, Expire, Extend, Give, Reject, Start
+from lugspur.joining.desk import Action, CallSeparately, Deliver, Desk, Drop, Expire, Extend, Reject, Start
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
@@ -197,7 +197,7 @@
     # ---- events of shared calls -----------------------------------------------------------------------
 
     def finish_call(self, number: int, among: frozenset[bytes] | None, size: int, write: Write) -> None:
-        """Give the answer of a shared call, with a body of `size` bytes, to the requests that may have it."""
+        """Deliver the answer of a shared call, with a body of `size` bytes, to the requests that may have it."""
         most = max(1, self._max_copied_bytes // max(1, size))
         self._carry_out(self.desk.ended(self._loop.time(), number, among, most), write)
         self._shared_calls.pop(number, None)
@@ -211,8 +211,8 @@
         """Return the request that a streamed answer goes to, if it still waits; the others leave the call."""
         self._shared_calls.pop(number, None)
         actions = self.desk.parted(self._loop.time(), number)
-        kept = [action for action in actions if isinstance(action, Give)]
-        self._carry_out([action for action in actions if not isinstance(action, Give)])
+        kept = [action for action in actions if isinstance(action, Deliver)]
+        self._carry_out([action for action in actions if not isinstance(action, Deliver)])
         return self._waiting.pop(kept[0].member) if kept else None
 
     # ---- the desk's actions ----------------------------------------------------------------------
@@ -220,7 +220,7 @@
     def _carry_out(self, actions: list[Action], write: Write | None = None) -> None:
         """Carry out actions one after another; those that follow from one come after all earlier ones."""
         for action in actions:
-            if isinstance(action, Give):
+            if isinstance(action, Deliver):
                 assert write is not None
                 self._pending_answers.append((self._waiting[action.member], write))
             else:
@@ -248,7 +248,7 @@
             dropped = self._shared_calls.pop(action.flight, None)
             if dropped is not None and dropped.gone is not None:
                 dropped.gone()
-        elif not isinstance(action, Give):
+        elif not isinstance(action, Deliver):
             self._separate(self._waiting.pop(action.member, None), action)
 
     def _extend_deadline(self, shared_call: SharedCall | None, deadline: float) -> None:
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,7 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, CallSeparately, Desk, Drop, Expire, Extend, Give, Start
+from lugspur.joining.desk import Action, CallSeparately, Deliver, Desk, Drop, Expire, Extend, Start
 from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
@@ -118,7 +118,7 @@
             elif isinstance(action, CallSeparately):
                 EachItsOwn(self._world).ask(self._reads.pop(action.member))
             else:
-                ways = {Give: how, Expire: LATE}
+                ways = {Deliver: how, Expire: LATE}
                 _end(self._world, self._reads.pop(action.member), ways.get(type(action), TURNED))
         due = self.desk.next_due()
         if due is not None:
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Give:
+class Deliver:
     """Send a member the response of its flight."""
 
     member: int
@@ -78,7 +78,7 @@
     member: int
 
 
-Action = Start | Extend | Drop | Give | CallSeparately | Reject | Expire
+Action = Start | Extend | Drop | Deliver | CallSeparately | Reject | Expire
 
 
 @dataclass(slots=True)
@@ -327,7 +327,7 @@
         if vary_names != SHARED_BY_ALL:
             vary_names = self._learn_vary_names(now, flight.base_key, vary_names)
         if vary_names is None:
-            return [self._finish_member(m, Give if m.number == flight.leader else CallSeparately) for m in members]
+            return [self._finish_member(m, Deliver if m.number == flight.leader else CallSeparately) for m in members]
         names = sorted(vary_names)
         response_variant = tuple(flight.selecting_values.get(name) for name in names)
         out: list[Action] = []
@@ -337,13 +337,13 @@
             if variant != response_variant:
                 others.setdefault(variant, []).append(member)
             else:
-                out.append(self._finish_member(member, Give if len(out) < max_recipients else CallSeparately))
+                out.append(self._finish_member(member, Deliver if len(out) < max_recipients else CallSeparately))
         for variant, group in others.items():
             key = (flight.base_key, *zip(names, variant, strict=True))
             out.append(self._start(now, key, flight.base_key, group))
         return out
 
-    def _finish_member(self, member: Member, action: type[Give] | type[CallSeparately]) -> Action:
+    def _finish_member(self, member: Member, action: type[Deliver] | type[CallSeparately]) -> Action:
         self._remove_member(member.number)
         return action(member.number)
 
@@ -369,7 +369,7 @@
         self._close(flight)
         rejected_tenants = flight.rejected_tenants | {flight.tenant}
         members = list(flight.members.values())
-        out: list[Action] = [self._finish_member(m, Give) for m in members if m.tenant in rejected_tenants]
+        out: list[Action] = [self._finish_member(m, Deliver) for m in members if m.tenant in rejected_tenants]
         rest = [member for member in members if member.tenant not in rejected_tenants]
         if rest:
             out.append(self._start(now, flight.key, flight.base_key, rest, rejected_tenants))
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -17,11 +17,11 @@
     VARY_LIFETIME_SECONDS,
     Action,
     CallSeparately,
+    Deliver,
     Desk,
     Drop,
     Expire,
     Extend,
-    Give,
     Reject,
     Start,
 )
@@ -59,7 +59,7 @@
     source = ReadSource()
     assert source.ask(0.0) == [Start(1, 1, 9.0)]
     assert [source.ask(0.01 * n) for n in range(1, 4)] == [[], [], []]
-    assert source.desk.ended(0.2, 1, SHARED_BY_ALL, 100) == [Give(1), Give(2), Give(3), Give(4)]
+    assert source.desk.ended(0.2, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2), Deliver(3), Deliver(4)]
     assert not source.desk.members and not source.desk.flights and not source.desk.joined
     assert source.ask(0.2) == [Start(2, 5, 9.0)]  # no response is stored
 
@@ -74,9 +74,9 @@
     source.ask(0.0)
     assert source.ask(MAX_AGE) == [] and source.ask(MAX_AGE + 0.01) == [Start(2, 3, 9.0)]
     assert source.ask(MAX_AGE + 0.02) == []  # joins the later call
-    assert source.desk.ended(0.3, 1, SHARED_BY_ALL, 100) == [Give(1), Give(2)]
+    assert source.desk.ended(0.3, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2)]
     assert source.ask(0.15) == []  # The later call can still be joined after the end of the earlier one.
-    assert source.desk.ended(0.3, 2, SHARED_BY_ALL, 100) == [Give(3), Give(4), Give(5)]
+    assert source.desk.ended(0.3, 2, SHARED_BY_ALL, 100) == [Deliver(3), Deliver(4), Deliver(5)]
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
     assert source.desk.next_due() == 1.0 and source.desk.due(0.99) == []
     assert source.desk.due(3.0) == [Expire(1), Expire(3)]
     assert source.desk.next_due() is None
-    assert source.desk.ended(4.0, 1, SHARED_BY_ALL, 100) == [Give(2)]
+    assert source.desk.ended(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
 
 
 def test_a_call_goes_on_when_its_leader_leaves() -> None:
@@ -131,7 +131,7 @@
     source = ReadSource()
     for _ in range(3):
         source.ask(0.0)
-    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Give(1), CallSeparately(2), CallSeparately(3)]
+    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Deliver(1), CallSeparately(2), CallSeparately(3)]
     assert source.ask(0.1) == [CallSeparately(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [CallSeparately(5)]
     assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [Start(2, 6, 9.0)]
 
@@ -148,23 +148,28 @@
     source = ReadSource()
     for agent, deadline in ((b"x", 9.0), (b"y", 3.0), (b"x", 9.0), (b"y", 4.0), (b"z", 9.0)):
         source.ask(0.0, agent=agent, deadline=deadline)
-    assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [Give(1), Give(3), Start(2, 4, 4.0), Start(3, 5, 9.0)]
+    assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [
+        Deliver(1),
+        Deliver(3),
+        Start(2, 4, 4.0),
+        Start(3, 5, 9.0),
+    ]
     # The variation is known now: the read joins the flight of its variant.
     assert source.ask(0.11, agent=b"y", deadline=4.0) == []
     assert source.ask(0.11, agent=b"x") == [Start(4, 7, 9.0)]
     assert source.desk.due(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
-    assert source.desk.ended(3.1, 2, frozenset({AGENT}), 100) == [Give(4), Give(6)]
+    assert source.desk.ended(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
 
 
 def test_names_by_which_responses_vary_accumulate() -> None:
     source = ReadSource()
     source.ask(0.0, "a", agent=b"x")
     source.ask(0.0, "b", agent=b"x")
-    assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [Give(1), Give(2)]
+    assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [Deliver(1), Deliver(2)]
     source.ask(0.1, "a", agent=b"x")
     source.ask(0.1, "b", agent=b"x")
     source.ask(0.1, "a", agent=b"y")
-    assert source.desk.ended(0.2, 2, frozenset({TENANT}), 100) == [Give(3), Start(4, 4, 9.0)]
+    assert source.desk.ended(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), Start(4, 4, 9.0)]
     assert source.ask(0.25, "b", agent=b"x") == [] and source.ask(0.25, "b", agent=b"y") == [Start(5, 7, 9.0)]
 
 
@@ -172,10 +177,10 @@
     source = ReadSource()
     for tenant in ("a", "b", "a", "c", "b"):
         source.ask(0.0, tenant)
-    assert source.desk.refused(0.1, 1) == [Give(1), Give(3), Start(2, 2, 9.0)]
+    assert source.desk.refused(0.1, 1) == [Deliver(1), Deliver(3), Start(2, 2, 9.0)]
     source.ask(0.15, "a")  # joins the call for tenant b
-    assert source.desk.refused(0.2, 2) == [Give(2), Give(5), Give(6), Start(3, 4, 9.0)]
-    assert source.desk.refused(0.3, 3) == [Give(4)]
+    assert source.desk.refused(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), Start(3, 4, 9.0)]
+    assert source.desk.refused(0.3, 3) == [Deliver(4)]
 
 
 def test_a_full_desk_rejects_the_newest_read_of_the_tenant_with_the_most_waiting_reads() -> None:
@@ -213,7 +218,7 @@
     source = ReadSource()
     for deadline in (9.0, 8.0, 7.0):
         source.ask(0.0, deadline=deadline)
-    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 1) == [Give(3), CallSeparately(2), CallSeparately(1)]
+    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 1) == [Deliver(3), CallSeparately(2), CallSeparately(1)]
 
 
 # ---- bounds of what callers can make grow --------------------------------------------------------
@@ -305,7 +310,7 @@
             elif isinstance(action, Drop):
                 assert not self.calls.pop(action.flight).members
             else:
-                if isinstance(action, Give):
+                if isinstance(action, Deliver):
                     assert action.member in recipients
                 if isinstance(action, Expire):
                     assert self.reads[action.member].deadline <= self.now
@@ -382,7 +387,7 @@
                 if all(self.reads[n].selecting_values.get(a) == flight.selecting_values.get(a) for a in vary_names)
             }
         actions = self.desk.ended(self.now, number, vary_names, max_recipients)
-        response_count = sum(isinstance(action, Give) for action in actions)
+        response_count = sum(isinstance(action, Deliver) for action in actions)
         assert response_count <= max(max_recipients, 1)
         self.apply(actions, recipients)
 
