--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, CallSeparately, Deliver, Desk, Drop, Expire, Extend, Reject, Start
+from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, Reject, Start
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
@@ -244,7 +244,7 @@
             self._submit(shared_call.context, shared_call)
         elif isinstance(action, Extend):
             self._extend_deadline(self._shared_calls.get(action.flight), action.deadline)
-        elif isinstance(action, Drop):
+        elif isinstance(action, CancelCall):
             dropped = self._shared_calls.pop(action.flight, None)
             if dropped is not None and dropped.gone is not None:
                 dropped.gone()
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,7 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, CallSeparately, Deliver, Desk, Drop, Expire, Extend, Start
+from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, Start
 from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
@@ -113,7 +113,7 @@
                     self._calls[flight] = rid
             elif isinstance(action, Extend):
                 self._world.extend(self._calls[action.flight], action.deadline)
-            elif isinstance(action, Drop):
+            elif isinstance(action, CancelCall):
                 self._world.gone(self._calls.pop(action.flight))
             elif isinstance(action, CallSeparately):
                 EachItsOwn(self._world).ask(self._reads.pop(action.member))
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Drop:
+class CancelCall:
     """Cancel the call of a flight that has no members left."""
 
     flight: int
@@ -78,7 +78,7 @@
     member: int
 
 
-Action = Start | Extend | Drop | Deliver | CallSeparately | Reject | Expire
+Action = Start | Extend | CancelCall | Deliver | CallSeparately | Reject | Expire
 
 
 @dataclass(slots=True)
@@ -266,7 +266,7 @@
         if flight.members:
             return []
         self._close(flight)
-        return [Drop(flight.number)]
+        return [CancelCall(flight.number)]
 
     def _remove_member(self, number: int) -> Member:
         member = self.members.pop(number)
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -17,9 +17,9 @@
     VARY_LIFETIME_SECONDS,
     Action,
     CallSeparately,
+    CancelCall,
     Deliver,
     Desk,
-    Drop,
     Expire,
     Extend,
     Reject,
@@ -122,7 +122,7 @@
     source.ask(0.0)
     source.ask(0.0)
     assert source.desk.gone(1) == [] and source.desk.gone(1) == []
-    assert source.desk.gone(2) == [Drop(1)]
+    assert source.desk.gone(2) == [CancelCall(1)]
     assert source.ask(0.0) == [Start(2, 3, 9.0)]  # A cancelled call is not joined.
     assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
 
@@ -204,8 +204,8 @@
     for key in ("k", "k", "l", "l"):
         source.ask(0.0, "a", key=key)
     assert source.desk.gone(3) == []  # The leader has left: only the fourth read waits for this flight.
-    assert source.ask(0.0, "b", key="l") == [Reject(4), Drop(2), Start(3, 5, 9.0)]
-    assert source.desk.gone(5) == [Drop(3)] and not source.desk.waiting.get("b")
+    assert source.ask(0.0, "b", key="l") == [Reject(4), CancelCall(2), Start(3, 5, 9.0)]
+    assert source.desk.gone(5) == [CancelCall(3)] and not source.desk.waiting.get("b")
 
 
 def test_a_desk_without_places_lets_no_read_join() -> None:
@@ -307,7 +307,7 @@
                 assert len({self.reads[n].key for n in call.members}) == 1
             elif isinstance(action, Extend):
                 self.calls[action.flight].deadline = action.deadline
-            elif isinstance(action, Drop):
+            elif isinstance(action, CancelCall):
                 assert not self.calls.pop(action.flight).members
             else:
                 if isinstance(action, Deliver):
