--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, Reject, Start
+from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, Reject, StartCall
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
@@ -238,7 +238,7 @@
         self._schedule_timer()
 
     def _carry_out_one(self, action: Action) -> None:
-        if isinstance(action, Start):
+        if isinstance(action, StartCall):
             first = self._waiting[action.member]
             shared_call = self._shared_calls[action.flight] = SharedCall(self, action.flight, first, action.deadline)
             self._submit(shared_call.context, shared_call)
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,7 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, Start
+from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, StartCall
 from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
@@ -106,7 +106,7 @@
 
     def _perform(self, actions: list[Action], how: str = "") -> None:
         for action in actions:
-            if isinstance(action, Start):
+            if isinstance(action, StartCall):
                 read, flight = self._reads[action.member], action.flight
                 rid = self._world.call(0, read.tenant, action.deadline, partial(self._landed, flight))
                 if flight in self.desk.flights:
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -27,8 +27,8 @@
 
 
 @dataclass(slots=True)
-class Start:
-    """Start the call of a flight with this member's request and this deadline."""
+class StartCall:
+    """StartCall the call of a flight with this member's request and this deadline."""
 
     flight: int
     member: int
@@ -78,7 +78,7 @@
     member: int
 
 
-Action = Start | Extend | CancelCall | Deliver | CallSeparately | Reject | Expire
+Action = StartCall | Extend | CancelCall | Deliver | CallSeparately | Reject | Expire
 
 
 @dataclass(slots=True)
@@ -215,8 +215,8 @@
         base_key: Hashable,
         members: list[Member],
         rejected_tenants: frozenset[str] = frozenset(),
-    ) -> Start:
-        """Start a flight for these reads, with the request of the one whose deadline is the latest."""
+    ) -> StartCall:
+        """StartCall a flight for these reads, with the request of the one whose deadline is the latest."""
         leader = max(members, key=lambda member: member.deadline)
         self._flight_count += 1
         flight = Flight(
@@ -233,7 +233,7 @@
         self.flights[flight.number] = self._open[key] = flight
         for member in members:
             self._add_member(flight, member)
-        return Start(flight.number, leader.number, leader.deadline)
+        return StartCall(flight.number, leader.number, leader.deadline)
 
     def _add_member(self, flight: Flight, member: Member) -> None:
         member.flight = flight
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -23,7 +23,7 @@
     Expire,
     Extend,
     Reject,
-    Start,
+    StartCall,
 )
 from lugspur.joining.keys import TENANT
 from lugspur.joining.sharing import NOT_SHARED, SHARED_BY_ALL, VaryNames
@@ -57,22 +57,22 @@
 
 def test_equal_reads_wait_for_one_call_and_get_its_response() -> None:
     source = ReadSource()
-    assert source.ask(0.0) == [Start(1, 1, 9.0)]
+    assert source.ask(0.0) == [StartCall(1, 1, 9.0)]
     assert [source.ask(0.01 * n) for n in range(1, 4)] == [[], [], []]
     assert source.desk.ended(0.2, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2), Deliver(3), Deliver(4)]
     assert not source.desk.members and not source.desk.flights and not source.desk.joined
-    assert source.ask(0.2) == [Start(2, 5, 9.0)]  # no response is stored
+    assert source.ask(0.2) == [StartCall(2, 5, 9.0)]  # no response is stored
 
 
 def test_a_different_read_gets_its_own_call() -> None:
     source = ReadSource()
-    assert source.ask(0.0, key="k") == [Start(1, 1, 9.0)] and source.ask(0.0, key="l") == [Start(2, 2, 9.0)]
+    assert source.ask(0.0, key="k") == [StartCall(1, 1, 9.0)] and source.ask(0.0, key="l") == [StartCall(2, 2, 9.0)]
 
 
 def test_a_call_that_is_too_old_is_not_joined_and_continues() -> None:
     source = ReadSource()
     source.ask(0.0)
-    assert source.ask(MAX_AGE) == [] and source.ask(MAX_AGE + 0.01) == [Start(2, 3, 9.0)]
+    assert source.ask(MAX_AGE) == [] and source.ask(MAX_AGE + 0.01) == [StartCall(2, 3, 9.0)]
     assert source.ask(MAX_AGE + 0.02) == []  # joins the later call
     assert source.desk.ended(0.3, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2)]
     assert source.ask(0.15) == []  # The later call can still be joined after the end of the earlier one.
@@ -103,12 +103,12 @@
     source = ReadSource()
     source.ask(0.0)
     source.desk.wrote(0.0, "a")
-    assert source.ask(0.0) == [Start(2, 2, 9.0)]
+    assert source.ask(0.0) == [StartCall(2, 2, 9.0)]
 
 
 def test_each_member_keeps_its_own_deadline() -> None:
     source = ReadSource()
-    assert source.ask(0.0, deadline=1.0) == [Start(1, 1, 1.0)]
+    assert source.ask(0.0, deadline=1.0) == [StartCall(1, 1, 1.0)]
     assert source.desk.next_due() is None  # the call ends at this deadline itself
     assert source.ask(0.0, deadline=5.0) == [Extend(1, 5.0)] and source.ask(0.0, deadline=3.0) == []
     assert source.desk.next_due() == 1.0 and source.desk.due(0.99) == []
@@ -123,7 +123,7 @@
     source.ask(0.0)
     assert source.desk.gone(1) == [] and source.desk.gone(1) == []
     assert source.desk.gone(2) == [CancelCall(1)]
-    assert source.ask(0.0) == [Start(2, 3, 9.0)]  # A cancelled call is not joined.
+    assert source.ask(0.0) == [StartCall(2, 3, 9.0)]  # A cancelled call is not joined.
     assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
 
 
@@ -133,7 +133,7 @@
         source.ask(0.0)
     assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Deliver(1), CallSeparately(2), CallSeparately(3)]
     assert source.ask(0.1) == [CallSeparately(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [CallSeparately(5)]
-    assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [Start(2, 6, 9.0)]
+    assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [StartCall(2, 6, 9.0)]
 
 
 def test_a_response_for_a_leader_that_has_left_goes_to_no_other_member() -> None:
@@ -151,12 +151,12 @@
     assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [
         Deliver(1),
         Deliver(3),
-        Start(2, 4, 4.0),
-        Start(3, 5, 9.0),
+        StartCall(2, 4, 4.0),
+        StartCall(3, 5, 9.0),
     ]
     # The variation is known now: the read joins the flight of its variant.
     assert source.ask(0.11, agent=b"y", deadline=4.0) == []
-    assert source.ask(0.11, agent=b"x") == [Start(4, 7, 9.0)]
+    assert source.ask(0.11, agent=b"x") == [StartCall(4, 7, 9.0)]
     assert source.desk.due(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
     assert source.desk.ended(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
 
@@ -169,17 +169,17 @@
     source.ask(0.1, "a", agent=b"x")
     source.ask(0.1, "b", agent=b"x")
     source.ask(0.1, "a", agent=b"y")
-    assert source.desk.ended(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), Start(4, 4, 9.0)]
-    assert source.ask(0.25, "b", agent=b"x") == [] and source.ask(0.25, "b", agent=b"y") == [Start(5, 7, 9.0)]
+    assert source.desk.ended(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), StartCall(4, 4, 9.0)]
+    assert source.ask(0.25, "b", agent=b"x") == [] and source.ask(0.25, "b", agent=b"y") == [StartCall(5, 7, 9.0)]
 
 
 def test_a_rejection_goes_to_its_tenants_members_and_each_tenant_gets_one_call() -> None:
     source = ReadSource()
     for tenant in ("a", "b", "a", "c", "b"):
         source.ask(0.0, tenant)
-    assert source.desk.refused(0.1, 1) == [Deliver(1), Deliver(3), Start(2, 2, 9.0)]
+    assert source.desk.refused(0.1, 1) == [Deliver(1), Deliver(3), StartCall(2, 2, 9.0)]
     source.ask(0.15, "a")  # joins the call for tenant b
-    assert source.desk.refused(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), Start(3, 4, 9.0)]
+    assert source.desk.refused(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), StartCall(3, 4, 9.0)]
     assert source.desk.refused(0.3, 3) == [Deliver(4)]
 
 
@@ -191,7 +191,7 @@
     assert source.ask(0.0, "b") == [Reject(4)] and source.ask(0.0, "a") == [Reject(6)]
     assert source.ask(0.0, "b") == [Reject(7)]  # two and one: another place would only reverse that
     assert source.ask(0.0, "c") == [Reject(3)]
-    assert source.ask(0.0, "c", key="l") == [Start(2, 9, 9.0)]  # A read that starts a call needs no place.
+    assert source.ask(0.0, "c", key="l") == [StartCall(2, 9, 9.0)]  # A read that starts a call needs no place.
     assert source.desk.joined == 3 and {name: len(own) for name, own in source.desk.waiting.items()} == {
         "a": 1,
         "b": 1,
@@ -204,7 +204,7 @@
     for key in ("k", "k", "l", "l"):
         source.ask(0.0, "a", key=key)
     assert source.desk.gone(3) == []  # The leader has left: only the fourth read waits for this flight.
-    assert source.ask(0.0, "b", key="l") == [Reject(4), CancelCall(2), Start(3, 5, 9.0)]
+    assert source.ask(0.0, "b", key="l") == [Reject(4), CancelCall(2), StartCall(3, 5, 9.0)]
     assert source.desk.gone(5) == [CancelCall(3)] and not source.desk.waiting.get("b")
 
 
@@ -228,10 +228,12 @@
     source = ReadSource()
     for n in range(MAX_VARY_KEYS + 10):
         [start] = source.ask(0.0, key=f"k{n}")
-        assert isinstance(start, Start)
+        assert isinstance(start, StartCall)
         source.desk.ended(0.1, start.flight, NOT_SHARED, 1)
     assert len(source.desk._vary_names) == MAX_VARY_KEYS
-    assert isinstance(source.ask(0.2, key="k0")[0], Start) and isinstance(source.ask(0.2, key="k20")[0], CallSeparately)
+    assert isinstance(source.ask(0.2, key="k0")[0], StartCall) and isinstance(
+        source.ask(0.2, key="k20")[0], CallSeparately
+    )
 
 
 def test_deadlines_of_former_members_are_bounded() -> None:
@@ -299,7 +301,7 @@
     def apply(self, actions: list[Action], recipients: Collection[int] = ()) -> None:
         """Apply the desk's actions to the model; only `recipients` may get the response that has just come."""
         for action in actions:
-            if isinstance(action, Start):
+            if isinstance(action, StartCall):
                 call = self.calls[action.flight] = Call(action.member, self.now, action.deadline)
                 call.members = {n for n, m in self.desk.members.items() if m.flight.number == action.flight}
                 assert action.member in call.members
