--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,17 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, Reject, StartCall
+from lugspur.joining.desk import (
+    Action,
+    CallSeparately,
+    CancelCall,
+    Deliver,
+    Desk,
+    Expire,
+    ExtendDeadline,
+    Reject,
+    StartCall,
+)
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
@@ -242,7 +252,7 @@
             first = self._waiting[action.member]
             shared_call = self._shared_calls[action.flight] = SharedCall(self, action.flight, first, action.deadline)
             self._submit(shared_call.context, shared_call)
-        elif isinstance(action, Extend):
+        elif isinstance(action, ExtendDeadline):
             self._extend_deadline(self._shared_calls.get(action.flight), action.deadline)
         elif isinstance(action, CancelCall):
             dropped = self._shared_calls.pop(action.flight, None)
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,7 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, Extend, StartCall
+from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, ExtendDeadline, StartCall
 from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
@@ -111,7 +111,7 @@
                 rid = self._world.call(0, read.tenant, action.deadline, partial(self._landed, flight))
                 if flight in self.desk.flights:
                     self._calls[flight] = rid
-            elif isinstance(action, Extend):
+            elif isinstance(action, ExtendDeadline):
                 self._world.extend(self._calls[action.flight], action.deadline)
             elif isinstance(action, CancelCall):
                 self._world.gone(self._calls.pop(action.flight))
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -36,8 +36,8 @@
 
 
 @dataclass(slots=True)
-class Extend:
-    """Extend the deadline of a flight's call."""
+class ExtendDeadline:
+    """ExtendDeadline the deadline of a flight's call."""
 
     flight: int
     deadline: float
@@ -78,7 +78,7 @@
     member: int
 
 
-Action = StartCall | Extend | CancelCall | Deliver | CallSeparately | Reject | Expire
+Action = StartCall | ExtendDeadline | CancelCall | Deliver | CallSeparately | Reject | Expire
 
 
 @dataclass(slots=True)
@@ -169,7 +169,7 @@
         self._add_member(flight, member)
         if deadline > flight.deadline:
             self._extend_deadline(flight, deadline)
-            out.append(Extend(flight.number, deadline))
+            out.append(ExtendDeadline(flight.number, deadline))
         return out
 
     def _known_vary_names(self, now: float, key: Hashable) -> VaryNames:
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -21,7 +21,7 @@
     Deliver,
     Desk,
     Expire,
-    Extend,
+    ExtendDeadline,
     Reject,
     StartCall,
 )
@@ -110,7 +110,7 @@
     source = ReadSource()
     assert source.ask(0.0, deadline=1.0) == [StartCall(1, 1, 1.0)]
     assert source.desk.next_due() is None  # the call ends at this deadline itself
-    assert source.ask(0.0, deadline=5.0) == [Extend(1, 5.0)] and source.ask(0.0, deadline=3.0) == []
+    assert source.ask(0.0, deadline=5.0) == [ExtendDeadline(1, 5.0)] and source.ask(0.0, deadline=3.0) == []
     assert source.desk.next_due() == 1.0 and source.desk.due(0.99) == []
     assert source.desk.due(3.0) == [Expire(1), Expire(3)]
     assert source.desk.next_due() is None
@@ -307,7 +307,7 @@
                 assert action.member in call.members
                 assert action.deadline == max(self.reads[n].deadline for n in call.members)
                 assert len({self.reads[n].key for n in call.members}) == 1
-            elif isinstance(action, Extend):
+            elif isinstance(action, ExtendDeadline):
                 self.calls[action.flight].deadline = action.deadline
             elif isinstance(action, CancelCall):
                 assert not self.calls.pop(action.flight).members
