--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class StartCall:
-    """StartCall the call of a flight with this member's request and this deadline."""
+    """Start the call of a flight with this member's request and this deadline."""
 
     flight: int
     member: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class ExtendDeadline:
-    """ExtendDeadline the deadline of a flight's call."""
+    """Extend the deadline of a flight's call."""
 
     flight: int
     deadline: float
@@ -216,7 +216,7 @@
         members: list[Member],
         rejected_tenants: frozenset[str] = frozenset(),
     ) -> StartCall:
-        """StartCall a flight for these reads, with the request of the one whose deadline is the latest."""
+        """Start a flight for these reads, with the request of the one whose deadline is the latest."""
         leader = max(members, key=lambda member: member.deadline)
         self._flight_count += 1
         flight = Flight(
