--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -185,7 +185,7 @@
         waiting = self._waiting[self._request_count] = WaitingRequest(self._request_count, context, caller)
         caller.gone = lambda: self._caller_disconnected(waiting)
         self._carry_out(
-            self.desk.ask(
+            self.desk.add_read(
                 self._loop.time(),
                 waiting.number,
                 key,
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -98,7 +98,7 @@
         number = self._count
         self._reads[number] = read
         now, tenant = self._world.clock.now, str(read.tenant)
-        actions = self.desk.ask(now, number, read.hotel, self._within, tenant, read.deadline, {})
+        actions = self.desk.add_read(now, number, read.hotel, self._within, tenant, read.deadline, {})
         member = self.desk.members.get(number)
         if member is not None:
             read.age = now - member.flight.began
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -132,7 +132,7 @@
 
     # ---- reads ---------------------------------------------------------------------------------
 
-    def ask(
+    def add_read(
         self,
         now: float,
         number: int,
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -49,7 +49,7 @@
         self, now: float, tenant: str = "a", deadline: float = 9.0, agent: bytes = b"", key: str = "k"
     ) -> list[Action]:
         self.count += 1
-        return self.desk.ask(now, self.count, key, MAX_AGE, tenant, deadline, selecting_values(tenant, agent))
+        return self.desk.add_read(now, self.count, key, MAX_AGE, tenant, deadline, selecting_values(tenant, agent))
 
 
 # ---- one at a time -------------------------------------------------------------------------------
@@ -331,7 +331,7 @@
         number = self.count
         read = self.reads[number] = Read(tenant, self.now + left, selecting_values(tenant, agent), key)
         before = {name: len(own) for name, own in self.desk.waiting.items()}
-        actions = self.desk.ask(self.now, number, key, MAX_AGE, tenant, read.deadline, read.selecting_values)
+        actions = self.desk.add_read(self.now, number, key, MAX_AGE, tenant, read.deadline, read.selecting_values)
         member = self.desk.members.get(number)
         if member is not None and member.flight.number in self.calls:  # The read has joined this flight.
             call = self.calls[member.flight.number]
