--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -202,7 +202,7 @@
 
     def _caller_disconnected(self, waiting: WaitingRequest) -> None:
         if self._waiting.pop(waiting.number, None) is not None:
-            self._carry_out(self.desk.gone(waiting.number))
+            self._carry_out(self.desk.remove_read(waiting.number))
 
     # ---- events of shared calls -----------------------------------------------------------------------
 
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -256,7 +256,7 @@
 
     # ---- members that leave, writes and deadlines ------------------------------------------------
 
-    def gone(self, number: int) -> list[Action]:
+    def remove_read(self, number: int) -> list[Action]:
         """Remove a member whose caller has disconnected."""
         return self._leave(number) if number in self.members else []
 
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -121,8 +121,8 @@
     source = ReadSource()
     source.ask(0.0)
     source.ask(0.0)
-    assert source.desk.gone(1) == [] and source.desk.gone(1) == []
-    assert source.desk.gone(2) == [CancelCall(1)]
+    assert source.desk.remove_read(1) == [] and source.desk.remove_read(1) == []
+    assert source.desk.remove_read(2) == [CancelCall(1)]
     assert source.ask(0.0) == [StartCall(2, 3, 9.0)]  # A cancelled call is not joined.
     assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
 
@@ -140,7 +140,7 @@
     source = ReadSource()
     source.ask(0.0)
     source.ask(0.0)
-    source.desk.gone(1)
+    source.desk.remove_read(1)
     assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [CallSeparately(2)]
 
 
@@ -203,9 +203,9 @@
     source = ReadSource(2)
     for key in ("k", "k", "l", "l"):
         source.ask(0.0, "a", key=key)
-    assert source.desk.gone(3) == []  # The leader has left: only the fourth read waits for this flight.
+    assert source.desk.remove_read(3) == []  # The leader has left: only the fourth read waits for this flight.
     assert source.ask(0.0, "b", key="l") == [Reject(4), CancelCall(2), StartCall(3, 5, 9.0)]
-    assert source.desk.gone(5) == [CancelCall(3)] and not source.desk.waiting.get("b")
+    assert source.desk.remove_read(5) == [CancelCall(3)] and not source.desk.waiting.get("b")
 
 
 def test_a_desk_without_places_lets_no_read_join() -> None:
@@ -241,7 +241,7 @@
     source.ask(0.0, deadline=1e6)
     for _ in range(1000):
         source.ask(0.0, deadline=1e5)
-        source.desk.gone(source.count)
+        source.desk.remove_read(source.count)
     assert len(source.desk._deadlines) <= SPARE_DEADLINES + 2
     source.ask(0.0, deadline=7.0)
     assert source.desk.next_due() == 7.0
@@ -366,7 +366,7 @@
     def leave(self, data: st.DataObject) -> None:
         number = data.draw(st.sampled_from(sorted(self.reads)))
         self.finish(number)
-        self.apply(self.desk.gone(number))
+        self.apply(self.desk.remove_read(number))
 
     @precondition(lambda self: self.calls)
     @rule(
