--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -198,7 +198,7 @@
 
     def record_write(self, tenant: str) -> None:
         """Record that a request that may have changed something was answered: later reads get no older answer."""
-        self.desk.wrote(self._loop.time(), _tenant_key(tenant))
+        self.desk.record_write(self._loop.time(), _tenant_key(tenant))
 
     def _caller_disconnected(self, waiting: WaitingRequest) -> None:
         if self._waiting.pop(waiting.number, None) is not None:
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -284,7 +284,7 @@
         if self._open.get(flight.key) is flight:
             del self._open[flight.key]
 
-    def wrote(self, now: float, tenant: str) -> None:
+    def record_write(self, now: float, tenant: str) -> None:
         """Record that a request that may have changed something was answered, or that its caller gave it up."""
         self._last_writes[tenant] = self._last_write = now
         if len(self._last_writes) > MAX_WRITERS:  # Guards memory against routes that name ever new tenants.
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -93,7 +93,7 @@
 ) -> None:
     source = ReadSource()
     source.ask(0.0, "c")
-    source.desk.wrote(0.01, writer)
+    source.desk.record_write(0.01, writer)
     assert (source.ask(0.02, reader) == []) is joins
     source.ask(0.03, "c", key="l")  # starts a call after the write
     assert source.ask(0.04, reader, key="l") == []
@@ -102,7 +102,7 @@
 def test_a_read_at_the_instant_of_a_write_does_not_join_a_call_that_started_then() -> None:
     source = ReadSource()
     source.ask(0.0)
-    source.desk.wrote(0.0, "a")
+    source.desk.record_write(0.0, "a")
     assert source.ask(0.0) == [StartCall(2, 2, 9.0)]
 
 
@@ -250,7 +250,7 @@
 def test_writers_are_bounded() -> None:
     desk = Desk(1)
     for n in range(3 * MAX_WRITERS):
-        desk.wrote(n * 0.1, f"t{n}")
+        desk.record_write(n * 0.1, f"t{n}")
     assert len(desk._last_writes) <= MAX_WRITERS + 1
 
 
@@ -351,7 +351,7 @@
     @rule(tenant=st.sampled_from(TENANTS))
     def write(self, tenant: str) -> None:
         self.wrote[tenant] = self.now
-        self.desk.wrote(self.now, tenant)
+        self.desk.record_write(self.now, tenant)
 
     @rule(step=st.sampled_from([0.001, 0.04, 0.11, 0.5]))
     def wait(self, step: float) -> None:
