--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -280,7 +280,7 @@
 
     def _schedule_timer(self) -> None:
         """Set the timer to the next request whose deadline is before its shared call's."""
-        due = self.desk.next_due()
+        due = self.desk.next_deadline()
         if self._timer is not None:
             if due is not None and self._timer.when() <= due:
                 return
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -120,7 +120,7 @@
             else:
                 ways = {Deliver: how, Expire: LATE}
                 _end(self._world, self._reads.pop(action.member), ways.get(type(action), TURNED))
-        due = self.desk.next_due()
+        due = self.desk.next_deadline()
         if due is not None:
             self._world.clock.at(due, self._due)
 
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -292,7 +292,7 @@
                 name: at for name, at in self._last_writes.items() if now - at <= MAX_COALESCING_AGE_SECONDS
             }
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         """Return when `due` is to be called next, or None if no member has a deadline before its flight's."""
         while self._deadlines:
             deadline, number = self._deadlines[0]
@@ -305,7 +305,7 @@
     def due(self, now: float) -> list[Action]:
         """Remove the members whose deadline has passed while their flight goes on for others."""
         out: list[Action] = []
-        while (deadline := self.next_due()) is not None and deadline <= now:
+        while (deadline := self.next_deadline()) is not None and deadline <= now:
             number = heapq.heappop(self._deadlines)[1]
             out.append(Expire(number))
             out += self._leave(number)
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -109,11 +109,11 @@
 def test_each_member_keeps_its_own_deadline() -> None:
     source = ReadSource()
     assert source.ask(0.0, deadline=1.0) == [StartCall(1, 1, 1.0)]
-    assert source.desk.next_due() is None  # the call ends at this deadline itself
+    assert source.desk.next_deadline() is None  # the call ends at this deadline itself
     assert source.ask(0.0, deadline=5.0) == [ExtendDeadline(1, 5.0)] and source.ask(0.0, deadline=3.0) == []
-    assert source.desk.next_due() == 1.0 and source.desk.due(0.99) == []
+    assert source.desk.next_deadline() == 1.0 and source.desk.due(0.99) == []
     assert source.desk.due(3.0) == [Expire(1), Expire(3)]
-    assert source.desk.next_due() is None
+    assert source.desk.next_deadline() is None
     assert source.desk.ended(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
 
 
@@ -244,7 +244,7 @@
         source.desk.remove_read(source.count)
     assert len(source.desk._deadlines) <= SPARE_DEADLINES + 2
     source.ask(0.0, deadline=7.0)
-    assert source.desk.next_due() == 7.0
+    assert source.desk.next_deadline() == 7.0
 
 
 def test_writers_are_bounded() -> None:
