--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -289,7 +289,7 @@
 
     def _run_due(self) -> None:
         self._timer = None
-        self._carry_out(self.desk.due(self._loop.time()))
+        self._carry_out(self.desk.expire(self._loop.time()))
 
     # ---- answers -----------------------------------------------------------------------------------
 
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -125,7 +125,7 @@
             self._world.clock.at(due, self._due)
 
     def _due(self) -> None:
-        actions = self.desk.due(self._world.clock.now)
+        actions = self.desk.expire(self._world.clock.now)
         if actions:
             self._perform(actions)
 
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -293,7 +293,7 @@
             }
 
     def next_deadline(self) -> float | None:
-        """Return when `due` is to be called next, or None if no member has a deadline before its flight's."""
+        """Return when `expire` is to be called next, or None if no member has a deadline before its flight's."""
         while self._deadlines:
             deadline, number = self._deadlines[0]
             member = self.members.get(number)
@@ -302,7 +302,7 @@
             heapq.heappop(self._deadlines)
         return None
 
-    def due(self, now: float) -> list[Action]:
+    def expire(self, now: float) -> list[Action]:
         """Remove the members whose deadline has passed while their flight goes on for others."""
         out: list[Action] = []
         while (deadline := self.next_deadline()) is not None and deadline <= now:
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -111,8 +111,8 @@
     assert source.ask(0.0, deadline=1.0) == [StartCall(1, 1, 1.0)]
     assert source.desk.next_deadline() is None  # the call ends at this deadline itself
     assert source.ask(0.0, deadline=5.0) == [ExtendDeadline(1, 5.0)] and source.ask(0.0, deadline=3.0) == []
-    assert source.desk.next_deadline() == 1.0 and source.desk.due(0.99) == []
-    assert source.desk.due(3.0) == [Expire(1), Expire(3)]
+    assert source.desk.next_deadline() == 1.0 and source.desk.expire(0.99) == []
+    assert source.desk.expire(3.0) == [Expire(1), Expire(3)]
     assert source.desk.next_deadline() is None
     assert source.desk.ended(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
 
@@ -157,7 +157,7 @@
     # The variation is known now: the read joins the flight of its variant.
     assert source.ask(0.11, agent=b"y", deadline=4.0) == []
     assert source.ask(0.11, agent=b"x") == [StartCall(4, 7, 9.0)]
-    assert source.desk.due(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
+    assert source.desk.expire(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
     assert source.desk.ended(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
 
 
@@ -356,7 +356,7 @@
     @rule(step=st.sampled_from([0.001, 0.04, 0.11, 0.5]))
     def wait(self, step: float) -> None:
         self.now += step
-        self.apply(self.desk.due(self.now))
+        self.apply(self.desk.expire(self.now))
         for call in list(self.calls.values()):
             for number in call.members:
                 assert self.reads[number].deadline > self.now or self.reads[number].deadline == call.deadline
