--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -209,7 +209,7 @@
     def finish_call(self, number: int, among: frozenset[bytes] | None, size: int, write: Write) -> None:
         """Deliver the answer of a shared call, with a body of `size` bytes, to the requests that may have it."""
         most = max(1, self._max_copied_bytes // max(1, size))
-        self._carry_out(self.desk.ended(self._loop.time(), number, among, most), write)
+        self._carry_out(self.desk.finish_call(self._loop.time(), number, among, most), write)
         self._shared_calls.pop(number, None)
 
     def reject_call(self, number: int, write: Write) -> None:
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -133,7 +133,9 @@
         self._calls.pop(flight, None)
         now = self._world.clock.now
         actions = (
-            self.desk.refused(now, flight) if how == TURNED else self.desk.ended(now, flight, SHARED_BY_ALL, 1 << 20)
+            self.desk.refused(now, flight)
+            if how == TURNED
+            else self.desk.finish_call(now, flight, SHARED_BY_ALL, 1 << 20)
         )
         self._perform(actions, how)
 
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -313,7 +313,7 @@
 
     # ---- ends of calls ---------------------------------------------------------------------------
 
-    def ended(self, now: float, number: int, vary_names: VaryNames, max_recipients: int) -> list[Action]:
+    def finish_call(self, now: float, number: int, vary_names: VaryNames, max_recipients: int) -> list[Action]:
         """End a flight whose call got a response that varies by these names and may be sent to so many members.
 
         Members that may not have the response get new flights, one for each variant. Members beyond
@@ -377,7 +377,7 @@
 
     def parted(self, now: float, number: int) -> list[Action]:
         """End a flight whose response is a stream: it belongs to the leader, and equal reads get separate calls."""
-        return self.ended(now, number, NOT_SHARED, 1)
+        return self.finish_call(now, number, NOT_SHARED, 1)
 
 
 #: The flight of a member that has not been added to one yet.
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -59,7 +59,7 @@
     source = ReadSource()
     assert source.ask(0.0) == [StartCall(1, 1, 9.0)]
     assert [source.ask(0.01 * n) for n in range(1, 4)] == [[], [], []]
-    assert source.desk.ended(0.2, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2), Deliver(3), Deliver(4)]
+    assert source.desk.finish_call(0.2, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2), Deliver(3), Deliver(4)]
     assert not source.desk.members and not source.desk.flights and not source.desk.joined
     assert source.ask(0.2) == [StartCall(2, 5, 9.0)]  # no response is stored
 
@@ -74,9 +74,9 @@
     source.ask(0.0)
     assert source.ask(MAX_AGE) == [] and source.ask(MAX_AGE + 0.01) == [StartCall(2, 3, 9.0)]
     assert source.ask(MAX_AGE + 0.02) == []  # joins the later call
-    assert source.desk.ended(0.3, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2)]
+    assert source.desk.finish_call(0.3, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2)]
     assert source.ask(0.15) == []  # The later call can still be joined after the end of the earlier one.
-    assert source.desk.ended(0.3, 2, SHARED_BY_ALL, 100) == [Deliver(3), Deliver(4), Deliver(5)]
+    assert source.desk.finish_call(0.3, 2, SHARED_BY_ALL, 100) == [Deliver(3), Deliver(4), Deliver(5)]
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
     assert source.desk.next_deadline() == 1.0 and source.desk.expire(0.99) == []
     assert source.desk.expire(3.0) == [Expire(1), Expire(3)]
     assert source.desk.next_deadline() is None
-    assert source.desk.ended(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
+    assert source.desk.finish_call(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
 
 
 def test_a_call_goes_on_when_its_leader_leaves() -> None:
@@ -124,14 +124,14 @@
     assert source.desk.remove_read(1) == [] and source.desk.remove_read(1) == []
     assert source.desk.remove_read(2) == [CancelCall(1)]
     assert source.ask(0.0) == [StartCall(2, 3, 9.0)]  # A cancelled call is not joined.
-    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
+    assert source.desk.finish_call(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
 
 
 def test_a_response_for_one_caller_goes_to_the_leader_and_equal_reads_stay_separate_for_a_while() -> None:
     source = ReadSource()
     for _ in range(3):
         source.ask(0.0)
-    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [Deliver(1), CallSeparately(2), CallSeparately(3)]
+    assert source.desk.finish_call(0.1, 1, NOT_SHARED, 100) == [Deliver(1), CallSeparately(2), CallSeparately(3)]
     assert source.ask(0.1) == [CallSeparately(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [CallSeparately(5)]
     assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [StartCall(2, 6, 9.0)]
 
@@ -141,14 +141,14 @@
     source.ask(0.0)
     source.ask(0.0)
     source.desk.remove_read(1)
-    assert source.desk.ended(0.1, 1, NOT_SHARED, 100) == [CallSeparately(2)]
+    assert source.desk.finish_call(0.1, 1, NOT_SHARED, 100) == [CallSeparately(2)]
 
 
 def test_members_of_other_variants_get_one_new_flight_for_each_variant() -> None:
     source = ReadSource()
     for agent, deadline in ((b"x", 9.0), (b"y", 3.0), (b"x", 9.0), (b"y", 4.0), (b"z", 9.0)):
         source.ask(0.0, agent=agent, deadline=deadline)
-    assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [
+    assert source.desk.finish_call(0.1, 1, frozenset({AGENT}), 100) == [
         Deliver(1),
         Deliver(3),
         StartCall(2, 4, 4.0),
@@ -158,18 +158,18 @@
     assert source.ask(0.11, agent=b"y", deadline=4.0) == []
     assert source.ask(0.11, agent=b"x") == [StartCall(4, 7, 9.0)]
     assert source.desk.expire(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
-    assert source.desk.ended(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
+    assert source.desk.finish_call(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
 
 
 def test_names_by_which_responses_vary_accumulate() -> None:
     source = ReadSource()
     source.ask(0.0, "a", agent=b"x")
     source.ask(0.0, "b", agent=b"x")
-    assert source.desk.ended(0.1, 1, frozenset({AGENT}), 100) == [Deliver(1), Deliver(2)]
+    assert source.desk.finish_call(0.1, 1, frozenset({AGENT}), 100) == [Deliver(1), Deliver(2)]
     source.ask(0.1, "a", agent=b"x")
     source.ask(0.1, "b", agent=b"x")
     source.ask(0.1, "a", agent=b"y")
-    assert source.desk.ended(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), StartCall(4, 4, 9.0)]
+    assert source.desk.finish_call(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), StartCall(4, 4, 9.0)]
     assert source.ask(0.25, "b", agent=b"x") == [] and source.ask(0.25, "b", agent=b"y") == [StartCall(5, 7, 9.0)]
 
 
@@ -218,7 +218,7 @@
     source = ReadSource()
     for deadline in (9.0, 8.0, 7.0):
         source.ask(0.0, deadline=deadline)
-    assert source.desk.ended(0.1, 1, SHARED_BY_ALL, 1) == [Deliver(3), CallSeparately(2), CallSeparately(1)]
+    assert source.desk.finish_call(0.1, 1, SHARED_BY_ALL, 1) == [Deliver(3), CallSeparately(2), CallSeparately(1)]
 
 
 # ---- bounds of what callers can make grow --------------------------------------------------------
@@ -229,7 +229,7 @@
     for n in range(MAX_VARY_KEYS + 10):
         [start] = source.ask(0.0, key=f"k{n}")
         assert isinstance(start, StartCall)
-        source.desk.ended(0.1, start.flight, NOT_SHARED, 1)
+        source.desk.finish_call(0.1, start.flight, NOT_SHARED, 1)
     assert len(source.desk._vary_names) == MAX_VARY_KEYS
     assert isinstance(source.ask(0.2, key="k0")[0], StartCall) and isinstance(
         source.ask(0.2, key="k20")[0], CallSeparately
@@ -388,7 +388,7 @@
                 for n in call.members
                 if all(self.reads[n].selecting_values.get(a) == flight.selecting_values.get(a) for a in vary_names)
             }
-        actions = self.desk.ended(self.now, number, vary_names, max_recipients)
+        actions = self.desk.finish_call(self.now, number, vary_names, max_recipients)
         response_count = sum(isinstance(action, Deliver) for action in actions)
         assert response_count <= max(max_recipients, 1)
         self.apply(actions, recipients)
@@ -418,7 +418,7 @@
         """End every call: no state may be left."""
         for number in sorted(self.calls):
             call = self.calls.pop(number)
-            self.apply(self.desk.ended(self.now, number, SHARED_BY_ALL, 100), call.members.copy())
+            self.apply(self.desk.finish_call(self.now, number, SHARED_BY_ALL, 100), call.members.copy())
         assert not self.reads and not self.desk.members and not self.desk.waiting and not self.desk._open
 
 
