--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -214,7 +214,7 @@
 
     def reject_call(self, number: int, write: Write) -> None:
         """Pass on the rejection of a shared call, of which no attempt was made."""
-        self._carry_out(self.desk.refused(self._loop.time(), number), write)
+        self._carry_out(self.desk.reject_call(self._loop.time(), number), write)
         self._shared_calls.pop(number, None)
 
     def take_streaming_request(self, number: int) -> WaitingRequest | None:
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -133,7 +133,7 @@
         self._calls.pop(flight, None)
         now = self._world.clock.now
         actions = (
-            self.desk.refused(now, flight)
+            self.desk.reject_call(now, flight)
             if how == TURNED
             else self.desk.finish_call(now, flight, SHARED_BY_ALL, 1 << 20)
         )
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -357,7 +357,7 @@
             self._vary_names.popitem(last=False)
         return both
 
-    def refused(self, now: float, number: int) -> list[Action]:
+    def reject_call(self, now: float, number: int) -> list[Action]:
         """End a flight whose call was rejected before any attempt; the rejection is sent to its tenant's members only.
 
         Guards tenants against one that is over its share, whose rejections must not reach the others. The call is
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -124,7 +124,7 @@
     assert source.desk.remove_read(1) == [] and source.desk.remove_read(1) == []
     assert source.desk.remove_read(2) == [CancelCall(1)]
     assert source.ask(0.0) == [StartCall(2, 3, 9.0)]  # A cancelled call is not joined.
-    assert source.desk.finish_call(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.refused(0.1, 1) == []
+    assert source.desk.finish_call(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.reject_call(0.1, 1) == []
 
 
 def test_a_response_for_one_caller_goes_to_the_leader_and_equal_reads_stay_separate_for_a_while() -> None:
@@ -177,10 +177,10 @@
     source = ReadSource()
     for tenant in ("a", "b", "a", "c", "b"):
         source.ask(0.0, tenant)
-    assert source.desk.refused(0.1, 1) == [Deliver(1), Deliver(3), StartCall(2, 2, 9.0)]
+    assert source.desk.reject_call(0.1, 1) == [Deliver(1), Deliver(3), StartCall(2, 2, 9.0)]
     source.ask(0.15, "a")  # joins the call for tenant b
-    assert source.desk.refused(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), StartCall(3, 4, 9.0)]
-    assert source.desk.refused(0.3, 3) == [Deliver(4)]
+    assert source.desk.reject_call(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), StartCall(3, 4, 9.0)]
+    assert source.desk.reject_call(0.3, 3) == [Deliver(4)]
 
 
 def test_a_full_desk_rejects_the_newest_read_of_the_tenant_with_the_most_waiting_reads() -> None:
@@ -400,7 +400,9 @@
         call = self.calls.pop(number)
         flight = self.desk.flights[number]
         rejected = flight.rejected_tenants | {flight.tenant}
-        self.apply(self.desk.refused(self.now, number), {n for n in call.members if self.reads[n].tenant in rejected})
+        self.apply(
+            self.desk.reject_call(self.now, number), {n for n in call.members if self.reads[n].tenant in rejected}
+        )
 
     # ---- invariants ------------------------------------------------------------------------------
 
