--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -220,7 +220,7 @@
     def take_streaming_request(self, number: int) -> WaitingRequest | None:
         """Return the request that a streamed answer goes to, if it still waits; the others leave the call."""
         self._shared_calls.pop(number, None)
-        actions = self.desk.parted(self._loop.time(), number)
+        actions = self.desk.finish_call_as_stream(self._loop.time(), number)
         kept = [action for action in actions if isinstance(action, Deliver)]
         self._carry_out([action for action in actions if not isinstance(action, Deliver)])
         return self._waiting.pop(kept[0].member) if kept else None
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -375,7 +375,7 @@
             out.append(self._start(now, flight.key, flight.base_key, rest, rejected_tenants))
         return out
 
-    def parted(self, now: float, number: int) -> list[Action]:
+    def finish_call_as_stream(self, now: float, number: int) -> list[Action]:
         """End a flight whose response is a stream: it belongs to the leader, and equal reads get separate calls."""
         return self.finish_call(now, number, NOT_SHARED, 1)
 
