--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -167,7 +167,7 @@
 
     def tune(self, max_waiting: int, memory_limit_bytes: int) -> None:
         """Set how many reads may wait for others' calls, and the memory limit that copies of answers share."""
-        self.desk.most = max_waiting
+        self.desk.max_waiting = max_waiting
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
     def coalesce(
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -114,10 +114,10 @@
 
 
 class Desk:
-    """All flights of a daemon. At most `most` reads may wait at once for calls that were started for others."""
+    """All flights of a daemon. At most `max_waiting` reads may wait at once for calls that were started for others."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_waiting: int) -> None:
+        self.max_waiting = max_waiting
         self.flights: dict[int, Flight] = {}
         self.members: dict[int, Member] = {}
         self.waiting: dict[str, dict[int, None]] = {}  # members that joined a flight, by tenant, the oldest first
@@ -153,7 +153,7 @@
                 self._start(now, full_key, key, [Member(number, tenant, deadline, selecting_values, _NO_FLIGHT, False)])
             ]
         out: list[Action] = []
-        if self.joined >= self.most and not self._make_room(tenant, out):
+        if self.joined >= self.max_waiting and not self._make_room(tenant, out):
             return [Reject(number)]
         if flight.number not in self.flights:
             # Guards the new read: the member that made room was the last of this flight, whose call was cancelled.
