--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -121,7 +121,7 @@
         self.flights: dict[int, Flight] = {}
         self.members: dict[int, Member] = {}
         self.waiting: dict[str, dict[int, None]] = {}  # members that joined a flight, by tenant, the oldest first
-        self.joined = 0  # the number of members in `waiting`
+        self.waiting_count = 0  # the number of members in `waiting`
         self._open: dict[Hashable, Flight] = {}  # the latest flight of each key
         # By key without the variant: when the names by which its responses vary were learned, and the names.
         self._vary_names: OrderedDict[Hashable, tuple[float, VaryNames]] = OrderedDict()
@@ -153,7 +153,7 @@
                 self._start(now, full_key, key, [Member(number, tenant, deadline, selecting_values, _NO_FLIGHT, False)])
             ]
         out: list[Action] = []
-        if self.joined >= self.max_waiting and not self._make_room(tenant, out):
+        if self.waiting_count >= self.max_waiting and not self._make_room(tenant, out):
             return [Reject(number)]
         if flight.number not in self.flights:
             # Guards the new read: the member that made room was the last of this flight, whose call was cancelled.
@@ -165,7 +165,7 @@
             ]
         member = Member(number, tenant, deadline, selecting_values, flight, True)
         self.waiting.setdefault(tenant, {})[number] = None
-        self.joined += 1
+        self.waiting_count += 1
         self._add_member(flight, member)
         if deadline > flight.deadline:
             self._extend_deadline(flight, deadline)
@@ -272,7 +272,7 @@
         member = self.members.pop(number)
         member.flight.members.pop(number, None)
         if member.has_joined:
-            self.joined -= 1
+            self.waiting_count -= 1
             waiting_of_tenant = self.waiting[member.tenant]
             del waiting_of_tenant[number]
             if not waiting_of_tenant:  # Guards memory against an unbounded number of tenants.
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -43,7 +43,9 @@
             await until(lambda: up.in_hand() == 0)
             desk = up.daemon.coalescer.desk
             await until(lambda: not up.daemon.coalescer._waiting)
-            assert not desk.members and not desk.flights and not desk._open and not desk.waiting and not desk.joined
+            assert (
+                not desk.members and not desk.flights and not desk._open and not desk.waiting and not desk.waiting_count
+            )
             assert not up.daemon.coalescer._shared_calls and up.daemon._places.held_by("a") == 0
 
     asyncio.run(run())
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -60,7 +60,7 @@
     assert source.ask(0.0) == [StartCall(1, 1, 9.0)]
     assert [source.ask(0.01 * n) for n in range(1, 4)] == [[], [], []]
     assert source.desk.finish_call(0.2, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2), Deliver(3), Deliver(4)]
-    assert not source.desk.members and not source.desk.flights and not source.desk.joined
+    assert not source.desk.members and not source.desk.flights and not source.desk.waiting_count
     assert source.ask(0.2) == [StartCall(2, 5, 9.0)]  # no response is stored
 
 
@@ -192,7 +192,7 @@
     assert source.ask(0.0, "b") == [Reject(7)]  # two and one: another place would only reverse that
     assert source.ask(0.0, "c") == [Reject(3)]
     assert source.ask(0.0, "c", key="l") == [StartCall(2, 9, 9.0)]  # A read that starts a call needs no place.
-    assert source.desk.joined == 3 and {name: len(own) for name, own in source.desk.waiting.items()} == {
+    assert source.desk.waiting_count == 3 and {name: len(own) for name, own in source.desk.waiting.items()} == {
         "a": 1,
         "b": 1,
         "c": 1,
@@ -414,7 +414,7 @@
             assert set(flight.members) == call.members and call.members
             assert flight.deadline == call.deadline
             assert all(self.reads[n].deadline <= flight.deadline for n in call.members)
-        assert self.desk.joined == sum(map(len, self.desk.waiting.values())) <= MAX_WAITING
+        assert self.desk.waiting_count == sum(map(len, self.desk.waiting.values())) <= MAX_WAITING
 
     def teardown(self) -> None:
         """End every call: no state may be left."""
