--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -101,7 +101,7 @@
         actions = self.desk.add_read(now, number, read.hotel, self._within, tenant, read.deadline, {})
         member = self.desk.members.get(number)
         if member is not None:
-            read.age = now - member.flight.began
+            read.age = now - member.flight.started_at
         self._perform(actions)
 
     def _perform(self, actions: list[Action], how: str = "") -> None:
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -104,7 +104,7 @@
     number: int
     key: Hashable  # what its members have in common, including the variant
     base_key: Hashable  # what its members have in common, without the variant
-    began: float  # in seconds of the caller's clock
+    started_at: float  # in seconds of the caller's clock
     tenant: str  # of the leader, under which the call is made
     selecting_values: Mapping[bytes, bytes]  # of the leader
     leader: int  # the member whose request the call is made with; it may have left
@@ -190,7 +190,7 @@
         without a name.
         """
         last_write = max(self._last_writes.get(tenant, float("-inf")), self._last_writes.get("", float("-inf")))
-        return now - flight.began <= max_age and flight.began > (last_write if tenant else self._last_write)
+        return now - flight.started_at <= max_age and flight.started_at > (last_write if tenant else self._last_write)
 
     def _make_room(self, tenant: str, out: list[Action]) -> bool:
         """Reject the newest read of the tenant with the most waiting reads, to make room for a read of `tenant`.
