--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -1,4 +1,4 @@
-"""Request coalescing of the daemon: carries out the desk's actions on callers, clusters and timers."""
+"""Request coalescing of the daemon: carries out the actions of the flight table on callers, clusters and timers."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     CallSeparately,
     CancelCall,
     Deliver,
-    Desk,
     Expire,
     ExtendDeadline,
+    FlightTable,
     Reject,
     StartCall,
 )
@@ -154,7 +154,7 @@
     def __init__(self, submit: Submit) -> None:
         self._submit = submit
         self._loop = asyncio.get_running_loop()
-        self.desk = Desk(0)
+        self.desk = FlightTable(0)
         self._max_copied_bytes = 0  # in all copies of one answer together
         self._waiting: dict[int, WaitingRequest] = {}
         self._shared_calls: dict[int, SharedCall] = {}
@@ -225,7 +225,7 @@
         self._carry_out([action for action in actions if not isinstance(action, Deliver)])
         return self._waiting.pop(kept[0].member) if kept else None
 
-    # ---- the desk's actions ----------------------------------------------------------------------
+    # ---- actions of the flight table -------------------------------------------------------------
 
     def _carry_out(self, actions: list[Action], write: Write | None = None) -> None:
         """Carry out actions one after another; those that follow from one come after all earlier ones."""
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,16 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, CallSeparately, CancelCall, Deliver, Desk, Expire, ExtendDeadline, StartCall
+from lugspur.joining.desk import (
+    Action,
+    CallSeparately,
+    CancelCall,
+    Deliver,
+    Expire,
+    ExtendDeadline,
+    FlightTable,
+    StartCall,
+)
 from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
@@ -84,11 +93,11 @@
 
 
 class Joined:
-    """The desk's way."""
+    """The way of the flight table."""
 
     def __init__(self, world: World, within: float) -> None:
         self._world, self._within = world, within
-        self.desk = Desk(1 << 20)
+        self.desk = FlightTable(1 << 20)
         self._reads: dict[int, Read] = {}
         self._calls: dict[int, str] = {}
         self._count = 0
--- a/lugspur/joining/desk.py
+++ b/lugspur/joining/desk.py
@@ -113,7 +113,7 @@
     rejected_tenants: frozenset[str] = frozenset()  # under which the call was rejected before
 
 
-class Desk:
+class FlightTable:
     """All flights of a daemon. At most `max_waiting` reads may wait at once for calls that were started for others."""
 
     def __init__(self, max_waiting: int) -> None:
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_desk.py
@@ -19,9 +19,9 @@
     CallSeparately,
     CancelCall,
     Deliver,
-    Desk,
     Expire,
     ExtendDeadline,
+    FlightTable,
     Reject,
     StartCall,
 )
@@ -39,10 +39,10 @@
 
 
 class ReadSource:
-    """A desk and the numbered reads that are added to it."""
+    """A flight table and the numbered reads that are added to it."""
 
     def __init__(self, most: int = 100) -> None:
-        self.desk = Desk(most)
+        self.desk = FlightTable(most)
         self.count = 0
 
     def ask(
@@ -183,7 +183,7 @@
     assert source.desk.reject_call(0.3, 3) == [Deliver(4)]
 
 
-def test_a_full_desk_rejects_the_newest_read_of_the_tenant_with_the_most_waiting_reads() -> None:
+def test_a_full_flight_table_rejects_the_newest_read_of_the_tenant_with_the_most_waiting_reads() -> None:
     source = ReadSource(3)
     source.ask(0.0, "a")
     for _ in range(3):
@@ -208,7 +208,7 @@
     assert source.desk.remove_read(5) == [CancelCall(3)] and not source.desk.waiting.get("b")
 
 
-def test_a_desk_without_places_lets_no_read_join() -> None:
+def test_a_flight_table_without_places_lets_no_read_join() -> None:
     source = ReadSource(0)
     source.ask(0.0)
     assert source.ask(0.0) == [Reject(2)]
@@ -248,7 +248,7 @@
 
 
 def test_writers_are_bounded() -> None:
-    desk = Desk(1)
+    desk = FlightTable(1)
     for n in range(3 * MAX_WRITERS):
         desk.record_write(n * 0.1, f"t{n}")
     assert len(desk._last_writes) <= MAX_WRITERS + 1
@@ -277,13 +277,13 @@
     members: set[int] = field(default_factory=set)
 
 
-class DeskMachine(RuleBasedStateMachine):
+class FlightTableMachine(RuleBasedStateMachine):
     """Reads, disconnects, writes, ends of calls and passing time in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now, self.count = 0.0, 0
-        self.desk = Desk(MAX_WAITING)
+        self.desk = FlightTable(MAX_WAITING)
         self.reads: dict[int, Read] = {}  # the reads that wait
         self.calls: dict[int, Call] = {}
         self.wrote: dict[str, float] = {}
@@ -299,7 +299,7 @@
             call.members.discard(number)
 
     def apply(self, actions: list[Action], recipients: Collection[int] = ()) -> None:
-        """Apply the desk's actions to the model; only `recipients` may get the response that has just come."""
+        """Apply actions of the flight table to the model; only `recipients` may get the response that has just come."""
         for action in actions:
             if isinstance(action, StartCall):
                 call = self.calls[action.flight] = Call(action.member, self.now, action.deadline)
@@ -407,7 +407,7 @@
     # ---- invariants ------------------------------------------------------------------------------
 
     @invariant()
-    def the_desk_agrees_with_the_model(self) -> None:
+    def the_flight_table_agrees_with_the_model(self) -> None:
         assert set(self.desk.members) == set(self.reads) and set(self.desk.flights) == set(self.calls)
         for number, call in self.calls.items():
             flight = self.desk.flights[number]
@@ -424,5 +424,7 @@
         assert not self.reads and not self.desk.members and not self.desk.waiting and not self.desk._open
 
 
-DeskMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None, print_blob=True)
-TestDeskMachine = DeskMachine.TestCase
+FlightTableMachine.TestCase.settings = settings(
+    max_examples=150, stateful_step_count=40, deadline=None, print_blob=True
+)
+TestFlightTableMachine = FlightTableMachine.TestCase
