--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,7 +10,7 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import (
+from lugspur.joining.flight_table import (
     Action,
     CallSeparately,
     CancelCall,
@@ -154,7 +154,7 @@
     def __init__(self, submit: Submit) -> None:
         self._submit = submit
         self._loop = asyncio.get_running_loop()
-        self.desk = FlightTable(0)
+        self.flight_table = FlightTable(0)
         self._max_copied_bytes = 0  # in all copies of one answer together
         self._waiting: dict[int, WaitingRequest] = {}
         self._shared_calls: dict[int, SharedCall] = {}
@@ -167,7 +167,7 @@
 
     def tune(self, max_waiting: int, memory_limit_bytes: int) -> None:
         """Set how many reads may wait for others' calls, and the memory limit that copies of answers share."""
-        self.desk.max_waiting = max_waiting
+        self.flight_table.max_waiting = max_waiting
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
     def coalesce(
@@ -185,7 +185,7 @@
         waiting = self._waiting[self._request_count] = WaitingRequest(self._request_count, context, caller)
         caller.gone = lambda: self._caller_disconnected(waiting)
         self._carry_out(
-            self.desk.add_read(
+            self.flight_table.add_read(
                 self._loop.time(),
                 waiting.number,
                 key,
@@ -198,29 +198,29 @@
 
     def record_write(self, tenant: str) -> None:
         """Record that a request that may have changed something was answered: later reads get no older answer."""
-        self.desk.record_write(self._loop.time(), _tenant_key(tenant))
+        self.flight_table.record_write(self._loop.time(), _tenant_key(tenant))
 
     def _caller_disconnected(self, waiting: WaitingRequest) -> None:
         if self._waiting.pop(waiting.number, None) is not None:
-            self._carry_out(self.desk.remove_read(waiting.number))
+            self._carry_out(self.flight_table.remove_read(waiting.number))
 
     # ---- events of shared calls -----------------------------------------------------------------------
 
     def finish_call(self, number: int, among: frozenset[bytes] | None, size: int, write: Write) -> None:
         """Deliver the answer of a shared call, with a body of `size` bytes, to the requests that may have it."""
         most = max(1, self._max_copied_bytes // max(1, size))
-        self._carry_out(self.desk.finish_call(self._loop.time(), number, among, most), write)
+        self._carry_out(self.flight_table.finish_call(self._loop.time(), number, among, most), write)
         self._shared_calls.pop(number, None)
 
     def reject_call(self, number: int, write: Write) -> None:
         """Pass on the rejection of a shared call, of which no attempt was made."""
-        self._carry_out(self.desk.reject_call(self._loop.time(), number), write)
+        self._carry_out(self.flight_table.reject_call(self._loop.time(), number), write)
         self._shared_calls.pop(number, None)
 
     def take_streaming_request(self, number: int) -> WaitingRequest | None:
         """Return the request that a streamed answer goes to, if it still waits; the others leave the call."""
         self._shared_calls.pop(number, None)
-        actions = self.desk.finish_call_as_stream(self._loop.time(), number)
+        actions = self.flight_table.finish_call_as_stream(self._loop.time(), number)
         kept = [action for action in actions if isinstance(action, Deliver)]
         self._carry_out([action for action in actions if not isinstance(action, Deliver)])
         return self._waiting.pop(kept[0].member) if kept else None
@@ -280,7 +280,7 @@
 
     def _schedule_timer(self) -> None:
         """Set the timer to the next request whose deadline is before its shared call's."""
-        due = self.desk.next_deadline()
+        due = self.flight_table.next_deadline()
         if self._timer is not None:
             if due is not None and self._timer.when() <= due:
                 return
@@ -289,7 +289,7 @@
 
     def _run_due(self) -> None:
         self._timer = None
-        self._carry_out(self.desk.expire(self._loop.time()))
+        self._carry_out(self.flight_table.expire(self._loop.time()))
 
     # ---- answers -----------------------------------------------------------------------------------
 
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,7 +16,7 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import (
+from lugspur.joining.flight_table import (
     Action,
     CallSeparately,
     CancelCall,
@@ -97,7 +97,7 @@
 
     def __init__(self, world: World, within: float) -> None:
         self._world, self._within = world, within
-        self.desk = FlightTable(1 << 20)
+        self.flight_table = FlightTable(1 << 20)
         self._reads: dict[int, Read] = {}
         self._calls: dict[int, str] = {}
         self._count = 0
@@ -107,8 +107,8 @@
         number = self._count
         self._reads[number] = read
         now, tenant = self._world.clock.now, str(read.tenant)
-        actions = self.desk.add_read(now, number, read.hotel, self._within, tenant, read.deadline, {})
-        member = self.desk.members.get(number)
+        actions = self.flight_table.add_read(now, number, read.hotel, self._within, tenant, read.deadline, {})
+        member = self.flight_table.members.get(number)
         if member is not None:
             read.age = now - member.flight.started_at
         self._perform(actions)
@@ -118,7 +118,7 @@
             if isinstance(action, StartCall):
                 read, flight = self._reads[action.member], action.flight
                 rid = self._world.call(0, read.tenant, action.deadline, partial(self._landed, flight))
-                if flight in self.desk.flights:
+                if flight in self.flight_table.flights:
                     self._calls[flight] = rid
             elif isinstance(action, ExtendDeadline):
                 self._world.extend(self._calls[action.flight], action.deadline)
@@ -129,12 +129,12 @@
             else:
                 ways = {Deliver: how, Expire: LATE}
                 _end(self._world, self._reads.pop(action.member), ways.get(type(action), TURNED))
-        due = self.desk.next_deadline()
+        due = self.flight_table.next_deadline()
         if due is not None:
             self._world.clock.at(due, self._due)
 
     def _due(self) -> None:
-        actions = self.desk.expire(self._world.clock.now)
+        actions = self.flight_table.expire(self._world.clock.now)
         if actions:
             self._perform(actions)
 
@@ -142,9 +142,9 @@
         self._calls.pop(flight, None)
         now = self._world.clock.now
         actions = (
-            self.desk.reject_call(now, flight)
+            self.flight_table.reject_call(now, flight)
             if how == TURNED
-            else self.desk.finish_call(now, flight, SHARED_BY_ALL, 1 << 20)
+            else self.flight_table.finish_call(now, flight, SHARED_BY_ALL, 1 << 20)
         )
         self._perform(actions, how)
 
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -41,10 +41,14 @@
         async with backend(lambda _: script) as one, served(pool("a", one.address, more=of_pool) + text, head) as up:
             await body(up, one)
             await until(lambda: up.in_hand() == 0)
-            desk = up.daemon.coalescer.desk
+            flight_table = up.daemon.coalescer.flight_table
             await until(lambda: not up.daemon.coalescer._waiting)
             assert (
-                not desk.members and not desk.flights and not desk._open and not desk.waiting and not desk.waiting_count
+                not flight_table.members
+                and not flight_table.flights
+                and not flight_table._open
+                and not flight_table.waiting
+                and not flight_table.waiting_count
             )
             assert not up.daemon.coalescer._shared_calls and up.daemon._places.held_by("a") == 0
 
--- a/tests/joining/test_desk.py
+++ b/tests/joining/test_flight_table.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lugspur.joining.desk import (
+from lugspur.joining.flight_table import (
     MAX_VARY_KEYS,
     MAX_WRITERS,
     SPARE_DEADLINES,
@@ -42,14 +42,16 @@
     """A flight table and the numbered reads that are added to it."""
 
     def __init__(self, most: int = 100) -> None:
-        self.desk = FlightTable(most)
+        self.flight_table = FlightTable(most)
         self.count = 0
 
     def ask(
         self, now: float, tenant: str = "a", deadline: float = 9.0, agent: bytes = b"", key: str = "k"
     ) -> list[Action]:
         self.count += 1
-        return self.desk.add_read(now, self.count, key, MAX_AGE, tenant, deadline, selecting_values(tenant, agent))
+        return self.flight_table.add_read(
+            now, self.count, key, MAX_AGE, tenant, deadline, selecting_values(tenant, agent)
+        )
 
 
 # ---- one at a time -------------------------------------------------------------------------------
@@ -59,8 +61,13 @@
     source = ReadSource()
     assert source.ask(0.0) == [StartCall(1, 1, 9.0)]
     assert [source.ask(0.01 * n) for n in range(1, 4)] == [[], [], []]
-    assert source.desk.finish_call(0.2, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2), Deliver(3), Deliver(4)]
-    assert not source.desk.members and not source.desk.flights and not source.desk.waiting_count
+    assert source.flight_table.finish_call(0.2, 1, SHARED_BY_ALL, 100) == [
+        Deliver(1),
+        Deliver(2),
+        Deliver(3),
+        Deliver(4),
+    ]
+    assert not source.flight_table.members and not source.flight_table.flights and not source.flight_table.waiting_count
     assert source.ask(0.2) == [StartCall(2, 5, 9.0)]  # no response is stored
 
 
@@ -74,9 +81,9 @@
     source.ask(0.0)
     assert source.ask(MAX_AGE) == [] and source.ask(MAX_AGE + 0.01) == [StartCall(2, 3, 9.0)]
     assert source.ask(MAX_AGE + 0.02) == []  # joins the later call
-    assert source.desk.finish_call(0.3, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2)]
+    assert source.flight_table.finish_call(0.3, 1, SHARED_BY_ALL, 100) == [Deliver(1), Deliver(2)]
     assert source.ask(0.15) == []  # The later call can still be joined after the end of the earlier one.
-    assert source.desk.finish_call(0.3, 2, SHARED_BY_ALL, 100) == [Deliver(3), Deliver(4), Deliver(5)]
+    assert source.flight_table.finish_call(0.3, 2, SHARED_BY_ALL, 100) == [Deliver(3), Deliver(4), Deliver(5)]
 
 
 @pytest.mark.parametrize(
@@ -93,7 +100,7 @@
 ) -> None:
     source = ReadSource()
     source.ask(0.0, "c")
-    source.desk.record_write(0.01, writer)
+    source.flight_table.record_write(0.01, writer)
     assert (source.ask(0.02, reader) == []) is joins
     source.ask(0.03, "c", key="l")  # starts a call after the write
     assert source.ask(0.04, reader, key="l") == []
@@ -102,36 +109,43 @@
 def test_a_read_at_the_instant_of_a_write_does_not_join_a_call_that_started_then() -> None:
     source = ReadSource()
     source.ask(0.0)
-    source.desk.record_write(0.0, "a")
+    source.flight_table.record_write(0.0, "a")
     assert source.ask(0.0) == [StartCall(2, 2, 9.0)]
 
 
 def test_each_member_keeps_its_own_deadline() -> None:
     source = ReadSource()
     assert source.ask(0.0, deadline=1.0) == [StartCall(1, 1, 1.0)]
-    assert source.desk.next_deadline() is None  # the call ends at this deadline itself
+    assert source.flight_table.next_deadline() is None  # the call ends at this deadline itself
     assert source.ask(0.0, deadline=5.0) == [ExtendDeadline(1, 5.0)] and source.ask(0.0, deadline=3.0) == []
-    assert source.desk.next_deadline() == 1.0 and source.desk.expire(0.99) == []
-    assert source.desk.expire(3.0) == [Expire(1), Expire(3)]
-    assert source.desk.next_deadline() is None
-    assert source.desk.finish_call(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
+    assert source.flight_table.next_deadline() == 1.0 and source.flight_table.expire(0.99) == []
+    assert source.flight_table.expire(3.0) == [Expire(1), Expire(3)]
+    assert source.flight_table.next_deadline() is None
+    assert source.flight_table.finish_call(4.0, 1, SHARED_BY_ALL, 100) == [Deliver(2)]
 
 
 def test_a_call_goes_on_when_its_leader_leaves() -> None:
     source = ReadSource()
     source.ask(0.0)
     source.ask(0.0)
-    assert source.desk.remove_read(1) == [] and source.desk.remove_read(1) == []
-    assert source.desk.remove_read(2) == [CancelCall(1)]
+    assert source.flight_table.remove_read(1) == [] and source.flight_table.remove_read(1) == []
+    assert source.flight_table.remove_read(2) == [CancelCall(1)]
     assert source.ask(0.0) == [StartCall(2, 3, 9.0)]  # A cancelled call is not joined.
-    assert source.desk.finish_call(0.1, 1, SHARED_BY_ALL, 100) == [] and source.desk.reject_call(0.1, 1) == []
+    assert (
+        source.flight_table.finish_call(0.1, 1, SHARED_BY_ALL, 100) == []
+        and source.flight_table.reject_call(0.1, 1) == []
+    )
 
 
 def test_a_response_for_one_caller_goes_to_the_leader_and_equal_reads_stay_separate_for_a_while() -> None:
     source = ReadSource()
     for _ in range(3):
         source.ask(0.0)
-    assert source.desk.finish_call(0.1, 1, NOT_SHARED, 100) == [Deliver(1), CallSeparately(2), CallSeparately(3)]
+    assert source.flight_table.finish_call(0.1, 1, NOT_SHARED, 100) == [
+        Deliver(1),
+        CallSeparately(2),
+        CallSeparately(3),
+    ]
     assert source.ask(0.1) == [CallSeparately(4)] and source.ask(VARY_LIFETIME_SECONDS + 0.09) == [CallSeparately(5)]
     assert source.ask(VARY_LIFETIME_SECONDS + 0.1) == [StartCall(2, 6, 9.0)]
 
@@ -140,15 +154,15 @@
     source = ReadSource()
     source.ask(0.0)
     source.ask(0.0)
-    source.desk.remove_read(1)
-    assert source.desk.finish_call(0.1, 1, NOT_SHARED, 100) == [CallSeparately(2)]
+    source.flight_table.remove_read(1)
+    assert source.flight_table.finish_call(0.1, 1, NOT_SHARED, 100) == [CallSeparately(2)]
 
 
 def test_members_of_other_variants_get_one_new_flight_for_each_variant() -> None:
     source = ReadSource()
     for agent, deadline in ((b"x", 9.0), (b"y", 3.0), (b"x", 9.0), (b"y", 4.0), (b"z", 9.0)):
         source.ask(0.0, agent=agent, deadline=deadline)
-    assert source.desk.finish_call(0.1, 1, frozenset({AGENT}), 100) == [
+    assert source.flight_table.finish_call(0.1, 1, frozenset({AGENT}), 100) == [
         Deliver(1),
         Deliver(3),
         StartCall(2, 4, 4.0),
@@ -157,19 +171,19 @@
     # The variation is known now: the read joins the flight of its variant.
     assert source.ask(0.11, agent=b"y", deadline=4.0) == []
     assert source.ask(0.11, agent=b"x") == [StartCall(4, 7, 9.0)]
-    assert source.desk.expire(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
-    assert source.desk.finish_call(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
+    assert source.flight_table.expire(3.0) == [Expire(2)]  # The leader of its flight has a later deadline.
+    assert source.flight_table.finish_call(3.1, 2, frozenset({AGENT}), 100) == [Deliver(4), Deliver(6)]
 
 
 def test_names_by_which_responses_vary_accumulate() -> None:
     source = ReadSource()
     source.ask(0.0, "a", agent=b"x")
     source.ask(0.0, "b", agent=b"x")
-    assert source.desk.finish_call(0.1, 1, frozenset({AGENT}), 100) == [Deliver(1), Deliver(2)]
+    assert source.flight_table.finish_call(0.1, 1, frozenset({AGENT}), 100) == [Deliver(1), Deliver(2)]
     source.ask(0.1, "a", agent=b"x")
     source.ask(0.1, "b", agent=b"x")
     source.ask(0.1, "a", agent=b"y")
-    assert source.desk.finish_call(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), StartCall(4, 4, 9.0)]
+    assert source.flight_table.finish_call(0.2, 2, frozenset({TENANT}), 100) == [Deliver(3), StartCall(4, 4, 9.0)]
     assert source.ask(0.25, "b", agent=b"x") == [] and source.ask(0.25, "b", agent=b"y") == [StartCall(5, 7, 9.0)]
 
 
@@ -177,10 +191,10 @@
     source = ReadSource()
     for tenant in ("a", "b", "a", "c", "b"):
         source.ask(0.0, tenant)
-    assert source.desk.reject_call(0.1, 1) == [Deliver(1), Deliver(3), StartCall(2, 2, 9.0)]
+    assert source.flight_table.reject_call(0.1, 1) == [Deliver(1), Deliver(3), StartCall(2, 2, 9.0)]
     source.ask(0.15, "a")  # joins the call for tenant b
-    assert source.desk.reject_call(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), StartCall(3, 4, 9.0)]
-    assert source.desk.reject_call(0.3, 3) == [Deliver(4)]
+    assert source.flight_table.reject_call(0.2, 2) == [Deliver(2), Deliver(5), Deliver(6), StartCall(3, 4, 9.0)]
+    assert source.flight_table.reject_call(0.3, 3) == [Deliver(4)]
 
 
 def test_a_full_flight_table_rejects_the_newest_read_of_the_tenant_with_the_most_waiting_reads() -> None:
@@ -192,7 +206,9 @@
     assert source.ask(0.0, "b") == [Reject(7)]  # two and one: another place would only reverse that
     assert source.ask(0.0, "c") == [Reject(3)]
     assert source.ask(0.0, "c", key="l") == [StartCall(2, 9, 9.0)]  # A read that starts a call needs no place.
-    assert source.desk.waiting_count == 3 and {name: len(own) for name, own in source.desk.waiting.items()} == {
+    assert source.flight_table.waiting_count == 3 and {
+        name: len(own) for name, own in source.flight_table.waiting.items()
+    } == {
         "a": 1,
         "b": 1,
         "c": 1,
@@ -203,9 +219,9 @@
     source = ReadSource(2)
     for key in ("k", "k", "l", "l"):
         source.ask(0.0, "a", key=key)
-    assert source.desk.remove_read(3) == []  # The leader has left: only the fourth read waits for this flight.
+    assert source.flight_table.remove_read(3) == []  # The leader has left: only the fourth read waits for this flight.
     assert source.ask(0.0, "b", key="l") == [Reject(4), CancelCall(2), StartCall(3, 5, 9.0)]
-    assert source.desk.remove_read(5) == [CancelCall(3)] and not source.desk.waiting.get("b")
+    assert source.flight_table.remove_read(5) == [CancelCall(3)] and not source.flight_table.waiting.get("b")
 
 
 def test_a_flight_table_without_places_lets_no_read_join() -> None:
@@ -218,7 +234,11 @@
     source = ReadSource()
     for deadline in (9.0, 8.0, 7.0):
         source.ask(0.0, deadline=deadline)
-    assert source.desk.finish_call(0.1, 1, SHARED_BY_ALL, 1) == [Deliver(3), CallSeparately(2), CallSeparately(1)]
+    assert source.flight_table.finish_call(0.1, 1, SHARED_BY_ALL, 1) == [
+        Deliver(3),
+        CallSeparately(2),
+        CallSeparately(1),
+    ]
 
 
 # ---- bounds of what callers can make grow --------------------------------------------------------
@@ -229,8 +249,8 @@
     for n in range(MAX_VARY_KEYS + 10):
         [start] = source.ask(0.0, key=f"k{n}")
         assert isinstance(start, StartCall)
-        source.desk.finish_call(0.1, start.flight, NOT_SHARED, 1)
-    assert len(source.desk._vary_names) == MAX_VARY_KEYS
+        source.flight_table.finish_call(0.1, start.flight, NOT_SHARED, 1)
+    assert len(source.flight_table._vary_names) == MAX_VARY_KEYS
     assert isinstance(source.ask(0.2, key="k0")[0], StartCall) and isinstance(
         source.ask(0.2, key="k20")[0], CallSeparately
     )
@@ -241,17 +261,17 @@
     source.ask(0.0, deadline=1e6)
     for _ in range(1000):
         source.ask(0.0, deadline=1e5)
-        source.desk.remove_read(source.count)
-    assert len(source.desk._deadlines) <= SPARE_DEADLINES + 2
+        source.flight_table.remove_read(source.count)
+    assert len(source.flight_table._deadlines) <= SPARE_DEADLINES + 2
     source.ask(0.0, deadline=7.0)
-    assert source.desk.next_deadline() == 7.0
+    assert source.flight_table.next_deadline() == 7.0
 
 
 def test_writers_are_bounded() -> None:
-    desk = FlightTable(1)
+    flight_table = FlightTable(1)
     for n in range(3 * MAX_WRITERS):
-        desk.record_write(n * 0.1, f"t{n}")
-    assert len(desk._last_writes) <= MAX_WRITERS + 1
+        flight_table.record_write(n * 0.1, f"t{n}")
+    assert len(flight_table._last_writes) <= MAX_WRITERS + 1
 
 
 # ---- random runs ---------------------------------------------------------------------------------
@@ -283,7 +303,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.count = 0.0, 0
-        self.desk = FlightTable(MAX_WAITING)
+        self.flight_table = FlightTable(MAX_WAITING)
         self.reads: dict[int, Read] = {}  # the reads that wait
         self.calls: dict[int, Call] = {}
         self.wrote: dict[str, float] = {}
@@ -303,7 +323,7 @@
         for action in actions:
             if isinstance(action, StartCall):
                 call = self.calls[action.flight] = Call(action.member, self.now, action.deadline)
-                call.members = {n for n, m in self.desk.members.items() if m.flight.number == action.flight}
+                call.members = {n for n, m in self.flight_table.members.items() if m.flight.number == action.flight}
                 assert action.member in call.members
                 assert action.deadline == max(self.reads[n].deadline for n in call.members)
                 assert len({self.reads[n].key for n in call.members}) == 1
@@ -330,9 +350,11 @@
         self.count += 1
         number = self.count
         read = self.reads[number] = Read(tenant, self.now + left, selecting_values(tenant, agent), key)
-        before = {name: len(own) for name, own in self.desk.waiting.items()}
-        actions = self.desk.add_read(self.now, number, key, MAX_AGE, tenant, read.deadline, read.selecting_values)
-        member = self.desk.members.get(number)
+        before = {name: len(own) for name, own in self.flight_table.waiting.items()}
+        actions = self.flight_table.add_read(
+            self.now, number, key, MAX_AGE, tenant, read.deadline, read.selecting_values
+        )
+        member = self.flight_table.members.get(number)
         if member is not None and member.flight.number in self.calls:  # The read has joined this flight.
             call = self.calls[member.flight.number]
             call.members.add(number)
@@ -351,12 +373,12 @@
     @rule(tenant=st.sampled_from(TENANTS))
     def write(self, tenant: str) -> None:
         self.wrote[tenant] = self.now
-        self.desk.record_write(self.now, tenant)
+        self.flight_table.record_write(self.now, tenant)
 
     @rule(step=st.sampled_from([0.001, 0.04, 0.11, 0.5]))
     def wait(self, step: float) -> None:
         self.now += step
-        self.apply(self.desk.expire(self.now))
+        self.apply(self.flight_table.expire(self.now))
         for call in list(self.calls.values()):
             for number in call.members:
                 assert self.reads[number].deadline > self.now or self.reads[number].deadline == call.deadline
@@ -366,7 +388,7 @@
     def leave(self, data: st.DataObject) -> None:
         number = data.draw(st.sampled_from(sorted(self.reads)))
         self.finish(number)
-        self.apply(self.desk.remove_read(number))
+        self.apply(self.flight_table.remove_read(number))
 
     @precondition(lambda self: self.calls)
     @rule(
@@ -379,7 +401,7 @@
     def end(self, data: st.DataObject, vary_names: VaryNames, max_recipients: int) -> None:
         number = data.draw(st.sampled_from(sorted(self.calls)))
         call = self.calls.pop(number)
-        flight = self.desk.flights[number]
+        flight = self.flight_table.flights[number]
         if vary_names is None:
             recipients = {call.leader}
         else:
@@ -388,7 +410,7 @@
                 for n in call.members
                 if all(self.reads[n].selecting_values.get(a) == flight.selecting_values.get(a) for a in vary_names)
             }
-        actions = self.desk.finish_call(self.now, number, vary_names, max_recipients)
+        actions = self.flight_table.finish_call(self.now, number, vary_names, max_recipients)
         response_count = sum(isinstance(action, Deliver) for action in actions)
         assert response_count <= max(max_recipients, 1)
         self.apply(actions, recipients)
@@ -398,30 +420,36 @@
     def refuse(self, data: st.DataObject) -> None:
         number = data.draw(st.sampled_from(sorted(self.calls)))
         call = self.calls.pop(number)
-        flight = self.desk.flights[number]
+        flight = self.flight_table.flights[number]
         rejected = flight.rejected_tenants | {flight.tenant}
         self.apply(
-            self.desk.reject_call(self.now, number), {n for n in call.members if self.reads[n].tenant in rejected}
+            self.flight_table.reject_call(self.now, number),
+            {n for n in call.members if self.reads[n].tenant in rejected},
         )
 
     # ---- invariants ------------------------------------------------------------------------------
 
     @invariant()
     def the_flight_table_agrees_with_the_model(self) -> None:
-        assert set(self.desk.members) == set(self.reads) and set(self.desk.flights) == set(self.calls)
+        assert set(self.flight_table.members) == set(self.reads) and set(self.flight_table.flights) == set(self.calls)
         for number, call in self.calls.items():
-            flight = self.desk.flights[number]
+            flight = self.flight_table.flights[number]
             assert set(flight.members) == call.members and call.members
             assert flight.deadline == call.deadline
             assert all(self.reads[n].deadline <= flight.deadline for n in call.members)
-        assert self.desk.waiting_count == sum(map(len, self.desk.waiting.values())) <= MAX_WAITING
+        assert self.flight_table.waiting_count == sum(map(len, self.flight_table.waiting.values())) <= MAX_WAITING
 
     def teardown(self) -> None:
         """End every call: no state may be left."""
         for number in sorted(self.calls):
             call = self.calls.pop(number)
-            self.apply(self.desk.finish_call(self.now, number, SHARED_BY_ALL, 100), call.members.copy())
-        assert not self.reads and not self.desk.members and not self.desk.waiting and not self.desk._open
+            self.apply(self.flight_table.finish_call(self.now, number, SHARED_BY_ALL, 100), call.members.copy())
+        assert (
+            not self.reads
+            and not self.flight_table.members
+            and not self.flight_table.waiting
+            and not self.flight_table._open
+        )
 
 
 FlightTableMachine.TestCase.settings = settings(
