--- a/lugspur/grpc/__init__.py
+++ b/lugspur/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""gRPC's own rules, without I/O: statuses, time-outs, messages, what has run, and the way to HTTP/1.1 and back."""
+"""The rules of gRPC, without I/O: statuses, timeouts, messages, ends of streams, and translation of HTTP/1.1."""
--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -1,10 +1,10 @@
-"""What has run: the one table of what the end of an HTTP/2 stream proves of the attempt on it.
+"""The outcome of an attempt whose HTTP/2 stream ended without a response, which tells whether the request may have run.
 
-Only what is certain counts. A gRPC handler may begin as soon as the headers have come, so that from the moment in
-which they go out nothing but these proves that it did not:
+Only certainty counts. A gRPC handler may start as soon as it has the headers, so that once they have been sent, only
+these prove that the request was not processed:
 
-* the box's REFUSED_STREAM, and a stream above the last id of its GOAWAY (RFC 9113 8.7, 6.8): it never ran;
-* a status UNAVAILABLE (or an HTTP 503 or 504) with `x-not-processed: 1`: it never ran.
+* the backend's REFUSED_STREAM, or a stream above the last id of its GOAWAY (RFC 9113 8.7, 6.8);
+* a status UNAVAILABLE (or an HTTP 503 or 504) with `x-not-processed: 1`.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 
 class End(Enum):
-    """How a stream to a box ended, other than by its answer."""
+    """How a stream to a backend ended, other than by a response."""
 
-    UNSENT = "its headers have not gone out: no connection came up, or its time was up first"
-    UNWANTED = "its headers have not gone out, and nobody wants it any more or the box gets nothing new"
-    FULL = "its headers have not gone out: the box allows no further stream"
+    UNSENT = "the headers were not sent: no connection was established, or the deadline passed before"
+    UNWANTED = "the headers were not sent: the request was cancelled, or the backend gets no new requests"
+    FULL = "the headers were not sent: the backend allows no further stream"
     REFUSED = "reset with REFUSED_STREAM"
-    ABOVE = "its id is above the last one of the box's GOAWAY"
-    RESET = "reset with anything else, also with CANCEL and NO_ERROR"
-    BROKEN = "its connection broke, or what came on it can't be read"
-    LATE = "its time was up after its headers had gone out"
+    ABOVE = "the id of the stream is above the last one of the backend's GOAWAY"
+    RESET = "reset with any other code, including CANCEL and NO_ERROR"
+    BROKEN = "the connection broke, or the data received on it is invalid"
+    LATE = "the deadline passed after the headers had been sent"
 
 
 PROVES: dict[End, Outcome] = {
@@ -32,7 +32,7 @@
     End.UNWANTED: Outcome.NOT_PROCESSED,
     End.FULL: Outcome.OVERLOADED,
     End.REFUSED: Outcome.OVERLOADED,
-    End.ABOVE: Outcome.NOT_PROCESSED,  # the box leaves in good order: nothing is wrong with it
+    End.ABOVE: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
     End.RESET: Outcome.INTERRUPTED,
     End.BROKEN: Outcome.INTERRUPTED,
     End.LATE: Outcome.TIMEOUT,
@@ -40,5 +40,5 @@
 
 
 def by_reset(refused: bool) -> End:
-    """How a stream ended that the box has reset."""
+    """Return how a stream ended that the backend has reset; `refused` tells whether with REFUSED_STREAM."""
     return End.REFUSED if refused else End.RESET
--- a/lugspur/grpc/health.py
+++ b/lugspur/grpc/health.py
@@ -1,10 +1,10 @@
-"""The standard health service's messages (grpc/health/v1/health.proto)."""
+"""The messages of the standard health service (grpc/health/v1/health.proto)."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-SERVICE_MOST = 256  # bytes of a service's name
+MAX_SERVICE_NAME_BYTES = 256
 
 
 class Serving(IntEnum):
@@ -17,30 +17,31 @@
 
 
 def read_service(message: bytes) -> str:
-    """The service that a HealthCheckRequest names; raises ValueError. Fields that are not known are passed over."""
+    """Return the service that a HealthCheckRequest names; raises ValueError. Unknown fields are skipped."""
     service, at = b"", 0
     while at < len(message):
         key, at = _varint(message, at)
-        kind = key & 7
-        if kind == 0:
+        wire_type = key & 7
+        if wire_type == 0:
             _, at = _varint(message, at)
-        elif kind in (1, 5):
-            at += 8 if kind == 1 else 4
-        elif kind == 2:
+        elif wire_type in (1, 5):
+            at += 8 if wire_type == 1 else 4
+        elif wire_type == 2:
             size, at = _varint(message, at)
             if key >> 3 == 1:
                 service = message[at : at + size]
             at += size
         else:
-            raise ValueError(f"a field of the unknown kind {kind}")
+            raise ValueError(f"a field of the unknown kind {wire_type}")
     if at != len(message):
         raise ValueError("the message is cut")
-    if len(service) > SERVICE_MOST:
-        raise ValueError(f"a service's name has {SERVICE_MOST} bytes at most")
+    if len(service) > MAX_SERVICE_NAME_BYTES:
+        raise ValueError(f"a service's name has {MAX_SERVICE_NAME_BYTES} bytes at most")
     return service.decode()
 
 
 def _varint(data: bytes, at: int) -> tuple[int, int]:
+    """Return the integer that begins at this offset, and the offset behind it; raises ValueError."""
     value = 0
     for shift in range(0, 70, 7):
         if at >= len(data):
@@ -54,5 +55,5 @@
 
 
 def write_serving(status: Serving) -> bytes:
-    """A HealthCheckResponse."""
+    """Return a HealthCheckResponse."""
     return b"\x08%c" % status if status else b""
--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -1,7 +1,7 @@
-"""The way between HTTP/1.1 and gRPC, with bodies that nobody here reads: one message is one body.
+"""Translation between HTTP/1.1 and gRPC: one message is one body, whose content is not read.
 
-Header lines are `b"Name: value\\r\\n"` as HTTP/1.1 has them, fields are pairs as HTTP/2 has them. docs/grpc.md tells
-what else was weighed.
+Header lines are `b"Name: value\\r\\n"` as in HTTP/1.1, and fields are pairs as in HTTP/2. Alternatives are discussed in
+docs/grpc.md.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from lugspur.grpc.messages import Spoilt, pack, unpack
 from lugspur.grpc.status import (
-    MESSAGE_MOST,
+    MAX_MESSAGE_BYTES,
     Status,
     decode_message,
     encode_message,
@@ -27,9 +27,11 @@
 Fields = list[tuple[bytes, bytes]]
 
 GRPC = b"application/grpc"
-NAMES = {b"proto": b"x-protobuf"}  # what a message format is called outside gRPC, where it is not the same
-FORMATS = {name: kind for kind, name in NAMES.items()}
-CONNECTION = frozenset(  # of one connection or one message's framing, and never passed on (RFC 9113 8.2.2)
+#: Subtypes of content types whose name in gRPC differs from that in HTTP/1.1.
+HTTP1_SUBTYPES = {b"proto": b"x-protobuf"}
+GRPC_SUBTYPES = {http1_subtype: grpc_subtype for grpc_subtype, http1_subtype in HTTP1_SUBTYPES.items()}
+#: Headers of one connection or of the framing of one message, which are never forwarded (RFC 9113 8.2.2).
+CONNECTION = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -45,143 +47,151 @@
         b"grpc-timeout",
     }
 )
-ANSWERED = frozenset({b"grpc-status", b"grpc-message", b"x-not-processed", b"x-server-load"})  # read here
-OURS = CONNECTION | {
+#: Headers and trailers of a response that the proxy interprets itself.
+INTERPRETED_HEADERS = frozenset({b"grpc-status", b"grpc-message", b"x-not-processed", b"x-server-load"})
+#: Headers that a translated message does not take from the original, but gets anew.
+REPLACED_HEADERS = CONNECTION | {
     b"content-type",
     b"content-encoding",
     b"grpc-encoding",
     b"accept-encoding",
     b"grpc-accept-encoding",
 }
-SECONDS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-NEVER = b"-1"  # a pushback that forbids to try again (gRFC A6)
-HARMLESS = (501, 503)  # say that nothing ran
+RETRY_AFTER_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+#: A `grpc-retry-pushback-ms` that forbids a retry (gRFC A6).
+NO_RETRY_PUSHBACK = b"-1"
+#: HTTP statuses from 500 on which say that the request was not processed.
+NOT_PROCESSED_STATUSES = (501, 503)
 
 
 def is_grpc(content_type: bytes) -> bool:
-    """Whether a content type is gRPC's: application/grpc, alone or with + or ; behind it."""
-    kind = content_type.lower()
-    return kind.startswith(GRPC) and kind[len(GRPC) : len(GRPC) + 1] in (b"", b"+", b";")
+    """Return whether a content type is that of gRPC: application/grpc, alone or followed by + or ;."""
+    lowered = content_type.lower()
+    return lowered.startswith(GRPC) and lowered[len(GRPC) : len(GRPC) + 1] in (b"", b"+", b";")
 
 
-def lines_of(fields: Iterable[tuple[bytes, bytes]], without: frozenset[bytes] = frozenset()) -> bytes:
-    """Fields as header lines; pseudo-headers and those named are left out."""
+def _header_lines(fields: Iterable[tuple[bytes, bytes]], without: frozenset[bytes] = frozenset()) -> bytes:
+    """Return fields as header lines, except pseudo-headers and those named in `without`."""
     return b"".join(b"%b: %b\r\n" % field for field in fields if field[0][:1] != b":" and field[0] not in without)
 
 
 def fields_of(lines: Iterable[bytes], without: frozenset[bytes] = CONNECTION) -> Fields:
-    """Header lines as fields."""
-    found: Fields = []
+    """Return header lines as fields, except those named in `without`."""
+    fields: Fields = []
     for line in b"".join(lines).split(b"\r\n"):
         name, _, value = line.partition(b":")
-        lower = name.lower()
-        if lower and lower not in without:
-            found.append((lower, value.strip()))
-    return found
+        lowered = name.lower()
+        if lowered and lowered not in without:
+            fields.append((lowered, value.strip()))
+    return fields
 
 
 # ---- requests ------------------------------------------------------------------------------------
 
 
 def request_fields(request: Request, left: float) -> Fields:
-    """The head of a request that came as gRPC, on its way to a gRPC box that is waited for so many seconds."""
-    came = fields_of(request.lines, CONNECTION - {b"host"})
+    """Return the header fields of a gRPC request for a gRPC backend, with `left` seconds until the deadline."""
+    received = fields_of(request.lines, CONNECTION - {b"host"})
     return [
-        *_pseudo(request.target, dict(came)),
+        *_pseudo_headers(request.target, dict(received)),
         (b"te", b"trailers"),
         (b"grpc-timeout", write_timeout(left)),
-        *(field for field in came if field[0] != b"host"),
+        *(field for field in received if field[0] != b"host"),
     ]
 
 
 def wrapped(request: Request, left: float) -> tuple[Fields, bytes]:
-    """An HTTP/1.1 request on its way to a gRPC box: its body is the one message.
+    """Translate an HTTP/1.1 request for a gRPC backend; returns the fields and the body, which is one message.
 
-    gRPC knows neither methods nor queries: they go along as metadata, and so does a content type of its own.
+    gRPC has neither methods nor queries: these are sent as metadata, and so is the original content type.
     """
     path, _, query = request.target.partition(b"?")
-    came = fields_of(request.lines, frozenset())
-    told = dict(came)
-    kind, encoding = told.get(b"content-type", b""), told.get(b"content-encoding", b"")
-    accepted = told.get(b"accept-encoding", b"")
-    fields = [field for field in came if field[0] not in OURS]
-    fields += [(b"te", b"trailers"), (b"grpc-timeout", write_timeout(left)), (b"content-type", _grpc_type(kind))]
+    received = fields_of(request.lines, frozenset())
+    headers = dict(received)
+    content_type, encoding = headers.get(b"content-type", b""), headers.get(b"content-encoding", b"")
+    accepted = headers.get(b"accept-encoding", b"")
+    fields = [field for field in received if field[0] not in REPLACED_HEADERS]
+    fields += [
+        (b"te", b"trailers"),
+        (b"grpc-timeout", write_timeout(left)),
+        (b"content-type", _grpc_content_type(content_type)),
+    ]
     for name, value in (
         (b"x-http-method", request.method),
         (b"x-http-query", query),
-        (b"x-http-content-type", kind),
+        (b"x-http-content-type", content_type),
         (b"grpc-encoding", encoding),
         (b"grpc-accept-encoding", accepted),
     ):
         if value:
             fields.append((name, value))
     compressed = bool(encoding) and encoding.lower() != b"identity"
-    return [*_pseudo(path, told), *fields], pack(request.body, compressed)
+    return [*_pseudo_headers(path, headers), *fields], pack(request.body, compressed)
 
 
 def unwrapped(request: Request) -> Request:
-    """A gRPC request of one message on its way to an HTTP/1.1 box: the message is the body. Raises Spoilt."""
+    """Translate a gRPC request of one message for an HTTP/1.1 backend: the message is the body. Raises Spoilt."""
     messages = unpack(request.body)
     if len(messages) != 1:
         raise Spoilt(f"{len(messages)} messages, where HTTP/1.1 has one body")
     [(compressed, body)] = messages
-    came = fields_of(request.lines, frozenset())
-    told = dict(came)
-    fields = [field for field in came if field[0] == b"host" or field[0] not in OURS]
-    fields.append((b"content-type", _plain_type(told.get(b"content-type", b""))))
+    received = fields_of(request.lines, frozenset())
+    headers = dict(received)
+    fields = [field for field in received if field[0] == b"host" or field[0] not in REPLACED_HEADERS]
+    fields.append((b"content-type", _http1_content_type(headers.get(b"content-type", b""))))
     if compressed:
-        fields.append((b"content-encoding", told.get(b"grpc-encoding", b"gzip")))
-    if b"grpc-accept-encoding" in told:
-        fields.append((b"accept-encoding", told[b"grpc-accept-encoding"]))
-    # Guards an HTTP/1.1 box that takes `_` for `-` and would read a name that was not checked here.
+        fields.append((b"content-encoding", headers.get(b"grpc-encoding", b"gzip")))
+    if b"grpc-accept-encoding" in headers:
+        fields.append((b"accept-encoding", headers[b"grpc-accept-encoding"]))
+    # Guards an HTTP/1.1 backend that takes `_` for `-`, and would read a header that was not checked here.
     lines = [b"%b: %b\r\n" % field for field in fields if b"_" not in field[0]]
     return replace(request, lines=lines, body=body, form=None)
 
 
-def _pseudo(path: bytes, told: dict[bytes, bytes]) -> Fields:
-    return [(b":method", b"POST"), (b":scheme", b"http"), (b":path", path), (b":authority", told.get(b"host", b""))]
+def _pseudo_headers(path: bytes, headers: dict[bytes, bytes]) -> Fields:
+    return [(b":method", b"POST"), (b":scheme", b"http"), (b":path", path), (b":authority", headers.get(b"host", b""))]
 
 
-def _grpc_type(kind: bytes) -> bytes:
-    """The gRPC content type that a plain one is told as."""
-    name = kind.lower().partition(b";")[0].strip()
-    if not name.startswith(b"application/"):
+def _grpc_content_type(http1_type: bytes) -> bytes:
+    """Return the gRPC content type that stands for one of HTTP/1.1."""
+    subtype = http1_type.lower().partition(b";")[0].strip()
+    if not subtype.startswith(b"application/"):
         return GRPC
-    name = name[len(b"application/") :]
-    return b"%b+%b" % (GRPC, FORMATS.get(name, name))
+    subtype = subtype[len(b"application/") :]
+    return b"%b+%b" % (GRPC, GRPC_SUBTYPES.get(subtype, subtype))
 
 
-def _plain_type(kind: bytes) -> bytes:
-    """The plain content type that a gRPC one is told as."""
-    name = kind.lower().partition(b";")[0].strip()[len(GRPC) + 1 :] or b"proto"
-    return b"application/%b" % NAMES.get(name, name)
+def _http1_content_type(grpc_type: bytes) -> bytes:
+    """Return the HTTP/1.1 content type that stands for one of gRPC."""
+    subtype = grpc_type.lower().partition(b";")[0].strip()[len(GRPC) + 1 :] or b"proto"
+    return b"application/%b" % HTTP1_SUBTYPES.get(subtype, subtype)
 
 
-# ---- answers -------------------------------------------------------------------------------------
+# ---- responses -----------------------------------------------------------------------------------
 
 
 def answer_head(head: Fields) -> bytes:
-    """The header lines of a gRPC answer, as they go on."""
-    return lines_of(head, CONNECTION | ANSWERED)
+    """Return the header lines of a gRPC response for a gRPC caller."""
+    return _header_lines(head, CONNECTION | INTERPRETED_HEADERS)
 
 
 def answer_tail(tail: Fields) -> bytes:
-    """The trailers of a gRPC answer, as they go on."""
-    return lines_of(tail, CONNECTION | {b"x-server-load", b"content-type"})
+    """Return the trailers of a gRPC response for a gRPC caller."""
+    return _header_lines(tail, CONNECTION | {b"x-server-load", b"content-type"})
 
 
 def plain_answer(head: Fields, tail: Fields, body: bytes) -> Response:
-    """A whole gRPC answer on its way to an HTTP/1.1 caller: its message is the body, or its text where it failed.
+    """Translate a complete gRPC response for an HTTP/1.1 caller: the body is its message, or its text if it failed.
 
-    Raises Spoilt where it was served with any other number of messages than one.
+    Raises Spoilt if it succeeded with any other number of messages than one.
     """
-    told = dict(tail)
-    code = read_status(told.get(b"grpc-status"))
-    fields = [field for field in (*head, *tail) if field[0] not in OURS | ANSWERED]
-    fields.append((b"grpc-status", told.get(b"grpc-status", b"2")))
-    lines = lines_of(fields)
+    trailers = dict(tail)
+    code = read_status(trailers.get(b"grpc-status"))
+    fields = [field for field in (*head, *tail) if field[0] not in REPLACED_HEADERS | INTERPRETED_HEADERS]
+    fields.append((b"grpc-status", trailers.get(b"grpc-status", b"2")))
+    lines = _header_lines(fields)
     if code is not Status.OK:
-        text = decode_message(told.get(b"grpc-message", b""))[:MESSAGE_MOST]
+        text = decode_message(trailers.get(b"grpc-message", b""))[:MAX_MESSAGE_BYTES]
         return Response(
             http_status(2 if code is None else int(code)),
             lines + b"Content-Type: text/plain\r\n",
@@ -191,49 +201,50 @@
     if len(messages) != 1:
         raise Spoilt(f"{len(messages)} messages, where HTTP/1.1 has one body")
     [(compressed, message)] = messages
-    kinds = dict(head)
-    kind = kinds.get(b"x-http-content-type") or _plain_type(kinds.get(b"content-type", GRPC))
-    lines += b"Content-Type: %b\r\n" % kind
+    headers = dict(head)
+    content_type = headers.get(b"x-http-content-type") or _http1_content_type(headers.get(b"content-type", GRPC))
+    lines += b"Content-Type: %b\r\n" % content_type
     if compressed:
-        lines += b"Content-Encoding: %b\r\n" % kinds.get(b"grpc-encoding", b"gzip")
+        lines += b"Content-Encoding: %b\r\n" % headers.get(b"grpc-encoding", b"gzip")
     return Response(200, lines, message)
 
 
-def served_answer(status: int, head: bytes, body: bytes, kind: bytes) -> tuple[Fields, bytes, Fields]:
-    """An HTTP/1.1 answer, or one that is made here, on its way to a gRPC caller: head, messages and trailers.
+def served_answer(status: int, head: bytes, body: bytes, content_type: bytes) -> tuple[Fields, bytes, Fields]:
+    """Translate an HTTP/1.1 response, or one of the proxy itself, for a gRPC caller: header fields, body and trailers.
 
-    `kind` is the content type of the request. Only one below 300 has a message; of others the text is told.
+    `content_type` is that of the request. Only a response with a status below 300 has a message; the text of others
+    becomes the status message. A `grpc-status` counts unless it contradicts the HTTP status.
     """
-    came = fields_of([head], frozenset())
-    told = dict(came)
-    fields = [field for field in came if field[0] not in OURS | ANSWERED]
-    own = read_status(told.get(b"grpc-status"))
-    code = status_of(status) if own is None or (own is Status.OK) != (status < 300) else own
+    received = fields_of([head], frozenset())
+    headers = dict(received)
+    fields = [field for field in received if field[0] not in REPLACED_HEADERS | INTERPRETED_HEADERS]
+    grpc_code = read_status(headers.get(b"grpc-status"))
+    code = status_of(status) if grpc_code is None or (grpc_code is Status.OK) != (status < 300) else grpc_code
     if code is Status.OK:
-        encoding = told.get(b"content-encoding", b"")
-        first: Fields = [(b":status", b"200"), (b"content-type", kind or GRPC)]
+        encoding = headers.get(b"content-encoding", b"")
+        first: Fields = [(b":status", b"200"), (b"content-type", content_type or GRPC)]
         if encoding:
             first.append((b"grpc-encoding", encoding))
         compressed = bool(encoding) and encoding.lower() != b"identity"
         return first + fields, pack(body, compressed), [(b"grpc-status", b"0")]
-    text = body[:MESSAGE_MOST].strip() if told.get(b"content-type", b"text").startswith(b"text") else b""
-    seconds = _seconds(told.get(b"retry-after", b""))
-    never = status >= 500 and status not in HARMLESS and seconds is None
-    tail = failure(code, text or b"HTTP status %d" % status, seconds, never)
-    return [(b":status", b"200"), (b"content-type", kind or GRPC)], b"", [*fields, *tail]
+    text = body[:MAX_MESSAGE_BYTES].strip() if headers.get(b"content-type", b"text").startswith(b"text") else b""
+    retry_after = _parse_retry_after(headers.get(b"retry-after", b""))
+    forbids_retry = status >= 500 and status not in NOT_PROCESSED_STATUSES and retry_after is None
+    tail = _failure_trailers(code, text or b"HTTP status %d" % status, retry_after, forbids_retry)
+    return [(b":status", b"200"), (b"content-type", content_type or GRPC)], b"", [*fields, *tail]
 
 
-def _seconds(value: bytes) -> float | None:
-    """A `Retry-After` in seconds; one that is a date tells nothing here."""
-    return float(value) if SECONDS.fullmatch(value) else None
+def _parse_retry_after(value: bytes) -> float | None:
+    """Return the seconds of a `Retry-After`, or None if there is none; a date is ignored."""
+    return float(value) if RETRY_AFTER_PATTERN.fullmatch(value) else None
 
 
-def failure(code: int, text: bytes, seconds: float | None = None, never: bool = False) -> Fields:
-    """Trailers that tell a failure, when to come back where that is known, and whether another try does harm."""
+def _failure_trailers(code: int, text: bytes, retry_after: float | None = None, forbids_retry: bool = False) -> Fields:
+    """Return the trailers of a failure, with the seconds until a retry if they are known, or a ban on retries."""
     tail: Fields = [(b"grpc-status", b"%d" % code), (b"grpc-message", encode_message(text))]
-    if never:
-        tail.append((b"grpc-retry-pushback-ms", NEVER))
-    elif seconds is not None:
-        tail.append((b"grpc-retry-pushback-ms", b"%d" % round(seconds * 1e3)))
-        tail.append((b"grpc-status-details-bin", retry_details(code, text, seconds)))
+    if forbids_retry:
+        tail.append((b"grpc-retry-pushback-ms", NO_RETRY_PUSHBACK))
+    elif retry_after is not None:
+        tail.append((b"grpc-retry-pushback-ms", b"%d" % round(retry_after * 1e3)))
+        tail.append((b"grpc-status-details-bin", retry_details(code, text, retry_after)))
     return tail
--- a/lugspur/grpc/messages.py
+++ b/lugspur/grpc/messages.py
@@ -1,69 +1,69 @@
-"""Length-prefixed messages (PROTOCOL-HTTP2.md): a flag, four bytes of length, and the message."""
+"""Length-prefixed messages (PROTOCOL-HTTP2.md): a flag for compression, four bytes of length, and the message."""
 
 from __future__ import annotations
 
-PREFIX = 5  # bytes ahead of each message
+PREFIX_BYTES = 5  # flag and length
 
 
 class Spoilt(ValueError):
-    """Bytes that are no messages; its text says why."""
+    """Bytes are not a sequence of messages; the text says why."""
 
 
 def pack(message: bytes, compressed: bool = False) -> bytes:
-    """One message with its prefix."""
+    """Return a message with its prefix."""
     return b"%c%b%b" % (compressed, len(message).to_bytes(4, "big"), message)
 
 
 def unpack(data: bytes) -> list[tuple[bool, bytes]]:
-    """All messages, each with whether it is compressed; raises Spoilt."""
-    found: list[tuple[bool, bytes]] = []
+    """Return all messages, each with whether it is compressed; raises Spoilt."""
+    messages: list[tuple[bool, bytes]] = []
     at = 0
     while at < len(data):
-        if len(data) - at < PREFIX:
+        if len(data) - at < PREFIX_BYTES:
             raise Spoilt("a message is cut within its prefix")
         if data[at] > 1:
             raise Spoilt(f"a message begins with the flag {data[at]}, which is neither 0 nor 1")
-        size = int.from_bytes(data[at + 1 : at + PREFIX], "big")
-        at += PREFIX
+        size = int.from_bytes(data[at + 1 : at + PREFIX_BYTES], "big")
+        at += PREFIX_BYTES
         if len(data) - at < size:
             raise Spoilt(f"a message of {size} bytes is cut after {len(data) - at}")
-        found.append((data[at - PREFIX] == 1, data[at : at + size]))
+        messages.append((data[at - PREFIX_BYTES] == 1, data[at : at + size]))
         at += size
-    return found
+    return messages
 
 
 class Counter:
-    """How far messages have come, by the bytes that pass; it holds none of them."""
+    """Tracks the boundaries of messages in a stream of bytes, without keeping the bytes."""
 
     def __init__(self) -> None:
-        self.whole = 0  # messages that have passed
-        self.wanted = 0  # bytes that the open message still lacks...
-        self.open = False  # ...if one has begun
+        self.whole = 0  # messages that are complete
+        self._missing_bytes = 0  # that the body of the open message still lacks; 0 while its prefix is read
+        self.open = False  # whether a message has begun and is not complete
         self._prefix = b""
 
     def feed(self, data: bytes) -> None:
-        """Count these; raises Spoilt at a flag that is neither 0 nor 1."""
+        """Track the next bytes of the stream; raises Spoilt at a flag that is neither 0 nor 1."""
         at, end = 0, len(data)
         while at < end:
-            if self.wanted:
-                step = min(self.wanted, end - at)
+            if self._missing_bytes:
+                step = min(self._missing_bytes, end - at)
                 at += step
-                self.wanted -= step
+                self._missing_bytes -= step
             else:
-                part = data[at : at + PREFIX - len(self._prefix)]
+                part = data[at : at + PREFIX_BYTES - len(self._prefix)]
                 at += len(part)
                 self._prefix += part
                 self.open = True
                 if self._prefix[0] > 1:
                     raise Spoilt(f"a message begins with the flag {self._prefix[0]}, which is neither 0 nor 1")
-                if len(self._prefix) < PREFIX:
+                if len(self._prefix) < PREFIX_BYTES:
                     return
-                self.wanted = int.from_bytes(self._prefix[1:], "big")
+                self._missing_bytes = int.from_bytes(self._prefix[1:], "big")
                 self._prefix = b""
-            if not self.wanted:
+            if not self._missing_bytes:
                 self.whole += 1
                 self.open = False
 
     def least(self) -> int:
-        """Bytes that the open message still needs, as far as is known."""
-        return self.wanted or (PREFIX - len(self._prefix) if self.open else 0)
+        """Return how many more bytes the open message needs at least; its length may not be known yet."""
+        return self._missing_bytes or (PREFIX_BYTES - len(self._prefix) if self.open else 0)
--- a/lugspur/grpc/status.py
+++ b/lugspur/grpc/status.py
@@ -1,4 +1,4 @@
-"""Statuses and how they are told: codes, HTTP statuses, percent-encoded messages, and when to come back.
+"""Statuses and their encoding: codes, HTTP statuses, percent-encoded messages, and retry delays.
 
 Sources: gRPC's PROTOCOL-HTTP2.md and statuscodes.md; google/rpc/code.proto, status.proto and error_details.proto.
 """
@@ -33,7 +33,8 @@
     UNAUTHENTICATED = 16
 
 
-HTTP = {  # by the comments of google/rpc/code.proto
+#: The HTTP status of each code, from the comments in google/rpc/code.proto.
+HTTP_STATUSES = {
     Status.OK: 200,
     Status.CANCELLED: 499,
     Status.UNKNOWN: 500,
@@ -52,7 +53,8 @@
     Status.DATA_LOSS: 500,
     Status.UNAUTHENTICATED: 401,
 }
-BACK = {  # of those that are told by several, the one that says least
+#: The code of each HTTP status; where several codes have the same HTTP status, the least specific one.
+CODES_BY_HTTP_STATUS = {
     400: Status.INVALID_ARGUMENT,
     401: Status.UNAUTHENTICATED,
     403: Status.PERMISSION_DENIED,
@@ -71,27 +73,29 @@
     503: Status.UNAVAILABLE,
     504: Status.DEADLINE_EXCEEDED,
 }
-PLAIN = re.compile(rb"[\x20-\x24\x26-\x7e]*")  # what a message may hold unencoded: all that prints but %
-MESSAGE_MOST = 1 << 10  # bytes of a status message that is made here of a backend's text
+#: Status messages that need no percent-encoding: all printable ASCII characters but %.
+UNENCODED_MESSAGE = re.compile(rb"[\x20-\x24\x26-\x7e]*")
+#: The limit of a status message that the proxy makes from the body of a backend's response.
+MAX_MESSAGE_BYTES = 1 << 10
 
 
 def http_status(code: int) -> int:
-    """The HTTP status that says what this code says; a code that nobody knows is UNKNOWN."""
-    return HTTP[Status(code)] if 0 <= code < len(Status) else 500
+    """Return the HTTP status of a code; that of UNKNOWN for an undefined code."""
+    return HTTP_STATUSES[Status(code)] if 0 <= code < len(Status) else 500
 
 
 def status_of(http: int) -> Status:
-    """The code that says what this HTTP status says."""
+    """Return the code of an HTTP status."""
     if 200 <= http < 300:
         return Status.OK
-    found = BACK.get(http)
-    if found is None:
-        found = Status.INVALID_ARGUMENT if 400 <= http < 500 else Status.UNKNOWN
-    return found
+    code = CODES_BY_HTTP_STATUS.get(http)
+    if code is None:
+        code = Status.INVALID_ARGUMENT if 400 <= http < 500 else Status.UNKNOWN
+    return code
 
 
 def read_status(value: bytes | None) -> Status | int | None:
-    """A `grpc-status` as it came; None where there is none, or none that can be read."""
+    """Return the code of a received `grpc-status`, or None if there is none or it is malformed."""
     if value is None or not value.isdigit() or len(value) > 9:
         return None
     code = int(value)
@@ -99,24 +103,24 @@
 
 
 def encode_message(text: bytes) -> bytes:
-    """A `grpc-message`: percent-encoded where it must be (PROTOCOL-HTTP2.md, Status-Message)."""
-    if PLAIN.fullmatch(text):
+    """Return a `grpc-message`, percent-encoded where it must be (PROTOCOL-HTTP2.md, Status-Message)."""
+    if UNENCODED_MESSAGE.fullmatch(text):
         return text
     return b"".join(bytes((c,)) if 0x20 <= c <= 0x7E and c != 0x25 else b"%%%02X" % c for c in text)
 
 
 def decode_message(value: bytes) -> bytes:
-    """The text of a `grpc-message`; what is no percent-encoding is left as it is."""
+    """Return the text of a `grpc-message`; invalid percent-encoding is left as it is."""
     return unquote_to_bytes(value)
 
 
 def _field(number: int, data: bytes) -> bytes:
-    """A length-delimited field of a protobuf message."""
-    return varint(number << 3 | 2) + varint(len(data)) + data
+    """Return a length-delimited field of a protobuf message."""
+    return _varint(number << 3 | 2) + _varint(len(data)) + data
 
 
-def varint(value: int) -> bytes:
-    """A whole number as protobuf writes it."""
+def _varint(value: int) -> bytes:
+    """Return a non-negative integer in the encoding of protobuf."""
     out = bytearray()
     while value > 0x7F:
         out.append(value & 0x7F | 0x80)
@@ -126,11 +130,11 @@
 
 
 def retry_details(code: int, message: bytes, seconds: float) -> bytes:
-    """A `grpc-status-details-bin` that holds a google.rpc.RetryInfo; base64 without padding."""
+    """Return a `grpc-status-details-bin` with a google.rpc.RetryInfo, in base64 without padding."""
     whole = int(seconds)
-    delay = (b"\x08" + varint(whole)) * bool(whole)
+    delay = (b"\x08" + _varint(whole)) * bool(whole)
     nanos = round((seconds - whole) * 1e9)
-    delay += (b"\x10" + varint(nanos)) * bool(nanos)
-    any_of = _field(1, b"type.googleapis.com/google.rpc.RetryInfo") + _field(2, _field(1, delay))
-    status = b"\x08" + varint(code) + _field(2, message) + _field(3, any_of)
+    delay += (b"\x10" + _varint(nanos)) * bool(nanos)
+    retry_info = _field(1, b"type.googleapis.com/google.rpc.RetryInfo") + _field(2, _field(1, delay))
+    status = b"\x08" + _varint(code) + _field(2, message) + _field(3, retry_info)
     return base64.b64encode(status).rstrip(b"=")
