--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from lugspur.grpc.health import Serving, read_service, write_serving
-from lugspur.grpc.messages import Spoilt, pack, unpack
+from lugspur.grpc.messages import InvalidMessageError, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
 from lugspur.pipe import Pipe, nothing
@@ -27,7 +27,7 @@
     try:
         [(compressed, message)] = unpack(request.body)
         service = read_service(message)
-    except (Spoilt, ValueError) as fault:
+    except (InvalidMessageError, ValueError) as fault:
         raise Rejected(400, f"no HealthCheckRequest: {fault}") from fault
     if compressed:
         raise Rejected(501, "compressed messages are not read here")
--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from lugspur.grpc.messages import Spoilt, pack, unpack
+from lugspur.grpc.messages import InvalidMessageError, pack, unpack
 from lugspur.grpc.status import (
     MAX_MESSAGE_BYTES,
     Status,
@@ -130,10 +130,13 @@
 
 
 def unwrapped(request: Request) -> Request:
-    """Translate a gRPC request of one message for an HTTP/1.1 backend: the message is the body. Raises Spoilt."""
+    """Translate a gRPC request of one message for an HTTP/1.1 backend: the message is the body.
+
+    Raises InvalidMessageError for any other number of messages.
+    """
     messages = unpack(request.body)
     if len(messages) != 1:
-        raise Spoilt(f"{len(messages)} messages, where HTTP/1.1 has one body")
+        raise InvalidMessageError(f"{len(messages)} messages, where HTTP/1.1 has one body")
     [(compressed, body)] = messages
     received = fields_of(request.lines, frozenset())
     headers = dict(received)
@@ -183,7 +186,7 @@
 def plain_answer(head: Fields, tail: Fields, body: bytes) -> Response:
     """Translate a complete gRPC response for an HTTP/1.1 caller: the body is its message, or its text if it failed.
 
-    Raises Spoilt if it succeeded with any other number of messages than one.
+    Raises InvalidMessageError if it succeeded with any other number of messages than one.
     """
     trailers = dict(tail)
     code = read_status(trailers.get(b"grpc-status"))
@@ -199,7 +202,7 @@
         )
     messages = unpack(body)
     if len(messages) != 1:
-        raise Spoilt(f"{len(messages)} messages, where HTTP/1.1 has one body")
+        raise InvalidMessageError(f"{len(messages)} messages, where HTTP/1.1 has one body")
     [(compressed, message)] = messages
     headers = dict(head)
     content_type = headers.get(b"x-http-content-type") or _http1_content_type(headers.get(b"content-type", GRPC))
--- a/lugspur/grpc/messages.py
+++ b/lugspur/grpc/messages.py
@@ -5,7 +5,7 @@
 PREFIX_BYTES = 5  # flag and length
 
 
-class Spoilt(ValueError):
+class InvalidMessageError(ValueError):
     """Bytes are not a sequence of messages; the text says why."""
 
 
@@ -15,18 +15,18 @@
 
 
 def unpack(data: bytes) -> list[tuple[bool, bytes]]:
-    """Return all messages, each with whether it is compressed; raises Spoilt."""
+    """Return all messages, each with whether it is compressed; raises InvalidMessageError."""
     messages: list[tuple[bool, bytes]] = []
     at = 0
     while at < len(data):
         if len(data) - at < PREFIX_BYTES:
-            raise Spoilt("a message is cut within its prefix")
+            raise InvalidMessageError("a message is cut within its prefix")
         if data[at] > 1:
-            raise Spoilt(f"a message begins with the flag {data[at]}, which is neither 0 nor 1")
+            raise InvalidMessageError(f"a message begins with the flag {data[at]}, which is neither 0 nor 1")
         size = int.from_bytes(data[at + 1 : at + PREFIX_BYTES], "big")
         at += PREFIX_BYTES
         if len(data) - at < size:
-            raise Spoilt(f"a message of {size} bytes is cut after {len(data) - at}")
+            raise InvalidMessageError(f"a message of {size} bytes is cut after {len(data) - at}")
         messages.append((data[at - PREFIX_BYTES] == 1, data[at : at + size]))
         at += size
     return messages
@@ -42,7 +42,7 @@
         self._prefix = b""
 
     def feed(self, data: bytes) -> None:
-        """Track the next bytes of the stream; raises Spoilt at a flag that is neither 0 nor 1."""
+        """Track the next bytes of the stream; raises InvalidMessageError at a flag that is neither 0 nor 1."""
         at, end = 0, len(data)
         while at < end:
             if self._missing_bytes:
@@ -55,7 +55,9 @@
                 self._prefix += part
                 self.open = True
                 if self._prefix[0] > 1:
-                    raise Spoilt(f"a message begins with the flag {self._prefix[0]}, which is neither 0 nor 1")
+                    raise InvalidMessageError(
+                        f"a message begins with the flag {self._prefix[0]}, which is neither 0 nor 1"
+                    )
                 if len(self._prefix) < PREFIX_BYTES:
                     return
                 self._missing_bytes = int.from_bytes(self._prefix[1:], "big")
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lugspur.grpc import mapping
-from lugspur.grpc.messages import Counter, Spoilt
+from lugspur.grpc.messages import Counter, InvalidMessageError
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import KEEP, Body
 from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
@@ -331,7 +331,7 @@
         """A part of its messages; raises Rejected."""
         try:
             self._counter.feed(data)
-        except Spoilt as fault:
+        except InvalidMessageError as fault:
             raise Rejected(500, str(fault)) from fault  # INTERNAL
         if self.pipe is not None:
             self.connection.machine.credit(self.stream, size - len(data))
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -9,7 +9,7 @@
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End, by_reset
-from lugspur.grpc.messages import Counter, Spoilt
+from lugspur.grpc.messages import Counter, InvalidMessageError
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
@@ -208,7 +208,7 @@
         self._first = self._first or lane.now()
         try:
             self._counter.feed(data)
-        except Spoilt:
+        except InvalidMessageError:
             self.ended(End.BROKEN)
             return
         if self._pipe is not None:
@@ -258,7 +258,7 @@
         code = read_status(told.get(b"grpc-status"))
         try:
             response = self._read(told, code)
-        except Spoilt:
+        except InvalidMessageError:
             self.ended(End.BROKEN)
             return
         if response is None:
@@ -269,7 +269,7 @@
         self.end(self._lane.judge(response.status, unseen), response)
 
     def _read(self, told: dict[bytes, bytes], code: Status | int | None) -> Response | None:
-        """The whole answer; None where there is no status, raises Spoilt where it can't be told to the caller."""
+        """The whole answer; None where there is no status. Raises InvalidMessageError if it can't be translated."""
         status = int(dict(self._head).get(b":status", b"0"))
         if code is None:
             # Not gRPC: some HTTP server's or proxy's own word.
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -11,7 +11,7 @@
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End
 from lugspur.grpc.health import Serving, read_service, write_serving
-from lugspur.grpc.messages import Counter, Spoilt, pack, unpack
+from lugspur.grpc.messages import Counter, InvalidMessageError, pack, unpack
 from lugspur.grpc.status import (
     HTTP_STATUSES,
     Status,
@@ -124,9 +124,9 @@
 
 def test_invalid_messages_raise_an_error() -> None:
     for data in (b"\2\0\0\0\0", b"\0\0", b"\0\0\0\0\5abc"):
-        with pytest.raises(Spoilt):
+        with pytest.raises(InvalidMessageError):
             unpack(data)
-    with pytest.raises(Spoilt):
+    with pytest.raises(InvalidMessageError):
         Counter().feed(b"\7")
 
 
@@ -202,7 +202,7 @@
         b"accept-encoding": b"gzip",
         b"x-a": b"1",
     }
-    with pytest.raises(Spoilt, match="2 messages"):
+    with pytest.raises(InvalidMessageError, match="2 messages"):
         mapping.unwrapped(request(body=b"\0\0\0\0\0" * 2))
 
 
@@ -239,7 +239,7 @@
     ]
     response = mapping.plain_answer(head, [(b"grpc-status", b"5"), (b"grpc-message", b"no %C3%B6")], b"")
     assert (response.status, response.body) == (404, "no ö\n".encode()) and b"grpc-status: 5\r\n" in response.head
-    with pytest.raises(Spoilt):
+    with pytest.raises(InvalidMessageError):
         mapping.plain_answer(head, tail, b"")
 
 
