--- a/lugspur/grpc/messages.py
+++ b/lugspur/grpc/messages.py
@@ -32,7 +32,7 @@
     return messages
 
 
-class Counter:
+class MessageCounter:
     """Tracks the boundaries of messages in a stream of bytes, without keeping the bytes."""
 
     def __init__(self) -> None:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lugspur.grpc import mapping
-from lugspur.grpc.messages import Counter, InvalidMessageError
+from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import KEEP, Body
 from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
@@ -299,7 +299,7 @@
 
     def __init__(self, connection: Connection, stream: int, now: float) -> None:
         super().__init__(connection, stream, now)
-        self._counter = Counter()
+        self._counter = MessageCounter()
         self.pipe: Pipe | None = None
 
     @property
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -9,7 +9,7 @@
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End, by_reset
-from lugspur.grpc.messages import Counter, InvalidMessageError
+from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
@@ -94,7 +94,7 @@
         self.tries = 0
         self._first = 0.0  # when the first message of the answer had begun
         self._bound = False
-        self._counter = Counter()
+        self._counter = MessageCounter()
         self._head: Fields = []
         self._tail: Fields = []
         self._chunks: list[bytes] = []
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -11,7 +11,7 @@
 from lugspur.grpc import mapping
 from lugspur.grpc.evidence import PROVES, End
 from lugspur.grpc.health import Serving, read_service, write_serving
-from lugspur.grpc.messages import Counter, InvalidMessageError, pack, unpack
+from lugspur.grpc.messages import InvalidMessageError, MessageCounter, pack, unpack
 from lugspur.grpc.status import (
     HTTP_STATUSES,
     Status,
@@ -110,7 +110,7 @@
     whole = b"".join(pack(message, compressed) for compressed, message in messages)
     assert unpack(whole) == messages
     cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=8)))
-    counter = Counter()
+    counter = MessageCounter()
     for begin, end in zip([0, *cuts], [*cuts, len(whole)], strict=True):
         counter.feed(whole[begin:end])
         complete = counter.whole
@@ -127,7 +127,7 @@
         with pytest.raises(InvalidMessageError):
             unpack(data)
     with pytest.raises(InvalidMessageError):
-        Counter().feed(b"\7")
+        MessageCounter().feed(b"\7")
 
 
 # ---- health --------------------------------------------------------------------------------------
