--- a/lugspur/grpc/messages.py
+++ b/lugspur/grpc/messages.py
@@ -36,7 +36,7 @@
     """Tracks the boundaries of messages in a stream of bytes, without keeping the bytes."""
 
     def __init__(self) -> None:
-        self.whole = 0  # messages that are complete
+        self.complete_count = 0  # messages that are complete
         self._missing_bytes = 0  # that the body of the open message still lacks; 0 while its prefix is read
         self.open = False  # whether a message has begun and is not complete
         self._prefix = b""
@@ -63,7 +63,7 @@
                 self._missing_bytes = int.from_bytes(self._prefix[1:], "big")
                 self._prefix = b""
             if not self._missing_bytes:
-                self.whole += 1
+                self.complete_count += 1
                 self.open = False
 
     def least(self) -> int:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -305,7 +305,7 @@
     @property
     def bound(self) -> bool:
         """Whether a gRPC box alone can take it: it is no single message."""
-        return self.pipe is not None or self._counter.whole != 1 or self._counter.open
+        return self.pipe is not None or self._counter.complete_count != 1 or self._counter.open
 
     # ---- the request ---------------------------------------------------------------------------
 
@@ -340,7 +340,7 @@
         self._keep(data, size)
         front, counter = self.front, self._counter
         large = self._held + counter.least() > front.sizes.body or front.held > front.held_most
-        if counter.whole + counter.open > 1 or large:
+        if counter.complete_count + counter.open > 1 or large:
             self._stream()
         elif counter.open:  # its length is told: it is waited for
             self._wait_for_all()
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -223,13 +223,13 @@
             self._pass_on()
         elif self._held > lane.answer_most or lane.held > lane.held_most:
             self.ended(End.BROKEN)  # Guards the memory limit against an answer without end.
-        elif self.request.form is not None and self._counter.whole and self._waiting is None:
+        elif self.request.form is not None and self._counter.complete_count and self._waiting is None:
             self._waiting = asyncio.get_running_loop().call_later(STREAM_AFTER, self._pass_on)
 
     def _streams(self) -> bool:
         """Whether its messages can't wait for its end: the request is settled, or there are several, or a huge one."""
         counter = self._counter
-        return self._bound or counter.whole + counter.open > 1 or self._held > HOLD_MOST
+        return self._bound or counter.complete_count + counter.open > 1 or self._held > HOLD_MOST
 
     def _pass_on(self) -> None:
         """From now on its messages go on as they come: a stream, or one message that is too large to hold."""
@@ -265,7 +265,7 @@
             self.ended(End.BROKEN)
             return
         # A mark behind a message that has passed, or on any status but UNAVAILABLE, proves nothing.
-        unseen = told.get(b"x-not-processed") == b"1" and not self._counter.whole and not self._bound
+        unseen = told.get(b"x-not-processed") == b"1" and not self._counter.complete_count and not self._bound
         self.end(self._lane.judge(response.status, unseen), response)
 
     def _read(self, told: dict[bytes, bytes], code: Status | int | None) -> Response | None:
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -113,13 +113,13 @@
     counter = MessageCounter()
     for begin, end in zip([0, *cuts], [*cuts, len(whole)], strict=True):
         counter.feed(whole[begin:end])
-        complete = counter.whole
+        complete = counter.complete_count
         at = 0
         for count, (_, message) in enumerate(messages):
             at += 5 + len(message)
             assert (complete > count) == (end >= at)
         assert counter.open == (end not in [sum(5 + len(m) for _, m in messages[:n]) for n in range(len(messages) + 1)])
-    assert counter.whole == len(messages) and not counter.open and not counter.least()
+    assert counter.complete_count == len(messages) and not counter.open and not counter.least()
 
 
 def test_invalid_messages_raise_an_error() -> None:
