--- a/lugspur/grpc/messages.py
+++ b/lugspur/grpc/messages.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.complete_count = 0  # messages that are complete
         self._missing_bytes = 0  # that the body of the open message still lacks; 0 while its prefix is read
-        self.open = False  # whether a message has begun and is not complete
+        self.has_open_message = False  # whether a message has begun and is not complete
         self._prefix = b""
 
     def feed(self, data: bytes) -> None:
@@ -53,7 +53,7 @@
                 part = data[at : at + PREFIX_BYTES - len(self._prefix)]
                 at += len(part)
                 self._prefix += part
-                self.open = True
+                self.has_open_message = True
                 if self._prefix[0] > 1:
                     raise InvalidMessageError(
                         f"a message begins with the flag {self._prefix[0]}, which is neither 0 nor 1"
@@ -64,8 +64,8 @@
                 self._prefix = b""
             if not self._missing_bytes:
                 self.complete_count += 1
-                self.open = False
+                self.has_open_message = False
 
     def least(self) -> int:
         """Return how many more bytes the open message needs at least; its length may not be known yet."""
-        return self._missing_bytes or (PREFIX_BYTES - len(self._prefix) if self.open else 0)
+        return self._missing_bytes or (PREFIX_BYTES - len(self._prefix) if self.has_open_message else 0)
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -305,7 +305,7 @@
     @property
     def bound(self) -> bool:
         """Whether a gRPC box alone can take it: it is no single message."""
-        return self.pipe is not None or self._counter.complete_count != 1 or self._counter.open
+        return self.pipe is not None or self._counter.complete_count != 1 or self._counter.has_open_message
 
     # ---- the request ---------------------------------------------------------------------------
 
@@ -340,16 +340,16 @@
         self._keep(data, size)
         front, counter = self.front, self._counter
         large = self._held + counter.least() > front.sizes.body or front.held > front.held_most
-        if counter.complete_count + counter.open > 1 or large:
+        if counter.complete_count + counter.has_open_message > 1 or large:
             self._stream()
-        elif counter.open:  # its length is told: it is waited for
+        elif counter.has_open_message:  # its length is told: it is waited for
             self._wait_for_all()
         else:
             self._wait_for_more()
 
     def ended(self) -> None:
         """The caller has said all; raises Rejected."""
-        if self._counter.open:
+        if self._counter.has_open_message:
             raise Rejected(500, "the last message is cut")  # INTERNAL
         if self.pipe is not None:
             self.pipe.end()
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -229,7 +229,7 @@
     def _streams(self) -> bool:
         """Whether its messages can't wait for its end: the request is settled, or there are several, or a huge one."""
         counter = self._counter
-        return self._bound or counter.complete_count + counter.open > 1 or self._held > HOLD_MOST
+        return self._bound or counter.complete_count + counter.has_open_message > 1 or self._held > HOLD_MOST
 
     def _pass_on(self) -> None:
         """From now on its messages go on as they come: a stream, or one message that is too large to hold."""
@@ -251,7 +251,7 @@
 
     def done(self) -> None:
         """The box has said all."""
-        if self._counter.open:
+        if self._counter.has_open_message:
             self.ended(End.BROKEN)  # trailers before the message's end
             return
         told = dict(self._tail)
