--- a/lugspur/grpc/messages.py
+++ b/lugspur/grpc/messages.py
@@ -66,6 +66,6 @@
                 self.complete_count += 1
                 self.has_open_message = False
 
-    def least(self) -> int:
+    def min_missing_bytes(self) -> int:
         """Return how many more bytes the open message needs at least; its length may not be known yet."""
         return self._missing_bytes or (PREFIX_BYTES - len(self._prefix) if self.has_open_message else 0)
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -339,7 +339,7 @@
             return
         self._keep(data, size)
         front, counter = self.front, self._counter
-        large = self._held + counter.least() > front.sizes.body or front.held > front.held_most
+        large = self._held + counter.min_missing_bytes() > front.sizes.body or front.held > front.held_most
         if counter.complete_count + counter.has_open_message > 1 or large:
             self._stream()
         elif counter.has_open_message:  # its length is told: it is waited for
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -121,7 +121,7 @@
         assert counter.has_open_message == (
             end not in [sum(5 + len(m) for _, m in messages[:n]) for n in range(len(messages) + 1)]
         )
-    assert counter.complete_count == len(messages) and not counter.has_open_message and not counter.least()
+    assert counter.complete_count == len(messages) and not counter.has_open_message and not counter.min_missing_bytes()
 
 
 def test_invalid_messages_raise_an_error() -> None:
