--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -27,7 +27,7 @@
     LATE = "the deadline passed after the headers had been sent"
 
 
-PROVES: dict[End, Outcome] = {
+OUTCOMES: dict[End, Outcome] = {
     End.UNSENT: Outcome.UNREACHABLE,
     End.UNWANTED: Outcome.NOT_PROCESSED,
     End.FULL: Outcome.OVERLOADED,
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -8,7 +8,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import PROVES, End, by_reset
+from lugspur.grpc.evidence import OUTCOMES, End, by_reset
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import OWN_FAULTS, Dial
@@ -129,7 +129,7 @@
 
     def ended(self, how: End) -> None:
         """It ended without an answer."""
-        self.end(PROVES[how])
+        self.end(OUTCOMES[how])
 
     def expire(self) -> None:
         """The time that it is waited for is up."""
