--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -18,7 +18,7 @@
     """How a stream to a backend ended, other than by a response."""
 
     UNSENT = "the headers were not sent: no connection was established, or the deadline passed before"
-    UNWANTED = "the headers were not sent: the request was cancelled, or the backend gets no new requests"
+    WITHDRAWN = "the headers were not sent: the request was cancelled, or the backend gets no new requests"
     FULL = "the headers were not sent: the backend allows no further stream"
     REFUSED = "reset with REFUSED_STREAM"
     ABOVE = "the id of the stream is above the last one of the backend's GOAWAY"
@@ -29,7 +29,7 @@
 
 OUTCOMES: dict[End, Outcome] = {
     End.UNSENT: Outcome.UNREACHABLE,
-    End.UNWANTED: Outcome.NOT_PROCESSED,
+    End.WITHDRAWN: Outcome.NOT_PROCESSED,
     End.FULL: Outcome.OVERLOADED,
     End.REFUSED: Outcome.OVERLOADED,
     End.ABOVE: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -400,7 +400,7 @@
         # Guards drains, time-outs and finished requests: waiting took time, and the world has moved on. A stream
         # on an open connection is something new to the box.
         if not exchange.open or exchange.until <= now or not exchange.backend.in_service:
-            exchange.ended(End.UNWANTED)
+            exchange.ended(End.WITHDRAWN)
         elif self.machine.over or self.over:
             exchange.ended(End.UNSENT)
         else:
@@ -437,7 +437,7 @@
         """No stream begins on it any more; it ends with the last of them."""
         self.leaving = True
         for exchange in tuple(self.waiting):
-            exchange.ended(End.UNWANTED)
+            exchange.ended(End.WITHDRAWN)
         self._close_if_idle()
 
     def _close_if_idle(self) -> None:
@@ -598,7 +598,7 @@
         if box is None:
             box = self._boxes[backend] = Box(backend)
         if not backend.in_service:
-            exchange.ended(End.UNWANTED)
+            exchange.ended(End.WITHDRAWN)
             return
         link = self._link(box, exchange) if exchange.tries <= LINKS_MOST else None
         if link is None:
