--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -19,7 +19,7 @@
 
     UNSENT = "the headers were not sent: no connection was established, or the deadline passed before"
     WITHDRAWN = "the headers were not sent: the request was cancelled, or the backend gets no new requests"
-    FULL = "the headers were not sent: the backend allows no further stream"
+    STREAM_LIMIT = "the headers were not sent: the backend allows no further stream"
     REFUSED = "reset with REFUSED_STREAM"
     ABOVE = "the id of the stream is above the last one of the backend's GOAWAY"
     RESET = "reset with any other code, including CANCEL and NO_ERROR"
@@ -30,7 +30,7 @@
 OUTCOMES: dict[End, Outcome] = {
     End.UNSENT: Outcome.UNREACHABLE,
     End.WITHDRAWN: Outcome.NOT_PROCESSED,
-    End.FULL: Outcome.OVERLOADED,
+    End.STREAM_LIMIT: Outcome.OVERLOADED,
     End.REFUSED: Outcome.OVERLOADED,
     End.ABOVE: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
     End.RESET: Outcome.INTERRUPTED,
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -603,7 +603,7 @@
         link = self._link(box, exchange) if exchange.tries <= LINKS_MOST else None
         if link is None:
             # Full: a box that allows no further stream anywhere. Else it is our sockets that are short.
-            exchange.ended(End.FULL if box.links else End.UNSENT)
+            exchange.ended(End.STREAM_LIMIT if box.links else End.UNSENT)
         else:
             link.add(exchange)
 
