--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -21,7 +21,7 @@
     WITHDRAWN = "the headers were not sent: the request was cancelled, or the backend gets no new requests"
     STREAM_LIMIT = "the headers were not sent: the backend allows no further stream"
     REFUSED = "reset with REFUSED_STREAM"
-    ABOVE = "the id of the stream is above the last one of the backend's GOAWAY"
+    ABOVE_GOAWAY = "the id of the stream is above the last one of the backend's GOAWAY"
     RESET = "reset with any other code, including CANCEL and NO_ERROR"
     BROKEN = "the connection broke, or the data received on it is invalid"
     LATE = "the deadline passed after the headers had been sent"
@@ -32,7 +32,7 @@
     End.WITHDRAWN: Outcome.NOT_PROCESSED,
     End.STREAM_LIMIT: Outcome.OVERLOADED,
     End.REFUSED: Outcome.OVERLOADED,
-    End.ABOVE: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
+    End.ABOVE_GOAWAY: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
     End.RESET: Outcome.INTERRUPTED,
     End.BROKEN: Outcome.INTERRUPTED,
     End.LATE: Outcome.TIMEOUT,
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -507,7 +507,7 @@
             exchange.link, exchange.stream = None, 0
             self._lane.again(exchange)
         else:
-            exchange.ended(End.ABOVE)
+            exchange.ended(End.ABOVE_GOAWAY)
 
     # ---- whether the box is there --------------------------------------------------------------
 
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -97,7 +97,9 @@
 
 def test_exactly_these_stream_ends_prove_that_nothing_ran() -> None:
     never = {how for how, outcome in OUTCOMES.items() if outcome in NEVER_RAN}
-    assert never == {End.UNSENT, End.WITHDRAWN, End.STREAM_LIMIT, End.REFUSED, End.ABOVE} and set(OUTCOMES) == set(End)
+    assert never == {End.UNSENT, End.WITHDRAWN, End.STREAM_LIMIT, End.REFUSED, End.ABOVE_GOAWAY} and set(
+        OUTCOMES
+    ) == set(End)
 
 
 # ---- messages ------------------------------------------------------------------------------------
