--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -24,7 +24,7 @@
     ABOVE_GOAWAY = "the id of the stream is above the last one of the backend's GOAWAY"
     RESET = "reset with any other code, including CANCEL and NO_ERROR"
     BROKEN = "the connection broke, or the data received on it is invalid"
-    LATE = "the deadline passed after the headers had been sent"
+    TIMED_OUT = "the deadline passed after the headers had been sent"
 
 
 OUTCOMES: dict[End, Outcome] = {
@@ -35,7 +35,7 @@
     End.ABOVE_GOAWAY: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
     End.RESET: Outcome.INTERRUPTED,
     End.BROKEN: Outcome.INTERRUPTED,
-    End.LATE: Outcome.TIMEOUT,
+    End.TIMED_OUT: Outcome.TIMEOUT,
 }
 
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -133,7 +133,7 @@
 
     def expire(self) -> None:
         """The time that it is waited for is up."""
-        self.ended(End.LATE if self.stream else End.UNSENT)
+        self.ended(End.TIMED_OUT if self.stream else End.UNSENT)
 
     def untouched(self) -> bool:
         """Whether it can be sent anew as it was: nothing of a stream has passed, and nothing was answered."""
