--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -14,7 +14,7 @@
 from lugspur.load_balancing.model import Outcome
 
 
-class End(Enum):
+class StreamEnd(Enum):
     """How a stream to a backend ended, other than by a response."""
 
     UNSENT = "the headers were not sent: no connection was established, or the deadline passed before"
@@ -27,18 +27,18 @@
     TIMED_OUT = "the deadline passed after the headers had been sent"
 
 
-OUTCOMES: dict[End, Outcome] = {
-    End.UNSENT: Outcome.UNREACHABLE,
-    End.WITHDRAWN: Outcome.NOT_PROCESSED,
-    End.STREAM_LIMIT: Outcome.OVERLOADED,
-    End.REFUSED: Outcome.OVERLOADED,
-    End.ABOVE_GOAWAY: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
-    End.RESET: Outcome.INTERRUPTED,
-    End.BROKEN: Outcome.INTERRUPTED,
-    End.TIMED_OUT: Outcome.TIMEOUT,
+OUTCOMES: dict[StreamEnd, Outcome] = {
+    StreamEnd.UNSENT: Outcome.UNREACHABLE,
+    StreamEnd.WITHDRAWN: Outcome.NOT_PROCESSED,
+    StreamEnd.STREAM_LIMIT: Outcome.OVERLOADED,
+    StreamEnd.REFUSED: Outcome.OVERLOADED,
+    StreamEnd.ABOVE_GOAWAY: Outcome.NOT_PROCESSED,  # an orderly shutdown, and no failure of the backend
+    StreamEnd.RESET: Outcome.INTERRUPTED,
+    StreamEnd.BROKEN: Outcome.INTERRUPTED,
+    StreamEnd.TIMED_OUT: Outcome.TIMEOUT,
 }
 
 
-def by_reset(refused: bool) -> End:
+def by_reset(refused: bool) -> StreamEnd:
     """Return how a stream ended that the backend has reset; `refused` tells whether with REFUSED_STREAM."""
-    return End.REFUSED if refused else End.RESET
+    return StreamEnd.REFUSED if refused else StreamEnd.RESET
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -8,7 +8,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import OUTCOMES, End, by_reset
+from lugspur.grpc.evidence import OUTCOMES, StreamEnd, by_reset
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import OWN_FAULTS, Dial
@@ -127,13 +127,13 @@
             self.link.drop(self)
         self._watcher.ended(self, outcome, response)
 
-    def ended(self, how: End) -> None:
+    def ended(self, how: StreamEnd) -> None:
         """It ended without an answer."""
         self.end(OUTCOMES[how])
 
     def expire(self) -> None:
         """The time that it is waited for is up."""
-        self.ended(End.TIMED_OUT if self.stream else End.UNSENT)
+        self.ended(StreamEnd.TIMED_OUT if self.stream else StreamEnd.UNSENT)
 
     def untouched(self) -> bool:
         """Whether it can be sent anew as it was: nothing of a stream has passed, and nothing was answered."""
@@ -209,7 +209,7 @@
         try:
             self._counter.feed(data)
         except InvalidMessageError:
-            self.ended(End.BROKEN)
+            self.ended(StreamEnd.BROKEN)
             return
         if self._pipe is not None:
             link.machine.credit(self.stream, size - len(data))
@@ -222,7 +222,7 @@
         if self.request.form is not None and self._streams():
             self._pass_on()
         elif self._held > lane.answer_most or lane.held > lane.held_most:
-            self.ended(End.BROKEN)  # Guards the memory limit against an answer without end.
+            self.ended(StreamEnd.BROKEN)  # Guards the memory limit against an answer without end.
         elif self.request.form is not None and self._counter.complete_count and self._waiting is None:
             self._waiting = asyncio.get_running_loop().call_later(STREAM_AFTER, self._pass_on)
 
@@ -252,17 +252,17 @@
     def done(self) -> None:
         """The box has said all."""
         if self._counter.has_open_message:
-            self.ended(End.BROKEN)  # trailers before the message's end
+            self.ended(StreamEnd.BROKEN)  # trailers before the message's end
             return
         told = dict(self._tail)
         code = read_status(told.get(b"grpc-status"))
         try:
             response = self._read(told, code)
         except InvalidMessageError:
-            self.ended(End.BROKEN)
+            self.ended(StreamEnd.BROKEN)
             return
         if response is None:
-            self.ended(End.BROKEN)
+            self.ended(StreamEnd.BROKEN)
             return
         # A mark behind a message that has passed, or on any status but UNAVAILABLE, proves nothing.
         unseen = told.get(b"x-not-processed") == b"1" and not self._counter.complete_count and not self._bound
@@ -358,9 +358,9 @@
             if self.ready:
                 self._lane.again(exchange)  # nothing went out: its connection was found dead in time
             else:
-                exchange.ended(End.UNSENT)
+                exchange.ended(StreamEnd.UNSENT)
         for exchange in tuple(self.exchanges.values()):
-            exchange.ended(End.BROKEN)
+            exchange.ended(StreamEnd.BROKEN)
 
     def close(self) -> None:
         """Nobody needs it any more."""
@@ -400,9 +400,9 @@
         # Guards drains, time-outs and finished requests: waiting took time, and the world has moved on. A stream
         # on an open connection is something new to the box.
         if not exchange.open or exchange.until <= now or not exchange.backend.in_service:
-            exchange.ended(End.WITHDRAWN)
+            exchange.ended(StreamEnd.WITHDRAWN)
         elif self.machine.over or self.over:
-            exchange.ended(End.UNSENT)
+            exchange.ended(StreamEnd.UNSENT)
         else:
             exchange.transmit(self, now)
             self._look_on()
@@ -437,7 +437,7 @@
         """No stream begins on it any more; it ends with the last of them."""
         self.leaving = True
         for exchange in tuple(self.waiting):
-            exchange.ended(End.WITHDRAWN)
+            exchange.ended(StreamEnd.WITHDRAWN)
         self._close_if_idle()
 
     def _close_if_idle(self) -> None:
@@ -507,7 +507,7 @@
             exchange.link, exchange.stream = None, 0
             self._lane.again(exchange)
         else:
-            exchange.ended(End.ABOVE_GOAWAY)
+            exchange.ended(StreamEnd.ABOVE_GOAWAY)
 
     # ---- whether the box is there --------------------------------------------------------------
 
@@ -598,12 +598,12 @@
         if box is None:
             box = self._boxes[backend] = Box(backend)
         if not backend.in_service:
-            exchange.ended(End.WITHDRAWN)
+            exchange.ended(StreamEnd.WITHDRAWN)
             return
         link = self._link(box, exchange) if exchange.tries <= LINKS_MOST else None
         if link is None:
             # Full: a box that allows no further stream anywhere. Else it is our sockets that are short.
-            exchange.ended(End.STREAM_LIMIT if box.links else End.UNSENT)
+            exchange.ended(StreamEnd.STREAM_LIMIT if box.links else StreamEnd.UNSENT)
         else:
             link.add(exchange)
 
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import OUTCOMES, End
+from lugspur.grpc.evidence import OUTCOMES, StreamEnd
 from lugspur.grpc.health import Serving, read_service, write_serving
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter, pack, unpack
 from lugspur.grpc.status import (
@@ -97,9 +97,13 @@
 
 def test_exactly_these_stream_ends_prove_that_nothing_ran() -> None:
     never = {how for how, outcome in OUTCOMES.items() if outcome in NEVER_RAN}
-    assert never == {End.UNSENT, End.WITHDRAWN, End.STREAM_LIMIT, End.REFUSED, End.ABOVE_GOAWAY} and set(
-        OUTCOMES
-    ) == set(End)
+    assert never == {
+        StreamEnd.UNSENT,
+        StreamEnd.WITHDRAWN,
+        StreamEnd.STREAM_LIMIT,
+        StreamEnd.REFUSED,
+        StreamEnd.ABOVE_GOAWAY,
+    } and set(OUTCOMES) == set(StreamEnd)
 
 
 # ---- messages ------------------------------------------------------------------------------------
