--- a/lugspur/grpc/evidence.py
+++ b/lugspur/grpc/evidence.py
@@ -39,6 +39,6 @@
 }
 
 
-def by_reset(refused: bool) -> StreamEnd:
+def end_by_reset(refused: bool) -> StreamEnd:
     """Return how a stream ended that the backend has reset; `refused` tells whether with REFUSED_STREAM."""
     return StreamEnd.REFUSED if refused else StreamEnd.RESET
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -8,7 +8,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import OUTCOMES, StreamEnd, by_reset
+from lugspur.grpc.evidence import OUTCOMES, StreamEnd, end_by_reset
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import OWN_FAULTS, Dial
@@ -483,7 +483,7 @@
             exchange.done()
         else:
             # h2's own word on a stream's fault says nothing of what ran.
-            exchange.ended(by_reset(event.code == REFUSED_STREAM and not event.ours))
+            exchange.ended(end_by_reset(event.code == REFUSED_STREAM and not event.ours))
 
     def _left(self, leave: Leave) -> None:
         """The box leaves in good order: streams above its last one never ran, the others go on."""
