--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -8,9 +8,9 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import OUTCOMES, StreamEnd, end_by_reset
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.status import Status, http_status, read_status
+from lugspur.grpc.stream_end import OUTCOMES, StreamEnd, end_by_reset
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, Leave
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -9,7 +9,6 @@
 from hypothesis import strategies as st
 
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import OUTCOMES, StreamEnd
 from lugspur.grpc.health import Serving, read_service, write_serving
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter, pack, unpack
 from lugspur.grpc.status import (
@@ -22,6 +21,7 @@
     retry_details,
     status_of,
 )
+from lugspur.grpc.stream_end import OUTCOMES, StreamEnd
 from lugspur.grpc.timeout import MAX_COUNT, MAX_TIMEOUT_SECONDS, UNITS, read_timeout, write_timeout
 from lugspur.load_balancing.model import NEVER_RAN
 from lugspur.seams import Request
