--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.grpc.health import Serving, read_service, write_serving
+from lugspur.grpc.health import ServingStatus, read_service, write_serving
 from lugspur.grpc.messages import InvalidMessageError, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
@@ -42,7 +42,9 @@
 def _check(form: Form, serves: bool | None) -> None:
     if serves is None:
         raise Rejected(404, "unknown service")
-    form.finish(b"", pack(write_serving(Serving.SERVING if serves else Serving.NOT_SERVING)), b"grpc-status: 0\r\n")
+    form.finish(
+        b"", pack(write_serving(ServingStatus.SERVING if serves else ServingStatus.NOT_SERVING)), b"grpc-status: 0\r\n"
+    )
 
 
 class _Watch:
@@ -54,7 +56,7 @@
         self._caller, self._front, self._serves = caller, front, serves
         self._loop = asyncio.get_running_loop()
         self._until = request.arrived + float(request.headers.get(b"x-timeout", b"inf"))
-        self._told: Serving | None = None
+        self._told: ServingStatus | None = None
         self._pipe = Pipe(nothing)
         self._timer: asyncio.TimerHandle | None = None
         caller.gone = self._stop
@@ -67,7 +69,13 @@
     def look(self) -> None:
         """Tell what has changed."""
         serves = self._serves()
-        state = Serving.SERVICE_UNKNOWN if serves is None else Serving.SERVING if serves else Serving.NOT_SERVING
+        state = (
+            ServingStatus.SERVICE_UNKNOWN
+            if serves is None
+            else ServingStatus.SERVING
+            if serves
+            else ServingStatus.NOT_SERVING
+        )
         if state is not self._told:
             self._told = state
             self._pipe.put(pack(write_serving(state)))
--- a/lugspur/grpc/health.py
+++ b/lugspur/grpc/health.py
@@ -7,7 +7,7 @@
 MAX_SERVICE_NAME_BYTES = 256
 
 
-class Serving(IntEnum):
+class ServingStatus(IntEnum):
     """HealthCheckResponse.ServingStatus."""
 
     UNKNOWN = 0
@@ -54,6 +54,6 @@
     raise ValueError("a number is too long")
 
 
-def write_serving(status: Serving) -> bytes:
+def write_serving(status: ServingStatus) -> bytes:
     """Return a HealthCheckResponse."""
     return b"\x08%c" % status if status else b""
