--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.grpc.health import ServingStatus, read_service, write_serving
+from lugspur.grpc.health import ServingStatus, decode_service, write_serving
 from lugspur.grpc.messages import InvalidMessageError, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
@@ -26,7 +26,7 @@
         return False
     try:
         [(compressed, message)] = unpack(request.body)
-        service = read_service(message)
+        service = decode_service(message)
     except (InvalidMessageError, ValueError) as fault:
         raise Rejected(400, f"no HealthCheckRequest: {fault}") from fault
     if compressed:
--- a/lugspur/grpc/health.py
+++ b/lugspur/grpc/health.py
@@ -16,7 +16,7 @@
     SERVICE_UNKNOWN = 3
 
 
-def read_service(message: bytes) -> str:
+def decode_service(message: bytes) -> str:
     """Return the service that a HealthCheckRequest names; raises ValueError. Unknown fields are skipped."""
     service, at = b"", 0
     while at < len(message):
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.grpc import mapping
-from lugspur.grpc.health import ServingStatus, read_service, write_serving
+from lugspur.grpc.health import ServingStatus, decode_service, write_serving
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter, pack, unpack
 from lugspur.grpc.status import (
     HTTP_STATUSES,
@@ -143,7 +143,7 @@
 
 @given(st.text(max_size=40))
 def test_health_requests_of_protobuf_are_decoded(service: str) -> None:
-    assert read_service(health_pb2.HealthCheckRequest(service=service).SerializeToString()) == service
+    assert decode_service(health_pb2.HealthCheckRequest(service=service).SerializeToString()) == service
 
 
 def test_health_responses_are_valid_protobuf() -> None:
@@ -154,7 +154,7 @@
 @given(st.binary(max_size=40))
 def test_any_bytes_are_a_health_request_or_raise_value_error(data: bytes) -> None:
     try:
-        read_service(data)
+        decode_service(data)
     except ValueError:
         return
 
