--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -8,7 +8,7 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.grpc.health import ServingStatus, decode_service, write_serving
+from lugspur.grpc.health import ServingStatus, decode_service, encode_serving_status
 from lugspur.grpc.messages import InvalidMessageError, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
@@ -43,7 +43,9 @@
     if serves is None:
         raise Rejected(404, "unknown service")
     form.finish(
-        b"", pack(write_serving(ServingStatus.SERVING if serves else ServingStatus.NOT_SERVING)), b"grpc-status: 0\r\n"
+        b"",
+        pack(encode_serving_status(ServingStatus.SERVING if serves else ServingStatus.NOT_SERVING)),
+        b"grpc-status: 0\r\n",
     )
 
 
@@ -78,7 +80,7 @@
         )
         if state is not self._told:
             self._told = state
-            self._pipe.put(pack(write_serving(state)))
+            self._pipe.put(pack(encode_serving_status(state)))
         if self._front.closing:
             self._caller.answer(503, b"", b"the proxy leaves\n")
         elif self._loop.time() >= self._until:
--- a/lugspur/grpc/health.py
+++ b/lugspur/grpc/health.py
@@ -54,6 +54,6 @@
     raise ValueError("a number is too long")
 
 
-def write_serving(status: ServingStatus) -> bytes:
+def encode_serving_status(status: ServingStatus) -> bytes:
     """Return a HealthCheckResponse."""
     return b"\x08%c" % status if status else b""
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from lugspur.grpc import mapping
-from lugspur.grpc.health import ServingStatus, decode_service, write_serving
+from lugspur.grpc.health import ServingStatus, decode_service, encode_serving_status
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter, pack, unpack
 from lugspur.grpc.status import (
     HTTP_STATUSES,
@@ -148,7 +148,7 @@
 
 def test_health_responses_are_valid_protobuf() -> None:
     for status in ServingStatus:
-        assert health_pb2.HealthCheckResponse.FromString(write_serving(status)).status == status
+        assert health_pb2.HealthCheckResponse.FromString(encode_serving_status(status)).status == status
 
 
 @given(st.binary(max_size=40))
