--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -129,7 +129,7 @@
     return [*_pseudo_headers(path, headers), *fields], pack(request.body, compressed)
 
 
-def unwrapped(request: Request) -> Request:
+def to_http1_request(request: Request) -> Request:
     """Translate a gRPC request of one message for an HTTP/1.1 backend: the message is the body.
 
     Raises InvalidMessageError for any other number of messages.
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -381,7 +381,7 @@
 
     def plain(self, request: Request) -> Request:
         """For a box that speaks HTTP/1.1."""
-        return mapping.unwrapped(request)
+        return mapping.to_http1_request(request)
 
     # ---- the answer ----------------------------------------------------------------------------
 
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -201,7 +201,7 @@
         b"grpc-accept-encoding: gzip",
         body=b"\1\0\0\0\6zipped",
     )
-    sent = mapping.unwrapped(received)
+    sent = mapping.to_http1_request(received)
     headers = dict(mapping.fields_of(sent.lines, frozenset()))
     assert sent.body == b"zipped" and headers == {
         b"host": b"h:1",
@@ -211,7 +211,7 @@
         b"x-a": b"1",
     }
     with pytest.raises(InvalidMessageError, match="2 messages"):
-        mapping.unwrapped(request(body=b"\0\0\0\0\0" * 2))
+        mapping.to_http1_request(request(body=b"\0\0\0\0\0" * 2))
 
 
 @pytest.mark.parametrize(
