--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -100,7 +100,7 @@
     ]
 
 
-def wrapped(request: Request, left: float) -> tuple[Fields, bytes]:
+def to_grpc_request(request: Request, left: float) -> tuple[Fields, bytes]:
     """Translate an HTTP/1.1 request for a gRPC backend; returns the fields and the body, which is one message.
 
     gRPC has neither methods nor queries: these are sent as metadata, and so is the original content type.
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -152,7 +152,7 @@
         request, machine = self.request, link.machine
         left = self.until - now
         if request.form is None:
-            fields, body = mapping.wrapped(request, left)
+            fields, body = mapping.to_grpc_request(request, left)
         else:
             fields, body = mapping.request_fields(request, left), request.body
         self.stream = machine.begin(fields)
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -178,7 +178,7 @@
         target=b"/a/b?c=d",
         body=b"zipped",
     )
-    fields, body = mapping.wrapped(received, 1.5)
+    fields, body = mapping.to_grpc_request(received, 1.5)
     headers = dict(fields)
     assert fields[:4] == [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a/b"), (b":authority", b"h:1")]
     assert body == b"\1\0\0\0\6zipped" and headers[b"content-type"] == b"application/grpc+json"
@@ -225,7 +225,7 @@
     ],
 )
 def test_content_types_are_translated(http1: bytes, grpc: bytes) -> None:
-    fields, _ = mapping.wrapped(request(b"content-type: " + http1, b"host: h"), 1.0)
+    fields, _ = mapping.to_grpc_request(request(b"content-type: " + http1, b"host: h"), 1.0)
     assert dict(fields)[b"content-type"] == grpc and mapping.is_grpc(grpc)
 
 
