--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -89,7 +89,7 @@
 # ---- requests ------------------------------------------------------------------------------------
 
 
-def request_fields(request: Request, left: float) -> Fields:
+def grpc_request_fields(request: Request, left: float) -> Fields:
     """Return the header fields of a gRPC request for a gRPC backend, with `left` seconds until the deadline."""
     received = fields_of(request.lines, CONNECTION - {b"host"})
     return [
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -154,7 +154,7 @@
         if request.form is None:
             fields, body = mapping.to_grpc_request(request, left)
         else:
-            fields, body = mapping.request_fields(request, left), request.body
+            fields, body = mapping.grpc_request_fields(request, left), request.body
         self.stream = machine.begin(fields)
         link.exchanges[self.stream] = self
         pipe = self._requested()
