--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -173,7 +173,7 @@
 # ---- responses -----------------------------------------------------------------------------------
 
 
-def answer_head(head: Fields) -> bytes:
+def response_header_lines(head: Fields) -> bytes:
     """Return the header lines of a gRPC response for a gRPC caller."""
     return _header_lines(head, CONNECTION | INTERPRETED_HEADERS)
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -242,7 +242,7 @@
         for chunk in self._chunks:
             pipe.put(chunk, free=True)
         self._release()
-        self._watcher.begun(Response(200, mapping.answer_head(self._head), b""), pipe)
+        self._watcher.begun(Response(200, mapping.response_header_lines(self._head), b""), pipe)
 
     def _release(self) -> None:
         self._lane.held -= self._held
@@ -277,7 +277,7 @@
         body = b"".join(self._chunks)
         if self.request.form is None:
             return mapping.plain_answer(self._head, self._tail, body)
-        head = b"" if self._head is self._tail else mapping.answer_head(self._head)
+        head = b"" if self._head is self._tail else mapping.response_header_lines(self._head)
         return Response(http_status(int(code)), head, body, None, mapping.answer_tail(self._tail))
 
 
