--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -178,7 +178,7 @@
     return _header_lines(head, CONNECTION | INTERPRETED_HEADERS)
 
 
-def answer_tail(tail: Fields) -> bytes:
+def response_trailer_lines(tail: Fields) -> bytes:
     """Return the trailers of a gRPC response for a gRPC caller."""
     return _header_lines(tail, CONNECTION | {b"x-server-load", b"content-type"})
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -278,7 +278,7 @@
         if self.request.form is None:
             return mapping.plain_answer(self._head, self._tail, body)
         head = b"" if self._head is self._tail else mapping.response_header_lines(self._head)
-        return Response(http_status(int(code)), head, body, None, mapping.answer_tail(self._tail))
+        return Response(http_status(int(code)), head, body, None, mapping.response_trailer_lines(self._tail))
 
 
 class Link(Wire, asyncio.Protocol):
