--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -183,7 +183,7 @@
     return _header_lines(tail, CONNECTION | {b"x-server-load", b"content-type"})
 
 
-def plain_answer(head: Fields, tail: Fields, body: bytes) -> Response:
+def to_http1_response(head: Fields, tail: Fields, body: bytes) -> Response:
     """Translate a complete gRPC response for an HTTP/1.1 caller: the body is its message, or its text if it failed.
 
     Raises InvalidMessageError if it succeeded with any other number of messages than one.
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -276,7 +276,7 @@
             return None if status < 300 else Response(status, b"", b"")
         body = b"".join(self._chunks)
         if self.request.form is None:
-            return mapping.plain_answer(self._head, self._tail, body)
+            return mapping.to_http1_response(self._head, self._tail, body)
         head = b"" if self._head is self._tail else mapping.response_header_lines(self._head)
         return Response(http_status(int(code)), head, body, None, mapping.response_trailer_lines(self._tail))
 
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -237,7 +237,7 @@
 def test_a_grpc_response_for_an_http_caller() -> None:
     head = [(b":status", b"200"), (b"content-type", b"application/grpc+proto"), (b"x-a", b"1")]
     tail = [(b"grpc-status", b"0"), (b"x-b", b"2"), (b"x-server-load", b"1")]
-    response = mapping.plain_answer(head, tail, b"\0\0\0\0\4done")
+    response = mapping.to_http1_response(head, tail, b"\0\0\0\0\4done")
     assert (response.status, response.body) == (200, b"done")
     assert mapping.fields_of([response.head], frozenset()) == [
         (b"x-a", b"1"),
@@ -245,10 +245,10 @@
         (b"grpc-status", b"0"),
         (b"content-type", b"application/x-protobuf"),
     ]
-    response = mapping.plain_answer(head, [(b"grpc-status", b"5"), (b"grpc-message", b"no %C3%B6")], b"")
+    response = mapping.to_http1_response(head, [(b"grpc-status", b"5"), (b"grpc-message", b"no %C3%B6")], b"")
     assert (response.status, response.body) == (404, "no ö\n".encode()) and b"grpc-status: 5\r\n" in response.head
     with pytest.raises(InvalidMessageError):
-        mapping.plain_answer(head, tail, b"")
+        mapping.to_http1_response(head, tail, b"")
 
 
 def test_an_http_response_for_a_grpc_caller() -> None:
