--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -212,7 +212,7 @@
     return Response(200, lines, message)
 
 
-def served_answer(status: int, head: bytes, body: bytes, content_type: bytes) -> tuple[Fields, bytes, Fields]:
+def to_grpc_response(status: int, head: bytes, body: bytes, content_type: bytes) -> tuple[Fields, bytes, Fields]:
     """Translate an HTTP/1.1 response, or one of the proxy itself, for a gRPC caller: header fields, body and trailers.
 
     `content_type` is that of the request. Only a response with a status below 300 has a message; the text of others
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -397,7 +397,7 @@
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write an answer that was made here or by an HTTP/1.1 box."""
-        first, messages, tail = mapping.served_answer(status, head, body, self._told[b"content-type"])
+        first, messages, tail = mapping.to_grpc_response(status, head, body, self._told[b"content-type"])
         if self._answer is not None:
             self._end_stream(tail)
         else:
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -252,21 +252,23 @@
 
 
 def test_an_http_response_for_a_grpc_caller() -> None:
-    head, body, tail = mapping.served_answer(200, b"X-A: 1\r\nContent-Encoding: gzip\r\n", b"zz", b"application/grpc")
+    head, body, tail = mapping.to_grpc_response(
+        200, b"X-A: 1\r\nContent-Encoding: gzip\r\n", b"zz", b"application/grpc"
+    )
     assert body == b"\1\0\0\0\2zz" and tail == [(b"grpc-status", b"0")] and (b"grpc-encoding", b"gzip") in head
     for status, code, pushback in ((404, 5, None), (503, 14, None), (500, 13, b"-1"), (502, 2, b"-1"), (302, 2, None)):
-        _, body, tail = mapping.served_answer(status, b"", b"why\n", b"application/grpc+json")
+        _, body, tail = mapping.to_grpc_response(status, b"", b"why\n", b"application/grpc+json")
         trailers = dict(tail)
         assert (body, trailers[b"grpc-status"], trailers[b"grpc-message"]) == (b"", b"%d" % code, b"why")
         assert trailers.get(b"grpc-retry-pushback-ms") == pushback
-    _, _, tail = mapping.served_answer(503, b"Retry-After: 0.25\r\n", b"", b"")
+    _, _, tail = mapping.to_grpc_response(503, b"Retry-After: 0.25\r\n", b"", b"")
     assert dict(tail)[b"grpc-retry-pushback-ms"] == b"250"
 
 
 def test_a_grpc_status_counts_unless_it_contradicts_the_http_status() -> None:
-    _, _, tail = mapping.served_answer(409, b"grpc-status: 6\r\n", b"", b"")
+    _, _, tail = mapping.to_grpc_response(409, b"grpc-status: 6\r\n", b"", b"")
     assert dict(tail)[b"grpc-status"] == b"6"
-    _, body, tail = mapping.served_answer(500, b"grpc-status: 0\r\n", b"x", b"")
+    _, body, tail = mapping.to_grpc_response(500, b"grpc-status: 0\r\n", b"x", b"")
     assert (body, dict(tail)[b"grpc-status"]) == (b"", b"13")
-    _, body, tail = mapping.served_answer(200, b"grpc-status: 5\r\n", b"x", b"")
+    _, body, tail = mapping.to_grpc_response(200, b"grpc-status: 5\r\n", b"x", b"")
     assert body and dict(tail)[b"grpc-status"] == b"0"
