--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -31,7 +31,7 @@
 HTTP1_SUBTYPES = {b"proto": b"x-protobuf"}
 GRPC_SUBTYPES = {http1_subtype: grpc_subtype for grpc_subtype, http1_subtype in HTTP1_SUBTYPES.items()}
 #: Headers of one connection or of the framing of one message, which are never forwarded (RFC 9113 8.2.2).
-CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -50,7 +50,7 @@
 #: Headers and trailers of a response that the proxy interprets itself.
 INTERPRETED_HEADERS = frozenset({b"grpc-status", b"grpc-message", b"x-not-processed", b"x-server-load"})
 #: Headers that a translated message does not take from the original, but gets anew.
-REPLACED_HEADERS = CONNECTION | {
+REPLACED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"content-type",
     b"content-encoding",
     b"grpc-encoding",
@@ -75,7 +75,7 @@
     return b"".join(b"%b: %b\r\n" % field for field in fields if field[0][:1] != b":" and field[0] not in without)
 
 
-def fields_of(lines: Iterable[bytes], without: frozenset[bytes] = CONNECTION) -> Fields:
+def fields_of(lines: Iterable[bytes], without: frozenset[bytes] = HOP_BY_HOP_HEADERS) -> Fields:
     """Return header lines as fields, except those named in `without`."""
     fields: Fields = []
     for line in b"".join(lines).split(b"\r\n"):
@@ -91,7 +91,7 @@
 
 def grpc_request_fields(request: Request, left: float) -> Fields:
     """Return the header fields of a gRPC request for a gRPC backend, with `left` seconds until the deadline."""
-    received = fields_of(request.lines, CONNECTION - {b"host"})
+    received = fields_of(request.lines, HOP_BY_HOP_HEADERS - {b"host"})
     return [
         *_pseudo_headers(request.target, dict(received)),
         (b"te", b"trailers"),
@@ -175,12 +175,12 @@
 
 def response_header_lines(head: Fields) -> bytes:
     """Return the header lines of a gRPC response for a gRPC caller."""
-    return _header_lines(head, CONNECTION | INTERPRETED_HEADERS)
+    return _header_lines(head, HOP_BY_HOP_HEADERS | INTERPRETED_HEADERS)
 
 
 def response_trailer_lines(tail: Fields) -> bytes:
     """Return the trailers of a gRPC response for a gRPC caller."""
-    return _header_lines(tail, CONNECTION | {b"x-server-load", b"content-type"})
+    return _header_lines(tail, HOP_BY_HOP_HEADERS | {b"x-server-load", b"content-type"})
 
 
 def to_http1_response(head: Fields, tail: Fields, body: bytes) -> Response:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -446,7 +446,7 @@
         if before is not None and name in NAMED:  # Guards against a backend that reads the other one.
             raise Rejected(400, "a header comes twice")
         named[name] = value if before is None else before + b", " + value
-        if name not in REWRITTEN and name not in mapping.CONNECTION and (underscores or b"_" not in name):
+        if name not in REWRITTEN and name not in mapping.HOP_BY_HOP_HEADERS and (underscores or b"_" not in name):
             lines.append(b"%b: %b\r\n" % (name, value))
     if authority:  # RFC 9113 8.3.1: it stands for Host; h2 refuses one that says otherwise
         named[b"host"] = authority
