--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -75,7 +75,7 @@
     return b"".join(b"%b: %b\r\n" % field for field in fields if field[0][:1] != b":" and field[0] not in without)
 
 
-def fields_of(lines: Iterable[bytes], without: frozenset[bytes] = HOP_BY_HOP_HEADERS) -> Fields:
+def parse_header_lines(lines: Iterable[bytes], without: frozenset[bytes] = HOP_BY_HOP_HEADERS) -> Fields:
     """Return header lines as fields, except those named in `without`."""
     fields: Fields = []
     for line in b"".join(lines).split(b"\r\n"):
@@ -91,7 +91,7 @@
 
 def grpc_request_fields(request: Request, left: float) -> Fields:
     """Return the header fields of a gRPC request for a gRPC backend, with `left` seconds until the deadline."""
-    received = fields_of(request.lines, HOP_BY_HOP_HEADERS - {b"host"})
+    received = parse_header_lines(request.lines, HOP_BY_HOP_HEADERS - {b"host"})
     return [
         *_pseudo_headers(request.target, dict(received)),
         (b"te", b"trailers"),
@@ -106,7 +106,7 @@
     gRPC has neither methods nor queries: these are sent as metadata, and so is the original content type.
     """
     path, _, query = request.target.partition(b"?")
-    received = fields_of(request.lines, frozenset())
+    received = parse_header_lines(request.lines, frozenset())
     headers = dict(received)
     content_type, encoding = headers.get(b"content-type", b""), headers.get(b"content-encoding", b"")
     accepted = headers.get(b"accept-encoding", b"")
@@ -138,7 +138,7 @@
     if len(messages) != 1:
         raise InvalidMessageError(f"{len(messages)} messages, where HTTP/1.1 has one body")
     [(compressed, body)] = messages
-    received = fields_of(request.lines, frozenset())
+    received = parse_header_lines(request.lines, frozenset())
     headers = dict(received)
     fields = [field for field in received if field[0] == b"host" or field[0] not in REPLACED_HEADERS]
     fields.append((b"content-type", _http1_content_type(headers.get(b"content-type", b""))))
@@ -218,7 +218,7 @@
     `content_type` is that of the request. Only a response with a status below 300 has a message; the text of others
     becomes the status message. A `grpc-status` counts unless it contradicts the HTTP status.
     """
-    received = fields_of([head], frozenset())
+    received = parse_header_lines([head], frozenset())
     headers = dict(received)
     fields = [field for field in received if field[0] not in REPLACED_HEADERS | INTERPRETED_HEADERS]
     grpc_code = read_status(headers.get(b"grpc-status"))
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -197,7 +197,7 @@
         )
 
     def _first_fields(self, status: int, head: bytes, length: int | None) -> Fields:
-        fields: Fields = [(b":status", b"%d" % status), *mapping.fields_of([head])]
+        fields: Fields = [(b":status", b"%d" % status), *mapping.parse_header_lines([head])]
         if status not in (204, 304) and length is not None:
             fields.append((b"content-length", b"%d" % length))
         return fields
@@ -405,7 +405,7 @@
 
     def _first(self, head: bytes) -> Fields:
         """The head of a gRPC box's answer; one without a content type has that of the request."""
-        fields: Fields = [(b":status", b"200"), *mapping.fields_of([head])]
+        fields: Fields = [(b":status", b"200"), *mapping.parse_header_lines([head])]
         if all(name != b"content-type" for name, _ in fields):
             fields.append((b"content-type", self._told[b"content-type"]))
         return fields
@@ -417,7 +417,7 @@
 
     def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
         """Write the answer of a gRPC box, or what of it has not been passed on."""
-        tail = mapping.fields_of([trailers])
+        tail = mapping.parse_header_lines([trailers])
         if self._answer is not None:
             self._end_stream(tail)
         else:
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -202,7 +202,7 @@
         body=b"\1\0\0\0\6zipped",
     )
     sent = mapping.to_http1_request(received)
-    headers = dict(mapping.fields_of(sent.lines, frozenset()))
+    headers = dict(mapping.parse_header_lines(sent.lines, frozenset()))
     assert sent.body == b"zipped" and headers == {
         b"host": b"h:1",
         b"content-type": b"application/json",
@@ -239,7 +239,7 @@
     tail = [(b"grpc-status", b"0"), (b"x-b", b"2"), (b"x-server-load", b"1")]
     response = mapping.to_http1_response(head, tail, b"\0\0\0\0\4done")
     assert (response.status, response.body) == (200, b"done")
-    assert mapping.fields_of([response.head], frozenset()) == [
+    assert mapping.parse_header_lines([response.head], frozenset()) == [
         (b"x-a", b"1"),
         (b"x-b", b"2"),
         (b"grpc-status", b"0"),
