--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -16,10 +16,10 @@
     Status,
     decode_message,
     encode_message,
+    grpc_status,
     http_status,
     read_status,
     retry_details,
-    status_of,
 )
 from lugspur.grpc.timeout import write_timeout
 from lugspur.seams import Request, Response
@@ -222,7 +222,7 @@
     headers = dict(received)
     fields = [field for field in received if field[0] not in REPLACED_HEADERS | INTERPRETED_HEADERS]
     grpc_code = read_status(headers.get(b"grpc-status"))
-    code = status_of(status) if grpc_code is None or (grpc_code is Status.OK) != (status < 300) else grpc_code
+    code = grpc_status(status) if grpc_code is None or (grpc_code is Status.OK) != (status < 300) else grpc_code
     if code is Status.OK:
         encoding = headers.get(b"content-encoding", b"")
         first: Fields = [(b":status", b"200"), (b"content-type", content_type or GRPC)]
--- a/lugspur/grpc/status.py
+++ b/lugspur/grpc/status.py
@@ -84,7 +84,7 @@
     return HTTP_STATUSES[Status(code)] if 0 <= code < len(Status) else 500
 
 
-def status_of(http: int) -> Status:
+def grpc_status(http: int) -> Status:
     """Return the code of an HTTP status."""
     if 200 <= http < 300:
         return Status.OK
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -16,10 +16,10 @@
     Status,
     decode_message,
     encode_message,
+    grpc_status,
     http_status,
     read_status,
     retry_details,
-    status_of,
 )
 from lugspur.grpc.stream_end import OUTCOMES, StreamEnd
 from lugspur.grpc.timeout import MAX_COUNT, MAX_TIMEOUT_SECONDS, UNITS, read_timeout, write_timeout
@@ -66,9 +66,9 @@
 def test_codes_are_those_of_google_rpc_and_map_back_to_one_of_the_same_http_status() -> None:
     for code in Status:
         assert code_pb2.Code.Value(code.name) == code
-        back = status_of(HTTP_STATUSES[code])
+        back = grpc_status(HTTP_STATUSES[code])
         assert http_status(back) == HTTP_STATUSES[code]
-    assert http_status(99) == 500 and status_of(418) is Status.INVALID_ARGUMENT and status_of(502) is Status.UNKNOWN
+    assert http_status(99) == 500 and grpc_status(418) is Status.INVALID_ARGUMENT and grpc_status(502) is Status.UNKNOWN
 
 
 @pytest.mark.parametrize("value", [None, b"", b"-1", b"1.0", b"OK", b"9" * 10])
