--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -18,7 +18,7 @@
     encode_message,
     grpc_status,
     http_status,
-    read_status,
+    parse_status,
     retry_details,
 )
 from lugspur.grpc.timeout import write_timeout
@@ -189,7 +189,7 @@
     Raises InvalidMessageError if it succeeded with any other number of messages than one.
     """
     trailers = dict(tail)
-    code = read_status(trailers.get(b"grpc-status"))
+    code = parse_status(trailers.get(b"grpc-status"))
     fields = [field for field in (*head, *tail) if field[0] not in REPLACED_HEADERS | INTERPRETED_HEADERS]
     fields.append((b"grpc-status", trailers.get(b"grpc-status", b"2")))
     lines = _header_lines(fields)
@@ -221,7 +221,7 @@
     received = parse_header_lines([head], frozenset())
     headers = dict(received)
     fields = [field for field in received if field[0] not in REPLACED_HEADERS | INTERPRETED_HEADERS]
-    grpc_code = read_status(headers.get(b"grpc-status"))
+    grpc_code = parse_status(headers.get(b"grpc-status"))
     code = grpc_status(status) if grpc_code is None or (grpc_code is Status.OK) != (status < 300) else grpc_code
     if code is Status.OK:
         encoding = headers.get(b"content-encoding", b"")
--- a/lugspur/grpc/status.py
+++ b/lugspur/grpc/status.py
@@ -94,7 +94,7 @@
     return code
 
 
-def read_status(value: bytes | None) -> Status | int | None:
+def parse_status(value: bytes | None) -> Status | int | None:
     """Return the code of a received `grpc-status`, or None if there is none or it is malformed."""
     if value is None or not value.isdigit() or len(value) > 9:
         return None
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -9,7 +9,7 @@
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
-from lugspur.grpc.status import Status, http_status, read_status
+from lugspur.grpc.status import Status, http_status, parse_status
 from lugspur.grpc.stream_end import OUTCOMES, StreamEnd, end_by_reset
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
@@ -255,7 +255,7 @@
             self.ended(StreamEnd.BROKEN)  # trailers before the message's end
             return
         told = dict(self._tail)
-        code = read_status(told.get(b"grpc-status"))
+        code = parse_status(told.get(b"grpc-status"))
         try:
             response = self._read(told, code)
         except InvalidMessageError:
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -18,7 +18,7 @@
     encode_message,
     grpc_status,
     http_status,
-    read_status,
+    parse_status,
     retry_details,
 )
 from lugspur.grpc.stream_end import OUTCOMES, StreamEnd
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("value", [None, b"", b"-1", b"1.0", b"OK", b"9" * 10])
 def test_a_malformed_status_is_none(value: bytes | None) -> None:
-    assert read_status(value) is None
+    assert parse_status(value) is None
 
 
 @given(st.binary(max_size=80))
