--- a/lugspur/daemon/admin/__init__.py
+++ b/lugspur/daemon/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin listener: operators' requests to one running proxy, at a second address (as Envoy's admin interface)."""
+"""The admin listener: operators' requests to one running proxy, at a separate address, as Envoy's admin interface."""
--- a/lugspur/daemon/admin/action.py
+++ b/lugspur/daemon/admin/action.py
@@ -1,4 +1,4 @@
-"""What an admin request has a proxy do, and how that ended."""
+"""An action of an admin request, and its result."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class ActionResult(NamedTuple):
-    """The answer to an admin request."""
+    """The response to an admin request."""
 
-    status: int  # of HTTP: 2xx is yes, anything else is no
-    text: str  # without its final line feed
+    status: int  # of HTTP; 2xx means success
+    text: str  # without the final line feed
 
 
-#: Called with the body of the request, without white space around it.
+#: Called with the body of the request, without surrounding white space.
 Action: TypeAlias = Callable[[str], ActionResult]
--- a/lugspur/daemon/admin/actions.py
+++ b/lugspur/daemon/admin/actions.py
@@ -1,4 +1,4 @@
-"""The actions that every proxy offers at its admin listener; each change is one line in the log."""
+"""The actions that every proxy offers at its admin listener; each change is logged in one line."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 
 class ManagedProxy(Protocol):
-    """What operators can ask of a proxy."""
+    """The interface that operators have to a proxy."""
 
     @property
     def takes_clients(self) -> bool:
-        """Whether this process takes clients."""
+        """Whether this process accepts clients."""
 
     def disable(self, name: str) -> bool:
-        """Send nothing more to a backend; return whether it was ever listed."""
+        """Send no further requests to a backend; return whether it was ever listed."""
 
     def enable(self, name: str) -> bool:
-        """Let a backend serve again; return whether it was ever listed."""
+        """Send requests to a backend again; return whether it was ever listed."""
 
     def drain(self) -> None:
-        """Send clients away."""
+        """Start a drain, which sends clients away."""
 
     def undrain(self) -> None:
-        """Take clients again."""
+        """End the drain, and accept clients again."""
 
     def metrics(self) -> list[Metric]:
         """Return the metrics of this process."""
 
     def failures(self) -> list[FailedRequest]:
-        """Return the latest requests that failed, the latest last."""
+        """Return the latest failed requests, with the most recent one last."""
 
 
 def admin_actions(proxy: ManagedProxy) -> Mapping[tuple[str, str], Action]:
@@ -57,7 +57,7 @@
 
 
 class _AdminActions:
-    """The actions on one proxy; those that take no body pass over it."""
+    """The actions on one proxy; those that need no body ignore it."""
 
     def __init__(self, proxy: ManagedProxy) -> None:
         self._proxy = proxy
@@ -70,7 +70,7 @@
     def metrics(self, _: str) -> ActionResult:
         try:
             return ActionResult(HTTPStatus.OK, render(self._proxy.metrics()).decode().rstrip("\n"))
-        except ImportError:  # the platform's proxy stays lean: the library is an extra there
+        except ImportError:  # The library is an optional dependency, which the platform's proxy does not install.
             return ActionResult(HTTPStatus.NOT_IMPLEMENTED, "figures need the extra `metrics`")
 
     def failures(self, _: str) -> ActionResult:
@@ -84,23 +84,23 @@
 
     def drain(self, _: str) -> ActionResult:
         self._proxy.drain()
-        return _logged("drained: clients are sent away")
+        return _log_and_return("drained: clients are sent away")
 
     def undrain(self, _: str) -> ActionResult:
         self._proxy.undrain()
-        return _logged("drained no more: clients are taken")
+        return _log_and_return("drained no more: clients are taken")
 
 
-def _change_backend(name: str, done: str, change: Callable[[str], bool]) -> ActionResult:
-    """Change a backend by its name, which comes from the network."""
+def _change_backend(name: str, new_state: str, change: Callable[[str], bool]) -> ActionResult:
+    """Change a backend by its name, which is untrusted input."""
     if not name or len(name.encode()) > MAX_BACKEND_NAME_BYTES or not name.isprintable():
         return ActionResult(HTTPStatus.BAD_REQUEST, "the body has to be a backend's id")
     if not change(name):
         return ActionResult(HTTPStatus.NOT_FOUND, f"no backend {name!r} was ever listed")
-    return _logged(f"backend {name!r} is {done}")
+    return _log_and_return(f"backend {name!r} is {new_state}")
 
 
-def _logged(text: str) -> ActionResult:
-    """Write one line to standard error, and answer with the same text."""
+def _log_and_return(text: str) -> ActionResult:
+    """Write one line to standard error, and return a successful result with the same text."""
     print(f"lugspur: management: {text}", file=sys.stderr, flush=True)
     return ActionResult(HTTPStatus.OK, text)
--- a/lugspur/daemon/admin/listener.py
+++ b/lugspur/daemon/admin/listener.py
@@ -1,4 +1,4 @@
-"""Carries admin requests: one to a connection, few connections at once, and little time for each."""
+"""The connections of the admin listener: one request on each, limited in number and time."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 from lugspur.daemon.admin.request import AdminRequest
 from lugspur.discovery.endpoints import Address
 
-MAX_CONNECTIONS = 24  # at once: a dozen that hang, and as many operators
-CONNECTION_TIMEOUT_SECONDS = 5.0  # for a whole connection: some stay for 4 s and say nothing
-ACCEPT_BACKLOG = 256  # connections that may wait to be accepted
-# Read and dropped behind the answer: closing a connection with unread bytes would reset it.
+#: Connections at the same time: a dozen that hang, and as many of operators.
+MAX_CONNECTIONS = 24
+#: The limit of a whole connection: some stay open for 4 s without sending anything.
+CONNECTION_TIMEOUT_SECONDS = 5.0
+#: Connections that may wait to be accepted.
+ACCEPT_BACKLOG = 256
+#: Bytes that are read and discarded after the response: closing a connection with unread bytes would reset it.
 MAX_DISCARDED_BYTES = 1 << 20
 
 
 class AdminListener:
-    """Listens at the second address, on the event loop that serves clients."""
+    """Listens at the admin address, on the event loop that serves clients."""
 
     def __init__(self, address: Address, actions: Mapping[tuple[str, str], Action]) -> None:
         """`actions` are by method and path."""
@@ -29,7 +32,7 @@
         self._server: asyncio.Server
 
     async def open(self) -> socket.socket:
-        """Listen from now on, and return the listening socket; raises OSError where the address is taken."""
+        """Start to listen, and return the listening socket; raises OSError if the address is in use."""
         loop = asyncio.get_running_loop()
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -44,25 +47,28 @@
         return sock
 
     def close(self) -> None:
-        """Take no more requests, and drop the connections that are there."""
+        """Stop listening, and drop all connections."""
         self._server.close()
         for connection in tuple(self.connections):
             connection.drop()
 
-    def make_room(self, newcomer: AdminConnection) -> None:
-        """Drop the oldest connection without a complete request where there are too many.
+    def make_room(self, new_connection: AdminConnection) -> None:
+        """Drop the oldest connection without a complete request if there are too many connections.
 
-        Guards operators against callers that hang. Where all others have made their requests, the newcomer is dropped.
+        Guards operators against clients that hang. If the requests of all others are complete, the new connection is
+        dropped.
         """
         if len(self.connections) > MAX_CONNECTIONS:
-            next((connection for connection in self.incomplete if connection is not newcomer), newcomer).drop()
+            next(
+                (connection for connection in self.incomplete if connection is not new_connection), new_connection
+            ).drop()
 
 
 class AdminConnection(asyncio.Protocol):
     """One connection, for one request."""
 
     def __init__(self, listener: AdminListener) -> None:
-        """Begin without any byte of the request."""
+        """Start without any byte of the request."""
         self._listener = listener
         self._request = AdminRequest(listener.actions)
         self._discarded_bytes = 0
@@ -76,18 +82,18 @@
         self._listener.make_room(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._request.answer is not None:
+        if self._request.response is not None:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self.drop()
             return
         self._request.feed(data)
-        if self._request.answer is not None:
+        if self._request.response is not None:
             self._listener.incomplete.pop(self, None)
-            self._transport.write(self._request.answer)
+            self._transport.write(self._request.response)
             try:
                 self._transport.write_eof()
-            except OSError:  # the caller has disconnected by now
+            except OSError:  # The client has disconnected already.
                 self.drop()
 
     def drop(self) -> None:
--- a/lugspur/daemon/health_checks/__init__.py
+++ b/lugspur/daemon/health_checks/__init__.py
@@ -1,1 +1,1 @@
-"""Health checks by one daemon of the fleet for all: it checks backends that others report, and sends out the result."""
+"""Health checks by one daemon of a fleet: it checks the backends that others report, and sends them the results."""
--- a/lugspur/daemon/health_checks/health_checker.py
+++ b/lugspur/daemon/health_checks/health_checker.py
@@ -1,4 +1,4 @@
-"""Which backends of a pool its health checker checks, when, and what it concludes. No I/O.
+"""Decides which backends of a pool are checked when, and which of them are unhealthy. No I/O.
 
 A backend that a daemon reports is checked at once. Two failed checks in a row make it unhealthy; then it is checked
 at an interval until two in a row pass. A backend that nobody reports is never checked.
@@ -9,10 +9,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Checks in a row that make a backend unhealthy, and healthy again: one lost packet does neither.
+# Failed checks in a row that make a backend unhealthy, and passed checks that make it healthy: one lost packet does
+# neither.
 UNHEALTHY_THRESHOLD, HEALTHY_THRESHOLD = 2, 2
-RECHECK_DELAY_SECONDS = 0.1  # between the first two checks of a backend that was reported
-MAX_CHECKS_IN_FLIGHT = 16  # what one process can do beside its traffic
+#: The delay between two checks in a row that may change the health of a backend.
+RECHECK_DELAY_SECONDS = 0.1
+#: Concurrent checks that one process can make in addition to its traffic.
+MAX_CHECKS_IN_FLIGHT = 16
 
 
 @dataclass(slots=True)
@@ -20,17 +23,17 @@
     due_at: float  # of the next check, in seconds of the local clock
     is_in_flight: bool = False
     is_unhealthy: bool = False
-    consecutive_results: int = 0  # of the same kind as the latest one
-    has_passed: bool = False  # the latest check
-    was_reported: bool = True  # since the latest check began
+    consecutive_results: int = 0  # with the same result as the latest one
+    has_passed: bool = False  # the result of the latest check
+    was_reported: bool = True  # since the latest check started
 
 
 class HealthChecker:
     """The state of one pool's health checker.
 
     Attributes:
-        interval_seconds: Between two checks of a backend that is unhealthy.
-        sequence_number: Raised with each change of `unhealthy`.
+        interval_seconds: The interval between two checks of an unhealthy backend.
+        sequence_number: Incremented with each change of `unhealthy`.
     """
 
     def __init__(self, interval_seconds: float) -> None:
@@ -45,7 +48,7 @@
         return [name for name, backend in self._checked.items() if backend.is_unhealthy]
 
     def take_over(self, now: float, unhealthy: Iterable[str]) -> None:
-        """Begin with what the former health checker held for unhealthy, and check that at once."""
+        """Start with the backends that the former health checker regarded as unhealthy, and check them at once."""
         self._checked = {
             name: _CheckedBackend(now, is_unhealthy=True, consecutive_results=UNHEALTHY_THRESHOLD)
             for name in unhealthy
@@ -54,7 +57,7 @@
         self.sequence_number += 1
 
     def update_backends(self, names: Iterable[str]) -> None:
-        """Note which backends the pool has now."""
+        """Set the backends of the pool."""
         self._listed = frozenset(names)
         for name in tuple(self._checked):
             if name not in self._listed:
@@ -62,7 +65,7 @@
                 del self._checked[name]
 
     def report_failure(self, now: float, name: str) -> None:
-        """Note that a daemon could not connect to a backend."""
+        """Record that a daemon could not connect to a backend."""
         backend = self._checked.get(name)
         if backend is not None:
             backend.was_reported = True
@@ -70,7 +73,7 @@
             self._checked[name] = _CheckedBackend(now)
 
     def due(self) -> float:
-        """When the next check is due, in seconds of the local clock."""
+        """Return when the next check is due, in seconds of the local clock; infinity if none is."""
         if self._in_flight_count() >= MAX_CHECKS_IN_FLIGHT:
             return float("inf")
         times = (backend.due_at for backend in self._checked.values() if not backend.is_in_flight)
@@ -78,14 +81,14 @@
 
     def start_checks(self, now: float) -> list[str]:
         """Return the backends to check now; the caller ends each check with `finish_check`."""
-        room = max(0, MAX_CHECKS_IN_FLIGHT - self._in_flight_count())
+        capacity = max(0, MAX_CHECKS_IN_FLIGHT - self._in_flight_count())
         due = [name for name, backend in self._checked.items() if not backend.is_in_flight and backend.due_at <= now]
-        for name in due[:room]:
+        for name in due[:capacity]:
             self._checked[name].is_in_flight, self._checked[name].was_reported = True, False
-        return due[:room]
+        return due[:capacity]
 
     def finish_check(self, now: float, name: str, has_passed: bool) -> bool:
-        """Note how a check ended; return whether that makes the backend unhealthy, or healthy again."""
+        """Record the result of a check, and return whether the backend becomes unhealthy or healthy by it."""
         backend = self._checked.get(name)
         if backend is None or not backend.is_in_flight:
             return False
@@ -105,7 +108,7 @@
         return False
 
     def _keep_healthy(self, now: float, name: str, backend: _CheckedBackend) -> None:
-        """Check a healthy backend again only if a daemon still can't connect to it, and not before an interval."""
+        """Check a healthy backend again, after an interval, only if a daemon still can't connect to it."""
         if backend.was_reported:
             backend.due_at = now + self.interval_seconds
         else:
--- a/lugspur/daemon/health_checks/received_reports.py
+++ b/lugspur/daemon/health_checks/received_reports.py
@@ -1,14 +1,16 @@
-"""What a daemon takes from the reports of a pool's health checker, and for how long. No I/O."""
+"""The reports that a daemon has received from a pool's health checker, and how long they are valid. No I/O."""
 
 from __future__ import annotations
 
 from lugspur.daemon.health_checks.messages import HealthReport
 from lugspur.daemon.leases.fencing import FencingTokenValidator
 
-REPORT_INTERVAL_SECONDS = 1.0  # between two reports of the same, while any backend is unhealthy
-# Three reports in a row may be lost. After that each daemon judges for itself, as without a health checker.
+#: The interval between reports without changes, while any backend is unhealthy.
+REPORT_INTERVAL_SECONDS = 1.0
+#: Three reports in a row may be lost. After that, each daemon decides for itself, as without a health checker.
 REPORT_LIFETIME_SECONDS = 4.0 * REPORT_INTERVAL_SECONDS
-# Of a pool's backends. A health checker that finds more of them unhealthy may be the one that is partitioned.
+#: The fraction of a pool's backends that may be excluded. A health checker that finds more of them unhealthy may be the
+#: one that is partitioned.
 MAX_EXCLUDED_FRACTION = 0.5
 
 
@@ -27,7 +29,7 @@
         self._unhealthy: tuple[str, ...] = ()
 
     def receive(self, now: float, report: HealthReport) -> bool:
-        """Take a report; return False if it is of a former health checker, or older than the latest one."""
+        """Apply a report; return False if it is from a former health checker, or older than the latest one."""
         order = report.epoch, report.sequence_number
         if not self._fencing.accepts(self._role, report.epoch) or order < self._latest:
             return False
@@ -40,10 +42,10 @@
         return self._unhealthy if now < self._expires_at else ()
 
     def due(self) -> float:
-        """When the latest report expires, in seconds of the local clock; infinity if it names no backend."""
+        """Return when the latest report expires, in seconds of the local clock; infinity if it names no backend."""
         return self._expires_at if self._unhealthy else float("inf")
 
     def excluded(self, now: float, listed: set[str]) -> set[str]:
-        """Return the listed backends to send no requests to: none if those were more than half of the list."""
+        """Return the listed backends that get no requests: none if that would be more than half of the list."""
         unhealthy = listed.intersection(self.unhealthy(now))
         return unhealthy if len(unhealthy) <= MAX_EXCLUDED_FRACTION * len(listed) else set()
--- a/lugspur/daemon/persistence/aging.py
+++ b/lugspur/daemon/persistence/aging.py
@@ -1,7 +1,7 @@
-"""How much of a snapshot still counts after a restart, by its age, and on the new process's clock. No I/O.
+"""Ages a snapshot after a restart, and converts its times to the clock of the new process. No I/O.
 
-Averages lose half their weight with each half-life: they are pulled towards the mean of the pool, so that an opinion
-about one backend fades while the general level stays. Windows of counts expire by themselves.
+Averages lose half their weight with each half-life: they are pulled towards the mean of the pool, so that the estimate
+for one backend fades while the general level stays. Windows of counts expire by themselves.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 HALF_LIFE_SECONDS = 300.0
 #: The age beyond which only the list of endpoints is used.
 MAX_AGE_SECONDS = 3600.0
-#: How far the wall clock may have gone back between writing and reading and still count as steady.
+#: The step back of the wall clock between writing and reading that is ignored.
 CLOCK_STEP_TOLERANCE_SECONDS = 1.0
 
 
@@ -29,18 +29,18 @@
 def decay(pool: PoolSnapshot, age: float | None, now: float) -> Learned | None:
     """Return what still counts of a pool's learned state after `age` seconds, on a clock that shows `now`.
 
-    The result is None where nothing counts: the pool has learned nothing, or its age is unknown or beyond the limit.
+    The result is None if nothing counts: the pool has learned nothing, or its age is unknown or beyond the limit.
     """
     learned = pool.learned
     if learned is None or age is None or age > MAX_AGE_SECONDS:
         return None
     weight = 0.5 ** (age / HALF_LIFE_SECONDS)
-    clock_offset = now - age - pool.captured_at  # from the former process's clock to this one's
+    clock_offset = now - age - pool.captured_at  # from the clock of the former process to that of this one
     return replace(
         learned,
         servers=tuple(_decay_server(row, learned.pooled, weight, clock_offset, now) for row in learned.servers),
         pools=tuple(_restart_pool(row, clock_offset, now) for row in learned.pools),
-        # The baseline of the cost rejects requests, so it is learned anew once it has lost half its weight.
+        # Requests are rejected by the baseline of their cost, so it is learned anew once it has lost half its weight.
         paced=learned.paced if weight > 0.5 else 0,
     )
 
@@ -62,7 +62,7 @@
 
 
 def _pull_towards_mean(value: float, pooled: float, weight: float) -> float:
-    """Return a latency pulled towards the mean of its pool; 0 stands for no latency."""
+    """Return a latency pulled towards the mean of its pool; 0 means that there is none."""
     return value * weight + pooled * (1.0 - weight) if value > 0.0 and pooled > 0.0 else value
 
 
@@ -80,8 +80,8 @@
 def _restart_pool(row: LearnedPool, clock_offset: float, now: float) -> LearnedPool:
     """Return the window of the pool's throttle and nothing else.
 
-    The rates cover the last two seconds only, and a start has a guard of its own. With the former start time and no
-    rate left, the balancer would take the first requests for an overload.
+    The rates cover only the last two seconds, and the start of a balancer has its own protection. With the former
+    start time and no rates left, the balancer would regard the first requests as an overload.
     """
     none = 0.0, 0.0
     return LearnedPool((none, none, none), None, _decay_breaker(row.breaker, 0.0, 1.0, clock_offset, now))
--- a/lugspur/daemon/persistence/directory.py
+++ b/lugspur/daemon/persistence/directory.py
@@ -1,6 +1,6 @@
-"""The system calls by which files in one directory are replaced safely.
+"""The system calls with which files in one directory are replaced atomically and durably.
 
-Each call is a method of its own, so that a test can stop the process or let the call fail at any of them.
+Each call is a separate method, so that a test can stop the process or let the call fail at any of them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 import stat
 from contextlib import suppress
 
-CHUNK_BYTES = 1 << 20  # that one call reads or writes at most
+#: The most that one call reads or writes.
+CHUNK_BYTES = 1 << 20
 
 
 class Directory:
@@ -37,34 +38,34 @@
         return os.write(fd, data[:CHUNK_BYTES])
 
     def write_file(self, name: str, data: bytes) -> None:
-        """Create a file with this content, and block until it survives a loss of power."""
+        """Create a file with this content, and block until it survives a power failure."""
         fd = self.create(name)
         try:
-            left = memoryview(data)
-            while left:
-                left = left[self.write(fd, left) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[self.write(fd, remaining) :]
             self.sync(fd)
         finally:
             self.close_file(fd)
 
     def sync(self, fd: int) -> None:
-        """Block until the content of a file survives a loss of power."""
+        """Block until the content of a file survives a power failure."""
         os.fsync(fd)
 
     def close_file(self, fd: int) -> None:
         """Close a file's descriptor."""
         os.close(fd)
 
-    def rename(self, name: str, other: str) -> None:
-        """Rename a file atomically; a file that has the other name is replaced."""
-        os.rename(name, other, src_dir_fd=self._fd, dst_dir_fd=self._fd)
+    def rename(self, name: str, new_name: str) -> None:
+        """Rename a file atomically; an existing file of the new name is replaced."""
+        os.rename(name, new_name, src_dir_fd=self._fd, dst_dir_fd=self._fd)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
         os.unlink(name, dir_fd=self._fd)
 
     def sync_directory(self) -> None:
-        """Block until the names in the directory survive a loss of power."""
+        """Block until the names in the directory survive a power failure."""
         os.fsync(self._fd)
 
     def list_names(self) -> list[str]:
@@ -72,18 +73,18 @@
         return os.listdir(self._fd)
 
     def read(self, name: str, max_bytes: int) -> bytes:
-        """Return the content of a file. Raises ValueError if it is not a regular one or larger than `max_bytes`."""
+        """Return the content of a file. Raises ValueError if it is not a regular file, or larger than `max_bytes`."""
         fd = os.open(name, os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC, dir_fd=self._fd)
         try:
             status = os.fstat(fd)
-            if not stat.S_ISREG(status.st_mode):  # Guards a start against a pipe to which nobody writes.
+            if not stat.S_ISREG(status.st_mode):  # Guards a start against a pipe without a writer.
                 raise ValueError("it is no plain file")
             if status.st_size > max_bytes:
                 raise ValueError(f"it has {status.st_size} bytes, and {max_bytes} are the most")
             chunks: list[bytes] = []
             while chunk := os.read(fd, CHUNK_BYTES):
                 chunks.append(chunk)
-                if sum(map(len, chunks)) > max_bytes:  # It grows while it is read.
+                if sum(map(len, chunks)) > max_bytes:  # The file grows while it is read.
                     raise ValueError(f"it has more than {max_bytes} bytes")
             return b"".join(chunks)
         finally:
--- a/lugspur/daemon/persistence/snapshot_format.py
+++ b/lugspur/daemon/persistence/snapshot_format.py
@@ -1,8 +1,8 @@
-"""The format of a snapshot file, of which a reader accepts all or nothing. No I/O.
+"""The format of a snapshot file, which a reader accepts as a whole or rejects. No I/O.
 
 The first line names the format, its version and the time of writing. Each further line is a record, a JSON array of its
 kind, the name of its pool and a value. The last line holds the SHA-256 of all lines before it and their number, so that
-a file that was cut, mixed with another or changed in any bit is rejected.
+a file that was truncated, mixed with another or changed in any bit is rejected.
 """
 
 from __future__ import annotations
@@ -20,26 +20,28 @@
 
 MAGIC = b"lugspur state"
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 64 << 20  # 10,000 backends with full windows need about 8 MB.
-MAX_BACKENDS = 50_000  # of all pools together, so that a file that was written can be read again
+#: The limit of a snapshot file; 10,000 backends with full windows need about 8 MB.
+MAX_FILE_BYTES = 64 << 20
+#: The limit of backends of all pools together, so that every file that is written can be read again.
+MAX_BACKENDS = 50_000
 
 
 class UnreadableSnapshotError(Exception):
-    """The file can't be used by this program; the text says why."""
+    """The file can't be used by this program; the text gives the reason."""
 
 
 @dataclass(slots=True)
 class PoolSnapshot:
     """One pool in a snapshot: its list of endpoints and its learned state."""
 
-    captured_at: float  # by the clock that the times in the learned state are of
+    captured_at: float  # by the clock of the times in the learned state
     endpoints: list[Endpoint] = field(default_factory=list)
     learned: Learned | None = None
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """All that a file holds."""
+    """The content of a file."""
 
     written_at: float  # by the wall clock, in seconds since the epoch
     pools: dict[str, PoolSnapshot]
@@ -60,8 +62,8 @@
 
 def decode_snapshot(data: bytes) -> Snapshot:
     """Decode a complete file. Raises UnreadableSnapshotError."""
-    first, _, _ = data.partition(b"\n")
-    magic, _, written_at = first.rpartition(b" ")
+    first_line, _, _ = data.partition(b"\n")
+    magic, _, written_at = first_line.rpartition(b" ")
     magic, _, version = magic.rpartition(b" ")
     if magic != MAGIC:
         raise UnreadableSnapshotError("it is no state file")
@@ -69,13 +71,13 @@
         raise UnreadableSnapshotError(
             f"it is of version {version[:9].decode('latin-1')}, and this program reads {FORMAT_VERSION}"
         )
-    end_at = data.rfind(b"\nend ", 0, -1) + 1
-    text, last_line = data[:end_at], data[end_at:]
+    last_line_start = data.rfind(b"\nend ", 0, -1) + 1
+    text, last_line = data[:last_line_start], data[last_line_start:]
     if last_line != b"end %b %d\n" % (hashlib.sha256(text).hexdigest().encode(), text.count(b"\n")):
         raise UnreadableSnapshotError("its checksum does not fit: it is cut or changed")
     try:
         return Snapshot(state_codec.finite_number(written_at), _decode_records(text.splitlines()[1:]))
-    except state_codec.DECODE_ERRORS as error:  # The checksum fits, but the values do not.
+    except state_codec.DECODE_ERRORS as error:  # The checksum matches, but the values are invalid.
         raise UnreadableSnapshotError(f"it makes no sense: {error!r:.200}") from error
 
 
--- a/lugspur/daemon/persistence/snapshot_store.py
+++ b/lugspur/daemon/persistence/snapshot_store.py
@@ -1,7 +1,7 @@
-"""Two generations of the snapshot file in one directory.
+"""Stores two generations of the snapshot file in one directory.
 
-At every moment one of them is complete, unless none has ever been written. A start that uses a generation counts the
-attempt until it is confirmed, so that a file that makes the program fail is not used for ever. All methods block, so a
+At every moment one of them is complete, unless none has ever been written. A start that uses a generation is counted
+until it is confirmed, so that a file that makes the program fail is not used forever. All methods block, so a
 process that serves requests calls them in a thread.
 """
 
@@ -22,10 +22,10 @@
 )
 
 CURRENT_FILE, PREVIOUS_FILE, TEMPORARY_FILE, LOCK_FILE, ATTEMPTS_FILE = "state", "state.1", "state.new", "lock", "tried"
-#: Starts with one generation that were not confirmed, after which it is quarantined.
+#: Unconfirmed starts with one generation after which it is quarantined.
 MAX_START_ATTEMPTS = 2
 QUARANTINE_INFIX = ".aside-"
-#: The latest quarantined files are kept, for an operator who wants to know why they were rejected.
+#: The number of latest quarantined files that are kept, for operators who want to know why they were rejected.
 MAX_QUARANTINED_FILES = 4
 
 
@@ -35,14 +35,14 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """The snapshot that a start goes on with, or None."""
+    """The snapshot to start with, or None, and warnings about files that were not used."""
 
     snapshot: Snapshot | None
-    warnings: list[str]  # lines for the log about files that can't be used
+    warnings: list[str]  # log lines, one for each file
 
 
 class SnapshotStore:
-    """A directory that this process alone writes to. Opening it raises OSError and DirectoryInUseError."""
+    """A directory that only this process writes to. Opening it raises OSError and DirectoryInUseError."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
@@ -76,7 +76,7 @@
 
     def _save(self, data: bytes) -> None:
         self._directory.write_file(TEMPORARY_FILE, data)
-        # Between the two renames the former generation is there under its second name.
+        # Between the two renames, the former generation exists under its second name.
         with suppress(FileNotFoundError):
             self._directory.rename(CURRENT_FILE, PREVIOUS_FILE)
         self._directory.rename(TEMPORARY_FILE, CURRENT_FILE)
@@ -85,7 +85,7 @@
     # ---- reading -------------------------------------------------------------------------------
 
     def load(self) -> LoadResult:
-        """Return the newest generation that can be used, and count the attempt until `confirm_start`."""
+        """Return the newest usable generation, and count this start as an attempt until `confirm_start`."""
         warnings: list[str] = []
         for name in (CURRENT_FILE, PREVIOUS_FILE):
             try:
@@ -111,21 +111,21 @@
         return LoadResult(None, warnings)
 
     def confirm_start(self) -> None:
-        """Take note that the start with the loaded generation went well."""
+        """Record that the start with the loaded generation succeeded."""
         with self._write_lock, suppress(OSError):
             if self._lock_fd is not None:
                 self._directory.remove(ATTEMPTS_FILE)
 
     def _count_attempts(self, checksum: bytes) -> int:
-        """Return how many starts with a generation were not confirmed; a note about another one does not count."""
+        """Return how many starts with this generation were not confirmed; a count for another one is ignored."""
         try:
-            count, _, noted = self._directory.read(ATTEMPTS_FILE, 200).partition(b" ")
+            count, _, counted_checksum = self._directory.read(ATTEMPTS_FILE, 200).partition(b" ")
         except (OSError, ValueError):
             return 0
-        return int(count) if noted == checksum and count.isdigit() else 0
+        return int(count) if counted_checksum == checksum and count.isdigit() else 0
 
     def _write_attempts(self, text: bytes) -> None:
-        """Save the count of attempts. Where the directory can't be written to, the snapshot is used without a count."""
+        """Save the count of attempts. If the directory can't be written to, the snapshot is used without a count."""
         with suppress(OSError):
             fd = self._directory.create(ATTEMPTS_FILE)
             try:
@@ -135,7 +135,7 @@
                 self._directory.close_file(fd)
 
     def _quarantine(self, name: str, reason: str) -> str:
-        """Rename a file so that it is not used again, and return the line for the log."""
+        """Rename a file so that it is not used again, and return a line for the log."""
         try:
             names = self._directory.list_names()
             quarantined = sorted(
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def admin_port(up: Running) -> AsyncIterator[int]:
-    """Run the admin listener of a proxy; gives its port."""
+    """Run the admin listener of a proxy, and provide its port."""
     listener = AdminListener((HOST, 0), admin_actions(up.proxy))
     sock = await listener.open()
     try:
@@ -35,7 +35,7 @@
 
 
 async def call(port: int, method: str, path: str, body: str = "") -> int:
-    """Send one request and return the status of its answer."""
+    """Send one request and return the status of the response."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
     answer = await soon(reader.read())
@@ -54,7 +54,7 @@
                 assert await call(port, "POST", "/backends/disable", "s-1") == 200
                 before = one.got.qsize()
                 assert before
-                for number in range(20, 40):  # kept connections and lists that say otherwise change nothing
+                for number in range(20, 40):  # Kept connections and newer endpoint lists change nothing.
                     up.tell([entry("s-1", one.address, since_ms=number)])
                     assert status(await client.ask(read(number))) == 200
                 assert one.got.qsize() == before
@@ -64,32 +64,32 @@
                     assert status(await client.ask(read(number))) == 200
                 assert one.got.qsize() == before + 20
                 assert await call(port, "POST", "/backends/disable", "s-1") == 200
-                assert status(await client.ask(read(60))) == 503  # none is left
+                assert status(await client.ask(read(60))) == 503  # no backend is left
 
     asyncio.run(play())
 
 
-def test_open_requests_at_a_disabled_backend_finish_and_a_repeat_goes_to_another_backend() -> None:
+def test_open_requests_at_a_disabled_backend_finish_and_a_retry_goes_to_another_backend() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, backend(lambda _: OK) as two:
             async with running([entry("s-1", one.address)]) as up, admin_port(up) as port:
-                open_, repeated = await up.client(), await up.client()
+                open_, retried = await up.client(), await up.client()
                 open_.writer.write(book(1))
                 await soon(one.got.get())
-                repeated.writer.write(read(2))
+                retried.writer.write(read(2))
                 await soon(one.got.get())
                 assert await call(port, "POST", "/backends/disable", "s-1") == 200
                 up.tell([entry("s-2", two.address)])
                 one.open[0].write(OK)
                 one.open[1].close()
                 assert status(await open_.answer()) == 200
-                assert status(await repeated.answer()) == 200
+                assert status(await retried.answer()) == 200
                 assert two.got.qsize() == 1
 
     asyncio.run(play())
 
 
-def test_requests_about_backends_that_were_never_listed_are_refused() -> None:
+def test_requests_about_backends_that_were_never_listed_are_rejected() -> None:
     async def play() -> None:
         async with running([entry("s-1", f"{HOST}:9")]) as up, admin_port(up) as port:
             for path in ("/backends/disable", "/backends/enable"):
@@ -104,7 +104,7 @@
     asyncio.run(play())
 
 
-def test_ready_answers_200_once_clients_are_taken() -> None:
+def test_ready_returns_200_once_clients_are_accepted() -> None:
     async def play() -> None:
         async with running([]) as up, admin_port(up) as port:
             assert await call(port, "GET", "/ready") == 503
@@ -114,7 +114,7 @@
     asyncio.run(play())
 
 
-def test_connections_that_hang_lock_no_operator_out() -> None:
+def test_connections_that_hang_do_not_lock_operators_out() -> None:
     async def play() -> None:
         async with running([]) as up, admin_port(up) as port:
             up.proxy.front.ready = True
@@ -125,7 +125,7 @@
                 hung.append((reader, writer))
                 assert await call(port, "GET", "/ready") == 200
             assert up.proxy.front.drained_at is None
-            assert await soon(hung[0][0].read()) == b""  # the oldest had to go
+            assert await soon(hung[0][0].read()) == b""  # The oldest connection was dropped.
             for _, writer in hung:
                 writer.close()
 
@@ -133,7 +133,7 @@
 
 
 async def healthy(up: Running) -> int:
-    """What `/healthz` says."""
+    """Return the status of `/healthz`."""
     client = await up.client()
     answer = await client.ask(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")
     client.writer.close()
@@ -155,9 +155,9 @@
                 answer = await asking.ask(read(3))
                 assert status(answer) == 200
                 assert b"Connection: close" in answer
-                late = await up.client()  # the front has not noticed yet
+                late = await up.client()  # The load balancer in front has not noticed the drain yet.
                 assert status(await late.ask(read(4))) == 200
-                assert await soon(idle.reader.read()) == b""  # let go, nothing sent
+                assert await soon(idle.reader.read()) == b""  # closed without a byte
                 one.open[-1].write(OK)
                 one.open[0].write(OK)
                 answer = await busy.answer()
@@ -193,10 +193,10 @@
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up:
             client: Client = await up.client()
             assert status(await client.ask(read(1))) == 200
-            [held] = up.proxy.front.callers
-            assert held.quiet()
-            client.writer.write(read(2))  # the loop has had no turn to read it
-            assert not held.quiet()
+            [connection] = up.proxy.front.callers
+            assert connection.quiet()
+            client.writer.write(read(2))  # The event loop has not read it yet.
+            assert not connection.quiet()
             up.proxy.front.drained_at = 0.0
             up.proxy.front._let_go(0.0)
             assert status(await client.answer()) == 200
@@ -204,7 +204,7 @@
     asyncio.run(play())
 
 
-def test_an_address_that_is_taken_is_one_clear_error(tmp_path: Path) -> None:
+def test_an_address_in_use_is_one_clear_error(tmp_path: Path) -> None:
     async def play() -> None:
         taken = await asyncio.start_server(lambda _, writer: writer.close(), HOST, 0)
         port = taken.sockets[0].getsockname()[1]
@@ -235,7 +235,7 @@
     asyncio.run(play())
 
 
-def test_a_reset_in_the_middle_of_a_request_does_nothing_and_leaves_nothing() -> None:
+def test_a_reset_in_the_middle_of_a_request_has_no_effect_and_leaves_no_connection() -> None:
     async def play() -> None:
         async with running([]) as up:
             up.proxy.front.ready = True
@@ -253,13 +253,13 @@
     asyncio.run(play())
 
 
-def test_a_caller_that_disconnects_before_the_end_of_its_answer_harms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    def not_connected(_: asyncio.Transport) -> None:  # as the system says once a reset has come
+def test_a_client_that_disconnects_before_the_end_of_its_response_does_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
+    def not_connected(_: asyncio.Transport) -> None:  # as the system does once a reset has arrived
         raise OSError(errno.ENOTCONN, "Transport endpoint is not connected")
 
     async def play() -> None:
-        told: list[dict[str, Any]] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context))
+        errors: list[dict[str, Any]] = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
         async with running([]) as up:
             listener = AdminListener((HOST, 0), admin_actions(up.proxy))
             await listener.open()
@@ -274,12 +274,12 @@
             up.proxy.front.ready = True
             assert await call(listener.port, "GET", "/ready") == 200
             listener.close()
-        assert not told, told
+        assert not errors, errors
 
     asyncio.run(play())
 
 
-def test_a_request_body_that_takes_longer_than_a_drain_is_read_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_body_that_takes_longer_than_a_drain_is_read_completely(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fronts, "DRAIN_FROM", 0.05)
 
     async def play() -> None:
@@ -288,11 +288,11 @@
             idle, slow, begun = [await up.client() for _ in range(3)]
             assert status(await idle.ask(read(1))) == 200
             sent, half = book(2, body=bytes(200_000)), book(3)
-            slow.writer.write(sent[:100_000])  # passed on as it comes
-            begun.writer.write(half[:-2])  # held until it is whole
+            slow.writer.write(sent[:100_000])  # forwarded as it arrives
+            begun.writer.write(half[:-2])  # buffered until it is complete
             await until(lambda: bool(up.proxy.pool.calls))
             assert await call(port, "POST", "/drain") == 200
-            assert await soon(idle.reader.read()) == b""  # by now all are gone that go
+            assert await soon(idle.reader.read()) == b""  # All connections that a drain closes are closed by now.
             await asyncio.sleep(2 * fronts.DRAIN_EVERY)
             slow.writer.write(sent[100_000:])
             begun.writer.write(half[-2:])
@@ -305,15 +305,15 @@
     asyncio.run(play())
 
 
-def test_a_request_that_comes_byte_by_byte_is_answered_once() -> None:
+def test_a_request_that_arrives_byte_by_byte_gets_one_response() -> None:
     async def play() -> None:
         async with running([entry("s-1", f"{HOST}:9")]) as up, admin_port(up) as port:
             up.proxy.front.ready = True
-            said = b"POST /backends/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\ns-1"
+            request = b"POST /backends/disable HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\ns-1"
             callers = [await asyncio.open_connection(HOST, port) for _ in range(12)]
-            for at in range(len(said)):
+            for at in range(len(request)):
                 for _, writer in callers:
-                    writer.write(said[at : at + 1])
+                    writer.write(request[at : at + 1])
                 if at % 16 == 0:
                     assert await call(port, "GET", "/ready") == 200
                 await asyncio.sleep(0)
@@ -331,9 +331,9 @@
             async with running([entry("s-1", closing.address)]) as up, admin_port(up) as port:
                 client = await up.client()
                 assert status(await client.ask(book(1))) == 502
-                figures = (await body_of_get(port, "/metrics")).decode()
-                assert 'lugspur_answers_total{status="502"} 1.0' in figures
-                assert 'lugspur_attempts_total{outcome="broken"} 1.0' in figures
+                metrics = (await body_of_get(port, "/metrics")).decode()
+                assert 'lugspur_answers_total{status="502"} 1.0' in metrics
+                assert 'lugspur_attempts_total{outcome="broken"} 1.0' in metrics
                 [failed] = json.loads(await body_of_get(port, "/failures"))
                 assert failed["how"] == "502" and failed["attempt"] and failed["sends"] == 1
                 [step] = failed["steps"]
@@ -343,7 +343,7 @@
 
 
 async def body_of_get(port: int, path: str) -> bytes:
-    """Return the body of the answer to a GET."""
+    """Return the body of the response to a GET."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(f"GET {path} HTTP/1.1\r\nHost: h\r\n\r\n".encode())
     head, _, body = (await soon(reader.read())).partition(b"\r\n\r\n")
--- a/tests/daemon/admin/test_admin_request.py
+++ b/tests/daemon/admin/test_admin_request.py
@@ -21,11 +21,11 @@
 }
 
 
-def answer(*pieces: bytes) -> bytes | None:
+def respond(*pieces: bytes) -> bytes | None:
     request = AdminRequest(ACTIONS)
     for piece in pieces:
         request.feed(piece)
-    return request.answer
+    return request.response
 
 
 def post(body: bytes, path: bytes = b"/backends/disable", head: bytes = b"") -> bytes:
@@ -56,29 +56,29 @@
         (b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n" * 5, 200, b"did"),
     ],
 )
-def test_every_request_gets_one_answer(call: bytes, status: int, part: bytes) -> None:
-    got = answer(call)
-    assert got is not None
-    assert got.startswith(b"HTTP/1.1 %d " % status)
-    assert part in got
-    assert got.count(b"HTTP/1.1") == 1
-    assert b"Connection: close\r\n" in got
+def test_every_request_gets_one_response(call: bytes, status: int, part: bytes) -> None:
+    response = respond(call)
+    assert response is not None
+    assert response.startswith(b"HTTP/1.1 %d " % status)
+    assert part in response
+    assert response.count(b"HTTP/1.1") == 1
+    assert b"Connection: close\r\n" in response
 
 
 @pytest.mark.parametrize("half", [b"", b"GET /rea", post(b"s-1")[:-1], CHUNKED[:-3]])
 def test_an_incomplete_request_does_nothing(half: bytes) -> None:
-    assert answer(half) is None
+    assert respond(half) is None
 
 
 @given(st.sampled_from([post(b"s-1"), CHUNKED, b"GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"]), st.data())
-@settings(deadline=None)  # a loaded machine is no fault
-def test_a_request_in_pieces_gets_the_same_answer(call: bytes, data: st.DataObject) -> None:
+@settings(deadline=None)  # A loaded machine is not a failure.
+def test_a_request_in_pieces_gets_the_same_response(call: bytes, data: st.DataObject) -> None:
     cuts = sorted(data.draw(st.lists(st.integers(0, len(call)))))
     pieces = [call[a:b] for a, b in zip([0, *cuts], [*cuts, len(call)], strict=True)]
-    assert answer(*(piece for piece in pieces if piece)) == answer(call)
+    assert respond(*(piece for piece in pieces if piece)) == respond(call)
 
 
 @given(st.binary(max_size=300))
-@settings(deadline=None)  # a loaded machine is no fault
+@settings(deadline=None)  # A loaded machine is not a failure.
 def test_noise_raises_nothing(noise: bytes) -> None:
-    answer(noise)
+    respond(noise)
--- a/tests/daemon/health_checks/test_health_checker.py
+++ b/tests/daemon/health_checks/test_health_checker.py
@@ -1,4 +1,4 @@
-"""Which backends a health checker checks, what it concludes, and what others take from its reports."""
+"""Decisions of a health checker, its messages, and the reports that other daemons receive."""
 
 from __future__ import annotations
 
@@ -96,10 +96,11 @@
     received = ReceivedReports("probe:p")
     listed = {"a", "b", "c", "d"}
     assert received.receive(0.0, HealthReport("p", 5, 2, ["a"]))
-    assert not received.receive(0.0, HealthReport("p", 5, 1, ["b"]))  # late
+    assert not received.receive(0.0, HealthReport("p", 5, 1, ["b"]))  # out of order
     assert not received.receive(0.0, HealthReport("p", 4, 9, ["b"]))  # of a former health checker
     assert received.excluded(REPORT_LIFETIME_SECONDS - 0.1, listed) == {"a"}
-    assert received.excluded(REPORT_LIFETIME_SECONDS, listed) == set()  # no health checker: each judges for itself
+    # Without a health checker, each daemon decides for itself.
+    assert received.excluded(REPORT_LIFETIME_SECONDS, listed) == set()
     assert received.receive(REPORT_LIFETIME_SECONDS, HealthReport("p", 6, 0, ["b"]))
     assert received.excluded(REPORT_LIFETIME_SECONDS, listed) == {"b"}
     assert not received.receive(REPORT_LIFETIME_SECONDS, HealthReport("p", 5, 99, ["a"]))
@@ -114,7 +115,7 @@
     assert received.excluded(0.0, listed) == set()
 
 
-def test_messages_are_bounded_and_others_malformed() -> None:
+def test_messages_are_bounded_and_other_bodies_are_malformed() -> None:
     for message in (ConnectionFailure("p", "a"), HealthReport("p", 1, 2, ["a", "b"])):
         assert decode_message(encode_message(message)) == message
     for body in (
--- a/tests/daemon/persistence/snapshots.py
+++ b/tests/daemon/persistence/snapshots.py
@@ -34,7 +34,7 @@
 
 
 def taught(rows: list[Endpoint], now: float = 1000.0, slow: int = 0, bad: int = 0, rounds: int = 60) -> Balancer:
-    """Return a balancer that has sent requests to backends, of which the first are slow and the next ones fail."""
+    """Return a balancer that has sent requests: the first `slow` backends are slow, the next `bad` ones fail."""
     balancer = Balancer(SETTINGS, 7)
     balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     names = [row.row.server for row in rows]
@@ -44,8 +44,10 @@
         while actions and isinstance(send := actions[0], Send):
             place = names.index(send.server)
             took = 0.3 if place < slow else 0.01
-            how = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
-            actions = balancer.finish_attempt(at + took, f"r{number}", send_number(balancer, f"r{number}"), how, took)
+            outcome = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
+            actions = balancer.finish_attempt(
+                at + took, f"r{number}", send_number(balancer, f"r{number}"), outcome, took
+            )
     return balancer
 
 
@@ -59,11 +61,11 @@
     """Return a complete file of one pool."""
     rows = endpoints() if rows is None else rows
     learned = taught(rows).export_learned() if learned is None else learned
-    facts = [encode_record("pool", name, {"at": written})]
-    facts += (encode_record("backend", name, state_codec.encode_endpoint(row)) for row in rows)
-    facts += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
-    facts.append(encode_record("tier", name, state_codec.encode_learned_pools(learned)))
-    return encode_snapshot(written, facts)
+    records = [encode_record("pool", name, {"at": written})]
+    records += (encode_record("backend", name, state_codec.encode_endpoint(row)) for row in rows)
+    records += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in learned.servers)
+    records.append(encode_record("tier", name, state_codec.encode_learned_pools(learned)))
+    return encode_snapshot(written, records)
 
 
 def other(seed: int) -> bytes:
--- a/tests/daemon/persistence/test_aging.py
+++ b/tests/daemon/persistence/test_aging.py
@@ -1,4 +1,4 @@
-"""How much of a snapshot still counts, and what the balancer does with it."""
+"""The aging of a snapshot, and how a balancer starts with it."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 AT = 1002.0  # when the state of `taught` is captured: right after its last request
 
 
-def kept(rows: list[Endpoint], **more: int) -> PoolSnapshot:
+def captured(rows: list[Endpoint], **more: int) -> PoolSnapshot:
     return PoolSnapshot(AT, rows, taught(rows, **more).export_learned())
 
 
-def test_the_age_is_unknown_where_the_clock_went_back() -> None:
+def test_the_age_is_unknown_if_the_clock_went_back() -> None:
     assert snapshot_age(100.0, 160.0) == 60.0
     assert snapshot_age(100.0, 99.5) == 0.0  # a step by NTP
     assert snapshot_age(100.0, 90.0) is None
 
 
 def test_a_fresh_snapshot_is_unchanged_but_for_the_clock() -> None:
-    pool = kept(endpoints(4), slow=1)
+    pool = captured(endpoints(4), slow=1)
     assert pool.learned is not None
     found = decay(pool, 0.0, AT)
     assert found is not None
@@ -48,7 +48,7 @@
 
 
 def test_older_state_counts_less_and_beyond_the_limit_not_at_all() -> None:
-    pool = kept(endpoints(4), slow=1)
+    pool = captured(endpoints(4), slow=1)
     assert pool.learned is not None
     pooled = pool.learned.pooled
     gaps = []
@@ -75,7 +75,7 @@
 ) -> None:
     rows = endpoints(4)
     now = AT + clock
-    found = decay(kept(rows, slow=slow, bad=bad, rounds=rounds), age, now)
+    found = decay(captured(rows, slow=slow, bad=bad, rounds=rounds), age, now)
     assert found is not None
     assert all(isfinite(value) for value in numbers(found))
     assert all(row.seen <= now for row in found.servers)
@@ -83,10 +83,10 @@
     for row in found.servers:
         if row.breaker is not None:
             assert all(last - WINDOW_BUCKETS < bucket[0] <= last for bucket in row.breaker.window)
-    after(rows, found, now)
+    count_sent(rows, found, now)
 
 
-def after(
+def count_sent(
     rows: list[Endpoint],
     learned: Learned | None,
     now: float,
@@ -95,7 +95,7 @@
     bad: int = 0,
     seed: int = 3,
 ) -> Counter[int]:
-    """Count what a balancer that starts with this state sends to each backend. The first are slow, the next fail."""
+    """Count the requests that a balancer with this state sends to each backend: the first are slow, the next fail."""
     balancer = Balancer(SETTINGS, seed)
     balancer.update_servers(now, ListUpdateKind.STALE, [row.row for row in rows])
     if learned is not None:
@@ -108,41 +108,42 @@
             place = names.index(send.server)
             sent[place] += 1
             took = 0.3 if place < slow else 0.01
-            how = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
-            actions = balancer.finish_attempt(at + took, rid, send_number(balancer, rid), how, took)
+            outcome = Outcome.ERROR if slow <= place < slow + bad else Outcome.OK
+            actions = balancer.finish_attempt(at + took, rid, send_number(balancer, rid), outcome, took)
     return sent
 
 
 def test_a_fresh_snapshot_avoids_slow_and_failing_backends_from_the_first_request() -> None:
     rows = endpoints(20)
-    pool = kept(rows, slow=5, bad=2, rounds=100)
-    met: Counter[str] = Counter()
+    pool = captured(rows, slow=5, bad=2, rounds=100)
+    sent_to_bad: Counter[str] = Counter()
     for seed in range(20):
         for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
-            sent = after(rows, learned, AT + 1.0, slow=5, bad=2, seed=seed)
-            met[name] += sum(sent[place] for place in range(7))
-        # What a balancer sends that was not restarted: now and then both of two candidates are bad.
-        long, short = (after(rows, None, AT + 1.0, count, slow=5, bad=2, seed=seed) for count in (440, 400))
-        met["steady"] += sum(long[place] - short[place] for place in range(7))
-    assert met["fresh"] - met["steady"] < 0.5 * (met["none"] - met["steady"])
+            sent = count_sent(rows, learned, AT + 1.0, slow=5, bad=2, seed=seed)
+            sent_to_bad[name] += sum(sent[place] for place in range(7))
+        # What a balancer sends that was not restarted: sometimes both of its two candidates are bad.
+        long, short = (count_sent(rows, None, AT + 1.0, count, slow=5, bad=2, seed=seed) for count in (440, 400))
+        sent_to_bad["steady"] += sum(long[place] - short[place] for place in range(7))
+    assert sent_to_bad["fresh"] - sent_to_bad["steady"] < 0.5 * (sent_to_bad["none"] - sent_to_bad["steady"])
 
 
-def test_a_snapshot_from_before_an_incident_is_unlearned_soon() -> None:
+def test_a_snapshot_from_before_an_incident_is_soon_superseded() -> None:
     # The snapshot says that all backends but the last are slow; the last one is broken now.
     rows = endpoints(6)
-    pool = kept(rows, slow=5, rounds=200)
-    turned = list(reversed(rows))  # The first is now the one that was best.
-    met: Counter[str] = Counter()
+    pool = captured(rows, slow=5, rounds=200)
+    reversed_rows = list(reversed(rows))  # The first is now the one that was best.
+    sent_to_bad: Counter[str] = Counter()
     for seed in range(20):
         for name, learned in (("none", None), ("fresh", decay(pool, 1.0, AT + 1.0))):
-            met[name] += after(turned, learned, AT + 1.0, count=100, bad=1, seed=seed)[0]
-    assert met["fresh"] <= met["none"] + 20 * 5  # At each start, at most five more requests of a hundred.
+            sent_to_bad[name] += count_sent(reversed_rows, learned, AT + 1.0, count=100, bad=1, seed=seed)[0]
+    # At each start, at most five more requests of a hundred.
+    assert sent_to_bad["fresh"] <= sent_to_bad["none"] + 20 * 5
 
 
 def test_a_backend_that_restarted_since_is_in_slow_start_whatever_the_snapshot_says() -> None:
     rules = Rules(slow_start_fraction=0.3, slow_start_seconds=10.0)
     rows = endpoints(6, started=500.0)
-    learned = decay(kept(rows, rounds=200), 5.0, AT + 5.0)
+    learned = decay(captured(rows, rounds=200), 5.0, AT + 5.0)
     assert learned is not None
     sent: Counter[str] = Counter()
     for seed in range(30):
@@ -161,13 +162,13 @@
                     if isinstance(action, Send):
                         sent[name] += action.server == young.server
                         balancer.finish_attempt(at + 0.01, rid, 0, Outcome.OK, 0.01)
-    assert sent["fresh"] <= sent["none"] + 30  # One request for each start: its budget is not larger.
+    assert sent["fresh"] <= sent["none"] + 30  # One request for each start: the budget of slow start is not larger.
     assert sent["fresh"] < 30 * 60 / 6  # less than the share of a warm backend
 
 
 def test_state_of_a_backend_with_another_start_or_not_listed_is_dropped() -> None:
     rows = endpoints(2, started=500.0)
-    learned = decay(kept(rows), 1.0, AT + 1.0)
+    learned = decay(captured(rows), 1.0, AT + 1.0)
     assert learned is not None
     balancer = Balancer(SETTINGS, 1)
     balancer.update_servers(AT, ListUpdateKind.STALE, [replace(rows[0].row, started_at=900.0)])
@@ -179,16 +180,16 @@
 @pytest.mark.parametrize("age", [0.5, 5.0, 600.0, MAX_AGE_SECONDS])
 def test_a_burst_at_the_start_is_admitted_as_without_a_snapshot(age: float) -> None:
     rows = endpoints(8)
-    learned = decay(kept(rows, rounds=200), age, AT + age)
+    learned = decay(captured(rows, rounds=200), age, AT + age)
     assert learned is not None
-    taken = {}
+    admitted = {}
     for name, known in (("none", None), ("kept", learned)):
         balancer = Balancer(SETTINGS, 1)
         balancer.update_servers(AT + age, ListUpdateKind.STALE, [row.row for row in rows])
         if known is not None:
             balancer.import_learned(AT + age, known)
         now = AT + age
-        taken[name] = sum(
+        admitted[name] = sum(
             isinstance(balancer.request(now + 0.001 * n, f"q{n}", deadline=now + 1.0)[0], Send) for n in range(40)
         )
-    assert taken["kept"] >= taken["none"] > 20
+    assert admitted["kept"] >= admitted["none"] > 20
--- a/tests/daemon/persistence/test_snapshot_format.py
+++ b/tests/daemon/persistence/test_snapshot_format.py
@@ -1,4 +1,4 @@
-"""A reader accepts the whole file or nothing, whatever has happened to it."""
+"""A reader accepts a snapshot file as a whole or rejects it, however it was damaged."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    "facts",
+    "records",
     [
         encode_record("backend", "a", ROW),  # of a pool without a record
         POOL + encode_record("backend", "a", ROW[:-1]),
@@ -88,9 +88,9 @@
         POOL + encode_record("backend", "a", [*ROW[:4], float("1e400"), *ROW[5:]]),
     ],
 )
-def test_a_complete_file_with_senseless_values_is_rejected(facts: bytes) -> None:
+def test_a_complete_file_with_invalid_values_is_rejected(records: bytes) -> None:
     with pytest.raises(UnreadableSnapshotError, match="makes no sense"):
-        decode_snapshot(signed(b"lugspur state 1 5.000\n" + facts))
+        decode_snapshot(signed(b"lugspur state 1 5.000\n" + records))
 
 
 @given(st.binary(max_size=400))
--- a/tests/daemon/persistence/test_snapshot_store.py
+++ b/tests/daemon/persistence/test_snapshot_store.py
@@ -1,4 +1,4 @@
-"""Two generations in a directory, whatever stops, fails or is found there."""
+"""Two generations in a directory survive stops, failed system calls and damaged files."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 )
 
 CALLS = ("create", "write", "sync", "close_file", "rename", "remove", "sync_directory")
-assert all(callable(getattr(Directory, name)) for name in CALLS)  # Otherwise no fault would be met.
+assert all(callable(getattr(Directory, name)) for name in CALLS)  # Otherwise no fault would be injected.
 OLD, NEW = text(1000.0), text(2000.0, endpoints(1))
 
 
 class Stopped(BaseException):
-    """Raised as if the process had ended at this call."""
+    """Stands for the end of the process at this call."""
 
 
 class FaultyDirectory(Directory):
@@ -47,20 +47,20 @@
         self.is_dead = False
 
     def __getattribute__(self, name: str) -> object:
-        found = super().__getattribute__(name)
+        method = super().__getattribute__(name)
         if name not in CALLS:
-            return found
+            return method
 
         def call(*args: object) -> object:
             self.calls += 1
-            now = self.calls == self.at
-            if self.is_dead or (now and not self.after_call):
+            is_faulty = self.calls == self.at
+            if self.is_dead or (is_faulty and not self.after_call):
                 self.is_dead = isinstance(self.fault(), Stopped)
                 raise self.fault()
             try:
-                return found(*args)
+                return method(*args)
             finally:
-                if now:
+                if is_faulty:
                     self.is_dead = isinstance(self.fault(), Stopped)
                     raise self.fault()
 
@@ -81,9 +81,9 @@
     """Return when the loaded snapshot was written, and the lines for the log."""
     store = open_store(str(directory))
     try:
-        found = store.load()
+        result = store.load()
         store.confirm_start()
-        return None if found.snapshot is None else found.snapshot.written_at, found.warnings
+        return None if result.snapshot is None else result.snapshot.written_at, result.warnings
     finally:
         store.close()
 
@@ -91,7 +91,7 @@
 def save_with_fault(
     directory: Path, at: int, fault: Callable[[], BaseException], after_call: bool, chunk_bytes: int, data: bytes = NEW
 ) -> tuple[FaultyDirectory, bool]:
-    """Save once more with a fault; return the directory, and whether the fault was met."""
+    """Save once more with a fault; return the directory, and whether the fault was reached."""
     made: list[FaultyDirectory] = []
 
     def open_faulty(name: str) -> Directory:
@@ -115,17 +115,17 @@
 def test_a_stop_at_any_system_call_leaves_the_former_or_the_new_generation(
     after_call: bool, before: tuple[bytes, ...], chunk_bytes: int, tmp_path: Path
 ) -> None:
-    at, fault_met = 0, True
-    while fault_met:
+    at, fault_reached = 0, True
+    while fault_reached:
         at += 1
         directory = tmp_path / str(at)
         directory.mkdir()
         save_all(directory, *before)
-        _, fault_met = save_with_fault(directory, at, Stopped, after_call, chunk_bytes)
+        _, fault_reached = save_with_fault(directory, at, Stopped, after_call, chunk_bytes)
         written, warnings = load_and_confirm(directory)
         assert not warnings
         assert written in ((1000.0, 2000.0) if before else (None, 2000.0))
-        save_all(directory, NEW)  # The next process goes on.
+        save_all(directory, NEW)  # The next process continues.
         assert load_and_confirm(directory) == (2000.0, [])
     assert at > 6
 
@@ -142,8 +142,8 @@
 def test_a_disk_error_at_any_system_call_loses_no_generation(number: int, tmp_path: Path) -> None:
     save_all(tmp_path, OLD)
     for at in range(1, 7):
-        _, fault_met = save_with_fault(tmp_path, at, lambda: OSError(number, os.strerror(number)), False, 1 << 20)
-        assert fault_met
+        _, fault_reached = save_with_fault(tmp_path, at, lambda: OSError(number, os.strerror(number)), False, 1 << 20)
+        assert fault_reached
         assert load_and_confirm(tmp_path)[0] in (1000.0, 2000.0)
 
 
@@ -238,9 +238,9 @@
 
     def start() -> float | None:
         store = open_store(str(tmp_path))
-        found = store.load()
+        result = store.load()
         store.close()  # as a process that ends before it serves
-        return None if found.snapshot is None else found.snapshot.written_at
+        return None if result.snapshot is None else result.snapshot.written_at
 
     assert [start() for _ in range(MAX_START_ATTEMPTS)] == [2000.0] * MAX_START_ATTEMPTS
     assert [start() for _ in range(MAX_START_ATTEMPTS)] == [1000.0] * MAX_START_ATTEMPTS
@@ -274,7 +274,7 @@
     for each in directory.iterdir():
         each.unlink()
     directory.rmdir()
-    (tmp_path / "gone").mkdir()  # Another directory of the same name is not the same one.
+    (tmp_path / "gone").mkdir()  # A new directory of the same name is not used.
     with pytest.raises(OSError):
         store.save(NEW)
     assert not list(directory.iterdir())
@@ -291,7 +291,7 @@
     assert load_and_confirm(tmp_path) == (None, [])
 
 
-def test_a_senseless_count_of_attempts_is_ignored(tmp_path: Path) -> None:
+def test_an_invalid_count_of_attempts_is_ignored(tmp_path: Path) -> None:
     save_all(tmp_path, OLD)
     for note in (b"", b"9", b"many words", b"-5 x", b"9 another", b"\xff" * 500):
         (tmp_path / ATTEMPTS_FILE).write_bytes(note)
