--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -119,7 +119,7 @@
         if context.ending is Ending.REJECTED:
             self._coalescer.reject_call(self.number, write)
             return
-        # A failure concerns all, unless the backend's answer response_vary_names on the caller.
+        # A failure concerns all, unless the backend's answer depends on the caller.
         said = head if context.ending is Ending.SERVED else b""
         among = response_vary_names(context.backend_status, said, join, trailers)
         self._coalescer.finish_call(self.number, among, size, write)
