--- a/tests/daemon/hot_restart/test_process_replacement.py
+++ b/tests/daemon/hot_restart/test_process_replacement.py
@@ -109,21 +109,21 @@
 
 def test_fifty_replacements_under_load_lose_and_repeat_no_request(tmp_path: Path) -> None:
     async def play() -> None:
-        ran: Counter[bytes] = Counter()
+        executions: Counter[bytes] = Counter()
 
         def script(request: bytes) -> bytes:
-            ran[request.split(b"X-Request-ID: ")[1].split(b"\r\n")[0]] += 1
+            executions[request.split(b"X-Request-ID: ")[1].split(b"\r\n")[0]] += 1
             return OK
 
         async with backend(script) as one, backend(script) as two, proxy_processes(tmp_path, one, two) as up:
             await up.start()
-            over = False
+            is_done = False
             answers: Counter[int] = Counter()
 
             async def load(mine: int) -> None:
                 """Send requests on one connection, which must never be closed."""
                 client, number = await up.client(), 0
-                while not over:
+                while not is_done:
                     number += 1
                     form = book if number % 2 else read
                     answers[status(await client.ask(form(mine * 1_000_000 + number)))] += 1
@@ -133,7 +133,7 @@
             async def connect_again_and_again() -> None:
                 """Send each request on a new connection."""
                 number = 0
-                while not over:
+                while not is_done:
                     number += 1
                     client = await up.client()
                     answers[status(await client.ask(read(900_000_000 + number)))] += 1
@@ -146,11 +146,11 @@
             for _ in range(50):
                 await up.start()
                 await up.end()
-            over = True
+            is_done = True
             await soon(asyncio.gather(*clients))
             assert set(answers) == {200}
-            assert sum(ran.values()) == answers[200]
-            assert set(ran.values()) == {1}
+            assert sum(executions.values()) == answers[200]
+            assert set(executions.values()) == {1}
 
     asyncio.run(play())
 
@@ -391,12 +391,12 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one, proxy_processes(tmp_path, one) as up:
             await up.start()
-            over = False
+            is_done = False
             answers: Counter[int] = Counter()
 
             async def load(mine: int) -> None:
                 client, number = await up.client(), 0
-                while not over:
+                while not is_done:
                     number += 1
                     answer = await client.ask(read(mine * 1_000_000 + number))
                     answers[status(answer)] += 1
@@ -426,7 +426,7 @@
                     )
                 ]
                 assert await soon(asyncio.gather(*calls)) == [200, 404, 200, 404] * len(up.ports)
-            over = True
+            is_done = True
             await soon(asyncio.gather(*clients))
             assert set(answers) == {200}
 
@@ -440,10 +440,10 @@
     extract_build(BEFORE_RENAMES, former)
 
     async def play() -> None:
-        ran: Counter[bytes] = Counter()
+        executions: Counter[bytes] = Counter()
 
         def script(request: bytes) -> bytes:
-            ran[request.split(b"X-Request-ID: ")[1].split(b"\r\n")[0]] += 1
+            executions[request.split(b"X-Request-ID: ")[1].split(b"\r\n")[0]] += 1
             return OK
 
         async with (
@@ -453,12 +453,12 @@
         ):
             port = await up.start(former)
             assert await call(port, "POST", "/backends/disable", "s-2") == 200
-            over = False
+            is_done = False
             answers: Counter[int] = Counter()
 
             async def load(mine: int) -> None:
                 client, number = await up.client(), 0
-                while not over:
+                while not is_done:
                     number += 1
                     form = book if number % 2 else read
                     answers[status(await client.ask(form(mine * 1_000_000 + number)))] += 1
@@ -469,10 +469,10 @@
             for root in (ROOT, former):
                 await up.start(root)
                 await up.end()
-            over = True
+            is_done = True
             await soon(asyncio.gather(*clients))
             assert set(answers) == {200} and answers[200] > 20
-            assert sum(ran.values()) == answers[200] and set(ran.values()) == {1}
+            assert sum(executions.values()) == answers[200] and set(executions.values()) == {1}
             assert banned.got.empty()  # The ban was transferred twice.
         lines = up.log().splitlines()
         assert [line for line in lines if "no hand-over" in line or "Traceback" in line] == []
--- a/tests/joining/test_flight_table.py
+++ b/tests/joining/test_flight_table.py
@@ -41,8 +41,8 @@
 class ReadSource:
     """A flight table and the numbered reads that are added to it."""
 
-    def __init__(self, most: int = 100) -> None:
-        self.flight_table = FlightTable(most)
+    def __init__(self, max_waiting: int = 100) -> None:
+        self.flight_table = FlightTable(max_waiting)
         self.count = 0
 
     def ask(
