--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -8,8 +8,8 @@
 import asyncio
 from collections.abc import Callable
 
-from lugspur.grpc.health import Serving, read_service, write_serving
-from lugspur.grpc.messages import Spoilt, pack, unpack
+from lugspur.grpc.health import ServingStatus, decode_service, encode_serving_status
+from lugspur.grpc.messages import InvalidMessageError, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
 from lugspur.pipe import Pipe, nothing
@@ -26,8 +26,8 @@
         return False
     try:
         [(compressed, message)] = unpack(request.body)
-        service = read_service(message)
-    except (Spoilt, ValueError) as error:
+        service = decode_service(message)
+    except (InvalidMessageError, ValueError) as error:
         raise Rejected(400, f"no HealthCheckRequest: {error}") from error
     if compressed:
         raise Rejected(501, "compressed messages are not read here")
@@ -42,7 +42,11 @@
 def _respond_to_check(form: Form, serves: bool | None) -> None:
     if serves is None:
         raise Rejected(404, "unknown service")
-    form.finish(b"", pack(write_serving(Serving.SERVING if serves else Serving.NOT_SERVING)), b"grpc-status: 0\r\n")
+    form.finish(
+        b"",
+        pack(encode_serving_status(ServingStatus.SERVING if serves else ServingStatus.NOT_SERVING)),
+        b"grpc-status: 0\r\n",
+    )
 
 
 class _Watch:
@@ -54,7 +58,7 @@
         self._caller, self._front, self._serves = caller, front, serves
         self._loop = asyncio.get_running_loop()
         self._deadline = request.arrived + float(request.headers.get(b"x-timeout", b"inf"))
-        self._reported_status: Serving | None = None
+        self._reported_status: ServingStatus | None = None
         self._pipe = Pipe(nothing)
         self._timer: asyncio.TimerHandle | None = None
         caller.gone = self._stop
@@ -67,10 +71,16 @@
     def check(self) -> None:
         """Report a change of the status, and schedule the next check."""
         serves = self._serves()
-        status = Serving.SERVICE_UNKNOWN if serves is None else Serving.SERVING if serves else Serving.NOT_SERVING
+        status = (
+            ServingStatus.SERVICE_UNKNOWN
+            if serves is None
+            else ServingStatus.SERVING
+            if serves
+            else ServingStatus.NOT_SERVING
+        )
         if status is not self._reported_status:
             self._reported_status = status
-            self._pipe.put(pack(write_serving(status)))
+            self._pipe.put(pack(encode_serving_status(status)))
         if self._front.closing:
             self._caller.answer(503, b"", b"the proxy leaves\n")
         elif self._loop.time() >= self._deadline:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -1,4 +1,4 @@
-"""Request coalescing of the daemon: carries out the actions that the coalescing logic (joining/desk.py) decides on."""
+"""Request coalescing of the daemon: carries out the actions that the flight table decides on."""
 
 from __future__ import annotations
 
@@ -10,9 +10,19 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
-from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
-from lugspur.joining.keys import key_of, told_of
-from lugspur.joining.sharing import depends, worded_for
+from lugspur.joining.flight_table import (
+    Action,
+    CallSeparately,
+    CancelCall,
+    Deliver,
+    Expire,
+    ExtendDeadline,
+    FlightTable,
+    Reject,
+    StartCall,
+)
+from lugspur.joining.keys import coalescing_key, selecting_values
+from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
 from lugspur.seams import Answerable, Form, Request
 
@@ -86,7 +96,7 @@
         """Send the final response to all waiting requests."""
 
         def write(waiting: WaitingRequest) -> None:
-            waiting.caller.answer(status, worded_for(head, waiting.request_id()), body, length)
+            waiting.caller.answer(status, with_request_id(head, waiting.request_id()), body, length)
 
         self._finish(status, head, b"", len(body), write)
 
@@ -95,7 +105,7 @@
 
         def write(waiting: WaitingRequest) -> None:
             waiting.caller.gone = None
-            _form_of(waiting).finish(worded_for(head, waiting.request_id()), body, trailers)
+            _form_of(waiting).finish(with_request_id(head, waiting.request_id()), body, trailers)
 
         self._finish(200, head, trailers, len(body), write)
 
@@ -111,7 +121,7 @@
             return
         # A failure goes to all waiting requests, unless the backend's response depends on the caller.
         compared_head = head if context.ending is Ending.SERVED else b""
-        varies_by = depends(context.backend_status, compared_head, join, trailers)
+        varies_by = response_vary_names(context.backend_status, compared_head, join, trailers)
         self._coalescer.finish_call(self.number, varies_by, size, write)
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
@@ -144,7 +154,7 @@
     def __init__(self, submit: Submit) -> None:
         self._submit = submit
         self._loop = asyncio.get_running_loop()
-        self.desk = Desk(0)
+        self.flight_table = FlightTable(0)
         self._max_copied_bytes = 0  # in all copies of one response together
         self._waiting: dict[int, WaitingRequest] = {}
         self._shared_calls: dict[int, SharedCall] = {}
@@ -157,7 +167,7 @@
 
     def tune(self, max_waiting: int, memory_limit_bytes: int) -> None:
         """Set how many reads may wait for others' calls, and the memory limit that copies of responses share."""
-        self.desk.most = max_waiting
+        self.flight_table.max_waiting = max_waiting
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
     def coalesce(
@@ -167,7 +177,7 @@
         form = context.request.form
         bound = form is not None and form.bound
         tenant = _tenant_key(context.tenant)
-        key = None if bound else key_of(received, context.request, route, tenant, join)
+        key = None if bound else coalescing_key(received, context.request, route, tenant, join)
         self._request_count += 1
         if key is None:
             self._submit(context, caller)
@@ -175,47 +185,47 @@
         waiting = self._waiting[self._request_count] = WaitingRequest(self._request_count, context, caller)
         caller.gone = lambda: self._caller_disconnected(waiting)
         self._carry_out(
-            self.desk.ask(
+            self.flight_table.add_read(
                 self._loop.time(),
                 waiting.number,
                 key,
                 join.max_age_seconds,
                 tenant,
                 context.deadline,
-                told_of(received, tenant, join),
+                selecting_values(received, tenant, join),
             )
         )
 
     def record_write(self, tenant: str) -> None:
         """Record the end of a request that may have changed something, so that later reads get no older response."""
-        self.desk.wrote(self._loop.time(), _tenant_key(tenant))
+        self.flight_table.record_write(self._loop.time(), _tenant_key(tenant))
 
     def _caller_disconnected(self, waiting: WaitingRequest) -> None:
         if self._waiting.pop(waiting.number, None) is not None:
-            self._carry_out(self.desk.gone(waiting.number))
+            self._carry_out(self.flight_table.remove_read(waiting.number))
 
     # ---- events of shared calls -----------------------------------------------------------------------
 
     def finish_call(self, number: int, varies_by: frozenset[bytes] | None, size: int, write: Write) -> None:
         """Send the response of a shared call, with a body of `size` bytes, to the requests that may share it.
 
-        `varies_by` is what the response depends on, as `joining.sharing.depends` returns it.
+        `varies_by` is what the response depends on, as `joining.sharing.response_vary_names` returns it.
         """
         max_recipients = max(1, self._max_copied_bytes // max(1, size))
-        self._carry_out(self.desk.ended(self._loop.time(), number, varies_by, max_recipients), write)
+        self._carry_out(self.flight_table.finish_call(self._loop.time(), number, varies_by, max_recipients), write)
         self._shared_calls.pop(number, None)
 
     def reject_call(self, number: int, write: Write) -> None:
         """Send the rejection of a shared call of which no attempt was made."""
-        self._carry_out(self.desk.refused(self._loop.time(), number), write)
+        self._carry_out(self.flight_table.reject_call(self._loop.time(), number), write)
         self._shared_calls.pop(number, None)
 
     def take_streaming_request(self, number: int) -> WaitingRequest | None:
         """Return the request that a streamed response goes to, if it still waits; the others leave the call."""
         self._shared_calls.pop(number, None)
-        actions = self.desk.parted(self._loop.time(), number)
-        receivers = [action for action in actions if isinstance(action, Give)]
-        self._carry_out([action for action in actions if not isinstance(action, Give)])
+        actions = self.flight_table.finish_call_as_stream(self._loop.time(), number)
+        receivers = [action for action in actions if isinstance(action, Deliver)]
+        self._carry_out([action for action in actions if not isinstance(action, Deliver)])
         return self._waiting.pop(receivers[0].member) if receivers else None
 
     # ---- actions ---------------------------------------------------------------------------------
@@ -223,7 +233,7 @@
     def _carry_out(self, actions: list[Action], write: Write | None = None) -> None:
         """Carry out actions in order; an action that is caused by another one comes after all that already wait."""
         for action in actions:
-            if isinstance(action, Give):
+            if isinstance(action, Deliver):
                 assert write is not None
                 self._pending_responses.append((self._waiting[action.member], write))
             else:
@@ -241,17 +251,17 @@
         self._schedule_timer()
 
     def _carry_out_one(self, action: Action) -> None:
-        if isinstance(action, Start):
+        if isinstance(action, StartCall):
             first = self._waiting[action.member]
             shared_call = self._shared_calls[action.flight] = SharedCall(self, action.flight, first, action.deadline)
             self._submit(shared_call.context, shared_call)
-        elif isinstance(action, Extend):
+        elif isinstance(action, ExtendDeadline):
             self._extend_deadline(self._shared_calls.get(action.flight), action.deadline)
-        elif isinstance(action, Drop):
+        elif isinstance(action, CancelCall):
             dropped = self._shared_calls.pop(action.flight, None)
             if dropped is not None and dropped.gone is not None:
                 dropped.gone()
-        elif not isinstance(action, Give):
+        elif not isinstance(action, Deliver):
             self._separate(self._waiting.pop(action.member, None), action)
 
     def _extend_deadline(self, shared_call: SharedCall | None, deadline: float) -> None:
@@ -264,16 +274,16 @@
         """Remove a request from its shared call: it gets a call of its own or an error."""
         if waiting is None:
             return
-        if isinstance(action, Alone):
+        if isinstance(action, CallSeparately):
             self._submit(waiting.context, waiting.caller)
         elif isinstance(action, Expire):
             waiting.caller.answer(504, b"", b"the time is up\n")
-        elif isinstance(action, Turn):
+        elif isinstance(action, Reject):
             waiting.caller.answer(503, RETRY_AFTER_HEADER, b"no place to wait\n")
 
     def _schedule_timer(self) -> None:
         """Schedule the timer for the next request whose deadline is earlier than its shared call's."""
-        due = self.desk.next_due()
+        due = self.flight_table.next_deadline()
         if self._timer is not None:
             if due is not None and self._timer.when() <= due:
                 return
@@ -282,7 +292,7 @@
 
     def _run_due(self) -> None:
         self._timer = None
-        self._carry_out(self.desk.due(self._loop.time()))
+        self._carry_out(self.flight_table.expire(self._loop.time()))
 
     # ---- responses ---------------------------------------------------------------------------------
 
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -16,8 +16,17 @@
 from lugspur.emulator.boxes import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
-from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start
-from lugspur.joining.sharing import EVERYONE
+from lugspur.joining.flight_table import (
+    Action,
+    CallSeparately,
+    CancelCall,
+    Deliver,
+    Expire,
+    ExtendDeadline,
+    FlightTable,
+    StartCall,
+)
+from lugspur.joining.sharing import SHARED_BY_ALL
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings, Tenant
 
 AIM, DEADLINE, SHORT = 0.41, 1.0, 0.06  # seconds; one read in ten has the short deadline
@@ -84,11 +93,11 @@
 
 
 class Joined:
-    """The desk's way."""
+    """The way of the flight table."""
 
     def __init__(self, world: World, within: float) -> None:
         self._world, self._within = world, within
-        self.desk = Desk(1 << 20)
+        self.flight_table = FlightTable(1 << 20)
         self._reads: dict[int, Read] = {}
         self._calls: dict[int, str] = {}
         self._count = 0
@@ -98,41 +107,45 @@
         number = self._count
         self._reads[number] = read
         now, tenant = self._world.clock.now, str(read.tenant)
-        actions = self.desk.ask(now, number, read.hotel, self._within, tenant, read.deadline, {})
-        member = self.desk.members.get(number)
+        actions = self.flight_table.add_read(now, number, read.hotel, self._within, tenant, read.deadline, {})
+        member = self.flight_table.members.get(number)
         if member is not None:
-            read.age = now - member.flight.began
+            read.age = now - member.flight.started_at
         self._perform(actions)
 
     def _perform(self, actions: list[Action], how: str = "") -> None:
         for action in actions:
-            if isinstance(action, Start):
+            if isinstance(action, StartCall):
                 read, flight = self._reads[action.member], action.flight
                 rid = self._world.call(0, read.tenant, action.deadline, partial(self._landed, flight))
-                if flight in self.desk.flights:
+                if flight in self.flight_table.flights:
                     self._calls[flight] = rid
-            elif isinstance(action, Extend):
+            elif isinstance(action, ExtendDeadline):
                 self._world.extend(self._calls[action.flight], action.deadline)
-            elif isinstance(action, Drop):
+            elif isinstance(action, CancelCall):
                 self._world.gone(self._calls.pop(action.flight))
-            elif isinstance(action, Alone):
+            elif isinstance(action, CallSeparately):
                 EachItsOwn(self._world).ask(self._reads.pop(action.member))
             else:
-                ways = {Give: how, Expire: LATE}
+                ways = {Deliver: how, Expire: LATE}
                 _end(self._world, self._reads.pop(action.member), ways.get(type(action), TURNED))
-        due = self.desk.next_due()
+        due = self.flight_table.next_deadline()
         if due is not None:
             self._world.clock.at(due, self._due)
 
     def _due(self) -> None:
-        actions = self.desk.due(self._world.clock.now)
+        actions = self.flight_table.expire(self._world.clock.now)
         if actions:
             self._perform(actions)
 
     def _landed(self, flight: int, how: str) -> None:
         self._calls.pop(flight, None)
         now = self._world.clock.now
-        actions = self.desk.refused(now, flight) if how == TURNED else self.desk.ended(now, flight, EVERYONE, 1 << 20)
+        actions = (
+            self.flight_table.reject_call(now, flight)
+            if how == TURNED
+            else self.flight_table.finish_call(now, flight, SHARED_BY_ALL, 1 << 20)
+        )
         self._perform(actions, how)
 
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lugspur.grpc import mapping
-from lugspur.grpc.messages import Counter, Spoilt
+from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import KEEP, Body
 from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
@@ -197,7 +197,7 @@
         )
 
     def _first_fields(self, status: int, head: bytes, length: int | None) -> Fields:
-        fields: Fields = [(b":status", b"%d" % status), *mapping.fields_of([head])]
+        fields: Fields = [(b":status", b"%d" % status), *mapping.parse_header_lines([head])]
         if status not in (204, 304) and length is not None:
             fields.append((b"content-length", b"%d" % length))
         return fields
@@ -299,13 +299,13 @@
 
     def __init__(self, connection: Connection, stream: int, now: float) -> None:
         super().__init__(connection, stream, now)
-        self._counter = Counter()
+        self._counter = MessageCounter()
         self.pipe: Pipe | None = None
 
     @property
     def bound(self) -> bool:
         """Whether a gRPC box alone can take it: it is no single message."""
-        return self.pipe is not None or self._counter.whole != 1 or self._counter.open
+        return self.pipe is not None or self._counter.complete_count != 1 or self._counter.has_open_message
 
     # ---- the request ---------------------------------------------------------------------------
 
@@ -331,7 +331,7 @@
         """A part of its messages; raises Rejected."""
         try:
             self._counter.feed(data)
-        except Spoilt as fault:
+        except InvalidMessageError as fault:
             raise Rejected(500, str(fault)) from fault  # INTERNAL
         if self.pipe is not None:
             self.connection.machine.credit(self.stream, size - len(data))
@@ -339,17 +339,17 @@
             return
         self._keep(data, size)
         front, counter = self.front, self._counter
-        large = self._held + counter.least() > front.sizes.body or front.held > front.held_most
-        if counter.whole + counter.open > 1 or large:
+        large = self._held + counter.min_missing_bytes() > front.sizes.body or front.held > front.held_most
+        if counter.complete_count + counter.has_open_message > 1 or large:
             self._stream()
-        elif counter.open:  # its length is told: it is waited for
+        elif counter.has_open_message:  # its length is told: it is waited for
             self._wait_for_all()
         else:
             self._wait_for_more()
 
     def ended(self) -> None:
         """The caller has said all; raises Rejected."""
-        if self._counter.open:
+        if self._counter.has_open_message:
             raise Rejected(500, "the last message is cut")  # INTERNAL
         if self.pipe is not None:
             self.pipe.end()
@@ -381,7 +381,7 @@
 
     def plain(self, request: Request) -> Request:
         """For a box that speaks HTTP/1.1."""
-        return mapping.unwrapped(request)
+        return mapping.to_http1_request(request)
 
     # ---- the answer ----------------------------------------------------------------------------
 
@@ -397,7 +397,7 @@
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write an answer that was made here or by an HTTP/1.1 box."""
-        first, messages, tail = mapping.served_answer(status, head, body, self._told[b"content-type"])
+        first, messages, tail = mapping.to_grpc_response(status, head, body, self._told[b"content-type"])
         if self._answer is not None:
             self._end_stream(tail)
         else:
@@ -405,7 +405,7 @@
 
     def _first(self, head: bytes) -> Fields:
         """The head of a gRPC box's answer; one without a content type has that of the request."""
-        fields: Fields = [(b":status", b"200"), *mapping.fields_of([head])]
+        fields: Fields = [(b":status", b"200"), *mapping.parse_header_lines([head])]
         if all(name != b"content-type" for name, _ in fields):
             fields.append((b"content-type", self._told[b"content-type"]))
         return fields
@@ -417,7 +417,7 @@
 
     def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
         """Write the answer of a gRPC box, or what of it has not been passed on."""
-        tail = mapping.fields_of([trailers])
+        tail = mapping.parse_header_lines([trailers])
         if self._answer is not None:
             self._end_stream(tail)
         else:
@@ -446,7 +446,7 @@
         if before is not None and name in NAMED:  # Guards against a backend that reads the other one.
             raise Rejected(400, "a header comes twice")
         named[name] = value if before is None else before + b", " + value
-        if name not in REWRITTEN and name not in mapping.CONNECTION and (underscores or b"_" not in name):
+        if name not in REWRITTEN and name not in mapping.HOP_BY_HOP_HEADERS and (underscores or b"_" not in name):
             lines.append(b"%b: %b\r\n" % (name, value))
     if authority:  # RFC 9113 8.3.1: it stands for Host; h2 refuses one that says otherwise
         named[b"host"] = authority
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -8,9 +8,9 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.grpc import mapping
-from lugspur.grpc.evidence import PROVES, End, by_reset
-from lugspur.grpc.messages import Counter, Spoilt
-from lugspur.grpc.status import Status, http_status, read_status
+from lugspur.grpc.messages import InvalidMessageError, MessageCounter
+from lugspur.grpc.status import Status, http_status, parse_status
+from lugspur.grpc.stream_end import OUTCOMES, StreamEnd, end_by_reset
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, Leave
@@ -94,7 +94,7 @@
         self.tries = 0
         self._first = 0.0  # when the first message of the answer had begun
         self._bound = False
-        self._counter = Counter()
+        self._counter = MessageCounter()
         self._head: Fields = []
         self._tail: Fields = []
         self._chunks: list[bytes] = []
@@ -127,13 +127,13 @@
             self.link.drop(self)
         self._watcher.ended(self, outcome, response)
 
-    def ended(self, how: End) -> None:
+    def ended(self, how: StreamEnd) -> None:
         """It ended without an answer."""
-        self.end(PROVES[how])
+        self.end(OUTCOMES[how])
 
     def expire(self) -> None:
         """The time that it is waited for is up."""
-        self.ended(End.LATE if self.stream else End.UNSENT)
+        self.ended(StreamEnd.TIMED_OUT if self.stream else StreamEnd.UNSENT)
 
     def untouched(self) -> bool:
         """Whether it can be sent anew as it was: nothing of a stream has passed, and nothing was answered."""
@@ -152,9 +152,9 @@
         request, machine = self.request, link.machine
         left = self.until - now
         if request.form is None:
-            fields, body = mapping.wrapped(request, left)
+            fields, body = mapping.to_grpc_request(request, left)
         else:
-            fields, body = mapping.request_fields(request, left), request.body
+            fields, body = mapping.grpc_request_fields(request, left), request.body
         self.stream = machine.begin(fields)
         link.exchanges[self.stream] = self
         pipe = self._requested()
@@ -208,8 +208,8 @@
         self._first = self._first or lane.now()
         try:
             self._counter.feed(data)
-        except Spoilt:
-            self.ended(End.BROKEN)
+        except InvalidMessageError:
+            self.ended(StreamEnd.BROKEN)
             return
         if self._pipe is not None:
             link.machine.credit(self.stream, size - len(data))
@@ -222,14 +222,14 @@
         if self.request.form is not None and self._streams():
             self._pass_on()
         elif self._held > lane.answer_most or lane.held > lane.held_most:
-            self.ended(End.BROKEN)  # Guards the memory limit against an answer without end.
-        elif self.request.form is not None and self._counter.whole and self._waiting is None:
+            self.ended(StreamEnd.BROKEN)  # Guards the memory limit against an answer without end.
+        elif self.request.form is not None and self._counter.complete_count and self._waiting is None:
             self._waiting = asyncio.get_running_loop().call_later(STREAM_AFTER, self._pass_on)
 
     def _streams(self) -> bool:
         """Whether its messages can't wait for its end: the request is settled, or there are several, or a huge one."""
         counter = self._counter
-        return self._bound or counter.whole + counter.open > 1 or self._held > HOLD_MOST
+        return self._bound or counter.complete_count + counter.has_open_message > 1 or self._held > HOLD_MOST
 
     def _pass_on(self) -> None:
         """From now on its messages go on as they come: a stream, or one message that is too large to hold."""
@@ -242,7 +242,7 @@
         for chunk in self._chunks:
             pipe.put(chunk, free=True)
         self._release()
-        self._watcher.begun(Response(200, mapping.answer_head(self._head), b""), pipe)
+        self._watcher.begun(Response(200, mapping.response_header_lines(self._head), b""), pipe)
 
     def _release(self) -> None:
         self._lane.held -= self._held
@@ -251,34 +251,34 @@
 
     def done(self) -> None:
         """The box has said all."""
-        if self._counter.open:
-            self.ended(End.BROKEN)  # trailers before the message's end
+        if self._counter.has_open_message:
+            self.ended(StreamEnd.BROKEN)  # trailers before the message's end
             return
         told = dict(self._tail)
-        code = read_status(told.get(b"grpc-status"))
+        code = parse_status(told.get(b"grpc-status"))
         try:
             response = self._read(told, code)
-        except Spoilt:
-            self.ended(End.BROKEN)
+        except InvalidMessageError:
+            self.ended(StreamEnd.BROKEN)
             return
         if response is None:
-            self.ended(End.BROKEN)
+            self.ended(StreamEnd.BROKEN)
             return
         # A mark behind a message that has passed, or on any status but UNAVAILABLE, proves nothing.
-        unseen = told.get(b"x-not-processed") == b"1" and not self._counter.whole and not self._bound
+        unseen = told.get(b"x-not-processed") == b"1" and not self._counter.complete_count and not self._bound
         self.end(self._lane.judge(response.status, unseen), response)
 
     def _read(self, told: dict[bytes, bytes], code: Status | int | None) -> Response | None:
-        """The whole answer; None where there is no status, raises Spoilt where it can't be told to the caller."""
+        """The whole answer; None where there is no status. Raises InvalidMessageError if it can't be translated."""
         status = int(dict(self._head).get(b":status", b"0"))
         if code is None:
             # Not gRPC: some HTTP server's or proxy's own word.
             return None if status < 300 else Response(status, b"", b"")
         body = b"".join(self._chunks)
         if self.request.form is None:
-            return mapping.plain_answer(self._head, self._tail, body)
-        head = b"" if self._head is self._tail else mapping.answer_head(self._head)
-        return Response(http_status(int(code)), head, body, None, mapping.answer_tail(self._tail))
+            return mapping.to_http1_response(self._head, self._tail, body)
+        head = b"" if self._head is self._tail else mapping.response_header_lines(self._head)
+        return Response(http_status(int(code)), head, body, None, mapping.response_trailer_lines(self._tail))
 
 
 class Link(Wire, asyncio.Protocol):
@@ -358,9 +358,9 @@
             if self.ready:
                 self._lane.again(exchange)  # nothing went out: its connection was found dead in time
             else:
-                exchange.ended(End.UNSENT)
+                exchange.ended(StreamEnd.UNSENT)
         for exchange in tuple(self.exchanges.values()):
-            exchange.ended(End.BROKEN)
+            exchange.ended(StreamEnd.BROKEN)
 
     def close(self) -> None:
         """Nobody needs it any more."""
@@ -400,9 +400,9 @@
         # Guards drains, time-outs and finished requests: waiting took time, and the world has moved on. A stream
         # on an open connection is something new to the box.
         if not exchange.open or exchange.until <= now or not exchange.backend.in_service:
-            exchange.ended(End.UNWANTED)
+            exchange.ended(StreamEnd.WITHDRAWN)
         elif self.machine.over or self.over:
-            exchange.ended(End.UNSENT)
+            exchange.ended(StreamEnd.UNSENT)
         else:
             exchange.transmit(self, now)
             self._look_on()
@@ -437,7 +437,7 @@
         """No stream begins on it any more; it ends with the last of them."""
         self.leaving = True
         for exchange in tuple(self.waiting):
-            exchange.ended(End.UNWANTED)
+            exchange.ended(StreamEnd.WITHDRAWN)
         self._close_if_idle()
 
     def _close_if_idle(self) -> None:
@@ -483,7 +483,7 @@
             exchange.done()
         else:
             # h2's own word on a stream's fault says nothing of what ran.
-            exchange.ended(by_reset(event.code == REFUSED_STREAM and not event.ours))
+            exchange.ended(end_by_reset(event.code == REFUSED_STREAM and not event.ours))
 
     def _left(self, leave: Leave) -> None:
         """The box leaves in good order: streams above its last one never ran, the others go on."""
@@ -507,7 +507,7 @@
             exchange.link, exchange.stream = None, 0
             self._lane.again(exchange)
         else:
-            exchange.ended(End.ABOVE)
+            exchange.ended(StreamEnd.ABOVE_GOAWAY)
 
     # ---- whether the box is there --------------------------------------------------------------
 
@@ -598,12 +598,12 @@
         if box is None:
             box = self._boxes[backend] = Box(backend)
         if not backend.in_service:
-            exchange.ended(End.UNWANTED)
+            exchange.ended(StreamEnd.WITHDRAWN)
             return
         link = self._link(box, exchange) if exchange.tries <= LINKS_MOST else None
         if link is None:
             # Full: a box that allows no further stream anywhere. Else it is our sockets that are short.
-            exchange.ended(End.FULL if box.links else End.UNSENT)
+            exchange.ended(StreamEnd.STREAM_LIMIT if box.links else StreamEnd.UNSENT)
         else:
             link.add(exchange)
 
