--- a/lugspur/discovery/backend_registration.py
+++ b/lugspur/discovery/backend_registration.py
@@ -1,4 +1,4 @@
-"""Registration of a backend in a registry: what its node holds, and when the node is made and deleted."""
+"""Registration of a backend in a registry: what its node holds, and when the node is created and deleted."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
 from lugspur.zookeeper.registration import Registration
 from lugspur.zookeeper.session import Event
 
-RETRY_DELAY_SECONDS = 5.0  # before a request that the registry has rejected is made again
-#: For deleting the node at the end; if it takes longer, the end of the session deletes it.
+#: Seconds after which a request that the registry has rejected is sent again.
+RETRY_DELAY_SECONDS = 5.0
+#: Seconds that deleting the node may take when the backend is deregistered. If it takes longer, the end of the session
+#: deletes the node.
 DEREGISTRATION_TIMEOUT_SECONDS = 2.0
 
 
@@ -30,7 +32,7 @@
     weight: float = 1.0
 
     def node_data(self, started_ms: int) -> bytes:
-        """Return the data of its node, an entry of the platform's form; `started_ms` is in milliseconds since 1970."""
+        """Return the data of the node, an entry in the platform's format; `started_ms`: milliseconds since 1970."""
         return orjson.dumps(
             {
                 "name": self.name,
@@ -44,12 +46,12 @@
         )
 
     def owns_node(self, data: bytes) -> bool:
-        """Return whether a node with this data is this backend's own: only one process can listen at an address."""
+        """Return whether a node with this data belongs to this backend: only one process can listen at an address."""
         try:
-            found = orjson.loads(data)
+            entry = orjson.loads(data)
         except orjson.JSONDecodeError:
             return False
-        return isinstance(found, dict) and found.get("address") == self.address
+        return isinstance(entry, dict) and entry.get("address") == self.address
 
 
 class BackendRegistrar:
@@ -65,8 +67,8 @@
     ) -> None:
         """Prepare a node in `directory`.
 
-        sequence_id: by which a sequential node is recognized after a lost reply; empty for a plain node.
-        clock: seconds since 1970.
+        sequence_id: identifier by which a sequential node is recognized after a lost reply; empty for a plain node.
+        clock: returns the time in seconds since 1970.
         """
         self.backend = backend
         self._session = session
@@ -77,11 +79,11 @@
         self._progress = asyncio.Event()
 
     def open(self) -> None:
-        """Begin; the node is made once the backend is healthy."""
+        """Start the registration; the node is created once the backend is healthy."""
         self._session.add_user(self.registration, self._on_events)
 
     def record_check(self, result: CheckResult) -> None:
-        """Take the result of a health check; a backend without checks is reported HEALTHY once."""
+        """Record the result of a health check; for a backend without checks, one HEALTHY result is recorded."""
         self.health.record(result, int(self._clock() * 1000))
         if self.health.is_healthy:
             self.registration.write(self.backend.node_data(self.health.started_ms))
@@ -89,7 +91,7 @@
         self._flush()
 
     async def deregister(self) -> None:
-        """Delete the node; returns when the registry has confirmed it, or has not within the time-out."""
+        """Delete the node, and wait until the registry has confirmed the deletion or the timeout has passed."""
         self.registration.want(False)
         self._progress.clear()
         self._flush()
@@ -99,7 +101,9 @@
                     self._progress.clear()
                     await self._progress.wait()
         except TimeoutError:
-            self._log("the registry has not confirmed that the node is deleted; it goes with its session")
+            self._log(
+                "the registry did not confirm the deletion of the node in time; the node is deleted with its session"
+            )
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         self._session.remove_user(self.registration)
--- a/lugspur/discovery/endpoint_overrides.py
+++ b/lugspur/discovery/endpoint_overrides.py
@@ -1,7 +1,7 @@
-"""What operators and health checks decide about backends, applied over what the endpoint list says. No I/O.
+"""Decisions of operators and health checks about backends, applied to the entries of the endpoint list. No I/O.
 
-A ban is a state of its own: the latest entry of the list is kept beside it unchanged, and is what counts again once the
-ban has ended.
+A ban is kept separately from the list: the latest entry of the backend stays unchanged, and applies again once the ban
+has ended.
 """
 
 from __future__ import annotations
@@ -12,34 +12,38 @@
 from lugspur.discovery.endpoints import Endpoint
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 
-MAX_LISTED_BACKENDS = 16_384  # that were ever listed, the latest ones: some 3 MB; a day sees hundreds
-MAX_EARLIEST_STARTS = 1_024  # that are remembered, the latest ones: each matters for a slow start of some seconds
+#: Number of backends that are remembered as listed, the most recent ones. They take some 3 MB; hundreds are listed in a
+#: day.
+MAX_LISTED_BACKENDS = 16_384
+#: Number of earliest start times that are remembered, the most recent ones. Each one matters only for a slow start of
+#: some seconds.
+MAX_EARLIEST_STARTS = 1_024
 
 
 @dataclass(slots=True)
 class SavedBans:
-    """What a successor process takes over, by the numbers of the backends."""
+    """State that a successor process takes over; backends are given by their numbers."""
 
     listed: list[int]
     banned: list[int]
-    earliest_start: dict[int, float]  # when the latest ban of each ended
+    earliest_start: dict[int, float]  # by backend: when its latest ban ended
 
 
 class EndpointOverrides:
-    """Keeps the endpoints as listed, and derives the ones that the pool sees.
+    """Keeps the endpoints as listed, and derives the endpoints that the pool receives.
 
     Times are in seconds since 1970, as those of the list.
     """
 
     def __init__(self) -> None:
-        self.listed: dict[int, None] = {}  # backends that were ever listed, the oldest first
-        self.banned: set[int] = set()  # by operators
-        self.unhealthy: set[int] = set()  # by the pool's health checks
-        self.earliest_start: dict[int, float] = {}  # a backend counts as started then if its entry says earlier
+        self.listed: dict[int, None] = {}  # backends that have been listed, the least recent first
+        self.banned: set[int] = set()  # backends that operators have banned
+        self.unhealthy: set[int] = set()  # backends that fail the pool's health checks
+        self.earliest_start: dict[int, float] = {}  # overrides an earlier start time in the entry of a backend
         self.latest: dict[int, Endpoint] = {}  # the latest entry of each backend that has not been removed
 
     def apply(self, kind: ListUpdateKind, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
-        """Take a list or a change of it; returns it as the pool is to see it."""
+        """Apply a complete list or a change of the list, and return its entries with the overrides."""
         if kind is not ListUpdateKind.PATCH:
             self.latest.clear()
         for endpoint in endpoints:
@@ -54,27 +58,27 @@
         return [self.override(endpoint) for endpoint in endpoints]
 
     def override(self, endpoint: Endpoint) -> Endpoint:
-        """One entry of the list as the pool is to see it."""
+        """Return an entry of the list with the overrides of its backend."""
         row = endpoint.row
         if (row.server in self.banned or row.server in self.unhealthy) and row.state is ServerState.UP:
             row = replace(row, state=ServerState.DRAINING)
-        # Guards a backend that comes back: it was restarted meanwhile, and the list may report that late.
+        # A backend that returns may have been restarted meanwhile, and the list may report the restart late.
         earliest = self.earliest_start.get(row.server, 0.0)
         if earliest > row.started_at:
             row = replace(row, started_at=earliest)
         return endpoint if row is endpoint.row else replace(endpoint, row=row)
 
     def was_listed(self, server: int) -> bool:
-        """Return whether the backend was ever listed."""
+        """Return whether the backend has ever been listed."""
         return server in self.listed or server in self.banned
 
     def disable(self, server: int) -> list[Endpoint]:
-        """Ban a backend until one call of `enable`, however often it is banned; returns what changes for the pool."""
+        """Ban a backend until one call of `enable`, however often it is banned; returns the changed endpoints."""
         self.banned.add(server)
         return self._changed(server)
 
     def enable(self, server: int, now: float) -> list[Endpoint]:
-        """End a ban; the backend starts slowly from `now`. Returns what changes; nothing does without a ban."""
+        """End a ban; the slow start of the backend begins at `now`. Returns the changed endpoints, if any."""
         if server not in self.banned:
             return []
         self.banned.discard(server)
@@ -83,9 +87,9 @@
         return self._changed(server)
 
     def set_unhealthy(self, servers: set[int], now: float) -> list[Endpoint]:
-        """Take these backends for unhealthy and no others; returns what changes for the pool.
+        """Mark exactly these backends as unhealthy, and return the changed endpoints.
 
-        One that is healthy again starts slowly from `now`: it may be a new process.
+        The slow start of a backend that is healthy again begins at `now`: it may be a new process.
         """
         changed = servers ^ self.unhealthy
         for server in self.unhealthy - servers:
@@ -95,18 +99,18 @@
         return [endpoint for server in changed for endpoint in self._changed(server)]
 
     def save(self) -> SavedBans:
-        """Return what a successor process has to know."""
+        """Return the state for a successor process."""
         return SavedBans(list(self.listed), sorted(self.banned), dict(self.earliest_start))
 
     def restore(self, saved: SavedBans) -> None:
-        """Take over what a predecessor process knew."""
+        """Take over the state of a predecessor process."""
         self.listed = dict.fromkeys(saved.listed) | self.listed
         self.banned.update(saved.banned)
         self.earliest_start.update(saved.earliest_start)
         self._trim()
 
     def _set_earliest_start(self, server: int, now: float) -> None:
-        self.earliest_start.pop(server, None)  # so that it is the latest in the order of the dictionary
+        self.earliest_start.pop(server, None)  # moves the backend to the end of the dictionary
         self.earliest_start[server] = now
 
     def _changed(self, server: int) -> list[Endpoint]:
@@ -114,8 +118,8 @@
         return [] if endpoint is None else [self.override(endpoint)]
 
     def _trim(self) -> None:
-        """Guards memory against names that are ever new; one that is listed now or banned is not forgotten."""
-        # Where the present list alone is longer, former names are looked for only once there are some.
+        """Limit the memory that ever new names take; a backend that is listed now or banned is kept."""
+        # If the current list alone exceeds the limit, former backends are searched only once there are enough of them.
         if len(self.listed) > max(MAX_LISTED_BACKENDS, len(self.latest) + MAX_LISTED_BACKENDS // 16):
             excess = len(self.listed) - MAX_LISTED_BACKENDS
             former = [server for server in self.listed if server not in self.latest and server not in self.banned]
--- a/lugspur/discovery/endpoints.py
+++ b/lugspur/discovery/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a list, and their reading from entries of the platform's form. No I/O."""
+"""Endpoints of a list, and the parser for entries in the platform's format. No I/O."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from lugspur.load_balancing.model import ServerRow, ServerState
 
 Address = tuple[str, int]
-#: What a backend may speak: HTTP/1.1, or gRPC over HTTP/2.
+#: Protocols that a backend may speak: HTTP/1.1, or gRPC over HTTP/2.
 PROTOCOLS = ("http", "grpc")
-#: States by the statuses of the platform's entries.
+#: State of a backend by the status in the platform's entry.
 STATES = {"in_service": ServerState.UP, "terminating": ServerState.DRAINING, "terminated": ServerState.GONE}
-#: Index of a zone or type that the settings do not name: it equals none of theirs.
+#: Index of a zone or type that the settings do not name; no zone or type in the settings has it.
 UNKNOWN_INDEX = -1
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of an endpoint list: the row that load balancing decides by, and where the backend listens."""
+    """One entry of an endpoint list: the row that load balancing uses, and the address at which the backend listens."""
 
     row: ServerRow
     address: Address
-    speaks_grpc: bool = False  # gRPC over HTTP/2; else HTTP/1.1
+    speaks_grpc: bool = False  # gRPC over HTTP/2 if true, else HTTP/1.1
 
 
 def read_address(text: str) -> Address:
@@ -35,29 +35,32 @@
 
 
 def server_id(name: str) -> int:
-    """Return the number by which load balancing knows a backend: its name's bytes, so that all proxies agree on it."""
+    """Return the number by which load balancing identifies a backend.
+
+    It consists of the bytes of the name, so that all proxies use the same number.
+    """
     return int.from_bytes(name.encode(), "big")
 
 
 def server_name(server: int) -> str:
-    """Return the name that `server_id` made this number from."""
+    """Return the name from which `server_id` derives this number."""
     return server.to_bytes((server.bit_length() + 7) // 8, "big").decode()
 
 
 class EndpointReader:
-    """Reads entries of the platform's form; names of zones and types become their indexes in the settings."""
+    """Parses entries in the platform's format; names of zones and types become their indexes in the settings."""
 
     def __init__(
         self, zones: Mapping[str, int] | None = None, types: Mapping[str, int] | None = None, protocol: str = "http"
     ) -> None:
-        """Read with these indexes of zones and types; `protocol` counts for entries that name none.
+        """Use these indexes of zones and types; `protocol` applies to entries that name none.
 
-        Without indexes a zone or type is numbered by its name, as `server_id` does, so that two names differ.
+        Without indexes, a zone or type is numbered by its name as in `server_id`, so that two names differ.
         """
         self._zones, self._types, self._protocol = zones, types, protocol
 
     def set_names(self, zones: Mapping[str, int], types: Mapping[str, int]) -> None:
-        """Use the indexes of other settings from now on."""
+        """Use the indexes of new settings from now on."""
         self._zones, self._types = zones, types
 
     def endpoint(self, entry: Mapping[str, Any]) -> Endpoint:
@@ -82,7 +85,7 @@
         return [self.endpoint(entry) for entry in message["endpoints"]]
 
     def check_initial_list(self, known: Mapping[str, Any]) -> None:
-        """Raise ValueError where the list that the platform passes at the start cannot be read."""
+        """Raise ValueError if the list that the platform passes at the start cannot be read."""
         try:
             int(known["index"])
             self.endpoints(known)
--- a/lugspur/discovery/health_check.py
+++ b/lugspur/discovery/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks of a backend, and what a sequence of their results says of it."""
+"""Health checks of a backend, and the health that follows from a sequence of results."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from enum import Enum, auto
 from urllib.parse import urlsplit
 
-UNHEALTHY_THRESHOLD = 3  # failed checks in a row after which a backend counts as unhealthy
-MAX_ANSWER_BYTES = 4096  # that are waited for: the status line is among the first few
+UNHEALTHY_THRESHOLD = 3  # consecutive failed checks after which a backend counts as unhealthy
+MAX_RESPONSE_BYTES = 4096  # bytes of a response that are buffered; the status line comes first
 
 
 class CheckResult(Enum):
     """How one health check ended."""
 
     HEALTHY = auto()
-    UNHEALTHY = auto()  # no answer or a bad one: the process may still be the same
+    UNHEALTHY = auto()  # no response or an error: the process may still be the same
     REFUSED = auto()  # the connection was refused: the process has ended
 
 
@@ -23,14 +23,14 @@
 
     def __init__(self) -> None:
         self.is_healthy = False
-        self.started_ms = 0  # when it was first found healthy, in milliseconds since 1970; 0: not known
-        self._failures = 0  # in a row
+        self.started_ms = 0  # when the process was first found healthy, in milliseconds since 1970; 0: not known
+        self._failures = 0  # consecutive failed checks
 
     def record(self, result: CheckResult, now_ms: int) -> None:
-        """Take the result of a check that ended at `now_ms`, in milliseconds since 1970.
+        """Record the result of a check that ended at `now_ms`, in milliseconds since 1970.
 
-        Guards the slow start: a backend that only failed some checks is as warm as before, but one whose process had
-        ended is a new process when it is back.
+        The slow start depends on the start time: a backend that only failed some checks is as warm as before, but a
+        backend that refused a connection is a new process when it is healthy again.
         """
         if result is CheckResult.HEALTHY:
             self._failures = 0
@@ -47,13 +47,14 @@
 async def check_health(url: str, timeout_seconds: float) -> CheckResult:
     """Check a backend once.
 
-    `http://host:port/path` has to answer a GET with a status below 400, `tcp://host:port` has to accept a connection.
+    `http://host:port/path` has to respond to a GET with a status below 400; `tcp://host:port` has to accept a
+    connection.
     """
     parts = urlsplit(url)
     writer: asyncio.StreamWriter | None = None
     try:
         async with asyncio.timeout(timeout_seconds):
-            reader, writer = await asyncio.open_connection(parts.hostname, parts.port, limit=MAX_ANSWER_BYTES)
+            reader, writer = await asyncio.open_connection(parts.hostname, parts.port, limit=MAX_RESPONSE_BYTES)
             if parts.scheme == "tcp":
                 return CheckResult.HEALTHY
             target = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
--- a/lugspur/discovery/node_formats.py
+++ b/lugspur/discovery/node_formats.py
@@ -1,9 +1,9 @@
-"""Entries of an endpoint list from the data of registry nodes, in three formats. No I/O.
+"""Parsers of registry node data in three formats into entries of an endpoint list. No I/O.
 
-* own: an entry of the platform's form, `{"address": "127.0.0.1:9001", "status": "in_service", "since_ms": ...,
-  "weight": ...}`; `name` is the node's name where it is left out.
+* own: an entry in the platform's format, `{"address": "127.0.0.1:9001", "status": "in_service", "since_ms": ...,
+  "weight": ...}`; `name` defaults to the name of the node.
 * curator: Apache Curator's ServiceInstance, `{"name", "id", "address", "port", "registrationTimeUTC", "payload",
-  "enabled"}`; zone, weight and cell are taken from `payload` or `payload.metadata` where they are present.
+  "enabled"}`; zone, weight and cell are taken from `payload` or `payload.metadata` if present.
 * serverset: Finagle's, `{"serviceEndpoint": {"host", "port"}, "status": "ALIVE", "shard", "metadata"}` in nodes named
   member_...; its vector_... nodes are ignored.
 """
@@ -19,43 +19,44 @@
 
 from lugspur.discovery.endpoints import PROTOCOLS, STATES, read_address
 
-MAX_DATA_BYTES = 64 << 10  # of a node that is read as an entry: entries have a few hundred
-MAX_TEXT_BYTES = 1024  # of a name, zone, type or address: a name becomes a number of as many bytes
+MAX_DATA_BYTES = 64 << 10  # size limit of the data of a node; entries have a few hundred bytes
+MAX_TEXT_BYTES = 1024  # size limit of a name, zone, type or address; a name becomes a number of as many bytes
 MAX_CELL = (1 << 31) - 1
 MIN_WEIGHT, MAX_WEIGHT = 0.001, 1e6  # as for the static members of a pool
 MAX_START_MS = 1 << 62
-#: Fields of an entry of the platform's form; others are ignored.
+#: Fields of an entry in the platform's format; others are ignored.
 OWN_FIELDS = ("name", "address", "status", "zone", "group", "weight", "since_ms", "type", "protocol")
-#: Statuses of a serverset's member that takes requests, and of one that does not.
+#: Statuses of a serverset member that accepts requests.
 SERVING_STATUSES = ("ALIVE", "WARNING")
+#: Statuses of a serverset member that accepts no requests.
 DRAINING_STATUSES = ("STARTING", "STOPPING", "STOPPED", "DEAD")
 
-#: An entry of the platform's form.
+#: An entry in the platform's format.
 Entry = dict[str, Any]
 
 
 class NodeDataError(ValueError):
-    """The data of a node is no entry; the text, which is logged, says why."""
+    """The data of a node is not a valid entry; the message is logged."""
 
 
 @dataclass(slots=True, frozen=True)
 class RegistryNode:
-    """A node as it was read."""
+    """Data and metadata of a node."""
 
     data: bytes
-    created_zxid: int  # the transaction that created it...
-    modified_zxid: int  # ...and the one that last changed its data
-    created_ms: int  # when it was created by the registry's clock, in milliseconds since 1970
+    created_zxid: int  # id of the transaction that created the node
+    modified_zxid: int  # id of the transaction that last changed its data
+    created_ms: int  # when the node was created, in milliseconds since 1970 by the registry's clock
 
 
-def read_entry(form: str, name: str, node: RegistryNode) -> Entry | None:
-    """Return the entry that a node's data holds, or None for a node that describes no backend.
+def read_entry(node_format: str, name: str, node: RegistryNode) -> Entry | None:
+    """Return the entry in a node's data, or None for a node that describes no backend.
 
-    form: one of `FORMATS`; `auto` tells the format by the keys of the data.
+    node_format: one of `FORMATS`; `auto` detects the format by the keys of the data.
     name: name of the node within its directory.
-    Raises NodeDataError for data that is no valid entry.
+    Raises NodeDataError for data that is not a valid entry.
     """
-    if form == "serverset" and not name.startswith("member_"):
+    if node_format == "serverset" and not name.startswith("member_"):
         return None
     if len(node.data) > MAX_DATA_BYTES:
         raise NodeDataError(f"it holds {len(node.data)} bytes; at most {MAX_DATA_BYTES} are read")
@@ -64,8 +65,8 @@
     except orjson.JSONDecodeError as error:
         raise NodeDataError("it holds no JSON") from error
     if not isinstance(raw, dict):
-        raise NodeDataError("its JSON is no object")
-    read = READERS[_detect_format(raw) if form == "auto" else form]
+        raise NodeDataError("its JSON is not an object")
+    read = READERS[_detect_format(raw) if node_format == "auto" else node_format]
     # A backend whose entry has no start time counts as started when its node was created.
     entry = {"name": name, "status": "in_service", "since_ms": node.created_ms, **read(name, raw)}
     _check_entry(entry)
@@ -99,10 +100,10 @@
 def _read_serverset(name: str, raw: Entry) -> Entry:
     endpoint, status = raw.get("serviceEndpoint"), raw.get("status", "ALIVE")
     if not isinstance(endpoint, dict):
-        raise NodeDataError('its "serviceEndpoint" is no object')
+        raise NodeDataError('its "serviceEndpoint" is not an object')
     if status not in (*SERVING_STATUSES, *DRAINING_STATUSES):
         known = ", ".join((*SERVING_STATUSES, *DRAINING_STATUSES))
-        raise NodeDataError(f"its status {status!r} is none of {known}")
+        raise NodeDataError(f"its status {status!r} is not one of {known}")
     entry = {
         "address": f"{endpoint.get('host')}:{endpoint.get('port')}",
         "status": "in_service" if status in SERVING_STATUSES else "terminating",
@@ -111,7 +112,7 @@
 
 
 def _read_metadata(raw: object) -> Entry:
-    """Zone, protocol, weight and cell from a field that a format leaves to its users; numbers may be texts."""
+    """Return zone, protocol, weight and cell from a field that a format leaves to its users; numbers may be strings."""
     if not isinstance(raw, Mapping):
         return {}
     inner = raw.get("metadata")
@@ -126,7 +127,7 @@
             if raw.get(key) is not None:
                 found[field] = number(raw[key])
         except (TypeError, ValueError):
-            continue  # the key means something else to whoever wrote it
+            continue  # the key has another meaning for the application that wrote it
     return found
 
 
@@ -143,20 +144,20 @@
     _check_texts(entry)
     _check_address(entry["address"])
     if entry["status"] not in STATES:
-        raise NodeDataError(f"its status {entry['status']!r} is none of {', '.join(STATES)}")
+        raise NodeDataError(f"its status {entry['status']!r} is not one of {', '.join(STATES)}")
     if entry.get("protocol", "http") not in PROTOCOLS:
-        raise NodeDataError(f"its protocol {entry['protocol']!r} is none of {', '.join(PROTOCOLS)}")
+        raise NodeDataError(f"its protocol {entry['protocol']!r} is not one of {', '.join(PROTOCOLS)}")
     _check_number(entry, "weight", MIN_WEIGHT, MAX_WEIGHT)
     _check_number(entry, "since_ms", 0, MAX_START_MS)
     _check_number(entry, "group", 0, MAX_CELL)
     if not math.isfinite(entry.get("weight", 1.0)) or not isinstance(entry.get("group", 0), int):
-        raise NodeDataError('its "group" is no whole number')
+        raise NodeDataError('its "group" is not an integer')
 
 
 def _check_texts(entry: Entry) -> None:
     for key in ("name", "address", "zone", "type"):
         if not isinstance(entry.get(key, ""), str):
-            raise NodeDataError(f'its "{key}" is no text')
+            raise NodeDataError(f'its "{key}" is not a string')
         if len(entry.get(key, "").encode()) > MAX_TEXT_BYTES:
             raise NodeDataError(f'its "{key}" is longer than {MAX_TEXT_BYTES} bytes')
 
@@ -166,11 +167,11 @@
         host, port = read_address(address)
     except ValueError as error:
         raise NodeDataError(str(error)) from error
-    if host == "None" or not port:  # a format's host or port was missing
+    if host == "None" or not port:  # the host or port of the entry is missing
         raise NodeDataError(f"{address!r} is not an address of the form host:port")
 
 
 def _check_number(entry: Entry, key: str, low: float, high: float) -> None:
     value = entry.get(key, low)
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
-        raise NodeDataError(f'its "{key}" is no number from {low:g} to {high:g}')
+        raise NodeDataError(f'its "{key}" is not a number from {low:g} to {high:g}')
--- a/tests/discovery/test_endpoint_overrides.py
+++ b/tests/discovery/test_endpoint_overrides.py
@@ -1,4 +1,4 @@
-"""Bans and health applied overrides lists: what the pool sees, whatever the list says."""
+"""Bans and health checks override the entries of endpoint lists."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     return {endpoint.row.server: endpoint.row.state for endpoint in endpoints}
 
 
-def test_a_ban_holds_over_every_list_until_one_call_back() -> None:
+def test_a_ban_overrides_every_list_until_one_call_of_enable() -> None:
     overrides = EndpointOverrides()
     overrides.apply(ListUpdateKind.STALE, [row(1), row(2)])
     assert states(overrides.disable(1)) == {1: ServerState.DRAINING}
-    assert states(overrides.disable(1)) == {1: ServerState.DRAINING}  # repeats may come
+    assert states(overrides.disable(1)) == {1: ServerState.DRAINING}  # a repeated call
     assert states(overrides.apply(ListUpdateKind.COMPLETE, [row(1), row(2)])) == {
         1: ServerState.DRAINING,
         2: ServerState.UP,
@@ -35,12 +35,12 @@
     assert states(overrides.apply(ListUpdateKind.PATCH, [row(1, started=5.0)])) == {1: ServerState.DRAINING}
     moved = replace(row(1, started=6.0), address=("127.0.0.1", 10))
     overrides.apply(ListUpdateKind.PATCH, [moved])
-    [back] = overrides.enable(1, 50.0)
-    assert back.row.state is ServerState.UP
-    assert back.address == ("127.0.0.1", 10)
+    [enabled] = overrides.enable(1, 50.0)
+    assert enabled.row.state is ServerState.UP
+    assert enabled.address == ("127.0.0.1", 10)
 
 
-def test_a_backend_comes_back_in_slow_start_whatever_the_list_says_of_its_start() -> None:
+def test_an_enabled_backend_is_in_slow_start_whatever_start_time_the_list_has() -> None:
     overrides = EndpointOverrides()
     overrides.apply(ListUpdateKind.COMPLETE, [row(1, started=3.0)])
     overrides.disable(1)
@@ -50,7 +50,7 @@
     assert overrides.enable(1, 99.0) == []  # no ban, no restart
 
 
-def test_a_ban_ends_into_what_the_list_says() -> None:
+def test_the_latest_entry_of_the_list_applies_after_a_ban() -> None:
     overrides = EndpointOverrides()
     overrides.apply(ListUpdateKind.COMPLETE, [row(1)])
     overrides.disable(1)
@@ -71,7 +71,7 @@
     assert states(overrides.apply(ListUpdateKind.COMPLETE, [row(1)])) == {1: ServerState.DRAINING}
 
 
-def test_names_and_earliest_starts_are_bounded_and_those_that_count_are_kept() -> None:
+def test_listed_backends_and_earliest_starts_are_bounded_and_those_in_use_are_kept() -> None:
     overrides = EndpointOverrides()
     overrides.apply(ListUpdateKind.PATCH, [row(1), row(2)])
     overrides.disable(2)
@@ -91,30 +91,32 @@
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["ban", "back", "up", "gone", "terminating", "whole", "process"]), st.integers(1, 3))
+        st.tuples(
+            st.sampled_from(["ban", "enable", "up", "gone", "terminating", "complete", "restart"]), st.integers(1, 3)
+        )
     )
 )
-@settings(deadline=None)  # a loaded machine is no fault
+@settings(deadline=None)  # examples take longer on a loaded machine
 def test_no_sequence_lets_a_banned_backend_serve(steps: list[tuple[str, int]]) -> None:
     overrides, seen, banned = EndpointOverrides(), dict[int, ServerState](), set[int]()
     overrides.apply(ListUpdateKind.COMPLETE, [row(1), row(2), row(3)])
-    for at, (what, server) in enumerate(steps):
-        if what == "ban":
+    for at, (step, server) in enumerate(steps):
+        if step == "ban":
             banned.add(server)
             out = overrides.disable(server)
-        elif what == "back":
+        elif step == "enable":
             banned.discard(server)
             out = overrides.enable(server, float(at))
-        elif what == "whole":
+        elif step == "complete":
             seen.clear()
             out = overrides.apply(ListUpdateKind.COMPLETE, [row(server)])
-        elif what == "process":
+        elif step == "restart":
             former, overrides = overrides, EndpointOverrides()
             overrides.restore(former.save())
             seen.clear()
             out = overrides.apply(ListUpdateKind.COMPLETE, [row(1), row(2), row(3)])
         else:
-            state = {"up": ServerState.UP, "gone": ServerState.GONE, "terminating": ServerState.DRAINING}[what]
+            state = {"up": ServerState.UP, "gone": ServerState.GONE, "terminating": ServerState.DRAINING}[step]
             out = overrides.apply(ListUpdateKind.PATCH, [row(server, state)])
         seen.update(states(out))
         assert not any(seen.get(server) is ServerState.UP for server in banned)
--- a/tests/discovery/test_health_check.py
+++ b/tests/discovery/test_health_check.py
@@ -1,11 +1,11 @@
-"""Health of a backend by the results of its checks."""
+"""Health of a backend as derived from the results of its checks."""
 
 from __future__ import annotations
 
 from lugspur.discovery.health_check import UNHEALTHY_THRESHOLD, BackendHealth, CheckResult
 
 
-def test_a_backend_is_unhealthy_after_some_failed_checks_and_at_once_where_nobody_listens() -> None:
+def test_a_backend_is_unhealthy_after_some_failed_checks_and_at_once_after_a_refused_connection() -> None:
     health = BackendHealth()
     health.record(CheckResult.UNHEALTHY, 1)
     assert not health.is_healthy
--- a/tests/discovery/test_node_formats.py
+++ b/tests/discovery/test_node_formats.py
@@ -1,4 +1,4 @@
-"""Entries from nodes of three formats; data that is no entry is rejected with a reason."""
+"""Entries are parsed from nodes in three formats; data that is not an entry is rejected with a reason."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     return read_entry(form, name, node(data))
 
 
-def test_each_format_is_read_as_what_it_is() -> None:
+def test_the_format_of_a_node_is_detected() -> None:
     assert entry(OWN) == {"name": "n", "address": "127.0.0.1:9001", "status": "in_service", "since_ms": 5000}
     assert entry(OWN | {"name": "x", "weight": 2, "group": 4, "status": "terminating", "since_ms": 7, "other": 1}) == {
         "name": "x",
@@ -85,7 +85,7 @@
         (OWN | {"status": "terminated"}, "terminated"),
     ],
 )
-def test_a_box_that_is_not_to_be_called_drains(data: dict[str, Any], status: str) -> None:
+def test_a_backend_that_accepts_no_requests_drains(data: dict[str, Any], status: str) -> None:
     found = entry(data)
     assert found is not None and found["status"] == status
 
@@ -95,35 +95,35 @@
     assert found is not None and (found["zone"], found["group"]) == ("b", 7) and "weight" not in found
 
 
-def test_finagles_vectors_are_no_boxes() -> None:
+def test_vector_nodes_of_finagle_describe_no_backend() -> None:
     assert entry({"vector": []}, "serverset", "vector_0000000001") is None
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, message",
     [
         (b"\xff\x00", "it holds no JSON"),
-        (b"[]", "its JSON is no object"),
+        (b"[]", "its JSON is not an object"),
         ({}, 'it has no "address"'),
         ({"address": None}, 'it has no "address"'),
         ({"address": "nowhere"}, "is not an address"),
-        ({"address": 7}, 'its "address" is no text'),
+        ({"address": 7}, 'its "address" is not a string'),
         ({"address": "127.0.0.1:0"}, "is not an address"),
         (OWN | {"status": "asleep"}, "its status 'asleep'"),
-        (OWN | {"weight": 0}, 'its "weight" is no number'),
-        (OWN | {"weight": True}, 'its "weight" is no number'),
-        (OWN | {"group": 1.5}, 'its "group" is no whole number'),
+        (OWN | {"weight": 0}, 'its "weight" is not a number'),
+        (OWN | {"weight": True}, 'its "weight" is not a number'),
+        (OWN | {"group": 1.5}, 'its "group" is not an integer'),
         (OWN | {"since_ms": -1}, 'its "since_ms"'),
         (OWN | {"name": "x" * 2000}, 'its "name" is longer'),
         (b" " * (MAX_DATA_BYTES + 1), "bytes; at most"),
         (CURATOR | {"address": None}, "is not an address"),
         (CURATOR | {"port": None}, "is not an address"),
         (SERVERSET | {"status": "NAPPING"}, "its status 'NAPPING'"),
-        (SERVERSET | {"serviceEndpoint": 1}, "no object"),
+        (SERVERSET | {"serviceEndpoint": 1}, "not an object"),
     ],
 )
-def test_what_is_no_entry_says_why(data: Any, said: str) -> None:
-    with pytest.raises(NodeDataError, match=said.replace('"', ".").replace("'", ".")):
+def test_data_that_is_not_an_entry_is_rejected_with_a_reason(data: Any, message: str) -> None:
+    with pytest.raises(NodeDataError, match=message.replace('"', ".").replace("'", ".")):
         entry(data)
 
 
--- a/tests/discovery/test_registry_endpoints.py
+++ b/tests/discovery/test_registry_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints by the nodes of a registry: several nodes of one backend, and nodes that cannot be read."""
+"""Endpoints from the nodes of a registry: several nodes of one backend, and nodes that cannot be read."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def node(data: Any, created_zxid: int = 1) -> RegistryNode:
-    """A node with data that differs from all others in its version."""
+    """Return a node with a version that no other node has."""
     raw = data if isinstance(data, bytes) else orjson.dumps(data)
     return RegistryNode(raw, created_zxid, next(MODIFICATIONS), 5000)
 
@@ -26,7 +26,7 @@
     return {row.row.server: row.row.state for row in rows}
 
 
-def test_one_bad_node_is_named_once_and_takes_no_other_with_it() -> None:
+def test_an_invalid_node_is_logged_once_and_does_not_affect_other_nodes() -> None:
     nodes = RegistryEndpoints("auto")
     changes = nodes.replace_all({"a": node(OWN), "bad": node(b"?"), "secret": None})
     assert ids(changes.endpoints) == {server_id("a"): ServerState.UP}
@@ -35,39 +35,39 @@
         "node 'secret': it may not be read; it is left out",
     ]
     assert nodes.update_node("bad", node(b"?")) == EndpointChanges()
-    assert nodes.update_node("bad", node(b"[]")).problems == ["node 'bad': its JSON is no object; it is left out"]
+    assert nodes.update_node("bad", node(b"[]")).problems == ["node 'bad': its JSON is not an object; it is left out"]
     rows = nodes.update_node("bad", node(OWN)).endpoints
     assert ids(rows) == {server_id("bad"): ServerState.UP}
 
 
-def test_a_node_that_turns_unreadable_is_no_removal() -> None:
+def test_a_node_that_becomes_unreadable_removes_no_backend() -> None:
     nodes = RegistryEndpoints("auto")
     nodes.replace_all({"a": node(OWN)})
     assert nodes.update_node("a", node(b"?")) == EndpointChanges(
-        problems=["node 'a': it holds no JSON; its box stays as it was"]
+        problems=["node 'a': it holds no JSON; its backend stays as it was"]
     )
     rows = nodes.replace_all({"a": node(b"?")}).endpoints
     assert ids(rows) == {server_id("a"): ServerState.UP}
 
 
-def test_a_box_with_an_old_node_and_a_new_one_counts_once_by_the_new_one() -> None:
+def test_a_backend_with_an_old_and_a_new_node_is_listed_once_by_the_new_one() -> None:
     nodes = RegistryEndpoints("auto")
     nodes.replace_all({"box-1": node(OWN | {"name": "box", "since_ms": 1})})
     rows = nodes.update_node("box-2", node(OWN | {"name": "box", "since_ms": 9000}, created_zxid=2)).endpoints
     assert [row.row.started_at for row in rows] == [9.0] and len(nodes) == 1
-    rows = nodes.remove_node("box-1").endpoints  # its old session expires at last
+    rows = nodes.remove_node("box-1").endpoints  # the old session expires
     assert [(row.row.state, row.row.started_at) for row in rows] == [(ServerState.UP, 9.0)]
     assert ids(nodes.remove_node("box-2").endpoints) == {server_id("box"): ServerState.GONE} and len(nodes) == 0
 
 
-def test_a_node_that_becomes_another_box_takes_the_first_one_out() -> None:
+def test_a_node_that_describes_another_backend_removes_the_first_one() -> None:
     nodes = RegistryEndpoints("auto")
     nodes.replace_all({"a": node(OWN | {"name": "one"})})
     rows = nodes.update_node("a", node(OWN | {"name": "two"})).endpoints
     assert ids(rows) == {server_id("one"): ServerState.GONE, server_id("two"): ServerState.UP}
 
 
-def test_draining_and_weights_count_at_once_and_the_same_data_tells_nothing() -> None:
+def test_status_and_weight_apply_at_once_and_unchanged_data_changes_nothing() -> None:
     nodes = RegistryEndpoints("auto")
     nodes.replace_all({"a": node(OWN)})
     rows = nodes.update_node("a", node(OWN | {"status": "terminating", "weight": 3.0})).endpoints
@@ -75,7 +75,7 @@
     assert nodes.update_node("a", node(OWN | {"status": "terminating", "weight": 3.0})) == EndpointChanges()
 
 
-def test_a_box_that_flaps_keeps_its_start_time_and_one_without_any_began_with_its_node() -> None:
+def test_a_backend_keeps_its_start_time_when_its_node_is_recreated_and_defaults_to_the_creation_time() -> None:
     nodes = RegistryEndpoints("auto")
     rows = nodes.update_node("a", node(OWN | {"since_ms": 1000}, created_zxid=1)).endpoints
     nodes.remove_node("a")
