--- a/lugspur/discovery/platform_watch.py
+++ b/lugspur/discovery/platform_watch.py
@@ -1,7 +1,7 @@
-"""The watch on the platform's discovery service: follows changes, reconnects, and resumes from the last index.
+"""Watch on the platform's discovery service: receives changes, reconnects, and resumes from the last index.
 
-The service answers one GET with a line of JSON for each change, `{"index", "snapshot", "endpoints"}`, and with an empty
-line every 2 s where nothing has changed.
+The response to one GET is a stream of lines: JSON for each change, `{"index", "snapshot", "endpoints"}`, and an empty
+line every 2 s if nothing has changed.
 """
 
 from __future__ import annotations
@@ -18,23 +18,24 @@
 from lugspur.discovery.sources import UpdateListener
 from lugspur.load_balancing.model import ListUpdateKind
 
-#: Seconds without a line after which a watch counts as dead: one comes every 2 s...
+#: Seconds without a line after which a watch counts as dead; the service sends a line every 2 s.
 SILENCE_TIMEOUT_SECONDS = 3.0
-#: ...and up to this share longer, so that all watchers of a service that hangs do not return at once.
+#: Fraction by which the timeout is extended at most, at random, so that the watchers of a service that hangs do not
+#: reconnect all at once.
 SILENCE_TIMEOUT_JITTER = 0.2
-#: Before a reconnection, doubling from the first to the longest.
+#: Delays before a reconnection; each one doubles, from the first to the maximum.
 FIRST_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS = 0.1, 2.0
 MAX_LINE_BYTES = 4 << 20
 
 
 class PlatformWatch:
-    """Keeps one watch open, whatever happens to it, and delivers its updates.
+    """Keeps one watch open, reconnects when it ends, and delivers its updates.
 
-    After `change_address` the former watch goes on until the new one has delivered its first list.
+    After `change_address`, the former watch continues until the new one has delivered its first list.
     """
 
     def __init__(self, address: Address, reader: EndpointReader, index: int, on_update: UpdateListener) -> None:
-        """Watch at `address` for what is newer than `index`."""
+        """Watch at `address` for changes that are newer than `index`."""
         self._address = address
         self._reader = reader
         self._index = index
@@ -45,11 +46,11 @@
 
     @property
     def index(self) -> int:
-        """The index of the list as of the last update."""
+        """Index of the list after the last update."""
         return self._index
 
     def open(self) -> None:
-        """Start the watch unless it runs."""
+        """Start the watch unless it is running."""
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run(self._address, self._index))
 
@@ -62,10 +63,10 @@
             return
         if self._former_task is None:
             self._former_task = self._task
-        else:  # Guards reloads in a row: the watch between the two has delivered nothing yet.
+        else:  # consecutive reloads: the watch in between has not delivered anything yet
             self._task.cancel()
         self._retry_delay = FIRST_RETRY_DELAY_SECONDS
-        # Guards against a change that falls between two services: from index 0 the answer is the complete list.
+        # Index 0 requests the complete list, so that no change is missed between the two services.
         self._task = asyncio.get_running_loop().create_task(self._run(address, 0))
 
     def close(self) -> None:
@@ -97,9 +98,9 @@
             connection.close()
 
     def _receive_line(self, connection: _WatchConnection, line: bytes) -> None:
-        """Take one line; an empty one is a heartbeat, which is delivered as an update without endpoints."""
+        """Process one line; an empty line is a heartbeat, which is delivered as an update without endpoints."""
         if connection.task is not self._task and connection.task is not self._former_task:
-            return  # Guards the list against a watch that has been replaced and is not closed yet.
+            return  # the watch has been replaced and is not closed yet
         if not line.strip():
             self._retry_delay = FIRST_RETRY_DELAY_SECONDS
             self._on_update(ListUpdateKind.PATCH, [])
@@ -118,7 +119,7 @@
 
 
 class _WatchConnection(asyncio.Protocol):
-    """The connection of one watch; created in the task that keeps it."""
+    """The connection of one watch; created in the task that runs it."""
 
     def __init__(self, on_line: Callable[[_WatchConnection, bytes], None], request: bytes) -> None:
         self._on_line = on_line
@@ -151,13 +152,13 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        # Guards against a machine that has vanished: nothing else would end its connection.
+        # Detects a machine that has disappeared: nothing else would end its connection.
         self._timer.cancel()
         self._timer = self._loop.call_later(self._timeout_seconds, self.close)
         try:
             self._parser.feed_data(data)
             self._split_lines()
-        except Exception as error:  # Guards against a malformed list: the last one stays.
+        except Exception as error:  # a malformed list; the last list stays
             print(f"lugspur: discovery: {error!r}", file=sys.stderr, flush=True)
             self.close()
 
@@ -169,13 +170,15 @@
             return
         *lines, self._buffer = b"".join([self._buffer, *self._body]).split(b"\n")
         self._body.clear()
-        if len(self._buffer) > MAX_LINE_BYTES:  # Guards the memory limit against a line that never ends.
-            raise ValueError("a line is too long")
+        if len(self._buffer) > MAX_LINE_BYTES:  # limits the memory that an endless line takes
+            raise ValueError(f"a line is longer than {MAX_LINE_BYTES} bytes")
         for line in lines:
             self._on_line(self, line)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._timer.cancel()
-        del self._parser  # Guards memory: the parser and this object refer to each other.
+        del (
+            self._parser
+        )  # breaks the reference cycle between the parser and this object, which would keep memory in use
         if not self.ended.done():
             self.ended.set_result(None)
--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with registries: one for each ensemble, shared by all sources and registrations that use it."""
+"""Sessions with registries: one for each ensemble, shared by all endpoint sources and registrations that use it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lugspur.zookeeper.link import Machine
 from lugspur.zookeeper.session import Event, Terms
 
-#: Called after each turn of the session with what happened to it meanwhile.
+#: Called after each turn of the session with the events of the session in it.
 SessionListener = Callable[[list[Event]], None]
 
 
@@ -24,7 +24,7 @@
 
 
 class RegistrySession:
-    """One session with a registry, and the state machines that use it."""
+    """A session with a registry, and the state machines that use it."""
 
     def __init__(self, ensemble: Ensemble) -> None:
         self.client = Client(ensemble.addresses, ensemble.terms, self._notify)
@@ -35,14 +35,14 @@
             listener(events)
 
     def add_user(self, machine: Machine, listener: SessionListener) -> None:
-        """Let `machine` send requests; `listener` is called at once and after each turn of the session."""
+        """Send requests of `machine` in the session; call `listener` at once and after each turn of it."""
         self.users[machine] = listener
         self.client.add(machine)
         self.client.open()
         listener([])
 
     def remove_user(self, machine: Machine) -> None:
-        """Let `machine` send nothing more; raises KeyError unless it was added."""
+        """Stop sending requests of `machine`; raises KeyError unless it was added."""
         del self.users[machine]
         self.client.remove(machine)
 
@@ -59,7 +59,7 @@
         return self._sessions.setdefault(ensemble, RegistrySession(ensemble))
 
     def close_unused(self) -> None:
-        """Close the sessions that have no users any more."""
+        """Close the sessions that have no users anymore."""
         for ensemble, session in tuple(self._sessions.items()):
             if not session.users:
                 del self._sessions[ensemble]
@@ -68,7 +68,7 @@
                 task.add_done_callback(self._closing.discard)
 
     async def close(self) -> None:
-        """Close all sessions; returns when servers have confirmed it or their time for that is over."""
+        """Close all sessions, and wait until the servers have confirmed it or the timeout for that has passed."""
         for session in self._sessions.values():
             session.users.clear()
         self.close_unused()
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -1,7 +1,7 @@
 """A pool's endpoint list from a directory of a registry.
 
-Changes are delivered at once; where a delivery takes long, what comes meanwhile is collected for the next one, so that
-1,000 changes a second do not take the whole CPU.
+Changes are delivered at once. If a delivery takes long, the changes that arrive meanwhile are batched for the next one,
+so that 1,000 changes a second do not take the whole CPU.
 """
 
 from __future__ import annotations
@@ -21,17 +21,19 @@
 from lugspur.zookeeper.session import Down, Event, Expired, Up
 from lugspur.zookeeper.view import Absent, News, Present, Unread, View, Whole
 
-READ_RETRY_DELAY_SECONDS = 5.0  # before a directory that could not be read is tried again
-#: A delivery waits for this many times what the one before took: a fifth of the CPU at most goes to deliveries...
+#: Seconds after which reading a directory is retried.
+READ_RETRY_DELAY_SECONDS = 5.0
+#: The pause after a delivery is this many times as long as the delivery, so that deliveries take at most a fifth of the
+#: CPU.
 DELIVERY_PAUSE_FACTOR = 4.0
-#: ...but no longer than this: removals are to be obeyed 500 ms after the registry reported them.
+#: Upper limit of the pause after a delivery: removals have to take effect 500 ms after the registry has reported them.
 MAX_DELIVERY_PAUSE_SECONDS = 0.2
 READ_ERRORS = {int(r.Error.NO_NODE): "it does not exist yet", int(r.Error.NO_AUTH): "its access list forbids it"}
 
 
 @dataclass(slots=True)
 class _PendingUpdate:
-    """What is to be delivered next, by backend."""
+    """Endpoints of the next delivery, by backend."""
 
     removed: dict[int, Endpoint] = field(default_factory=dict)
     present: dict[int, Endpoint] = field(default_factory=dict)
@@ -52,8 +54,7 @@
 class RegistrySource:
     """Follows a directory of a registry and delivers the endpoints that its nodes describe.
 
-    Where the pool knows no list yet, `static` endpoints are delivered by `open`; they stay until the directory has
-    been read.
+    If the pool has no list yet, `open` delivers the `static` endpoints; they stay until the directory has been read.
     """
 
     def __init__(
@@ -83,20 +84,20 @@
         self.staleness = RegistryStaleness(stale_after, self._log, self._loop.time())
         self._pending = _PendingUpdate()
         self._delivered: dict[int, Endpoint] = {}
-        self._has_delivered_list = False  # whether a complete list was ever delivered
+        self._has_delivered_list = False  # whether a complete list has been delivered
         self._next_delivery_at = 0.0
         self._delivery_timer: asyncio.TimerHandle | None = None
         self._stale_timer: asyncio.TimerHandle | None = None
         self._read_timer: asyncio.TimerHandle | None = None
 
     def open(self) -> None:
-        """Begin to deliver."""
+        """Start to deliver updates."""
         if self._static:
             self._on_update(ListUpdateKind.COMPLETE, self._static)
         self._session.add_user(self.view, self._on_events)
 
     def close(self) -> None:
-        """Deliver nothing more."""
+        """Stop delivering updates."""
         self._session.remove_user(self.view)
         for timer in (self._delivery_timer, self._stale_timer, self._read_timer):
             if timer is not None:
@@ -106,7 +107,7 @@
     def _log(self, line: str) -> None:
         print(f"lugspur: pool {self._pool}: {self.view.path}: {line}", file=sys.stderr, flush=True)
 
-    # ---- what the registry reports -------------------------------------------------------------
+    # ---- events of the registry ----------------------------------------------------------------
 
     def _on_events(self, events: list[Event]) -> None:
         now = self._loop.time()
@@ -163,10 +164,10 @@
         if due != float("inf"):
             self._stale_timer = self._loop.call_at(due, lambda: self._check_staleness(self._loop.time()))
 
-    # ---- what the pool receives ----------------------------------------------------------------
+    # ---- deliveries to the pool ----------------------------------------------------------------
 
     def _deliver_soon(self, now: float) -> None:
-        """Deliver now, or after the pause that the last delivery asks for."""
+        """Deliver pending changes now, or after the pause that follows the last delivery."""
         if not self._pending or self._delivery_timer is not None:
             return
         if now >= self._next_delivery_at:
@@ -175,7 +176,7 @@
             self._delivery_timer = self._loop.call_at(self._next_delivery_at, self._deliver)
 
     def _deliver(self) -> None:
-        """Deliver all that is pending, removals first: a node created again under its name is another process."""
+        """Deliver all pending changes, removals first: a node that was recreated under its name is another process."""
         started_at = self._loop.time()
         self._delivery_timer = None
         pending, self._pending = self._pending, _PendingUpdate()
@@ -193,9 +194,9 @@
         self._next_delivery_at = ended_at + pause
 
     def _deliver_list(self, endpoints: dict[int, Endpoint]) -> None:
-        """Deliver a complete list; after the first one only what differs.
+        """Deliver a complete list; after the first one only the differences.
 
-        After most gaps nothing does, and delivering 10,000 endpoints takes a while.
+        After most gaps there are none, and delivering 10,000 endpoints takes a while.
         """
         former, self._delivered = self._delivered, endpoints
         if not self._has_delivered_list:
--- a/lugspur/discovery/sources.py
+++ b/lugspur/discovery/sources.py
@@ -1,4 +1,4 @@
-"""Sources of a pool's endpoint list: the interface, and the sources that read the configuration or a file.
+"""Sources of a pool's endpoint list: the interface, and the sources that use the configuration or a file.
 
 The other sources are `platform_watch.PlatformWatch` and `registry_source.RegistrySource`.
 """
@@ -16,25 +16,26 @@
 from lugspur.discovery.endpoints import Endpoint, EndpointReader
 from lugspur.load_balancing.model import ListUpdateKind
 
-#: Receives a complete list, or the endpoints of a list that have changed.
+#: Called with a complete list, or with the changed endpoints of a list.
 UpdateListener = Callable[[ListUpdateKind, list[Endpoint]], None]
 
-POLL_INTERVAL_SECONDS = 0.2  # of a watched file: a drain has to be obeyed 500 ms after it was written
-MAX_FILE_BYTES = 16 << 20  # of a watched file: some 100,000 backends
+#: Seconds between two checks of a watched file; a drain has to take effect 500 ms after it was written.
+POLL_INTERVAL_SECONDS = 0.2
+MAX_FILE_BYTES = 16 << 20  # size limit of a watched file; 16 MiB hold some 100,000 backends
 
 
 class EndpointSource(Protocol):
-    """Delivers complete lists and changes of them from `open` until `close`; entries it cannot read are left out."""
+    """Delivers complete lists and changes of them from `open` until `close`, without entries that it cannot read."""
 
     def open(self) -> None:
-        """Begin to deliver."""
+        """Start to deliver updates."""
 
     def close(self) -> None:
-        """Deliver nothing more."""
+        """Stop delivering updates."""
 
 
 class StaticList:
-    """The members that the configuration names; they never change."""
+    """The members of a pool in the configuration; they never change."""
 
     def __init__(self, endpoints: list[Endpoint], on_update: UpdateListener) -> None:
         self._endpoints = endpoints
@@ -45,20 +46,20 @@
         self._on_update(ListUpdateKind.COMPLETE, self._endpoints)
 
     def close(self) -> None:
-        """Nothing is left to do."""
+        """Do nothing: there are no further updates."""
 
 
 class WatchedFile:
-    """A file with a list in the form of the platform's HTTP watch, read whenever it has changed.
+    """A file with a list in the format of the platform's HTTP watch, read whenever it has changed.
 
-    A file that is missing or cannot be read changes nothing: the last good list stays, and the log says why once.
+    If the file is missing or cannot be read, the last valid list stays, and the reason is logged once.
     """
 
     def __init__(self, path: str, reader: EndpointReader, on_update: UpdateListener) -> None:
         self._path, self._reader = path, reader
         self._on_update = on_update
-        self._version: tuple[int, ...] = ()  # modification time, size and inode of what was read last
-        self._problem = ""  # what was last logged
+        self._version: tuple[int, ...] = ()  # modification time, size and inode of the file as it was last read
+        self._problem = ""  # the problem that was last logged
         self._timer: asyncio.TimerHandle | None = None
 
     def open(self) -> None:
@@ -69,24 +70,26 @@
             version = (status.st_mtime_ns, status.st_size, status.st_ino)
             if version != self._version:
                 endpoints = self._read(status.st_size)
-                # Only now: a file that was read half written is read again.
+                # Set after the file was parsed, so that a file that was only half written is read again.
                 self._version, self._problem = version, ""
                 self._on_update(ListUpdateKind.COMPLETE, endpoints)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-            self._report(f"{error.strerror}" if isinstance(error, OSError) else f"no list: {error!r}")
+            self._report(
+                f"{error.strerror}" if isinstance(error, OSError) else f"it is not a valid endpoint list: {error!r}"
+            )
 
     def close(self) -> None:
-        """Stop looking at the file."""
+        """Stop checking the file."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _read(self, size: int) -> list[Endpoint]:
-        if size > MAX_FILE_BYTES:  # Guards memory against a wrong path.
+        if size > MAX_FILE_BYTES:  # limits the memory that a file under a wrong path takes
             raise ValueError(f"it holds more than {MAX_FILE_BYTES >> 20} MiB")
         with open(self._path, "rb") as file:
             return self._reader.endpoints(orjson.loads(file.read()))
 
     def _report(self, problem: str) -> None:
-        if problem != self._problem:  # Guards the log: the same problem is met five times a second.
+        if problem != self._problem:  # a lasting problem occurs five times a second; it is logged once
             self._problem = problem
             print(f"lugspur: {self._path}: {problem}; the last list stays", file=sys.stderr, flush=True)
--- a/lugspur/discovery/state_codec.py
+++ b/lugspur/discovery/state_codec.py
@@ -1,7 +1,7 @@
-"""Endpoints and learned state of backends as plain JSON values, and back. No I/O.
+"""Conversion of endpoints and learned state of backends to and from plain JSON values. No I/O.
 
-The same values are kept in the snapshot file of the daemon and handed to a successor process in a hot restart. Decoders
-raise one of `DECODE_ERRORS` for values that make no sense; callers treat all of them alike.
+The same values are kept in the snapshot file of the daemon and passed to a successor process in a hot restart. Decoders
+raise one of `DECODE_ERRORS` for invalid values; callers treat all of them alike.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 
 def finite_number(value: Any) -> float:
-    """Return `value` as a float; raises ValueError for NaN, which makes every comparison false, and for infinity."""
+    """Return `value` as a float; raises ValueError for NaN, with which every comparison is false, and for infinity."""
     number = float(value)
     if not isfinite(number):
-        raise ValueError(f"{value!r} is no finite number")
+        raise ValueError(f"{value!r} is not a finite number")
     return number
 
 
 def encode_endpoint(endpoint: Endpoint) -> list[Any]:
-    """Return an array of name, state, zone, cell, weight, start, kind, host, port, and whether it speaks gRPC."""
+    """Return name, state, zone, cell, weight, start time, host type, host, port, and whether gRPC is spoken."""
     row = endpoint.row
-    # A zone or kind that the settings do not list is its name as a number (see `server_id`), which may exceed the
-    # integers of JSON: both are written as text.
+    # A zone or host type that the settings do not list is represented by its name as a number (see `server_id`), which
+    # may exceed the integers of JSON: both are written as strings.
     return [
         server_name(row.server),
         row.state.value,
@@ -44,27 +44,27 @@
 
 
 def decode_endpoint(raw: list[Any]) -> Endpoint:
-    """Return the endpoint that `encode_endpoint` wrote."""
-    name, state, zone, cell, size, started, kind, host, port, grpc = raw
+    """Return the endpoint from the values of `encode_endpoint`."""
+    name, state, zone, cell, weight, started_at, host_type, host, port, speaks_grpc = raw
     row = ServerRow(
         server_id(name),
         ServerState(state),
         int(zone),
         int(cell),
-        finite_number(size),
-        finite_number(started),
-        int(kind),
+        finite_number(weight),
+        finite_number(started_at),
+        int(host_type),
     )
-    return Endpoint(row, (str(host), int(port)), bool(grpc))
+    return Endpoint(row, (str(host), int(port)), bool(speaks_grpc))
 
 
 def encode_learned_server(learned: LearnedServer) -> dict[str, Any]:
-    """Return what was learned of one backend, which is named by its name rather than by its number."""
+    """Return the learned state of one backend, which is identified by its name instead of its number."""
     return dataclasses.asdict(learned) | {"server": server_name(learned.server)}
 
 
 def decode_learned_server(raw: dict[str, Any]) -> LearnedServer:
-    """Return what `encode_learned_server` wrote."""
+    """Return the learned state from the values of `encode_learned_server`."""
     breaker = raw["breaker"]
     return LearnedServer(
         server_id(raw["server"]),
@@ -80,7 +80,7 @@
 
 
 def encode_learned_pools(learned: Learned) -> dict[str, Any]:
-    """Return what was learned of the pools of request classes; backends are encoded one by one beside it."""
+    """Return the learned state of the pools of request classes; backends are encoded separately, one by one."""
     return {
         "pools": [dataclasses.asdict(pool) for pool in learned.pools],
         "pooled": learned.pooled,
@@ -101,7 +101,10 @@
 
 
 def _decode_breaker(raw: dict[str, Any]) -> LearnedBreaker:
-    window = tuple((int(n), int(r), int(a), int(f)) for n, r, a, f in raw["window"])
+    window = tuple(
+        (int(bucket), int(requests), int(accepts), int(failures))
+        for bucket, requests, accepts, failures in raw["window"]
+    )
     return LearnedBreaker(finite_number(raw["baseline"]), finite_number(raw["current"]), window)
 
 
