--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -108,7 +108,7 @@
         server.refuse()
     trial.cluster.ensemble.restore()
     await asyncio.sleep(seconds)
-    await _back(trial, "holds no box")
+    await _back(trial, "holds no backend")
     for box in trial.boxes.values():
         trial.register(box)
     await trial.served(50)
