--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -14,7 +14,7 @@
 from lugspur.standins.zookeeper.tree import Node, parent_of
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import Input, Malformed, buffer, decode, encode
+from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
 from lugspur.zookeeper.records import Error, Happened, Op
 
 FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
@@ -184,7 +184,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             self._frames.extend(self._cut.feed(data))
-        except Malformed:
+        except JuteDecodeError:
             self.abort()
             return
         self.pump()
@@ -203,7 +203,7 @@
             frame = self._frames.popleft()
             try:
                 self._serve(frame)
-            except Malformed:
+            except JuteDecodeError:
                 self.abort()
                 return
 
--- a/lugspur/zookeeper/frames.py
+++ b/lugspur/zookeeper/frames.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lugspur.zookeeper.jute import LENGTH, Malformed
+from lugspur.zookeeper.jute import LENGTH, JuteDecodeError
 
 
 class Frames:
@@ -13,7 +13,7 @@
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole now; raises Malformed for a length that can't be."""
+        """The frames that are whole now; raises JuteDecodeError for a length that can't be."""
         held = self._data
         held += data
         found: list[bytes] = []
@@ -21,7 +21,7 @@
         while len(held) - at >= LENGTH.size:
             length: int = LENGTH.unpack_from(held, at)[0]
             if not 0 <= length <= self._most:  # Guards memory: nothing is kept for a frame of 1 GB.
-                raise Malformed(f"a frame of {length} bytes; at most {self._most} are taken")
+                raise JuteDecodeError(f"a frame of {length} bytes; at most {self._most} are taken")
             end = at + LENGTH.size + length
             if end > len(held):
                 break
--- a/lugspur/zookeeper/jute.py
+++ b/lugspur/zookeeper/jute.py
@@ -18,12 +18,12 @@
 LENGTH = struct.Struct(">i")
 
 
-class Malformed(ValueError):
+class JuteDecodeError(ValueError):
     """Bytes that are no such record."""
 
 
 class Input:
-    """Bytes that are read from the front; every read raises Malformed where too few are left."""
+    """Bytes that are read from the front; every read raises JuteDecodeError where too few are left."""
 
     __slots__ = ("at", "data")
 
@@ -35,7 +35,7 @@
         try:
             found = form.unpack_from(self.data, self.at)
         except struct.error as fault:
-            raise Malformed(f"{len(self.data) - self.at} bytes left of {form.size}") from fault
+            raise JuteDecodeError(f"{len(self.data) - self.at} bytes left of {form.size}") from fault
         self.at += form.size
         return found
 
@@ -46,7 +46,7 @@
             return b""
         end = self.at + length
         if end > len(self.data):  # Guards memory: a length is believed only where its bytes are there.
-            raise Malformed(f"a length of {length} where {len(self.data) - self.at} bytes are left")
+            raise JuteDecodeError(f"a length of {length} where {len(self.data) - self.at} bytes are left")
         found = self.data[self.at : end]
         self.at = end
         return found
@@ -56,13 +56,13 @@
         try:
             return self.buffer().decode()
         except UnicodeDecodeError as fault:
-            raise Malformed("a text that is not UTF-8") from fault
+            raise JuteDecodeError("a text that is not UTF-8") from fault
 
     def vector(self, read: Callable[[Input], T]) -> list[T]:
         """A counted list; every element takes four bytes or more."""
         count: int = self.unpack(LENGTH)[0]
         if count * 4 > len(self.data) - self.at:
-            raise Malformed(f"a list of {count} in {len(self.data) - self.at} bytes")
+            raise JuteDecodeError(f"a list of {count} in {len(self.data) - self.at} bytes")
         return [read(self) for _ in range(count)]
 
     @property
@@ -156,5 +156,5 @@
 
 
 def decode(kind: type[T], source: Input) -> T:
-    """A record from the front of `source`; raises Malformed."""
+    """A record from the front of `source`; raises JuteDecodeError."""
     return kind.read(source)  # type: ignore[attr-defined,no-any-return]
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from typing import Any
 
-from lugspur.zookeeper.jute import Input, Int, Long, Malformed, decode, encode, record
+from lugspur.zookeeper.jute import Input, Int, JuteDecodeError, Long, decode, encode, record
 
 PING_XID, AUTH_XID, WATCHES_XID, EVENT_XID = -2, -4, -8, -1
 NO_PASSWORD = bytes(16)
@@ -370,11 +370,11 @@
 
 
 def decode_parts(source: Input) -> tuple[Part, ...]:
-    """A transaction's request; raises Malformed."""
+    """A transaction's request; raises JuteDecodeError."""
     found: list[Part] = []
     while not (header := decode(MultiHeader, source)).done:
         if header.op not in PARTS:
-            raise Malformed(f"operation {header.op} is none of a transaction")
+            raise JuteDecodeError(f"operation {header.op} is none of a transaction")
         found.append((header.op, decode(REQUESTS[header.op], source)))
     return tuple(found)
 
@@ -387,11 +387,11 @@
 
 
 def decode_results(source: Input) -> tuple[Part, ...]:
-    """A transaction's reply; raises Malformed."""
+    """A transaction's reply; raises JuteDecodeError."""
     found: list[Part] = []
     while not (header := decode(MultiHeader, source)).done:
         kind = Code if header.op == Op.ERROR else REPLIES.get(header.op)
         if kind is None:
-            raise Malformed(f"operation {header.op} is none of a transaction")
+            raise JuteDecodeError(f"operation {header.op} is none of a transaction")
         found.append((header.op, decode(kind, source)))
     return tuple(found)
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -15,7 +15,7 @@
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import Input, Malformed, buffer, decode, encode
+from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
 from lugspur.zookeeper.records import Error, Happened, Op
 
 FRAME_MOST = 4 << 20  # bytes of a server's frame: some 100,000 names of children; the Java client's limit
@@ -203,7 +203,7 @@
                 events += self._opening(now, frame) if self.state is State.OPENING else self._frame(frame)
                 if events and isinstance(events[-1], Down):
                     break
-        except Malformed as fault:
+        except JuteDecodeError as fault:
             events += self.lost(f"it sent what is no ZooKeeper's: {fault}")
         return events
 
@@ -290,7 +290,7 @@
         if header.xid in (r.PING_XID, r.AUTH_XID, r.WATCHES_XID):
             return []
         if not self._pending or self._pending[0][0] != header.xid:
-            raise Malformed(f"reply {header.xid} to no request, or out of turn")
+            raise JuteDecodeError(f"reply {header.xid} to no request, or out of turn")
         return self._reply(header, source)
 
     def _told(self, event: r.Event) -> list[Event]:
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -13,7 +13,7 @@
 
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.jute import Input, Malformed, buffer, decode, encode
+from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
 from lugspur.zookeeper.records import Error, Happened, Op
 from lugspur.zookeeper.session import (
     BEHIND,
@@ -84,7 +84,7 @@
     for kind in (r.Stat, r.Children, r.Data, r.Event, r.Acls, r.ConnectResponse):
         try:
             decode(kind, Input(data))
-        except Malformed:
+        except JuteDecodeError:
             continue
 
 
