--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -15,7 +15,7 @@
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
 from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.records import Error, EventType, Op
 
 FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
 SYNC_CONNECTED = 3
@@ -121,16 +121,16 @@
     persistent: set[str] = field(default_factory=set)
     recursive: set[str] = field(default_factory=set)
 
-    def tell(self, told: Told, event: Callable[[Happened, str], None]) -> None:
+    def tell(self, told: Told, event: Callable[[EventType, str], None]) -> None:
         """Each event at most once; one-shot watches are spent."""
         kind, path = told
         wanted = path in self.persistent
-        if kind is Happened.CHILDREN:
+        if kind is EventType.CHILDREN:
             if path in self.children:
                 self.children.discard(path)
                 wanted = True
         else:
-            for one_shot in (self.data, self.children) if kind is Happened.DELETED else (self.data,):
+            for one_shot in (self.data, self.children) if kind is EventType.DELETED else (self.data,):
                 if path in one_shot:
                     one_shot.discard(path)
                     wanted = True
@@ -228,7 +228,7 @@
         while self._late:
             self.write(self._late.popleft()[1])
 
-    def event(self, kind: Happened, path: str) -> None:
+    def event(self, kind: EventType, path: str) -> None:
         """Tell of a watch; it goes out before any later reply, and past late ones where that fault is on."""
         header = r.ReplyHeader(r.EVENT_XID, -1, 0)
         frame = encode(header) + encode(r.Event(kind, SYNC_CONNECTED, path))
@@ -378,22 +378,22 @@
         for path in row.data:
             node = nodes.get(path)
             if node is None:
-                self.event(Happened.DELETED, path)
+                self.event(EventType.DELETED, path)
             elif node.mzxid > row.since:
-                self.event(Happened.CHANGED, path)
+                self.event(EventType.CHANGED, path)
             else:
                 self.watches.data.add(path)
         for path in row.exists:
             if path in nodes:
-                self.event(Happened.CREATED, path)
+                self.event(EventType.CREATED, path)
             else:
                 self.watches.data.add(path)
         for path in row.children:
             node = nodes.get(path)
             if node is None:
-                self.event(Happened.DELETED, path)
+                self.event(EventType.DELETED, path)
             elif node.pzxid > row.since:
-                self.event(Happened.CHILDREN, path)
+                self.event(EventType.CHILDREN, path)
             else:
                 self.watches.children.add(path)
         if isinstance(row, r.SetWatches2):
--- a/lugspur/standins/zookeeper/tree.py
+++ b/lugspur/standins/zookeeper/tree.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lugspur.zookeeper.records import Acl, Happened, Stat
+from lugspur.zookeeper.records import Acl, EventType, Stat
 
-Event = tuple[Happened, str]
+Event = tuple[EventType, str]
 
 
 def parent_of(path: str) -> str:
@@ -107,7 +107,7 @@
             def undo() -> None:
                 node.data, node.version, node.mzxid, node.mtime = former
 
-            return [(Happened.CHANGED, effect.path)], undo
+            return [(EventType.CHANGED, effect.path)], undo
         before = node.acl, node.aversion
         node.acl, node.aversion = effect.acl, node.aversion + 1
 
@@ -132,7 +132,7 @@
             del self.nodes[effect.path]
             self.owned.get(effect.owner, set()).discard(effect.path)
 
-        return [(Happened.CREATED, effect.path), (Happened.CHILDREN, parent_of(effect.path))], undo
+        return [(EventType.CREATED, effect.path), (EventType.CHILDREN, parent_of(effect.path))], undo
 
     def _delete(self, path: str, zxid: int) -> tuple[list[Event], Callable[[], None]]:
         above = self.nodes[parent_of(path)]
@@ -150,4 +150,4 @@
             if node.owner:
                 self.owned.setdefault(node.owner, set()).add(path)
 
-        return [(Happened.DELETED, path), (Happened.CHILDREN, parent_of(path))], undo
+        return [(EventType.DELETED, path), (EventType.CHILDREN, parent_of(path))], undo
--- a/lugspur/zookeeper/link.py
+++ b/lugspur/zookeeper/link.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from lugspur.zookeeper.records import Happened
+from lugspur.zookeeper.records import EventType
 from lugspur.zookeeper.session import Down, Event, Reply, Session, State, Told, Up
 
 
@@ -27,7 +27,7 @@
     def down(self) -> None:
         """Nothing can be asked for, and missing replies will not come: a request may have been done or not."""
 
-    def told(self, kind: Happened, path: str) -> None:
+    def told(self, kind: EventType, path: str) -> None:
         """A watch of anybody's in this session has told."""
 
     def reply(self, ask: Any, error: int, result: Any) -> None:
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -60,7 +60,7 @@
     NOT_READ_ONLY = -119
 
 
-class Happened(IntEnum):
+class EventType(IntEnum):
     """What a watch tells."""
 
     SESSION = -1
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.records import Error, Happened, Mode, Op
+from lugspur.zookeeper.records import Error, EventType, Mode, Op
 from lugspur.zookeeper.session import Up
 
 HOPELESS = frozenset(
@@ -117,9 +117,9 @@
         """There is none."""
         self._up = False
 
-    def told(self, kind: Happened, path: str) -> None:
+    def told(self, kind: EventType, path: str) -> None:
         """Somebody has touched the node, or its session has ended."""
-        if path == self.path and kind is not Happened.CHILDREN:
+        if path == self.path and kind is not EventType.CHILDREN:
             self._doubted = True
             if not self._busy:
                 self._doubt()
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -16,7 +16,7 @@
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
 from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.records import Error, EventType, Op
 
 FRAME_MOST = 4 << 20  # bytes of a server's frame: some 100,000 names of children; the Java client's limit
 WATCHES_MOST = 128 << 10  # bytes of paths in one setWatches: servers take frames of 1 MB
@@ -79,7 +79,7 @@
 class Told:
     """What a watch tells."""
 
-    kind: Happened
+    kind: EventType
     path: str
 
 
@@ -106,14 +106,14 @@
             elif not error:
                 (self.children if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2) else self.data).add(row.path)
 
-    def told(self, kind: Happened, path: str) -> None:
+    def told(self, kind: EventType, path: str) -> None:
         """One-shot watches are spent by what they tell."""
-        if kind is Happened.CHILDREN:
+        if kind is EventType.CHILDREN:
             self.children.discard(path)
             return
         self.data.discard(path)
         self.exists.discard(path)
-        if kind is Happened.DELETED:
+        if kind is EventType.DELETED:
             self.children.discard(path)
 
     def requests(self, since: int) -> Iterable[tuple[Op, Any]]:
@@ -294,9 +294,9 @@
         return self._reply(header, source)
 
     def _told(self, event: r.Event) -> list[Event]:
-        if event.kind not in (Happened.CREATED, Happened.DELETED, Happened.CHANGED, Happened.CHILDREN):
+        if event.kind not in (EventType.CREATED, EventType.DELETED, EventType.CHANGED, EventType.CHILDREN):
             return []
-        kind = Happened(event.kind)
+        kind = EventType(event.kind)
         self._watched.told(kind, event.path)
         return [Told(kind, event.path)]
 
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.records import Error, EventType, Op
 from lugspur.zookeeper.session import Up
 
 WINDOW = 500  # reads on their way at once: servers slow down all their clients at 1,000 (globalOutstandingLimit)
@@ -198,26 +198,26 @@
 
     # ---- what watches tell -------------------------------------------------------------------
 
-    def told(self, kind: Happened, path: str) -> None:
+    def told(self, kind: EventType, path: str) -> None:
         """A watch has told."""
         if self.phase is Phase.DOWN:
             return
         if path == self.path:
             self._told_folder(kind)
         elif path.startswith(self._inside) and "/" not in (name := path[len(self._inside) :]):
-            if kind is Happened.DELETED:
+            if kind is EventType.DELETED:
                 self._gone(name)
                 self._check_whole()
-            elif kind is not Happened.CHILDREN:
+            elif kind is not EventType.CHILDREN:
                 self._reads.want(name)
 
-    def _told_folder(self, kind: Happened) -> None:
-        if kind is Happened.DELETED:
+    def _told_folder(self, kind: EventType) -> None:
+        if kind is EventType.DELETED:
             for name in tuple(self._versions):
                 self._gone(name)
             self._read_all()
             self._list()  # without a node it sets no watch: the reply says so, and `exists` sets one
-        elif kind is Happened.CREATED or (kind is Happened.CHILDREN and self._plain):
+        elif kind is EventType.CREATED or (kind is EventType.CHILDREN and self._plain):
             self._list()
 
     def _gone(self, name: str) -> None:
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -14,7 +14,7 @@
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.records import Error, EventType, Op
 from lugspur.zookeeper.session import (
     BEHIND,
     CLOSED,
@@ -151,7 +151,7 @@
         up(world, at=2)
         told = {(event.kind, event.path) for event in world.events[before:] if isinstance(event, Told)}
         assert world.session.id == first and Up(False, first, 10.0) in world.events
-        assert told == {(Happened.CHANGED, "/w"), (Happened.CREATED, "/new"), (Happened.CHILDREN, "/")}
+        assert told == {(EventType.CHANGED, "/w"), (EventType.CREATED, "/new"), (EventType.CHILDREN, "/")}
 
     inside(run())
 
@@ -298,7 +298,7 @@
         buffer(frame)
         for frame in (
             encode(r.ReplyHeader(1, 9, 0)) + encode(r.Data(b"x" * 50, stat)),
-            encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.Event(Happened.CHANGED, 3, "/a")),
+            encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.Event(EventType.CHANGED, 3, "/a")),
             encode(r.ReplyHeader(2, 9, Error.NO_NODE)),
         )
     )
@@ -309,7 +309,7 @@
     events = [event for one, two in pairwise(places) for event in session.received(0.0, data[one:two])]
     assert events == [
         Reply(1, Op.GET_DATA, 0, r.Data(b"x" * 50, stat)),
-        Told(Happened.CHANGED, "/a"),
+        Told(EventType.CHANGED, "/a"),
         Reply(2, Op.GET_DATA, Error.NO_NODE, None),
     ]
 
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -11,7 +11,7 @@
 from wire import World, inside
 
 from lugspur.standins.zookeeper.tree import Gone
-from lugspur.zookeeper.records import OPEN, PERM_ADMIN, Acl, Error, Happened, Op, SetAcl
+from lugspur.zookeeper.records import OPEN, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
 from lugspur.zookeeper.view import Absent, Phase, Present, Unread, Whole
 
 NAMES = ["a", "b", "c", "d e", "ü"]
@@ -380,7 +380,7 @@
         world.disconnect()
         world.cluster.ensemble.end(world.session.id)
         assert world.news == [] and world.follower.nodes.keys() == {"a"}
-        world.view.told(Happened.DELETED, "/boxes/a")  # what a former connection left over
+        world.view.told(EventType.DELETED, "/boxes/a")  # what a former connection left over
         assert world.view.news() == []
 
     inside(run())
