--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -11,7 +11,7 @@
 from lugspur.config.units import Wrong, duration, nearest
 from lugspur.standins.zookeeper.ensemble import Ensemble, Refused, Who
 from lugspur.standins.zookeeper.server import Server
-from lugspur.zookeeper.records import NEVER_MIND, Delete, Op
+from lugspur.zookeeper.records import ANY_VERSION, Delete, Op
 
 SPAN = duration(0.0, 3600.0)
 
@@ -67,7 +67,7 @@
 
     def delete(self, path: str) -> None:
         """Delete a node; raises Refused."""
-        _, ((op, result),) = self.ensemble.commit(self.operator, ((Op.DELETE, Delete(path, NEVER_MIND)),))
+        _, ((op, result),) = self.ensemble.commit(self.operator, ((Op.DELETE, Delete(path, ANY_VERSION)),))
         if op == Op.ERROR:
             raise Refused(result.error)
 
--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -13,7 +13,7 @@
 
 from lugspur.standins.zookeeper.tree import Effect, Event, Gone, Guarded, Made, Tree, Written, parent_of
 from lugspur.zookeeper.records import (
-    NEVER_MIND,
+    ANY_VERSION,
     OPEN,
     PERM_ADMIN,
     PERM_CREATE,
@@ -218,7 +218,7 @@
             self.write(Who(), above, b"")
         kind = Op.SET_DATA if path in self.tree.nodes else Op.CREATE
         flags = Mode.EPHEMERAL if who.session else Mode.PLAIN
-        row = SetData(path, data, NEVER_MIND) if kind is Op.SET_DATA else Create(path, data, OPEN, flags)
+        row = SetData(path, data, ANY_VERSION) if kind is Op.SET_DATA else Create(path, data, OPEN, flags)
         _, ((op, result),) = self.commit(who, ((kind, row),))
         if op == Op.ERROR:
             raise Refused(result.error)
@@ -236,7 +236,7 @@
             allowed(node.acl, who, PERM_WRITE if isinstance(row, SetData) else PERM_ADMIN)
         else:
             allowed(node.acl, who, PERM_READ)
-        if row.version not in (NEVER_MIND, node.aversion if isinstance(row, SetAcl) else node.version):
+        if row.version not in (ANY_VERSION, node.aversion if isinstance(row, SetAcl) else node.version):
             raise Refused(Error.BAD_VERSION)
         if isinstance(row, Delete):
             if node.children:
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -9,7 +9,7 @@
 
 PING_XID, AUTH_XID, WATCHES_XID, EVENT_XID = -2, -4, -8, -1
 NO_PASSWORD = bytes(16)
-NEVER_MIND = -1  # a version that fits any
+ANY_VERSION = -1  # a version that fits any
 
 
 class Op(IntEnum):
