--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -14,7 +14,7 @@
 from lugspur.standins.zookeeper.tree import Effect, Event, Gone, Guarded, Made, Tree, Written, parent_of
 from lugspur.zookeeper.records import (
     ANY_VERSION,
-    OPEN,
+    OPEN_ACL,
     PERM_ADMIN,
     PERM_CREATE,
     PERM_DELETE,
@@ -106,7 +106,7 @@
     """The leader's part. `applied` is called after each change, in the order of the log."""
 
     def __init__(self, shortest: float = 0.2, longest: float = 60.0, seed: int = 0) -> None:
-        self.tree = Tree(OPEN)
+        self.tree = Tree(OPEN_ACL)
         self.zxid = EPOCH
         self.sessions: dict[int, Session] = {}
         self.shortest, self.longest = shortest, longest  # seconds that a session's time-out is kept within
@@ -218,7 +218,7 @@
             self.write(Who(), above, b"")
         kind = Op.SET_DATA if path in self.tree.nodes else Op.CREATE
         flags = Mode.EPHEMERAL if who.session else Mode.PLAIN
-        row = SetData(path, data, ANY_VERSION) if kind is Op.SET_DATA else Create(path, data, OPEN, flags)
+        row = SetData(path, data, ANY_VERSION) if kind is Op.SET_DATA else Create(path, data, OPEN_ACL, flags)
         _, ((op, result),) = self.commit(who, ((kind, row),))
         if op == Op.ERROR:
             raise Refused(result.error)
@@ -287,7 +287,7 @@
     """One server's copy of the tree; it lags where it is told to, and catches up later."""
 
     def __init__(self, ensemble: Ensemble, told: Callable[[Change, list[Event]], None]) -> None:
-        self.tree = Tree(OPEN)
+        self.tree = Tree(OPEN_ACL)
         self.zxid = ensemble.zxid
         self.lagging = False
         self._behind: list[Change] = []
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -148,8 +148,8 @@
     id: str
 
 
-OPEN = (Acl(PERM_ALL, "world", "anyone"),)
-CREATOR = (Acl(PERM_ALL, "auth", ""),)
+OPEN_ACL = (Acl(PERM_ALL, "world", "anyone"),)
+CREATOR_ALL_ACL = (Acl(PERM_ALL, "auth", ""),)
 
 
 @record
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -148,7 +148,7 @@
             ours = self.found in (Found.OURS, Found.FORMER)
             return Ask(Op.DELETE, r.Delete(self.path, self._version)) if ours else None
         if self._folders:
-            return Ask(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN, Mode.PLAIN))
+            return Ask(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN_ACL, Mode.PLAIN))
         if self.found is Found.NONE:
             return Ask(Op.CREATE, self._create())
         if self.found is Found.FORMER:
@@ -161,8 +161,8 @@
 
     def _create(self) -> r.Create:
         if self._prefix:
-            return r.Create(self._prefix, self.data, r.OPEN, Mode.EPHEMERAL_SEQUENTIAL)
-        return r.Create(self.path, self.data, r.OPEN, Mode.EPHEMERAL)
+            return r.Create(self._prefix, self.data, r.OPEN_ACL, Mode.EPHEMERAL_SEQUENTIAL)
+        return r.Create(self.path, self.data, r.OPEN_ACL, Mode.EPHEMERAL)
 
     # ---- replies -------------------------------------------------------------------------------
 
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -65,7 +65,7 @@
         (r.Watching("/a", False), kazoo.GetChildren2("/a", False)),
         (r.Delete("/a", 3), kazoo.Delete("/a", 3)),
         (r.SetData("/a", b"x", -1), kazoo.SetData("/a", b"x", -1)),
-        (r.Create("/a", b"x", r.OPEN, 3), kazoo.Create("/a", b"x", [ACL(31, Id("world", "anyone"))], 3)),
+        (r.Create("/a", b"x", r.OPEN_ACL, 3), kazoo.Create("/a", b"x", [ACL(31, Id("world", "anyone"))], 3)),
         (r.Auth(0, "digest", b"u:p"), kazoo.Auth(0, "digest", "u:p")),
         (r.Path("/a"), kazoo.Sync("/a")),
     ],
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -11,7 +11,7 @@
 from wire import World, inside
 
 from lugspur.standins.zookeeper.tree import Gone
-from lugspur.zookeeper.records import OPEN, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
+from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
 from lugspur.zookeeper.view import Absent, Phase, Present, Unread, Whole
 
 NAMES = ["a", "b", "c", "d e", "ü"]
@@ -437,7 +437,7 @@
         world.connect()
         world.settle()
         assert world.news == [Unread(Error.NO_AUTH)] and world.view.phase is Phase.READING
-        world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN, -1)),))
+        world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
         world.view.again()
         world.link.turn(world.now)
         world.settle()
