--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -25,9 +25,9 @@
     Code,
     Create,
     Created,
+    CreateMode,
     Delete,
     Error,
-    Mode,
     Nothing,
     Op,
     Part,
@@ -217,7 +217,7 @@
         if above not in self.tree.nodes:
             self.write(Who(), above, b"")
         kind = Op.SET_DATA if path in self.tree.nodes else Op.CREATE
-        flags = Mode.EPHEMERAL if who.session else Mode.PLAIN
+        flags = CreateMode.EPHEMERAL if who.session else CreateMode.PERSISTENT
         row = SetData(path, data, ANY_VERSION) if kind is Op.SET_DATA else Create(path, data, OPEN_ACL, flags)
         _, ((op, result),) = self.commit(who, ((kind, row),))
         if op == Op.ERROR:
@@ -251,7 +251,7 @@
         above = self.tree.nodes.get(parent_of(path))
         if not path.startswith("/") or "//" in path or "\0" in path or (path.endswith("/") and not row.flags & 2):
             raise Refused(Error.BAD_ARGUMENTS)
-        if row.flags not in set(Mode):
+        if row.flags not in set(CreateMode):
             raise Refused(Error.UNIMPLEMENTED)
         if above is None:
             raise Refused(Error.NO_NODE)
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -70,10 +70,10 @@
     CHILDREN = 4
 
 
-class Mode(IntEnum):
+class CreateMode(IntEnum):
     """Flags of a new node: bit 0 ephemeral, bit 1 sequential."""
 
-    PLAIN = 0
+    PERSISTENT = 0
     EPHEMERAL = 1
     SEQUENTIAL = 2
     EPHEMERAL_SEQUENTIAL = 3
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.records import Error, EventType, Mode, Op
+from lugspur.zookeeper.records import CreateMode, Error, EventType, Op
 from lugspur.zookeeper.session import Up
 
 HOPELESS = frozenset(
@@ -148,7 +148,7 @@
             ours = self.found in (Found.OURS, Found.FORMER)
             return Ask(Op.DELETE, r.Delete(self.path, self._version)) if ours else None
         if self._folders:
-            return Ask(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN_ACL, Mode.PLAIN))
+            return Ask(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN_ACL, CreateMode.PERSISTENT))
         if self.found is Found.NONE:
             return Ask(Op.CREATE, self._create())
         if self.found is Found.FORMER:
@@ -161,8 +161,8 @@
 
     def _create(self) -> r.Create:
         if self._prefix:
-            return r.Create(self._prefix, self.data, r.OPEN_ACL, Mode.EPHEMERAL_SEQUENTIAL)
-        return r.Create(self.path, self.data, r.OPEN_ACL, Mode.EPHEMERAL)
+            return r.Create(self._prefix, self.data, r.OPEN_ACL, CreateMode.EPHEMERAL_SEQUENTIAL)
+        return r.Create(self.path, self.data, r.OPEN_ACL, CreateMode.EPHEMERAL)
 
     # ---- replies -------------------------------------------------------------------------------
 
