--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -22,12 +22,12 @@
     PERM_WRITE,
     Acl,
     Check,
-    Code,
     Create,
     Created,
     CreateMode,
     Delete,
     Error,
+    ErrorResult,
     Nothing,
     Op,
     Part,
@@ -204,7 +204,7 @@
                 for back in reversed(undo):
                     back()
                 codes = [Error.OK] * at + [fault.error] + [Error.INCONSISTENT] * (len(parts) - at - 1)
-                return self._tell(Change(zxid, now, ())), tuple((Op.ERROR, Code(code)) for code in codes)
+                return self._tell(Change(zxid, now, ())), tuple((Op.ERROR, ErrorResult(code)) for code in codes)
             if effect is not None:
                 undo.append(self.tree.apply(effect, zxid, now)[1])
                 effects.append(effect)
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -347,7 +347,7 @@
         if op == Op.ADD_WATCH:
             known = self.watches.recursive if row.mode == r.PERSISTENT_RECURSIVE else self.watches.persistent
             known.add(row.path)
-            return encode(r.Code(0))
+            return encode(r.ErrorResult(0))
         if op == Op.AUTH:
             if not self.who.prove(row.scheme, row.auth):
                 raise Refused(Error.AUTH_FAILED)
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -299,7 +299,7 @@
 
 
 @record
-class Code:
+class ErrorResult:
     """An error, as `addWatch` and failed parts of a transaction answer."""
 
     error: Int
@@ -356,7 +356,7 @@
     Op.AUTH: Nothing,
     Op.SET_WATCHES: Nothing,
     Op.SET_WATCHES2: Nothing,
-    Op.ADD_WATCH: Code,
+    Op.ADD_WATCH: ErrorResult,
     Op.CLOSE: Nothing,
 }
 Part = tuple[int, Any]  # of a transaction: what is asked, and its record
@@ -380,7 +380,7 @@
 
 
 def encode_results(results: tuple[Part, ...]) -> bytes:
-    """A transaction's reply; the operation of a failed part is ERROR, with a Code."""
+    """A transaction's reply; the operation of a failed part is ERROR, with a ErrorResult."""
     return b"".join(
         encode(MultiHeader(op, False, row.error if op == Op.ERROR else 0)) + encode(row) for op, row in results
     ) + encode(END)
@@ -390,7 +390,7 @@
     """A transaction's reply; raises JuteDecodeError."""
     found: list[Part] = []
     while not (header := decode(MultiHeader, source)).done:
-        kind = Code if header.op == Op.ERROR else REPLIES.get(header.op)
+        kind = ErrorResult if header.op == Op.ERROR else REPLIES.get(header.op)
         if kind is None:
             raise JuteDecodeError(f"operation {header.op} is none of a transaction")
         found.append((header.op, decode(kind, source)))
