--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -26,9 +26,9 @@
     Created,
     CreateMode,
     Delete,
+    EmptyRecord,
     Error,
     ErrorResult,
-    Nothing,
     Op,
     Part,
     Path,
@@ -280,7 +280,7 @@
             return Created(effect.path, stat) if op == Op.CREATE2 else Path(effect.path)
         if isinstance(effect, Written | Guarded):
             return self.tree.nodes[effect.path].stat()
-        return Nothing()
+        return EmptyRecord()
 
 
 class Replica:
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -306,7 +306,7 @@
 
 
 @record
-class Nothing:
+class EmptyRecord:
     """No body."""
 
 
@@ -330,19 +330,19 @@
     Op.SET_ACL: SetAcl,
     Op.GET_CHILDREN: Watching,
     Op.SYNC: Path,
-    Op.PING: Nothing,
+    Op.PING: EmptyRecord,
     Op.GET_CHILDREN2: Watching,
     Op.CHECK: Check,
     Op.AUTH: Auth,
     Op.SET_WATCHES: SetWatches,
     Op.SET_WATCHES2: SetWatches2,
     Op.ADD_WATCH: AddWatch,
-    Op.CLOSE: Nothing,
+    Op.CLOSE: EmptyRecord,
 }
 REPLIES: dict[int, type[Any]] = {
     Op.CREATE: Path,
     Op.CREATE2: Created,
-    Op.DELETE: Nothing,
+    Op.DELETE: EmptyRecord,
     Op.EXISTS: Stat,
     Op.GET_DATA: Data,
     Op.SET_DATA: Stat,
@@ -350,14 +350,14 @@
     Op.SET_ACL: Stat,
     Op.GET_CHILDREN: Names,
     Op.SYNC: Path,
-    Op.PING: Nothing,
+    Op.PING: EmptyRecord,
     Op.GET_CHILDREN2: Children,
-    Op.CHECK: Nothing,
-    Op.AUTH: Nothing,
-    Op.SET_WATCHES: Nothing,
-    Op.SET_WATCHES2: Nothing,
+    Op.CHECK: EmptyRecord,
+    Op.AUTH: EmptyRecord,
+    Op.SET_WATCHES: EmptyRecord,
+    Op.SET_WATCHES2: EmptyRecord,
     Op.ADD_WATCH: ErrorResult,
-    Op.CLOSE: Nothing,
+    Op.CLOSE: EmptyRecord,
 }
 Part = tuple[int, Any]  # of a transaction: what is asked, and its record
 END = MultiHeader(Op.ERROR, True, -1)
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -228,13 +228,13 @@
         if self.state is State.OPENING or now >= self.heard + self.timeout * 2.0 / 3.0:
             # Guards against a server that hangs with its connections open: nothing else would tell.
             return self.lost("it says nothing")
-        self._request(now, r.PING_XID, Op.PING, r.Nothing())
+        self._request(now, r.PING_XID, Op.PING, r.EmptyRecord())
         return []
 
     def close(self, now: float) -> None:
         """Ask for the session's end; its ephemeral nodes go with it."""
         if self.state is State.UP:
-            self.ask(now, Op.CLOSE, r.Nothing())
+            self.ask(now, Op.CLOSE, r.EmptyRecord())
 
     # ---- requests ----------------------------------------------------------------------------
 
