--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -30,10 +30,10 @@
     Error,
     ErrorResult,
     Op,
-    Part,
     Path,
     SetAcl,
     SetData,
+    TransactionPart,
 )
 
 EPOCH = 1 << 32  # the upper half of a zxid counts leaders
@@ -189,12 +189,12 @@
             listener(change)
         return change.zxid
 
-    def commit(self, who: Who, parts: tuple[Part, ...]) -> tuple[int, tuple[Part, ...]]:
+    def commit(self, who: Who, parts: tuple[TransactionPart, ...]) -> tuple[int, tuple[TransactionPart, ...]]:
         """All parts or none; gives the zxid and each part's result. A failed part's operation is ERROR."""
         zxid, now = self.zxid + 1, int(time.time() * 1000)
         effects: list[Effect] = []
         undo: list[Callable[[], None]] = []
-        results: list[Part] = []
+        results: list[TransactionPart] = []
         for at, (op, row) in enumerate(parts):
             try:
                 if who.session and who.session not in self.sessions:
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -335,7 +335,7 @@
         """A write's reply goes out when this server has applied it."""
         self._held = zxid, encode(r.ReplyHeader(xid, zxid, error)) + body
 
-    def _multi(self, xid: int, parts: tuple[r.Part, ...]) -> None:
+    def _multi(self, xid: int, parts: tuple[r.TransactionPart, ...]) -> None:
         zxid, results = self._server.ensemble.commit(self.who, parts)
         # Failed or not, the header says 0: the parts tell (FinalRequestProcessor.java).
         self._wait(zxid, xid, Error.OK, r.encode_results(results))
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -359,36 +359,36 @@
     Op.ADD_WATCH: ErrorResult,
     Op.CLOSE: EmptyRecord,
 }
-Part = tuple[int, Any]  # of a transaction: what is asked, and its record
-END = MultiHeader(Op.ERROR, True, -1)
-PARTS = (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.CHECK)
+TransactionPart = tuple[int, Any]  # of a transaction: what is asked, and its record
+TRANSACTION_END = MultiHeader(Op.ERROR, True, -1)
+TRANSACTION_OPS = (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.CHECK)
 
 
-def encode_parts(parts: tuple[Part, ...]) -> bytes:
+def encode_parts(parts: tuple[TransactionPart, ...]) -> bytes:
     """A transaction's request."""
-    return b"".join(encode(MultiHeader(op, False, -1)) + encode(row) for op, row in parts) + encode(END)
+    return b"".join(encode(MultiHeader(op, False, -1)) + encode(row) for op, row in parts) + encode(TRANSACTION_END)
 
 
-def decode_parts(source: Input) -> tuple[Part, ...]:
+def decode_parts(source: Input) -> tuple[TransactionPart, ...]:
     """A transaction's request; raises JuteDecodeError."""
-    found: list[Part] = []
+    found: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
-        if header.op not in PARTS:
+        if header.op not in TRANSACTION_OPS:
             raise JuteDecodeError(f"operation {header.op} is none of a transaction")
         found.append((header.op, decode(REQUESTS[header.op], source)))
     return tuple(found)
 
 
-def encode_results(results: tuple[Part, ...]) -> bytes:
+def encode_results(results: tuple[TransactionPart, ...]) -> bytes:
     """A transaction's reply; the operation of a failed part is ERROR, with a ErrorResult."""
     return b"".join(
         encode(MultiHeader(op, False, row.error if op == Op.ERROR else 0)) + encode(row) for op, row in results
-    ) + encode(END)
+    ) + encode(TRANSACTION_END)
 
 
-def decode_results(source: Input) -> tuple[Part, ...]:
+def decode_results(source: Input) -> tuple[TransactionPart, ...]:
     """A transaction's reply; raises JuteDecodeError."""
-    found: list[Part] = []
+    found: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
         kind = ErrorResult if header.op == Op.ERROR else REPLIES.get(header.op)
         if kind is None:
