--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -278,7 +278,7 @@
             self._server.ensemble.end(self._session.id)
             self.end()
         elif header.op == Op.MULTI:
-            self._multi(header.xid, r.decode_parts(source))
+            self._multi(header.xid, r.decode_transaction(source))
         elif header.op == Op.SYNC:  # answered when this server shows all that was confirmed by now
             self._wait(self._server.ensemble.zxid, header.xid, Error.OK, encode(decode(r.Path, source)))
         else:
@@ -338,7 +338,7 @@
     def _multi(self, xid: int, parts: tuple[r.TransactionPart, ...]) -> None:
         zxid, results = self._server.ensemble.commit(self.who, parts)
         # Failed or not, the header says 0: the parts tell (FinalRequestProcessor.java).
-        self._wait(zxid, xid, Error.OK, r.encode_results(results))
+        self._wait(zxid, xid, Error.OK, r.encode_transaction_results(results))
 
     def _read(self, op: int, row: Any) -> bytes:
         if op in (Op.SET_WATCHES, Op.SET_WATCHES2):
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -364,12 +364,12 @@
 TRANSACTION_OPS = (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.CHECK)
 
 
-def encode_parts(parts: tuple[TransactionPart, ...]) -> bytes:
+def encode_transaction(parts: tuple[TransactionPart, ...]) -> bytes:
     """A transaction's request."""
     return b"".join(encode(MultiHeader(op, False, -1)) + encode(row) for op, row in parts) + encode(TRANSACTION_END)
 
 
-def decode_parts(source: Input) -> tuple[TransactionPart, ...]:
+def decode_transaction(source: Input) -> tuple[TransactionPart, ...]:
     """A transaction's request; raises JuteDecodeError."""
     found: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
@@ -379,14 +379,14 @@
     return tuple(found)
 
 
-def encode_results(results: tuple[TransactionPart, ...]) -> bytes:
+def encode_transaction_results(results: tuple[TransactionPart, ...]) -> bytes:
     """A transaction's reply; the operation of a failed part is ERROR, with a ErrorResult."""
     return b"".join(
         encode(MultiHeader(op, False, row.error if op == Op.ERROR else 0)) + encode(row) for op, row in results
     ) + encode(TRANSACTION_END)
 
 
-def decode_results(source: Input) -> tuple[TransactionPart, ...]:
+def decode_transaction_results(source: Input) -> tuple[TransactionPart, ...]:
     """A transaction's reply; raises JuteDecodeError."""
     found: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -248,7 +248,7 @@
         return self._xid
 
     def _request(self, now: float, xid: int, op: int, row: Any) -> None:
-        body = r.encode_parts(row) if op == Op.MULTI else encode(row)
+        body = r.encode_transaction(row) if op == Op.MULTI else encode(row)
         self._write(now, encode(r.RequestHeader(xid, op)) + body)
 
     def _write(self, now: float, frame: bytes) -> None:
@@ -306,7 +306,7 @@
         if op == Op.ADD_WATCH and not error and not source.left:
             error = Error.UNIMPLEMENTED  # servers before 3.6 answer what they don't know without a body
         if not error:
-            result = r.decode_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
+            result = r.decode_transaction_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
         self._watched.asked(op, row, error)
         if op == Op.CLOSE:
             self.state = State.CLOSED
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -75,7 +75,7 @@
 
 
 def test_a_transaction_has_the_bytes_that_kazoo_gives_it() -> None:
-    ours = r.encode_parts(((Op.DELETE, r.Delete("/a", 1)), (Op.CHECK, r.Check("/b", 2))))
+    ours = r.encode_transaction(((Op.DELETE, r.Delete("/a", 1)), (Op.CHECK, r.Check("/b", 2))))
     assert ours == bytes(kazoo.Transaction([kazoo.Delete("/a", 1), kazoo.CheckVersion("/b", 2)]).serialize())
 
 
