--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -14,7 +14,7 @@
 from lugspur.standins.zookeeper.tree import Node, parent_of
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, buffer, decode, encode
 from lugspur.zookeeper.records import Error, EventType, Op
 
 FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
@@ -263,7 +263,7 @@
     # ---- the session -------------------------------------------------------------------------
 
     def _serve(self, frame: bytes) -> None:
-        source = Input(frame)
+        source = InputArchive(frame)
         if self._session is None:
             self._connect(decode(r.ConnectRequest, source))
             return
@@ -309,7 +309,7 @@
     def _answer(self, xid: int, error: int, body: bytes) -> None:
         self._reply(encode(r.ReplyHeader(xid, self._server.replica.zxid, error)) + body)
 
-    def _request(self, xid: int, op: int, source: Input) -> None:
+    def _request(self, xid: int, op: int, source: InputArchive) -> None:
         faults = self._server.faults
         kind = r.REQUESTS.get(op)
         if kind is None or (op in NEWER and faults.old):
--- a/lugspur/zookeeper/jute.py
+++ b/lugspur/zookeeper/jute.py
@@ -22,53 +22,53 @@
     """Bytes that are no such record."""
 
 
-class Input:
+class InputArchive:
     """Bytes that are read from the front; every read raises JuteDecodeError where too few are left."""
 
-    __slots__ = ("at", "data")
+    __slots__ = ("data", "position")
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
-    def unpack(self, form: struct.Struct) -> tuple[Any, ...]:
+    def read_struct(self, form: struct.Struct) -> tuple[Any, ...]:
         """Numbers of a fixed form."""
         try:
-            found = form.unpack_from(self.data, self.at)
+            found = form.unpack_from(self.data, self.position)
         except struct.error as fault:
-            raise JuteDecodeError(f"{len(self.data) - self.at} bytes left of {form.size}") from fault
-        self.at += form.size
+            raise JuteDecodeError(f"{len(self.data) - self.position} bytes left of {form.size}") from fault
+        self.position += form.size
         return found
 
-    def buffer(self) -> bytes:
+    def read_buffer(self) -> bytes:
         """Length-prefixed bytes; -1, which stands for none, reads as empty."""
-        length: int = self.unpack(LENGTH)[0]
+        length: int = self.read_struct(LENGTH)[0]
         if length < 0:
             return b""
-        end = self.at + length
+        end = self.position + length
         if end > len(self.data):  # Guards memory: a length is believed only where its bytes are there.
-            raise JuteDecodeError(f"a length of {length} where {len(self.data) - self.at} bytes are left")
-        found = self.data[self.at : end]
-        self.at = end
+            raise JuteDecodeError(f"a length of {length} where {len(self.data) - self.position} bytes are left")
+        found = self.data[self.position : end]
+        self.position = end
         return found
 
-    def text(self) -> str:
+    def read_text(self) -> str:
         """A buffer of UTF-8."""
         try:
-            return self.buffer().decode()
+            return self.read_buffer().decode()
         except UnicodeDecodeError as fault:
             raise JuteDecodeError("a text that is not UTF-8") from fault
 
-    def vector(self, read: Callable[[Input], T]) -> list[T]:
+    def read_vector(self, read: Callable[[InputArchive], T]) -> list[T]:
         """A counted list; every element takes four bytes or more."""
-        count: int = self.unpack(LENGTH)[0]
-        if count * 4 > len(self.data) - self.at:
-            raise JuteDecodeError(f"a list of {count} in {len(self.data) - self.at} bytes")
+        count: int = self.read_struct(LENGTH)[0]
+        if count * 4 > len(self.data) - self.position:
+            raise JuteDecodeError(f"a list of {count} in {len(self.data) - self.position} bytes")
         return [read(self) for _ in range(count)]
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         """How many bytes are not read yet."""
-        return len(self.data) - self.at
+        return len(self.data) - self.position
 
 
 def buffer(data: bytes) -> bytes:
@@ -77,20 +77,20 @@
 
 
 Write = Callable[[Any], bytes]
-Read = Callable[[Input], Any]
+Read = Callable[[InputArchive], Any]
 
 
 def _codec(kind: Any) -> tuple[Write, Read]:
     """How a field that is no plain number is written and read."""
     if kind is bytes:
-        return buffer, Input.buffer
+        return buffer, InputArchive.read_buffer
     if kind is str:
-        return (lambda value: buffer(value.encode())), Input.text
+        return (lambda value: buffer(value.encode())), InputArchive.read_text
     if get_origin(kind) is tuple:
         write, read = _codec(get_args(kind)[0])
         return (
             lambda values: LENGTH.pack(len(values)) + b"".join(map(write, values)),
-            lambda source: tuple(source.vector(read)),
+            lambda source: tuple(source.read_vector(read)),
         )
     return encode, kind.read
 
@@ -115,7 +115,7 @@
             continue
         if names:
             form = struct.Struct(">" + letters)
-            steps.append((tuple(names), form, form.pack, partial(Input.unpack, form=form)))
+            steps.append((tuple(names), form, form.pack, partial(InputArchive.read_struct, form=form)))
             names, letters = [], ""
         if name:
             steps.append(((name,), None, *_codec(hint)))
@@ -124,11 +124,11 @@
 
 @dataclass_transform(frozen_default=True)
 def record(kind: type[T]) -> type[T]:
-    """A jute record: a frozen dataclass with `read(Input)`, for `encode`."""
+    """A jute record: a frozen dataclass with `read(InputArchive)`, for `encode`."""
     made: Any = dataclass(frozen=True, slots=True)(kind)
     steps = _steps(made)
 
-    def read(source: Input) -> Any:
+    def read(source: InputArchive) -> Any:
         values: list[Any] = []
         for _, form, _, reader in steps:
             if form is None:
@@ -155,6 +155,6 @@
     return value.write()  # type: ignore[no-any-return]
 
 
-def decode(kind: type[T], source: Input) -> T:
+def decode(kind: type[T], source: InputArchive) -> T:
     """A record from the front of `source`; raises JuteDecodeError."""
     return kind.read(source)  # type: ignore[attr-defined,no-any-return]
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from typing import Any
 
-from lugspur.zookeeper.jute import Input, Int, JuteDecodeError, Long, decode, encode, record
+from lugspur.zookeeper.jute import InputArchive, Int, JuteDecodeError, Long, decode, encode, record
 
 PING_XID, AUTH_XID, WATCHES_XID, EVENT_XID = -2, -4, -8, -1
 NO_PASSWORD = bytes(16)
@@ -369,7 +369,7 @@
     return b"".join(encode(MultiHeader(op, False, -1)) + encode(row) for op, row in parts) + encode(TRANSACTION_END)
 
 
-def decode_transaction(source: Input) -> tuple[TransactionPart, ...]:
+def decode_transaction(source: InputArchive) -> tuple[TransactionPart, ...]:
     """A transaction's request; raises JuteDecodeError."""
     found: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
@@ -386,7 +386,7 @@
     ) + encode(TRANSACTION_END)
 
 
-def decode_transaction_results(source: Input) -> tuple[TransactionPart, ...]:
+def decode_transaction_results(source: InputArchive) -> tuple[TransactionPart, ...]:
     """A transaction's reply; raises JuteDecodeError."""
     found: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -15,7 +15,7 @@
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, buffer, decode, encode
 from lugspur.zookeeper.records import Error, EventType, Op
 
 FRAME_MOST = 4 << 20  # bytes of a server's frame: some 100,000 names of children; the Java client's limit
@@ -258,9 +258,9 @@
     # ---- what the server says ----------------------------------------------------------------
 
     def _opening(self, now: float, frame: bytes) -> list[Event]:
-        source = Input(frame)
+        source = InputArchive(frame)
         answer = decode(r.ConnectResponse, source)
-        read_only = bool(source.left) and source.data[source.at] != 0
+        read_only = bool(source.remaining) and source.data[source.position] != 0
         if answer.timeout <= 0 or not answer.session:
             # What was seen of the tree stays known: a server behind it is none to follow with a fresh session either.
             self.id, self._password, self.timeout = 0, r.NO_PASSWORD, self.terms.timeout
@@ -278,7 +278,7 @@
         return [Up(fresh, self.id, self.timeout)]
 
     def _frame(self, frame: bytes) -> list[Event]:
-        source = Input(frame)
+        source = InputArchive(frame)
         header = decode(r.ReplyHeader, source)
         if 0 < header.zxid < self._floor:
             return self.lost("it is behind what other servers have shown")
@@ -300,10 +300,10 @@
         self._watched.told(kind, event.path)
         return [Told(kind, event.path)]
 
-    def _reply(self, header: r.ReplyHeader, source: Input) -> list[Event]:
+    def _reply(self, header: r.ReplyHeader, source: InputArchive) -> list[Event]:
         xid, op, row = self._pending.popleft()
         error, result = header.error, None
-        if op == Op.ADD_WATCH and not error and not source.left:
+        if op == Op.ADD_WATCH and not error and not source.remaining:
             error = Error.UNIMPLEMENTED  # servers before 3.6 answer what they don't know without a body
         if not error:
             result = r.decode_transaction_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -13,7 +13,7 @@
 
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.jute import Input, JuteDecodeError, buffer, decode, encode
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, buffer, decode, encode
 from lugspur.zookeeper.records import Error, EventType, Op
 from lugspur.zookeeper.session import (
     BEHIND,
@@ -83,7 +83,7 @@
 def test_bytes_that_are_no_record_are_malformed_and_nothing_else(data: bytes) -> None:
     for kind in (r.Stat, r.Children, r.Data, r.Event, r.Acls, r.ConnectResponse):
         try:
-            decode(kind, Input(data))
+            decode(kind, InputArchive(data))
         except JuteDecodeError:
             continue
 
@@ -95,7 +95,7 @@
     session = accepted(9.0)
     assert session.due() == 3.0 and session.tick(2.9) == [] and session.take() == b""
     session.tick(3.0)
-    assert decode(r.RequestHeader, Input(session.take()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
+    assert decode(r.RequestHeader, InputArchive(session.take()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
     assert session.tick(5.9) == []
     assert session.tick(6.0) == [Down("it says nothing")] and session.state is State.DOWN
 
@@ -170,7 +170,7 @@
     while sent:
         length = int.from_bytes(sent[:4], "big")
         assert length < WATCHES_MOST + 300
-        source = Input(sent[4 : 4 + length])
+        source = InputArchive(sent[4 : 4 + length])
         assert decode(r.RequestHeader, source).xid == r.WATCHES_XID
         row = decode(r.SetWatches, source)
         assert row.since == 9
