--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -14,7 +14,7 @@
 from lugspur.standins.zookeeper.tree import Node, parent_of
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, buffer, decode, encode
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 
 FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
@@ -210,9 +210,9 @@
     def _reply(self, frame: bytes) -> None:
         late = self._server.faults.late
         if not late and not self._late:
-            self.write(buffer(frame))
+            self.write(length_prefixed(frame))
             return
-        self._late.append((self._loop.time() + late, buffer(frame)))
+        self._late.append((self._loop.time() + late, length_prefixed(frame)))
         if late != float("inf"):
             self._loop.call_at(self._late[-1][0], self._flush)
 
@@ -293,7 +293,7 @@
         session = ensemble.sessions.get(asked.session) if asked.session else ensemble.begin(asked.timeout / 1000.0)
         if session is None or (asked.session and asked.password != session.password):
             answer = r.ConnectResponse(0, 0, 0, r.NO_PASSWORD)
-            self.write(buffer(encode(answer) + b"\0"))
+            self.write(length_prefixed(encode(answer) + b"\0"))
             self.end()
             return
         former, session.server, self._session = session.server, self, session
--- a/lugspur/zookeeper/jute.py
+++ b/lugspur/zookeeper/jute.py
@@ -71,7 +71,7 @@
         return len(self.data) - self.position
 
 
-def buffer(data: bytes) -> bytes:
+def length_prefixed(data: bytes) -> bytes:
     """Bytes with their length before them."""
     return LENGTH.pack(len(data)) + data
 
@@ -83,9 +83,9 @@
 def _codec(kind: Any) -> tuple[Write, Read]:
     """How a field that is no plain number is written and read."""
     if kind is bytes:
-        return buffer, InputArchive.read_buffer
+        return length_prefixed, InputArchive.read_buffer
     if kind is str:
-        return (lambda value: buffer(value.encode())), InputArchive.read_text
+        return (lambda value: length_prefixed(value.encode())), InputArchive.read_text
     if get_origin(kind) is tuple:
         write, read = _codec(get_args(kind)[0])
         return (
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -15,7 +15,7 @@
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, buffer, decode, encode
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 
 FRAME_MOST = 4 << 20  # bytes of a server's frame: some 100,000 names of children; the Java client's limit
@@ -253,7 +253,7 @@
 
     def _write(self, now: float, frame: bytes) -> None:
         self._sent = now
-        self._out.append(buffer(frame))
+        self._out.append(length_prefixed(frame))
 
     # ---- what the server says ----------------------------------------------------------------
 
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -13,7 +13,7 @@
 
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, buffer, decode, encode
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 from lugspur.zookeeper.session import (
     BEHIND,
@@ -46,7 +46,7 @@
     made.opened(0.0)
     made.take()
     answer = r.ConnectResponse(0, int(timeout * 1000), session, b"p" * 16)
-    assert made.received(0.0, buffer(encode(answer) + b"\0")) == [Up(True, session, timeout)]
+    assert made.received(0.0, length_prefixed(encode(answer) + b"\0")) == [Up(True, session, timeout)]
     return made
 
 
@@ -102,7 +102,7 @@
 
 def test_any_word_of_the_server_counts_as_life() -> None:
     session = accepted(9.0)
-    session.received(5.0, buffer(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
+    session.received(5.0, length_prefixed(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
     assert session.tick(6.0) == [] and session.tick(11.0) == [Down("it says nothing")]
 
 
@@ -160,11 +160,11 @@
     session = accepted()
     for at in range(3000):
         session.ask(0.0, Op.EXISTS, r.Watching(f"/{at:0100d}", True))
-        session.received(0.0, buffer(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
+        session.received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
     session.lost("cut")
     session.opened(1.0)
     session.take()
-    session.received(1.0, buffer(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
+    session.received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
     paths: set[str] = set()
     sent = session.take()
     while sent:
@@ -210,10 +210,10 @@
         session.zxid = 500
         session.lost("cut")
         session.opened(1.0)
-        session.received(1.0, buffer(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
+        session.received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
         token = session.ask(1.0, Op.SYNC, r.Path("/"))
         old = encode(r.ReplyHeader(token, 499, 0)) + encode(r.Path("/"))
-        assert session.received(1.0, buffer(old)) == [Down("it is behind what other servers have shown")]
+        assert session.received(1.0, length_prefixed(old)) == [Down("it is behind what other servers have shown")]
 
     inside(run())
 
@@ -222,7 +222,7 @@
 def test_a_read_only_server_is_refused_unless_asked_for(wanted: bool) -> None:
     session = Session(Terms(read_only=wanted))
     session.opened(0.0)
-    events = session.received(0.0, buffer(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
+    events = session.received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
     assert events == ([Up(True, 5, 9.0)] if wanted else [Down("it is read-only")])
 
 
@@ -244,7 +244,7 @@
 def test_an_old_server_that_answers_addwatch_without_a_body_does_not_know_it() -> None:
     session = accepted()
     token = session.ask(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
-    events = session.received(0.0, buffer(encode(r.ReplyHeader(token, 1, 0))))
+    events = session.received(0.0, length_prefixed(encode(r.ReplyHeader(token, 1, 0))))
     assert events == [Reply(token, Op.ADD_WATCH, Error.UNIMPLEMENTED, None)]
 
 
@@ -267,10 +267,10 @@
         (1 << 30).to_bytes(4, "big"),
         b"\xff\xff\xff\xff",
         (FRAME_MOST + 1).to_bytes(4, "big"),
-        buffer(b""),
-        buffer(b"short"),
-        buffer(encode(r.ReplyHeader(77, 1, 0))),
-        buffer(encode(r.ReplyHeader(1, 1, 0)) + b"\x7f\xff\xff\xff"),
+        length_prefixed(b""),
+        length_prefixed(b"short"),
+        length_prefixed(encode(r.ReplyHeader(77, 1, 0))),
+        length_prefixed(encode(r.ReplyHeader(1, 1, 0)) + b"\x7f\xff\xff\xff"),
     ],
     ids=["1 GB", "negative", "one byte too many", "empty", "short", "no such request", "a list of 2 billion"],
 )
@@ -295,7 +295,7 @@
 def test_where_the_bytes_are_cut_makes_no_difference(cuts: list[int]) -> None:
     stat = r.Stat(*range(1, 12))
     data = b"".join(
-        buffer(frame)
+        length_prefixed(frame)
         for frame in (
             encode(r.ReplyHeader(1, 9, 0)) + encode(r.Data(b"x" * 50, stat)),
             encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.Event(EventType.CHANGED, 3, "/a")),
