--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -13,7 +13,7 @@
 from lugspur.standins.zookeeper.tree import Event as Told
 from lugspur.standins.zookeeper.tree import Node, parent_of
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.frames import Frames
+from lugspur.zookeeper.frames import FrameDecoder
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 
@@ -154,7 +154,7 @@
         self.watches = Watches()
         self.who = Who()
         self._session: Session | None = None
-        self._cut = Frames(FRAME_MOST)
+        self._cut = FrameDecoder(FRAME_MOST)
         self._frames: deque[bytes] = deque()
         self._held: tuple[int, bytes] | None = None  # the zxid that a write's reply waits for
         self._late: deque[tuple[float, bytes]] = deque()
--- a/lugspur/zookeeper/frames.py
+++ b/lugspur/zookeeper/frames.py
@@ -1,11 +1,11 @@
-"""Frames: a length of four bytes, then so many bytes."""
+"""FrameDecoder: a length of four bytes, then so many bytes."""
 
 from __future__ import annotations
 
 from lugspur.zookeeper.jute import LENGTH, JuteDecodeError
 
 
-class Frames:
+class FrameDecoder:
     """Cuts what comes into frames, none of them longer than `most` bytes."""
 
     def __init__(self, most: int) -> None:
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.frames import Frames
+from lugspur.zookeeper.frames import FrameDecoder
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 
@@ -155,7 +155,7 @@
         self._xid = 0
         self._sent = 0.0
         self._opened = 0.0
-        self._frames = Frames(FRAME_MOST)
+        self._frames = FrameDecoder(FRAME_MOST)
         self._watched = _Watched()
 
     @property
@@ -172,7 +172,7 @@
     def opened(self, now: float) -> None:
         """A connection is up."""
         self.state, self._opened, self._floor = State.OPENING, now, self.zxid
-        self._frames = Frames(FRAME_MOST)
+        self._frames = FrameDecoder(FRAME_MOST)
         self._out.clear()
         self._write(
             now,
