--- a/lugspur/bench/followers.py
+++ b/lugspur/bench/followers.py
@@ -31,7 +31,7 @@
 async def ours(hosts: str, folder: str) -> None:
     """By our own client."""
     from lugspur.zookeeper.client import Client
-    from lugspur.zookeeper.session import Event, Terms
+    from lugspur.zookeeper.session import Event, SessionOptions
     from lugspur.zookeeper.view import Present, View, Whole
 
     begun = time.monotonic()
@@ -44,7 +44,7 @@
             elif isinstance(news, Present):
                 print(f"seen {news.name} {time.monotonic():.6f}", flush=True)
 
-    client = Client([read_address(host) for host in hosts.split(",")], Terms(10.0), heard)
+    client = Client([read_address(host) for host in hosts.split(",")], SessionOptions(10.0), heard)
     client.add(view)
     client.open()
     await asyncio.Event().wait()
--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -24,7 +24,7 @@
 from lugspur.load_balancing.model import ListUpdateKind, Outcome, RequestClass, ServerState, Settings
 from lugspur.routing.pool_health import PoolHealth
 from lugspur.routing.shares import SharedLimit
-from lugspur.zookeeper.session import Terms
+from lugspur.zookeeper.session import SessionOptions
 
 if TYPE_CHECKING:
     from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
@@ -276,7 +276,7 @@
 def registry_ensemble(row: model.Registry) -> Ensemble:
     """Return the addresses and session settings of a registry in the configuration."""
     auth = (("digest", row.auth.encode()),) if row.auth else ()
-    return Ensemble(row.ensemble, Terms(row.session, row.read_only, auth))
+    return Ensemble(row.ensemble, SessionOptions(row.session, row.read_only, auth))
 
 
 def _entry(member: model.Member) -> dict[str, Any]:
--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -9,7 +9,7 @@
 from lugspur.discovery.endpoints import Address
 from lugspur.zookeeper.client import Client
 from lugspur.zookeeper.link import Machine
-from lugspur.zookeeper.session import Event, Terms
+from lugspur.zookeeper.session import Event, SessionOptions
 
 #: Called after each turn of the session with the events of the session in it.
 SessionListener = Callable[[list[Event]], None]
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Ensemble:
-    """The servers of a registry and the terms of a session with them; equal ones share a session."""
+    """The servers of a registry and the options of a session with them; equal ones share a session."""
 
     addresses: tuple[Address, ...]
-    terms: Terms
+    options: SessionOptions
 
 
 class RegistrySession:
     """A session with a registry, and the state machines that use it."""
 
     def __init__(self, ensemble: Ensemble) -> None:
-        self.client = Client(ensemble.addresses, ensemble.terms, self._notify)
+        self.client = Client(ensemble.addresses, ensemble.options, self._notify)
         self.users: dict[Machine, SessionListener] = {}
 
     def _notify(self, events: list[Event]) -> None:
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 
 from lugspur.zookeeper.link import Link, Machine
-from lugspur.zookeeper.session import CLOSED, Down, Event, Expired, Session, State, Terms, Up
+from lugspur.zookeeper.session import CLOSED, Down, Event, Expired, Session, SessionOptions, State, Up
 
 Address = tuple[str, int]
 RETRY_FIRST, RETRY_MOST = 0.05, 2.0  # seconds between two rounds through all servers, doubling
@@ -24,14 +24,14 @@
     def __init__(
         self,
         addresses: Sequence[Address],
-        terms: Terms,
+        options: SessionOptions,
         heard: Callable[[list[Event]], None],
         chance: random.Random | None = None,
     ) -> None:
         self._chance = chance or random.Random()
         self._addresses = list(addresses)
         self._chance.shuffle(self._addresses)  # Guards the first server of everybody's file against everybody
-        self.link = Link(Session(terms, len(addresses)))
+        self.link = Link(Session(options, len(addresses)))
         self._heard = heard
         self._loop = asyncio.get_running_loop()
         self._wire: _Wire | None = None
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class SessionOptions:
     """What a session is asked for; the time-out is in seconds, and servers may grant another."""
 
     timeout: float = 10.0
@@ -140,11 +140,11 @@
 class Session:
     """Keeps one session through any number of connections. Times are in seconds, of one clock that never steps."""
 
-    def __init__(self, terms: Terms, servers: int = 1) -> None:
-        self.terms = terms
+    def __init__(self, options: SessionOptions, servers: int = 1) -> None:
+        self.options = options
         self.state = State.DOWN
         self.id = 0
-        self.timeout = terms.timeout  # as granted, once a server has
+        self.timeout = options.timeout  # as granted, once a server has
         self.zxid = 0  # the latest change that was seen of the tree, at any server
         self.heard = float("-inf")  # when a server last said anything
         self._servers = servers
@@ -177,7 +177,9 @@
         self._write(
             now,
             encode(
-                r.ConnectRequest(0, self.zxid, int(self.timeout * 1000), self.id, self._password, self.terms.read_only)
+                r.ConnectRequest(
+                    0, self.zxid, int(self.timeout * 1000), self.id, self._password, self.options.read_only
+                )
             ),
         )
 
@@ -263,15 +265,15 @@
         read_only = bool(source.remaining) and source.data[source.position] != 0
         if answer.timeout <= 0 or not answer.session:
             # What was seen of the tree stays known: a server behind it is none to follow with a fresh session either.
-            self.id, self._password, self.timeout = 0, r.NO_PASSWORD, self.terms.timeout
+            self.id, self._password, self.timeout = 0, r.NO_PASSWORD, self.options.timeout
             self._watched = _Watched()
             return [Expired(), *self.lost("the session has expired")]
-        if read_only and not self.terms.read_only:
+        if read_only and not self.options.read_only:
             return self.lost("it is read-only")
         fresh = answer.session != self.id
         self.id, self._password, self.timeout = answer.session, answer.password, answer.timeout / 1000.0
         self.state = State.UP
-        for scheme, auth in self.terms.auth:
+        for scheme, auth in self.options.auth:
             self._request(now, r.AUTH_XID, Op.AUTH, r.Auth(0, scheme, auth))
         for op, row in self._watched.requests(self.zxid):
             self._request(now, r.WATCHES_XID, op, row)
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -15,7 +15,7 @@
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Server
 from lugspur.zookeeper.client import Client
-from lugspur.zookeeper.session import Down, Event, Expired, State, Terms, Up
+from lugspur.zookeeper.session import Down, Event, Expired, SessionOptions, State, Up
 from lugspur.zookeeper.view import View
 
 
@@ -38,12 +38,12 @@
 
 
 @asynccontextmanager
-async def world(servers: int = 3, terms: Terms | None = None) -> AsyncIterator[World]:
+async def world(servers: int = 3, options: SessionOptions | None = None) -> AsyncIterator[World]:
     async with Cluster() as cluster:
         await cluster.listen(*[("127.0.0.1", 0)] * servers)
         cluster.write("/boxes")
         events: list[Event] = []
-        client = Client(cluster.addresses, terms or Terms(6.0), events.extend, random.Random(1))
+        client = Client(cluster.addresses, options or SessionOptions(6.0), events.extend, random.Random(1))
         view = View("/boxes")
         client.add(view)
         client.open()
@@ -184,7 +184,7 @@
 
     async def play() -> None:
         chance = random.Random(number)
-        async with world(terms=Terms(3.0)) as w:
+        async with world(options=SessionOptions(3.0)) as w:
             follower = Follower()
             heard = w.client._heard
 
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -25,8 +25,8 @@
     Expired,
     Reply,
     Session,
+    SessionOptions,
     State,
-    Terms,
     Told,
     Up,
 )
@@ -42,7 +42,7 @@
 
 def accepted(timeout: float = 9.0, session: int = 5) -> Session:
     """A session that a server has taken, without any server."""
-    made = Session(Terms(timeout))
+    made = Session(SessionOptions(timeout))
     made.opened(0.0)
     made.take()
     answer = r.ConnectResponse(0, int(timeout * 1000), session, b"p" * 16)
@@ -107,7 +107,7 @@
 
 
 def test_a_server_that_does_not_take_the_session_is_left_in_time_for_all_others() -> None:
-    session = Session(Terms(9.0), servers=4)
+    session = Session(SessionOptions(9.0), servers=4)
     session.opened(0.0)
     assert session.attempt * 3 <= 9.0 / 3.0 and session.tick(session.attempt) == [Down("it says nothing")]
 
@@ -220,7 +220,7 @@
 
 @pytest.mark.parametrize("wanted", [False, True])
 def test_a_read_only_server_is_refused_unless_asked_for(wanted: bool) -> None:
-    session = Session(Terms(read_only=wanted))
+    session = Session(SessionOptions(read_only=wanted))
     session.opened(0.0)
     events = session.received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
     assert events == ([Up(True, 5, 9.0)] if wanted else [Down("it is read-only")])
@@ -228,12 +228,12 @@
 
 def test_credentials_go_out_first_and_wrong_ones_end_the_connection() -> None:
     async def run() -> None:
-        world = World(terms=Terms(auth=(("digest", b"rosa:secret"),)))
+        world = World(options=SessionOptions(auth=(("digest", b"rosa:secret"),)))
         guarded = (r.Acl(r.PERM_ALL, "digest", digest(b"rosa:secret")),)
         world.cluster.ensemble.commit(world.cluster.operator, ((Op.CREATE, r.Create("/boxes", b"", guarded, 0)),))
         up(world)
         assert world.whole() == 1
-        wrong = World(terms=Terms(auth=(("digest", b"no-colon"),)))
+        wrong = World(options=SessionOptions(auth=(("digest", b"no-colon"),)))
         wrong.connect()
         wrong.settle()
         assert "it takes no such credentials" in downs(wrong)
@@ -285,7 +285,7 @@
 
 @given(st.binary(max_size=300), st.booleans())
 def test_no_bytes_of_a_server_raise(data: bytes, taken: bool) -> None:
-    session = accepted() if taken else Session(Terms())
+    session = accepted() if taken else Session(SessionOptions())
     if not taken:
         session.opened(0.0)
     session.received(0.0, data)
@@ -322,7 +322,7 @@
 
 
 def test_a_server_that_closes_before_it_takes_the_session_may_be_behind() -> None:
-    session = Session(Terms())
+    session = Session(SessionOptions())
     session.opened(0.0)
     assert session.lost(CLOSED) == [Down(CLOSED)]  # nothing was seen yet
     session.zxid = 7
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -9,7 +9,7 @@
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Connection, Server
 from lugspur.zookeeper.link import Link
-from lugspur.zookeeper.session import Event, Expired, Session, State, Terms
+from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
 from lugspur.zookeeper.view import Absent, News, Present, View, Whole
 
 
@@ -65,11 +65,11 @@
 class World:
     """One session, one view and a cluster, in a time of its own."""
 
-    def __init__(self, servers: int = 3, path: str = "/boxes", terms: Terms | None = None) -> None:
+    def __init__(self, servers: int = 3, path: str = "/boxes", options: SessionOptions | None = None) -> None:
         self.now = 100.0
         self.cluster = Cluster()
         self.servers = [Server(self.cluster.ensemble, at) for at in range(servers)]
-        self.session = Session(terms or Terms(), servers)
+        self.session = Session(options or SessionOptions(), servers)
         self.link = Link(self.session)
         self.view = View(path)
         self.follower = Follower()
