--- a/lugspur/bench/followers.py
+++ b/lugspur/bench/followers.py
@@ -32,14 +32,14 @@
     """By our own client."""
     from lugspur.zookeeper.client import Client
     from lugspur.zookeeper.session import Event, SessionOptions
-    from lugspur.zookeeper.view import Present, View, Whole
+    from lugspur.zookeeper.view import Present, Snapshot, View
 
     begun = time.monotonic()
     view = View(folder)
 
     def heard(_: list[Event]) -> None:
         for news in view.news():
-            if isinstance(news, Whole):
+            if isinstance(news, Snapshot):
                 _whole(len(news.nodes), begun)
             elif isinstance(news, Present):
                 print(f"seen {news.name} {time.monotonic():.6f}", flush=True)
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -19,7 +19,7 @@
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.session import Down, Event, Expired, Up
-from lugspur.zookeeper.view import Absent, News, Present, Unread, View, Whole
+from lugspur.zookeeper.view import Absent, News, Present, Snapshot, Unread, View
 
 #: Seconds after which reading a directory is retried.
 READ_RETRY_DELAY_SECONDS = 5.0
@@ -124,7 +124,7 @@
         self._check_staleness(now)
 
     def _receive(self, change: News, now: float) -> None:
-        if isinstance(change, Whole):
+        if isinstance(change, Snapshot):
             nodes = {name: _registry_node(data) for name, data in change.nodes.items()}
             changes = self._nodes.replace_all(nodes)
             self._pending.present.clear()
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Whole:
+class Snapshot:
     """Everything has been read: these are all nodes, by name."""
 
     nodes: dict[str, r.Data | None]
@@ -48,7 +48,7 @@
     error: int
 
 
-News = Whole | Present | Absent | Unread
+News = Snapshot | Present | Absent | Unread
 
 
 @dataclass(slots=True, frozen=True)
@@ -321,5 +321,5 @@
             name: (data.stat.czxid, data.stat.mzxid) if data is not None else (0, 0)
             for name, data in self._fresh.items()
         }
-        self._news.append(Whole(self._fresh))
+        self._news.append(Snapshot(self._fresh))
         self._fresh = {}
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -12,7 +12,7 @@
 
 from lugspur.standins.zookeeper.tree import Gone
 from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
-from lugspur.zookeeper.view import Absent, Phase, Present, Unread, Whole
+from lugspur.zookeeper.view import Absent, Phase, Present, Snapshot, Unread
 
 NAMES = ["a", "b", "c", "d e", "ü"]
 
@@ -244,7 +244,7 @@
         if gap:
             world.connect(1)
         world.settle()
-        told = [type(one) for one in world.news if not isinstance(one, Whole)]
+        told = [type(one) for one in world.news if not isinstance(one, Snapshot)]
         assert told == [Absent, Present] and world.follower.nodes == world.tree()
 
     inside(run())
@@ -301,7 +301,7 @@
         world.cluster.delete("/boxes/a")
         world.cluster.delete("/boxes")
         world.settle()
-        assert world.follower.nodes == {} and isinstance(world.news[-1], Whole)
+        assert world.follower.nodes == {} and isinstance(world.news[-1], Snapshot)
         world.cluster.write("/boxes/b", b"2")
         world.settle()
         assert world.follower.nodes.keys() == {"b"}
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -10,7 +10,7 @@
 from lugspur.standins.zookeeper.server import Connection, Server
 from lugspur.zookeeper.link import Link
 from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
-from lugspur.zookeeper.view import Absent, News, Present, View, Whole
+from lugspur.zookeeper.view import Absent, News, Present, Snapshot, View
 
 
 class Pipe(asyncio.Transport):
@@ -44,7 +44,7 @@
 
     def hear(self, news: list[News]) -> None:
         for one in news:
-            if isinstance(one, Whole):
+            if isinstance(one, Snapshot):
                 known = {name: (data.data, data.stat.czxid) for name, data in one.nodes.items() if data}
                 for name in tuple(self.nodes):
                     if name not in known or known[name][1] != self.nodes[name][1]:
@@ -141,7 +141,7 @@
 
     def whole(self) -> int:
         """How often the whole folder was told."""
-        return sum(isinstance(one, Whole) for one in self.news)
+        return sum(isinstance(one, Snapshot) for one in self.news)
 
     @property
     def expired(self) -> bool:
