--- a/lugspur/bench/followers.py
+++ b/lugspur/bench/followers.py
@@ -32,7 +32,7 @@
     """By our own client."""
     from lugspur.zookeeper.client import Client
     from lugspur.zookeeper.session import Event, SessionOptions
-    from lugspur.zookeeper.view import Present, Snapshot, View
+    from lugspur.zookeeper.view import NodeChanged, Snapshot, View
 
     begun = time.monotonic()
     view = View(folder)
@@ -41,7 +41,7 @@
         for news in view.news():
             if isinstance(news, Snapshot):
                 _whole(len(news.nodes), begun)
-            elif isinstance(news, Present):
+            elif isinstance(news, NodeChanged):
                 print(f"seen {news.name} {time.monotonic():.6f}", flush=True)
 
     client = Client([read_address(host) for host in hosts.split(",")], SessionOptions(10.0), heard)
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -19,7 +19,7 @@
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.session import Down, Event, Expired, Up
-from lugspur.zookeeper.view import Absent, News, Present, Snapshot, Unread, View
+from lugspur.zookeeper.view import Absent, News, NodeChanged, Snapshot, Unread, View
 
 #: Seconds after which reading a directory is retried.
 READ_RETRY_DELAY_SECONDS = 5.0
@@ -130,7 +130,7 @@
             self._pending.present.clear()
             self._pending.is_complete = True
             self.staleness.record_list_read(now, len(self._nodes))
-        elif isinstance(change, Present):
+        elif isinstance(change, NodeChanged):
             changes = self._nodes.update_node(change.name, _registry_node(change.data))
         elif isinstance(change, Absent):
             changes = self._nodes.remove_node(change.name)
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Present:
+class NodeChanged:
     """A node is new or has other data; without data where it may not be read."""
 
     name: str
@@ -48,7 +48,7 @@
     error: int
 
 
-News = Snapshot | Present | Absent | Unread
+News = Snapshot | NodeChanged | Absent | Unread
 
 
 @dataclass(slots=True, frozen=True)
@@ -309,7 +309,7 @@
         if self._seen:
             self._versions[name] = version
             if known != version:
-                self._news.append(Present(name, data))
+                self._news.append(NodeChanged(name, data))
 
     def _check_whole(self) -> None:
         """The full read is over when each node that it listed has been read; what changes meanwhile is read after."""
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -12,7 +12,7 @@
 
 from lugspur.standins.zookeeper.tree import Gone
 from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
-from lugspur.zookeeper.view import Absent, Phase, Present, Snapshot, Unread
+from lugspur.zookeeper.view import Absent, NodeChanged, Phase, Snapshot, Unread
 
 NAMES = ["a", "b", "c", "d e", "ü"]
 
@@ -223,7 +223,7 @@
         world.cluster.write("/boxes/a", b"2")
         world.cluster.write("/boxes/a", b"3")
         world.settle()
-        assert [one.data.data for one in world.news if isinstance(one, Present) and one.data] == [b"3"]
+        assert [one.data.data for one in world.news if isinstance(one, NodeChanged) and one.data] == [b"3"]
 
     inside(run())
 
@@ -245,7 +245,7 @@
             world.connect(1)
         world.settle()
         told = [type(one) for one in world.news if not isinstance(one, Snapshot)]
-        assert told == [Absent, Present] and world.follower.nodes == world.tree()
+        assert told == [Absent, NodeChanged] and world.follower.nodes == world.tree()
 
     inside(run())
 
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -10,7 +10,7 @@
 from lugspur.standins.zookeeper.server import Connection, Server
 from lugspur.zookeeper.link import Link
 from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
-from lugspur.zookeeper.view import Absent, News, Present, Snapshot, View
+from lugspur.zookeeper.view import Absent, News, NodeChanged, Snapshot, View
 
 
 class Pipe(asyncio.Transport):
@@ -50,7 +50,7 @@
                     if name not in known or known[name][1] != self.nodes[name][1]:
                         self._remove(name)
                 self.nodes = known
-            elif isinstance(one, Present) and one.data is not None:
+            elif isinstance(one, NodeChanged) and one.data is not None:
                 assert self.nodes.get(one.name, (b"", one.data.stat.czxid))[1] == one.data.stat.czxid, "not told gone"
                 self.nodes[one.name] = one.data.data, one.data.stat.czxid
             elif isinstance(one, Absent):
