--- a/lugspur/bench/followers.py
+++ b/lugspur/bench/followers.py
@@ -38,7 +38,7 @@
     view = View(folder)
 
     def heard(_: list[Event]) -> None:
-        for news in view.news():
+        for news in view.take_updates():
             if isinstance(news, Snapshot):
                 _whole(len(news.nodes), begun)
             elif isinstance(news, NodeChanged):
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -19,7 +19,7 @@
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.session import Down, Event, Expired, Up
-from lugspur.zookeeper.view import Absent, News, NodeChanged, Snapshot, Unread, View
+from lugspur.zookeeper.view import NodeChanged, NodeDeleted, ReadFailed, Snapshot, View, ViewUpdate
 
 #: Seconds after which reading a directory is retried.
 READ_RETRY_DELAY_SECONDS = 5.0
@@ -118,12 +118,12 @@
                 self.staleness.record_session_expiry()
             elif isinstance(event, Down):
                 self.staleness.record_disconnection(now, self._session.client.session.heard, event.reason)
-        for change in self.view.news():
+        for change in self.view.take_updates():
             self._receive(change, now)
         self._deliver_soon(now)
         self._check_staleness(now)
 
-    def _receive(self, change: News, now: float) -> None:
+    def _receive(self, change: ViewUpdate, now: float) -> None:
         if isinstance(change, Snapshot):
             nodes = {name: _registry_node(data) for name, data in change.nodes.items()}
             changes = self._nodes.replace_all(nodes)
@@ -132,7 +132,7 @@
             self.staleness.record_list_read(now, len(self._nodes))
         elif isinstance(change, NodeChanged):
             changes = self._nodes.update_node(change.name, _registry_node(change.data))
-        elif isinstance(change, Absent):
+        elif isinstance(change, NodeDeleted):
             changes = self._nodes.remove_node(change.name)
         else:
             self._receive_read_failure(change)
@@ -145,7 +145,7 @@
         for line in changes.problems:
             self._log(line)
 
-    def _receive_read_failure(self, failure: Unread) -> None:
+    def _receive_read_failure(self, failure: ReadFailed) -> None:
         self.staleness.record_read_failure(READ_ERRORS.get(failure.error, f"error {failure.error}"))
         if self._read_timer is not None:
             self._read_timer.cancel()
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -35,20 +35,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Absent:
+class NodeDeleted:
     """A node has been deleted, by whomever."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
-class Unread:
+class ReadFailed:
     """The folder can't be read, for this reason; NO_NODE: it has never existed since this view began."""
 
     error: int
 
 
-News = Snapshot | NodeChanged | Absent | Unread
+ViewUpdate = Snapshot | NodeChanged | NodeDeleted | ReadFailed
 
 
 @dataclass(slots=True, frozen=True)
@@ -124,7 +124,7 @@
         self.phase = Phase.DOWN
         self._inside = path.rstrip("/") + "/"
         self._asks: list[Ask] = []
-        self._news: list[News] = []
+        self._news: list[ViewUpdate] = []
         self._round = 0
         self._plain = False  # whether only one-shot watches are to be had at this server
         self._drops = 0
@@ -145,7 +145,7 @@
         asks, self._asks = self._asks, []
         return asks
 
-    def news(self) -> list[News]:
+    def take_updates(self) -> list[ViewUpdate]:
         """What has become known since the last time."""
         news, self._news = self._news, []
         return news
@@ -226,7 +226,7 @@
         self._missing.discard(name)
         self._fresh.pop(name, None)
         if self._versions.pop(name, None) is not None:
-            self._news.append(Absent(name))
+            self._news.append(NodeDeleted(name))
 
     # ---- replies -----------------------------------------------------------------------------
 
@@ -262,7 +262,7 @@
             self._unmade()
             return
         if error:  # Guards the pool: a folder that may not be read now is not empty.
-            self._news.append(Unread(error))
+            self._news.append(ReadFailed(error))
             return
         names = set(result.names)
         for name in (self._versions.keys() | self._fresh.keys()) - names:
@@ -292,7 +292,7 @@
             self.phase, self._listed_once = Phase.READING, True
             self._check_whole()
         else:
-            self._news.append(Unread(Error.NO_NODE))
+            self._news.append(ReadFailed(Error.NO_NODE))
 
     def _read(self, name: str, error: int, result: Any) -> None:
         if error == Error.NO_NODE:
@@ -303,7 +303,7 @@
         version = (data.stat.czxid, data.stat.mzxid) if data is not None else (0, 0)
         known = self._versions.get(name)
         if known is not None and known[0] and version[0] and version[0] != known[0]:
-            self._news.append(Absent(name))  # deleted and made again unseen: somebody else's, of the same name
+            self._news.append(NodeDeleted(name))  # deleted and made again unseen: somebody else's, of the same name
         if self.phase is Phase.READING:
             self._fresh[name] = data
         if self._seen:
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -190,7 +190,7 @@
 
             def hear(events: list[Event]) -> None:
                 heard(events)
-                follower.hear(w.view.news())
+                follower.hear(w.view.take_updates())
 
             w.client._heard = hear
             cluster, servers = w.cluster, w.cluster.servers
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -12,7 +12,7 @@
 
 from lugspur.standins.zookeeper.tree import Gone
 from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
-from lugspur.zookeeper.view import Absent, NodeChanged, Phase, Snapshot, Unread
+from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Phase, ReadFailed, Snapshot
 
 NAMES = ["a", "b", "c", "d e", "ü"]
 
@@ -245,7 +245,7 @@
             world.connect(1)
         world.settle()
         told = [type(one) for one in world.news if not isinstance(one, Snapshot)]
-        assert told == [Absent, NodeChanged] and world.follower.nodes == world.tree()
+        assert told == [NodeDeleted, NodeChanged] and world.follower.nodes == world.tree()
 
     inside(run())
 
@@ -294,7 +294,7 @@
         world.servers[0].faults.old = old
         world.connect()
         world.settle()
-        assert world.news == [Unread(-101)]
+        assert world.news == [ReadFailed(-101)]
         world.cluster.write("/boxes/a", b"1")
         world.settle()
         assert world.follower.nodes.keys() == {"a"}
@@ -381,7 +381,7 @@
         world.cluster.ensemble.end(world.session.id)
         assert world.news == [] and world.follower.nodes.keys() == {"a"}
         world.view.told(EventType.DELETED, "/boxes/a")  # what a former connection left over
-        assert world.view.news() == []
+        assert world.view.take_updates() == []
 
     inside(run())
 
@@ -436,7 +436,7 @@
         world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", shut, -1)),))
         world.connect()
         world.settle()
-        assert world.news == [Unread(Error.NO_AUTH)] and world.view.phase is Phase.READING
+        assert world.news == [ReadFailed(Error.NO_AUTH)] and world.view.phase is Phase.READING
         world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
         world.view.again()
         world.link.turn(world.now)
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -10,7 +10,7 @@
 from lugspur.standins.zookeeper.server import Connection, Server
 from lugspur.zookeeper.link import Link
 from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
-from lugspur.zookeeper.view import Absent, News, NodeChanged, Snapshot, View
+from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Snapshot, View, ViewUpdate
 
 
 class Pipe(asyncio.Transport):
@@ -42,7 +42,7 @@
         self.nodes: dict[str, tuple[bytes, int]] = {}
         self.removed: list[tuple[str, int]] = []  # by name and czxid
 
-    def hear(self, news: list[News]) -> None:
+    def hear(self, news: list[ViewUpdate]) -> None:
         for one in news:
             if isinstance(one, Snapshot):
                 known = {name: (data.data, data.stat.czxid) for name, data in one.nodes.items() if data}
@@ -53,7 +53,7 @@
             elif isinstance(one, NodeChanged) and one.data is not None:
                 assert self.nodes.get(one.name, (b"", one.data.stat.czxid))[1] == one.data.stat.czxid, "not told gone"
                 self.nodes[one.name] = one.data.data, one.data.stat.czxid
-            elif isinstance(one, Absent):
+            elif isinstance(one, NodeDeleted):
                 self._remove(one.name)
 
     def _remove(self, name: str) -> None:
@@ -73,7 +73,7 @@
         self.link = Link(self.session)
         self.view = View(path)
         self.follower = Follower()
-        self.news: list[News] = []
+        self.news: list[ViewUpdate] = []
         self.events: list[Event] = []
         self.connection: Connection | None = None
         self.pipe = Pipe()
@@ -95,7 +95,7 @@
     def handle(self, events: list[Event]) -> None:
         self.events += events
         self.link.handle(self.now, events)
-        news = self.view.news()
+        news = self.view.take_updates()
         self.news += news
         self.follower.hear(news)
 
