--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -231,7 +231,7 @@
     def event(self, kind: EventType, path: str) -> None:
         """Tell of a watch; it goes out before any later reply, and past late ones where that fault is on."""
         header = r.ReplyHeader(r.EVENT_XID, -1, 0)
-        frame = encode(header) + encode(r.Event(kind, SYNC_CONNECTED, path))
+        frame = encode(header) + encode(r.WatcherEvent(kind, SYNC_CONNECTED, path))
         self._reply(frame)
         if self._server.faults.overtaking:
             self._overtake()
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -153,7 +153,7 @@
 
 
 @record
-class Event:
+class WatcherEvent:
     """What a watch tells."""
 
     kind: Int
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -286,7 +286,7 @@
             return self.lost("it is behind what other servers have shown")
         self.zxid = max(self.zxid, header.zxid)
         if header.xid == r.EVENT_XID:
-            return self._told(decode(r.Event, source))
+            return self._told(decode(r.WatcherEvent, source))
         if header.xid == r.AUTH_XID and header.error:
             return self.lost("it takes no such credentials")
         if header.xid in (r.PING_XID, r.AUTH_XID, r.WATCHES_XID):
@@ -295,7 +295,7 @@
             raise JuteDecodeError(f"reply {header.xid} to no request, or out of turn")
         return self._reply(header, source)
 
-    def _told(self, event: r.Event) -> list[Event]:
+    def _told(self, event: r.WatcherEvent) -> list[Event]:
         if event.kind not in (EventType.CREATED, EventType.DELETED, EventType.CHANGED, EventType.CHILDREN):
             return []
         kind = EventType(event.kind)
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -81,7 +81,7 @@
 
 @given(st.binary(max_size=200))
 def test_bytes_that_are_no_record_are_malformed_and_nothing_else(data: bytes) -> None:
-    for kind in (r.Stat, r.Children, r.Data, r.Event, r.Acls, r.ConnectResponse):
+    for kind in (r.Stat, r.Children, r.Data, r.WatcherEvent, r.Acls, r.ConnectResponse):
         try:
             decode(kind, InputArchive(data))
         except JuteDecodeError:
@@ -298,7 +298,7 @@
         length_prefixed(frame)
         for frame in (
             encode(r.ReplyHeader(1, 9, 0)) + encode(r.Data(b"x" * 50, stat)),
-            encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.Event(EventType.CHANGED, 3, "/a")),
+            encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.WatcherEvent(EventType.CHANGED, 3, "/a")),
             encode(r.ReplyHeader(2, 9, Error.NO_NODE)),
         )
     )
