--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -18,7 +18,7 @@
 from lugspur.discovery.staleness import RegistryStaleness
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.session import Down, Event, Expired, Up
+from lugspur.zookeeper.session import Connected, Disconnected, Event, Expired
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, ReadFailed, Snapshot, View, ViewUpdate
 
 #: Seconds after which reading a directory is retried.
@@ -112,11 +112,11 @@
     def _on_events(self, events: list[Event]) -> None:
         now = self._loop.time()
         for event in events:
-            if isinstance(event, Up):
+            if isinstance(event, Connected):
                 self.staleness.record_connection(event.timeout)
             elif isinstance(event, Expired):
                 self.staleness.record_session_expiry()
-            elif isinstance(event, Down):
+            elif isinstance(event, Disconnected):
                 self.staleness.record_disconnection(now, self._session.client.session.heard, event.reason)
         for change in self.view.take_updates():
             self._receive(change, now)
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 
 from lugspur.zookeeper.link import Link, Machine
-from lugspur.zookeeper.session import CLOSED, Down, Event, Expired, Session, SessionOptions, State, Up
+from lugspur.zookeeper.session import CLOSED, Connected, Disconnected, Event, Expired, Session, SessionOptions, State
 
 Address = tuple[str, int]
 RETRY_FIRST, RETRY_MOST = 0.05, 2.0  # seconds between two rounds through all servers, doubling
@@ -53,7 +53,7 @@
     async def close(self) -> None:
         """End the session, where a server can be told, and the connection."""
         session = self.session
-        if session.state is State.UP and self._wire is not None:
+        if session.state is State.CONNECTED and self._wire is not None:
             ended = self._wire.ended
             session.close(self._loop.time())
             self.flush()
@@ -140,8 +140,8 @@
         if events:
             self.link.handle(self._loop.time(), events)
         self.flush()
-        self._heard([event for event in events if isinstance(event, Up | Down | Expired)])
-        if any(isinstance(event, Down) for event in events):
+        self._heard([event for event in events if isinstance(event, Connected | Disconnected | Expired)])
+        if any(isinstance(event, Disconnected) for event in events):
             self._drop()
 
     def flush(self) -> None:
--- a/lugspur/zookeeper/link.py
+++ b/lugspur/zookeeper/link.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from lugspur.zookeeper.records import EventType
-from lugspur.zookeeper.session import Down, Event, Reply, Session, State, Told, Up
+from lugspur.zookeeper.session import Connected, Disconnected, Event, Reply, Session, State, WatchTriggered
 
 
 class Ask(Protocol):
@@ -21,7 +21,7 @@
 class Machine(Protocol):
     """What uses the session. It is told of everything, and asked what it wants after each turn."""
 
-    def up(self, event: Up) -> None:
+    def up(self, event: Connected) -> None:
         """Requests can be asked for from now on."""
 
     def down(self) -> None:
@@ -44,7 +44,7 @@
         self.session = session
         self.machines: list[Machine] = []
         self._owners: dict[int, tuple[Machine, Any]] = {}
-        self._up: Up | None = None
+        self._up: Connected | None = None
 
     def add(self, machine: Machine, now: float) -> None:
         """One more; it is told at once where the session is up."""
@@ -66,8 +66,8 @@
                 if owner is not None:
                     owner[0].reply(owner[1], event.error, event.result)
                 continue
-            if isinstance(event, Up | Down):
-                self._up = event if isinstance(event, Up) else None
+            if isinstance(event, Connected | Disconnected):
+                self._up = event if isinstance(event, Connected) else None
                 self._owners.clear()
             for machine in tuple(self.machines):
                 _tell(machine, event)
@@ -77,15 +77,15 @@
         """Send what the machines want asked."""
         for machine in self.machines:
             asks = machine.asks()
-            if self.session.state is State.UP:
+            if self.session.state is State.CONNECTED:
                 for ask in asks:
                     self._owners[self.session.ask(now, ask.op, ask.row)] = machine, ask
 
 
 def _tell(machine: Machine, event: Event) -> None:
-    if isinstance(event, Up):
+    if isinstance(event, Connected):
         machine.up(event)
-    elif isinstance(event, Down):
+    elif isinstance(event, Disconnected):
         machine.down()
-    elif isinstance(event, Told):
+    elif isinstance(event, WatchTriggered):
         machine.told(event.kind, event.path)
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -14,7 +14,7 @@
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.records import CreateMode, Error, EventType, Op
-from lugspur.zookeeper.session import Up
+from lugspur.zookeeper.session import Connected
 
 HOPELESS = frozenset(
     {  # errors that the same request meets again until somebody changes something
@@ -102,11 +102,11 @@
 
     # ---- the session ---------------------------------------------------------------------------
 
-    def up(self, event: Up) -> None:
+    def up(self, event: Connected) -> None:
         """There is a connection; what became of earlier requests is to be looked at."""
-        if event.fresh and self._session:
+        if event.is_new_session and self._session:
             self._news.append("the session was lost; registering again")
-        self._session, self._up = event.session, True
+        self._session, self._up = event.session_id, True
         self._busy, self._doubted, self._synced, self._blocked = False, False, False, ""
         self.found = Found.UNKNOWN
         self._folders = []
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -29,9 +29,9 @@
 class State(Enum):
     """Where a session stands."""
 
-    DOWN = auto()  # no connection
-    OPENING = auto()  # connected; the server has not taken the session yet
-    UP = auto()
+    DISCONNECTED = auto()  # no connection
+    CONNECTING = auto()  # connected; the server has not taken the session yet
+    CONNECTED = auto()
     CLOSED = auto()  # for good
 
 
@@ -45,16 +45,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Up:
+class Connected:
     """The session can be used; a fresh one has lost all that an earlier one had."""
 
-    fresh: bool
-    session: int
+    is_new_session: bool
+    session_id: int
     timeout: float  # seconds, as granted
 
 
 @dataclass(slots=True, frozen=True)
-class Down:
+class Disconnected:
     """The connection is over or must be given up; replies that are missing never come. The session may live on."""
 
     reason: str
@@ -76,14 +76,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class WatchTriggered:
     """What a watch tells."""
 
     kind: EventType
     path: str
 
 
-Event = Up | Down | Expired | Reply | Told
+Event = Connected | Disconnected | Expired | Reply | WatchTriggered
 
 
 @dataclass(slots=True)
@@ -142,7 +142,7 @@
 
     def __init__(self, options: SessionOptions, servers: int = 1) -> None:
         self.options = options
-        self.state = State.DOWN
+        self.state = State.DISCONNECTED
         self.id = 0
         self.timeout = options.timeout  # as granted, once a server has
         self.zxid = 0  # the latest change that was seen of the tree, at any server
@@ -171,7 +171,7 @@
 
     def opened(self, now: float) -> None:
         """A connection is up."""
-        self.state, self._opened, self._floor = State.OPENING, now, self.zxid
+        self.state, self._opened, self._floor = State.CONNECTING, now, self.zxid
         self._frames = FrameDecoder(FRAME_MOST)
         self._out.clear()
         self._write(
@@ -185,25 +185,25 @@
 
     def lost(self, reason: str) -> list[Event]:
         """The connection is over, or given up; nothing happens where it was so already."""
-        if self.state in (State.DOWN, State.CLOSED):
+        if self.state in (State.DISCONNECTED, State.CLOSED):
             return []
-        if self.state is State.OPENING and self._floor and reason == CLOSED:
+        if self.state is State.CONNECTING and self._floor and reason == CLOSED:
             reason = BEHIND  # the only way in which a server says so (ZooKeeperServer.java)
-        self.state = State.DOWN
+        self.state = State.DISCONNECTED
         self._pending.clear()
         self._out.clear()
-        return [Down(reason)]
+        return [Disconnected(reason)]
 
     def received(self, now: float, data: bytes) -> list[Event]:
-        """Bytes of the server; a Down among the events asks for another connection."""
-        if self.state in (State.DOWN, State.CLOSED):
+        """Bytes of the server; a Disconnected among the events asks for another connection."""
+        if self.state in (State.DISCONNECTED, State.CLOSED):
             return []
         self.heard = now
         events: list[Event] = []
         try:
             for frame in self._frames.feed(data):
-                events += self._opening(now, frame) if self.state is State.OPENING else self._frame(frame)
-                if events and isinstance(events[-1], Down):
+                events += self._opening(now, frame) if self.state is State.CONNECTING else self._frame(frame)
+                if events and isinstance(events[-1], Disconnected):
                     break
         except JuteDecodeError as fault:
             events += self.lost(f"it sent what is no ZooKeeper's: {fault}")
@@ -217,9 +217,9 @@
 
     def due(self) -> float:
         """When `tick` is wanted next; infinite without a connection."""
-        if self.state is State.OPENING:
+        if self.state is State.CONNECTING:
             return self._opened + self.attempt
-        if self.state is State.UP:
+        if self.state is State.CONNECTED:
             return min(self._sent + self.timeout / 3.0, self.heard + self.timeout * 2.0 / 3.0)
         return float("inf")
 
@@ -227,7 +227,7 @@
         """Keep the session alive, or give up a server that says nothing."""
         if now < self.due():
             return []
-        if self.state is State.OPENING or now >= self.heard + self.timeout * 2.0 / 3.0:
+        if self.state is State.CONNECTING or now >= self.heard + self.timeout * 2.0 / 3.0:
             # Guards against a server that hangs with its connections open: nothing else would tell.
             return self.lost("it says nothing")
         self._request(now, r.PING_XID, Op.PING, r.EmptyRecord())
@@ -235,14 +235,14 @@
 
     def close(self, now: float) -> None:
         """Ask for the session's end; its ephemeral nodes go with it."""
-        if self.state is State.UP:
+        if self.state is State.CONNECTED:
             self.ask(now, Op.CLOSE, r.EmptyRecord())
 
     # ---- requests ----------------------------------------------------------------------------
 
     def ask(self, now: float, op: int, row: Any) -> int:
         """Send a request while the session is up; the token comes back with the reply. Raises RuntimeError."""
-        if self.state is not State.UP:
+        if self.state is not State.CONNECTED:
             raise RuntimeError("the session is not up")
         self._xid = self._xid % XID_MOST + 1
         self._pending.append((self._xid, op, row))
@@ -270,14 +270,14 @@
             return [Expired(), *self.lost("the session has expired")]
         if read_only and not self.options.read_only:
             return self.lost("it is read-only")
-        fresh = answer.session != self.id
+        is_new_session = answer.session != self.id
         self.id, self._password, self.timeout = answer.session, answer.password, answer.timeout / 1000.0
-        self.state = State.UP
+        self.state = State.CONNECTED
         for scheme, auth in self.options.auth:
             self._request(now, r.AUTH_XID, Op.AUTH, r.Auth(0, scheme, auth))
         for op, row in self._watched.requests(self.zxid):
             self._request(now, r.WATCHES_XID, op, row)
-        return [Up(fresh, self.id, self.timeout)]
+        return [Connected(is_new_session, self.id, self.timeout)]
 
     def _frame(self, frame: bytes) -> list[Event]:
         source = InputArchive(frame)
@@ -300,7 +300,7 @@
             return []
         kind = EventType(event.kind)
         self._watched.told(kind, event.path)
-        return [Told(kind, event.path)]
+        return [WatchTriggered(kind, event.path)]
 
     def _reply(self, header: r.ReplyHeader, source: InputArchive) -> list[Event]:
         xid, op, row = self._pending.popleft()
@@ -312,5 +312,5 @@
         self._watched.asked(op, row, error)
         if op == Op.CLOSE:
             self.state = State.CLOSED
-            return [Reply(xid, op, error, None), Down("the session is closed")]
+            return [Reply(xid, op, error, None), Disconnected("the session is closed")]
         return [Reply(xid, op, error, result)]
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -13,7 +13,7 @@
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.records import Error, EventType, Op
-from lugspur.zookeeper.session import Up
+from lugspur.zookeeper.session import Connected
 
 WINDOW = 500  # reads on their way at once: servers slow down all their clients at 1,000 (globalOutstandingLimit)
 DROPS_MOST = 2  # connections lost over addWatch in a row, after which the server is taken not to know it
@@ -64,7 +64,7 @@
 class Phase(Enum):
     """How much of the folder is known."""
 
-    DOWN = auto()
+    DISCONNECTED = auto()
     READING = auto()  # all is being read
     FOLLOWING = auto()
 
@@ -121,7 +121,7 @@
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.phase = Phase.DOWN
+        self.phase = Phase.DISCONNECTED
         self._inside = path.rstrip("/") + "/"
         self._asks: list[Ask] = []
         self._news: list[ViewUpdate] = []
@@ -152,7 +152,7 @@
 
     # ---- the connection ----------------------------------------------------------------------
 
-    def up(self, event: Up) -> None:
+    def up(self, event: Connected) -> None:
         """There is a connection; what happened before it is unknown, so all is read."""
         self._plain = self._drops >= DROPS_MOST
         self._read_all()
@@ -169,7 +169,7 @@
         if self._adding:
             self._drops += 1
         self._adding = False
-        self.phase = Phase.DOWN
+        self.phase = Phase.DISCONNECTED
         self._asks.clear()
         self._reads = _Reads()
 
@@ -200,7 +200,7 @@
 
     def told(self, kind: EventType, path: str) -> None:
         """A watch has told."""
-        if self.phase is Phase.DOWN:
+        if self.phase is Phase.DISCONNECTED:
             return
         if path == self.path:
             self._told_folder(kind)
@@ -232,7 +232,7 @@
 
     def reply(self, ask: Ask, error: int, result: Any) -> None:
         """What became of a request."""
-        if self.phase is Phase.DOWN:
+        if self.phase is Phase.DISCONNECTED:
             return
         if ask.op == Op.ADD_WATCH:
             # Guards against a deaf view: it is of the connection, and counts whichever full read is going on by now.
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -15,7 +15,7 @@
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Server
 from lugspur.zookeeper.client import Client
-from lugspur.zookeeper.session import Down, Event, Expired, SessionOptions, State, Up
+from lugspur.zookeeper.session import Connected, Disconnected, Event, Expired, SessionOptions, State
 from lugspur.zookeeper.view import View
 
 
@@ -27,7 +27,7 @@
 
     async def up(self) -> None:
         """Wait until a server has taken the session."""
-        await until(lambda: self.client.session.state is State.UP)
+        await until(lambda: self.client.session.state is State.CONNECTED)
 
     def at(self) -> Server:
         """The server that the client is at."""
@@ -84,10 +84,10 @@
         async with world() as w:
             session = w.client.session.id
             hurt(w.at())
-            await until(lambda: w.count(Down) == 1)
+            await until(lambda: w.count(Disconnected) == 1)
             await w.up()
             assert w.client.session.id == session and w.count(Expired) == 0
-            assert [event.fresh for event in w.events if isinstance(event, Up)] == [True, False]
+            assert [event.is_new_session for event in w.events if isinstance(event, Connected)] == [True, False]
 
     asyncio.run(play())
 
@@ -100,9 +100,9 @@
             loop = asyncio.get_running_loop()
             begun = loop.time()
             w.at().stall()
-            await until(lambda: w.count(Down) == 1)
+            await until(lambda: w.count(Disconnected) == 1)
             assert loop.time() - begun > 6.0 / 3.0  # it may have spoken last a third of the time-out before it stalled
-            await until(lambda: w.count(Up) == 2)
+            await until(lambda: w.count(Connected) == 2)
             assert w.count(Expired) == 0
 
     asyncio.run(play())
@@ -114,7 +114,7 @@
             others = [server for server in w.cluster.servers if server is not w.at()]
             others[0].stall()  # accepts, and says nothing
             w.at().stall()
-            await until(lambda: w.count(Up) == 2)
+            await until(lambda: w.count(Connected) == 2)
             assert w.at() is others[1] and w.count(Expired) == 0
 
     asyncio.run(play())
@@ -129,7 +129,7 @@
             w.cluster.write("/boxes/a", b"1")
             await until(lambda: w.client.session.zxid == w.cluster.ensemble.zxid)
             ahead.flap()
-            await until(lambda: w.count(Up) == 2)
+            await until(lambda: w.count(Connected) == 2)
             assert w.at() is ahead
 
     asyncio.run(play())
@@ -171,7 +171,7 @@
         async with world() as w:
             for server in w.cluster.servers:
                 server.refuse()
-            await until(lambda: w.count(Down) == 1)
+            await until(lambda: w.count(Disconnected) == 1)
             await w.client.close()
             assert w.client.session.state is State.CLOSED
 
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -224,7 +224,7 @@
         world.link.turn(world.now)
         world.settle()
         assert sum(server.asked[Op.CREATE] for server in world.servers) == asked + 1 and world.lines() == []
-        assert world.session.state is State.UP
+        assert world.session.state is State.CONNECTED
 
     asyncio.run(run())
 
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -21,14 +21,14 @@
     FRAME_MOST,
     WATCHES_MOST,
     XID_MOST,
-    Down,
+    Connected,
+    Disconnected,
     Expired,
     Reply,
     Session,
     SessionOptions,
     State,
-    Told,
-    Up,
+    WatchTriggered,
 )
 
 
@@ -36,7 +36,7 @@
     """Connected to a server, and quiet."""
     world.connect(at)
     world.settle()
-    assert world.session.state is State.UP
+    assert world.session.state is State.CONNECTED
     return world
 
 
@@ -46,12 +46,12 @@
     made.opened(0.0)
     made.take()
     answer = r.ConnectResponse(0, int(timeout * 1000), session, b"p" * 16)
-    assert made.received(0.0, length_prefixed(encode(answer) + b"\0")) == [Up(True, session, timeout)]
+    assert made.received(0.0, length_prefixed(encode(answer) + b"\0")) == [Connected(True, session, timeout)]
     return made
 
 
 def downs(world: World) -> list[str]:
-    return [event.reason for event in world.events if isinstance(event, Down)]
+    return [event.reason for event in world.events if isinstance(event, Disconnected)]
 
 
 # ---- the records, by another's reading of them --------------------------------------------------
@@ -97,19 +97,19 @@
     session.tick(3.0)
     assert decode(r.RequestHeader, InputArchive(session.take()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
     assert session.tick(5.9) == []
-    assert session.tick(6.0) == [Down("it says nothing")] and session.state is State.DOWN
+    assert session.tick(6.0) == [Disconnected("it says nothing")] and session.state is State.DISCONNECTED
 
 
 def test_any_word_of_the_server_counts_as_life() -> None:
     session = accepted(9.0)
     session.received(5.0, length_prefixed(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
-    assert session.tick(6.0) == [] and session.tick(11.0) == [Down("it says nothing")]
+    assert session.tick(6.0) == [] and session.tick(11.0) == [Disconnected("it says nothing")]
 
 
 def test_a_server_that_does_not_take_the_session_is_left_in_time_for_all_others() -> None:
     session = Session(SessionOptions(9.0), servers=4)
     session.opened(0.0)
-    assert session.attempt * 3 <= 9.0 / 3.0 and session.tick(session.attempt) == [Down("it says nothing")]
+    assert session.attempt * 3 <= 9.0 / 3.0 and session.tick(session.attempt) == [Disconnected("it says nothing")]
 
 
 def test_a_process_that_was_stopped_for_longer_than_its_session_asks_a_server_before_it_believes_anything() -> None:
@@ -149,8 +149,8 @@
         world.cluster.write("/new")
         before = len(world.events)
         up(world, at=2)
-        told = {(event.kind, event.path) for event in world.events[before:] if isinstance(event, Told)}
-        assert world.session.id == first and Up(False, first, 10.0) in world.events
+        told = {(event.kind, event.path) for event in world.events[before:] if isinstance(event, WatchTriggered)}
+        assert world.session.id == first and Connected(False, first, 10.0) in world.events
         assert told == {(EventType.CHANGED, "/w"), (EventType.CREATED, "/new"), (EventType.CHILDREN, "/")}
 
     inside(run())
@@ -189,7 +189,7 @@
         world.cluster.ensemble.end(first)
         world.recover()
         assert Expired() in world.events and world.session.id != first
-        assert isinstance(world.events[-1], Reply) or Up(True, world.session.id, 10.0) in world.events
+        assert isinstance(world.events[-1], Reply) or Connected(True, world.session.id, 10.0) in world.events
         assert not world.connection or "/new" not in world.connection.watches.data
 
     inside(run())
@@ -204,7 +204,7 @@
         up(world)
         world.connect(1)
         world.settle()
-        assert world.session.state is State.DOWN and not world.expired
+        assert world.session.state is State.DISCONNECTED and not world.expired
         # A server that does not check takes the client in: its first reply shows what it is.
         session = accepted()
         session.zxid = 500
@@ -213,7 +213,9 @@
         session.received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
         token = session.ask(1.0, Op.SYNC, r.Path("/"))
         old = encode(r.ReplyHeader(token, 499, 0)) + encode(r.Path("/"))
-        assert session.received(1.0, length_prefixed(old)) == [Down("it is behind what other servers have shown")]
+        assert session.received(1.0, length_prefixed(old)) == [
+            Disconnected("it is behind what other servers have shown")
+        ]
 
     inside(run())
 
@@ -223,7 +225,7 @@
     session = Session(SessionOptions(read_only=wanted))
     session.opened(0.0)
     events = session.received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
-    assert events == ([Up(True, 5, 9.0)] if wanted else [Down("it is read-only")])
+    assert events == ([Connected(True, 5, 9.0)] if wanted else [Disconnected("it is read-only")])
 
 
 def test_credentials_go_out_first_and_wrong_ones_end_the_connection() -> None:
@@ -278,9 +280,9 @@
     session = accepted()
     session.ask(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
     [event] = session.received(0.0, data)
-    assert isinstance(event, Down) and "no ZooKeeper's" in event.reason and session.due() == float("inf")
+    assert isinstance(event, Disconnected) and "no ZooKeeper's" in event.reason and session.due() == float("inf")
     session.opened(1.0)
-    assert session.state is State.OPENING  # the next connection begins clean
+    assert session.state is State.CONNECTING  # the next connection begins clean
 
 
 @given(st.binary(max_size=300), st.booleans())
@@ -309,7 +311,7 @@
     events = [event for one, two in pairwise(places) for event in session.received(0.0, data[one:two])]
     assert events == [
         Reply(1, Op.GET_DATA, 0, r.Data(b"x" * 50, stat)),
-        Told(EventType.CHANGED, "/a"),
+        WatchTriggered(EventType.CHANGED, "/a"),
         Reply(2, Op.GET_DATA, Error.NO_NODE, None),
     ]
 
@@ -324,10 +326,10 @@
 def test_a_server_that_closes_before_it_takes_the_session_may_be_behind() -> None:
     session = Session(SessionOptions())
     session.opened(0.0)
-    assert session.lost(CLOSED) == [Down(CLOSED)]  # nothing was seen yet
+    assert session.lost(CLOSED) == [Disconnected(CLOSED)]  # nothing was seen yet
     session.zxid = 7
     session.opened(1.0)
-    assert session.lost(CLOSED) == [Down(BEHIND)]
+    assert session.lost(CLOSED) == [Disconnected(BEHIND)]
 
 
 def test_request_numbers_begin_again_before_they_overflow() -> None:
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -125,7 +125,7 @@
         for server in self.servers:
             server.mend()
         self.settle()
-        while self.session.state is not State.UP:
+        while self.session.state is not State.CONNECTED:
             self.connect()
             self.settle()
 
