--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -8,7 +8,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.zookeeper.client import Client
-from lugspur.zookeeper.link import Machine
+from lugspur.zookeeper.link import SessionUser
 from lugspur.zookeeper.session import Event, SessionOptions
 
 #: Called after each turn of the session with the events of the session in it.
@@ -28,23 +28,23 @@
 
     def __init__(self, ensemble: Ensemble) -> None:
         self.client = Client(ensemble.addresses, ensemble.options, self._notify)
-        self.users: dict[Machine, SessionListener] = {}
+        self.users: dict[SessionUser, SessionListener] = {}
 
     def _notify(self, events: list[Event]) -> None:
         for listener in tuple(self.users.values()):
             listener(events)
 
-    def add_user(self, machine: Machine, listener: SessionListener) -> None:
-        """Send requests of `machine` in the session; call `listener` at once and after each turn of it."""
-        self.users[machine] = listener
-        self.client.add(machine)
+    def add_user(self, user: SessionUser, listener: SessionListener) -> None:
+        """Send requests of `user` in the session; call `listener` at once and after each turn of it."""
+        self.users[user] = listener
+        self.client.add(user)
         self.client.open()
         listener([])
 
-    def remove_user(self, machine: Machine) -> None:
-        """Stop sending requests of `machine`; raises KeyError unless it was added."""
-        del self.users[machine]
-        self.client.remove(machine)
+    def remove_user(self, user: SessionUser) -> None:
+        """Stop sending requests of `user`; raises KeyError unless it was added."""
+        del self.users[user]
+        self.client.remove(user)
 
 
 class RegistrySessions:
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable, Sequence
 
-from lugspur.zookeeper.link import Link, Machine
+from lugspur.zookeeper.link import SessionMultiplexer, SessionUser
 from lugspur.zookeeper.session import CLOSED, Connected, Disconnected, Event, Expired, Session, SessionOptions, State
 
 Address = tuple[str, int]
@@ -31,7 +31,7 @@
         self._chance = chance or random.Random()
         self._addresses = list(addresses)
         self._chance.shuffle(self._addresses)  # Guards the first server of everybody's file against everybody
-        self.link = Link(Session(options, len(addresses)))
+        self.multiplexer = SessionMultiplexer(Session(options, len(addresses)))
         self._heard = heard
         self._loop = asyncio.get_running_loop()
         self._wire: _Wire | None = None
@@ -43,7 +43,7 @@
     @property
     def session(self) -> Session:
         """The session as it stands."""
-        return self.link.session
+        return self.multiplexer.session
 
     def open(self) -> None:
         """Begin to connect."""
@@ -69,18 +69,18 @@
             self._task.cancel()
         self._drop()
 
-    def add(self, machine: Machine) -> None:
+    def add(self, user: SessionUser) -> None:
         """One more user of the session."""
-        self.link.add(machine, self._loop.time())
+        self.multiplexer.add(user, self._loop.time())
         self.flush()
 
-    def remove(self, machine: Machine) -> None:
+    def remove(self, user: SessionUser) -> None:
         """One less."""
-        self.link.remove(machine)
+        self.multiplexer.remove(user)
 
     def turn(self) -> None:
-        """A machine may want something that no event has made it want."""
-        self.link.turn(self._loop.time())
+        """A user may want something that no event has made it want."""
+        self.multiplexer.turn(self._loop.time())
         self.flush()
 
     # ---- connections -------------------------------------------------------------------------
@@ -138,7 +138,7 @@
 
     def _after(self, events: list[Event]) -> None:
         if events:
-            self.link.handle(self._loop.time(), events)
+            self.multiplexer.handle(self._loop.time(), events)
         self.flush()
         self._heard([event for event in events if isinstance(event, Connected | Disconnected | Expired)])
         if any(isinstance(event, Disconnected) for event in events):
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -41,11 +41,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class Request:
     """A request that is to be sent."""
 
     op: Op
-    row: Any
+    body: Any
 
 
 class Registration:
@@ -102,7 +102,7 @@
 
     # ---- the session ---------------------------------------------------------------------------
 
-    def up(self, event: Connected) -> None:
+    def on_connected(self, event: Connected) -> None:
         """There is a connection; what became of earlier requests is to be looked at."""
         if event.is_new_session and self._session:
             self._news.append("the session was lost; registering again")
@@ -113,11 +113,11 @@
         if self._prefix:
             self.path = ""  # Guards against a replacement whose reply was lost: it has another number
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         """There is none."""
         self._up = False
 
-    def told(self, kind: EventType, path: str) -> None:
+    def on_watch_triggered(self, kind: EventType, path: str) -> None:
         """Somebody has touched the node, or its session has ended."""
         if path == self.path and kind is not EventType.CHILDREN:
             self._doubted = True
@@ -128,35 +128,35 @@
         self._doubted = False
         self.found = Found.UNKNOWN
 
-    def asks(self) -> list[Ask]:
+    def take_requests(self) -> list[Request]:
         """The next request, if one is to be sent now."""
         if not self._up or self._busy or self._blocked:
             return []
-        ask = self._next()
-        self._busy = ask is not None
-        return [] if ask is None else [ask]
+        request = self._next()
+        self._busy = request is not None
+        return [] if request is None else [request]
 
-    def _next(self) -> Ask | None:
+    def _next(self) -> Request | None:
         if not self._synced:
             # Guards against a server that lags behind a `create` whose reply was lost: it would show no node.
-            return Ask(Op.SYNC, r.Path(self.folder))
+            return Request(Op.SYNC, r.Path(self.folder))
         if self.found is Found.UNKNOWN:
             if self._prefix and not self.path:
-                return Ask(Op.GET_CHILDREN, r.Watching(self.folder or "/", False))
-            return Ask(Op.GET_DATA, r.Watching(self.path, True))
+                return Request(Op.GET_CHILDREN, r.Watching(self.folder or "/", False))
+            return Request(Op.GET_DATA, r.Watching(self.path, True))
         if not self.wanted:
             ours = self.found in (Found.OURS, Found.FORMER)
-            return Ask(Op.DELETE, r.Delete(self.path, self._version)) if ours else None
+            return Request(Op.DELETE, r.Delete(self.path, self._version)) if ours else None
         if self._folders:
-            return Ask(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN_ACL, CreateMode.PERSISTENT))
+            return Request(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN_ACL, CreateMode.PERSISTENT))
         if self.found is Found.NONE:
-            return Ask(Op.CREATE, self._create())
+            return Request(Op.CREATE, self._create())
         if self.found is Found.FORMER:
             # In one step: nobody sees the box missing, and nobody else's of the same name is deleted.
             delete = (int(Op.DELETE), r.Delete(self.path, self._version))
-            return Ask(Op.MULTI, (delete, (int(Op.CREATE), self._create())))
+            return Request(Op.MULTI, (delete, (int(Op.CREATE), self._create())))
         if self.found is Found.OURS and self._held != self.data:
-            return Ask(Op.SET_DATA, r.SetData(self.path, self.data, self._version))
+            return Request(Op.SET_DATA, r.SetData(self.path, self.data, self._version))
         return None
 
     def _create(self) -> r.Create:
@@ -166,35 +166,38 @@
 
     # ---- replies -------------------------------------------------------------------------------
 
-    def reply(self, ask: Ask, error: int, result: Any) -> None:
+    def on_reply(self, request: Request, error: int, result: Any) -> None:
         """What became of a request."""
         self._busy = False
-        if ask.op is Op.MULTI and result is not None:
+        if request.op is Op.MULTI and result is not None:
             error = next((row.error for op, row in result if op == Op.ERROR and row.error), 0)
         if error in HOPELESS:
             self._blocked = Error(error).name
-            self._say((ask.op, error), f"{ask.op.name} of {getattr(ask.row, 'path', self.path)} fails: {self._blocked}")
+            self._say(
+                (request.op, error),
+                f"{request.op.name} of {getattr(request.body, 'path', self.path)} fails: {self._blocked}",
+            )
             return
-        if ask.op is Op.SYNC:
+        if request.op is Op.SYNC:
             self._synced = True
-        elif ask.op is Op.GET_DATA:
+        elif request.op is Op.GET_DATA:
             self._looked(error, result)
-        elif ask.op is Op.GET_CHILDREN:
+        elif request.op is Op.GET_CHILDREN:
             self._listed(error, result)
-        elif ask.op is Op.CREATE and self._folders and ask.row.path == self._folders[0]:
+        elif request.op is Op.CREATE and self._folders and request.body.path == self._folders[0]:
             self._folders.pop(0)
-        elif ask.op is Op.CREATE and error == Error.NO_NODE:
+        elif request.op is Op.CREATE and error == Error.NO_NODE:
             parts = self.folder.split("/")[1:]
             self._folders = ["/" + "/".join(parts[: at + 1]) for at in range(len(parts))]
         else:
-            self._changed(ask, result)
+            self._changed(request, result)
         if self._doubted:
             self._doubt()
 
-    def _changed(self, ask: Ask, result: Any) -> None:
+    def _changed(self, request: Request, result: Any) -> None:
         """Done or not, the node is looked at: that also sets the watch on it."""
         self.found = Found.UNKNOWN
-        if ask.op is Op.CREATE and result is not None:
+        if request.op is Op.CREATE and result is not None:
             self.path = result.path
         elif self._prefix:
             self.path = ""
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -236,11 +236,11 @@
     def close(self, now: float) -> None:
         """Ask for the session's end; its ephemeral nodes go with it."""
         if self.state is State.CONNECTED:
-            self.ask(now, Op.CLOSE, r.EmptyRecord())
+            self.send_request(now, Op.CLOSE, r.EmptyRecord())
 
     # ---- requests ----------------------------------------------------------------------------
 
-    def ask(self, now: float, op: int, row: Any) -> int:
+    def send_request(self, now: float, op: int, row: Any) -> int:
         """Send a request while the session is up; the token comes back with the reply. Raises RuntimeError."""
         if self.state is not State.CONNECTED:
             raise RuntimeError("the session is not up")
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -52,11 +52,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class Request:
     """A request that is to be sent; whoever sends it brings back the reply with it."""
 
     op: Op
-    row: Any
+    body: Any
     name: str = ""  # of the node that it reads
     round: int = 0  # the full read that it belongs to
 
@@ -98,7 +98,7 @@
             self.out[name] = False
 
     def next(self) -> str | None:
-        """The next to ask for, if one may be asked for now."""
+        """The next to request for, if one may be asked for now."""
         while self.queue and len(self.out) < WINDOW:
             name = self.queue.popleft()
             if name in self.queued:
@@ -117,13 +117,13 @@
 
 
 class View:
-    """Follows the children of `path`; `asks` and `news` are to be taken after each event."""
+    """Follows the children of `path`; `requests` and `news` are to be taken after each event."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.phase = Phase.DISCONNECTED
         self._inside = path.rstrip("/") + "/"
-        self._asks: list[Ask] = []
+        self._requests: list[Request] = []
         self._news: list[ViewUpdate] = []
         self._round = 0
         self._plain = False  # whether only one-shot watches are to be had at this server
@@ -138,12 +138,12 @@
         self._fresh: dict[str, r.Data | None] = {}  # what the full read has found
         self._seen = False  # whether the folder has ever been read whole
 
-    def asks(self) -> list[Ask]:
+    def take_requests(self) -> list[Request]:
         """What is to be asked now."""
         while (name := self._reads.next()) is not None:
-            self._asks.append(Ask(Op.GET_DATA, r.Watching(self._inside + name, self._plain), name, self._round))
-        asks, self._asks = self._asks, []
-        return asks
+            self._requests.append(Request(Op.GET_DATA, r.Watching(self._inside + name, self._plain), name, self._round))
+        requests, self._requests = self._requests, []
+        return requests
 
     def take_updates(self) -> list[ViewUpdate]:
         """What has become known since the last time."""
@@ -152,7 +152,7 @@
 
     # ---- the connection ----------------------------------------------------------------------
 
-    def up(self, event: Connected) -> None:
+    def on_connected(self, event: Connected) -> None:
         """There is a connection; what happened before it is unknown, so all is read."""
         self._plain = self._drops >= DROPS_MOST
         self._read_all()
@@ -164,13 +164,13 @@
             self._adding = True
             self._ask(Op.ADD_WATCH, r.AddWatch(self.path, r.PERSISTENT_RECURSIVE))
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         """There is none: what was told stays, and what is on its way is lost."""
         if self._adding:
             self._drops += 1
         self._adding = False
         self.phase = Phase.DISCONNECTED
-        self._asks.clear()
+        self._requests.clear()
         self._reads = _Reads()
 
     def again(self) -> None:
@@ -187,7 +187,7 @@
         self._fresh, self._missing = {}, set()
 
     def _ask(self, op: Op, row: Any) -> None:
-        self._asks.append(Ask(op, row, round=self._round))
+        self._requests.append(Request(op, row, round=self._round))
 
     def _list(self) -> None:
         if self._listing:
@@ -198,7 +198,7 @@
 
     # ---- what watches tell -------------------------------------------------------------------
 
-    def told(self, kind: EventType, path: str) -> None:
+    def on_watch_triggered(self, kind: EventType, path: str) -> None:
         """A watch has told."""
         if self.phase is Phase.DISCONNECTED:
             return
@@ -230,22 +230,22 @@
 
     # ---- replies -----------------------------------------------------------------------------
 
-    def reply(self, ask: Ask, error: int, result: Any) -> None:
+    def on_reply(self, request: Request, error: int, result: Any) -> None:
         """What became of a request."""
         if self.phase is Phase.DISCONNECTED:
             return
-        if ask.op == Op.ADD_WATCH:
+        if request.op == Op.ADD_WATCH:
             # Guards against a deaf view: it is of the connection, and counts whichever full read is going on by now.
             self._added(error)
-        elif ask.round != self._round:
+        elif request.round != self._round:
             return  # of a read that was begun anew since
-        elif ask.op == Op.GET_CHILDREN2:
+        elif request.op == Op.GET_CHILDREN2:
             self._listed(error, result)
-        elif ask.op == Op.GET_DATA:
-            if self._reads.came(ask.name):
-                self._read(ask.name, error, result)
+        elif request.op == Op.GET_DATA:
+            if self._reads.came(request.name):
+                self._read(request.name, error, result)
                 self._check_whole()
-        elif ask.op == Op.EXISTS and not error:
+        elif request.op == Op.EXISTS and not error:
             self._list()  # it was made between the two requests
 
     def _added(self, error: int) -> None:
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -23,11 +23,11 @@
 
     def __init__(self, sequential: bool = False) -> None:
         super().__init__()
-        self.link.remove(self.view)
+        self.multiplexer.remove(self.view)
         self.registration = Registration(
             FOLDER, "box", b"ours", lambda data: data.startswith(b"ours"), "f00" if sequential else ""
         )
-        self.link.add(self.registration, self.now)
+        self.multiplexer.add(self.registration, self.now)
         self.most = 0  # nodes of ours at one time
         self.cluster.ensemble.listeners.append(lambda _: self.count())
 
@@ -40,7 +40,7 @@
 
     def want(self, wanted: bool) -> None:
         self.registration.want(wanted)
-        self.link.turn(self.now)
+        self.multiplexer.turn(self.now)
 
     def lines(self) -> list[str]:
         return self.registration.take_news()
@@ -100,7 +100,7 @@
 
     def write(self) -> None:
         self.registration.write(b"ours" + str(self.chance.random()).encode())
-        self.link.turn(self.now)
+        self.multiplexer.turn(self.now)
 
 
 @settings(max_examples=300, deadline=None)
@@ -221,7 +221,7 @@
         asked = sum(server.asked[Op.CREATE] for server in world.servers)
         world.settle()
         world.registration.again()
-        world.link.turn(world.now)
+        world.multiplexer.turn(world.now)
         world.settle()
         assert sum(server.asked[Op.CREATE] for server in world.servers) == asked + 1 and world.lines() == []
         assert world.session.state is State.CONNECTED
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -142,7 +142,7 @@
             (Op.EXISTS, r.Watching("/new", True)),
             (Op.GET_CHILDREN2, r.Watching("/", True)),
         ):
-            world.session.ask(world.now, op, row)
+            world.session.send_request(world.now, op, row)
         world.settle()
         world.disconnect()
         world.cluster.write("/w", b"2")
@@ -159,7 +159,7 @@
 def test_watches_are_set_again_in_requests_that_a_server_takes() -> None:
     session = accepted()
     for at in range(3000):
-        session.ask(0.0, Op.EXISTS, r.Watching(f"/{at:0100d}", True))
+        session.send_request(0.0, Op.EXISTS, r.Watching(f"/{at:0100d}", True))
         session.received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
     session.lost("cut")
     session.opened(1.0)
@@ -183,7 +183,7 @@
     async def run() -> None:
         world = up(World())
         first = world.session.id
-        world.session.ask(world.now, Op.EXISTS, r.Watching("/new", True))
+        world.session.send_request(world.now, Op.EXISTS, r.Watching("/new", True))
         world.settle()
         world.disconnect()
         world.cluster.ensemble.end(first)
@@ -211,7 +211,7 @@
         session.lost("cut")
         session.opened(1.0)
         session.received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
-        token = session.ask(1.0, Op.SYNC, r.Path("/"))
+        token = session.send_request(1.0, Op.SYNC, r.Path("/"))
         old = encode(r.ReplyHeader(token, 499, 0)) + encode(r.Path("/"))
         assert session.received(1.0, length_prefixed(old)) == [
             Disconnected("it is behind what other servers have shown")
@@ -245,7 +245,7 @@
 
 def test_an_old_server_that_answers_addwatch_without_a_body_does_not_know_it() -> None:
     session = accepted()
-    token = session.ask(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
+    token = session.send_request(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
     events = session.received(0.0, length_prefixed(encode(r.ReplyHeader(token, 1, 0))))
     assert events == [Reply(token, Op.ADD_WATCH, Error.UNIMPLEMENTED, None)]
 
@@ -278,7 +278,7 @@
 )
 def test_what_is_no_zookeepers_costs_that_connection_and_no_memory(data: bytes) -> None:
     session = accepted()
-    session.ask(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
+    session.send_request(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
     [event] = session.received(0.0, data)
     assert isinstance(event, Disconnected) and "no ZooKeeper's" in event.reason and session.due() == float("inf")
     session.opened(1.0)
@@ -305,8 +305,8 @@
         )
     )
     session = accepted()
-    session.ask(0.0, Op.GET_DATA, r.Watching("/a", True))
-    session.ask(0.0, Op.GET_DATA, r.Watching("/b", True))
+    session.send_request(0.0, Op.GET_DATA, r.Watching("/a", True))
+    session.send_request(0.0, Op.GET_DATA, r.Watching("/b", True))
     places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
     events = [event for one, two in pairwise(places) for event in session.received(0.0, data[one:two])]
     assert events == [
@@ -320,7 +320,7 @@
     session = accepted()
     session.lost("cut")
     with pytest.raises(RuntimeError):
-        session.ask(0.0, Op.SYNC, r.Path("/"))
+        session.send_request(0.0, Op.SYNC, r.Path("/"))
 
 
 def test_a_server_that_closes_before_it_takes_the_session_may_be_behind() -> None:
@@ -335,4 +335,4 @@
 def test_request_numbers_begin_again_before_they_overflow() -> None:
     session = accepted()
     session._xid = XID_MOST - 1
-    assert [session.ask(0.0, Op.SYNC, r.Path("/")) for _ in range(2)] == [XID_MOST, 1]
+    assert [session.send_request(0.0, Op.SYNC, r.Path("/")) for _ in range(2)] == [XID_MOST, 1]
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -380,7 +380,7 @@
         world.disconnect()
         world.cluster.ensemble.end(world.session.id)
         assert world.news == [] and world.follower.nodes.keys() == {"a"}
-        world.view.told(EventType.DELETED, "/boxes/a")  # what a former connection left over
+        world.view.on_watch_triggered(EventType.DELETED, "/boxes/a")  # what a former connection left over
         assert world.view.take_updates() == []
 
     inside(run())
@@ -439,7 +439,7 @@
         assert world.news == [ReadFailed(Error.NO_AUTH)] and world.view.phase is Phase.READING
         world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
         world.view.again()
-        world.link.turn(world.now)
+        world.multiplexer.turn(world.now)
         world.settle()
         assert world.follower.nodes.keys() == {"a"}
 
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -8,7 +8,7 @@
 
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Connection, Server
-from lugspur.zookeeper.link import Link
+from lugspur.zookeeper.link import SessionMultiplexer
 from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Snapshot, View, ViewUpdate
 
@@ -70,14 +70,14 @@
         self.cluster = Cluster()
         self.servers = [Server(self.cluster.ensemble, at) for at in range(servers)]
         self.session = Session(options or SessionOptions(), servers)
-        self.link = Link(self.session)
+        self.multiplexer = SessionMultiplexer(self.session)
         self.view = View(path)
         self.follower = Follower()
         self.news: list[ViewUpdate] = []
         self.events: list[Event] = []
         self.connection: Connection | None = None
         self.pipe = Pipe()
-        self.link.add(self.view, self.now)
+        self.multiplexer.add(self.view, self.now)
 
     def connect(self, at: int = 0) -> None:
         """A new connection; the one before is lost."""
@@ -94,7 +94,7 @@
 
     def handle(self, events: list[Event]) -> None:
         self.events += events
-        self.link.handle(self.now, events)
+        self.multiplexer.handle(self.now, events)
         news = self.view.take_updates()
         self.news += news
         self.follower.hear(news)
