--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -117,7 +117,7 @@
             elif isinstance(event, Expired):
                 self.staleness.record_session_expiry()
             elif isinstance(event, Disconnected):
-                self.staleness.record_disconnection(now, self._session.client.session.heard, event.reason)
+                self.staleness.record_disconnection(now, self._session.client.session.last_heard_at, event.reason)
         for change in self.view.take_updates():
             self._receive(change, now)
         self._deliver_soon(now)
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -7,7 +7,16 @@
 from collections.abc import Callable, Sequence
 
 from lugspur.zookeeper.link import SessionMultiplexer, SessionUser
-from lugspur.zookeeper.session import CLOSED, Connected, Disconnected, Event, Expired, Session, SessionOptions, State
+from lugspur.zookeeper.session import (
+    CLOSED_REASON,
+    Connected,
+    Disconnected,
+    Event,
+    Expired,
+    Session,
+    SessionOptions,
+    State,
+)
 
 Address = tuple[str, int]
 RETRY_FIRST, RETRY_MOST = 0.05, 2.0  # seconds between two rounds through all servers, doubling
@@ -63,7 +72,7 @@
     def abort(self) -> None:
         """Let go of the connection at once; the session ends when its time-out is over."""
         session = self.session
-        self._after(session.lost("it is given up"))
+        self._after(session.connection_lost("it is given up"))
         session.state = State.CLOSED
         if self._task is not None:
             self._task.cancel()
@@ -102,7 +111,7 @@
         """One connection, until it ends."""
         self._wire = wire = _Wire(self)
         try:
-            async with asyncio.timeout(self.session.attempt):
+            async with asyncio.timeout(self.session.connect_timeout):
                 await self._loop.create_connection(lambda: wire, *address)
             self.server = address
             await wire.ended
@@ -122,16 +131,16 @@
 
     def opened(self) -> None:
         """The connection is up."""
-        self.session.opened(self._loop.time())
+        self.session.connection_made(self._loop.time())
         self.flush()
 
     def received(self, data: bytes) -> None:
         """Bytes of the server."""
-        self._after(self.session.received(self._loop.time(), data))
+        self._after(self.session.data_received(self._loop.time(), data))
 
     def lost(self) -> None:
         """The connection is over."""
-        self._after(self.session.lost(CLOSED))
+        self._after(self.session.connection_lost(CLOSED_REASON))
 
     def _tick(self) -> None:
         self._after(self.session.tick(self._loop.time()))
@@ -146,12 +155,12 @@
 
     def flush(self) -> None:
         """Send what is to be sent, and wake up when the session wants it."""
-        data = self.session.take()
+        data = self.session.take_output()
         if data and self._wire is not None:
             self._wire.write(data)
         if self._timer is not None:
             self._timer.cancel()
-        due = self.session.due()
+        due = self.session.next_tick_at()
         if due != float("inf"):
             self._timer = self._loop.call_at(due, self._tick)
 
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -7,7 +7,7 @@
 
 from lugspur.zookeeper.jute import InputArchive, Int, JuteDecodeError, Long, decode, encode, record
 
-PING_XID, AUTH_XID, WATCHES_XID, EVENT_XID = -2, -4, -8, -1
+PING_XID, AUTH_XID, SET_WATCHES_XID, EVENT_XID = -2, -4, -8, -1
 NO_PASSWORD = bytes(16)
 ANY_VERSION = -1  # a version that fits any
 
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -16,11 +16,11 @@
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 from lugspur.zookeeper.session import (
-    BEHIND,
-    CLOSED,
-    FRAME_MOST,
-    WATCHES_MOST,
-    XID_MOST,
+    BEHIND_REASON,
+    CLOSED_REASON,
+    MAX_FRAME_BYTES,
+    MAX_WATCH_PATH_BYTES,
+    MAX_XID,
     Connected,
     Disconnected,
     Expired,
@@ -43,10 +43,10 @@
 def accepted(timeout: float = 9.0, session: int = 5) -> Session:
     """A session that a server has taken, without any server."""
     made = Session(SessionOptions(timeout))
-    made.opened(0.0)
-    made.take()
+    made.connection_made(0.0)
+    made.take_output()
     answer = r.ConnectResponse(0, int(timeout * 1000), session, b"p" * 16)
-    assert made.received(0.0, length_prefixed(encode(answer) + b"\0")) == [Connected(True, session, timeout)]
+    assert made.data_received(0.0, length_prefixed(encode(answer) + b"\0")) == [Connected(True, session, timeout)]
     return made
 
 
@@ -93,23 +93,25 @@
 
 def test_a_ping_goes_out_after_a_third_of_the_time_out_and_silence_ends_the_connection_after_two() -> None:
     session = accepted(9.0)
-    assert session.due() == 3.0 and session.tick(2.9) == [] and session.take() == b""
+    assert session.next_tick_at() == 3.0 and session.tick(2.9) == [] and session.take_output() == b""
     session.tick(3.0)
-    assert decode(r.RequestHeader, InputArchive(session.take()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
+    assert decode(r.RequestHeader, InputArchive(session.take_output()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
     assert session.tick(5.9) == []
     assert session.tick(6.0) == [Disconnected("it says nothing")] and session.state is State.DISCONNECTED
 
 
 def test_any_word_of_the_server_counts_as_life() -> None:
     session = accepted(9.0)
-    session.received(5.0, length_prefixed(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
+    session.data_received(5.0, length_prefixed(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
     assert session.tick(6.0) == [] and session.tick(11.0) == [Disconnected("it says nothing")]
 
 
 def test_a_server_that_does_not_take_the_session_is_left_in_time_for_all_others() -> None:
-    session = Session(SessionOptions(9.0), servers=4)
-    session.opened(0.0)
-    assert session.attempt * 3 <= 9.0 / 3.0 and session.tick(session.attempt) == [Disconnected("it says nothing")]
+    session = Session(SessionOptions(9.0), server_count=4)
+    session.connection_made(0.0)
+    assert session.connect_timeout * 3 <= 9.0 / 3.0 and session.tick(session.connect_timeout) == [
+        Disconnected("it says nothing")
+    ]
 
 
 def test_a_process_that_was_stopped_for_longer_than_its_session_asks_a_server_before_it_believes_anything() -> None:
@@ -160,18 +162,18 @@
     session = accepted()
     for at in range(3000):
         session.send_request(0.0, Op.EXISTS, r.Watching(f"/{at:0100d}", True))
-        session.received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
-    session.lost("cut")
-    session.opened(1.0)
-    session.take()
-    session.received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
+        session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
+    session.connection_lost("cut")
+    session.connection_made(1.0)
+    session.take_output()
+    session.data_received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
     paths: set[str] = set()
-    sent = session.take()
+    sent = session.take_output()
     while sent:
         length = int.from_bytes(sent[:4], "big")
-        assert length < WATCHES_MOST + 300
+        assert length < MAX_WATCH_PATH_BYTES + 300
         source = InputArchive(sent[4 : 4 + length])
-        assert decode(r.RequestHeader, source).xid == r.WATCHES_XID
+        assert decode(r.RequestHeader, source).xid == r.SET_WATCHES_XID
         row = decode(r.SetWatches, source)
         assert row.since == 9
         paths.update(row.exists)
@@ -208,12 +210,12 @@
         # A server that does not check takes the client in: its first reply shows what it is.
         session = accepted()
         session.zxid = 500
-        session.lost("cut")
-        session.opened(1.0)
-        session.received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
+        session.connection_lost("cut")
+        session.connection_made(1.0)
+        session.data_received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
         token = session.send_request(1.0, Op.SYNC, r.Path("/"))
         old = encode(r.ReplyHeader(token, 499, 0)) + encode(r.Path("/"))
-        assert session.received(1.0, length_prefixed(old)) == [
+        assert session.data_received(1.0, length_prefixed(old)) == [
             Disconnected("it is behind what other servers have shown")
         ]
 
@@ -223,8 +225,8 @@
 @pytest.mark.parametrize("wanted", [False, True])
 def test_a_read_only_server_is_refused_unless_asked_for(wanted: bool) -> None:
     session = Session(SessionOptions(read_only=wanted))
-    session.opened(0.0)
-    events = session.received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
+    session.connection_made(0.0)
+    events = session.data_received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
     assert events == ([Connected(True, 5, 9.0)] if wanted else [Disconnected("it is read-only")])
 
 
@@ -246,7 +248,7 @@
 def test_an_old_server_that_answers_addwatch_without_a_body_does_not_know_it() -> None:
     session = accepted()
     token = session.send_request(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
-    events = session.received(0.0, length_prefixed(encode(r.ReplyHeader(token, 1, 0))))
+    events = session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(token, 1, 0))))
     assert events == [Reply(token, Op.ADD_WATCH, Error.UNIMPLEMENTED, None)]
 
 
@@ -268,7 +270,7 @@
     [
         (1 << 30).to_bytes(4, "big"),
         b"\xff\xff\xff\xff",
-        (FRAME_MOST + 1).to_bytes(4, "big"),
+        (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
         length_prefixed(b""),
         length_prefixed(b"short"),
         length_prefixed(encode(r.ReplyHeader(77, 1, 0))),
@@ -279,9 +281,11 @@
 def test_what_is_no_zookeepers_costs_that_connection_and_no_memory(data: bytes) -> None:
     session = accepted()
     session.send_request(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
-    [event] = session.received(0.0, data)
-    assert isinstance(event, Disconnected) and "no ZooKeeper's" in event.reason and session.due() == float("inf")
-    session.opened(1.0)
+    [event] = session.data_received(0.0, data)
+    assert (
+        isinstance(event, Disconnected) and "no ZooKeeper's" in event.reason and session.next_tick_at() == float("inf")
+    )
+    session.connection_made(1.0)
     assert session.state is State.CONNECTING  # the next connection begins clean
 
 
@@ -289,8 +293,8 @@
 def test_no_bytes_of_a_server_raise(data: bytes, taken: bool) -> None:
     session = accepted() if taken else Session(SessionOptions())
     if not taken:
-        session.opened(0.0)
-    session.received(0.0, data)
+        session.connection_made(0.0)
+    session.data_received(0.0, data)
 
 
 @given(st.lists(st.integers(min_value=0, max_value=400), max_size=8))
@@ -308,7 +312,7 @@
     session.send_request(0.0, Op.GET_DATA, r.Watching("/a", True))
     session.send_request(0.0, Op.GET_DATA, r.Watching("/b", True))
     places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
-    events = [event for one, two in pairwise(places) for event in session.received(0.0, data[one:two])]
+    events = [event for one, two in pairwise(places) for event in session.data_received(0.0, data[one:two])]
     assert events == [
         Reply(1, Op.GET_DATA, 0, r.Data(b"x" * 50, stat)),
         WatchTriggered(EventType.CHANGED, "/a"),
@@ -318,21 +322,21 @@
 
 def test_no_request_goes_out_without_a_server() -> None:
     session = accepted()
-    session.lost("cut")
+    session.connection_lost("cut")
     with pytest.raises(RuntimeError):
         session.send_request(0.0, Op.SYNC, r.Path("/"))
 
 
 def test_a_server_that_closes_before_it_takes_the_session_may_be_behind() -> None:
     session = Session(SessionOptions())
-    session.opened(0.0)
-    assert session.lost(CLOSED) == [Disconnected(CLOSED)]  # nothing was seen yet
+    session.connection_made(0.0)
+    assert session.connection_lost(CLOSED_REASON) == [Disconnected(CLOSED_REASON)]  # nothing was seen yet
     session.zxid = 7
-    session.opened(1.0)
-    assert session.lost(CLOSED) == [Disconnected(BEHIND)]
+    session.connection_made(1.0)
+    assert session.connection_lost(CLOSED_REASON) == [Disconnected(BEHIND_REASON)]
 
 
 def test_request_numbers_begin_again_before_they_overflow() -> None:
     session = accepted()
-    session._xid = XID_MOST - 1
-    assert [session.send_request(0.0, Op.SYNC, r.Path("/")) for _ in range(2)] == [XID_MOST, 1]
+    session._xid = MAX_XID - 1
+    assert [session.send_request(0.0, Op.SYNC, r.Path("/")) for _ in range(2)] == [MAX_XID, 1]
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -342,7 +342,7 @@
             world.connect()
             world.send()
             world.receive()
-            assert world.session.take()  # addWatch is among it; the server hangs up
+            assert world.session.take_output()  # addWatch is among it; the server hangs up
             world.disconnect()
         world.connect()
         world.settle()
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -84,13 +84,13 @@
         self.disconnect()
         self.connection, self.pipe = Connection(self.servers[at]), Pipe()
         self.connection.connection_made(self.pipe)
-        self.session.opened(self.now)
+        self.session.connection_made(self.now)
 
     def disconnect(self) -> None:
         if self.connection is not None:
             self.connection.connection_lost(None)
             self.connection = None
-            self.handle(self.session.lost("it is cut"))
+            self.handle(self.session.connection_lost("it is cut"))
 
     def handle(self, events: list[Event]) -> None:
         self.events += events
@@ -101,7 +101,7 @@
 
     def send(self) -> bool:
         """What the session has to say, to the server; gives whether there was anything."""
-        data = self.session.take()
+        data = self.session.take_output()
         if data and self.connection is not None:
             self.connection.data_received(data)
         return bool(data)
@@ -110,7 +110,7 @@
         """What the server has written, or so many bytes of it, to the session."""
         data, self.pipe.data = self.pipe.data[:most], self.pipe.data[most:] if most else b""
         if data:
-            self.handle(self.session.received(self.now, data))
+            self.handle(self.session.data_received(self.now, data))
         if not self.pipe.data and self.pipe.closed:
             self.disconnect()
         return bool(data)
