--- a/lugspur/discovery/backend_registration.py
+++ b/lugspur/discovery/backend_registration.py
@@ -109,7 +109,7 @@
         self._session.remove_user(self.registration)
 
     def _flush(self) -> None:
-        self._session.client.turn()
+        self._session.client.send_requests()
         self._on_events([])
 
     def _on_events(self, events: list[Event]) -> None:
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -154,7 +154,7 @@
 
     def _retry_read(self) -> None:
         self.view.again()
-        self._session.client.turn()
+        self._session.client.send_requests()
 
     def _check_staleness(self, now: float) -> None:
         self.staleness.tick(now)
--- a/lugspur/zookeeper/link.py
+++ b/lugspur/zookeeper/link.py
@@ -44,14 +44,14 @@
         self.session = session
         self.users: list[SessionUser] = []
         self._owners: dict[int, tuple[SessionUser, Any]] = {}
-        self._up: Connected | None = None
+        self._connected: Connected | None = None
 
     def add(self, user: SessionUser, now: float) -> None:
         """One more; it is told at once where the session is up."""
         self.users.append(user)
-        if self._up is not None:
-            user.on_connected(self._up)
-            self.turn(now)
+        if self._connected is not None:
+            user.on_connected(self._connected)
+            self.send_requests(now)
 
     def remove(self, user: SessionUser) -> None:
         """One less; replies to it are dropped."""
@@ -67,13 +67,13 @@
                     owner[0].on_reply(owner[1], event.error, event.result)
                 continue
             if isinstance(event, Connected | Disconnected):
-                self._up = event if isinstance(event, Connected) else None
+                self._connected = event if isinstance(event, Connected) else None
                 self._owners.clear()
             for user in tuple(self.users):
-                _tell(user, event)
-        self.turn(now)
+                _notify(user, event)
+        self.send_requests(now)
 
-    def turn(self, now: float) -> None:
+    def send_requests(self, now: float) -> None:
         """Send what the users want asked."""
         for user in self.users:
             requests = user.take_requests()
@@ -82,7 +82,7 @@
                     self._owners[self.session.send_request(now, request.op, request.body)] = user, request
 
 
-def _tell(user: SessionUser, event: Event) -> None:
+def _notify(user: SessionUser, event: Event) -> None:
     if isinstance(event, Connected):
         user.on_connected(event)
     elif isinstance(event, Disconnected):
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -31,7 +31,7 @@
 
     def at(self) -> Server:
         """The server that the client is at."""
-        return next(server for server in self.cluster.servers if server.address == self.client.server)
+        return next(server for server in self.cluster.servers if server.address == self.client.server_address)
 
     def count(self, kind: type) -> int:
         return sum(isinstance(event, kind) for event in self.events)
@@ -186,13 +186,13 @@
         chance = random.Random(number)
         async with world(options=SessionOptions(3.0)) as w:
             follower = Follower()
-            heard = w.client._heard
+            heard = w.client._on_events
 
             def hear(events: list[Event]) -> None:
                 heard(events)
                 follower.hear(w.view.take_updates())
 
-            w.client._heard = hear
+            w.client._on_events = hear
             cluster, servers = w.cluster, w.cluster.servers
 
             def change(path: str) -> None:
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -40,7 +40,7 @@
 
     def want(self, wanted: bool) -> None:
         self.registration.want(wanted)
-        self.multiplexer.turn(self.now)
+        self.multiplexer.send_requests(self.now)
 
     def lines(self) -> list[str]:
         return self.registration.take_news()
@@ -100,7 +100,7 @@
 
     def write(self) -> None:
         self.registration.write(b"ours" + str(self.chance.random()).encode())
-        self.multiplexer.turn(self.now)
+        self.multiplexer.send_requests(self.now)
 
 
 @settings(max_examples=300, deadline=None)
@@ -221,7 +221,7 @@
         asked = sum(server.asked[Op.CREATE] for server in world.servers)
         world.settle()
         world.registration.again()
-        world.multiplexer.turn(world.now)
+        world.multiplexer.send_requests(world.now)
         world.settle()
         assert sum(server.asked[Op.CREATE] for server in world.servers) == asked + 1 and world.lines() == []
         assert world.session.state is State.CONNECTED
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -439,7 +439,7 @@
         assert world.news == [ReadFailed(Error.NO_AUTH)] and world.view.phase is Phase.READING
         world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
         world.view.again()
-        world.multiplexer.turn(world.now)
+        world.multiplexer.send_requests(world.now)
         world.settle()
         assert world.follower.nodes.keys() == {"a"}
 
