--- a/lugspur/discovery/backend_registration.py
+++ b/lugspur/discovery/backend_registration.py
@@ -86,18 +86,18 @@
         """Record the result of a health check; for a backend without checks, one HEALTHY result is recorded."""
         self.health.record(result, int(self._clock() * 1000))
         if self.health.is_healthy:
-            self.registration.write(self.backend.node_data(self.health.started_ms))
-        self.registration.want(self.health.is_healthy)
+            self.registration.set_data(self.backend.node_data(self.health.started_ms))
+        self.registration.set_wanted(self.health.is_healthy)
         self._flush()
 
     async def deregister(self) -> None:
         """Delete the node, and wait until the registry has confirmed the deletion or the timeout has passed."""
-        self.registration.want(False)
+        self.registration.set_wanted(False)
         self._progress.clear()
         self._flush()
         try:
             async with asyncio.timeout(DEREGISTRATION_TIMEOUT_SECONDS):
-                while not self.registration.settled:
+                while not self.registration.is_settled:
                     self._progress.clear()
                     await self._progress.wait()
         except TimeoutError:
@@ -113,7 +113,7 @@
         self._on_events([])
 
     def _on_events(self, events: list[Event]) -> None:
-        for line in self.registration.take_news():
+        for line in self.registration.take_log_lines():
             self._log(line)
         self._progress.set()
         if self._retry_timer is None:
@@ -121,7 +121,7 @@
 
     def _retry(self) -> None:
         self._retry_timer = None
-        self.registration.again()
+        self.registration.retry()
         self._flush()
 
     def _log(self, line: str) -> None:
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -1,8 +1,8 @@
-"""A node that tells that somebody is there, without I/O: made once, made again when lost, deleted first at the end.
+"""Registration of a backend by an ephemeral node: created once, recreated when it is lost, deleted on request. No I/O.
 
-One request is out at a time, and after each connection the registry is looked at before anything is made: a `create`
-whose reply was lost may have been done. A plain node has a name of its own; a sequential one carries `ident`, which
-nobody else uses, so that it is known again (Curator calls that protection).
+At most one request is in flight. After each connection the registry is read before a node is created, as a `create`
+whose reply was lost may have been executed. A plain node has a name of its own. The name of a sequential node contains
+`sequence_id`, which no other registration uses, so that the node is recognized (Curator calls this protection).
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 from lugspur.zookeeper.records import CreateMode, Error, EventType, Op
 from lugspur.zookeeper.session import Connected
 
-HOPELESS = frozenset(
-    {  # errors that the same request meets again until somebody changes something
+#: Errors that a repeated request causes again, until an operator changes the registry or the settings.
+PERMANENT_ERRORS = frozenset(
+    {
         Error.NO_AUTH,
         Error.INVALID_ACL,
         Error.BAD_ARGUMENTS,
@@ -30,132 +31,135 @@
 )
 
 
-class Found(Enum):
-    """What is known of the node."""
+class NodeStatus(Enum):
+    """What is known about the node."""
 
     UNKNOWN = auto()
-    NONE = auto()
-    OURS = auto()  # made in this session
-    FORMER = auto()  # the same box's, of a session that has not expired yet
-    OTHERS = auto()  # somebody else's of the same name
+    ABSENT = auto()
+    OWN = auto()  # created in the current session
+    FORMER_SESSION = auto()  # created by the same backend in an earlier session, which has not expired yet
+    FOREIGN = auto()  # a node with the same name that another process has created
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request that is to be sent."""
+    """A request to be sent."""
 
     op: Op
     body: Any
 
 
 class Registration:
-    """Keeps one ephemeral node for as long as it is wanted; `take_news` gives lines for the log.
+    """Keeps one ephemeral node while it is wanted.
 
-    `same` tells of a node's data whether it is this box's own, from before its session was lost or it was restarted.
+    `is_own_data` returns whether a node with this data belongs to this backend, from before its session was lost or the
+    process was restarted.
     """
 
-    def __init__(self, folder: str, name: str, data: bytes, same: Callable[[bytes], bool], ident: str = "") -> None:
-        self.folder = folder.rstrip("/")
-        self._prefix = f"{self.folder}/{name}-{ident}-" if ident else ""
-        self.path = "" if ident else f"{self.folder}/{name}"
+    def __init__(
+        self, directory: str, name: str, data: bytes, is_own_data: Callable[[bytes], bool], sequence_id: str = ""
+    ) -> None:
+        self.directory = directory.rstrip("/")
+        self._prefix = f"{self.directory}/{name}-{sequence_id}-" if sequence_id else ""
+        self.path = "" if sequence_id else f"{self.directory}/{name}"
         self.data = data
-        self.found = Found.UNKNOWN
-        self.wanted = False
-        self._session = 0
-        self._up = False
-        self._busy = False
-        self._synced = False  # whether this connection shows all that was done before it
-        self._doubted = False  # something was told while a request was out
+        self.status = NodeStatus.UNKNOWN
+        self.is_wanted = False
+        self._session_id = 0
+        self._is_connected = False
+        self._is_busy = False  # whether a request is in flight
+        self._is_synced = False  # whether the server has replied to a `sync` on this connection
+        self._is_outdated = False  # whether a watch was triggered while a request was in flight
         self._version = 0
-        self._held = b""  # the data of the node that was found
-        self._folders: list[str] = []  # still to be made, from the top
-        self._blocked = ""
-        self._same = same
-        self._said: object = None  # what was told last, to tell it once
-        self._news: list[str] = []
+        self._stored_data = b""  # the data of the node in the registry
+        self._missing_directories: list[str] = []  # directories that have to be created, the topmost first
+        self._blocking_error = ""  # name of a permanent error, after which no requests are sent until `retry`
+        self._is_own_data = is_own_data
+        self._last_logged: object = None  # subject of the last log line; a repeated one is not logged
+        self._log_lines: list[str] = []
 
-    # ---- what its owner wants ------------------------------------------------------------------
+    # ---- methods of the owner ------------------------------------------------------------------
 
-    def want(self, wanted: bool) -> None:
-        """Whether it is to be there from now on."""
-        self.wanted = wanted
+    def set_wanted(self, wanted: bool) -> None:
+        """Set whether the node should exist."""
+        self.is_wanted = wanted
 
-    def write(self, data: bytes) -> None:
-        """What it is to say from now on."""
+    def set_data(self, data: bytes) -> None:
+        """Set the data that the node should have."""
         self.data = data
 
-    def again(self) -> None:
-        """Try once more what an error has stopped."""
-        self._blocked = ""
+    def retry(self) -> None:
+        """Retry after an error that has stopped the registration."""
+        self._blocking_error = ""
 
     @property
-    def settled(self) -> bool:
-        """Whether the registry holds what is wanted, as far as is known."""
-        if self.wanted:
-            return self.found is Found.OURS and self._held == self.data
-        return self.found in (Found.NONE, Found.OTHERS)
+    def is_settled(self) -> bool:
+        """Whether the registry is in the requested state, according to the last replies."""
+        if self.is_wanted:
+            return self.status is NodeStatus.OWN and self._stored_data == self.data
+        return self.status in (NodeStatus.ABSENT, NodeStatus.FOREIGN)
 
-    def take_news(self) -> list[str]:
-        """Lines for the log since the last time."""
-        news, self._news = self._news, []
-        return news
+    def take_log_lines(self) -> list[str]:
+        """Return the log lines since the last call."""
+        log_lines, self._log_lines = self._log_lines, []
+        return log_lines
 
     # ---- the session ---------------------------------------------------------------------------
 
     def on_connected(self, event: Connected) -> None:
-        """There is a connection; what became of earlier requests is to be looked at."""
-        if event.is_new_session and self._session:
-            self._news.append("the session was lost; registering again")
-        self._session, self._up = event.session_id, True
-        self._busy, self._doubted, self._synced, self._blocked = False, False, False, ""
-        self.found = Found.UNKNOWN
-        self._folders = []
+        """Reset the state: the outcome of earlier requests is unknown."""
+        if event.is_new_session and self._session_id:
+            self._log_lines.append("the session has expired; registering again")
+        self._session_id, self._is_connected = event.session_id, True
+        self._is_busy, self._is_outdated, self._is_synced, self._blocking_error = False, False, False, ""
+        self.status = NodeStatus.UNKNOWN
+        self._missing_directories = []
         if self._prefix:
-            self.path = ""  # Guards against a replacement whose reply was lost: it has another number
+            self.path = ""  # a replacement whose reply was lost has another sequence number
 
     def on_disconnected(self) -> None:
-        """There is none."""
-        self._up = False
+        """Stop sending requests until the next connection."""
+        self._is_connected = False
 
     def on_watch_triggered(self, kind: EventType, path: str) -> None:
-        """Somebody has touched the node, or its session has ended."""
+        """Read the node again: it has been changed, or its session has ended."""
         if path == self.path and kind is not EventType.CHILDREN:
-            self._doubted = True
-            if not self._busy:
-                self._doubt()
+            self._is_outdated = True
+            if not self._is_busy:
+                self._invalidate()
 
-    def _doubt(self) -> None:
-        self._doubted = False
-        self.found = Found.UNKNOWN
+    def _invalidate(self) -> None:
+        self._is_outdated = False
+        self.status = NodeStatus.UNKNOWN
 
     def take_requests(self) -> list[Request]:
-        """The next request, if one is to be sent now."""
-        if not self._up or self._busy or self._blocked:
+        """Return the next request, if one has to be sent now."""
+        if not self._is_connected or self._is_busy or self._blocking_error:
             return []
-        request = self._next()
-        self._busy = request is not None
+        request = self._next_request()
+        self._is_busy = request is not None
         return [] if request is None else [request]
 
-    def _next(self) -> Request | None:
-        if not self._synced:
-            # Guards against a server that lags behind a `create` whose reply was lost: it would show no node.
-            return Request(Op.SYNC, r.Path(self.folder))
-        if self.found is Found.UNKNOWN:
+    def _next_request(self) -> Request | None:
+        if not self._is_synced:
+            # A server that lags behind a `create` whose reply was lost would not show the node.
+            return Request(Op.SYNC, r.Path(self.directory))
+        if self.status is NodeStatus.UNKNOWN:
             if self._prefix and not self.path:
-                return Request(Op.GET_CHILDREN, r.Watching(self.folder or "/", False))
+                return Request(Op.GET_CHILDREN, r.Watching(self.directory or "/", False))
             return Request(Op.GET_DATA, r.Watching(self.path, True))
-        if not self.wanted:
-            ours = self.found in (Found.OURS, Found.FORMER)
-            return Request(Op.DELETE, r.Delete(self.path, self._version)) if ours else None
-        if self._folders:
-            return Request(Op.CREATE, r.Create(self._folders[0], b"", r.OPEN_ACL, CreateMode.PERSISTENT))
-        if self.found is Found.NONE:
+        if not self.is_wanted:
+            is_own = self.status in (NodeStatus.OWN, NodeStatus.FORMER_SESSION)
+            return Request(Op.DELETE, r.Delete(self.path, self._version)) if is_own else None
+        if self._missing_directories:
+            return Request(Op.CREATE, r.Create(self._missing_directories[0], b"", r.OPEN_ACL, CreateMode.PERSISTENT))
+        if self.status is NodeStatus.ABSENT:
             return Request(Op.CREATE, self._create())
-        if self.found is Found.FORMER:
-            # In one step: nobody sees the box missing, and nobody else's of the same name is deleted.
+        if self.status is NodeStatus.FORMER_SESSION:
+            # One transaction: the backend is never missing, and no node of another process with this name is deleted.
             delete = (int(Op.DELETE), r.Delete(self.path, self._version))
             return Request(Op.MULTI, (delete, (int(Op.CREATE), self._create())))
-        if self.found is Found.OURS and self._held != self.data:
+        if self.status is NodeStatus.OWN and self._stored_data != self.data:
             return Request(Op.SET_DATA, r.SetData(self.path, self.data, self._version))
         return None
 
@@ -167,70 +171,72 @@
     # ---- replies -------------------------------------------------------------------------------
 
     def on_reply(self, request: Request, error: int, result: Any) -> None:
-        """What became of a request."""
-        self._busy = False
+        """Process the reply to a request."""
+        self._is_busy = False
         if request.op is Op.MULTI and result is not None:
-            error = next((row.error for op, row in result if op == Op.ERROR and row.error), 0)
-        if error in HOPELESS:
-            self._blocked = Error(error).name
-            self._say(
+            error = next((part.error for op, part in result if op == Op.ERROR and part.error), 0)
+        if error in PERMANENT_ERRORS:
+            self._blocking_error = Error(error).name
+            self._log_once(
                 (request.op, error),
-                f"{request.op.name} of {getattr(request.body, 'path', self.path)} fails: {self._blocked}",
+                f"{request.op.name} of {getattr(request.body, 'path', self.path)} fails: {self._blocking_error}",
             )
             return
         if request.op is Op.SYNC:
-            self._synced = True
+            self._is_synced = True
         elif request.op is Op.GET_DATA:
-            self._looked(error, result)
+            self._on_data(error, result)
         elif request.op is Op.GET_CHILDREN:
-            self._listed(error, result)
-        elif request.op is Op.CREATE and self._folders and request.body.path == self._folders[0]:
-            self._folders.pop(0)
+            self._on_children(error, result)
+        elif (
+            request.op is Op.CREATE and self._missing_directories and request.body.path == self._missing_directories[0]
+        ):
+            self._missing_directories.pop(0)
         elif request.op is Op.CREATE and error == Error.NO_NODE:
-            parts = self.folder.split("/")[1:]
-            self._folders = ["/" + "/".join(parts[: at + 1]) for at in range(len(parts))]
+            parts = self.directory.split("/")[1:]
+            self._missing_directories = ["/" + "/".join(parts[: at + 1]) for at in range(len(parts))]
         else:
-            self._changed(request, result)
-        if self._doubted:
-            self._doubt()
+            self._on_write(request, result)
+        if self._is_outdated:
+            self._invalidate()
 
-    def _changed(self, request: Request, result: Any) -> None:
-        """Done or not, the node is looked at: that also sets the watch on it."""
-        self.found = Found.UNKNOWN
+    def _on_write(self, request: Request, result: Any) -> None:
+        """Read the node after a write, whether it succeeded or not; the read also sets the watch on the node."""
+        self.status = NodeStatus.UNKNOWN
         if request.op is Op.CREATE and result is not None:
             self.path = result.path
         elif self._prefix:
             self.path = ""
 
-    def _listed(self, error: int, result: Any) -> None:
+    def _on_children(self, error: int, result: Any) -> None:
         name = self._prefix.rpartition("/")[2]
-        found = [] if error else [one for one in result.names if one.startswith(name)]
-        if found:
-            self.path = f"{self.folder}/{max(found)}"
+        own_names = [] if error else [child for child in result.names if child.startswith(name)]
+        if own_names:
+            self.path = f"{self.directory}/{max(own_names)}"
         else:
-            self._set(Found.NONE, 0, b"")
+            self._set_status(NodeStatus.ABSENT, 0, b"")
 
-    def _looked(self, error: int, result: Any) -> None:
+    def _on_data(self, error: int, result: Any) -> None:
         if error:
             if self._prefix:
                 self.path = ""
-            self._set(Found.NONE, 0, b"")
+            self._set_status(NodeStatus.ABSENT, 0, b"")
             return
         owner, version = result.stat.owner, result.stat.version
-        if owner == self._session:
-            self._set(Found.OURS, version, result.data)
-        elif self._prefix or self._same(result.data):
-            self._set(Found.FORMER, version, result.data)
+        if owner == self._session_id:
+            self._set_status(NodeStatus.OWN, version, result.data)
+        elif self._prefix or self._is_own_data(result.data):
+            self._set_status(NodeStatus.FORMER_SESSION, version, result.data)
         else:
-            self._say(owner, f"{self.path} is somebody else's; waiting until it is gone")
-            self._set(Found.OTHERS, version, result.data)
-
-    def _set(self, found: Found, version: int, held: bytes) -> None:
-        if found is Found.OURS and self.wanted:
-            self._say((self._session, self.path), f"registered as {self.path}")
-        self.found, self._version, self._held = found, version, held
-
-    def _say(self, about: object, line: str) -> None:
-        if about != self._said:
-            self._said = about
-            self._news.append(line)
+            self._log_once(owner, f"{self.path} belongs to another process; waiting until it is deleted")
+            self._set_status(NodeStatus.FOREIGN, version, result.data)
+
+    def _set_status(self, status: NodeStatus, version: int, stored_data: bytes) -> None:
+        if status is NodeStatus.OWN and self.is_wanted:
+            self._log_once((self._session_id, self.path), f"registered as {self.path}")
+        self.status, self._version, self._stored_data = status, version, stored_data
+
+    def _log_once(self, subject: object, line: str) -> None:
+        if subject != self._last_logged:
+            self._last_logged = subject
+            self._log_lines.append(line)
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -12,7 +12,7 @@
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.records import Op
-from lugspur.zookeeper.registration import Found, Registration
+from lugspur.zookeeper.registration import NodeStatus, Registration
 from lugspur.zookeeper.session import State
 
 FOLDER = "/boxes"
@@ -39,11 +39,11 @@
         return sorted(path for path, node in nodes.items() if node.data.startswith(b"ours"))
 
     def want(self, wanted: bool) -> None:
-        self.registration.want(wanted)
+        self.registration.set_wanted(wanted)
         self.multiplexer.send_requests(self.now)
 
     def lines(self) -> list[str]:
-        return self.registration.take_news()
+        return self.registration.take_log_lines()
 
 
 class Life(Home):
@@ -83,7 +83,7 @@
         self.cluster.ensemble.end(self.session.id)
 
     def toggle(self) -> None:
-        self.want(not self.registration.wanted)
+        self.want(not self.registration.is_wanted)
 
     def stall(self) -> None:
         self.chance.choice(self.servers).stall()
@@ -99,7 +99,7 @@
             self.cluster.delete(path)
 
     def write(self) -> None:
-        self.registration.write(b"ours" + str(self.chance.random()).encode())
+        self.registration.set_data(b"ours" + str(self.chance.random()).encode())
         self.multiplexer.send_requests(self.now)
 
 
@@ -112,8 +112,8 @@
             for _ in range(40):
                 life.step()
             life.recover()
-            assert len(life.mine()) == life.registration.wanted and life.registration.settled
-            if life.registration.wanted:
+            assert len(life.mine()) == life.registration.is_wanted and life.registration.is_settled
+            if life.registration.is_wanted:
                 node = life.cluster.ensemble.tree.nodes[life.mine()[0]]
                 assert (node.owner, node.data) == (life.session.id, life.registration.data)
         assert life.most <= 1
@@ -139,7 +139,7 @@
                 world.receive()
         world.connect(1)  # the reply never comes
         world.settle()
-        assert len(world.mine()) == 1 == world.most and world.registration.found is Found.OURS
+        assert len(world.mine()) == 1 == world.most and world.registration.status is NodeStatus.OWN
         assert sum(server.asked[Op.CREATE] for server in world.servers) <= 3  # the folder, and one node
 
     asyncio.run(run())
@@ -158,7 +158,7 @@
         world.want(True)
         world.connect()
         world.settle()
-        assert world.registration.found is Found.OURS and set(events) == {1}
+        assert world.registration.status is NodeStatus.OWN and set(events) == {1}
         [path] = world.mine()
         assert world.cluster.ensemble.tree.nodes[path].owner == world.session.id
 
@@ -171,8 +171,8 @@
         world.cluster.box(f"{FOLDER}/box", b"theirs")
         world.want(True)
         world.settle()
-        assert world.mine() == [] and world.registration.found is Found.OTHERS
-        assert world.lines() == ["/boxes/box is somebody else's; waiting until it is gone"]
+        assert world.mine() == [] and world.registration.status is NodeStatus.FOREIGN
+        assert world.lines() == ["/boxes/box belongs to another process; waiting until it is deleted"]
         world.cluster.expire(f"{FOLDER}/box")
         world.settle()
         assert world.mine() == ["/boxes/box"] and world.lines() == ["registered as /boxes/box"]
@@ -190,7 +190,7 @@
         assert world.mine() == []
         world.recover()
         assert world.mine() == ["/boxes/box"] and world.session.id != first
-        assert "the session was lost; registering again" in world.lines()
+        assert "the session has expired; registering again" in world.lines()
 
     asyncio.run(run())
 
@@ -203,9 +203,9 @@
         world.want(True)
         world.settle()
         world.want(False)
-        assert not world.registration.settled
+        assert not world.registration.is_settled
         world.settle()
-        assert world.mine() == [] and world.registration.settled
+        assert world.mine() == [] and world.registration.is_settled
 
     asyncio.run(run())
 
@@ -220,7 +220,7 @@
         assert world.lines() == ["CREATE of /boxes/box fails: NO_AUTH"]
         asked = sum(server.asked[Op.CREATE] for server in world.servers)
         world.settle()
-        world.registration.again()
+        world.registration.retry()
         world.multiplexer.send_requests(world.now)
         world.settle()
         assert sum(server.asked[Op.CREATE] for server in world.servers) == asked + 1 and world.lines() == []
@@ -244,7 +244,7 @@
         world.settle()
         world.servers[1].mend()
         world.settle()
-        assert len(world.mine()) == 1 == world.most and world.registration.found is Found.OURS
+        assert len(world.mine()) == 1 == world.most and world.registration.status is NodeStatus.OWN
 
     asyncio.run(run())
 
@@ -273,6 +273,6 @@
         world.cluster.box(f"{FOLDER}/box", b"ours before")
         world.connect()
         world.settle()
-        assert world.mine() == [] and world.registration.settled
+        assert world.mine() == [] and world.registration.is_settled
 
     asyncio.run(run())
