--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -153,7 +153,7 @@
             self._read_timer = self._loop.call_later(READ_RETRY_DELAY_SECONDS, self._retry_read)
 
     def _retry_read(self) -> None:
-        self.view.again()
+        self.view.retry_read()
         self._session.client.send_requests()
 
     def _check_staleness(self, now: float) -> None:
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -438,7 +438,7 @@
         world.settle()
         assert world.news == [ReadFailed(Error.NO_AUTH)] and world.view.phase is Phase.READING
         world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
-        world.view.again()
+        world.view.retry_read()
         world.multiplexer.send_requests(world.now)
         world.settle()
         assert world.follower.nodes.keys() == {"a"}
