--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -1,7 +1,7 @@
-"""What one folder of the tree holds, without I/O: told changes are read at once, and all of it after every gap.
+"""View of the children of one directory. No I/O: reported changes are read at once, and everything after every gap.
 
-Between the server and the view the order is the protocol's: a watch tells of a change before any read shows it. The
-view does not lean on that alone. Whatever is told of a node while a read of it is on its way is read once more.
+The protocol guarantees that a watch reports a change before any read shows it. The view does not rely on that alone: a
+node that is reported as changed while a read of it is in flight is read again.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 from lugspur.zookeeper.records import Error, EventType, Op
 from lugspur.zookeeper.session import Connected
 
-MAX_CONCURRENT_READS = (
-    500  # reads on their way at once: servers slow down all their clients at 1,000 (globalOutstandingLimit)
-)
-MAX_ADD_WATCH_DISCONNECTS = 2  # connections lost over addWatch in a row, after which the server is taken not to know it
+#: Maximum number of reads in flight; servers throttle all their clients at 1,000 requests (globalOutstandingLimit).
+MAX_CONCURRENT_READS = 500
+#: Number of consecutive connections that are lost during addWatch, after which the server is assumed not to support it.
+MAX_ADD_WATCH_DISCONNECTS = 2
 
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """Everything has been read: these are all nodes, by name."""
+    """Everything has been read; `nodes` are all nodes by name, with None for a node that may not be read."""
 
     nodes: dict[str, r.Data | None]
 
 
 @dataclass(slots=True, frozen=True)
 class NodeChanged:
-    """A node is new or has other data; without data where it may not be read."""
+    """A node is new or its data has changed; `data` is None if it may not be read."""
 
     name: str
     data: r.Data | None
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeDeleted:
-    """A node has been deleted, by whomever."""
+    """A node has been deleted by a client or with its session."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class ReadFailed:
-    """The folder can't be read, for this reason; NO_NODE: it has never existed since this view began."""
+    """The directory cannot be read, with this error code; NO_NODE: it has not existed since the view was created."""
 
     error: int
 
@@ -55,33 +55,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request that is to be sent; whoever sends it brings back the reply with it."""
+    """A request to be sent; it is passed back with its reply."""
 
     op: Op
     body: Any
-    name: str = ""  # of the node that it reads
-    round: int = 0  # the full read that it belongs to
+    name: str = ""  # name of the node to be read
+    round: int = 0  # number of the full read to which the request belongs
 
 
 class Phase(Enum):
-    """How much of the folder is known."""
+    """State of the view."""
 
     DISCONNECTED = auto()
-    READING = auto()  # all is being read
-    FOLLOWING = auto()
+    READING = auto()  # everything is being read
+    FOLLOWING = auto()  # everything has been read; changes are read as they are reported
 
 
 @dataclass(slots=True)
 class _NodeReads:
-    """Reads of single nodes: at most one of each on its way."""
+    """Reads of single nodes; for each node at most one read is in flight."""
 
     queue: deque[str] = field(default_factory=deque)
     queued: set[str] = field(default_factory=set)
-    in_flight: dict[str, bool] = field(default_factory=dict)  # on their way, and whether the reply will count
-    repeated: set[str] = field(default_factory=set)  # told of since they were asked for
+    in_flight: dict[str, bool] = field(default_factory=dict)  # by node: whether the reply is valid
+    repeated: set[str] = field(default_factory=set)  # nodes that have changed since the read in flight was sent
 
     def request(self, name: str) -> None:
-        """Read it, or read it once more."""
+        """Queue a read of a node; if one is in flight, repeat it after the reply."""
         if name in self.in_flight:
             self.repeated.add(name)
         elif name not in self.queued:
@@ -89,18 +89,18 @@
             self.queue.append(name)
 
     def is_requested(self, name: str) -> bool:
-        """Whether a read of it is to come, or is on its way."""
+        """Return whether a read of the node is queued or in flight."""
         return name in self.in_flight or name in self.queued
 
     def discard(self, name: str) -> None:
-        """It is gone: a reply that is on its way may be of before."""
+        """Cancel the reads of a deleted node: the reply to a read in flight may be outdated."""
         self.queued.discard(name)
         self.repeated.discard(name)
         if name in self.in_flight:
             self.in_flight[name] = False
 
     def next_name(self) -> str | None:
-        """The next to request for, if one may be asked for now."""
+        """Return the next node to be read, or None if none may be read now."""
         while self.queue and len(self.in_flight) < MAX_CONCURRENT_READS:
             name = self.queue.popleft()
             if name in self.queued:
@@ -110,7 +110,7 @@
         return None
 
     def complete(self, name: str) -> bool:
-        """Its reply is there; gives whether it counts."""
+        """Record that the reply for a node has arrived; returns whether it is valid."""
         is_valid = self.in_flight.pop(name, False)
         if name in self.repeated:
             self.repeated.discard(name)
@@ -119,7 +119,7 @@
 
 
 class View:
-    """Follows the children of `path`; `requests` and `updates` are to be taken after each event."""
+    """Follows the children of `path`; `take_requests` and `take_updates` have to be called after each event."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -128,20 +128,20 @@
         self._requests: list[Request] = []
         self._updates: list[ViewUpdate] = []
         self._round = 0
-        self._uses_one_shot_watches = False  # whether only one-shot watches are to be had at this server
+        self._uses_one_shot_watches = False  # whether the server supports only one-shot watches
         self._add_watch_disconnects = 0
         self._is_adding_watch = False
         self._reads = _NodeReads()
-        self._is_listing = False  # whether a list of the children is on its way...
-        self._must_list_again = False  # ...and is to be asked for once more
-        self._has_listed = False  # whether this full read has had one
-        self._unread_names: set[str] = set()  # nodes that the full read still waits for
-        self._known_versions: dict[str, tuple[int, int]] = {}  # what was told: by name, czxid and mzxid
-        self._read_nodes: dict[str, r.Data | None] = {}  # what the full read has found
-        self._has_been_read = False  # whether the folder has ever been read whole
+        self._is_listing = False  # whether a request for the list of children is in flight
+        self._must_list_again = False  # whether the list has to be requested again after that reply
+        self._has_listed = False  # whether the current full read has received the list of children
+        self._unread_names: set[str] = set()  # nodes that the full read has listed but not read yet
+        self._known_versions: dict[str, tuple[int, int]] = {}  # czxid and mzxid of delivered nodes, by name
+        self._read_nodes: dict[str, r.Data | None] = {}  # nodes that the current full read has read
+        self._has_been_read = False  # whether a full read has ever completed
 
     def take_requests(self) -> list[Request]:
-        """What is to be asked now."""
+        """Return the requests to be sent now."""
         while (name := self._reads.next_name()) is not None:
             self._requests.append(
                 Request(
@@ -152,17 +152,17 @@
         return requests
 
     def take_updates(self) -> list[ViewUpdate]:
-        """What has become known since the last time."""
+        """Return the updates since the last call."""
         updates, self._updates = self._updates, []
         return updates
 
     # ---- the connection ----------------------------------------------------------------------
 
     def on_connected(self, event: Connected) -> None:
-        """There is a connection; what happened before it is unknown, so all is read."""
+        """Start a full read: changes during the disconnection are unknown."""
         self._uses_one_shot_watches = self._add_watch_disconnects >= MAX_ADD_WATCH_DISCONNECTS
         self._start_full_read()
-        # Guards against a server that lags: what follows shows all that any server had confirmed by now.
+        # A server may lag: requests after the sync see every change that any server has confirmed before it.
         self._request(Op.SYNC, r.Path(self.path))
         if self._uses_one_shot_watches:
             self._request_children()
@@ -171,7 +171,7 @@
             self._request(Op.ADD_WATCH, r.AddWatch(self.path, r.PERSISTENT_RECURSIVE))
 
     def on_disconnected(self) -> None:
-        """There is none: what was told stays, and what is on its way is lost."""
+        """Discard requests: their replies will not arrive. Delivered nodes stay valid."""
         if self._is_adding_watch:
             self._add_watch_disconnects += 1
         self._is_adding_watch = False
@@ -180,20 +180,20 @@
         self._reads = _NodeReads()
 
     def retry_read(self) -> None:
-        """Try once more to read a folder that could not be read."""
+        """Retry to read a directory that could not be read."""
         if self.phase is Phase.READING and not self._is_listing and not self._is_adding_watch:
             self._request_children()
 
     def _start_full_read(self) -> None:
         self.phase = Phase.READING
-        self._round += 1  # a reply to what was asked before counts no more
+        self._round += 1  # replies to earlier requests are ignored
         self._reads = _NodeReads()
         self._is_listing = self._must_list_again = False
         self._has_listed = False
         self._read_nodes, self._unread_names = {}, set()
 
-    def _request(self, op: Op, row: Any) -> None:
-        self._requests.append(Request(op, row, round=self._round))
+    def _request(self, op: Op, body: Any) -> None:
+        self._requests.append(Request(op, body, round=self._round))
 
     def _request_children(self) -> None:
         if self._is_listing:
@@ -202,10 +202,10 @@
         self._is_listing = True
         self._request(Op.GET_CHILDREN2, r.Watching(self.path, self._uses_one_shot_watches))
 
-    # ---- what watches tell -------------------------------------------------------------------
+    # ---- watches -----------------------------------------------------------------------------
 
     def on_watch_triggered(self, kind: EventType, path: str) -> None:
-        """A watch has told."""
+        """Process a triggered watch."""
         if self.phase is Phase.DISCONNECTED:
             return
         if path == self.path:
@@ -222,12 +222,12 @@
             for name in tuple(self._known_versions):
                 self._remove_node(name)
             self._start_full_read()
-            self._request_children()  # without a node it sets no watch: the reply says so, and `exists` sets one
+            self._request_children()  # no watch is set if the directory is missing; after that reply, `exists` sets one
         elif kind is EventType.CREATED or (kind is EventType.CHILDREN and self._uses_one_shot_watches):
             self._request_children()
 
     def _remove_node(self, name: str) -> None:
-        """It has been deleted; whoever makes it again is somebody else."""
+        """Record the deletion of a node; a node that is created under its name belongs to another process."""
         self._reads.discard(name)
         self._unread_names.discard(name)
         self._read_nodes.pop(name, None)
@@ -237,14 +237,15 @@
     # ---- replies -----------------------------------------------------------------------------
 
     def on_reply(self, request: Request, error: int, result: Any) -> None:
-        """What became of a request."""
+        """Process the reply to a request."""
         if self.phase is Phase.DISCONNECTED:
             return
         if request.op == Op.ADD_WATCH:
-            # Guards against a deaf view: it is of the connection, and counts whichever full read is going on by now.
+            # The watch belongs to the connection, so the reply is valid whichever full read is active now. A view that
+            # ignored it would receive no events.
             self._on_watch_added(error)
         elif request.round != self._round:
-            return  # of a read that was begun anew since
+            return  # the full read has been restarted since
         elif request.op == Op.GET_CHILDREN2:
             self._on_children(error, result)
         elif request.op == Op.GET_DATA:
@@ -252,7 +253,7 @@
                 self._on_data(request.name, error, result)
                 self._check_complete()
         elif request.op == Op.EXISTS and not error:
-            self._request_children()  # it was made between the two requests
+            self._request_children()  # the directory was created between the two requests
 
     def _on_watch_added(self, error: int) -> None:
         self._is_adding_watch, self._add_watch_disconnects = False, 0
@@ -267,14 +268,14 @@
         if error == Error.NO_NODE:
             self._on_missing_directory()
             return
-        if error:  # Guards the pool: a folder that may not be read now is not empty.
+        if error:  # a directory that may not be read is not empty: its nodes stay
             self._updates.append(ReadFailed(error))
             return
         names = set(result.names)
         for name in (self._known_versions.keys() | self._read_nodes.keys()) - names:
             is_requested = self._reads.is_requested(name)
             self._remove_node(name)
-            if is_requested:  # Guards a node whose making was told while this list, which is older, was on its way.
+            if is_requested:  # the node was created after this list was read, and its event overtook the list
                 self._reads.request(name)
         if self.phase is Phase.READING and not self._has_listed:
             self._has_listed = True
@@ -288,7 +289,7 @@
         self._check_complete()
 
     def _on_missing_directory(self) -> None:
-        """The folder does not exist. Where it has, its nodes have been deleted one by one or with it."""
+        """Record that the directory does not exist; if it existed before, its nodes have been deleted."""
         for name in tuple(self._known_versions):
             self._remove_node(name)
         self._read_nodes, self._unread_names = {}, set()
@@ -309,7 +310,7 @@
         version = (data.stat.czxid, data.stat.mzxid) if data is not None else (0, 0)
         known = self._known_versions.get(name)
         if known is not None and known[0] and version[0] and version[0] != known[0]:
-            self._updates.append(NodeDeleted(name))  # deleted and made again unseen: somebody else's, of the same name
+            self._updates.append(NodeDeleted(name))  # deleted and recreated unnoticed, by another process
         if self.phase is Phase.READING:
             self._read_nodes[name] = data
         if self._has_been_read:
@@ -318,7 +319,7 @@
                 self._updates.append(NodeChanged(name, data))
 
     def _check_complete(self) -> None:
-        """The full read is over when each node that it listed has been read; what changes meanwhile is read after."""
+        """Complete the full read if every listed node has been read; changes in the meantime are read afterwards."""
         if self.phase is not Phase.READING or self._unread_names or not self._has_listed:
             return
         self.phase = Phase.FOLLOWING
