--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -1,4 +1,4 @@
-"""The thin transport: one connection at a time to an ensemble, and the session's timers."""
+"""Transport of a session: one connection at a time to a server of the ensemble, and the session's timer."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 )
 
 Address = tuple[str, int]
-FIRST_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS = (
-    0.05,
-    2.0,
-)  # seconds between two rounds through all servers, doubling
-STABLE_CONNECTION_SECONDS = 2.0  # seconds that a connection has to last for the next wait to be the first again
-CLOSE_TIMEOUT_SECONDS = 1.0  # seconds that a server_address may take to confirm the session's end
+#: Delays between two rounds of connection attempts to all servers; each one doubles, from the first to the maximum.
+FIRST_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS = 0.05, 2.0
+#: Seconds that a connection has to last for the next delay to be the first one again.
+STABLE_CONNECTION_SECONDS = 2.0
+#: Seconds that a server may take to confirm the end of the session.
+CLOSE_TIMEOUT_SECONDS = 1.0
 
 
 class Client:
     """Keeps a session with one of several servers until `close`.
 
-    `heard` is called after each turn, with what happened to the session in it: the machines have been told by then.
+    `on_events` is called after each turn with the events of the session in it, which the users have processed by then.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
     ) -> None:
         self._random = random_source or random.Random()
         self._addresses = list(addresses)
-        self._random.shuffle(self._addresses)  # Guards the first server_address of everybody's file against everybody
+        self._random.shuffle(self._addresses)  # so that not all clients connect to the first server of the settings
         self.multiplexer = SessionMultiplexer(Session(options, len(addresses)))
         self._on_events = on_events
         self._loop = asyncio.get_running_loop()
@@ -50,20 +50,20 @@
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
         self._retry_delay = FIRST_RETRY_DELAY_SECONDS
-        self.server_address: Address | None = None  # the one that has taken the session
+        self.server_address: Address | None = None  # address of the server that is connected, if any
 
     @property
     def session(self) -> Session:
-        """The session as it stands."""
+        """The session that the users share."""
         return self.multiplexer.session
 
     def open(self) -> None:
-        """Begin to connect."""
+        """Start to connect."""
         if self._task is None:
             self._task = self._loop.create_task(self._run())
 
     async def close(self) -> None:
-        """End the session, where a server_address can be told, and the connection."""
+        """End the session if a server is connected, and close the connection."""
         session = self.session
         if session.state is State.CONNECTED and self._connection is not None:
             ended = self._connection.ended
@@ -73,25 +73,25 @@
         self.abort()
 
     def abort(self) -> None:
-        """Let go of the connection at once; the session ends when its time-out is over."""
+        """Close the connection at once; the session ends after its timeout."""
         session = self.session
-        self._handle_events(session.connection_lost("it is given up"))
+        self._handle_events(session.connection_lost("the client closed the connection"))
         session.state = State.CLOSED
         if self._task is not None:
             self._task.cancel()
         self._drop_connection()
 
     def add(self, user: SessionUser) -> None:
-        """One more user of the session."""
+        """Add a user of the session."""
         self.multiplexer.add(user, self._loop.time())
         self.flush()
 
     def remove(self, user: SessionUser) -> None:
-        """One less."""
+        """Remove a user of the session."""
         self.multiplexer.remove(user)
 
     def send_requests(self) -> None:
-        """A user may want something that no event has made it want."""
+        """Send the requests of users; has to be called if a user has new requests without an event of the session."""
         self.multiplexer.send_requests(self._loop.time())
         self.flush()
 
@@ -106,12 +106,12 @@
             if self._loop.time() - started_at >= STABLE_CONNECTION_SECONDS:
                 self._retry_delay = FIRST_RETRY_DELAY_SECONDS
             elif index == 0:
-                # Guards an ensemble that has just come back: not all clients at once, and ever more slowly.
+                # Spreads the connections to an ensemble that has just recovered, and makes them less frequent.
                 await asyncio.sleep(self._retry_delay * (0.5 + self._random.random()))
                 self._retry_delay = min(MAX_RETRY_DELAY_SECONDS, 2.0 * self._retry_delay)
 
     async def _connect(self, address: Address) -> None:
-        """One connection, until it ends."""
+        """Run one connection until it ends."""
         self._connection = connection = _Connection(self)
         try:
             async with asyncio.timeout(self.session.connect_timeout):
@@ -119,7 +119,7 @@
             self.server_address = address
             await connection.ended
         except OSError:
-            pass  # refused, or not there in time: the next one
+            pass  # the connection was refused or timed out; the next server is tried
         finally:
             self.server_address = None
             connection.abort()
@@ -130,19 +130,19 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    # ---- what happens on the connection --------------------------------------------------------------
+    # ---- callbacks of the connection ---------------------------------------------------------
 
     def connection_made(self) -> None:
-        """The connection is up."""
+        """The connection is established."""
         self.session.connection_made(self._loop.time())
         self.flush()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the server_address."""
+        """The server has sent data."""
         self._handle_events(self.session.data_received(self._loop.time(), data))
 
     def connection_lost(self) -> None:
-        """The connection is over."""
+        """The connection has ended."""
         self._handle_events(self.session.connection_lost(CLOSED_REASON))
 
     def _tick(self) -> None:
@@ -157,19 +157,19 @@
             self._drop_connection()
 
     def flush(self) -> None:
-        """Send what is to be sent, and wake up when the session wants it."""
+        """Send the output of the session, and schedule its next tick."""
         data = self.session.take_output()
         if data and self._connection is not None:
             self._connection.write(data)
         if self._timer is not None:
             self._timer.cancel()
-        due = self.session.next_tick_at()
-        if due != float("inf"):
-            self._timer = self._loop.call_at(due, self._tick)
+        next_tick_at = self.session.next_tick_at()
+        if next_tick_at != float("inf"):
+            self._timer = self._loop.call_at(next_tick_at, self._tick)
 
 
 class _Connection(asyncio.Protocol):
-    """The connection to one server_address."""
+    """The connection to one server."""
 
     def __init__(self, client: Client) -> None:
         self._client = client
@@ -191,12 +191,12 @@
             self._client.connection_lost()
 
     def write(self, data: bytes) -> None:
-        """Send, while there is a connection."""
+        """Send data if the connection is established."""
         if self._transport is not None:
             self._transport.write(data)
 
     def abort(self) -> None:
-        """Let go of it at once; nothing that comes from it counts any more."""
+        """Close the connection at once; data that arrives on it is ignored from now on."""
         if not self.ended.done():
             self.ended.set_result(None)
         if self._transport is not None:
--- a/lugspur/zookeeper/link.py
+++ b/lugspur/zookeeper/link.py
@@ -1,4 +1,4 @@
-"""One session that several users share (views, registrations), still without I/O."""
+"""Multiplexer for a session that several users share, such as views and registrations. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Request(Protocol):
-    """A request that a user wants sent, with whatever it likes to know it again by."""
+    """A request of a user. The same object is passed back with the reply, so it may carry further fields."""
 
     @property
     def op(self) -> int: ...
@@ -19,26 +19,26 @@
 
 
 class SessionUser(Protocol):
-    """What uses the session. It is told of everything, and asked what it wants after each turn."""
+    """A state machine that uses the session; it receives all events, and is asked for requests after each turn."""
 
     def on_connected(self, event: Connected) -> None:
-        """Requests can be asked for from now on."""
+        """The session is connected: requests may be sent."""
 
     def on_disconnected(self) -> None:
-        """Nothing can be asked for, and missing replies will not come: a request may have been done or not."""
+        """The session is disconnected: pending replies will not arrive, and their requests may have been executed."""
 
     def on_watch_triggered(self, kind: EventType, path: str) -> None:
-        """A watch of anybody's in this session has told."""
+        """A watch of any user of this session was triggered."""
 
     def on_reply(self, request: Any, error: int, result: Any) -> None:
-        """What became of a request of this user."""
+        """The reply to a request of this user has arrived."""
 
     def take_requests(self) -> list[Any]:
-        """What is to be asked now."""
+        """Return the requests to be sent now."""
 
 
 class SessionMultiplexer:
-    """Passes events to the users and their requests to the session."""
+    """Passes the events of a session to its users, and the requests of the users to the session."""
 
     def __init__(self, session: Session) -> None:
         self.session = session
@@ -47,19 +47,19 @@
         self._connected: Connected | None = None
 
     def add(self, user: SessionUser, now: float) -> None:
-        """One more; it is told at once where the session is up."""
+        """Add a user; its `on_connected` is called at once if the session is connected."""
         self.users.append(user)
         if self._connected is not None:
             user.on_connected(self._connected)
             self.send_requests(now)
 
     def remove(self, user: SessionUser) -> None:
-        """One less; replies to it are dropped."""
+        """Remove a user; replies to its requests are dropped."""
         self.users.remove(user)
         self._owners = {token: owner for token, owner in self._owners.items() if owner[0] is not user}
 
     def handle(self, now: float, events: list[Event]) -> None:
-        """What the session says, to whom it concerns."""
+        """Pass events of the session to the users concerned."""
         for event in events:
             if isinstance(event, Reply):
                 owner = self._owners.pop(event.token, None)
@@ -74,7 +74,7 @@
         self.send_requests(now)
 
     def send_requests(self, now: float) -> None:
-        """Send what the users want asked."""
+        """Send the requests that the users have now."""
         for user in self.users:
             requests = user.take_requests()
             if self.session.state is State.CONNECTED:
