--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -81,7 +81,7 @@
     [at] = [server for server in trial.cluster.servers if server.connections]
     before = len(trial.lines)
     at.stall()
-    await trial.said("it says nothing", before)
+    await trial.said("the server sent nothing in time", before)
     await trial.said("is followed", before)
     await _all_serve(trial)
     await asyncio.sleep(seconds)
--- a/lugspur/discovery/staleness.py
+++ b/lugspur/discovery/staleness.py
@@ -21,9 +21,9 @@
     #: Reconnected; changes during the disconnection are unknown until everything has been read.
     REREADING = "being read again"
     #: Disconnected for less than the timeout of the proxy's own session.
-    SESSION_MAY_LIVE = "disconnected, the session may be alive"
+    SESSION_MAY_LIVE = "the session may be alive"
     #: Disconnected for longer than that timeout, or a server has reported that the session expired.
-    SESSION_ENDED = "disconnected, the session has ended"
+    SESSION_ENDED = "the session has ended"
     #: Not current for longer than the pool's `stale-after`.
     STALE = "stale"
 
@@ -89,7 +89,7 @@
         self._is_connected = self._is_current = False
         if reason != self._reason:
             self._reason = reason
-            self._log(f"{self.freshness(now).value}: disconnected from a server: {reason}; {self._retained_list()}")
+            self._log(f"disconnected ({self.freshness(now).value}): {reason}; {self._retained_list()}")
 
     def record_session_expiry(self) -> None:
         """Record that the proxy's own session has expired, which deletes only the proxy's own nodes."""
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -1,8 +1,8 @@
-"""One session with an ensemble, without I/O: bytes and the time go in, events and bytes come out.
+"""One session with an ensemble. No I/O: its input is data and the time, its output is events and data.
 
-The rules are those of the Java client (ClientCnxn.java): a ping when nothing was sent for a third of the granted
-time-out, another server when nothing was heard for two thirds of it, and the session offered again wherever the
-client connects next. Only a server can say that a session has expired.
+The rules are those of the Java client (ClientCnxn.java): the client sends a ping if it has sent nothing for a third of
+the granted timeout, selects another server if it has received nothing for two thirds of the timeout, and resumes the
+session on its next connection. Only a server can report that a session has expired.
 """
 
 from __future__ import annotations
@@ -18,56 +18,58 @@
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import Error, EventType, Op
 
-MAX_FRAME_BYTES = 4 << 20  # bytes of a server's frame: some 100,000 names of children; the Java client's limit
-MAX_WATCH_PATH_BYTES = 128 << 10  # bytes of paths in one setWatches: servers take frames of 1 MB
+#: Size limit of a frame from a server, as in the Java client; the names of some 100,000 children fit.
+MAX_FRAME_BYTES = 4 << 20
+#: Size limit of the paths in one setWatches request; servers accept frames of 1 MB.
+MAX_WATCH_PATH_BYTES = 128 << 10
 MAX_XID = (1 << 31) - 1
-CLOSED_REASON = "it closed the connection"
-BEHIND_REASON = "it closed the connection before it took the session: it may be behind what was seen"
+CLOSED_REASON = "the server closed the connection"
+BEHIND_REASON = "the server closed the connection before it accepted the session; it may lag behind other servers"
 READ_OPS = (Op.GET_DATA, Op.EXISTS, Op.GET_CHILDREN, Op.GET_CHILDREN2)
 
 
 class State(Enum):
-    """Where a session stands."""
+    """State of a session."""
 
     DISCONNECTED = auto()  # no connection
-    CONNECTING = auto()  # connected; the server has not taken the session yet
+    CONNECTING = auto()  # the connection is established; the server has not accepted the session yet
     CONNECTED = auto()
-    CLOSED = auto()  # for good
+    CLOSED = auto()  # final
 
 
 @dataclass(slots=True, frozen=True)
 class SessionOptions:
-    """What a session is asked for; the time-out is in seconds, and servers may grant another."""
+    """Options that a client requests for a session."""
 
-    timeout: float = 10.0
-    read_only: bool = False  # whether servers that are cut off from the rest will do
-    auth: tuple[tuple[str, bytes], ...] = ()  # schemes and what they take, such as ("digest", b"user:password")
+    timeout: float = 10.0  # seconds; servers may grant another timeout
+    read_only: bool = False  # whether servers without a quorum, which are read-only, are accepted
+    auth: tuple[tuple[str, bytes], ...] = ()  # schemes and credentials, such as ("digest", b"user:password")
 
 
 @dataclass(slots=True, frozen=True)
 class Connected:
-    """The session can be used; a fresh one has lost all that an earlier one had."""
+    """A server has accepted the session; a new session has none of the ephemeral nodes and watches of earlier ones."""
 
     is_new_session: bool
     session_id: int
-    timeout: float  # seconds, as granted
+    timeout: float  # granted timeout in seconds
 
 
 @dataclass(slots=True, frozen=True)
 class Disconnected:
-    """The connection is over or must be given up; replies that are missing never come. The session may live on."""
+    """The connection has ended or has to be closed; pending replies will not arrive. The session may still be alive."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Expired:
-    """A server says that the session is no more; the next connection begins a fresh one."""
+    """A server has reported that the session has expired; the next connection starts a new one."""
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """What became of a request; `result` is None where there is an error."""
+    """The reply to a request; `result` is None if there is an error."""
 
     token: int
     op: int
@@ -77,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchTriggered:
-    """What a watch tells."""
+    """A watch was triggered."""
 
     kind: EventType
     path: str
@@ -88,7 +90,7 @@
 
 @dataclass(slots=True)
 class _Watches:
-    """Watches that the server holds for this session, to be set again at the next one."""
+    """Watches that are set at the server, and are restored at the next one."""
 
     data: set[str] = field(default_factory=set)
     exists: set[str] = field(default_factory=set)
@@ -97,7 +99,7 @@
     recursive: set[str] = field(default_factory=set)
 
     def record_reply(self, op: int, body: Any, error: int) -> None:
-        """A request that may have set one was answered."""
+        """Record the watch that a successful request has set, if any."""
         if op == Op.ADD_WATCH and not error:
             (self.recursive if body.mode == r.PERSISTENT_RECURSIVE else self.persistent).add(body.path)
         elif op in READ_OPS and body.watch:
@@ -107,7 +109,7 @@
                 (self.children if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2) else self.data).add(body.path)
 
     def record_event(self, kind: EventType, path: str) -> None:
-        """One-shot watches are spent by what they tell."""
+        """Remove the one-shot watches that an event has consumed."""
         if kind is EventType.CHILDREN:
             self.children.discard(path)
             return
@@ -117,7 +119,10 @@
             self.children.discard(path)
 
     def restore_requests(self, since: int) -> Iterable[tuple[Op, Any]]:
-        """Set them all again, in requests that a server takes."""
+        """Return requests that set all watches again, each within the size that servers accept.
+
+        `since` is the zxid up to which changes have been seen.
+        """
         lists = (self.data, self.exists, self.children, self.persistent, self.recursive)
         has_persistent = bool(self.persistent or self.recursive)
         path_lists: list[list[str]] = [[] for _ in lists]
@@ -142,18 +147,18 @@
 
 
 class Session:
-    """Keeps one session through any number of connections. Times are in seconds, of one clock that never steps."""
+    """Keeps one session over any number of connections. Times are in seconds of one monotonic clock."""
 
     def __init__(self, options: SessionOptions, server_count: int = 1) -> None:
         self.options = options
         self.state = State.DISCONNECTED
         self.id = 0
-        self.timeout = options.timeout  # as granted, once a server has
-        self.zxid = 0  # the latest change that was seen of the tree, at any server
-        self.last_heard_at = float("-inf")  # when a server last said anything
+        self.timeout = options.timeout  # the requested timeout until a server has granted one
+        self.zxid = 0  # the latest change that any server has shown
+        self.last_heard_at = float("-inf")  # when data of a server was last received
         self._server_count = server_count
         self._password = r.NO_PASSWORD
-        self._min_zxid = 0  # the zxid seen before this connection
+        self._min_zxid = 0  # the latest change that was seen before this connection
         self._output: list[bytes] = []
         self._pending: deque[tuple[int, int, Any]] = deque()
         self._xid = 0
@@ -164,17 +169,17 @@
 
     @property
     def connect_timeout(self) -> float:
-        """Seconds that a server may take to let the session in.
+        """Seconds that a server may take to accept the session.
 
-        Guards the session: two thirds of its time-out may have gone by before the first server is given up, and
-        all others are to be tried in what is left.
+        Two thirds of the session's timeout may have passed before the first server is given up, and all others have to
+        be tried in the remaining time, before the session expires.
         """
         return self.timeout / 3.0 / max(1, self._server_count - 1)
 
     # ---- connections -------------------------------------------------------------------------
 
     def connection_made(self, now: float) -> None:
-        """A connection is up."""
+        """A connection is established; the first frame requests the session."""
         self.state, self._connected_at, self._min_zxid = State.CONNECTING, now, self.zxid
         self._frame_decoder = FrameDecoder(MAX_FRAME_BYTES)
         self._output.clear()
@@ -188,18 +193,18 @@
         )
 
     def connection_lost(self, reason: str) -> list[Event]:
-        """The connection is over, or given up; nothing happens where it was so already."""
+        """The connection has ended or is given up; without a connection, nothing happens."""
         if self.state in (State.DISCONNECTED, State.CLOSED):
             return []
         if self.state is State.CONNECTING and self._min_zxid and reason == CLOSED_REASON:
-            reason = BEHIND_REASON  # the only way in which a server says so (ZooKeeperServer.java)
+            reason = BEHIND_REASON  # a server that lags does only this (ZooKeeperServer.java)
         self.state = State.DISCONNECTED
         self._pending.clear()
         self._output.clear()
         return [Disconnected(reason)]
 
     def data_received(self, now: float, data: bytes) -> list[Event]:
-        """Bytes of the server; a Disconnected among the events asks for another connection."""
+        """Process data of the server; a Disconnected among the events means that the connection has to be closed."""
         if self.state in (State.DISCONNECTED, State.CLOSED):
             return []
         self.last_heard_at = now
@@ -212,17 +217,17 @@
                 if events and isinstance(events[-1], Disconnected):
                     break
         except JuteDecodeError as error:
-            events += self.connection_lost(f"it sent what is no ZooKeeper's: {error}")
+            events += self.connection_lost(f"the server sent invalid data: {error}")
         return events
 
     def take_output(self) -> bytes:
-        """What is to be sent now."""
+        """Return the data to be sent now."""
         data = b"".join(self._output)
         self._output.clear()
         return data
 
     def next_tick_at(self) -> float:
-        """When `tick` is wanted next; infinite without a connection."""
+        """Return the time at which `tick` has to be called; infinity without a connection."""
         if self.state is State.CONNECTING:
             return self._connected_at + self.connect_timeout
         if self.state is State.CONNECTED:
@@ -230,26 +235,26 @@
         return float("inf")
 
     def tick(self, now: float) -> list[Event]:
-        """Keep the session alive, or give up a server that says nothing."""
+        """Send a ping if it is due, or give up a server that sends nothing."""
         if now < self.next_tick_at():
             return []
         if self.state is State.CONNECTING or now >= self.last_heard_at + self.timeout * 2.0 / 3.0:
-            # Guards against a server that hangs with its connections open: nothing else would tell.
-            return self.connection_lost("it says nothing")
+            # A server that hangs keeps its connections open, so that only its silence shows the failure.
+            return self.connection_lost("the server sent nothing in time")
         self._send(now, r.PING_XID, Op.PING, r.EmptyRecord())
         return []
 
     def close(self, now: float) -> None:
-        """Ask for the session's end; its ephemeral nodes go with it."""
+        """Request the end of the session, which deletes its ephemeral nodes."""
         if self.state is State.CONNECTED:
             self.send_request(now, Op.CLOSE, r.EmptyRecord())
 
     # ---- requests ----------------------------------------------------------------------------
 
     def send_request(self, now: float, op: int, body: Any) -> int:
-        """Send a request while the session is up; the token comes back with the reply. Raises RuntimeError."""
+        """Send a request and return its token, which its reply has; raises RuntimeError unless connected."""
         if self.state is not State.CONNECTED:
-            raise RuntimeError("the session is not up")
+            raise RuntimeError("the session is not connected")
         self._xid = self._xid % MAX_XID + 1
         self._pending.append((self._xid, op, body))
         self._send(now, self._xid, op, body)
@@ -263,19 +268,19 @@
         self._last_sent_at = now
         self._output.append(length_prefixed(frame))
 
-    # ---- what the server says ----------------------------------------------------------------
+    # ---- frames of the server ----------------------------------------------------------------
 
     def _on_connect_response(self, now: float, frame: bytes) -> list[Event]:
         source = InputArchive(frame)
         response = decode(r.ConnectResponse, source)
         read_only = bool(source.remaining) and source.data[source.position] != 0
         if response.timeout <= 0 or not response.session:
-            # What was seen of the tree stays known: a server behind it is none to follow with a fresh session either.
+            # The zxid is kept: a new session must not use a server that lags behind it either.
             self.id, self._password, self.timeout = 0, r.NO_PASSWORD, self.options.timeout
             self._watches = _Watches()
             return [Expired(), *self.connection_lost("the session has expired")]
         if read_only and not self.options.read_only:
-            return self.connection_lost("it is read-only")
+            return self.connection_lost("the server is read-only")
         is_new_session = response.session != self.id
         self.id, self._password, self.timeout = response.session, response.password, response.timeout / 1000.0
         self.state = State.CONNECTED
@@ -289,16 +294,16 @@
         source = InputArchive(frame)
         header = decode(r.ReplyHeader, source)
         if 0 < header.zxid < self._min_zxid:
-            return self.connection_lost("it is behind what other servers have shown")
+            return self.connection_lost("the server lags behind other servers")
         self.zxid = max(self.zxid, header.zxid)
         if header.xid == r.EVENT_XID:
             return self._on_watch_event(decode(r.WatcherEvent, source))
         if header.xid == r.AUTH_XID and header.error:
-            return self.connection_lost("it takes no such credentials")
+            return self.connection_lost("the server rejected the credentials")
         if header.xid in (r.PING_XID, r.AUTH_XID, r.SET_WATCHES_XID):
             return []
         if not self._pending or self._pending[0][0] != header.xid:
-            raise JuteDecodeError(f"reply {header.xid} to no request, or out of turn")
+            raise JuteDecodeError(f"reply {header.xid} does not belong to the oldest pending request")
         return self._on_reply(header, source)
 
     def _on_watch_event(self, event: r.WatcherEvent) -> list[Event]:
@@ -312,7 +317,7 @@
         xid, op, body = self._pending.popleft()
         error, result = header.error, None
         if op == Op.ADD_WATCH and not error and not source.remaining:
-            error = Error.UNIMPLEMENTED  # servers before 3.6 response what they don't know without a payload
+            error = Error.UNIMPLEMENTED  # servers before 3.6 send a reply without a body to an unknown request
         if not error:
             result = r.decode_transaction_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
         self._watches.record_reply(op, body, error)
--- a/tests/discovery/test_staleness.py
+++ b/tests/discovery/test_staleness.py
@@ -37,13 +37,13 @@
 
 def test_a_lost_connection_goes_from_session_may_live_to_ended_to_stale_until_the_list_is_read() -> None:
     staleness, log = read_list()
-    staleness.record_disconnection(107.0, 100.0, "it says nothing")
+    staleness.record_disconnection(107.0, 100.0, "the server sent nothing in time")
     assert log.take() == [
-        "disconnected, the session may be alive: disconnected from a server: it says nothing; the last list stays"
+        "disconnected (the session may be alive): the server sent nothing in time; the last list stays"
     ]
     assert staleness.freshness(107.0) is ListFreshness.SESSION_MAY_LIVE and staleness.age_seconds(107.0) == 7.0
     assert staleness.freshness(110.0) is ListFreshness.SESSION_ENDED
-    staleness.record_disconnection(112.0, 100.0, "it says nothing")
+    staleness.record_disconnection(112.0, 100.0, "the server sent nothing in time")
     assert log == [] and staleness.next_tick_at() == 130.0
     staleness.tick(130.0)
     assert log.take() == ["stale: no data from the registry for 30.0 s; the last list stays"]
@@ -56,7 +56,7 @@
 
 def test_an_expired_session_of_the_proxy_removes_no_backend() -> None:
     staleness, _ = read_list()
-    staleness.record_disconnection(5.0, 4.0, "it closed the connection")
+    staleness.record_disconnection(5.0, 4.0, "the server closed the connection")
     staleness.record_session_expiry()
     assert staleness.freshness(5.0) is ListFreshness.SESSION_ENDED
     staleness.record_connection(10.0)
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -97,20 +97,22 @@
     session.tick(3.0)
     assert decode(r.RequestHeader, InputArchive(session.take_output()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
     assert session.tick(5.9) == []
-    assert session.tick(6.0) == [Disconnected("it says nothing")] and session.state is State.DISCONNECTED
+    assert (
+        session.tick(6.0) == [Disconnected("the server sent nothing in time")] and session.state is State.DISCONNECTED
+    )
 
 
 def test_any_word_of_the_server_counts_as_life() -> None:
     session = accepted(9.0)
     session.data_received(5.0, length_prefixed(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
-    assert session.tick(6.0) == [] and session.tick(11.0) == [Disconnected("it says nothing")]
+    assert session.tick(6.0) == [] and session.tick(11.0) == [Disconnected("the server sent nothing in time")]
 
 
 def test_a_server_that_does_not_take_the_session_is_left_in_time_for_all_others() -> None:
     session = Session(SessionOptions(9.0), server_count=4)
     session.connection_made(0.0)
     assert session.connect_timeout * 3 <= 9.0 / 3.0 and session.tick(session.connect_timeout) == [
-        Disconnected("it says nothing")
+        Disconnected("the server sent nothing in time")
     ]
 
 
@@ -121,7 +123,7 @@
         world.cluster.ensemble.end(first)  # nobody heard of it
         world.now += 1000.0
         world.handle(world.session.tick(world.now))
-        assert downs(world) == ["it says nothing"] and not world.expired
+        assert downs(world) == ["the server sent nothing in time"] and not world.expired
         world.disconnect()
         world.recover()
         assert world.expired and world.session.id not in (0, first)
@@ -216,7 +218,7 @@
         token = session.send_request(1.0, Op.SYNC, r.Path("/"))
         old = encode(r.ReplyHeader(token, 499, 0)) + encode(r.Path("/"))
         assert session.data_received(1.0, length_prefixed(old)) == [
-            Disconnected("it is behind what other servers have shown")
+            Disconnected("the server lags behind other servers")
         ]
 
     inside(run())
@@ -227,7 +229,7 @@
     session = Session(SessionOptions(read_only=wanted))
     session.connection_made(0.0)
     events = session.data_received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
-    assert events == ([Connected(True, 5, 9.0)] if wanted else [Disconnected("it is read-only")])
+    assert events == ([Connected(True, 5, 9.0)] if wanted else [Disconnected("the server is read-only")])
 
 
 def test_credentials_go_out_first_and_wrong_ones_end_the_connection() -> None:
@@ -240,7 +242,7 @@
         wrong = World(options=SessionOptions(auth=(("digest", b"no-colon"),)))
         wrong.connect()
         wrong.settle()
-        assert "it takes no such credentials" in downs(wrong)
+        assert "the server rejected the credentials" in downs(wrong)
 
     inside(run())
 
@@ -282,9 +284,7 @@
     session = accepted()
     session.send_request(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
     [event] = session.data_received(0.0, data)
-    assert (
-        isinstance(event, Disconnected) and "no ZooKeeper's" in event.reason and session.next_tick_at() == float("inf")
-    )
+    assert isinstance(event, Disconnected) and "invalid data" in event.reason and session.next_tick_at() == float("inf")
     session.connection_made(1.0)
     assert session.state is State.CONNECTING  # the next connection begins clean
 
