--- a/lugspur/zookeeper/__init__.py
+++ b/lugspur/zookeeper/__init__.py
@@ -1,1 +1,1 @@
-"""A client of ZooKeeper's wire protocol: records, a session without I/O, a view of one folder, a thin transport."""
+"""Client for ZooKeeper's wire protocol: records, a session without I/O, a view of one directory, and a transport."""
--- a/lugspur/zookeeper/frames.py
+++ b/lugspur/zookeeper/frames.py
@@ -1,4 +1,4 @@
-"""FrameDecoder: a length of four bytes, then so many bytes."""
+"""Frames of the protocol: a length of four bytes, then that many bytes."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class FrameDecoder:
-    """Cuts what comes into frames, none of them longer than `most` bytes."""
+    """Splits received data into frames of at most `max_bytes`."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole now; raises JuteDecodeError for a length that can't be."""
-        held = self._data
-        held += data
-        found: list[bytes] = []
-        at = 0
-        while len(held) - at >= LENGTH.size:
-            length: int = LENGTH.unpack_from(held, at)[0]
-            if not 0 <= length <= self._most:  # Guards memory: nothing is kept for a frame of 1 GB.
-                raise JuteDecodeError(f"a frame of {length} bytes; at most {self._most} are taken")
-            end = at + LENGTH.size + length
-            if end > len(held):
+        """Return the frames that are complete now; raises JuteDecodeError for an invalid length."""
+        buffer = self._data
+        buffer += data
+        frames: list[bytes] = []
+        offset = 0
+        while len(buffer) - offset >= LENGTH.size:
+            length: int = LENGTH.unpack_from(buffer, offset)[0]
+            if not 0 <= length <= self._max_bytes:  # limits memory: a frame of 1 GB is not buffered
+                raise JuteDecodeError(f"a frame of {length} bytes; at most {self._max_bytes} are accepted")
+            end = offset + LENGTH.size + length
+            if end > len(buffer):
                 break
-            found.append(bytes(held[at + LENGTH.size : end]))
-            at = end
-        del held[:at]
-        return found
+            frames.append(bytes(buffer[offset + LENGTH.size : end]))
+            offset = end
+        del buffer[:offset]
+        return frames
--- a/lugspur/zookeeper/jute.py
+++ b/lugspur/zookeeper/jute.py
@@ -1,7 +1,7 @@
-"""Jute, the encoding of ZooKeeper's records: big-endian numbers, length-prefixed buffers, texts and vectors.
+"""Jute, the encoding of ZooKeeper's records: big-endian numbers, length-prefixed buffers, strings and vectors.
 
-A record is a class under `@record`, with fields in the order of zookeeper.jute (Apache ZooKeeper,
-zookeeper-jute/src/main/resources). Both sides use them: the client, and the stand-in that plays the servers.
+A record is a class with the decorator `record` and with fields in the order of zookeeper.jute (Apache ZooKeeper,
+zookeeper-jute/src/main/resources). The client and the stand-in for the servers both use them.
 """
 
 from __future__ import annotations
@@ -19,60 +19,60 @@
 
 
 class JuteDecodeError(ValueError):
-    """Bytes that are no such record."""
+    """The data is not a valid record or frame."""
 
 
 class InputArchive:
-    """Bytes that are read from the front; every read raises JuteDecodeError where too few are left."""
+    """Data that is read from the front; every read raises JuteDecodeError if too few bytes remain."""
 
     __slots__ = ("data", "position")
 
     def __init__(self, data: bytes) -> None:
         self.data, self.position = data, 0
 
-    def read_struct(self, form: struct.Struct) -> tuple[Any, ...]:
-        """Numbers of a fixed form."""
+    def read_struct(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Read numbers in a fixed layout."""
         try:
-            found = form.unpack_from(self.data, self.position)
-        except struct.error as fault:
-            raise JuteDecodeError(f"{len(self.data) - self.position} bytes left of {form.size}") from fault
-        self.position += form.size
+            found = layout.unpack_from(self.data, self.position)
+        except struct.error as error:
+            raise JuteDecodeError(f"{layout.size} bytes expected, {len(self.data) - self.position} remain") from error
+        self.position += layout.size
         return found
 
     def read_buffer(self) -> bytes:
-        """Length-prefixed bytes; -1, which stands for none, reads as empty."""
+        """Read length-prefixed bytes; the length -1, which represents a null buffer, is read as empty."""
         length: int = self.read_struct(LENGTH)[0]
         if length < 0:
             return b""
         end = self.position + length
-        if end > len(self.data):  # Guards memory: a length is believed only where its bytes are there.
-            raise JuteDecodeError(f"a length of {length} where {len(self.data) - self.position} bytes are left")
+        if end > len(self.data):  # limits memory: a length beyond the data is not allocated
+            raise JuteDecodeError(f"{length} bytes expected, {len(self.data) - self.position} remain")
         found = self.data[self.position : end]
         self.position = end
         return found
 
     def read_text(self) -> str:
-        """A buffer of UTF-8."""
+        """Read a string in UTF-8."""
         try:
             return self.read_buffer().decode()
-        except UnicodeDecodeError as fault:
-            raise JuteDecodeError("a text that is not UTF-8") from fault
+        except UnicodeDecodeError as error:
+            raise JuteDecodeError("a string is not valid UTF-8") from error
 
     def read_vector(self, read: Callable[[InputArchive], T]) -> list[T]:
-        """A counted list; every element takes four bytes or more."""
+        """Read a list with its length; every element takes at least four bytes."""
         count: int = self.read_struct(LENGTH)[0]
         if count * 4 > len(self.data) - self.position:
-            raise JuteDecodeError(f"a list of {count} in {len(self.data) - self.position} bytes")
+            raise JuteDecodeError(f"a list of {count} elements in {len(self.data) - self.position} bytes")
         return [read(self) for _ in range(count)]
 
     @property
     def remaining(self) -> int:
-        """How many bytes are not read yet."""
+        """Number of bytes that have not been read yet."""
         return len(self.data) - self.position
 
 
 def length_prefixed(data: bytes) -> bytes:
-    """Bytes with their length before them."""
+    """Return the data after its length."""
     return LENGTH.pack(len(data)) + data
 
 
@@ -81,7 +81,7 @@
 
 
 def _codec(kind: Any) -> tuple[Write, Read]:
-    """How a field that is no plain number is written and read."""
+    """Return the functions that write and read a field that is not a number."""
     if kind is bytes:
         return length_prefixed, InputArchive.read_buffer
     if kind is str:
@@ -95,66 +95,66 @@
     return encode, kind.read
 
 
-def _number(kind: Any) -> str:
-    """The struct letter of a number's type; empty for anything else."""
+def _format_character(kind: Any) -> str:
+    """Return the struct format character of a number's type, or an empty string for other types."""
     if kind is bool:
         return "?"
     return str(kind.__metadata__[0]) if get_origin(kind) is Annotated else ""
 
 
-def _steps(kind: type) -> list[tuple[tuple[str, ...], struct.Struct | None, Write, Read]]:
-    """The fields of a record in groups: neighbouring numbers are packed at once, the rest one by one."""
-    steps: list[tuple[tuple[str, ...], struct.Struct | None, Write, Read]] = []
+def _field_groups(kind: type) -> list[tuple[tuple[str, ...], struct.Struct | None, Write, Read]]:
+    """Return the fields of a record in groups: adjacent numbers are packed together, other fields one by one."""
+    groups: list[tuple[tuple[str, ...], struct.Struct | None, Write, Read]] = []
     names: list[str] = []
-    letters = ""
+    format_characters = ""
     for name, hint in [*get_type_hints(kind, include_extras=True).items(), ("", None)]:
-        letter = _number(hint) if name else ""
-        if letter:
+        format_character = _format_character(hint) if name else ""
+        if format_character:
             names.append(name)
-            letters += letter
+            format_characters += format_character
             continue
         if names:
-            form = struct.Struct(">" + letters)
-            steps.append((tuple(names), form, form.pack, partial(InputArchive.read_struct, form=form)))
-            names, letters = [], ""
+            layout = struct.Struct(">" + format_characters)
+            groups.append((tuple(names), layout, layout.pack, partial(InputArchive.read_struct, layout=layout)))
+            names, format_characters = [], ""
         if name:
-            steps.append(((name,), None, *_codec(hint)))
-    return steps
+            groups.append(((name,), None, *_codec(hint)))
+    return groups
 
 
 @dataclass_transform(frozen_default=True)
 def record(kind: type[T]) -> type[T]:
-    """A jute record: a frozen dataclass with `read(InputArchive)`, for `encode`."""
-    made: Any = dataclass(frozen=True, slots=True)(kind)
-    steps = _steps(made)
+    """Make a class a jute record: a frozen dataclass with `read(InputArchive)` and `write()`."""
+    record_class: Any = dataclass(frozen=True, slots=True)(kind)
+    groups = _field_groups(record_class)
 
     def read(source: InputArchive) -> Any:
         values: list[Any] = []
-        for _, form, _, reader in steps:
-            if form is None:
+        for _, layout, _, reader in groups:
+            if layout is None:
                 values.append(reader(source))
             else:
                 values.extend(reader(source))
-        return made(*values)
+        return record_class(*values)
 
     def write(value: Any) -> bytes:
         parts = []
-        for names, form, writer, _ in steps:
-            if form is None:
+        for names, layout, writer, _ in groups:
+            if layout is None:
                 parts.append(writer(getattr(value, names[0])))
             else:
-                parts.append(form.pack(*(getattr(value, name) for name in names)))
+                parts.append(layout.pack(*(getattr(value, name) for name in names)))
         return b"".join(parts)
 
-    made.read, made.write = staticmethod(read), write
-    return made  # type: ignore[no-any-return]
+    record_class.read, record_class.write = staticmethod(read), write
+    return record_class  # type: ignore[no-any-return]
 
 
 def encode(value: Any) -> bytes:
-    """A record's bytes."""
+    """Return the encoded record."""
     return value.write()  # type: ignore[no-any-return]
 
 
 def decode(kind: type[T], source: InputArchive) -> T:
-    """A record from the front of `source`; raises JuteDecodeError."""
+    """Read a record from the front of `source`; raises JuteDecodeError."""
     return kind.read(source)  # type: ignore[attr-defined,no-any-return]
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -1,4 +1,4 @@
-"""The protocol's requests, replies, codes and errors (Apache ZooKeeper, zookeeper.jute and ZooDefs, 3.4 to 3.9)."""
+"""Requests, replies and error codes of the protocol (Apache ZooKeeper, zookeeper.jute and ZooDefs, 3.4 to 3.9)."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 PING_XID, AUTH_XID, SET_WATCHES_XID, EVENT_XID = -2, -4, -8, -1
 NO_PASSWORD = bytes(16)
-ANY_VERSION = -1  # a version that fits any
+ANY_VERSION = -1  # matches any version of a node
 
 
 class Op(IntEnum):
-    """Kinds of requests."""
+    """Operations of requests."""
 
     CREATE = 1
     DELETE = 2
@@ -38,7 +38,7 @@
 
 
 class Error(IntEnum):
-    """Why a request was not done."""
+    """Error codes of replies."""
 
     OK = 0
     SYSTEM = -1
@@ -61,7 +61,7 @@
 
 
 class EventType(IntEnum):
-    """What a watch tells."""
+    """Types of watch events."""
 
     SESSION = -1
     CREATED = 1
@@ -80,12 +80,13 @@
 
 
 PERSISTENT, PERSISTENT_RECURSIVE = 0, 1  # modes of addWatch
+#: Permissions of an access list.
 PERM_READ, PERM_WRITE, PERM_CREATE, PERM_DELETE, PERM_ADMIN, PERM_ALL = 1, 2, 4, 8, 16, 31
 
 
 @record
 class ConnectRequest:
-    """The first frame of a client. Servers before 3.4 leave out `read_only`, which this client always sends."""
+    """The first frame of a client. `read_only` does not exist before 3.4; this client always sends it."""
 
     version: Int
     last_zxid: Long
@@ -97,17 +98,17 @@
 
 @record
 class ConnectResponse:
-    """The first frame of a server; a session of 0, or a time-out of 0, says that the session is no more."""
+    """The first frame of a server; a session or a timeout of 0 means that the session has expired."""
 
     version: Int
-    timeout: Int  # milliseconds, as granted
+    timeout: Int  # granted timeout in milliseconds
     session: Long
     password: bytes
 
 
 @record
 class RequestHeader:
-    """Before each request but the first."""
+    """Header of each request except the first frame."""
 
     xid: Int
     op: Int
@@ -115,7 +116,7 @@
 
 @record
 class ReplyHeader:
-    """Before each reply and event but the first."""
+    """Header of each reply and event except the first frame."""
 
     xid: Int
     zxid: Long
@@ -124,7 +125,7 @@
 
 @record
 class Stat:
-    """What is known of a node beside its data; times in milliseconds since 1970, by the leader's clock."""
+    """Metadata of a node; times are in milliseconds since 1970 by the leader's clock."""
 
     czxid: Long
     mzxid: Long
@@ -133,7 +134,7 @@
     version: Int
     cversion: Int
     aversion: Int
-    owner: Long  # the session that an ephemeral node belongs to, else 0
+    owner: Long  # session that owns an ephemeral node, else 0
     length: Int
     children: Int
     pzxid: Long
@@ -141,7 +142,7 @@
 
 @record
 class Acl:
-    """One line of an access list."""
+    """One entry of an access list."""
 
     perms: Int
     scheme: str
@@ -154,7 +155,7 @@
 
 @record
 class WatcherEvent:
-    """What a watch tells."""
+    """A watch was triggered."""
 
     kind: Int
     state: Int
@@ -163,7 +164,7 @@
 
 @record
 class Create:
-    """A new node; also the form of `create2`."""
+    """Request to create a node, of `create` and `create2`."""
 
     path: str
     data: bytes
@@ -173,7 +174,7 @@
 
 @record
 class Delete:
-    """A node's end."""
+    """Request to delete a node."""
 
     path: str
     version: Int
@@ -181,7 +182,7 @@
 
 @record
 class Watching:
-    """`exists`, `getData`, `getChildren` and `getChildren2`."""
+    """Request of `exists`, `getData`, `getChildren` and `getChildren2`."""
 
     path: str
     watch: bool
@@ -189,7 +190,7 @@
 
 @record
 class SetData:
-    """New data."""
+    """Request to replace the data of a node."""
 
     path: str
     data: bytes
@@ -198,7 +199,7 @@
 
 @record
 class SetAcl:
-    """A new access list."""
+    """Request to replace the access list of a node."""
 
     path: str
     acl: tuple[Acl, ...]
@@ -207,14 +208,14 @@
 
 @record
 class Path:
-    """`sync` and `getACL`, and the replies to `sync` and `create`."""
+    """Request of `sync` and `getACL`, and reply to `sync` and `create`."""
 
     path: str
 
 
 @record
 class Check:
-    """In a transaction: the node must have this version."""
+    """Condition of a transaction: the node must have this version."""
 
     path: str
     version: Int
@@ -222,7 +223,7 @@
 
 @record
 class Auth:
-    """Who the client is; `type` is always 0."""
+    """Credentials of the client; `type` is always 0."""
 
     type: Int
     scheme: str
@@ -231,7 +232,7 @@
 
 @record
 class SetWatches:
-    """One-shot watches, told again after a reconnect with the zxid up to which all was seen."""
+    """Request to restore one-shot watches after a reconnection; changes up to the zxid `since` have been seen."""
 
     since: Long
     data: tuple[str, ...]
@@ -241,7 +242,7 @@
 
 @record
 class SetWatches2:
-    """The same with persistent ones, from 3.6 on."""
+    """Request to restore one-shot and persistent watches, from 3.6 on."""
 
     since: Long
     data: tuple[str, ...]
@@ -253,7 +254,7 @@
 
 @record
 class AddWatch:
-    """A persistent watch, from 3.6 on."""
+    """Request to add a persistent watch, from 3.6 on."""
 
     path: str
     mode: Int
@@ -261,7 +262,7 @@
 
 @record
 class Data:
-    """The reply to `getData`."""
+    """Reply to `getData`."""
 
     data: bytes
     stat: Stat
@@ -269,7 +270,7 @@
 
 @record
 class Children:
-    """The reply to `getChildren2`."""
+    """Reply to `getChildren2`."""
 
     names: tuple[str, ...]
     stat: Stat
@@ -277,14 +278,14 @@
 
 @record
 class Names:
-    """The reply to `getChildren`."""
+    """Reply to `getChildren`."""
 
     names: tuple[str, ...]
 
 
 @record
 class Acls:
-    """The reply to `getACL`."""
+    """Reply to `getACL`."""
 
     acl: tuple[Acl, ...]
     stat: Stat
@@ -292,7 +293,7 @@
 
 @record
 class Created:
-    """The reply to `create2`."""
+    """Reply to `create2`."""
 
     path: str
     stat: Stat
@@ -300,19 +301,19 @@
 
 @record
 class ErrorResult:
-    """An error, as `addWatch` and failed parts of a transaction answer."""
+    """Error code in the reply to `addWatch` and for failed parts of a transaction."""
 
     error: Int
 
 
 @record
 class EmptyRecord:
-    """No body."""
+    """Empty body of a request or reply."""
 
 
 @record
 class MultiHeader:
-    """Before each part of a transaction, and after its last."""
+    """Header of each part of a transaction, and terminator after the last one."""
 
     op: Int
     done: bool
@@ -359,39 +360,39 @@
     Op.ADD_WATCH: ErrorResult,
     Op.CLOSE: EmptyRecord,
 }
-TransactionPart = tuple[int, Any]  # of a transaction: what is asked, and its record
+TransactionPart = tuple[int, Any]  # operation, and the record of its request or result
 TRANSACTION_END = MultiHeader(Op.ERROR, True, -1)
 TRANSACTION_OPS = (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.CHECK)
 
 
 def encode_transaction(parts: tuple[TransactionPart, ...]) -> bytes:
-    """A transaction's request."""
-    return b"".join(encode(MultiHeader(op, False, -1)) + encode(row) for op, row in parts) + encode(TRANSACTION_END)
+    """Return the request of a transaction."""
+    return b"".join(encode(MultiHeader(op, False, -1)) + encode(body) for op, body in parts) + encode(TRANSACTION_END)
 
 
 def decode_transaction(source: InputArchive) -> tuple[TransactionPart, ...]:
-    """A transaction's request; raises JuteDecodeError."""
-    found: list[TransactionPart] = []
+    """Read the request of a transaction; raises JuteDecodeError."""
+    parts: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
         if header.op not in TRANSACTION_OPS:
-            raise JuteDecodeError(f"operation {header.op} is none of a transaction")
-        found.append((header.op, decode(REQUESTS[header.op], source)))
-    return tuple(found)
+            raise JuteDecodeError(f"operation {header.op} is not allowed in a transaction")
+        parts.append((header.op, decode(REQUESTS[header.op], source)))
+    return tuple(parts)
 
 
 def encode_transaction_results(results: tuple[TransactionPart, ...]) -> bytes:
-    """A transaction's reply; the operation of a failed part is ERROR, with a ErrorResult."""
+    """Return the reply to a transaction; the operation of a failed part is ERROR, with an ErrorResult."""
     return b"".join(
-        encode(MultiHeader(op, False, row.error if op == Op.ERROR else 0)) + encode(row) for op, row in results
+        encode(MultiHeader(op, False, body.error if op == Op.ERROR else 0)) + encode(body) for op, body in results
     ) + encode(TRANSACTION_END)
 
 
 def decode_transaction_results(source: InputArchive) -> tuple[TransactionPart, ...]:
-    """A transaction's reply; raises JuteDecodeError."""
-    found: list[TransactionPart] = []
+    """Read the reply to a transaction; raises JuteDecodeError."""
+    results: list[TransactionPart] = []
     while not (header := decode(MultiHeader, source)).done:
         kind = ErrorResult if header.op == Op.ERROR else REPLIES.get(header.op)
         if kind is None:
-            raise JuteDecodeError(f"operation {header.op} is none of a transaction")
-        found.append((header.op, decode(kind, source)))
-    return tuple(found)
+            raise JuteDecodeError(f"operation {header.op} is not allowed in a transaction")
+        results.append((header.op, decode(kind, source)))
+    return tuple(results)
