--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -181,7 +181,7 @@
 
 
 @record
-class Watching:
+class ReadRequest:
     """Request of `exists`, `getData`, `getChildren` and `getChildren2`."""
 
     path: str
@@ -324,15 +324,15 @@
     Op.CREATE: Create,
     Op.CREATE2: Create,
     Op.DELETE: Delete,
-    Op.EXISTS: Watching,
-    Op.GET_DATA: Watching,
+    Op.EXISTS: ReadRequest,
+    Op.GET_DATA: ReadRequest,
     Op.SET_DATA: SetData,
     Op.GET_ACL: Path,
     Op.SET_ACL: SetAcl,
-    Op.GET_CHILDREN: Watching,
+    Op.GET_CHILDREN: ReadRequest,
     Op.SYNC: Path,
     Op.PING: EmptyRecord,
-    Op.GET_CHILDREN2: Watching,
+    Op.GET_CHILDREN2: ReadRequest,
     Op.CHECK: Check,
     Op.AUTH: Auth,
     Op.SET_WATCHES: SetWatches,
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -146,8 +146,8 @@
             return Request(Op.SYNC, r.Path(self.directory))
         if self.status is NodeStatus.UNKNOWN:
             if self._prefix and not self.path:
-                return Request(Op.GET_CHILDREN, r.Watching(self.directory or "/", False))
-            return Request(Op.GET_DATA, r.Watching(self.path, True))
+                return Request(Op.GET_CHILDREN, r.ReadRequest(self.directory or "/", False))
+            return Request(Op.GET_DATA, r.ReadRequest(self.path, True))
         if not self.is_wanted:
             is_own = self.status in (NodeStatus.OWN, NodeStatus.FORMER_SESSION)
             return Request(Op.DELETE, r.Delete(self.path, self._version)) if is_own else None
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -145,7 +145,10 @@
         while (name := self._reads.next_name()) is not None:
             self._requests.append(
                 Request(
-                    Op.GET_DATA, r.Watching(self._child_prefix + name, self._uses_one_shot_watches), name, self._round
+                    Op.GET_DATA,
+                    r.ReadRequest(self._child_prefix + name, self._uses_one_shot_watches),
+                    name,
+                    self._round,
                 )
             )
         requests, self._requests = self._requests, []
@@ -200,7 +203,7 @@
             self._must_list_again = True
             return
         self._is_listing = True
-        self._request(Op.GET_CHILDREN2, r.Watching(self.path, self._uses_one_shot_watches))
+        self._request(Op.GET_CHILDREN2, r.ReadRequest(self.path, self._uses_one_shot_watches))
 
     # ---- watches -----------------------------------------------------------------------------
 
@@ -294,7 +297,7 @@
             self._remove_node(name)
         self._read_nodes, self._unread_names = {}, set()
         if self._uses_one_shot_watches:
-            self._request(Op.EXISTS, r.Watching(self.path, True))
+            self._request(Op.EXISTS, r.ReadRequest(self.path, True))
         if self._has_been_read:
             self.phase, self._has_listed = Phase.READING, True
             self._check_complete()
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -61,8 +61,8 @@
     "ours, theirs",
     [
         (r.ConnectRequest(0, 7, 10_000, 99, b"p" * 16, False), kazoo.Connect(0, 7, 10_000, 99, b"p" * 16, False)),
-        (r.Watching("/ä", True), kazoo.GetData("/ä", True)),
-        (r.Watching("/a", False), kazoo.GetChildren2("/a", False)),
+        (r.ReadRequest("/ä", True), kazoo.GetData("/ä", True)),
+        (r.ReadRequest("/a", False), kazoo.GetChildren2("/a", False)),
         (r.Delete("/a", 3), kazoo.Delete("/a", 3)),
         (r.SetData("/a", b"x", -1), kazoo.SetData("/a", b"x", -1)),
         (r.Create("/a", b"x", r.OPEN_ACL, 3), kazoo.Create("/a", b"x", [ACL(31, Id("world", "anyone"))], 3)),
@@ -142,9 +142,9 @@
         up(world)
         first = world.session.id
         for op, row in (
-            (Op.GET_DATA, r.Watching("/w", True)),
-            (Op.EXISTS, r.Watching("/new", True)),
-            (Op.GET_CHILDREN2, r.Watching("/", True)),
+            (Op.GET_DATA, r.ReadRequest("/w", True)),
+            (Op.EXISTS, r.ReadRequest("/new", True)),
+            (Op.GET_CHILDREN2, r.ReadRequest("/", True)),
         ):
             world.session.send_request(world.now, op, row)
         world.settle()
@@ -163,7 +163,7 @@
 def test_watches_are_set_again_in_requests_that_a_server_takes() -> None:
     session = accepted()
     for at in range(3000):
-        session.send_request(0.0, Op.EXISTS, r.Watching(f"/{at:0100d}", True))
+        session.send_request(0.0, Op.EXISTS, r.ReadRequest(f"/{at:0100d}", True))
         session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
     session.connection_lost("cut")
     session.connection_made(1.0)
@@ -187,7 +187,7 @@
     async def run() -> None:
         world = up(World())
         first = world.session.id
-        world.session.send_request(world.now, Op.EXISTS, r.Watching("/new", True))
+        world.session.send_request(world.now, Op.EXISTS, r.ReadRequest("/new", True))
         world.settle()
         world.disconnect()
         world.cluster.ensemble.end(first)
@@ -282,7 +282,7 @@
 )
 def test_what_is_no_zookeepers_costs_that_connection_and_no_memory(data: bytes) -> None:
     session = accepted()
-    session.send_request(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
+    session.send_request(0.0, Op.GET_CHILDREN2, r.ReadRequest("/", False))
     [event] = session.data_received(0.0, data)
     assert isinstance(event, Disconnected) and "invalid data" in event.reason and session.next_tick_at() == float("inf")
     session.connection_made(1.0)
@@ -309,8 +309,8 @@
         )
     )
     session = accepted()
-    session.send_request(0.0, Op.GET_DATA, r.Watching("/a", True))
-    session.send_request(0.0, Op.GET_DATA, r.Watching("/b", True))
+    session.send_request(0.0, Op.GET_DATA, r.ReadRequest("/a", True))
+    session.send_request(0.0, Op.GET_DATA, r.ReadRequest("/b", True))
     places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
     events = [event for one, two in pairwise(places) for event in session.data_received(0.0, data[one:two])]
     assert events == [
