--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -134,9 +134,9 @@
     version: Int
     cversion: Int
     aversion: Int
-    owner: Long  # session that owns an ephemeral node, else 0
-    length: Int
-    children: Int
+    ephemeral_owner: Long  # session that owns an ephemeral node, else 0
+    data_length: Int
+    child_count: Int
     pzxid: Long
 
 
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -222,7 +222,7 @@
                 self.path = ""
             self._set_status(NodeStatus.ABSENT, 0, b"")
             return
-        owner, version = result.stat.owner, result.stat.version
+        owner, version = result.stat.ephemeral_owner, result.stat.version
         if owner == self._session_id:
             self._set_status(NodeStatus.OWN, version, result.data)
         elif self._prefix or self._is_own_data(result.data):
