--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -8,8 +8,8 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.zookeeper.client import Client
-from lugspur.zookeeper.link import SessionUser
 from lugspur.zookeeper.session import Event, SessionOptions
+from lugspur.zookeeper.session_multiplexer import SessionUser
 
 #: Called after each turn of the session with the events of the session in it.
 SessionListener = Callable[[list[Event]], None]
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -6,7 +6,6 @@
 import random
 from collections.abc import Callable, Sequence
 
-from lugspur.zookeeper.link import SessionMultiplexer, SessionUser
 from lugspur.zookeeper.session import (
     CLOSED_REASON,
     Connected,
@@ -17,6 +16,7 @@
     SessionOptions,
     State,
 )
+from lugspur.zookeeper.session_multiplexer import SessionMultiplexer, SessionUser
 
 Address = tuple[str, int]
 #: Delays between two rounds of connection attempts to all servers; each one doubles, from the first to the maximum.
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/wire.py
@@ -8,8 +8,8 @@
 
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Connection, Server
-from lugspur.zookeeper.link import SessionMultiplexer
 from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
+from lugspur.zookeeper.session_multiplexer import SessionMultiplexer
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Snapshot, View, ViewUpdate
 
 
