--- a/lugspur/daemon/hot_restart/descriptors.py
+++ b/lugspur/daemon/hot_restart/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors that came with a packet and belong to whoever reads it."""
+"""File descriptors that were received with a packet; the reader of the packet has to close them."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def close_all(descriptors: list[int]) -> None:
-    """Close descriptors that nobody has taken out of the list."""
+    """Close the descriptors that are still in the list: a reader removes those that it keeps."""
     for descriptor in descriptors:
         os.close(descriptor)
--- a/lugspur/daemon/hot_restart/hot_restart.py
+++ b/lugspur/daemon/hot_restart/hot_restart.py
@@ -17,24 +17,28 @@
 from lugspur.daemon.hot_restart.takeover import PendingTakeover, Takeover
 from lugspur.discovery.endpoints import Address, server_name
 
-# In which the whole state has to come: the platform waits 6 s for the new process.
+#: The time in which the complete state has to arrive: the platform waits 6 s for the new process.
 STATE_TRANSFER_TIMEOUT_SECONDS = 1.0
-MAX_CONNECTIONS = 4  # to other processes: the one before, the next one, and one that failed
-MAX_EARLY_PACKETS = 1024  # kept until there is a proxy: some hundreds come in a second, for some 0.1 s
+#: Connections to other processes: the predecessor, the successor, and one that failed to start, with one to spare.
+MAX_CONNECTIONS = 4
+#: Packets that are kept until this process has a proxy: some hundreds arrive per second, for about 0.1 s.
+MAX_EARLY_PACKETS = 1024
 
 
 class HotRestart:
-    """This process's part in hot restarts; a successor first calls `take_over`, then all call `attach`.
+    """This process's side of hot restarts. A successor calls `take_over` first; every process calls `attach`.
 
-    `predecessor` is the process that this one takes over from, while it runs; `successor` the one that serves in this
-    one's place. A third process may be there that has not said that it is ready.
+    Attributes:
+        connections: The connections to all other processes, including one that has not announced that it is ready.
+        predecessor: The connection to the process that this one takes over from, until that process ends.
+        successor: The connection to the process that serves in place of this one.
     """
 
     def __init__(self, address: Address) -> None:
-        """`address` is the clients', which names the proxy; needs a running event loop."""
+        """Needs a running event loop. `address` is that of the clients' listener, which identifies the proxy."""
         self._rendezvous = RendezvousSocket(address, self._accept)
         self._proxy: RestartableProxy | None = None
-        self._listener: socket.socket | None = None  # the clients'
+        self._listener: socket.socket | None = None  # of the clients
         self.connections: dict[PacketConnection, None] = {}
         self.predecessor: PacketConnection | None = None
         self.successor: PacketConnection | None = None
@@ -46,10 +50,10 @@
     # ---- as the successor ----------------------------------------------------------------------
 
     async def take_over(self) -> Takeover | None:
-        """Ask the process that serves for its listening socket and state.
+        """Ask the serving process for its listening socket and state.
 
-        Returns None where there is no such process, or where it does not answer completely in time; the cause is
-        logged, and this process starts from nothing.
+        Returns None if there is no such process, or if it does not reply completely in time; the reason is logged, and
+        this process starts without state.
         """
         sock = self._rendezvous.connect()
         if sock is None:
@@ -60,16 +64,16 @@
         try:
             return await self._takeover.result(STATE_TRANSFER_TIMEOUT_SECONDS)
         except TimeoutError:
-            log_line(f"no hand-over: nothing whole came within {STATE_TRANSFER_TIMEOUT_SECONDS:g} s")
+            log_line(f"takeover failed: no complete state received within {STATE_TRANSFER_TIMEOUT_SECONDS:g} s")
         except PacketError as error:
-            log_line(f"no hand-over: {error}")
+            log_line(f"takeover failed: {error}")
         connection.close()
         return None
 
     # ---- as the process that serves --------------------------------------------------------------
 
     def attach(self, proxy: RestartableProxy, listener: socket.socket) -> None:
-        """Serve with this proxy and the clients' listening socket from now on."""
+        """Set the proxy and the clients' listening socket of this process, and apply the packets received before."""
         self._proxy, self._listener = proxy, listener
         early_packets, self._early_packets = self._early_packets, []
         for packet, descriptors in early_packets:
@@ -78,21 +82,21 @@
             proxy.detach_peers()
 
     def announce_ready(self) -> None:
-        """Tell the predecessor that this process takes clients, and be found by the next one."""
+        """Tell the predecessor that this process accepts clients, and let the next process find this one."""
         if self.predecessor is not None:
             self.predecessor.send(packets.ready())
-            log_line("this process serves in the place of the one before")
+            log_line("took over from the previous process")
         self._rendezvous.publish()
 
     def _accept(self, sock: socket.socket) -> None:
-        """Connect to a process that starts."""
+        """Accept the connection of a starting process."""
         if len(self.connections) >= MAX_CONNECTIONS:
             sock.close()
             return
         self._add_connection(sock)
 
     def _send_state(self, connection: PacketConnection, packet: Packet) -> None:
-        """Answer a hello with the state; the listening socket goes with its last part."""
+        """Reply to a hello with the state; the listening socket is sent with its last part."""
         if packet.get("version") != PROTOCOL_VERSION or self._proxy is None or self._listener is None:
             connection.send(packets.refusal())
             return
@@ -101,14 +105,14 @@
             connection.send(part)
         connection.send(parts[-1], self._listener.fileno())
 
-    def _follow(self, successor: PacketConnection) -> None:
-        """A process has said that it takes clients in the place of this one."""
+    def _set_successor(self, successor: PacketConnection) -> None:
+        """Record that a process has announced that it accepts clients in place of this one."""
         self.successor = successor
-        log_line("another process serves in the place of this one")
+        log_line("a successor has taken over from this process")
         if self._proxy is not None:
             self._proxy.set_superseded(True)
 
-    # ---- connections and what comes by them ------------------------------------------------------
+    # ---- connections and received packets ------------------------------------------------------
 
     def _add_connection(self, sock: socket.socket) -> PacketConnection:
         connection = PacketConnection(sock, self._receive, self._connection_closed)
@@ -116,7 +120,7 @@
         return connection
 
     def _receive(self, connection: PacketConnection, packet: Packet, descriptors: list[int]) -> None:
-        """Act on a packet, whose descriptors are this process's; raises PacketError."""
+        """Handle a packet and its descriptors, which this process has to close; raises PacketError."""
         kind = packet["t"]
         takeover = self._takeover if connection is self.predecessor else None
         if kind == PacketKind.STATE_PART and takeover is not None:
@@ -128,20 +132,20 @@
             self._send_state(connection, packet)
             close_all(descriptors)
         elif kind == PacketKind.READY:
-            self._follow(connection)
+            self._set_successor(connection)
             close_all(descriptors)
         else:
             self._receive_change(connection, packet, descriptors)
 
     def _receive_change(self, connection: PacketConnection, packet: Packet, descriptors: list[int]) -> None:
-        """Follow what a peer was told, or keep it until there is a proxy; raises PacketError."""
+        """Apply a change that a peer reports, or keep it until this process has a proxy; raises PacketError."""
         if self._proxy is None:
             if len(self._early_packets) >= MAX_EARLY_PACKETS:
-                raise PacketError("too much before this process serves")
+                raise PacketError("too many packets before this process serves")
             self._early_packets.append((packet, descriptors))
             return
         if packet["t"] in BINDING_ALL:
-            for other in self.connections:  # three in a row: what binds one binds all
+            for other in self.connections:  # With three processes in a row, the middle one forwards the change.
                 if other is not connection:
                     other.send(packet)
         apply_packet(self._proxy, packet, descriptors)
@@ -160,22 +164,22 @@
     def _predecessor_ended(self) -> None:
         self.predecessor = None
         if self._takeover is not None:
-            self._takeover.fail("the process that serves has ended")
+            self._takeover.fail("the serving process has ended")
         if self._proxy is not None:
             self._proxy.forget_peer_requests()
 
     def _successor_ended(self) -> None:
-        """Serve on: the successor has ended before this process did."""
+        """Continue to serve: the successor has ended before this process."""
         self.successor = None
-        log_line("the process that was to follow has ended; this one serves on")
+        log_line("the successor has ended; this process continues to serve")
         if self._proxy is not None:
             self._proxy.set_superseded(False)
             self._rendezvous.publish()
 
-    # ---- what this process tells its peers ---------------------------------------------------------
+    # ---- messages to peers ---------------------------------------------------------
 
     def broadcast(self, packet: Packet) -> None:
-        """Send a packet to all peers at once."""
+        """Send a packet to all peers."""
         for connection in tuple(self.connections):
             connection.send(packet)
 
@@ -191,32 +195,32 @@
         self.broadcast(packets.drain(on))
 
     def request_started(self, request_id: bytes) -> None:
-        """Tell all peers, with this turn of the event loop, that a request with this id is open here."""
+        """Tell all peers, by the next turn of the event loop, that a request with this id is open here."""
         if self.connections:
             self._request_ids.add_begun(request_id)
 
     def request_finished(self, request_id: bytes) -> None:
-        """Tell all peers, with this turn of the event loop, that a request is finished."""
+        """Tell all peers, by the next turn of the event loop, that a request is finished."""
         if self.connections:
             self._request_ids.add_done(request_id)
 
     def has_successor(self) -> bool:
-        """Return whether another process serves in this one's place, by what has come up to now."""
+        """Return whether another process serves in place of this one, after reading all packets that have arrived."""
         for connection in tuple(self.connections):
             connection.read_available()
         return self.successor is not None
 
     def transfer_connection(self, descriptor: int) -> bool:
-        """Give a caller's connection to the successor; False where there is none. The descriptor stays the caller's."""
+        """Send a connection to the successor; return False if there is none. The descriptor is not closed here."""
         return self.successor is not None and self.successor.send(packets.caller(), descriptor)
 
     @property
     def has_unsent_transfers(self) -> bool:
-        """Whether a caller's connection waits for the successor to read."""
+        """Whether a connection is queued that the successor has not read yet."""
         return self.successor is not None and self.successor.has_unsent_packets
 
     def close(self) -> None:
-        """Leave the peers, since this process ends."""
+        """Close all connections to peers, since this process ends."""
         self._is_closing = True
         self._rendezvous.close()
         for connection in tuple(self.connections):
--- a/lugspur/daemon/hot_restart/takeover.py
+++ b/lugspur/daemon/hot_restart/takeover.py
@@ -1,4 +1,4 @@
-"""Takes over the listening socket and the state of the process that serves."""
+"""Takes over the listening socket and the state of the serving process."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 
 @dataclass(slots=True, frozen=True)
 class Takeover:
-    """What a starting process has got from its predecessor."""
+    """The listening socket and the state that a starting process has received from its predecessor."""
 
-    listener: socket.socket  # the clients'
+    listener: socket.socket  # of the clients
     state: ProcessState
 
 
 class PendingTakeover:
-    """A takeover that was asked for and whose answer may be incomplete."""
+    """A takeover that was requested, and whose reply may be incomplete."""
 
     def __init__(self) -> None:
-        """Begin to wait; needs a running event loop."""
+        """Start to wait for the reply; needs a running event loop."""
         self._result: asyncio.Future[Takeover] = asyncio.get_running_loop().create_future()
         self._state_parts = StateAssembler()
 
     async def result(self, timeout_seconds: float) -> Takeover:
-        """Wait for the whole answer; raises TimeoutError, or PacketError where it is refused or not understood."""
+        """Wait for the complete reply; raises TimeoutError, or PacketError if the takeover is rejected or fails."""
         return await asyncio.wait_for(self._result, timeout_seconds)
 
     def receive_part(self, packet: Packet, descriptors: list[int]) -> None:
-        """Take a part of the state; the last one has to come with the listening socket and nothing else."""
+        """Add a part of the state; the last one has to come with the listening socket and no other descriptor."""
         try:
             state = self._state_parts.add(packet)
             if state is None or self._result.done():
                 return
             if len(descriptors) != 1:
-                raise PacketError("no listening socket came")
+                raise PacketError("the state came without the listening socket")
             self._result.set_result(Takeover(socket.socket(fileno=descriptors.pop()), state))
         except PacketError as error:
-            self._fail_by(error)
+            self._set_error(error)
         finally:
             close_all(descriptors)
 
     @property
     def is_pending(self) -> bool:
-        """Whether the answer is still waited for."""
+        """Whether the reply is still incomplete."""
         return not self._result.done()
 
     def fail(self, reason: str) -> None:
-        """End the wait without an answer; does nothing where it has ended already."""
-        self._fail_by(PacketError(reason))
+        """End the wait without a reply; does nothing if it has ended already."""
+        self._set_error(PacketError(reason))
 
-    def _fail_by(self, error: PacketError) -> None:
+    def _set_error(self, error: PacketError) -> None:
         if not self._result.done():
             self._result.set_exception(error)
--- a/tests/zookeeper/wire.py
+++ b/tests/zookeeper/session_harness.py
@@ -1,4 +1,4 @@
-"""A session and its view against a server of the stand-in, without sockets: every byte is moved by hand."""
+"""Harness for a session and its view with servers of the stand-in, without sockets: tests move the bytes explicitly."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Pipe(asyncio.Transport):
-    """A transport that keeps what is written until it is moved."""
+    """A transport that keeps written data until the harness moves it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,53 +36,55 @@
 
 
 class Follower:
-    """What somebody who only hears a view's news knows, and all removals that it heard of."""
+    """The state of a listener that knows only the updates of a view, and all removals that it was notified of."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, tuple[bytes, int]] = {}
-        self.removed: list[tuple[str, int]] = []  # by name and czxid
+        self.removals: list[tuple[str, int]] = []  # name and czxid
 
-    def hear(self, news: list[ViewUpdate]) -> None:
-        for one in news:
-            if isinstance(one, Snapshot):
-                known = {name: (data.data, data.stat.czxid) for name, data in one.nodes.items() if data}
+    def receive(self, updates: list[ViewUpdate]) -> None:
+        for update in updates:
+            if isinstance(update, Snapshot):
+                known = {name: (data.data, data.stat.czxid) for name, data in update.nodes.items() if data}
                 for name in tuple(self.nodes):
                     if name not in known or known[name][1] != self.nodes[name][1]:
                         self._remove(name)
                 self.nodes = known
-            elif isinstance(one, NodeChanged) and one.data is not None:
-                assert self.nodes.get(one.name, (b"", one.data.stat.czxid))[1] == one.data.stat.czxid, "not told gone"
-                self.nodes[one.name] = one.data.data, one.data.stat.czxid
-            elif isinstance(one, NodeDeleted):
-                self._remove(one.name)
+            elif isinstance(update, NodeChanged) and update.data is not None:
+                assert self.nodes.get(update.name, (b"", update.data.stat.czxid))[1] == update.data.stat.czxid, (
+                    "recreated without a NodeDeleted"
+                )
+                self.nodes[update.name] = update.data.data, update.data.stat.czxid
+            elif isinstance(update, NodeDeleted):
+                self._remove(update.name)
 
     def _remove(self, name: str) -> None:
         known = self.nodes.pop(name, None)
         if known is not None:
-            self.removed.append((name, known[1]))
+            self.removals.append((name, known[1]))
 
 
-class World:
-    """One session, one view and a cluster, in a time of its own."""
+class SessionHarness:
+    """One session, one view and a cluster, with a simulated clock."""
 
     def __init__(self, servers: int = 3, path: str = "/boxes", options: SessionOptions | None = None) -> None:
         self.now = 100.0
         self.cluster = Cluster()
-        self.servers = [Server(self.cluster.ensemble, at) for at in range(servers)]
+        self.servers = [Server(self.cluster.ensemble, index) for index in range(servers)]
         self.session = Session(options or SessionOptions(), servers)
         self.multiplexer = SessionMultiplexer(self.session)
         self.view = View(path)
         self.follower = Follower()
-        self.news: list[ViewUpdate] = []
+        self.updates: list[ViewUpdate] = []
         self.events: list[Event] = []
         self.connection: Connection | None = None
         self.pipe = Pipe()
         self.multiplexer.add(self.view, self.now)
 
-    def connect(self, at: int = 0) -> None:
-        """A new connection; the one before is lost."""
+    def connect(self, index: int = 0) -> None:
+        """Open a connection to a server; the former one is lost."""
         self.disconnect()
-        self.connection, self.pipe = Connection(self.servers[at]), Pipe()
+        self.connection, self.pipe = Connection(self.servers[index]), Pipe()
         self.connection.connection_made(self.pipe)
         self.session.connection_made(self.now)
 
@@ -90,25 +92,25 @@
         if self.connection is not None:
             self.connection.connection_lost(None)
             self.connection = None
-            self.handle(self.session.connection_lost("it is cut"))
+            self.handle(self.session.connection_lost("the connection is cut"))
 
     def handle(self, events: list[Event]) -> None:
         self.events += events
         self.multiplexer.handle(self.now, events)
-        news = self.view.take_updates()
-        self.news += news
-        self.follower.hear(news)
+        updates = self.view.take_updates()
+        self.updates += updates
+        self.follower.receive(updates)
 
     def send(self) -> bool:
-        """What the session has to say, to the server; gives whether there was anything."""
+        """Move the output of the session to the server; returns whether there was any."""
         data = self.session.take_output()
         if data and self.connection is not None:
             self.connection.data_received(data)
         return bool(data)
 
-    def receive(self, most: int | None = None) -> bool:
-        """What the server has written, or so many bytes of it, to the session."""
-        data, self.pipe.data = self.pipe.data[:most], self.pipe.data[most:] if most else b""
+    def receive(self, max_bytes: int | None = None) -> bool:
+        """Move the output of the server, at most `max_bytes`, to the session; returns whether there was any."""
+        data, self.pipe.data = self.pipe.data[:max_bytes], self.pipe.data[max_bytes:] if max_bytes else b""
         if data:
             self.handle(self.session.data_received(self.now, data))
         if not self.pipe.data and self.pipe.closed:
@@ -116,12 +118,12 @@
         return bool(data)
 
     def settle(self) -> None:
-        """Move bytes until nothing is left to move."""
+        """Move data in both directions until there is none."""
         while self.send() | self.receive():
             pass
 
     def recover(self) -> None:
-        """Every fault is mended; the session is up again, the same or a fresh one, and all is quiet."""
+        """End all faults, connect the session, whether the former or a new one, and move all data."""
         for server in self.servers:
             server.mend()
         self.settle()
@@ -130,24 +132,24 @@
             self.settle()
 
     def tree(self) -> dict[str, tuple[bytes, int]]:
-        """What the folder really holds."""
+        """Return the nodes in the directory, by name."""
         nodes = self.cluster.ensemble.tree.nodes
-        inside = self.view.path.rstrip("/") + "/"
+        prefix = self.view.path.rstrip("/") + "/"
         return {
-            path[len(inside) :]: (node.data, node.czxid)
+            path[len(prefix) :]: (node.data, node.czxid)
             for path, node in nodes.items()
-            if path.startswith(inside) and "/" not in path[len(inside) :] and path != "/"
+            if path.startswith(prefix) and "/" not in path[len(prefix) :] and path != "/"
         }
 
-    def whole(self) -> int:
-        """How often the whole folder was told."""
-        return sum(isinstance(one, Snapshot) for one in self.news)
+    def snapshot_count(self) -> int:
+        """Return how many snapshots the view has delivered."""
+        return sum(isinstance(update, Snapshot) for update in self.updates)
 
     @property
     def expired(self) -> bool:
         return any(isinstance(event, Expired) for event in self.events)
 
 
-def inside(act: Coroutine[Any, Any, None]) -> None:
-    """Run a test that needs a loop, and no time."""
-    asyncio.run(act)
+def run_in_loop(test: Coroutine[Any, Any, None]) -> None:
+    """Run a test that needs an event loop but does not wait."""
+    asyncio.run(test)
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -10,7 +10,7 @@
 
 import pytest
 from loopback import until
-from wire import Follower
+from session_harness import Follower
 
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Server
@@ -19,7 +19,7 @@
 from lugspur.zookeeper.view import View
 
 
-class World:
+class ClientHarness:
     """An ensemble, and one client with a view of /boxes."""
 
     def __init__(self, cluster: Cluster, client: Client, view: View, events: list[Event]) -> None:
@@ -38,7 +38,7 @@
 
 
 @asynccontextmanager
-async def world(servers: int = 3, options: SessionOptions | None = None) -> AsyncIterator[World]:
+async def client_harness(servers: int = 3, options: SessionOptions | None = None) -> AsyncIterator[ClientHarness]:
     async with Cluster() as cluster:
         await cluster.listen(*[("127.0.0.1", 0)] * servers)
         cluster.write("/boxes")
@@ -47,7 +47,7 @@
         view = View("/boxes")
         client.add(view)
         client.open()
-        made = World(cluster, client, view, events)
+        made = ClientHarness(cluster, client, view, events)
         try:
             await made.up()
             yield made
@@ -81,13 +81,13 @@
 )
 def test_the_session_goes_on_elsewhere_whatever_happens_to_its_server(hurt: Callable[[Server], None]) -> None:
     async def play() -> None:
-        async with world() as w:
-            session = w.client.session.id
-            hurt(w.at())
-            await until(lambda: w.count(Disconnected) == 1)
-            await w.up()
-            assert w.client.session.id == session and w.count(Expired) == 0
-            assert [event.is_new_session for event in w.events if isinstance(event, Connected)] == [True, False]
+        async with client_harness() as harness:
+            session = harness.client.session.id
+            hurt(harness.at())
+            await until(lambda: harness.count(Disconnected) == 1)
+            await harness.up()
+            assert harness.client.session.id == session and harness.count(Expired) == 0
+            assert [event.is_new_session for event in harness.events if isinstance(event, Connected)] == [True, False]
 
     asyncio.run(play())
 
@@ -96,49 +96,49 @@
     """Exactly when is tested without sockets, in test_session.py: a loaded machine is late."""
 
     async def play() -> None:
-        async with world() as w:
+        async with client_harness() as harness:
             loop = asyncio.get_running_loop()
             begun = loop.time()
-            w.at().stall()
-            await until(lambda: w.count(Disconnected) == 1)
+            harness.at().stall()
+            await until(lambda: harness.count(Disconnected) == 1)
             assert loop.time() - begun > 6.0 / 3.0  # it may have spoken last a third of the time-out before it stalled
-            await until(lambda: w.count(Connected) == 2)
-            assert w.count(Expired) == 0
+            await until(lambda: harness.count(Connected) == 2)
+            assert harness.count(Expired) == 0
 
     asyncio.run(play())
 
 
 def test_servers_that_stall_one_after_another_do_not_cost_the_session() -> None:
     async def play() -> None:
-        async with world() as w:
-            others = [server for server in w.cluster.servers if server is not w.at()]
+        async with client_harness() as harness:
+            others = [server for server in harness.cluster.servers if server is not harness.at()]
             others[0].stall()  # accepts, and says nothing
-            w.at().stall()
-            await until(lambda: w.count(Connected) == 2)
-            assert w.at() is others[1] and w.count(Expired) == 0
+            harness.at().stall()
+            await until(lambda: harness.count(Connected) == 2)
+            assert harness.at() is others[1] and harness.count(Expired) == 0
 
     asyncio.run(play())
 
 
 def test_a_server_that_lags_is_left_for_one_that_does_not() -> None:
     async def play() -> None:
-        async with world() as w:
-            ahead, *behind = sorted(w.cluster.servers, key=lambda server: server is not w.at())
+        async with client_harness() as harness:
+            ahead, *behind = sorted(harness.cluster.servers, key=lambda server: server is not harness.at())
             for server in behind:
                 server.lag()
-            w.cluster.write("/boxes/a", b"1")
-            await until(lambda: w.client.session.zxid == w.cluster.ensemble.zxid)
+            harness.cluster.write("/boxes/a", b"1")
+            await until(lambda: harness.client.session.zxid == harness.cluster.ensemble.zxid)
             ahead.flap()
-            await until(lambda: w.count(Connected) == 2)
-            assert w.at() is ahead
+            await until(lambda: harness.count(Connected) == 2)
+            assert harness.at() is ahead
 
     asyncio.run(play())
 
 
 def test_connections_to_a_dead_ensemble_grow_rarer() -> None:
     async def play() -> None:
-        async with world(servers=1) as w:
-            [server] = w.cluster.servers
+        async with client_harness(servers=1) as harness:
+            [server] = harness.cluster.servers
             taken: list[float] = []
             loop = asyncio.get_running_loop()
 
@@ -158,22 +158,22 @@
 
 def test_closing_tells_the_server_and_ends_everything() -> None:
     async def play() -> None:
-        async with world() as w:
-            await w.client.close()
-            assert not w.cluster.ensemble.sessions and w.client.session.state is State.CLOSED
-            await until(lambda: not any(server.connections for server in w.cluster.servers))
+        async with client_harness() as harness:
+            await harness.client.close()
+            assert not harness.cluster.ensemble.sessions and harness.client.session.state is State.CLOSED
+            await until(lambda: not any(server.connections for server in harness.cluster.servers))
 
     asyncio.run(play())
 
 
 def test_closing_without_a_server_does_not_wait_for_one() -> None:
     async def play() -> None:
-        async with world() as w:
-            for server in w.cluster.servers:
+        async with client_harness() as harness:
+            for server in harness.cluster.servers:
                 server.refuse()
-            await until(lambda: w.count(Disconnected) == 1)
-            await w.client.close()
-            assert w.client.session.state is State.CLOSED
+            await until(lambda: harness.count(Disconnected) == 1)
+            await harness.client.close()
+            assert harness.client.session.state is State.CLOSED
 
     asyncio.run(play())
 
@@ -184,16 +184,16 @@
 
     async def play() -> None:
         chance = random.Random(number)
-        async with world(options=SessionOptions(3.0)) as w:
+        async with client_harness(options=SessionOptions(3.0)) as harness:
             follower = Follower()
-            heard = w.client._on_events
+            heard = harness.client._on_events
 
             def hear(events: list[Event]) -> None:
                 heard(events)
-                follower.hear(w.view.take_updates())
+                follower.receive(harness.view.take_updates())
 
-            w.client._on_events = hear
-            cluster, servers = w.cluster, w.cluster.servers
+            harness.client._on_events = hear
+            cluster, servers = harness.cluster, harness.cluster.servers
 
             def change(path: str) -> None:
                 there = path in cluster.ensemble.tree.nodes
@@ -211,7 +211,7 @@
                 if step % 10 == 0:
                     chance.choice(faults)(chance.choice(servers))
                 if step % 100 == 50:
-                    cluster.ensemble.end(w.client.session.id)
+                    cluster.ensemble.end(harness.client.session.id)
                 await asyncio.sleep(chance.choice([0.0, 0.0, 0.002]))
             for server in servers:
                 server.mend()
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wire import World
+from session_harness import SessionHarness
 
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.records import Op
@@ -18,8 +18,8 @@
 FOLDER = "/boxes"
 
 
-class Home(World):
-    """A world with one registration instead of what others know."""
+class Home(SessionHarness):
+    """A harness with one registration instead of what others know."""
 
     def __init__(self, sequential: bool = False) -> None:
         super().__init__()
@@ -131,16 +131,16 @@
 @pytest.mark.parametrize("sequential", [False, True], ids=["plain", "sequential"])
 def test_a_create_whose_reply_is_lost_is_not_done_twice(sequential: bool) -> None:
     async def run() -> None:
-        world = home(sequential)
-        world.want(True)
-        while not world.mine():
-            world.send()
-            if not world.mine():
-                world.receive()
-        world.connect(1)  # the reply never comes
-        world.settle()
-        assert len(world.mine()) == 1 == world.most and world.registration.status is NodeStatus.OWN
-        assert sum(server.asked[Op.CREATE] for server in world.servers) <= 3  # the folder, and one node
+        harness = home(sequential)
+        harness.want(True)
+        while not harness.mine():
+            harness.send()
+            if not harness.mine():
+                harness.receive()
+        harness.connect(1)  # the reply never comes
+        harness.settle()
+        assert len(harness.mine()) == 1 == harness.most and harness.registration.status is NodeStatus.OWN
+        assert sum(server.asked[Op.CREATE] for server in harness.servers) <= 3  # the folder, and one node
 
     asyncio.run(run())
 
@@ -150,81 +150,81 @@
     """The registration races its own old ephemeral node, whose session has not expired yet."""
 
     async def run() -> None:
-        world = Home(sequential)
+        harness = Home(sequential)
         old = f"{FOLDER}/box-f00-0000000000" if sequential else f"{FOLDER}/box"
-        world.cluster.box(old, b"ours before")
+        harness.cluster.box(old, b"ours before")
         events: list[int] = []
-        world.cluster.ensemble.listeners.append(lambda _: events.append(len(world.mine())))
-        world.want(True)
-        world.connect()
-        world.settle()
-        assert world.registration.status is NodeStatus.OWN and set(events) == {1}
-        [path] = world.mine()
-        assert world.cluster.ensemble.tree.nodes[path].owner == world.session.id
+        harness.cluster.ensemble.listeners.append(lambda _: events.append(len(harness.mine())))
+        harness.want(True)
+        harness.connect()
+        harness.settle()
+        assert harness.registration.status is NodeStatus.OWN and set(events) == {1}
+        [path] = harness.mine()
+        assert harness.cluster.ensemble.tree.nodes[path].owner == harness.session.id
 
     asyncio.run(run())
 
 
 def test_somebody_elses_node_of_the_same_name_is_waited_for() -> None:
     async def run() -> None:
-        world = home()
-        world.cluster.box(f"{FOLDER}/box", b"theirs")
-        world.want(True)
-        world.settle()
-        assert world.mine() == [] and world.registration.status is NodeStatus.FOREIGN
-        assert world.lines() == ["/boxes/box belongs to another process; waiting until it is deleted"]
-        world.cluster.expire(f"{FOLDER}/box")
-        world.settle()
-        assert world.mine() == ["/boxes/box"] and world.lines() == ["registered as /boxes/box"]
+        harness = home()
+        harness.cluster.box(f"{FOLDER}/box", b"theirs")
+        harness.want(True)
+        harness.settle()
+        assert harness.mine() == [] and harness.registration.status is NodeStatus.FOREIGN
+        assert harness.lines() == ["/boxes/box belongs to another process; waiting until it is deleted"]
+        harness.cluster.expire(f"{FOLDER}/box")
+        harness.settle()
+        assert harness.mine() == ["/boxes/box"] and harness.lines() == ["registered as /boxes/box"]
 
     asyncio.run(run())
 
 
 def test_a_session_that_was_lost_makes_it_register_again() -> None:
     async def run() -> None:
-        world = home()
-        world.want(True)
-        world.settle()
-        first = world.session.id
-        world.cluster.ensemble.end(first)
-        assert world.mine() == []
-        world.recover()
-        assert world.mine() == ["/boxes/box"] and world.session.id != first
-        assert "the session has expired; registering again" in world.lines()
+        harness = home()
+        harness.want(True)
+        harness.settle()
+        first = harness.session.id
+        harness.cluster.ensemble.end(first)
+        assert harness.mine() == []
+        harness.recover()
+        assert harness.mine() == ["/boxes/box"] and harness.session.id != first
+        assert "the session has expired; registering again" in harness.lines()
 
     asyncio.run(run())
 
 
 def test_an_ill_box_has_no_node_and_leaving_deletes_it() -> None:
     async def run() -> None:
-        world = home()
-        world.settle()
-        assert world.mine() == [] and world.most == 0
-        world.want(True)
-        world.settle()
-        world.want(False)
-        assert not world.registration.is_settled
-        world.settle()
-        assert world.mine() == [] and world.registration.is_settled
+        harness = home()
+        harness.settle()
+        assert harness.mine() == [] and harness.most == 0
+        harness.want(True)
+        harness.settle()
+        harness.want(False)
+        assert not harness.registration.is_settled
+        harness.settle()
+        assert harness.mine() == [] and harness.registration.is_settled
 
     asyncio.run(run())
 
 
 def test_what_is_forbidden_is_said_once_and_tried_again_only_when_asked() -> None:
     async def run() -> None:
-        world = home()
+        harness = home()
         guarded = (r.Acl(r.PERM_READ, "world", "anyone"),)
-        world.cluster.ensemble.commit(world.cluster.operator, ((Op.CREATE, r.Create(FOLDER, b"", guarded, 0)),))
-        world.want(True)
-        world.settle()
-        assert world.lines() == ["CREATE of /boxes/box fails: NO_AUTH"]
-        asked = sum(server.asked[Op.CREATE] for server in world.servers)
-        world.settle()
-        world.registration.retry()
-        world.multiplexer.send_requests(world.now)
-        world.settle()
-        assert sum(server.asked[Op.CREATE] for server in world.servers) == asked + 1 and world.lines() == []
-        assert world.session.state is State.CONNECTED
+        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.CREATE, r.Create(FOLDER, b"", guarded, 0)),))
+        harness.want(True)
+        harness.settle()
+        assert harness.lines() == ["CREATE of /boxes/box fails: NO_AUTH"]
+        asked = sum(server.asked[Op.CREATE] for server in harness.servers)
+        harness.settle()
+        harness.registration.retry()
+        harness.multiplexer.send_requests(harness.now)
+        harness.settle()
+        assert sum(server.asked[Op.CREATE] for server in harness.servers) == asked + 1 and harness.lines() == []
+        assert harness.session.state is State.CONNECTED
 
     asyncio.run(run())
 
@@ -232,47 +232,47 @@
 @pytest.mark.parametrize("sequential", [False, True], ids=["plain", "sequential"])
 def test_a_server_that_lags_behind_a_lost_create_is_waited_for(sequential: bool) -> None:
     async def run() -> None:
-        world = Home(sequential)
-        world.cluster.write(FOLDER)
-        world.connect()
-        world.settle()
-        world.servers[1].lag()
-        world.want(True)
-        world.send()
-        assert len(world.mine()) == 1
-        world.connect(1)  # it knows nothing of the node, and nothing that this client has not seen
-        world.settle()
-        world.servers[1].mend()
-        world.settle()
-        assert len(world.mine()) == 1 == world.most and world.registration.status is NodeStatus.OWN
+        harness = Home(sequential)
+        harness.cluster.write(FOLDER)
+        harness.connect()
+        harness.settle()
+        harness.servers[1].lag()
+        harness.want(True)
+        harness.send()
+        assert len(harness.mine()) == 1
+        harness.connect(1)  # it knows nothing of the node, and nothing that this client has not seen
+        harness.settle()
+        harness.servers[1].mend()
+        harness.settle()
+        assert len(harness.mine()) == 1 == harness.most and harness.registration.status is NodeStatus.OWN
 
     asyncio.run(run())
 
 
 def test_a_replacement_whose_reply_is_lost_is_found_under_its_new_number() -> None:
     async def run() -> None:
-        world = Home(sequential=True)
-        world.cluster.box(f"{FOLDER}/box-f00-0000000000", b"ours before")
-        world.want(True)
-        world.connect()
-        while world.mine() == ["/boxes/box-f00-0000000000"]:
-            world.send()
-            if world.mine() == ["/boxes/box-f00-0000000000"]:
-                world.receive()
-        world.servers[1].faults.forgets = True  # nor does a watch tell that the old one is gone
-        world.connect(1)
-        world.settle()
-        assert world.mine() == ["/boxes/box-f00-0000000001"] and world.most == 1
+        harness = Home(sequential=True)
+        harness.cluster.box(f"{FOLDER}/box-f00-0000000000", b"ours before")
+        harness.want(True)
+        harness.connect()
+        while harness.mine() == ["/boxes/box-f00-0000000000"]:
+            harness.send()
+            if harness.mine() == ["/boxes/box-f00-0000000000"]:
+                harness.receive()
+        harness.servers[1].faults.forgets = True  # nor does a watch tell that the old one is gone
+        harness.connect(1)
+        harness.settle()
+        assert harness.mine() == ["/boxes/box-f00-0000000001"] and harness.most == 1
 
     asyncio.run(run())
 
 
 def test_an_old_node_of_a_box_that_is_ill_is_deleted() -> None:
     async def run() -> None:
-        world = Home()
-        world.cluster.box(f"{FOLDER}/box", b"ours before")
-        world.connect()
-        world.settle()
-        assert world.mine() == [] and world.registration.is_settled
+        harness = Home()
+        harness.cluster.box(f"{FOLDER}/box", b"ours before")
+        harness.connect()
+        harness.settle()
+        assert harness.mine() == [] and harness.registration.is_settled
 
     asyncio.run(run())
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from kazoo.protocol import serialization as kazoo
 from kazoo.security import ACL, Id
-from wire import World, inside
+from session_harness import SessionHarness, run_in_loop
 
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
@@ -32,12 +32,12 @@
 )
 
 
-def up(world: World, at: int = 0) -> World:
+def up(harness: SessionHarness, at: int = 0) -> SessionHarness:
     """Connected to a server, and quiet."""
-    world.connect(at)
-    world.settle()
-    assert world.session.state is State.CONNECTED
-    return world
+    harness.connect(at)
+    harness.settle()
+    assert harness.session.state is State.CONNECTED
+    return harness
 
 
 def accepted(timeout: float = 9.0, session: int = 5) -> Session:
@@ -50,8 +50,8 @@
     return made
 
 
-def downs(world: World) -> list[str]:
-    return [event.reason for event in world.events if isinstance(event, Disconnected)]
+def downs(harness: SessionHarness) -> list[str]:
+    return [event.reason for event in harness.events if isinstance(event, Disconnected)]
 
 
 # ---- the records, by another's reading of them --------------------------------------------------
@@ -118,17 +118,17 @@
 
 def test_a_process_that_was_stopped_for_longer_than_its_session_asks_a_server_before_it_believes_anything() -> None:
     async def run() -> None:
-        world = up(World())
-        first = world.session.id
-        world.cluster.ensemble.end(first)  # nobody heard of it
-        world.now += 1000.0
-        world.handle(world.session.tick(world.now))
-        assert downs(world) == ["the server sent nothing in time"] and not world.expired
-        world.disconnect()
-        world.recover()
-        assert world.expired and world.session.id not in (0, first)
+        harness = up(SessionHarness())
+        first = harness.session.id
+        harness.cluster.ensemble.end(first)  # nobody heard of it
+        harness.now += 1000.0
+        harness.handle(harness.session.tick(harness.now))
+        assert downs(harness) == ["the server sent nothing in time"] and not harness.expired
+        harness.disconnect()
+        harness.recover()
+        assert harness.expired and harness.session.id not in (0, first)
 
-    inside(run())
+    run_in_loop(run())
 
 
 # ---- one session, many connections ---------------------------------------------------------------
@@ -136,28 +136,28 @@
 
 def test_the_session_goes_on_at_another_server_with_its_watches() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/w", b"1")
-        world.cluster.write("/boxes")
-        up(world)
-        first = world.session.id
+        harness = SessionHarness()
+        harness.cluster.write("/w", b"1")
+        harness.cluster.write("/boxes")
+        up(harness)
+        first = harness.session.id
         for op, row in (
             (Op.GET_DATA, r.ReadRequest("/w", True)),
             (Op.EXISTS, r.ReadRequest("/new", True)),
             (Op.GET_CHILDREN2, r.ReadRequest("/", True)),
         ):
-            world.session.send_request(world.now, op, row)
-        world.settle()
-        world.disconnect()
-        world.cluster.write("/w", b"2")
-        world.cluster.write("/new")
-        before = len(world.events)
-        up(world, at=2)
-        told = {(event.kind, event.path) for event in world.events[before:] if isinstance(event, WatchTriggered)}
-        assert world.session.id == first and Connected(False, first, 10.0) in world.events
+            harness.session.send_request(harness.now, op, row)
+        harness.settle()
+        harness.disconnect()
+        harness.cluster.write("/w", b"2")
+        harness.cluster.write("/new")
+        before = len(harness.events)
+        up(harness, at=2)
+        told = {(event.kind, event.path) for event in harness.events[before:] if isinstance(event, WatchTriggered)}
+        assert harness.session.id == first and Connected(False, first, 10.0) in harness.events
         assert told == {(EventType.CHANGED, "/w"), (EventType.CREATED, "/new"), (EventType.CHILDREN, "/")}
 
-    inside(run())
+    run_in_loop(run())
 
 
 def test_watches_are_set_again_in_requests_that_a_server_takes() -> None:
@@ -185,30 +185,30 @@
 
 def test_an_expired_session_is_begun_anew_without_its_watches() -> None:
     async def run() -> None:
-        world = up(World())
-        first = world.session.id
-        world.session.send_request(world.now, Op.EXISTS, r.ReadRequest("/new", True))
-        world.settle()
-        world.disconnect()
-        world.cluster.ensemble.end(first)
-        world.recover()
-        assert Expired() in world.events and world.session.id != first
-        assert isinstance(world.events[-1], Reply) or Connected(True, world.session.id, 10.0) in world.events
-        assert not world.connection or "/new" not in world.connection.watches.data
+        harness = up(SessionHarness())
+        first = harness.session.id
+        harness.session.send_request(harness.now, Op.EXISTS, r.ReadRequest("/new", True))
+        harness.settle()
+        harness.disconnect()
+        harness.cluster.ensemble.end(first)
+        harness.recover()
+        assert Expired() in harness.events and harness.session.id != first
+        assert isinstance(harness.events[-1], Reply) or Connected(True, harness.session.id, 10.0) in harness.events
+        assert not harness.connection or "/new" not in harness.connection.watches.data
 
-    inside(run())
+    run_in_loop(run())
 
 
 def test_a_server_behind_what_was_seen_turns_the_client_away_or_is_left() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes")
-        world.servers[1].lag()
-        world.cluster.write("/boxes/a")
-        up(world)
-        world.connect(1)
-        world.settle()
-        assert world.session.state is State.DISCONNECTED and not world.expired
+        harness = SessionHarness()
+        harness.cluster.write("/boxes")
+        harness.servers[1].lag()
+        harness.cluster.write("/boxes/a")
+        up(harness)
+        harness.connect(1)
+        harness.settle()
+        assert harness.session.state is State.DISCONNECTED and not harness.expired
         # A server that does not check takes the client in: its first reply shows what it is.
         session = accepted()
         session.zxid = 500
@@ -221,7 +221,7 @@
             Disconnected("the server lags behind other servers")
         ]
 
-    inside(run())
+    run_in_loop(run())
 
 
 @pytest.mark.parametrize("wanted", [False, True])
@@ -234,17 +234,17 @@
 
 def test_credentials_go_out_first_and_wrong_ones_end_the_connection() -> None:
     async def run() -> None:
-        world = World(options=SessionOptions(auth=(("digest", b"rosa:secret"),)))
+        harness = SessionHarness(options=SessionOptions(auth=(("digest", b"rosa:secret"),)))
         guarded = (r.Acl(r.PERM_ALL, "digest", digest(b"rosa:secret")),)
-        world.cluster.ensemble.commit(world.cluster.operator, ((Op.CREATE, r.Create("/boxes", b"", guarded, 0)),))
-        up(world)
-        assert world.whole() == 1
-        wrong = World(options=SessionOptions(auth=(("digest", b"no-colon"),)))
+        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.CREATE, r.Create("/boxes", b"", guarded, 0)),))
+        up(harness)
+        assert harness.snapshot_count() == 1
+        wrong = SessionHarness(options=SessionOptions(auth=(("digest", b"no-colon"),)))
         wrong.connect()
         wrong.settle()
         assert "the server rejected the credentials" in downs(wrong)
 
-    inside(run())
+    run_in_loop(run())
 
 
 def test_an_old_server_that_answers_addwatch_without_a_body_does_not_know_it() -> None:
@@ -256,12 +256,12 @@
 
 def test_closing_ends_the_session_at_the_server() -> None:
     async def run() -> None:
-        world = up(World())
-        world.session.close(world.now)
-        world.settle()
-        assert world.session.state is State.CLOSED and not world.cluster.ensemble.sessions
+        harness = up(SessionHarness())
+        harness.session.close(harness.now)
+        harness.settle()
+        assert harness.session.state is State.CLOSED and not harness.cluster.ensemble.sessions
 
-    inside(run())
+    run_in_loop(run())
 
 
 # ---- what peers can send ------------------------------------------------------------------------
