--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -1,4 +1,4 @@
-"""The view equals the tree after every quiet moment, and tells each removal, whatever happened before."""
+"""Whatever happened before, the view equals the tree once all data has arrived, and has reported each removal."""
 
 from __future__ import annotations
 
@@ -18,61 +18,61 @@
 
 
 class Churn:
-    """Random changes of the folder, cuts, stalls and expiries; every step is drawn by `chance`."""
+    """Random changes of the directory, disconnections, stalls and expiries; `random_source` selects each step."""
 
-    def __init__(self, chance: random.Random, old: bool) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random, old: bool) -> None:
+        self.random_source = random_source
         self.harness = harness = SessionHarness()
         self.old = old
-        self.told_gone: list[tuple[str, int]] = []  # removals while the view followed and knew the node
+        self.expected_removals: list[tuple[str, int]] = []  # removals of nodes that the follower knew
         harness.cluster.write("/boxes")
-        harness.cluster.ensemble.listeners.append(self.removals)
+        harness.cluster.ensemble.listeners.append(self.record_removals)
         self.steps: list[tuple[int, Callable[[], None]]] = [
             (30, self.write),
             (15, self.delete),
-            (10, self.box),
-            (8, self.expire_box),
+            (10, self.create_ephemeral),
+            (8, self.expire_ephemeral),
             (12, self.send),
             (12, self.receive),
-            (12, self.part),
+            (12, self.receive_part),
             (6, self.settle),
-            (2, self.cut),
+            (2, self.reconnect),
             (1, self.expire_own),
             (1, self.stall),
             (1, self.lag),
-            (4, self.late),
+            (4, self.delay_replies),
             (6, self.mend),
-            (1, self.folder),
-            (1, self.forget),
+            (1, self.delete_directory),
+            (1, self.forget_watches),
             (1, self.restore),
         ]
 
-    def removals(self, change: object) -> None:
+    def record_removals(self, change: object) -> None:
         for effect in getattr(change, "effects", ()):
             name = effect.path.rpartition("/")[2] if isinstance(effect, Gone) else ""
             if name in self.harness.follower.nodes:
-                self.told_gone.append((name, self.harness.follower.nodes[name][1]))
+                self.expected_removals.append((name, self.harness.follower.nodes[name][1]))
 
     def path(self) -> str:
-        return "/boxes/" + self.chance.choice(NAMES)
+        return "/boxes/" + self.random_source.choice(NAMES)
 
     def write(self) -> None:
-        self.harness.cluster.write(self.path(), str(self.chance.random()).encode())
+        self.harness.cluster.write(self.path(), str(self.random_source.random()).encode())
 
     def delete(self) -> None:
         path = self.path()
         if path in self.harness.cluster.ensemble.tree.nodes:
             self.harness.cluster.delete(path)
 
-    def box(self) -> None:
+    def create_ephemeral(self) -> None:
         path = self.path()
         if path not in self.harness.cluster.ensemble.tree.nodes:
             self.harness.cluster.box(path, b"box")
 
-    def expire_box(self) -> None:
+    def expire_ephemeral(self) -> None:
         owned = [path for paths in self.harness.cluster.ensemble.tree.owned.values() for path in sorted(paths)]
         if owned:
-            self.harness.cluster.expire(self.chance.choice(sorted(owned)))
+            self.harness.cluster.expire(self.random_source.choice(sorted(owned)))
 
     def send(self) -> None:
         self.harness.send()
@@ -80,39 +80,39 @@
     def receive(self) -> None:
         self.harness.receive()
 
-    def part(self) -> None:
+    def receive_part(self) -> None:
         if self.harness.pipe.data:
-            self.harness.receive(self.chance.randrange(1, len(self.harness.pipe.data) + 1))
+            self.harness.receive(self.random_source.randrange(1, len(self.harness.pipe.data) + 1))
 
     def settle(self) -> None:
         self.harness.settle()
 
-    def cut(self) -> None:
+    def reconnect(self) -> None:
         for server in self.harness.servers:
             server.faults.old = self.old
-        self.harness.connect(self.chance.randrange(3))
+        self.harness.connect(self.random_source.randrange(3))
 
     def expire_own(self) -> None:
         self.harness.cluster.ensemble.end(self.harness.session.id)
 
     def stall(self) -> None:
-        self.chance.choice(self.harness.servers).stall()
+        self.random_source.choice(self.harness.servers).stall()
 
     def lag(self) -> None:
-        self.chance.choice(self.harness.servers).lag()
+        self.random_source.choice(self.harness.servers).lag()
 
-    def late(self) -> None:
-        """Replies wait from now on, and events may overtake them."""
-        faults = self.chance.choice(self.harness.servers).faults
-        faults.late, faults.overtaking = float("inf"), self.chance.random() < 0.8
+    def delay_replies(self) -> None:
+        """Delay replies from now on; events may overtake them."""
+        faults = self.random_source.choice(self.harness.servers).faults
+        faults.late, faults.overtaking = float("inf"), self.random_source.random() < 0.8
 
     def mend(self) -> None:
-        self.chance.choice(self.harness.servers).mend()
+        self.random_source.choice(self.harness.servers).mend()
 
-    def forget(self) -> None:
-        self.chance.choice(self.harness.servers).faults.forgets = True
+    def forget_watches(self) -> None:
+        self.random_source.choice(self.harness.servers).faults.forgets = True
 
-    def folder(self) -> None:
+    def delete_directory(self) -> None:
         for path in sorted(self.harness.cluster.ensemble.tree.nodes, reverse=True):
             if path.startswith("/boxes"):
                 self.harness.cluster.delete(path)
@@ -123,42 +123,42 @@
     def run(self, steps: int) -> None:
         weights = [weight for weight, _ in self.steps]
         for _ in range(steps):
-            self.chance.choices(self.steps, weights)[0][1]()
+            self.random_source.choices(self.steps, weights)[0][1]()
 
     def check(self) -> None:
-        """All is mended and quiet."""
+        """End all faults, move all data, and compare the view with the tree."""
         self.harness.recover()
         assert self.harness.follower.nodes == self.harness.tree()
-        missed = set(self.told_gone) - set(self.harness.follower.removals)
+        missed = set(self.expected_removals) - set(self.harness.follower.removals)
         assert not missed
 
 
-def churn(number: int, rounds: int, old: bool) -> None:
+def run_churn(seed: int, rounds: int, old: bool) -> None:
     async def run() -> None:
-        harness = Churn(random.Random(number), old)
+        churn = Churn(random.Random(seed), old)
         for _ in range(rounds):
-            harness.cut()
-            harness.run(60)
-            harness.check()
+            churn.reconnect()
+            churn.run(60)
+            churn.check()
 
     run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-@pytest.mark.parametrize("number", range(8))
-def test_the_view_equals_the_tree_after_thousands_of_steps(number: int, old: bool) -> None:
-    churn(number, rounds=50, old=old)
+@pytest.mark.parametrize("seed", range(8))
+def test_the_view_equals_the_tree_after_thousands_of_steps(seed: int, old: bool) -> None:
+    run_churn(seed, rounds=50, old=old)
 
 
 @settings(max_examples=60, deadline=None)
-@given(number=st.integers(), old=st.booleans())
-@example(number=892_058_059_144_642_935, old=True)  # the folder went before addWatch was answered
-@example(number=21_312_990_608_571_088, old=False)  # a server was mended that was silent and behind
-def test_the_view_equals_the_tree_whatever_the_seed(number: int, old: bool) -> None:
-    churn(number, rounds=6, old=old)
+@given(seed=st.integers(), old=st.booleans())
+@example(seed=892_058_059_144_642_935, old=True)  # the directory was deleted before the reply to addWatch
+@example(seed=21_312_990_608_571_088, old=False)  # a server recovered that had stalled and lagged
+def test_the_view_equals_the_tree_whatever_the_seed(seed: int, old: bool) -> None:
+    run_churn(seed, rounds=6, old=old)
 
 
-# ---- cases by hand --------------------------------------------------------------------------------
+# ---- single cases ---------------------------------------------------------------------------------
 
 
 def following(harness: SessionHarness) -> SessionHarness:
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_an_event_that_crosses_the_reply_to_a_read_makes_it_be_read_once_more(old: bool) -> None:
+def test_a_node_is_read_again_if_its_event_overtakes_the_reply_to_a_read(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
@@ -181,9 +181,9 @@
         harness.cluster.write("/boxes/a", b"2")
         harness.receive()
         faults.late, faults.overtaking = float("inf"), True
-        harness.send()  # the read is served, with 2, and its reply held back
+        harness.send()  # the read returns 2, and its reply is delayed
         harness.cluster.write("/boxes/a", b"3")
-        harness.receive()  # the event overtakes it
+        harness.receive()  # the event overtakes the reply
         harness.servers[0].mend()
         harness.settle()
         assert harness.follower.nodes["a"][0] == b"3"
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_a_folder_that_went_before_the_watch_was_answered_is_followed_all_the_same(old: bool) -> None:
+def test_a_directory_that_is_deleted_before_the_reply_to_addwatch_is_followed(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
@@ -202,7 +202,7 @@
         harness.disconnect()
         harness.cluster.delete("/boxes/a")
         harness.cluster.delete("/boxes")
-        harness.connect(1)  # told of both at once, ahead of the reply to addWatch
+        harness.connect(1)  # both deletions are reported at once, before the reply to addWatch
         harness.settle()
         harness.cluster.write("/boxes/b", b"2")
         harness.settle()
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_two_changes_between_event_and_read_show_the_latter(old: bool) -> None:
+def test_two_changes_before_a_read_show_the_latter(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.servers[0].faults.old = old
@@ -223,14 +223,16 @@
         harness.cluster.write("/boxes/a", b"2")
         harness.cluster.write("/boxes/a", b"3")
         harness.settle()
-        assert [one.data.data for one in harness.updates if isinstance(one, NodeChanged) and one.data] == [b"3"]
+        assert [update.data.data for update in harness.updates if isinstance(update, NodeChanged) and update.data] == [
+            b"3"
+        ]
 
     run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
 @pytest.mark.parametrize("gap", [False, True], ids=["in sight", "in a gap"])
-def test_a_node_deleted_and_made_again_is_told_gone_first(old: bool, gap: bool) -> None:
+def test_a_recreated_node_is_reported_as_deleted_first(old: bool, gap: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
@@ -244,17 +246,17 @@
         if gap:
             harness.connect(1)
         harness.settle()
-        told = [type(one) for one in harness.updates if not isinstance(one, Snapshot)]
-        assert told == [NodeDeleted, NodeChanged] and harness.follower.nodes == harness.tree()
+        update_types = [type(update) for update in harness.updates if not isinstance(update, Snapshot)]
+        assert update_types == [NodeDeleted, NodeChanged] and harness.follower.nodes == harness.tree()
 
     run_in_loop(run())
 
 
-def test_ten_thousand_nodes_take_one_read_each_and_a_change_takes_one() -> None:
+def test_ten_thousand_nodes_and_each_change_take_one_read() -> None:
     async def run() -> None:
         harness = SessionHarness()
-        for at in range(10_000):
-            harness.cluster.write(f"/boxes/{at}", b"x")
+        for index in range(10_000):
+            harness.cluster.write(f"/boxes/{index}", b"x")
         following(harness)
         asked = harness.servers[0].asked
         assert (asked[Op.GET_DATA], asked[Op.GET_CHILDREN2]) == (10_000, 1) and len(harness.follower.nodes) == 10_000
@@ -268,17 +270,17 @@
     run_in_loop(run())
 
 
-def test_children_that_change_while_they_are_read_are_all_there_in_the_end() -> None:
+def test_children_that_change_during_the_full_read_are_all_read() -> None:
     async def run() -> None:
         harness = SessionHarness()
-        for at in range(50):
-            harness.cluster.write(f"/boxes/{at}")
+        for index in range(50):
+            harness.cluster.write(f"/boxes/{index}")
         harness.connect()
-        for at in range(200):
-            if at % 2:
-                harness.cluster.write(f"/boxes/{at}")
-            elif f"/boxes/{at}" in harness.cluster.ensemble.tree.nodes:
-                harness.cluster.delete(f"/boxes/{at}")
+        for index in range(200):
+            if index % 2:
+                harness.cluster.write(f"/boxes/{index}")
+            elif f"/boxes/{index}" in harness.cluster.ensemble.tree.nodes:
+                harness.cluster.delete(f"/boxes/{index}")
             harness.send()
             harness.receive(700)
         harness.settle()
@@ -288,7 +290,7 @@
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_a_folder_that_does_not_exist_is_no_removal_until_it_has_existed(old: bool) -> None:
+def test_a_missing_directory_removes_nodes_only_if_it_existed_before(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.servers[0].faults.old = old
@@ -309,7 +311,7 @@
     run_in_loop(run())
 
 
-def test_nodes_below_the_children_and_beside_the_folder_are_not_taken_for_boxes() -> None:
+def test_nodes_below_the_children_and_beside_the_directory_are_ignored() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/a/below", b"1")
@@ -334,7 +336,7 @@
     run_in_loop(run())
 
 
-def test_a_server_that_hangs_up_on_addwatch_is_followed_by_one_shot_watches() -> None:
+def test_one_shot_watches_are_used_if_a_server_closes_the_connection_on_addwatch() -> None:
     async def run() -> None:
         harness = SessionHarness(servers=1)
         harness.cluster.write("/boxes/a", b"1")
@@ -342,7 +344,7 @@
             harness.connect()
             harness.send()
             harness.receive()
-            assert harness.session.take_output()  # addWatch is among it; the server hangs up
+            assert harness.session.take_output()  # the output contains addWatch; the server closes the connection
             harness.disconnect()
         harness.connect()
         harness.settle()
@@ -354,7 +356,7 @@
     run_in_loop(run())
 
 
-def test_a_view_reads_again_after_every_gap_even_where_watches_are_forgotten() -> None:
+def test_a_view_reads_everything_after_a_disconnection_even_if_watches_are_lost() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
@@ -372,7 +374,7 @@
     run_in_loop(run())
 
 
-def test_nothing_is_told_while_there_is_no_server() -> None:
+def test_a_view_reports_nothing_while_it_is_disconnected() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
@@ -380,13 +382,13 @@
         harness.disconnect()
         harness.cluster.ensemble.end(harness.session.id)
         assert harness.updates == [] and harness.follower.nodes.keys() == {"a"}
-        harness.view.on_watch_triggered(EventType.DELETED, "/boxes/a")  # what a former connection left over
+        harness.view.on_watch_triggered(EventType.DELETED, "/boxes/a")  # an event of a former connection
         assert harness.view.take_updates() == []
 
     run_in_loop(run())
 
 
-def test_a_list_that_is_older_than_a_nodes_making_does_not_take_it_out() -> None:
+def test_a_list_that_is_older_than_a_node_does_not_remove_it() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/m", b"1")
@@ -394,14 +396,14 @@
         harness.disconnect()
         harness.cluster.delete("/boxes/m")
         harness.connect(1)
-        for _ in range(2):  # the session is taken; then sync and addWatch are answered
+        for _ in range(2):  # the server accepts the session, then replies to sync and addWatch
             harness.send()
             harness.receive()
         faults = harness.servers[1].faults
         faults.late, faults.overtaking = float("inf"), True
-        harness.send()  # the list is read, without m, and its reply held back
+        harness.send()  # the list is read without m, and its reply is delayed
         harness.cluster.write("/boxes/m", b"2")
-        harness.receive()  # m is told of before it
+        harness.receive()  # the event of m arrives before the list
         harness.servers[1].mend()
         harness.settle()
         assert harness.follower.nodes == harness.tree() and "m" in harness.follower.nodes
@@ -409,14 +411,14 @@
     run_in_loop(run())
 
 
-def test_a_server_that_lags_is_waited_for_before_anything_is_read() -> None:
+def test_a_view_waits_for_a_server_that_lags_before_it_reads() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
         harness.cluster.write("/boxes/b", b"1")
         following(harness)
         harness.disconnect()
-        harness.servers[1].lag()  # as far as this client has seen, and no further
+        harness.servers[1].lag()  # it has applied what this client has seen, but no later change
         harness.cluster.delete("/boxes/a")
         harness.connect(1)
         harness.settle()
@@ -428,12 +430,12 @@
     run_in_loop(run())
 
 
-def test_a_folder_that_may_not_be_read_is_read_when_it_may() -> None:
+def test_a_directory_that_may_not_be_read_is_read_once_it_may() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
-        shut = (Acl(PERM_ADMIN, "world", "anyone"),)
-        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", shut, -1)),))
+        unreadable = (Acl(PERM_ADMIN, "world", "anyone"),)
+        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", unreadable, -1)),))
         harness.connect()
         harness.settle()
         assert harness.updates == [ReadFailed(Error.NO_AUTH)] and harness.view.phase is Phase.READING
