--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -1,4 +1,4 @@
-"""The transport over loopback: which server, when the next one, and what ends."""
+"""The transport over loopback: selection of servers, delays between connections, and closing."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class ClientHarness:
-    """An ensemble, and one client with a view of /boxes."""
+    """An ensemble, and a client with a view of /boxes."""
 
     def __init__(self, cluster: Cluster, client: Client, view: View, events: list[Event]) -> None:
         self.cluster, self.client, self.view, self.events = cluster, client, view, events
 
-    async def up(self) -> None:
-        """Wait until a server has taken the session."""
+    async def wait_until_connected(self) -> None:
+        """Wait until a server has accepted the session."""
         await until(lambda: self.client.session.state is State.CONNECTED)
 
-    def at(self) -> Server:
-        """The server that the client is at."""
+    def current_server(self) -> Server:
+        """Return the server to which the client is connected."""
         return next(server for server in self.cluster.servers if server.address == self.client.server_address)
 
     def count(self, kind: type) -> int:
@@ -47,23 +47,23 @@
         view = View("/boxes")
         client.add(view)
         client.open()
-        made = ClientHarness(cluster, client, view, events)
+        harness = ClientHarness(cluster, client, view, events)
         try:
-            await made.up()
-            yield made
+            await harness.wait_until_connected()
+            yield harness
         finally:
             await client.close()
 
 
-def test_the_stand_in_ends_a_short_session_that_began_after_a_long_one() -> None:
-    async def play() -> None:
+def test_the_stand_in_expires_a_short_session_that_started_after_a_long_one() -> None:
+    async def run() -> None:
         async with Cluster() as cluster:
             cluster.box("/boxes", b"{}")
             short = cluster.ensemble.begin(0.2)
             await until(lambda: short.id not in cluster.ensemble.sessions)
             assert len(cluster.ensemble.sessions) == 1
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def stall(server: Server) -> None:
@@ -75,99 +75,100 @@
 
 
 @pytest.mark.parametrize(
-    "hurt",
+    "inject_fault",
     [stall, Server.refuse, Server.flap, Server.garbage, Server.huge, cut],
     ids=["stall", "refuse", "flap", "garbage", "frame of 1 GB", "cut in mid-frame"],
 )
-def test_the_session_goes_on_elsewhere_whatever_happens_to_its_server(hurt: Callable[[Server], None]) -> None:
-    async def play() -> None:
+def test_the_session_is_resumed_at_another_server_after_any_fault(inject_fault: Callable[[Server], None]) -> None:
+    async def run() -> None:
         async with client_harness() as harness:
             session = harness.client.session.id
-            hurt(harness.at())
+            inject_fault(harness.current_server())
             await until(lambda: harness.count(Disconnected) == 1)
-            await harness.up()
+            await harness.wait_until_connected()
             assert harness.client.session.id == session and harness.count(Expired) == 0
             assert [event.is_new_session for event in harness.events if isinstance(event, Connected)] == [True, False]
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_stalled_server_is_noticed_after_some_silence_and_before_the_session_is_lost() -> None:
-    """Exactly when is tested without sockets, in test_session.py: a loaded machine is late."""
+def test_a_stalled_server_is_given_up_before_the_session_expires() -> None:
+    """The exact time is tested without sockets in test_session.py, as events are late on a loaded machine."""
 
-    async def play() -> None:
+    async def run() -> None:
         async with client_harness() as harness:
             loop = asyncio.get_running_loop()
-            begun = loop.time()
-            harness.at().stall()
+            started_at = loop.time()
+            harness.current_server().stall()
             await until(lambda: harness.count(Disconnected) == 1)
-            assert loop.time() - begun > 6.0 / 3.0  # it may have spoken last a third of the time-out before it stalled
+            # The last data of the server may have arrived a third of the timeout before the stall.
+            assert loop.time() - started_at > 6.0 / 3.0
             await until(lambda: harness.count(Connected) == 2)
             assert harness.count(Expired) == 0
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_servers_that_stall_one_after_another_do_not_cost_the_session() -> None:
-    async def play() -> None:
+def test_the_session_survives_servers_that_stall_one_after_another() -> None:
+    async def run() -> None:
         async with client_harness() as harness:
-            others = [server for server in harness.cluster.servers if server is not harness.at()]
-            others[0].stall()  # accepts, and says nothing
-            harness.at().stall()
+            others = [server for server in harness.cluster.servers if server is not harness.current_server()]
+            others[0].stall()  # accepts connections and sends nothing
+            harness.current_server().stall()
             await until(lambda: harness.count(Connected) == 2)
-            assert harness.at() is others[1] and harness.count(Expired) == 0
+            assert harness.current_server() is others[1] and harness.count(Expired) == 0
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_server_that_lags_is_left_for_one_that_does_not() -> None:
-    async def play() -> None:
+def test_a_server_that_lags_is_given_up_for_one_that_does_not() -> None:
+    async def run() -> None:
         async with client_harness() as harness:
-            ahead, *behind = sorted(harness.cluster.servers, key=lambda server: server is not harness.at())
+            ahead, *behind = sorted(harness.cluster.servers, key=lambda server: server is not harness.current_server())
             for server in behind:
                 server.lag()
             harness.cluster.write("/boxes/a", b"1")
             await until(lambda: harness.client.session.zxid == harness.cluster.ensemble.zxid)
             ahead.flap()
             await until(lambda: harness.count(Connected) == 2)
-            assert harness.at() is ahead
+            assert harness.current_server() is ahead
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_connections_to_a_dead_ensemble_grow_rarer() -> None:
-    async def play() -> None:
+def test_the_delay_between_connections_to_a_failed_ensemble_grows() -> None:
+    async def run() -> None:
         async with client_harness(servers=1) as harness:
             [server] = harness.cluster.servers
-            taken: list[float] = []
+            accepted_at: list[float] = []
             loop = asyncio.get_running_loop()
 
-            def taking(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                taken.append(loop.time())
+            def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+                accepted_at.append(loop.time())
                 writer.close()
 
             server.refuse()
-            deaf = await asyncio.start_server(taking, *server.address)
-            await until(lambda: len(taken) >= 6)
-            gaps = [two - one for one, two in pairwise(taken)]
+            listener = await asyncio.start_server(accept, *server.address)
+            await until(lambda: len(accepted_at) >= 6)
+            gaps = [later - earlier for earlier, later in pairwise(accepted_at)]
             assert max(gaps[-2:]) > 2.0 * gaps[0]
-            deaf.close()
+            listener.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_closing_tells_the_server_and_ends_everything() -> None:
-    async def play() -> None:
+def test_closing_ends_the_session_and_all_connections() -> None:
+    async def run() -> None:
         async with client_harness() as harness:
             await harness.client.close()
             assert not harness.cluster.ensemble.sessions and harness.client.session.state is State.CLOSED
             await until(lambda: not any(server.connections for server in harness.cluster.servers))
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_closing_without_a_server_does_not_wait_for_one() -> None:
-    async def play() -> None:
+    async def run() -> None:
         async with client_harness() as harness:
             for server in harness.cluster.servers:
                 server.refuse()
@@ -175,44 +176,53 @@
             await harness.client.close()
             assert harness.client.session.state is State.CLOSED
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@pytest.mark.parametrize("number", range(3))
-def test_the_view_equals_the_tree_after_churn_over_sockets(number: int) -> None:
-    """The same as in test_view.py, with real connections: fewer steps, and every fault of a server."""
+@pytest.mark.parametrize("seed", range(3))
+def test_the_view_equals_the_tree_after_churn_over_sockets(seed: int) -> None:
+    """Like the test in test_view.py with real connections: fewer steps, and every fault of a server."""
 
-    async def play() -> None:
-        chance = random.Random(number)
+    async def run() -> None:
+        random_source = random.Random(seed)
         async with client_harness(options=SessionOptions(3.0)) as harness:
             follower = Follower()
-            heard = harness.client._on_events
+            on_events = harness.client._on_events
 
-            def hear(events: list[Event]) -> None:
-                heard(events)
+            def receive_events(events: list[Event]) -> None:
+                on_events(events)
                 follower.receive(harness.view.take_updates())
 
-            harness.client._on_events = hear
+            harness.client._on_events = receive_events
             cluster, servers = harness.cluster, harness.cluster.servers
 
             def change(path: str) -> None:
-                there = path in cluster.ensemble.tree.nodes
-                kind = chance.randrange(3)
+                exists = path in cluster.ensemble.tree.nodes
+                kind = random_source.randrange(3)
                 if kind == 0:
-                    cluster.write(path, str(chance.random()).encode())
-                elif kind == 1 and there:
+                    cluster.write(path, str(random_source.random()).encode())
+                elif kind == 1 and exists:
                     cluster.delete(path)
-                elif kind == 2 and not there:
+                elif kind == 2 and not exists:
                     cluster.box(path, b"box")
 
-            faults = [Server.flap, Server.garbage, Server.huge, Server.lag, Server.mend, Server.mend, cut, forget]
+            faults = [
+                Server.flap,
+                Server.garbage,
+                Server.huge,
+                Server.lag,
+                Server.mend,
+                Server.mend,
+                cut,
+                forget_watches,
+            ]
             for step in range(300):
-                change(f"/boxes/{chance.choice('abcdef')}")
+                change(f"/boxes/{random_source.choice('abcdef')}")
                 if step % 10 == 0:
-                    chance.choice(faults)(chance.choice(servers))
+                    random_source.choice(faults)(random_source.choice(servers))
                 if step % 100 == 50:
                     cluster.ensemble.end(harness.client.session.id)
-                await asyncio.sleep(chance.choice([0.0, 0.0, 0.002]))
+                await asyncio.sleep(random_source.choice([0.0, 0.0, 0.002]))
             for server in servers:
                 server.mend()
             nodes = cluster.ensemble.tree.nodes
@@ -227,8 +237,8 @@
                 )
             )
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def forget(server: Server) -> None:
+def forget_watches(server: Server) -> None:
     server.faults.forgets = True
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -1,4 +1,4 @@
-"""A box's own node: never two of them, none while it is not wanted, and there again after whatever went wrong."""
+"""The node of a backend: never two, none while it is not wanted, and recreated after any fault."""
 
 from __future__ import annotations
 
@@ -15,51 +15,51 @@
 from lugspur.zookeeper.registration import NodeStatus, Registration
 from lugspur.zookeeper.session import State
 
-FOLDER = "/boxes"
+DIRECTORY = "/boxes"
 
 
-class Home(SessionHarness):
-    """A harness with one registration instead of what others know."""
+class RegistrationHarness(SessionHarness):
+    """A harness with one registration instead of a view."""
 
     def __init__(self, sequential: bool = False) -> None:
         super().__init__()
         self.multiplexer.remove(self.view)
         self.registration = Registration(
-            FOLDER, "box", b"ours", lambda data: data.startswith(b"ours"), "f00" if sequential else ""
+            DIRECTORY, "box", b"ours", lambda data: data.startswith(b"ours"), "f00" if sequential else ""
         )
         self.multiplexer.add(self.registration, self.now)
-        self.most = 0  # nodes of ours at one time
-        self.cluster.ensemble.listeners.append(lambda _: self.count())
+        self.max_node_count = 0  # largest number of own nodes at the same time
+        self.cluster.ensemble.listeners.append(lambda _: self.count_nodes())
 
-    def count(self) -> None:
-        self.most = max(self.most, len(self.mine()))
+    def count_nodes(self) -> None:
+        self.max_node_count = max(self.max_node_count, len(self.own_nodes()))
 
-    def mine(self) -> list[str]:
+    def own_nodes(self) -> list[str]:
         nodes = self.cluster.ensemble.tree.nodes
         return sorted(path for path, node in nodes.items() if node.data.startswith(b"ours"))
 
-    def want(self, wanted: bool) -> None:
+    def set_wanted(self, wanted: bool) -> None:
         self.registration.set_wanted(wanted)
         self.multiplexer.send_requests(self.now)
 
-    def lines(self) -> list[str]:
+    def take_log_lines(self) -> list[str]:
         return self.registration.take_log_lines()
 
 
-class Life(Home):
-    """The same with random trouble."""
+class RandomizedHarness(RegistrationHarness):
+    """A registration harness with random faults and changes of the registration."""
 
-    def __init__(self, chance: random.Random, sequential: bool) -> None:
+    def __init__(self, random_source: random.Random, sequential: bool) -> None:
         super().__init__(sequential)
-        self.chance = chance
+        self.random_source = random_source
 
     def step(self) -> None:
-        act = self.chance.choices(
+        action = self.random_source.choices(
             [
                 self.send,
                 self.receive,
-                self.part,
-                self.cut,
+                self.receive_part,
+                self.reconnect,
                 self.expire,
                 self.toggle,
                 self.stall,
@@ -70,209 +70,214 @@
             ],
             [20, 20, 10, 4, 2, 6, 1, 4, 1, 2, 2],
         )[0]
-        act()
+        action()
 
-    def part(self) -> None:
+    def receive_part(self) -> None:
         if self.pipe.data:
-            self.receive(self.chance.randrange(1, len(self.pipe.data) + 1))
+            self.receive(self.random_source.randrange(1, len(self.pipe.data) + 1))
 
-    def cut(self) -> None:
-        self.connect(self.chance.randrange(3))
+    def reconnect(self) -> None:
+        self.connect(self.random_source.randrange(3))
 
     def expire(self) -> None:
         self.cluster.ensemble.end(self.session.id)
 
     def toggle(self) -> None:
-        self.want(not self.registration.is_wanted)
+        self.set_wanted(not self.registration.is_wanted)
 
     def stall(self) -> None:
-        self.chance.choice(self.servers).stall()
+        self.random_source.choice(self.servers).stall()
 
     def lag(self) -> None:
-        self.chance.choice(self.servers).lag()
+        self.random_source.choice(self.servers).lag()
 
     def mend(self) -> None:
-        self.chance.choice(self.servers).mend()
+        self.random_source.choice(self.servers).mend()
 
     def remove(self) -> None:
-        for path in self.mine():
+        for path in self.own_nodes():
             self.cluster.delete(path)
 
     def write(self) -> None:
-        self.registration.set_data(b"ours" + str(self.chance.random()).encode())
+        self.registration.set_data(b"ours" + str(self.random_source.random()).encode())
         self.multiplexer.send_requests(self.now)
 
 
 @settings(max_examples=300, deadline=None)
-@given(number=st.integers(), sequential=st.booleans())
-def test_after_any_trouble_there_is_one_node_if_it_is_wanted_and_never_two(number: int, sequential: bool) -> None:
+@given(seed=st.integers(), sequential=st.booleans())
+def test_after_any_fault_there_is_one_node_if_it_is_wanted_and_never_two(seed: int, sequential: bool) -> None:
     async def run() -> None:
-        life = Life(random.Random(number), sequential)
+        harness = RandomizedHarness(random.Random(seed), sequential)
         for _ in range(6):
             for _ in range(40):
-                life.step()
-            life.recover()
-            assert len(life.mine()) == life.registration.is_wanted and life.registration.is_settled
-            if life.registration.is_wanted:
-                node = life.cluster.ensemble.tree.nodes[life.mine()[0]]
-                assert (node.owner, node.data) == (life.session.id, life.registration.data)
-        assert life.most <= 1
+                harness.step()
+            harness.recover()
+            assert len(harness.own_nodes()) == harness.registration.is_wanted and harness.registration.is_settled
+            if harness.registration.is_wanted:
+                node = harness.cluster.ensemble.tree.nodes[harness.own_nodes()[0]]
+                assert (node.owner, node.data) == (harness.session.id, harness.registration.data)
+        assert harness.max_node_count <= 1
 
     asyncio.run(run())
 
 
-def home(sequential: bool = False) -> Home:
-    made = Home(sequential)
-    made.connect()
-    made.settle()
-    return made
+def connected_harness(sequential: bool = False) -> RegistrationHarness:
+    harness = RegistrationHarness(sequential)
+    harness.connect()
+    harness.settle()
+    return harness
 
 
 @pytest.mark.parametrize("sequential", [False, True], ids=["plain", "sequential"])
-def test_a_create_whose_reply_is_lost_is_not_done_twice(sequential: bool) -> None:
+def test_a_create_whose_reply_is_lost_is_not_repeated(sequential: bool) -> None:
     async def run() -> None:
-        harness = home(sequential)
-        harness.want(True)
-        while not harness.mine():
+        harness = connected_harness(sequential)
+        harness.set_wanted(True)
+        while not harness.own_nodes():
             harness.send()
-            if not harness.mine():
+            if not harness.own_nodes():
                 harness.receive()
-        harness.connect(1)  # the reply never comes
+        harness.connect(1)  # the reply does not arrive
         harness.settle()
-        assert len(harness.mine()) == 1 == harness.most and harness.registration.status is NodeStatus.OWN
-        assert sum(server.asked[Op.CREATE] for server in harness.servers) <= 3  # the folder, and one node
+        assert len(harness.own_nodes()) == 1 == harness.max_node_count and harness.registration.status is NodeStatus.OWN
+        assert sum(server.asked[Op.CREATE] for server in harness.servers) <= 3  # the directory and one node
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("sequential", [False, True], ids=["plain", "sequential"])
-def test_it_takes_the_place_of_its_own_old_node_in_one_step(sequential: bool) -> None:
-    """The registration races its own old ephemeral node, whose session has not expired yet."""
+def test_a_node_of_an_earlier_session_is_replaced_in_one_transaction(sequential: bool) -> None:
+    """An ephemeral node of an earlier session, which has not expired yet, is replaced by one of the current session."""
 
     async def run() -> None:
-        harness = Home(sequential)
-        old = f"{FOLDER}/box-f00-0000000000" if sequential else f"{FOLDER}/box"
+        harness = RegistrationHarness(sequential)
+        old = f"{DIRECTORY}/box-f00-0000000000" if sequential else f"{DIRECTORY}/box"
         harness.cluster.box(old, b"ours before")
         events: list[int] = []
-        harness.cluster.ensemble.listeners.append(lambda _: events.append(len(harness.mine())))
-        harness.want(True)
+        harness.cluster.ensemble.listeners.append(lambda _: events.append(len(harness.own_nodes())))
+        harness.set_wanted(True)
         harness.connect()
         harness.settle()
         assert harness.registration.status is NodeStatus.OWN and set(events) == {1}
-        [path] = harness.mine()
+        [path] = harness.own_nodes()
         assert harness.cluster.ensemble.tree.nodes[path].owner == harness.session.id
 
     asyncio.run(run())
 
 
-def test_somebody_elses_node_of_the_same_name_is_waited_for() -> None:
+def test_registration_waits_for_the_deletion_of_a_foreign_node_of_the_same_name() -> None:
     async def run() -> None:
-        harness = home()
-        harness.cluster.box(f"{FOLDER}/box", b"theirs")
-        harness.want(True)
+        harness = connected_harness()
+        harness.cluster.box(f"{DIRECTORY}/box", b"theirs")
+        harness.set_wanted(True)
         harness.settle()
-        assert harness.mine() == [] and harness.registration.status is NodeStatus.FOREIGN
-        assert harness.lines() == ["/boxes/box belongs to another process; waiting until it is deleted"]
-        harness.cluster.expire(f"{FOLDER}/box")
+        assert harness.own_nodes() == [] and harness.registration.status is NodeStatus.FOREIGN
+        assert harness.take_log_lines() == ["/boxes/box belongs to another process; waiting until it is deleted"]
+        harness.cluster.expire(f"{DIRECTORY}/box")
         harness.settle()
-        assert harness.mine() == ["/boxes/box"] and harness.lines() == ["registered as /boxes/box"]
+        assert harness.own_nodes() == ["/boxes/box"] and harness.take_log_lines() == ["registered as /boxes/box"]
 
     asyncio.run(run())
 
 
-def test_a_session_that_was_lost_makes_it_register_again() -> None:
+def test_an_expired_session_causes_a_new_registration() -> None:
     async def run() -> None:
-        harness = home()
-        harness.want(True)
+        harness = connected_harness()
+        harness.set_wanted(True)
         harness.settle()
-        first = harness.session.id
-        harness.cluster.ensemble.end(first)
-        assert harness.mine() == []
+        first_id = harness.session.id
+        harness.cluster.ensemble.end(first_id)
+        assert harness.own_nodes() == []
         harness.recover()
-        assert harness.mine() == ["/boxes/box"] and harness.session.id != first
-        assert "the session has expired; registering again" in harness.lines()
+        assert harness.own_nodes() == ["/boxes/box"] and harness.session.id != first_id
+        assert "the session has expired; registering again" in harness.take_log_lines()
 
     asyncio.run(run())
 
 
-def test_an_ill_box_has_no_node_and_leaving_deletes_it() -> None:
+def test_an_unhealthy_backend_has_no_node_and_deregistration_deletes_it() -> None:
     async def run() -> None:
-        harness = home()
+        harness = connected_harness()
         harness.settle()
-        assert harness.mine() == [] and harness.most == 0
-        harness.want(True)
+        assert harness.own_nodes() == [] and harness.max_node_count == 0
+        harness.set_wanted(True)
         harness.settle()
-        harness.want(False)
+        harness.set_wanted(False)
         assert not harness.registration.is_settled
         harness.settle()
-        assert harness.mine() == [] and harness.registration.is_settled
+        assert harness.own_nodes() == [] and harness.registration.is_settled
 
     asyncio.run(run())
 
 
-def test_what_is_forbidden_is_said_once_and_tried_again_only_when_asked() -> None:
+def test_a_forbidden_request_is_logged_once_and_retried_only_on_demand() -> None:
     async def run() -> None:
-        harness = home()
-        guarded = (r.Acl(r.PERM_READ, "world", "anyone"),)
-        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.CREATE, r.Create(FOLDER, b"", guarded, 0)),))
-        harness.want(True)
+        harness = connected_harness()
+        read_only = (r.Acl(r.PERM_READ, "world", "anyone"),)
+        harness.cluster.ensemble.commit(
+            harness.cluster.operator, ((Op.CREATE, r.Create(DIRECTORY, b"", read_only, 0)),)
+        )
+        harness.set_wanted(True)
         harness.settle()
-        assert harness.lines() == ["CREATE of /boxes/box fails: NO_AUTH"]
-        asked = sum(server.asked[Op.CREATE] for server in harness.servers)
+        assert harness.take_log_lines() == ["CREATE of /boxes/box fails: NO_AUTH"]
+        create_count = sum(server.asked[Op.CREATE] for server in harness.servers)
         harness.settle()
         harness.registration.retry()
         harness.multiplexer.send_requests(harness.now)
         harness.settle()
-        assert sum(server.asked[Op.CREATE] for server in harness.servers) == asked + 1 and harness.lines() == []
+        assert (
+            sum(server.asked[Op.CREATE] for server in harness.servers) == create_count + 1
+            and harness.take_log_lines() == []
+        )
         assert harness.session.state is State.CONNECTED
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("sequential", [False, True], ids=["plain", "sequential"])
-def test_a_server_that_lags_behind_a_lost_create_is_waited_for(sequential: bool) -> None:
+def test_registration_waits_for_a_server_that_lags_behind_a_create_without_a_reply(sequential: bool) -> None:
     async def run() -> None:
-        harness = Home(sequential)
-        harness.cluster.write(FOLDER)
+        harness = RegistrationHarness(sequential)
+        harness.cluster.write(DIRECTORY)
         harness.connect()
         harness.settle()
         harness.servers[1].lag()
-        harness.want(True)
+        harness.set_wanted(True)
         harness.send()
-        assert len(harness.mine()) == 1
-        harness.connect(1)  # it knows nothing of the node, and nothing that this client has not seen
+        assert len(harness.own_nodes()) == 1
+        harness.connect(1)  # it has not applied the node, but all that this client has seen
         harness.settle()
         harness.servers[1].mend()
         harness.settle()
-        assert len(harness.mine()) == 1 == harness.most and harness.registration.status is NodeStatus.OWN
+        assert len(harness.own_nodes()) == 1 == harness.max_node_count and harness.registration.status is NodeStatus.OWN
 
     asyncio.run(run())
 
 
-def test_a_replacement_whose_reply_is_lost_is_found_under_its_new_number() -> None:
+def test_a_replacement_whose_reply_is_lost_is_found_by_its_new_sequence_number() -> None:
     async def run() -> None:
-        harness = Home(sequential=True)
-        harness.cluster.box(f"{FOLDER}/box-f00-0000000000", b"ours before")
-        harness.want(True)
+        harness = RegistrationHarness(sequential=True)
+        harness.cluster.box(f"{DIRECTORY}/box-f00-0000000000", b"ours before")
+        harness.set_wanted(True)
         harness.connect()
-        while harness.mine() == ["/boxes/box-f00-0000000000"]:
+        while harness.own_nodes() == ["/boxes/box-f00-0000000000"]:
             harness.send()
-            if harness.mine() == ["/boxes/box-f00-0000000000"]:
+            if harness.own_nodes() == ["/boxes/box-f00-0000000000"]:
                 harness.receive()
-        harness.servers[1].faults.forgets = True  # nor does a watch tell that the old one is gone
+        harness.servers[1].faults.forgets = True  # no restored watch reports the deletion of the old node
         harness.connect(1)
         harness.settle()
-        assert harness.mine() == ["/boxes/box-f00-0000000001"] and harness.most == 1
+        assert harness.own_nodes() == ["/boxes/box-f00-0000000001"] and harness.max_node_count == 1
 
     asyncio.run(run())
 
 
-def test_an_old_node_of_a_box_that_is_ill_is_deleted() -> None:
+def test_an_old_node_of_an_unhealthy_backend_is_deleted() -> None:
     async def run() -> None:
-        harness = Home()
-        harness.cluster.box(f"{FOLDER}/box", b"ours before")
+        harness = RegistrationHarness()
+        harness.cluster.box(f"{DIRECTORY}/box", b"ours before")
         harness.connect()
         harness.settle()
-        assert harness.mine() == [] and harness.registration.is_settled
+        assert harness.own_nodes() == [] and harness.registration.is_settled
 
     asyncio.run(run())
--- a/tests/zookeeper/test_standin.py
+++ b/tests/zookeeper/test_standin.py
@@ -1,4 +1,4 @@
-"""The stand-in keeps what the protocol promises, whatever faults it is told to have."""
+"""The stand-in keeps the guarantees of the protocol, whatever faults are injected."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lugspur.zookeeper.view import Phase
 
 
-def test_a_server_that_was_silent_and_behind_tells_events_in_their_order() -> None:
+def test_a_server_that_stalled_and_lagged_sends_events_in_order() -> None:
     async def run() -> None:
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
@@ -16,9 +16,9 @@
         assert harness.view.phase is Phase.FOLLOWING
         (server, *_) = harness.servers
         server.stall()
-        harness.cluster.delete("/boxes/a")  # seen by this server, which can't say so now
+        harness.cluster.delete("/boxes/a")  # applied by this server, which cannot send the event now
         server.lag()
-        harness.cluster.write("/boxes/a", b"2")  # not seen by it before it is mended
+        harness.cluster.write("/boxes/a", b"2")  # not applied by this server until its faults end
         server.mend()
         harness.settle()
         assert harness.follower.nodes == harness.tree()
