--- a/lugspur/discovery/__init__.py
+++ b/lugspur/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: where the endpoint lists of pools come from, and what is applied over them."""
+"""Service discovery: sources of the endpoint lists of pools, and overrides of their entries."""
--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -11,7 +11,7 @@
 from lugspur.zookeeper.session import Event, SessionOptions
 from lugspur.zookeeper.session_multiplexer import SessionUser
 
-#: Called after each turn of the session with the events of the session in it.
+#: Called each time that the session has processed data or a timer, with the events of the session that resulted.
 SessionListener = Callable[[list[Event]], None]
 
 
@@ -35,7 +35,7 @@
             listener(events)
 
     def add_user(self, user: SessionUser, listener: SessionListener) -> None:
-        """Send requests of `user` in the session; call `listener` at once and after each turn of it."""
+        """Send requests of `user` in the session; call `listener` at once and as described for `SessionListener`."""
         self.users[user] = listener
         self.client.add(user)
         self.client.open()
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -21,7 +21,7 @@
 from lugspur.zookeeper.session import Connected, Disconnected, Event, Expired
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, ReadFailed, Snapshot, View, ViewUpdate
 
-#: Seconds after which reading a directory is retried.
+#: Seconds after which a directory that could not be read is read again.
 READ_RETRY_DELAY_SECONDS = 5.0
 #: The pause after a delivery is this many times as long as the delivery, so that deliveries take at most a fifth of the
 #: CPU.
@@ -79,7 +79,7 @@
         self._static = static
         self._on_update = on_update
         self._pool = pool
-        self._nodes = nodes
+        self._registry_endpoints = nodes
         self.view = View(directory)
         self.staleness = RegistryStaleness(stale_after, self._log, self._loop.time())
         self._pending = _PendingUpdate()
@@ -118,24 +118,24 @@
                 self.staleness.record_session_expiry()
             elif isinstance(event, Disconnected):
                 self.staleness.record_disconnection(now, self._session.client.session.last_heard_at, event.reason)
-        for change in self.view.take_updates():
-            self._receive(change, now)
+        for update in self.view.take_updates():
+            self._receive(update, now)
         self._deliver_soon(now)
         self._check_staleness(now)
 
-    def _receive(self, change: ViewUpdate, now: float) -> None:
-        if isinstance(change, Snapshot):
-            nodes = {name: _registry_node(data) for name, data in change.nodes.items()}
-            changes = self._nodes.replace_all(nodes)
+    def _receive(self, update: ViewUpdate, now: float) -> None:
+        if isinstance(update, Snapshot):
+            nodes = {name: _registry_node(data) for name, data in update.nodes.items()}
+            changes = self._registry_endpoints.replace_all(nodes)
             self._pending.present.clear()
             self._pending.is_complete = True
-            self.staleness.record_list_read(now, len(self._nodes))
-        elif isinstance(change, NodeChanged):
-            changes = self._nodes.update_node(change.name, _registry_node(change.data))
-        elif isinstance(change, NodeDeleted):
-            changes = self._nodes.remove_node(change.name)
+            self.staleness.record_list_read(now, len(self._registry_endpoints))
+        elif isinstance(update, NodeChanged):
+            changes = self._registry_endpoints.update_node(update.name, _registry_node(update.data))
+        elif isinstance(update, NodeDeleted):
+            changes = self._registry_endpoints.remove_node(update.name)
         else:
-            self._receive_read_failure(change)
+            self._receive_read_failure(update)
             return
         self._collect(changes)
 
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -30,7 +30,8 @@
 class Client:
     """Keeps a session with one of several servers until `close`.
 
-    `on_events` is called after each turn with the events of the session in it, which the users have processed by then.
+    `on_events` is called each time that the session has processed data or a timer, with its events that resulted; the
+    users of the session have processed them by then.
     """
 
     def __init__(
--- a/lugspur/zookeeper/session_multiplexer.py
+++ b/lugspur/zookeeper/session_multiplexer.py
@@ -19,7 +19,7 @@
 
 
 class SessionUser(Protocol):
-    """A state machine that uses the session; it receives all events, and is asked for requests after each turn."""
+    """A state machine that uses the session; it receives all events, and is asked for requests after them."""
 
     def on_connected(self, event: Connected) -> None:
         """The session is connected: requests may be sent."""
