--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -28,7 +28,10 @@
 DELIVERY_PAUSE_FACTOR = 4.0
 #: Upper limit of the pause after a delivery: removals have to take effect 500 ms after the registry has reported them.
 MAX_DELIVERY_PAUSE_SECONDS = 0.2
-READ_ERRORS = {int(r.Error.NO_NODE): "it does not exist yet", int(r.Error.NO_AUTH): "its access list forbids it"}
+READ_ERRORS = {
+    int(r.ErrorCode.NO_NODE): "it does not exist yet",
+    int(r.ErrorCode.NO_AUTH): "its access list forbids it",
+}
 
 
 @dataclass(slots=True)
@@ -149,7 +152,7 @@
         self.staleness.record_read_failure(READ_ERRORS.get(failure.error, f"error {failure.error}"))
         if self._read_timer is not None:
             self._read_timer.cancel()
-        if failure.error != r.Error.NO_NODE:  # a watch reports the creation of a directory that does not exist
+        if failure.error != r.ErrorCode.NO_NODE:  # a watch reports the creation of a directory that does not exist
             self._read_timer = self._loop.call_later(READ_RETRY_DELAY_SECONDS, self._retry_read)
 
     def _retry_read(self) -> None:
--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -27,7 +27,7 @@
     CreateMode,
     Delete,
     EmptyRecord,
-    Error,
+    ErrorCode,
     ErrorResult,
     Op,
     Path,
@@ -43,7 +43,7 @@
     """A request that is not done."""
 
     def __init__(self, error: int) -> None:
-        self.error = Error(error)
+        self.error = ErrorCode(error)
         super().__init__(self.error.name)
 
 
@@ -99,7 +99,7 @@
 def allowed(acl: tuple[Acl, ...], who: Who, perms: int) -> None:
     """Raise Refused unless one line gives the right."""
     if not any(row.perms & perms and (row.scheme, row.id) in who.ids for row in acl):
-        raise Refused(Error.NO_AUTH)
+        raise Refused(ErrorCode.NO_AUTH)
 
 
 class Ensemble:
@@ -198,12 +198,12 @@
         for at, (op, row) in enumerate(parts):
             try:
                 if who.session and who.session not in self.sessions:
-                    raise Refused(Error.SESSION_EXPIRED)
+                    raise Refused(ErrorCode.SESSION_EXPIRED)
                 effect = self._judge(who, op, row)
             except Refused as fault:
                 for back in reversed(undo):
                     back()
-                codes = [Error.OK] * at + [fault.error] + [Error.INCONSISTENT] * (len(parts) - at - 1)
+                codes = [ErrorCode.OK] * at + [fault.error] + [ErrorCode.INCONSISTENT] * (len(parts) - at - 1)
                 return self._tell(Change(zxid, now, ())), tuple((Op.ERROR, ErrorResult(code)) for code in codes)
             if effect is not None:
                 undo.append(self.tree.apply(effect, zxid, now)[1])
@@ -229,7 +229,7 @@
         assert isinstance(row, Delete | SetData | SetAcl | Check)
         node = self.tree.nodes.get(row.path)
         if node is None:
-            raise Refused(Error.NO_NODE)
+            raise Refused(ErrorCode.NO_NODE)
         if isinstance(row, Delete):
             allowed(self.tree.nodes[parent_of(row.path)].acl, who, PERM_DELETE)
         elif not isinstance(row, Check):
@@ -237,10 +237,10 @@
         else:
             allowed(node.acl, who, PERM_READ)
         if row.version not in (ANY_VERSION, node.aversion if isinstance(row, SetAcl) else node.version):
-            raise Refused(Error.BAD_VERSION)
+            raise Refused(ErrorCode.BAD_VERSION)
         if isinstance(row, Delete):
             if node.children:
-                raise Refused(Error.NOT_EMPTY)
+                raise Refused(ErrorCode.NOT_EMPTY)
             return Gone(row.path) if row.path != "/" else None
         if isinstance(row, SetData):
             return Written(row.path, row.data)
@@ -250,18 +250,18 @@
         path = row.path
         above = self.tree.nodes.get(parent_of(path))
         if not path.startswith("/") or "//" in path or "\0" in path or (path.endswith("/") and not row.flags & 2):
-            raise Refused(Error.BAD_ARGUMENTS)
+            raise Refused(ErrorCode.BAD_ARGUMENTS)
         if row.flags not in set(CreateMode):
-            raise Refused(Error.UNIMPLEMENTED)
+            raise Refused(ErrorCode.UNIMPLEMENTED)
         if above is None:
-            raise Refused(Error.NO_NODE)
+            raise Refused(ErrorCode.NO_NODE)
         allowed(above.acl, who, PERM_CREATE)
         if above.owner:
-            raise Refused(Error.NO_CHILDREN_FOR_EPHEMERALS)
+            raise Refused(ErrorCode.NO_CHILDREN_FOR_EPHEMERALS)
         if row.flags & 2:
             path += f"{above.made:010d}"
         if path in self.tree.nodes:
-            raise Refused(Error.NODE_EXISTS)
+            raise Refused(ErrorCode.NODE_EXISTS)
         return Made(path, row.data, self._acl(who, row.acl), who.session if row.flags & 1 else 0)
 
     def _acl(self, who: Who, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
@@ -271,7 +271,7 @@
             proved = sorted(who.ids - {("world", "anyone")})
             found.extend([Acl(row.perms, *one) for one in proved] if row.scheme == "auth" else [row])
         if not found:
-            raise Refused(Error.INVALID_ACL)
+            raise Refused(ErrorCode.INVALID_ACL)
         return tuple(found)
 
     def _result(self, op: int, row: object, effect: Effect | None) -> object:
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -15,7 +15,7 @@
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import FrameDecoder
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
-from lugspur.zookeeper.records import Error, EventType, Op
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 
 FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
 SYNC_CONNECTED = 3
@@ -274,13 +274,13 @@
         self._server.asked[header.op] += 1
         self._server.ensemble.touch(self._session)
         if header.op == Op.CLOSE:
-            self._answer(header.xid, Error.OK, b"")
+            self._answer(header.xid, ErrorCode.OK, b"")
             self._server.ensemble.end(self._session.id)
             self.end()
         elif header.op == Op.MULTI:
             self._multi(header.xid, r.decode_transaction(source))
         elif header.op == Op.SYNC:  # answered when this server shows all that was confirmed by now
-            self._wait(self._server.ensemble.zxid, header.xid, Error.OK, encode(decode(r.Path, source)))
+            self._wait(self._server.ensemble.zxid, header.xid, ErrorCode.OK, encode(decode(r.Path, source)))
         else:
             self._request(header.xid, header.op, source)
 
@@ -313,10 +313,10 @@
         faults = self._server.faults
         kind = r.REQUESTS.get(op)
         if kind is None or (op in NEWER and faults.old):
-            self._answer(xid, Error.UNIMPLEMENTED, b"")
+            self._answer(xid, ErrorCode.UNIMPLEMENTED, b"")
             return
         if faults.read_only and op in WRITES:
-            self._answer(xid, Error.NOT_READ_ONLY, b"")
+            self._answer(xid, ErrorCode.NOT_READ_ONLY, b"")
             return
         row = decode(kind, source)
         if op in WRITES:
@@ -325,10 +325,10 @@
             self._wait(zxid, xid, error, b"" if error else encode(result))
             return
         try:
-            self._answer(xid, Error.OK, self._read(op, row))
+            self._answer(xid, ErrorCode.OK, self._read(op, row))
         except Refused as fault:
             self._answer(xid, fault.error, b"")
-            if fault.error is Error.AUTH_FAILED:
+            if fault.error is ErrorCode.AUTH_FAILED:
                 self.end()
 
     def _wait(self, zxid: int, xid: int, error: int, body: bytes) -> None:
@@ -338,7 +338,7 @@
     def _multi(self, xid: int, parts: tuple[r.TransactionPart, ...]) -> None:
         zxid, results = self._server.ensemble.commit(self.who, parts)
         # Failed or not, the header says 0: the parts tell (FinalRequestProcessor.java).
-        self._wait(zxid, xid, Error.OK, r.encode_transaction_results(results))
+        self._wait(zxid, xid, ErrorCode.OK, r.encode_transaction_results(results))
 
     def _read(self, op: int, row: Any) -> bytes:
         if op in (Op.SET_WATCHES, Op.SET_WATCHES2):
@@ -350,7 +350,7 @@
             return encode(r.ErrorResult(0))
         if op == Op.AUTH:
             if not self.who.prove(row.scheme, row.auth):
-                raise Refused(Error.AUTH_FAILED)
+                raise Refused(ErrorCode.AUTH_FAILED)
             return b""
         return b"" if op == Op.PING else self._look(op, row)
 
@@ -359,7 +359,7 @@
         if op == Op.EXISTS and row.watch:
             self.watches.data.add(row.path)
         if node is None:
-            raise Refused(Error.NO_NODE)
+            raise Refused(ErrorCode.NO_NODE)
         if op == Op.EXISTS:
             return encode(node.stat())
         if op == Op.GET_ACL:
--- a/lugspur/zookeeper/records.py
+++ b/lugspur/zookeeper/records.py
@@ -37,7 +37,7 @@
     ERROR = -1
 
 
-class Error(IntEnum):
+class ErrorCode(IntEnum):
     """Error codes of replies."""
 
     OK = 0
--- a/lugspur/zookeeper/registration.py
+++ b/lugspur/zookeeper/registration.py
@@ -13,20 +13,20 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.records import CreateMode, Error, EventType, Op
+from lugspur.zookeeper.records import CreateMode, ErrorCode, EventType, Op
 from lugspur.zookeeper.session import Connected
 
 #: Errors that a repeated request causes again, until an operator changes the registry or the settings.
 PERMANENT_ERRORS = frozenset(
     {
-        Error.NO_AUTH,
-        Error.INVALID_ACL,
-        Error.BAD_ARGUMENTS,
-        Error.NO_CHILDREN_FOR_EPHEMERALS,
-        Error.UNIMPLEMENTED,
-        Error.MARSHALLING,
-        Error.NOT_READ_ONLY,
-        Error.SYSTEM,
+        ErrorCode.NO_AUTH,
+        ErrorCode.INVALID_ACL,
+        ErrorCode.BAD_ARGUMENTS,
+        ErrorCode.NO_CHILDREN_FOR_EPHEMERALS,
+        ErrorCode.UNIMPLEMENTED,
+        ErrorCode.MARSHALLING,
+        ErrorCode.NOT_READ_ONLY,
+        ErrorCode.SYSTEM,
     }
 )
 
@@ -176,7 +176,7 @@
         if request.op is Op.MULTI and result is not None:
             error = next((part.error for op, part in result if op == Op.ERROR and part.error), 0)
         if error in PERMANENT_ERRORS:
-            self._blocking_error = Error(error).name
+            self._blocking_error = ErrorCode(error).name
             self._log_once(
                 (request.op, error),
                 f"{request.op.name} of {getattr(request.body, 'path', self.path)} fails: {self._blocking_error}",
@@ -192,7 +192,7 @@
             request.op is Op.CREATE and self._missing_directories and request.body.path == self._missing_directories[0]
         ):
             self._missing_directories.pop(0)
-        elif request.op is Op.CREATE and error == Error.NO_NODE:
+        elif request.op is Op.CREATE and error == ErrorCode.NO_NODE:
             parts = self.directory.split("/")[1:]
             self._missing_directories = ["/" + "/".join(parts[: at + 1]) for at in range(len(parts))]
         else:
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -16,7 +16,7 @@
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import FrameDecoder
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
-from lugspur.zookeeper.records import Error, EventType, Op
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 
 #: Size limit of a frame from a server, as in the Java client; the names of some 100,000 children fit.
 MAX_FRAME_BYTES = 4 << 20
@@ -103,7 +103,7 @@
         if op == Op.ADD_WATCH and not error:
             (self.recursive if body.mode == r.PERSISTENT_RECURSIVE else self.persistent).add(body.path)
         elif op in READ_OPS and body.watch:
-            if op == Op.EXISTS and error == Error.NO_NODE:
+            if op == Op.EXISTS and error == ErrorCode.NO_NODE:
                 self.exists.add(body.path)
             elif not error:
                 (self.children if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2) else self.data).add(body.path)
@@ -317,7 +317,7 @@
         xid, op, body = self._pending.popleft()
         error, result = header.error, None
         if op == Op.ADD_WATCH and not error and not source.remaining:
-            error = Error.UNIMPLEMENTED  # servers before 3.6 send a reply without a body to an unknown request
+            error = ErrorCode.UNIMPLEMENTED  # servers before 3.6 send a reply without a body to an unknown request
         if not error:
             result = r.decode_transaction_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
         self._watches.record_reply(op, body, error)
--- a/lugspur/zookeeper/view.py
+++ b/lugspur/zookeeper/view.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.records import Error, EventType, Op
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 from lugspur.zookeeper.session import Connected
 
 #: Maximum number of reads in flight; servers throttle all their clients at 1,000 requests (globalOutstandingLimit).
@@ -268,7 +268,7 @@
         if self._must_list_again:
             self._must_list_again = False
             self._request_children()
-        if error == Error.NO_NODE:
+        if error == ErrorCode.NO_NODE:
             self._on_missing_directory()
             return
         if error:  # a directory that may not be read is not empty: its nodes stay
@@ -302,10 +302,10 @@
             self.phase, self._has_listed = Phase.READING, True
             self._check_complete()
         else:
-            self._updates.append(ReadFailed(Error.NO_NODE))
+            self._updates.append(ReadFailed(ErrorCode.NO_NODE))
 
     def _on_data(self, name: str, error: int, result: Any) -> None:
-        if error == Error.NO_NODE:
+        if error == ErrorCode.NO_NODE:
             self._remove_node(name)
             return
         self._unread_names.discard(name)
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -14,7 +14,7 @@
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
-from lugspur.zookeeper.records import Error, EventType, Op
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 from lugspur.zookeeper.session import (
     BEHIND_REASON,
     CLOSED_REASON,
@@ -166,7 +166,7 @@
     session = accepted_session()
     for at in range(3000):
         session.send_request(0.0, Op.EXISTS, r.ReadRequest(f"/{at:0100d}", True))
-        session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
+        session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, ErrorCode.NO_NODE))))
     session.connection_lost("cut")
     session.connection_made(1.0)
     session.take_output()
@@ -253,7 +253,7 @@
     session = accepted_session()
     token = session.send_request(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
     events = session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(token, 1, 0))))
-    assert events == [Reply(token, Op.ADD_WATCH, Error.UNIMPLEMENTED, None)]
+    assert events == [Reply(token, Op.ADD_WATCH, ErrorCode.UNIMPLEMENTED, None)]
 
 
 def test_closing_ends_the_session_at_the_server() -> None:
@@ -307,7 +307,7 @@
         for frame in (
             encode(r.ReplyHeader(1, 9, 0)) + encode(r.Data(b"x" * 50, stat)),
             encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.WatcherEvent(EventType.CHANGED, 3, "/a")),
-            encode(r.ReplyHeader(2, 9, Error.NO_NODE)),
+            encode(r.ReplyHeader(2, 9, ErrorCode.NO_NODE)),
         )
     )
     session = accepted_session()
@@ -318,7 +318,7 @@
     assert events == [
         Reply(1, Op.GET_DATA, 0, r.Data(b"x" * 50, stat)),
         WatchTriggered(EventType.CHANGED, "/a"),
-        Reply(2, Op.GET_DATA, Error.NO_NODE, None),
+        Reply(2, Op.GET_DATA, ErrorCode.NO_NODE, None),
     ]
 
 
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -11,7 +11,7 @@
 from session_harness import SessionHarness, run_in_loop
 
 from lugspur.standins.zookeeper.tree import Gone
-from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, Error, EventType, Op, SetAcl
+from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, ErrorCode, EventType, Op, SetAcl
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Phase, ReadFailed, Snapshot
 
 NAMES = ["a", "b", "c", "d e", "ü"]
@@ -438,7 +438,7 @@
         harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", unreadable, -1)),))
         harness.connect()
         harness.settle()
-        assert harness.updates == [ReadFailed(Error.NO_AUTH)] and harness.view.phase is Phase.READING
+        assert harness.updates == [ReadFailed(ErrorCode.NO_AUTH)] and harness.view.phase is Phase.READING
         harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
         harness.view.retry_read()
         harness.multiplexer.send_requests(harness.now)
