--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -769,7 +769,7 @@
     assert row.speaks_grpc
     changes = nodes.update_node("b", RegistryNode(json.dumps(entry | {"protocol": "smtp"}).encode(), 1, 1, 1))
     [said] = changes.problems
-    assert "none of http, grpc" in said
+    assert "not one of http, grpc" in said
     node = RegistryNode(b'{"address": "127.0.0.1:1"}', 1, 1, 1)
     [other] = RegistryEndpoints("own", "grpc").update_node("c", node).endpoints
     assert other.speaks_grpc
