--- a/tests/discovery/test_node_formats.py
+++ b/tests/discovery/test_node_formats.py
@@ -45,8 +45,8 @@
     )
 
 
-def entry(data: Any, form: str = "auto", name: str = "n") -> dict[str, Any] | None:
-    return read_entry(form, name, node(data))
+def entry(data: Any, node_format: str = "auto", name: str = "n") -> dict[str, Any] | None:
+    return read_entry(node_format, name, node(data))
 
 
 def test_the_format_of_a_node_is_detected() -> None:
@@ -139,8 +139,8 @@
     ).map(orjson.dumps),
     st.sampled_from(FORMATS),
 )
-def test_no_data_of_a_node_raises_another_error(data: bytes, form: str) -> None:
-    RegistryEndpoints(form).update_node("member_1", node(data))
+def test_no_data_of_a_node_raises_another_error(data: bytes, node_format: str) -> None:
+    RegistryEndpoints(node_format).update_node("member_1", node(data))
 
 
 def test_the_configuration_file_has_the_same_formats() -> None:
