--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -14,7 +14,7 @@
     Expired,
     Session,
     SessionOptions,
-    State,
+    SessionState,
 )
 from lugspur.zookeeper.session_multiplexer import SessionMultiplexer, SessionUser
 
@@ -66,7 +66,7 @@
     async def close(self) -> None:
         """End the session if a server is connected, and close the connection."""
         session = self.session
-        if session.state is State.CONNECTED and self._connection is not None:
+        if session.state is SessionState.CONNECTED and self._connection is not None:
             ended = self._connection.ended
             session.close(self._loop.time())
             self.flush()
@@ -77,7 +77,7 @@
         """Close the connection at once; the session ends after its timeout."""
         session = self.session
         self._handle_events(session.connection_lost("the client closed the connection"))
-        session.state = State.CLOSED
+        session.state = SessionState.CLOSED
         if self._task is not None:
             self._task.cancel()
         self._drop_connection()
@@ -100,7 +100,7 @@
 
     async def _run(self) -> None:
         index = 0
-        while self.session.state is not State.CLOSED:
+        while self.session.state is not SessionState.CLOSED:
             started_at = self._loop.time()
             await self._connect(self._addresses[index])
             index = (index + 1) % len(self._addresses)
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -28,8 +28,8 @@
 READ_OPS = (Op.GET_DATA, Op.EXISTS, Op.GET_CHILDREN, Op.GET_CHILDREN2)
 
 
-class State(Enum):
-    """State of a session."""
+class SessionState(Enum):
+    """SessionState of a session."""
 
     DISCONNECTED = auto()  # no connection
     CONNECTING = auto()  # the connection is established; the server has not accepted the session yet
@@ -151,7 +151,7 @@
 
     def __init__(self, options: SessionOptions, server_count: int = 1) -> None:
         self.options = options
-        self.state = State.DISCONNECTED
+        self.state = SessionState.DISCONNECTED
         self.id = 0
         self.timeout = options.timeout  # the requested timeout until a server has granted one
         self.zxid = 0  # the latest change that any server has shown
@@ -180,7 +180,7 @@
 
     def connection_made(self, now: float) -> None:
         """A connection is established; the first frame requests the session."""
-        self.state, self._connected_at, self._min_zxid = State.CONNECTING, now, self.zxid
+        self.state, self._connected_at, self._min_zxid = SessionState.CONNECTING, now, self.zxid
         self._frame_decoder = FrameDecoder(MAX_FRAME_BYTES)
         self._output.clear()
         self._write(
@@ -194,25 +194,27 @@
 
     def connection_lost(self, reason: str) -> list[Event]:
         """The connection has ended or is given up; without a connection, nothing happens."""
-        if self.state in (State.DISCONNECTED, State.CLOSED):
+        if self.state in (SessionState.DISCONNECTED, SessionState.CLOSED):
             return []
-        if self.state is State.CONNECTING and self._min_zxid and reason == CLOSED_REASON:
+        if self.state is SessionState.CONNECTING and self._min_zxid and reason == CLOSED_REASON:
             reason = BEHIND_REASON  # a server that lags does only this (ZooKeeperServer.java)
-        self.state = State.DISCONNECTED
+        self.state = SessionState.DISCONNECTED
         self._pending.clear()
         self._output.clear()
         return [Disconnected(reason)]
 
     def data_received(self, now: float, data: bytes) -> list[Event]:
         """Process data of the server; a Disconnected among the events means that the connection has to be closed."""
-        if self.state in (State.DISCONNECTED, State.CLOSED):
+        if self.state in (SessionState.DISCONNECTED, SessionState.CLOSED):
             return []
         self.last_heard_at = now
         events: list[Event] = []
         try:
             for frame in self._frame_decoder.feed(data):
                 events += (
-                    self._on_connect_response(now, frame) if self.state is State.CONNECTING else self._on_frame(frame)
+                    self._on_connect_response(now, frame)
+                    if self.state is SessionState.CONNECTING
+                    else self._on_frame(frame)
                 )
                 if events and isinstance(events[-1], Disconnected):
                     break
@@ -228,9 +230,9 @@
 
     def next_tick_at(self) -> float:
         """Return the time at which `tick` has to be called; infinity without a connection."""
-        if self.state is State.CONNECTING:
+        if self.state is SessionState.CONNECTING:
             return self._connected_at + self.connect_timeout
-        if self.state is State.CONNECTED:
+        if self.state is SessionState.CONNECTED:
             return min(self._last_sent_at + self.timeout / 3.0, self.last_heard_at + self.timeout * 2.0 / 3.0)
         return float("inf")
 
@@ -238,7 +240,7 @@
         """Send a ping if it is due, or give up a server that sends nothing."""
         if now < self.next_tick_at():
             return []
-        if self.state is State.CONNECTING or now >= self.last_heard_at + self.timeout * 2.0 / 3.0:
+        if self.state is SessionState.CONNECTING or now >= self.last_heard_at + self.timeout * 2.0 / 3.0:
             # A server that hangs keeps its connections open, so that only its silence shows the failure.
             return self.connection_lost("the server sent nothing in time")
         self._send(now, r.PING_XID, Op.PING, r.EmptyRecord())
@@ -246,14 +248,14 @@
 
     def close(self, now: float) -> None:
         """Request the end of the session, which deletes its ephemeral nodes."""
-        if self.state is State.CONNECTED:
+        if self.state is SessionState.CONNECTED:
             self.send_request(now, Op.CLOSE, r.EmptyRecord())
 
     # ---- requests ----------------------------------------------------------------------------
 
     def send_request(self, now: float, op: int, body: Any) -> int:
         """Send a request and return its token, which its reply has; raises RuntimeError unless connected."""
-        if self.state is not State.CONNECTED:
+        if self.state is not SessionState.CONNECTED:
             raise RuntimeError("the session is not connected")
         self._xid = self._xid % MAX_XID + 1
         self._pending.append((self._xid, op, body))
@@ -283,7 +285,7 @@
             return self.connection_lost("the server is read-only")
         is_new_session = response.session != self.id
         self.id, self._password, self.timeout = response.session, response.password, response.timeout / 1000.0
-        self.state = State.CONNECTED
+        self.state = SessionState.CONNECTED
         for scheme, auth in self.options.auth:
             self._send(now, r.AUTH_XID, Op.AUTH, r.Auth(0, scheme, auth))
         for op, body in self._watches.restore_requests(self.zxid):
@@ -322,6 +324,6 @@
             result = r.decode_transaction_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
         self._watches.record_reply(op, body, error)
         if op == Op.CLOSE:
-            self.state = State.CLOSED
+            self.state = SessionState.CLOSED
             return [Reply(xid, op, error, None), Disconnected("the session is closed")]
         return [Reply(xid, op, error, result)]
--- a/lugspur/zookeeper/session_multiplexer.py
+++ b/lugspur/zookeeper/session_multiplexer.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from lugspur.zookeeper.records import EventType
-from lugspur.zookeeper.session import Connected, Disconnected, Event, Reply, Session, State, WatchTriggered
+from lugspur.zookeeper.session import Connected, Disconnected, Event, Reply, Session, SessionState, WatchTriggered
 
 
 class Request(Protocol):
@@ -77,7 +77,7 @@
         """Send the requests that the users have now."""
         for user in self.users:
             requests = user.take_requests()
-            if self.session.state is State.CONNECTED:
+            if self.session.state is SessionState.CONNECTED:
                 for request in requests:
                     self._owners[self.session.send_request(now, request.op, request.body)] = user, request
 
--- a/tests/zookeeper/session_harness.py
+++ b/tests/zookeeper/session_harness.py
@@ -8,7 +8,7 @@
 
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Connection, Server
-from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, State
+from lugspur.zookeeper.session import Event, Expired, Session, SessionOptions, SessionState
 from lugspur.zookeeper.session_multiplexer import SessionMultiplexer
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Snapshot, View, ViewUpdate
 
@@ -127,7 +127,7 @@
         for server in self.servers:
             server.mend()
         self.settle()
-        while self.session.state is not State.CONNECTED:
+        while self.session.state is not SessionState.CONNECTED:
             self.connect()
             self.settle()
 
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -15,7 +15,7 @@
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.standins.zookeeper.server import Server
 from lugspur.zookeeper.client import Client
-from lugspur.zookeeper.session import Connected, Disconnected, Event, Expired, SessionOptions, State
+from lugspur.zookeeper.session import Connected, Disconnected, Event, Expired, SessionOptions, SessionState
 from lugspur.zookeeper.view import View
 
 
@@ -27,7 +27,7 @@
 
     async def wait_until_connected(self) -> None:
         """Wait until a server has accepted the session."""
-        await until(lambda: self.client.session.state is State.CONNECTED)
+        await until(lambda: self.client.session.state is SessionState.CONNECTED)
 
     def current_server(self) -> Server:
         """Return the server to which the client is connected."""
@@ -161,7 +161,7 @@
     async def run() -> None:
         async with client_harness() as harness:
             await harness.client.close()
-            assert not harness.cluster.ensemble.sessions and harness.client.session.state is State.CLOSED
+            assert not harness.cluster.ensemble.sessions and harness.client.session.state is SessionState.CLOSED
             await until(lambda: not any(server.connections for server in harness.cluster.servers))
 
     asyncio.run(run())
@@ -174,7 +174,7 @@
                 server.refuse()
             await until(lambda: harness.count(Disconnected) == 1)
             await harness.client.close()
-            assert harness.client.session.state is State.CLOSED
+            assert harness.client.session.state is SessionState.CLOSED
 
     asyncio.run(run())
 
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -13,7 +13,7 @@
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.records import Op
 from lugspur.zookeeper.registration import NodeStatus, Registration
-from lugspur.zookeeper.session import State
+from lugspur.zookeeper.session import SessionState
 
 DIRECTORY = "/boxes"
 
@@ -229,7 +229,7 @@
             sum(server.asked[Op.CREATE] for server in harness.servers) == create_count + 1
             and harness.take_log_lines() == []
         )
-        assert harness.session.state is State.CONNECTED
+        assert harness.session.state is SessionState.CONNECTED
 
     asyncio.run(run())
 
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -27,7 +27,7 @@
     Reply,
     Session,
     SessionOptions,
-    State,
+    SessionState,
     WatchTriggered,
 )
 
@@ -36,7 +36,7 @@
     """Connect to a server and move all data."""
     harness.connect(index)
     harness.settle()
-    assert harness.session.state is State.CONNECTED
+    assert harness.session.state is SessionState.CONNECTED
     return harness
 
 
@@ -100,7 +100,8 @@
     assert decode(r.RequestHeader, InputArchive(session.take_output()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
     assert session.tick(5.9) == []
     assert (
-        session.tick(6.0) == [Disconnected("the server sent nothing in time")] and session.state is State.DISCONNECTED
+        session.tick(6.0) == [Disconnected("the server sent nothing in time")]
+        and session.state is SessionState.DISCONNECTED
     )
 
 
@@ -210,7 +211,7 @@
         connect(harness)
         harness.connect(1)
         harness.settle()
-        assert harness.session.state is State.DISCONNECTED and not harness.expired
+        assert harness.session.state is SessionState.DISCONNECTED and not harness.expired
         # A server that does not check the zxid accepts the client; its first reply shows that it lags.
         session = accepted_session()
         session.zxid = 500
@@ -261,7 +262,7 @@
         harness = connect(SessionHarness())
         harness.session.close(harness.now)
         harness.settle()
-        assert harness.session.state is State.CLOSED and not harness.cluster.ensemble.sessions
+        assert harness.session.state is SessionState.CLOSED and not harness.cluster.ensemble.sessions
 
     run_in_loop(run())
 
@@ -288,7 +289,7 @@
     [event] = session.data_received(0.0, data)
     assert isinstance(event, Disconnected) and "invalid data" in event.reason and session.next_tick_at() == float("inf")
     session.connection_made(1.0)
-    assert session.state is State.CONNECTING  # the next connection starts with empty buffers
+    assert session.state is SessionState.CONNECTING  # the next connection starts with empty buffers
 
 
 @given(st.binary(max_size=300), st.booleans())
