--- a/lugspur/discovery/platform_watch.py
+++ b/lugspur/discovery/platform_watch.py
@@ -177,8 +177,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._timer.cancel()
-        del (
-            self._parser
-        )  # breaks the reference cycle between the parser and this object, which would keep memory in use
+        # Breaks the reference cycle between the parser and this object, which would keep their memory allocated.
+        del self._parser
         if not self.ended.done():
             self.ended.set_result(None)
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -99,7 +99,7 @@
     recursive: set[str] = field(default_factory=set)
 
     def record_reply(self, op: int, body: Any, error: int) -> None:
-        """Record the watch that a successful request has set, if any."""
+        """Record the watch that a request has set according to its reply, if any."""
         if op == Op.ADD_WATCH and not error:
             (self.recursive if body.mode == r.PERSISTENT_RECURSIVE else self.persistent).add(body.path)
         elif op in READ_OPS and body.watch:
