--- a/lugspur/daemon/hot_restart/descriptors.py
+++ b/lugspur/daemon/hot_restart/descriptors.py
@@ -1,4 +1,4 @@
-"""File descriptors that were received with a packet; the reader of the packet has to close them."""
+"""File descriptors that came with a packet and belong to whoever reads it."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def close_all(descriptors: list[int]) -> None:
-    """Close the descriptors that are still in the list: a reader removes those that it keeps."""
+    """Close descriptors that nobody has taken out of the list."""
     for descriptor in descriptors:
         os.close(descriptor)
--- a/lugspur/daemon/hot_restart/packet_connection.py
+++ b/lugspur/daemon/hot_restart/packet_connection.py
@@ -1,4 +1,4 @@
-"""A connection between two processes of one proxy, which transfers packets with file descriptors."""
+"""A connection between two processes of one proxy, which carries packets and descriptors and keeps their bounds."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 from lugspur.daemon.hot_restart.descriptors import close_all
 from lugspur.daemon.hot_restart.packets import MAX_PACKET_BYTES, Packet, PacketError, pack, unpack
 
-#: Packets queued for a peer. A peer that reads nothing for so long is regarded as dead.
-MAX_QUEUED_PACKETS = 2048
+MAX_QUEUED_PACKETS = 2048  # packets that wait for a peer: one that takes none for so long is as good as gone
 MAX_DESCRIPTORS_PER_PACKET = 4
 NO_DESCRIPTOR = -1
 
@@ -24,24 +23,24 @@
     """One connection over a Unix socket of type SOCK_SEQPACKET."""
 
     def __init__(self, sock: socket.socket, receive: Receiver, on_close: Callable[[PacketConnection], None]) -> None:
-        """Take ownership of the socket, and read from it.
+        """Read from the socket, which is this object's from now on.
 
-        `receive` gets each packet with its descriptors, which it has to close; it raises PacketError for an invalid
-        packet, and that closes the connection. `on_close` is called once, when the connection is closed.
+        `receive` gets each packet with its descriptors, which are its own; it raises PacketError where it does not
+        understand the packet, which ends the connection. `on_close` is called once, when the connection has ended.
         """
         sock.setblocking(False)
         self._sock = sock
         self._receive, self._on_close = receive, on_close
         self._loop = asyncio.get_running_loop()
-        self._queue: deque[tuple[bytes, int]] = deque()  # with a descriptor owned here, or NO_DESCRIPTOR
+        self._queue: deque[tuple[bytes, int]] = deque()  # each with a descriptor of this object, or NO_DESCRIPTOR
         self.is_open = True
-        self._peer_has_ended = False  # set while the packets that the peer sent before its end are read
+        self._peer_has_ended = False  # while what the peer said before its end is being read
         self._loop.add_reader(sock.fileno(), self.read_available)
 
     def send(self, packet: Packet | bytes, descriptor: int = NO_DESCRIPTOR) -> bool:
-        """Send a packet, now or once the peer reads; return False if the connection is closed.
+        """Send a packet, now or once the peer reads; False where the connection has ended.
 
-        The caller keeps the descriptor that is sent along, and may close it at once.
+        The descriptor that goes with it stays the caller's, and may be closed at once.
         """
         data = packet if isinstance(packet, bytes) else pack(packet)
         if self.is_open and not self._peer_has_ended and not self._queue and self._write(data, descriptor):
@@ -57,11 +56,11 @@
 
     @property
     def has_unsent_packets(self) -> bool:
-        """Whether a packet is queued that the peer has not read yet."""
+        """Whether a packet waits for the peer to read."""
         return bool(self._queue)
 
     def _write(self, data: bytes, descriptor: int) -> bool:
-        """Try to send a packet and return whether it was sent; an error closes the connection."""
+        """Return whether a packet has gone out; the connection ends where it never will."""
         try:
             socket.send_fds(self._sock, [data], [descriptor] if descriptor >= 0 else [])
         except BlockingIOError:
@@ -82,9 +81,9 @@
         self._loop.remove_writer(self._sock.fileno())
 
     def _read_to_the_end(self) -> None:
-        """Read the packets that the peer sent before it ended, then close.
+        """Read what the peer said before it ended, then close.
 
-        Guards callers whose connections the peer transferred: these packets hold their descriptors.
+        Guards callers whose connections the peer had transferred: their descriptors lie in those packets.
         """
         if not self._peer_has_ended:
             self._peer_has_ended = True
@@ -92,7 +91,7 @@
             self.close()
 
     def read_available(self) -> None:
-        """Read all packets that have arrived; an invalid one closes the connection."""
+        """Read all that has come; a packet that cannot be understood ends the connection."""
         resets = 0
         while self.is_open:
             try:
@@ -101,7 +100,7 @@
                 )
             except BlockingIOError:
                 return
-            except ConnectionResetError:  # Raised once, before the packets sent earlier (unix(7)); the end follows.
+            except ConnectionResetError:  # raised once, ahead of what was said before (unix(7)); the end follows
                 resets += 1
                 if resets > 1:
                     self.close()
@@ -115,7 +114,7 @@
                 self.close()
 
     def _deliver(self, data: bytes, descriptors: list[int], flags: int) -> None:
-        """Pass one packet to the receiver; raises PacketError. Empty data is the end of the connection."""
+        """Pass one packet on; raises PacketError. No data at all is the end of the connection."""
         if not data:
             self.close()
             close_all(descriptors)
@@ -126,7 +125,7 @@
             self._receive(self, unpack(data), descriptors)
 
     def close(self) -> None:
-        """Close the connection; packets that were not sent are dropped."""
+        """End the connection; packets that have not gone out are dropped."""
         if not self.is_open:
             return
         self.is_open = False
--- a/lugspur/daemon/hot_restart/packets.py
+++ b/lugspur/daemon/hot_restart/packets.py
@@ -1,6 +1,6 @@
 """The packets that two processes of one proxy exchange: JSON objects, checked and bounded. No I/O.
 
-The keys and kinds never change, since the two processes may be of different builds.
+The keys and kinds are the same in every build, since the two processes may be of different builds.
 """
 
 from __future__ import annotations
@@ -11,29 +11,27 @@
 import orjson
 
 PROTOCOL_VERSION = 1
-#: The limit is well below the buffer size of a socket.
-MAX_PACKET_BYTES = 48 << 10
-#: Request ids in one packet, each of up to 64 bytes.
-MAX_IDS_PER_PACKET = 64
+MAX_PACKET_BYTES = 48 << 10  # well under what a socket's buffer takes
+MAX_IDS_PER_PACKET = 64  # ids of requests, of up to 64 bytes each
 
 Packet = dict[str, Any]
 
 
 class PacketKind(enum.StrEnum):
-    """The kind of a packet, which is its key `t`."""
+    """What a packet says, by its key `t`."""
 
-    HELLO = "hello"  # from the successor: asks for the listening socket and the state
-    REFUSAL = "no"  # from the predecessor: rejects a hello, with the reason
-    STATE_PART = "estate"  # from the predecessor: a part of the state; the last one comes with the listening socket
-    READY = "ready"  # from the successor: it accepts clients from now on
-    BAN = "ban"  # from either: an operator has begun or ended the ban of a backend
-    DRAIN = "drain"  # from either: an operator has begun or ended a drain
-    REQUEST_IDS = "ids"  # from either: ids of requests that were opened and finished
-    CALLER = "caller"  # from the predecessor: comes with the descriptor of a caller's connection
+    HELLO = "hello"  # successor: asks for the listening socket and the state
+    REFUSAL = "no"  # predecessor: gives neither, and says why
+    STATE_PART = "estate"  # predecessor: a part of the state; the listening socket goes with the last one
+    READY = "ready"  # successor: it takes clients from now on
+    BAN = "ban"  # both: an operator has begun or ended the ban of a backend
+    DRAIN = "drain"  # both: an operator has begun or ended a drain
+    REQUEST_IDS = "ids"  # both: ids of requests that were opened and finished
+    CALLER = "caller"  # predecessor: the descriptor of a caller's connection goes with it
 
 
 class PacketError(ValueError):
-    """A received packet is not valid in this version of the protocol."""
+    """What came is not a packet that this version understands."""
 
 
 def pack(packet: Packet) -> bytes:
@@ -42,23 +40,23 @@
 
 
 def unpack(data: bytes) -> Packet:
-    """Return the packet of these bytes, checked to have a kind; raises PacketError."""
+    """Return the packet of these bytes, which has a kind; raises PacketError."""
     try:
         packet = orjson.loads(data)
     except ValueError as error:
-        raise PacketError(f"the packet is not valid JSON: {error}") from error
+        raise PacketError(f"no message: {error}") from error
     if not isinstance(packet, dict) or not isinstance(packet.get("t"), str):
-        raise PacketError("the packet is not an object with a kind")
+        raise PacketError("no message of this form")
     return packet
 
 
 def hello() -> Packet:
-    """Return a request for the listening socket and the state of a process with the same protocol version."""
+    """Ask for the listening socket and the state of a process that speaks the same version."""
     return {"t": PacketKind.HELLO, "version": PROTOCOL_VERSION}
 
 
 def refusal() -> Packet:
-    """Return the rejection of a hello of another version."""
+    """Answer a hello of another version."""
     return {"t": PacketKind.REFUSAL, "why": f"this process speaks version {PROTOCOL_VERSION}"}
 
 
@@ -68,22 +66,22 @@
 
 
 def ready() -> Packet:
-    """Return the announcement that the sender accepts clients."""
+    """Say that the sender takes clients."""
     return {"t": PacketKind.READY}
 
 
 def ban(server: str, on: bool, at: float) -> Packet:
-    """Return the message that a backend's ban has begun or ended, `at` seconds since 1970 by the pool's clock."""
+    """Say that a backend's ban has begun or ended; `at` is in seconds since 1970 by the pool's clock."""
     return {"t": PacketKind.BAN, "id": server, "on": on, "at": at}
 
 
 def drain(on: bool) -> Packet:
-    """Return the message that a drain has begun or ended."""
+    """Say that a drain has begun or ended."""
     return {"t": PacketKind.DRAIN, "on": on}
 
 
 def request_ids(begun: list[bytes], done: list[bytes]) -> Packet:
-    """Return the message that these requests were opened and finished."""
+    """Say which requests were opened and finished."""
     return {
         "t": PacketKind.REQUEST_IDS,
         "begun": [request_id.decode() for request_id in begun],
@@ -92,5 +90,5 @@
 
 
 def caller() -> Packet:
-    """Return the packet with which the descriptor of a caller's connection is sent."""
+    """Announce the connection of a caller, whose descriptor goes with the packet."""
     return {"t": PacketKind.CALLER}
--- a/lugspur/daemon/hot_restart/peer_changes.py
+++ b/lugspur/daemon/hot_restart/peer_changes.py
@@ -1,4 +1,4 @@
-"""Applies the changes that a peer reports to the proxy of this process."""
+"""Applies what a peer has said to the proxy of this process."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from lugspur.daemon.hot_restart.restartable_proxy import RestartableProxy
 from lugspur.discovery.endpoints import server_id
 
-#: Changes that concern all processes of a proxy: a process between two others forwards them.
+#: What binds all processes of a proxy: a process between two others passes it on.
 BINDING_ALL = frozenset({PacketKind.BAN, PacketKind.DRAIN, PacketKind.REQUEST_IDS})
 
 
 def apply_packet(proxy: RestartableProxy, packet: Packet, descriptors: list[int]) -> None:
-    """Apply a packet to the proxy; raises PacketError. Descriptors that are not used are closed.
+    """Have the proxy follow a packet; raises PacketError. Descriptors that are of no use are closed.
 
-    A packet of an unknown kind is ignored: a later version may send it.
+    A packet of an unknown kind is passed over: a later version may send it.
     """
     try:
         _apply(proxy, packet, descriptors)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise PacketError(f"the packet is malformed: {error!r}") from error
+        raise PacketError(f"no message of this form: {error!r}") from error
     finally:
         close_all(descriptors)
 
--- a/lugspur/daemon/hot_restart/process_state.py
+++ b/lugspur/daemon/hot_restart/process_state.py
@@ -1,4 +1,4 @@
-"""The state that a process transfers to its successor, as text in parts of bounded size. No I/O."""
+"""The state that a process hands to its successor, as text in bounded parts. No I/O."""
 
 from __future__ import annotations
 
@@ -13,26 +13,25 @@
 from lugspur.discovery.endpoints import Endpoint, server_id, server_name
 from lugspur.load_balancing.model import Learned
 
-#: Characters of the state's text in one packet. Quoted in JSON and encoded in UTF-8, each takes at most four bytes.
+# Of the state's text in one packet: quoted in JSON and as UTF-8 they take four times as many bytes at most.
 STATE_PART_CHARACTERS = 12 << 10
-#: The limit of one state, 6 MiB. A state with 16,384 names and some thousand backends takes a third of it.
-MAX_STATE_PARTS = 512
+MAX_STATE_PARTS = 512  # of one state, 6 MiB: 16,384 names and some thousand backends are a third of it
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessState:
-    """All that a successor needs to continue in place of its predecessor."""
+    """All that a successor needs to go on in its predecessor's place."""
 
-    index: int  # of the endpoint list
+    index: int  # of the list of backends
     endpoints: list[Endpoint]  # as discovery listed them
     bans: SavedBans
     drained: bool
-    open: list[bytes]  # ids of requests without a response so far
+    open: list[bytes]  # ids of requests that are not answered yet
     learned: Learned
 
 
 def encode_state(state: ProcessState) -> list[bytes]:
-    """Return the packets of a state, in the order in which they have to be sent."""
+    """Return the packets of a state, in the order in which they are to be sent."""
     text = orjson.dumps(
         {
             "version": PROTOCOL_VERSION,
@@ -56,7 +55,7 @@
     try:
         raw = orjson.loads(text)
         if raw["version"] != PROTOCOL_VERSION:
-            raise PacketError(f"the state has version {raw['version']}")
+            raise PacketError(f"an estate of version {raw['version']}")
         learned = raw["learned"]
         return ProcessState(
             int(raw["index"]),
@@ -71,25 +70,25 @@
             state_codec.decode_learned(learned, learned["servers"]),
         )
     except state_codec.DECODE_ERRORS as error:
-        raise PacketError(f"the state is malformed: {error!r}") from error
+        raise PacketError(f"no estate: {error!r}") from error
 
 
 class StateAssembler:
-    """Assembles one state from its parts."""
+    """Puts the parts of one state together."""
 
     def __init__(self) -> None:
-        """Start without any part."""
+        """Begin without any part."""
         self._parts: list[str] = []
 
     def add(self, packet: Packet) -> ProcessState | None:
-        """Add the next part, and return the state if that was the last one; raises PacketError for any other part."""
+        """Add the next part and return the state with the last one; raises PacketError for one that does not fit."""
         number, count, part = packet.get("n"), packet.get("of"), packet.get("part")
         if not isinstance(part, str) or len(part) > STATE_PART_CHARACTERS:
-            raise PacketError("the part does not belong to this state")
-        # Guards memory: the sender may send any count.
+            raise PacketError("a part of another estate")
+        # Guards memory: the count is the sender's word.
         if not isinstance(count, int) or not 0 < count <= MAX_STATE_PARTS:
-            raise PacketError("the part does not belong to this state")
+            raise PacketError("a part of another estate")
         if number != len(self._parts) or number >= count:
-            raise PacketError("the part does not belong to this state")
+            raise PacketError("a part of another estate")
         self._parts.append(part)
         return decode_state("".join(self._parts)) if len(self._parts) == count else None
--- a/lugspur/daemon/hot_restart/request_ids.py
+++ b/lugspur/daemon/hot_restart/request_ids.py
@@ -10,7 +10,7 @@
 
 
 class RequestIdBatch:
-    """Sends the ids of one turn of the event loop in as few packets as MAX_IDS_PER_PACKET allows."""
+    """Sends the ids of one turn of the event loop in as few packets as their bound allows."""
 
     def __init__(self, send: Callable[[Packet], None]) -> None:
         """`send` sends a packet to all peers; needs a running event loop."""
@@ -36,6 +36,6 @@
     def _send_all(self) -> None:
         begun, done = self._begun, self._done
         self._begun, self._done = [], []
-        for start in range(0, max(len(begun), len(done)), MAX_IDS_PER_PACKET):
-            end = start + MAX_IDS_PER_PACKET
-            self._send(packets.request_ids(begun[start:end], done[start:end]))
+        for at in range(0, max(len(begun), len(done)), MAX_IDS_PER_PACKET):
+            until = at + MAX_IDS_PER_PACKET
+            self._send(packets.request_ids(begun[at:until], done[at:until]))
