--- a/lugspur/bench/followers.py
+++ b/lugspur/bench/followers.py
@@ -31,20 +31,20 @@
 async def ours(hosts: str, folder: str) -> None:
     """By our own client."""
     from lugspur.zookeeper.client import Client
-    from lugspur.zookeeper.session import Event, Terms
-    from lugspur.zookeeper.view import Present, View, Whole
+    from lugspur.zookeeper.session import Event, SessionOptions
+    from lugspur.zookeeper.view import NodeChanged, Snapshot, View
 
     begun = time.monotonic()
     view = View(folder)
 
     def heard(_: list[Event]) -> None:
-        for news in view.news():
-            if isinstance(news, Whole):
+        for news in view.take_updates():
+            if isinstance(news, Snapshot):
                 _whole(len(news.nodes), begun)
-            elif isinstance(news, Present):
+            elif isinstance(news, NodeChanged):
                 print(f"seen {news.name} {time.monotonic():.6f}", flush=True)
 
-    client = Client([read_address(host) for host in hosts.split(",")], Terms(10.0), heard)
+    client = Client([read_address(host) for host in hosts.split(",")], SessionOptions(10.0), heard)
     client.add(view)
     client.open()
     await asyncio.Event().wait()
--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -81,7 +81,7 @@
     [at] = [server for server in trial.cluster.servers if server.connections]
     before = len(trial.lines)
     at.stall()
-    await trial.said("it says nothing", before)
+    await trial.said("the server sent nothing in time", before)
     await trial.said("is followed", before)
     await _all_serve(trial)
     await asyncio.sleep(seconds)
@@ -108,7 +108,7 @@
         server.refuse()
     trial.cluster.ensemble.restore()
     await asyncio.sleep(seconds)
-    await _back(trial, "holds no box")
+    await _back(trial, "holds no backend")
     for box in trial.boxes.values():
         trial.register(box)
     await trial.served(50)
--- a/lugspur/discovery/registry_sessions.py
+++ b/lugspur/discovery/registry_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions with registries: one for each ensemble, shared by all sources and registrations that use it."""
+"""Sessions with registries: one for each ensemble, shared by all endpoint sources and registrations that use it."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.zookeeper.client import Client
-from lugspur.zookeeper.link import Machine
-from lugspur.zookeeper.session import Event, Terms
+from lugspur.zookeeper.session import Event, SessionOptions
+from lugspur.zookeeper.session_multiplexer import SessionUser
 
-#: Called after each turn of the session with what happened to it meanwhile.
+#: Called each time that the session has processed data or a timer, with the events of the session that resulted.
 SessionListener = Callable[[list[Event]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Ensemble:
-    """The servers of a registry and the terms of a session with them; equal ones share a session."""
+    """The servers of a registry and the options of a session with them; equal ones share a session."""
 
     addresses: tuple[Address, ...]
-    terms: Terms
+    options: SessionOptions
 
 
 class RegistrySession:
-    """One session with a registry, and the state machines that use it."""
+    """A session with a registry, and the state machines that use it."""
 
     def __init__(self, ensemble: Ensemble) -> None:
-        self.client = Client(ensemble.addresses, ensemble.terms, self._notify)
-        self.users: dict[Machine, SessionListener] = {}
+        self.client = Client(ensemble.addresses, ensemble.options, self._notify)
+        self.users: dict[SessionUser, SessionListener] = {}
 
     def _notify(self, events: list[Event]) -> None:
         for listener in tuple(self.users.values()):
             listener(events)
 
-    def add_user(self, machine: Machine, listener: SessionListener) -> None:
-        """Let `machine` send requests; `listener` is called at once and after each turn of the session."""
-        self.users[machine] = listener
-        self.client.add(machine)
+    def add_user(self, user: SessionUser, listener: SessionListener) -> None:
+        """Send requests of `user` in the session; call `listener` at once and as described for `SessionListener`."""
+        self.users[user] = listener
+        self.client.add(user)
         self.client.open()
         listener([])
 
-    def remove_user(self, machine: Machine) -> None:
-        """Let `machine` send nothing more; raises KeyError unless it was added."""
-        del self.users[machine]
-        self.client.remove(machine)
+    def remove_user(self, user: SessionUser) -> None:
+        """Stop sending requests of `user`; raises KeyError unless it was added."""
+        del self.users[user]
+        self.client.remove(user)
 
 
 class RegistrySessions:
@@ -59,7 +59,7 @@
         return self._sessions.setdefault(ensemble, RegistrySession(ensemble))
 
     def close_unused(self) -> None:
-        """Close the sessions that have no users any more."""
+        """Close the sessions that have no users anymore."""
         for ensemble, session in tuple(self._sessions.items()):
             if not session.users:
                 del self._sessions[ensemble]
@@ -68,7 +68,7 @@
                 task.add_done_callback(self._closing.discard)
 
     async def close(self) -> None:
-        """Close all sessions; returns when servers have confirmed it or their time for that is over."""
+        """Close all sessions, and wait until the servers have confirmed it or the timeout for that has passed."""
         for session in self._sessions.values():
             session.users.clear()
         self.close_unused()
--- a/lugspur/discovery/registry_source.py
+++ b/lugspur/discovery/registry_source.py
@@ -1,7 +1,7 @@
 """A pool's endpoint list from a directory of a registry.
 
-Changes are delivered at once; where a delivery takes long, what comes meanwhile is collected for the next one, so that
-1,000 changes a second do not take the whole CPU.
+Changes are delivered at once. If a delivery takes long, the changes that arrive meanwhile are batched for the next one,
+so that 1,000 changes a second do not take the whole CPU.
 """
 
 from __future__ import annotations
@@ -18,20 +18,25 @@
 from lugspur.discovery.staleness import RegistryStaleness
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.session import Down, Event, Expired, Up
-from lugspur.zookeeper.view import Absent, News, Present, Unread, View, Whole
+from lugspur.zookeeper.session import Connected, Disconnected, Event, Expired
+from lugspur.zookeeper.view import NodeChanged, NodeDeleted, ReadFailed, Snapshot, View, ViewUpdate
 
-READ_RETRY_DELAY_SECONDS = 5.0  # before a directory that could not be read is tried again
-#: A delivery waits for this many times what the one before took: a fifth of the CPU at most goes to deliveries...
+#: Seconds after which a directory that could not be read is read again.
+READ_RETRY_DELAY_SECONDS = 5.0
+#: The pause after a delivery is this many times as long as the delivery, so that deliveries take at most a fifth of the
+#: CPU.
 DELIVERY_PAUSE_FACTOR = 4.0
-#: ...but no longer than this: removals are to be obeyed 500 ms after the registry reported them.
+#: Upper limit of the pause after a delivery: removals have to take effect 500 ms after the registry has reported them.
 MAX_DELIVERY_PAUSE_SECONDS = 0.2
-READ_ERRORS = {int(r.Error.NO_NODE): "it does not exist yet", int(r.Error.NO_AUTH): "its access list forbids it"}
+READ_ERRORS = {
+    int(r.ErrorCode.NO_NODE): "it does not exist yet",
+    int(r.ErrorCode.NO_AUTH): "its access list forbids it",
+}
 
 
 @dataclass(slots=True)
 class _PendingUpdate:
-    """What is to be delivered next, by backend."""
+    """Endpoints of the next delivery, by backend."""
 
     removed: dict[int, Endpoint] = field(default_factory=dict)
     present: dict[int, Endpoint] = field(default_factory=dict)
@@ -52,8 +57,7 @@
 class RegistrySource:
     """Follows a directory of a registry and delivers the endpoints that its nodes describe.
 
-    Where the pool knows no list yet, `static` endpoints are delivered by `open`; they stay until the directory has
-    been read.
+    If the pool has no list yet, `open` delivers the `static` endpoints; they stay until the directory has been read.
     """
 
     def __init__(
@@ -78,25 +82,25 @@
         self._static = static
         self._on_update = on_update
         self._pool = pool
-        self._nodes = nodes
+        self._registry_endpoints = nodes
         self.view = View(directory)
         self.staleness = RegistryStaleness(stale_after, self._log, self._loop.time())
         self._pending = _PendingUpdate()
         self._delivered: dict[int, Endpoint] = {}
-        self._has_delivered_list = False  # whether a complete list was ever delivered
+        self._has_delivered_list = False  # whether a complete list has been delivered
         self._next_delivery_at = 0.0
         self._delivery_timer: asyncio.TimerHandle | None = None
         self._stale_timer: asyncio.TimerHandle | None = None
         self._read_timer: asyncio.TimerHandle | None = None
 
     def open(self) -> None:
-        """Begin to deliver."""
+        """Start to deliver updates."""
         if self._static:
             self._on_update(ListUpdateKind.COMPLETE, self._static)
         self._session.add_user(self.view, self._on_events)
 
     def close(self) -> None:
-        """Deliver nothing more."""
+        """Stop delivering updates."""
         self._session.remove_user(self.view)
         for timer in (self._delivery_timer, self._stale_timer, self._read_timer):
             if timer is not None:
@@ -106,35 +110,35 @@
     def _log(self, line: str) -> None:
         print(f"lugspur: pool {self._pool}: {self.view.path}: {line}", file=sys.stderr, flush=True)
 
-    # ---- what the registry reports -------------------------------------------------------------
+    # ---- events of the registry ----------------------------------------------------------------
 
     def _on_events(self, events: list[Event]) -> None:
         now = self._loop.time()
         for event in events:
-            if isinstance(event, Up):
+            if isinstance(event, Connected):
                 self.staleness.record_connection(event.timeout)
             elif isinstance(event, Expired):
                 self.staleness.record_session_expiry()
-            elif isinstance(event, Down):
-                self.staleness.record_disconnection(now, self._session.client.session.heard, event.reason)
-        for change in self.view.news():
-            self._receive(change, now)
+            elif isinstance(event, Disconnected):
+                self.staleness.record_disconnection(now, self._session.client.session.last_heard_at, event.reason)
+        for update in self.view.take_updates():
+            self._receive(update, now)
         self._deliver_soon(now)
         self._check_staleness(now)
 
-    def _receive(self, change: News, now: float) -> None:
-        if isinstance(change, Whole):
-            nodes = {name: _registry_node(data) for name, data in change.nodes.items()}
-            changes = self._nodes.replace_all(nodes)
+    def _receive(self, update: ViewUpdate, now: float) -> None:
+        if isinstance(update, Snapshot):
+            nodes = {name: _registry_node(data) for name, data in update.nodes.items()}
+            changes = self._registry_endpoints.replace_all(nodes)
             self._pending.present.clear()
             self._pending.is_complete = True
-            self.staleness.record_list_read(now, len(self._nodes))
-        elif isinstance(change, Present):
-            changes = self._nodes.update_node(change.name, _registry_node(change.data))
-        elif isinstance(change, Absent):
-            changes = self._nodes.remove_node(change.name)
+            self.staleness.record_list_read(now, len(self._registry_endpoints))
+        elif isinstance(update, NodeChanged):
+            changes = self._registry_endpoints.update_node(update.name, _registry_node(update.data))
+        elif isinstance(update, NodeDeleted):
+            changes = self._registry_endpoints.remove_node(update.name)
         else:
-            self._receive_read_failure(change)
+            self._receive_read_failure(update)
             return
         self._collect(changes)
 
@@ -144,16 +148,16 @@
         for line in changes.problems:
             self._log(line)
 
-    def _receive_read_failure(self, failure: Unread) -> None:
+    def _receive_read_failure(self, failure: ReadFailed) -> None:
         self.staleness.record_read_failure(READ_ERRORS.get(failure.error, f"error {failure.error}"))
         if self._read_timer is not None:
             self._read_timer.cancel()
-        if failure.error != r.Error.NO_NODE:  # a watch reports the creation of a directory that does not exist
+        if failure.error != r.ErrorCode.NO_NODE:  # a watch reports the creation of a directory that does not exist
             self._read_timer = self._loop.call_later(READ_RETRY_DELAY_SECONDS, self._retry_read)
 
     def _retry_read(self) -> None:
-        self.view.again()
-        self._session.client.turn()
+        self.view.retry_read()
+        self._session.client.send_requests()
 
     def _check_staleness(self, now: float) -> None:
         self.staleness.tick(now)
@@ -163,10 +167,10 @@
         if due != float("inf"):
             self._stale_timer = self._loop.call_at(due, lambda: self._check_staleness(self._loop.time()))
 
-    # ---- what the pool receives ----------------------------------------------------------------
+    # ---- deliveries to the pool ----------------------------------------------------------------
 
     def _deliver_soon(self, now: float) -> None:
-        """Deliver now, or after the pause that the last delivery asks for."""
+        """Deliver pending changes now, or after the pause that follows the last delivery."""
         if not self._pending or self._delivery_timer is not None:
             return
         if now >= self._next_delivery_at:
@@ -175,7 +179,7 @@
             self._delivery_timer = self._loop.call_at(self._next_delivery_at, self._deliver)
 
     def _deliver(self) -> None:
-        """Deliver all that is pending, removals first: a node created again under its name is another process."""
+        """Deliver all pending changes, removals first: a node that was recreated under its name is another process."""
         started_at = self._loop.time()
         self._delivery_timer = None
         pending, self._pending = self._pending, _PendingUpdate()
@@ -193,9 +197,9 @@
         self._next_delivery_at = ended_at + pause
 
     def _deliver_list(self, endpoints: dict[int, Endpoint]) -> None:
-        """Deliver a complete list; after the first one only what differs.
+        """Deliver a complete list; after the first one only the differences.
 
-        After most gaps nothing does, and delivering 10,000 endpoints takes a while.
+        After most gaps there are none, and delivering 10,000 endpoints takes a while.
         """
         former, self._delivered = self._delivered, endpoints
         if not self._has_delivered_list:
--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -13,8 +13,8 @@
 
 from lugspur.standins.zookeeper.tree import Effect, Event, Gone, Guarded, Made, Tree, Written, parent_of
 from lugspur.zookeeper.records import (
-    NEVER_MIND,
-    OPEN,
+    ANY_VERSION,
+    OPEN_ACL,
     PERM_ADMIN,
     PERM_CREATE,
     PERM_DELETE,
@@ -22,18 +22,18 @@
     PERM_WRITE,
     Acl,
     Check,
-    Code,
     Create,
     Created,
+    CreateMode,
     Delete,
-    Error,
-    Mode,
-    Nothing,
+    EmptyRecord,
+    ErrorCode,
+    ErrorResult,
     Op,
-    Part,
     Path,
     SetAcl,
     SetData,
+    TransactionPart,
 )
 
 EPOCH = 1 << 32  # the upper half of a zxid counts leaders
@@ -43,7 +43,7 @@
     """A request that is not done."""
 
     def __init__(self, error: int) -> None:
-        self.error = Error(error)
+        self.error = ErrorCode(error)
         super().__init__(self.error.name)
 
 
@@ -99,14 +99,14 @@
 def allowed(acl: tuple[Acl, ...], who: Who, perms: int) -> None:
     """Raise Refused unless one line gives the right."""
     if not any(row.perms & perms and (row.scheme, row.id) in who.ids for row in acl):
-        raise Refused(Error.NO_AUTH)
+        raise Refused(ErrorCode.NO_AUTH)
 
 
 class Ensemble:
     """The leader's part. `applied` is called after each change, in the order of the log."""
 
     def __init__(self, shortest: float = 0.2, longest: float = 60.0, seed: int = 0) -> None:
-        self.tree = Tree(OPEN)
+        self.tree = Tree(OPEN_ACL)
         self.zxid = EPOCH
         self.sessions: dict[int, Session] = {}
         self.shortest, self.longest = shortest, longest  # seconds that a session's time-out is kept within
@@ -189,22 +189,22 @@
             listener(change)
         return change.zxid
 
-    def commit(self, who: Who, parts: tuple[Part, ...]) -> tuple[int, tuple[Part, ...]]:
+    def commit(self, who: Who, parts: tuple[TransactionPart, ...]) -> tuple[int, tuple[TransactionPart, ...]]:
         """All parts or none; gives the zxid and each part's result. A failed part's operation is ERROR."""
         zxid, now = self.zxid + 1, int(time.time() * 1000)
         effects: list[Effect] = []
         undo: list[Callable[[], None]] = []
-        results: list[Part] = []
+        results: list[TransactionPart] = []
         for at, (op, row) in enumerate(parts):
             try:
                 if who.session and who.session not in self.sessions:
-                    raise Refused(Error.SESSION_EXPIRED)
+                    raise Refused(ErrorCode.SESSION_EXPIRED)
                 effect = self._judge(who, op, row)
             except Refused as fault:
                 for back in reversed(undo):
                     back()
-                codes = [Error.OK] * at + [fault.error] + [Error.INCONSISTENT] * (len(parts) - at - 1)
-                return self._tell(Change(zxid, now, ())), tuple((Op.ERROR, Code(code)) for code in codes)
+                codes = [ErrorCode.OK] * at + [fault.error] + [ErrorCode.INCONSISTENT] * (len(parts) - at - 1)
+                return self._tell(Change(zxid, now, ())), tuple((Op.ERROR, ErrorResult(code)) for code in codes)
             if effect is not None:
                 undo.append(self.tree.apply(effect, zxid, now)[1])
                 effects.append(effect)
@@ -217,8 +217,8 @@
         if above not in self.tree.nodes:
             self.write(Who(), above, b"")
         kind = Op.SET_DATA if path in self.tree.nodes else Op.CREATE
-        flags = Mode.EPHEMERAL if who.session else Mode.PLAIN
-        row = SetData(path, data, NEVER_MIND) if kind is Op.SET_DATA else Create(path, data, OPEN, flags)
+        flags = CreateMode.EPHEMERAL if who.session else CreateMode.PERSISTENT
+        row = SetData(path, data, ANY_VERSION) if kind is Op.SET_DATA else Create(path, data, OPEN_ACL, flags)
         _, ((op, result),) = self.commit(who, ((kind, row),))
         if op == Op.ERROR:
             raise Refused(result.error)
@@ -229,18 +229,18 @@
         assert isinstance(row, Delete | SetData | SetAcl | Check)
         node = self.tree.nodes.get(row.path)
         if node is None:
-            raise Refused(Error.NO_NODE)
+            raise Refused(ErrorCode.NO_NODE)
         if isinstance(row, Delete):
             allowed(self.tree.nodes[parent_of(row.path)].acl, who, PERM_DELETE)
         elif not isinstance(row, Check):
             allowed(node.acl, who, PERM_WRITE if isinstance(row, SetData) else PERM_ADMIN)
         else:
             allowed(node.acl, who, PERM_READ)
-        if row.version not in (NEVER_MIND, node.aversion if isinstance(row, SetAcl) else node.version):
-            raise Refused(Error.BAD_VERSION)
+        if row.version not in (ANY_VERSION, node.aversion if isinstance(row, SetAcl) else node.version):
+            raise Refused(ErrorCode.BAD_VERSION)
         if isinstance(row, Delete):
             if node.children:
-                raise Refused(Error.NOT_EMPTY)
+                raise Refused(ErrorCode.NOT_EMPTY)
             return Gone(row.path) if row.path != "/" else None
         if isinstance(row, SetData):
             return Written(row.path, row.data)
@@ -250,18 +250,18 @@
         path = row.path
         above = self.tree.nodes.get(parent_of(path))
         if not path.startswith("/") or "//" in path or "\0" in path or (path.endswith("/") and not row.flags & 2):
-            raise Refused(Error.BAD_ARGUMENTS)
-        if row.flags not in set(Mode):
-            raise Refused(Error.UNIMPLEMENTED)
+            raise Refused(ErrorCode.BAD_ARGUMENTS)
+        if row.flags not in set(CreateMode):
+            raise Refused(ErrorCode.UNIMPLEMENTED)
         if above is None:
-            raise Refused(Error.NO_NODE)
+            raise Refused(ErrorCode.NO_NODE)
         allowed(above.acl, who, PERM_CREATE)
         if above.owner:
-            raise Refused(Error.NO_CHILDREN_FOR_EPHEMERALS)
+            raise Refused(ErrorCode.NO_CHILDREN_FOR_EPHEMERALS)
         if row.flags & 2:
             path += f"{above.made:010d}"
         if path in self.tree.nodes:
-            raise Refused(Error.NODE_EXISTS)
+            raise Refused(ErrorCode.NODE_EXISTS)
         return Made(path, row.data, self._acl(who, row.acl), who.session if row.flags & 1 else 0)
 
     def _acl(self, who: Who, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
@@ -271,7 +271,7 @@
             proved = sorted(who.ids - {("world", "anyone")})
             found.extend([Acl(row.perms, *one) for one in proved] if row.scheme == "auth" else [row])
         if not found:
-            raise Refused(Error.INVALID_ACL)
+            raise Refused(ErrorCode.INVALID_ACL)
         return tuple(found)
 
     def _result(self, op: int, row: object, effect: Effect | None) -> object:
@@ -280,14 +280,14 @@
             return Created(effect.path, stat) if op == Op.CREATE2 else Path(effect.path)
         if isinstance(effect, Written | Guarded):
             return self.tree.nodes[effect.path].stat()
-        return Nothing()
+        return EmptyRecord()
 
 
 class Replica:
     """One server's copy of the tree; it lags where it is told to, and catches up later."""
 
     def __init__(self, ensemble: Ensemble, told: Callable[[Change, list[Event]], None]) -> None:
-        self.tree = Tree(OPEN)
+        self.tree = Tree(OPEN_ACL)
         self.zxid = ensemble.zxid
         self.lagging = False
         self._behind: list[Change] = []
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -13,9 +13,9 @@
 from lugspur.standins.zookeeper.tree import Event as Told
 from lugspur.standins.zookeeper.tree import Node, parent_of
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import Input, Malformed, buffer, decode, encode
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.frames import FrameDecoder
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 
 FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
 SYNC_CONNECTED = 3
@@ -121,16 +121,16 @@
     persistent: set[str] = field(default_factory=set)
     recursive: set[str] = field(default_factory=set)
 
-    def tell(self, told: Told, event: Callable[[Happened, str], None]) -> None:
+    def tell(self, told: Told, event: Callable[[EventType, str], None]) -> None:
         """Each event at most once; one-shot watches are spent."""
         kind, path = told
         wanted = path in self.persistent
-        if kind is Happened.CHILDREN:
+        if kind is EventType.CHILDREN:
             if path in self.children:
                 self.children.discard(path)
                 wanted = True
         else:
-            for one_shot in (self.data, self.children) if kind is Happened.DELETED else (self.data,):
+            for one_shot in (self.data, self.children) if kind is EventType.DELETED else (self.data,):
                 if path in one_shot:
                     one_shot.discard(path)
                     wanted = True
@@ -154,7 +154,7 @@
         self.watches = Watches()
         self.who = Who()
         self._session: Session | None = None
-        self._cut = Frames(FRAME_MOST)
+        self._cut = FrameDecoder(FRAME_MOST)
         self._frames: deque[bytes] = deque()
         self._held: tuple[int, bytes] | None = None  # the zxid that a write's reply waits for
         self._late: deque[tuple[float, bytes]] = deque()
@@ -184,7 +184,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             self._frames.extend(self._cut.feed(data))
-        except Malformed:
+        except JuteDecodeError:
             self.abort()
             return
         self.pump()
@@ -203,16 +203,16 @@
             frame = self._frames.popleft()
             try:
                 self._serve(frame)
-            except Malformed:
+            except JuteDecodeError:
                 self.abort()
                 return
 
     def _reply(self, frame: bytes) -> None:
         late = self._server.faults.late
         if not late and not self._late:
-            self.write(buffer(frame))
+            self.write(length_prefixed(frame))
             return
-        self._late.append((self._loop.time() + late, buffer(frame)))
+        self._late.append((self._loop.time() + late, length_prefixed(frame)))
         if late != float("inf"):
             self._loop.call_at(self._late[-1][0], self._flush)
 
@@ -228,10 +228,10 @@
         while self._late:
             self.write(self._late.popleft()[1])
 
-    def event(self, kind: Happened, path: str) -> None:
+    def event(self, kind: EventType, path: str) -> None:
         """Tell of a watch; it goes out before any later reply, and past late ones where that fault is on."""
         header = r.ReplyHeader(r.EVENT_XID, -1, 0)
-        frame = encode(header) + encode(r.Event(kind, SYNC_CONNECTED, path))
+        frame = encode(header) + encode(r.WatcherEvent(kind, SYNC_CONNECTED, path))
         self._reply(frame)
         if self._server.faults.overtaking:
             self._overtake()
@@ -263,7 +263,7 @@
     # ---- the session -------------------------------------------------------------------------
 
     def _serve(self, frame: bytes) -> None:
-        source = Input(frame)
+        source = InputArchive(frame)
         if self._session is None:
             self._connect(decode(r.ConnectRequest, source))
             return
@@ -274,13 +274,13 @@
         self._server.asked[header.op] += 1
         self._server.ensemble.touch(self._session)
         if header.op == Op.CLOSE:
-            self._answer(header.xid, Error.OK, b"")
+            self._answer(header.xid, ErrorCode.OK, b"")
             self._server.ensemble.end(self._session.id)
             self.end()
         elif header.op == Op.MULTI:
-            self._multi(header.xid, r.decode_parts(source))
+            self._multi(header.xid, r.decode_transaction(source))
         elif header.op == Op.SYNC:  # answered when this server shows all that was confirmed by now
-            self._wait(self._server.ensemble.zxid, header.xid, Error.OK, encode(decode(r.Path, source)))
+            self._wait(self._server.ensemble.zxid, header.xid, ErrorCode.OK, encode(decode(r.Path, source)))
         else:
             self._request(header.xid, header.op, source)
 
@@ -293,7 +293,7 @@
         session = ensemble.sessions.get(asked.session) if asked.session else ensemble.begin(asked.timeout / 1000.0)
         if session is None or (asked.session and asked.password != session.password):
             answer = r.ConnectResponse(0, 0, 0, r.NO_PASSWORD)
-            self.write(buffer(encode(answer) + b"\0"))
+            self.write(length_prefixed(encode(answer) + b"\0"))
             self.end()
             return
         former, session.server, self._session = session.server, self, session
@@ -309,14 +309,14 @@
     def _answer(self, xid: int, error: int, body: bytes) -> None:
         self._reply(encode(r.ReplyHeader(xid, self._server.replica.zxid, error)) + body)
 
-    def _request(self, xid: int, op: int, source: Input) -> None:
+    def _request(self, xid: int, op: int, source: InputArchive) -> None:
         faults = self._server.faults
         kind = r.REQUESTS.get(op)
         if kind is None or (op in NEWER and faults.old):
-            self._answer(xid, Error.UNIMPLEMENTED, b"")
+            self._answer(xid, ErrorCode.UNIMPLEMENTED, b"")
             return
         if faults.read_only and op in WRITES:
-            self._answer(xid, Error.NOT_READ_ONLY, b"")
+            self._answer(xid, ErrorCode.NOT_READ_ONLY, b"")
             return
         row = decode(kind, source)
         if op in WRITES:
@@ -325,20 +325,20 @@
             self._wait(zxid, xid, error, b"" if error else encode(result))
             return
         try:
-            self._answer(xid, Error.OK, self._read(op, row))
+            self._answer(xid, ErrorCode.OK, self._read(op, row))
         except Refused as fault:
             self._answer(xid, fault.error, b"")
-            if fault.error is Error.AUTH_FAILED:
+            if fault.error is ErrorCode.AUTH_FAILED:
                 self.end()
 
     def _wait(self, zxid: int, xid: int, error: int, body: bytes) -> None:
         """A write's reply goes out when this server has applied it."""
         self._held = zxid, encode(r.ReplyHeader(xid, zxid, error)) + body
 
-    def _multi(self, xid: int, parts: tuple[r.Part, ...]) -> None:
+    def _multi(self, xid: int, parts: tuple[r.TransactionPart, ...]) -> None:
         zxid, results = self._server.ensemble.commit(self.who, parts)
         # Failed or not, the header says 0: the parts tell (FinalRequestProcessor.java).
-        self._wait(zxid, xid, Error.OK, r.encode_results(results))
+        self._wait(zxid, xid, ErrorCode.OK, r.encode_transaction_results(results))
 
     def _read(self, op: int, row: Any) -> bytes:
         if op in (Op.SET_WATCHES, Op.SET_WATCHES2):
@@ -347,10 +347,10 @@
         if op == Op.ADD_WATCH:
             known = self.watches.recursive if row.mode == r.PERSISTENT_RECURSIVE else self.watches.persistent
             known.add(row.path)
-            return encode(r.Code(0))
+            return encode(r.ErrorResult(0))
         if op == Op.AUTH:
             if not self.who.prove(row.scheme, row.auth):
-                raise Refused(Error.AUTH_FAILED)
+                raise Refused(ErrorCode.AUTH_FAILED)
             return b""
         return b"" if op == Op.PING else self._look(op, row)
 
@@ -359,7 +359,7 @@
         if op == Op.EXISTS and row.watch:
             self.watches.data.add(row.path)
         if node is None:
-            raise Refused(Error.NO_NODE)
+            raise Refused(ErrorCode.NO_NODE)
         if op == Op.EXISTS:
             return encode(node.stat())
         if op == Op.GET_ACL:
@@ -378,22 +378,22 @@
         for path in row.data:
             node = nodes.get(path)
             if node is None:
-                self.event(Happened.DELETED, path)
+                self.event(EventType.DELETED, path)
             elif node.mzxid > row.since:
-                self.event(Happened.CHANGED, path)
+                self.event(EventType.CHANGED, path)
             else:
                 self.watches.data.add(path)
         for path in row.exists:
             if path in nodes:
-                self.event(Happened.CREATED, path)
+                self.event(EventType.CREATED, path)
             else:
                 self.watches.data.add(path)
         for path in row.children:
             node = nodes.get(path)
             if node is None:
-                self.event(Happened.DELETED, path)
+                self.event(EventType.DELETED, path)
             elif node.pzxid > row.since:
-                self.event(Happened.CHILDREN, path)
+                self.event(EventType.CHILDREN, path)
             else:
                 self.watches.children.add(path)
         if isinstance(row, r.SetWatches2):
--- a/lugspur/zookeeper/client.py
+++ b/lugspur/zookeeper/client.py
@@ -1,4 +1,4 @@
-"""The thin transport: one connection at a time to an ensemble, and the session's timers."""
+"""Transport of a session: one connection at a time to a server of the ensemble, and the session's timer."""
 
 from __future__ import annotations
 
@@ -6,157 +6,170 @@
 import random
 from collections.abc import Callable, Sequence
 
-from lugspur.zookeeper.link import Link, Machine
-from lugspur.zookeeper.session import CLOSED, Down, Event, Expired, Session, State, Terms, Up
+from lugspur.zookeeper.session import (
+    CLOSED_REASON,
+    Connected,
+    Disconnected,
+    Event,
+    Expired,
+    Session,
+    SessionOptions,
+    SessionState,
+)
+from lugspur.zookeeper.session_multiplexer import SessionMultiplexer, SessionUser
 
 Address = tuple[str, int]
-RETRY_FIRST, RETRY_MOST = 0.05, 2.0  # seconds between two rounds through all servers, doubling
-STEADY = 2.0  # seconds that a connection has to last for the next wait to be the first again
-CLOSE_WITHIN = 1.0  # seconds that a server may take to confirm the session's end
+#: Delays between two rounds of connection attempts to all servers; each one doubles, from the first to the maximum.
+FIRST_RETRY_DELAY_SECONDS, MAX_RETRY_DELAY_SECONDS = 0.05, 2.0
+#: Seconds that a connection has to last for the next delay to be the first one again.
+STABLE_CONNECTION_SECONDS = 2.0
+#: Seconds that a server may take to confirm the end of the session.
+CLOSE_TIMEOUT_SECONDS = 1.0
 
 
 class Client:
     """Keeps a session with one of several servers until `close`.
 
-    `heard` is called after each turn, with what happened to the session in it: the machines have been told by then.
+    `on_events` is called each time that the session has processed data or a timer, with its events that resulted; the
+    users of the session have processed them by then.
     """
 
     def __init__(
         self,
         addresses: Sequence[Address],
-        terms: Terms,
-        heard: Callable[[list[Event]], None],
-        chance: random.Random | None = None,
+        options: SessionOptions,
+        on_events: Callable[[list[Event]], None],
+        random_source: random.Random | None = None,
     ) -> None:
-        self._chance = chance or random.Random()
+        self._random = random_source or random.Random()
         self._addresses = list(addresses)
-        self._chance.shuffle(self._addresses)  # Guards the first server of everybody's file against everybody
-        self.link = Link(Session(terms, len(addresses)))
-        self._heard = heard
+        self._random.shuffle(self._addresses)  # so that not all clients connect to the first server of the settings
+        self.multiplexer = SessionMultiplexer(Session(options, len(addresses)))
+        self._on_events = on_events
         self._loop = asyncio.get_running_loop()
-        self._wire: _Wire | None = None
+        self._connection: _Connection | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
-        self._wait = RETRY_FIRST
-        self.server: Address | None = None  # the one that has taken the session
+        self._retry_delay = FIRST_RETRY_DELAY_SECONDS
+        self.server_address: Address | None = None  # address of the server that is connected, if any
 
     @property
     def session(self) -> Session:
-        """The session as it stands."""
-        return self.link.session
+        """The session that the users share."""
+        return self.multiplexer.session
 
     def open(self) -> None:
-        """Begin to connect."""
+        """Start to connect."""
         if self._task is None:
             self._task = self._loop.create_task(self._run())
 
     async def close(self) -> None:
-        """End the session, where a server can be told, and the connection."""
+        """End the session if a server is connected, and close the connection."""
         session = self.session
-        if session.state is State.UP and self._wire is not None:
-            ended = self._wire.ended
+        if session.state is SessionState.CONNECTED and self._connection is not None:
+            ended = self._connection.ended
             session.close(self._loop.time())
             self.flush()
-            await asyncio.wait([ended], timeout=CLOSE_WITHIN)
+            await asyncio.wait([ended], timeout=CLOSE_TIMEOUT_SECONDS)
         self.abort()
 
     def abort(self) -> None:
-        """Let go of the connection at once; the session ends when its time-out is over."""
+        """Close the connection at once; the session ends after its timeout."""
         session = self.session
-        self._after(session.lost("it is given up"))
-        session.state = State.CLOSED
+        self._handle_events(session.connection_lost("the client closed the connection"))
+        session.state = SessionState.CLOSED
         if self._task is not None:
             self._task.cancel()
-        self._drop()
+        self._drop_connection()
 
-    def add(self, machine: Machine) -> None:
-        """One more user of the session."""
-        self.link.add(machine, self._loop.time())
+    def add(self, user: SessionUser) -> None:
+        """Add a user of the session."""
+        self.multiplexer.add(user, self._loop.time())
         self.flush()
 
-    def remove(self, machine: Machine) -> None:
-        """One less."""
-        self.link.remove(machine)
+    def remove(self, user: SessionUser) -> None:
+        """Remove a user of the session."""
+        self.multiplexer.remove(user)
 
-    def turn(self) -> None:
-        """A machine may want something that no event has made it want."""
-        self.link.turn(self._loop.time())
+    def send_requests(self) -> None:
+        """Send the requests of users; has to be called if a user has new requests without an event of the session."""
+        self.multiplexer.send_requests(self._loop.time())
         self.flush()
 
     # ---- connections -------------------------------------------------------------------------
 
     async def _run(self) -> None:
-        at = 0
-        while self.session.state is not State.CLOSED:
-            begun = self._loop.time()
-            await self._connect(self._addresses[at])
-            at = (at + 1) % len(self._addresses)
-            if self._loop.time() - begun >= STEADY:
-                self._wait = RETRY_FIRST
-            elif at == 0:
-                # Guards an ensemble that has just come back: not all clients at once, and ever more slowly.
-                await asyncio.sleep(self._wait * (0.5 + self._chance.random()))
-                self._wait = min(RETRY_MOST, 2.0 * self._wait)
+        index = 0
+        while self.session.state is not SessionState.CLOSED:
+            started_at = self._loop.time()
+            await self._connect(self._addresses[index])
+            index = (index + 1) % len(self._addresses)
+            if self._loop.time() - started_at >= STABLE_CONNECTION_SECONDS:
+                self._retry_delay = FIRST_RETRY_DELAY_SECONDS
+            elif index == 0:
+                # Spreads the connections to an ensemble that has just recovered, and makes them less frequent.
+                await asyncio.sleep(self._retry_delay * (0.5 + self._random.random()))
+                self._retry_delay = min(MAX_RETRY_DELAY_SECONDS, 2.0 * self._retry_delay)
 
     async def _connect(self, address: Address) -> None:
-        """One connection, until it ends."""
-        self._wire = wire = _Wire(self)
+        """Run one connection until it ends."""
+        self._connection = connection = _Connection(self)
         try:
-            async with asyncio.timeout(self.session.attempt):
-                await self._loop.create_connection(lambda: wire, *address)
-            self.server = address
-            await wire.ended
+            async with asyncio.timeout(self.session.connect_timeout):
+                await self._loop.create_connection(lambda: connection, *address)
+            self.server_address = address
+            await connection.ended
         except OSError:
-            pass  # refused, or not there in time: the next one
+            pass  # the connection was refused or timed out; the next server is tried
         finally:
-            self.server = None
-            wire.abort()
+            self.server_address = None
+            connection.abort()
 
-    def _drop(self) -> None:
-        if self._wire is not None:
-            self._wire.abort()
+    def _drop_connection(self) -> None:
+        if self._connection is not None:
+            self._connection.abort()
         if self._timer is not None:
             self._timer.cancel()
 
-    # ---- what happens on the wire --------------------------------------------------------------
+    # ---- callbacks of the connection ---------------------------------------------------------
 
-    def opened(self) -> None:
-        """The connection is up."""
-        self.session.opened(self._loop.time())
+    def connection_made(self) -> None:
+        """The connection is established."""
+        self.session.connection_made(self._loop.time())
         self.flush()
 
-    def received(self, data: bytes) -> None:
-        """Bytes of the server."""
-        self._after(self.session.received(self._loop.time(), data))
+    def data_received(self, data: bytes) -> None:
+        """The server has sent data."""
+        self._handle_events(self.session.data_received(self._loop.time(), data))
 
-    def lost(self) -> None:
-        """The connection is over."""
-        self._after(self.session.lost(CLOSED))
+    def connection_lost(self) -> None:
+        """The connection has ended."""
+        self._handle_events(self.session.connection_lost(CLOSED_REASON))
 
     def _tick(self) -> None:
-        self._after(self.session.tick(self._loop.time()))
+        self._handle_events(self.session.tick(self._loop.time()))
 
-    def _after(self, events: list[Event]) -> None:
+    def _handle_events(self, events: list[Event]) -> None:
         if events:
-            self.link.handle(self._loop.time(), events)
+            self.multiplexer.handle(self._loop.time(), events)
         self.flush()
-        self._heard([event for event in events if isinstance(event, Up | Down | Expired)])
-        if any(isinstance(event, Down) for event in events):
-            self._drop()
+        self._on_events([event for event in events if isinstance(event, Connected | Disconnected | Expired)])
+        if any(isinstance(event, Disconnected) for event in events):
+            self._drop_connection()
 
     def flush(self) -> None:
-        """Send what is to be sent, and wake up when the session wants it."""
-        data = self.session.take()
-        if data and self._wire is not None:
-            self._wire.write(data)
+        """Send the output of the session, and schedule its next tick."""
+        data = self.session.take_output()
+        if data and self._connection is not None:
+            self._connection.write(data)
         if self._timer is not None:
             self._timer.cancel()
-        due = self.session.due()
-        if due != float("inf"):
-            self._timer = self._loop.call_at(due, self._tick)
+        next_tick_at = self.session.next_tick_at()
+        if next_tick_at != float("inf"):
+            self._timer = self._loop.call_at(next_tick_at, self._tick)
 
 
-class _Wire(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """The connection to one server."""
 
     def __init__(self, client: Client) -> None:
@@ -167,24 +180,24 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._client.opened()
+        self._client.connection_made()
 
     def data_received(self, data: bytes) -> None:
         if not self.ended.done():
-            self._client.received(data)
+            self._client.data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.ended.done():
             self.ended.set_result(None)
-            self._client.lost()
+            self._client.connection_lost()
 
     def write(self, data: bytes) -> None:
-        """Send, while there is a connection."""
+        """Send data if the connection is established."""
         if self._transport is not None:
             self._transport.write(data)
 
     def abort(self) -> None:
-        """Let go of it at once; nothing that comes from it counts any more."""
+        """Close the connection at once; data that arrives on it is ignored from now on."""
         if not self.ended.done():
             self.ended.set_result(None)
         if self._transport is not None:
--- a/lugspur/zookeeper/session.py
+++ b/lugspur/zookeeper/session.py
@@ -1,8 +1,8 @@
-"""One session with an ensemble, without I/O: bytes and the time go in, events and bytes come out.
+"""One session with an ensemble. No I/O: its input is data and the time, its output is events and data.
 
-The rules are those of the Java client (ClientCnxn.java): a ping when nothing was sent for a third of the granted
-time-out, another server when nothing was heard for two thirds of it, and the session offered again wherever the
-client connects next. Only a server can say that a session has expired.
+The rules are those of the Java client (ClientCnxn.java): the client sends a ping if it has sent nothing for a third of
+the granted timeout, selects another server if it has received nothing for two thirds of the timeout, and resumes the
+session on its next connection. Only a server can report that a session has expired.
 """
 
 from __future__ import annotations
@@ -14,60 +14,62 @@
 from typing import Any
 
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.frames import Frames
-from lugspur.zookeeper.jute import Input, Malformed, buffer, decode, encode
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.frames import FrameDecoder
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 
-FRAME_MOST = 4 << 20  # bytes of a server's frame: some 100,000 names of children; the Java client's limit
-WATCHES_MOST = 128 << 10  # bytes of paths in one setWatches: servers take frames of 1 MB
-XID_MOST = (1 << 31) - 1
-CLOSED = "it closed the connection"
-BEHIND = "it closed the connection before it took the session: it may be behind what was seen"
-READS = (Op.GET_DATA, Op.EXISTS, Op.GET_CHILDREN, Op.GET_CHILDREN2)
+#: Size limit of a frame from a server, as in the Java client; the names of some 100,000 children fit.
+MAX_FRAME_BYTES = 4 << 20
+#: Size limit of the paths in one setWatches request; servers accept frames of 1 MB.
+MAX_WATCH_PATH_BYTES = 128 << 10
+MAX_XID = (1 << 31) - 1
+CLOSED_REASON = "the server closed the connection"
+BEHIND_REASON = "the server closed the connection before it accepted the session; it may lag behind other servers"
+READ_OPS = (Op.GET_DATA, Op.EXISTS, Op.GET_CHILDREN, Op.GET_CHILDREN2)
 
 
-class State(Enum):
-    """Where a session stands."""
+class SessionState(Enum):
+    """SessionState of a session."""
 
-    DOWN = auto()  # no connection
-    OPENING = auto()  # connected; the server has not taken the session yet
-    UP = auto()
-    CLOSED = auto()  # for good
+    DISCONNECTED = auto()  # no connection
+    CONNECTING = auto()  # the connection is established; the server has not accepted the session yet
+    CONNECTED = auto()
+    CLOSED = auto()  # final
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
-    """What a session is asked for; the time-out is in seconds, and servers may grant another."""
+class SessionOptions:
+    """Options that a client requests for a session."""
 
-    timeout: float = 10.0
-    read_only: bool = False  # whether servers that are cut off from the rest will do
-    auth: tuple[tuple[str, bytes], ...] = ()  # schemes and what they take, such as ("digest", b"user:password")
+    timeout: float = 10.0  # seconds; servers may grant another timeout
+    read_only: bool = False  # whether servers without a quorum, which are read-only, are accepted
+    auth: tuple[tuple[str, bytes], ...] = ()  # schemes and credentials, such as ("digest", b"user:password")
 
 
 @dataclass(slots=True, frozen=True)
-class Up:
-    """The session can be used; a fresh one has lost all that an earlier one had."""
+class Connected:
+    """A server has accepted the session; a new session has none of the ephemeral nodes and watches of earlier ones."""
 
-    fresh: bool
-    session: int
-    timeout: float  # seconds, as granted
+    is_new_session: bool
+    session_id: int
+    timeout: float  # granted timeout in seconds
 
 
 @dataclass(slots=True, frozen=True)
-class Down:
-    """The connection is over or must be given up; replies that are missing never come. The session may live on."""
+class Disconnected:
+    """The connection has ended or has to be closed; pending replies will not arrive. The session may still be alive."""
 
     reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Expired:
-    """A server says that the session is no more; the next connection begins a fresh one."""
+    """A server has reported that the session has expired; the next connection starts a new one."""
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """What became of a request; `result` is None where there is an error."""
+    """The reply to a request; `result` is None if there is an error."""
 
     token: int
     op: int
@@ -76,19 +78,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """What a watch tells."""
+class WatchTriggered:
+    """A watch was triggered."""
 
-    kind: Happened
+    kind: EventType
     path: str
 
 
-Event = Up | Down | Expired | Reply | Told
+Event = Connected | Disconnected | Expired | Reply | WatchTriggered
 
 
 @dataclass(slots=True)
-class _Watched:
-    """Watches that the server holds for this session, to be set again at the next one."""
+class _Watches:
+    """Watches that are set at the server, and are restored at the next one."""
 
     data: set[str] = field(default_factory=set)
     exists: set[str] = field(default_factory=set)
@@ -96,219 +98,232 @@
     persistent: set[str] = field(default_factory=set)
     recursive: set[str] = field(default_factory=set)
 
-    def asked(self, op: int, row: Any, error: int) -> None:
-        """A request that may have set one was answered."""
+    def record_reply(self, op: int, body: Any, error: int) -> None:
+        """Record the watch that a request has set according to its reply, if any."""
         if op == Op.ADD_WATCH and not error:
-            (self.recursive if row.mode == r.PERSISTENT_RECURSIVE else self.persistent).add(row.path)
-        elif op in READS and row.watch:
-            if op == Op.EXISTS and error == Error.NO_NODE:
-                self.exists.add(row.path)
+            (self.recursive if body.mode == r.PERSISTENT_RECURSIVE else self.persistent).add(body.path)
+        elif op in READ_OPS and body.watch:
+            if op == Op.EXISTS and error == ErrorCode.NO_NODE:
+                self.exists.add(body.path)
             elif not error:
-                (self.children if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2) else self.data).add(row.path)
+                (self.children if op in (Op.GET_CHILDREN, Op.GET_CHILDREN2) else self.data).add(body.path)
 
-    def told(self, kind: Happened, path: str) -> None:
-        """One-shot watches are spent by what they tell."""
-        if kind is Happened.CHILDREN:
+    def record_event(self, kind: EventType, path: str) -> None:
+        """Remove the one-shot watches that an event has consumed."""
+        if kind is EventType.CHILDREN:
             self.children.discard(path)
             return
         self.data.discard(path)
         self.exists.discard(path)
-        if kind is Happened.DELETED:
+        if kind is EventType.DELETED:
             self.children.discard(path)
 
-    def requests(self, since: int) -> Iterable[tuple[Op, Any]]:
-        """Set them all again, in requests that a server takes."""
+    def restore_requests(self, since: int) -> Iterable[tuple[Op, Any]]:
+        """Return requests that set all watches again, each within the size that servers accept.
+
+        `since` is the zxid up to which changes have been seen.
+        """
         lists = (self.data, self.exists, self.children, self.persistent, self.recursive)
-        newer = bool(self.persistent or self.recursive)
-        rows: list[list[str]] = [[] for _ in lists]
+        has_persistent = bool(self.persistent or self.recursive)
+        path_lists: list[list[str]] = [[] for _ in lists]
         size = 0
-        for at, path in ((at, path) for at, paths in enumerate(lists) for path in sorted(paths)):
-            rows[at].append(path)
+        for index, path in ((index, path) for index, paths in enumerate(lists) for path in sorted(paths)):
+            path_lists[index].append(path)
             size += len(path.encode()) + 4
-            if size >= WATCHES_MOST:
-                yield _set_again(since, rows, newer)
-                rows, size = [[] for _ in lists], 0
+            if size >= MAX_WATCH_PATH_BYTES:
+                yield _set_watches_request(since, path_lists, has_persistent)
+                path_lists, size = [[] for _ in lists], 0
         if size:
-            yield _set_again(since, rows, newer)
+            yield _set_watches_request(since, path_lists, has_persistent)
 
 
-def _set_again(since: int, rows: list[list[str]], newer: bool) -> tuple[Op, Any]:
-    kept = [tuple(paths) for paths in rows]
-    return (Op.SET_WATCHES2, r.SetWatches2(since, *kept)) if newer else (Op.SET_WATCHES, r.SetWatches(since, *kept[:3]))
+def _set_watches_request(since: int, path_lists: list[list[str]], has_persistent: bool) -> tuple[Op, Any]:
+    paths_by_list = [tuple(paths) for paths in path_lists]
+    return (
+        (Op.SET_WATCHES2, r.SetWatches2(since, *paths_by_list))
+        if has_persistent
+        else (Op.SET_WATCHES, r.SetWatches(since, *paths_by_list[:3]))
+    )
 
 
 class Session:
-    """Keeps one session through any number of connections. Times are in seconds, of one clock that never steps."""
+    """Keeps one session over any number of connections. Times are in seconds of one monotonic clock."""
 
-    def __init__(self, terms: Terms, servers: int = 1) -> None:
-        self.terms = terms
-        self.state = State.DOWN
+    def __init__(self, options: SessionOptions, server_count: int = 1) -> None:
+        self.options = options
+        self.state = SessionState.DISCONNECTED
         self.id = 0
-        self.timeout = terms.timeout  # as granted, once a server has
-        self.zxid = 0  # the latest change that was seen of the tree, at any server
-        self.heard = float("-inf")  # when a server last said anything
-        self._servers = servers
+        self.timeout = options.timeout  # the requested timeout until a server has granted one
+        self.zxid = 0  # the latest change that any server has shown
+        self.last_heard_at = float("-inf")  # when data of a server was last received
+        self._server_count = server_count
         self._password = r.NO_PASSWORD
-        self._floor = 0  # the zxid seen before this connection
-        self._out: list[bytes] = []
+        self._min_zxid = 0  # the latest change that was seen before this connection
+        self._output: list[bytes] = []
         self._pending: deque[tuple[int, int, Any]] = deque()
         self._xid = 0
-        self._sent = 0.0
-        self._opened = 0.0
-        self._frames = Frames(FRAME_MOST)
-        self._watched = _Watched()
+        self._last_sent_at = 0.0
+        self._connected_at = 0.0
+        self._frame_decoder = FrameDecoder(MAX_FRAME_BYTES)
+        self._watches = _Watches()
 
     @property
-    def attempt(self) -> float:
-        """Seconds that a server may take to let the session in.
+    def connect_timeout(self) -> float:
+        """Seconds that a server may take to accept the session.
 
-        Guards the session: two thirds of its time-out may have gone by before the first server is given up, and
-        all others are to be tried in what is left.
+        Two thirds of the session's timeout may have passed before the first server is given up, and all others have to
+        be tried in the remaining time, before the session expires.
         """
-        return self.timeout / 3.0 / max(1, self._servers - 1)
+        return self.timeout / 3.0 / max(1, self._server_count - 1)
 
     # ---- connections -------------------------------------------------------------------------
 
-    def opened(self, now: float) -> None:
-        """A connection is up."""
-        self.state, self._opened, self._floor = State.OPENING, now, self.zxid
-        self._frames = Frames(FRAME_MOST)
-        self._out.clear()
+    def connection_made(self, now: float) -> None:
+        """A connection is established; the first frame requests the session."""
+        self.state, self._connected_at, self._min_zxid = SessionState.CONNECTING, now, self.zxid
+        self._frame_decoder = FrameDecoder(MAX_FRAME_BYTES)
+        self._output.clear()
         self._write(
             now,
             encode(
-                r.ConnectRequest(0, self.zxid, int(self.timeout * 1000), self.id, self._password, self.terms.read_only)
+                r.ConnectRequest(
+                    0, self.zxid, int(self.timeout * 1000), self.id, self._password, self.options.read_only
+                )
             ),
         )
 
-    def lost(self, reason: str) -> list[Event]:
-        """The connection is over, or given up; nothing happens where it was so already."""
-        if self.state in (State.DOWN, State.CLOSED):
+    def connection_lost(self, reason: str) -> list[Event]:
+        """The connection has ended or is given up; without a connection, nothing happens."""
+        if self.state in (SessionState.DISCONNECTED, SessionState.CLOSED):
             return []
-        if self.state is State.OPENING and self._floor and reason == CLOSED:
-            reason = BEHIND  # the only way in which a server says so (ZooKeeperServer.java)
-        self.state = State.DOWN
+        if self.state is SessionState.CONNECTING and self._min_zxid and reason == CLOSED_REASON:
+            reason = BEHIND_REASON  # a server that lags does only this (ZooKeeperServer.java)
+        self.state = SessionState.DISCONNECTED
         self._pending.clear()
-        self._out.clear()
-        return [Down(reason)]
+        self._output.clear()
+        return [Disconnected(reason)]
 
-    def received(self, now: float, data: bytes) -> list[Event]:
-        """Bytes of the server; a Down among the events asks for another connection."""
-        if self.state in (State.DOWN, State.CLOSED):
+    def data_received(self, now: float, data: bytes) -> list[Event]:
+        """Process data of the server; a Disconnected among the events means that the connection has to be closed."""
+        if self.state in (SessionState.DISCONNECTED, SessionState.CLOSED):
             return []
-        self.heard = now
+        self.last_heard_at = now
         events: list[Event] = []
         try:
-            for frame in self._frames.feed(data):
-                events += self._opening(now, frame) if self.state is State.OPENING else self._frame(frame)
-                if events and isinstance(events[-1], Down):
+            for frame in self._frame_decoder.feed(data):
+                events += (
+                    self._on_connect_response(now, frame)
+                    if self.state is SessionState.CONNECTING
+                    else self._on_frame(frame)
+                )
+                if events and isinstance(events[-1], Disconnected):
                     break
-        except Malformed as fault:
-            events += self.lost(f"it sent what is no ZooKeeper's: {fault}")
+        except JuteDecodeError as error:
+            events += self.connection_lost(f"the server sent invalid data: {error}")
         return events
 
-    def take(self) -> bytes:
-        """What is to be sent now."""
-        data = b"".join(self._out)
-        self._out.clear()
+    def take_output(self) -> bytes:
+        """Return the data to be sent now."""
+        data = b"".join(self._output)
+        self._output.clear()
         return data
 
-    def due(self) -> float:
-        """When `tick` is wanted next; infinite without a connection."""
-        if self.state is State.OPENING:
-            return self._opened + self.attempt
-        if self.state is State.UP:
-            return min(self._sent + self.timeout / 3.0, self.heard + self.timeout * 2.0 / 3.0)
+    def next_tick_at(self) -> float:
+        """Return the time at which `tick` has to be called; infinity without a connection."""
+        if self.state is SessionState.CONNECTING:
+            return self._connected_at + self.connect_timeout
+        if self.state is SessionState.CONNECTED:
+            return min(self._last_sent_at + self.timeout / 3.0, self.last_heard_at + self.timeout * 2.0 / 3.0)
         return float("inf")
 
     def tick(self, now: float) -> list[Event]:
-        """Keep the session alive, or give up a server that says nothing."""
-        if now < self.due():
+        """Send a ping if it is due, or give up a server that sends nothing."""
+        if now < self.next_tick_at():
             return []
-        if self.state is State.OPENING or now >= self.heard + self.timeout * 2.0 / 3.0:
-            # Guards against a server that hangs with its connections open: nothing else would tell.
-            return self.lost("it says nothing")
-        self._request(now, r.PING_XID, Op.PING, r.Nothing())
+        if self.state is SessionState.CONNECTING or now >= self.last_heard_at + self.timeout * 2.0 / 3.0:
+            # A server that hangs keeps its connections open, so that only its silence shows the failure.
+            return self.connection_lost("the server sent nothing in time")
+        self._send(now, r.PING_XID, Op.PING, r.EmptyRecord())
         return []
 
     def close(self, now: float) -> None:
-        """Ask for the session's end; its ephemeral nodes go with it."""
-        if self.state is State.UP:
-            self.ask(now, Op.CLOSE, r.Nothing())
+        """Request the end of the session, which deletes its ephemeral nodes."""
+        if self.state is SessionState.CONNECTED:
+            self.send_request(now, Op.CLOSE, r.EmptyRecord())
 
     # ---- requests ----------------------------------------------------------------------------
 
-    def ask(self, now: float, op: int, row: Any) -> int:
-        """Send a request while the session is up; the token comes back with the reply. Raises RuntimeError."""
-        if self.state is not State.UP:
-            raise RuntimeError("the session is not up")
-        self._xid = self._xid % XID_MOST + 1
-        self._pending.append((self._xid, op, row))
-        self._request(now, self._xid, op, row)
+    def send_request(self, now: float, op: int, body: Any) -> int:
+        """Send a request and return its token, which its reply has; raises RuntimeError unless connected."""
+        if self.state is not SessionState.CONNECTED:
+            raise RuntimeError("the session is not connected")
+        self._xid = self._xid % MAX_XID + 1
+        self._pending.append((self._xid, op, body))
+        self._send(now, self._xid, op, body)
         return self._xid
 
-    def _request(self, now: float, xid: int, op: int, row: Any) -> None:
-        body = r.encode_parts(row) if op == Op.MULTI else encode(row)
-        self._write(now, encode(r.RequestHeader(xid, op)) + body)
+    def _send(self, now: float, xid: int, op: int, body: Any) -> None:
+        payload = r.encode_transaction(body) if op == Op.MULTI else encode(body)
+        self._write(now, encode(r.RequestHeader(xid, op)) + payload)
 
     def _write(self, now: float, frame: bytes) -> None:
-        self._sent = now
-        self._out.append(buffer(frame))
-
-    # ---- what the server says ----------------------------------------------------------------
-
-    def _opening(self, now: float, frame: bytes) -> list[Event]:
-        source = Input(frame)
-        answer = decode(r.ConnectResponse, source)
-        read_only = bool(source.left) and source.data[source.at] != 0
-        if answer.timeout <= 0 or not answer.session:
-            # What was seen of the tree stays known: a server behind it is none to follow with a fresh session either.
-            self.id, self._password, self.timeout = 0, r.NO_PASSWORD, self.terms.timeout
-            self._watched = _Watched()
-            return [Expired(), *self.lost("the session has expired")]
-        if read_only and not self.terms.read_only:
-            return self.lost("it is read-only")
-        fresh = answer.session != self.id
-        self.id, self._password, self.timeout = answer.session, answer.password, answer.timeout / 1000.0
-        self.state = State.UP
-        for scheme, auth in self.terms.auth:
-            self._request(now, r.AUTH_XID, Op.AUTH, r.Auth(0, scheme, auth))
-        for op, row in self._watched.requests(self.zxid):
-            self._request(now, r.WATCHES_XID, op, row)
-        return [Up(fresh, self.id, self.timeout)]
-
-    def _frame(self, frame: bytes) -> list[Event]:
-        source = Input(frame)
+        self._last_sent_at = now
+        self._output.append(length_prefixed(frame))
+
+    # ---- frames of the server ----------------------------------------------------------------
+
+    def _on_connect_response(self, now: float, frame: bytes) -> list[Event]:
+        source = InputArchive(frame)
+        response = decode(r.ConnectResponse, source)
+        read_only = bool(source.remaining) and source.data[source.position] != 0
+        if response.timeout <= 0 or not response.session:
+            # The zxid is kept: a new session must not use a server that lags behind it either.
+            self.id, self._password, self.timeout = 0, r.NO_PASSWORD, self.options.timeout
+            self._watches = _Watches()
+            return [Expired(), *self.connection_lost("the session has expired")]
+        if read_only and not self.options.read_only:
+            return self.connection_lost("the server is read-only")
+        is_new_session = response.session != self.id
+        self.id, self._password, self.timeout = response.session, response.password, response.timeout / 1000.0
+        self.state = SessionState.CONNECTED
+        for scheme, auth in self.options.auth:
+            self._send(now, r.AUTH_XID, Op.AUTH, r.Auth(0, scheme, auth))
+        for op, body in self._watches.restore_requests(self.zxid):
+            self._send(now, r.SET_WATCHES_XID, op, body)
+        return [Connected(is_new_session, self.id, self.timeout)]
+
+    def _on_frame(self, frame: bytes) -> list[Event]:
+        source = InputArchive(frame)
         header = decode(r.ReplyHeader, source)
-        if 0 < header.zxid < self._floor:
-            return self.lost("it is behind what other servers have shown")
+        if 0 < header.zxid < self._min_zxid:
+            return self.connection_lost("the server lags behind other servers")
         self.zxid = max(self.zxid, header.zxid)
         if header.xid == r.EVENT_XID:
-            return self._told(decode(r.Event, source))
+            return self._on_watch_event(decode(r.WatcherEvent, source))
         if header.xid == r.AUTH_XID and header.error:
-            return self.lost("it takes no such credentials")
-        if header.xid in (r.PING_XID, r.AUTH_XID, r.WATCHES_XID):
+            return self.connection_lost("the server rejected the credentials")
+        if header.xid in (r.PING_XID, r.AUTH_XID, r.SET_WATCHES_XID):
             return []
         if not self._pending or self._pending[0][0] != header.xid:
-            raise Malformed(f"reply {header.xid} to no request, or out of turn")
-        return self._reply(header, source)
+            raise JuteDecodeError(f"reply {header.xid} does not belong to the oldest pending request")
+        return self._on_reply(header, source)
 
-    def _told(self, event: r.Event) -> list[Event]:
-        if event.kind not in (Happened.CREATED, Happened.DELETED, Happened.CHANGED, Happened.CHILDREN):
+    def _on_watch_event(self, event: r.WatcherEvent) -> list[Event]:
+        if event.kind not in (EventType.CREATED, EventType.DELETED, EventType.CHANGED, EventType.CHILDREN):
             return []
-        kind = Happened(event.kind)
-        self._watched.told(kind, event.path)
-        return [Told(kind, event.path)]
+        kind = EventType(event.kind)
+        self._watches.record_event(kind, event.path)
+        return [WatchTriggered(kind, event.path)]
 
-    def _reply(self, header: r.ReplyHeader, source: Input) -> list[Event]:
-        xid, op, row = self._pending.popleft()
+    def _on_reply(self, header: r.ReplyHeader, source: InputArchive) -> list[Event]:
+        xid, op, body = self._pending.popleft()
         error, result = header.error, None
-        if op == Op.ADD_WATCH and not error and not source.left:
-            error = Error.UNIMPLEMENTED  # servers before 3.6 answer what they don't know without a body
+        if op == Op.ADD_WATCH and not error and not source.remaining:
+            error = ErrorCode.UNIMPLEMENTED  # servers before 3.6 send a reply without a body to an unknown request
         if not error:
-            result = r.decode_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
-        self._watched.asked(op, row, error)
+            result = r.decode_transaction_results(source) if op == Op.MULTI else decode(r.REPLIES[op], source)
+        self._watches.record_reply(op, body, error)
         if op == Op.CLOSE:
-            self.state = State.CLOSED
-            return [Reply(xid, op, error, None), Down("the session is closed")]
+            self.state = SessionState.CLOSED
+            return [Reply(xid, op, error, None), Disconnected("the session is closed")]
         return [Reply(xid, op, error, result)]
--- a/tests/zookeeper/test_session.py
+++ b/tests/zookeeper/test_session.py
@@ -1,4 +1,4 @@
-"""The session by its bytes and its clock: silence, expiry, servers that lag, and bytes that are no ZooKeeper's."""
+"""The session as a function of received data and time: silence, expiry, servers that lag, and invalid data."""
 
 from __future__ import annotations
 
@@ -9,169 +9,176 @@
 from hypothesis import strategies as st
 from kazoo.protocol import serialization as kazoo
 from kazoo.security import ACL, Id
-from wire import World, inside
+from session_harness import SessionHarness, run_in_loop
 
 from lugspur.standins.zookeeper.ensemble import digest
 from lugspur.zookeeper import records as r
-from lugspur.zookeeper.jute import Input, Malformed, buffer, decode, encode
-from lugspur.zookeeper.records import Error, Happened, Op
+from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
+from lugspur.zookeeper.records import ErrorCode, EventType, Op
 from lugspur.zookeeper.session import (
-    BEHIND,
-    CLOSED,
-    FRAME_MOST,
-    WATCHES_MOST,
-    XID_MOST,
-    Down,
+    BEHIND_REASON,
+    CLOSED_REASON,
+    MAX_FRAME_BYTES,
+    MAX_WATCH_PATH_BYTES,
+    MAX_XID,
+    Connected,
+    Disconnected,
     Expired,
     Reply,
     Session,
-    State,
-    Terms,
-    Told,
-    Up,
+    SessionOptions,
+    SessionState,
+    WatchTriggered,
 )
 
 
-def up(world: World, at: int = 0) -> World:
-    """Connected to a server, and quiet."""
-    world.connect(at)
-    world.settle()
-    assert world.session.state is State.UP
-    return world
+def connect(harness: SessionHarness, index: int = 0) -> SessionHarness:
+    """Connect to a server and move all data."""
+    harness.connect(index)
+    harness.settle()
+    assert harness.session.state is SessionState.CONNECTED
+    return harness
 
 
-def accepted(timeout: float = 9.0, session: int = 5) -> Session:
-    """A session that a server has taken, without any server."""
-    made = Session(Terms(timeout))
-    made.opened(0.0)
-    made.take()
-    answer = r.ConnectResponse(0, int(timeout * 1000), session, b"p" * 16)
-    assert made.received(0.0, buffer(encode(answer) + b"\0")) == [Up(True, session, timeout)]
-    return made
+def accepted_session(timeout: float = 9.0, session_id: int = 5) -> Session:
+    """Return a session that has received the response of a server, without a server."""
+    session = Session(SessionOptions(timeout))
+    session.connection_made(0.0)
+    session.take_output()
+    response = r.ConnectResponse(0, int(timeout * 1000), session_id, b"p" * 16)
+    assert session.data_received(0.0, length_prefixed(encode(response) + b"\0")) == [
+        Connected(True, session_id, timeout)
+    ]
+    return session
 
 
-def downs(world: World) -> list[str]:
-    return [event.reason for event in world.events if isinstance(event, Down)]
+def disconnection_reasons(harness: SessionHarness) -> list[str]:
+    return [event.reason for event in harness.events if isinstance(event, Disconnected)]
 
 
-# ---- the records, by another's reading of them --------------------------------------------------
+# ---- records, compared with kazoo's --------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     "ours, theirs",
     [
         (r.ConnectRequest(0, 7, 10_000, 99, b"p" * 16, False), kazoo.Connect(0, 7, 10_000, 99, b"p" * 16, False)),
-        (r.Watching("/ä", True), kazoo.GetData("/ä", True)),
-        (r.Watching("/a", False), kazoo.GetChildren2("/a", False)),
+        (r.ReadRequest("/ä", True), kazoo.GetData("/ä", True)),
+        (r.ReadRequest("/a", False), kazoo.GetChildren2("/a", False)),
         (r.Delete("/a", 3), kazoo.Delete("/a", 3)),
         (r.SetData("/a", b"x", -1), kazoo.SetData("/a", b"x", -1)),
-        (r.Create("/a", b"x", r.OPEN, 3), kazoo.Create("/a", b"x", [ACL(31, Id("world", "anyone"))], 3)),
+        (r.Create("/a", b"x", r.OPEN_ACL, 3), kazoo.Create("/a", b"x", [ACL(31, Id("world", "anyone"))], 3)),
         (r.Auth(0, "digest", b"u:p"), kazoo.Auth(0, "digest", "u:p")),
         (r.Path("/a"), kazoo.Sync("/a")),
     ],
 )
-def test_requests_have_the_bytes_that_kazoo_gives_them(ours: object, theirs: object) -> None:
+def test_requests_are_encoded_as_by_kazoo(ours: object, theirs: object) -> None:
     assert encode(ours) == bytes(theirs.serialize())  # type: ignore[attr-defined]
 
 
-def test_a_transaction_has_the_bytes_that_kazoo_gives_it() -> None:
-    ours = r.encode_parts(((Op.DELETE, r.Delete("/a", 1)), (Op.CHECK, r.Check("/b", 2))))
+def test_a_transaction_is_encoded_as_by_kazoo() -> None:
+    ours = r.encode_transaction(((Op.DELETE, r.Delete("/a", 1)), (Op.CHECK, r.Check("/b", 2))))
     assert ours == bytes(kazoo.Transaction([kazoo.Delete("/a", 1), kazoo.CheckVersion("/b", 2)]).serialize())
 
 
 @given(st.binary(max_size=200))
-def test_bytes_that_are_no_record_are_malformed_and_nothing_else(data: bytes) -> None:
-    for kind in (r.Stat, r.Children, r.Data, r.Event, r.Acls, r.ConnectResponse):
+def test_invalid_records_raise_only_jute_decode_errors(data: bytes) -> None:
+    for kind in (r.Stat, r.Children, r.Data, r.WatcherEvent, r.Acls, r.ConnectResponse):
         try:
-            decode(kind, Input(data))
-        except Malformed:
+            decode(kind, InputArchive(data))
+        except JuteDecodeError:
             continue
 
 
 # ---- silence ------------------------------------------------------------------------------------
 
 
-def test_a_ping_goes_out_after_a_third_of_the_time_out_and_silence_ends_the_connection_after_two() -> None:
-    session = accepted(9.0)
-    assert session.due() == 3.0 and session.tick(2.9) == [] and session.take() == b""
+def test_a_ping_is_sent_after_a_third_of_the_timeout_and_silence_ends_the_connection_after_two() -> None:
+    session = accepted_session(9.0)
+    assert session.next_tick_at() == 3.0 and session.tick(2.9) == [] and session.take_output() == b""
     session.tick(3.0)
-    assert decode(r.RequestHeader, Input(session.take()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
+    assert decode(r.RequestHeader, InputArchive(session.take_output()[4:])) == r.RequestHeader(r.PING_XID, Op.PING)
     assert session.tick(5.9) == []
-    assert session.tick(6.0) == [Down("it says nothing")] and session.state is State.DOWN
+    assert (
+        session.tick(6.0) == [Disconnected("the server sent nothing in time")]
+        and session.state is SessionState.DISCONNECTED
+    )
 
 
-def test_any_word_of_the_server_counts_as_life() -> None:
-    session = accepted(9.0)
-    session.received(5.0, buffer(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
-    assert session.tick(6.0) == [] and session.tick(11.0) == [Down("it says nothing")]
+def test_any_data_of_the_server_keeps_the_connection_alive() -> None:
+    session = accepted_session(9.0)
+    session.data_received(5.0, length_prefixed(encode(r.ReplyHeader(r.PING_XID, 1, 0))))
+    assert session.tick(6.0) == [] and session.tick(11.0) == [Disconnected("the server sent nothing in time")]
 
 
-def test_a_server_that_does_not_take_the_session_is_left_in_time_for_all_others() -> None:
-    session = Session(Terms(9.0), servers=4)
-    session.opened(0.0)
-    assert session.attempt * 3 <= 9.0 / 3.0 and session.tick(session.attempt) == [Down("it says nothing")]
+def test_a_server_that_does_not_accept_the_session_is_given_up_in_time_to_try_all_others() -> None:
+    session = Session(SessionOptions(9.0), server_count=4)
+    session.connection_made(0.0)
+    assert session.connect_timeout * 3 <= 9.0 / 3.0 and session.tick(session.connect_timeout) == [
+        Disconnected("the server sent nothing in time")
+    ]
 
 
-def test_a_process_that_was_stopped_for_longer_than_its_session_asks_a_server_before_it_believes_anything() -> None:
+def test_a_process_that_was_stopped_for_longer_than_its_session_learns_the_expiry_from_a_server() -> None:
     async def run() -> None:
-        world = up(World())
-        first = world.session.id
-        world.cluster.ensemble.end(first)  # nobody heard of it
-        world.now += 1000.0
-        world.handle(world.session.tick(world.now))
-        assert downs(world) == ["it says nothing"] and not world.expired
-        world.disconnect()
-        world.recover()
-        assert world.expired and world.session.id not in (0, first)
+        harness = connect(SessionHarness())
+        first_id = harness.session.id
+        harness.cluster.ensemble.end(first_id)  # the client does not notice it
+        harness.now += 1000.0
+        harness.handle(harness.session.tick(harness.now))
+        assert disconnection_reasons(harness) == ["the server sent nothing in time"] and not harness.expired
+        harness.disconnect()
+        harness.recover()
+        assert harness.expired and harness.session.id not in (0, first_id)
 
-    inside(run())
+    run_in_loop(run())
 
 
 # ---- one session, many connections ---------------------------------------------------------------
 
 
-def test_the_session_goes_on_at_another_server_with_its_watches() -> None:
+def test_the_session_is_resumed_at_another_server_with_its_watches() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/w", b"1")
-        world.cluster.write("/boxes")
-        up(world)
-        first = world.session.id
+        harness = SessionHarness()
+        harness.cluster.write("/w", b"1")
+        harness.cluster.write("/boxes")
+        connect(harness)
+        first_id = harness.session.id
         for op, row in (
-            (Op.GET_DATA, r.Watching("/w", True)),
-            (Op.EXISTS, r.Watching("/new", True)),
-            (Op.GET_CHILDREN2, r.Watching("/", True)),
+            (Op.GET_DATA, r.ReadRequest("/w", True)),
+            (Op.EXISTS, r.ReadRequest("/new", True)),
+            (Op.GET_CHILDREN2, r.ReadRequest("/", True)),
         ):
-            world.session.ask(world.now, op, row)
-        world.settle()
-        world.disconnect()
-        world.cluster.write("/w", b"2")
-        world.cluster.write("/new")
-        before = len(world.events)
-        up(world, at=2)
-        told = {(event.kind, event.path) for event in world.events[before:] if isinstance(event, Told)}
-        assert world.session.id == first and Up(False, first, 10.0) in world.events
-        assert told == {(Happened.CHANGED, "/w"), (Happened.CREATED, "/new"), (Happened.CHILDREN, "/")}
-
-    inside(run())
-
-
-def test_watches_are_set_again_in_requests_that_a_server_takes() -> None:
-    session = accepted()
+            harness.session.send_request(harness.now, op, row)
+        harness.settle()
+        harness.disconnect()
+        harness.cluster.write("/w", b"2")
+        harness.cluster.write("/new")
+        before = len(harness.events)
+        connect(harness, index=2)
+        triggered = {(event.kind, event.path) for event in harness.events[before:] if isinstance(event, WatchTriggered)}
+        assert harness.session.id == first_id and Connected(False, first_id, 10.0) in harness.events
+        assert triggered == {(EventType.CHANGED, "/w"), (EventType.CREATED, "/new"), (EventType.CHILDREN, "/")}
+
+    run_in_loop(run())
+
+
+def test_watches_are_restored_in_requests_of_limited_size() -> None:
+    session = accepted_session()
     for at in range(3000):
-        session.ask(0.0, Op.EXISTS, r.Watching(f"/{at:0100d}", True))
-        session.received(0.0, buffer(encode(r.ReplyHeader(at + 1, 9, Error.NO_NODE))))
-    session.lost("cut")
-    session.opened(1.0)
-    session.take()
-    session.received(1.0, buffer(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
+        session.send_request(0.0, Op.EXISTS, r.ReadRequest(f"/{at:0100d}", True))
+        session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(at + 1, 9, ErrorCode.NO_NODE))))
+    session.connection_lost("cut")
+    session.connection_made(1.0)
+    session.take_output()
+    session.data_received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
     paths: set[str] = set()
-    sent = session.take()
+    sent = session.take_output()
     while sent:
         length = int.from_bytes(sent[:4], "big")
-        assert length < WATCHES_MOST + 300
-        source = Input(sent[4 : 4 + length])
-        assert decode(r.RequestHeader, source).xid == r.WATCHES_XID
+        assert length < MAX_WATCH_PATH_BYTES + 300
+        source = InputArchive(sent[4 : 4 + length])
+        assert decode(r.RequestHeader, source).xid == r.SET_WATCHES_XID
         row = decode(r.SetWatches, source)
         assert row.since == 9
         paths.update(row.exists)
@@ -179,86 +186,88 @@
     assert len(paths) == 3000
 
 
-def test_an_expired_session_is_begun_anew_without_its_watches() -> None:
+def test_an_expired_session_is_replaced_by_one_without_its_watches() -> None:
     async def run() -> None:
-        world = up(World())
-        first = world.session.id
-        world.session.ask(world.now, Op.EXISTS, r.Watching("/new", True))
-        world.settle()
-        world.disconnect()
-        world.cluster.ensemble.end(first)
-        world.recover()
-        assert Expired() in world.events and world.session.id != first
-        assert isinstance(world.events[-1], Reply) or Up(True, world.session.id, 10.0) in world.events
-        assert not world.connection or "/new" not in world.connection.watches.data
+        harness = connect(SessionHarness())
+        first_id = harness.session.id
+        harness.session.send_request(harness.now, Op.EXISTS, r.ReadRequest("/new", True))
+        harness.settle()
+        harness.disconnect()
+        harness.cluster.ensemble.end(first_id)
+        harness.recover()
+        assert Expired() in harness.events and harness.session.id != first_id
+        assert isinstance(harness.events[-1], Reply) or Connected(True, harness.session.id, 10.0) in harness.events
+        assert not harness.connection or "/new" not in harness.connection.watches.data
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_a_server_behind_what_was_seen_turns_the_client_away_or_is_left() -> None:
+def test_a_server_that_lags_rejects_the_client_or_is_given_up() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes")
-        world.servers[1].lag()
-        world.cluster.write("/boxes/a")
-        up(world)
-        world.connect(1)
-        world.settle()
-        assert world.session.state is State.DOWN and not world.expired
-        # A server that does not check takes the client in: its first reply shows what it is.
-        session = accepted()
+        harness = SessionHarness()
+        harness.cluster.write("/boxes")
+        harness.servers[1].lag()
+        harness.cluster.write("/boxes/a")
+        connect(harness)
+        harness.connect(1)
+        harness.settle()
+        assert harness.session.state is SessionState.DISCONNECTED and not harness.expired
+        # A server that does not check the zxid accepts the client; its first reply shows that it lags.
+        session = accepted_session()
         session.zxid = 500
-        session.lost("cut")
-        session.opened(1.0)
-        session.received(1.0, buffer(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
-        token = session.ask(1.0, Op.SYNC, r.Path("/"))
+        session.connection_lost("cut")
+        session.connection_made(1.0)
+        session.data_received(1.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\0"))
+        token = session.send_request(1.0, Op.SYNC, r.Path("/"))
         old = encode(r.ReplyHeader(token, 499, 0)) + encode(r.Path("/"))
-        assert session.received(1.0, buffer(old)) == [Down("it is behind what other servers have shown")]
+        assert session.data_received(1.0, length_prefixed(old)) == [
+            Disconnected("the server lags behind other servers")
+        ]
 
-    inside(run())
+    run_in_loop(run())
 
 
-@pytest.mark.parametrize("wanted", [False, True])
-def test_a_read_only_server_is_refused_unless_asked_for(wanted: bool) -> None:
-    session = Session(Terms(read_only=wanted))
-    session.opened(0.0)
-    events = session.received(0.0, buffer(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
-    assert events == ([Up(True, 5, 9.0)] if wanted else [Down("it is read-only")])
+@pytest.mark.parametrize("is_allowed", [False, True])
+def test_a_read_only_server_is_rejected_unless_allowed(is_allowed: bool) -> None:
+    session = Session(SessionOptions(read_only=is_allowed))
+    session.connection_made(0.0)
+    events = session.data_received(0.0, length_prefixed(encode(r.ConnectResponse(0, 9000, 5, b"p" * 16)) + b"\1"))
+    assert events == ([Connected(True, 5, 9.0)] if is_allowed else [Disconnected("the server is read-only")])
 
 
-def test_credentials_go_out_first_and_wrong_ones_end_the_connection() -> None:
+def test_credentials_are_sent_first_and_invalid_ones_end_the_connection() -> None:
     async def run() -> None:
-        world = World(terms=Terms(auth=(("digest", b"rosa:secret"),)))
+        harness = SessionHarness(options=SessionOptions(auth=(("digest", b"rosa:secret"),)))
         guarded = (r.Acl(r.PERM_ALL, "digest", digest(b"rosa:secret")),)
-        world.cluster.ensemble.commit(world.cluster.operator, ((Op.CREATE, r.Create("/boxes", b"", guarded, 0)),))
-        up(world)
-        assert world.whole() == 1
-        wrong = World(terms=Terms(auth=(("digest", b"no-colon"),)))
+        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.CREATE, r.Create("/boxes", b"", guarded, 0)),))
+        connect(harness)
+        assert harness.snapshot_count() == 1
+        wrong = SessionHarness(options=SessionOptions(auth=(("digest", b"no-colon"),)))
         wrong.connect()
         wrong.settle()
-        assert "it takes no such credentials" in downs(wrong)
+        assert "the server rejected the credentials" in disconnection_reasons(wrong)
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_an_old_server_that_answers_addwatch_without_a_body_does_not_know_it() -> None:
-    session = accepted()
-    token = session.ask(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
-    events = session.received(0.0, buffer(encode(r.ReplyHeader(token, 1, 0))))
-    assert events == [Reply(token, Op.ADD_WATCH, Error.UNIMPLEMENTED, None)]
+def test_a_reply_to_addwatch_without_a_body_means_that_it_is_unimplemented() -> None:
+    session = accepted_session()
+    token = session.send_request(0.0, Op.ADD_WATCH, r.AddWatch("/a", r.PERSISTENT_RECURSIVE))
+    events = session.data_received(0.0, length_prefixed(encode(r.ReplyHeader(token, 1, 0))))
+    assert events == [Reply(token, Op.ADD_WATCH, ErrorCode.UNIMPLEMENTED, None)]
 
 
 def test_closing_ends_the_session_at_the_server() -> None:
     async def run() -> None:
-        world = up(World())
-        world.session.close(world.now)
-        world.settle()
-        assert world.session.state is State.CLOSED and not world.cluster.ensemble.sessions
+        harness = connect(SessionHarness())
+        harness.session.close(harness.now)
+        harness.settle()
+        assert harness.session.state is SessionState.CLOSED and not harness.cluster.ensemble.sessions
 
-    inside(run())
+    run_in_loop(run())
 
 
-# ---- what peers can send ------------------------------------------------------------------------
+# ---- invalid data of servers --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -266,71 +275,71 @@
     [
         (1 << 30).to_bytes(4, "big"),
         b"\xff\xff\xff\xff",
-        (FRAME_MOST + 1).to_bytes(4, "big"),
-        buffer(b""),
-        buffer(b"short"),
-        buffer(encode(r.ReplyHeader(77, 1, 0))),
-        buffer(encode(r.ReplyHeader(1, 1, 0)) + b"\x7f\xff\xff\xff"),
+        (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
+        length_prefixed(b""),
+        length_prefixed(b"short"),
+        length_prefixed(encode(r.ReplyHeader(77, 1, 0))),
+        length_prefixed(encode(r.ReplyHeader(1, 1, 0)) + b"\x7f\xff\xff\xff"),
     ],
     ids=["1 GB", "negative", "one byte too many", "empty", "short", "no such request", "a list of 2 billion"],
 )
-def test_what_is_no_zookeepers_costs_that_connection_and_no_memory(data: bytes) -> None:
-    session = accepted()
-    session.ask(0.0, Op.GET_CHILDREN2, r.Watching("/", False))
-    [event] = session.received(0.0, data)
-    assert isinstance(event, Down) and "no ZooKeeper's" in event.reason and session.due() == float("inf")
-    session.opened(1.0)
-    assert session.state is State.OPENING  # the next connection begins clean
+def test_invalid_data_ends_the_connection_and_takes_no_memory(data: bytes) -> None:
+    session = accepted_session()
+    session.send_request(0.0, Op.GET_CHILDREN2, r.ReadRequest("/", False))
+    [event] = session.data_received(0.0, data)
+    assert isinstance(event, Disconnected) and "invalid data" in event.reason and session.next_tick_at() == float("inf")
+    session.connection_made(1.0)
+    assert session.state is SessionState.CONNECTING  # the next connection starts with empty buffers
 
 
 @given(st.binary(max_size=300), st.booleans())
-def test_no_bytes_of_a_server_raise(data: bytes, taken: bool) -> None:
-    session = accepted() if taken else Session(Terms())
-    if not taken:
-        session.opened(0.0)
-    session.received(0.0, data)
+def test_no_data_of_a_server_raises_an_error(data: bytes, is_accepted: bool) -> None:
+    session = accepted_session() if is_accepted else Session(SessionOptions())
+    if not is_accepted:
+        session.connection_made(0.0)
+    session.data_received(0.0, data)
 
 
 @given(st.lists(st.integers(min_value=0, max_value=400), max_size=8))
-def test_where_the_bytes_are_cut_makes_no_difference(cuts: list[int]) -> None:
+def test_data_may_be_split_anywhere(cuts: list[int]) -> None:
     stat = r.Stat(*range(1, 12))
     data = b"".join(
-        buffer(frame)
+        length_prefixed(frame)
         for frame in (
             encode(r.ReplyHeader(1, 9, 0)) + encode(r.Data(b"x" * 50, stat)),
-            encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.Event(Happened.CHANGED, 3, "/a")),
-            encode(r.ReplyHeader(2, 9, Error.NO_NODE)),
+            encode(r.ReplyHeader(r.EVENT_XID, -1, 0)) + encode(r.WatcherEvent(EventType.CHANGED, 3, "/a")),
+            encode(r.ReplyHeader(2, 9, ErrorCode.NO_NODE)),
         )
     )
-    session = accepted()
-    session.ask(0.0, Op.GET_DATA, r.Watching("/a", True))
-    session.ask(0.0, Op.GET_DATA, r.Watching("/b", True))
-    places = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
-    events = [event for one, two in pairwise(places) for event in session.received(0.0, data[one:two])]
+    session = accepted_session()
+    session.send_request(0.0, Op.GET_DATA, r.ReadRequest("/a", True))
+    session.send_request(0.0, Op.GET_DATA, r.ReadRequest("/b", True))
+    offsets = [0, *sorted(min(cut, len(data)) for cut in cuts), len(data)]
+    events = [event for start, end in pairwise(offsets) for event in session.data_received(0.0, data[start:end])]
     assert events == [
         Reply(1, Op.GET_DATA, 0, r.Data(b"x" * 50, stat)),
-        Told(Happened.CHANGED, "/a"),
-        Reply(2, Op.GET_DATA, Error.NO_NODE, None),
+        WatchTriggered(EventType.CHANGED, "/a"),
+        Reply(2, Op.GET_DATA, ErrorCode.NO_NODE, None),
     ]
 
 
-def test_no_request_goes_out_without_a_server() -> None:
-    session = accepted()
-    session.lost("cut")
+def test_a_request_without_a_connection_raises_an_error() -> None:
+    session = accepted_session()
+    session.connection_lost("cut")
     with pytest.raises(RuntimeError):
-        session.ask(0.0, Op.SYNC, r.Path("/"))
+        session.send_request(0.0, Op.SYNC, r.Path("/"))
 
 
-def test_a_server_that_closes_before_it_takes_the_session_may_be_behind() -> None:
-    session = Session(Terms())
-    session.opened(0.0)
-    assert session.lost(CLOSED) == [Down(CLOSED)]  # nothing was seen yet
+def test_a_server_that_closes_the_connection_before_it_accepts_the_session_may_lag() -> None:
+    session = Session(SessionOptions())
+    session.connection_made(0.0)
+    assert session.connection_lost(CLOSED_REASON) == [Disconnected(CLOSED_REASON)]  # no change has been seen yet
     session.zxid = 7
-    session.opened(1.0)
-    assert session.lost(CLOSED) == [Down(BEHIND)]
+    session.connection_made(1.0)
+    assert session.connection_lost(CLOSED_REASON) == [Disconnected(BEHIND_REASON)]
 
 
-def test_request_numbers_begin_again_before_they_overflow() -> None:
-    session = accepted()
-    session._xid = XID_MOST - 1
-    assert [session.ask(0.0, Op.SYNC, r.Path("/")) for _ in range(2)] == [XID_MOST, 1]
+def test_request_numbers_restart_before_they_overflow() -> None:
+    session = accepted_session()
+    session._xid = MAX_XID - 1
+    assert [session.send_request(0.0, Op.SYNC, r.Path("/")) for _ in range(2)] == [MAX_XID, 1]
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -1,4 +1,4 @@
-"""The view equals the tree after every quiet moment, and tells each removal, whatever happened before."""
+"""Whatever happened before, the view equals the tree once all data has arrived, and has reported each removal."""
 
 from __future__ import annotations
 
@@ -8,439 +8,441 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from wire import World, inside
+from session_harness import SessionHarness, run_in_loop
 
 from lugspur.standins.zookeeper.tree import Gone
-from lugspur.zookeeper.records import OPEN, PERM_ADMIN, Acl, Error, Happened, Op, SetAcl
-from lugspur.zookeeper.view import Absent, Phase, Present, Unread, Whole
+from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, ErrorCode, EventType, Op, SetAcl
+from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Phase, ReadFailed, Snapshot
 
 NAMES = ["a", "b", "c", "d e", "ü"]
 
 
 class Churn:
-    """Random changes of the folder, cuts, stalls and expiries; every step is drawn by `chance`."""
+    """Random changes of the directory, disconnections, stalls and expiries; `random_source` selects each step."""
 
-    def __init__(self, chance: random.Random, old: bool) -> None:
-        self.chance = chance
-        self.world = world = World()
+    def __init__(self, random_source: random.Random, old: bool) -> None:
+        self.random_source = random_source
+        self.harness = harness = SessionHarness()
         self.old = old
-        self.told_gone: list[tuple[str, int]] = []  # removals while the view followed and knew the node
-        world.cluster.write("/boxes")
-        world.cluster.ensemble.listeners.append(self.removals)
+        self.expected_removals: list[tuple[str, int]] = []  # removals of nodes that the follower knew
+        harness.cluster.write("/boxes")
+        harness.cluster.ensemble.listeners.append(self.record_removals)
         self.steps: list[tuple[int, Callable[[], None]]] = [
             (30, self.write),
             (15, self.delete),
-            (10, self.box),
-            (8, self.expire_box),
+            (10, self.create_ephemeral),
+            (8, self.expire_ephemeral),
             (12, self.send),
             (12, self.receive),
-            (12, self.part),
+            (12, self.receive_part),
             (6, self.settle),
-            (2, self.cut),
+            (2, self.reconnect),
             (1, self.expire_own),
             (1, self.stall),
             (1, self.lag),
-            (4, self.late),
+            (4, self.delay_replies),
             (6, self.mend),
-            (1, self.folder),
-            (1, self.forget),
+            (1, self.delete_directory),
+            (1, self.forget_watches),
             (1, self.restore),
         ]
 
-    def removals(self, change: object) -> None:
+    def record_removals(self, change: object) -> None:
         for effect in getattr(change, "effects", ()):
             name = effect.path.rpartition("/")[2] if isinstance(effect, Gone) else ""
-            if name in self.world.follower.nodes:
-                self.told_gone.append((name, self.world.follower.nodes[name][1]))
+            if name in self.harness.follower.nodes:
+                self.expected_removals.append((name, self.harness.follower.nodes[name][1]))
 
     def path(self) -> str:
-        return "/boxes/" + self.chance.choice(NAMES)
+        return "/boxes/" + self.random_source.choice(NAMES)
 
     def write(self) -> None:
-        self.world.cluster.write(self.path(), str(self.chance.random()).encode())
+        self.harness.cluster.write(self.path(), str(self.random_source.random()).encode())
 
     def delete(self) -> None:
         path = self.path()
-        if path in self.world.cluster.ensemble.tree.nodes:
-            self.world.cluster.delete(path)
+        if path in self.harness.cluster.ensemble.tree.nodes:
+            self.harness.cluster.delete(path)
 
-    def box(self) -> None:
+    def create_ephemeral(self) -> None:
         path = self.path()
-        if path not in self.world.cluster.ensemble.tree.nodes:
-            self.world.cluster.box(path, b"box")
+        if path not in self.harness.cluster.ensemble.tree.nodes:
+            self.harness.cluster.box(path, b"box")
 
-    def expire_box(self) -> None:
-        owned = [path for paths in self.world.cluster.ensemble.tree.owned.values() for path in sorted(paths)]
+    def expire_ephemeral(self) -> None:
+        owned = [path for paths in self.harness.cluster.ensemble.tree.owned.values() for path in sorted(paths)]
         if owned:
-            self.world.cluster.expire(self.chance.choice(sorted(owned)))
+            self.harness.cluster.expire(self.random_source.choice(sorted(owned)))
 
     def send(self) -> None:
-        self.world.send()
+        self.harness.send()
 
     def receive(self) -> None:
-        self.world.receive()
+        self.harness.receive()
 
-    def part(self) -> None:
-        if self.world.pipe.data:
-            self.world.receive(self.chance.randrange(1, len(self.world.pipe.data) + 1))
+    def receive_part(self) -> None:
+        if self.harness.pipe.data:
+            self.harness.receive(self.random_source.randrange(1, len(self.harness.pipe.data) + 1))
 
     def settle(self) -> None:
-        self.world.settle()
+        self.harness.settle()
 
-    def cut(self) -> None:
-        for server in self.world.servers:
+    def reconnect(self) -> None:
+        for server in self.harness.servers:
             server.faults.old = self.old
-        self.world.connect(self.chance.randrange(3))
+        self.harness.connect(self.random_source.randrange(3))
 
     def expire_own(self) -> None:
-        self.world.cluster.ensemble.end(self.world.session.id)
+        self.harness.cluster.ensemble.end(self.harness.session.id)
 
     def stall(self) -> None:
-        self.chance.choice(self.world.servers).stall()
+        self.random_source.choice(self.harness.servers).stall()
 
     def lag(self) -> None:
-        self.chance.choice(self.world.servers).lag()
+        self.random_source.choice(self.harness.servers).lag()
 
-    def late(self) -> None:
-        """Replies wait from now on, and events may overtake them."""
-        faults = self.chance.choice(self.world.servers).faults
-        faults.late, faults.overtaking = float("inf"), self.chance.random() < 0.8
+    def delay_replies(self) -> None:
+        """Delay replies from now on; events may overtake them."""
+        faults = self.random_source.choice(self.harness.servers).faults
+        faults.late, faults.overtaking = float("inf"), self.random_source.random() < 0.8
 
     def mend(self) -> None:
-        self.chance.choice(self.world.servers).mend()
+        self.random_source.choice(self.harness.servers).mend()
 
-    def forget(self) -> None:
-        self.chance.choice(self.world.servers).faults.forgets = True
+    def forget_watches(self) -> None:
+        self.random_source.choice(self.harness.servers).faults.forgets = True
 
-    def folder(self) -> None:
-        for path in sorted(self.world.cluster.ensemble.tree.nodes, reverse=True):
+    def delete_directory(self) -> None:
+        for path in sorted(self.harness.cluster.ensemble.tree.nodes, reverse=True):
             if path.startswith("/boxes"):
-                self.world.cluster.delete(path)
+                self.harness.cluster.delete(path)
 
     def restore(self) -> None:
-        self.world.cluster.ensemble.restore()
+        self.harness.cluster.ensemble.restore()
 
     def run(self, steps: int) -> None:
         weights = [weight for weight, _ in self.steps]
         for _ in range(steps):
-            self.chance.choices(self.steps, weights)[0][1]()
+            self.random_source.choices(self.steps, weights)[0][1]()
 
     def check(self) -> None:
-        """All is mended and quiet."""
-        self.world.recover()
-        assert self.world.follower.nodes == self.world.tree()
-        missed = set(self.told_gone) - set(self.world.follower.removed)
+        """End all faults, move all data, and compare the view with the tree."""
+        self.harness.recover()
+        assert self.harness.follower.nodes == self.harness.tree()
+        missed = set(self.expected_removals) - set(self.harness.follower.removals)
         assert not missed
 
 
-def churn(number: int, rounds: int, old: bool) -> None:
+def run_churn(seed: int, rounds: int, old: bool) -> None:
     async def run() -> None:
-        world = Churn(random.Random(number), old)
+        churn = Churn(random.Random(seed), old)
         for _ in range(rounds):
-            world.cut()
-            world.run(60)
-            world.check()
+            churn.reconnect()
+            churn.run(60)
+            churn.check()
 
-    inside(run())
+    run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-@pytest.mark.parametrize("number", range(8))
-def test_the_view_equals_the_tree_after_thousands_of_steps(number: int, old: bool) -> None:
-    churn(number, rounds=50, old=old)
+@pytest.mark.parametrize("seed", range(8))
+def test_the_view_equals_the_tree_after_thousands_of_steps(seed: int, old: bool) -> None:
+    run_churn(seed, rounds=50, old=old)
 
 
 @settings(max_examples=60, deadline=None)
-@given(number=st.integers(), old=st.booleans())
-@example(number=892_058_059_144_642_935, old=True)  # the folder went before addWatch was answered
-@example(number=21_312_990_608_571_088, old=False)  # a server was mended that was silent and behind
-def test_the_view_equals_the_tree_whatever_the_seed(number: int, old: bool) -> None:
-    churn(number, rounds=6, old=old)
+@given(seed=st.integers(), old=st.booleans())
+@example(seed=892_058_059_144_642_935, old=True)  # the directory was deleted before the reply to addWatch
+@example(seed=21_312_990_608_571_088, old=False)  # a server recovered that had stalled and lagged
+def test_the_view_equals_the_tree_whatever_the_seed(seed: int, old: bool) -> None:
+    run_churn(seed, rounds=6, old=old)
 
 
-# ---- cases by hand --------------------------------------------------------------------------------
+# ---- single cases ---------------------------------------------------------------------------------
 
 
-def following(world: World) -> World:
-    world.connect()
-    world.settle()
-    assert world.view.phase is Phase.FOLLOWING
-    world.news.clear()
-    return world
+def following(harness: SessionHarness) -> SessionHarness:
+    harness.connect()
+    harness.settle()
+    assert harness.view.phase is Phase.FOLLOWING
+    harness.updates.clear()
+    return harness
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_an_event_that_crosses_the_reply_to_a_read_makes_it_be_read_once_more(old: bool) -> None:
+def test_a_node_is_read_again_if_its_event_overtakes_the_reply_to_a_read(old: bool) -> None:
     async def run() -> None:
-        world = World()
-        for server in world.servers:
+        harness = SessionHarness()
+        for server in harness.servers:
             server.faults.old = old
-        world.cluster.write("/boxes/a", b"1")
-        following(world)
-        faults = world.servers[0].faults
-        world.cluster.write("/boxes/a", b"2")
-        world.receive()
+        harness.cluster.write("/boxes/a", b"1")
+        following(harness)
+        faults = harness.servers[0].faults
+        harness.cluster.write("/boxes/a", b"2")
+        harness.receive()
         faults.late, faults.overtaking = float("inf"), True
-        world.send()  # the read is served, with 2, and its reply held back
-        world.cluster.write("/boxes/a", b"3")
-        world.receive()  # the event overtakes it
-        world.servers[0].mend()
-        world.settle()
-        assert world.follower.nodes["a"][0] == b"3"
+        harness.send()  # the read returns 2, and its reply is delayed
+        harness.cluster.write("/boxes/a", b"3")
+        harness.receive()  # the event overtakes the reply
+        harness.servers[0].mend()
+        harness.settle()
+        assert harness.follower.nodes["a"][0] == b"3"
 
-    inside(run())
+    run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_a_folder_that_went_before_the_watch_was_answered_is_followed_all_the_same(old: bool) -> None:
+def test_a_directory_that_is_deleted_before_the_reply_to_addwatch_is_followed(old: bool) -> None:
     async def run() -> None:
-        world = World()
-        for server in world.servers:
+        harness = SessionHarness()
+        for server in harness.servers:
             server.faults.old = old
-        world.cluster.write("/boxes/a", b"1")
-        following(world)
-        world.disconnect()
-        world.cluster.delete("/boxes/a")
-        world.cluster.delete("/boxes")
-        world.connect(1)  # told of both at once, ahead of the reply to addWatch
-        world.settle()
-        world.cluster.write("/boxes/b", b"2")
-        world.settle()
-        world.cluster.write("/boxes/c", b"3")
-        world.settle()
-        assert world.follower.nodes == world.tree()
-
-    inside(run())
+        harness.cluster.write("/boxes/a", b"1")
+        following(harness)
+        harness.disconnect()
+        harness.cluster.delete("/boxes/a")
+        harness.cluster.delete("/boxes")
+        harness.connect(1)  # both deletions are reported at once, before the reply to addWatch
+        harness.settle()
+        harness.cluster.write("/boxes/b", b"2")
+        harness.settle()
+        harness.cluster.write("/boxes/c", b"3")
+        harness.settle()
+        assert harness.follower.nodes == harness.tree()
+
+    run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_two_changes_between_event_and_read_show_the_latter(old: bool) -> None:
+def test_two_changes_before_a_read_show_the_latter(old: bool) -> None:
     async def run() -> None:
-        world = World()
-        world.servers[0].faults.old = old
-        world.cluster.write("/boxes/a", b"1")
-        following(world)
-        world.cluster.write("/boxes/a", b"2")
-        world.cluster.write("/boxes/a", b"3")
-        world.settle()
-        assert [one.data.data for one in world.news if isinstance(one, Present) and one.data] == [b"3"]
+        harness = SessionHarness()
+        harness.servers[0].faults.old = old
+        harness.cluster.write("/boxes/a", b"1")
+        following(harness)
+        harness.cluster.write("/boxes/a", b"2")
+        harness.cluster.write("/boxes/a", b"3")
+        harness.settle()
+        assert [update.data.data for update in harness.updates if isinstance(update, NodeChanged) and update.data] == [
+            b"3"
+        ]
 
-    inside(run())
+    run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
 @pytest.mark.parametrize("gap", [False, True], ids=["in sight", "in a gap"])
-def test_a_node_deleted_and_made_again_is_told_gone_first(old: bool, gap: bool) -> None:
+def test_a_recreated_node_is_reported_as_deleted_first(old: bool, gap: bool) -> None:
     async def run() -> None:
-        world = World()
-        for server in world.servers:
+        harness = SessionHarness()
+        for server in harness.servers:
             server.faults.old = old
-        world.cluster.box("/boxes/a", b"same")
-        following(world)
+        harness.cluster.box("/boxes/a", b"same")
+        following(harness)
         if gap:
-            world.disconnect()
-        world.cluster.expire("/boxes/a")
-        world.cluster.box("/boxes/a", b"same")
+            harness.disconnect()
+        harness.cluster.expire("/boxes/a")
+        harness.cluster.box("/boxes/a", b"same")
         if gap:
-            world.connect(1)
-        world.settle()
-        told = [type(one) for one in world.news if not isinstance(one, Whole)]
-        assert told == [Absent, Present] and world.follower.nodes == world.tree()
+            harness.connect(1)
+        harness.settle()
+        update_types = [type(update) for update in harness.updates if not isinstance(update, Snapshot)]
+        assert update_types == [NodeDeleted, NodeChanged] and harness.follower.nodes == harness.tree()
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_ten_thousand_nodes_take_one_read_each_and_a_change_takes_one() -> None:
+def test_ten_thousand_nodes_and_each_change_take_one_read() -> None:
     async def run() -> None:
-        world = World()
-        for at in range(10_000):
-            world.cluster.write(f"/boxes/{at}", b"x")
-        following(world)
-        asked = world.servers[0].asked
-        assert (asked[Op.GET_DATA], asked[Op.GET_CHILDREN2]) == (10_000, 1) and len(world.follower.nodes) == 10_000
+        harness = SessionHarness()
+        for index in range(10_000):
+            harness.cluster.write(f"/boxes/{index}", b"x")
+        following(harness)
+        asked = harness.servers[0].asked
+        assert (asked[Op.GET_DATA], asked[Op.GET_CHILDREN2]) == (10_000, 1) and len(harness.follower.nodes) == 10_000
         asked.clear()
-        world.cluster.write("/boxes/77", b"y")
-        world.cluster.delete("/boxes/78")
-        world.cluster.write("/boxes/new")
-        world.settle()
-        assert asked == {Op.GET_DATA: 2} and world.follower.nodes == world.tree()
+        harness.cluster.write("/boxes/77", b"y")
+        harness.cluster.delete("/boxes/78")
+        harness.cluster.write("/boxes/new")
+        harness.settle()
+        assert asked == {Op.GET_DATA: 2} and harness.follower.nodes == harness.tree()
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_children_that_change_while_they_are_read_are_all_there_in_the_end() -> None:
+def test_children_that_change_during_the_full_read_are_all_read() -> None:
     async def run() -> None:
-        world = World()
-        for at in range(50):
-            world.cluster.write(f"/boxes/{at}")
-        world.connect()
-        for at in range(200):
-            if at % 2:
-                world.cluster.write(f"/boxes/{at}")
-            elif f"/boxes/{at}" in world.cluster.ensemble.tree.nodes:
-                world.cluster.delete(f"/boxes/{at}")
-            world.send()
-            world.receive(700)
-        world.settle()
-        assert world.follower.nodes == world.tree() and world.whole() == 1
-
-    inside(run())
+        harness = SessionHarness()
+        for index in range(50):
+            harness.cluster.write(f"/boxes/{index}")
+        harness.connect()
+        for index in range(200):
+            if index % 2:
+                harness.cluster.write(f"/boxes/{index}")
+            elif f"/boxes/{index}" in harness.cluster.ensemble.tree.nodes:
+                harness.cluster.delete(f"/boxes/{index}")
+            harness.send()
+            harness.receive(700)
+        harness.settle()
+        assert harness.follower.nodes == harness.tree() and harness.snapshot_count() == 1
+
+    run_in_loop(run())
 
 
 @pytest.mark.parametrize("old", [False, True], ids=["persistent watches", "one-shot watches"])
-def test_a_folder_that_does_not_exist_is_no_removal_until_it_has_existed(old: bool) -> None:
+def test_a_missing_directory_removes_nodes_only_if_it_existed_before(old: bool) -> None:
     async def run() -> None:
-        world = World()
-        world.servers[0].faults.old = old
-        world.connect()
-        world.settle()
-        assert world.news == [Unread(-101)]
-        world.cluster.write("/boxes/a", b"1")
-        world.settle()
-        assert world.follower.nodes.keys() == {"a"}
-        world.cluster.delete("/boxes/a")
-        world.cluster.delete("/boxes")
-        world.settle()
-        assert world.follower.nodes == {} and isinstance(world.news[-1], Whole)
-        world.cluster.write("/boxes/b", b"2")
-        world.settle()
-        assert world.follower.nodes.keys() == {"b"}
-
-    inside(run())
-
-
-def test_nodes_below_the_children_and_beside_the_folder_are_not_taken_for_boxes() -> None:
+        harness = SessionHarness()
+        harness.servers[0].faults.old = old
+        harness.connect()
+        harness.settle()
+        assert harness.updates == [ReadFailed(-101)]
+        harness.cluster.write("/boxes/a", b"1")
+        harness.settle()
+        assert harness.follower.nodes.keys() == {"a"}
+        harness.cluster.delete("/boxes/a")
+        harness.cluster.delete("/boxes")
+        harness.settle()
+        assert harness.follower.nodes == {} and isinstance(harness.updates[-1], Snapshot)
+        harness.cluster.write("/boxes/b", b"2")
+        harness.settle()
+        assert harness.follower.nodes.keys() == {"b"}
+
+    run_in_loop(run())
+
+
+def test_nodes_below_the_children_and_beside_the_directory_are_ignored() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/a/below", b"1")
-        world.cluster.write("/boxes-2/b", b"1")
-        following(world)
-        world.cluster.write("/boxes/a/other", b"1")
-        world.cluster.write("/boxes-2/b", b"2")
-        world.settle()
-        assert world.follower.nodes.keys() == {"a"} and world.news == []
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/a/below", b"1")
+        harness.cluster.write("/boxes-2/b", b"1")
+        following(harness)
+        harness.cluster.write("/boxes/a/other", b"1")
+        harness.cluster.write("/boxes-2/b", b"2")
+        harness.settle()
+        assert harness.follower.nodes.keys() == {"a"} and harness.updates == []
 
-    inside(run())
+    run_in_loop(run())
 
 
 def test_a_node_of_one_megabyte_is_read_like_any_other() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/big", b"x" * (1 << 20))
-        world.cluster.write("/boxes/a", b"1")
-        following(world)
-        assert world.follower.nodes.keys() == {"big", "a"}
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/big", b"x" * (1 << 20))
+        harness.cluster.write("/boxes/a", b"1")
+        following(harness)
+        assert harness.follower.nodes.keys() == {"big", "a"}
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_a_server_that_hangs_up_on_addwatch_is_followed_by_one_shot_watches() -> None:
+def test_one_shot_watches_are_used_if_a_server_closes_the_connection_on_addwatch() -> None:
     async def run() -> None:
-        world = World(servers=1)
-        world.cluster.write("/boxes/a", b"1")
+        harness = SessionHarness(servers=1)
+        harness.cluster.write("/boxes/a", b"1")
         for _ in range(2):
-            world.connect()
-            world.send()
-            world.receive()
-            assert world.session.take()  # addWatch is among it; the server hangs up
-            world.disconnect()
-        world.connect()
-        world.settle()
-        assert world.servers[0].asked[Op.ADD_WATCH] == 0
-        world.cluster.write("/boxes/b", b"2")
-        world.settle()
-        assert world.follower.nodes.keys() == {"a", "b"}
-
-    inside(run())
-
-
-def test_a_view_reads_again_after_every_gap_even_where_watches_are_forgotten() -> None:
+            harness.connect()
+            harness.send()
+            harness.receive()
+            assert harness.session.take_output()  # the output contains addWatch; the server closes the connection
+            harness.disconnect()
+        harness.connect()
+        harness.settle()
+        assert harness.servers[0].asked[Op.ADD_WATCH] == 0
+        harness.cluster.write("/boxes/b", b"2")
+        harness.settle()
+        assert harness.follower.nodes.keys() == {"a", "b"}
+
+    run_in_loop(run())
+
+
+def test_a_view_reads_everything_after_a_disconnection_even_if_watches_are_lost() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/a", b"1")
-        for server in world.servers:
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/a", b"1")
+        for server in harness.servers:
             server.faults.forgets = True
-        following(world)
-        world.disconnect()
-        world.cluster.write("/boxes/a", b"2")
-        world.connect(1)
-        world.settle()
-        world.cluster.write("/boxes/a", b"3")
-        world.settle()
-        assert world.follower.nodes["a"][0] == b"3"
+        following(harness)
+        harness.disconnect()
+        harness.cluster.write("/boxes/a", b"2")
+        harness.connect(1)
+        harness.settle()
+        harness.cluster.write("/boxes/a", b"3")
+        harness.settle()
+        assert harness.follower.nodes["a"][0] == b"3"
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_nothing_is_told_while_there_is_no_server() -> None:
+def test_a_view_reports_nothing_while_it_is_disconnected() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/a", b"1")
-        following(world)
-        world.disconnect()
-        world.cluster.ensemble.end(world.session.id)
-        assert world.news == [] and world.follower.nodes.keys() == {"a"}
-        world.view.told(Happened.DELETED, "/boxes/a")  # what a former connection left over
-        assert world.view.news() == []
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/a", b"1")
+        following(harness)
+        harness.disconnect()
+        harness.cluster.ensemble.end(harness.session.id)
+        assert harness.updates == [] and harness.follower.nodes.keys() == {"a"}
+        harness.view.on_watch_triggered(EventType.DELETED, "/boxes/a")  # an event of a former connection
+        assert harness.view.take_updates() == []
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_a_list_that_is_older_than_a_nodes_making_does_not_take_it_out() -> None:
+def test_a_list_that_is_older_than_a_node_does_not_remove_it() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/m", b"1")
-        following(world)
-        world.disconnect()
-        world.cluster.delete("/boxes/m")
-        world.connect(1)
-        for _ in range(2):  # the session is taken; then sync and addWatch are answered
-            world.send()
-            world.receive()
-        faults = world.servers[1].faults
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/m", b"1")
+        following(harness)
+        harness.disconnect()
+        harness.cluster.delete("/boxes/m")
+        harness.connect(1)
+        for _ in range(2):  # the server accepts the session, then replies to sync and addWatch
+            harness.send()
+            harness.receive()
+        faults = harness.servers[1].faults
         faults.late, faults.overtaking = float("inf"), True
-        world.send()  # the list is read, without m, and its reply held back
-        world.cluster.write("/boxes/m", b"2")
-        world.receive()  # m is told of before it
-        world.servers[1].mend()
-        world.settle()
-        assert world.follower.nodes == world.tree() and "m" in world.follower.nodes
+        harness.send()  # the list is read without m, and its reply is delayed
+        harness.cluster.write("/boxes/m", b"2")
+        harness.receive()  # the event of m arrives before the list
+        harness.servers[1].mend()
+        harness.settle()
+        assert harness.follower.nodes == harness.tree() and "m" in harness.follower.nodes
 
-    inside(run())
+    run_in_loop(run())
 
 
-def test_a_server_that_lags_is_waited_for_before_anything_is_read() -> None:
+def test_a_view_waits_for_a_server_that_lags_before_it_reads() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/a", b"1")
-        world.cluster.write("/boxes/b", b"1")
-        following(world)
-        world.disconnect()
-        world.servers[1].lag()  # as far as this client has seen, and no further
-        world.cluster.delete("/boxes/a")
-        world.connect(1)
-        world.settle()
-        assert world.news == []
-        world.servers[1].mend()
-        world.settle()
-        assert world.follower.nodes.keys() == {"b"} and world.whole() == 1
-
-    inside(run())
-
-
-def test_a_folder_that_may_not_be_read_is_read_when_it_may() -> None:
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/a", b"1")
+        harness.cluster.write("/boxes/b", b"1")
+        following(harness)
+        harness.disconnect()
+        harness.servers[1].lag()  # it has applied what this client has seen, but no later change
+        harness.cluster.delete("/boxes/a")
+        harness.connect(1)
+        harness.settle()
+        assert harness.updates == []
+        harness.servers[1].mend()
+        harness.settle()
+        assert harness.follower.nodes.keys() == {"b"} and harness.snapshot_count() == 1
+
+    run_in_loop(run())
+
+
+def test_a_directory_that_may_not_be_read_is_read_once_it_may() -> None:
     async def run() -> None:
-        world = World()
-        world.cluster.write("/boxes/a", b"1")
-        shut = (Acl(PERM_ADMIN, "world", "anyone"),)
-        world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", shut, -1)),))
-        world.connect()
-        world.settle()
-        assert world.news == [Unread(Error.NO_AUTH)] and world.view.phase is Phase.READING
-        world.cluster.ensemble.commit(world.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN, -1)),))
-        world.view.again()
-        world.link.turn(world.now)
-        world.settle()
-        assert world.follower.nodes.keys() == {"a"}
-
-    inside(run())
+        harness = SessionHarness()
+        harness.cluster.write("/boxes/a", b"1")
+        unreadable = (Acl(PERM_ADMIN, "world", "anyone"),)
+        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", unreadable, -1)),))
+        harness.connect()
+        harness.settle()
+        assert harness.updates == [ReadFailed(ErrorCode.NO_AUTH)] and harness.view.phase is Phase.READING
+        harness.cluster.ensemble.commit(harness.cluster.operator, ((Op.SET_ACL, SetAcl("/boxes", OPEN_ACL, -1)),))
+        harness.view.retry_read()
+        harness.multiplexer.send_requests(harness.now)
+        harness.settle()
+        assert harness.follower.nodes.keys() == {"a"}
+
+    run_in_loop(run())
