--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -398,7 +398,7 @@
 
     async def body(up: Served, one: Backend) -> None:
         clients = await send_requests(up, *(ask(X_Timeout="2") for _ in range(2)))
-        monkeypatch.setattr(request_coalescing, "worded_for", slow)
+        monkeypatch.setattr(request_coalescing, "with_request_id", slow)
         respond(one, OK)
         assert sorted([status(await client.answer()) for client in clients]) == [200, 504]
 
