--- a/lugspur/emulator/control/checks.py
+++ b/lugspur/emulator/control/checks.py
@@ -1,4 +1,4 @@
-"""What must hold over every history, whoever played it: raised as soon as it does not."""
+"""Guarantees that hold in every history: each check raises Violation as soon as one is broken."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
 
 class Violation(AssertionError):
-    """A promise that was not kept."""
+    """A guarantee that was broken."""
 
 
 def content_of(entry: Entry) -> Content:
-    """What an entry brings, as a key."""
+    """Return an entry's fields as a hashable key."""
     return entry.kind, entry.name, entry.edition, entry.value
 
 
 @dataclass(slots=True, eq=False)
-class Sending:
-    """An order that was sent to one node once; without an outcome it may have any."""
+class Submission:
+    """A change request that was sent to one node once. Until it has an outcome, any outcome is possible."""
 
     entries: list[Entry]
     confirmed_before: bool
-    floor: int  # the change up to which somebody had been told, when it was sent
-    ended: bool = False
-    never: bool = False  # its sender was told that it never comes into force
+    confirmed_index: int  # index up to which changes were known to some caller as in force when this request was sent
+    has_ended: bool = False
+    is_rejected: bool = False  # whether the caller was told that the request never takes effect
 
 
-class Chain:
-    """The state after each change, by whoever knew it first: all others must agree."""
+class DecidedStates:
+    """The state after each change as the first node that learned it has it; all other nodes must agree."""
 
     def __init__(self) -> None:
         self.states: dict[int, frozenset[Content]] = {}
         self.in_force: set[Content] = set()
 
-    def observe(self, ip: str, register: Register) -> None:
-        """A replica goes by this state."""
+    def record(self, ip: str, register: Register) -> None:
+        """Record the state of a replica; raises Violation if another replica has another state at this index."""
         state = frozenset(content_of(item.entry) for item in register.items.values())
         known = self.states.setdefault(register.index, state)
         if known != state:
@@ -48,102 +48,116 @@
         self.in_force |= state
 
     @property
-    def last(self) -> int:
-        """The latest change that anybody knows."""
+    def last_index(self) -> int:
+        """The latest index that any replica has reached."""
         return max(self.states, default=0)
 
 
-class OrderBook:
-    """All orders that were sent, and what their senders were told."""
+class ChangeRequestChecker:
+    """All change requests that were sent, and their outcomes as the callers received them."""
 
-    def __init__(self, chain: Chain) -> None:
-        self._chain = chain
-        self._sendings: dict[Content, list[Sending]] = {}
+    def __init__(self, decided_states: DecidedStates) -> None:
+        self._decided_states = decided_states
+        self._submissions: dict[Content, list[Submission]] = {}
         self.confirmed: dict[Numbered, bytes | None] = {}
         self._confirmed_contents: set[Content] = set()
-        self.floor = 0  # the change up to which somebody was told that all is in force
+        self.confirmed_index = 0  # index up to which some caller was told that all changes are in force
 
-    def sent(self, entries: list[Entry]) -> Sending:
-        """An order goes to a node."""
+    def record_submission(self, entries: list[Entry]) -> Submission:
+        """Record that a change request is sent to a node."""
         contents = [content_of(entry) for entry in entries]
         confirmed_before = all(content in self._confirmed_contents for content in contents)
-        sending = Sending(entries, confirmed_before, self.floor)
+        submission = Submission(entries, confirmed_before, self.confirmed_index)
         for content in contents:
-            self._sendings.setdefault(content, []).append(sending)
-        return sending
-
-    def ended(self, sending: Sending, outcome: Outcome, register: Register) -> None:
-        """Its sender was told this, by a node that goes by this state."""
-        if sending.ended:
-            raise Violation(f"an order that ends twice: {sending.entries}")
-        sending.ended = True
-        sending.never = isinstance(outcome, Refused | NoQuorum)
-        if isinstance(outcome, Refused) and register.index < sending.floor:
+            self._submissions.setdefault(content, []).append(submission)
+        return submission
+
+    def record_outcome(self, submission: Submission, outcome: Outcome, register: Register) -> None:
+        """Record the outcome of a submission; `register` is the state of the node that reported it."""
+        if submission.has_ended:
+            raise Violation(f"a change request ended twice: {submission.entries}")
+        submission.has_ended = True
+        submission.is_rejected = isinstance(outcome, Refused | NoQuorum)
+        if isinstance(outcome, Refused) and register.index < submission.confirmed_index:
             raise Violation(
-                f"refused by change {register.index}, {sending.floor} was confirmed before: {sending.entries}"
+                f"refused at index {register.index}, index {submission.confirmed_index} was confirmed before: "
+                f"{submission.entries}"
             )
         if isinstance(outcome, Confirmed):
-            self.floor = max(self.floor, register.index)
-            for entry in sending.entries:
+            self.confirmed_index = max(self.confirmed_index, register.index)
+            for entry in submission.entries:
                 self._confirm(entry, register)
-        elif isinstance(outcome, Refused) and sending.confirmed_before:
-            raise Violation(f"refused, and confirmed before: {sending.entries}")
-        self.check_never(sending.entries)
+        elif isinstance(outcome, Refused) and submission.confirmed_before:
+            raise Violation(f"refused after it was confirmed: {submission.entries}")
+        self.check_rejected(submission.entries)
 
     def _confirm(self, entry: Entry, register: Register) -> None:
         item = register.items.get((entry.kind, entry.name))
         if item is None or item.entry.edition < entry.edition:
-            raise Violation(f"confirmed and not in force: {entry}")
+            raise Violation(f"confirmed but not in force: {entry}")
         self._confirmed_contents.add(content_of(entry))
         if item.entry.edition > entry.edition:
-            return  # a later one stands, and nothing tells any more what this one's number had
+            return  # a later edition is in force, and the content of this edition is no longer known
         if item.entry.value != entry.value:
-            raise Violation(f"confirmed, and another content stands under its edition: {entry}")
-        number = (entry.kind, entry.name, entry.edition)
-        if self.confirmed.setdefault(number, entry.value) != entry.value:
+            raise Violation(f"confirmed, but its edition has another content: {entry}")
+        numbered = (entry.kind, entry.name, entry.edition)
+        if self.confirmed.setdefault(numbered, entry.value) != entry.value:
             raise Violation(f"two contents confirmed under one edition: {entry}")
 
-    def check_never(self, entries: list[Entry]) -> None:
-        """What is in force was not given up by all that sent it."""
+    def check_rejected(self, entries: list[Entry]) -> None:
+        """Check that no entry is in force whose every submission was rejected."""
         for entry in entries:
             content = content_of(entry)
-            sendings = self._sendings.get(content, [])
-            if content in self._chain.in_force and sendings and all(sending.never for sending in sendings):
+            submissions = self._submissions.get(content, [])
+            if (
+                content in self._decided_states.in_force
+                and submissions
+                and all(submission.is_rejected for submission in submissions)
+            ):
                 raise Violation(f"refused and in force: {entry}")
 
-    def check_all(self) -> None:
-        """At the end: nothing that is in force was refused, and what was confirmed stands or was replaced by later."""
-        for content, sendings in self._sendings.items():
-            if content in self._chain.in_force and all(sending.never for sending in sendings):
+    def check_history(self) -> None:
+        """Check a finished history.
+
+        No rejected content is in force, and each confirmed content is in force or was replaced by a later edition.
+        """
+        for content, submissions in self._submissions.items():
+            if content in self._decided_states.in_force and all(submission.is_rejected for submission in submissions):
                 raise Violation(f"refused and in force: {content}")
         editions = {
-            (kind, name): (edition, value) for kind, name, edition, value in self._chain.states[self._chain.last]
+            (kind, name): (edition, value)
+            for kind, name, edition, value in self._decided_states.states[self._decided_states.last_index]
         }
         for (kind, name, edition), value in self.confirmed.items():
-            standing = editions.get((kind, name))
-            if standing is None or standing[0] < edition or (standing[0] == edition and standing[1] != value):
+            current = editions.get((kind, name))
+            if current is None or current[0] < edition or (current[0] == edition and current[1] != value):
                 raise Violation(f"confirmed and lost: {kind} {name!r} {edition}")
 
 
 @dataclass(slots=True, frozen=True)
-class Run:
-    """An operation that has run: under which claim, and when its first try was sent."""
+class KeyRun:
+    """A run of an operation: the owner of its reservation, and the time at which the reservation was requested."""
 
-    by: bytes
+    owner: bytes
     sent_at: float
 
 
 @dataclass(slots=True)
-class KeyBook:
-    """Which operations have run, by key; `window`: seconds in which a key runs once; `judged`: whether that is held."""
+class KeyRunChecker:
+    """The latest run of each operation, by idempotency key.
+
+    `window` is the deduplication window in seconds; `is_enforced` tells whether a second run within it is a violation.
+    """
 
     window: float = float("inf")
-    judged: bool = True
-    runs: dict[bytes, Run] = field(default_factory=dict)
-
-    def run(self, key: bytes, by: bytes, sent_at: float = 0.0) -> None:
-        """The operation of this key runs, on a try that was sent then."""
-        before = self.runs.get(key)
-        if self.judged and before is not None and sent_at - before.sent_at < self.window:
-            raise Violation(f"{key!r} ran for {before.by!r} and, {sent_at - before.sent_at:.1f} s later, for {by!r}")
-        self.runs[key] = Run(by, sent_at)
+    is_enforced: bool = True
+    runs: dict[bytes, KeyRun] = field(default_factory=dict)
+
+    def record_run(self, key: bytes, owner: bytes, sent_at: float = 0.0) -> None:
+        """Record that an operation runs whose reservation was requested at `sent_at`."""
+        previous = self.runs.get(key)
+        if self.is_enforced and previous is not None and sent_at - previous.sent_at < self.window:
+            raise Violation(
+                f"{key!r} ran for {previous.owner!r} and, {sent_at - previous.sent_at:.1f} s later, for {owner!r}"
+            )
+        self.runs[key] = KeyRun(owner, sent_at)
--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -1,7 +1,7 @@
-"""Small worlds of operation keys: two that claim one while a voter leaves and a newcomer takes its place.
+"""Small models of idempotency keys: two owners reserve one key while a new voter takes the place of another.
 
-Voters a, b and c; c leaves, d comes, and a proposes the change by the register's own agreement. Then c may be killed,
-or a lost with its disk, at every step.
+The voters are a, b and c; d replaces c, and a proposes this change through the register. Then c may be killed, or a may
+be lost with its disk, at every step.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lugspur.emulator.control.checks import KeyBook, Violation
+from lugspur.emulator.control.checks import KeyRunChecker, Violation
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.node import Node, Wire
-from lugspur.emulator.control.small_world import PAUSE, SmallWorld
+from lugspur.emulator.control.small_world import LONG_WAIT_S, SmallWorld
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.membership_entry import membership_entry
 from lugspur.mesh.control.messages import (
@@ -29,24 +29,24 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
 
-VOTERS, LEAVING, NEW, FIRST = ["a", "b", "c"], "c", "d", "a"
+VOTERS, LEAVING, NEW, PROPOSER = ["a", "b", "c"], "c", "d", "a"
 KEY = b"k"
 FOREVER = float("inf")
-SETTLE_TRIES = 12
+MAX_RECOVERY_ROUNDS = 12
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What may happen in a world, and how often."""
+    """Which events may happen in a model, and how often."""
 
     name: str
     claimants: int = 2
-    retries: int = 0  # proposals that are made anew
-    kills: int = 0  # of the leaving one, for good
-    losses: int = 0  # of the first one with its disk, for good, once the change is decided
+    retries: int = 0  # repeated proposals
+    kills: int = 0  # permanent stops of the leaving voter
+    losses: int = 0  # permanent losses of the proposer with its disk, once the change is decided
     powers: int = 0
-    breaks: int = 0
-    disks: bool = False
+    disconnections: int = 0
+    delayed_writes: bool = False
 
 
 WORLDS = [
@@ -55,175 +55,195 @@
     Limits("two claim, the one that leaves is killed", kills=1),
     Limits("two claim, another is lost with its disk after the change", losses=1),
     Limits("two claim, a voter is exchanged, power is lost", powers=1),
-    Limits("two claim, a voter is exchanged, a connection breaks", breaks=1),
+    Limits("two claim, a voter is exchanged, a connection breaks", disconnections=1),
 ]
 
 
 class Claimant:
-    """One that wants to run the operation; it knows a membership, and may hear of the next one."""
+    """A client that wants to run the operation; it knows a membership and may learn the next one."""
 
     def __init__(self, world: ClaimsWorld, name: str) -> None:
-        self.world, self.name, self.by = world, name, name.encode()
-        self.state = "idle"  # asking, won, ran, told, lost
-        self.membership: Membership = world.first
+        self.world, self.name, self.owner = world, name, name.encode()
+        self.state = "idle"  # then "reserving", "acquired" or "rejected", "ran", "completed"
+        self.membership: Membership = world.initial_membership
         self.claims = ReservationClient(self.send)
 
     def send(self, ip: str, message: ReserveKey | ReleaseKey | CompleteKey) -> None:
         self.world.post(Wire(self.name, ip, self.name), message)
 
-    def over(self, how: ReservationOutcome) -> None:
-        self.state = "won" if isinstance(how, Acquired) else "lost"
+    def on_outcome(self, outcome: ReservationOutcome) -> None:
+        self.state = "acquired" if isinstance(outcome, Acquired) else "rejected"
 
     def key(self) -> object:
-        asked = tuple((tuple(sorted(o.granted_by)), tuple(sorted(o.taken_at))) for o in self.claims._open.values())
-        return self.state, self.membership.epoch, asked
+        open_key = tuple(
+            (tuple(sorted(call.granted_by)), tuple(sorted(call.taken_at))) for call in self.claims._open.values()
+        )
+        return self.state, self.membership.epoch, open_key
 
 
 class ClaimsWorld(SmallWorld):
-    """Three voters, a newcomer, and who claims."""
+    """Three voters, a new node, and the claimants of one key."""
 
     def __init__(self, limits: Limits) -> None:
-        super().__init__(VOTERS, [NEW], limits.disks, limits.powers, limits.breaks)
+        super().__init__(VOTERS, [NEW], limits.delayed_writes, limits.powers, limits.disconnections)
         self.limits = limits
-        self.first = Membership(1, self.seeds)
-        newcomer = Voter(NEW, self.nodes[NEW].replica.voter.uid, "")
-        self.next = Membership(2, [*self.seeds[:2], newcomer], self.seeds)
-        self.book = KeyBook()
+        self.initial_membership = Membership(1, self.seeds)
+        new_node = Voter(NEW, self.nodes[NEW].replica.voter.uid, "")
+        self.next_membership = Membership(2, [*self.seeds[:2], new_node], self.seeds)
+        self.key_checker = KeyRunChecker()
         self.claimants = {name: Claimant(self, name) for name in ("x", "y")[: limits.claimants]}
         self.retries, self.kills, self.losses = limits.retries, limits.kills, limits.losses
-        self.proposed = False
-        self.asks = 2  # times that the newcomer asks for claims, and for what is decided
+        self.is_proposed = False
+        self.fetches_left = 2  # requests of the new node for decided changes or for reservations
 
     @property
-    def decided(self) -> bool:
-        """Whether anybody knows that the voters have changed."""
-        return self.chain.last > 1
+    def is_change_decided(self) -> bool:
+        """Whether any node knows that the membership has changed."""
+        return self.decided_states.last_index > 1
 
     # ---- events ------------------------------------------------------------------------------
 
     def events(self) -> Iterator[Event]:
-        """What claimants, the newcomer and losses bring, beside all else."""
+        """Yield the common events and those of claimants, of the new node and of permanent losses."""
         yield from super().events()
-        if not self.proposed and self.nodes[FIRST].up:
+        if not self.is_proposed and self.nodes[PROPOSER].is_running:
             yield ("propose",)
         for name, claimant in self.claimants.items():
             if claimant.state == "idle":
                 yield "claim", name
-            elif claimant.state == "asking" and self.decided and claimant.membership.epoch < 2:
+            elif claimant.state == "reserving" and self.is_change_decided and claimant.membership.epoch < 2:
                 yield "hear", name
-            elif claimant.state == "won":
+            elif claimant.state == "acquired":
                 yield "run", name
             elif claimant.state == "ran":
                 yield "tell", name
-        yield from self._newcomer_events()
-        if self.kills and self.nodes[LEAVING].up:
+        yield from self._new_node_events()
+        if self.kills and self.nodes[LEAVING].is_running:
             yield ("kill",)
-        if self.losses and self.decided and self.nodes[FIRST].up:
+        if self.losses and self.is_change_decided and self.nodes[PROPOSER].is_running:
             yield ("lose",)
 
-    def _newcomer_events(self) -> Iterator[Event]:
-        newcomer = self.nodes[NEW]
-        if not self.asks or not newcomer.up:
+    def _new_node_events(self) -> Iterator[Event]:
+        new_node = self.nodes[NEW]
+        if not self.fetches_left or not new_node.is_running:
             return
-        if newcomer.replica.epoch < 2:
+        if new_node.replica.epoch < 2:
             for ip in VOTERS:
-                if self.nodes[ip].up and self.nodes[ip].replica.epoch == 2:
+                if self.nodes[ip].is_running and self.nodes[ip].replica.epoch == 2:
                     yield "learn", ip
-        elif not newcomer.replica.is_complete:
+        elif not new_node.replica.is_complete:
             yield ("fetch",)
 
-    def happen(self, what: str, who: list[str]) -> None:
-        """A claimant goes on, the newcomer asks, or something is lost for good."""
-        if what == "propose":
-            self.proposed = True
-            node = self.nodes[FIRST]
-            order = ChangeRequest([membership_entry(self.next)], FOREVER, ignore, 1)
-            node.do(self.now, node.proposer.submit(self.now, order))
-        elif what == "learn":
-            self.asks -= 1
-            self.nodes[NEW].send(who[0], FetchDecided(self.nodes[NEW].replica.index))
-        elif what == "fetch":
-            self.asks -= 1
-            self._fetch()
-        elif what == "kill":
+    def apply_own_event(self, kind: str, args: list[str]) -> None:
+        """Apply an event of a claimant, of the new node, or of a permanent loss."""
+        if kind == "propose":
+            self.is_proposed = True
+            node = self.nodes[PROPOSER]
+            request = ChangeRequest([membership_entry(self.next_membership)], FOREVER, ignore_outcome, 1)
+            node.apply_effects(self.now, node.proposer.submit(self.now, request))
+        elif kind == "learn":
+            self.fetches_left -= 1
+            self.nodes[NEW].send(args[0], FetchDecided(self.nodes[NEW].replica.index))
+        elif kind == "fetch":
+            self.fetches_left -= 1
+            self._fetch_reservations()
+        elif kind == "kill":
             self.kills -= 1
             self.lose_power(LEAVING)
-        elif what == "lose":
+        elif kind == "lose":
             self.losses -= 1
-            self.lose_power(FIRST)
-            self.nodes[FIRST].wipe()
+            self.lose_power(PROPOSER)
+            self.nodes[PROPOSER].wipe()
         else:
-            self._claim(what, self.claimants[who[0]])
+            self._apply_claimant_event(kind, self.claimants[args[0]])
 
-    def _fetch(self) -> None:
+    def _fetch_reservations(self) -> None:
         self.now += 1.0
         node = self.nodes[NEW]
-        node.do(self.now, node.catch_up.tick(self.now))
-
-    def _claim(self, what: str, claimant: Claimant) -> None:
-        if what == "claim":
-            claimant.state = "asking"
-            if self.decided:
-                claimant.membership = self.next
-            claimant.claims.reserve(self.now, claimant.membership, KEY, claimant.by, FOREVER, FOREVER, claimant.over)
-        elif what == "hear":
-            claimant.membership = self.next
-            claimant.claims.membership_changed(self.now, self.next)
-        elif what == "run":
+        node.apply_effects(self.now, node.catch_up.tick(self.now))
+
+    def _apply_claimant_event(self, kind: str, claimant: Claimant) -> None:
+        if kind == "claim":
+            claimant.state = "reserving"
+            if self.is_change_decided:
+                claimant.membership = self.next_membership
+            claimant.claims.reserve(
+                self.now, claimant.membership, KEY, claimant.owner, FOREVER, FOREVER, claimant.on_outcome
+            )
+        elif kind == "hear":
+            claimant.membership = self.next_membership
+            claimant.claims.membership_changed(self.now, self.next_membership)
+        elif kind == "run":
             claimant.state = "ran"
-            self.book.run(KEY, claimant.by)
+            self.key_checker.record_run(KEY, claimant.owner)
         else:
-            claimant.state = "told"
+            claimant.state = "completed"
             for voter in claimant.membership.voters:
-                claimant.send(voter.ip, CompleteKey(KEY, claimant.by, BackendResponse(200, b"", claimant.by)))
+                claimant.send(voter.ip, CompleteKey(KEY, claimant.owner, BackendResponse(200, b"", claimant.owner)))
 
-    def arrived(self, wire: Wire, message: Message) -> None:
-        """A message has come; verdicts come to claimants."""
+    def handle_delivery(self, wire: Wire, message: Message) -> None:
+        """Handle a message that is delivered to a node or, if it is a reply about a reservation, to a claimant."""
         claimant = self.claimants.get(wire.target)
         if claimant is None:
-            super().arrived(wire, message)
-        elif isinstance(message, ReserveKeyReply) and claimant.state in ("asking", "lost", "won", "ran", "told"):
+            super().handle_delivery(wire, message)
+        elif isinstance(message, ReserveKeyReply) and claimant.state in (
+            "reserving",
+            "rejected",
+            "acquired",
+            "ran",
+            "completed",
+        ):
             claimant.claims.receive(self.now, wire.source, message)
 
-    # ---- all is well again -------------------------------------------------------------------
+    # ---- recovery ----------------------------------------------------------------------------
 
-    def settle(self) -> None:
-        """Where the change is decided, a majority of the new voters becomes complete by itself."""
+    def check_recovery(self) -> None:
+        """If the change is decided, check that a majority of the new voters becomes complete without help."""
         for ip, node in self.nodes.items():
-            if not node.up and node.disk and ip != LEAVING:
+            if not node.is_running and node.disk and ip != LEAVING:
                 node.start(self.now)
-        if not self.decided or (self.nodes[FIRST].up and not self.proposed):
+        if not self.is_change_decided or (self.nodes[PROPOSER].is_running and not self.is_proposed):
             return
-        for _ in range(SETTLE_TRIES):
+        for _ in range(MAX_RECOVERY_ROUNDS):
             self.deliver_all()
-            self.now += PAUSE
-            for node in self._up():
-                self._bring_up(node)
-                self.within()
+            self.now += LONG_WAIT_S
+            for node in self._running_nodes():
+                self._catch_up(node)
+                self.run_internal_events()
                 self.deliver_all()
-            self._fetch()
+            self._fetch_reservations()
             self.deliver_all()
-            complete = [n.ip for n in self._up() if n.replica.epoch == 2 and n.replica.is_complete]
-            if len(complete) >= majority(len(self.next.voters)):
+            complete = [
+                node.ip for node in self._running_nodes() if node.replica.epoch == 2 and node.replica.is_complete
+            ]
+            if len(complete) >= majority(len(self.next_membership.voters)):
                 return
-        if self.nodes[LEAVING].up or self.nodes[FIRST].up:
-            raise Violation(f"no majority becomes complete again: {complete}")
+        if self.nodes[LEAVING].is_running or self.nodes[PROPOSER].is_running:
+            raise Violation(f"no majority of the new voters becomes complete, only {complete}")
 
-    def _up(self) -> list[Node]:
-        return [node for node in self.nodes.values() if node.up]
+    def _running_nodes(self) -> list[Node]:
+        return [node for node in self.nodes.values() if node.is_running]
 
-    def _bring_up(self, node: Node) -> None:
+    def _catch_up(self, node: Node) -> None:
         if node.replica.register.has_pending_change:
-            node.do(self.now, node.proposer.resolve_pending(self.now))
-        node.do(self.now, node.proposer.tick(self.now))
-        best = max(self._up(), key=lambda other: other.replica.index)
-        if node.replica.index < best.replica.index:
-            node.send(best.ip, FetchDecided(node.replica.index))
+            node.apply_effects(self.now, node.proposer.resolve_pending(self.now))
+        node.apply_effects(self.now, node.proposer.tick(self.now))
+        most_advanced = max(self._running_nodes(), key=lambda other: other.replica.index)
+        if node.replica.index < most_advanced.replica.index:
+            node.send(most_advanced.ip, FetchDecided(node.replica.index))
 
-    def own_key(self) -> object:
+    def extra_key(self) -> object:
         claimants = tuple(claimant.key() for claimant in self.claimants.values())
-        return claimants, self.proposed, self.asks, self.retries, self.kills, self.losses, tuple(self.book.runs.items())
-
-
-def ignore(outcome: Outcome) -> None:
-    """Nobody waits for the change of the voters."""
+        return (
+            claimants,
+            self.is_proposed,
+            self.fetches_left,
+            self.retries,
+            self.kills,
+            self.losses,
+            tuple(self.key_checker.runs.items()),
+        )
+
+
+def ignore_outcome(outcome: Outcome) -> None:
+    """Drop the outcome of the membership change: nothing waits for it."""
--- a/lugspur/emulator/control/explorer.py
+++ b/lugspur/emulator/control/explorer.py
@@ -1,4 +1,4 @@
-"""Every order of events in a small world: states are compared exactly, and each is reached once."""
+"""Exploration of all orders of events in a small model: each state is visited once, by the hash of its exact key."""
 
 from __future__ import annotations
 
@@ -16,95 +16,99 @@
 
 
 class World(Protocol):
-    """One state of a small world, which can be pickled."""
+    """One state of a model, which can be pickled."""
 
     def events(self) -> Iterator[Event]:
-        """What may happen next."""
+        """Yield the events that are possible in this state."""
 
     def step(self, event: Event) -> None:
-        """Let it happen; raises Violation."""
+        """Apply an event; raises Violation if that breaks a guarantee."""
 
     def key(self) -> object:
-        """All that decides what may come, in a form that can be hashed."""
+        """Return everything that future behaviour depends on, as a hashable value."""
 
-    def settle(self) -> None:
-        """Let all be well for a while; raises Violation where it does not become so."""
+    def check_recovery(self) -> None:
+        """Run without further faults; raises Violation if the system does not recover."""
 
 
 @dataclass(slots=True, frozen=True)
 class Explored:
-    """How many states were seen, and whether these are all."""
+    """The number of states that were visited, and whether these are all that can be reached."""
 
     states: int
-    whole: bool
+    is_exhaustive: bool
 
 
-COLLECT_EVERY = 500  # worlds that are thrown away until their cycles are: the collector's own pace takes half the time
-ORDINARY = {"deliver": 4, "sync": 4}  # by how much a walk goes there rather: else it spends its losses at once
-SETTLE_EVERY = 16  # states of which one is looked at for whether it settles
+# Number of discarded worlds after which the garbage collector runs. Automatic collection takes half of the run time.
+GC_INTERVAL = 500
+# Weights of ordinary events in a random walk; others have 1. With equal weights a walk uses up its faults at once.
+EVENT_WEIGHTS = {"deliver": 4, "sync": 4}
+# One state in this many is checked for recovery.
+RECOVERY_CHECK_INTERVAL = 16
 
 
-def explore(make: Callable[[], World], most: int, rng: Random | None = None) -> Explored:
-    """See `most` states at most, the nearest first; with `rng` by drawn walks, which reach deep states first.
+def explore(make: Callable[[], World], max_states: int, rng: Random | None = None) -> Explored:
+    """Visit at most `max_states` states, breadth first; with `rng` depth first in random order.
 
-    Raises Violation with the way that leads to it.
+    Raises Violation with the events that lead to it.
     """
     gc.disable()
     try:
-        return _explore(make(), most, rng)
+        return _explore(make(), max_states, rng)
     finally:
         gc.enable()
 
 
-def _explore(first: World, most: int, rng: Random | None) -> Explored:
-    seen = {hash(first.key())}
-    todo: deque[tuple[bytes, tuple[Event, ...]]] = deque([(pickle.dumps(first, -1), ())])
+def _explore(initial: World, max_states: int, rng: Random | None) -> Explored:
+    seen = {hash(initial.key())}
+    pending: deque[tuple[bytes, tuple[Event, ...]]] = deque([(pickle.dumps(initial, -1), ())])
     steps = 0
-    while todo:
-        packed, way = todo.popleft() if rng is None else todo.pop()
-        events = list(pickle.loads(packed).events())
+    while pending:
+        pickled, path = pending.popleft() if rng is None else pending.pop()
+        events = list(pickle.loads(pickled).events())
         if rng is not None:
             rng.shuffle(events)
         for event in events:
-            world: World = pickle.loads(packed)
+            world: World = pickle.loads(pickled)
             steps += 1
-            if steps % COLLECT_EVERY == 0:
+            if steps % GC_INTERVAL == 0:
                 gc.collect(1)
             try:
                 world.step(event)
-                found = hash(world.key())
-                if found in seen:
+                state_hash = hash(world.key())
+                if state_hash in seen:
                     continue
-                seen.add(found)
-                kept = pickle.dumps(world, -1)
-                if len(seen) % SETTLE_EVERY == 0:
-                    world.settle()
-            except Violation as fault:
-                told = "; ".join(" ".join(part) for part in (*way, event))
-                raise Violation(f"{fault} (by: {told})") from None
-            todo.append((kept, (*way, event)))
-            if len(seen) >= most:
+                seen.add(state_hash)
+                pickled_next = pickle.dumps(world, -1)
+                if len(seen) % RECOVERY_CHECK_INTERVAL == 0:
+                    world.check_recovery()
+            except Violation as violation:
+                path_text = "; ".join(" ".join(event_parts) for event_parts in (*path, event))
+                raise Violation(f"{violation} (by: {path_text})") from None
+            pending.append((pickled_next, (*path, event)))
+            if len(seen) >= max_states:
                 return Explored(len(seen), False)
     return Explored(len(seen), True)
 
 
-def wander(make: Callable[[], World], walks: int, rng: Random, steps: int = 150) -> int:
-    """Walks from the first state, one drawn event after the other, then let all be well; returns the steps made.
+def random_walks(make: Callable[[], World], walks: int, rng: Random, steps: int = 150) -> int:
+    """Take random walks from the initial state and check recovery after each; returns the number of steps.
 
-    No state is kept: deep ones are reached at once. Raises Violation with the way that leads to it.
+    No visited states are stored, so that deep states are reached quickly. Raises Violation with the events that lead
+    to it.
     """
-    made = 0
+    step_count = 0
     for _ in range(walks):
         world = make()
-        way: list[Event] = []
+        path: list[Event] = []
         try:
-            while len(way) < steps and (events := list(world.events())):
-                weights = [ORDINARY.get(event[0], 1) for event in events]
-                way.append(rng.choices(events, weights)[0])
-                world.step(way[-1])
-            made += len(way)
-            world.settle()
-        except Violation as fault:
-            told = "; ".join(" ".join(part) for part in way)
-            raise Violation(f"{fault} (by: {told})") from None
-    return made
+            while len(path) < steps and (events := list(world.events())):
+                weights = [EVENT_WEIGHTS.get(event[0], 1) for event in events]
+                path.append(rng.choices(events, weights)[0])
+                world.step(path[-1])
+            step_count += len(path)
+            world.check_recovery()
+        except Violation as violation:
+            path_text = "; ".join(" ".join(event_parts) for event_parts in path)
+            raise Violation(f"{violation} (by: {path_text})") from None
+    return step_count
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -1,4 +1,4 @@
-"""Drawn histories: operators, readers and proxies over losses (see `losses`), until all is well."""
+"""Random histories: operators, readers and proxies during faults (see `losses`), until the mesh has recovered."""
 
 from __future__ import annotations
 
@@ -6,26 +6,33 @@
 from random import Random
 
 from lugspur.emulator.control.checks import Violation
-from lugspur.emulator.control.losses import Losses
+from lugspur.emulator.control.losses import FaultInjector
 from lugspur.emulator.control.mesh_world import Figures, MeshWorld
-from lugspur.emulator.control.operators import CALLER_WAITS, TRIES, Operators
+from lugspur.emulator.control.operators import CALLER_TIMEOUT_S, MAX_ATTEMPTS, Operators
 from lugspur.emulator.control.register_world import SERVICE
 from lugspur.emulator.control.settings import Setting
 from lugspur.mesh.control.change_requests import Confirmed
 from lugspur.mesh.control.messages import Entry
 from lugspur.mesh.control.quorum import majority
 
-WELL_WITHIN = 20.0  # seconds after the last fault until all has to be well
-FAULT_EVERY = 0.35  # seconds between faults, on average
-READ_EVERY = 0.3
-CLAIM_EVERY = 0.15
-CLAIMS_OPEN = 6  # of one proxy
-KEYS_EACH = 8  # claims for each new key
-REPEAT_PART = 0.4  # of claims are for a key whose operation has run
+# Seconds after the last fault within which the mesh has to recover.
+MAX_RECOVERY_S = 20.0
+# Mean seconds between two faults.
+FAULT_INTERVAL_S = 0.35
+# Mean seconds between two reads.
+READ_INTERVAL_S = 0.3
+# Mean seconds between two reservations.
+RESERVATION_INTERVAL_S = 0.15
+# Maximum number of open reservations of one proxy; with more it starts no other.
+MAX_OPEN_RESERVATIONS = 6
+# Number of reservations after which a new key is introduced.
+RESERVATIONS_PER_KEY = 8
+# Fraction of the reservations that are for a key whose operation has run.
+REPEATED_FRACTION = 0.4
 
 
 class History:
-    """One history, drawn by a seed."""
+    """One random history, which the seed determines."""
 
     def __init__(self, seed: int, setting: Setting) -> None:
         self.rng = Random(seed * 7919 + 1)
@@ -33,118 +40,122 @@
         self.world = MeshWorld(seed, setting)
         self.figures: Figures = self.world.figures
         self.operators = Operators(self.world, setting, self.rng)
-        self.losses = Losses(self.world, setting, self.rng)
-        self.claims = 0
-        self.going_on = True
+        self.faults = FaultInjector(self.world, setting, self.rng)
+        self.reservation_count = 0
+        self.is_running = True
 
-    # ---- the whole -------------------------------------------------------------------------
+    # ---- course of a history ---------------------------------------------------------------
 
     def play(self) -> Figures:
-        """Until all is well; raises Violation."""
+        """Play the history until the mesh has recovered; raises Violation."""
         world = self.world
         self._run(1.0)
-        world.later(0.0, lambda: self.operators.order(SERVICE))
-        for every, what in (
-            (self.setting.order_every, self.operators.draw_order),
-            (READ_EVERY, self._draw_read),
-            (CLAIM_EVERY, self._draw_claim),
-            (FAULT_EVERY, self.losses.draw),
+        world.later(0.0, lambda: self.operators.submit(SERVICE))
+        for interval, action in (
+            (self.setting.mean_request_interval_s, self.operators.send_random_request),
+            (READ_INTERVAL_S, self._send_random_read),
+            (RESERVATION_INTERVAL_S, self._send_random_reservation),
+            (FAULT_INTERVAL_S, self.faults.inject_random_fault),
         ):
-            self._again(every, what)
-        while world.now < self.losses.ends:
-            self._run(self.losses.ends)
-        self.going_on = False
-        self.losses.mend()
-        self._become_well()
-        self._last_words()
-        world.book.check_all()
-        self.figures.changes = world.chain.last
+            self._repeat(interval, action)
+        while world.now < self.faults.ends:
+            self._run(self.faults.ends)
+        self.is_running = False
+        self.faults.end_faults()
+        self._recover()
+        self._check_every_node()
+        world.request_checker.check_history()
+        self.figures.changes = world.decided_states.last_index
         self.figures.epochs = max(node.replica.epoch for node in world.up())
         return self.figures
 
-    def _become_well(self) -> None:
-        world, mended = self.world, self.world.now
-        within = WELL_WITHIN + self.setting.complete_by_time
-        while not self._well():
-            if world.now > mended + within:
-                raise Violation(f"not well {within:g} s after the last fault: {self._state()}")
+    def _recover(self) -> None:
+        world, recovery_started_at = self.world, self.world.now
+        limit_s = MAX_RECOVERY_S + self.setting.complete_by_time
+        while not self._has_recovered():
+            if world.now > recovery_started_at + limit_s:
+                raise Violation(f"not recovered {limit_s:g} s after the last fault: {self._describe_nodes()}")
             self._run(world.now + 0.25)
-        self.figures.well_after = world.now - mended
+        self.figures.well_after = world.now - recovery_started_at
 
     def _run(self, until: float) -> None:
         self.world.clock.run_until(until)
 
-    def _again(self, every: float, what: Callable[[], None]) -> None:
-        def happen() -> None:
-            if self.going_on:
-                what()
-                self.world.later(self.rng.expovariate(1.0 / every), happen)
+    def _repeat(self, interval: float, action: Callable[[], None]) -> None:
+        def run() -> None:
+            if self.is_running:
+                action()
+                self.world.later(self.rng.expovariate(1.0 / interval), run)
 
-        self.world.later(self.rng.expovariate(1.0 / every), happen)
+        self.world.later(self.rng.expovariate(1.0 / interval), run)
 
     # ---- readers and proxies -----------------------------------------------------------------
 
-    def _draw_read(self) -> None:
+    def _send_random_read(self) -> None:
         nodes = self.world.up()
         if nodes:
             self.world.read(self.rng.choice(nodes).ip, lambda latest: None)
 
-    def _draw_claim(self) -> None:
+    def _send_random_reservation(self) -> None:
         world, rng = self.world, self.rng
         proxy = rng.choice(list(world.proxies.values()))
         world.hear(proxy)
         proxy.claims.tick(world.now)
-        if len(proxy.claims) > CLAIMS_OPEN:
+        if len(proxy.claims) > MAX_OPEN_RESERVATIONS:
             return
-        self.claims += 1
-        key = b"k%d" % (self.claims // KEYS_EACH + rng.randrange(3))
-        if world.keys.runs and rng.random() < REPEAT_PART:  # long after, by voters that may all be others by now
-            key = rng.choice(list(world.keys.runs))
-        world.claim(proxy, key, b"a%d" % self.claims)
+        self.reservation_count += 1
+        key = b"k%d" % (self.reservation_count // RESERVATIONS_PER_KEY + rng.randrange(3))
+        if (
+            world.key_checker.runs and rng.random() < REPEATED_FRACTION
+        ):  # often so much later that all voters may have been replaced since
+            key = rng.choice(list(world.key_checker.runs))
+        world.reserve_and_run(proxy, key, b"a%d" % self.reservation_count)
 
     # ---- the end ---------------------------------------------------------------------------
 
-    def _well(self) -> bool:
-        """Whether as many voters as wanted run, a majority of them holds all claims, and all know the same."""
+    def _has_recovered(self) -> bool:
+        """Whether enough voters run, a majority of them has all reservations, and all nodes have the latest state."""
         nodes = list(self.world.nodes.values())
-        if not all(node.up and not node.frozen for node in nodes):
+        if not all(node.is_running and not node.frozen for node in nodes):
             return False
         membership = nodes[0].replica.membership
-        if membership is None or {node.replica.index for node in nodes} != {self.world.chain.last}:
+        if membership is None or {node.replica.index for node in nodes} != {self.world.decided_states.last_index}:
             return False
-        wanted = min(self.setting.tolerance.voter_count, len(nodes))
+        peers_to_connect = min(self.setting.tolerance.voter_count, len(nodes))
         complete = [node for node in nodes if node.replica.is_complete]
-        if len(membership.voters) < wanted or len(complete) < majority(len(membership.voters)):
+        if len(membership.voters) < peers_to_connect or len(complete) < majority(len(membership.voters)):
             return False
         return all(node.age(self.world.now) < 1.0 for node in nodes)
 
-    def _last_words(self) -> None:
-        """Every node takes an order and reads it back."""
+    def _check_every_node(self) -> None:
+        """Check that every node confirms a change request and a read."""
         world = self.world
         for number, ip in enumerate(world.nodes):
-            done: list[object] = []
-            for _ in range(TRIES):
-                world.order(ip, [Entry("notes", "last", number + 1, b"x")], done.append)
-                self._run(world.now + CALLER_WAITS)
-                if any(isinstance(how, Confirmed) for how in done):
+            outcomes: list[object] = []
+            for _ in range(MAX_ATTEMPTS):
+                world.submit_change(ip, [Entry("notes", "last", number + 1, b"x")], outcomes.append)
+                self._run(world.now + CALLER_TIMEOUT_S)
+                if any(isinstance(outcome, Confirmed) for outcome in outcomes):
                     break
             else:
-                raise Violation(f"{ip} confirms nothing in the end: {done}")
+                raise Violation(f"{ip} confirms no request after recovery: {outcomes}")
             read: list[bool] = []
             world.read(ip, read.append)
-            self._run(world.now + CALLER_WAITS)
+            self._run(world.now + CALLER_TIMEOUT_S)
             if read != [True]:
-                raise Violation(f"{ip} reads nothing in the end")
+                raise Violation(f"{ip} confirms no read after recovery")
 
-    def _state(self) -> str:
-        told = []
+    def _describe_nodes(self) -> str:
+        descriptions = []
         for ip, node in self.world.nodes.items():
             replica = node.replica
             voters = [voter.ip for voter in replica.membership.voters] if replica.membership is not None else []
-            told.append(f"{ip} index {replica.index} epoch {replica.epoch} complete {replica.complete_epoch} {voters}")
-        return "; ".join(told)
+            descriptions.append(
+                f"{ip} index {replica.index} epoch {replica.epoch} complete {replica.complete_epoch} {voters}"
+            )
+        return "; ".join(descriptions)
 
 
 def play(seed: int, setting: Setting) -> Figures:
-    """One history; raises Violation."""
+    """Play one history and return its counters; raises Violation."""
     return History(seed, setting).play()
--- a/lugspur/emulator/control/losses.py
+++ b/lugspur/emulator/control/losses.py
@@ -1,8 +1,8 @@
-"""Faults of a drawn history: which machine is lost when, as fast as the settings tolerate, and when it is back.
+"""Faults of a random history: machines are lost as fast as the tolerance allows, and come back.
 
-A machine counts as lost while it is down, frozen or cut off, and for `catch_up_s` after that; one that was replaced
-until its successor has run for so long. No more are lost at once, nor loses one its disk, than `Tolerance` says; power
-may go from all at once, with what was not synced.
+A machine counts as lost while it is down, frozen or cut off, and for `catch_up_s` afterwards. A replaced machine counts
+as lost until its successor has run for that time. `Tolerance` limits how many machines and disks are lost at once. All
+machines may lose power at once, together with their unsynced writes.
 """
 
 from __future__ import annotations
@@ -16,230 +16,240 @@
 from lugspur.emulator.control.settings import Setting
 from lugspur.mesh.control.quorum import majority
 
-QUIET_END = 1.0  # seconds before the end in which nothing more is drawn
-GRACE = 4.8  # seconds that a leaving process has
-AGAIN_PART = 0.3  # of newcomers are killed while they catch up
-WIPED_PART = 0.3  # of those that were away for long come back without their disks
-ABSENT = (20.0, 40.0)  # seconds for which a machine is away that is away for long
-ABSENT_WAYS = ("kill", "freeze", "cut")
-CAUGHT_UP_WITHIN = 4.0  # seconds until one that was away knows what was decided when it came back
+# Seconds before the end of the fault period in which no new fault starts.
+QUIET_END_S = 1.0
+# Seconds within which a leaving process has to stop.
+LEAVE_GRACE_S = 4.8
+# Fraction of the machines with an empty disk, or back after a long absence, that are killed while they catch up.
+KILLED_AGAIN_FRACTION = 0.3
+# Fraction of the machines killed for a long absence that come back without their disk.
+WIPED_FRACTION = 0.3
+# Range of the duration of a long absence, in seconds.
+ABSENCE_S = (20.0, 40.0)
+# Faults that cause a long absence.
+ABSENCE_FAULTS = ("kill", "freeze", "cut")
+# Seconds within which a node that was away learns the changes that were decided before it came back.
+MAX_CATCH_UP_S = 4.0
+# Faults; each one is listed as often as its relative frequency.
 FAULTS = [
     *("kill", "kill", "wipe", "wipe", "replace", "replace", "leave", "leave", "freeze", "cut", "cut", "partial"),
     *("hang up", "hang up", "disk", "slow", "power", "zone"),
 ]
 
 
-class Losses:
-    """All that is done to the machines of one history; `ends`: when the last of it is over."""
+class FaultInjector:
+    """Injects the faults of one history; `ends` is the time at which the last of them is over."""
 
     def __init__(self, world: MeshWorld, setting: Setting, rng: Random) -> None:
         self._world, self._setting, self._rng = world, setting, rng
         self._lost_until: dict[str, float] = {}
-        self.ends = setting.faults_s
-        for number in range(setting.absences):
-            part = setting.faults_s / setting.absences
-            world.later(rng.uniform(1.0, part / 3.0) + number * part, self._draw_absence)
+        self.ends = setting.fault_period_s
+        for number in range(setting.absence_count):
+            absence_period = setting.fault_period_s / setting.absence_count
+            world.later(rng.uniform(1.0, absence_period / 3.0) + number * absence_period, self._start_random_absence)
 
-    # ---- what may be lost ------------------------------------------------------------------
+    # ---- tolerated losses ------------------------------------------------------------------
 
-    def _later(self, delay: float, call: Callable[[], None]) -> None:
-        """Something that belongs to a fault: the last of it is awaited."""
+    def _schedule(self, delay: float, call: Callable[[], None]) -> None:
+        """Schedule a step of a fault, and extend `ends` beyond it."""
         self.ends = max(self.ends, self._world.now + delay + 0.01)
         self._world.later(delay, call)
 
-    def _lost(self) -> set[str]:
+    def _lost_machines(self) -> set[str]:
         return {ip for ip, until in self._lost_until.items() if until > self._world.now}
 
     def _may_lose(self, ip: str) -> bool:
         if self._lost_until.get(ip, 0.0) > self._world.now:
-            return self._setting.hasty and self._register_bears(ip)
-        if len(self._lost()) < self._setting.machines:
+            return self._setting.ignores_tolerance and self._register_tolerates_loss(ip)
+        if len(self._lost_machines()) < self._setting.max_lost_machines:
             return True
-        return self._setting.hasty and self._register_bears(ip)
+        return self._setting.ignores_tolerance and self._register_tolerates_loss(ip)
 
-    def _register_bears(self, ip: str) -> bool:
-        """Whether all machines run, and a majority of the voters beside this one holds the latest state on disk."""
+    def _register_tolerates_loss(self, ip: str) -> bool:
+        """Whether all machines run, and the other voters that have the latest state on disk are a majority."""
         world = self._world
         nodes = list(world.nodes.values())
-        if world.cuts or not all(node.up and not node.frozen and not node.disk_fails for node in nodes):
+        if world.blocked_directions or not all(
+            node.is_running and not node.frozen and not node.disk_fails for node in nodes
+        ):
             return False
-        if any(node.leaving for node in nodes):  # it may be replaced, or lose its power, at any moment
+        if any(node.leaving for node in nodes):  # a leaving node may be replaced or lose its power at any moment
             return False
-        latest = [node for node in nodes if node.replica.index == world.chain.last and not node.unsynced]
+        latest = [node for node in nodes if node.replica.index == world.decided_states.last_index and not node.unsynced]
         membership = next((node.replica.membership for node in latest), None)
         if membership is None:
             return False
-        holding = {(node.ip, node.replica.voter.uid) for node in latest if node.ip != ip}
+        holders = {(node.ip, node.replica.voter.uid) for node in latest if node.ip != ip}
         voters = [(voter.ip, voter.uid) for voter in membership.voters]
-        return len(holding.intersection(voters)) >= majority(len(voters))
+        return len(holders.intersection(voters)) >= majority(len(voters))
 
-    def _lose(self, ip: str, back: float) -> None:
-        """It counts as lost until it has been back for a while."""
-        self._lost_until[ip] = max(self._lost_until.get(ip, 0.0), self._world.now + back + CATCH_UP_S)
+    def _mark_lost(self, ip: str, back_in: float) -> None:
+        """Count a machine that is back in `back_in` seconds as lost until `catch_up_s` later."""
+        self._lost_until[ip] = max(self._lost_until.get(ip, 0.0), self._world.now + back_in + CATCH_UP_S)
 
-    # ---- what happens ----------------------------------------------------------------------
+    # ---- selection of faults ---------------------------------------------------------------
 
-    def draw(self) -> None:
-        """One fault, if it may be."""
+    def inject_random_fault(self) -> None:
+        """Inject a random fault if the tolerance allows it."""
         rng, world = self._rng, self._world
-        if world.now > self._setting.faults_s - QUIET_END:
+        if world.now > self._setting.fault_period_s - QUIET_END_S:
             return
         nodes = [node.ip for node in world.up()]
         if not nodes:
             return
-        name = rng.choice(FAULTS)
-        if self._bring_about(name, rng.choice(nodes), nodes):
-            world.figures.faults[name] = world.figures.faults.get(name, 0) + 1
-
-    def _bring_about(self, name: str, ip: str, nodes: list[str]) -> bool:
-        """Whether it may be."""
-        if name == "hang up":
-            return self._hang_up()
-        if name == "slow":
-            return self._slow(ip)
-        if name == "power":
-            return self._power(nodes)
-        if name == "zone":
-            return self._zone(self._world.nodes[ip].zone)
+        fault = rng.choice(FAULTS)
+        if self._inject(fault, rng.choice(nodes), nodes):
+            world.figures.faults[fault] = world.figures.faults.get(fault, 0) + 1
+
+    def _inject(self, fault: str, ip: str, nodes: list[str]) -> bool:
+        """Inject a fault unless the tolerance forbids it; return whether it was injected."""
+        if fault == "hang up":
+            return self._disconnect()
+        if fault == "slow":
+            return self._slow_disk(ip)
+        if fault == "power":
+            return self._lose_power(nodes)
+        if fault == "zone":
+            return self._lose_zone(self._world.nodes[ip].zone)
         if not self._may_lose(ip):
             return False
-        losses: dict[str, Callable[[str], None]] = {
+        handlers: dict[str, Callable[[str], None]] = {
             "kill": self._kill,
             "wipe": self._wipe,
             "replace": self._replace,
             "leave": self._leave,
             "freeze": self._freeze,
-            "cut": self._cut,
-            "partial": self._partial,
-            "disk": self._disk,
+            "cut": self._isolate,
+            "partial": self._isolate_partially,
+            "disk": self._fail_disk,
         }
-        losses[name](ip)
+        handlers[fault](ip)
         return True
 
-    def mend(self) -> None:
-        """All machines run, and reach each other."""
+    def end_faults(self) -> None:
+        """End all faults: all machines run and reach each other."""
         world = self._world
-        world.heal(set(world.cuts))
-        world.slow.clear()
+        world.unblock(set(world.blocked_directions))
+        world.slow_disks.clear()
         for ip, node in list(world.nodes.items()):
-            self._disk_is_well(ip)
-            if node.up and node.frozen:
-                world.wake(ip)
-            elif not node.up:
+            self._recover_disk(ip)
+            if node.is_running and node.frozen:
+                world.resume(ip)
+            elif not node.is_running:
                 world.start(ip)
 
-    # ---- faults that cost no machine ---------------------------------------------------------
+    # ---- connections, slow disks, power ------------------------------------------------------
 
-    def _hang_up(self) -> bool:
+    def _disconnect(self) -> bool:
         world, rng = self._world, self._rng
-        pairs = [pair for pair, connection in world.connections.items() if connection.up and pair[0] in world.nodes]
+        pairs = [pair for pair, connection in world.connections.items() if connection.is_up and pair[0] in world.nodes]
         for pair in rng.sample(pairs, min(len(pairs), rng.randint(1, 4))):
-            world.hang_up(*pair)
+            world.disconnect(*pair)
         return True
 
-    def _slow(self, ip: str) -> bool:
-        self._world.slow.add(ip)
-        self._later(self._rng.uniform(0.5, 3.0), lambda: self._world.slow.discard(ip))
+    def _slow_disk(self, ip: str) -> bool:
+        self._world.slow_disks.add(ip)
+        self._schedule(self._rng.uniform(0.5, 3.0), lambda: self._world.slow_disks.discard(ip))
         return True
 
-    def _power(self, nodes: list[str]) -> bool:
-        """Power goes from several at once, with what was not synced."""
+    def _lose_power(self, nodes: list[str]) -> bool:
+        """Take the power from several machines at once, together with their unsynced writes."""
         if self._rng.random() < 0.5:
             return False
         for ip in self._rng.sample(nodes, self._rng.randint(1, len(nodes))):
             self._kill(ip, 2.0)
         return True
 
-    # ---- machines that go and come back ------------------------------------------------------
+    # ---- machines that stop and come back ----------------------------------------------------
 
-    def _kill(self, ip: str, most: float = 6.0) -> None:
-        self._down(ip, self._rng.uniform(0.1, most))
+    def _kill(self, ip: str, max_duration: float = 6.0) -> None:
+        self._stop_for(ip, self._rng.uniform(0.1, max_duration))
 
-    def _down(self, ip: str, span: float) -> None:
-        self._lose(ip, span)
+    def _stop_for(self, ip: str, duration: float) -> None:
+        self._mark_lost(ip, duration)
         self._world.stop(ip)
-        self._later(span, lambda: self._world.start(ip))
+        self._schedule(duration, lambda: self._world.start(ip))
 
     def _wipe(self, ip: str) -> None:
-        span = self._rng.uniform(0.1, 3.0)
-        self._down(ip, span)
+        duration = self._rng.uniform(0.1, 3.0)
+        self._stop_for(ip, duration)
         self._world.nodes[ip].wipe()
-        if self._rng.random() < AGAIN_PART:
-            self._kill_again(ip, span)
+        if self._rng.random() < KILLED_AGAIN_FRACTION:
+            self._kill_again(ip, duration)
 
-    def _kill_again(self, ip: str, back: float) -> None:
-        """It is killed once more, while it catches up."""
-        again = back + self._rng.uniform(0.05, 1.5)
-        self._lose(ip, again + 0.3)
-        self._later(again, lambda: self._blink(ip))
+    def _kill_again(self, ip: str, back_in: float) -> None:
+        """Stop a machine for a moment once more while it catches up; `back_in` is the seconds until it is back."""
+        second_stop_in = back_in + self._rng.uniform(0.05, 1.5)
+        self._mark_lost(ip, second_stop_in + 0.3)
+        self._schedule(second_stop_in, lambda: self._restart(ip))
 
-    def _blink(self, ip: str) -> None:
+    def _restart(self, ip: str) -> None:
         if ip in self._world.nodes:
             self._world.stop(ip)
-            self._later(0.3, lambda: self._world.start(ip))
+            self._schedule(0.3, lambda: self._world.start(ip))
 
     def _replace(self, ip: str) -> None:
-        """Another machine at another address takes its place, with an empty disk."""
+        """Replace a machine by one with another address and an empty disk."""
         world = self._world
-        back = self._rng.uniform(0.2, 3.0)
+        back_in = self._rng.uniform(0.2, 3.0)
         world.stop(ip)
-        gone = world.nodes.pop(ip)
-        fresh = world.add_node(gone.zone)
-        world.seeds = [fresh.ip if seed == ip else seed for seed in world.seeds]
+        old_node = world.nodes.pop(ip)
+        new_node = world.add_node(old_node.zone)
+        world.seeds = [new_node.ip if seed == ip else seed for seed in world.seeds]
         self._lost_until.pop(ip, None)
-        self._lose(fresh.ip, back)
-        self._later(back, lambda: world.start(fresh.ip))
-        world.later(back, world.looker(fresh.ip))
-        if self._rng.random() < AGAIN_PART:
-            self._kill_again(fresh.ip, back)
+        self._mark_lost(new_node.ip, back_in)
+        self._schedule(back_in, lambda: world.start(new_node.ip))
+        world.later(back_in, world.ticker(new_node.ip))
+        if self._rng.random() < KILLED_AGAIN_FRACTION:
+            self._kill_again(new_node.ip, back_in)
 
     def _leave(self, ip: str) -> None:
-        """It is told to end: it hands its vote on, and may be killed in the middle; then it or another comes."""
+        """Have a process leave: it hands on its vote or is killed meanwhile, then it restarts or is replaced."""
         world, node = self._world, self._world.nodes[ip]
         node.leaving = True
-        lives, until = node.lives, world.now + GRACE
+        incarnation_number, until = node.incarnation_number, world.now + LEAVE_GRACE_S
         killed = world.now + self._rng.uniform(0.05, 2.0) if self._rng.random() < 0.4 else until
         self._lost_until[ip] = float("inf")
 
-        def look() -> None:
-            if world.nodes.get(ip) is not node or not node.up or node.lives != lives:
-                self._lost_until[ip] = world.now + CATCH_UP_S  # its power was lost meanwhile
+        def check_progress() -> None:
+            if world.nodes.get(ip) is not node or not node.is_running or node.incarnation_number != incarnation_number:
+                self._lost_until[ip] = world.now + CATCH_UP_S  # it lost its power in the meantime
                 return
-            if world.now < min(until, killed) and not node.handed_on():
-                self._later(0.1, look)
+            if world.now < min(until, killed) and not node.may_stop():
+                self._schedule(0.1, check_progress)
                 return
             self._lost_until.pop(ip)
             if self._rng.random() < 0.5:
                 self._replace(ip)
             else:
-                self._down(ip, 0.5)
+                self._stop_for(ip, 0.5)
 
-        self._later(0.1, look)
+        self._schedule(0.1, check_progress)
 
     def _freeze(self, ip: str) -> None:
-        self._stand_still(ip, self._rng.uniform(0.2, 8.0))
+        self._freeze_for(ip, self._rng.uniform(0.2, 8.0))
 
-    def _stand_still(self, ip: str, span: float) -> None:
-        self._lose(ip, span)
+    def _freeze_for(self, ip: str, duration: float) -> None:
+        self._mark_lost(ip, duration)
         self._world.freeze(ip)
-        self._later(span, lambda: self._world.wake(ip))
+        self._schedule(duration, lambda: self._world.resume(ip))
 
-    def _disk(self, ip: str) -> None:
-        span = self._rng.uniform(0.3, 4.0)
-        self._lose(ip, span)
+    def _fail_disk(self, ip: str) -> None:
+        duration = self._rng.uniform(0.3, 4.0)
+        self._mark_lost(ip, duration)
         self._world.nodes[ip].disk_fails = True
-        self._later(span, lambda: self._disk_is_well(ip))
+        self._schedule(duration, lambda: self._recover_disk(ip))
 
-    def _disk_is_well(self, ip: str) -> None:
+    def _recover_disk(self, ip: str) -> None:
         node = self._world.nodes.get(ip)
         if node is not None:
             node.disk_fails = False
-            if node.up and not node.frozen:
+            if node.is_running and not node.frozen:
                 node.sync()
 
-    def _zone(self, zone: str) -> bool:
-        """A zone is lost, with its disks."""
-        if not self._setting.zones or self._lost():
+    def _lose_zone(self, zone: str) -> bool:
+        """Lose all machines of a zone, each with its disk or without it."""
+        if not self._setting.max_lost_zones or self._lost_machines():
             return False
         for ip in [ip for ip, node in self._world.nodes.items() if node.zone == zone]:
             if self._rng.random() < 0.5:
@@ -248,76 +258,89 @@
                 self._kill(ip)
         return True
 
-    # ---- machines that are cut off -----------------------------------------------------------
+    # ---- isolated machines -------------------------------------------------------------------
 
     def _others(self, ip: str) -> list[str]:
         return [other for other in (*self._world.nodes, *self._world.proxies) if other != ip]
 
-    def _cut(self, ip: str) -> None:
-        self._cut_from(ip, self._others(ip), self._rng.uniform(0.3, 7.0))
+    def _isolate(self, ip: str) -> None:
+        self._block(ip, self._others(ip), self._rng.uniform(0.3, 7.0))
 
-    def _partial(self, ip: str) -> None:
+    def _isolate_partially(self, ip: str) -> None:
         others = self._others(ip)
-        some = self._rng.sample(others, self._rng.randint(1, len(others)))
-        self._cut_from(ip, some, self._rng.uniform(0.3, 7.0))
+        peers = self._rng.sample(others, self._rng.randint(1, len(others)))
+        self._block(ip, peers, self._rng.uniform(0.3, 7.0))
 
-    def _cut_from(self, ip: str, others: list[str], span: float) -> None:
+    def _block(self, ip: str, others: list[str], duration: float) -> None:
         world = self._world
-        way = self._rng.choice(("both", "in", "out"))
-        cuts = {(ip, other) for other in others if way != "in"} | {(other, ip) for other in others if way != "out"}
-        self._lose(ip, span)
-        world.cuts |= cuts
+        direction = self._rng.choice(("both", "in", "out"))
+        blocked_directions = {(ip, other) for other in others if direction != "in"} | {
+            (other, ip) for other in others if direction != "out"
+        }
+        self._mark_lost(ip, duration)
+        world.blocked_directions |= blocked_directions
         if self._rng.random() < 0.5:
-            world.hang_up_all(ip)
-        self._later(span, lambda: world.heal(cuts))
+            world.disconnect_all(ip)
+        self._schedule(duration, lambda: world.unblock(blocked_directions))
 
-    # ---- machines that are away for long -----------------------------------------------------
+    # ---- long absences -----------------------------------------------------------------------
 
-    def _draw_absence(self) -> None:
-        """One machine is away while hundreds of changes are made."""
+    def _start_random_absence(self) -> None:
+        """Make a random machine absent while hundreds of changes are made."""
         world, rng = self._world, self._rng
-        able = [node.ip for node in world.up() if self._may_lose(node.ip)]
-        if not able:
-            if world.now < self._setting.faults_s:
-                self._later(0.2, self._draw_absence)
+        candidates = [node.ip for node in world.up() if self._may_lose(node.ip)]
+        if not candidates:
+            if world.now < self._setting.fault_period_s:
+                self._schedule(0.2, self._start_random_absence)
             return
-        ip = rng.choice(able)
-        span = rng.uniform(*ABSENT)
-        way = rng.choice(ABSENT_WAYS)
-        if way == "kill":
-            self._down(ip, span)
-            if rng.random() < WIPED_PART:
+        ip = rng.choice(candidates)
+        duration = rng.uniform(*ABSENCE_S)
+        kind = rng.choice(ABSENCE_FAULTS)
+        if kind == "kill":
+            self._stop_for(ip, duration)
+            if rng.random() < WIPED_FRACTION:
                 world.nodes[ip].wipe()
-        elif way == "freeze":
-            self._stand_still(ip, span)
+        elif kind == "freeze":
+            self._freeze_for(ip, duration)
         else:
-            self._cut_from(ip, self._others(ip), span)
+            self._block(ip, self._others(ip), duration)
         node = world.nodes[ip]
-        if rng.random() < AGAIN_PART:
-            self._kill_again(ip, span)
+        if rng.random() < KILLED_AGAIN_FRACTION:
+            self._kill_again(ip, duration)
         else:
-            self._later(span, lambda: self._back(node))
-        name = f"away, {way}"
+            self._schedule(duration, lambda: self._check_catch_up(node))
+        name = f"away, {kind}"
         world.figures.faults[name] = world.figures.faults.get(name, 0) + 1
 
-    def _back(self, node: MeshNode) -> None:
-        """It is back, and knows within a bounded time what was decided while it was away."""
+    def _check_catch_up(self, node: MeshNode) -> None:
+        """Check that a node which is back learns within a bounded time what was decided while it was away."""
         world = self._world
-        if world.nodes.get(node.ip) is not node or not node.up:
+        if world.nodes.get(node.ip) is not node or not node.is_running:
             return
-        lives, upto, began = node.lives, world.chain.last, world.now
-        missed = upto - node.replica.index
-
-        def look() -> None:
-            if world.nodes.get(node.ip) is not node or not node.up or node.lives != lives or node.frozen:
+        incarnation_number, target_index, returned_at = (
+            node.incarnation_number,
+            world.decided_states.last_index,
+            world.now,
+        )
+        missed = target_index - node.replica.index
+
+        def check_progress() -> None:
+            if (
+                world.nodes.get(node.ip) is not node
+                or not node.is_running
+                or node.incarnation_number != incarnation_number
+                or node.frozen
+            ):
                 return
-            taken = world.now - began
-            if node.replica.index < upto:
-                if taken > CAUGHT_UP_WITHIN and world.quorum_up(CAUGHT_UP_WITHIN):
-                    raise Violation(f"{node.ip} was away for {missed} changes and lacks some after {taken:.1f} s")
-                self._later(0.05, look)
+            elapsed = world.now - returned_at
+            if node.replica.index < target_index:
+                if elapsed > MAX_CATCH_UP_S and world.has_recent_quorum(MAX_CATCH_UP_S):
+                    raise Violation(
+                        f"{node.ip} missed {missed} changes while it was away and lacks some after {elapsed:.1f} s"
+                    )
+                self._schedule(0.05, check_progress)
                 return
             world.figures.missed = max(world.figures.missed, missed)
-            world.figures.caught_up_after = max(world.figures.caught_up_after, taken)
+            world.figures.caught_up_after = max(world.figures.caught_up_after, elapsed)
 
-        look()
+        check_progress()
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -1,4 +1,4 @@
-"""A mesh in virtual time: control nodes, their connections and disks, operators' calls, and proxies that claim keys."""
+"""A mesh in virtual time: control nodes, connections, disks, operators' calls, and proxies that reserve keys."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from random import Random
 
 from lugspur.emulator.clock import Clock
-from lugspur.emulator.control.checks import Chain, KeyBook, OrderBook, Violation
+from lugspur.emulator.control.checks import ChangeRequestChecker, DecidedStates, KeyRunChecker, Violation
 from lugspur.emulator.control.mesh_node import MeshNode
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.emulator.control.settings import Setting
@@ -32,25 +32,32 @@
 from lugspur.mesh.control.reservation_client import Acquired, ReservationClient, ReservationOutcome
 from lugspur.mesh.process import TICK_SECONDS
 
-LATENCY = (0.0005, 0.004)  # seconds from process to process
-SYNC = (0.001, 0.008)  # seconds of a write
-SLOW_SYNC = (0.05, 0.3)  # of a disk that is slow for a while
-LAZY = 0.1  # seconds that rows wait that nobody waits for
-SEEDS = 3
-FRESH_SLACK = 0.35  # seconds by which a first message may be taken for younger than it is, and a ping more
+# Range of the network latency between two processes, in seconds.
+LATENCY_S = (0.0005, 0.004)
+# Range of the duration of a disk sync, in seconds.
+SYNC_S = (0.001, 0.008)
+# Range of the duration of a disk sync while a disk is slow, in seconds.
+SLOW_SYNC_S = (0.05, 0.3)
+# Additional delay of a sync while no message waits for it, in seconds.
+LAZY_SYNC_DELAY_S = 0.1
+# Number of nodes that are the first voters and the seed addresses.
+SEED_COUNT = 3
+# Tolerance of the freshness check, in seconds. It covers a first message that is taken for younger than it is, and one
+# heartbeat interval.
+FRESHNESS_TOLERANCE_S = 0.35
 
 
 @dataclass(slots=True)
 class Connection:
-    """What one has dialled; what is on its way of an older generation is lost."""
+    """The connection from one process to another; messages in flight of an older generation are lost."""
 
-    up: bool = False
+    is_up: bool = False
     generation: int = 0
 
 
 @dataclass(slots=True)
 class Proxy:
-    """One that claims keys; it hears of memberships now and then."""
+    """A proxy that reserves keys and learns of memberships from time to time."""
 
     name: str
     claims: ReservationClient
@@ -59,7 +66,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What happened in a history."""
+    """Counters of what happened in a history."""
 
     confirmed: int = 0
     refused: int = 0
@@ -72,41 +79,42 @@
     messages: int = 0
     learn_bytes: int = 0
     faults: dict[str, int] = field(default_factory=dict)
-    well_after: float = 0.0  # seconds from the end of the last fault until all was well
-    missed: int = 0  # changes that one missed that was away for long, at most
-    caught_up_after: float = 0.0  # seconds until it knew them
+    well_after: float = 0.0  # seconds from the end of the last fault until the mesh had recovered
+    missed: int = 0  # most changes that a node missed while it was away for a long time
+    caught_up_after: float = 0.0  # most seconds until such a node had learned them
 
 
 class MeshWorld:
-    """So many control nodes over three zones, and so many proxies."""
+    """The control nodes of a setting, in three zones, and proxies."""
 
     def __init__(self, seed: int, setting: Setting, proxies: int = 3) -> None:
         self.rng = Random(seed)
         self.clock = Clock()
         self.setting = setting
         self.figures = Figures()
-        self.chain = Chain()
-        self.book = OrderBook(self.chain)
-        self.keys = KeyBook(setting.window_s, not setting.hasty)
-        self.floors: list[tuple[float, int]] = [(0.0, 0)]  # when somebody was told that a change is in force
+        self.decided_states = DecidedStates()
+        self.request_checker = ChangeRequestChecker(self.decided_states)
+        self.key_checker = KeyRunChecker(setting.deduplication_window_s, not setting.ignores_tolerance)
+        # Time at which a caller first learned that an index is in force, and that index.
+        self.confirmed_indexes: list[tuple[float, int]] = [(0.0, 0)]
         self.nodes: dict[str, MeshNode] = {}
         self.connections: dict[tuple[str, str], Connection] = {}
-        self.cuts: set[tuple[str, str]] = set()  # source and target: one direction each
-        self.slow: set[str] = set()
-        self._held: dict[Wire, list[tuple[int, Message]]] = {}
-        self._latest: dict[Wire, float] = {}
+        self.blocked_directions: set[tuple[str, str]] = set()  # source and target of each of them
+        self.slow_disks: set[str] = set()
+        self._delayed: dict[Wire, list[tuple[int, Message]]] = {}
+        self._last_arrival: dict[Wire, float] = {}
         self._syncs: set[str] = set()
         self._addresses = 0
         for n in range(setting.nodes):
             self.add_node(f"z{n % 3}")
-        self.seeds = list(self.nodes)[:SEEDS]
+        self.seeds = list(self.nodes)[:SEED_COUNT]
         genesis = [Voter(ip, GENESIS, "") for ip in self.seeds]
         for ip, node in self.nodes.items():
             node.start(self.now, genesis if ip in self.seeds else ())
-        self.chain.observe("first", self.nodes[self.seeds[0]].replica.register)
-        self.proxies = {f"p{n}": Proxy(f"p{n}", self._claims(f"p{n}")) for n in range(proxies)}
+        self.decided_states.record("first", self.nodes[self.seeds[0]].replica.register)
+        self.proxies = {f"p{n}": Proxy(f"p{n}", self._reservation_client(f"p{n}")) for n in range(proxies)}
         for ip in self.nodes:
-            self.later(self.rng.random() * TICK_SECONDS, self.looker(ip))
+            self.later(self.rng.random() * TICK_SECONDS, self.ticker(ip))
 
     @property
     def now(self) -> float:
@@ -114,83 +122,89 @@
         return self.clock.now
 
     def later(self, delay: float, call: Callable[[], None]) -> None:
-        """Have something happen after a while."""
+        """Call a function after a delay in seconds."""
         self.clock.at(self.clock.now + delay, call)
 
     def add_node(self, zone: str) -> MeshNode:
-        """Another machine with an empty disk, which does not run yet."""
+        """Add a machine with an empty disk, which isn't running yet."""
         self._addresses += 1
         ip = f"10.0.0.{self._addresses:02d}"
-        node = self.nodes[ip] = MeshNode(self, ip, zone, self.setting.tolerance, self.setting.window_s)
+        node = self.nodes[ip] = MeshNode(self, ip, zone, self.setting.tolerance, self.setting.deduplication_window_s)
         return node
 
-    def looker(self, ip: str) -> Callable[[], None]:
-        """What a node looks at again and again."""
+    def ticker(self, ip: str) -> Callable[[], None]:
+        """Return the function that runs a node's periodic work and schedules itself again."""
 
-        def look() -> None:
+        def tick() -> None:
             node = self.nodes.get(ip)
             if node is None:
                 return
-            if node.up and not node.frozen:
-                node.look()
+            if node.is_running and not node.frozen:
+                node.tick()
                 self._check_age(node)
-            self.later(TICK_SECONDS, look)
+            self.later(TICK_SECONDS, tick)
 
-        return look
+        return tick
 
     def _check_age(self, node: MeshNode) -> None:
-        """What was confirmed before a node's state was known as fresh is known to it."""
-        before = self.now - node.age(self.now) - FRESH_SLACK
-        place = bisect_right(self.floors, (before, 1 << 60)) - 1
-        if place >= 0 and self.floors[place][1] > node.replica.index:
+        """Check that a node knows all changes that were confirmed before the time up to which it calls itself fresh."""
+        fresh_at = self.now - node.age(self.now) - FRESHNESS_TOLERANCE_S
+        position = bisect_right(self.confirmed_indexes, (fresh_at, 1 << 60)) - 1
+        if position >= 0 and self.confirmed_indexes[position][1] > node.replica.index:
             raise Violation(
-                f"{node.ip} goes by change {node.replica.index} as fresh, {self.floors[place]} was confirmed"
+                f"{node.ip} treats index {node.replica.index} as fresh, "
+                f"{self.confirmed_indexes[position]} was confirmed"
             )
 
     # ---- connections -------------------------------------------------------------------------
 
-    def connected(self, ip: str, other: str) -> bool:
+    def is_connected(self, ip: str, other: str) -> bool:
         """Whether the connection that the first has dialled is up."""
         connection = self.connections.get((ip, other))
-        return connection is not None and connection.up
+        return connection is not None and connection.is_up
 
     def dial(self, ip: str, other: str) -> None:
-        """Connect where both run and nothing is cut."""
+        """Connect if the other node runs and neither direction is blocked."""
         node = self.nodes.get(other)
-        if node is None or not node.up or (ip, other) in self.cuts or (other, ip) in self.cuts:
+        if (
+            node is None
+            or not node.is_running
+            or (ip, other) in self.blocked_directions
+            or (other, ip) in self.blocked_directions
+        ):
             return
-        self.connections.setdefault((ip, other), Connection()).up = True
-        self.nodes[ip].went_up(other)
+        self.connections.setdefault((ip, other), Connection()).is_up = True
+        self.nodes[ip].connection_opened(other)
 
-    def hang_up(self, dialler: str, listener: str) -> None:
-        """A connection ends, and what is on its way with it."""
+    def disconnect(self, dialler: str, listener: str) -> None:
+        """End a connection and drop its messages in flight."""
         connection = self.connections.setdefault((dialler, listener), Connection())
-        was_up, connection.up = connection.up, False
+        was_up, connection.is_up = connection.is_up, False
         connection.generation += 1
         for wire in (Wire(dialler, listener, dialler), Wire(listener, dialler, dialler)):
-            self._held.pop(wire, None)
-            self._latest.pop(wire, None)
-        first, second = self.nodes.get(dialler), self.nodes.get(listener)
-        if was_up and first is not None and first.up:
-            self._hear(first, lambda: first.went_down(listener))
-        if was_up and second is not None and second.up:
-            self._hear(second, lambda: second.was_left(dialler))
+            self._delayed.pop(wire, None)
+            self._last_arrival.pop(wire, None)
+        dialling_node, listening_node = self.nodes.get(dialler), self.nodes.get(listener)
+        if was_up and dialling_node is not None and dialling_node.is_running:
+            self._run_or_defer(dialling_node, lambda: dialling_node.connection_closed(listener))
+        if was_up and listening_node is not None and listening_node.is_running:
+            self._run_or_defer(listening_node, lambda: listening_node.subscriber_disconnected(dialler))
 
     @staticmethod
-    def _hear(node: MeshNode, what: Callable[[], None]) -> None:
-        """At once, or behind all that has come while it is frozen."""
+    def _run_or_defer(node: MeshNode, action: Callable[[], None]) -> None:
+        """Run an action of a node, or defer it behind the earlier ones while the node is frozen."""
         if node.frozen:
-            node.arrived.append(what)
+            node.deferred.append(action)
         else:
-            what()
+            action()
 
-    def hang_up_all(self, ip: str) -> None:
-        """All connections of a node end."""
+    def disconnect_all(self, ip: str) -> None:
+        """End all connections of a node."""
         for pair in [pair for pair in self.connections if ip in pair]:
-            self.hang_up(*pair)
+            self.disconnect(*pair)
 
     def post(self, wire: Wire, message: Message) -> None:
-        """Put a message on its way."""
+        """Send a message."""
         self.figures.messages += 1
         other = wire.target if wire.dialled_by == wire.source else wire.source
         pair = (wire.dialled_by, other)
@@ -200,195 +214,195 @@
         connection = self.connections.get(pair)
         if connection is None and wire.dialled_by in self.proxies:
             connection = self.connections[pair] = Connection(True)
-        if connection is None or not connection.up:
+        if connection is None or not connection.is_up:
             return
         if isinstance(message, Learn):
             self.figures.learn_bytes += len(encode(message))
         generation = connection.generation
-        at = max(self._latest.get(wire, 0.0) + 1e-6, self.now + self.rng.uniform(*LATENCY))
-        self._latest[wire] = at
+        at = max(self._last_arrival.get(wire, 0.0) + 1e-6, self.now + self.rng.uniform(*LATENCY_S))
+        self._last_arrival[wire] = at
         self.clock.at(at, lambda: self._arrive(wire, generation, message))
 
     def _arrive(self, wire: Wire, generation: int, message: Message) -> None:
         other = wire.target if wire.dialled_by == wire.source else wire.source
         if self.connections[wire.dialled_by, other].generation != generation:
             return
-        if (wire.source, wire.target) in self.cuts or wire in self._held:
-            self._held.setdefault(wire, []).append((generation, message))
+        if (wire.source, wire.target) in self.blocked_directions or wire in self._delayed:
+            self._delayed.setdefault(wire, []).append((generation, message))
         else:
             self._deliver(wire, message)
 
     def _deliver(self, wire: Wire, message: Message) -> None:
-        if isinstance(message, ReservationsPage) and not self.setting.claims_heard:
+        if isinstance(message, ReservationsPage) and not self.setting.delivers_reservation_pages:
             return
         node = self.nodes.get(wire.target)
         if node is None:
             proxy = self.proxies.get(wire.target)
             if proxy is not None and isinstance(message, ReserveKeyReply):
                 proxy.claims.receive(self.now, wire.source, message)
-        elif node.up and node.frozen:
-            node.arrived.append(lambda: self._heard(node, wire, message))
-        elif node.up:
-            self._heard(node, wire, message)
+        elif node.is_running and node.frozen:
+            node.deferred.append(lambda: self._receive(node, wire, message))
+        elif node.is_running:
+            self._receive(node, wire, message)
 
-    def _heard(self, node: MeshNode, wire: Wire, message: Message) -> None:
-        node.heard(self.now, wire, message)
+    def _receive(self, node: MeshNode, wire: Wire, message: Message) -> None:
+        node.receive(self.now, wire, message)
         if isinstance(message, Delta):
             self._check_age(node)
 
-    def heal(self, cuts: set[tuple[str, str]]) -> None:
-        """Directions are open again: what was held up goes on, in its order."""
-        self.cuts -= cuts
-        for wire in [wire for wire in self._held if (wire.source, wire.target) in cuts]:
-            for generation, message in self._held.pop(wire):
-                self._latest[wire] = at = max(self._latest.get(wire, 0.0) + 1e-6, self.now + LATENCY[0])
+    def unblock(self, blocked_directions: set[tuple[str, str]]) -> None:
+        """Unblock directions; delayed messages are delivered in order."""
+        self.blocked_directions -= blocked_directions
+        for wire in [wire for wire in self._delayed if (wire.source, wire.target) in blocked_directions]:
+            for generation, message in self._delayed.pop(wire):
+                self._last_arrival[wire] = at = max(self._last_arrival.get(wire, 0.0) + 1e-6, self.now + LATENCY_S[0])
                 self.clock.at(at, lambda w=wire, g=generation, m=message: self._arrive(w, g, m))  # type: ignore[misc]
 
     # ---- processes ---------------------------------------------------------------------------
 
-    def to_sync(self, node: MeshNode, prompt: bool) -> None:
-        """Write soon; one write at a time."""
-        if node.ip in self._syncs and not prompt:
+    def schedule_sync(self, node: MeshNode, is_urgent: bool) -> None:
+        """Schedule a disk sync, unless one is scheduled already and no message waits for the new one."""
+        if node.ip in self._syncs and not is_urgent:
             return
         self._syncs.add(node.ip)
-        lives = node.lives
-        span = SLOW_SYNC if node.ip in self.slow else SYNC
+        incarnation_number = node.incarnation_number
+        span = SLOW_SYNC_S if node.ip in self.slow_disks else SYNC_S
 
         def sync() -> None:
             self._syncs.discard(node.ip)
-            if node.up and node.lives == lives and not node.frozen:
+            if node.is_running and node.incarnation_number == incarnation_number and not node.frozen:
                 node.sync()
 
-        self.later(self.rng.uniform(*span) + (0.0 if prompt else LAZY), sync)
+        self.later(self.rng.uniform(*span) + (0.0 if is_urgent else LAZY_SYNC_DELAY_S), sync)
 
     def stop(self, ip: str) -> None:
-        """A node loses its power."""
+        """Stop a node as after a power loss."""
         node = self.nodes[ip]
-        if node.up:
+        if node.is_running:
             node.stop()
-            self.hang_up_all(ip)
+            self.disconnect_all(ip)
             for name in self.proxies:
                 self.connections[name, ip] = Connection(
                     True, self.connections.get((name, ip), Connection()).generation + 1
                 )
 
     def start(self, ip: str) -> None:
-        """A node's process starts on its disk."""
+        """Start a node's process on its disk."""
         node = self.nodes.get(ip)
-        if node is None or node.up:
+        if node is None or node.is_running:
             return
         node.start(self.now)
         for proxy in self.proxies.values():
             proxy.claims.voter_connected(self.now, ip)
 
     def freeze(self, ip: str) -> None:
-        """A node stands still; what comes waits."""
+        """Pause a node; messages that arrive are deferred."""
         self.nodes[ip].frozen = True
 
-    def wake(self, ip: str) -> None:
-        """It goes on, and hears what has come."""
+    def resume(self, ip: str) -> None:
+        """Resume a frozen node and handle the deferred messages."""
         node = self.nodes.get(ip)
-        if node is None or not node.up or not node.frozen:
+        if node is None or not node.is_running or not node.frozen:
             return
         node.frozen = False
-        arrived, node.arrived = node.arrived, []
+        deferred, node.deferred = node.deferred, []
         node.sync()
-        for hear in arrived:
-            if node.up:
-                hear()
+        for action in deferred:
+            if node.is_running:
+                action()
 
-    # ---- what is seen ------------------------------------------------------------------------
+    # ---- checks and calls --------------------------------------------------------------------
 
     def observe(self, node: Node) -> None:
-        """A node has learned of a change."""
-        self.chain.observe(node.ip, node.replica.register)
+        """Check the state of a node whose index has advanced."""
+        self.decided_states.record(node.ip, node.replica.register)
 
-    def told(self, index: int) -> None:
-        """Somebody was told that all up to this change is in force."""
-        if index > self.floors[-1][1]:
-            self.floors.append((self.now, index))
+    def record_confirmed_index(self, index: int) -> None:
+        """Record that a caller learned that all changes up to an index are in force."""
+        if index > self.confirmed_indexes[-1][1]:
+            self.confirmed_indexes.append((self.now, index))
 
-    def quorum_up(self, span: float) -> bool:
-        """Whether word of a majority has reached some node within so many seconds: agreement goes on."""
+    def has_recent_quorum(self, span: float) -> bool:
+        """Whether a majority confirmed the state of some node within `span` seconds, so that changes can be decided."""
         return any(node.age(self.now) < span for node in self.up())
 
     def up(self) -> list[MeshNode]:
-        """Nodes that run."""
-        return [node for node in self.nodes.values() if node.up and not node.frozen]
+        """Return the nodes that run and aren't frozen."""
+        return [node for node in self.nodes.values() if node.is_running and not node.frozen]
 
-    def order(self, ip: str, entries: list[Entry], over: Callable[[Outcome], None]) -> Callable[[], None]:
-        """Send an order to a node; returns what its caller does who waits no longer."""
+    def submit_change(self, ip: str, entries: list[Entry], on_outcome: Callable[[Outcome], None]) -> Callable[[], None]:
+        """Send a change request to a node; return the function that withdraws it when its caller stops waiting."""
         node = self.nodes[ip]
-        sending = self.book.sent(entries)
+        submission = self.request_checker.record_submission(entries)
         replica = node.replica
 
         def ended(outcome: Outcome) -> None:
-            self.book.ended(sending, outcome, replica.register)
-            self.told(self.book.floor)
-            over(outcome)
+            self.request_checker.record_outcome(submission, outcome, replica.register)
+            self.record_confirmed_index(self.request_checker.confirmed_index)
+            on_outcome(outcome)
 
-        order = node.amend(entries, ended)
+        request = node.submit_change(entries, ended)
 
-        def leave() -> None:
-            if order is not None and node.up and node.replica is replica and not node.frozen:
-                node.proposer.withdraw(order)
+        def withdraw() -> None:
+            if request is not None and node.is_running and node.replica is replica and not node.frozen:
+                node.proposer.withdraw(request)
 
-        return leave
+        return withdraw
 
-    def read(self, ip: str, over: Callable[[bool], None]) -> None:
-        """Read at a node."""
+    def read(self, ip: str, on_outcome: Callable[[bool], None]) -> None:
+        """Read at a node; raises Violation if the result misses a change that was confirmed before."""
         node = self.nodes[ip]
-        replica, floor = node.replica, self.book.floor
+        replica, confirmed_index = node.replica, self.request_checker.confirmed_index
 
         def ended(latest: bool) -> None:
-            if latest and replica.index < floor:
-                raise Violation(f"{ip} reads change {replica.index}, {floor} was confirmed before")
+            if latest and replica.index < confirmed_index:
+                raise Violation(f"{ip} reads at index {replica.index}, index {confirmed_index} was confirmed before")
             if latest:
                 self.figures.reads += 1
-                self.book.floor = max(self.book.floor, replica.index)
-                self.told(self.book.floor)
-            over(latest)
+                self.request_checker.confirmed_index = max(self.request_checker.confirmed_index, replica.index)
+                self.record_confirmed_index(self.request_checker.confirmed_index)
+            on_outcome(latest)
 
         node.read(ended)
 
     # ---- proxies -----------------------------------------------------------------------------
 
-    def _claims(self, name: str) -> ReservationClient:
+    def _reservation_client(self, name: str) -> ReservationClient:
         def send(ip: str, message: ReserveKey | ReleaseKey) -> None:
             self.post(Wire(name, ip, name), message)
 
         return ReservationClient(send)
 
     def hear(self, proxy: Proxy) -> None:
-        """A proxy hears of the membership from some node."""
+        """Have a proxy learn the membership of a random running node."""
         nodes = self.up()
         membership = self.rng.choice(nodes).replica.membership if nodes else None
         if membership is not None and (proxy.membership is None or membership.epoch > proxy.membership.epoch):
             proxy.membership = membership
             proxy.claims.membership_changed(self.now, membership)
 
-    def claim(self, proxy: Proxy, key: bytes, by: bytes) -> None:
-        """A proxy claims a key; once it is won, the operation runs or turns out not to."""
+    def reserve_and_run(self, proxy: Proxy, key: bytes, owner: bytes) -> None:
+        """Have a proxy reserve a key; once it is acquired, the operation runs or the key is released."""
         if proxy.membership is None:
             return
 
         sent_at = self.now
 
-        def over(how: ReservationOutcome) -> None:
-            if not isinstance(how, Acquired):
+        def on_outcome(outcome: ReservationOutcome) -> None:
+            if not isinstance(outcome, Acquired):
                 return
             draw = self.rng.random()
             if draw < 0.2:
-                self._tell(proxy, ReleaseKey(key, by))
+                self._send_to_voters(proxy, ReleaseKey(key, owner))
                 return
-            self.keys.run(key, by, sent_at)
+            self.key_checker.record_run(key, owner, sent_at)
             self.figures.runs += 1
             if draw < 0.7:
-                self._tell(proxy, CompleteKey(key, by, BackendResponse(200, b"", by)))
+                self._send_to_voters(proxy, CompleteKey(key, owner, BackendResponse(200, b"", owner)))
 
-        proxy.claims.reserve(self.now, proxy.membership, key, by, 1.0, self.rng.uniform(0.3, 2.0), over)
+        proxy.claims.reserve(self.now, proxy.membership, key, owner, 1.0, self.rng.uniform(0.3, 2.0), on_outcome)
 
-    def _tell(self, proxy: Proxy, message: CompleteKey | ReleaseKey) -> None:
+    def _send_to_voters(self, proxy: Proxy, message: CompleteKey | ReleaseKey) -> None:
         if proxy.membership is not None:
             for voter in proxy.membership.voters:
                 self.post(Wire(proxy.name, voter.ip, proxy.name), message)
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -1,4 +1,4 @@
-"""Operators of a drawn history: orders that are drawn, sent, and sent again until they have a clear answer."""
+"""Operators of a random history: they send random change requests and retry them until the outcome is clear."""
 
 from __future__ import annotations
 
@@ -13,28 +13,41 @@
 from lugspur.mesh.control.messages import Entry
 
 OPERATORS = 2
-UNDER_WAY = 8  # orders of one operator
-CALLER_WAITS = 1.0  # seconds until a caller turns to another node
-TRIES = 4
-AGAIN_PART = 0.15  # of all orders are ones that were confirmed before
-ROUTE_PART = 0.15  # of new ones change a route, which is checked against the others
-USED_PART = 0.2  # ...and a number that has been used, mostly with another content
-WITHDRAWN_PART = 0.1
-ANSWERS_LOST_PART = 0.1
-EVERYWHERE_PART = 0.2  # of further tries go to all nodes at once
+# Maximum number of unfinished requests of one operator.
+MAX_UNFINISHED_REQUESTS = 8
+# Seconds after which a caller stops waiting for a node and tries another.
+CALLER_TIMEOUT_S = 1.0
+# Maximum number of attempts of one request.
+MAX_ATTEMPTS = 4
+# Fraction of all requests that repeat a request that was confirmed before.
+REPEATED_FRACTION = 0.15
+# Fraction of the new requests that change a route, which is validated against the other routes.
+ROUTE_FRACTION = 0.15
+# Fraction of the new requests that reuse an edition, mostly with another content.
+REUSED_EDITION_FRACTION = 0.2
+# Fraction of the new requests that withdraw an item.
+WITHDRAWN_FRACTION = 0.1
+# Fraction of the outcomes that don't reach the operator.
+LOST_OUTCOME_FRACTION = 0.1
+# Fraction of the retries that go to all nodes at once.
+EVERYWHERE_FRACTION = 0.2
 ROUTES = ("one", "two", "three")
-PLACES = ("/p/", "/q/")
+# Path prefixes of the routes.
+PREFIXES = ("/p/", "/q/")
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
-    """An order that an operator wants to have confirmed; `operator`: whose it is, if anybody counts it."""
+class PendingRequest:
+    """A change request that an operator wants to have confirmed.
+
+    `operator` is the operator among whose unfinished requests it counts; None if it counts for no operator.
+    """
 
     entries: list[Entry]
     operator: int | None
-    tries: int = 0
-    over: bool = False
-    waiting: list[Callable[[], None]] = field(default_factory=list)
+    attempts: int = 0
+    is_finished: bool = False
+    withdrawals: list[Callable[[], None]] = field(default_factory=list)
 
 
 class Operators:
@@ -42,94 +55,96 @@
 
     def __init__(self, world: MeshWorld, setting: Setting, rng: Random) -> None:
         self._world, self._rng = world, rng
-        self._fill = setting.item_bytes
-        self._names = [f"r{number}" for number in range(setting.items)]
+        self._value_size = setting.item_bytes
+        self._names = [f"r{number}" for number in range(setting.item_count)]
         self._editions = dict.fromkeys(self._names, 0)
-        self._replacements = 0  # of routes
-        self._known: list[list[Entry]] = []  # what was confirmed
-        self._under_way = [0] * OPERATORS
+        self._replacements = 0  # replacements of routes, which give their editions
+        self._confirmed: list[list[Entry]] = []  # requests that were confirmed
+        self._unfinished = [0] * OPERATORS
 
-    def draw_order(self) -> None:
-        """An operator sends an order, or one that was confirmed before again."""
+    def send_random_request(self) -> None:
+        """Have a random operator send a new request, or repeat one that was confirmed before."""
         operator = self._rng.randrange(OPERATORS)
-        if self._known and self._rng.random() < AGAIN_PART:
-            self.order(self._rng.choice(self._known))
-        elif self._under_way[operator] < UNDER_WAY:
-            self._under_way[operator] += 1
-            self.order(self._draw_entries(operator), operator)
+        if self._confirmed and self._rng.random() < REPEATED_FRACTION:
+            self.submit(self._rng.choice(self._confirmed))
+        elif self._unfinished[operator] < MAX_UNFINISHED_REQUESTS:
+            self._unfinished[operator] += 1
+            self.submit(self._random_entries(operator), operator)
 
-    def order(self, entries: list[Entry], operator: int | None = None) -> None:
-        """Have these entries confirmed."""
-        self._try(Attempt(entries, operator))
+    def submit(self, entries: list[Entry], operator: int | None = None) -> None:
+        """Send entries and retry until their outcome is clear or no attempts are left."""
+        self._send_attempt(PendingRequest(entries, operator))
 
-    def _draw_entries(self, operator: int) -> list[Entry]:
+    def _random_entries(self, operator: int) -> list[Entry]:
         rng = self._rng
-        draw = rng.random()
-        if draw < ROUTE_PART:
+        number = rng.random()
+        if number < ROUTE_FRACTION:
             self._replacements += 1
-            return route(rng.choice(ROUTES), self._replacements, rng.choice(PLACES))
-        used = draw < ROUTE_PART + USED_PART
-        withdrawn = draw > 1.0 - WITHDRAWN_PART
-        return [self._draw_entry(name, operator, used, withdrawn) for name in self._draw_names()]
+            return route(rng.choice(ROUTES), self._replacements, rng.choice(PREFIXES))
+        reuses_edition = number < ROUTE_FRACTION + REUSED_EDITION_FRACTION
+        is_withdrawn = number > 1.0 - WITHDRAWN_FRACTION
+        return [self._random_entry(name, operator, reuses_edition, is_withdrawn) for name in self._random_names()]
 
-    def _draw_names(self) -> list[str]:
+    def _random_names(self) -> list[str]:
         return self._rng.sample(self._names, self._rng.choice((1, 1, 2)))
 
-    def _draw_entry(self, name: str, operator: int, used: bool, withdrawn: bool) -> Entry:
-        if used:
+    def _random_entry(self, name: str, operator: int, reuses_edition: bool, is_withdrawn: bool) -> Entry:
+        if reuses_edition:
             edition = self._rng.randint(1, max(1, self._editions[name]))
         else:
             self._editions[name] += 1
             edition = self._editions[name]
         value = b"%d.%d" % (operator, self._rng.randrange(2))
-        return Entry("notes", name, edition, None if withdrawn else value.ljust(self._fill, b"."))
+        return Entry("notes", name, edition, None if is_withdrawn else value.ljust(self._value_size, b"."))
 
-    def _try(self, attempt: Attempt) -> None:
-        attempt.tries += 1
+    def _send_attempt(self, request: PendingRequest) -> None:
+        request.attempts += 1
         nodes = self._world.up()
         if not nodes:
-            self._end(attempt)
+            self._finish(request)
             return
-        everywhere = attempt.tries > 1 and self._rng.random() < EVERYWHERE_PART
-        for node in nodes if everywhere else [self._rng.choice(nodes)]:
-            leave = self._world.order(node.ip, attempt.entries, lambda how: self._answered(attempt, how))
-            attempt.waiting.append(leave)
-        tries = attempt.tries
-
-        def wait_no_longer() -> None:
-            if not attempt.over and attempt.tries == tries:
-                for leave in attempt.waiting:
-                    leave()
-                attempt.waiting.clear()
-                self._go_on(attempt)
-
-        self._world.later(CALLER_WAITS, wait_no_longer)
-
-    def _answered(self, attempt: Attempt, how: Outcome) -> None:
+        to_all_nodes = request.attempts > 1 and self._rng.random() < EVERYWHERE_FRACTION
+        for node in nodes if to_all_nodes else [self._rng.choice(nodes)]:
+            withdraw = self._world.submit_change(
+                node.ip, request.entries, lambda outcome: self._handle_outcome(request, outcome)
+            )
+            request.withdrawals.append(withdraw)
+        attempts = request.attempts
+
+        def time_out() -> None:
+            if not request.is_finished and request.attempts == attempts:
+                for withdraw in request.withdrawals:
+                    withdraw()
+                request.withdrawals.clear()
+                self._retry(request)
+
+        self._world.later(CALLER_TIMEOUT_S, time_out)
+
+    def _handle_outcome(self, request: PendingRequest, outcome: Outcome) -> None:
         figures = self._world.figures
-        figures.confirmed += isinstance(how, Confirmed)
-        figures.refused += isinstance(how, Refused)
-        figures.unclear += isinstance(how, Unclear)
-        figures.turned_away += isinstance(how, NoQuorum)
-        if attempt.over or self._rng.random() < ANSWERS_LOST_PART:
+        figures.confirmed += isinstance(outcome, Confirmed)
+        figures.refused += isinstance(outcome, Refused)
+        figures.unclear += isinstance(outcome, Unclear)
+        figures.turned_away += isinstance(outcome, NoQuorum)
+        if request.is_finished or self._rng.random() < LOST_OUTCOME_FRACTION:
             return
-        if isinstance(how, Confirmed | Refused):
-            if isinstance(how, Confirmed):
-                self._known.append(attempt.entries)
-            self._end(attempt)
+        if isinstance(outcome, Confirmed | Refused):
+            if isinstance(outcome, Confirmed):
+                self._confirmed.append(request.entries)
+            self._finish(request)
         else:
-            self._world.later(self._rng.uniform(0.01, 0.3), lambda: self._go_on(attempt))
+            self._world.later(self._rng.uniform(0.01, 0.3), lambda: self._retry(request))
 
-    def _go_on(self, attempt: Attempt) -> None:
-        if attempt.over:
+    def _retry(self, request: PendingRequest) -> None:
+        if request.is_finished:
             return
-        if attempt.tries >= TRIES:
-            self._end(attempt)
+        if request.attempts >= MAX_ATTEMPTS:
+            self._finish(request)
         else:
-            self._try(attempt)
+            self._send_attempt(request)
 
-    def _end(self, attempt: Attempt) -> None:
-        if not attempt.over:
-            attempt.over = True
-            if attempt.operator is not None:
-                self._under_way[attempt.operator] -= 1
+    def _finish(self, request: PendingRequest) -> None:
+        if not request.is_finished:
+            request.is_finished = True
+            if request.operator is not None:
+                self._unfinished[request.operator] -= 1
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -1,13 +1,13 @@
-"""Small worlds of the register: orders of one item to several nodes, reads, and every order of what happens to them."""
+"""Small models of the register: change requests for one item at several nodes, reads, and all orders of events."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lugspur.emulator.control.checks import OrderBook, Sending, Violation
+from lugspur.emulator.control.checks import ChangeRequestChecker, Submission, Violation
 from lugspur.emulator.control.explorer import Event
-from lugspur.emulator.control.small_world import ENDED, PAUSE, SmallWorld
+from lugspur.emulator.control.small_world import ENDED, LONG_WAIT_S, SmallWorld
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import Change, Entry, FetchDecided
@@ -15,16 +15,16 @@
 
 VOTERS = ["a", "b", "c"]
 FOREVER = float("inf")
-SETTLE_TRIES = 12
+MAX_RECOVERY_ROUNDS = 12
 
 
 def note(edition: int, value: bytes) -> list[Entry]:
-    """An item that is checked against nothing else."""
+    """Return the entry of an item that isn't validated against other items."""
     return [Entry("notes", "r", edition, value)]
 
 
 def route(name: str, edition: int, prefix: str) -> list[Entry]:
-    """A route of the one service that there is."""
+    """Return the entry of a route to the only service."""
     return read_changes(
         b'{"upsert":{"routes":[{"name":"%s","office":"h","path_prefix":"%s","mail_class":"safe","deadline_ms":9,'
         b'"service":"s","edition":"%08x"}]}}' % (name.encode(), prefix.encode(), edition)
@@ -32,54 +32,57 @@
 
 
 SERVICE = read_changes(b'{"upsert":{"services":[{"name":"s","edition":"00000001"}]}}')
-X, Y = note(7, b"x"), note(7, b"y")
-NEWER = note(8, b"z")
-ONE_GONE = [Entry("routes", "one", 8, None)]
-ONE_PLACE, SAME_PLACE = route("one", 7, "/p/"), route("other", 7, "/p/")
+ITEM_X, ITEM_Y = note(7, b"x"), note(7, b"y")
+NEWER_ITEM = note(8, b"z")
+WITHDRAWN_ROUTE = [Entry("routes", "one", 8, None)]
+ROUTE_ONE, ROUTE_OTHER = route("one", 7, "/p/"), route("other", 7, "/p/")
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What may happen in a world, and how often; `orders`: which entries go to which node."""
+    """Which events may happen in a model, and how often.
+
+    `requests` are the change requests: a key of CONTENTS, and the node to which it is sent.
+    """
 
     name: str
-    orders: tuple[tuple[str, str], ...]
+    requests: tuple[tuple[str, str], ...]
     retries: int = 1
     expiries: int = 0
     reads: int = 0
     powers: int = 0
-    breaks: int = 0
-    wipes: int = 0  # disks that are lost
-    disks: bool = False
-    standing: str = ""  # what stands at first
-    first: tuple[Event, ...] = ()  # what has happened when the world begins
+    disconnections: int = 0
+    wipes: int = 0  # losses of a disk
+    delayed_writes: bool = False
+    initial_item: str = ""  # key of CONTENTS for the item that is in force at the start
+    initial_events: tuple[Event, ...] = ()  # events that are applied before the exploration starts
 
 
 CONTENTS = {
-    "x": X,
-    "y": Y,
+    "x": ITEM_X,
+    "y": ITEM_Y,
     "third": note(7, b"third"),
-    "newer": NEWER,
-    "one": ONE_PLACE,
-    "other": SAME_PLACE,
-    "gone": ONE_GONE,
+    "newer": NEWER_ITEM,
+    "one": ROUTE_ONE,
+    "other": ROUTE_OTHER,
+    "gone": WITHDRAWN_ROUTE,
 }
 
-PROMISED_BY_B: tuple[Event, ...] = (
+EVENTS_TO_ACCEPT_PHASE: tuple[Event, ...] = (
     ("order", "0"),
     ("sync", "a"),
     ("deliver", "a", "b", "a"),
     ("sync", "b"),
     ("deliver", "b", "a", "a"),
 )
-"""The first order goes to a, which has b's promise and its own: it asks for votes."""
+"""Node a receives the first request, has its own promise and that of b, and sends its accept messages."""
 
 WORLDS = [
     Limits("two contents under one edition", (("x", "a"), ("y", "b"))),
     Limits("two contents, one sent again elsewhere", (("x", "a"), ("y", "b"), ("x", "b"))),
     Limits("two contents at one node, one elsewhere", (("x", "a"), ("y", "a"), ("y", "b"))),
-    Limits("two contents, a connection breaks", (("x", "a"), ("y", "b")), breaks=1),
-    Limits("two contents, power is lost", (("x", "a"), ("y", "b")), powers=1, disks=True),
+    Limits("two contents, a connection breaks", (("x", "a"), ("y", "b")), disconnections=1),
+    Limits("two contents, power is lost", (("x", "a"), ("y", "b")), powers=1, delayed_writes=True),
     Limits("two contents, power is lost, sent again", (("x", "a"), ("y", "b"), ("x", "a")), powers=2),
     Limits(
         "two contents of one node that has lost its power", (("x", "a"), ("y", "a"), ("y", "b")), retries=2, powers=1
@@ -88,10 +91,10 @@
         "two contents, an older life's comes late",
         (("x", "a"), ("y", "a"), ("y", "b")),
         powers=1,
-        disks=True,
-        first=(
-            *PROMISED_BY_B,
-            ("power", "a"),  # its change is on its way to the others, and not on its own disk
+        delayed_writes=True,
+        initial_events=(
+            *EVENTS_TO_ACCEPT_PHASE,
+            ("power", "a"),  # the change of a is in flight to the others, and not on the disk of a
             ("order", "1"),
             ("sync", "a"),
             ("deliver", "a", "b", "a"),
@@ -100,7 +103,7 @@
             ("sync", "a"),
             ("deliver", "a", "b", "a"),
             ("sync", "b"),
-            ("deliver", "b", "a", "a"),  # its next life's change is decided, and nobody else knows
+            ("deliver", "b", "a", "a"),  # the change of the next incarnation of a is decided, only a knows that
             ("deliver", "a", "b", ENDED),
             ("sync", "b"),
             ("order", "2"),
@@ -111,11 +114,11 @@
         "two contents, a voter's power is lost behind its vote",
         (("x", "a"), ("y", "c")),
         powers=1,
-        disks=True,
-        first=(
-            *PROMISED_BY_B,
+        delayed_writes=True,
+        initial_events=(
+            *EVENTS_TO_ACCEPT_PHASE,
             ("sync", "a"),
-            ("deliver", "a", "b", "a"),  # b has accepted, and not written it down
+            ("deliver", "a", "b", "a"),  # b has accepted, but not yet on disk
             ("order", "1"),
         ),
     ),
@@ -126,12 +129,12 @@
         "a disk is lost that has decided",
         (("x", "a"), ("y", "b")),
         wipes=1,
-        first=(
+        initial_events=(
             ("order", "0"),
             ("deliver", "a", "c", "a"),
             ("deliver", "c", "a", "a"),
             ("deliver", "a", "c", "a"),
-            ("deliver", "c", "a", "a"),  # confirmed by a and c, and b has not heard of it
+            ("deliver", "c", "a", "a"),  # confirmed by a and c, without any message to b
             ("wipe", "c"),
             ("order", "1"),
         ),
@@ -141,18 +144,18 @@
     Limits(
         "one that rests on another's",
         (("newer", "a"), ("gone", "b"), ("other", "a")),
-        standing="one",
-        first=(
+        initial_item="one",
+        initial_events=(
             ("order", "0"),
-            ("deliver", "a", "b", "a"),  # the promise is on its way back
+            ("deliver", "a", "b", "a"),  # the promise is in flight to a
             ("order", "1"),
             ("deliver", "b", "c", "b"),
             ("deliver", "c", "b", "b"),
             ("deliver", "b", "c", "b"),
-            ("deliver", "c", "b", "b"),  # the second order is confirmed, and the first one's node has not heard of it
+            ("deliver", "c", "b", "b"),  # the second request is confirmed, and a has not learned that
         ),
     ),
-    Limits("an order, a read, a connection that breaks", (("x", "a"),), reads=2, breaks=1),
+    Limits("an order, a read, a connection that breaks", (("x", "a"),), reads=2, disconnections=1),
     Limits("two contents and a read", (("x", "a"), ("y", "b")), reads=1),
 ]
 
@@ -162,39 +165,39 @@
     Limits("the same order to two nodes, to the end", (("x", "a"), ("x", "b")), retries=0),
     Limits("two routes of one place, to the end", (("one", "a"), ("other", "b")), retries=0),
     Limits("an older edition beside a newer one, to the end", (("x", "a"), ("newer", "b")), retries=0),
-    Limits("two contents, a connection breaks, to the end", (("x", "a"), ("y", "b")), retries=0, breaks=1),
+    Limits("two contents, a connection breaks, to the end", (("x", "a"), ("y", "b")), retries=0, disconnections=1),
     Limits("two contents, power is lost, to the end", (("x", "a"), ("y", "b")), retries=0, powers=1),
 ]
-"""Worlds without further tries, of which every order of events is seen within 100,000 states."""
+"""Models without retries: 100,000 states cover all orders of their events."""
 
 
 class RegisterWorld(SmallWorld):
-    """Three voters, and orders that each go to one of them once."""
+    """Three voters, and change requests that are each sent to one of them once."""
 
     def __init__(self, limits: Limits) -> None:
-        super().__init__(VOTERS, [], limits.disks, limits.powers, limits.breaks)
+        super().__init__(VOTERS, [], limits.delayed_writes, limits.powers, limits.disconnections)
         self.limits = limits
-        self.book = OrderBook(self.chain)
-        self.left = list(range(len(limits.orders)))
-        self.open: dict[int, ChangeRequest] = {}
-        self.ended: dict[int, str] = {}
+        self.request_checker = ChangeRequestChecker(self.decided_states)
+        self.unsent = list(range(len(limits.requests)))
+        self.open_requests: dict[int, ChangeRequest] = {}
+        self.outcomes: dict[int, str] = {}
         self.wipes = limits.wipes
         self.retries, self.expiries, self.reads = limits.retries, limits.expiries, limits.reads
         for node in self.nodes.values():
-            standing = SERVICE + (CONTENTS[limits.standing] if limits.standing else [])
-            node.do(self.now, node.replica.decide(self.now, Change("service", standing)))
+            initial_entries = SERVICE + (CONTENTS[limits.initial_item] if limits.initial_item else [])
+            node.apply_effects(self.now, node.replica.decide(self.now, Change("service", initial_entries)))
             node.sync()
-        for event in limits.first:
+        for event in limits.initial_events:
             self.step(event)
 
     def events(self) -> Iterator[Event]:
-        """Orders, reads, and what time brings, beside all else."""
+        """Yield the common events and those of requests, reads, time and lost disks."""
         yield from super().events()
-        for number in self.left:
+        for number in self.unsent:
             yield "order", str(number)
         for ip, node in self.nodes.items():
-            waits = node.proposer._requests or node.proposer._has_pending_change or node.reader._waiting
-            if self.retries and waits:
+            is_waiting = node.proposer._requests or node.proposer._has_pending_change or node.reader._waiting
+            if self.retries and is_waiting:
                 yield "retry", ip
             if self.retries and node.replica.register.has_pending_change:
                 yield "finish", ip
@@ -204,118 +207,139 @@
             for ip in self.nodes:
                 yield "wipe", ip
         if self.expiries:
-            for number in self.open:
+            for number in self.open_requests:
                 yield "expire", str(number)
 
-    def happen(self, what: str, who: list[str]) -> None:
-        """An order comes, or time passes for one node."""
-        if what == "order":
-            self._order(int(who[0]))
-        elif what == "retry":
+    def apply_own_event(self, kind: str, args: list[str]) -> None:
+        """Apply an event: a request or read is sent, a request expires, time passes for a node, or a disk is lost."""
+        if kind == "order":
+            self._send_request(int(args[0]))
+        elif kind == "retry":
             self.retries -= 1
-            self._pass_time(who[0])
-        elif what == "finish":
+            self._pass_time(args[0])
+        elif kind == "finish":
             self.retries -= 1
-            node = self.nodes[who[0]]
-            node.do(self.now, node.proposer.resolve_pending(self.now))
-        elif what == "wipe":
+            node = self.nodes[args[0]]
+            node.apply_effects(self.now, node.proposer.resolve_pending(self.now))
+        elif kind == "wipe":
             self.wipes -= 1
-            self.lose_power(who[0])
-            self.nodes[who[0]].wipe()
-            self.nodes[who[0]].start(self.now)
-        elif what == "read":
+            self.lose_power(args[0])
+            self.nodes[args[0]].wipe()
+            self.nodes[args[0]].start(self.now)
+        elif kind == "read":
             self.reads -= 1
-            self._read(who[0])
+            self._read(args[0])
         else:
             self.expiries -= 1
-            self.open[int(who[0])].deadline = 0.0
-            node = self.nodes[self.limits.orders[int(who[0])][1]]
-            node.do(self.now, node.proposer.tick(self.now))
+            self.open_requests[int(args[0])].deadline = 0.0
+            node = self.nodes[self.limits.requests[int(args[0])][1]]
+            node.apply_effects(self.now, node.proposer.tick(self.now))
 
-    def _order(self, number: int) -> None:
-        self.left.remove(number)
-        content, ip = self.limits.orders[number]
+    def _send_request(self, number: int) -> None:
+        self.unsent.remove(number)
+        content, ip = self.limits.requests[number]
         entries = CONTENTS[content]
-        order = ChangeRequest(entries, FOREVER, Ending(self, number, ip, self.book.sent(entries)))
-        self.open[number] = order
+        request = ChangeRequest(
+            entries, FOREVER, OutcomeCallback(self, number, ip, self.request_checker.record_submission(entries))
+        )
+        self.open_requests[number] = request
         node = self.nodes[ip]
-        node.do(self.now, node.proposer.submit(self.now, order))
+        node.apply_effects(self.now, node.proposer.submit(self.now, request))
 
     def _pass_time(self, ip: str) -> None:
         node = self.nodes[ip]
-        self.now += PAUSE
-        node.do(self.now, node.proposer.tick(self.now))
-        node.do(self.now, node.reader.tick(self.now))
-        if node.proposer._proposal is None:  # what was under way has ended, and the next one is due after a pause
-            self.now += PAUSE
-            node.do(self.now, node.proposer.tick(self.now))
+        self.now += LONG_WAIT_S
+        node.apply_effects(self.now, node.proposer.tick(self.now))
+        node.apply_effects(self.now, node.reader.tick(self.now))
+        if node.proposer._proposal is None:  # the proposal has ended, and the proposer pauses before the next one
+            self.now += LONG_WAIT_S
+            node.apply_effects(self.now, node.proposer.tick(self.now))
 
     def _read(self, ip: str) -> None:
         node = self.nodes[ip]
-        node.do(self.now, node.reader.submit(self.now, Read(FOREVER, ReadEnding(self, ip, self.book.floor))))
+        node.apply_effects(
+            self.now,
+            node.reader.submit(self.now, Read(FOREVER, ReadCallback(self, ip, self.request_checker.confirmed_index))),
+        )
 
     def lose_power(self, ip: str) -> None:
         super().lose_power(ip)
-        for number in [number for number in self.open if self.limits.orders[number][1] == ip]:
-            del self.open[number]  # its caller hears nothing
+        for number in [number for number in self.open_requests if self.limits.requests[number][1] == ip]:
+            del self.open_requests[number]  # the caller receives no outcome
 
     def observe(self, node: object) -> None:
         super().observe(node)  # type: ignore[arg-type]
         for entries in CONTENTS.values():
-            self.book.check_never(entries)
-
-    def settle(self) -> None:
-        """With all nodes up, messages that come and time that passes, every order ends and all agree."""
-        for number in self.left[:]:
-            self._order(number)
-            self.within()
-        for _ in range(SETTLE_TRIES):
+            self.request_checker.check_rejected(entries)
+
+    def check_recovery(self) -> None:
+        """Check that every request ends and all nodes agree once they run, messages arrive and time passes."""
+        for number in self.unsent[:]:
+            self._send_request(number)
+            self.run_internal_events()
+        for _ in range(MAX_RECOVERY_ROUNDS):
             self.deliver_all()
             for ip, node in self.nodes.items():
                 if node.replica.register.has_pending_change:
-                    node.do(self.now, node.proposer.resolve_pending(self.now))
-                best = max(self.nodes.values(), key=lambda other: other.replica.index)
-                node.send(best.ip, FetchDecided(node.replica.index))  # as news of later changes makes it do
-                self.within()
+                    node.apply_effects(self.now, node.proposer.resolve_pending(self.now))
+                most_advanced = max(self.nodes.values(), key=lambda other: other.replica.index)
+                node.send(
+                    most_advanced.ip, FetchDecided(node.replica.index)
+                )  # as a node does that learns of a later index
+                self.run_internal_events()
                 self.deliver_all()
                 self._pass_time(ip)
-                self.within()
+                self.run_internal_events()
                 self.deliver_all()
-            if not self.open and len({node.replica.index for node in self.nodes.values()}) == 1:
+            if not self.open_requests and len({node.replica.index for node in self.nodes.values()}) == 1:
                 break
         else:
-            raise Violation(f"orders without an end: {sorted(self.open)}")
-        self.book.check_all()
-
-    def own_key(self) -> object:
-        reads = tuple(sorted(read.on_result.floor for node in self.nodes.values() for read in node.reader._waiting))  # type: ignore[attr-defined]
-        told = tuple(sorted(self.ended.items()))
-        budgets = (self.wipes, self.retries, self.expiries, self.reads)
-        return tuple(self.left), tuple(self.open), told, budgets, reads, self.book.floor, len(self.chain.states)
-
-
-class Ending:
-    """What an order's sender is told."""
-
-    def __init__(self, world: RegisterWorld, number: int, ip: str, sending: Sending) -> None:
-        self.world, self.number, self.ip, self.sending = world, number, ip, sending
+            raise Violation(f"requests without an outcome: {sorted(self.open_requests)}")
+        self.request_checker.check_history()
+
+    def extra_key(self) -> object:
+        reads_key = tuple(
+            sorted(
+                read.on_result.confirmed_index  # type: ignore[attr-defined]
+                for node in self.nodes.values()
+                for read in node.reader._waiting
+            )
+        )
+        outcomes_key = tuple(sorted(self.outcomes.items()))
+        budgets_key = (self.wipes, self.retries, self.expiries, self.reads)
+        return (
+            tuple(self.unsent),
+            tuple(self.open_requests),
+            outcomes_key,
+            budgets_key,
+            reads_key,
+            self.request_checker.confirmed_index,
+            len(self.decided_states.states),
+        )
+
+
+class OutcomeCallback:
+    """Outcome callback of a change request."""
+
+    def __init__(self, world: RegisterWorld, number: int, ip: str, submission: Submission) -> None:
+        self.world, self.number, self.ip, self.submission = world, number, ip, submission
 
     def __call__(self, outcome: Outcome) -> None:
         world = self.world
-        world.open.pop(self.number, None)
-        world.ended[self.number] = type(outcome).__name__
-        world.book.ended(self.sending, outcome, world.nodes[self.ip].replica.register)
+        world.open_requests.pop(self.number, None)
+        world.outcomes[self.number] = type(outcome).__name__
+        world.request_checker.record_outcome(self.submission, outcome, world.nodes[self.ip].replica.register)
 
 
-class ReadEnding:
-    """What a reader is told: nothing older than what was confirmed before it asked."""
+class ReadCallback:
+    """Result callback of a read, which checks that the state includes what was confirmed before the read began."""
 
-    def __init__(self, world: RegisterWorld, ip: str, floor: int) -> None:
-        self.world, self.ip, self.floor = world, ip, floor
+    def __init__(self, world: RegisterWorld, ip: str, confirmed_index: int) -> None:
+        self.world, self.ip, self.confirmed_index = world, ip, confirmed_index
 
     def __call__(self, latest: bool) -> None:
         index = self.world.nodes[self.ip].replica.index
-        if latest and index < self.floor:
-            raise Violation(f"{self.ip} reads change {index}, {self.floor} was confirmed before")
+        if latest and index < self.confirmed_index:
+            raise Violation(f"{self.ip} reads at index {index}, index {self.confirmed_index} was confirmed before")
         if latest:
-            self.world.book.floor = max(self.world.book.floor, index)
+            self.world.request_checker.confirmed_index = max(self.world.request_checker.confirmed_index, index)
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -1,4 +1,7 @@
-"""Tables of what was played, by several processes; an exit code of 1 where something is wrong."""
+"""Tables of the results of histories, models and guards, which run in several processes.
+
+The exit code is 1 if there is a violation, or if a missing guard was not detected.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,8 @@
 from lugspur.emulator.control.mesh_world import Figures
 from lugspur.emulator.control.settings import KINDS, Setting
 
-SMALL_FIRST = (
+# Indexes into the settings of short histories, as often as each is played. Large settings take longer and come rarely.
+SETTING_ORDER = (
     0,
     0,
     0,
@@ -30,26 +34,26 @@
     5,
     6,
     7,
-)  # settings by how often they are played: large ones take longer
+)
 
 
-# ---- drawn histories -----------------------------------------------------------------------------
+# ---- random histories ----------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Played:
-    """Histories of one setting."""
+class SettingTotals:
+    """Totals of the histories of one setting."""
 
     histories: int = 0
     violations: list[str] = field(default_factory=list)
     total: Counter[str] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
-    well_after: float = 0.0  # seconds, the longest
-    missed: int = 0  # changes, the most
-    caught_up_after: float = 0.0
+    well_after: float = 0.0  # longest recovery, in seconds
+    missed: int = 0  # most changes that a node missed while it was away
+    caught_up_after: float = 0.0  # longest catch-up, in seconds
 
     def add(self, figures: Figures | str) -> None:
-        """One more history, or how it went wrong."""
+        """Add the counters of a history, or the text of its violation."""
         self.histories += 1
         if isinstance(figures, str):
             self.violations.append(figures)
@@ -62,129 +66,132 @@
         self.caught_up_after = max(self.caught_up_after, figures.caught_up_after)
 
     def row(self, setting: Setting) -> str:
-        """The row of a setting."""
+        """Return the table row of a setting."""
         total = self.total
         return (
-            f"| {setting.nodes} | {setting.machines}, {setting.zones} | {self.histories} | {self.faults.total()} | "
-            f"{total['confirmed']} | {total['refused']} | {total['unclear']} | {total['reads']} | {total['runs']} | "
-            f"{total['changes']} | {total['epochs'] - self.histories} | {self.missed} | {self.caught_up_after:.1f} | "
-            f"{self.well_after:.1f} | {len(self.violations)} |"
+            f"| {setting.nodes} | {setting.max_lost_machines}, {setting.max_lost_zones} | {self.histories} | "
+            f"{self.faults.total()} | {total['confirmed']} | {total['refused']} | {total['unclear']} | "
+            f"{total['reads']} | {total['runs']} | {total['changes']} | {total['epochs'] - self.histories} | "
+            f"{self.missed} | {self.caught_up_after:.1f} | {self.well_after:.1f} | {len(self.violations)} |"
         )
 
 
-HEAD = (
+TABLE_HEAD = (
     "| control nodes | machines, zones to lose | histories | faults | orders confirmed | refused | unclear | "
     "reads | runs | changes | changes of voters | missed by one that was away (most) | ...and known after s | "
     "well again after s (most) | violations |"
 )
 
 
-def setting_of(kind: str, seed: int) -> int:
-    """Which setting of its kind a seed plays."""
-    return SMALL_FIRST[seed % len(SMALL_FIRST)] if kind == "short" else seed % len(KINDS[kind])
+def setting_index(kind: str, seed: int) -> int:
+    """Return the index of the setting that a seed plays."""
+    return SETTING_ORDER[seed % len(SETTING_ORDER)] if kind == "short" else seed % len(KINDS[kind])
 
 
 def play(kind: str, seed: int) -> Figures | str:
-    """One history, or how it went wrong."""
+    """Play one history; return its counters or the text of its violation."""
     try:
-        return histories.History(seed, KINDS[kind][setting_of(kind, seed)]).play()
-    except Violation as fault:
-        return f"{kind}, seed {seed}: {fault}"
+        return histories.History(seed, KINDS[kind][setting_index(kind, seed)]).play()
+    except Violation as violation:
+        return f"{kind}, seed {seed}: {violation}"
 
 
 def play_all(kind: str, first: int, count: int, jobs: int) -> Iterator[str]:
-    """A row for each setting; the last line tells the violations."""
-    began = time.perf_counter()
+    """Yield the violations and a table with a row for each setting; the last line counts the violations."""
+    started_at = time.perf_counter()
     settings = KINDS[kind]
-    played = [Played() for _ in settings]
+    totals = [SettingTotals() for _ in settings]
     seeds = range(first, first + count)
     with ProcessPoolExecutor(jobs) as pool:
-        for seed, found in zip(seeds, pool.map(partial(play, kind), seeds, chunksize=8), strict=True):
-            played[setting_of(kind, seed)].add(found)
-            if isinstance(found, str):
-                yield found
-    yield HEAD
-    yield "|" + "---|" * HEAD.count(" | ") + "---|"
-    for setting, one in zip(settings, played, strict=True):
-        yield one.row(setting)
-    faults = sum((one.faults for one in played), Counter[str]())
+        for seed, result in zip(seeds, pool.map(partial(play, kind), seeds, chunksize=8), strict=True):
+            totals[setting_index(kind, seed)].add(result)
+            if isinstance(result, str):
+                yield result
+    yield TABLE_HEAD
+    yield "|" + "---|" * TABLE_HEAD.count(" | ") + "---|"
+    for setting, setting_totals in zip(settings, totals, strict=True):
+        yield setting_totals.row(setting)
+    faults = sum((setting_totals.faults for setting_totals in totals), Counter[str]())
     yield "faults: " + ", ".join(f"{name} {count}" for name, count in faults.most_common())
-    violations = sum(len(one.violations) for one in played)
-    yield f"{count} histories ({kind}), {violations} violations, {time.perf_counter() - began:.0f} s"
+    violations = sum(len(setting_totals.violations) for setting_totals in totals)
+    yield f"{count} histories ({kind}), {violations} violations, {time.perf_counter() - started_at:.0f} s"
 
 
-# ---- every order of events -----------------------------------------------------------------------
+# ---- all orders of events ------------------------------------------------------------------------
 
 
-SMALL_WORLDS: list[tuple[str, Callable[[], World]]] = [
+MODELS: list[tuple[str, Callable[[], World]]] = [
     *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.WHOLE_WORLDS),
     *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.WORLDS),
     *((limits.name, partial(claims_world.ClaimsWorld, limits)) for limits in claims_world.WORLDS),
 ]
 
 
-def explore_world(number: int, most: int) -> tuple[str, bool]:
-    """A row of one small world, and whether nothing is wrong in it."""
-    began = time.perf_counter()
-    name, make = SMALL_WORLDS[number]
-    wrong, states, whole = "none", 0, False
+def explore_model(number: int, max_states: int) -> tuple[str, bool]:
+    """Explore one model; return its table row, and whether there is no violation."""
+    started_at = time.perf_counter()
+    name, make = MODELS[number]
+    violation_text, states, is_exhaustive = "none", 0, False
     try:
-        found = explore(make, most)
-        states, whole = found.states, found.whole
-    except Violation as fault:
-        wrong = str(fault)
-    taken = time.perf_counter() - began
-    return f"| {name} | {states} | {'yes' if whole else 'no'} | {taken:.0f} | {wrong} |", wrong == "none"
-
-
-def explore_all(most: int, jobs: int) -> Iterator[str | bool]:
-    """A row for each world, and whether it is right."""
+        result = explore(make, max_states)
+        states, is_exhaustive = result.states, result.is_exhaustive
+    except Violation as violation:
+        violation_text = str(violation)
+    elapsed = time.perf_counter() - started_at
+    return (
+        f"| {name} | {states} | {'yes' if is_exhaustive else 'no'} | {elapsed:.0f} | {violation_text} |",
+        violation_text == "none",
+    )
+
+
+def explore_all(max_states: int, jobs: int) -> Iterator[str | bool]:
+    """Yield a table row for each model, each followed by whether there is no violation."""
     yield "| world | states | all of them | seconds | wrong |"
     yield "|---|---|---|---|---|"
-    worlds = range(len(SMALL_WORLDS))
+    worlds = range(len(MODELS))
     with ProcessPoolExecutor(jobs) as pool:
-        for row, right in pool.map(explore_world, worlds, [most] * len(worlds)):
+        for row, is_correct in pool.map(explore_model, worlds, [max_states] * len(worlds)):
             yield row
-            yield right
+            yield is_correct
 
 
 # ---- guards ----------------------------------------------------------------------------------------
 
 
-def take_out(number: int) -> tuple[str, bool]:
-    """A row of one guard, and whether it is needed by what is played."""
-    began = time.perf_counter()
+def check_guard(number: int) -> tuple[str, bool]:
+    """Run the detector of one guard without it; return its table row, and whether the missing guard was detected."""
+    started_at = time.perf_counter()
     guard = guards.GUARDS[number]
-    found = guards.caught(guard)
-    told = found.replace("|", "/") if found else "NOT CAUGHT"
-    return f"| {guard.name} | {time.perf_counter() - began:.0f} | {told} |", bool(found)
+    result = guards.caught(guard)
+    detected_by = result.replace("|", "/") if result else "NOT CAUGHT"
+    return f"| {guard.name} | {time.perf_counter() - started_at:.0f} | {detected_by} |", bool(result)
 
 
-def take_out_all(jobs: int) -> Iterator[str | bool]:
-    """A row for each guard, and whether it was caught."""
+def check_all_guards(jobs: int) -> Iterator[str | bool]:
+    """Yield a table row for each guard, each followed by whether the missing guard was detected."""
     yield "| guard that was taken out | seconds | caught by |"
     yield "|---|---|---|"
     with ProcessPoolExecutor(jobs) as pool:
-        for row, found in pool.map(take_out, range(len(guards.GUARDS))):
+        for row, is_detected in pool.map(check_guard, range(len(guards.GUARDS))):
             yield row
-            yield found
+            yield is_detected
 
 
 # ---- the command -----------------------------------------------------------------------------------
 
 
-def show(what: str, kind: str, seed: int, seeds: int, states: int, jobs: int) -> int:
-    """Print a table; returns the exit code."""
-    if what == "control":
-        lines = list(_print(play_all(kind, seed, seeds, jobs)))
+def show(command: str, kind: str, seed: int, seeds: int, states: int, jobs: int) -> int:
+    """Print a table and return the exit code."""
+    if command == "control":
+        lines = list(_print_lines(play_all(kind, seed, seeds, jobs)))
         return int(", 0 violations," not in str(lines[-1]))
-    if what == "catching-up":
-        list(_print(catching_up.report()))
+    if command == "catching-up":
+        list(_print_lines(catching_up.report()))
         return 0
-    return int(not all(_print(explore_all(states, jobs) if what == "explore" else take_out_all(jobs))))
+    return int(not all(_print_lines(explore_all(states, jobs) if command == "explore" else check_all_guards(jobs))))
 
 
-def _print(lines: Iterable[str | bool]) -> Iterator[str | bool]:
+def _print_lines(lines: Iterable[str | bool]) -> Iterator[str | bool]:
     for line in lines:
         if isinstance(line, str):
             print(line, flush=True)
--- a/lugspur/emulator/control/settings.py
+++ b/lugspur/emulator/control/settings.py
@@ -1,4 +1,4 @@
-"""What a drawn history is played with: how many control nodes, what may be lost, and for how long."""
+"""Settings of random histories: the number of control nodes, which losses are allowed, and for how long."""
 
 from __future__ import annotations
 
@@ -7,42 +7,57 @@
 from lugspur.mesh.control.reservation_table import RETENTION_MARGIN_SECONDS
 from lugspur.mesh.control.voter_membership import Tolerance
 
-WINDOW_S = 60.0  # seconds for which a key runs once: longer than a short history
-SHORT_WINDOW_S = 4.0  # so that claims end within a history
+# Deduplication window of an idempotency key, in seconds. It is longer than a short history.
+WINDOW_S = 60.0
+# A deduplication window that is so short that reservations expire within a history, in seconds.
+SHORT_WINDOW_S = 4.0
 
 
 @dataclass(slots=True, frozen=True)
 class Setting:
-    """One kind of history.
-
-    `machines`, `zones`: how many may be lost at once; `faults_s`: seconds in which faults happen; `order_every`:
-    seconds between orders, on average; `window_s`: seconds for which a key runs once; `absences`: how often a control
-    node is away for long; `items`: names that are ordered; `item_bytes`: of each value; `claims_heard`: whether a new
-    voter hears the claims of others, else time alone makes it complete; `hasty`: whether the next disk may be lost as
-    soon as the register has recovered from the loss before, whatever the settings allow, so that claims may be lost.
+    """The size of a cluster and the faults and load of its random histories.
+
+    Attributes:
+        nodes: the number of control nodes.
+        max_lost_machines: the number of machines that may be lost at once.
+        max_lost_zones: the number of zones that may be lost at once.
+        fault_period_s: the seconds during which faults are injected.
+        mean_request_interval_s: the mean seconds between two change requests.
+        deduplication_window_s: the deduplication window of an idempotency key, in seconds.
+        absence_count: how often a control node is away for a long time.
+        item_count: the number of different item names that requests change.
+        item_bytes: the size of each value.
+        delivers_reservation_pages: whether a new voter receives the reservations of other voters. Otherwise it becomes
+            complete only after the deduplication window has passed.
+        ignores_tolerance: whether the next disk may be lost as soon as the register has recovered from the previous
+            loss, whatever the tolerance allows. Reservations may be lost then.
     """
 
     nodes: int
-    machines: int
-    zones: int
-    faults_s: float = 14.0
-    order_every: float = 0.12
-    window_s: float = WINDOW_S
-    absences: int = 0
-    items: int = 4
+    max_lost_machines: int
+    max_lost_zones: int
+    fault_period_s: float = 14.0
+    mean_request_interval_s: float = 0.12
+    deduplication_window_s: float = WINDOW_S
+    absence_count: int = 0
+    item_count: int = 4
     item_bytes: int = 3
-    claims_heard: bool = True
-    hasty: bool = False
+    delivers_reservation_pages: bool = True
+    ignores_tolerance: bool = False
 
     @property
     def tolerance(self) -> Tolerance:
-        """What may be lost at once."""
-        return Tolerance(self.machines, self.zones)
+        """The losses that the cluster tolerates at once."""
+        return Tolerance(self.max_lost_machines, self.max_lost_zones)
 
     @property
     def complete_by_time(self) -> float:
-        """Seconds until a voter that hears nothing is complete, where that is to happen."""
-        return self.window_s + RETENTION_MARGIN_SECONDS if self.hasty or not self.claims_heard else 0.0
+        """Seconds until a voter without reservations from others is complete, or 0 if no voter has to wait for that."""
+        return (
+            self.deduplication_window_s + RETENTION_MARGIN_SECONDS
+            if self.ignores_tolerance or not self.delivers_reservation_pages
+            else 0.0
+        )
 
 
 SETTINGS = [
@@ -55,21 +70,27 @@
     Setting(7, 2, 1),
     Setting(11, 2, 1),
 ]
-"""Short histories of losses as fast as the settings tolerate."""
+"""Short histories in which losses follow each other as fast as the tolerance allows."""
 
 MANY_CHANGES = [
-    replace(setting, faults_s=70.0, order_every=0.08, absences=2, items=60, item_bytes=12_000)
+    replace(
+        setting, fault_period_s=70.0, mean_request_interval_s=0.08, absence_count=2, item_count=60, item_bytes=12_000
+    )
     for setting in SETTINGS[:4]
 ]
-"""Hundreds of changes, of a state of several pages, while a control node is away for a part of them."""
+"""Histories of hundreds of changes to a state of several pages, some of them while a control node is away."""
 
 COMPLETE_BY_TIME = [
-    replace(setting, faults_s=45.0, window_s=SHORT_WINDOW_S, claims_heard=False) for setting in SETTINGS[:4]
+    replace(setting, fault_period_s=45.0, deduplication_window_s=SHORT_WINDOW_S, delivers_reservation_pages=False)
+    for setting in SETTINGS[:4]
 ]
-"""What others tell of their claims is always lost: voters become complete by time alone."""
+"""Histories in which pages of reservations are always lost, so that voters become complete by time alone."""
 
-HASTY_LOSSES = [replace(setting, faults_s=45.0, window_s=SHORT_WINDOW_S, hasty=True) for setting in SETTINGS[:4]]
-"""One disk after the other, faster than the settings allow: a majority comes back by itself."""
+HASTY_LOSSES = [
+    replace(setting, fault_period_s=45.0, deduplication_window_s=SHORT_WINDOW_S, ignores_tolerance=True)
+    for setting in SETTINGS[:4]
+]
+"""Histories that lose one disk after another, faster than the tolerance allows: a majority has to recover by itself."""
 
 KINDS = {
     "short": SETTINGS,
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -1,4 +1,4 @@
-"""What small worlds have in common: nodes, wires, disks, and the events that these bring about."""
+"""Common part of the small models: nodes, wires and disks, and their events."""
 
 from __future__ import annotations
 
@@ -8,71 +8,81 @@
 
 import msgspec
 
-from lugspur.emulator.control.checks import Chain, Violation
+from lugspur.emulator.control.checks import DecidedStates, Violation
 from lugspur.emulator.control.explorer import Event
 from lugspur.emulator.control.node import Node, Wire
 from lugspur.mesh.control.messages import Accepted, Learn, Message, Promise, Voter
 from lugspur.mesh.control.proposer import Phase
 from lugspur.mesh.control.replica import GENESIS
 
-WINDOW = 1e9  # seconds: no claim ends in a small world
-PAUSE = 1000.0  # seconds: longer than every patience of the code that runs
-ENDED = "ended"  # who has dialled a connection whose process has ended
-SETTLE_MOST = 5000  # deliveries within which a world has to settle
+# Deduplication window in seconds. It is so long that no reservation expires in a small model.
+DEDUPLICATION_WINDOW_S = 1e9
+# Seconds by which time advances at once. This is longer than every timeout of the production code.
+LONG_WAIT_S = 1000.0
+# Stands in `Wire.dialled_by` for a connection whose process has ended.
+ENDED = "ended"
+# Maximum number of deliveries until no message is in flight any more.
+MAX_DELIVERIES = 5000
 
 _pack = msgspec.msgpack.Encoder().encode
 
 
-class NoChance:
-    """A generator that draws the same always: what is drawn is no part of a state."""
+class ConstantRandom:
+    """A random generator that always returns the same value, so that states don't depend on random numbers."""
 
     def random(self) -> float:
-        """The middle."""
+        """Return the middle of the range."""
         return 0.5
 
 
-NO_CHANCE = cast(Random, NoChance())
+CONSTANT_RANDOM = cast(Random, ConstantRandom())
 
 
 class SmallWorld:
-    """Nodes and the wires between them. `disks`: whether a write takes its time; else it is there at once."""
+    """Nodes and the wires between them.
 
-    def __init__(self, voters: list[str], others: list[str], disks: bool, powers: int, breaks: int) -> None:
-        self.now = PAUSE
-        self.disks, self.powers, self.breaks = disks, powers, breaks
+    `delayed_writes`: whether a write reaches the disk by an event of its own, else at once; `power_losses` and
+    `disconnections`: how many of these events may happen.
+    """
+
+    def __init__(
+        self, voters: list[str], others: list[str], delayed_writes: bool, powers: int, disconnections: int
+    ) -> None:
+        self.now = LONG_WAIT_S
+        self.delayed_writes, self.powers, self.disconnections = delayed_writes, powers, disconnections
         self.wires: dict[Wire, list[Message]] = {}
-        self.chain = Chain()
+        self.decided_states = DecidedStates()
         self.seeds = [Voter(ip, GENESIS, "") for ip in voters]
         self.nodes: dict[str, Node] = {}
         for ip in [*voters, *others]:
-            node = self.nodes[ip] = Node(ip, "", WINDOW, NO_CHANCE, self.post, self.observe)
+            node = self.nodes[ip] = Node(ip, "", DEDUPLICATION_WINDOW_S, CONSTANT_RANDOM, self.post, self.observe)
             node.start(self.now, self.seeds if ip in voters else ())
-        self.chain.observe(voters[0], self.nodes[voters[0]].replica.register)
+        self.decided_states.record(voters[0], self.nodes[voters[0]].replica.register)
 
     def post(self, wire: Wire, message: Message) -> None:
-        """Put a message on its way; what answers a process that has ended goes nowhere."""
+        """Send a message; a reply to a process that has ended is dropped."""
         if wire.dialled_by == ENDED:
             return
         self.wires.setdefault(wire, []).append(message)
 
     def observe(self, node: Node) -> None:
-        """A node has learned of a change."""
-        self.chain.observe(node.ip, node.replica.register)
+        """Check the state of a node whose index has advanced."""
+        self.decided_states.record(node.ip, node.replica.register)
 
     # ---- events ------------------------------------------------------------------------------
 
     def events(self) -> Iterator[Event]:
-        """What may happen to wires, disks and power."""
+        """Yield the possible events of wires, disks and power."""
         for wire in self.wires:
             yield "deliver", wire.source, wire.target, wire.dialled_by
         for ip, node in self.nodes.items():
-            if not node.up:
+            if not node.is_running:
                 continue
-            if node.unsynced and self.disks:
+            if node.unsynced and self.delayed_writes:
                 yield "sync", ip
             if self.powers:
                 yield "power", ip
-        if self.breaks:
+        if self.disconnections:
             for pair in sorted(
                 {
                     (w.dialled_by, w.target if w.dialled_by == w.source else w.source)
@@ -83,66 +93,66 @@
                 yield "break", *pair
 
     def step(self, event: Event) -> None:
-        """Let one thing happen, and what follows from it within one process."""
-        what, *who = event
-        if what == "deliver":
-            self._deliver(Wire(*who))
-        elif what == "sync":
-            self.nodes[who[0]].sync()
-        elif what == "power":
+        """Apply one event, and everything that follows from it within a process."""
+        kind, *args = event
+        if kind == "deliver":
+            self._deliver(Wire(*args))
+        elif kind == "sync":
+            self.nodes[args[0]].sync()
+        elif kind == "power":
             self.powers -= 1
-            self.lose_power(who[0])
-            self.nodes[who[0]].start(self.now)
-        elif what == "break":
-            self.breaks -= 1
-            self._break(who[0], who[1])
+            self.lose_power(args[0])
+            self.nodes[args[0]].start(self.now)
+        elif kind == "break":
+            self.disconnections -= 1
+            self._break(args[0], args[1])
         else:
-            self.happen(what, who)
-        self.within()
+            self.apply_own_event(kind, args)
+        self.run_internal_events()
 
-    def happen(self, what: str, who: list[str]) -> None:
-        """An event of the world's own."""
-        raise NotImplementedError(what)
+    def apply_own_event(self, kind: str, args: list[str]) -> None:
+        """Apply an event that a subclass adds."""
+        raise NotImplementedError(kind)
 
     def _deliver(self, wire: Wire) -> None:
         queue = self.wires[wire]
         message = queue.pop(0)
         if not queue:
             del self.wires[wire]
-        self.arrived(wire, message)
+        self.handle_delivery(wire, message)
 
-    def arrived(self, wire: Wire, message: Message) -> None:
-        """A message has come."""
+    def handle_delivery(self, wire: Wire, message: Message) -> None:
+        """Handle a message that is delivered."""
         node = self.nodes.get(wire.target)
-        if node is not None and node.up:
-            node.heard(self.now, wire, message)
-
-    def within(self) -> None:
-        """What a process says to itself comes at once; so do writes where disks take no time."""
-        going = True
-        while going:
-            going = False
+        if node is not None and node.is_running:
+            node.receive(self.now, wire, message)
+
+    def run_internal_events(self) -> None:
+        """Deliver messages of a process to itself, and complete writes unless they are delayed, until none is left."""
+        is_progressing = True
+        while is_progressing:
+            is_progressing = False
             for node in self.nodes.values():
-                if node.up and node.unsynced and not self.disks:
+                if node.is_running and node.unsynced and not self.delayed_writes:
                     node.sync()
-                    going = True
+                    is_progressing = True
             for wire in [wire for wire in self.wires if wire.source == wire.target]:
                 self._deliver(wire)
-                going = True
-        self._drop_idle()
+                is_progressing = True
+        self._drop_without_effect()
 
-    def _drop_idle(self) -> None:
-        """Messages that change nothing whenever they come are gone at once: else states differ by them alone."""
+    def _drop_without_effect(self) -> None:
+        """Drop messages that can no longer have an effect, so that states don't differ by them alone."""
         for wire, queue in list(self.wires.items()):
             node = self.nodes.get(wire.target)
-            if node is None or not node.up:
+            if node is None or not node.is_running:
                 continue
-            queue[:] = [message for message in queue if not is_idle(node, message)]
+            queue[:] = [message for message in queue if not has_no_effect(node, message)]
             if not queue:
                 del self.wires[wire]
 
     def lose_power(self, ip: str) -> None:
-        """A node stops, and its connections end: what it has sent may still come, at any time."""
+        """Stop a node and end its connections; messages that it has sent may still arrive at any time."""
         self.nodes[ip].stop()
         for wire in [wire for wire in self.wires if ip in (wire.source, wire.target)]:
             queue = self.wires.pop(wire)
@@ -154,46 +164,46 @@
         self.wires.pop(Wire(other, dialler, dialler), None)
         for ip, source in ((dialler, other), (other, dialler)):
             node = self.nodes.get(ip)
-            if node is not None and node.up:
+            if node is not None and node.is_running:
                 node.pages.disconnected(Wire(source, ip, dialler))
                 node.catch_up.disconnected(source)
 
     def deliver_all(self) -> None:
-        """Let everything come that is on its way."""
-        for _ in range(SETTLE_MOST):
+        """Deliver all messages in flight; raises Violation if there is no end to them."""
+        for _ in range(MAX_DELIVERIES):
             for node in self.nodes.values():
-                if node.up and node.unsynced:
+                if node.is_running and node.unsynced:
                     node.sync()
             if not self.wires:
                 return
             self._deliver(next(iter(self.wires)))
-            self.within()
-        raise Violation("messages without an end")
+            self.run_internal_events()
+        raise Violation(f"messages are still in flight after {MAX_DELIVERIES} deliveries")
 
-    def settle(self) -> None:
-        """Let all be well for a while."""
+    def check_recovery(self) -> None:
+        """Run without further faults; raises Violation if the system does not recover."""
 
     # ---- states ------------------------------------------------------------------------------
 
     def key(self) -> object:
-        """Nodes, wires and budgets."""
+        """Return the state of nodes and wires, and how many faults are left."""
         wires = tuple(
             (wire, tuple((type(message).__name__, _pack(message)) for message in queue))
             for wire, queue in sorted(self.wires.items(), key=lambda pair: str(pair[0]))
         )
         nodes = tuple(node_key(node, self.now) for node in self.nodes.values())
-        return nodes, wires, self.powers, self.breaks, self.own_key()
+        return nodes, wires, self.powers, self.disconnections, self.extra_key()
 
-    def own_key(self) -> object:
-        """What the world adds."""
+    def extra_key(self) -> object:
+        """Return the part of the state that a subclass adds."""
         return None
 
 
-def is_idle(node: Node, message: Message) -> bool:
-    """Whether a message changes nothing at this node, now and for ever.
+def has_no_effect(node: Node, message: Message) -> bool:
+    """Whether a message has no effect at this node, now or later.
 
-    Ballots of one proposer and indexes only rise: what belongs to an earlier one is late, and stays so. A promise
-    that comes in the second round, and a page of what is known, change nothing either.
+    Proposal numbers of one proposer and indexes only rise, so that a reply to an earlier one stays outdated. A promise
+    that arrives in the accept phase and a page of known changes have no effect either.
     """
     if isinstance(message, Learn):
         return message.page == 0 and message.is_last and message.index <= node.replica.index
@@ -206,13 +216,13 @@
 
 
 def node_key(node: Node, now: float) -> object:
-    """All that decides what a node will do; no times but whether it pauses."""
-    if not node.up:
-        return node.ip, tuple(sorted(node.disk.items())), node.lives
+    """Return everything that a node's behaviour depends on; of all times only whether its proposer pauses."""
+    if not node.is_running:
+        return node.ip, tuple(sorted(node.disk.items())), node.incarnation_number
     replica, register = node.replica, node.replica.register
     return (
         node.ip,
-        node.lives,
+        node.incarnation_number,
         tuple(sorted(node.disk.items())),
         tuple(
             (tuple(w.rows), tuple((str(p), type(m).__name__, _pack(m)) for p, m in w.after_sync)) for w in node.unsynced
@@ -222,7 +232,10 @@
             [register.promised, register.accepted, register.accepted_change, replica.complete_epoch, replica.membership]
         ),
         tuple(sorted((name, _pack(item)) for name, item in register.items.items())),
-        tuple((key, held.owner, held.response is not None) for key, held in replica.reservations.items()),
+        tuple(
+            (key, reservation.owner, reservation.response is not None)
+            for key, reservation in replica.reservations.items()
+        ),
         _proposer_key(node, now),
         _reader_key(node),
         tuple((str(source), _pack(pages)) for source, pages in node.pages._pages.items()),
@@ -232,26 +245,26 @@
 
 def _proposer_key(node: Node, now: float) -> object:
     proposer, proposal = node.proposer, node.proposer._proposal
-    orders = tuple(
-        (id_of(order.entries), order.was_proposed, order.change_id, order.proposals_at_submission)
-        for order in proposer._requests
+    requests = tuple(
+        (entries_key(request.entries), request.was_proposed, request.change_id, request.proposals_at_submission)
+        for request in proposer._requests
     )
-    under_way: object = None
+    proposal_key: object = None
     if proposal is not None:
         promises = tuple((ip, _pack(promise)) for ip, promise in sorted(proposal.promises.items()))
-        told = tuple(sorted(proposal.catch_ups.items()))
-        under_way = (
+        catch_ups_key = tuple(sorted(proposal.catch_ups.items()))
+        proposal_key = (
             proposal.index,
             _pack([proposal.number, proposal.change]),
             proposal.phase.value,
             promises,
             tuple(sorted(proposal.accepted_by)),
-            told,
+            catch_ups_key,
         )
     pauses = proposer._not_before > now
     return (
-        orders,
-        under_way,
+        requests,
+        proposal_key,
         proposer._highest_number,
         proposer._change_count,
         proposer._proposal_count,
@@ -262,13 +275,11 @@
 
 def _reader_key(node: Node) -> object:
     reader = node.reader
-    current = reader._query
-    asked = (
-        None if current is None else (current.number, current.index, tuple(sorted(current.replied)), len(current.reads))
-    )
-    return reader._number, len(reader._waiting), asked
+    query = reader._query
+    query_key = None if query is None else (query.number, query.index, tuple(sorted(query.replied)), len(query.reads))
+    return reader._number, len(reader._waiting), query_key
 
 
-def id_of(entries: list[Any]) -> bytes:
-    """Entries as a key."""
+def entries_key(entries: list[Any]) -> bytes:
+    """Return entries as a hashable key."""
     return _pack(entries)
