--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -1,4 +1,4 @@
-"""Random histories: operators, readers and proxies during faults (see `losses`), until the mesh has recovered."""
+"""Random histories: operators, readers and proxies during faults (see `faults`), until the mesh has recovered."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from random import Random
 
 from lugspur.emulator.control.checks import Violation
-from lugspur.emulator.control.losses import FaultInjector
+from lugspur.emulator.control.faults import FaultInjector
 from lugspur.emulator.control.mesh_world import Figures, MeshWorld
 from lugspur.emulator.control.operators import CALLER_TIMEOUT_S, MAX_ATTEMPTS, Operators
 from lugspur.emulator.control.register_world import SERVICE
