--- a/lugspur/emulator/control/claims_world.py
+++ b/lugspur/emulator/control/claims_world.py
@@ -62,7 +62,7 @@
 class Claimant:
     """A client that wants to run the operation; it knows a membership and may learn the next one."""
 
-    def __init__(self, world: ClaimsWorld, name: str) -> None:
+    def __init__(self, world: ReservationWorld, name: str) -> None:
         self.world, self.name, self.owner = world, name, name.encode()
         self.state = "idle"  # then "reserving", "acquired" or "rejected", "ran", "completed"
         self.membership: Membership = world.initial_membership
@@ -81,7 +81,7 @@
         return self.state, self.membership.epoch, open_key
 
 
-class ClaimsWorld(SmallWorld):
+class ReservationWorld(SmallWorld):
     """Three voters, a new node, and the claimants of one key."""
 
     def __init__(self, limits: Limits) -> None:
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -201,7 +201,7 @@
 
 def by_reservation_walks(*names: str) -> Callable[[], str]:
     """Return a detector that walks through models of reservations."""
-    return lambda: find_by_walks(claims_world.ClaimsWorld, claims_world.WORLDS, names)
+    return lambda: find_by_walks(claims_world.ReservationWorld, claims_world.WORLDS, names)
 
 
 def by_histories(first: int = 0, nodes: int = 0) -> Callable[[], str]:
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lugspur.emulator.control import claims_world, register_world
-from lugspur.emulator.control.claims_world import ClaimsWorld
+from lugspur.emulator.control.claims_world import ReservationWorld
 from lugspur.emulator.control.explorer import Explored, explore
 from lugspur.emulator.control.register_world import Limits, RegisterWorld
 
@@ -36,5 +36,5 @@
 
 @pytest.mark.parametrize("limits", claims_world.WORLDS, ids=lambda limits: limits.name)
 def test_walks_through_worlds_of_reservations(limits: claims_world.Limits) -> None:
-    assert explore(partial(ClaimsWorld, limits), NEAREST) == Explored(NEAREST, False)
-    assert explore(partial(ClaimsWorld, limits), WALKED, Random(3)) == Explored(WALKED, False)
+    assert explore(partial(ReservationWorld, limits), NEAREST) == Explored(NEAREST, False)
+    assert explore(partial(ReservationWorld, limits), WALKED, Random(3)) == Explored(WALKED, False)
