--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from lugspur.emulator.control import claims_world, histories, register_world
+from lugspur.emulator.control import histories, register_world, reservation_world
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import random_walks
 from lugspur.emulator.control.settings import SETTINGS
@@ -201,7 +201,7 @@
 
 def by_reservation_walks(*names: str) -> Callable[[], str]:
     """Return a detector that walks through models of reservations."""
-    return lambda: find_by_walks(claims_world.ReservationWorld, claims_world.WORLDS, names)
+    return lambda: find_by_walks(reservation_world.ReservationWorld, reservation_world.WORLDS, names)
 
 
 def by_histories(first: int = 0, nodes: int = 0) -> Callable[[], str]:
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from lugspur.emulator.control import catching_up, claims_world, guards, histories, register_world
+from lugspur.emulator.control import catching_up, guards, histories, register_world, reservation_world
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import World, explore
 from lugspur.emulator.control.mesh_world import Figures
@@ -123,7 +123,7 @@
 MODELS: list[tuple[str, Callable[[], World]]] = [
     *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.WHOLE_WORLDS),
     *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.WORLDS),
-    *((limits.name, partial(claims_world.ReservationWorld, limits)) for limits in claims_world.WORLDS),
+    *((limits.name, partial(reservation_world.ReservationWorld, limits)) for limits in reservation_world.WORLDS),
 ]
 
 
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from lugspur.emulator.control import claims_world, register_world
-from lugspur.emulator.control.claims_world import ReservationWorld
+from lugspur.emulator.control import register_world, reservation_world
 from lugspur.emulator.control.explorer import Explored, explore
 from lugspur.emulator.control.register_world import Limits, RegisterWorld
+from lugspur.emulator.control.reservation_world import ReservationWorld
 
 ONE_ORDER = Limits("one order", (("x", "a"),), retries=0, powers=1)
 NEAREST = 300  # states that are explored in order of their distance
@@ -34,7 +34,7 @@
     assert explore(partial(RegisterWorld, limits), WALKED, Random(3)) == Explored(WALKED, False)
 
 
-@pytest.mark.parametrize("limits", claims_world.WORLDS, ids=lambda limits: limits.name)
-def test_walks_through_worlds_of_reservations(limits: claims_world.Limits) -> None:
+@pytest.mark.parametrize("limits", reservation_world.WORLDS, ids=lambda limits: limits.name)
+def test_walks_through_worlds_of_reservations(limits: reservation_world.Limits) -> None:
     assert explore(partial(ReservationWorld, limits), NEAREST) == Explored(NEAREST, False)
     assert explore(partial(ReservationWorld, limits), WALKED, Random(3)) == Explored(WALKED, False)
