--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -410,7 +410,7 @@
         setattr(guard.owner, guard.attribute, original)
 
 
-def caught(guard: Guard) -> str:
+def detect_without(guard: Guard) -> str:
     """Run the detector without the guard; return the violation, or an empty text if there is none."""
     with disabled(guard):
         return guard.detect()
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -162,7 +162,7 @@
     """Run the detector of one guard without it; return its table row, and whether the missing guard was detected."""
     started_at = time.perf_counter()
     guard = guards.GUARDS[number]
-    result = guards.caught(guard)
+    result = guards.detect_without(guard)
     detected_by = result.replace("|", "/") if result else "NOT CAUGHT"
     return f"| {guard.name} | {time.perf_counter() - started_at:.0f} | {detected_by} |", bool(result)
 
--- a/tests/mesh/test_soak_guards.py
+++ b/tests/mesh/test_soak_guards.py
@@ -41,7 +41,7 @@
 def test_a_models_guard_whose_attribute_was_renamed_is_not_taken_out_in_silence() -> None:
     guard = control_guards.Guard("a renamed guard", Owner, "former", None, lambda: "caught")
     with pytest.raises(GuardNotFoundError, match="Owner has no attribute 'former'"):
-        control_guards.caught(guard)
+        control_guards.detect_without(guard)
     assert not hasattr(Owner, "former")
 
 
