--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -140,7 +140,7 @@
 
 GUARDS = [
     *DATA_PLANE,
-    *(SoakGuard(guard.name, guard.owner, guard.attribute, guard.wrong) for guard in control_guards.GUARDS),
+    *(SoakGuard(guard.name, guard.owner, guard.attribute, guard.replacement) for guard in control_guards.GUARDS),
 ]
 
 
--- a/lugspur/emulator/control/guards.py
+++ b/lugspur/emulator/control/guards.py
@@ -248,7 +248,7 @@
     name: str
     owner: Any
     attribute: str
-    wrong: Any
+    replacement: Any
     detect: Callable[[], str]
 
 
@@ -403,7 +403,7 @@
 def disabled(guard: Guard) -> Iterator[None]:
     """Put the faulty replacement in place of a guard for the time of the block."""
     original = own_attribute(guard.owner, guard.attribute)
-    setattr(guard.owner, guard.attribute, guard.wrong)
+    setattr(guard.owner, guard.attribute, guard.replacement)
     try:
         yield
     finally:
