--- a/lugspur/emulator/control/faults.py
+++ b/lugspur/emulator/control/faults.py
@@ -99,7 +99,7 @@
             return
         fault = rng.choice(FAULTS)
         if self._inject(fault, rng.choice(nodes), nodes):
-            world.figures.faults[fault] = world.figures.faults.get(fault, 0) + 1
+            world.counters.faults[fault] = world.counters.faults.get(fault, 0) + 1
 
     def _inject(self, fault: str, ip: str, nodes: list[str]) -> bool:
         """Inject a fault unless the tolerance forbids it; return whether it was injected."""
@@ -310,7 +310,7 @@
         else:
             self._schedule(duration, lambda: self._check_catch_up(node))
         name = f"away, {kind}"
-        world.figures.faults[name] = world.figures.faults.get(name, 0) + 1
+        world.counters.faults[name] = world.counters.faults.get(name, 0) + 1
 
     def _check_catch_up(self, node: MeshNode) -> None:
         """Check that a node which is back learns within a bounded time what was decided while it was away."""
@@ -340,7 +340,7 @@
                     )
                 self._schedule(0.05, check_progress)
                 return
-            world.figures.missed = max(world.figures.missed, missed)
-            world.figures.caught_up_after = max(world.figures.caught_up_after, elapsed)
+            world.counters.missed = max(world.counters.missed, missed)
+            world.counters.caught_up_after = max(world.counters.caught_up_after, elapsed)
 
         check_progress()
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -7,7 +7,7 @@
 
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.faults import FaultInjector
-from lugspur.emulator.control.mesh_world import Figures, MeshWorld
+from lugspur.emulator.control.mesh_world import HistoryCounters, MeshWorld
 from lugspur.emulator.control.operators import CALLER_TIMEOUT_S, MAX_ATTEMPTS, Operators
 from lugspur.emulator.control.register_world import SERVICE
 from lugspur.emulator.control.settings import Setting
@@ -38,7 +38,7 @@
         self.rng = Random(seed * 7919 + 1)
         self.setting = setting
         self.world = MeshWorld(seed, setting)
-        self.figures: Figures = self.world.figures
+        self.counters: HistoryCounters = self.world.counters
         self.operators = Operators(self.world, setting, self.rng)
         self.faults = FaultInjector(self.world, setting, self.rng)
         self.reservation_count = 0
@@ -46,7 +46,7 @@
 
     # ---- course of a history ---------------------------------------------------------------
 
-    def play(self) -> Figures:
+    def play(self) -> HistoryCounters:
         """Play the history until the mesh has recovered; raises Violation."""
         world = self.world
         self._run(1.0)
@@ -65,9 +65,9 @@
         self._recover()
         self._check_every_node()
         world.request_checker.check_history()
-        self.figures.changes = world.decided_states.last_index
-        self.figures.epochs = max(node.replica.epoch for node in world.up())
-        return self.figures
+        self.counters.changes = world.decided_states.last_index
+        self.counters.epochs = max(node.replica.epoch for node in world.up())
+        return self.counters
 
     def _recover(self) -> None:
         world, recovery_started_at = self.world, self.world.now
@@ -76,7 +76,7 @@
             if world.now > recovery_started_at + limit_s:
                 raise Violation(f"not recovered {limit_s:g} s after the last fault: {self._describe_nodes()}")
             self._run(world.now + 0.25)
-        self.figures.well_after = world.now - recovery_started_at
+        self.counters.well_after = world.now - recovery_started_at
 
     def _run(self, until: float) -> None:
         self.world.clock.run_until(until)
@@ -156,6 +156,6 @@
         return "; ".join(descriptions)
 
 
-def play(seed: int, setting: Setting) -> Figures:
+def play(seed: int, setting: Setting) -> HistoryCounters:
     """Play one history and return its counters; raises Violation."""
     return History(seed, setting).play()
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class HistoryCounters:
     """Counters of what happened in a history."""
 
     confirmed: int = 0
@@ -91,7 +91,7 @@
         self.rng = Random(seed)
         self.clock = Clock()
         self.setting = setting
-        self.figures = Figures()
+        self.counters = HistoryCounters()
         self.decided_states = DecidedStates()
         self.request_checker = ChangeRequestChecker(self.decided_states)
         self.key_checker = KeyRunChecker(setting.deduplication_window_s, not setting.ignores_tolerance)
@@ -205,7 +205,7 @@
 
     def post(self, wire: Wire, message: Message) -> None:
         """Send a message."""
-        self.figures.messages += 1
+        self.counters.messages += 1
         other = wire.target if wire.dialled_by == wire.source else wire.source
         pair = (wire.dialled_by, other)
         if wire.source == wire.target:
@@ -217,7 +217,7 @@
         if connection is None or not connection.is_up:
             return
         if isinstance(message, Learn):
-            self.figures.learn_bytes += len(encode(message))
+            self.counters.learn_bytes += len(encode(message))
         generation = connection.generation
         at = max(self._last_arrival.get(wire, 0.0) + 1e-6, self.now + self.rng.uniform(*LATENCY_S))
         self._last_arrival[wire] = at
@@ -358,7 +358,7 @@
             if latest and replica.index < confirmed_index:
                 raise Violation(f"{ip} reads at index {replica.index}, index {confirmed_index} was confirmed before")
             if latest:
-                self.figures.reads += 1
+                self.counters.reads += 1
                 self.request_checker.confirmed_index = max(self.request_checker.confirmed_index, replica.index)
                 self.record_confirmed_index(self.request_checker.confirmed_index)
             on_outcome(latest)
@@ -396,7 +396,7 @@
                 self._send_to_voters(proxy, ReleaseKey(key, owner))
                 return
             self.key_checker.record_run(key, owner, sent_at)
-            self.figures.runs += 1
+            self.counters.runs += 1
             if draw < 0.7:
                 self._send_to_voters(proxy, CompleteKey(key, owner, BackendResponse(200, b"", owner)))
 
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -121,11 +121,11 @@
         self._world.later(CALLER_TIMEOUT_S, time_out)
 
     def _handle_outcome(self, request: PendingRequest, outcome: Outcome) -> None:
-        figures = self._world.figures
-        figures.confirmed += isinstance(outcome, Confirmed)
-        figures.refused += isinstance(outcome, Refused)
-        figures.unclear += isinstance(outcome, Unclear)
-        figures.turned_away += isinstance(outcome, NoQuorum)
+        counters = self._world.counters
+        counters.confirmed += isinstance(outcome, Confirmed)
+        counters.refused += isinstance(outcome, Refused)
+        counters.unclear += isinstance(outcome, Unclear)
+        counters.turned_away += isinstance(outcome, NoQuorum)
         if request.is_finished or self._rng.random() < LOST_OUTCOME_FRACTION:
             return
         if isinstance(outcome, Confirmed | Refused):
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -15,7 +15,7 @@
 from lugspur.emulator.control import catching_up, guards, histories, register_world, reservation_world
 from lugspur.emulator.control.checks import Violation
 from lugspur.emulator.control.explorer import World, explore
-from lugspur.emulator.control.mesh_world import Figures
+from lugspur.emulator.control.mesh_world import HistoryCounters
 from lugspur.emulator.control.settings import KINDS, Setting
 
 # Indexes into the settings of short histories, as often as each is played. Large settings take longer and come rarely.
@@ -52,18 +52,18 @@
     missed: int = 0  # most changes that a node missed while it was away
     caught_up_after: float = 0.0  # longest catch-up, in seconds
 
-    def add(self, figures: Figures | str) -> None:
+    def add(self, counters: HistoryCounters | str) -> None:
         """Add the counters of a history, or the text of its violation."""
         self.histories += 1
-        if isinstance(figures, str):
-            self.violations.append(figures)
+        if isinstance(counters, str):
+            self.violations.append(counters)
             return
         for name in ("confirmed", "refused", "unclear", "reads", "runs", "changes", "epochs"):
-            self.total[name] += getattr(figures, name)
-        self.faults.update(figures.faults)
-        self.well_after = max(self.well_after, figures.well_after)
-        self.missed = max(self.missed, figures.missed)
-        self.caught_up_after = max(self.caught_up_after, figures.caught_up_after)
+            self.total[name] += getattr(counters, name)
+        self.faults.update(counters.faults)
+        self.well_after = max(self.well_after, counters.well_after)
+        self.missed = max(self.missed, counters.missed)
+        self.caught_up_after = max(self.caught_up_after, counters.caught_up_after)
 
     def row(self, setting: Setting) -> str:
         """Return the table row of a setting."""
@@ -88,7 +88,7 @@
     return SETTING_ORDER[seed % len(SETTING_ORDER)] if kind == "short" else seed % len(KINDS[kind])
 
 
-def play(kind: str, seed: int) -> Figures | str:
+def play(kind: str, seed: int) -> HistoryCounters | str:
     """Play one history; return its counters or the text of its violation."""
     try:
         return histories.History(seed, KINDS[kind][setting_index(kind, seed)]).play()
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -8,7 +8,7 @@
 
 from lugspur.emulator.control import histories
 from lugspur.emulator.control.checks import Violation
-from lugspur.emulator.control.mesh_world import Figures
+from lugspur.emulator.control.mesh_world import HistoryCounters
 from lugspur.emulator.control.settings import COMPLETE_BY_TIME, HASTY_LOSSES, MANY_CHANGES, SETTINGS, Setting
 from lugspur.mesh.control import reservation_client
 from lugspur.mesh.control.effects import Effects
@@ -27,29 +27,29 @@
     histories.play(100 + seed, setting)
 
 
-def total(played: list[Figures], name: str) -> int:
-    return sum(getattr(figures, name) for figures in played)
+def total(played: list[HistoryCounters], name: str) -> int:
+    return sum(getattr(counters, name) for counters in played)
 
 
 def test_histories_contain_all_kinds_of_events_and_faults() -> None:
     played = [histories.play(seed, Setting(4, 1, 0)) for seed in range(12)]
     assert min(total(played, name) for name in ("confirmed", "refused", "reads", "runs")) > 20
-    faults: set[str] = set().union(*(figures.faults for figures in played))
+    faults: set[str] = set().union(*(counters.faults for counters in played))
     assert {"kill", "wipe", "replace", "leave", "cut", "power"} <= faults
     assert total(played, "unclear") + total(played, "turned_away") > 10
-    assert max(figures.epochs for figures in played) > 2
+    assert max(counters.epochs for counters in played) > 2
 
 
 @pytest.mark.parametrize("setting", MANY_CHANGES, ids=str)
 def test_a_node_that_missed_hundreds_of_changes_learns_them_soon(setting: Setting) -> None:
     played = [histories.play(seed, setting) for seed in range(2)]
-    assert max(figures.missed for figures in played) > 100
-    assert all(figures.caught_up_after < 1.0 for figures in played)
+    assert max(counters.missed for counters in played) > 100
+    assert all(counters.caught_up_after < 1.0 for counters in played)
 
 
 def test_voters_become_complete_by_time_if_no_reservations_arrive() -> None:
     played = [histories.play(seed, COMPLETE_BY_TIME[3]) for seed in range(3)]
-    assert max(figures.well_after for figures in played) > 5.0
+    assert max(counters.well_after for counters in played) > 5.0
     assert total(played, "runs") > 20
 
 
