--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -71,7 +71,7 @@
     confirmed: int = 0
     refused: int = 0
     unclear: int = 0
-    turned_away: int = 0
+    no_quorum: int = 0
     reads: int = 0
     runs: int = 0
     changes: int = 0
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -125,7 +125,7 @@
         counters.confirmed += isinstance(outcome, Confirmed)
         counters.refused += isinstance(outcome, Refused)
         counters.unclear += isinstance(outcome, Unclear)
-        counters.turned_away += isinstance(outcome, NoQuorum)
+        counters.no_quorum += isinstance(outcome, NoQuorum)
         if request.is_finished or self._rng.random() < LOST_OUTCOME_FRACTION:
             return
         if isinstance(outcome, Confirmed | Refused):
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -36,7 +36,7 @@
     assert min(total(played, name) for name in ("confirmed", "refused", "reads", "runs")) > 20
     faults: set[str] = set().union(*(counters.faults for counters in played))
     assert {"kill", "wipe", "replace", "leave", "cut", "power"} <= faults
-    assert total(played, "unclear") + total(played, "turned_away") > 10
+    assert total(played, "unclear") + total(played, "no_quorum") > 10
     assert max(counters.epochs for counters in played) > 2
 
 
