--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -76,7 +76,7 @@
             if world.now > recovery_started_at + limit_s:
                 raise Violation(f"not recovered {limit_s:g} s after the last fault: {self._describe_nodes()}")
             self._run(world.now + 0.25)
-        self.counters.well_after = world.now - recovery_started_at
+        self.counters.recovered_after_s = world.now - recovery_started_at
 
     def _run(self, until: float) -> None:
         self.world.clock.run_until(until)
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -48,7 +48,7 @@
     violations: list[str] = field(default_factory=list)
     total: Counter[str] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
-    well_after: float = 0.0  # longest recovery, in seconds
+    recovered_after_s: float = 0.0  # longest recovery, in seconds
     missed: int = 0  # most changes that a node missed while it was away
     caught_up_after: float = 0.0  # longest catch-up, in seconds
 
@@ -61,7 +61,7 @@
         for name in ("confirmed", "refused", "unclear", "reads", "runs", "changes", "epochs"):
             self.total[name] += getattr(counters, name)
         self.faults.update(counters.faults)
-        self.well_after = max(self.well_after, counters.well_after)
+        self.recovered_after_s = max(self.recovered_after_s, counters.recovered_after_s)
         self.missed = max(self.missed, counters.missed)
         self.caught_up_after = max(self.caught_up_after, counters.caught_up_after)
 
@@ -72,7 +72,7 @@
             f"| {setting.nodes} | {setting.max_lost_machines}, {setting.max_lost_zones} | {self.histories} | "
             f"{self.faults.total()} | {total['confirmed']} | {total['refused']} | {total['unclear']} | "
             f"{total['reads']} | {total['runs']} | {total['changes']} | {total['epochs'] - self.histories} | "
-            f"{self.missed} | {self.caught_up_after:.1f} | {self.well_after:.1f} | {len(self.violations)} |"
+            f"{self.missed} | {self.caught_up_after:.1f} | {self.recovered_after_s:.1f} | {len(self.violations)} |"
         )
 
 
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -49,7 +49,7 @@
 
 def test_voters_become_complete_by_time_if_no_reservations_arrive() -> None:
     played = [histories.play(seed, COMPLETE_BY_TIME[3]) for seed in range(3)]
-    assert max(counters.well_after for counters in played) > 5.0
+    assert max(counters.recovered_after_s for counters in played) > 5.0
     assert total(played, "runs") > 20
 
 
