--- a/lugspur/emulator/control/faults.py
+++ b/lugspur/emulator/control/faults.py
@@ -341,6 +341,6 @@
                 self._schedule(0.05, check_progress)
                 return
             world.counters.missed = max(world.counters.missed, missed)
-            world.counters.caught_up_after = max(world.counters.caught_up_after, elapsed)
+            world.counters.caught_up_after_s = max(world.counters.caught_up_after_s, elapsed)
 
         check_progress()
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -50,7 +50,7 @@
     faults: Counter[str] = field(default_factory=Counter)
     recovered_after_s: float = 0.0  # longest recovery, in seconds
     missed: int = 0  # most changes that a node missed while it was away
-    caught_up_after: float = 0.0  # longest catch-up, in seconds
+    caught_up_after_s: float = 0.0  # longest catch-up, in seconds
 
     def add(self, counters: HistoryCounters | str) -> None:
         """Add the counters of a history, or the text of its violation."""
@@ -63,7 +63,7 @@
         self.faults.update(counters.faults)
         self.recovered_after_s = max(self.recovered_after_s, counters.recovered_after_s)
         self.missed = max(self.missed, counters.missed)
-        self.caught_up_after = max(self.caught_up_after, counters.caught_up_after)
+        self.caught_up_after_s = max(self.caught_up_after_s, counters.caught_up_after_s)
 
     def row(self, setting: Setting) -> str:
         """Return the table row of a setting."""
@@ -72,7 +72,7 @@
             f"| {setting.nodes} | {setting.max_lost_machines}, {setting.max_lost_zones} | {self.histories} | "
             f"{self.faults.total()} | {total['confirmed']} | {total['refused']} | {total['unclear']} | "
             f"{total['reads']} | {total['runs']} | {total['changes']} | {total['epochs'] - self.histories} | "
-            f"{self.missed} | {self.caught_up_after:.1f} | {self.recovered_after_s:.1f} | {len(self.violations)} |"
+            f"{self.missed} | {self.caught_up_after_s:.1f} | {self.recovered_after_s:.1f} | {len(self.violations)} |"
         )
 
 
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -44,7 +44,7 @@
 def test_a_node_that_missed_hundreds_of_changes_learns_them_soon(setting: Setting) -> None:
     played = [histories.play(seed, setting) for seed in range(2)]
     assert max(counters.missed for counters in played) > 100
-    assert all(counters.caught_up_after < 1.0 for counters in played)
+    assert all(counters.caught_up_after_s < 1.0 for counters in played)
 
 
 def test_voters_become_complete_by_time_if_no_reservations_arrive() -> None:
