--- a/lugspur/emulator/control/faults.py
+++ b/lugspur/emulator/control/faults.py
@@ -340,7 +340,7 @@
                     )
                 self._schedule(0.05, check_progress)
                 return
-            world.counters.missed = max(world.counters.missed, missed)
+            world.counters.missed_changes = max(world.counters.missed_changes, missed)
             world.counters.caught_up_after_s = max(world.counters.caught_up_after_s, elapsed)
 
         check_progress()
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -80,7 +80,7 @@
     learn_bytes: int = 0
     faults: dict[str, int] = field(default_factory=dict)
     recovered_after_s: float = 0.0  # seconds from the end of the last fault until the mesh had recovered
-    missed: int = 0  # most changes that a node missed while it was away for a long time
+    missed_changes: int = 0  # most changes that a node missed while it was away for a long time
     caught_up_after_s: float = 0.0  # most seconds until such a node had learned them
 
 
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -49,7 +49,7 @@
     total: Counter[str] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     recovered_after_s: float = 0.0  # longest recovery, in seconds
-    missed: int = 0  # most changes that a node missed while it was away
+    missed_changes: int = 0  # most changes that a node missed while it was away
     caught_up_after_s: float = 0.0  # longest catch-up, in seconds
 
     def add(self, counters: HistoryCounters | str) -> None:
@@ -62,7 +62,7 @@
             self.total[name] += getattr(counters, name)
         self.faults.update(counters.faults)
         self.recovered_after_s = max(self.recovered_after_s, counters.recovered_after_s)
-        self.missed = max(self.missed, counters.missed)
+        self.missed_changes = max(self.missed_changes, counters.missed_changes)
         self.caught_up_after_s = max(self.caught_up_after_s, counters.caught_up_after_s)
 
     def row(self, setting: Setting) -> str:
@@ -72,7 +72,8 @@
             f"| {setting.nodes} | {setting.max_lost_machines}, {setting.max_lost_zones} | {self.histories} | "
             f"{self.faults.total()} | {total['confirmed']} | {total['refused']} | {total['unclear']} | "
             f"{total['reads']} | {total['runs']} | {total['changes']} | {total['epochs'] - self.histories} | "
-            f"{self.missed} | {self.caught_up_after_s:.1f} | {self.recovered_after_s:.1f} | {len(self.violations)} |"
+            f"{self.missed_changes} | {self.caught_up_after_s:.1f} | {self.recovered_after_s:.1f} | "
+            f"{len(self.violations)} |"
         )
 
 
--- a/tests/mesh/control/test_drawn_histories.py
+++ b/tests/mesh/control/test_drawn_histories.py
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("setting", MANY_CHANGES, ids=str)
 def test_a_node_that_missed_hundreds_of_changes_learns_them_soon(setting: Setting) -> None:
     played = [histories.play(seed, setting) for seed in range(2)]
-    assert max(counters.missed for counters in played) > 100
+    assert max(counters.missed_changes for counters in played) > 100
     assert all(counters.caught_up_after_s < 1.0 for counters in played)
 
 
