--- a/lugspur/emulator/control/faults.py
+++ b/lugspur/emulator/control/faults.py
@@ -94,7 +94,7 @@
         rng, world = self._rng, self._world
         if world.now > self._setting.fault_period_s - QUIET_END_S:
             return
-        nodes = [node.ip for node in world.up()]
+        nodes = [node.ip for node in world.running_nodes()]
         if not nodes:
             return
         fault = rng.choice(FAULTS)
@@ -288,7 +288,7 @@
     def _start_random_absence(self) -> None:
         """Make a random machine absent while hundreds of changes are made."""
         world, rng = self._world, self._rng
-        candidates = [node.ip for node in world.up() if self._may_lose(node.ip)]
+        candidates = [node.ip for node in world.running_nodes() if self._may_lose(node.ip)]
         if not candidates:
             if world.now < self._setting.fault_period_s:
                 self._schedule(0.2, self._start_random_absence)
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -66,7 +66,7 @@
         self._check_every_node()
         world.request_checker.check_history()
         self.counters.changes = world.decided_states.last_index
-        self.counters.epochs = max(node.replica.epoch for node in world.up())
+        self.counters.epochs = max(node.replica.epoch for node in world.running_nodes())
         return self.counters
 
     def _recover(self) -> None:
@@ -92,7 +92,7 @@
     # ---- readers and proxies -----------------------------------------------------------------
 
     def _send_random_read(self) -> None:
-        nodes = self.world.up()
+        nodes = self.world.running_nodes()
         if nodes:
             self.world.read(self.rng.choice(nodes).ip, lambda latest: None)
 
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -324,9 +324,9 @@
 
     def has_recent_quorum(self, span: float) -> bool:
         """Whether a majority confirmed the state of some node within `span` seconds, so that changes can be decided."""
-        return any(node.age(self.now) < span for node in self.up())
+        return any(node.age(self.now) < span for node in self.running_nodes())
 
-    def up(self) -> list[MeshNode]:
+    def running_nodes(self) -> list[MeshNode]:
         """Return the nodes that run and aren't frozen."""
         return [node for node in self.nodes.values() if node.is_running and not node.frozen]
 
@@ -375,7 +375,7 @@
 
     def hear(self, proxy: Proxy) -> None:
         """Have a proxy learn the membership of a random running node."""
-        nodes = self.up()
+        nodes = self.running_nodes()
         membership = self.rng.choice(nodes).replica.membership if nodes else None
         if membership is not None and (proxy.membership is None or membership.epoch > proxy.membership.epoch):
             proxy.membership = membership
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -99,7 +99,7 @@
 
     def _send_attempt(self, request: PendingRequest) -> None:
         request.attempts += 1
-        nodes = self._world.up()
+        nodes = self._world.running_nodes()
         if not nodes:
             self._finish(request)
             return
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -70,7 +70,7 @@
     until = world.now + WELL_WITHIN
     while world.now < until:
         world.clock.run_until(world.now + 0.5)
-        replicas = [node.replica for node in world.up()]
+        replicas = [node.replica for node in world.running_nodes()]
         membership = replicas[0].membership
         complete = [replica for replica in replicas if replica.is_complete]
         if membership is not None and len(complete) == len(membership.voters) == world.setting.tolerance.voter_count:
