--- a/lugspur/emulator/control/faults.py
+++ b/lugspur/emulator/control/faults.py
@@ -46,14 +46,14 @@
         self.ends = setting.fault_period_s
         for number in range(setting.absence_count):
             absence_period = setting.fault_period_s / setting.absence_count
-            world.later(rng.uniform(1.0, absence_period / 3.0) + number * absence_period, self._start_random_absence)
+            world.schedule(rng.uniform(1.0, absence_period / 3.0) + number * absence_period, self._start_random_absence)
 
     # ---- tolerated losses ------------------------------------------------------------------
 
     def _schedule(self, delay: float, call: Callable[[], None]) -> None:
         """Schedule a step of a fault, and extend `ends` beyond it."""
         self.ends = max(self.ends, self._world.now + delay + 0.01)
-        self._world.later(delay, call)
+        self._world.schedule(delay, call)
 
     def _lost_machines(self) -> set[str]:
         return {ip for ip, until in self._lost_until.items() if until > self._world.now}
@@ -199,7 +199,7 @@
         self._lost_until.pop(ip, None)
         self._mark_lost(new_node.ip, back_in)
         self._schedule(back_in, lambda: world.start(new_node.ip))
-        world.later(back_in, world.ticker(new_node.ip))
+        world.schedule(back_in, world.ticker(new_node.ip))
         if self._rng.random() < KILLED_AGAIN_FRACTION:
             self._kill_again(new_node.ip, back_in)
 
--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -50,7 +50,7 @@
         """Play the history until the mesh has recovered; raises Violation."""
         world = self.world
         self._run(1.0)
-        world.later(0.0, lambda: self.operators.submit(SERVICE))
+        world.schedule(0.0, lambda: self.operators.submit(SERVICE))
         for interval, action in (
             (self.setting.mean_request_interval_s, self.operators.send_random_request),
             (READ_INTERVAL_S, self._send_random_read),
@@ -85,9 +85,9 @@
         def run() -> None:
             if self.is_running:
                 action()
-                self.world.later(self.rng.expovariate(1.0 / interval), run)
+                self.world.schedule(self.rng.expovariate(1.0 / interval), run)
 
-        self.world.later(self.rng.expovariate(1.0 / interval), run)
+        self.world.schedule(self.rng.expovariate(1.0 / interval), run)
 
     # ---- readers and proxies -----------------------------------------------------------------
 
--- a/lugspur/emulator/control/mesh_node.py
+++ b/lugspur/emulator/control/mesh_node.py
@@ -67,7 +67,7 @@
     def observe(self, node: Node) -> None:
         """Check the state of a node whose index has advanced."""
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
+    def schedule(self, delay: float, call: Callable[[], None]) -> None:
         """Call a function after a delay in seconds."""
 
     def dial(self, ip: str, other: str) -> None:
@@ -202,7 +202,7 @@
                 if replica is self.replica and self.is_running and replica.index < index:
                     self.send(ip, FetchDecided(replica.index))
 
-            self.world.later(CATCH_UP_DELAY_SECONDS, fetch)
+            self.world.schedule(CATCH_UP_DELAY_SECONDS, fetch)
 
     def _send_delta(self, ip: str) -> None:
         now, replica = self.world.now, self.replica
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -114,14 +114,14 @@
         self.decided_states.record("first", self.nodes[self.seeds[0]].replica.register)
         self.proxies = {f"p{n}": Proxy(f"p{n}", self._reservation_client(f"p{n}")) for n in range(proxies)}
         for ip in self.nodes:
-            self.later(self.rng.random() * TICK_SECONDS, self.ticker(ip))
+            self.schedule(self.rng.random() * TICK_SECONDS, self.ticker(ip))
 
     @property
     def now(self) -> float:
         """Virtual time, in seconds."""
         return self.clock.now
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
+    def schedule(self, delay: float, call: Callable[[], None]) -> None:
         """Call a function after a delay in seconds."""
         self.clock.at(self.clock.now + delay, call)
 
@@ -142,7 +142,7 @@
             if node.is_running and not node.frozen:
                 node.tick()
                 self._check_age(node)
-            self.later(TICK_SECONDS, tick)
+            self.schedule(TICK_SECONDS, tick)
 
         return tick
 
@@ -209,7 +209,7 @@
         other = wire.target if wire.dialled_by == wire.source else wire.source
         pair = (wire.dialled_by, other)
         if wire.source == wire.target:
-            self.later(1e-6, lambda: self._deliver(wire, message))
+            self.schedule(1e-6, lambda: self._deliver(wire, message))
             return
         connection = self.connections.get(pair)
         if connection is None and wire.dialled_by in self.proxies:
@@ -273,7 +273,7 @@
             if node.is_running and node.incarnation_number == incarnation_number and not node.frozen:
                 node.sync()
 
-        self.later(self.rng.uniform(*span) + (0.0 if is_urgent else LAZY_SYNC_DELAY_S), sync)
+        self.schedule(self.rng.uniform(*span) + (0.0 if is_urgent else LAZY_SYNC_DELAY_S), sync)
 
     def stop(self, ip: str) -> None:
         """Stop a node as after a power loss."""
--- a/lugspur/emulator/control/operators.py
+++ b/lugspur/emulator/control/operators.py
@@ -118,7 +118,7 @@
                 request.withdrawals.clear()
                 self._retry(request)
 
-        self._world.later(CALLER_TIMEOUT_S, time_out)
+        self._world.schedule(CALLER_TIMEOUT_S, time_out)
 
     def _handle_outcome(self, request: PendingRequest, outcome: Outcome) -> None:
         counters = self._world.counters
@@ -133,7 +133,7 @@
                 self._confirmed.append(request.entries)
             self._finish(request)
         else:
-            self._world.later(self._rng.uniform(0.01, 0.3), lambda: self._retry(request))
+            self._world.schedule(self._rng.uniform(0.01, 0.3), lambda: self._retry(request))
 
     def _retry(self, request: PendingRequest) -> None:
         if request.is_finished:
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -35,7 +35,7 @@
     ip = world.seeds[0]
     world.stop(ip)
     world.nodes[ip].wipe()
-    world.later(0.5, lambda: world.start(ip))
+    world.schedule(0.5, lambda: world.start(ip))
     world.clock.run_until(world.now + 1.0)
     settle(world)
 
@@ -62,7 +62,7 @@
     assert proxy.membership is not None
     by = b"by %s %f" % (name.encode(), world.now)
     proxy.claims.reserve(world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append)
-    world.later(2.0, lambda: proxy.claims.tick(world.now))
+    world.schedule(2.0, lambda: proxy.claims.tick(world.now))
 
 
 def settle(world: MeshWorld) -> None:
