--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -99,7 +99,7 @@
     def _send_random_reservation(self) -> None:
         world, rng = self.world, self.rng
         proxy = rng.choice(list(world.proxies.values()))
-        world.hear(proxy)
+        world.update_membership(proxy)
         proxy.claims.tick(world.now)
         if len(proxy.claims) > MAX_OPEN_RESERVATIONS:
             return
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -373,7 +373,7 @@
 
         return ReservationClient(send)
 
-    def hear(self, proxy: Proxy) -> None:
+    def update_membership(self, proxy: Proxy) -> None:
         """Have a proxy learn the membership of a random running node."""
         nodes = self.running_nodes()
         membership = self.rng.choice(nodes).replica.membership if nodes else None
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -58,7 +58,7 @@
 def ask(world: MeshWorld, name: str, how: list[ReservationOutcome]) -> None:
     proxy = world.proxies[name]
     proxy.membership = None
-    world.hear(proxy)
+    world.update_membership(proxy)
     assert proxy.membership is not None
     by = b"by %s %f" % (name.encode(), world.now)
     proxy.claims.reserve(world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append)
