--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -100,8 +100,8 @@
         world, rng = self.world, self.rng
         proxy = rng.choice(list(world.proxies.values()))
         world.update_membership(proxy)
-        proxy.claims.tick(world.now)
-        if len(proxy.claims) > MAX_OPEN_RESERVATIONS:
+        proxy.reservations.tick(world.now)
+        if len(proxy.reservations) > MAX_OPEN_RESERVATIONS:
             return
         self.reservation_count += 1
         key = b"k%d" % (self.reservation_count // RESERVATIONS_PER_KEY + rng.randrange(3))
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -60,7 +60,7 @@
     """A proxy that reserves keys and learns of memberships from time to time."""
 
     name: str
-    claims: ReservationClient
+    reservations: ReservationClient
     membership: Membership | None = None
 
 
@@ -239,7 +239,7 @@
         if node is None:
             proxy = self.proxies.get(wire.target)
             if proxy is not None and isinstance(message, ReserveKeyReply):
-                proxy.claims.receive(self.now, wire.source, message)
+                proxy.reservations.receive(self.now, wire.source, message)
         elif node.is_running and node.frozen:
             node.deferred.append(lambda: self._receive(node, wire, message))
         elif node.is_running:
@@ -293,7 +293,7 @@
             return
         node.start(self.now)
         for proxy in self.proxies.values():
-            proxy.claims.voter_connected(self.now, ip)
+            proxy.reservations.voter_connected(self.now, ip)
 
     def freeze(self, ip: str) -> None:
         """Pause a node; messages that arrive are deferred."""
@@ -379,7 +379,7 @@
         membership = self.rng.choice(nodes).replica.membership if nodes else None
         if membership is not None and (proxy.membership is None or membership.epoch > proxy.membership.epoch):
             proxy.membership = membership
-            proxy.claims.membership_changed(self.now, membership)
+            proxy.reservations.membership_changed(self.now, membership)
 
     def reserve_and_run(self, proxy: Proxy, key: bytes, owner: bytes) -> None:
         """Have a proxy reserve a key; once it is acquired, the operation runs or the key is released."""
@@ -400,7 +400,7 @@
             if draw < 0.7:
                 self._send_to_voters(proxy, CompleteKey(key, owner, BackendResponse(200, b"", owner)))
 
-        proxy.claims.reserve(self.now, proxy.membership, key, owner, 1.0, self.rng.uniform(0.3, 2.0), on_outcome)
+        proxy.reservations.reserve(self.now, proxy.membership, key, owner, 1.0, self.rng.uniform(0.3, 2.0), on_outcome)
 
     def _send_to_voters(self, proxy: Proxy, message: CompleteKey | ReleaseKey) -> None:
         if proxy.membership is not None:
--- a/lugspur/emulator/control/reservation_world.py
+++ b/lugspur/emulator/control/reservation_world.py
@@ -66,7 +66,7 @@
         self.world, self.name, self.owner = world, name, name.encode()
         self.state = "idle"  # then "reserving", "acquired" or "rejected", "ran", "completed"
         self.membership: Membership = world.initial_membership
-        self.claims = ReservationClient(self.send)
+        self.reservations = ReservationClient(self.send)
 
     def send(self, ip: str, message: ReserveKey | ReleaseKey | CompleteKey) -> None:
         self.world.post(Wire(self.name, ip, self.name), message)
@@ -76,7 +76,7 @@
 
     def key(self) -> object:
         open_key = tuple(
-            (tuple(sorted(call.granted_by)), tuple(sorted(call.taken_at))) for call in self.claims._open.values()
+            (tuple(sorted(call.granted_by)), tuple(sorted(call.taken_at))) for call in self.reservations._open.values()
         )
         return self.state, self.membership.epoch, open_key
 
@@ -167,12 +167,12 @@
             claimant.state = "reserving"
             if self.is_change_decided:
                 claimant.membership = self.next_membership
-            claimant.claims.reserve(
+            claimant.reservations.reserve(
                 self.now, claimant.membership, KEY, claimant.owner, FOREVER, FOREVER, claimant.on_outcome
             )
         elif kind == "hear":
             claimant.membership = self.next_membership
-            claimant.claims.membership_changed(self.now, self.next_membership)
+            claimant.reservations.membership_changed(self.now, self.next_membership)
         elif kind == "run":
             claimant.state = "ran"
             self.key_checker.record_run(KEY, claimant.owner)
@@ -193,7 +193,7 @@
             "ran",
             "completed",
         ):
-            claimant.claims.receive(self.now, wire.source, message)
+            claimant.reservations.receive(self.now, wire.source, message)
 
     # ---- recovery ----------------------------------------------------------------------------
 
--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -61,8 +61,10 @@
     world.update_membership(proxy)
     assert proxy.membership is not None
     by = b"by %s %f" % (name.encode(), world.now)
-    proxy.claims.reserve(world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append)
-    world.schedule(2.0, lambda: proxy.claims.tick(world.now))
+    proxy.reservations.reserve(
+        world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append
+    )
+    world.schedule(2.0, lambda: proxy.reservations.tick(world.now))
 
 
 def settle(world: MeshWorld) -> None:
