--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -50,7 +50,7 @@
     retries: int = 1
     expiries: int = 0
     reads: int = 0
-    powers: int = 0
+    power_losses: int = 0
     disconnections: int = 0
     wipes: int = 0  # losses of a disk
     delayed_writes: bool = False
@@ -82,15 +82,18 @@
     Limits("two contents, one sent again elsewhere", (("x", "a"), ("y", "b"), ("x", "b"))),
     Limits("two contents at one node, one elsewhere", (("x", "a"), ("y", "a"), ("y", "b"))),
     Limits("two contents, a connection breaks", (("x", "a"), ("y", "b")), disconnections=1),
-    Limits("two contents, power is lost", (("x", "a"), ("y", "b")), powers=1, delayed_writes=True),
-    Limits("two contents, power is lost, sent again", (("x", "a"), ("y", "b"), ("x", "a")), powers=2),
+    Limits("two contents, power is lost", (("x", "a"), ("y", "b")), power_losses=1, delayed_writes=True),
+    Limits("two contents, power is lost, sent again", (("x", "a"), ("y", "b"), ("x", "a")), power_losses=2),
     Limits(
-        "two contents of one node that has lost its power", (("x", "a"), ("y", "a"), ("y", "b")), retries=2, powers=1
+        "two contents of one node that has lost its power",
+        (("x", "a"), ("y", "a"), ("y", "b")),
+        retries=2,
+        power_losses=1,
     ),
     Limits(
         "two contents, an older life's comes late",
         (("x", "a"), ("y", "a"), ("y", "b")),
-        powers=1,
+        power_losses=1,
         delayed_writes=True,
         initial_events=(
             *EVENTS_TO_ACCEPT_PHASE,
@@ -113,7 +116,7 @@
     Limits(
         "two contents, a voter's power is lost behind its vote",
         (("x", "a"), ("y", "c")),
-        powers=1,
+        power_losses=1,
         delayed_writes=True,
         initial_events=(
             *EVENTS_TO_ACCEPT_PHASE,
@@ -166,7 +169,7 @@
     Limits("two routes of one place, to the end", (("one", "a"), ("other", "b")), retries=0),
     Limits("an older edition beside a newer one, to the end", (("x", "a"), ("newer", "b")), retries=0),
     Limits("two contents, a connection breaks, to the end", (("x", "a"), ("y", "b")), retries=0, disconnections=1),
-    Limits("two contents, power is lost, to the end", (("x", "a"), ("y", "b")), retries=0, powers=1),
+    Limits("two contents, power is lost, to the end", (("x", "a"), ("y", "b")), retries=0, power_losses=1),
 ]
 """Models without retries: 100,000 states cover all orders of their events."""
 
@@ -175,7 +178,7 @@
     """Three voters, and change requests that are each sent to one of them once."""
 
     def __init__(self, limits: Limits) -> None:
-        super().__init__(VOTERS, [], limits.delayed_writes, limits.powers, limits.disconnections)
+        super().__init__(VOTERS, [], limits.delayed_writes, limits.power_losses, limits.disconnections)
         self.limits = limits
         self.request_checker = ChangeRequestChecker(self.decided_states)
         self.unsent = list(range(len(limits.requests)))
--- a/lugspur/emulator/control/reservation_world.py
+++ b/lugspur/emulator/control/reservation_world.py
@@ -44,7 +44,7 @@
     retries: int = 0  # repeated proposals
     kills: int = 0  # permanent stops of the leaving voter
     losses: int = 0  # permanent losses of the proposer with its disk, once the change is decided
-    powers: int = 0
+    power_losses: int = 0
     disconnections: int = 0
     delayed_writes: bool = False
 
@@ -54,7 +54,7 @@
     Limits("two claim, a voter is exchanged"),
     Limits("two claim, the one that leaves is killed", kills=1),
     Limits("two claim, another is lost with its disk after the change", losses=1),
-    Limits("two claim, a voter is exchanged, power is lost", powers=1),
+    Limits("two claim, a voter is exchanged, power is lost", power_losses=1),
     Limits("two claim, a voter is exchanged, a connection breaks", disconnections=1),
 ]
 
@@ -85,7 +85,7 @@
     """Three voters, a new node, and the claimants of one key."""
 
     def __init__(self, limits: Limits) -> None:
-        super().__init__(VOTERS, [NEW], limits.delayed_writes, limits.powers, limits.disconnections)
+        super().__init__(VOTERS, [NEW], limits.delayed_writes, limits.power_losses, limits.disconnections)
         self.limits = limits
         self.initial_membership = Membership(1, self.seeds)
         new_node = Voter(NEW, self.nodes[NEW].replica.voter.uid, "")
--- a/lugspur/emulator/control/small_world.py
+++ b/lugspur/emulator/control/small_world.py
@@ -46,10 +46,10 @@
     """
 
     def __init__(
-        self, voters: list[str], others: list[str], delayed_writes: bool, powers: int, disconnections: int
+        self, voters: list[str], others: list[str], delayed_writes: bool, power_losses: int, disconnections: int
     ) -> None:
         self.now = LONG_WAIT_S
-        self.delayed_writes, self.powers, self.disconnections = delayed_writes, powers, disconnections
+        self.delayed_writes, self.power_losses, self.disconnections = delayed_writes, power_losses, disconnections
         self.wires: dict[Wire, list[Message]] = {}
         self.decided_states = DecidedStates()
         self.seeds = [Voter(ip, GENESIS, "") for ip in voters]
@@ -80,7 +80,7 @@
                 continue
             if node.unsynced and self.delayed_writes:
                 yield "sync", ip
-            if self.powers:
+            if self.power_losses:
                 yield "power", ip
         if self.disconnections:
             for pair in sorted(
@@ -100,7 +100,7 @@
         elif kind == "sync":
             self.nodes[args[0]].sync()
         elif kind == "power":
-            self.powers -= 1
+            self.power_losses -= 1
             self.lose_power(args[0])
             self.nodes[args[0]].start(self.now)
         elif kind == "break":
@@ -192,7 +192,7 @@
             for wire, queue in sorted(self.wires.items(), key=lambda pair: str(pair[0]))
         )
         nodes = tuple(node_key(node, self.now) for node in self.nodes.values())
-        return nodes, wires, self.powers, self.disconnections, self.extra_key()
+        return nodes, wires, self.power_losses, self.disconnections, self.extra_key()
 
     def extra_key(self) -> object:
         """Return the part of the state that a subclass adds."""
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -12,7 +12,7 @@
 from lugspur.emulator.control.register_world import Limits, RegisterWorld
 from lugspur.emulator.control.reservation_world import ReservationWorld
 
-ONE_ORDER = Limits("one order", (("x", "a"),), retries=0, powers=1)
+ONE_ORDER = Limits("one order", (("x", "a"),), retries=0, power_losses=1)
 NEAREST = 300  # states that are explored in order of their distance
 WALKED = 250  # states that are explored by random walks
 
