--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -162,7 +162,7 @@
     Limits("two contents and a read", (("x", "a"), ("y", "b")), reads=1),
 ]
 
-WHOLE_WORLDS = [
+EXHAUSTIVE_WORLDS = [
     Limits("two contents at one node, to the end", (("x", "a"), ("y", "a")), retries=0),
     Limits("two contents, to the end", (("x", "a"), ("y", "b")), retries=0),
     Limits("the same order to two nodes, to the end", (("x", "a"), ("x", "b")), retries=0),
--- a/lugspur/emulator/control/report.py
+++ b/lugspur/emulator/control/report.py
@@ -122,7 +122,7 @@
 
 
 MODELS: list[tuple[str, Callable[[], World]]] = [
-    *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.WHOLE_WORLDS),
+    *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.EXHAUSTIVE_WORLDS),
     *((limits.name, partial(register_world.RegisterWorld, limits)) for limits in register_world.WORLDS),
     *((limits.name, partial(reservation_world.ReservationWorld, limits)) for limits in reservation_world.WORLDS),
 ]
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "states"), list(zip(register_world.WHOLE_WORLDS[:2], (149, 9_439), strict=True)), ids=str
+    ("limits", "states"), list(zip(register_world.EXHAUSTIVE_WORLDS[:2], (149, 9_439), strict=True)), ids=str
 )
 def test_every_order_of_events_of_two_requests(limits: Limits, states: int) -> None:
     assert explore(partial(RegisterWorld, limits), 20_000) == Explored(states, True)
