--- a/lugspur/emulator/control/explorer.py
+++ b/lugspur/emulator/control/explorer.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Explored:
+class ExplorationResult:
     """The number of states that were visited, and whether these are all that can be reached."""
 
     states: int
@@ -47,7 +47,7 @@
 RECOVERY_CHECK_INTERVAL = 16
 
 
-def explore(make: Callable[[], World], max_states: int, rng: Random | None = None) -> Explored:
+def explore(make: Callable[[], World], max_states: int, rng: Random | None = None) -> ExplorationResult:
     """Visit at most `max_states` states, breadth first; with `rng` depth first in random order.
 
     Raises Violation with the events that lead to it.
@@ -59,7 +59,7 @@
         gc.enable()
 
 
-def _explore(initial: World, max_states: int, rng: Random | None) -> Explored:
+def _explore(initial: World, max_states: int, rng: Random | None) -> ExplorationResult:
     seen = {hash(initial.key())}
     pending: deque[tuple[bytes, tuple[Event, ...]]] = deque([(pickle.dumps(initial, -1), ())])
     steps = 0
@@ -87,8 +87,8 @@
                 raise Violation(f"{violation} (by: {path_text})") from None
             pending.append((pickled_next, (*path, event)))
             if len(seen) >= max_states:
-                return Explored(len(seen), False)
-    return Explored(len(seen), True)
+                return ExplorationResult(len(seen), False)
+    return ExplorationResult(len(seen), True)
 
 
 def random_walks(make: Callable[[], World], walks: int, rng: Random, steps: int = 150) -> int:
--- a/tests/mesh/control/test_explored.py
+++ b/tests/mesh/control/test_explored.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lugspur.emulator.control import register_world, reservation_world
-from lugspur.emulator.control.explorer import Explored, explore
+from lugspur.emulator.control.explorer import ExplorationResult, explore
 from lugspur.emulator.control.register_world import Limits, RegisterWorld
 from lugspur.emulator.control.reservation_world import ReservationWorld
 
@@ -18,23 +18,23 @@
 
 
 def test_every_order_of_events_of_one_request() -> None:
-    assert explore(lambda: RegisterWorld(ONE_ORDER), 20_000) == Explored(216, True)
+    assert explore(lambda: RegisterWorld(ONE_ORDER), 20_000) == ExplorationResult(216, True)
 
 
 @pytest.mark.parametrize(
     ("limits", "states"), list(zip(register_world.EXHAUSTIVE_WORLDS[:2], (149, 9_439), strict=True)), ids=str
 )
 def test_every_order_of_events_of_two_requests(limits: Limits, states: int) -> None:
-    assert explore(partial(RegisterWorld, limits), 20_000) == Explored(states, True)
+    assert explore(partial(RegisterWorld, limits), 20_000) == ExplorationResult(states, True)
 
 
 @pytest.mark.parametrize("limits", register_world.WORLDS, ids=lambda limits: limits.name)
 def test_walks_through_worlds_of_the_register(limits: Limits) -> None:
-    assert explore(partial(RegisterWorld, limits), NEAREST) == Explored(NEAREST, False)
-    assert explore(partial(RegisterWorld, limits), WALKED, Random(3)) == Explored(WALKED, False)
+    assert explore(partial(RegisterWorld, limits), NEAREST) == ExplorationResult(NEAREST, False)
+    assert explore(partial(RegisterWorld, limits), WALKED, Random(3)) == ExplorationResult(WALKED, False)
 
 
 @pytest.mark.parametrize("limits", reservation_world.WORLDS, ids=lambda limits: limits.name)
 def test_walks_through_worlds_of_reservations(limits: reservation_world.Limits) -> None:
-    assert explore(partial(ReservationWorld, limits), NEAREST) == Explored(NEAREST, False)
-    assert explore(partial(ReservationWorld, limits), WALKED, Random(3)) == Explored(WALKED, False)
+    assert explore(partial(ReservationWorld, limits), NEAREST) == ExplorationResult(NEAREST, False)
+    assert explore(partial(ReservationWorld, limits), WALKED, Random(3)) == ExplorationResult(WALKED, False)
