--- a/lugspur/emulator/control/histories.py
+++ b/lugspur/emulator/control/histories.py
@@ -105,13 +105,12 @@
             return
         self.reservation_count += 1
         key = b"k%d" % (self.reservation_count // RESERVATIONS_PER_KEY + rng.randrange(3))
-        if (
-            world.key_checker.runs and rng.random() < REPEATED_FRACTION
-        ):  # often so much later that all voters may have been replaced since
+        # A repeated key is often so old that all voters may have been replaced since its operation ran.
+        if world.key_checker.runs and rng.random() < REPEATED_FRACTION:
             key = rng.choice(list(world.key_checker.runs))
         world.reserve_and_run(proxy, key, b"a%d" % self.reservation_count)
 
-    # ---- the end ---------------------------------------------------------------------------
+    # ---- checks after the faults -----------------------------------------------------------
 
     def _has_recovered(self) -> bool:
         """Whether enough voters run, a majority of them has all reservations, and all nodes have the latest state."""
--- a/lugspur/emulator/control/register_world.py
+++ b/lugspur/emulator/control/register_world.py
@@ -286,9 +286,8 @@
                 if node.replica.register.has_pending_change:
                     node.apply_effects(self.now, node.proposer.resolve_pending(self.now))
                 most_advanced = max(self.nodes.values(), key=lambda other: other.replica.index)
-                node.send(
-                    most_advanced.ip, FetchDecided(node.replica.index)
-                )  # as a node does that learns of a later index
+                # A node sends this message when it learns of a later index.
+                node.send(most_advanced.ip, FetchDecided(node.replica.index))
                 self.run_internal_events()
                 self.deliver_all()
                 self._pass_time(ip)
