--- a/tests/emulator/test_capacity.py
+++ b/tests/emulator/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of the size says what the newest sweep in the journal gave."""
+"""The capacity page contains the results of the newest sweep in the journal."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
     (folder / name).write_bytes(msgspec.json.encode(found))
 
 
-def test_the_page_and_its_plot_are_what_the_newest_sweep_gives() -> None:
+def test_page_and_plot_match_the_newest_sweep() -> None:
     text, drawn = made()
     assert PAGE.read_text() == text, "python -m lugspur.emulator capacity"
     assert PAGE.with_name(PLOT).read_bytes() == drawn
 
 
-def test_a_sweep_is_read_from_its_entry() -> None:
+def test_a_sweep_is_parsed_from_its_journal_entry() -> None:
     sweep = read(entry())
     assert sweep.machines == (10, 100) and len(sweep.rows) == 4
     assert sweep.rows[0] == Row("control", "processor %", (2.5, 2.5), (3.0, 4.0))
@@ -50,7 +50,7 @@
         read(entry(digest="nothing"))
 
 
-def test_the_newest_sweep_counts_that_ran_to_its_end_and_is_no_trial(tmp_path: Path) -> None:
+def test_the_newest_complete_sweep_that_is_no_trial_is_selected(tmp_path: Path) -> None:
     with pytest.raises(NoSweep):
         newest(tmp_path)
     write(tmp_path, "1.json", entry("old"))
@@ -63,7 +63,7 @@
     assert newest(tmp_path).entry.id == "right"
 
 
-def test_each_row_has_its_slope_and_its_verdict() -> None:
+def test_each_row_has_a_slope_and_a_verdict() -> None:
     found = {(one.row.role, one.row.quantity): one for one in slopes(read(entry()))}
     cpu = found["control", "processor %"]
     assert cpu.line.slope == pytest.approx(1 / 90) and cpu.at_size == pytest.approx(9.78, abs=0.01)
@@ -72,11 +72,11 @@
     assert memory.at_size == pytest.approx(89.3, abs=0.1) and memory.holds == "**no**, 2.79 times over"
     assert found["sidecar", "kB a second"].holds.startswith("**not shown**")
     falling = Slope(Row("x", "y", (), (5.0, 1.0)), fit([(10.0, 5.0), (100.0, 1.0)]), 3.0)
-    assert falling.at_size == 1.0 and falling.holds == "yes, 3 times"  # nothing shows that it falls on
+    assert falling.at_size == 1.0 and falling.holds == "yes, 3 times"  # no measurement shows that it continues to fall
     assert Slope(memory.row, memory.line, 0.0).holds == "no budget set"
 
 
-def test_a_figure_that_was_changed_by_hand_shows_and_a_day_that_failed_says_so(tmp_path: Path) -> None:
+def test_manual_edits_are_overwritten_and_failed_days_are_marked(tmp_path: Path) -> None:
     parts = tables(read(entry()))
     assert "| sweep-100 | 100 | 0.50 | 0.400 | **failed** |" in parts["days"] and "`a`" in parts["source"]
     page = "before\n<!-- capacity:begin days -->\nby hand\n<!-- capacity:end days -->\nbehind\n"
@@ -85,7 +85,7 @@
         put(page.replace("days", "nights"), parts)
 
 
-def test_a_line_goes_through_exact_points_and_says_how_well_it_fits_others() -> None:
+def test_a_fitted_line_has_slope_intercept_and_r2() -> None:
     exact = fit([(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)])
     assert (exact.slope, exact.intercept, exact.r2, exact.at(10.0)) == pytest.approx((2.0, 3.0, 1.0, 23.0))
     spread = fit([(0.0, 0.0), (1.0, 2.0), (2.0, 0.0)])
