--- a/tests/features/steps/keys.py
+++ b/tests/features/steps/keys.py
@@ -35,7 +35,7 @@
     ip = world.seeds[0]
     world.stop(ip)
     world.nodes[ip].wipe()
-    world.later(0.5, lambda: world.start(ip))
+    world.schedule(0.5, lambda: world.start(ip))
     world.clock.run_until(world.now + 1.0)
     settle(world)
 
@@ -58,11 +58,13 @@
 def ask(world: MeshWorld, name: str, how: list[ReservationOutcome]) -> None:
     proxy = world.proxies[name]
     proxy.membership = None
-    world.hear(proxy)
+    world.update_membership(proxy)
     assert proxy.membership is not None
     by = b"by %s %f" % (name.encode(), world.now)
-    proxy.claims.reserve(world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append)
-    world.later(2.0, lambda: proxy.claims.tick(world.now))
+    proxy.reservations.reserve(
+        world.now, proxy.membership, b"key", by, seconds_left=1.0, timeout=2.0, on_outcome=how.append
+    )
+    world.schedule(2.0, lambda: proxy.reservations.tick(world.now))
 
 
 def settle(world: MeshWorld) -> None:
@@ -70,7 +72,7 @@
     until = world.now + WELL_WITHIN
     while world.now < until:
         world.clock.run_until(world.now + 0.5)
-        replicas = [node.replica for node in world.up()]
+        replicas = [node.replica for node in world.running_nodes()]
         membership = replicas[0].membership
         complete = [replica for replica in replicas if replica.is_complete]
         if membership is not None and len(complete) == len(membership.voters) == world.setting.tolerance.voter_count:
