--- a/lugspur/mesh/control/change_batch.py
+++ b/lugspur/mesh/control/change_batch.py
@@ -67,9 +67,7 @@
         limit = max_configuration_bytes(register.size_bytes, self._disk_sizes())
         size = register.size_bytes + added
         if added > 0 and limit and size > limit:
-            raise MeshError(
-                ErrorKind.TOO_LARGE, f"all items would take {size} bytes, the smallest disk has room for {limit}"
-            )
+            raise MeshError(ErrorKind.TOO_LARGE, f"all items would have {size} bytes, the smallest disk takes {limit}")
 
     def may_add(self, request: ChangeRequest, effective: list[Entry]) -> bool:
         """Whether a request may be added; otherwise it waits for the next change."""
--- a/lugspur/mesh/control/items.py
+++ b/lugspur/mesh/control/items.py
@@ -136,9 +136,7 @@
     for entry in entries:
         previous = seen.get((entry.kind, entry.name))
         if previous is not None and previous.edition == entry.edition and previous.value != entry.value:
-            raise MeshError(
-                ErrorKind.BAD_CONFIG, f"{entry.kind} {entry.name!r} has two different contents under one edition"
-            )
+            raise MeshError(ErrorKind.BAD_CONFIG, f"{entry.kind} {entry.name!r} comes twice under one edition")
         if supersedes(entry, previous):
             seen[(entry.kind, entry.name)] = entry
     return list(seen.values())
@@ -153,7 +151,7 @@
 
 def _check_name(name: str) -> str:
     if not name or len(name.encode()) > MAX_NAME_BYTES:
-        raise MeshError(ErrorKind.BAD_CONFIG, f"a name is empty or has more than {MAX_NAME_BYTES} bytes")
+        raise MeshError(ErrorKind.BAD_CONFIG, "a name is empty or too long")
     return name
 
 
@@ -185,9 +183,7 @@
     for name, (minimum, maximum) in allowed_ranges.items():
         value = getattr(limits, name)
         if not minimum <= value <= maximum:
-            raise MeshError(
-                ErrorKind.BAD_CONFIG, f"limits: {name} {value:g} is not between {minimum:g} and {maximum:.0f}"
-            )
+            raise MeshError(ErrorKind.BAD_CONFIG, f"limits: {name} {value:g} is not from {minimum:g} to {maximum:.0f}")
 
 
 def _check_route(route: Route) -> None:
@@ -198,19 +194,17 @@
             ErrorKind.BAD_CONFIG, f"route {name!r}: deadline_ms {route.deadline_ms:g} is not in (0, 600000]"
         )
     if not route.path_prefix.startswith("/"):
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: path_prefix does not start with a slash")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: path_prefix does not begin with a slash")
     if route.mail_class not in MAIL_CLASSES:
         raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: mail_class {route.mail_class!r} is unknown")
     if not route.service_names() or (route.split and route.service):
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} needs either a service or a split")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} needs a service or a split")
     shares = [part.share for part in route.split or ()]
     # Guards the requests on the route: a random choice by shares needs a positive and finite sum.
     if shares and (min(shares) < 0.0 or not 0.0 < sum(shares) < float("inf")):
-        raise MeshError(
-            ErrorKind.BAD_CONFIG, f"route {name!r}: the shares of its split are negative or have no positive finite sum"
-        )
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: the shares of its split say nothing")
     if not route.office or route.tries < 1:
-        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: office is empty or tries is less than 1")
+        raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r}: office is empty or tries is under 1")
 
 
 class EntryView(Protocol):
@@ -287,9 +281,7 @@
                 raise MeshError(ErrorKind.BAD_CONFIG, f"route {name!r} names the unknown service {service!r}")
         others = [other for other in by_prefix[route.office.lower(), route.path_prefix] if other != name]
         if name in changed and others:
-            raise MeshError(
-                ErrorKind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} have the same office and path_prefix"
-            )
+            raise MeshError(ErrorKind.BAD_CONFIG, f"routes {name!r} and {others[0]!r} share host and prefix")
 
 
 def encode_items(entries: Iterable[Entry]) -> bytes:
--- a/lugspur/mesh/control_node/change_router.py
+++ b/lugspur/mesh/control_node/change_router.py
@@ -44,9 +44,9 @@
         """Raise MeshError (NO_QUORUM) if no change can be accepted now."""
         pending = len(self._proposer) + len(self.forwarder)
         if pending >= MAX_PENDING_CALLS:  # Guards memory and disks against a flood of calls.
-            raise MeshError(ErrorKind.NO_QUORUM, "too many calls are pending")
+            raise MeshError(ErrorKind.NO_QUORUM, "too many calls in hand")
         if self._pause_detector.is_stale(now):
-            raise MeshError(ErrorKind.NO_QUORUM, "this process was paused")
+            raise MeshError(ErrorKind.NO_QUORUM, "this process has stood still")
 
     def submit(self, now: float, request: ChangeRequest) -> None:
         """Propose a change, or forward it to the preferred proposer."""
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -120,7 +120,7 @@
     """Return the name of a lock, number or key; raises MeshError (BAD_REQUEST) if it is invalid."""
     if not NAME.fullmatch(name):
         raise MeshError(
-            ErrorKind.BAD_REQUEST, "a name has 1 to 128 letters, digits and _ . ~ -, and does not begin with a dot"
+            ErrorKind.BAD_REQUEST, "a name has 1 to 128 letters, digits and _ . ~ -, and begins with no dot"
         )
     return name
 
@@ -147,7 +147,7 @@
 
 def _check_range(field: str, value: int, minimum: int, maximum: int) -> int:
     if not minimum <= value <= maximum:
-        raise MeshError(ErrorKind.BAD_REQUEST, f"{field} is not in the range from {minimum} to {maximum}")
+        raise MeshError(ErrorKind.BAD_REQUEST, f"{field} is not from {minimum} to {maximum}")
     return value
 
 
@@ -158,7 +158,7 @@
     for field in ("after", "wait_ms"):
         values = query.get(field, [])
         if len(values) > 1 or not all(re.fullmatch("[0-9]{1,19}", value, re.ASCII) for value in values):
-            raise MeshError(ErrorKind.BAD_REQUEST, f"{field} must be given at most once, as a whole number")
+            raise MeshError(ErrorKind.BAD_REQUEST, f"{field} is given once, as a whole number")
         numbers[field] = int(values[0]) if values else 0
     after = _check_range("after", numbers["after"], 0, MAX_NUMBER)
     wait_ms = _check_range("wait_ms", numbers["wait_ms"], 0, MAX_WAIT_MS)
@@ -222,7 +222,7 @@
         """Put a value to a key."""
         body = read_body(_replace_decoder, request)
         if len(body.value) > MAX_VALUE_CHARACTERS:
-            raise MeshError(ErrorKind.TOO_LARGE, f"a value has at most {MAX_VALUE_CHARACTERS} characters")
+            raise MeshError(ErrorKind.TOO_LARGE, f"a value has {MAX_VALUE_CHARACTERS} characters at most")
         if body.enabled is not None:
             _check_range("enabled", body.enabled, 0, MAX_NUMBER)
         self._run_command("replace", caller, PutCell(check_key(names[0]), body.value, body.enabled))
@@ -307,7 +307,7 @@
         def on_result(result: Result) -> None:
             if isinstance(result, GroupRevision) and query.after > result.revision and self._watches.is_waiting(watch):
                 self._watches.remove(watch)
-                error = MeshError(ErrorKind.BAD_REQUEST, f"after is above the current revision {result.revision}")
+                error = MeshError(ErrorKind.BAD_REQUEST, f"after is above the present revision {result.revision}")
                 self._fail_watch(caller, error)
 
         self._submit(ReadGroup(query.group), on_result)
@@ -334,7 +334,7 @@
             self._fail_watch(caller, error)
             return
         if self._watches.revision(query.group) < proven_revision:
-            self._fail_watch(caller, MeshError(ErrorKind.NO_QUORUM, "this node does not have the latest puts yet"))
+            self._fail_watch(caller, MeshError(ErrorKind.NO_QUORUM, "this node lacks the latest puts"))
         else:
             self._respond_to_watch(caller, response or WatchResponse([], query.after))
 
@@ -382,7 +382,7 @@
     """Return the error of a failed command; any other result belongs to another call."""
     if isinstance(result, CommandFailed):
         return MeshError(ErrorKind(result.error_kind), result.detail)
-    return MeshError(ErrorKind.UNCLEAR, "the result belongs to another call")
+    return MeshError(ErrorKind.UNCLEAR, "the answer belongs to another call")
 
 
 def respond_with_result(caller: Answerable, result: Result) -> None:
--- a/lugspur/mesh/coordination/batch.py
+++ b/lugspur/mesh/coordination/batch.py
@@ -161,7 +161,7 @@
         if command.expected_revision is not None and command.expected_revision != revision:
             return RevisionMismatch(revision)
         if not self._has_room_for_put(command, cell is None):
-            return _too_many("keys or recent puts")
+            return _too_many("keys, or puts of late")
         group = group_of(command.name)
         next_revision = self._group_revision(group) + 1
         record = CellRecord(command.name, command.value, next_revision)
--- a/lugspur/mesh/coordination/call_router.py
+++ b/lugspur/mesh/coordination/call_router.py
@@ -51,7 +51,7 @@
 
         pending = PendingCommand(command, now + CALL_TIMEOUT_SECONDS, on_finished)
         if self._open_calls > MAX_CALLS:  # Guards memory and the leader against a flood of calls.
-            pending.reject("too many calls are pending")
+            pending.reject("too many calls in hand")
             return Effects()
         return self._route(now, leader, pending)
 
--- a/lugspur/mesh/coordination/node.py
+++ b/lugspur/mesh/coordination/node.py
@@ -99,7 +99,7 @@
     def submit(self, now: float, command: Command, on_result: Callable[[Result], None]) -> Effects:
         """Run a command of an application; `on_result` is called within `CALL_TIMEOUT_SECONDS`."""
         if self._is_paused(now):
-            on_result(CommandFailed(ErrorKind.NO_QUORUM.value, "this process was paused"))
+            on_result(CommandFailed(ErrorKind.NO_QUORUM.value, "this process has stood still"))
         elif not self._has_majority(now):
             on_result(CommandFailed(ErrorKind.NO_QUORUM.value, "no contact with a majority of the voters"))
         else:
--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -130,10 +130,10 @@
     def submit(self, now: float, pending: PendingCommand) -> Effects:
         """Queue a command to be decided; a node that should not lead rejects it."""
         if not self.should_lead:
-            pending.reject("this node is not the leader", may_retry=True)
+            pending.reject("this node does not lead", may_retry=True)
             return Effects()
         if len(self._queue) >= MAX_QUEUED_COMMANDS:  # Guards memory and processor time against a flood of calls.
-            pending.reject("too many calls are pending")
+            pending.reject("too many calls in hand")
             return Effects()
         self._queue.append(pending)
         return self._advance(now)
@@ -239,7 +239,7 @@
         self._step_down()
         queue, self._queue = self._queue, []
         for pending in queue:
-            pending.reject("this node is no longer the leader", may_retry=True)
+            pending.reject("this node does not lead any more", may_retry=True)
 
     def _on_higher_promise(self, now: float, promised: ProposalNumber) -> Effects:
         """Step down and back off, since a voter has promised a higher proposal."""
@@ -402,7 +402,7 @@
             self._queue = waiting + self._queue
             return
         for pending in waiting:
-            pending.reject("this node is no longer the leader", may_retry=True)
+            pending.reject("this node does not lead any more", may_retry=True)
 
     @staticmethod
     def _fail_as_unclear(batch: Batch) -> None:
--- a/lugspur/mesh/coordination/watches.py
+++ b/lugspur/mesh/coordination/watches.py
@@ -54,7 +54,7 @@
         """Return the known puts above a revision, or None if there are none; raises MeshError (HISTORY_GONE)."""
         puts = self._state.puts_after(group, after, MAX_PUTS_PER_RESPONSE)
         if puts is None:
-            raise MeshError(ErrorKind.HISTORY_GONE, f"puts of {group} above {after} are no longer kept")
+            raise MeshError(ErrorKind.HISTORY_GONE, f"puts of {group} above {after} are forgotten")
         return WatchResponse(puts, puts[-1].revision) if puts else None
 
     def revision(self, group: str) -> int:
