--- a/lugspur/daemon/service_metrics.py
+++ b/lugspur/daemon/service_metrics.py
@@ -26,29 +26,29 @@
         held_bytes += front.held
     by_pool = {name: float(pool.request_count) for name, pool in pools.items()}
     return [
-        labelled_counter("requests_total", "Requests submitted, by pool.", "pool", by_pool),
-        labelled_counter("attempts_total", "Attempts at backends, by outcome.", "outcome", attempts),
+        labelled_counter("requests_total", "Requests taken up, by pool.", "pool", by_pool),
+        labelled_counter("attempts_total", "Attempts at backends, by how they ended.", "outcome", attempts),
         labelled_counter(
             "answers_total",
-            "Final responses by status, except large ones that are streamed.",
+            "Final answers, by status; large ones that are passed on are not here.",
             "status",
             responses,
         ),
         labelled_counter(
-            "rejections_total", "Requests that a listener could not read or rejected, by status.", "status", rejections
+            "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
         ),
         counter(
             "callers_gone_total",
-            "Requests whose callers disconnected before the response.",
+            "Requests whose callers left first.",
             sum(p.disconnected_callers for p in pools.values()),
         ),
         gauge(
             "requests_open",
-            "Requests that await a response or have open attempts.",
+            "Requests that an answer or an attempt is out for.",
             sum(len(p.calls) for p in pools.values()),
         ),
         gauge("backend_connections", "Connections to backends.", sum(p.upstream.sockets() for p in pools.values())),
         gauge("callers", "Connections of callers.", callers),
-        gauge("held_bytes", "Bytes of incomplete bodies.", held_bytes),
+        gauge("held_bytes", "Bytes of bodies that are not whole.", held_bytes),
         *invariant_metrics(),
     ]
--- a/lugspur/mesh/control_node/coordination_status.py
+++ b/lugspur/mesh/control_node/coordination_status.py
@@ -60,27 +60,27 @@
     return [
         labelled_counter(
             "coordination_answers_total",
-            "Calls for locks, numbers, keys and watches, by call and outcome.",
+            "Calls for locks, numbers, keys and watches, by call and answer.",
             "answer",
             parts.coordination_calls.outcome_counts,
         ),
-        gauge("coordination_calls_open", "Calls that have no result yet.", len(node.calls)),
+        gauge("coordination_calls_open", "Calls that have no answer yet.", len(node.calls)),
         gauge("coordination_watches", "Watches that wait for puts.", len(parts.watches)),
-        gauge("coordination_index", "Index of the latest change known to be decided.", state.index),
-        gauge("coordination_leading", "1 while this process is the leader.", float(proposer.is_leading)),
+        gauge("coordination_index", "The latest decided change that is known.", state.index),
+        gauge("coordination_leading", "1 while this process leads.", float(proposer.is_leading)),
         gauge(
             "coordination_complete", "1 while it knows all that a voter must know.", float(node.acceptor.is_complete)
         ),
-        counter("coordination_elections_total", "Times that this process has become the leader.", proposer.elections),
+        counter("coordination_elections_total", "How often this process began to lead.", proposer.elections),
         counter(
             "coordination_batches_total",
-            "Changes that were decided by this process as the leader.",
+            "Changes that this process has had decided.",
             proposer.decided_batches,
         ),
-        gauge("coordination_locks", "Locks that are kept, both held and expired.", len(state.locks)),
+        gauge("coordination_locks", "Locks that are kept, held or run out.", len(state.locks)),
         gauge("coordination_keys", "Keys that are kept.", len(state.cells)),
         gauge("coordination_puts", "Puts that are kept for watches.", state.put_count),
-        gauge("coordination_state_bytes", "Bytes of kept keys and puts.", state.size_bytes),
+        gauge("coordination_state_bytes", "Bytes of keys and puts.", state.size_bytes),
         counter("coordination_disk_commits_total", "Writes that were synced.", disk.commits),
         counter("coordination_disk_failures_total", "Writes that failed.", disk.failures),
     ]
--- a/lugspur/mesh/control_node/metrics.py
+++ b/lugspur/mesh/control_node/metrics.py
@@ -41,8 +41,8 @@
     """Return all current metrics of one control node."""
     now, replica, disk, calls = node.loop.time(), node.replica, node.disk, node.operator_calls
     return [
-        labelled_counter("orders_total", "Operators' changes, by outcome.", "how", calls.change_outcomes),
-        labelled_counter("reads_total", "Operators' reads, by outcome.", "how", calls.read_outcomes),
+        labelled_counter("orders_total", "Operators' changes, by how they ended.", "how", calls.change_outcomes),
+        labelled_counter("reads_total", "Operators' reads, by how they ended.", "how", calls.read_outcomes),
         labelled_counter(
             "calls_total", "Calls at the dispatch address, by method and path.", "call", node.dispatch_calls.calls
         ),
@@ -51,29 +51,29 @@
             "Calls at the dispatch address that no handler takes.",
             node.dispatch_calls.unknown_calls,
         ),
-        gauge("operator_calls_open", "Operators' calls that have no response yet.", len(calls.waiting)),
+        gauge("operator_calls_open", "Operators' calls that have no answer yet.", len(calls.waiting)),
         counter("proposals_total", "Proposals of changes.", node.proposer.proposal_count),
         counter("disk_commits_total", "Writes that were synced.", disk.commits),
         counter("disk_failures_total", "Writes that failed.", disk.failures),
-        counter("stalls_total", "Pauses of this process of a second or more.", node.pause_detector.pauses),
-        gauge("disk_failing", "1 while the latest write has failed.", float(bool(disk.fault))),
-        gauge("configuration_index", "Index of the latest change known to be decided.", replica.index),
-        gauge("membership_epoch", "Epoch of the membership that this process uses.", replica.epoch),
+        counter("stalls_total", "How often this process stood still for a second or more.", node.pause_detector.pauses),
+        gauge("disk_failing", "1 while the latest write had failed.", float(bool(disk.fault))),
+        gauge("configuration_index", "The latest change that is known as decided.", replica.index),
+        gauge("membership_epoch", "The membership that this process goes by.", replica.epoch),
         gauge("voter", "1 while this disk has a vote.", float(replica.is_voter)),
-        gauge("complete", "1 while it has all reservations that a voter must have.", float(replica.is_complete)),
+        gauge("complete", "1 while it holds all claims that a voter must hold.", float(replica.is_complete)),
         gauge(
             "change_pending",
-            "1 while a change is accepted but not known to be decided.",
+            "1 while a change is accepted and not known as decided.",
             replica.register.has_pending_change,
         ),
         gauge(
             "news_age_seconds",
-            "Seconds since the latest contact with a majority of the voters.",
+            "Seconds since word of a majority.",
             min(MAX_AGE_SECONDS, node.majority_contact.age(now)),
         ),
-        gauge("claims", "Reservations of operation keys that are kept.", len(replica.reservations)),
-        gauge("subscribers", "Processes that subscribe to this one's updates.", len(node.subscribers)),
-        gauge("peers_up", "Peers with an open connection.", sum(d.link is not None for d in node.peers.values())),
+        gauge("claims", "Claims of operation keys that are held.", len(replica.reservations)),
+        gauge("subscribers", "Processes that follow this one's news.", len(node.subscribers)),
+        gauge("peers_up", "Processes that can be reached.", sum(d.link is not None for d in node.peers.values())),
         *coordination_metrics(node),
         *invariant_metrics(),
     ]
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -63,9 +63,7 @@
         self._process_id = os.urandom(PROCESS_ID_BYTES).hex().encode()
         self._reservation_numbers = itertools.count(1)
         self.results: Counter[str] = Counter()  # requests since the start of the process, by result
-        self.seconds = Histogram(
-            "request_seconds", "Seconds from the first byte of a request to its response, if it was successful."
-        )
+        self.seconds = Histogram("request_seconds", "Seconds from a request's first byte to its answer, if served.")
         self.failures = FailureLog(lambda: ConfigurationState(0, 0, 0.0), log_nothing)
 
     def update_endpoints(self, service: str, listings: Mapping[str, EndpointListing]) -> None:
--- a/lugspur/mesh/sidecar/metrics.py
+++ b/lugspur/mesh/sidecar/metrics.py
@@ -52,33 +52,35 @@
     selections = sidecar.update_source.selections
     connected_peers = sum(dialer.link is not None for dialer in sidecar.peers.values())
     return [
-        labelled_counter("requests_total", "Requests of this machine's callers, by result.", "how", proxy.results),
         labelled_counter(
-            "rejections_total", "Requests that could not be read or accepted, by response status.", "status", rejections
+            "requests_total", "Requests of this machine's callers, by how they ended.", "how", proxy.results
+        ),
+        labelled_counter(
+            "rejections_total", "Requests that could not be read or taken, by status.", "status", rejections
         ),
         labelled_counter(
             "gate_unanswered_total",
-            "Requests for the backend that ended without its response, by cause.",
+            "Requests for the backend without its answer, by cause.",
             "cause",
             causes,
         ),
-        gauge("requests_open", "Requests of callers without a response so far.", len(proxy.open_requests)),
-        gauge("gate_in_hand", "Requests for the backend that are running or queued.", limiter.in_flight),
-        gauge("uploads_open", "Request bodies that are being received in chunks.", len(sidecar.incoming.uploads)),
-        gauge("callers", "Open connections of callers.", len(front.callers)),
-        gauge("claims_open", "Pending reservations of idempotency keys.", len(sidecar.reservations)),
+        gauge("requests_open", "Requests of callers that are not answered yet.", len(proxy.open_requests)),
+        gauge("gate_in_hand", "Requests for the backend that run or wait.", limiter.in_flight),
+        gauge("uploads_open", "Bodies that arrive in parts.", len(sidecar.incoming.uploads)),
+        gauge("callers", "Connections of callers.", len(front.callers)),
+        gauge("claims_open", "Claims of operation keys that are not settled.", len(sidecar.reservations)),
         gauge("routes", "Routes in force.", len(sidecar.table)),
-        gauge("backends", "Backends in the endpoint list of the mesh.", len(sidecar.backends.by_ip)),
-        gauge("peers_up", "Peers that this process is connected to.", connected_peers),
-        gauge("configuration_index", "Index of the latest known change of the configuration.", state.index),
-        gauge("membership_epoch", "Epoch of the membership in force in this process.", state.epoch),
+        gauge("backends", "Backends that the mesh tells of.", len(sidecar.backends.by_ip)),
+        gauge("peers_up", "Processes that can be reached.", connected_peers),
+        gauge("configuration_index", "The latest change of the configuration that is known.", state.index),
+        gauge("membership_epoch", "The membership that this process goes by.", state.epoch),
         gauge(
             "news_age_seconds",
-            "Staleness of updates: seconds since the latest confirmation by a majority.",
+            "Seconds since word of a majority.",
             state.update_age_seconds,
         ),
-        counter("news_sources_total", "Selections of a control node as the source of updates.", selections),
-        gauge("leaving", "1 while this process is shutting down, else 0.", float(sidecar.is_leaving)),
+        counter("news_sources_total", "How often another control node's news was followed.", selections),
+        gauge("leaving", "1 while this process ends.", float(sidecar.is_leaving)),
         gauge("backend_silent_seconds", "Seconds since the backend's latest heartbeat.", _heartbeat_age(sidecar, now)),
         *invariant_metrics(),
     ]
--- a/tests/compatibility/test_metrics_names.py
+++ b/tests/compatibility/test_metrics_names.py
@@ -25,21 +25,21 @@
 from lugspur.observability.metrics import Histogram, render
 
 METRICS = b"""\
-# HELP lugspur_requests_total Requests submitted, by pool.
+# HELP lugspur_requests_total Requests taken up, by pool.
 # TYPE lugspur_requests_total counter
 lugspur_requests_total{pool="%b"} 1.0
-# HELP lugspur_attempts_total Attempts at backends, by outcome.
+# HELP lugspur_attempts_total Attempts at backends, by how they ended.
 # TYPE lugspur_attempts_total counter
 lugspur_attempts_total{outcome="broken"} 1.0
-# HELP lugspur_answers_total Final responses by status, except large ones that are streamed.
+# HELP lugspur_answers_total Final answers, by status; large ones that are passed on are not here.
 # TYPE lugspur_answers_total counter
 lugspur_answers_total{status="502"} 1.0
-# HELP lugspur_rejections_total Requests that a listener could not read or rejected, by status.
+# HELP lugspur_rejections_total Requests that could not be read or taken, by status.
 # TYPE lugspur_rejections_total counter
-# HELP lugspur_callers_gone_total Requests whose callers disconnected before the response.
+# HELP lugspur_callers_gone_total Requests whose callers left first.
 # TYPE lugspur_callers_gone_total counter
 lugspur_callers_gone_total 0.0
-# HELP lugspur_requests_open Requests that await a response or have open attempts.
+# HELP lugspur_requests_open Requests that an answer or an attempt is out for.
 # TYPE lugspur_requests_open gauge
 lugspur_requests_open 0.0
 # HELP lugspur_backend_connections Connections to backends.
@@ -48,7 +48,7 @@
 # HELP lugspur_callers Connections of callers.
 # TYPE lugspur_callers gauge
 lugspur_callers 1.0
-# HELP lugspur_held_bytes Bytes of incomplete bodies.
+# HELP lugspur_held_bytes Bytes of bodies that are not whole.
 # TYPE lugspur_held_bytes gauge
 lugspur_held_bytes 0.0
 # HELP lugspur_invariant_violations_total Invariants that were found violated; \
