--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -11,7 +11,7 @@
 from lugspur.http1.body import KEEP, Body
 from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
 from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
-from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
+from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, MAX_STREAM_ID, NO_ERROR, REFUSED_STREAM, GoAway
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
 from lugspur.http2.wire import Wire
 from lugspur.pipe import Pipe
@@ -461,7 +461,7 @@
         Wire.__init__(self, Machine(False, self._sent, front.sizes.head, streams))
         self._handle = handle
         self.streams: dict[int, Stream] = {}
-        self._last = STREAM_MOST  # streams above it are not taken any more
+        self._last = MAX_STREAM_ID  # streams above it are not taken any more
         self._leaving = False  # we leave...
         self._left = False  # ...or the caller does
         self._heard = self.loop.time()
@@ -536,7 +536,7 @@
             if stream is not None:
                 stream.over()
                 self._settle()
-        elif isinstance(event, Leave):
+        elif isinstance(event, GoAway):
             self._left = True  # it waits for what it has asked
             self._settle()
 
@@ -618,7 +618,7 @@
         """Where there is no stream left the front may close it."""
         if self.streams or self.over:
             return
-        if self._left or self._last != STREAM_MOST:
+        if self._left or self._last != MAX_STREAM_ID:
             self._end()
             return
         if self._leaving:
@@ -634,17 +634,17 @@
             self._transport.close()
 
     def close(self) -> None:
-        """Leave in good order: nothing new after a moment, and the end when all is answered (RFC 9113 6.8)."""
+        """GoAway in good order: nothing new after a moment, and the end when all is answered (RFC 9113 6.8)."""
         if not self._leaving:
             self._leaving = True
             self.move(None)
-            self.machine.leave(STREAM_MOST, NO_ERROR)
+            self.machine.leave(MAX_STREAM_ID, NO_ERROR)
             self.wake()
             self.loop.call_later(LEAVE_AFTER, self._leave)
             self.loop.call_later(max(self.front.grace, LEAVE_AFTER), self._cut)
 
     def front_closes(self) -> None:
-        """Leave, whatever is open."""
+        """GoAway, whatever is open."""
         self.close()
 
     def _leave(self) -> None:
--- a/lugspur/http2/machine.py
+++ b/lugspur/http2/machine.py
@@ -17,7 +17,15 @@
 from h2.settings import SettingCodes, Settings
 from hpack import NeverIndexedHeaderTuple
 
-from lugspur.http2.frames import NO_ERROR, PROTOCOL_ERROR, STREAM_MOST, Fault, Leave, Sieve, goaway
+from lugspur.http2.frames import (
+    MAX_STREAM_ID,
+    NO_ERROR,
+    PROTOCOL_ERROR,
+    FrameFilter,
+    GoAway,
+    Http2ConnectionError,
+    encode_goaway,
+)
 
 Fields = list[tuple[bytes, bytes]]
 ONCE = frozenset({b"x-request-id", b"grpc-timeout", b"idempotency-key", b"traceparent", b"content-length"})
@@ -88,7 +96,7 @@
     reason: str
 
 
-Event = Head | Data | Tail | Ended | Reset | Acked | Settled | Over | Leave
+Event = Head | Data | Tail | Ended | Reset | Acked | Settled | Over | GoAway
 
 
 class _Out:
@@ -119,7 +127,7 @@
         streams: int = STREAMS_MOST,
     ) -> None:
         self._sent = sent
-        self._sieve = Sieve(preface=not client)
+        self._frame_filter = FrameFilter(preface=not client)
         self._h2 = H2Connection(
             H2Configuration(
                 client_side=client,
@@ -159,22 +167,22 @@
             return []
         found: list[Event] = []
         try:
-            for piece in self._sieve.feed(now, data):
-                if isinstance(piece, Leave):
+            for piece in self._frame_filter.feed(now, data):
+                if isinstance(piece, GoAway):
                     found.append(piece)
                     continue
                 for event in self._h2.receive_data(piece):
                     self._read(event, found)
-        except Fault as fault:
+        except Http2ConnectionError as fault:
             self.over = True
-            self._extra += goaway(self._h2.highest_inbound_stream_id, fault.code, str(fault).encode())
+            self._extra += encode_goaway(self._h2.highest_inbound_stream_id, fault.code, str(fault).encode())
             found.append(Over(fault.code, str(fault)))
         except ProtocolError as fault:  # h2 has its GOAWAY ready
             self.over = True
             found.append(Over(int(fault.error_code), str(fault) or type(fault).__name__))
         except (ValueError, IndexError, KeyError) as fault:  # Guards against what h2 may not have thought of.
             self.over = True
-            self._extra += goaway(self._h2.highest_inbound_stream_id, PROTOCOL_ERROR)
+            self._extra += encode_goaway(self._h2.highest_inbound_stream_id, PROTOCOL_ERROR)
             found.append(Over(PROTOCOL_ERROR, f"{type(fault).__name__}: {fault}"))
         return found
 
@@ -238,7 +246,7 @@
 
     def spent(self) -> bool:
         """Whether no further stream can be begun: their ids are used up."""
-        return self._h2.highest_outbound_stream_id >= STREAM_MOST - 2
+        return self._h2.highest_outbound_stream_id >= MAX_STREAM_ID - 2
 
     def head(self, stream: int, fields: Fields, end: bool = False) -> None:
         """An answer's head; with `end` nothing follows it."""
@@ -281,7 +289,7 @@
             part = chunk[:most]
             last = out.end and out.tail is None and len(out.chunks) == 1 and len(part) == len(chunk)
             self._h2.send_data(stream, bytes(part), end_stream=last)
-            self._sieve.earn(3.0)  # for the WINDOW_UPDATEs that it costs the peer, and a PING
+            self._frame_filter.add_budget(3.0)  # for the WINDOW_UPDATEs that it costs the peer, and a PING
             if len(part) == len(chunk):
                 out.chunks.popleft()
             else:
@@ -304,7 +312,7 @@
 
     def _said(self, stream: int) -> None:
         """All that we have to say on a stream is out."""
-        self._sieve.earn(2.0)
+        self._frame_filter.add_budget(2.0)
         self._out.pop(stream, None)
         if self._h2.streams[stream].closed:
             self._close(stream)
@@ -362,7 +370,7 @@
         h2 would end the connection with its own, so this one goes past it.
         """
         if not self.over:
-            self._extra += goaway(last, code, text)
+            self._extra += encode_goaway(last, code, text)
 
     def highest(self) -> int:
         """The last stream that the peer has begun."""
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -13,7 +13,7 @@
 from lugspur.grpc.stream_end import OUTCOMES, StreamEnd, end_by_reset
 from lugspur.http1.dial import OWN_FAULTS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
-from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, Leave
+from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, GoAway
 from lugspur.http2.machine import (
     STREAMS_MOST,
     Acked,
@@ -461,7 +461,7 @@
                 assert self._timer is not None
                 self._timer.cancel()
                 self._lane.reached(self.box.backend, True)
-        elif isinstance(event, Leave):
+        elif isinstance(event, GoAway):
             self._left(event)
         elif isinstance(event, Over):
             self.flush()
@@ -485,7 +485,7 @@
             # h2's own word on a stream's fault says nothing of what ran.
             exchange.ended(end_by_reset(event.code == REFUSED_STREAM and not event.ours))
 
-    def _left(self, leave: Leave) -> None:
+    def _left(self, leave: GoAway) -> None:
         """The box leaves in good order: streams above its last one never ran, the others go on."""
         self.leaving = True
         if leave.code == ENHANCE_YOUR_CALM:
@@ -495,7 +495,7 @@
             exchange.link = None
             self._lane.again(exchange)
         for stream, exchange in tuple(self.exchanges.items()):
-            if stream > leave.last:
+            if stream > leave.last_stream_id:
                 self._unseen(exchange)
         self.loop.call_soon(self._close_if_idle)
 
--- a/tests/http2/test_machine.py
+++ b/tests/http2/test_machine.py
@@ -17,7 +17,7 @@
 
 from lugspur.http1.front import PREFACE
 from lugspur.http2 import frames
-from lugspur.http2.frames import Fault, Leave, Sieve, goaway
+from lugspur.http2.frames import FrameFilter, GoAway, Http2ConnectionError, encode_goaway
 from lugspur.http2.machine import WINDOW, Data, Ended, Head, Machine, Over, Reset, Tail
 
 REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a"), (b":authority", b"h")]
@@ -128,18 +128,18 @@
     client.send_headers(1, REQUEST)
     client.send_data(1, b"x" * 30)
     client.send_data(1, b"", end_stream=True)
-    whole = client.data_to_send() + goaway(7, 0, b"bye")
+    whole = client.data_to_send() + encode_goaway(7, 0, b"bye")
     found: list[Any] = []
     machine = Machine(False, lambda *_: None)
     at = 0
     for cut in [*cuts, len(whole)]:
         found += machine.received(0.0, whole[at : at + cut])
         at += cut
-    assert [each for each in found if isinstance(each, Head | Data | Ended | Leave)] == [
+    assert [each for each in found if isinstance(each, Head | Data | Ended | GoAway)] == [
         Head(1, REQUEST, False),
         Data(1, b"x" * 30, 30),
         Ended(1),
-        Leave(7, 0, b"bye"),
+        GoAway(7, 0, b"bye"),
     ]
 
 
@@ -221,7 +221,7 @@
         sizes.append(len(data_))
         if len(sizes) == 2:
             pair.ours.corked = True  # as the transport does when it has enough
-    assert len(sizes) == 3 and max(sizes) < frames.FRAME_MOST + (256 << 10) + 4096
+    assert len(sizes) == 3 and max(sizes) < frames.MAX_FRAME_BYTES + (256 << 10) + 4096
     pair.ours.uncork()
     while pair.ours.take():
         pass
@@ -240,11 +240,11 @@
     between = pair.theirs.data_to_send()
     pair.theirs.send_data(stream, b"x", end_stream=True)
     after = pair.theirs.data_to_send()
-    found = pair.raw(goaway((1 << 31) - 1, 0), between, goaway(stream, 0, b"why"), after)
+    found = pair.raw(encode_goaway((1 << 31) - 1, 0), between, encode_goaway(stream, 0, b"why"), after)
     assert found == [
-        Leave((1 << 31) - 1, 0),
+        GoAway((1 << 31) - 1, 0),
         Head(stream, ANSWER, False),
-        Leave(stream, 0, b"why"),
+        GoAway(stream, 0, b"why"),
         Data(stream, b"x", 1),
         Ended(stream),
     ]
@@ -257,10 +257,10 @@
     pair.ours.leave((1 << 31) - 1)
     pair.ours.head(stream, ANSWER, end=True)
     seen = pair.ours.take()
-    assert goaway((1 << 31) - 1, 0) in seen and not pair.ours.over
+    assert encode_goaway((1 << 31) - 1, 0) in seen and not pair.ours.over
 
 
-@pytest.mark.parametrize("size", [0, 7, frames.GOAWAY_MOST + 1])
+@pytest.mark.parametrize("size", [0, 7, frames.MAX_GOAWAY_BYTES + 1])
 def test_a_goaway_of_the_wrong_size(size: int) -> None:
     head = size.to_bytes(3, "big") + b"\7\0\0\0\0\0"
     assert over(Pair(client=True).raw(head + b"\0" * size)).code == frames.FRAME_SIZE_ERROR
@@ -306,7 +306,7 @@
         found = pair.ours.received(0.0, frame() * 50)
         pair.ours.take()
         sent += 50
-        assert sent <= 2 * frames.BURST
+        assert sent <= 2 * frames.FRAME_BUDGET_BURST
     assert over(found).code == frames.ENHANCE_YOUR_CALM
 
 
@@ -321,7 +321,7 @@
         found = pair.ours.received(0.0, pair.theirs.data_to_send())
         pair.ours.take()
         opened += 1
-        assert opened <= frames.BURST + 1
+        assert opened <= frames.FRAME_BUDGET_BURST + 1
     assert over(found).code == frames.ENHANCE_YOUR_CALM and len(pair.ours.open) <= 1
 
 
@@ -337,7 +337,7 @@
         pair.ours.finish(stream)
         pair.turn()
     pair.now = 100.0
-    for _ in range(int(frames.BURST) - 10):  # and time gives back what was used up
+    for _ in range(int(frames.FRAME_BUDGET_BURST) - 10):  # and time gives back what was used up
         pair.theirs.ping(b"12345678")
     assert not any(isinstance(each, Over) for each in pair.turn()[0])
 
@@ -353,7 +353,7 @@
     while not any(isinstance(each, Over) for each in found):
         found = pair.raw(more)
         sent += 16_000
-        assert sent < 2 * frames.BLOCK_MOST
+        assert sent < 2 * frames.MAX_HEADER_BLOCK_BYTES
     assert over(found).code in (frames.ENHANCE_YOUR_CALM, frames.PROTOCOL_ERROR)
 
 
@@ -382,16 +382,16 @@
     whole, wanted = b"", b""
     for at, kind in enumerate(kinds):
         piece = kind()
-        whole += piece + (goaway(at, 0) if at % 3 == 0 else b"")
+        whole += piece + (encode_goaway(at, 0) if at % 3 == 0 else b"")
         wanted += piece
-    sieve = Sieve(preface=False)
-    out: list[bytes | Leave] = []
+    frame_filter = FrameFilter(preface=False)
+    out: list[bytes | GoAway] = []
     at = 0
     for cut in itertools.chain(cuts, [len(whole)]):
-        out += sieve.feed(0.0, whole[at : at + cut])
+        out += frame_filter.feed(0.0, whole[at : at + cut])
         at += cut
     assert b"".join(each for each in out if isinstance(each, bytes)) == wanted
-    assert [each.last for each in out if isinstance(each, Leave)] == list(range(0, len(kinds), 3))
+    assert [each.last_stream_id for each in out if isinstance(each, GoAway)] == list(range(0, len(kinds), 3))
 
 
 @given(st.binary(max_size=400))
@@ -406,8 +406,8 @@
     pair = Pair()
     pair.turn()
     pair.raw(b"\xff\xff\xff\0\0\0\0\0\1")
-    with pytest.raises(Fault):
-        Sieve(False).feed(0.0, b"\xff\xff\xff\0\0\0\0\0\1")
+    with pytest.raises(Http2ConnectionError):
+        FrameFilter(False).feed(0.0, b"\xff\xff\xff\0\0\0\0\0\1")
     events = pair.theirs.receive_data(pair.ours.take())
     [ended] = [event for event in events if isinstance(event, ConnectionTerminated)]
     assert ended.error_code == frames.FRAME_SIZE_ERROR
