--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -12,7 +12,18 @@
 from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
 from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, MAX_STREAM_ID, NO_ERROR, REFUSED_STREAM, GoAway
-from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
+from lugspur.http2.machine import (
+    MAX_STREAMS,
+    ConnectionEnded,
+    DataReceived,
+    Event,
+    HeaderFields,
+    HeadersReceived,
+    Http2Session,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
+)
 from lugspur.http2.wire import Wire
 from lugspur.pipe import Pipe
 from lugspur.seams import Passing, Request
@@ -30,7 +41,7 @@
     underscores = False  # whether names with `_` go on: an HTTP/1.1 backend may take them for others
 
     def __init__(self, connection: Connection, stream: int, now: float) -> None:
-        self.connection, self.stream = connection, stream
+        self.connection, self.stream_id = connection, stream
         self.front = connection.front
         self.peer = connection.peer
         self.arrived = now
@@ -52,7 +63,7 @@
 
     # ---- the request ---------------------------------------------------------------------------
 
-    def begin(self, fields: Fields) -> None:
+    def begin(self, fields: HeaderFields) -> None:
         """Its head has come; raises Rejected."""
         self._told = dict(fields)
         self._terms = None if self.front.terms is None else self.front.terms()
@@ -105,7 +116,7 @@
             self._pass_body()
 
     def _keep(self, data: bytes, size: int) -> None:
-        self.connection.machine.credit(self.stream, size)
+        self.connection.session.acknowledge_data(self.stream_id, size)
         self._chunks.append(data)
         self._hold(self._held + len(data))
 
@@ -139,7 +150,7 @@
             self._hold(body.held)
         owed, self._owed = self._owed, 0
         if owed:
-            self.connection.machine.credit(self.stream, owed)
+            self.connection.session.acknowledge_data(self.stream_id, owed)
             self.connection.wake()
 
     def ended(self) -> None:
@@ -196,8 +207,8 @@
             None,
         )
 
-    def _first_fields(self, status: int, head: bytes, length: int | None) -> Fields:
-        fields: Fields = [(b":status", b"%d" % status), *mapping.parse_header_lines([head])]
+    def _first_fields(self, status: int, head: bytes, length: int | None) -> HeaderFields:
+        fields: HeaderFields = [(b":status", b"%d" % status), *mapping.parse_header_lines([head])]
         if status not in (204, 304) and length is not None:
             fields.append((b"content-length", b"%d" % length))
         return fields
@@ -211,7 +222,7 @@
         else:
             self.connection.cut(self, INTERNAL_ERROR)
 
-    def _write(self, head: Fields | None, body: bytes, tail: Fields | None) -> None:
+    def _write(self, head: HeaderFields | None, body: bytes, tail: HeaderFields | None) -> None:
         """The final answer, or its end."""
         if self.answered:
             return
@@ -219,15 +230,15 @@
         self.answered = True
         self._release()
         self._drop_body()
-        machine, stream = self.connection.machine, self.stream
+        session, stream = self.connection.session, self.stream_id
         if head is not None and not body and tail is not None:
-            machine.head(stream, head + tail, end=True)  # trailers-only
+            session.send_headers(stream, head + tail, end=True)  # trailers-only
         else:
             if head is not None:
-                machine.head(stream, head, end=not body and tail is None)
-            machine.write(stream, body, end=tail is None)
+                session.send_headers(stream, head, end=not body and tail is None)
+            session.send_data(stream, body, end=tail is None)
             if tail is not None:
-                machine.finish(stream, tail)
+                session.end_stream(stream, tail)
         self.connection.answered(self)
 
     def _let_go(self) -> None:
@@ -253,7 +264,7 @@
     def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write the head of an answer; its body comes through the pipe, and `finish` ends it."""
         self._drop_body()
-        self.connection.machine.head(self.stream, self._first_fields(status, head, length))
+        self.connection.session.send_headers(self.stream_id, self._first_fields(status, head, length))
         self._begin_flow(flow)
         self.watched = True
         self._look()
@@ -268,7 +279,7 @@
         limit = self.moved + FLOW_WITHIN
         if self.connection.loop.time() < limit:
             self._timer = self.connection.loop.call_at(limit, self._look)
-        elif self.connection.streams.get(self.stream) is self:
+        elif self.connection.streams.get(self.stream_id) is self:
             self.connection.cut(self, CANCEL)
 
     def _more(self) -> None:
@@ -276,7 +287,7 @@
             data = self._answer.take()
             self._unsent += len(data)
             self.moved = self.connection.loop.time()
-            self.connection.machine.write(self.stream, data)
+            self.connection.session.send_data(self.stream_id, data)
             self.connection.wake()
 
     def finish_answer(self) -> None:
@@ -309,7 +320,7 @@
 
     # ---- the request ---------------------------------------------------------------------------
 
-    def begin(self, fields: Fields) -> None:
+    def begin(self, fields: HeaderFields) -> None:
         """Its head has come; raises Rejected."""
         super().begin(fields)
         if self._told.get(b":method") != b"POST":
@@ -334,7 +345,7 @@
         except InvalidMessageError as fault:
             raise Rejected(500, str(fault)) from fault  # INTERNAL
         if self.pipe is not None:
-            self.connection.machine.credit(self.stream, size - len(data))
+            self.connection.session.acknowledge_data(self.stream_id, size - len(data))
             self.pipe.put(data)
             return
         self._keep(data, size)
@@ -363,15 +374,15 @@
         if self._delivered or self.answered:
             return
         self._delivered = True
-        machine, stream = self.connection.machine, self.stream
-        pipe = self.pipe = Pipe(lambda size: self._credit(machine, stream, size))
+        session, stream = self.connection.session, self.stream_id
+        pipe = self.pipe = Pipe(lambda size: self._credit(session, stream, size))
         body = self._release()
         if body:
             pipe.put(body, free=True)
         self.connection.deliver(self._request(b""), self)
 
-    def _credit(self, machine: Machine, stream: int, size: int) -> None:
-        machine.credit(stream, size)
+    def _credit(self, session: Http2Session, stream: int, size: int) -> None:
+        session.acknowledge_data(stream, size)
         self.connection.wake()
 
     def _request(self, body: bytes) -> Request:
@@ -403,16 +414,16 @@
         else:
             self._write(first, messages, tail)
 
-    def _first(self, head: bytes) -> Fields:
+    def _first(self, head: bytes) -> HeaderFields:
         """The head of a gRPC box's answer; one without a content type has that of the request."""
-        fields: Fields = [(b":status", b"200"), *mapping.parse_header_lines([head])]
+        fields: HeaderFields = [(b":status", b"200"), *mapping.parse_header_lines([head])]
         if all(name != b"content-type" for name, _ in fields):
             fields.append((b"content-type", self._told[b"content-type"]))
         return fields
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
         """Pass on an answer that has begun."""
-        self.connection.machine.head(self.stream, self._first(head))
+        self.connection.session.send_headers(self.stream_id, self._first(head))
         self._begin_flow(body)
 
     def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
@@ -423,12 +434,12 @@
         else:
             self._write(self._first(head), body, tail)
 
-    def _end_stream(self, tail: Fields) -> None:
+    def _end_stream(self, tail: HeaderFields) -> None:
         self._more()
         self._write(None, b"", tail)
 
 
-def read_fields(fields: Fields, underscores: bool) -> tuple[list[bytes], dict[bytes, bytes]]:
+def read_fields(fields: HeaderFields, underscores: bool) -> tuple[list[bytes], dict[bytes, bytes]]:
     """The header lines that go on, names with `_` or not, and what routes may ask for; raises Rejected."""
     lines: list[bytes] = []
     named: dict[bytes, bytes] = {}
@@ -456,9 +467,9 @@
 class Connection(Wire, Held):
     """One caller's connection over HTTP/2."""
 
-    def __init__(self, front: Front, handle: Handle, streams: int = STREAMS_MOST) -> None:
+    def __init__(self, front: Front, handle: Handle, streams: int = MAX_STREAMS) -> None:
         Held.__init__(self, front)
-        Wire.__init__(self, Machine(False, self._sent, front.sizes.head, streams))
+        Wire.__init__(self, Http2Session(False, self._sent, front.sizes.head, streams))
         self._handle = handle
         self.streams: dict[int, Stream] = {}
         self._last = MAX_STREAM_ID  # streams above it are not taken any more
@@ -476,7 +487,7 @@
             self.drop()
             return
         if silent >= SILENT:
-            self.machine.ping()
+            self.session.send_ping()
             self.wake()
         self._looking = self.loop.call_later(SILENT / 2.0, self._look)
 
@@ -487,7 +498,7 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = self.machine.over = True
+        self.over = self.session.is_closed = True
         self._looking.cancel()
         self.leave()
         self.sleep()
@@ -503,7 +514,7 @@
         self._heard = now = self.loop.time()
         if self._place is self.front.fresh:
             self.move(self.front.idle, now + self.front.idle_most)
-        for event in self.machine.received(now, bytes(data)):
+        for event in self.session.receive_data(now, bytes(data)):
             self._event(event)
         self.flush()
 
@@ -517,22 +528,22 @@
         found = self.streams.get(stream)
         if found is not None:
             found.sent(size)
-            if found.answered and self.machine.said(stream):
+            if found.answered and self.session.has_ended_stream(stream):
                 self.loop.call_soon(self._forget, found)
 
     # ---- what comes ----------------------------------------------------------------------------
 
     def _event(self, event: Event) -> None:
-        if isinstance(event, Over):
+        if isinstance(event, ConnectionEnded):
             self._end()
-        elif isinstance(event, Head):
+        elif isinstance(event, HeadersReceived):
             self._begin(event)
-        elif isinstance(event, Data | Ended | Tail):
-            stream = self.streams.get(event.stream)
+        elif isinstance(event, DataReceived | StreamEnded | TrailersReceived):
+            stream = self.streams.get(event.stream_id)
             if stream is not None and not stream.answered:
                 self._go_on(stream, event)
-        elif isinstance(event, Reset):
-            stream = self.streams.pop(event.stream, None)
+        elif isinstance(event, StreamReset):
+            stream = self.streams.pop(event.stream_id, None)
             if stream is not None:
                 stream.over()
                 self._settle()
@@ -540,14 +551,14 @@
             self._left = True  # it waits for what it has asked
             self._settle()
 
-    def _begin(self, event: Head) -> None:
-        if event.stream > self._last:
-            self.machine.reset(event.stream, REFUSED_STREAM)  # never ran; the GOAWAY told it
+    def _begin(self, event: HeadersReceived) -> None:
+        if event.stream_id > self._last:
+            self.session.reset_stream(event.stream_id, REFUSED_STREAM)  # never ran; the GOAWAY told it
             return
         told = dict(event.fields)
         grpc = mapping.is_grpc(told.get(b"content-type", b""))
-        stream = (Call if grpc else Stream)(self, event.stream, self.arrival(self.loop.time()))
-        self.streams[event.stream] = stream
+        stream = (Call if grpc else Stream)(self, event.stream_id, self.arrival(self.loop.time()))
+        self.streams[event.stream_id] = stream
         self.move(None)
         try:
             if told.get(b":method") == b"CONNECT":
@@ -556,11 +567,11 @@
         except Rejected as fault:
             self.refuse(stream, fault)
 
-    def _go_on(self, stream: Stream, event: Data | Ended | Tail) -> None:
+    def _go_on(self, stream: Stream, event: DataReceived | StreamEnded | TrailersReceived) -> None:
         try:
-            if isinstance(event, Data):
+            if isinstance(event, DataReceived):
                 stream.data(event.data, event.size)
-            elif isinstance(event, Ended):
+            elif isinstance(event, StreamEnded):
                 stream.ended()
         except Rejected as fault:
             self.refuse(stream, fault)
@@ -581,7 +592,7 @@
 
     def answered(self, stream: Stream) -> None:
         """Its final answer is written; it lingers while its caller's window is shut."""
-        if self.machine.said(stream.stream):
+        if self.session.has_ended_stream(stream.stream_id):
             self._forget(stream)
         elif not stream.watched:
             self.loop.call_later(STUCK, self._stuck, stream)
@@ -590,27 +601,27 @@
     def cut(self, stream: Stream, code: int) -> None:
         """End an answer that was begun and can't be finished, so that its caller can tell."""
         if not self.over:
-            self.machine.reset(stream.stream, code)
+            self.session.reset_stream(stream.stream_id, code)
             self.wake()
-        self.streams.pop(stream.stream, None)
+        self.streams.pop(stream.stream_id, None)
         stream.over()
         self._settle()
 
     def _forget(self, stream: Stream) -> None:
-        if self.streams.pop(stream.stream, None) is not None:
+        if self.streams.pop(stream.stream_id, None) is not None:
             if not self.over:
                 # RFC 9113 8.1: the answer is whole, and the rest of the request is not wanted.
-                self.machine.reset(stream.stream, NO_ERROR)
+                self.session.reset_stream(stream.stream_id, NO_ERROR)
             self._settle()
 
     def _stuck(self, stream: Stream) -> None:
         """Guards memory against a caller that opens no window for what it has asked for."""
-        if self.streams.get(stream.stream) is not stream or self.over:
+        if self.streams.get(stream.stream_id) is not stream or self.over:
             return
         if self.loop.time() < stream.moved + STUCK:  # it reads, however slowly
             self.loop.call_at(stream.moved + STUCK, self._stuck, stream)
             return
-        self.machine.reset(stream.stream, CANCEL)
+        self.session.reset_stream(stream.stream_id, CANCEL)
         self._forget(stream)
         self.wake()
 
@@ -638,7 +649,7 @@
         if not self._leaving:
             self._leaving = True
             self.move(None)
-            self.machine.leave(MAX_STREAM_ID, NO_ERROR)
+            self.session.send_goaway(MAX_STREAM_ID, NO_ERROR)
             self.wake()
             self.loop.call_later(LEAVE_AFTER, self._leave)
             self.loop.call_later(max(self.front.grace, LEAVE_AFTER), self._cut)
@@ -650,8 +661,8 @@
     def _leave(self) -> None:
         if self.over:
             return
-        self._last = self.machine.highest()
-        self.machine.leave(self._last, NO_ERROR)
+        self._last = self.session.highest_peer_stream_id()
+        self.session.send_goaway(self._last, NO_ERROR)
         self.wake()
         self._settle()
 
@@ -664,8 +675,8 @@
     def drop(self) -> None:
         """Close it at once."""
         if not self.over:
-            self.machine.leave(self.machine.highest(), NO_ERROR)
-            self._transport.write(self.machine.take())
+            self.session.send_goaway(self.session.highest_peer_stream_id(), NO_ERROR)
+            self._transport.write(self.session.take_output())
         super().drop()
 
     def reject(self, fault: Rejected) -> None:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -15,18 +15,18 @@
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, GoAway
 from lugspur.http2.machine import (
-    STREAMS_MOST,
-    Acked,
-    Data,
-    Ended,
+    MAX_STREAMS,
+    ConnectionEnded,
+    DataReceived,
     Event,
-    Fields,
-    Head,
-    Machine,
-    Over,
-    Reset,
-    Settled,
-    Tail,
+    HeaderFields,
+    HeadersReceived,
+    Http2Session,
+    PingAcknowledged,
+    SettingsReceived,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
 )
 from lugspur.http2.wire import Wire
 from lugspur.load_balancing.model import Outcome
@@ -57,7 +57,7 @@
         "repeatable",
         "request",
         "started",
-        "stream",
+        "stream_id",
         "tries",
         "until",
         "_bound",
@@ -90,13 +90,13 @@
         self.repeatable = repeatable
         self.open = True
         self.link: Link | None = None  # that it waits for, or goes on
-        self.stream = 0  # 0 until its headers have gone out
+        self.stream_id = 0  # 0 until its headers have gone out
         self.tries = 0
         self._first = 0.0  # when the first message of the answer had begun
         self._bound = False
         self._counter = MessageCounter()
-        self._head: Fields = []
-        self._tail: Fields = []
+        self._head: HeaderFields = []
+        self._tail: HeaderFields = []
         self._chunks: list[bytes] = []
         self._held = 0
         self._pipe: Pipe | None = None  # the answer's, once it is passed on
@@ -133,7 +133,7 @@
 
     def expire(self) -> None:
         """The time that it is waited for is up."""
-        self.ended(StreamEnd.TIMED_OUT if self.stream else StreamEnd.UNSENT)
+        self.ended(StreamEnd.TIMED_OUT if self.stream_id else StreamEnd.UNSENT)
 
     def untouched(self) -> bool:
         """Whether it can be sent anew as it was: nothing of a stream has passed, and nothing was answered."""
@@ -149,19 +149,19 @@
 
     def transmit(self, link: Link, now: float) -> None:
         """Its headers go out, and as much of its body as there is."""
-        request, machine = self.request, link.machine
+        request, session = self.request, link.session
         left = self.until - now
         if request.form is None:
             fields, body = mapping.to_grpc_request(request, left)
         else:
             fields, body = mapping.grpc_request_fields(request, left), request.body
-        self.stream = machine.begin(fields)
-        link.exchanges[self.stream] = self
+        self.stream_id = session.open_stream(fields)
+        link.exchanges[self.stream_id] = self
         pipe = self._requested()
         if pipe is not None:
             pipe.attach(self._more)
             return
-        machine.write(self.stream, body, end=True)
+        session.send_data(self.stream_id, body, end=True)
 
     def _more(self) -> None:
         """More of a stream of requests."""
@@ -171,9 +171,9 @@
         data = pipe.take()
         if data:
             self._bind()
-            link.machine.write(self.stream, data)
-        if pipe.ended and not link.machine.said(self.stream):
-            link.machine.finish(self.stream)
+            link.session.send_data(self.stream_id, data)
+        if pipe.ended and not link.session.has_ended_stream(self.stream_id):
+            link.session.end_stream(self.stream_id)
         link.wake()
 
     def sent(self, size: int) -> None:
@@ -191,13 +191,13 @@
 
     # ---- the answer ----------------------------------------------------------------------------
 
-    def head(self, fields: Fields, ended: bool) -> None:
+    def head(self, fields: HeaderFields, ended: bool) -> None:
         """The answer's head; with `ended` its trailers stand there."""
         self._head = fields
         if ended:
             self._tail = fields
 
-    def tail(self, fields: Fields) -> None:
+    def tail(self, fields: HeaderFields) -> None:
         """The trailers."""
         self._tail = fields
 
@@ -212,10 +212,10 @@
             self.ended(StreamEnd.BROKEN)
             return
         if self._pipe is not None:
-            link.machine.credit(self.stream, size - len(data))
+            link.session.acknowledge_data(self.stream_id, size - len(data))
             self._pipe.put(data)
             return
-        link.machine.credit(self.stream, size)
+        link.session.acknowledge_data(self.stream_id, size)
         self._chunks.append(data)
         self._held += len(data)
         lane.held += len(data)
@@ -236,7 +236,7 @@
         link = self.link
         if not self.open or link is None or self._pipe is not None:
             return
-        stream = self.stream
+        stream = self.stream_id
         self._bind()
         pipe = self._pipe = Pipe(lambda size: link.credit(stream, size))
         for chunk in self._chunks:
@@ -285,7 +285,7 @@
     """One connection to a box. Streams begin on it once the box's SETTINGS have come: then it speaks HTTP/2."""
 
     def __init__(self, lane: Streams, box: Box) -> None:
-        super().__init__(Machine(True, self._sent))
+        super().__init__(Http2Session(True, self._sent))
         self._lane, self.box = lane, box
         self.exchanges: dict[int, Exchange] = {}
         self.waiting: dict[Exchange, None] = {}  # for the box's SETTINGS, or for the answer to a PING
@@ -327,7 +327,7 @@
     def data_received(self, data: bytes) -> None:
         self.heard = now = self.loop.time()
         self._pinged = 0.0
-        for event in self.machine.received(now, data):
+        for event in self.session.receive_data(now, data):
             self._handle(event)
         self._admit()
         self.flush()
@@ -365,7 +365,7 @@
     def close(self) -> None:
         """Nobody needs it any more."""
         if not self.over:
-            self.machine.leave(0)
+            self.session.send_goaway(0)
             self.flush()
             self.lost()
 
@@ -378,9 +378,13 @@
     def takes(self) -> bool:
         """Whether one more stream may begin."""
         # Guards other requests against a box that reads nothing of one: they would wait behind it.
-        if self.leaving or self.machine.spent() or (self.ready and self.machine.shut()):
+        if (
+            self.leaving
+            or self.session.are_stream_ids_exhausted()
+            or (self.ready and self.session.is_connection_window_exhausted())
+        ):
             return False
-        return (self.machine.room() if self.ready else STREAMS_MOST) > len(self.waiting)
+        return (self.session.available_streams() if self.ready else MAX_STREAMS) > len(self.waiting)
 
     def add(self, exchange: Exchange) -> None:
         """Begin a stream for it, now or when that is safe."""
@@ -401,7 +405,7 @@
         # on an open connection is something new to the box.
         if not exchange.open or exchange.until <= now or not exchange.backend.in_service:
             exchange.ended(StreamEnd.WITHDRAWN)
-        elif self.machine.over or self.over:
+        elif self.session.is_closed or self.over:
             exchange.ended(StreamEnd.UNSENT)
         else:
             exchange.transmit(self, now)
@@ -424,12 +428,12 @@
         """It has ended; a stream that is still open is cancelled, so that the box can stop its work."""
         self.waiting.pop(exchange, None)
         exchange.link = None
-        if exchange.stream and self.exchanges.pop(exchange.stream, None) is not None:
-            self.machine.reset(exchange.stream, CANCEL)
+        if exchange.stream_id and self.exchanges.pop(exchange.stream_id, None) is not None:
+            self.session.reset_stream(exchange.stream_id, CANCEL)
             self.wake()
             if not self.exchanges:
                 self.idle_since = self.loop.time()
-                if (self.leaving or self.machine.shut()) and not self.over:
+                if (self.leaving or self.session.is_connection_window_exhausted()) and not self.over:
                     self.leaving = True
                     self.loop.call_soon(self._close_if_idle)
 
@@ -446,7 +450,7 @@
 
     def credit(self, stream: int, size: int) -> None:
         """So many bytes of an answer have passed on."""
-        self.machine.credit(stream, size)
+        self.session.acknowledge_data(stream, size)
         self.wake()
 
     def _sent(self, stream: int, size: int) -> None:
@@ -455,7 +459,7 @@
             exchange.sent(size)
 
     def _handle(self, event: Event) -> None:
-        if isinstance(event, Settled):
+        if isinstance(event, SettingsReceived):
             if not self.ready:
                 self.ready = True
                 assert self._timer is not None
@@ -463,27 +467,29 @@
                 self._lane.reached(self.box.backend, True)
         elif isinstance(event, GoAway):
             self._left(event)
-        elif isinstance(event, Over):
+        elif isinstance(event, ConnectionEnded):
             self.flush()
             self._failed()
-        elif not isinstance(event, Acked):
-            exchange = self.exchanges.get(event.stream)
+        elif not isinstance(event, PingAcknowledged):
+            exchange = self.exchanges.get(event.stream_id)
             if exchange is not None:
                 self._pings = 0
                 self._answer(exchange, event)
 
-    def _answer(self, exchange: Exchange, event: Head | Data | Tail | Ended | Reset) -> None:
-        if isinstance(event, Head):
-            exchange.head(event.fields, event.ended)
-        elif isinstance(event, Data):
+    def _answer(
+        self, exchange: Exchange, event: HeadersReceived | DataReceived | TrailersReceived | StreamEnded | StreamReset
+    ) -> None:
+        if isinstance(event, HeadersReceived):
+            exchange.head(event.fields, event.end_stream)
+        elif isinstance(event, DataReceived):
             exchange.data(event.data, event.size)
-        elif isinstance(event, Tail):
+        elif isinstance(event, TrailersReceived):
             exchange.tail(event.fields)
-        elif isinstance(event, Ended):
+        elif isinstance(event, StreamEnded):
             exchange.done()
         else:
             # h2's own word on a stream's fault says nothing of what ran.
-            exchange.ended(end_by_reset(event.code == REFUSED_STREAM and not event.ours))
+            exchange.ended(end_by_reset(event.code == REFUSED_STREAM and not event.is_local))
 
     def _left(self, leave: GoAway) -> None:
         """The box leaves in good order: streams above its last one never ran, the others go on."""
@@ -502,9 +508,9 @@
     def _unseen(self, exchange: Exchange) -> None:
         """It never ran here. Boxes leave connections that are old, and take the same request on a new one."""
         if exchange.untouched():
-            del self.exchanges[exchange.stream]
-            self.machine.reset(exchange.stream, CANCEL)
-            exchange.link, exchange.stream = None, 0
+            del self.exchanges[exchange.stream_id]
+            self.session.reset_stream(exchange.stream_id, CANCEL)
+            exchange.link, exchange.stream_id = None, 0
             self._lane.again(exchange)
         else:
             exchange.ended(StreamEnd.ABOVE_GOAWAY)
@@ -515,7 +521,7 @@
         if not self._pinged:
             self._pinged = now
             self._pings += 1
-            self.machine.ping()
+            self.session.send_ping()
             self.wake()
 
     def _look_on(self) -> None:
--- a/lugspur/http2/wire.py
+++ b/lugspur/http2/wire.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from lugspur.http2.machine import Machine
+from lugspur.http2.machine import Http2Session
 
 BACKLOG_MOST = 1 << 20  # bytes that a transport holds unsent before the connection is given up: DATA waits before
 
@@ -12,19 +12,19 @@
 class Wire:
     """A machine and the transport under it; mixed into an asyncio protocol."""
 
-    def __init__(self, machine: Machine) -> None:
-        self.machine = machine
+    def __init__(self, session: Http2Session) -> None:
+        self.session = session
         self.loop = asyncio.get_running_loop()
         self.over = False  # the connection has ended, by whichever side
         self._waking: asyncio.Handle | None = None
 
     def pause_writing(self) -> None:
         """The transport has enough: DATA waits in the machine."""
-        self.machine.corked = True
+        self.session.is_paused = True
 
     def resume_writing(self) -> None:
         """The transport takes more."""
-        self.machine.uncork()
+        self.session.resume_sending()
         self.wake()
 
     def wake(self) -> None:
@@ -44,7 +44,7 @@
         transport = self.wire()
         if transport is None or self.over:
             return
-        while data := self.machine.take():
+        while data := self.session.take_output():
             transport.write(data)
         if transport.get_write_buffer_size() > BACKLOG_MOST:
             self.give_up()  # Guards memory against a peer that asks, or is asked, and reads nothing.
--- a/tests/http2/test_machine.py
+++ b/tests/http2/test_machine.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 import pytest
+from h2 import events as h2_events
 from h2.config import H2Configuration
 from h2.connection import H2Connection
-from h2.events import ConnectionTerminated, Event, StreamEnded, StreamReset
 from hpack import Encoder
 from hyperframe import frame as hf
 from hypothesis import given
@@ -18,7 +18,16 @@
 from lugspur.http1.front import PREFACE
 from lugspur.http2 import frames
 from lugspur.http2.frames import FrameFilter, GoAway, Http2ConnectionError, encode_goaway
-from lugspur.http2.machine import WINDOW, Data, Ended, Head, Machine, Over, Reset, Tail
+from lugspur.http2.machine import (
+    STREAM_WINDOW_BYTES,
+    ConnectionEnded,
+    DataReceived,
+    HeadersReceived,
+    Http2Session,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
+)
 
 REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a"), (b":authority", b"h")]
 ANSWER = [(b":status", b"200")]
@@ -29,7 +38,7 @@
 
     def __init__(self, client: bool = False, **options: Any) -> None:
         self.sent: list[tuple[int, int]] = []
-        self.ours = Machine(client, lambda *gone: self.sent.append(gone), **options)
+        self.ours = Http2Session(client, lambda *gone: self.sent.append(gone), **options)
         self.theirs = H2Connection(
             H2Configuration(
                 client_side=not client,
@@ -42,23 +51,23 @@
         self.now = 0.0
         self.turn()
 
-    def turn(self) -> tuple[list[Any], list[Event]]:
+    def turn(self) -> tuple[list[Any], list[h2_events.Event]]:
         """Everything that is to be said, both ways, until nobody says any more."""
         ours: list[Any] = []
-        theirs: list[Event] = []
+        theirs: list[h2_events.Event] = []
         while True:
-            out, back = self.theirs.data_to_send(), self.ours.take()
+            out, back = self.theirs.data_to_send(), self.ours.take_output()
             if not out and not back:
                 return ours, theirs
             if out:
-                ours += self.ours.received(self.now, out)
+                ours += self.ours.receive_data(self.now, out)
             if back:
                 theirs += self.theirs.receive_data(back)
 
     def raw(self, *parts: hf.Frame | bytes) -> list[Any]:
         """Frames that h2 would not send."""
         data = b"".join(part if isinstance(part, bytes) else part.serialize() for part in parts)
-        return self.ours.received(self.now, data)
+        return self.ours.receive_data(self.now, data)
 
     def ask(self, body: bytes = b"", end: bool = True) -> int:
         stream = int(self.theirs.get_next_available_stream_id())
@@ -82,8 +91,8 @@
     return frame
 
 
-def over(found: list[Any]) -> Over:
-    assert isinstance(found[-1], Over), found
+def over(found: list[Any]) -> ConnectionEnded:
+    assert isinstance(found[-1], ConnectionEnded), found
     return found[-1]
 
 
@@ -94,31 +103,31 @@
     pair = Pair()
     stream = pair.ask(b"hello")
     found, _ = pair.turn()
-    assert found == [Head(stream, REQUEST, False), Data(stream, b"hello", 5), Ended(stream)]
-    pair.ours.head(stream, ANSWER)
-    pair.ours.write(stream, b"bye")
-    pair.ours.finish(stream, [(b"grpc-status", b"0")])
+    assert found == [HeadersReceived(stream, REQUEST, False), DataReceived(stream, b"hello", 5), StreamEnded(stream)]
+    pair.ours.send_headers(stream, ANSWER)
+    pair.ours.send_data(stream, b"bye")
+    pair.ours.end_stream(stream, [(b"grpc-status", b"0")])
     _, theirs = pair.turn()
-    assert isinstance(theirs[-1], StreamEnded) and not pair.ours.open and pair.sent == [(stream, 3)]
+    assert isinstance(theirs[-1], h2_events.StreamEnded) and not pair.ours.open_streams and pair.sent == [(stream, 3)]
 
 
 def test_a_client_asks_and_reads_trailers() -> None:
     pair = Pair(client=True)
-    stream = pair.ours.begin(REQUEST)
-    pair.ours.write(stream, b"x")
-    pair.ours.finish(stream)
+    stream = pair.ours.open_stream(REQUEST)
+    pair.ours.send_data(stream, b"x")
+    pair.ours.end_stream(stream)
     pair.turn()
     pair.theirs.send_headers(stream, ANSWER)
     pair.theirs.send_data(stream, b"y")
     pair.theirs.send_headers(stream, [(b"grpc-status", b"0")], end_stream=True)
     found, _ = pair.turn()
     assert found == [
-        Head(stream, ANSWER, False),
-        Data(stream, b"y", 1),
-        Tail(stream, [(b"grpc-status", b"0")]),
-        Ended(stream),
+        HeadersReceived(stream, ANSWER, False),
+        DataReceived(stream, b"y", 1),
+        TrailersReceived(stream, [(b"grpc-status", b"0")]),
+        StreamEnded(stream),
     ]
-    assert not pair.ours.open
+    assert not pair.ours.open_streams
 
 
 @given(st.lists(st.integers(1, 40), max_size=40))
@@ -130,15 +139,15 @@
     client.send_data(1, b"", end_stream=True)
     whole = client.data_to_send() + encode_goaway(7, 0, b"bye")
     found: list[Any] = []
-    machine = Machine(False, lambda *_: None)
+    machine = Http2Session(False, lambda *_: None)
     at = 0
     for cut in [*cuts, len(whole)]:
-        found += machine.received(0.0, whole[at : at + cut])
+        found += machine.receive_data(0.0, whole[at : at + cut])
         at += cut
-    assert [each for each in found if isinstance(each, Head | Data | Ended | GoAway)] == [
-        Head(1, REQUEST, False),
-        Data(1, b"x" * 30, 30),
-        Ended(1),
+    assert [each for each in found if isinstance(each, HeadersReceived | DataReceived | StreamEnded | GoAway)] == [
+        HeadersReceived(1, REQUEST, False),
+        DataReceived(1, b"x" * 30, 30),
+        StreamEnded(1),
         GoAway(7, 0, b"bye"),
     ]
 
@@ -151,18 +160,18 @@
     one, two = pair.ask(), pair.ask()
     pair.turn()
     for stream in (one, two):
-        pair.ours.head(stream, ANSWER)
-    pair.ours.write(one, b"x" * 200_000)
+        pair.ours.send_headers(stream, ANSWER)
+    pair.ours.send_data(one, b"x" * 200_000)
     pair.turn()
-    assert sum(size for stream, size in pair.sent if stream == one) == 65_535 and pair.ours.unsent(one) == 134_465
+    assert sum(size for stream, size in pair.sent if stream == one) == 65_535 and pair.ours.unsent_bytes(one) == 134_465
     # h2's own connection window is as wide as a stream's: widened, the other stream goes on by itself.
     pair.theirs.increment_flow_control_window(1 << 20)
-    pair.ours.write(two, b"y" * 1000)
+    pair.ours.send_data(two, b"y" * 1000)
     pair.turn()
     assert sum(size for stream, size in pair.sent if stream == two) == 1000
     pair.theirs.increment_flow_control_window(200_000, one)
     pair.turn()
-    assert not pair.ours.unsent(one)
+    assert not pair.ours.unsent_bytes(one)
 
 
 def test_what_was_not_credited_is_not_sent_on_and_a_stream_that_ends_gives_its_part_back() -> None:
@@ -172,8 +181,8 @@
         stream = pair.ask(b"x" * 16_384, end=False)
         pair.theirs.send_data(stream, b"x" * 16_384)
         pair.turn()
-        assert pair.theirs.local_flow_control_window(stream) == WINDOW - 32_768
-        pair.ours.reset(stream, 8)
+        assert pair.theirs.local_flow_control_window(stream) == STREAM_WINDOW_BYTES - 32_768
+        pair.ours.reset_stream(stream, 8)
         pair.turn()
     # It is given back in pieces: never less than half of it is there.
     assert pair.theirs.outbound_flow_control_window >= before // 2
@@ -186,9 +195,9 @@
         pair.theirs.send_data(stream, b"x" * 16_384 if _ < 2 else b"x" * 16_383)
     pair.turn()
     assert pair.theirs.local_flow_control_window(stream) == 0
-    pair.ours.credit(stream, 1 << 30)
+    pair.ours.acknowledge_data(stream, 1 << 30)
     pair.turn()
-    assert pair.theirs.local_flow_control_window(stream) == WINDOW
+    assert pair.theirs.local_flow_control_window(stream) == STREAM_WINDOW_BYTES
 
 
 def test_a_window_that_overflows_ends_the_connection() -> None:
@@ -214,16 +223,16 @@
     pair.theirs.increment_flow_control_window(1 << 24)
     pair.turn()
     for stream in streams:
-        pair.ours.head(stream, ANSWER)
-        pair.ours.write(stream, b"x" * 60_000, end=True)
+        pair.ours.send_headers(stream, ANSWER)
+        pair.ours.send_data(stream, b"x" * 60_000, end=True)
     sizes = []
-    while data_ := pair.ours.take():
+    while data_ := pair.ours.take_output():
         sizes.append(len(data_))
         if len(sizes) == 2:
-            pair.ours.corked = True  # as the transport does when it has enough
+            pair.ours.is_paused = True  # as the transport does when it has enough
     assert len(sizes) == 3 and max(sizes) < frames.MAX_FRAME_BYTES + (256 << 10) + 4096
-    pair.ours.uncork()
-    while pair.ours.take():
+    pair.ours.resume_sending()
+    while pair.ours.take_output():
         pass
     assert sum(size for _, size in pair.sent) == 40 * 60_000
 
@@ -233,8 +242,8 @@
 
 def test_goaways_are_told_in_their_order_and_streams_go_on() -> None:
     pair = Pair(client=True)
-    stream = pair.ours.begin(REQUEST)
-    pair.ours.finish(stream)
+    stream = pair.ours.open_stream(REQUEST)
+    pair.ours.end_stream(stream)
     pair.turn()
     pair.theirs.send_headers(stream, ANSWER)
     between = pair.theirs.data_to_send()
@@ -243,10 +252,10 @@
     found = pair.raw(encode_goaway((1 << 31) - 1, 0), between, encode_goaway(stream, 0, b"why"), after)
     assert found == [
         GoAway((1 << 31) - 1, 0),
-        Head(stream, ANSWER, False),
+        HeadersReceived(stream, ANSWER, False),
         GoAway(stream, 0, b"why"),
-        Data(stream, b"x", 1),
-        Ended(stream),
+        DataReceived(stream, b"x", 1),
+        StreamEnded(stream),
     ]
 
 
@@ -254,10 +263,10 @@
     pair = Pair()
     stream = pair.ask()
     pair.turn()
-    pair.ours.leave((1 << 31) - 1)
-    pair.ours.head(stream, ANSWER, end=True)
-    seen = pair.ours.take()
-    assert encode_goaway((1 << 31) - 1, 0) in seen and not pair.ours.over
+    pair.ours.send_goaway((1 << 31) - 1)
+    pair.ours.send_headers(stream, ANSWER, end=True)
+    seen = pair.ours.take_output()
+    assert encode_goaway((1 << 31) - 1, 0) in seen and not pair.ours.is_closed
 
 
 @pytest.mark.parametrize("size", [0, 7, frames.MAX_GOAWAY_BYTES + 1])
@@ -302,9 +311,9 @@
     pair.turn()
     found: list[Any] = []
     sent = 0
-    while not any(isinstance(each, Over) for each in found):
-        found = pair.ours.received(0.0, frame() * 50)
-        pair.ours.take()
+    while not any(isinstance(each, ConnectionEnded) for each in found):
+        found = pair.ours.receive_data(0.0, frame() * 50)
+        pair.ours.take_output()
         sent += 50
         assert sent <= 2 * frames.FRAME_BUDGET_BURST
     assert over(found).code == frames.ENHANCE_YOUR_CALM
@@ -315,14 +324,14 @@
     pair = Pair()
     opened = 0
     found: list[Any] = []
-    while not any(isinstance(each, Over) for each in found):
+    while not any(isinstance(each, ConnectionEnded) for each in found):
         stream = pair.ask(end=False)
         pair.theirs.reset_stream(stream)
-        found = pair.ours.received(0.0, pair.theirs.data_to_send())
-        pair.ours.take()
+        found = pair.ours.receive_data(0.0, pair.theirs.data_to_send())
+        pair.ours.take_output()
         opened += 1
         assert opened <= frames.FRAME_BUDGET_BURST + 1
-    assert over(found).code == frames.ENHANCE_YOUR_CALM and len(pair.ours.open) <= 1
+    assert over(found).code == frames.ENHANCE_YOUR_CALM and len(pair.ours.open_streams) <= 1
 
 
 def test_a_caller_that_works_may_cancel_and_ping_for_ever() -> None:
@@ -331,15 +340,15 @@
         stream = pair.ask(b"x")
         pair.theirs.ping(b"12345678")
         found, _ = pair.turn()
-        assert not any(isinstance(each, Over) for each in found), at
-        pair.ours.head(stream, ANSWER)
-        pair.ours.write(stream, b"x")
-        pair.ours.finish(stream)
+        assert not any(isinstance(each, ConnectionEnded) for each in found), at
+        pair.ours.send_headers(stream, ANSWER)
+        pair.ours.send_data(stream, b"x")
+        pair.ours.end_stream(stream)
         pair.turn()
     pair.now = 100.0
     for _ in range(int(frames.FRAME_BUDGET_BURST) - 10):  # and time gives back what was used up
         pair.theirs.ping(b"12345678")
-    assert not any(isinstance(each, Over) for each in pair.turn()[0])
+    assert not any(isinstance(each, ConnectionEnded) for each in pair.turn()[0])
 
 
 def test_continuation_without_end() -> None:
@@ -350,7 +359,7 @@
     more = hf.ContinuationFrame(1)
     more.data = b"\x00" * 16_000
     sent = 0
-    while not any(isinstance(each, Over) for each in found):
+    while not any(isinstance(each, ConnectionEnded) for each in found):
         found = pair.raw(more)
         sent += 16_000
         assert sent < 2 * frames.MAX_HEADER_BLOCK_BYTES
@@ -397,9 +406,9 @@
 @given(st.binary(max_size=400))
 def test_any_bytes_end_at_worst_in_over(noise: bytes) -> None:
     for client in (False, True):
-        machine = Machine(client, lambda *_: None)
-        machine.received(0.0, (b"" if client else PREFACE) + settings() + noise)
-        machine.take()
+        machine = Http2Session(client, lambda *_: None)
+        machine.receive_data(0.0, (b"" if client else PREFACE) + settings() + noise)
+        machine.take_output()
 
 
 def test_a_fault_is_told_to_the_peer() -> None:
@@ -408,8 +417,8 @@
     pair.raw(b"\xff\xff\xff\0\0\0\0\0\1")
     with pytest.raises(Http2ConnectionError):
         FrameFilter(False).feed(0.0, b"\xff\xff\xff\0\0\0\0\0\1")
-    events = pair.theirs.receive_data(pair.ours.take())
-    [ended] = [event for event in events if isinstance(event, ConnectionTerminated)]
+    events = pair.theirs.receive_data(pair.ours.take_output())
+    [ended] = [event for event in events if isinstance(event, h2_events.ConnectionTerminated)]
     assert ended.error_code == frames.FRAME_SIZE_ERROR
 
 
@@ -496,14 +505,14 @@
 def test_malformed_requests_reach_nobody(section: str) -> None:
     """RFC 9113 8.1.1 asks for a stream error at least; h2 takes them for connection errors, as 5.4.2 allows."""
     found = Pair().raw(headers(1, MALFORMED[section]))
-    assert not any(isinstance(each, Head) for each in found)
+    assert not any(isinstance(each, HeadersReceived) for each in found)
     assert over(found).code == PROTOCOL
 
 
 def test_a_body_of_another_length_than_told_is_malformed() -> None:
     pair = Pair()
     found = pair.raw(headers(1, [*REQUEST, (b"content-length", b"5")]), data(1, b"abc", "END_STREAM"))
-    assert not any(isinstance(each, Ended) for each in found) and over(found).code == PROTOCOL
+    assert not any(isinstance(each, StreamEnded) for each in found) and over(found).code == PROTOCOL
 
 
 def test_closed_and_half_closed_streams() -> None:
@@ -512,18 +521,21 @@
     stream = pair.ask(b"x")
     pair.turn()
     found = pair.raw(data(stream, b"more"))  # half-closed (remote): STREAM_CLOSED, as a stream or connection error
-    assert any(isinstance(each, Reset | Over) and each.code == STREAM_CLOSED for each in found), found
+    assert any(isinstance(each, StreamReset | ConnectionEnded) and each.code == STREAM_CLOSED for each in found), found
     pair = Pair()
     stream = pair.ask(end=False)
     pair.turn()
-    pair.ours.reset(stream, 8)
+    pair.ours.reset_stream(stream, 8)
     assert pair.raw(data(stream, b"late"), hf.WindowUpdateFrame(stream, window_increment=1)) == []  # it may be late
 
 
 def test_unknown_frames_and_settings_are_passed_over() -> None:
     pair = Pair()
     found = pair.raw(unknown(), _settings(0x99, 1), headers(1, None, "END_HEADERS", "END_STREAM"))
-    assert [type(each) for each in found if not isinstance(each, Over)][-2:] == [Head, Ended]
+    assert [type(each) for each in found if not isinstance(each, ConnectionEnded)][-2:] == [
+        HeadersReceived,
+        StreamEnded,
+    ]
 
 
 def test_a_reset_of_a_stream_is_told_once() -> None:
@@ -532,4 +544,6 @@
     pair.turn()
     pair.theirs.reset_stream(stream, 8)
     found, theirs = pair.turn()
-    assert found == [Reset(stream, 8, False)] and not any(isinstance(each, StreamReset) for each in theirs)
+    assert found == [StreamReset(stream, 8, False)] and not any(
+        isinstance(each, h2_events.StreamReset) for each in theirs
+    )
