--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -24,7 +24,7 @@
     StreamReset,
     TrailersReceived,
 )
-from lugspur.http2.wire import Wire
+from lugspur.http2.wire import SessionWriter
 from lugspur.pipe import Pipe
 from lugspur.seams import Passing, Request
 
@@ -151,7 +151,7 @@
         owed, self._owed = self._owed, 0
         if owed:
             self.connection.session.acknowledge_data(self.stream_id, owed)
-            self.connection.wake()
+            self.connection.schedule_flush()
 
     def ended(self) -> None:
         """The request is whole; raises Rejected."""
@@ -288,7 +288,7 @@
             self._unsent += len(data)
             self.moved = self.connection.loop.time()
             self.connection.session.send_data(self.stream_id, data)
-            self.connection.wake()
+            self.connection.schedule_flush()
 
     def finish_answer(self) -> None:
         """The answer that was begun is whole."""
@@ -383,7 +383,7 @@
 
     def _credit(self, session: Http2Session, stream: int, size: int) -> None:
         session.acknowledge_data(stream, size)
-        self.connection.wake()
+        self.connection.schedule_flush()
 
     def _request(self, body: bytes) -> Request:
         request = super()._request(body)
@@ -464,12 +464,12 @@
     return lines, named
 
 
-class Connection(Wire, Held):
+class Connection(SessionWriter, Held):
     """One caller's connection over HTTP/2."""
 
     def __init__(self, front: Front, handle: Handle, streams: int = MAX_STREAMS) -> None:
         Held.__init__(self, front)
-        Wire.__init__(self, Http2Session(False, self._sent, front.sizes.head, streams))
+        SessionWriter.__init__(self, Http2Session(False, self._sent, front.sizes.head, streams))
         self._handle = handle
         self.streams: dict[int, Stream] = {}
         self._last = MAX_STREAM_ID  # streams above it are not taken any more
@@ -480,7 +480,7 @@
 
     def _look(self) -> None:
         """Guards the front's places against callers that are gone without a word, with streams open."""
-        if self.over:
+        if self.is_closed:
             return
         silent = self.loop.time() - self._heard
         if silent >= 2.0 * SILENT:
@@ -488,7 +488,7 @@
             return
         if silent >= SILENT:
             self.session.send_ping()
-            self.wake()
+            self.schedule_flush()
         self._looking = self.loop.call_later(SILENT / 2.0, self._look)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -498,10 +498,10 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = self.session.is_closed = True
+        self.is_closed = self.session.is_closed = True
         self._looking.cancel()
         self.leave()
-        self.sleep()
+        self.cancel_flush()
         streams, self.streams = tuple(self.streams.values()), {}
         for stream in streams:
             stream.over()
@@ -518,10 +518,10 @@
             self._event(event)
         self.flush()
 
-    def wire(self) -> asyncio.Transport | None:
+    def transport(self) -> asyncio.Transport | None:
         return self._transport
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         self.drop()
 
     def _sent(self, stream: int, size: int) -> None:
@@ -586,7 +586,7 @@
     def refuse(self, stream: Stream, fault: Rejected) -> None:
         """Answer what is not served; what a pool may have of it already is given up."""
         stream.reject(fault)
-        self.wake()
+        self.schedule_flush()
 
     # ---- what goes -----------------------------------------------------------------------------
 
@@ -596,38 +596,38 @@
             self._forget(stream)
         elif not stream.watched:
             self.loop.call_later(STUCK, self._stuck, stream)
-        self.wake()
+        self.schedule_flush()
 
     def cut(self, stream: Stream, code: int) -> None:
         """End an answer that was begun and can't be finished, so that its caller can tell."""
-        if not self.over:
+        if not self.is_closed:
             self.session.reset_stream(stream.stream_id, code)
-            self.wake()
+            self.schedule_flush()
         self.streams.pop(stream.stream_id, None)
         stream.over()
         self._settle()
 
     def _forget(self, stream: Stream) -> None:
         if self.streams.pop(stream.stream_id, None) is not None:
-            if not self.over:
+            if not self.is_closed:
                 # RFC 9113 8.1: the answer is whole, and the rest of the request is not wanted.
                 self.session.reset_stream(stream.stream_id, NO_ERROR)
             self._settle()
 
     def _stuck(self, stream: Stream) -> None:
         """Guards memory against a caller that opens no window for what it has asked for."""
-        if self.streams.get(stream.stream_id) is not stream or self.over:
+        if self.streams.get(stream.stream_id) is not stream or self.is_closed:
             return
         if self.loop.time() < stream.moved + STUCK:  # it reads, however slowly
             self.loop.call_at(stream.moved + STUCK, self._stuck, stream)
             return
         self.session.reset_stream(stream.stream_id, CANCEL)
         self._forget(stream)
-        self.wake()
+        self.schedule_flush()
 
     def _settle(self) -> None:
         """Where there is no stream left the front may close it."""
-        if self.streams or self.over:
+        if self.streams or self.is_closed:
             return
         if self._left or self._last != MAX_STREAM_ID:
             self._end()
@@ -640,7 +640,7 @@
     def _end(self) -> None:
         """Close it, once what is written is out."""
         self.flush()
-        if not self.over:
+        if not self.is_closed:
             self.move(self.front.leaving, self.loop.time() + LINGER)
             self._transport.close()
 
@@ -650,7 +650,7 @@
             self._leaving = True
             self.move(None)
             self.session.send_goaway(MAX_STREAM_ID, NO_ERROR)
-            self.wake()
+            self.schedule_flush()
             self.loop.call_later(LEAVE_AFTER, self._leave)
             self.loop.call_later(max(self.front.grace, LEAVE_AFTER), self._cut)
 
@@ -659,11 +659,11 @@
         self.close()
 
     def _leave(self) -> None:
-        if self.over:
+        if self.is_closed:
             return
         self._last = self.session.highest_peer_stream_id()
         self.session.send_goaway(self._last, NO_ERROR)
-        self.wake()
+        self.schedule_flush()
         self._settle()
 
     def _cut(self) -> None:
@@ -674,7 +674,7 @@
 
     def drop(self) -> None:
         """Close it at once."""
-        if not self.over:
+        if not self.is_closed:
             self.session.send_goaway(self.session.highest_peer_stream_id(), NO_ERROR)
             self._transport.write(self.session.take_output())
         super().drop()
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to a pool's gRPC boxes: streams on few connections, GOAWAY, PINGs, and how each attempt ended."""
+"""HTTP/2 connections to the gRPC backends of a pool: attempts share few connections, checked by PINGs."""
 
 from __future__ import annotations
 
@@ -28,651 +28,691 @@
     StreamReset,
     TrailersReceived,
 )
-from lugspur.http2.wire import Wire
+from lugspur.http2.wire import SessionWriter
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Listed, Request, Response, Watcher
 
-LINKS_MOST = 4  # connections to one box: one core of a box rarely serves more than one at full speed
-SPREAD = 32  # streams on each connection before a further one is made
-HOLD_MOST = 256 << 10  # bytes of an answer's one message that are held back: it may still break, and be asked again
-STREAM_AFTER = 0.02  # seconds that a whole message waits for its trailers before it is passed on by itself
-FRESH = 1.0  # seconds since a connection was last heard in which what must not run twice trusts it without a PING
-PINGS = (1.0, 10.0, 300.0)  # seconds of silence before the first, second and every further PING: gRPC servers count
-SETTINGS_WITHIN = 2.0  # seconds from the connection to the box's SETTINGS: the kernel accepts for a busy box, too
-PING_WITHIN = 1.0  # seconds for its answer
-LOOK_EVERY = 0.25  # seconds between looks at silent connections, while they have streams
-Judge = Callable[[int, bool], Outcome]
-
-
-class Exchange:
-    """One attempt on a stream."""
+MAX_CONNECTIONS_PER_BACKEND = (
+    4  # connections to one backend; one core of a backend rarely serves more than one at full speed
+)
+STREAMS_BEFORE_NEW_CONNECTION = 32  # streams on every connection to a backend before another connection is opened
+# Bytes of a response's single message that are held back: while none has been forwarded, a failed attempt can be
+# followed by another.
+MAX_HELD_MESSAGE_BYTES = 256 << 10
+TRAILERS_WAIT = 0.02  # seconds that a complete message waits for the trailers before it is forwarded without them
+# Seconds after the last received data in which a request that must not run twice uses a connection without a PING.
+FRESH_SECONDS = 1.0
+# Seconds of silence before the first, second and every further PING; gRPC servers count PINGs and reject too many.
+PING_INTERVALS = (1.0, 10.0, 300.0)
+# Seconds from the TCP connection to the backend's SETTINGS; the kernel accepts connections for a busy backend, too.
+SETTINGS_TIMEOUT = 2.0
+PING_TIMEOUT = 1.0  # seconds from a PING to the next received data, after which the connection is closed
+LIVENESS_CHECK_INTERVAL = 0.25  # seconds between checks of a connection for silence, while it has streams
+ResponseClassifier = Callable[[int, bool], Outcome]
+
+
+class GrpcAttempt:
+    """One attempt at a request, as a stream on a connection to a backend."""
 
     __slots__ = (
         "backend",
         "box",
-        "link",
+        "connection",
         "open",
         "repeatable",
         "request",
         "started",
         "stream_id",
-        "tries",
-        "until",
-        "_bound",
+        "assignments",
+        "deadline",
+        "_is_bound",
         "_counter",
-        "_first",
-        "_head",
-        "_held",
-        "_lane",
-        "_pipe",
+        "_first_data_at",
+        "_headers",
+        "_held_bytes",
+        "_upstream",
+        "_response_pipe",
         "_chunks",
-        "_tail",
-        "_timer",
-        "_waiting",
+        "_trailers",
+        "_deadline_timer",
+        "_trailers_timer",
         "_watcher",
     )
 
     def __init__(
         self,
-        lane: Streams,
+        upstream: Streams,
         backend: Listed,
         request: Request,
         started: float,
-        until: float,
+        deadline: float,
         watcher: Watcher,
         repeatable: bool,
     ) -> None:
-        self._lane, self._watcher = lane, watcher
+        self._upstream, self._watcher = upstream, watcher
         self.backend, self.request = backend, request
-        self.started, self.until = started, until  # in the loop's time
+        self.started, self.deadline = started, deadline  # in the event loop's time
         self.repeatable = repeatable
         self.open = True
-        self.link: Link | None = None  # that it waits for, or goes on
-        self.stream_id = 0  # 0 until its headers have gone out
-        self.tries = 0
-        self._first = 0.0  # when the first message of the answer had begun
-        self._bound = False
+        # The connection that carries the attempt, or that the attempt waits for.
+        self.connection: BackendConnection | None = None
+        self.stream_id = 0  # 0 until the headers have been sent
+        self.assignments = 0
+        self._first_data_at = 0.0  # when the first data of the response arrived; 0.0 before
+        self._is_bound = False
         self._counter = MessageCounter()
-        self._head: HeaderFields = []
-        self._tail: HeaderFields = []
+        self._headers: HeaderFields = []
+        self._trailers: HeaderFields = []
         self._chunks: list[bytes] = []
-        self._held = 0
-        self._pipe: Pipe | None = None  # the answer's, once it is passed on
-        self._timer: asyncio.TimerHandle | None = None  # of the attempt
-        self._waiting: asyncio.TimerHandle | None = None  # for the trailers
+        self._held_bytes = 0
+        self._response_pipe: Pipe | None = None  # the response's messages, once they are forwarded as they arrive
+        self._deadline_timer: asyncio.TimerHandle | None = None  # ends the attempt at its deadline
+        # Starts the forwarding of a complete message whose trailers are late.
+        self._trailers_timer: asyncio.TimerHandle | None = None
 
-    def expire_at(self, handle: asyncio.TimerHandle) -> None:
-        """It ends by itself then, unless a message has passed."""
-        self._timer = handle
+    def set_deadline_timer(self, handle: asyncio.TimerHandle) -> None:
+        """Keep the timer that ends the attempt; it is cancelled once a message has been forwarded."""
+        self._deadline_timer = handle
 
     def latency(self, now: float) -> float:
-        """Of a stream only the time to its first message: how long it goes on is not the box's doing."""
-        return (self._first if self._bound and self._first else now) - self.started
+        """Return the attempt's duration, of a stream only until its first data.
+
+        How long a stream lasts is not up to the backend.
+        """
+        return (self._first_data_at if self._is_bound and self._first_data_at else now) - self.started
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome, once; a stream that is still open is cancelled."""
+        """Report the outcome, once, and cancel a stream that is still open."""
         if not self.open:
             return
         self.open = False
-        for timer in (self._timer, self._waiting):
+        for timer in (self._deadline_timer, self._trailers_timer):
             if timer is not None:
                 timer.cancel()
-        self._release()
-        pipe = self._requested()
+        self._release_held_data()
+        pipe = self._request_pipe()
         if pipe is not None:
             pipe.attach(None)
-        if self.link is not None:
-            self.link.drop(self)
+        if self.connection is not None:
+            self.connection.remove(self)
         self._watcher.ended(self, outcome, response)
 
-    def ended(self, how: StreamEnd) -> None:
-        """It ended without an answer."""
-        self.end(OUTCOMES[how])
+    def end_without_response(self, stream_end: StreamEnd) -> None:
+        """End the attempt without a response."""
+        self.end(OUTCOMES[stream_end])
 
     def expire(self) -> None:
-        """The time that it is waited for is up."""
-        self.ended(StreamEnd.TIMED_OUT if self.stream_id else StreamEnd.UNSENT)
+        """End the attempt at its deadline."""
+        self.end_without_response(StreamEnd.TIMED_OUT if self.stream_id else StreamEnd.UNSENT)
+
+    def can_resend(self) -> bool:
+        """Detach an unread request pipe; return whether the request can be sent again as it was.
 
-    def untouched(self) -> bool:
-        """Whether it can be sent anew as it was: nothing of a stream has passed, and nothing was answered."""
-        pipe = self._requested()
+        It can while none of its messages has been taken from the pipe and no response headers have arrived.
+        """
+        pipe = self._request_pipe()
         if pipe is not None and not pipe.passed:
             pipe.attach(None)
-        return not self._head and (pipe is None or not pipe.passed)
+        return not self._headers and (pipe is None or not pipe.passed)
 
-    def _requested(self) -> Pipe | None:
+    def _request_pipe(self) -> Pipe | None:
         return None if self.request.form is None else self.request.form.pipe
 
     # ---- the request ---------------------------------------------------------------------------
 
-    def transmit(self, link: Link, now: float) -> None:
-        """Its headers go out, and as much of its body as there is."""
-        request, session = self.request, link.session
-        left = self.until - now
+    def send(self, connection: BackendConnection, now: float) -> None:
+        """Send the headers, and as much of the body as has arrived."""
+        request, session = self.request, connection.session
+        time_left = self.deadline - now
         if request.form is None:
-            fields, body = mapping.to_grpc_request(request, left)
+            fields, body = mapping.to_grpc_request(request, time_left)
         else:
-            fields, body = mapping.grpc_request_fields(request, left), request.body
+            fields, body = mapping.grpc_request_fields(request, time_left), request.body
         self.stream_id = session.open_stream(fields)
-        link.exchanges[self.stream_id] = self
-        pipe = self._requested()
+        connection.attempts[self.stream_id] = self
+        pipe = self._request_pipe()
         if pipe is not None:
-            pipe.attach(self._more)
+            pipe.attach(self._send_more)
             return
         session.send_data(self.stream_id, body, end=True)
 
-    def _more(self) -> None:
-        """More of a stream of requests."""
-        pipe, link = self._requested(), self.link
-        if pipe is None or link is None:
+    def _send_more(self) -> None:
+        """Send the messages that have arrived on a request stream."""
+        pipe, connection = self._request_pipe(), self.connection
+        if pipe is None or connection is None:
             return
         data = pipe.take()
         if data:
             self._bind()
-            link.session.send_data(self.stream_id, data)
-        if pipe.ended and not link.session.has_ended_stream(self.stream_id):
-            link.session.end_stream(self.stream_id)
-        link.wake()
-
-    def sent(self, size: int) -> None:
-        """So many bytes of the request have gone out, or will never."""
-        pipe = self._requested()
+            connection.session.send_data(self.stream_id, data)
+        if pipe.ended and not connection.session.has_ended_stream(self.stream_id):
+            connection.session.end_stream(self.stream_id)
+        connection.schedule_flush()
+
+    def report_sent(self, size: int) -> None:
+        """Report request bytes to the pipe as sent or discarded."""
+        pipe = self._request_pipe()
         if pipe is not None:
             pipe.gone(size)
 
     def _bind(self) -> None:
-        if not self._bound:
-            self._bound = True
-            if self._timer is not None:
-                self._timer.cancel()
+        if not self._is_bound:
+            self._is_bound = True
+            if self._deadline_timer is not None:
+                self._deadline_timer.cancel()
             self._watcher.bound()
 
-    # ---- the answer ----------------------------------------------------------------------------
+    # ---- the response --------------------------------------------------------------------------
 
-    def head(self, fields: HeaderFields, ended: bool) -> None:
-        """The answer's head; with `ended` its trailers stand there."""
-        self._head = fields
-        if ended:
-            self._tail = fields
+    def take_headers(self, fields: HeaderFields, end_stream: bool) -> None:
+        """Take the response headers; with `end_stream` they are its trailers as well."""
+        self._headers = fields
+        if end_stream:
+            self._trailers = fields
 
-    def tail(self, fields: HeaderFields) -> None:
-        """The trailers."""
-        self._tail = fields
+    def take_trailers(self, fields: HeaderFields) -> None:
+        """Take the trailers."""
+        self._trailers = fields
 
-    def data(self, data: bytes, size: int) -> None:
-        """A part of the answer's messages."""
-        link, lane = self.link, self._lane
-        assert link is not None
-        self._first = self._first or lane.now()
+    def take_data(self, data: bytes, size: int) -> None:
+        """Take a part of the response's messages; hold or forward it."""
+        connection, upstream = self.connection, self._upstream
+        assert connection is not None
+        self._first_data_at = self._first_data_at or upstream.now()
         try:
             self._counter.feed(data)
         except InvalidMessageError:
-            self.ended(StreamEnd.BROKEN)
+            self.end_without_response(StreamEnd.BROKEN)
             return
-        if self._pipe is not None:
-            link.session.acknowledge_data(self.stream_id, size - len(data))
-            self._pipe.put(data)
+        if self._response_pipe is not None:
+            connection.session.acknowledge_data(self.stream_id, size - len(data))
+            self._response_pipe.put(data)
             return
-        link.session.acknowledge_data(self.stream_id, size)
+        connection.session.acknowledge_data(self.stream_id, size)
         self._chunks.append(data)
-        self._held += len(data)
-        lane.held += len(data)
-        if self.request.form is not None and self._streams():
-            self._pass_on()
-        elif self._held > lane.answer_most or lane.held > lane.held_most:
-            self.ended(StreamEnd.BROKEN)  # Guards the memory limit against an answer without end.
-        elif self.request.form is not None and self._counter.complete_count and self._waiting is None:
-            self._waiting = asyncio.get_running_loop().call_later(STREAM_AFTER, self._pass_on)
-
-    def _streams(self) -> bool:
-        """Whether its messages can't wait for its end: the request is settled, or there are several, or a huge one."""
+        self._held_bytes += len(data)
+        upstream.held_bytes += len(data)
+        if self.request.form is not None and self._must_forward():
+            self._start_forwarding()
+        elif self._held_bytes > upstream.max_response_bytes or upstream.held_bytes > upstream.max_held_bytes:
+            self.end_without_response(StreamEnd.BROKEN)  # guards the memory limit against endless responses
+        elif self.request.form is not None and self._counter.complete_count and self._trailers_timer is None:
+            self._trailers_timer = asyncio.get_running_loop().call_later(TRAILERS_WAIT, self._start_forwarding)
+
+    def _must_forward(self) -> bool:
+        """Return whether messages can't be held until the end of the response.
+
+        They can't if the request is bound to this attempt, there are several messages, or one is very large.
+        """
         counter = self._counter
-        return self._bound or counter.complete_count + counter.has_open_message > 1 or self._held > HOLD_MOST
-
-    def _pass_on(self) -> None:
-        """From now on its messages go on as they come: a stream, or one message that is too large to hold."""
-        link = self.link
-        if not self.open or link is None or self._pipe is not None:
+        return (
+            self._is_bound
+            or counter.complete_count + counter.has_open_message > 1
+            or self._held_bytes > MAX_HELD_MESSAGE_BYTES
+        )
+
+    def _start_forwarding(self) -> None:
+        """Forward messages as they arrive from now on: of a stream, or one message that is too large to hold."""
+        connection = self.connection
+        if not self.open or connection is None or self._response_pipe is not None:
             return
-        stream = self.stream_id
+        stream_id = self.stream_id
         self._bind()
-        pipe = self._pipe = Pipe(lambda size: link.credit(stream, size))
+        pipe = self._response_pipe = Pipe(lambda size: connection.acknowledge_data(stream_id, size))
         for chunk in self._chunks:
             pipe.put(chunk, free=True)
-        self._release()
-        self._watcher.begun(Response(200, mapping.response_header_lines(self._head), b""), pipe)
+        self._release_held_data()
+        self._watcher.begun(Response(200, mapping.response_header_lines(self._headers), b""), pipe)
 
-    def _release(self) -> None:
-        self._lane.held -= self._held
-        self._held = 0
+    def _release_held_data(self) -> None:
+        self._upstream.held_bytes -= self._held_bytes
+        self._held_bytes = 0
         self._chunks = []
 
-    def done(self) -> None:
-        """The box has said all."""
+    def finish(self) -> None:
+        """Report the response: the backend has ended the stream."""
         if self._counter.has_open_message:
-            self.ended(StreamEnd.BROKEN)  # trailers before the message's end
+            self.end_without_response(StreamEnd.BROKEN)  # the stream ended within a message
             return
-        told = dict(self._tail)
-        code = parse_status(told.get(b"grpc-status"))
+        trailers = dict(self._trailers)
+        grpc_status = parse_status(trailers.get(b"grpc-status"))
         try:
-            response = self._read(told, code)
+            response = self._build_response(trailers, grpc_status)
         except InvalidMessageError:
-            self.ended(StreamEnd.BROKEN)
+            self.end_without_response(StreamEnd.BROKEN)
             return
         if response is None:
-            self.ended(StreamEnd.BROKEN)
+            self.end_without_response(StreamEnd.BROKEN)
             return
-        # A mark behind a message that has passed, or on any status but UNAVAILABLE, proves nothing.
-        unseen = told.get(b"x-not-processed") == b"1" and not self._counter.complete_count and not self._bound
-        self.end(self._lane.judge(response.status, unseen), response)
-
-    def _read(self, told: dict[bytes, bytes], code: Status | int | None) -> Response | None:
-        """The whole answer; None where there is no status. Raises InvalidMessageError if it can't be translated."""
-        status = int(dict(self._head).get(b":status", b"0"))
-        if code is None:
-            # Not gRPC: some HTTP server's or proxy's own word.
+        # `x-not-processed` after a message, or with a status other than UNAVAILABLE, proves nothing.
+        is_unprocessed = (
+            trailers.get(b"x-not-processed") == b"1" and not self._counter.complete_count and not self._is_bound
+        )
+        self.end(self._upstream.classify(response.status, is_unprocessed), response)
+
+    def _build_response(self, trailers: dict[bytes, bytes], grpc_status: Status | int | None) -> Response | None:
+        """Return the complete response, or None without a status; raises InvalidMessageError for invalid messages."""
+        status = int(dict(self._headers).get(b":status", b"0"))
+        if grpc_status is None:
+            # The response is not gRPC: an HTTP server or a proxy sent it.
             return None if status < 300 else Response(status, b"", b"")
         body = b"".join(self._chunks)
         if self.request.form is None:
-            return mapping.to_http1_response(self._head, self._tail, body)
-        head = b"" if self._head is self._tail else mapping.response_header_lines(self._head)
-        return Response(http_status(int(code)), head, body, None, mapping.response_trailer_lines(self._tail))
-
-
-class Link(Wire, asyncio.Protocol):
-    """One connection to a box. Streams begin on it once the box's SETTINGS have come: then it speaks HTTP/2."""
-
-    def __init__(self, lane: Streams, box: Box) -> None:
-        super().__init__(Http2Session(True, self._sent))
-        self._lane, self.box = lane, box
-        self.exchanges: dict[int, Exchange] = {}
-        self.waiting: dict[Exchange, None] = {}  # for the box's SETTINGS, or for the answer to a PING
-        self.ready = False
-        self.leaving = False  # no stream begins on it any more
-        self.blamed = False  # no connection came up, or none that speaks HTTP/2, and the box is to blame
-        self.heard = 0.0
+            return mapping.to_http1_response(self._headers, self._trailers, body)
+        head = b"" if self._headers is self._trailers else mapping.response_header_lines(self._headers)
+        return Response(http_status(int(grpc_status)), head, body, None, mapping.response_trailer_lines(self._trailers))
+
+
+class BackendConnection(SessionWriter, asyncio.Protocol):
+    """One connection to a backend; it carries streams once the backend's SETTINGS prove that it speaks HTTP/2."""
+
+    def __init__(self, upstream: Streams, group: ConnectionGroup) -> None:
+        super().__init__(Http2Session(True, self._report_sent))
+        self._upstream, self.group = upstream, group
+        self.attempts: dict[int, GrpcAttempt] = {}
+        # Attempts that wait for the backend's SETTINGS or the reply to a PING.
+        self.waiting: dict[GrpcAttempt, None] = {}
+        self.is_ready = False  # the backend's SETTINGS have arrived
+        self.is_draining = False  # no new stream is opened on the connection
+        # Whether the backend is at fault because the connection failed or doesn't speak HTTP/2.
+        self.is_backend_at_fault = False
+        self.last_received_at = 0.0  # when data was last received, in the event loop's time
         self.idle_since = self.loop.time()
         self._transport: asyncio.Transport | None = None
-        self._pinged = 0.0  # when a PING went out that nothing was heard after
-        self._pings = 0  # since the last answer
-        self._looking: asyncio.TimerHandle | None = None
-        self._timer: asyncio.TimerHandle | None = None  # for the box's SETTINGS
-        self._task: asyncio.Task[object] | None = None
-        self.dial: Dial[Link] | None = Dial(lane, self, box.backend, lane.dial_timeout)
+        self._ping_sent_at = 0.0  # when a PING was sent that no data has followed; 0.0: none
+        self._pings_since_stream_event = 0  # since the last event on a stream; replies to PINGs don't count
+        self._liveness_timer: asyncio.TimerHandle | None = None
+        self._settings_timer: asyncio.TimerHandle | None = None  # ends the wait for the backend's SETTINGS
+        self._connect_task: asyncio.Task[object] | None = None
+        self.dial: Dial[BackendConnection] | None = Dial(upstream, self, group.backend, upstream.dial_timeout)
 
     # ---- the connection ------------------------------------------------------------------------
 
-    def dialled(self, sock: socket.socket) -> None:
-        """The connection is up."""
-        self._timer = self.loop.call_later(SETTINGS_WITHIN, self._failed)
-        self._task = self.loop.create_task(self.loop.create_connection(lambda: self, sock=sock))
+    def attach_socket(self, sock: socket.socket) -> None:
+        """Start the protocol on a connected socket."""
+        self._settings_timer = self.loop.call_later(SETTINGS_TIMEOUT, self._fail)
+        self._connect_task = self.loop.create_task(self.loop.create_connection(lambda: self, sock=sock))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if self.over:
+        if self.is_closed:
             transport.abort()
         else:
             self.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._failed()
+        self._fail()
 
-    def _failed(self) -> None:
-        self.blamed = self.blamed or not (self.ready or self.over)
-        self.lost()
+    def _fail(self) -> None:
+        self.is_backend_at_fault = self.is_backend_at_fault or not (self.is_ready or self.is_closed)
+        self.disconnect()
 
     def data_received(self, data: bytes) -> None:
-        self.heard = now = self.loop.time()
-        self._pinged = 0.0
+        self.last_received_at = now = self.loop.time()
+        self._ping_sent_at = 0.0
         for event in self.session.receive_data(now, data):
-            self._handle(event)
-        self._admit()
+            self._handle_event(event)
+        self._send_waiting()
         self.flush()
 
-    def wire(self) -> asyncio.Transport | None:
+    def transport(self) -> asyncio.Transport | None:
         return self._transport
 
-    def give_up(self) -> None:
-        self.lost()
+    def abort(self) -> None:
+        self.disconnect()
 
-    def lost(self) -> None:
-        """It has ended, by whichever side: nothing that went out is known not to have run."""
-        if self.over:
+    def disconnect(self) -> None:
+        """Close the connection and end its attempts; of sent requests it is unknown whether they ran."""
+        if self.is_closed:
             return
-        self.over = self.leaving = True
-        self.sleep()
-        for handle in (self._timer, self._looking):
+        self.is_closed = self.is_draining = True
+        self.cancel_flush()
+        for handle in (self._settings_timer, self._liveness_timer):
             if handle is not None:
                 handle.cancel()
         if self.dial is not None:
             self.dial.cancel()
         if self._transport is not None:
             self._transport.abort()
-        self._lane.lost(self)
+        self._upstream.remove(self)
         waiting, self.waiting = tuple(self.waiting), {}
-        for exchange in waiting:
-            exchange.link = None
-            if self.ready:
-                self._lane.again(exchange)  # nothing went out: its connection was found dead in time
+        for attempt in waiting:
+            attempt.connection = None
+            if self.is_ready:
+                self._upstream.assign(attempt)  # no headers were sent before the connection was found dead
             else:
-                exchange.ended(StreamEnd.UNSENT)
-        for exchange in tuple(self.exchanges.values()):
-            exchange.ended(StreamEnd.BROKEN)
+                attempt.end_without_response(StreamEnd.UNSENT)
+        for attempt in tuple(self.attempts.values()):
+            attempt.end_without_response(StreamEnd.BROKEN)
 
     def close(self) -> None:
-        """Nobody needs it any more."""
-        if not self.over:
+        """Close the connection with a GOAWAY."""
+        if not self.is_closed:
             self.session.send_goaway(0)
             self.flush()
-            self.lost()
+            self.disconnect()
 
     # ---- streams -------------------------------------------------------------------------------
 
-    def load(self) -> int:
-        """Streams on it, or soon to be."""
-        return len(self.exchanges) + len(self.waiting)
+    def stream_count(self) -> int:
+        """Return the number of streams on the connection, including those of waiting attempts."""
+        return len(self.attempts) + len(self.waiting)
 
-    def takes(self) -> bool:
-        """Whether one more stream may begin."""
-        # Guards other requests against a box that reads nothing of one: they would wait behind it.
+    def can_open_stream(self) -> bool:
+        """Return whether another stream may be opened."""
+        # Guards requests against waiting behind one whose body the backend doesn't read.
         if (
-            self.leaving
+            self.is_draining
             or self.session.are_stream_ids_exhausted()
-            or (self.ready and self.session.is_connection_window_exhausted())
+            or (self.is_ready and self.session.is_connection_window_exhausted())
         ):
             return False
-        return (self.session.available_streams() if self.ready else MAX_STREAMS) > len(self.waiting)
+        return (self.session.available_streams() if self.is_ready else MAX_STREAMS) > len(self.waiting)
 
-    def add(self, exchange: Exchange) -> None:
-        """Begin a stream for it, now or when that is safe."""
-        exchange.link = self
+    def add(self, attempt: GrpcAttempt) -> None:
+        """Open a stream for the attempt, now or when the connection is known to be alive."""
+        attempt.connection = self
         now = self.loop.time()
-        if self.ready and (exchange.repeatable or now - self.heard <= FRESH):
-            self._transmit(exchange, now)
-            self.wake()
+        if self.is_ready and (attempt.repeatable or now - self.last_received_at <= FRESH_SECONDS):
+            self._send(attempt, now)
+            self.schedule_flush()
             return
-        # Guards what must not run twice: the connection may be dead already, and nothing would tell.
-        self.waiting[exchange] = None
-        if self.ready:
+        # Guards requests that must not run twice: on a dead connection it would stay unknown whether they ran.
+        self.waiting[attempt] = None
+        if self.is_ready:
             self._ping(now)
-        self._look_on()
-
-    def _transmit(self, exchange: Exchange, now: float) -> None:
-        # Guards drains, time-outs and finished requests: waiting took time, and the world has moved on. A stream
-        # on an open connection is something new to the box.
-        if not exchange.open or exchange.until <= now or not exchange.backend.in_service:
-            exchange.ended(StreamEnd.WITHDRAWN)
-        elif self.session.is_closed or self.over:
-            exchange.ended(StreamEnd.UNSENT)
+        self._schedule_liveness_check()
+
+    def _send(self, attempt: GrpcAttempt, now: float) -> None:
+        # While the attempt waited, its backend may have been drained, its deadline may have passed or its request may
+        # have been answered; a draining backend must not get a new stream, on an open connection either.
+        if not attempt.open or attempt.deadline <= now or not attempt.backend.in_service:
+            attempt.end_without_response(StreamEnd.WITHDRAWN)
+        elif self.session.is_closed or self.is_closed:
+            attempt.end_without_response(StreamEnd.UNSENT)
         else:
-            exchange.transmit(self, now)
-            self._look_on()
+            attempt.send(self, now)
+            self._schedule_liveness_check()
 
-    def _admit(self) -> None:
-        """The connection is alive: what has waited goes on."""
-        if not self.ready or not self.waiting:
+    def _send_waiting(self) -> None:
+        """Send the waiting attempts: the connection is alive."""
+        if not self.is_ready or not self.waiting:
             return
         now = self.loop.time()
         waiting, self.waiting = tuple(self.waiting), {}
-        for exchange in waiting:
-            if self.takes():
-                self._transmit(exchange, now)
+        for attempt in waiting:
+            if self.can_open_stream():
+                self._send(attempt, now)
             else:
-                exchange.link = None
-                self._lane.again(exchange)
-
-    def drop(self, exchange: Exchange) -> None:
-        """It has ended; a stream that is still open is cancelled, so that the box can stop its work."""
-        self.waiting.pop(exchange, None)
-        exchange.link = None
-        if exchange.stream_id and self.exchanges.pop(exchange.stream_id, None) is not None:
-            self.session.reset_stream(exchange.stream_id, CANCEL)
-            self.wake()
-            if not self.exchanges:
+                attempt.connection = None
+                self._upstream.assign(attempt)
+
+    def remove(self, attempt: GrpcAttempt) -> None:
+        """Remove an ended attempt; an open stream is cancelled, so that the backend can stop its work."""
+        self.waiting.pop(attempt, None)
+        attempt.connection = None
+        if attempt.stream_id and self.attempts.pop(attempt.stream_id, None) is not None:
+            self.session.reset_stream(attempt.stream_id, CANCEL)
+            self.schedule_flush()
+            if not self.attempts:
                 self.idle_since = self.loop.time()
-                if (self.leaving or self.session.is_connection_window_exhausted()) and not self.over:
-                    self.leaving = True
+                if (self.is_draining or self.session.is_connection_window_exhausted()) and not self.is_closed:
+                    self.is_draining = True
                     self.loop.call_soon(self._close_if_idle)
 
-    def retire(self) -> None:
-        """No stream begins on it any more; it ends with the last of them."""
-        self.leaving = True
-        for exchange in tuple(self.waiting):
-            exchange.ended(StreamEnd.WITHDRAWN)
+    def drain(self) -> None:
+        """Open no more streams, and close the connection after the last one."""
+        self.is_draining = True
+        for attempt in tuple(self.waiting):
+            attempt.end_without_response(StreamEnd.WITHDRAWN)
         self._close_if_idle()
 
     def _close_if_idle(self) -> None:
-        if not self.exchanges:
+        if not self.attempts:
             self.close()
 
-    def credit(self, stream: int, size: int) -> None:
-        """So many bytes of an answer have passed on."""
-        self.session.acknowledge_data(stream, size)
-        self.wake()
+    def acknowledge_data(self, stream_id: int, size: int) -> None:
+        """Acknowledge response bytes that were forwarded."""
+        self.session.acknowledge_data(stream_id, size)
+        self.schedule_flush()
 
-    def _sent(self, stream: int, size: int) -> None:
-        exchange = self.exchanges.get(stream)
-        if exchange is not None:
-            exchange.sent(size)
+    def _report_sent(self, stream_id: int, size: int) -> None:
+        attempt = self.attempts.get(stream_id)
+        if attempt is not None:
+            attempt.report_sent(size)
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         if isinstance(event, SettingsReceived):
-            if not self.ready:
-                self.ready = True
-                assert self._timer is not None
-                self._timer.cancel()
-                self._lane.reached(self.box.backend, True)
+            if not self.is_ready:
+                self.is_ready = True
+                assert self._settings_timer is not None
+                self._settings_timer.cancel()
+                self._upstream.record_dial(self.group.backend, True)
         elif isinstance(event, GoAway):
-            self._left(event)
+            self._handle_goaway(event)
         elif isinstance(event, ConnectionEnded):
             self.flush()
-            self._failed()
+            self._fail()
         elif not isinstance(event, PingAcknowledged):
-            exchange = self.exchanges.get(event.stream_id)
-            if exchange is not None:
-                self._pings = 0
-                self._answer(exchange, event)
+            attempt = self.attempts.get(event.stream_id)
+            if attempt is not None:
+                self._pings_since_stream_event = 0
+                self._handle_stream_event(attempt, event)
 
-    def _answer(
-        self, exchange: Exchange, event: HeadersReceived | DataReceived | TrailersReceived | StreamEnded | StreamReset
+    def _handle_stream_event(
+        self, attempt: GrpcAttempt, event: HeadersReceived | DataReceived | TrailersReceived | StreamEnded | StreamReset
     ) -> None:
         if isinstance(event, HeadersReceived):
-            exchange.head(event.fields, event.end_stream)
+            attempt.take_headers(event.fields, event.end_stream)
         elif isinstance(event, DataReceived):
-            exchange.data(event.data, event.size)
+            attempt.take_data(event.data, event.size)
         elif isinstance(event, TrailersReceived):
-            exchange.tail(event.fields)
+            attempt.take_trailers(event.fields)
         elif isinstance(event, StreamEnded):
-            exchange.done()
+            attempt.finish()
         else:
-            # h2's own word on a stream's fault says nothing of what ran.
-            exchange.ended(end_by_reset(event.code == REFUSED_STREAM and not event.is_local))
-
-    def _left(self, leave: GoAway) -> None:
-        """The box leaves in good order: streams above its last one never ran, the others go on."""
-        self.leaving = True
-        if leave.code == ENHANCE_YOUR_CALM:
-            self.box.calm = True
-        for exchange in tuple(self.waiting):
-            del self.waiting[exchange]
-            exchange.link = None
-            self._lane.again(exchange)
-        for stream, exchange in tuple(self.exchanges.items()):
-            if stream > leave.last_stream_id:
-                self._unseen(exchange)
+            # A reset by h2 on a stream error tells nothing about whether the request ran.
+            attempt.end_without_response(end_by_reset(event.code == REFUSED_STREAM and not event.is_local))
+
+    def _handle_goaway(self, goaway: GoAway) -> None:
+        """Drain the connection: the backend has not processed streams above its last one, the others continue."""
+        self.is_draining = True
+        if goaway.code == ENHANCE_YOUR_CALM:
+            self.group.no_more_pings = True
+        for attempt in tuple(self.waiting):
+            del self.waiting[attempt]
+            attempt.connection = None
+            self._upstream.assign(attempt)
+        for stream_id, attempt in tuple(self.attempts.items()):
+            if stream_id > goaway.last_stream_id:
+                self._resend_unprocessed(attempt)
         self.loop.call_soon(self._close_if_idle)
 
-    def _unseen(self, exchange: Exchange) -> None:
-        """It never ran here. Boxes leave connections that are old, and take the same request on a new one."""
-        if exchange.untouched():
-            del self.exchanges[exchange.stream_id]
-            self.session.reset_stream(exchange.stream_id, CANCEL)
-            exchange.link, exchange.stream_id = None, 0
-            self._lane.again(exchange)
+    def _resend_unprocessed(self, attempt: GrpcAttempt) -> None:
+        """Send an unprocessed attempt on another connection.
+
+        Backends close old connections by GOAWAY and serve the same request on a new one.
+        """
+        if attempt.can_resend():
+            del self.attempts[attempt.stream_id]
+            self.session.reset_stream(attempt.stream_id, CANCEL)
+            attempt.connection, attempt.stream_id = None, 0
+            self._upstream.assign(attempt)
         else:
-            exchange.ended(StreamEnd.ABOVE_GOAWAY)
+            attempt.end_without_response(StreamEnd.ABOVE_GOAWAY)
 
-    # ---- whether the box is there --------------------------------------------------------------
+    # ---- liveness ------------------------------------------------------------------------------
 
     def _ping(self, now: float) -> None:
-        if not self._pinged:
-            self._pinged = now
-            self._pings += 1
+        if not self._ping_sent_at:
+            self._ping_sent_at = now
+            self._pings_since_stream_event += 1
             self.session.send_ping()
-            self.wake()
+            self.schedule_flush()
 
-    def _look_on(self) -> None:
-        if self._looking is None and not self.over:
-            self._looking = self.loop.call_later(LOOK_EVERY, self._look)
+    def _schedule_liveness_check(self) -> None:
+        if self._liveness_timer is None and not self.is_closed:
+            self._liveness_timer = self.loop.call_later(LIVENESS_CHECK_INTERVAL, self._check_liveness)
 
-    def _look(self) -> None:
-        """Guards streams against a box that is gone without a word."""
-        self._looking = None
+    def _check_liveness(self) -> None:
+        """Send a PING on a silent connection, and close the connection if nothing follows the PING."""
+        self._liveness_timer = None
         now = self.loop.time()
-        if not self.load() or not self.ready:
+        if not self.stream_count() or not self.is_ready:
             return
-        if self._pinged:
-            if now - self._pinged >= PING_WITHIN:
-                self.lost()
+        if self._ping_sent_at:
+            if now - self._ping_sent_at >= PING_TIMEOUT:
+                self.disconnect()
                 return
-        elif now - self.heard >= PINGS[min(self._pings, len(PINGS) - 1)] and not self.box.calm:
+        elif (
+            now - self.last_received_at >= PING_INTERVALS[min(self._pings_since_stream_event, len(PING_INTERVALS) - 1)]
+            and not self.group.no_more_pings
+        ):
             self._ping(now)
-        self._look_on()
+        self._schedule_liveness_check()
 
 
-class Box:
-    """One gRPC backend's connections."""
+class ConnectionGroup:
+    """The connections to one gRPC backend."""
 
-    __slots__ = ("backend", "calm", "links")
+    __slots__ = ("backend", "connections", "no_more_pings")
 
     def __init__(self, backend: Listed) -> None:
         self.backend = backend
-        self.links: list[Link] = []
-        self.calm = False  # it has asked for fewer PINGs: there are no more
+        self.connections: list[BackendConnection] = []
+        self.no_more_pings = False  # the backend has sent ENHANCE_YOUR_CALM: it gets no more PINGs
 
 
 class Streams:
-    """All connections to one pool's gRPC boxes, within that pool's share of the sockets: its lane."""
+    """All connections to the gRPC backends of a pool, within the pool's share of the sockets."""
 
-    def __init__(self, sockets: SharedLimit, name: str, judge: Judge, dialled: Callable[[int, bool], None]) -> None:
-        self._sockets, self._name, self._dialled = sockets, name, dialled
+    def __init__(
+        self, sockets: SharedLimit, pool_name: str, classify: ResponseClassifier, on_dial: Callable[[int, bool], None]
+    ) -> None:
+        self._sockets, self._pool_name, self._on_dial = sockets, pool_name, on_dial
         self._loop = asyncio.get_running_loop()
-        self.judge = judge
-        self.dial_timeout, self._keep = 0.25, 7.5
-        self.held, self.held_most, self.answer_most = 0, ANSWER_MOST, ANSWER_MOST
-        self._boxes: dict[Listed, Box] = {}
-        self._sweeping = self._loop.call_later(1.0, self._sweep)
+        self.classify = classify
+        self.dial_timeout, self._idle_timeout = 0.25, 7.5
+        self.held_bytes, self.max_held_bytes, self.max_response_bytes = 0, ANSWER_MOST, ANSWER_MOST
+        self._groups: dict[Listed, ConnectionGroup] = {}
+        self._idle_timer = self._loop.call_later(1.0, self._close_idle_connections)
 
-    def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int) -> None:
-        """Go on by other limits."""
-        self._keep, self.dial_timeout = IDLE_PART * conn_idle, dial_timeout
-        self.held_most, self.answer_most = held_most, answer_most
+    def tune(self, conn_idle: float, dial_timeout: float, max_held_bytes: int, max_response_bytes: int) -> None:
+        """Apply changed limits."""
+        self._idle_timeout, self.dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self.max_held_bytes, self.max_response_bytes = max_held_bytes, max_response_bytes
 
     def now(self) -> float:
-        """The loop's time."""
+        """Return the event loop's time."""
         return self._loop.time()
 
     def close(self) -> None:
-        """Let go of all connections without streams; nothing is sent from here any more."""
-        self._sweeping.cancel()
-        for box in self._boxes.values():
-            for link in tuple(box.links):
-                link.retire()
+        """Drain all connections; no further attempt is sent."""
+        self._idle_timer.cancel()
+        for group in self._groups.values():
+            for connection in tuple(group.connections):
+                connection.drain()
 
     # ---- attempts ------------------------------------------------------------------------------
 
     def start(
-        self, backend: Listed, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
-    ) -> Exchange:
-        """Send an attempt; whoever sends is not ready for its outcome, so it begins at the loop's next turn."""
-        exchange = Exchange(self, backend, request, self._loop.time(), until, watcher, repeatable)
+        self, backend: Listed, request: Request, deadline: float, watcher: Watcher, repeatable: bool, timed: bool
+    ) -> GrpcAttempt:
+        """Start an attempt in the next iteration of the event loop: its caller is not ready for an outcome yet."""
+        attempt = GrpcAttempt(self, backend, request, self._loop.time(), deadline, watcher, repeatable)
         if timed:
-            exchange.expire_at(self._loop.call_at(until, exchange.expire))
-        self._loop.call_soon(self.again, exchange)
-        return exchange
+            attempt.set_deadline_timer(self._loop.call_at(deadline, attempt.expire))
+        self._loop.call_soon(self.assign, attempt)
+        return attempt
 
-    def again(self, exchange: Exchange) -> None:
-        """Find a connection for it."""
-        if not exchange.open:
+    def assign(self, attempt: GrpcAttempt) -> None:
+        """Assign an attempt to a connection."""
+        if not attempt.open:
             return
-        exchange.tries += 1
-        backend = exchange.backend
-        box = self._boxes.get(backend)
-        if box is None:
-            box = self._boxes[backend] = Box(backend)
+        attempt.assignments += 1
+        backend = attempt.backend
+        group = self._groups.get(backend)
+        if group is None:
+            group = self._groups[backend] = ConnectionGroup(backend)
         if not backend.in_service:
-            exchange.ended(StreamEnd.WITHDRAWN)
+            attempt.end_without_response(StreamEnd.WITHDRAWN)
             return
-        link = self._link(box, exchange) if exchange.tries <= LINKS_MOST else None
-        if link is None:
-            # Full: a box that allows no further stream anywhere. Else it is our sockets that are short.
-            exchange.ended(StreamEnd.STREAM_LIMIT if box.links else StreamEnd.UNSENT)
+        connection = (
+            self._choose_connection(group, attempt) if attempt.assignments <= MAX_CONNECTIONS_PER_BACKEND else None
+        )
+        if connection is None:
+            # With connections present, the backend allows no further stream; without any, the sockets are used up.
+            attempt.end_without_response(StreamEnd.STREAM_LIMIT if group.connections else StreamEnd.UNSENT)
         else:
-            link.add(exchange)
+            connection.add(attempt)
 
-    def _link(self, box: Box, exchange: Exchange) -> Link | None:
-        """The connection with the fewest streams, or a new one where all have many."""
+    def _choose_connection(self, group: ConnectionGroup, attempt: GrpcAttempt) -> BackendConnection | None:
+        """Return the connection with the fewest streams, or a new one if all have many."""
         now = self._loop.time()
-        found = [link for link in box.links if link.takes()]
-        if box.calm and not exchange.repeatable:  # no PING may tell whether they are alive
-            found = [link for link in found if now - link.heard <= FRESH or not link.ready]
-        best = min(found, key=Link.load, default=None)
-        if best is not None and best.load() < SPREAD:
+        candidates = [connection for connection in group.connections if connection.can_open_stream()]
+        if group.no_more_pings and not attempt.repeatable:  # no PING may check whether connections are alive
+            candidates = [
+                connection
+                for connection in candidates
+                if now - connection.last_received_at <= FRESH_SECONDS or not connection.is_ready
+            ]
+        best = min(candidates, key=BackendConnection.stream_count, default=None)
+        if best is not None and best.stream_count() < STREAMS_BEFORE_NEW_CONNECTION:
             return best
-        staying = sum(not link.leaving for link in box.links)
-        if staying >= LINKS_MOST or not self._sockets.can_acquire(self._name):
+        open_count = sum(not connection.is_draining for connection in group.connections)
+        if open_count >= MAX_CONNECTIONS_PER_BACKEND or not self._sockets.can_acquire(self._pool_name):
             return best
-        self._sockets.acquire(self._name)
-        link = Link(self, box)
-        box.links.append(link)
-        return link
+        self._sockets.acquire(self._pool_name)
+        connection = BackendConnection(self, group)
+        group.connections.append(connection)
+        return connection
 
     # ---- connections ---------------------------------------------------------------------------
 
     def update(self, backend: Listed, address: Address, started: float, in_service: bool) -> None:
-        """Guards against streams on connections to a process or a place that is no more."""
+        """Drain connections to a former address or process of a backend, or to one that is out of service."""
         if backend.address != address or backend.started != started or not in_service:
-            box = self._boxes.get(backend)
-            if box is not None:
-                box.calm = False
-                for link in tuple(box.links):
-                    link.retire()
-                if not box.links and not in_service:
-                    del self._boxes[backend]
-
-    def connected(self, wanted: Link, sock: socket.socket) -> None:
-        """A dial has brought a connection."""
-        wanted.dialled(sock)
-
-    def unreachable(self, wanted: Link, number: int) -> None:
-        """A dial has brought none."""
-        wanted.blamed = number not in OWN_FAULTS
-        wanted.lost()
+            group = self._groups.get(backend)
+            if group is not None:
+                group.no_more_pings = False
+                for connection in tuple(group.connections):
+                    connection.drain()
+                if not group.connections and not in_service:
+                    del self._groups[backend]
+
+    def connected(self, connection: BackendConnection, sock: socket.socket) -> None:
+        """Take over the socket of a connection that was established."""
+        connection.attach_socket(sock)
+
+    def unreachable(self, connection: BackendConnection, error_number: int) -> None:
+        """Handle a connection that could not be established."""
+        connection.is_backend_at_fault = error_number not in OWN_FAULTS
+        connection.disconnect()
 
     def undone(self) -> None:
-        """A dial was given up: `lost` counts its socket."""
-
-    def reached(self, backend: Listed, up: bool) -> None:
-        """Whether a connection came up."""
-        self._dialled(backend.server, up)
-
-    def lost(self, link: Link) -> None:
-        """A connection has ended."""
-        self._sockets.release(self._name)
-        link.box.links.remove(link)
-        if link.blamed:
-            self.reached(link.box.backend, False)
-        if not link.box.links and not link.box.backend.in_service:
-            self._boxes.pop(link.box.backend, None)
-
-    def _sweep(self) -> None:
-        """Close what has been idle for long."""
-        self._sweeping = self._loop.call_later(max(self._keep / 4.0, 0.1), self._sweep)
-        latest = self._loop.time() - self._keep
-        for box in tuple(self._boxes.values()):
-            for link in tuple(box.links):
-                if link.ready and not link.load() and link.idle_since <= latest:
-                    link.close()
+        """Handle a cancelled dial: `remove` releases its socket."""
+
+    def record_dial(self, backend: Listed, is_up: bool) -> None:
+        """Report whether a connection was established."""
+        self._on_dial(backend.server, is_up)
+
+    def remove(self, connection: BackendConnection) -> None:
+        """Remove a connection that has ended."""
+        self._sockets.release(self._pool_name)
+        connection.group.connections.remove(connection)
+        if connection.is_backend_at_fault:
+            self.record_dial(connection.group.backend, False)
+        if not connection.group.connections and not connection.group.backend.in_service:
+            self._groups.pop(connection.group.backend, None)
+
+    def _close_idle_connections(self) -> None:
+        """Close connections that have been idle for the idle timeout."""
+        self._idle_timer = self._loop.call_later(max(self._idle_timeout / 4.0, 0.1), self._close_idle_connections)
+        idle_limit = self._loop.time() - self._idle_timeout
+        for group in tuple(self._groups.values()):
+            for connection in tuple(group.connections):
+                if connection.is_ready and not connection.stream_count() and connection.idle_since <= idle_limit:
+                    connection.close()
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -20,7 +20,7 @@
 from lugspur.bench.grpc import mixed, passing
 from lugspur.config.load import FileFaults, load
 from lugspur.http2 import front as http2_front
-from lugspur.http2.wire import BACKLOG_MOST
+from lugspur.http2.wire import MAX_BACKLOG_BYTES
 from lugspur.standins.grpc.box import Call, scripted
 from lugspur.standins.grpc.caller import Answer, Caller
 from lugspur.standins.grpc.script import STEPS, Script, Wrong, read
@@ -35,7 +35,7 @@
             await until(lambda: not world.up.in_hand())
             assert not any(front.held for front, _ in world.up.running.listeners.values())
             streams = world.up.daemon.clusters["a"]._streams
-            assert streams is None or not streams.held
+            assert streams is None or not streams.held_bytes
 
     asyncio.run(run())
 
@@ -399,8 +399,8 @@
 
 
 def test_a_dead_box_is_found_by_a_ping_and_what_waits_for_it_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lugspur.http2.upstream.FRESH", 0.0)
-    monkeypatch.setattr("lugspur.http2.upstream.SETTINGS_WITHIN", 0.5)
+    monkeypatch.setattr("lugspur.http2.upstream.FRESH_SECONDS", 0.0)
+    monkeypatch.setattr("lugspur.http2.upstream.SETTINGS_TIMEOUT", 0.5)
 
     async def body(world: World) -> None:
         caller, box = await world.caller(), world.box
@@ -415,16 +415,16 @@
 
 
 def test_a_box_that_drains_while_a_call_waits_for_its_ping_gets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lugspur.http2.upstream.FRESH", 0.0)
-    monkeypatch.setattr("lugspur.http2.upstream.PING_WITHIN", 30.0)
+    monkeypatch.setattr("lugspur.http2.upstream.FRESH_SECONDS", 0.0)
+    monkeypatch.setattr("lugspur.http2.upstream.PING_TIMEOUT", 30.0)
 
     async def body(world: World) -> None:
         caller, box = await world.caller(), world.box
         assert (await caller.call("/book/Do", b"x")).status == 0
         box.stall()
         waiting = asyncio.get_running_loop().create_task(caller.call("/book/Do", b"x", metadata=script("", "r")))
-        [held] = world.up.daemon.clusters["a"]._streams._boxes.values()  # type: ignore[union-attr]
-        await until(lambda: any(link.waiting for link in held.links))
+        [held] = world.up.daemon.clusters["a"]._streams._groups.values()  # type: ignore[union-attr]
+        await until(lambda: any(link.waiting for link in held.connections))
         member = f'{{ address = "{box.address}", protocol = "grpc", drain = true }}'
         await world.up.reload(f"[pools.a]\nmembers = [{member}]\n" + ROUTES, HTTP2)
         box.stall(False)
@@ -434,8 +434,8 @@
 
 
 def test_a_silent_box_with_streams_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lugspur.http2.upstream.PINGS", (0.05, 10.0))
-    monkeypatch.setattr("lugspur.http2.upstream.PING_WITHIN", 0.2)
+    monkeypatch.setattr("lugspur.http2.upstream.PING_INTERVALS", (0.05, 10.0))
+    monkeypatch.setattr("lugspur.http2.upstream.PING_TIMEOUT", 0.2)
 
     async def body(world: World) -> None:
         caller, box = await world.caller(), world.box
@@ -847,7 +847,7 @@
             await caller.send(stream, b"x", end=True)
         await until(lambda: world.ran("r") == 20)
         [held] = world.up.running.listeners["main"][0].callers
-        assert held._transport.get_write_buffer_size() <= BACKLOG_MOST
+        assert held._transport.get_write_buffer_size() <= MAX_BACKLOG_BYTES
         caller.close()
 
     play(body)
