--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -1,4 +1,4 @@
-"""Callers over HTTP/2: connections, streams, and gRPC calls on them, behind the same front as HTTP/1.1 callers."""
+"""HTTP/2 callers: their connections, streams and gRPC calls, behind the same front as HTTP/1.1 callers."""
 
 from __future__ import annotations
 
@@ -28,318 +28,323 @@
 from lugspur.pipe import Pipe
 from lugspur.seams import Passing, Request
 
-GATHER = 0.02  # seconds after a whole message, or a head alone, in which a call may still turn out to be all there
-LEAVE_AFTER = 0.25  # seconds between the two GOAWAYs: streams that were begun before the first was read still come
-SILENT = 30.0  # seconds without a byte of a caller before a PING, and twice as many before it is given up
-STUCK = 2.0  # seconds in which a caller must read a piece of what waits for it on an answered stream
-Handle = Callable[[Request, "Stream"], None]
+# Seconds that a call's headers or first message wait for the end of the stream before the call is handled as a stream.
+CALL_END_WAIT = 0.02
+# Seconds between the two GOAWAY frames; streams that the caller opened before it read the first still arrive.
+FINAL_GOAWAY_DELAY = 0.25
+# Seconds without received data after which a caller gets a PING; after twice as many it is dropped.
+PING_AFTER_SILENCE = 30.0
+RESPONSE_READ_TIMEOUT = 2.0  # seconds in which a caller must read some of the rest of a complete response
+RequestHandler = Callable[[Request, "Stream"], None]
 
 
 class Stream:
-    """One request over HTTP/2, and its caller as pools see it."""
+    """One request over HTTP/2; pools answer it as the request's caller."""
 
-    underscores = False  # whether names with `_` go on: an HTTP/1.1 backend may take them for others
+    # Whether headers with `_` in their names are forwarded; an HTTP/1.1 backend may confuse them with other headers.
+    forwards_underscores = False
 
-    def __init__(self, connection: Connection, stream: int, now: float) -> None:
-        self.connection, self.stream_id = connection, stream
+    def __init__(self, connection: Connection, stream_id: int, now: float) -> None:
+        self.connection, self.stream_id = connection, stream_id
         self.front = connection.front
         self.peer = connection.peer
         self.arrived = now
         self.gone: Callable[[], None] | None = None
-        self.answered = False  # its final answer is written, though it may not be out
-        self._told: dict[bytes, bytes] = {}  # its head
+        self.is_answered = False  # the final response is passed to the session, though it may not be sent yet
+        self._headers: dict[bytes, bytes] = {}  # the request's headers and pseudo-headers
         self._chunks: list[bytes] = []
-        self._held = 0  # its part of what the front counts
-        self._delivered = False
+        self._held_bytes = 0  # bytes of the body that count towards the front's limit
+        self._is_delivered = False
         self._timer: asyncio.TimerHandle | None = None
-        self._body: Body | None = None  # the body that is passed on as it comes...
-        self._owed = 0  # ...its bytes that no credit was given for...
-        self._headed = now  # ...and from when its rate counts: while the backend took no more it did not
-        self._full_at = 0.0  # since when that is; 0: it takes more
-        self._answer: Pipe | None = None  # an answer that is passed on as it comes...
-        self._unsent = 0  # ...and its bytes that wait for the caller's windows
-        self.moved = 0.0  # when a piece of an answer last came or went
-        self.watched = False  # whether it sees by itself that the answer moves
+        self._body: Body | None = None  # a body that is forwarded as it arrives
+        self._unacknowledged_bytes = 0  # bytes of the body that were not acknowledged to the caller
+        # The time from which the body's rate is measured; it is moved on by the time in which the backend took nothing.
+        self._rate_start = now
+        self._backend_full_since = 0.0  # when the backend stopped taking the body; 0.0 while it takes more
+        self._response_pipe: Pipe | None = None  # a response that is forwarded as it arrives
+        self._unsent_bytes = 0  # bytes of that response that wait for the caller's windows
+        self.last_progress = 0.0  # when a part of the response was last received or sent
+        self.watches_progress = False  # whether the stream itself checks that the response makes progress
 
     # ---- the request ---------------------------------------------------------------------------
 
-    def begin(self, fields: HeaderFields) -> None:
-        """Its head has come; raises Rejected."""
-        self._told = dict(fields)
+    def take_headers(self, fields: HeaderFields) -> None:
+        """Take the request's headers; raises Rejected."""
+        self._headers = dict(fields)
         self._terms = None if self.front.terms is None else self.front.terms()
-        self._lines, self._named = read_fields(fields, self.underscores)
-        length = self._named.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > self.front.sizes.body:  # before a part of it goes on
+        self._header_lines, self._headers_by_name = read_fields(fields, self.forwards_underscores)
+        length = self._headers_by_name.get(b"content-length", b"0")
+        if length.isdigit() and int(length) > self.front.sizes.body:  # before a part of it is forwarded
             raise Rejected(413, "the body is too large")
-        self._wait_for_all()
+        self._limit_receive_time()
 
-    def _wait_for_all(self) -> None:
-        """Guards connections against a body that never ends."""
-        self._wait_until(self.arrived + self.front.whole_within)
+    def _limit_receive_time(self) -> None:
+        """Limit the time to receive the request: guards connections against a body that never ends."""
+        self._set_timer(self.arrived + self.front.whole_within)
 
-    def _wait_until(self, limit: float) -> None:
-        self._stop()
-        self._timer = self.connection.loop.call_at(limit, self._slow)
+    def _set_timer(self, limit: float) -> None:
+        self._cancel_timer()
+        self._timer = self.connection.loop.call_at(limit, self._check_receive_time)
 
-    def _slow(self) -> None:
-        if self.answered or (self._delivered and self._body is None):
+    def _check_receive_time(self) -> None:
+        if self.is_answered or (self._is_delivered and self._body is None):
             return
         if self._body is not None:
             now = self.connection.loop.time()
-            due = self._headed + self._body.came / BODY_RATE + BODY_LEAST
-            if self._full_at or now < due:  # it waits for the backend, or comes at a rate that will do
-                self._wait_until(max(due, now + BODY_LEAST))
+            due_at = self._rate_start + self._body.came / BODY_RATE + BODY_LEAST
+            if self._backend_full_since or now < due_at:  # it waits for the backend, or is fast enough
+                self._set_timer(max(due_at, now + BODY_LEAST))
                 return
-        self.connection.refuse(self, Rejected(408, "the request took too long"))
+        self.connection.reject_stream(self, Rejected(408, "the request took too long"))
 
-    def _stop(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
-    def data(self, data: bytes, size: int) -> None:
-        """A part of its body; raises Rejected."""
+    def take_data(self, data: bytes, size: int) -> None:
+        """Take a part of the body; raises Rejected."""
         body = self._body
         if body is not None:
-            self._owed += size
+            self._unacknowledged_bytes += size
             body.put(data)
-            came = body.came
-            self._hold(body.held)
-            self._credit_body()
+            received_bytes = body.came
+            self._set_held_bytes(body.held)
+            self._acknowledge_body()
         else:
-            self._keep(data, size)
-            came = self._held
-        if came > self.front.sizes.body:
+            self._hold_data(data, size)
+            received_bytes = self._held_bytes
+        if received_bytes > self.front.sizes.body:
             raise Rejected(413, "the body is too large")
-        if self.front.held > self.front.held_most:  # Guards the memory limit against many half bodies.
+        if self.front.held > self.front.held_most:  # guards the memory limit against many incomplete bodies
             raise Rejected(503, "too many bodies at once")
-        if body is None and came > self.front.sizes.hold:
-            self._pass_body()
+        if body is None and received_bytes > self.front.sizes.hold:
+            self._forward_body()
 
-    def _keep(self, data: bytes, size: int) -> None:
+    def _hold_data(self, data: bytes, size: int) -> None:
         self.connection.session.acknowledge_data(self.stream_id, size)
         self._chunks.append(data)
-        self._hold(self._held + len(data))
-
-    def _hold(self, size: int) -> None:
-        self.front.held += size - self._held
-        self._held = size
-
-    def _pass_body(self) -> None:
-        """So much has come that the rest goes on as it comes."""
-        length = self._named.get(b"content-length")
-        body = Body(int(length) if length is not None else None, self._credit_body, KEEP * self.front.sizes.hold)
-        body.put(self._release())
-        self._hold(body.held)
-        self._body, self._delivered = body, True
-        request = self._request(b"")
+        self._set_held_bytes(self._held_bytes + len(data))
+
+    def _set_held_bytes(self, size: int) -> None:
+        self.front.held += size - self._held_bytes
+        self._held_bytes = size
+
+    def _forward_body(self) -> None:
+        """Deliver the request before its body is complete, and forward the body as it arrives."""
+        length = self._headers_by_name.get(b"content-length")
+        body = Body(int(length) if length is not None else None, self._acknowledge_body, KEEP * self.front.sizes.hold)
+        body.put(self._release_body())
+        self._set_held_bytes(body.held)
+        self._body, self._is_delivered = body, True
+        request = self._build_request(b"")
         request.stream = body
         self.connection.deliver(request, self)
 
-    def _credit_body(self) -> None:
-        """More of the body may come, as far as its backend keeps up."""
+    def _acknowledge_body(self) -> None:
+        """Acknowledge received bytes, so that the caller sends more, unless the backend is too slow."""
         body, now = self._body, self.connection.loop.time()
         if body is None:
             return
         if body.full:
-            self._full_at = self._full_at or now
+            self._backend_full_since = self._backend_full_since or now
             return
-        if self._full_at:
-            self._headed += now - self._full_at
-            self._full_at = 0.0
-        if not self.answered and not body.ended:
-            self._hold(body.held)
-        owed, self._owed = self._owed, 0
-        if owed:
-            self.connection.session.acknowledge_data(self.stream_id, owed)
+        if self._backend_full_since:
+            self._rate_start += now - self._backend_full_since
+            self._backend_full_since = 0.0
+        if not self.is_answered and not body.ended:
+            self._set_held_bytes(body.held)
+        unacknowledged_bytes, self._unacknowledged_bytes = self._unacknowledged_bytes, 0
+        if unacknowledged_bytes:
+            self.connection.session.acknowledge_data(self.stream_id, unacknowledged_bytes)
             self.connection.schedule_flush()
 
-    def ended(self) -> None:
-        """The request is whole; raises Rejected."""
-        self._stop()
+    def take_end(self) -> None:
+        """Handle the end of the request; raises Rejected."""
+        self._cancel_timer()
         if self._body is not None:
-            self._hold(0)
+            self._set_held_bytes(0)
             self._body.end()
         else:
             self._deliver()
 
-    def _release(self) -> bytes:
+    def _release_body(self) -> bytes:
         body = b"".join(self._chunks)
         self._chunks = []
-        self._hold(0)
+        self._set_held_bytes(0)
         return body
 
-    def _drop_body(self) -> None:
-        """Nothing more of its body is wanted."""
+    def _discard_body(self) -> None:
+        """Discard the rest of the body."""
         body = self._body
         if body is not None and not body.ended:
-            self._stop()
+            self._cancel_timer()
             body.drop()
-            self._hold(0)
+            self._set_held_bytes(0)
 
     def _deliver(self) -> None:
-        self._delivered = True
-        body = self._release()
-        self.connection.deliver(self._request(body), self)
+        self._is_delivered = True
+        body = self._release_body()
+        self.connection.deliver(self._build_request(body), self)
 
-    def _request(self, body: bytes) -> Request:
-        method, path = self._told[b":method"], self._told[b":path"]
-        return Request(method, path, self._named, self._lines, body, self.arrived, True, self._terms)
+    def _build_request(self, body: bytes) -> Request:
+        method, path = self._headers[b":method"], self._headers[b":path"]
+        return Request(method, path, self._headers_by_name, self._header_lines, body, self.arrived, True, self._terms)
 
-    # ---- the answer ----------------------------------------------------------------------------
+    # ---- the response --------------------------------------------------------------------------
 
     def admit(self) -> None:
-        """Take up its request; raises Rejected where there are too many connections."""
+        """Admit the request; raises Rejected if there are too many connections."""
         self.front.admit(self.connection)
 
     def passing(self) -> Passing | None:
-        """It takes an answer as it comes."""
+        """Return the stream itself: it takes a response as it arrives."""
         return self
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
-        """Write the one final answer; one that was begun can't be finished by another."""
-        if self._answer is not None:
+        """Write the final response; if another response has begun, reset the stream."""
+        if self._response_pipe is not None:
             self.gone = None
-            self.connection.cut(self, INTERNAL_ERROR)
+            self.connection.reset_stream(self, INTERNAL_ERROR)
             return
-        self._write(
-            self._first_fields(status, head, len(body) if length is None else length),
-            b"" if self._told.get(b":method") == b"HEAD" else body,
+        self._write_response(
+            self._response_headers(status, head, len(body) if length is None else length),
+            b"" if self._headers.get(b":method") == b"HEAD" else body,
             None,
         )
 
-    def _first_fields(self, status: int, head: bytes, length: int | None) -> HeaderFields:
+    def _response_headers(self, status: int, head: bytes, length: int | None) -> HeaderFields:
         fields: HeaderFields = [(b":status", b"%d" % status), *mapping.parse_header_lines([head])]
         if status not in (204, 304) and length is not None:
             fields.append((b"content-length", b"%d" % length))
         return fields
 
     def reject(self, fault: Rejected) -> None:
-        """Answer what is not served; what a pool may have of it already is given up."""
-        self._stop()
-        self._let_go()
-        if self._answer is None:
+        """Answer the request with an error; cancel it in the pool if it was delivered."""
+        self._cancel_timer()
+        self._cancel_request()
+        if self._response_pipe is None:
             self.answer(fault.status, b"", fault.reason.encode() + b"\n")
         else:
-            self.connection.cut(self, INTERNAL_ERROR)
+            self.connection.reset_stream(self, INTERNAL_ERROR)
 
-    def _write(self, head: HeaderFields | None, body: bytes, tail: HeaderFields | None) -> None:
-        """The final answer, or its end."""
-        if self.answered:
+    def _write_response(self, headers: HeaderFields | None, body: bytes, trailers: HeaderFields | None) -> None:
+        """Write the final response, or the end of one that was begun (`headers` is None)."""
+        if self.is_answered:
             return
         self.gone = None
-        self.answered = True
-        self._release()
-        self._drop_body()
-        session, stream = self.connection.session, self.stream_id
-        if head is not None and not body and tail is not None:
-            session.send_headers(stream, head + tail, end=True)  # trailers-only
+        self.is_answered = True
+        self._release_body()
+        self._discard_body()
+        session, stream_id = self.connection.session, self.stream_id
+        if headers is not None and not body and trailers is not None:
+            session.send_headers(stream_id, headers + trailers, end=True)  # trailers-only
         else:
-            if head is not None:
-                session.send_headers(stream, head, end=not body and tail is None)
-            session.send_data(stream, body, end=tail is None)
-            if tail is not None:
-                session.end_stream(stream, tail)
-        self.connection.answered(self)
-
-    def _let_go(self) -> None:
-        """Nobody waits for its answer any more."""
+            if headers is not None:
+                session.send_headers(stream_id, headers, end=not body and trailers is None)
+            session.send_data(stream_id, body, end=trailers is None)
+            if trailers is not None:
+                session.end_stream(stream_id, trailers)
+        self.connection.close_answered(self)
+
+    def _cancel_request(self) -> None:
+        """Cancel the request: nobody waits for its response."""
         gone, self.gone = self.gone, None
         if gone is not None:
             gone()
-        self._drop_body()  # after that: its attempt ends, and must not be followed by another
+        self._discard_body()  # after the cancellation: else the end of the attempt would cause a retry
 
-    def over(self) -> None:
-        """Its caller has given it up, or its connection is gone."""
-        self._stop()
-        if self._answer is not None:
-            self._answer.attach(None)
-            self._answer.gone(self._unsent)
-            self._answer.discard()
-        self._release()
-        self.answered = True
-        self._let_go()
+    def cancel(self) -> None:
+        """Cancel the request: its caller has reset the stream, or the connection has ended."""
+        self._cancel_timer()
+        if self._response_pipe is not None:
+            self._response_pipe.attach(None)
+            self._response_pipe.gone(self._unsent_bytes)
+            self._response_pipe.discard()
+        self._release_body()
+        self.is_answered = True
+        self._cancel_request()
 
-    # ---- an answer that is passed on as it comes ----------------------------------------------
+    # ---- a response that is forwarded as it arrives -------------------------------------------
 
     def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
-        """Write the head of an answer; its body comes through the pipe, and `finish` ends it."""
-        self._drop_body()
-        self.connection.session.send_headers(self.stream_id, self._first_fields(status, head, length))
-        self._begin_flow(flow)
-        self.watched = True
-        self._look()
-
-    def _begin_flow(self, flow: Pipe) -> None:
-        self.moved = self.connection.loop.time()
-        self._answer = flow
-        flow.attach(self._more)
-
-    def _look(self) -> None:
-        """Guards memory and backends against an answer that stands still on either side."""
-        limit = self.moved + FLOW_WITHIN
+        """Write the headers of a response; the pipe brings its body, and `finish_answer` ends it."""
+        self._discard_body()
+        self.connection.session.send_headers(self.stream_id, self._response_headers(status, head, length))
+        self._attach_pipe(flow)
+        self.watches_progress = True
+        self._check_progress()
+
+    def _attach_pipe(self, pipe: Pipe) -> None:
+        self.last_progress = self.connection.loop.time()
+        self._response_pipe = pipe
+        pipe.attach(self._forward_more)
+
+    def _check_progress(self) -> None:
+        """Reset the stream if its response makes no progress on either side: guards memory and backends."""
+        limit = self.last_progress + FLOW_WITHIN
         if self.connection.loop.time() < limit:
-            self._timer = self.connection.loop.call_at(limit, self._look)
+            self._timer = self.connection.loop.call_at(limit, self._check_progress)
         elif self.connection.streams.get(self.stream_id) is self:
-            self.connection.cut(self, CANCEL)
+            self.connection.reset_stream(self, CANCEL)
 
-    def _more(self) -> None:
-        if self._answer is not None and not self.answered:
-            data = self._answer.take()
-            self._unsent += len(data)
-            self.moved = self.connection.loop.time()
+    def _forward_more(self) -> None:
+        if self._response_pipe is not None and not self.is_answered:
+            data = self._response_pipe.take()
+            self._unsent_bytes += len(data)
+            self.last_progress = self.connection.loop.time()
             self.connection.session.send_data(self.stream_id, data)
             self.connection.schedule_flush()
 
     def finish_answer(self) -> None:
-        """The answer that was begun is whole."""
-        self._more()
-        self._write(None, b"", None)
+        """End the response that was begun."""
+        self._forward_more()
+        self._write_response(None, b"", None)
 
-    def sent(self, size: int) -> None:
-        """So many bytes of the answer have gone out, or will never."""
-        self.moved = self.connection.loop.time()
-        if self._answer is not None:
-            self._unsent -= size
-            self._answer.gone(size)
+    def record_sent(self, size: int) -> None:
+        """Record response bytes as sent or discarded."""
+        self.last_progress = self.connection.loop.time()
+        if self._response_pipe is not None:
+            self._unsent_bytes -= size
+            self._response_pipe.gone(size)
 
 
 class Call(Stream):
-    """A gRPC call: unary, or a stream of messages either way; the form of its request (seams.py)."""
+    """A gRPC call, unary or streaming; it is the `Form` of its request (seams.py)."""
 
-    underscores = True  # metadata are passed on unchanged
+    forwards_underscores = True  # metadata is forwarded unchanged
 
-    def __init__(self, connection: Connection, stream: int, now: float) -> None:
-        super().__init__(connection, stream, now)
+    def __init__(self, connection: Connection, stream_id: int, now: float) -> None:
+        super().__init__(connection, stream_id, now)
         self._counter = MessageCounter()
         self.pipe: Pipe | None = None
 
     @property
     def bound(self) -> bool:
-        """Whether a gRPC box alone can take it: it is no single message."""
+        """Return whether only a gRPC backend can take the request: it isn't a single message."""
         return self.pipe is not None or self._counter.complete_count != 1 or self._counter.has_open_message
 
     # ---- the request ---------------------------------------------------------------------------
 
-    def begin(self, fields: HeaderFields) -> None:
-        """Its head has come; raises Rejected."""
-        super().begin(fields)
-        if self._told.get(b":method") != b"POST":
+    def take_headers(self, fields: HeaderFields) -> None:
+        """Take the call's headers; raises Rejected."""
+        super().take_headers(fields)
+        if self._headers.get(b":method") != b"POST":
             raise Rejected(405, "gRPC is asked for with POST")
-        timeout = self._told.get(b"grpc-timeout")
+        timeout = self._headers.get(b"grpc-timeout")
         if timeout is not None:
             try:
-                self._named[b"x-timeout"] = b"%.9f" % read_timeout(timeout)
+                self._headers_by_name[b"x-timeout"] = b"%.9f" % read_timeout(timeout)
             except ValueError as fault:
                 raise Rejected(500, str(fault)) from fault  # INTERNAL
-        self._wait_for_more()
+        self._schedule_streaming()
 
-    def _wait_for_more(self) -> None:
-        """What says nothing further for a moment is a stream."""
-        self._stop()
-        self._timer = self.connection.loop.call_later(GATHER, self._stream)
+    def _schedule_streaming(self) -> None:
+        """Handle the call as a stream unless more of it or its end arrives within CALL_END_WAIT."""
+        self._cancel_timer()
+        self._timer = self.connection.loop.call_later(CALL_END_WAIT, self._start_streaming)
 
-    def data(self, data: bytes, size: int) -> None:
-        """A part of its messages; raises Rejected."""
+    def take_data(self, data: bytes, size: int) -> None:
+        """Take a part of the call's messages; raises Rejected."""
         try:
             self._counter.feed(data)
         except InvalidMessageError as fault:
@@ -348,148 +353,156 @@
             self.connection.session.acknowledge_data(self.stream_id, size - len(data))
             self.pipe.put(data)
             return
-        self._keep(data, size)
+        self._hold_data(data, size)
         front, counter = self.front, self._counter
-        large = self._held + counter.min_missing_bytes() > front.sizes.body or front.held > front.held_most
-        if counter.complete_count + counter.has_open_message > 1 or large:
-            self._stream()
-        elif counter.has_open_message:  # its length is told: it is waited for
-            self._wait_for_all()
+        exceeds_limit = (
+            self._held_bytes + counter.min_missing_bytes() > front.sizes.body or front.held > front.held_most
+        )
+        if counter.complete_count + counter.has_open_message > 1 or exceeds_limit:
+            self._start_streaming()
+        elif counter.has_open_message:  # its length is known: wait for its end
+            self._limit_receive_time()
         else:
-            self._wait_for_more()
+            self._schedule_streaming()
 
-    def ended(self) -> None:
-        """The caller has said all; raises Rejected."""
+    def take_end(self) -> None:
+        """Handle the end of the call's messages; raises Rejected."""
         if self._counter.has_open_message:
             raise Rejected(500, "the last message is cut")  # INTERNAL
         if self.pipe is not None:
             self.pipe.end()
-        elif not self._delivered:
-            self._stop()
+        elif not self._is_delivered:
+            self._cancel_timer()
             self._deliver()
 
-    def _stream(self) -> None:
-        """It is a stream: it goes on as it comes."""
-        self._stop()
-        if self._delivered or self.answered:
+    def _start_streaming(self) -> None:
+        """Deliver the call as a stream: forward its messages as they arrive."""
+        self._cancel_timer()
+        if self._is_delivered or self.is_answered:
             return
-        self._delivered = True
-        session, stream = self.connection.session, self.stream_id
-        pipe = self.pipe = Pipe(lambda size: self._credit(session, stream, size))
-        body = self._release()
+        self._is_delivered = True
+        session, stream_id = self.connection.session, self.stream_id
+        pipe = self.pipe = Pipe(lambda size: self._acknowledge(session, stream_id, size))
+        body = self._release_body()
         if body:
             pipe.put(body, free=True)
-        self.connection.deliver(self._request(b""), self)
+        self.connection.deliver(self._build_request(b""), self)
 
-    def _credit(self, session: Http2Session, stream: int, size: int) -> None:
-        session.acknowledge_data(stream, size)
+    def _acknowledge(self, session: Http2Session, stream_id: int, size: int) -> None:
+        session.acknowledge_data(stream_id, size)
         self.connection.schedule_flush()
 
-    def _request(self, body: bytes) -> Request:
-        request = super()._request(body)
+    def _build_request(self, body: bytes) -> Request:
+        request = super()._build_request(body)
         request.form = self
         return request
 
     def plain(self, request: Request) -> Request:
-        """For a box that speaks HTTP/1.1."""
+        """Return the request for a backend that speaks HTTP/1.1."""
         return mapping.to_http1_request(request)
 
-    # ---- the answer ----------------------------------------------------------------------------
+    # ---- the response --------------------------------------------------------------------------
 
     def passing(self) -> Passing | None:
-        """A gRPC answer has trailers: it passes by its form."""
+        """Return None: a gRPC response has trailers and is forwarded by the request's `Form`."""
         return None
 
     def reject(self, fault: Rejected) -> None:
-        """Answer what is not served; what a pool may have of it already is given up."""
-        self._stop()
-        self._let_go()
+        """Answer the call with an error; cancel it in the pool if it was delivered."""
+        self._cancel_timer()
+        self._cancel_request()
         self.answer(fault.status, b"", fault.reason.encode() + b"\n")
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
-        """Write an answer that was made here or by an HTTP/1.1 box."""
-        first, messages, tail = mapping.to_grpc_response(status, head, body, self._told[b"content-type"])
-        if self._answer is not None:
-            self._end_stream(tail)
+        """Write a response of the proxy itself or of an HTTP/1.1 backend."""
+        headers, messages, trailers = mapping.to_grpc_response(status, head, body, self._headers[b"content-type"])
+        if self._response_pipe is not None:
+            self._end_response(trailers)
         else:
-            self._write(first, messages, tail)
+            self._write_response(headers, messages, trailers)
 
-    def _first(self, head: bytes) -> HeaderFields:
-        """The head of a gRPC box's answer; one without a content type has that of the request."""
+    def _grpc_response_headers(self, head: bytes) -> HeaderFields:
+        """Return the headers of a gRPC backend's response; a missing content type is taken from the request."""
         fields: HeaderFields = [(b":status", b"200"), *mapping.parse_header_lines([head])]
         if all(name != b"content-type" for name, _ in fields):
-            fields.append((b"content-type", self._told[b"content-type"]))
+            fields.append((b"content-type", self._headers[b"content-type"]))
         return fields
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
-        """Pass on an answer that has begun."""
-        self.connection.session.send_headers(self.stream_id, self._first(head))
-        self._begin_flow(body)
+        """Forward the response of a gRPC backend from its beginning."""
+        self.connection.session.send_headers(self.stream_id, self._grpc_response_headers(head))
+        self._attach_pipe(body)
 
     def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
-        """Write the answer of a gRPC box, or what of it has not been passed on."""
-        tail = mapping.parse_header_lines([trailers])
-        if self._answer is not None:
-            self._end_stream(tail)
+        """Write the response of a gRPC backend, or the rest of one that was forwarded so far."""
+        trailer_fields = mapping.parse_header_lines([trailers])
+        if self._response_pipe is not None:
+            self._end_response(trailer_fields)
         else:
-            self._write(self._first(head), body, tail)
+            self._write_response(self._grpc_response_headers(head), body, trailer_fields)
 
-    def _end_stream(self, tail: HeaderFields) -> None:
-        self._more()
-        self._write(None, b"", tail)
+    def _end_response(self, trailers: HeaderFields) -> None:
+        self._forward_more()
+        self._write_response(None, b"", trailers)
 
 
 def read_fields(fields: HeaderFields, underscores: bool) -> tuple[list[bytes], dict[bytes, bytes]]:
-    """The header lines that go on, names with `_` or not, and what routes may ask for; raises Rejected."""
+    """Return the header lines to forward, and all headers by name for routing; raises Rejected.
+
+    Lines whose names contain `_` are included only with `underscores`.
+    """
     lines: list[bytes] = []
-    named: dict[bytes, bytes] = {}
+    headers_by_name: dict[bytes, bytes] = {}
     authority = b""
-    crumbs = [value for name, value in fields if name == b"cookie"]
-    if len(crumbs) > 1:  # RFC 9113 8.2.3: HTTP/1.1 has them in one line
-        fields = [field for field in fields if field[0] != b"cookie"] + [(b"cookie", b"; ".join(crumbs))]
+    cookies = [value for name, value in fields if name == b"cookie"]
+    if len(cookies) > 1:  # RFC 9113 8.2.3: HTTP/1.1 has cookies in one line
+        fields = [field for field in fields if field[0] != b"cookie"] + [(b"cookie", b"; ".join(cookies))]
     for name, value in fields:
         if name[:1] == b":":
             authority = value if name == b":authority" else authority
             continue
-        if not value.isascii() or not name.isascii():  # Guards backends that close on what they can't read.
+        if not value.isascii() or not name.isascii():  # guards backends that close the connection on such headers
             raise Rejected(400, "a header is not plain text")
-        before = named.get(name)
-        if before is not None and name in NAMED:  # Guards against a backend that reads the other one.
+        previous = headers_by_name.get(name)
+        if previous is not None and name in NAMED:  # guards against a backend that reads the other value
             raise Rejected(400, "a header comes twice")
-        named[name] = value if before is None else before + b", " + value
+        headers_by_name[name] = value if previous is None else previous + b", " + value
         if name not in REWRITTEN and name not in mapping.HOP_BY_HOP_HEADERS and (underscores or b"_" not in name):
             lines.append(b"%b: %b\r\n" % (name, value))
-    if authority:  # RFC 9113 8.3.1: it stands for Host; h2 refuses one that says otherwise
-        named[b"host"] = authority
-    return lines, named
+    if authority:  # RFC 9113 8.3.1: it replaces Host; h2 rejects a Host that differs
+        headers_by_name[b"host"] = authority
+    return lines, headers_by_name
 
 
 class Connection(SessionWriter, Held):
-    """One caller's connection over HTTP/2."""
+    """The HTTP/2 connection of one caller."""
 
-    def __init__(self, front: Front, handle: Handle, streams: int = MAX_STREAMS) -> None:
+    def __init__(self, front: Front, handle_request: RequestHandler, max_streams: int = MAX_STREAMS) -> None:
         Held.__init__(self, front)
-        SessionWriter.__init__(self, Http2Session(False, self._sent, front.sizes.head, streams))
-        self._handle = handle
+        SessionWriter.__init__(self, Http2Session(False, self._report_sent, front.sizes.head, max_streams))
+        self._handle_request = handle_request
         self.streams: dict[int, Stream] = {}
-        self._last = MAX_STREAM_ID  # streams above it are not taken any more
-        self._leaving = False  # we leave...
-        self._left = False  # ...or the caller does
-        self._heard = self.loop.time()
-        self._looking = self.loop.call_later(SILENT, self._look)
-
-    def _look(self) -> None:
-        """Guards the front's places against callers that are gone without a word, with streams open."""
+        self._last_stream_id = MAX_STREAM_ID  # streams with higher ids are refused
+        self._is_draining = False  # the proxy has sent GOAWAY
+        self._is_caller_draining = False  # the caller has sent GOAWAY
+        self._last_received_at = self.loop.time()
+        self._silence_timer = self.loop.call_later(PING_AFTER_SILENCE, self._check_silence)
+
+    def _check_silence(self) -> None:
+        """Send a PING to a silent caller, and drop it if it stays silent.
+
+        Guards the front's limit on connections against callers that vanished with streams open.
+        """
         if self.is_closed:
             return
-        silent = self.loop.time() - self._heard
-        if silent >= 2.0 * SILENT:
+        silence = self.loop.time() - self._last_received_at
+        if silence >= 2.0 * PING_AFTER_SILENCE:
             self.drop()
             return
-        if silent >= SILENT:
+        if silence >= PING_AFTER_SILENCE:
             self.session.send_ping()
             self.schedule_flush()
-        self._looking = self.loop.call_later(SILENT / 2.0, self._look)
+        self._silence_timer = self.loop.call_later(PING_AFTER_SILENCE / 2.0, self._check_silence)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -499,23 +512,23 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.is_closed = self.session.is_closed = True
-        self._looking.cancel()
+        self._silence_timer.cancel()
         self.leave()
         self.cancel_flush()
         streams, self.streams = tuple(self.streams.values()), {}
         for stream in streams:
-            stream.over()
+            stream.cancel()
 
     def buffer_updated(self, nbytes: int) -> None:
         self.feed(self.front.buffer[:nbytes])
 
     def feed(self, data: memoryview) -> None:
-        """What has come in."""
-        self._heard = now = self.loop.time()
+        """Take received data."""
+        self._last_received_at = now = self.loop.time()
         if self._place is self.front.fresh:
             self.move(self.front.idle, now + self.front.idle_most)
         for event in self.session.receive_data(now, bytes(data)):
-            self._event(event)
+            self._handle_event(event)
         self.flush()
 
     def transport(self) -> asyncio.Transport | None:
@@ -524,161 +537,161 @@
     def abort(self) -> None:
         self.drop()
 
-    def _sent(self, stream: int, size: int) -> None:
-        found = self.streams.get(stream)
-        if found is not None:
-            found.sent(size)
-            if found.answered and self.session.has_ended_stream(stream):
-                self.loop.call_soon(self._forget, found)
+    def _report_sent(self, stream_id: int, size: int) -> None:
+        stream = self.streams.get(stream_id)
+        if stream is not None:
+            stream.record_sent(size)
+            if stream.is_answered and self.session.has_ended_stream(stream_id):
+                self.loop.call_soon(self._remove_stream, stream)
 
-    # ---- what comes ----------------------------------------------------------------------------
+    # ---- receiving -----------------------------------------------------------------------------
 
-    def _event(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         if isinstance(event, ConnectionEnded):
-            self._end()
+            self._close_after_flush()
         elif isinstance(event, HeadersReceived):
-            self._begin(event)
+            self._open_stream(event)
         elif isinstance(event, DataReceived | StreamEnded | TrailersReceived):
             stream = self.streams.get(event.stream_id)
-            if stream is not None and not stream.answered:
-                self._go_on(stream, event)
+            if stream is not None and not stream.is_answered:
+                self._continue_stream(stream, event)
         elif isinstance(event, StreamReset):
             stream = self.streams.pop(event.stream_id, None)
             if stream is not None:
-                stream.over()
-                self._settle()
+                stream.cancel()
+                self._close_or_idle()
         elif isinstance(event, GoAway):
-            self._left = True  # it waits for what it has asked
-            self._settle()
+            self._is_caller_draining = True  # open streams are still answered
+            self._close_or_idle()
 
-    def _begin(self, event: HeadersReceived) -> None:
-        if event.stream_id > self._last:
-            self.session.reset_stream(event.stream_id, REFUSED_STREAM)  # never ran; the GOAWAY told it
+    def _open_stream(self, event: HeadersReceived) -> None:
+        if event.stream_id > self._last_stream_id:
+            self.session.reset_stream(event.stream_id, REFUSED_STREAM)  # the GOAWAY has said that it would not run
             return
-        told = dict(event.fields)
-        grpc = mapping.is_grpc(told.get(b"content-type", b""))
-        stream = (Call if grpc else Stream)(self, event.stream_id, self.arrival(self.loop.time()))
+        headers = dict(event.fields)
+        is_grpc = mapping.is_grpc(headers.get(b"content-type", b""))
+        stream = (Call if is_grpc else Stream)(self, event.stream_id, self.arrival(self.loop.time()))
         self.streams[event.stream_id] = stream
         self.move(None)
         try:
-            if told.get(b":method") == b"CONNECT":
+            if headers.get(b":method") == b"CONNECT":
                 raise Rejected(501, "the method is not served")
-            stream.begin(event.fields)  # where nothing follows its head, Ended comes right behind
+            stream.take_headers(event.fields)  # if the headers end the stream, StreamEnded follows at once
         except Rejected as fault:
-            self.refuse(stream, fault)
+            self.reject_stream(stream, fault)
 
-    def _go_on(self, stream: Stream, event: DataReceived | StreamEnded | TrailersReceived) -> None:
+    def _continue_stream(self, stream: Stream, event: DataReceived | StreamEnded | TrailersReceived) -> None:
         try:
             if isinstance(event, DataReceived):
-                stream.data(event.data, event.size)
+                stream.take_data(event.data, event.size)
             elif isinstance(event, StreamEnded):
-                stream.ended()
+                stream.take_end()
         except Rejected as fault:
-            self.refuse(stream, fault)
+            self.reject_stream(stream, fault)
 
     def deliver(self, request: Request, stream: Stream) -> None:
-        """Hand a request on."""
+        """Pass a request to the handler."""
         try:
-            self._handle(request, stream)
+            self._handle_request(request, stream)
         except Rejected as fault:
-            self.refuse(stream, fault)
+            self.reject_stream(stream, fault)
 
-    def refuse(self, stream: Stream, fault: Rejected) -> None:
-        """Answer what is not served; what a pool may have of it already is given up."""
+    def reject_stream(self, stream: Stream, fault: Rejected) -> None:
+        """Answer a stream's request with an error."""
         stream.reject(fault)
         self.schedule_flush()
 
-    # ---- what goes -----------------------------------------------------------------------------
+    # ---- sending -------------------------------------------------------------------------------
 
-    def answered(self, stream: Stream) -> None:
-        """Its final answer is written; it lingers while its caller's window is shut."""
+    def close_answered(self, stream: Stream) -> None:
+        """Close an answered stream, once the caller's windows have let the whole response out."""
         if self.session.has_ended_stream(stream.stream_id):
-            self._forget(stream)
-        elif not stream.watched:
-            self.loop.call_later(STUCK, self._stuck, stream)
+            self._remove_stream(stream)
+        elif not stream.watches_progress:
+            self.loop.call_later(RESPONSE_READ_TIMEOUT, self._check_reading, stream)
         self.schedule_flush()
 
-    def cut(self, stream: Stream, code: int) -> None:
-        """End an answer that was begun and can't be finished, so that its caller can tell."""
+    def reset_stream(self, stream: Stream, code: int) -> None:
+        """Reset a stream whose response can't be finished, so that the caller sees that it is incomplete."""
         if not self.is_closed:
             self.session.reset_stream(stream.stream_id, code)
             self.schedule_flush()
         self.streams.pop(stream.stream_id, None)
-        stream.over()
-        self._settle()
+        stream.cancel()
+        self._close_or_idle()
 
-    def _forget(self, stream: Stream) -> None:
+    def _remove_stream(self, stream: Stream) -> None:
         if self.streams.pop(stream.stream_id, None) is not None:
             if not self.is_closed:
-                # RFC 9113 8.1: the answer is whole, and the rest of the request is not wanted.
+                # RFC 9113 8.1: the response is complete, and the rest of the request is not needed.
                 self.session.reset_stream(stream.stream_id, NO_ERROR)
-            self._settle()
+            self._close_or_idle()
 
-    def _stuck(self, stream: Stream) -> None:
-        """Guards memory against a caller that opens no window for what it has asked for."""
+    def _check_reading(self, stream: Stream) -> None:
+        """Reset an answered stream whose caller doesn't read: guards memory against windows that stay closed."""
         if self.streams.get(stream.stream_id) is not stream or self.is_closed:
             return
-        if self.loop.time() < stream.moved + STUCK:  # it reads, however slowly
-            self.loop.call_at(stream.moved + STUCK, self._stuck, stream)
+        if self.loop.time() < stream.last_progress + RESPONSE_READ_TIMEOUT:  # the caller reads, however slowly
+            self.loop.call_at(stream.last_progress + RESPONSE_READ_TIMEOUT, self._check_reading, stream)
             return
         self.session.reset_stream(stream.stream_id, CANCEL)
-        self._forget(stream)
+        self._remove_stream(stream)
         self.schedule_flush()
 
-    def _settle(self) -> None:
-        """Where there is no stream left the front may close it."""
+    def _close_or_idle(self) -> None:
+        """Close the connection or mark it as idle, if it has no streams."""
         if self.streams or self.is_closed:
             return
-        if self._left or self._last != MAX_STREAM_ID:
-            self._end()
+        if self._is_caller_draining or self._last_stream_id != MAX_STREAM_ID:
+            self._close_after_flush()
             return
-        if self._leaving:
-            return  # the second GOAWAY is still to come
+        if self._is_draining:
+            return  # the second GOAWAY follows
         front = self.front
         self.move(front.idle, self.loop.time() + front.idle_most)
 
-    def _end(self) -> None:
-        """Close it, once what is written is out."""
+    def _close_after_flush(self) -> None:
+        """Close the connection after everything written has been sent."""
         self.flush()
         if not self.is_closed:
             self.move(self.front.leaving, self.loop.time() + LINGER)
             self._transport.close()
 
     def close(self) -> None:
-        """GoAway in good order: nothing new after a moment, and the end when all is answered (RFC 9113 6.8)."""
-        if not self._leaving:
-            self._leaving = True
+        """Shut down gracefully (RFC 9113 6.8): take no new streams after a moment, and close when all are answered."""
+        if not self._is_draining:
+            self._is_draining = True
             self.move(None)
             self.session.send_goaway(MAX_STREAM_ID, NO_ERROR)
             self.schedule_flush()
-            self.loop.call_later(LEAVE_AFTER, self._leave)
-            self.loop.call_later(max(self.front.grace, LEAVE_AFTER), self._cut)
+            self.loop.call_later(FINAL_GOAWAY_DELAY, self._send_final_goaway)
+            self.loop.call_later(max(self.front.grace, FINAL_GOAWAY_DELAY), self._reject_open_streams)
 
     def front_closes(self) -> None:
-        """GoAway, whatever is open."""
+        """Shut down gracefully, with or without open streams."""
         self.close()
 
-    def _leave(self) -> None:
+    def _send_final_goaway(self) -> None:
         if self.is_closed:
             return
-        self._last = self.session.highest_peer_stream_id()
-        self.session.send_goaway(self._last, NO_ERROR)
+        self._last_stream_id = self.session.highest_peer_stream_id()
+        self.session.send_goaway(self._last_stream_id, NO_ERROR)
         self.schedule_flush()
-        self._settle()
+        self._close_or_idle()
 
-    def _cut(self) -> None:
-        """An honest end of what is still open: each stream gets its answer now."""
+    def _reject_open_streams(self) -> None:
+        """Answer each open stream with an error at the end of the grace period."""
         for stream in tuple(self.streams.values()):
-            if not stream.answered:
-                self.refuse(stream, Rejected(502, "the proxy leaves"))
+            if not stream.is_answered:
+                self.reject_stream(stream, Rejected(502, "the proxy leaves"))
 
     def drop(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         if not self.is_closed:
             self.session.send_goaway(self.session.highest_peer_stream_id(), NO_ERROR)
             self._transport.write(self.session.take_output())
         super().drop()
 
     def reject(self, fault: Rejected) -> None:
-        """It has no request that could be answered."""
+        """Close the connection: there is no single request to answer."""
         self.drop()
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -580,7 +580,7 @@
 
 
 def test_a_caller_that_is_gone_without_a_word_is_asked_and_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "SILENT", 0.1)
+    monkeypatch.setattr(http2_front, "PING_AFTER_SILENCE", 0.1)
 
     async def body(world: World) -> None:
         caller, alive = await world.caller(), await world.caller()
@@ -620,7 +620,7 @@
 
 
 def test_a_caller_that_reads_nothing_holds_up_nobody_else(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "STUCK", 0.1)
+    monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
 
     async def body(world: World) -> None:
         deaf, other = await world.caller(), await world.caller()
@@ -639,7 +639,7 @@
 
 
 def test_an_answer_that_its_caller_does_not_read_is_cut_after_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "STUCK", 0.1)
+    monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
 
     async def body(world: World) -> None:
         caller = await world.caller()
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("size", [200_000, len(BODY)])
 def test_a_caller_that_reads_slowly_gets_all_of_it(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
     # Held whole or passed on: what moves is not cut off, however long it takes in all.
-    monkeypatch.setattr(http2_front, "STUCK", 0.1)
+    monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
     monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.1)
     body = BODY[:size]
 
