--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -28,7 +28,7 @@
 
 if TYPE_CHECKING:
     from lugspur.daemon.persistence.snapshot_format import PoolSnapshot
-    from lugspur.http2.upstream import Streams
+    from lugspur.http2.upstream import GrpcUpstream
 
 GRPC_HOST_TYPE = 1  # host type of gRPC backends in the balancer: streams are sent to these only
 IDLE_CHECK_INTERVAL_SECONDS = 0.1  # between checks whether a removed cluster has finished its last request
@@ -63,7 +63,7 @@
         self._source: EndpointSource | None = None
         self.pool: Pool
         self.speaks_grpc = False  # whether any backend speaks gRPC
-        self._streams: Streams | None = None  # connections to gRPC backends
+        self._streams: GrpcUpstream | None = None  # connections to gRPC backends
         self._byte_limits = 0, 0  # bytes of all incomplete responses, and of one response
         self._tenant_indexes: dict[str, int] = {}
         self._list_changes = 0  # endpoint lists and changes received so far
@@ -154,13 +154,13 @@
         self.pool.streams_responses = True
         self.pool.start()
 
-    def _grpc_streams(self) -> Streams:
+    def _grpc_streams(self) -> GrpcUpstream:
         """Return the connections to gRPC backends; created, and their module imported, with the first such backend."""
-        from lugspur.http2.upstream import Streams
+        from lugspur.http2.upstream import GrpcUpstream
 
         if self._streams is None:
             assert self._config is not None
-            self._streams = Streams(self._sockets, self.name, classify_response, self._record_connection_attempt)
+            self._streams = GrpcUpstream(self._sockets, self.name, classify_response, self._record_connection_attempt)
             self._streams.tune(self._config.keep, self._config.connect, *self._byte_limits)
         return self._streams
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        upstream: Streams,
+        upstream: GrpcUpstream,
         backend: Listed,
         request: Request,
         started: float,
@@ -308,7 +308,7 @@
 class BackendConnection(SessionWriter, asyncio.Protocol):
     """One connection to a backend; it carries streams once the backend's SETTINGS prove that it speaks HTTP/2."""
 
-    def __init__(self, upstream: Streams, group: ConnectionGroup) -> None:
+    def __init__(self, upstream: GrpcUpstream, group: ConnectionGroup) -> None:
         super().__init__(Http2Session(True, self._report_sent))
         self._upstream, self.group = upstream, group
         self.attempts: dict[int, GrpcAttempt] = {}
@@ -586,7 +586,7 @@
         self.no_more_pings = False  # the backend has sent ENHANCE_YOUR_CALM: it gets no more PINGs
 
 
-class Streams:
+class GrpcUpstream:
     """All connections to the gRPC backends of a pool, within the pool's share of the sockets."""
 
     def __init__(
