--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -137,13 +137,13 @@
         front.ready = True
         if row.http2:
             from lugspur.daemon import health
-            from lugspur.http2.front import Connection
+            from lugspur.http2.front import CallerConnection
 
             def handle_http2(request: Request, caller: Answerable) -> None:
                 if not health.handle_health_request(request, caller, front, lambda name: self._serves(front, name)):
                     self._handle(row, request, caller)
 
-            front.http2 = lambda front: Connection(front, handle_http2, row.streams)
+            front.http2 = lambda front: CallerConnection(front, handle_http2, row.streams)
         front.terms = lambda: self.configuration
         self.apply_limits(front)
         return front
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -44,7 +44,7 @@
     # Whether headers with `_` in their names are forwarded; an HTTP/1.1 backend may confuse them with other headers.
     forwards_underscores = False
 
-    def __init__(self, connection: Connection, stream_id: int, now: float) -> None:
+    def __init__(self, connection: CallerConnection, stream_id: int, now: float) -> None:
         self.connection, self.stream_id = connection, stream_id
         self.front = connection.front
         self.peer = connection.peer
@@ -313,7 +313,7 @@
 
     forwards_underscores = True  # metadata is forwarded unchanged
 
-    def __init__(self, connection: Connection, stream_id: int, now: float) -> None:
+    def __init__(self, connection: CallerConnection, stream_id: int, now: float) -> None:
         super().__init__(connection, stream_id, now)
         self._counter = MessageCounter()
         self.pipe: Pipe | None = None
@@ -474,7 +474,7 @@
     return lines, headers_by_name
 
 
-class Connection(SessionWriter, Held):
+class CallerConnection(SessionWriter, Held):
     """The HTTP/2 connection of one caller."""
 
     def __init__(self, front: Front, handle_request: RequestHandler, max_streams: int = MAX_STREAMS) -> None:
