--- a/lugspur/http2/__init__.py
+++ b/lugspur/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 with prior knowledge: a machine without I/O, callers' connections, and connections to boxes."""
+"""HTTP/2 with prior knowledge: a session without I/O, connections of callers, and connections to gRPC backends."""
--- a/lugspur/http2/frames.py
+++ b/lugspur/http2/frames.py
@@ -16,7 +16,7 @@
 MAX_FRAME_BYTES = 16_384  # payload of a frame from the peer; the smallest limit that RFC 9113 allows
 MAX_HEADER_BLOCK_BYTES = 64 << 10  # one header block including its CONTINUATION frames: CVE-2024-27316
 MAX_GOAWAY_BYTES = 1 << 10  # payload of a GOAWAY frame; its debug data is only text for people
-# Frames that cost the peer nothing (PING, SETTINGS, RST_STREAM, empty DATA) which it may send before any useful frame.
+# Frames that cost the peer nothing, such as PING, RST_STREAM or empty DATA, which it may send before any useful ones.
 # A browser that leaves a page cancels many requests at once.
 FRAME_BUDGET_BURST = 1000.0
 FRAME_BUDGET_PER_SECOND = 200.0  # refill of the budget: CVE-2023-44487, CVE-2019-9512, -9515, -9518
