--- a/lugspur/http2/wire.py
+++ b/lugspur/http2/wire.py
@@ -6,8 +6,7 @@
 
 from lugspur.http2.machine import Http2Session
 
-# Unsent bytes in a transport's buffer above which the connection is aborted; DATA waits in the session
-# long before.
+# Unsent bytes in a transport's buffer above which the connection is aborted; DATA waits in the session long before.
 MAX_BACKLOG_BYTES = 1 << 20
 
 
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -1,4 +1,4 @@
-"""gRPC through the daemon, with a stand-in on each side: what has run, who is answered, and what is let go."""
+"""gRPC through the daemon with a stand-in on each side: retries, outcomes, limits and the release of resources."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     async def body(world: World) -> None:
         caller = await world.caller()
         sent = [("x-request-id", "r"), ("a_b", "c"), ("blob-bin", "AP8"), ("many", "1"), ("many", "2")]
-        got = await caller.call("/read/Do", b"hello", metadata=sent)
-        assert (got.status, got.messages, got.ends) == (0, [b"hello"], 1)
+        response = await caller.call("/read/Do", b"hello", metadata=sent)
+        assert (response.status, response.messages, response.ends) == (0, [b"hello"], 1)
         [call] = world.box.calls
         assert [(name, value) for name, value in call.fields if name in ("a_b", "blob-bin", "many")] == sent[1:]
         assert call.headers["te"] == "trailers" and call.headers["x-forwarded-for"] == "127.0.0.1"
@@ -98,8 +98,8 @@
         for stream, rest in streams:
             await caller.write(stream, rest, end=True)
         for stream, _ in streams:
-            got = await caller.answer(stream)
-            assert (got.status, got.messages) == (0, [b"secret"])
+            response = await caller.answer(stream)
+            assert (response.status, response.messages) == (0, [b"secret"])
         assert all(call.ended for call in world.box.calls)
 
     play(body)
@@ -113,48 +113,48 @@
             await caller.write(stream, data, end=True)
             assert (await caller.answer(stream)).status == INTERNAL
         assert not world.ran()
-        assert (await caller.call("/read/Do", b"x")).status == 0  # the connection is as good as before
+        assert (await caller.call("/read/Do", b"x")).status == 0  # the connection still works
 
     play(body)
 
 
 @pytest.mark.parametrize(
-    "steps,status_,said", [("status 5", 5, "as asked"), ("status 12", 12, "as asked"), ("status 99", 99, "as asked")]
+    "steps,status_,message", [("status 5", 5, "as asked"), ("status 12", 12, "as asked"), ("status 99", 99, "as asked")]
 )
-def test_a_boxes_own_word_is_passed_on(steps: str, status_: int, said: str) -> None:
+def test_a_backends_own_status_is_forwarded(steps: str, status_: int, message: str) -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.call("/book/Do", b"x", metadata=script(steps))
-        assert (got.status, got.said, world.ran("r")) == (status_, said, 1)
+        response = await caller.call("/book/Do", b"x", metadata=script(steps))
+        assert (response.status, response.said, world.ran("r")) == (status_, message, 1)
 
     play(body)
 
 
-# ---- what has run --------------------------------------------------------------------------------
+# ---- retries and outcomes ------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("steps", ["refuse", "above", "unseen"])
-def test_what_never_ran_is_refused_where_there_is_no_other_box(steps: str) -> None:
+def test_an_unprocessed_call_is_unavailable_without_another_backend(steps: str) -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.call("/book/Do", b"x", metadata=script(steps))
-        # The same box again never runs it either: told so, a caller may try again without harm.
-        assert (got.status, world.ran("r")) == (UNAVAILABLE, 0)
-        assert got.head["grpc-retry-pushback-ms"] == "1000"
-        told = status_pb2.Status.FromString(got.details)
+        response = await caller.call("/book/Do", b"x", metadata=script(steps))
+        # A second attempt at the same backend isn't processed either; the status tells the caller that a retry is safe.
+        assert (response.status, world.ran("r")) == (UNAVAILABLE, 0)
+        assert response.head["grpc-retry-pushback-ms"] == "1000"
+        details = status_pb2.Status.FromString(response.details)
         retry = error_details_pb2.RetryInfo()
-        assert told.code == UNAVAILABLE and told.details[0].Unpack(retry) and retry.retry_delay.seconds == 1
+        assert details.code == UNAVAILABLE and details.details[0].Unpack(retry) and retry.retry_delay.seconds == 1
 
     play(body)
 
 
 @pytest.mark.parametrize("steps", ["refuse", "above", "unseen"])
-def test_what_never_ran_is_served_by_another_box(steps: str) -> None:
+def test_an_unprocessed_call_is_served_by_another_backend(steps: str) -> None:
     async def body(world: World) -> None:
         plain, caller = world.boxes[1], await world.caller()
         for at in range(20):
-            got = await caller.call("/book/Do", b"x", metadata=script(steps, f"r{at}"))
-            assert got.status == (0 if plain.ran[f"r{at}"] else UNAVAILABLE) and world.ran(f"r{at}") <= 1
+            response = await caller.call("/book/Do", b"x", metadata=script(steps, f"r{at}"))
+            assert response.status == (0 if plain.ran[f"r{at}"] else UNAVAILABLE) and world.ran(f"r{at}") <= 1
         assert plain.ran.total()
 
     async def run() -> None:
@@ -168,14 +168,16 @@
 @pytest.mark.parametrize("point", ["head", "message", "answer", "body", "trailers"])
 @pytest.mark.parametrize("what", ["reset", "cut"])
 @pytest.mark.parametrize("code", [2, 8, 0])
-def test_what_broke_after_its_headers_went_out_is_failed_and_never_sent_again(point: str, what: str, code: int) -> None:
+def test_a_call_that_breaks_after_its_headers_were_sent_fails_and_is_never_resent(
+    point: str, what: str, code: int
+) -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         steps = f"{what} {point}" + (f" {code}" if what == "reset" else "")
-        got = await caller.call("/book/Do", b"x", metadata=script(steps))
-        assert (got.status, world.ran("r"), got.ends) == (UNKNOWN, 1, 1)
-        told = got.head if "grpc-status" in got.head else got.tail
-        assert told["grpc-retry-pushback-ms"] == "-1"  # a caller's own retries would do it twice
+        response = await caller.call("/book/Do", b"x", metadata=script(steps))
+        assert (response.status, world.ran("r"), response.ends) == (UNKNOWN, 1, 1)
+        trailers = response.head if "grpc-status" in response.head else response.tail
+        assert trailers["grpc-retry-pushback-ms"] == "-1"  # a retry of the caller would run the call twice
 
     play(body, count=2)
 
@@ -194,44 +196,44 @@
         "status 14",
     ],
 )
-def test_what_may_run_again_is_tried_elsewhere(steps: str) -> None:
+def test_a_safe_call_is_retried_at_another_backend(steps: str) -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.call("/read/Do", b"x", metadata=script(steps))
-        # As many as three attempts: the module draws a few times, and need not find the last box.
-        assert got.status == UNAVAILABLE and 1 < world.ran("r") <= 3
+        response = await caller.call("/read/Do", b"x", metadata=script(steps))
+        # Up to three attempts: the balancer picks backends at random a few times and may miss the last one.
+        assert response.status == UNAVAILABLE and 1 < world.ran("r") <= 3
 
     play(body, count=3)
 
 
-def test_a_booking_reset_half_way_is_failed_not_refused_and_ran_once() -> None:
-    """The letter of the request: a stream reset half-way through a booking is never resent."""
+def test_a_booking_reset_half_way_fails_and_ran_once() -> None:
+    """A stream that is reset half-way through a booking is never sent again."""
 
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/book/New", ("x-request-id", "r"), ("x-script", "reset message"))
         await caller.write(stream, b"\0\0\0\0\x64" + b"x" * 50)
         await asyncio.sleep(0.05)
-        assert not world.ran()  # one message is waited for
+        assert not world.ran()  # the daemon waits for the whole message
         await caller.write(stream, b"x" * 50, end=True)
-        got = await caller.answer(stream)
-        assert (got.status, world.ran("r")) == (UNKNOWN, 1)
+        response = await caller.answer(stream)
+        assert (response.status, world.ran("r")) == (UNKNOWN, 1)
 
     play(body, count=3)
 
 
-def test_a_stream_that_has_passed_a_message_belongs_to_its_attempt() -> None:
+def test_a_stream_is_not_retried_after_a_message_was_forwarded() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/Talk", *script("reset message"))
         await caller.send(stream, b"one")
-        assert (await caller.answer(stream)).status == UNAVAILABLE  # safe: another try does no harm
+        assert (await caller.answer(stream)).status == UNAVAILABLE  # a safe call: a retry of the caller does no harm
         assert world.ran("r") == 1
 
     play(body, count=3)
 
 
-def test_a_stream_that_has_passed_a_message_is_not_begun_anew_above_a_goaway() -> None:
+def test_a_stream_above_a_goaway_is_not_resent_after_a_message_was_forwarded() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/Talk", *script("above"))
@@ -242,7 +244,7 @@
     play(body)
 
 
-def test_a_safe_stream_that_breaks_before_any_message_has_passed_goes_elsewhere() -> None:
+def test_a_safe_stream_that_breaks_before_any_message_is_retried() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/Talk", *script("reset head"))
@@ -252,21 +254,21 @@
     play(body, count=3)
 
 
-def test_an_answer_of_messages_that_breaks_after_the_first_is_ended_honestly() -> None:
+def test_a_response_that_breaks_after_the_first_message_ends_with_an_error() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.call("/read/Do", b"x", metadata=script("messages 3, reset trailers"))
-        assert (got.messages, got.status, world.ran("r")) == ([b"x"] * 3, UNAVAILABLE, 1)
+        response = await caller.call("/read/Do", b"x", metadata=script("messages 3, reset trailers"))
+        assert (response.messages, response.status, world.ran("r")) == ([b"x"] * 3, UNAVAILABLE, 1)
 
     play(body, count=2)
 
 
-def test_a_mark_on_any_other_status_or_behind_a_message_proves_nothing() -> None:
+def test_not_processed_with_another_status_or_after_a_message_proves_nothing() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         for at, path in enumerate(("/book/Ran", "/book/After")):
-            got = await caller.call(path, b"x", metadata=[("x-request-id", f"r{at}")])
-            assert world.ran(f"r{at}") == 1 and got.status not in (0, UNAVAILABLE)
+            response = await caller.call(path, b"x", metadata=[("x-request-id", f"r{at}")])
+            assert world.ran(f"r{at}") == 1 and response.status not in (0, UNAVAILABLE)
 
     async def work(call: Call, _: Script) -> None:
         if call.path.endswith("After"):
@@ -278,17 +280,17 @@
     play(body, count=2, work=work)
 
 
-# ---- time ----------------------------------------------------------------------------------------
+# ---- timeouts ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("value,status_", [("1n", DEADLINE), ("99999999H", 0), ("100S", 0), ("50m", DEADLINE)])
-def test_time_outs_in_every_unit_and_size(value: str, status_: int) -> None:
+def test_timeouts_in_every_unit_and_size(value: str, status_: int) -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         steps = "stall answer" if value == "50m" else ""
-        began = time.monotonic()
-        got = await caller.call("/read/Do", b"x", metadata=[("grpc-timeout", value), *script(steps)])
-        assert got.status == status_ and time.monotonic() - began < 20.0
+        started_at = time.monotonic()
+        response = await caller.call("/read/Do", b"x", metadata=[("grpc-timeout", value), *script(steps)])
+        assert response.status == status_ and time.monotonic() - started_at < 20.0
         for call in world.box.calls:  # never more than the class's deadline of 30 s
             seconds = call.headers["grpc-timeout"]
             assert int(seconds[:-1]) * {"n": 1e-9, "u": 1e-6, "m": 1e-3, "S": 1.0}[seconds[-1]] <= 30.0
@@ -297,20 +299,22 @@
 
 
 @pytest.mark.parametrize("value", ["", "5", "S", "123456789S", "-1S", "1.5S", "1 S", "1s"])
-def test_a_time_out_that_cant_be_read_is_internal(value: str) -> None:
+def test_an_invalid_timeout_is_internal(value: str) -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.call("/read/Do", b"x", metadata=[("grpc-timeout", value)])
-        assert got.status == INTERNAL and "grpc-timeout" in got.said and not world.ran()
+        response = await caller.call("/read/Do", b"x", metadata=[("grpc-timeout", value)])
+        assert response.status == INTERNAL and "grpc-timeout" in response.said and not world.ran()
 
     play(body)
 
 
-def test_our_own_time_out_cancels_the_boxs_stream_and_a_cancel_of_the_caller_reaches_it() -> None:
+def test_the_proxys_timeout_and_a_cancel_by_the_caller_cancel_the_backends_stream() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.call("/book/Do", b"x", metadata=[("grpc-timeout", "100m"), *script("stall answer", "late")])
-        assert got.status == DEADLINE
+        response = await caller.call(
+            "/book/Do", b"x", metadata=[("grpc-timeout", "100m"), *script("stall answer", "late")]
+        )
+        assert response.status == DEADLINE
         stream = caller.begin("/book/Do", *script("stall answer", "left"))
         await caller.send(stream, b"x", end=True)
         await until(lambda: world.ran("left") == 1)
@@ -318,7 +322,7 @@
         for call in world.box.calls:
             await soon(call.cancelled.wait())
             assert call.code == 8
-        assert len(world.box.connections) == 1  # the connection goes on
+        assert len(world.box.connections) == 1  # the connection stays open
 
     play(body)
 
@@ -326,13 +330,13 @@
 # ---- GOAWAY --------------------------------------------------------------------------------------
 
 
-def test_goaway_in_a_burst_serves_what_is_below_and_sends_the_rest_elsewhere_once() -> None:
+def test_goaway_in_a_burst_serves_lower_streams_and_resends_the_others_once() -> None:
     async def body(world: World) -> None:
         caller, box = await world.caller(), world.box
-        gate = asyncio.Event()
+        release = asyncio.Event()
 
         async def work(call: Call, script: Script) -> None:
-            await gate.wait()
+            await release.wait()
             await scripted(call, script)
 
         box.work = work
@@ -342,7 +346,7 @@
             await caller.send(streams[-1], b"x", end=True)
         await until(lambda: len(box.calls) == 20)
         half = sorted(call.stream for call in box.calls)[9]
-        # What is above the last id must not run: this box forgets it, as it promises.
+        # Streams above the last id must not run: this backend discards them, as its GOAWAY promises.
         for call in [call for call in box.calls if call.stream > half]:
             box.ran[call.rid] -= 1
             box.calls.remove(call)
@@ -350,22 +354,22 @@
         await asyncio.sleep(0.02)
         box.goaway(half)
         box.goaway(half)
-        gate.set()
+        release.set()
         for at, stream in enumerate(streams):
-            got = await caller.answer(stream)
-            assert (got.status, got.messages) == (0, [b"x"]) and world.ran(f"r{at}") == 1
+            response = await caller.answer(stream)
+            assert (response.status, response.messages) == (0, [b"x"]) and world.ran(f"r{at}") == 1
         assert box.accepted == 2
 
     play(body)
 
 
-def test_a_connection_is_shared_and_the_boxs_limit_on_streams_is_kept() -> None:
+def test_connections_are_shared_within_the_backends_limit_on_streams() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        gate = asyncio.Event()
+        release = asyncio.Event()
 
         async def work(call: Call, script: Script) -> None:
-            await gate.wait()
+            await release.wait()
             await scripted(call, script)
 
         world.box.work = work
@@ -373,15 +377,15 @@
         for stream in streams:
             await caller.send(stream, b"x", end=True)
         await until(lambda: len(world.box.calls) == 16)
-        gate.set()
+        release.set()
         statuses = [(await caller.answer(stream)).status for stream in streams]
-        assert statuses.count(0) == 16 and statuses.count(UNAVAILABLE) == 14  # full: never queued out of sight
+        assert statuses.count(0) == 16 and statuses.count(UNAVAILABLE) == 14  # rejected at the limit instead of queued
         assert world.box.accepted == 4
 
     play(body, streams=4)
 
 
-def test_a_drained_box_gets_no_new_stream_on_an_open_connection_and_finishes_the_old_ones() -> None:
+def test_a_drained_backend_gets_no_new_stream_and_finishes_the_open_ones() -> None:
     async def body(world: World) -> None:
         caller, box = await world.caller(), world.box
         stream = caller.begin("/read/Talk")
@@ -391,14 +395,14 @@
         await world.up.reload(f"[pools.a]\nmembers = [{member}]\n" + ROUTES, HTTP2)
         assert (await caller.call("/read/Do", b"x")).status == UNAVAILABLE
         await caller.send(stream, b"two", end=True)
-        got = await caller.answer(stream)
-        assert (got.status, got.messages, len(box.calls)) == (0, [b"one", b"two"], 1)
+        response = await caller.answer(stream)
+        assert (response.status, response.messages, len(box.calls)) == (0, [b"one", b"two"], 1)
         await until(lambda: not box.connections)
 
     play(body)
 
 
-def test_a_dead_box_is_found_by_a_ping_and_what_waits_for_it_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_dead_backend_is_found_by_a_ping_and_waiting_calls_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lugspur.http2.upstream.FRESH_SECONDS", 0.0)
     monkeypatch.setattr("lugspur.http2.upstream.SETTINGS_TIMEOUT", 0.5)
 
@@ -406,15 +410,15 @@
         caller, box = await world.caller(), world.box
         assert (await caller.call("/book/Do", b"x")).status == 0 and box.pings == 0
         assert (await caller.call("/book/Do", b"x")).status == 0
-        assert box.pings == 1  # an idle connection is asked before it is trusted
+        assert box.pings == 1  # an idle connection gets a PING before it is used
         box.stall()
-        got = await caller.call("/book/Do", b"x", metadata=script("", "r"))
-        assert got.status == UNAVAILABLE and world.ran("r") == 0
+        response = await caller.call("/book/Do", b"x", metadata=script("", "r"))
+        assert response.status == UNAVAILABLE and world.ran("r") == 0
 
     play(body, more="attempts = 1")
 
 
-def test_a_box_that_drains_while_a_call_waits_for_its_ping_gets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_backend_drained_while_a_call_waits_for_a_ping_gets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lugspur.http2.upstream.FRESH_SECONDS", 0.0)
     monkeypatch.setattr("lugspur.http2.upstream.PING_TIMEOUT", 30.0)
 
@@ -433,7 +437,7 @@
     play(body)
 
 
-def test_a_silent_box_with_streams_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_backend_with_open_streams_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lugspur.http2.upstream.PING_INTERVALS", (0.05, 10.0))
     monkeypatch.setattr("lugspur.http2.upstream.PING_TIMEOUT", 0.2)
 
@@ -451,18 +455,18 @@
 # ---- both protocols ------------------------------------------------------------------------------
 
 
-def test_a_pool_of_both_kinds_of_boxes_serves_both_kinds_of_callers() -> None:
+def test_a_pool_of_both_protocols_serves_callers_of_both_protocols() -> None:
     async def run() -> None:
         async with backend(lambda request: answer(request.partition(b"\r\n\r\n")[2], x_box="plain")) as plain:
             async with boxed(others=(plain.address,)) as world:
                 caller = await world.caller()
                 clients = [await world.up.client() for _ in range(4)]
                 seen: set[str] = set()
-                for at in range(200):  # four at once, else the quicker box has all of them
+                for at in range(200):  # four at once, else the faster backend gets all of them
                     body = b"hi%d" % at
-                    for got in await asyncio.gather(*(caller.call("/book/Do", body) for _ in clients)):
-                        assert (got.status, got.messages) == (0, [body])
-                        seen.add(got.head.get("x-box", "grpc"))
+                    for response in await asyncio.gather(*(caller.call("/book/Do", body) for _ in clients)):
+                        assert (response.status, response.messages) == (0, [body])
+                        seen.add(response.head.get("x-box", "grpc"))
                     asked = ask("POST", "/book/Do?a=b", body, X_Some="thing")
                     for reply in await asyncio.gather(*(client.ask(asked) for client in clients)):
                         assert status(reply) == 200 and reply.endswith(b"\r\n\r\n" + body)
@@ -473,31 +477,31 @@
                 wrapped = next(call for call in world.box.calls if "x-http-method" in call.headers)
                 assert wrapped.headers["x-http-method"] == "POST" and wrapped.headers["x-http-query"] == "a=b"
                 assert wrapped.path == "/book/Do" and wrapped.headers["x-some"] == "thing"
-                for _ in range(10):  # streams go to the gRPC box alone
+                for _ in range(10):  # streaming calls go to the gRPC backend alone
                     assert (await caller.call("/read/Do", b"1", b"2")).messages == [b"1", b"2"]
 
     asyncio.run(run())
 
 
-def test_a_stream_finds_no_box_in_a_pool_of_http_boxes() -> None:
+def test_a_stream_finds_no_backend_in_a_pool_of_http1_backends() -> None:
     async def run() -> None:
         async with backend(lambda _: answer(b"done")) as plain:
             async with boxed(0, others=(plain.address,)) as world:
                 caller = await world.caller()
                 assert (await caller.call("/read/Do", b"1", b"2")).status == UNIMPLEMENTED
-                got = await caller.call("/read/Do", b"1")
-                assert (got.status, got.messages) == (0, [b"done"])
+                response = await caller.call("/read/Do", b"1")
+                assert (response.status, response.messages) == (0, [b"done"])
 
     asyncio.run(run())
 
 
-def test_refusals_of_the_daemon_itself() -> None:
+def test_rejections_by_the_daemon_itself() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         assert (await caller.call("/none/Do", b"x")).status == 5  # no route
         assert (await caller.call("/once/Do", b"x")).status == 3  # no Idempotency-Key
-        got = await caller.call("/once/Do", b"x", metadata=[("idempotency-key", "k")])
-        assert got.status == 0
+        response = await caller.call("/once/Do", b"x", metadata=[("idempotency-key", "k")])
+        assert response.status == 0
         assert (await caller.call("/tenant/Do", b"x", metadata=[("x-tenant", "nobody")])).status == 7
 
     text = (
@@ -512,21 +516,21 @@
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/x?q=1", ("accept", "text/plain"), method="GET", end=True)
-        # The caller's own content type made it a gRPC call, which GET is not.
+        # The caller's content type makes this a gRPC call, for which GET is not allowed.
         assert (await caller.answer(stream)).status is not None
         fields_ = [(":method", "GET"), (":scheme", "http"), (":path", "/read/x?q=1"), (":authority", "h.example")]
         plain = caller.h2.get_next_available_stream_id()
         caller.h2.send_headers(plain, fields_, end_stream=True)
         caller.answers[plain] = type(caller.answers[stream])()
         caller.flush()
-        got = await caller.answer(plain)
-        assert got.head[":status"] == "200" and got.head["grpc-status"] == "0"
+        response = await caller.answer(plain)
+        assert response.head[":status"] == "200" and response.head["grpc-status"] == "0"
 
     play(body)
 
 
 def plain(caller: Caller, *fields_: tuple[str, str], end: bool = True, path: str = "/read/x") -> int:
-    """An ordinary request over HTTP/2; gives its stream."""
+    """Send the headers of a plain HTTP/2 request; return its stream id."""
     stream = int(caller.h2.get_next_available_stream_id())
     head = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", "h.example"), *fields_]
     caller.h2.send_headers(stream, head, end_stream=end)
@@ -537,7 +541,7 @@
 
 @pytest.mark.parametrize("path", ["/book/x", "/read/x"])
 @pytest.mark.parametrize("body_", [b"", b"room"])
-def test_an_ordinary_request_over_http2_reaches_a_box_once(path: str, body_: bytes) -> None:
+def test_an_ordinary_request_over_http2_reaches_a_backend_once(path: str, body_: bytes) -> None:
     async def run() -> None:
         async with backend(lambda _: OK) as one, boxed(0, others=(one.address,)) as world:
             caller = await world.caller()
@@ -545,7 +549,7 @@
             if body_:
                 await caller.write(stream, body_, end=True)
             assert (await caller.answer(stream)).head[":status"] == "200"
-            after = plain(caller, path="/read/after")  # what came twice would have come before this
+            after = plain(caller, path="/read/after")  # a duplicate would have arrived before this request
             assert (await caller.answer(after)).head[":status"] == "200"
             await until(lambda: world.up.in_hand() == 0)
             assert one.got.qsize() == 2
@@ -556,13 +560,13 @@
 def test_an_ordinary_request_over_http2_whose_body_never_ends_is_answered_408() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        got = await caller.answer(plain(caller, end=False))
-        assert got.head[":status"] == "408" and not world.ran()
+        response = await caller.answer(plain(caller, end=False))
+        assert response.head[":status"] == "408" and not world.ran()
 
     play(body, head=HTTP2.replace("[limits]", '[limits]\nread = "100ms"'))
 
 
-def test_cookies_in_pieces_and_names_with_underscores_reach_http1_boxes_as_http1_has_them() -> None:
+def test_split_cookies_are_joined_and_underscored_names_dropped_for_http1_backends() -> None:
     seen: list[bytes] = []
 
     def take(request: bytes) -> bytes:
@@ -579,7 +583,7 @@
     asyncio.run(run())
 
 
-def test_a_caller_that_is_gone_without_a_word_is_asked_and_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_vanished_caller_gets_a_ping_and_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http2_front, "PING_AFTER_SILENCE", 0.1)
 
     async def body(world: World) -> None:
@@ -601,44 +605,45 @@
 # ---- flow control --------------------------------------------------------------------------------
 
 
-def test_64_megabytes_pass_through_a_daemon_that_hardly_grows() -> None:
-    assert passing(64) < 8.0  # MiB of its process; the stream is 128 times 1 MB, both ways counted
+def test_64_megabytes_pass_through_the_daemon_in_little_memory() -> None:
+    # MiB of growth of the daemon's process; the stream is 128 times 1 MB, counting both directions.
+    assert passing(64) < 8.0
 
 
-def test_no_more_is_taken_from_a_caller_than_can_go_on() -> None:
+def test_no_more_is_read_from_a_caller_than_can_be_forwarded() -> None:
     async def body(world: World) -> None:
-        world.box.credit = False  # its windows stay shut
+        world.box.credit = False  # the backend's windows stay closed
         caller = await world.caller()
         stream = caller.begin("/read/Talk")
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(1.0):  # on a slow machine less has gone by then
+            async with asyncio.timeout(1.0):  # a slow machine sends less until then
                 await caller.send(stream, b"x" * (16 << 20))
-        assert caller.sent[stream] <= 3 * 65_535  # one window has gone on, one waits
+        assert caller.sent[stream] <= 3 * 65_535  # one window was forwarded, one waits in the daemon
         caller.cancel(stream)
 
     play(body)
 
 
-def test_a_caller_that_reads_nothing_holds_up_nobody_else(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_caller_that_reads_nothing_blocks_no_other(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
 
     async def body(world: World) -> None:
-        deaf, other = await world.caller(), await world.caller()
-        deaf.credit = False
-        streams = [deaf.begin("/read/Do", *script("messages 40, size 10000", f"r{at}")) for at in range(30)]
+        reading_nothing, other = await world.caller(), await world.caller()
+        reading_nothing.credit = False
+        streams = [reading_nothing.begin("/read/Do", *script("messages 40, size 10000", f"r{at}")) for at in range(30)]
         for stream in streams:
-            await deaf.send(stream, b"x", end=True)
+            await reading_nothing.send(stream, b"x", end=True)
         await until(lambda: world.ran() == 30)
         for _ in range(5):
-            got = await other.call("/read/Do", b"x", metadata=script("messages 40, size 10000"))
-            assert (got.status, len(got.messages)) == (0, 40)
+            response = await other.call("/read/Do", b"x", metadata=script("messages 40, size 10000"))
+            assert (response.status, len(response.messages)) == (0, 40)
         for stream in streams:
-            deaf.cancel(stream)
+            reading_nothing.cancel(stream)
 
     play(body)
 
 
-def test_an_answer_that_its_caller_does_not_read_is_cut_after_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_its_caller_does_not_read_is_reset_after_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
 
     async def body(world: World) -> None:
@@ -646,19 +651,19 @@
         caller.credit = False
         stream = caller.begin("/read/Do", *script("messages 1, size 100000"))
         await caller.send(stream, b"x", end=True)
-        assert (await caller.answer(stream)).reset == 8  # CANCEL: it was not all
+        assert (await caller.answer(stream)).reset == 8  # CANCEL: the response is incomplete
 
     play(body)
 
 
-def test_a_box_whose_window_stays_shut_costs_its_own_callers_time_alone() -> None:
+def test_a_closed_window_of_a_backend_delays_its_own_caller_alone() -> None:
     async def body(world: World) -> None:
         box, caller = world.box, await world.caller()
         box.credit = False
         stream = caller.begin("/read/Talk", ("grpc-timeout", "2S"))
         sending = asyncio.get_running_loop().create_task(caller.send(stream, b"x" * 500_000))
         await until(lambda: bool(box.calls) and box.calls[0].received == 65_535)
-        box.credit = True  # what has been used up of that connection's window stays so
+        box.credit = True  # the used part of that connection's window stays used
         assert (await caller.call("/read/Do", b"x")).status == 0  # on another connection
         assert box.accepted == 2 and not caller.answers[stream].over.is_set()
         assert (await caller.answer(stream)).status == DEADLINE
@@ -668,13 +673,13 @@
     play(body)
 
 
-def test_a_box_that_answers_before_the_caller_has_said_all_is_heard() -> None:
+def test_a_backends_response_before_the_end_of_the_request_is_forwarded() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/book/Talk")
         await caller.send(stream, b"one")
-        got = await caller.answer(stream)
-        assert (got.status, got.said) == (9, "enough")
+        response = await caller.answer(stream)
+        assert (response.status, response.said) == (9, "enough")
         assert (await caller.call("/book/Talk", b"x")).status == 9
 
     async def work(call: Call, _: Script) -> None:
@@ -684,10 +689,10 @@
     play(body, work=work)
 
 
-# ---- the end -------------------------------------------------------------------------------------
+# ---- shutdown ------------------------------------------------------------------------------------
 
 
-def test_sigterm_tells_goaway_waits_and_ends_what_is_still_open() -> None:
+def test_stopping_sends_goaway_waits_and_ends_open_streams() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         long = caller.begin("/read/Talk")
@@ -699,16 +704,16 @@
         assert (await caller.answer(short)).status == 0
         await until(lambda: len(caller.goaways) == 2)
         late = caller.begin("/book/Do", ("x-request-id", "late"))
-        got = await caller.answer(long)
-        assert got.status == UNKNOWN and got.messages == [b"one"]
+        response = await caller.answer(long)
+        assert response.status == UNKNOWN and response.messages == [b"one"]
         await soon(stopping)
-        assert caller.answers[late].reset == 7  # REFUSED_STREAM: it never ran
+        assert caller.answers[late].reset == 7  # REFUSED_STREAM: the call never ran
         assert [last for last, _ in caller.goaways][:2] == [2**31 - 1, short]
 
     play(body, head=HTTP2.replace("[limits]", '[limits]\ndrain = "2s"'))
 
 
-def test_a_reload_that_takes_the_listener_away_lets_streams_end() -> None:
+def test_a_reload_that_removes_the_listener_lets_streams_end() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/Talk")
@@ -722,14 +727,14 @@
         await soon(world.up.running.wait_for_reload())
         await until(lambda: bool(caller.goaways))
         await caller.send(stream, b"two", end=True)
-        got = await caller.answer(stream)
-        assert (got.status, got.messages) == (0, [b"one", b"two"])
+        response = await caller.answer(stream)
+        assert (response.status, response.messages) == (0, [b"one", b"two"])
         await soon(caller.closed.wait())
 
     play(body)
 
 
-def test_http1_and_http2_are_told_apart_however_the_first_bytes_come() -> None:
+def test_http1_and_http2_are_distinguished_however_the_first_bytes_are_split() -> None:
     async def body(world: World) -> None:
         preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
         for at in range(1, len(preface)):
@@ -751,7 +756,7 @@
     play(body)
 
 
-def test_a_listener_without_http2_takes_none() -> None:
+def test_a_listener_without_http2_closes_http2_connections() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
         await soon(caller.closed.wait())
@@ -768,8 +773,8 @@
     [row] = nodes.update_node("a", RegistryNode(json.dumps(entry).encode(), 1, 1, 1)).endpoints
     assert row.speaks_grpc
     changes = nodes.update_node("b", RegistryNode(json.dumps(entry | {"protocol": "smtp"}).encode(), 1, 1, 1))
-    [said] = changes.problems
-    assert "none of http, grpc" in said
+    [problem] = changes.problems
+    assert "none of http, grpc" in problem
     node = RegistryNode(b'{"address": "127.0.0.1:1"}', 1, 1, 1)
     [other] = RegistryEndpoints("own", "grpc").update_node("c", node).endpoints
     assert other.speaks_grpc
@@ -806,7 +811,7 @@
 
 def bombs(caller: Caller) -> None:
     block = bytearray(b"\x83\x86\x41\x01h\x44\x02/x")
-    block += b"\x40\x01b\x7f\x80\x1e" + b"y" * 3967 + b"\xbe" * 12_000  # one byte for each further 4 KB
+    block += b"\x40\x01b\x7f\x80\x1e" + b"y" * 3967 + b"\xbe" * 12_000  # one byte for each further header of 4 KB
     caller.raw(len(block).to_bytes(3, "big") + b"\1\5\0\0\0\1" + bytes(block))
 
 
@@ -822,7 +827,7 @@
 @pytest.mark.parametrize(
     "attack", [rapid_resets, pings, settings, empty_data, continuation, bombs, overflow, backwards]
 )
-def test_attacks_end_the_attackers_connection_and_harm_nobody_else(attack: Callable[[Caller], None]) -> None:
+def test_attacks_end_the_attackers_connection_and_no_other(attack: Callable[[Caller], None]) -> None:
     async def body(world: World) -> None:
         bad, good = await world.caller(), await world.caller()
         rounds = 0
@@ -836,8 +841,8 @@
     play(body)
 
 
-def test_a_caller_that_asks_and_reads_nothing_is_let_go() -> None:
-    """Bounds what waits for it: its PINGs are answered into a buffer that it never empties."""
+def test_the_buffer_of_a_caller_that_reads_nothing_is_bounded() -> None:
+    """The memory for a caller is bounded: replies to its requests wait in a buffer that it never empties."""
 
     async def body(world: World) -> None:
         caller = await world.caller()
@@ -853,10 +858,10 @@
     play(body)
 
 
-# ---- what is not switched on ---------------------------------------------------------------------
+# ---- HTTP/2 disabled -----------------------------------------------------------------------------
 
 
-def test_nothing_of_http2_is_imported_where_nobody_asks_for_it() -> None:
+def test_http2_is_imported_only_if_it_is_configured() -> None:
     code = (
         "import sys, asyncio\nfrom lugspur.config.load import load\nfrom lugspur.daemon.run import RunningDaemon\n"
         "async def play():\n    running = RunningDaemon(sys.argv[1])\n    await running.start(load(sys.argv[1]))\n"
@@ -868,12 +873,14 @@
         with TemporaryDirectory() as folder:
             file = Path(folder) / "lugspur.toml"
             file.write_text(text + pool("a", "127.0.0.1:9") + ROUTES)
-            said = subprocess.run([sys.executable, "-c", code, str(file)], capture_output=True, text=True, timeout=60)
-        assert said.returncode == 0, said.stderr
-        assert said.stdout == wanted or (not wanted and "lugspur.http2.front" in said.stdout)
+            completed = subprocess.run(
+                [sys.executable, "-c", code, str(file)], capture_output=True, text=True, timeout=60
+            )
+        assert completed.returncode == 0, completed.stderr
+        assert completed.stdout == wanted or (not wanted and "lugspur.http2.front" in completed.stdout)
 
 
-def test_a_file_that_asks_for_http2_without_the_library_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_configuration_with_http2_is_rejected_without_the_library(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lugspur.config.build.find_spec", lambda name: None)
     with TemporaryDirectory() as folder:
         file = Path(folder) / "lugspur.toml"
@@ -888,15 +895,15 @@
 
 
 @pytest.mark.parametrize("seed", [1])
-def test_mixed_calls_at_boxes_that_fail_lose_and_double_nothing(seed: int) -> None:
+def test_mixed_calls_to_failing_backends_are_neither_lost_nor_duplicated(seed: int) -> None:
     counts = asyncio.run(mixed(600, seed))
     assert counts.kept and counts.sent == 600, f"seed {seed}: {counts}"
 
 
-def test_the_stand_in_says_what_it_can_do() -> None:
-    said = subprocess.run(
+def test_the_stand_ins_help_lists_its_steps() -> None:
+    completed = subprocess.run(
         [sys.executable, "-m", "lugspur.standins.grpc", "--help"], capture_output=True, text=True, timeout=60
     )
-    assert all(step.split()[0] in said.stdout for step in STEPS)
+    assert all(step.split()[0] in completed.stdout for step in STEPS)
     with pytest.raises(Wrong, match="'jump' is no step; write one of refuse"):
         read("sleep 5ms, jump")
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -1,4 +1,4 @@
-"""Plain HTTP/2 requests and answers beyond `[limits] hold` pass through the daemon as they come, like HTTP/1.1 ones."""
+"""HTTP/2 requests and responses larger than `[limits] hold` are forwarded as they arrive, like those of HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from lugspur.http2 import front as http2_front
 from lugspur.standins.grpc.caller import Answer, Caller
 
-LARGE = HTTP2.replace("sockets = 1024", 'sockets = 1024\nhold = "64KiB"\nbody = "8MiB"')
+CONFIG = HTTP2.replace("sockets = 1024", 'sockets = 1024\nhold = "64KiB"\nbody = "8MiB"')
 ROUTES = route("book", "/book", 'pool = "a"\nclass = "book"\nfallback = ["b"]') + route(
     "read", "/read", 'pool = "a"\nclass = "read"'
 )
-NEVER_RAN = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
+NOT_PROCESSED = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 @asynccontextmanager
-async def before(*addresses: str, head: str = LARGE, connect: str = "") -> AsyncIterator[Served]:
-    """A daemon before these boxes."""
+async def daemon_for(*addresses: str, head: str = CONFIG, connect: str = "") -> AsyncIterator[Served]:
+    """Run a daemon with these backends in its pools `a` and `b`."""
     text = pool("a", *addresses, more=connect) + pool("b", *addresses) + ROUTES
     async with served(text, head) as up:
         yield up
 
 
-async def caller_of(up: Served, window: int | None = None) -> Caller:
+async def connect_caller(up: Served, window: int | None = None) -> Caller:
     return await Caller(window).connect(HOST, up.port())
 
 
-def begin(caller: Caller, path: str, *more: tuple[str, str], method: str = "POST", end: bool = False) -> int:
-    """A plain request's head; gives its stream."""
+def begin_request(caller: Caller, path: str, *more: tuple[str, str], method: str = "POST", end: bool = False) -> int:
+    """Send the headers of a plain request; return its stream id."""
     stream = int(caller.h2.get_next_available_stream_id())
     head = [(":method", method), (":scheme", "http"), (":path", path), (":authority", "h.example"), *more]
     caller.h2.send_headers(stream, head, end_stream=end)
@@ -49,48 +49,51 @@
 
 
 async def post(caller: Caller, path: str, body: bytes, *more: tuple[str, str]) -> Answer:
-    """A whole request with a body, and its answer."""
-    stream = begin(caller, path, *more)
+    """Send a request with a body; return its response."""
+    stream = begin_request(caller, path, *more)
     await soon(caller.write(stream, body, end=True))
     return await soon(caller.answer(stream))
 
 
-def held(up: Served) -> int:
-    """Bytes of bodies that the daemon counts."""
+def held_bytes(up: Served) -> int:
+    """Return the bytes of bodies that the daemon's listeners hold."""
     return sum(front.held for front, _ in up.running.listeners.values())
 
 
-async def empty(up: Served) -> None:
-    """Nothing is left in the daemon's hands."""
+async def assert_released(up: Served) -> None:
+    """Assert that the daemon has no open requests left and holds no bytes."""
     await until(lambda: up.in_hand() == 0)
-    assert held(up) == 0
+    assert held_bytes(up) == 0
     assert all(cluster.pool.upstream.flow_held == 0 for cluster in up.daemon.clusters.values())
 
 
 @pytest.mark.parametrize("size", [HOLD, HOLD + 1, 5 * HOLD, len(BODY)])
-@pytest.mark.parametrize("told", [True, False])
-def test_a_body_of_any_size_arrives_as_it_was(size: int, told: bool) -> None:
+@pytest.mark.parametrize("has_length", [True, False])
+def test_a_body_of_any_size_arrives_unchanged(size: int, has_length: bool) -> None:
     async def play() -> None:
-        async with box(echo) as address, before(address) as up:
-            caller, body = await caller_of(up), BODY[:size]
-            lines = [("content-length", str(size))] if told else []
+        async with box(respond_with_hash) as address, daemon_for(address) as up:
+            caller, body = await connect_caller(up), BODY[:size]
+            headers = [("content-length", str(size))] if has_length else []
             for path in ("/book", "/read"):
-                got = await post(caller, path, body, *lines)
-                assert (got.head[":status"], bytes(got.data)) == ("200", hashlib.sha256(body).hexdigest().encode())
-            await empty(up)
+                response = await post(caller, path, body, *headers)
+                assert (response.head[":status"], bytes(response.data)) == (
+                    "200",
+                    hashlib.sha256(body).hexdigest().encode(),
+                )
+            await assert_released(up)
             caller.close()
 
     asyncio.run(play())
 
 
-async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answers with the body's hash, however the body is framed."""
+async def respond_with_hash(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Respond with the hash of the body, whichever way the body is framed."""
     while True:
         _, body = await request_of(reader)
         writer.write(answer(hashlib.sha256(body).hexdigest().encode()))
 
 
-def large(body: bytes, head: str) -> Serve:
+def respond_with(body: bytes, head: str) -> Serve:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await request_of(reader)
@@ -111,109 +114,115 @@
 @pytest.mark.parametrize("size", [HOLD, HOLD + 1, len(BODY)])
 @pytest.mark.parametrize("head", ["length", "chunks", "end"])
 @pytest.mark.parametrize("path", ["/read", "/book"])
-def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, path: str) -> None:
+def test_a_response_of_any_size_and_framing_arrives_unchanged(size: int, head: str, path: str) -> None:
     async def play() -> None:
         body = noise(size)
-        async with box(large(body, head)) as address, before(address) as up:
-            caller = await caller_of(up)
+        async with box(respond_with(body, head)) as address, daemon_for(address) as up:
+            caller = await connect_caller(up)
             for _ in range(3):
-                got = await soon(caller.answer(begin(caller, path, end=True)))
-                assert (got.head[":status"], got.head["x-note"], got.ends, got.reset) == ("200", "a", 1, None)
-                assert bytes(got.data) == body
-            await empty(up)
+                response = await soon(caller.answer(begin_request(caller, path, end=True)))
+                assert (response.head[":status"], response.head["x-note"], response.ends, response.reset) == (
+                    "200",
+                    "a",
+                    1,
+                    None,
+                )
+                assert bytes(response.data) == body
+            await assert_released(up)
             caller.close()
 
     asyncio.run(play())
 
 
-def test_a_box_that_takes_nothing_stops_its_own_stream_and_no_other() -> None:
+def test_a_backend_that_reads_nothing_blocks_its_own_stream_alone() -> None:
     async def play() -> None:
-        go = asyncio.Event()
+        release = asyncio.Event()
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
             if b"x-slow" in head.lower():
-                await go.wait()
+                await release.wait()
             size = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
             body = await reader.readexactly(size)
             writer.write(answer(hashlib.sha256(body).hexdigest().encode()))
             await reader.read()
 
-        async with box(slow) as address, before(address) as up:
-            caller = await caller_of(up)
+        async with box(slow) as address, daemon_for(address) as up:
+            caller = await connect_caller(up)
             body = noise(8 << 20)
-            stuck = begin(caller, "/book", ("x-slow", "1"), ("content-length", str(len(body))))
-            sending = asyncio.get_running_loop().create_task(caller.write(stuck, body, end=True))
-            await until(lambda: caller.sent[stuck] >= 2 * HOLD)
+            slow_stream = begin_request(caller, "/book", ("x-slow", "1"), ("content-length", str(len(body))))
+            sending = asyncio.get_running_loop().create_task(caller.write(slow_stream, body, end=True))
+            await until(lambda: caller.sent[slow_stream] >= 2 * HOLD)
             for _ in range(3):
-                got = await post(caller, "/book", BODY, ("content-length", str(len(BODY))))
-                assert got.head[":status"] == "200"
-            # What the sockets in between hold is the system's matter; the rest has not been let come.
-            assert caller.sent[stuck] < len(body)
-            assert held(up) <= 4 * HOLD
-            go.set()
+                response = await post(caller, "/book", BODY, ("content-length", str(len(BODY))))
+                assert response.head[":status"] == "200"
+            # Sockets buffer some of the body, which depends on the system; the daemon has not read the rest.
+            assert caller.sent[slow_stream] < len(body)
+            assert held_bytes(up) <= 4 * HOLD
+            release.set()
             await soon(sending)
-            got = await soon(caller.answer(stuck))
-            assert bytes(got.data) == hashlib.sha256(body).hexdigest().encode()
-            await empty(up)
+            response = await soon(caller.answer(slow_stream))
+            assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
+            await assert_released(up)
             caller.close()
 
     asyncio.run(play())
 
 
-def test_answers_that_are_not_read_hold_little_and_hold_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unread_responses_hold_little_memory_and_block_no_other_caller(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.3)
 
     async def play() -> None:
-        async with box(large(BODY, "length")) as address, before(address) as up:
-            deaf, other = await caller_of(up), await caller_of(up)
-            deaf.credit = False
-            streams = [begin(deaf, "/read", end=True) for _ in range(20)]
+        async with box(respond_with(BODY, "length")) as address, daemon_for(address) as up:
+            reading_nothing, other = await connect_caller(up), await connect_caller(up)
+            reading_nothing.credit = False
+            streams = [begin_request(reading_nothing, "/read", end=True) for _ in range(20)]
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
-                assert bytes((await soon(other.answer(begin(other, "/read", end=True)))).data) == BODY
+                assert bytes((await soon(other.answer(begin_request(other, "/read", end=True)))).data) == BODY
                 assert upstream.flow_held <= upstream.flow_most + 20 * HOLD
             for stream in streams:
-                got = await soon(deaf.answer(stream))
-                assert got.reset == 8 and got.ends == 0  # CANCEL: it stood still, and was not all
-            await empty(up)
-            for caller in (deaf, other):
+                response = await soon(reading_nothing.answer(stream))
+                # CANCEL: the response made no progress and is incomplete.
+                assert response.reset == 8 and response.ends == 0
+            await assert_released(up)
+            for caller in (reading_nothing, other):
                 caller.close()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("size", [200_000, len(BODY)])
-def test_a_caller_that_reads_slowly_gets_all_of_it(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Held whole or passed on: what moves is not cut off, however long it takes in all.
+def test_a_caller_that_reads_slowly_gets_the_whole_response(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Whether held or forwarded, a response that makes progress is not reset, however long it takes in total.
     monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
     monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.1)
     body = BODY[:size]
 
     async def play() -> None:
-        head = LARGE.replace('hold = "64KiB"', 'hold = "1MiB"')
-        async with box(large(body, "length")) as address, before(address, head=head) as up:
-            caller = await caller_of(up, window=size // 10)
+        head = CONFIG.replace('hold = "64KiB"', 'hold = "1MiB"')
+        async with box(respond_with(body, "length")) as address, daemon_for(address, head=head) as up:
+            caller = await connect_caller(up, window=size // 10)
             caller.credit = False
-            stream = begin(caller, "/read", end=True)
-            got, begun = caller.answers[stream], asyncio.get_running_loop().time()
-            read = 0
-            while not got.over.is_set():
+            stream = begin_request(caller, "/read", end=True)
+            response, started_at = caller.answers[stream], asyncio.get_running_loop().time()
+            acknowledged = 0
+            while not response.over.is_set():
                 await asyncio.sleep(0.03)
-                if len(got.data) > read:
-                    caller.h2.acknowledge_received_data(len(got.data) - read, stream)
-                    read = len(got.data)
+                if len(response.data) > acknowledged:
+                    caller.h2.acknowledge_received_data(len(response.data) - acknowledged, stream)
+                    acknowledged = len(response.data)
                     caller.flush()
-            assert (got.reset, bytes(got.data)) == (None, body)
-            assert asyncio.get_running_loop().time() - begun > 0.2  # longer than either limit
+            assert (response.reset, bytes(response.data)) == (None, body)
+            assert asyncio.get_running_loop().time() - started_at > 0.2  # longer than both timeouts
             caller.close()
 
     asyncio.run(play())
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_an_answer_that_breaks_off_can_be_told_from_a_whole_one(form: str) -> None:
-    async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_a_truncated_response_ends_with_a_reset(form: str) -> None:
+    async def break_off(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await request_of(reader)
         if form == "length":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"a" * 100_000)
@@ -222,130 +231,130 @@
         await writer.drain()
 
     async def play() -> None:
-        async with box(cut) as address, before(address) as up:
-            caller = await caller_of(up)
-            got = await soon(caller.answer(begin(caller, "/book", end=True)))
-            assert (got.head[":status"], got.ends, got.reset) == ("200", 0, 2)  # INTERNAL_ERROR
-            await empty(up)
+        async with box(break_off) as address, daemon_for(address) as up:
+            caller = await connect_caller(up)
+            response = await soon(caller.answer(begin_request(caller, "/book", end=True)))
+            assert (response.head[":status"], response.ends, response.reset) == ("200", 0, 2)  # INTERNAL_ERROR
+            await assert_released(up)
             caller.close()
 
     asyncio.run(play())
 
 
-def test_a_large_answer_before_the_bodys_end_is_passed_on_whole_and_alone() -> None:
-    async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_a_large_response_before_the_end_of_the_request_is_forwarded_whole_and_once() -> None:
+    async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(HOLD)
         writer.write(answer(BODY))
         await reader.read()
 
     async def play() -> None:
-        async with box(early) as address, before(address) as up:
-            caller = await caller_of(up)
-            stream = begin(caller, "/book")
+        async with box(respond_early) as address, daemon_for(address) as up:
+            caller = await connect_caller(up)
+            stream = begin_request(caller, "/book")
             await soon(caller.write(stream, noise(3 * HOLD)))
-            got = await soon(caller.answer(stream))
-            assert (got.head[":status"], bytes(got.data)) == ("200", BODY)
-            await empty(up)
+            response = await soon(caller.answer(stream))
+            assert (response.head[":status"], bytes(response.data)) == ("200", BODY)
+            await assert_released(up)
             caller.close()
 
     asyncio.run(play())
 
 
-def test_a_caller_that_gives_up_in_the_middle_leaves_nothing_and_its_request_never_runs() -> None:
+def test_a_cancelled_upload_releases_everything_and_never_runs() -> None:
     async def play() -> None:
-        async with backend(digest) as one, before(one.address) as up:
+        async with backend(digest) as one, daemon_for(one.address) as up:
             for way in ("reset", "close"):
-                caller = await caller_of(up)
-                stream = begin(caller, "/book", ("content-length", str(len(BODY))))
+                caller = await connect_caller(up)
+                stream = begin_request(caller, "/book", ("content-length", str(len(BODY))))
                 await soon(caller.write(stream, BODY[: 3 * HOLD]))
                 await until(lambda: up.in_hand() == 1)
                 if way == "reset":
                     caller.cancel(stream)
-                    await empty(up)
+                    await assert_released(up)
                 caller.close()
-                await empty(up)
+                await assert_released(up)
             await until(lambda: one.ended.qsize() == 2)
             assert one.got.empty()
 
     asyncio.run(play())
 
 
-def test_an_attempt_that_was_turned_away_is_followed_by_another_while_all_is_there() -> None:
+def test_a_rejected_attempt_is_retried_while_the_whole_body_is_kept() -> None:
     async def play() -> None:
-        async def full(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(NEVER_RAN)
+            writer.write(NOT_PROCESSED)
             await reader.read()
 
-        async with box(full) as first, backend(digest) as second, before(first, second.address) as up:
-            caller = await caller_of(up)
-            for _ in range(6):  # the first box is met by some
+        async with box(reject) as first, backend(digest) as second, daemon_for(first, second.address) as up:
+            caller = await connect_caller(up)
+            for _ in range(6):  # some of them reach the first backend
                 body = noise(HOLD + 1000)
-                got = await post(caller, "/book", body, ("content-length", str(len(body))))
-                assert bytes(got.data) == hashlib.sha256(body).hexdigest().encode()
+                response = await post(caller, "/book", body, ("content-length", str(len(body))))
+                assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
             assert second.got.qsize() == 6
-            await empty(up)
+            await assert_released(up)
             caller.close()
 
     asyncio.run(play())
 
 
-def test_what_is_too_large_or_too_slow_is_turned_away_in_its_middle(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_body_that_is_too_large_or_too_slow_is_rejected_midway(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http2_front, "BODY_LEAST", 0.1)
 
     async def play() -> None:
-        head = LARGE.replace("[limits]", '[limits]\nread = "100ms"')
-        ran = []
-
-        async def count(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            ran.append(await request_of(reader))
-
-        async with box(count) as address, before(address, head=head) as up:
-            caller = await caller_of(up)
-            got = await soon(caller.answer(begin(caller, "/book", ("content-length", str(9 << 20)))))
-            assert got.head[":status"] == "413"  # by its length alone
-            got = await post(caller, "/book", bytes(9 << 20))
-            assert got.head[":status"] == "413"
-            stream = begin(caller, "/book")
+        head = CONFIG.replace("[limits]", '[limits]\nread = "100ms"')
+        received_requests = []
+
+        async def record(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            received_requests.append(await request_of(reader))
+
+        async with box(record) as address, daemon_for(address, head=head) as up:
+            caller = await connect_caller(up)
+            response = await soon(caller.answer(begin_request(caller, "/book", ("content-length", str(9 << 20)))))
+            assert response.head[":status"] == "413"  # rejected by its content-length alone
+            response = await post(caller, "/book", bytes(9 << 20))
+            assert response.head[":status"] == "413"
+            stream = begin_request(caller, "/book")
             await soon(caller.write(stream, BODY[: HOLD + 1]))
-            got = await soon(caller.answer(stream))  # it stops, and 24 kB a second are due
-            assert got.head[":status"] == "408"
-            await empty(up)
-            assert not ran
+            response = await soon(caller.answer(stream))  # the body stops, and at least 24 kB a second are required
+            assert response.head[":status"] == "408"
+            await assert_released(up)
+            assert not received_requests
             caller.close()
 
     asyncio.run(play())
 
 
-def test_a_slow_body_is_waited_for_and_its_time_counts_from_its_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "BODY_RATE", 1 << 20)  # of which it keeps ahead
-    assert fronts.BODY_RATE < 64_000  # what callers with little room may need
+def test_a_slow_body_is_accepted_and_the_deadline_counts_from_its_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(http2_front, "BODY_RATE", 1 << 20)  # the body arrives faster than that
+    assert fronts.BODY_RATE < 64_000  # slow callers may send as little as 64 kB a second
 
     async def play() -> None:
-        head = LARGE.replace("[limits]", '[limits]\nread = "100ms"').replace(
+        head = CONFIG.replace("[limits]", '[limits]\nread = "100ms"').replace(
             '[classes.book]\naim = "30s"\ndeadline = "30s"', '[classes.book]\naim = "200ms"\ndeadline = "200ms"'
         )
-        async with backend(digest) as one, before(one.address, head=head) as up:
-            caller, body = await caller_of(up), noise(5 * HOLD)
-            stream = begin(caller, "/book", ("content-length", str(len(body))))
+        async with backend(digest) as one, daemon_for(one.address, head=head) as up:
+            caller, body = await connect_caller(up), noise(5 * HOLD)
+            stream = begin_request(caller, "/book", ("content-length", str(len(body))))
             for at in range(0, len(body), HOLD):
                 await soon(caller.write(stream, body[at : at + HOLD], end=at + HOLD >= len(body)))
                 await asyncio.sleep(0.08)
-            got = await soon(caller.answer(stream))
-            assert bytes(got.data) == hashlib.sha256(body).hexdigest().encode()
+            response = await soon(caller.answer(stream))
+            assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
             caller.close()
 
     asyncio.run(play())
 
 
-def test_a_grpc_box_gets_a_large_body_whole() -> None:
+def test_a_grpc_backend_gets_a_large_body_whole() -> None:
     async def play() -> None:
         head = HTTP2.replace("sockets = 1024", 'sockets = 1024\nhold = "16KiB"')
         async with boxed(1, head=head) as world:
             caller = await world.caller()
-            got = await post(caller, "/book/a", b"x" * 200_000)
-            assert got.head[":status"] == "200"
+            response = await post(caller, "/book/a", b"x" * 200_000)
+            assert response.head[":status"] == "200"
             assert world.ran() == 1
             await until(lambda: world.up.in_hand() == 0)
 
--- a/tests/http2/test_machine.py
+++ b/tests/http2/test_machine.py
@@ -539,9 +539,8 @@
     stream = pair.send_request(end=False)
     pair.exchange()
     pair.session.reset_stream(stream, 8)
-    assert (
-        pair.receive_frames(data_frame(stream, b"late"), hf.WindowUpdateFrame(stream, window_increment=1)) == []
-    )  # sent before the reset was received
+    # Frames that the peer sent before it received the reset are ignored.
+    assert pair.receive_frames(data_frame(stream, b"late"), hf.WindowUpdateFrame(stream, window_increment=1)) == []
 
 
 def test_unknown_frames_and_settings_are_ignored() -> None:
