--- a/lugspur/http2/frames.py
+++ b/lugspur/http2/frames.py
@@ -2,7 +2,7 @@
 
 h2 doesn't limit frames that cost the peer nothing, buffers a frame that is too long until it is complete, and ends
 the connection for good at any GOAWAY, which RFC 9113 6.8 does not ask for. The filter here therefore reads each frame
-header first: a flood ends the connection before its frames are parsed, and GOAWAY frames are taken pieces of the data
+header first: a flood ends the connection before its frames are parsed, and GOAWAY frames are taken out of the data
 and handled by the session.
 """
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -566,7 +566,7 @@
 
     def _open_stream(self, event: HeadersReceived) -> None:
         if event.stream_id > self._last_stream_id:
-            self.session.reset_stream(event.stream_id, REFUSED_STREAM)  # the GOAWAY has said that it would not run
+            self.session.reset_stream(event.stream_id, REFUSED_STREAM)  # above the last id of the GOAWAY: never ran
             return
         headers = dict(event.fields)
         is_grpc = mapping.is_grpc(headers.get(b"content-type", b""))
--- a/lugspur/http2/machine.py
+++ b/lugspur/http2/machine.py
@@ -29,7 +29,7 @@
 )
 
 HeaderFields = list[tuple[bytes, bytes]]
-# Headers whose values differ from request to request.
+# Headers whose values don't occur again; they are kept out of HPACK's dynamic table.
 NEVER_INDEXED_HEADERS = frozenset(
     {b"x-request-id", b"grpc-timeout", b"idempotency-key", b"traceparent", b"content-length"}
 )
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeadersReceived:
-    """The header list of a request or a response; with `ended` set neither a body nor trailers follow."""
+    """The header list of a request or a response; with `end_stream` neither a body nor trailers follow."""
 
     stream_id: int
     fields: HeaderFields
@@ -175,7 +175,7 @@
         self._encoded_data_bytes = 0  # bytes of DATA encoded since the last `take_output`
         self._has_more_data = False  # whether MAX_ENCODED_DATA_BYTES holds back DATA that still waits
         self.is_closed = False
-        self.open_streams: set[int] = set()  # streams that aren't closed in both directions, and not reset
+        self.open_streams: set[int] = set()  # streams that were neither reset nor ended by both sides
         self._ended_streams: set[int] = set()  # open streams whose local side has ended
         self._unacknowledged_bytes: dict[int, int] = {}  # received bytes of each stream that were not acknowledged
 
