--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -1,4 +1,4 @@
-"""Judges a history: each rule is a pure function from what was seen to what was broken."""
+"""Checks a history: each rule is a pure function from the observed events to the violations among them."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lugspur.bench.faults.history import Call, History, Invalid, Item, Order, OrderTry, Read
+from lugspur.bench.faults.history import Call, History, Invalid, Item, Order, OrderAttempt, Read
 
-TIMING_SLACK = 0.25  # seconds on top of a bound of time, for the rig's own delays on a loaded machine
-NOT_RUN = frozenset({408, 421, 429, 503})  # statuses that promise that the attempt has not run
+TIMING_SLACK = 0.25  # seconds added to each time bound for the rig's own delays on a loaded machine
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # statuses which promise that the attempt has not run
+# Statuses that a keyed operation may end with.
 KEYED_STATUSES = frozenset({200, 409, 500, 502, 503, 504})
 
 
 class Rule(enum.Enum):
-    """What may be broken."""
+    """A guarantee of the mesh; the value is the violation's heading in reports."""
 
     DECIDED_ONCE = "two contents confirmed under one edition"
     LOST = "confirmed and not read back"
@@ -36,45 +37,48 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One breach of a rule; `subject` is what `History.around` shows more of."""
+    """One violation of a rule; `History.around` lists the events that concern `subject`."""
 
     rule: Rule
     subject: str
     at: float
     detail: str
-    where: str = ""  # where it was seen first; the same elsewhere, or again, is no other violation
+    where: str = ""  # where it was observed first; the same one observed elsewhere or later is not counted again
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """The settings' bounds that the rules name, in seconds."""
+    """The time bounds of the settings that the rules apply, in seconds."""
 
     edition: float = 2.0
     contact: float = 3.0
 
 
 def check(history: History, bounds: Bounds) -> list[Violation]:
-    """All breaches, in the order of time."""
-    index = _Index(history)
-    found = [
-        *_decided_once(index),
-        *_read_back(history, index),
-        *_refusals(history, index),
-        *_cut_off(history, bounds),
-        *_served(history, index, bounds),
-        *_useful(history),
-        *_runs(history),
-        *_answers(history),
+    """Return all violations, ordered by time."""
+    index = _OrderIndex(history)
+    violations = [
+        *_check_decided_once(index),
+        *_check_read_back(history, index),
+        *_check_refusals(history, index),
+        *_check_isolated(history, bounds),
+        *_check_routes_in_use(history, index, bounds),
+        *_check_recovery(history),
+        *_check_runs(history),
+        *_check_responses(history),
     ]
     first: dict[tuple[Rule, str, str], Violation] = {}
-    for violation in sorted(found, key=lambda violation: violation.at):
+    for violation in sorted(violations, key=lambda violation: violation.at):
         first.setdefault((violation.rule, violation.subject, violation.detail), violation)
     return list(first.values())
 
 
 @dataclass(frozen=True, eq=False)
-class _Sent:
-    """One item of an order, and when that was first sent; `refused`: nothing of it may be in force."""
+class _SentItem:
+    """One item of an order, and the time at which the order was first sent.
+
+    `refused` tells that no item of the order may be in force.
+    """
 
     at: float
     item: Item
@@ -82,184 +86,193 @@
     refused: bool
 
 
-class _Index:
-    """Orders and their tries, by what the rules ask for."""
+class _OrderIndex:
+    """Index of the orders and their attempts, by the keys that the rules look up."""
 
     def __init__(self, history: History) -> None:
-        self.tries: dict[int, list[OrderTry]] = defaultdict(list)  # by the orders' numbers
-        for sent in sorted(history.tries, key=lambda sent: sent.began):
-            self.tries[sent.order.ident].append(sent)
-        self._by_name: dict[str, list[_Sent]] = defaultdict(list)
-        self._by_edition: dict[tuple[str, int], list[_Sent]] = defaultdict(list)
-        for tries in self.tries.values():
-            order = tries[0].order
-            refused = any(sent.refused for sent in tries) and not any(sent.confirmed for sent in tries)
+        self.attempts: dict[int, list[OrderAttempt]] = defaultdict(list)  # by order number
+        for attempt in sorted(history.tries, key=lambda attempt: attempt.began):
+            self.attempts[attempt.order.ident].append(attempt)
+        self._by_name: dict[str, list[_SentItem]] = defaultdict(list)
+        self._by_edition: dict[tuple[str, int], list[_SentItem]] = defaultdict(list)
+        for attempts in self.attempts.values():
+            order = attempts[0].order
+            refused = any(attempt.refused for attempt in attempts) and not any(
+                attempt.confirmed for attempt in attempts
+            )
             for item in order.items:
-                found = _Sent(tries[0].began, item, order, refused or not order.valid)
-                self._by_name[item.name].append(found)
-                self._by_edition[item.name, item.edition].append(found)
+                sent_item = _SentItem(attempts[0].began, item, order, refused or not order.valid)
+                self._by_name[item.name].append(sent_item)
+                self._by_edition[item.name, item.edition].append(sent_item)
         self._read_at: dict[tuple[str, int], float] = {}  # when an edition was first read
         for read in history.reads:
             for item in read.items:
                 key = item.name, item.edition
                 self._read_at[key] = min(self._read_at.get(key, math.inf), read.began)
 
-    def knows(self, name: str) -> bool:
-        """Whether any order was about this name."""
+    def has_orders_for(self, name: str) -> bool:
+        """Return whether any order contained this name."""
         return name in self._by_name
 
-    def sent(self, name: str, until: float) -> Iterator[_Sent]:
-        """What was sent of a name up to a time."""
-        return (found for found in self._by_name.get(name, ()) if found.at <= until)
+    def sent_items(self, name: str, until: float) -> Iterator[_SentItem]:
+        """Return the items of a name that were sent up to a time."""
+        return (sent_item for sent_item in self._by_name.get(name, ()) if sent_item.at <= until)
+
+    def sent_under_edition(self, item: Item, until: float) -> Iterator[_SentItem]:
+        """Return the items that were sent under the name and edition of an item up to a time."""
+        return (sent_item for sent_item in self._by_edition.get((item.name, item.edition), ()) if sent_item.at <= until)
 
-    def sent_under(self, item: Item, until: float) -> Iterator[_Sent]:
-        """What was sent under the edition of an item up to a time."""
-        return (found for found in self._by_edition.get((item.name, item.edition), ()) if found.at <= until)
+    def is_superseded(self, item: Item, until: float) -> bool:
+        """Return whether a higher edition that may be in force was sent up to a time.
 
-    def overtaken(self, item: Item, until: float) -> bool:
-        """Whether a higher edition, which may be in force, was sent up to a time; or is, though it was refused."""
+        A refused edition counts from the time at which it was read: it is in force although it was refused.
+        """
         return any(
-            found.item.edition > item.edition
-            and (not found.refused or self._read_at.get((item.name, found.item.edition), math.inf) <= until)
-            for found in self.sent(item.name, until)
+            sent_item.item.edition > item.edition
+            and (not sent_item.refused or self._read_at.get((item.name, sent_item.item.edition), math.inf) <= until)
+            for sent_item in self.sent_items(item.name, until)
         )
 
 
-# ---- what was confirmed -------------------------------------------------------------------------
+# ---- confirmed orders ---------------------------------------------------------------------------
 
 
-def _decided_once(index: _Index) -> Iterator[Violation]:
-    confirmed: dict[tuple[str, int], dict[bytes | None, OrderTry]] = defaultdict(dict)
-    for tries in index.tries.values():
-        first = next((sent for sent in tries if sent.confirmed), None)
+def _check_decided_once(index: _OrderIndex) -> Iterator[Violation]:
+    confirmed: dict[tuple[str, int], dict[bytes | None, OrderAttempt]] = defaultdict(dict)
+    for attempts in index.attempts.values():
+        first = next((attempt for attempt in attempts if attempt.confirmed), None)
         if first is None:
             continue
         for item in first.order.items:
-            # Under a higher edition that stands an older one has no effect, and is acknowledged all the same.
-            if not index.overtaken(item, first.ended):
+            # An edition older than the one in force has no effect, and is acknowledged all the same.
+            if not index.is_superseded(item, first.ended):
                 confirmed[item.name, item.edition].setdefault(item.content, first)
     for (name, edition), contents in confirmed.items():
         if len(contents) > 1:
-            orders = ", ".join(f"order {sent.order.ident} at {sent.machine}" for sent in contents.values())
-            at = max(sent.ended for sent in contents.values())
+            orders = ", ".join(f"order {attempt.order.ident} at {attempt.machine}" for attempt in contents.values())
+            at = max(attempt.ended for attempt in contents.values())
             yield Violation(Rule.DECIDED_ONCE, name, at, f"edition {edition:x}: {orders}")
 
 
 @dataclass(frozen=True)
-class _Floor:
-    """What must be read of a name from now on: this, or a higher edition."""
+class _EditionFloor:
+    """The lowest edition of a name that later reads may return."""
 
     item: Item
     cause: str
     rule: Rule
 
 
-def _read_back(history: History, index: _Index) -> Iterator[Violation]:
+def _check_read_back(history: History, index: _OrderIndex) -> Iterator[Violation]:
     reads = [read for read in history.reads if read.status == 200]
-    events: list[tuple[float, int, OrderTry | Read]] = []
-    events += [(sent.ended, 0, sent) for sent in history.tries if sent.confirmed]
+    events: list[tuple[float, int, OrderAttempt | Read]] = []
+    events += [(attempt.ended, 0, attempt) for attempt in history.tries if attempt.confirmed]
     events += [(read.ended, 0, read) for read in reads]
     events += [(read.began, 1, read) for read in reads]
-    floors: dict[str, _Floor] = {}
+    floors: dict[str, _EditionFloor] = {}
     for _, kind, event in sorted(events, key=lambda row: row[:2]):
-        if isinstance(event, OrderTry):
+        if isinstance(event, OrderAttempt):
             for item in event.order.items:
-                _raise(floors, _Floor(item, f"order {event.order.ident} confirmed at {event.machine}", Rule.LOST))
+                _raise_floor(
+                    floors, _EditionFloor(item, f"order {event.order.ident} confirmed at {event.machine}", Rule.LOST)
+                )
         elif kind == 0:
             for item in event.items:
-                _raise(floors, _Floor(item, "read before", Rule.BACKWARDS))
+                _raise_floor(floors, _EditionFloor(item, "read before", Rule.BACKWARDS))
         else:
-            yield from _read_above(event, floors, index)
+            yield from _check_read(event, floors, index)
 
 
-def _raise(floors: dict[str, _Floor], floor: _Floor) -> None:
-    standing = floors.get(floor.item.name)
-    if standing is None or floor.item.edition > standing.item.edition:
+def _raise_floor(floors: dict[str, _EditionFloor], floor: _EditionFloor) -> None:
+    current = floors.get(floor.item.name)
+    if current is None or floor.item.edition > current.item.edition:
         floors[floor.item.name] = floor
 
 
-def _read_above(read: Read, floors: dict[str, _Floor], index: _Index) -> Iterator[Violation]:
-    """One read against all that stood when it began."""
-    found = {item.name: item for item in read.items}
+def _check_read(read: Read, floors: dict[str, _EditionFloor], index: _OrderIndex) -> Iterator[Violation]:
+    """Compare one read with the floors that applied when it began."""
+    read_items = {item.name: item for item in read.items}
     for name, floor in floors.items():
-        below = floor.item
-        item = found.get(name)
+        required = floor.item
+        item = read_items.get(name)
         if item is None:
-            dropped = below.content is None or any(
-                sent.item.content is None and sent.item.edition > below.edition and not sent.refused
-                for sent in index.sent(name, read.ended)
+            withdrawn = required.content is None or any(
+                sent_item.item.content is None and sent_item.item.edition > required.edition and not sent_item.refused
+                for sent_item in index.sent_items(name, read.ended)
             )
-            if not dropped:
-                detail = f"{below} ({floor.cause}) is absent"
+            if not withdrawn:
+                detail = f"{required} ({floor.cause}) is absent"
                 yield Violation(floor.rule, name, read.began, detail, f"at {read.machine}")
-        elif item.edition < below.edition or (item.edition == below.edition and item.content != below.content):
-            detail = f"{below} ({floor.cause}) is read as {item}"
+        elif item.edition < required.edition or (item.edition == required.edition and item.content != required.content):
+            detail = f"{required} ({floor.cause}) is read as {item}"
             yield Violation(floor.rule, name, read.began, detail, f"at {read.machine}")
     for item in read.items:
-        same = [sent for sent in index.sent_under(item, read.ended) if sent.item == item]
-        if not same:
+        same_items = [sent_item for sent_item in index.sent_under_edition(item, read.ended) if sent_item.item == item]
+        if not same_items:
             yield Violation(Rule.REFUSED_IN_FORCE, item.name, read.began, f"{item} was never sent")
-        elif all(sent.refused for sent in same):
-            detail = f"{item} of order {same[0].order.ident} was refused and is read"
+        elif all(sent_item.refused for sent_item in same_items):
+            detail = f"{item} of order {same_items[0].order.ident} was refused and is read"
             yield Violation(Rule.REFUSED_IN_FORCE, item.name, read.began, detail, f"at {read.machine}")
 
 
-# ---- what was refused ---------------------------------------------------------------------------
+# ---- refused orders -----------------------------------------------------------------------------
 
 
-def _refusals(history: History, index: _Index) -> Iterator[Violation]:
-    for tries in index.tries.values():
-        order = tries[0].order
-        taken = next((sent for sent in tries if sent.confirmed), None)
+def _check_refusals(history: History, index: _OrderIndex) -> Iterator[Violation]:
+    for attempts in index.attempts.values():
+        order = attempts[0].order
+        confirmed = next((attempt for attempt in attempts if attempt.confirmed), None)
         if not order.valid:
-            if taken is not None and not _without_effect(order, taken, index):
-                yield Violation(Rule.INVALID, order.items[0].name, taken.ended, f"order {order.ident}")
+            if confirmed is not None and not _had_no_effect(order, confirmed, index):
+                yield Violation(Rule.INVALID, order.items[0].name, confirmed.ended, f"order {order.ident}")
             continue
-        for sent in tries:
-            if not sent.refused:
+        for attempt in attempts:
+            if not attempt.refused:
                 continue
             subject = order.items[0].name
-            if taken is not None and not any(index.overtaken(item, sent.ended) for item in order.items):
-                detail = f"order {order.ident}: 200 at {taken.machine}, {sent.status} at {sent.machine}"
-                yield Violation(Rule.REFUSED_AFTER_CONFIRMED, subject, sent.ended, detail)
-            elif sent.status != 409 or not _contested(order, sent.ended, index):
-                detail = f"order {order.ident}: {sent.status} at {sent.machine}"
-                yield Violation(Rule.REFUSED_WITHOUT_CAUSE, subject, sent.ended, detail)
+            if confirmed is not None and not any(index.is_superseded(item, attempt.ended) for item in order.items):
+                detail = f"order {order.ident}: 200 at {confirmed.machine}, {attempt.status} at {attempt.machine}"
+                yield Violation(Rule.REFUSED_AFTER_CONFIRMED, subject, attempt.ended, detail)
+            elif attempt.status != 409 or not _has_rival(order, attempt.ended, index):
+                detail = f"order {order.ident}: {attempt.status} at {attempt.machine}"
+                yield Violation(Rule.REFUSED_WITHOUT_CAUSE, subject, attempt.ended, detail)
 
 
-def _without_effect(order: Order, taken: OrderTry, index: _Index) -> bool:
-    """Whether an invalid order had no effect, and could not be told from an old one that was right once."""
-    overtaken = all(index.overtaken(item, taken.ended) for item in order.items)
-    return order.invalid is Invalid.BESIDE_OTHERS and overtaken
+def _had_no_effect(order: Order, confirmed: OrderAttempt, index: _OrderIndex) -> bool:
+    """Return whether an invalid order had no effect and could not be told from an old one that used to be valid."""
+    superseded = all(index.is_superseded(item, confirmed.ended) for item in order.items)
+    return order.invalid is Invalid.BESIDE_OTHERS and superseded
 
 
-def _contested(order: Order, until: float, index: _Index) -> bool:
-    """Whether another content under the same edition was sent."""
+def _has_rival(order: Order, until: float, index: _OrderIndex) -> bool:
+    """Return whether other content was sent under the same edition."""
     return any(
         rival.order.valid and rival.item.content != item.content
         for item in order.items
-        for rival in index.sent_under(item, until)
+        for rival in index.sent_under_edition(item, until)
     )
 
 
-# ---- cuts ---------------------------------------------------------------------------------------
+# ---- network partitions and recovery ------------------------------------------------------------
 
 
-def _cut_off(history: History, bounds: Bounds) -> Iterator[Violation]:
+def _check_isolated(history: History, bounds: Bounds) -> Iterator[Violation]:
     for span in history.spans:
         since = span.began + bounds.edition + TIMING_SLACK
 
-        def inside(event: OrderTry | Read, since: float = since, until: float = span.ended) -> bool:
+        def inside(event: OrderAttempt | Read, since: float = since, until: float = span.ended) -> bool:
             return event.began >= since and event.ended <= until
 
-        for sent in history.tries:
-            if sent.machine not in span.isolated or not inside(sent):
+        for attempt in history.tries:
+            if attempt.machine not in span.isolated or not inside(attempt):
                 continue
-            detail = f"order {sent.order.ident}: {sent.status}, {sent.began - span.began:.2f} s into {span.kind}"
-            if sent.confirmed:
-                yield Violation(Rule.CUT_OFF_CONFIRMS, sent.machine, sent.ended, detail)
-            elif sent.refused and sent.order.valid:
-                yield Violation(Rule.CUT_OFF_REFUSES, sent.machine, sent.ended, detail)
+            detail = (
+                f"order {attempt.order.ident}: {attempt.status}, {attempt.began - span.began:.2f} s into {span.kind}"
+            )
+            if attempt.confirmed:
+                yield Violation(Rule.CUT_OFF_CONFIRMS, attempt.machine, attempt.ended, detail)
+            elif attempt.refused and attempt.order.valid:
+                yield Violation(Rule.CUT_OFF_REFUSES, attempt.machine, attempt.ended, detail)
         for read in history.reads:
             if read.machine in span.isolated and inside(read) and read.status == 200:
                 where = f"{read.began - span.began:.2f} s after its beginning"
@@ -267,50 +280,56 @@
                 yield Violation(Rule.CUT_OFF_READS, read.machine, read.ended, detail, where)
 
 
-def _served(history: History, index: _Index, bounds: Bounds) -> Iterator[Violation]:
-    """Requests on operators' routes, by the service that answered; 404 shows a route that is not there."""
+def _check_routes_in_use(history: History, index: _OrderIndex, bounds: Bounds) -> Iterator[Violation]:
+    """Check requests on the operators' routes: the service that responds shows which edition the proxy uses.
+
+    A 404 shows that the proxy has no such route.
+    """
     floors: dict[str, list[tuple[float, Item]]] = defaultdict(list)
-    for sent in history.tries:
-        if sent.confirmed:
-            due = _due(sent.ended, history, bounds)
-            for item in sent.order.items:
-                floors[item.name].append((due, item))
+    for attempt in history.tries:
+        if attempt.confirmed:
+            deadline = _propagation_deadline(attempt.ended, history, bounds)
+            for item in attempt.order.items:
+                floors[item.name].append((deadline, item))
     for call in history.calls:
-        if not index.knows(call.route) or call.status not in (200, 404):
+        if not index.has_orders_for(call.route) or call.status not in (200, 404):
             continue
-        due_items = [item for due, item in floors[call.route] if due + TIMING_SLACK <= call.began]
-        if not due_items:
+        required_items = [item for deadline, item in floors[call.route] if deadline + TIMING_SLACK <= call.began]
+        if not required_items:
             continue
-        floor = max(due_items, key=lambda item: item.edition)
-        fitting = [
-            sent
-            for sent in index.sent(call.route, call.ended)
-            if sent.item.edition >= floor.edition and _shows(call, sent.item)
+        floor = max(required_items, key=lambda item: item.edition)
+        matching = [
+            sent_item
+            for sent_item in index.sent_items(call.route, call.ended)
+            if sent_item.item.edition >= floor.edition and _matches_response(call, sent_item.item)
         ]
-        if any(not sent.refused for sent in fitting):
+        if any(not sent_item.refused for sent_item in matching):
             continue
-        rule = Rule.REFUSED_IN_FORCE if fitting else Rule.STALE
-        told = f"{call.status} {call.service}".strip()
-        detail = f"{told} though {floor} was confirmed"
+        rule = Rule.REFUSED_IN_FORCE if matching else Rule.STALE
+        response = f"{call.status} {call.service}".strip()
+        detail = f"{response} though {floor} was confirmed"
         yield Violation(rule, call.route, call.began, detail, f"at {call.sidecar}")
 
 
-def _shows(call: Call, item: Item) -> bool:
+def _matches_response(call: Call, item: Item) -> bool:
     if call.status == 404:
         return item.content is None
     return item.content is not None and item.service == call.service
 
 
-def _due(confirmed: float, history: History, bounds: Bounds) -> float:
-    """When all proxies must go by what was confirmed: later where no majority was there in the meantime."""
-    due = confirmed + bounds.edition
+def _propagation_deadline(confirmed: float, history: History, bounds: Bounds) -> float:
+    """Return the time from which all proxies must use a confirmed edition.
+
+    That time is later where no majority was available in the meantime.
+    """
+    deadline = confirmed + bounds.edition
     for span in sorted(history.spans, key=lambda span: span.began):
-        if span.stalled and span.began < due and span.ended + bounds.contact > confirmed:
-            due = max(due, span.ended + bounds.contact + bounds.edition)
-    return due
+        if span.stalled and span.began < deadline and span.ended + bounds.contact > confirmed:
+            deadline = max(deadline, span.ended + bounds.contact + bounds.edition)
+    return deadline
 
 
-def _useful(history: History) -> Iterator[Violation]:
+def _check_recovery(history: History) -> Iterator[Violation]:
     for recovery in history.recoveries:
         if recovery.seconds > recovery.limit:
             took = f"{recovery.seconds:.2f} s" if math.isfinite(recovery.seconds) else "never"
@@ -321,7 +340,7 @@
 # ---- requests -----------------------------------------------------------------------------------
 
 
-def _runs(history: History) -> Iterator[Violation]:
+def _check_runs(history: History) -> Iterator[Violation]:
     by_attempt = Counter(history.runs)
     by_key: Counter[str] = Counter()
     first: dict[str, Call] = {}
@@ -337,32 +356,32 @@
             yield Violation(Rule.RAN_TWICE, key, first[key].began, f"key ran {times} times")
 
 
-def _answers(history: History) -> Iterator[Violation]:
+def _check_responses(history: History) -> Iterator[Violation]:
     ran = set(history.runs)
     keys = {call.attempt: call.key for call in history.calls}
     first: dict[str, bytes] = {}
     for call in sorted(history.calls, key=lambda call: call.ended):
-        for wrong in _wrong(call, ran, keys, first):
-            yield Violation(Rule.ANSWERS, call.attempt, call.ended, wrong)
+        for error in _response_errors(call, ran, keys, first):
+            yield Violation(Rule.ANSWERS, call.attempt, call.ended, error)
 
 
-def _wrong(call: Call, ran: set[str], keys: dict[str, str], first: dict[str, bytes]) -> Iterator[str]:
-    """What is wrong with one answer; `first` has the answer of each key."""
+def _response_errors(call: Call, ran: set[str], keys: dict[str, str], first: dict[str, bytes]) -> Iterator[str]:
+    """Yield what is wrong with one response; `first` holds the first response body of each key."""
 
-    def same(other: str) -> bool:
+    def is_own_attempt(other: str) -> bool:
         return other == call.attempt or (bool(call.key) and keys.get(other) == call.key)
 
-    if call.status in NOT_RUN and (call.key or call.unsafe) and call.attempt in ran:
-        yield f"{call.status}, which promises that it has not run, and it ran"
+    if call.status in NOT_RUN_STATUSES and (call.key or call.unsafe) and call.attempt in ran:
+        yield f"{call.status} promises that the attempt has not run, but it ran"
     if call.key and call.status is not None and call.status not in KEYED_STATUSES:
         yield f"{call.status} to a keyed operation"
     if call.status != 200:
         return
-    if not same(call.echoed):
-        yield f"carries the id {call.echoed!r}"
-    if not same(call.ran):
-        yield f"is the answer to {call.ran!r}"
+    if not is_own_attempt(call.echoed):
+        yield f"carries the attempt id {call.echoed!r}"
+    if not is_own_attempt(call.ran):
+        yield f"is the response to {call.ran!r}"
     elif call.ran not in ran:
         yield f"{call.ran} never ran"
     if call.key and first.setdefault(call.key, call.body) != call.body:
-        yield "differs from the first answer of its key"
+        yield "differs from the first response of its key"
--- a/lugspur/bench/faults/history.py
+++ b/lugspur/bench/faults/history.py
@@ -1,16 +1,19 @@
-"""What happened in a run, as seen from outside; times are seconds of one monotonic clock."""
+"""History of a run as observed from outside the mesh; all times are in seconds of one monotonic clock."""
 
 from __future__ import annotations
 
 import enum
 from dataclasses import dataclass, field
 
-RETRIED = frozenset({408, 429})  # statuses of the 4xx that are no final refusals
+RETRIABLE_4XX = frozenset({408, 429})  # 4xx statuses after which an order is sent again: they do not refuse it
 
 
 @dataclass(frozen=True)
 class Item:
-    """One item of an order; no content: it is withdrawn. `service`: the service that a request on it shows."""
+    """One item of an order.
+
+    `content` is None where the order withdraws the item; `service` is the service that serves requests on its route.
+    """
 
     name: str
     edition: int
@@ -22,16 +25,18 @@
 
 
 class Invalid(enum.Enum):
-    """Why an order is invalid."""
+    """Why an order is invalid, if it is."""
 
     NO = "valid"
     ITSELF = "by itself"
-    BESIDE_OTHERS = "beside what stands"  # it can't be told from an old one that was right once, when it is overtaken
+    # The order contradicts the rest of the configuration. Once a higher edition supersedes it, it cannot be told from
+    # an old order that used to be valid.
+    BESIDE_OTHERS = "beside what stands"
 
 
 @dataclass(frozen=True)
 class Order:
-    """One call of an operator, which may be sent many times with the same bytes."""
+    """One configuration change by an operator, which may be sent many times with the same bytes."""
 
     ident: int
     operator: str
@@ -40,13 +45,13 @@
 
     @property
     def valid(self) -> bool:
-        """Whether it may come into force."""
+        """Whether the order may come into force."""
         return self.invalid is Invalid.NO
 
 
 @dataclass(frozen=True)
-class OrderTry:
-    """One sending of an order to one machine; no status: silence or a broken connection."""
+class OrderAttempt:
+    """One attempt to send an order to one machine; `status` is None after a timeout or a broken connection."""
 
     order: Order
     machine: str
@@ -56,18 +61,18 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether it was acknowledged."""
+        """Whether the machine acknowledged the order."""
         return self.status == 200
 
     @property
     def refused(self) -> bool:
-        """Whether it was refused for good."""
-        return self.status is not None and 400 <= self.status < 500 and self.status not in RETRIED
+        """Whether the machine refused the order for good."""
+        return self.status is not None and 400 <= self.status < 500 and self.status not in RETRIABLE_4XX
 
 
 @dataclass(frozen=True)
 class Read:
-    """One answer to a read of the configuration: the items of routes, by name."""
+    """One read of the configuration from a machine; `items` are the routes in the response."""
 
     machine: str
     began: float
@@ -78,7 +83,7 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One request of a client at a proxy."""
+    """One request of a client to a proxy."""
 
     sidecar: str
     route: str
@@ -88,15 +93,18 @@
     status: int | None
     key: str = ""
     unsafe: bool = False
-    echoed: str = ""  # the attempt id of the answer's header
-    ran: str = ""  # the attempt id of the run whose answer it is, by the body
-    service: str = ""  # the service that answered
+    echoed: str = ""  # the attempt id in the response header
+    ran: str = ""  # the attempt id of the run that produced the response, according to its body
+    service: str = ""  # the service that responded
     body: bytes = b""
 
 
 @dataclass(frozen=True)
 class Span:
-    """A fault while it lasted. `isolated`: machines without a majority; `stalled`: no majority was there at all."""
+    """The period during which a fault lasted.
+
+    `isolated` lists the machines that could not reach a majority; `stalled` tells that no machine could reach one.
+    """
 
     kind: str
     machines: tuple[str, ...]
@@ -108,7 +116,7 @@
 
 @dataclass(frozen=True)
 class Recovery:
-    """How long a machine took to confirm an order again after its fault was over; infinite if it did not."""
+    """How long a machine took to confirm an order after its fault ended; `seconds` is infinite if it never did."""
 
     kind: str
     machine: str
@@ -119,27 +127,27 @@
 
 @dataclass
 class History:
-    """Everything that was seen."""
+    """Everything observed during a run."""
 
-    tries: list[OrderTry] = field(default_factory=list)
+    tries: list[OrderAttempt] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
-    runs: list[str] = field(default_factory=list)  # attempt ids, once for each run at a backend
+    runs: list[str] = field(default_factory=list)  # attempt ids, one entry for each run at a backend
     spans: list[Span] = field(default_factory=list)
     recoveries: list[Recovery] = field(default_factory=list)
 
     def around(self, subject: str, since: float, until: float) -> list[str]:
-        """Lines of what concerns a subject (a name, a machine, an attempt or a key) in a time, in order."""
+        """Return a line for each event in a period that concerns a name, machine, attempt or key, ordered by time."""
         rows: list[tuple[float, float, str]] = []
-        for sent in self.tries:
-            if subject == sent.machine or any(item.name == subject for item in sent.order.items):
-                what = ", ".join(str(item) for item in sent.order.items)
-                line = f"order {sent.order.ident} [{what}] at {sent.machine}: {sent.status}"
-                rows.append((sent.began, sent.ended, line))
+        for attempt in self.tries:
+            if subject == attempt.machine or any(item.name == subject for item in attempt.order.items):
+                items = ", ".join(str(item) for item in attempt.order.items)
+                line = f"order {attempt.order.ident} [{items}] at {attempt.machine}: {attempt.status}"
+                rows.append((attempt.began, attempt.ended, line))
         for read in self.reads:
-            found = [str(item) for item in read.items if item.name == subject]
-            if found or subject == read.machine:
-                rows.append((read.began, read.ended, f"read at {read.machine}: {read.status} {', '.join(found)}"))
+            matching = [str(item) for item in read.items if item.name == subject]
+            if matching or subject == read.machine:
+                rows.append((read.began, read.ended, f"read at {read.machine}: {read.status} {', '.join(matching)}"))
         for call in self.calls:
             if subject in (call.attempt, call.key, call.route):
                 line = f"call {call.attempt} on {call.route} at {call.sidecar}: {call.status} {call.service}"
--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lugspur.bench.faults.cluster import SERVICES, Cluster
-from lugspur.bench.faults.history import History, Invalid, Item, Order, OrderTry, Read
+from lugspur.bench.faults.history import History, Invalid, Item, Order, OrderAttempt, Read
 from lugspur.bench.mesh import call
 
 SILENCE = 1.0  # seconds after which an operator goes on to another machine
@@ -45,11 +45,11 @@
         self.bodies: dict[Order, bytes] = {}
         self._loop = asyncio.get_running_loop()
 
-    async def send(self, order: Order, machine: str) -> OrderTry:
+    async def send(self, order: Order, machine: str) -> OrderAttempt:
         """One sending of an order."""
         began = self._loop.time()
         status, _ = await self._call(machine, "POST", "/config/amend", self.bodies[order])
-        sent = OrderTry(order, machine, began, self._loop.time(), status)
+        sent = OrderAttempt(order, machine, began, self._loop.time(), status)
         self.history.tries.append(sent)
         return sent
 
--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lugspur.bench.faults.checker import Bounds, Rule, check
-from lugspur.bench.faults.history import Call, History, Invalid, Item, Order, OrderTry, Read, Recovery, Span
+from lugspur.bench.faults.history import Call, History, Invalid, Item, Order, OrderAttempt, Read, Recovery, Span
 
 BOUNDS = Bounds(edition=2.0, contact=3.0)
 X7 = Item("r", 7, b"x", "rooms")
@@ -20,8 +20,8 @@
 UNKNOWN = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), Invalid.BESIDE_OTHERS)
 
 
-def sent(order: Order, at: float, status: int | None = 200, machine: str = "a") -> OrderTry:
-    return OrderTry(order, machine, at, at + 0.1, status)
+def sent(order: Order, at: float, status: int | None = 200, machine: str = "a") -> OrderAttempt:
+    return OrderAttempt(order, machine, at, at + 0.1, status)
 
 
 def read(at: float, *items: Item, status: int = 200, machine: str = "a") -> Read:
@@ -37,10 +37,10 @@
     return Call("p", "book", attempt, at, at + 0.1, status, "k", False, attempt, ran, "rooms", body)
 
 
-def found(*events: OrderTry | Read | Call | Span | Recovery, runs: tuple[str, ...] = ()) -> set[Rule]:
+def found(*events: OrderAttempt | Read | Call | Span | Recovery, runs: tuple[str, ...] = ()) -> set[Rule]:
     history = History(runs=list(runs))
     for event in events:
-        if isinstance(event, OrderTry):
+        if isinstance(event, OrderAttempt):
             history.tries.append(event)
         elif isinstance(event, Read):
             history.reads.append(event)
@@ -56,7 +56,7 @@
 CUT = Span("cut", ("a",), 10.0, 30.0, ("a",))
 STALL = Span("kill all", ("a", "b", "c"), 1.05, 5.0, (), True)
 
-RIGHT: dict[str, tuple[list[OrderTry | Read | Call | Span | Recovery], tuple[str, ...]]] = {
+RIGHT: dict[str, tuple[list[OrderAttempt | Read | Call | Span | Recovery], tuple[str, ...]]] = {
     "confirmed, sent again, read": ([sent(OX, 1), sent(OX, 2, machine="b"), read(3, X7)], ()),
     "the loser of a race is refused": ([sent(OX, 1), sent(OY, 1, 409), read(3, X7)], ()),
     "an unclear order is in force": ([sent(OX, 1, 504), read(3, X7)], ()),
@@ -78,7 +78,7 @@
     "useful in time": ([Recovery("cut", "a", 30.0, 4.0, 5.0)], ()),
 }
 
-WRONG: dict[str, tuple[Rule, list[OrderTry | Read | Call | Span | Recovery], tuple[str, ...]]] = {
+WRONG: dict[str, tuple[Rule, list[OrderAttempt | Read | Call | Span | Recovery], tuple[str, ...]]] = {
     "both confirmed": (Rule.DECIDED_ONCE, [sent(OX, 1), sent(OY, 1, machine="b")], ()),
     "a confirmed order is absent": (Rule.LOST, [sent(OX, 1), read(3)], ()),
     "its content is another's": (Rule.LOST, [sent(OX, 1), sent(OY, 1, 504), read(3, Y7)], ()),
