--- a/lugspur/bench/faults/cluster.py
+++ b/lugspur/bench/faults/cluster.py
@@ -1,4 +1,4 @@
-"""A mesh of processes whose links go through the relay, and whose machines may be frozen, wiped and replaced."""
+"""A mesh of processes whose links run through a relay; its machines can be frozen, wiped and replaced."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from lugspur.bench.mesh import Mesh, call, free_ports
 from lugspur.standins.mesh import MeshBackend
 
-SERVICES = ("rooms", "halls", "attic")  # one for each proxy, so that an answer shows which service its route named
-CATCH_UP = 4.0  # seconds after its return for which a machine that lost its disk counts as lost
+SERVICES = ("rooms", "halls", "attic")  # one for each proxy, so that a response shows which service its route named
+CATCH_UP = 4.0  # seconds for which a machine that lost its disk still counts as lost after its return
 GRACE = 6.0  # seconds from SIGTERM to SIGKILL
-STATUS_WITHIN = 0.5
-SEEDS = 3
+STATUS_TIMEOUT = 0.5  # seconds
+SEED_COUNT = 3  # seed nodes in each settings file
 
 
 class Cluster(Mesh):
-    """So many control machines and three proxies; control machines come and go under new addresses."""
+    """A number of control machines and three proxies; each new control machine gets a new address."""
 
     proxy_services: tuple[str, ...] = SERVICES  # the service beside each proxy
 
@@ -32,21 +32,21 @@
         self.tolerate = tolerate
         self.bounds = Bounds()
         self.links = Links()
-        self.seeds = self.replica_ips[:SEEDS]
-        self.first = True
-        self._addresses = machines
-        (self.bound,) = free_ports([*self.replica_ips, *self.proxy_ips], 1)
+        self.seeds = self.replica_ips[:SEED_COUNT]
+        self.first_start = True
+        self._address_count = machines
+        (self.bound_port,) = free_ports([*self.replica_ips, *self.proxy_ips], 1)
 
     @property
     def control(self) -> list[str]:
-        """The control machines that belong to the mesh at present, up or not."""
+        """The addresses of the control machines that belong to the mesh at present, running or not."""
         return self.replica_ips
 
     def tables(self, ip: str) -> dict[str, dict[str, Any]]:
         tables = super().tables(ip)
-        tables["self"]["first_start"] = self.first and ip not in self.started
+        tables["self"]["first_start"] = self.first_start and ip not in self.started
         tables["network"]["seed_nodes"] = [f"{seed}:{self.dispatch}" for seed in self.seeds]
-        tables["network.listen"]["inner"] = f"{ip}:{self.bound}"
+        tables["network.listen"]["inner"] = f"{ip}:{self.bound_port}"
         tables["tariffs.tolerate"] = {"machines": self.tolerate}
         tables["tariffs.bounds"] = {
             "edition_ms": 1000.0 * self.bounds.edition,
@@ -58,16 +58,16 @@
 
     async def begin(self) -> None:
         await super().begin()
-        self.first = False
+        self.first_start = False
         await self.amend({"routes": [self.mail_route()]})
 
     def mail_route(self) -> dict[str, Any]:
-        """The route whose requests may not be repeated."""
+        """Return the route whose requests must not be retried."""
         return self.route("mail", "unsafe")
 
     def start(self, ip: str) -> None:
         super().start(ip)
-        self.links.open((ip, self.inner), (ip, self.bound))
+        self.links.open((ip, self.inner), (ip, self.bound_port))
 
     def end(self, ip: str, how: signal.Signals = signal.SIGKILL) -> int:
         status = super().end(ip, how)
@@ -83,50 +83,50 @@
     # ---- machines ----------------------------------------------------------------------------
 
     def wipe(self, ip: str) -> None:
-        """Empty the disk of a machine that is down."""
+        """Delete the data directory of a machine whose process is not running."""
         shutil.rmtree(self.folder / ip)
 
     def freeze(self, ip: str) -> None:
-        """Stop a process where it stands."""
+        """Suspend a process with SIGSTOP."""
         self.processes[ip].send_signal(signal.SIGSTOP)
 
     def thaw(self, ip: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.processes[ip].send_signal(signal.SIGCONT)
 
     def add(self) -> str:
-        """Start a machine that is new to the mesh; returns its address."""
-        self._addresses += 1
-        ip = f"{self.replica_ips[0].rsplit('.', 1)[0]}.{self._addresses}"
+        """Start a machine that is new to the mesh and return its address."""
+        self._address_count += 1
+        ip = f"{self.replica_ips[0].rsplit('.', 1)[0]}.{self._address_count}"
         self.replica_ips.append(ip)
         self.start(ip)
         return ip
 
     def remove(self, ip: str) -> None:
-        """Forget a machine that is gone for good, and its disk."""
+        """Remove a machine for good together with its disk, and replace it among the seeds."""
         self.replica_ips.remove(ip)
         self.wipe(ip)
         self.seeds = [seed for seed in self.seeds if seed != ip]
-        self.seeds += [other for other in self.replica_ips if other not in self.seeds][: SEEDS - len(self.seeds)]
+        self.seeds += [other for other in self.replica_ips if other not in self.seeds][: SEED_COUNT - len(self.seeds)]
 
     async def terminate(self, ip: str) -> None:
-        """SIGTERM, and SIGKILL after the time that a process has to end."""
+        """Send SIGTERM to a process, and SIGKILL after its grace period."""
         process = self.processes.pop(ip)
         process.send_signal(signal.SIGTERM)
         loop = asyncio.get_running_loop()
-        until = loop.time() + GRACE
-        while process.poll() is None and loop.time() < until:
+        deadline = loop.time() + GRACE
+        while process.poll() is None and loop.time() < deadline:
             await asyncio.sleep(0.05)
         process.kill()
         process.wait()
         self.links.shut(ip)
 
     def backend_of(self, ip: str) -> MeshBackend:
-        """The present life of a proxy's backend."""
+        """Return the latest incarnation of a proxy's backend."""
         return next(backend for backend in reversed(self.backends) if backend.address.startswith(f"{ip}:"))
 
     def reload(self, ip: str, content: bytes | None) -> None:
-        """Tell a process by SIGHUP to read its settings file, with this content in place; None: it is gone."""
+        """Write a process's settings file, or delete it where `content` is None, and send SIGHUP to reload it."""
         path = self.folder / f"{ip}.toml"
         if content is None:
             path.unlink(missing_ok=True)
@@ -135,23 +135,23 @@
         self.processes[ip].send_signal(signal.SIGHUP)
 
     def exchange_seeds(self, seeds: list[str]) -> None:
-        """Write other seeds into all settings files, and say so by SIGHUP."""
+        """Write new seeds into all settings files and send SIGHUP to all processes."""
         self.seeds = seeds
         for ip, process in self.processes.items():
             (self.folder / f"{ip}.toml").write_text(self.settings(ip))
             process.send_signal(signal.SIGHUP)
 
     async def status(self, ip: str) -> dict[str, Any]:
-        """What a machine says of itself; empty if it doesn't."""
+        """Return the status that a machine reports, or an empty one if it does not respond in time."""
         with suppress(OSError, IndexError, ValueError, TimeoutError):
-            async with asyncio.timeout(STATUS_WITHIN):
+            async with asyncio.timeout(STATUS_TIMEOUT):
                 _, _, body = await call(f"{ip}:{self.dispatch}", "GET", "/mesh/status")
-                found: dict[str, Any] = json.loads(body)
-                return found
+                status: dict[str, Any] = json.loads(body)
+                return status
         return {}
 
     async def voters(self) -> list[str]:
-        """The voters of the highest epoch that any machine tells; all machines where none tells."""
-        told = await asyncio.gather(*(self.status(ip) for ip in self.replica_ips if ip in self.processes))
-        newest = max(told, key=lambda status: int(status.get("epoch", -1)), default={})
+        """Return the voters of the highest epoch that any machine reports, or all machines if none reports voters."""
+        statuses = await asyncio.gather(*(self.status(ip) for ip in self.replica_ips if ip in self.processes))
+        newest = max(statuses, key=lambda status: int(status.get("epoch", -1)), default={})
         return list(newest.get("voters", ())) or list(self.replica_ips)
