--- a/lugspur/bench/faults/injector.py
+++ b/lugspur/bench/faults/injector.py
@@ -1,4 +1,4 @@
-"""Brings faults about, one after another, and measures how soon the machines that were hit are useful again."""
+"""Injects faults one after another and measures how soon each affected machine confirms an order again."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 from lugspur.bench.faults.operator import Operators
 from lugspur.bench.faults.plan import Direction, Fault, Kind
 
-USEFUL_WITHIN = 5.0  # seconds from the end of a fault until the machine confirms an order
-STARTED_WITHIN = 10.0  # ...where its process is new: an interpreter starts slowly on a loaded machine
-GIVEN_UP_AFTER = 20.0  # ...until it is taken as never
-POKE_EVERY = 0.3  # seconds between orders that are sent to a machine while it is cut off
-VOTERS_PART = 0.75  # of the losses of disks that hit voters alone
-PAUSE = (0.05, 0.5)  # seconds between two faults
+RECOVERY_LIMIT = 5.0  # seconds allowed from the end of a fault until the machine confirms an order
+# Seconds allowed where the machine's process is new: an interpreter starts slowly on a loaded machine.
+RESTART_RECOVERY_LIMIT = 10.0
+RECOVERY_TIMEOUT = 20.0  # seconds after the end of a fault without a confirmed order that count as no recovery at all
+POKE_INTERVAL = 0.3  # seconds between the orders that are sent to a machine while it is cut off
+VOTERS_ONLY_SHARE = 0.75  # share of the disk losses that hit only voters
+PAUSE = (0.05, 0.5)  # shortest and longest pause between two faults, in seconds
 
 
 class Injector:
-    """All that is done to one cluster."""
+    """Injects faults into one cluster."""
 
     def __init__(self, cluster: Cluster, operators: Operators, history: History, rng: Random) -> None:
         self.cluster, self.operators, self.history, self.rng = cluster, operators, history, rng
         self._loop = asyncio.get_running_loop()
-        self._counts_at: dict[str, float] = {}  # when a machine that was lost counts again
-        self._acts: dict[Kind, Callable[[Fault], Awaitable[None]]] = {
+        self._lost_until: dict[str, float] = {}  # the time from which a machine no longer counts as lost
+        self._handlers: dict[Kind, Callable[[Fault], Awaitable[None]]] = {
             Kind.KILL_ONE: lambda fault: self._kill(fault, 1),
             Kind.KILL_SOME: lambda fault: self._kill(fault, rng.randint(2, max(2, len(cluster.control) - 1))),
             Kind.KILL_ALL: lambda fault: self._kill(fault, len(cluster.control)),
@@ -44,25 +45,25 @@
             Kind.ISOLATE_MOST: self._isolate,
             Kind.SPLIT: self._split,
             Kind.RESET_ONCE: self._reset_once,
-            Kind.SLOW: lambda fault: self._disturb(fault, Cut.SLOW),
-            Kind.REFUSE: lambda fault: self._disturb(fault, Cut.REFUSE),
+            Kind.SLOW: lambda fault: self._impair_links(fault, Cut.SLOW),
+            Kind.REFUSE: lambda fault: self._impair_links(fault, Cut.REFUSE),
             Kind.SEEDS: self._exchange_seeds,
         }
 
     async def inject(self, fault: Fault) -> None:
-        """Bring one fault about, and wait until all that it hit is useful again."""
+        """Inject one fault and wait until every machine that it hit confirms an order again."""
         await asyncio.sleep(self.rng.uniform(*PAUSE))
-        await self._acts[fault.kind](fault)
+        await self._handlers[fault.kind](fault)
 
     # ---- losses ------------------------------------------------------------------------------
 
     async def _kill(self, fault: Fault, count: int, wipe: bool = False, after_ack: bool = False) -> None:
         if wipe:
-            await self._tolerable()
-        hit = await self._losable(count) if wipe else self.rng.sample(self.cluster.control, count)
-        stalled = await self._stalled(hit)
+            await self._wait_until_loss_is_tolerated()
+        hit = await self._choose_disk_losses(count) if wipe else self.rng.sample(self.cluster.control, count)
+        stalled = await self._leaves_no_majority(hit)
         if after_ack:
-            await self._acknowledged(hit[0])
+            await self._confirm_order(hit[0])
         began = self._loop.time()
         for ip in hit:
             self.cluster.end(ip)
@@ -71,47 +72,47 @@
         await asyncio.sleep(fault.seconds)
         for ip in hit:
             self.cluster.start(ip)
-        await self._over(fault, hit, began, stalled=stalled, limit=STARTED_WITHIN)
+        await self._record_recovery(fault, hit, began, stalled=stalled, limit=RESTART_RECOVERY_LIMIT)
 
     async def _replace(self, fault: Fault) -> None:
-        """A machine is gone for good, and one at another address takes its place."""
-        await self._tolerable()
-        (gone,) = hit = await self._losable(1)
-        stalled = await self._stalled(hit)
+        """Remove a machine for good and add one at another address in its place."""
+        await self._wait_until_loss_is_tolerated()
+        (removed,) = hit = await self._choose_disk_losses(1)
+        stalled = await self._leaves_no_majority(hit)
         began = self._loop.time()
-        self.cluster.end(gone)
-        self.cluster.remove(gone)
+        self.cluster.end(removed)
+        self.cluster.remove(removed)
         await asyncio.sleep(fault.seconds)
-        newcomer = self.cluster.add()
-        await self._over(fault, [newcomer], began, stalled=stalled, limit=STARTED_WITHIN)
+        added = self.cluster.add()
+        await self._record_recovery(fault, [added], began, stalled=stalled, limit=RESTART_RECOVERY_LIMIT)
 
     async def _leave(self, fault: Fault) -> None:
-        """Planned work: a newcomer starts, and a machine is asked to end."""
-        await self._tolerable()
-        (leaving,) = hit = await self._losable(1)
-        stalled = await self._stalled(hit)
+        """Replace a machine as planned: start a new one, then terminate the old one."""
+        await self._wait_until_loss_is_tolerated()
+        (leaving,) = hit = await self._choose_disk_losses(1)
+        stalled = await self._leaves_no_majority(hit)
         began = self._loop.time()
-        newcomer = self.cluster.add()
+        added = self.cluster.add()
         await asyncio.sleep(fault.seconds)
         await self.cluster.terminate(leaving)
         self.cluster.remove(leaving)
-        await self._over(fault, [newcomer], began, stalled=stalled, limit=STARTED_WITHIN)
+        await self._record_recovery(fault, [added], began, stalled=stalled, limit=RESTART_RECOVERY_LIMIT)
 
     async def _freeze(self, fault: Fault, count: int) -> None:
         hit = self.rng.sample(self.cluster.control, count)
-        stalled = await self._stalled(hit)
+        stalled = await self._leaves_no_majority(hit)
         began = self._loop.time()
         for ip in hit:
             self.cluster.freeze(ip)
         await asyncio.sleep(fault.seconds)
         for ip in hit:
             self.cluster.thaw(ip)
-        # Whoever wakes up is asked at once: it may act on nothing of before.
+        # Reads at once after the thaw: the machine must not rely on state from before the freeze.
         await asyncio.gather(*(self.operators.console.read(ip) for ip in hit for _ in range(2)))
-        await self._over(fault, hit, began, stalled=stalled)
+        await self._record_recovery(fault, hit, began, stalled=stalled)
 
-    async def _acknowledged(self, ip: str) -> None:
-        """Send fresh orders to a machine until it confirms one."""
+    async def _confirm_order(self, ip: str) -> None:
+        """Send new orders to a machine until it confirms one, five at most."""
         for _ in range(5):
             if (await self.operators.console.send(self.operators.fresh("ack"), ip)).confirmed:
                 return
@@ -121,19 +122,21 @@
     async def _isolate(self, fault: Fault) -> None:
         voters = await self.cluster.voters()
         control = list(self.cluster.control)
-        one, friend = self.rng.sample(control, 2)
-        others = [ip for ip in control if ip != one]
-        left = {one}
+        target, companion = self.rng.sample(control, 2)
+        others = [ip for ip in control if ip != target]
+        own_side = {target}
         if fault.kind is Kind.ISOLATE:
             others += self.cluster.proxy_ips
         elif fault.kind is Kind.ISOLATE_MOST:
-            others.remove(friend)
-            left.add(friend)
+            others.remove(companion)
+            own_side.add(companion)
         began = self._loop.time()
-        self._cut([one], others, fault)
-        isolated = () if _majority(left, voters) else (one,)
-        await self._hold(fault, [one])
-        await self._over(fault, [one], began, isolated, not _majority(set(others) | {friend}, voters))
+        self._cut([target], others, fault)
+        isolated = () if _is_majority(own_side, voters) else (target,)
+        await self._wait_behind_cut(fault, [target])
+        await self._record_recovery(
+            fault, [target], began, isolated, not _is_majority(set(others) | {companion}, voters)
+        )
 
     async def _split(self, fault: Fault) -> None:
         voters = await self.cluster.voters()
@@ -142,9 +145,11 @@
         sides = [control[:size], control[size:]]
         began = self._loop.time()
         self._cut(sides[0], sides[1], fault)
-        lost = [side for side in sides if not _majority(set(side), voters)]
-        await self._hold(fault, [side[0] for side in sides])
-        await self._over(fault, control, began, tuple(ip for side in lost for ip in side), len(lost) == 2)
+        minorities = [side for side in sides if not _is_majority(set(side), voters)]
+        await self._wait_behind_cut(fault, [side[0] for side in sides])
+        await self._record_recovery(
+            fault, control, began, tuple(ip for side in minorities for ip in side), len(minorities) == 2
+        )
 
     def _cut(self, side: list[str], others: list[str], fault: Fault) -> None:
         for ip in side:
@@ -154,93 +159,93 @@
                 if fault.direction is not Direction.OUT:
                     self.cluster.links.cut(Pair(other, ip), fault.how)
 
-    async def _hold(self, fault: Fault, poked: list[str]) -> None:
-        """Let a cut last, and ask those behind it."""
+    async def _wait_behind_cut(self, fault: Fault, isolated: list[str]) -> None:
+        """Wait for the duration of a cut while sending reads and orders to the machines behind it, then heal it."""
         until = self._loop.time() + fault.seconds
-        asked: set[asyncio.Task[object]] = set()
-        while (left := until - self._loop.time()) > 0.0:
-            for ip in poked:
-                asked.add(asyncio.ensure_future(self.operators.console.read(ip)))
-                asked.add(asyncio.ensure_future(self.operators.deliver(self.operators.fresh("poke"), ip)))
-            await asyncio.sleep(min(left, POKE_EVERY))
+        requests: set[asyncio.Task[object]] = set()
+        while (remaining := until - self._loop.time()) > 0.0:
+            for ip in isolated:
+                requests.add(asyncio.ensure_future(self.operators.console.read(ip)))
+                requests.add(asyncio.ensure_future(self.operators.deliver(self.operators.fresh("poke"), ip)))
+            await asyncio.sleep(min(remaining, POKE_INTERVAL))
         self.cluster.links.heal()
 
     async def _reset_once(self, fault: Fault) -> None:
-        everyone = [*self.cluster.control, *self.cluster.proxy_ips]
+        addresses = [*self.cluster.control, *self.cluster.proxy_ips]
         began = self._loop.time()
-        for ip in everyone:
-            for other in everyone:
+        for ip in addresses:
+            for other in addresses:
                 self.cluster.links.reset(Pair(ip, other))
-        await self._over(fault, [], began)
+        await self._record_recovery(fault, [], began)
 
-    async def _disturb(self, fault: Fault, how: Cut) -> None:
-        everyone = [*self.cluster.control, *self.cluster.proxy_ips]
+    async def _impair_links(self, fault: Fault, how: Cut) -> None:
+        addresses = [*self.cluster.control, *self.cluster.proxy_ips]
         began = self._loop.time()
-        for ip in everyone:
-            for other in everyone:
+        for ip in addresses:
+            for other in addresses:
                 self.cluster.links.cut(Pair(ip, other), how)
         await asyncio.sleep(fault.seconds)
         self.cluster.links.heal()
-        await self._over(fault, [], began, stalled=how is Cut.SLOW)
+        await self._record_recovery(fault, [], began, stalled=how is Cut.SLOW)
 
     async def _exchange_seeds(self, fault: Fault) -> None:
         began = self._loop.time()
         others = [ip for ip in self.cluster.control if ip not in self.cluster.seeds]
         seeds = (others + self.rng.sample(self.cluster.seeds, len(self.cluster.seeds)))[: len(self.cluster.seeds)]
         self.cluster.exchange_seeds(seeds)
-        await self._over(fault, [], began)
+        await self._record_recovery(fault, [], began)
 
-    # ---- the end of a fault ------------------------------------------------------------------
+    # ---- recovery ----------------------------------------------------------------------------
 
-    async def _over(
+    async def _record_recovery(
         self,
         fault: Fault,
         hit: list[str],
         began: float,
         isolated: tuple[str, ...] = (),
         stalled: bool = False,
-        limit: float = USEFUL_WITHIN,
+        limit: float = RECOVERY_LIMIT,
     ) -> None:
         ended = self._loop.time()
         for ip in hit:
-            self._counts_at[ip] = ended + CATCH_UP
-        await asyncio.gather(*(self._useful(fault, ip, ended, limit) for ip in hit))
-        last = self._loop.time() if stalled else ended
+            self._lost_until[ip] = ended + CATCH_UP
+        await asyncio.gather(*(self._measure_recovery(fault, ip, ended, limit) for ip in hit))
+        stalled_until = self._loop.time() if stalled else ended
         self.history.spans.append(Span(fault.name, tuple(hit), began, ended, isolated))
         if stalled:
-            self.history.spans.append(Span(f"{fault.name}: no majority", (), began, last, (), True))
+            self.history.spans.append(Span(f"{fault.name}: no majority", (), began, stalled_until, (), True))
 
-    async def _useful(self, fault: Fault, ip: str, ended: float, limit: float) -> None:
-        """Send fresh orders until the machine confirms one."""
+    async def _measure_recovery(self, fault: Fault, ip: str, ended: float, limit: float) -> None:
+        """Measure the time until the machine confirms a new order."""
         seconds = math.inf
-        while self._loop.time() < ended + GIVEN_UP_AFTER:
-            sent = await self.operators.console.send(self.operators.fresh("probe"), ip)
-            if sent.confirmed:
-                seconds = sent.ended - ended
+        while self._loop.time() < ended + RECOVERY_TIMEOUT:
+            attempt = await self.operators.console.send(self.operators.fresh("probe"), ip)
+            if attempt.confirmed:
+                seconds = attempt.ended - ended
                 break
             await asyncio.sleep(0.1)
         self.history.recoveries.append(Recovery(fault.name, ip, ended, seconds, limit))
 
-    async def _tolerable(self) -> None:
-        """Wait until no machine counts as lost: the next one may lose its disk."""
-        at = max((self._counts_at.get(ip, 0.0) for ip in self.cluster.control), default=0.0)
-        await asyncio.sleep(max(0.0, at - self._loop.time()))
+    async def _wait_until_loss_is_tolerated(self) -> None:
+        """Wait until no machine counts as lost any more, so that the next one may lose its disk."""
+        free_at = max((self._lost_until.get(ip, 0.0) for ip in self.cluster.control), default=0.0)
+        await asyncio.sleep(max(0.0, free_at - self._loop.time()))
 
-    async def _losable(self, count: int) -> list[str]:
-        """Machines that are to lose their disks: mostly voters, which hurt most."""
-        if self.rng.random() < VOTERS_PART:
+    async def _choose_disk_losses(self, count: int) -> list[str]:
+        """Choose the machines that lose their disks: mostly voters, whose loss does the most harm."""
+        if self.rng.random() < VOTERS_ONLY_SHARE:
             voters = [ip for ip in await self.cluster.voters() if ip in self.cluster.control]
             if len(voters) >= count:
                 return self.rng.sample(voters, count)
         return self.rng.sample(self.cluster.control, count)
 
-    async def _stalled(self, hit: list[str]) -> bool:
-        """Whether no majority is there without these, or none may be."""
+    async def _leaves_no_majority(self, hit: list[str]) -> bool:
+        """Return whether the machines left may lack a majority of the voters while these are down."""
         voters = await self.cluster.voters()
         now = self._loop.time()
-        there = {ip for ip in self.cluster.control if ip not in hit and self._counts_at.get(ip, 0.0) <= now}
-        return not _majority(there, voters)
+        available = {ip for ip in self.cluster.control if ip not in hit and self._lost_until.get(ip, 0.0) <= now}
+        return not _is_majority(available, voters)
 
 
-def _majority(there: set[str], voters: list[str]) -> bool:
-    return 2 * len(there & set(voters)) > len(voters)
+def _is_majority(available: set[str], voters: list[str]) -> bool:
+    return 2 * len(available & set(voters)) > len(voters)
