--- a/lugspur/bench/faults/links.py
+++ b/lugspur/bench/faults/links.py
@@ -1,7 +1,8 @@
-"""A relay between the processes of a mesh that cuts links, by pair of machines and in each direction by itself.
+"""A TCP relay between the processes of a mesh that can cut the link of two machines, each direction separately.
 
-Every machine is an address of its own, so that the source address of a connection names who dialled. The relay listens
-where the others reach a machine and passes bytes on to where its process is bound.
+Every machine has an address of its own, so that the source address of a connection identifies the machine that opened
+it. The relay listens on the address under which the others reach a machine, and forwards to the address that the
+machine's process is bound to.
 """
 
 from __future__ import annotations
@@ -14,21 +15,22 @@
 from collections.abc import Coroutine, Iterable
 from dataclasses import dataclass
 
-PROBE_EVERY = 0.02  # seconds between looks at whether a process is bound
-CHUNK = 16 << 10  # bytes passed on at a time; with the stream's limit, what one direction of a connection may hold
-SLOW_PAUSE = 0.1  # seconds between two chunks of a slow link
-DIAL_WITHIN = 2.0  # seconds for the connection to the bound process
+PROBE_INTERVAL = 0.02  # seconds between checks whether a process is bound
+# Bytes forwarded at a time, and the limit of a stream's buffer; the two bound what one direction can hold back.
+CHUNK_BYTES = 16 << 10
+SLOW_PAUSE = 0.1  # seconds between two chunks on a slow link
+CONNECT_TIMEOUT = 2.0  # seconds for the connection to the bound process
 
 Address = tuple[str, int]
 
 
 class Cut(enum.Enum):
-    """What happens to bytes from one machine to another."""
+    """What the relay does with the bytes from one machine to another."""
 
     OPEN = "open"
-    SILENT = "silent"  # nothing is read: bytes wait, and arrive late if the connection outlives the cut
-    RESET = "reset"  # connections are reset, and new ones too
-    REFUSE = "refuse"  # connections go on, new ones are reset
+    SILENT = "silent"  # bytes are not forwarded: they wait, and arrive late if the connection outlives the cut
+    RESET = "reset"  # open connections are reset, and so are new ones
+    REFUSE = "refuse"  # open connections stay, new ones are reset
     SLOW = "slow"
 
 
@@ -45,8 +47,8 @@
         return Pair(self.destination, self.source)
 
 
-async def _bound(address: Address) -> bool:
-    """Whether a process accepts connections there."""
+async def _is_bound(address: Address) -> bool:
+    """Return whether a process accepts connections at an address."""
     try:
         _, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -56,7 +58,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by a reset, with what it still holds."""
+    """Close a connection with a TCP reset and discard what it still buffers."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -64,22 +66,25 @@
 
 
 class _Connection:
-    """A relayed connection: `pair` has who dialled as its source; the far side is added once it is there."""
+    """A relayed connection; the source of `pair` is the machine that opened it.
 
-    def __init__(self, pair: Pair, near: asyncio.StreamWriter) -> None:
+    The destination's side is added once the relay has connected to it.
+    """
+
+    def __init__(self, pair: Pair, source_writer: asyncio.StreamWriter) -> None:
         self.pair = pair
-        self.sides = [near]
-        self.broken = False
+        self.sides = [source_writer]
+        self.is_reset = False
 
-    def add(self, far: asyncio.StreamWriter) -> None:
-        """The connection onwards is there; it ends at once if the cut came meanwhile."""
-        self.sides.append(far)
-        if self.broken:
-            reset(far)
+    def add(self, destination_writer: asyncio.StreamWriter) -> None:
+        """Add the connection to the destination, which is reset at once if the link was cut in the meantime."""
+        self.sides.append(destination_writer)
+        if self.is_reset:
+            reset(destination_writer)
 
     def reset(self) -> None:
         """Reset both sides."""
-        self.broken = True
+        self.is_reset = True
         for writer in self.sides:
             reset(writer)
 
@@ -96,13 +101,16 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def open(self, public: Address, bound: Address) -> asyncio.Task[None]:
-        """Relay to a machine's process once that is bound: until then connections are refused, as by a machine."""
+        """Start to relay to a machine's process once it is bound.
+
+        Until then connections are refused, as by a machine on which no process listens.
+        """
         self.shut(public[0])
-        self._opening[public[0]] = self._start(self._listen(public, bound))
+        self._opening[public[0]] = self._start_task(self._listen(public, bound))
         return self._opening[public[0]]
 
     def shut(self, machine: str) -> None:
-        """The process of a machine has ended: refuse connections."""
+        """Refuse connections to a machine whose process has ended."""
         opening = self._opening.pop(machine, None)
         if opening is not None:
             opening.cancel()
@@ -111,22 +119,22 @@
             server.close()
 
     async def _listen(self, public: Address, bound: Address) -> None:
-        while not await _bound(bound):
-            await asyncio.sleep(PROBE_EVERY)
+        while not await _is_bound(bound):
+            await asyncio.sleep(PROBE_INTERVAL)
 
-        def accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self._start(self._relay(public[0], bound, reader, writer))
+        def on_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            self._start_task(self._relay(public[0], bound, reader, writer))
 
-        self._servers[public[0]] = await asyncio.start_server(accepted, *public, limit=CHUNK, backlog=512)
+        self._servers[public[0]] = await asyncio.start_server(on_connection, *public, limit=CHUNK_BYTES, backlog=512)
 
-    def _start(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
+    def _start_task(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def close(self) -> None:
-        """End all."""
+        """Close all servers and connections."""
         for server in self._servers.values():
             server.close()
         tasks = list(self._tasks)
@@ -137,34 +145,34 @@
     # ---- cuts --------------------------------------------------------------------------------
 
     def cut(self, pair: Pair, how: Cut) -> None:
-        """Set what happens in one direction from now on."""
+        """Set the state of one direction."""
         self._cuts[pair] = how
         if how is Cut.RESET:
             self.reset(pair)
-        self._notify()
+        self._notify_waiters()
 
     def heal(self) -> None:
         """Open all links."""
         self._cuts.clear()
-        self._notify()
+        self._notify_waiters()
 
     def open_again(self, pairs: Iterable[Pair]) -> None:
-        """Open some links; others stay as they are."""
+        """Open the links of these pairs only."""
         for pair in pairs:
             self._cuts.pop(pair, None)
-        self._notify()
+        self._notify_waiters()
 
     def reset(self, pair: Pair) -> None:
-        """Reset the present connections between two machines, whoever dialled."""
+        """Reset the open connections between two machines, whichever of them opened them."""
         for connection in list(self._connections):
             if connection.pair in (pair, pair.reverse):
                 connection.reset()
 
     def state(self, pair: Pair) -> Cut:
-        """What happens in one direction at present."""
+        """Return the state of one direction."""
         return self._cuts.get(pair, Cut.OPEN)
 
-    def _notify(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -180,37 +188,39 @@
         connection = _Connection(pair, writer)
         self._connections.add(connection)
         try:
-            async with asyncio.timeout(DIAL_WITHIN):
-                far_reader, far_writer = await asyncio.open_connection(*bound, limit=CHUNK, local_addr=(pair.source, 0))
-            connection.add(far_writer)
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                destination_reader, destination_writer = await asyncio.open_connection(
+                    *bound, limit=CHUNK_BYTES, local_addr=(pair.source, 0)
+                )
+            connection.add(destination_writer)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._carry(pair, reader, far_writer, connection))
-                group.create_task(self._carry(pair.reverse, far_reader, writer, connection))
-        except (OSError, TimeoutError):  # nobody is bound there
+                group.create_task(self._forward(pair, reader, destination_writer, connection))
+                group.create_task(self._forward(pair.reverse, destination_reader, writer, connection))
+        except (OSError, TimeoutError):  # no process is bound to the address
             connection.reset()
         finally:
             self._connections.discard(connection)
             for side in connection.sides:
                 side.close()
 
-    async def _carry(
+    async def _forward(
         self, pair: Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, connection: _Connection
     ) -> None:
-        """Pass on one direction until it ends; a reset on one side becomes one on the other."""
+        """Forward one direction until it ends; a reset on one side is passed on to the other."""
         try:
-            while data := await reader.read(CHUNK):
-                await self._passable(pair)
+            while data := await reader.read(CHUNK_BYTES):
+                await self._wait_while_silent(pair)
                 if self.state(pair) is Cut.SLOW:
                     await asyncio.sleep(SLOW_PAUSE)
                 writer.write(data)
                 await writer.drain()
-            await self._passable(pair)
+            await self._wait_while_silent(pair)
             if writer.can_write_eof():
                 writer.write_eof()
         except OSError:
-            await self._passable(pair)  # the other side hears nothing of a reset that can't cross a cut
+            await self._wait_while_silent(pair)  # a reset cannot cross a silent cut: it waits as bytes do
             connection.reset()
 
-    async def _passable(self, pair: Pair) -> None:
+    async def _wait_while_silent(self, pair: Pair) -> None:
         while self.state(pair) is Cut.SILENT:
             await self._changed.wait()
