--- a/lugspur/bench/faults/logs.py
+++ b/lugspur/bench/faults/logs.py
@@ -1,4 +1,4 @@
-"""What the processes' logs tell of exceptions that nobody caught."""
+"""Finds uncaught exceptions in the logs of processes."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 from pathlib import Path
 
 TRACEBACK = "Traceback (most recent call last):"
-CHAINED = "During handling of the above exception, another exception occurred:"  # the next one is the one that counts
-OWN = "/lugspur/"
+# Precedes the traceback of a later exception in a chain: only the last one of a chain counts.
+CHAINED = "During handling of the above exception, another exception occurred:"
+PACKAGE = "/lugspur/"
 
 
 def exceptions(folder: Path) -> Counter[str]:
-    """How often each uncaught exception was told in a folder's logs, by its kind and the last own line of code."""
-    found: Counter[str] = Counter()
+    """Count the uncaught exceptions in a folder's logs, by type and last line of this package in the traceback."""
+    counts: Counter[str] = Counter()
     for path in sorted(folder.glob("*.log")):
-        place, inside, latest = "", False, ""
+        location, in_traceback, description = "", False, ""
         for line in path.read_text(errors="replace").splitlines():
             if line == TRACEBACK:
-                place, inside = "", True
-            elif inside and line.startswith("  "):
-                if line.startswith("  File ") and OWN in line:
-                    place = line.rpartition(OWN)[2].replace('"', "")
-            elif inside:
+                location, in_traceback = "", True
+            elif in_traceback and line.startswith("  "):
+                if line.startswith("  File ") and PACKAGE in line:
+                    location = line.rpartition(PACKAGE)[2].replace('"', "")
+            elif in_traceback:
                 kind, _, text = line.partition(": ")
-                latest = f"{kind} ({text.split('<')[0].strip()}) in {place}"
-                found[latest] += 1
-                inside = False
+                description = f"{kind} ({text.split('<')[0].strip()}) in {location}"
+                counts[description] += 1
+                in_traceback = False
             elif line == CHAINED:
-                found[latest] -= 1
-    return +found
+                counts[description] -= 1
+    return +counts
