--- a/lugspur/bench/faults/plan.py
+++ b/lugspur/bench/faults/plan.py
@@ -1,4 +1,4 @@
-"""Draws faults by a seed, and lists the scripted ones."""
+"""Draws random faults and defines the scripted scenarios."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Kind(enum.Enum):
-    """What is done to the mesh."""
+    """A kind of fault."""
 
     KILL_ONE = "kill one"
     KILL_SOME = "kill some"
@@ -33,7 +33,7 @@
 
 
 class Direction(enum.Enum):
-    """Which way a cut goes, seen from the machine that is cut off."""
+    """The direction of the traffic that a cut stops, as seen from the machine that is cut off."""
 
     BOTH = "both ways"
     OUT = "outwards"
@@ -42,23 +42,23 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault; which machines it hits is drawn when it comes."""
+    """One fault; the machines that it hits are drawn when it is injected."""
 
     kind: Kind
-    seconds: float = 0.0  # how long it lasts
+    seconds: float = 0.0  # duration of the fault
     how: Cut = Cut.SILENT
     direction: Direction = Direction.BOTH
 
     @property
     def name(self) -> str:
-        """The kind, and for cuts how and which way."""
+        """The kind of fault, and for cuts also the way and the direction."""
         if self.kind in CUTS:
             return f"{self.kind.value}, {self.how.value}, {self.direction.value}"
         return self.kind.value
 
 
 CUTS = frozenset({Kind.ISOLATE, Kind.ISOLATE_CONTROL, Kind.ISOLATE_MOST, Kind.SPLIT})
-#: How often each kind is drawn.
+#: Relative weights with which kinds are drawn.
 WEIGHTS = {
     Kind.KILL_ONE: 12,
     Kind.KILL_SOME: 8,
@@ -79,31 +79,33 @@
     Kind.REFUSE: 3,
     Kind.SEEDS: 5,
 }
-DOWN = (0.0, 1.0)  # seconds for which a killed machine stays down
-SHORT, LONG, LONGEST = (0.3, 2.0), (2.5, 6.0), (12.0, 20.0)  # seconds that a cut or a freeze lasts
-SPANS = ((12, SHORT), (6, LONG), (1, LONGEST))  # how often each
+DOWNTIME = (0.0, 1.0)  # range of the seconds for which a killed machine stays down
+SHORT, LONG, LONGEST = (0.3, 2.0), (2.5, 6.0), (12.0, 20.0)  # ranges of the seconds for which a cut or a freeze lasts
+WEIGHTED_DURATIONS = ((12, SHORT), (6, LONG), (1, LONGEST))  # relative weight and range
 
 
 def draw(rng: Random, count: int) -> list[Fault]:
-    """So many faults."""
+    """Draw `count` random faults."""
     kinds = rng.choices(list(WEIGHTS), list(WEIGHTS.values()), k=count)
-    return [_draw(rng, kind) for kind in kinds]
+    return [_draw_fault(rng, kind) for kind in kinds]
 
 
-def _draw(rng: Random, kind: Kind) -> Fault:
-    (span,) = rng.choices([span for _, span in SPANS], [weight for weight, _ in SPANS])
+def _draw_fault(rng: Random, kind: Kind) -> Fault:
+    (duration,) = rng.choices(
+        [duration for _, duration in WEIGHTED_DURATIONS], [weight for weight, _ in WEIGHTED_DURATIONS]
+    )
     if kind in CUTS:
         how = rng.choice((Cut.SILENT, Cut.SILENT, Cut.RESET))
         direction = rng.choice(list(Direction)) if how is Cut.SILENT else Direction.BOTH
-        return Fault(kind, rng.uniform(*span), how, direction)
+        return Fault(kind, rng.uniform(*duration), how, direction)
     if kind in (Kind.FREEZE, Kind.FREEZE_MANY):
-        return Fault(kind, max(2.0, rng.uniform(*span)))
+        return Fault(kind, max(2.0, rng.uniform(*duration)))
     if kind in (Kind.SLOW, Kind.REFUSE):
         return Fault(kind, rng.uniform(*SHORT))
-    return Fault(kind, rng.uniform(*DOWN))
+    return Fault(kind, rng.uniform(*DOWNTIME))
 
 
-#: One scenario for each of the five points of the control side.
+#: One scenario for each of the five requirements on the control machines.
 SCENARIOS: dict[str, list[Fault]] = {
     "cut": [
         *(Fault(Kind.ISOLATE, 20.0, Cut.SILENT, direction) for direction in Direction),
