--- a/lugspur/bench/faults/report.py
+++ b/lugspur/bench/faults/report.py
@@ -1,4 +1,4 @@
-"""A run as a table, and what led to each violation."""
+"""Formats the outcome of a run as a table, and the events around each violation."""
 
 from __future__ import annotations
 
@@ -9,40 +9,42 @@
 from lugspur.bench.faults.checker import Rule
 from lugspur.bench.faults.run import Outcome
 
-BEFORE, AFTER = 6.0, 2.0  # seconds before and after a violation that are shown
-SHOWN = 3  # violations of one rule that are shown with their history
-LINES = 60  # of the history of one
+BEFORE, AFTER = 6.0, 2.0  # seconds of history shown before and after a violation
+SHOWN_PER_RULE = 3  # violations of one rule that are shown with their history
+HISTORY_LINES = 60  # lines of history shown for one violation
 
 
 def table(outcome: Outcome) -> Iterator[str]:
-    """Faults, recoveries, counts of what was done, and violations by rule."""
+    """Yield the lines of a table of faults, recoveries, counts of operations and violations by rule."""
     seconds: dict[str, list[float]] = defaultdict(list)
     for recovery in outcome.history.recoveries:
         seconds[recovery.kind].append(recovery.seconds)
     yield f"{'fault':<48} {'times':>5}   useful again: median, most (s)"
     for name, times in sorted(outcome.injected.items()):
-        found = sorted(seconds.get(name, []))
-        shown = f"{found[len(found) // 2]:.2f} {found[-1]:.2f}" if found else "-"
+        recovery_times = sorted(seconds.get(name, []))
+        shown = f"{recovery_times[len(recovery_times) // 2]:.2f} {recovery_times[-1]:.2f}" if recovery_times else "-"
         yield f"{name:<48} {times:>5}   {shown}"
     yield f"{'all':<48} {outcome.injected.total():>5}"
     history = outcome.history
-    tries = Counter(
-        "confirmed" if t.confirmed else "refused" if t.refused else "unclear" for t in history.tries if t.order.valid
+    outcomes = Counter(
+        "confirmed" if attempt.confirmed else "refused" if attempt.refused else "unclear"
+        for attempt in history.tries
+        if attempt.order.valid
     )
     yield (
-        f"orders {len({t.order.ident for t in history.tries})}, sent {len(history.tries)} times "
-        f"({', '.join(f'{n} {how}' for how, n in sorted(tries.items()))}); reads answered "
+        f"orders {len({attempt.order.ident for attempt in history.tries})}, sent {len(history.tries)} times "
+        f"({', '.join(f'{count} {name}' for name, count in sorted(outcomes.items()))}); reads answered "
         f"{sum(read.status == 200 for read in history.reads)} of {len(history.reads)}"
     )
-    statuses = Counter("none" if c.status is None else str(c.status) for c in history.calls)
+    statuses = Counter("none" if call.status is None else str(call.status) for call in history.calls)
     yield (
         f"requests {len(history.calls)} ({', '.join(f'{n} x {status}' for status, n in sorted(statuses.items()))}); "
-        f"keyed operations {len({c.key for c in history.calls if c.key})}, runs {len(history.runs)}"
+        f"keyed operations {len({call.key for call in history.calls if call.key})}, runs {len(history.runs)}"
     )
-    never = sum(not math.isfinite(recovery.seconds) for recovery in history.recoveries)
-    yield f"machines not useful again at all: {never}; processes that ended by themselves: {len(outcome.exits)}"
+    unrecovered = sum(not math.isfinite(recovery.seconds) for recovery in history.recoveries)
+    yield f"machines not useful again at all: {unrecovered}; processes that ended by themselves: {len(outcome.exits)}"
     yield f"exceptions that nobody caught: {outcome.exceptions.total()}"
-    yield from (f"    {times:>5} {told}" for told, times in outcome.exceptions.most_common())
+    yield from (f"    {times:>5} {exception}" for exception, times in outcome.exceptions.most_common())
     yield f"{'rule':<48} violations"
     counts = Counter(violation.rule for violation in outcome.violations)
     for rule in Rule:
@@ -51,12 +53,14 @@
 
 
 def details(outcome: Outcome) -> Iterator[str]:
-    """The first violations of each rule, with the history around them."""
+    """Yield the first violations of each rule with the history around them."""
     shown: Counter[Rule] = Counter()
     for violation in outcome.violations:
         shown[violation.rule] += 1
-        if shown[violation.rule] > SHOWN:
+        if shown[violation.rule] > SHOWN_PER_RULE:
             continue
         yield f"--- {violation.rule.value}: {violation.subject} at {violation.at:.3f}"
         yield f"    {violation.detail} {violation.where}".rstrip()
-        yield from outcome.history.around(violation.subject, violation.at - BEFORE, violation.at + AFTER)[-LINES:]
+        yield from outcome.history.around(violation.subject, violation.at - BEFORE, violation.at + AFTER)[
+            -HISTORY_LINES:
+        ]
