--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -1,4 +1,4 @@
-"""One run: a mesh, its operators and clients, the faults, and what the checker says."""
+"""Plays one run: faults against a mesh with operators and clients at work, and the check of its history."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 from lugspur.bench.faults.operator import Console, Operators
 from lugspur.bench.faults.plan import Fault
 
-CALM = 1.0  # seconds without faults at the end, in which everything that was confirmed is read back at every machine
-NEVER_MOST = 3  # machines that were never useful again, after which a run ends early: the mesh is stuck
+CALM = 1.0  # seconds without faults at the end, before every machine is read to find all that was confirmed
+UNRECOVERED_LIMIT = 3  # machines without recovery after which a run ends early, as the mesh is stuck
 
 Progress = Callable[[int, Fault, float], None]
 
 
 @dataclass
 class Outcome:
-    """What a run brought."""
+    """The results of a run."""
 
     history: History
     violations: list[Violation]
     injected: Counter[str]
-    exits: list[str]  # machines whose process ended by itself
-    exceptions: Counter[str]  # that nobody caught
+    exits: list[str]  # addresses of machines whose process ended by itself
+    exceptions: Counter[str]  # uncaught exceptions in the logs
 
     @property
     def failed(self) -> bool:
-        """Whether anything is wrong."""
+        """Whether the run found any violation, exit or exception."""
         return bool(self.violations or self.exits or self.exceptions)
 
 
 async def play(
     folder: Path, machines: int, tolerate: int, faults: list[Fault], seed: int, progress: Progress | None = None
 ) -> Outcome:
-    """Play faults one after another while operators and clients are at work."""
+    """Inject faults one after another while operators and clients are at work."""
     history, injected = History(), Counter[str]()
     cluster = Cluster(folder, machines, tolerate)
     loop = asyncio.get_running_loop()
@@ -72,8 +72,8 @@
                     progress(number, fault, loop.time() - began)
                 for task in tasks:
                     if task.done():
-                        task.result()  # a fault of the rig itself
-                if sum(not math.isfinite(recovery.seconds) for recovery in history.recoveries) >= NEVER_MOST:
+                        task.result()  # raises an error of the rig itself
+                if sum(not math.isfinite(recovery.seconds) for recovery in history.recoveries) >= UNRECOVERED_LIMIT:
                     break
         finally:
             for task in tasks[:3]:
