--- a/lugspur/bench/faults/__init__.py
+++ b/lugspur/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Drawn faults against a mesh of real processes, and a checker of everything that was promised meanwhile."""
+"""Random faults against a mesh of real processes, and a checker of the guarantees that the mesh gives meanwhile."""
