--- a/lugspur/bench/days/__init__.py
+++ b/lugspur/bench/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days for the operators' bench, drawn at random: every kind of trouble, at any moment, more than once."""
+"""Random days for the operators' bench: faults of every kind, at any time, some of them repeated."""
--- a/lugspur/bench/days/__main__.py
+++ b/lugspur/bench/days/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lugspur.bench.days FOLDER`: write drawn days as files that the operators' bench can play."""
+"""`python -m lugspur.bench.days FOLDER`: write random days as files that the operators' bench can play."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 @app.default
 def draw(folder: Path, *, seeds: int = 10, first: int = 1) -> None:
-    """Write one file for each of `seeds` seeds, beginning with `first`."""
+    """Write one file for each of `seeds` seeds, starting with `first`."""
     folder.mkdir(parents=True, exist_ok=True)
     for seed in range(first, first + seeds):
         day = draw_day(seed)
