--- a/lugspur/bench/days/trouble.py
+++ b/lugspur/bench/days/trouble.py
@@ -1,4 +1,4 @@
-"""The kinds of trouble that a drawn day is made of: which fields each takes, and between which values."""
+"""The kinds of entry in a random day: the fields of each and the ranges of their values."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of trouble. A range is drawn from evenly; `None` leaves the field out.
+    """One kind of entry. Values are drawn uniformly from a range; a range of `None` leaves the field out.
 
-    `how`: tuples of words, of each of which one is drawn; `core`: whether it may strike the control machines alone.
+    `how` holds tuples of words; one word is drawn from each. `core` restricts an entry to the control machines.
+    `planned` puts an entry into the plan of the day instead of its faults.
     """
 
     name: str
