--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -1,4 +1,4 @@
-"""The checker of histories: hand-written ones, right and wrong; each rule is seen to catch what it is for."""
+"""Tests of the history checker: valid histories pass, and each rule finds the violation it is meant for."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 X7 = Item("r", 7, b"x", "rooms")
 Y7 = Item("r", 7, b"y", "halls")
 Z9 = Item("r", 9, b"z", "halls")
-GONE8 = Item("r", 8, None)
-OX, OY, OZ, OGONE = (Order(n, f"op{n}", (item,)) for n, item in enumerate((X7, Y7, Z9, GONE8)))
-BAD = Order(9, "op9", (Item("r", 7, b"bad", "attic"),), Invalid.ITSELF)
-UNKNOWN = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), Invalid.BESIDE_OTHERS)
+WITHDRAWN8 = Item("r", 8, None)
+ORDER_X, ORDER_Y, ORDER_Z, ORDER_WITHDRAWAL = (
+    Order(n, f"op{n}", (item,)) for n, item in enumerate((X7, Y7, Z9, WITHDRAWN8))
+)
+INVALID_BY_ITSELF = Order(9, "op9", (Item("r", 7, b"bad", "attic"),), Invalid.ITSELF)
+INVALID_BESIDE_OTHERS = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), Invalid.BESIDE_OTHERS)
 
 
-def sent(order: Order, at: float, status: int | None = 200, machine: str = "a") -> OrderAttempt:
+def attempt(order: Order, at: float, status: int | None = 200, machine: str = "a") -> OrderAttempt:
     return OrderAttempt(order, machine, at, at + 0.1, status)
 
 
@@ -28,16 +30,16 @@
     return Read(machine, at, at + 0.1, status, items)
 
 
-def call(at: float, status: int | None = 200, service: str = "", **other: Any) -> Call:
-    told: dict[str, Any] = {"route": "r", "attempt": "t1", "echoed": "t1", "ran": "t1"} | other
-    return Call("p", began=at, ended=at + 0.1, status=status, service=service, **told)
+def call(at: float, status: int | None = 200, service: str = "", **overrides: Any) -> Call:
+    fields: dict[str, Any] = {"route": "r", "attempt": "t1", "echoed": "t1", "ran": "t1"} | overrides
+    return Call("p", began=at, ended=at + 0.1, status=status, service=service, **fields)
 
 
-def keyed(at: float, attempt: str, ran: str, status: int = 200, body: bytes = b"") -> Call:
-    return Call("p", "book", attempt, at, at + 0.1, status, "k", False, attempt, ran, "rooms", body)
+def keyed_call(at: float, attempt_id: str, ran: str, status: int = 200, body: bytes = b"") -> Call:
+    return Call("p", "book", attempt_id, at, at + 0.1, status, "k", False, attempt_id, ran, "rooms", body)
 
 
-def found(*events: OrderAttempt | Read | Call | Span | Recovery, runs: tuple[str, ...] = ()) -> set[Rule]:
+def violated_rules(*events: OrderAttempt | Read | Call | Span | Recovery, runs: tuple[str, ...] = ()) -> set[Rule]:
     history = History(runs=list(runs))
     for event in events:
         if isinstance(event, OrderAttempt):
@@ -54,71 +56,102 @@
 
 
 CUT = Span("cut", ("a",), 10.0, 30.0, ("a",))
-STALL = Span("kill all", ("a", "b", "c"), 1.05, 5.0, (), True)
-
-RIGHT: dict[str, tuple[list[OrderAttempt | Read | Call | Span | Recovery], tuple[str, ...]]] = {
-    "confirmed, sent again, read": ([sent(OX, 1), sent(OX, 2, machine="b"), read(3, X7)], ()),
-    "the loser of a race is refused": ([sent(OX, 1), sent(OY, 1, 409), read(3, X7)], ()),
-    "an unclear order is in force": ([sent(OX, 1, 504), read(3, X7)], ()),
-    "an unclear order is not in force": ([sent(OX, 1, None), read(3)], ()),
-    "a higher edition stands": ([sent(OX, 1), sent(OZ, 2), read(3, Z9)], ()),
-    "a withdrawal stands": ([sent(OX, 1), sent(OGONE, 2), read(3)], ()),
-    "an older edition has no effect": ([sent(OZ, 1), sent(OX, 2), sent(OY, 2), read(3, Z9)], ()),
-    "an invalid order is refused": ([sent(BAD, 1, 400), read(3)], ()),
-    "an order that is invalid beside others has no effect": ([sent(OZ, 1), sent(UNKNOWN, 2), read(3, Z9)], ()),
-    "a read during the change": ([sent(OX, 1), sent(OZ, 2), read(2.05, X7), read(2.05, Z9, machine="b")], ()),
+ALL_DOWN = Span("kill all", ("a", "b", "c"), 1.05, 5.0, (), True)
+
+VALID: dict[str, tuple[list[OrderAttempt | Read | Call | Span | Recovery], tuple[str, ...]]] = {
+    "confirmed, sent again, read": ([attempt(ORDER_X, 1), attempt(ORDER_X, 2, machine="b"), read(3, X7)], ()),
+    "the loser of a race is refused": ([attempt(ORDER_X, 1), attempt(ORDER_Y, 1, 409), read(3, X7)], ()),
+    "an unclear order is in force": ([attempt(ORDER_X, 1, 504), read(3, X7)], ()),
+    "an unclear order is not in force": ([attempt(ORDER_X, 1, None), read(3)], ()),
+    "a higher edition stands": ([attempt(ORDER_X, 1), attempt(ORDER_Z, 2), read(3, Z9)], ()),
+    "a withdrawal stands": ([attempt(ORDER_X, 1), attempt(ORDER_WITHDRAWAL, 2), read(3)], ()),
+    "an older edition has no effect": (
+        [attempt(ORDER_Z, 1), attempt(ORDER_X, 2), attempt(ORDER_Y, 2), read(3, Z9)],
+        (),
+    ),
+    "an invalid order is refused": ([attempt(INVALID_BY_ITSELF, 1, 400), read(3)], ()),
+    "an order that is invalid beside others has no effect": (
+        [attempt(ORDER_Z, 1), attempt(INVALID_BESIDE_OTHERS, 2), read(3, Z9)],
+        (),
+    ),
+    "a read during the change": (
+        [attempt(ORDER_X, 1), attempt(ORDER_Z, 2), read(2.05, X7), read(2.05, Z9, machine="b")],
+        (),
+    ),
     "cut off: no answers, and at first some": (
-        [sent(OX, 1), CUT, sent(OX, 11), sent(OZ, 20, 503), read(20, status=503), sent(OZ, 21, None)],
+        [
+            attempt(ORDER_X, 1),
+            CUT,
+            attempt(ORDER_X, 11),
+            attempt(ORDER_Z, 20, 503),
+            read(20, status=503),
+            attempt(ORDER_Z, 21, None),
+        ],
         (),
     ),
-    "cut off: an order that is invalid by itself": ([CUT, sent(BAD, 20, 400)], ()),
-    "served as confirmed": ([sent(OX, 1), sent(OZ, 2), call(3, service="rooms"), call(9, service="halls")], ("t1",)),
-    "all were down": ([sent(OX, 1, 200), STALL, call(9, 404)], ()),
-    "a key runs once": ([keyed(1, "t1", "t1"), keyed(2, "t2", "t1"), keyed(2, "t3", "", 409)], ("t1",)),
+    "cut off: an order that is invalid by itself": ([CUT, attempt(INVALID_BY_ITSELF, 20, 400)], ()),
+    "served as confirmed": (
+        [attempt(ORDER_X, 1), attempt(ORDER_Z, 2), call(3, service="rooms"), call(9, service="halls")],
+        ("t1",),
+    ),
+    "all were down": ([attempt(ORDER_X, 1, 200), ALL_DOWN, call(9, 404)], ()),
+    "a key runs once": ([keyed_call(1, "t1", "t1"), keyed_call(2, "t2", "t1"), keyed_call(2, "t3", "", 409)], ("t1",)),
     "useful in time": ([Recovery("cut", "a", 30.0, 4.0, 5.0)], ()),
 }
 
-WRONG: dict[str, tuple[Rule, list[OrderAttempt | Read | Call | Span | Recovery], tuple[str, ...]]] = {
-    "both confirmed": (Rule.DECIDED_ONCE, [sent(OX, 1), sent(OY, 1, machine="b")], ()),
-    "a confirmed order is absent": (Rule.LOST, [sent(OX, 1), read(3)], ()),
-    "its content is another's": (Rule.LOST, [sent(OX, 1), sent(OY, 1, 504), read(3, Y7)], ()),
-    "an older one stands": (Rule.LOST, [sent(OX, 1), sent(OZ, 2), read(3, X7)], ()),
-    "a withdrawn item is back": (Rule.LOST, [sent(OX, 1), sent(OGONE, 2), read(3, X7)], ()),
+VIOLATING: dict[str, tuple[Rule, list[OrderAttempt | Read | Call | Span | Recovery], tuple[str, ...]]] = {
+    "both confirmed": (Rule.DECIDED_ONCE, [attempt(ORDER_X, 1), attempt(ORDER_Y, 1, machine="b")], ()),
+    "a confirmed order is absent": (Rule.LOST, [attempt(ORDER_X, 1), read(3)], ()),
+    "its content is another's": (Rule.LOST, [attempt(ORDER_X, 1), attempt(ORDER_Y, 1, 504), read(3, Y7)], ()),
+    "an older one stands": (Rule.LOST, [attempt(ORDER_X, 1), attempt(ORDER_Z, 2), read(3, X7)], ()),
+    "a withdrawn item is back": (Rule.LOST, [attempt(ORDER_X, 1), attempt(ORDER_WITHDRAWAL, 2), read(3, X7)], ()),
     "both confirmed under what was refused and is not there": (
         Rule.DECIDED_ONCE,
-        [sent(OX, 1), sent(OZ, 1, 409), sent(OY, 2)],
+        [attempt(ORDER_X, 1), attempt(ORDER_Z, 1, 409), attempt(ORDER_Y, 2)],
+        (),
+    ),
+    "a read goes back": (Rule.BACKWARDS, [attempt(ORDER_X, 1), attempt(ORDER_Z, 2, 504), read(3, Z9), read(4, X7)], ()),
+    "a read goes back to nothing": (Rule.BACKWARDS, [attempt(ORDER_X, 1, 504), read(3, X7), read(4)], ()),
+    "sent again and refused": (
+        Rule.REFUSED_AFTER_CONFIRMED,
+        [attempt(ORDER_X, 1), attempt(ORDER_Y, 1, 409), attempt(ORDER_X, 2, 409)],
         (),
     ),
-    "a read goes back": (Rule.BACKWARDS, [sent(OX, 1), sent(OZ, 2, 504), read(3, Z9), read(4, X7)], ()),
-    "a read goes back to nothing": (Rule.BACKWARDS, [sent(OX, 1, 504), read(3, X7), read(4)], ()),
-    "sent again and refused": (Rule.REFUSED_AFTER_CONFIRMED, [sent(OX, 1), sent(OY, 1, 409), sent(OX, 2, 409)], ()),
     "refused at one and confirmed at another": (
         Rule.REFUSED_AFTER_CONFIRMED,
-        [sent(OX, 1, 409), sent(OX, 1, machine="b")],
+        [attempt(ORDER_X, 1, 409), attempt(ORDER_X, 1, machine="b")],
         (),
     ),
-    "refused with nobody in its way": (Rule.REFUSED_WITHOUT_CAUSE, [sent(OX, 1, 409)], ()),
-    "refused by an odd status": (Rule.REFUSED_WITHOUT_CAUSE, [sent(OX, 1, 504), sent(OY, 1, 400)], ()),
-    "refused and read": (Rule.REFUSED_IN_FORCE, [sent(OX, 1, 504), sent(OY, 1, 409), read(3, Y7)], ()),
+    "refused with nobody in its way": (Rule.REFUSED_WITHOUT_CAUSE, [attempt(ORDER_X, 1, 409)], ()),
+    "refused by an odd status": (Rule.REFUSED_WITHOUT_CAUSE, [attempt(ORDER_X, 1, 504), attempt(ORDER_Y, 1, 400)], ()),
+    "refused and read": (Rule.REFUSED_IN_FORCE, [attempt(ORDER_X, 1, 504), attempt(ORDER_Y, 1, 409), read(3, Y7)], ()),
     "refused and served": (
         Rule.REFUSED_IN_FORCE,
-        [sent(OX, 1), sent(OY, 1, 409), call(9, service="halls")],
+        [attempt(ORDER_X, 1), attempt(ORDER_Y, 1, 409), call(9, service="halls")],
         ("t1",),
     ),
-    "never sent and read": (Rule.REFUSED_IN_FORCE, [sent(OX, 1), read(3, Z9)], ()),
-    "invalid and confirmed": (Rule.INVALID, [sent(BAD, 1)], ()),
-    "invalid, without effect, and confirmed": (Rule.INVALID, [sent(OZ, 1), sent(BAD, 2)], ()),
-    "invalid beside others and confirmed": (Rule.INVALID, [sent(UNKNOWN, 1), sent(OZ, 2)], ()),
-    "cut off and confirms": (Rule.CUT_OFF_CONFIRMS, [CUT, sent(OX, 15)], ()),
-    "cut off and refuses": (Rule.CUT_OFF_REFUSES, [sent(OX, 1), CUT, sent(OY, 15, 409)], ()),
+    "never sent and read": (Rule.REFUSED_IN_FORCE, [attempt(ORDER_X, 1), read(3, Z9)], ()),
+    "invalid and confirmed": (Rule.INVALID, [attempt(INVALID_BY_ITSELF, 1)], ()),
+    "invalid, without effect, and confirmed": (Rule.INVALID, [attempt(ORDER_Z, 1), attempt(INVALID_BY_ITSELF, 2)], ()),
+    "invalid beside others and confirmed": (Rule.INVALID, [attempt(INVALID_BESIDE_OTHERS, 1), attempt(ORDER_Z, 2)], ()),
+    "cut off and confirms": (Rule.CUT_OFF_CONFIRMS, [CUT, attempt(ORDER_X, 15)], ()),
+    "cut off and refuses": (Rule.CUT_OFF_REFUSES, [attempt(ORDER_X, 1), CUT, attempt(ORDER_Y, 15, 409)], ()),
     "cut off and reads": (Rule.CUT_OFF_READS, [CUT, read(15)], ()),
-    "an old service serves": (Rule.STALE, [sent(OX, 1), sent(OZ, 2), call(9, service="rooms")], ("t1",)),
-    "a route is not there": (Rule.STALE, [sent(OX, 1), call(9, 404)], ()),
-    "all were down and are back for long": (Rule.STALE, [sent(OX, 1), STALL, call(11, 404)], ()),
-    "a withdrawn route serves": (Rule.STALE, [sent(OX, 1), sent(OGONE, 2), call(9, service="rooms")], ("t1",)),
+    "an old service serves": (
+        Rule.STALE,
+        [attempt(ORDER_X, 1), attempt(ORDER_Z, 2), call(9, service="rooms")],
+        ("t1",),
+    ),
+    "a route is not there": (Rule.STALE, [attempt(ORDER_X, 1), call(9, 404)], ()),
+    "all were down and are back for long": (Rule.STALE, [attempt(ORDER_X, 1), ALL_DOWN, call(11, 404)], ()),
+    "a withdrawn route serves": (
+        Rule.STALE,
+        [attempt(ORDER_X, 1), attempt(ORDER_WITHDRAWAL, 2), call(9, service="rooms")],
+        ("t1",),
+    ),
     "useful too late": (Rule.USEFUL, [Recovery("cut", "a", 30.0, 5.5, 5.0)], ()),
     "never useful": (Rule.USEFUL, [Recovery("cut", "a", 30.0, math.inf, 5.0)], ()),
-    "a key runs twice": (Rule.RAN_TWICE, [keyed(1, "t1", "t1"), keyed(2, "t2", "t1")], ("t1", "t2")),
+    "a key runs twice": (Rule.RAN_TWICE, [keyed_call(1, "t1", "t1"), keyed_call(2, "t2", "t1")], ("t1", "t2")),
     "an attempt runs twice": (
         Rule.RAN_TWICE,
         [Call("p", "mail", "t1", 1.0, 1.1, 502, unsafe=True)],
@@ -129,44 +162,50 @@
     "an answer without a run": (Rule.ANSWERS, [call(1, service="rooms", route="look")], ()),
     "two answers under one key": (
         Rule.ANSWERS,
-        [keyed(1, "t1", "t1", body=b"1"), keyed(2, "t2", "t1", body=b"2")],
+        [keyed_call(1, "t1", "t1", body=b"1"), keyed_call(2, "t2", "t1", body=b"2")],
         ("t1",),
     ),
-    "not run, it says": (Rule.ANSWERS, [keyed(1, "t1", "", 503)], ("t1",)),
-    "a key refused for good": (Rule.ANSWERS, [keyed(1, "t1", "", 404)], ()),
+    "not run, it says": (Rule.ANSWERS, [keyed_call(1, "t1", "", 503)], ("t1",)),
+    "a key refused for good": (Rule.ANSWERS, [keyed_call(1, "t1", "", 404)], ()),
 }
 
 
-@pytest.mark.parametrize("name", RIGHT)
-def test_a_right_history_passes(name: str) -> None:
-    events, runs = RIGHT[name]
-    assert found(*events, runs=runs) == set()
+@pytest.mark.parametrize("name", VALID)
+def test_valid_history_passes(name: str) -> None:
+    events, runs = VALID[name]
+    assert violated_rules(*events, runs=runs) == set()
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_history_is_caught_by_its_rule(name: str) -> None:
-    rule, events, runs = WRONG[name]
-    assert rule in found(*events, runs=runs)
+@pytest.mark.parametrize("name", VIOLATING)
+def test_violating_history_is_found_by_its_rule(name: str) -> None:
+    rule, events, runs = VIOLATING[name]
+    assert rule in violated_rules(*events, runs=runs)
 
 
-def test_what_is_read_overtakes_even_where_it_was_refused() -> None:
-    rules = found(sent(OX, 1), sent(OZ, 1, 409), sent(OZ, 1, 409), read(2, Z9), sent(OY, 3))
+def test_edition_that_is_read_supersedes_older_ones_although_it_was_refused() -> None:
+    rules = violated_rules(
+        attempt(ORDER_X, 1), attempt(ORDER_Z, 1, 409), attempt(ORDER_Z, 1, 409), read(2, Z9), attempt(ORDER_Y, 3)
+    )
     assert Rule.REFUSED_IN_FORCE in rules and Rule.DECIDED_ONCE not in rules
 
 
 def test_the_same_violation_is_counted_once() -> None:
     reads = [read(3, Y7), read(4, Y7, machine="b"), read(5, Y7)]
-    history = History(tries=[sent(OX, 1, 504), sent(OY, 1, 409)], reads=reads)
-    assert [(v.rule, v.where) for v in check(history, BOUNDS)] == [(Rule.REFUSED_IN_FORCE, "at a")]
+    history = History(tries=[attempt(ORDER_X, 1, 504), attempt(ORDER_Y, 1, 409)], reads=reads)
+    assert [(violation.rule, violation.where) for violation in check(history, BOUNDS)] == [
+        (Rule.REFUSED_IN_FORCE, "at a")
+    ]
 
 
-def test_every_rule_has_a_wrong_history() -> None:
-    assert {rule for rule, _, _ in WRONG.values()} == set(Rule)
+def test_every_rule_has_a_violating_history() -> None:
+    assert {rule for rule, _, _ in VIOLATING.values()} == set(Rule)
 
 
-def test_what_led_to_a_violation_is_shown() -> None:
-    history = History(tries=[sent(OX, 1), sent(OY, 1.5, 409), sent(OZ, 90)], reads=[read(3, Y7)], spans=[CUT])
-    (violation,) = (v for v in check(history, BOUNDS) if v.rule is Rule.REFUSED_IN_FORCE)
+def test_history_lists_the_events_around_a_violation() -> None:
+    history = History(
+        tries=[attempt(ORDER_X, 1), attempt(ORDER_Y, 1.5, 409), attempt(ORDER_Z, 90)], reads=[read(3, Y7)], spans=[CUT]
+    )
+    (violation,) = (violation for violation in check(history, BOUNDS) if violation.rule is Rule.REFUSED_IN_FORCE)
     lines = history.around(violation.subject, 0.0, 20.0)
     assert [line.split(None, 2)[2].split(":")[0] for line in lines] == [
         "order 0 [r@7] at a",
