--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -1,4 +1,4 @@
-"""The rig of faults: what its relay does to links, what its checker finds, and a short run over real processes."""
+"""Tests of the fault bench: its relay, its search of logs, and a short run over real processes."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from lugspur.bench.mesh import free_ports
 
 CLIENT, SERVER = "127.0.0.2", "127.0.0.3"
-THERE, BACK = Pair(CLIENT, SERVER), Pair(SERVER, CLIENT)
+TO_SERVER, TO_CLIENT = Pair(CLIENT, SERVER), Pair(SERVER, CLIENT)
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-class Relayed:
-    """A server behind a relay, and connections to it."""
+class RelayedServer:
+    """A server behind a relay, and the connections to it."""
 
     def __init__(self, links: Links) -> None:
         self.links = links
         self.accepted: asyncio.Queue[Streams] = asyncio.Queue()
-        self.kept: list[Streams] = []  # a reader that nobody keeps ends its connection
+        self.streams: list[Streams] = []  # references that keep the connections open: a stream without one is closed
 
     async def begin(self) -> None:
         public, bound = free_ports([SERVER], 2)
@@ -34,129 +34,129 @@
         self.server = await asyncio.start_server(self.accept, SERVER, bound)
         self.bound = (SERVER, bound)
         await self.links.open(self.address, self.bound)
-        self.kept.append(await self.accepted.get())  # the relay's look whether it is bound
+        self.streams.append(await self.accepted.get())  # the relay's check whether the server is bound
 
     def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.kept.append((reader, writer))
+        self.streams.append((reader, writer))
         self.accepted.put_nowait((reader, writer))
 
-    async def dial(self) -> Streams:
-        self.kept.append(await asyncio.open_connection(*self.address, local_addr=(CLIENT, 0)))
-        return self.kept[-1]
+    async def connect(self) -> Streams:
+        self.streams.append(await asyncio.open_connection(*self.address, local_addr=(CLIENT, 0)))
+        return self.streams[-1]
 
 
-def relayed(what: Callable[[Relayed], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[RelayedServer], Awaitable[None]]) -> None:
     async def run() -> None:
         links = Links()
-        there = Relayed(links)
-        await there.begin()
+        relayed = RelayedServer(links)
+        await relayed.begin()
         try:
             async with asyncio.timeout(20.0):
-                await what(there)
+                await scenario(relayed)
         finally:
-            there.server.close()
+            relayed.server.close()
             await links.close()
 
     asyncio.run(run())
 
 
-def test_a_cut_in_one_direction_holds_bytes_until_it_heals_and_the_other_direction_goes_on() -> None:
-    async def what(there: Relayed) -> None:
-        reader, writer = await there.dial()
-        far_reader, far_writer = await there.accepted.get()
-        there.links.cut(THERE, Cut.SILENT)
+def test_cut_in_one_direction_delays_bytes_until_it_heals_and_leaves_the_other_open() -> None:
+    async def scenario(relayed: RelayedServer) -> None:
+        reader, writer = await relayed.connect()
+        server_reader, server_writer = await relayed.accepted.get()
+        relayed.links.cut(TO_SERVER, Cut.SILENT)
         writer.write(b"held")
-        held = asyncio.create_task(far_reader.readexactly(4))
-        for _ in range(5):  # so many round trips the other way
-            far_writer.write(b"news")
+        delayed = asyncio.create_task(server_reader.readexactly(4))
+        for _ in range(5):  # messages in the other direction
+            server_writer.write(b"news")
             assert await reader.readexactly(4) == b"news"
-        assert not held.done()
-        there.links.heal()
-        assert await held == b"held"
+        assert not delayed.done()
+        relayed.links.heal()
+        assert await delayed == b"held"
 
-    relayed(what)
+    run_scenario(scenario)
 
 
-def test_a_silent_cut_holds_back_what_is_written_without_limit_at_its_sender() -> None:
-    async def what(there: Relayed) -> None:
-        _, writer = await there.dial()
-        far_reader, _ = await there.accepted.get()
-        there.links.cut(THERE, Cut.SILENT)
+def test_silent_cut_blocks_a_sender_that_writes_more_than_the_relay_buffers() -> None:
+    async def scenario(relayed: RelayedServer) -> None:
+        _, writer = await relayed.connect()
+        server_reader, _ = await relayed.accepted.get()
+        relayed.links.cut(TO_SERVER, Cut.SILENT)
         size = 32 << 20
         writer.write(b"x" * size)
         drained = asyncio.create_task(writer.drain())
         done, _ = await asyncio.wait({drained}, timeout=0.3)
-        assert not done  # the relay reads no more than its bound
-        there.links.heal()
-        assert len(await far_reader.readexactly(size)) == size
+        assert not done  # the relay buffers no more than its limit
+        relayed.links.heal()
+        assert len(await server_reader.readexactly(size)) == size
 
-    relayed(what)
+    run_scenario(scenario)
 
 
-def test_a_cut_with_resets_ends_connections_on_both_sides_and_new_ones_too() -> None:
-    async def what(there: Relayed) -> None:
-        reader, _ = await there.dial()
-        far_reader, _ = await there.accepted.get()
-        there.links.cut(BACK, Cut.RESET)
-        for side in (reader, far_reader):
+def test_cut_with_resets_closes_open_connections_on_both_sides_and_new_ones() -> None:
+    async def scenario(relayed: RelayedServer) -> None:
+        reader, _ = await relayed.connect()
+        server_reader, _ = await relayed.accepted.get()
+        relayed.links.cut(TO_CLIENT, Cut.RESET)
+        for side in (reader, server_reader):
             with pytest.raises(ConnectionResetError):
                 await side.read()
-        fresh, _ = await there.dial()
+        new_reader, _ = await relayed.connect()
         with pytest.raises(ConnectionResetError):
-            await fresh.read()
-        there.links.heal()
-        again, _ = await there.dial()
-        _, far_writer = await there.accepted.get()
-        far_writer.write(b"well")
-        assert await again.readexactly(4) == b"well"
-
-    relayed(what)
-
-
-def test_refusing_new_connections_leaves_the_present_ones() -> None:
-    async def what(there: Relayed) -> None:
-        reader, _ = await there.dial()
-        _, far_writer = await there.accepted.get()
-        there.links.cut(THERE, Cut.REFUSE)
-        fresh, _ = await there.dial()
+            await new_reader.read()
+        relayed.links.heal()
+        later_reader, _ = await relayed.connect()
+        _, server_writer = await relayed.accepted.get()
+        server_writer.write(b"well")
+        assert await later_reader.readexactly(4) == b"well"
+
+    run_scenario(scenario)
+
+
+def test_refusing_new_connections_leaves_open_ones() -> None:
+    async def scenario(relayed: RelayedServer) -> None:
+        reader, _ = await relayed.connect()
+        _, server_writer = await relayed.accepted.get()
+        relayed.links.cut(TO_SERVER, Cut.REFUSE)
+        new_reader, _ = await relayed.connect()
         with pytest.raises(ConnectionResetError):
-            await fresh.read()
-        far_writer.write(b"well")
+            await new_reader.read()
+        server_writer.write(b"well")
         assert await reader.readexactly(4) == b"well"
 
-    relayed(what)
+    run_scenario(scenario)
 
 
 def test_a_machine_whose_process_has_ended_refuses_connections_until_the_next_one_is_bound() -> None:
-    async def what(there: Relayed) -> None:
-        there.server.close()
-        there.links.shut(SERVER)
-        opening = there.links.open(there.address, there.bound)
+    async def scenario(relayed: RelayedServer) -> None:
+        relayed.server.close()
+        relayed.links.shut(SERVER)
+        opening = relayed.links.open(relayed.address, relayed.bound)
         for _ in range(3):
             with pytest.raises(ConnectionRefusedError):
-                await there.dial()
+                await relayed.connect()
         assert not opening.done()
-        there.server = await asyncio.start_server(there.accept, *there.bound)
+        relayed.server = await asyncio.start_server(relayed.accept, *relayed.bound)
         await opening
-        await there.accepted.get()
-        await there.dial()
-        _, far_writer = await there.accepted.get()
-        assert far_writer.get_extra_info("peername")[0] == CLIENT
+        await relayed.accepted.get()
+        await relayed.connect()
+        _, server_writer = await relayed.accepted.get()
+        assert server_writer.get_extra_info("peername")[0] == CLIENT
 
-    relayed(what)
+    run_scenario(scenario)
 
 
-def test_the_end_of_a_process_reaches_the_other_side() -> None:
-    async def what(there: Relayed) -> None:
-        reader, _ = await there.dial()
-        _, far_writer = await there.accepted.get()
-        far_writer.close()
+def test_end_of_a_process_closes_its_connections() -> None:
+    async def scenario(relayed: RelayedServer) -> None:
+        reader, _ = await relayed.connect()
+        _, server_writer = await relayed.accepted.get()
+        server_writer.close()
         assert await reader.read() == b""
 
-    relayed(what)
+    run_scenario(scenario)
 
 
-def test_exceptions_that_nobody_caught_are_found_in_logs(tmp_path: Path) -> None:
+def test_uncaught_exceptions_are_found_in_logs(tmp_path: Path) -> None:
     (tmp_path / "a.log").write_text(
         "12:00 event=serving\nException in callback Node._look\nTraceback (most recent call last):\n"
         '  File "/src/lugspur/mesh/control/items.py", line 5, in check\n'
@@ -180,12 +180,12 @@
 ]
 
 
-def test_nothing_promised_is_broken_by_a_short_run_of_faults(tmp_path: Path) -> None:
+def test_short_run_of_faults_violates_no_guarantee(tmp_path: Path) -> None:
     outcome = asyncio.run(play(tmp_path, 3, 1, SHORT_RUN, seed=1))
     assert outcome.injected.total() == len(SHORT_RUN)
     tries, calls = outcome.history.tries, outcome.history.calls
     assert sum(sent.confirmed for sent in tries) > 20 and any(sent.refused for sent in tries)
     assert any(call.key and call.status == 200 for call in calls)
-    told = "\n".join([*table(outcome), *details(outcome)])
+    output = "\n".join([*table(outcome), *details(outcome)])
     failed = outcome.failed
-    assert not failed, told
+    assert not failed, output
