--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The days under tests/days are whole: each parses, and names only the kinds of trouble that the bench knows."""
+"""Checks the days under tests/days: each parses and uses only kinds that the bench knows."""
 
 import tomllib
 from pathlib import Path
@@ -12,15 +12,15 @@
 CLOSINGS = frozenset({"power_off_all", "wipe_after_ack", "kill_all"})
 DAY_FIELDS = frozenset({"name", "length_s", "closing", "plan", "faults"})
 ENTRY_FIELDS = frozenset({"at", "kind", "how", "for_s", "share", "count", "x", "gap_s", "on"})
-"""No zone, service or class among them, so that a day can be played on every deployment."""
+"""The fields name no zone, service or class, so that a day can be played on every deployment."""
 
 
-def test_there_are_days() -> None:
+def test_days_exist() -> None:
     assert FILES
 
 
-def day_of(path: Path) -> dict[str, Any]:
-    """The one day that a file holds."""
+def load_day(path: Path) -> dict[str, Any]:
+    """Return the only day of a file."""
     days = tomllib.loads(path.read_text())["day"]
     assert len(days) == 1
     day: dict[str, Any] = days[0]
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_day_can_be_played(path: Path) -> None:
-    day = day_of(path)
+    day = load_day(path)
     assert day["name"] == path.stem
     assert day.keys() <= DAY_FIELDS
     assert day["closing"]["kind"] in CLOSINGS
@@ -41,5 +41,5 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_day_is_listed(path: Path) -> None:
+def test_day_is_listed_in_readme(path: Path) -> None:
     assert f"`{path.stem}`" in (DAYS / "README.md").read_text()
