--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -20,19 +20,19 @@
     """A guarantee of the mesh; the value is the violation's heading in reports."""
 
     DECIDED_ONCE = "two contents confirmed under one edition"
-    LOST = "confirmed and not read back"
-    BACKWARDS = "a read is older than an earlier one"
+    CONFIRMED_LOST = "confirmed and not read back"
+    READ_WENT_BACK = "a read is older than an earlier one"
     REFUSED_AFTER_CONFIRMED = "confirmed and then refused"
     REFUSED_WITHOUT_CAUSE = "a valid order refused without a conflict"
     REFUSED_IN_FORCE = "refused and in force"
-    INVALID = "an invalid order confirmed"
-    CUT_OFF_CONFIRMS = "a machine that is cut off confirms"
-    CUT_OFF_REFUSES = "a machine that is cut off refuses"
-    CUT_OFF_READS = "a machine that is cut off answers a read"
-    STALE = "an old configuration is used"
-    USEFUL = "not useful again in time"
+    INVALID_CONFIRMED = "an invalid order confirmed"
+    ISOLATED_CONFIRMS = "a machine that is cut off confirms"
+    ISOLATED_REFUSES = "a machine that is cut off refuses"
+    ISOLATED_READS = "a machine that is cut off answers a read"
+    STALE_CONFIGURATION = "an old configuration is used"
+    LATE_RECOVERY = "not useful again in time"
     RAN_TWICE = "ran twice"
-    ANSWERS = "a wrong answer"
+    WRONG_RESPONSE = "a wrong answer"
 
 
 @dataclass(frozen=True)
@@ -174,11 +174,12 @@
         if isinstance(event, OrderAttempt):
             for item in event.order.items:
                 _raise_floor(
-                    floors, _EditionFloor(item, f"order {event.order.ident} confirmed at {event.machine}", Rule.LOST)
+                    floors,
+                    _EditionFloor(item, f"order {event.order.ident} confirmed at {event.machine}", Rule.CONFIRMED_LOST),
                 )
         elif kind == 0:
             for item in event.items:
-                _raise_floor(floors, _EditionFloor(item, "read before", Rule.BACKWARDS))
+                _raise_floor(floors, _EditionFloor(item, "read before", Rule.READ_WENT_BACK))
         else:
             yield from _check_read(event, floors, index)
 
@@ -224,7 +225,7 @@
         confirmed = next((attempt for attempt in attempts if attempt.confirmed), None)
         if not order.valid:
             if confirmed is not None and not _had_no_effect(order, confirmed, index):
-                yield Violation(Rule.INVALID, order.items[0].name, confirmed.ended, f"order {order.ident}")
+                yield Violation(Rule.INVALID_CONFIRMED, order.items[0].name, confirmed.ended, f"order {order.ident}")
             continue
         for attempt in attempts:
             if not attempt.refused:
@@ -270,14 +271,14 @@
                 f"order {attempt.order.ident}: {attempt.status}, {attempt.began - span.began:.2f} s into {span.kind}"
             )
             if attempt.confirmed:
-                yield Violation(Rule.CUT_OFF_CONFIRMS, attempt.machine, attempt.ended, detail)
+                yield Violation(Rule.ISOLATED_CONFIRMS, attempt.machine, attempt.ended, detail)
             elif attempt.refused and attempt.order.valid:
-                yield Violation(Rule.CUT_OFF_REFUSES, attempt.machine, attempt.ended, detail)
+                yield Violation(Rule.ISOLATED_REFUSES, attempt.machine, attempt.ended, detail)
         for read in history.reads:
             if read.machine in span.isolated and inside(read) and read.status == 200:
                 where = f"{read.began - span.began:.2f} s after its beginning"
                 detail = f"{span.kind} at {span.began:.2f}"
-                yield Violation(Rule.CUT_OFF_READS, read.machine, read.ended, detail, where)
+                yield Violation(Rule.ISOLATED_READS, read.machine, read.ended, detail, where)
 
 
 def _check_routes_in_use(history: History, index: _OrderIndex, bounds: Bounds) -> Iterator[Violation]:
@@ -305,7 +306,7 @@
         ]
         if any(not sent_item.refused for sent_item in matching):
             continue
-        rule = Rule.REFUSED_IN_FORCE if matching else Rule.STALE
+        rule = Rule.REFUSED_IN_FORCE if matching else Rule.STALE_CONFIGURATION
         response = f"{call.status} {call.service}".strip()
         detail = f"{response} though {floor} was confirmed"
         yield Violation(rule, call.route, call.began, detail, f"at {call.sidecar}")
@@ -334,7 +335,7 @@
         if recovery.seconds > recovery.limit:
             took = f"{recovery.seconds:.2f} s" if math.isfinite(recovery.seconds) else "never"
             detail = f"{took} after {recovery.kind}, allowed {recovery.limit:.1f} s"
-            yield Violation(Rule.USEFUL, recovery.machine, recovery.at, detail)
+            yield Violation(Rule.LATE_RECOVERY, recovery.machine, recovery.at, detail)
 
 
 # ---- requests -----------------------------------------------------------------------------------
@@ -362,7 +363,7 @@
     first: dict[str, bytes] = {}
     for call in sorted(history.calls, key=lambda call: call.ended):
         for error in _response_errors(call, ran, keys, first):
-            yield Violation(Rule.ANSWERS, call.attempt, call.ended, error)
+            yield Violation(Rule.WRONG_RESPONSE, call.attempt, call.ended, error)
 
 
 def _response_errors(call: Call, ran: set[str], keys: dict[str, str], first: dict[str, bytes]) -> Iterator[str]:
