--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from lugspur.bench.faults.history import Call, History, Invalid, Item, Order, OrderAttempt, Read
+from lugspur.bench.faults.history import Call, History, InvalidReason, Item, Order, OrderAttempt, Read
 
 TIMING_SLACK = 0.25  # seconds added to each time bound for the rig's own delays on a loaded machine
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})  # statuses which promise that the attempt has not run
@@ -242,7 +242,7 @@
 def _had_no_effect(order: Order, confirmed: OrderAttempt, index: _OrderIndex) -> bool:
     """Return whether an invalid order had no effect and could not be told from an old one that used to be valid."""
     superseded = all(index.is_superseded(item, confirmed.ended) for item in order.items)
-    return order.invalid is Invalid.BESIDE_OTHERS and superseded
+    return order.invalid is InvalidReason.IN_CONTEXT and superseded
 
 
 def _has_rival(order: Order, until: float, index: _OrderIndex) -> bool:
--- a/lugspur/bench/faults/history.py
+++ b/lugspur/bench/faults/history.py
@@ -24,14 +24,14 @@
         return f"{self.name}@{self.edition:x}{'' if self.content is not None else ' (withdrawn)'}"
 
 
-class Invalid(enum.Enum):
+class InvalidReason(enum.Enum):
     """Why an order is invalid, if it is."""
 
-    NO = "valid"
-    ITSELF = "by itself"
+    NONE = "valid"
+    BY_ITSELF = "by itself"
     # The order contradicts the rest of the configuration. Once a higher edition supersedes it, it cannot be told from
     # an old order that used to be valid.
-    BESIDE_OTHERS = "beside what stands"
+    IN_CONTEXT = "beside what stands"
 
 
 @dataclass(frozen=True)
@@ -41,12 +41,12 @@
     ident: int
     operator: str
     items: tuple[Item, ...]
-    invalid: Invalid = Invalid.NO
+    invalid: InvalidReason = InvalidReason.NONE
 
     @property
     def valid(self) -> bool:
         """Whether the order may come into force."""
-        return self.invalid is Invalid.NO
+        return self.invalid is InvalidReason.NONE
 
 
 @dataclass(frozen=True)
--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lugspur.bench.faults.cluster import SERVICES, Cluster
-from lugspur.bench.faults.history import History, Invalid, Item, Order, OrderAttempt, Read
+from lugspur.bench.faults.history import History, InvalidReason, Item, Order, OrderAttempt, Read
 from lugspur.bench.mesh import call
 
 RESPONSE_TIMEOUT = 1.0  # seconds after which an operator tries another machine
@@ -25,11 +25,11 @@
 PREFIX = "r-"  # of the names of these routes
 
 #: Fields that make an order invalid, and why they do.
-INVALID_FIELDS: tuple[tuple[Invalid, dict[str, Any]], ...] = (
-    (Invalid.BESIDE_OTHERS, {"service": "nowhere"}),
-    (Invalid.ITSELF, {"path_prefix": "bare"}),
-    (Invalid.ITSELF, {"deadline_ms": 0}),
-    (Invalid.ITSELF, {"deadline_ms": 10**6}),
+INVALID_FIELDS: tuple[tuple[InvalidReason, dict[str, Any]], ...] = (
+    (InvalidReason.IN_CONTEXT, {"service": "nowhere"}),
+    (InvalidReason.BY_ITSELF, {"path_prefix": "bare"}),
+    (InvalidReason.BY_ITSELF, {"deadline_ms": 0}),
+    (InvalidReason.BY_ITSELF, {"deadline_ms": 10**6}),
 )
 
 _route_decoder = msgspec.json.Decoder(dict[str, Any])
@@ -155,7 +155,7 @@
         operator: str,
         items: dict[str, int],
         withdrawn: bool = False,
-        invalid: Invalid = Invalid.NO,
+        invalid: InvalidReason = InvalidReason.NONE,
         **fields: Any,
     ) -> Order:
         """Make an order from names and their editions; no two orders have the same bytes."""
--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lugspur.bench.faults.checker import Bounds, Rule, check
-from lugspur.bench.faults.history import Call, History, Invalid, Item, Order, OrderAttempt, Read, Recovery, Span
+from lugspur.bench.faults.history import Call, History, InvalidReason, Item, Order, OrderAttempt, Read, Recovery, Span
 
 BOUNDS = Bounds(edition=2.0, contact=3.0)
 X7 = Item("r", 7, b"x", "rooms")
@@ -18,8 +18,8 @@
 ORDER_X, ORDER_Y, ORDER_Z, ORDER_WITHDRAWAL = (
     Order(n, f"op{n}", (item,)) for n, item in enumerate((X7, Y7, Z9, WITHDRAWN8))
 )
-INVALID_BY_ITSELF = Order(9, "op9", (Item("r", 7, b"bad", "attic"),), Invalid.ITSELF)
-INVALID_BESIDE_OTHERS = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), Invalid.BESIDE_OTHERS)
+INVALID_BY_ITSELF = Order(9, "op9", (Item("r", 7, b"bad", "attic"),), InvalidReason.BY_ITSELF)
+INVALID_BESIDE_OTHERS = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), InvalidReason.IN_CONTEXT)
 
 
 def attempt(order: Order, at: float, status: int | None = 200, machine: str = "a") -> OrderAttempt:
