--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -91,7 +91,7 @@
 
     def __init__(self, history: History) -> None:
         self.attempts: dict[int, list[OrderAttempt]] = defaultdict(list)  # by order number
-        for attempt in sorted(history.tries, key=lambda attempt: attempt.began):
+        for attempt in sorted(history.order_attempts, key=lambda attempt: attempt.began):
             self.attempts[attempt.order.ident].append(attempt)
         self._by_name: dict[str, list[_SentItem]] = defaultdict(list)
         self._by_edition: dict[tuple[str, int], list[_SentItem]] = defaultdict(list)
@@ -166,7 +166,7 @@
 def _check_read_back(history: History, index: _OrderIndex) -> Iterator[Violation]:
     reads = [read for read in history.reads if read.status == 200]
     events: list[tuple[float, int, OrderAttempt | Read]] = []
-    events += [(attempt.ended, 0, attempt) for attempt in history.tries if attempt.confirmed]
+    events += [(attempt.ended, 0, attempt) for attempt in history.order_attempts if attempt.confirmed]
     events += [(read.ended, 0, read) for read in reads]
     events += [(read.began, 1, read) for read in reads]
     floors: dict[str, _EditionFloor] = {}
@@ -264,7 +264,7 @@
         def inside(event: OrderAttempt | Read, since: float = since, until: float = span.ended) -> bool:
             return event.began >= since and event.ended <= until
 
-        for attempt in history.tries:
+        for attempt in history.order_attempts:
             if attempt.machine not in span.isolated or not inside(attempt):
                 continue
             detail = (
@@ -287,7 +287,7 @@
     A 404 shows that the proxy has no such route.
     """
     floors: dict[str, list[tuple[float, Item]]] = defaultdict(list)
-    for attempt in history.tries:
+    for attempt in history.order_attempts:
         if attempt.confirmed:
             deadline = _propagation_deadline(attempt.ended, history, bounds)
             for item in attempt.order.items:
--- a/lugspur/bench/faults/history.py
+++ b/lugspur/bench/faults/history.py
@@ -129,7 +129,7 @@
 class History:
     """Everything observed during a run."""
 
-    tries: list[OrderAttempt] = field(default_factory=list)
+    order_attempts: list[OrderAttempt] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
     runs: list[str] = field(default_factory=list)  # attempt ids, one entry for each run at a backend
@@ -139,7 +139,7 @@
     def around(self, subject: str, since: float, until: float) -> list[str]:
         """Return a line for each event in a period that concerns a name, machine, attempt or key, ordered by time."""
         rows: list[tuple[float, float, str]] = []
-        for attempt in self.tries:
+        for attempt in self.order_attempts:
             if subject == attempt.machine or any(item.name == subject for item in attempt.order.items):
                 items = ", ".join(str(item) for item in attempt.order.items)
                 line = f"order {attempt.order.ident} [{items}] at {attempt.machine}: {attempt.status}"
--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -50,7 +50,7 @@
         began = self._loop.time()
         status, _ = await self._call(machine, "POST", "/config/amend", self.bodies[order])
         attempt = OrderAttempt(order, machine, began, self._loop.time(), status)
-        self.history.tries.append(attempt)
+        self.history.order_attempts.append(attempt)
         return attempt
 
     async def read(self, machine: str) -> Read:
--- a/lugspur/bench/faults/report.py
+++ b/lugspur/bench/faults/report.py
@@ -28,11 +28,12 @@
     history = outcome.history
     outcomes = Counter(
         "confirmed" if attempt.confirmed else "refused" if attempt.refused else "unclear"
-        for attempt in history.tries
+        for attempt in history.order_attempts
         if attempt.order.valid
     )
     yield (
-        f"orders {len({attempt.order.ident for attempt in history.tries})}, sent {len(history.tries)} times "
+        f"orders {len({attempt.order.ident for attempt in history.order_attempts})}, "
+        f"sent {len(history.order_attempts)} times "
         f"({', '.join(f'{count} {name}' for name, count in sorted(outcomes.items()))}); reads answered "
         f"{sum(read.status == 200 for read in history.reads)} of {len(history.reads)}"
     )
--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -205,7 +205,7 @@
 def _count(history: History, verdict: Verdict) -> None:
     verdict.done.update(
         {
-            "orders confirmed": sum(sent.confirmed for sent in history.tries),
+            "orders confirmed": sum(sent.confirmed for sent in history.order_attempts),
             "reads answered": sum(read.status == 200 for read in history.reads),
             "requests": len(history.calls),
             "requests served": sum(call.status == 200 for call in history.calls),
--- a/lugspur/bench/upgrade/judgement.py
+++ b/lugspur/bench/upgrade/judgement.py
@@ -37,7 +37,7 @@
 def _count_changes(outcome: Outcome) -> None:
     """Count the changes that were confirmed; `while mixed`: between the first and the last replacement."""
     since, until = outcome.mixed_span()
-    confirmed = [sent for sent in outcome.history.tries if sent.confirmed]
+    confirmed = [sent for sent in outcome.history.order_attempts if sent.confirmed]
     mixed = [sent for sent in confirmed if since <= sent.began <= until]
     outcome.verdict.done["changes confirmed"] = len({sent.order.ident for sent in confirmed})
     outcome.verdict.done["changes confirmed while mixed"] = len({sent.order.ident for sent in mixed})
--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -43,7 +43,7 @@
     history = History(runs=list(runs))
     for event in events:
         if isinstance(event, OrderAttempt):
-            history.tries.append(event)
+            history.order_attempts.append(event)
         elif isinstance(event, Read):
             history.reads.append(event)
         elif isinstance(event, Call):
@@ -211,7 +211,7 @@
 
 def test_the_same_violation_is_counted_once() -> None:
     reads = [read(3, Y7), read(4, Y7, machine="b"), read(5, Y7)]
-    history = History(tries=[attempt(ORDER_X, 1, 504), attempt(ORDER_Y, 1, 409)], reads=reads)
+    history = History(order_attempts=[attempt(ORDER_X, 1, 504), attempt(ORDER_Y, 1, 409)], reads=reads)
     assert [(violation.rule, violation.where) for violation in check(history, BOUNDS)] == [
         (Rule.REFUSED_IN_FORCE, "at a")
     ]
@@ -223,7 +223,9 @@
 
 def test_history_lists_the_events_around_a_violation() -> None:
     history = History(
-        tries=[attempt(ORDER_X, 1), attempt(ORDER_Y, 1.5, 409), attempt(ORDER_Z, 90)], reads=[read(3, Y7)], spans=[CUT]
+        order_attempts=[attempt(ORDER_X, 1), attempt(ORDER_Y, 1.5, 409), attempt(ORDER_Z, 90)],
+        reads=[read(3, Y7)],
+        spans=[CUT],
     )
     (violation,) = (violation for violation in check(history, BOUNDS) if violation.rule is Rule.REFUSED_IN_FORCE)
     lines = history.around(violation.subject, 0.0, 20.0)
--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -183,8 +183,8 @@
 def test_short_run_of_faults_violates_no_guarantee(tmp_path: Path) -> None:
     outcome = asyncio.run(play(tmp_path, 3, 1, SHORT_RUN, seed=1))
     assert outcome.injected.total() == len(SHORT_RUN)
-    tries, calls = outcome.history.tries, outcome.history.calls
-    assert sum(sent.confirmed for sent in tries) > 20 and any(sent.refused for sent in tries)
+    order_attempts, calls = outcome.history.order_attempts, outcome.history.calls
+    assert sum(sent.confirmed for sent in order_attempts) > 20 and any(sent.refused for sent in order_attempts)
     assert any(call.key and call.status == 200 for call in calls)
     output = "\n".join([*table(outcome), *details(outcome)])
     failed = outcome.failed
