--- a/lugspur/bench/faults/clients.py
+++ b/lugspur/bench/faults/clients.py
@@ -62,7 +62,7 @@
         self.history.calls.append(recorded)
         return recorded
 
-    async def look_on(self, sidecar: str) -> None:
+    async def send_route_requests(self, sidecar: str) -> None:
         """Send requests on the operators' routes to one proxy until cancelled."""
         while True:
             await asyncio.sleep(ROUTE_INTERVAL)
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -60,7 +60,7 @@
             operators.read_on(),
             clients.mail_on(),
             clients.book_on(),
-            *(clients.look_on(ip) for ip in cluster.proxy_ips),
+            *(clients.send_route_requests(ip) for ip in cluster.proxy_ips),
         ]
         tasks = [asyncio.ensure_future(one) for one in work]
         try:
