--- a/lugspur/bench/faults/clients.py
+++ b/lugspur/bench/faults/clients.py
@@ -68,7 +68,7 @@
             await asyncio.sleep(ROUTE_INTERVAL)
             await self._call(self.rng.choice(NAMES), sidecar=sidecar)
 
-    async def mail_on(self) -> None:
+    async def send_unsafe_requests(self) -> None:
         """Send requests on the unsafe route until cancelled; none is retried."""
         while True:
             await asyncio.sleep(UNSAFE_INTERVAL)
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -58,7 +58,7 @@
             operators.work("north"),
             operators.work("south"),
             operators.read_on(),
-            clients.mail_on(),
+            clients.send_unsafe_requests(),
             clients.book_on(),
             *(clients.send_route_requests(ip) for ip in cluster.proxy_ips),
         ]
