--- a/lugspur/bench/faults/clients.py
+++ b/lugspur/bench/faults/clients.py
@@ -74,7 +74,7 @@
             await asyncio.sleep(UNSAFE_INTERVAL)
             await self._call("mail", unsafe=True)
 
-    async def book_on(self) -> None:
+    async def start_keyed_operations(self) -> None:
         """Start keyed operations until cancelled."""
         while True:
             await asyncio.sleep(KEYED_INTERVAL)
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -59,7 +59,7 @@
             operators.work("south"),
             operators.read_on(),
             clients.send_unsafe_requests(),
-            clients.book_on(),
+            clients.start_keyed_operations(),
             *(clients.send_route_requests(ip) for ip in cluster.proxy_ips),
         ]
         tasks = [asyncio.ensure_future(one) for one in work]
--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -58,7 +58,10 @@
 
         acts = MeshTroubles(cluster, history, Random(f"acts-{seed}"), verdict, order)
         changes: list[Awaitable[None]] = [operators.work("north"), operators.work("south"), operators.read_on()]
-        requests: list[Awaitable[None]] = [clients.book_on(), *(clients.send_unsafe_requests() for _ in range(MAILERS))]
+        requests: list[Awaitable[None]] = [
+            clients.start_keyed_operations(),
+            *(clients.send_unsafe_requests() for _ in range(MAILERS)),
+        ]
         requests += [clients.send_route_requests(ip) for ip in cluster.proxy_ips]
         coordination = CoordinationCallers(cluster, seed)
         requests += [coordination.hold_locks(f"h{n}") for n in range(LOCK_HOLDERS)]
