--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -142,7 +142,7 @@
         while self._under_way:
             await asyncio.wait(self._under_way)
 
-    async def read_on(self) -> None:
+    async def read_repeatedly(self) -> None:
         """Read the configuration from random machines until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.5, 1.5) * READ_INTERVAL)
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -57,7 +57,7 @@
         work: list[Awaitable[None]] = [
             operators.work("north"),
             operators.work("south"),
-            operators.read_on(),
+            operators.read_repeatedly(),
             clients.send_unsafe_requests(),
             clients.start_keyed_operations(),
             *(clients.send_route_requests(ip) for ip in cluster.proxy_ips),
