--- a/lugspur/bench/faults/injector.py
+++ b/lugspur/bench/faults/injector.py
@@ -114,7 +114,7 @@
     async def _confirm_order(self, ip: str) -> None:
         """Send new orders to a machine until it confirms one, five at most."""
         for _ in range(5):
-            if (await self.operators.console.send(self.operators.fresh("ack"), ip)).confirmed:
+            if (await self.operators.console.send(self.operators.new_order("ack"), ip)).confirmed:
                 return
 
     # ---- links -------------------------------------------------------------------------------
@@ -166,7 +166,7 @@
         while (remaining := until - self._loop.time()) > 0.0:
             for ip in isolated:
                 requests.add(asyncio.ensure_future(self.operators.console.read(ip)))
-                requests.add(asyncio.ensure_future(self.operators.deliver(self.operators.fresh("poke"), ip)))
+                requests.add(asyncio.ensure_future(self.operators.deliver(self.operators.new_order("poke"), ip)))
             await asyncio.sleep(min(remaining, POKE_INTERVAL))
         self.cluster.links.heal()
 
@@ -219,7 +219,7 @@
         """Measure the time until the machine confirms a new order."""
         seconds = math.inf
         while self._loop.time() < ended + RECOVERY_TIMEOUT:
-            attempt = await self.operators.console.send(self.operators.fresh("probe"), ip)
+            attempt = await self.operators.console.send(self.operators.new_order("probe"), ip)
             if attempt.confirmed:
                 seconds = attempt.ended - ended
                 break
--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -203,13 +203,13 @@
 
     # ---- kinds of change ---------------------------------------------------------------------
 
-    def fresh(self, operator: str) -> Order:
+    def new_order(self, operator: str) -> Order:
         """Make an order with new editions of a few random items."""
         names = self.rng.sample(NAMES, self.rng.choice((1, 1, 1, 2, 3)))
         return self.order(operator, {name: self.next_edition(name) for name in names})
 
     async def _send_new(self, operator: str) -> None:
-        await self.deliver(self.fresh(operator))
+        await self.deliver(self.new_order(operator))
 
     async def _race_for_edition(self, operator: str) -> None:
         """Have two operators send different content under the same edition at the same time."""
@@ -223,7 +223,7 @@
             await self.deliver(self.rng.choice(self._confirmed[-20:]))
 
     async def _send_to_all(self, operator: str) -> None:
-        order = self.fresh(operator)
+        order = self.new_order(operator)
         attempts = await asyncio.gather(*(self.console.send(order, ip) for ip in list(self.console.cluster.control)))
         if not any(attempt.confirmed or attempt.refused for attempt in attempts):
             await self.deliver(order)
--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -54,7 +54,7 @@
         clients = Clients(cluster, history, Random(f"clients-{seed}"))
 
         async def order(ip: str) -> bool:
-            return (await console.send(operators.fresh("troubles"), ip)).confirmed
+            return (await console.send(operators.new_order("troubles"), ip)).confirmed
 
         acts = MeshTroubles(cluster, history, Random(f"acts-{seed}"), verdict, order)
         changes: list[Awaitable[None]] = [operators.work("north"), operators.work("south"), operators.read_repeatedly()]
@@ -132,7 +132,7 @@
     loop = asyncio.get_running_loop()
     for ip in cluster.control:
         until = loop.time() + CALM_WITHIN
-        while not (await operators.console.send(operators.fresh("calm"), ip)).confirmed:
+        while not (await operators.console.send(operators.new_order("calm"), ip)).confirmed:
             if loop.time() > until:
                 verdict.add("not useful again", f"control node {ip}")
                 break
--- a/lugspur/bench/upgrade/run.py
+++ b/lugspur/bench/upgrade/run.py
@@ -105,7 +105,7 @@
 
     async def _control_is_useful(self, ip: str) -> bool:
         """Whether a control node has caught up and confirms a change."""
-        confirmed = (await self.console.send(self.operators.fresh("replaced"), ip)).confirmed
+        confirmed = (await self.console.send(self.operators.new_order("replaced"), ip)).confirmed
         return confirmed and (await self.cluster.status(ip)).get("complete") is True
 
     async def _proxy_is_useful(self, ip: str) -> bool:
