--- a/lugspur/bench/faults/links.py
+++ b/lugspur/bench/faults/links.py
@@ -156,7 +156,7 @@
         self._cuts.clear()
         self._notify_waiters()
 
-    def open_again(self, pairs: Iterable[Pair]) -> None:
+    def heal_pairs(self, pairs: Iterable[Pair]) -> None:
         """Open the links of these pairs only."""
         for pair in pairs:
             self._cuts.pop(pair, None)
--- a/lugspur/bench/soak/mesh_troubles.py
+++ b/lugspur/bench/soak/mesh_troubles.py
@@ -239,7 +239,7 @@
         for pair in pairs:
             self.cluster.links.cut(pair, how)
         await asyncio.sleep(trouble.seconds)
-        self.cluster.links.open_again(pairs)
+        self.cluster.links.heal_pairs(pairs)
         return True
 
     async def _resets(self, trouble: Trouble) -> bool:
@@ -253,7 +253,7 @@
         for pair in pairs:
             self.cluster.links.cut(pair, Cut.SLOW)
         await asyncio.sleep(trouble.seconds / 3.0)
-        self.cluster.links.open_again(pairs)
+        self.cluster.links.heal_pairs(pairs)
         return True
 
     # ---- settings ------------------------------------------------------------------------------
