--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """One violation of a rule; `History.around` lists the events that concern `subject`."""
+    """One violation of a rule; `History.events_around` lists the events that concern `subject`."""
 
     rule: Rule
     subject: str
--- a/lugspur/bench/faults/history.py
+++ b/lugspur/bench/faults/history.py
@@ -136,7 +136,7 @@
     spans: list[Span] = field(default_factory=list)
     recoveries: list[Recovery] = field(default_factory=list)
 
-    def around(self, subject: str, since: float, until: float) -> list[str]:
+    def events_around(self, subject: str, since: float, until: float) -> list[str]:
         """Return a line for each event in a period that concerns a name, machine, attempt or key, ordered by time."""
         rows: list[tuple[float, float, str]] = []
         for attempt in self.order_attempts:
--- a/lugspur/bench/faults/report.py
+++ b/lugspur/bench/faults/report.py
@@ -62,6 +62,6 @@
             continue
         yield f"--- {violation.rule.value}: {violation.subject} at {violation.at:.3f}"
         yield f"    {violation.detail} {violation.where}".rstrip()
-        yield from outcome.history.around(violation.subject, violation.at - BEFORE, violation.at + AFTER)[
+        yield from outcome.history.events_around(violation.subject, violation.at - BEFORE, violation.at + AFTER)[
             -HISTORY_LINES:
         ]
--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -228,7 +228,7 @@
         spans=[CUT],
     )
     (violation,) = (violation for violation in check(history, BOUNDS) if violation.rule is Rule.REFUSED_IN_FORCE)
-    lines = history.around(violation.subject, 0.0, 20.0)
+    lines = history.events_around(violation.subject, 0.0, 20.0)
     assert [line.split(None, 2)[2].split(":")[0] for line in lines] == [
         "order 0 [r@7] at a",
         "order 1 [r@7] at a",
