--- a/lugspur/bench/faults/logs.py
+++ b/lugspur/bench/faults/logs.py
@@ -11,7 +11,7 @@
 PACKAGE = "/lugspur/"
 
 
-def exceptions(folder: Path) -> Counter[str]:
+def count_uncaught_exceptions(folder: Path) -> Counter[str]:
     """Count the uncaught exceptions in a folder's logs, by type and last line of this package in the traceback."""
     counts: Counter[str] = Counter()
     for path in sorted(folder.glob("*.log")):
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -15,7 +15,7 @@
 from lugspur.bench.faults.cluster import Cluster
 from lugspur.bench.faults.history import History
 from lugspur.bench.faults.injector import Injector
-from lugspur.bench.faults.logs import exceptions
+from lugspur.bench.faults.logs import count_uncaught_exceptions
 from lugspur.bench.faults.operator import Console, Operators
 from lugspur.bench.faults.plan import Fault
 
@@ -89,4 +89,4 @@
         exits = [ip for ip, process in cluster.processes.items() if process.poll() is not None]
     finally:
         await cluster.close()
-    return Outcome(history, check(history, cluster.bounds), injected, exits, exceptions(folder))
+    return Outcome(history, check(history, cluster.bounds), injected, exits, count_uncaught_exceptions(folder))
--- a/lugspur/bench/soak/verdict.py
+++ b/lugspur/bench/soak/verdict.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from lugspur.bench.faults.logs import exceptions
+from lugspur.bench.faults.logs import count_uncaught_exceptions
 from lugspur.bench.mesh import call
 
 VIOLATED = re.compile(r"(?:event=invariant violated=|invariant violated: )(\S+)")
@@ -34,7 +34,7 @@
         for path in sorted(folder.glob("*.log")):
             for name in VIOLATED.findall(path.read_text(errors="replace")):
                 self.add("invariant violated", f"{name} at {path.stem}")
-        for told, times in exceptions(folder).items():
+        for told, times in count_uncaught_exceptions(folder).items():
             self.add("exception that nobody caught", f"{told}, {times} times")
 
     def lines(self) -> Iterator[str]:
--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lugspur.bench.faults.links import Cut, Links, Pair
-from lugspur.bench.faults.logs import exceptions
+from lugspur.bench.faults.logs import count_uncaught_exceptions
 from lugspur.bench.faults.plan import Direction, Fault, Kind
 from lugspur.bench.faults.report import details, table
 from lugspur.bench.faults.run import play
@@ -167,7 +167,7 @@
         "RuntimeError: no good <object at 0x12>; closed\n12:01 event=serving\n"
     )
     (tmp_path / "b.log").write_text("12:00 event=serving fault=RuntimeError: none\n")
-    assert exceptions(tmp_path) == {"RuntimeError (no good) in mesh/process.py, line 9, in _look": 1}
+    assert count_uncaught_exceptions(tmp_path) == {"RuntimeError (no good) in mesh/process.py, line 9, in _look": 1}
 
 
 SHORT_RUN = [
