--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -137,7 +137,7 @@
         if not task.cancelled():
             task.result()  # raises an error of the rig itself
 
-    async def settle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until no order is under way any more."""
         while self._under_way:
             await asyncio.wait(self._under_way)
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -78,7 +78,7 @@
         finally:
             for task in tasks[:3]:
                 task.cancel()
-        await operators.settle()
+        await operators.wait_until_idle()
         await asyncio.sleep(CALM)
         for ip in cluster.control:
             await console.read(ip)
--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -75,7 +75,7 @@
         await _until_useful(cluster, operators, verdict)
         for task in changing:
             task.cancel()
-        await operators.settle()
+        await operators.wait_until_idle()
         await asyncio.sleep(1.0)
         for ip in cluster.control:
             await console.read(ip)
--- a/lugspur/bench/upgrade/run.py
+++ b/lugspur/bench/upgrade/run.py
@@ -65,7 +65,7 @@
         finally:
             for task in changing:
                 task.cancel()
-        await self.operators.settle()
+        await self.operators.wait_until_idle()
         for ip in self.cluster.control:
             await self._read_back(ip)
         for task in asking:
