--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -116,7 +116,7 @@
             (1, self._send_invalid),
         ]
 
-    async def work(self, operator: str) -> None:
+    async def issue_orders(self, operator: str) -> None:
         """Issue orders as one operator until cancelled."""
         own_tasks: set[asyncio.Task[None]] = set()
         while True:
--- a/lugspur/bench/faults/run.py
+++ b/lugspur/bench/faults/run.py
@@ -55,8 +55,8 @@
         clients = Clients(cluster, history, Random(f"clients-{seed}"))
         injector = Injector(cluster, operators, history, Random(f"faults-{seed}"))
         work: list[Awaitable[None]] = [
-            operators.work("north"),
-            operators.work("south"),
+            operators.issue_orders("north"),
+            operators.issue_orders("south"),
             operators.read_repeatedly(),
             clients.send_unsafe_requests(),
             clients.start_keyed_operations(),
--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -57,7 +57,11 @@
             return (await console.send(operators.new_order("troubles"), ip)).confirmed
 
         acts = MeshTroubles(cluster, history, Random(f"acts-{seed}"), verdict, order)
-        changes: list[Awaitable[None]] = [operators.work("north"), operators.work("south"), operators.read_repeatedly()]
+        changes: list[Awaitable[None]] = [
+            operators.issue_orders("north"),
+            operators.issue_orders("south"),
+            operators.read_repeatedly(),
+        ]
         requests: list[Awaitable[None]] = [
             clients.start_keyed_operations(),
             *(clients.send_unsafe_requests() for _ in range(MAILERS)),
--- a/lugspur/bench/upgrade/run.py
+++ b/lugspur/bench/upgrade/run.py
@@ -55,7 +55,8 @@
     async def _replace_all_under_load(self) -> None:
         """Replace every process while operators change the configuration and clients send requests."""
         changing = [
-            asyncio.ensure_future(one) for one in (self.operators.work("north"), self.operators.read_repeatedly())
+            asyncio.ensure_future(one)
+            for one in (self.operators.issue_orders("north"), self.operators.read_repeatedly())
         ]
         requests = [self.clients.start_keyed_operations(), self.clients.send_unsafe_requests()]
         requests += [self.clients.send_route_requests(ip) for ip in self.cluster.proxy_ips]
