--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -92,7 +92,7 @@
     def __init__(self, history: History) -> None:
         self.attempts: dict[int, list[OrderAttempt]] = defaultdict(list)  # by order number
         for attempt in sorted(history.order_attempts, key=lambda attempt: attempt.began):
-            self.attempts[attempt.order.ident].append(attempt)
+            self.attempts[attempt.order.number].append(attempt)
         self._by_name: dict[str, list[_SentItem]] = defaultdict(list)
         self._by_edition: dict[tuple[str, int], list[_SentItem]] = defaultdict(list)
         for attempts in self.attempts.values():
@@ -149,7 +149,7 @@
                 confirmed[item.name, item.edition].setdefault(item.content, first)
     for (name, edition), contents in confirmed.items():
         if len(contents) > 1:
-            orders = ", ".join(f"order {attempt.order.ident} at {attempt.machine}" for attempt in contents.values())
+            orders = ", ".join(f"order {attempt.order.number} at {attempt.machine}" for attempt in contents.values())
             at = max(attempt.ended for attempt in contents.values())
             yield Violation(Rule.DECIDED_ONCE, name, at, f"edition {edition:x}: {orders}")
 
@@ -175,7 +175,9 @@
             for item in event.order.items:
                 _raise_floor(
                     floors,
-                    _EditionFloor(item, f"order {event.order.ident} confirmed at {event.machine}", Rule.CONFIRMED_LOST),
+                    _EditionFloor(
+                        item, f"order {event.order.number} confirmed at {event.machine}", Rule.CONFIRMED_LOST
+                    ),
                 )
         elif kind == 0:
             for item in event.items:
@@ -212,7 +214,7 @@
         if not same_items:
             yield Violation(Rule.REFUSED_IN_FORCE, item.name, read.began, f"{item} was never sent")
         elif all(sent_item.refused for sent_item in same_items):
-            detail = f"{item} of order {same_items[0].order.ident} was refused and is read"
+            detail = f"{item} of order {same_items[0].order.number} was refused and is read"
             yield Violation(Rule.REFUSED_IN_FORCE, item.name, read.began, detail, f"at {read.machine}")
 
 
@@ -225,17 +227,17 @@
         confirmed = next((attempt for attempt in attempts if attempt.confirmed), None)
         if not order.valid:
             if confirmed is not None and not _had_no_effect(order, confirmed, index):
-                yield Violation(Rule.INVALID_CONFIRMED, order.items[0].name, confirmed.ended, f"order {order.ident}")
+                yield Violation(Rule.INVALID_CONFIRMED, order.items[0].name, confirmed.ended, f"order {order.number}")
             continue
         for attempt in attempts:
             if not attempt.refused:
                 continue
             subject = order.items[0].name
             if confirmed is not None and not any(index.is_superseded(item, attempt.ended) for item in order.items):
-                detail = f"order {order.ident}: 200 at {confirmed.machine}, {attempt.status} at {attempt.machine}"
+                detail = f"order {order.number}: 200 at {confirmed.machine}, {attempt.status} at {attempt.machine}"
                 yield Violation(Rule.REFUSED_AFTER_CONFIRMED, subject, attempt.ended, detail)
             elif attempt.status != 409 or not _has_rival(order, attempt.ended, index):
-                detail = f"order {order.ident}: {attempt.status} at {attempt.machine}"
+                detail = f"order {order.number}: {attempt.status} at {attempt.machine}"
                 yield Violation(Rule.REFUSED_WITHOUT_CAUSE, subject, attempt.ended, detail)
 
 
@@ -268,7 +270,7 @@
             if attempt.machine not in span.isolated or not inside(attempt):
                 continue
             detail = (
-                f"order {attempt.order.ident}: {attempt.status}, {attempt.began - span.began:.2f} s into {span.kind}"
+                f"order {attempt.order.number}: {attempt.status}, {attempt.began - span.began:.2f} s into {span.kind}"
             )
             if attempt.confirmed:
                 yield Violation(Rule.ISOLATED_CONFIRMS, attempt.machine, attempt.ended, detail)
--- a/lugspur/bench/faults/history.py
+++ b/lugspur/bench/faults/history.py
@@ -38,7 +38,7 @@
 class Order:
     """One configuration change by an operator, which may be sent many times with the same bytes."""
 
-    ident: int
+    number: int
     operator: str
     items: tuple[Item, ...]
     invalid: InvalidReason = InvalidReason.NONE
@@ -142,7 +142,7 @@
         for attempt in self.order_attempts:
             if subject == attempt.machine or any(item.name == subject for item in attempt.order.items):
                 items = ", ".join(str(item) for item in attempt.order.items)
-                line = f"order {attempt.order.ident} [{items}] at {attempt.machine}: {attempt.status}"
+                line = f"order {attempt.order.number} [{items}] at {attempt.machine}: {attempt.status}"
                 rows.append((attempt.began, attempt.ended, line))
         for read in self.reads:
             matching = [str(item) for item in read.items if item.name == subject]
--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -100,7 +100,7 @@
 
     def __init__(self, console: Console, rng: Random) -> None:
         self.console, self.rng = console, rng
-        self._idents = itertools.count(1)
+        self._order_numbers = itertools.count(1)
         self._editions = dict.fromkeys(NAMES, 1)
         self._confirmed: list[Order] = []  # confirmed orders, the latest last
         self._under_way: set[asyncio.Task[None]] = set()
@@ -159,15 +159,15 @@
         **fields: Any,
     ) -> Order:
         """Make an order from names and their editions; no two orders have the same bytes."""
-        ident = next(self._idents)
-        service = SERVICES[ident % len(SERVICES)]
+        number = next(self._order_numbers)
+        service = SERVICES[number % len(SERVICES)]
         order_items, values = [], []
         for name, edition in items.items():
-            value = Cluster.route(name, "safe", f"{edition:08x}", service=service, note=f"order {ident}") | fields
+            value = Cluster.route(name, "safe", f"{edition:08x}", service=service, note=f"order {number}") | fields
             raw = json.dumps(value).encode()
             values.append(raw)
             order_items.append(Item(name, edition, None if withdrawn else raw, "" if withdrawn else service))
-        order = Order(ident, operator, tuple(order_items), invalid)
+        order = Order(number, operator, tuple(order_items), invalid)
         if withdrawn:
             withdrawals = [{"name": item.name, "edition": f"{item.edition:08x}"} for item in order_items]
             self.console.bodies[order] = json.dumps({"withdraw": {"routes": withdrawals}}).encode()
--- a/lugspur/bench/faults/report.py
+++ b/lugspur/bench/faults/report.py
@@ -32,7 +32,7 @@
         if attempt.order.valid
     )
     yield (
-        f"orders {len({attempt.order.ident for attempt in history.order_attempts})}, "
+        f"orders {len({attempt.order.number for attempt in history.order_attempts})}, "
         f"sent {len(history.order_attempts)} times "
         f"({', '.join(f'{count} {name}' for name, count in sorted(outcomes.items()))}); reads answered "
         f"{sum(read.status == 200 for read in history.reads)} of {len(history.reads)}"
--- a/lugspur/bench/upgrade/judgement.py
+++ b/lugspur/bench/upgrade/judgement.py
@@ -39,8 +39,8 @@
     since, until = outcome.mixed_span()
     confirmed = [sent for sent in outcome.history.order_attempts if sent.confirmed]
     mixed = [sent for sent in confirmed if since <= sent.began <= until]
-    outcome.verdict.done["changes confirmed"] = len({sent.order.ident for sent in confirmed})
-    outcome.verdict.done["changes confirmed while mixed"] = len({sent.order.ident for sent in mixed})
+    outcome.verdict.done["changes confirmed"] = len({sent.order.number for sent in confirmed})
+    outcome.verdict.done["changes confirmed while mixed"] = len({sent.order.number for sent in mixed})
 
 
 def _count_requests(outcome: Outcome, cluster: Cluster) -> None:
