--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -360,31 +360,31 @@
 
 
 def _check_responses(history: History) -> Iterator[Violation]:
-    ran = set(history.runs)
+    executed = set(history.runs)
     keys = {call.attempt: call.key for call in history.calls}
     first: dict[str, bytes] = {}
     for call in sorted(history.calls, key=lambda call: call.ended):
-        for error in _response_errors(call, ran, keys, first):
+        for error in _response_errors(call, executed, keys, first):
             yield Violation(Rule.WRONG_RESPONSE, call.attempt, call.ended, error)
 
 
-def _response_errors(call: Call, ran: set[str], keys: dict[str, str], first: dict[str, bytes]) -> Iterator[str]:
+def _response_errors(call: Call, executed: set[str], keys: dict[str, str], first: dict[str, bytes]) -> Iterator[str]:
     """Yield what is wrong with one response; `first` holds the first response body of each key."""
 
     def is_own_attempt(other: str) -> bool:
         return other == call.attempt or (bool(call.key) and keys.get(other) == call.key)
 
-    if call.status in NOT_RUN_STATUSES and (call.key or call.unsafe) and call.attempt in ran:
+    if call.status in NOT_RUN_STATUSES and (call.key or call.unsafe) and call.attempt in executed:
         yield f"{call.status} promises that the attempt has not run, but it ran"
     if call.key and call.status is not None and call.status not in KEYED_STATUSES:
         yield f"{call.status} to a keyed operation"
     if call.status != 200:
         return
-    if not is_own_attempt(call.echoed):
-        yield f"carries the attempt id {call.echoed!r}"
-    if not is_own_attempt(call.ran):
-        yield f"is the response to {call.ran!r}"
-    elif call.ran not in ran:
-        yield f"{call.ran} never ran"
+    if not is_own_attempt(call.echoed_attempt):
+        yield f"carries the attempt id {call.echoed_attempt!r}"
+    if not is_own_attempt(call.executed_attempt):
+        yield f"is the response to {call.executed_attempt!r}"
+    elif call.executed_attempt not in executed:
+        yield f"{call.executed_attempt} never ran"
     if call.key and first.setdefault(call.key, call.body) != call.body:
         yield "differs from the first response of its key"
--- a/lugspur/bench/faults/history.py
+++ b/lugspur/bench/faults/history.py
@@ -93,8 +93,8 @@
     status: int | None
     key: str = ""
     unsafe: bool = False
-    echoed: str = ""  # the attempt id in the response header
-    ran: str = ""  # the attempt id of the run that produced the response, according to its body
+    echoed_attempt: str = ""  # the attempt id in the response header
+    executed_attempt: str = ""  # the attempt id of the run that produced the response, according to its body
     service: str = ""  # the service that responded
     body: bytes = b""
 
--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -31,12 +31,17 @@
 
 
 def call(at: float, status: int | None = 200, service: str = "", **overrides: Any) -> Call:
-    fields: dict[str, Any] = {"route": "r", "attempt": "t1", "echoed": "t1", "ran": "t1"} | overrides
+    fields: dict[str, Any] = {
+        "route": "r",
+        "attempt": "t1",
+        "echoed_attempt": "t1",
+        "executed_attempt": "t1",
+    } | overrides
     return Call("p", began=at, ended=at + 0.1, status=status, service=service, **fields)
 
 
-def keyed_call(at: float, attempt_id: str, ran: str, status: int = 200, body: bytes = b"") -> Call:
-    return Call("p", "book", attempt_id, at, at + 0.1, status, "k", False, attempt_id, ran, "rooms", body)
+def keyed_call(at: float, attempt_id: str, executed_attempt: str, status: int = 200, body: bytes = b"") -> Call:
+    return Call("p", "book", attempt_id, at, at + 0.1, status, "k", False, attempt_id, executed_attempt, "rooms", body)
 
 
 def violated_rules(*events: OrderAttempt | Read | Call | Span | Recovery, runs: tuple[str, ...] = ()) -> set[Rule]:
@@ -177,8 +182,12 @@
         [Call("p", "mail", "t1", 1.0, 1.1, 502, unsafe=True)],
         ("t1", "t1"),
     ),
-    "an answer to another": (Rule.WRONG_RESPONSE, [call(1, service="rooms", route="look", ran="t2")], ("t1", "t2")),
-    "another's id": (Rule.WRONG_RESPONSE, [call(1, service="rooms", route="look", echoed="t2")], ("t1",)),
+    "an answer to another": (
+        Rule.WRONG_RESPONSE,
+        [call(1, service="rooms", route="look", executed_attempt="t2")],
+        ("t1", "t2"),
+    ),
+    "another's id": (Rule.WRONG_RESPONSE, [call(1, service="rooms", route="look", echoed_attempt="t2")], ("t1",)),
     "an answer without a run": (Rule.WRONG_RESPONSE, [call(1, service="rooms", route="look")], ()),
     "two answers under one key": (
         Rule.WRONG_RESPONSE,
