--- a/lugspur/bench/faults/injector.py
+++ b/lugspur/bench/faults/injector.py
@@ -9,7 +9,7 @@
 
 from lugspur.bench.faults.cluster import CATCH_UP, Cluster
 from lugspur.bench.faults.history import History, Recovery, Span
-from lugspur.bench.faults.links import Cut, Pair
+from lugspur.bench.faults.links import LinkState, Pair
 from lugspur.bench.faults.operator import Operators
 from lugspur.bench.faults.plan import Direction, Fault, Kind
 
@@ -45,8 +45,8 @@
             Kind.ISOLATE_MOST: self._isolate,
             Kind.SPLIT: self._split,
             Kind.RESET_ONCE: self._reset_once,
-            Kind.SLOW: lambda fault: self._impair_links(fault, Cut.SLOW),
-            Kind.REFUSE: lambda fault: self._impair_links(fault, Cut.REFUSE),
+            Kind.SLOW: lambda fault: self._impair_links(fault, LinkState.SLOW),
+            Kind.REFUSE: lambda fault: self._impair_links(fault, LinkState.REFUSE),
             Kind.SEEDS: self._exchange_seeds,
         }
 
@@ -178,7 +178,7 @@
                 self.cluster.links.reset(Pair(ip, other))
         await self._record_recovery(fault, [], began)
 
-    async def _impair_links(self, fault: Fault, how: Cut) -> None:
+    async def _impair_links(self, fault: Fault, how: LinkState) -> None:
         addresses = [*self.cluster.control, *self.cluster.proxy_ips]
         began = self._loop.time()
         for ip in addresses:
@@ -186,7 +186,7 @@
                 self.cluster.links.cut(Pair(ip, other), how)
         await asyncio.sleep(fault.seconds)
         self.cluster.links.heal()
-        await self._record_recovery(fault, [], began, stalled=how is Cut.SLOW)
+        await self._record_recovery(fault, [], began, stalled=how is LinkState.SLOW)
 
     async def _exchange_seeds(self, fault: Fault) -> None:
         began = self._loop.time()
--- a/lugspur/bench/faults/links.py
+++ b/lugspur/bench/faults/links.py
@@ -24,7 +24,7 @@
 Address = tuple[str, int]
 
 
-class Cut(enum.Enum):
+class LinkState(enum.Enum):
     """What the relay does with the bytes from one machine to another."""
 
     OPEN = "open"
@@ -93,7 +93,7 @@
     """All links of a mesh."""
 
     def __init__(self) -> None:
-        self._cuts: dict[Pair, Cut] = {}
+        self._cuts: dict[Pair, LinkState] = {}
         self._changed = asyncio.Event()
         self._connections: set[_Connection] = set()
         self._servers: dict[str, asyncio.Server] = {}
@@ -144,10 +144,10 @@
 
     # ---- cuts --------------------------------------------------------------------------------
 
-    def cut(self, pair: Pair, how: Cut) -> None:
+    def cut(self, pair: Pair, how: LinkState) -> None:
         """Set the state of one direction."""
         self._cuts[pair] = how
-        if how is Cut.RESET:
+        if how is LinkState.RESET:
             self.reset(pair)
         self._notify_waiters()
 
@@ -168,9 +168,9 @@
             if connection.pair in (pair, pair.reverse):
                 connection.reset()
 
-    def state(self, pair: Pair) -> Cut:
+    def state(self, pair: Pair) -> LinkState:
         """Return the state of one direction."""
-        return self._cuts.get(pair, Cut.OPEN)
+        return self._cuts.get(pair, LinkState.OPEN)
 
     def _notify_waiters(self) -> None:
         self._changed.set()
@@ -182,7 +182,7 @@
         self, destination: str, bound: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         pair = Pair(writer.get_extra_info("peername")[0], destination)
-        if {self.state(pair), self.state(pair.reverse)} & {Cut.RESET, Cut.REFUSE}:
+        if {self.state(pair), self.state(pair.reverse)} & {LinkState.RESET, LinkState.REFUSE}:
             reset(writer)
             return
         connection = _Connection(pair, writer)
@@ -210,7 +210,7 @@
         try:
             while data := await reader.read(CHUNK_BYTES):
                 await self._wait_while_silent(pair)
-                if self.state(pair) is Cut.SLOW:
+                if self.state(pair) is LinkState.SLOW:
                     await asyncio.sleep(SLOW_PAUSE)
                 writer.write(data)
                 await writer.drain()
@@ -222,5 +222,5 @@
             connection.reset()
 
     async def _wait_while_silent(self, pair: Pair) -> None:
-        while self.state(pair) is Cut.SILENT:
+        while self.state(pair) is LinkState.SILENT:
             await self._changed.wait()
--- a/lugspur/bench/faults/plan.py
+++ b/lugspur/bench/faults/plan.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from lugspur.bench.faults.links import Cut
+from lugspur.bench.faults.links import LinkState
 
 
 class Kind(enum.Enum):
@@ -46,7 +46,7 @@
 
     kind: Kind
     seconds: float = 0.0  # duration of the fault
-    how: Cut = Cut.SILENT
+    how: LinkState = LinkState.SILENT
     direction: Direction = Direction.BOTH
 
     @property
@@ -95,8 +95,8 @@
         [duration for _, duration in WEIGHTED_DURATIONS], [weight for weight, _ in WEIGHTED_DURATIONS]
     )
     if kind in CUTS:
-        how = rng.choice((Cut.SILENT, Cut.SILENT, Cut.RESET))
-        direction = rng.choice(list(Direction)) if how is Cut.SILENT else Direction.BOTH
+        how = rng.choice((LinkState.SILENT, LinkState.SILENT, LinkState.RESET))
+        direction = rng.choice(list(Direction)) if how is LinkState.SILENT else Direction.BOTH
         return Fault(kind, rng.uniform(*duration), how, direction)
     if kind in (Kind.FREEZE, Kind.FREEZE_MANY):
         return Fault(kind, max(2.0, rng.uniform(*duration)))
@@ -108,19 +108,19 @@
 #: One scenario for each of the five requirements on the control machines.
 SCENARIOS: dict[str, list[Fault]] = {
     "cut": [
-        *(Fault(Kind.ISOLATE, 20.0, Cut.SILENT, direction) for direction in Direction),
-        Fault(Kind.ISOLATE, 20.0, Cut.RESET),
-        *(Fault(Kind.ISOLATE_CONTROL, 20.0, Cut.SILENT, direction) for direction in Direction),
-        *(Fault(Kind.ISOLATE_MOST, 20.0, Cut.SILENT, direction) for direction in Direction),
+        *(Fault(Kind.ISOLATE, 20.0, LinkState.SILENT, direction) for direction in Direction),
+        Fault(Kind.ISOLATE, 20.0, LinkState.RESET),
+        *(Fault(Kind.ISOLATE_CONTROL, 20.0, LinkState.SILENT, direction) for direction in Direction),
+        *(Fault(Kind.ISOLATE_MOST, 20.0, LinkState.SILENT, direction) for direction in Direction),
         Fault(Kind.FREEZE, 20.0),
     ],
     "race": [
         Fault(Kind.SPLIT, 5.0),
         Fault(Kind.KILL_ALL),
         Fault(Kind.KILL_AFTER_ACK),
-        Fault(Kind.ISOLATE_CONTROL, 5.0, Cut.SILENT, Direction.IN),
+        Fault(Kind.ISOLATE_CONTROL, 5.0, LinkState.SILENT, Direction.IN),
         Fault(Kind.KILL_SOME),
-        Fault(Kind.SPLIT, 5.0, Cut.RESET),
+        Fault(Kind.SPLIT, 5.0, LinkState.RESET),
         Fault(Kind.RESET_ONCE),
     ],
     "losses": [
--- a/lugspur/bench/soak/mesh_troubles.py
+++ b/lugspur/bench/soak/mesh_troubles.py
@@ -13,7 +13,7 @@
 
 from lugspur.bench.faults.cluster import CATCH_UP, SERVICES, Cluster
 from lugspur.bench.faults.history import History, Span
-from lugspur.bench.faults.links import Cut, Pair
+from lugspur.bench.faults.links import LinkState, Pair
 from lugspur.bench.soak.plan import Kind, Trouble
 from lugspur.bench.soak.spoilt_backends import SPOILT, SpoiltMeshBackend, Way
 from lugspur.bench.soak.spoilt_callers import Form, SpoiltCallers
@@ -103,8 +103,8 @@
             Kind.KILL_PROXY: lambda t: self._kill(t, self._free(cluster.proxy_ips)),
             Kind.TERMINATE_PROXY: lambda t: self._terminate(t, self._free(cluster.proxy_ips)),
             Kind.FREEZE_PROXY: lambda t: self._freeze(t, self._free(cluster.proxy_ips)),
-            Kind.CUT: lambda t: self._cut(t, rng.choice((Cut.SILENT, Cut.RESET)), True, True),
-            Kind.CUT_ONE_WAY: lambda t: self._cut(t, Cut.SILENT, *rng.choice(((True, False), (False, True)))),
+            Kind.CUT: lambda t: self._cut(t, rng.choice((LinkState.SILENT, LinkState.RESET)), True, True),
+            Kind.CUT_ONE_WAY: lambda t: self._cut(t, LinkState.SILENT, *rng.choice(((True, False), (False, True)))),
             Kind.RESETS: self._resets,
             Kind.SLOW: self._slow,
             Kind.RELOAD: lambda t: self._reload(t, b""),
@@ -232,7 +232,7 @@
     def _everyone(self) -> list[str]:
         return [*self.cluster.control, *self.cluster.proxy_ips]
 
-    async def _cut(self, trouble: Trouble, how: Cut, outwards: bool, inwards: bool) -> bool:
+    async def _cut(self, trouble: Trouble, how: LinkState, outwards: bool, inwards: bool) -> bool:
         ip = self.rng.choice(self._everyone())
         others = [other for other in self._everyone() if other != ip]
         pairs = [Pair(ip, other) for other in others if outwards] + [Pair(other, ip) for other in others if inwards]
@@ -251,7 +251,7 @@
     async def _slow(self, trouble: Trouble) -> bool:
         pairs = [Pair(ip, other) for ip in self._everyone() for other in self._everyone()]
         for pair in pairs:
-            self.cluster.links.cut(pair, Cut.SLOW)
+            self.cluster.links.cut(pair, LinkState.SLOW)
         await asyncio.sleep(trouble.seconds / 3.0)
         self.cluster.links.heal_pairs(pairs)
         return True
--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lugspur.bench.faults.links import Cut, Links, Pair
+from lugspur.bench.faults.links import Links, LinkState, Pair
 from lugspur.bench.faults.logs import count_uncaught_exceptions
 from lugspur.bench.faults.plan import Direction, Fault, Kind
 from lugspur.bench.faults.report import details, table
@@ -64,7 +64,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         reader, writer = await relayed.connect()
         server_reader, server_writer = await relayed.accepted.get()
-        relayed.links.cut(TO_SERVER, Cut.SILENT)
+        relayed.links.cut(TO_SERVER, LinkState.SILENT)
         writer.write(b"held")
         delayed = asyncio.create_task(server_reader.readexactly(4))
         for _ in range(5):  # messages in the other direction
@@ -81,7 +81,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         _, writer = await relayed.connect()
         server_reader, _ = await relayed.accepted.get()
-        relayed.links.cut(TO_SERVER, Cut.SILENT)
+        relayed.links.cut(TO_SERVER, LinkState.SILENT)
         size = 32 << 20
         writer.write(b"x" * size)
         drained = asyncio.create_task(writer.drain())
@@ -97,7 +97,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         reader, _ = await relayed.connect()
         server_reader, _ = await relayed.accepted.get()
-        relayed.links.cut(TO_CLIENT, Cut.RESET)
+        relayed.links.cut(TO_CLIENT, LinkState.RESET)
         for side in (reader, server_reader):
             with pytest.raises(ConnectionResetError):
                 await side.read()
@@ -117,7 +117,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         reader, _ = await relayed.connect()
         _, server_writer = await relayed.accepted.get()
-        relayed.links.cut(TO_SERVER, Cut.REFUSE)
+        relayed.links.cut(TO_SERVER, LinkState.REFUSE)
         new_reader, _ = await relayed.connect()
         with pytest.raises(ConnectionResetError):
             await new_reader.read()
@@ -173,7 +173,7 @@
 SHORT_RUN = [
     Fault(Kind.WIPE),
     Fault(Kind.KILL_AFTER_ACK),
-    Fault(Kind.ISOLATE_CONTROL, 2.6, Cut.SILENT, Direction.OUT),
+    Fault(Kind.ISOLATE_CONTROL, 2.6, LinkState.SILENT, Direction.OUT),
     Fault(Kind.RESET_ONCE),
     Fault(Kind.FREEZE, 2.0),
     Fault(Kind.KILL_ALL),
