--- a/lugspur/bench/faults/injector.py
+++ b/lugspur/bench/faults/injector.py
@@ -155,9 +155,9 @@
         for ip in side:
             for other in others:
                 if fault.direction is not Direction.IN:
-                    self.cluster.links.cut(Pair(ip, other), fault.how)
+                    self.cluster.links.set_state(Pair(ip, other), fault.how)
                 if fault.direction is not Direction.OUT:
-                    self.cluster.links.cut(Pair(other, ip), fault.how)
+                    self.cluster.links.set_state(Pair(other, ip), fault.how)
 
     async def _wait_behind_cut(self, fault: Fault, isolated: list[str]) -> None:
         """Wait for the duration of a cut while sending reads and orders to the machines behind it, then heal it."""
@@ -183,7 +183,7 @@
         began = self._loop.time()
         for ip in addresses:
             for other in addresses:
-                self.cluster.links.cut(Pair(ip, other), how)
+                self.cluster.links.set_state(Pair(ip, other), how)
         await asyncio.sleep(fault.seconds)
         self.cluster.links.heal()
         await self._record_recovery(fault, [], began, stalled=how is LinkState.SLOW)
--- a/lugspur/bench/faults/links.py
+++ b/lugspur/bench/faults/links.py
@@ -93,7 +93,7 @@
     """All links of a mesh."""
 
     def __init__(self) -> None:
-        self._cuts: dict[Pair, LinkState] = {}
+        self._states: dict[Pair, LinkState] = {}
         self._changed = asyncio.Event()
         self._connections: set[_Connection] = set()
         self._servers: dict[str, asyncio.Server] = {}
@@ -144,22 +144,22 @@
 
     # ---- cuts --------------------------------------------------------------------------------
 
-    def cut(self, pair: Pair, how: LinkState) -> None:
+    def set_state(self, pair: Pair, state: LinkState) -> None:
         """Set the state of one direction."""
-        self._cuts[pair] = how
-        if how is LinkState.RESET:
+        self._states[pair] = state
+        if state is LinkState.RESET:
             self.reset(pair)
         self._notify_waiters()
 
     def heal(self) -> None:
         """Open all links."""
-        self._cuts.clear()
+        self._states.clear()
         self._notify_waiters()
 
     def heal_pairs(self, pairs: Iterable[Pair]) -> None:
         """Open the links of these pairs only."""
         for pair in pairs:
-            self._cuts.pop(pair, None)
+            self._states.pop(pair, None)
         self._notify_waiters()
 
     def reset(self, pair: Pair) -> None:
@@ -170,7 +170,7 @@
 
     def state(self, pair: Pair) -> LinkState:
         """Return the state of one direction."""
-        return self._cuts.get(pair, LinkState.OPEN)
+        return self._states.get(pair, LinkState.OPEN)
 
     def _notify_waiters(self) -> None:
         self._changed.set()
--- a/lugspur/bench/soak/mesh_troubles.py
+++ b/lugspur/bench/soak/mesh_troubles.py
@@ -237,7 +237,7 @@
         others = [other for other in self._everyone() if other != ip]
         pairs = [Pair(ip, other) for other in others if outwards] + [Pair(other, ip) for other in others if inwards]
         for pair in pairs:
-            self.cluster.links.cut(pair, how)
+            self.cluster.links.set_state(pair, how)
         await asyncio.sleep(trouble.seconds)
         self.cluster.links.heal_pairs(pairs)
         return True
@@ -251,7 +251,7 @@
     async def _slow(self, trouble: Trouble) -> bool:
         pairs = [Pair(ip, other) for ip in self._everyone() for other in self._everyone()]
         for pair in pairs:
-            self.cluster.links.cut(pair, LinkState.SLOW)
+            self.cluster.links.set_state(pair, LinkState.SLOW)
         await asyncio.sleep(trouble.seconds / 3.0)
         self.cluster.links.heal_pairs(pairs)
         return True
--- a/tests/mesh/test_process_faults.py
+++ b/tests/mesh/test_process_faults.py
@@ -64,7 +64,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         reader, writer = await relayed.connect()
         server_reader, server_writer = await relayed.accepted.get()
-        relayed.links.cut(TO_SERVER, LinkState.SILENT)
+        relayed.links.set_state(TO_SERVER, LinkState.SILENT)
         writer.write(b"held")
         delayed = asyncio.create_task(server_reader.readexactly(4))
         for _ in range(5):  # messages in the other direction
@@ -81,7 +81,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         _, writer = await relayed.connect()
         server_reader, _ = await relayed.accepted.get()
-        relayed.links.cut(TO_SERVER, LinkState.SILENT)
+        relayed.links.set_state(TO_SERVER, LinkState.SILENT)
         size = 32 << 20
         writer.write(b"x" * size)
         drained = asyncio.create_task(writer.drain())
@@ -97,7 +97,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         reader, _ = await relayed.connect()
         server_reader, _ = await relayed.accepted.get()
-        relayed.links.cut(TO_CLIENT, LinkState.RESET)
+        relayed.links.set_state(TO_CLIENT, LinkState.RESET)
         for side in (reader, server_reader):
             with pytest.raises(ConnectionResetError):
                 await side.read()
@@ -117,7 +117,7 @@
     async def scenario(relayed: RelayedServer) -> None:
         reader, _ = await relayed.connect()
         _, server_writer = await relayed.accepted.get()
-        relayed.links.cut(TO_SERVER, LinkState.REFUSE)
+        relayed.links.set_state(TO_SERVER, LinkState.REFUSE)
         new_reader, _ = await relayed.connect()
         with pytest.raises(ConnectionResetError):
             await new_reader.read()
