--- a/lugspur/bench/faults/injector.py
+++ b/lugspur/bench/faults/injector.py
@@ -155,9 +155,9 @@
         for ip in side:
             for other in others:
                 if fault.direction is not Direction.IN:
-                    self.cluster.links.set_state(Pair(ip, other), fault.how)
+                    self.cluster.links.set_state(Pair(ip, other), fault.link_state)
                 if fault.direction is not Direction.OUT:
-                    self.cluster.links.set_state(Pair(other, ip), fault.how)
+                    self.cluster.links.set_state(Pair(other, ip), fault.link_state)
 
     async def _wait_behind_cut(self, fault: Fault, isolated: list[str]) -> None:
         """Wait for the duration of a cut while sending reads and orders to the machines behind it, then heal it."""
@@ -178,15 +178,15 @@
                 self.cluster.links.reset(Pair(ip, other))
         await self._record_recovery(fault, [], began)
 
-    async def _impair_links(self, fault: Fault, how: LinkState) -> None:
+    async def _impair_links(self, fault: Fault, state: LinkState) -> None:
         addresses = [*self.cluster.control, *self.cluster.proxy_ips]
         began = self._loop.time()
         for ip in addresses:
             for other in addresses:
-                self.cluster.links.set_state(Pair(ip, other), how)
+                self.cluster.links.set_state(Pair(ip, other), state)
         await asyncio.sleep(fault.seconds)
         self.cluster.links.heal()
-        await self._record_recovery(fault, [], began, stalled=how is LinkState.SLOW)
+        await self._record_recovery(fault, [], began, stalled=state is LinkState.SLOW)
 
     async def _exchange_seeds(self, fault: Fault) -> None:
         began = self._loop.time()
--- a/lugspur/bench/faults/plan.py
+++ b/lugspur/bench/faults/plan.py
@@ -46,14 +46,14 @@
 
     kind: Kind
     seconds: float = 0.0  # duration of the fault
-    how: LinkState = LinkState.SILENT
+    link_state: LinkState = LinkState.SILENT
     direction: Direction = Direction.BOTH
 
     @property
     def name(self) -> str:
         """The kind of fault, and for cuts also the way and the direction."""
         if self.kind in CUTS:
-            return f"{self.kind.value}, {self.how.value}, {self.direction.value}"
+            return f"{self.kind.value}, {self.link_state.value}, {self.direction.value}"
         return self.kind.value
 
 
@@ -95,9 +95,9 @@
         [duration for _, duration in WEIGHTED_DURATIONS], [weight for weight, _ in WEIGHTED_DURATIONS]
     )
     if kind in CUTS:
-        how = rng.choice((LinkState.SILENT, LinkState.SILENT, LinkState.RESET))
-        direction = rng.choice(list(Direction)) if how is LinkState.SILENT else Direction.BOTH
-        return Fault(kind, rng.uniform(*duration), how, direction)
+        link_state = rng.choice((LinkState.SILENT, LinkState.SILENT, LinkState.RESET))
+        direction = rng.choice(list(Direction)) if link_state is LinkState.SILENT else Direction.BOTH
+        return Fault(kind, rng.uniform(*duration), link_state, direction)
     if kind in (Kind.FREEZE, Kind.FREEZE_MANY):
         return Fault(kind, max(2.0, rng.uniform(*duration)))
     if kind in (Kind.SLOW, Kind.REFUSE):
