--- a/lugspur/bench/faults/clients.py
+++ b/lugspur/bench/faults/clients.py
@@ -9,7 +9,7 @@
 
 from lugspur.bench.faults.cluster import Cluster
 from lugspur.bench.faults.history import Call, History
-from lugspur.bench.faults.operator import NAMES
+from lugspur.bench.faults.operator import ROUTE_NAMES
 
 RESPONSE_TIMEOUT = 6.0  # seconds; the deadline of the routes is 5 s
 ROUTE_INTERVAL, UNSAFE_INTERVAL, KEYED_INTERVAL = 0.2, 0.4, 0.3  # seconds between requests of each kind
@@ -66,7 +66,7 @@
         """Send requests on the operators' routes to one proxy until cancelled."""
         while True:
             await asyncio.sleep(ROUTE_INTERVAL)
-            await self._call(self.rng.choice(NAMES), sidecar=sidecar)
+            await self._call(self.rng.choice(ROUTE_NAMES), sidecar=sidecar)
 
     async def send_unsafe_requests(self) -> None:
         """Send requests on the unsafe route until cancelled; none is retried."""
--- a/lugspur/bench/faults/operator.py
+++ b/lugspur/bench/faults/operator.py
@@ -21,8 +21,8 @@
 CONCURRENT_ORDERS = 4  # orders that one operator has under way at once
 PAUSE = (0.05, 0.35)  # shortest and longest pause between two orders of one operator, in seconds
 READ_INTERVAL = 0.4  # seconds on average between two reads
-NAMES = tuple(f"r-{n}" for n in range(10))  # routes that operators change while faults are injected
-PREFIX = "r-"  # of the names of these routes
+ROUTE_NAMES = tuple(f"r-{n}" for n in range(10))  # routes that operators change while faults are injected
+ROUTE_PREFIX = "r-"  # of the names of these routes
 
 #: Fields that make an order invalid, and why they do.
 INVALID_FIELDS: tuple[tuple[InvalidReason, dict[str, Any]], ...] = (
@@ -90,7 +90,7 @@
     items = []
     for raw in _routes_decoder.decode(_configuration_decoder.decode(body)["routes"]):
         route = _route_decoder.decode(raw)
-        if route["name"].startswith(PREFIX):
+        if route["name"].startswith(ROUTE_PREFIX):
             items.append(Item(route["name"], int(route["edition"], 16), bytes(raw), route.get("service", "")))
     return items
 
@@ -101,7 +101,7 @@
     def __init__(self, console: Console, rng: Random) -> None:
         self.console, self.rng = console, rng
         self._order_numbers = itertools.count(1)
-        self._editions = dict.fromkeys(NAMES, 1)
+        self._editions = dict.fromkeys(ROUTE_NAMES, 1)
         self._confirmed: list[Order] = []  # confirmed orders, the latest last
         self._under_way: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
@@ -205,7 +205,7 @@
 
     def new_order(self, operator: str) -> Order:
         """Make an order with new editions of a few random items."""
-        names = self.rng.sample(NAMES, self.rng.choice((1, 1, 1, 2, 3)))
+        names = self.rng.sample(ROUTE_NAMES, self.rng.choice((1, 1, 1, 2, 3)))
         return self.order(operator, {name: self.next_edition(name) for name in names})
 
     async def _send_new(self, operator: str) -> None:
@@ -213,7 +213,7 @@
 
     async def _race_for_edition(self, operator: str) -> None:
         """Have two operators send different content under the same edition at the same time."""
-        name = self.rng.choice(NAMES)
+        name = self.rng.choice(ROUTE_NAMES)
         edition = self.next_edition(name)
         rivals = [self.order(f"{operator}{n}", {name: edition}) for n in range(2)]
         await asyncio.gather(*(self.deliver(order) for order in rivals))
@@ -229,7 +229,7 @@
             await self.deliver(order)
 
     async def _send_older_after_newer(self, operator: str) -> None:
-        name = self.rng.choice(NAMES)
+        name = self.rng.choice(ROUTE_NAMES)
         older = self.order(operator, {name: self.next_edition(name)})
         await self.deliver(self.order(operator, {name: self.next_edition(name)}))
         await self.deliver(older)
@@ -240,11 +240,11 @@
             await self.deliver(self.order(f"{operator}-late", {item.name: item.edition for item in items}))
 
     async def _withdraw(self, operator: str) -> None:
-        name = self.rng.choice(NAMES)
+        name = self.rng.choice(ROUTE_NAMES)
         await self.deliver(self.order(operator, {name: self.next_edition(name)}, withdrawn=True))
 
     async def _send_invalid(self, operator: str) -> None:
-        name = self.rng.choice(NAMES)
+        name = self.rng.choice(ROUTE_NAMES)
         invalid, fields = self.rng.choice(INVALID_FIELDS)
         order = self.order(operator, {name: self.next_edition(name)}, invalid=invalid, **fields)
         await self.deliver(order)
