--- a/tests/mesh/test_fault_checker.py
+++ b/tests/mesh/test_fault_checker.py
@@ -19,7 +19,7 @@
     Order(n, f"op{n}", (item,)) for n, item in enumerate((X7, Y7, Z9, WITHDRAWN8))
 )
 INVALID_BY_ITSELF = Order(9, "op9", (Item("r", 7, b"bad", "attic"),), InvalidReason.BY_ITSELF)
-INVALID_BESIDE_OTHERS = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), InvalidReason.IN_CONTEXT)
+INVALID_IN_CONTEXT = Order(10, "op10", (Item("r", 7, b"lost", "nowhere"),), InvalidReason.IN_CONTEXT)
 
 
 def attempt(order: Order, at: float, status: int | None = 200, machine: str = "a") -> OrderAttempt:
@@ -76,7 +76,7 @@
     ),
     "an invalid order is refused": ([attempt(INVALID_BY_ITSELF, 1, 400), read(3)], ()),
     "an order that is invalid beside others has no effect": (
-        [attempt(ORDER_Z, 1), attempt(INVALID_BESIDE_OTHERS, 2), read(3, Z9)],
+        [attempt(ORDER_Z, 1), attempt(INVALID_IN_CONTEXT, 2), read(3, Z9)],
         (),
     ),
     "a read during the change": (
@@ -152,7 +152,7 @@
     ),
     "invalid beside others and confirmed": (
         Rule.INVALID_CONFIRMED,
-        [attempt(INVALID_BESIDE_OTHERS, 1), attempt(ORDER_Z, 2)],
+        [attempt(INVALID_IN_CONTEXT, 1), attempt(ORDER_Z, 2)],
         (),
     ),
     "cut off and confirms": (Rule.ISOLATED_CONFIRMS, [CUT, attempt(ORDER_X, 15)], ()),
