--- a/lugspur/bench/faults/links.py
+++ b/lugspur/bench/faults/links.py
@@ -25,7 +25,7 @@
 
 
 class LinkState(enum.Enum):
-    """What the relay does with the bytes from one machine to another."""
+    """How the relay treats bytes and connections from one machine to another."""
 
     OPEN = "open"
     SILENT = "silent"  # bytes are not forwarded: they wait, and arrive late if the connection outlives the cut
@@ -142,10 +142,10 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    # ---- cuts --------------------------------------------------------------------------------
+    # ---- link states -------------------------------------------------------------------------
 
     def set_state(self, pair: Pair, state: LinkState) -> None:
-        """Set the state of one direction."""
+        """Set the state of one direction; a state of RESET also resets the open connections of the pair."""
         self._states[pair] = state
         if state is LinkState.RESET:
             self.reset(pair)
