--- a/lugspur/bench/faults/checker.py
+++ b/lugspur/bench/faults/checker.py
@@ -17,7 +17,7 @@
 
 
 class Rule(enum.Enum):
-    """A guarantee of the mesh; the value is the violation's heading in reports."""
+    """A rule, named by its violation; the value is the heading of these violations in reports."""
 
     DECIDED_ONCE = "two contents confirmed under one edition"
     CONFIRMED_LOST = "confirmed and not read back"
--- a/lugspur/bench/faults/injector.py
+++ b/lugspur/bench/faults/injector.py
@@ -133,7 +133,7 @@
         began = self._loop.time()
         self._cut([target], others, fault)
         isolated = () if _is_majority(own_side, voters) else (target,)
-        await self._wait_behind_cut(fault, [target])
+        await self._probe_until_healed(fault, [target])
         await self._record_recovery(
             fault, [target], began, isolated, not _is_majority(set(others) | {companion}, voters)
         )
@@ -146,7 +146,7 @@
         began = self._loop.time()
         self._cut(sides[0], sides[1], fault)
         minorities = [side for side in sides if not _is_majority(set(side), voters)]
-        await self._wait_behind_cut(fault, [side[0] for side in sides])
+        await self._probe_until_healed(fault, [side[0] for side in sides])
         await self._record_recovery(
             fault, control, began, tuple(ip for side in minorities for ip in side), len(minorities) == 2
         )
@@ -159,8 +159,8 @@
                 if fault.direction is not Direction.OUT:
                     self.cluster.links.set_state(Pair(other, ip), fault.link_state)
 
-    async def _wait_behind_cut(self, fault: Fault, isolated: list[str]) -> None:
-        """Wait for the duration of a cut while sending reads and orders to the machines behind it, then heal it."""
+    async def _probe_until_healed(self, fault: Fault, isolated: list[str]) -> None:
+        """Send reads and orders to the machines behind a cut for its duration, then heal it."""
         until = self._loop.time() + fault.seconds
         requests: set[asyncio.Task[object]] = set()
         while (remaining := until - self._loop.time()) > 0.0:
