--- a/lugspur/bench/faults/__main__.py
+++ b/lugspur/bench/faults/__main__.py
@@ -3,7 +3,8 @@
     python -m lugspur.bench.faults --seed 1 --faults 300 --machines 4
     python -m lugspur.bench.faults --scenario losses --machines 4
 
-Prints a table of faults and violations. If it finds a violation, it prints the history around it and exits with 1.
+Prints a table of faults and violations, and the history around each violation that it shows. The exit status is 1 if
+a rule was violated, a process ended by itself or an exception was not caught.
 """
 
 from __future__ import annotations
