--- a/lugspur/bench/soak/daemon_troubles.py
+++ b/lugspur/bench/soak/daemon_fault_injector.py
@@ -9,10 +9,10 @@
 from random import Random
 
 from lugspur.bench.soak.daemon_process import HOST, READY_WITHIN, Daemon, ready
+from lugspur.bench.soak.faulty_backends import SPOILT, Way
+from lugspur.bench.soak.misbehaving_callers import SpoiltCallers
 from lugspur.bench.soak.plan import Kind, Trouble
-from lugspur.bench.soak.sound_callers import FORM
-from lugspur.bench.soak.spoilt_backends import SPOILT, Way
-from lugspur.bench.soak.spoilt_callers import SpoiltCallers
+from lugspur.bench.soak.valid_callers import FORM
 from lugspur.bench.soak.verdict import Verdict
 
 DAMAGED = b"[listeners.main\naddress = \n"
--- a/lugspur/bench/soak/daemon_process.py
+++ b/lugspur/bench/soak/daemon_process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from lugspur.bench.mesh import ROOT, free_ports
-from lugspur.bench.soak.spoilt_backends import DaemonBackend
+from lugspur.bench.soak.faulty_backends import DaemonBackend
 from lugspur.bench.soak.verdict import figures
 
 HOST = "127.0.0.1"
--- a/lugspur/bench/soak/daemon_run.py
+++ b/lugspur/bench/soak/daemon_run.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from random import Random
 
+from lugspur.bench.soak.daemon_fault_injector import DaemonTroubles
 from lugspur.bench.soak.daemon_process import HOST, LOOK_EVERY, Daemon, ready
-from lugspur.bench.soak.daemon_troubles import DaemonTroubles
+from lugspur.bench.soak.faulty_backends import DaemonBackend
 from lugspur.bench.soak.plan import DAEMON_WEIGHTS, Trouble, draw
-from lugspur.bench.soak.sound_callers import Asked, SoundCallers
-from lugspur.bench.soak.spoilt_backends import DaemonBackend
+from lugspur.bench.soak.valid_callers import Asked, SoundCallers
 from lugspur.bench.soak.verdict import Verdict, figures
 
 BACKENDS = 4
--- a/lugspur/bench/soak/mesh_troubles.py
+++ b/lugspur/bench/soak/mesh_fault_injector.py
@@ -14,9 +14,9 @@
 from lugspur.bench.faults.cluster import CATCH_UP, SERVICES, Cluster
 from lugspur.bench.faults.history import History, Span
 from lugspur.bench.faults.links import Cut, Pair
+from lugspur.bench.soak.faulty_backends import SPOILT, SpoiltMeshBackend, Way
+from lugspur.bench.soak.misbehaving_callers import Form, SpoiltCallers
 from lugspur.bench.soak.plan import Kind, Trouble
-from lugspur.bench.soak.spoilt_backends import SPOILT, SpoiltMeshBackend, Way
-from lugspur.bench.soak.spoilt_callers import Form, SpoiltCallers
 from lugspur.bench.soak.verdict import Verdict
 from lugspur.standins.mesh import MeshBackend
 
--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -12,7 +12,7 @@
 from lugspur.bench.faults.history import History
 from lugspur.bench.faults.operator import Console, Operators
 from lugspur.bench.soak.coordination_callers import CoordinationCallers
-from lugspur.bench.soak.mesh_troubles import MAIL_DEADLINE, MeshTroubles, SoakCluster
+from lugspur.bench.soak.mesh_fault_injector import MAIL_DEADLINE, MeshTroubles, SoakCluster
 from lugspur.bench.soak.plan import MESH_WEIGHTS, Trouble, draw
 from lugspur.bench.soak.verdict import Verdict, figures
 
--- a/lugspur/bench/soak/sound_callers.py
+++ b/lugspur/bench/soak/valid_callers.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from lugspur.bench.soak.daemon_process import HOST, Daemon
-from lugspur.bench.soak.spoilt_callers import Form
+from lugspur.bench.soak.misbehaving_callers import Form
 
 FORM = Form("soak.example", "/api/read", "/api/book", "X-Request-ID", "X-Timeout: 2\r\n")
 ANSWER_WITHIN = 5.0  # seconds in which each request that a running daemon took has its answer
--- a/lugspur/bench/upgrade/run.py
+++ b/lugspur/bench/upgrade/run.py
@@ -11,7 +11,7 @@
 from lugspur.bench.faults.operator import Console, Operators
 from lugspur.bench.faults.plan import Fault, Kind
 from lugspur.bench.upgrade.cluster import TwoBuildCluster
-from lugspur.bench.upgrade.judgement import check_data_directories, judge
+from lugspur.bench.upgrade.outcome_checks import check_data_directories, judge
 from lugspur.bench.upgrade.plan import Builds, Direction, Outcome, Plan, Replacement
 
 USEFUL_WITHIN_SECONDS = 20.0  # from the start of a replacement, on a loaded machine too
--- a/tests/mesh/test_soak.py
+++ b/tests/mesh/test_soak.py
@@ -9,8 +9,8 @@
 import pytest
 
 from lugspur.bench.soak import daemon_run, mesh_run
+from lugspur.bench.soak.faulty_backends import Way, write
 from lugspur.bench.soak.plan import DAEMON_WEIGHTS, MESH_WEIGHTS, Kind, Trouble, draw, overlapping
-from lugspur.bench.soak.spoilt_backends import Way, write
 from lugspur.bench.soak.verdict import Verdict
 
 
--- a/tests/mesh/test_upgrade.py
+++ b/tests/mesh/test_upgrade.py
@@ -10,7 +10,7 @@
 from lugspur.bench.revisions import BEFORE_RENAMES, RevisionError, extract_build
 from lugspur.bench.upgrade import __main__ as command
 from lugspur.bench.upgrade import run
-from lugspur.bench.upgrade.judgement import UNDECODABLE_FINDING
+from lugspur.bench.upgrade.outcome_checks import UNDECODABLE_FINDING
 from lugspur.bench.upgrade.plan import Builds, Direction, Outcome, Plan
 from lugspur.bench.upgrade.report import table
 from lugspur.bench.upgrade.run import play
