--- a/lugspur/bench/upgrade/__init__.py
+++ b/lugspur/bench/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Replaces each process of a mesh by one of another build, while changes and requests go on."""
+"""Upgrade test: replaces each process of a mesh by one of another build under load."""
--- a/lugspur/bench/upgrade/outcome_checks.py
+++ b/lugspur/bench/upgrade/outcome_checks.py
@@ -1,4 +1,4 @@
-"""Judges what was seen of one direction: the history, the logs and the data directories."""
+"""Checks the outcome of one direction: the history, the logs and the data directories."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from lugspur.bench.faults.cluster import Cluster
 from lugspur.bench.upgrade.plan import Builds, Outcome
 
-DIRECTORY_CHECK_SECONDS = 30.0  # for one run of `replica check`
+# Timeout of one run of `replica check`.
+DIRECTORY_CHECK_SECONDS = 30.0
 UNDECODABLE_FINDING = "message or disk that could not be decoded"
-# What a process writes where a message of a peer, or what lies on its disk, is not of a form that it knows.
+# Matches what a process logs when it cannot decode a message of a peer or data on its disk.
 UNDECODABLE = re.compile(r"event=(?:frame|set-aside)\b.*|.*\b(?:DecodeError|ValidationError)\b.*")
 
 
-def judge(outcome: Outcome, cluster: Cluster) -> None:
-    """Add to the verdict what was done, and all that must not be: by the history and by the processes' logs."""
+def check_outcome(outcome: Outcome, cluster: Cluster) -> None:
+    """Add to the verdict the counts of operations, and the violations found in the history and in the logs."""
     verdict = outcome.verdict
     for violation in check(outcome.history, cluster.bounds):
         verdict.add(violation.rule.value, f"{violation.subject} {violation.detail} {violation.where}")
@@ -30,12 +31,12 @@
     _count_changes(outcome)
     _count_requests(outcome, cluster)
     for what, count in verdict.counts.items():
-        if count == 0:  # Guards the verdict against a run in which nothing could go wrong.
+        if count == 0:  # A run without operations could not have violated anything.
             verdict.add("nothing was done", what)
 
 
 def _count_changes(outcome: Outcome) -> None:
-    """Count the changes that were confirmed; `while mixed`: between the first and the last replacement."""
+    """Count the confirmed changes; `while mixed` means between the first and the last replacement."""
     since, until = outcome.mixed_span()
     confirmed = [sent for sent in outcome.history.tries if sent.confirmed]
     mixed = [sent for sent in confirmed if since <= sent.began <= until]
@@ -46,20 +47,20 @@
 def _count_requests(outcome: Outcome, cluster: Cluster) -> None:
     """Count the requests and keyed operations that were served, and those of each proxy once it was replaced."""
     since, until = outcome.mixed_span()
-    done = outcome.verdict.counts
+    counts = outcome.verdict.counts
     served = [call for call in outcome.history.calls if call.status == 200]
     keyed = [call for call in served if call.key]
-    done["requests served"] = len(served)
-    done["keyed operations served"] = len({call.key for call in keyed})
-    done["keyed operations served while mixed"] = len({call.key for call in keyed if since <= call.began <= until})
+    counts["requests served"] = len(served)
+    counts["keyed operations served"] = len({call.key for call in keyed})
+    counts["keyed operations served while mixed"] = len({call.key for call in keyed if since <= call.began <= until})
     for replaced in outcome.replacements:
         if replaced.ip in cluster.proxy_ips:
-            after = [call for call in served if call.sidecar == replaced.ip and call.began >= replaced.useful_at]
-            done[f"requests served by {replaced.ip} once replaced"] = len(after)
+            after = [call for call in served if call.sidecar == replaced.ip and call.began >= replaced.serving_at]
+            counts[f"requests served by {replaced.ip} once replaced"] = len(after)
 
 
 def check_data_directories(outcome: Outcome, cluster: Cluster, builds: Builds) -> None:
-    """Have both builds read the data directory of every control node; no process may run on it."""
+    """Check that both builds can read the data directory of every control node; no process may be using it."""
     for root in (builds.former, builds.present):
         for ip in cluster.control:
             command = [sys.executable, "-m", "lugspur.mesh", "replica", "check", str(cluster.folder / ip)]
--- a/lugspur/bench/upgrade/plan.py
+++ b/lugspur/bench/upgrade/plan.py
@@ -1,4 +1,4 @@
-"""What is played, and what it brought."""
+"""The plan of an upgrade test, and its outcome."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     present: Path = ROOT
 
     def of(self, direction: Direction) -> tuple[Path, Path]:
-        """Return the build that the mesh starts with, and the one that replaces it."""
+        """Return the directory of the build that the mesh starts with, and that of the build that replaces it."""
         if direction is Direction.UPGRADE:
             return self.former, self.present
         return self.present, self.former
@@ -34,24 +34,24 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Plan:
-    """How one direction is played."""
+    """The parameters of one direction."""
 
     seed: int = 1
-    pause_seconds: float = 2.0  # for which the mesh works with both builds after each replacement
+    pause_seconds: float = 2.0  # time under load with both builds after each replacement
 
 
 @dataclass(slots=True)
 class Replacement:
-    """One process that was replaced."""
+    """The replacement of one process."""
 
     ip: str
-    useful_at: float  # by the loop's clock
-    seconds: float  # from its SIGTERM until the new process was useful
+    serving_at: float  # time by the event loop's clock
+    seconds: float  # from its SIGTERM until the new process served
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one direction brought; nothing in `verdict.findings` means that it passed."""
+    """The outcome of one direction; it passed if `verdict.findings` is empty."""
 
     direction: Direction
     verdict: Verdict = field(default_factory=Verdict)
@@ -59,5 +59,5 @@
     replacements: list[Replacement] = field(default_factory=list)
 
     def mixed_span(self) -> tuple[float, float]:
-        """Return when the first and the last replacement were useful: between them both builds were at work."""
-        return self.replacements[0].useful_at, self.replacements[-1].useful_at
+        """Return the times at which the first and the last replacement served: between them both builds ran."""
+        return self.replacements[0].serving_at, self.replacements[-1].serving_at
--- a/lugspur/bench/upgrade/report.py
+++ b/lugspur/bench/upgrade/report.py
@@ -1,4 +1,4 @@
-"""The outcomes as a table."""
+"""Formats the outcomes as a table."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 def table(outcomes: list[Outcome]) -> Iterator[str]:
-    """One row for each direction, and the findings below."""
+    """Yield a table with one row for each direction, and the findings below it."""
     yield f"| {' | '.join(HEADINGS)} |"
     yield "|---" * len(HEADINGS) + "|"
     for outcome in outcomes:
-        done = outcome.verdict.counts
+        counts = outcome.verdict.counts
         seconds = [replaced.seconds for replaced in outcome.replacements] or [0.0]
         cells = (
             outcome.direction.value,
             f"{len(outcome.replacements)} of {CONTROL_NODES + len(TwoBuildCluster.proxy_services)}",
             f"{median(seconds):.1f} s, {max(seconds):.1f} s",
-            f"{done['changes confirmed']}, {done['changes confirmed while mixed']} while mixed",
-            f"{done['keyed operations served']}, {done['keyed operations served while mixed']} while mixed",
+            f"{counts['changes confirmed']}, {counts['changes confirmed while mixed']} while mixed",
+            f"{counts['keyed operations served']}, {counts['keyed operations served while mixed']} while mixed",
             _request_counts(outcome),
             str(len(outcome.verdict.findings)),
         )
@@ -34,7 +34,7 @@
 
 
 def _request_counts(outcome: Outcome) -> str:
-    """Requests by how they ended: operators withdraw routes, and a 404 is then the right answer."""
+    """Count requests by outcome; a 404 is the right response on a route that operators have withdrawn."""
     served, withdrawn = (sum(call.status == status for call in outcome.history.calls) for status in (200, 404))
     others = len(outcome.history.calls) - served - withdrawn
     return f"{served} served, {withdrawn} on withdrawn routes, {others} not"
--- a/lugspur/bench/upgrade/run.py
+++ b/lugspur/bench/upgrade/run.py
@@ -1,4 +1,4 @@
-"""Plays one direction: every process is replaced once, under load."""
+"""Runs one direction of the upgrade test: replaces every process once, under load."""
 
 from __future__ import annotations
 
@@ -11,24 +11,27 @@
 from lugspur.bench.faults.operator import Console, Operators
 from lugspur.bench.faults.plan import Fault, Kind
 from lugspur.bench.upgrade.cluster import TwoBuildCluster
-from lugspur.bench.upgrade.outcome_checks import check_data_directories, judge
+from lugspur.bench.upgrade.outcome_checks import check_data_directories, check_outcome
 from lugspur.bench.upgrade.plan import Builds, Direction, Outcome, Plan, Replacement
 
-USEFUL_WITHIN_SECONDS = 20.0  # from the start of a replacement, on a loaded machine too
+# Time from the start of a replacement in which the new process must serve, even on a loaded machine.
+RECOVERY_TIMEOUT_SECONDS = 20.0
+# Pause between two checks of a condition that is waited for.
 POLL_SECONDS = 0.1
+# Time for which all control nodes are down at the end.
 ALL_DOWN_SECONDS = 0.5
 
 
 async def play(directory: Path, builds: Builds, direction: Direction, plan: Plan) -> Outcome:
-    """Play one direction; `directory` gets the settings, data directories and logs of all processes."""
+    """Run one direction; `directory` receives the settings, data directories and logs of all processes."""
     return await Upgrade(directory, builds, direction, plan).play()
 
 
 class Upgrade:
-    """Plays one direction over one mesh."""
+    """Runs one direction on one mesh."""
 
     def __init__(self, directory: Path, builds: Builds, direction: Direction, plan: Plan) -> None:
-        """`directory` gets the settings, data directories and logs of all processes."""
+        """`directory` receives the settings, data directories and logs of all processes."""
         self.directory, self.builds, self.plan = directory, builds, plan
         first, self._next_root = builds.of(direction)
         self.outcome = Outcome(direction)
@@ -41,36 +44,38 @@
         self._loop = asyncio.get_running_loop()
 
     async def play(self) -> Outcome:
-        """Replace every process once and return what was found."""
+        """Replace every process once, check the result and return the outcome."""
         try:
             await self.cluster.begin()
             await self._replace_all_under_load()
             self._find_processes_that_ended()
         finally:
             await self.cluster.close()
-        judge(self.outcome, self.cluster)
+        check_outcome(self.outcome, self.cluster)
         await asyncio.to_thread(check_data_directories, self.outcome, self.cluster, self.builds)
         return self.outcome
 
     async def _replace_all_under_load(self) -> None:
         """Replace every process while operators change the configuration and clients send requests."""
-        changing = [asyncio.ensure_future(one) for one in (self.operators.work("north"), self.operators.read_on())]
-        requests = [self.clients.book_on(), self.clients.mail_on()]
-        requests += [self.clients.look_on(ip) for ip in self.cluster.proxy_ips]
-        asking = [asyncio.ensure_future(one) for one in requests]
+        operator_tasks = [
+            asyncio.ensure_future(coroutine) for coroutine in (self.operators.work("north"), self.operators.read_on())
+        ]
+        client_loops = [self.clients.book_on(), self.clients.mail_on()]
+        client_loops += [self.clients.look_on(ip) for ip in self.cluster.proxy_ips]
+        request_tasks = [asyncio.ensure_future(coroutine) for coroutine in client_loops]
         try:
             await self._replace_all()
         finally:
-            for task in changing:
+            for task in operator_tasks:
                 task.cancel()
         await self.operators.settle()
         for ip in self.cluster.control:
             await self._read_back(ip)
-        for task in asking:
+        for task in request_tasks:
             task.cancel()
         await self.clients.settle()
-        for result in await asyncio.gather(*changing, *asking, return_exceptions=True):
-            if isinstance(result, Exception):  # a fault of the bench itself
+        for result in await asyncio.gather(*operator_tasks, *request_tasks, return_exceptions=True):
+            if isinstance(result, Exception):  # an error in the bench itself
                 raise result
 
     async def _replace_all(self) -> None:
@@ -84,7 +89,7 @@
         await self._injector.inject(Fault(Kind.KILL_ALL, ALL_DOWN_SECONDS))
 
     async def _replace(self, ip: str) -> None:
-        """End one process, start one of the other build in its place and wait until that is useful."""
+        """Terminate one process, start one of the other build in its place and wait until that serves."""
         began = self._loop.time()
         process = self.cluster.processes[ip]
         await self.cluster.terminate(ip)
@@ -92,32 +97,32 @@
             self.outcome.verdict.add("process that did not end well", f"{ip}, status {process.returncode}")
         self.cluster.roots[ip] = self._next_root
         self.cluster.start(ip)
-        useful = self._control_is_useful if ip in self.cluster.control else self._proxy_is_useful
-        while not await useful(ip):
-            if self._loop.time() - began > USEFUL_WITHIN_SECONDS:
+        is_serving = self._control_is_serving if ip in self.cluster.control else self._proxy_is_serving
+        while not await is_serving(ip):
+            if self._loop.time() - began > RECOVERY_TIMEOUT_SECONDS:
                 self.outcome.verdict.add("not useful once replaced", ip)
                 break
             await asyncio.sleep(POLL_SECONDS)
         now = self._loop.time()
         self.outcome.replacements.append(Replacement(ip, now, now - began))
 
-    async def _control_is_useful(self, ip: str) -> bool:
-        """Whether a control node has caught up and confirms a change."""
+    async def _control_is_serving(self, ip: str) -> bool:
+        """Return whether a control node has caught up and confirms a change."""
         confirmed = (await self.console.send(self.operators.fresh("replaced"), ip)).confirmed
         return confirmed and (await self.cluster.status(ip)).get("complete") is True
 
-    async def _proxy_is_useful(self, ip: str) -> bool:
-        """Whether a proxy has served a request of the clients since its process was started."""
+    async def _proxy_is_serving(self, ip: str) -> bool:
+        """Return whether a proxy has served a client request since shortly before this call."""
         began = self._loop.time()
         await asyncio.sleep(POLL_SECONDS)
         calls = self.outcome.history.calls
         return any(call.sidecar == ip and call.status == 200 and call.began >= began - POLL_SECONDS for call in calls)
 
     async def _read_back(self, ip: str) -> None:
-        """Read the whole configuration at a control node, until it answers; the history judges what it holds."""
+        """Read the whole configuration at a control node until it responds; the history check validates the content."""
         began = self._loop.time()
         while (await self.console.read(ip)).status != 200:
-            if self._loop.time() - began > USEFUL_WITHIN_SECONDS:
+            if self._loop.time() - began > RECOVERY_TIMEOUT_SECONDS:
                 self.outcome.verdict.add("configuration not readable at the end", ip)
                 return
             await asyncio.sleep(POLL_SECONDS)
--- a/tests/mesh/test_upgrade.py
+++ b/tests/mesh/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A mesh of two builds: no promise is broken while one replaces the other, and builds that differ are found out."""
+"""The upgrade test: a mesh keeps its guarantees while builds replace each other; incompatible builds are detected."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def former(tmp_path: Path) -> Path:
-    """The directory of a former build."""
+    """Extract a former build and return its directory."""
     directory = tmp_path / "former"
     directory.mkdir()
     extract_build(BEFORE_RENAMES, directory)
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("direction", Direction)
-def test_nothing_promised_is_broken_while_one_build_replaces_the_other(
+def test_a_mesh_keeps_its_guarantees_while_one_build_replaces_the_other(
     tmp_path: Path, former: Path, direction: Direction
 ) -> None:
     outcome = asyncio.run(play(tmp_path, Builds(former=former), direction, SHORT))
@@ -37,11 +37,11 @@
     assert outcome.verdict.counts["keyed operations served while mixed"] > 0
 
 
-def test_a_build_whose_messages_have_another_form_is_found_out(
+def test_a_build_with_an_incompatible_message_format_is_detected(
     tmp_path: Path, former: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The former build numbers one message differently, so that the two cannot read each other's."""
-    monkeypatch.setattr(run, "USEFUL_WITHIN_SECONDS", 2.0)
+    """The former build gives one message another tag, so that neither build can decode that message of the other."""
+    monkeypatch.setattr(run, "RECOVERY_TIMEOUT_SECONDS", 2.0)
     messages = former / "lugspur" / "control" / "messages.py"
     text = messages.read_text()
     assert "class Learn(msgspec.Struct, tag=24," in text
@@ -52,26 +52,26 @@
 
 
 @pytest.mark.parametrize("revision", ["no-such-revision", "--output=/dev/null", ""])
-def test_a_revision_that_is_not_in_the_history_is_one_clear_line_and_exit_status_2(
+def test_an_unknown_revision_prints_one_line_and_exits_with_status_2(
     revision: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(RevisionError) as raised:
         extract_build(revision, tmp_path)
     assert raised.value.revision == revision
     assert command.main([f"--from={revision}"]) == 2
-    told = capsys.readouterr()
-    assert told.out == "" and len(told.err.splitlines()) == 1 and "shallow clone" in told.err
+    output = capsys.readouterr()
+    assert output.out == "" and len(output.err.splitlines()) == 1 and "shallow clone" in output.err
 
 
-def test_the_command_prints_a_row_for_each_direction_and_its_findings_and_fails_by_them(
+def test_the_command_prints_rows_and_findings_and_fails_on_findings(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    spoilt = {Direction.DOWNGRADE}
+    failing_directions = {Direction.DOWNGRADE}
 
     async def found(directory: Path, builds: Builds, direction: Direction, plan: Plan) -> Outcome:
         assert (builds.former / "lugspur" / "mesh" / "__main__.py").is_file() and directory.is_dir()
         outcome = Outcome(direction)
-        if direction in spoilt:
+        if direction in failing_directions:
             outcome.verdict.add("ran twice", "k7")
         return outcome
 
@@ -80,5 +80,5 @@
     lines = capsys.readouterr().out.splitlines()
     assert [line.split(" | ")[0] for line in lines[2:4]] == ["| former to present", "| present to former"]
     assert lines[4:] == ["FOUND present to former: ran twice: k7"]
-    spoilt.clear()
+    failing_directions.clear()
     assert command.main(["--from", BEFORE_RENAMES]) == 0
