--- a/lugspur/emulator/fleet.py
+++ b/lugspur/emulator/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from lugspur.emulator.boxes import Box, Kind
+from lugspur.emulator.backends import Box, Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import SERVED, TURNED, World
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Settings
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Protocol
 
-from lugspur.emulator.boxes import Kind
+from lugspur.emulator.backends import Kind
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
 from lugspur.joining.flight_table import (
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from lugspur.emulator.boxes import Box, Kind, Work
+from lugspur.emulator.backends import Box, Kind, Work
 from lugspur.emulator.clock import Clock
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lugspur.emulator import fleet, joining
-from lugspur.emulator.boxes import Box, Kind, Work
+from lugspur.emulator.backends import Box, Kind, Work
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.world import FAILED, LATE, SERVED, TURNED, World
 from lugspur.load_balancing.model import Outcome
