--- a/lugspur/emulator/backends.py
+++ b/lugspur/emulator/backends.py
@@ -55,10 +55,10 @@
         """An attempt has come."""
         if self.dead:
             self.vain += 1
-            self._clock.at(self._clock.now + DIAL, lambda: self._tell(work, Outcome.UNREACHABLE))
+            self._clock.call_at(self._clock.now + DIAL, lambda: self._tell(work, Outcome.UNREACHABLE))
             return
         if len(self._waiting) >= self._kind.queue:
-            self._clock.at(self._clock.now, lambda: self._tell(work, Outcome.OVERLOADED))
+            self._clock.call_at(self._clock.now, lambda: self._tell(work, Outcome.OVERLOADED))
             return
         self._waiting.append(work)
         self._next()
@@ -76,7 +76,7 @@
         kind = self._kind
         lasts = self._rng.gammavariate(kind.steps, kind.work / kind.steps)
         how = Outcome.ERROR if self._rng.random() < kind.wrong else Outcome.OK
-        self._clock.at(self._clock.now + lasts, lambda: self._end(work, how))
+        self._clock.call_at(self._clock.now + lasts, lambda: self._end(work, how))
 
     def _end(self, work: Work, how: Outcome) -> None:
         self._busy -= 1
--- a/lugspur/emulator/clock.py
+++ b/lugspur/emulator/clock.py
@@ -14,7 +14,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def call_at(self, when: float, what: Callable[[], None]) -> None:
         """Let it happen then, or now if that has passed."""
         self._count += 1
         heapq.heappush(self._events, (max(when, self.now), self._count, what))
--- a/lugspur/emulator/control/mesh_world.py
+++ b/lugspur/emulator/control/mesh_world.py
@@ -123,7 +123,7 @@
 
     def schedule(self, delay: float, call: Callable[[], None]) -> None:
         """Call a function after a delay in seconds."""
-        self.clock.at(self.clock.now + delay, call)
+        self.clock.call_at(self.clock.now + delay, call)
 
     def add_node(self, zone: str) -> MeshNode:
         """Add a machine with an empty disk, which isn't running yet."""
@@ -221,7 +221,7 @@
         generation = connection.generation
         at = max(self._last_arrival.get(wire, 0.0) + 1e-6, self.now + self.rng.uniform(*LATENCY_S))
         self._last_arrival[wire] = at
-        self.clock.at(at, lambda: self._arrive(wire, generation, message))
+        self.clock.call_at(at, lambda: self._arrive(wire, generation, message))
 
     def _arrive(self, wire: Wire, generation: int, message: Message) -> None:
         other = wire.target if wire.dialled_by == wire.source else wire.source
@@ -256,7 +256,7 @@
         for wire in [wire for wire in self._delayed if (wire.source, wire.target) in blocked_directions]:
             for generation, message in self._delayed.pop(wire):
                 self._last_arrival[wire] = at = max(self._last_arrival.get(wire, 0.0) + 1e-6, self.now + LATENCY_S[0])
-                self.clock.at(at, lambda w=wire, g=generation, m=message: self._arrive(w, g, m))  # type: ignore[misc]
+                self.clock.call_at(at, lambda w=wire, g=generation, m=message: self._arrive(w, g, m))  # type: ignore[misc]
 
     # ---- processes ---------------------------------------------------------------------------
 
--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -79,13 +79,13 @@
 
         def take(result: records.Result) -> None:
             delay = world.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
-            world.clock.at(world.clock.now + delay, lambda: self._answered(number, sent, result))
+            world.clock.call_at(world.clock.now + delay, lambda: self._answered(number, sent, result))
 
         def arrive() -> None:
             node.when_awake(lambda: node.submit(self._command, take))
 
-        world.clock.at(sent + world.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS), arrive)
-        world.clock.at(sent + TRY_SECONDS, lambda: self._silent(number))
+        world.clock.call_at(sent + world.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS), arrive)
+        world.clock.call_at(sent + TRY_SECONDS, lambda: self._silent(number))
 
     def _answered(self, number: int, sent: float, result: records.Result) -> None:
         if number != self._try:
@@ -108,7 +108,7 @@
         if self._world.clock.now >= self._until:
             self._on_answer(None, 0.0)
         else:
-            self._world.clock.at(self._world.clock.now + RETRY_SECONDS, self._send)
+            self._world.clock.call_at(self._world.clock.now + RETRY_SECONDS, self._send)
 
 
 class LockUser:
@@ -121,7 +121,7 @@
 
     def _pause(self) -> None:
         if self._world.is_open:
-            self._world.clock.at(self._world.clock.now + self._world.rng.uniform(0.02, 0.4), self._open)
+            self._world.clock.call_at(self._world.clock.now + self._world.rng.uniform(0.02, 0.4), self._open)
 
     def _open(self) -> None:
         lock, hold_ms = self._world.rng.choice(LOCKS), self._world.rng.choice((300, 700, 1500))
@@ -137,7 +137,7 @@
         self._world.history.tenures.append(tenure)
         step = self._world.rng.choice((self._close, self._renew, self._renew, self._sleep))
         wait = self._world.rng.uniform(0.0, 0.6) * hold_ms / 1000.0
-        self._world.clock.at(now + wait, lambda: step(tenure, hold_ms))
+        self._world.clock.call_at(now + wait, lambda: step(tenure, hold_ms))
 
     def _close(self, tenure: LockTenure, hold_ms: int) -> None:
         tenure.ended = min(tenure.ended, self._world.clock.now)
@@ -154,13 +154,13 @@
                 return
             tenure.ended = sent + hold_ms / 1000.0
             step = self._world.rng.choice((self._close, self._renew, self._sleep))
-            self._world.clock.at(now + 0.4 * hold_ms / 1000.0, lambda: step(tenure, hold_ms))
+            self._world.clock.call_at(now + 0.4 * hold_ms / 1000.0, lambda: step(tenure, hold_ms))
 
         Call(self._world, command, renewed)
 
     def _sleep(self, tenure: LockTenure, hold_ms: int) -> None:
         """Die holding, or sleep past the time, and come again under the same name."""
-        self._world.clock.at(tenure.ended + self._world.rng.uniform(0.0, 0.3), self._pause)
+        self._world.clock.call_at(tenure.ended + self._world.rng.uniform(0.0, 0.3), self._pause)
 
 
 class NumberUser:
@@ -179,7 +179,7 @@
         if isinstance(result, records.NumberIssued):
             self._world.history.numbers.append(TakenNumber(name, result.value, sent, now))
         if self._world.is_open:
-            self._world.clock.at(now + self._world.rng.uniform(0.02, 0.3), self._take)
+            self._world.clock.call_at(now + self._world.rng.uniform(0.02, 0.3), self._take)
 
 
 class KeyUser:
@@ -195,7 +195,7 @@
         if not self._world.is_open:
             return
         step = self._world.rng.choice((self._put, self._put, self._read))
-        self._world.clock.at(self._world.clock.now + self._world.rng.uniform(0.02, 0.3), step)
+        self._world.clock.call_at(self._world.clock.now + self._world.rng.uniform(0.02, 0.3), step)
 
     def _put(self) -> None:
         key = self._world.rng.choice(KEYS)
@@ -225,7 +225,7 @@
                 put.revision, put.received = result.revision, now
             self._known[put.key] = result.revision
             if self._world.rng.random() < 0.1:  # a repeat that arrives late, after other puts
-                self._world.clock.at(now + self._world.rng.uniform(0.0, 1.0), lambda: self._send(put))
+                self._world.clock.call_at(now + self._world.rng.uniform(0.0, 1.0), lambda: self._send(put))
         elif isinstance(result, records.RevisionMismatch):
             history.mismatches.append(Mismatch(put.key, result.revision, sent, now))
             self._known[put.key] = result.revision
@@ -263,7 +263,7 @@
         if isinstance(result, records.GroupRevision):
             self._world.history.watch_answers.append(WatchAnswerSeen(GROUP, 0, result.revision, [], sent, now))
             self.revision, self._given_at = result.revision, now
-        self._world.clock.at(now + 0.05, self._begin if self.revision == 0 else self._watch)
+        self._world.clock.call_at(now + 0.05, self._begin if self.revision == 0 else self._watch)
 
     def _watch(self) -> None:
         if not self._world.is_open:
@@ -271,7 +271,7 @@
         self._number += 1
         number, sent, node = self._number, self._world.clock.now, self._world.any_node()
         node.when_awake(lambda: self._ask(node, number, sent))
-        self._world.clock.at(sent + 1.0, lambda: self._silent(number))
+        self._world.clock.call_at(sent + 1.0, lambda: self._silent(number))
 
     def _ask(self, node: ModelNode, number: int, sent: float) -> None:
         if node.watches is None or number != self._number:
@@ -310,9 +310,9 @@
         self._world.history.watch_answers.append(seen)
         self.revision, self._given_at = answer.revision, now
         self._number += 1
-        self._world.clock.at(now + self._world.rng.uniform(0.0, 0.1), self._watch)
+        self._world.clock.call_at(now + self._world.rng.uniform(0.0, 0.1), self._watch)
 
     def _silent(self, number: int) -> None:
         if number == self._number:
             self._number += 1
-            self._world.clock.at(self._world.clock.now + 0.05, self._watch)
+            self._world.clock.call_at(self._world.clock.now + 0.05, self._watch)
--- a/lugspur/emulator/coordination/disk.py
+++ b/lugspur/emulator/coordination/disk.py
@@ -38,7 +38,7 @@
             self._begin()
         else:
             run = self._run
-            self._clock.at(self._clock.now + LAZY_SECONDS, lambda: self._begin() if run == self._run else None)
+            self._clock.call_at(self._clock.now + LAZY_SECONDS, lambda: self._begin() if run == self._run else None)
 
     def _begin(self) -> None:
         if self._syncing is not None or not (self._pending.rows or self._pending.callbacks):
@@ -47,7 +47,7 @@
         run = self._run
         begin = max(self._clock.now, self.stalled_until)
         duration = self._rng.uniform(MIN_SYNC_SECONDS, MAX_SYNC_SECONDS)
-        self._clock.at(begin + duration, lambda: self._synced(run))
+        self._clock.call_at(begin + duration, lambda: self._synced(run))
 
     def _synced(self, run: int) -> None:
         group = self._syncing
--- a/lugspur/emulator/coordination/network.py
+++ b/lugspur/emulator/coordination/network.py
@@ -56,7 +56,7 @@
             else:
                 deliver(message)
 
-        self._clock.at(when, arrive)
+        self._clock.call_at(when, arrive)
 
     def cut(self, one: str, other: str, seconds: float, on_dead: Callable[[Connection], None]) -> None:
         """Let nothing pass between two nodes for a while; connections that last that long are dead."""
@@ -67,8 +67,8 @@
         affected = [c for c in self.connections if {c.dialler, c.listener} == pair]
         if seconds > SILENCE_SECONDS:
             for connection in affected:
-                self._clock.at(self._clock.now + SILENCE_SECONDS, lambda c=connection: on_dead(c))  # type: ignore[misc]
-        self._clock.at(self._clock.now + seconds, lambda: self._heal(pair, affected))
+                self._clock.call_at(self._clock.now + SILENCE_SECONDS, lambda c=connection: on_dead(c))  # type: ignore[misc]
+        self._clock.call_at(self._clock.now + seconds, lambda: self._heal(pair, affected))
 
     def _heal(self, pair: frozenset[str], affected: list[Connection]) -> None:
         self._cuts.discard(pair)
--- a/lugspur/emulator/coordination/node.py
+++ b/lugspur/emulator/coordination/node.py
@@ -145,7 +145,7 @@
             other = connection.listener if connection.dialler == self.ip else connection.dialler
             # A machine without power says nothing; a process that ends has its connections reset.
             delay = 1.5 if loses_power else 0.001
-            self._world.clock.at(
+            self._world.clock.call_at(
                 self._world.clock.now + delay,
                 lambda c=connection, o=other: self._world.node(o).connection_ended(c),  # type: ignore[misc]
             )
@@ -156,7 +156,7 @@
             return
         self.is_frozen = True
         lives = self._lives
-        self._world.clock.at(self._world.clock.now + seconds, lambda: self._wake(lives))
+        self._world.clock.call_at(self._world.clock.now + seconds, lambda: self._wake(lives))
 
     def _wake(self, lives: int) -> None:
         if lives != self._lives:
@@ -209,7 +209,9 @@
             self._send_heartbeats()
         if not self._is_flush_due and self.node.followers.is_flush_due:
             self._is_flush_due = True
-            self._world.clock.at(self._world.clock.now + FLUSH_DELAY_SECONDS, lambda: self._in_life(lives, self._flush))
+            self._world.clock.call_at(
+                self._world.clock.now + FLUSH_DELAY_SECONDS, lambda: self._in_life(lives, self._flush)
+            )
 
     def _in_life(self, lives: int, step: Callable[[], None]) -> None:
         if lives == self._lives:
@@ -238,7 +240,7 @@
                 self._send_to(connection_out, message)
 
     def _later(self, lives: int, step: Callable[[], None]) -> None:
-        self._world.clock.at(self._world.clock.now, lambda: self._in_life(lives, step))
+        self._world.clock.call_at(self._world.clock.now, lambda: self._in_life(lives, step))
 
     def _send_to(self, connection: Connection, message: Message) -> None:
         other = self._world.node(connection.listener)
@@ -326,7 +328,7 @@
     def _tick(self, lives: int) -> None:
         if lives != self._lives or self.node is None:
             return
-        self._world.clock.at(
+        self._world.clock.call_at(
             self._world.clock.now + TICK_SECONDS, lambda: self._in_life(lives, lambda: self._tick(lives))
         )
         now = self.steady()
--- a/lugspur/emulator/coordination/world.py
+++ b/lugspur/emulator/coordination/world.py
@@ -95,11 +95,11 @@
         for ip, node in self._nodes.items():
             node.start(is_first_start=ip in seeds)
         self._learn_all()
-        self.clock.at(BEGIN_SECONDS, self._begin_applications)
+        self.clock.call_at(BEGIN_SECONDS, self._begin_applications)
         end = BEGIN_SECONDS + FAULT_SECONDS
         when = BEGIN_SECONDS
         while (when := when + self.rng.uniform(0.2, 1.6)) < end:
-            self.clock.at(when, self._fault)
+            self.clock.call_at(when, self._fault)
         self.clock.run_until(end)
         self._restart_all()
         self.clock.run_until(end + 4.5 + QUIET_SECONDS)  # the longest fault, and a moment
@@ -144,7 +144,7 @@
             elif isinstance(result, records.NumberIssued) and isinstance(command, records.IssueNumber):
                 self.history.numbers.append(TakenNumber(command.name, result.value, sent, now))
             elif isinstance(result, records.LockDenied):  # until its time is over
-                self.clock.at(now + 0.2, partial(self._last_call, command, waiting))
+                self.clock.call_at(now + 0.2, partial(self._last_call, command, waiting))
                 return
             if result is not None:
                 waiting.discard(str(command))
@@ -165,7 +165,7 @@
         return self.rng.choice(up) if up else None
 
     def _restart_later(self, node: ModelNode) -> None:
-        self.clock.at(self.clock.now + self.rng.uniform(0.3, 2.5), lambda: None if node.is_up else node.start())
+        self.clock.call_at(self.clock.now + self.rng.uniform(0.3, 2.5), lambda: None if node.is_up else node.start())
 
     def _kill(self) -> bool:
         return self._stop_one(loses_power=False)
@@ -276,7 +276,7 @@
         if voter not in self.membership.voters or any(v.ip == ip != voter.ip for v in self.membership.voters):
             return
         if self._is_changing or successor is None or not self._others_are_complete(voter):
-            self.clock.at(self.clock.now + 0.1, lambda: self._replace_when_possible(voter, ip))
+            self.clock.call_at(self.clock.now + 0.1, lambda: self._replace_when_possible(voter, ip))
             return
         if successor.voter == voter:
             return  # it has been replaced already, or has its disk yet
@@ -305,11 +305,11 @@
         accepted: set[str] = set()
         for voter in self.membership.voters:
             delay = self.rng.uniform(0.001, 0.05)
-            self.clock.at(
+            self.clock.call_at(
                 self.clock.now + delay,
                 lambda v=voter: self._nodes[v.ip].when_awake(lambda: self._accept(v, accept, after, accepted)),  # type: ignore[misc]
             )
-        self.clock.at(self.clock.now + 0.5, lambda: self._propose(after, change))
+        self.clock.call_at(self.clock.now + 0.5, lambda: self._propose(after, change))
 
     def _accept(self, voter: Voter, accept: Accept, after: Membership, accepted: set[str]) -> None:
         node = self._nodes[voter.ip]
@@ -329,9 +329,9 @@
 
     def _learn_all(self) -> None:
         """Let each node that can be reached learn, sooner or later, what was decided about the voters."""
-        self.clock.at(self.clock.now + LEARN_SECONDS, self._learn_all)
+        self.clock.call_at(self.clock.now + LEARN_SECONDS, self._learn_all)
         for node in self._nodes.values():
-            self.clock.at(
+            self.clock.call_at(
                 self.clock.now + self.rng.uniform(0.0, LEARN_SECONDS),
                 lambda n=node: n.when_awake(lambda: self._learn(n)),  # type: ignore[misc]
             )
--- a/lugspur/emulator/fleet.py
+++ b/lugspur/emulator/fleet.py
@@ -79,9 +79,9 @@
 
     when = 0.0
     while when < LAST:
-        clock.at(when, ask)
+        clock.call_at(when, ask)
         when += rng.expovariate(LOAD * len(boxes) * KIND.rate())
-    clock.at(WARM, vanish)
+    clock.call_at(WARM, vanish)
     began = time.process_time()
     clock.run()
     cpu = time.process_time() - began
--- a/lugspur/emulator/joining.py
+++ b/lugspur/emulator/joining.py
@@ -131,7 +131,7 @@
                 _end(self._world, self._reads.pop(action.member), ways.get(type(action), TURNED))
         due = self.flight_table.next_deadline()
         if due is not None:
-            self._world.clock.at(due, self._due)
+            self._world.clock.call_at(due, self._due)
 
     def _due(self) -> None:
         actions = self.flight_table.expire(self._world.clock.now)
@@ -197,7 +197,7 @@
         left = SHORT if rng.random() < SHORT_PART else DEADLINE
         read = Read(bisect(popular, rng.random() * popular[-1]), rng.randrange(TENANTS), when, when + left)
         reads.append(read)
-        clock.at(when, lambda read=read: joining.ask(read))  # type: ignore[misc]
+        clock.call_at(when, lambda read=read: joining.ask(read))  # type: ignore[misc]
     clock.run()
     if any(not read.end for read in reads):
         raise AssertionError("a read has no end")
--- a/lugspur/emulator/world.py
+++ b/lugspur/emulator/world.py
@@ -60,7 +60,7 @@
         self._count += 1
         rid = str(self._count)
         call = self._calls[rid] = _Call(deadline, done)
-        self.clock.at(deadline, lambda: self._overdue(rid))
+        self.clock.call_at(deadline, lambda: self._overdue(rid))
         self._perform(self.balancer.request(self.clock.now, rid, kind, tenant, deadline))
         if call.over:
             self._calls.pop(rid, None)
@@ -71,7 +71,7 @@
         call = self._calls.get(rid)
         if call is not None and not call.over:
             call.deadline = deadline
-            self.clock.at(deadline, lambda: self._overdue(rid))
+            self.clock.call_at(deadline, lambda: self._overdue(rid))
             self._perform(self.balancer.extend_deadline(self.clock.now, rid, deadline))
 
     def gone(self, rid: str) -> None:
@@ -111,7 +111,7 @@
         for action in actions:
             if isinstance(action, StartTimer):
                 token = action.token
-                self.clock.at(action.at, lambda token=token: self._timer(token))  # type: ignore[misc]
+                self.clock.call_at(action.at, lambda token=token: self._timer(token))  # type: ignore[misc]
             elif not isinstance(action, Subscribe):
                 self._act(action)
 
@@ -137,7 +137,7 @@
         call.works.append(work)
         call.sent.append(self.clock.now)
         if send.timeout > 0.0:
-            self.clock.at(self.clock.now + send.timeout, lambda: self._give_up(rid, call, number, work))
+            self.clock.call_at(self.clock.now + send.timeout, lambda: self._give_up(rid, call, number, work))
         self.boxes[send.server].take(work)
 
     def _cancel(self, rid: str, call: _Call, number: int) -> None:
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -19,9 +19,9 @@
 
 def test_events_run_by_time_and_in_order() -> None:
     clock, seen = Clock(), list[str]()
-    clock.at(2.0, lambda: seen.append("late"))
-    clock.at(1.0, lambda: (seen.append("a"), clock.at(0.5, lambda: seen.append("past")))[0])  # type: ignore[func-returns-value]
-    clock.at(1.0, lambda: seen.append("b"))
+    clock.call_at(2.0, lambda: seen.append("late"))
+    clock.call_at(1.0, lambda: (seen.append("a"), clock.call_at(0.5, lambda: seen.append("past")))[0])  # type: ignore[func-returns-value]
+    clock.call_at(1.0, lambda: seen.append("b"))
     clock.run()
     assert seen == ["a", "b", "past", "late"] and clock.now == 2.0
 
@@ -66,7 +66,7 @@
             world.call(0, n % joining.TENANTS, due, done)
 
         for n in range(200):
-            clock.at(rng.random() * 10.0, lambda n=n, ask=ask, rng=rng: ask(n, rng.choice((0.05, 1.0))))  # type: ignore[misc]
+            clock.call_at(rng.random() * 10.0, lambda n=n, ask=ask, rng=rng: ask(n, rng.choice((0.05, 1.0))))  # type: ignore[misc]
         clock.run()
         assert ends == Counter(range(200)) and how.keys() <= {SERVED, TURNED, FAILED, LATE} and how[SERVED]
         assert not world._calls and not world.balancer.requests
