--- a/lugspur/emulator/__init__.py
+++ b/lugspur/emulator/__init__.py
@@ -1,1 +1,4 @@
-"""An emulator of what lugspur balances, in virtual time: for designs and sizes that sockets don't reach."""
+"""Simulations of the load balancer, the gossip protocol and the consensus protocols in virtual time.
+
+They reach sizes and designs that tests over sockets do not reach.
+"""
--- a/lugspur/emulator/__main__.py
+++ b/lugspur/emulator/__main__.py
@@ -1,7 +1,9 @@
-"""Designs in virtual time: `python -m lugspur.emulator joining [--reads N] [--plot FILE]`, `fleet`, `members`,
-`duties` or `control [--seeds N] [--kind KIND]`, `explore [--states N]`, `guards`, `catching-up`; `coordination
-[--seeds N]` and `coordination-guards`; `capacity` writes docs/CAPACITY.md's tables from the newest sweep of the
-operators' bench.
+"""Command line of the simulations in virtual time.
+
+Subcommands of `python -m lugspur.emulator`: `joining [--reads N] [--plot FILE]`, `fleet`, `members`,
+`duties [--seeds N]`, `control [--seeds N] [--kind KIND]`, `explore [--states N]`, `guards`, `catching-up`,
+`coordination [--seeds N]` and `coordination-guards`; `capacity` writes the tables of docs/CAPACITY.md from the newest
+sweep of the operators' bench.
 """
 
 from __future__ import annotations
@@ -11,53 +13,55 @@
 
 from lugspur.emulator import fleet, joining
 
-CONTROL_SIDE = ("control", "explore", "guards", "catching-up")
-COORDINATION = ("coordination", "coordination-guards")
-WHAT = ("joining", "fleet", "members", "duties", *CONTROL_SIDE, *COORDINATION)
+CONTROL_COMMANDS = ("control", "explore", "guards", "catching-up")
+COORDINATION_COMMANDS = ("coordination", "coordination-guards")
+COMMANDS = ("joining", "fleet", "members", "duties", *CONTROL_COMMANDS, *COORDINATION_COMMANDS)
 
 
-def _plot(found: dict[str, dict[float, joining.Found]], file: str) -> None:
-    """Draw what is served in time by load; needs the extra `emulator`."""
+def _plot(results: dict[str, dict[float, joining.LoadResult]], file: str) -> None:
+    """Plot the fraction of reads served in time by load; needs the extra `emulator`."""
     import pygal
 
     chart = pygal.XY(
         title="Reads served in time, by load",
-        x_title="load, of what the boxes can do",
-        y_title="part of all reads",
+        x_title="load, as a multiple of the capacity of the backends",
+        y_title="fraction of all reads",
         range=(0.0, 1.0),
         explicit_size=True,
     )
-    for name, row in found.items():
-        chart.add(name, [(load, one.timely) for load, one in row.items()])
+    for name, by_load in results.items():
+        chart.add(name, [(load, result.served_in_time) for load, result in by_load.items()])
     chart.render_to_file(file)
 
 
 def main() -> int:
-    """Play, print a table, and draw it where that is asked for."""
+    """Run the simulation of the subcommand, print its results, and plot them if `--plot` is given."""
     if sys.argv[1:2] == ["capacity"]:
-        # Imported only here: it needs the extras `mesh` and `emulator`.
+        # Imported here since it needs the extras `mesh` and `emulator`.
         from lugspur.emulator.capacity import command
 
         return command.main()
-    parser = argparse.ArgumentParser(description="Tries designs in virtual time.")
-    parser.add_argument("what", choices=WHAT)
+    parser = argparse.ArgumentParser(description="Simulates load balancing, gossip and consensus in virtual time.")
+    parser.add_argument("command", choices=COMMANDS)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--reads", type=int, default=joining.READS, help="at each load")
-    parser.add_argument("--seeds", type=int, default=1000, help="of duties and control")
-    parser.add_argument("--kind", default="short", help="of the histories of control: a name in control/settings.py")
-    parser.add_argument("--jobs", type=int, default=4, help="processes, of the control side's models")
-    parser.add_argument("--states", type=int, default=100_000, help="of each world of explore at most")
-    parser.add_argument("--plot", default="", metavar="FILE", help="an SVG")
-    given = parser.parse_args()
-    if given.what == "fleet":
+    parser.add_argument("--reads", type=int, default=joining.READ_COUNT, help="number of reads at each load (joining)")
+    parser.add_argument("--seeds", type=int, default=1000, help="number of seeds (duties, control and coordination)")
+    parser.add_argument(
+        "--kind", default="short", help="kind of the histories: a name in control/settings.py (control)"
+    )
+    parser.add_argument("--jobs", type=int, default=4, help="number of worker processes (control and coordination)")
+    parser.add_argument("--states", type=int, default=100_000, help="maximum number of states of each world (explore)")
+    parser.add_argument("--plot", default="", metavar="FILE", help="write a plot to this SVG file (joining)")
+    arguments = parser.parse_args()
+    if arguments.command == "fleet":
         print("| proxies | day | served in time | turned away | dials in vain | of the busiest box | CPU a request |")
         print("|---|---|---|---|---|---|---|")
-        for count in fleet.SIZES:
-            for day in (fleet.CALM, fleet.DEAD):
-                print(fleet.play(count, day, given.seed).row())
+        for count in fleet.PROXY_COUNTS:
+            for scenario in (fleet.NO_FAULTS, fleet.TENTH_VANISH):
+                print(fleet.play(count, scenario, arguments.seed).row())
         return 0
-    if given.what == "members":
-        # Imported only here: it needs the extra `fleet`.
+    if arguments.command == "members":
+        # Imported here since it needs the extra `fleet`.
         from lugspur.emulator import members
 
         print(
@@ -66,36 +70,38 @@
         )
         print("|---|---|---|---|---|---|---|---|---|")
         for count in members.SIZES:
-            print(members.play(count, given.seed).row(), flush=True)
+            print(members.play(count, arguments.seed).row(), flush=True)
         return 0
-    if given.what in CONTROL_SIDE:
-        # Imported only here: it needs the extra `mesh`.
+    if arguments.command in CONTROL_COMMANDS:
+        # Imported here since it needs the extra `mesh`.
         from lugspur.emulator.control import report
 
-        return report.show(given.what, given.kind, given.seed, given.seeds, given.states, given.jobs)
-    if given.what in COORDINATION:
-        # Imported only here: it needs the extra `mesh`.
+        return report.show(
+            arguments.command, arguments.kind, arguments.seed, arguments.seeds, arguments.states, arguments.jobs
+        )
+    if arguments.command in COORDINATION_COMMANDS:
+        # Imported here since it needs the extra `mesh`.
         from lugspur.emulator.coordination import guards, histories
 
-        if given.what == "coordination":
-            return histories.show(given.seed, given.seeds, given.jobs)
-        return guards.show(given.jobs)
-    if given.what == "duties":
+        if arguments.command == "coordination":
+            return histories.show(arguments.seed, arguments.seeds, arguments.jobs)
+        return guards.show(arguments.jobs)
+    if arguments.command == "duties":
         from lugspur.emulator import duties
 
-        for line in duties.report(given.seed, given.seeds):
+        for line in duties.report(arguments.seed, arguments.seeds):
             print(line, flush=True)
         return 0
-    found = joining.compare(given.seed, given.reads)
+    results = joining.compare(arguments.seed, arguments.reads)
     print("| way | load | calls a read | in time | failed | turned away | oldest call |\n|---|---|---|---|---|---|---|")
-    for name, row in found.items():
-        for load, one in row.items():
+    for name, by_load in results.items():
+        for load, result in by_load.items():
             print(
-                f"| {name} | {load:g} | {one.calls:.2f} | {one.timely:.1%} | {one.failed:.1%} | {one.turned:.1%} | "
-                f"{1e3 * one.oldest:.0f} ms |"
+                f"| {name} | {load:g} | {result.calls:.2f} | {result.served_in_time:.1%} | {result.failed:.1%} | "
+                f"{result.rejected:.1%} | {1e3 * result.oldest_call:.0f} ms |"
             )
-    if given.plot:
-        _plot(found, given.plot)
+    if arguments.plot:
+        _plot(results, arguments.plot)
     return 0
 
 
--- a/lugspur/emulator/backends.py
+++ b/lugspur/emulator/backends.py
@@ -1,4 +1,4 @@
-"""Boxes: so many slots, a queue with an end, work that takes its time, and faults now and then."""
+"""Emulated backends: a number of slots, a bounded queue, random service times and random errors."""
 
 from __future__ import annotations
 
@@ -12,78 +12,80 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """What boxes are like; times in seconds."""
+class BackendSettings:
+    """Properties of backends; times in seconds."""
 
     slots: int = 4
-    queue: int = 64  # attempts that may wait; one beyond is turned away unseen
-    work: float = 0.05  # the mean; works are spread as by many small steps
-    steps: int = 4
-    wrong: float = 0.0  # the part of all works that ends as an error
+    queue_limit: int = 64  # attempts that may wait for a slot; further attempts are rejected
+    mean_service_time: float = 0.05
+    gamma_shape: int = 4  # of the gamma distribution of service times: the number of exponential steps in an attempt
+    error_fraction: float = 0.0  # fraction of all served attempts that end with an error
 
     def rate(self) -> float:
-        """Works a second that one box can do."""
-        return self.slots / self.work
+        """Return the attempts per second that one backend can serve."""
+        return self.slots / self.mean_service_time
 
 
-DIAL = 0.12  # seconds after which a connection that does not come up is given up
+CONNECT_TIMEOUT_SECONDS = 0.12  # after which an attempt to connect to a vanished backend fails
 
 
-class Work:
-    """One attempt at a box."""
+class Attempt:
+    """One attempt at a backend."""
 
-    __slots__ = ("begun", "done", "over")
+    __slots__ = ("is_finished", "is_started", "on_end")
 
-    def __init__(self, done: Callable[[Outcome], None]) -> None:
-        self.done = done
-        self.begun = False
-        self.over = False  # ended, or nobody waits for it any more
+    def __init__(self, on_end: Callable[[Outcome], None]) -> None:
+        self.on_end = on_end
+        self.is_started = False
+        self.is_finished = False  # whether the attempt has ended or was cancelled
 
 
-class Box:
-    """One of them."""
+class Backend:
+    """A backend that serves attempts in the order of their arrival."""
 
-    def __init__(self, clock: Clock, kind: Kind, rng: Random) -> None:
-        self._clock, self._kind, self._rng = clock, kind, rng
-        self._waiting: deque[Work] = deque()
+    def __init__(self, clock: Clock, settings: BackendSettings, rng: Random) -> None:
+        self._clock, self._settings, self._rng = clock, settings, rng
+        self._waiting: deque[Attempt] = deque()
         self._busy = 0
-        self.ran = 0  # works that were begun
-        self.dead = False  # it has vanished: connections to it never come up...
-        self.vain = 0  # ...so many of them
-
-    def take(self, work: Work) -> None:
-        """An attempt has come."""
-        if self.dead:
-            self.vain += 1
-            self._clock.call_at(self._clock.now + DIAL, lambda: self._tell(work, Outcome.UNREACHABLE))
+        self.started_count = 0  # attempts whose processing was started
+        self.has_vanished = False  # whether the backend has vanished, so that connections to it are never established
+        self.connect_failures = 0  # attempts that failed because the backend had vanished
+
+    def submit(self, attempt: Attempt) -> None:
+        """Serve an attempt, queue it, or end it as rejected or unreachable."""
+        if self.has_vanished:
+            self.connect_failures += 1
+            self._clock.call_at(
+                self._clock.now + CONNECT_TIMEOUT_SECONDS, lambda: self._notify(attempt, Outcome.UNREACHABLE)
+            )
             return
-        if len(self._waiting) >= self._kind.queue:
-            self._clock.call_at(self._clock.now, lambda: self._tell(work, Outcome.OVERLOADED))
+        if len(self._waiting) >= self._settings.queue_limit:
+            self._clock.call_at(self._clock.now, lambda: self._notify(attempt, Outcome.OVERLOADED))
             return
-        self._waiting.append(work)
-        self._next()
+        self._waiting.append(attempt)
+        self._start_next()
 
-    def _next(self) -> None:
-        while self._waiting and self._busy < self._kind.slots:
-            work = self._waiting.popleft()
-            if not work.over:
-                self._begin(work)
+    def _start_next(self) -> None:
+        while self._waiting and self._busy < self._settings.slots:
+            attempt = self._waiting.popleft()
+            if not attempt.is_finished:
+                self._start(attempt)
 
-    def _begin(self, work: Work) -> None:
+    def _start(self, attempt: Attempt) -> None:
         self._busy += 1
-        self.ran += 1
-        work.begun = True
-        kind = self._kind
-        lasts = self._rng.gammavariate(kind.steps, kind.work / kind.steps)
-        how = Outcome.ERROR if self._rng.random() < kind.wrong else Outcome.OK
-        self._clock.call_at(self._clock.now + lasts, lambda: self._end(work, how))
-
-    def _end(self, work: Work, how: Outcome) -> None:
+        self.started_count += 1
+        attempt.is_started = True
+        settings = self._settings
+        service_time = self._rng.gammavariate(settings.gamma_shape, settings.mean_service_time / settings.gamma_shape)
+        outcome = Outcome.ERROR if self._rng.random() < settings.error_fraction else Outcome.OK
+        self._clock.call_at(self._clock.now + service_time, lambda: self._end(attempt, outcome))
+
+    def _end(self, attempt: Attempt, outcome: Outcome) -> None:
         self._busy -= 1
-        self._tell(work, how)
-        self._next()
+        self._notify(attempt, outcome)
+        self._start_next()
 
-    def _tell(self, work: Work, how: Outcome) -> None:
-        if not work.over:
-            work.over = True
-            work.done(how)
+    def _notify(self, attempt: Attempt, outcome: Outcome) -> None:
+        if not attempt.is_finished:
+            attempt.is_finished = True
+            attempt.on_end(outcome)
