--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -38,7 +38,7 @@
         self.now = 0.0
         self.machines: dict[Address, Machine] = {}
         self.loss = 0.0  # the part of datagrams that are lost...
-        self.twice = 0.0  # ...and that come twice
+        self.duplication = 0.0  # ...and that come twice
         self.late = 0.0  # seconds that one may take longer
         self.cut: Callable[[Address, Address], bool] = lambda origin, to: False
         self.rates: dict[Address, float] = {}  # of clocks that run fast or slow
@@ -80,7 +80,7 @@
         self.after(address, machine)
         rng = self.rng
         for to, data in machine.take_datagrams():
-            for _ in range(2 if self.twice and rng.random() < self.twice else 1):
+            for _ in range(2 if self.duplication and rng.random() < self.duplication else 1):
                 if rng.random() >= self.loss and not self.cut(address, to):
                     self._push(self.now + rng.uniform(FASTEST, SLOWEST) + self.late * rng.random(), to, (address, data))
         due = machine.due() / self.rates.get(address, 1.0)
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -259,7 +259,7 @@
     world = World(seed, electors, rng.randrange(1, 5), rng.random() < 0.5, memory)
     network = world.network
     network.run(CALM)
-    network.loss, network.twice = rng.choice([0.0, 0.05, 0.3]), rng.choice([0.0, 0.2])
+    network.loss, network.duplication = rng.choice([0.0, 0.05, 0.3]), rng.choice([0.0, 0.2])
     network.late = rng.choice([0.0, 0.1, 2.0 * LEASE])
     while network.now < CALM + faults:
         _fault(world, rng)
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -98,7 +98,7 @@
 def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
     fleet = Members(20, 8)
     fleet.settle()
-    fleet.network.loss, fleet.network.twice, fleet.network.late = 0.05, 0.1, 0.05
+    fleet.network.loss, fleet.network.duplication, fleet.network.late = 0.05, 0.1, 0.05
     started_at = fleet.network.now
     while fleet.network.now < started_at + 60.0:
         fleet.network.stop(fleet.address(Random(fleet.network.now).randrange(20)), 0.3)
