--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -39,7 +39,7 @@
         self.machines: dict[Address, Machine] = {}
         self.loss = 0.0  # the part of datagrams that are lost...
         self.duplication = 0.0  # ...and that come twice
-        self.late = 0.0  # seconds that one may take longer
+        self.max_extra_delay = 0.0  # seconds that one may take longer
         self.cut: Callable[[Address, Address], bool] = lambda origin, to: False
         self.rates: dict[Address, float] = {}  # of clocks that run fast or slow
         self.after: Callable[[Address, Machine], None] = lambda address, machine: None  # told after each turn
@@ -82,7 +82,11 @@
         for to, data in machine.take_datagrams():
             for _ in range(2 if self.duplication and rng.random() < self.duplication else 1):
                 if rng.random() >= self.loss and not self.cut(address, to):
-                    self._push(self.now + rng.uniform(FASTEST, SLOWEST) + self.late * rng.random(), to, (address, data))
+                    self._push(
+                        self.now + rng.uniform(FASTEST, SLOWEST) + self.max_extra_delay * rng.random(),
+                        to,
+                        (address, data),
+                    )
         due = machine.due() / self.rates.get(address, 1.0)
         if due != float("inf") and self._wanted.get(address) != due:
             self._wanted[address] = due
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -260,13 +260,13 @@
     network = world.network
     network.run(CALM)
     network.loss, network.duplication = rng.choice([0.0, 0.05, 0.3]), rng.choice([0.0, 0.2])
-    network.late = rng.choice([0.0, 0.1, 2.0 * LEASE])
+    network.max_extra_delay = rng.choice([0.0, 0.1, 2.0 * LEASE])
     while network.now < CALM + faults:
         _fault(world, rng)
         network.run(EACH * rng.random())
         if rng.random() < 0.5:
             network.cut = lambda origin, to: False
-    network.cut, network.loss, network.late = (lambda origin, to: False), 0.0, 0.0
+    network.cut, network.loss, network.max_extra_delay = (lambda origin, to: False), 0.0, 0.0
     network.run(4.0 * LEASE)
     if not world.holders():
         raise AssertionError(f"seed {seed}: nobody is in office though nothing fails any more")
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -98,7 +98,7 @@
 def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
     fleet = Members(20, 8)
     fleet.settle()
-    fleet.network.loss, fleet.network.duplication, fleet.network.late = 0.05, 0.1, 0.05
+    fleet.network.loss, fleet.network.duplication, fleet.network.max_extra_delay = 0.05, 0.1, 0.05
     started_at = fleet.network.now
     while fleet.network.now < started_at + 60.0:
         fleet.network.stop(fleet.address(Random(fleet.network.now).randrange(20)), 0.3)
@@ -220,8 +220,10 @@
     protocol.receive(
         200.0, protocol.codec.encode(Packet("x5", known.instance_id, "m0", Updates([left]))), known.address
     )
-    late = MemberRecord("late", 1, 1, "10.1.0.2", 5)
-    protocol.receive(200.1, protocol.codec.encode(Packet("late", 1, "m0", Ping(1, 0, [late]))), late.address)
+    max_extra_delay = MemberRecord("late", 1, 1, "10.1.0.2", 5)
+    protocol.receive(
+        200.1, protocol.codec.encode(Packet("late", 1, "m0", Ping(1, 0, [max_extra_delay]))), max_extra_delay.address
+    )
     assert "late" in protocol.members and "x5" not in protocol.members  # the absent member made room for the new one
 
 
