--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -41,7 +41,7 @@
         self.duplication = 0.0  # ...and that come twice
         self.max_extra_delay = 0.0  # seconds that one may take longer
         self.cut: Callable[[Address, Address], bool] = lambda origin, to: False
-        self.rates: dict[Address, float] = {}  # of clocks that run fast or slow
+        self.clock_rates: dict[Address, float] = {}  # of clocks that run fast or slow
         self.after: Callable[[Address, Machine], None] = lambda address, machine: None  # told after each turn
         self._stopped: dict[Address, float] = {}
         self._events: list[tuple[float, int, Address, tuple[Address, bytes] | None]] = []
@@ -50,7 +50,7 @@
 
     def clock(self, address: Address) -> float:
         """What a machine takes for the time."""
-        return self.now * self.rates.get(address, 1.0)
+        return self.now * self.clock_rates.get(address, 1.0)
 
     def add(self, address: Address, machine: Machine) -> None:
         """It runs from now on, in the place of what was there."""
@@ -87,7 +87,7 @@
                         to,
                         (address, data),
                     )
-        due = machine.due() / self.rates.get(address, 1.0)
+        due = machine.due() / self.clock_rates.get(address, 1.0)
         if due != float("inf") and self._wanted.get(address) != due:
             self._wanted[address] = due
             self._push(due, address, None)
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -148,7 +148,7 @@
         self.names = {self.address(number): f"n{number}" for number in range(count)}
         self.places = {name: address for address, name in self.names.items()}
         self.disks = {name: {} for name in self.places}
-        self.network.rates = {address: 1.0 + RATE * self.network.rng.uniform(-1.0, 1.0) for address in self.names}
+        self.network.clock_rates = {address: 1.0 + RATE * self.network.rng.uniform(-1.0, 1.0) for address in self.names}
         for number in range(count):
             self.start(number)
 
