--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -42,7 +42,7 @@
         self.max_extra_delay = 0.0  # seconds that one may take longer
         self.cut: Callable[[Address, Address], bool] = lambda origin, to: False
         self.clock_rates: dict[Address, float] = {}  # of clocks that run fast or slow
-        self.after: Callable[[Address, Machine], None] = lambda address, machine: None  # told after each turn
+        self.on_flush: Callable[[Address, Machine], None] = lambda address, machine: None  # told after each turn
         self._stopped: dict[Address, float] = {}
         self._events: list[tuple[float, int, Address, tuple[Address, bytes] | None]] = []
         self._count = 0
@@ -77,7 +77,7 @@
         machine = self.machines.get(address)
         if machine is None:
             return
-        self.after(address, machine)
+        self.on_flush(address, machine)
         rng = self.rng
         for to, data in machine.take_datagrams():
             for _ in range(2 if self.duplication and rng.random() < self.duplication else 1):
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -54,7 +54,7 @@
         self.network.loss = loss
         self.seed = seed
         self.changes: list[tuple[float, str, MemberChanged]] = []  # when, who saw it, what
-        self.network.after = self._after  # type: ignore[assignment]  # all machines here are fleets
+        self.network.on_flush = self._after  # type: ignore[assignment]  # all machines here are fleets
         for number in range(count):
             self.start(number)
 
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -149,12 +149,12 @@
     fleet.settle()
     conflicts: list[tuple[str, NameConflict]] = []
 
-    def after(address: Address, protocol: GossipProtocol) -> None:
+    def on_flush(address: Address, protocol: GossipProtocol) -> None:
         conflicts.extend(
             (f"{address[0]}", event) for event in protocol.take_events() if isinstance(event, NameConflict)
         )
 
-    fleet.network.after = after  # type: ignore[assignment]  # all nodes of this network are gossip members
+    fleet.network.on_flush = on_flush  # type: ignore[assignment]  # all nodes of this network are gossip members
     fleet.start(7, "m2")
     fleet.network.run(25.0)
     assert any(event.is_yielding for where, event in conflicts if where == fleet.address(7)[0])
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -83,12 +83,12 @@
     network = world.network
     request_count = 0
 
-    def after(address: tuple[str, int], node: object) -> None:
+    def on_flush(address: tuple[str, int], node: object) -> None:
         nonlocal request_count
         assert isinstance(node, duties.Node)
         request_count += len(node.candidate.term._outbox) if node.candidate is not None else 0
 
-    network.after = after
+    network.on_flush = on_flush
     network.run(CALM)
     assert len(world.holders()) == 1
     request_count = 0
