--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -57,7 +57,7 @@
         self.machines[address] = machine
         self._wanted.pop(address, None)
         self._stopped.pop(address, None)
-        self.turn(address)
+        self.flush(address)
 
     def kill(self, address: Address) -> None:
         """It runs no more."""
@@ -72,7 +72,7 @@
         self._count += 1
         heapq.heappush(self._events, (max(when, self.now), self._count, address, what))
 
-    def turn(self, address: Address) -> None:
+    def flush(self, address: Address) -> None:
         """Send what a machine has to say, and wake it when it wants."""
         machine = self.machines.get(address)
         if machine is None:
@@ -105,14 +105,14 @@
                 self._push(wakes if what else wakes + 1e-6, address, what)
             elif what is not None:
                 machine.receive(self.clock(address), what[1], what[0])
-                self.turn(address)
+                self.flush(address)
             elif machine.due() <= self.clock(address) + 1e-9:
                 self._wanted.pop(address, None)
                 machine.tick(max(self.clock(address), machine.due()))
-                self.turn(address)
+                self.flush(address)
             else:
                 self._wanted.pop(address, None)
-                self.turn(address)
+                self.flush(address)
         self.now = until
 
     def until(self, true: Callable[[], bool], most: float, step: float = 0.1) -> float:
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -247,7 +247,7 @@
         node = world.nodes().get(address)
         if node is not None and node.candidate is not None:
             node.hand_on(network.clock(address))
-            network.turn(address)
+            network.flush(address)
 
     faults: list[Callable[[], None]] = [stop, kill, forget, restart_all, cut, cut, mute, deaf, hand_on]
     rng.choice(faults)()
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -52,7 +52,7 @@
     started_at = fleet.network.now
     leaving = fleet.all()[fleet.address(3)]
     leaving.leave(started_at)
-    fleet.network.turn(fleet.address(3))
+    fleet.network.flush(fleet.address(3))
     fleet.network.kill(fleet.address(3))
     assert fleet.settle(2.0) <= 2.0
     assert all(status(fleet, at, "m3") is Status.LEFT for at in range(10) if at != 3)
@@ -181,7 +181,7 @@
     fleet = Members(20, 14)
     fleet.settle()
     fleet.all()[fleet.address(2)].update_metadata(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
-    fleet.network.turn(fleet.address(2))
+    fleet.network.flush(fleet.address(2))
     fleet.network.until(
         lambda: all(
             protocol.members["m2"].record.metadata.is_draining
@@ -245,7 +245,7 @@
                         Packet("m7", false_reporter.local_record.instance_id, f"m{to}", Updates([report]))
                     )
                     fleet.all()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
-                    fleet.network.turn(fleet.address(to))
+                    fleet.network.flush(fleet.address(to))
 
     for _ in range(20):
         send_false_reports()
