--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -64,7 +64,7 @@
         self.machines.pop(address, None)
         self._wanted.pop(address, None)
 
-    def stop(self, address: Address, seconds: float) -> None:
+    def pause(self, address: Address, seconds: float) -> None:
         """It stands still; what comes meanwhile is read when it goes on."""
         self._stopped[address] = self.now + seconds
 
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -216,7 +216,7 @@
     address = world.address(number)
 
     def stop() -> None:
-        network.stop(address, seconds)
+        network.pause(address, seconds)
 
     def kill() -> None:
         world.kill(number)
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -135,13 +135,13 @@
     network.cut = lambda origin, to: False
     healed = fleet.settle()
     for address in list(fleet.all())[: max(1, count // 5)]:
-        network.stop(address, STOP)
+        network.pause(address, STOP)
     network.run(STOP)
     woken = fleet.settle()
     network.loss, began = LOSS, network.now
     while network.now < began + LOSSY:
         for address in network.rng.sample(list(fleet.all()), max(1, count // 10)):
-            network.stop(address, STALL)
+            network.pause(address, STALL)
         network.run(2.0)
     doubts = fleet.doubts(began) / (count * LOSSY / 60.0) * 1000.0
     return Found(count, sent / each, size / each, 1e6 * cpu / each, joined, killed, healed, woken, doubts)
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -89,7 +89,7 @@
     fleet.settle()
     started_at = fleet.network.now
     paused = fleet.address(4)
-    fleet.network.stop(paused, seconds)
+    fleet.network.pause(paused, seconds)
     fleet.network.run(seconds)
     fleet.settle(CONVERGENCE_SECONDS)
     assert fleet.doubts(started_at, but=["m4"]) == 0
@@ -101,7 +101,7 @@
     fleet.network.loss, fleet.network.duplication, fleet.network.max_extra_delay = 0.05, 0.1, 0.05
     started_at = fleet.network.now
     while fleet.network.now < started_at + 60.0:
-        fleet.network.stop(fleet.address(Random(fleet.network.now).randrange(20)), 0.3)
+        fleet.network.pause(fleet.address(Random(fleet.network.now).randrange(20)), 0.3)
         fleet.network.run(1.0)
     assert fleet.doubts(started_at) == 0
 
