--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -115,7 +115,7 @@
                 self.flush(address)
         self.now = until
 
-    def until(self, true: Callable[[], bool], most: float, step: float = 0.1) -> float:
+    def run_until(self, true: Callable[[], bool], most: float, step: float = 0.1) -> float:
         """Seconds until something is so; raises AssertionError after `most`."""
         began = self.now
         while not true():
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -280,7 +280,7 @@
     [holder] = world.holders()
     world.network.kill(holder.address)
     began, count = world.network.now, world.offices
-    world.network.until(lambda: world.offices > count, 4.0 * LEASE, 0.01)
+    world.network.run_until(lambda: world.offices > count, 4.0 * LEASE, 0.01)
     return world.network.now - began
 
 
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -101,7 +101,7 @@
 
     def settle(self, most: float = WITHIN) -> float:
         """Seconds until all views agree."""
-        return self.network.until(self.agree, most)
+        return self.network.run_until(self.agree, most)
 
     def doubts(self, since: float, but: Iterable[str] = ()) -> int:
         """Members that others doubted first-hand, though they ran."""
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -182,7 +182,7 @@
     fleet.settle()
     fleet.all()[fleet.address(2)].update_metadata(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
     fleet.network.flush(fleet.address(2))
-    fleet.network.until(
+    fleet.network.run_until(
         lambda: all(
             protocol.members["m2"].record.metadata.is_draining
             for at, protocol in fleet.all().items()
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -74,7 +74,7 @@
         leadership_count = world.offices
         holder.hand_on(world.network.clock(holder.address))
         world.network.flush(holder.address)
-        takeover_seconds = world.network.until(lambda: world.offices > leadership_count, 1.0, 0.001)  # noqa: B023
+        takeover_seconds = world.network.run_until(lambda: world.offices > leadership_count, 1.0, 0.001)  # noqa: B023
         assert takeover_seconds <= 0.2
 
 
