--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -40,7 +40,7 @@
         self.loss = 0.0  # the part of datagrams that are lost...
         self.duplication = 0.0  # ...and that come twice
         self.max_extra_delay = 0.0  # seconds that one may take longer
-        self.cut: Callable[[Address, Address], bool] = lambda origin, to: False
+        self.is_cut: Callable[[Address, Address], bool] = lambda origin, to: False
         self.clock_rates: dict[Address, float] = {}  # of clocks that run fast or slow
         self.on_flush: Callable[[Address, Machine], None] = lambda address, machine: None  # told after each turn
         self._stopped: dict[Address, float] = {}
@@ -81,7 +81,7 @@
         rng = self.rng
         for to, data in machine.take_datagrams():
             for _ in range(2 if self.duplication and rng.random() < self.duplication else 1):
-                if rng.random() >= self.loss and not self.cut(address, to):
+                if rng.random() >= self.loss and not self.is_cut(address, to):
                     self._push(
                         self.now + rng.uniform(FASTEST, SLOWEST) + self.max_extra_delay * rng.random(),
                         to,
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -235,13 +235,13 @@
             world.start(elector)
 
     def cut() -> None:
-        network.cut = halves(world.address(at) for at in rng.sample(range(count), rng.randrange(1, count)))
+        network.is_cut = halves(world.address(at) for at in rng.sample(range(count), rng.randrange(1, count)))
 
     def mute() -> None:
-        network.cut = lambda origin, to: origin == address
+        network.is_cut = lambda origin, to: origin == address
 
     def deaf() -> None:
-        network.cut = lambda origin, to: to == address
+        network.is_cut = lambda origin, to: to == address
 
     def hand_on() -> None:
         node = world.nodes().get(address)
@@ -265,8 +265,8 @@
         _fault(world, rng)
         network.run(EACH * rng.random())
         if rng.random() < 0.5:
-            network.cut = lambda origin, to: False
-    network.cut, network.loss, network.max_extra_delay = (lambda origin, to: False), 0.0, 0.0
+            network.is_cut = lambda origin, to: False
+    network.is_cut, network.loss, network.max_extra_delay = (lambda origin, to: False), 0.0, 0.0
     network.run(4.0 * LEASE)
     if not world.holders():
         raise AssertionError(f"seed {seed}: nobody is in office though nothing fails any more")
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -130,9 +130,9 @@
     sent, size, cpu = fleet.total("sent") - sent, fleet.total("bytes sent") - size, time.process_time() - cpu
     network.kill(fleet.address(count - 1))
     killed = fleet.settle()
-    network.cut = halves(list(fleet.all())[: count // 2])
+    network.is_cut = halves(list(fleet.all())[: count // 2])
     network.run(CUT)
-    network.cut = lambda origin, to: False
+    network.is_cut = lambda origin, to: False
     healed = fleet.settle()
     for address in list(fleet.all())[: max(1, count // 5)]:
         network.pause(address, STOP)
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -64,11 +64,11 @@
     fleet = Members(count, 5)
     fleet.settle()
     inside = [fleet.address(number) for number in range(cut)]
-    fleet.network.cut = halves(inside)
+    fleet.network.is_cut = halves(inside)
     fleet.network.run(40.0)
     for address, protocol in fleet.all().items():
         assert protocol.present_count == (cut if address in inside else count - cut)
-    fleet.network.cut = lambda origin, to: False
+    fleet.network.is_cut = lambda origin, to: False
     fleet.settle(CONVERGENCE_SECONDS)
 
 
@@ -76,10 +76,10 @@
     fleet = Members(8, 6)
     fleet.settle()
     receive_only = fleet.address(5)
-    fleet.network.cut = lambda origin, to: origin == receive_only
+    fleet.network.is_cut = lambda origin, to: origin == receive_only
     fleet.network.run(15.0)
     assert all(status(fleet, at, "m5") is Status.DEAD for at in range(8) if at != 5)
-    fleet.network.cut = lambda origin, to: False
+    fleet.network.is_cut = lambda origin, to: False
     fleet.settle(CONVERGENCE_SECONDS)
 
 
