--- a/lugspur/emulator/datagrams.py
+++ b/lugspur/emulator/datagrams.py
@@ -125,7 +125,7 @@
         return self.now - began
 
 
-def halves(one: Iterable[Address]) -> Callable[[Address, Address], bool]:
+def partition(one: Iterable[Address]) -> Callable[[Address, Address], bool]:
     """A cut between these and all others."""
     inside = set(one)
     return lambda origin, to: (origin in inside) != (to in inside)
--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -21,7 +21,7 @@
     encode_messages,
 )
 from lugspur.daemon.leases.voter import CandidateId, LeaseVoter, Promise
-from lugspur.emulator.datagrams import Address, Network, halves
+from lugspur.emulator.datagrams import Address, Network, partition
 
 DUTY = "duty"
 LEASE = 5.0  # seconds
@@ -235,7 +235,7 @@
             world.start(elector)
 
     def cut() -> None:
-        network.is_cut = halves(world.address(at) for at in rng.sample(range(count), rng.randrange(1, count)))
+        network.is_cut = partition(world.address(at) for at in rng.sample(range(count), rng.randrange(1, count)))
 
     def mute() -> None:
         network.is_cut = lambda origin, to: origin == address
--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -14,7 +14,7 @@
 from lugspur.daemon.gossip.events import MemberChanged
 from lugspur.daemon.gossip.messages import MemberMetadata, Status
 from lugspur.daemon.gossip.protocol import GossipProtocol
-from lugspur.emulator.datagrams import Address, Network, halves
+from lugspur.emulator.datagrams import Address, Network, partition
 
 SIZES = (5, 50, 200)
 NAME = "emulated"
@@ -130,7 +130,7 @@
     sent, size, cpu = fleet.total("sent") - sent, fleet.total("bytes sent") - size, time.process_time() - cpu
     network.kill(fleet.address(count - 1))
     killed = fleet.settle()
-    network.is_cut = halves(list(fleet.all())[: count // 2])
+    network.is_cut = partition(list(fleet.all())[: count // 2])
     network.run(CUT)
     network.is_cut = lambda origin, to: False
     healed = fleet.settle()
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -20,7 +20,7 @@
 )
 from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
-from lugspur.emulator.datagrams import Address, halves
+from lugspur.emulator.datagrams import Address, partition
 from lugspur.emulator.members import Members
 
 CONVERGENCE_SECONDS = 10.0  # ten protocol periods, within which all views have to agree again
@@ -64,7 +64,7 @@
     fleet = Members(count, 5)
     fleet.settle()
     inside = [fleet.address(number) for number in range(cut)]
-    fleet.network.is_cut = halves(inside)
+    fleet.network.is_cut = partition(inside)
     fleet.network.run(40.0)
     for address, protocol in fleet.all().items():
         assert protocol.present_count == (cut if address in inside else count - cut)
