--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -99,7 +99,7 @@
         machines = self.all().values()
         return len({m.digest for m in machines}) == 1 and all(m.present_count == len(machines) for m in machines)
 
-    def settle(self, most: float = WITHIN) -> float:
+    def run_until_converged(self, most: float = WITHIN) -> float:
         """Seconds until all views agree."""
         return self.network.run_until(self.agree, most)
 
@@ -122,22 +122,22 @@
     """One size; the same seed gives the same, but for the CPU."""
     fleet = Members(count, seed)
     network = fleet.network
-    joined = fleet.settle()
+    joined = fleet.run_until_converged()
     network.run(10.0)
     sent, size, cpu = fleet.total("sent"), fleet.total("bytes sent"), time.process_time()
     network.run(CALM)
     each = CALM * count
     sent, size, cpu = fleet.total("sent") - sent, fleet.total("bytes sent") - size, time.process_time() - cpu
     network.kill(fleet.address(count - 1))
-    killed = fleet.settle()
+    killed = fleet.run_until_converged()
     network.is_cut = partition(list(fleet.all())[: count // 2])
     network.run(CUT)
     network.is_cut = lambda origin, to: False
-    healed = fleet.settle()
+    healed = fleet.run_until_converged()
     for address in list(fleet.all())[: max(1, count // 5)]:
         network.pause(address, STOP)
     network.run(STOP)
-    woken = fleet.settle()
+    woken = fleet.run_until_converged()
     network.loss, began = LOSS, network.now
     while network.now < began + LOSSY:
         for address in network.rng.sample(list(fleet.all()), max(1, count // 10)):
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -34,27 +34,27 @@
 
 @pytest.mark.parametrize("count", [2, 3, 5, 50])
 def test_all_members_join_by_two_seeds(count: int) -> None:
-    assert Members(count, 1).settle() <= CONVERGENCE_SECONDS
+    assert Members(count, 1).run_until_converged() <= CONVERGENCE_SECONDS
 
 
 @pytest.mark.parametrize(("count", "seed"), [(3, 1), (5, 2), (50, 3)])
 def test_killed_member_is_dead_in_all_views_within_ten_periods(count: int, seed: int) -> None:
     fleet = Members(count, seed)
-    fleet.settle()
+    fleet.run_until_converged()
     fleet.network.kill(fleet.address(2))
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
     assert all(status(fleet, at, "m2") is Status.DEAD for at in range(count) if at != 2)
 
 
 def test_member_that_leaves_is_removed_at_once_and_never_suspected() -> None:
     fleet = Members(10, 4)
-    fleet.settle()
+    fleet.run_until_converged()
     started_at = fleet.network.now
     leaving = fleet.all()[fleet.address(3)]
     leaving.leave(started_at)
     fleet.network.flush(fleet.address(3))
     fleet.network.kill(fleet.address(3))
-    assert fleet.settle(2.0) <= 2.0
+    assert fleet.run_until_converged(2.0) <= 2.0
     assert all(status(fleet, at, "m3") is Status.LEFT for at in range(10) if at != 3)
     assert fleet.doubts(started_at) == 0
 
@@ -62,42 +62,42 @@
 @pytest.mark.parametrize(("count", "cut"), [(5, 2), (20, 10), (50, 17)])
 def test_halves_of_a_partition_that_declared_each_other_dead_merge_again(count: int, cut: int) -> None:
     fleet = Members(count, 5)
-    fleet.settle()
+    fleet.run_until_converged()
     inside = [fleet.address(number) for number in range(cut)]
     fleet.network.is_cut = partition(inside)
     fleet.network.run(40.0)
     for address, protocol in fleet.all().items():
         assert protocol.present_count == (cut if address in inside else count - cut)
     fleet.network.is_cut = lambda origin, to: False
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
 
 
 def test_member_that_only_receives_is_declared_dead_and_returns() -> None:
     fleet = Members(8, 6)
-    fleet.settle()
+    fleet.run_until_converged()
     receive_only = fleet.address(5)
     fleet.network.is_cut = lambda origin, to: origin == receive_only
     fleet.network.run(15.0)
     assert all(status(fleet, at, "m5") is Status.DEAD for at in range(8) if at != 5)
     fleet.network.is_cut = lambda origin, to: False
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
 
 
 @pytest.mark.parametrize("seconds", [0.3, 3.0, 30.0])
 def test_paused_process_suspects_nobody(seconds: float) -> None:
     fleet = Members(10, 7)
-    fleet.settle()
+    fleet.run_until_converged()
     started_at = fleet.network.now
     paused = fleet.address(4)
     fleet.network.pause(paused, seconds)
     fleet.network.run(seconds)
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
     assert fleet.doubts(started_at, but=["m4"]) == 0
 
 
 def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
     fleet = Members(20, 8)
-    fleet.settle()
+    fleet.run_until_converged()
     fleet.network.loss, fleet.network.duplication, fleet.network.max_extra_delay = 0.05, 0.1, 0.05
     started_at = fleet.network.now
     while fleet.network.now < started_at + 60.0:
@@ -108,33 +108,33 @@
 
 def test_restarted_member_has_another_instance_id_and_a_greater_incarnation() -> None:
     fleet = Members(6, 9)
-    fleet.settle()
+    fleet.run_until_converged()
     before = fleet.all()[fleet.address(3)].local_record
     fleet.network.kill(fleet.address(3))
     fleet.network.run(1.0)
     fleet.start(3)
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
     seen = [protocol.members["m3"].record for at, protocol in fleet.all().items() if at != fleet.address(3)]
     assert all(record.instance_id != before.instance_id and record.incarnation > before.incarnation for record in seen)
 
 
 def test_restarted_member_rejoins_though_its_wall_clock_went_back_an_hour() -> None:
     fleet = Members(6, 10)
-    fleet.settle()
+    fleet.run_until_converged()
     fleet.network.kill(fleet.address(3))
     fleet.start(3, behind=3600.0)
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
     assert not any(isinstance(event, NameConflict) for event in fleet.all()[fleet.address(3)].take_events())
 
 
 def test_datagrams_of_a_former_process_change_nothing() -> None:
     fleet = Members(4, 11)
-    fleet.settle()
+    fleet.run_until_converged()
     former = fleet.all()[fleet.address(3)]
     old = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", Updates([former.local_record])))
     fleet.network.kill(fleet.address(3))
     fleet.start(3)
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
     now = fleet.all()[fleet.address(1)].members["m3"].record
     for _ in range(10):
         fleet.all()[fleet.address(1)].receive(fleet.network.now, old, fleet.address(3))
@@ -146,7 +146,7 @@
 
 def test_younger_of_two_processes_with_one_name_falls_silent() -> None:
     fleet = Members(5, 12)
-    fleet.settle()
+    fleet.run_until_converged()
     conflicts: list[tuple[str, NameConflict]] = []
 
     def on_flush(address: Address, protocol: GossipProtocol) -> None:
@@ -166,12 +166,12 @@
 
 def test_member_changes_its_address() -> None:
     fleet = Members(5, 13)
-    fleet.settle()
+    fleet.run_until_converged()
     protocol = fleet.all()[fleet.address(2)]
     fleet.network.kill(fleet.address(2))
     protocol.change_address(fleet.network.now, fleet.address(9))
     fleet.network.add(fleet.address(9), protocol)
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
     assert fleet.all()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
     fleet.network.run(10.0)
     assert fleet.agree()
@@ -179,7 +179,7 @@
 
 def test_metadata_reaches_all_members() -> None:
     fleet = Members(20, 14)
-    fleet.settle()
+    fleet.run_until_converged()
     fleet.all()[fleet.address(2)].update_metadata(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
     fleet.network.flush(fleet.address(2))
     fleet.network.run_until(
@@ -229,7 +229,7 @@
 
 def test_false_reports_do_not_kill_members_that_answer() -> None:
     fleet = Members(8, 17)
-    fleet.settle()
+    fleet.run_until_converged()
     started_at = fleet.network.now
     false_reporter = fleet.all()[fleet.address(7)]
 
@@ -256,12 +256,12 @@
         if when >= started_at and change.record.status is Status.DEAD and change.record.reported_by != "m7"
     }
     assert not deaths
-    fleet.settle(CONVERGENCE_SECONDS)
+    fleet.run_until_converged(CONVERGENCE_SECONDS)
 
 
 def test_flood_from_one_address_leaves_others_served() -> None:
     fleet = Members(6, 18)
-    fleet.settle()
+    fleet.run_until_converged()
     started_at, victim = fleet.network.now, fleet.all()[fleet.address(1)]
     rng = Random(1)
     for _ in range(100):
@@ -281,7 +281,7 @@
 
 def test_updates_are_retransmitted_a_bounded_number_of_times() -> None:
     fleet = Members(30, 20)
-    fleet.settle()
+    fleet.run_until_converged()
     fleet.network.run(20.0)
     sent = fleet.total("sent")
     fleet.network.run(30.0)
@@ -292,7 +292,7 @@
 
 def test_member_changes_carry_their_cause() -> None:
     fleet = Members(3, 21)
-    fleet.settle()
+    fleet.run_until_converged()
     fleet.network.kill(fleet.address(2))
     fleet.network.run(20.0)
     fleet.start(2)
