--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -94,14 +94,14 @@
         """Those that run."""
         return {at: machine for at, machine in self.network.machines.items() if isinstance(machine, GossipProtocol)}
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether all that run see the same: those that run."""
         machines = self.all().values()
         return len({m.digest for m in machines}) == 1 and all(m.present_count == len(machines) for m in machines)
 
     def run_until_converged(self, most: float = WITHIN) -> float:
         """Seconds until all views agree."""
-        return self.network.run_until(self.agree, most)
+        return self.network.run_until(self.has_converged, most)
 
     def doubts(self, since: float, but: Iterable[str] = ()) -> int:
         """Members that others doubted first-hand, though they ran."""
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -174,7 +174,7 @@
     fleet.run_until_converged(CONVERGENCE_SECONDS)
     assert fleet.all()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
     fleet.network.run(10.0)
-    assert fleet.agree()
+    assert fleet.has_converged()
 
 
 def test_metadata_reaches_all_members() -> None:
@@ -269,7 +269,7 @@
             victim.receive(fleet.network.now, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), ("10.9.9.9", 9))
         fleet.network.run(0.1)
     assert victim.counters["too many"] > 10_000 - MAX_SOURCE_BURST_DATAGRAMS - 1100
-    assert fleet.doubts(started_at) == 0 and fleet.agree()
+    assert fleet.doubts(started_at) == 0 and fleet.has_converged()
 
 
 def test_incarnations_far_ahead_of_the_wall_clock_are_rejected() -> None:
