--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -103,13 +103,13 @@
         """Seconds until all views agree."""
         return self.network.run_until(self.has_converged, most)
 
-    def doubts(self, since: float, but: Iterable[str] = ()) -> int:
+    def count_false_suspicions(self, since: float, excluding: Iterable[str] = ()) -> int:
         """Members that others doubted first-hand, though they ran."""
         return sum(
             when >= since
             and change.record.status is Status.SUSPECT
             and change.record.reported_by == who
-            and change.record.name not in but
+            and change.record.name not in excluding
             for when, who, change in self.changes
         )
 
@@ -143,5 +143,5 @@
         for address in network.rng.sample(list(fleet.all()), max(1, count // 10)):
             network.pause(address, STALL)
         network.run(2.0)
-    doubts = fleet.doubts(began) / (count * LOSSY / 60.0) * 1000.0
+    doubts = fleet.count_false_suspicions(began) / (count * LOSSY / 60.0) * 1000.0
     return Found(count, sent / each, size / each, 1e6 * cpu / each, joined, killed, healed, woken, doubts)
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -56,7 +56,7 @@
     fleet.network.kill(fleet.address(3))
     assert fleet.run_until_converged(2.0) <= 2.0
     assert all(status(fleet, at, "m3") is Status.LEFT for at in range(10) if at != 3)
-    assert fleet.doubts(started_at) == 0
+    assert fleet.count_false_suspicions(started_at) == 0
 
 
 @pytest.mark.parametrize(("count", "cut"), [(5, 2), (20, 10), (50, 17)])
@@ -92,7 +92,7 @@
     fleet.network.pause(paused, seconds)
     fleet.network.run(seconds)
     fleet.run_until_converged(CONVERGENCE_SECONDS)
-    assert fleet.doubts(started_at, but=["m4"]) == 0
+    assert fleet.count_false_suspicions(started_at, excluding=["m4"]) == 0
 
 
 def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
@@ -103,7 +103,7 @@
     while fleet.network.now < started_at + 60.0:
         fleet.network.pause(fleet.address(Random(fleet.network.now).randrange(20)), 0.3)
         fleet.network.run(1.0)
-    assert fleet.doubts(started_at) == 0
+    assert fleet.count_false_suspicions(started_at) == 0
 
 
 def test_restarted_member_has_another_instance_id_and_a_greater_incarnation() -> None:
@@ -269,7 +269,7 @@
             victim.receive(fleet.network.now, rng.randbytes(rng.randrange(MAX_DATAGRAM_BYTES)), ("10.9.9.9", 9))
         fleet.network.run(0.1)
     assert victim.counters["too many"] > 10_000 - MAX_SOURCE_BURST_DATAGRAMS - 1100
-    assert fleet.doubts(started_at) == 0 and fleet.has_converged()
+    assert fleet.count_false_suspicions(started_at) == 0 and fleet.has_converged()
 
 
 def test_incarnations_far_ahead_of_the_wall_clock_are_rejected() -> None:
