--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -90,13 +90,13 @@
         network.add(address, machine)
         return machine
 
-    def all(self) -> dict[Address, GossipProtocol]:
+    def running(self) -> dict[Address, GossipProtocol]:
         """Those that run."""
         return {at: machine for at, machine in self.network.machines.items() if isinstance(machine, GossipProtocol)}
 
     def has_converged(self) -> bool:
         """Whether all that run see the same: those that run."""
-        machines = self.all().values()
+        machines = self.running().values()
         return len({m.digest for m in machines}) == 1 and all(m.present_count == len(machines) for m in machines)
 
     def run_until_converged(self, most: float = WITHIN) -> float:
@@ -115,7 +115,7 @@
 
     def total(self, what: str) -> int:
         """A count of all machines."""
-        return sum(machine.counters[what] for machine in self.all().values())
+        return sum(machine.counters[what] for machine in self.running().values())
 
 
 def play(count: int, seed: int) -> Found:
@@ -130,17 +130,17 @@
     sent, size, cpu = fleet.total("sent") - sent, fleet.total("bytes sent") - size, time.process_time() - cpu
     network.kill(fleet.address(count - 1))
     killed = fleet.run_until_converged()
-    network.is_cut = partition(list(fleet.all())[: count // 2])
+    network.is_cut = partition(list(fleet.running())[: count // 2])
     network.run(CUT)
     network.is_cut = lambda origin, to: False
     healed = fleet.run_until_converged()
-    for address in list(fleet.all())[: max(1, count // 5)]:
+    for address in list(fleet.running())[: max(1, count // 5)]:
         network.pause(address, STOP)
     network.run(STOP)
     woken = fleet.run_until_converged()
     network.loss, began = LOSS, network.now
     while network.now < began + LOSSY:
-        for address in network.rng.sample(list(fleet.all()), max(1, count // 10)):
+        for address in network.rng.sample(list(fleet.running()), max(1, count // 10)):
             network.pause(address, STALL)
         network.run(2.0)
     doubts = fleet.count_false_suspicions(began) / (count * LOSSY / 60.0) * 1000.0
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -28,7 +28,7 @@
 
 def status(fleet: Members, at: int, of: str) -> Status | None:
     """Return the status of one member in the view of another."""
-    member = fleet.all()[fleet.address(at)].members.get(of)
+    member = fleet.running()[fleet.address(at)].members.get(of)
     return None if member is None else Status(member.record.status)
 
 
@@ -50,7 +50,7 @@
     fleet = Members(10, 4)
     fleet.run_until_converged()
     started_at = fleet.network.now
-    leaving = fleet.all()[fleet.address(3)]
+    leaving = fleet.running()[fleet.address(3)]
     leaving.leave(started_at)
     fleet.network.flush(fleet.address(3))
     fleet.network.kill(fleet.address(3))
@@ -66,7 +66,7 @@
     inside = [fleet.address(number) for number in range(cut)]
     fleet.network.is_cut = partition(inside)
     fleet.network.run(40.0)
-    for address, protocol in fleet.all().items():
+    for address, protocol in fleet.running().items():
         assert protocol.present_count == (cut if address in inside else count - cut)
     fleet.network.is_cut = lambda origin, to: False
     fleet.run_until_converged(CONVERGENCE_SECONDS)
@@ -109,12 +109,12 @@
 def test_restarted_member_has_another_instance_id_and_a_greater_incarnation() -> None:
     fleet = Members(6, 9)
     fleet.run_until_converged()
-    before = fleet.all()[fleet.address(3)].local_record
+    before = fleet.running()[fleet.address(3)].local_record
     fleet.network.kill(fleet.address(3))
     fleet.network.run(1.0)
     fleet.start(3)
     fleet.run_until_converged(CONVERGENCE_SECONDS)
-    seen = [protocol.members["m3"].record for at, protocol in fleet.all().items() if at != fleet.address(3)]
+    seen = [protocol.members["m3"].record for at, protocol in fleet.running().items() if at != fleet.address(3)]
     assert all(record.instance_id != before.instance_id and record.incarnation > before.incarnation for record in seen)
 
 
@@ -124,24 +124,24 @@
     fleet.network.kill(fleet.address(3))
     fleet.start(3, behind=3600.0)
     fleet.run_until_converged(CONVERGENCE_SECONDS)
-    assert not any(isinstance(event, NameConflict) for event in fleet.all()[fleet.address(3)].take_events())
+    assert not any(isinstance(event, NameConflict) for event in fleet.running()[fleet.address(3)].take_events())
 
 
 def test_datagrams_of_a_former_process_change_nothing() -> None:
     fleet = Members(4, 11)
     fleet.run_until_converged()
-    former = fleet.all()[fleet.address(3)]
+    former = fleet.running()[fleet.address(3)]
     old = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", Updates([former.local_record])))
     fleet.network.kill(fleet.address(3))
     fleet.start(3)
     fleet.run_until_converged(CONVERGENCE_SECONDS)
-    now = fleet.all()[fleet.address(1)].members["m3"].record
+    now = fleet.running()[fleet.address(1)].members["m3"].record
     for _ in range(10):
-        fleet.all()[fleet.address(1)].receive(fleet.network.now, old, fleet.address(3))
-    assert fleet.all()[fleet.address(1)].members["m3"].record == now
+        fleet.running()[fleet.address(1)].receive(fleet.network.now, old, fleet.address(3))
+    assert fleet.running()[fleet.address(1)].members["m3"].record == now
     message = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", UserMessage(1, b"old")))
-    fleet.all()[fleet.address(1)].receive(fleet.network.now, message, fleet.address(3))
-    assert not any(isinstance(event, MessageReceived) for event in fleet.all()[fleet.address(1)].take_events())
+    fleet.running()[fleet.address(1)].receive(fleet.network.now, message, fleet.address(3))
+    assert not any(isinstance(event, MessageReceived) for event in fleet.running()[fleet.address(1)].take_events())
 
 
 def test_younger_of_two_processes_with_one_name_falls_silent() -> None:
@@ -160,19 +160,19 @@
     assert any(event.is_yielding for where, event in conflicts if where == fleet.address(7)[0])
     assert not any(event.is_yielding for where, event in conflicts if where == fleet.address(2)[0])
     fleet.network.run(1.0)
-    others = [fleet.all()[fleet.address(at)] for at in (0, 1, 3, 4)]
+    others = [fleet.running()[fleet.address(at)] for at in (0, 1, 3, 4)]
     assert {protocol.members["m2"].record.address for protocol in others} == {fleet.address(2)}
 
 
 def test_member_changes_its_address() -> None:
     fleet = Members(5, 13)
     fleet.run_until_converged()
-    protocol = fleet.all()[fleet.address(2)]
+    protocol = fleet.running()[fleet.address(2)]
     fleet.network.kill(fleet.address(2))
     protocol.change_address(fleet.network.now, fleet.address(9))
     fleet.network.add(fleet.address(9), protocol)
     fleet.run_until_converged(CONVERGENCE_SECONDS)
-    assert fleet.all()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
+    assert fleet.running()[fleet.address(0)].members["m2"].record.address == fleet.address(9)
     fleet.network.run(10.0)
     assert fleet.has_converged()
 
@@ -180,12 +180,14 @@
 def test_metadata_reaches_all_members() -> None:
     fleet = Members(20, 14)
     fleet.run_until_converged()
-    fleet.all()[fleet.address(2)].update_metadata(fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True))
+    fleet.running()[fleet.address(2)].update_metadata(
+        fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True)
+    )
     fleet.network.flush(fleet.address(2))
     fleet.network.run_until(
         lambda: all(
             protocol.members["m2"].record.metadata.is_draining
-            for at, protocol in fleet.all().items()
+            for at, protocol in fleet.running().items()
             if at != fleet.address(2)
         ),
         CONVERGENCE_SECONDS,
@@ -231,7 +233,7 @@
     fleet = Members(8, 17)
     fleet.run_until_converged()
     started_at = fleet.network.now
-    false_reporter = fleet.all()[fleet.address(7)]
+    false_reporter = fleet.running()[fleet.address(7)]
 
     def send_false_reports() -> None:
         for at in range(6):
@@ -244,7 +246,7 @@
                     data = false_reporter.codec.encode(
                         Packet("m7", false_reporter.local_record.instance_id, f"m{to}", Updates([report]))
                     )
-                    fleet.all()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
+                    fleet.running()[fleet.address(to)].receive(fleet.network.now, data, fleet.address(7))
                     fleet.network.flush(fleet.address(to))
 
     for _ in range(20):
@@ -262,7 +264,7 @@
 def test_flood_from_one_address_leaves_others_served() -> None:
     fleet = Members(6, 18)
     fleet.run_until_converged()
-    started_at, victim = fleet.network.now, fleet.all()[fleet.address(1)]
+    started_at, victim = fleet.network.now, fleet.running()[fleet.address(1)]
     rng = Random(1)
     for _ in range(100):
         for _ in range(100):
@@ -313,4 +315,4 @@
     keyed = fleet.start(3, key=b"k" * 16)
     fleet.network.run(10.0)
     assert keyed.present_count == 1 and keyed.counters["garbage"] + keyed.counters["another key"] == 0
-    assert all(protocol.present_count == 2 for at, protocol in fleet.all().items() if at != fleet.address(3))
+    assert all(protocol.present_count == 2 for at, protocol in fleet.running().items() if at != fleet.address(3))
