--- a/lugspur/emulator/members.py
+++ b/lugspur/emulator/members.py
@@ -46,7 +46,7 @@
         )
 
 
-class Members:
+class GossipFleet:
     """Machines of one fleet on a network."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
@@ -120,7 +120,7 @@
 
 def play(count: int, seed: int) -> Found:
     """One size; the same seed gives the same, but for the CPU."""
-    fleet = Members(count, seed)
+    fleet = GossipFleet(count, seed)
     network = fleet.network
     joined = fleet.run_until_converged()
     network.run(10.0)
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -21,12 +21,12 @@
 from lugspur.daemon.gossip.protocol import GossipProtocol
 from lugspur.daemon.gossip.rate_limits import MAX_SOURCE_BURST_DATAGRAMS
 from lugspur.emulator.datagrams import Address, partition
-from lugspur.emulator.members import Members
+from lugspur.emulator.members import GossipFleet
 
 CONVERGENCE_SECONDS = 10.0  # ten protocol periods, within which all views have to agree again
 
 
-def status(fleet: Members, at: int, of: str) -> Status | None:
+def status(fleet: GossipFleet, at: int, of: str) -> Status | None:
     """Return the status of one member in the view of another."""
     member = fleet.running()[fleet.address(at)].members.get(of)
     return None if member is None else Status(member.record.status)
@@ -34,12 +34,12 @@
 
 @pytest.mark.parametrize("count", [2, 3, 5, 50])
 def test_all_members_join_by_two_seeds(count: int) -> None:
-    assert Members(count, 1).run_until_converged() <= CONVERGENCE_SECONDS
+    assert GossipFleet(count, 1).run_until_converged() <= CONVERGENCE_SECONDS
 
 
 @pytest.mark.parametrize(("count", "seed"), [(3, 1), (5, 2), (50, 3)])
 def test_killed_member_is_dead_in_all_views_within_ten_periods(count: int, seed: int) -> None:
-    fleet = Members(count, seed)
+    fleet = GossipFleet(count, seed)
     fleet.run_until_converged()
     fleet.network.kill(fleet.address(2))
     fleet.run_until_converged(CONVERGENCE_SECONDS)
@@ -47,7 +47,7 @@
 
 
 def test_member_that_leaves_is_removed_at_once_and_never_suspected() -> None:
-    fleet = Members(10, 4)
+    fleet = GossipFleet(10, 4)
     fleet.run_until_converged()
     started_at = fleet.network.now
     leaving = fleet.running()[fleet.address(3)]
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize(("count", "cut"), [(5, 2), (20, 10), (50, 17)])
 def test_halves_of_a_partition_that_declared_each_other_dead_merge_again(count: int, cut: int) -> None:
-    fleet = Members(count, 5)
+    fleet = GossipFleet(count, 5)
     fleet.run_until_converged()
     inside = [fleet.address(number) for number in range(cut)]
     fleet.network.is_cut = partition(inside)
@@ -73,7 +73,7 @@
 
 
 def test_member_that_only_receives_is_declared_dead_and_returns() -> None:
-    fleet = Members(8, 6)
+    fleet = GossipFleet(8, 6)
     fleet.run_until_converged()
     receive_only = fleet.address(5)
     fleet.network.is_cut = lambda origin, to: origin == receive_only
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("seconds", [0.3, 3.0, 30.0])
 def test_paused_process_suspects_nobody(seconds: float) -> None:
-    fleet = Members(10, 7)
+    fleet = GossipFleet(10, 7)
     fleet.run_until_converged()
     started_at = fleet.network.now
     paused = fleet.address(4)
@@ -96,7 +96,7 @@
 
 
 def test_lost_datagrams_and_short_pauses_cause_no_suspicion() -> None:
-    fleet = Members(20, 8)
+    fleet = GossipFleet(20, 8)
     fleet.run_until_converged()
     fleet.network.loss, fleet.network.duplication, fleet.network.max_extra_delay = 0.05, 0.1, 0.05
     started_at = fleet.network.now
@@ -107,7 +107,7 @@
 
 
 def test_restarted_member_has_another_instance_id_and_a_greater_incarnation() -> None:
-    fleet = Members(6, 9)
+    fleet = GossipFleet(6, 9)
     fleet.run_until_converged()
     before = fleet.running()[fleet.address(3)].local_record
     fleet.network.kill(fleet.address(3))
@@ -119,7 +119,7 @@
 
 
 def test_restarted_member_rejoins_though_its_wall_clock_went_back_an_hour() -> None:
-    fleet = Members(6, 10)
+    fleet = GossipFleet(6, 10)
     fleet.run_until_converged()
     fleet.network.kill(fleet.address(3))
     fleet.start(3, behind=3600.0)
@@ -128,7 +128,7 @@
 
 
 def test_datagrams_of_a_former_process_change_nothing() -> None:
-    fleet = Members(4, 11)
+    fleet = GossipFleet(4, 11)
     fleet.run_until_converged()
     former = fleet.running()[fleet.address(3)]
     old = former.codec.encode(Packet("m3", former.local_record.instance_id, "m1", Updates([former.local_record])))
@@ -145,7 +145,7 @@
 
 
 def test_younger_of_two_processes_with_one_name_falls_silent() -> None:
-    fleet = Members(5, 12)
+    fleet = GossipFleet(5, 12)
     fleet.run_until_converged()
     conflicts: list[tuple[str, NameConflict]] = []
 
@@ -165,7 +165,7 @@
 
 
 def test_member_changes_its_address() -> None:
-    fleet = Members(5, 13)
+    fleet = GossipFleet(5, 13)
     fleet.run_until_converged()
     protocol = fleet.running()[fleet.address(2)]
     fleet.network.kill(fleet.address(2))
@@ -178,7 +178,7 @@
 
 
 def test_metadata_reaches_all_members() -> None:
-    fleet = Members(20, 14)
+    fleet = GossipFleet(20, 14)
     fleet.run_until_converged()
     fleet.running()[fleet.address(2)].update_metadata(
         fleet.network.now, MemberMetadata("z", "1", 0.0, is_draining=True)
@@ -195,7 +195,7 @@
 
 
 def test_dead_seeds_and_seeds_of_another_fleet_cost_little() -> None:
-    fleet = Members(1, 15)
+    fleet = GossipFleet(1, 15)
     alone = fleet.start(5)
     fleet.network.kill(fleet.address(0))
     foreign = fleet.start(6, fleet="another")
@@ -207,7 +207,7 @@
 
 
 def test_membership_table_is_bounded_and_absent_members_make_room() -> None:
-    protocol = Members(1, 16).all()[Members.address(0)]
+    protocol = GossipFleet(1, 16).all()[GossipFleet.address(0)]
     for number in range(MAX_MEMBERS + 100):
         record = MemberRecord(f"x{number}", number, 1, "10.1.0.1", 1 + number)
         data = protocol.codec.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
@@ -230,7 +230,7 @@
 
 
 def test_false_reports_do_not_kill_members_that_answer() -> None:
-    fleet = Members(8, 17)
+    fleet = GossipFleet(8, 17)
     fleet.run_until_converged()
     started_at = fleet.network.now
     false_reporter = fleet.running()[fleet.address(7)]
@@ -262,7 +262,7 @@
 
 
 def test_flood_from_one_address_leaves_others_served() -> None:
-    fleet = Members(6, 18)
+    fleet = GossipFleet(6, 18)
     fleet.run_until_converged()
     started_at, victim = fleet.network.now, fleet.running()[fleet.address(1)]
     rng = Random(1)
@@ -275,14 +275,14 @@
 
 
 def test_incarnations_far_ahead_of_the_wall_clock_are_rejected() -> None:
-    protocol = Members(1, 19).all()[Members.address(0)]
+    protocol = GossipFleet(1, 19).all()[GossipFleet.address(0)]
     record = MemberRecord("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
     protocol.receive(1.0, protocol.codec.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
     assert not protocol.members and protocol.counters["from the future"] == 1
 
 
 def test_updates_are_retransmitted_a_bounded_number_of_times() -> None:
-    fleet = Members(30, 20)
+    fleet = GossipFleet(30, 20)
     fleet.run_until_converged()
     fleet.network.run(20.0)
     sent = fleet.total("sent")
@@ -293,7 +293,7 @@
 
 
 def test_member_changes_carry_their_cause() -> None:
-    fleet = Members(3, 21)
+    fleet = GossipFleet(3, 21)
     fleet.run_until_converged()
     fleet.network.kill(fleet.address(2))
     fleet.network.run(20.0)
@@ -311,7 +311,7 @@
 
 
 def test_members_with_different_keys_do_not_see_each_other() -> None:
-    fleet = Members(2, 22)
+    fleet = GossipFleet(2, 22)
     keyed = fleet.start(3, key=b"k" * 16)
     fleet.network.run(10.0)
     assert keyed.present_count == 1 and keyed.counters["garbage"] + keyed.counters["another key"] == 0
