--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -24,7 +24,7 @@
 from lugspur.emulator.datagrams import Address, Network, partition
 
 DUTY = "duty"
-LEASE = 5.0  # seconds
+LEASE_SECONDS = 5.0  # seconds
 CALM, FAULTS = 20.0, 60.0  # seconds before anything fails, and in which things do
 EACH = 3.0  # seconds between two faults
 DISK = 0.01  # seconds at most that a promise takes to be written down
@@ -49,11 +49,11 @@
         self.voter: LeaseVoter | None = None
         if number < world.electors:
             memory = list(world.disks[self.name].values()) if world.memory else None
-            self.voter = LeaseVoter(LEASE, now, memory, int(WALL + 1000.0 * world.network.now))
+            self.voter = LeaseVoter(LEASE_SECONDS, now, memory, int(WALL + 1000.0 * world.network.now))
         self.candidate: Candidate | None = None
         if number >= world.electors or world.all_want:
             names = [f"n{at}" for at in range(world.electors)]
-            self.candidate = Candidate(DUTY, names, LEASE, now, self._rng, self._rank)
+            self.candidate = Candidate(DUTY, names, LEASE_SECONDS, now, self._rng, self._rank)
         self._written: tuple[float, dict[str, Promise]] | None = None  # what reaches the disk, and when
         self._out: list[tuple[Address, bytes]] = []
 
@@ -212,7 +212,7 @@
     holders = world.holders()
     if holders and rng.random() < 0.4:
         number = int(holders[0].name[1:])
-    seconds = rng.choice([0.3, 1.0, 2.0]) * LEASE * rng.random()
+    seconds = rng.choice([0.3, 1.0, 2.0]) * LEASE_SECONDS * rng.random()
     address = world.address(number)
 
     def stop() -> None:
@@ -260,14 +260,14 @@
     network = world.network
     network.run(CALM)
     network.loss, network.duplication = rng.choice([0.0, 0.05, 0.3]), rng.choice([0.0, 0.2])
-    network.max_extra_delay = rng.choice([0.0, 0.1, 2.0 * LEASE])
+    network.max_extra_delay = rng.choice([0.0, 0.1, 2.0 * LEASE_SECONDS])
     while network.now < CALM + faults:
         _fault(world, rng)
         network.run(EACH * rng.random())
         if rng.random() < 0.5:
             network.is_cut = lambda origin, to: False
     network.is_cut, network.loss, network.max_extra_delay = (lambda origin, to: False), 0.0, 0.0
-    network.run(4.0 * LEASE)
+    network.run(4.0 * LEASE_SECONDS)
     if not world.holders():
         raise AssertionError(f"seed {seed}: nobody is in office though nothing fails any more")
     return world
@@ -276,11 +276,11 @@
 def after_kill(seed: int) -> float:
     """Seconds without anybody in office after the holder is killed, of leases of LEASE seconds."""
     world = World(seed)
-    world.network.run(CALM + LEASE * Random(seed).random())
+    world.network.run(CALM + LEASE_SECONDS * Random(seed).random())
     [holder] = world.holders()
     world.network.kill(holder.address)
     began, count = world.network.now, world.offices
-    world.network.run_until(lambda: world.offices > count, 4.0 * LEASE, 0.01)
+    world.network.run_until(lambda: world.offices > count, 4.0 * LEASE_SECONDS, 0.01)
     return world.network.now - began
 
 
@@ -295,7 +295,7 @@
     vacant.sort()
     yield (
         f"{seeds} seeds: {offices} times in office, never two; nobody for {vacant[len(vacant) // 2]:.1f} s "
-        f"(median of {len(vacant)}), {vacant[int(0.99 * len(vacant))]:.1f} s (99%), leases of {LEASE:g} s"
+        f"(median of {len(vacant)}), {vacant[int(0.99 * len(vacant))]:.1f} s (99%), leases of {LEASE_SECONDS:g} s"
     )
     killed = sorted(after_kill(seed) for seed in range(first, first + KILLS))
     yield (
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
-from lugspur.emulator.duties import CALM, LEASE, TwoInOffice, World, after_kill, play
+from lugspur.emulator.duties import CALM, LEASE_SECONDS, TwoInOffice, World, after_kill, play
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_killed_leader_is_replaced_within_two_leases(seed: int) -> None:
-    assert after_kill(seed) <= 2.0 * LEASE
+    assert after_kill(seed) <= 2.0 * LEASE_SECONDS
 
 
 def test_a_role_is_taken_over_at_once_when_its_leader_resigns() -> None:
@@ -94,7 +94,7 @@
     request_count = 0
     network.run(60.0)
     # The holder and two standby candidates ask three voters about three times per lease; all others ask rarely.
-    assert request_count / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE
+    assert request_count / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE_SECONDS
     assert len(world.holders()) == 1
 
 
@@ -102,13 +102,13 @@
     world = World(3)
     world.network.run(CALM)
     world.network.kill(world.address(0))
-    world.network.run(4 * LEASE)
+    world.network.run(4 * LEASE_SECONDS)
     assert len(world.holders()) == 1
     world.network.kill(world.address(1))
-    world.network.run(2 * LEASE)
+    world.network.run(2 * LEASE_SECONDS)
     assert not world.holders()  # A minority of the voters can't grant a lease.
     world.start(1)
-    world.network.run(4 * LEASE)
+    world.network.run(4 * LEASE_SECONDS)
     assert len(world.holders()) == 1
 
 
