--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -25,7 +25,7 @@
 
 DUTY = "duty"
 LEASE_SECONDS = 5.0  # seconds
-CALM, FAULTS = 20.0, 60.0  # seconds before anything fails, and in which things do
+WARM_UP_SECONDS, FAULTS = 20.0, 60.0  # seconds before anything fails, and in which things do
 EACH = 3.0  # seconds between two faults
 DISK = 0.01  # seconds at most that a promise takes to be written down
 WALL = 1.7e12  # the wall clock's milliseconds at the start
@@ -258,10 +258,10 @@
     rng = Random(f"faults {seed}")
     world = World(seed, electors, rng.randrange(1, 5), rng.random() < 0.5, memory)
     network = world.network
-    network.run(CALM)
+    network.run(WARM_UP_SECONDS)
     network.loss, network.duplication = rng.choice([0.0, 0.05, 0.3]), rng.choice([0.0, 0.2])
     network.max_extra_delay = rng.choice([0.0, 0.1, 2.0 * LEASE_SECONDS])
-    while network.now < CALM + faults:
+    while network.now < WARM_UP_SECONDS + faults:
         _fault(world, rng)
         network.run(EACH * rng.random())
         if rng.random() < 0.5:
@@ -276,7 +276,7 @@
 def after_kill(seed: int) -> float:
     """Seconds without anybody in office after the holder is killed, of leases of LEASE seconds."""
     world = World(seed)
-    world.network.run(CALM + LEASE_SECONDS * Random(seed).random())
+    world.network.run(WARM_UP_SECONDS + LEASE_SECONDS * Random(seed).random())
     [holder] = world.holders()
     world.network.kill(holder.address)
     began, count = world.network.now, world.offices
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
-from lugspur.emulator.duties import CALM, LEASE_SECONDS, TwoInOffice, World, after_kill, play
+from lugspur.emulator.duties import LEASE_SECONDS, WARM_UP_SECONDS, TwoInOffice, World, after_kill, play
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -69,7 +69,7 @@
 def test_a_role_is_taken_over_at_once_when_its_leader_resigns() -> None:
     for seed in range(10):
         world = World(seed)
-        world.network.run(CALM)
+        world.network.run(WARM_UP_SECONDS)
         [holder] = world.holders()
         leadership_count = world.offices
         holder.hand_on(world.network.clock(holder.address))
@@ -89,7 +89,7 @@
         request_count += len(node.candidate.term._outbox) if node.candidate is not None else 0
 
     network.on_flush = on_flush
-    network.run(CALM)
+    network.run(WARM_UP_SECONDS)
     assert len(world.holders()) == 1
     request_count = 0
     network.run(60.0)
@@ -100,7 +100,7 @@
 
 def test_one_of_three_voters_may_be_lost_and_two_may_not() -> None:
     world = World(3)
-    world.network.run(CALM)
+    world.network.run(WARM_UP_SECONDS)
     world.network.kill(world.address(0))
     world.network.run(4 * LEASE_SECONDS)
     assert len(world.holders()) == 1
