--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -33,7 +33,7 @@
 RATE = 0.05  # by which clocks run fast or slow
 
 
-class TwoInOffice(AssertionError):
+class TwoLeadersError(AssertionError):
     """What must never be."""
 
 
@@ -185,10 +185,10 @@
             return
         inside = [other.name for other in self.holders()]
         if len(inside) > 1:
-            raise TwoInOffice(f"seed {self.seed}, {self.network.now:.3f} s: {' and '.join(inside)} are in office")
+            raise TwoLeadersError(f"seed {self.seed}, {self.network.now:.3f} s: {' and '.join(inside)} are in office")
         former, candidate_id = self.highest
         if epoch < former or (epoch == former and candidate_id != node.candidate_id):
-            raise TwoInOffice(f"seed {self.seed}, {self.network.now:.3f} s: epoch {epoch} after {former}")
+            raise TwoLeadersError(f"seed {self.seed}, {self.network.now:.3f} s: epoch {epoch} after {former}")
         self.highest = epoch, node.candidate_id
         self.offices += 1
         if self.vacant_since is not None:
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
-from lugspur.emulator.duties import LEASE_SECONDS, WARM_UP_SECONDS, TwoInOffice, World, after_kill, play
+from lugspur.emulator.duties import LEASE_SECONDS, WARM_UP_SECONDS, TwoLeadersError, World, after_kill, play
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -28,7 +28,7 @@
     for seed in range(max_seeds):
         try:
             play(seed, memory, voters)
-        except TwoInOffice:
+        except TwoLeadersError:
             return True
         except AssertionError:
             continue
