--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -273,7 +273,7 @@
     return world
 
 
-def after_kill(seed: int) -> float:
+def measure_takeover(seed: int) -> float:
     """Seconds without anybody in office after the holder is killed, of leases of LEASE seconds."""
     world = World(seed)
     world.network.run(WARM_UP_SECONDS + LEASE_SECONDS * Random(seed).random())
@@ -297,7 +297,7 @@
         f"{seeds} seeds: {offices} times in office, never two; nobody for {vacant[len(vacant) // 2]:.1f} s "
         f"(median of {len(vacant)}), {vacant[int(0.99 * len(vacant))]:.1f} s (99%), leases of {LEASE_SECONDS:g} s"
     )
-    killed = sorted(after_kill(seed) for seed in range(first, first + KILLS))
+    killed = sorted(measure_takeover(seed) for seed in range(first, first + KILLS))
     yield (
         f"after {KILLS} kills of the holder nobody in office for {killed[KILLS // 2]:.1f} s (median), "
         f"{killed[int(0.95 * KILLS)]:.1f} s (95%), {killed[-1]:.1f} s (longest)"
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -15,7 +15,7 @@
 from lugspur.daemon.leases.lease_term import LeaseTerm, RoundResult
 from lugspur.daemon.leases.voter import LeaseVoter
 from lugspur.emulator import duties
-from lugspur.emulator.duties import LEASE_SECONDS, WARM_UP_SECONDS, TwoLeadersError, World, after_kill, play
+from lugspur.emulator.duties import LEASE_SECONDS, WARM_UP_SECONDS, TwoLeadersError, World, measure_takeover, play
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_killed_leader_is_replaced_within_two_leases(seed: int) -> None:
-    assert after_kill(seed) <= 2.0 * LEASE_SECONDS
+    assert measure_takeover(seed) <= 2.0 * LEASE_SECONDS
 
 
 def test_a_role_is_taken_over_at_once_when_its_leader_resigns() -> None:
