--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -138,7 +138,7 @@
     names: dict[Address, str] = field(init=False)
     places: dict[str, Address] = field(init=False)
     highest: tuple[int, CandidateId | None] = (0, None)
-    offices: int = 0
+    leadership_count: int = 0
     vacant_since: float | None = 0.0
     vacancies: list[float] = field(default_factory=list)
 
@@ -190,7 +190,7 @@
         if epoch < former or (epoch == former and candidate_id != node.candidate_id):
             raise TwoLeadersError(f"seed {self.seed}, {self.network.now:.3f} s: epoch {epoch} after {former}")
         self.highest = epoch, node.candidate_id
-        self.offices += 1
+        self.leadership_count += 1
         if self.vacant_since is not None:
             self.vacancies.append(self.network.now - self.vacant_since)
             self.vacant_since = None
@@ -279,22 +279,22 @@
     world.network.run(WARM_UP_SECONDS + LEASE_SECONDS * Random(seed).random())
     [holder] = world.holders()
     world.network.kill(holder.address)
-    began, count = world.network.now, world.offices
-    world.network.run_until(lambda: world.offices > count, 4.0 * LEASE_SECONDS, 0.01)
+    began, count = world.network.now, world.leadership_count
+    world.network.run_until(lambda: world.leadership_count > count, 4.0 * LEASE_SECONDS, 0.01)
     return world.network.now - began
 
 
 def report(first: int, seeds: int) -> Iterator[str]:
     """Play so many seeds, a third without memories and half with five electors; raises TwoInOffice."""
-    offices = 0
+    leadership_count = 0
     vacant: list[float] = []
     for seed in range(first, first + seeds):
         world = play(seed, seed % 3 > 0, 3 + 2 * (seed % 2))
-        offices += world.offices
+        leadership_count += world.leadership_count
         vacant += world.vacancies[1:]  # the first one is the start
     vacant.sort()
     yield (
-        f"{seeds} seeds: {offices} times in office, never two; nobody for {vacant[len(vacant) // 2]:.1f} s "
+        f"{seeds} seeds: {leadership_count} times in office, never two; nobody for {vacant[len(vacant) // 2]:.1f} s "
         f"(median of {len(vacant)}), {vacant[int(0.99 * len(vacant))]:.1f} s (99%), leases of {LEASE_SECONDS:g} s"
     )
     killed = sorted(measure_takeover(seed) for seed in range(first, first + KILLS))
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_there_are_never_two_leaders_whatever_fails(seed: int) -> None:
     world = play(seed, memory=seed % 3 > 0, electors=3 + 2 * (seed % 2), faults=30.0)
-    assert world.offices > 1
+    assert world.leadership_count > 1
 
 
 def is_caught(max_seeds: int, voters: int = 3, memory: bool = True) -> bool:
@@ -71,10 +71,10 @@
         world = World(seed)
         world.network.run(WARM_UP_SECONDS)
         [holder] = world.holders()
-        leadership_count = world.offices
+        leadership_count = world.leadership_count
         holder.hand_on(world.network.clock(holder.address))
         world.network.flush(holder.address)
-        takeover_seconds = world.network.run_until(lambda: world.offices > leadership_count, 1.0, 0.001)  # noqa: B023
+        takeover_seconds = world.network.run_until(lambda: world.leadership_count > leadership_count, 1.0, 0.001)  # noqa: B023
         assert takeover_seconds <= 0.2
 
 
