--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -170,7 +170,7 @@
         first = 0 if self.all_want else self.electors
         return [f"n{number}" for number in range(first, self.electors + self.others)]
 
-    def holders(self) -> list[Node]:
+    def leaders(self) -> list[Node]:
         """Who is in office by its own clock; one that stands still is, too."""
         return [
             node
@@ -183,7 +183,7 @@
         if not holds:
             self._vacant()
             return
-        inside = [other.name for other in self.holders()]
+        inside = [other.name for other in self.leaders()]
         if len(inside) > 1:
             raise TwoLeadersError(f"seed {self.seed}, {self.network.now:.3f} s: {' and '.join(inside)} are in office")
         former, candidate_id = self.highest
@@ -196,7 +196,7 @@
             self.vacant_since = None
 
     def _vacant(self) -> None:
-        if self.vacant_since is None and not self.holders():
+        if self.vacant_since is None and not self.leaders():
             self.vacant_since = self.network.now
 
     def kill(self, number: int) -> None:
@@ -209,9 +209,9 @@
     """One fault, drawn; it is over after some seconds."""
     network, count = world.network, world.electors + world.others
     number = rng.randrange(count)
-    holders = world.holders()
-    if holders and rng.random() < 0.4:
-        number = int(holders[0].name[1:])
+    leaders = world.leaders()
+    if leaders and rng.random() < 0.4:
+        number = int(leaders[0].name[1:])
     seconds = rng.choice([0.3, 1.0, 2.0]) * LEASE_SECONDS * rng.random()
     address = world.address(number)
 
@@ -268,7 +268,7 @@
             network.is_cut = lambda origin, to: False
     network.is_cut, network.loss, network.max_extra_delay = (lambda origin, to: False), 0.0, 0.0
     network.run(4.0 * LEASE_SECONDS)
-    if not world.holders():
+    if not world.leaders():
         raise AssertionError(f"seed {seed}: nobody is in office though nothing fails any more")
     return world
 
@@ -277,7 +277,7 @@
     """Seconds without anybody in office after the holder is killed, of leases of LEASE seconds."""
     world = World(seed)
     world.network.run(WARM_UP_SECONDS + LEASE_SECONDS * Random(seed).random())
-    [holder] = world.holders()
+    [holder] = world.leaders()
     world.network.kill(holder.address)
     began, count = world.network.now, world.leadership_count
     world.network.run_until(lambda: world.leadership_count > count, 4.0 * LEASE_SECONDS, 0.01)
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -70,7 +70,7 @@
     for seed in range(10):
         world = World(seed)
         world.network.run(WARM_UP_SECONDS)
-        [holder] = world.holders()
+        [holder] = world.leaders()
         leadership_count = world.leadership_count
         holder.hand_on(world.network.clock(holder.address))
         world.network.flush(holder.address)
@@ -90,12 +90,12 @@
 
     network.on_flush = on_flush
     network.run(WARM_UP_SECONDS)
-    assert len(world.holders()) == 1
+    assert len(world.leaders()) == 1
     request_count = 0
     network.run(60.0)
     # The holder and two standby candidates ask three voters about three times per lease; all others ask rarely.
     assert request_count / 60.0 <= 3 * 3 * (3 + STANDBY_CANDIDATES + 200 / 30) / LEASE_SECONDS
-    assert len(world.holders()) == 1
+    assert len(world.leaders()) == 1
 
 
 def test_one_of_three_voters_may_be_lost_and_two_may_not() -> None:
@@ -103,13 +103,13 @@
     world.network.run(WARM_UP_SECONDS)
     world.network.kill(world.address(0))
     world.network.run(4 * LEASE_SECONDS)
-    assert len(world.holders()) == 1
+    assert len(world.leaders()) == 1
     world.network.kill(world.address(1))
     world.network.run(2 * LEASE_SECONDS)
-    assert not world.holders()  # A minority of the voters can't grant a lease.
+    assert not world.leaders()  # A minority of the voters can't grant a lease.
     world.start(1)
     world.network.run(4 * LEASE_SECONDS)
-    assert len(world.holders()) == 1
+    assert len(world.leaders()) == 1
 
 
 def test_the_rendezvous_order_is_the_same_everywhere_and_stable_when_a_member_leaves() -> None:
