--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -89,7 +89,7 @@
             self._world.disks[self.name] |= promises
             self.voter.confirm_saved(now, promises)
 
-    def hand_on(self, now: float) -> None:
+    def resign(self, now: float) -> None:
         """It gives the duty back, and wants it again."""
         assert self.candidate is not None
         self.candidate.resign(now)
@@ -243,13 +243,13 @@
     def deaf() -> None:
         network.is_cut = lambda origin, to: to == address
 
-    def hand_on() -> None:
+    def resign() -> None:
         node = world.nodes().get(address)
         if node is not None and node.candidate is not None:
-            node.hand_on(network.clock(address))
+            node.resign(network.clock(address))
             network.flush(address)
 
-    faults: list[Callable[[], None]] = [stop, kill, forget, restart_all, cut, cut, mute, deaf, hand_on]
+    faults: list[Callable[[], None]] = [stop, kill, forget, restart_all, cut, cut, mute, deaf, resign]
     rng.choice(faults)()
 
 
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -72,7 +72,7 @@
         world.network.run(WARM_UP_SECONDS)
         [holder] = world.leaders()
         leadership_count = world.leadership_count
-        holder.hand_on(world.network.clock(holder.address))
+        holder.resign(world.network.clock(holder.address))
         world.network.flush(holder.address)
         takeover_seconds = world.network.run_until(lambda: world.leadership_count > leadership_count, 1.0, 0.001)  # noqa: B023
         assert takeover_seconds <= 0.2
