--- a/lugspur/emulator/duties.py
+++ b/lugspur/emulator/duties.py
@@ -47,12 +47,12 @@
         self._rng = Random(f"{world.seed} {number} {world.network.now}")
         self.candidate_id = CandidateId(self.name, self._rng.randrange(1 << 40))
         self.voter: LeaseVoter | None = None
-        if number < world.electors:
+        if number < world.voter_count:
             memory = list(world.disks[self.name].values()) if world.memory else None
             self.voter = LeaseVoter(LEASE_SECONDS, now, memory, int(WALL + 1000.0 * world.network.now))
         self.candidate: Candidate | None = None
-        if number >= world.electors or world.all_want:
-            names = [f"n{at}" for at in range(world.electors)]
+        if number >= world.voter_count or world.all_want:
+            names = [f"n{at}" for at in range(world.voter_count)]
             self.candidate = Candidate(DUTY, names, LEASE_SECONDS, now, self._rng, self._rank)
         self._written: tuple[float, dict[str, Promise]] | None = None  # what reaches the disk, and when
         self._out: list[tuple[Address, bytes]] = []
@@ -129,7 +129,7 @@
     """A few processes under faults."""
 
     seed: int
-    electors: int = 3
+    voter_count: int = 3
     others: int = 3
     all_want: bool = True
     memory: bool = True
@@ -144,7 +144,7 @@
 
     def __post_init__(self) -> None:
         self.network = Network(self.seed)
-        count = self.electors + self.others
+        count = self.voter_count + self.others
         self.names = {self.address(number): f"n{number}" for number in range(count)}
         self.places = {name: address for address, name in self.names.items()}
         self.disks = {name: {} for name in self.places}
@@ -167,8 +167,8 @@
 
     def wanting(self) -> list[str]:
         """Who may hold it."""
-        first = 0 if self.all_want else self.electors
-        return [f"n{number}" for number in range(first, self.electors + self.others)]
+        first = 0 if self.all_want else self.voter_count
+        return [f"n{number}" for number in range(first, self.voter_count + self.others)]
 
     def leaders(self) -> list[Node]:
         """Who is in office by its own clock; one that stands still is, too."""
@@ -207,7 +207,7 @@
 
 def _fault(world: World, rng: Random) -> None:
     """One fault, drawn; it is over after some seconds."""
-    network, count = world.network, world.electors + world.others
+    network, count = world.network, world.voter_count + world.others
     number = rng.randrange(count)
     leaders = world.leaders()
     if leaders and rng.random() < 0.4:
@@ -224,12 +224,12 @@
         world.start(number)
 
     def forget() -> None:
-        if world.memory and number < world.electors:
+        if world.memory and number < world.voter_count:
             world.disks[world.names[address]].clear()  # its folder is lost, the others' are not
         kill()
 
     def restart_all() -> None:
-        for elector in range(world.electors):
+        for elector in range(world.voter_count):
             world.kill(elector)
             network.run(0.2 * rng.random())
             world.start(elector)
@@ -253,10 +253,10 @@
     rng.choice(faults)()
 
 
-def play(seed: int, memory: bool = True, electors: int = 3, faults: float = FAULTS) -> World:
+def play(seed: int, memory: bool = True, voter_count: int = 3, faults: float = FAULTS) -> World:
     """One seed; raises TwoInOffice."""
     rng = Random(f"faults {seed}")
-    world = World(seed, electors, rng.randrange(1, 5), rng.random() < 0.5, memory)
+    world = World(seed, voter_count, rng.randrange(1, 5), rng.random() < 0.5, memory)
     network = world.network
     network.run(WARM_UP_SECONDS)
     network.loss, network.duplication = rng.choice([0.0, 0.05, 0.3]), rng.choice([0.0, 0.2])
--- a/tests/daemon/leases/test_leader_election.py
+++ b/tests/daemon/leases/test_leader_election.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_there_are_never_two_leaders_whatever_fails(seed: int) -> None:
-    world = play(seed, memory=seed % 3 > 0, electors=3 + 2 * (seed % 2), faults=30.0)
+    world = play(seed, memory=seed % 3 > 0, voter_count=3 + 2 * (seed % 2), faults=30.0)
     assert world.leadership_count > 1
 
 
