--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -207,7 +207,7 @@
 
 
 def test_membership_table_is_bounded_and_absent_members_make_room() -> None:
-    protocol = GossipFleet(1, 16).all()[GossipFleet.address(0)]
+    protocol = GossipFleet(1, 16).running()[GossipFleet.address(0)]
     for number in range(MAX_MEMBERS + 100):
         record = MemberRecord(f"x{number}", number, 1, "10.1.0.1", 1 + number)
         data = protocol.codec.encode(Packet(record.name, number, "m0", Ping(number, 0, [record])))
@@ -275,7 +275,7 @@
 
 
 def test_incarnations_far_ahead_of_the_wall_clock_are_rejected() -> None:
-    protocol = GossipFleet(1, 19).all()[GossipFleet.address(0)]
+    protocol = GossipFleet(1, 19).running()[GossipFleet.address(0)]
     record = MemberRecord("x", 1, (1 << 52) - 1, "10.1.0.1", 1)
     protocol.receive(1.0, protocol.codec.encode(Packet("x", 1, "m0", Updates([record]))), record.address)
     assert not protocol.members and protocol.counters["from the future"] == 1
