--- a/lugspur/emulator/__main__.py
+++ b/lugspur/emulator/__main__.py
@@ -69,7 +69,7 @@
             "a fifth stopped s | wrong doubts |"
         )
         print("|---|---|---|---|---|---|---|---|---|")
-        for count in members.SIZES:
+        for count in members.FLEET_SIZES:
             print(members.play(count, arguments.seed).row(), flush=True)
         return 0
     if arguments.command in CONTROL_COMMANDS:
--- a/tests/daemon/gossip/test_members.py
+++ b/tests/daemon/gossip/test_members.py
@@ -122,7 +122,7 @@
     fleet = GossipFleet(6, 10)
     fleet.run_until_converged()
     fleet.network.kill(fleet.address(3))
-    fleet.start(3, behind=3600.0)
+    fleet.start(3, clock_lag=3600.0)
     fleet.run_until_converged(CONVERGENCE_SECONDS)
     assert not any(isinstance(event, NameConflict) for event in fleet.running()[fleet.address(3)].take_events())
 
