--- a/lugspur/bench/soak/coordination_callers.py
+++ b/lugspur/bench/soak/coordination_callers.py
@@ -23,8 +23,8 @@
     PutAttempt,
     ReadCell,
     TakenNumber,
-    WatchAnswerSeen,
     WatchedPut,
+    WatchObservation,
 )
 
 TRY_SECONDS = 1.0  # of silence, after which another node is called
@@ -253,7 +253,7 @@
                 elif answer is not None and answer.status == 200:
                     puts = [WatchedPut(e["name"], e["value"], e["revision"]) for e in answer.body["events"]]
                     revision = int(answer.body["revision"])
-                    self.history.watch_answers.append(WatchAnswerSeen(GROUP, after, revision, puts, answer.sent, now))
+                    self.history.watch_answers.append(WatchObservation(GROUP, after, revision, puts, answer.sent, now))
                     after, given_at = revision, now
                 await asyncio.sleep(0.02 if after else RETRY_SECONDS)
         finally:
--- a/lugspur/emulator/coordination/history.py
+++ b/lugspur/emulator/coordination/history.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class WatchAnswerSeen:
+class WatchObservation:
     """One answer of a watch: all puts above `after` and up to `revision`."""
 
     group: str
@@ -91,5 +91,5 @@
     puts: list[PutAttempt] = field(default_factory=list)
     reads: list[ReadCell] = field(default_factory=list)
     mismatches: list[Mismatch] = field(default_factory=list)
-    watch_answers: list[WatchAnswerSeen] = field(default_factory=list)
+    watch_answers: list[WatchObservation] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # what is wrong by one answer alone
