--- a/lugspur/bench/soak/coordination_callers.py
+++ b/lugspur/bench/soak/coordination_callers.py
@@ -253,7 +253,9 @@
                 elif answer is not None and answer.status == 200:
                     puts = [WatchedPut(e["name"], e["value"], e["revision"]) for e in answer.body["events"]]
                     revision = int(answer.body["revision"])
-                    self.history.watch_answers.append(WatchObservation(GROUP, after, revision, puts, answer.sent, now))
+                    self.history.watch_observations.append(
+                        WatchObservation(GROUP, after, revision, puts, answer.sent, now)
+                    )
                     after, given_at = revision, now
                 await asyncio.sleep(0.02 if after else RETRY_SECONDS)
         finally:
@@ -299,5 +301,5 @@
             "puts acknowledged": sum(put.revision > 0 for put in history.puts),
             "puts unclear": sum(put.is_unclear and not put.revision for put in history.puts),
             "key reads": len(history.reads),
-            "puts watched": sum(len(answer.puts) for answer in history.watch_answers),
+            "puts watched": sum(len(answer.puts) for answer in history.watch_observations),
         }
--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -261,7 +261,7 @@
     def _begun(self, result: records.Result | None, sent: float) -> None:
         now = self._world.clock.now
         if isinstance(result, records.GroupRevision):
-            self._world.history.watch_answers.append(WatchObservation(GROUP, 0, result.revision, [], sent, now))
+            self._world.history.watch_observations.append(WatchObservation(GROUP, 0, result.revision, [], sent, now))
             self.revision, self._given_at = result.revision, now
         self._world.clock.call_at(now + 0.05, self._begin if self.revision == 0 else self._watch)
 
@@ -307,7 +307,7 @@
         now = self._world.clock.now
         puts = [WatchedPut(put.name, put.value, put.revision) for put in answer.puts]
         seen = WatchObservation(GROUP, self.revision, answer.revision, puts, sent, now)
-        self._world.history.watch_answers.append(seen)
+        self._world.history.watch_observations.append(seen)
         self.revision, self._given_at = answer.revision, now
         self._number += 1
         self._world.clock.call_at(now + self._world.rng.uniform(0.0, 0.1), self._watch)
--- a/lugspur/emulator/coordination/checker.py
+++ b/lugspur/emulator/coordination/checker.py
@@ -92,7 +92,7 @@
     """Key, value and revision wherever they were shown."""
     found = [(put.key, put.value, put.revision) for put in history.puts if put.revision]
     found += [(read.key, read.value, read.revision) for read in history.reads if read.revision]
-    found += [(put.key, put.value, put.revision) for answer in history.watch_answers for put in answer.puts]
+    found += [(put.key, put.value, put.revision) for answer in history.watch_observations for put in answer.puts]
     return found
 
 
@@ -173,7 +173,7 @@
     for put in history.puts:
         if put.revision:
             acknowledged[group_of(put.key)].append(put)
-    for answer in history.watch_answers:
+    for answer in history.watch_observations:
         revisions = [put.revision for put in answer.puts]
         if any(a >= b for a, b in pairwise([answer.after, *revisions])) or (
             revisions and revisions[-1] > answer.revision
--- a/lugspur/emulator/coordination/histories.py
+++ b/lugspur/emulator/coordination/histories.py
@@ -40,7 +40,7 @@
         unclear=sum(put.is_unclear for put in history.puts),
         mismatches=len(history.mismatches),
         reads=len(history.reads),
-        watched=sum(len(seen.puts) for seen in history.watch_answers),
+        watched=sum(len(seen.puts) for seen in history.watch_observations),
         epochs=world.membership.epoch,
     )
     return Played(seed, found, counts, world.faults)
--- a/lugspur/emulator/coordination/history.py
+++ b/lugspur/emulator/coordination/history.py
@@ -91,5 +91,5 @@
     puts: list[PutAttempt] = field(default_factory=list)
     reads: list[ReadCell] = field(default_factory=list)
     mismatches: list[Mismatch] = field(default_factory=list)
-    watch_answers: list[WatchObservation] = field(default_factory=list)
+    watch_observations: list[WatchObservation] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # what is wrong by one answer alone
--- a/tests/emulator/test_coordination_model.py
+++ b/tests/emulator/test_coordination_model.py
@@ -106,10 +106,14 @@
 def test_the_checker_finds_gaps_and_wrong_order_in_watch_responses() -> None:
     puts = [put("g.a", "1", 1, 0.0, 0.1), put("g.b", "2", 2, 0.2, 0.3), put("g.a", "3", 3, 0.4, 0.5)]
     events = [WatchedPut("g.a", "1", 1), WatchedPut("g.b", "2", 2), WatchedPut("g.a", "3", 3)]
-    assert not violations(History(puts=puts, watch_answers=[WatchObservation("g.", 1, 3, events[1:], 0.6, 0.7)]))
-    assert_breaks_rule("ORDER", History(puts=puts, watch_answers=[WatchObservation("g.", 1, 3, events[2:], 0.6, 0.7)]))
+    assert not violations(History(puts=puts, watch_observations=[WatchObservation("g.", 1, 3, events[1:], 0.6, 0.7)]))
     assert_breaks_rule(
-        "ORDER", History(puts=puts, watch_answers=[WatchObservation("g.", 1, 3, events[:0:-1], 0.6, 0.7)])
+        "ORDER", History(puts=puts, watch_observations=[WatchObservation("g.", 1, 3, events[2:], 0.6, 0.7)])
     )
-    assert_breaks_rule("ORDER", History(puts=puts, watch_answers=[WatchObservation("g.", 1, 2, events[1:], 0.6, 0.7)]))
-    assert_breaks_rule("STALE", History(puts=puts, watch_answers=[WatchObservation("g.", 0, 2, [], 0.6, 0.7)]))
+    assert_breaks_rule(
+        "ORDER", History(puts=puts, watch_observations=[WatchObservation("g.", 1, 3, events[:0:-1], 0.6, 0.7)])
+    )
+    assert_breaks_rule(
+        "ORDER", History(puts=puts, watch_observations=[WatchObservation("g.", 1, 2, events[1:], 0.6, 0.7)])
+    )
+    assert_breaks_rule("STALE", History(puts=puts, watch_observations=[WatchObservation("g.", 0, 2, [], 0.6, 0.7)]))
