--- a/lugspur/bench/soak/coordination_callers.py
+++ b/lugspur/bench/soak/coordination_callers.py
@@ -18,11 +18,11 @@
 from lugspur.emulator.coordination.checker import violations
 from lugspur.emulator.coordination.history import (
     History,
+    IssuedNumber,
     LockTenure,
     Mismatch,
     PutAttempt,
     ReadCell,
-    TakenNumber,
     WatchedPut,
     WatchObservation,
 )
@@ -192,7 +192,7 @@
         answer = await application.call("POST", f"/numbers/{name}", {}, seconds)
         if answer is not None and answer.status == 200:
             value = int(answer.body["value"])
-            self.history.numbers.append(TakenNumber(name, value, answer.sent, time.monotonic()))
+            self.history.numbers.append(IssuedNumber(name, value, answer.sent, time.monotonic()))
         return answer is not None
 
     async def use_keys(self, name: str) -> None:
--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -13,11 +13,11 @@
 from lugspur.emulator.clock import Clock
 from lugspur.emulator.coordination.history import (
     History,
+    IssuedNumber,
     LockTenure,
     Mismatch,
     PutAttempt,
     ReadCell,
-    TakenNumber,
     WatchedPut,
     WatchObservation,
 )
@@ -177,7 +177,7 @@
     def _taken(self, name: str, result: records.Result | None, sent: float) -> None:
         now = self._world.clock.now
         if isinstance(result, records.NumberIssued):
-            self._world.history.numbers.append(TakenNumber(name, result.value, sent, now))
+            self._world.history.numbers.append(IssuedNumber(name, result.value, sent, now))
         if self._world.is_open:
             self._world.clock.call_at(now + self._world.rng.uniform(0.02, 0.3), self._take)
 
--- a/lugspur/emulator/coordination/checker.py
+++ b/lugspur/emulator/coordination/checker.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from itertools import pairwise
 
-from lugspur.emulator.coordination.history import History, LockTenure, PutAttempt, TakenNumber
+from lugspur.emulator.coordination.history import History, IssuedNumber, LockTenure, PutAttempt
 
 
 def violations(history: History) -> list[str]:
@@ -62,8 +62,8 @@
 # ---- numbers ---------------------------------------------------------------------------------
 
 
-def _number_violations(numbers: list[TakenNumber]) -> Iterator[str]:
-    by_name: dict[str, list[TakenNumber]] = defaultdict(list)
+def _number_violations(numbers: list[IssuedNumber]) -> Iterator[str]:
+    by_name: dict[str, list[IssuedNumber]] = defaultdict(list)
     for number in numbers:
         by_name[number.name].append(number)
     for name, found in by_name.items():
--- a/lugspur/emulator/coordination/history.py
+++ b/lugspur/emulator/coordination/history.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class TakenNumber:
+class IssuedNumber:
     """A number that was given."""
 
     name: str
@@ -87,7 +87,7 @@
     """All that the applications of one world saw."""
 
     tenures: list[LockTenure] = field(default_factory=list)
-    numbers: list[TakenNumber] = field(default_factory=list)
+    numbers: list[IssuedNumber] = field(default_factory=list)
     puts: list[PutAttempt] = field(default_factory=list)
     reads: list[ReadCell] = field(default_factory=list)
     mismatches: list[Mismatch] = field(default_factory=list)
--- a/lugspur/emulator/coordination/world.py
+++ b/lugspur/emulator/coordination/world.py
@@ -23,7 +23,7 @@
     Watcher,
 )
 from lugspur.emulator.coordination.checker import violations
-from lugspur.emulator.coordination.history import History, ReadCell, TakenNumber
+from lugspur.emulator.coordination.history import History, IssuedNumber, ReadCell
 from lugspur.emulator.coordination.network import Connection, Network
 from lugspur.emulator.coordination.node import HISTORY_SECONDS, ModelNode
 from lugspur.mesh.control.membership_entry import membership_entry
@@ -142,7 +142,7 @@
             elif isinstance(command, records.ReadCell) and isinstance(result, records.CellMissing):
                 self.history.reads.append(ReadCell(command.name, "", 0, sent, now))
             elif isinstance(result, records.NumberIssued) and isinstance(command, records.IssueNumber):
-                self.history.numbers.append(TakenNumber(command.name, result.value, sent, now))
+                self.history.numbers.append(IssuedNumber(command.name, result.value, sent, now))
             elif isinstance(result, records.LockDenied):  # until its time is over
                 self.clock.call_at(now + 0.2, partial(self._last_call, command, waiting))
                 return
--- a/tests/emulator/test_coordination_model.py
+++ b/tests/emulator/test_coordination_model.py
@@ -14,11 +14,11 @@
 from lugspur.emulator.coordination.histories import play
 from lugspur.emulator.coordination.history import (
     History,
+    IssuedNumber,
     LockTenure,
     Mismatch,
     PutAttempt,
     ReadCell,
-    TakenNumber,
     WatchedPut,
     WatchObservation,
 )
@@ -76,9 +76,9 @@
 
 
 def test_the_checker_finds_decreasing_or_repeated_numbers() -> None:
-    assert_breaks_rule("ORDER", History(numbers=[TakenNumber("n", 2, 0.0, 0.1), TakenNumber("n", 1, 0.2, 0.3)]))
-    assert_breaks_rule("ORDER", History(numbers=[TakenNumber("n", 2, 0.0, 0.3), TakenNumber("n", 2, 0.1, 0.2)]))
-    assert not violations(History(numbers=[TakenNumber("n", 2, 0.0, 0.3), TakenNumber("n", 1, 0.1, 0.2)]))
+    assert_breaks_rule("ORDER", History(numbers=[IssuedNumber("n", 2, 0.0, 0.1), IssuedNumber("n", 1, 0.2, 0.3)]))
+    assert_breaks_rule("ORDER", History(numbers=[IssuedNumber("n", 2, 0.0, 0.3), IssuedNumber("n", 2, 0.1, 0.2)]))
+    assert not violations(History(numbers=[IssuedNumber("n", 2, 0.0, 0.3), IssuedNumber("n", 1, 0.1, 0.2)]))
 
 
 def test_the_checker_finds_wrong_revisions_and_values() -> None:
