--- a/lugspur/bench/soak/coordination_callers.py
+++ b/lugspur/bench/soak/coordination_callers.py
@@ -248,7 +248,7 @@
                 now = time.monotonic()
                 if answer is not None and answer.status == 410:
                     if now - given_at < HISTORY_SECONDS:
-                        self.history.faults.append(f"LOST: puts above {after} are forgotten")
+                        self.history.violations.append(f"LOST: puts above {after} are forgotten")
                     after = 0
                 elif answer is not None and answer.status == 200:
                     puts = [WatchedPut(e["name"], e["value"], e["revision"]) for e in answer.body["events"]]
--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -220,7 +220,7 @@
         now, history = self._world.clock.now, self._world.history
         if isinstance(result, records.CellWritten):
             if put.revision and put.revision != result.revision:
-                history.faults.append(f"MIXED: {put.value} got revision {result.revision} after {put.revision}")
+                history.violations.append(f"MIXED: {put.value} got revision {result.revision} after {put.revision}")
             if not put.revision:
                 put.revision, put.received = result.revision, now
             self._known[put.key] = result.revision
@@ -296,7 +296,7 @@
 
     def _gone(self, number: int) -> None:
         if self._world.clock.now - self._given_at < self._history_seconds:
-            self._world.history.faults.append(f"LOST: puts above {self.revision} are forgotten")
+            self._world.history.violations.append(f"LOST: puts above {self.revision} are forgotten")
         self.revision = 0
         self._number += 1
         self._begin()
--- a/lugspur/emulator/coordination/checker.py
+++ b/lugspur/emulator/coordination/checker.py
@@ -16,7 +16,7 @@
 def violations(history: History) -> list[str]:
     """What is wrong with a history, one line each; empty: nothing."""
     return [
-        *history.faults,
+        *history.violations,
         *_lock_violations(history.tenures),
         *_number_violations(history.numbers),
         *_key_violations(history),
--- a/lugspur/emulator/coordination/history.py
+++ b/lugspur/emulator/coordination/history.py
@@ -92,4 +92,4 @@
     reads: list[ReadCell] = field(default_factory=list)
     mismatches: list[Mismatch] = field(default_factory=list)
     watch_observations: list[WatchObservation] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # what is wrong by one answer alone
+    violations: list[str] = field(default_factory=list)  # what is wrong by one answer alone
