--- a/lugspur/emulator/coordination/__init__.py
+++ b/lugspur/emulator/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""A model of coordination: the decisions that run in service, in virtual time, under drawn faults."""
+"""A model of the coordination service: the production code runs in virtual time under random faults."""
--- a/lugspur/emulator/coordination/disk.py
+++ b/lugspur/emulator/coordination/disk.py
@@ -1,4 +1,4 @@
-"""A disk of the model: two environments, each written in groups; a loss of power takes what is not synced."""
+"""The disk of a simulated node: two environments, each written in groups; a power loss drops all unsynced rows."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lugspur.mesh.control.effects import Rows
 
 MIN_SYNC_SECONDS, MAX_SYNC_SECONDS = 0.001, 0.006
-LAZY_SECONDS = 0.1  # for which rows that nobody waits for may wait
+LAZY_WRITE_SECONDS = 0.1  # delay after which rows without a callback are written at the latest
 
 
 @dataclass(slots=True)
@@ -20,44 +20,47 @@
 
 
 class Environment:
-    """Rows by key; groups of writes are synced one after the other."""
+    """Rows by key; groups of writes are synced one after another."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self._clock, self._rng = clock, rng
-        self.rows: dict[bytes, bytes] = {}  # what is on disk
+        self.rows: dict[bytes, bytes] = {}  # the synced rows
         self._pending = _Group()
         self._syncing: _Group | None = None
-        self._run = 0  # rises with each loss: callbacks of earlier runs are never called
+        self._generation = 0  # increases with each power loss; callbacks of earlier generations are never called
         self.stalled_until = 0.0
 
     def write(self, rows: Rows, on_synced: Callable[[], None] | None) -> None:
-        """Write rows with all others that are pending; without a callback they may wait for a while."""
+        """Write rows together with all pending ones; rows without a callback are written after a delay."""
         self._pending.rows += rows
         if on_synced is not None:
             self._pending.callbacks.append(on_synced)
-            self._begin()
+            self._begin_sync()
         else:
-            run = self._run
-            self._clock.call_at(self._clock.now + LAZY_SECONDS, lambda: self._begin() if run == self._run else None)
+            generation = self._generation
+            self._clock.call_at(
+                self._clock.now + LAZY_WRITE_SECONDS,
+                lambda: self._begin_sync() if generation == self._generation else None,
+            )
 
-    def _begin(self) -> None:
+    def _begin_sync(self) -> None:
         if self._syncing is not None or not (self._pending.rows or self._pending.callbacks):
             return
         self._syncing, self._pending = self._pending, _Group()
-        run = self._run
+        generation = self._generation
         begin = max(self._clock.now, self.stalled_until)
         duration = self._rng.uniform(MIN_SYNC_SECONDS, MAX_SYNC_SECONDS)
-        self._clock.call_at(begin + duration, lambda: self._synced(run))
+        self._clock.call_at(begin + duration, lambda: self._synced(generation))
 
-    def _synced(self, run: int) -> None:
+    def _synced(self, generation: int) -> None:
         group = self._syncing
-        if run != self._run or group is None:
+        if generation != self._generation or group is None:
             return
         self._store(group)
         self._syncing = None
         for callback in group.callbacks:
             callback()
-        self._begin()
+        self._begin_sync()
 
     def _store(self, group: _Group) -> None:
         for key, value in group.rows:
@@ -67,13 +70,13 @@
                 self.rows[key] = value
 
     def lose_power(self) -> None:
-        """Lose what is not synced; a group that is being synced may be there or not."""
-        self._run += 1
+        """Drop all unsynced rows; a group that is being synced is either stored completely or dropped."""
+        self._generation += 1
         if self._syncing is not None and self._rng.random() < 0.5:
             self._store(self._syncing)
         self._syncing, self._pending = None, _Group()
 
     def wipe(self) -> None:
-        """Lose everything."""
+        """Drop all rows, including the synced ones."""
         self.lose_power()
         self.rows.clear()
--- a/lugspur/emulator/coordination/history.py
+++ b/lugspur/emulator/coordination/history.py
@@ -1,4 +1,4 @@
-"""What applications saw, and when: the input of the checker. All times are those of the world."""
+"""The observations of the applications, which the checker reads. All times are those of the simulation's clock."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @dataclass(slots=True)
 class LockTenure:
-    """A span in which a caller counted itself the holder of a lock."""
+    """A time span in which a caller considered itself the holder of a lock."""
 
     lock: str
     holder: str
-    fence: int
-    sent: float  # when the call was sent that got the fence
-    began: float  # when its answer came
-    ended: float
+    fence: int  # fencing token
+    sent: float  # time at which the call that acquired the lock was sent
+    began: float  # time at which its response was received
+    ended: float  # time at which the caller released the lock or its hold time expired
 
 
 @dataclass(slots=True)
 class IssuedNumber:
-    """A number that was given."""
+    """A number that was issued."""
 
     name: str
     value: int
@@ -29,20 +29,20 @@
 
 @dataclass(slots=True)
 class PutAttempt:
-    """One value that was put, in one or several tries."""
+    """A put of one value, in one or several attempts."""
 
     key: str
     value: str
     expected: int | None
     first_sent: float
-    received: float = 0.0  # when it was acknowledged
-    revision: int = 0  # 0: it was not acknowledged
-    is_unclear: bool = False  # whether any try had no clear answer
+    received: float = 0.0  # time at which the acknowledgement was received
+    revision: int = 0  # 0 if the put was not acknowledged
+    is_unclear: bool = False  # whether the result of any attempt is unknown
 
 
 @dataclass(slots=True)
 class ReadCell:
-    """A read of a key; revision 0: it was not there."""
+    """A read of a key; the revision is 0 if the key did not exist."""
 
     key: str
     value: str
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class Mismatch:
-    """A put was refused since the key has another revision."""
+    """A put that was rejected because the key has another revision."""
 
     key: str
     revision: int
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class WatchedPut:
-    """One event of a watch."""
+    """A put that a watch response contains."""
 
     key: str
     value: str
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class WatchObservation:
-    """One answer of a watch: all puts above `after` and up to `revision`."""
+    """One watch response: all puts above the revision `after` and up to `revision`."""
 
     group: str
     after: int
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All that the applications of one world saw."""
+    """All observations of the applications of one simulation."""
 
     tenures: list[LockTenure] = field(default_factory=list)
     numbers: list[IssuedNumber] = field(default_factory=list)
@@ -92,4 +92,4 @@
     reads: list[ReadCell] = field(default_factory=list)
     mismatches: list[Mismatch] = field(default_factory=list)
     watch_observations: list[WatchObservation] = field(default_factory=list)
-    violations: list[str] = field(default_factory=list)  # what is wrong by one answer alone
+    violations: list[str] = field(default_factory=list)  # violations that a single response shows
--- a/lugspur/emulator/coordination/network.py
+++ b/lugspur/emulator/coordination/network.py
@@ -1,4 +1,4 @@
-"""Connections between the nodes of the model: in order, with delays, cuts that say nothing, and ends."""
+"""Connections between simulated nodes: messages arrive in order and delayed; partitions are silent at first."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 from lugspur.mesh.control.messages import Message
 
 MIN_DELAY_SECONDS, MAX_DELAY_SECONDS = 0.0005, 0.004
-LONG_DELAY_SECONDS = 1.4  # of a message now and then, and of all behind it on its connection
-LONG_DELAY_CHANCE = 0.002
-SILENCE_SECONDS = 1.5  # after which a connection over a cut is dead
+LONG_DELAY_SECONDS = 1.4  # upper bound of a rare extra delay of a message, which also delays all messages behind it
+LONG_DELAY_CHANCE = 0.002  # probability of that delay for each message
+SILENCE_SECONDS = 1.5  # silence after which the ends of a partitioned connection consider it dead
 
 
 @dataclass(eq=False)
 class Connection:
-    """A connection that one node has dialled to another."""
+    """A connection that one node has opened to another."""
 
     dialler: str
     listener: str
     is_open: bool = True
-    last_delivery: dict[str, float] = field(default_factory=dict)  # by receiver
-    held: list[Callable[[], None]] = field(default_factory=list)  # sent during a cut
+    last_delivery: dict[str, float] = field(default_factory=dict)  # time of the last delivery, by receiver
+    undelivered: list[Callable[[], None]] = field(
+        default_factory=list
+    )  # deliveries that wait for the end of a partition
 
 
 class Network:
-    """All connections and cuts of one world."""
+    """All connections and partitions of one simulation."""
 
     def __init__(self, clock: Clock, rng: Random) -> None:
         self._clock, self._rng = clock, rng
@@ -35,11 +37,11 @@
         self._cuts: set[frozenset[str]] = set()
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether nothing passes between two nodes."""
+        """Return whether two nodes are partitioned from each other."""
         return frozenset((one, other)) in self._cuts
 
     def send(self, connection: Connection, receiver: str, message: Message, deliver: Callable[[Message], None]) -> None:
-        """Have a message delivered, after all that was sent that way before."""
+        """Deliver a message after a delay, in order with all earlier messages to the same receiver."""
         if not connection.is_open:
             return
         delay = self._rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
@@ -52,14 +54,14 @@
             if not connection.is_open:
                 return
             if self.is_cut(connection.dialler, connection.listener):
-                connection.held.append(lambda: deliver(message))
+                connection.undelivered.append(lambda: deliver(message))
             else:
                 deliver(message)
 
         self._clock.call_at(when, arrive)
 
     def cut(self, one: str, other: str, seconds: float, on_dead: Callable[[Connection], None]) -> None:
-        """Let nothing pass between two nodes for a while; connections that last that long are dead."""
+        """Partition two nodes for a while; `on_dead` is called for their connections if the silence lasts too long."""
         pair = frozenset((one, other))
         if pair in self._cuts:
             return
@@ -73,13 +75,13 @@
     def _heal(self, pair: frozenset[str], affected: list[Connection]) -> None:
         self._cuts.discard(pair)
         for connection in affected:
-            held, connection.held = connection.held, []
-            for deliver in held:
+            undelivered, connection.undelivered = connection.undelivered, []
+            for deliver in undelivered:
                 if connection.is_open:
                     deliver()
 
     def close(self, connection: Connection) -> None:
-        """End a connection; what is under way on it is lost."""
+        """Close a connection; messages in transit on it are lost."""
         connection.is_open = False
         if connection in self.connections:
             self.connections.remove(connection)
