--- a/lugspur/emulator/coordination/guards.py
+++ b/lugspur/emulator/coordination/guards.py
@@ -1,4 +1,4 @@
-"""Each guard of coordination taken out in turn: how many histories it takes until the checker finds what it is for."""
+"""Mutation testing of the coordination: disables one guard at a time, and counts the histories until a violation."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from lugspur.mesh.coordination.state import CoordinationState
 from lugspur.mesh.coordination.voter_catch_up import VoterCatchUp
 
-MAX_HISTORIES = 1200  # until a guard counts as missed
+MAX_HISTORIES = 1200  # histories after which the removal of a guard counts as undetected
 
 _prepare, _accept, _may_grant = (
     CoordinationAcceptor.prepare,
@@ -38,7 +38,7 @@
 _load, _apply_lock = CoordinationState._load, CoordinationState._apply_lock
 
 
-# ---- the wrong ways ----------------------------------------------------------------------------
+# ---- mutations ---------------------------------------------------------------------------------
 
 
 def promise_in_memory(self: CoordinationAcceptor, peer: Peer, message: CoordinationPrepare) -> Effects:
@@ -95,7 +95,7 @@
 
 
 def requeue_doubtful(self: CoordinationProposer) -> None:
-    """Run again what may have been decided."""
+    """Run commands again that may have been decided."""
     batch, self._batch = self._batch, None
     _step_down(self)
     if batch is not None:
@@ -123,7 +123,7 @@
 
 
 def apply_short_lock(self: CoordinationState, now: float, record: Any) -> None:
-    """Count a lock from when its holder may have asked for it, which no replica knows."""
+    """Start a lock's hold time at the time at which its holder may have requested it, which no replica knows."""
     _apply_lock(self, now - 0.3, record)
 
 
@@ -135,7 +135,7 @@
 
 
 def lead_behind(self: CoordinationProposer, now: float) -> Effects:
-    """Lead without what the voters know as decided."""
+    """Become leader without the commands that the voters know to be decided."""
     candidacy = self._candidacy
     if candidacy is not None:
         for promise in candidacy.promises.values():
@@ -151,12 +151,12 @@
 
 @dataclass(frozen=True)
 class Guard:
-    """A guard, and what stands in its world where it is taken out."""
+    """A guard: the attribute of the owner that implements it, and the mutation that replaces the attribute."""
 
-    words: str
+    description: str
     owner: Any
     name: str
-    wrong: Any
+    mutation: Any
 
 
 GUARDS = (
@@ -204,45 +204,47 @@
 
 
 @contextmanager
-def taken_out(guard: Guard) -> Iterator[None]:
-    """Go without a guard for a while."""
-    right = getattr(guard.owner, guard.name)
-    setattr(guard.owner, guard.name, guard.wrong)
+def disabled(guard: Guard) -> Iterator[None]:
+    """Replace a guard by its mutation within a context."""
+    original = getattr(guard.owner, guard.name)
+    setattr(guard.owner, guard.name, guard.mutation)
     try:
         yield
     finally:
-        setattr(guard.owner, guard.name, right)
+        setattr(guard.owner, guard.name, original)
 
 
 @dataclass(slots=True)
-class Catch:
-    """How a guard was missed: after how many histories, and what was found; nothing: it was not."""
+class Detection:
+    """The number of histories until the removal of a guard was detected, and the violation; empty if undetected."""
 
     guard: str
     histories: int
-    found: str
+    violation: str
 
 
-def catch(number: int, most: int = MAX_HISTORIES) -> Catch:
-    """Play without a guard until something is found."""
+def detect(number: int, max_histories: int = MAX_HISTORIES) -> Detection:
+    """Simulate histories without a guard until one has a violation."""
     guard = GUARDS[number]
-    with taken_out(guard):
-        for seed in range(most):
+    with disabled(guard):
+        for seed in range(max_histories):
             try:
-                found = play(seed).violations
-            except Exception as fault:  # a state that no sound run reaches
-                found = [f"{type(fault).__name__}: {fault}"]
-            if found:
-                return Catch(guard.words, seed + 1, found[0])
-    return Catch(guard.words, most, "")
+                violations = play(seed).violations
+            except Exception as error:  # the code reached a state that is impossible with the guard
+                violations = [f"{type(error).__name__}: {error}"]
+            if violations:
+                return Detection(guard.description, seed + 1, violations[0])
+    return Detection(guard.description, max_histories, "")
 
 
-def show(jobs: int, catch_one: Callable[[int], Catch] = catch) -> int:
-    """Take out all guards and print the table; returns the exit status, 1 where one was not missed."""
+def show(jobs: int, detect_one: Callable[[int], Detection] = detect) -> int:
+    """Disable each guard and print the table; returns the exit status, 1 if the removal of a guard was undetected."""
     print("| guard | histories | found |\n|---|---|---|")
-    missed = 0
+    undetected_count = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for found in pool.map(catch_one, range(len(GUARDS))):
-            missed += not found.found
-            print(f"| {found.guard} | {found.histories} | {found.found[:110] or 'NOTHING'} |", flush=True)
-    return 1 if missed else 0
+        for detection in pool.map(detect_one, range(len(GUARDS))):
+            undetected_count += not detection.violation
+            print(
+                f"| {detection.guard} | {detection.histories} | {detection.violation[:110] or 'NOTHING'} |", flush=True
+            )
+    return 1 if undetected_count else 0
--- a/tests/emulator/test_coordination_model.py
+++ b/tests/emulator/test_coordination_model.py
@@ -39,11 +39,13 @@
     assert result.counts["puts"] > 20 and result.counts["numbers"] > 10 and result.faults
 
 
-@pytest.mark.parametrize("guard", [guard for guard in GUARDS if guard.words in QUICKLY_DETECTED], ids=lambda g: g.words)
+@pytest.mark.parametrize(
+    "guard", [guard for guard in GUARDS if guard.description in QUICKLY_DETECTED], ids=lambda g: g.description
+)
 def test_a_missing_guard_is_detected(guard: Guard) -> None:
-    found = guards.catch(GUARDS.index(guard), most=20)
+    found = guards.detect(GUARDS.index(guard), max_histories=20)
     invariants.violations.clear()  # the missing guard violates invariants on purpose
-    assert found.found, found.guard
+    assert found.violation, found.guard
 
 
 def assert_breaks_rule(rule: str, history: History) -> None:
