--- a/lugspur/emulator/coordination/applications.py
+++ b/lugspur/emulator/coordination/applications.py
@@ -288,7 +288,7 @@
         watch = Watch(
             GROUP,
             self.revision,
-            node.steady() + 0.7,
+            node.monotonic() + 0.7,
             on_response=lambda response: self._on_response(number, sent, response),
             on_deadline=lambda: self._timed_out(number),
             on_failure=lambda error: self._timed_out(number),
--- a/lugspur/emulator/coordination/world.py
+++ b/lugspur/emulator/coordination/world.py
@@ -1,7 +1,8 @@
-"""A world of the model: nodes, applications, and drawn faults; its voters change as a register decides.
+"""A simulation of the coordination: nodes, applications and random faults, with changes of the voters.
 
-Changes of the voters go through the replicas' own registers: a majority accepts, then each learns of the decision, some
-much later. What is drawn stays within what may be lost at once: disks go only while all other voters are complete.
+Changes of the voters go through the registers of the replicas: a majority accepts, then each replica learns of the
+decision, some much later. The random faults stay within the losses that the protocol tolerates: voters lose their disks
+only while all other voters are complete.
 """
 
 from __future__ import annotations
@@ -32,15 +33,15 @@
 from lugspur.mesh.control.quorum import majority
 from lugspur.mesh.control.replica import GENESIS
 
-BEGIN_SECONDS = 1.0  # until applications begin
-FAULT_SECONDS = 7.0  # for which faults begin
-QUIET_SECONDS = 1.0  # from the end of the last fault until the last calls
-LAST_CALL_SECONDS = 8.0  # within which these have to be answered
-LEARN_SECONDS = 0.2  # between two looks at whether a node lacks a decision about the voters
+START_UP_SECONDS = 1.0  # time before the applications and the faults begin
+FAULT_SECONDS = 7.0  # time during which new faults begin
+QUIET_SECONDS = 1.0  # time between the end of the last fault and the final calls
+FINAL_CALL_SECONDS = 8.0  # time within which the final calls need a response
+LEARN_SECONDS = 0.2  # interval between checks whether a node lacks a decision about the voters
 
 
 class World:
-    """One history, drawn by a seed."""
+    """One random history; the same seed gives the same history."""
 
     def __init__(self, seed: int, voters: int = 3, spares: int = 1) -> None:
         self.clock = Clock()
@@ -61,22 +62,22 @@
         self.is_open = True
         self._watchers: list[Watcher] = []
 
-    # ---- what nodes and applications need ------------------------------------------------------
+    # ---- interface for nodes and applications --------------------------------------------------
 
     def node(self, ip: str) -> ModelNode:
-        """The node with an IP number."""
+        """Return the node with an IP address."""
         return self._nodes[ip]
 
     def mesh_seeds(self) -> list[str]:
-        """The IP numbers of the first voters."""
+        """Return the IP addresses of the first voters."""
         return list(self._nodes)[: self._voter_count]
 
     def any_node(self) -> ModelNode:
-        """A node that applications know of; it may be down."""
+        """Return a node that applications know of; it may be down."""
         return self.rng.choice(list(self._nodes.values()))
 
     def reaches_majority(self, node: ModelNode) -> bool:
-        """Whether a node can reach more than half of the voters that it knows of."""
+        """Return whether a node can reach more than half of the voters that it knows of."""
         replica = node.replica
         if replica is None or replica.membership is None:
             return False
@@ -90,26 +91,26 @@
     # ---- the whole history -------------------------------------------------------------------
 
     def play(self) -> list[str]:
-        """Play the history; returns what is wrong, one line each."""
+        """Simulate the history; returns the violations, one line each."""
         seeds = set(self.mesh_seeds())
         for ip, node in self._nodes.items():
             node.start(is_first_start=ip in seeds)
         self._learn_all()
-        self.clock.call_at(BEGIN_SECONDS, self._begin_applications)
-        end = BEGIN_SECONDS + FAULT_SECONDS
-        when = BEGIN_SECONDS
+        self.clock.call_at(START_UP_SECONDS, self._start_applications)
+        end = START_UP_SECONDS + FAULT_SECONDS
+        when = START_UP_SECONDS
         while (when := when + self.rng.uniform(0.2, 1.6)) < end:
             self.clock.call_at(when, self._fault)
         self.clock.run_until(end)
         self._restart_all()
-        self.clock.run_until(end + 4.5 + QUIET_SECONDS)  # the longest fault, and a moment
+        self.clock.run_until(end + 4.5 + QUIET_SECONDS)  # 4.5 s exceeds the longest fault
         self.is_open = False
         self._restart_all()
-        unanswered = self._last_calls()
-        self.clock.run_until(self.clock.now + LAST_CALL_SECONDS)
-        return [*violations(self.history), *(f"LOST: no answer to {call}" for call in sorted(unanswered))]
+        unanswered = self._send_final_calls()
+        self.clock.run_until(self.clock.now + FINAL_CALL_SECONDS)
+        return [*violations(self.history), *(f"LOST: no response to {call}" for call in sorted(unanswered))]
 
-    def _begin_applications(self) -> None:
+    def _start_applications(self) -> None:
         for n in range(3):
             LockUser(self, f"h{n}")
         NumberUser(self)
@@ -118,24 +119,24 @@
             KeyUser(self, f"w{n}")
         self._watchers = [Watcher(self, HISTORY_SECONDS) for _ in range(2)]
 
-    def _last_calls(self) -> set[str]:
-        """Read back what was acknowledged; returns the calls that wait for their answer."""
-        waiting: set[str] = set()
+    def _send_final_calls(self) -> set[str]:
+        """Send the final calls, which read back acknowledged values; returns the set of calls without a response."""
+        pending: set[str] = set()
         commands: list[records.Command] = [records.ReadCell(key) for key in KEYS]
         commands += [records.IssueNumber(name) for name in NUMBERS]
         commands += [records.AcquireLock(lock, "last", 100) for lock in LOCKS]
         for command in commands:
-            waiting.add(str(command))
-            self._last_call(command, waiting)
-        return waiting
+            pending.add(str(command))
+            self._send_final_call(command, pending)
+        return pending
 
-    def _last_call(self, command: records.Command, waiting: set[str]) -> None:
-        Call(self, command, self._last_answer(command, waiting), seconds=LAST_CALL_SECONDS)
+    def _send_final_call(self, command: records.Command, pending: set[str]) -> None:
+        Call(self, command, self._final_result_handler(command, pending), seconds=FINAL_CALL_SECONDS)
 
-    def _last_answer(
-        self, command: records.Command, waiting: set[str]
+    def _final_result_handler(
+        self, command: records.Command, pending: set[str]
     ) -> Callable[[records.Result | None, float], None]:
-        def answered(result: records.Result | None, sent: float) -> None:
+        def on_result(result: records.Result | None, sent: float) -> None:
             now = self.clock.now
             if isinstance(command, records.ReadCell) and isinstance(result, records.CellFound):
                 self.history.reads.append(ReadCell(command.name, result.value, result.revision, sent, now))
@@ -143,13 +144,13 @@
                 self.history.reads.append(ReadCell(command.name, "", 0, sent, now))
             elif isinstance(result, records.NumberIssued) and isinstance(command, records.IssueNumber):
                 self.history.numbers.append(IssuedNumber(command.name, result.value, sent, now))
-            elif isinstance(result, records.LockDenied):  # until its time is over
-                self.clock.call_at(now + 0.2, partial(self._last_call, command, waiting))
+            elif isinstance(result, records.LockDenied):  # retry until the hold time of the other holder is over
+                self.clock.call_at(now + 0.2, partial(self._send_final_call, command, pending))
                 return
             if result is not None:
-                waiting.discard(str(command))
+                pending.discard(str(command))
 
-        return answered
+        return on_result
 
     # ---- faults ------------------------------------------------------------------------------
 
@@ -189,20 +190,20 @@
         return True
 
     def _cut(self) -> bool:
-        """Cut one node off from all others."""
+        """Partition one node from all others."""
         node = self.rng.choice(list(self._nodes.values()))
         seconds = self.rng.choice((0.4, 1.2, 2.5, 4.0))
         for other in self._nodes:
             if other != node.ip:
-                self.network.cut(node.ip, other, seconds, self._dead)
+                self.network.cut(node.ip, other, seconds, self._connection_died)
         return True
 
     def _cut_pair(self) -> bool:
         one, other = self.rng.sample(list(self._nodes), 2)
-        self.network.cut(one, other, self.rng.choice((0.4, 2.5, 4.0)), self._dead)
+        self.network.cut(one, other, self.rng.choice((0.4, 2.5, 4.0)), self._connection_died)
         return True
 
-    def _dead(self, connection: Connection) -> None:
+    def _connection_died(self, connection: Connection) -> None:
         self.network.close(connection)
         for ip in (connection.dialler, connection.listener):
             self._nodes[ip].connection_ended(connection)
@@ -214,7 +215,7 @@
         return True
 
     def _power_all(self) -> bool:
-        """All lose power at once."""
+        """Cut the power of all nodes at once."""
         for node in self._nodes.values():
             if node.is_up:
                 node.stop(loses_power=True)
@@ -222,7 +223,7 @@
         return True
 
     def _may_lose_disks(self) -> bool:
-        """Whether all voters have what they need to take over from others."""
+        """Return whether voters may lose disks: no change is in progress, and all voters are complete on disk."""
         if self._is_changing:
             return False
         for voter in self.membership.voters:
@@ -234,14 +235,14 @@
         return True
 
     def _wipe(self) -> bool:
-        """A voter loses its disk, and is replaced by itself with an empty one."""
+        """Wipe the disk of a voter and replace the voter by the same node with an empty disk."""
         if not self._may_lose_disks():
             return False
         self._wipe_voter(self.rng.choice(self.membership.voters))
         return True
 
     def _wipe_and_power(self) -> bool:
-        """As many voters as may lose their disks at the same moment as all others lose power."""
+        """Wipe the disks of a minority of the voters at the moment at which all other nodes lose power."""
         if not self._may_lose_disks():
             return False
         lost = self.rng.sample(self.membership.voters, (len(self.membership.voters) - 1) // 2)
@@ -262,7 +263,7 @@
     # ---- the voters --------------------------------------------------------------------------
 
     def _replace(self) -> bool:
-        """A voter gives its vote to a node that has none."""
+        """Replace a voter by a spare node."""
         voters = {voter.ip for voter in self.membership.voters}
         spares = [ip for ip in self._nodes if ip not in voters]
         if not spares or self._is_changing:
@@ -271,7 +272,7 @@
         return True
 
     def _replace_when_possible(self, voter: Voter, ip: str) -> None:
-        """Propose a change of the voters once there is none under way, and enough of the others are complete."""
+        """Propose a change of the voters once no other change is in progress and enough other voters are complete."""
         successor = self._nodes[ip].replica
         if voter not in self.membership.voters or any(v.ip == ip != voter.ip for v in self.membership.voters):
             return
@@ -279,7 +280,7 @@
             self.clock.call_at(self.clock.now + 0.1, lambda: self._replace_when_possible(voter, ip))
             return
         if successor.voter == voter:
-            return  # it has been replaced already, or has its disk yet
+            return  # the voter has been replaced already, or still has its disk
         others = [other for other in self.membership.voters if other != voter]
         voters = sorted([*others, Voter(ip, successor.voter.uid, "z")], key=lambda v: v.ip)
         after = Membership(self.membership.epoch + 1, voters, self.membership.voters)
@@ -297,7 +298,7 @@
         return complete >= majority(len(self.membership.voters))
 
     def _propose(self, after: Membership, change: Change) -> None:
-        """Have the voters' registers accept a change, again until a majority has."""
+        """Propose a change to the registers of the voters, and repeat this until a majority has accepted it."""
         if self.membership.epoch >= after.epoch:
             return
         self._proposals += 1
@@ -328,7 +329,7 @@
             self._is_changing = False
 
     def _learn_all(self) -> None:
-        """Let each node that can be reached learn, sooner or later, what was decided about the voters."""
+        """Periodically let each reachable node learn the decisions about the voters, after a random delay."""
         self.clock.call_at(self.clock.now + LEARN_SECONDS, self._learn_all)
         for node in self._nodes.values():
             self.clock.call_at(
@@ -341,7 +342,7 @@
         if replica is None or not any(self._reaches(node, o) for o in self._nodes.values() if o is not node):
             return
         while replica.index < len(self._decided):
-            effects = replica.decide(node.steady(), self._decided[replica.index])
+            effects = replica.decide(node.monotonic(), self._decided[replica.index])
             node.configuration.write(effects.write, None)
 
     def _restart_all(self) -> None:
