--- a/lugspur/bench/soak/coordination_callers.py
+++ b/lugspur/bench/soak/coordination_callers.py
@@ -18,13 +18,13 @@
 from lugspur.emulator.coordination.checker import violations
 from lugspur.emulator.coordination.history import (
     History,
+    IssuedNumber,
     LockTenure,
     Mismatch,
     PutAttempt,
     ReadCell,
-    TakenNumber,
-    WatchAnswerSeen,
     WatchedPut,
+    WatchObservation,
 )
 
 # Time without a response after which an attempt ends and another node is called.
@@ -207,7 +207,7 @@
         response = await application.call("POST", f"/numbers/{name}", {}, timeout_seconds)
         if response is not None and response.status == 200:
             value = int(response.body["value"])
-            self.history.numbers.append(TakenNumber(name, value, response.sent_at, time.monotonic()))
+            self.history.numbers.append(IssuedNumber(name, value, response.sent_at, time.monotonic()))
         return response is not None
 
     async def use_keys(self, name: str) -> None:
@@ -263,13 +263,13 @@
                 now = time.monotonic()
                 if response is not None and response.status == 410:
                     if now - last_response_at < WATCH_HISTORY_SECONDS:
-                        self.history.faults.append(f"LOST: puts above {after} are forgotten")
+                        self.history.violations.append(f"LOST: puts above {after} are forgotten")
                     after = 0
                 elif response is not None and response.status == 200:
                     puts = [WatchedPut(e["name"], e["value"], e["revision"]) for e in response.body["events"]]
                     revision = int(response.body["revision"])
-                    self.history.watch_answers.append(
-                        WatchAnswerSeen(GROUP, after, revision, puts, response.sent_at, now)
+                    self.history.watch_observations.append(
+                        WatchObservation(GROUP, after, revision, puts, response.sent_at, now)
                     )
                     after, last_response_at = revision, now
                 await asyncio.sleep(0.02 if after else RETRY_SECONDS)
@@ -316,5 +316,5 @@
             "puts acknowledged": sum(put.revision > 0 for put in history.puts),
             "puts unclear": sum(put.is_unclear and not put.revision for put in history.puts),
             "key reads": len(history.reads),
-            "puts watched": sum(len(response.puts) for response in history.watch_answers),
+            "puts watched": sum(len(response.puts) for response in history.watch_observations),
         }
--- a/tests/emulator/test_coordination_model.py
+++ b/tests/emulator/test_coordination_model.py
@@ -14,13 +14,13 @@
 from lugspur.emulator.coordination.histories import play
 from lugspur.emulator.coordination.history import (
     History,
+    IssuedNumber,
     LockTenure,
     Mismatch,
     PutAttempt,
     ReadCell,
-    TakenNumber,
-    WatchAnswerSeen,
     WatchedPut,
+    WatchObservation,
 )
 
 SEEDS = range(20_000, 20_024)
@@ -39,11 +39,13 @@
     assert result.counts["puts"] > 20 and result.counts["numbers"] > 10 and result.faults
 
 
-@pytest.mark.parametrize("guard", [guard for guard in GUARDS if guard.words in QUICKLY_DETECTED], ids=lambda g: g.words)
+@pytest.mark.parametrize(
+    "guard", [guard for guard in GUARDS if guard.description in QUICKLY_DETECTED], ids=lambda g: g.description
+)
 def test_a_missing_guard_is_detected(guard: Guard) -> None:
-    found = guards.catch(GUARDS.index(guard), most=20)
+    found = guards.detect(GUARDS.index(guard), max_histories=20)
     invariants.violations.clear()  # the missing guard violates invariants on purpose
-    assert found.found, found.guard
+    assert found.violation, found.guard
 
 
 def assert_breaks_rule(rule: str, history: History) -> None:
@@ -76,9 +78,9 @@
 
 
 def test_the_checker_finds_decreasing_or_repeated_numbers() -> None:
-    assert_breaks_rule("ORDER", History(numbers=[TakenNumber("n", 2, 0.0, 0.1), TakenNumber("n", 1, 0.2, 0.3)]))
-    assert_breaks_rule("ORDER", History(numbers=[TakenNumber("n", 2, 0.0, 0.3), TakenNumber("n", 2, 0.1, 0.2)]))
-    assert not violations(History(numbers=[TakenNumber("n", 2, 0.0, 0.3), TakenNumber("n", 1, 0.1, 0.2)]))
+    assert_breaks_rule("ORDER", History(numbers=[IssuedNumber("n", 2, 0.0, 0.1), IssuedNumber("n", 1, 0.2, 0.3)]))
+    assert_breaks_rule("ORDER", History(numbers=[IssuedNumber("n", 2, 0.0, 0.3), IssuedNumber("n", 2, 0.1, 0.2)]))
+    assert not violations(History(numbers=[IssuedNumber("n", 2, 0.0, 0.3), IssuedNumber("n", 1, 0.1, 0.2)]))
 
 
 def test_the_checker_finds_wrong_revisions_and_values() -> None:
@@ -106,10 +108,14 @@
 def test_the_checker_finds_gaps_and_wrong_order_in_watch_responses() -> None:
     puts = [put("g.a", "1", 1, 0.0, 0.1), put("g.b", "2", 2, 0.2, 0.3), put("g.a", "3", 3, 0.4, 0.5)]
     events = [WatchedPut("g.a", "1", 1), WatchedPut("g.b", "2", 2), WatchedPut("g.a", "3", 3)]
-    assert not violations(History(puts=puts, watch_answers=[WatchAnswerSeen("g.", 1, 3, events[1:], 0.6, 0.7)]))
-    assert_breaks_rule("ORDER", History(puts=puts, watch_answers=[WatchAnswerSeen("g.", 1, 3, events[2:], 0.6, 0.7)]))
+    assert not violations(History(puts=puts, watch_observations=[WatchObservation("g.", 1, 3, events[1:], 0.6, 0.7)]))
+    assert_breaks_rule(
+        "ORDER", History(puts=puts, watch_observations=[WatchObservation("g.", 1, 3, events[2:], 0.6, 0.7)])
+    )
+    assert_breaks_rule(
+        "ORDER", History(puts=puts, watch_observations=[WatchObservation("g.", 1, 3, events[:0:-1], 0.6, 0.7)])
+    )
     assert_breaks_rule(
-        "ORDER", History(puts=puts, watch_answers=[WatchAnswerSeen("g.", 1, 3, events[:0:-1], 0.6, 0.7)])
+        "ORDER", History(puts=puts, watch_observations=[WatchObservation("g.", 1, 2, events[1:], 0.6, 0.7)])
     )
-    assert_breaks_rule("ORDER", History(puts=puts, watch_answers=[WatchAnswerSeen("g.", 1, 2, events[1:], 0.6, 0.7)]))
-    assert_breaks_rule("STALE", History(puts=puts, watch_answers=[WatchAnswerSeen("g.", 0, 2, [], 0.6, 0.7)]))
+    assert_breaks_rule("STALE", History(puts=puts, watch_observations=[WatchObservation("g.", 0, 2, [], 0.6, 0.7)]))
