--- a/lugspur/config/__init__.py
+++ b/lugspur/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a proxy is told at its start: by the platform's environment, or by a file of its own."""
+"""The configuration of a proxy: from the platform's environment, or from a configuration file."""
--- a/lugspur/config/lines.py
+++ b/lugspur/config/lines.py
@@ -1,7 +1,7 @@
-"""Where in a TOML file a value stands: `tomllib` tells of values only what they are.
+"""Finds the line numbers of tables and keys in a TOML file, which `tomllib` does not report.
 
-It reads text that `tomllib` has accepted, so it need not check anything; what it can't follow has no line of
-its own, and the line of what holds it is told instead.
+The scanner reads text that `tomllib` has accepted, so it does not validate. A value that it can't follow has no line of
+its own; the line of the enclosing table or list is reported instead.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from contextlib import suppress
 
 Path = tuple[str | int, ...]
-SPACE = re.compile(r"(?:[ \t\r]|\\\n|#[^\n]*)*")
-GAP = re.compile(r"(?:[ \t\r\n,]|#[^\n]*)*")
+WHITESPACE = re.compile(r"(?:[ \t\r]|\\\n|#[^\n]*)*")
+SEPARATORS = re.compile(r"(?:[ \t\r\n,]|#[^\n]*)*")
 KEY = re.compile(r"""[A-Za-z0-9_-]+|"(?:[^"\\\n]|\\.)*"|'[^'\n]*'""")
-DOT = re.compile(r"[ \t]*\.[ \t]*")
+KEY_SEPARATOR = re.compile(r"[ \t]*\.[ \t]*")
 SCALAR = re.compile(
     r'"""(?:[^"\\]|\\[\s\S]|"(?!""))*"{3,5}'
     r"|'''[\s\S]*?'{3,5}"
@@ -26,114 +26,114 @@
 
 
 class Lines:
-    """The line of each table and key of one file."""
+    """The line numbers of the tables and keys of one file."""
 
     def __init__(self, text: str) -> None:
         self._text = text.replace("\r\n", "\n")
-        self._at = 0
-        self._line = 1  # of the place up to which lines were counted
-        self._counted = 0
-        self._known: dict[Path, int] = {}
-        self._arrays: dict[Path, int] = {}  # how often [[this]] has come
-        with suppress(IndexError, RecursionError):  # Guards a message against text that can't be followed.
+        self._offset = 0
+        self._line = 1  # the line of the offset `_counted`
+        self._counted = 0  # the offset up to which lines are counted
+        self._lines: dict[Path, int] = {}
+        self._arrays: dict[Path, int] = {}  # index of the latest element of each array of tables, [[name]]
+        with suppress(IndexError, RecursionError):  # An error message must not fail on unsupported text.
             self._read()
 
     def line(self, path: Path) -> int:
-        """The line of a value, or of the nearest thing around it; 1 for the file as a whole."""
+        """Return the line of a value or of the innermost known table or list around it; 1 for the whole file."""
         for end in range(len(path), 0, -1):
-            if path[:end] in self._known:
-                return self._known[path[:end]]
+            if path[:end] in self._lines:
+                return self._lines[path[:end]]
         return 1
 
     def _read(self) -> None:
         table: Path = ()
         while True:
-            self._skip(GAP)
-            if self._at >= len(self._text):
+            self._skip(SEPARATORS)
+            if self._offset >= len(self._text):
                 return
-            if self._text[self._at] == "[":
-                table = self._header()
+            if self._text[self._offset] == "[":
+                table = self._read_header()
             else:
-                self._pair(table)
+                self._read_pair(table)
 
-    def _header(self) -> Path:
-        double = self._text.startswith("[[", self._at)
-        self._at += 2 if double else 1
-        self._skip(SPACE)
+    def _read_header(self) -> Path:
+        is_array = self._text.startswith("[[", self._offset)
+        self._offset += 2 if is_array else 1
+        self._skip(WHITESPACE)
         path: Path = ()
-        names = self._key()
-        for at, name in enumerate(names):
+        names = self._read_key()
+        for index, name in enumerate(names):
             path = (*path, name)
-            if path in self._arrays and not (double and at == len(names) - 1):
+            if path in self._arrays and not (is_array and index == len(names) - 1):
                 path = (*path, self._arrays[path])
-        if double:
+        if is_array:
             self._arrays[path] = self._arrays.get(path, -1) + 1
-            self._note(path)
+            self._record(path)
             path = (*path, self._arrays[path])
-        self._note(path)
-        self._skip(SPACE)
-        self._at += 2 if double else 1
+        self._record(path)
+        self._skip(WHITESPACE)
+        self._offset += 2 if is_array else 1
         return path
 
-    def _pair(self, table: Path) -> None:
-        start = self._at
-        path = (*table, *self._key())
+    def _read_pair(self, table: Path) -> None:
+        start = self._offset
+        path = (*table, *self._read_key())
         for end in range(len(table) + 1, len(path) + 1):
-            self._note(path[:end], start)
-        self._skip(SPACE)
-        self._at += 1  # the equals sign
-        self._skip(SPACE)
-        self._value(path)
-
-    def _value(self, path: Path) -> None:
-        opened = self._text[self._at]
-        if opened not in "[{":
-            found = SCALAR.match(self._text, self._at)
-            self._at = found.end() if found else self._at + 1
+            self._record(path[:end], start)
+        self._skip(WHITESPACE)
+        self._offset += 1  # the equals sign
+        self._skip(WHITESPACE)
+        self._read_value(path)
+
+    def _read_value(self, path: Path) -> None:
+        opening = self._text[self._offset]
+        if opening not in "[{":
+            match = SCALAR.match(self._text, self._offset)
+            self._offset = match.end() if match else self._offset + 1
             return
-        self._at += 1
+        self._offset += 1
         count = 0
         while True:
-            self._skip(GAP)
-            if self._text[self._at] in "]}":
-                self._at += 1
+            self._skip(SEPARATORS)
+            if self._text[self._offset] in "]}":
+                self._offset += 1
                 return
-            if opened == "{":
-                self._pair(path)
+            if opening == "{":
+                self._read_pair(path)
             else:
-                self._note((*path, count))
-                self._value((*path, count))
+                self._record((*path, count))
+                self._read_value((*path, count))
                 count += 1
 
-    def _key(self) -> list[str]:
+    def _read_key(self) -> list[str]:
         names: list[str] = []
         while True:
-            found = KEY.match(self._text, self._at)
-            if found is None:
+            match = KEY.match(self._text, self._offset)
+            if match is None:
                 raise IndexError
-            word, self._at = found[0], found.end()
+            word, self._offset = match[0], match.end()
             names.append(_unquoted(word))
-            dot = DOT.match(self._text, self._at)
+            dot = KEY_SEPARATOR.match(self._text, self._offset)
             if dot is None:
                 return names
-            self._at = dot.end()
+            self._offset = dot.end()
 
-    def _skip(self, what: re.Pattern[str]) -> None:
-        found = what.match(self._text, self._at)
-        self._at = found.end() if found else self._at
+    def _skip(self, pattern: re.Pattern[str]) -> None:
+        match = pattern.match(self._text, self._offset)
+        self._offset = match.end() if match else self._offset
 
-    def _note(self, path: Path, at: int | None = None) -> None:
-        at = self._at if at is None else at
-        if at > self._counted:
-            self._line += self._text.count("\n", self._counted, at)
-            self._counted = at
-        self._known.setdefault(path, self._line)
+    def _record(self, path: Path, offset: int | None = None) -> None:
+        offset = self._offset if offset is None else offset
+        if offset > self._counted:
+            self._line += self._text.count("\n", self._counted, offset)
+            self._counted = offset
+        self._lines.setdefault(path, self._line)
 
 
 def _unquoted(word: str) -> str:
     if word[0] == "'":
         return word[1:-1]
     if word[0] == '"':
-        read: Mapping[str, str] = tomllib.loads(f"k = {word}")
-        return read["k"]
+        parsed: Mapping[str, str] = tomllib.loads(f"k = {word}")
+        return parsed["k"]
     return word
--- a/lugspur/config/load.py
+++ b/lugspur/config/load.py
@@ -1,4 +1,4 @@
-"""A file from the disk to a plan, or to every fault in it, each with its line and what to write instead."""
+"""Loads a configuration file into a plan; reports all faults with their lines and with what to write instead."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from lugspur.config.lines import Lines
 from lugspur.config.schema import Place, read_table
 
-FILE_MOST = 8 << 20  # bytes: ten thousand routes take about one MiB; a wrong path may be a disk image
-READS = 5  # tries at a file that changes while it is read
-WHERE = re.compile(r" ?\(at (?:line (\d+), column \d+|end of document)\)")
-HINTS = (  # what tomllib says, and what to do
-    ("Cannot overwrite", "this key stands above already; keep one of the two"),
-    ("Cannot declare", "this table stands above already; keep one of the two"),
-    ("Cannot mutate immutable", "this adds to a table that is closed already; write all of it in one place"),
-    ("Expected newline", "a value ends with its line; texts are written in quotes"),
-    ("Invalid value", "texts are written in quotes"),
+MAX_FILE_BYTES = 8 << 20  # 10,000 routes take about 1 MiB; a wrong path may name a disk image
+MAX_READS = 5  # attempts to read a file that changes while it is read
+TOML_ERROR_POSITION = re.compile(r" ?\(at (?:line (\d+), column \d+|end of document)\)")
+TOML_ERROR_HINTS = (  # the beginning of a message of tomllib, and what to do
+    ("Cannot overwrite", "this key is already defined above; remove one of the two"),
+    ("Cannot declare", "this table is already defined above; remove one of the two"),
+    ("Cannot mutate immutable", "an inline table can't be extended; write all its keys in one place"),
+    ("Expected newline", "only one value is allowed on a line; strings are written in quotes"),
+    ("Invalid value", "strings are written in quotes"),
     ("Expected '='", 'a key is followed by = and a value, as in aim = "410ms"'),
     ("Invalid statement", 'write a key and a value, as in aim = "410ms", or a heading, as in [pools.name]'),
-    ("Unescaped", "write \\\\ for a backslash, or put the text in single quotes"),
-    ("Illegal character", "it holds a control character, which TOML forbids"),
+    ("Unescaped", "write \\\\ for a backslash, or put the string in single quotes"),
+    ("Illegal character", "the file contains a control character, which TOML forbids"),
     ("Unclosed", "a bracket or brace is never closed"),
 )
 
 
 class FileFaults(Exception):
-    """All that is wrong with a file: one line each, with the file's name and the line's number."""
+    """The file can't be used; has one line for each fault, with the file's name and the line number."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -39,7 +39,7 @@
 
 
 def load(path: str) -> Plan:
-    """Read, check and build; raises FileFaults."""
+    """Read, validate and build the configuration of a file; raises FileFaults."""
     text = read_text(path)
     try:
         raw = parse(text)
@@ -55,55 +55,57 @@
     found = [(lines.line(fault.path), ".".join(map(str, fault.path)), fault.message) for fault in place.faults]
     raise FileFaults(
         [
-            f"{path}:{line}: {where}: {said}" if where else f"{path}:{line}: {said}"
-            for line, where, said in sorted(set(found))
+            f"{path}:{line}: {key}: {message}" if key else f"{path}:{line}: {message}"
+            for line, key, message in sorted(set(found))
         ]
     )
 
 
 def parse(text: str) -> dict[str, Any]:
-    """TOML as plain values; raises ValueError with the line, a colon and what to do."""
+    """Parse TOML; raises ValueError, whose message starts with the line number and a colon."""
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as fault:
-        said = str(fault)
-        found = WHERE.search(said)
+        message = str(fault)
+        found = TOML_ERROR_POSITION.search(message)
         line = int(found[1]) if found and found[1] else text.count("\n") + 1
-        hint = next((hint for start, hint in HINTS if said.startswith(start)), "")
-        said = WHERE.sub("", said)
-        raise ValueError(f"{line}: {said}; {hint}" if hint else f"{line}: {said}") from fault
+        hint = next((hint for start, hint in TOML_ERROR_HINTS if message.startswith(start)), "")
+        message = TOML_ERROR_POSITION.sub("", message)
+        raise ValueError(f"{line}: {message}; {hint}" if hint else f"{line}: {message}") from fault
     except RecursionError as fault:
-        raise ValueError("1: brackets are nested too deeply; a few levels are all that any key takes") from fault
+        raise ValueError("1: brackets are nested too deeply; no key takes more than a few levels") from fault
 
 
 def read_text(path: str) -> str:
-    """The file's text, as it was at one moment; raises FileFaults.
+    """Return a consistent copy of the file's text; raises FileFaults.
 
-    Guards against half of a file that is being written: one that changes while it is read is read again.
+    A file that changes while it is read is read again, so that a partly written file is never used.
     """
     try:
-        for _ in range(READS):
+        for _ in range(MAX_READS):
             with open(path, "rb") as file:
                 before = os.fstat(file.fileno())
-                data = file.read(FILE_MOST + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
                 after = os.fstat(file.fileno())
-            still = (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size)
-            if len(data) > FILE_MOST or (still and len(data) == after.st_size):
+            is_unchanged = (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size)
+            if len(data) > MAX_FILE_BYTES or (is_unchanged and len(data) == after.st_size):
                 break
         else:
-            raise FileFaults([f"{path}: it changes while it is read; write it elsewhere and rename it to here"])
+            raise FileFaults(
+                [f"{path}: the file changes while it is read; write a new file and rename it to this path"]
+            )
     except OSError as fault:
         raise FileFaults([f"{path}: {fault.strerror or fault}"]) from fault
-    if len(data) > FILE_MOST:
-        raise FileFaults([f"{path}: it holds more than {FILE_MOST >> 20} MiB; is it the right file?"])
+    if len(data) > MAX_FILE_BYTES:
+        raise FileFaults([f"{path}: the file has more than {MAX_FILE_BYTES >> 20} MiB; check the path"])
     try:
         return data.decode()
     except UnicodeDecodeError as fault:
         line = data.count(b"\n", 0, fault.start) + 1
-        said = f"byte {data[fault.start]:#04x} is no UTF-8; save the file as UTF-8"
-        raise FileFaults([f"{path}:{line}: {said}"]) from fault
+        message = f"byte {data[fault.start]:#04x} is not valid UTF-8; save the file as UTF-8"
+        raise FileFaults([f"{path}:{line}: {message}"]) from fault
 
 
-def resolved(path: str, beside: str) -> str:
-    """A path that a file names, taken from where that file is."""
-    return str(Path(beside).parent / path)
+def resolved(path: str, config_path: str) -> str:
+    """Return a path from a configuration file, relative to the directory of that file, `config_path`."""
+    return str(Path(config_path).parent / path)
--- a/lugspur/config/platform.py
+++ b/lugspur/config/platform.py
@@ -1,4 +1,4 @@
-"""What the platform tells a proxy, as typed values."""
+"""The configuration that the platform gives a proxy, as typed values."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import Settings
 
-MEMORY_MB = 192  # where the configuration states no limit: the most that the platform gives
+DEFAULT_MEMORY_MB = 192  # if the configuration states no limit: the most that the platform gives
 
 
 class ConfigError(Exception):
-    """The environment or the configuration file makes no sense."""
+    """The environment or the configuration file is invalid."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,8 +38,8 @@
     types: dict[str, int]
     conn_idle: float
     dial_timeout: float
-    wire: dict[str, Any] = field(default_factory=dict)  # settings and limits as they were told
-    management: Address | None = None  # the second address, for operators
+    wire: dict[str, Any] = field(default_factory=dict)  # settings and limits as they were received
+    management: Address | None = None  # address of the admin listener
 
 
 def _indices(names: list[str]) -> dict[str, int]:
@@ -60,7 +60,7 @@
         discovery=read_address(environ.get("RELAY_DISCOVERY") or raw["discovery"]),
         seed=int(raw["seed"], 16),
         sockets=int(raw["limits"]["sockets"]),
-        memory=int(raw["limits"].get("memory_mb", MEMORY_MB)) << 20,
+        memory=int(raw["limits"].get("memory_mb", DEFAULT_MEMORY_MB)) << 20,
         known=raw.get("known") or {"index": 0, "endpoints": []},
         settings=settings,
         classes=_indices([row.name for row in settings.classes]),
@@ -75,9 +75,9 @@
 
 
 def load(environ: Mapping[str, str], former: dict[str, Any] | None = None) -> Config:
-    """The configuration that the environment names; every fault is a ConfigError of one line.
+    """Load the configuration file that the environment names; raises ConfigError with a message of one line.
 
-    One that is to replace `former` settings is held against them: nothing may be missing.
+    A file that is to replace the `former` configuration must have all keys of it.
     """
     path = environ.get("RELAY_CONFIG")
     if not path:
--- a/lugspur/config/reference.py
+++ b/lugspur/config/reference.py
@@ -1,6 +1,6 @@
-"""Writes the reference of all keys into docs/configuration.md, from what the tables themselves state.
+"""Generates the reference of all keys in docs/configuration.md from the declarations in model.py.
 
-`python -m lugspur.config.reference docs/configuration.md` replaces what stands between the two marks.
+`python -m lugspur.config.reference docs/configuration.md` replaces the text between the two markers.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from lugspur.config import model
 from lugspur.config.schema import key_of
 
-BEGIN, END = "<!-- reference -->\n", "<!-- end of the reference -->\n"
-SIZES = {"memory", "head", "body", "answer"}
-TIMES = {"read", "idle", "aim", "deadline", "window", "connect", "keep", "warm_after", "over", "span", "within"}
+BEGIN_MARKER, END_MARKER = "<!-- reference -->\n", "<!-- end of the reference -->\n"
+SIZE_FIELDS = {"memory", "head", "body", "answer"}
+TIME_FIELDS = {"read", "idle", "aim", "deadline", "window", "connect", "keep", "warm_after", "over", "span", "within"}
 
 
 def _default(item: Field[Any], kind: type) -> str:
@@ -26,19 +26,19 @@
     if item.default is MISSING and item.default_factory is MISSING:
         return "must be there"
     value = item.default if item.default_factory is MISSING else item.default_factory()
-    return f"`{_shown(item.name, value)}`" if value not in (None, "", (), {}) else "none"
+    return f"`{_format(item.name, value)}`" if value not in (None, "", (), {}) else "none"
 
 
-def _shown(name: str, value: Any) -> str:
+def _format(name: str, value: Any) -> str:
     if isinstance(value, Enum):
         return str(value.value)
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, tuple):
         return "[" + ", ".join(f'"{part}"' for part in value) + "]"
-    if name in SIZES:
+    if name in SIZE_FIELDS:
         return f"{value >> 20}MiB" if value % (1 << 20) == 0 else f"{value >> 10}KiB"
-    if name in TIMES and isinstance(value, float):
+    if name in TIME_FIELDS and isinstance(value, float):
         return f"{value:g}s"
     return f"{value:g}" if isinstance(value, float) else str(value)
 
@@ -46,34 +46,34 @@
 def _table(kind: type, heading: str) -> list[str]:
     doc = (kind.__doc__ or "").strip()
     lines = [f"### {heading}", "", doc, "", "| key | default | meaning |", "| --- | --- | --- |"]
-    below: list[str] = []
+    nested: list[str] = []
     for item in fields(kind):
         meta = item.metadata
         lines.append(f"| `{key_of(item)}` | {_default(item, kind)} | {meta['doc']} |")
         inner = meta.get("table") or meta.get("rows")
         if inner:
-            below += _table(inner, f"{heading}, `{key_of(item)}`")
-    return [*lines, "", *below]
+            nested += _table(inner, f"{heading}, `{key_of(item)}`")
+    return [*lines, "", *nested]
 
 
 def reference() -> str:
-    """All tables of the file, as Markdown."""
+    """Return the reference of all tables of the file, as Markdown."""
     lines: list[str] = []
     for item in fields(model.File):
-        named = item.metadata.get("tables")
-        heading = f"`[{key_of(item)}.NAME]`" if named else f"`[{key_of(item)}]`"
-        lines += _table(named or item.metadata["table"], heading)
+        table_type = item.metadata.get("tables")
+        heading = f"`[{key_of(item)}.NAME]`" if table_type else f"`[{key_of(item)}]`"
+        lines += _table(table_type or item.metadata["table"], heading)
     return "\n".join(lines)
 
 
 def main() -> None:
-    """Replace the reference in the file that is named."""
+    """Replace the reference in the file that the command line names."""
     with open(sys.argv[1], encoding="utf-8") as file:
         text = file.read()
-    before, _, rest = text.partition(BEGIN)
-    after = rest.partition(END)[2]
+    before, _, rest = text.partition(BEGIN_MARKER)
+    after = rest.partition(END_MARKER)[2]
     with open(sys.argv[1], "w", encoding="utf-8") as file:
-        file.write(f"{before}{BEGIN}{reference()}{END}{after}")
+        file.write(f"{before}{BEGIN_MARKER}{reference()}{END_MARKER}{after}")
 
 
 if __name__ == "__main__":
--- a/lugspur/config/schema.py
+++ b/lugspur/config/schema.py
@@ -1,7 +1,7 @@
-"""Reads tables into dataclasses, by what their fields say, and finds every fault on the way.
+"""Reads TOML tables into dataclasses as their fields declare, and collects all faults.
 
-A field made with `option` states its reader, its default and what it is for, once; the reference in
-docs/configuration.md is written from that.
+A field made with `option` declares its reader, its default and its description in one place; the reference in
+docs/configuration.md is generated from these declarations.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What is wrong at one place of the file, and what to write instead."""
+    """A fault at one location in the file; the message says what to write instead."""
 
     path: Path
     message: str
 
 
 class Place:
-    """A place of the file while it is read: where faults are noted."""
+    """A location in the file that is being read; collects the faults found there."""
 
     def __init__(self, path: Path = (), faults: list[Fault] | None = None) -> None:
         self.path = path
         self.faults: list[Fault] = [] if faults is None else faults
 
     def at(self, *keys: str | int) -> Place:
-        """A place within it."""
+        """Return a location below this one; both collect faults in the same list."""
         return Place((*self.path, *keys), self.faults)
 
     def wrong(self, message: str) -> None:
-        """Note a fault here."""
+        """Record a fault at this location."""
         self.faults.append(Fault(self.path, message))
 
 
@@ -45,9 +45,9 @@
 
 
 def option(read: Reader, doc: str, default: Any = MISSING, *, key: str = "") -> Any:
-    """A field of a table: how it is read, what it is for, and its default; none: it must be there.
+    """Declare a field of a table by its reader, its description and its default; without a default it is required.
 
-    `key` is its name in the file where Python has no such name.
+    `key` is its name in the file if that differs from the attribute's name, for example because it is a keyword.
     """
     meta = {"read": read, "doc": doc, "key": key}
     if isinstance(default, (dict, list)):
@@ -56,56 +56,56 @@
 
 
 def part(kind: type[T], doc: str, default: Any = MISSING) -> Any:
-    """A field that holds a table of its own."""
-    chosen = {"default_factory": kind} if default is MISSING else {"default": default}
-    return field(metadata={"table": kind, "doc": doc, "key": ""}, **chosen)
+    """Declare a field that holds a nested table."""
+    default_argument = {"default_factory": kind} if default is MISSING else {"default": default}
+    return field(metadata={"table": kind, "doc": doc, "key": ""}, **default_argument)
 
 
 def parts(kind: type[T], doc: str) -> Any:
-    """A field that holds tables by names of the writer's choice."""
+    """Declare a field that holds tables by user-defined names."""
     return field(default_factory=dict, metadata={"tables": kind, "doc": doc, "key": ""})
 
 
 def rows(kind: type[T], doc: str) -> Any:
-    """A field that holds a list of tables."""
+    """Declare a field that holds a list of tables."""
     return field(default_factory=list, metadata={"rows": kind, "doc": doc, "key": ""})
 
 
 def key_of(item: Field[Any]) -> str:
-    """A field's name in the file."""
+    """Return the name of a field in the file."""
     return item.metadata["key"] or item.name.replace("_", "-")
 
 
 def read_table(kind: type[T], raw: object, place: Place) -> T | None:
-    """The table as that dataclass; None where a value can't be read or is missing. All faults are noted.
+    """Read a table into the dataclass; return None if a value is invalid or missing. All faults are recorded.
 
-    What can be read around a fault is read, so that one run of the check names what it can.
+    Reading goes on after a fault, so that one run of `lugspur check` reports as many faults as possible.
     """
     if not isinstance(raw, Mapping):
-        place.wrong(f"{shown(raw)} is no table; write its keys in braces or under a heading in brackets")
+        place.wrong(f"{shown(raw)} is not a table; write its keys in braces or under a heading in brackets")
         return None
     known = {key_of(item): item for item in fields(kind)}  # type: ignore[arg-type]
-    sound = True
-    meant: set[str] = set()  # keys that are misspelt, not missing
+    is_valid = True
+    misspelt: set[str] = set()  # known keys that the file probably misspells; these are not reported as missing
     values: dict[str, Any] = {}
     for key, value in raw.items():
         item = known.get(key)
         if item is None:
             place.at(key).wrong(f'key "{key}" is unknown here{nearest(key, known)}')
-            meant.update(difflib.get_close_matches(key, known, 1, 0.6))
+            misspelt.update(difflib.get_close_matches(key, known, 1, 0.6))
             continue
         before = len(place.faults)
         found = _read(item, value, place.at(key))
         if found is not None:
             values[item.name] = found
-        elif len(place.faults) > before:  # a part that can't be read counts as left out, where that can be
-            sound = sound and "table" in item.metadata and item.default_factory is not MISSING
+        elif len(place.faults) > before:  # an invalid table counts as left out if it may be left out
+            is_valid = is_valid and "table" in item.metadata and item.default_factory is not MISSING
     for key, item in known.items():
         if key not in raw and item.default is MISSING and item.default_factory is MISSING:
-            sound = False
-            if key not in meant:
+            is_valid = False
+            if key not in misspelt:
                 place.wrong(f'key "{key}" is missing; write it: {item.metadata["doc"]}')
-    return kind(**values) if sound else None
+    return kind(**values) if is_valid else None
 
 
 def _read(item: Field[Any], value: object, place: Place) -> Any:
@@ -125,7 +125,7 @@
 
 def _read_tables(kind: type[T], value: object, place: Place) -> dict[str, T]:
     if not isinstance(value, Mapping):
-        place.wrong(f"{shown(value)} is no table; write a heading such as [{place.path[-1]}.a-name]")
+        place.wrong(f"{shown(value)} is not a table; write a heading such as [{place.path[-1]}.a-name]")
         return {}
     found = {name: read_table(kind, raw, place.at(name)) for name, raw in value.items()}
     return {name: table for name, table in found.items() if table is not None}
@@ -133,7 +133,7 @@
 
 def _read_rows(kind: type[T], value: object, place: Place) -> list[T] | None:
     if not isinstance(value, list):
-        place.wrong(f"{shown(value)} is no list; write tables in brackets, as in [{{ ... }}, {{ ... }}]")
+        place.wrong(f"{shown(value)} is not a list; write tables in brackets, as in [{{ ... }}, {{ ... }}]")
         return None
     found = [read_table(kind, raw, place.at(at)) for at, raw in enumerate(value)]
     kept = [row for row in found if row is not None]
--- a/lugspur/config/units.py
+++ b/lugspur/config/units.py
@@ -1,4 +1,4 @@
-"""Values with units, and the other small values of the file; each reader says what to write instead."""
+"""Readers for the scalar values of the configuration file; each error says what to write instead."""
 
 from __future__ import annotations
 
@@ -12,17 +12,26 @@
 from lugspur.discovery.endpoints import Address, read_address
 
 E = TypeVar("E", bound=Enum)
-SECONDS = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
-BYTES = {"B": 1, "kB": 1000, "KB": 1000, "MB": 1000**2, "GB": 1000**3, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
-MEASURE = re.compile(r"(\d+(?:\.\d+)?) ?([A-Za-z]*)")
+SECONDS_PER_UNIT = {"us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
+BYTES_PER_UNIT = {
+    "B": 1,
+    "kB": 1000,
+    "KB": 1000,
+    "MB": 1000**2,
+    "GB": 1000**3,
+    "KiB": 1 << 10,
+    "MiB": 1 << 20,
+    "GiB": 1 << 30,
+}
+QUANTITY = re.compile(r"(\d+(?:\.\d+)?) ?([A-Za-z]*)")
 
 
 class Wrong(Exception):
-    """A value that can't be used; its text says what to write instead."""
+    """A value is invalid; the message says what to write instead."""
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
-    """A hint at the known word that was probably meant, or at all of them where they are few."""
+    """Return a hint: the known word that was probably meant, or all known words if there are at most 12."""
     known = sorted(known)
     close = difflib.get_close_matches(word, known, 1, 0.6)
     if close:
@@ -31,101 +40,101 @@
 
 
 def shown(value: object) -> str:
-    """A value as a message shows it, cut where it is long."""
+    """Return a value as error messages show it, truncated to 60 characters."""
     text = f'"{value}"' if isinstance(value, str) else str(value).lower() if isinstance(value, bool) else str(value)
     return text if len(text) <= 60 else text[:57] + "..."
 
 
-def _measure(value: object, units: dict[str, Any], example: str) -> float:
+def _parse_quantity(value: object, units: dict[str, Any], example: str) -> float:
     if not isinstance(value, str):
         raise Wrong(f"{shown(value)} has no unit; write a text such as {example}")
-    found = MEASURE.fullmatch(value)
+    found = QUANTITY.fullmatch(value)
     if found is None:
-        raise Wrong(f"{shown(value)} is no amount; write one such as {example}")
+        raise Wrong(f"{shown(value)} is not a quantity; write one such as {example}")
     if found[2] not in units:
-        said = f'unit "{found[2]}" is unknown' if found[2] else "it has no unit"
-        raise Wrong(f"{shown(value)}: {said}; write one of {', '.join(units)}, as in {example}")
+        problem = f'unit "{found[2]}" is unknown' if found[2] else "it has no unit"
+        raise Wrong(f"{shown(value)}: {problem}; write one of {', '.join(units)}, as in {example}")
     return float(found[1]) * float(units[found[2]])
 
 
 def duration(low: float = 0.0, high: float = 86400.0) -> Callable[[object], float]:
-    """A reader of times, in seconds."""
+    """Return a reader for durations, in seconds."""
 
     def read(value: object) -> float:
-        seconds = _measure(value, SECONDS, '"410ms" or "1.5s"')
+        seconds = _parse_quantity(value, SECONDS_PER_UNIT, '"410ms" or "1.5s"')
         if not low <= seconds <= high:
-            raise Wrong(f"{shown(value)} is not from {low:g}s to {high:g}s")
+            raise Wrong(f"{shown(value)} is out of range; the range is {low:g}s to {high:g}s")
         return seconds
 
     return read
 
 
 def size(low: int = 0, high: int = 1 << 40) -> Callable[[object], int]:
-    """A reader of sizes, in bytes."""
+    """Return a reader for sizes, in bytes."""
 
     def read(value: object) -> int:
-        count = int(_measure(value, BYTES, '"64KiB" or "1MiB"'))
+        count = int(_parse_quantity(value, BYTES_PER_UNIT, '"64KiB" or "1MiB"'))
         if not low <= count <= high:
-            raise Wrong(f"{shown(value)} is not from {low} B to {high} B")
+            raise Wrong(f"{shown(value)} is out of range; the range is {low} B to {high} B")
         return count
 
     return read
 
 
 def number(low: float = 0.0, high: float = math.inf) -> Callable[[object], float]:
-    """A reader of numbers without a unit."""
+    """Return a reader for numbers without a unit."""
 
     def read(value: object) -> float:
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise Wrong(f"{shown(value)} is no number; write one without quotes, such as 2.5")
+            raise Wrong(f"{shown(value)} is not a number; write one without quotes, such as 2.5")
         if not (low <= value <= high and math.isfinite(value)):
-            raise Wrong(f"{shown(value)} is not from {low:g} to {high:g}")
+            raise Wrong(f"{shown(value)} is out of range; the range is {low:g} to {high:g}")
         return float(value)
 
     return read
 
 
 def whole(low: int = 0, high: int = 1 << 31) -> Callable[[object], int]:
-    """A reader of whole numbers."""
+    """Return a reader for integers."""
 
     def read(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
-            raise Wrong(f"{shown(value)} is no whole number; write one without quotes, such as {max(low, 3)}")
+            raise Wrong(f"{shown(value)} is not an integer; write one without quotes, such as {max(low, 3)}")
         if not low <= value <= high:
-            raise Wrong(f"{shown(value)} is not from {low} to {high}")
+            raise Wrong(f"{shown(value)} is out of range; the range is {low} to {high}")
         return value
 
     return read
 
 
 def flag(value: object) -> bool:
-    """true or false."""
+    """Return a boolean."""
     if not isinstance(value, bool):
         raise Wrong(f"{shown(value)} is neither true nor false; write one of them without quotes")
     return value
 
 
 def text(value: object) -> str:
-    """A text on one line."""
+    """Return a string without control characters."""
     if not isinstance(value, str):
-        raise Wrong(f'{shown(value)} is no text; write it in quotes, as in "{value}"')
+        raise Wrong(f'{shown(value)} is not a string; write it in quotes, as in "{value}"')
     if any(ord(c) < 32 or ord(c) == 127 for c in value):
-        raise Wrong(f"{shown(value)!r} has control characters; leave them out")
+        raise Wrong(f"{shown(value)!r} contains control characters; remove them")
     return value
 
 
 def words(value: object) -> tuple[str, ...]:
-    """A list of texts, each once."""
+    """Return a list of distinct strings."""
     if not isinstance(value, list):
-        raise Wrong(f"{shown(value)} is no list; write [{shown(value)}]")
+        raise Wrong(f"{shown(value)} is not a list; write [{shown(value)}]")
     found = tuple(text(item) for item in value)
     if len(set(found)) < len(found):
-        raise Wrong(f"{shown(value)} names one thing twice; name it once")
+        raise Wrong(f"{shown(value)} contains a duplicate; remove it")
     return found
 
 
 def one_of(*known: str) -> Callable[[object], str]:
-    """A reader of one of a few words that stay texts."""
+    """Return a reader for one of the given words, which is returned as a string."""
 
     def read(value: object) -> str:
         if value not in known:
@@ -137,7 +146,7 @@
 
 
 def choice(kind: type[E]) -> Callable[[object], E]:
-    """A reader of one of a few words."""
+    """Return a reader for the values of an enum."""
 
     def read(value: object) -> E:
         return kind(one_of(*(str(item.value) for item in kind))(value))
@@ -146,49 +155,51 @@
 
 
 def addresses(value: object) -> tuple[Address, ...]:
-    """A list of `host:port`, each once."""
+    """Return a non-empty list of distinct addresses, each written as `host:port`."""
     if value == []:
-        raise Wrong('the list is empty; write one address or more, as in ["127.0.0.1:2181"]')
+        raise Wrong('the list is empty; write at least one address, as in ["127.0.0.1:2181"]')
     return tuple(address(item) for item in words(value))
 
 
 def folder(value: object) -> str:
-    """The path of a registry's folder."""
+    """Return the path of a node in a registry under which backends register."""
     path = text(value)
     if not path.startswith("/") or path == "/" or path.endswith("/") or {"", ".", ".."} & set(path[1:].split("/")):
-        raise Wrong(f'{shown(value)} is no folder of a registry; write one such as "/services/channel"')
+        raise Wrong(f'{shown(value)} is not a path of a registry node; write one such as "/services/channel"')
     return path
 
 
 def node(value: object) -> str:
-    """The name of a registry's node."""
+    """Return the name of a registry node."""
     name = text(value)
     if "/" in name or name in ("", ".", ".."):
-        raise Wrong(f'{shown(value)} is no name of a node; write one such as "channel-1"')
+        raise Wrong(f'{shown(value)} is not the name of a registry node; write one such as "channel-1"')
     return name
 
 
-MARK = re.compile(r"[!-~]{1,48}")
+DATAGRAM_NAME = re.compile(r"[!-~]{1,48}")
 
 
 def mark(value: object) -> str:
-    """A name that goes along in datagrams, or none: printable ASCII without spaces."""
+    """Return a name that is sent in datagrams, or an empty string: printable ASCII without spaces."""
     found = text(value)
-    if found and not MARK.fullmatch(found):
-        raise Wrong(f'{shown(value)} is no name here; write up to 48 letters, digits and marks, such as "edge-1"')
+    if found and not DATAGRAM_NAME.fullmatch(found):
+        raise Wrong(
+            f'{shown(value)} is not a valid name; write up to 48 letters, digits and punctuation, such as "edge-1"'
+        )
     return found
 
 
 def credentials(value: object) -> str:
-    """`user:password`, or nothing."""
+    """Return credentials as `user:password`, or an empty string."""
     found = text(value)
     if found and not all(found.partition(":")[::2]):
-        raise Wrong('it has no user and password; write one such as "user:password"')
+        raise Wrong('user or password is missing; write both, as in "user:password"')
     return found
 
 
 def address(value: object) -> Address:
-    """`host:port`."""
+    """Return an address that is written as `host:port`."""
     try:
         host, port = read_address(text(value))
     except ValueError as fault:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -37,7 +37,7 @@
     file = tmp_path / "f.toml"
     file.write_text(HEAD + "[limits]\n[pools.a]\n")
     status, said = command("check", str(file))
-    assert status == 2 and "stands above already" in said and f"{file}:" in said
+    assert status == 2 and "already defined above" in said and f"{file}:" in said
     file.write_text(HEAD + pool("a", "h:1") + route("r", "s", 'pool = "a"') + route("t", "/t", 'pool = "b"'))
     status, said = command("check", str(file))
     assert status == 2 and len(said.splitlines()) == 2
@@ -210,8 +210,8 @@
     ("words", "said"),
     [
         (("zoo", "/a", "--name", "n", "--address", "h:1"), 'registry "zoo" is not in the file; known are zk'),
-        (("zk", "a", "--name", "n", "--address", "h:1"), '"a" is no folder of a registry'),
-        (("zk", "/a", "--name", "n/m", "--address", "h:1"), '"n/m" is no name of a node'),
+        (("zk", "a", "--name", "n", "--address", "h:1"), '"a" is not a path of a registry node'),
+        (("zk", "/a", "--name", "n/m", "--address", "h:1"), '"n/m" is not the name of a registry node'),
         (("zk", "/a", "--name", "n", "--address", "h"), "is not an address of the form host:port"),
         (("zk", "/a", "--name", "n", "--address", "h:1", "--every", "5"), '"5": it has no unit'),
         (
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -59,7 +59,7 @@
 FLEET = '[fleet]\nname = "f"\nmember = "m"\naddress = "127.0.0.1:7946"'
 # ruff: noqa: E501
 AFTER = [  # what is added, the line of the fault, what is said of it
-    ('[routes.s]\npath = 7\npool = "a"', 15, "s.path: 7 is no text; write it in quotes"),
+    ('[routes.s]\npath = 7\npool = "a"', 15, "s.path: 7 is not a string; write it in quotes"),
     ('[routes.s]\npool = "a"', 14, 'key "path" is missing; write it: a path'),
     ('[routes.s]\npath = "s"\npool = "a"', 15, 'does not begin with a slash; write "/s"'),
     ('[routes.s]\npath = "/a/*/b"\npool = "a"', 15, '"*" is allowed only alone at the end; write {name}'),
@@ -69,90 +69,110 @@
     ('[routes.s]\npath = "/s"\npool = "b"', 16, 'pool "b" is not in this file; known are a'),
     ('[routes.s]\npath = "/s"\nsplit = { a = 1, aa = 2 }', 16, 'pool "aa" is not in this file'),
     ('[routes.s]\npath = "/s"\nsplit = { a = 0 }', 16, "all weights are 0; give one pool a weight above 0"),
-    ('[routes.s]\npath = "/s"\nsplit = { a = -1 }', 16, "-1 is not from 0"),
-    ('[routes.s]\npath = "/s"\npool = "a"\nfallback = ["a"]', 17, "no fallback for itself; leave it out"),
+    ('[routes.s]\npath = "/s"\nsplit = { a = -1 }', 16, "-1 is out of range; the range is 0"),
+    ('[routes.s]\npath = "/s"\npool = "a"\nfallback = ["a"]', 17, "can't be a fallback for itself; leave it out"),
     ('[routes.s]\npath = "/s"\npool = "a"\nclass = "boook"', 17, 'did you mean "book"?'),
     ('[routes.s]\npath = "/s"\npool = "a"\nreply = { status = 200 }', 14, "pool and reply are both given"),
-    ('[routes.s]\npath = "/s"', 14, "it leads nowhere; write exactly one of pool, split, reply and redirect"),
-    ('[routes.s]\npath = "/s"\nreply = { status = 99 }', 16, "99 is not from 200 to 599"),
-    ('[routes.s]\npath = "/s"\nreply = { status = 200 }\nclass = "book"', 17, "no meaning beside reply"),
-    ('[routes.s]\npath = "/s"\nredirect = { to = "//evil" }', 16, 'leads nowhere; begin with "/" or'),
-    ('[routes.s]\npath = "/{x}"\nhosts = ["s"]\nredirect = { to = "https://s{x}/" }', 17, "leads nowhere; begin with"),
+    ('[routes.s]\npath = "/s"', 14, "no action is given; write exactly one of pool, split, reply and redirect"),
+    ('[routes.s]\npath = "/s"\nreply = { status = 99 }', 16, "99 is out of range; the range is 200 to 599"),
+    ('[routes.s]\npath = "/s"\nreply = { status = 200 }\nclass = "book"', 17, "can't be combined with reply"),
+    ('[routes.s]\npath = "/s"\nredirect = { to = "//evil" }', 16, 'is not a valid target; begin with "/" or'),
+    (
+        '[routes.s]\npath = "/{x}"\nhosts = ["s"]\nredirect = { to = "https://s{x}/" }',
+        17,
+        "is not a valid target; begin with",
+    ),
     ('[routes.s]\npath = "/s"\nredirect = { to = "/{x}" }', 16, "uses {x}, but the variables of the path are: none"),
-    ('[routes.s]\npath = "/s"\nredirect = { to = "/t", status = 304 }', 16, "304 is no redirect"),
+    ('[routes.s]\npath = "/s"\nredirect = { to = "/t", status = 304 }', 16, "304 is not the status of a redirect"),
     ('[routes.s]\npath = "/s"\npool = "a"\nrewrite = "/t/*"', 17, "uses *, but the path does not end in"),
-    ('[routes.s]\npath = "/s"\npool = "a"\nmethods = ["get"]', 17, '"get" is not served; did you mean "GET"?'),
-    ('[routes.s]\npath = "/s"\npool = "a"\nmethods = "GET"', 17, '"GET" is no list; write ["GET"]'),
+    ('[routes.s]\npath = "/s"\npool = "a"\nmethods = ["get"]', 17, '"get" is not supported; did you mean "GET"?'),
+    ('[routes.s]\npath = "/s"\npool = "a"\nmethods = "GET"', 17, '"GET" is not a list; write ["GET"]'),
     ('[routes.s]\npath = "/s"\npool = "a"\nhosts = ["A.example"]', 17, 'write "a.example"'),
     ('[routes.s]\npath = "/s"\npool = "a"\nhosts = ["a:80"]', 17, 'compared without ports; write "a"'),
-    ('[routes.s]\npath = "/s"\npool = "a"\nhosts = ["a.*"]', 17, 'is no host; write "a.example"'),
-    ('[routes.s]\npath = "/s"\npool = "a"\nheaders = { x = 1 }', 17, '1 is no text; write it in quotes, as in "1"'),
-    ('[routes.s]\npath = "/s"\npool = "a"\nheaders = { x = { like = "1" } }', 17, "is no condition; write"),
+    ('[routes.s]\npath = "/s"\npool = "a"\nhosts = ["a.*"]', 17, 'is not a host; write "a.example"'),
+    (
+        '[routes.s]\npath = "/s"\npool = "a"\nheaders = { x = 1 }',
+        17,
+        '1 is not a string; write it in quotes, as in "1"',
+    ),
+    ('[routes.s]\npath = "/s"\npool = "a"\nheaders = { x = { like = "1" } }', 17, "is not a condition; write"),
     ('[routes.s]\npath = "/s"\npool = "a"\nheaders = { x = { present = false } }', 17, "write { absent = true }"),
-    ('[routes.s]\npath = "/s"\npool = "a"\nquery = { x = { prefix = "" } }', 17, "an empty prefix asks nothing"),
+    ('[routes.s]\npath = "/s"\npool = "a"\nquery = { x = { prefix = "" } }', 17, "an empty prefix matches any value"),
     ('[routes.s]\npath = "/s"\npool = "a"\nkey = { path = "id" }', 17, 'the path has no variable "id"; it has none'),
     ('[routes.s]\npath = "/s"\npool = "a"\nkey = {}', 17, "write exactly one of header, path, query and value"),
     ('[routes.s]\npath = "/s"\npool = "a"\nrequest = { set = { Via = "x" } }', 17, '"Via" is set by the proxy'),
-    ('[routes.s]\npath = "/s"\npool = "a"\nresponse = { set = { X = "\\n" } }', 17, "is no header's value"),
+    ('[routes.s]\npath = "/s"\npool = "a"\nresponse = { set = { X = "\\n" } }', 17, "is not a header's value"),
     (
         '[routes.s]\npath = "/s"\npool = "a"\nfallbak = []',
         17,
         'key "fallbak" is unknown here; did you mean "fallback"?',
     ),
-    ('[routes.s]\npath = "/r/{k}"\npool = "a"', 14, 'route "s" and route "r" take the same requests'),
+    ('[routes.s]\npath = "/r/{k}"\npool = "a"', 14, 'route "s" and route "r" match the same requests'),
     ('[fleet]\nmember = "m"', 14, 'a fleet needs a name; write name = "edge"'),
-    ('[fleet]\nname = "f"\naddress = "127.0.0.1:7946"', 14, "this member needs a name of its own"),
-    ('[fleet]\nname = "f"\nmember = "m"', 14, 'it takes datagrams nowhere; write address = "127.0.0.1:7946"'),
-    ('[fleet]\nname = "f"\nmember = "m"\naddress = "0.0.0.0:7946"', 14, "write advertise, where others reach it"),
-    ('[fleet]\nname = "f"\nmember = "m"\naddress = "x.example:1"', 17, "is no numeric address; datagrams look no"),
-    (FLEET + '\nseeds = ["x.example:1"]', 18, "is no numeric address; datagrams look no names up"),
-    (FLEET + '\nelectors = ["a", "b"]', 18, "2 are no electorate; write 3 or 5 members' names"),
-    (FLEET + '\nelectors = ["a", "b", "c d"]', 18, '"c d" is no member\'s name'),
-    (FLEET + '\nduties = ["d"]', 18, "nobody promises them; write electors, 3 or 5 members' names"),
-    (FLEET + '\nelectors = ["a", "b", "c"]\nduties = ["d e"]', 19, '"d e" is no duty\'s name'),
-    ('[fleet]\nname = "f g"', 15, '"f g" is no name here; write up to 48 letters'),
+    ('[fleet]\nname = "f"\naddress = "127.0.0.1:7946"', 14, "this member needs a unique name"),
+    ('[fleet]\nname = "f"\nmember = "m"', 14, 'no address for datagrams is given; write address = "127.0.0.1:7946"'),
+    (
+        '[fleet]\nname = "f"\nmember = "m"\naddress = "0.0.0.0:7946"',
+        14,
+        "write advertise, the address that they can reach",
+    ),
+    (
+        '[fleet]\nname = "f"\nmember = "m"\naddress = "x.example:1"',
+        17,
+        "is not a numeric address; names are not resolved",
+    ),
+    (FLEET + '\nseeds = ["x.example:1"]', 18, "is not a numeric address; names are not resolved for datagrams"),
+    (FLEET + '\nelectors = ["a", "b"]', 18, "there are 2 electors; write the names of 3 or 5 members"),
+    (FLEET + '\nelectors = ["a", "b", "c d"]', 18, '"c d" is not a member\'s name'),
+    (FLEET + '\nduties = ["d"]', 18, "duties need electors; write electors, the names of 3 or 5 members"),
+    (FLEET + '\nelectors = ["a", "b", "c"]\nduties = ["d e"]', 19, '"d e" is not a duty\'s name'),
+    ('[fleet]\nname = "f g"', 15, '"f g" is not a valid name; write up to 48 letters'),
     ("[classes.x]\naim = 410", 15, '410 has no unit; write a text such as "410ms"'),
     ('[classes.x]\naim = "410"', 15, '"410": it has no unit; write one of us, ms, s, m, h'),
     ('[classes.x]\naim = "410sec"', 15, 'unit "sec" is unknown'),
-    ('[classes.x]\naim = "soon"', 15, '"soon" is no amount; write one such as'),
-    ('[classes.x]\naim = "6s"', 15, "the aim of 6s is after the deadline of 5s"),
+    ('[classes.x]\naim = "soon"', 15, '"soon" is not a quantity; write one such as'),
+    ('[classes.x]\naim = "6s"', 15, "the aim of 6s is later than the deadline of 5s"),
     ('[classes.x]\nrepeat = "sometimes"', 15, '"sometimes" is none of safe, keyed, unsafe'),
     ('[classes.x]\nrepeat = "keyed"', 15, "a keyed class needs a window"),
-    ('[classes.x]\nwindow = "5s"', 15, 'a window belongs to repeat = "keyed" alone'),
-    ('[classes.x]\nworth = "2"', 15, '"2" is no number; write one without quotes'),
+    ('[classes.x]\nwindow = "5s"', 15, 'a window applies only to repeat = "keyed"'),
+    ('[classes.x]\nworth = "2"', 15, '"2" is not a number; write one without quotes'),
     ("[limits]\nbody = 5", 15, '5 has no unit; write a text such as "64KiB"'),
-    ("[limits]\nsockets = 5", 15, "5 is not from 64"),
-    ("[limits]\nsockets = true", 15, "true is no whole number"),
+    ("[limits]\nsockets = 5", 15, "5 is out of range; the range is 64"),
+    ("[limits]\nsockets = true", 15, "true is not an integer"),
     ('[listeners.b]\naddress = "8080"', 15, 'write one such as "127.0.0.1:8080"'),
-    ('[listeners.b]\naddress = "127.0.0.1:1"\n[listeners.c]\naddress = "127.0.0.1:1"', 17, 'listener "b" has this'),
+    (
+        '[listeners.b]\naddress = "127.0.0.1:1"\n[listeners.c]\naddress = "127.0.0.1:1"',
+        17,
+        'listener "b" already has this',
+    ),
     ("[pools.b]", 14, "no backends are given; write exactly one of members"),
     ('[pools.b]\nfile = "x"\nwatch = "127.0.0.1:1"', 14, "file and watch are both given"),
-    ('[pools.b]\nmembers = [\n{ address = "h:1" },\n{ address = "h:1" },\n]', 17, 'there is a member "h:1" already'),
+    ('[pools.b]\nmembers = [\n{ address = "h:1" },\n{ address = "h:1" },\n]', 17, 'member "h:1" is already defined'),
     ('[pools.b]\nmembers = [\n{ address = "h:1" },\n{ adress = "h:1" },\n]', 17, 'did you mean "address"?'),
-    ("[pools.b]\nmembers = 3", 15, "3 is no list; write tables in brackets"),
-    ("[daemon]\ninstance = 1", 15, "1 is not below instances = 1"),
+    ("[pools.b]\nmembers = 3", 15, "3 is not a list; write tables in brackets"),
+    ("[daemon]\ninstance = 1", 15, "1 is not less than instances = 1"),
     ("[deamon]", 14, 'key "deamon" is unknown here; did you mean "daemon"?'),
     ("routes = 3", 14, 'key "routes" is unknown here'),
-    ('[pools.a]\nfile = "x"', 14, "this table stands above already; keep one of the two"),
-    ("[classes.x]\nworth = 1\nworth = 2", 16, "this key stands above already; keep one of the two"),
+    ('[pools.a]\nfile = "x"', 14, "this table is already defined above; remove one of the two"),
+    ("[classes.x]\nworth = 1\nworth = 2", 16, "this key is already defined above; remove one of the two"),
     ("[classes.x\nworth = 1", 14, "Expected ']'"),
     ("[classes.x]\nworth 1", 15, "a key is followed by = and a value"),
-    ("[classes.x]\naim = 410ms", 15, "texts are written in quotes"),
+    ("[classes.x]\naim = 410ms", 15, "strings are written in quotes"),
     ('[classes.x]\naim = "\\d"', 15, "write \\\\ for a backslash"),
     ("x = " + "[" * 5000 + "]" * 5000, 1, "brackets are nested too deeply"),
-    ("[registries.z]\nensemble = []", 15, 'the list is empty; write one address or more, as in ["127.0.0.1:2181"]'),
+    ("[registries.z]\nensemble = []", 15, 'the list is empty; write at least one address, as in ["127.0.0.1:2181"]'),
     ('[registries.z]\nensemble = ["zk"]', 15, "is not an address of the form host:port; write one such as"),
     (
         '[registries.z]\nensemble = ["h:1"]\nauth = "rosa"',
         16,
-        'it has no user and password; write one such as "user:password"',
+        'user or password is missing; write both, as in "user:password"',
     ),
-    ('[registries.z]\nensemble = ["h:1"]\nsession = "10ms"', 16, '"10ms" is not from 0.5s to 600s'),
+    ('[registries.z]\nensemble = ["h:1"]\nsession = "10ms"', 16, '"10ms" is out of range; the range is 0.5s to 600s'),
     ('[pools.b]\nregistry = { name = "z", path = "/a" }', 15, 'registry "z" is not in this file'),
     (
         '[registries.z]\nensemble = ["h:1"]\n[pools.b]\nregistry = { name = "z", path = "a" }',
         17,
-        '"a" is no folder of a registry; write one such as "/services/channel"',
+        '"a" is not a path of a registry node; write one such as "/services/channel"',
     ),
     (
         '[registries.z]\nensemble = ["h:1"]\n[pools.b]\nregistry = { name = "z", path = "/a", format = "jsn" }',
@@ -167,12 +187,12 @@
     (
         '[listeners.b]\naddress = "0.0.0.0:1"\nregister = { registry = "z", path = "/a", name = "n" }\n[registries.z]\nensemble = ["h:1"]',
         16,
-        'nobody can call 0.0.0.0; write address = "HOST:PORT"',
+        'callers can\'t connect to 0.0.0.0; write address = "HOST:PORT"',
     ),
     (
         '[listeners.b]\naddress = "127.0.0.1:1"\nregister = { registry = "z", path = "/a", name = "n/m" }\n[registries.z]\nensemble = ["h:1"]',
         16,
-        '"n/m" is no name of a node; write one such as "channel-1"',
+        '"n/m" is not the name of a registry node; write one such as "channel-1"',
     ),
 ]
 
@@ -192,20 +212,20 @@
 
 
 def test_a_file_without_a_listener_serves_nobody(tmp_path: Path) -> None:
-    assert faults(tmp_path, "") == ['1: there is no listener; write [listeners.NAME] with address = "127.0.0.1:8080"']
+    assert faults(tmp_path, "") == ['1: no listener is defined; write [listeners.NAME] with address = "127.0.0.1:8080"']
 
 
 def test_what_is_no_text_or_no_file(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     file.write_bytes(GOOD.encode() + b"# caf\xe9\n")
-    with pytest.raises(FileFaults, match=r"f\.toml:14: byte 0xe9 is no UTF-8; save the file as UTF-8"):
+    with pytest.raises(FileFaults, match=r"f\.toml:14: byte 0xe9 is not valid UTF-8; save the file as UTF-8"):
         load(str(file))
     with pytest.raises(FileFaults, match="No such file"):
         load(str(tmp_path / "none"))
     with pytest.raises(FileFaults, match="Is a directory"):
         load(str(tmp_path))
     with open(file, "wb") as big:
-        big.truncate(loading.FILE_MOST + 1)
+        big.truncate(loading.MAX_FILE_BYTES + 1)
     with pytest.raises(FileFaults, match="more than 8 MiB"):
         load(str(file))
 
@@ -226,7 +246,7 @@
     monkeypatch.setattr(os, "fstat", fstat)
     assert loading.read_text(str(file)) == GOOD
     left[0] = 10**6
-    with pytest.raises(FileFaults, match="it changes while it is read"):
+    with pytest.raises(FileFaults, match="the file changes while it is read"):
         loading.read_text(str(file))
 
 
