--- a/lugspur/__main__.py
+++ b/lugspur/__main__.py
@@ -1,18 +1,18 @@
-"""`python -m lugspur`: with no argument the platform's proxy, else the command line."""
+"""`python -m lugspur`: without arguments the platform's proxy, otherwise the command line."""
 
 from __future__ import annotations
 
 import sys
 
-NO_CLI = "lugspur: its commands need the package click; install lugspur[cli], or run it without arguments"
+CLICK_MISSING = "lugspur: commands need the package click; install lugspur[cli], or run lugspur without arguments"
 
 
 def main() -> int:
-    """Start; the command line is imported only where it is asked for: the platform's proxy has no use for it."""
+    """Run the proxy or a command; the command line is imported only if it is used, as the proxy does not need it."""
     if len(sys.argv) == 1 or sys.argv[1] == "run":
         from lugspur import reloads
 
-        reloads.hold()  # before the rest is imported, which takes its time
+        reloads.hold()  # before the other imports, which take time
     if len(sys.argv) == 1:
         from lugspur.daemon.service import main as serve
 
@@ -22,7 +22,7 @@
     except ModuleNotFoundError as fault:
         if fault.name != "click":
             raise
-        print(NO_CLI, file=sys.stderr)
+        print(CLICK_MISSING, file=sys.stderr)
         return 2
     cli(prog_name="lugspur")
     return 0
--- a/lugspur/cli/__init__.py
+++ b/lugspur/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line of `lugspur`."""
--- a/lugspur/cli/fleet.py
+++ b/lugspur/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`lugspur fleet`: what one daemon knows of its fleet, asked at its second address."""
+"""`lugspur fleet`: shows what one daemon knows of its fleet, by calls to its admin listener."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 from lugspur.config.units import Wrong, address, duration
 
-WITHIN = 5.0  # seconds that a daemon may take to answer
-HELD_ELSEWHERE = 3  # the exit status of `run` where another member holds the duty
-WATCH_EVERY = 1.0  # seconds between two looks with --watch
+CALL_TIMEOUT_SECONDS = 5.0  # until a daemon has to answer
+EXIT_HELD_ELSEWHERE = 3  # the exit status of `run` if this daemon does not hold the duty
+WATCH_INTERVAL_SECONDS = 1.0  # between two calls with --watch
 
 
 @click.group()
 def fleet() -> None:
-    """What a daemon knows of its fleet; --at is its second address, [management] address of its file."""
+    """Show what a daemon knows of its fleet; --at is its admin listener, [management] address in its file."""
 
 
-def _called(at: str, method: str, path: str, body: str = "") -> tuple[int, str]:
-    """One call; exits where no daemon answers."""
+def _call(at: str, method: str, path: str, body: str = "") -> tuple[int, str]:
+    """Make one call and return status and body; exit with status 1 if no daemon answers."""
     try:
-        connection = http.client.HTTPConnection(*address(at), timeout=WITHIN)
+        connection = http.client.HTTPConnection(*address(at), timeout=CALL_TIMEOUT_SECONDS)
         connection.request(method, path, body.encode() or None)
-        answer = connection.getresponse()
-        return answer.status, answer.read().decode().strip()
+        response = connection.getresponse()
+        return response.status, response.read().decode().strip()
     except Wrong as fault:
         raise click.UsageError(f"--at {at}: {fault}") from fault
     except (OSError, http.client.HTTPException) as fault:
@@ -40,8 +40,8 @@
         sys.exit(1)
 
 
-def _told(at: str, path: str) -> dict[str, Any]:
-    status, text = _called(at, "GET", path)
+def _get(at: str, path: str) -> dict[str, Any]:
+    status, text = _call(at, "GET", path)
     if status == 404:
         click.echo(f"{at}: this daemon is in no fleet; its file needs [fleet]", err=True)
         sys.exit(1)
@@ -50,11 +50,11 @@
     return found
 
 
-def _members(console: Console, told: dict[str, Any]) -> None:
-    rows = told["members"]
-    there = sum(row["state"] in ("alive", "suspect") for row in rows)
+def _print_members(console: Console, status: dict[str, Any]) -> None:
+    rows = status["members"]
+    reachable = sum(row["state"] in ("alive", "suspect") for row in rows)
     table = Table(
-        title=f"fleet {told['fleet']}, as {told['member']} sees it: {there} of {len(rows)} are there",
+        title=f"fleet {status['fleet']}, as {status['member']} sees it: {reachable} of {len(rows)} are reachable",
         title_justify="left",
     )
     for column in ("member", "address", "state", "zone", "version", "since", "notes"):
@@ -68,42 +68,42 @@
     console.print(table)
 
 
-def _duties(console: Console, told: dict[str, Any]) -> None:
-    table = Table(title=f"duties that {told['member']} wants", title_justify="left")
+def _print_duties(console: Console, status: dict[str, Any]) -> None:
+    table = Table(title=f"duties for which {status['member']} is a candidate", title_justify="left")
     for column in ("duty", "holder", "epoch", "left s"):
         table.add_column(column)
-    for row in told["duties"]:
+    for row in status["duties"]:
         table.add_row(
-            row["duty"], row["holder"] or "(nobody known)", str(row["epoch"]), str(row["left"]) if row["ours"] else "-"
+            row["duty"], row["holder"] or "(unknown)", str(row["epoch"]), str(row["left"]) if row["ours"] else "-"
         )
     console.print(table)
-    for pool, boxes in told["down"].items():
+    for pool, boxes in status["down"].items():
         if boxes:
-            console.print(f"pool {pool}: down, by its prober's word: {', '.join(boxes)}")
+            console.print(f"pool {pool}: down, as its prober reports: {', '.join(boxes)}")
 
 
-SHOWN = {"members": _members, "duties": _duties}
+PRINTERS = {"members": _print_members, "duties": _print_duties}
 
 
 def _show(at: str, what: tuple[str, ...], as_json: bool, watch: bool) -> None:
     console = Console(width=None if sys.stdout.isatty() else 120)
     while True:
-        found = {name: _told(at, f"/fleet/{name}") for name in what}
+        found = {name: _get(at, f"/fleet/{name}") for name in what}
         if watch and not as_json:
             console.clear()
         if as_json:
             click.echo(json.dumps(found if len(what) > 1 else found[what[0]]))
         else:
             for name in what:
-                SHOWN[name](console, found[name])
+                PRINTERS[name](console, found[name])
         if not watch:
             return
-        time.sleep(WATCH_EVERY)
+        time.sleep(WATCH_INTERVAL_SECONDS)
 
 
-AT = click.option("--at", required=True, metavar="HOST:PORT", help="The daemon's second address.")
-JSON = click.option("--json", "as_json", is_flag=True, help="One line of JSON instead of tables.")
-WATCH = click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
+AT = click.option("--at", required=True, metavar="HOST:PORT", help="The daemon's admin listener.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print one line of JSON instead of tables.")
+WATCH = click.option("--watch", is_flag=True, help="Repeat each second until interrupted.")
 
 
 @fleet.command()
@@ -111,7 +111,7 @@
 @JSON
 @WATCH
 def show(at: str, as_json: bool, watch: bool) -> None:
-    """Members and duties."""
+    """Show members and duties."""
     _show(at, ("members", "duties"), as_json, watch)
 
 
@@ -120,7 +120,7 @@
 @JSON
 @WATCH
 def members(at: str, as_json: bool, watch: bool) -> None:
-    """Who is there, is doubted, is gone or has left."""
+    """Show which members are alive, suspect, dead or have left."""
     _show(at, ("members",), as_json, watch)
 
 
@@ -129,29 +129,29 @@
 @JSON
 @WATCH
 def duties(at: str, as_json: bool, watch: bool) -> None:
-    """Who holds the duties that this daemon wants too, and under which epoch."""
+    """Show the holders and epochs of the duties for which this daemon is a candidate."""
     _show(at, ("duties",), as_json, watch)
 
 
 @fleet.command(context_settings={"ignore_unknown_options": True})
 @AT
-@click.option("--needs", default="0s", show_default=True, help="Time that the lease has to last yet.")
+@click.option("--needs", default="0s", show_default=True, help="Time that the lease must still last.")
 @click.argument("duty")
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def run(at: str, needs: str, duty: str, command: tuple[str, ...]) -> None:
-    """Run COMMAND if this daemon holds DUTY, with its epoch in LUGSPUR_EPOCH; else exit 3 and run nothing.
+    """Run COMMAND if this daemon holds DUTY, with its epoch in LUGSPUR_EPOCH; else exit with status 3 and run nothing.
 
-    For a job that is due on every machine and is to be done by one: let each machine's own daemon decide.
+    Use it for a job that is scheduled on every machine and has to run on one of them: each asks its own daemon.
     """
     try:
         seconds = duration()(needs)
     except Wrong as fault:
         raise click.UsageError(f"--needs {needs}: {fault}") from fault
-    status, text = _called(at, "POST", "/fleet/may", f"{duty} {seconds:.3f}")
+    status, text = _call(at, "POST", "/fleet/may", f"{duty} {seconds:.3f}")
     if status == 409:
         holder = json.loads(text)["holder"]
-        click.echo(f"duty {duty} is not ours" + (f": {holder} holds it" if holder else ""), err=True)
-        sys.exit(HELD_ELSEWHERE)
+        click.echo(f"this daemon does not hold duty {duty}" + (f": {holder} holds it" if holder else ""), err=True)
+        sys.exit(EXIT_HELD_ELSEWHERE)
     if status != 200:
         click.echo(f"{at}: {text}", err=True)
         sys.exit(1)
--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands: `lugspur run`, `check` and `explain`."""
+"""The commands of `lugspur`; `state` and `fleet` are groups in modules of their own."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 from lugspur.routing.table import capture, parse_query
 from lugspur.routing.target import TargetError, parse_target
 
-FAULTY = 2  # the exit status for a file or a command that makes no sense
+EXIT_INVALID = 2  # the exit status for an invalid file or command line
 
 
 def _load(path: str) -> Plan:
-    """The plan of a file, or every fault of it on standard error."""
+    """Return the plan of a file; if it has faults, print all of them to standard error and exit."""
     try:
         return load(path)
     except FileFaults as fault:
         click.echo("\n".join(fault.lines), err=True)
-        sys.exit(FAULTY)
+        sys.exit(EXIT_INVALID)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
     """A request proxy for services that call services.
 
-    Without a command it is the platform's proxy, told by RELAY_CONFIG.
+    Without a command it runs the platform's proxy, configured by RELAY_CONFIG.
     """
 
 
-def _loop_of(plan: Plan) -> Callable[[], asyncio.AbstractEventLoop] | None:
-    """The loop to run in: one whose turns can be felt where the daemon guards itself."""
+def _loop_factory(plan: Plan) -> Callable[[], asyncio.AbstractEventLoop] | None:
+    """Return the factory of the event loop: with load shedding a loop that measures the duration of its iterations."""
     if not plan.file.guard.on:
         return None
     from lugspur.daemon.load_signals import TimedEventLoop
@@ -49,7 +49,7 @@
 @cli.command()
 @click.argument("file")
 def run(file: str) -> None:
-    """Serve by FILE; SIGHUP reads it again, SIGTERM finishes what was taken."""
+    """Run a daemon with FILE; SIGHUP reloads it, SIGTERM completes open requests and stops."""
     from lugspur.daemon.run import RunningDaemon, serve
 
     plan = _load(file)
@@ -59,7 +59,7 @@
             click.echo(f"lugspur: listener {name} at {host}:{port}", err=True)
 
     try:
-        with asyncio.Runner(loop_factory=_loop_of(plan)) as runner:
+        with asyncio.Runner(loop_factory=_loop_factory(plan)) as runner:
             runner.run(serve(file, plan, ready))
     except OSError as fault:
         click.echo(f"lugspur: {fault}", err=True)
@@ -69,7 +69,7 @@
 @cli.command()
 @click.argument("file")
 def check(file: str) -> None:
-    """Name every fault of FILE, with its line and what to write instead; exit 2 if there is one."""
+    """Report every fault of FILE, with its line and what to write instead; exit with status 2 if there is one."""
     plan = _load(file)
     parts = plan.file
     for line in warnings(parts):
@@ -80,10 +80,10 @@
         (len(parts.pools), "pool"),
         (len(parts.routes), "route"),
     ]
-    said = ", ".join(
-        f"{count} {what if count == 1 else what + ('es' if what.endswith('s') else 's')}" for count, what in counts
+    summary = ", ".join(
+        f"{count} {noun if count == 1 else noun + ('es' if noun.endswith('s') else 's')}" for count, noun in counts
     )
-    click.echo(f"{file}: no fault; {said}")
+    click.echo(f"{file}: no fault; {summary}")
 
 
 @cli.command("explain")
@@ -91,21 +91,21 @@
 @click.argument("method")
 @click.argument("url")
 @click.option("-H", "--header", "headers", multiple=True, metavar="NAME:VALUE", help="A header of the request.")
-@click.option("--all", "everything", is_flag=True, help="Name every route that doesn't fit, not just ten.")
+@click.option("--all", "everything", is_flag=True, help="Show all routes that don't match, not just ten.")
 def explain_(file: str, method: str, url: str, headers: tuple[str, ...], everything: bool) -> None:
-    """Tell which route of FILE takes METHOD URL, why, and which ones lost.
+    """Show which route of FILE matches METHOD URL and why, and why other routes are not used.
 
-    URL is a path, or a whole URL whose host counts as the Host header. Exit 1 if no route takes it.
+    URL is a path, or a full URL, whose host is used as the Host header. Exits with status 1 if no route matches.
     """
     plan = _load(file)
-    asked = _asked(method, url, headers)
-    verdicts = explain(plan.table.routes, asked)
+    request = _parse_request(method, url, headers)
+    verdicts = explain(plan.table.routes, request)
     matching = [v for v in verdicts if not v.reason]
-    click.echo(f"{asked.method} {asked.target.origin_form.decode()}  host {asked.target.host or '(none)'}")
+    click.echo(f"{request.method} {request.target.origin_form.decode()}  host {request.target.host or '(none)'}")
     if not matching:
-        click.echo("no route takes it:" if verdicts else "the file has no route")
+        click.echo("no route matches:" if verdicts else "the file has no route")
     else:
-        _show_winner(plan, matching[0], asked)
+        _show_match(plan, matching[0], request)
         for verdict in matching[1:]:
             assert verdict.rank is not None and matching[0].rank is not None
             click.echo(f"  beats {verdict.route.name}: by {deciding_rule(matching[0].rank, verdict.rank)}")
@@ -114,16 +114,16 @@
     for verdict in shown:
         click.echo(f"  not {verdict.route.name}: {verdict.reason}")
     if len(others) > len(shown):
-        click.echo(f"  and {len(others) - len(shown)} more that don't fit (--all names them)")
+        click.echo(f"  and {len(others) - len(shown)} more that don't match (--all shows them)")
     sys.exit(0 if matching else 1)
 
 
-def _asked(method: str, url: str, headers: tuple[str, ...]) -> RequestView:
+def _parse_request(method: str, url: str, headers: tuple[str, ...]) -> RequestView:
     found: dict[str, str] = {}
     for line in headers:
         name, colon, value = line.partition(":")
         if not colon or not name.strip():
-            raise click.UsageError(f'-H "{line}" is no header; write -H "Name: value"')
+            raise click.UsageError(f'-H "{line}" is not a header; write -H "Name: value"')
         found[name.strip().lower()] = value.strip()
     try:
         if not url.startswith("/") and urlsplit(url).scheme in ("http", "https"):
@@ -131,14 +131,14 @@
         target = parse_target(url.partition("#")[0].encode(), found.get("host", "").encode())
     except (TargetError, ValueError) as fault:
         click.echo(f"{url}: answered 400: {fault}", err=True)
-        sys.exit(FAULTY)
+        sys.exit(EXIT_INVALID)
     return RequestView(method.upper(), target, found, parse_query(target.query))
 
 
-def _show_winner(plan: Plan, verdict: Verdict, asked: RequestView) -> None:
+def _show_match(plan: Plan, verdict: Verdict, request: RequestView) -> None:
     route = verdict.route
-    click.echo(f"route {route.name}: {_leads(plan, route)}")
-    captured = capture(route.path, asked.target.forwarded_segments, asked.target.segments)
+    click.echo(f"route {route.name}: {_describe_action(plan, route)}")
+    captured = capture(route.path, request.target.forwarded_segments, request.target.segments)
     names = {name: value for name, value in captured.items() if not name.startswith("=")}
     if names:
         click.echo("  path " + ", ".join(f"{name} = {value or '(empty)'}" for name, value in names.items()))
@@ -158,7 +158,7 @@
             )
 
 
-def _leads(plan: Plan, route: Route) -> str:
+def _describe_action(plan: Plan, route: Route) -> str:
     action = route.action
     if isinstance(action, Redirect):
         return f"redirect {action.status} to {action.location.text}"
@@ -175,20 +175,20 @@
 @click.argument("file")
 @click.argument("registry")
 @click.argument("path")
-@click.option("--name", required=True, help="The node's name; with --sequential the beginning of it.")
-@click.option("--address", required=True, metavar="HOST:PORT", help="Where the box is reached.")
+@click.option("--name", required=True, help="The node's name; with --sequential its prefix.")
+@click.option("--address", required=True, metavar="HOST:PORT", help="The address at which callers reach the backend.")
 @click.option(
     "--check",
     "url",
     metavar="URL",
-    help="http://HOST:PORT/PATH answers below 400, or tcp://HOST:PORT takes "
-    "connections, while the box is well; by default tcp:// at its address.",
+    help="http://HOST:PORT/PATH returns a status below 400, or tcp://HOST:PORT accepts "
+    "connections, while the backend is healthy; by default tcp:// at its address.",
 )
-@click.option("--every", default="1s", show_default=True, help="Time between two checks.")
-@click.option("--zone", default="", help="The box's zone.")
-@click.option("--cell", default=0, help="The box's cell.")
-@click.option("--weight", default=1.0, show_default=True, help="The box's size against the others'.")
-@click.option("--sequential", is_flag=True, help="Let the registry number the node.")
+@click.option("--every", default="1s", show_default=True, help="Interval between checks.")
+@click.option("--zone", default="", help="The backend's zone.")
+@click.option("--cell", default=0, help="The backend's cell.")
+@click.option("--weight", default=1.0, show_default=True, help="The backend's capacity relative to others.")
+@click.option("--sequential", is_flag=True, help="Let the registry append a sequence number to the name.")
 def register(
     file: str,
     registry: str,
@@ -202,22 +202,24 @@
     weight: float,
     sequential: bool,
 ) -> None:
-    """Keep the node of a box in PATH of a REGISTRY that FILE names, while the box is well.
+    """Register a backend below PATH in a REGISTRY that FILE defines, for as long as the backend is healthy.
 
-    SIGTERM deletes the node first thing, then ends. Stop it before the box itself, so that nobody calls the box later.
+    SIGTERM deletes the node and stops. Stop this command before the backend, so that callers see the removal first.
     """
-    from lugspur.cli.register import beside, wished
+    from lugspur.cli.register import parse_registration, run_registration
 
     plan = _load(file)
     try:
-        wish = wished(plan, registry, path, name, address, url, every, zone, cell, weight, sequential)
+        registration = parse_registration(
+            plan, registry, path, name, address, url, every, zone, cell, weight, sequential
+        )
     except ValueError as fault:
         raise click.UsageError(str(fault)) from fault
-    asyncio.run(beside(wish))
+    asyncio.run(run_registration(registration))
 
 
-class _Later(click.Group):
-    """Imports its commands when one of them is asked for: `lugspur run` has no use for tables."""
+class _LazyGroup(click.Group):
+    """A group whose module is imported when it is used: `lugspur run` does not need to load `rich`."""
 
     def _commands(self) -> click.Group:
         found = getattr(import_module(f"lugspur.cli.{self.name}"), str(self.name))
@@ -231,30 +233,32 @@
         return self._commands().get_command(ctx, cmd_name)
 
 
-cli.add_command(_Later("state", help="Show, verify or prune what a daemon has kept of its backends."))
-cli.add_command(_Later("fleet", help="Show a daemon's fleet and its duties, or run a command where a duty is held."))
+cli.add_command(_LazyGroup("state", help="Show, verify or prune the persisted state of a daemon."))
+cli.add_command(
+    _LazyGroup("fleet", help="Show a daemon's fleet and its duties, or run a command if the daemon holds a duty.")
+)
 
 
 @cli.command()
-@click.option("--requests", default=4000, show_default=True, help="Requests of each round.")
-@click.option("--against", metavar="DIR", help="Another checkout, whose platform's proxy is measured beside ours.")
+@click.option("--requests", default=4000, show_default=True, help="Requests in each round.")
+@click.option("--against", metavar="DIR", help="Another checkout, whose platform proxy is measured for comparison.")
 def bench(requests: int, against: str | None) -> None:
-    """Measure what a request costs, as multiples of a bare byte relay; some two minutes of a quiet machine."""
+    """Measure the cost of a request as a multiple of a plain byte relay; takes about two minutes on an idle machine."""
     from lugspur.bench.main import report
 
     report(requests, click.echo, against)
 
 
 @cli.command()
-@click.option("--seconds", default=8.0, show_default=True, help="How long it plays.")
-@click.option("--seed", default=7, show_default=True, help="For what it draws.")
+@click.option("--seconds", default=8.0, show_default=True, help="Duration of the demo.")
+@click.option("--seed", default=7, show_default=True, help="Seed of its random numbers.")
 def demo(seconds: float, seed: int) -> None:
-    """Three tiers behind the daemon under a small load, a backend killed and another drained half-way.
+    """Run three tiers behind the daemon under a small load; half-way one backend is killed and another drained.
 
-    Ends by itself; exit 0 only if no request was lost or doubled and the drain was kept.
+    Exits with status 0 only if no request was lost or executed twice and the draining backend got no new requests.
     """
     from rich.console import Console
 
-    from lugspur.demo.main import run as play
+    from lugspur.demo.main import run as run_demo
 
-    sys.exit(0 if asyncio.run(play(seconds, seed, Console())) else 1)
+    sys.exit(0 if asyncio.run(run_demo(seconds, seed, Console())) else 1)
--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -1,4 +1,4 @@
-"""`lugspur register`: keeps a box's node in a registry from beside the box."""
+"""`lugspur register`: keeps a backend registered while it is healthy, in a process beside the backend."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from lugspur.config.build import Plan
 from lugspur.config.units import Wrong, duration, folder, nearest, node
-from lugspur.config.units import address as read_place
+from lugspur.config.units import address as parse_address
 from lugspur.daemon.cluster import registry_ensemble
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
 from lugspur.discovery.health_check import check_health
@@ -19,18 +19,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What the command line asks for."""
+class Registration:
+    """The validated arguments of the command line."""
 
     ensemble: Ensemble
     path: str
-    box: RegisteredBackend
-    ident: str
+    backend: RegisteredBackend
+    ident: str  # of a sequential node; empty for others
     url: str
-    every: float  # seconds
+    every: float  # seconds between two health checks
 
 
-def wished(
+def parse_registration(
     plan: Plan,
     registry: str,
     path: str,
@@ -42,49 +42,53 @@
     cell: int,
     weight: float,
     sequential: bool,
-) -> Wish:
-    """The command line's words, checked; raises ValueError that says what to write instead."""
+) -> Registration:
+    """Validate the command line; raises ValueError, whose message says what to write instead."""
     known = plan.file.registries
     if registry not in known:
         raise ValueError(f'registry "{registry}" is not in the file{nearest(registry, known)}')
     if not (0 <= cell < 1 << 31 and 0.001 <= weight <= 1e6):
-        raise ValueError("--cell is a whole number from 0, --weight one from 0.001 to 1000000")
+        raise ValueError("--cell is an integer from 0, --weight a number from 0.001 to 1000000")
     try:
-        host, port = read_place(address)
-        box = RegisteredBackend(node(name), f"{host}:{port}", zone, cell, weight)
-        wish = Wish(
+        host, port = parse_address(address)
+        backend = RegisteredBackend(node(name), f"{host}:{port}", zone, cell, weight)
+        registration = Registration(
             registry_ensemble(known[registry]),
             folder(path),
-            box,
+            backend,
             uuid.uuid4().hex if sequential else "",
             url or f"tcp://{address}",
             duration(0.01, 3600.0)(every),
         )
     except Wrong as fault:
         raise ValueError(str(fault)) from fault
-    parts = urlsplit(wish.url)
+    parts = urlsplit(registration.url)
     if parts.scheme not in ("http", "tcp") or not parts.hostname or not parts.port:
-        raise ValueError(f'--check "{wish.url}" can\'t be asked; write http://HOST:PORT/PATH or tcp://HOST:PORT')
-    return wish
+        raise ValueError(
+            f'--check "{registration.url}" is not a URL that can be checked; write http://HOST:PORT/PATH or tcp://HOST:PORT'
+        )
+    return registration
 
 
-async def beside(wish: Wish) -> None:
-    """Check the box and keep its node until SIGTERM or SIGINT, then delete the node."""
-    told = asyncio.Event()
+async def run_registration(registration: Registration) -> None:
+    """Check the backend and keep it registered until SIGTERM or SIGINT, then delete its node."""
+    stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop.set)
     registries = RegistrySessions()
-    announcer = BackendRegistrar(registries.get(wish.ensemble), wish.path, wish.box, wish.ident, time.time)
-    announcer.open()
-    checking = loop.create_task(_checks(announcer, wish))
-    await told.wait()
-    checking.cancel()
-    await announcer.deregister()
+    registrar = BackendRegistrar(
+        registries.get(registration.ensemble), registration.path, registration.backend, registration.ident, time.time
+    )
+    registrar.open()
+    checks = loop.create_task(_run_checks(registrar, registration))
+    await stop.wait()
+    checks.cancel()
+    await registrar.deregister()
     await registries.close()
 
 
-async def _checks(announcer: BackendRegistrar, wish: Wish) -> None:
+async def _run_checks(registrar: BackendRegistrar, registration: Registration) -> None:
     while True:
-        announcer.record_check(await check_health(wish.url, wish.every))
-        await asyncio.sleep(wish.every)
+        registrar.record_check(await check_health(registration.url, registration.every))
+        await asyncio.sleep(registration.every)
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -1,4 +1,4 @@
-"""`lugspur state`: what a daemon has kept, for people and for scripts."""
+"""`lugspur state`: shows, verifies and prunes the persisted state of a daemon."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from lugspur.discovery import state_codec
 from lugspur.discovery.endpoints import server_name
 
-UNUSABLE = 2  # the exit status for a file that can't be used
+EXIT_UNUSABLE = 2  # the exit status for a file that can't be used
 
 
 @click.group()
 def state() -> None:
-    """What a daemon has kept of its backends: the file `state` in the folder that [state] names."""
+    """Work with the persisted state of a daemon: the file `state` in the directory that [state] names."""
 
 
 def _read(file: str) -> Snapshot:
-    """What a file says, or why it can't be used on standard error."""
+    """Return the snapshot in a file; if it can't be used, print the reason to standard error and exit."""
     path = Path(file)
     try:
         disk = Directory(str(path.parent))
@@ -48,15 +48,15 @@
         finally:
             disk.close()
     except OSError as fault:
-        why = fault.strerror or str(fault)
+        reason = fault.strerror or str(fault)
     except (ValueError, UnreadableSnapshotError) as fault:
-        why = str(fault)
-    click.echo(f"{file}: {why}", err=True)
-    sys.exit(UNUSABLE)
+        reason = str(fault)
+    click.echo(f"{file}: {reason}", err=True)
+    sys.exit(EXIT_UNUSABLE)
 
 
 def _rows(pool: PoolSnapshot) -> Iterator[dict[str, Any]]:
-    """A pool's backends and what was learned of each."""
+    """Yield a row for each backend of a pool, with what was learned about it."""
     learned = {} if pool.learned is None else {row.server: row for row in pool.learned.servers}
     for endpoint in pool.endpoints:
         row, known = endpoint.row, learned.get(endpoint.row.server)
@@ -77,9 +77,9 @@
 
 @state.command()
 @click.argument("file")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object instead of tables.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object instead of tables.")
 def show(file: str, as_json: bool) -> None:
-    """Show what FILE says of each pool and backend."""
+    """Show the pools and backends in FILE."""
     snapshot = _read(file)
     age = time.time() - snapshot.written_at
     if as_json:
@@ -107,7 +107,7 @@
 @state.command()
 @click.argument("file")
 def verify(file: str) -> None:
-    """Say whether FILE is whole and can be used; exit 2 if not."""
+    """Check whether FILE is complete and can be used; exit with status 2 if not."""
     snapshot = _read(file)
     backends = sum(len(pool.endpoints) for pool in snapshot.pools.values())
     click.echo(f"{file}: whole; {len(snapshot.pools)} pools, {backends} backends")
@@ -115,40 +115,44 @@
 
 @state.command()
 @click.argument("file")
-@click.option("--unseen", default="1h", show_default=True, help="Forget what was learned of backends not seen so long.")
+@click.option(
+    "--unseen", default="1h", show_default=True, help="Remove what was learned about backends not seen for this time."
+)
 def prune(file: str, unseen: str) -> None:
-    """Forget what FILE says of backends that were not seen for long; their places in the list stay.
+    """Remove what was learned about backends that were not seen for a long time; they stay in the list of endpoints.
 
-    Not while a daemon keeps its state there.
+    Fails while a daemon uses the directory.
     """
     try:
-        within = duration(0.0, 1e9)(unseen)
+        max_age = duration(0.0, 1e9)(unseen)
     except Wrong as fault:
         raise click.UsageError(f"--unseen {unseen}: {fault}") from fault
     snapshot = _read(file)
     path = Path(file)
     dropped = 0
-    facts: list[bytes] = []
+    records: list[bytes] = []
     for name, pool in snapshot.pools.items():
-        facts.append(encode_record("pool", name, {"at": pool.captured_at}))
-        facts += (encode_record("backend", name, state_codec.encode_endpoint(endpoint)) for endpoint in pool.endpoints)
+        records.append(encode_record("pool", name, {"at": pool.captured_at}))
+        records += (
+            encode_record("backend", name, state_codec.encode_endpoint(endpoint)) for endpoint in pool.endpoints
+        )
         if pool.learned is not None:
-            kept = [row for row in pool.learned.servers if row.seen and pool.captured_at - row.seen <= within]
+            kept = [row for row in pool.learned.servers if row.seen and pool.captured_at - row.seen <= max_age]
             dropped += len(pool.learned.servers) - len(kept)
-            facts += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in kept)
-            facts.append(
+            records += (encode_record("learned", name, state_codec.encode_learned_server(row)) for row in kept)
+            records.append(
                 encode_record("tier", name, state_codec.encode_learned_pools(replace(pool.learned, servers=())))
             )
     try:
         store = SnapshotStore(Directory(os.path.dirname(path.resolve())))
     except DirectoryInUseError:
-        click.echo(f"{file}: a daemon keeps its state there; stop it first", err=True)
+        click.echo(f"{file}: a daemon uses this directory; stop it first", err=True)
         sys.exit(1)
     except OSError as fault:
         click.echo(f"{file}: {fault.strerror or fault}", err=True)
         sys.exit(1)
     try:
-        store.replace_file(path.name, encode_snapshot(snapshot.written_at, facts))
+        store.replace_file(path.name, encode_snapshot(snapshot.written_at, records))
     except OSError as fault:
         click.echo(f"{file}: {fault.strerror or fault}", err=True)
         sys.exit(1)
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -73,7 +73,7 @@
         )
     )
     status, said = command("explain", str(file), "GET", "/a")
-    assert status == 0 and "beats r1: by path" in said and "and 10 more that don't fit" in said
+    assert status == 0 and "beats r1: by path" in said and "and 10 more that don't match" in said
     assert "not r22" in command("explain", str(file), "GET", "/a", "--all")[1]
 
 
@@ -218,7 +218,7 @@
             ("zk", "/a", "--name", "n", "--address", "h:1", "--check", "ftp://x"),
             "write http://HOST:PORT/PATH or tcp://",
         ),
-        (("zk", "/a", "--name", "n", "--address", "h:1", "--weight", "0"), "--weight one from 0.001"),
+        (("zk", "/a", "--name", "n", "--address", "h:1", "--weight", "0"), "--weight a number from 0.001"),
     ],
 )
 def test_register_says_what_to_write_instead(tmp_path: Path, words: tuple[str, ...], said: str) -> None:
