--- a/lugspur/observability/__init__.py
+++ b/lugspur/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see of a process from outside: metrics, and records of failed requests."""
+"""Observability of a process: metrics, and records of failed requests."""
--- a/lugspur/observability/failures.py
+++ b/lugspur/observability/failures.py
@@ -1,8 +1,8 @@
-"""Records of failed requests: the latest ones are kept, and some of them are logged.
+"""Records of failed requests: the latest ones are kept in memory, and some of them are logged.
 
-A record says by which configuration a request was judged, to which backends it was sent, what they answered and why it
-failed. It is made only for requests that fail; what leads to it is a short list that every request keeps while it is
-open. `GET /failures` and `GET /mesh/failures` answer with these classes as JSON: their field names are the JSON's.
+A record states the configuration that was in force, the backends that the request was sent to, their responses and why
+it failed. It is made only for requests that fail; until then a request keeps a short list of its attempts. `GET
+/failures` and `GET /mesh/failures` return these classes as JSON: their field names are the keys of the JSON.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from dataclasses import dataclass
 from typing import TypedDict, Unpack
 
-MAX_KEPT_RECORDS = 256  # the latest ones
-MAX_LOGGED_PER_SECOND = 2  # so that a failure of all requests does not become one of the log
+MAX_KEPT_RECORDS = 256  # the latest records
+MAX_LOGGED_PER_SECOND = 2  # so that the log is not flooded while all requests fail
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptRecord:
-    """One backend that a request was sent to. Times are in seconds."""
+    """One attempt: a backend that a request was sent to. Times are in seconds."""
 
     backend: str
     sent_s: float  # after the request arrived
     took_s: float
-    how: str  # how it ended
-    cause: str  # the status that it answered with, or why it has none
+    how: str  # how the attempt ended
+    cause: str  # the status of the response, or why there is none
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,31 +39,31 @@
 
 @dataclass(slots=True, frozen=True)
 class SelectionSummary:
-    """What the last selection of a backend saw where it found none."""
+    """The state of the backends when the last selection for a request found none."""
 
     known: int  # backends of the service that accept work
-    tried: int  # ...of these, those that have had the request
-    unreachable: int  # ...and those whose proxies cannot be reached
-    resting: int  # of the rest, those that have rejected something a moment ago
-    refusals: tuple[BreakerRejection, ...] = ()  # of the backends that were drawn; empty: none could be drawn
+    tried: int  # of the known backends, those to which the request was already sent
+    unreachable: int  # of the known backends, those whose proxies cannot be reached
+    resting: int  # of the remaining backends, those that rejected a request a moment ago
+    refusals: tuple[BreakerRejection, ...] = ()  # by the backends that were selected; empty: none could be selected
 
     def text(self) -> str:
-        """Return all of it as one word for the log."""
-        drawn = ",".join(f"{r.backend}:{r.term}:{r.chance:.2f}" for r in self.refusals)
-        return f"{self.known}/{self.tried}/{self.unreachable}/{self.resting}/{drawn}"
+        """Return the summary as one word for the log."""
+        rejections = ",".join(f"{r.backend}:{r.term}:{r.chance:.2f}" for r in self.refusals)
+        return f"{self.known}/{self.tried}/{self.unreachable}/{self.resting}/{rejections}"
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationState:
-    """The configuration by which a process judges requests at a moment."""
+    """The configuration that a process applies at a moment."""
 
-    index: int  # of the latest change that it knows
-    epoch: int  # of the voter membership that it knows
-    update_age_seconds: float  # since it last had an update of a majority
+    index: int  # of the latest change that the process knows
+    epoch: int  # of the voter membership that the process knows
+    update_age_seconds: float  # since the process last received an update confirmed by a majority
 
 
 class FailureFacts(TypedDict, total=False):
-    """What is known of a failed request beside its id and its end; fields as in `FailedRequest`."""
+    """Details of a failed request beside its id and outcome; the fields are those of `FailedRequest`."""
 
     route: str
     service: str
@@ -81,46 +81,46 @@
 
 @dataclass(slots=True, frozen=True)
 class FailedRequest:
-    """One request that was not answered by a backend's success. Times are in seconds."""
+    """One request that did not get a successful response of a backend. Times are in seconds."""
 
-    at: float  # since 1970
-    attempt: str  # `Lugspur-Attempt-Id` or `X-Request-ID`; empty: it had none
-    how: str  # how it ended: the final status, `gone` where its caller left, or the kind of the mesh's error
+    at: float  # Unix time
+    attempt: str  # `Lugspur-Attempt-Id` or `X-Request-ID`; empty if the request had none
+    how: str  # the final status, `gone` if the caller closed the connection, or the kind of the mesh's error
     route: str = ""
     service: str = ""
-    keyed: bool = False  # whether it had an idempotency key
-    claim: str = ""  # how the reservation of its key ended
+    keyed: bool = False  # whether the request had an idempotency key
+    claim: str = ""  # outcome of the reservation of its idempotency key
     took_s: float = 0.0
-    had_s: float = 0.0  # from its arrival to its deadline
-    sends: int = 0  # backends that it was offered to, or may have been
-    turned_away: int = 0  # concurrency limiters that rejected it
-    waited_for: tuple[str, ...] = ()  # backends that had not answered yet
-    edition: int = 0  # of its route
+    had_s: float = 0.0  # from the request's arrival to its deadline
+    sends: int = 0  # backends that the request was sent to, or may have been sent to
+    turned_away: int = 0  # concurrency limiters that rejected the request
+    waited_for: tuple[str, ...] = ()  # backends that had not responded yet
+    edition: int = 0  # of the request's route
     index: int = 0
     epoch: int = 0
     news_age_s: float = 0.0
     steps: tuple[AttemptRecord, ...] = ()
-    pick: SelectionSummary | None = None  # where the last selection found no backend
+    pick: SelectionSummary | None = None  # if the last selection found no backend
 
 
-#: Logs a record, and how many before it were not logged.
+#: Logs a record and the number of records before it that were not logged.
 FailureLogger = Callable[[FailedRequest, int], None]
 
 
 def log_nothing(failed: FailedRequest, unlogged_count: int) -> None:
-    """Log nothing: for a process that only keeps its records."""
+    """Log nothing, for a process that only keeps its records."""
 
 
 class FailureLog:
     """The latest failed requests of a process."""
 
     def __init__(self, configuration_state: Callable[[], ConfigurationState], log: FailureLogger) -> None:
-        """Keep records with what `configuration_state` returns, and pass at most a few a second to `log`."""
+        """Add the result of `configuration_state` to each record; pass at most MAX_LOGGED_PER_SECOND to `log`."""
         self._configuration_state, self._log = configuration_state, log
         self._kept: deque[FailedRequest] = deque(maxlen=MAX_KEPT_RECORDS)
-        self._second = 0  # the one that `_logged` counts in
+        self._second = 0  # Unix time of the second that `_logged` belongs to
         self._logged = 0
-        self._unlogged = 0  # since the last one that was logged
+        self._unlogged = 0  # records since the last one that was logged
 
     def add(self, attempt: bytes, how: str, **facts: Unpack[FailureFacts]) -> None:
         """Record a request that failed."""
@@ -148,5 +148,5 @@
             self._unlogged += 1
 
     def latest(self) -> list[FailedRequest]:
-        """Return all records that are kept, the latest last."""
+        """Return the kept records, the latest last."""
         return list(self._kept)
--- a/lugspur/observability/metrics.py
+++ b/lugspur/observability/metrics.py
@@ -1,7 +1,8 @@
 """Metrics of one process in the text format of Prometheus.
 
-Processes count in plain integers. Only when the metrics are asked for are they put into the form of the library, which
-is imported then: a process that is never asked pays neither for its memory nor for its start.
+Processes count in plain integers. The counts are converted to the types of `prometheus_client` only when a scraper
+requests the metrics. The library is imported at that time, so that a process that is never scraped saves its memory and
+the time of the import.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 
 
 class MetricKind(enum.Enum):
-    """What a metric does over time."""
+    """The type of a metric."""
 
-    COUNTER = "counter"  # it rises as long as the process runs
-    GAUGE = "gauge"  # it is a present value
+    COUNTER = "counter"  # it only increases while the process runs
+    GAUGE = "gauge"  # the current value
 
 
 @dataclass(slots=True, frozen=True)
 class Metric:
-    """One metric and its values: by the values of one label, or a single one under the empty text."""
+    """One metric, with values by the values of its label; without a label it has one value, under the empty string."""
 
     name: str  # without the prefix
     help: str
@@ -42,23 +43,23 @@
 
 
 def gauge(name: str, help: str, value: float) -> Metric:
-    """Return a metric that is a present value."""
+    """Return a gauge without a label."""
     return Metric(name, help, MetricKind.GAUGE, {"": value})
 
 
 def counter(name: str, help: str, value: float) -> Metric:
-    """Return a metric that rises."""
+    """Return a counter without a label."""
     return Metric(name, help, MetricKind.COUNTER, {"": value})
 
 
 def labelled_counter(name: str, help: str, label: str, values: Mapping[str, float]) -> Metric:
-    """Return a metric that rises, with a value for each value of a label."""
+    """Return a counter with one label; `values` are by the label's values."""
     return Metric(name, help, MetricKind.COUNTER, values, label)
 
 
 @dataclass(slots=True)
 class Histogram:
-    """How long something took."""
+    """A histogram of durations."""
 
     name: str  # without the prefix
     help: str
@@ -67,20 +68,20 @@
     total: float = 0.0  # seconds
 
     def add(self, seconds: float) -> None:
-        """Count one observation."""
+        """Record one observation."""
         self.counts[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
 
 def invariant_metrics() -> list[Metric]:
-    """Return the violations of each invariant; those that were never violated are there with 0."""
+    """Return the number of violations of each invariant; invariants without a violation have the value 0."""
     values = {invariant.value: float(violations[invariant]) for invariant in Invariant}
     help_text = "Invariants that were found violated; anything above 0 is a fault of the program."
     return [labelled_counter("invariant_violations", help_text, "invariant", values)]
 
 
 def render(metrics: Iterable[Metric], histograms: Iterable[Histogram] = ()) -> bytes:
-    """Return the text that a scraper reads; raises ImportError where `prometheus_client` is not installed."""
+    """Return the metrics as text for a scraper; raises ImportError if `prometheus_client` is not installed."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.registry import Collector
 
@@ -109,10 +110,10 @@
 def _library_histogram(histogram: Histogram) -> LibraryMetric:
     from prometheus_client.core import HistogramMetricFamily
 
-    buckets, so_far = [], 0
+    buckets, cumulative_count = [], 0
     for bound, count in zip((*map(str, BUCKET_BOUNDS_SECONDS), "+Inf"), histogram.counts, strict=True):
-        so_far += count
-        buckets.append((bound, so_far))
+        cumulative_count += count
+        buckets.append((bound, cumulative_count))
     converted = HistogramMetricFamily(PREFIX + histogram.name, histogram.help)
     converted.add_metric([], buckets, histogram.total)
     return converted
