--- a/lugspur/mesh/__main__.py
+++ b/lugspur/mesh/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m lugspur.mesh serve` runs a process of the mesh; all else is the operators' command line."""
+"""`python -m lugspur.mesh serve` runs a process of the mesh; all other commands are for operators."""
 
 import sys
 
-if sys.argv[1:] == ["serve"]:  # Guards the start on small machines against what only the command line needs.
+if sys.argv[1:] == ["serve"]:  # Avoids the imports of the command line, which slow down the start on small machines.
     from lugspur import reloads
 
-    reloads.hold()  # before the rest is imported, which takes its time
+    reloads.hold()  # before the other imports, which take time
     from lugspur.mesh.program import serve
 
     sys.exit(serve())
--- a/lugspur/mesh/cli.py
+++ b/lugspur/mesh/cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line; the docstrings of commands are their help."""
+"""The command line for operators; the docstrings of commands are their help texts."""
 
 from __future__ import annotations
 
@@ -23,41 +23,43 @@
 
 
 replica = cyclopts.App(
-    name="replica", help="The data directory of a control node that does not run; nothing is written."
+    name="replica", help="Inspect the data directory of a control node that does not run; nothing is written."
 )
 app.command(replica)
-locks = cyclopts.App(name="locks", help="Locks and elections, as one control node knows them.")
-numbers = cyclopts.App(name="numbers", help="Numbers, as one control node knows them.")
-keys = cyclopts.App(name="keys", help="Keys and their revisions, as one control node knows them.")
+locks = cyclopts.App(name="locks", help="Show locks and elections, as one control node knows them.")
+numbers = cyclopts.App(name="numbers", help="Show numbers, as one control node knows them.")
+keys = cyclopts.App(name="keys", help="Show keys and their revisions, as one control node knows them.")
 for group in (locks, numbers, keys):
     app.command(group)
 
 
 def call(address: str, method: str, path: str, body: bytes | None = None) -> bytes:
-    """Make a call at a `dispatch` address; return the answer's body, or raise MeshError where the call has failed."""
+    """Make a call to a `dispatch` address; return the body of the response, or raise MeshError if the call failed."""
     try:
         host, port = read_address(address)
         connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_SECONDS)
         connection.request(method, path, body, {"Content-Type": "application/json"} if body is not None else {})
-        answer = connection.getresponse()
-        found = answer.read()
+        response = connection.getresponse()
+        found = response.read()
     except (OSError, ValueError, http.client.HTTPException) as fault:
         raise MeshError(ErrorKind.NOT_READY, f"{address}: {fault}") from None
-    if answer.status != 200:
-        raise MeshError(ErrorKind.BAD_REQUEST, f"{address}: {answer.status} {found.decode('utf-8', 'replace').strip()}")
+    if response.status != 200:
+        raise MeshError(
+            ErrorKind.BAD_REQUEST, f"{address}: {response.status} {found.decode('utf-8', 'replace').strip()}"
+        )
     return found
 
 
 @app.command
 def check(path: Path) -> None:
-    """Check a settings file; where it can't be used: one line of what is wrong, and exit status 2."""
+    """Check a settings file; if it can't be used, print the reason in one line and exit with status 2."""
     settings = load_settings(path)
     print(f"{settings.own.node_name}: {'replica' if settings.is_control_node else 'proxy'} in {settings.own.zone}")
 
 
 @app.command
 def serve() -> None:
-    """Run a process of the mesh by the settings file that LUGSPUR_NODE_FILE names."""
+    """Run a process of the mesh with the settings file that LUGSPUR_NODE_FILE names."""
     from lugspur.mesh.program import serve as run
 
     sys.exit(run())
@@ -65,7 +67,7 @@
 
 @app.command
 def show(address: str, *, as_json: bool = False, watch: float = 0.0) -> None:
-    """Show what a process knows; no majority is needed. `watch`: again every so many seconds."""
+    """Show the state of a process; no majority is needed. `watch`: repeat at this interval in seconds."""
     while True:
         found = call(address, "GET", "/mesh/status")
         print(found.decode() if as_json else "\n".join(lines(json.loads(found))), flush=True)
@@ -75,7 +77,7 @@
 
 
 def lines(found: dict[str, Any]) -> list[str]:
-    """A status as people read it: a line for each field, and for each member of a list or a table."""
+    """Format a status for people: one line for each field, and for each element of a list or table."""
     found_lines = []
     for key, value in found.items():
         if isinstance(value, dict) and value and all(isinstance(v, dict) for v in value.values()):
@@ -95,7 +97,7 @@
 
 @app.command
 def failures(address: str, *, as_json: bool = False) -> None:
-    """Show the latest requests that failed at a proxy: the configuration in force, where they were sent, and why."""
+    """Show the latest failed requests of a proxy: the configuration in force, the attempts and the reasons."""
     found = call(address, "GET", "/mesh/failures")
     if as_json:
         print(found.decode())
@@ -121,7 +123,7 @@
 
 @app.command
 def amend(address: str, path: Path) -> None:
-    """Change the configuration by a file with `upsert` and `withdraw`; it is durable once this command succeeds."""
+    """Change the configuration by a file with `upsert` and `withdraw`; the change is durable once this succeeds."""
     try:
         body = path.read_bytes()
     except OSError as fault:
@@ -131,20 +133,20 @@
 
 
 def _show_coordination(address: str, field: str, *, as_json: bool) -> None:
-    """Print one table of what a control node knows of coordination."""
+    """Print one table of the coordination state of a control node."""
     found = json.loads(call(address, "GET", "/mesh/coordination"))[field]
     print(json.dumps(found) if as_json else "\n".join(lines({field: found})))
 
 
 @locks.command(name="show")
 def locks_show(address: str, *, as_json: bool = False) -> None:
-    """Show who holds which lock, by which fencing token, and for how long by that node's steady clock."""
+    """Show the holder, the fencing token and the remaining time of each lock, by that node's monotonic clock."""
     _show_coordination(address, "locks", as_json=as_json)
 
 
 @numbers.command(name="show")
 def numbers_show(address: str, *, as_json: bool = False) -> None:
-    """Show the latest number that was given under each name."""
+    """Show the latest number that was issued under each name."""
     _show_coordination(address, "numbers", as_json=as_json)
 
 
@@ -156,7 +158,7 @@
 
 @replica.command(name="check")
 def replica_check(folder: Path) -> None:
-    """Check whether a control node could start with this `data_dir`; where not: the faults, and exit status 2."""
+    """Check whether a control node can start with this `data_dir`; if not, print the faults and exit with status 2."""
     found = read_directory(folder)
     if found.faults:
         raise MeshError(ErrorKind.STATE, "; ".join(found.faults))
@@ -165,7 +167,7 @@
 
 @replica.command(name="show")
 def replica_show(folder: Path, *, as_json: bool = False) -> None:
-    """Show what is in a `data_dir`: the name of the disk, membership, items by kind, reservations."""
+    """Show the contents of a `data_dir`: the name of the disk, membership, items by kind, reservations."""
     found = summarize(read_directory(folder))
     print(json.dumps(found) if as_json else "\n".join(lines(found)))
 
@@ -177,7 +179,7 @@
 
 
 def main() -> None:
-    """Run the command line; a fault is one line, and exit status 2."""
+    """Run the command line; an error prints one line and exits with status 2."""
     try:
         app()
     except MeshError as fault:
--- a/lugspur/mesh/events.py
+++ b/lugspur/mesh/events.py
@@ -1,4 +1,4 @@
-"""The log: one line of key=value pairs for each event, through logbook, on standard error."""
+"""The log of the mesh: one line of key=value pairs for each event, written to standard error by logbook."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     for key, value in pairs.items():
         text = f"{value:.6g}" if isinstance(value, float) else str(value)
         if not text or any(c in text for c in ' "=\n'):
-            # Guards the line against values that would read as further pairs or further lines.
+            # Quotes values that could be read as further pairs or lines.
             text = '"' + text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n") + '"'
         words.append(f"{key}={text}")
     return " ".join(words)
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -1,4 +1,4 @@
-"""One program for all machines: its settings file says whether it is a control node or a proxy."""
+"""Runs a process of the mesh: a control node or a proxy, as its settings file says."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from lugspur.mesh.process import MeshProcess
 from lugspur.mesh.settings import DEFAULT_SETTINGS_PATH, SERVED_CONTRACTS, SETTINGS_VARIABLE, Settings, load_settings
 
-GC_YOUNG_THRESHOLD = 20_000  # objects made until a collection of the youngest: requests leave few cycles behind
+GC_YOUNG_THRESHOLD = 20_000  # allocations until a collection of the youngest generation: requests leave few cycles
 
 
 def serve() -> int:
-    """Run until SIGTERM; return the exit status: 1 where it can't start, 2 where its settings can't be used."""
+    """Run until SIGTERM; return the exit status: 1 if the start failed, 2 if the settings can't be used."""
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
         settings = load_settings(path)
@@ -29,7 +29,7 @@
         return 2
     events.start(settings.own.node_name)
     unserved = sorted(set(settings.tariffs.contracts) - SERVED_CONTRACTS)
-    if unserved:  # Guards against a deployment that asks for what nobody serves: its callers would only see failures.
+    if unserved:  # Reports a deployment that requires contracts of a later build: its callers would only see failures.
         events.warn("contracts", unserved=",".join(unserved))
     invariants.add_listener(lambda invariant, details: events.warn("invariant", violated=invariant.value, **details))
     try:
@@ -42,7 +42,7 @@
 async def _run(settings: Settings, path: str) -> int:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    # Imported only where it is run: starting counts, and on a small machine each module takes its time.
+    # Only the module that is run is imported: on a small machine each import delays the start.
     process: MeshProcess
     if settings.is_control_node:
         from lugspur.mesh.control_node.process import ControlNode
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -1,4 +1,4 @@
-"""The settings file: a process's machine, its neighbours, and the bounds that it has to keep."""
+"""The settings file: the machine of a process, its network, and the bounds that the process has to keep."""
 
 from __future__ import annotations
 
@@ -12,18 +12,24 @@
 from lugspur.discovery.endpoints import Address, read_address
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 
-SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # of the environment, with the path of the file
+SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # environment variable with the path of the file
 DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
 MAX_PORT = 65535
-POSITIVE_BOUNDS = ("edition_ms", "stamp_window_s", "grace_s", "retry_window_s", "history_s")  # periods that can't be 0
-#: The parts of the operators' rules that this build knows, by the names in `tariffs.contracts`.
+POSITIVE_BOUNDS = (
+    "edition_ms",
+    "stamp_window_s",
+    "grace_s",
+    "retry_window_s",
+    "history_s",
+)  # periods that must not be 0
+#: The parts of the operators' rules that this build implements, by their names in `tariffs.contracts`.
 SERVED_CONTRACTS = frozenset({"base", "drain", "config", "cost", "retry", "recover", "health", "pool", "keys", "coord"})
-Number = float | int  # TOML distinguishes 1 and 1.0, operators need not
+Number = float | int  # TOML distinguishes 1 and 1.0; operators may write either
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """The table `self.limits`: what the machine gives this process."""
+    """The table `self.limits`: the resources of the machine that this process may use."""
 
     cpu_share: Number = 1.0
     memory_mb: int = 256
@@ -52,18 +58,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Listen:
-    """The table `network.listen`: addresses to listen at; empty: not served."""
+    """The table `network.listen`: addresses to listen on; empty: there is no such listener."""
 
     incoming: str = ""
     outgoing: str = ""
     readiness: str = ""
     dispatch: str = ""
-    inner: str = ""  # of the inner protocol, where that is not the own IP number and the first inner port
+    inner: str = ""  # of the inner protocol, if it differs from the own IP number and the first inner port
 
 
 @dataclass(slots=True, frozen=True)
 class Network:
-    """The table `network`: how the machines of the mesh are reached."""
+    """The table `network`: the addresses of the machines of the mesh."""
 
     inner_ports: list[int]
     seed_nodes: list[str]
@@ -80,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tolerate:
-    """The table `tariffs.tolerate`: what may be lost at once."""
+    """The table `tariffs.tolerate`: failures at the same time that have to be tolerated."""
 
     machines: int = 0
     zones: int = 0
@@ -89,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """The table `tariffs.bounds`: figures of the operators' rules, in the units that their names end with."""
+    """The table `tariffs.bounds`: limits of the operators' rules, in the units that their names end with."""
 
     contact_ms: Number = 3000.0
     receipt_ms: Number = 4000.0
@@ -126,28 +132,28 @@
 
     @property
     def inner_address(self) -> Address:
-        """Where other processes of the mesh reach this one."""
+        """The address at which other processes of the mesh reach this one."""
         return self.own.ip, self.network.inner_ports[0]
 
     @property
     def inner_bind_address(self) -> Address:
-        """Where this process listens to others of the mesh; another address than theirs where a relay is between."""
+        """The address on which this process listens for other ones; behind a relay it differs from `inner_address`."""
         listen = self.network.listen.inner
         return read_address(listen) if listen else self.inner_address
 
     @property
     def seeds(self) -> list[str]:
-        """The IP numbers of the seeds; all machines use the same ports."""
+        """The IP numbers of the seed nodes; all machines use the same ports."""
         return [read_address(seed)[0] for seed in self.network.seed_nodes]
 
     @property
     def is_control_node(self) -> bool:
-        """Whether the process keeps the mesh's state: it serves operators and has a disk."""
+        """Whether the process stores the mesh's state: it serves operators and has a data directory."""
         return "dispatch" in self.own.serves and bool(self.own.data_dir)
 
 
 def parse_settings(data: dict[str, Any]) -> Settings:
-    """The settings of a file's tables; unknown fields are ignored. Raises MeshError (SETTINGS) with what is wrong."""
+    """Return the settings of a file's tables; unknown fields are ignored. Raises MeshError (SETTINGS)."""
     named = {("own" if name == "self" else name): value for name, value in data.items()}
     try:
         settings = dacite.from_dict(Settings, named)
@@ -184,9 +190,9 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read the file; raises MeshError (SETTINGS) with what is wrong."""
+    """Read a settings file; raises MeshError (SETTINGS) with the reason."""
     try:
         with open(path, "rb") as file:
             return parse_settings(tomllib.load(file))
-    except (OSError, ValueError, RecursionError) as fault:  # it is no TOML, no UTF-8, or nests without end
+    except (OSError, ValueError, RecursionError) as fault:  # not TOML, not UTF-8, or nested too deeply
         raise MeshError(ErrorKind.SETTINGS, f"{path}: {fault}".replace("\n", " ")) from None
--- a/lugspur/mesh/settings_watcher.py
+++ b/lugspur/mesh/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Notices that the settings file has changed and takes it up; a bad file changes nothing."""
+"""Reloads the settings file when it changes; an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.settings import Settings, load_settings
 
-Version = tuple[int, int]  # the time of the file's latest change in nanoseconds, and its size in bytes
+Version = tuple[int, int]  # modification time of the file in nanoseconds, and its size in bytes
 
 
 class SettingsWatcher:
-    """The settings that are in force, and the file that they came from.
+    """The settings in force, and the file that they were read from.
 
-    `on_change` is called after each reload that succeeded.
+    `on_change` is called after each successful reload.
     """
 
     def __init__(self, path: str, settings: Settings, on_change: Callable[[], None]) -> None:
@@ -25,20 +25,20 @@
         self._version = self._current_version()
 
     def check(self) -> None:
-        """Reload the file if it has changed since it was last read."""
+        """Reload the file if it has changed since the last read."""
         if self._current_version() != self._version:
             self.reload()
 
     def reload(self) -> None:
-        """Read the file again; where it can't be used the fault is logged, and the former settings stay in force."""
+        """Read the file again; if it can't be used, the fault is logged and the former settings stay in force."""
         self._version = self._current_version()
         try:
-            fresh = load_settings(self._path)
+            new_settings = load_settings(self._path)
         except MeshError as fault:
             events.warn("settings", fault=fault.detail)
             return
-        self.settings = fresh
-        events.info("settings", seeds=",".join(fresh.seeds), service=fresh.own.service)
+        self.settings = new_settings
+        events.info("settings", seeds=",".join(new_settings.seeds), service=new_settings.own.service)
         self._on_change()
 
     def _current_version(self) -> Version:
