--- a/lugspur/mesh/storage/__init__.py
+++ b/lugspur/mesh/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a control node keeps on its disk: the writer, and a reader for directories of processes that do not run."""
+"""The storage of a control node: the writer, and readers for data directories of processes that do not run."""
--- a/lugspur/mesh/storage/coordination_directory.py
+++ b/lugspur/mesh/storage/coordination_directory.py
@@ -1,4 +1,4 @@
-"""Reads what coordination has kept in a control node's data directory, without its process. Nothing is written."""
+"""Reads the coordination state in a control node's data directory, without its process. Nothing is written."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 @dataclass(slots=True)
 class CoordinationContents:
-    """What the environment holds; `faults`: what keeps a node from starting with it, one line each."""
+    """The contents of the lmdb environment; `faults`: reasons why a node can't start with it, one line each."""
 
     index: int = 0
     locks: int = 0
     numbers: int = 0
     keys: int = 0
-    puts: int = 0  # that are kept for watches
-    promised: int = 0  # the highest proposal number that it has promised
-    has_pending_change: bool = False  # whether it has accepted a change that it does not know as decided
+    puts: int = 0  # kept for watches
+    promised: int = 0  # the highest promised proposal number
+    has_pending_change: bool = False  # whether a change was accepted that is not known to be decided
     complete_epoch: int = 0
     genesis_epoch: int = 0
     size: int = 0  # bytes of all rows
     faults: list[str] = field(default_factory=list)
 
     def summary(self) -> dict[str, Any]:
-        """What operators see of it, as the field `coordination` of `replica show`."""
+        """Return the field `coordination` of `replica show`."""
         return {
             "index": self.index,
             "locks": self.locks,
@@ -50,7 +50,7 @@
 
 
 def read_coordination(data_dir: Path) -> CoordinationContents | None:
-    """Read what coordination has kept; None where there is nothing, as in a directory of a build without it."""
+    """Read the coordination state; None if there is none, as in a directory of a build without coordination."""
     path = data_dir / COORDINATION_DIRECTORY_NAME
     if not (path / "data.mdb").is_file():
         return None
--- a/lugspur/mesh/storage/data_directory.py
+++ b/lugspur/mesh/storage/data_directory.py
@@ -1,6 +1,6 @@
-"""Reads the data directory of a control node without its process: what is in it, and whether it can be used.
+"""Reads the data directory of a control node without its process, and checks whether it can be used.
 
-Nothing is written. Where the process runs, what is read may be of two moments.
+Nothing is written. While the process runs, the rows that are read may stem from different moments.
 """
 
 from __future__ import annotations
@@ -33,24 +33,24 @@
 
 @dataclass(slots=True)
 class DirectoryContents:
-    """What a directory holds; `faults`: what keeps a replica from starting with it, one line each."""
+    """The contents of a directory; `faults`: reasons why a replica can't start with it, one line each."""
 
     uid: str = ""  # the name of the disk
     membership: Membership | None = None
-    index: int = 0  # of the latest change that is known as decided
-    complete_epoch: int = 0  # the epoch for which it has all reservations that a voter must have
-    promised: int = 0  # the highest proposal number that it has promised
-    has_pending_change: bool = False  # whether it has accepted a change that it does not know as decided
+    index: int = 0  # of the latest change that is known to be decided
+    complete_epoch: int = 0  # the epoch for which the directory has all reservations that a voter must have
+    promised: int = 0  # the highest promised proposal number
+    has_pending_change: bool = False  # whether a change was accepted that is not known to be decided
     store: Store = field(default_factory=Store)
     reservations: int = 0
-    answers: int = 0  # of operations whose keys were reserved
+    answers: int = 0  # stored responses of operations with reserved keys
     size: int = 0  # bytes of all rows
-    coordination: CoordinationContents | None = None  # None: written by a build without it
+    coordination: CoordinationContents | None = None  # None: written by a build without coordination
     faults: list[str] = field(default_factory=list)
 
 
 def read_directory(data_dir: Path) -> DirectoryContents:
-    """Read a `data_dir`; raises MeshError (STATE) where there is nothing that can be read as a control node's."""
+    """Read a `data_dir`; raises MeshError (STATE) if it has no readable state of a control node."""
     path = data_dir / DIRECTORY_NAME
     if not (path / "data.mdb").is_file():
         raise MeshError(ErrorKind.STATE, f"{data_dir}: no replica has kept anything here")
@@ -106,7 +106,7 @@
 
 
 def _inconsistencies(contents: DirectoryContents) -> Iterator[str]:
-    """Rows that contradict each other, one line each."""
+    """Yield inconsistencies between rows, one line each."""
     if not contents.uid:
         yield "the disk has no name"
     if contents.membership is not None:
@@ -125,7 +125,7 @@
 
 
 def _completeness_faults(membership: Membership, contents: DirectoryContents) -> Iterator[str]:
-    """Where it claims to have all reservations of an epoch, against the voters that it knows."""
+    """Yield contradictions between the epoch with complete reservations and the known voters."""
     is_voter = contents.uid in {voter.uid for voter in membership.voters}
     if contents.complete_epoch > membership.epoch:
         yield "it says that it holds all claims of an epoch that it does not know"
@@ -134,7 +134,7 @@
 
 
 def summarize(contents: DirectoryContents) -> dict[str, Any]:
-    """What operators see of a directory, as the fields of `replica show`."""
+    """Return the fields of `replica show`."""
     membership = contents.membership
     items_by_kind: dict[str, int] = {}
     withdrawn = 0
@@ -161,5 +161,5 @@
 
 
 def export_items(contents: DirectoryContents) -> bytes:
-    """All items that are not withdrawn, as an operators' call that brings them to another mesh."""
+    """Return all items that are not withdrawn, as the body of a call that adds them to another mesh."""
     return msgspec.json.encode({"upsert": msgspec.Raw(items.encode_items(contents.store.all())), "withdraw": {}})
--- a/lugspur/mesh/storage/disk.py
+++ b/lugspur/mesh/storage/disk.py
@@ -1,4 +1,4 @@
-"""A part of a control node's disk: an lmdb environment, written in groups by a thread, each synced before it counts."""
+"""An lmdb environment on a control node's disk. A thread writes rows in groups and syncs each group."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.register import MAX_KEY_BYTES
 
-REOPEN_DELAY_SECONDS = 0.3  # after a failed write, in which the environment is left alone
-MAX_UNWRITTEN_DELETIONS = 50_000  # rows removed while nothing can be written; what stays is swept after a start
+REOPEN_DELAY_SECONDS = 0.3  # after a failed write, before the environment is opened again
+MAX_UNWRITTEN_DELETIONS = 50_000  # kept while writes fail; rows whose deletion is dropped are removed after a start
 
-DIRECTORY_NAME = "control"  # of the configuration's environment, in `data_dir`
-COORDINATION_DIRECTORY_NAME = "coordination"  # of the one for locks, numbers and cells
+DIRECTORY_NAME = "control"  # of the environment for the configuration, in `data_dir`
+COORDINATION_DIRECTORY_NAME = "coordination"  # of the environment for locks, numbers and cells
 DAMAGED_SUFFIX = "-damaged"  # of an environment that could not be read; the latest one is kept
 DAMAGED_DIRECTORY_NAME = DIRECTORY_NAME + DAMAGED_SUFFIX
-#: What says that the rows on disk are damaged, and not that the disk fails.
+#: Errors which mean that the rows on disk are damaged; other errors mean that the disk fails.
 DAMAGE_ERRORS = (lmdb.InvalidError, lmdb.CorruptedError, lmdb.PageNotFoundError)
 
 Rows = list[tuple[bytes, bytes | None]]  # key and value; no value: the row is removed
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DiskArea:
-    """An environment's directory in `data_dir`, and what it may take of the disk: a file that grew never shrinks."""
+    """The directory of an environment in `data_dir`, and its share of the disk: an lmdb file never shrinks."""
 
     directory_name: str
     fraction: float  # of the disk
@@ -39,36 +39,36 @@
     max_bytes: int
 
     def map_bytes(self, disk_mb: int) -> int:
-        """The size of the environment on a disk."""
+        """Return the maximum size of the environment on a disk of `disk_mb`."""
         return int(min(self.max_bytes, max(self.min_bytes, disk_mb * self.fraction * (1 << 20))))
 
 
-#: Together the areas leave a part of the disk free: lmdb must not fill it.
+#: Together the areas leave a part of the disk free, so that lmdb can't fill the disk.
 CONTROL_AREA = DiskArea(DIRECTORY_NAME, 0.6, 16 << 20, 1 << 30)
 COORDINATION_AREA = DiskArea(COORDINATION_DIRECTORY_NAME, 0.2, 8 << 20, 64 << 20)
 
 
 class Disk:
-    """Rows by key. `write` returns at once; its callback is called in the loop once the rows are on disk.
+    """A key-value store. `write` returns at once; its callback is called in the event loop once the rows are on disk.
 
-    Raises MeshError (STATE) where there can't be an environment.
+    Raises MeshError (STATE) if the environment can't be created.
     """
 
     def __init__(self, data_dir: str, disk_mb: int, area: DiskArea = CONTROL_AREA) -> None:
-        """`disk_mb`: the size of the disk, of which the area takes a part."""
+        """`disk_mb`: the size of the disk, from which the maximum size of the environment is derived."""
         self._path = os.path.join(data_dir, area.directory_name)
         self._damaged_path = self._path + DAMAGED_SUFFIX
         self.max_bytes = area.map_bytes(disk_mb)
-        self.fault = ""  # why the latest write failed; empty: it did not
-        self.damage = ""  # why the rows that were on disk could not be used; empty: they could
+        self.fault = ""  # why the latest write failed; empty if it succeeded
+        self.damage = ""  # why the rows on disk could not be used; empty if they could
         self.commits = 0
-        self.failures = 0  # writes that failed
+        self.failures = 0  # failed writes
         self._loop = asyncio.get_running_loop()
-        self._wake = threading.Condition()  # guards the next three
+        self._wake = threading.Condition()  # guards the next three attributes
         self._pending_rows: Rows = []
         self._pending_callbacks: list[Callable[[], None]] = []
         self._is_closing = False
-        self._unwritten: dict[bytes, bytes | None] = {}  # rows of failed writes, for the next one that succeeds
+        self._unwritten: dict[bytes, bytes | None] = {}  # rows of failed writes, which are part of the next write
         try:
             os.makedirs(self._path, exist_ok=True)
             try:
@@ -86,9 +86,9 @@
     # ---- before `start` --------------------------------------------------------------------
 
     def read_rows(self) -> list[tuple[bytes, bytes]]:
-        """All rows on disk, in the order of their keys; none where they are damaged, and then they are set aside.
+        """Return all rows on disk, ordered by key; if they are damaged, set them aside and return none.
 
-        To be called before `start`; raises MeshError (STATE) where the disk fails.
+        Must be called before `start`; raises MeshError (STATE) if the disk fails.
         """
         try:
             with self._env.begin() as txn:
@@ -105,10 +105,10 @@
         return os.path.exists(self._damaged_path)
 
     def set_aside(self, reason: str) -> None:
-        """Keep what is on disk under another name, and go on with an empty environment.
+        """Rename the environment on disk, and go on with an empty one.
 
-        Guards against half of a state that is taken for all of it: a replica that has lost some of its promises has to
-        be a newcomer, as with an empty disk. To be called before `start`; raises MeshError (STATE).
+        An incomplete state must not be used as a complete one: a replica that has lost some of its promises has to join
+        as a new replica, as with an empty disk. Must be called before `start`; raises MeshError (STATE).
         """
         try:
             self._env.close()
@@ -122,7 +122,7 @@
         shutil.rmtree(self._damaged_path, ignore_errors=True)
         os.rename(self._path, self._damaged_path)
         os.makedirs(self._path)
-        # Guards what the new environment promises: after a loss of power the old name could be back.
+        # Makes the rename durable: otherwise the old environment could be back after a power failure.
         parent = os.open(os.path.dirname(self._path), os.O_RDONLY)
         try:
             os.fsync(parent)
@@ -131,16 +131,16 @@
         events.warn("set-aside", fault=reason, to=self._damaged_path)
 
     def start(self) -> None:
-        """Start the thread that writes."""
+        """Start the writer thread."""
         self._thread.start()
 
     # ---- writing ---------------------------------------------------------------------------
 
     def write(self, rows: Rows, on_synced: Callable[[], None] | None = None) -> None:
-        """Write rows with all others that are pending; without a callback they wait until the writer is woken.
+        """Write rows with all other pending ones; without a callback they stay pending until the writer is woken.
 
-        A row that no disk takes is never written, and then the callback is never called. Guards all other rows: those
-        of a failed write go with the next one, so that one such row would fail each write from then on.
+        A row whose key is too long for lmdb is never written, and then the callback is never called. The rows of a
+        failed write are part of the next write, so that one such row would make all later writes fail.
         """
         fitting = [row for row in rows if len(row[0]) <= MAX_KEY_BYTES]
         check(len(fitting) == len(rows), Invariant.ROW_KEY_FITS, rows=len(rows) - len(fitting))
@@ -153,13 +153,13 @@
                 self._wake.notify()
 
     def flush(self) -> None:
-        """Wake the writer for rows that are pending."""
+        """Wake the writer if rows are pending."""
         with self._wake:
             if self._pending_rows:
                 self._wake.notify()
 
     def close(self, timeout: float) -> None:
-        """Write what is pending, then close; gives up after `timeout` seconds where the disk hangs."""
+        """Write pending rows, then close; give up after `timeout` seconds if the disk hangs."""
         with self._wake:
             self._is_closing = True
             self._wake.notify()
@@ -167,7 +167,7 @@
         if not self._thread.is_alive():
             self._env.close()
 
-    # ---- the thread ------------------------------------------------------------------------
+    # ---- writer thread ------------------------------------------------------------------------
 
     def _run(self) -> None:
         while True:
@@ -198,10 +198,10 @@
             self._call_in_loop(callback)
 
     def _commit_failed(self, fault: str, rows: Rows) -> None:
-        """Keep the rows of a failed write, whose callbacks are never called, and open the environment anew.
+        """Keep the rows of a failed write, whose callbacks are never called, and open the environment again.
 
-        The rows go with the next write: what is promised later may rest on them, as reservations rest on the epoch that
-        they are granted in. After a failed write an environment refuses all others.
+        The rows are part of the next write: later promises may depend on them, as reservations depend on the epoch in
+        which they are granted. After a failed write an environment rejects all others.
         """
         self.fault = fault
         self.failures += 1
@@ -219,7 +219,7 @@
         while not self._is_closing:
             with self._wake:
                 self._wake.wait(REOPEN_DELAY_SECONDS)
-                # Guards memory and the promise: what came meanwhile is not on disk, and nobody is notified.
+                # Rows that arrived meanwhile are not on disk, so their callbacks are dropped; this also bounds memory.
                 self._keep_unwritten(self._pending_rows)
                 self._pending_rows, self._pending_callbacks = [], []
             try:
@@ -232,5 +232,5 @@
     def _call_in_loop(self, callback: Callable[[], None]) -> None:
         try:
             self._loop.call_soon_threadsafe(callback)
-        except RuntimeError:  # the loop has ended: nobody is to be notified
+        except RuntimeError:  # the loop is closed: there is nothing to notify
             return
--- a/lugspur/mesh/transport/dialer.py
+++ b/lugspur/mesh/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Keeps one connection to a peer: dials, and dials again with a backoff."""
+"""Maintains one connection to a peer; dials again with exponential backoff."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from lugspur.mesh.control.messages import Message
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, Link
 
-DIAL_TIMEOUT_SECONDS = 0.6  # a partition lets a dial hang, and zones are milliseconds apart
-FIRST_DIAL_DELAY_SECONDS = 0.02  # doubled with each dial that fails...
-MAX_DIAL_DELAY_SECONDS = 0.5  # ...up to this: a peer that comes back is wanted within its first second
+DIAL_TIMEOUT_SECONDS = 0.6  # a dial hangs during a partition; the latency between zones is a few milliseconds
+FIRST_DIAL_DELAY_SECONDS = 0.02  # doubled with each failed dial
+MAX_DIAL_DELAY_SECONDS = 0.5  # a peer that is back has to be connected within its first second
 MAX_DOUBLINGS = 6
 
 
@@ -38,8 +38,8 @@
         self._loop = asyncio.get_running_loop()
         self.link: Link | None = None
         self._is_closed = False
-        self._failures = 0  # dials in a row that failed
-        self._task: asyncio.Task[None] | None = None  # the dial that is under way
+        self._failures = 0  # consecutive failed dials
+        self._task: asyncio.Task[None] | None = None  # the dial in progress
         self._timer: asyncio.TimerHandle | None = None  # until the next dial
         self._dial()
 
@@ -69,14 +69,14 @@
             self._dial_later()
 
     def met(self, incarnation: str) -> None:
-        """The peer has dialled this process, in this incarnation: a connection to a former one leads nowhere."""
+        """Handle a dial by the peer in this incarnation: close a connection to a former incarnation, which is dead."""
         if self.link is not None and self.link.peer_incarnation not in ("", incarnation):
             self.link.close()
         else:
             self.nudge()
 
     def nudge(self) -> None:
-        """The peer seems to be there: dial now instead of after the backoff."""
+        """Dial now instead of after the backoff, as the peer seems to be reachable."""
         if self._timer is not None and self._failures > 1:
             self._timer.cancel()
             self._dial()
@@ -94,7 +94,7 @@
                 self._dial_later()
 
     def close(self) -> None:
-        """End the connection, and dial no more."""
+        """Close the connection, and stop dialling."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
