--- a/lugspur/config/load.py
+++ b/lugspur/config/load.py
@@ -11,7 +11,7 @@
 from lugspur.config import model
 from lugspur.config.build import Plan, build
 from lugspur.config.lines import Lines
-from lugspur.config.schema import Place, read_table
+from lugspur.config.schema import Location, read_table
 
 MAX_FILE_BYTES = 8 << 20  # 10,000 routes take about 1 MiB; a wrong path may name a disk image
 MAX_READS = 5  # attempts to read a file that changes while it is read
@@ -45,14 +45,14 @@
         raw = parse(text)
     except ValueError as fault:
         raise FileFaults([f"{path}:{fault}"]) from fault
-    place = Place()
-    file = read_table(model.File, raw, place)
+    location = Location()
+    file = read_table(model.File, raw, location)
     if file is not None:
-        plan = build(file, raw, place)
-        if not place.faults:
+        plan = build(file, raw, location)
+        if not location.faults:
             return plan
     lines = Lines(text)
-    found = [(lines.line(fault.path), ".".join(map(str, fault.path)), fault.message) for fault in place.faults]
+    found = [(lines.line(fault.path), ".".join(map(str, fault.path)), fault.message) for fault in location.faults]
     raise FileFaults(
         [
             f"{path}:{line}: {key}: {message}" if key else f"{path}:{line}: {message}"
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -9,25 +9,25 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lugspur.config.schema import option, part, parts, rows
+from lugspur.config.schema import named_tables, option, table, table_list
 from lugspur.config.units import (
     Wrong,
     address,
     addresses,
+    boolean,
     choice,
     credentials,
+    datagram_name,
     duration,
-    flag,
     folder,
-    mark,
+    format_value,
+    integer,
     node,
     number,
     one_of,
-    shown,
     size,
+    strings,
     text,
-    whole,
-    words,
 )
 from lugspur.discovery.endpoints import PROTOCOLS, Address
 from lugspur.load_balancing.model import DeduplicationScope, RetrySafety
@@ -39,7 +39,7 @@
 MAX_MEMORY_BYTES = 1 << 40
 
 
-def any_of(value: Any) -> Any:
+def any_value(value: Any) -> Any:
     """Accept any value; it is validated in build.py, with the tables that it depends on."""
     return value
 
@@ -47,7 +47,9 @@
 def weights(value: object) -> dict[str, float]:
     """Return weights by the names of pools."""
     if not isinstance(value, dict) or not value:
-        raise Wrong(f"{shown(value)} is not a table of weights; write one such as {{ stable = 90, canary = 10 }}")
+        raise Wrong(
+            f"{format_value(value)} is not a table of weights; write one such as {{ stable = 90, canary = 10 }}"
+        )
     found = {name: number(0.0, 1e6)(weight) for name, weight in value.items()}
     if not sum(found.values()):
         raise Wrong("all weights are 0; give one pool a weight above 0")
@@ -58,8 +60,8 @@
 class Daemon:
     """This instance and the number of instances."""
 
-    instances: int = option(whole(1, 100_000), "number of instances that share the pools and the tenants' quotas", 1)
-    instance: int = option(whole(0, 100_000), "index of this instance, from 0", 0)
+    instances: int = option(integer(1, 100_000), "number of instances that share the pools and the tenants' quotas", 1)
+    instance: int = option(integer(0, 100_000), "index of this instance, from 0", 0)
     zone: str = option(text, "zone of this instance", "")
 
 
@@ -67,7 +69,7 @@
 class Limits:
     """Limits for the resources of the process and for the messages of callers and backends."""
 
-    sockets: int = option(whole(64, 1 << 20), "file descriptors of the process, half of them for callers", 1024)
+    sockets: int = option(integer(64, 1 << 20), "file descriptors of the process, half of them for callers", 1024)
     memory: int = option(
         size(16 << 20, MAX_MEMORY_BYTES),
         "memory of the process; the buffers for bodies in transit are limited to fractions of it",
@@ -95,7 +97,7 @@
     )
     idle: float = option(duration(2.0, 3600.0), "time that a caller's connection may be idle between requests", 60.0)
     joined: int = option(
-        whole(0, 1 << 20),
+        integer(0, 1 << 20),
         "maximum number of coalesced requests that wait for another's response; beyond it requests get 503, "
         "first those of the tenant with the most",
         1000,
@@ -108,10 +110,10 @@
 
 
 @dataclass(slots=True)
-class Guard:
+class LoadShedding:
     """Load shedding when the proxy itself is overloaded: the classes of the lowest worth are rejected first."""
 
-    on: bool = option(flag, "whether load shedding is enabled", False)
+    on: bool = option(boolean, "whether load shedding is enabled", False)
     memory: int = option(
         size(0, MAX_MEMORY_BYTES),
         "memory limit of the process; from 90% of it fewer requests are admitted; 0: unknown",
@@ -144,9 +146,11 @@
     """
 
     name: str = option(
-        mark, "the fleet's name; datagrams of other fleets are dropped; none: this daemon is in no fleet", ""
+        datagram_name, "the fleet's name; datagrams of other fleets are dropped; none: this daemon is in no fleet", ""
+    )
+    member: str = option(
+        datagram_name, "this daemon's name, unique in the fleet; an elector keeps its name over restarts", ""
     )
-    member: str = option(mark, "this daemon's name, unique in the fleet; an elector keeps its name over restarts", "")
     bind: Address | None = option(
         address, "where it receives datagrams (UDP): a numeric address and a port", None, key="address"
     )
@@ -157,13 +161,13 @@
     )
     period: float = option(duration(0.05, 60.0), "interval between probes of another member", 1.0)
     electors: tuple[str, ...] = option(
-        words, "3 or 5 members that grant duties by majority; the same list at all members; none: no duties", ()
+        strings, "3 or 5 members that grant duties by majority; the same list at all members; none: no duties", ()
     )
     lease: float = option(duration(0.5, 3600.0), "time for which a duty is granted, the same at all members", 10.0)
     folder: str = option(
         text, "directory where an elector keeps its promises; without one epochs are derived from the wall clock", ""
     )
-    duties: tuple[str, ...] = option(words, "user-defined duties; one member at a time holds each of them", ())
+    duties: tuple[str, ...] = option(strings, "user-defined duties; one member at a time holds each of them", ())
     history: str = option(
         text, "a file to which every promise is appended, for audits and tests; none: no such file", ""
     )
@@ -176,7 +180,7 @@
     ensemble: tuple[Address, ...] = option(addresses, 'its servers, as in ["127.0.0.1:2181", "127.0.0.1:2182"]')
     session: float = option(duration(0.5, 600.0), "the session timeout to request; servers may grant another", 10.0)
     auth: str = option(credentials, 'digest credentials, as "user:password"', "")
-    read_only: bool = option(flag, "whether to accept servers that are cut off from the others", False)
+    read_only: bool = option(boolean, "whether to accept servers that are cut off from the others", False)
 
 
 @dataclass(slots=True)
@@ -190,9 +194,9 @@
         address, "the address that callers use, if it differs from that of the listener", None
     )
     zone: str = option(text, "the zone to register; by default the daemon's", "")
-    cell: int = option(whole(), "the cell to register", 0)
+    cell: int = option(integer(), "the cell to register", 0)
     weight: float = option(number(0.001, 1e6), "the weight to register", 1.0)
-    sequential: bool = option(flag, "whether the registry appends a sequence number to the name", False)
+    sequential: bool = option(boolean, "whether the registry appends a sequence number to the name", False)
 
 
 @dataclass(slots=True)
@@ -201,17 +205,17 @@
 
     address: Address = option(address, 'where to listen, as in "127.0.0.1:8080"; port 0 selects a free one')
     http2: bool = option(
-        flag, "whether HTTP/2 with prior knowledge, and with it gRPC, is accepted beside HTTP/1.1", False
+        boolean, "whether HTTP/2 with prior knowledge, and with it gRPC, is accepted beside HTTP/1.1", False
     )
-    streams: int = option(whole(1, 10_000), "maximum number of open HTTP/2 streams on one connection", 100)
-    register: Register | None = part(Register, "registration in a registry", None)
+    streams: int = option(integer(1, 10_000), "maximum number of open HTTP/2 streams on one connection", 100)
+    register: Register | None = table(Register, "registration in a registry", None)
     trust_forwarded: bool = option(
-        flag, "whether X-Forwarded-For and X-Forwarded-Proto of callers are kept and extended", False
+        boolean, "whether X-Forwarded-For and X-Forwarded-Proto of callers are kept and extended", False
     )
 
 
 @dataclass(slots=True)
-class Class:
+class RequestClass:
     """A class of requests: latency target, deadline, worth, and whether they are safe to repeat."""
 
     aim: float = option(duration(0.001, 3600.0), "latency target", 1.0)
@@ -247,12 +251,12 @@
     weight: float = option(number(0.001, 1e6), "its capacity relative to the others", 1.0)
     protocol: str = option(one_of("", *PROTOCOLS), "http or grpc; by default the pool's", "")
     zone: str = option(text, "its zone", "")
-    cell: int = option(whole(), "its cell: backends that deduplicate keyed requests together", 0)
-    drain: bool = option(flag, "true: it completes its open requests and gets no new ones", False)
+    cell: int = option(integer(), "its cell: backends that deduplicate keyed requests together", 0)
+    drain: bool = option(boolean, "true: it completes its open requests and gets no new ones", False)
 
 
 @dataclass(slots=True)
-class Cold:
+class SlowStart:
     """Slow start of backends."""
 
     part: float = option(
@@ -275,7 +279,7 @@
 
 
 @dataclass(slots=True)
-class Follow:
+class RegistrySource:
     """The registry path that a pool watches: each node below it is a backend."""
 
     name: str = option(text, "the registry")
@@ -304,8 +308,8 @@
     Members beside a registry are used until the registry is reached for the first time.
     """
 
-    members: list[Member] = rows(Member, "a fixed list of backends")
-    registry: Follow | None = part(Follow, "a registry path that is watched", None)
+    members: list[Member] = table_list(Member, "a fixed list of backends")
+    registry: RegistrySource | None = table(RegistrySource, "a registry path that is watched", None)
     file: str = option(
         text, "a file with the list, in the format of the HTTP watch; it is read again when it changes", ""
     )
@@ -313,20 +317,22 @@
     protocol: str = option(
         one_of(*PROTOCOLS), "protocol of backends that state none: http (HTTP/1.1) or grpc (over HTTP/2)", "http"
     )
-    attempts: int = option(whole(1, 10), "maximum number of attempts for a request", 3)
+    attempts: int = option(integer(1, 10), "maximum number of attempts for a request", 3)
     connect: float = option(duration(0.001, 60.0), "timeout for establishing a connection", 0.25)
     keep: float = option(duration(0.1, 3600.0), "time after which its backends close idle connections", 15.0)
-    idle: int = option(whole(0, 10_000), "maximum number of idle connections to each backend", 8)
+    idle: int = option(integer(0, 10_000), "maximum number of idle connections to each backend", 8)
     share: float = option(
         number(0.001, 1e6), "its weight when sockets, request slots and buffers are divided among pools", 1.0
     )
-    check: Check | None = part(Check, "health checks of backends that are suspected; needs [fleet] with electors", None)
-    cold: Cold = part(Cold, "slow start of its backends")
-    retries: Retries = part(Retries, "its retry budget")
+    check: Check | None = table(
+        Check, "health checks of backends that are suspected; needs [fleet] with electors", None
+    )
+    cold: SlowStart = table(SlowStart, "slow start of its backends")
+    retries: Retries = table(Retries, "its retry budget")
 
 
 @dataclass(slots=True)
-class Source:
+class ValueSource:
     """The source of a tenant or key: exactly one of these."""
 
     header: str = option(text, "a header", "")
@@ -336,20 +342,20 @@
 
 
 @dataclass(slots=True)
-class Changes:
+class HeaderChanges:
     """Changes of headers."""
 
-    set: dict[str, str] = option(any_of, "headers to set, by name", {})
-    remove: tuple[str, ...] = option(words, "headers to remove", ())
+    set: dict[str, str] = option(any_value, "headers to set, by name", {})
+    remove: tuple[str, ...] = option(strings, "headers to remove", ())
 
 
 @dataclass(slots=True)
-class Reply:
+class DirectResponse:
     """A response that the proxy generates itself."""
 
-    status: int = option(whole(200, 599), "its status")
-    body: str = option(any_of, "its body", "")
-    headers: dict[str, str] = option(any_of, "its headers, by name", {})
+    status: int = option(integer(200, 599), "its status")
+    body: str = option(any_value, "its body", "")
+    headers: dict[str, str] = option(any_value, "its headers, by name", {})
 
 
 @dataclass(slots=True)
@@ -359,11 +365,11 @@
     to: str = option(
         text, "a path or URL, in which {names} and /* are replaced by values of the path; the query is kept"
     )
-    status: int = option(whole(301, 308), "301, 302, 303, 307 or 308", 307)
+    status: int = option(integer(301, 308), "301, 302, 303, 307 or 308", 307)
 
 
 @dataclass(slots=True)
-class Join:
+class Coalescing:
     """Request coalescing: identical requests share one call in flight. The route's class must be safe to repeat."""
 
     within: float = option(
@@ -372,12 +378,12 @@
         0.1,
     )
     ignore: tuple[str, ...] = option(
-        words,
+        strings,
         "headers that are ignored when requests are compared; they are identical only if all others are equal",
         (),
     )
     across_tenants: bool = option(
-        flag,
+        boolean,
         "whether requests of different tenants may share a call; the header that names the tenant is then ignored",
         False,
     )
@@ -388,49 +394,51 @@
     """Conditions, all of which must match, and exactly one of pool, split, reply and redirect."""
 
     path: str = option(text, 'a path: "/a", "/a/{name}/b", or with "/*" at the end for all paths below it')
-    hosts: tuple[str, ...] = option(words, 'hosts: "a.example", "*.example", or "*" for any', ("*",))
-    methods: tuple[str, ...] = option(words, "methods; none: any", ())
+    hosts: tuple[str, ...] = option(strings, 'hosts: "a.example", "*.example", or "*" for any', ("*",))
+    methods: tuple[str, ...] = option(strings, "methods; none: any", ())
     headers: dict[str, Any] = option(
-        any_of, 'headers: { name = "value" }, or a table of one of prefix, present, absent', {}
+        any_value, 'headers: { name = "value" }, or a table of one of prefix, present, absent', {}
     )
-    query: dict[str, Any] = option(any_of, "query parameters, in the same form", {})
+    query: dict[str, Any] = option(any_value, "query parameters, in the same form", {})
     priority: int = option(
-        whole(0, 1000), "the route with the higher priority is used if two routes are otherwise equal", 0
+        integer(0, 1000), "the route with the higher priority is used if two routes are otherwise equal", 0
     )
     pool: str = option(text, "the pool that requests are forwarded to", "")
     split: dict[str, float] = option(weights, "pools and their weights", {})
-    reply: Reply | None = part(Reply, "a response of the proxy itself", None)
-    redirect: Redirect | None = part(Redirect, "a redirect", None)
+    reply: DirectResponse | None = table(DirectResponse, "a response of the proxy itself", None)
+    redirect: Redirect | None = table(Redirect, "a redirect", None)
     fallback: tuple[str, ...] = option(
-        words, "pools for requests that have not run, in this order, if the pools before have no usable backend", ()
+        strings, "pools for requests that have not run, in this order, if the pools before have no usable backend", ()
     )
     kind: str = option(text, "its class; requests without one must never run twice", "", key="class")
     deadline: float | None = option(
         duration(0.001, 3600.0), "time after which a request fails, if that is earlier than its class's deadline", None
     )
-    tenant: Source | None = part(Source, "the source of the tenant", None)
-    key: Source | None = part(Source, "the key that makes a split sticky; without one pools are chosen at random", None)
+    tenant: ValueSource | None = table(ValueSource, "the source of the tenant", None)
+    key: ValueSource | None = table(
+        ValueSource, "the key that makes a split sticky; without one pools are chosen at random", None
+    )
     rewrite: str = option(
         text, "the path that is sent to backends, in which {names} and /* are replaced by values of the path", ""
     )
-    request: Changes = part(Changes, "changes of request headers")
-    response: Changes = part(Changes, "changes of response headers")
-    join: Join | None = part(Join, "request coalescing", None)
+    request: HeaderChanges = table(HeaderChanges, "changes of request headers")
+    response: HeaderChanges = table(HeaderChanges, "changes of response headers")
+    join: Coalescing | None = table(Coalescing, "request coalescing", None)
 
 
 @dataclass(slots=True)
 class File:
     """The whole file; each field is a top-level table."""
 
-    daemon: Daemon = part(Daemon, "this instance and the number of instances")
-    limits: Limits = part(Limits, "limits")
-    guard: Guard = part(Guard, "load shedding")
-    management: Management = part(Management, "the admin listener")
-    state: State = part(State, "persistence over restarts")
-    fleet: Fleet = part(Fleet, "the fleet of this daemon")
-    listeners: dict[str, Listener] = parts(Listener, "listeners")
-    classes: dict[str, Class] = parts(Class, "classes of requests")
-    tenants: dict[str, Tenant] = parts(Tenant, "tenants")
-    registries: dict[str, Registry] = parts(Registry, "registries of backends")
-    pools: dict[str, Pool] = parts(Pool, "pools of backends")
-    routes: dict[str, Route] = parts(Route, "routes")
+    daemon: Daemon = table(Daemon, "this instance and the number of instances")
+    limits: Limits = table(Limits, "limits")
+    guard: LoadShedding = table(LoadShedding, "load shedding")
+    management: Management = table(Management, "the admin listener")
+    state: State = table(State, "persistence over restarts")
+    fleet: Fleet = table(Fleet, "the fleet of this daemon")
+    listeners: dict[str, Listener] = named_tables(Listener, "listeners")
+    classes: dict[str, RequestClass] = named_tables(RequestClass, "classes of requests")
+    tenants: dict[str, Tenant] = named_tables(Tenant, "tenants")
+    registries: dict[str, Registry] = named_tables(Registry, "registries of backends")
+    pools: dict[str, Pool] = named_tables(Pool, "pools of backends")
+    routes: dict[str, Route] = named_tables(Route, "routes")
--- a/lugspur/config/schema.py
+++ b/lugspur/config/schema.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from lugspur.config.lines import Path
-from lugspur.config.units import Wrong, nearest, shown
+from lugspur.config.units import Wrong, format_value, nearest
 
 T = TypeVar("T")
 
@@ -25,18 +25,18 @@
     message: str
 
 
-class Place:
+class Location:
     """A location in the file that is being read; collects the faults found there."""
 
     def __init__(self, path: Path = (), faults: list[Fault] | None = None) -> None:
         self.path = path
         self.faults: list[Fault] = [] if faults is None else faults
 
-    def at(self, *keys: str | int) -> Place:
+    def at(self, *keys: str | int) -> Location:
         """Return a location below this one; both collect faults in the same list."""
-        return Place((*self.path, *keys), self.faults)
+        return Location((*self.path, *keys), self.faults)
 
-    def wrong(self, message: str) -> None:
+    def report(self, message: str) -> None:
         """Record a fault at this location."""
         self.faults.append(Fault(self.path, message))
 
@@ -55,18 +55,18 @@
     return field(default=default, metadata=meta)
 
 
-def part(kind: type[T], doc: str, default: Any = MISSING) -> Any:
+def table(kind: type[T], doc: str, default: Any = MISSING) -> Any:
     """Declare a field that holds a nested table."""
     default_argument = {"default_factory": kind} if default is MISSING else {"default": default}
     return field(metadata={"table": kind, "doc": doc, "key": ""}, **default_argument)
 
 
-def parts(kind: type[T], doc: str) -> Any:
+def named_tables(kind: type[T], doc: str) -> Any:
     """Declare a field that holds tables by user-defined names."""
     return field(default_factory=dict, metadata={"tables": kind, "doc": doc, "key": ""})
 
 
-def rows(kind: type[T], doc: str) -> Any:
+def table_list(kind: type[T], doc: str) -> Any:
     """Declare a field that holds a list of tables."""
     return field(default_factory=list, metadata={"rows": kind, "doc": doc, "key": ""})
 
@@ -76,13 +76,13 @@
     return item.metadata["key"] or item.name.replace("_", "-")
 
 
-def read_table(kind: type[T], raw: object, place: Place) -> T | None:
+def read_table(kind: type[T], raw: object, location: Location) -> T | None:
     """Read a table into the dataclass; return None if a value is invalid or missing. All faults are recorded.
 
     Reading goes on after a fault, so that one run of `lugspur check` reports as many faults as possible.
     """
     if not isinstance(raw, Mapping):
-        place.wrong(f"{shown(raw)} is not a table; write its keys in braces or under a heading in brackets")
+        location.report(f"{format_value(raw)} is not a table; write its keys in braces or under a heading in brackets")
         return None
     known = {key_of(item): item for item in fields(kind)}  # type: ignore[arg-type]
     is_valid = True
@@ -91,50 +91,50 @@
     for key, value in raw.items():
         item = known.get(key)
         if item is None:
-            place.at(key).wrong(f'key "{key}" is unknown here{nearest(key, known)}')
+            location.at(key).report(f'key "{key}" is unknown here{nearest(key, known)}')
             misspelt.update(difflib.get_close_matches(key, known, 1, 0.6))
             continue
-        before = len(place.faults)
-        found = _read(item, value, place.at(key))
+        before = len(location.faults)
+        found = _read(item, value, location.at(key))
         if found is not None:
             values[item.name] = found
-        elif len(place.faults) > before:  # an invalid table counts as left out if it may be left out
+        elif len(location.faults) > before:  # an invalid table counts as left out if it may be left out
             is_valid = is_valid and "table" in item.metadata and item.default_factory is not MISSING
     for key, item in known.items():
         if key not in raw and item.default is MISSING and item.default_factory is MISSING:
             is_valid = False
             if key not in misspelt:
-                place.wrong(f'key "{key}" is missing; write it: {item.metadata["doc"]}')
+                location.report(f'key "{key}" is missing; write it: {item.metadata["doc"]}')
     return kind(**values) if is_valid else None
 
 
-def _read(item: Field[Any], value: object, place: Place) -> Any:
+def _read(item: Field[Any], value: object, location: Location) -> Any:
     meta = item.metadata
     if "table" in meta:
-        return read_table(meta["table"], value, place)
+        return read_table(meta["table"], value, location)
     if "tables" in meta:
-        return _read_tables(meta["tables"], value, place)
+        return _read_tables(meta["tables"], value, location)
     if "rows" in meta:
-        return _read_rows(meta["rows"], value, place)
+        return _read_rows(meta["rows"], value, location)
     try:
         return meta["read"](value)
     except Wrong as fault:
-        place.wrong(str(fault))
+        location.report(str(fault))
         return None
 
 
-def _read_tables(kind: type[T], value: object, place: Place) -> dict[str, T]:
+def _read_tables(kind: type[T], value: object, location: Location) -> dict[str, T]:
     if not isinstance(value, Mapping):
-        place.wrong(f"{shown(value)} is not a table; write a heading such as [{place.path[-1]}.a-name]")
+        location.report(f"{format_value(value)} is not a table; write a heading such as [{location.path[-1]}.a-name]")
         return {}
-    found = {name: read_table(kind, raw, place.at(name)) for name, raw in value.items()}
+    found = {name: read_table(kind, raw, location.at(name)) for name, raw in value.items()}
     return {name: table for name, table in found.items() if table is not None}
 
 
-def _read_rows(kind: type[T], value: object, place: Place) -> list[T] | None:
+def _read_rows(kind: type[T], value: object, location: Location) -> list[T] | None:
     if not isinstance(value, list):
-        place.wrong(f"{shown(value)} is not a list; write tables in brackets, as in [{{ ... }}, {{ ... }}]")
+        location.report(f"{format_value(value)} is not a list; write tables in brackets, as in [{{ ... }}, {{ ... }}]")
         return None
-    found = [read_table(kind, raw, place.at(at)) for at, raw in enumerate(value)]
+    found = [read_table(kind, raw, location.at(index)) for index, raw in enumerate(value)]
     kept = [row for row in found if row is not None]
     return kept if len(kept) == len(found) else None
