--- a/lugspur/cli/fleet.py
+++ b/lugspur/cli/fleet.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from lugspur.config.units import Wrong, address, duration
+from lugspur.config.units import InvalidValueError, address, duration
 
 CALL_TIMEOUT_SECONDS = 5.0  # until a daemon has to answer
 EXIT_HELD_ELSEWHERE = 3  # the exit status of `run` if this daemon does not hold the duty
@@ -33,7 +33,7 @@
         connection.request(method, path, body.encode() or None)
         response = connection.getresponse()
         return response.status, response.read().decode().strip()
-    except Wrong as fault:
+    except InvalidValueError as fault:
         raise click.UsageError(f"--at {at}: {fault}") from fault
     except (OSError, http.client.HTTPException) as fault:
         click.echo(f"{at}: {fault}", err=True)
@@ -145,7 +145,7 @@
     """
     try:
         seconds = duration()(needs)
-    except Wrong as fault:
+    except InvalidValueError as fault:
         raise click.UsageError(f"--needs {needs}: {fault}") from fault
     status, text = _call(at, "POST", "/fleet/may", f"{duty} {seconds:.3f}")
     if status == 409:
--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -10,7 +10,7 @@
 from urllib.parse import urlsplit
 
 from lugspur.config.build import Plan
-from lugspur.config.units import Wrong, duration, folder, nearest, node
+from lugspur.config.units import InvalidValueError, duration, folder, nearest, node
 from lugspur.config.units import address as parse_address
 from lugspur.daemon.cluster import registry_ensemble
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
@@ -60,7 +60,7 @@
             url or f"tcp://{address}",
             duration(0.01, 3600.0)(every),
         )
-    except Wrong as fault:
+    except InvalidValueError as fault:
         raise ValueError(str(fault)) from fault
     parts = urlsplit(registration.url)
     if parts.scheme not in ("http", "tcp") or not parts.hostname or not parts.port:
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from lugspur.config.units import Wrong, duration
+from lugspur.config.units import InvalidValueError, duration
 from lugspur.daemon.persistence.directory import Directory
 from lugspur.daemon.persistence.snapshot_format import (
     MAX_FILE_BYTES,
@@ -125,7 +125,7 @@
     """
     try:
         max_age = duration(0.0, 1e9)(unseen)
-    except Wrong as fault:
+    except InvalidValueError as fault:
         raise click.UsageError(f"--unseen {unseen}: {fault}") from fault
     snapshot = _read(file)
     path = Path(file)
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -10,7 +10,7 @@
 
 from lugspur.config import model
 from lugspur.config.schema import Location
-from lugspur.config.units import DATAGRAM_NAME, Wrong, format_value, nearest, text
+from lugspur.config.units import DATAGRAM_NAME, InvalidValueError, format_value, nearest, text
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Rules, Settings, Tenant
 from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.model import (
@@ -447,20 +447,20 @@
         if not isinstance(value, Mapping):
             return Condition(name, MatchType.EXACT, text(value))
         if len(value) != 1 or not set(value) <= {"prefix", "present", "absent"}:
-            raise Wrong(
+            raise InvalidValueError(
                 f'{format_value(value)} is not a condition; write "text", {{ prefix = "text" }}, {{ present = true }} '
                 "or { absent = true }"
             )
         [(test, wanted)] = value.items()
         if test == "prefix":
             if not text(wanted):
-                raise Wrong("an empty prefix matches any value; write { present = true }")
+                raise InvalidValueError("an empty prefix matches any value; write { present = true }")
             return Condition(name, MatchType.PREFIX, wanted)
         if wanted is not True:
             other = "absent" if test == "present" else "present"
-            raise Wrong(f"{test} = {format_value(wanted)}; write {{ {other} = true }} for the opposite")
+            raise InvalidValueError(f"{test} = {format_value(wanted)}; write {{ {other} = true }} for the opposite")
         return Condition(name, MatchType(test))
-    except Wrong as fault:
+    except InvalidValueError as fault:
         location.report(str(fault))
         return None
 
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -11,7 +11,7 @@
 
 from lugspur.config.schema import named_tables, option, table, table_list
 from lugspur.config.units import (
-    Wrong,
+    InvalidValueError,
     address,
     addresses,
     boolean,
@@ -47,12 +47,12 @@
 def weights(value: object) -> dict[str, float]:
     """Return weights by the names of pools."""
     if not isinstance(value, dict) or not value:
-        raise Wrong(
+        raise InvalidValueError(
             f"{format_value(value)} is not a table of weights; write one such as {{ stable = 90, canary = 10 }}"
         )
     found = {name: number(0.0, 1e6)(weight) for name, weight in value.items()}
     if not sum(found.values()):
-        raise Wrong("all weights are 0; give one pool a weight above 0")
+        raise InvalidValueError("all weights are 0; give one pool a weight above 0")
     return found
 
 
--- a/lugspur/config/schema.py
+++ b/lugspur/config/schema.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from lugspur.config.lines import Path
-from lugspur.config.units import Wrong, format_value, nearest
+from lugspur.config.units import InvalidValueError, format_value, nearest
 
 T = TypeVar("T")
 
@@ -118,7 +118,7 @@
         return _read_rows(meta["rows"], value, location)
     try:
         return meta["read"](value)
-    except Wrong as fault:
+    except InvalidValueError as fault:
         location.report(str(fault))
         return None
 
--- a/lugspur/config/units.py
+++ b/lugspur/config/units.py
@@ -26,7 +26,7 @@
 QUANTITY = re.compile(r"(\d+(?:\.\d+)?) ?([A-Za-z]*)")
 
 
-class Wrong(Exception):
+class InvalidValueError(Exception):
     """A value is invalid; the message says what to write instead."""
 
 
@@ -47,13 +47,13 @@
 
 def _parse_quantity(value: object, units: dict[str, Any], example: str) -> float:
     if not isinstance(value, str):
-        raise Wrong(f"{format_value(value)} has no unit; write a string such as {example}")
+        raise InvalidValueError(f"{format_value(value)} has no unit; write a string such as {example}")
     found = QUANTITY.fullmatch(value)
     if found is None:
-        raise Wrong(f"{format_value(value)} is not a quantity; write one such as {example}")
+        raise InvalidValueError(f"{format_value(value)} is not a quantity; write one such as {example}")
     if found[2] not in units:
         problem = f'unit "{found[2]}" is unknown' if found[2] else "it has no unit"
-        raise Wrong(f"{format_value(value)}: {problem}; write one of {', '.join(units)}, as in {example}")
+        raise InvalidValueError(f"{format_value(value)}: {problem}; write one of {', '.join(units)}, as in {example}")
     return float(found[1]) * float(units[found[2]])
 
 
@@ -63,7 +63,7 @@
     def read(value: object) -> float:
         seconds = _parse_quantity(value, SECONDS_PER_UNIT, '"410ms" or "1.5s"')
         if not low <= seconds <= high:
-            raise Wrong(f"{format_value(value)} is out of range; the range is {low:g}s to {high:g}s")
+            raise InvalidValueError(f"{format_value(value)} is out of range; the range is {low:g}s to {high:g}s")
         return seconds
 
     return read
@@ -75,7 +75,7 @@
     def read(value: object) -> int:
         count = int(_parse_quantity(value, BYTES_PER_UNIT, '"64KiB" or "1MiB"'))
         if not low <= count <= high:
-            raise Wrong(f"{format_value(value)} is out of range; the range is {low} B to {high} B")
+            raise InvalidValueError(f"{format_value(value)} is out of range; the range is {low} B to {high} B")
         return count
 
     return read
@@ -86,9 +86,9 @@
 
     def read(value: object) -> float:
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise Wrong(f"{format_value(value)} is not a number; write one without quotes, such as 2.5")
+            raise InvalidValueError(f"{format_value(value)} is not a number; write one without quotes, such as 2.5")
         if not (low <= value <= high and math.isfinite(value)):
-            raise Wrong(f"{format_value(value)} is out of range; the range is {low:g} to {high:g}")
+            raise InvalidValueError(f"{format_value(value)} is out of range; the range is {low:g} to {high:g}")
         return float(value)
 
     return read
@@ -99,9 +99,11 @@
 
     def read(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
-            raise Wrong(f"{format_value(value)} is not an integer; write one without quotes, such as {max(low, 3)}")
+            raise InvalidValueError(
+                f"{format_value(value)} is not an integer; write one without quotes, such as {max(low, 3)}"
+            )
         if not low <= value <= high:
-            raise Wrong(f"{format_value(value)} is out of range; the range is {low} to {high}")
+            raise InvalidValueError(f"{format_value(value)} is out of range; the range is {low} to {high}")
         return value
 
     return read
@@ -110,26 +112,26 @@
 def boolean(value: object) -> bool:
     """Return a boolean."""
     if not isinstance(value, bool):
-        raise Wrong(f"{format_value(value)} is neither true nor false; write one of them without quotes")
+        raise InvalidValueError(f"{format_value(value)} is neither true nor false; write one of them without quotes")
     return value
 
 
 def text(value: object) -> str:
     """Return a string without control characters."""
     if not isinstance(value, str):
-        raise Wrong(f'{format_value(value)} is not a string; write it in quotes, as in "{value}"')
+        raise InvalidValueError(f'{format_value(value)} is not a string; write it in quotes, as in "{value}"')
     if any(ord(c) < 32 or ord(c) == 127 for c in value):
-        raise Wrong(f"{format_value(value)!r} contains control characters; remove them")
+        raise InvalidValueError(f"{format_value(value)!r} contains control characters; remove them")
     return value
 
 
 def strings(value: object) -> tuple[str, ...]:
     """Return a list of distinct strings."""
     if not isinstance(value, list):
-        raise Wrong(f"{format_value(value)} is not a list; write [{format_value(value)}]")
+        raise InvalidValueError(f"{format_value(value)} is not a list; write [{format_value(value)}]")
     found = tuple(text(item) for item in value)
     if len(set(found)) < len(found):
-        raise Wrong(f"{format_value(value)} contains a duplicate; remove it")
+        raise InvalidValueError(f"{format_value(value)} contains a duplicate; remove it")
     return found
 
 
@@ -139,7 +141,9 @@
     def read(value: object) -> str:
         if value not in known:
             hint = nearest(value, known) if isinstance(value, str) else ""
-            raise Wrong(f"{format_value(value)} is none of {', '.join(known)}{hint if 'mean' in hint else ''}")
+            raise InvalidValueError(
+                f"{format_value(value)} is none of {', '.join(known)}{hint if 'mean' in hint else ''}"
+            )
         return str(value)
 
     return read
@@ -157,7 +161,7 @@
 def addresses(value: object) -> tuple[Address, ...]:
     """Return a non-empty list of distinct addresses, each written as `host:port`."""
     if value == []:
-        raise Wrong('the list is empty; write at least one address, as in ["127.0.0.1:2181"]')
+        raise InvalidValueError('the list is empty; write at least one address, as in ["127.0.0.1:2181"]')
     return tuple(address(item) for item in strings(value))
 
 
@@ -165,7 +169,9 @@
     """Return the path of a node in a registry under which backends register."""
     path = text(value)
     if not path.startswith("/") or path == "/" or path.endswith("/") or {"", ".", ".."} & set(path[1:].split("/")):
-        raise Wrong(f'{format_value(value)} is not a path of a registry node; write one such as "/services/channel"')
+        raise InvalidValueError(
+            f'{format_value(value)} is not a path of a registry node; write one such as "/services/channel"'
+        )
     return path
 
 
@@ -173,7 +179,9 @@
     """Return the name of a registry node."""
     name = text(value)
     if "/" in name or name in ("", ".", ".."):
-        raise Wrong(f'{format_value(value)} is not the name of a registry node; write one such as "channel-1"')
+        raise InvalidValueError(
+            f'{format_value(value)} is not the name of a registry node; write one such as "channel-1"'
+        )
     return name
 
 
@@ -184,7 +192,7 @@
     """Return a name that is sent in datagrams, or an empty string: printable ASCII without spaces."""
     found = text(value)
     if found and not DATAGRAM_NAME.fullmatch(found):
-        raise Wrong(
+        raise InvalidValueError(
             f'{format_value(value)} is not a valid name; write up to 48 ASCII characters without spaces, as "edge-1"'
         )
     return found
@@ -194,7 +202,7 @@
     """Return credentials as `user:password`, or an empty string."""
     found = text(value)
     if found and not all(found.partition(":")[::2]):
-        raise Wrong('user or password is missing; write both, as in "user:password"')
+        raise InvalidValueError('user or password is missing; write both, as in "user:password"')
     return found
 
 
@@ -203,5 +211,5 @@
     try:
         host, port = read_address(text(value))
     except ValueError as fault:
-        raise Wrong(f'{fault}; write one such as "127.0.0.1:8080"') from fault
+        raise InvalidValueError(f'{fault}; write one such as "127.0.0.1:8080"') from fault
     return host.removeprefix("[").removesuffix("]"), port
--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -8,7 +8,7 @@
 from functools import partial
 from types import TracebackType
 
-from lugspur.config.units import Wrong, duration, nearest
+from lugspur.config.units import InvalidValueError, duration, nearest
 from lugspur.standins.zookeeper.ensemble import Ensemble, Refused, Who
 from lugspur.standins.zookeeper.server import Server
 from lugspur.zookeeper.records import NEVER_MIND, Delete, Op
@@ -107,7 +107,7 @@
 
     def _server(self, at: str) -> Server:
         if not at.isdecimal() or int(at) >= len(self._cluster.servers):
-            raise Wrong(f"there is no server {at}; they are 0 to {len(self._cluster.servers) - 1}")
+            raise InvalidValueError(f"there is no server {at}; they are 0 to {len(self._cluster.servers) - 1}")
         return self._cluster.servers[int(at)]
 
     def _act(self, word: str, at: str) -> None:
@@ -140,6 +140,6 @@
             return f"error: {words[0]} takes other words; it was given {len(words) - 1}"
         except KeyError as fault:
             return f"error: there is no node {fault}"
-        except (Wrong, Refused) as fault:
+        except (InvalidValueError, Refused) as fault:
             return f"error: {fault}"
         return "ok"
