--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -11,7 +11,7 @@
 import click
 
 from lugspur.config.build import Plan, warnings
-from lugspur.config.load import FileFaults, load
+from lugspur.config.load import ConfigFileError, load
 from lugspur.routing.explain import Verdict, deciding_rule, explain
 from lugspur.routing.model import Forward, Redirect, RequestView, Route
 from lugspur.routing.table import capture, parse_query
@@ -24,7 +24,7 @@
     """Return the plan of a file; if it has faults, print all of them to standard error and exit."""
     try:
         return load(path)
-    except FileFaults as fault:
+    except ConfigFileError as fault:
         click.echo("\n".join(fault.lines), err=True)
         sys.exit(EXIT_INVALID)
 
--- a/lugspur/config/load.py
+++ b/lugspur/config/load.py
@@ -30,7 +30,7 @@
 )
 
 
-class FileFaults(Exception):
+class ConfigFileError(Exception):
     """The file can't be used; has one line for each fault, with the file's name and the line number."""
 
     def __init__(self, lines: list[str]) -> None:
@@ -39,12 +39,12 @@
 
 
 def load(path: str) -> Plan:
-    """Read, validate and build the configuration of a file; raises FileFaults."""
+    """Read, validate and build the configuration of a file; raises ConfigFileError."""
     text = read_text(path)
     try:
         raw = parse(text)
     except ValueError as fault:
-        raise FileFaults([f"{path}:{fault}"]) from fault
+        raise ConfigFileError([f"{path}:{fault}"]) from fault
     location = Location()
     file = read_table(model.File, raw, location)
     if file is not None:
@@ -53,7 +53,7 @@
             return plan
     lines = Lines(text)
     found = [(lines.line(fault.path), ".".join(map(str, fault.path)), fault.message) for fault in location.faults]
-    raise FileFaults(
+    raise ConfigFileError(
         [
             f"{path}:{line}: {key}: {message}" if key else f"{path}:{line}: {message}"
             for line, key, message in sorted(set(found))
@@ -77,7 +77,7 @@
 
 
 def read_text(path: str) -> str:
-    """Return a consistent copy of the file's text; raises FileFaults.
+    """Return a consistent copy of the file's text; raises ConfigFileError.
 
     A file that changes while it is read is read again, so that a partly written file is never used.
     """
@@ -91,19 +91,19 @@
             if len(data) > MAX_FILE_BYTES or (is_unchanged and len(data) == after.st_size):
                 break
         else:
-            raise FileFaults(
+            raise ConfigFileError(
                 [f"{path}: the file changes while it is read; write a new file and rename it to this path"]
             )
     except OSError as fault:
-        raise FileFaults([f"{path}: {fault.strerror or fault}"]) from fault
+        raise ConfigFileError([f"{path}: {fault.strerror or fault}"]) from fault
     if len(data) > MAX_FILE_BYTES:
-        raise FileFaults([f"{path}: the file has more than {MAX_FILE_BYTES >> 20} MiB; check the path"])
+        raise ConfigFileError([f"{path}: the file has more than {MAX_FILE_BYTES >> 20} MiB; check the path"])
     try:
         return data.decode()
     except UnicodeDecodeError as fault:
         line = data.count(b"\n", 0, fault.start) + 1
         message = f"byte {data[fault.start]:#04x} is not valid UTF-8; save the file as UTF-8"
-        raise FileFaults([f"{path}:{line}: {message}"]) from fault
+        raise ConfigFileError([f"{path}:{line}: {message}"]) from fault
 
 
 def resolved(path: str, config_path: str) -> str:
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -14,7 +14,7 @@
 from lugspur import invariants, reloads
 from lugspur.config import model
 from lugspur.config.build import Plan
-from lugspur.config.load import FileFaults, load
+from lugspur.config.load import ConfigFileError, load
 from lugspur.daemon.daemon import Daemon
 from lugspur.daemon.registrations import ListenerRegistrations
 from lugspur.daemon.service import drain
@@ -125,7 +125,7 @@
             # In a thread: a file of ten thousand routes takes a second or two, for which requests must not wait.
             plan = await asyncio.to_thread(load, self.path)
             await self._apply(plan)
-        except FileFaults as error:
+        except ConfigFileError as error:
             more = f" (and {len(error.lines) - 1} more; see lugspur check)" if len(error.lines) > 1 else ""
             _log(f"reload: nothing is changed: {error.lines[0]}{more}")
         except OSError as error:
--- a/tests/compatibility/test_settings_and_deploy_keys.py
+++ b/tests/compatibility/test_settings_and_deploy_keys.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from lugspur.config.load import FileFaults, load
+from lugspur.config.load import ConfigFileError, load
 from lugspur.config.platform import ConfigError
 from lugspur.config.platform import load as load_platform
 from lugspur.config.reference import reference
@@ -344,7 +344,7 @@
     file.write_text(text)
     load(str(file))
     file.write_text(changed(FILE, path, f"{word}-x"))
-    with pytest.raises(FileFaults) as told:
+    with pytest.raises(ConfigFileError) as told:
         load(str(file))
     assert len(told.value.lines) == 1 and path in told.value.lines[0] and word in told.value.lines[0]
 
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -13,7 +13,7 @@
 
 from lugspur.config import load as loading
 from lugspur.config.lines import Lines
-from lugspur.config.load import FileFaults, load
+from lugspur.config.load import ConfigFileError, load
 
 ROOT = Path(__file__).parent.parent.parent
 GOOD = """[listeners.main]
@@ -38,7 +38,7 @@
     file.write_text(text)
     try:
         load(str(file))
-    except FileFaults as found:
+    except ConfigFileError as found:
         assert all(line.startswith(f"{file}:") for line in found.lines)
         return [line.removeprefix(f"{file}:") for line in found.lines]
     return []
@@ -218,15 +218,15 @@
 def test_what_is_no_text_or_no_file(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     file.write_bytes(GOOD.encode() + b"# caf\xe9\n")
-    with pytest.raises(FileFaults, match=r"f\.toml:14: byte 0xe9 is not valid UTF-8; save the file as UTF-8"):
+    with pytest.raises(ConfigFileError, match=r"f\.toml:14: byte 0xe9 is not valid UTF-8; save the file as UTF-8"):
         load(str(file))
-    with pytest.raises(FileFaults, match="No such file"):
+    with pytest.raises(ConfigFileError, match="No such file"):
         load(str(tmp_path / "none"))
-    with pytest.raises(FileFaults, match="Is a directory"):
+    with pytest.raises(ConfigFileError, match="Is a directory"):
         load(str(tmp_path))
     with open(file, "wb") as big:
         big.truncate(loading.MAX_FILE_BYTES + 1)
-    with pytest.raises(FileFaults, match="more than 8 MiB"):
+    with pytest.raises(ConfigFileError, match="more than 8 MiB"):
         load(str(file))
 
 
@@ -246,7 +246,7 @@
     monkeypatch.setattr(os, "fstat", fstat)
     assert loading.read_text(str(file)) == GOOD
     left[0] = 10**6
-    with pytest.raises(FileFaults, match="the file changes while it is read"):
+    with pytest.raises(ConfigFileError, match="the file changes while it is read"):
         loading.read_text(str(file))
 
 
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -18,7 +18,7 @@
 from loopback import OK, soon, status, until
 
 from lugspur.bench.grpc import mixed, passing
-from lugspur.config.load import FileFaults, load
+from lugspur.config.load import ConfigFileError, load
 from lugspur.http2 import front as http2_front
 from lugspur.http2.wire import BACKLOG_MOST
 from lugspur.standins.grpc.box import Call, scripted
@@ -878,7 +878,7 @@
     with TemporaryDirectory() as folder:
         file = Path(folder) / "lugspur.toml"
         file.write_text(HTTP2 + pool("a", "127.0.0.1:9", more='protocol = "grpc"') + ROUTES)
-        with pytest.raises(FileFaults) as fault:
+        with pytest.raises(ConfigFileError) as fault:
             load(str(file))
     assert [line for line in fault.value.lines if "lugspur[grpc]" in line] == fault.value.lines
     assert len(fault.value.lines) == 2
