--- a/lugspur/config/load.py
+++ b/lugspur/config/load.py
@@ -106,6 +106,6 @@
         raise ConfigFileError([f"{path}:{line}: {message}"]) from fault
 
 
-def resolved(path: str, config_path: str) -> str:
+def resolve_path(path: str, config_path: str) -> str:
     """Return a path from a configuration file, relative to the directory of that file, `config_path`."""
     return str(Path(config_path).parent / path)
--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -10,7 +10,7 @@
 
 from lugspur.config import model
 from lugspur.config.build import member_name
-from lugspur.config.load import resolved
+from lugspur.config.load import resolve_path
 from lugspur.daemon.class_indexes import keep_class_indexes
 from lugspur.daemon.pool import Pool, PoolOwner
 from lugspur.discovery.endpoint_overrides import EndpointOverrides
@@ -190,7 +190,7 @@
         reader = EndpointReader(protocol=row.protocol)
         fixed = [reader.endpoint(_entry(member)) for member in row.members]
         if row.file:
-            return WatchedFile(resolved(row.file, config_path), reader, self._receive_endpoints)
+            return WatchedFile(resolve_path(row.file, config_path), reader, self._receive_endpoints)
         if row.watch:
             return PlatformWatch(row.watch, reader, 0, self._receive_endpoints)
         if row.registry is not None and ensemble is not None:
--- a/lugspur/daemon/peers.py
+++ b/lugspur/daemon/peers.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, TextIO
 
 from lugspur.config import model
-from lugspur.config.load import resolved
+from lugspur.config.load import resolve_path
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.datagrams import MAX_KEY_BYTES, MIN_KEY_BYTES, DatagramCodec
 from lugspur.daemon.gossip.events import Event, MemberChanged, MessageReceived, NameConflict
@@ -102,7 +102,7 @@
         )
         self.transport = Transport(sock, fleet, self._receive_event, self._run_due_candidates, self._due_times)
         if row.history:
-            path = resolved(row.history, self._config_path)
+            path = resolve_path(row.history, self._config_path)
             try:
                 self._history = open(path, "a", buffering=1, encoding="utf-8")  # noqa: SIM115  (until `close`)
             except OSError as error:
@@ -115,7 +115,7 @@
     def _read_key(self) -> bytes:
         if not self._config.key:
             return b""
-        path = resolved(self._config.key, self._config_path)
+        path = resolve_path(self._config.key, self._config_path)
         try:
             with open(path, "rb") as file:
                 key = file.read(MAX_KEY_BYTES + 1)
@@ -129,7 +129,7 @@
         row = self._config
         lease, promises = row.lease, None
         if row.folder:
-            folder = resolved(row.folder, self._config_path)
+            folder = resolve_path(row.folder, self._config_path)
             try:
                 self._promise_store = PromiseStore(folder, row.member, row.lease)
             except PromiseStoreInUseError as error:
--- a/lugspur/daemon/state_persistence.py
+++ b/lugspur/daemon/state_persistence.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, TypeVar
 
-from lugspur.config.load import resolved
+from lugspur.config.load import resolve_path
 from lugspur.daemon.persistence.aging import snapshot_age
 from lugspur.daemon.persistence.snapshot_format import (
     MAX_BACKENDS,
@@ -42,7 +42,7 @@
 
     def __init__(self, directory: str, interval_seconds: float, config_path: str) -> None:
         self._loop = asyncio.get_running_loop()
-        self._directory = resolved(directory, config_path)
+        self._directory = resolve_path(directory, config_path)
         self._interval_seconds = self._delay_seconds = interval_seconds
         self._store: SnapshotStore | None = None
         self._snapshot: Snapshot | None = None
