--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -52,7 +52,7 @@
     }
 )
 NO_CLASS = "(no class)"  # the class of routes that name no class
-NOBODY = "(no tenant)"  # the tenant of requests for which no tenant is known
+NO_TENANT = "(no tenant)"  # the tenant of requests for which no tenant is known
 CHECKED_POOL_NAME = re.compile(r".{1,64}")  # the names of pools that are sent in datagrams
 NUMERIC_HOST = re.compile(r"[0-9a-fA-F:.]+")  # hosts that need no name resolution
 WILDCARD_HOSTS = ("0.0.0.0", "::")
@@ -110,7 +110,7 @@
         classes.append(
             RequestClass(name, row.aim, row.deadline, row.repeat, row.group, row.window, row.worth, row.late_worth)
         )
-    tenants = [Tenant(NOBODY), *(Tenant(name, quota=row.quota) for name, row in file.tenants.items())]
+    tenants = [Tenant(NO_TENANT), *(Tenant(name, quota=row.quota) for name, row in file.tenants.items())]
     if not raw.get("listeners"):
         location.report('no listener is defined; write [listeners.NAME] with address = "127.0.0.1:8080"')
     if file.daemon.instance >= file.daemon.instances:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from lugspur.config import model
-from lugspur.config.build import METHODS, NOBODY, Plan
+from lugspur.config.build import METHODS, NO_TENANT, Plan
 from lugspur.daemon.cluster import GRPC_HOST_TYPE, UpstreamCluster
 from lugspur.daemon.outgoing import Headers, build_upstream_request, change_headers, extract_value
 from lugspur.daemon.pool import Call, RequestAttributes
@@ -220,7 +220,7 @@
             caller.answer(504, b"", b"the time is up\n")
             return
         if self.overload_protection is not None and configuration is self.configuration:
-            client = caller.peer if tenant == NOBODY else tenant
+            client = caller.peer if tenant == NO_TENANT else tenant
             class_index = configuration.plan.kinds[forward.class_name]
             size = len(request.body) if request.stream is None else request.stream.came
             if not self.overload_protection.admits(class_index, client, size):
@@ -401,7 +401,7 @@
 def _read_tenant(plan: Plan, match: Match, forward: Forward, request: Request, query: dict[str, str]) -> str:
     """Return the request's tenant; raises Rejected if its route requires one and it names none that is known."""
     if forward.tenant is None:
-        return NOBODY
+        return NO_TENANT
     name = extract_value(forward.tenant, Headers(request.headers), query, match.captured)
     if name not in plan.file.tenants:
         raise Rejected(403, "unknown tenant")
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from lugspur.config.build import NOBODY
+from lugspur.config.build import NO_TENANT
 from lugspur.daemon.request_context import Ending, RequestContext
 from lugspur.joining.flight_table import (
     Action,
@@ -145,7 +145,7 @@
 
 
 def _tenant_key(tenant: str) -> str:
-    return "" if tenant == NOBODY else tenant
+    return "" if tenant == NO_TENANT else tenant
 
 
 class RequestCoalescer:
