--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -10,7 +10,7 @@
 from urllib.parse import urlsplit
 
 from lugspur.config.build import Plan
-from lugspur.config.units import InvalidValueError, duration, folder, nearest, node
+from lugspur.config.units import InvalidValueError, duration, folder, node, suggestion
 from lugspur.config.units import address as parse_address
 from lugspur.daemon.cluster import registry_ensemble
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
@@ -46,7 +46,7 @@
     """Validate the command line; raises ValueError, whose message says what to write instead."""
     known = plan.file.registries
     if registry not in known:
-        raise ValueError(f'registry "{registry}" is not in the file{nearest(registry, known)}')
+        raise ValueError(f'registry "{registry}" is not in the file{suggestion(registry, known)}')
     if not (0 <= cell < 1 << 31 and 0.001 <= weight <= 1e6):
         raise ValueError("--cell is an integer from 0, --weight a number from 0.001 to 1000000")
     try:
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -10,7 +10,7 @@
 
 from lugspur.config import model
 from lugspur.config.schema import Location
-from lugspur.config.units import DATAGRAM_NAME, InvalidValueError, format_value, nearest, text
+from lugspur.config.units import DATAGRAM_NAME, InvalidValueError, format_value, suggestion, text
 from lugspur.load_balancing.model import Limits, RequestClass, RetrySafety, Rules, Settings, Tenant
 from lugspur.routing.conflicts import find_conflicts
 from lugspur.routing.model import (
@@ -289,7 +289,7 @@
         for index, method in enumerate(row.methods):
             if method not in METHODS:
                 location.at("methods", index).report(
-                    f"method {format_value(method)} is not supported{nearest(method.upper(), METHODS)}"
+                    f"method {format_value(method)} is not supported{suggestion(method.upper(), METHODS)}"
                 )
         headers = _conditions(row.headers, location.at("headers"), header=True)
         query = _conditions(row.query, location.at("query"), header=False)
@@ -394,7 +394,7 @@
 
 def _check_reference(name: str, among: Mapping[str, object], what: str, location: Location) -> None:
     if name not in among:
-        location.report(f'{what} "{name}" is not in this file{nearest(name, among)}')
+        location.report(f'{what} "{name}" is not in this file{suggestion(name, among)}')
 
 
 def _raw_tables(raw: Mapping[str, Any], section: str) -> Mapping[str, object]:
--- a/lugspur/config/schema.py
+++ b/lugspur/config/schema.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from lugspur.config.lines import Path
-from lugspur.config.units import InvalidValueError, format_value, nearest
+from lugspur.config.units import InvalidValueError, format_value, suggestion
 
 T = TypeVar("T")
 
@@ -91,7 +91,7 @@
     for key, value in raw.items():
         item = known.get(key)
         if item is None:
-            location.at(key).report(f'key "{key}" is unknown here{nearest(key, known)}')
+            location.at(key).report(f'key "{key}" is unknown here{suggestion(key, known)}')
             misspelt.update(difflib.get_close_matches(key, known, 1, 0.6))
             continue
         before = len(location.faults)
--- a/lugspur/config/units.py
+++ b/lugspur/config/units.py
@@ -30,7 +30,7 @@
     """A value is invalid; the message says what to write instead."""
 
 
-def nearest(word: str, known: Iterable[str]) -> str:
+def suggestion(word: str, known: Iterable[str]) -> str:
     """Return a hint: the known word that was probably meant, or all known words if there are at most 12."""
     known = sorted(known)
     close = difflib.get_close_matches(word, known, 1, 0.6)
@@ -140,7 +140,7 @@
 
     def read(value: object) -> str:
         if value not in known:
-            hint = nearest(value, known) if isinstance(value, str) else ""
+            hint = suggestion(value, known) if isinstance(value, str) else ""
             raise InvalidValueError(
                 f"{format_value(value)} is none of {', '.join(known)}{hint if 'mean' in hint else ''}"
             )
--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -8,7 +8,7 @@
 from functools import partial
 from types import TracebackType
 
-from lugspur.config.units import InvalidValueError, duration, nearest
+from lugspur.config.units import InvalidValueError, duration, suggestion
 from lugspur.standins.zookeeper.ensemble import Ensemble, Refused, Who
 from lugspur.standins.zookeeper.server import Server
 from lugspur.zookeeper.records import NEVER_MIND, Delete, Op
@@ -131,7 +131,7 @@
             return "ok: " + ", ".join(sorted(self._words))
         act = self._words.get(words[0])
         if act is None:
-            return f"error: {words[0]!r} is no command{nearest(words[0], self._words)}"
+            return f"error: {words[0]!r} is no command{suggestion(words[0], self._words)}"
         try:
             done = act(*words[1:])
             if asyncio.iscoroutine(done):
