--- a/lugspur/cli/register.py
+++ b/lugspur/cli/register.py
@@ -10,7 +10,7 @@
 from urllib.parse import urlsplit
 
 from lugspur.config.build import Plan
-from lugspur.config.units import InvalidValueError, duration, folder, node, suggestion
+from lugspur.config.units import InvalidValueError, duration, registry_node, registry_path, suggestion
 from lugspur.config.units import address as parse_address
 from lugspur.daemon.cluster import registry_ensemble
 from lugspur.discovery.backend_registration import BackendRegistrar, RegisteredBackend
@@ -51,10 +51,10 @@
         raise ValueError("--cell is an integer from 0, --weight a number from 0.001 to 1000000")
     try:
         host, port = parse_address(address)
-        backend = RegisteredBackend(node(name), f"{host}:{port}", zone, cell, weight)
+        backend = RegisteredBackend(registry_node(name), f"{host}:{port}", zone, cell, weight)
         registration = Registration(
             registry_ensemble(known[registry]),
-            folder(path),
+            registry_path(path),
             backend,
             uuid.uuid4().hex if sequential else "",
             url or f"tcp://{address}",
--- a/lugspur/config/lines.py
+++ b/lugspur/config/lines.py
@@ -25,7 +25,7 @@
 )
 
 
-class Lines:
+class LineNumbers:
     """The line numbers of the tables and keys of one file."""
 
     def __init__(self, text: str) -> None:
--- a/lugspur/config/load.py
+++ b/lugspur/config/load.py
@@ -10,7 +10,7 @@
 
 from lugspur.config import model
 from lugspur.config.build import Plan, build
-from lugspur.config.lines import Lines
+from lugspur.config.lines import LineNumbers
 from lugspur.config.schema import Location, read_table
 
 MAX_FILE_BYTES = 8 << 20  # 10,000 routes take about 1 MiB; a wrong path may name a disk image
@@ -51,7 +51,7 @@
         plan = build(file, raw, location)
         if not location.faults:
             return plan
-    lines = Lines(text)
+    lines = LineNumbers(text)
     found = [(lines.line(fault.path), ".".join(map(str, fault.path)), fault.message) for fault in location.faults]
     raise ConfigFileError(
         [
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -19,12 +19,12 @@
     credentials,
     datagram_name,
     duration,
-    folder,
     format_value,
     integer,
-    node,
     number,
     one_of,
+    registry_node,
+    registry_path,
     size,
     strings,
     text,
@@ -188,8 +188,8 @@
     """The node that registers a listener in a registry for as long as it listens."""
 
     registry: str = option(text, "the registry")
-    path: str = option(folder, "path of the parent of the node; it is created if it is missing")
-    name: str = option(node, "the node's name; with sequential its prefix")
+    path: str = option(registry_path, "path of the parent of the node; it is created if it is missing")
+    name: str = option(registry_node, "the node's name; with sequential its prefix")
     address: Address | None = option(
         address, "the address that callers use, if it differs from that of the listener", None
     )
@@ -283,7 +283,7 @@
     """The registry path that a pool watches: each node below it is a backend."""
 
     name: str = option(text, "the registry")
-    path: str = option(folder, 'path of the parent of the nodes, as in "/services/channel"')
+    path: str = option(registry_path, 'path of the parent of the nodes, as in "/services/channel"')
     format: str = option(one_of(*FORMATS), f"format of the nodes: {', '.join(FORMATS)}", "auto")
     stale_after: float = option(
         duration(0.1), "time without contact to the registry after which the list is logged as stale", 30.0
--- a/lugspur/config/units.py
+++ b/lugspur/config/units.py
@@ -165,7 +165,7 @@
     return tuple(address(item) for item in strings(value))
 
 
-def folder(value: object) -> str:
+def registry_path(value: object) -> str:
     """Return the path of a node in a registry under which backends register."""
     path = text(value)
     if not path.startswith("/") or path == "/" or path.endswith("/") or {"", ".", ".."} & set(path[1:].split("/")):
@@ -175,7 +175,7 @@
     return path
 
 
-def node(value: object) -> str:
+def registry_node(value: object) -> str:
     """Return the name of a registry node."""
     name = text(value)
     if "/" in name or name in ("", ".", ".."):
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from lugspur.config import load as loading
-from lugspur.config.lines import Lines
+from lugspur.config.lines import LineNumbers
 from lugspur.config.load import ConfigFileError, load
 
 ROOT = Path(__file__).parent.parent.parent
@@ -283,7 +283,7 @@
 o = 3
 '''
     tomllib.loads(text)
-    lines = Lines(text)
+    lines = LineNumbers(text)
     for path, line in {
         ("a",): 2,
         ("b c", "d"): 3,
@@ -333,7 +333,7 @@
         lines[key] = text.count("\n") + 1
         text += f"{written(key)} = {written(value)}\n"
     assert tomllib.loads(text) == table
-    found = Lines(text)
+    found = LineNumbers(text)
     for key, line in lines.items():
         for path in _paths(table[key], (key,)):
             assert found.line(path) == line
