--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -291,7 +291,7 @@
 
 
 @dataclass(slots=True)
-class Check:
+class HealthCheck:
     """Health checks of a backend by one member for the whole fleet, once a member failed to connect to it."""
 
     path: str = option(
@@ -324,8 +324,8 @@
     share: float = option(
         number(0.001, 1e6), "its weight when sockets, request slots and buffers are divided among pools", 1.0
     )
-    check: Check | None = table(
-        Check, "health checks of backends that are suspected; needs [fleet] with electors", None
+    check: HealthCheck | None = table(
+        HealthCheck, "health checks of backends that are suspected; needs [fleet] with electors", None
     )
     cold: SlowStart = table(SlowStart, "slow start of its backends")
     retries: Retries = table(Retries, "its retry budget")
--- a/lugspur/daemon/probers.py
+++ b/lugspur/daemon/probers.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, Protocol
 
-from lugspur.config.model import Check
+from lugspur.config.model import HealthCheck
 from lugspur.daemon.gossip import clock
 from lugspur.daemon.gossip.transport import Transport
 from lugspur.daemon.health_checks.health_checker import HealthChecker
@@ -71,7 +71,7 @@
 
 
 class _CheckedPool:
-    def __init__(self, name: str, row: Check) -> None:
+    def __init__(self, name: str, row: HealthCheck) -> None:
         self.role = f"probe:{name}"
         self.row = row
         self.health_checker = HealthChecker(row.every)
@@ -93,7 +93,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._check_tasks: set[asyncio.Task[None]] = set()
 
-    def apply(self, checks: Mapping[str, Check]) -> None:
+    def apply(self, checks: Mapping[str, HealthCheck]) -> None:
         """Put the health checks of a configuration file into force."""
         for name in self._pools.keys() - checks.keys():
             self._peers.withdraw_from_role(self._pools.pop(name).role)
