--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -236,7 +236,7 @@
 
 
 def _check_register(
-    row: model.Listener, register: model.Register, registries: Mapping[str, object], location: Location
+    row: model.Listener, register: model.Registration, registries: Mapping[str, object], location: Location
 ) -> None:
     _check_reference(register.registry, registries, "registry", location.at("registry"))
     if register.address is None and row.address[0] in WILDCARD_HOSTS:
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -184,7 +184,7 @@
 
 
 @dataclass(slots=True)
-class Register:
+class Registration:
     """The node that registers a listener in a registry for as long as it listens."""
 
     registry: str = option(text, "the registry")
@@ -208,7 +208,7 @@
         boolean, "whether HTTP/2 with prior knowledge, and with it gRPC, is accepted beside HTTP/1.1", False
     )
     streams: int = option(integer(1, 10_000), "maximum number of open HTTP/2 streams on one connection", 100)
-    register: Register | None = table(Register, "registration in a registry", None)
+    register: Registration | None = table(Registration, "registration in a registry", None)
     trust_forwarded: bool = option(
         boolean, "whether X-Forwarded-For and X-Forwarded-Proto of callers are kept and extended", False
     )
--- a/lugspur/daemon/registrations.py
+++ b/lugspur/daemon/registrations.py
@@ -14,7 +14,9 @@
 from lugspur.discovery.health_check import CheckResult
 from lugspur.discovery.registry_sessions import RegistrySessions
 
-RegistrationSettings = tuple[model.Register, model.Registry, Address, str]  # the settings that a node is created from
+RegistrationSettings = tuple[
+    model.Registration, model.Registry, Address, str
+]  # the settings that a node is created from
 
 
 class ListenerRegistrations:
