--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -144,7 +144,7 @@
         click.echo("  path " + ", ".join(f"{name} = {value or '(empty)'}" for name, value in names.items()))
     action = route.action
     if isinstance(action, Forward):
-        kind = plan.classes[plan.kinds[action.class_name]]
+        kind = plan.classes[plan.class_indices[action.class_name]]
         click.echo(
             f"  class {kind.name}: {kind.retry_safety.value}, given up after "
             f"{min(kind.deadline, action.deadline or kind.deadline):g}s"
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -74,7 +74,7 @@
     table: RouteTable
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
-    kinds: dict[str, int]  # by the name of a class, its index in `classes`
+    class_indices: dict[str, int]  # by the name of a class, its index in `classes`
 
     def settings(self, pool: model.Pool) -> Settings:
         """Return the settings of the load balancer of one pool."""
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -210,7 +210,7 @@
         target: Target,
         caller: Answerable,
     ) -> None:
-        request_class = configuration.plan.classes[configuration.plan.kinds[forward.class_name]]
+        request_class = configuration.plan.classes[configuration.plan.class_indices[forward.class_name]]
         timeout = self._read_timeout(request_class, forward, request)
         query = parse_query(target.query) if _reads_query(forward) else {}
         tenant = _read_tenant(configuration.plan, match, forward, request, query)
@@ -221,7 +221,7 @@
             return
         if self.overload_protection is not None and configuration is self.configuration:
             client = caller.peer if tenant == NO_TENANT else tenant
-            class_index = configuration.plan.kinds[forward.class_name]
+            class_index = configuration.plan.class_indices[forward.class_name]
             size = len(request.body) if request.stream is None else request.stream.came
             if not self.overload_protection.admits(class_index, client, size):
                 caller.answer(503, RETRY_AFTER_HEADER, b"too busy\n")
