--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -217,7 +217,7 @@
         if isinstance(message, Hello):
             dialer = self.peers.get(message.ip)
             if dialer is not None:
-                dialer.met(message.incarnation)
+                dialer.peer_dialled(message.incarnation)
 
     # ---- updates -------------------------------------------------------------------------
 
--- a/lugspur/mesh/transport/dialer.py
+++ b/lugspur/mesh/transport/dialer.py
@@ -68,7 +68,7 @@
         else:
             self._dial_later()
 
-    def met(self, incarnation: str) -> None:
+    def peer_dialled(self, incarnation: str) -> None:
         """Handle a dial by the peer in this incarnation: close a connection to a former incarnation, which is dead."""
         if self.link is not None and self.link.peer_incarnation not in ("", incarnation):
             self.link.close()
--- a/lugspur/mesh/transport/link.py
+++ b/lugspur/mesh/transport/link.py
@@ -22,7 +22,7 @@
 KEEPALIVE_IDLE_SECONDS = 10
 #: The same between proxies: each is connected to all others, so that with 620 proxies probes every 10 s take five times
 #: the traffic that a proxy may spend on control. A machine that has failed is removed when its lease expires, and one
-#: that has restarted dials its peers (`Dialer.met`).
+#: that has restarted dials its peers (`Dialer.peer_dialled`).
 PROXY_KEEPALIVE_IDLE_SECONDS = 75
 
 
--- a/tests/mesh/transport/test_link.py
+++ b/tests/mesh/transport/test_link.py
@@ -158,11 +158,13 @@
         )
         await up.get()
         assert dialer.link is not None
-        dialer.met("first")  # its Hello has not been answered yet: nothing is known of the incarnation behind it
+        dialer.peer_dialled(
+            "first"
+        )  # its Hello has not been answered yet: nothing is known of the incarnation behind it
         dialer.link.peer_incarnation = "first"
-        dialer.met("first")
+        dialer.peer_dialled("first")
         assert not down and dialer.link is not None
-        dialer.met("second")
+        dialer.peer_dialled("second")
         assert down == [dialer] and dialer.link is None
         assert (await up.get()).link is not None  # and it dials again
         dialer.close()
