--- a/lugspur/mesh/control_node/coordination_service.py
+++ b/lugspur/mesh/control_node/coordination_service.py
@@ -144,7 +144,7 @@
         link.send(self.node.heartbeat(now))
         dialer = self._dialers.get(message.ip)
         if dialer is not None:
-            dialer.nudge()
+            dialer.dial_now()
 
     def handle_message(self, link: Link, message: Message) -> None:
         """Handle a message on a connection that a node has dialled."""
--- a/lugspur/mesh/control_node/process.py
+++ b/lugspur/mesh/control_node/process.py
@@ -233,7 +233,7 @@
             link.peer = message.ip
             dialer = self.peers.get(message.ip)
             if dialer is not None:
-                dialer.nudge()
+                dialer.dial_now()
         elif isinstance(message, Subscribe):
             is_known = message.incarnation == self.incarnation and message.after_sequence <= self.store.latest_sequence
             self.subscribers.add(link, message.after_sequence if is_known else 0)
--- a/lugspur/mesh/transport/dialer.py
+++ b/lugspur/mesh/transport/dialer.py
@@ -73,9 +73,9 @@
         if self.link is not None and self.link.peer_incarnation not in ("", incarnation):
             self.link.close()
         else:
-            self.nudge()
+            self.dial_now()
 
-    def nudge(self) -> None:
+    def dial_now(self) -> None:
         """Dial now instead of after the backoff, as the peer seems to be reachable."""
         if self._timer is not None and self._failures > 1:
             self._timer.cancel()
