--- a/lugspur/mesh/process.py
+++ b/lugspur/mesh/process.py
@@ -180,7 +180,7 @@
         sent_at = self.freshness.receive(now, ip, message)
         self.merge_update(message)
         self.positions[ip] = FollowedPosition(message.incarnation, message.latest_sequence)
-        self.update_taken(now, ip, sent_at - message.majority_age)
+        self.update_merged(now, ip, sent_at - message.majority_age)
         self.send_to(ip, Pong(now))
 
     def merge_update(self, message: Delta) -> None:
@@ -190,7 +190,7 @@
         self.configuration_index = max(self.configuration_index, message.decided_index)
         self.store.merge(message.entries)
 
-    def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+    def update_merged(self, now: float, ip: str, confirmed_at: float) -> None:
         """Handle a merged update: all changes that were confirmed before `confirmed_at` are known now."""
 
     def _forget_missing(self, entries: list[Entry]) -> None:
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -235,7 +235,7 @@
         if own:
             self.send_to(self.update_source.ip, Report(own))
 
-    def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+    def update_merged(self, now: float, ip: str, confirmed_at: float) -> None:
         """Handle a merged update, after which this process knows everything confirmed before `confirmed_at`."""
         self.update_source.update_merged(now, ip, confirmed_at)
 
