--- a/lugspur/mesh/sidecar/carrier.py
+++ b/lugspur/mesh/sidecar/carrier.py
@@ -37,7 +37,7 @@
         if ip == self._ip:
             return True
         dialer = self._peers.get(ip)
-        return dialer is not None and dialer.link is not None and dialer.link.is_greeted
+        return dialer is not None and dialer.link is not None and dialer.link.has_received_hello
 
     def carry(self, ip: str, forward: ForwardRequest, respond: Callable[[ForwardResponse], None]) -> SentRequest:
         """Send a request to the limiter of a machine's backend; `respond` is called with its result."""
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -197,7 +197,7 @@
         elif isinstance(message, GrantBody):
             self.outgoing.receive_grant(link, message)
         elif isinstance(message, Hello):
-            link.is_greeted, link.peer_incarnation = True, message.incarnation
+            link.has_received_hello, link.peer_incarnation = True, message.incarnation
             link.send(Hello(self.ip, self.incarnation, self.is_control_node, self.loop.time()))
             self.outgoing.hello_received(link)
         else:
--- a/lugspur/mesh/transport/link.py
+++ b/lugspur/mesh/transport/link.py
@@ -58,7 +58,9 @@
         self._unsent_bytes = 0
         self.is_open = True
         self.peer = ""  # IP number of the peer; on the accepting side known once the peer has sent Hello
-        self.is_greeted = False  # whether the dialled peer has sent Hello: its process runs and accepts requests
+        self.has_received_hello = (
+            False  # whether the dialled peer has sent Hello: its process runs and accepts requests
+        )
         self.peer_incarnation = ""  # incarnation of the peer, from its Hello
         self.last_received_at = 0.0  # by the loop's clock
 
--- a/tests/mesh/sidecar/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -258,7 +258,7 @@
 
     def __init__(self, peer: str) -> None:
         self.sent: list[Message] = []
-        self.peer, self.is_greeted, self.peer_incarnation = peer, False, ""
+        self.peer, self.has_received_hello, self.peer_incarnation = peer, False, ""
 
     def send(self, message: Message) -> None:
         self.sent.append(message)
