--- a/lugspur/cli/main.py
+++ b/lugspur/cli/main.py
@@ -146,16 +146,14 @@
     if isinstance(action, Forward):
         kind = plan.classes[plan.class_indices[action.class_name]]
         click.echo(
-            f"  class {kind.name}: {kind.retry_safety.value}, given up after "
+            f"  class {kind.name}: {kind.retry_safety.value}, fails after "
             f"{min(kind.deadline, action.deadline or kind.deadline):g}s"
         )
         if action.rewrite is not None:
             click.echo(f"  backends see {action.rewrite.fill(captured) or '/'}")
         if action.coalescing is not None:
             who = "all tenants" if action.coalescing.across_tenants else "one tenant"
-            click.echo(
-                f"  like reads of {who} share a call that began at most {action.coalescing.max_age_seconds:g}s before"
-            )
+            click.echo(f"  identical requests of {who} share a call at most {action.coalescing.max_age_seconds:g}s old")
 
 
 def _describe_action(plan: Plan, route: Route) -> str:
@@ -163,7 +161,7 @@
     if isinstance(action, Redirect):
         return f"redirect {action.status} to {action.location.text}"
     if not isinstance(action, Forward):
-        return f"answered here with {action.status}"
+        return f"direct response {action.status}"
     total = sum(weight for _, weight in action.splits)
     pools = ", ".join(
         name if len(action.splits) == 1 else f"{name} {100 * weight / total:g}%" for name, weight in action.splits
--- a/lugspur/mesh/client.py
+++ b/lugspur/mesh/client.py
@@ -257,9 +257,8 @@
             response = self._client.call("POST", f"/locks/{self.name}/heartbeat", body, max(0.0, self.seconds_left))
         except CoordinationError:
             return False
-        if (
-            response.status != 200 or self.seconds_left <= 0.0
-        ):  # a response after the lock has expired does not renew it
+        # A response after the lock has expired does not renew it.
+        if response.status != 200 or self.seconds_left <= 0.0:
             return False
         self._held_until = response.sent_at + self._hold_seconds
         return True
--- a/lugspur/mesh/transport/link.py
+++ b/lugspur/mesh/transport/link.py
@@ -58,17 +58,15 @@
         self._unsent_bytes = 0
         self.is_open = True
         self.peer = ""  # IP number of the peer; on the accepting side known once the peer has sent Hello
-        self.has_received_hello = (
-            False  # whether the dialled peer has sent Hello: its process runs and accepts requests
-        )
+        # Whether the dialled peer has sent Hello: its process runs and accepts requests.
+        self.has_received_hello = False
         self.peer_incarnation = ""  # incarnation of the peer, from its Hello
         self.last_received_at = 0.0  # by the loop's clock
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the frames that were queued before the connection was made."""
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports are not a subclass of asyncio.Transport
+        # The transports of uvloop are not subclasses of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         configure_socket(transport.get_extra_info("socket"), self._keep_idle)
         self.last_received_at = self._loop.time()
         self._flush()
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The commands as a person meets them, and what starting costs the platform."""
+"""The commands and their output, and the imports of the platform's proxy."""
 
 from __future__ import annotations
 
@@ -24,45 +24,45 @@
 
 
 def command(*words: str) -> tuple[int, str]:
-    """Its exit status and all that it says."""
+    """Return the exit status and the output of a command."""
     got = CliRunner().invoke(cli, words)
     return got.exit_code, got.output
 
 
-def test_check_counts_what_a_good_file_holds() -> None:
+def test_check_prints_the_contents_of_a_valid_file() -> None:
     assert command("check", EXAMPLE) == (0, f"{EXAMPLE}: no fault; 1 listener, 3 classes, 4 pools, 6 routes\n")
 
 
-def test_check_names_every_fault_and_ends_with_2(tmp_path: Path) -> None:
+def test_check_reports_every_fault_and_exits_with_2(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     file.write_text(HEAD + "[limits]\n[pools.a]\n")
-    status, said = command("check", str(file))
-    assert status == 2 and "already defined above" in said and f"{file}:" in said
+    status, output = command("check", str(file))
+    assert status == 2 and "already defined above" in output and f"{file}:" in output
     file.write_text(HEAD + pool("a", "h:1") + route("r", "s", 'pool = "a"') + route("t", "/t", 'pool = "b"'))
-    status, said = command("check", str(file))
-    assert status == 2 and len(said.splitlines()) == 2
-
-
-def test_explain_names_the_route_and_why_the_others_lost() -> None:
-    status, said = command("explain", EXAMPLE, "put", "/hotels/7/./rates/x?y=1", "-H", "X-Tenant-Id: a")
-    assert status == 0 and "route rates: pool channel 90%, channel-canary 10%; then channel-standby" in said
-    assert "path hotel = 7, * = /x" in said and "class rate-push: safe, given up after 1s" in said
-    assert "not book: path /hotels/7/rates/x does not match /bookings" in said
-    status, said = command("explain", EXAMPLE, "GET", "http://a.inventory.example/v1/rooms/9")
-    assert status == 0 and "route rooms" in said and "backends see /rooms/9" in said
-    status, said = command("explain", EXAMPLE, "GET", "/rooms/9")
-    assert status == 0 and "redirect 308" in said
+    status, output = command("check", str(file))
+    assert status == 2 and len(output.splitlines()) == 2
+
+
+def test_explain_names_the_route_and_why_the_others_do_not_match() -> None:
+    status, output = command("explain", EXAMPLE, "put", "/hotels/7/./rates/x?y=1", "-H", "X-Tenant-Id: a")
+    assert status == 0 and "route rates: pool channel 90%, channel-canary 10%; then channel-standby" in output
+    assert "path hotel = 7, * = /x" in output and "class rate-push: safe, fails after 1s" in output
+    assert "not book: path /hotels/7/rates/x does not match /bookings" in output
+    status, output = command("explain", EXAMPLE, "GET", "http://a.inventory.example/v1/rooms/9")
+    assert status == 0 and "route rooms" in output and "backends see /rooms/9" in output
+    status, output = command("explain", EXAMPLE, "GET", "/rooms/9")
+    assert status == 0 and "redirect 308" in output
     assert command("explain", EXAMPLE, "GET", "/none")[0] == 1
     assert command("explain", EXAMPLE, "GET", "/a%2fb") == (2, "/a%2fb: answered 400: the path has an encoded slash\n")
     assert command("explain", EXAMPLE, "GET", "/", "-H", "nocolon")[0] == 2
 
 
-def test_explain_says_what_is_joined() -> None:
-    status, said = command("explain", str(ROOT / "deploy" / "joining.toml"), "GET", "/v1/availability/h1")
-    assert status == 0 and "like reads of all tenants share a call that began at most 0.1s before" in said
+def test_explain_shows_request_coalescing() -> None:
+    status, output = command("explain", str(ROOT / "deploy" / "joining.toml"), "GET", "/v1/availability/h1")
+    assert status == 0 and "identical requests of all tenants share a call at most 0.1s old" in output
 
 
-def test_explain_says_which_rule_decided(tmp_path: Path) -> None:
+def test_explain_shows_the_deciding_rule(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     file.write_text(
         HEAD
@@ -72,12 +72,12 @@
             for n, path in enumerate(["/a", "/{x}", "/*", *(f"/n{n}" for n in range(20))])
         )
     )
-    status, said = command("explain", str(file), "GET", "/a")
-    assert status == 0 and "beats r1: by path" in said and "and 10 more that don't match" in said
+    status, output = command("explain", str(file), "GET", "/a")
+    assert status == 0 and "beats r1: by path" in output and "and 10 more that don't match" in output
     assert "not r22" in command("explain", str(file), "GET", "/a", "--all")[1]
 
 
-def test_run_serves_reloads_and_finishes(tmp_path: Path) -> None:
+def test_run_serves_reloads_and_stops(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     reply = route("r", "/", 'reply = { status = 200, body = "one" }')
     file.write_text(HEAD + reply)
@@ -110,28 +110,28 @@
         process.stderr.close()
 
 
-def test_run_says_in_one_line_why_it_can_not(tmp_path: Path) -> None:
+def test_run_reports_in_one_line_why_it_can_not_start(tmp_path: Path) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         file = tmp_path / "f.toml"
         file.write_text(f'[listeners.main]\naddress = "127.0.0.1:{taken.getsockname()[1]}"\n')
-        status, said = command("run", str(file))
-        assert status == 1 and len(said.splitlines()) == 1 and "listener main can't bind 127.0.0.1:" in said
-    status, said = command("run", str(tmp_path / "none"))
-    assert status == 2 and said == f"{tmp_path}/none: No such file or directory\n"
+        status, output = command("run", str(file))
+        assert status == 1 and len(output.splitlines()) == 1 and "listener main can't bind 127.0.0.1:" in output
+    status, output = command("run", str(tmp_path / "none"))
+    assert status == 2 and output == f"{tmp_path}/none: No such file or directory\n"
 
 
 def imported(module: str) -> set[str]:
-    """What a fresh interpreter has in memory after that import."""
-    said = subprocess.run(
+    """Return the modules that a new interpreter has loaded after an import."""
+    output = subprocess.run(
         [sys.executable, "-c", f"import sys, {module}; print(*sys.modules)"],
         cwd=ROOT,
         text=True,
         check=True,
         capture_output=True,
     )
-    return set(said.stdout.split())
+    return set(output.stdout.split())
 
 
 def test_the_platforms_proxy_imports_nothing_of_the_rest() -> None:
@@ -148,7 +148,7 @@
     assert not [name for name in imported(module) if name.startswith(parts)]
 
 
-def test_without_click_the_commands_say_what_to_install() -> None:
+def test_without_click_the_commands_name_the_package_to_install() -> None:
     code = (
         "import sys; sys.modules['click'] = None; sys.argv = ['lugspur', 'check']; import lugspur.__main__ as m; "
         "sys.exit(m.main())"
@@ -171,7 +171,7 @@
     assert "channel-core-2    │ killed" in got.stdout and "inventory-store-1 │ draining" in got.stdout
 
 
-def test_the_demo_would_see_a_request_that_is_doubled_lost_or_late(tmp_path: Path) -> None:
+def test_the_demo_detects_a_request_that_is_doubled_lost_or_late(tmp_path: Path) -> None:
     import asyncio
 
     from lugspur.demo.world import Box
@@ -195,19 +195,19 @@
 
 
 def test_the_bench_measures_every_contestant(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its short form: the figures themselves are for a quiet machine."""
+    """Run a short form; only figures of an idle machine are of use."""
     monkeypatch.setattr(bench, "ROUNDS", 1)
     monkeypatch.setattr(bench, "COUNTS", (10, 100))
     monkeypatch.setattr(bench, "LOOKUPS", 100)
-    said: list[str] = []
-    bench.report(200, said.append)
-    text = "\n".join(said)
+    output: list[str] = []
+    bench.report(200, output.append)
+    text = "\n".join(output)
     assert all(f"| {kind} | {name} |" in text for kind in ("read", "book") for name in ("relay", "platform", "run"))
     assert "| 100 | " in text
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "expected"),
     [
         (("zoo", "/a", "--name", "n", "--address", "h:1"), 'registry "zoo" is not in the file; known are zk'),
         (("zk", "a", "--name", "n", "--address", "h:1"), '"a" is not a path of a registry node'),
@@ -221,11 +221,11 @@
         (("zk", "/a", "--name", "n", "--address", "h:1", "--weight", "0"), "--weight a number from 0.001"),
     ],
 )
-def test_register_says_what_to_write_instead(tmp_path: Path, words: tuple[str, ...], said: str) -> None:
+def test_register_reports_what_to_write_instead(tmp_path: Path, words: tuple[str, ...], expected: str) -> None:
     file = tmp_path / "f.toml"
     file.write_text(HEAD + '[registries.zk]\nensemble = ["127.0.0.1:1"]\n')
     status, output = command("register", str(file), *words)
-    assert status == 2 and said in output
+    assert status == 2 and expected in output
 
 
 def test_the_stand_in_registry_serves_and_obeys_a_script_and_its_input(tmp_path: Path) -> None:
--- a/tests/config/test_load.py
+++ b/tests/config/test_load.py
@@ -1,4 +1,4 @@
-"""Files that are wrong: each has one message for each fault, with its line and what to write instead."""
+"""Loading of configuration files: each fault has one message with its line and what to write instead."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 path = "/r/{id}"
 pool = "a"
 class = "book"
-"""  # a fault that is added behind it stands on line 14
+"""  # text that is appended begins on line 14
 
 
 def faults(tmp_path: Path, text: str) -> list[str]:
-    """What is said of a text, without the file's name."""
+    """Return the faults of a file with this text, without the file's name."""
     file = tmp_path / "f.toml"
     file.write_text(text)
     try:
@@ -58,7 +58,7 @@
 
 FLEET = '[fleet]\nname = "f"\nmember = "m"\naddress = "127.0.0.1:7946"'
 # ruff: noqa: E501
-AFTER = [  # what is added, the line of the fault, what is said of it
+FAULTS = [  # the text appended to GOOD, the line of the fault, a part of the message
     ('[routes.s]\npath = 7\npool = "a"', 15, "s.path: 7 is not a string; write it in quotes"),
     ('[routes.s]\npool = "a"', 14, 'key "path" is missing; write it: a path'),
     ('[routes.s]\npath = "s"\npool = "a"', 15, 'does not begin with a slash; write "/s"'),
@@ -197,25 +197,25 @@
 ]
 
 
-@pytest.mark.parametrize(("added", "line", "said"), AFTER, ids=[said[:40] for _, _, said in AFTER])
-def test_one_fault_has_one_message(tmp_path: Path, added: str, line: int, said: str) -> None:
+@pytest.mark.parametrize(("added", "line", "expected"), FAULTS, ids=[expected[:40] for _, _, expected in FAULTS])
+def test_one_fault_has_one_message(tmp_path: Path, added: str, line: int, expected: str) -> None:
     found = faults(tmp_path, GOOD + added + "\n")
-    assert said in found[0] and found[0].startswith(f"{line}: ")
+    assert expected in found[0] and found[0].startswith(f"{line}: ")
     assert len(found) == 1
 
 
-def test_every_fault_is_named_at_once(tmp_path: Path) -> None:
+def test_all_faults_are_reported_at_once(tmp_path: Path) -> None:
     text = GOOD.replace('"5s"', "5").replace('pool = "a"', 'pool = "b"').replace('address = "127.0.0.1:2"', "addr = 1")
     found = faults(tmp_path, text + "[limits]\nhead = 1\nbody = 2\n")
     assert [int(line.partition(":")[0]) for line in found] == [4, 8, 12, 15, 16]
-    assert not any('"book" is not in this file' in line for line in found)  # it is, though faulty
+    assert not any('"book" is not in this file' in line for line in found)  # it is in the file, although it has a fault
 
 
-def test_a_file_without_a_listener_serves_nobody(tmp_path: Path) -> None:
+def test_a_file_without_a_listener_is_a_fault(tmp_path: Path) -> None:
     assert faults(tmp_path, "") == ['1: no listener is defined; write [listeners.NAME] with address = "127.0.0.1:8080"']
 
 
-def test_what_is_no_text_or_no_file(tmp_path: Path) -> None:
+def test_a_file_that_is_missing_too_large_or_not_utf8(tmp_path: Path) -> None:
     file = tmp_path / "f.toml"
     file.write_bytes(GOOD.encode() + b"# caf\xe9\n")
     with pytest.raises(ConfigFileError, match=r"f\.toml:14: byte 0xe9 is not valid UTF-8; save the file as UTF-8"):
@@ -233,19 +233,19 @@
 def test_a_file_that_changes_while_it_is_read_is_read_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = tmp_path / "f.toml"
     file.write_text(GOOD[:50])
-    true, left = os.fstat, [3]
+    original_fstat, writes_left = os.fstat, [3]
 
     def fstat(handle: int) -> os.stat_result:
-        if left[0]:
-            left[0] -= 1
-            with open(file, "a") as more:  # somebody is still writing it
-                more.write(GOOD[50:] if not left[0] else "")
-                os.utime(file, ns=(left[0], left[0]))
-        return true(handle)
+        if writes_left[0]:
+            writes_left[0] -= 1
+            with open(file, "a") as more:  # another process is still writing the file
+                more.write(GOOD[50:] if not writes_left[0] else "")
+                os.utime(file, ns=(writes_left[0], writes_left[0]))
+        return original_fstat(handle)
 
     monkeypatch.setattr(os, "fstat", fstat)
     assert loading.read_text(str(file)) == GOOD
-    left[0] = 10**6
+    writes_left[0] = 10**6
     with pytest.raises(ConfigFileError, match="the file changes while it is read"):
         loading.read_text(str(file))
 
@@ -261,7 +261,7 @@
     assert faults(tmp_path, text + '[routes.last]\npath = "last"\npool = "a"\n')[0].startswith(f"{last}: ")
 
 
-def test_lines_are_found_through_all_of_tomls_forms() -> None:
+def test_lines_are_found_for_all_forms_of_toml() -> None:
     text = '''# a comment with [brackets] and = signs
 a = 1
 "b c".d = """
@@ -312,26 +312,26 @@
 )
 
 
-def written(value: Any) -> str:
-    """A value as TOML, on one line."""
+def to_toml(value: Any) -> str:
+    """Return a value as TOML, on one line."""
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, str):
         return '"' + value.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if isinstance(value, list):
-        return "[" + ", ".join(map(written, value)) + "]"
+        return "[" + ", ".join(map(to_toml, value)) + "]"
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{written(key)} = {written(inner)}" for key, inner in value.items()) + "}"
+        return "{" + ", ".join(f"{to_toml(key)} = {to_toml(inner)}" for key, inner in value.items()) + "}"
     return str(value)
 
 
 @given(st.dictionaries(KEYS, VALUES, max_size=5), st.lists(st.integers(0, 3), min_size=5, max_size=5))
-def test_every_value_has_its_line_whatever_stands_before_it(table: dict[str, Any], gaps: list[int]) -> None:
+def test_every_value_has_its_line_after_any_other_values(table: dict[str, Any], gaps: list[int]) -> None:
     text, lines = "", {}
     for (key, value), gap in zip(table.items(), gaps, strict=False):
         text += "# x = [1\n" * gap
         lines[key] = text.count("\n") + 1
-        text += f"{written(key)} = {written(value)}\n"
+        text += f"{to_toml(key)} = {to_toml(value)}\n"
     assert tomllib.loads(text) == table
     found = LineNumbers(text)
     for key, line in lines.items():
--- a/tests/config/test_retune.py
+++ b/tests/config/test_retune.py
@@ -1,4 +1,4 @@
-"""Which files may replace the settings in force."""
+"""Checks of the files that may replace the settings in force."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 }
 
 
-def written(folder: Path, text: bytes) -> dict[str, str]:
+def write_file(folder: Path, text: bytes) -> dict[str, str]:
     path = folder / "config.json"
     path.write_bytes(text)
     return {"RELAY_CONFIG": str(path)}
 
 
-def test_the_same_file_and_one_with_a_class_more_are_taken(tmp_path: Path) -> None:
+def test_the_same_file_and_one_with_another_class_are_accepted(tmp_path: Path) -> None:
     more = copy.deepcopy(WHOLE)
     more["settings"]["Services"].append(more["settings"]["Services"][0] | {"Name": "new"})
     for raw in (WHOLE, more):
-        config = load(written(tmp_path, json.dumps(raw).encode()), WHOLE)
+        config = load(write_file(tmp_path, json.dumps(raw).encode()), WHOLE)
         assert config.wire["settings"] == raw["settings"]
 
 
-def keyless(raw: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The paths of all keys that have to be there."""
+def required_paths(raw: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the paths of all required keys."""
     if isinstance(raw, dict):
         own = [(*at, key) for key in raw if key not in retune.OPTIONAL]
-        return own + [path for key in raw for path in keyless(raw[key], (*at, key))]
+        return own + [path for key in raw for path in required_paths(raw[key], (*at, key))]
     if isinstance(raw, list) and raw and isinstance(raw[0], dict):
-        return [path for n, row in enumerate(raw) for path in keyless(row, (*at, n))]
+        return [path for n, row in enumerate(raw) for path in required_paths(row, (*at, n))]
     return []
 
 
@@ -62,14 +62,14 @@
 FULL = WHOLE | {"settings": WIRE | {"Services": [row | {"Name": f"c{n}"} for n, row in enumerate(ROWS)]}}
 
 
-@pytest.mark.parametrize("path", keyless(FULL), ids=str)
-def test_a_file_short_of_any_key_is_refused(tmp_path: Path, path: tuple[Any, ...]) -> None:
+@pytest.mark.parametrize("path", required_paths(FULL), ids=str)
+def test_a_file_without_any_one_key_is_rejected(tmp_path: Path, path: tuple[Any, ...]) -> None:
     with pytest.raises(ConfigError):
-        load(written(tmp_path, json.dumps(without(FULL, path)).encode()), FULL)
+        load(write_file(tmp_path, json.dumps(without(FULL, path)).encode()), FULL)
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected"),
     [
         ({"HardLimit": 0}, "above 0"),
         ({"HardLimit": -1}, "not a number"),
@@ -84,30 +84,30 @@
         ({"Window": -1}, "not a number"),
     ],
 )
-def test_a_class_that_makes_no_sense_is_named(tmp_path: Path, change: dict[str, Any], said: str) -> None:
+def test_an_invalid_class_is_reported(tmp_path: Path, change: dict[str, Any], expected: str) -> None:
     raw = copy.deepcopy(FULL)
     raw["settings"]["Services"][0] |= change
-    with pytest.raises(ConfigError, match=said) as fault:
-        load(written(tmp_path, json.dumps(raw).encode()), FULL)
+    with pytest.raises(ConfigError, match=expected) as fault:
+        load(write_file(tmp_path, json.dumps(raw).encode()), FULL)
     assert "\n" not in str(fault.value)
 
 
-@pytest.mark.parametrize("most", [0, -1, 0.5, 2.5, True, "3", None])
-def test_attempts_have_to_be_a_whole_number_over_0(tmp_path: Path, most: Any) -> None:
+@pytest.mark.parametrize("max_attempts", [0, -1, 0.5, 2.5, True, "3", None])
+def test_attempts_have_to_be_a_positive_integer(tmp_path: Path, max_attempts: Any) -> None:
     raw = copy.deepcopy(FULL)
-    raw["settings"]["Bounds"]["MaxAttempts"] = most
+    raw["settings"]["Bounds"]["MaxAttempts"] = max_attempts
     with pytest.raises(ConfigError, match="MaxAttempts"):
-        load(written(tmp_path, json.dumps(raw).encode()), FULL)
+        load(write_file(tmp_path, json.dumps(raw).encode()), FULL)
 
 
 @given(st.integers(0, len(json.dumps(FULL)) - 1))
-@settings(deadline=None)  # a loaded machine is no fault
-def test_a_file_that_is_cut_off_is_refused(tmp_path_factory: pytest.TempPathFactory, end: int) -> None:
+@settings(deadline=None)  # a slow machine must not fail the test
+def test_a_truncated_file_is_rejected(tmp_path_factory: pytest.TempPathFactory, end: int) -> None:
     with pytest.raises(ConfigError):
-        load(written(tmp_path_factory.mktemp("cut"), json.dumps(FULL).encode()[:end]), FULL)
+        load(write_file(tmp_path_factory.mktemp("cut"), json.dumps(FULL).encode()[:end]), FULL)
 
 
 @pytest.mark.parametrize("text", [b"", b"null", b"[]", b"{}", b'{"settings": [], "limits": {}}', b"[" * 5000])
-def test_what_is_no_configuration_is_refused(tmp_path: Path, text: bytes) -> None:
+def test_data_that_is_not_a_configuration_is_rejected(tmp_path: Path, text: bytes) -> None:
     with pytest.raises(ConfigError):
-        load(written(tmp_path, text), FULL)
+        load(write_file(tmp_path, text), FULL)
--- a/tests/mesh/storage/test_data_directory.py
+++ b/tests/mesh/storage/test_data_directory.py
@@ -1,4 +1,4 @@
-"""A control node's data directory: what commands say of it, and what a process does with one that is damaged."""
+"""A control node's data directory: the commands that inspect it, and its use by a process after damage."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 SEEDS = [Voter(f"10.0.0.{n}", GENESIS, "") for n in (1, 2, 3)]
 
 
-def keep(folder: Path) -> None:
-    """What a voter has written after a configuration, a claim and an answer."""
+def write_replica(folder: Path) -> None:
+    """Write the rows of a voter after a configuration, a reservation and a response."""
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     effects = [
         voter.bootstrap(0.0, SEEDS),
@@ -36,10 +36,10 @@
         voter.handle(0.0, None, ReserveKey(b"l", b"b", 1, 2.0)),
         voter.handle(1.0, None, CompleteKey(b"k", b"a", BackendResponse(200, b"", b"hi"))),
     ]
-    put(folder, [row for effect in effects for row in effect.write])
+    put_rows(folder, [row for effect in effects for row in effect.write])
 
 
-def put(folder: Path, rows: list[tuple[bytes, bytes | None]], name: str = DIRECTORY_NAME) -> None:
+def put_rows(folder: Path, rows: list[tuple[bytes, bytes | None]], name: str = DIRECTORY_NAME) -> None:
     (folder / name).mkdir(exist_ok=True, parents=True)
     with lmdb.open(str(folder / name), map_size=16 << 20, lock=False) as env, env.begin(write=True) as txn:
         for key, value in rows:
@@ -47,10 +47,10 @@
             txn.put(key, value)
 
 
-def test_a_data_directory_is_shown_and_its_items_can_be_brought_to_another_mesh(
+def test_a_data_directory_is_shown_and_its_items_can_be_exported_to_another_mesh(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    keep(tmp_path)
+    write_replica(tmp_path)
     found = summarize(read_directory(tmp_path))
     assert (found["uid"], found["epoch"], found["complete_epoch"], found["claims"], found["answers"]) == (
         GENESIS,
@@ -72,8 +72,8 @@
 
 
 def test_each_fault_is_reported(tmp_path: Path) -> None:
-    keep(tmp_path)
-    put(tmp_path, [(b"ck", b"\xc1junk"), (b"zz", b"1"), (b"iroutes\0other", read_row(tmp_path, b"iroutes\0r"))])
+    write_replica(tmp_path)
+    put_rows(tmp_path, [(b"ck", b"\xc1junk"), (b"zz", b"1"), (b"iroutes\0other", read_row(tmp_path, b"iroutes\0r"))])
     faults = read_directory(tmp_path).faults
     assert len(faults) == 3
     assert "can't be read" in faults[0] and "holds routes 'r'" in faults[1] and "no row" in faults[2]
@@ -99,18 +99,18 @@
     rows[b"muid"] = b"another"
     entry = next(e for e in read_changes(call(route("r"))) if e.kind == "routes")
     rows[b"iroutes\0r"] = msgspec.msgpack.encode(Item(entry, 2))
-    put(tmp_path, list(rows.items()))
+    put_rows(tmp_path, list(rows.items()))
     faults = read_directory(tmp_path).faults
     assert len(faults) == 2 and "no voter" in faults[0] and "unknown service" in faults[1]
 
 
-@pytest.mark.parametrize("harm", ["head", "pages"])
-def test_a_damaged_file_is_set_aside_and_the_disk_is_an_empty_one(tmp_path: Path, harm: str) -> None:
-    keep(tmp_path)
-    put(tmp_path, [(b"c%d" % n, bytes(500)) for n in range(100)])
+@pytest.mark.parametrize("damage", ["head", "pages"])
+def test_a_damaged_file_is_set_aside_and_the_disk_is_an_empty_one(tmp_path: Path, damage: str) -> None:
+    write_replica(tmp_path)
+    put_rows(tmp_path, [(b"c%d" % n, bytes(500)) for n in range(100)])
     file = tmp_path / DIRECTORY_NAME / "data.mdb"
     data = bytearray(file.read_bytes())
-    begin, end = (0, 8192) if harm == "head" else (8192, len(data))
+    begin, end = (0, 8192) if damage == "head" else (8192, len(data))
     data[begin:end] = b"\xa5" * (end - begin)
     file.write_bytes(data)
 
@@ -118,7 +118,7 @@
         disk = Disk(str(tmp_path), 16)
         assert disk.read_rows() == [] and disk.damage
         damaged = tmp_path / DAMAGED_DIRECTORY_NAME / "data.mdb"
-        assert damaged.read_bytes() == bytes(data)  # kept for whoever wants to look
+        assert damaged.read_bytes() == bytes(data)  # kept for inspection
         disk.start()
         done = asyncio.Event()
         disk.write([(b"muid", b"new")], done.set)
@@ -133,20 +133,20 @@
     asyncio.run(run())
 
 
-def keep_coordination(folder: Path) -> None:
-    """What coordination has written after one decided change, and one that was accepted."""
+def write_coordination(folder: Path) -> None:
+    """Write the rows of coordination after one decided change, and one that was accepted."""
     voter = Replica("10.0.0.1", GENESIS, "z", 60.0, 64 << 20, lambda entries, forgotten: None)
     voter.bootstrap(0.0, SEEDS)
     acceptor = CoordinationAcceptor(voter, 20.0)
     change = CoordinationChange("c", [LockRecord("l", "h", 1, 1000), CellRecord("g.a", "v", 1)])
     accept = CoordinationAccept(1, ProposalNumber(4, "p"), 2, change)
     effects = [acceptor.begin(), acceptor.decide(0.0, 1, change), acceptor.accept(0.0, None, accept)]
-    put(folder, [row for effect in effects for row in effect.write], COORDINATION_DIRECTORY_NAME)
+    put_rows(folder, [row for effect in effects for row in effect.write], COORDINATION_DIRECTORY_NAME)
 
 
-def test_what_coordination_has_kept_is_shown(tmp_path: Path) -> None:
-    keep(tmp_path)
-    keep_coordination(tmp_path)
+def test_the_coordination_state_is_shown(tmp_path: Path) -> None:
+    write_replica(tmp_path)
+    write_coordination(tmp_path)
     found = summarize(read_directory(tmp_path))
     assert found["faults"] == []
     assert {name: value for name, value in found["coordination"].items() if name != "bytes"} == {
@@ -156,10 +156,8 @@
 
 
 @pytest.mark.parametrize(("key", "value"), [(b"kll", b"\xc1"), (b"x", b""), (b"kvote", b"\x90")])
-def test_a_row_of_coordination_that_no_node_could_start_with_is_a_fault(
-    tmp_path: Path, key: bytes, value: bytes
-) -> None:
-    keep(tmp_path)
-    keep_coordination(tmp_path)
-    put(tmp_path, [(key, value)], COORDINATION_DIRECTORY_NAME)
+def test_an_unreadable_row_of_coordination_is_a_fault(tmp_path: Path, key: bytes, value: bytes) -> None:
+    write_replica(tmp_path)
+    write_coordination(tmp_path)
+    put_rows(tmp_path, [(key, value)], COORDINATION_DIRECTORY_NAME)
     assert len(read_directory(tmp_path).faults) == 1
--- a/tests/mesh/storage/test_disk.py
+++ b/tests/mesh/storage/test_disk.py
@@ -1,4 +1,4 @@
-"""A control node's disk that refuses writes: nothing is promised, and nothing is forgotten."""
+"""A control node's disk that rejects writes: no callback is called for a failed write, and no row is lost."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lugspur.mesh.storage.disk import Disk
 
 
-class Refusing:
+class FailingEnvironment:
     """An environment whose writes fail while `full` is set."""
 
     full = False
@@ -23,7 +23,7 @@
         self._env = env
 
     def begin(self, write: bool = False) -> object:
-        if write and Refusing.full:
+        if write and FailingEnvironment.full:
             raise lmdb.DiskError("no space left")
         return self._env.begin(write=write)
 
@@ -32,18 +32,18 @@
 
 
 @pytest.fixture
-def refusing(monkeypatch: pytest.MonkeyPatch) -> None:
-    opened = Disk._open
-    monkeypatch.setattr(Disk, "_open", lambda self: Refusing(opened(self)))
+def failing_environment(monkeypatch: pytest.MonkeyPatch) -> None:
+    open_environment = Disk._open
+    monkeypatch.setattr(Disk, "_open", lambda self: FailingEnvironment(open_environment(self)))
     monkeypatch.setattr(module, "REOPEN_DELAY_SECONDS", 0.01)
-    Refusing.full = False
+    FailingEnvironment.full = False
 
 
-def test_rows_of_a_failed_write_go_with_the_next_one(tmp_path: Path, refusing: None) -> None:
+def test_rows_of_a_failed_write_go_with_the_next_one(tmp_path: Path, failing_environment: None) -> None:
     async def run() -> None:
         disk = Disk(str(tmp_path), 16)
         disk.start()
-        told: list[str] = []
+        called: list[str] = []
 
         async def written(rows: module.Rows) -> None:
             done = asyncio.Event()
@@ -56,16 +56,16 @@
                     await asyncio.sleep(0.001)
 
         await written([(b"a", b"1"), (b"gone", b"1")])
-        Refusing.full = True
-        disk.write([(b"epoch", b"2"), (b"a", b"2"), (b"gone", None)], lambda: told.append("epoch"))
+        FailingEnvironment.full = True
+        disk.write([(b"epoch", b"2"), (b"a", b"2"), (b"gone", None)], lambda: called.append("epoch"))
         await failed()
-        disk.write([(b"a", b"3")])  # while the environment is opened anew
-        Refusing.full = False
+        disk.write([(b"a", b"3")])  # while the environment is opened again
+        FailingEnvironment.full = False
         async with asyncio.timeout(20.0):
-            while disk.fault:  # a write of its own, until one is taken
+            while disk.fault:  # separate writes, until one succeeds
                 disk.write([(b"claim", b"x")], lambda: None)
                 await asyncio.sleep(0.005)
-        assert told == []  # who was not told at once is never told
+        assert called == []  # the callback of a failed write is never called
         found = dict(disk.read_rows())
         assert found[b"epoch"] == b"2" and found[b"claim"] == b"x" and b"gone" not in found
         assert found[b"a"] == b"3"
@@ -74,18 +74,20 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("then", [True, False], ids=["waited for", "lazy"])
-def test_a_row_that_no_disk_takes_is_never_promised_and_harms_no_other(tmp_path: Path, then: bool) -> None:
+@pytest.mark.parametrize("has_callback", [True, False], ids=["waited for", "lazy"])
+def test_a_row_with_too_long_a_key_is_never_written_and_does_not_affect_others(
+    tmp_path: Path, has_callback: bool
+) -> None:
     async def run() -> None:
         disk = Disk(str(tmp_path), 16)
         disk.start()
-        told: list[str] = []
+        called: list[str] = []
         written = asyncio.Event()
-        disk.write([(b"k" * (MAX_KEY_BYTES + 1), b"v")], (lambda: told.append("too long")) if then else None)
+        disk.write([(b"k" * (MAX_KEY_BYTES + 1), b"v")], (lambda: called.append("too long")) if has_callback else None)
         disk.write([(b"k" * MAX_KEY_BYTES, b"v")], written.set)
         async with asyncio.timeout(20.0):
             await written.wait()
-        assert not told and not disk.fault and disk.read_rows() == [(b"k" * MAX_KEY_BYTES, b"v")]
+        assert not called and not disk.fault and disk.read_rows() == [(b"k" * MAX_KEY_BYTES, b"v")]
         assert violations.pop(Invariant.ROW_KEY_FITS) == 1
         disk.close(1.0)
 
--- a/tests/mesh/test_cli.py
+++ b/tests/mesh/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a mesh of processes, and without one."""
+"""The command line for operators, with a mesh of processes and without one."""
 
 from __future__ import annotations
 
@@ -23,18 +23,20 @@
 
 
 def test_operators_see_and_change_a_mesh_and_see_it_without_a_majority(tmp_path: Path) -> None:
-    async def what() -> None:
+    async def scenario() -> None:
         mesh = Mesh(tmp_path)
         try:
             await mesh.begin()
             at = f"{mesh.replica_ips[0]}:{mesh.dispatch}"
             change = tmp_path / "change.json"
             change.write_text(json.dumps({"upsert": {"routes": [mesh.route("late", "safe", "00000002")]}}))
-            taken = await asyncio.to_thread(run, "amend", at, str(change))
-            assert (taken.returncode, taken.stdout) == (0, "taken, and on the disks of a majority\n"), taken.stderr
+            accepted = await asyncio.to_thread(run, "amend", at, str(change))
+            assert (accepted.returncode, accepted.stdout) == (0, "taken, and on the disks of a majority\n"), (
+                accepted.stderr
+            )
             change.write_text('{"upsert": {"routes": [{"name": "x"}]}}')
-            refused = await asyncio.to_thread(run, "amend", at, str(change))
-            assert refused.returncode == 2 and "400" in refused.stderr and len(refused.stderr.splitlines()) == 1
+            rejected = await asyncio.to_thread(run, "amend", at, str(change))
+            assert rejected.returncode == 2 and "400" in rejected.stderr and len(rejected.stderr.splitlines()) == 1
             names = {r["name"] for r in json.loads((await asyncio.to_thread(run, "read", at)).stdout)["routes"]}
             assert names == {"look", "book", "late"}
             proxy = await asyncio.to_thread(run, "show", f"{mesh.proxy_ips[0]}:{mesh.dispatch}")
@@ -49,7 +51,7 @@
         finally:
             await mesh.close()
 
-    asyncio.run(what())
+    asyncio.run(scenario())
 
 
 def test_mistakes_are_one_line_and_exit_status_2(tmp_path: Path) -> None:
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -1,4 +1,4 @@
-"""Answers to calls that fail: their bodies are JSON whatever the detail quotes."""
+"""Responses to failed calls: their bodies are valid JSON, whatever the detail quotes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Caller:
-    """Who waits for the answer to a call."""
+    """A caller that records the response."""
 
     peer = ""
     gone: Callable[[], None] | None = None
@@ -31,11 +31,11 @@
 
 @pytest.mark.parametrize("detail", ['a "name"', "a\\b", "line\nline", "\x00\x1f\x7f", "é \u2028 \U0001f3dd", "\ud800"])
 def test_a_detail_of_any_characters_is_valid_json(detail: str) -> None:
-    def refuse(request: Request, caller: Answerable, found: list[str]) -> None:
+    def reject(request: Request, caller: Answerable, found: list[str]) -> None:
         raise MeshError(ErrorKind.BAD_CONFIG, detail)
 
     api, caller = HttpApi(), Caller()
-    api.add("POST", "/config/amend", refuse)
+    api.add("POST", "/config/amend", reject)
     api.handle(Request(b"POST", b"/config/amend", {}, [], b"", 0.0, True), caller)
     assert caller.answered is not None
     status, head, body = caller.answered
@@ -44,7 +44,7 @@
     assert found == {"error": "bad-config", "detail": detail.encode("utf-8", "replace").decode()}
 
 
-def test_calls_are_counted_by_their_handlers_and_those_that_nobody_takes_too() -> None:
+def test_calls_are_counted_by_handler_and_calls_without_a_handler_too() -> None:
     api = HttpApi()
     api.add("POST", "/backends/*/heartbeat", lambda request, caller, found: reply(caller))
     for path in (b"/backends/a/heartbeat", b"/backends/b/heartbeat", b"/locks/a/open"):
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, what is ignored, and one clear error for what can't be used."""
+"""The settings file: known and unknown fields, and one error with a clear detail for an invalid file."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return tomllib.loads(GOOD)
 
 
-def test_a_file_is_read_and_what_is_not_known_is_ignored() -> None:
+def test_a_file_is_read_and_unknown_fields_are_ignored() -> None:
     data = good()
     data["self"]["hue"] = "amber"
     data["weather"] = {"rain": True}
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "key", "value", "said"),
+    ("table", "key", "value", "expected"),
     [
         ("self", "ip", None, "ip"),
         ("self", "serves", "dispatch", "serves"),
@@ -72,7 +72,7 @@
         ("tariffs", "bounds", {"edition_ms": "soon"}, "edition_ms"),
     ],
 )
-def test_a_bad_file_gives_one_error_that_names_what_is_wrong(table: str, key: str, value: Any, said: str) -> None:
+def test_a_bad_file_gives_one_error_that_names_what_is_wrong(table: str, key: str, value: Any, expected: str) -> None:
     data = good()
     if value is None:
         del data[table][key]
@@ -80,7 +80,7 @@
         data[table][key] = value
     with pytest.raises(MeshError) as caught:
         parse_settings(data)
-    assert caught.value.kind is ErrorKind.SETTINGS and said in caught.value.detail
+    assert caught.value.kind is ErrorKind.SETTINGS and expected in caught.value.detail
 
 
 def test_the_inner_protocol_may_be_bound_elsewhere_than_it_is_reached() -> None:
@@ -91,7 +91,7 @@
     assert (settings.inner_address, settings.inner_bind_address) == (("10.1.0.13", 7620), ("127.0.0.1", 9000))
 
 
-def test_a_file_that_is_missing_or_no_toml_is_said_so(tmp_path: Path) -> None:
+def test_a_missing_or_incomplete_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(MeshError, match=r"no\.toml"):
         load_settings(tmp_path / "no.toml")
     (tmp_path / "half.toml").write_text('[self]\nip = "10.')
@@ -100,13 +100,13 @@
     assert caught.value.code == "settings"
 
 
-def test_every_kind_of_error_has_its_answer() -> None:
+def test_every_kind_of_error_has_a_response() -> None:
     assert set(RESPONSES) == set(ErrorKind)
-    promises = {kind for kind, row in RESPONSES.items() if row.status in (408, 421, 429, 503)}
-    assert not promises & {ErrorKind.MAYBE_RAN, ErrorKind.BAD_ANSWER, ErrorKind.TOO_LATE, ErrorKind.UNCLEAR}
+    retryable = {kind for kind, row in RESPONSES.items() if row.status in (408, 421, 429, 503)}
+    assert not retryable & {ErrorKind.MAYBE_RAN, ErrorKind.BAD_ANSWER, ErrorKind.TOO_LATE, ErrorKind.UNCLEAR}
 
 
-def test_what_is_no_text_nests_without_end_or_names_no_port_is_one_clear_error(tmp_path: Path) -> None:
+def test_a_file_with_invalid_text_deep_nesting_or_an_invalid_port_gives_one_error(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     for content in (b"\xff\xfe", b"a = " + b"[" * 100_000, GOOD.replace("[7620, 7635]", "[76200]").encode()):
         path.write_bytes(content)
--- a/tests/mesh/transport/test_link.py
+++ b/tests/mesh/transport/test_link.py
@@ -1,4 +1,4 @@
-"""Connections between processes: split frames, and what ends a connection without harm to others."""
+"""Connections between processes: split frames, and closing of a connection without an effect on others."""
 
 from __future__ import annotations
 
@@ -14,87 +14,87 @@
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
 
 
-def play(what: Callable[[Server], Awaitable[None]]) -> None:
+def run_with_server(scenario: Callable[[Server], Awaitable[None]]) -> None:
     async def run() -> None:
         server = Server()
         async with asyncio.timeout(10.0):
-            await server.begin()
-            await what(server)
-        server.listening.close()
+            await server.start()
+            await scenario(server)
+        server.listener.close()
 
     asyncio.run(run())
 
 
 class Server:
-    """One that listens, and what it heard."""
+    """A listening process that records the messages it receives."""
 
     def __init__(self) -> None:
-        self.heard: list[Message] = []
+        self.received: list[Message] = []
         self.links: list[Link] = []
         self.ended: list[Link] = []
-        self.turn = asyncio.Event()
+        self.changed = asyncio.Event()
 
-    async def begin(self) -> None:
-        def accepted() -> Link:
-            self.links.append(Link(self._heard, self._over))
+    async def start(self) -> None:
+        def accept() -> Link:
+            self.links.append(Link(self._on_message, self._on_end))
             return self.links[-1]
 
-        self.listening = await asyncio.get_running_loop().create_server(accepted, "127.0.0.1", 0)
-        self.port = self.listening.sockets[0].getsockname()[1]
+        self.listener = await asyncio.get_running_loop().create_server(accept, "127.0.0.1", 0)
+        self.port = self.listener.sockets[0].getsockname()[1]
 
-    def _heard(self, link: Link, message: Message) -> None:
-        self.heard.append(message)
-        self.turn.set()
+    def _on_message(self, link: Link, message: Message) -> None:
+        self.received.append(message)
+        self.changed.set()
 
-    def _over(self, link: Link) -> None:
+    def _on_end(self, link: Link) -> None:
         self.ended.append(link)
-        self.turn.set()
+        self.changed.set()
 
-    async def until(self, is_so: Callable[[], bool]) -> None:
-        while not is_so():
-            self.turn.clear()
-            await self.turn.wait()
+    async def until(self, condition: Callable[[], bool]) -> None:
+        while not condition():
+            self.changed.clear()
+            await self.changed.wait()
 
 
 def test_frames_arrive_complete_and_in_order_however_they_are_split() -> None:
-    async def what(server: Server) -> None:
+    async def scenario(server: Server) -> None:
         sent: list[Message] = [Hello("10.0.0.1", "life", False), ReserveKey(b"k", b"b", 3, 1.5), Pong()]
         data = b"".join(map(encode, sent))
         _, writer = await asyncio.open_connection("127.0.0.1", server.port)
         for n in range(len(data)):
             writer.write(data[n : n + 1])
             await writer.drain()
-        await server.until(lambda: len(server.heard) == 3)
-        assert server.heard == sent
+        await server.until(lambda: len(server.received) == 3)
+        assert server.received == sent
         writer.close()
         await server.until(lambda: len(server.ended) == 1)
 
-    play(what)
+    run_with_server(scenario)
 
 
 @pytest.mark.parametrize(
     "data",
     [(200 << 20).to_bytes(4, "big"), b"\0\0\0\3abc", b"\0\0\0\2\x91\x63", b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\0"],
 )
-def test_what_is_no_message_ends_its_connection_and_no_other(data: bytes) -> None:
-    async def what(server: Server) -> None:
+def test_invalid_data_closes_its_connection_and_no_other(data: bytes) -> None:
+    async def scenario(server: Server) -> None:
         _, good = await asyncio.open_connection("127.0.0.1", server.port)
         _, bad = await asyncio.open_connection("127.0.0.1", server.port)
         bad.write(data + encode(Pong()))
         await server.until(lambda: len(server.ended) == 1)
-        assert server.heard == []
+        assert server.received == []
         good.write(encode(Pong()))
-        await server.until(lambda: server.heard == [Pong()])
+        await server.until(lambda: server.received == [Pong()])
         bad.close()
         good.close()
 
-    play(what)
+    run_with_server(scenario)
 
 
-def test_a_peer_that_does_not_read_is_dropped_before_it_fills_the_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_peer_that_does_not_read_is_disconnected_before_memory_fills_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(link_module, "MAX_UNSENT_BYTES", 1 << 20)
 
-    async def what(server: Server) -> None:
+    async def scenario(server: Server) -> None:
         _, writer = await asyncio.open_connection("127.0.0.1", server.port)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await server.until_link()  # type: ignore[attr-defined]
@@ -105,7 +105,7 @@
             if not link.is_open:
                 break
         assert not link.is_open and server.ended == [link]
-        link.send(Pong())  # to nobody
+        link.send(Pong())  # dropped
         writer.close()
 
     async def until_link(self: Server) -> None:
@@ -113,38 +113,43 @@
             await asyncio.sleep(0)
 
     monkeypatch.setattr(Server, "until_link", until_link, raising=False)
-    play(what)
+    run_with_server(scenario)
 
 
 def test_a_dialer_dials_again_until_it_is_closed() -> None:
-    async def what(server: Server) -> None:
-        ups: list[Dialer] = []
-        downs: list[Dialer] = []
+    async def scenario(server: Server) -> None:
+        connected: list[Dialer] = []
+        disconnected: list[Dialer] = []
 
-        def up(dialer: Dialer) -> None:
-            ups.append(dialer)
-            server.turn.set()
+        def on_connected(dialer: Dialer) -> None:
+            connected.append(dialer)
+            server.changed.set()
 
-        def down(dialer: Dialer) -> None:
-            downs.append(dialer)
-            server.turn.set()
+        def on_disconnected(dialer: Dialer) -> None:
+            disconnected.append(dialer)
+            server.changed.set()
 
         dialer = Dialer(
-            "127.0.0.1", server.port, "127.0.0.1", on_message=lambda *_: None, on_connected=up, on_disconnected=down
+            "127.0.0.1",
+            server.port,
+            "127.0.0.1",
+            on_message=lambda *_: None,
+            on_connected=on_connected,
+            on_disconnected=on_disconnected,
         )
-        await server.until(lambda: len(ups) == 1 and bool(server.links))
+        await server.until(lambda: len(connected) == 1 and bool(server.links))
         server.links[0].close()
-        await server.until(lambda: len(ups) == 2)
-        assert len(downs) == 1 and dialer.link is not None
+        await server.until(lambda: len(connected) == 2)
+        assert len(disconnected) == 1 and dialer.link is not None
         dialer.close()
         await server.until(lambda: len(server.ended) == 2)
-        assert len(downs) == 1
+        assert len(disconnected) == 1
 
-    play(what)
+    run_with_server(scenario)
 
 
-def test_a_connection_to_a_former_incarnation_ends_once_the_next_one_dials_here() -> None:
-    async def what(server: Server) -> None:
+def test_a_connection_to_a_former_incarnation_is_closed_when_the_next_one_dials() -> None:
+    async def scenario(server: Server) -> None:
         up: asyncio.Queue[Dialer] = asyncio.Queue()
         down: list[Dialer] = []
         dialer = Dialer(
@@ -158,22 +163,21 @@
         )
         await up.get()
         assert dialer.link is not None
-        dialer.peer_dialled(
-            "first"
-        )  # its Hello has not been answered yet: nothing is known of the incarnation behind it
+        # The peer has not sent its Hello yet, so the incarnation behind the link is unknown.
+        dialer.peer_dialled("first")
         dialer.link.peer_incarnation = "first"
         dialer.peer_dialled("first")
         assert not down and dialer.link is not None
         dialer.peer_dialled("second")
         assert down == [dialer] and dialer.link is None
-        assert (await up.get()).link is not None  # and it dials again
+        assert (await up.get()).link is not None  # it dials again
         dialer.close()
 
-    play(what)
+    run_with_server(scenario)
 
 
 def test_keepalive_probes_between_proxies_are_rarer() -> None:
-    async def what(server: Server) -> None:
+    async def scenario(server: Server) -> None:
         for keep_idle in (KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS):
             up: asyncio.Queue[Dialer] = asyncio.Queue()
             dialer = Dialer(
@@ -191,4 +195,4 @@
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == keep_idle
             dialer.close()
 
-    play(what)
+    run_with_server(scenario)
--- a/tests/observability/test_failure_records.py
+++ b/tests/observability/test_failure_records.py
@@ -17,13 +17,13 @@
 STATE = ConfigurationState(7, 3, 0.25)
 
 
-def log() -> tuple[FailureLog, list[tuple[FailedRequest, int]]]:
+def failure_log() -> tuple[FailureLog, list[tuple[FailedRequest, int]]]:
     logged: list[tuple[FailedRequest, int]] = []
     return FailureLog(lambda: STATE, lambda failed, unlogged: logged.append((failed, unlogged))), logged
 
 
 def test_the_latest_records_are_kept_with_the_configuration_of_the_process() -> None:
-    failures, _ = log()
+    failures, _ = failure_log()
     for number in range(MAX_KEPT_RECORDS + 5):
         failures.add(b"t%d" % number, "no-backend", route="r")
     latest = failures.latest()
@@ -36,7 +36,7 @@
 
 
 def test_a_few_records_a_second_are_logged_with_the_count_of_those_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    failures, logged = log()
+    failures, logged = failure_log()
     monkeypatch.setattr(time, "time", lambda: 1000.2)
     for number in range(9):
         failures.add(b"a%d" % number, "too-late")
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as a scraper reads them, and what a process that is never asked does not load."""
+"""Metrics as a scraper reads them; a process that is never scraped does not load the library."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def samples(metrics: list[Metric], histograms: tuple[Histogram, ...] = ()) -> dict[tuple[str, str], float]:
-    """Values by name and the value of their only label."""
+    """Return the values by name and the value of the only label."""
     text = render(metrics, histograms).decode()
     return {
         (sample.name, next(iter(sample.labels.values()), "")): sample.value
@@ -43,7 +43,7 @@
     assert found["lugspur_requests_total", 'a "quoted"\nway'] == 1
 
 
-def test_a_histogram_counts_what_took_no_longer_and_all() -> None:
+def test_the_buckets_of_a_histogram_are_cumulative() -> None:
     histogram = Histogram("seconds", "Seconds.")
     for seconds in (0.001, BUCKET_BOUNDS_SECONDS[0], 0.3, 99.0):
         histogram.add(seconds)
@@ -53,12 +53,12 @@
     assert found["lugspur_seconds_count", ""] == 4 and found["lugspur_seconds_sum", ""] == sum((0.001, 0.005, 0.3, 99))
 
 
-def test_each_invariant_is_shown_also_while_it_holds() -> None:
+def test_each_invariant_is_exported_even_without_a_violation() -> None:
     found = samples(invariant_metrics())
     assert found == {("lugspur_invariant_violations_total", invariant.value): 0.0 for invariant in Invariant}
 
 
-def test_a_process_that_is_never_asked_does_not_load_the_library() -> None:
+def test_a_process_that_is_never_scraped_does_not_load_the_library() -> None:
     modules = "lugspur.mesh.sidecar.process, lugspur.mesh.control_node.process"
     code = f"import sys, {modules}; print('prometheus_client' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "False\n"
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants: counted and reported, a bounded number of times, and each one caught where it is violated on purpose."""
+"""Invariants: violations are counted, reported a bounded number of times, and detected."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 
 @pytest.fixture
 def reported(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[tuple[Invariant, dict[str, object]]]]:
-    """What is reported while a test violates invariants on purpose; nothing is left counted."""
+    """The reported violations of a test that violates invariants on purpose; the counts are reset afterwards."""
     found: list[tuple[Invariant, dict[str, object]]] = []
     monkeypatch.setattr(invariants, "_listeners", [lambda invariant, details: found.append((invariant, details))])
     yield found
     violations.clear()
 
 
-def test_what_holds_is_neither_counted_nor_reported(reported: list[tuple[Invariant, dict[str, object]]]) -> None:
+def test_an_invariant_that_holds_is_neither_counted_nor_reported(
+    reported: list[tuple[Invariant, dict[str, object]]],
+) -> None:
     check(True, Invariant.ONE_ANSWER, attempt="a")
     assert not violations and not reported
 
@@ -37,7 +39,7 @@
 
 
 @pytest.mark.usefixtures("reported")
-def test_a_membership_that_goes_back_or_changes_two_voters_is_noticed() -> None:
+def test_a_membership_that_changes_two_voters_is_detected() -> None:
     replica = seed()
     replica.decide(0.0, voter_change())
     assert replica.membership is not None and not violations
