--- a/lugspur/cli/fleet.py
+++ b/lugspur/cli/fleet.py
@@ -77,9 +77,9 @@
             row["duty"], row["holder"] or "(unknown)", str(row["epoch"]), str(row["left"]) if row["ours"] else "-"
         )
     console.print(table)
-    for pool, boxes in status["down"].items():
-        if boxes:
-            console.print(f"pool {pool}: down, as its prober reports: {', '.join(boxes)}")
+    for pool, backends in status["down"].items():
+        if backends:
+            console.print(f"pool {pool}: down, as its prober reports: {', '.join(backends)}")
 
 
 PRINTERS = {"members": _print_members, "duties": _print_duties}
--- a/lugspur/cli/state.py
+++ b/lugspur/cli/state.py
@@ -97,7 +97,7 @@
     console = Console(width=None if sys.stdout.isatty() else 120)
     for name, pool in snapshot.pools.items():
         table = Table(title=f"pool {name}", title_justify="left")
-        for column in ("backend", "address", "state", "latency ms", "seen s before", "calls", "failed", "turned away"):
+        for column in ("backend", "address", "state", "latency ms", "seen s before", "calls", "failed", "rejected"):
             table.add_column(column)
         for row in _rows(pool):
             table.add_row(*("-" if value is None else str(value) for value in row.values()))
--- a/lugspur/config/load.py
+++ b/lugspur/config/load.py
@@ -19,7 +19,7 @@
 TOML_ERROR_HINTS = (  # the beginning of a message of tomllib, and what to do
     ("Cannot overwrite", "this key is already defined above; remove one of the two"),
     ("Cannot declare", "this table is already defined above; remove one of the two"),
-    ("Cannot mutate immutable", "an inline table can't be extended; write all its keys in one place"),
+    ("Cannot mutate immutable", "an inline table or array can't be extended; write all of it in one place"),
     ("Expected newline", "only one value is allowed on a line; strings are written in quotes"),
     ("Invalid value", "strings are written in quotes"),
     ("Expected '='", 'a key is followed by = and a value, as in aim = "410ms"'),
--- a/lugspur/config/model.py
+++ b/lugspur/config/model.py
@@ -295,7 +295,7 @@
     """Health checks of a backend by one member for the whole fleet, once a member failed to connect to it."""
 
     path: str = option(
-        text, "a path that returns a status below 400 while a backend is healthy; none: it accepts connections", ""
+        text, "a path that returns a status below 400 if a backend is healthy; none: only connections are checked", ""
     )
     every: float = option(duration(0.05, 600.0), "interval between checks of a backend that is down", 1.0)
     within: float = option(duration(0.01, 60.0), "timeout of a check", 0.5)
--- a/lugspur/mesh/client.py
+++ b/lugspur/mesh/client.py
@@ -115,7 +115,7 @@
     ) -> Lock:
         """Return a lock, which `with` acquires; it waits for at most `wait_seconds`.
 
-        `holder` must be unique among all concurrent holders; `on_lost` is called from another thread.
+        `holder` must be unique among all clients that run at the same time; `on_lost` is called from another thread.
         """
         return Lock(self, name, holder, hold_seconds, wait_seconds, on_lost)
 
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -29,7 +29,8 @@
         return 2
     events.start(settings.own.node_name)
     unserved = sorted(set(settings.tariffs.contracts) - SERVED_CONTRACTS)
-    if unserved:  # Reports a deployment that requires contracts of a later build: its callers would only see failures.
+    # Reports a deployment that requires contracts which this build does not serve: callers would only see failures.
+    if unserved:
         events.warn("contracts", unserved=",".join(unserved))
     invariants.add_listener(lambda invariant, details: events.warn("invariant", violated=invariant.value, **details))
     try:
