--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -197,7 +197,7 @@
         elif isinstance(message, GrantBody):
             self.outgoing.receive_grant(link, message)
         elif isinstance(message, Hello):
-            link.is_greeted, link.peer_incarnation = True, message.incarnation
+            link.has_received_hello, link.peer_incarnation = True, message.incarnation
             link.send(Hello(self.ip, self.incarnation, self.is_control_node, self.loop.time()))
             self.outgoing.hello_received(link)
         else:
@@ -217,7 +217,7 @@
         if isinstance(message, Hello):
             dialer = self.peers.get(message.ip)
             if dialer is not None:
-                dialer.met(message.incarnation)
+                dialer.peer_dialled(message.incarnation)
 
     # ---- updates -------------------------------------------------------------------------
 
@@ -235,7 +235,7 @@
         if own:
             self.send_to(self.update_source.ip, Report(own))
 
-    def update_taken(self, now: float, ip: str, confirmed_at: float) -> None:
+    def update_merged(self, now: float, ip: str, confirmed_at: float) -> None:
         """Handle a merged update, after which this process knows everything confirmed before `confirmed_at`."""
         self.update_source.update_merged(now, ip, confirmed_at)
 
