--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: the pool, sending, time-outs, cancels; how each exchange ended. Dialling: `dial`."""
+"""HTTP/1.1 connections to backends: pooling, sending, timeouts, cancellation and the outcome of each exchange."""
 
 from __future__ import annotations
 
@@ -20,46 +20,60 @@
 from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Lane, Response
 
-ANSWER_MOST = 1 << 20  # bytes of an answer that is held whole, where nothing else is said
-PASS_FROM = 64 << 10  # bytes of an answer beyond which it is passed on as it comes
-PASS_MOST = 40 << 20  # bytes of an answer that is passed on: 32 MB are to be expected, endless ones announce GBs
-FLOW_PART = 0.25  # of the memory limit, for such answers together: a backend that has given its answer is free...
-FLOW_LEAST = 8 << 10  # bytes of one that may wait for its caller, however many there are
-HELD_PART = 0.125  # of the memory limit, for answers that are not whole: many large ones could fill it
-HEAD_MOST = 16 << 10  # bytes of an answer's head, 1xx ones ahead of it included: what callers commonly read
-INFORMED_MOST = 16  # 1xx answers ahead of one
-READ = 64 << 10  # bytes read in one go, into one buffer that all connections share
-IDLE_PART = 0.5  # of the time after which backends close idle connections: ours go well before
-IDLE_EACH = 2  # idle connections kept to one backend, where nothing else is said
-DISTRUST = 10.0  # seconds in which none is kept after one that was kept broke before any answer
-STALL = 0.1  # seconds between two pieces of an answer: it comes in one go, and a second try needs about 0.2
+# Default limit in bytes on a response that is buffered whole.
+ANSWER_MOST = 1 << 20
+# Size in bytes above which a response is streamed to the caller.
+PASS_FROM = 64 << 10
+# Limit in bytes on a streamed response: 32 MB are to be expected, endless responses announce gigabytes.
+PASS_MOST = 40 << 20
+# Fraction of the memory limit for all streamed responses together. Buffering them frees the backend early.
+FLOW_PART = 0.25
+# Bytes of one streamed response that may always wait for its caller, however many are streamed.
+FLOW_LEAST = 8 << 10
+# Fraction of the memory limit for incomplete buffered responses: many large ones could fill the memory.
+HELD_PART = 0.125
+# Limit in bytes on a response head, including the 1xx responses ahead of it: what HTTP clients commonly read.
+HEAD_MOST = 16 << 10
+# Limit on the number of 1xx responses ahead of a response.
+INFORMED_MOST = 16
+# Bytes read at once, into one buffer that all connections share.
+READ = 64 << 10
+# Fraction of the backends' idle timeout after which idle connections are closed, well before the backend does so.
+IDLE_PART = 0.5
+# Default limit on idle connections kept to one backend.
+IDLE_EACH = 2
+# Seconds without connection reuse after a reused connection broke before any byte of a response.
+DISTRUST = 10.0
+# Seconds allowed between two pieces of a response: a response arrives in one go, and a second attempt needs about
+# 0.2 s.
+STALL = 0.1
 
 
 def judge(status: int, unseen: bool) -> Outcome:
-    """What an answer by the platform's protocol says of its attempt; `unseen`: `X-Not-Processed: 1`."""
+    """Classify a response of the platform's protocol; `unseen` means that it has `X-Not-Processed: 1`."""
     if status == 200:
         return Outcome.OK
     return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
 
 
 class Backend:
-    """One backend of the list and the idle connections to it, the most recently used last."""
+    """One backend of the endpoint list and its idle connections, the most recently used last."""
 
     __slots__ = ("address", "family", "idle", "in_service", "keeps", "lane", "server", "started")
 
     def __init__(self, address: Address, server: int = 0) -> None:
         self.move(address)
-        self.server = server  # its number in the list
+        self.server = server  # its number in the endpoint list
         self.started = 0.0
         self.in_service = False
         self.idle: list[Connection] = []
-        self.keeps = 0.0  # seconds for which it keeps idle connections, where it says
-        self.lane: Lane | None = None  # what carries attempts to it where it speaks no HTTP/1.1
+        self.keeps = 0.0  # seconds for which the backend keeps idle connections; 0: not announced
+        self.lane: Lane | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
 
     def move(self, address: Address) -> None:
-        """It listens there from now on."""
+        """Change the address that the backend listens on."""
         self.address = address
-        self.family: int | None = None  # that of a numeric address; a name has to be looked up
+        self.family: int | None = None  # address family of a numeric address; None: the name has to be resolved
         for family in (socket.AF_INET, socket.AF_INET6):
             with suppress(OSError):
                 socket.inet_pton(family, address[0])
@@ -67,7 +81,7 @@
 
 
 class Exchange:
-    """One attempt on the wire: from its start to its one outcome."""
+    """One attempt sent over HTTP/1.1, from its start to its single outcome."""
 
     __slots__ = (
         "backend",
@@ -101,19 +115,20 @@
         bodyless: bool = False,
         timed: bool = True,
     ) -> None:
-        self.body: Body | None = None  # what is passed on behind `write`'s bytes as it comes...
-        self.written: Callable[[], None] | None = None  # ...and who is told that all of it is out
-        # Takes the answer as it comes, if that may be; from then on it is `flowing`.
+        # The body that is streamed after the bytes that `write` returns; None: those bytes are the whole request.
+        self.body: Body | None = None
+        self.written: Callable[[], None] | None = None  # called when the whole body has been sent
+        # Called when the response begins to be streamed; None where it has to be buffered.
         self.begin: Callable[[Response, Pipe], None] | None = None
-        self.flowing, self.first = False, 0.0  # since when
-        self.repeatable = repeatable  # whether it may be sent again when its connection breaks
-        self.echo: bytes | None = None  # the id that its answer has to bear, where backends echo one
-        self.bodyless = bodyless  # HEAD: the answer ends with its head, whatever length that tells
-        self.timed = timed  # whether it expires by itself; else whoever started it sees to that
+        self.flowing, self.first = False, 0.0  # `first`: when streaming began
+        self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
+        self.echo: bytes | None = None  # the request id that the response must carry, where backends echo it
+        self.bodyless = bodyless  # HEAD: the response ends with its head, whatever Content-Length says
+        self.timed = timed  # whether the exchange sets its own timer; else its owner calls `expire`
         self.backend = backend
         self.started = started
-        self.until = until  # the loop's time until which it is waited for
-        self.write = write  # the request's bytes, given the seconds that are left
+        self.until = until  # the loop's time at which the attempt times out
+        self.write = write  # returns the request's bytes, given the seconds that are left
         self.open = True
         self.connection: Connection | None = None
         self.dial: Dial[Exchange] | None = None
@@ -121,7 +136,7 @@
         self._report = report
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome, once, and let go of the connection; one that is still in use is closed."""
+        """Report the outcome, once, and release the connection; one that is still in use is closed."""
         if not self.open:
             return
         self.open = False
@@ -139,24 +154,27 @@
         self._report(self, outcome, response)
 
     def latency(self, now: float) -> float:
-        """Seconds that the backend took, if it ends now; to its first bytes where the caller's pace counts then."""
+        """Return the backend's latency if the exchange ends now.
+
+        For a streamed response it ends at the first bytes, because the rest depends on the caller's pace.
+        """
         return (self.first if self.flowing else now) - self.started
 
     def expire(self) -> None:
-        """The time that this attempt is waited for is up; an answer that is coming is passed on from here."""
+        """Time out the attempt, or stream its response if a part of it has arrived."""
         if self.connection is not None and self.connection.pass_on(self):
             return
         self.end(Outcome.TIMEOUT if self._may_have_run() else Outcome.UNREACHABLE)
 
     def broke(self) -> None:
-        """The connection is no good any more."""
+        """End the exchange because its connection has failed."""
         self.end(Outcome.INTERRUPTED if self._may_have_run() else Outcome.UNREACHABLE)
 
     def begun(self, now: float) -> None:
-        """A piece of the answer has come, and more is owed.
+        """Limit the time to the next piece of an incomplete response.
 
-        Guards what may be sent again against answers that begin and never end, whatever stops them: they
-        would hold it until its time is up. Could harm where backends send slowly but rightly.
+        Guards requests that may be sent again against responses that begin and never end, whatever stops them: they
+        would occupy the request until its deadline. Could harm backends that send slowly but correctly.
         """
         if not self.repeatable or not self.open or self.flowing:
             return
@@ -179,19 +197,19 @@
         self._upstream = upstream
         self.backend = backend
         self.exchange: Exchange | None = None
-        self.written = False  # whether the last byte of the request is out
-        self.idle_since = 0.0  # 0: it is new
+        self.written = False  # whether the last byte of the request has been sent
+        self.idle_since = 0.0  # the loop's time; 0: the connection is new
         self.over = False
-        self._heard = False  # whether a byte of an answer has come
-        self._strayed = False  # whether an answer to another request has come
-        self._held = 0  # its part of what the upstream counts
+        self._heard = False  # whether a byte of the response has been received
+        self._strayed = False  # whether a response to another request has been received
+        self._held = 0  # bytes buffered here that the upstream counts in `held`
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: Response | None = None  # the whole answer to the exchange
+        self._answer: Response | None = None  # the complete response to the exchange
         self._headed = self._spoilt = False
-        self._at = 0  # how far the exchange's body has been taken up
-        self._flow: Pipe | None = None  # the answer that is passed on...
-        self._waiting = 0  # ...its bytes that its caller has not taken...
-        self._paused = False  # ...and whether no more is read meanwhile
+        self._at = 0  # offset in the exchange's body up to which it has been read
+        self._flow: Pipe | None = None  # the body of the response that is streamed
+        self._waiting = 0  # bytes in that pipe that the caller has not taken
+        self._paused = False  # whether reading is paused until the caller has taken more
         self._begin()
         self.sock = sock
         self._unsent = memoryview(b"")
@@ -201,7 +219,7 @@
         self._loop.add_reader(sock.fileno(), self._readable)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
-        """Write a request, whole."""
+        """Send a request; the rest of what the socket doesn't take is sent when it is writable."""
         check(self.exchange is None and exchange.connection is None, Invariant.ONE_EXCHANGE)
         self.exchange = exchange
         exchange.connection = self
@@ -214,7 +232,8 @@
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
-        except OSError:  # nothing has gone out; told later: whoever sends is not ready for it
+        except OSError:
+            # Nothing has been sent. The failure is reported later, because the sender isn't ready for it yet.
             self._loop.call_soon(self._lost)
             return
         if sent == len(data):
@@ -231,14 +250,15 @@
         except OSError:
             self._lost()
             return
-        # A step of its own: mypyc calls what stands in a slice twice, and a part of the request would go out twice.
+        # A separate statement: mypyc evaluates the operand of a slice twice, which would send part of the request
+        # twice.
         self._unsent = self._unsent[sent:]
         if not self._unsent:
             self._loop.remove_writer(self.sock.fileno())
             self._out()
 
     def _out(self) -> None:
-        """All bytes that were there are out."""
+        """Continue after all pending bytes have been sent."""
         exchange = self.exchange
         if exchange is None or exchange.body is None:
             self.written = True
@@ -247,7 +267,7 @@
             self._pump()
 
     def _pump(self) -> None:
-        """Pass on what there is of the body, one piece at a time."""
+        """Send the available part of the body, one piece at a time."""
         exchange = self.exchange
         if exchange is None or exchange.body is None or self._unsent or self.written or self.over:
             return
@@ -257,9 +277,10 @@
         if data and body.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         if not data:
-            # Guards an answer that began before the body's end: nobody wants the rest, and the answer goes on.
+            # If the response began before the end of the body, the rest of the body is not needed and the response
+            # continues.
             if body.over and not body.ended and not exchange.flowing:
-                exchange.broke()  # the rest will never come: it can't have run
+                exchange.broke()  # the rest will never arrive, so the request can't have run
             if body.over or not body.ended:
                 return
             self.written = True
@@ -272,14 +293,14 @@
             exchange.written()
 
     def usable(self) -> bool:
-        """Whether it can carry another exchange.
+        """Return whether the connection can carry another exchange.
 
-        Guards the next request against what waits unread: more behind the last answer, or a close.
+        Guards the next request against unread input: bytes behind the last response, or the end of the connection.
         """
         return not self.over and not self._poll.poll(0)
 
     def abandon(self) -> None:
-        """Close at once, unsent bytes dropped."""
+        """Close at once and drop unsent bytes."""
         self.exchange = None
         self._lost()
 
@@ -289,7 +310,8 @@
             count = self.sock.recv_into(self._upstream.buffer, most)
         except BlockingIOError:
             return
-        except OSError:  # Guards against a reset that looks like the end of an answer: it is none, whatever has come
+        except OSError:
+            # A reset never counts as the end of a response, whatever has been received.
             self._lost()
             return
         if count:
@@ -298,7 +320,10 @@
             self._lost()
 
     def _ended_whole(self) -> bool:
-        """Whether its end is the answer's end: one that has no length and no chunks (RFC 9112 6.3)."""
+        """Deliver a response that ends with its connection, having neither length nor chunks (RFC 9112 6.3).
+
+        Returns whether the end of the connection was such an end.
+        """
         exchange = self.exchange
         if exchange is None or not self._headed or self._spoilt or self._answer is not None or self._framed:
             return False
@@ -308,7 +333,7 @@
         return True
 
     def _lost(self) -> None:
-        """It has ended, by whichever side."""
+        """Close the connection after either side has ended it."""
         if self.over:
             return
         self.over = True
@@ -318,16 +343,16 @@
         self._let_go()
         self._end_flow()
         self._upstream.lost(self)
-        del self._parser  # Guards memory: the parser and this object hold each other.
+        del self._parser  # Guards memory: the parser and this object reference each other.
         if self.exchange is not None:
             if self.idle_since and not self._heard:
                 self._upstream.distrust()
             self.exchange.broke()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """So much of an answer has come into the upstream's buffer."""
+        """Parse the bytes that have been received into the upstream's buffer."""
         exchange = self.exchange
-        if exchange is None:  # Guards against an answer that nobody asked for: it must serve no request.
+        if exchange is None:  # Guards against an unsolicited response: it must not serve any request.
             self.abandon()
             return
         self._heard = True
@@ -338,7 +363,7 @@
             self._spoilt = self._spoilt or (self._strayed and self._answer is None)
         if not self._headed:
             self._fed += nbytes
-            # Guards memory against one header without end.
+            # Guards memory against one endless header.
             self._spoilt = self._spoilt or self._fed > HEAD_MOST + READ
         answer = self._answer
         if answer is None or self._spoilt:
@@ -350,18 +375,19 @@
         self._deliver(exchange, answer)
 
     def _deliver(self, exchange: Exchange, answer: Response) -> None:
-        """An answer is whole."""
+        """Report a complete response, and keep the connection if it can be reused."""
         self._answer = None
         outcome = self._upstream.judge(answer.status, self._unseen)
         nameless = exchange.echo is not None and self._echoed is None
         if nameless and outcome is Outcome.OVERLOADED and self.idle_since:
-            # Guards against a late refusal of a request before on this connection: where answers bear their request's
-            # id, one that bears none does not prove that this one has not run.
+            # Guards against a late rejection of an earlier request on this connection: where responses carry the id
+            # of their request, one without an id doesn't prove that this request has not run.
             exchange.broke()
             return
         if outcome is Outcome.ERROR and exchange.body is not None and not self.written:
-            outcome = Outcome.OVERLOADED  # a backend begins at the last byte: it never ran
-        # Kept only if nothing came behind the answer, and it is this request's: else the next one might get either.
+            outcome = Outcome.OVERLOADED  # a backend starts work after the last byte, so the request never ran
+        # The connection is kept only if the response was this request's and nothing followed it: the next request might
+        # get either otherwise.
         if self._clean and not nameless and self.written and self.usable():
             self.exchange = exchange.connection = None
             self._begin()
@@ -373,7 +399,7 @@
         self._held = 0
 
     def _begin_flow(self, exchange: Exchange) -> None:
-        """So much has come that it is no short answer with a wrong length: pass it on as it comes."""
+        """Stream the response from here on: it is too large to be a short response with a wrong length."""
         assert exchange.begin is not None
         exchange.flowing, exchange.first = True, self._upstream.now()
         if exchange.timer is not None:
@@ -381,7 +407,7 @@
 
         def taken(size: int) -> None:
             self._upstream.flow_held -= size
-            if flow is self._flow:  # not of an answer that has ended meanwhile
+            if flow is self._flow:  # else the response has ended meanwhile
                 self._taken(size)
 
         self._flow = flow = Pipe(taken)
@@ -391,9 +417,9 @@
         exchange.begin(Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow)
 
     def pass_on(self, exchange: Exchange) -> bool:
-        """Its time is up: pass on what has come of its answer, if a part has and no end of it is known to be wrong.
+        """Stream the partial response of an expired exchange; returns False if there is none or it is invalid.
 
-        Guards large answers that come slowly: it is their first bytes that count.
+        Guards large responses that arrive slowly: the deadline applies to their first bytes.
         """
         good = self._headed and self._body and self._clean and not self._spoilt and self._answer is None
         if not good or exchange.begin is None or not self._serves():
@@ -431,15 +457,15 @@
         self._length: int | None = None
         self._size = self._fed = self._informed = 0
         self._unseen = self._headed = self._spoilt = self._begun = False
-        self._framed = False  # whether its end can be told from its length or its chunks
+        self._framed = False  # whether its end can be determined from its length or its chunks
         self._end_flow()
-        self._clean = True  # so far all that came can be read and belongs to the answer, and it may be kept
+        self._clean = True  # whether all bytes so far are valid, belong to the response and allow reuse
 
-    # ---- the parser's calls ----------------------------------------------------------------
+    # ---- callbacks of the parser -------------------------------------------------------------
 
     def on_message_begin(self) -> None:
         self._begun = True
-        if self._answer is not None:  # a second answer: the first one stands
+        if self._answer is not None:  # a second response: the first one stands
             self._clean = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -454,7 +480,7 @@
             self._named += b"," + value.lower()
         elif lower == b"content-length":
             self._length, self._framed = int(value), True
-            # Guards the memory limit against an answer without end.
+            # Guards the memory limit against an endless response.
             self._spoilt = self._length > self._most() and not self._bodyless()
         elif lower == b"transfer-encoding":
             self._spoilt = value.lower() != b"chunked"
@@ -464,20 +490,20 @@
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif lower == b"keep-alive":
             self._heard_keep(value)
-        # A load report is for the proxy, and what is no plain text may be more than a caller can read.
+        # A load report is meant for the proxy, and a value that is not ASCII may be more than a caller can read.
         elif lower not in HOP_BY_HOP and lower != b"x-server-load" and value.isascii():
             self._head.append(b"%b: %b\r\n" % (name, value))
         self._spoilt = self._spoilt or self._size > HEAD_MOST
 
     def _heard_keep(self, value: bytes) -> None:
-        """How long the backend keeps idle connections, as far as it says."""
+        """Read from a Keep-Alive header how long the backend keeps idle connections."""
         for part in value.split(b","):
             key, _, seconds = part.strip().partition(b"=")
             if key.lower() == b"timeout" and seconds.isdigit():
                 self.backend.keeps = float(seconds)
 
     def _stray(self) -> bool:
-        """Whether it answers another request than the one in hand: a second answer, come late."""
+        """Return whether the response belongs to another request: a second response that arrived late."""
         exchange = self.exchange
         return (
             exchange is not None
@@ -492,7 +518,7 @@
         status = self._parser.get_status_code()
         if 100 <= status < 200:
             self._informed += 1
-            # Guards against a change of protocol, which nobody asked for, and against such heads without end.
+            # Guards against a protocol switch that nobody requested, and against endless 1xx responses.
             self._spoilt = self._spoilt or status == 101 or self._informed > INFORMED_MOST
             return
         self._headed = True
@@ -501,13 +527,13 @@
             named = {token.strip() for token in self._named.split(b",")}
             self._head = [line for line in self._head if line.partition(b":")[0].lower() not in named]
         if self._bodyless() and not self._spoilt:
-            # Guards the next request against a body that was told of and comes after all: nothing would tell it
-            # from an answer. Costs a connection for each HEAD.
+            # Guards the next request against a body that was announced and follows after all: it couldn't be told
+            # from a response. Costs a connection for each HEAD request.
             self._clean = False
             self._answer = Response(status, b"".join(self._head), b"", self._length)
 
     def _most(self) -> int:
-        """Bytes that its body may have."""
+        """Return the limit in bytes on the response body."""
         passes = self.exchange is not None and self.exchange.begin is not None
         return self._upstream.pass_most if passes else self._upstream.answer_most
 
@@ -527,13 +553,13 @@
         if self._flow is not None and self._size <= self._upstream.pass_most:
             self._put(body)
             return
-        # Guards the memory limit against an answer without end, and against many large ones at once.
+        # Guards the memory limit against an endless response, and against many large ones at once.
         if self._size <= self._upstream.answer_most and self._upstream.holds(len(body)):
             self._held += len(body)
             self._body.append(body)
             exchange = self.exchange
             passes = exchange is not None and exchange.open and exchange.begin is not None
-            # What may be tried again is held until so much has come: a spoilt answer says more than it has.
+            # A response to a retryable request is buffered up to this size: a truncated one announces more than it has.
             large = self._size if self._repeatable() else max(self._size, self._length or 0)
             if passes and large > self._upstream.pass_from and self._serves():
                 assert exchange is not None
@@ -545,13 +571,13 @@
         if self._answer is not None or self._spoilt:
             return
         if self._headed and self._stray():
-            # Guards a request against an answer that is not its own; the connection is not kept after it.
+            # Guards a request against a response to another one; the connection is not kept afterwards.
             self._let_go()
             self._strayed = True
             self._begin()
             self._clean = False
             return
-        if not self._headed:  # 1xx: the answer is still to come, and its head starts anew
+        if not self._headed:  # 1xx: the final response follows with a new head
             self._begun = self._unseen = self._framed = False
             self._echoed = None
             self._head.clear()
@@ -565,9 +591,9 @@
 
 
 class Upstream:
-    """All connections to one pool's backends, within that pool's share of the sockets.
+    """All connections to the backends of one pool, within that pool's share of the sockets.
 
-    `held_most` bounds the bytes of answers that are not whole, `answer_most` those of one answer's body.
+    `held_most` limits the bytes of incomplete responses, `answer_most` those of the body of one response.
     """
 
     def __init__(
@@ -584,13 +610,14 @@
         echo: bytes = b"",
         keeps: int = 0,
     ) -> None:
-        """`proof`: the header that says that a request did not run; `echo`: the one with its id, if there is one.
+        """`proof`: the header that says that a request did not run; `echo`: the one with the request id, or empty.
 
-        `keeps`: idle connections kept to one backend, also for what must not run twice, where that many are stated.
+        `keeps`: idle connections kept to one backend. A value above 0 also allows requests that must not run twice to
+        reuse connections.
         """
         self.proof, self.echo = proof, echo
         self._reuses = keeps > 0
-        self._tell = dialled  # told of each backend whether a connection to it came up
+        self._tell = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
         self.answer_most = answer_most
@@ -600,33 +627,34 @@
         self._idle_each = keeps or IDLE_EACH
         self.buffer = memoryview(bytearray(READ))
         self._distrust_until = 0.0
-        self.held = 0  # bytes of answers that are not whole
-        self.pass_from, self.pass_most = PASS_FROM, PASS_MOST  # bytes of an answer that is passed on as it comes
-        self.flow_held = 0  # bytes of answers that are passed on and wait for their callers...
-        self.flow_most = held_most  # ...and of all of them together
+        self.held = 0  # bytes of incomplete buffered responses
+        # Bytes above which a response is streamed, and the limit on a streamed response.
+        self.pass_from, self.pass_most = PASS_FROM, PASS_MOST
+        self.flow_held = 0  # bytes of all streamed responses that wait for their callers
+        self.flow_most = held_most  # limit on those bytes
         self.held_most = held_most
         self._idle: dict[Connection, None] = {}  # the longest idle first
         self._sweeping = self._loop.call_later(self._keep / 4.0, self._sweep)
 
     def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int, idle_each: int) -> None:
-        """Go on by other limits."""
+        """Apply changed limits."""
         self._idle_each = idle_each
         self._keep, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
         self.held_most, self.answer_most = held_most, answer_most
 
     def retime(self, conn_idle: float, dial_timeout: float) -> None:
-        """Go on by other times."""
+        """Apply changed timeouts."""
         self._keep, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
 
     def close(self) -> None:
-        """Let go of all idle connections; nothing is sent from here any more."""
+        """Close all idle connections; nothing is sent from here any more."""
         self._sweeping.cancel()
         for connection in tuple(self._idle):
             self._drop(connection)
 
     def update(self, backend: Backend, address: Address, started: float, in_service: bool) -> None:
-        """What the list says of a backend now."""
-        # Guards against requests on connections to a process or a place that is no more.
+        """Apply what the endpoint list says about a backend."""
+        # Guards against requests on connections to a process that has ended or an address that is out of use.
         if backend.address != address or backend.started != started or not in_service:
             for connection in tuple(backend.idle):
                 self._drop(connection)
@@ -639,19 +667,20 @@
         if exchange.timed:
             exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
         idle = exchange.backend.idle
-        # Guards what must not run twice: a kept connection may be dead already, and nothing would tell.
+        # Guards requests that must not run twice: an idle connection may be dead already without any sign of it.
         while idle and (exchange.repeatable or self._reuses):
             connection = idle.pop()
             del self._idle[connection]
             keeps = exchange.backend.keeps
-            # Guards what must not run twice against a connection that the backend is about to close.
+            # Guards requests that must not run twice against a connection that the backend is about to close.
             stale = keeps > 0.0 and self._loop.time() - connection.idle_since > IDLE_PART * keeps
             if not stale and connection.usable():
                 self._transmit(exchange, connection)
                 return
             connection.abandon()
         if not self._sockets.can_acquire(self._name):
-            # Guards the limit on sockets: idle ones make room, else it never ran and may go elsewhere.
+            # Guards the limit on sockets: an idle connection is closed first; else the attempt, which never ran, may go
+            # elsewhere.
             if not self._idle:
                 self._loop.call_soon(exchange.end, Outcome.UNREACHABLE)
                 return
@@ -660,25 +689,25 @@
         exchange.dial = Dial(self, exchange, exchange.backend, self._dial_timeout)
 
     def connected(self, exchange: Exchange, sock: socket.socket) -> None:
-        """A dial has brought a connection, which holds the socket from then on."""
+        """Send the exchange on an established connection, which owns the socket from then on."""
         if self._tell is not None:
             self._tell(exchange.backend.server, True)
         self._transmit(exchange, Connection(self, exchange.backend, sock))
 
     def unreachable(self, exchange: Exchange, number: int) -> None:
-        """A dial has brought none."""
+        """End an exchange whose connection could not be established."""
         self.undone()
         if self._tell is not None and number not in OWN_FAULTS:
             self._tell(exchange.backend.server, False)
         exchange.end(Outcome.UNREACHABLE)
 
     def undone(self) -> None:
-        """A dial needs no socket any more."""
+        """Release the socket of an attempt to connect that failed or was cancelled."""
         self._sockets.release(self._name)
 
     def _transmit(self, exchange: Exchange, connection: Connection) -> None:
-        """Write the first byte, if the attempt still may go out."""
-        # Guards drains, time-outs and finished requests: dialling took time, and the world has moved on.
+        """Send the request unless the attempt has become obsolete while it connected."""
+        # Guards drains, timeouts and finished requests: connecting took time, in which any of them may have happened.
         left = exchange.until - self._loop.time()
         if not exchange.open or left <= 0.0 or not exchange.backend.in_service:
             self.release(connection)
@@ -690,10 +719,11 @@
         connection.send(exchange, exchange.write(left))
 
     def release(self, connection: Connection) -> None:
-        """Keep a connection for the next exchange."""
+        """Keep a connection for the next exchange, or close it."""
         backend = connection.backend
         now = self._loop.time()
-        full = len(backend.idle) >= self._idle_each  # Guards backends: each connection takes of what they can do.
+        # Guards backends: each open connection takes some of their capacity.
+        full = len(backend.idle) >= self._idle_each
         if not backend.in_service or full or now < self._distrust_until or not connection.usable():
             connection.abandon()
             return
@@ -702,35 +732,38 @@
         self._idle[connection] = None
 
     def distrust(self) -> None:
-        """Guards against backends, or what lies between, that forget kept connections without a word."""
+        """Stop reusing connections for a while.
+
+        Guards against backends or middleboxes that silently drop idle connections.
+        """
         self._distrust_until = self._loop.time() + DISTRUST
         for connection in tuple(self._idle):
             self._drop(connection)
 
     def holds(self, size: int) -> bool:
-        """Count so many more bytes of an answer, if there is room for them."""
+        """Count `size` more bytes of a buffered response if they fit into the limit; returns whether they do."""
         fits = self.held + size <= self.held_most
         self.held += size * fits
         return fits
 
     def flow(self) -> int:
-        """Bytes of one answer that may wait for its caller now: as many as are free.
+        """Return the bytes of one streamed response that may wait for its caller now: as many as are free.
 
-        So each holds the same in the end, one that is alone half of all, and together they keep to the whole,
-        however many come later (dynamic thresholds: Choudhury and Hahne, 1998).
+        Each response thus converges to the same buffer, a single one to half of the total, and all together stay
+        within the total however many start later (dynamic thresholds: Choudhury and Hahne, 1998).
         """
         return max(FLOW_LEAST, self.flow_most - self.flow_held)
 
     def sockets(self) -> int:
-        """How many connections are up or being made."""
+        """Return the number of connections that are established or being established."""
         return self._sockets.held_by(self._name)
 
     def now(self) -> float:
-        """The loop's time."""
+        """Return the loop's time."""
         return self._loop.time()
 
     def lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+        """Release the socket of a closed connection."""
         self._sockets.release(self._name)
         self._forget(connection)
 
@@ -744,7 +777,7 @@
         connection.abandon()
 
     def _sweep(self) -> None:
-        """Close what has been idle for long: a request that meets the backend's own close is lost."""
+        """Close connections that have been idle for long: a request that crosses the backend's own close is lost."""
         self._sweeping = self._loop.call_later(self._keep / 4.0, self._sweep)
         latest = self._loop.time() - self._keep
         for connection in tuple(self._idle):
