--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: connections in, answers out, `/healthz`, and who has to go when there are too many."""
+"""The listener for callers: their connections, requests and responses, and which connections close under pressure."""
 
 from __future__ import annotations
 
@@ -18,37 +18,62 @@
 from lugspur.pipe import Pipe
 from lugspur.seams import Passing, Request
 
-READ = 64 << 10  # bytes read in one go, into one buffer that all callers share
-FIRST_WITHIN = 2.0  # seconds from connecting in which the first request must begin: 3 s are owed at most...
-HEAD_MORE = 0.6  # ...and so many more for its head: with the sweep's 0.25 s that is under 3
-SETTLE = 0.05  # seconds in which the first bytes of a new connection may still be on their way
-WHOLE_WITHIN = 2.5  # seconds from its first byte in which its head must be: some take 2 s, and 3 s are owed at most
-BODY_RATE = 24 << 10  # bytes a second of a body at least, on the whole: some come at 64 kB a second...
-BODY_LEAST = 1.0  # ...and seconds that this may be behind
-FLOW_WITHIN = 10.0  # seconds in which a piece of an answer that is passed on must come and go
-IDLE_MOST = 10.0  # seconds that a caller may keep its connection and ask nothing...
-IDLE_LEAST = 2.0  # ...and when connections run short, or where it never sent a request: by the protocol
-CROWDED = 0.5  # part of the limit on callers from which connections count as short
-LINGER = 2.0  # seconds that a closing connection may take; meanwhile what comes is read and dropped:
-DROP_MOST = 64 << 20  # bytes; closing with bytes unread would reset the connection, and the answer with it
-SWEEP = 0.25  # seconds between looks at those times
-HELD_PART = 0.25  # of the memory limit, for bodies that are not whole: hundreds of them could fill it
-PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"  # how HTTP/2 begins (RFC 9113 3.4); no HTTP/1.1 request does
-PIPELINE_MOST = 8  # requests that may wait behind another: callers send one at a time
-DRAIN_FROM = 1.0  # seconds after a drain from which idle connections are let go: until then most ask once more...
-DRAIN_SETTLE = 0.3  # seconds in which a connection that came after the call may still bring its first request
-DRAIN_EVERY = 0.1  # ...and between looks from then on: who can still ask 2 s after the call is held 4 s after it
-PASS_AGAIN = 0.02  # seconds between looks at whether an answer is out and its connection may be given on
-BACKLOG = 1024  # connections that may wait to be accepted
-ACCEPTS = 8  # taken in one go: with no descriptor left the loop complains once for each, every second
-PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}  # backends may send others
+# Bytes read at once, into one buffer that all callers share.
+READ = 64 << 10
+# Seconds from connecting within which the first request must begin. A caller is granted at most 3 s.
+FIRST_WITHIN = 2.0
+# Seconds more for the head of a first request that began late: with the sweep's 0.25 s that is less than 3 s.
+HEAD_MORE = 0.6
+# Seconds for which the first bytes of a new connection may still be in flight.
+SETTLE = 0.05
+# Seconds from the first byte of a request within which its head must be complete: some callers take 2 s, and a
+# caller is granted at most 3 s.
+WHOLE_WITHIN = 2.5
+# Minimum average rate of a body in bytes per second: some callers send at 64 kB per second.
+BODY_RATE = 24 << 10
+# Seconds that a body may lag behind that rate.
+BODY_LEAST = 1.0
+# Seconds within which each piece of a streamed response must arrive and be sent.
+FLOW_WITHIN = 10.0
+# Seconds that a connection may be idle between requests.
+IDLE_MOST = 10.0
+# The same when connections are scarce or no request was ever accepted; the protocol requires this minimum.
+IDLE_LEAST = 2.0
+# Fraction of the limit on connections above which they count as scarce.
+CROWDED = 0.5
+# Seconds that a closing connection may take; meanwhile its input is read and dropped.
+LINGER = 2.0
+# Limit in bytes on that input. Closing with unread input would reset the connection and lose the response.
+DROP_MOST = 64 << 20
+# Seconds between checks of the time limits.
+SWEEP = 0.25
+# Fraction of the memory limit for incomplete bodies: hundreds of them could fill the memory.
+HELD_PART = 0.25
+# The connection preface of HTTP/2 (RFC 9113 3.4); no HTTP/1.1 request begins like this.
+PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
+# Limit on pipelined requests that wait behind another one: callers send one at a time.
+PIPELINE_MOST = 8
+# Seconds from a drain until idle connections are closed: by then most callers have sent another request.
+DRAIN_FROM = 1.0
+# Seconds for which a connection that was opened after the drain call may still deliver its first request.
+DRAIN_SETTLE = 0.3
+# Seconds between checks from then on: a caller that can still send a request 2 s after the call is held 4 s after it.
+DRAIN_EVERY = 0.1
+# Seconds between checks whether a response has been sent, so that its connection may be handed over.
+PASS_AGAIN = 0.02
+# Connections that may wait to be accepted.
+BACKLOG = 1024
+# Connections accepted at once: without a free file descriptor the loop logs an error for each, every second.
+ACCEPTS = 8
+# Reason phrases by status; backends may send other statuses.
+PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 class Front:
     """All connections of callers to one address, within a limit on their number.
 
-    `handle` is given each whole request and answers it through its caller, now or later; it may raise
-    Rejected. `memory` is the process's limit in bytes.
+    `handle` is called with each request and the caller to respond to, at once or later; it may raise Rejected.
+    `memory` is the memory limit of the process in bytes.
     """
 
     def __init__(
@@ -61,31 +86,33 @@
         self.address = address
         self.handle = handle
         self.first_within, self.whole_within, self.idle_most = FIRST_WITHIN, WHOLE_WITHIN, IDLE_MOST
-        self.grace = LINGER  # seconds that streams may go on after `close`
+        self.grace = LINGER  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
-        self.terms: Callable[[], object] | None = None  # by what a request is judged, asked when its head has come
-        # Makes what goes on with a connection that begins as HTTP/2 does, where that is taken here.
+        # Returns the configuration for a request; called when its head is complete.
+        self.terms: Callable[[], object] | None = None
+        # Creates the successor protocol of a connection that begins with the HTTP/2 preface; None: HTTP/2 isn't
+        # supported.
         self.http2: Callable[[Front], Held] | None = None
-        # When the bytes that are read now came, where that is felt; else they came now.
+        # Returns when the bytes being read arrived, if that is estimated; None: they arrived now.
         self.came: Callable[[float, asyncio.Transport, bool], float] | None = None
-        self.work: set[int] | None = None  # where descriptors of callers are noted, if anywhere
-        self.ready = False  # the list is loaded
-        self.serving = False  # the listener accepts, and is to go on
+        self.work: set[int] | None = None  # collects the file descriptors of callers, if anything needs them
+        self.ready = False  # whether the endpoint list is loaded
+        self.serving = False  # whether the listener accepts connections and is not about to stop
         self.closing = False
-        self.pass_to: Callable[[int], bool] | None = None  # gives a connection to another process
-        self.drained_at: float | None = None  # when operators had clients sent away
-        self.held = 0  # bytes of bodies that are not whole
-        self.rejections: Counter[int] = Counter()  # requests that were answered here, by status
+        self.pass_to: Callable[[int], bool] | None = None  # hands a connection over to another process
+        self.drained_at: float | None = None  # when an operator started a drain; None: not draining
+        self.held = 0  # bytes of incomplete bodies
+        self.rejections: Counter[int] = Counter()  # requests rejected here, by status
         self._limit(most, memory)
         self.buffer = memoryview(bytearray(READ))
         self.callers: set[Held] = set()
         self.look = select.poll()
-        # Those that owe no answer, each with the loop's time at which it has to go.
-        self.leaving: dict[Held, float] = {}  # answered for the last time
-        self.fresh: dict[Held, float] = {}  # nothing has come yet
+        # Connections that owe no response, each with the loop's time at which it is closed.
+        self.leaving: dict[Held, float] = {}  # the last response has been sent
+        self.fresh: dict[Held, float] = {}  # nothing has been received yet
         self.idle: dict[Held, float] = {}  # between two requests
-        self.reading: dict[Held, float] = {}  # a part of a request has come
-        self.flowing: dict[Held, float] = {}  # an answer is passed on
+        self.reading: dict[Held, float] = {}  # a part of a request has been received
+        self.flowing: dict[Held, float] = {}  # a response is being streamed
         self.last_accept = 0.0
         self._loop = asyncio.get_running_loop()
         self._loop.call_later(SWEEP, self._sweep)
@@ -95,9 +122,10 @@
         self.held_most = int(HELD_PART * memory)
 
     def tune(self, most: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float) -> None:
-        """Go on by other limits: seconds for a whole request to come, between two and to end streams in.
+        """Apply changed limits.
 
-        Sizes count for new connections.
+        `within` is the time in seconds for a request to arrive, `idle` the idle timeout between two requests, and
+        `grace` the time for streams to end. `sizes` applies to new connections.
         """
         self.grace = grace
         self._limit(most, memory)
@@ -106,11 +134,14 @@
         self.idle_most = idle
 
     def healthy(self) -> bool:
-        """Whether requests should be sent here."""
+        """Return whether this proxy is ready for requests."""
         return self.ready and self.serving and self.drained_at is None
 
     async def listen(self, sock: socket.socket | None = None, shared: bool = False) -> socket.socket:
-        """Serve on the given address alone, or on a socket that is bound to it; `shared`: others may bind it too."""
+        """Accept connections on the own address or on a bound socket.
+
+        `shared` allows other processes to bind the address too.
+        """
         loop = asyncio.get_running_loop()
         if sock is None:
             sock = socket.socket()
@@ -125,7 +156,7 @@
         return sock
 
     async def stop_listening(self, sock: socket.socket) -> None:
-        """Take what the accept queue holds, then close the listener: closing it resets what is queued."""
+        """Accept all queued connections, then close the listener: closing it first would reset them."""
         loop = asyncio.get_running_loop()
         loop.remove_reader(sock.fileno())
         while True:
@@ -138,25 +169,25 @@
         self._server.close()
 
     def close(self) -> None:
-        """From here on answers close their connection; those that wait for nothing are closed now."""
+        """Close idle connections now and the others after their response."""
         self.closing = True
         for caller in tuple(self.callers):
             caller.front_closes()
 
     def pass_all(self, pass_to: Callable[[int], bool]) -> None:
-        """Another process goes on: it is given each connection by its descriptor, once nothing of it is open here."""
+        """Hand each connection over to the process that replaces this one, once it has no open request here."""
         self.pass_to = pass_to
         for caller in tuple(self.callers):
             caller.pass_on()
 
     def drain(self, since: float = DRAIN_FROM) -> None:
-        """Send callers away: answers close their connection, and idle ones are let go a little later."""
+        """Start a drain: responses close their connection, and idle connections are closed a little later."""
         if self.drained_at is None:
             self.drained_at = self._loop.time()
             self._let_go_in(since)
 
     def undrain(self) -> None:
-        """Take callers again."""
+        """End the drain."""
         self.drained_at = None
 
     def _let_go_in(self, delay: float) -> None:
@@ -164,7 +195,7 @@
             self._loop.call_later(delay, self._let_go, self.drained_at)
 
     def _let_go(self, drained_at: float) -> None:
-        """Let go of callers that owe nothing."""
+        """Close connections without an open request."""
         if self.drained_at != drained_at:
             return
         self._let_go_in(DRAIN_EVERY)
@@ -174,10 +205,10 @@
                 caller.front_closes()
 
     def full(self, newcomer: Held) -> bool:
-        """Whether there are too many callers, and none but this one that could go."""
+        """Return whether there are too many connections and no other one could be closed for this one."""
         if len(self.callers) <= self.most:
             return False
-        # Guards good callers: those that are of no use go first, one whose request is being read never.
+        # Protects good callers: useless connections are closed first, one whose request is being read never.
         settled = self._loop.time() + self.first_within - SETTLE
         silent = [caller for caller, limit in itertools.islice(self.fresh.items(), 1) if limit < settled]
         for place in (self.leaving, silent, self.idle, self.fresh):
@@ -188,7 +219,10 @@
         return True
 
     def _sweep(self) -> None:
-        """Guards descriptors and memory against callers that never end what they began."""
+        """Close connections that exceed a time limit.
+
+        Guards file descriptors and memory against callers that never complete what they began.
+        """
         if self.closing and not self.callers:
             return
         self._loop.call_later(SWEEP, self._sweep)
@@ -203,25 +237,27 @@
             caller.drop()
 
     def admit(self, caller: Held) -> None:
-        """Take up a request that goes on; raises Rejected where there are too many connections."""
+        """Accept a request of this caller; raises Rejected if there are too many connections."""
         if self.full(caller):
             raise Rejected(503, "too many connections")
         caller.used = True
 
 
 class Held(asyncio.BufferedProtocol):
-    """A connection that a front counts, and that has to go when it is of no use."""
+    """A connection that a front counts and may close when it is not in use."""
 
     def __init__(self, front: Front) -> None:
         self.front = front
-        self.used = False  # has sent a request that went on
-        self.peer = ""  # the address that it connected from
-        self._place: dict[Held, float] | None = None  # where the front keeps it while no answer is owed
+        self.used = False  # whether a request of it has been accepted
+        self.peer = ""  # the remote IP address
+        # The front's table that the connection is in while no response is owed.
+        self._place: dict[Held, float] | None = None
         self._transport: asyncio.Transport
         self._fd = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # other loops' transports are no subclass of it
+        # Transports of other event loops don't inherit from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         peer = transport.get_extra_info("peername")
         self.peer = peer[0] if peer else ""
         self.front.callers.add(self)
@@ -233,11 +269,11 @@
         return self.front.buffer
 
     def feed(self, data: memoryview) -> None:
-        """What has come in."""
+        """Process received bytes."""
         raise NotImplementedError
 
     def move(self, place: dict[Held, float] | None, limit: float = 0.0) -> None:
-        """The front keeps it there, until the loop's time `limit`."""
+        """Move the connection to this table of the front until the loop's time `limit`."""
         if self._place is not None:
             self._place.pop(self, None)
         self._place = place
@@ -245,77 +281,78 @@
             place[self] = limit
 
     def leave(self) -> None:
-        """The front counts it no more."""
+        """Stop being counted by the front."""
         self.move(None)
         self.front.callers.discard(self)
         if self.front.work is not None:
             self.front.work.discard(self._fd)
 
     def arrival(self, now: float) -> float:
-        """When the bytes that are read now came, as far as that is known."""
+        """Return when the bytes being read arrived, as far as that is known."""
         came = self.front.came
         return now if came is None else came(now, self._transport, not self.used)
 
     def close(self) -> None:
-        """Close it, once what is written is out."""
+        """Close the connection after all written bytes have been sent."""
         raise NotImplementedError
 
     def quiet(self) -> bool:
-        """Whether nothing waits unread: closing now crosses no request that has come."""
+        """Return whether no input is unread, so that closing now loses no request."""
         self.front.look.register(self._fd, select.POLLIN)
         waits = bool(self.front.look.poll(0))
         self.front.look.unregister(self._fd)
         return not waits
 
     def pass_on(self) -> None:
-        """Give it to the process that follows, if nothing of it is open; here it ends in the ordinary way."""
+        """Hand the connection over to the replacing process if no request is open; here it closes the ordinary way."""
         self.front_closes()
 
     def front_closes(self) -> None:
-        """Nothing is taken from here on: it goes when it owes nothing."""
+        """Close the connection if it owes no response, because the front accepts no further requests."""
         if self._place is self.front.fresh or self._place is self.front.idle:
             self.close()
 
     def slow(self, now: float) -> None:
-        """Its request takes too long."""
+        """Reject the request because it takes too long."""
         self.reject(Rejected(408, "the request took too long"))
 
     def drop(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         self.leave()
         self._transport.abort()
 
     def reject(self, fault: Rejected) -> None:
-        """Answer what is not served, for the last time."""
+        """Reject a request and close the connection."""
         raise NotImplementedError
 
 
 class Caller(Held):
-    """One caller's connection; its requests are answered one after another."""
+    """An HTTP/1.1 connection of a caller; its requests are answered one after another."""
 
     def __init__(self, front: Front, used: bool = False) -> None:
         super().__init__(front)
-        self.used = used  # by another process before this one
+        self.used = used  # also if the requests were accepted by the previous process
         self._loop = asyncio.get_running_loop()
-        self._early: bytes | None = b"" if front.http2 is not None else None  # until it is known what is spoken
+        # The first bytes, until the protocol is known; None: it is HTTP/1.
+        self._early: bytes | None = b"" if front.http2 is not None else None
         self._queue: deque[Request | Rejected] = deque()
         self._intake = Intake(self._queue.append, front.sizes, self._continue, front.terms, self._room)
-        self._stream: Body | None = None  # the body of the request in hand, while it comes
-        self._paused_at = 0.0  # since when it is not read, as the backend takes no more; 0: it is
-        self._old = False  # its request is HTTP/1.0
-        self._flow: Pipe | None = None  # the answer that is passed on...
-        self._chunked = False  # ...in chunks...
-        self._owed = 0  # ...and its bytes that its sender has not been told of
+        self._stream: Body | None = None  # the body of the current request while it is received
+        self._paused_at = 0.0  # since when reading is paused because the backend takes no more; 0: not paused
+        self._old = False  # whether the current request is HTTP/1.0
+        self._flow: Pipe | None = None  # the response that is streamed
+        self._chunked = False  # whether that response is chunked
+        self._owed = 0  # bytes written of that response that its sender has not been credited for
         self._busy = False
-        self._stuck = False  # does not read its answers
+        self._stuck = False  # whether the caller has stopped reading its responses
         self._keep_alive = True
-        self._bodyless = False  # its request is a HEAD
-        self._faulty = False  # a rejection is queued or answered: nothing more is read
+        self._bodyless = False  # whether the current request is a HEAD
+        self._faulty = False  # whether a rejection is queued or was sent: no further request is read
         self._dropped = 0
-        self._held = 0  # its part of what the front counts
-        self._rests_until = 0.0  # what comes before then is not looked at
-        self._kept = b""  # ...which is this
-        self.gone: Callable[[], None] | None = None  # told when the caller leaves before its answer
+        self._held = 0  # bytes of incomplete bodies counted in `front.held`
+        self._rests_until = 0.0  # the loop's time until which input is deferred
+        self._kept = b""  # that deferred input
+        self.gone: Callable[[], None] | None = None  # called if the caller disconnects before its response
 
     # ---- the connection ------------------------------------------------------------------
 
@@ -327,9 +364,9 @@
             self.move(front.idle, front.last_accept + front.idle_most)
         else:
             self.move(front.fresh, front.last_accept + front.first_within)
-        if front.pass_to is not None:  # it was accepted just before
+        if front.pass_to is not None:  # it was accepted just before the handover began
             self._loop.call_soon(self.pass_on)
-        front.full(self)  # Guards the limit on descriptors: one that can go makes room.
+        front.full(self)  # Guards the limit on file descriptors: another connection that can be closed is closed.
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.leave()
@@ -339,7 +376,7 @@
         self._let_go()
 
     def _let_flow_go(self) -> None:
-        """Nothing of the answer that is passed on goes out from here any more."""
+        """Detach from the streamed response and drop the rest of it."""
         flow, self._flow = self._flow, None
         owed, self._owed = self._owed, 0
         if flow is not None:
@@ -348,24 +385,24 @@
             flow.discard()
 
     def _let_go(self) -> None:
-        """Nobody waits for the answer any more."""
+        """Release the request whose response can't be delivered any more."""
         self._let_flow_go()
         gone, self.gone = self.gone, None
         if gone is not None:
             gone()
         stream, self._stream = self._stream, None
-        if stream is not None:  # after that: its attempt ends, and must not be followed by another
+        if stream is not None:  # after the callback: the attempt ends here and must not be retried
             stream.drop()
 
     def close(self) -> None:
-        """Close it, once what is written is out."""
+        """Close the connection after all written bytes have been sent."""
         self.move(self.front.leaving, self._loop.time() + LINGER)
         self._transport.close()
 
     def pass_on(self) -> None:
-        """Give it to the process that follows: what lies unread goes with it, and nothing is closed."""
+        """Hand the connection over to the replacing process together with unread input, without closing it."""
         front, transport = self.front, self._transport
-        # Guards what this process has read, and answers that are not out.
+        # Guards input that this process has read, and responses that have not been sent.
         open_ = self._busy or self._queue or self._intake.reading or self._kept or self._early or self._faulty
         if front.pass_to is None or open_ or transport.is_closing() or self._place is front.leaving:
             return
@@ -387,8 +424,8 @@
         self._resume()
 
     def _room(self) -> None:
-        """More of the body that is passed on may come."""
-        if self._paused_at:  # the time in which it was not read is not its own
+        """Resume reading because more of the streamed body may be received."""
+        if self._paused_at:  # the pause doesn't count towards the caller's time limits
             passed, self._paused_at = self._loop.time() - self._paused_at, 0.0
             self._intake.headed_at += passed
             if self._place is self.front.reading:
@@ -398,7 +435,7 @@
 
     def slow(self, now: float) -> None:
         stream = self._stream
-        if stream is not None and stream.full:  # it waits for the backend, not for this caller
+        if stream is not None and stream.full:  # the delay is caused by the backend, not by this caller
             self.move(self.front.reading, now + BODY_LEAST)
             return
         super().slow(now)
@@ -419,16 +456,16 @@
             self.feed(data)
 
     def rest(self, seconds: float) -> None:
-        """Look at nothing of it for a while: who asks again at once would only be turned away again.
+        """Defer all input for a while: a caller that repeats its request at once would only be rejected again.
 
-        Costs nothing where nothing comes. Could harm what is dear on the same connection: it waits as long.
+        Costs nothing if nothing arrives. Could harm important requests on the same connection: they are deferred too.
         """
         self._rests_until = self._loop.time() + seconds
 
     def _keep(self, data: memoryview) -> None:
         if not self._kept:
             self._loop.call_at(self._rests_until, self._rested, self.arrival(self._loop.time()))
-        # Guards memory: one read is kept, and another for each answer that makes the caller be read again.
+        # Guards memory: one read is deferred, and another one for each response that resumes reading.
         self._transport.pause_reading()
         self._kept += bytes(data)
         self.front.held += len(data)
@@ -441,7 +478,7 @@
             self.feed(memoryview(data), came)
 
     def _hand_over(self, begun: bytes) -> None:
-        """It speaks HTTP/2: another protocol goes on with the connection. ALPN would lead here too."""
+        """Hand the connection over to the HTTP/2 protocol, as ALPN would."""
         assert self.front.http2 is not None
         successor, transport = self.front.http2(self.front), self._transport
         self.leave()
@@ -451,10 +488,10 @@
         successor.feed(memoryview(begun))
 
     def feed(self, data: memoryview, came: float | None = None) -> None:
-        """What has come in; `came`: when, where it was kept meanwhile."""
+        """Process received bytes; `came` is their time of arrival if they were deferred."""
         if self._faulty:
             self._dropped += len(data)
-            if self._dropped > DROP_MOST:  # Guards the core against a sender that goes on for ever.
+            if self._dropped > DROP_MOST:  # Guards the CPU against an endless sender.
                 self.drop()
             return
         intake, front = self._intake, self.front
@@ -466,11 +503,11 @@
             return
         if self._stream is not None:
             self._stream = None
-            if self._busy:  # else it has been answered in this very moment
+            if self._busy:  # else it was answered just now
                 self.move(None)
-        if self._held and front.held > front.held_most:  # Guards the memory limit against many half bodies.
+        if self._held and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
             intake.fault = Rejected(503, "too many bodies at once")
-        if len(self._queue) > PIPELINE_MOST:  # Guards memory and backends against floods on one connection.
+        if len(self._queue) > PIPELINE_MOST:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
             intake.fault = Rejected(400, "too many requests at once")
         if intake.fault is not None:
@@ -480,20 +517,20 @@
             self._next()
         elif intake.reading and not self._busy:
             limit = intake.arrived + front.whole_within
-            if self._place is front.fresh:  # who said nothing for long has less for its head
+            if self._place is front.fresh:  # a request that began late has less time for its head
                 limit = min(limit, front.fresh[self] + HEAD_MORE)
             elif self._place is front.reading:
                 limit = front.reading[self]
             self.move(front.reading, max(limit, intake.body_due(BODY_RATE) + BODY_LEAST))
 
     def _more(self, now: float) -> None:
-        """More of a body that is passed on has come."""
+        """Continue after more of a streamed body has been received."""
         intake, stream, front = self._intake, self._stream, self.front
         assert stream is not None
-        if self._held and front.held > front.held_most:  # Guards the memory limit against many half bodies.
+        if self._held and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
             intake.fault = Rejected(503, "too many bodies at once")
         if intake.fault is not None:
-            # Guards against an attempt that would end with a part of the body: it is cut off, and never ran.
+            # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
             self._let_go()
             self.reject(intake.fault)
         else:
@@ -507,16 +544,16 @@
         self.front.held += size - self._held
         self._held = size
 
-    # ---- requests and answers --------------------------------------------------------------
+    # ---- requests and responses ------------------------------------------------------------
 
     def admit(self) -> None:
-        """Take up its request; raises Rejected where there are too many connections."""
+        """Accept the current request; raises Rejected if there are too many connections."""
         self.front.admit(self)
 
     def _next(self) -> None:
-        """Take up the next request, unless one is still unanswered or its answer unread."""
+        """Start the next request unless another one is unanswered or its response unread."""
         if self._busy or self._stuck:
-            self._transport.pause_reading()  # Guards memory: a caller may not pile up requests unread.
+            self._transport.pause_reading()  # Guards memory: a caller may not pile up requests.
             return
         request = self._queue.popleft()
         if isinstance(request, Rejected):
@@ -534,17 +571,17 @@
             self.reject(fault)
             return
         if stream is not None and self._stream is stream:
-            self._transport.resume_reading()  # its body has to come while it is in hand
+            self._transport.resume_reading()  # the body has to be received while the request is processed
             self.move(self.front.reading, self._loop.time() + self.front.whole_within)
 
     def _continue(self) -> None:
-        """Ask for the body that a caller holds back; behind other requests it comes without."""
+        """Ask for the body that a caller holds back (`Expect: 100-continue`), unless other requests are ahead of it."""
         if not self._busy and not self._queue:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _write(self, status: int, head: bytes, body: bytes, keep: bool, length: int | None = None) -> None:
         size = len(body) if length is None else length
-        # RFC 9110 8.6: 204 has no length; 304 tells that of another answer, which is not known here.
+        # RFC 9110 8.6: a 204 has no length; that of a 304 would describe another response, which is not known here.
         told = b"" if status in (204, 304) else b"Content-Length: %d\r\n" % size
         self._transport.write(
             b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b"
@@ -559,7 +596,7 @@
         )
 
     def reject(self, fault: Rejected) -> None:
-        """Answer what is not served, for the last time: kept alive it would come again at full speed."""
+        """Reject a request and close the connection: a client kept alive would repeat it at full speed."""
         self.front.rejections[fault.status] += 1
         if self._stream is not None:
             self._let_go()
@@ -569,15 +606,15 @@
         self._hold(0)
         self._write(fault.status, b"", fault.reason.encode() + b"\n", False)
         self.move(self.front.leaving, self._loop.time() + LINGER)
-        # Guards the answer against a reset: what still comes is read until the caller closes.
+        # Guards the response against a reset: input is still read until the caller closes.
         self._transport.resume_reading()
         self._end_output()
 
     def _end_output(self) -> None:
-        """Nothing more is written; what still comes is read until the caller closes.
+        """Close the sending side; input is still read until the caller closes.
 
-        Guards all that goes on in the same turn of the loop, as other callers of a sweep: where the caller has gone
-        by now, the system says so here.
+        Guards everything else in the same iteration of the loop, such as other callers of a sweep: if the caller has
+        disconnected by now, the system raises the error here.
         """
         try:
             self._transport.write_eof()
@@ -585,15 +622,15 @@
             self.drop()
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
-        """Write the one final answer of the request that is being served.
+        """Write the final response to the current request.
 
-        `head` holds whole header lines; `length` is that of a body that a HEAD request is spared.
+        `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
         """
         check(self._busy, Invariant.ONE_ANSWER, peer=self.peer, status=status)
-        if self._flow is not None:  # what was begun can't be finished
+        if self._flow is not None:  # a response that was begun can't be completed by another
             self.cut()
             return
-        if self._stream is not None and not self._stream.ended:  # answered before its body's end
+        if self._stream is not None and not self._stream.ended:  # responded before the end of the body
             self._answer_early(status, head, body, length)
             return
         self.gone = None
@@ -606,7 +643,7 @@
         return self._keep_alive and not self.front.closing and self.front.drained_at is None
 
     def _answer_early(self, status: int, head: bytes, body: bytes, length: int | None) -> None:
-        """Answer for the last time; what still comes of the body is read and dropped."""
+        """Write a response before the end of the request's body and close; the rest of the body is read and dropped."""
         stream, self._stream = self._stream, None
         assert stream is not None
         self.gone = None
@@ -620,7 +657,7 @@
         self._end_output()
 
     def _after(self, keep: bool) -> None:
-        """An answer is written whole."""
+        """Continue after a complete response has been written."""
         if not keep:
             self._queue.clear()
             self.close()
@@ -637,17 +674,17 @@
             if self._queue:
                 self._loop.call_soon(self._resume)
 
-    # ---- an answer that is passed on as it comes ----------------------------------------------
+    # ---- streamed responses --------------------------------------------------------------------
 
     def passing(self) -> Passing | None:
-        """It takes an answer as it comes."""
+        """Return this caller, which accepts streamed responses."""
         return self
 
     def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
-        """Write the head of an answer; its body comes through the pipe, and `finish_answer` or `cut` ends it."""
+        """Write a response head; the body follows through the pipe, and `finish_answer` or `cut` ends it."""
         check(self._busy and self._flow is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
         stream, self._stream = self._stream, None
-        if stream is not None and not stream.ended:  # its body is wanted no more
+        if stream is not None and not stream.ended:  # the rest of the request's body is not needed
             self._keep_alive = False
             self._faulty = True
             stream.drop()
@@ -668,12 +705,12 @@
         flow.attach(self._pass)
 
     def _pass(self) -> None:
-        """Pass on what there is, as long as the caller takes it."""
+        """Write the available part of the response as long as the caller reads."""
         flow = self._flow
         while flow is not None and not self._stuck and (data := flow.take_piece()):
             self.move(self.front.flowing, self._loop.time() + FLOW_WITHIN)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
-            if self._stuck:  # told once it has gone out
+            if self._stuck:  # credited once it has been sent
                 self._owed += len(data)
             else:
                 flow.gone(len(data))
@@ -681,13 +718,13 @@
             self._finish()
 
     def finish_answer(self) -> None:
-        """The answer that was begun is whole."""
+        """Mark the streamed response as complete."""
         self.gone = None
         if self._flow is not None:
             self._flow.end()
 
     def _finish(self) -> None:
-        """All of it has been passed on."""
+        """End the response after all of it has been written."""
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
         self._let_flow_go()
@@ -698,10 +735,10 @@
             self._after(self._keep_alive and self._keeps())
 
     def cut(self) -> None:
-        """The answer that was begun can't be finished: the caller has to be able to tell."""
+        """Abort a response that was begun so that the caller can detect it."""
         self._let_flow_go()
         self.gone = None
-        if self._old and not self._chunked:  # an ordinary close would look like the end
+        if self._old and not self._chunked:  # a regular close would look like the end of the response
             self.drop()
         else:
             self._queue.clear()
