--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -1,4 +1,4 @@
-"""Reads one caller's bytes into requests; what may not go on to a backend ends as a rejection."""
+"""Parses the bytes of one caller into requests; a request that may not be forwarded becomes a rejection."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 from lugspur.http1.hops import HOP_BY_HOP
 from lugspur.seams import Request
 
-BODY_MOST = 64 << 10  # bytes of a request's body, where nothing else is said
-STREAM_MOST = 40 << 20  # bytes of a body that is passed on in pieces: 32 MB are to be expected, 60 MB are turned away
-HEAD_MOST = 16 << 10  # bytes of a request's head: what backends commonly read
-WIRE_PART = 8  # times the limit on a body that a request may take on the wire: the smallest chunks take six
+# Default limit in bytes on a request body.
+BODY_MOST = 64 << 10
+# Limit in bytes on a streamed request body: 32 MB are to be expected, 60 MB are rejected.
+STREAM_MOST = 40 << 20
+# Limit in bytes on a request head: what backends commonly accept.
+HEAD_MOST = 16 << 10
+# Factor of the body limit that a request may take on the wire: with the smallest chunks it takes six times its size.
+WIRE_PART = 8
 VERSIONS = ("1.1", "1.0")
-REWRITTEN = frozenset(  # what the daemon writes anew for each request, so that it needn't be taken out of the lines
-    {b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto"}
-)
+# The proxy sets these headers on every request, so they need not be removed from the lines of an ordinary client.
+REWRITTEN = frozenset({b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto"})
 NAMED = frozenset(
     {
         b"x-priority-class",
@@ -35,7 +38,7 @@
 
 
 class Rejected(Exception):
-    """A request that is answered here: its status and one line of reason."""
+    """A request that is answered by the proxy itself, with this status and one line of reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -45,19 +48,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Sizes:
-    """What a caller may send, in bytes; `ordinary`: any HTTP client, whose every header may be asked for."""
+    """Limits on requests in bytes.
+
+    `ordinary` stands for any HTTP client, for which routes may refer to every header.
+    """
 
     head: int = HEAD_MOST
     body: int = BODY_MOST
     ordinary: bool = False
-    hold: int = 1 << 62  # beyond it a body is passed on in pieces
+    hold: int = 1 << 62  # body size above which the body is streamed
 
 
 PLATFORM = Sizes(body=STREAM_MOST, hold=HOLD)
 
 
 class Intake:
-    """The parser of one connection: whole requests are delivered, the first fault is kept and ends it."""
+    """The parser of one connection: it delivers requests, and the first error is kept and ends it."""
 
     __deletable__ = ("_deliver", "_expected", "_parser", "_room", "_terms")  # for mypyc
 
@@ -69,45 +75,45 @@
         terms: Callable[[], object] | None = None,
         room: Callable[[], None] = lambda: None,
     ) -> None:
-        self._room = room  # told when more of a body that is passed on may come
-        self._terms = terms  # asked for each request's terms when its head has come
+        self._room = room  # called when more of a streamed body may be received
+        self._terms = terms  # returns the configuration for a request; called when its head is complete
         self._deliver = deliver
         self._sizes = sizes
-        self._expected = expected  # told when a caller waits for a word before it sends its body
+        self._expected = expected  # called for a request with `Expect: 100-continue`
         self._parser = httptools.HttpRequestParser(self)
         self.fault: Rejected | None = None
-        self.reading = False  # a request has begun and is not whole
-        self._begun = 0  # requests so far
+        self.reading = False  # whether a request has begun and is incomplete
+        self._begun = 0  # number of requests begun
         self.arrived = self.headed_at = 0.0
         self._begin()
 
     def close(self) -> None:
-        """Let go of the parser: it and this object hold each other."""
+        """Release the parser: it and this object reference each other."""
         del self._parser, self._deliver, self._expected, self._terms, self._room
 
     def feed(self, data: memoryview, now: float) -> None:
-        """Read what has come in."""
+        """Parse received bytes."""
         begun, self._now = self._begun if self.reading else 0, now
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reject(400, "the request is malformed")
-        if begun == self._begun and self.reading:  # not what has begun behind another in these bytes
+        if begun == self._begun and self.reading:  # not a request that began behind another one in these bytes
             self._wire += len(data)
-            # Of a stream by what has come of it: its limit alone would let framing go on for hundreds of MB.
+            # A streamed body counts with its size so far: its limit alone would allow hundreds of MB of framing.
             body = min(self._sizes.body, max(self._size, self._sizes.hold))
             most = WIRE_PART * body + self._sizes.head
             if not self._headed and self._wire > self._sizes.head:
-                self._reject(431, "the head is too large")  # Guards memory against one header without end.
-            elif self._wire > most:  # Guards memory against chunk framing without end.
+                self._reject(431, "the head is too large")  # Guards memory against one endless header.
+            elif self._wire > most:  # Guards memory against endless chunk framing.
                 self._reject(413, "the request is too large")
 
     def body_due(self, rate: float) -> float:
-        """When so much of the body would have come at this rate, in bytes a second; while its head comes, never."""
+        """Return when the body so far is due at this rate in bytes per second; 0 while the head is incomplete."""
         return self.headed_at + self._size / rate if self._headed else 0.0
 
     def held(self) -> int:
-        """Bytes of the body of a request that is not whole."""
+        """Return the buffered bytes of the body of an incomplete request."""
         if self.stream is not None:
             return self.stream.held
         return min(self._size, self._sizes.body) if self.reading else 0
@@ -126,9 +132,9 @@
         self._headed = False
         self._length: int | None = None
         self._judged_by: object = None
-        self.stream: Body | None = None  # the body of a request that has been delivered and is not whole
+        self.stream: Body | None = None  # the body of an incomplete request that was delivered
 
-    # ---- the parser's calls ----------------------------------------------------------------
+    # ---- callbacks of the parser -----------------------------------------------------------
 
     def on_message_begin(self) -> None:
         self._begin()
@@ -139,21 +145,21 @@
         self._target.append(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        # Guards against trailers that would count as headers, and against work for what is rejected anyway.
+        # Guards against trailers that would count as headers, and saves work on a request that is rejected anyway.
         if self._headed or self.fault is not None:
             return
         self._head += len(name) + len(value) + 4
         if self._head > self._sizes.head:
             self._reject(431, "the head is too large")
-        elif not value.isascii():  # Guards backends that close on what they can't read.
+        elif not value.isascii():  # Guards backends that close the connection on other bytes.
             self._reject(400, "a header is not plain text")
         else:
-            # Guards what is compared against the white space that may stand behind a value (RFC 9112 5.1).
+            # Guards comparisons against white space around a value (RFC 9112 5.1).
             self._header(name, name.lower(), value.strip(b" \t"))
 
     def _header(self, name: bytes, lower: bytes, value: bytes) -> None:
         if lower in NAMED:
-            if lower in self._headers:  # Guards against a backend that reads the other one.
+            if lower in self._headers:  # Guards against a backend that uses the other one.
                 self._reject(400, "a header comes twice")
             self._headers[lower] = value
         elif self._sizes.ordinary:
@@ -167,14 +173,14 @@
             if self._length > self._sizes.body:
                 self._reject(413, "the body is too large")
         elif lower == b"transfer-encoding" and value.lower() != b"chunked":
-            # Guards against a body that others end elsewhere.
+            # Guards against a body whose end others determine differently.
             self._reject(400, "the transfer coding is unknown")
-        # Guards, by the last, against a backend that takes `_` for `-` and reads a header not checked here.
+        # The last condition guards against a backend that takes `_` for `-` and reads a header not checked here.
         if lower != b"x-timeout" and lower not in HOP_BY_HOP and b"_" not in lower:
             self._lines.append(b"%b: %b\r\n" % (name, value))
 
     def _any(self, lower: bytes, value: bytes) -> None:
-        """A header that routes may ask for; one that comes in several lines is their list (RFC 9110 5.3)."""
+        """Record a header that routes may refer to; several lines form one list (RFC 9110 5.3)."""
         before = self._headers.get(lower)
         self._headers[lower] = value if before is None else before + b", " + value
 
@@ -196,11 +202,11 @@
     def _expect(self, what: bytes, expected: Callable[[], None]) -> None:
         if what != b"100-continue":
             self._reject(417, "the expectation is unknown")
-        elif self._parser.get_http_version() == "1.1":  # RFC 9110 10.1.1: 1.0 has no such answer
+        elif self._parser.get_http_version() == "1.1":  # RFC 9110 10.1.1: HTTP/1.0 has no 100 response
             expected()
 
     def _drop_named(self, named: set[bytes]) -> None:
-        """Headers that `Connection` names end here."""
+        """Drop the headers that `Connection` names."""
         if not named.isdisjoint(NAMED):  # Guards against a request that loses its id on the way.
             self._reject(400, "a header can't be dropped")
         self._lines = [line for line in self._lines if line.partition(b":")[0].lower() not in named]
@@ -231,7 +237,7 @@
             stream.end()
 
     def _pass(self, stream: Body | None) -> None:
-        """Deliver the request: whole, or with a body that is passed on as it comes."""
+        """Deliver the request, with its whole body or with a stream."""
         target = b"".join(self._target)
         if b"#" in target:
             self._reject(400, "the target is malformed")
