--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -1,4 +1,4 @@
-"""Where protocols meet the pools: what a request may bring along, and what carries an attempt to a box."""
+"""Interfaces between the protocols and the pools: requests, responses, and attempts to send them to backends."""
 
 from __future__ import annotations
 
@@ -16,136 +16,142 @@
 
 @dataclass(slots=True)
 class Request:
-    """A whole request as it came; `arrived` is the loop's time of its first byte."""
+    """A request as it was received; `arrived` is the loop's time of its first byte."""
 
     method: bytes
     target: bytes
-    headers: dict[bytes, bytes]  # those that the proxy reads, by their names in lower case
-    lines: list[bytes]  # the end-to-end headers, each with its line end, but for the time
+    headers: dict[bytes, bytes]  # those that the proxy reads, by lower-case name
+    lines: list[bytes]  # the end-to-end headers except X-Timeout, each with its line end
     body: bytes
     arrived: float
     keep_alive: bool
-    terms: Any = None  # by what it is judged, as of its head; the daemon's
-    form: Form | None = None  # what it has beyond this, where it came as gRPC
-    stream: Body | None = None  # its body, where that is passed on as it comes
-    ended: float = 0.0  # the loop's time of its last byte; of a stream, of what there is
-    old: bool = False  # HTTP/1.0: its sender knows no chunks
+    terms: Any = None  # the daemon's configuration when the head was received
+    form: Form | None = None  # what a gRPC request has beyond this
+    stream: Body | None = None  # the body, if it is streamed
+    ended: float = 0.0  # the loop's time of the last byte; for a stream, of the last byte before delivery
+    old: bool = False  # HTTP/1.0: the sender doesn't support chunks
 
 
 @dataclass(slots=True)
 class Response:
-    """A backend's whole answer."""
+    """The response of a backend."""
 
     status: int
-    head: bytes  # its end-to-end headers, each with its line end
+    head: bytes  # the end-to-end headers, each with its line end
     body: bytes
-    length: int | None = None  # of the body that a HEAD request was spared
-    trailers: bytes | None = None  # lines behind the body, where a gRPC box answers a request that came as gRPC
+    length: int | None = None  # Content-Length of the body that is omitted for a HEAD request
+    trailers: bytes | None = None  # trailer lines, if a gRPC backend responds to a gRPC request
 
 
 class Answerable(Protocol):
-    """Who a final answer is owed to."""
+    """The caller that a final response is owed to."""
 
-    gone: Callable[[], None] | None  # told when it leaves before its answer
-    peer: str  # the address that it connected from
+    gone: Callable[[], None] | None  # called if the caller disconnects before its response
+    peer: str  # the remote IP address
 
     def admit(self) -> None:
-        """Take up its request; raises Rejected where there are too many connections."""
+        """Accept its request; raises Rejected if there are too many connections."""
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
-        """Write the one final answer: whole header lines, a body, and the length of one that HEAD is spared."""
+        """Write the final response.
+
+        `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
+        """
 
     def passing(self) -> Passing | None:
-        """Who takes the answer as it comes, where it may be passed on so: not several, nor as gRPC."""
+        """Return the receiver of a streamed response; None where streaming is impossible: several callers, or gRPC."""
 
 
 class Passing(Protocol):
-    """Who takes an answer as it comes."""
+    """A receiver of a streamed response."""
 
     def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
-        """Write an answer's head; its body comes through the pipe, and `finish_answer` ends it, or `answer` cuts it."""
+        """Write a response head.
+
+        The body follows through the pipe; `finish_answer` completes it, and `answer` aborts it.
+        """
 
     def finish_answer(self) -> None:
-        """The answer that was begun is whole."""
+        """Mark the streamed response as complete."""
 
 
 class Form(Protocol):
-    """What a gRPC request has beyond an HTTP/1.1 one, and how its answer goes back as it came."""
+    """The parts of a gRPC request that HTTP/1.1 lacks; it also returns the response in gRPC form."""
 
     @property
     def pipe(self) -> Pipe | None:
-        """Its messages, where they are not all there: a stream. None: the request's body has them all."""
+        """The messages of a streaming call; None: the request's body contains all messages."""
 
     def plain(self, request: Request) -> Request:
-        """The request for a box that speaks HTTP/1.1."""
+        """Return the request in the form for an HTTP/1.1 backend."""
 
     @property
     def bound(self) -> bool:
-        """Whether only a gRPC box can take it: a stream, or any other number of messages than one."""
+        """Whether only a gRPC backend can take it: a streaming call, or one that has not exactly one message."""
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
-        """Pass on an answer that has begun; `finish` ends it."""
+        """Stream a response that has begun; `finish` ends it."""
 
     def finish(self, head: bytes, body: bytes, trailers: bytes) -> None:
-        """Write the answer, or what of it has not been passed on."""
+        """Write the response, or the part of it that has not been streamed."""
 
 
 class Attempt(Protocol):
-    """One attempt on the wire: from its start to its one outcome."""
+    """One attempt that has been sent, from its start to its single outcome."""
 
-    started: float  # in the loop's time
+    started: float  # the loop's time
 
     @property
     def backend(self) -> Listed:
-        """Who has it."""
+        """The backend that the attempt was sent to."""
 
     @property
     def open(self) -> bool:
-        """Whether its outcome has not been reported."""
+        """Whether the outcome has not been reported."""
 
     def latency(self, now: float) -> float:
-        """Seconds that the box took, if it ends now."""
+        """Return the backend's latency in seconds if the attempt ends now."""
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome, once, and let go of what carries it."""
+        """Report the outcome, once, and release the connection or stream."""
 
     def expire(self) -> None:
-        """The time that it is waited for is up."""
+        """Time out the attempt."""
 
 
 class Watcher(Protocol):
-    """Who is told of one attempt."""
+    """The observer of one attempt."""
 
     def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-        """Its one outcome."""
+        """Take the outcome."""
 
     def bound(self) -> None:
-        """A message has passed: the request belongs to this attempt from now on."""
+        """Bind the request to this attempt, because a message has been forwarded."""
 
     def begun(self, response: Response, body: Pipe) -> None:
-        """Its answer is passed on as it comes; `response` has its head alone."""
+        """Start streaming the response; `response` contains only its head."""
 
 
 class Listed(Protocol):
-    """A box as the list has it."""
+    """A backend as the endpoint list describes it."""
 
     address: Address
-    family: int | None  # that of a numeric address; a name has to be looked up
-    server: int  # its number in the list
+    family: int | None  # address family of a numeric address; None: the name has to be resolved
+    server: int  # its number in the endpoint list
     started: float
     in_service: bool
 
 
 class Lane(Protocol):
-    """Carries attempts to boxes that speak another protocol than HTTP/1.1."""
+    """A transport of attempts to backends that don't speak HTTP/1.1."""
 
     def start(
         self, backend: Listed, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
     ) -> Attempt:
-        """Send an attempt; its outcome is told later."""
+        """Send an attempt; its outcome is reported later."""
 
     def update(self, backend: Listed, address: Address, started: float, in_service: bool) -> None:
-        """What the list says of a box now; told before the backend itself is changed."""
+        """Apply what the endpoint list says about a backend; called before the backend itself is changed."""
 
     def close(self) -> None:
-        """Let go of all connections; nothing is sent from here any more."""
+        """Close all connections; nothing is sent from here any more."""
