--- a/lugspur/http1/__init__.py
+++ b/lugspur/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: what callers send, what backends answer, and the connections to both."""
+"""HTTP/1.1: parsing requests and responses, and the connections to callers and backends."""
--- a/lugspur/http1/dial.py
+++ b/lugspur/http1/dial.py
@@ -1,4 +1,4 @@
-"""Connections that are being made: look-ups, addresses one after another, and time-outs."""
+"""Establishing connections: name resolution, one address after another, and timeouts."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 
 from lugspur.seams import Listed
 
-OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL)  # say nothing of a backend
+# Errors that have local causes and say nothing about a backend.
+OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL)
 
 
 class Dialled(Protocol):
-    """What a connection is made for."""
+    """An exchange that a connection is established for."""
 
-    dial: Any  # the Dial, while it goes on
+    dial: Any  # the Dial while it is in progress
 
 
 For = TypeVar("For", bound=Dialled)
@@ -23,23 +24,23 @@
 
 
 class Dialler(Protocol[For_contra]):
-    """Who wants connections."""
+    """The owner of the exchanges that need connections."""
 
     def connected(self, wanted: For_contra, sock: socket.socket) -> None:
-        """One has come up."""
+        """Take an established connection."""
 
     def unreachable(self, wanted: For_contra, number: int) -> None:
-        """None has; `number` is the system's error, 0 for a time-out."""
+        """Take a failure; `number` is the system's error number, 0 for a timeout."""
 
     def undone(self) -> None:
-        """One was given up."""
+        """Release the resources of a cancelled dial."""
 
 
 class Dial(Generic[For]):
-    """A connection that is being made; it ends as a connection, or says that none came up.
+    """A connection that is being established; the dialler is told of the connection or of the failure.
 
-    Sockets are dialled and read by the loop's readers and writers: a task and a transport for each would cost
-    more than all else that an attempt needs of the loop.
+    Sockets are connected and read through the loop's readers and writers: a task and a transport for each would
+    cost more than everything else that an attempt needs of the loop.
     """
 
     __slots__ = ("_addresses", "_dialler", "_errno", "_loop", "_over", "_resolving", "_timer", "_wanted", "sock")
@@ -49,7 +50,7 @@
         self._loop = asyncio.get_running_loop()
         self._over = False
         self._errno = 0  # why the latest address failed
-        self._addresses: list[tuple[int, Any]] = []  # those that are still to be tried
+        self._addresses: list[tuple[int, Any]] = []  # the addresses that have not been tried yet
         self._resolving: asyncio.Task[None] | None = None
         self.sock: socket.socket | None = None
         self._timer = self._loop.call_later(within, self._fail)
@@ -61,7 +62,7 @@
             self._next()
 
     async def _resolve(self, host: str, port: int) -> None:
-        """Names take a look-up, which must not stop the loop."""
+        """Resolve the host name without blocking the loop."""
         try:
             found = await self._loop.getaddrinfo(host, port, type=socket.SOCK_STREAM)
         except OSError:
@@ -71,7 +72,10 @@
             self._next()
 
     def _next(self) -> None:
-        """Try the next address; the outcome comes later in any case: whoever sends is not ready for it."""
+        """Connect to the next address.
+
+        The outcome is always reported later, because the sender isn't ready for it yet.
+        """
         if self._over:
             return
         if not self._addresses:
@@ -83,7 +87,7 @@
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._errno = sock.connect_ex(address)
-        except OSError as fault:  # no descriptor left
+        except OSError as fault:  # no file descriptor left
             self._errno = fault.errno or 0
             self._loop.call_soon(self._fail)
             return
@@ -117,14 +121,14 @@
         self._wanted.dial = None
 
     def _fail(self) -> None:
-        """Refused, timed out, or no descriptor left."""
+        """Report the failure: connection refused, timed out, or no file descriptor left."""
         if not self._over:
             self._end()
             self._drop()
             self._dialler.unreachable(self._wanted, self._errno)
 
     def cancel(self) -> None:
-        """Its exchange is over."""
+        """Cancel the dial because its exchange has ended."""
         if not self._over:
             self._end()
             if self._resolving is not None:
--- a/lugspur/http1/hops.py
+++ b/lugspur/http1/hops.py
@@ -1,4 +1,4 @@
-"""Header lines that belong to one connection and go no further (RFC 9110 7.6.1), and those that frame a message."""
+"""Headers that belong to one connection (RFC 9110 7.6.1) or frame a message; neither are forwarded."""
 
 from __future__ import annotations
 
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -1,4 +1,4 @@
-"""One direction of a stream on its way from one connection to another: never more than the sender's window."""
+"""One direction of a stream between two connections, bounded by the sender's flow control window."""
 
 from __future__ import annotations
 
@@ -7,36 +7,37 @@
 
 
 def nothing(_: int) -> None:
-    """For bytes that nobody waits to be told of."""
+    """Credit callback for bytes whose sender needs no flow control credit."""
 
 
 class Pipe:
-    """Bytes that have come and have not gone on; who sends them is told when they have.
+    """Bytes that have been received and not yet forwarded.
 
-    `credit` is told of bytes that have gone out on the other side, so that as many more may come.
+    `credit` is called with the number of bytes that have been sent on the other side, so that the sender may send as
+    many more.
     """
 
     def __init__(self, credit: Callable[[int], None]) -> None:
         self._credit = credit
         self._chunks: deque[bytes] = deque()
-        self._free = 0  # bytes at the beginning that their sender has been told of already
+        self._free = 0  # bytes at the beginning that their sender has been credited for already
         self._told: Callable[[], None] | None = None
         self.ended = False
-        self.passed = False  # whether any byte was taken: what it belongs to is settled
+        self.passed = False  # whether any byte was taken: the request is bound to this attempt
 
     def put(self, data: bytes, free: bool = False) -> None:
-        """Some more; `free`: its sender need not be told when it has gone."""
+        """Append received bytes; `free` if their sender needs no credit for them."""
         self._free += len(data) * free
         self._chunks.append(data)
         self._tell()
 
     def end(self) -> None:
-        """Nothing more comes."""
+        """Mark the stream as complete."""
         self.ended = True
         self._tell()
 
     def attach(self, told: Callable[[], None] | None) -> None:
-        """Who takes them from now on, told at once and whenever there is more."""
+        """Set the callback of the reader, which is called at once and whenever there is more."""
         self._told = told
         self._tell()
 
@@ -45,24 +46,24 @@
             self._told()
 
     def take(self) -> bytes:
-        """All there is now."""
+        """Take all available bytes."""
         data = b"".join(self._chunks)
         self._chunks.clear()
         self.passed = self.passed or bool(data)
         return data
 
     def take_piece(self) -> bytes:
-        """What came first, as it came; empty where there is nothing."""
+        """Take the first chunk as it was received; empty if there is none."""
         data = self._chunks.popleft() if self._chunks else b""
         self.passed = self.passed or bool(data)
         return data
 
     def discard(self) -> None:
-        """What is there goes nowhere any more."""
+        """Drop the available bytes."""
         self.gone(len(self.take()))
 
     def gone(self, size: int) -> None:
-        """So many bytes that were taken have gone out, or will never."""
+        """Record that bytes taken before have been sent, or never will be, and credit their sender."""
         free = min(size, self._free)
         self._free -= free
         if size > free:
--- a/lugspur/reloads.py
+++ b/lugspur/reloads.py
@@ -1,7 +1,7 @@
-"""SIGHUP from a process's first moment on: what comes before it can be carried out is carried out later.
+"""Handles SIGHUP from the start of a process: a signal before the loop runs is carried out once it does.
 
-By default SIGHUP ends a process. Until its handler stands, some tenths of a second on a small machine, a process that
-is told to read its settings again would so be gone without a word.
+By default SIGHUP ends a process. Until its handler is installed, some tenths of a second after the start on a small
+machine, a reload request would otherwise end the process without a message.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 
 class _Early:
-    """What came before there was a loop to carry it out."""
+    """Records a signal that came before there was a loop to carry it out."""
 
     told = False
 
@@ -21,12 +21,12 @@
 
 
 def hold() -> None:
-    """From now on SIGHUP ends nothing. To be called first of all, from the main thread."""
+    """Install a SIGHUP handler that records the signal; call this first, from the main thread."""
     signal.signal(signal.SIGHUP, _note)
 
 
 def carry_out(loop: asyncio.AbstractEventLoop, reload: Callable[[], object]) -> None:
-    """Have `reload` called at each SIGHUP, and soon if one has come since `hold`."""
+    """Call `reload` at each SIGHUP, and soon if one has come since `hold`."""
     loop.add_signal_handler(signal.SIGHUP, reload)
     if _Early.told:
         _Early.told = False
