--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -23,9 +23,9 @@
 # Default limit in bytes on a response that is buffered whole.
 ANSWER_MOST = 1 << 20
 # Size in bytes above which a response is streamed to the caller.
-PASS_FROM = 64 << 10
+STREAMING_THRESHOLD = 64 << 10
 # Limit in bytes on a streamed response: 32 MB are to be expected, endless responses announce gigabytes.
-PASS_MOST = 40 << 20
+MAX_STREAMED_RESPONSE = 40 << 20
 # Fraction of the memory limit for all streamed responses together. Buffering them frees the backend early.
 FLOW_PART = 0.25
 # Bytes of one streamed response that may always wait for its caller, however many are streamed.
@@ -33,27 +33,27 @@
 # Fraction of the memory limit for incomplete buffered responses: many large ones could fill the memory.
 HELD_PART = 0.125
 # Limit in bytes on a response head, including the 1xx responses ahead of it: what HTTP clients commonly read.
-HEAD_MOST = 16 << 10
+MAX_HEAD = 16 << 10
 # Limit on the number of 1xx responses ahead of a response.
-INFORMED_MOST = 16
+MAX_INFORMATIONAL_RESPONSES = 16
 # Bytes read at once, into one buffer that all connections share.
 READ = 64 << 10
 # Fraction of the backends' idle timeout after which idle connections are closed, well before the backend does so.
 IDLE_PART = 0.5
 # Default limit on idle connections kept to one backend.
-IDLE_EACH = 2
+MAX_IDLE_PER_BACKEND = 2
 # Seconds without connection reuse after a reused connection broke before any byte of a response.
-DISTRUST = 10.0
+NO_REUSE_SECONDS = 10.0
 # Seconds allowed between two pieces of a response: a response arrives in one go, and a second attempt needs about
 # 0.2 s.
 STALL = 0.1
 
 
-def judge(status: int, unseen: bool) -> Outcome:
-    """Classify a response of the platform's protocol; `unseen` means that it has `X-Not-Processed: 1`."""
+def judge(status: int, not_processed: bool) -> Outcome:
+    """Classify a response of the platform's protocol; `not_processed` means that it has `X-Not-Processed: 1`."""
     if status == 200:
         return Outcome.OK
-    return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
+    return Outcome.OVERLOADED if status in (503, 504) and not_processed else Outcome.ERROR
 
 
 class Backend:
@@ -140,8 +140,8 @@
         if not self.open:
             return
         self.open = False
-        unrun = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
-        check(not (unrun and self._may_have_run()), Invariant.PROVEN_NOT_RUN, outcome=outcome.value.upper())
+        reported_not_run = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
+        check(not (reported_not_run and self._may_have_run()), Invariant.PROVEN_NOT_RUN, outcome=outcome.value.upper())
         if self.body is not None:
             self.body.told = None
         if self.timer is not None:
@@ -180,9 +180,9 @@
             return
         if self.timer is not None:
             self.timer.cancel()
-        late = now + STALL >= self.until
+        near_deadline = now + STALL >= self.until
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_at(self.until, self.expire) if late else loop.call_at(now + STALL, self.broke)
+        self.timer = loop.call_at(self.until, self.expire) if near_deadline else loop.call_at(now + STALL, self.broke)
 
     def _may_have_run(self) -> bool:
         return self.connection is not None and self.connection.written
@@ -200,17 +200,17 @@
         self.written = False  # whether the last byte of the request has been sent
         self.idle_since = 0.0  # the loop's time; 0: the connection is new
         self.over = False
-        self._heard = False  # whether a byte of the response has been received
-        self._strayed = False  # whether a response to another request has been received
-        self._held = 0  # bytes buffered here that the upstream counts in `held`
+        self._has_received = False  # whether a byte of the response has been received
+        self._has_seen_stray = False  # whether a response to another request has been received
+        self._buffered = 0  # bytes buffered here that the upstream counts in `held`
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: Response | None = None  # the complete response to the exchange
-        self._headed = self._spoilt = False
-        self._at = 0  # offset in the exchange's body up to which it has been read
-        self._flow: Pipe | None = None  # the body of the response that is streamed
-        self._waiting = 0  # bytes in that pipe that the caller has not taken
-        self._paused = False  # whether reading is paused until the caller has taken more
-        self._begin()
+        self._response: Response | None = None  # the complete response to the exchange
+        self._head_complete = self._invalid = False
+        self._body_offset = 0  # offset in the exchange's body up to which it has been read
+        self._pipe: Pipe | None = None  # the body of the response that is streamed
+        self._pipe_backlog = 0  # bytes in that pipe that the caller has not taken
+        self._reading_paused = False  # whether reading is paused until the caller has taken more
+        self._reset()
         self.sock = sock
         self._unsent = memoryview(b"")
         self._loop = asyncio.get_running_loop()
@@ -224,20 +224,20 @@
         self.exchange = exchange
         exchange.connection = self
         self.written = False
-        self._heard = self._strayed = False
+        self._has_received = self._has_seen_stray = False
         if exchange.body is not None:
-            self._at = 0
-            exchange.body.begin(self._pump)
+            self._body_offset = 0
+            exchange.body.begin(self._send_body)
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
             # Nothing has been sent. The failure is reported later, because the sender isn't ready for it yet.
-            self._loop.call_soon(self._lost)
+            self._loop.call_soon(self._close)
             return
         if sent == len(data):
-            self._out()
+            self._on_sent()
         else:
             self._unsent = memoryview(data)[sent:]
             self._loop.add_writer(self.sock.fileno(), self._writable)
@@ -248,32 +248,32 @@
         except BlockingIOError:
             return
         except OSError:
-            self._lost()
+            self._close()
             return
         # A separate statement: mypyc evaluates the operand of a slice twice, which would send part of the request
         # twice.
         self._unsent = self._unsent[sent:]
         if not self._unsent:
             self._loop.remove_writer(self.sock.fileno())
-            self._out()
+            self._on_sent()
 
-    def _out(self) -> None:
+    def _on_sent(self) -> None:
         """Continue after all pending bytes have been sent."""
         exchange = self.exchange
         if exchange is None or exchange.body is None:
             self.written = True
         else:
-            exchange.body.passed(self._at)
-            self._pump()
+            exchange.body.passed(self._body_offset)
+            self._send_body()
 
-    def _pump(self) -> None:
+    def _send_body(self) -> None:
         """Send the available part of the body, one piece at a time."""
         exchange = self.exchange
         if exchange is None or exchange.body is None or self._unsent or self.written or self.over:
             return
         body = exchange.body
-        data = body.read(self._at)
-        self._at += len(data)
+        data = body.read(self._body_offset)
+        self._body_offset += len(data)
         if data and body.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         if not data:
@@ -302,37 +302,43 @@
     def abandon(self) -> None:
         """Close at once and drop unsent bytes."""
         self.exchange = None
-        self._lost()
+        self._close()
 
     def _readable(self) -> None:
         try:
-            most = 0 if self._flow is None else min(READ, self._upstream.flow())
-            count = self.sock.recv_into(self._upstream.buffer, most)
+            max_bytes = 0 if self._pipe is None else min(READ, self._upstream.flow())
+            count = self.sock.recv_into(self._upstream.buffer, max_bytes)
         except BlockingIOError:
             return
         except OSError:
             # A reset never counts as the end of a response, whatever has been received.
-            self._lost()
+            self._close()
             return
         if count:
             self.buffer_updated(count)
-        elif not self._ended_whole():
-            self._lost()
+        elif not self._deliver_at_close():
+            self._close()
 
-    def _ended_whole(self) -> bool:
+    def _deliver_at_close(self) -> bool:
         """Deliver a response that ends with its connection, having neither length nor chunks (RFC 9112 6.3).
 
         Returns whether the end of the connection was such an end.
         """
         exchange = self.exchange
-        if exchange is None or not self._headed or self._spoilt or self._answer is not None or self._framed:
+        if (
+            exchange is None
+            or not self._head_complete
+            or self._invalid
+            or self._response is not None
+            or self._has_framing
+        ):
             return False
-        self._clean = False
-        self._answer = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
-        self._deliver(exchange, self._answer)
+        self._is_reusable = False
+        self._response = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
+        self._deliver(exchange, self._response)
         return True
 
-    def _lost(self) -> None:
+    def _close(self) -> None:
         """Close the connection after either side has ended it."""
         if self.over:
             return
@@ -340,12 +346,12 @@
         self._loop.remove_reader(self.sock.fileno())
         self._loop.remove_writer(self.sock.fileno())
         self.sock.close()
-        self._let_go()
-        self._end_flow()
+        self._release_buffer()
+        self._stop_streaming()
         self._upstream.lost(self)
         del self._parser  # Guards memory: the parser and this object reference each other.
         if self.exchange is not None:
-            if self.idle_since and not self._heard:
+            if self.idle_since and not self._has_received:
                 self._upstream.distrust()
             self.exchange.broke()
 
@@ -355,31 +361,31 @@
         if exchange is None:  # Guards against an unsolicited response: it must not serve any request.
             self.abandon()
             return
-        self._heard = True
+        self._has_received = True
         try:
             self._parser.feed_data(self._upstream.buffer[:nbytes])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._clean = False
-            self._spoilt = self._spoilt or (self._strayed and self._answer is None)
-        if not self._headed:
-            self._fed += nbytes
+            self._is_reusable = False
+            self._invalid = self._invalid or (self._has_seen_stray and self._response is None)
+        if not self._head_complete:
+            self._head_input += nbytes
             # Guards memory against one endless header.
-            self._spoilt = self._spoilt or self._fed > HEAD_MOST + READ
-        answer = self._answer
-        if answer is None or self._spoilt:
-            if self._spoilt or not (self._clean or self._strayed):
+            self._invalid = self._invalid or self._head_input > MAX_HEAD + READ
+        response = self._response
+        if response is None or self._invalid:
+            if self._invalid or not (self._is_reusable or self._has_seen_stray):
                 exchange.broke()
-            elif self._begun:
+            elif self._message_begun:
                 exchange.begun(self._upstream.now())
             return
-        self._deliver(exchange, answer)
+        self._deliver(exchange, response)
 
-    def _deliver(self, exchange: Exchange, answer: Response) -> None:
+    def _deliver(self, exchange: Exchange, response: Response) -> None:
         """Report a complete response, and keep the connection if it can be reused."""
-        self._answer = None
-        outcome = self._upstream.judge(answer.status, self._unseen)
-        nameless = exchange.echo is not None and self._echoed is None
-        if nameless and outcome is Outcome.OVERLOADED and self.idle_since:
+        self._response = None
+        outcome = self._upstream.judge(response.status, self._not_processed)
+        lacks_id = exchange.echo is not None and self._response_id is None
+        if lacks_id and outcome is Outcome.OVERLOADED and self.idle_since:
             # Guards against a late rejection of an earlier request on this connection: where responses carry the id
             # of their request, one without an id doesn't prove that this request has not run.
             exchange.broke()
@@ -388,32 +394,32 @@
             outcome = Outcome.OVERLOADED  # a backend starts work after the last byte, so the request never ran
         # The connection is kept only if the response was this request's and nothing followed it: the next request might
         # get either otherwise.
-        if self._clean and not nameless and self.written and self.usable():
+        if self._is_reusable and not lacks_id and self.written and self.usable():
             self.exchange = exchange.connection = None
-            self._begin()
+            self._reset()
             self._upstream.release(self)
-        exchange.end(outcome, answer)
+        exchange.end(outcome, response)
 
-    def _let_go(self) -> None:
-        self._upstream.held -= self._held
-        self._held = 0
+    def _release_buffer(self) -> None:
+        self._upstream.held -= self._buffered
+        self._buffered = 0
 
-    def _begin_flow(self, exchange: Exchange) -> None:
+    def _start_streaming(self, exchange: Exchange) -> None:
         """Stream the response from here on: it is too large to be a short response with a wrong length."""
         assert exchange.begin is not None
         exchange.flowing, exchange.first = True, self._upstream.now()
         if exchange.timer is not None:
             exchange.timer.cancel()
 
-        def taken(size: int) -> None:
+        def on_read(size: int) -> None:
             self._upstream.flow_held -= size
-            if flow is self._flow:  # else the response has ended meanwhile
-                self._taken(size)
+            if flow is self._pipe:  # else the response has ended meanwhile
+                self._on_pipe_read(size)
 
-        self._flow = flow = Pipe(taken)
-        self._put(b"".join(self._body))
+        self._pipe = flow = Pipe(on_read)
+        self._write_to_pipe(b"".join(self._body))
         self._body.clear()
-        self._let_go()
+        self._release_buffer()
         exchange.begin(Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow)
 
     def pass_on(self, exchange: Exchange) -> bool:
@@ -421,81 +427,83 @@
 
         Guards large responses that arrive slowly: the deadline applies to their first bytes.
         """
-        good = self._headed and self._body and self._clean and not self._spoilt and self._answer is None
-        if not good or exchange.begin is None or not self._serves():
+        is_valid = (
+            self._head_complete and self._body and self._is_reusable and not self._invalid and self._response is None
+        )
+        if not is_valid or exchange.begin is None or not self._is_success():
             return False
-        self._begin_flow(exchange)
+        self._start_streaming(exchange)
         return True
 
-    def _put(self, data: bytes) -> None:
-        assert self._flow is not None
-        self._waiting += len(data)
+    def _write_to_pipe(self, data: bytes) -> None:
+        assert self._pipe is not None
+        self._pipe_backlog += len(data)
         self._upstream.flow_held += len(data)
-        self._flow.put(data)
-        if self._waiting > self._upstream.flow() and not self._paused and not self.over:
-            self._paused = True
+        self._pipe.put(data)
+        if self._pipe_backlog > self._upstream.flow() and not self._reading_paused and not self.over:
+            self._reading_paused = True
             self._loop.remove_reader(self.sock.fileno())
 
-    def _taken(self, size: int) -> None:
-        self._waiting -= size
-        if self._paused and not self.over and self._waiting <= self._upstream.flow() // 2:
-            self._paused = False
+    def _on_pipe_read(self, size: int) -> None:
+        self._pipe_backlog -= size
+        if self._reading_paused and not self.over and self._pipe_backlog <= self._upstream.flow() // 2:
+            self._reading_paused = False
             self._loop.add_reader(self.sock.fileno(), self._readable)
 
-    def _end_flow(self) -> None:
-        if self._flow is not None:
-            self._flow = None
-            if self._paused and not self.over:
+    def _stop_streaming(self) -> None:
+        if self._pipe is not None:
+            self._pipe = None
+            if self._reading_paused and not self.over:
                 self._loop.add_reader(self.sock.fileno(), self._readable)
-            self._paused, self._waiting = False, 0
+            self._reading_paused, self._pipe_backlog = False, 0
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._head: list[bytes] = []
         self._body: list[bytes] = []
-        self._named = b""
-        self._echoed: bytes | None = None
+        self._connection_options = b""
+        self._response_id: bytes | None = None
         self._length: int | None = None
-        self._size = self._fed = self._informed = 0
-        self._unseen = self._headed = self._spoilt = self._begun = False
-        self._framed = False  # whether its end can be determined from its length or its chunks
-        self._end_flow()
-        self._clean = True  # whether all bytes so far are valid, belong to the response and allow reuse
+        self._size = self._head_input = self._informational_count = 0
+        self._not_processed = self._head_complete = self._invalid = self._message_begun = False
+        self._has_framing = False  # whether its end can be determined from its length or its chunks
+        self._stop_streaming()
+        self._is_reusable = True  # whether all bytes so far are valid, belong to the response and allow reuse
 
     # ---- callbacks of the parser -------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self._begun = True
-        if self._answer is not None:  # a second response: the first one stands
-            self._clean = False
+        self._message_begun = True
+        if self._response is not None:  # a second response: the first one stands
+            self._is_reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         # Guards against trailers that would count as headers.
-        if self._headed or self._spoilt or self._answer is not None:
+        if self._head_complete or self._invalid or self._response is not None:
             return
         self._size += len(name) + len(value) + 4
         lower, value = name.lower(), value.strip(b" \t")
         if lower == self._upstream.proof:
-            self._unseen = value == b"1"
+            self._not_processed = value == b"1"
         elif lower == b"connection":
-            self._named += b"," + value.lower()
+            self._connection_options += b"," + value.lower()
         elif lower == b"content-length":
-            self._length, self._framed = int(value), True
+            self._length, self._has_framing = int(value), True
             # Guards the memory limit against an endless response.
-            self._spoilt = self._length > self._most() and not self._bodyless()
+            self._invalid = self._length > self._max_body() and not self._is_head_request()
         elif lower == b"transfer-encoding":
-            self._spoilt = value.lower() != b"chunked"
-            self._framed = True
+            self._invalid = value.lower() != b"chunked"
+            self._has_framing = True
         elif lower == self._upstream.echo:
-            self._echoed = value
+            self._response_id = value
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif lower == b"keep-alive":
-            self._heard_keep(value)
+            self._read_keep_alive(value)
         # A load report is meant for the proxy, and a value that is not ASCII may be more than a caller can read.
         elif lower not in HOP_BY_HOP and lower != b"x-server-load" and value.isascii():
             self._head.append(b"%b: %b\r\n" % (name, value))
-        self._spoilt = self._spoilt or self._size > HEAD_MOST
+        self._invalid = self._invalid or self._size > MAX_HEAD
 
-    def _heard_keep(self, value: bytes) -> None:
+    def _read_keep_alive(self, value: bytes) -> None:
         """Read from a Keep-Alive header how long the backend keeps idle connections."""
         for part in value.split(b","):
             key, _, seconds = part.strip().partition(b"=")
@@ -508,86 +516,86 @@
         return (
             exchange is not None
             and exchange.echo is not None
-            and self._echoed is not None
-            and self._echoed != exchange.echo
+            and self._response_id is not None
+            and self._response_id != exchange.echo
         )
 
     def on_headers_complete(self) -> None:
-        if self._answer is not None:
+        if self._response is not None:
             return
         status = self._parser.get_status_code()
         if 100 <= status < 200:
-            self._informed += 1
+            self._informational_count += 1
             # Guards against a protocol switch that nobody requested, and against endless 1xx responses.
-            self._spoilt = self._spoilt or status == 101 or self._informed > INFORMED_MOST
+            self._invalid = self._invalid or status == 101 or self._informational_count > MAX_INFORMATIONAL_RESPONSES
             return
-        self._headed = True
+        self._head_complete = True
         self._size = 0
-        if self._named:
-            named = {token.strip() for token in self._named.split(b",")}
+        if self._connection_options:
+            named = {token.strip() for token in self._connection_options.split(b",")}
             self._head = [line for line in self._head if line.partition(b":")[0].lower() not in named]
-        if self._bodyless() and not self._spoilt:
+        if self._is_head_request() and not self._invalid:
             # Guards the next request against a body that was announced and follows after all: it couldn't be told
             # from a response. Costs a connection for each HEAD request.
-            self._clean = False
-            self._answer = Response(status, b"".join(self._head), b"", self._length)
+            self._is_reusable = False
+            self._response = Response(status, b"".join(self._head), b"", self._length)
 
-    def _most(self) -> int:
+    def _max_body(self) -> int:
         """Return the limit in bytes on the response body."""
-        passes = self.exchange is not None and self.exchange.begin is not None
-        return self._upstream.pass_most if passes else self._upstream.answer_most
+        may_stream = self.exchange is not None and self.exchange.begin is not None
+        return self._upstream.pass_most if may_stream else self._upstream.answer_most
 
-    def _serves(self) -> bool:
-        return self._upstream.judge(self._parser.get_status_code(), self._unseen) is Outcome.OK
+    def _is_success(self) -> bool:
+        return self._upstream.judge(self._parser.get_status_code(), self._not_processed) is Outcome.OK
 
-    def _repeatable(self) -> bool:
+    def _is_repeatable(self) -> bool:
         return self.exchange is not None and self.exchange.repeatable
 
-    def _bodyless(self) -> bool:
+    def _is_head_request(self) -> bool:
         return self.exchange is not None and self.exchange.bodyless
 
     def on_body(self, body: bytes) -> None:
-        if self._answer is not None or self._spoilt:
+        if self._response is not None or self._invalid:
             return
         self._size += len(body)
-        if self._flow is not None and self._size <= self._upstream.pass_most:
-            self._put(body)
+        if self._pipe is not None and self._size <= self._upstream.pass_most:
+            self._write_to_pipe(body)
             return
         # Guards the memory limit against an endless response, and against many large ones at once.
         if self._size <= self._upstream.answer_most and self._upstream.holds(len(body)):
-            self._held += len(body)
+            self._buffered += len(body)
             self._body.append(body)
             exchange = self.exchange
-            passes = exchange is not None and exchange.open and exchange.begin is not None
+            may_stream = exchange is not None and exchange.open and exchange.begin is not None
             # A response to a retryable request is buffered up to this size: a truncated one announces more than it has.
-            large = self._size if self._repeatable() else max(self._size, self._length or 0)
-            if passes and large > self._upstream.pass_from and self._serves():
+            large = self._size if self._is_repeatable() else max(self._size, self._length or 0)
+            if may_stream and large > self._upstream.pass_from and self._is_success():
                 assert exchange is not None
-                self._begin_flow(exchange)
+                self._start_streaming(exchange)
         else:
-            self._spoilt = True
+            self._invalid = True
 
     def on_message_complete(self) -> None:
-        if self._answer is not None or self._spoilt:
+        if self._response is not None or self._invalid:
             return
-        if self._headed and self._stray():
+        if self._head_complete and self._stray():
             # Guards a request against a response to another one; the connection is not kept afterwards.
-            self._let_go()
-            self._strayed = True
-            self._begin()
-            self._clean = False
+            self._release_buffer()
+            self._has_seen_stray = True
+            self._reset()
+            self._is_reusable = False
             return
-        if not self._headed:  # 1xx: the final response follows with a new head
-            self._begun = self._unseen = self._framed = False
-            self._echoed = None
+        if not self._head_complete:  # 1xx: the final response follows with a new head
+            self._message_begun = self._not_processed = self._has_framing = False
+            self._response_id = None
             self._head.clear()
-            self._named = b""
+            self._connection_options = b""
             self._length = None
             return
-        self._clean = self._parser.should_keep_alive() and not self._strayed
-        self._answer = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
+        self._is_reusable = self._parser.should_keep_alive() and not self._has_seen_stray
+        self._response = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
         self._body.clear()
-        self._let_go()
+        self._release_buffer()
 
 
 class Upstream:
@@ -617,38 +625,38 @@
         """
         self.proof, self.echo = proof, echo
         self._reuses = keeps > 0
-        self._tell = dialled  # called for each backend with whether a connection was established
+        self._on_dialled = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
         self.answer_most = answer_most
         self.judge = judge
-        self._keep = IDLE_PART * conn_idle
+        self._max_idle_time = IDLE_PART * conn_idle
         self._dial_timeout = dial_timeout
-        self._idle_each = keeps or IDLE_EACH
+        self._max_idle_per_backend = keeps or MAX_IDLE_PER_BACKEND
         self.buffer = memoryview(bytearray(READ))
-        self._distrust_until = 0.0
+        self._no_reuse_until = 0.0
         self.held = 0  # bytes of incomplete buffered responses
         # Bytes above which a response is streamed, and the limit on a streamed response.
-        self.pass_from, self.pass_most = PASS_FROM, PASS_MOST
+        self.pass_from, self.pass_most = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
         self.flow_held = 0  # bytes of all streamed responses that wait for their callers
         self.flow_most = held_most  # limit on those bytes
         self.held_most = held_most
         self._idle: dict[Connection, None] = {}  # the longest idle first
-        self._sweeping = self._loop.call_later(self._keep / 4.0, self._sweep)
+        self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
 
     def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int, idle_each: int) -> None:
         """Apply changed limits."""
-        self._idle_each = idle_each
-        self._keep, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self._max_idle_per_backend = idle_each
+        self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
         self.held_most, self.answer_most = held_most, answer_most
 
     def retime(self, conn_idle: float, dial_timeout: float) -> None:
         """Apply changed timeouts."""
-        self._keep, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
 
     def close(self) -> None:
         """Close all idle connections; nothing is sent from here any more."""
-        self._sweeping.cancel()
+        self._sweep_timer.cancel()
         for connection in tuple(self._idle):
             self._drop(connection)
 
@@ -690,15 +698,15 @@
 
     def connected(self, exchange: Exchange, sock: socket.socket) -> None:
         """Send the exchange on an established connection, which owns the socket from then on."""
-        if self._tell is not None:
-            self._tell(exchange.backend.server, True)
+        if self._on_dialled is not None:
+            self._on_dialled(exchange.backend.server, True)
         self._transmit(exchange, Connection(self, exchange.backend, sock))
 
     def unreachable(self, exchange: Exchange, number: int) -> None:
         """End an exchange whose connection could not be established."""
         self.undone()
-        if self._tell is not None and number not in OWN_FAULTS:
-            self._tell(exchange.backend.server, False)
+        if self._on_dialled is not None and number not in OWN_FAULTS:
+            self._on_dialled(exchange.backend.server, False)
         exchange.end(Outcome.UNREACHABLE)
 
     def undone(self) -> None:
@@ -723,8 +731,8 @@
         backend = connection.backend
         now = self._loop.time()
         # Guards backends: each open connection takes some of their capacity.
-        full = len(backend.idle) >= self._idle_each
-        if not backend.in_service or full or now < self._distrust_until or not connection.usable():
+        full = len(backend.idle) >= self._max_idle_per_backend
+        if not backend.in_service or full or now < self._no_reuse_until or not connection.usable():
             connection.abandon()
             return
         connection.idle_since = now
@@ -736,7 +744,7 @@
 
         Guards against backends or middleboxes that silently drop idle connections.
         """
-        self._distrust_until = self._loop.time() + DISTRUST
+        self._no_reuse_until = self._loop.time() + NO_REUSE_SECONDS
         for connection in tuple(self._idle):
             self._drop(connection)
 
@@ -778,8 +786,8 @@
 
     def _sweep(self) -> None:
         """Close connections that have been idle for long: a request that crosses the backend's own close is lost."""
-        self._sweeping = self._loop.call_later(self._keep / 4.0, self._sweep)
-        latest = self._loop.time() - self._keep
+        self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
+        latest = self._loop.time() - self._max_idle_time
         for connection in tuple(self._idle):
             if connection.idle_since > latest:
                 break
