--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -19,11 +19,11 @@
 from lugspur.seams import Passing, Request
 
 # Bytes read at once, into one buffer that all callers share.
-READ = 64 << 10
+READ_SIZE = 64 << 10
 # Seconds from connecting within which the first request must begin. A caller is granted at most 3 s.
 FIRST_WITHIN = 2.0
 # Seconds more for the head of a first request that began late: with the sweep's 0.25 s that is less than 3 s.
-HEAD_MORE = 0.6
+LATE_HEAD_ALLOWANCE = 0.6
 # Seconds for which the first bytes of a new connection may still be in flight.
 SETTLE = 0.05
 # Seconds from the first byte of a request within which its head must be complete: some callers take 2 s, and a
@@ -40,33 +40,33 @@
 # The same when connections are scarce or no request was ever accepted; the protocol requires this minimum.
 IDLE_LEAST = 2.0
 # Fraction of the limit on connections above which they count as scarce.
-CROWDED = 0.5
+SCARCITY_FRACTION = 0.5
 # Seconds that a closing connection may take; meanwhile its input is read and dropped.
 LINGER = 2.0
 # Limit in bytes on that input. Closing with unread input would reset the connection and lose the response.
-DROP_MOST = 64 << 20
+MAX_DROPPED_INPUT = 64 << 20
 # Seconds between checks of the time limits.
-SWEEP = 0.25
+SWEEP_INTERVAL = 0.25
 # Fraction of the memory limit for incomplete bodies: hundreds of them could fill the memory.
 HELD_PART = 0.25
 # The connection preface of HTTP/2 (RFC 9113 3.4); no HTTP/1.1 request begins like this.
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 # Limit on pipelined requests that wait behind another one: callers send one at a time.
-PIPELINE_MOST = 8
+MAX_PIPELINED_REQUESTS = 8
 # Seconds from a drain until idle connections are closed: by then most callers have sent another request.
 DRAIN_FROM = 1.0
 # Seconds for which a connection that was opened after the drain call may still deliver its first request.
-DRAIN_SETTLE = 0.3
+DRAIN_FIRST_REQUEST_GRACE = 0.3
 # Seconds between checks from then on: a caller that can still send a request 2 s after the call is held 4 s after it.
 DRAIN_EVERY = 0.1
 # Seconds between checks whether a response has been sent, so that its connection may be handed over.
-PASS_AGAIN = 0.02
+HANDOVER_RETRY_DELAY = 0.02
 # Connections that may wait to be accepted.
 BACKLOG = 1024
 # Connections accepted at once: without a free file descriptor the loop logs an error for each, every second.
-ACCEPTS = 8
+ACCEPTS_PER_WAKEUP = 8
 # Reason phrases by status; backends may send other statuses.
-PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 class Front:
@@ -103,8 +103,8 @@
         self.drained_at: float | None = None  # when an operator started a drain; None: not draining
         self.held = 0  # bytes of incomplete bodies
         self.rejections: Counter[int] = Counter()  # requests rejected here, by status
-        self._limit(most, memory)
-        self.buffer = memoryview(bytearray(READ))
+        self._set_limits(most, memory)
+        self.buffer = memoryview(bytearray(READ_SIZE))
         self.callers: set[Held] = set()
         self.look = select.poll()
         # Connections that owe no response, each with the loop's time at which it is closed.
@@ -115,9 +115,9 @@
         self.flowing: dict[Held, float] = {}  # a response is being streamed
         self.last_accept = 0.0
         self._loop = asyncio.get_running_loop()
-        self._loop.call_later(SWEEP, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL, self._sweep)
 
-    def _limit(self, most: int, memory: int) -> None:
+    def _set_limits(self, most: int, memory: int) -> None:
         self.most = most
         self.held_most = int(HELD_PART * memory)
 
@@ -128,7 +128,7 @@
         `grace` the time for streams to end. `sizes` applies to new connections.
         """
         self.grace = grace
-        self._limit(most, memory)
+        self._set_limits(most, memory)
         self.sizes = sizes
         self.first_within = self.whole_within = within
         self.idle_most = idle
@@ -150,7 +150,7 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.setblocking(False)
             sock.bind(self.address)
-        self._server = await loop.create_server(lambda: Caller(self), sock=sock, backlog=ACCEPTS)
+        self._server = await loop.create_server(lambda: Caller(self), sock=sock, backlog=ACCEPTS_PER_WAKEUP)
         sock.listen(BACKLOG)
         self.serving = True
         return sock
@@ -184,13 +184,13 @@
         """Start a drain: responses close their connection, and idle connections are closed a little later."""
         if self.drained_at is None:
             self.drained_at = self._loop.time()
-            self._let_go_in(since)
+            self._schedule_idle_close(since)
 
     def undrain(self) -> None:
         """End the drain."""
         self.drained_at = None
 
-    def _let_go_in(self, delay: float) -> None:
+    def _schedule_idle_close(self, delay: float) -> None:
         if self.drained_at is not None:
             self._loop.call_later(delay, self._let_go, self.drained_at)
 
@@ -198,10 +198,10 @@
         """Close connections without an open request."""
         if self.drained_at != drained_at:
             return
-        self._let_go_in(DRAIN_EVERY)
-        settled = self._loop.time() + self.first_within - DRAIN_SETTLE
+        self._schedule_idle_close(DRAIN_EVERY)
+        latest = self._loop.time() + self.first_within - DRAIN_FIRST_REQUEST_GRACE
         for caller in tuple(self.callers):
-            if caller.quiet() and self.fresh.get(caller, 0.0) < settled:
+            if caller.quiet() and self.fresh.get(caller, 0.0) < latest:
                 caller.front_closes()
 
     def full(self, newcomer: Held) -> bool:
@@ -209,10 +209,10 @@
         if len(self.callers) <= self.most:
             return False
         # Protects good callers: useless connections are closed first, one whose request is being read never.
-        settled = self._loop.time() + self.first_within - SETTLE
-        silent = [caller for caller, limit in itertools.islice(self.fresh.items(), 1) if limit < settled]
-        for place in (self.leaving, silent, self.idle, self.fresh):
-            for caller in place:
+        latest = self._loop.time() + self.first_within - SETTLE
+        silent = [caller for caller, limit in itertools.islice(self.fresh.items(), 1) if limit < latest]
+        for table in (self.leaving, silent, self.idle, self.fresh):
+            for caller in table:
                 if caller is not newcomer:
                     caller.drop()
                     return False
@@ -225,11 +225,11 @@
         """
         if self.closing and not self.callers:
             return
-        self._loop.call_later(SWEEP, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
-        early = self.idle_most - IDLE_LEAST if len(self.callers) > CROWDED * self.most else 0.0
-        for place, before in ((self.leaving, 0.0), (self.fresh, 0.0), (self.idle, early)):
-            for caller in [caller for caller, limit in place.items() if limit - before <= now]:
+        shortened_by = self.idle_most - IDLE_LEAST if len(self.callers) > SCARCITY_FRACTION * self.most else 0.0
+        for table, before in ((self.leaving, 0.0), (self.fresh, 0.0), (self.idle, shortened_by)):
+            for caller in [caller for caller, limit in table.items() if limit - before <= now]:
                 caller.drop()
         for caller in [caller for caller, limit in self.reading.items() if limit <= now]:
             caller.slow(now)
@@ -272,13 +272,13 @@
         """Process received bytes."""
         raise NotImplementedError
 
-    def move(self, place: dict[Held, float] | None, limit: float = 0.0) -> None:
+    def move(self, table: dict[Held, float] | None, limit: float = 0.0) -> None:
         """Move the connection to this table of the front until the loop's time `limit`."""
         if self._place is not None:
             self._place.pop(self, None)
-        self._place = place
-        if place is not None:
-            place[self] = limit
+        self._place = table
+        if table is not None:
+            table[self] = limit
 
     def leave(self) -> None:
         """Stop being counted by the front."""
@@ -299,9 +299,9 @@
     def quiet(self) -> bool:
         """Return whether no input is unread, so that closing now loses no request."""
         self.front.look.register(self._fd, select.POLLIN)
-        waits = bool(self.front.look.poll(0))
+        has_input = bool(self.front.look.poll(0))
         self.front.look.unregister(self._fd)
-        return not waits
+        return not has_input
 
     def pass_on(self) -> None:
         """Hand the connection over to the replacing process if no request is open; here it closes the ordinary way."""
@@ -334,24 +334,26 @@
         self.used = used  # also if the requests were accepted by the previous process
         self._loop = asyncio.get_running_loop()
         # The first bytes, until the protocol is known; None: it is HTTP/1.
-        self._early: bytes | None = b"" if front.http2 is not None else None
+        self._preface_input: bytes | None = b"" if front.http2 is not None else None
         self._queue: deque[Request | Rejected] = deque()
-        self._intake = Intake(self._queue.append, front.sizes, self._continue, front.terms, self._room)
-        self._stream: Body | None = None  # the body of the current request while it is received
+        self._parser = Intake(
+            self._queue.append, front.sizes, self._send_continue, front.terms, self._resume_request_body
+        )
+        self._request_body: Body | None = None  # the body of the current request while it is received
         self._paused_at = 0.0  # since when reading is paused because the backend takes no more; 0: not paused
-        self._old = False  # whether the current request is HTTP/1.0
-        self._flow: Pipe | None = None  # the response that is streamed
+        self._is_http10 = False  # whether the current request is HTTP/1.0
+        self._response_pipe: Pipe | None = None  # the response that is streamed
         self._chunked = False  # whether that response is chunked
-        self._owed = 0  # bytes written of that response that its sender has not been credited for
+        self._uncredited = 0  # bytes written of that response that its sender has not been credited for
         self._busy = False
         self._stuck = False  # whether the caller has stopped reading its responses
         self._keep_alive = True
-        self._bodyless = False  # whether the current request is a HEAD
-        self._faulty = False  # whether a rejection is queued or was sent: no further request is read
-        self._dropped = 0
-        self._held = 0  # bytes of incomplete bodies counted in `front.held`
-        self._rests_until = 0.0  # the loop's time until which input is deferred
-        self._kept = b""  # that deferred input
+        self._is_head_request = False  # whether the current request is a HEAD
+        self._ignores_input = False  # whether a rejection is queued or was sent: no further request is read
+        self._dropped_bytes = 0
+        self._buffered = 0  # bytes of incomplete bodies counted in `front.held`
+        self._deferred_until = 0.0  # the loop's time until which input is deferred
+        self._deferred_input = b""  # that deferred input
         self.gone: Callable[[], None] | None = None  # called if the caller disconnects before its response
 
     # ---- the connection ------------------------------------------------------------------
@@ -371,26 +373,26 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.leave()
         self._queue.clear()
-        self._hold(0)
-        self._intake.close()
-        self._let_go()
+        self._count_buffered(0)
+        self._parser.close()
+        self._release_request()
 
-    def _let_flow_go(self) -> None:
+    def _drop_response(self) -> None:
         """Detach from the streamed response and drop the rest of it."""
-        flow, self._flow = self._flow, None
-        owed, self._owed = self._owed, 0
+        flow, self._response_pipe = self._response_pipe, None
+        uncredited, self._uncredited = self._uncredited, 0
         if flow is not None:
             flow.attach(None)
-            flow.gone(owed)
+            flow.gone(uncredited)
             flow.discard()
 
-    def _let_go(self) -> None:
+    def _release_request(self) -> None:
         """Release the request whose response can't be delivered any more."""
-        self._let_flow_go()
+        self._drop_response()
         gone, self.gone = self.gone, None
         if gone is not None:
             gone()
-        stream, self._stream = self._stream, None
+        stream, self._request_body = self._request_body, None
         if stream is not None:  # after the callback: the attempt ends here and must not be retried
             stream.drop()
 
@@ -403,11 +405,18 @@
         """Hand the connection over to the replacing process together with unread input, without closing it."""
         front, transport = self.front, self._transport
         # Guards input that this process has read, and responses that have not been sent.
-        open_ = self._busy or self._queue or self._intake.reading or self._kept or self._early or self._faulty
-        if front.pass_to is None or open_ or transport.is_closing() or self._place is front.leaving:
+        has_open_request = (
+            self._busy
+            or self._queue
+            or self._parser.reading
+            or self._deferred_input
+            or self._preface_input
+            or self._ignores_input
+        )
+        if front.pass_to is None or has_open_request or transport.is_closing() or self._place is front.leaving:
             return
         if transport.get_write_buffer_size():
-            self._loop.call_later(PASS_AGAIN, self.pass_on)
+            self._loop.call_later(HANDOVER_RETRY_DELAY, self.pass_on)
         elif front.pass_to(self._fd):
             self.drop()
 
@@ -416,25 +425,25 @@
 
     def resume_writing(self) -> None:
         self._stuck = False
-        if self._flow is not None:
-            owed, self._owed = self._owed, 0
-            self._flow.gone(owed)
-            self._pass()
+        if self._response_pipe is not None:
+            uncredited, self._uncredited = self._uncredited, 0
+            self._response_pipe.gone(uncredited)
+            self._write_pieces()
             return
         self._resume()
 
-    def _room(self) -> None:
+    def _resume_request_body(self) -> None:
         """Resume reading because more of the streamed body may be received."""
         if self._paused_at:  # the pause doesn't count towards the caller's time limits
-            passed, self._paused_at = self._loop.time() - self._paused_at, 0.0
-            self._intake.headed_at += passed
+            pause, self._paused_at = self._loop.time() - self._paused_at, 0.0
+            self._parser.headed_at += pause
             if self._place is self.front.reading:
-                self.move(self.front.reading, self.front.reading[self] + passed)
+                self.move(self.front.reading, self.front.reading[self] + pause)
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
     def slow(self, now: float) -> None:
-        stream = self._stream
+        stream = self._request_body
         if stream is not None and stream.full:  # the delay is caused by the backend, not by this caller
             self.move(self.front.reading, now + BODY_LEAST)
             return
@@ -442,16 +451,16 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         data = self.front.buffer[:nbytes]
-        if self._early is not None:
-            begun = self._early + bytes(data)
-            if PREFACE.startswith(begun[: len(PREFACE)]):
-                self._early = begun
-                if len(begun) >= len(PREFACE):
-                    self._hand_over(begun)
+        if self._preface_input is not None:
+            received = self._preface_input + bytes(data)
+            if PREFACE.startswith(received[: len(PREFACE)]):
+                self._preface_input = received
+                if len(received) >= len(PREFACE):
+                    self._switch_to_http2(received)
                 return
-            self._early, data = None, memoryview(begun)
-        if self._rests_until and self._loop.time() < self._rests_until:
-            self._keep(data)
+            self._preface_input, data = None, memoryview(received)
+        if self._deferred_until and self._loop.time() < self._deferred_until:
+            self._defer(data)
         else:
             self.feed(data)
 
@@ -460,78 +469,78 @@
 
         Costs nothing if nothing arrives. Could harm important requests on the same connection: they are deferred too.
         """
-        self._rests_until = self._loop.time() + seconds
+        self._deferred_until = self._loop.time() + seconds
 
-    def _keep(self, data: memoryview) -> None:
-        if not self._kept:
-            self._loop.call_at(self._rests_until, self._rested, self.arrival(self._loop.time()))
+    def _defer(self, data: memoryview) -> None:
+        if not self._deferred_input:
+            self._loop.call_at(self._deferred_until, self._process_deferred, self.arrival(self._loop.time()))
         # Guards memory: one read is deferred, and another one for each response that resumes reading.
         self._transport.pause_reading()
-        self._kept += bytes(data)
+        self._deferred_input += bytes(data)
         self.front.held += len(data)
 
-    def _rested(self, came: float) -> None:
-        data, self._kept, self._rests_until = self._kept, b"", 0.0
+    def _process_deferred(self, came: float) -> None:
+        data, self._deferred_input, self._deferred_until = self._deferred_input, b"", 0.0
         self.front.held -= len(data)
         if not self._transport.is_closing():
             self._transport.resume_reading()
             self.feed(memoryview(data), came)
 
-    def _hand_over(self, begun: bytes) -> None:
+    def _switch_to_http2(self, received: bytes) -> None:
         """Hand the connection over to the HTTP/2 protocol, as ALPN would."""
         assert self.front.http2 is not None
         successor, transport = self.front.http2(self.front), self._transport
         self.leave()
-        self._intake.close()
+        self._parser.close()
         transport.set_protocol(successor)
         successor.connection_made(transport)
-        successor.feed(memoryview(begun))
+        successor.feed(memoryview(received))
 
     def feed(self, data: memoryview, came: float | None = None) -> None:
         """Process received bytes; `came` is their time of arrival if they were deferred."""
-        if self._faulty:
-            self._dropped += len(data)
-            if self._dropped > DROP_MOST:  # Guards the CPU against an endless sender.
+        if self._ignores_input:
+            self._dropped_bytes += len(data)
+            if self._dropped_bytes > MAX_DROPPED_INPUT:  # Guards the CPU against an endless sender.
                 self.drop()
             return
-        intake, front = self._intake, self.front
+        intake, front = self._parser, self.front
         now = self.arrival(self._loop.time())
         intake.feed(data, now if came is None else came)
-        self._hold(intake.held())
-        if self._stream is not None and not self._stream.ended:
-            self._more(now)
+        self._count_buffered(intake.held())
+        if self._request_body is not None and not self._request_body.ended:
+            self._continue_body(now)
             return
-        if self._stream is not None:
-            self._stream = None
+        if self._request_body is not None:
+            self._request_body = None
             if self._busy:  # else it was answered just now
                 self.move(None)
-        if self._held and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
+        if self._buffered and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
             intake.fault = Rejected(503, "too many bodies at once")
-        if len(self._queue) > PIPELINE_MOST:  # Guards memory and backends against a flood on one connection.
+        if len(self._queue) > MAX_PIPELINED_REQUESTS:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
             intake.fault = Rejected(400, "too many requests at once")
         if intake.fault is not None:
-            self._faulty = True
+            self._ignores_input = True
             self._queue.append(intake.fault)
         if self._queue:
-            self._next()
+            self._start_next_request()
         elif intake.reading and not self._busy:
             limit = intake.arrived + front.whole_within
             if self._place is front.fresh:  # a request that began late has less time for its head
-                limit = min(limit, front.fresh[self] + HEAD_MORE)
+                limit = min(limit, front.fresh[self] + LATE_HEAD_ALLOWANCE)
             elif self._place is front.reading:
                 limit = front.reading[self]
             self.move(front.reading, max(limit, intake.body_due(BODY_RATE) + BODY_LEAST))
 
-    def _more(self, now: float) -> None:
+    def _continue_body(self, now: float) -> None:
         """Continue after more of a streamed body has been received."""
-        intake, stream, front = self._intake, self._stream, self.front
+        intake, stream, front = self._parser, self._request_body, self.front
         assert stream is not None
-        if self._held and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
+        if self._buffered and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
             intake.fault = Rejected(503, "too many bodies at once")
         if intake.fault is not None:
             # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
-            self._let_go()
+            self._release_request()
             self.reject(intake.fault)
         else:
             limit = max(intake.arrived + front.whole_within, intake.body_due(BODY_RATE) + BODY_LEAST)
@@ -540,9 +549,9 @@
                 self._paused_at = now
                 self._transport.pause_reading()
 
-    def _hold(self, size: int) -> None:
-        self.front.held += size - self._held
-        self._held = size
+    def _count_buffered(self, size: int) -> None:
+        self.front.held += size - self._buffered
+        self._buffered = size
 
     # ---- requests and responses ------------------------------------------------------------
 
@@ -550,7 +559,7 @@
         """Accept the current request; raises Rejected if there are too many connections."""
         self.front.admit(self)
 
-    def _next(self) -> None:
+    def _start_next_request(self) -> None:
         """Start the next request unless another one is unanswered or its response unread."""
         if self._busy or self._stuck:
             self._transport.pause_reading()  # Guards memory: a caller may not pile up requests.
@@ -561,56 +570,58 @@
             return
         self._busy = True
         self.move(None)
-        self._keep_alive, self._old = request.keep_alive, request.old
-        self._stream = stream = request.stream if request.stream is not None and not request.stream.ended else None
-        self._bodyless = request.method == b"HEAD"
+        self._keep_alive, self._is_http10 = request.keep_alive, request.old
+        self._request_body = stream = (
+            request.stream if request.stream is not None and not request.stream.ended else None
+        )
+        self._is_head_request = request.method == b"HEAD"
         try:
             self.front.handle(request, self)
         except Rejected as fault:
-            self._let_go()
+            self._release_request()
             self.reject(fault)
             return
-        if stream is not None and self._stream is stream:
+        if stream is not None and self._request_body is stream:
             self._transport.resume_reading()  # the body has to be received while the request is processed
             self.move(self.front.reading, self._loop.time() + self.front.whole_within)
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         """Ask for the body that a caller holds back (`Expect: 100-continue`), unless other requests are ahead of it."""
         if not self._busy and not self._queue:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _write(self, status: int, head: bytes, body: bytes, keep: bool, length: int | None = None) -> None:
+    def _write(self, status: int, head: bytes, body: bytes, keep_alive: bool, length: int | None = None) -> None:
         size = len(body) if length is None else length
         # RFC 9110 8.6: a 204 has no length; that of a 304 would describe another response, which is not known here.
-        told = b"" if status in (204, 304) else b"Content-Length: %d\r\n" % size
+        framing = b"" if status in (204, 304) else b"Content-Length: %d\r\n" % size
         self._transport.write(
             b"HTTP/1.1 %d %b\r\n%b%b%b\r\n%b"
             % (
                 status,
-                PHRASES.get(status, b"Other"),
+                REASON_PHRASES.get(status, b"Other"),
                 head,
-                told,
-                b"" if keep else b"Connection: close\r\n",
-                b"" if self._bodyless else body,
+                framing,
+                b"" if keep_alive else b"Connection: close\r\n",
+                b"" if self._is_head_request else body,
             )
         )
 
     def reject(self, fault: Rejected) -> None:
         """Reject a request and close the connection: a client kept alive would repeat it at full speed."""
         self.front.rejections[fault.status] += 1
-        if self._stream is not None:
-            self._let_go()
+        if self._request_body is not None:
+            self._release_request()
         self.gone = None
-        self._busy, self._faulty = False, True
+        self._busy, self._ignores_input = False, True
         self._queue.clear()
-        self._hold(0)
+        self._count_buffered(0)
         self._write(fault.status, b"", fault.reason.encode() + b"\n", False)
         self.move(self.front.leaving, self._loop.time() + LINGER)
         # Guards the response against a reset: input is still read until the caller closes.
         self._transport.resume_reading()
-        self._end_output()
+        self._shut_down_output()
 
-    def _end_output(self) -> None:
+    def _shut_down_output(self) -> None:
         """Close the sending side; input is still read until the caller closes.
 
         Guards everything else in the same iteration of the loop, such as other callers of a sweep: if the caller has
@@ -627,43 +638,43 @@
         `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
         """
         check(self._busy, Invariant.ONE_ANSWER, peer=self.peer, status=status)
-        if self._flow is not None:  # a response that was begun can't be completed by another
+        if self._response_pipe is not None:  # a response that was begun can't be completed by another
             self.cut()
             return
-        if self._stream is not None and not self._stream.ended:  # responded before the end of the body
-            self._answer_early(status, head, body, length)
+        if self._request_body is not None and not self._request_body.ended:  # responded before the end of the body
+            self._respond_early(status, head, body, length)
             return
         self.gone = None
         self._busy = False
-        keep = self._keeps()
-        self._write(status, head, body, keep, length)
-        self._after(keep)
+        keep_alive = self._keeps_alive()
+        self._write(status, head, body, keep_alive, length)
+        self._after_response(keep_alive)
 
-    def _keeps(self) -> bool:
+    def _keeps_alive(self) -> bool:
         return self._keep_alive and not self.front.closing and self.front.drained_at is None
 
-    def _answer_early(self, status: int, head: bytes, body: bytes, length: int | None) -> None:
+    def _respond_early(self, status: int, head: bytes, body: bytes, length: int | None) -> None:
         """Write a response before the end of the request's body and close; the rest of the body is read and dropped."""
-        stream, self._stream = self._stream, None
+        stream, self._request_body = self._request_body, None
         assert stream is not None
         self.gone = None
-        self._busy, self._faulty = False, True
+        self._busy, self._ignores_input = False, True
         self._queue.clear()
         stream.drop()
-        self._hold(0)
+        self._count_buffered(0)
         self._write(status, head, body, False, length)
         self.move(self.front.leaving, self._loop.time() + LINGER)
         self._transport.resume_reading()
-        self._end_output()
+        self._shut_down_output()
 
-    def _after(self, keep: bool) -> None:
+    def _after_response(self, keep_alive: bool) -> None:
         """Continue after a complete response has been written."""
-        if not keep:
+        if not keep_alive:
             self._queue.clear()
             self.close()
             return
         now, front = self._loop.time(), self.front
-        if self._intake.reading:
+        if self._parser.reading:
             self.move(front.reading, now + front.whole_within)
         else:
             self.move(front.idle, now + (front.idle_most if self.used else IDLE_LEAST))
@@ -682,63 +693,69 @@
 
     def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write a response head; the body follows through the pipe, and `finish_answer` or `cut` ends it."""
-        check(self._busy and self._flow is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
-        stream, self._stream = self._stream, None
+        check(self._busy and self._response_pipe is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
+        stream, self._request_body = self._request_body, None
         if stream is not None and not stream.ended:  # the rest of the request's body is not needed
             self._keep_alive = False
-            self._faulty = True
+            self._ignores_input = True
             stream.drop()
-            self._hold(0)
-        self._keep_alive = self._keeps() and (length is not None or not self._old)
-        self._chunked = length is None and not self._old
-        told = (
+            self._count_buffered(0)
+        self._keep_alive = self._keeps_alive() and (length is not None or not self._is_http10)
+        self._chunked = length is None and not self._is_http10
+        framing = (
             b"Transfer-Encoding: chunked\r\n"
             if self._chunked
             else (b"" if length is None else b"Content-Length: %d\r\n" % length)
         )
         self._transport.write(
             b"HTTP/1.1 %d %b\r\n%b%b%b\r\n"
-            % (status, PHRASES.get(status, b"Other"), head, told, b"" if self._keep_alive else b"Connection: close\r\n")
+            % (
+                status,
+                REASON_PHRASES.get(status, b"Other"),
+                head,
+                framing,
+                b"" if self._keep_alive else b"Connection: close\r\n",
+            )
         )
-        self._flow = flow
+        self._response_pipe = flow
         self.move(self.front.flowing, self._loop.time() + FLOW_WITHIN)
-        flow.attach(self._pass)
+        flow.attach(self._write_pieces)
 
-    def _pass(self) -> None:
+    def _write_pieces(self) -> None:
         """Write the available part of the response as long as the caller reads."""
-        flow = self._flow
+        flow = self._response_pipe
         while flow is not None and not self._stuck and (data := flow.take_piece()):
             self.move(self.front.flowing, self._loop.time() + FLOW_WITHIN)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
             if self._stuck:  # credited once it has been sent
-                self._owed += len(data)
+                self._uncredited += len(data)
             else:
                 flow.gone(len(data))
         if flow is not None and flow.ended and not self._stuck:
-            self._finish()
+            self._complete_response()
 
     def finish_answer(self) -> None:
         """Mark the streamed response as complete."""
         self.gone = None
-        if self._flow is not None:
-            self._flow.end()
+        if self._response_pipe is not None:
+            self._response_pipe.end()
 
-    def _finish(self) -> None:
+    def _complete_response(self) -> None:
         """End the response after all of it has been written."""
         if self._chunked:
             self._transport.write(b"0\r\n\r\n")
-        self._let_flow_go()
+        self._drop_response()
         self._busy = False
-        if self._faulty:
+        if self._ignores_input:
             self.close()
         else:
-            self._after(self._keep_alive and self._keeps())
+            self._after_response(self._keep_alive and self._keeps_alive())
 
     def cut(self) -> None:
         """Abort a response that was begun so that the caller can detect it."""
-        self._let_flow_go()
+        self._drop_response()
         self.gone = None
-        if self._old and not self._chunked:  # a regular close would look like the end of the response
+        if self._is_http10 and not self._chunked:  # a regular close would look like the end of the response
             self.drop()
         else:
             self._queue.clear()
@@ -748,4 +765,4 @@
         if not self._queue:
             self._transport.resume_reading()
         elif not self._busy:
-            self._next()
+            self._start_next_request()
