--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -14,11 +14,11 @@
 # Default limit in bytes on a request body.
 BODY_MOST = 64 << 10
 # Limit in bytes on a streamed request body: 32 MB are to be expected, 60 MB are rejected.
-STREAM_MOST = 40 << 20
+MAX_STREAMED_BODY = 40 << 20
 # Limit in bytes on a request head: what backends commonly accept.
-HEAD_MOST = 16 << 10
+MAX_HEAD = 16 << 10
 # Factor of the body limit that a request may take on the wire: with the smallest chunks it takes six times its size.
-WIRE_PART = 8
+MAX_WIRE_FACTOR = 8
 VERSIONS = ("1.1", "1.0")
 # The proxy sets these headers on every request, so they need not be removed from the lines of an ordinary client.
 REWRITTEN = frozenset({b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto"})
@@ -53,19 +53,19 @@
     `ordinary` stands for any HTTP client, for which routes may refer to every header.
     """
 
-    head: int = HEAD_MOST
+    head: int = MAX_HEAD
     body: int = BODY_MOST
     ordinary: bool = False
     hold: int = 1 << 62  # body size above which the body is streamed
 
 
-PLATFORM = Sizes(body=STREAM_MOST, hold=HOLD)
+PLATFORM = Sizes(body=MAX_STREAMED_BODY, hold=HOLD)
 
 
 class Intake:
     """The parser of one connection: it delivers requests, and the first error is kept and ends it."""
 
-    __deletable__ = ("_deliver", "_expected", "_parser", "_room", "_terms")  # for mypyc
+    __deletable__ = ("_deliver", "_send_continue", "_parser", "_resume_body", "_get_configuration")  # for mypyc
 
     def __init__(
         self,
@@ -75,99 +75,99 @@
         terms: Callable[[], object] | None = None,
         room: Callable[[], None] = lambda: None,
     ) -> None:
-        self._room = room  # called when more of a streamed body may be received
-        self._terms = terms  # returns the configuration for a request; called when its head is complete
+        self._resume_body = room  # called when more of a streamed body may be received
+        self._get_configuration = terms  # returns the configuration for a request; called when its head is complete
         self._deliver = deliver
         self._sizes = sizes
-        self._expected = expected  # called for a request with `Expect: 100-continue`
+        self._send_continue = expected  # called for a request with `Expect: 100-continue`
         self._parser = httptools.HttpRequestParser(self)
         self.fault: Rejected | None = None
         self.reading = False  # whether a request has begun and is incomplete
-        self._begun = 0  # number of requests begun
+        self._requests_begun = 0  # number of requests begun
         self.arrived = self.headed_at = 0.0
-        self._begin()
+        self._reset()
 
     def close(self) -> None:
         """Release the parser: it and this object reference each other."""
-        del self._parser, self._deliver, self._expected, self._terms, self._room
+        del self._parser, self._deliver, self._send_continue, self._get_configuration, self._resume_body
 
     def feed(self, data: memoryview, now: float) -> None:
         """Parse received bytes."""
-        begun, self._now = self._begun if self.reading else 0, now
+        begun, self._now = self._requests_begun if self.reading else 0, now
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._reject(400, "the request is malformed")
-        if begun == self._begun and self.reading:  # not a request that began behind another one in these bytes
-            self._wire += len(data)
+        if begun == self._requests_begun and self.reading:  # not a request that began behind another one in these bytes
+            self._wire_size += len(data)
             # A streamed body counts with its size so far: its limit alone would allow hundreds of MB of framing.
-            body = min(self._sizes.body, max(self._size, self._sizes.hold))
-            most = WIRE_PART * body + self._sizes.head
-            if not self._headed and self._wire > self._sizes.head:
+            body = min(self._sizes.body, max(self._body_size, self._sizes.hold))
+            most = MAX_WIRE_FACTOR * body + self._sizes.head
+            if not self._head_complete and self._wire_size > self._sizes.head:
                 self._reject(431, "the head is too large")  # Guards memory against one endless header.
-            elif self._wire > most:  # Guards memory against endless chunk framing.
+            elif self._wire_size > most:  # Guards memory against endless chunk framing.
                 self._reject(413, "the request is too large")
 
     def body_due(self, rate: float) -> float:
         """Return when the body so far is due at this rate in bytes per second; 0 while the head is incomplete."""
-        return self.headed_at + self._size / rate if self._headed else 0.0
+        return self.headed_at + self._body_size / rate if self._head_complete else 0.0
 
     def held(self) -> int:
         """Return the buffered bytes of the body of an incomplete request."""
         if self.stream is not None:
             return self.stream.held
-        return min(self._size, self._sizes.body) if self.reading else 0
+        return min(self._body_size, self._sizes.body) if self.reading else 0
 
     def _reject(self, status: int, reason: str) -> None:
         if self.fault is None:
             self.fault = Rejected(status, reason)
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._target: list[bytes] = []
         self._headers: dict[bytes, bytes] = {}
-        self._connection = b""
+        self._connection_options = b""
         self._lines: list[bytes] = []
         self._body: list[bytes] = []
-        self._head = self._size = self._wire = 0
-        self._headed = False
+        self._head_size = self._body_size = self._wire_size = 0
+        self._head_complete = False
         self._length: int | None = None
-        self._judged_by: object = None
+        self._configuration: object = None
         self.stream: Body | None = None  # the body of an incomplete request that was delivered
 
     # ---- callbacks of the parser -----------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self._begin()
+        self._reset()
         self.reading, self.arrived = True, self._now
-        self._begun += 1
+        self._requests_begun += 1
 
     def on_url(self, url: bytes) -> None:
         self._target.append(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         # Guards against trailers that would count as headers, and saves work on a request that is rejected anyway.
-        if self._headed or self.fault is not None:
+        if self._head_complete or self.fault is not None:
             return
-        self._head += len(name) + len(value) + 4
-        if self._head > self._sizes.head:
+        self._head_size += len(name) + len(value) + 4
+        if self._head_size > self._sizes.head:
             self._reject(431, "the head is too large")
         elif not value.isascii():  # Guards backends that close the connection on other bytes.
             self._reject(400, "a header is not plain text")
         else:
             # Guards comparisons against white space around a value (RFC 9112 5.1).
-            self._header(name, name.lower(), value.strip(b" \t"))
+            self._process_header(name, name.lower(), value.strip(b" \t"))
 
-    def _header(self, name: bytes, lower: bytes, value: bytes) -> None:
+    def _process_header(self, name: bytes, lower: bytes, value: bytes) -> None:
         if lower in NAMED:
             if lower in self._headers:  # Guards against a backend that uses the other one.
                 self._reject(400, "a header comes twice")
             self._headers[lower] = value
         elif self._sizes.ordinary:
-            self._any(lower, value)
+            self._record_header(lower, value)
         if self._sizes.ordinary and lower in REWRITTEN:
             return
         if lower == b"connection":
-            self._connection += b"," + value.lower()
+            self._connection_options += b"," + value.lower()
         elif lower == b"content-length":
             self._length = int(value)
             if self._length > self._sizes.body:
@@ -179,14 +179,14 @@
         if lower != b"x-timeout" and lower not in HOP_BY_HOP and b"_" not in lower:
             self._lines.append(b"%b: %b\r\n" % (name, value))
 
-    def _any(self, lower: bytes, value: bytes) -> None:
+    def _record_header(self, lower: bytes, value: bytes) -> None:
         """Record a header that routes may refer to; several lines form one list (RFC 9110 5.3)."""
         before = self._headers.get(lower)
         self._headers[lower] = value if before is None else before + b", " + value
 
     def on_headers_complete(self) -> None:
-        self._headed, self.headed_at = True, self._now
-        self._judged_by = None if self._terms is None else self._terms()
+        self._head_complete, self.headed_at = True, self._now
+        self._configuration = None if self._get_configuration is None else self._get_configuration()
         version = self._parser.get_http_version()
         if self._parser.should_upgrade():  # Guards against bytes behind the head that are no request.
             self._reject(400, "no upgrade here")
@@ -194,18 +194,18 @@
             self._reject(505, "HTTP/1.1 is spoken here")
         elif version == "1.1" and b"host" not in self._headers:
             self._reject(400, "no host")
-        elif self._connection:
-            self._drop_named({token.strip() for token in self._connection.split(b",")})
-        if self._expected is not None and self.fault is None and b"expect" in self._headers:
-            self._expect(self._headers[b"expect"].lower(), self._expected)
+        elif self._connection_options:
+            self._drop_connection_headers({token.strip() for token in self._connection_options.split(b",")})
+        if self._send_continue is not None and self.fault is None and b"expect" in self._headers:
+            self._check_expectation(self._headers[b"expect"].lower(), self._send_continue)
 
-    def _expect(self, what: bytes, expected: Callable[[], None]) -> None:
+    def _check_expectation(self, what: bytes, expected: Callable[[], None]) -> None:
         if what != b"100-continue":
             self._reject(417, "the expectation is unknown")
         elif self._parser.get_http_version() == "1.1":  # RFC 9110 10.1.1: HTTP/1.0 has no 100 response
             expected()
 
-    def _drop_named(self, named: set[bytes]) -> None:
+    def _drop_connection_headers(self, named: set[bytes]) -> None:
         """Drop the headers that `Connection` names."""
         if not named.isdisjoint(NAMED):  # Guards against a request that loses its id on the way.
             self._reject(400, "a header can't be dropped")
@@ -214,29 +214,29 @@
             self._headers.pop(name, None)
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > self._sizes.body:
+        self._body_size += len(body)
+        if self._body_size > self._sizes.body:
             self._reject(413, "the body is too large")
         elif self.stream is not None:
             self.stream.put(body)
         else:
             self._body.append(body)
-            if self._size > self._sizes.hold and self.fault is None:
-                stream = Body(self._length, self._room, KEEP * self._sizes.hold)
+            if self._body_size > self._sizes.hold and self.fault is None:
+                stream = Body(self._length, self._resume_body, KEEP * self._sizes.hold)
                 stream.put(b"".join(self._body))
                 self._body.clear()
-                self._pass(stream)
+                self._deliver_request(stream)
                 self.stream = stream
 
     def on_message_complete(self) -> None:
         self.reading = False
         stream, self.stream = self.stream, None
         if stream is None:
-            self._pass(None)
+            self._deliver_request(None)
         elif self.fault is None:
             stream.end()
 
-    def _pass(self, stream: Body | None) -> None:
+    def _deliver_request(self, stream: Body | None) -> None:
         """Deliver the request, with its whole body or with a stream."""
         target = b"".join(self._target)
         if b"#" in target:
@@ -252,7 +252,7 @@
                 b"".join(self._body),
                 self.arrived,
                 self._parser.should_keep_alive(),
-                self._judged_by,
+                self._configuration,
                 stream=stream,
                 ended=self._now,
                 old=self._parser.get_http_version() == "1.0",
