--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -11,7 +11,7 @@
 # Bytes that may have been received and not forwarded; the sender is not read beyond them.
 WINDOW = 64 << 10
 # Bytes forwarded at once.
-PIECE = 64 << 10
+PIECE_SIZE = 64 << 10
 
 
 class Body:
@@ -22,13 +22,13 @@
     """
 
     def __init__(self, length: int | None, room: Callable[[], None], keep: int = KEEP * HOLD) -> None:
-        self._keep = keep
-        self._gathers = False
+        self._replay_limit = keep
+        self._buffers_whole = False
         self.length = length  # Content-Length; None: the body is chunked
-        self._room = room  # called when the sender may send more
+        self._resume_sender = room  # called when the sender may send more
         self._data = bytearray()
-        self._base = 0  # bytes dropped from the beginning
-        self._gone = 0  # bytes forwarded by the current attempt
+        self._start = 0  # bytes dropped from the beginning
+        self._forwarded = 0  # bytes forwarded by the current attempt
         self.ended = False  # whether the last byte has been received
         self.over = False  # whether the rest is not needed: the request was answered or cancelled
         self.told: Callable[[], None] | None = None  # called when the current attempt can read more
@@ -38,12 +38,12 @@
     @property
     def bound(self) -> bool:
         """Whether some bytes have been dropped, so that no other attempt can start."""
-        return self._base > 0
+        return self._start > 0
 
     @property
     def came(self) -> int:
         """Number of bytes received."""
-        return self._base + len(self._data)
+        return self._start + len(self._data)
 
     @property
     def held(self) -> int:
@@ -53,13 +53,13 @@
     @property
     def full(self) -> bool:
         """Whether the sender should pause."""
-        return not self.over and not self._gathers and self.came - self._gone > WINDOW
+        return not self.over and not self._buffers_whole and self.came - self._forwarded > WINDOW
 
     def gather(self, whole: Callable[[bytes], None]) -> None:
         """Buffer the whole body and pass it to `whole` at its end, for a receiver that can't take pieces."""
-        self._gathers = True
+        self._buffers_whole = True
         self.whole = lambda: whole(bytes(self._data))
-        self._room()
+        self._resume_sender()
 
     def put(self, data: bytes) -> None:
         """Append received bytes."""
@@ -81,30 +81,30 @@
         told, self.told = self.told, None
         self.over = True
         self.whole = self.dropped = None
-        self._base = self.came
+        self._start = self.came
         self._data = bytearray()
         if told is not None:
             told()  # the current attempt can't complete without the rest of the body
-        self._room()
+        self._resume_sender()
 
     def begin(self, told: Callable[[], None]) -> None:
         """Start an attempt at the first byte, after the previous one has ended."""
-        self.told, self._gone = told, 0
+        self.told, self._forwarded = told, 0
 
     def read(self, at: int) -> bytes:
         """Return the available bytes from this offset on, up to one piece."""
-        start = at - self._base
-        return bytes(self._data[start : start + PIECE])
+        start = at - self._start
+        return bytes(self._data[start : start + PIECE_SIZE])
 
     def passed(self, at: int) -> None:
         """Record that the current attempt has forwarded all bytes before this offset."""
         full = self.full
-        self._gone = at
-        if at > self._keep and not self.over:
-            first = not self._base
-            del self._data[: at - self._base]
-            self._base = at
+        self._forwarded = at
+        if at > self._replay_limit and not self.over:
+            first = not self._start
+            del self._data[: at - self._start]
+            self._start = at
             if first and self.dropped is not None:
                 self.dropped()
         if full and not self.full:
-            self._room()
+            self._resume_sender()
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -20,30 +20,30 @@
     def __init__(self, credit: Callable[[int], None]) -> None:
         self._credit = credit
         self._chunks: deque[bytes] = deque()
-        self._free = 0  # bytes at the beginning that their sender has been credited for already
-        self._told: Callable[[], None] | None = None
+        self._credited = 0  # bytes at the beginning that their sender has been credited for already
+        self._on_data: Callable[[], None] | None = None
         self.ended = False
         self.passed = False  # whether any byte was taken: the request is bound to this attempt
 
     def put(self, data: bytes, free: bool = False) -> None:
         """Append received bytes; `free` if their sender needs no credit for them."""
-        self._free += len(data) * free
+        self._credited += len(data) * free
         self._chunks.append(data)
-        self._tell()
+        self._notify()
 
     def end(self) -> None:
         """Mark the stream as complete."""
         self.ended = True
-        self._tell()
+        self._notify()
 
     def attach(self, told: Callable[[], None] | None) -> None:
         """Set the callback of the reader, which is called at once and whenever there is more."""
-        self._told = told
-        self._tell()
+        self._on_data = told
+        self._notify()
 
-    def _tell(self) -> None:
-        if self._told is not None:
-            self._told()
+    def _notify(self) -> None:
+        if self._on_data is not None:
+            self._on_data()
 
     def take(self) -> bytes:
         """Take all available bytes."""
@@ -64,7 +64,7 @@
 
     def gone(self, size: int) -> None:
         """Record that bytes taken before have been sent, or never will be, and credit their sender."""
-        free = min(size, self._free)
-        self._free -= free
+        free = min(size, self._credited)
+        self._credited -= free
         if size > free:
             self._credit(size - free)
--- a/lugspur/reloads.py
+++ b/lugspur/reloads.py
@@ -10,24 +10,24 @@
 from types import FrameType
 
 
-class _Early:
+class _EarlySignal:
     """Records a signal that came before there was a loop to carry it out."""
 
-    told = False
+    received = False
 
 
-def _note(number: int, frame: FrameType | None) -> None:
-    _Early.told = True
+def _record_signal(number: int, frame: FrameType | None) -> None:
+    _EarlySignal.received = True
 
 
 def hold() -> None:
     """Install a SIGHUP handler that records the signal; call this first, from the main thread."""
-    signal.signal(signal.SIGHUP, _note)
+    signal.signal(signal.SIGHUP, _record_signal)
 
 
 def carry_out(loop: asyncio.AbstractEventLoop, reload: Callable[[], object]) -> None:
     """Call `reload` at each SIGHUP, and soon if one has come since `hold`."""
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if _Early.told:
-        _Early.told = False
+    if _EarlySignal.received:
+        _EarlySignal.received = False
         loop.call_soon(reload)
