--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -31,7 +31,7 @@
         self._forwarded = 0  # bytes forwarded by the current attempt
         self.ended = False  # whether the last byte has been received
         self.over = False  # whether the rest is not needed: the request was answered or cancelled
-        self.told: Callable[[], None] | None = None  # called when the current attempt can read more
+        self.on_data: Callable[[], None] | None = None  # called when the current attempt can read more
         self.whole: Callable[[], None] | None = None  # called when the last byte has been received
         self.dropped: Callable[[], None] | None = None  # called when the first bytes are dropped
 
@@ -65,31 +65,31 @@
         """Append received bytes."""
         if not self.over:
             self._data += data
-            if self.told is not None:
-                self.told()
+            if self.on_data is not None:
+                self.on_data()
 
     def end(self) -> None:
         """Mark the body as complete."""
         self.ended = True
         if self.whole is not None:
             self.whole()
-        if self.told is not None:
-            self.told()
+        if self.on_data is not None:
+            self.on_data()
 
     def drop(self) -> None:
         """Drop the body because it is not needed any more."""
-        told, self.told = self.told, None
+        on_data, self.on_data = self.on_data, None
         self.over = True
         self.whole = self.dropped = None
         self._start = self.came
         self._data = bytearray()
-        if told is not None:
-            told()  # the current attempt can't complete without the rest of the body
+        if on_data is not None:
+            on_data()  # the current attempt can't complete without the rest of the body
         self._resume_sender()
 
-    def begin(self, told: Callable[[], None]) -> None:
+    def begin(self, on_data: Callable[[], None]) -> None:
         """Start an attempt at the first byte, after the previous one has ended."""
-        self.told, self._forwarded = told, 0
+        self.on_data, self._forwarded = on_data, 0
 
     def read(self, at: int) -> bytes:
         """Return the available bytes from this offset on, up to one piece."""
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -143,7 +143,7 @@
         reported_not_run = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
         check(not (reported_not_run and self._may_have_run()), Invariant.PROVEN_NOT_RUN, outcome=outcome.value.upper())
         if self.body is not None:
-            self.body.told = None
+            self.body.on_data = None
         if self.timer is not None:
             self.timer.cancel()
         if self.dial is not None:
