--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -285,7 +285,7 @@
             return
         context.expected_by = context.deadline
         context.deadline += MAX_UPLOAD_SECONDS
-        stream.whole = complete_body
+        stream.on_complete = complete_body
         self._submit(context, caller)
 
     def _submit(self, context: RequestContext, caller: Answerable) -> None:
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -342,7 +342,7 @@
             self.pool.complete_body(call, self._loop.time() + attributes.timeout - RESPONSE_MARGIN_SECONDS)
 
         if call.caller is not None:
-            stream.whole = complete_body
+            stream.on_complete = complete_body
 
     def _read_attributes(self, request: Request) -> RequestAttributes:
         """Return the request's attributes; raises Rejected if one is malformed or unknown."""
--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -32,7 +32,7 @@
         self.ended = False  # whether the last byte has been received
         self.over = False  # whether the rest is not needed: the request was answered or cancelled
         self.on_data: Callable[[], None] | None = None  # called when the current attempt can read more
-        self.whole: Callable[[], None] | None = None  # called when the last byte has been received
+        self.on_complete: Callable[[], None] | None = None  # called when the last byte has been received
         self.dropped: Callable[[], None] | None = None  # called when the first bytes are dropped
 
     @property
@@ -55,10 +55,10 @@
         """Whether the sender should pause."""
         return not self.over and not self._buffers_whole and self.came - self._forwarded > WINDOW
 
-    def gather(self, whole: Callable[[bytes], None]) -> None:
-        """Buffer the whole body and pass it to `whole` at its end, for a receiver that can't take pieces."""
+    def gather(self, on_complete: Callable[[bytes], None]) -> None:
+        """Buffer the whole body and pass it to `on_complete` at its end, for a receiver that can't take pieces."""
         self._buffers_whole = True
-        self.whole = lambda: whole(bytes(self._data))
+        self.on_complete = lambda: on_complete(bytes(self._data))
         self._resume_sender()
 
     def put(self, data: bytes) -> None:
@@ -71,8 +71,8 @@
     def end(self) -> None:
         """Mark the body as complete."""
         self.ended = True
-        if self.whole is not None:
-            self.whole()
+        if self.on_complete is not None:
+            self.on_complete()
         if self.on_data is not None:
             self.on_data()
 
@@ -80,7 +80,7 @@
         """Drop the body because it is not needed any more."""
         on_data, self.on_data = self.on_data, None
         self.over = True
-        self.whole = self.dropped = None
+        self.on_complete = self.dropped = None
         self._start = self.came
         self._data = bytearray()
         if on_data is not None:
