--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -33,7 +33,7 @@
         self.over = False  # whether the rest is not needed: the request was answered or cancelled
         self.on_data: Callable[[], None] | None = None  # called when the current attempt can read more
         self.on_complete: Callable[[], None] | None = None  # called when the last byte has been received
-        self.dropped: Callable[[], None] | None = None  # called when the first bytes are dropped
+        self.on_dropped: Callable[[], None] | None = None  # called when the first bytes are dropped
 
     @property
     def bound(self) -> bool:
@@ -80,7 +80,7 @@
         """Drop the body because it is not needed any more."""
         on_data, self.on_data = self.on_data, None
         self.over = True
-        self.on_complete = self.dropped = None
+        self.on_complete = self.on_dropped = None
         self._start = self.came
         self._data = bytearray()
         if on_data is not None:
@@ -104,7 +104,7 @@
             first = not self._start
             del self._data[: at - self._start]
             self._start = at
-            if first and self.dropped is not None:
-                self.dropped()
+            if first and self.on_dropped is not None:
+                self.on_dropped()
         if full and not self.full:
             self._resume_sender()
