--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -350,7 +350,9 @@
         cluster, now = context.cluster, self._loop.time()
         fallbacks = [other for other in context.fallback_clusters if other.standing.is_usable(now)]
         stream = context.request.stream
-        body_partly_dropped = stream is not None and stream.bound  # a part of the body is no longer buffered
+        body_partly_dropped = (
+            stream is not None and stream.is_partly_dropped
+        )  # a part of the body is no longer buffered
         if (
             fallbacks
             and not body_partly_dropped
--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -36,7 +36,7 @@
         self.on_dropped: Callable[[], None] | None = None  # called when the first bytes are dropped
 
     @property
-    def bound(self) -> bool:
+    def is_partly_dropped(self) -> bool:
         """Whether some bytes have been dropped, so that no other attempt can start."""
         return self._start > 0
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -549,8 +549,8 @@
         body.passed(at)
         assert body.came == len(sent)
         assert body.held <= KEEP + WINDOW + 90_000
-        assert body.bound == (at > KEEP)
-        if not body.bound:
+        assert body.is_partly_dropped == (at > KEEP)
+        if not body.is_partly_dropped:
             assert body.read(0)[:at] == bytes(sent[: min(at, 64 << 10)])
     body.drop()
     assert body.held == 0
