--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -222,7 +222,7 @@
         if self.overload_protection is not None and configuration is self.configuration:
             client = caller.peer if tenant == NOBODY else tenant
             class_index = configuration.plan.kinds[forward.class_name]
-            size = len(request.body) if request.stream is None else request.stream.came
+            size = len(request.body) if request.stream is None else request.stream.received
             if not self.overload_protection.admits(class_index, client, size):
                 caller.answer(503, RETRY_AFTER_HEADER, b"too busy\n")
                 self.overload_protection.pause_reading(caller, class_index)
--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -41,7 +41,7 @@
         return self._start > 0
 
     @property
-    def came(self) -> int:
+    def received(self) -> int:
         """Number of bytes received."""
         return self._start + len(self._data)
 
@@ -53,7 +53,7 @@
     @property
     def full(self) -> bool:
         """Whether the sender should pause."""
-        return not self.over and not self._buffers_whole and self.came - self._forwarded > WINDOW
+        return not self.over and not self._buffers_whole and self.received - self._forwarded > WINDOW
 
     def gather(self, on_complete: Callable[[bytes], None]) -> None:
         """Buffer the whole body and pass it to `on_complete` at its end, for a receiver that can't take pieces."""
@@ -81,7 +81,7 @@
         on_data, self.on_data = self.on_data, None
         self.over = True
         self.on_complete = self.on_dropped = None
-        self._start = self.came
+        self._start = self.received
         self._data = bytearray()
         if on_data is not None:
             on_data()  # the current attempt can't complete without the rest of the body
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -75,7 +75,7 @@
             return
         if self._body is not None:
             now = self.connection.loop.time()
-            due = self._headed + self._body.came / BODY_RATE + BODY_LEAST
+            due = self._headed + self._body.received / BODY_RATE + BODY_LEAST
             if self._full_at or now < due:  # it waits for the backend, or comes at a rate that will do
                 self._wait_until(max(due, now + BODY_LEAST))
                 return
@@ -91,7 +91,7 @@
         if body is not None:
             self._owed += size
             body.put(data)
-            came = body.came
+            came = body.received
             self._hold(body.held)
             self._credit_body()
         else:
