--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -46,7 +46,7 @@
         return self._start + len(self._data)
 
     @property
-    def held(self) -> int:
+    def buffered(self) -> int:
         """Number of bytes buffered."""
         return len(self._data)
 
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -115,7 +115,7 @@
     def held(self) -> int:
         """Return the buffered bytes of the body of an incomplete request."""
         if self.stream is not None:
-            return self.stream.held
+            return self.stream.buffered
         return min(self._body_size, self._sizes.body) if self.reading else 0
 
     def _reject(self, status: int, reason: str) -> None:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -92,7 +92,7 @@
             self._owed += size
             body.put(data)
             came = body.received
-            self._hold(body.held)
+            self._hold(body.buffered)
             self._credit_body()
         else:
             self._keep(data, size)
@@ -118,7 +118,7 @@
         length = self._named.get(b"content-length")
         body = Body(int(length) if length is not None else None, self._credit_body, KEEP * self.front.sizes.hold)
         body.put(self._release())
-        self._hold(body.held)
+        self._hold(body.buffered)
         self._body, self._delivered = body, True
         request = self._request(b"")
         request.stream = body
@@ -136,7 +136,7 @@
             self._headed += now - self._full_at
             self._full_at = 0.0
         if not self.answered and not body.ended:
-            self._hold(body.held)
+            self._hold(body.buffered)
         owed, self._owed = self._owed, 0
         if owed:
             self.connection.machine.credit(self.stream, owed)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -527,7 +527,7 @@
         for request in got:
             assert request.stream is not None
             request.stream.passed(request.stream.received)
-            assert request.stream.held <= KEEP + 5000
+            assert request.stream.buffered <= KEEP + 5000
     assert isinstance(intake.fault, Rejected)
     assert intake.fault.status == 413
 
@@ -548,9 +548,9 @@
         at += len(piece)
         body.passed(at)
         assert body.received == len(sent)
-        assert body.held <= KEEP + WINDOW + 90_000
+        assert body.buffered <= KEEP + WINDOW + 90_000
         assert body.is_partly_dropped == (at > KEEP)
         if not body.is_partly_dropped:
             assert body.read(0)[:at] == bytes(sent[: min(at, 64 << 10)])
     body.drop()
-    assert body.held == 0
+    assert body.buffered == 0
