--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -281,7 +281,9 @@
             self._submit(context, caller)
 
         if any(cluster.speaks_grpc for cluster in (context.cluster, *context.fallback_clusters)):
-            stream.gather(body_gathered)  # a gRPC backend receives the body as one message, whose length precedes it
+            stream.buffer_whole(
+                body_gathered
+            )  # a gRPC backend receives the body as one message, whose length precedes it
             return
         context.expected_by = context.deadline
         context.deadline += MAX_UPLOAD_SECONDS
--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -55,7 +55,7 @@
         """Whether the sender should pause."""
         return not self.over and not self._buffers_whole and self.received - self._forwarded > WINDOW
 
-    def gather(self, on_complete: Callable[[bytes], None]) -> None:
+    def buffer_whole(self, on_complete: Callable[[bytes], None]) -> None:
         """Buffer the whole body and pass it to `on_complete` at its end, for a receiver that can't take pieces."""
         self._buffers_whole = True
         self.on_complete = lambda: on_complete(bytes(self._data))
