--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -30,7 +30,7 @@
         self._start = 0  # bytes dropped from the beginning
         self._forwarded = 0  # bytes forwarded by the current attempt
         self.ended = False  # whether the last byte has been received
-        self.over = False  # whether the rest is not needed: the request was answered or cancelled
+        self.is_discarded = False  # whether the rest is not needed: the request was answered or cancelled
         self.on_data: Callable[[], None] | None = None  # called when the current attempt can read more
         self.on_complete: Callable[[], None] | None = None  # called when the last byte has been received
         self.on_dropped: Callable[[], None] | None = None  # called when the first bytes are dropped
@@ -53,7 +53,7 @@
     @property
     def full(self) -> bool:
         """Whether the sender should pause."""
-        return not self.over and not self._buffers_whole and self.received - self._forwarded > WINDOW
+        return not self.is_discarded and not self._buffers_whole and self.received - self._forwarded > WINDOW
 
     def buffer_whole(self, on_complete: Callable[[bytes], None]) -> None:
         """Buffer the whole body and pass it to `on_complete` at its end, for a receiver that can't take pieces."""
@@ -63,7 +63,7 @@
 
     def put(self, data: bytes) -> None:
         """Append received bytes."""
-        if not self.over:
+        if not self.is_discarded:
             self._data += data
             if self.on_data is not None:
                 self.on_data()
@@ -79,7 +79,7 @@
     def drop(self) -> None:
         """Drop the body because it is not needed any more."""
         on_data, self.on_data = self.on_data, None
-        self.over = True
+        self.is_discarded = True
         self.on_complete = self.on_dropped = None
         self._start = self.received
         self._data = bytearray()
@@ -100,7 +100,7 @@
         """Record that the current attempt has forwarded all bytes before this offset."""
         full = self.full
         self._forwarded = at
-        if at > self._replay_limit and not self.over:
+        if at > self._replay_limit and not self.is_discarded:
             first = not self._start
             del self._data[: at - self._start]
             self._start = at
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -279,9 +279,9 @@
         if not data:
             # If the response began before the end of the body, the rest of the body is not needed and the response
             # continues.
-            if body.over and not body.ended and not exchange.flowing:
+            if body.is_discarded and not body.ended and not exchange.flowing:
                 exchange.broke()  # the rest will never arrive, so the request can't have run
-            if body.over or not body.ended:
+            if body.is_discarded or not body.ended:
                 return
             self.written = True
             if body.length is None:
