--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -96,7 +96,7 @@
         start = at - self._start
         return bytes(self._data[start : start + PIECE_SIZE])
 
-    def passed(self, at: int) -> None:
+    def mark_forwarded(self, at: int) -> None:
         """Record that the current attempt has forwarded all bytes before this offset."""
         full = self.full
         self._forwarded = at
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -263,7 +263,7 @@
         if exchange is None or exchange.body is None:
             self.written = True
         else:
-            exchange.body.passed(self._body_offset)
+            exchange.body.mark_forwarded(self._body_offset)
             self._send_body()
 
     def _send_body(self) -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -488,7 +488,7 @@
                 body += request.stream.read(len(body))
                 while len(body) < request.stream.received:
                     body += request.stream.read(len(body))
-                request.stream.passed(len(body))
+                request.stream.mark_forwarded(len(body))
     for request, body in kept:
         if request.stream is None or request.stream.ended:
             whole.append((request.target, bytes(body)))
@@ -526,7 +526,7 @@
         intake.feed(memoryview(piece), 1.0)
         for request in got:
             assert request.stream is not None
-            request.stream.passed(request.stream.received)
+            request.stream.mark_forwarded(request.stream.received)
             assert request.stream.buffered <= KEEP + 5000
     assert isinstance(intake.fault, Rejected)
     assert intake.fault.status == 413
@@ -546,7 +546,7 @@
         piece = body.read(at)[:go]
         assert piece == bytes(sent[at : at + len(piece)])
         at += len(piece)
-        body.passed(at)
+        body.mark_forwarded(at)
         assert body.received == len(sent)
         assert body.buffered <= KEEP + WINDOW + 90_000
         assert body.is_partly_dropped == (at > KEEP)
