--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -87,7 +87,7 @@
             on_data()  # the current attempt can't complete without the rest of the body
         self._resume_sender()
 
-    def begin(self, on_data: Callable[[], None]) -> None:
+    def start_attempt(self, on_data: Callable[[], None]) -> None:
         """Start an attempt at the first byte, after the previous one has ended."""
         self.on_data, self._forwarded = on_data, 0
 
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -227,7 +227,7 @@
         self._has_received = self._has_seen_stray = False
         if exchange.body is not None:
             self._body_offset = 0
-            exchange.body.begin(self._send_body)
+            exchange.body.start_attempt(self._send_body)
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -537,7 +537,7 @@
 def test_a_body_keeps_what_is_still_needed_and_no_more(steps: list[tuple[int, int]]) -> None:
     sent, at, room = bytearray(), 0, []
     body = Body(None, lambda: room.append(1))
-    body.begin(lambda: None)
+    body.start_attempt(lambda: None)
     for come, go in steps:
         if not body.full:
             piece = noise(come)
