--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 # Size in bytes up to which a body is buffered whole; a larger one is streamed.
-HOLD = 64 << 10
+MAX_BUFFERED_BODY = 64 << 10
 # Factor of that size up to which a streamed body is kept, so that another attempt can start from its beginning.
 KEEP = 2
 # Bytes that may have been received and not forwarded; the sender is not read beyond them.
@@ -21,7 +21,7 @@
     another attempt can start; from then on forwarded bytes are dropped and the request is bound to that attempt.
     """
 
-    def __init__(self, length: int | None, room: Callable[[], None], keep: int = KEEP * HOLD) -> None:
+    def __init__(self, length: int | None, room: Callable[[], None], keep: int = KEEP * MAX_BUFFERED_BODY) -> None:
         self._replay_limit = keep
         self._buffers_whole = False
         self.length = length  # Content-Length; None: the body is chunked
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from lugspur.http1.body import HOLD, KEEP, Body
+from lugspur.http1.body import KEEP, MAX_BUFFERED_BODY, Body
 from lugspur.http1.hops import HOP_BY_HOP
 from lugspur.seams import Request
 
@@ -59,7 +59,7 @@
     hold: int = 1 << 62  # body size above which the body is streamed
 
 
-PLATFORM = Sizes(body=MAX_STREAMED_BODY, hold=HOLD)
+PLATFORM = Sizes(body=MAX_STREAMED_BODY, hold=MAX_BUFFERED_BODY)
 
 
 class Intake:
--- a/tests/daemon/test_large_bodies.py
+++ b/tests/daemon/test_large_bodies.py
@@ -10,7 +10,7 @@
 from grpcpeers import HTTP2, boxed
 from loopback import HOST, soon, status
 
-from lugspur.http1.body import HOLD
+from lugspur.http1.body import MAX_BUFFERED_BODY
 
 LARGE = HEAD.replace("sockets = 1024", 'sockets = 1024\nhold = "64KiB"\nbody = "8MiB"')
 ROUTES = route("book", "/book", 'pool = "a"\nclass = "book"\nfallback = ["b"]') + route(
@@ -48,9 +48,9 @@
             async with served(pool("a", dead) + pool("b", one.address) + ROUTES, LARGE) as up:
                 client = await up.client()
                 sent = ask("POST", "/book", BODY)
-                client.writer.write(sent[: HOLD + 3000])
+                client.writer.write(sent[: MAX_BUFFERED_BODY + 3000])
                 await until(lambda: bool(up.daemon.clusters["b"].pool.calls))
-                client.writer.write(sent[HOLD + 3000 :])
+                client.writer.write(sent[MAX_BUFFERED_BODY + 3000 :])
                 assert (await client.answer()).endswith(hashlib.sha256(BODY).hexdigest().encode())
 
     asyncio.run(play())
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -15,7 +15,7 @@
 from test_streams import Serve, box, noise, request_of
 
 from lugspur.http1 import front as fronts
-from lugspur.http1.body import HOLD
+from lugspur.http1.body import MAX_BUFFERED_BODY
 from lugspur.http2 import front as http2_front
 from lugspur.standins.grpc.caller import Answer, Caller
 
@@ -67,7 +67,7 @@
     assert all(cluster.pool.upstream.flow_held == 0 for cluster in up.daemon.clusters.values())
 
 
-@pytest.mark.parametrize("size", [HOLD, HOLD + 1, 5 * HOLD, len(BODY)])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 5 * MAX_BUFFERED_BODY, len(BODY)])
 @pytest.mark.parametrize("told", [True, False])
 def test_a_body_of_any_size_arrives_as_it_was(size: int, told: bool) -> None:
     async def play() -> None:
@@ -108,7 +108,7 @@
     return serve
 
 
-@pytest.mark.parametrize("size", [HOLD, HOLD + 1, len(BODY)])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, len(BODY)])
 @pytest.mark.parametrize("head", ["length", "chunks", "end"])
 @pytest.mark.parametrize("path", ["/read", "/book"])
 def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, path: str) -> None:
@@ -144,13 +144,13 @@
             body = noise(8 << 20)
             stuck = begin(caller, "/book", ("x-slow", "1"), ("content-length", str(len(body))))
             sending = asyncio.get_running_loop().create_task(caller.write(stuck, body, end=True))
-            await until(lambda: caller.sent[stuck] >= 2 * HOLD)
+            await until(lambda: caller.sent[stuck] >= 2 * MAX_BUFFERED_BODY)
             for _ in range(3):
                 got = await post(caller, "/book", BODY, ("content-length", str(len(BODY))))
                 assert got.head[":status"] == "200"
             # What the sockets in between hold is the system's matter; the rest has not been let come.
             assert caller.sent[stuck] < len(body)
-            assert held(up) <= 4 * HOLD
+            assert held(up) <= 4 * MAX_BUFFERED_BODY
             go.set()
             await soon(sending)
             got = await soon(caller.answer(stuck))
@@ -172,7 +172,7 @@
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
                 assert bytes((await soon(other.answer(begin(other, "/read", end=True)))).data) == BODY
-                assert upstream.flow_held <= upstream.flow_most + 20 * HOLD
+                assert upstream.flow_held <= upstream.flow_most + 20 * MAX_BUFFERED_BODY
             for stream in streams:
                 got = await soon(deaf.answer(stream))
                 assert got.reset == 8 and got.ends == 0  # CANCEL: it stood still, and was not all
@@ -235,7 +235,7 @@
 def test_a_large_answer_before_the_bodys_end_is_passed_on_whole_and_alone() -> None:
     async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        await reader.readexactly(HOLD)
+        await reader.readexactly(MAX_BUFFERED_BODY)
         writer.write(answer(BODY))
         await reader.read()
 
@@ -243,7 +243,7 @@
         async with box(early) as address, before(address) as up:
             caller = await caller_of(up)
             stream = begin(caller, "/book")
-            await soon(caller.write(stream, noise(3 * HOLD)))
+            await soon(caller.write(stream, noise(3 * MAX_BUFFERED_BODY)))
             got = await soon(caller.answer(stream))
             assert (got.head[":status"], bytes(got.data)) == ("200", BODY)
             await empty(up)
@@ -258,7 +258,7 @@
             for way in ("reset", "close"):
                 caller = await caller_of(up)
                 stream = begin(caller, "/book", ("content-length", str(len(BODY))))
-                await soon(caller.write(stream, BODY[: 3 * HOLD]))
+                await soon(caller.write(stream, BODY[: 3 * MAX_BUFFERED_BODY]))
                 await until(lambda: up.in_hand() == 1)
                 if way == "reset":
                     caller.cancel(stream)
@@ -281,7 +281,7 @@
         async with box(full) as first, backend(digest) as second, before(first, second.address) as up:
             caller = await caller_of(up)
             for _ in range(6):  # the first box is met by some
-                body = noise(HOLD + 1000)
+                body = noise(MAX_BUFFERED_BODY + 1000)
                 got = await post(caller, "/book", body, ("content-length", str(len(body))))
                 assert bytes(got.data) == hashlib.sha256(body).hexdigest().encode()
             assert second.got.qsize() == 6
@@ -308,7 +308,7 @@
             got = await post(caller, "/book", bytes(9 << 20))
             assert got.head[":status"] == "413"
             stream = begin(caller, "/book")
-            await soon(caller.write(stream, BODY[: HOLD + 1]))
+            await soon(caller.write(stream, BODY[: MAX_BUFFERED_BODY + 1]))
             got = await soon(caller.answer(stream))  # it stops, and 24 kB a second are due
             assert got.head[":status"] == "408"
             await empty(up)
@@ -327,10 +327,12 @@
             '[classes.book]\naim = "30s"\ndeadline = "30s"', '[classes.book]\naim = "200ms"\ndeadline = "200ms"'
         )
         async with backend(digest) as one, before(one.address, head=head) as up:
-            caller, body = await caller_of(up), noise(5 * HOLD)
+            caller, body = await caller_of(up), noise(5 * MAX_BUFFERED_BODY)
             stream = begin(caller, "/book", ("content-length", str(len(body))))
-            for at in range(0, len(body), HOLD):
-                await soon(caller.write(stream, body[at : at + HOLD], end=at + HOLD >= len(body)))
+            for at in range(0, len(body), MAX_BUFFERED_BODY):
+                await soon(
+                    caller.write(stream, body[at : at + MAX_BUFFERED_BODY], end=at + MAX_BUFFERED_BODY >= len(body))
+                )
                 await asyncio.sleep(0.08)
             got = await soon(caller.answer(stream))
             assert bytes(got.data) == hashlib.sha256(body).hexdigest().encode()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -15,13 +15,13 @@
 from loopback import HOST, OK, Client, Running, backend, book, entry, read, running, soon, status, until
 
 from lugspur.http1 import body as bodies
-from lugspur.http1.body import HOLD, WINDOW, Body
+from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
 from lugspur.http1.intake import PLATFORM, Intake, Rejected
 from lugspur.http1.upstream import FLOW_LEAST, READ
 from lugspur.seams import Request
 
 LARGE = 3 << 20
-KEEP = bodies.KEEP * HOLD
+KEEP = bodies.KEEP * MAX_BUFFERED_BODY
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -82,7 +82,9 @@
     return head + framed + b"0\r\nX-Trailer: a\r\n\r\n"
 
 
-@pytest.mark.parametrize("size", [HOLD - 1, HOLD, HOLD + 1, WINDOW + HOLD, LARGE])
+@pytest.mark.parametrize(
+    "size", [MAX_BUFFERED_BODY - 1, MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, WINDOW + MAX_BUFFERED_BODY, LARGE]
+)
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks"])
 def test_a_body_of_any_size_and_form_arrives_as_it_was(size: int, form: str) -> None:
     async def play() -> None:
@@ -101,7 +103,7 @@
 
 def test_a_slow_body_is_waited_for_and_its_time_counts_from_its_last_byte() -> None:
     async def play() -> None:
-        body = noise(HOLD + 40_000)
+        body = noise(MAX_BUFFERED_BODY + 40_000)
         async with box(digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body, timeout="0.3")
@@ -121,7 +123,7 @@
         async with box(digest) as address, running([entry("a", address)]) as up:
             up.proxy.front.whole_within = 0.2
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: HOLD + 20_000])
+            client.writer.write(book(body=noise(LARGE))[: MAX_BUFFERED_BODY + 20_000])
             assert status(await client.answer()) == 408
             assert not up.proxy.pool.calls
             assert up.proxy.pool.upstream.sockets() == 0  # what an unfinished upload leaves is not used again
@@ -133,7 +135,7 @@
     async def play() -> None:
         async with box(digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: 2 * HOLD])
+            client.writer.write(book(body=noise(LARGE))[: 2 * MAX_BUFFERED_BODY])
             await until(lambda: bool(up.proxy.pool.calls))
             client.writer.close()
             await until(lambda: not up.proxy.pool.calls and up.proxy.pool.upstream.sockets() == 0)
@@ -144,7 +146,7 @@
 
 def test_an_attempt_that_broke_before_too_much_had_gone_is_followed_by_another() -> None:
     async def play() -> None:
-        body, seen = noise(HOLD + 5000), []
+        body, seen = noise(MAX_BUFFERED_BODY + 5000), []
 
         async def break_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
@@ -172,12 +174,12 @@
 
         async def break_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
-            await reader.readexactly(KEEP + HOLD)
+            await reader.readexactly(KEEP + MAX_BUFFERED_BODY)
 
         async with box(break_late) as one, box(break_late) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
-                client.writer.write(book(body=noise(LARGE))[: KEEP + 2 * HOLD])
+                client.writer.write(book(body=noise(LARGE))[: KEEP + 2 * MAX_BUFFERED_BODY])
                 assert status(await client.answer()) == 503  # it never ran, for sure
                 assert len(seen) == 1
 
@@ -196,16 +198,16 @@
     async def play() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(2 * HOLD)
+            await reader.readexactly(2 * MAX_BUFFERED_BODY)
             writer.write(answer)
             await reader.read()
 
         async with box(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=noise(LARGE))
-            client.writer.write(sent[: 4 * HOLD])
+            client.writer.write(sent[: 4 * MAX_BUFFERED_BODY])
             assert status(await client.answer()) == expected
-            client.writer.write(sent[4 * HOLD :])  # it did not know yet
+            client.writer.write(sent[4 * MAX_BUFFERED_BODY :])  # it did not know yet
             client.writer.write_eof()
             assert await soon(client.reader.read()) == b""
             assert not up.proxy.pool.calls
@@ -257,11 +259,11 @@
 @pytest.mark.parametrize("head", ["length", "chunks"])
 def test_a_large_answer_before_the_bodys_end_is_passed_on_whole_and_alone(head: str) -> None:
     async def play() -> None:
-        answer = noise(8 * HOLD)
+        answer = noise(8 * MAX_BUFFERED_BODY)
 
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(2 * HOLD)
+            await reader.readexactly(2 * MAX_BUFFERED_BODY)
             if head == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
             else:
@@ -271,7 +273,7 @@
 
         async with box(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: 4 * HOLD])
+            client.writer.write(book(body=noise(LARGE))[: 4 * MAX_BUFFERED_BODY])
             told, body = await answer_of(client)
             assert told.startswith(b"http/1.1 200 ")
             assert body == answer
@@ -284,7 +286,7 @@
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("size", [HOLD, HOLD + 1, LARGE])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, LARGE])
 @pytest.mark.parametrize("head", ["length", "chunks", "end"])
 @pytest.mark.parametrize("request_", [read(), book()], ids=["safe", "unsafe"])
 def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, request_: bytes) -> None:
@@ -433,12 +435,12 @@
 
 def test_five_hundred_rounds_leave_nothing() -> None:
     async def play() -> None:
-        async with box(large(HOLD + 500)) as address, running([entry("a", address)]) as up:
+        async with box(large(MAX_BUFFERED_BODY + 500)) as address, running([entry("a", address)]) as up:
             client = await up.client()
             for number in range(500):
-                client.writer.write(book(number, body=noise(HOLD + 300)))
+                client.writer.write(book(number, body=noise(MAX_BUFFERED_BODY + 300)))
                 _, body = await answer_of(client)
-                assert len(body) == HOLD + 500
+                assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
             assert (front.held, upstream.held, upstream.flow_held, len(up.proxy.pool.calls)) == (0, 0, 0, 0)
             assert not front.flowing and not front.reading
@@ -464,7 +466,7 @@
     async def play(up: Running | None = None) -> None:
         async with box(digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            bodies = [noise(HOLD + 9000), b"a", noise(2 * HOLD)]
+            bodies = [noise(MAX_BUFFERED_BODY + 9000), b"a", noise(2 * MAX_BUFFERED_BODY)]
             client.writer.write(b"".join(book(n, body=body) for n, body in enumerate(bodies)))
             for body in bodies:
                 assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
@@ -496,11 +498,11 @@
 
 
 SENT = [
-    book(body=noise(HOLD + 300)) + read(2),
-    chunked(noise(HOLD + 999), 7000) + book(3),
+    book(body=noise(MAX_BUFFERED_BODY + 300)) + read(2),
+    chunked(noise(MAX_BUFFERED_BODY + 999), 7000) + book(3),
     chunked(b"abc" * 50, 1),
-    chunked(noise(HOLD + 999), 9000).replace(b";note=1\r\n", b"\r\n", 1)[:-5] + b"zz\r\n",
-    book(body=noise(HOLD))[:-1],
+    chunked(noise(MAX_BUFFERED_BODY + 999), 9000).replace(b";note=1\r\n", b"\r\n", 1)[:-5] + b"zz\r\n",
+    book(body=noise(MAX_BUFFERED_BODY))[:-1],
 ]
 
 
@@ -518,11 +520,11 @@
 
 
 def test_a_body_beyond_the_limit_is_turned_away_in_its_middle() -> None:
-    sizes = type(PLATFORM)(body=2 * HOLD, hold=HOLD)
+    sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, hold=MAX_BUFFERED_BODY)
     got: list[Request] = []
     intake = Intake(got.append, sizes)
-    for at in range(0, 4 * HOLD, 5000):
-        piece = chunked(noise(4 * HOLD), 5000)[at : at + 5000]
+    for at in range(0, 4 * MAX_BUFFERED_BODY, 5000):
+        piece = chunked(noise(4 * MAX_BUFFERED_BODY), 5000)[at : at + 5000]
         intake.feed(memoryview(piece), 1.0)
         for request in got:
             assert request.stream is not None
