--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -7,7 +7,7 @@
 # Size in bytes up to which a body is buffered whole; a larger one is streamed.
 MAX_BUFFERED_BODY = 64 << 10
 # Factor of that size up to which a streamed body is kept, so that another attempt can start from its beginning.
-KEEP = 2
+REPLAY_FACTOR = 2
 # Bytes that may have been received and not forwarded; the sender is not read beyond them.
 WINDOW = 64 << 10
 # Bytes forwarded at once.
@@ -21,7 +21,9 @@
     another attempt can start; from then on forwarded bytes are dropped and the request is bound to that attempt.
     """
 
-    def __init__(self, length: int | None, room: Callable[[], None], keep: int = KEEP * MAX_BUFFERED_BODY) -> None:
+    def __init__(
+        self, length: int | None, room: Callable[[], None], keep: int = REPLAY_FACTOR * MAX_BUFFERED_BODY
+    ) -> None:
         self._replay_limit = keep
         self._buffers_whole = False
         self.length = length  # Content-Length; None: the body is chunked
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from lugspur.http1.body import KEEP, MAX_BUFFERED_BODY, Body
+from lugspur.http1.body import MAX_BUFFERED_BODY, REPLAY_FACTOR, Body
 from lugspur.http1.hops import HOP_BY_HOP
 from lugspur.seams import Request
 
@@ -222,7 +222,7 @@
         else:
             self._body.append(body)
             if self._body_size > self._sizes.hold and self.fault is None:
-                stream = Body(self._length, self._resume_body, KEEP * self._sizes.hold)
+                stream = Body(self._length, self._resume_body, REPLAY_FACTOR * self._sizes.hold)
                 stream.put(b"".join(self._body))
                 self._body.clear()
                 self._deliver_request(stream)
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -8,7 +8,7 @@
 from lugspur.grpc import mapping
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.timeout import read_timeout
-from lugspur.http1.body import KEEP, Body
+from lugspur.http1.body import REPLAY_FACTOR, Body
 from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
 from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
@@ -116,7 +116,9 @@
     def _pass_body(self) -> None:
         """So much has come that the rest goes on as it comes."""
         length = self._named.get(b"content-length")
-        body = Body(int(length) if length is not None else None, self._credit_body, KEEP * self.front.sizes.hold)
+        body = Body(
+            int(length) if length is not None else None, self._credit_body, REPLAY_FACTOR * self.front.sizes.hold
+        )
         body.put(self._release())
         self._hold(body.buffered)
         self._body, self._delivered = body, True
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -21,7 +21,7 @@
 from lugspur.seams import Request
 
 LARGE = 3 << 20
-KEEP = bodies.KEEP * MAX_BUFFERED_BODY
+REPLAY_FACTOR = bodies.REPLAY_FACTOR * MAX_BUFFERED_BODY
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -174,12 +174,12 @@
 
         async def break_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
-            await reader.readexactly(KEEP + MAX_BUFFERED_BODY)
+            await reader.readexactly(REPLAY_FACTOR + MAX_BUFFERED_BODY)
 
         async with box(break_late) as one, box(break_late) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
-                client.writer.write(book(body=noise(LARGE))[: KEEP + 2 * MAX_BUFFERED_BODY])
+                client.writer.write(book(body=noise(LARGE))[: REPLAY_FACTOR + 2 * MAX_BUFFERED_BODY])
                 assert status(await client.answer()) == 503  # it never ran, for sure
                 assert len(seen) == 1
 
@@ -426,7 +426,7 @@
             client.writer.write(book(body=body))
             front = up.proxy.front
             await until(lambda: any(getattr(caller, "_paused_at", 0.0) for caller in front.callers))
-            assert front.held <= KEEP + 2 * WINDOW
+            assert front.held <= REPLAY_FACTOR + 2 * WINDOW
             go.set()
             assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
@@ -529,7 +529,7 @@
         for request in got:
             assert request.stream is not None
             request.stream.mark_forwarded(request.stream.received)
-            assert request.stream.buffered <= KEEP + 5000
+            assert request.stream.buffered <= REPLAY_FACTOR + 5000
     assert isinstance(intake.fault, Rejected)
     assert intake.fault.status == 413
 
@@ -550,8 +550,8 @@
         at += len(piece)
         body.mark_forwarded(at)
         assert body.received == len(sent)
-        assert body.buffered <= KEEP + WINDOW + 90_000
-        assert body.is_partly_dropped == (at > KEEP)
+        assert body.buffered <= REPLAY_FACTOR + WINDOW + 90_000
+        assert body.is_partly_dropped == (at > REPLAY_FACTOR)
         if not body.is_partly_dropped:
             assert body.read(0)[:at] == bytes(sent[: min(at, 64 << 10)])
     body.drop()
