--- a/lugspur/http1/dial.py
+++ b/lugspur/http1/dial.py
@@ -10,7 +10,7 @@
 from lugspur.seams import Listed
 
 # Errors that have local causes and say nothing about a backend.
-OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL)
+LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL)
 
 
 class DialTarget(Protocol):
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -12,7 +12,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
-from lugspur.http1.dial import OWN_FAULTS, Dial
+from lugspur.http1.dial import LOCAL_ERRORS, Dial
 from lugspur.http1.hops import HOP_BY_HOP
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
@@ -705,7 +705,7 @@
     def unreachable(self, exchange: Exchange, number: int) -> None:
         """End an exchange whose connection could not be established."""
         self.undone()
-        if self._on_dialled is not None and number not in OWN_FAULTS:
+        if self._on_dialled is not None and number not in LOCAL_ERRORS:
             self._on_dialled(exchange.backend.server, False)
         exchange.end(Outcome.UNREACHABLE)
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -11,7 +11,7 @@
 from lugspur.grpc.evidence import PROVES, End, by_reset
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.status import Status, http_status, read_status
-from lugspur.http1.dial import OWN_FAULTS, Dial
+from lugspur.http1.dial import LOCAL_ERRORS, Dial
 from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, Leave
 from lugspur.http2.machine import (
@@ -643,7 +643,7 @@
 
     def unreachable(self, wanted: Link, number: int) -> None:
         """A dial has brought none."""
-        wanted.blamed = number not in OWN_FAULTS
+        wanted.blamed = number not in LOCAL_ERRORS
         wanted.lost()
 
     def undone(self) -> None:
