--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -281,9 +281,8 @@
             self._submit(context, caller)
 
         if any(cluster.speaks_grpc for cluster in (context.cluster, *context.fallback_clusters)):
-            stream.buffer_whole(
-                body_gathered
-            )  # a gRPC backend receives the body as one message, whose length precedes it
+            # A gRPC backend receives the body as one message, whose length precedes it.
+            stream.buffer_whole(body_gathered)
             return
         context.expected_by = context.deadline
         context.deadline += MAX_UPLOAD_SECONDS
@@ -352,9 +351,8 @@
         cluster, now = context.cluster, self._loop.time()
         fallbacks = [other for other in context.fallback_clusters if other.standing.is_usable(now)]
         stream = context.request.stream
-        body_partly_dropped = (
-            stream is not None and stream.is_partly_dropped
-        )  # a part of the body is no longer buffered
+        # Whether a part of the body is no longer buffered.
+        body_partly_dropped = stream is not None and stream.is_partly_dropped
         if (
             fallbacks
             and not body_partly_dropped
