--- a/lugspur/http1/dial.py
+++ b/lugspur/http1/dial.py
@@ -32,7 +32,7 @@
     def unreachable(self, exchange: ExchangeT_contra, error_number: int) -> None:
         """Take a failure; `error_number` is the system's error number, 0 for a timeout."""
 
-    def undone(self) -> None:
+    def dial_ended(self) -> None:
         """Release the resources of a cancelled dial."""
 
 
@@ -134,4 +134,4 @@
             if self._resolving is not None:
                 self._resolving.cancel()
             self._close_socket()
-            self._dialler.undone()
+            self._dialler.dial_ended()
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -704,12 +704,12 @@
 
     def unreachable(self, exchange: Exchange, number: int) -> None:
         """End an exchange whose connection could not be established."""
-        self.undone()
+        self.dial_ended()
         if self._on_dialled is not None and number not in LOCAL_ERRORS:
             self._on_dialled(exchange.backend.server, False)
         exchange.end(Outcome.UNREACHABLE)
 
-    def undone(self) -> None:
+    def dial_ended(self) -> None:
         """Release the socket of an attempt to connect that failed or was cancelled."""
         self._sockets.release(self._name)
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -646,7 +646,7 @@
         wanted.blamed = number not in LOCAL_ERRORS
         wanted.lost()
 
-    def undone(self) -> None:
+    def dial_ended(self) -> None:
         """A dial was given up: `lost` counts its socket."""
 
     def reached(self, backend: Listed, up: bool) -> None:
