--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -412,7 +412,7 @@
             exchange.timer.cancel()
 
         def on_read(size: int) -> None:
-            self._upstream.flow_held -= size
+            self._upstream.streamed_bytes -= size
             if flow is self._pipe:  # else the response has ended meanwhile
                 self._on_pipe_read(size)
 
@@ -438,7 +438,7 @@
     def _write_to_pipe(self, data: bytes) -> None:
         assert self._pipe is not None
         self._pipe_backlog += len(data)
-        self._upstream.flow_held += len(data)
+        self._upstream.streamed_bytes += len(data)
         self._pipe.put(data)
         if self._pipe_backlog > self._upstream.flow() and not self._reading_paused and not self.over:
             self._reading_paused = True
@@ -638,7 +638,7 @@
         self.held = 0  # bytes of incomplete buffered responses
         # Bytes above which a response is streamed, and the limit on a streamed response.
         self.pass_from, self.pass_most = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
-        self.flow_held = 0  # bytes of all streamed responses that wait for their callers
+        self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
         self.flow_most = held_most  # limit on those bytes
         self.held_most = held_most
         self._idle: dict[Connection, None] = {}  # the longest idle first
@@ -760,7 +760,7 @@
         Each response thus converges to the same buffer, a single one to half of the total, and all together stay
         within the total however many start later (dynamic thresholds: Choudhury and Hahne, 1998).
         """
-        return max(FLOW_LEAST, self.flow_most - self.flow_held)
+        return max(FLOW_LEAST, self.flow_most - self.streamed_bytes)
 
     def sockets(self) -> int:
         """Return the number of connections that are established or being established."""
--- a/tests/daemon/test_large_bodies.py
+++ b/tests/daemon/test_large_bodies.py
@@ -71,7 +71,7 @@
                     assert b"X-Note: a\r\n" in got
                     assert (b"X-Front: lugspur\r\n" in got) == (target == "/read")
                 await until(lambda: up.in_hand() == 0)
-                assert up.daemon.clusters["a"].pool.upstream.flow_held == 0
+                assert up.daemon.clusters["a"].pool.upstream.streamed_bytes == 0
 
     asyncio.run(play())
 
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -64,7 +64,7 @@
     """Nothing is left in the daemon's hands."""
     await until(lambda: up.in_hand() == 0)
     assert held(up) == 0
-    assert all(cluster.pool.upstream.flow_held == 0 for cluster in up.daemon.clusters.values())
+    assert all(cluster.pool.upstream.streamed_bytes == 0 for cluster in up.daemon.clusters.values())
 
 
 @pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 5 * MAX_BUFFERED_BODY, len(BODY)])
@@ -172,7 +172,7 @@
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
                 assert bytes((await soon(other.answer(begin(other, "/read", end=True)))).data) == BODY
-                assert upstream.flow_held <= upstream.flow_most + 20 * MAX_BUFFERED_BODY
+                assert upstream.streamed_bytes <= upstream.flow_most + 20 * MAX_BUFFERED_BODY
             for stream in streams:
                 got = await soon(deaf.answer(stream))
                 assert got.reset == 8 and got.ends == 0  # CANCEL: it stood still, and was not all
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -298,7 +298,7 @@
                 _, body = await answer_of(client)
                 assert body == noise(size)
             await until(lambda: not up.proxy.pool.calls)
-            assert up.proxy.pool.upstream.flow_held == 0
+            assert up.proxy.pool.upstream.streamed_bytes == 0
             old = await up.client()
             old.writer.write(request_.replace(b"HTTP/1.1", b"HTTP/1.0"))
             told, body = await answer_of(old)
@@ -398,14 +398,14 @@
                 await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
                 sock.send(read(number, target="/api/large"))
                 socks.append(sock)
-            await until(lambda: upstream.flow_held > upstream.flow_most // 2)
+            await until(lambda: upstream.streamed_bytes > upstream.flow_most // 2)
             client = await up.client()
             for number in range(200, 260):
                 assert status(await client.ask(read(number))) == 200
-                assert upstream.flow_held <= upstream.flow_most + 100 * (FLOW_LEAST + READ)
+                assert upstream.streamed_bytes <= upstream.flow_most + 100 * (FLOW_LEAST + READ)
             for sock in socks:
                 sock.close()
-            await until(lambda: upstream.flow_held == 0 and not up.proxy.pool.calls)
+            await until(lambda: upstream.streamed_bytes == 0 and not up.proxy.pool.calls)
 
     asyncio.run(play())
 
@@ -442,7 +442,7 @@
                 _, body = await answer_of(client)
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
-            assert (front.held, upstream.held, upstream.flow_held, len(up.proxy.pool.calls)) == (0, 0, 0, 0)
+            assert (front.held, upstream.held, upstream.streamed_bytes, len(up.proxy.pool.calls)) == (0, 0, 0, 0)
             assert not front.flowing and not front.reading
             assert upstream.sockets() <= 2
 
