--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -103,7 +103,11 @@
         self._byte_limits = max_held_bytes, max_response_bytes
         upstream = self.pool.upstream
         upstream.tune(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
-        upstream.pass_from, upstream.pass_most, upstream.flow_most = limits.hold, max_response_bytes, max_held_bytes
+        upstream.pass_from, upstream.pass_most, upstream.max_streamed_bytes = (
+            limits.hold,
+            max_response_bytes,
+            max_held_bytes,
+        )
         if self._streams is not None:
             self._streams.tune(row.keep, row.connect, max_held_bytes, max_response_bytes)
         if snapshot is not None:  # serves until the source has delivered a list
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -95,7 +95,7 @@
             config.dial_timeout,
             int(HELD_PART * config.memory),
         )
-        connections.flow_most = int(FLOW_PART * config.memory)
+        connections.max_streamed_bytes = int(FLOW_PART * config.memory)
         self.front = Front(config.listen, max_callers, config.memory, self._request)
         self._reader = reader = EndpointReader(config.zones, config.types)
         self._discovery = PlatformWatch(
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -639,7 +639,7 @@
         # Bytes above which a response is streamed, and the limit on a streamed response.
         self.pass_from, self.pass_most = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
         self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
-        self.flow_most = held_most  # limit on those bytes
+        self.max_streamed_bytes = held_most  # limit on those bytes
         self.held_most = held_most
         self._idle: dict[Connection, None] = {}  # the longest idle first
         self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
@@ -760,7 +760,7 @@
         Each response thus converges to the same buffer, a single one to half of the total, and all together stay
         within the total however many start later (dynamic thresholds: Choudhury and Hahne, 1998).
         """
-        return max(FLOW_LEAST, self.flow_most - self.streamed_bytes)
+        return max(FLOW_LEAST, self.max_streamed_bytes - self.streamed_bytes)
 
     def sockets(self) -> int:
         """Return the number of connections that are established or being established."""
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -172,7 +172,7 @@
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
                 assert bytes((await soon(other.answer(begin(other, "/read", end=True)))).data) == BODY
-                assert upstream.streamed_bytes <= upstream.flow_most + 20 * MAX_BUFFERED_BODY
+                assert upstream.streamed_bytes <= upstream.max_streamed_bytes + 20 * MAX_BUFFERED_BODY
             for stream in streams:
                 got = await soon(deaf.answer(stream))
                 assert got.reset == 8 and got.ends == 0  # CANCEL: it stood still, and was not all
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -398,11 +398,11 @@
                 await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
                 sock.send(read(number, target="/api/large"))
                 socks.append(sock)
-            await until(lambda: upstream.streamed_bytes > upstream.flow_most // 2)
+            await until(lambda: upstream.streamed_bytes > upstream.max_streamed_bytes // 2)
             client = await up.client()
             for number in range(200, 260):
                 assert status(await client.ask(read(number))) == 200
-                assert upstream.streamed_bytes <= upstream.flow_most + 100 * (FLOW_LEAST + READ)
+                assert upstream.streamed_bytes <= upstream.max_streamed_bytes + 100 * (FLOW_LEAST + READ)
             for sock in socks:
                 sock.close()
             await until(lambda: upstream.streamed_bytes == 0 and not up.proxy.pool.calls)
