--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -569,7 +569,7 @@
             may_stream = exchange is not None and exchange.open and exchange.begin is not None
             # A response to a retryable request is buffered up to this size: a truncated one announces more than it has.
             large = self._size if self._is_repeatable() else max(self._size, self._length or 0)
-            if may_stream and large > self._upstream.pass_from and self._is_success():
+            if may_stream and large > self._upstream.streaming_threshold and self._is_success():
                 assert exchange is not None
                 self._start_streaming(exchange)
         else:
@@ -637,7 +637,7 @@
         self._no_reuse_until = 0.0
         self.held = 0  # bytes of incomplete buffered responses
         # Bytes above which a response is streamed, and the limit on a streamed response.
-        self.pass_from, self.pass_most = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
+        self.streaming_threshold, self.pass_most = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
         self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
         self.max_streamed_bytes = held_most  # limit on those bytes
         self.held_most = held_most
