--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -543,7 +543,7 @@
     def _max_body(self) -> int:
         """Return the limit in bytes on the response body."""
         may_stream = self.exchange is not None and self.exchange.begin is not None
-        return self._upstream.pass_most if may_stream else self._upstream.answer_most
+        return self._upstream.max_streamed_response if may_stream else self._upstream.answer_most
 
     def _is_success(self) -> bool:
         return self._upstream.judge(self._parser.get_status_code(), self._not_processed) is Outcome.OK
@@ -558,7 +558,7 @@
         if self._response is not None or self._invalid:
             return
         self._size += len(body)
-        if self._pipe is not None and self._size <= self._upstream.pass_most:
+        if self._pipe is not None and self._size <= self._upstream.max_streamed_response:
             self._write_to_pipe(body)
             return
         # Guards the memory limit against an endless response, and against many large ones at once.
@@ -637,7 +637,7 @@
         self._no_reuse_until = 0.0
         self.held = 0  # bytes of incomplete buffered responses
         # Bytes above which a response is streamed, and the limit on a streamed response.
-        self.streaming_threshold, self.pass_most = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
+        self.streaming_threshold, self.max_streamed_response = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
         self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
         self.max_streamed_bytes = held_most  # limit on those bytes
         self.held_most = held_most
