--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -543,7 +543,7 @@
     def _max_body(self) -> int:
         """Return the limit in bytes on the response body."""
         may_stream = self.exchange is not None and self.exchange.begin is not None
-        return self._upstream.max_streamed_response if may_stream else self._upstream.answer_most
+        return self._upstream.max_streamed_response if may_stream else self._upstream.max_response_body
 
     def _is_success(self) -> bool:
         return self._upstream.judge(self._parser.get_status_code(), self._not_processed) is Outcome.OK
@@ -562,7 +562,7 @@
             self._write_to_pipe(body)
             return
         # Guards the memory limit against an endless response, and against many large ones at once.
-        if self._size <= self._upstream.answer_most and self._upstream.holds(len(body)):
+        if self._size <= self._upstream.max_response_body and self._upstream.holds(len(body)):
             self._buffered += len(body)
             self._body.append(body)
             exchange = self.exchange
@@ -601,7 +601,7 @@
 class Upstream:
     """All connections to the backends of one pool, within that pool's share of the sockets.
 
-    `held_most` limits the bytes of incomplete responses, `answer_most` those of the body of one response.
+    `held_most` limits the bytes of incomplete responses, `max_response_body` those of the body of one response.
     """
 
     def __init__(
@@ -611,7 +611,7 @@
         conn_idle: float,
         dial_timeout: float,
         held_most: int,
-        answer_most: int = ANSWER_MOST,
+        max_response_body: int = ANSWER_MOST,
         judge: Callable[[int, bool], Outcome] = judge,
         dialled: Callable[[int, bool], None] | None = None,
         proof: bytes = b"x-not-processed",
@@ -628,7 +628,7 @@
         self._on_dialled = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
-        self.answer_most = answer_most
+        self.max_response_body = max_response_body
         self.judge = judge
         self._max_idle_time = IDLE_PART * conn_idle
         self._dial_timeout = dial_timeout
@@ -644,11 +644,13 @@
         self._idle: dict[Connection, None] = {}  # the longest idle first
         self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
 
-    def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int, idle_each: int) -> None:
+    def tune(
+        self, conn_idle: float, dial_timeout: float, held_most: int, max_response_body: int, idle_each: int
+    ) -> None:
         """Apply changed limits."""
         self._max_idle_per_backend = idle_each
         self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
-        self.held_most, self.answer_most = held_most, answer_most
+        self.held_most, self.max_response_body = held_most, max_response_body
 
     def retime(self, conn_idle: float, dial_timeout: float) -> None:
         """Apply changed timeouts."""
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -89,7 +89,7 @@
             conn_idle=BACKEND_IDLE_TIMEOUT_SECONDS,
             dial_timeout=CONNECT_TIMEOUT_SECONDS,
             held_most=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
-            answer_most=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
+            max_response_body=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
             judge=classify_response,
             proof=NOT_DELIVERED_HEADER,
             echo=ATTEMPT_ID_HEADER,
