--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -142,7 +142,7 @@
         self._loop.call_later(CHANGEOVER_SECONDS + LATE_REQUEST_SECONDS, self._end_changeover)
         self.wire, self._tenants = config.wire, config.tenants
         self._reader.set_names(config.zones, config.types)
-        self.pool.upstream.retime(config.conn_idle, config.dial_timeout)
+        self.pool.upstream.update_timeouts(config.conn_idle, config.dial_timeout)
         self._discovery.change_address(config.discovery)
 
     def _end_changeover(self) -> None:
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -652,7 +652,7 @@
         self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
         self.held_most, self.max_response_body = held_most, max_response_body
 
-    def retime(self, conn_idle: float, dial_timeout: float) -> None:
+    def update_timeouts(self, conn_idle: float, dial_timeout: float) -> None:
         """Apply changed timeouts."""
         self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
 
