--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -352,7 +352,7 @@
         del self._parser  # Guards memory: the parser and this object reference each other.
         if self.exchange is not None:
             if self.idle_since and not self._has_received:
-                self._upstream.distrust()
+                self._upstream.suspend_reuse()
             self.exchange.broke()
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -741,7 +741,7 @@
         backend.idle.append(connection)
         self._idle[connection] = None
 
-    def distrust(self) -> None:
+    def suspend_reuse(self) -> None:
         """Stop reusing connections for a while.
 
         Guards against backends or middleboxes that silently drop idle connections.
