--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -562,7 +562,7 @@
             self._write_to_pipe(body)
             return
         # Guards the memory limit against an endless response, and against many large ones at once.
-        if self._size <= self._upstream.max_response_body and self._upstream.holds(len(body)):
+        if self._size <= self._upstream.max_response_body and self._upstream.try_buffer(len(body)):
             self._buffered += len(body)
             self._body.append(body)
             exchange = self.exchange
@@ -750,7 +750,7 @@
         for connection in tuple(self._idle):
             self._drop(connection)
 
-    def holds(self, size: int) -> bool:
+    def try_buffer(self, size: int) -> bool:
         """Count `size` more bytes of a buffered response if they fit into the limit; returns whether they do."""
         fits = self.held + size <= self.held_most
         self.held += size * fits
