--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -92,7 +92,7 @@
         "dial",
         "echo",
         "first",
-        "flowing",
+        "streaming",
         "open",
         "repeatable",
         "started",
@@ -120,7 +120,7 @@
         self.written: Callable[[], None] | None = None  # called when the whole body has been sent
         # Called when the response begins to be streamed; None where it has to be buffered.
         self.begin: Callable[[Response, Pipe], None] | None = None
-        self.flowing, self.first = False, 0.0  # `first`: when streaming began
+        self.streaming, self.first = False, 0.0  # `first`: when streaming began
         self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
         self.echo: bytes | None = None  # the request id that the response must carry, where backends echo it
         self.bodyless = bodyless  # HEAD: the response ends with its head, whatever Content-Length says
@@ -158,7 +158,7 @@
 
         For a streamed response it ends at the first bytes, because the rest depends on the caller's pace.
         """
-        return (self.first if self.flowing else now) - self.started
+        return (self.first if self.streaming else now) - self.started
 
     def expire(self) -> None:
         """Time out the attempt, or stream its response if a part of it has arrived."""
@@ -176,7 +176,7 @@
         Guards requests that may be sent again against responses that begin and never end, whatever stops them: they
         would occupy the request until its deadline. Could harm backends that send slowly but correctly.
         """
-        if not self.repeatable or not self.open or self.flowing:
+        if not self.repeatable or not self.open or self.streaming:
             return
         if self.timer is not None:
             self.timer.cancel()
@@ -279,7 +279,7 @@
         if not data:
             # If the response began before the end of the body, the rest of the body is not needed and the response
             # continues.
-            if body.is_discarded and not body.ended and not exchange.flowing:
+            if body.is_discarded and not body.ended and not exchange.streaming:
                 exchange.broke()  # the rest will never arrive, so the request can't have run
             if body.is_discarded or not body.ended:
                 return
@@ -407,7 +407,7 @@
     def _start_streaming(self, exchange: Exchange) -> None:
         """Stream the response from here on: it is too large to be a short response with a wrong length."""
         assert exchange.begin is not None
-        exchange.flowing, exchange.first = True, self._upstream.now()
+        exchange.streaming, exchange.first = True, self._upstream.now()
         if exchange.timer is not None:
             exchange.timer.cancel()
 
