--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -91,7 +91,7 @@
         "connection",
         "dial",
         "echo",
-        "first",
+        "first_byte_at",
         "streaming",
         "open",
         "repeatable",
@@ -120,7 +120,7 @@
         self.written: Callable[[], None] | None = None  # called when the whole body has been sent
         # Called when the response begins to be streamed; None where it has to be buffered.
         self.begin: Callable[[Response, Pipe], None] | None = None
-        self.streaming, self.first = False, 0.0  # `first`: when streaming began
+        self.streaming, self.first_byte_at = False, 0.0  # `first_byte_at`: when streaming began
         self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
         self.echo: bytes | None = None  # the request id that the response must carry, where backends echo it
         self.bodyless = bodyless  # HEAD: the response ends with its head, whatever Content-Length says
@@ -158,7 +158,7 @@
 
         For a streamed response it ends at the first bytes, because the rest depends on the caller's pace.
         """
-        return (self.first if self.streaming else now) - self.started
+        return (self.first_byte_at if self.streaming else now) - self.started
 
     def expire(self) -> None:
         """Time out the attempt, or stream its response if a part of it has arrived."""
@@ -407,7 +407,7 @@
     def _start_streaming(self, exchange: Exchange) -> None:
         """Stream the response from here on: it is too large to be a short response with a wrong length."""
         assert exchange.begin is not None
-        exchange.streaming, exchange.first = True, self._upstream.now()
+        exchange.streaming, exchange.first_byte_at = True, self._upstream.now()
         if exchange.timer is not None:
             exchange.timer.cancel()
 
