--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -166,7 +166,7 @@
             return
         self.end(Outcome.TIMEOUT if self._may_have_run() else Outcome.UNREACHABLE)
 
-    def broke(self) -> None:
+    def connection_lost(self) -> None:
         """End the exchange because its connection has failed."""
         self.end(Outcome.INTERRUPTED if self._may_have_run() else Outcome.UNREACHABLE)
 
@@ -182,7 +182,9 @@
             self.timer.cancel()
         near_deadline = now + STALL >= self.until
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_at(self.until, self.expire) if near_deadline else loop.call_at(now + STALL, self.broke)
+        self.timer = (
+            loop.call_at(self.until, self.expire) if near_deadline else loop.call_at(now + STALL, self.connection_lost)
+        )
 
     def _may_have_run(self) -> bool:
         return self.connection is not None and self.connection.written
@@ -280,7 +282,7 @@
             # If the response began before the end of the body, the rest of the body is not needed and the response
             # continues.
             if body.is_discarded and not body.ended and not exchange.streaming:
-                exchange.broke()  # the rest will never arrive, so the request can't have run
+                exchange.connection_lost()  # the rest will never arrive, so the request can't have run
             if body.is_discarded or not body.ended:
                 return
             self.written = True
@@ -353,7 +355,7 @@
         if self.exchange is not None:
             if self.idle_since and not self._has_received:
                 self._upstream.suspend_reuse()
-            self.exchange.broke()
+            self.exchange.connection_lost()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Parse the bytes that have been received into the upstream's buffer."""
@@ -374,7 +376,7 @@
         response = self._response
         if response is None or self._invalid:
             if self._invalid or not (self._is_reusable or self._has_seen_stray):
-                exchange.broke()
+                exchange.connection_lost()
             elif self._message_begun:
                 exchange.begun(self._upstream.now())
             return
@@ -388,7 +390,7 @@
         if lacks_id and outcome is Outcome.OVERLOADED and self.idle_since:
             # Guards against a late rejection of an earlier request on this connection: where responses carry the id
             # of their request, one without an id doesn't prove that this request has not run.
-            exchange.broke()
+            exchange.connection_lost()
             return
         if outcome is Outcome.ERROR and exchange.body is not None and not self.written:
             outcome = Outcome.OVERLOADED  # a backend starts work after the last byte, so the request never ran
