--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -170,7 +170,7 @@
         """End the exchange because its connection has failed."""
         self.end(Outcome.INTERRUPTED if self._may_have_run() else Outcome.UNREACHABLE)
 
-    def begun(self, now: float) -> None:
+    def response_progressed(self, now: float) -> None:
         """Limit the time to the next piece of an incomplete response.
 
         Guards requests that may be sent again against responses that begin and never end, whatever stops them: they
@@ -378,7 +378,7 @@
             if self._invalid or not (self._is_reusable or self._has_seen_stray):
                 exchange.connection_lost()
             elif self._message_begun:
-                exchange.begun(self._upstream.now())
+                exchange.response_progressed(self._upstream.now())
             return
         self._deliver(exchange, response)
 
