--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -495,7 +495,7 @@
         def body_dropped() -> None:
             self.bind_to_attempt(call, number)
 
-        exchange.written, body.on_dropped = body_written, body_dropped
+        exchange.on_body_sent, body.on_dropped = body_written, body_dropped
 
     def bind_to_attempt(self, call: Call, number: int) -> None:
         """Bind a request to an attempt, because a message was passed on: no other attempt may be made."""
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -100,7 +100,7 @@
         "timer",
         "until",
         "write",
-        "written",
+        "on_body_sent",
         "_report",
     )
 
@@ -117,7 +117,7 @@
     ) -> None:
         # The body that is streamed after the bytes that `write` returns; None: those bytes are the whole request.
         self.body: Body | None = None
-        self.written: Callable[[], None] | None = None  # called when the whole body has been sent
+        self.on_body_sent: Callable[[], None] | None = None  # called when the whole body has been sent
         # Called when the response begins to be streamed; None where it has to be buffered.
         self.begin: Callable[[Response, Pipe], None] | None = None
         self.streaming, self.first_byte_at = False, 0.0  # `first_byte_at`: when streaming began
@@ -291,8 +291,8 @@
         if data:
             self._unsent = memoryview(data)
             self._loop.add_writer(self.sock.fileno(), self._writable)
-        if self.written and exchange.written is not None:
-            exchange.written()
+        if self.written and exchange.on_body_sent is not None:
+            exchange.on_body_sent()
 
     def usable(self) -> bool:
         """Return whether the connection can carry another exchange.
