--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -187,7 +187,7 @@
         )
 
     def _may_have_run(self) -> bool:
-        return self.connection is not None and self.connection.written
+        return self.connection is not None and self.connection.request_sent
 
 
 class Connection:
@@ -199,7 +199,7 @@
         self._upstream = upstream
         self.backend = backend
         self.exchange: Exchange | None = None
-        self.written = False  # whether the last byte of the request has been sent
+        self.request_sent = False  # whether the last byte of the request has been sent
         self.idle_since = 0.0  # the loop's time; 0: the connection is new
         self.over = False
         self._has_received = False  # whether a byte of the response has been received
@@ -225,7 +225,7 @@
         check(self.exchange is None and exchange.connection is None, Invariant.ONE_EXCHANGE)
         self.exchange = exchange
         exchange.connection = self
-        self.written = False
+        self.request_sent = False
         self._has_received = self._has_seen_stray = False
         if exchange.body is not None:
             self._body_offset = 0
@@ -263,7 +263,7 @@
         """Continue after all pending bytes have been sent."""
         exchange = self.exchange
         if exchange is None or exchange.body is None:
-            self.written = True
+            self.request_sent = True
         else:
             exchange.body.mark_forwarded(self._body_offset)
             self._send_body()
@@ -271,7 +271,7 @@
     def _send_body(self) -> None:
         """Send the available part of the body, one piece at a time."""
         exchange = self.exchange
-        if exchange is None or exchange.body is None or self._unsent or self.written or self.over:
+        if exchange is None or exchange.body is None or self._unsent or self.request_sent or self.over:
             return
         body = exchange.body
         data = body.read(self._body_offset)
@@ -285,13 +285,13 @@
                 exchange.connection_lost()  # the rest will never arrive, so the request can't have run
             if body.is_discarded or not body.ended:
                 return
-            self.written = True
+            self.request_sent = True
             if body.length is None:
                 data = b"0\r\n\r\n"
         if data:
             self._unsent = memoryview(data)
             self._loop.add_writer(self.sock.fileno(), self._writable)
-        if self.written and exchange.on_body_sent is not None:
+        if self.request_sent and exchange.on_body_sent is not None:
             exchange.on_body_sent()
 
     def usable(self) -> bool:
@@ -392,11 +392,11 @@
             # of their request, one without an id doesn't prove that this request has not run.
             exchange.connection_lost()
             return
-        if outcome is Outcome.ERROR and exchange.body is not None and not self.written:
+        if outcome is Outcome.ERROR and exchange.body is not None and not self.request_sent:
             outcome = Outcome.OVERLOADED  # a backend starts work after the last byte, so the request never ran
         # The connection is kept only if the response was this request's and nothing followed it: the next request might
         # get either otherwise.
-        if self._is_reusable and not lacks_id and self.written and self.usable():
+        if self._is_reusable and not lacks_id and self.request_sent and self.usable():
             self.exchange = exchange.connection = None
             self._reset()
             self._upstream.release(self)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -739,10 +739,10 @@
             exchange = exchanges.start(body)
             await until(lambda: exchange.connection is not None)
             connection = exchange.connection
-            assert connection is not None and not connection.written  # not yet: it surely has not run
+            assert connection is not None and not connection.request_sent  # not yet: it surely has not run
             gate.set()
             assert await soon(exchanges.ended.get()) is Outcome.OK
-            assert connection.written
+            assert connection.request_sent
         server.close()
 
     asyncio.run(play())
