--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -201,7 +201,7 @@
         self.exchange: Exchange | None = None
         self.request_sent = False  # whether the last byte of the request has been sent
         self.idle_since = 0.0  # the loop's time; 0: the connection is new
-        self.over = False
+        self.closed = False
         self._has_received = False  # whether a byte of the response has been received
         self._has_seen_stray = False  # whether a response to another request has been received
         self._buffered = 0  # bytes buffered here that the upstream counts in `held`
@@ -271,7 +271,7 @@
     def _send_body(self) -> None:
         """Send the available part of the body, one piece at a time."""
         exchange = self.exchange
-        if exchange is None or exchange.body is None or self._unsent or self.request_sent or self.over:
+        if exchange is None or exchange.body is None or self._unsent or self.request_sent or self.closed:
             return
         body = exchange.body
         data = body.read(self._body_offset)
@@ -299,7 +299,7 @@
 
         Guards the next request against unread input: bytes behind the last response, or the end of the connection.
         """
-        return not self.over and not self._poll.poll(0)
+        return not self.closed and not self._poll.poll(0)
 
     def abandon(self) -> None:
         """Close at once and drop unsent bytes."""
@@ -342,9 +342,9 @@
 
     def _close(self) -> None:
         """Close the connection after either side has ended it."""
-        if self.over:
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         self._loop.remove_reader(self.sock.fileno())
         self._loop.remove_writer(self.sock.fileno())
         self.sock.close()
@@ -442,20 +442,20 @@
         self._pipe_backlog += len(data)
         self._upstream.streamed_bytes += len(data)
         self._pipe.put(data)
-        if self._pipe_backlog > self._upstream.flow() and not self._reading_paused and not self.over:
+        if self._pipe_backlog > self._upstream.flow() and not self._reading_paused and not self.closed:
             self._reading_paused = True
             self._loop.remove_reader(self.sock.fileno())
 
     def _on_pipe_read(self, size: int) -> None:
         self._pipe_backlog -= size
-        if self._reading_paused and not self.over and self._pipe_backlog <= self._upstream.flow() // 2:
+        if self._reading_paused and not self.closed and self._pipe_backlog <= self._upstream.flow() // 2:
             self._reading_paused = False
             self._loop.add_reader(self.sock.fileno(), self._readable)
 
     def _stop_streaming(self) -> None:
         if self._pipe is not None:
             self._pipe = None
-            if self._reading_paused and not self.over:
+            if self._reading_paused and not self.closed:
                 self._loop.add_reader(self.sock.fileno(), self._readable)
             self._reading_paused, self._pipe_backlog = False, 0
 
