--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -475,7 +475,7 @@
             timed,
         )
         if self.streams_responses and call.caller is not None and call.caller.passing() is not None:
-            exchange.begin = watcher.begun
+            exchange.on_response_begun = watcher.begun
         if call.request.stream is not None:
             self._stream_body(call, call.request.stream, exchange, number, action.timeout)
         call.attempts.append(exchange)
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -85,7 +85,7 @@
 
     __slots__ = (
         "backend",
-        "begin",
+        "on_response_begun",
         "bodyless",
         "body",
         "connection",
@@ -119,7 +119,7 @@
         self.body: Body | None = None
         self.on_body_sent: Callable[[], None] | None = None  # called when the whole body has been sent
         # Called when the response begins to be streamed; None where it has to be buffered.
-        self.begin: Callable[[Response, Pipe], None] | None = None
+        self.on_response_begun: Callable[[Response, Pipe], None] | None = None
         self.streaming, self.first_byte_at = False, 0.0  # `first_byte_at`: when streaming began
         self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
         self.echo: bytes | None = None  # the request id that the response must carry, where backends echo it
@@ -408,7 +408,7 @@
 
     def _start_streaming(self, exchange: Exchange) -> None:
         """Stream the response from here on: it is too large to be a short response with a wrong length."""
-        assert exchange.begin is not None
+        assert exchange.on_response_begun is not None
         exchange.streaming, exchange.first_byte_at = True, self._upstream.now()
         if exchange.timer is not None:
             exchange.timer.cancel()
@@ -422,7 +422,9 @@
         self._write_to_pipe(b"".join(self._body))
         self._body.clear()
         self._release_buffer()
-        exchange.begin(Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow)
+        exchange.on_response_begun(
+            Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow
+        )
 
     def pass_on(self, exchange: Exchange) -> bool:
         """Stream the partial response of an expired exchange; returns False if there is none or it is invalid.
@@ -432,7 +434,7 @@
         is_valid = (
             self._head_complete and self._body and self._is_reusable and not self._invalid and self._response is None
         )
-        if not is_valid or exchange.begin is None or not self._is_success():
+        if not is_valid or exchange.on_response_begun is None or not self._is_success():
             return False
         self._start_streaming(exchange)
         return True
@@ -544,7 +546,7 @@
 
     def _max_body(self) -> int:
         """Return the limit in bytes on the response body."""
-        may_stream = self.exchange is not None and self.exchange.begin is not None
+        may_stream = self.exchange is not None and self.exchange.on_response_begun is not None
         return self._upstream.max_streamed_response if may_stream else self._upstream.max_response_body
 
     def _is_success(self) -> bool:
@@ -568,7 +570,7 @@
             self._buffered += len(body)
             self._body.append(body)
             exchange = self.exchange
-            may_stream = exchange is not None and exchange.open and exchange.begin is not None
+            may_stream = exchange is not None and exchange.open and exchange.on_response_begun is not None
             # A response to a retryable request is buffered up to this size: a truncated one announces more than it has.
             large = self._size if self._is_repeatable() else max(self._size, self._length or 0)
             if may_stream and large > self._upstream.streaming_threshold and self._is_success():
