--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -483,14 +483,14 @@
 
     def _stream_body(self, call: Call, body: Body, exchange: upstream.Exchange, number: int, timeout: float) -> None:
         """Stream the request's body to the attempt, whose timeout starts with the last byte."""
-        exchange.body, exchange.timed, exchange.until = body, False, call.deadline
+        exchange.body, exchange.timed, exchange.expires_at = body, False, call.deadline
 
         def body_written() -> None:
             now = self._loop.time()
             exchange.started = now
-            exchange.until = min(call.deadline, now + timeout) if timeout > 0.0 else call.deadline
-            if exchange.until < call.deadline:
-                exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
+            exchange.expires_at = min(call.deadline, now + timeout) if timeout > 0.0 else call.deadline
+            if exchange.expires_at < call.deadline:
+                exchange.timer = self._loop.call_at(exchange.expires_at, exchange.expire)
 
         def body_dropped() -> None:
             self.bind_to_attempt(call, number)
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -98,7 +98,7 @@
         "started",
         "timed",
         "timer",
-        "until",
+        "expires_at",
         "write",
         "on_body_sent",
         "_report",
@@ -108,7 +108,7 @@
         self,
         backend: Backend,
         started: float,
-        until: float,
+        expires_at: float,
         write: Callable[[float], bytes],
         report: Callable[[Exchange, Outcome, Response | None], None],
         repeatable: bool = True,
@@ -127,7 +127,7 @@
         self.timed = timed  # whether the exchange sets its own timer; else its owner calls `expire`
         self.backend = backend
         self.started = started
-        self.until = until  # the loop's time at which the attempt times out
+        self.expires_at = expires_at  # the loop's time at which the attempt times out
         self.write = write  # returns the request's bytes, given the seconds that are left
         self.open = True
         self.connection: Connection | None = None
@@ -180,10 +180,12 @@
             return
         if self.timer is not None:
             self.timer.cancel()
-        near_deadline = now + STALL >= self.until
+        near_deadline = now + STALL >= self.expires_at
         loop = asyncio.get_running_loop()
         self.timer = (
-            loop.call_at(self.until, self.expire) if near_deadline else loop.call_at(now + STALL, self.connection_lost)
+            loop.call_at(self.expires_at, self.expire)
+            if near_deadline
+            else loop.call_at(now + STALL, self.connection_lost)
         )
 
     def _may_have_run(self) -> bool:
@@ -679,7 +681,7 @@
     def start(self, exchange: Exchange) -> None:
         """Send an attempt, on a new connection if none is idle; its outcome is reported later."""
         if exchange.timed:
-            exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
+            exchange.timer = self._loop.call_at(exchange.expires_at, exchange.expire)
         idle = exchange.backend.idle
         # Guards requests that must not run twice: an idle connection may be dead already without any sign of it.
         while idle and (exchange.repeatable or self._reuses):
@@ -722,7 +724,7 @@
     def _transmit(self, exchange: Exchange, connection: Connection) -> None:
         """Send the request unless the attempt has become obsolete while it connected."""
         # Guards drains, timeouts and finished requests: connecting took time, in which any of them may have happened.
-        left = exchange.until - self._loop.time()
+        left = exchange.expires_at - self._loop.time()
         if not exchange.open or left <= 0.0 or not exchange.backend.in_service:
             self.release(connection)
             self._loop.call_soon(exchange.end, Outcome.NOT_PROCESSED)
