--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -352,7 +352,7 @@
         self.sock.close()
         self._release_buffer()
         self._stop_streaming()
-        self._upstream.lost(self)
+        self._upstream.connection_closed(self)
         del self._parser  # Guards memory: the parser and this object reference each other.
         if self.exchange is not None:
             if self.idle_since and not self._has_received:
@@ -778,7 +778,7 @@
         """Return the loop's time."""
         return self._loop.time()
 
-    def lost(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         """Release the socket of a closed connection."""
         self._sockets.release(self._name)
         self._forget(connection)
