--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -128,7 +128,7 @@
     SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _no_closing),
     SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _takes_whatever_waits),
     SoakGuard("an answer bears its request's id", backend_exchange, "is_valid_response", _sound_whatever_came),
-    SoakGuard("a late answer to another is passed over", Connection, "_stray", _first_answer_whoevers),
+    SoakGuard("a late answer to another is passed over", Connection, "_is_stray", _first_answer_whoevers),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_ran),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _never_late),
     SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _all_is_proven),
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -516,7 +516,7 @@
             if key.lower() == b"timeout" and seconds.isdigit():
                 self.backend.keeps = float(seconds)
 
-    def _stray(self) -> bool:
+    def _is_stray(self) -> bool:
         """Return whether the response belongs to another request: a second response that arrived late."""
         exchange = self.exchange
         return (
@@ -584,7 +584,7 @@
     def on_message_complete(self) -> None:
         if self._response is not None or self._invalid:
             return
-        if self._head_complete and self._stray():
+        if self._head_complete and self._is_stray():
             # Guards a request against a response to another one; the connection is not kept afterwards.
             self._release_buffer()
             self._has_seen_stray = True
