--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -21,7 +21,7 @@
 from lugspur.seams import Lane, Response
 
 # Default limit in bytes on a response that is buffered whole.
-ANSWER_MOST = 1 << 20
+MAX_BUFFERED_RESPONSE = 1 << 20
 # Size in bytes above which a response is streamed to the caller.
 STREAMING_THRESHOLD = 64 << 10
 # Limit in bytes on a streamed response: 32 MB are to be expected, endless responses announce gigabytes.
@@ -617,7 +617,7 @@
         conn_idle: float,
         dial_timeout: float,
         held_most: int,
-        max_response_body: int = ANSWER_MOST,
+        max_response_body: int = MAX_BUFFERED_RESPONSE,
         judge: Callable[[int, bool], Outcome] = judge,
         dialled: Callable[[int, bool], None] | None = None,
         proof: bytes = b"x-not-processed",
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -12,7 +12,7 @@
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import LOCAL_ERRORS, Dial
-from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
+from lugspur.http1.upstream import IDLE_PART, MAX_BUFFERED_RESPONSE
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, Leave
 from lugspur.http2.machine import (
     STREAMS_MOST,
@@ -556,7 +556,7 @@
         self._loop = asyncio.get_running_loop()
         self.judge = judge
         self.dial_timeout, self._keep = 0.25, 7.5
-        self.held, self.held_most, self.max_response_body = 0, ANSWER_MOST, ANSWER_MOST
+        self.held, self.held_most, self.max_response_body = 0, MAX_BUFFERED_RESPONSE, MAX_BUFFERED_RESPONSE
         self._boxes: dict[Listed, Box] = {}
         self._sweeping = self._loop.call_later(1.0, self._sweep)
 
