--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -27,7 +27,7 @@
 # Limit in bytes on a streamed response: 32 MB are to be expected, endless responses announce gigabytes.
 MAX_STREAMED_RESPONSE = 40 << 20
 # Fraction of the memory limit for all streamed responses together. Buffering them frees the backend early.
-FLOW_PART = 0.25
+STREAM_MEMORY_FRACTION = 0.25
 # Bytes of one streamed response that may always wait for its caller, however many are streamed.
 FLOW_LEAST = 8 << 10
 # Fraction of the memory limit for incomplete buffered responses: many large ones could fill the memory.
