--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -29,7 +29,7 @@
 # Fraction of the memory limit for all streamed responses together. Buffering them frees the backend early.
 STREAM_MEMORY_FRACTION = 0.25
 # Bytes of one streamed response that may always wait for its caller, however many are streamed.
-FLOW_LEAST = 8 << 10
+MIN_STREAM_BUFFER = 8 << 10
 # Fraction of the memory limit for incomplete buffered responses: many large ones could fill the memory.
 HELD_PART = 0.125
 # Limit in bytes on a response head, including the 1xx responses ahead of it: what HTTP clients commonly read.
@@ -768,7 +768,7 @@
         Each response thus converges to the same buffer, a single one to half of the total, and all together stay
         within the total however many start later (dynamic thresholds: Choudhury and Hahne, 1998).
         """
-        return max(FLOW_LEAST, self.max_streamed_bytes - self.streamed_bytes)
+        return max(MIN_STREAM_BUFFER, self.max_streamed_bytes - self.streamed_bytes)
 
     def sockets(self) -> int:
         """Return the number of connections that are established or being established."""
