--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -27,7 +27,7 @@
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected, Sizes
-from lugspur.http1.upstream import HELD_PART
+from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
@@ -81,7 +81,7 @@
         weights = {name: row.share for name, row in pools.items()}
         self._sockets.set_parts(sockets - max_callers, guaranteed_parts(sockets - max_callers, weights))
         self._request_slots.set_parts(max_callers, guaranteed_parts(max_callers, weights))
-        held_bytes_per_weight = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
+        held_bytes_per_weight = RESPONSE_MEMORY_FRACTION * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.configuration.plan.file.limits.read)
         for name, row in pools.items():
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -18,7 +18,7 @@
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.intake import Rejected
-from lugspur.http1.upstream import HELD_PART, STREAM_MEMORY_FRACTION, Upstream
+from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION, STREAM_MEMORY_FRACTION, Upstream
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
 from lugspur.routing.shares import SharedLimit
 from lugspur.seams import Request, Response
@@ -93,7 +93,7 @@
             "",
             config.conn_idle,
             config.dial_timeout,
-            int(HELD_PART * config.memory),
+            int(RESPONSE_MEMORY_FRACTION * config.memory),
         )
         connections.max_streamed_bytes = int(STREAM_MEMORY_FRACTION * config.memory)
         self.front = Front(config.listen, max_callers, config.memory, self._request)
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -31,7 +31,7 @@
 # Bytes of one streamed response that may always wait for its caller, however many are streamed.
 MIN_STREAM_BUFFER = 8 << 10
 # Fraction of the memory limit for incomplete buffered responses: many large ones could fill the memory.
-HELD_PART = 0.125
+RESPONSE_MEMORY_FRACTION = 0.125
 # Limit in bytes on a response head, including the 1xx responses ahead of it: what HTTP clients commonly read.
 MAX_HEAD = 16 << 10
 # Limit on the number of 1xx responses ahead of a response.
