--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -39,7 +39,7 @@
 # Bytes read at once, into one buffer that all connections share.
 READ = 64 << 10
 # Fraction of the backends' idle timeout after which idle connections are closed, well before the backend does so.
-IDLE_PART = 0.5
+IDLE_TIMEOUT_FRACTION = 0.5
 # Default limit on idle connections kept to one backend.
 MAX_IDLE_PER_BACKEND = 2
 # Seconds without connection reuse after a reused connection broke before any byte of a response.
@@ -636,7 +636,7 @@
         self._sockets, self._name = sockets, name
         self.max_response_body = max_response_body
         self.judge = judge
-        self._max_idle_time = IDLE_PART * conn_idle
+        self._max_idle_time = IDLE_TIMEOUT_FRACTION * conn_idle
         self._dial_timeout = dial_timeout
         self._max_idle_per_backend = keeps or MAX_IDLE_PER_BACKEND
         self.buffer = memoryview(bytearray(READ))
@@ -655,12 +655,12 @@
     ) -> None:
         """Apply changed limits."""
         self._max_idle_per_backend = idle_each
-        self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self._max_idle_time, self._dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
         self.held_most, self.max_response_body = held_most, max_response_body
 
     def update_timeouts(self, conn_idle: float, dial_timeout: float) -> None:
         """Apply changed timeouts."""
-        self._max_idle_time, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self._max_idle_time, self._dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
 
     def close(self) -> None:
         """Close all idle connections; nothing is sent from here any more."""
@@ -689,7 +689,7 @@
             del self._idle[connection]
             keeps = exchange.backend.keeps
             # Guards requests that must not run twice against a connection that the backend is about to close.
-            stale = keeps > 0.0 and self._loop.time() - connection.idle_since > IDLE_PART * keeps
+            stale = keeps > 0.0 and self._loop.time() - connection.idle_since > IDLE_TIMEOUT_FRACTION * keeps
             if not stale and connection.usable():
                 self._transmit(exchange, connection)
                 return
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -12,7 +12,7 @@
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.status import Status, http_status, read_status
 from lugspur.http1.dial import LOCAL_ERRORS, Dial
-from lugspur.http1.upstream import IDLE_PART, MAX_BUFFERED_RESPONSE
+from lugspur.http1.upstream import IDLE_TIMEOUT_FRACTION, MAX_BUFFERED_RESPONSE
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, Leave
 from lugspur.http2.machine import (
     STREAMS_MOST,
@@ -562,7 +562,7 @@
 
     def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int) -> None:
         """Go on by other limits."""
-        self._keep, self.dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self._keep, self.dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
         self.held_most, self.max_response_body = held_most, answer_most
 
     def now(self) -> float:
