--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -46,7 +46,7 @@
 NO_REUSE_SECONDS = 10.0
 # Seconds allowed between two pieces of a response: a response arrives in one go, and a second attempt needs about
 # 0.2 s.
-STALL = 0.1
+STALL_TIMEOUT = 0.1
 
 
 def judge(status: int, not_processed: bool) -> Outcome:
@@ -180,12 +180,12 @@
             return
         if self.timer is not None:
             self.timer.cancel()
-        near_deadline = now + STALL >= self.expires_at
+        near_deadline = now + STALL_TIMEOUT >= self.expires_at
         loop = asyncio.get_running_loop()
         self.timer = (
             loop.call_at(self.expires_at, self.expire)
             if near_deadline
-            else loop.call_at(now + STALL, self.connection_lost)
+            else loop.call_at(now + STALL_TIMEOUT, self.connection_lost)
         )
 
     def _may_have_run(self) -> bool:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -37,7 +37,7 @@
 from lugspur.http1.dial import Dial
 from lugspur.http1.front import Caller
 from lugspur.http1.intake import Intake
-from lugspur.http1.upstream import STALL, Connection, Exchange, Upstream
+from lugspur.http1.upstream import STALL_TIMEOUT, Connection, Exchange, Upstream
 from lugspur.http1.upstream import Backend as Known
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import Outcome, Reject, Settings
@@ -643,7 +643,7 @@
             client = await up.client()
             client.writer.write(request_bytes)
             await soon(one.got.get())
-            await asyncio.sleep(3.0 * STALL)
+            await asyncio.sleep(3.0 * STALL_TIMEOUT)
             one.open[0].write(OK[-2:] if begins == OK[:-2] else OK)
             assert (await client.answer()).endswith(b"\r\n\r\ndone")
 
