--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -37,7 +37,7 @@
 # Limit on the number of 1xx responses ahead of a response.
 MAX_INFORMATIONAL_RESPONSES = 16
 # Bytes read at once, into one buffer that all connections share.
-READ = 64 << 10
+READ_SIZE = 64 << 10
 # Fraction of the backends' idle timeout after which idle connections are closed, well before the backend does so.
 IDLE_TIMEOUT_FRACTION = 0.5
 # Default limit on idle connections kept to one backend.
@@ -310,7 +310,7 @@
 
     def _readable(self) -> None:
         try:
-            max_bytes = 0 if self._pipe is None else min(READ, self._upstream.flow())
+            max_bytes = 0 if self._pipe is None else min(READ_SIZE, self._upstream.flow())
             count = self.sock.recv_into(self._upstream.buffer, max_bytes)
         except BlockingIOError:
             return
@@ -374,7 +374,7 @@
         if not self._head_complete:
             self._head_input += nbytes
             # Guards memory against one endless header.
-            self._invalid = self._invalid or self._head_input > MAX_HEAD + READ
+            self._invalid = self._invalid or self._head_input > MAX_HEAD + READ_SIZE
         response = self._response
         if response is None or self._invalid:
             if self._invalid or not (self._is_reusable or self._has_seen_stray):
@@ -639,7 +639,7 @@
         self._max_idle_time = IDLE_TIMEOUT_FRACTION * conn_idle
         self._dial_timeout = dial_timeout
         self._max_idle_per_backend = keeps or MAX_IDLE_PER_BACKEND
-        self.buffer = memoryview(bytearray(READ))
+        self.buffer = memoryview(bytearray(READ_SIZE))
         self._no_reuse_until = 0.0
         self.held = 0  # bytes of incomplete buffered responses
         # Bytes above which a response is streamed, and the limit on a streamed response.
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -17,7 +17,7 @@
 from lugspur.http1 import body as bodies
 from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
 from lugspur.http1.intake import PLATFORM, Intake, Rejected
-from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ
+from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ_SIZE
 from lugspur.seams import Request
 
 LARGE = 3 << 20
@@ -402,7 +402,7 @@
             client = await up.client()
             for number in range(200, 260):
                 assert status(await client.ask(read(number))) == 200
-                assert upstream.streamed_bytes <= upstream.max_streamed_bytes + 100 * (MIN_STREAM_BUFFER + READ)
+                assert upstream.streamed_bytes <= upstream.max_streamed_bytes + 100 * (MIN_STREAM_BUFFER + READ_SIZE)
             for sock in socks:
                 sock.close()
             await until(lambda: upstream.streamed_bytes == 0 and not up.proxy.pool.calls)
