--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -624,10 +624,11 @@
         echo: bytes = b"",
         keeps: int = 0,
     ) -> None:
-        """`proof`: the header that says that a request did not run; `echo`: the one with the request id, or empty.
+        """Set up the pool without connections.
 
-        `keeps`: idle connections kept to one backend. A value above 0 also allows requests that must not run twice to
-        reuse connections.
+        The header `proof` says that a request did not run. The header `echo`, if any, returns the id of a request.
+        `keeps` is the number of idle connections kept to one backend; a value above 0 also allows requests that must
+        not run twice to reuse connections.
         """
         self.proof, self.echo = proof, echo
         self._reuses = keeps > 0
