--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -90,7 +90,7 @@
         "body",
         "connection",
         "dial",
-        "echo",
+        "expected_id",
         "first_byte_at",
         "streaming",
         "open",
@@ -122,7 +122,7 @@
         self.on_response_begun: Callable[[Response, Pipe], None] | None = None
         self.streaming, self.first_byte_at = False, 0.0  # `first_byte_at`: when streaming began
         self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
-        self.echo: bytes | None = None  # the request id that the response must carry, where backends echo it
+        self.expected_id: bytes | None = None  # the request id that the response must carry, where backends echo it
         self.bodyless = bodyless  # HEAD: the response ends with its head, whatever Content-Length says
         self.timed = timed  # whether the exchange sets its own timer; else its owner calls `expire`
         self.backend = backend
@@ -388,7 +388,7 @@
         """Report a complete response, and keep the connection if it can be reused."""
         self._response = None
         outcome = self._upstream.judge(response.status, self._not_processed)
-        lacks_id = exchange.echo is not None and self._response_id is None
+        lacks_id = exchange.expected_id is not None and self._response_id is None
         if lacks_id and outcome is Outcome.OVERLOADED and self.idle_since:
             # Guards against a late rejection of an earlier request on this connection: where responses carry the id
             # of their request, one without an id doesn't prove that this request has not run.
@@ -499,7 +499,7 @@
         elif lower == b"transfer-encoding":
             self._invalid = value.lower() != b"chunked"
             self._has_framing = True
-        elif lower == self._upstream.echo:
+        elif lower == self._upstream.expected_id:
             self._response_id = value
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif lower == b"keep-alive":
@@ -521,9 +521,9 @@
         exchange = self.exchange
         return (
             exchange is not None
-            and exchange.echo is not None
+            and exchange.expected_id is not None
             and self._response_id is not None
-            and self._response_id != exchange.echo
+            and self._response_id != exchange.expected_id
         )
 
     def on_headers_complete(self) -> None:
@@ -630,7 +630,7 @@
         `keeps` is the number of idle connections kept to one backend; a value above 0 also allows requests that must
         not run twice to reuse connections.
         """
-        self.proof, self.echo = proof, echo
+        self.proof, self.expected_id = proof, echo
         self._reuses = keeps > 0
         self._on_dialled = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -261,7 +261,7 @@
             repeatable=forward.is_safe,
             bodyless=forward.method == b"HEAD",
         )
-        exchange.echo = forward.attempt_id
+        exchange.expected_id = forward.attempt_id
         request.exchange = exchange
         self._upstream.start(exchange)
 
