--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -138,9 +138,9 @@
     def untouched(self) -> bool:
         """Whether it can be sent anew as it was: nothing of a stream has passed, and nothing was answered."""
         pipe = self._requested()
-        if pipe is not None and not pipe.passed:
+        if pipe is not None and not pipe.was_read:
             pipe.attach(None)
-        return not self._head and (pipe is None or not pipe.passed)
+        return not self._head and (pipe is None or not pipe.was_read)
 
     def _requested(self) -> Pipe | None:
         return None if self.request.form is None else self.request.form.pipe
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -23,7 +23,7 @@
         self._credited = 0  # bytes at the beginning that their sender has been credited for already
         self._on_data: Callable[[], None] | None = None
         self.ended = False
-        self.passed = False  # whether any byte was taken: the request is bound to this attempt
+        self.was_read = False  # whether any byte was taken: the request is bound to this attempt
 
     def put(self, data: bytes, free: bool = False) -> None:
         """Append received bytes; `free` if their sender needs no credit for them."""
@@ -49,13 +49,13 @@
         """Take all available bytes."""
         data = b"".join(self._chunks)
         self._chunks.clear()
-        self.passed = self.passed or bool(data)
+        self.was_read = self.was_read or bool(data)
         return data
 
     def take_piece(self) -> bytes:
         """Take the first chunk as it was received; empty if there is none."""
         data = self._chunks.popleft() if self._chunks else b""
-        self.passed = self.passed or bool(data)
+        self.was_read = self.was_read or bool(data)
         return data
 
     def discard(self) -> None:
