--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -724,7 +724,7 @@
     def _write_pieces(self) -> None:
         """Write the available part of the response as long as the caller reads."""
         flow = self._response_pipe
-        while flow is not None and not self._stuck and (data := flow.take_piece()):
+        while flow is not None and not self._stuck and (data := flow.take_chunk()):
             self.move(self.front.flowing, self._loop.time() + FLOW_WITHIN)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
             if self._stuck:  # credited once it has been sent
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -52,7 +52,7 @@
         self.was_read = self.was_read or bool(data)
         return data
 
-    def take_piece(self) -> bytes:
+    def take_chunk(self) -> bytes:
         """Take the first chunk as it was received; empty if there is none."""
         data = self._chunks.popleft() if self._chunks else b""
         self.was_read = self.was_read or bool(data)
