--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -383,7 +383,7 @@
         uncredited, self._uncredited = self._uncredited, 0
         if flow is not None:
             flow.attach(None)
-            flow.gone(uncredited)
+            flow.mark_sent(uncredited)
             flow.discard()
 
     def _release_request(self) -> None:
@@ -427,7 +427,7 @@
         self._stuck = False
         if self._response_pipe is not None:
             uncredited, self._uncredited = self._uncredited, 0
-            self._response_pipe.gone(uncredited)
+            self._response_pipe.mark_sent(uncredited)
             self._write_pieces()
             return
         self._resume()
@@ -730,7 +730,7 @@
             if self._stuck:  # credited once it has been sent
                 self._uncredited += len(data)
             else:
-                flow.gone(len(data))
+                flow.mark_sent(len(data))
         if flow is not None and flow.ended and not self._stuck:
             self._complete_response()
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -244,7 +244,7 @@
         self._stop()
         if self._answer is not None:
             self._answer.attach(None)
-            self._answer.gone(self._unsent)
+            self._answer.mark_sent(self._unsent)
             self._answer.discard()
         self._release()
         self.answered = True
@@ -291,7 +291,7 @@
         self.moved = self.connection.loop.time()
         if self._answer is not None:
             self._unsent -= size
-            self._answer.gone(size)
+            self._answer.mark_sent(size)
 
 
 class Call(Stream):
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -180,7 +180,7 @@
         """So many bytes of the request have gone out, or will never."""
         pipe = self._requested()
         if pipe is not None:
-            pipe.gone(size)
+            pipe.mark_sent(size)
 
     def _bind(self) -> None:
         if not self._bound:
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -60,9 +60,9 @@
 
     def discard(self) -> None:
         """Drop the available bytes."""
-        self.gone(len(self.take()))
+        self.mark_sent(len(self.take()))
 
-    def gone(self, size: int) -> None:
+    def mark_sent(self, size: int) -> None:
         """Record that bytes taken before have been sent, or never will be, and credit their sender."""
         free = min(size, self._credited)
         self._credited -= free
