--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -12,7 +12,7 @@
 from lugspur.grpc.messages import Spoilt, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
-from lugspur.pipe import Pipe, nothing
+from lugspur.pipe import Pipe, ignore_credit
 from lugspur.seams import Answerable, Form, Request
 
 CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
@@ -55,7 +55,7 @@
         self._loop = asyncio.get_running_loop()
         self._deadline = request.arrived + float(request.headers.get(b"x-timeout", b"inf"))
         self._reported_status: Serving | None = None
-        self._pipe = Pipe(nothing)
+        self._pipe = Pipe(ignore_credit)
         self._timer: asyncio.TimerHandle | None = None
         caller.gone = self._stop
         form.begin_messages(b"", self._pipe)
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-def nothing(_: int) -> None:
+def ignore_credit(_: int) -> None:
     """Credit callback for bytes whose sender needs no flow control credit."""
 
 
