--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -21,7 +21,7 @@
 # Bytes read at once, into one buffer that all callers share.
 READ_SIZE = 64 << 10
 # Seconds from connecting within which the first request must begin. A caller is granted at most 3 s.
-FIRST_WITHIN = 2.0
+FIRST_REQUEST_TIMEOUT = 2.0
 # Seconds more for the head of a first request that began late: with the sweep's 0.25 s that is less than 3 s.
 LATE_HEAD_ALLOWANCE = 0.6
 # Seconds for which the first bytes of a new connection may still be in flight.
@@ -85,7 +85,7 @@
     ) -> None:
         self.address = address
         self.handle = handle
-        self.first_within, self.whole_within, self.idle_most = FIRST_WITHIN, WHOLE_WITHIN, IDLE_MOST
+        self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, WHOLE_WITHIN, IDLE_MOST
         self.grace = LINGER  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
         # Returns the configuration for a request; called when its head is complete.
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -134,7 +134,7 @@
             client.writer.close()
             await until(lambda: not up.proxy.front.callers and not up.proxy.front.leaving)
 
-    monkeypatch.setattr("lugspur.http1.front.FIRST_WITHIN", 0.5)
+    monkeypatch.setattr("lugspur.http1.front.FIRST_REQUEST_TIMEOUT", 0.5)
     asyncio.run(play())
 
 
@@ -184,7 +184,7 @@
                 assert status(await good.ask(book(3))) == 200
                 assert status(await half.ask(book(2)[-1:])) == 200
 
-    for name in ("FIRST_WITHIN", "WHOLE_WITHIN", "IDLE_LEAST", "IDLE_MOST", "LINGER"):
+    for name in ("FIRST_REQUEST_TIMEOUT", "WHOLE_WITHIN", "IDLE_LEAST", "IDLE_MOST", "LINGER"):
         monkeypatch.setattr(f"lugspur.http1.front.{name}", 3 * WIDE)
     monkeypatch.setattr("lugspur.http1.front.SETTLE", 0.0)
     asyncio.run(play())
