--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -28,7 +28,7 @@
 SETTLE = 0.05
 # Seconds from the first byte of a request within which its head must be complete: some callers take 2 s, and a
 # caller is granted at most 3 s.
-WHOLE_WITHIN = 2.5
+REQUEST_HEAD_TIMEOUT = 2.5
 # Minimum average rate of a body in bytes per second: some callers send at 64 kB per second.
 BODY_RATE = 24 << 10
 # Seconds that a body may lag behind that rate.
@@ -85,7 +85,7 @@
     ) -> None:
         self.address = address
         self.handle = handle
-        self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, WHOLE_WITHIN, IDLE_MOST
+        self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, REQUEST_HEAD_TIMEOUT, IDLE_MOST
         self.grace = LINGER  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
         # Returns the configuration for a request; called when its head is complete.
