--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -25,7 +25,7 @@
 # Seconds more for the head of a first request that began late: with the sweep's 0.25 s that is less than 3 s.
 LATE_HEAD_ALLOWANCE = 0.6
 # Seconds for which the first bytes of a new connection may still be in flight.
-SETTLE = 0.05
+FIRST_BYTES_GRACE = 0.05
 # Seconds from the first byte of a request within which its head must be complete: some callers take 2 s, and a
 # caller is granted at most 3 s.
 REQUEST_HEAD_TIMEOUT = 2.5
@@ -209,7 +209,7 @@
         if len(self.callers) <= self.most:
             return False
         # Protects good callers: useless connections are closed first, one whose request is being read never.
-        latest = self._loop.time() + self.first_within - SETTLE
+        latest = self._loop.time() + self.first_within - FIRST_BYTES_GRACE
         silent = [caller for caller, limit in itertools.islice(self.fresh.items(), 1) if limit < latest]
         for table in (self.leaving, silent, self.idle, self.fresh):
             for caller in table:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -186,7 +186,7 @@
 
     for name in ("FIRST_REQUEST_TIMEOUT", "REQUEST_HEAD_TIMEOUT", "IDLE_LEAST", "IDLE_MOST", "LINGER"):
         monkeypatch.setattr(f"lugspur.http1.front.{name}", 3 * WIDE)
-    monkeypatch.setattr("lugspur.http1.front.SETTLE", 0.0)
+    monkeypatch.setattr("lugspur.http1.front.FIRST_BYTES_GRACE", 0.0)
     asyncio.run(play())
 
 
