--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -30,7 +30,7 @@
 # caller is granted at most 3 s.
 REQUEST_HEAD_TIMEOUT = 2.5
 # Minimum average rate of a body in bytes per second: some callers send at 64 kB per second.
-BODY_RATE = 24 << 10
+MIN_BODY_RATE = 24 << 10
 # Seconds that a body may lag behind that rate.
 BODY_LEAST = 1.0
 # Seconds within which each piece of a streamed response must arrive and be sent.
@@ -530,7 +530,7 @@
                 limit = min(limit, front.fresh[self] + LATE_HEAD_ALLOWANCE)
             elif self._place is front.reading:
                 limit = front.reading[self]
-            self.move(front.reading, max(limit, intake.body_due(BODY_RATE) + BODY_LEAST))
+            self.move(front.reading, max(limit, intake.body_due(MIN_BODY_RATE) + BODY_LEAST))
 
     def _continue_body(self, now: float) -> None:
         """Continue after more of a streamed body has been received."""
@@ -543,7 +543,7 @@
             self._release_request()
             self.reject(intake.fault)
         else:
-            limit = max(intake.arrived + front.whole_within, intake.body_due(BODY_RATE) + BODY_LEAST)
+            limit = max(intake.arrived + front.whole_within, intake.body_due(MIN_BODY_RATE) + BODY_LEAST)
             self.move(front.reading, limit)
             if stream.full:
                 self._paused_at = now
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -319,8 +319,8 @@
 
 
 def test_a_slow_body_is_waited_for_and_its_time_counts_from_its_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "BODY_RATE", 1 << 20)  # of which it keeps ahead
-    assert fronts.BODY_RATE < 64_000  # what callers with little room may need
+    monkeypatch.setattr(http2_front, "MIN_BODY_RATE", 1 << 20)  # of which it keeps ahead
+    assert fronts.MIN_BODY_RATE < 64_000  # what callers with little room may need
 
     async def play() -> None:
         head = LARGE.replace("[limits]", '[limits]\nread = "100ms"').replace(
