--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -32,7 +32,7 @@
 # Minimum average rate of a body in bytes per second: some callers send at 64 kB per second.
 MIN_BODY_RATE = 24 << 10
 # Seconds that a body may lag behind that rate.
-BODY_LEAST = 1.0
+BODY_RATE_GRACE = 1.0
 # Seconds within which each piece of a streamed response must arrive and be sent.
 FLOW_WITHIN = 10.0
 # Seconds that a connection may be idle between requests.
@@ -445,7 +445,7 @@
     def slow(self, now: float) -> None:
         stream = self._request_body
         if stream is not None and stream.full:  # the delay is caused by the backend, not by this caller
-            self.move(self.front.reading, now + BODY_LEAST)
+            self.move(self.front.reading, now + BODY_RATE_GRACE)
             return
         super().slow(now)
 
@@ -530,7 +530,7 @@
                 limit = min(limit, front.fresh[self] + LATE_HEAD_ALLOWANCE)
             elif self._place is front.reading:
                 limit = front.reading[self]
-            self.move(front.reading, max(limit, intake.body_due(MIN_BODY_RATE) + BODY_LEAST))
+            self.move(front.reading, max(limit, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE))
 
     def _continue_body(self, now: float) -> None:
         """Continue after more of a streamed body has been received."""
@@ -543,7 +543,7 @@
             self._release_request()
             self.reject(intake.fault)
         else:
-            limit = max(intake.arrived + front.whole_within, intake.body_due(MIN_BODY_RATE) + BODY_LEAST)
+            limit = max(intake.arrived + front.whole_within, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE)
             self.move(front.reading, limit)
             if stream.full:
                 self._paused_at = now
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -9,7 +9,7 @@
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
-from lugspur.http1.front import BODY_LEAST, FLOW_WITHIN, LINGER, MIN_BODY_RATE, Front, Held
+from lugspur.http1.front import BODY_RATE_GRACE, FLOW_WITHIN, LINGER, MIN_BODY_RATE, Front, Held
 from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
@@ -75,9 +75,9 @@
             return
         if self._body is not None:
             now = self.connection.loop.time()
-            due = self._headed + self._body.received / MIN_BODY_RATE + BODY_LEAST
+            due = self._headed + self._body.received / MIN_BODY_RATE + BODY_RATE_GRACE
             if self._full_at or now < due:  # it waits for the backend, or comes at a rate that will do
-                self._wait_until(max(due, now + BODY_LEAST))
+                self._wait_until(max(due, now + BODY_RATE_GRACE))
                 return
         self.connection.refuse(self, Rejected(408, "the request took too long"))
 
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -292,7 +292,7 @@
 
 
 def test_what_is_too_large_or_too_slow_is_turned_away_in_its_middle(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "BODY_LEAST", 0.1)
+    monkeypatch.setattr(http2_front, "BODY_RATE_GRACE", 0.1)
 
     async def play() -> None:
         head = LARGE.replace("[limits]", '[limits]\nread = "100ms"')
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -116,7 +116,7 @@
 
 
 def test_a_body_that_stops_is_cut_off_and_its_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lugspur.http1.front.BODY_LEAST", 0.0)
+    monkeypatch.setattr("lugspur.http1.front.BODY_RATE_GRACE", 0.0)
     monkeypatch.setattr("lugspur.http1.front.MIN_BODY_RATE", 1 << 30)
 
     async def play() -> None:
