--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -34,7 +34,7 @@
 # Seconds that a body may lag behind that rate.
 BODY_RATE_GRACE = 1.0
 # Seconds within which each piece of a streamed response must arrive and be sent.
-FLOW_WITHIN = 10.0
+STREAM_TIMEOUT = 10.0
 # Seconds that a connection may be idle between requests.
 IDLE_MOST = 10.0
 # The same when connections are scarce or no request was ever accepted; the protocol requires this minimum.
@@ -718,14 +718,14 @@
             )
         )
         self._response_pipe = flow
-        self.move(self.front.flowing, self._loop.time() + FLOW_WITHIN)
+        self.move(self.front.flowing, self._loop.time() + STREAM_TIMEOUT)
         flow.attach(self._write_pieces)
 
     def _write_pieces(self) -> None:
         """Write the available part of the response as long as the caller reads."""
         flow = self._response_pipe
         while flow is not None and not self._stuck and (data := flow.take_chunk()):
-            self.move(self.front.flowing, self._loop.time() + FLOW_WITHIN)
+            self.move(self.front.flowing, self._loop.time() + STREAM_TIMEOUT)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
             if self._stuck:  # credited once it has been sent
                 self._uncredited += len(data)
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -9,7 +9,7 @@
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
-from lugspur.http1.front import BODY_RATE_GRACE, FLOW_WITHIN, LINGER, MIN_BODY_RATE, Front, Held
+from lugspur.http1.front import BODY_RATE_GRACE, LINGER, MIN_BODY_RATE, STREAM_TIMEOUT, Front, Held
 from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
@@ -267,7 +267,7 @@
 
     def _look(self) -> None:
         """Guards memory and backends against an answer that stands still on either side."""
-        limit = self.moved + FLOW_WITHIN
+        limit = self.moved + STREAM_TIMEOUT
         if self.connection.loop.time() < limit:
             self._timer = self.connection.loop.call_at(limit, self._look)
         elif self.connection.streams.get(self.stream) is self:
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -162,7 +162,7 @@
 
 
 def test_answers_that_are_not_read_hold_little_and_hold_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.3)
+    monkeypatch.setattr(http2_front, "STREAM_TIMEOUT", 0.3)
 
     async def play() -> None:
         async with box(large(BODY, "length")) as address, before(address) as up:
@@ -187,7 +187,7 @@
 def test_a_caller_that_reads_slowly_gets_all_of_it(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
     # Held whole or passed on: what moves is not cut off, however long it takes in all.
     monkeypatch.setattr(http2_front, "STUCK", 0.1)
-    monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.1)
+    monkeypatch.setattr(http2_front, "STREAM_TIMEOUT", 0.1)
     body = BODY[:size]
 
     async def play() -> None:
