--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -36,7 +36,7 @@
 # Seconds within which each piece of a streamed response must arrive and be sent.
 STREAM_TIMEOUT = 10.0
 # Seconds that a connection may be idle between requests.
-IDLE_MOST = 10.0
+IDLE_TIMEOUT = 10.0
 # The same when connections are scarce or no request was ever accepted; the protocol requires this minimum.
 IDLE_LEAST = 2.0
 # Fraction of the limit on connections above which they count as scarce.
@@ -85,7 +85,7 @@
     ) -> None:
         self.address = address
         self.handle = handle
-        self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, REQUEST_HEAD_TIMEOUT, IDLE_MOST
+        self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, REQUEST_HEAD_TIMEOUT, IDLE_TIMEOUT
         self.grace = LINGER  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
         # Returns the configuration for a request; called when its head is complete.
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -146,7 +146,7 @@
             assert await soon(client.reader.read()) == b""
             assert not up.proxy.front.callers
 
-    monkeypatch.setattr("lugspur.http1.front.IDLE_MOST", 0.1)
+    monkeypatch.setattr("lugspur.http1.front.IDLE_TIMEOUT", 0.1)
     asyncio.run(play())
 
 
@@ -184,7 +184,7 @@
                 assert status(await good.ask(book(3))) == 200
                 assert status(await half.ask(book(2)[-1:])) == 200
 
-    for name in ("FIRST_REQUEST_TIMEOUT", "REQUEST_HEAD_TIMEOUT", "IDLE_LEAST", "IDLE_MOST", "LINGER"):
+    for name in ("FIRST_REQUEST_TIMEOUT", "REQUEST_HEAD_TIMEOUT", "IDLE_LEAST", "IDLE_TIMEOUT", "LINGER"):
         monkeypatch.setattr(f"lugspur.http1.front.{name}", 3 * WIDE)
     monkeypatch.setattr("lugspur.http1.front.FIRST_BYTES_GRACE", 0.0)
     asyncio.run(play())
