--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -38,7 +38,7 @@
 # Seconds that a connection may be idle between requests.
 IDLE_TIMEOUT = 10.0
 # The same when connections are scarce or no request was ever accepted; the protocol requires this minimum.
-IDLE_LEAST = 2.0
+MIN_IDLE_TIMEOUT = 2.0
 # Fraction of the limit on connections above which they count as scarce.
 SCARCITY_FRACTION = 0.5
 # Seconds that a closing connection may take; meanwhile its input is read and dropped.
@@ -227,7 +227,7 @@
             return
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
-        shortened_by = self.idle_most - IDLE_LEAST if len(self.callers) > SCARCITY_FRACTION * self.most else 0.0
+        shortened_by = self.idle_most - MIN_IDLE_TIMEOUT if len(self.callers) > SCARCITY_FRACTION * self.most else 0.0
         for table, before in ((self.leaving, 0.0), (self.fresh, 0.0), (self.idle, shortened_by)):
             for caller in [caller for caller, limit in table.items() if limit - before <= now]:
                 caller.drop()
@@ -677,7 +677,7 @@
         if self._parser.reading:
             self.move(front.reading, now + front.whole_within)
         else:
-            self.move(front.idle, now + (front.idle_most if self.used else IDLE_LEAST))
+            self.move(front.idle, now + (front.idle_most if self.used else MIN_IDLE_TIMEOUT))
             if front.pass_to is not None:
                 self._loop.call_soon(self.pass_on)
         if not self._stuck:
