--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -42,7 +42,7 @@
 # Fraction of the limit on connections above which they count as scarce.
 SCARCITY_FRACTION = 0.5
 # Seconds that a closing connection may take; meanwhile its input is read and dropped.
-LINGER = 2.0
+CLOSE_TIMEOUT = 2.0
 # Limit in bytes on that input. Closing with unread input would reset the connection and lose the response.
 MAX_DROPPED_INPUT = 64 << 20
 # Seconds between checks of the time limits.
@@ -86,7 +86,7 @@
         self.address = address
         self.handle = handle
         self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, REQUEST_HEAD_TIMEOUT, IDLE_TIMEOUT
-        self.grace = LINGER  # seconds for which streams may continue after `close`
+        self.grace = CLOSE_TIMEOUT  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
         # Returns the configuration for a request; called when its head is complete.
         self.terms: Callable[[], object] | None = None
@@ -398,7 +398,7 @@
 
     def close(self) -> None:
         """Close the connection after all written bytes have been sent."""
-        self.move(self.front.leaving, self._loop.time() + LINGER)
+        self.move(self.front.leaving, self._loop.time() + CLOSE_TIMEOUT)
         self._transport.close()
 
     def pass_on(self) -> None:
@@ -616,7 +616,7 @@
         self._queue.clear()
         self._count_buffered(0)
         self._write(fault.status, b"", fault.reason.encode() + b"\n", False)
-        self.move(self.front.leaving, self._loop.time() + LINGER)
+        self.move(self.front.leaving, self._loop.time() + CLOSE_TIMEOUT)
         # Guards the response against a reset: input is still read until the caller closes.
         self._transport.resume_reading()
         self._shut_down_output()
@@ -663,7 +663,7 @@
         stream.drop()
         self._count_buffered(0)
         self._write(status, head, body, False, length)
-        self.move(self.front.leaving, self._loop.time() + LINGER)
+        self.move(self.front.leaving, self._loop.time() + CLOSE_TIMEOUT)
         self._transport.resume_reading()
         self._shut_down_output()
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -9,7 +9,7 @@
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
-from lugspur.http1.front import BODY_RATE_GRACE, LINGER, MIN_BODY_RATE, STREAM_TIMEOUT, Front, Held
+from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, Held
 from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
@@ -632,7 +632,7 @@
         """Close it, once what is written is out."""
         self.flush()
         if not self.over:
-            self.move(self.front.leaving, self.loop.time() + LINGER)
+            self.move(self.front.leaving, self.loop.time() + CLOSE_TIMEOUT)
             self._transport.close()
 
     def close(self) -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -184,7 +184,7 @@
                 assert status(await good.ask(book(3))) == 200
                 assert status(await half.ask(book(2)[-1:])) == 200
 
-    for name in ("FIRST_REQUEST_TIMEOUT", "REQUEST_HEAD_TIMEOUT", "MIN_IDLE_TIMEOUT", "IDLE_TIMEOUT", "LINGER"):
+    for name in ("FIRST_REQUEST_TIMEOUT", "REQUEST_HEAD_TIMEOUT", "MIN_IDLE_TIMEOUT", "IDLE_TIMEOUT", "CLOSE_TIMEOUT"):
         monkeypatch.setattr(f"lugspur.http1.front.{name}", 3 * WIDE)
     monkeypatch.setattr("lugspur.http1.front.FIRST_BYTES_GRACE", 0.0)
     asyncio.run(play())
