--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -48,7 +48,7 @@
 # Seconds between checks of the time limits.
 SWEEP_INTERVAL = 0.25
 # Fraction of the memory limit for incomplete bodies: hundreds of them could fill the memory.
-HELD_PART = 0.25
+BODY_MEMORY_FRACTION = 0.25
 # The connection preface of HTTP/2 (RFC 9113 3.4); no HTTP/1.1 request begins like this.
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 # Limit on pipelined requests that wait behind another one: callers send one at a time.
@@ -119,7 +119,7 @@
 
     def _set_limits(self, most: int, memory: int) -> None:
         self.most = most
-        self.held_most = int(HELD_PART * memory)
+        self.held_most = int(BODY_MEMORY_FRACTION * memory)
 
     def tune(self, most: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float) -> None:
         """Apply changed limits.
