--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -54,7 +54,7 @@
 # Limit on pipelined requests that wait behind another one: callers send one at a time.
 MAX_PIPELINED_REQUESTS = 8
 # Seconds from a drain until idle connections are closed: by then most callers have sent another request.
-DRAIN_FROM = 1.0
+DRAIN_IDLE_DELAY = 1.0
 # Seconds for which a connection that was opened after the drain call may still deliver its first request.
 DRAIN_FIRST_REQUEST_GRACE = 0.3
 # Seconds between checks from then on: a caller that can still send a request 2 s after the call is held 4 s after it.
@@ -180,7 +180,7 @@
         for caller in tuple(self.callers):
             caller.pass_on()
 
-    def drain(self, since: float = DRAIN_FROM) -> None:
+    def drain(self, since: float = DRAIN_IDLE_DELAY) -> None:
         """Start a drain: responses close their connection, and idle connections are closed a little later."""
         if self.drained_at is None:
             self.drained_at = self._loop.time()
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -182,7 +182,7 @@
             for _ in range(3):
                 assert await call(port, "POST", "/drain") == 200
                 assert await call(port, "POST", "/undrain") == 200
-            await asyncio.sleep(fronts.DRAIN_FROM + 2 * fronts.DRAIN_EVERY)
+            await asyncio.sleep(fronts.DRAIN_IDLE_DELAY + 2 * fronts.DRAIN_EVERY)
             assert b"Connection: close" not in await client.ask(read(2))
 
     asyncio.run(play())
@@ -280,7 +280,7 @@
 
 
 def test_a_request_body_that_takes_longer_than_a_drain_is_read_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fronts, "DRAIN_FROM", 0.05)
+    monkeypatch.setattr(fronts, "DRAIN_IDLE_DELAY", 0.05)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up, admin_port(up) as port:
--- a/tests/daemon/test_daemon_admin.py
+++ b/tests/daemon/test_daemon_admin.py
@@ -93,7 +93,7 @@
 
 
 def test_a_drain_reaches_all_listeners_and_http2_callers_get_goaway(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fronts, "DRAIN_FROM", 0.05)
+    monkeypatch.setattr(fronts, "DRAIN_IDLE_DELAY", 0.05)
 
     async def play() -> None:
         async with boxed(1) as world:
