--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -58,7 +58,7 @@
 # Seconds for which a connection that was opened after the drain call may still deliver its first request.
 DRAIN_FIRST_REQUEST_GRACE = 0.3
 # Seconds between checks from then on: a caller that can still send a request 2 s after the call is held 4 s after it.
-DRAIN_EVERY = 0.1
+DRAIN_CHECK_INTERVAL = 0.1
 # Seconds between checks whether a response has been sent, so that its connection may be handed over.
 HANDOVER_RETRY_DELAY = 0.02
 # Connections that may wait to be accepted.
@@ -198,7 +198,7 @@
         """Close connections without an open request."""
         if self.drained_at != drained_at:
             return
-        self._schedule_idle_close(DRAIN_EVERY)
+        self._schedule_idle_close(DRAIN_CHECK_INTERVAL)
         latest = self._loop.time() + self.first_within - DRAIN_FIRST_REQUEST_GRACE
         for caller in tuple(self.callers):
             if caller.quiet() and self.fresh.get(caller, 0.0) < latest:
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -182,7 +182,7 @@
             for _ in range(3):
                 assert await call(port, "POST", "/drain") == 200
                 assert await call(port, "POST", "/undrain") == 200
-            await asyncio.sleep(fronts.DRAIN_IDLE_DELAY + 2 * fronts.DRAIN_EVERY)
+            await asyncio.sleep(fronts.DRAIN_IDLE_DELAY + 2 * fronts.DRAIN_CHECK_INTERVAL)
             assert b"Connection: close" not in await client.ask(read(2))
 
     asyncio.run(play())
@@ -293,7 +293,7 @@
             await until(lambda: bool(up.proxy.pool.calls))
             assert await call(port, "POST", "/drain") == 200
             assert await soon(idle.reader.read()) == b""  # by now all are gone that go
-            await asyncio.sleep(2 * fronts.DRAIN_EVERY)
+            await asyncio.sleep(2 * fronts.DRAIN_CHECK_INTERVAL)
             slow.writer.write(sent[100_000:])
             begun.writer.write(half[-2:])
             for client in (slow, begun):
