--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -12,7 +12,7 @@
 from lugspur.seams import Request
 
 # Default limit in bytes on a request body.
-BODY_MOST = 64 << 10
+MAX_BODY = 64 << 10
 # Limit in bytes on a streamed request body: 32 MB are to be expected, 60 MB are rejected.
 MAX_STREAMED_BODY = 40 << 20
 # Limit in bytes on a request head: what backends commonly accept.
@@ -54,7 +54,7 @@
     """
 
     head: int = MAX_HEAD
-    body: int = BODY_MOST
+    body: int = MAX_BODY
     ordinary: bool = False
     hold: int = 1 << 62  # body size above which the body is streamed
 
--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -12,7 +12,7 @@
 from daemonic import Served, answer, ask, backend, fields, pool, route, served, target_of
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, soon, status, until
 
-from lugspur.http1.intake import BODY_MOST
+from lugspur.http1.intake import MAX_BODY
 
 ALL = route("all", "/*", 'pool = "a"\nclass = "read"')
 
@@ -153,7 +153,7 @@
         (b"GET / HTTP/1.0\r\n\r\n", 200),
         (ask(X_Timeout="soon"), 400),
         (ask(Expect="a-miracle"), 417),
-        (ask("PUT", body=b"x" * (BODY_MOST + 1)), 200),
+        (ask("PUT", body=b"x" * (MAX_BODY + 1)), 200),
         (ask("PUT", body=b"x" * ((1 << 20) + 1)), 413),
         (ask(X_Pad="p" * (17 << 10)), 431),
         (ask("POST", "/once", b"x"), 400),
