--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -21,7 +21,7 @@
 MAX_WIRE_FACTOR = 8
 VERSIONS = ("1.1", "1.0")
 # The proxy sets these headers on every request, so they need not be removed from the lines of an ordinary client.
-REWRITTEN = frozenset({b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto"})
+PROXY_SET_HEADERS = frozenset({b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto"})
 NAMED = frozenset(
     {
         b"x-priority-class",
@@ -164,7 +164,7 @@
             self._headers[lower] = value
         elif self._sizes.ordinary:
             self._record_header(lower, value)
-        if self._sizes.ordinary and lower in REWRITTEN:
+        if self._sizes.ordinary and lower in PROXY_SET_HEADERS:
             return
         if lower == b"connection":
             self._connection_options += b"," + value.lower()
