--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -22,7 +22,7 @@
 VERSIONS = ("1.1", "1.0")
 # The proxy sets these headers on every request, so they need not be removed from the lines of an ordinary client.
 PROXY_SET_HEADERS = frozenset({b"host", b"x-request-id", b"x-forwarded-for", b"x-forwarded-proto"})
-NAMED = frozenset(
+PROXY_READ_HEADERS = frozenset(
     {
         b"x-priority-class",
         b"x-tenant-id",
@@ -158,7 +158,7 @@
             self._process_header(name, name.lower(), value.strip(b" \t"))
 
     def _process_header(self, name: bytes, lower: bytes, value: bytes) -> None:
-        if lower in NAMED:
+        if lower in PROXY_READ_HEADERS:
             if lower in self._headers:  # Guards against a backend that uses the other one.
                 self._reject(400, "a header comes twice")
             self._headers[lower] = value
@@ -207,7 +207,7 @@
 
     def _drop_connection_headers(self, named: set[bytes]) -> None:
         """Drop the headers that `Connection` names."""
-        if not named.isdisjoint(NAMED):  # Guards against a request that loses its id on the way.
+        if not named.isdisjoint(PROXY_READ_HEADERS):  # Guards against a request that loses its id on the way.
             self._reject(400, "a header can't be dropped")
         self._lines = [line for line in self._lines if line.partition(b":")[0].lower() not in named]
         for name in named:  # Guards routes and tenants against a header that no backend will see.
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -10,7 +10,7 @@
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
 from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, Held
-from lugspur.http1.intake import NAMED, PROXY_SET_HEADERS, Rejected
+from lugspur.http1.intake import PROXY_READ_HEADERS, PROXY_SET_HEADERS, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
 from lugspur.http2.wire import Wire
@@ -445,7 +445,7 @@
         if not value.isascii() or not name.isascii():  # Guards backends that close on what they can't read.
             raise Rejected(400, "a header is not plain text")
         before = named.get(name)
-        if before is not None and name in NAMED:  # Guards against a backend that reads the other one.
+        if before is not None and name in PROXY_READ_HEADERS:  # Guards against a backend that reads the other one.
             raise Rejected(400, "a header comes twice")
         named[name] = value if before is None else before + b", " + value
         if name not in PROXY_SET_HEADERS and name not in mapping.CONNECTION and (underscores or b"_" not in name):
