--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -626,9 +626,10 @@
     ) -> None:
         """Set up the pool without connections.
 
-        The header `proof` says that a request did not run. The header `echo`, if any, returns the id of a request.
-        `keeps` is the number of idle connections kept to one backend; a value above 0 also allows requests that must
-        not run twice to reuse connections.
+        The header `proof` says that a request did not run.
+        The header `echo`, if any, returns the id of a request.
+        `keeps` is the number of idle connections kept to one backend; a value above 0 also
+        allows requests that must not run twice to reuse connections.
         """
         self.proof, self.expected_id = proof, echo
         self._reuses = keeps > 0
