--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -488,7 +488,7 @@
             return
         self._size += len(name) + len(value) + 4
         lower, value = name.lower(), value.strip(b" \t")
-        if lower == self._upstream.proof:
+        if lower == self._upstream.not_processed_header:
             self._not_processed = value == b"1"
         elif lower == b"connection":
             self._connection_options += b"," + value.lower()
@@ -620,18 +620,18 @@
         max_response_body: int = MAX_BUFFERED_RESPONSE,
         judge: Callable[[int, bool], Outcome] = judge,
         dialled: Callable[[int, bool], None] | None = None,
-        proof: bytes = b"x-not-processed",
+        not_processed_header: bytes = b"x-not-processed",
         echo: bytes = b"",
         keeps: int = 0,
     ) -> None:
         """Set up the pool without connections.
 
-        The header `proof` says that a request did not run.
+        The header `not_processed_header` says that a request did not run.
         The header `echo`, if any, returns the id of a request.
         `keeps` is the number of idle connections kept to one backend; a value above 0 also
         allows requests that must not run twice to reuse connections.
         """
-        self.proof, self.expected_id = proof, echo
+        self.not_processed_header, self.expected_id = not_processed_header, echo
         self._reuses = keeps > 0
         self._on_dialled = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -91,7 +91,7 @@
             held_most=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
             max_response_body=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
             judge=classify_response,
-            proof=NOT_DELIVERED_HEADER,
+            not_processed_header=NOT_DELIVERED_HEADER,
             echo=ATTEMPT_ID_HEADER,
             keeps=MAX_IDLE_CONNECTIONS,
         )
