--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -499,7 +499,7 @@
         elif lower == b"transfer-encoding":
             self._invalid = value.lower() != b"chunked"
             self._has_framing = True
-        elif lower == self._upstream.expected_id:
+        elif lower == self._upstream.request_id_header:
             self._response_id = value
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif lower == b"keep-alive":
@@ -621,17 +621,17 @@
         judge: Callable[[int, bool], Outcome] = judge,
         dialled: Callable[[int, bool], None] | None = None,
         not_processed_header: bytes = b"x-not-processed",
-        echo: bytes = b"",
+        request_id_header: bytes = b"",
         keeps: int = 0,
     ) -> None:
         """Set up the pool without connections.
 
         The header `not_processed_header` says that a request did not run.
-        The header `echo`, if any, returns the id of a request.
+        The header `request_id_header`, if any, returns the id of a request.
         `keeps` is the number of idle connections kept to one backend; a value above 0 also
         allows requests that must not run twice to reuse connections.
         """
-        self.not_processed_header, self.expected_id = not_processed_header, echo
+        self.not_processed_header, self.request_id_header = not_processed_header, request_id_header
         self._reuses = keeps > 0
         self._on_dialled = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -92,7 +92,7 @@
             max_response_body=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
             judge=classify_response,
             not_processed_header=NOT_DELIVERED_HEADER,
-            echo=ATTEMPT_ID_HEADER,
+            request_id_header=ATTEMPT_ID_HEADER,
             keeps=MAX_IDLE_CONNECTIONS,
         )
         self._queue = AdmissionQueue()
