--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -622,17 +622,17 @@
         dialled: Callable[[int, bool], None] | None = None,
         not_processed_header: bytes = b"x-not-processed",
         request_id_header: bytes = b"",
-        keeps: int = 0,
+        max_idle_per_backend: int = 0,
     ) -> None:
         """Set up the pool without connections.
 
         The header `not_processed_header` says that a request did not run.
         The header `request_id_header`, if any, returns the id of a request.
-        `keeps` is the number of idle connections kept to one backend; a value above 0 also
+        `max_idle_per_backend` is the number of idle connections kept to one backend; a value above 0 also
         allows requests that must not run twice to reuse connections.
         """
         self.not_processed_header, self.request_id_header = not_processed_header, request_id_header
-        self._reuses = keeps > 0
+        self._reuses = max_idle_per_backend > 0
         self._on_dialled = dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
@@ -640,7 +640,7 @@
         self.judge = judge
         self._max_idle_time = IDLE_TIMEOUT_FRACTION * conn_idle
         self._dial_timeout = dial_timeout
-        self._max_idle_per_backend = keeps or MAX_IDLE_PER_BACKEND
+        self._max_idle_per_backend = max_idle_per_backend or MAX_IDLE_PER_BACKEND
         self.buffer = memoryview(bytearray(READ_SIZE))
         self._no_reuse_until = 0.0
         self.held = 0  # bytes of incomplete buffered responses
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -93,7 +93,7 @@
             judge=classify_response,
             not_processed_header=NOT_DELIVERED_HEADER,
             request_id_header=ATTEMPT_ID_HEADER,
-            keeps=MAX_IDLE_CONNECTIONS,
+            max_idle_per_backend=MAX_IDLE_CONNECTIONS,
         )
         self._queue = AdmissionQueue()
         self._running = 0
