--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -59,7 +59,7 @@
 class Backend:
     """One backend of the endpoint list and its idle connections, the most recently used last."""
 
-    __slots__ = ("address", "family", "idle", "in_service", "keeps", "lane", "server", "started")
+    __slots__ = ("address", "family", "idle", "in_service", "keep_alive_seconds", "lane", "server", "started")
 
     def __init__(self, address: Address, server: int = 0) -> None:
         self.move(address)
@@ -67,7 +67,7 @@
         self.started = 0.0
         self.in_service = False
         self.idle: list[Connection] = []
-        self.keeps = 0.0  # seconds for which the backend keeps idle connections; 0: not announced
+        self.keep_alive_seconds = 0.0  # seconds for which the backend keeps idle connections; 0: not announced
         self.lane: Lane | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
 
     def move(self, address: Address) -> None:
@@ -514,7 +514,7 @@
         for part in value.split(b","):
             key, _, seconds = part.strip().partition(b"=")
             if key.lower() == b"timeout" and seconds.isdigit():
-                self.backend.keeps = float(seconds)
+                self.backend.keep_alive_seconds = float(seconds)
 
     def _is_stray(self) -> bool:
         """Return whether the response belongs to another request: a second response that arrived late."""
@@ -689,9 +689,12 @@
         while idle and (exchange.repeatable or self._reuses):
             connection = idle.pop()
             del self._idle[connection]
-            keeps = exchange.backend.keeps
+            keep_alive_seconds = exchange.backend.keep_alive_seconds
             # Guards requests that must not run twice against a connection that the backend is about to close.
-            stale = keeps > 0.0 and self._loop.time() - connection.idle_since > IDLE_TIMEOUT_FRACTION * keeps
+            stale = (
+                keep_alive_seconds > 0.0
+                and self._loop.time() - connection.idle_since > IDLE_TIMEOUT_FRACTION * keep_alive_seconds
+            )
             if not stale and connection.usable():
                 self._transmit(exchange, connection)
                 return
