--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -85,7 +85,11 @@
     ) -> None:
         self.address = address
         self.handle = handle
-        self.first_within, self.whole_within, self.idle_most = FIRST_REQUEST_TIMEOUT, REQUEST_HEAD_TIMEOUT, IDLE_TIMEOUT
+        self.first_request_timeout, self.whole_within, self.idle_most = (
+            FIRST_REQUEST_TIMEOUT,
+            REQUEST_HEAD_TIMEOUT,
+            IDLE_TIMEOUT,
+        )
         self.grace = CLOSE_TIMEOUT  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
         # Returns the configuration for a request; called when its head is complete.
@@ -130,7 +134,7 @@
         self.grace = grace
         self._set_limits(most, memory)
         self.sizes = sizes
-        self.first_within = self.whole_within = within
+        self.first_request_timeout = self.whole_within = within
         self.idle_most = idle
 
     def healthy(self) -> bool:
@@ -199,7 +203,7 @@
         if self.drained_at != drained_at:
             return
         self._schedule_idle_close(DRAIN_CHECK_INTERVAL)
-        latest = self._loop.time() + self.first_within - DRAIN_FIRST_REQUEST_GRACE
+        latest = self._loop.time() + self.first_request_timeout - DRAIN_FIRST_REQUEST_GRACE
         for caller in tuple(self.callers):
             if caller.quiet() and self.fresh.get(caller, 0.0) < latest:
                 caller.front_closes()
@@ -209,7 +213,7 @@
         if len(self.callers) <= self.most:
             return False
         # Protects good callers: useless connections are closed first, one whose request is being read never.
-        latest = self._loop.time() + self.first_within - FIRST_BYTES_GRACE
+        latest = self._loop.time() + self.first_request_timeout - FIRST_BYTES_GRACE
         silent = [caller for caller, limit in itertools.islice(self.fresh.items(), 1) if limit < latest]
         for table in (self.leaving, silent, self.idle, self.fresh):
             for caller in table:
@@ -365,7 +369,7 @@
         if self.used:
             self.move(front.idle, front.last_accept + front.idle_most)
         else:
-            self.move(front.fresh, front.last_accept + front.first_within)
+            self.move(front.fresh, front.last_accept + front.first_request_timeout)
         if front.pass_to is not None:  # it was accepted just before the handover began
             self._loop.call_soon(self.pass_on)
         front.full(self)  # Guards the limit on file descriptors: another connection that can be closed is closed.
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -484,7 +484,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.move(self.front.fresh, self.loop.time() + self.front.first_within)
+        self.move(self.front.fresh, self.loop.time() + self.front.first_request_timeout)
         if self.front.closing:
             self.close()
 
