--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -85,7 +85,7 @@
     ) -> None:
         self.address = address
         self.handle = handle
-        self.first_request_timeout, self.whole_within, self.idle_most = (
+        self.first_request_timeout, self.request_head_timeout, self.idle_most = (
             FIRST_REQUEST_TIMEOUT,
             REQUEST_HEAD_TIMEOUT,
             IDLE_TIMEOUT,
@@ -134,7 +134,7 @@
         self.grace = grace
         self._set_limits(most, memory)
         self.sizes = sizes
-        self.first_request_timeout = self.whole_within = within
+        self.first_request_timeout = self.request_head_timeout = within
         self.idle_most = idle
 
     def healthy(self) -> bool:
@@ -529,7 +529,7 @@
         if self._queue:
             self._start_next_request()
         elif intake.reading and not self._busy:
-            limit = intake.arrived + front.whole_within
+            limit = intake.arrived + front.request_head_timeout
             if self._place is front.fresh:  # a request that began late has less time for its head
                 limit = min(limit, front.fresh[self] + LATE_HEAD_ALLOWANCE)
             elif self._place is front.reading:
@@ -547,7 +547,7 @@
             self._release_request()
             self.reject(intake.fault)
         else:
-            limit = max(intake.arrived + front.whole_within, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE)
+            limit = max(intake.arrived + front.request_head_timeout, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE)
             self.move(front.reading, limit)
             if stream.full:
                 self._paused_at = now
@@ -587,7 +587,7 @@
             return
         if stream is not None and self._request_body is stream:
             self._transport.resume_reading()  # the body has to be received while the request is processed
-            self.move(self.front.reading, self._loop.time() + self.front.whole_within)
+            self.move(self.front.reading, self._loop.time() + self.front.request_head_timeout)
 
     def _send_continue(self) -> None:
         """Ask for the body that a caller holds back (`Expect: 100-continue`), unless other requests are ahead of it."""
@@ -679,7 +679,7 @@
             return
         now, front = self._loop.time(), self.front
         if self._parser.reading:
-            self.move(front.reading, now + front.whole_within)
+            self.move(front.reading, now + front.request_head_timeout)
         else:
             self.move(front.idle, now + (front.idle_most if self.used else MIN_IDLE_TIMEOUT))
             if front.pass_to is not None:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -64,7 +64,7 @@
 
     def _wait_for_all(self) -> None:
         """Guards connections against a body that never ends."""
-        self._wait_until(self.arrived + self.front.whole_within)
+        self._wait_until(self.arrived + self.front.request_head_timeout)
 
     def _wait_until(self, limit: float) -> None:
         self._stop()
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -763,7 +763,7 @@
         told: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context))
         async with running([]) as up:
-            up.proxy.front.first_request_timeout = up.proxy.front.whole_within = 0.1
+            up.proxy.front.first_request_timeout = up.proxy.front.request_head_timeout = 0.1
             client = await up.client()
             client.writer.write(sent)
             await until(lambda: up.proxy.front.rejections.total() == 1)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -121,7 +121,7 @@
 
     async def play() -> None:
         async with box(digest) as address, running([entry("a", address)]) as up:
-            up.proxy.front.whole_within = 0.2
+            up.proxy.front.request_head_timeout = 0.2
             client = await up.client()
             client.writer.write(book(body=noise(LARGE))[: MAX_BUFFERED_BODY + 20_000])
             assert status(await client.answer()) == 408
