--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -85,7 +85,7 @@
     ) -> None:
         self.address = address
         self.handle = handle
-        self.first_request_timeout, self.request_head_timeout, self.idle_most = (
+        self.first_request_timeout, self.request_head_timeout, self.idle_timeout = (
             FIRST_REQUEST_TIMEOUT,
             REQUEST_HEAD_TIMEOUT,
             IDLE_TIMEOUT,
@@ -135,7 +135,7 @@
         self._set_limits(most, memory)
         self.sizes = sizes
         self.first_request_timeout = self.request_head_timeout = within
-        self.idle_most = idle
+        self.idle_timeout = idle
 
     def healthy(self) -> bool:
         """Return whether this proxy is ready for requests."""
@@ -231,7 +231,9 @@
             return
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
-        shortened_by = self.idle_most - MIN_IDLE_TIMEOUT if len(self.callers) > SCARCITY_FRACTION * self.most else 0.0
+        shortened_by = (
+            self.idle_timeout - MIN_IDLE_TIMEOUT if len(self.callers) > SCARCITY_FRACTION * self.most else 0.0
+        )
         for table, before in ((self.leaving, 0.0), (self.fresh, 0.0), (self.idle, shortened_by)):
             for caller in [caller for caller, limit in table.items() if limit - before <= now]:
                 caller.drop()
@@ -367,7 +369,7 @@
         front = self.front
         front.last_accept = self._loop.time()
         if self.used:
-            self.move(front.idle, front.last_accept + front.idle_most)
+            self.move(front.idle, front.last_accept + front.idle_timeout)
         else:
             self.move(front.fresh, front.last_accept + front.first_request_timeout)
         if front.pass_to is not None:  # it was accepted just before the handover began
@@ -681,7 +683,7 @@
         if self._parser.reading:
             self.move(front.reading, now + front.request_head_timeout)
         else:
-            self.move(front.idle, now + (front.idle_most if self.used else MIN_IDLE_TIMEOUT))
+            self.move(front.idle, now + (front.idle_timeout if self.used else MIN_IDLE_TIMEOUT))
             if front.pass_to is not None:
                 self._loop.call_soon(self.pass_on)
         if not self._stuck:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -504,7 +504,7 @@
         """What has come in."""
         self._heard = now = self.loop.time()
         if self._place is self.front.fresh:
-            self.move(self.front.idle, now + self.front.idle_most)
+            self.move(self.front.idle, now + self.front.idle_timeout)
         for event in self.machine.received(now, bytes(data)):
             self._event(event)
         self.flush()
@@ -626,7 +626,7 @@
         if self._leaving:
             return  # the second GOAWAY is still to come
         front = self.front
-        self.move(front.idle, self.loop.time() + front.idle_most)
+        self.move(front.idle, self.loop.time() + front.idle_timeout)
 
     def _end(self) -> None:
         """Close it, once what is written is out."""
