--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -144,7 +144,7 @@
                     self._handle(row, request, caller)
 
             front.http2 = lambda front: Connection(front, handle_http2, row.streams)
-        front.terms = lambda: self.configuration
+        front.get_configuration = lambda: self.configuration
         self.apply_limits(front)
         return front
 
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -93,7 +93,7 @@
         self.grace = CLOSE_TIMEOUT  # seconds for which streams may continue after `close`
         self.sizes = PLATFORM
         # Returns the configuration for a request; called when its head is complete.
-        self.terms: Callable[[], object] | None = None
+        self.get_configuration: Callable[[], object] | None = None
         # Creates the successor protocol of a connection that begins with the HTTP/2 preface; None: HTTP/2 isn't
         # supported.
         self.http2: Callable[[Front], Held] | None = None
@@ -343,7 +343,7 @@
         self._preface_input: bytes | None = b"" if front.http2 is not None else None
         self._queue: deque[Request | Rejected] = deque()
         self._parser = Intake(
-            self._queue.append, front.sizes, self._send_continue, front.terms, self._resume_request_body
+            self._queue.append, front.sizes, self._send_continue, front.get_configuration, self._resume_request_body
         )
         self._request_body: Body | None = None  # the body of the current request while it is received
         self._paused_at = 0.0  # since when reading is paused because the backend takes no more; 0: not paused
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -72,11 +72,12 @@
         deliver: Callable[[Request], None],
         sizes: Sizes = PLATFORM,
         expected: Callable[[], None] | None = None,
-        terms: Callable[[], object] | None = None,
+        get_configuration: Callable[[], object] | None = None,
         room: Callable[[], None] = lambda: None,
     ) -> None:
         self._resume_body = room  # called when more of a streamed body may be received
-        self._get_configuration = terms  # returns the configuration for a request; called when its head is complete
+        # Returns the configuration for a request; called when its head is complete.
+        self._get_configuration = get_configuration
         self._deliver = deliver
         self._sizes = sizes
         self._send_continue = expected  # called for a request with `Expect: 100-continue`
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -55,7 +55,7 @@
     def begin(self, fields: Fields) -> None:
         """Its head has come; raises Rejected."""
         self._told = dict(fields)
-        self._terms = None if self.front.terms is None else self.front.terms()
+        self._terms = None if self.front.get_configuration is None else self.front.get_configuration()
         self._lines, self._named = read_fields(fields, self.underscores)
         length = self._named.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.front.sizes.body:  # before a part of it goes on
