--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -183,7 +183,7 @@
             target = parse_target(request.target, request.headers.get(b"host"))
         except TargetError as error:
             raise Rejected(400, str(error)) from error
-        configuration = request.terms
+        configuration = request.configuration
         assert isinstance(configuration, LoadedConfiguration)
         table = configuration.plan.table
         headers = Headers(request.headers)
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -65,7 +65,7 @@
         request.body,
         request.arrived,
         request.keep_alive,
-        request.terms,
+        request.configuration,
         request.form,
         request.stream,
         request.ended,
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -25,7 +25,7 @@
     body: bytes
     arrived: float
     keep_alive: bool
-    terms: Any = None  # the daemon's configuration when the head was received
+    configuration: Any = None  # the daemon's configuration when the head was received
     form: Form | None = None  # what a gRPC request has beyond this
     stream: Body | None = None  # the body, if it is streamed
     ended: float = 0.0  # the loop's time of the last byte; for a stream, of the last byte before delivery
