--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -94,7 +94,7 @@
     front.serving = False
     # The listener stays open, because this process has to serve on if the successor ends.
     asyncio.get_running_loop().remove_reader(listener.fileno())
-    front.pass_all(hot_restart.transfer_connection)
+    front.transfer_all(hot_restart.transfer_connection)
     await asyncio.sleep(READ_SECONDS)  # connections that have just been accepted become callers
     while front.callers or proxy.has_incoming_connections or hot_restart.has_unsent_transfers:
         if hot_restart.successor is None:
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -178,7 +178,7 @@
         for caller in tuple(self.callers):
             caller.front_closes()
 
-    def pass_all(self, pass_to: Callable[[int], bool]) -> None:
+    def transfer_all(self, pass_to: Callable[[int], bool]) -> None:
         """Hand each connection over to the process that replaces this one, once it has no open request here."""
         self.pass_to = pass_to
         for caller in tuple(self.callers):
