--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -182,7 +182,7 @@
         """Hand each connection over to the process that replaces this one, once it has no open request here."""
         self.pass_to = pass_to
         for caller in tuple(self.callers):
-            caller.pass_on()
+            caller.transfer()
 
     def drain(self, since: float = DRAIN_IDLE_DELAY) -> None:
         """Start a drain: responses close their connection, and idle connections are closed a little later."""
@@ -309,7 +309,7 @@
         self.front.look.unregister(self._fd)
         return not has_input
 
-    def pass_on(self) -> None:
+    def transfer(self) -> None:
         """Hand the connection over to the replacing process if no request is open; here it closes the ordinary way."""
         self.front_closes()
 
@@ -373,7 +373,7 @@
         else:
             self.move(front.fresh, front.last_accept + front.first_request_timeout)
         if front.pass_to is not None:  # it was accepted just before the handover began
-            self._loop.call_soon(self.pass_on)
+            self._loop.call_soon(self.transfer)
         front.full(self)  # Guards the limit on file descriptors: another connection that can be closed is closed.
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -407,7 +407,7 @@
         self.move(self.front.leaving, self._loop.time() + CLOSE_TIMEOUT)
         self._transport.close()
 
-    def pass_on(self) -> None:
+    def transfer(self) -> None:
         """Hand the connection over to the replacing process together with unread input, without closing it."""
         front, transport = self.front, self._transport
         # Guards input that this process has read, and responses that have not been sent.
@@ -422,7 +422,7 @@
         if front.pass_to is None or has_open_request or transport.is_closing() or self._place is front.leaving:
             return
         if transport.get_write_buffer_size():
-            self._loop.call_later(HANDOVER_RETRY_DELAY, self.pass_on)
+            self._loop.call_later(HANDOVER_RETRY_DELAY, self.transfer)
         elif front.pass_to(self._fd):
             self.drop()
 
@@ -685,7 +685,7 @@
         else:
             self.move(front.idle, now + (front.idle_timeout if self.used else MIN_IDLE_TIMEOUT))
             if front.pass_to is not None:
-                self._loop.call_soon(self.pass_on)
+                self._loop.call_soon(self.transfer)
         if not self._stuck:
             self._transport.resume_reading()
             if self._queue:
