--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -98,7 +98,7 @@
     await asyncio.sleep(READ_SECONDS)  # connections that have just been accepted become callers
     while front.callers or proxy.has_incoming_connections or hot_restart.has_unsent_transfers:
         if hot_restart.successor is None:
-            front.pass_to = None
+            front.transfer_socket = None
             await front.listen(listener)
             await drain(front, listener)
             return
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -103,7 +103,7 @@
         self.ready = False  # whether the endpoint list is loaded
         self.serving = False  # whether the listener accepts connections and is not about to stop
         self.closing = False
-        self.pass_to: Callable[[int], bool] | None = None  # hands a connection over to another process
+        self.transfer_socket: Callable[[int], bool] | None = None  # hands a connection over to another process
         self.drained_at: float | None = None  # when an operator started a drain; None: not draining
         self.held = 0  # bytes of incomplete bodies
         self.rejections: Counter[int] = Counter()  # requests rejected here, by status
@@ -178,9 +178,9 @@
         for caller in tuple(self.callers):
             caller.front_closes()
 
-    def transfer_all(self, pass_to: Callable[[int], bool]) -> None:
+    def transfer_all(self, transfer_socket: Callable[[int], bool]) -> None:
         """Hand each connection over to the process that replaces this one, once it has no open request here."""
-        self.pass_to = pass_to
+        self.transfer_socket = transfer_socket
         for caller in tuple(self.callers):
             caller.transfer()
 
@@ -372,7 +372,7 @@
             self.move(front.idle, front.last_accept + front.idle_timeout)
         else:
             self.move(front.fresh, front.last_accept + front.first_request_timeout)
-        if front.pass_to is not None:  # it was accepted just before the handover began
+        if front.transfer_socket is not None:  # it was accepted just before the handover began
             self._loop.call_soon(self.transfer)
         front.full(self)  # Guards the limit on file descriptors: another connection that can be closed is closed.
 
@@ -419,11 +419,11 @@
             or self._preface_input
             or self._ignores_input
         )
-        if front.pass_to is None or has_open_request or transport.is_closing() or self._place is front.leaving:
+        if front.transfer_socket is None or has_open_request or transport.is_closing() or self._place is front.leaving:
             return
         if transport.get_write_buffer_size():
             self._loop.call_later(HANDOVER_RETRY_DELAY, self.transfer)
-        elif front.pass_to(self._fd):
+        elif front.transfer_socket(self._fd):
             self.drop()
 
     def pause_writing(self) -> None:
@@ -684,7 +684,7 @@
             self.move(front.reading, now + front.request_head_timeout)
         else:
             self.move(front.idle, now + (front.idle_timeout if self.used else MIN_IDLE_TIMEOUT))
-            if front.pass_to is not None:
+            if front.transfer_socket is not None:
                 self._loop.call_soon(self.transfer)
         if not self._stuck:
             self._transport.resume_reading()
