--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -176,7 +176,7 @@
         """Close idle connections now and the others after their response."""
         self.closing = True
         for caller in tuple(self.callers):
-            caller.front_closes()
+            caller.close_when_idle()
 
     def transfer_all(self, transfer_socket: Callable[[int], bool]) -> None:
         """Hand each connection over to the process that replaces this one, once it has no open request here."""
@@ -206,7 +206,7 @@
         latest = self._loop.time() + self.first_request_timeout - DRAIN_FIRST_REQUEST_GRACE
         for caller in tuple(self.callers):
             if caller.quiet() and self.fresh.get(caller, 0.0) < latest:
-                caller.front_closes()
+                caller.close_when_idle()
 
     def full(self, newcomer: Held) -> bool:
         """Return whether there are too many connections and no other one could be closed for this one."""
@@ -311,9 +311,9 @@
 
     def transfer(self) -> None:
         """Hand the connection over to the replacing process if no request is open; here it closes the ordinary way."""
-        self.front_closes()
+        self.close_when_idle()
 
-    def front_closes(self) -> None:
+    def close_when_idle(self) -> None:
         """Close the connection if it owes no response, because the front accepts no further requests."""
         if self._place is self.front.fresh or self._place is self.front.idle:
             self.close()
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -645,7 +645,7 @@
             self.loop.call_later(LEAVE_AFTER, self._leave)
             self.loop.call_later(max(self.front.grace, LEAVE_AFTER), self._cut)
 
-    def front_closes(self) -> None:
+    def close_when_idle(self) -> None:
         """Leave, whatever is open."""
         self.close()
 
