--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -205,7 +205,7 @@
         self._schedule_idle_close(DRAIN_CHECK_INTERVAL)
         latest = self._loop.time() + self.first_request_timeout - DRAIN_FIRST_REQUEST_GRACE
         for caller in tuple(self.callers):
-            if caller.quiet() and self.fresh.get(caller, 0.0) < latest:
+            if caller.has_no_input() and self.fresh.get(caller, 0.0) < latest:
                 caller.close_when_idle()
 
     def full(self, newcomer: Held) -> bool:
@@ -302,7 +302,7 @@
         """Close the connection after all written bytes have been sent."""
         raise NotImplementedError
 
-    def quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         """Return whether no input is unread, so that closing now loses no request."""
         self.front.look.register(self._fd, select.POLLIN)
         has_input = bool(self.front.look.poll(0))
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -194,9 +194,9 @@
             client: Client = await up.client()
             assert status(await client.ask(read(1))) == 200
             [held] = up.proxy.front.callers
-            assert held.quiet()
+            assert held.has_no_input()
             client.writer.write(read(2))  # the loop has had no turn to read it
-            assert not held.quiet()
+            assert not held.has_no_input()
             up.proxy.front.drained_at = 0.0
             up.proxy.front._let_go(0.0)
             assert status(await client.answer()) == 200
