--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -52,7 +52,7 @@
 
     def attach(self, front: Front) -> None:
         """Measure when the bytes of the front's callers arrived, and handle responses before their new requests."""
-        front.came = self.signals.arrival_time
+        front.arrival_time = self.signals.arrival_time
         if self.signals.selector is not None:
             front.work = self.signals.selector.caller_descriptors
 
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -98,7 +98,7 @@
         # supported.
         self.http2: Callable[[Front], Held] | None = None
         # Returns when the bytes being read arrived, if that is estimated; None: they arrived now.
-        self.came: Callable[[float, asyncio.Transport, bool], float] | None = None
+        self.arrival_time: Callable[[float, asyncio.Transport, bool], float] | None = None
         self.work: set[int] | None = None  # collects the file descriptors of callers, if anything needs them
         self.ready = False  # whether the endpoint list is loaded
         self.serving = False  # whether the listener accepts connections and is not about to stop
@@ -295,7 +295,7 @@
 
     def arrival(self, now: float) -> float:
         """Return when the bytes being read arrived, as far as that is known."""
-        came = self.front.came
+        came = self.front.arrival_time
         return now if came is None else came(now, self._transport, not self.used)
 
     def close(self) -> None:
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -130,7 +130,7 @@
         self.front = Front(read_address(listen.outgoing), self._max_callers(), memory_bytes, self.handle)
         # Requests may have waited unread while this process was paused, until their callers gave them up. Their
         # deadlines therefore count from the earliest time at which they can have arrived.
-        self.front.came = lambda now, transport, first: self._pauses.earliest_arrival(now)
+        self.front.arrival_time = lambda now, transport, first: self._pauses.earliest_arrival(now)
         self._is_serving = True
         self._apply_limits()
         self._callers_socket = await self.front.listen()
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -56,7 +56,7 @@
 def test_protection_is_off_by_default_and_a_reload_turns_it_on_and_off() -> None:
     async def body(up: Served, one: Backend) -> None:
         [(front, _)] = up.running.listeners.values()
-        assert up.daemon.overload_protection is None and front.came is None and front.work is None
+        assert up.daemon.overload_protection is None and front.arrival_time is None and front.work is None
         text = pool("a", one.address) + ROUTES
         await up.reload(text, GUARDED)
         protection = up.daemon.overload_protection
