--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -156,7 +156,7 @@
         if self.overload_protection is not None:
             self.overload_protection.attach(front)
         else:
-            front.arrival_time = front.work = None
+            front.arrival_time = front.descriptors = None
         front.tune(
             max(1, int(CALLER_SOCKETS_SHARE * sockets) // count),
             limits.memory // count,
--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -54,7 +54,7 @@
         """Measure when the bytes of the front's callers arrived, and handle responses before their new requests."""
         front.arrival_time = self.signals.arrival_time
         if self.signals.selector is not None:
-            front.work = self.signals.selector.caller_descriptors
+            front.descriptors = self.signals.selector.caller_descriptors
 
     def _sample(self) -> None:
         self._sample_now()
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -99,7 +99,7 @@
         self.http2: Callable[[Front], Held] | None = None
         # Returns when the bytes being read arrived, if that is estimated; None: they arrived now.
         self.arrival_time: Callable[[float, asyncio.Transport, bool], float] | None = None
-        self.work: set[int] | None = None  # collects the file descriptors of callers, if anything needs them
+        self.descriptors: set[int] | None = None  # collects the file descriptors of callers, if anything needs them
         self.ready = False  # whether the endpoint list is loaded
         self.serving = False  # whether the listener accepts connections and is not about to stop
         self.closing = False
@@ -268,8 +268,8 @@
         self.peer = peer[0] if peer else ""
         self.front.callers.add(self)
         self._fd = transport.get_extra_info("socket").fileno()
-        if self.front.work is not None:
-            self.front.work.add(self._fd)
+        if self.front.descriptors is not None:
+            self.front.descriptors.add(self._fd)
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.front.buffer
@@ -290,8 +290,8 @@
         """Stop being counted by the front."""
         self.move(None)
         self.front.callers.discard(self)
-        if self.front.work is not None:
-            self.front.work.discard(self._fd)
+        if self.front.descriptors is not None:
+            self.front.descriptors.discard(self._fd)
 
     def arrival(self, now: float) -> float:
         """Return when the bytes being read arrived, as far as that is known."""
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -56,7 +56,7 @@
 def test_protection_is_off_by_default_and_a_reload_turns_it_on_and_off() -> None:
     async def body(up: Served, one: Backend) -> None:
         [(front, _)] = up.running.listeners.values()
-        assert up.daemon.overload_protection is None and front.arrival_time is None and front.work is None
+        assert up.daemon.overload_protection is None and front.arrival_time is None and front.descriptors is None
         text = pool("a", one.address) + ROUTES
         await up.reload(text, GUARDED)
         protection = up.daemon.overload_protection
@@ -102,7 +102,7 @@
         client.writer.transport.abort()  # gone while it is not heard: no harm
         front = up.running.listeners["main"][0]
         await until(lambda: not front.callers)
-        assert not front.work
+        assert not front.descriptors
         await until(lambda: front.held == 0)
 
     play(body)
