--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -242,7 +242,9 @@
     def adopt_connection(self, sock: socket.socket) -> None:
         """Take over a caller's connection from the predecessor."""
         sock.setblocking(False)
-        task = self._loop.create_task(self._loop.connect_accepted_socket(lambda: Caller(self.front, used=True), sock))
+        task = self._loop.create_task(
+            self._loop.connect_accepted_socket(lambda: Caller(self.front, has_sent_request=True), sock)
+        )
         self._connection_tasks.add(task)
         task.add_done_callback(self._connection_tasks.discard)
 
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -246,7 +246,7 @@
         """Accept a request of this caller; raises Rejected if there are too many connections."""
         if self.full(caller):
             raise Rejected(503, "too many connections")
-        caller.used = True
+        caller.has_sent_request = True
 
 
 class Held(asyncio.BufferedProtocol):
@@ -254,7 +254,7 @@
 
     def __init__(self, front: Front) -> None:
         self.front = front
-        self.used = False  # whether a request of it has been accepted
+        self.has_sent_request = False  # whether a request of it has been accepted
         self.peer = ""  # the remote IP address
         # The front's table that the connection is in while no response is owed.
         self._place: dict[Held, float] | None = None
@@ -296,7 +296,7 @@
     def arrival(self, now: float) -> float:
         """Return when the bytes being read arrived, as far as that is known."""
         came = self.front.arrival_time
-        return now if came is None else came(now, self._transport, not self.used)
+        return now if came is None else came(now, self._transport, not self.has_sent_request)
 
     def close(self) -> None:
         """Close the connection after all written bytes have been sent."""
@@ -335,9 +335,9 @@
 class Caller(Held):
     """An HTTP/1.1 connection of a caller; its requests are answered one after another."""
 
-    def __init__(self, front: Front, used: bool = False) -> None:
+    def __init__(self, front: Front, has_sent_request: bool = False) -> None:
         super().__init__(front)
-        self.used = used  # also if the requests were accepted by the previous process
+        self.has_sent_request = has_sent_request  # also if the requests were accepted by the previous process
         self._loop = asyncio.get_running_loop()
         # The first bytes, until the protocol is known; None: it is HTTP/1.
         self._preface_input: bytes | None = b"" if front.http2 is not None else None
@@ -368,7 +368,7 @@
         super().connection_made(transport)
         front = self.front
         front.last_accept = self._loop.time()
-        if self.used:
+        if self.has_sent_request:
             self.move(front.idle, front.last_accept + front.idle_timeout)
         else:
             self.move(front.fresh, front.last_accept + front.first_request_timeout)
@@ -683,7 +683,7 @@
         if self._parser.reading:
             self.move(front.reading, now + front.request_head_timeout)
         else:
-            self.move(front.idle, now + (front.idle_timeout if self.used else MIN_IDLE_TIMEOUT))
+            self.move(front.idle, now + (front.idle_timeout if self.has_sent_request else MIN_IDLE_TIMEOUT))
             if front.transfer_socket is not None:
                 self._loop.call_soon(self.transfer)
         if not self._stuck:
