--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -116,7 +116,7 @@
         self.fresh: dict[Held, float] = {}  # nothing has been received yet
         self.idle: dict[Held, float] = {}  # between two requests
         self.reading: dict[Held, float] = {}  # a part of a request has been received
-        self.flowing: dict[Held, float] = {}  # a response is being streamed
+        self.streaming: dict[Held, float] = {}  # a response is being streamed
         self.last_accept = 0.0
         self._loop = asyncio.get_running_loop()
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
@@ -239,7 +239,7 @@
                 caller.drop()
         for caller in [caller for caller, limit in self.reading.items() if limit <= now]:
             caller.slow(now)
-        for caller in [caller for caller, limit in self.flowing.items() if limit <= now]:
+        for caller in [caller for caller, limit in self.streaming.items() if limit <= now]:
             caller.drop()
 
     def admit(self, caller: Held) -> None:
@@ -724,14 +724,14 @@
             )
         )
         self._response_pipe = flow
-        self.move(self.front.flowing, self._loop.time() + STREAM_TIMEOUT)
+        self.move(self.front.streaming, self._loop.time() + STREAM_TIMEOUT)
         flow.attach(self._write_pieces)
 
     def _write_pieces(self) -> None:
         """Write the available part of the response as long as the caller reads."""
         flow = self._response_pipe
         while flow is not None and not self._stuck and (data := flow.take_chunk()):
-            self.move(self.front.flowing, self._loop.time() + STREAM_TIMEOUT)
+            self.move(self.front.streaming, self._loop.time() + STREAM_TIMEOUT)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
             if self._stuck:  # credited once it has been sent
                 self._uncredited += len(data)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -443,7 +443,7 @@
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
             assert (front.held, upstream.held, upstream.streamed_bytes, len(up.proxy.pool.calls)) == (0, 0, 0, 0)
-            assert not front.flowing and not front.reading
+            assert not front.streaming and not front.reading
             assert upstream.sockets() <= 2
 
     asyncio.run(play())
