--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -123,7 +123,7 @@
 
     def _set_limits(self, most: int, memory: int) -> None:
         self.most = most
-        self.held_most = int(BODY_MEMORY_FRACTION * memory)
+        self.max_buffered_bytes = int(BODY_MEMORY_FRACTION * memory)
 
     def tune(self, most: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float) -> None:
         """Apply changed limits.
@@ -520,7 +520,8 @@
             self._request_body = None
             if self._busy:  # else it was answered just now
                 self.move(None)
-        if self._buffered and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
+        # Guards the memory limit against many incomplete bodies.
+        if self._buffered and front.held > front.max_buffered_bytes:
             intake.fault = Rejected(503, "too many bodies at once")
         if len(self._queue) > MAX_PIPELINED_REQUESTS:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
@@ -542,7 +543,8 @@
         """Continue after more of a streamed body has been received."""
         intake, stream, front = self._parser, self._request_body, self.front
         assert stream is not None
-        if self._buffered and front.held > front.held_most:  # Guards the memory limit against many incomplete bodies.
+        # Guards the memory limit against many incomplete bodies.
+        if self._buffered and front.held > front.max_buffered_bytes:
             intake.fault = Rejected(503, "too many bodies at once")
         if intake.fault is not None:
             # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -99,7 +99,7 @@
             came = self._held
         if came > self.front.sizes.body:
             raise Rejected(413, "the body is too large")
-        if self.front.held > self.front.held_most:  # Guards the memory limit against many half bodies.
+        if self.front.held > self.front.max_buffered_bytes:  # Guards the memory limit against many half bodies.
             raise Rejected(503, "too many bodies at once")
         if body is None and came > self.front.sizes.hold:
             self._pass_body()
@@ -341,7 +341,7 @@
             return
         self._keep(data, size)
         front, counter = self.front, self._counter
-        large = self._held + counter.least() > front.sizes.body or front.held > front.held_most
+        large = self._held + counter.least() > front.sizes.body or front.held > front.max_buffered_bytes
         if counter.whole + counter.open > 1 or large:
             self._stream()
         elif counter.open:  # its length is told: it is waited for
