--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -512,7 +512,7 @@
         intake, front = self._parser, self.front
         now = self.arrival(self._loop.time())
         intake.feed(data, now if came is None else came)
-        self._count_buffered(intake.held())
+        self._count_buffered(intake.buffered_bytes())
         if self._request_body is not None and not self._request_body.ended:
             self._continue_body(now)
             return
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -113,7 +113,7 @@
         """Return when the body so far is due at this rate in bytes per second; 0 while the head is incomplete."""
         return self.headed_at + self._body_size / rate if self._head_complete else 0.0
 
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Return the buffered bytes of the body of an incomplete request."""
         if self.stream is not None:
             return self.stream.buffered
