--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -96,7 +96,7 @@
         self.get_configuration: Callable[[], object] | None = None
         # Creates the successor protocol of a connection that begins with the HTTP/2 preface; None: HTTP/2 isn't
         # supported.
-        self.http2: Callable[[Front], Held] | None = None
+        self.http2: Callable[[Front], TrackedConnection] | None = None
         # Returns when the bytes being read arrived, if that is estimated; None: they arrived now.
         self.arrival_time: Callable[[float, asyncio.Transport, bool], float] | None = None
         self.descriptors: set[int] | None = None  # collects the file descriptors of callers, if anything needs them
@@ -109,14 +109,14 @@
         self.rejections: Counter[int] = Counter()  # requests rejected here, by status
         self._set_limits(most, memory)
         self.buffer = memoryview(bytearray(READ_SIZE))
-        self.callers: set[Held] = set()
+        self.callers: set[TrackedConnection] = set()
         self.look = select.poll()
         # Connections that owe no response, each with the loop's time at which it is closed.
-        self.leaving: dict[Held, float] = {}  # the last response has been sent
-        self.fresh: dict[Held, float] = {}  # nothing has been received yet
-        self.idle: dict[Held, float] = {}  # between two requests
-        self.reading: dict[Held, float] = {}  # a part of a request has been received
-        self.streaming: dict[Held, float] = {}  # a response is being streamed
+        self.leaving: dict[TrackedConnection, float] = {}  # the last response has been sent
+        self.fresh: dict[TrackedConnection, float] = {}  # nothing has been received yet
+        self.idle: dict[TrackedConnection, float] = {}  # between two requests
+        self.reading: dict[TrackedConnection, float] = {}  # a part of a request has been received
+        self.streaming: dict[TrackedConnection, float] = {}  # a response is being streamed
         self.last_accept = 0.0
         self._loop = asyncio.get_running_loop()
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
@@ -208,7 +208,7 @@
             if caller.has_no_input() and self.fresh.get(caller, 0.0) < latest:
                 caller.close_when_idle()
 
-    def full(self, newcomer: Held) -> bool:
+    def full(self, newcomer: TrackedConnection) -> bool:
         """Return whether there are too many connections and no other one could be closed for this one."""
         if len(self.callers) <= self.most:
             return False
@@ -242,14 +242,14 @@
         for caller in [caller for caller, limit in self.streaming.items() if limit <= now]:
             caller.drop()
 
-    def admit(self, caller: Held) -> None:
+    def admit(self, caller: TrackedConnection) -> None:
         """Accept a request of this caller; raises Rejected if there are too many connections."""
         if self.full(caller):
             raise Rejected(503, "too many connections")
         caller.has_sent_request = True
 
 
-class Held(asyncio.BufferedProtocol):
+class TrackedConnection(asyncio.BufferedProtocol):
     """A connection that a front counts and may close when it is not in use."""
 
     def __init__(self, front: Front) -> None:
@@ -257,7 +257,7 @@
         self.has_sent_request = False  # whether a request of it has been accepted
         self.peer = ""  # the remote IP address
         # The front's table that the connection is in while no response is owed.
-        self._place: dict[Held, float] | None = None
+        self._place: dict[TrackedConnection, float] | None = None
         self._transport: asyncio.Transport
         self._fd = -1
 
@@ -278,7 +278,7 @@
         """Process received bytes."""
         raise NotImplementedError
 
-    def move(self, table: dict[Held, float] | None, limit: float = 0.0) -> None:
+    def move(self, table: dict[TrackedConnection, float] | None, limit: float = 0.0) -> None:
         """Move the connection to this table of the front until the loop's time `limit`."""
         if self._place is not None:
             self._place.pop(self, None)
@@ -332,7 +332,7 @@
         raise NotImplementedError
 
 
-class Caller(Held):
+class Caller(TrackedConnection):
     """An HTTP/1.1 connection of a caller; its requests are answered one after another."""
 
     def __init__(self, front: Front, has_sent_request: bool = False) -> None:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -9,7 +9,7 @@
 from lugspur.grpc.messages import Counter, Spoilt
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
-from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, Held
+from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, TrackedConnection
 from lugspur.http1.intake import PROXY_READ_HEADERS, PROXY_SET_HEADERS, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
@@ -455,11 +455,11 @@
     return lines, named
 
 
-class Connection(Wire, Held):
+class Connection(Wire, TrackedConnection):
     """One caller's connection over HTTP/2."""
 
     def __init__(self, front: Front, handle: Handle, streams: int = STREAMS_MOST) -> None:
-        Held.__init__(self, front)
+        TrackedConnection.__init__(self, front)
         Wire.__init__(self, Machine(False, self._sent, front.sizes.head, streams))
         self._handle = handle
         self.streams: dict[int, Stream] = {}
