--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -257,7 +257,7 @@
         self.has_sent_request = False  # whether a request of it has been accepted
         self.peer = ""  # the remote IP address
         # The front's table that the connection is in while no response is owed.
-        self._place: dict[TrackedConnection, float] | None = None
+        self._table: dict[TrackedConnection, float] | None = None
         self._transport: asyncio.Transport
         self._fd = -1
 
@@ -280,9 +280,9 @@
 
     def move(self, table: dict[TrackedConnection, float] | None, limit: float = 0.0) -> None:
         """Move the connection to this table of the front until the loop's time `limit`."""
-        if self._place is not None:
-            self._place.pop(self, None)
-        self._place = table
+        if self._table is not None:
+            self._table.pop(self, None)
+        self._table = table
         if table is not None:
             table[self] = limit
 
@@ -315,7 +315,7 @@
 
     def close_when_idle(self) -> None:
         """Close the connection if it owes no response, because the front accepts no further requests."""
-        if self._place is self.front.fresh or self._place is self.front.idle:
+        if self._table is self.front.fresh or self._table is self.front.idle:
             self.close()
 
     def slow(self, now: float) -> None:
@@ -419,7 +419,7 @@
             or self._preface_input
             or self._ignores_input
         )
-        if front.transfer_socket is None or has_open_request or transport.is_closing() or self._place is front.leaving:
+        if front.transfer_socket is None or has_open_request or transport.is_closing() or self._table is front.leaving:
             return
         if transport.get_write_buffer_size():
             self._loop.call_later(HANDOVER_RETRY_DELAY, self.transfer)
@@ -443,7 +443,7 @@
         if self._paused_at:  # the pause doesn't count towards the caller's time limits
             pause, self._paused_at = self._loop.time() - self._paused_at, 0.0
             self._parser.headed_at += pause
-            if self._place is self.front.reading:
+            if self._table is self.front.reading:
                 self.move(self.front.reading, self.front.reading[self] + pause)
         if not self._transport.is_closing():
             self._transport.resume_reading()
@@ -533,9 +533,9 @@
             self._start_next_request()
         elif intake.reading and not self._busy:
             limit = intake.arrived + front.request_head_timeout
-            if self._place is front.fresh:  # a request that began late has less time for its head
+            if self._table is front.fresh:  # a request that began late has less time for its head
                 limit = min(limit, front.fresh[self] + LATE_HEAD_ALLOWANCE)
-            elif self._place is front.reading:
+            elif self._table is front.reading:
                 limit = front.reading[self]
             self.move(front.reading, max(limit, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE))
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -503,7 +503,7 @@
     def feed(self, data: memoryview) -> None:
         """What has come in."""
         self._heard = now = self.loop.time()
-        if self._place is self.front.fresh:
+        if self._table is self.front.fresh:
             self.move(self.front.idle, now + self.front.idle_timeout)
         for event in self.machine.received(now, bytes(data)):
             self._event(event)
