--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -352,7 +352,7 @@
         self._chunked = False  # whether that response is chunked
         self._uncredited = 0  # bytes written of that response that its sender has not been credited for
         self._busy = False
-        self._stuck = False  # whether the caller has stopped reading its responses
+        self._writing_paused = False  # whether the caller has stopped reading its responses
         self._keep_alive = True
         self._is_head_request = False  # whether the current request is a HEAD
         self._ignores_input = False  # whether a rejection is queued or was sent: no further request is read
@@ -427,10 +427,10 @@
             self.drop()
 
     def pause_writing(self) -> None:
-        self._stuck = True
+        self._writing_paused = True
 
     def resume_writing(self) -> None:
-        self._stuck = False
+        self._writing_paused = False
         if self._response_pipe is not None:
             uncredited, self._uncredited = self._uncredited, 0
             self._response_pipe.mark_sent(uncredited)
@@ -569,7 +569,7 @@
 
     def _start_next_request(self) -> None:
         """Start the next request unless another one is unanswered or its response unread."""
-        if self._busy or self._stuck:
+        if self._busy or self._writing_paused:
             self._transport.pause_reading()  # Guards memory: a caller may not pile up requests.
             return
         request = self._queue.popleft()
@@ -688,7 +688,7 @@
             self.move(front.idle, now + (front.idle_timeout if self.has_sent_request else MIN_IDLE_TIMEOUT))
             if front.transfer_socket is not None:
                 self._loop.call_soon(self.transfer)
-        if not self._stuck:
+        if not self._writing_paused:
             self._transport.resume_reading()
             if self._queue:
                 self._loop.call_soon(self._resume)
@@ -732,14 +732,14 @@
     def _write_pieces(self) -> None:
         """Write the available part of the response as long as the caller reads."""
         flow = self._response_pipe
-        while flow is not None and not self._stuck and (data := flow.take_chunk()):
+        while flow is not None and not self._writing_paused and (data := flow.take_chunk()):
             self.move(self.front.streaming, self._loop.time() + STREAM_TIMEOUT)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
-            if self._stuck:  # credited once it has been sent
+            if self._writing_paused:  # credited once it has been sent
                 self._uncredited += len(data)
             else:
                 flow.mark_sent(len(data))
-        if flow is not None and flow.ended and not self._stuck:
+        if flow is not None and flow.ended and not self._writing_paused:
             self._complete_response()
 
     def finish_answer(self) -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -235,9 +235,9 @@
             [caller] = up.proxy.front.callers
             assert isinstance(caller, Caller)
             number = 0
-            while not caller._stuck:
+            while not caller._writing_paused:
                 sock.send(read(number := number + 1))
-                await until(lambda sent=number: caller._stuck or one.got.qsize() == sent)  # type: ignore[misc]
+                await until(lambda sent=number: caller._writing_paused or one.got.qsize() == sent)  # type: ignore[misc]
             assert caller._transport.get_write_buffer_size() < 3 * 65536
             sock.close()
 
