--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -196,9 +196,9 @@
 
     def _schedule_idle_close(self, delay: float) -> None:
         if self.drained_at is not None:
-            self._loop.call_later(delay, self._let_go, self.drained_at)
+            self._loop.call_later(delay, self._close_idle_callers, self.drained_at)
 
-    def _let_go(self, drained_at: float) -> None:
+    def _close_idle_callers(self, drained_at: float) -> None:
         """Close connections without an open request."""
         if self.drained_at != drained_at:
             return
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -198,7 +198,7 @@
             client.writer.write(read(2))  # the loop has had no turn to read it
             assert not held.has_no_input()
             up.proxy.front.drained_at = 0.0
-            up.proxy.front._let_go(0.0)
+            up.proxy.front._close_idle_callers(0.0)
             assert status(await client.answer()) == 200
 
     asyncio.run(play())
