--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -607,7 +607,7 @@
 class Upstream:
     """All connections to the backends of one pool, within that pool's share of the sockets.
 
-    `held_most` limits the bytes of incomplete responses, `max_response_body` those of the body of one response.
+    `max_buffered_bytes` limits the bytes of incomplete responses, `max_response_body` those of the body of one of them.
     """
 
     def __init__(
@@ -616,7 +616,7 @@
         name: str,
         conn_idle: float,
         dial_timeout: float,
-        held_most: int,
+        max_buffered_bytes: int,
         max_response_body: int = MAX_BUFFERED_RESPONSE,
         judge: Callable[[int, bool], Outcome] = judge,
         dialled: Callable[[int, bool], None] | None = None,
@@ -647,18 +647,18 @@
         # Bytes above which a response is streamed, and the limit on a streamed response.
         self.streaming_threshold, self.max_streamed_response = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
         self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
-        self.max_streamed_bytes = held_most  # limit on those bytes
-        self.held_most = held_most
+        self.max_streamed_bytes = max_buffered_bytes  # limit on those bytes
+        self.max_buffered_bytes = max_buffered_bytes
         self._idle: dict[Connection, None] = {}  # the longest idle first
         self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
 
     def tune(
-        self, conn_idle: float, dial_timeout: float, held_most: int, max_response_body: int, idle_each: int
+        self, conn_idle: float, dial_timeout: float, max_buffered_bytes: int, max_response_body: int, idle_each: int
     ) -> None:
         """Apply changed limits."""
         self._max_idle_per_backend = idle_each
         self._max_idle_time, self._dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
-        self.held_most, self.max_response_body = held_most, max_response_body
+        self.max_buffered_bytes, self.max_response_body = max_buffered_bytes, max_response_body
 
     def update_timeouts(self, conn_idle: float, dial_timeout: float) -> None:
         """Apply changed timeouts."""
@@ -763,7 +763,7 @@
 
     def try_buffer(self, size: int) -> bool:
         """Count `size` more bytes of a buffered response if they fit into the limit; returns whether they do."""
-        fits = self.held + size <= self.held_most
+        fits = self.held + size <= self.max_buffered_bytes
         self.held += size * fits
         return fits
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -221,7 +221,7 @@
         lane.held += len(data)
         if self.request.form is not None and self._streams():
             self._pass_on()
-        elif self._held > lane.max_response_body or lane.held > lane.held_most:
+        elif self._held > lane.max_response_body or lane.held > lane.max_buffered_bytes:
             self.ended(End.BROKEN)  # Guards the memory limit against an answer without end.
         elif self.request.form is not None and self._counter.whole and self._waiting is None:
             self._waiting = asyncio.get_running_loop().call_later(STREAM_AFTER, self._pass_on)
@@ -556,14 +556,14 @@
         self._loop = asyncio.get_running_loop()
         self.judge = judge
         self.dial_timeout, self._keep = 0.25, 7.5
-        self.held, self.held_most, self.max_response_body = 0, MAX_BUFFERED_RESPONSE, MAX_BUFFERED_RESPONSE
+        self.held, self.max_buffered_bytes, self.max_response_body = 0, MAX_BUFFERED_RESPONSE, MAX_BUFFERED_RESPONSE
         self._boxes: dict[Listed, Box] = {}
         self._sweeping = self._loop.call_later(1.0, self._sweep)
 
     def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int) -> None:
         """Go on by other limits."""
         self._keep, self.dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
-        self.held_most, self.max_response_body = held_most, answer_most
+        self.max_buffered_bytes, self.max_response_body = held_most, answer_most
 
     def now(self) -> float:
         """The loop's time."""
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -88,7 +88,7 @@
             name="",
             conn_idle=BACKEND_IDLE_TIMEOUT_SECONDS,
             dial_timeout=CONNECT_TIMEOUT_SECONDS,
-            held_most=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
+            max_buffered_bytes=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
             max_response_body=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
             judge=classify_response,
             not_processed_header=NOT_DELIVERED_HEADER,
