--- a/lugspur/daemon/service_metrics.py
+++ b/lugspur/daemon/service_metrics.py
@@ -23,7 +23,7 @@
     for front in fronts:
         rejections.update({str(status): count for status, count in front.rejections.items()})
         callers += len(front.callers)
-        held_bytes += front.held
+        held_bytes += front.buffered_bytes
     by_pool = {name: float(pool.request_count) for name, pool in pools.items()}
     return [
         labelled_counter("requests_total", "Requests submitted, by pool.", "pool", by_pool),
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -105,7 +105,7 @@
         self.closing = False
         self.transfer_socket: Callable[[int], bool] | None = None  # hands a connection over to another process
         self.drained_at: float | None = None  # when an operator started a drain; None: not draining
-        self.held = 0  # bytes of incomplete bodies
+        self.buffered_bytes = 0  # bytes of incomplete bodies
         self.rejections: Counter[int] = Counter()  # requests rejected here, by status
         self._set_limits(most, memory)
         self.buffer = memoryview(bytearray(READ_SIZE))
@@ -357,7 +357,7 @@
         self._is_head_request = False  # whether the current request is a HEAD
         self._ignores_input = False  # whether a rejection is queued or was sent: no further request is read
         self._dropped_bytes = 0
-        self._buffered = 0  # bytes of incomplete bodies counted in `front.held`
+        self._buffered = 0  # bytes of incomplete bodies counted in `front.buffered_bytes`
         self._deferred_until = 0.0  # the loop's time until which input is deferred
         self._deferred_input = b""  # that deferred input
         self.gone: Callable[[], None] | None = None  # called if the caller disconnects before its response
@@ -483,11 +483,11 @@
         # Guards memory: one read is deferred, and another one for each response that resumes reading.
         self._transport.pause_reading()
         self._deferred_input += bytes(data)
-        self.front.held += len(data)
+        self.front.buffered_bytes += len(data)
 
     def _process_deferred(self, came: float) -> None:
         data, self._deferred_input, self._deferred_until = self._deferred_input, b"", 0.0
-        self.front.held -= len(data)
+        self.front.buffered_bytes -= len(data)
         if not self._transport.is_closing():
             self._transport.resume_reading()
             self.feed(memoryview(data), came)
@@ -521,7 +521,7 @@
             if self._busy:  # else it was answered just now
                 self.move(None)
         # Guards the memory limit against many incomplete bodies.
-        if self._buffered and front.held > front.max_buffered_bytes:
+        if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
             intake.fault = Rejected(503, "too many bodies at once")
         if len(self._queue) > MAX_PIPELINED_REQUESTS:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
@@ -544,7 +544,7 @@
         intake, stream, front = self._parser, self._request_body, self.front
         assert stream is not None
         # Guards the memory limit against many incomplete bodies.
-        if self._buffered and front.held > front.max_buffered_bytes:
+        if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
             intake.fault = Rejected(503, "too many bodies at once")
         if intake.fault is not None:
             # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
@@ -558,7 +558,7 @@
                 self._transport.pause_reading()
 
     def _count_buffered(self, size: int) -> None:
-        self.front.held += size - self._buffered
+        self.front.buffered_bytes += size - self._buffered
         self._buffered = size
 
     # ---- requests and responses ------------------------------------------------------------
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -99,7 +99,8 @@
             came = self._held
         if came > self.front.sizes.body:
             raise Rejected(413, "the body is too large")
-        if self.front.held > self.front.max_buffered_bytes:  # Guards the memory limit against many half bodies.
+        # Guards the memory limit against many half bodies.
+        if self.front.buffered_bytes > self.front.max_buffered_bytes:
             raise Rejected(503, "too many bodies at once")
         if body is None and came > self.front.sizes.hold:
             self._pass_body()
@@ -110,7 +111,7 @@
         self._hold(self._held + len(data))
 
     def _hold(self, size: int) -> None:
-        self.front.held += size - self._held
+        self.front.buffered_bytes += size - self._held
         self._held = size
 
     def _pass_body(self) -> None:
@@ -341,7 +342,7 @@
             return
         self._keep(data, size)
         front, counter = self.front, self._counter
-        large = self._held + counter.least() > front.sizes.body or front.held > front.max_buffered_bytes
+        large = self._held + counter.least() > front.sizes.body or front.buffered_bytes > front.max_buffered_bytes
         if counter.whole + counter.open > 1 or large:
             self._stream()
         elif counter.open:  # its length is told: it is waited for
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -33,7 +33,7 @@
         async with boxed(**options) as world:  # type: ignore[arg-type]
             await body(world)
             await until(lambda: not world.up.in_hand())
-            assert not any(front.held for front, _ in world.up.running.listeners.values())
+            assert not any(front.buffered_bytes for front, _ in world.up.running.listeners.values())
             streams = world.up.daemon.clusters["a"]._streams
             assert streams is None or not streams.held
 
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -57,7 +57,7 @@
 
 def held(up: Served) -> int:
     """Bytes of bodies that the daemon counts."""
-    return sum(front.held for front, _ in up.running.listeners.values())
+    return sum(front.buffered_bytes for front, _ in up.running.listeners.values())
 
 
 async def empty(up: Served) -> None:
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -103,7 +103,7 @@
         front = up.running.listeners["main"][0]
         await until(lambda: not front.callers)
         assert not front.descriptors
-        await until(lambda: front.held == 0)
+        await until(lambda: front.buffered_bytes == 0)
 
     play(body)
 
@@ -120,11 +120,11 @@
         begun = asyncio.get_running_loop().time()
         client.writer.write(ask("POST", "/book", b"x" * 200_000, X_Timeout="20"))
         front = up.running.listeners["main"][0]
-        await until(lambda: front.held > 0)
-        assert front.held <= 64 << 10  # one read, however much comes
+        await until(lambda: front.buffered_bytes > 0)
+        assert front.buffered_bytes <= 64 << 10  # one read, however much comes
         assert status(await client.answer()) == 200
         spent = asyncio.get_running_loop().time() - begun
-        assert spent >= 1.0 and front.held == 0  # all of its class is turned away: the longer rest
+        assert spent >= 1.0 and front.buffered_bytes == 0  # all of its class is turned away: the longer rest
         sent = fields(await soon(one.got.get()))
         assert 20.0 - spent - 0.1 <= float(sent["x-timeout"]) <= 19.0
 
@@ -143,7 +143,7 @@
         await soon(one.got.get())
         client.writer.write(ask(target="/two"))
         front = up.running.listeners["main"][0]
-        await until(lambda: front.held > 0)
+        await until(lambda: front.buffered_bytes > 0)
         for writer in one.open:
             writer.write(answer(b"one"))
         assert (await client.answer()).endswith(b"one")
@@ -154,7 +154,7 @@
             for writer in one.open:
                 writer.write(answer(seen[-1].encode()))
             assert (await client.answer()).endswith(seen[-1].encode())
-        assert seen == ["/two", "/three"] and front.held == 0
+        assert seen == ["/two", "/three"] and front.buffered_bytes == 0
 
     play(body, script=None)
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -157,10 +157,10 @@
                 whole = [book(number, body=b"x" * (60 << 10)) for number in range(2)]
                 first, second = await up.client(), await up.client()
                 first.writer.write(whole[0][:-1])
-                await until(lambda: up.proxy.front.held > 60_000)
+                await until(lambda: up.proxy.front.buffered_bytes > 60_000)
                 assert status(await second.ask(whole[1][:-1])) == 503
                 assert status(await first.ask(whole[0][-1:])) == 200
-                await until(lambda: up.proxy.front.held == 0)
+                await until(lambda: up.proxy.front.buffered_bytes == 0)
                 assert one.got.qsize() == 1
 
     asyncio.run(play())
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -95,7 +95,7 @@
             answer = await client.ask(sent)
             assert answer.endswith(hashlib.sha256(body).hexdigest().encode())
             assert status(await client.ask(book(2))) == 200  # the connection goes on
-            assert up.proxy.front.held == 0
+            assert up.proxy.front.buffered_bytes == 0
             assert not up.proxy.pool.calls
 
     asyncio.run(play())
@@ -139,7 +139,7 @@
             await until(lambda: bool(up.proxy.pool.calls))
             client.writer.close()
             await until(lambda: not up.proxy.pool.calls and up.proxy.pool.upstream.sockets() == 0)
-            assert up.proxy.front.held == 0
+            assert up.proxy.front.buffered_bytes == 0
 
     asyncio.run(play())
 
@@ -281,7 +281,7 @@
             client.writer.write_eof()
             assert await soon(client.reader.read()) == b""
             await until(lambda: not up.proxy.pool.calls)
-            assert up.proxy.front.held == 0
+            assert up.proxy.front.buffered_bytes == 0
 
     asyncio.run(play())
 
@@ -426,7 +426,7 @@
             client.writer.write(book(body=body))
             front = up.proxy.front
             await until(lambda: any(getattr(caller, "_paused_at", 0.0) for caller in front.callers))
-            assert front.held <= REPLAY_FACTOR + 2 * WINDOW
+            assert front.buffered_bytes <= REPLAY_FACTOR + 2 * WINDOW
             go.set()
             assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
@@ -442,7 +442,12 @@
                 _, body = await answer_of(client)
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
-            assert (front.held, upstream.held, upstream.streamed_bytes, len(up.proxy.pool.calls)) == (0, 0, 0, 0)
+            assert (front.buffered_bytes, upstream.held, upstream.streamed_bytes, len(up.proxy.pool.calls)) == (
+                0,
+                0,
+                0,
+                0,
+            )
             assert not front.streaming and not front.reading
             assert upstream.sockets() <= 2
 
