--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -206,7 +206,7 @@
         self.closed = False
         self._has_received = False  # whether a byte of the response has been received
         self._has_seen_stray = False  # whether a response to another request has been received
-        self._buffered = 0  # bytes buffered here that the upstream counts in `held`
+        self._buffered = 0  # bytes buffered here that the upstream counts in `buffered_bytes`
         self._parser = httptools.HttpResponseParser(self)
         self._response: Response | None = None  # the complete response to the exchange
         self._head_complete = self._invalid = False
@@ -405,7 +405,7 @@
         exchange.end(outcome, response)
 
     def _release_buffer(self) -> None:
-        self._upstream.held -= self._buffered
+        self._upstream.buffered_bytes -= self._buffered
         self._buffered = 0
 
     def _start_streaming(self, exchange: Exchange) -> None:
@@ -643,7 +643,7 @@
         self._max_idle_per_backend = max_idle_per_backend or MAX_IDLE_PER_BACKEND
         self.buffer = memoryview(bytearray(READ_SIZE))
         self._no_reuse_until = 0.0
-        self.held = 0  # bytes of incomplete buffered responses
+        self.buffered_bytes = 0  # bytes of incomplete buffered responses
         # Bytes above which a response is streamed, and the limit on a streamed response.
         self.streaming_threshold, self.max_streamed_response = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
         self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
@@ -763,8 +763,8 @@
 
     def try_buffer(self, size: int) -> bool:
         """Count `size` more bytes of a buffered response if they fit into the limit; returns whether they do."""
-        fits = self.held + size <= self.max_buffered_bytes
-        self.held += size * fits
+        fits = self.buffered_bytes + size <= self.max_buffered_bytes
+        self.buffered_bytes += size * fits
         return fits
 
     def flow(self) -> int:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -606,7 +606,7 @@
             for number in range(40):  # together more than is held at once: what has been passed on is let go
                 got = await client.ask(book(number))
                 assert status(got) == 200 and got.endswith(b"\r\n\r\n" + body)
-            assert up.proxy.pool.upstream.held == 0
+            assert up.proxy.pool.upstream.buffered_bytes == 0
 
     asyncio.run(play())
 
@@ -618,7 +618,7 @@
             async with running([entry("a", one.address)], memory=2 << 20) as up:  # 256 KiB for answers
                 client = await up.client()
                 assert status(await client.ask(book())) == 502
-                await until(lambda: up.proxy.pool.upstream.held == 0)
+                await until(lambda: up.proxy.pool.upstream.buffered_bytes == 0)
 
     asyncio.run(play())
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -442,7 +442,12 @@
                 _, body = await answer_of(client)
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
-            assert (front.buffered_bytes, upstream.held, upstream.streamed_bytes, len(up.proxy.pool.calls)) == (
+            assert (
+                front.buffered_bytes,
+                upstream.buffered_bytes,
+                upstream.streamed_bytes,
+                len(up.proxy.pool.calls),
+            ) == (
                 0,
                 0,
                 0,
