--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -343,7 +343,7 @@
             context.streaming_caller = streaming_caller
             context.cluster.pool.clear_deadline(call)
             head = change_headers(response.head, context.forward.response)
-            streaming_caller.begin_answer(response.status, head, response.length, body)
+            streaming_caller.begin_response(response.status, head, response.length, body)
 
     def request_rejected(self, call: Call, retry_after: float) -> None:
         """Fail over to the next pool if this one has no usable backend and nothing ran; otherwise respond with 503."""
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -392,7 +392,7 @@
         assert isinstance(caller, Caller)
         self.pool.clear_deadline(call)
         call.context = caller
-        caller.begin_answer(200, response.head, response.length, body)
+        caller.begin_response(200, response.head, response.length, body)
 
     def request_rejected(self, call: Call, retry_after: float) -> None:
         """Respond with 503."""
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -699,7 +699,7 @@
         """Return this caller, which accepts streamed responses."""
         return self
 
-    def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
+    def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write a response head; the body follows through the pipe, and `finish_answer` or `cut` ends it."""
         check(self._busy and self._response_pipe is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
         stream, self._request_body = self._request_body, None
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -253,7 +253,7 @@
 
     # ---- an answer that is passed on as it comes ----------------------------------------------
 
-    def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
+    def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write the head of an answer; its body comes through the pipe, and `finish` ends it."""
         self._drop_body()
         self.connection.machine.head(self.stream, self._first_fields(status, head, length))
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -65,7 +65,7 @@
 class Passing(Protocol):
     """A receiver of a streamed response."""
 
-    def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
+    def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write a response head.
 
         The body follows through the pipe; `finish_answer` completes it, and `answer` aborts it.
