--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -323,7 +323,7 @@
         _record_ending(context, call, Ending.SERVED)
         if context.streaming_caller is not None:
             context.cluster.pool.release(call)
-            context.streaming_caller.finish_answer()
+            context.streaming_caller.finish_response()
         else:
             self._send_response(call, response)
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -382,7 +382,7 @@
         streaming_caller = call.context
         if isinstance(streaming_caller, Caller):
             self.pool.release(call)
-            streaming_caller.finish_answer()
+            streaming_caller.finish_response()
         else:
             self.pool.respond(call, 200, response.head, response.body)
 
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -700,7 +700,7 @@
         return self
 
     def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
-        """Write a response head; the body follows through the pipe, and `finish_answer` or `cut` ends it."""
+        """Write a response head; the body follows through the pipe, and `finish_response` or `cut` ends it."""
         check(self._busy and self._response_pipe is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
         stream, self._request_body = self._request_body, None
         if stream is not None and not stream.ended:  # the rest of the request's body is not needed
@@ -742,7 +742,7 @@
         if flow is not None and flow.ended and not self._writing_paused:
             self._complete_response()
 
-    def finish_answer(self) -> None:
+    def finish_response(self) -> None:
         """Mark the streamed response as complete."""
         self.gone = None
         if self._response_pipe is not None:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -282,7 +282,7 @@
             self.connection.machine.write(self.stream, data)
             self.connection.wake()
 
-    def finish_answer(self) -> None:
+    def finish_response(self) -> None:
         """The answer that was begun is whole."""
         self._more()
         self._write(None, b"", None)
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -68,10 +68,10 @@
     def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write a response head.
 
-        The body follows through the pipe; `finish_answer` completes it, and `answer` aborts it.
+        The body follows through the pipe; `finish_response` completes it, and `answer` aborts it.
         """
 
-    def finish_answer(self) -> None:
+    def finish_response(self) -> None:
         """Mark the streamed response as complete."""
 
 
