--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -338,7 +338,7 @@
         if context.request.form is not None:
             context.request.form.begin_messages(change_headers(response.head, context.forward.response), body)
             return
-        streaming_caller = None if call.caller is None else call.caller.passing()
+        streaming_caller = None if call.caller is None else call.caller.streaming_receiver()
         if streaming_caller is not None:  # from here on, no deadline ends the response
             context.streaming_caller = streaming_caller
             context.cluster.pool.clear_deadline(call)
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -474,7 +474,7 @@
             call.request.method == b"HEAD",
             timed,
         )
-        if self.streams_responses and call.caller is not None and call.caller.passing() is not None:
+        if self.streams_responses and call.caller is not None and call.caller.streaming_receiver() is not None:
             exchange.on_response_begun = watcher.begun
         if call.request.stream is not None:
             self._stream_body(call, call.request.stream, exchange, number, action.timeout)
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -79,7 +79,7 @@
 
     # ---- the response ----------------------------------------------------------------------------
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         """Return None: a response for several requests is complete before any of them gets it."""
 
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -695,7 +695,7 @@
 
     # ---- streamed responses --------------------------------------------------------------------
 
-    def passing(self) -> Passing | None:
+    def streaming_receiver(self) -> Passing | None:
         """Return this caller, which accepts streamed responses."""
         return self
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -183,7 +183,7 @@
         """Take up its request; raises Rejected where there are too many connections."""
         self.front.admit(self.connection)
 
-    def passing(self) -> Passing | None:
+    def streaming_receiver(self) -> Passing | None:
         """It takes an answer as it comes."""
         return self
 
@@ -388,7 +388,7 @@
 
     # ---- the answer ----------------------------------------------------------------------------
 
-    def passing(self) -> Passing | None:
+    def streaming_receiver(self) -> Passing | None:
         """A gRPC answer has trailers: it passes by its form."""
         return None
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -58,7 +58,7 @@
         `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
         """
 
-    def passing(self) -> Passing | None:
+    def streaming_receiver(self) -> Passing | None:
         """Return the receiver of a streamed response; None where streaming is impossible: several callers, or gRPC."""
 
 
--- a/tests/mesh/sidecar/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -58,7 +58,7 @@
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.status = status
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         return None
 
 
--- a/tests/simulatedproxy.py
+++ b/tests/simulatedproxy.py
@@ -39,7 +39,7 @@
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.answers.append((status, head, body))
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         return None
 
 
