--- a/lugspur/daemon/request_context.py
+++ b/lugspur/daemon/request_context.py
@@ -9,7 +9,7 @@
 from lugspur.daemon.pool import Call
 from lugspur.load_balancing.model import RequestClass
 from lugspur.routing.model import Forward
-from lugspur.seams import Passing, Request
+from lugspur.seams import Request, StreamingReceiver
 
 
 class Ending(Enum):
@@ -35,5 +35,6 @@
     call: Call | None = None  # the call in the current cluster
     ending: Ending = Ending.FAILED  # set before the final response
     expected_by: float = float("inf")  # in the loop's time; used while the body's end, and so the deadline, is unknown
-    streaming_caller: Passing | None = None  # receives a streamed response; None: the response is not streamed
+    # Receives a streamed response; None: the response is not streamed.
+    streaming_caller: StreamingReceiver | None = None
     backend_status: int = 0  # status of the backend's response that the final one is based on; 0: there is none
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -16,7 +16,7 @@
 from lugspur.http1.intake import PLATFORM, Intake, Rejected, Sizes
 from lugspur.invariants import Invariant, check
 from lugspur.pipe import Pipe
-from lugspur.seams import Passing, Request
+from lugspur.seams import Request, StreamingReceiver
 
 # Bytes read at once, into one buffer that all callers share.
 READ_SIZE = 64 << 10
@@ -695,7 +695,7 @@
 
     # ---- streamed responses --------------------------------------------------------------------
 
-    def streaming_receiver(self) -> Passing | None:
+    def streaming_receiver(self) -> StreamingReceiver | None:
         """Return this caller, which accepts streamed responses."""
         return self
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -15,7 +15,7 @@
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
 from lugspur.http2.wire import Wire
 from lugspur.pipe import Pipe
-from lugspur.seams import Passing, Request
+from lugspur.seams import Request, StreamingReceiver
 
 GATHER = 0.02  # seconds after a whole message, or a head alone, in which a call may still turn out to be all there
 LEAVE_AFTER = 0.25  # seconds between the two GOAWAYs: streams that were begun before the first was read still come
@@ -183,7 +183,7 @@
         """Take up its request; raises Rejected where there are too many connections."""
         self.front.admit(self.connection)
 
-    def streaming_receiver(self) -> Passing | None:
+    def streaming_receiver(self) -> StreamingReceiver | None:
         """It takes an answer as it comes."""
         return self
 
@@ -388,7 +388,7 @@
 
     # ---- the answer ----------------------------------------------------------------------------
 
-    def streaming_receiver(self) -> Passing | None:
+    def streaming_receiver(self) -> StreamingReceiver | None:
         """A gRPC answer has trailers: it passes by its form."""
         return None
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -58,11 +58,11 @@
         `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
         """
 
-    def streaming_receiver(self) -> Passing | None:
+    def streaming_receiver(self) -> StreamingReceiver | None:
         """Return the receiver of a streamed response; None where streaming is impossible: several callers, or gRPC."""
 
 
-class Passing(Protocol):
+class StreamingReceiver(Protocol):
     """A receiver of a streamed response."""
 
     def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
