--- a/lugspur/http1/dial.py
+++ b/lugspur/http1/dial.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Any, Generic, Protocol, TypeVar
 
-from lugspur.seams import Listed
+from lugspur.seams import ListedBackend
 
 # Errors that have local causes and say nothing about a backend.
 LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL)
@@ -45,7 +45,9 @@
 
     __slots__ = ("_addresses", "_dialler", "_errno", "_loop", "_ended", "_resolving", "_timer", "_exchange", "sock")
 
-    def __init__(self, dialler: Dialler[ExchangeT], exchange: ExchangeT, backend: Listed, timeout: float) -> None:
+    def __init__(
+        self, dialler: Dialler[ExchangeT], exchange: ExchangeT, backend: ListedBackend, timeout: float
+    ) -> None:
         self._dialler, self._exchange = dialler, exchange
         self._loop = asyncio.get_running_loop()
         self._ended = False
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -32,7 +32,7 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Listed, Request, Response, Watcher
+from lugspur.seams import ListedBackend, Request, Response, Watcher
 
 LINKS_MOST = 4  # connections to one box: one core of a box rarely serves more than one at full speed
 SPREAD = 32  # streams on each connection before a further one is made
@@ -77,7 +77,7 @@
     def __init__(
         self,
         lane: Streams,
-        backend: Listed,
+        backend: ListedBackend,
         request: Request,
         started: float,
         until: float,
@@ -542,7 +542,7 @@
 
     __slots__ = ("backend", "calm", "links")
 
-    def __init__(self, backend: Listed) -> None:
+    def __init__(self, backend: ListedBackend) -> None:
         self.backend = backend
         self.links: list[Link] = []
         self.calm = False  # it has asked for fewer PINGs: there are no more
@@ -557,7 +557,7 @@
         self.judge = judge
         self.dial_timeout, self._keep = 0.25, 7.5
         self.held, self.max_buffered_bytes, self.max_response_body = 0, MAX_BUFFERED_RESPONSE, MAX_BUFFERED_RESPONSE
-        self._boxes: dict[Listed, Box] = {}
+        self._boxes: dict[ListedBackend, Box] = {}
         self._sweeping = self._loop.call_later(1.0, self._sweep)
 
     def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int) -> None:
@@ -579,7 +579,7 @@
     # ---- attempts ------------------------------------------------------------------------------
 
     def start(
-        self, backend: Listed, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
+        self, backend: ListedBackend, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
     ) -> Exchange:
         """Send an attempt; whoever sends is not ready for its outcome, so it begins at the loop's next turn."""
         exchange = Exchange(self, backend, request, self._loop.time(), until, watcher, repeatable)
@@ -626,7 +626,7 @@
 
     # ---- connections ---------------------------------------------------------------------------
 
-    def update(self, backend: Listed, address: Address, started: float, in_service: bool) -> None:
+    def update(self, backend: ListedBackend, address: Address, started: float, in_service: bool) -> None:
         """Guards against streams on connections to a process or a place that is no more."""
         if backend.address != address or backend.started != started or not in_service:
             box = self._boxes.get(backend)
@@ -649,7 +649,7 @@
     def dial_ended(self) -> None:
         """A dial was given up: `lost` counts its socket."""
 
-    def reached(self, backend: Listed, up: bool) -> None:
+    def reached(self, backend: ListedBackend, up: bool) -> None:
         """Whether a connection came up."""
         self._dialled(backend.server, up)
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -102,7 +102,7 @@
     started: float  # the loop's time
 
     @property
-    def backend(self) -> Listed:
+    def backend(self) -> ListedBackend:
         """The backend that the attempt was sent to."""
 
     @property
@@ -132,7 +132,7 @@
         """Start streaming the response; `response` contains only its head."""
 
 
-class Listed(Protocol):
+class ListedBackend(Protocol):
     """A backend as the endpoint list describes it."""
 
     address: Address
@@ -146,11 +146,11 @@
     """A transport of attempts to backends that don't speak HTTP/1.1."""
 
     def start(
-        self, backend: Listed, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
+        self, backend: ListedBackend, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
     ) -> Attempt:
         """Send an attempt; its outcome is reported later."""
 
-    def update(self, backend: Listed, address: Address, started: float, in_service: bool) -> None:
+    def update(self, backend: ListedBackend, address: Address, started: float, in_service: bool) -> None:
         """Apply what the endpoint list says about a backend; called before the backend itself is changed."""
 
     def close(self) -> None:
