--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -32,7 +32,7 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import ListedBackend, Request, Response, Watcher
+from lugspur.seams import AttemptObserver, ListedBackend, Request, Response
 
 LINKS_MOST = 4  # connections to one box: one core of a box rarely serves more than one at full speed
 SPREAD = 32  # streams on each connection before a further one is made
@@ -81,7 +81,7 @@
         request: Request,
         started: float,
         until: float,
-        watcher: Watcher,
+        watcher: AttemptObserver,
         repeatable: bool,
     ) -> None:
         self._lane, self._watcher = lane, watcher
@@ -579,7 +579,13 @@
     # ---- attempts ------------------------------------------------------------------------------
 
     def start(
-        self, backend: ListedBackend, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
+        self,
+        backend: ListedBackend,
+        request: Request,
+        until: float,
+        watcher: AttemptObserver,
+        repeatable: bool,
+        timed: bool,
     ) -> Exchange:
         """Send an attempt; whoever sends is not ready for its outcome, so it begins at the loop's next turn."""
         exchange = Exchange(self, backend, request, self._loop.time(), until, watcher, repeatable)
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -119,7 +119,7 @@
         """Time out the attempt."""
 
 
-class Watcher(Protocol):
+class AttemptObserver(Protocol):
     """The observer of one attempt."""
 
     def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
@@ -146,7 +146,13 @@
     """A transport of attempts to backends that don't speak HTTP/1.1."""
 
     def start(
-        self, backend: ListedBackend, request: Request, until: float, watcher: Watcher, repeatable: bool, timed: bool
+        self,
+        backend: ListedBackend,
+        request: Request,
+        until: float,
+        watcher: AttemptObserver,
+        repeatable: bool,
+        timed: bool,
     ) -> Attempt:
         """Send an attempt; its outcome is reported later."""
 
