--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -34,7 +34,7 @@
     Subscribe,
 )
 from lugspur.observability.failures import AttemptRecord, ConfigurationState, FailureLog, log_nothing
-from lugspur.seams import Answerable, Attempt, Lane, Request, Response
+from lugspur.seams import Answerable, Attempt, BackendTransport, Request, Response
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -194,7 +194,7 @@
         owner: PoolOwner,
         epoch: float,
         subscribe: Callable[[], None] = lambda: None,
-        lane: Callable[[], Lane] | None = None,
+        lane: Callable[[], BackendTransport] | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._epoch = epoch  # seconds from the loop's time to the time that lists use
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -18,7 +18,7 @@
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Lane, Response
+from lugspur.seams import BackendTransport, Response
 
 # Default limit in bytes on a response that is buffered whole.
 MAX_BUFFERED_RESPONSE = 1 << 20
@@ -68,7 +68,7 @@
         self.in_service = False
         self.idle: list[Connection] = []
         self.keep_alive_seconds = 0.0  # seconds for which the backend keeps idle connections; 0: not announced
-        self.lane: Lane | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
+        self.lane: BackendTransport | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
 
     def move(self, address: Address) -> None:
         """Change the address that the backend listens on."""
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -142,7 +142,7 @@
     in_service: bool
 
 
-class Lane(Protocol):
+class BackendTransport(Protocol):
     """A transport of attempts to backends that don't speak HTTP/1.1."""
 
     def start(
