--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -244,7 +244,7 @@
     def _publish(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         self._list_changes += 1
         self.pool.update_endpoints(kind, endpoints)
-        self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
+        self.speaks_grpc = any(backend.transport is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
         self.standing.set_backends(up)
         if self.on_endpoints_changed is not None:
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -265,7 +265,7 @@
                 continue
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
             self._update(backend, endpoint.address, row.started_at, row.state is ServerState.UP)
-            backend.lane = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
+            backend.transport = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
         self._perform(self._call_balancer(self.balancer.update_servers, kind, [endpoint.row for endpoint in endpoints]))
 
     def _remove(self, server: int) -> None:
@@ -275,8 +275,8 @@
             self._update(backend, backend.address, backend.started, False)
 
     def _update(self, backend: upstream.Backend, address: Address, started: float, in_service: bool) -> None:
-        if backend.lane is not None:
-            backend.lane.update(backend, address, started, in_service)
+        if backend.transport is not None:
+            backend.transport.update(backend, address, started, in_service)
         self.upstream.update(backend, address, started, in_service)
 
     # ---- requests ------------------------------------------------------------------------------
@@ -461,8 +461,10 @@
         watcher = AttemptWatcher(self, call, number)
         timed = expires_at < call.deadline  # otherwise the call's own timer ends it at the deadline
         backend = self.backends[action.server]
-        if backend.lane is not None:
-            call.attempts.append(backend.lane.start(backend, call.request, expires_at, watcher, is_retryable, timed))
+        if backend.transport is not None:
+            call.attempts.append(
+                backend.transport.start(backend, call.request, expires_at, watcher, is_retryable, timed)
+            )
             return
         exchange = upstream.Exchange(
             backend,
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -59,7 +59,7 @@
 class Backend:
     """One backend of the endpoint list and its idle connections, the most recently used last."""
 
-    __slots__ = ("address", "family", "idle", "in_service", "keep_alive_seconds", "lane", "server", "started")
+    __slots__ = ("address", "family", "idle", "in_service", "keep_alive_seconds", "transport", "server", "started")
 
     def __init__(self, address: Address, server: int = 0) -> None:
         self.move(address)
@@ -68,7 +68,7 @@
         self.in_service = False
         self.idle: list[Connection] = []
         self.keep_alive_seconds = 0.0  # seconds for which the backend keeps idle connections; 0: not announced
-        self.lane: BackendTransport | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
+        self.transport: BackendTransport | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
 
     def move(self, address: Address) -> None:
         """Change the address that the backend listens on."""
