--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -69,7 +69,7 @@
         request.form,
         request.stream,
         request.ended,
-        request.old,
+        request.is_http10,
     )
 
 
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -578,7 +578,7 @@
             return
         self._busy = True
         self.move(None)
-        self._keep_alive, self._is_http10 = request.keep_alive, request.old
+        self._keep_alive, self._is_http10 = request.keep_alive, request.is_http10
         self._request_body = stream = (
             request.stream if request.stream is not None and not request.stream.ended else None
         )
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -256,6 +256,6 @@
                 self._configuration,
                 stream=stream,
                 ended=self._now,
-                old=self._parser.get_http_version() == "1.0",
+                is_http10=self._parser.get_http_version() == "1.0",
             )
         )
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -29,7 +29,7 @@
     form: Form | None = None  # what a gRPC request has beyond this
     stream: Body | None = None  # the body, if it is streamed
     ended: float = 0.0  # the loop's time of the last byte; for a stream, of the last byte before delivery
-    old: bool = False  # HTTP/1.0: the sender doesn't support chunks
+    is_http10: bool = False  # HTTP/1.0: the sender doesn't support chunks
 
 
 @dataclass(slots=True)
