--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -72,10 +72,10 @@
         """Return False: a stream is never coalesced."""
         return False
 
-    def plain(self, request: Request) -> Request:
+    def to_http1(self, request: Request) -> Request:
         """Return the request in the form for a backend that speaks HTTP/1.1."""
         assert self._form is not None
-        return self._form.plain(request)
+        return self._form.to_http1(request)
 
     # ---- the response ----------------------------------------------------------------------------
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -382,7 +382,7 @@
         request.form = self
         return request
 
-    def plain(self, request: Request) -> Request:
+    def to_http1(self, request: Request) -> Request:
         """For a box that speaks HTTP/1.1."""
         return mapping.unwrapped(request)
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -82,7 +82,7 @@
     def pipe(self) -> Pipe | None:
         """The messages of a streaming call; None: the request's body contains all messages."""
 
-    def plain(self, request: Request) -> Request:
+    def to_http1(self, request: Request) -> Request:
         """Return the request in the form for an HTTP/1.1 backend."""
 
     @property
