--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -293,7 +293,7 @@
         """Submit a request to its upstream cluster, if that has capacity left."""
         cluster, form = context.cluster, context.request.form
         request_class = context.request_class
-        if form is not None and form.bound:
+        if form is not None and form.requires_grpc:
             if not cluster.speaks_grpc:
                 caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -68,7 +68,7 @@
         """Return None: a stream is never coalesced."""
 
     @property
-    def bound(self) -> bool:
+    def requires_grpc(self) -> bool:
         """Return False: a stream is never coalesced."""
         return False
 
@@ -165,7 +165,7 @@
     ) -> None:
         """Share a call with equal reads where that is possible; `received` is the request before routing."""
         form = context.request.form
-        bound = form is not None and form.bound
+        bound = form is not None and form.requires_grpc
         tenant = _tenant_key(context.tenant)
         key = None if bound else key_of(received, context.request, route, tenant, join)
         self._request_count += 1
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -306,7 +306,7 @@
         self.pipe: Pipe | None = None
 
     @property
-    def bound(self) -> bool:
+    def requires_grpc(self) -> bool:
         """Whether a gRPC box alone can take it: it is no single message."""
         return self.pipe is not None or self._counter.whole != 1 or self._counter.open
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -86,7 +86,7 @@
         """Return the request in the form for an HTTP/1.1 backend."""
 
     @property
-    def bound(self) -> bool:
+    def requires_grpc(self) -> bool:
         """Whether only a gRPC backend can take it: a streaming call, or one that has not exactly one message."""
 
     def begin_messages(self, head: bytes, body: Pipe) -> None:
