--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -174,7 +174,7 @@
         """Handle the end of the attempt; called once."""
         self._pool.finish_attempt(self._call, self._number, attempt, outcome, response)
 
-    def bound(self) -> None:
+    def on_committed(self) -> None:
         """Bind the request to this attempt, because a message was passed on."""
         self._pool.bind_to_attempt(self._call, self._number)
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -187,7 +187,7 @@
             self._bound = True
             if self._timer is not None:
                 self._timer.cancel()
-            self._watcher.bound()
+            self._watcher.on_committed()
 
     # ---- the answer ----------------------------------------------------------------------------
 
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -125,7 +125,7 @@
     def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Take the outcome."""
 
-    def bound(self) -> None:
+    def on_committed(self) -> None:
         """Bind the request to this attempt, because a message has been forwarded."""
 
     def begun(self, response: Response, body: Pipe) -> None:
