--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -178,7 +178,7 @@
         """Bind the request to this attempt, because a message was passed on."""
         self._pool.bind_to_attempt(self._call, self._number)
 
-    def begun(self, response: Response, body: Pipe) -> None:
+    def on_response_begun(self, response: Response, body: Pipe) -> None:
         """Start to stream the attempt's response."""
         self._pool.begin_response(self._call, self._number, response, body)
 
@@ -477,7 +477,7 @@
             timed,
         )
         if self.streams_responses and call.caller is not None and call.caller.streaming_receiver() is not None:
-            exchange.on_response_begun = watcher.begun
+            exchange.on_response_begun = watcher.on_response_begun
         if call.request.stream is not None:
             self._stream_body(call, call.request.stream, exchange, number, action.timeout)
         call.attempts.append(exchange)
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -242,7 +242,7 @@
         for chunk in self._chunks:
             pipe.put(chunk, free=True)
         self._release()
-        self._watcher.begun(Response(200, mapping.answer_head(self._head), b""), pipe)
+        self._watcher.on_response_begun(Response(200, mapping.answer_head(self._head), b""), pipe)
 
     def _release(self) -> None:
         self._lane.held -= self._held
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -128,7 +128,7 @@
     def on_committed(self) -> None:
         """Bind the request to this attempt, because a message has been forwarded."""
 
-    def begun(self, response: Response, body: Pipe) -> None:
+    def on_response_begun(self, response: Response, body: Pipe) -> None:
         """Start streaming the response; `response` contains only its head."""
 
 
