--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -170,7 +170,7 @@
     def __init__(self, pool: Pool, call: Call, number: int) -> None:
         self._pool, self._call, self._number = pool, call, number
 
-    def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+    def on_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Handle the end of the attempt; called once."""
         self._pool.finish_attempt(self._call, self._number, attempt, outcome, response)
 
@@ -471,7 +471,7 @@
             now,
             expires_at,
             call.encode_http1,
-            watcher.ended,
+            watcher.on_ended,
             is_retryable,
             call.request.method == b"HEAD",
             timed,
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -125,7 +125,7 @@
             pipe.attach(None)
         if self.link is not None:
             self.link.drop(self)
-        self._watcher.ended(self, outcome, response)
+        self._watcher.on_ended(self, outcome, response)
 
     def ended(self, how: End) -> None:
         """It ended without an answer."""
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -122,7 +122,7 @@
 class AttemptObserver(Protocol):
     """The observer of one attempt."""
 
-    def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+    def on_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Take the outcome."""
 
     def on_committed(self) -> None:
