--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -13,7 +13,7 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
 from lugspur.pipe import Pipe, ignore_credit
-from lugspur.seams import Answerable, Form, Request
+from lugspur.seams import Answerable, GrpcForm, Request
 
 CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
 WATCH_INTERVAL_SECONDS = 0.2  # between checks of a watched service: a drain has to be reported well within 500 ms
@@ -39,7 +39,7 @@
     return True
 
 
-def _respond_to_check(form: Form, serves: bool | None) -> None:
+def _respond_to_check(form: GrpcForm, serves: bool | None) -> None:
     if serves is None:
         raise Rejected(404, "unknown service")
     form.finish(b"", pack(write_serving(Serving.SERVING if serves else Serving.NOT_SERVING)), b"grpc-status: 0\r\n")
@@ -49,7 +49,7 @@
     """A Watch: reports each change until the caller disconnects, its deadline passes, or the listener closes."""
 
     def __init__(
-        self, request: Request, form: Form, caller: Answerable, front: Front, serves: Callable[[], bool | None]
+        self, request: Request, form: GrpcForm, caller: Answerable, front: Front, serves: Callable[[], bool | None]
     ) -> None:
         self._caller, self._front, self._serves = caller, front, serves
         self._loop = asyncio.get_running_loop()
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -14,7 +14,7 @@
 from lugspur.joining.keys import key_of, told_of
 from lugspur.joining.sharing import depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
-from lugspur.seams import Answerable, Form, Request
+from lugspur.seams import Answerable, GrpcForm, Request
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -43,7 +43,7 @@
 class SharedCall:
     """One call for several waiting requests: the cluster sees one caller, and its response goes to all of them.
 
-    The shared call is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.Form).
+    The shared call is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.GrpcForm).
     """
 
     def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
@@ -61,7 +61,7 @@
     def admit(self) -> None:
         """Do nothing: the waiting requests were admitted before."""
 
-    # ---- the request as gRPC (seams.Form) --------------------------------------------------------
+    # ---- the request as gRPC (seams.GrpcForm) --------------------------------------------------------
 
     @property
     def pipe(self) -> None:
@@ -128,7 +128,7 @@
         _form_of(receiver).begin_messages(head, body)
 
 
-def _form_of(waiting: WaitingRequest) -> Form:
+def _form_of(waiting: WaitingRequest) -> GrpcForm:
     form = waiting.context.request.form
     assert form is not None
     return form
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -26,7 +26,7 @@
     arrived: float
     keep_alive: bool
     configuration: Any = None  # the daemon's configuration when the head was received
-    form: Form | None = None  # what a gRPC request has beyond this
+    form: GrpcForm | None = None  # what a gRPC request has beyond this
     stream: Body | None = None  # the body, if it is streamed
     ended: float = 0.0  # the loop's time of the last byte; for a stream, of the last byte before delivery
     is_http10: bool = False  # HTTP/1.0: the sender doesn't support chunks
@@ -75,7 +75,7 @@
         """Mark the streamed response as complete."""
 
 
-class Form(Protocol):
+class GrpcForm(Protocol):
     """The parts of a gRPC request that HTTP/1.1 lacks; it also returns the response in gRPC form."""
 
     @property
