--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -21,7 +21,7 @@
 from lugspur.seams import Request
 
 LARGE = 3 << 20
-REPLAY_FACTOR = bodies.REPLAY_FACTOR * MAX_BUFFERED_BODY
+MAX_REPLAYED = bodies.REPLAY_FACTOR * MAX_BUFFERED_BODY
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -174,12 +174,12 @@
 
         async def break_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
-            await reader.readexactly(REPLAY_FACTOR + MAX_BUFFERED_BODY)
+            await reader.readexactly(MAX_REPLAYED + MAX_BUFFERED_BODY)
 
         async with box(break_late) as one, box(break_late) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
-                client.writer.write(book(body=noise(LARGE))[: REPLAY_FACTOR + 2 * MAX_BUFFERED_BODY])
+                client.writer.write(book(body=noise(LARGE))[: MAX_REPLAYED + 2 * MAX_BUFFERED_BODY])
                 assert status(await client.answer()) == 503  # it never ran, for sure
                 assert len(seen) == 1
 
@@ -426,7 +426,7 @@
             client.writer.write(book(body=body))
             front = up.proxy.front
             await until(lambda: any(getattr(caller, "_paused_at", 0.0) for caller in front.callers))
-            assert front.buffered_bytes <= REPLAY_FACTOR + 2 * WINDOW
+            assert front.buffered_bytes <= MAX_REPLAYED + 2 * WINDOW
             go.set()
             assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
@@ -442,17 +442,8 @@
                 _, body = await answer_of(client)
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
-            assert (
-                front.buffered_bytes,
-                upstream.buffered_bytes,
-                upstream.streamed_bytes,
-                len(up.proxy.pool.calls),
-            ) == (
-                0,
-                0,
-                0,
-                0,
-            )
+            counted = (front.buffered_bytes, upstream.buffered_bytes, upstream.streamed_bytes, len(up.proxy.pool.calls))
+            assert counted == (0, 0, 0, 0)
             assert not front.streaming and not front.reading
             assert upstream.sockets() <= 2
 
@@ -539,7 +530,7 @@
         for request in got:
             assert request.stream is not None
             request.stream.mark_forwarded(request.stream.received)
-            assert request.stream.buffered <= REPLAY_FACTOR + 5000
+            assert request.stream.buffered <= MAX_REPLAYED + 5000
     assert isinstance(intake.fault, Rejected)
     assert intake.fault.status == 413
 
@@ -560,8 +551,8 @@
         at += len(piece)
         body.mark_forwarded(at)
         assert body.received == len(sent)
-        assert body.buffered <= REPLAY_FACTOR + WINDOW + 90_000
-        assert body.is_partly_dropped == (at > REPLAY_FACTOR)
+        assert body.buffered <= MAX_REPLAYED + WINDOW + 90_000
+        assert body.is_partly_dropped == (at > MAX_REPLAYED)
         if not body.is_partly_dropped:
             assert body.read(0)[:at] == bytes(sent[: min(at, 64 << 10)])
     body.drop()
