--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -57,7 +57,7 @@
         self._reported_status: Serving | None = None
         self._pipe = Pipe(ignore_credit)
         self._timer: asyncio.TimerHandle | None = None
-        caller.gone = self._stop
+        caller.on_disconnect = self._stop
         form.begin_messages(b"", self._pipe)
 
     def _stop(self) -> None:
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -297,7 +297,7 @@
         self._request_count += 1
         call = Call(str(self._request_count), request, attributes, caller, deadline, context)
         self.calls[call.balancer_id] = call
-        caller.gone = lambda: self._caller_disconnected(call)
+        caller.on_disconnect = lambda: self._caller_disconnected(call)
         call.timer = self._loop.call_at(deadline, self._deadline_passed, call)
         self._perform(
             self._call_balancer(
@@ -384,7 +384,7 @@
         if caller is None:
             return
         if trailers is not None and form is not None:
-            caller.gone = None
+            caller.on_disconnect = None
             form.finish(head, body, trailers)
         else:
             caller.answer(status, head, body, length)
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -48,7 +48,7 @@
 
     def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
         self._coalescer, self.number = coalescer, number
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.peer = first.caller.peer
         self.context = replace(
             first.context, deadline=deadline, fallback_clusters=list(first.context.fallback_clusters)
@@ -94,13 +94,13 @@
         """Send the response of a gRPC backend, or the rest of a streamed one."""
 
         def write(waiting: WaitingRequest) -> None:
-            waiting.caller.gone = None
+            waiting.caller.on_disconnect = None
             _form_of(waiting).finish(worded_for(head, waiting.request_id()), body, trailers)
 
         self._finish(200, head, trailers, len(body), write)
 
     def _finish(self, status: int, head: bytes, trailers: bytes, size: int, write: Write) -> None:
-        self.gone = None
+        self.on_disconnect = None
         if self._stream_receiver is not None:
             write(self._stream_receiver)
             return
@@ -118,11 +118,11 @@
         """Stream a response to the request that the call was made for; the others get calls of their own."""
         receiver = self._coalescer.take_streaming_request(self.number)
         if receiver is None:
-            if self.gone is not None:
-                self.gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
             return
         self._stream_receiver = receiver
-        receiver.caller.gone = self.gone
+        receiver.caller.on_disconnect = self.on_disconnect
         if self.context.call is not None:
             self.context.cluster.pool.change_deadline(self.context.call, receiver.context.deadline)
         _form_of(receiver).begin_messages(head, body)
@@ -173,7 +173,7 @@
             self._submit(context, caller)
             return
         waiting = self._waiting[self._request_count] = WaitingRequest(self._request_count, context, caller)
-        caller.gone = lambda: self._caller_disconnected(waiting)
+        caller.on_disconnect = lambda: self._caller_disconnected(waiting)
         self._carry_out(
             self.desk.ask(
                 self._loop.time(),
@@ -249,8 +249,8 @@
             self._extend_deadline(self._shared_calls.get(action.flight), action.deadline)
         elif isinstance(action, Drop):
             dropped = self._shared_calls.pop(action.flight, None)
-            if dropped is not None and dropped.gone is not None:
-                dropped.gone()
+            if dropped is not None and dropped.on_disconnect is not None:
+                dropped.on_disconnect()
         elif not isinstance(action, Give):
             self._separate(self._waiting.pop(action.member, None), action)
 
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -360,7 +360,7 @@
         self._buffered = 0  # bytes of incomplete bodies counted in `front.buffered_bytes`
         self._deferred_until = 0.0  # the loop's time until which input is deferred
         self._deferred_input = b""  # that deferred input
-        self.gone: Callable[[], None] | None = None  # called if the caller disconnects before its response
+        self.on_disconnect: Callable[[], None] | None = None  # called if the caller disconnects before its response
 
     # ---- the connection ------------------------------------------------------------------
 
@@ -395,9 +395,9 @@
     def _release_request(self) -> None:
         """Release the request whose response can't be delivered any more."""
         self._drop_response()
-        gone, self.gone = self.gone, None
-        if gone is not None:
-            gone()
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
         stream, self._request_body = self._request_body, None
         if stream is not None:  # after the callback: the attempt ends here and must not be retried
             stream.drop()
@@ -619,7 +619,7 @@
         self.front.rejections[fault.status] += 1
         if self._request_body is not None:
             self._release_request()
-        self.gone = None
+        self.on_disconnect = None
         self._busy, self._ignores_input = False, True
         self._queue.clear()
         self._count_buffered(0)
@@ -652,7 +652,7 @@
         if self._request_body is not None and not self._request_body.ended:  # responded before the end of the body
             self._respond_early(status, head, body, length)
             return
-        self.gone = None
+        self.on_disconnect = None
         self._busy = False
         keep_alive = self._keeps_alive()
         self._write(status, head, body, keep_alive, length)
@@ -665,7 +665,7 @@
         """Write a response before the end of the request's body and close; the rest of the body is read and dropped."""
         stream, self._request_body = self._request_body, None
         assert stream is not None
-        self.gone = None
+        self.on_disconnect = None
         self._busy, self._ignores_input = False, True
         self._queue.clear()
         stream.drop()
@@ -744,7 +744,7 @@
 
     def finish_response(self) -> None:
         """Mark the streamed response as complete."""
-        self.gone = None
+        self.on_disconnect = None
         if self._response_pipe is not None:
             self._response_pipe.end()
 
@@ -762,7 +762,7 @@
     def cut(self) -> None:
         """Abort a response that was begun so that the caller can detect it."""
         self._drop_response()
-        self.gone = None
+        self.on_disconnect = None
         if self._is_http10 and not self._chunked:  # a regular close would look like the end of the response
             self.drop()
         else:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -34,7 +34,7 @@
         self.front = connection.front
         self.peer = connection.peer
         self.arrived = now
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.answered = False  # its final answer is written, though it may not be out
         self._told: dict[bytes, bytes] = {}  # its head
         self._chunks: list[bytes] = []
@@ -190,7 +190,7 @@
     def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write the one final answer; one that was begun can't be finished by another."""
         if self._answer is not None:
-            self.gone = None
+            self.on_disconnect = None
             self.connection.cut(self, INTERNAL_ERROR)
             return
         self._write(
@@ -218,7 +218,7 @@
         """The final answer, or its end."""
         if self.answered:
             return
-        self.gone = None
+        self.on_disconnect = None
         self.answered = True
         self._release()
         self._drop_body()
@@ -235,9 +235,9 @@
 
     def _let_go(self) -> None:
         """Nobody waits for its answer any more."""
-        gone, self.gone = self.gone, None
-        if gone is not None:
-            gone()
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
         self._drop_body()  # after that: its attempt ends, and must not be followed by another
 
     def over(self) -> None:
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -232,7 +232,7 @@
         self._run_command("read", caller, ReadCell(check_key(names[0])))
 
     def _run_command(self, call: str, caller: Answerable, command: Command) -> None:
-        caller.gone = lambda: self.waiting.discard(caller)
+        caller.on_disconnect = lambda: self.waiting.discard(caller)
         self.waiting.add(caller)
         self._submit(command, lambda result: self._respond(call, caller, command, result))
 
@@ -258,7 +258,7 @@
         query = read_watch_query(request, names[0])
         if self.is_leaving:
             raise MeshError(ErrorKind.LEAVING)
-        caller.gone = lambda: self._watching.discard(caller)
+        caller.on_disconnect = lambda: self._watching.discard(caller)
         self._watching.add(caller)
         if query.after == 0:
             self._respond_with_revision(caller, query)
@@ -296,7 +296,7 @@
             self._watching.discard(caller)
             self._watches.remove(watch)
 
-        caller.gone = on_caller_gone
+        caller.on_disconnect = on_caller_gone
         self._watches.add(watch)
         if query.after > self._watches.revision(query.group):
             self._check_revision_exists(caller, query, watch)
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -48,7 +48,7 @@
             now + DECISION_TIMEOUT_SECONDS,
             lambda outcome: self._on_outcome(caller, len(request.body), outcome),
         )
-        caller.gone = lambda: self._on_caller_gone(caller, change)
+        caller.on_disconnect = lambda: self._on_caller_gone(caller, change)
         self.waiting.add(caller)
         self._router.submit(now, change)
 
@@ -73,7 +73,7 @@
     def read(self, _request: Request, caller: Answerable, _: list[str]) -> None:
         """Read the configuration; the response follows once a majority has confirmed that it is up to date."""
         now = self._loop.time()
-        caller.gone = lambda: self.waiting.discard(caller)
+        caller.on_disconnect = lambda: self.waiting.discard(caller)
         self.waiting.add(caller)
         read = Read(now + DECISION_TIMEOUT_SECONDS, lambda is_latest: self._on_read_checked(caller, is_latest))
         self._run_effects(self._reader.submit(now, read))
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -70,7 +70,7 @@
             return
         proxy.request_opened(self)
         proxy.budget(self.service).count_request(now)
-        self.caller.gone = self._caller_disconnected
+        self.caller.on_disconnect = self._caller_disconnected
         self._deadline_timer = proxy.loop.call_at(self.deadline + DEADLINE_MARGIN_SECONDS, self._deadline_passed)
         if self.reservation.key:
             self.reservation.reserve(self.deadline - now, self._reservation_ended)
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -46,7 +46,7 @@
 class Answerable(Protocol):
     """The caller that a final response is owed to."""
 
-    gone: Callable[[], None] | None  # called if the caller disconnects before its response
+    on_disconnect: Callable[[], None] | None  # called if the caller disconnects before its response
     peer: str  # the remote IP address
 
     def admit(self) -> None:
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -168,7 +168,7 @@
     peer = ""
 
     def __init__(self) -> None:
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.answers: list[tuple[int, bytes, bytes]] = []
 
     def admit(self) -> None:
@@ -544,8 +544,8 @@
         mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(500, b"", b"")))
         assert b'"how":"backend-failed"' in mesh.failures() and b'"how":"answered","cause":""' in mesh.failures()
         caller = mesh.ask_at_once()
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         assert b'"how":"gone","route":"r"' in mesh.failures()
         assert mesh.proxy.results == {"backend-failed": 1, "gone": 1}
 
--- a/tests/mesh/dataplane/test_accepted_requests.py
+++ b/tests/mesh/dataplane/test_accepted_requests.py
@@ -101,8 +101,8 @@
 def test_disconnected_callers_and_unknown_routes_are_counted_and_kept() -> None:
     def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask()
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         rig.ask(b"/nowhere")
         disconnected, unrouted = rig.proxy.failures.latest()
         assert disconnected.how == "gone" and disconnected.waited_for == (rig.sent[0][1].backend,)
--- a/tests/mesh/dataplane/test_key_reservation.py
+++ b/tests/mesh/dataplane/test_key_reservation.py
@@ -80,8 +80,8 @@
 
     def disconnected(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         assert rig.released == [b"k"]
         rig.reservations[0][1](Acquired())  # The reservation is granted after it was abandoned.
         assert rig.released == [b"k", b"k"] and not rig.sent
@@ -94,8 +94,8 @@
     def disconnected(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.reservations[0][1](Acquired())
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         assert not rig.released  # The request may still run.
         rig.reply(RequestOutcome.NOT_RUN, was_sent=False)
         assert rig.released == [b"k"] and len(rig.sent) == 1
@@ -117,8 +117,8 @@
     def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask(lugspur_operation_key="k")
         rig.reservations[0][1](Acquired())
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         rig.reply(RequestOutcome.UNKNOWN)
         assert not rig.released
 
--- a/tests/mesh/dataplane/test_proxied_request.py
+++ b/tests/mesh/dataplane/test_proxied_request.py
@@ -109,8 +109,8 @@
         caller = rig.ask(lugspur_operation_key="k")
         if rig.reservations:
             rig.reservations[0][1](Acquired())
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         assert rig.cancelled == ([] if rig.reservations else [0])
         assert rig.withdrawn == []
 
@@ -122,8 +122,8 @@
 def test_a_disconnected_callers_unsafe_request_without_key_is_withdrawn(kind: str) -> None:
     def scenario(rig: SimulatedProxy) -> None:
         caller = rig.ask()
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         assert (rig.cancelled, rig.withdrawn) == ([], [0])
         _, forward, respond = rig.sent[0]
         respond(ForwardResponse(forward.number, RequestOutcome.NOT_RUN, None, False, cause=FailureCause.CANCELLED))
--- a/tests/mesh/sidecar/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -49,7 +49,7 @@
     """A caller that records the status of its response."""
 
     peer = ""
-    gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
     status = 0
 
     def admit(self) -> None:
--- a/tests/mesh/test_coordination_input.py
+++ b/tests/mesh/test_coordination_input.py
@@ -30,7 +30,7 @@
     """Who waits for the answer to a call."""
 
     peer = ""
-    gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     def __init__(self) -> None:
         self.answers: list[tuple[int, bytes, bytes]] = []
@@ -196,9 +196,9 @@
     address = Address()
     caller = address.call("POST", "/locks/l/open", json.dumps(HELD).encode())
     watcher = address.call("GET", "/watch/g.?after=3&wait_ms=60000")
-    assert caller.gone is not None and watcher.gone is not None
-    caller.gone()
-    watcher.gone()
+    assert caller.on_disconnect is not None and watcher.on_disconnect is not None
+    caller.on_disconnect()
+    watcher.on_disconnect()
     address.commands[0][1](LockGranted(1))
     assert not caller.answers and not watcher.answers and len(address.watches) == 0
 
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -16,7 +16,7 @@
     """Who waits for the answer to a call."""
 
     peer = ""
-    gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
     answered: tuple[int, bytes, bytes] | None = None
 
     def admit(self) -> None:
--- a/tests/simulatedproxy.py
+++ b/tests/simulatedproxy.py
@@ -30,7 +30,7 @@
     peer = ""
 
     def __init__(self) -> None:
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.answers: list[tuple[int, bytes, bytes]] = []
 
     def admit(self) -> None:
