--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -194,7 +194,7 @@
         elif isinstance(match.route.action, DirectResponse):
             reply = match.route.action
             lines = "".join(f"{name}: {value}\r\n" for name, value in reply.headers)
-            caller.answer(reply.status, lines.encode(), reply.body)
+            caller.respond(reply.status, lines.encode(), reply.body)
         elif isinstance(match.route.action, Redirect):
             _respond_with_redirect(match.route.action, match, target, caller)
         else:
@@ -217,14 +217,14 @@
         caller.admit()
         deadline = self._loop.time() + timeout - RESPONSE_MARGIN_SECONDS
         if timeout <= 0.0:  # The request arrived too late or was queued too long: no work is spent on it.
-            caller.answer(504, b"", b"the time is up\n")
+            caller.respond(504, b"", b"the time is up\n")
             return
         if self.overload_protection is not None and configuration is self.configuration:
             client = caller.peer if tenant == NOBODY else tenant
             class_index = configuration.plan.kinds[forward.class_name]
             size = len(request.body) if request.stream is None else request.stream.received
             if not self.overload_protection.admits(class_index, client, size):
-                caller.answer(503, RETRY_AFTER_HEADER, b"too busy\n")
+                caller.respond(503, RETRY_AFTER_HEADER, b"too busy\n")
                 self.overload_protection.pause_reading(caller, class_index)
                 return
         if forward.key is not None:
@@ -234,7 +234,7 @@
             order = order_at_random(forward.splits, self._rng)
         names = pools_to_attempt(order, forward.fallback, configuration.pool_health, self._loop.time())
         if not names:
-            caller.answer(503, RETRY_AFTER_HEADER, b"no backend\n")
+            caller.respond(503, RETRY_AFTER_HEADER, b"no backend\n")
             return
         upstream_request = build_upstream_request(request, target, match, forward, caller.peer, row.trust_forwarded)
         cluster, *fallback_clusters = (configuration.clusters[name] for name in names)
@@ -295,13 +295,13 @@
         request_class = context.request_class
         if form is not None and form.requires_grpc:
             if not cluster.speaks_grpc:
-                caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
+                caller.respond(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
             request_class = replace(request_class, allowed_host_types=(GRPC_HOST_TYPE,))
         if not self._request_slots.can_acquire(cluster.name):
             # Protects the other pools: one that hangs fills only its own slots and those that are not reserved.
             context.ending = Ending.REJECTED
-            caller.answer(503, RETRY_AFTER_HEADER, b"no place\n")
+            caller.respond(503, RETRY_AFTER_HEADER, b"no place\n")
             return
         self._request_slots.acquire(cluster.name)
         attributes = RequestAttributes(
@@ -417,13 +417,13 @@
 def _respond_to_miss(miss: NoMatch, caller: Answerable) -> None:
     if miss.allowed_methods:
         head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allowed_methods)).encode()
-        caller.answer(405, head, b"method not allowed\n")
+        caller.respond(405, head, b"method not allowed\n")
     else:
-        caller.answer(404, b"", b"no route\n")
+        caller.respond(404, b"", b"no route\n")
 
 
 def _respond_with_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
     to = redirect.location.fill(match.captured).encode()
     if target.query is not None:
         to += (b"&" if b"?" in to else b"?") + target.query
-    caller.answer(redirect.status, b"Location: %b\r\n" % to, b"")
+    caller.respond(redirect.status, b"Location: %b\r\n" % to, b"")
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -72,8 +72,8 @@
             self._reported_status = status
             self._pipe.put(pack(write_serving(status)))
         if self._front.closing:
-            self._caller.answer(503, b"", b"the proxy leaves\n")
+            self._caller.respond(503, b"", b"the proxy leaves\n")
         elif self._loop.time() >= self._deadline:
-            self._caller.answer(504, b"", b"the time is up\n")
+            self._caller.respond(504, b"", b"the time is up\n")
         else:
             self._timer = self._loop.call_later(WATCH_INTERVAL_SECONDS, self.check)
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -387,7 +387,7 @@
             caller.on_disconnect = None
             form.finish(head, body, trailers)
         else:
-            caller.answer(status, head, body, length)
+            caller.respond(status, head, body, length)
 
     def _record_failure(self, call: Call, ending: str) -> None:
         """Add a failed request to the failure log."""
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -315,7 +315,7 @@
         path = request.target.partition(b"?")[0]
         if path == b"/healthz" and request.method == b"GET":
             healthy = self.front.healthy()
-            caller.answer(200 if healthy else 503, b"", b"ok\n" if healthy else b"not ready\n")
+            caller.respond(200 if healthy else 503, b"", b"ok\n" if healthy else b"not ready\n")
         elif path == b"/api" or path.startswith(b"/api/"):  # without a trailing part, the request has no key
             self.front.admit(caller)
             self._submit(request, caller)
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -82,11 +82,11 @@
     def streaming_receiver(self) -> None:
         """Return None: a response for several requests is complete before any of them gets it."""
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Send the final response to all waiting requests."""
 
         def write(waiting: WaitingRequest) -> None:
-            waiting.caller.answer(status, worded_for(head, waiting.request_id()), body, length)
+            waiting.caller.respond(status, worded_for(head, waiting.request_id()), body, length)
 
         self._finish(status, head, b"", len(body), write)
 
@@ -267,9 +267,9 @@
         if isinstance(action, Alone):
             self._submit(waiting.context, waiting.caller)
         elif isinstance(action, Expire):
-            waiting.caller.answer(504, b"", b"the time is up\n")
+            waiting.caller.respond(504, b"", b"the time is up\n")
         elif isinstance(action, Turn):
-            waiting.caller.answer(503, RETRY_AFTER_HEADER, b"no place to wait\n")
+            waiting.caller.respond(503, RETRY_AFTER_HEADER, b"no place to wait\n")
 
     def _schedule_timer(self) -> None:
         """Schedule the timer for the next request whose deadline is earlier than its shared call's."""
@@ -301,6 +301,6 @@
 
     def _write_response(self, waiting: WaitingRequest, write: Write) -> None:
         if self._loop.time() > waiting.context.deadline:  # The deadline has passed, but its timer is late.
-            waiting.caller.answer(504, b"", b"the time is up\n")
+            waiting.caller.respond(504, b"", b"the time is up\n")
         else:
             write(waiting)
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -640,7 +640,7 @@
         except OSError:
             self.drop()
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write the final response to the current request.
 
         `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -187,7 +187,7 @@
         """It takes an answer as it comes."""
         return self
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write the one final answer; one that was begun can't be finished by another."""
         if self._answer is not None:
             self.on_disconnect = None
@@ -210,7 +210,7 @@
         self._stop()
         self._let_go()
         if self._answer is None:
-            self.answer(fault.status, b"", fault.reason.encode() + b"\n")
+            self.respond(fault.status, b"", fault.reason.encode() + b"\n")
         else:
             self.connection.cut(self, INTERNAL_ERROR)
 
@@ -396,9 +396,9 @@
         """Answer what is not served; what a pool may have of it already is given up."""
         self._stop()
         self._let_go()
-        self.answer(fault.status, b"", fault.reason.encode() + b"\n")
+        self.respond(fault.status, b"", fault.reason.encode() + b"\n")
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write an answer that was made here or by an HTTP/1.1 box."""
         first, messages, tail = mapping.served_answer(status, head, body, self._told[b"content-type"])
         if self._answer is not None:
--- a/lugspur/mesh/control_node/api.py
+++ b/lugspur/mesh/control_node/api.py
@@ -58,4 +58,4 @@
 
     def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """Respond with the metrics of this control node."""
-        caller.answer(200, CONTENT_TYPE, self._process.metrics())
+        caller.respond(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -269,7 +269,7 @@
             self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
         else:
             self._record_failure(BACKEND_FAILED)
-        self.caller.answer(response.status, response.head, response.body)
+        self.caller.respond(response.status, response.head, response.body)
 
     def _respond_with_failure(self) -> None:
         """Return the backend's own failure to the caller if there was one, else give the request up."""
--- a/lugspur/mesh/dataplane/rejection.py
+++ b/lugspur/mesh/dataplane/rejection.py
@@ -26,4 +26,4 @@
             # rejected again has no time left.
             delay = max(MIN_RETRY_AFTER_SECONDS, seconds_left * MAX_RETRY_AFTER_FRACTION * (0.6 + 0.4 * random()))
         head = b"Retry-After: %.3f\r\n" % delay
-    caller.answer(response.status, head, kind.value.encode() + b"\n")
+    caller.respond(response.status, head, kind.value.encode() + b"\n")
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -35,7 +35,7 @@
 
 def reply(caller: Answerable, body: bytes = b"{}", status: int = 200, head: bytes = b"") -> None:
     """Answer a call."""
-    caller.answer(status, head + JSON_CONTENT_TYPE, body)
+    caller.respond(status, head + JSON_CONTENT_TYPE, body)
 
 
 def fail(caller: Answerable, fault: MeshError) -> None:
--- a/lugspur/mesh/sidecar/api.py
+++ b/lugspur/mesh/sidecar/api.py
@@ -98,4 +98,4 @@
 
     def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
         """Reply with the metrics of this sidecar."""
-        caller.answer(200, CONTENT_TYPE, self._process.metrics())
+        caller.respond(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -52,7 +52,7 @@
     def admit(self) -> None:
         """Accept its request; raises Rejected if there are too many connections."""
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write the final response.
 
         `head` contains complete header lines; `length` is that of the body that is omitted for a HEAD request.
@@ -68,7 +68,7 @@
     def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write a response head.
 
-        The body follows through the pipe; `finish_response` completes it, and `answer` aborts it.
+        The body follows through the pipe; `finish_response` completes it, and `respond` aborts it.
         """
 
     def finish_response(self) -> None:
--- a/tests/simulatedproxy.py
+++ b/tests/simulatedproxy.py
@@ -36,7 +36,7 @@
     def admit(self) -> None:
         pass
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.answers.append((status, head, body))
 
     def streaming_receiver(self) -> None:
