--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -35,7 +35,7 @@
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
-from lugspur.seams import Answerable, Request, Response
+from lugspur.seams import Request, Responder, Response
 
 if TYPE_CHECKING:
     from lugspur.daemon.overload_protection import OverloadProtection
@@ -130,7 +130,7 @@
     def create_front(self, row: model.Listener) -> Front:
         """Return a front for one listener of the plan."""
 
-        def handle(request: Request, caller: Answerable) -> None:
+        def handle(request: Request, caller: Responder) -> None:
             self._handle(row, request, caller)
 
         front = Front(row.address, 1, 0, handle)
@@ -139,7 +139,7 @@
             from lugspur.daemon import health
             from lugspur.http2.front import Connection
 
-            def handle_http2(request: Request, caller: Answerable) -> None:
+            def handle_http2(request: Request, caller: Responder) -> None:
                 if not health.handle_health_request(request, caller, front, lambda name: self._serves(front, name)):
                     self._handle(row, request, caller)
 
@@ -175,7 +175,7 @@
 
     # ---- requests ------------------------------------------------------------------------------
 
-    def _handle(self, row: model.Listener, request: Request, caller: Answerable) -> None:
+    def _handle(self, row: model.Listener, request: Request, caller: Responder) -> None:
         method = request.method.decode("latin-1")
         if method not in METHODS:
             raise Rejected(501, "the method is not served")
@@ -208,7 +208,7 @@
         forward: Forward,
         request: Request,
         target: Target,
-        caller: Answerable,
+        caller: Responder,
     ) -> None:
         request_class = configuration.plan.classes[configuration.plan.kinds[forward.class_name]]
         timeout = self._read_timeout(request_class, forward, request)
@@ -266,7 +266,7 @@
             timeout = min(timeout, float(requested_timeout) - (self._loop.time() - request.arrived))
         return timeout
 
-    def _submit_streaming(self, context: RequestContext, stream: Body, timeout: float, caller: Answerable) -> None:
+    def _submit_streaming(self, context: RequestContext, stream: Body, timeout: float, caller: Responder) -> None:
         """Submit a request whose body is streamed; its timeout counts from the body's last byte."""
 
         def complete_body() -> None:
@@ -289,7 +289,7 @@
         stream.on_complete = complete_body
         self._submit(context, caller)
 
-    def _submit(self, context: RequestContext, caller: Answerable) -> None:
+    def _submit(self, context: RequestContext, caller: Responder) -> None:
         """Submit a request to its upstream cluster, if that has capacity left."""
         cluster, form = context.cluster, context.request.form
         request_class = context.request_class
@@ -414,7 +414,7 @@
     return any(source is not None and source.query for source in (forward.key, forward.tenant))
 
 
-def _respond_to_miss(miss: NoMatch, caller: Answerable) -> None:
+def _respond_to_miss(miss: NoMatch, caller: Responder) -> None:
     if miss.allowed_methods:
         head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allowed_methods)).encode()
         caller.respond(405, head, b"method not allowed\n")
@@ -422,7 +422,7 @@
         caller.respond(404, b"", b"no route\n")
 
 
-def _respond_with_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
+def _respond_with_redirect(redirect: Redirect, match: Match, target: Target, caller: Responder) -> None:
     to = redirect.location.fill(match.captured).encode()
     if target.query is not None:
         to += (b"&" if b"?" in to else b"?") + target.query
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -13,14 +13,14 @@
 from lugspur.http1.front import Front
 from lugspur.http1.intake import Rejected
 from lugspur.pipe import Pipe, ignore_credit
-from lugspur.seams import Answerable, GrpcForm, Request
+from lugspur.seams import GrpcForm, Request, Responder
 
 CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
 WATCH_INTERVAL_SECONDS = 0.2  # between checks of a watched service: a drain has to be reported well within 500 ms
 Serves = Callable[[str], bool | None]  # returns None for an unknown name
 
 
-def handle_health_request(request: Request, caller: Answerable, front: Front, serves: Serves) -> bool:
+def handle_health_request(request: Request, caller: Responder, front: Front, serves: Serves) -> bool:
     """Respond to a Check or start a Watch; return False for any other request. Raises Rejected."""
     if request.form is None or request.target not in (CHECK, WATCH):
         return False
@@ -49,7 +49,7 @@
     """A Watch: reports each change until the caller disconnects, its deadline passes, or the listener closes."""
 
     def __init__(
-        self, request: Request, form: GrpcForm, caller: Answerable, front: Front, serves: Callable[[], bool | None]
+        self, request: Request, form: GrpcForm, caller: Responder, front: Front, serves: Callable[[], bool | None]
     ) -> None:
         self._caller, self._front, self._serves = caller, front, serves
         self._loop = asyncio.get_running_loop()
--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -10,7 +10,7 @@
 from lugspur.guard.limiter import WINDOW, Limiter
 from lugspur.http1.front import Caller, Front
 from lugspur.load_balancing.model import RequestClass
-from lugspur.seams import Answerable
+from lugspur.seams import Responder
 
 BODY_BYTES_PER_REQUEST_COST = 16 << 10  # a body of this size costs as much work as a request without one
 
@@ -45,7 +45,7 @@
             signals.is_new_connection,
         )
 
-    def pause_reading(self, caller: Answerable, class_index: int) -> None:
+    def pause_reading(self, caller: Responder, class_index: int) -> None:
         """Stop reading from a rejected caller for a moment, unless it is one of several requests over HTTP/2."""
         if isinstance(caller, Caller):
             caller.rest(self.limiter.read_pause_seconds(class_index))
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -34,7 +34,7 @@
     Subscribe,
 )
 from lugspur.observability.failures import AttemptRecord, ConfigurationState, FailureLog, log_nothing
-from lugspur.seams import Answerable, Attempt, BackendTransport, Request, Response
+from lugspur.seams import Attempt, BackendTransport, Request, Responder, Response
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -78,14 +78,14 @@
         balancer_id: str,
         request: Request,
         attributes: RequestAttributes,
-        caller: Answerable,
+        caller: Responder,
         deadline: float,
         context: object,
     ) -> None:
         self.balancer_id = balancer_id
         self.request = request
         self.attributes = attributes
-        self.caller: Answerable | None = caller  # None after the final response, or once the caller has been released
+        self.caller: Responder | None = caller  # None after the final response, or once the caller has been released
         self.deadline = deadline  # in the loop's time
         self.context = context  # used by the owner only
         self.attempts: list[Attempt] = []
@@ -285,7 +285,7 @@
         self,
         request: Request,
         attributes: RequestAttributes,
-        caller: Answerable,
+        caller: Responder,
         deadline: float,
         context: object = None,
         expected: float = float("inf"),
@@ -404,7 +404,7 @@
             steps=tuple(call.attempt_records),
         )
 
-    def release(self, call: Call) -> Answerable | None:
+    def release(self, call: Call) -> Responder | None:
         """Release a request, and return its caller; whoever calls this has to send the response from then on."""
         caller = call.caller
         self._close(call)
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -14,7 +14,7 @@
 from lugspur.joining.keys import key_of, told_of
 from lugspur.joining.sharing import depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
-from lugspur.seams import Answerable, GrpcForm, Request
+from lugspur.seams import GrpcForm, Request, Responder
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -23,7 +23,7 @@
 COPIES_MEMORY_SHARE = 0.25  # share of the memory limit for copies of one response whose callers read slowly
 RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # it is not known when there will be room to wait
 
-Submit = Callable[[RequestContext, Answerable], None]
+Submit = Callable[[RequestContext, Responder], None]
 Write = Callable[["WaitingRequest"], None]
 
 
@@ -33,7 +33,7 @@
 
     number: int
     context: RequestContext
-    caller: Answerable
+    caller: Responder
 
     def request_id(self) -> bytes | None:
         """Return the id that the caller gave the request."""
@@ -43,7 +43,7 @@
 class SharedCall:
     """One call for several waiting requests: the cluster sees one caller, and its response goes to all of them.
 
-    The shared call is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.GrpcForm).
+    The shared call is both that caller (seams.Responder) and, for gRPC requests, their form (seams.GrpcForm).
     """
 
     def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
@@ -161,7 +161,7 @@
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
     def coalesce(
-        self, received: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Answerable
+        self, received: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Responder
     ) -> None:
         """Share a call with equal reads where that is possible; `received` is the request before routing."""
         form = context.request.form
--- a/lugspur/mesh/control_node/api.py
+++ b/lugspur/mesh/control_node/api.py
@@ -10,7 +10,7 @@
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.http_api import HttpApi, reply
 from lugspur.observability.metrics import CONTENT_TYPE
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 _encode_json = msgspec.json.Encoder().encode
 
@@ -48,14 +48,14 @@
         calls.add("GET", "/metrics", self.metrics)
         return calls
 
-    def status(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def status(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Respond with the status of this control node, whether a majority can be reached or not."""
         reply(caller, _encode_json(self._process.status()))
 
-    def coordination(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def coordination(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Respond with the locks, numbers and keys that this node knows, whether a majority can be reached or not."""
         reply(caller, _encode_json(self._process.coordination_contents()))
 
-    def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def metrics(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Respond with the metrics of this control node."""
         caller.respond(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -43,7 +43,7 @@
 from lugspur.mesh.coordination.state import GROUP_SEPARATOR
 from lugspur.mesh.coordination.watches import Watch, WatchResponse, WatchTable
 from lugspur.mesh.http_api import HttpApi, fail, reply
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 MAX_HOLD_MS = 600_000  # maximum time of a lock, in milliseconds
 MAX_WAIT_MS = 60_000  # maximum time that a watch waits, in milliseconds
@@ -176,8 +176,8 @@
     ) -> None:
         """`submit` runs a command; `call_later` calls a function after a number of seconds."""
         self._submit, self._watches, self._call_later = submit, watches, call_later
-        self.waiting: set[Answerable] = set()  # callers without a response, except those of watches
-        self._watching: set[Answerable] = set()  # callers of watches without a response
+        self.waiting: set[Responder] = set()  # callers without a response, except those of watches
+        self._watching: set[Responder] = set()  # callers of watches without a response
         self.outcome_counts: Counter[str] = Counter()  # calls since the start of the process, by call and outcome
         self.is_leaving = False
 
@@ -193,13 +193,13 @@
 
     # ---- calls that run one command ----------------------------------------------------------------
 
-    def open_lock(self, request: Request, caller: Answerable, names: list[str]) -> None:
+    def open_lock(self, request: Request, caller: Responder, names: list[str]) -> None:
         """Acquire a lock, or extend it."""
         body = read_body(_open_decoder, request)
         hold_ms = _check_range("hold_ms", body.hold_ms, 1, MAX_HOLD_MS)
         self._run_command("open", caller, AcquireLock(check_name(names[0]), _check_holder(body.holder), hold_ms))
 
-    def renew_lock(self, request: Request, caller: Answerable, names: list[str]) -> None:
+    def renew_lock(self, request: Request, caller: Responder, names: list[str]) -> None:
         """Extend a lock that the caller holds."""
         body = read_body(_heartbeat_decoder, request)
         fence = _check_range("fence", body.fence, 0, MAX_NUMBER)
@@ -207,18 +207,18 @@
         command = RenewLock(check_name(names[0]), _check_holder(body.holder), fence, hold_ms)
         self._run_command("heartbeat", caller, command)
 
-    def close_lock(self, request: Request, caller: Answerable, names: list[str]) -> None:
+    def close_lock(self, request: Request, caller: Responder, names: list[str]) -> None:
         """Release a lock."""
         body = read_body(_close_decoder, request)
         fence = _check_range("fence", body.fence, 0, MAX_NUMBER)
         self._run_command("close", caller, ReleaseLock(check_name(names[0]), _check_holder(body.holder), fence))
 
-    def take_number(self, request: Request, caller: Answerable, names: list[str]) -> None:
+    def take_number(self, request: Request, caller: Responder, names: list[str]) -> None:
         """Take the next number under a name."""
         read_body(_empty_decoder, request)
         self._run_command("number", caller, IssueNumber(check_name(names[0])))
 
-    def put_cell(self, request: Request, caller: Answerable, names: list[str]) -> None:
+    def put_cell(self, request: Request, caller: Responder, names: list[str]) -> None:
         """Put a value to a key."""
         body = read_body(_replace_decoder, request)
         if len(body.value) > MAX_VALUE_CHARACTERS:
@@ -227,16 +227,16 @@
             _check_range("enabled", body.enabled, 0, MAX_NUMBER)
         self._run_command("replace", caller, PutCell(check_key(names[0]), body.value, body.enabled))
 
-    def read_cell(self, _request: Request, caller: Answerable, names: list[str]) -> None:
+    def read_cell(self, _request: Request, caller: Responder, names: list[str]) -> None:
         """Read a key."""
         self._run_command("read", caller, ReadCell(check_key(names[0])))
 
-    def _run_command(self, call: str, caller: Answerable, command: Command) -> None:
+    def _run_command(self, call: str, caller: Responder, command: Command) -> None:
         caller.on_disconnect = lambda: self.waiting.discard(caller)
         self.waiting.add(caller)
         self._submit(command, lambda result: self._respond(call, caller, command, result))
 
-    def _respond(self, call: str, caller: Answerable, command: Command, result: Result) -> None:
+    def _respond(self, call: str, caller: Responder, command: Command, result: Result) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         self._count(call, result)
@@ -253,7 +253,7 @@
 
     # ---- watches -------------------------------------------------------------------------
 
-    def watch(self, request: Request, caller: Answerable, names: list[str]) -> None:
+    def watch(self, request: Request, caller: Responder, names: list[str]) -> None:
         """Respond with the puts of a group above a revision, as soon as there are any."""
         query = read_watch_query(request, names[0])
         if self.is_leaving:
@@ -272,7 +272,7 @@
         except MeshError as error:
             self._fail_watch(caller, error)
 
-    def _respond_with_revision(self, caller: Answerable, query: WatchQuery) -> None:
+    def _respond_with_revision(self, caller: Responder, query: WatchQuery) -> None:
         def on_result(result: Result) -> None:
             if isinstance(result, GroupRevision):
                 self._respond_to_watch(caller, WatchResponse([], result.revision))
@@ -281,7 +281,7 @@
 
         self._submit(ReadGroup(query.group), on_result)
 
-    def _wait(self, caller: Answerable, query: WatchQuery) -> None:
+    def _wait(self, caller: Responder, query: WatchQuery) -> None:
         """Wait for puts; the requested revision may be above the one that this node knows, or above the latest one."""
         watch = Watch(
             query.group,
@@ -301,7 +301,7 @@
         if query.after > self._watches.revision(query.group):
             self._check_revision_exists(caller, query, watch)
 
-    def _check_revision_exists(self, caller: Answerable, query: WatchQuery, watch: Watch) -> None:
+    def _check_revision_exists(self, caller: Responder, query: WatchQuery, watch: Watch) -> None:
         """Fail a watch whose revision is above the latest one that a majority confirms."""
 
         def on_result(result: Result) -> None:
@@ -312,7 +312,7 @@
 
         self._submit(ReadGroup(query.group), on_result)
 
-    def _confirm_no_puts(self, caller: Answerable, query: WatchQuery) -> None:
+    def _confirm_no_puts(self, caller: Responder, query: WatchQuery) -> None:
         """Respond to an expired watch: without puts once a majority confirms there are none, or with late puts."""
 
         def on_result(result: Result) -> None:
@@ -327,7 +327,7 @@
 
         self._submit(ReadGroup(query.group), on_result)
 
-    def _respond_with_known_puts(self, caller: Answerable, query: WatchQuery, proven_revision: int = 0) -> None:
+    def _respond_with_known_puts(self, caller: Responder, query: WatchQuery, proven_revision: int = 0) -> None:
         try:
             response = self._watches.find_response(query.group, query.after)
         except MeshError as error:
@@ -338,7 +338,7 @@
         else:
             self._respond_to_watch(caller, response or WatchResponse([], query.after))
 
-    def _respond_to_watch(self, caller: Answerable, response: WatchResponse) -> None:
+    def _respond_to_watch(self, caller: Responder, response: WatchResponse) -> None:
         if caller not in self._watching:
             return
         self._watching.discard(caller)
@@ -346,7 +346,7 @@
         puts = [{"name": put.name, "value": put.value, "revision": put.revision} for put in response.puts]
         reply(caller, _encode({"events": puts, "revision": response.revision}))
 
-    def _fail_watch(self, caller: Answerable, error: MeshError) -> None:
+    def _fail_watch(self, caller: Responder, error: MeshError) -> None:
         if caller not in self._watching:
             return
         self._watching.discard(caller)
@@ -385,7 +385,7 @@
     return MeshError(ErrorKind.UNCLEAR, "the result belongs to another call")
 
 
-def respond_with_result(caller: Answerable, result: Result) -> None:
+def respond_with_result(caller: Responder, result: Result) -> None:
     """Respond to a call with the result of its command."""
     if isinstance(result, LockGranted):
         reply(caller, _encode({"fence": result.fence}))
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -15,7 +15,7 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.http_api import fail, reply
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 
 class OperatorCalls:
@@ -31,11 +31,11 @@
     ) -> None:
         self._loop, self._replica, self._router, self._reader = loop, replica, router, reader
         self._run_effects = run_effects
-        self.waiting: set[Answerable] = set()  # callers that have no response yet
+        self.waiting: set[Responder] = set()  # callers that have no response yet
         self.change_outcomes: Counter[str] = Counter()  # since the start of the process, by outcome
         self.read_outcomes: Counter[str] = Counter()  # since the start of the process, by outcome
 
-    def amend(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def amend(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Change the configuration; the response follows once a majority has decided the change, or it has failed.
 
         Raises MeshError if the call is invalid, or can't be accepted now.
@@ -52,7 +52,7 @@
         self.waiting.add(caller)
         self._router.submit(now, change)
 
-    def _on_outcome(self, caller: Answerable, body_bytes: int, outcome: Outcome) -> None:
+    def _on_outcome(self, caller: Responder, body_bytes: int, outcome: Outcome) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         error = error_from_outcome(outcome)
@@ -65,12 +65,12 @@
         else:
             fail(caller, error)
 
-    def _on_caller_gone(self, caller: Answerable, change: ChangeRequest) -> None:
+    def _on_caller_gone(self, caller: Responder, change: ChangeRequest) -> None:
         """Withdraw the change of a caller that has left, as another node may have rejected its call in the meantime."""
         self.waiting.discard(caller)
         self._router.withdraw(change)
 
-    def read(self, _request: Request, caller: Answerable, _: list[str]) -> None:
+    def read(self, _request: Request, caller: Responder, _: list[str]) -> None:
         """Read the configuration; the response follows once a majority has confirmed that it is up to date."""
         now = self._loop.time()
         caller.on_disconnect = lambda: self.waiting.discard(caller)
@@ -78,7 +78,7 @@
         read = Read(now + DECISION_TIMEOUT_SECONDS, lambda is_latest: self._on_read_checked(caller, is_latest))
         self._run_effects(self._reader.submit(now, read))
 
-    def _on_read_checked(self, caller: Answerable, is_latest: bool) -> None:
+    def _on_read_checked(self, caller: Responder, is_latest: bool) -> None:
         is_waiting = caller in self.waiting
         self.waiting.discard(caller)
         self.read_outcomes["answered" if is_latest else ErrorKind.NO_QUORUM.value] += 1
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -20,7 +20,7 @@
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import ConfigurationState, FailureFacts, FailureLog, log_nothing
 from lugspur.observability.metrics import Histogram
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 # Fraction of the allowed retry budget that is used. Retries within nested calls count too, and the number of proxies
 # that share the budget is known only with a delay.
@@ -119,7 +119,7 @@
         self.count(result)
         self.failures.add(attempt_id, result, **facts)
 
-    def handle(self, request: Request, caller: Answerable) -> None:
+    def handle(self, request: Request, caller: Responder) -> None:
         """Handle a request; its caller gets exactly one response."""
         try:
             proxied_request = self._accept(request, caller)
@@ -129,7 +129,7 @@
             return
         proxied_request.start()
 
-    def _accept(self, request: Request, caller: Answerable) -> ProxiedRequest:
+    def _accept(self, request: Request, caller: Responder) -> ProxiedRequest:
         """Validate a request and find its route; raises MeshError if it can't be served."""
         ids = read_ids(request)
         if not request.target.startswith(b"/"):
--- a/lugspur/mesh/dataplane/rejection.py
+++ b/lugspur/mesh/dataplane/rejection.py
@@ -5,13 +5,13 @@
 from random import random
 
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind
-from lugspur.seams import Answerable
+from lugspur.seams import Responder
 
 MAX_RETRY_AFTER_FRACTION = 1 / 3  # maximum Retry-After, as a fraction of the caller's time left
 MIN_RETRY_AFTER_SECONDS = 0.05
 
 
-def reject(caller: Answerable, kind: ErrorKind, seconds_left: float = 0.0) -> None:
+def reject(caller: Responder, kind: ErrorKind, seconds_left: float = 0.0) -> None:
     """Send an error response to a caller, with `Retry-After` if a retry can help.
 
     `seconds_left`: the time that the caller has left; 0 if unknown.
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -12,7 +12,7 @@
 from lugspur.http1.intake import Sizes
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind, MeshError
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 # Bytes of a call's body: the whole configuration comes in one, 20,000 items of 800 bytes. Three of them have to fit
@@ -22,7 +22,7 @@
 UNKNOWN_CALL_LOG_INTERVAL_SECONDS = 1.0  # between two log lines about calls that no handler takes
 MAX_LOGGED_PATH_CHARACTERS = 100  # of a call that no handler takes
 #: Handles a call; it is given the segments of the path that `*` stood for, and may raise MeshError.
-Handler = Callable[[Request, Answerable, list[str]], None]
+Handler = Callable[[Request, Responder, list[str]], None]
 _encode = msgspec.json.Encoder().encode
 
 
@@ -33,12 +33,12 @@
     detail: str  # one line of what is wrong
 
 
-def reply(caller: Answerable, body: bytes = b"{}", status: int = 200, head: bytes = b"") -> None:
+def reply(caller: Responder, body: bytes = b"{}", status: int = 200, head: bytes = b"") -> None:
     """Answer a call."""
     caller.respond(status, head + JSON_CONTENT_TYPE, body)
 
 
-def fail(caller: Answerable, fault: MeshError) -> None:
+def fail(caller: Responder, fault: MeshError) -> None:
     """Answer a call that has failed: with the code of the fault, and one line of what is wrong."""
     row = RESPONSES[fault.kind]
     after = b"Retry-After: %.2f\r\n" % row.retry_after_seconds if row.retry_after_seconds else b""
@@ -60,7 +60,7 @@
         """Take calls of a method and a path."""
         self._handlers.append((method, path.strip("/").split("/"), handler))
 
-    def handle(self, request: Request, caller: Answerable) -> None:
+    def handle(self, request: Request, caller: Responder) -> None:
         """Take one call; it is answered where no handler takes it, or where that raises MeshError."""
         method = request.method.decode("ascii", "replace")
         segments = request.target.partition(b"?")[0].decode("ascii", "replace").strip("/").split("/")
--- a/lugspur/mesh/sidecar/api.py
+++ b/lugspur/mesh/sidecar/api.py
@@ -15,7 +15,7 @@
 from lugspur.mesh.sidecar.registration import BackendRegistration
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.observability.metrics import CONTENT_TYPE
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 _encode_json = msgspec.json.Encoder().encode
 
@@ -69,7 +69,7 @@
         calls.add("GET", "/metrics", self.metrics)
         return calls
 
-    def readiness(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def readiness(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Reply to a readiness check; raises MeshError (LEAVING, NOT_READY) if the sidecar is not ready."""
         process = self._process
         if process.is_leaving:
@@ -78,24 +78,24 @@
             raise MeshError(ErrorKind.NOT_READY)
         reply(caller)
 
-    def redirect(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def redirect(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Redirect a call that only a control node can handle to one of the seed nodes."""
         seed = self._process.rng.choice(self._process.settings.network.seed_nodes)
         reply(caller, status=307, head=b"Location: http://%b%b\r\n" % (seed.encode(), request.target))
 
-    def heartbeat(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
+    def heartbeat(self, request: Request, caller: Responder, path_segments: list[str]) -> None:
         """Handle a heartbeat of the backend; raises MeshError (BAD_REQUEST) if it is invalid."""
         self._process.registration.heartbeat(request, caller, path_segments)
         self._process.update_sender()
 
-    def status(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def status(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Reply with the status of this sidecar."""
         reply(caller, _encode_json(self._process.status()))
 
-    def failures(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def failures(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Reply with the latest failed requests and their causes."""
         reply(caller, _encode_json(self._process.proxy.failures.latest()))
 
-    def metrics(self, request: Request, caller: Answerable, _: list[str]) -> None:
+    def metrics(self, request: Request, caller: Responder, _: list[str]) -> None:
         """Reply with the metrics of this sidecar."""
         caller.respond(200, CONTENT_TYPE, self._process.metrics())
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -37,7 +37,7 @@
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
 from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 RESERVED_FILES = 264  # file descriptors for other uses, including 200 that the platform reserves
 CALLER_FILES_FRACTION = 0.5  # fraction of the other descriptors for callers; the rest is for the backend and proxies
@@ -153,7 +153,7 @@
             STREAM_GRACE_SECONDS,
         )
 
-    def handle(self, request: Request, caller: Answerable) -> None:
+    def handle(self, request: Request, caller: Responder) -> None:
         """Handle a request of a caller, who gets exactly one response."""
         if not self.update_source.has_configuration:
             self.proxy.request_failed(loggable_attempt_id(request), ErrorKind.NOT_READY.value)
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -21,7 +21,7 @@
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.mesh.sidecar.backend_status import BackendStatus, encode_status
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 # A backend without a heartbeat for this many heartbeat intervals, plus HEARTBEAT_MARGIN_SECONDS, counts as gone.
 MAX_MISSED_HEARTBEATS = 3.0
@@ -93,7 +93,7 @@
 
     # ---- calls from the backend ------------------------------------------------------------
 
-    def heartbeat(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
+    def heartbeat(self, request: Request, caller: Responder, path_segments: list[str]) -> None:
         """Handle a heartbeat; the path contains the backend's id. Raises MeshError (BAD_REQUEST) if it is invalid."""
         heartbeat = read_heartbeat(request.body)
         if self._accepts_heartbeat(path_segments[0], heartbeat):
@@ -139,7 +139,7 @@
             local.state = "accepting" if local.closing_at == NEVER else "closing"
         self.publish()
 
-    def sign_off(self, request: Request, caller: Answerable, path_segments: list[str]) -> None:
+    def sign_off(self, request: Request, caller: Responder, path_segments: list[str]) -> None:
         """Handle the sign-off of a backend that has ended; the path contains its id."""
         self._incarnations.record_sign_off(path_segments[0])
         local = self._limiter.local_backend
--- a/lugspur/seams.py
+++ b/lugspur/seams.py
@@ -43,7 +43,7 @@
     trailers: bytes | None = None  # trailer lines, if a gRPC backend responds to a gRPC request
 
 
-class Answerable(Protocol):
+class Responder(Protocol):
     """The caller that a final response is owed to."""
 
     on_disconnect: Callable[[], None] | None  # called if the caller disconnects before its response
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -9,7 +9,7 @@
 
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.http_api import HttpApi, reply
-from lugspur.seams import Answerable, Request
+from lugspur.seams import Request, Responder
 
 
 class Caller:
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("detail", ['a "name"', "a\\b", "line\nline", "\x00\x1f\x7f", "é \u2028 \U0001f3dd", "\ud800"])
 def test_a_detail_of_any_characters_is_valid_json(detail: str) -> None:
-    def refuse(request: Request, caller: Answerable, found: list[str]) -> None:
+    def refuse(request: Request, caller: Responder, found: list[str]) -> None:
         raise MeshError(ErrorKind.BAD_CONFIG, detail)
 
     api, caller = HttpApi(), Caller()
