--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -13,7 +13,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
-from lugspur.http1.intake import PLATFORM, Intake, Rejected, Sizes
+from lugspur.http1.intake import PLATFORM, Rejected, RequestParser, Sizes
 from lugspur.invariants import Invariant, check
 from lugspur.pipe import Pipe
 from lugspur.seams import Request, StreamingReceiver
@@ -342,7 +342,7 @@
         # The first bytes, until the protocol is known; None: it is HTTP/1.
         self._preface_input: bytes | None = b"" if front.http2 is not None else None
         self._queue: deque[Request | Rejected] = deque()
-        self._parser = Intake(
+        self._parser = RequestParser(
             self._queue.append, front.sizes, self._send_continue, front.get_configuration, self._resume_request_body
         )
         self._request_body: Body | None = None  # the body of the current request while it is received
--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -62,7 +62,7 @@
 PLATFORM = Sizes(body=MAX_STREAMED_BODY, hold=MAX_BUFFERED_BODY)
 
 
-class Intake:
+class RequestParser:
     """The parser of one connection: it delivers requests, and the first error is kept and ends it."""
 
     __deletable__ = ("_deliver", "_send_continue", "_parser", "_resume_body", "_get_configuration")  # for mypyc
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -36,7 +36,7 @@
 from lugspur.daemon.proxy import Proxy
 from lugspur.http1.dial import Dial
 from lugspur.http1.front import Caller
-from lugspur.http1.intake import Intake
+from lugspur.http1.intake import RequestParser
 from lugspur.http1.upstream import STALL_TIMEOUT, Connection, Exchange, Upstream
 from lugspur.http1.upstream import Backend as Known
 from lugspur.load_balancing.adapter import read_settings
@@ -526,7 +526,7 @@
             gc.collect()
             gc.disable()  # what only a collection would free counts as kept
             try:
-                kinds = (Caller, Intake, Call, Exchange, Connection)
+                kinds = (Caller, RequestParser, Call, Exchange, Connection)
                 for number in range(20):
                     client = await up.client()
                     assert status(await client.ask(read(number, Connection="close"))) == 200
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -16,7 +16,7 @@
 
 from lugspur.http1 import body as bodies
 from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
-from lugspur.http1.intake import PLATFORM, Intake, Rejected
+from lugspur.http1.intake import PLATFORM, Rejected, RequestParser
 from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ_SIZE
 from lugspur.seams import Request
 
@@ -479,7 +479,7 @@
     """What an intake makes of these bytes: each request's target with its whole body, and the fault."""
     got: list[Request] = []
     whole: list[tuple[bytes, bytes]] = []
-    intake = Intake(got.append, PLATFORM)
+    intake = RequestParser(got.append, PLATFORM)
     kept: list[tuple[Request, bytearray]] = []
     for piece in pieces:
         intake.feed(memoryview(piece), 1.0)
@@ -523,7 +523,7 @@
 def test_a_body_beyond_the_limit_is_turned_away_in_its_middle() -> None:
     sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, hold=MAX_BUFFERED_BODY)
     got: list[Request] = []
-    intake = Intake(got.append, sizes)
+    intake = RequestParser(got.append, sizes)
     for at in range(0, 4 * MAX_BUFFERED_BODY, 5000):
         piece = chunked(noise(4 * MAX_BUFFERED_BODY), 5000)[at : at + 5000]
         intake.feed(memoryview(piece), 1.0)
