--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -79,7 +79,7 @@
     def __init__(
         self,
         address: Address,
-        most: int,
+        max_callers: int,
         memory: int,
         handle: Callable[[Request, Caller], None],
     ) -> None:
@@ -107,7 +107,7 @@
         self.drained_at: float | None = None  # when an operator started a drain; None: not draining
         self.buffered_bytes = 0  # bytes of incomplete bodies
         self.rejections: Counter[int] = Counter()  # requests rejected here, by status
-        self._set_limits(most, memory)
+        self._set_limits(max_callers, memory)
         self.buffer = memoryview(bytearray(READ_SIZE))
         self.callers: set[TrackedConnection] = set()
         self.look = select.poll()
@@ -121,18 +121,18 @@
         self._loop = asyncio.get_running_loop()
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
 
-    def _set_limits(self, most: int, memory: int) -> None:
-        self.most = most
+    def _set_limits(self, max_callers: int, memory: int) -> None:
+        self.max_callers = max_callers
         self.max_buffered_bytes = int(BODY_MEMORY_FRACTION * memory)
 
-    def tune(self, most: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float) -> None:
+    def tune(self, max_callers: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float) -> None:
         """Apply changed limits.
 
         `within` is the time in seconds for a request to arrive, `idle` the idle timeout between two requests, and
         `grace` the time for streams to end. `sizes` applies to new connections.
         """
         self.grace = grace
-        self._set_limits(most, memory)
+        self._set_limits(max_callers, memory)
         self.sizes = sizes
         self.first_request_timeout = self.request_head_timeout = within
         self.idle_timeout = idle
@@ -210,7 +210,7 @@
 
     def full(self, newcomer: TrackedConnection) -> bool:
         """Return whether there are too many connections and no other one could be closed for this one."""
-        if len(self.callers) <= self.most:
+        if len(self.callers) <= self.max_callers:
             return False
         # Protects good callers: useless connections are closed first, one whose request is being read never.
         latest = self._loop.time() + self.first_request_timeout - FIRST_BYTES_GRACE
@@ -232,7 +232,7 @@
         self._loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self._loop.time()
         shortened_by = (
-            self.idle_timeout - MIN_IDLE_TIMEOUT if len(self.callers) > SCARCITY_FRACTION * self.most else 0.0
+            self.idle_timeout - MIN_IDLE_TIMEOUT if len(self.callers) > SCARCITY_FRACTION * self.max_callers else 0.0
         )
         for table, before in ((self.leaving, 0.0), (self.fresh, 0.0), (self.idle, shortened_by)):
             for caller in [caller for caller, limit in table.items() if limit - before <= now]:
