--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -150,7 +150,7 @@
             row.keep,
             row.connect,
             0,
-            judge=classify_response,
+            classify=classify_response,
             dialled=self._record_connection_attempt,
         )
         seed = int.from_bytes(os.urandom(8), "big")
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -49,7 +49,7 @@
 STALL_TIMEOUT = 0.1
 
 
-def judge(status: int, not_processed: bool) -> Outcome:
+def classify(status: int, not_processed: bool) -> Outcome:
     """Classify a response of the platform's protocol; `not_processed` means that it has `X-Not-Processed: 1`."""
     if status == 200:
         return Outcome.OK
@@ -387,7 +387,7 @@
     def _deliver(self, exchange: Exchange, response: Response) -> None:
         """Report a complete response, and keep the connection if it can be reused."""
         self._response = None
-        outcome = self._upstream.judge(response.status, self._not_processed)
+        outcome = self._upstream.classify(response.status, self._not_processed)
         lacks_id = exchange.expected_id is not None and self._response_id is None
         if lacks_id and outcome is Outcome.OVERLOADED and self.idle_since:
             # Guards against a late rejection of an earlier request on this connection: where responses carry the id
@@ -552,7 +552,7 @@
         return self._upstream.max_streamed_response if may_stream else self._upstream.max_response_body
 
     def _is_success(self) -> bool:
-        return self._upstream.judge(self._parser.get_status_code(), self._not_processed) is Outcome.OK
+        return self._upstream.classify(self._parser.get_status_code(), self._not_processed) is Outcome.OK
 
     def _is_repeatable(self) -> bool:
         return self.exchange is not None and self.exchange.repeatable
@@ -618,7 +618,7 @@
         dial_timeout: float,
         max_buffered_bytes: int,
         max_response_body: int = MAX_BUFFERED_RESPONSE,
-        judge: Callable[[int, bool], Outcome] = judge,
+        classify: Callable[[int, bool], Outcome] = classify,
         dialled: Callable[[int, bool], None] | None = None,
         not_processed_header: bytes = b"x-not-processed",
         request_id_header: bytes = b"",
@@ -637,7 +637,7 @@
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
         self.max_response_body = max_response_body
-        self.judge = judge
+        self.classify = classify
         self._max_idle_time = IDLE_TIMEOUT_FRACTION * conn_idle
         self._dial_timeout = dial_timeout
         self._max_idle_per_backend = max_idle_per_backend or MAX_IDLE_PER_BACKEND
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -90,7 +90,7 @@
             dial_timeout=CONNECT_TIMEOUT_SECONDS,
             max_buffered_bytes=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
             max_response_body=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
-            judge=classify_response,
+            classify=classify_response,
             not_processed_header=NOT_DELIVERED_HEADER,
             request_id_header=ATTEMPT_ID_HEADER,
             max_idle_per_backend=MAX_IDLE_CONNECTIONS,
