--- a/lugspur/http1/intake.py
+++ b/lugspur/http1/intake.py
@@ -8,7 +8,7 @@
 import httptools
 
 from lugspur.http1.body import MAX_BUFFERED_BODY, REPLAY_FACTOR, Body
-from lugspur.http1.hops import HOP_BY_HOP
+from lugspur.http1.hop_by_hop import HOP_BY_HOP
 from lugspur.seams import Request
 
 # Default limit in bytes on a request body.
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -13,7 +13,7 @@
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
 from lugspur.http1.dial import LOCAL_ERRORS, Dial
-from lugspur.http1.hops import HOP_BY_HOP
+from lugspur.http1.hop_by_hop import HOP_BY_HOP
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
