--- a/lugspur/bench/compiled.py
+++ b/lugspur/bench/compiled.py
@@ -34,7 +34,7 @@
     "lugspur/load_balancing/discovery_subscription.py",
     "lugspur/load_balancing/model.py",
     "lugspur/daemon/pool.py",
-    "lugspur/http1/intake.py",
+    "lugspur/http1/request_parser.py",
     "lugspur/http1/upstream.py",
     "lugspur/routing/shares.py",
 )
--- a/lugspur/config/build.py
+++ b/lugspur/config/build.py
@@ -32,7 +32,7 @@
 from lugspur.routing.table import RouteTable
 
 METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "PATCH", "DELETE", "POST")
-TOKEN = re.compile(r"[!#$%&'*+.^`|~0-9A-Za-z-]+")  # RFC 9110 5.6.2, but for `_`, which intake drops
+TOKEN = re.compile(r"[!#$%&'*+.^`|~0-9A-Za-z-]+")  # RFC 9110 5.6.2, but for `_`, which the request parser drops
 OURS = frozenset(  # header lines that are set here or belong to one connection (RFC 9110 7.6.1)
     {
         "connection",
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -26,7 +26,7 @@
 from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Rejected, Sizes
+from lugspur.http1.request_parser import Rejected, Sizes
 from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -11,7 +11,7 @@
 from lugspur.grpc.health import Serving, read_service, write_serving
 from lugspur.grpc.messages import Spoilt, pack, unpack
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Rejected
+from lugspur.http1.request_parser import Rejected
 from lugspur.pipe import Pipe, ignore_credit
 from lugspur.seams import GrpcForm, Request, Responder
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -17,7 +17,7 @@
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
-from lugspur.http1.intake import Rejected
+from lugspur.http1.request_parser import Rejected
 from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION, STREAM_MEMORY_FRACTION, Upstream
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
 from lugspur.routing.shares import SharedLimit
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -13,7 +13,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
-from lugspur.http1.intake import PLATFORM, Rejected, RequestParser, Sizes
+from lugspur.http1.request_parser import PLATFORM, Rejected, RequestParser, Sizes
 from lugspur.invariants import Invariant, check
 from lugspur.pipe import Pipe
 from lugspur.seams import Request, StreamingReceiver
@@ -509,10 +509,10 @@
             if self._dropped_bytes > MAX_DROPPED_INPUT:  # Guards the CPU against an endless sender.
                 self.drop()
             return
-        intake, front = self._parser, self.front
+        parser, front = self._parser, self.front
         now = self.arrival(self._loop.time())
-        intake.feed(data, now if came is None else came)
-        self._count_buffered(intake.buffered_bytes())
+        parser.feed(data, now if came is None else came)
+        self._count_buffered(parser.buffered_bytes())
         if self._request_body is not None and not self._request_body.ended:
             self._continue_body(now)
             return
@@ -522,36 +522,36 @@
                 self.move(None)
         # Guards the memory limit against many incomplete bodies.
         if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
-            intake.fault = Rejected(503, "too many bodies at once")
+            parser.fault = Rejected(503, "too many bodies at once")
         if len(self._queue) > MAX_PIPELINED_REQUESTS:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
-            intake.fault = Rejected(400, "too many requests at once")
-        if intake.fault is not None:
+            parser.fault = Rejected(400, "too many requests at once")
+        if parser.fault is not None:
             self._ignores_input = True
-            self._queue.append(intake.fault)
+            self._queue.append(parser.fault)
         if self._queue:
             self._start_next_request()
-        elif intake.reading and not self._busy:
-            limit = intake.arrived + front.request_head_timeout
+        elif parser.reading and not self._busy:
+            limit = parser.arrived + front.request_head_timeout
             if self._table is front.fresh:  # a request that began late has less time for its head
                 limit = min(limit, front.fresh[self] + LATE_HEAD_ALLOWANCE)
             elif self._table is front.reading:
                 limit = front.reading[self]
-            self.move(front.reading, max(limit, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE))
+            self.move(front.reading, max(limit, parser.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE))
 
     def _continue_body(self, now: float) -> None:
         """Continue after more of a streamed body has been received."""
-        intake, stream, front = self._parser, self._request_body, self.front
+        parser, stream, front = self._parser, self._request_body, self.front
         assert stream is not None
         # Guards the memory limit against many incomplete bodies.
         if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
-            intake.fault = Rejected(503, "too many bodies at once")
-        if intake.fault is not None:
+            parser.fault = Rejected(503, "too many bodies at once")
+        if parser.fault is not None:
             # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
             self._release_request()
-            self.reject(intake.fault)
+            self.reject(parser.fault)
         else:
-            limit = max(intake.arrived + front.request_head_timeout, intake.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE)
+            limit = max(parser.arrived + front.request_head_timeout, parser.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE)
             self.move(front.reading, limit)
             if stream.full:
                 self._paused_at = now
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -10,7 +10,7 @@
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
 from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, TrackedConnection
-from lugspur.http1.intake import PROXY_READ_HEADERS, PROXY_SET_HEADERS, Rejected
+from lugspur.http1.request_parser import PROXY_READ_HEADERS, PROXY_SET_HEADERS, Rejected
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
 from lugspur.http2.wire import Wire
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -9,7 +9,7 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Sizes
+from lugspur.http1.request_parser import Sizes
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind, MeshError
 from lugspur.seams import Request, Responder
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -7,7 +7,7 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Sizes
+from lugspur.http1.request_parser import Sizes
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import BACKEND, LIMITS, ROUTES
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -24,7 +24,7 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Sizes
+from lugspur.http1.request_parser import Sizes
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
--- a/tests/daemon/test_requests.py
+++ b/tests/daemon/test_requests.py
@@ -12,7 +12,7 @@
 from daemonic import Served, answer, ask, backend, fields, pool, route, served, target_of
 from loopback import CLOSE, MAY_HAVE_RUN, NEVER_RAN, OK, soon, status, until
 
-from lugspur.http1.intake import MAX_BODY
+from lugspur.http1.request_parser import MAX_BODY
 
 ALL = route("all", "/*", 'pool = "a"\nclass = "read"')
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -36,7 +36,7 @@
 from lugspur.daemon.proxy import Proxy
 from lugspur.http1.dial import Dial
 from lugspur.http1.front import Caller
-from lugspur.http1.intake import RequestParser
+from lugspur.http1.request_parser import RequestParser
 from lugspur.http1.upstream import STALL_TIMEOUT, Connection, Exchange, Upstream
 from lugspur.http1.upstream import Backend as Known
 from lugspur.load_balancing.adapter import read_settings
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -16,7 +16,7 @@
 
 from lugspur.http1 import body as bodies
 from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
-from lugspur.http1.intake import PLATFORM, Rejected, RequestParser
+from lugspur.http1.request_parser import PLATFORM, Rejected, RequestParser
 from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ_SIZE
 from lugspur.seams import Request
 
@@ -476,13 +476,13 @@
 
 
 def taken(pieces: list[bytes]) -> tuple[list[tuple[bytes, bytes]], str]:
-    """What an intake makes of these bytes: each request's target with its whole body, and the fault."""
+    """What a parser makes of these bytes: each request's target with its whole body, and the fault."""
     got: list[Request] = []
     whole: list[tuple[bytes, bytes]] = []
-    intake = RequestParser(got.append, PLATFORM)
+    parser = RequestParser(got.append, PLATFORM)
     kept: list[tuple[Request, bytearray]] = []
     for piece in pieces:
-        intake.feed(memoryview(piece), 1.0)
+        parser.feed(memoryview(piece), 1.0)
         for request in got:
             kept.append((request, bytearray(request.body)))
         got.clear()
@@ -495,7 +495,7 @@
     for request, body in kept:
         if request.stream is None or request.stream.ended:
             whole.append((request.target, bytes(body)))
-    return whole, "" if intake.fault is None else intake.fault.reason
+    return whole, "" if parser.fault is None else parser.fault.reason
 
 
 SENT = [
@@ -523,16 +523,16 @@
 def test_a_body_beyond_the_limit_is_turned_away_in_its_middle() -> None:
     sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, hold=MAX_BUFFERED_BODY)
     got: list[Request] = []
-    intake = RequestParser(got.append, sizes)
+    parser = RequestParser(got.append, sizes)
     for at in range(0, 4 * MAX_BUFFERED_BODY, 5000):
         piece = chunked(noise(4 * MAX_BUFFERED_BODY), 5000)[at : at + 5000]
-        intake.feed(memoryview(piece), 1.0)
+        parser.feed(memoryview(piece), 1.0)
         for request in got:
             assert request.stream is not None
             request.stream.mark_forwarded(request.stream.received)
             assert request.stream.buffered <= MAX_REPLAYED + 5000
-    assert isinstance(intake.fault, Rejected)
-    assert intake.fault.status == 413
+    assert isinstance(parser.fault, Rejected)
+    assert parser.fault.status == 413
 
 
 @given(st.lists(st.tuples(st.integers(0, 90_000), st.integers(0, 90_000)), max_size=12))
