--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -18,6 +18,7 @@
 
 from lugspur.emulator.control import guards as control_guards
 from lugspur.http1.upstream import Connection, Exchange
+from lugspur.interfaces import Response
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, ForwardRequest
 from lugspur.mesh.dataplane import backend_exchange, proxied_request
@@ -27,7 +28,6 @@
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
-from lugspur.seams import Response
 
 SECONDS_EACH = 20.0  # of troubles in one play; plays follow each other until the guard is missed or the time is up
 
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -28,6 +28,7 @@
 from lugspur.http1.front import Front
 from lugspur.http1.request_parser import Rejected, Sizes
 from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION
+from lugspur.interfaces import Request, Responder, Response
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
@@ -35,7 +36,6 @@
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
-from lugspur.seams import Request, Responder, Response
 
 if TYPE_CHECKING:
     from lugspur.daemon.overload_protection import OverloadProtection
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -12,8 +12,8 @@
 from lugspur.grpc.messages import Spoilt, pack, unpack
 from lugspur.http1.front import Front
 from lugspur.http1.request_parser import Rejected
+from lugspur.interfaces import GrpcForm, Request, Responder
 from lugspur.pipe import Pipe, ignore_credit
-from lugspur.seams import GrpcForm, Request, Responder
 
 CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
 WATCH_INTERVAL_SECONDS = 0.2  # between checks of a watched service: a drain has to be reported well within 500 ms
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -7,10 +7,10 @@
 from functools import lru_cache
 from secrets import token_hex
 
+from lugspur.interfaces import Request
 from lugspur.routing.model import Forward, HeaderChanges, ValueSource
 from lugspur.routing.table import Match
 from lugspur.routing.target import Target
-from lugspur.seams import Request
 
 REQUEST_ID_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
 VIA = b"Via: 1.1 lugspur\r\n"  # RFC 9110 7.6.3
--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -9,8 +9,8 @@
 from lugspur.daemon.load_signals import LoadSignals
 from lugspur.guard.limiter import WINDOW, Limiter
 from lugspur.http1.front import Caller, Front
+from lugspur.interfaces import Responder
 from lugspur.load_balancing.model import RequestClass
-from lugspur.seams import Responder
 
 BODY_BYTES_PER_REQUEST_COST = 16 << 10  # a body of this size costs as much work as a request without one
 
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -17,6 +17,7 @@
 from lugspur.discovery.endpoints import Address, Endpoint
 from lugspur.http1 import upstream
 from lugspur.http1.body import Body
+from lugspur.interfaces import Attempt, BackendTransport, Request, Responder, Response
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
@@ -34,7 +35,6 @@
     Subscribe,
 )
 from lugspur.observability.failures import AttemptRecord, ConfigurationState, FailureLog, log_nothing
-from lugspur.seams import Attempt, BackendTransport, Request, Responder, Response
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -163,7 +163,7 @@
 
 
 class AttemptWatcher:
-    """Passes the events of one attempt on to the pool (seams.Watcher)."""
+    """Passes the events of one attempt on to the pool (interfaces.AttemptObserver)."""
 
     __slots__ = ("_call", "_number", "_pool")
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -19,9 +19,9 @@
 from lugspur.http1.front import Caller, Front
 from lugspur.http1.request_parser import Rejected
 from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION, STREAM_MEMORY_FRACTION, Upstream
+from lugspur.interfaces import Request, Response
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Request, Response
 
 if TYPE_CHECKING:
     import socket
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,11 +10,11 @@
 
 from lugspur.config.build import NOBODY
 from lugspur.daemon.request_context import Ending, RequestContext
+from lugspur.interfaces import GrpcForm, Request, Responder
 from lugspur.joining.desk import Action, Alone, Desk, Drop, Expire, Extend, Give, Start, Turn
 from lugspur.joining.keys import key_of, told_of
 from lugspur.joining.sharing import depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
-from lugspur.seams import GrpcForm, Request, Responder
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -43,7 +43,7 @@
 class SharedCall:
     """One call for several waiting requests: the cluster sees one caller, and its response goes to all of them.
 
-    The shared call is both that caller (seams.Responder) and, for gRPC requests, their form (seams.GrpcForm).
+    The shared call is both that caller (interfaces.Responder) and, for gRPC requests, their form (interfaces.GrpcForm).
     """
 
     def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
@@ -61,7 +61,7 @@
     def admit(self) -> None:
         """Do nothing: the waiting requests were admitted before."""
 
-    # ---- the request as gRPC (seams.GrpcForm) --------------------------------------------------------
+    # ---- the request as gRPC (interfaces.GrpcForm) ---------------------------------------------------
 
     @property
     def pipe(self) -> None:
--- a/lugspur/daemon/request_context.py
+++ b/lugspur/daemon/request_context.py
@@ -7,9 +7,9 @@
 
 from lugspur.daemon.cluster import UpstreamCluster
 from lugspur.daemon.pool import Call
+from lugspur.interfaces import Request, StreamingReceiver
 from lugspur.load_balancing.model import RequestClass
 from lugspur.routing.model import Forward
-from lugspur.seams import Request, StreamingReceiver
 
 
 class Ending(Enum):
--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -22,7 +22,7 @@
     status_of,
 )
 from lugspur.grpc.timeout import write_timeout
-from lugspur.seams import Request, Response
+from lugspur.interfaces import Request, Response
 
 Fields = list[tuple[bytes, bytes]]
 
--- a/lugspur/http1/dial.py
+++ b/lugspur/http1/dial.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Any, Generic, Protocol, TypeVar
 
-from lugspur.seams import ListedBackend
+from lugspur.interfaces import ListedBackend
 
 # Errors that have local causes and say nothing about a backend.
 LOCAL_ERRORS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL)
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -14,9 +14,9 @@
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
 from lugspur.http1.request_parser import PLATFORM, Rejected, RequestParser, Sizes
+from lugspur.interfaces import Request, StreamingReceiver
 from lugspur.invariants import Invariant, check
 from lugspur.pipe import Pipe
-from lugspur.seams import Request, StreamingReceiver
 
 # Bytes read at once, into one buffer that all callers share.
 READ_SIZE = 64 << 10
--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -9,7 +9,7 @@
 
 from lugspur.http1.body import MAX_BUFFERED_BODY, REPLAY_FACTOR, Body
 from lugspur.http1.hop_by_hop import HOP_BY_HOP
-from lugspur.seams import Request
+from lugspur.interfaces import Request
 
 # Default limit in bytes on a request body.
 MAX_BODY = 64 << 10
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -14,11 +14,11 @@
 from lugspur.http1.body import Body
 from lugspur.http1.dial import LOCAL_ERRORS, Dial
 from lugspur.http1.hop_by_hop import HOP_BY_HOP
+from lugspur.interfaces import BackendTransport, Response
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import BackendTransport, Response
 
 # Default limit in bytes on a response that is buffered whole.
 MAX_BUFFERED_RESPONSE = 1 << 20
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -14,8 +14,8 @@
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
 from lugspur.http2.wire import Wire
+from lugspur.interfaces import Request, StreamingReceiver
 from lugspur.pipe import Pipe
-from lugspur.seams import Request, StreamingReceiver
 
 GATHER = 0.02  # seconds after a whole message, or a head alone, in which a call may still turn out to be all there
 LEAVE_AFTER = 0.25  # seconds between the two GOAWAYs: streams that were begun before the first was read still come
@@ -296,7 +296,7 @@
 
 
 class Call(Stream):
-    """A gRPC call: unary, or a stream of messages either way; the form of its request (seams.py)."""
+    """A gRPC call: unary, or a stream of messages either way; the form of its request (interfaces.py)."""
 
     underscores = True  # metadata are passed on unchanged
 
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -29,10 +29,10 @@
     Tail,
 )
 from lugspur.http2.wire import Wire
+from lugspur.interfaces import AttemptObserver, ListedBackend, Request, Response
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import AttemptObserver, ListedBackend, Request, Response
 
 LINKS_MOST = 4  # connections to one box: one core of a box rarely serves more than one at full speed
 SPREAD = 32  # streams on each connection before a further one is made
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -8,7 +8,7 @@
 from lugspur.routing.model import CoalescingPolicy
 
 if TYPE_CHECKING:
-    from lugspur.seams import Request
+    from lugspur.interfaces import Request
 
 TENANT = b":tenant"  # stands beside header names, which never begin so
 BODY_MOST = 16 << 10  # bytes of a body that a read may be known by: it is compared with those of others
--- a/lugspur/mesh/control_node/api.py
+++ b/lugspur/mesh/control_node/api.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh.control_node.coordination_calls import CoordinationCalls
 from lugspur.mesh.control_node.operator_calls import OperatorCalls
 from lugspur.mesh.http_api import HttpApi, reply
 from lugspur.observability.metrics import CONTENT_TYPE
-from lugspur.seams import Request, Responder
 
 _encode_json = msgspec.json.Encoder().encode
 
--- a/lugspur/mesh/control_node/coordination_calls.py
+++ b/lugspur/mesh/control_node/coordination_calls.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages.coordination_records import (
@@ -43,7 +44,6 @@
 from lugspur.mesh.coordination.state import GROUP_SEPARATOR
 from lugspur.mesh.coordination.watches import Watch, WatchResponse, WatchTable
 from lugspur.mesh.http_api import HttpApi, fail, reply
-from lugspur.seams import Request, Responder
 
 MAX_HOLD_MS = 600_000  # maximum time of a lock, in milliseconds
 MAX_WAIT_MS = 60_000  # maximum time that a watch waits, in milliseconds
--- a/lugspur/mesh/control_node/operator_calls.py
+++ b/lugspur/mesh/control_node/operator_calls.py
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Callable
 
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control import items
 from lugspur.mesh.control.change_requests import ChangeRequest, Outcome, error_from_outcome
@@ -15,7 +16,6 @@
 from lugspur.mesh.control.replica import Replica
 from lugspur.mesh.control_node.change_router import DECISION_TIMEOUT_SECONDS, ChangeRouter
 from lugspur.mesh.http_api import fail, reply
-from lugspur.seams import Request, Responder
 
 
 class OperatorCalls:
--- a/lugspur/mesh/dataplane/backend_exchange.py
+++ b/lugspur/mesh/dataplane/backend_exchange.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
+from lugspur.interfaces import Response
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import ForwardRequest
 from lugspur.mesh.dataplane.failure_cause import FailureCause
 from lugspur.mesh.dataplane.request_headers import ATTEMPT_ID_HEADER
-from lugspur.seams import Response
 
 NOT_DELIVERED_HEADER = b"lugspur-not-delivered"  # in a response: proof that the backend did not run the request
 POSTMARK_HEADER = b"lugspur-postmark"  # present in every successful response
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -13,6 +13,7 @@
 from time import monotonic
 
 from lugspur.http1.upstream import Exchange, Upstream
+from lugspur.interfaces import Response
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
@@ -32,7 +33,6 @@
 from lugspur.mesh.dataplane.service_times import ServiceTimes
 from lugspur.mesh.dataplane.urgency import urgency_of
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Response
 
 # A closing backend still gets new requests while the update about its closing reaches all proxies. That time is
 # this fraction of the drain time, and at most MAX_CLOSING_ACCEPT_SECONDS.
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -4,6 +4,7 @@
 
 import asyncio
 
+from lugspur.interfaces import Request, Responder
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
@@ -18,7 +19,6 @@
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import SelectionSummary
-from lugspur.seams import Request, Responder
 
 MIN_LATENCY_SECONDS = 0.001  # lower bound of a measured latency, since the event loop's clock has a 1 ms resolution
 DEADLINE_MARGIN_SECONDS = 0.02  # time after the deadline in which the backend's own response to it may arrive
--- a/lugspur/mesh/dataplane/proxy.py
+++ b/lugspur/mesh/dataplane/proxy.py
@@ -10,6 +10,7 @@
 from random import Random
 from typing import Unpack
 
+from lugspur.interfaces import Request, Responder
 from lugspur.load_balancing.retry_budget import RetryBudget
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.endpoints import Endpoint, EndpointListing
@@ -20,7 +21,6 @@
 from lugspur.mesh.dataplane.route_table import RouteTable
 from lugspur.observability.failures import ConfigurationState, FailureFacts, FailureLog, log_nothing
 from lugspur.observability.metrics import Histogram
-from lugspur.seams import Request, Responder
 
 # Fraction of the allowed retry budget that is used. Retries within nested calls count too, and the number of proxies
 # that share the budget is known only with a delay.
--- a/lugspur/mesh/dataplane/rejection.py
+++ b/lugspur/mesh/dataplane/rejection.py
@@ -4,8 +4,8 @@
 
 from random import random
 
+from lugspur.interfaces import Responder
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind
-from lugspur.seams import Responder
 
 MAX_RETRY_AFTER_FRACTION = 1 / 3  # maximum Retry-After, as a fraction of the caller's time left
 MIN_RETRY_AFTER_SECONDS = 0.05
--- a/lugspur/mesh/dataplane/request_headers.py
+++ b/lugspur/mesh/dataplane/request_headers.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
+from lugspur.interfaces import Request
 from lugspur.mesh.control.errors import ErrorKind, MeshError
-from lugspur.seams import Request
 
 ATTEMPT_ID_HEADER = b"lugspur-attempt-id"
 IDEMPOTENCY_KEY_HEADER = b"lugspur-operation-key"
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -10,9 +10,9 @@
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.request_parser import Sizes
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind, MeshError
-from lugspur.seams import Request, Responder
 
 JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 # Bytes of a call's body: the whole configuration comes in one, 20,000 items of 800 bytes. Three of them have to fit
--- a/lugspur/mesh/sidecar/api.py
+++ b/lugspur/mesh/sidecar/api.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.route_table import RouteTable
@@ -15,7 +16,6 @@
 from lugspur.mesh.sidecar.registration import BackendRegistration
 from lugspur.mesh.sidecar.update_source import UpdateSource
 from lugspur.observability.metrics import CONTENT_TYPE
-from lugspur.seams import Request, Responder
 
 _encode_json = msgspec.json.Encoder().encode
 
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -8,6 +8,7 @@
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.request_parser import Sizes
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import BACKEND, LIMITS, ROUTES
@@ -37,7 +38,6 @@
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
 from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
-from lugspur.seams import Request, Responder
 
 RESERVED_FILES = 264  # file descriptors for other uses, including 200 that the platform reserves
 CALLER_FILES_FRACTION = 0.5  # fraction of the other descriptors for callers; the rest is for the backend and proxies
--- a/lugspur/mesh/sidecar/registration.py
+++ b/lugspur/mesh/sidecar/registration.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from lugspur.discovery.endpoints import read_address
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import BACKEND
@@ -21,7 +22,6 @@
 from lugspur.mesh.settings import Settings
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.mesh.sidecar.backend_status import BackendStatus, encode_status
-from lugspur.seams import Request, Responder
 
 # A backend without a heartbeat for this many heartbeat intervals, plus HEARTBEAT_MARGIN_SECONDS, counts as gone.
 MAX_MISSED_HEARTBEATS = 3.0
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -25,6 +25,7 @@
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
 from lugspur.http1.request_parser import Sizes
+from lugspur.interfaces import Request
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
@@ -46,7 +47,6 @@
 from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
 from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
-from lugspur.seams import Request
 
 #: `Reply.how` as it goes between processes, and as an account of a failed request has it.
 ENDS = {0: "answered", 1: "not_run", 2: "maybe", 3: "spoilt"}
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lugspur.interfaces import Request
 from lugspur.joining.keys import BODY_MOST, OF_ONE_TRY, TENANT, key_of, told_of
 from lugspur.joining.sharing import EVERYONE, NOBODY, Depends, depends, worded_for
 from lugspur.routing.model import CoalescingPolicy
-from lugspur.seams import Request
 
 JOIN = CoalescingPolicy(0.1, frozenset({b"user-agent", b"x-agency"}), True)
 
--- a/tests/mesh/sidecar/test_sidecar.py
+++ b/tests/mesh/sidecar/test_sidecar.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from lugspur.interfaces import Request
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.messages import (
     BodyChunk,
@@ -28,7 +29,6 @@
 from lugspur.mesh.sidecar.backend_status import BackendStatus
 from lugspur.mesh.sidecar.process import Sidecar
 from lugspur.mesh.transport.dialer import Dialer
-from lugspur.seams import Request
 
 FILE = """
 [self]
--- a/tests/mesh/test_coordination_input.py
+++ b/tests/mesh/test_coordination_input.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from lugspur.interfaces import Request
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages.coordination_records import (
     CellWritten,
@@ -23,7 +24,6 @@
 from lugspur.mesh.coordination.state import CoordinationState
 from lugspur.mesh.coordination.watches import WatchTable
 from lugspur.mesh.http_api import HttpApi
-from lugspur.seams import Request
 
 
 class Caller:
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.http_api import HttpApi, reply
-from lugspur.seams import Request, Responder
 
 
 class Caller:
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -23,8 +23,8 @@
     status_of,
 )
 from lugspur.grpc.timeout import DIGITS_MOST, LONGEST, UNITS, read_timeout, write_timeout
+from lugspur.interfaces import Request
 from lugspur.load_balancing.model import NEVER_RAN
-from lugspur.seams import Request
 
 # ---- time ----------------------------------------------------------------------------------------
 
--- a/tests/simulatedproxy.py
+++ b/tests/simulatedproxy.py
@@ -9,6 +9,7 @@
 
 from meshcalls import call, route
 
+from lugspur.interfaces import Request
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import (
@@ -18,7 +19,6 @@
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.seams import Request
 
 OK = BackendResponse(200, b"Lugspur-Postmark: p\r\n", b"hi")
 SERVER_ERROR = BackendResponse(500, b"Lugspur-Postmark: p\r\n", b"no")
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -39,10 +39,10 @@
 from lugspur.http1.request_parser import RequestParser
 from lugspur.http1.upstream import STALL_TIMEOUT, Connection, Exchange, Upstream
 from lugspur.http1.upstream import Backend as Known
+from lugspur.interfaces import Response
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import Outcome, Reject, Settings
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Response
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -18,7 +18,7 @@
 from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
 from lugspur.http1.request_parser import PLATFORM, Rejected, RequestParser
 from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ_SIZE
-from lugspur.seams import Request
+from lugspur.interfaces import Request
 
 LARGE = 3 << 20
 MAX_REPLAYED = bodies.REPLAY_FACTOR * MAX_BUFFERED_BODY
