--- a/lugspur/__main__.py
+++ b/lugspur/__main__.py
@@ -10,9 +10,9 @@
 def main() -> int:
     """Start; the command line is imported only where it is asked for: the platform's proxy has no use for it."""
     if len(sys.argv) == 1 or sys.argv[1] == "run":
-        from lugspur import reloads
+        from lugspur import reload_signal
 
-        reloads.hold()  # before the rest is imported, which takes its time
+        reload_signal.hold()  # before the rest is imported, which takes its time
     if len(sys.argv) == 1:
         from lugspur.daemon.service import main as serve
 
--- a/lugspur/bench/soak/guarded.py
+++ b/lugspur/bench/soak/guarded.py
@@ -4,11 +4,11 @@
 
 import sys
 
-from lugspur import reloads
+from lugspur import reload_signal
 from lugspur.bench.soak.guards import GUARDS
 from lugspur.mesh.program import serve
 
 if __name__ == "__main__":
-    reloads.hold()
+    reload_signal.hold()
     GUARDS[int(sys.argv[1])].take_out()
     sys.exit(serve())
--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from lugspur import invariants, reloads
+from lugspur import invariants, reload_signal
 from lugspur.config import model
 from lugspur.config.build import Plan
 from lugspur.config.load import FileFaults, load
@@ -251,7 +251,7 @@
     invariants.add_listener(invariants.log_to_standard_error)
     running = RunningDaemon(path)
     await running.start(plan)
-    reloads.carry_out(loop, running.reload)
+    reload_signal.carry_out(loop, running.reload)
     gc.collect()
     gc.freeze()
     ready(running)
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -10,7 +10,7 @@
 import sys
 from typing import TYPE_CHECKING
 
-from lugspur import invariants, reloads
+from lugspur import invariants, reload_signal
 from lugspur.config.platform import Config, ConfigError, load
 from lugspur.daemon.proxy import Proxy
 from lugspur.discovery.endpoints import EndpointReader
@@ -46,7 +46,7 @@
         takeover = await hot_restart.take_over()
     proxy = Proxy(config, None if takeover is None else takeover.state)
     front = proxy.front
-    reloads.carry_out(loop, lambda: reload(proxy))
+    reload_signal.carry_out(loop, lambda: reload(proxy))
     if config.management is not None:
         from lugspur.daemon.admin.actions import admin_actions
         from lugspur.daemon.admin.listener import AdminListener
--- a/lugspur/mesh/__main__.py
+++ b/lugspur/mesh/__main__.py
@@ -3,9 +3,9 @@
 import sys
 
 if sys.argv[1:] == ["serve"]:  # Guards the start on small machines against what only the command line needs.
-    from lugspur import reloads
+    from lugspur import reload_signal
 
-    reloads.hold()  # before the rest is imported, which takes its time
+    reload_signal.hold()  # before the rest is imported, which takes its time
     from lugspur.mesh.program import serve
 
     sys.exit(serve())
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -9,7 +9,7 @@
 
 import uvloop
 
-from lugspur import invariants, reloads
+from lugspur import invariants, reload_signal
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import MeshError
 from lugspur.mesh.process import MeshProcess
@@ -58,7 +58,7 @@
         shut_down = sidecar.shut_down
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    reloads.carry_out(loop, process.reload)
+    reload_signal.carry_out(loop, process.reload)
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_YOUNG_THRESHOLD, 20, 50)
