--- a/lugspur/__main__.py
+++ b/lugspur/__main__.py
@@ -12,7 +12,7 @@
     if len(sys.argv) == 1 or sys.argv[1] == "run":
         from lugspur import reload_signal
 
-        reload_signal.hold()  # before the rest is imported, which takes its time
+        reload_signal.record_early_signal()  # before the rest is imported, which takes its time
     if len(sys.argv) == 1:
         from lugspur.daemon.service import main as serve
 
--- a/lugspur/bench/soak/guarded.py
+++ b/lugspur/bench/soak/guarded.py
@@ -9,6 +9,6 @@
 from lugspur.mesh.program import serve
 
 if __name__ == "__main__":
-    reload_signal.hold()
+    reload_signal.record_early_signal()
     GUARDS[int(sys.argv[1])].take_out()
     sys.exit(serve())
--- a/lugspur/reload_signal.py
+++ b/lugspur/reload_signal.py
@@ -20,13 +20,13 @@
     _EarlySignal.received = True
 
 
-def hold() -> None:
+def record_early_signal() -> None:
     """Install a SIGHUP handler that records the signal; call this first, from the main thread."""
     signal.signal(signal.SIGHUP, _record_signal)
 
 
 def carry_out(loop: asyncio.AbstractEventLoop, reload: Callable[[], object]) -> None:
-    """Call `reload` at each SIGHUP, and soon if one has come since `hold`."""
+    """Call `reload` at each SIGHUP, and soon if one has come since `record_early_signal`."""
     loop.add_signal_handler(signal.SIGHUP, reload)
     if _EarlySignal.received:
         _EarlySignal.received = False
