--- a/lugspur/daemon/run.py
+++ b/lugspur/daemon/run.py
@@ -251,7 +251,7 @@
     invariants.add_listener(invariants.log_to_standard_error)
     running = RunningDaemon(path)
     await running.start(plan)
-    reload_signal.carry_out(loop, running.reload)
+    reload_signal.install_handler(loop, running.reload)
     gc.collect()
     gc.freeze()
     ready(running)
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -46,7 +46,7 @@
         takeover = await hot_restart.take_over()
     proxy = Proxy(config, None if takeover is None else takeover.state)
     front = proxy.front
-    reload_signal.carry_out(loop, lambda: reload(proxy))
+    reload_signal.install_handler(loop, lambda: reload(proxy))
     if config.management is not None:
         from lugspur.daemon.admin.actions import admin_actions
         from lugspur.daemon.admin.listener import AdminListener
--- a/lugspur/mesh/program.py
+++ b/lugspur/mesh/program.py
@@ -58,7 +58,7 @@
         shut_down = sidecar.shut_down
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
-    reload_signal.carry_out(loop, process.reload)
+    reload_signal.install_handler(loop, process.reload)
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_YOUNG_THRESHOLD, 20, 50)
--- a/lugspur/reload_signal.py
+++ b/lugspur/reload_signal.py
@@ -25,7 +25,7 @@
     signal.signal(signal.SIGHUP, _record_signal)
 
 
-def carry_out(loop: asyncio.AbstractEventLoop, reload: Callable[[], object]) -> None:
+def install_handler(loop: asyncio.AbstractEventLoop, reload: Callable[[], object]) -> None:
     """Call `reload` at each SIGHUP, and soon if one has come since `record_early_signal`."""
     loop.add_signal_handler(signal.SIGHUP, reload)
     if _EarlySignal.received:
