--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -162,7 +162,7 @@
 
     def expire(self) -> None:
         """Time out the attempt, or stream its response if a part of it has arrived."""
-        if self.connection is not None and self.connection.pass_on(self):
+        if self.connection is not None and self.connection.stream_partial_response(self):
             return
         self.end(Outcome.TIMEOUT if self._may_have_run() else Outcome.UNREACHABLE)
 
@@ -428,7 +428,7 @@
             Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow
         )
 
-    def pass_on(self, exchange: Exchange) -> bool:
+    def stream_partial_response(self, exchange: Exchange) -> bool:
         """Stream the partial response of an expired exchange; returns False if there is none or it is invalid.
 
         Guards large responses that arrive slowly: the deadline applies to their first bytes.
