--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -310,7 +310,7 @@
 
     def _readable(self) -> None:
         try:
-            max_bytes = 0 if self._pipe is None else min(READ_SIZE, self._upstream.flow())
+            max_bytes = 0 if self._pipe is None else min(READ_SIZE, self._upstream.stream_allowance())
             count = self.sock.recv_into(self._upstream.buffer, max_bytes)
         except BlockingIOError:
             return
@@ -446,13 +446,13 @@
         self._pipe_backlog += len(data)
         self._upstream.streamed_bytes += len(data)
         self._pipe.put(data)
-        if self._pipe_backlog > self._upstream.flow() and not self._reading_paused and not self.closed:
+        if self._pipe_backlog > self._upstream.stream_allowance() and not self._reading_paused and not self.closed:
             self._reading_paused = True
             self._loop.remove_reader(self.sock.fileno())
 
     def _on_pipe_read(self, size: int) -> None:
         self._pipe_backlog -= size
-        if self._reading_paused and not self.closed and self._pipe_backlog <= self._upstream.flow() // 2:
+        if self._reading_paused and not self.closed and self._pipe_backlog <= self._upstream.stream_allowance() // 2:
             self._reading_paused = False
             self._loop.add_reader(self.sock.fileno(), self._readable)
 
@@ -767,7 +767,7 @@
         self.buffered_bytes += size * fits
         return fits
 
-    def flow(self) -> int:
+    def stream_allowance(self) -> int:
         """Return the bytes of one streamed response that may wait for its caller now: as many as are free.
 
         Each response thus converges to the same buffer, a single one to half of the total, and all together stay
