--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -99,7 +99,7 @@
         "timed",
         "timer",
         "expires_at",
-        "write",
+        "serialize",
         "on_body_sent",
         "_report",
     )
@@ -109,13 +109,13 @@
         backend: Backend,
         started: float,
         expires_at: float,
-        write: Callable[[float], bytes],
+        serialize: Callable[[float], bytes],
         report: Callable[[Exchange, Outcome, Response | None], None],
         repeatable: bool = True,
         bodyless: bool = False,
         timed: bool = True,
     ) -> None:
-        # The body that is streamed after the bytes that `write` returns; None: those bytes are the whole request.
+        # The body that is streamed after the bytes that `serialize` returns; None: those bytes are the whole request.
         self.body: Body | None = None
         self.on_body_sent: Callable[[], None] | None = None  # called when the whole body has been sent
         # Called when the response begins to be streamed; None where it has to be buffered.
@@ -128,7 +128,7 @@
         self.backend = backend
         self.started = started
         self.expires_at = expires_at  # the loop's time at which the attempt times out
-        self.write = write  # returns the request's bytes, given the seconds that are left
+        self.serialize = serialize  # returns the request's bytes, given the seconds that are left
         self.open = True
         self.connection: Connection | None = None
         self.dial: Dial[Exchange] | None = None
@@ -737,7 +737,7 @@
         if not connection.usable():
             exchange.end(Outcome.UNREACHABLE)
             return
-        connection.send(exchange, exchange.write(left))
+        connection.send(exchange, exchange.serialize(left))
 
     def release(self, connection: Connection) -> None:
         """Keep a connection for the next exchange, or close it."""
