--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -160,7 +160,7 @@
         front.tune(
             max(1, int(CALLER_SOCKETS_SHARE * sockets) // count),
             limits.memory // count,
-            Sizes(limits.head, limits.body, ordinary=True, hold=limits.hold),
+            Sizes(limits.head, limits.body, ordinary=True, max_buffered_body=limits.hold),
             limits.read,
             limits.idle,
             limits.drain,
--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -56,10 +56,10 @@
     head: int = MAX_HEAD
     body: int = MAX_BODY
     ordinary: bool = False
-    hold: int = 1 << 62  # body size above which the body is streamed
+    max_buffered_body: int = 1 << 62  # body size above which the body is streamed
 
 
-PLATFORM = Sizes(body=MAX_STREAMED_BODY, hold=MAX_BUFFERED_BODY)
+PLATFORM = Sizes(body=MAX_STREAMED_BODY, max_buffered_body=MAX_BUFFERED_BODY)
 
 
 class RequestParser:
@@ -102,7 +102,7 @@
         if begun == self._requests_begun and self.reading:  # not a request that began behind another one in these bytes
             self._wire_size += len(data)
             # A streamed body counts with its size so far: its limit alone would allow hundreds of MB of framing.
-            body = min(self._sizes.body, max(self._body_size, self._sizes.hold))
+            body = min(self._sizes.body, max(self._body_size, self._sizes.max_buffered_body))
             most = MAX_WIRE_FACTOR * body + self._sizes.head
             if not self._head_complete and self._wire_size > self._sizes.head:
                 self._reject(431, "the head is too large")  # Guards memory against one endless header.
@@ -222,8 +222,8 @@
             self.stream.put(body)
         else:
             self._body.append(body)
-            if self._body_size > self._sizes.hold and self.fault is None:
-                stream = Body(self._length, self._resume_body, REPLAY_FACTOR * self._sizes.hold)
+            if self._body_size > self._sizes.max_buffered_body and self.fault is None:
+                stream = Body(self._length, self._resume_body, REPLAY_FACTOR * self._sizes.max_buffered_body)
                 stream.put(b"".join(self._body))
                 self._body.clear()
                 self._deliver_request(stream)
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -102,7 +102,7 @@
         # Guards the memory limit against many half bodies.
         if self.front.buffered_bytes > self.front.max_buffered_bytes:
             raise Rejected(503, "too many bodies at once")
-        if body is None and came > self.front.sizes.hold:
+        if body is None and came > self.front.sizes.max_buffered_body:
             self._pass_body()
 
     def _keep(self, data: bytes, size: int) -> None:
@@ -118,7 +118,9 @@
         """So much has come that the rest goes on as it comes."""
         length = self._named.get(b"content-length")
         body = Body(
-            int(length) if length is not None else None, self._credit_body, REPLAY_FACTOR * self.front.sizes.hold
+            int(length) if length is not None else None,
+            self._credit_body,
+            REPLAY_FACTOR * self.front.sizes.max_buffered_body,
         )
         body.put(self._release())
         self._hold(body.buffered)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -521,7 +521,7 @@
 
 
 def test_a_body_beyond_the_limit_is_turned_away_in_its_middle() -> None:
-    sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, hold=MAX_BUFFERED_BODY)
+    sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, max_buffered_body=MAX_BUFFERED_BODY)
     got: list[Request] = []
     parser = RequestParser(got.append, sizes)
     for at in range(0, 4 * MAX_BUFFERED_BODY, 5000):
