--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -36,9 +36,9 @@
         self.ended = True
         self._notify()
 
-    def attach(self, told: Callable[[], None] | None) -> None:
+    def attach(self, on_data: Callable[[], None] | None) -> None:
         """Set the callback of the reader, which is called at once and whenever there is more."""
-        self._on_data = told
+        self._on_data = on_data
         self._notify()
 
     def _notify(self) -> None:
