--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -22,12 +22,12 @@
     """
 
     def __init__(
-        self, length: int | None, room: Callable[[], None], keep: int = REPLAY_FACTOR * MAX_BUFFERED_BODY
+        self, length: int | None, resume_sender: Callable[[], None], keep: int = REPLAY_FACTOR * MAX_BUFFERED_BODY
     ) -> None:
         self._replay_limit = keep
         self._buffers_whole = False
         self.length = length  # Content-Length; None: the body is chunked
-        self._resume_sender = room  # called when the sender may send more
+        self._resume_sender = resume_sender  # called when the sender may send more
         self._data = bytearray()
         self._start = 0  # bytes dropped from the beginning
         self._forwarded = 0  # bytes forwarded by the current attempt
