--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -73,9 +73,9 @@
         sizes: Sizes = PLATFORM,
         expected: Callable[[], None] | None = None,
         get_configuration: Callable[[], object] | None = None,
-        room: Callable[[], None] = lambda: None,
+        resume_body: Callable[[], None] = lambda: None,
     ) -> None:
-        self._resume_body = room  # called when more of a streamed body may be received
+        self._resume_body = resume_body  # called when more of a streamed body may be received
         # Returns the configuration for a request; called when its head is complete.
         self._get_configuration = get_configuration
         self._deliver = deliver
