--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -13,7 +13,7 @@
 
 # Default limit in bytes on a request body.
 MAX_BODY = 64 << 10
-# Limit in bytes on a streamed request body: 32 MB are to be expected, 60 MB are rejected.
+# Limit in bytes on a streamed request body: 32 MB are to be send_continue, 60 MB are rejected.
 MAX_STREAMED_BODY = 40 << 20
 # Limit in bytes on a request head: what backends commonly accept.
 MAX_HEAD = 16 << 10
@@ -71,7 +71,7 @@
         self,
         deliver: Callable[[Request], None],
         sizes: Sizes = PLATFORM,
-        expected: Callable[[], None] | None = None,
+        send_continue: Callable[[], None] | None = None,
         get_configuration: Callable[[], object] | None = None,
         resume_body: Callable[[], None] = lambda: None,
     ) -> None:
@@ -80,7 +80,7 @@
         self._get_configuration = get_configuration
         self._deliver = deliver
         self._sizes = sizes
-        self._send_continue = expected  # called for a request with `Expect: 100-continue`
+        self._send_continue = send_continue  # called for a request with `Expect: 100-continue`
         self._parser = httptools.HttpRequestParser(self)
         self.fault: Rejected | None = None
         self.reading = False  # whether a request has begun and is incomplete
@@ -200,11 +200,11 @@
         if self._send_continue is not None and self.fault is None and b"expect" in self._headers:
             self._check_expectation(self._headers[b"expect"].lower(), self._send_continue)
 
-    def _check_expectation(self, what: bytes, expected: Callable[[], None]) -> None:
+    def _check_expectation(self, what: bytes, send_continue: Callable[[], None]) -> None:
         if what != b"100-continue":
             self._reject(417, "the expectation is unknown")
         elif self._parser.get_http_version() == "1.1":  # RFC 9110 10.1.1: HTTP/1.0 has no 100 response
-            expected()
+            send_continue()
 
     def _drop_connection_headers(self, named: set[bytes]) -> None:
         """Drop the headers that `Connection` names."""
