--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -151,7 +151,7 @@
             row.connect,
             0,
             classify=classify_response,
-            dialled=self._record_connection_attempt,
+            on_dialled=self._record_connection_attempt,
         )
         seed = int.from_bytes(os.urandom(8), "big")
         self.pool = Pool(settings, seed, connections, self._owner, self._epoch, lane=self._grpc_streams)
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -619,7 +619,7 @@
         max_buffered_bytes: int,
         max_response_body: int = MAX_BUFFERED_RESPONSE,
         classify: Callable[[int, bool], Outcome] = classify,
-        dialled: Callable[[int, bool], None] | None = None,
+        on_dialled: Callable[[int, bool], None] | None = None,
         not_processed_header: bytes = b"x-not-processed",
         request_id_header: bytes = b"",
         max_idle_per_backend: int = 0,
@@ -633,7 +633,7 @@
         """
         self.not_processed_header, self.request_id_header = not_processed_header, request_id_header
         self._reuses = max_idle_per_backend > 0
-        self._on_dialled = dialled  # called for each backend with whether a connection was established
+        self._on_dialled = on_dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
         self.max_response_body = max_response_body
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -710,7 +710,7 @@
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
             told: list[tuple[int, bool]] = []
-            pool = Upstream(SharedLimit(9, {}), "", 60.0, 0.2, 1 << 20, dialled=lambda *what: told.append(what))
+            pool = Upstream(SharedLimit(9, {}), "", 60.0, 0.2, 1 << 20, on_dialled=lambda *what: told.append(what))
             known, ended = Known(full.getsockname(), 7), asyncio.Queue[Outcome]()
             pool.update(known, known.address, 0.0, True)
             now = asyncio.get_running_loop().time()
