--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -157,7 +157,7 @@
             self.overload_protection.attach(front)
         else:
             front.arrival_time = front.descriptors = None
-        front.tune(
+        front.update_limits(
             max(1, int(CALLER_SOCKETS_SHARE * sockets) // count),
             limits.memory // count,
             Sizes(limits.head, limits.body, ordinary=True, max_buffered_body=limits.hold),
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -125,7 +125,9 @@
         self.max_callers = max_callers
         self.max_buffered_bytes = int(BODY_MEMORY_FRACTION * memory)
 
-    def tune(self, max_callers: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float) -> None:
+    def update_limits(
+        self, max_callers: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float
+    ) -> None:
         """Apply changed limits.
 
         `within` is the time in seconds for a request to arrive, `idle` the idle timeout between two requests, and
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -144,7 +144,7 @@
     def _apply_limits(self) -> None:
         """Apply the configured request limits to callers."""
         bounds = self.table.request_limits
-        self.front.tune(
+        self.front.update_limits(
             self._max_callers(),
             self.settings.own.limits.memory_mb << 20,
             Sizes(head=bounds.label_bytes + 1024, body=bounds.payload_bytes, ordinary=True),
