--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -102,7 +102,7 @@
         max_response_bytes = limits.answer
         self._byte_limits = max_held_bytes, max_response_bytes
         upstream = self.pool.upstream
-        upstream.tune(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
+        upstream.update_limits(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
         upstream.streaming_threshold, upstream.max_streamed_response, upstream.max_streamed_bytes = (
             limits.hold,
             max_response_bytes,
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -652,7 +652,7 @@
         self._idle: dict[Connection, None] = {}  # the longest idle first
         self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
 
-    def tune(
+    def update_limits(
         self, conn_idle: float, dial_timeout: float, max_buffered_bytes: int, max_response_body: int, idle_each: int
     ) -> None:
         """Apply changed limits."""
