--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -372,7 +372,7 @@
         pipe = self.pipe = Pipe(lambda size: self._credit(machine, stream, size))
         body = self._release()
         if body:
-            pipe.put(body, free=True)
+            pipe.put(body, credited=True)
         self.connection.deliver(self._request(b""), self)
 
     def _credit(self, machine: Machine, stream: int, size: int) -> None:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -240,7 +240,7 @@
         self._bind()
         pipe = self._pipe = Pipe(lambda size: link.credit(stream, size))
         for chunk in self._chunks:
-            pipe.put(chunk, free=True)
+            pipe.put(chunk, credited=True)
         self._release()
         self._watcher.on_response_begun(Response(200, mapping.answer_head(self._head), b""), pipe)
 
--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -25,9 +25,9 @@
         self.ended = False
         self.was_read = False  # whether any byte was taken: the request is bound to this attempt
 
-    def put(self, data: bytes, free: bool = False) -> None:
-        """Append received bytes; `free` if their sender needs no credit for them."""
-        self._credited += len(data) * free
+    def put(self, data: bytes, credited: bool = False) -> None:
+        """Append received bytes; `credited` if their sender needs no credit for them."""
+        self._credited += len(data) * credited
         self._chunks.append(data)
         self._notify()
 
