--- a/lugspur/pipe.py
+++ b/lugspur/pipe.py
@@ -64,7 +64,7 @@
 
     def mark_sent(self, size: int) -> None:
         """Record that bytes taken before have been sent, or never will be, and credit their sender."""
-        free = min(size, self._credited)
-        self._credited -= free
-        if size > free:
-            self._credit(size - free)
+        credited = min(size, self._credited)
+        self._credited -= credited
+        if size > credited:
+            self._credit(size - credited)
