--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -26,7 +26,7 @@
 from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
-from lugspur.http1.request_parser import Rejected, Sizes
+from lugspur.http1.request_parser import RejectionError, Sizes
 from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION
 from lugspur.interfaces import Request, Responder, Response
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
@@ -178,11 +178,11 @@
     def _handle(self, row: model.Listener, request: Request, caller: Responder) -> None:
         method = request.method.decode("latin-1")
         if method not in METHODS:
-            raise Rejected(501, "the method is not served")
+            raise RejectionError(501, "the method is not served")
         try:
             target = parse_target(request.target, request.headers.get(b"host"))
         except TargetError as error:
-            raise Rejected(400, str(error)) from error
+            raise RejectionError(400, str(error)) from error
         configuration = request.configuration
         assert isinstance(configuration, LoadedConfiguration)
         table = configuration.plan.table
@@ -253,15 +253,15 @@
         self.coalescer.coalesce(request, context, route, forward.coalescing, caller)
 
     def _read_timeout(self, request_class: RequestClass, forward: Forward, request: Request) -> float:
-        """Return the request's timeout in seconds; raises Rejected if a header that its class requires is missing."""
+        """Return the request's timeout in seconds; raises RejectionError if a required header is missing."""
         get = request.headers.get
         if request_class.retry_safety is RetrySafety.KEYED and not get(b"idempotency-key"):
-            raise Rejected(400, "no Idempotency-Key, which this class needs")
+            raise RejectionError(400, "no Idempotency-Key, which this class needs")
         timeout = min(request_class.deadline, forward.deadline or request_class.deadline)
         requested_timeout = get(b"x-timeout")
         if requested_timeout is not None:
             if not SECONDS_PATTERN.fullmatch(requested_timeout):
-                raise Rejected(400, "X-Timeout is malformed")
+                raise RejectionError(400, "X-Timeout is malformed")
             # The caller counts from the start of its request, so the time since its arrival is subtracted.
             timeout = min(timeout, float(requested_timeout) - (self._loop.time() - request.arrived))
         return timeout
@@ -401,12 +401,12 @@
 
 
 def _read_tenant(plan: Plan, match: Match, forward: Forward, request: Request, query: dict[str, str]) -> str:
-    """Return the request's tenant; raises Rejected if its route requires one and it names none that is known."""
+    """Return the request's tenant; raises RejectionError if its route requires one and it names none that is known."""
     if forward.tenant is None:
         return NOBODY
     name = extract_value(forward.tenant, Headers(request.headers), query, match.captured)
     if name not in plan.file.tenants:
-        raise Rejected(403, "unknown tenant")
+        raise RejectionError(403, "unknown tenant")
     return name
 
 
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -11,7 +11,7 @@
 from lugspur.grpc.health import Serving, read_service, write_serving
 from lugspur.grpc.messages import Spoilt, pack, unpack
 from lugspur.http1.front import Front
-from lugspur.http1.request_parser import Rejected
+from lugspur.http1.request_parser import RejectionError
 from lugspur.interfaces import GrpcForm, Request, Responder
 from lugspur.pipe import Pipe, ignore_credit
 
@@ -21,16 +21,16 @@
 
 
 def handle_health_request(request: Request, caller: Responder, front: Front, serves: Serves) -> bool:
-    """Respond to a Check or start a Watch; return False for any other request. Raises Rejected."""
+    """Respond to a Check or start a Watch; return False for any other request. Raises RejectionError."""
     if request.form is None or request.target not in (CHECK, WATCH):
         return False
     try:
         [(compressed, message)] = unpack(request.body)
         service = read_service(message)
     except (Spoilt, ValueError) as error:
-        raise Rejected(400, f"no HealthCheckRequest: {error}") from error
+        raise RejectionError(400, f"no HealthCheckRequest: {error}") from error
     if compressed:
-        raise Rejected(501, "compressed messages are not read here")
+        raise RejectionError(501, "compressed messages are not read here")
     caller.admit()
     if request.target == CHECK:
         _respond_to_check(request.form, serves(service))
@@ -41,7 +41,7 @@
 
 def _respond_to_check(form: GrpcForm, serves: bool | None) -> None:
     if serves is None:
-        raise Rejected(404, "unknown service")
+        raise RejectionError(404, "unknown service")
     form.finish(b"", pack(write_serving(Serving.SERVING if serves else Serving.NOT_SERVING)), b"grpc-status: 0\r\n")
 
 
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -17,7 +17,7 @@
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
-from lugspur.http1.request_parser import Rejected
+from lugspur.http1.request_parser import RejectionError
 from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION, STREAM_MEMORY_FRACTION, Upstream
 from lugspur.interfaces import Request, Response
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
@@ -320,14 +320,14 @@
             self.front.admit(caller)
             self._submit(request, caller)
         else:
-            raise Rejected(404, "no such path")
+            raise RejectionError(404, "no such path")
 
     def _submit(self, request: Request, caller: Caller) -> None:
         attributes = self._read_attributes(request)
         name = request.headers[b"x-request-id"]
         # Backends would take a second request with the same id for the first one.
         if name in self._open_request_ids or name in self._peer_request_ids:
-            raise Rejected(409, "a request with this id is open")
+            raise RejectionError(409, "a request with this id is open")
         self._open_request_ids.add(name)
         if self.peers is not None:
             self.peers.request_started(name)
@@ -347,26 +347,26 @@
             stream.on_complete = complete_body
 
     def _read_attributes(self, request: Request) -> RequestAttributes:
-        """Return the request's attributes; raises Rejected if one is malformed or unknown."""
+        """Return the request's attributes; raises RejectionError if one is malformed or unknown."""
         get = request.headers.get
         if not REQUEST_ID_PATTERN.fullmatch(get(b"x-request-id", b"")):
-            raise Rejected(400, "no request id, or a malformed one")
+            raise RejectionError(400, "no request id, or a malformed one")
         name = get(b"x-priority-class", b"").decode("latin-1")
         rows = self._policy.classes_for(name, request.arrived)
         if not rows:
-            raise Rejected(400, "unknown class")
+            raise RejectionError(400, "unknown class")
         candidates = [(index, row) for index, row in rows if matches_retry_safety(request, row.retry_safety)]
         if not candidates:
-            raise Rejected(400, "the method does not fit the class")
+            raise RejectionError(400, "the method does not fit the class")
         class_index, request_class = candidates[0]
         tenant: int | None = 0
         if self._tenants:
             tenant = self._tenants.get(get(b"x-tenant-id", b"").decode("latin-1"))
         if tenant is None:
-            raise Rejected(400, "unknown tenant")
+            raise RejectionError(400, "unknown tenant")
         timeout = get(b"x-timeout", b"")
         if not SECONDS_PATTERN.fullmatch(timeout):
-            raise Rejected(400, "the time is malformed")
+            raise RejectionError(400, "the time is malformed")
         # Protects timers and memory from absurd timeouts: no client waits longer than its class's deadline.
         timeout_seconds = min(float(timeout), request_class.deadline)
         return RequestAttributes(class_index, tenant, timeout_seconds, read_cost(request), get(b"x-retried") == b"1")
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -13,7 +13,7 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
-from lugspur.http1.request_parser import PLATFORM, Rejected, RequestParser, Sizes
+from lugspur.http1.request_parser import PLATFORM, RejectionError, RequestParser, Sizes
 from lugspur.interfaces import Request, StreamingReceiver
 from lugspur.invariants import Invariant, check
 from lugspur.pipe import Pipe
@@ -72,7 +72,7 @@
 class Front:
     """All connections of callers to one address, within a limit on their number.
 
-    `handle` is called with each request and the caller to respond to, at once or later; it may raise Rejected.
+    `handle` is called with each request and the caller to respond to, at once or later; it may raise RejectionError.
     `memory` is the memory limit of the process in bytes.
     """
 
@@ -245,9 +245,9 @@
             caller.drop()
 
     def admit(self, caller: TrackedConnection) -> None:
-        """Accept a request of this caller; raises Rejected if there are too many connections."""
+        """Accept a request of this caller; raises RejectionError if there are too many connections."""
         if self.full(caller):
-            raise Rejected(503, "too many connections")
+            raise RejectionError(503, "too many connections")
         caller.has_sent_request = True
 
 
@@ -322,14 +322,14 @@
 
     def slow(self, now: float) -> None:
         """Reject the request because it takes too long."""
-        self.reject(Rejected(408, "the request took too long"))
+        self.reject(RejectionError(408, "the request took too long"))
 
     def drop(self) -> None:
         """Close the connection at once."""
         self.leave()
         self._transport.abort()
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Reject a request and close the connection."""
         raise NotImplementedError
 
@@ -343,7 +343,7 @@
         self._loop = asyncio.get_running_loop()
         # The first bytes, until the protocol is known; None: it is HTTP/1.
         self._preface_input: bytes | None = b"" if front.http2 is not None else None
-        self._queue: deque[Request | Rejected] = deque()
+        self._queue: deque[Request | RejectionError] = deque()
         self._parser = RequestParser(
             self._queue.append, front.sizes, self._send_continue, front.get_configuration, self._resume_request_body
         )
@@ -524,10 +524,10 @@
                 self.move(None)
         # Guards the memory limit against many incomplete bodies.
         if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
-            parser.fault = Rejected(503, "too many bodies at once")
+            parser.fault = RejectionError(503, "too many bodies at once")
         if len(self._queue) > MAX_PIPELINED_REQUESTS:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
-            parser.fault = Rejected(400, "too many requests at once")
+            parser.fault = RejectionError(400, "too many requests at once")
         if parser.fault is not None:
             self._ignores_input = True
             self._queue.append(parser.fault)
@@ -547,7 +547,7 @@
         assert stream is not None
         # Guards the memory limit against many incomplete bodies.
         if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
-            parser.fault = Rejected(503, "too many bodies at once")
+            parser.fault = RejectionError(503, "too many bodies at once")
         if parser.fault is not None:
             # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
             self._release_request()
@@ -566,7 +566,7 @@
     # ---- requests and responses ------------------------------------------------------------
 
     def admit(self) -> None:
-        """Accept the current request; raises Rejected if there are too many connections."""
+        """Accept the current request; raises RejectionError if there are too many connections."""
         self.front.admit(self)
 
     def _start_next_request(self) -> None:
@@ -575,7 +575,7 @@
             self._transport.pause_reading()  # Guards memory: a caller may not pile up requests.
             return
         request = self._queue.popleft()
-        if isinstance(request, Rejected):
+        if isinstance(request, RejectionError):
             self.reject(request)
             return
         self._busy = True
@@ -587,7 +587,7 @@
         self._is_head_request = request.method == b"HEAD"
         try:
             self.front.handle(request, self)
-        except Rejected as fault:
+        except RejectionError as fault:
             self._release_request()
             self.reject(fault)
             return
@@ -616,7 +616,7 @@
             )
         )
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Reject a request and close the connection: a client kept alive would repeat it at full speed."""
         self.front.rejections[fault.status] += 1
         if self._request_body is not None:
--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -37,7 +37,7 @@
 )
 
 
-class Rejected(Exception):
+class RejectionError(Exception):
     """A request that is answered by the proxy itself, with this status and one line of reason."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -82,7 +82,7 @@
         self._sizes = sizes
         self._send_continue = send_continue  # called for a request with `Expect: 100-continue`
         self._parser = httptools.HttpRequestParser(self)
-        self.fault: Rejected | None = None
+        self.fault: RejectionError | None = None
         self.reading = False  # whether a request has begun and is incomplete
         self._requests_begun = 0  # number of requests begun
         self.arrived = self.headed_at = 0.0
@@ -121,7 +121,7 @@
 
     def _reject(self, status: int, reason: str) -> None:
         if self.fault is None:
-            self.fault = Rejected(status, reason)
+            self.fault = RejectionError(status, reason)
 
     def _reset(self) -> None:
         self._target: list[bytes] = []
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -10,7 +10,7 @@
 from lugspur.grpc.timeout import read_timeout
 from lugspur.http1.body import REPLAY_FACTOR, Body
 from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, TrackedConnection
-from lugspur.http1.request_parser import PROXY_READ_HEADERS, PROXY_SET_HEADERS, Rejected
+from lugspur.http1.request_parser import PROXY_READ_HEADERS, PROXY_SET_HEADERS, RejectionError
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, NO_ERROR, REFUSED_STREAM, STREAM_MOST, Leave
 from lugspur.http2.machine import STREAMS_MOST, Data, Ended, Event, Fields, Head, Machine, Over, Reset, Tail
 from lugspur.http2.wire import Wire
@@ -53,13 +53,13 @@
     # ---- the request ---------------------------------------------------------------------------
 
     def begin(self, fields: Fields) -> None:
-        """Its head has come; raises Rejected."""
+        """Its head has come; raises RejectionError."""
         self._told = dict(fields)
         self._terms = None if self.front.get_configuration is None else self.front.get_configuration()
         self._lines, self._named = read_fields(fields, self.underscores)
         length = self._named.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.front.sizes.body:  # before a part of it goes on
-            raise Rejected(413, "the body is too large")
+            raise RejectionError(413, "the body is too large")
         self._wait_for_all()
 
     def _wait_for_all(self) -> None:
@@ -79,14 +79,14 @@
             if self._full_at or now < due:  # it waits for the backend, or comes at a rate that will do
                 self._wait_until(max(due, now + BODY_RATE_GRACE))
                 return
-        self.connection.refuse(self, Rejected(408, "the request took too long"))
+        self.connection.refuse(self, RejectionError(408, "the request took too long"))
 
     def _stop(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
     def data(self, data: bytes, size: int) -> None:
-        """A part of its body; raises Rejected."""
+        """A part of its body; raises RejectionError."""
         body = self._body
         if body is not None:
             self._owed += size
@@ -98,10 +98,10 @@
             self._keep(data, size)
             came = self._held
         if came > self.front.sizes.body:
-            raise Rejected(413, "the body is too large")
+            raise RejectionError(413, "the body is too large")
         # Guards the memory limit against many half bodies.
         if self.front.buffered_bytes > self.front.max_buffered_bytes:
-            raise Rejected(503, "too many bodies at once")
+            raise RejectionError(503, "too many bodies at once")
         if body is None and came > self.front.sizes.max_buffered_body:
             self._pass_body()
 
@@ -148,7 +148,7 @@
             self.connection.wake()
 
     def ended(self) -> None:
-        """The request is whole; raises Rejected."""
+        """The request is whole; raises RejectionError."""
         self._stop()
         if self._body is not None:
             self._hold(0)
@@ -182,7 +182,7 @@
     # ---- the answer ----------------------------------------------------------------------------
 
     def admit(self) -> None:
-        """Take up its request; raises Rejected where there are too many connections."""
+        """Take up its request; raises RejectionError where there are too many connections."""
         self.front.admit(self.connection)
 
     def streaming_receiver(self) -> StreamingReceiver | None:
@@ -207,7 +207,7 @@
             fields.append((b"content-length", b"%d" % length))
         return fields
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Answer what is not served; what a pool may have of it already is given up."""
         self._stop()
         self._let_go()
@@ -315,16 +315,16 @@
     # ---- the request ---------------------------------------------------------------------------
 
     def begin(self, fields: Fields) -> None:
-        """Its head has come; raises Rejected."""
+        """Its head has come; raises RejectionError."""
         super().begin(fields)
         if self._told.get(b":method") != b"POST":
-            raise Rejected(405, "gRPC is asked for with POST")
+            raise RejectionError(405, "gRPC is asked for with POST")
         timeout = self._told.get(b"grpc-timeout")
         if timeout is not None:
             try:
                 self._named[b"x-timeout"] = b"%.9f" % read_timeout(timeout)
             except ValueError as fault:
-                raise Rejected(500, str(fault)) from fault  # INTERNAL
+                raise RejectionError(500, str(fault)) from fault  # INTERNAL
         self._wait_for_more()
 
     def _wait_for_more(self) -> None:
@@ -333,11 +333,11 @@
         self._timer = self.connection.loop.call_later(GATHER, self._stream)
 
     def data(self, data: bytes, size: int) -> None:
-        """A part of its messages; raises Rejected."""
+        """A part of its messages; raises RejectionError."""
         try:
             self._counter.feed(data)
         except Spoilt as fault:
-            raise Rejected(500, str(fault)) from fault  # INTERNAL
+            raise RejectionError(500, str(fault)) from fault  # INTERNAL
         if self.pipe is not None:
             self.connection.machine.credit(self.stream, size - len(data))
             self.pipe.put(data)
@@ -353,9 +353,9 @@
             self._wait_for_more()
 
     def ended(self) -> None:
-        """The caller has said all; raises Rejected."""
+        """The caller has said all; raises RejectionError."""
         if self._counter.open:
-            raise Rejected(500, "the last message is cut")  # INTERNAL
+            raise RejectionError(500, "the last message is cut")  # INTERNAL
         if self.pipe is not None:
             self.pipe.end()
         elif not self._delivered:
@@ -394,7 +394,7 @@
         """A gRPC answer has trailers: it passes by its form."""
         return None
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Answer what is not served; what a pool may have of it already is given up."""
         self._stop()
         self._let_go()
@@ -434,7 +434,7 @@
 
 
 def read_fields(fields: Fields, underscores: bool) -> tuple[list[bytes], dict[bytes, bytes]]:
-    """The header lines that go on, names with `_` or not, and what routes may ask for; raises Rejected."""
+    """The header lines that go on, names with `_` or not, and what routes may ask for; raises RejectionError."""
     lines: list[bytes] = []
     named: dict[bytes, bytes] = {}
     authority = b""
@@ -446,10 +446,10 @@
             authority = value if name == b":authority" else authority
             continue
         if not value.isascii() or not name.isascii():  # Guards backends that close on what they can't read.
-            raise Rejected(400, "a header is not plain text")
+            raise RejectionError(400, "a header is not plain text")
         before = named.get(name)
         if before is not None and name in PROXY_READ_HEADERS:  # Guards against a backend that reads the other one.
-            raise Rejected(400, "a header comes twice")
+            raise RejectionError(400, "a header comes twice")
         named[name] = value if before is None else before + b", " + value
         if name not in PROXY_SET_HEADERS and name not in mapping.CONNECTION and (underscores or b"_" not in name):
             lines.append(b"%b: %b\r\n" % (name, value))
@@ -556,9 +556,9 @@
         self.move(None)
         try:
             if told.get(b":method") == b"CONNECT":
-                raise Rejected(501, "the method is not served")
+                raise RejectionError(501, "the method is not served")
             stream.begin(event.fields)  # where nothing follows its head, Ended comes right behind
-        except Rejected as fault:
+        except RejectionError as fault:
             self.refuse(stream, fault)
 
     def _go_on(self, stream: Stream, event: Data | Ended | Tail) -> None:
@@ -567,17 +567,17 @@
                 stream.data(event.data, event.size)
             elif isinstance(event, Ended):
                 stream.ended()
-        except Rejected as fault:
+        except RejectionError as fault:
             self.refuse(stream, fault)
 
     def deliver(self, request: Request, stream: Stream) -> None:
         """Hand a request on."""
         try:
             self._handle(request, stream)
-        except Rejected as fault:
+        except RejectionError as fault:
             self.refuse(stream, fault)
 
-    def refuse(self, stream: Stream, fault: Rejected) -> None:
+    def refuse(self, stream: Stream, fault: RejectionError) -> None:
         """Answer what is not served; what a pool may have of it already is given up."""
         stream.reject(fault)
         self.wake()
@@ -664,7 +664,7 @@
         """An honest end of what is still open: each stream gets its answer now."""
         for stream in tuple(self.streams.values()):
             if not stream.answered:
-                self.refuse(stream, Rejected(502, "the proxy leaves"))
+                self.refuse(stream, RejectionError(502, "the proxy leaves"))
 
     def drop(self) -> None:
         """Close it at once."""
@@ -673,6 +673,6 @@
             self._transport.write(self.machine.take())
         super().drop()
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """It has no request that could be answered."""
         self.drop()
--- a/lugspur/interfaces.py
+++ b/lugspur/interfaces.py
@@ -50,7 +50,7 @@
     peer: str  # the remote IP address
 
     def admit(self) -> None:
-        """Accept its request; raises Rejected if there are too many connections."""
+        """Accept its request; raises RejectionError if there are too many connections."""
 
     def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write the final response.
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -16,7 +16,7 @@
 
 from lugspur.http1 import body as bodies
 from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
-from lugspur.http1.request_parser import PLATFORM, Rejected, RequestParser
+from lugspur.http1.request_parser import PLATFORM, RejectionError, RequestParser
 from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ_SIZE
 from lugspur.interfaces import Request
 
@@ -531,7 +531,7 @@
             assert request.stream is not None
             request.stream.mark_forwarded(request.stream.received)
             assert request.stream.buffered <= MAX_REPLAYED + 5000
-    assert isinstance(parser.fault, Rejected)
+    assert isinstance(parser.fault, RejectionError)
     assert parser.fault.status == 413
 
 
