--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy on loopback sockets: what goes on, what comes back, and what a failure means."""
+"""The proxy on loopback sockets: forwarded requests, returned responses, and the outcomes of failures."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 from lugspur.http1.front import Caller
 from lugspur.http1.request_parser import RequestParser
 from lugspur.http1.upstream import STALL_TIMEOUT, Connection, Exchange, Upstream
-from lugspur.http1.upstream import Backend as Known
+from lugspur.http1.upstream import Backend as UpstreamBackend
 from lugspur.interfaces import Response
 from lugspur.load_balancing.adapter import read_settings
 from lugspur.load_balancing.model import Outcome, Reject, Settings
 from lugspur.routing.shares import SharedLimit
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_request_is_forwarded_unchanged_and_response_returned() -> None:
     body = bytes(range(256)) * 256  # 64 KiB
 
     async def play() -> None:
@@ -67,8 +67,8 @@
     asyncio.run(play())
 
 
-def first(answer: bytes | None) -> Any:
-    """A script for several backends: this for the first request, then OK."""
+def respond_first_with(answer: bytes | None) -> Any:
+    """Return a script for several backends: this response to the first request, then OK."""
     left = [answer]
     return lambda _: left.pop() if left else OK
 
@@ -82,7 +82,7 @@
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 502, 1),
         (CLOSE, 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", 502, 1),
-        (b"HTTP/1.1 200 OK\r\n\r\ncut", 200, 1),  # its end is that of its connection (RFC 9112 6.3)
+        (b"HTTP/1.1 200 OK\r\n\r\ncut", 200, 1),  # the end of the connection ends the body (RFC 9112 6.3)
         (b"nonsense cut", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone", 502, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", 502, 1),
@@ -101,9 +101,9 @@
         (b"HTTP/1.1 429 Slow\r\nContent-Length: 0\r\n\r\n", 502, 1),
     ],
 )
-def test_an_unsafe_request_is_sent_again_only_if_it_never_ran(answer: bytes, expected: int, sent: int) -> None:
+def test_unsafe_request_is_retried_only_if_it_never_ran(answer: bytes, expected: int, sent: int) -> None:
     async def play() -> None:
-        script = first(answer)
+        script = respond_first_with(answer)
         async with backend(script) as one, backend(script) as two:
             async with running([entry("a", one.address), entry("b", two.address)]) as up:
                 client = await up.client()
@@ -113,7 +113,7 @@
     asyncio.run(play())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_request_on_refused_connection_is_retried() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as gone:
             pass
@@ -127,7 +127,7 @@
     asyncio.run(play())
 
 
-def test_a_dead_kept_connection_is_no_reason_to_send_again() -> None:
+def test_dead_reused_connection_does_not_cause_retry_of_unsafe_request() -> None:
     async def play() -> None:
         answers = [OK, CLOSE, OK]
         async with backend(lambda _: answers.pop(0)) as one, running([entry("a", one.address)]) as up:
@@ -138,17 +138,17 @@
     asyncio.run(play())
 
 
-def test_the_time_is_kept_when_the_backend_is_silent() -> None:
+def test_timeout_applies_when_backend_is_silent() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
             assert status(await client.ask(book(timeout="0.2"))) == 504
-            await soon(one.ended.get())  # the attempt was given up by closing its connection
+            await soon(one.ended.get())  # the attempt was cancelled by closing its connection
 
     asyncio.run(play())
 
 
-def test_the_time_is_kept_when_the_module_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timeout_applies_when_balancer_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             with monkeypatch.context() as patch:
@@ -160,7 +160,7 @@
     asyncio.run(play())
 
 
-def test_an_exception_of_the_module_fails_one_request(
+def test_exception_of_balancer_fails_one_request(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def fault(*_: object) -> None:
@@ -172,16 +172,16 @@
             for event in ("request", "finish_attempt"):
                 with monkeypatch.context() as patch:
                     patch.setattr(up.proxy.pool.balancer, event, fault)
-                    # An answer that came before the fault stands.
+                    # A response that arrived before the error stands.
                     assert status(await client.ask(book())) == (500 if event == "request" else 200)
             assert status(await client.ask(book(2))) == 200
             assert not up.proxy.pool.calls
 
     asyncio.run(play())
-    assert capsys.readouterr().err.count("RuntimeError: odd") == 1  # the log is no flood
+    assert capsys.readouterr().err.count("RuntimeError: odd") == 1  # the error is logged only once
 
 
-def test_the_time_counts_from_the_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timeout_starts_at_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         deadlines: list[float] = []
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
@@ -203,7 +203,7 @@
     asyncio.run(play())
 
 
-def test_the_modules_clock_is_the_lists_clock() -> None:
+def test_balancer_and_endpoint_list_share_a_clock() -> None:
     async def play() -> None:
         async with running([]) as up:
             assert abs(up.proxy.pool.now() - time.time()) < 5.0
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("change", ["drained", "left", "late"])
-def test_nothing_is_sent_when_the_world_moved_on_while_dialling(change: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_is_not_sent_if_obsolete_after_connecting(change: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             loop = asyncio.get_running_loop()
@@ -247,7 +247,7 @@
     asyncio.run(play())
 
 
-def test_a_caller_that_leaves_takes_its_attempt_along() -> None:
+def test_attempt_is_cancelled_when_caller_disconnects() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -261,26 +261,26 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "changed",
     [
         {"since_ms": 5_000},
         {"status": "terminated"},
         {"address": f"{HOST}:9"},
     ],
 )
-def test_idle_connections_to_a_process_that_is_no_more_are_closed(told: dict[str, Any]) -> None:
+def test_idle_connections_to_replaced_process_are_closed(changed: dict[str, Any]) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
             assert status(await client.ask(book())) == 200
             assert one.ended.empty()
-            up.tell([entry("a", one.address) | told])
+            up.tell([entry("a", one.address) | changed])
             await soon(one.ended.get())
 
     asyncio.run(play())
 
 
-def test_healthz_is_ready_only_with_the_list() -> None:
+def test_healthz_is_ready_only_with_endpoint_list() -> None:
     async def play() -> None:
         async with watches() as registry, backend(lambda _: OK) as one:
             async with running([], discovery=registry.port) as up:
@@ -296,7 +296,7 @@
     asyncio.run(play())
 
 
-def test_a_watch_that_ends_is_resumed_where_it_was() -> None:
+def test_ended_watch_resumes_at_its_index() -> None:
     async def play() -> None:
         async with watches() as registry, running([], discovery=registry.port) as up:
             await soon(registry.asked.get())
@@ -307,13 +307,13 @@
             assert await soon(registry.asked.get()) == "/v1/servers?follow=1&since=12"
             registry.say(13, [entry("b", f"{HOST}:2")], snapshot=True)
             await until(lambda: sum(b.in_service for b in up.proxy.pool.backends.values()) == 1)
-            registry.say(14, [entry("a", "nowhere")])  # malformed: the list stays, the watch is renewed
+            registry.say(14, [entry("a", "nowhere")])  # malformed: the list is kept, the watch is renewed
             assert await soon(registry.asked.get()) == "/v1/servers?follow=1&since=13"
 
     asyncio.run(play())
 
 
-def test_a_refusal_says_when_to_come_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rejection_has_retry_after(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with running([]) as up:
             client = await up.client()
@@ -326,17 +326,17 @@
 
 
 class Exchanges:
-    """Exchanges of one pool, and how each ended."""
+    """The exchanges of one pool and the outcome of each."""
 
     def __init__(self, one: Backend, most: int = 9, conn_idle: float = 60.0) -> None:
         self.upstream = Upstream(SharedLimit(most, {}), "", conn_idle, WIDE, 8 << 20)
         host, _, port = one.address.rpartition(":")
-        self.known = Known((host, int(port)))
+        self.known = UpstreamBackend((host, int(port)))
         self.upstream.update(self.known, self.known.address, 0.0, True)
         self.ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
     def start(self, data: bytes = b"") -> Exchange:
-        """Start one."""
+        """Start an exchange."""
 
         def report(exchange: Exchange, outcome: Outcome, response: Response | None) -> None:
             self.ended.put_nowait(outcome)
@@ -347,7 +347,7 @@
         return exchange
 
 
-def test_a_cancel_closes_the_connection_and_ends_it_once() -> None:
+def test_cancel_closes_connection_and_reports_one_outcome() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one:
             exchanges = Exchanges(one)
@@ -362,7 +362,7 @@
     asyncio.run(play())
 
 
-def test_a_request_that_did_not_go_out_whole_never_ran() -> None:
+def test_partly_sent_request_never_ran() -> None:
     async def play() -> None:
         async def shut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read(1)
@@ -372,23 +372,23 @@
         one = Backend(lambda _: None)
         one.address = f"{HOST}:{server.sockets[0].getsockname()[1]}"
         exchanges = Exchanges(one)
-        exchanges.start(b"x" * (64 << 20))  # more than the sockets hold
+        exchanges.start(b"x" * (64 << 20))  # more than the socket buffers take
         assert await soon(exchanges.ended.get()) is Outcome.UNREACHABLE
         server.close()
 
     asyncio.run(play())
 
 
-def test_the_limit_on_connections() -> None:
+def test_connection_limit_of_pool() -> None:
     async def play() -> None:
         async with backend(lambda request: OK if b"id1" in request else None) as one:
             exchanges = Exchanges(one, most=1)
             exchanges.start(book(1))
             assert await soon(exchanges.ended.get()) is Outcome.OK
-            other = Known(exchanges.known.address)
+            other = UpstreamBackend(exchanges.known.address)
             exchanges.upstream.update(other, other.address, 0.0, True)
             exchanges.known = other
-            exchanges.start(book(2))  # the idle connection to the first makes room
+            exchanges.start(book(2))  # the idle connection to the first backend is closed for it
             await soon(one.ended.get())
             exchanges.start(book(3))
             assert await soon(exchanges.ended.get()) is Outcome.UNREACHABLE
@@ -396,7 +396,7 @@
     asyncio.run(play())
 
 
-def test_the_most_recent_connection_is_used_and_old_ones_are_dropped() -> None:
+def test_most_recent_connection_is_reused_and_old_ones_are_closed() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             exchanges = Exchanges(one)
@@ -417,7 +417,7 @@
     asyncio.run(play())
 
 
-def test_an_exchange_that_has_ended_writes_nothing() -> None:
+def test_ended_exchange_sends_nothing() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             exchanges = Exchanges(one)
@@ -435,7 +435,7 @@
     asyncio.run(play())
 
 
-def test_an_answer_that_nobody_asked_for_serves_nobody() -> None:
+def test_unsolicited_response_is_dropped() -> None:
     async def play() -> None:
         async with backend(lambda _: OK + OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -445,7 +445,7 @@
     asyncio.run(play())
 
 
-def test_what_must_not_run_twice_gets_a_new_connection() -> None:
+def test_unsafe_request_gets_new_connection() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -455,12 +455,12 @@
             for number in range(3, 6):
                 assert status(await client.ask(book(number))) == 200
             assert len(one.open) == 4
-            await until(lambda: one.ended.qsize() == 2)  # no more than two are kept
+            await until(lambda: one.ended.qsize() == 2)  # no more than two idle connections are kept
 
     asyncio.run(play())
 
 
-def test_after_a_dead_kept_connection_none_is_kept_for_a_while() -> None:
+def test_reuse_is_suspended_after_dead_reused_connection() -> None:
     async def play() -> None:
         answers = [OK, OK, CLOSE, OK, OK]
         async with backend(lambda _: answers.pop(0)) as one:
@@ -473,15 +473,15 @@
     asyncio.run(play())
 
 
-def test_a_connection_with_something_unread_is_not_used_again() -> None:
+def test_connection_with_unread_input_is_not_reused() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             exchanges = Exchanges(one)
             exchanges.start()
             assert await soon(exchanges.ended.get()) is Outcome.OK
             [idle] = exchanges.known.idle
-            # As in a busy moment:
-            asyncio.get_running_loop().remove_reader(idle.sock.fileno())  # what comes now stays unread
+            # As on a busy loop, input stays unread from here on.
+            asyncio.get_running_loop().remove_reader(idle.sock.fileno())
             one.open[0].write(OK)
             await until(lambda: not idle.usable())
             exchanges.start()
@@ -491,14 +491,14 @@
     asyncio.run(play())
 
 
-def test_a_request_that_backends_reject_is_not_held_against_them() -> None:
+def test_client_errors_do_not_count_against_backends() -> None:
     async def play() -> None:
         async with backend(lambda _: b"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n") as one:
             async with running([entry("a", one.address)]) as up:
                 client = await up.client()
                 for number in range(30):
                     assert status(await client.ask(read(number))) == 400
-                assert one.got.qsize() == 30  # neither sent again nor refused by the breaker
+                assert one.got.qsize() == 30  # neither retried nor rejected by the circuit breaker
                 assert (
                     not up.proxy.pool.calls and not up.proxy.pool.balancer.requests and not up.proxy._open_request_ids
                 )
@@ -506,7 +506,7 @@
     asyncio.run(play())
 
 
-def test_backends_that_are_gone_are_forgotten() -> None:
+def test_terminated_backends_are_removed() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -520,11 +520,11 @@
     asyncio.run(play())
 
 
-def test_nothing_of_a_connection_outlives_it() -> None:
+def test_closed_connections_leave_no_objects() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             gc.collect()
-            gc.disable()  # what only a collection would free counts as kept
+            gc.disable()  # objects that only a collection would free count as leaked
             try:
                 kinds = (Caller, RequestParser, Call, Exchange, Connection)
                 for number in range(20):
@@ -543,7 +543,7 @@
     asyncio.run(play())
 
 
-def test_a_proxy_with_no_list_at_all_starts() -> None:
+def test_proxy_starts_without_endpoint_list() -> None:
     async def play() -> None:
         proxy = Proxy(config([]))
         assert not proxy.front.healthy()
@@ -551,17 +551,17 @@
     asyncio.run(play())
 
 
-def altered(**changed: Any) -> Settings:
-    """The usual settings with these changed."""
+def settings_with(**changed: Any) -> Settings:
+    """Return the usual settings with these changed."""
     return read_settings(WIRE | changed)
 
 
-def test_spoilt_answers_are_no_reason_to_refuse() -> None:
+def test_malformed_responses_do_not_cause_rejections() -> None:
     async def play() -> None:
         answers = [OK, OK, b"nonsense"] * 20
         services = [row | {"Credit": 5.0 if row["Name"] == "read" else 1.0} for row in WIRE["Services"]]
         async with backend(lambda _: answers.pop()) as one:
-            async with running([entry("a", one.address)], settings=altered(Services=services)) as up:
+            async with running([entry("a", one.address)], settings=settings_with(Services=services)) as up:
                 client = await up.client()
                 got = [status(await client.ask(book(number))) for number in range(60)]
                 assert got == [502, 200, 200] * 20
@@ -569,11 +569,12 @@
     asyncio.run(play())
 
 
-def test_a_busy_slice_does_not_hold_what_an_idle_server_could_do() -> None:
+def test_idle_server_outside_busy_subset_is_used() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, backend(lambda _: None) as two:
             listed = [entry("a", one.address), entry("b", two.address)]
-            async with running(listed, settings=altered(Instances=2)) as up:  # a slice of one
+            # Each instance has one of the two servers.
+            async with running(listed, settings=settings_with(Instances=2)) as up:
                 clients = [await up.client() for _ in range(2)]
                 for number, client in enumerate(clients):
                     client.writer.write(book(number))
@@ -582,13 +583,13 @@
     asyncio.run(play())
 
 
-def test_what_must_not_run_twice_shuns_a_server_that_mostly_fails() -> None:
+def test_unsafe_requests_avoid_failing_server() -> None:
     async def play() -> None:
-        services = [row | {"Aim": 0.001} for row in WIRE["Services"]]  # an error looks as late as an answer
+        services = [row | {"Aim": 0.001} for row in WIRE["Services"]]  # an error counts as late as a response
         bad = b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"
         async with backend(lambda _: bad) as one, backend(lambda _: OK) as two:
             listed = [entry("a", one.address), entry("b", two.address)]
-            async with running(listed, settings=altered(Services=services)) as up:
+            async with running(listed, settings=settings_with(Services=services)) as up:
                 client = await up.client()
                 got = [status(await client.ask(book(number))) for number in range(24)]
                 assert got.count(502) <= 4 and got.count(502) + got.count(200) == 24
@@ -597,13 +598,13 @@
     asyncio.run(play())
 
 
-def test_an_answer_larger_than_a_request_may_be_is_passed_on() -> None:
+def test_response_larger_than_request_limit_is_returned() -> None:
     async def play() -> None:
         body = bytes(range(256)) * 1400  # 350 KB
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         async with backend(lambda _: answer) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
-            for number in range(40):  # together more than is held at once: what has been passed on is let go
+            for number in range(40):  # more than the buffer limit in total: forwarded bytes are released
                 got = await client.ask(book(number))
                 assert status(got) == 200 and got.endswith(b"\r\n\r\n" + body)
             assert up.proxy.pool.upstream.buffered_bytes == 0
@@ -611,11 +612,12 @@
     asyncio.run(play())
 
 
-def test_large_answers_can_not_fill_the_memory() -> None:
+def test_large_responses_are_limited_by_memory() -> None:
     async def play() -> None:
-        part = b"HTTP/1.1 500 Oh\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000  # none that is passed on
+        # An error response is not streamed.
+        part = b"HTTP/1.1 500 Oh\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 900000
         async with backend(lambda _: part) as one:
-            async with running([entry("a", one.address)], memory=2 << 20) as up:  # 256 KiB for answers
+            async with running([entry("a", one.address)], memory=2 << 20) as up:  # 256 KiB for responses
                 client = await up.client()
                 assert status(await client.ask(book())) == 502
                 await until(lambda: up.proxy.pool.upstream.buffered_bytes == 0)
@@ -624,9 +626,9 @@
 
 
 @pytest.mark.parametrize("part", [OK[:12], OK[:-2]])
-def test_an_answer_that_never_ends_leaves_time_for_another_try(part: bytes) -> None:
+def test_stalled_response_leaves_time_for_retry(part: bytes) -> None:
     async def play() -> None:
-        script = first(part)
+        script = respond_first_with(part)
         async with backend(script) as one, backend(script) as two:
             async with running([entry("a", one.address), entry("b", two.address)]) as up:
                 client = await up.client()
@@ -637,7 +639,7 @@
 
 
 @pytest.mark.parametrize(("request_bytes", "begins"), [(book(), OK[:-2]), (read(), b"HTTP/1.1 102 Processing\r\n\r\n")])
-def test_a_slow_answer_is_waited_for(request_bytes: bytes, begins: bytes) -> None:
+def test_slow_response_to_unsafe_request_is_awaited(request_bytes: bytes, begins: bytes) -> None:
     async def play() -> None:
         async with backend(lambda _: begins) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -650,7 +652,7 @@
     asyncio.run(play())
 
 
-def test_a_name_is_looked_up_and_its_addresses_are_tried_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_host_name_is_resolved_and_addresses_tried_in_turn(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, backend(lambda _: OK) as gone:
             pass
@@ -672,7 +674,7 @@
 
 
 @pytest.mark.parametrize("how", ["unknown", "cancelled"])
-def test_a_name_that_is_not_found_or_no_longer_wanted_leaves_nothing(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_or_cancelled_name_resolution_leaves_no_socket(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         asked = asyncio.Event()
 
@@ -698,8 +700,8 @@
     asyncio.run(play())
 
 
-def test_a_connection_that_never_comes_up_is_given_up_in_time() -> None:
-    """A full accept queue answers nothing, as a machine that is cut off does."""
+def test_connection_attempt_times_out() -> None:
+    """A full accept queue doesn't respond, like a machine that is cut off."""
 
     async def play() -> None:
         with socket.socket() as full:
@@ -709,23 +711,23 @@
             for filler in fillers:
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
-            told: list[tuple[int, bool]] = []
-            pool = Upstream(SharedLimit(9, {}), "", 60.0, 0.2, 1 << 20, on_dialled=lambda *what: told.append(what))
-            known, ended = Known(full.getsockname(), 7), asyncio.Queue[Outcome]()
+            dialled: list[tuple[int, bool]] = []
+            pool = Upstream(SharedLimit(9, {}), "", 60.0, 0.2, 1 << 20, on_dialled=lambda *what: dialled.append(what))
+            known, ended = UpstreamBackend(full.getsockname(), 7), asyncio.Queue[Outcome]()
             pool.update(known, known.address, 0.0, True)
             now = asyncio.get_running_loop().time()
             pool.start(Exchange(known, now, now + 3 * WIDE, lambda left: b"", lambda _, how, __: ended.put_nowait(how)))
             assert await soon(ended.get()) is Outcome.UNREACHABLE
-            assert pool.sockets() == 0 and told == [(7, False)]
+            assert pool.sockets() == 0 and dialled == [(7, False)]
             for filler in fillers:
                 filler.close()
 
     asyncio.run(play())
 
 
-def test_a_request_larger_than_the_sockets_room_goes_out_whole() -> None:
+def test_request_larger_than_socket_buffer_is_sent_whole() -> None:
     async def play() -> None:
-        gate, body = asyncio.Event(), random.Random(1).randbytes(8 << 20)  # no two parts alike
+        gate, body = asyncio.Event(), random.Random(1).randbytes(8 << 20)  # no repeated part
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await gate.wait()
@@ -739,7 +741,7 @@
             exchange = exchanges.start(body)
             await until(lambda: exchange.connection is not None)
             connection = exchange.connection
-            assert connection is not None and not connection.request_sent  # not yet: it surely has not run
+            assert connection is not None and not connection.request_sent  # so the request certainly has not run
             gate.set()
             assert await soon(exchanges.ended.get()) is Outcome.OK
             assert connection.request_sent
@@ -751,17 +753,15 @@
 @pytest.mark.parametrize(
     "sent", [b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nno request\r\n\r\n", b"GET /heal"], ids=["behind", "slow"]
 )
-def test_a_caller_that_has_gone_by_the_end_of_its_rejection_harms_nothing(
-    sent: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    def not_connected(_: asyncio.Transport) -> None:  # as the system says once a reset has come
+def test_disconnect_during_rejection_raises_nothing(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    def not_connected(_: asyncio.Transport) -> None:  # as the system reports after a reset
         raise OSError(errno.ENOTCONN, "Transport endpoint is not connected")
 
     monkeypatch.setattr("asyncio.selector_events._SelectorSocketTransport.write_eof", not_connected)
 
     async def play() -> None:
-        told: list[dict[str, Any]] = []
-        asyncio.get_running_loop().set_exception_handler(lambda _, context: told.append(context))
+        contexts: list[dict[str, Any]] = []
+        asyncio.get_running_loop().set_exception_handler(lambda _, context: contexts.append(context))
         async with running([]) as up:
             up.proxy.front.first_request_timeout = up.proxy.front.request_head_timeout = 0.1
             client = await up.client()
@@ -769,6 +769,6 @@
             await until(lambda: up.proxy.front.rejections.total() == 1)
             client.writer.close()
             await until(lambda: not up.proxy.front.callers)
-        assert not told, told
+        assert not contexts, contexts
 
     asyncio.run(play())
