--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The callers' side on loopback sockets: odd requests, limits, start and shutdown."""
+"""The listener for callers on loopback sockets: invalid requests, limits, start and shutdown."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
         (b"".join(read(number) for number in range(200)), 400),
     ],
 )
-def test_odd_requests_get_one_answer_and_the_proxy_goes_on(request_: bytes, expected: int) -> None:
+def test_request_gets_one_response_and_proxy_continues(request_: bytes, expected: int) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -102,7 +102,7 @@
     asyncio.run(play())
 
 
-def test_split_kept_and_back_to_back_requests_are_answered_in_order() -> None:
+def test_split_and_pipelined_requests_are_answered_in_order() -> None:
     async def play() -> None:
         def script(request: bytes) -> bytes:
             return b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + request[request.index(b"id") + 2 :][:1]
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"\r\n", b"POST /api/k HT", book(body=b"room")[:-1], CHUNKED[:-4]])
-def test_a_caller_that_does_not_finish_is_let_go(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_request_times_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -138,7 +138,7 @@
     asyncio.run(play())
 
 
-def test_an_idle_caller_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -150,10 +150,10 @@
     asyncio.run(play())
 
 
-def test_half_bodies_may_not_fill_the_memory() -> None:
+def test_incomplete_bodies_are_limited_by_memory() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
-            async with running([entry("a", one.address)], memory=400 << 10) as up:  # 100 KiB for half bodies
+            async with running([entry("a", one.address)], memory=400 << 10) as up:  # 100 KiB for incomplete bodies
                 whole = [book(number, body=b"x" * (60 << 10)) for number in range(2)]
                 first, second = await up.client(), await up.client()
                 first.writer.write(whole[0][:-1])
@@ -166,7 +166,7 @@
     asyncio.run(play())
 
 
-def test_silent_callers_make_room_before_good_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_are_closed_before_good_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             async with running([entry("a", one.address)], sockets=48 + 8) as up:  # 4 callers
@@ -177,7 +177,7 @@
                 await until(lambda: bool(front.reading))
                 bad = await up.client()
                 assert status(await bad.ask(b"nonsense\r\n\r\n")) == 400
-                silent = [await up.client() for _ in range(12)]  # far more than there is room for
+                silent = [await up.client() for _ in range(12)]  # far more than the limit
                 await until(lambda: not front.leaving and len(front.callers) == 4)
                 for client in silent[:-2]:
                     assert await soon(client.reader.read()) == b""
@@ -190,7 +190,7 @@
     asyncio.run(play())
 
 
-def test_an_id_that_is_open_here_is_not_passed_on() -> None:
+def test_open_request_id_is_not_forwarded_again() -> None:
     async def play() -> None:
         async with backend(lambda _: None) as one, running([entry("a", one.address)]) as up:
             client, other = await up.client(), await up.client()
@@ -200,13 +200,13 @@
             for writer in one.open:
                 writer.write(OK)
             assert status(await client.answer()) == 200
-            client.writer.write(book(1))  # not open any more
+            client.writer.write(book(1))  # the first request is complete
             assert b"id1" in await soon(one.got.get())
 
     asyncio.run(play())
 
 
-def test_what_connection_names_and_trailers_end_here() -> None:
+def test_connection_options_and_trailers_are_not_forwarded() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -223,7 +223,7 @@
     asyncio.run(play())
 
 
-def test_answers_that_are_not_read_hold_up_further_requests() -> None:
+def test_unread_responses_delay_further_requests() -> None:
     async def play() -> None:
         large = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
         async with backend(lambda _: large) as one, running([entry("a", one.address)]) as up:
@@ -244,7 +244,7 @@
     asyncio.run(play())
 
 
-def test_the_limit_on_callers() -> None:
+def test_limit_on_callers() -> None:
     async def play() -> None:
         async with backend(lambda request: OK if b"id1" in request else None) as one:
             async with running([entry("a", one.address)], sockets=48 + 8) as up:  # 4 callers
@@ -255,7 +255,7 @@
                     busy.append(await up.client())
                     busy[-1].writer.write(book(20 + number))
                     await soon(one.got.get())
-                assert await soon(idle.reader.read()) == b"", "the idle one made no room"
+                assert await soon(idle.reader.read()) == b"", "the idle connection was not closed"
                 refused = await (await up.client()).ask(book(3))
                 assert status(refused) == 503 and b"Connection: close\r\n" in refused
                 busy[0].writer.close()
@@ -288,7 +288,7 @@
 
 
 async def up_and_ready(port: int) -> None:
-    """Wait until a process answers that it is ready."""
+    """Wait until a process responds that it is ready."""
     async with asyncio.timeout(WIDE):
         while True:
             try:
@@ -300,7 +300,7 @@
             await asyncio.sleep(0.02)
 
 
-def test_what_was_taken_is_finished_after_sigterm(tmp_path: Path) -> None:
+def test_accepted_requests_finish_after_sigterm(tmp_path: Path) -> None:
     async def play() -> None:
         async with watches() as registry, backend(lambda _: None) as one:
             port = free_port()
@@ -313,7 +313,7 @@
             early.writer.write(book(1, timeout="15"))
             await soon(one.got.get())
             process.send_signal(signal.SIGTERM)
-            late = await connect(port)  # new connections still come for a moment
+            late = await connect(port)  # new connections are still accepted for a moment
             late.writer.write(book(2, timeout="15"))
             await soon(one.got.get())
             assert await soon(idle.reader.read()) == b""
@@ -327,7 +327,7 @@
     asyncio.run(play())
 
 
-def test_sighup_moves_the_watch_and_loses_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_watch_without_lost_updates(tmp_path: Path) -> None:
     async def play() -> None:
         async with watches() as old, watches() as new, backend(lambda _: OK) as one:
             port, path = free_port(), tmp_path / "c.json"
@@ -340,14 +340,14 @@
             old.say(4, [entry("b", f"{HOST}:9", "terminating")])
             await up_and_ready(port)
             path.write_text("{")
-            process.send_signal(signal.SIGHUP)  # can't be read: one line, and all stays
+            process.send_signal(signal.SIGHUP)  # unreadable: one line is logged and the configuration stays
             assert (await soon(process.stderr.readline())).startswith(b"lugspur: reload: ")
             environment(path, f"{HOST}:{port}", f"{HOST}:{new.port}", [])
             for _ in range(3):
                 process.send_signal(signal.SIGHUP)
             assert await soon(new.asked.get()) == "/v1/servers?follow=1&since=0"
-            assert old.ended.empty(), "the old watch went before the new one told anything"
-            old.say(5, [entry("a", one.address)])  # still counts
+            assert old.ended.empty(), "the old watch ended before the new one delivered anything"
+            old.say(5, [entry("a", one.address)])  # the old watch still counts
             client = await connect(port)
             number = 0
             while status(await client.ask(read(number := number + 1))) != 200:
@@ -363,7 +363,7 @@
     asyncio.run(play())
 
 
-def test_a_proxy_out_of_descriptors_complains_little_and_recovers(tmp_path: Path) -> None:
+def test_proxy_out_of_file_descriptors_logs_little_and_recovers(tmp_path: Path) -> None:
     async def play() -> None:
         port = free_port()
         env = environment(tmp_path / "c.json", f"{HOST}:{port}", f"{HOST}:9", [entry("a", f"{HOST}:9")])
@@ -395,14 +395,14 @@
 }
 
 
-def test_a_drain_takes_what_is_queued_and_what_still_comes() -> None:
+def test_drain_serves_queued_and_new_connections() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             front = Proxy(config([entry("a", one.address)])).front
             listener = await front.listen()
             port = listener.getsockname()[1]
             ending = asyncio.create_task(drain(front, listener))
-            await asyncio.sleep(0)  # the drain has begun
+            await asyncio.sleep(0)  # lets the drain begin
             client = await connect(port)
             assert status(await client.ask(book(1))) == 200
             assert status(await client.ask(b"GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n")) == 503
@@ -414,7 +414,7 @@
     asyncio.run(play())
 
 
-def test_closing_the_listener_loses_nothing_that_is_queued() -> None:
+def test_closing_listener_keeps_queued_connections() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             front = Proxy(config([entry("a", one.address)])).front
@@ -429,7 +429,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{}", "[]", '{"settings":{}}', json.dumps(ODD_LIST)])
-def test_a_bad_configuration_ends_with_one_plain_line(tmp_path: Path, text: str) -> None:
+def test_invalid_configuration_ends_with_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "c.json"
     path.write_text(text)
     env = {key: value for key, value in os.environ.items() if not key.startswith("RELAY_")}
