--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Large bodies both ways, on loopback: at the pace of the slower side, in little memory, and never doubled."""
+"""Large bodies in both directions on loopback: at the pace of the slower side, in little memory, without duplicates."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @asynccontextmanager
 async def box(serve: Serve) -> AsyncIterator[str]:
-    """A backend that does as it likes with each connection: its address."""
+    """Run a backend that handles each connection with `serve`; yields its address."""
     tasks = set()
 
     async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -52,7 +52,7 @@
 
 
 async def request_of(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """A request's head, and its body however it is framed."""
+    """Read a request; returns its head and its body in either framing."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     if b"chunked" in head:
         body = b""
@@ -68,8 +68,8 @@
     return head, await reader.readexactly(length)
 
 
-async def digest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answers each request with its body's hash."""
+async def respond_with_digest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Respond to each request with the hash of its body."""
     while True:
         _, body = await request_of(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + hashlib.sha256(body).hexdigest().encode())
@@ -86,54 +86,54 @@
     "size", [MAX_BUFFERED_BODY - 1, MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, WINDOW + MAX_BUFFERED_BODY, LARGE]
 )
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks"])
-def test_a_body_of_any_size_and_form_arrives_as_it_was(size: int, form: str) -> None:
+def test_request_body_arrives_unchanged(size: int, form: str) -> None:
     async def play() -> None:
         body = noise(size)
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body) if form == "length" else chunked(body, 100_000 if form == "chunks" else 700)
             answer = await client.ask(sent)
             assert answer.endswith(hashlib.sha256(body).hexdigest().encode())
-            assert status(await client.ask(book(2))) == 200  # the connection goes on
+            assert status(await client.ask(book(2))) == 200  # the connection stays usable
             assert up.proxy.front.buffered_bytes == 0
             assert not up.proxy.pool.calls
 
     asyncio.run(play())
 
 
-def test_a_slow_body_is_waited_for_and_its_time_counts_from_its_last_byte() -> None:
+def test_timeout_of_slow_body_starts_at_last_byte() -> None:
     async def play() -> None:
         body = noise(MAX_BUFFERED_BODY + 40_000)
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body, timeout="0.3")
             for at in range(0, len(sent), 4096):
                 client.writer.write(sent[at : at + 4096])
-                await asyncio.sleep(0.02)  # longer than the request may take, all in all
+                await asyncio.sleep(0.02)  # in total longer than the timeout of the request
             assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
     asyncio.run(play())
 
 
-def test_a_body_that_stops_is_cut_off_and_its_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_body_is_rejected_and_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lugspur.http1.front.BODY_RATE_GRACE", 0.0)
     monkeypatch.setattr("lugspur.http1.front.MIN_BODY_RATE", 1 << 30)
 
     async def play() -> None:
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             up.proxy.front.request_head_timeout = 0.2
             client = await up.client()
             client.writer.write(book(body=noise(LARGE))[: MAX_BUFFERED_BODY + 20_000])
             assert status(await client.answer()) == 408
             assert not up.proxy.pool.calls
-            assert up.proxy.pool.upstream.sockets() == 0  # what an unfinished upload leaves is not used again
+            assert up.proxy.pool.upstream.sockets() == 0  # a connection with an incomplete request is not reused
 
     asyncio.run(play())
 
 
-def test_a_caller_that_leaves_in_the_middle_of_its_body_leaves_nothing() -> None:
+def test_disconnect_during_body_releases_everything() -> None:
     async def play() -> None:
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             client.writer.write(book(body=noise(LARGE))[: 2 * MAX_BUFFERED_BODY])
             await until(lambda: bool(up.proxy.pool.calls))
@@ -144,7 +144,7 @@
     asyncio.run(play())
 
 
-def test_an_attempt_that_broke_before_too_much_had_gone_is_followed_by_another() -> None:
+def test_attempt_is_retried_while_body_is_buffered() -> None:
     async def play() -> None:
         body, seen = noise(MAX_BUFFERED_BODY + 5000), []
 
@@ -152,8 +152,8 @@
             seen.append(await reader.readuntil(b"\r\n\r\n"))
             if len(seen) > 1:
                 got = await reader.readexactly(len(body))
-                told = hashlib.sha256(got).hexdigest().encode()
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + told)
+                digest = hashlib.sha256(got).hexdigest().encode()
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + digest)
                 await writer.drain()
 
         async with box(break_first) as one, box(break_first) as two:
@@ -161,14 +161,15 @@
                 client = await up.client()
                 sent = book(body=body)
                 client.writer.write(sent[:-4000])
-                await until(lambda: len(seen) == 2)  # the first never ran: an unsafe request goes elsewhere
+                # The first attempt never ran, so an unsafe request is retried elsewhere.
+                await until(lambda: len(seen) == 2)
                 client.writer.write(sent[-4000:])
                 assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
     asyncio.run(play())
 
 
-def test_an_attempt_that_broke_later_is_not_and_the_caller_may_come_again() -> None:
+def test_attempt_is_not_retried_after_body_was_dropped() -> None:
     async def play() -> None:
         seen = []
 
@@ -180,7 +181,7 @@
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 client.writer.write(book(body=noise(LARGE))[: MAX_REPLAYED + 2 * MAX_BUFFERED_BODY])
-                assert status(await client.answer()) == 503  # it never ran, for sure
+                assert status(await client.answer()) == 503  # the request certainly never ran
                 assert len(seen) == 1
 
     asyncio.run(play())
@@ -190,11 +191,11 @@
     ("answer", "expected"),
     [
         (b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", 503),
-        (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 503),  # before the last byte: it never ran
+        (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 503),  # before the last byte, so the request never ran
         (OK, 200),
     ],
 )
-def test_an_answer_before_the_bodys_end_is_passed_on_and_the_rest_is_dropped(answer: bytes, expected: int) -> None:
+def test_early_response_is_forwarded_and_rest_of_body_dropped(answer: bytes, expected: int) -> None:
     async def play() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -207,7 +208,7 @@
             sent = book(body=noise(LARGE))
             client.writer.write(sent[: 4 * MAX_BUFFERED_BODY])
             assert status(await client.answer()) == expected
-            client.writer.write(sent[4 * MAX_BUFFERED_BODY :])  # it did not know yet
+            client.writer.write(sent[4 * MAX_BUFFERED_BODY :])  # the client has not seen the response yet
             client.writer.write_eof()
             assert await soon(client.reader.read()) == b""
             assert not up.proxy.pool.calls
@@ -215,8 +216,8 @@
     asyncio.run(play())
 
 
-def large(size: int, head: str = "length") -> Serve:
-    """Answers each request with so many bytes."""
+def large_response(size: int, head: str = "length") -> Serve:
+    """Return a handler that responds to each request with `size` bytes."""
     body = noise(size)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -240,8 +241,8 @@
     return serve
 
 
-async def answer_of(client: Client) -> tuple[bytes, bytes]:
-    """An answer's head, and its body however it is framed."""
+async def read_response(client: Client) -> tuple[bytes, bytes]:
+    """Read a response; returns its head and its body in any framing."""
     head = (await soon(client.reader.readuntil(b"\r\n\r\n"))).lower()
     if b"chunked" in head:
         body = b""
@@ -257,7 +258,7 @@
 
 
 @pytest.mark.parametrize("head", ["length", "chunks"])
-def test_a_large_answer_before_the_bodys_end_is_passed_on_whole_and_alone(head: str) -> None:
+def test_large_early_response_is_forwarded_whole(head: str) -> None:
     async def play() -> None:
         answer = noise(8 * MAX_BUFFERED_BODY)
 
@@ -274,10 +275,10 @@
         async with box(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
             client.writer.write(book(body=noise(LARGE))[: 4 * MAX_BUFFERED_BODY])
-            told, body = await answer_of(client)
-            assert told.startswith(b"http/1.1 200 ")
+            response_head, body = await read_response(client)
+            assert response_head.startswith(b"http/1.1 200 ")
             assert body == answer
-            assert b"connection: close" in told
+            assert b"connection: close" in response_head
             client.writer.write_eof()
             assert await soon(client.reader.read()) == b""
             await until(lambda: not up.proxy.pool.calls)
@@ -289,26 +290,26 @@
 @pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, LARGE])
 @pytest.mark.parametrize("head", ["length", "chunks", "end"])
 @pytest.mark.parametrize("request_", [read(), book()], ids=["safe", "unsafe"])
-def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, request_: bytes) -> None:
+def test_response_body_arrives_unchanged(size: int, head: str, request_: bytes) -> None:
     async def play() -> None:
-        async with box(large(size, head)) as address, running([entry("a", address)]) as up:
+        async with box(large_response(size, head)) as address, running([entry("a", address)]) as up:
             client = await up.client()
             for _ in range(2):
                 client.writer.write(request_)
-                _, body = await answer_of(client)
+                _, body = await read_response(client)
                 assert body == noise(size)
             await until(lambda: not up.proxy.pool.calls)
             assert up.proxy.pool.upstream.streamed_bytes == 0
             old = await up.client()
             old.writer.write(request_.replace(b"HTTP/1.1", b"HTTP/1.0"))
-            told, body = await answer_of(old)
+            response_head, body = await read_response(old)
             assert body == noise(size)
-            assert b"chunked" not in told
+            assert b"chunked" not in response_head
 
     asyncio.run(play())
 
 
-def test_a_large_answer_is_begun_before_its_end_and_no_deadline_ends_it() -> None:
+def test_large_response_is_streamed_beyond_deadline() -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -331,7 +332,7 @@
     asyncio.run(play())
 
 
-def test_an_answer_that_breaks_off_can_be_told_from_a_whole_one() -> None:
+def test_truncated_response_is_distinguishable() -> None:
     async def play() -> None:
         async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head, _ = await request_of(reader)
@@ -344,7 +345,7 @@
             for number in (1, 2):
                 client = await up.client()
                 client.writer.write(book(number))
-                got = await soon(client.reader.read())  # to its end: the connection is closed
+                got = await soon(client.reader.read())  # until the connection is closed
                 assert got.count(b"a" * 1000) >= 100
                 assert not got.endswith(b"0\r\n\r\n")
             assert not up.proxy.pool.calls
@@ -352,7 +353,7 @@
     asyncio.run(play())
 
 
-def test_a_short_answer_with_a_long_length_is_spoilt_and_tried_again() -> None:
+def test_short_response_with_long_length_is_retried() -> None:
     async def play() -> None:
         seen = []
 
@@ -375,7 +376,7 @@
     asyncio.run(play())
 
 
-def test_callers_that_read_nothing_hold_little_and_hold_up_nobody() -> None:
+def test_callers_that_read_nothing_use_little_memory_and_delay_nobody() -> None:
     async def play() -> None:
         async def both(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -410,7 +411,7 @@
     asyncio.run(play())
 
 
-def test_slow_backends_hold_up_their_callers_bodies() -> None:
+def test_slow_backend_pauses_request_body() -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -418,7 +419,7 @@
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             await go.wait()
             reader._transport.resume_reading()  # type: ignore[attr-defined]
-            await digest(reader, writer)
+            await respond_with_digest(reader, writer)
 
         async with box(stuck) as address, running([entry("a", address)]) as up:
             client: Client = await up.client()
@@ -433,13 +434,16 @@
     asyncio.run(play())
 
 
-def test_five_hundred_rounds_leave_nothing() -> None:
+def test_five_hundred_large_exchanges_leave_no_buffered_bytes() -> None:
     async def play() -> None:
-        async with box(large(MAX_BUFFERED_BODY + 500)) as address, running([entry("a", address)]) as up:
+        async with (
+            box(large_response(MAX_BUFFERED_BODY + 500)) as address,
+            running([entry("a", address)]) as up,
+        ):
             client = await up.client()
             for number in range(500):
                 client.writer.write(book(number, body=noise(MAX_BUFFERED_BODY + 300)))
-                _, body = await answer_of(client)
+                _, body = await read_response(client)
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
             counted = (front.buffered_bytes, upstream.buffered_bytes, upstream.streamed_bytes, len(up.proxy.pool.calls))
@@ -450,7 +454,7 @@
     asyncio.run(play())
 
 
-def test_a_caller_that_waits_for_a_word_gets_it() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -465,7 +469,7 @@
 
 def test_pipelined_requests_wait_behind_a_large_body() -> None:
     async def play(up: Running | None = None) -> None:
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             bodies = [noise(MAX_BUFFERED_BODY + 9000), b"a", noise(2 * MAX_BUFFERED_BODY)]
             client.writer.write(b"".join(book(n, body=body) for n, body in enumerate(bodies)))
@@ -475,8 +479,8 @@
     asyncio.run(play())
 
 
-def taken(pieces: list[bytes]) -> tuple[list[tuple[bytes, bytes]], str]:
-    """What a parser makes of these bytes: each request's target with its whole body, and the fault."""
+def parse(pieces: list[bytes]) -> tuple[list[tuple[bytes, bytes]], str]:
+    """Parse these bytes; returns the target and body of each complete request, and the reason of a rejection."""
     got: list[Request] = []
     whole: list[tuple[bytes, bytes]] = []
     parser = RequestParser(got.append, PLATFORM)
@@ -498,7 +502,7 @@
     return whole, "" if parser.fault is None else parser.fault.reason
 
 
-SENT = [
+INPUTS = [
     book(body=noise(MAX_BUFFERED_BODY + 300)) + read(2),
     chunked(noise(MAX_BUFFERED_BODY + 999), 7000) + book(3),
     chunked(b"abc" * 50, 1),
@@ -507,20 +511,20 @@
 ]
 
 
-def test_what_begins_behind_a_large_request_is_not_charged_with_its_bytes() -> None:
-    sent = SENT[0]
-    assert taken([sent[:1], sent[1:-20], sent[-20:]]) == taken([sent])
+def test_pipelined_request_is_not_charged_for_previous_bytes() -> None:
+    sent = INPUTS[0]
+    assert parse([sent[:1], sent[1:-20], sent[-20:]]) == parse([sent])
 
 
-@given(st.sampled_from(SENT), st.data())
+@given(st.sampled_from(INPUTS), st.data())
 @settings(max_examples=60, deadline=None)
-def test_any_split_of_the_same_bytes_has_the_same_result(sent: bytes, data: st.DataObject) -> None:
+def test_parsing_does_not_depend_on_split(sent: bytes, data: st.DataObject) -> None:
     cuts = sorted(data.draw(st.lists(st.integers(1, len(sent) - 1), max_size=30)))
     pieces = [sent[a:b] for a, b in zip([0, *cuts], [*cuts, len(sent)], strict=True) if a < b]
-    assert taken(pieces) == taken([sent])
+    assert parse(pieces) == parse([sent])
 
 
-def test_a_body_beyond_the_limit_is_turned_away_in_its_middle() -> None:
+def test_body_over_limit_is_rejected_while_received() -> None:
     sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, max_buffered_body=MAX_BUFFERED_BODY)
     got: list[Request] = []
     parser = RequestParser(got.append, sizes)
@@ -536,8 +540,8 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 90_000), st.integers(0, 90_000)), max_size=12))
-@settings(deadline=None)  # a loaded machine is no fault
-def test_a_body_keeps_what_is_still_needed_and_no_more(steps: list[tuple[int, int]]) -> None:
+@settings(deadline=None)  # a loaded machine is not an error
+def test_body_buffers_no_more_than_needed(steps: list[tuple[int, int]]) -> None:
     sent, at, room = bytearray(), 0, []
     body = Body(None, lambda: room.append(1))
     body.start_attempt(lambda: None)
