--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -12,7 +12,7 @@
 from grpcpeers import HTTP2, boxed
 from loopback import HOST, soon, until
 from test_large_bodies import BODY, digest
-from test_streams import Serve, box, noise, request_of
+from test_streams import Serve, box, random_bytes, request_of
 
 from lugspur.http1 import front as fronts
 from lugspur.http1.body import MAX_BUFFERED_BODY
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("path", ["/read", "/book"])
 def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, path: str) -> None:
     async def play() -> None:
-        body = noise(size)
+        body = random_bytes(size)
         async with box(large(body, head)) as address, before(address) as up:
             caller = await caller_of(up)
             for _ in range(3):
@@ -141,7 +141,7 @@
 
         async with box(slow) as address, before(address) as up:
             caller = await caller_of(up)
-            body = noise(8 << 20)
+            body = random_bytes(8 << 20)
             stuck = begin(caller, "/book", ("x-slow", "1"), ("content-length", str(len(body))))
             sending = asyncio.get_running_loop().create_task(caller.write(stuck, body, end=True))
             await until(lambda: caller.sent[stuck] >= 2 * MAX_BUFFERED_BODY)
@@ -243,7 +243,7 @@
         async with box(early) as address, before(address) as up:
             caller = await caller_of(up)
             stream = begin(caller, "/book")
-            await soon(caller.write(stream, noise(3 * MAX_BUFFERED_BODY)))
+            await soon(caller.write(stream, random_bytes(3 * MAX_BUFFERED_BODY)))
             got = await soon(caller.answer(stream))
             assert (got.head[":status"], bytes(got.data)) == ("200", BODY)
             await empty(up)
@@ -281,7 +281,7 @@
         async with box(full) as first, backend(digest) as second, before(first, second.address) as up:
             caller = await caller_of(up)
             for _ in range(6):  # the first box is met by some
-                body = noise(MAX_BUFFERED_BODY + 1000)
+                body = random_bytes(MAX_BUFFERED_BODY + 1000)
                 got = await post(caller, "/book", body, ("content-length", str(len(body))))
                 assert bytes(got.data) == hashlib.sha256(body).hexdigest().encode()
             assert second.got.qsize() == 6
@@ -327,7 +327,7 @@
             '[classes.book]\naim = "30s"\ndeadline = "30s"', '[classes.book]\naim = "200ms"\ndeadline = "200ms"'
         )
         async with backend(digest) as one, before(one.address, head=head) as up:
-            caller, body = await caller_of(up), noise(5 * MAX_BUFFERED_BODY)
+            caller, body = await caller_of(up), random_bytes(5 * MAX_BUFFERED_BODY)
             stream = begin(caller, "/book", ("content-length", str(len(body))))
             for at in range(0, len(body), MAX_BUFFERED_BODY):
                 await soon(
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -25,7 +25,7 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def noise(size: int) -> bytes:
+def random_bytes(size: int) -> bytes:
     return random.Random(size).randbytes(size)
 
 
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks"])
 def test_request_body_arrives_unchanged(size: int, form: str) -> None:
     async def play() -> None:
-        body = noise(size)
+        body = random_bytes(size)
         async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body) if form == "length" else chunked(body, 100_000 if form == "chunks" else 700)
@@ -103,7 +103,7 @@
 
 def test_timeout_of_slow_body_starts_at_last_byte() -> None:
     async def play() -> None:
-        body = noise(MAX_BUFFERED_BODY + 40_000)
+        body = random_bytes(MAX_BUFFERED_BODY + 40_000)
         async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body, timeout="0.3")
@@ -123,7 +123,7 @@
         async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             up.proxy.front.request_head_timeout = 0.2
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: MAX_BUFFERED_BODY + 20_000])
+            client.writer.write(book(body=random_bytes(LARGE))[: MAX_BUFFERED_BODY + 20_000])
             assert status(await client.answer()) == 408
             assert not up.proxy.pool.calls
             assert up.proxy.pool.upstream.sockets() == 0  # a connection with an incomplete request is not reused
@@ -135,7 +135,7 @@
     async def play() -> None:
         async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: 2 * MAX_BUFFERED_BODY])
+            client.writer.write(book(body=random_bytes(LARGE))[: 2 * MAX_BUFFERED_BODY])
             await until(lambda: bool(up.proxy.pool.calls))
             client.writer.close()
             await until(lambda: not up.proxy.pool.calls and up.proxy.pool.upstream.sockets() == 0)
@@ -146,7 +146,7 @@
 
 def test_attempt_is_retried_while_body_is_buffered() -> None:
     async def play() -> None:
-        body, seen = noise(MAX_BUFFERED_BODY + 5000), []
+        body, seen = random_bytes(MAX_BUFFERED_BODY + 5000), []
 
         async def break_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
@@ -180,7 +180,7 @@
         async with box(break_late) as one, box(break_late) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
-                client.writer.write(book(body=noise(LARGE))[: MAX_REPLAYED + 2 * MAX_BUFFERED_BODY])
+                client.writer.write(book(body=random_bytes(LARGE))[: MAX_REPLAYED + 2 * MAX_BUFFERED_BODY])
                 assert status(await client.answer()) == 503  # the request certainly never ran
                 assert len(seen) == 1
 
@@ -205,7 +205,7 @@
 
         async with box(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            sent = book(body=noise(LARGE))
+            sent = book(body=random_bytes(LARGE))
             client.writer.write(sent[: 4 * MAX_BUFFERED_BODY])
             assert status(await client.answer()) == expected
             client.writer.write(sent[4 * MAX_BUFFERED_BODY :])  # the client has not seen the response yet
@@ -218,7 +218,7 @@
 
 def large_response(size: int, head: str = "length") -> Serve:
     """Return a handler that responds to each request with `size` bytes."""
-    body = noise(size)
+    body = random_bytes(size)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -260,7 +260,7 @@
 @pytest.mark.parametrize("head", ["length", "chunks"])
 def test_large_early_response_is_forwarded_whole(head: str) -> None:
     async def play() -> None:
-        answer = noise(8 * MAX_BUFFERED_BODY)
+        answer = random_bytes(8 * MAX_BUFFERED_BODY)
 
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -274,7 +274,7 @@
 
         async with box(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: 4 * MAX_BUFFERED_BODY])
+            client.writer.write(book(body=random_bytes(LARGE))[: 4 * MAX_BUFFERED_BODY])
             response_head, body = await read_response(client)
             assert response_head.startswith(b"http/1.1 200 ")
             assert body == answer
@@ -297,13 +297,13 @@
             for _ in range(2):
                 client.writer.write(request_)
                 _, body = await read_response(client)
-                assert body == noise(size)
+                assert body == random_bytes(size)
             await until(lambda: not up.proxy.pool.calls)
             assert up.proxy.pool.upstream.streamed_bytes == 0
             old = await up.client()
             old.writer.write(request_.replace(b"HTTP/1.1", b"HTTP/1.0"))
             response_head, body = await read_response(old)
-            assert body == noise(size)
+            assert body == random_bytes(size)
             assert b"chunked" not in response_head
 
     asyncio.run(play())
@@ -423,7 +423,7 @@
 
         async with box(stuck) as address, running([entry("a", address)]) as up:
             client: Client = await up.client()
-            body = noise(16 << 20)
+            body = random_bytes(16 << 20)
             client.writer.write(book(body=body))
             front = up.proxy.front
             await until(lambda: any(getattr(caller, "_paused_at", 0.0) for caller in front.callers))
@@ -442,7 +442,7 @@
         ):
             client = await up.client()
             for number in range(500):
-                client.writer.write(book(number, body=noise(MAX_BUFFERED_BODY + 300)))
+                client.writer.write(book(number, body=random_bytes(MAX_BUFFERED_BODY + 300)))
                 _, body = await read_response(client)
                 assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
@@ -471,7 +471,7 @@
     async def play(up: Running | None = None) -> None:
         async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            bodies = [noise(MAX_BUFFERED_BODY + 9000), b"a", noise(2 * MAX_BUFFERED_BODY)]
+            bodies = [random_bytes(MAX_BUFFERED_BODY + 9000), b"a", random_bytes(2 * MAX_BUFFERED_BODY)]
             client.writer.write(b"".join(book(n, body=body) for n, body in enumerate(bodies)))
             for body in bodies:
                 assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
@@ -503,11 +503,11 @@
 
 
 INPUTS = [
-    book(body=noise(MAX_BUFFERED_BODY + 300)) + read(2),
-    chunked(noise(MAX_BUFFERED_BODY + 999), 7000) + book(3),
+    book(body=random_bytes(MAX_BUFFERED_BODY + 300)) + read(2),
+    chunked(random_bytes(MAX_BUFFERED_BODY + 999), 7000) + book(3),
     chunked(b"abc" * 50, 1),
-    chunked(noise(MAX_BUFFERED_BODY + 999), 9000).replace(b";note=1\r\n", b"\r\n", 1)[:-5] + b"zz\r\n",
-    book(body=noise(MAX_BUFFERED_BODY))[:-1],
+    chunked(random_bytes(MAX_BUFFERED_BODY + 999), 9000).replace(b";note=1\r\n", b"\r\n", 1)[:-5] + b"zz\r\n",
+    book(body=random_bytes(MAX_BUFFERED_BODY))[:-1],
 ]
 
 
@@ -529,7 +529,7 @@
     got: list[Request] = []
     parser = RequestParser(got.append, sizes)
     for at in range(0, 4 * MAX_BUFFERED_BODY, 5000):
-        piece = chunked(noise(4 * MAX_BUFFERED_BODY), 5000)[at : at + 5000]
+        piece = chunked(random_bytes(4 * MAX_BUFFERED_BODY), 5000)[at : at + 5000]
         parser.feed(memoryview(piece), 1.0)
         for request in got:
             assert request.stream is not None
@@ -547,7 +547,7 @@
     body.start_attempt(lambda: None)
     for come, go in steps:
         if not body.full:
-            piece = noise(come)
+            piece = random_bytes(come)
             sent += piece
             body.put(piece)
         piece = body.read(at)[:go]
