--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -12,7 +12,7 @@
 from grpcpeers import HTTP2, boxed
 from loopback import HOST, soon, until
 from test_large_bodies import BODY, digest
-from test_streams import Serve, box, random_bytes, request_of
+from test_streams import Serve, box, random_bytes, read_request
 
 from lugspur.http1 import front as fronts
 from lugspur.http1.body import MAX_BUFFERED_BODY
@@ -86,14 +86,14 @@
 async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Answers with the body's hash, however the body is framed."""
     while True:
-        _, body = await request_of(reader)
+        _, body = await read_request(reader)
         writer.write(answer(hashlib.sha256(body).hexdigest().encode()))
 
 
 def large(body: bytes, head: str) -> Serve:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await request_of(reader)
+            await read_request(reader)
             if head == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Note: a\r\n\r\n" % len(body) + body)
             elif head == "chunks":
@@ -214,7 +214,7 @@
 @pytest.mark.parametrize("form", ["length", "chunks"])
 def test_an_answer_that_breaks_off_can_be_told_from_a_whole_one(form: str) -> None:
     async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request_of(reader)
+        await read_request(reader)
         if form == "length":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"a" * 100_000)
         else:
@@ -299,7 +299,7 @@
         ran = []
 
         async def count(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            ran.append(await request_of(reader))
+            ran.append(await read_request(reader))
 
         async with box(count) as address, before(address, head=head) as up:
             caller = await caller_of(up)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -51,7 +51,7 @@
                 task.cancel()
 
 
-async def request_of(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
+async def read_request(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
     """Read a request; returns its head and its body in either framing."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     if b"chunked" in head:
@@ -71,7 +71,7 @@
 async def respond_with_digest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Respond to each request with the hash of its body."""
     while True:
-        _, body = await request_of(reader)
+        _, body = await read_request(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + hashlib.sha256(body).hexdigest().encode())
 
 
@@ -222,7 +222,7 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await request_of(reader)
+            await read_request(reader)
             if head == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d \r\n\r\n" % size + body)
             elif head == "chunks":
@@ -314,7 +314,7 @@
         go = asyncio.Event()
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request_of(reader)
+            await read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 100_000)
             await go.wait()
             writer.write(b"b" * 100_000)
@@ -335,7 +335,7 @@
 def test_truncated_response_is_distinguishable() -> None:
     async def play() -> None:
         async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            head, _ = await request_of(reader)
+            head, _ = await read_request(reader)
             form = b"Content-Length: 300000" if b"id1" in head else b"Transfer-Encoding: chunked"
             writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n" % form)
             writer.write(b"a" * 100_000 if b"id1" in head else b"186a0\r\n" + b"a" * 100_000 + b"\r\n")
@@ -358,7 +358,7 @@
         seen = []
 
         async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request_of(reader)
+            await read_request(reader)
             seen.append(1)
             if len(seen) > 1:
                 writer.write(OK)
@@ -380,7 +380,7 @@
     async def play() -> None:
         async def both(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await request_of(reader)
+                head, _ = await read_request(reader)
                 if b"get /api/large" in head:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
                     for _ in range(512):
