--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -12,7 +12,7 @@
 from grpcpeers import HTTP2, boxed
 from loopback import HOST, soon, until
 from test_large_bodies import BODY, digest
-from test_streams import Serve, box, random_bytes, read_request
+from test_streams import Serve, random_bytes, read_request, serving_backend
 
 from lugspur.http1 import front as fronts
 from lugspur.http1.body import MAX_BUFFERED_BODY
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("told", [True, False])
 def test_a_body_of_any_size_arrives_as_it_was(size: int, told: bool) -> None:
     async def play() -> None:
-        async with box(echo) as address, before(address) as up:
+        async with serving_backend(echo) as address, before(address) as up:
             caller, body = await caller_of(up), BODY[:size]
             lines = [("content-length", str(size))] if told else []
             for path in ("/book", "/read"):
@@ -114,7 +114,7 @@
 def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, path: str) -> None:
     async def play() -> None:
         body = random_bytes(size)
-        async with box(large(body, head)) as address, before(address) as up:
+        async with serving_backend(large(body, head)) as address, before(address) as up:
             caller = await caller_of(up)
             for _ in range(3):
                 got = await soon(caller.answer(begin(caller, path, end=True)))
@@ -139,7 +139,7 @@
             writer.write(answer(hashlib.sha256(body).hexdigest().encode()))
             await reader.read()
 
-        async with box(slow) as address, before(address) as up:
+        async with serving_backend(slow) as address, before(address) as up:
             caller = await caller_of(up)
             body = random_bytes(8 << 20)
             stuck = begin(caller, "/book", ("x-slow", "1"), ("content-length", str(len(body))))
@@ -165,7 +165,7 @@
     monkeypatch.setattr(http2_front, "STREAM_TIMEOUT", 0.3)
 
     async def play() -> None:
-        async with box(large(BODY, "length")) as address, before(address) as up:
+        async with serving_backend(large(BODY, "length")) as address, before(address) as up:
             deaf, other = await caller_of(up), await caller_of(up)
             deaf.credit = False
             streams = [begin(deaf, "/read", end=True) for _ in range(20)]
@@ -192,7 +192,7 @@
 
     async def play() -> None:
         head = LARGE.replace('hold = "64KiB"', 'hold = "1MiB"')
-        async with box(large(body, "length")) as address, before(address, head=head) as up:
+        async with serving_backend(large(body, "length")) as address, before(address, head=head) as up:
             caller = await caller_of(up, window=size // 10)
             caller.credit = False
             stream = begin(caller, "/read", end=True)
@@ -222,7 +222,7 @@
         await writer.drain()
 
     async def play() -> None:
-        async with box(cut) as address, before(address) as up:
+        async with serving_backend(cut) as address, before(address) as up:
             caller = await caller_of(up)
             got = await soon(caller.answer(begin(caller, "/book", end=True)))
             assert (got.head[":status"], got.ends, got.reset) == ("200", 0, 2)  # INTERNAL_ERROR
@@ -240,7 +240,7 @@
         await reader.read()
 
     async def play() -> None:
-        async with box(early) as address, before(address) as up:
+        async with serving_backend(early) as address, before(address) as up:
             caller = await caller_of(up)
             stream = begin(caller, "/book")
             await soon(caller.write(stream, random_bytes(3 * MAX_BUFFERED_BODY)))
@@ -278,7 +278,7 @@
             writer.write(NEVER_RAN)
             await reader.read()
 
-        async with box(full) as first, backend(digest) as second, before(first, second.address) as up:
+        async with serving_backend(full) as first, backend(digest) as second, before(first, second.address) as up:
             caller = await caller_of(up)
             for _ in range(6):  # the first box is met by some
                 body = random_bytes(MAX_BUFFERED_BODY + 1000)
@@ -301,7 +301,7 @@
         async def count(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             ran.append(await read_request(reader))
 
-        async with box(count) as address, before(address, head=head) as up:
+        async with serving_backend(count) as address, before(address, head=head) as up:
             caller = await caller_of(up)
             got = await soon(caller.answer(begin(caller, "/book", ("content-length", str(9 << 20)))))
             assert got.head[":status"] == "413"  # by its length alone
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -30,7 +30,7 @@
 
 
 @asynccontextmanager
-async def box(serve: Serve) -> AsyncIterator[str]:
+async def serving_backend(serve: Serve) -> AsyncIterator[str]:
     """Run a backend that handles each connection with `serve`; yields its address."""
     tasks = set()
 
@@ -89,7 +89,7 @@
 def test_request_body_arrives_unchanged(size: int, form: str) -> None:
     async def play() -> None:
         body = random_bytes(size)
-        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body) if form == "length" else chunked(body, 100_000 if form == "chunks" else 700)
             answer = await client.ask(sent)
@@ -104,7 +104,7 @@
 def test_timeout_of_slow_body_starts_at_last_byte() -> None:
     async def play() -> None:
         body = random_bytes(MAX_BUFFERED_BODY + 40_000)
-        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body, timeout="0.3")
             for at in range(0, len(sent), 4096):
@@ -120,7 +120,7 @@
     monkeypatch.setattr("lugspur.http1.front.MIN_BODY_RATE", 1 << 30)
 
     async def play() -> None:
-        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             up.proxy.front.request_head_timeout = 0.2
             client = await up.client()
             client.writer.write(book(body=random_bytes(LARGE))[: MAX_BUFFERED_BODY + 20_000])
@@ -133,7 +133,7 @@
 
 def test_disconnect_during_body_releases_everything() -> None:
     async def play() -> None:
-        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             client.writer.write(book(body=random_bytes(LARGE))[: 2 * MAX_BUFFERED_BODY])
             await until(lambda: bool(up.proxy.pool.calls))
@@ -156,7 +156,7 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + digest)
                 await writer.drain()
 
-        async with box(break_first) as one, box(break_first) as two:
+        async with serving_backend(break_first) as one, serving_backend(break_first) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 sent = book(body=body)
@@ -177,7 +177,7 @@
             seen.append(await reader.readuntil(b"\r\n\r\n"))
             await reader.readexactly(MAX_REPLAYED + MAX_BUFFERED_BODY)
 
-        async with box(break_late) as one, box(break_late) as two:
+        async with serving_backend(break_late) as one, serving_backend(break_late) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 client.writer.write(book(body=random_bytes(LARGE))[: MAX_REPLAYED + 2 * MAX_BUFFERED_BODY])
@@ -203,7 +203,7 @@
             writer.write(answer)
             await reader.read()
 
-        async with box(early) as address, running([entry("a", address)]) as up:
+        async with serving_backend(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=random_bytes(LARGE))
             client.writer.write(sent[: 4 * MAX_BUFFERED_BODY])
@@ -272,7 +272,7 @@
                 writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (len(answer), answer))
             await reader.read()
 
-        async with box(early) as address, running([entry("a", address)]) as up:
+        async with serving_backend(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
             client.writer.write(book(body=random_bytes(LARGE))[: 4 * MAX_BUFFERED_BODY])
             response_head, body = await read_response(client)
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize("request_", [read(), book()], ids=["safe", "unsafe"])
 def test_response_body_arrives_unchanged(size: int, head: str, request_: bytes) -> None:
     async def play() -> None:
-        async with box(large_response(size, head)) as address, running([entry("a", address)]) as up:
+        async with serving_backend(large_response(size, head)) as address, running([entry("a", address)]) as up:
             client = await up.client()
             for _ in range(2):
                 client.writer.write(request_)
@@ -320,7 +320,7 @@
             writer.write(b"b" * 100_000)
             await writer.drain()
 
-        async with box(slow) as address, running([entry("a", address)]) as up:
+        async with serving_backend(slow) as address, running([entry("a", address)]) as up:
             client = await up.client()
             client.writer.write(read(timeout="0.2"))
             assert b"200 OK" in await soon(client.reader.readuntil(b"\r\n\r\n"))
@@ -341,7 +341,7 @@
             writer.write(b"a" * 100_000 if b"id1" in head else b"186a0\r\n" + b"a" * 100_000 + b"\r\n")
             await writer.drain()
 
-        async with box(cut) as address, running([entry("a", address)]) as up:
+        async with serving_backend(cut) as address, running([entry("a", address)]) as up:
             for number in (1, 2):
                 client = await up.client()
                 client.writer.write(book(number))
@@ -367,7 +367,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\ndone")
             await reader.read()
 
-        async with box(spoilt) as one, box(spoilt) as two:
+        async with serving_backend(spoilt) as one, serving_backend(spoilt) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 assert (await client.ask(read())).endswith(b"done")
@@ -389,7 +389,7 @@
                 else:
                     writer.write(OK)
 
-        async with box(both) as address, running([entry("a", address)], memory=32 << 20) as up:
+        async with serving_backend(both) as address, running([entry("a", address)], memory=32 << 20) as up:
             upstream = up.proxy.pool.upstream
             socks = []
             for number in range(100):
@@ -421,7 +421,7 @@
             reader._transport.resume_reading()  # type: ignore[attr-defined]
             await respond_with_digest(reader, writer)
 
-        async with box(stuck) as address, running([entry("a", address)]) as up:
+        async with serving_backend(stuck) as address, running([entry("a", address)]) as up:
             client: Client = await up.client()
             body = random_bytes(16 << 20)
             client.writer.write(book(body=body))
@@ -437,7 +437,7 @@
 def test_five_hundred_large_exchanges_leave_no_buffered_bytes() -> None:
     async def play() -> None:
         async with (
-            box(large_response(MAX_BUFFERED_BODY + 500)) as address,
+            serving_backend(large_response(MAX_BUFFERED_BODY + 500)) as address,
             running([entry("a", address)]) as up,
         ):
             client = await up.client()
@@ -469,7 +469,7 @@
 
 def test_pipelined_requests_wait_behind_a_large_body() -> None:
     async def play(up: Running | None = None) -> None:
-        async with box(respond_with_digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             bodies = [random_bytes(MAX_BUFFERED_BODY + 9000), b"a", random_bytes(2 * MAX_BUFFERED_BODY)]
             client.writer.write(b"".join(book(n, body=body) for n, body in enumerate(bodies)))
