--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -48,7 +48,7 @@
     def pause_reading(self, caller: Responder, class_index: int) -> None:
         """Stop reading from a rejected caller for a moment, unless it is one of several requests over HTTP/2."""
         if isinstance(caller, Caller):
-            caller.rest(self.limiter.read_pause_seconds(class_index))
+            caller.defer_input(self.limiter.read_pause_seconds(class_index))
 
     def attach(self, front: Front) -> None:
         """Measure when the bytes of the front's callers arrived, and handle responses before their new requests."""
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -472,7 +472,7 @@
         else:
             self.feed(data)
 
-    def rest(self, seconds: float) -> None:
+    def defer_input(self, seconds: float) -> None:
         """Defer all input for a while: a caller that repeats its request at once would only be rejected again.
 
         Costs nothing if nothing arrives. Could harm important requests on the same connection: they are deferred too.
