--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -110,7 +110,7 @@
         self._set_limits(max_callers, memory)
         self.buffer = memoryview(bytearray(READ_SIZE))
         self.callers: set[TrackedConnection] = set()
-        self.look = select.poll()
+        self.poll = select.poll()
         # Connections that owe no response, each with the loop's time at which it is closed.
         self.leaving: dict[TrackedConnection, float] = {}  # the last response has been sent
         self.fresh: dict[TrackedConnection, float] = {}  # nothing has been received yet
@@ -306,9 +306,9 @@
 
     def has_no_input(self) -> bool:
         """Return whether no input is unread, so that closing now loses no request."""
-        self.front.look.register(self._fd, select.POLLIN)
-        has_input = bool(self.front.look.poll(0))
-        self.front.look.unregister(self._fd)
+        self.front.poll.register(self._fd, select.POLLIN)
+        has_input = bool(self.front.poll.poll(0))
+        self.front.poll.unregister(self._fd)
         return not has_input
 
     def transfer(self) -> None:
