--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -240,7 +240,7 @@
             for caller in [caller for caller, limit in table.items() if limit - before <= now]:
                 caller.drop()
         for caller in [caller for caller, limit in self.reading.items() if limit <= now]:
-            caller.slow(now)
+            caller.on_request_timeout(now)
         for caller in [caller for caller, limit in self.streaming.items() if limit <= now]:
             caller.drop()
 
@@ -320,7 +320,7 @@
         if self._table is self.front.fresh or self._table is self.front.idle:
             self.close()
 
-    def slow(self, now: float) -> None:
+    def on_request_timeout(self, now: float) -> None:
         """Reject the request because it takes too long."""
         self.reject(RejectionError(408, "the request took too long"))
 
@@ -450,12 +450,12 @@
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def slow(self, now: float) -> None:
+    def on_request_timeout(self, now: float) -> None:
         stream = self._request_body
         if stream is not None and stream.full:  # the delay is caused by the backend, not by this caller
             self.move(self.front.reading, now + BODY_RATE_GRACE)
             return
-        super().slow(now)
+        super().on_request_timeout(now)
 
     def buffer_updated(self, nbytes: int) -> None:
         data = self.front.buffer[:nbytes]
