--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -329,7 +329,7 @@
         self.leave()
         self._transport.abort()
 
-    def reject(self, fault: RejectionError) -> None:
+    def reject(self, rejection: RejectionError) -> None:
         """Reject a request and close the connection."""
         raise NotImplementedError
 
@@ -524,13 +524,13 @@
                 self.move(None)
         # Guards the memory limit against many incomplete bodies.
         if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
-            parser.fault = RejectionError(503, "too many bodies at once")
+            parser.rejection = RejectionError(503, "too many bodies at once")
         if len(self._queue) > MAX_PIPELINED_REQUESTS:  # Guards memory and backends against a flood on one connection.
             self._queue.clear()
-            parser.fault = RejectionError(400, "too many requests at once")
-        if parser.fault is not None:
+            parser.rejection = RejectionError(400, "too many requests at once")
+        if parser.rejection is not None:
             self._ignores_input = True
-            self._queue.append(parser.fault)
+            self._queue.append(parser.rejection)
         if self._queue:
             self._start_next_request()
         elif parser.reading and not self._busy:
@@ -547,11 +547,11 @@
         assert stream is not None
         # Guards the memory limit against many incomplete bodies.
         if self._buffered and front.buffered_bytes > front.max_buffered_bytes:
-            parser.fault = RejectionError(503, "too many bodies at once")
-        if parser.fault is not None:
+            parser.rejection = RejectionError(503, "too many bodies at once")
+        if parser.rejection is not None:
             # Guards against an attempt that ends with a part of the body: it is cancelled, so the request never runs.
             self._release_request()
-            self.reject(parser.fault)
+            self.reject(parser.rejection)
         else:
             limit = max(parser.arrived + front.request_head_timeout, parser.body_due(MIN_BODY_RATE) + BODY_RATE_GRACE)
             self.move(front.reading, limit)
@@ -587,9 +587,9 @@
         self._is_head_request = request.method == b"HEAD"
         try:
             self.front.handle(request, self)
-        except RejectionError as fault:
+        except RejectionError as rejection:
             self._release_request()
-            self.reject(fault)
+            self.reject(rejection)
             return
         if stream is not None and self._request_body is stream:
             self._transport.resume_reading()  # the body has to be received while the request is processed
@@ -616,16 +616,16 @@
             )
         )
 
-    def reject(self, fault: RejectionError) -> None:
+    def reject(self, rejection: RejectionError) -> None:
         """Reject a request and close the connection: a client kept alive would repeat it at full speed."""
-        self.front.rejections[fault.status] += 1
+        self.front.rejections[rejection.status] += 1
         if self._request_body is not None:
             self._release_request()
         self.on_disconnect = None
         self._busy, self._ignores_input = False, True
         self._queue.clear()
         self._count_buffered(0)
-        self._write(fault.status, b"", fault.reason.encode() + b"\n", False)
+        self._write(rejection.status, b"", rejection.reason.encode() + b"\n", False)
         self.move(self.front.leaving, self._loop.time() + CLOSE_TIMEOUT)
         # Guards the response against a reset: input is still read until the caller closes.
         self._transport.resume_reading()
--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -82,7 +82,7 @@
         self._sizes = sizes
         self._send_continue = send_continue  # called for a request with `Expect: 100-continue`
         self._parser = httptools.HttpRequestParser(self)
-        self.fault: RejectionError | None = None
+        self.rejection: RejectionError | None = None
         self.reading = False  # whether a request has begun and is incomplete
         self._requests_begun = 0  # number of requests begun
         self.arrived = self.headed_at = 0.0
@@ -120,8 +120,8 @@
         return min(self._body_size, self._sizes.body) if self.reading else 0
 
     def _reject(self, status: int, reason: str) -> None:
-        if self.fault is None:
-            self.fault = RejectionError(status, reason)
+        if self.rejection is None:
+            self.rejection = RejectionError(status, reason)
 
     def _reset(self) -> None:
         self._target: list[bytes] = []
@@ -147,7 +147,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         # Guards against trailers that would count as headers, and saves work on a request that is rejected anyway.
-        if self._head_complete or self.fault is not None:
+        if self._head_complete or self.rejection is not None:
             return
         self._head_size += len(name) + len(value) + 4
         if self._head_size > self._sizes.head:
@@ -197,7 +197,7 @@
             self._reject(400, "no host")
         elif self._connection_options:
             self._drop_connection_headers({token.strip() for token in self._connection_options.split(b",")})
-        if self._send_continue is not None and self.fault is None and b"expect" in self._headers:
+        if self._send_continue is not None and self.rejection is None and b"expect" in self._headers:
             self._check_expectation(self._headers[b"expect"].lower(), self._send_continue)
 
     def _check_expectation(self, what: bytes, send_continue: Callable[[], None]) -> None:
@@ -222,7 +222,7 @@
             self.stream.put(body)
         else:
             self._body.append(body)
-            if self._body_size > self._sizes.max_buffered_body and self.fault is None:
+            if self._body_size > self._sizes.max_buffered_body and self.rejection is None:
                 stream = Body(self._length, self._resume_body, REPLAY_FACTOR * self._sizes.max_buffered_body)
                 stream.put(b"".join(self._body))
                 self._body.clear()
@@ -234,7 +234,7 @@
         stream, self.stream = self.stream, None
         if stream is None:
             self._deliver_request(None)
-        elif self.fault is None:
+        elif self.rejection is None:
             stream.end()
 
     def _deliver_request(self, stream: Body | None) -> None:
@@ -242,7 +242,7 @@
         target = b"".join(self._target)
         if b"#" in target:
             self._reject(400, "the target is malformed")
-        if self.fault is not None:
+        if self.rejection is not None:
             return
         self._deliver(
             Request(
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -499,7 +499,7 @@
     for request, body in kept:
         if request.stream is None or request.stream.ended:
             whole.append((request.target, bytes(body)))
-    return whole, "" if parser.fault is None else parser.fault.reason
+    return whole, "" if parser.rejection is None else parser.rejection.reason
 
 
 INPUTS = [
@@ -535,8 +535,8 @@
             assert request.stream is not None
             request.stream.mark_forwarded(request.stream.received)
             assert request.stream.buffered <= MAX_REPLAYED + 5000
-    assert isinstance(parser.fault, RejectionError)
-    assert parser.fault.status == 413
+    assert isinstance(parser.rejection, RejectionError)
+    assert parser.rejection.status == 413
 
 
 @given(st.lists(st.tuples(st.integers(0, 90_000), st.integers(0, 90_000)), max_size=12))
