--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -444,7 +444,7 @@
         """Resume reading because more of the streamed body may be received."""
         if self._paused_at:  # the pause doesn't count towards the caller's time limits
             pause, self._paused_at = self._loop.time() - self._paused_at, 0.0
-            self._parser.headed_at += pause
+            self._parser.head_complete_at += pause
             if self._table is self.front.reading:
                 self.move(self.front.reading, self.front.reading[self] + pause)
         if not self._transport.is_closing():
--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -85,7 +85,7 @@
         self.rejection: RejectionError | None = None
         self.reading = False  # whether a request has begun and is incomplete
         self._requests_begun = 0  # number of requests begun
-        self.arrived = self.headed_at = 0.0
+        self.arrived = self.head_complete_at = 0.0
         self._reset()
 
     def close(self) -> None:
@@ -111,7 +111,7 @@
 
     def body_due(self, rate: float) -> float:
         """Return when the body so far is due at this rate in bytes per second; 0 while the head is incomplete."""
-        return self.headed_at + self._body_size / rate if self._head_complete else 0.0
+        return self.head_complete_at + self._body_size / rate if self._head_complete else 0.0
 
     def buffered_bytes(self) -> int:
         """Return the buffered bytes of the body of an incomplete request."""
@@ -186,7 +186,7 @@
         self._headers[lower] = value if before is None else before + b", " + value
 
     def on_headers_complete(self) -> None:
-        self._head_complete, self.headed_at = True, self._now
+        self._head_complete, self.head_complete_at = True, self._now
         self._configuration = None if self._get_configuration is None else self._get_configuration()
         version = self._parser.get_http_version()
         if self._parser.should_upgrade():  # Guards against bytes behind the head that are no request.
