--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -291,7 +291,7 @@
 
     def _submit(self, context: RequestContext, caller: Responder) -> None:
         """Submit a request to its upstream cluster, if that has capacity left."""
-        cluster, form = context.cluster, context.request.form
+        cluster, form = context.cluster, context.request.grpc_form
         request_class = context.request_class
         if form is not None and form.requires_grpc:
             if not cluster.speaks_grpc:
@@ -335,8 +335,8 @@
     def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Start to stream a response to the caller."""
         context = _context_of(call)
-        if context.request.form is not None:
-            context.request.form.begin_messages(change_headers(response.head, context.forward.response), body)
+        if context.request.grpc_form is not None:
+            context.request.grpc_form.begin_messages(change_headers(response.head, context.forward.response), body)
             return
         streaming_caller = None if call.caller is None else call.caller.streaming_receiver()
         if streaming_caller is not None:  # from here on, no deadline ends the response
@@ -368,7 +368,7 @@
         _record_ending(context, call, Ending.FAILED if call.attempts else Ending.REJECTED)
         head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else RETRY_AFTER_HEADER
         # gRPC has a status for requests whose deadline has passed, whether a retry is harmless or not.
-        deadline_passed = call.request.form is not None and now >= call.deadline
+        deadline_passed = call.request.grpc_form is not None and now >= call.deadline
         cluster.pool.respond(
             call, 504 if deadline_passed else 503, head, b"the time is up\n" if deadline_passed else b"refused\n"
         )
--- a/lugspur/daemon/health.py
+++ b/lugspur/daemon/health.py
@@ -22,7 +22,7 @@
 
 def handle_health_request(request: Request, caller: Responder, front: Front, serves: Serves) -> bool:
     """Respond to a Check or start a Watch; return False for any other request. Raises RejectionError."""
-    if request.form is None or request.target not in (CHECK, WATCH):
+    if request.grpc_form is None or request.target not in (CHECK, WATCH):
         return False
     try:
         [(compressed, message)] = unpack(request.body)
@@ -33,9 +33,9 @@
         raise RejectionError(501, "compressed messages are not read here")
     caller.admit()
     if request.target == CHECK:
-        _respond_to_check(request.form, serves(service))
+        _respond_to_check(request.grpc_form, serves(service))
     else:
-        _Watch(request, request.form, caller, front, lambda: serves(service)).check()
+        _Watch(request, request.grpc_form, caller, front, lambda: serves(service)).check()
     return True
 
 
--- a/lugspur/daemon/outgoing.py
+++ b/lugspur/daemon/outgoing.py
@@ -66,7 +66,7 @@
         request.arrived,
         request.keep_alive,
         request.configuration,
-        request.form,
+        request.grpc_form,
         request.stream,
         request.ended,
         request.is_http10,
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -98,7 +98,7 @@
 
     def encode_http1(self, left: float) -> bytes:
         """Return the request as sent to an HTTP/1.1 backend that has `left` seconds to respond."""
-        request = self.request if self.request.form is None else self.request.form.to_http1(self.request)
+        request = self.request if self.request.grpc_form is None else self.request.grpc_form.to_http1(self.request)
         sends_length = request.body or request.method not in (b"GET", b"HEAD")
         length = b"Content-Length: %d\r\n" % len(request.body) if sends_length else b""
         stream = request.stream
@@ -380,7 +380,7 @@
             self.response_counts[status] += 1
             if status >= MIN_FAILURE_STATUS:
                 self._record_failure(call, str(status))
-        caller, form = self.release(call), call.request.form
+        caller, form = self.release(call), call.request.grpc_form
         if caller is None:
             return
         if trailers is not None and form is not None:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -53,9 +53,9 @@
         self.context = replace(
             first.context, deadline=deadline, fallback_clusters=list(first.context.fallback_clusters)
         )
-        self._form = first.context.request.form
+        self._form = first.context.request.grpc_form
         if self._form is not None:
-            self.context.request = replace(self.context.request, form=self)
+            self.context.request = replace(self.context.request, grpc_form=self)
         self._stream_receiver: WaitingRequest | None = None  # the request that a streamed response goes to
 
     def admit(self) -> None:
@@ -129,7 +129,7 @@
 
 
 def _form_of(waiting: WaitingRequest) -> GrpcForm:
-    form = waiting.context.request.form
+    form = waiting.context.request.grpc_form
     assert form is not None
     return form
 
@@ -164,7 +164,7 @@
         self, received: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Responder
     ) -> None:
         """Share a call with equal reads where that is possible; `received` is the request before routing."""
-        form = context.request.form
+        form = context.request.grpc_form
         bound = form is not None and form.requires_grpc
         tenant = _tenant_key(context.tenant)
         key = None if bound else key_of(received, context.request, route, tenant, join)
--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -135,7 +135,7 @@
         fields.append((b"accept-encoding", told[b"grpc-accept-encoding"]))
     # Guards an HTTP/1.1 box that takes `_` for `-` and would read a name that was not checked here.
     lines = [b"%b: %b\r\n" % field for field in fields if b"_" not in field[0]]
-    return replace(request, lines=lines, body=body, form=None)
+    return replace(request, lines=lines, body=body, grpc_form=None)
 
 
 def _pseudo(path: bytes, told: dict[bytes, bytes]) -> Fields:
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -381,7 +381,7 @@
 
     def _request(self, body: bytes) -> Request:
         request = super()._request(body)
-        request.form = self
+        request.grpc_form = self
         return request
 
     def to_http1(self, request: Request) -> Request:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -143,7 +143,7 @@
         return not self._head and (pipe is None or not pipe.was_read)
 
     def _requested(self) -> Pipe | None:
-        return None if self.request.form is None else self.request.form.pipe
+        return None if self.request.grpc_form is None else self.request.grpc_form.pipe
 
     # ---- the request ---------------------------------------------------------------------------
 
@@ -151,7 +151,7 @@
         """Its headers go out, and as much of its body as there is."""
         request, machine = self.request, link.machine
         left = self.until - now
-        if request.form is None:
+        if request.grpc_form is None:
             fields, body = mapping.wrapped(request, left)
         else:
             fields, body = mapping.request_fields(request, left), request.body
@@ -219,11 +219,11 @@
         self._chunks.append(data)
         self._held += len(data)
         lane.held += len(data)
-        if self.request.form is not None and self._streams():
+        if self.request.grpc_form is not None and self._streams():
             self._pass_on()
         elif self._held > lane.max_response_body or lane.held > lane.max_buffered_bytes:
             self.ended(End.BROKEN)  # Guards the memory limit against an answer without end.
-        elif self.request.form is not None and self._counter.whole and self._waiting is None:
+        elif self.request.grpc_form is not None and self._counter.whole and self._waiting is None:
             self._waiting = asyncio.get_running_loop().call_later(STREAM_AFTER, self._pass_on)
 
     def _streams(self) -> bool:
@@ -275,7 +275,7 @@
             # Not gRPC: some HTTP server's or proxy's own word.
             return None if status < 300 else Response(status, b"", b"")
         body = b"".join(self._chunks)
-        if self.request.form is None:
+        if self.request.grpc_form is None:
             return mapping.plain_answer(self._head, self._tail, body)
         head = b"" if self._head is self._tail else mapping.answer_head(self._head)
         return Response(http_status(int(code)), head, body, None, mapping.answer_tail(self._tail))
--- a/lugspur/interfaces.py
+++ b/lugspur/interfaces.py
@@ -26,7 +26,7 @@
     arrived: float
     keep_alive: bool
     configuration: Any = None  # the daemon's configuration when the head was received
-    form: GrpcForm | None = None  # what a gRPC request has beyond this
+    grpc_form: GrpcForm | None = None  # what a gRPC request has beyond this
     stream: Body | None = None  # the body, if it is streamed
     ended: float = 0.0  # the loop's time of the last byte; for a stream, of the last byte before delivery
     is_http10: bool = False  # HTTP/1.0: the sender doesn't support chunks
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -66,7 +66,7 @@
         sent.target,
         fields,
         sent.body,
-        sent.form is not None,
+        sent.grpc_form is not None,
     )
 
 
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -54,7 +54,7 @@
 
 def test_calls_of_grpc_and_of_http_are_never_the_same() -> None:
     form = request()
-    form.form = object()  # type: ignore[assignment]
+    form.grpc_form = object()  # type: ignore[assignment]
     assert key(form) != key(request())
 
 
