--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -183,7 +183,7 @@
             self._discovery.index,
             list(self.overrides.latest.values()),
             self.overrides.save(),
-            self.front.drained_at is not None,
+            self.front.drain_started_at is not None,
             [*self._open_request_ids, *self._peer_request_ids],
             self.pool.balancer.export_learned(),
         )
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -104,7 +104,7 @@
         self.serving = False  # whether the listener accepts connections and is not about to stop
         self.closing = False
         self.transfer_socket: Callable[[int], bool] | None = None  # hands a connection over to another process
-        self.drained_at: float | None = None  # when an operator started a drain; None: not draining
+        self.drain_started_at: float | None = None  # when an operator started a drain; None: not draining
         self.buffered_bytes = 0  # bytes of incomplete bodies
         self.rejections: Counter[int] = Counter()  # requests rejected here, by status
         self._set_limits(max_callers, memory)
@@ -141,7 +141,7 @@
 
     def healthy(self) -> bool:
         """Return whether this proxy is ready for requests."""
-        return self.ready and self.serving and self.drained_at is None
+        return self.ready and self.serving and self.drain_started_at is None
 
     async def listen(self, sock: socket.socket | None = None, shared: bool = False) -> socket.socket:
         """Accept connections on the own address or on a bound socket.
@@ -188,21 +188,21 @@
 
     def drain(self, since: float = DRAIN_IDLE_DELAY) -> None:
         """Start a drain: responses close their connection, and idle connections are closed a little later."""
-        if self.drained_at is None:
-            self.drained_at = self._loop.time()
+        if self.drain_started_at is None:
+            self.drain_started_at = self._loop.time()
             self._schedule_idle_close(since)
 
     def undrain(self) -> None:
         """End the drain."""
-        self.drained_at = None
+        self.drain_started_at = None
 
     def _schedule_idle_close(self, delay: float) -> None:
-        if self.drained_at is not None:
-            self._loop.call_later(delay, self._close_idle_callers, self.drained_at)
+        if self.drain_started_at is not None:
+            self._loop.call_later(delay, self._close_idle_callers, self.drain_started_at)
 
-    def _close_idle_callers(self, drained_at: float) -> None:
+    def _close_idle_callers(self, drain_started_at: float) -> None:
         """Close connections without an open request."""
-        if self.drained_at != drained_at:
+        if self.drain_started_at != drain_started_at:
             return
         self._schedule_idle_close(DRAIN_CHECK_INTERVAL)
         latest = self._loop.time() + self.first_request_timeout - DRAIN_FIRST_REQUEST_GRACE
@@ -661,7 +661,7 @@
         self._after_response(keep_alive)
 
     def _keeps_alive(self) -> bool:
-        return self._keep_alive and not self.front.closing and self.front.drained_at is None
+        return self._keep_alive and not self.front.closing and self.front.drain_started_at is None
 
     def _respond_early(self, status: int, head: bytes, body: bytes, length: int | None) -> None:
         """Write a response before the end of the request's body and close; the rest of the body is read and dropped."""
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -124,7 +124,7 @@
                 writer.write(b"POST /drain HTTP/1.1\r\nHost"[: number % 30])
                 hung.append((reader, writer))
                 assert await call(port, "GET", "/ready") == 200
-            assert up.proxy.front.drained_at is None
+            assert up.proxy.front.drain_started_at is None
             assert await soon(hung[0][0].read()) == b""  # the oldest had to go
             for _, writer in hung:
                 writer.close()
@@ -197,7 +197,7 @@
             assert held.has_no_input()
             client.writer.write(read(2))  # the loop has had no turn to read it
             assert not held.has_no_input()
-            up.proxy.front.drained_at = 0.0
+            up.proxy.front.drain_started_at = 0.0
             up.proxy.front._close_idle_callers(0.0)
             assert status(await client.answer()) == 200
 
@@ -246,7 +246,7 @@
             await until(lambda: len(listener.connections) == 1)
             writer.transport.abort()
             await until(lambda: not listener.connections and not listener.incomplete)
-            assert up.proxy.front.drained_at is None
+            assert up.proxy.front.drain_started_at is None
             assert await call(listener.port, "GET", "/ready") == 200
             listener.close()
 
--- a/tests/daemon/test_daemon_admin.py
+++ b/tests/daemon/test_daemon_admin.py
@@ -107,7 +107,7 @@
             assert caller.goaways[0][1] == 0  # no fault of its own
             second = HTTP2.replace("[listeners.main]", '[listeners.other]\naddress = "127.0.0.1:0"\n[listeners.main]')
             await world.up.reload(world.up.file.read_text().removeprefix(HTTP2), second)
-            assert all(front.drained_at is not None for front, _ in world.up.running.listeners.values())
+            assert all(front.drain_started_at is not None for front, _ in world.up.running.listeners.values())
             assert await call(world.up, "POST", "/undrain") == 200
             assert all(front.healthy() for front, _ in world.up.running.listeners.values())
 
