--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -296,7 +296,7 @@
         if self.request_sent and exchange.on_body_sent is not None:
             exchange.on_body_sent()
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether the connection can carry another exchange.
 
         Guards the next request against unread input: bytes behind the last response, or the end of the connection.
@@ -398,7 +398,7 @@
             outcome = Outcome.OVERLOADED  # a backend starts work after the last byte, so the request never ran
         # The connection is kept only if the response was this request's and nothing followed it: the next request might
         # get either otherwise.
-        if self._is_reusable and not lacks_id and self.request_sent and self.usable():
+        if self._is_reusable and not lacks_id and self.request_sent and self.is_usable():
             self.exchange = exchange.connection = None
             self._reset()
             self._upstream.release(self)
@@ -695,7 +695,7 @@
                 keep_alive_seconds > 0.0
                 and self._loop.time() - connection.idle_since > IDLE_TIMEOUT_FRACTION * keep_alive_seconds
             )
-            if not stale and connection.usable():
+            if not stale and connection.is_usable():
                 self._transmit(exchange, connection)
                 return
             connection.abandon()
@@ -734,7 +734,7 @@
             self.release(connection)
             self._loop.call_soon(exchange.end, Outcome.NOT_PROCESSED)
             return
-        if not connection.usable():
+        if not connection.is_usable():
             exchange.end(Outcome.UNREACHABLE)
             return
         connection.send(exchange, exchange.serialize(left))
@@ -745,7 +745,7 @@
         now = self._loop.time()
         # Guards backends: each open connection takes some of their capacity.
         full = len(backend.idle) >= self._max_idle_per_backend
-        if not backend.in_service or full or now < self._no_reuse_until or not connection.usable():
+        if not backend.in_service or full or now < self._no_reuse_until or not connection.is_usable():
             connection.abandon()
             return
         connection.idle_since = now
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -483,7 +483,7 @@
             # As on a busy loop, input stays unread from here on.
             asyncio.get_running_loop().remove_reader(idle.sock.fileno())
             one.open[0].write(OK)
-            await until(lambda: not idle.usable())
+            await until(lambda: not idle.is_usable())
             exchanges.start()
             assert await soon(exchanges.ended.get()) is Outcome.OK
             assert len(one.open) == 2
