--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -86,7 +86,7 @@
     __slots__ = (
         "backend",
         "on_response_begun",
-        "bodyless",
+        "is_head_request",
         "body",
         "connection",
         "dial",
@@ -112,7 +112,7 @@
         serialize: Callable[[float], bytes],
         report: Callable[[Exchange, Outcome, Response | None], None],
         repeatable: bool = True,
-        bodyless: bool = False,
+        is_head_request: bool = False,
         timed: bool = True,
     ) -> None:
         # The body that is streamed after the bytes that `serialize` returns; None: those bytes are the whole request.
@@ -123,7 +123,7 @@
         self.streaming, self.first_byte_at = False, 0.0  # `first_byte_at`: when streaming began
         self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
         self.expected_id: bytes | None = None  # the request id that the response must carry, where backends echo it
-        self.bodyless = bodyless  # HEAD: the response ends with its head, whatever Content-Length says
+        self.is_head_request = is_head_request  # HEAD: the response ends with its head, whatever Content-Length says
         self.timed = timed  # whether the exchange sets its own timer; else its owner calls `expire`
         self.backend = backend
         self.started = started
@@ -558,7 +558,7 @@
         return self.exchange is not None and self.exchange.repeatable
 
     def _is_head_request(self) -> bool:
-        return self.exchange is not None and self.exchange.bodyless
+        return self.exchange is not None and self.exchange.is_head_request
 
     def on_body(self, body: bytes) -> None:
         if self._response is not None or self._invalid:
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -259,7 +259,7 @@
             lambda seconds_left: encode_request(forward, seconds_left - GRACE_SECONDS),
             lambda exchange, outcome, response: self._exchange_finished(request, outcome, response),
             repeatable=forward.is_safe,
-            bodyless=forward.method == b"HEAD",
+            is_head_request=forward.method == b"HEAD",
         )
         exchange.expected_id = forward.attempt_id
         request.exchange = exchange
