--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -485,7 +485,7 @@
 
     def _stream_body(self, call: Call, body: Body, exchange: upstream.Exchange, number: int, timeout: float) -> None:
         """Stream the request's body to the attempt, whose timeout starts with the last byte."""
-        exchange.body, exchange.timed, exchange.expires_at = body, False, call.deadline
+        exchange.body, exchange.sets_timer, exchange.expires_at = body, False, call.deadline
 
         def body_written() -> None:
             now = self._loop.time()
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -96,7 +96,7 @@
         "open",
         "repeatable",
         "started",
-        "timed",
+        "sets_timer",
         "timer",
         "expires_at",
         "serialize",
@@ -113,7 +113,7 @@
         report: Callable[[Exchange, Outcome, Response | None], None],
         repeatable: bool = True,
         is_head_request: bool = False,
-        timed: bool = True,
+        sets_timer: bool = True,
     ) -> None:
         # The body that is streamed after the bytes that `serialize` returns; None: those bytes are the whole request.
         self.body: Body | None = None
@@ -124,7 +124,7 @@
         self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
         self.expected_id: bytes | None = None  # the request id that the response must carry, where backends echo it
         self.is_head_request = is_head_request  # HEAD: the response ends with its head, whatever Content-Length says
-        self.timed = timed  # whether the exchange sets its own timer; else its owner calls `expire`
+        self.sets_timer = sets_timer  # whether the exchange sets its own timer; else its owner calls `expire`
         self.backend = backend
         self.started = started
         self.expires_at = expires_at  # the loop's time at which the attempt times out
@@ -682,7 +682,7 @@
 
     def start(self, exchange: Exchange) -> None:
         """Send an attempt, on a new connection if none is idle; its outcome is reported later."""
-        if exchange.timed:
+        if exchange.sets_timer:
             exchange.timer = self._loop.call_at(exchange.expires_at, exchange.expire)
         idle = exchange.backend.idle
         # Guards requests that must not run twice: an idle connection may be dead already without any sign of it.
