--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -649,7 +649,7 @@
         """
         check(self._busy, Invariant.ONE_ANSWER, peer=self.peer, status=status)
         if self._response_pipe is not None:  # a response that was begun can't be completed by another
-            self.cut()
+            self.abort_response()
             return
         if self._request_body is not None and not self._request_body.ended:  # responded before the end of the body
             self._respond_early(status, head, body, length)
@@ -702,7 +702,7 @@
         return self
 
     def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
-        """Write a response head; the body follows through the pipe, and `finish_response` or `cut` ends it."""
+        """Write a response head; its body follows through the pipe until `finish_response` or `abort_response`."""
         check(self._busy and self._response_pipe is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
         stream, self._request_body = self._request_body, None
         if stream is not None and not stream.ended:  # the rest of the request's body is not needed
@@ -761,7 +761,7 @@
         else:
             self._after_response(self._keep_alive and self._keeps_alive())
 
-    def cut(self) -> None:
+    def abort_response(self) -> None:
         """Abort a response that was begun so that the caller can detect it."""
         self._drop_response()
         self.on_disconnect = None
