--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -126,17 +126,17 @@
         self.max_buffered_bytes = int(BODY_MEMORY_FRACTION * memory)
 
     def update_limits(
-        self, max_callers: int, memory: int, sizes: Sizes, within: float, idle: float, grace: float
+        self, max_callers: int, memory: int, sizes: Sizes, request_timeout: float, idle: float, grace: float
     ) -> None:
         """Apply changed limits.
 
-        `within` is the time in seconds for a request to arrive, `idle` the idle timeout between two requests, and
-        `grace` the time for streams to end. `sizes` applies to new connections.
+        `request_timeout` is the time in seconds for a request to arrive, `idle` the idle timeout between two requests,
+        and `grace` the time for streams to end. `sizes` applies to new connections.
         """
         self.grace = grace
         self._set_limits(max_callers, memory)
         self.sizes = sizes
-        self.first_request_timeout = self.request_head_timeout = within
+        self.first_request_timeout = self.request_head_timeout = request_timeout
         self.idle_timeout = idle
 
     def healthy(self) -> bool:
