--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -17,14 +17,17 @@
 class Body:
     """A request body that is forwarded at the pace of the slower side.
 
-    An attempt reads at its own offset. Until more than `keep` bytes have been forwarded, all of them are buffered and
+    An attempt reads at its own offset. Until more than `replay_limit` bytes have been forwarded, all of them are buffered and
     another attempt can start; from then on forwarded bytes are dropped and the request is bound to that attempt.
     """
 
     def __init__(
-        self, length: int | None, resume_sender: Callable[[], None], keep: int = REPLAY_FACTOR * MAX_BUFFERED_BODY
+        self,
+        length: int | None,
+        resume_sender: Callable[[], None],
+        replay_limit: int = REPLAY_FACTOR * MAX_BUFFERED_BODY,
     ) -> None:
-        self._replay_limit = keep
+        self._replay_limit = replay_limit
         self._buffers_whole = False
         self.length = length  # Content-Length; None: the body is chunked
         self._resume_sender = resume_sender  # called when the sender may send more
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -144,7 +144,7 @@
         return self.ready and self.serving and self.drain_started_at is None
 
     async def listen(self, sock: socket.socket | None = None, shared: bool = False) -> socket.socket:
-        """Accept connections on the own address or on a bound socket.
+        """Accept connections on the address of the front or on a bound socket.
 
         `shared` allows other processes to bind the address too.
         """
@@ -297,8 +297,8 @@
 
     def arrival(self, now: float) -> float:
         """Return when the bytes being read arrived, as far as that is known."""
-        came = self.front.arrival_time
-        return now if came is None else came(now, self._transport, not self.has_sent_request)
+        estimate = self.front.arrival_time
+        return now if estimate is None else estimate(now, self._transport, not self.has_sent_request)
 
     def close(self) -> None:
         """Close the connection after all written bytes have been sent."""
@@ -387,12 +387,12 @@
 
     def _drop_response(self) -> None:
         """Detach from the streamed response and drop the rest of it."""
-        flow, self._response_pipe = self._response_pipe, None
+        pipe, self._response_pipe = self._response_pipe, None
         uncredited, self._uncredited = self._uncredited, 0
-        if flow is not None:
-            flow.attach(None)
-            flow.mark_sent(uncredited)
-            flow.discard()
+        if pipe is not None:
+            pipe.attach(None)
+            pipe.mark_sent(uncredited)
+            pipe.discard()
 
     def _release_request(self) -> None:
         """Release the request whose response can't be delivered any more."""
@@ -487,12 +487,12 @@
         self._deferred_input += bytes(data)
         self.front.buffered_bytes += len(data)
 
-    def _process_deferred(self, came: float) -> None:
+    def _process_deferred(self, arrived_at: float) -> None:
         data, self._deferred_input, self._deferred_until = self._deferred_input, b"", 0.0
         self.front.buffered_bytes -= len(data)
         if not self._transport.is_closing():
             self._transport.resume_reading()
-            self.feed(memoryview(data), came)
+            self.feed(memoryview(data), arrived_at)
 
     def _switch_to_http2(self, received: bytes) -> None:
         """Hand the connection over to the HTTP/2 protocol, as ALPN would."""
@@ -504,8 +504,8 @@
         successor.connection_made(transport)
         successor.feed(memoryview(received))
 
-    def feed(self, data: memoryview, came: float | None = None) -> None:
-        """Process received bytes; `came` is their time of arrival if they were deferred."""
+    def feed(self, data: memoryview, arrived_at: float | None = None) -> None:
+        """Process received bytes; `arrived_at` is their time of arrival if they were deferred."""
         if self._ignores_input:
             self._dropped_bytes += len(data)
             if self._dropped_bytes > MAX_DROPPED_INPUT:  # Guards the CPU against an endless sender.
@@ -513,7 +513,7 @@
             return
         parser, front = self._parser, self.front
         now = self.arrival(self._loop.time())
-        parser.feed(data, now if came is None else came)
+        parser.feed(data, now if arrived_at is None else arrived_at)
         self._count_buffered(parser.buffered_bytes())
         if self._request_body is not None and not self._request_body.ended:
             self._continue_body(now)
@@ -701,7 +701,7 @@
         """Return this caller, which accepts streamed responses."""
         return self
 
-    def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
+    def begin_response(self, status: int, head: bytes, length: int | None, pipe: Pipe) -> None:
         """Write a response head; its body follows through the pipe until `finish_response` or `abort_response`."""
         check(self._busy and self._response_pipe is None, Invariant.ONE_ANSWER, peer=self.peer, status=status)
         stream, self._request_body = self._request_body, None
@@ -727,21 +727,21 @@
                 b"" if self._keep_alive else b"Connection: close\r\n",
             )
         )
-        self._response_pipe = flow
+        self._response_pipe = pipe
         self.move(self.front.streaming, self._loop.time() + STREAM_TIMEOUT)
-        flow.attach(self._write_pieces)
+        pipe.attach(self._write_pieces)
 
     def _write_pieces(self) -> None:
         """Write the available part of the response as long as the caller reads."""
-        flow = self._response_pipe
-        while flow is not None and not self._writing_paused and (data := flow.take_chunk()):
+        pipe = self._response_pipe
+        while pipe is not None and not self._writing_paused and (data := pipe.take_chunk()):
             self.move(self.front.streaming, self._loop.time() + STREAM_TIMEOUT)
             self._transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
             if self._writing_paused:  # credited once it has been sent
                 self._uncredited += len(data)
             else:
-                flow.mark_sent(len(data))
-        if flow is not None and flow.ended and not self._writing_paused:
+                pipe.mark_sent(len(data))
+        if pipe is not None and pipe.ended and not self._writing_paused:
             self._complete_response()
 
     def finish_response(self) -> None:
--- a/lugspur/http1/request_parser.py
+++ b/lugspur/http1/request_parser.py
@@ -13,7 +13,7 @@
 
 # Default limit in bytes on a request body.
 MAX_BODY = 64 << 10
-# Limit in bytes on a streamed request body: 32 MB are to be send_continue, 60 MB are rejected.
+# Limit in bytes on a streamed request body: 32 MB are to be expected, 60 MB are rejected.
 MAX_STREAMED_BODY = 40 << 20
 # Limit in bytes on a request head: what backends commonly accept.
 MAX_HEAD = 16 << 10
@@ -103,10 +103,10 @@
             self._wire_size += len(data)
             # A streamed body counts with its size so far: its limit alone would allow hundreds of MB of framing.
             body = min(self._sizes.body, max(self._body_size, self._sizes.max_buffered_body))
-            most = MAX_WIRE_FACTOR * body + self._sizes.head
+            max_wire_size = MAX_WIRE_FACTOR * body + self._sizes.head
             if not self._head_complete and self._wire_size > self._sizes.head:
                 self._reject(431, "the head is too large")  # Guards memory against one endless header.
-            elif self._wire_size > most:  # Guards memory against endless chunk framing.
+            elif self._wire_size > max_wire_size:  # Guards memory against endless chunk framing.
                 self._reject(413, "the request is too large")
 
     def body_due(self, rate: float) -> float:
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -417,15 +417,15 @@
 
         def on_read(size: int) -> None:
             self._upstream.streamed_bytes -= size
-            if flow is self._pipe:  # else the response has ended meanwhile
+            if pipe is self._pipe:  # else the response has ended meanwhile
                 self._on_pipe_read(size)
 
-        self._pipe = flow = Pipe(on_read)
+        self._pipe = pipe = Pipe(on_read)
         self._write_to_pipe(b"".join(self._body))
         self._body.clear()
         self._release_buffer()
         exchange.on_response_begun(
-            Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow
+            Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), pipe
         )
 
     def stream_partial_response(self, exchange: Exchange) -> bool:
--- a/lugspur/interfaces.py
+++ b/lugspur/interfaces.py
@@ -65,7 +65,7 @@
 class StreamingReceiver(Protocol):
     """A receiver of a streamed response."""
 
-    def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
+    def begin_response(self, status: int, head: bytes, length: int | None, pipe: Pipe) -> None:
         """Write a response head.
 
         The body follows through the pipe; `finish_response` completes it, and `respond` aborts it.
