--- a/lugspur/http1/body.py
+++ b/lugspur/http1/body.py
@@ -17,8 +17,8 @@
 class Body:
     """A request body that is forwarded at the pace of the slower side.
 
-    An attempt reads at its own offset. Until more than `replay_limit` bytes have been forwarded, all of them are buffered and
-    another attempt can start; from then on forwarded bytes are dropped and the request is bound to that attempt.
+    An attempt reads at its own offset. Until more than `replay_limit` bytes have been forwarded, all of them are kept
+    and another attempt can start; from then on forwarded bytes are dropped and the request is bound to that attempt.
     """
 
     def __init__(
--- a/tests/daemon/hot_restart/test_connection_transfer.py
+++ b/tests/daemon/hot_restart/test_connection_transfer.py
@@ -20,8 +20,8 @@
         self.callers: set[object] = set()
         self.passes: Callable[[int], bool] | None = None
 
-    def pass_all(self, pass_to: Callable[[int], bool]) -> None:
-        self.passes = pass_to
+    def transfer_all(self, transfer_socket: Callable[[int], bool]) -> None:
+        self.passes = transfer_socket
 
 
 class Proxy:
