--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -60,9 +60,9 @@
         text = pool("a", one.address) + ROUTES
         await up.reload(text, GUARDED)
         protection = up.daemon.overload_protection
-        assert protection is not None and front.came is not None and front.work is not None
+        assert protection is not None and front.arrival_time is not None and front.descriptors is not None
         client = await up.client()
-        assert status(await client.ask(ask())) == 200 and len(front.work) == 1
+        assert status(await client.ask(ask())) == 200 and len(front.descriptors) == 1
         await up.reload(text, GUARDED.replace("worth = 0.1", "worth = 0.2"))
         assert (
             up.daemon.overload_protection is protection
