--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -653,10 +653,15 @@
         self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
 
     def update_limits(
-        self, conn_idle: float, dial_timeout: float, max_buffered_bytes: int, max_response_body: int, idle_each: int
+        self,
+        conn_idle: float,
+        dial_timeout: float,
+        max_buffered_bytes: int,
+        max_response_body: int,
+        max_idle_per_backend: int,
     ) -> None:
         """Apply changed limits."""
-        self._max_idle_per_backend = idle_each
+        self._max_idle_per_backend = max_idle_per_backend
         self._max_idle_time, self._dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
         self.max_buffered_bytes, self.max_response_body = max_buffered_bytes, max_response_body
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -357,7 +357,7 @@
     async def play() -> None:
         seen = []
 
-        async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def send_truncated(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_request(reader)
             seen.append(1)
             if len(seen) > 1:
@@ -367,7 +367,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\ndone")
             await reader.read()
 
-        async with serving_backend(spoilt) as one, serving_backend(spoilt) as two:
+        async with serving_backend(send_truncated) as one, serving_backend(send_truncated) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 assert (await client.ask(read())).endswith(b"done")
