--- a/lugspur/__main__.py
+++ b/lugspur/__main__.py
@@ -10,9 +10,9 @@
 def main() -> int:
     """Run the proxy or a command; the command line is imported only if it is used, as the proxy does not need it."""
     if len(sys.argv) == 1 or sys.argv[1] == "run":
-        from lugspur import reloads
+        from lugspur import reload_signal
 
-        reloads.hold()  # before the other imports, which take time
+        reload_signal.record_early_signal()  # before the other imports, which take time
     if len(sys.argv) == 1:
         from lugspur.daemon.service import main as serve
 
--- a/lugspur/bench/soak/guarded.py
+++ b/lugspur/bench/soak/guarded.py
@@ -4,11 +4,11 @@
 
 import sys
 
-from lugspur import reloads
+from lugspur import reload_signal
 from lugspur.bench.soak.guards import GUARDS
 from lugspur.mesh.program import serve
 
 if __name__ == "__main__":
-    reloads.hold()
+    reload_signal.record_early_signal()
     GUARDS[int(sys.argv[1])].disable()
     sys.exit(serve())
--- a/lugspur/bench/soak/guards.py
+++ b/lugspur/bench/soak/guards.py
@@ -18,6 +18,7 @@
 
 from lugspur.emulator.control import guards as control_guards
 from lugspur.http1.upstream import Connection, Exchange
+from lugspur.interfaces import Response
 from lugspur.mesh.control.freshness import Freshness
 from lugspur.mesh.control.messages import Delta, ForwardRequest
 from lugspur.mesh.dataplane import backend_exchange, proxied_request
@@ -27,7 +28,6 @@
 from lugspur.mesh.dataplane.proxied_request import ProxiedRequest
 from lugspur.mesh.sidecar.backend_incarnations import BackendIncarnations
 from lugspur.mesh.sidecar.unrun_requests import UnrunRequests
-from lugspur.seams import Response
 
 # Time of fault injection in one soak; soaks follow each other until a missing guard is detected or the time is up.
 SOAK_SECONDS = 20.0
@@ -131,7 +131,7 @@
     SoakGuard("a backend that closes gets nothing new", ConcurrencyLimiter, "accepts", _accepts_while_closing),
     SoakGuard("what waits is sent to the life that took it", ConcurrencyLimiter, "may_start", _always_may_start),
     SoakGuard("an answer bears its request's id", backend_exchange, "is_valid_response", _any_response_is_valid),
-    SoakGuard("a late answer to another is passed over", Connection, "_stray", _never_stray),
+    SoakGuard("a late answer to another is passed over", Connection, "_is_stray", _never_stray),
     SoakGuard("what was sent may have run", Exchange, "_may_have_run", _never_may_have_run),
     SoakGuard("what was held up is not begun", ExcessDelayEstimator, "observe", _no_excess_delay),
     SoakGuard("only what never came is proven so", UnrunRequests, "is_proven_unrun", _always_proven_unrun),
--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -102,8 +102,12 @@
         max_response_bytes = limits.answer
         self._byte_limits = max_held_bytes, max_response_bytes
         upstream = self.pool.upstream
-        upstream.tune(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
-        upstream.pass_from, upstream.pass_most, upstream.flow_most = limits.hold, max_response_bytes, max_held_bytes
+        upstream.update_limits(row.keep, row.connect, max_held_bytes, max_response_bytes, row.idle)
+        upstream.streaming_threshold, upstream.max_streamed_response, upstream.max_streamed_bytes = (
+            limits.hold,
+            max_response_bytes,
+            max_held_bytes,
+        )
         if self._streams is not None:
             self._streams.tune(row.keep, row.connect, max_held_bytes, max_response_bytes)
         if snapshot is not None:  # serves until the source has delivered a list
@@ -146,8 +150,8 @@
             row.keep,
             row.connect,
             0,
-            judge=classify_response,
-            dialled=self._record_connection_attempt,
+            classify=classify_response,
+            on_dialled=self._record_connection_attempt,
         )
         seed = int.from_bytes(os.urandom(8), "big")
         self.pool = Pool(settings, seed, connections, self._owner, self._epoch, lane=self._grpc_streams)
@@ -240,7 +244,7 @@
     def _publish(self, kind: ListUpdateKind, endpoints: list[Endpoint]) -> None:
         self._list_changes += 1
         self.pool.update_endpoints(kind, endpoints)
-        self.speaks_grpc = any(backend.lane is not None for backend in self.pool.backends.values())
+        self.speaks_grpc = any(backend.transport is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
         self.standing.set_backends(up)
         if self.on_endpoints_changed is not None:
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -26,8 +26,9 @@
 from lugspur.discovery.registry_sessions import RegistrySessions
 from lugspur.http1.body import Body
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Rejected, Sizes
-from lugspur.http1.upstream import HELD_PART
+from lugspur.http1.request_parser import RejectionError, Sizes
+from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION
+from lugspur.interfaces import Request, Responder, Response
 from lugspur.load_balancing.model import Outcome, RequestClass, RetrySafety
 from lugspur.routing.model import DirectResponse, Forward, Redirect, RequestView
 from lugspur.routing.pool_health import PoolHealth, pools_to_attempt
@@ -35,7 +36,6 @@
 from lugspur.routing.splits import order_at_random, order_by_key
 from lugspur.routing.table import Match, NoMatch, parse_query
 from lugspur.routing.target import Target, TargetError, parse_target
-from lugspur.seams import Answerable, Request, Response
 
 if TYPE_CHECKING:
     from lugspur.daemon.overload_protection import OverloadProtection
@@ -81,7 +81,7 @@
         weights = {name: row.share for name, row in pools.items()}
         self._sockets.set_parts(sockets - max_callers, guaranteed_parts(sockets - max_callers, weights))
         self._request_slots.set_parts(max_callers, guaranteed_parts(max_callers, weights))
-        held_bytes_per_weight = HELD_PART * limits.memory / sum(weights.values()) if weights else 0.0
+        held_bytes_per_weight = RESPONSE_MEMORY_FRACTION * limits.memory / sum(weights.values()) if weights else 0.0
         for name in self.clusters.keys() - pools.keys():
             self.clusters.pop(name).close_when_idle(self.configuration.plan.file.limits.read)
         for name, row in pools.items():
@@ -130,7 +130,7 @@
     def create_front(self, row: model.Listener) -> Front:
         """Return a front for one listener of the plan."""
 
-        def handle(request: Request, caller: Answerable) -> None:
+        def handle(request: Request, caller: Responder) -> None:
             self._handle(row, request, caller)
 
         front = Front(row.address, 1, 0, handle)
@@ -139,12 +139,12 @@
             from lugspur.daemon import health
             from lugspur.http2.front import CallerConnection
 
-            def handle_http2(request: Request, caller: Answerable) -> None:
+            def handle_http2(request: Request, caller: Responder) -> None:
                 if not health.handle_health_request(request, caller, front, lambda name: self._serves(front, name)):
                     self._handle(row, request, caller)
 
             front.http2 = lambda front: CallerConnection(front, handle_http2, row.streams)
-        front.terms = lambda: self.configuration
+        front.get_configuration = lambda: self.configuration
         self.apply_limits(front)
         return front
 
@@ -156,11 +156,11 @@
         if self.overload_protection is not None:
             self.overload_protection.attach(front)
         else:
-            front.came = front.work = None
-        front.tune(
+            front.arrival_time = front.descriptors = None
+        front.update_limits(
             max(1, int(CALLER_SOCKETS_SHARE * sockets) // count),
             limits.memory // count,
-            Sizes(limits.head, limits.body, ordinary=True, hold=limits.hold),
+            Sizes(limits.head, limits.body, ordinary=True, max_buffered_body=limits.hold),
             limits.read,
             limits.idle,
             limits.drain,
@@ -175,15 +175,15 @@
 
     # ---- requests ------------------------------------------------------------------------------
 
-    def _handle(self, row: model.Listener, request: Request, caller: Answerable) -> None:
+    def _handle(self, row: model.Listener, request: Request, caller: Responder) -> None:
         method = request.method.decode("latin-1")
         if method not in METHODS:
-            raise Rejected(501, "the method is not served")
+            raise RejectionError(501, "the method is not served")
         try:
             target = parse_target(request.target, request.headers.get(b"host"))
         except TargetError as error:
-            raise Rejected(400, str(error)) from error
-        configuration = request.terms
+            raise RejectionError(400, str(error)) from error
+        configuration = request.configuration
         assert isinstance(configuration, LoadedConfiguration)
         table = configuration.plan.table
         headers = Headers(request.headers)
@@ -194,7 +194,7 @@
         elif isinstance(match.route.action, DirectResponse):
             reply = match.route.action
             lines = "".join(f"{name}: {value}\r\n" for name, value in reply.headers)
-            caller.answer(reply.status, lines.encode(), reply.body)
+            caller.respond(reply.status, lines.encode(), reply.body)
         elif isinstance(match.route.action, Redirect):
             _respond_with_redirect(match.route.action, match, target, caller)
         else:
@@ -208,7 +208,7 @@
         forward: Forward,
         request: Request,
         target: Target,
-        caller: Answerable,
+        caller: Responder,
     ) -> None:
         request_class = configuration.plan.classes[configuration.plan.class_indices[forward.class_name]]
         timeout = self._read_timeout(request_class, forward, request)
@@ -217,14 +217,14 @@
         caller.admit()
         deadline = self._loop.time() + timeout - RESPONSE_MARGIN_SECONDS
         if timeout <= 0.0:  # The request arrived too late or was queued too long: no work is spent on it.
-            caller.answer(504, b"", b"the time is up\n")
+            caller.respond(504, b"", b"the time is up\n")
             return
         if self.overload_protection is not None and configuration is self.configuration:
             client = caller.peer if tenant == NO_TENANT else tenant
             class_index = configuration.plan.class_indices[forward.class_name]
-            size = len(request.body) if request.stream is None else request.stream.came
+            size = len(request.body) if request.stream is None else request.stream.received
             if not self.overload_protection.admits(class_index, client, size):
-                caller.answer(503, RETRY_AFTER_HEADER, b"too busy\n")
+                caller.respond(503, RETRY_AFTER_HEADER, b"too busy\n")
                 self.overload_protection.pause_reading(caller, class_index)
                 return
         if forward.key is not None:
@@ -234,7 +234,7 @@
             order = order_at_random(forward.splits, self._rng)
         names = pools_to_attempt(order, forward.fallback, configuration.pool_health, self._loop.time())
         if not names:
-            caller.answer(503, RETRY_AFTER_HEADER, b"no backend\n")
+            caller.respond(503, RETRY_AFTER_HEADER, b"no backend\n")
             return
         upstream_request = build_upstream_request(request, target, match, forward, caller.peer, row.trust_forwarded)
         cluster, *fallback_clusters = (configuration.clusters[name] for name in names)
@@ -253,20 +253,20 @@
         self.coalescer.coalesce(request, context, route, forward.coalescing, caller)
 
     def _read_timeout(self, request_class: RequestClass, forward: Forward, request: Request) -> float:
-        """Return the request's timeout in seconds; raises Rejected if a header that its class requires is missing."""
+        """Return the request's timeout in seconds; raises RejectionError if a required header is missing."""
         get = request.headers.get
         if request_class.retry_safety is RetrySafety.KEYED and not get(b"idempotency-key"):
-            raise Rejected(400, "no Idempotency-Key, which this class needs")
+            raise RejectionError(400, "no Idempotency-Key, which this class needs")
         timeout = min(request_class.deadline, forward.deadline or request_class.deadline)
         requested_timeout = get(b"x-timeout")
         if requested_timeout is not None:
             if not SECONDS_PATTERN.fullmatch(requested_timeout):
-                raise Rejected(400, "X-Timeout is malformed")
+                raise RejectionError(400, "X-Timeout is malformed")
             # The caller counts from the start of its request, so the time since its arrival is subtracted.
             timeout = min(timeout, float(requested_timeout) - (self._loop.time() - request.arrived))
         return timeout
 
-    def _submit_streaming(self, context: RequestContext, stream: Body, timeout: float, caller: Answerable) -> None:
+    def _submit_streaming(self, context: RequestContext, stream: Body, timeout: float, caller: Responder) -> None:
         """Submit a request whose body is streamed; its timeout counts from the body's last byte."""
 
         def complete_body() -> None:
@@ -281,26 +281,27 @@
             self._submit(context, caller)
 
         if any(cluster.speaks_grpc for cluster in (context.cluster, *context.fallback_clusters)):
-            stream.gather(body_gathered)  # a gRPC backend receives the body as one message, whose length precedes it
+            # A gRPC backend receives the body as one message, whose length precedes it.
+            stream.buffer_whole(body_gathered)
             return
         context.expected_by = context.deadline
         context.deadline += MAX_UPLOAD_SECONDS
-        stream.whole = complete_body
+        stream.on_complete = complete_body
         self._submit(context, caller)
 
-    def _submit(self, context: RequestContext, caller: Answerable) -> None:
+    def _submit(self, context: RequestContext, caller: Responder) -> None:
         """Submit a request to its upstream cluster, if that has capacity left."""
-        cluster, form = context.cluster, context.request.form
+        cluster, form = context.cluster, context.request.grpc_form
         request_class = context.request_class
-        if form is not None and form.bound:
+        if form is not None and form.requires_grpc:
             if not cluster.speaks_grpc:
-                caller.answer(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
+                caller.respond(501, b"", b"no backend here speaks gRPC, and HTTP/1.1 takes no streams\n")
                 return
             request_class = replace(request_class, allowed_host_types=(GRPC_HOST_TYPE,))
         if not self._request_slots.can_acquire(cluster.name):
             # Protects the other pools: one that hangs fills only its own slots and those that are not reserved.
             context.ending = Ending.REJECTED
-            caller.answer(503, RETRY_AFTER_HEADER, b"no place\n")
+            caller.respond(503, RETRY_AFTER_HEADER, b"no place\n")
             return
         self._request_slots.acquire(cluster.name)
         attributes = RequestAttributes(
@@ -322,7 +323,7 @@
         _record_ending(context, call, Ending.SERVED)
         if context.streaming_caller is not None:
             context.cluster.pool.release(call)
-            context.streaming_caller.finish_answer()
+            context.streaming_caller.finish_response()
         else:
             self._send_response(call, response)
 
@@ -334,15 +335,15 @@
     def response_begun(self, call: Call, response: Response, body: Pipe) -> None:
         """Start to stream a response to the caller."""
         context = _context_of(call)
-        if context.request.form is not None:
-            context.request.form.begin_messages(change_headers(response.head, context.forward.response), body)
+        if context.request.grpc_form is not None:
+            context.request.grpc_form.begin_messages(change_headers(response.head, context.forward.response), body)
             return
-        streaming_caller = None if call.caller is None else call.caller.passing()
+        streaming_caller = None if call.caller is None else call.caller.streaming_receiver()
         if streaming_caller is not None:  # from here on, no deadline ends the response
             context.streaming_caller = streaming_caller
             context.cluster.pool.clear_deadline(call)
             head = change_headers(response.head, context.forward.response)
-            streaming_caller.begin_answer(response.status, head, response.length, body)
+            streaming_caller.begin_response(response.status, head, response.length, body)
 
     def request_rejected(self, call: Call, retry_after: float) -> None:
         """Fail over to the next pool if this one has no usable backend and nothing ran; otherwise respond with 503."""
@@ -350,7 +351,8 @@
         cluster, now = context.cluster, self._loop.time()
         fallbacks = [other for other in context.fallback_clusters if other.standing.is_usable(now)]
         stream = context.request.stream
-        body_partly_dropped = stream is not None and stream.bound  # a part of the body is no longer buffered
+        # Whether a part of the body is no longer buffered.
+        body_partly_dropped = stream is not None and stream.is_partly_dropped
         if (
             fallbacks
             and not body_partly_dropped
@@ -366,7 +368,7 @@
         _record_ending(context, call, Ending.FAILED if call.attempts else Ending.REJECTED)
         head = b"Retry-After: %.3f\r\n" % retry_after if retry_after > 0.0 else RETRY_AFTER_HEADER
         # gRPC has a status for requests whose deadline has passed, whether a retry is harmless or not.
-        deadline_passed = call.request.form is not None and now >= call.deadline
+        deadline_passed = call.request.grpc_form is not None and now >= call.deadline
         cluster.pool.respond(
             call, 504 if deadline_passed else 503, head, b"the time is up\n" if deadline_passed else b"refused\n"
         )
@@ -399,12 +401,12 @@
 
 
 def _read_tenant(plan: Plan, match: Match, forward: Forward, request: Request, query: dict[str, str]) -> str:
-    """Return the request's tenant; raises Rejected if its route requires one and it names none that is known."""
+    """Return the request's tenant; raises RejectionError if its route requires one and it names none that is known."""
     if forward.tenant is None:
         return NO_TENANT
     name = extract_value(forward.tenant, Headers(request.headers), query, match.captured)
     if name not in plan.file.tenants:
-        raise Rejected(403, "unknown tenant")
+        raise RejectionError(403, "unknown tenant")
     return name
 
 
@@ -412,16 +414,16 @@
     return any(source is not None and source.query for source in (forward.key, forward.tenant))
 
 
-def _respond_to_miss(miss: NoMatch, caller: Answerable) -> None:
+def _respond_to_miss(miss: NoMatch, caller: Responder) -> None:
     if miss.allowed_methods:
         head = b"Allow: %b\r\n" % ", ".join(sorted(miss.allowed_methods)).encode()
-        caller.answer(405, head, b"method not allowed\n")
+        caller.respond(405, head, b"method not allowed\n")
     else:
-        caller.answer(404, b"", b"no route\n")
+        caller.respond(404, b"", b"no route\n")
 
 
-def _respond_with_redirect(redirect: Redirect, match: Match, target: Target, caller: Answerable) -> None:
+def _respond_with_redirect(redirect: Redirect, match: Match, target: Target, caller: Responder) -> None:
     to = redirect.location.fill(match.captured).encode()
     if target.query is not None:
         to += (b"&" if b"?" in to else b"?") + target.query
-    caller.answer(redirect.status, b"Location: %b\r\n" % to, b"")
+    caller.respond(redirect.status, b"Location: %b\r\n" % to, b"")
--- a/lugspur/daemon/overload_protection.py
+++ b/lugspur/daemon/overload_protection.py
@@ -9,8 +9,8 @@
 from lugspur.daemon.load_signals import LoadSignals
 from lugspur.guard.limiter import WINDOW, Limiter
 from lugspur.http1.front import Caller, Front
+from lugspur.interfaces import Responder
 from lugspur.load_balancing.model import RequestClass
-from lugspur.seams import Answerable
 
 BODY_BYTES_PER_REQUEST_COST = 16 << 10  # a body of this size costs as much work as a request without one
 
@@ -45,16 +45,16 @@
             signals.is_new_connection,
         )
 
-    def pause_reading(self, caller: Answerable, class_index: int) -> None:
+    def pause_reading(self, caller: Responder, class_index: int) -> None:
         """Stop reading from a rejected caller for a moment, unless it is one of several requests over HTTP/2."""
         if isinstance(caller, Caller):
-            caller.rest(self.limiter.read_pause_seconds(class_index))
+            caller.defer_input(self.limiter.read_pause_seconds(class_index))
 
     def attach(self, front: Front) -> None:
         """Measure when the bytes of the front's callers arrived, and handle responses before their new requests."""
-        front.came = self.signals.arrival_time
+        front.arrival_time = self.signals.arrival_time
         if self.signals.selector is not None:
-            front.work = self.signals.selector.caller_descriptors
+            front.descriptors = self.signals.selector.caller_descriptors
 
     def _sample(self) -> None:
         self._sample_now()
--- a/lugspur/daemon/pool.py
+++ b/lugspur/daemon/pool.py
@@ -17,6 +17,7 @@
 from lugspur.discovery.endpoints import Address, Endpoint
 from lugspur.http1 import upstream
 from lugspur.http1.body import Body
+from lugspur.interfaces import Attempt, BackendTransport, Request, Responder, Response
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import (
@@ -34,7 +35,6 @@
     Subscribe,
 )
 from lugspur.observability.failures import AttemptRecord, ConfigurationState, FailureLog, log_nothing
-from lugspur.seams import Answerable, Attempt, Lane, Request, Response
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -78,14 +78,14 @@
         balancer_id: str,
         request: Request,
         attributes: RequestAttributes,
-        caller: Answerable,
+        caller: Responder,
         deadline: float,
         context: object,
     ) -> None:
         self.balancer_id = balancer_id
         self.request = request
         self.attributes = attributes
-        self.caller: Answerable | None = caller  # None after the final response, or once the caller has been released
+        self.caller: Responder | None = caller  # None after the final response, or once the caller has been released
         self.deadline = deadline  # in the loop's time
         self.context = context  # used by the owner only
         self.attempts: list[Attempt] = []
@@ -98,7 +98,7 @@
 
     def encode_http1(self, left: float) -> bytes:
         """Return the request as sent to an HTTP/1.1 backend that has `left` seconds to respond."""
-        request = self.request if self.request.form is None else self.request.form.plain(self.request)
+        request = self.request if self.request.grpc_form is None else self.request.grpc_form.to_http1(self.request)
         sends_length = request.body or request.method not in (b"GET", b"HEAD")
         length = b"Content-Length: %d\r\n" % len(request.body) if sends_length else b""
         stream = request.stream
@@ -163,22 +163,22 @@
 
 
 class AttemptWatcher:
-    """Passes the events of one attempt on to the pool (seams.Watcher)."""
+    """Passes the events of one attempt on to the pool (interfaces.AttemptObserver)."""
 
     __slots__ = ("_call", "_number", "_pool")
 
     def __init__(self, pool: Pool, call: Call, number: int) -> None:
         self._pool, self._call, self._number = pool, call, number
 
-    def ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+    def on_ended(self, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
         """Handle the end of the attempt; called once."""
         self._pool.finish_attempt(self._call, self._number, attempt, outcome, response)
 
-    def bound(self) -> None:
+    def on_committed(self) -> None:
         """Bind the request to this attempt, because a message was passed on."""
         self._pool.bind_to_attempt(self._call, self._number)
 
-    def begun(self, response: Response, body: Pipe) -> None:
+    def on_response_begun(self, response: Response, body: Pipe) -> None:
         """Start to stream the attempt's response."""
         self._pool.begin_response(self._call, self._number, response, body)
 
@@ -194,7 +194,7 @@
         owner: PoolOwner,
         epoch: float,
         subscribe: Callable[[], None] = lambda: None,
-        lane: Callable[[], Lane] | None = None,
+        lane: Callable[[], BackendTransport] | None = None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
         self._epoch = epoch  # seconds from the loop's time to the time that lists use
@@ -265,7 +265,7 @@
                 continue
             backend = self.backends.setdefault(row.server, upstream.Backend(endpoint.address, row.server))
             self._update(backend, endpoint.address, row.started_at, row.state is ServerState.UP)
-            backend.lane = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
+            backend.transport = self._lane() if endpoint.speaks_grpc and self._lane is not None else None
         self._perform(self._call_balancer(self.balancer.update_servers, kind, [endpoint.row for endpoint in endpoints]))
 
     def _remove(self, server: int) -> None:
@@ -275,8 +275,8 @@
             self._update(backend, backend.address, backend.started, False)
 
     def _update(self, backend: upstream.Backend, address: Address, started: float, in_service: bool) -> None:
-        if backend.lane is not None:
-            backend.lane.update(backend, address, started, in_service)
+        if backend.transport is not None:
+            backend.transport.update(backend, address, started, in_service)
         self.upstream.update(backend, address, started, in_service)
 
     # ---- requests ------------------------------------------------------------------------------
@@ -285,7 +285,7 @@
         self,
         request: Request,
         attributes: RequestAttributes,
-        caller: Answerable,
+        caller: Responder,
         deadline: float,
         context: object = None,
         expected: float = float("inf"),
@@ -297,7 +297,7 @@
         self._request_count += 1
         call = Call(str(self._request_count), request, attributes, caller, deadline, context)
         self.calls[call.balancer_id] = call
-        caller.gone = lambda: self._caller_disconnected(call)
+        caller.on_disconnect = lambda: self._caller_disconnected(call)
         call.timer = self._loop.call_at(deadline, self._deadline_passed, call)
         self._perform(
             self._call_balancer(
@@ -380,14 +380,14 @@
             self.response_counts[status] += 1
             if status >= MIN_FAILURE_STATUS:
                 self._record_failure(call, str(status))
-        caller, form = self.release(call), call.request.form
+        caller, form = self.release(call), call.request.grpc_form
         if caller is None:
             return
         if trailers is not None and form is not None:
-            caller.gone = None
+            caller.on_disconnect = None
             form.finish(head, body, trailers)
         else:
-            caller.answer(status, head, body, length)
+            caller.respond(status, head, body, length)
 
     def _record_failure(self, call: Call, ending: str) -> None:
         """Add a failed request to the failure log."""
@@ -404,7 +404,7 @@
             steps=tuple(call.attempt_records),
         )
 
-    def release(self, call: Call) -> Answerable | None:
+    def release(self, call: Call) -> Responder | None:
         """Release a request, and return its caller; whoever calls this has to send the response from then on."""
         caller = call.caller
         self._close(call)
@@ -461,21 +461,23 @@
         watcher = AttemptWatcher(self, call, number)
         timed = expires_at < call.deadline  # otherwise the call's own timer ends it at the deadline
         backend = self.backends[action.server]
-        if backend.lane is not None:
-            call.attempts.append(backend.lane.start(backend, call.request, expires_at, watcher, is_retryable, timed))
+        if backend.transport is not None:
+            call.attempts.append(
+                backend.transport.start(backend, call.request, expires_at, watcher, is_retryable, timed)
+            )
             return
         exchange = upstream.Exchange(
             backend,
             now,
             expires_at,
             call.encode_http1,
-            watcher.ended,
+            watcher.on_ended,
             is_retryable,
             call.request.method == b"HEAD",
             timed,
         )
-        if self.streams_responses and call.caller is not None and call.caller.passing() is not None:
-            exchange.begin = watcher.begun
+        if self.streams_responses and call.caller is not None and call.caller.streaming_receiver() is not None:
+            exchange.on_response_begun = watcher.on_response_begun
         if call.request.stream is not None:
             self._stream_body(call, call.request.stream, exchange, number, action.timeout)
         call.attempts.append(exchange)
@@ -483,19 +485,19 @@
 
     def _stream_body(self, call: Call, body: Body, exchange: upstream.Exchange, number: int, timeout: float) -> None:
         """Stream the request's body to the attempt, whose timeout starts with the last byte."""
-        exchange.body, exchange.timed, exchange.until = body, False, call.deadline
+        exchange.body, exchange.sets_timer, exchange.expires_at = body, False, call.deadline
 
         def body_written() -> None:
             now = self._loop.time()
             exchange.started = now
-            exchange.until = min(call.deadline, now + timeout) if timeout > 0.0 else call.deadline
-            if exchange.until < call.deadline:
-                exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
+            exchange.expires_at = min(call.deadline, now + timeout) if timeout > 0.0 else call.deadline
+            if exchange.expires_at < call.deadline:
+                exchange.timer = self._loop.call_at(exchange.expires_at, exchange.expire)
 
         def body_dropped() -> None:
             self.bind_to_attempt(call, number)
 
-        exchange.written, body.dropped = body_written, body_dropped
+        exchange.on_body_sent, body.on_dropped = body_written, body_dropped
 
     def bind_to_attempt(self, call: Call, number: int) -> None:
         """Bind a request to an attempt, because a message was passed on: no other attempt may be made."""
--- a/lugspur/daemon/proxy.py
+++ b/lugspur/daemon/proxy.py
@@ -17,11 +17,11 @@
 from lugspur.discovery.endpoints import Endpoint, EndpointReader, server_id
 from lugspur.discovery.platform_watch import PlatformWatch
 from lugspur.http1.front import Caller, Front
-from lugspur.http1.intake import Rejected
-from lugspur.http1.upstream import FLOW_PART, HELD_PART, Upstream
+from lugspur.http1.request_parser import RejectionError
+from lugspur.http1.upstream import RESPONSE_MEMORY_FRACTION, STREAM_MEMORY_FRACTION, Upstream
+from lugspur.interfaces import Request, Response
 from lugspur.load_balancing.model import DiscoveryMode, ListUpdateKind, Outcome, RetrySafety, Settings
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Request, Response
 
 if TYPE_CHECKING:
     import socket
@@ -93,9 +93,9 @@
             "",
             config.conn_idle,
             config.dial_timeout,
-            int(HELD_PART * config.memory),
+            int(RESPONSE_MEMORY_FRACTION * config.memory),
         )
-        connections.flow_most = int(FLOW_PART * config.memory)
+        connections.max_streamed_bytes = int(STREAM_MEMORY_FRACTION * config.memory)
         self.front = Front(config.listen, max_callers, config.memory, self._request)
         self._reader = reader = EndpointReader(config.zones, config.types)
         self._discovery = PlatformWatch(
@@ -142,7 +142,7 @@
         self._loop.call_later(CHANGEOVER_SECONDS + LATE_REQUEST_SECONDS, self._end_changeover)
         self.wire, self._tenants = config.wire, config.tenants
         self._reader.set_names(config.zones, config.types)
-        self.pool.upstream.retime(config.conn_idle, config.dial_timeout)
+        self.pool.upstream.update_timeouts(config.conn_idle, config.dial_timeout)
         self._discovery.change_address(config.discovery)
 
     def _end_changeover(self) -> None:
@@ -183,7 +183,7 @@
             self._discovery.index,
             list(self.overrides.latest.values()),
             self.overrides.save(),
-            self.front.drained_at is not None,
+            self.front.drain_started_at is not None,
             [*self._open_request_ids, *self._peer_request_ids],
             self.pool.balancer.export_learned(),
         )
@@ -242,7 +242,9 @@
     def adopt_connection(self, sock: socket.socket) -> None:
         """Take over a caller's connection from the predecessor."""
         sock.setblocking(False)
-        task = self._loop.create_task(self._loop.connect_accepted_socket(lambda: Caller(self.front, used=True), sock))
+        task = self._loop.create_task(
+            self._loop.connect_accepted_socket(lambda: Caller(self.front, has_sent_request=True), sock)
+        )
         self._connection_tasks.add(task)
         task.add_done_callback(self._connection_tasks.discard)
 
@@ -313,19 +315,19 @@
         path = request.target.partition(b"?")[0]
         if path == b"/healthz" and request.method == b"GET":
             healthy = self.front.healthy()
-            caller.answer(200 if healthy else 503, b"", b"ok\n" if healthy else b"not ready\n")
+            caller.respond(200 if healthy else 503, b"", b"ok\n" if healthy else b"not ready\n")
         elif path == b"/api" or path.startswith(b"/api/"):  # without a trailing part, the request has no key
             self.front.admit(caller)
             self._submit(request, caller)
         else:
-            raise Rejected(404, "no such path")
+            raise RejectionError(404, "no such path")
 
     def _submit(self, request: Request, caller: Caller) -> None:
         attributes = self._read_attributes(request)
         name = request.headers[b"x-request-id"]
         # Backends would take a second request with the same id for the first one.
         if name in self._open_request_ids or name in self._peer_request_ids:
-            raise Rejected(409, "a request with this id is open")
+            raise RejectionError(409, "a request with this id is open")
         self._open_request_ids.add(name)
         if self.peers is not None:
             self.peers.request_started(name)
@@ -342,29 +344,29 @@
             self.pool.complete_body(call, self._loop.time() + attributes.timeout - RESPONSE_MARGIN_SECONDS)
 
         if call.caller is not None:
-            stream.whole = complete_body
+            stream.on_complete = complete_body
 
     def _read_attributes(self, request: Request) -> RequestAttributes:
-        """Return the request's attributes; raises Rejected if one is malformed or unknown."""
+        """Return the request's attributes; raises RejectionError if one is malformed or unknown."""
         get = request.headers.get
         if not REQUEST_ID_PATTERN.fullmatch(get(b"x-request-id", b"")):
-            raise Rejected(400, "no request id, or a malformed one")
+            raise RejectionError(400, "no request id, or a malformed one")
         name = get(b"x-priority-class", b"").decode("latin-1")
         rows = self._policy.classes_for(name, request.arrived)
         if not rows:
-            raise Rejected(400, "unknown class")
+            raise RejectionError(400, "unknown class")
         candidates = [(index, row) for index, row in rows if matches_retry_safety(request, row.retry_safety)]
         if not candidates:
-            raise Rejected(400, "the method does not fit the class")
+            raise RejectionError(400, "the method does not fit the class")
         class_index, request_class = candidates[0]
         tenant: int | None = 0
         if self._tenants:
             tenant = self._tenants.get(get(b"x-tenant-id", b"").decode("latin-1"))
         if tenant is None:
-            raise Rejected(400, "unknown tenant")
+            raise RejectionError(400, "unknown tenant")
         timeout = get(b"x-timeout", b"")
         if not SECONDS_PATTERN.fullmatch(timeout):
-            raise Rejected(400, "the time is malformed")
+            raise RejectionError(400, "the time is malformed")
         # Protects timers and memory from absurd timeouts: no client waits longer than its class's deadline.
         timeout_seconds = min(float(timeout), request_class.deadline)
         return RequestAttributes(class_index, tenant, timeout_seconds, read_cost(request), get(b"x-retried") == b"1")
@@ -380,7 +382,7 @@
         streaming_caller = call.context
         if isinstance(streaming_caller, Caller):
             self.pool.release(call)
-            streaming_caller.finish_answer()
+            streaming_caller.finish_response()
         else:
             self.pool.respond(call, 200, response.head, response.body)
 
@@ -390,7 +392,7 @@
         assert isinstance(caller, Caller)
         self.pool.clear_deadline(call)
         call.context = caller
-        caller.begin_answer(200, response.head, response.length, body)
+        caller.begin_response(200, response.head, response.length, body)
 
     def request_rejected(self, call: Call, retry_after: float) -> None:
         """Respond with 503."""
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -10,6 +10,7 @@
 
 from lugspur.config.build import NO_TENANT
 from lugspur.daemon.request_context import Ending, RequestContext
+from lugspur.interfaces import GrpcForm, Request, Responder
 from lugspur.joining.flight_table import (
     Action,
     CallSeparately,
@@ -24,7 +25,6 @@
 from lugspur.joining.keys import coalescing_key, selecting_values
 from lugspur.joining.sharing import response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
-from lugspur.seams import Answerable, Form, Request
 
 if TYPE_CHECKING:
     from lugspur.pipe import Pipe
@@ -33,7 +33,7 @@
 COPIES_MEMORY_SHARE = 0.25  # share of the memory limit for copies of one response whose callers read slowly
 RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # it is not known when there will be room to wait
 
-Submit = Callable[[RequestContext, Answerable], None]
+Submit = Callable[[RequestContext, Responder], None]
 Write = Callable[["WaitingRequest"], None]
 
 
@@ -43,7 +43,7 @@
 
     number: int
     context: RequestContext
-    caller: Answerable
+    caller: Responder
 
     def request_id(self) -> bytes | None:
         """Return the id that the caller gave the request."""
@@ -53,50 +53,50 @@
 class SharedCall:
     """One call for several waiting requests: the cluster sees one caller, and its response goes to all of them.
 
-    The shared call is both that caller (seams.Answerable) and, for gRPC requests, their form (seams.Form).
+    The shared call is both that caller (interfaces.Responder) and, for gRPC requests, their form (interfaces.GrpcForm).
     """
 
     def __init__(self, coalescer: RequestCoalescer, number: int, first: WaitingRequest, deadline: float) -> None:
         self._coalescer, self.number = coalescer, number
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.peer = first.caller.peer
         self.context = replace(
             first.context, deadline=deadline, fallback_clusters=list(first.context.fallback_clusters)
         )
-        self._form = first.context.request.form
+        self._form = first.context.request.grpc_form
         if self._form is not None:
-            self.context.request = replace(self.context.request, form=self)
+            self.context.request = replace(self.context.request, grpc_form=self)
         self._stream_receiver: WaitingRequest | None = None  # the request that a streamed response goes to
 
     def admit(self) -> None:
         """Do nothing: the waiting requests were admitted before."""
 
-    # ---- the request as gRPC (seams.Form) --------------------------------------------------------
+    # ---- the request as gRPC (interfaces.GrpcForm) ---------------------------------------------------
 
     @property
     def pipe(self) -> None:
         """Return None: a stream is never coalesced."""
 
     @property
-    def bound(self) -> bool:
+    def requires_grpc(self) -> bool:
         """Return False: a stream is never coalesced."""
         return False
 
-    def plain(self, request: Request) -> Request:
+    def to_http1(self, request: Request) -> Request:
         """Return the request in the form for a backend that speaks HTTP/1.1."""
         assert self._form is not None
-        return self._form.plain(request)
+        return self._form.to_http1(request)
 
     # ---- the response ----------------------------------------------------------------------------
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         """Return None: a response for several requests is complete before any of them gets it."""
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Send the final response to all waiting requests."""
 
         def write(waiting: WaitingRequest) -> None:
-            waiting.caller.answer(status, with_request_id(head, waiting.request_id()), body, length)
+            waiting.caller.respond(status, with_request_id(head, waiting.request_id()), body, length)
 
         self._finish(status, head, b"", len(body), write)
 
@@ -104,13 +104,13 @@
         """Send the response of a gRPC backend, or the rest of a streamed one."""
 
         def write(waiting: WaitingRequest) -> None:
-            waiting.caller.gone = None
+            waiting.caller.on_disconnect = None
             _form_of(waiting).finish(with_request_id(head, waiting.request_id()), body, trailers)
 
         self._finish(200, head, trailers, len(body), write)
 
     def _finish(self, status: int, head: bytes, trailers: bytes, size: int, write: Write) -> None:
-        self.gone = None
+        self.on_disconnect = None
         if self._stream_receiver is not None:
             write(self._stream_receiver)
             return
@@ -128,18 +128,18 @@
         """Stream a response to the request that the call was made for; the others get calls of their own."""
         receiver = self._coalescer.take_streaming_request(self.number)
         if receiver is None:
-            if self.gone is not None:
-                self.gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
             return
         self._stream_receiver = receiver
-        receiver.caller.gone = self.gone
+        receiver.caller.on_disconnect = self.on_disconnect
         if self.context.call is not None:
             self.context.cluster.pool.change_deadline(self.context.call, receiver.context.deadline)
         _form_of(receiver).begin_messages(head, body)
 
 
-def _form_of(waiting: WaitingRequest) -> Form:
-    form = waiting.context.request.form
+def _form_of(waiting: WaitingRequest) -> GrpcForm:
+    form = waiting.context.request.grpc_form
     assert form is not None
     return form
 
@@ -171,11 +171,11 @@
         self._max_copied_bytes = int(COPIES_MEMORY_SHARE * memory_limit_bytes)
 
     def coalesce(
-        self, received: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Answerable
+        self, received: Request, context: RequestContext, route: Hashable, join: CoalescingPolicy, caller: Responder
     ) -> None:
         """Share a call with equal reads where that is possible; `received` is the request before routing."""
-        form = context.request.form
-        bound = form is not None and form.bound
+        form = context.request.grpc_form
+        bound = form is not None and form.requires_grpc
         tenant = _tenant_key(context.tenant)
         key = None if bound else coalescing_key(received, context.request, route, tenant, join)
         self._request_count += 1
@@ -183,7 +183,7 @@
             self._submit(context, caller)
             return
         waiting = self._waiting[self._request_count] = WaitingRequest(self._request_count, context, caller)
-        caller.gone = lambda: self._caller_disconnected(waiting)
+        caller.on_disconnect = lambda: self._caller_disconnected(waiting)
         self._carry_out(
             self.flight_table.add_read(
                 self._loop.time(),
@@ -259,8 +259,8 @@
             self._extend_deadline(self._shared_calls.get(action.flight), action.deadline)
         elif isinstance(action, CancelCall):
             dropped = self._shared_calls.pop(action.flight, None)
-            if dropped is not None and dropped.gone is not None:
-                dropped.gone()
+            if dropped is not None and dropped.on_disconnect is not None:
+                dropped.on_disconnect()
         elif not isinstance(action, Deliver):
             self._separate(self._waiting.pop(action.member, None), action)
 
@@ -277,9 +277,9 @@
         if isinstance(action, CallSeparately):
             self._submit(waiting.context, waiting.caller)
         elif isinstance(action, Expire):
-            waiting.caller.answer(504, b"", b"the time is up\n")
+            waiting.caller.respond(504, b"", b"the time is up\n")
         elif isinstance(action, Reject):
-            waiting.caller.answer(503, RETRY_AFTER_HEADER, b"no place to wait\n")
+            waiting.caller.respond(503, RETRY_AFTER_HEADER, b"no place to wait\n")
 
     def _schedule_timer(self) -> None:
         """Schedule the timer for the next request whose deadline is earlier than its shared call's."""
@@ -311,6 +311,6 @@
 
     def _write_response(self, waiting: WaitingRequest, write: Write) -> None:
         if self._loop.time() > waiting.context.deadline:  # The deadline has passed, but its timer is late.
-            waiting.caller.answer(504, b"", b"the time is up\n")
+            waiting.caller.respond(504, b"", b"the time is up\n")
         else:
             write(waiting)
--- a/lugspur/daemon/service.py
+++ b/lugspur/daemon/service.py
@@ -10,7 +10,7 @@
 import sys
 from typing import TYPE_CHECKING
 
-from lugspur import invariants, reloads
+from lugspur import invariants, reload_signal
 from lugspur.config.platform import Config, ConfigError, load
 from lugspur.daemon.proxy import Proxy
 from lugspur.discovery.endpoints import EndpointReader
@@ -46,7 +46,7 @@
         takeover = await hot_restart.take_over()
     proxy = Proxy(config, None if takeover is None else takeover.state)
     front = proxy.front
-    reloads.carry_out(loop, lambda: reload(proxy))
+    reload_signal.install_handler(loop, lambda: reload(proxy))
     if config.management is not None:
         from lugspur.daemon.admin.actions import admin_actions
         from lugspur.daemon.admin.listener import AdminListener
@@ -94,11 +94,11 @@
     front.serving = False
     # The listener stays open, because this process has to serve on if the successor ends.
     asyncio.get_running_loop().remove_reader(listener.fileno())
-    front.pass_all(hot_restart.transfer_connection)
+    front.transfer_all(hot_restart.transfer_connection)
     await asyncio.sleep(READ_SECONDS)  # connections that have just been accepted become callers
     while front.callers or proxy.has_incoming_connections or hot_restart.has_unsent_transfers:
         if hot_restart.successor is None:
-            front.pass_to = None
+            front.transfer_socket = None
             await front.listen(listener)
             await drain(front, listener)
             return
--- a/lugspur/grpc/mapping.py
+++ b/lugspur/grpc/mapping.py
@@ -22,7 +22,7 @@
     retry_details,
 )
 from lugspur.grpc.timeout import write_timeout
-from lugspur.seams import Request, Response
+from lugspur.interfaces import Request, Response
 
 Fields = list[tuple[bytes, bytes]]
 
@@ -148,7 +148,7 @@
         fields.append((b"accept-encoding", headers[b"grpc-accept-encoding"]))
     # Guards an HTTP/1.1 backend that takes `_` for `-`, and would read a header that was not checked here.
     lines = [b"%b: %b\r\n" % field for field in fields if b"_" not in field[0]]
-    return replace(request, lines=lines, body=body, form=None)
+    return replace(request, lines=lines, body=body, grpc_form=None)
 
 
 def _pseudo_headers(path: bytes, headers: dict[bytes, bytes]) -> Fields:
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: the pool, sending, time-outs, cancels; how each exchange ended. Dialling: `dial`."""
+"""HTTP/1.1 connections to backends: pooling, sending, timeouts, cancellation and the outcome of each exchange."""
 
 from __future__ import annotations
 
@@ -12,54 +12,68 @@
 
 from lugspur.discovery.endpoints import Address
 from lugspur.http1.body import Body
-from lugspur.http1.dial import OWN_FAULTS, Dial
-from lugspur.http1.hops import HOP_BY_HOP
+from lugspur.http1.dial import LOCAL_ERRORS, Dial
+from lugspur.http1.hop_by_hop import HOP_BY_HOP
+from lugspur.interfaces import BackendTransport, Response
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Lane, Response
-
-ANSWER_MOST = 1 << 20  # bytes of an answer that is held whole, where nothing else is said
-PASS_FROM = 64 << 10  # bytes of an answer beyond which it is passed on as it comes
-PASS_MOST = 40 << 20  # bytes of an answer that is passed on: 32 MB are to be expected, endless ones announce GBs
-FLOW_PART = 0.25  # of the memory limit, for such answers together: a backend that has given its answer is free...
-FLOW_LEAST = 8 << 10  # bytes of one that may wait for its caller, however many there are
-HELD_PART = 0.125  # of the memory limit, for answers that are not whole: many large ones could fill it
-HEAD_MOST = 16 << 10  # bytes of an answer's head, 1xx ones ahead of it included: what callers commonly read
-INFORMED_MOST = 16  # 1xx answers ahead of one
-READ = 64 << 10  # bytes read in one go, into one buffer that all connections share
-IDLE_PART = 0.5  # of the time after which backends close idle connections: ours go well before
-IDLE_EACH = 2  # idle connections kept to one backend, where nothing else is said
-DISTRUST = 10.0  # seconds in which none is kept after one that was kept broke before any answer
-STALL = 0.1  # seconds between two pieces of an answer: it comes in one go, and a second try needs about 0.2
-
-
-def judge(status: int, unseen: bool) -> Outcome:
-    """What an answer by the platform's protocol says of its attempt; `unseen`: `X-Not-Processed: 1`."""
+
+# Default limit in bytes on a response that is buffered whole.
+MAX_BUFFERED_RESPONSE = 1 << 20
+# Size in bytes above which a response is streamed to the caller.
+STREAMING_THRESHOLD = 64 << 10
+# Limit in bytes on a streamed response: 32 MB are to be expected, endless responses announce gigabytes.
+MAX_STREAMED_RESPONSE = 40 << 20
+# Fraction of the memory limit for all streamed responses together. Buffering them frees the backend early.
+STREAM_MEMORY_FRACTION = 0.25
+# Bytes of one streamed response that may always wait for its caller, however many are streamed.
+MIN_STREAM_BUFFER = 8 << 10
+# Fraction of the memory limit for incomplete buffered responses: many large ones could fill the memory.
+RESPONSE_MEMORY_FRACTION = 0.125
+# Limit in bytes on a response head, including the 1xx responses ahead of it: what HTTP clients commonly read.
+MAX_HEAD = 16 << 10
+# Limit on the number of 1xx responses ahead of a response.
+MAX_INFORMATIONAL_RESPONSES = 16
+# Bytes read at once, into one buffer that all connections share.
+READ_SIZE = 64 << 10
+# Fraction of the backends' idle timeout after which idle connections are closed, well before the backend does so.
+IDLE_TIMEOUT_FRACTION = 0.5
+# Default limit on idle connections kept to one backend.
+MAX_IDLE_PER_BACKEND = 2
+# Seconds without connection reuse after a reused connection broke before any byte of a response.
+NO_REUSE_SECONDS = 10.0
+# Seconds allowed between two pieces of a response: a response arrives in one go, and a second attempt needs about
+# 0.2 s.
+STALL_TIMEOUT = 0.1
+
+
+def classify(status: int, not_processed: bool) -> Outcome:
+    """Classify a response of the platform's protocol; `not_processed` means that it has `X-Not-Processed: 1`."""
     if status == 200:
         return Outcome.OK
-    return Outcome.OVERLOADED if status in (503, 504) and unseen else Outcome.ERROR
+    return Outcome.OVERLOADED if status in (503, 504) and not_processed else Outcome.ERROR
 
 
 class Backend:
-    """One backend of the list and the idle connections to it, the most recently used last."""
+    """One backend of the endpoint list and its idle connections, the most recently used last."""
 
-    __slots__ = ("address", "family", "idle", "in_service", "keeps", "lane", "server", "started")
+    __slots__ = ("address", "family", "idle", "in_service", "keep_alive_seconds", "transport", "server", "started")
 
     def __init__(self, address: Address, server: int = 0) -> None:
         self.move(address)
-        self.server = server  # its number in the list
+        self.server = server  # its number in the endpoint list
         self.started = 0.0
         self.in_service = False
         self.idle: list[Connection] = []
-        self.keeps = 0.0  # seconds for which it keeps idle connections, where it says
-        self.lane: Lane | None = None  # what carries attempts to it where it speaks no HTTP/1.1
+        self.keep_alive_seconds = 0.0  # seconds for which the backend keeps idle connections; 0: not announced
+        self.transport: BackendTransport | None = None  # carries the attempts to a backend that doesn't speak HTTP/1.1
 
     def move(self, address: Address) -> None:
-        """It listens there from now on."""
+        """Change the address that the backend listens on."""
         self.address = address
-        self.family: int | None = None  # that of a numeric address; a name has to be looked up
+        self.family: int | None = None  # address family of a numeric address; None: the name has to be resolved
         for family in (socket.AF_INET, socket.AF_INET6):
             with suppress(OSError):
                 socket.inet_pton(family, address[0])
@@ -67,26 +81,26 @@
 
 
 class Exchange:
-    """One attempt on the wire: from its start to its one outcome."""
+    """One attempt sent over HTTP/1.1, from its start to its single outcome."""
 
     __slots__ = (
         "backend",
-        "begin",
-        "bodyless",
+        "on_response_begun",
+        "is_head_request",
         "body",
         "connection",
         "dial",
-        "echo",
-        "first",
-        "flowing",
+        "expected_id",
+        "first_byte_at",
+        "streaming",
         "open",
         "repeatable",
         "started",
-        "timed",
+        "sets_timer",
         "timer",
-        "until",
-        "write",
-        "written",
+        "expires_at",
+        "serialize",
+        "on_body_sent",
         "_report",
     )
 
@@ -94,26 +108,27 @@
         self,
         backend: Backend,
         started: float,
-        until: float,
-        write: Callable[[float], bytes],
+        expires_at: float,
+        serialize: Callable[[float], bytes],
         report: Callable[[Exchange, Outcome, Response | None], None],
         repeatable: bool = True,
-        bodyless: bool = False,
-        timed: bool = True,
+        is_head_request: bool = False,
+        sets_timer: bool = True,
     ) -> None:
-        self.body: Body | None = None  # what is passed on behind `write`'s bytes as it comes...
-        self.written: Callable[[], None] | None = None  # ...and who is told that all of it is out
-        # Takes the answer as it comes, if that may be; from then on it is `flowing`.
-        self.begin: Callable[[Response, Pipe], None] | None = None
-        self.flowing, self.first = False, 0.0  # since when
-        self.repeatable = repeatable  # whether it may be sent again when its connection breaks
-        self.echo: bytes | None = None  # the id that its answer has to bear, where backends echo one
-        self.bodyless = bodyless  # HEAD: the answer ends with its head, whatever length that tells
-        self.timed = timed  # whether it expires by itself; else whoever started it sees to that
+        # The body that is streamed after the bytes that `serialize` returns; None: those bytes are the whole request.
+        self.body: Body | None = None
+        self.on_body_sent: Callable[[], None] | None = None  # called when the whole body has been sent
+        # Called when the response begins to be streamed; None where it has to be buffered.
+        self.on_response_begun: Callable[[Response, Pipe], None] | None = None
+        self.streaming, self.first_byte_at = False, 0.0  # `first_byte_at`: when streaming began
+        self.repeatable = repeatable  # whether the request may be sent again when its connection breaks
+        self.expected_id: bytes | None = None  # the request id that the response must carry, where backends echo it
+        self.is_head_request = is_head_request  # HEAD: the response ends with its head, whatever Content-Length says
+        self.sets_timer = sets_timer  # whether the exchange sets its own timer; else its owner calls `expire`
         self.backend = backend
         self.started = started
-        self.until = until  # the loop's time until which it is waited for
-        self.write = write  # the request's bytes, given the seconds that are left
+        self.expires_at = expires_at  # the loop's time at which the attempt times out
+        self.serialize = serialize  # returns the request's bytes, given the seconds that are left
         self.open = True
         self.connection: Connection | None = None
         self.dial: Dial[Exchange] | None = None
@@ -121,14 +136,14 @@
         self._report = report
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        """Report the outcome, once, and let go of the connection; one that is still in use is closed."""
+        """Report the outcome, once, and release the connection; one that is still in use is closed."""
         if not self.open:
             return
         self.open = False
-        unrun = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
-        check(not (unrun and self._may_have_run()), Invariant.PROVEN_NOT_RUN, outcome=outcome.value.upper())
+        reported_not_run = outcome is Outcome.UNREACHABLE or outcome is Outcome.NOT_PROCESSED
+        check(not (reported_not_run and self._may_have_run()), Invariant.PROVEN_NOT_RUN, outcome=outcome.value.upper())
         if self.body is not None:
-            self.body.told = None
+            self.body.on_data = None
         if self.timer is not None:
             self.timer.cancel()
         if self.dial is not None:
@@ -139,35 +154,42 @@
         self._report(self, outcome, response)
 
     def latency(self, now: float) -> float:
-        """Seconds that the backend took, if it ends now; to its first bytes where the caller's pace counts then."""
-        return (self.first if self.flowing else now) - self.started
+        """Return the backend's latency if the exchange ends now.
+
+        For a streamed response it ends at the first bytes, because the rest depends on the caller's pace.
+        """
+        return (self.first_byte_at if self.streaming else now) - self.started
 
     def expire(self) -> None:
-        """The time that this attempt is waited for is up; an answer that is coming is passed on from here."""
-        if self.connection is not None and self.connection.pass_on(self):
+        """Time out the attempt, or stream its response if a part of it has arrived."""
+        if self.connection is not None and self.connection.stream_partial_response(self):
             return
         self.end(Outcome.TIMEOUT if self._may_have_run() else Outcome.UNREACHABLE)
 
-    def broke(self) -> None:
-        """The connection is no good any more."""
+    def connection_lost(self) -> None:
+        """End the exchange because its connection has failed."""
         self.end(Outcome.INTERRUPTED if self._may_have_run() else Outcome.UNREACHABLE)
 
-    def begun(self, now: float) -> None:
-        """A piece of the answer has come, and more is owed.
+    def response_progressed(self, now: float) -> None:
+        """Limit the time to the next piece of an incomplete response.
 
-        Guards what may be sent again against answers that begin and never end, whatever stops them: they
-        would hold it until its time is up. Could harm where backends send slowly but rightly.
+        Guards requests that may be sent again against responses that begin and never end, whatever stops them: they
+        would occupy the request until its deadline. Could harm backends that send slowly but correctly.
         """
-        if not self.repeatable or not self.open or self.flowing:
+        if not self.repeatable or not self.open or self.streaming:
             return
         if self.timer is not None:
             self.timer.cancel()
-        late = now + STALL >= self.until
+        near_deadline = now + STALL_TIMEOUT >= self.expires_at
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_at(self.until, self.expire) if late else loop.call_at(now + STALL, self.broke)
+        self.timer = (
+            loop.call_at(self.expires_at, self.expire)
+            if near_deadline
+            else loop.call_at(now + STALL_TIMEOUT, self.connection_lost)
+        )
 
     def _may_have_run(self) -> bool:
-        return self.connection is not None and self.connection.written
+        return self.connection is not None and self.connection.request_sent
 
 
 class Connection:
@@ -179,20 +201,20 @@
         self._upstream = upstream
         self.backend = backend
         self.exchange: Exchange | None = None
-        self.written = False  # whether the last byte of the request is out
-        self.idle_since = 0.0  # 0: it is new
-        self.over = False
-        self._heard = False  # whether a byte of an answer has come
-        self._strayed = False  # whether an answer to another request has come
-        self._held = 0  # its part of what the upstream counts
+        self.request_sent = False  # whether the last byte of the request has been sent
+        self.idle_since = 0.0  # the loop's time; 0: the connection is new
+        self.closed = False
+        self._has_received = False  # whether a byte of the response has been received
+        self._has_seen_stray = False  # whether a response to another request has been received
+        self._buffered = 0  # bytes buffered here that the upstream counts in `buffered_bytes`
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: Response | None = None  # the whole answer to the exchange
-        self._headed = self._spoilt = False
-        self._at = 0  # how far the exchange's body has been taken up
-        self._flow: Pipe | None = None  # the answer that is passed on...
-        self._waiting = 0  # ...its bytes that its caller has not taken...
-        self._paused = False  # ...and whether no more is read meanwhile
-        self._begin()
+        self._response: Response | None = None  # the complete response to the exchange
+        self._head_complete = self._invalid = False
+        self._body_offset = 0  # offset in the exchange's body up to which it has been read
+        self._pipe: Pipe | None = None  # the body of the response that is streamed
+        self._pipe_backlog = 0  # bytes in that pipe that the caller has not taken
+        self._reading_paused = False  # whether reading is paused until the caller has taken more
+        self._reset()
         self.sock = sock
         self._unsent = memoryview(b"")
         self._loop = asyncio.get_running_loop()
@@ -201,24 +223,25 @@
         self._loop.add_reader(sock.fileno(), self._readable)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
-        """Write a request, whole."""
+        """Send a request; the rest of what the socket doesn't take is sent when it is writable."""
         check(self.exchange is None and exchange.connection is None, Invariant.ONE_EXCHANGE)
         self.exchange = exchange
         exchange.connection = self
-        self.written = False
-        self._heard = self._strayed = False
+        self.request_sent = False
+        self._has_received = self._has_seen_stray = False
         if exchange.body is not None:
-            self._at = 0
-            exchange.body.begin(self._pump)
+            self._body_offset = 0
+            exchange.body.start_attempt(self._send_body)
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
-        except OSError:  # nothing has gone out; told later: whoever sends is not ready for it
-            self._loop.call_soon(self._lost)
+        except OSError:
+            # Nothing has been sent. The failure is reported later, because the sender isn't ready for it yet.
+            self._loop.call_soon(self._close)
             return
         if sent == len(data):
-            self._out()
+            self._on_sent()
         else:
             self._unsent = memoryview(data)[sent:]
             self._loop.add_writer(self.sock.fileno(), self._writable)
@@ -229,345 +252,362 @@
         except BlockingIOError:
             return
         except OSError:
-            self._lost()
+            self._close()
             return
-        # A step of its own: mypyc calls what stands in a slice twice, and a part of the request would go out twice.
+        # A separate statement: mypyc evaluates the operand of a slice twice, which would send part of the request
+        # twice.
         self._unsent = self._unsent[sent:]
         if not self._unsent:
             self._loop.remove_writer(self.sock.fileno())
-            self._out()
+            self._on_sent()
 
-    def _out(self) -> None:
-        """All bytes that were there are out."""
+    def _on_sent(self) -> None:
+        """Continue after all pending bytes have been sent."""
         exchange = self.exchange
         if exchange is None or exchange.body is None:
-            self.written = True
+            self.request_sent = True
         else:
-            exchange.body.passed(self._at)
-            self._pump()
+            exchange.body.mark_forwarded(self._body_offset)
+            self._send_body()
 
-    def _pump(self) -> None:
-        """Pass on what there is of the body, one piece at a time."""
+    def _send_body(self) -> None:
+        """Send the available part of the body, one piece at a time."""
         exchange = self.exchange
-        if exchange is None or exchange.body is None or self._unsent or self.written or self.over:
+        if exchange is None or exchange.body is None or self._unsent or self.request_sent or self.closed:
             return
         body = exchange.body
-        data = body.read(self._at)
-        self._at += len(data)
+        data = body.read(self._body_offset)
+        self._body_offset += len(data)
         if data and body.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         if not data:
-            # Guards an answer that began before the body's end: nobody wants the rest, and the answer goes on.
-            if body.over and not body.ended and not exchange.flowing:
-                exchange.broke()  # the rest will never come: it can't have run
-            if body.over or not body.ended:
+            # If the response began before the end of the body, the rest of the body is not needed and the response
+            # continues.
+            if body.is_discarded and not body.ended and not exchange.streaming:
+                exchange.connection_lost()  # the rest will never arrive, so the request can't have run
+            if body.is_discarded or not body.ended:
                 return
-            self.written = True
+            self.request_sent = True
             if body.length is None:
                 data = b"0\r\n\r\n"
         if data:
             self._unsent = memoryview(data)
             self._loop.add_writer(self.sock.fileno(), self._writable)
-        if self.written and exchange.written is not None:
-            exchange.written()
+        if self.request_sent and exchange.on_body_sent is not None:
+            exchange.on_body_sent()
 
-    def usable(self) -> bool:
-        """Whether it can carry another exchange.
+    def is_usable(self) -> bool:
+        """Return whether the connection can carry another exchange.
 
-        Guards the next request against what waits unread: more behind the last answer, or a close.
+        Guards the next request against unread input: bytes behind the last response, or the end of the connection.
         """
-        return not self.over and not self._poll.poll(0)
+        return not self.closed and not self._poll.poll(0)
 
     def abandon(self) -> None:
-        """Close at once, unsent bytes dropped."""
+        """Close at once and drop unsent bytes."""
         self.exchange = None
-        self._lost()
+        self._close()
 
     def _readable(self) -> None:
         try:
-            most = 0 if self._flow is None else min(READ, self._upstream.flow())
-            count = self.sock.recv_into(self._upstream.buffer, most)
+            max_bytes = 0 if self._pipe is None else min(READ_SIZE, self._upstream.stream_allowance())
+            count = self.sock.recv_into(self._upstream.buffer, max_bytes)
         except BlockingIOError:
             return
-        except OSError:  # Guards against a reset that looks like the end of an answer: it is none, whatever has come
-            self._lost()
+        except OSError:
+            # A reset never counts as the end of a response, whatever has been received.
+            self._close()
             return
         if count:
             self.buffer_updated(count)
-        elif not self._ended_whole():
-            self._lost()
+        elif not self._deliver_at_close():
+            self._close()
 
-    def _ended_whole(self) -> bool:
-        """Whether its end is the answer's end: one that has no length and no chunks (RFC 9112 6.3)."""
+    def _deliver_at_close(self) -> bool:
+        """Deliver a response that ends with its connection, having neither length nor chunks (RFC 9112 6.3).
+
+        Returns whether the end of the connection was such an end.
+        """
         exchange = self.exchange
-        if exchange is None or not self._headed or self._spoilt or self._answer is not None or self._framed:
+        if (
+            exchange is None
+            or not self._head_complete
+            or self._invalid
+            or self._response is not None
+            or self._has_framing
+        ):
             return False
-        self._clean = False
-        self._answer = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
-        self._deliver(exchange, self._answer)
+        self._is_reusable = False
+        self._response = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
+        self._deliver(exchange, self._response)
         return True
 
-    def _lost(self) -> None:
-        """It has ended, by whichever side."""
-        if self.over:
+    def _close(self) -> None:
+        """Close the connection after either side has ended it."""
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         self._loop.remove_reader(self.sock.fileno())
         self._loop.remove_writer(self.sock.fileno())
         self.sock.close()
-        self._let_go()
-        self._end_flow()
-        self._upstream.lost(self)
-        del self._parser  # Guards memory: the parser and this object hold each other.
+        self._release_buffer()
+        self._stop_streaming()
+        self._upstream.connection_closed(self)
+        del self._parser  # Guards memory: the parser and this object reference each other.
         if self.exchange is not None:
-            if self.idle_since and not self._heard:
-                self._upstream.distrust()
-            self.exchange.broke()
+            if self.idle_since and not self._has_received:
+                self._upstream.suspend_reuse()
+            self.exchange.connection_lost()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """So much of an answer has come into the upstream's buffer."""
+        """Parse the bytes that have been received into the upstream's buffer."""
         exchange = self.exchange
-        if exchange is None:  # Guards against an answer that nobody asked for: it must serve no request.
+        if exchange is None:  # Guards against an unsolicited response: it must not serve any request.
             self.abandon()
             return
-        self._heard = True
+        self._has_received = True
         try:
             self._parser.feed_data(self._upstream.buffer[:nbytes])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._clean = False
-            self._spoilt = self._spoilt or (self._strayed and self._answer is None)
-        if not self._headed:
-            self._fed += nbytes
-            # Guards memory against one header without end.
-            self._spoilt = self._spoilt or self._fed > HEAD_MOST + READ
-        answer = self._answer
-        if answer is None or self._spoilt:
-            if self._spoilt or not (self._clean or self._strayed):
-                exchange.broke()
-            elif self._begun:
-                exchange.begun(self._upstream.now())
+            self._is_reusable = False
+            self._invalid = self._invalid or (self._has_seen_stray and self._response is None)
+        if not self._head_complete:
+            self._head_input += nbytes
+            # Guards memory against one endless header.
+            self._invalid = self._invalid or self._head_input > MAX_HEAD + READ_SIZE
+        response = self._response
+        if response is None or self._invalid:
+            if self._invalid or not (self._is_reusable or self._has_seen_stray):
+                exchange.connection_lost()
+            elif self._message_begun:
+                exchange.response_progressed(self._upstream.now())
             return
-        self._deliver(exchange, answer)
-
-    def _deliver(self, exchange: Exchange, answer: Response) -> None:
-        """An answer is whole."""
-        self._answer = None
-        outcome = self._upstream.judge(answer.status, self._unseen)
-        nameless = exchange.echo is not None and self._echoed is None
-        if nameless and outcome is Outcome.OVERLOADED and self.idle_since:
-            # Guards against a late refusal of a request before on this connection: where answers bear their request's
-            # id, one that bears none does not prove that this one has not run.
-            exchange.broke()
+        self._deliver(exchange, response)
+
+    def _deliver(self, exchange: Exchange, response: Response) -> None:
+        """Report a complete response, and keep the connection if it can be reused."""
+        self._response = None
+        outcome = self._upstream.classify(response.status, self._not_processed)
+        lacks_id = exchange.expected_id is not None and self._response_id is None
+        if lacks_id and outcome is Outcome.OVERLOADED and self.idle_since:
+            # Guards against a late rejection of an earlier request on this connection: where responses carry the id
+            # of their request, one without an id doesn't prove that this request has not run.
+            exchange.connection_lost()
             return
-        if outcome is Outcome.ERROR and exchange.body is not None and not self.written:
-            outcome = Outcome.OVERLOADED  # a backend begins at the last byte: it never ran
-        # Kept only if nothing came behind the answer, and it is this request's: else the next one might get either.
-        if self._clean and not nameless and self.written and self.usable():
+        if outcome is Outcome.ERROR and exchange.body is not None and not self.request_sent:
+            outcome = Outcome.OVERLOADED  # a backend starts work after the last byte, so the request never ran
+        # The connection is kept only if the response was this request's and nothing followed it: the next request might
+        # get either otherwise.
+        if self._is_reusable and not lacks_id and self.request_sent and self.is_usable():
             self.exchange = exchange.connection = None
-            self._begin()
+            self._reset()
             self._upstream.release(self)
-        exchange.end(outcome, answer)
+        exchange.end(outcome, response)
 
-    def _let_go(self) -> None:
-        self._upstream.held -= self._held
-        self._held = 0
+    def _release_buffer(self) -> None:
+        self._upstream.buffered_bytes -= self._buffered
+        self._buffered = 0
 
-    def _begin_flow(self, exchange: Exchange) -> None:
-        """So much has come that it is no short answer with a wrong length: pass it on as it comes."""
-        assert exchange.begin is not None
-        exchange.flowing, exchange.first = True, self._upstream.now()
+    def _start_streaming(self, exchange: Exchange) -> None:
+        """Stream the response from here on: it is too large to be a short response with a wrong length."""
+        assert exchange.on_response_begun is not None
+        exchange.streaming, exchange.first_byte_at = True, self._upstream.now()
         if exchange.timer is not None:
             exchange.timer.cancel()
 
-        def taken(size: int) -> None:
-            self._upstream.flow_held -= size
-            if flow is self._flow:  # not of an answer that has ended meanwhile
-                self._taken(size)
+        def on_read(size: int) -> None:
+            self._upstream.streamed_bytes -= size
+            if pipe is self._pipe:  # else the response has ended meanwhile
+                self._on_pipe_read(size)
 
-        self._flow = flow = Pipe(taken)
-        self._put(b"".join(self._body))
+        self._pipe = pipe = Pipe(on_read)
+        self._write_to_pipe(b"".join(self._body))
         self._body.clear()
-        self._let_go()
-        exchange.begin(Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), flow)
+        self._release_buffer()
+        exchange.on_response_begun(
+            Response(self._parser.get_status_code(), b"".join(self._head), b"", self._length), pipe
+        )
 
-    def pass_on(self, exchange: Exchange) -> bool:
-        """Its time is up: pass on what has come of its answer, if a part has and no end of it is known to be wrong.
+    def stream_partial_response(self, exchange: Exchange) -> bool:
+        """Stream the partial response of an expired exchange; returns False if there is none or it is invalid.
 
-        Guards large answers that come slowly: it is their first bytes that count.
+        Guards large responses that arrive slowly: the deadline applies to their first bytes.
         """
-        good = self._headed and self._body and self._clean and not self._spoilt and self._answer is None
-        if not good or exchange.begin is None or not self._serves():
+        is_valid = (
+            self._head_complete and self._body and self._is_reusable and not self._invalid and self._response is None
+        )
+        if not is_valid or exchange.on_response_begun is None or not self._is_success():
             return False
-        self._begin_flow(exchange)
+        self._start_streaming(exchange)
         return True
 
-    def _put(self, data: bytes) -> None:
-        assert self._flow is not None
-        self._waiting += len(data)
-        self._upstream.flow_held += len(data)
-        self._flow.put(data)
-        if self._waiting > self._upstream.flow() and not self._paused and not self.over:
-            self._paused = True
+    def _write_to_pipe(self, data: bytes) -> None:
+        assert self._pipe is not None
+        self._pipe_backlog += len(data)
+        self._upstream.streamed_bytes += len(data)
+        self._pipe.put(data)
+        if self._pipe_backlog > self._upstream.stream_allowance() and not self._reading_paused and not self.closed:
+            self._reading_paused = True
             self._loop.remove_reader(self.sock.fileno())
 
-    def _taken(self, size: int) -> None:
-        self._waiting -= size
-        if self._paused and not self.over and self._waiting <= self._upstream.flow() // 2:
-            self._paused = False
+    def _on_pipe_read(self, size: int) -> None:
+        self._pipe_backlog -= size
+        if self._reading_paused and not self.closed and self._pipe_backlog <= self._upstream.stream_allowance() // 2:
+            self._reading_paused = False
             self._loop.add_reader(self.sock.fileno(), self._readable)
 
-    def _end_flow(self) -> None:
-        if self._flow is not None:
-            self._flow = None
-            if self._paused and not self.over:
+    def _stop_streaming(self) -> None:
+        if self._pipe is not None:
+            self._pipe = None
+            if self._reading_paused and not self.closed:
                 self._loop.add_reader(self.sock.fileno(), self._readable)
-            self._paused, self._waiting = False, 0
+            self._reading_paused, self._pipe_backlog = False, 0
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self._head: list[bytes] = []
         self._body: list[bytes] = []
-        self._named = b""
-        self._echoed: bytes | None = None
+        self._connection_options = b""
+        self._response_id: bytes | None = None
         self._length: int | None = None
-        self._size = self._fed = self._informed = 0
-        self._unseen = self._headed = self._spoilt = self._begun = False
-        self._framed = False  # whether its end can be told from its length or its chunks
-        self._end_flow()
-        self._clean = True  # so far all that came can be read and belongs to the answer, and it may be kept
+        self._size = self._head_input = self._informational_count = 0
+        self._not_processed = self._head_complete = self._invalid = self._message_begun = False
+        self._has_framing = False  # whether its end can be determined from its length or its chunks
+        self._stop_streaming()
+        self._is_reusable = True  # whether all bytes so far are valid, belong to the response and allow reuse
 
-    # ---- the parser's calls ----------------------------------------------------------------
+    # ---- callbacks of the parser -------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self._begun = True
-        if self._answer is not None:  # a second answer: the first one stands
-            self._clean = False
+        self._message_begun = True
+        if self._response is not None:  # a second response: the first one stands
+            self._is_reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         # Guards against trailers that would count as headers.
-        if self._headed or self._spoilt or self._answer is not None:
+        if self._head_complete or self._invalid or self._response is not None:
             return
         self._size += len(name) + len(value) + 4
         lower, value = name.lower(), value.strip(b" \t")
-        if lower == self._upstream.proof:
-            self._unseen = value == b"1"
+        if lower == self._upstream.not_processed_header:
+            self._not_processed = value == b"1"
         elif lower == b"connection":
-            self._named += b"," + value.lower()
+            self._connection_options += b"," + value.lower()
         elif lower == b"content-length":
-            self._length, self._framed = int(value), True
-            # Guards the memory limit against an answer without end.
-            self._spoilt = self._length > self._most() and not self._bodyless()
+            self._length, self._has_framing = int(value), True
+            # Guards the memory limit against an endless response.
+            self._invalid = self._length > self._max_body() and not self._is_head_request()
         elif lower == b"transfer-encoding":
-            self._spoilt = value.lower() != b"chunked"
-            self._framed = True
-        elif lower == self._upstream.echo:
-            self._echoed = value
+            self._invalid = value.lower() != b"chunked"
+            self._has_framing = True
+        elif lower == self._upstream.request_id_header:
+            self._response_id = value
             self._head.append(b"%b: %b\r\n" % (name, value))
         elif lower == b"keep-alive":
-            self._heard_keep(value)
-        # A load report is for the proxy, and what is no plain text may be more than a caller can read.
+            self._read_keep_alive(value)
+        # A load report is meant for the proxy, and a value that is not ASCII may be more than a caller can read.
         elif lower not in HOP_BY_HOP and lower != b"x-server-load" and value.isascii():
             self._head.append(b"%b: %b\r\n" % (name, value))
-        self._spoilt = self._spoilt or self._size > HEAD_MOST
+        self._invalid = self._invalid or self._size > MAX_HEAD
 
-    def _heard_keep(self, value: bytes) -> None:
-        """How long the backend keeps idle connections, as far as it says."""
+    def _read_keep_alive(self, value: bytes) -> None:
+        """Read from a Keep-Alive header how long the backend keeps idle connections."""
         for part in value.split(b","):
             key, _, seconds = part.strip().partition(b"=")
             if key.lower() == b"timeout" and seconds.isdigit():
-                self.backend.keeps = float(seconds)
+                self.backend.keep_alive_seconds = float(seconds)
 
-    def _stray(self) -> bool:
-        """Whether it answers another request than the one in hand: a second answer, come late."""
+    def _is_stray(self) -> bool:
+        """Return whether the response belongs to another request: a second response that arrived late."""
         exchange = self.exchange
         return (
             exchange is not None
-            and exchange.echo is not None
-            and self._echoed is not None
-            and self._echoed != exchange.echo
+            and exchange.expected_id is not None
+            and self._response_id is not None
+            and self._response_id != exchange.expected_id
         )
 
     def on_headers_complete(self) -> None:
-        if self._answer is not None:
+        if self._response is not None:
             return
         status = self._parser.get_status_code()
         if 100 <= status < 200:
-            self._informed += 1
-            # Guards against a change of protocol, which nobody asked for, and against such heads without end.
-            self._spoilt = self._spoilt or status == 101 or self._informed > INFORMED_MOST
+            self._informational_count += 1
+            # Guards against a protocol switch that nobody requested, and against endless 1xx responses.
+            self._invalid = self._invalid or status == 101 or self._informational_count > MAX_INFORMATIONAL_RESPONSES
             return
-        self._headed = True
+        self._head_complete = True
         self._size = 0
-        if self._named:
-            named = {token.strip() for token in self._named.split(b",")}
+        if self._connection_options:
+            named = {token.strip() for token in self._connection_options.split(b",")}
             self._head = [line for line in self._head if line.partition(b":")[0].lower() not in named]
-        if self._bodyless() and not self._spoilt:
-            # Guards the next request against a body that was told of and comes after all: nothing would tell it
-            # from an answer. Costs a connection for each HEAD.
-            self._clean = False
-            self._answer = Response(status, b"".join(self._head), b"", self._length)
+        if self._is_head_request() and not self._invalid:
+            # Guards the next request against a body that was announced and follows after all: it couldn't be told
+            # from a response. Costs a connection for each HEAD request.
+            self._is_reusable = False
+            self._response = Response(status, b"".join(self._head), b"", self._length)
 
-    def _most(self) -> int:
-        """Bytes that its body may have."""
-        passes = self.exchange is not None and self.exchange.begin is not None
-        return self._upstream.pass_most if passes else self._upstream.answer_most
+    def _max_body(self) -> int:
+        """Return the limit in bytes on the response body."""
+        may_stream = self.exchange is not None and self.exchange.on_response_begun is not None
+        return self._upstream.max_streamed_response if may_stream else self._upstream.max_response_body
 
-    def _serves(self) -> bool:
-        return self._upstream.judge(self._parser.get_status_code(), self._unseen) is Outcome.OK
+    def _is_success(self) -> bool:
+        return self._upstream.classify(self._parser.get_status_code(), self._not_processed) is Outcome.OK
 
-    def _repeatable(self) -> bool:
+    def _is_repeatable(self) -> bool:
         return self.exchange is not None and self.exchange.repeatable
 
-    def _bodyless(self) -> bool:
-        return self.exchange is not None and self.exchange.bodyless
+    def _is_head_request(self) -> bool:
+        return self.exchange is not None and self.exchange.is_head_request
 
     def on_body(self, body: bytes) -> None:
-        if self._answer is not None or self._spoilt:
+        if self._response is not None or self._invalid:
             return
         self._size += len(body)
-        if self._flow is not None and self._size <= self._upstream.pass_most:
-            self._put(body)
+        if self._pipe is not None and self._size <= self._upstream.max_streamed_response:
+            self._write_to_pipe(body)
             return
-        # Guards the memory limit against an answer without end, and against many large ones at once.
-        if self._size <= self._upstream.answer_most and self._upstream.holds(len(body)):
-            self._held += len(body)
+        # Guards the memory limit against an endless response, and against many large ones at once.
+        if self._size <= self._upstream.max_response_body and self._upstream.try_buffer(len(body)):
+            self._buffered += len(body)
             self._body.append(body)
             exchange = self.exchange
-            passes = exchange is not None and exchange.open and exchange.begin is not None
-            # What may be tried again is held until so much has come: a spoilt answer says more than it has.
-            large = self._size if self._repeatable() else max(self._size, self._length or 0)
-            if passes and large > self._upstream.pass_from and self._serves():
+            may_stream = exchange is not None and exchange.open and exchange.on_response_begun is not None
+            # A response to a retryable request is buffered up to this size: a truncated one announces more than it has.
+            large = self._size if self._is_repeatable() else max(self._size, self._length or 0)
+            if may_stream and large > self._upstream.streaming_threshold and self._is_success():
                 assert exchange is not None
-                self._begin_flow(exchange)
+                self._start_streaming(exchange)
         else:
-            self._spoilt = True
+            self._invalid = True
 
     def on_message_complete(self) -> None:
-        if self._answer is not None or self._spoilt:
+        if self._response is not None or self._invalid:
             return
-        if self._headed and self._stray():
-            # Guards a request against an answer that is not its own; the connection is not kept after it.
-            self._let_go()
-            self._strayed = True
-            self._begin()
-            self._clean = False
+        if self._head_complete and self._is_stray():
+            # Guards a request against a response to another one; the connection is not kept afterwards.
+            self._release_buffer()
+            self._has_seen_stray = True
+            self._reset()
+            self._is_reusable = False
             return
-        if not self._headed:  # 1xx: the answer is still to come, and its head starts anew
-            self._begun = self._unseen = self._framed = False
-            self._echoed = None
+        if not self._head_complete:  # 1xx: the final response follows with a new head
+            self._message_begun = self._not_processed = self._has_framing = False
+            self._response_id = None
             self._head.clear()
-            self._named = b""
+            self._connection_options = b""
             self._length = None
             return
-        self._clean = self._parser.should_keep_alive() and not self._strayed
-        self._answer = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
+        self._is_reusable = self._parser.should_keep_alive() and not self._has_seen_stray
+        self._response = Response(self._parser.get_status_code(), b"".join(self._head), b"".join(self._body))
         self._body.clear()
-        self._let_go()
+        self._release_buffer()
 
 
 class Upstream:
-    """All connections to one pool's backends, within that pool's share of the sockets.
+    """All connections to the backends of one pool, within that pool's share of the sockets.
 
-    `held_most` bounds the bytes of answers that are not whole, `answer_most` those of one answer's body.
+    `max_buffered_bytes` limits the bytes of incomplete responses, `max_response_body` those of the body of one of them.
     """
 
     def __init__(
@@ -576,57 +616,68 @@
         name: str,
         conn_idle: float,
         dial_timeout: float,
-        held_most: int,
-        answer_most: int = ANSWER_MOST,
-        judge: Callable[[int, bool], Outcome] = judge,
-        dialled: Callable[[int, bool], None] | None = None,
-        proof: bytes = b"x-not-processed",
-        echo: bytes = b"",
-        keeps: int = 0,
+        max_buffered_bytes: int,
+        max_response_body: int = MAX_BUFFERED_RESPONSE,
+        classify: Callable[[int, bool], Outcome] = classify,
+        on_dialled: Callable[[int, bool], None] | None = None,
+        not_processed_header: bytes = b"x-not-processed",
+        request_id_header: bytes = b"",
+        max_idle_per_backend: int = 0,
     ) -> None:
-        """`proof`: the header that says that a request did not run; `echo`: the one with its id, if there is one.
+        """Set up the pool without connections.
 
-        `keeps`: idle connections kept to one backend, also for what must not run twice, where that many are stated.
+        The header `not_processed_header` says that a request did not run.
+        The header `request_id_header`, if any, returns the id of a request.
+        `max_idle_per_backend` is the number of idle connections kept to one backend; a value above 0 also
+        allows requests that must not run twice to reuse connections.
         """
-        self.proof, self.echo = proof, echo
-        self._reuses = keeps > 0
-        self._tell = dialled  # told of each backend whether a connection to it came up
+        self.not_processed_header, self.request_id_header = not_processed_header, request_id_header
+        self._reuses = max_idle_per_backend > 0
+        self._on_dialled = on_dialled  # called for each backend with whether a connection was established
         self._loop = asyncio.get_running_loop()
         self._sockets, self._name = sockets, name
-        self.answer_most = answer_most
-        self.judge = judge
-        self._keep = IDLE_PART * conn_idle
+        self.max_response_body = max_response_body
+        self.classify = classify
+        self._max_idle_time = IDLE_TIMEOUT_FRACTION * conn_idle
         self._dial_timeout = dial_timeout
-        self._idle_each = keeps or IDLE_EACH
-        self.buffer = memoryview(bytearray(READ))
-        self._distrust_until = 0.0
-        self.held = 0  # bytes of answers that are not whole
-        self.pass_from, self.pass_most = PASS_FROM, PASS_MOST  # bytes of an answer that is passed on as it comes
-        self.flow_held = 0  # bytes of answers that are passed on and wait for their callers...
-        self.flow_most = held_most  # ...and of all of them together
-        self.held_most = held_most
+        self._max_idle_per_backend = max_idle_per_backend or MAX_IDLE_PER_BACKEND
+        self.buffer = memoryview(bytearray(READ_SIZE))
+        self._no_reuse_until = 0.0
+        self.buffered_bytes = 0  # bytes of incomplete buffered responses
+        # Bytes above which a response is streamed, and the limit on a streamed response.
+        self.streaming_threshold, self.max_streamed_response = STREAMING_THRESHOLD, MAX_STREAMED_RESPONSE
+        self.streamed_bytes = 0  # bytes of all streamed responses that wait for their callers
+        self.max_streamed_bytes = max_buffered_bytes  # limit on those bytes
+        self.max_buffered_bytes = max_buffered_bytes
         self._idle: dict[Connection, None] = {}  # the longest idle first
-        self._sweeping = self._loop.call_later(self._keep / 4.0, self._sweep)
+        self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
 
-    def tune(self, conn_idle: float, dial_timeout: float, held_most: int, answer_most: int, idle_each: int) -> None:
-        """Go on by other limits."""
-        self._idle_each = idle_each
-        self._keep, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
-        self.held_most, self.answer_most = held_most, answer_most
+    def update_limits(
+        self,
+        conn_idle: float,
+        dial_timeout: float,
+        max_buffered_bytes: int,
+        max_response_body: int,
+        max_idle_per_backend: int,
+    ) -> None:
+        """Apply changed limits."""
+        self._max_idle_per_backend = max_idle_per_backend
+        self._max_idle_time, self._dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
+        self.max_buffered_bytes, self.max_response_body = max_buffered_bytes, max_response_body
 
-    def retime(self, conn_idle: float, dial_timeout: float) -> None:
-        """Go on by other times."""
-        self._keep, self._dial_timeout = IDLE_PART * conn_idle, dial_timeout
+    def update_timeouts(self, conn_idle: float, dial_timeout: float) -> None:
+        """Apply changed timeouts."""
+        self._max_idle_time, self._dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
 
     def close(self) -> None:
-        """Let go of all idle connections; nothing is sent from here any more."""
-        self._sweeping.cancel()
+        """Close all idle connections; nothing is sent from here any more."""
+        self._sweep_timer.cancel()
         for connection in tuple(self._idle):
             self._drop(connection)
 
     def update(self, backend: Backend, address: Address, started: float, in_service: bool) -> None:
-        """What the list says of a backend now."""
-        # Guards against requests on connections to a process or a place that is no more.
+        """Apply what the endpoint list says about a backend."""
+        # Guards against requests on connections to a process that has ended or an address that is out of use.
         if backend.address != address or backend.started != started or not in_service:
             for connection in tuple(backend.idle):
                 self._drop(connection)
@@ -636,22 +687,26 @@
 
     def start(self, exchange: Exchange) -> None:
         """Send an attempt, on a new connection if none is idle; its outcome is reported later."""
-        if exchange.timed:
-            exchange.timer = self._loop.call_at(exchange.until, exchange.expire)
+        if exchange.sets_timer:
+            exchange.timer = self._loop.call_at(exchange.expires_at, exchange.expire)
         idle = exchange.backend.idle
-        # Guards what must not run twice: a kept connection may be dead already, and nothing would tell.
+        # Guards requests that must not run twice: an idle connection may be dead already without any sign of it.
         while idle and (exchange.repeatable or self._reuses):
             connection = idle.pop()
             del self._idle[connection]
-            keeps = exchange.backend.keeps
-            # Guards what must not run twice against a connection that the backend is about to close.
-            stale = keeps > 0.0 and self._loop.time() - connection.idle_since > IDLE_PART * keeps
-            if not stale and connection.usable():
+            keep_alive_seconds = exchange.backend.keep_alive_seconds
+            # Guards requests that must not run twice against a connection that the backend is about to close.
+            stale = (
+                keep_alive_seconds > 0.0
+                and self._loop.time() - connection.idle_since > IDLE_TIMEOUT_FRACTION * keep_alive_seconds
+            )
+            if not stale and connection.is_usable():
                 self._transmit(exchange, connection)
                 return
             connection.abandon()
         if not self._sockets.can_acquire(self._name):
-            # Guards the limit on sockets: idle ones make room, else it never ran and may go elsewhere.
+            # Guards the limit on sockets: an idle connection is closed first; else the attempt, which never ran, may go
+            # elsewhere.
             if not self._idle:
                 self._loop.call_soon(exchange.end, Outcome.UNREACHABLE)
                 return
@@ -660,77 +715,81 @@
         exchange.dial = Dial(self, exchange, exchange.backend, self._dial_timeout)
 
     def connected(self, exchange: Exchange, sock: socket.socket) -> None:
-        """A dial has brought a connection, which holds the socket from then on."""
-        if self._tell is not None:
-            self._tell(exchange.backend.server, True)
+        """Send the exchange on an established connection, which owns the socket from then on."""
+        if self._on_dialled is not None:
+            self._on_dialled(exchange.backend.server, True)
         self._transmit(exchange, Connection(self, exchange.backend, sock))
 
     def unreachable(self, exchange: Exchange, number: int) -> None:
-        """A dial has brought none."""
-        self.undone()
-        if self._tell is not None and number not in OWN_FAULTS:
-            self._tell(exchange.backend.server, False)
+        """End an exchange whose connection could not be established."""
+        self.dial_ended()
+        if self._on_dialled is not None and number not in LOCAL_ERRORS:
+            self._on_dialled(exchange.backend.server, False)
         exchange.end(Outcome.UNREACHABLE)
 
-    def undone(self) -> None:
-        """A dial needs no socket any more."""
+    def dial_ended(self) -> None:
+        """Release the socket of an attempt to connect that failed or was cancelled."""
         self._sockets.release(self._name)
 
     def _transmit(self, exchange: Exchange, connection: Connection) -> None:
-        """Write the first byte, if the attempt still may go out."""
-        # Guards drains, time-outs and finished requests: dialling took time, and the world has moved on.
-        left = exchange.until - self._loop.time()
+        """Send the request unless the attempt has become obsolete while it connected."""
+        # Guards drains, timeouts and finished requests: connecting took time, in which any of them may have happened.
+        left = exchange.expires_at - self._loop.time()
         if not exchange.open or left <= 0.0 or not exchange.backend.in_service:
             self.release(connection)
             self._loop.call_soon(exchange.end, Outcome.NOT_PROCESSED)
             return
-        if not connection.usable():
+        if not connection.is_usable():
             exchange.end(Outcome.UNREACHABLE)
             return
-        connection.send(exchange, exchange.write(left))
+        connection.send(exchange, exchange.serialize(left))
 
     def release(self, connection: Connection) -> None:
-        """Keep a connection for the next exchange."""
+        """Keep a connection for the next exchange, or close it."""
         backend = connection.backend
         now = self._loop.time()
-        full = len(backend.idle) >= self._idle_each  # Guards backends: each connection takes of what they can do.
-        if not backend.in_service or full or now < self._distrust_until or not connection.usable():
+        # Guards backends: each open connection takes some of their capacity.
+        full = len(backend.idle) >= self._max_idle_per_backend
+        if not backend.in_service or full or now < self._no_reuse_until or not connection.is_usable():
             connection.abandon()
             return
         connection.idle_since = now
         backend.idle.append(connection)
         self._idle[connection] = None
 
-    def distrust(self) -> None:
-        """Guards against backends, or what lies between, that forget kept connections without a word."""
-        self._distrust_until = self._loop.time() + DISTRUST
+    def suspend_reuse(self) -> None:
+        """Stop reusing connections for a while.
+
+        Guards against backends or middleboxes that silently drop idle connections.
+        """
+        self._no_reuse_until = self._loop.time() + NO_REUSE_SECONDS
         for connection in tuple(self._idle):
             self._drop(connection)
 
-    def holds(self, size: int) -> bool:
-        """Count so many more bytes of an answer, if there is room for them."""
-        fits = self.held + size <= self.held_most
-        self.held += size * fits
+    def try_buffer(self, size: int) -> bool:
+        """Count `size` more bytes of a buffered response if they fit into the limit; returns whether they do."""
+        fits = self.buffered_bytes + size <= self.max_buffered_bytes
+        self.buffered_bytes += size * fits
         return fits
 
-    def flow(self) -> int:
-        """Bytes of one answer that may wait for its caller now: as many as are free.
+    def stream_allowance(self) -> int:
+        """Return the bytes of one streamed response that may wait for its caller now: as many as are free.
 
-        So each holds the same in the end, one that is alone half of all, and together they keep to the whole,
-        however many come later (dynamic thresholds: Choudhury and Hahne, 1998).
+        Each response thus converges to the same buffer, a single one to half of the total, and all together stay
+        within the total however many start later (dynamic thresholds: Choudhury and Hahne, 1998).
         """
-        return max(FLOW_LEAST, self.flow_most - self.flow_held)
+        return max(MIN_STREAM_BUFFER, self.max_streamed_bytes - self.streamed_bytes)
 
     def sockets(self) -> int:
-        """How many connections are up or being made."""
+        """Return the number of connections that are established or being established."""
         return self._sockets.held_by(self._name)
 
     def now(self) -> float:
-        """The loop's time."""
+        """Return the loop's time."""
         return self._loop.time()
 
-    def lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+    def connection_closed(self, connection: Connection) -> None:
+        """Release the socket of a closed connection."""
         self._sockets.release(self._name)
         self._forget(connection)
 
@@ -744,9 +803,9 @@
         connection.abandon()
 
     def _sweep(self) -> None:
-        """Close what has been idle for long: a request that meets the backend's own close is lost."""
-        self._sweeping = self._loop.call_later(self._keep / 4.0, self._sweep)
-        latest = self._loop.time() - self._keep
+        """Close connections that have been idle for long: a request that crosses the backend's own close is lost."""
+        self._sweep_timer = self._loop.call_later(self._max_idle_time / 4.0, self._sweep)
+        latest = self._loop.time() - self._max_idle_time
         for connection in tuple(self._idle):
             if connection.idle_since > latest:
                 break
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -8,9 +8,9 @@
 from lugspur.grpc import mapping
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.timeout import read_timeout
-from lugspur.http1.body import KEEP, Body
-from lugspur.http1.front import BODY_LEAST, BODY_RATE, FLOW_WITHIN, LINGER, Front, Held
-from lugspur.http1.intake import NAMED, REWRITTEN, Rejected
+from lugspur.http1.body import REPLAY_FACTOR, Body
+from lugspur.http1.front import BODY_RATE_GRACE, CLOSE_TIMEOUT, MIN_BODY_RATE, STREAM_TIMEOUT, Front, TrackedConnection
+from lugspur.http1.request_parser import PROXY_READ_HEADERS, PROXY_SET_HEADERS, RejectionError
 from lugspur.http2.frames import CANCEL, INTERNAL_ERROR, MAX_STREAM_ID, NO_ERROR, REFUSED_STREAM, GoAway
 from lugspur.http2.machine import (
     MAX_STREAMS,
@@ -25,8 +25,8 @@
     TrailersReceived,
 )
 from lugspur.http2.wire import SessionWriter
+from lugspur.interfaces import Request, StreamingReceiver
 from lugspur.pipe import Pipe
-from lugspur.seams import Passing, Request
 
 # Seconds that a call's headers or first message wait for the end of the stream before the call is handled as a stream.
 CALL_END_WAIT = 0.02
@@ -49,7 +49,7 @@
         self.front = connection.front
         self.peer = connection.peer
         self.arrived = now
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.is_answered = False  # the final response is passed to the session, though it may not be sent yet
         self._headers: dict[bytes, bytes] = {}  # the request's headers and pseudo-headers
         self._chunks: list[bytes] = []
@@ -69,18 +69,18 @@
     # ---- the request ---------------------------------------------------------------------------
 
     def take_headers(self, fields: HeaderFields) -> None:
-        """Take the request's headers; raises Rejected."""
+        """Take the request's headers; raises RejectionError."""
         self._headers = dict(fields)
-        self._terms = None if self.front.terms is None else self.front.terms()
+        self._terms = None if self.front.get_configuration is None else self.front.get_configuration()
         self._header_lines, self._headers_by_name = read_fields(fields, self.forwards_underscores)
         length = self._headers_by_name.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.front.sizes.body:  # before a part of it is forwarded
-            raise Rejected(413, "the body is too large")
+            raise RejectionError(413, "the body is too large")
         self._limit_receive_time()
 
     def _limit_receive_time(self) -> None:
         """Limit the time to receive the request: guards connections against a body that never ends."""
-        self._set_timer(self.arrived + self.front.whole_within)
+        self._set_timer(self.arrived + self.front.request_head_timeout)
 
     def _set_timer(self, limit: float) -> None:
         self._cancel_timer()
@@ -91,33 +91,34 @@
             return
         if self._body is not None:
             now = self.connection.loop.time()
-            due_at = self._rate_start + self._body.came / BODY_RATE + BODY_LEAST
+            due_at = self._rate_start + self._body.received / MIN_BODY_RATE + BODY_RATE_GRACE
             if self._backend_full_since or now < due_at:  # it waits for the backend, or is fast enough
-                self._set_timer(max(due_at, now + BODY_LEAST))
+                self._set_timer(max(due_at, now + BODY_RATE_GRACE))
                 return
-        self.connection.reject_stream(self, Rejected(408, "the request took too long"))
+        self.connection.reject_stream(self, RejectionError(408, "the request took too long"))
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
 
     def take_data(self, data: bytes, size: int) -> None:
-        """Take a part of the body; raises Rejected."""
+        """Take a part of the body; raises RejectionError."""
         body = self._body
         if body is not None:
             self._unacknowledged_bytes += size
             body.put(data)
-            received_bytes = body.came
-            self._set_held_bytes(body.held)
+            received_bytes = body.received
+            self._set_held_bytes(body.buffered)
             self._acknowledge_body()
         else:
             self._hold_data(data, size)
             received_bytes = self._held_bytes
         if received_bytes > self.front.sizes.body:
-            raise Rejected(413, "the body is too large")
-        if self.front.held > self.front.held_most:  # guards the memory limit against many incomplete bodies
-            raise Rejected(503, "too many bodies at once")
-        if body is None and received_bytes > self.front.sizes.hold:
+            raise RejectionError(413, "the body is too large")
+        # guards the memory limit against many incomplete bodies
+        if self.front.buffered_bytes > self.front.max_buffered_bytes:
+            raise RejectionError(503, "too many bodies at once")
+        if body is None and received_bytes > self.front.sizes.max_buffered_body:
             self._forward_body()
 
     def _hold_data(self, data: bytes, size: int) -> None:
@@ -126,15 +127,19 @@
         self._set_held_bytes(self._held_bytes + len(data))
 
     def _set_held_bytes(self, size: int) -> None:
-        self.front.held += size - self._held_bytes
+        self.front.buffered_bytes += size - self._held_bytes
         self._held_bytes = size
 
     def _forward_body(self) -> None:
         """Deliver the request before its body is complete, and forward the body as it arrives."""
         length = self._headers_by_name.get(b"content-length")
-        body = Body(int(length) if length is not None else None, self._acknowledge_body, KEEP * self.front.sizes.hold)
+        body = Body(
+            int(length) if length is not None else None,
+            self._acknowledge_body,
+            REPLAY_FACTOR * self.front.sizes.max_buffered_body,
+        )
         body.put(self._release_body())
-        self._set_held_bytes(body.held)
+        self._set_held_bytes(body.buffered)
         self._body, self._is_delivered = body, True
         request = self._build_request(b"")
         request.stream = body
@@ -152,14 +157,14 @@
             self._rate_start += now - self._backend_full_since
             self._backend_full_since = 0.0
         if not self.is_answered and not body.ended:
-            self._set_held_bytes(body.held)
+            self._set_held_bytes(body.buffered)
         unacknowledged_bytes, self._unacknowledged_bytes = self._unacknowledged_bytes, 0
         if unacknowledged_bytes:
             self.connection.session.acknowledge_data(self.stream_id, unacknowledged_bytes)
             self.connection.schedule_flush()
 
     def take_end(self) -> None:
-        """Handle the end of the request; raises Rejected."""
+        """Handle the end of the request; raises RejectionError."""
         self._cancel_timer()
         if self._body is not None:
             self._set_held_bytes(0)
@@ -193,17 +198,17 @@
     # ---- the response --------------------------------------------------------------------------
 
     def admit(self) -> None:
-        """Admit the request; raises Rejected if there are too many connections."""
+        """Admit the request; raises RejectionError if there are too many connections."""
         self.front.admit(self.connection)
 
-    def passing(self) -> Passing | None:
+    def streaming_receiver(self) -> StreamingReceiver | None:
         """Return the stream itself: it takes a response as it arrives."""
         return self
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write the final response; if another response has begun, reset the stream."""
         if self._response_pipe is not None:
-            self.gone = None
+            self.on_disconnect = None
             self.connection.reset_stream(self, INTERNAL_ERROR)
             return
         self._write_response(
@@ -218,12 +223,12 @@
             fields.append((b"content-length", b"%d" % length))
         return fields
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Answer the request with an error; cancel it in the pool if it was delivered."""
         self._cancel_timer()
         self._cancel_request()
         if self._response_pipe is None:
-            self.answer(fault.status, b"", fault.reason.encode() + b"\n")
+            self.respond(fault.status, b"", fault.reason.encode() + b"\n")
         else:
             self.connection.reset_stream(self, INTERNAL_ERROR)
 
@@ -231,7 +236,7 @@
         """Write the final response, or the end of one that was begun (`headers` is None)."""
         if self.is_answered:
             return
-        self.gone = None
+        self.on_disconnect = None
         self.is_answered = True
         self._release_body()
         self._discard_body()
@@ -248,9 +253,9 @@
 
     def _cancel_request(self) -> None:
         """Cancel the request: nobody waits for its response."""
-        gone, self.gone = self.gone, None
-        if gone is not None:
-            gone()
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
         self._discard_body()  # after the cancellation: else the end of the attempt would cause a retry
 
     def cancel(self) -> None:
@@ -258,7 +263,7 @@
         self._cancel_timer()
         if self._response_pipe is not None:
             self._response_pipe.attach(None)
-            self._response_pipe.gone(self._unsent_bytes)
+            self._response_pipe.mark_sent(self._unsent_bytes)
             self._response_pipe.discard()
         self._release_body()
         self.is_answered = True
@@ -266,7 +271,7 @@
 
     # ---- a response that is forwarded as it arrives -------------------------------------------
 
-    def begin_answer(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
+    def begin_response(self, status: int, head: bytes, length: int | None, flow: Pipe) -> None:
         """Write the headers of a response; the pipe brings its body, and `finish_answer` ends it."""
         self._discard_body()
         self.connection.session.send_headers(self.stream_id, self._response_headers(status, head, length))
@@ -281,7 +286,7 @@
 
     def _check_progress(self) -> None:
         """Reset the stream if its response makes no progress on either side: guards memory and backends."""
-        limit = self.last_progress + FLOW_WITHIN
+        limit = self.last_progress + STREAM_TIMEOUT
         if self.connection.loop.time() < limit:
             self._timer = self.connection.loop.call_at(limit, self._check_progress)
         elif self.connection.streams.get(self.stream_id) is self:
@@ -295,7 +300,7 @@
             self.connection.session.send_data(self.stream_id, data)
             self.connection.schedule_flush()
 
-    def finish_answer(self) -> None:
+    def finish_response(self) -> None:
         """End the response that was begun."""
         self._forward_more()
         self._write_response(None, b"", None)
@@ -305,11 +310,11 @@
         self.last_progress = self.connection.loop.time()
         if self._response_pipe is not None:
             self._unsent_bytes -= size
-            self._response_pipe.gone(size)
+            self._response_pipe.mark_sent(size)
 
 
 class Call(Stream):
-    """A gRPC call, unary or streaming; it is the `Form` of its request (seams.py)."""
+    """A gRPC call, unary or streaming; it is the `Form` of its request (interfaces.py)."""
 
     forwards_underscores = True  # metadata is forwarded unchanged
 
@@ -319,23 +324,23 @@
         self.pipe: Pipe | None = None
 
     @property
-    def bound(self) -> bool:
+    def requires_grpc(self) -> bool:
         """Return whether only a gRPC backend can take the request: it isn't a single message."""
         return self.pipe is not None or self._counter.complete_count != 1 or self._counter.has_open_message
 
     # ---- the request ---------------------------------------------------------------------------
 
     def take_headers(self, fields: HeaderFields) -> None:
-        """Take the call's headers; raises Rejected."""
+        """Take the call's headers; raises RejectionError."""
         super().take_headers(fields)
         if self._headers.get(b":method") != b"POST":
-            raise Rejected(405, "gRPC is asked for with POST")
+            raise RejectionError(405, "gRPC is asked for with POST")
         timeout = self._headers.get(b"grpc-timeout")
         if timeout is not None:
             try:
                 self._headers_by_name[b"x-timeout"] = b"%.9f" % read_timeout(timeout)
             except ValueError as fault:
-                raise Rejected(500, str(fault)) from fault  # INTERNAL
+                raise RejectionError(500, str(fault)) from fault  # INTERNAL
         self._schedule_streaming()
 
     def _schedule_streaming(self) -> None:
@@ -344,11 +349,11 @@
         self._timer = self.connection.loop.call_later(CALL_END_WAIT, self._start_streaming)
 
     def take_data(self, data: bytes, size: int) -> None:
-        """Take a part of the call's messages; raises Rejected."""
+        """Take a part of the call's messages; raises RejectionError."""
         try:
             self._counter.feed(data)
         except InvalidMessageError as fault:
-            raise Rejected(500, str(fault)) from fault  # INTERNAL
+            raise RejectionError(500, str(fault)) from fault  # INTERNAL
         if self.pipe is not None:
             self.connection.session.acknowledge_data(self.stream_id, size - len(data))
             self.pipe.put(data)
@@ -356,7 +361,8 @@
         self._hold_data(data, size)
         front, counter = self.front, self._counter
         exceeds_limit = (
-            self._held_bytes + counter.min_missing_bytes() > front.sizes.body or front.held > front.held_most
+            self._held_bytes + counter.min_missing_bytes() > front.sizes.body
+            or front.buffered_bytes > front.max_buffered_bytes
         )
         if counter.complete_count + counter.has_open_message > 1 or exceeds_limit:
             self._start_streaming()
@@ -366,9 +372,9 @@
             self._schedule_streaming()
 
     def take_end(self) -> None:
-        """Handle the end of the call's messages; raises Rejected."""
+        """Handle the end of the call's messages; raises RejectionError."""
         if self._counter.has_open_message:
-            raise Rejected(500, "the last message is cut")  # INTERNAL
+            raise RejectionError(500, "the last message is cut")  # INTERNAL
         if self.pipe is not None:
             self.pipe.end()
         elif not self._is_delivered:
@@ -385,7 +391,7 @@
         pipe = self.pipe = Pipe(lambda size: self._acknowledge(session, stream_id, size))
         body = self._release_body()
         if body:
-            pipe.put(body, free=True)
+            pipe.put(body, credited=True)
         self.connection.deliver(self._build_request(b""), self)
 
     def _acknowledge(self, session: Http2Session, stream_id: int, size: int) -> None:
@@ -394,26 +400,26 @@
 
     def _build_request(self, body: bytes) -> Request:
         request = super()._build_request(body)
-        request.form = self
+        request.grpc_form = self
         return request
 
-    def plain(self, request: Request) -> Request:
+    def to_http1(self, request: Request) -> Request:
         """Return the request for a backend that speaks HTTP/1.1."""
         return mapping.to_http1_request(request)
 
     # ---- the response --------------------------------------------------------------------------
 
-    def passing(self) -> Passing | None:
+    def streaming_receiver(self) -> StreamingReceiver | None:
         """Return None: a gRPC response has trailers and is forwarded by the request's `Form`."""
         return None
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Answer the call with an error; cancel it in the pool if it was delivered."""
         self._cancel_timer()
         self._cancel_request()
-        self.answer(fault.status, b"", fault.reason.encode() + b"\n")
+        self.respond(fault.status, b"", fault.reason.encode() + b"\n")
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         """Write a response of the proxy itself or of an HTTP/1.1 backend."""
         headers, messages, trailers = mapping.to_grpc_response(status, head, body, self._headers[b"content-type"])
         if self._response_pipe is not None:
@@ -462,23 +468,27 @@
             authority = value if name == b":authority" else authority
             continue
         if not value.isascii() or not name.isascii():  # guards backends that close the connection on such headers
-            raise Rejected(400, "a header is not plain text")
+            raise RejectionError(400, "a header is not plain text")
         previous = headers_by_name.get(name)
-        if previous is not None and name in NAMED:  # guards against a backend that reads the other value
-            raise Rejected(400, "a header comes twice")
+        if previous is not None and name in PROXY_READ_HEADERS:  # guards against a backend that reads the other value
+            raise RejectionError(400, "a header comes twice")
         headers_by_name[name] = value if previous is None else previous + b", " + value
-        if name not in REWRITTEN and name not in mapping.HOP_BY_HOP_HEADERS and (underscores or b"_" not in name):
+        if (
+            name not in PROXY_SET_HEADERS
+            and name not in mapping.HOP_BY_HOP_HEADERS
+            and (underscores or b"_" not in name)
+        ):
             lines.append(b"%b: %b\r\n" % (name, value))
     if authority:  # RFC 9113 8.3.1: it replaces Host; h2 rejects a Host that differs
         headers_by_name[b"host"] = authority
     return lines, headers_by_name
 
 
-class CallerConnection(SessionWriter, Held):
+class CallerConnection(SessionWriter, TrackedConnection):
     """The HTTP/2 connection of one caller."""
 
     def __init__(self, front: Front, handle_request: RequestHandler, max_streams: int = MAX_STREAMS) -> None:
-        Held.__init__(self, front)
+        TrackedConnection.__init__(self, front)
         SessionWriter.__init__(self, Http2Session(False, self._report_sent, front.sizes.head, max_streams))
         self._handle_request = handle_request
         self.streams: dict[int, Stream] = {}
@@ -506,7 +516,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.move(self.front.fresh, self.loop.time() + self.front.first_within)
+        self.move(self.front.fresh, self.loop.time() + self.front.first_request_timeout)
         if self.front.closing:
             self.close()
 
@@ -525,8 +535,8 @@
     def feed(self, data: memoryview) -> None:
         """Take received data."""
         self._last_received_at = now = self.loop.time()
-        if self._place is self.front.fresh:
-            self.move(self.front.idle, now + self.front.idle_most)
+        if self._table is self.front.fresh:
+            self.move(self.front.idle, now + self.front.idle_timeout)
         for event in self.session.receive_data(now, bytes(data)):
             self._handle_event(event)
         self.flush()
@@ -575,9 +585,9 @@
         self.move(None)
         try:
             if headers.get(b":method") == b"CONNECT":
-                raise Rejected(501, "the method is not served")
+                raise RejectionError(501, "the method is not served")
             stream.take_headers(event.fields)  # if the headers end the stream, StreamEnded follows at once
-        except Rejected as fault:
+        except RejectionError as fault:
             self.reject_stream(stream, fault)
 
     def _continue_stream(self, stream: Stream, event: DataReceived | StreamEnded | TrailersReceived) -> None:
@@ -586,17 +596,17 @@
                 stream.take_data(event.data, event.size)
             elif isinstance(event, StreamEnded):
                 stream.take_end()
-        except Rejected as fault:
+        except RejectionError as fault:
             self.reject_stream(stream, fault)
 
     def deliver(self, request: Request, stream: Stream) -> None:
         """Pass a request to the handler."""
         try:
             self._handle_request(request, stream)
-        except Rejected as fault:
+        except RejectionError as fault:
             self.reject_stream(stream, fault)
 
-    def reject_stream(self, stream: Stream, fault: Rejected) -> None:
+    def reject_stream(self, stream: Stream, fault: RejectionError) -> None:
         """Answer a stream's request with an error."""
         stream.reject(fault)
         self.schedule_flush()
@@ -648,13 +658,13 @@
         if self._is_draining:
             return  # the second GOAWAY follows
         front = self.front
-        self.move(front.idle, self.loop.time() + front.idle_most)
+        self.move(front.idle, self.loop.time() + front.idle_timeout)
 
     def _close_after_flush(self) -> None:
         """Close the connection after everything written has been sent."""
         self.flush()
         if not self.is_closed:
-            self.move(self.front.leaving, self.loop.time() + LINGER)
+            self.move(self.front.leaving, self.loop.time() + CLOSE_TIMEOUT)
             self._transport.close()
 
     def close(self) -> None:
@@ -667,7 +677,7 @@
             self.loop.call_later(FINAL_GOAWAY_DELAY, self._send_final_goaway)
             self.loop.call_later(max(self.front.grace, FINAL_GOAWAY_DELAY), self._reject_open_streams)
 
-    def front_closes(self) -> None:
+    def close_when_idle(self) -> None:
         """Shut down gracefully, with or without open streams."""
         self.close()
 
@@ -683,7 +693,7 @@
         """Answer each open stream with an error at the end of the grace period."""
         for stream in tuple(self.streams.values()):
             if not stream.is_answered:
-                self.reject_stream(stream, Rejected(502, "the proxy leaves"))
+                self.reject_stream(stream, RejectionError(502, "the proxy leaves"))
 
     def drop(self) -> None:
         """Close the connection at once."""
@@ -692,6 +702,6 @@
             self._transport.write(self.session.take_output())
         super().drop()
 
-    def reject(self, fault: Rejected) -> None:
+    def reject(self, fault: RejectionError) -> None:
         """Close the connection: there is no single request to answer."""
         self.drop()
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -11,8 +11,8 @@
 from lugspur.grpc.messages import InvalidMessageError, MessageCounter
 from lugspur.grpc.status import Status, http_status, parse_status
 from lugspur.grpc.stream_end import OUTCOMES, StreamEnd, end_by_reset
-from lugspur.http1.dial import OWN_FAULTS, Dial
-from lugspur.http1.upstream import ANSWER_MOST, IDLE_PART
+from lugspur.http1.dial import LOCAL_ERRORS, Dial
+from lugspur.http1.upstream import IDLE_TIMEOUT_FRACTION, MAX_BUFFERED_RESPONSE
 from lugspur.http2.frames import CANCEL, ENHANCE_YOUR_CALM, REFUSED_STREAM, GoAway
 from lugspur.http2.machine import (
     MAX_STREAMS,
@@ -29,10 +29,10 @@
     TrailersReceived,
 )
 from lugspur.http2.wire import SessionWriter
+from lugspur.interfaces import AttemptObserver, ListedBackend, Request, Response
 from lugspur.load_balancing.model import Outcome
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Listed, Request, Response, Watcher
 
 MAX_CONNECTIONS_PER_BACKEND = (
     4  # connections to one backend; one core of a backend rarely serves more than one at full speed
@@ -84,11 +84,11 @@
     def __init__(
         self,
         upstream: GrpcUpstream,
-        backend: Listed,
+        backend: ListedBackend,
         request: Request,
         started: float,
         deadline: float,
-        watcher: Watcher,
+        watcher: AttemptObserver,
         repeatable: bool,
     ) -> None:
         self._upstream, self._watcher = upstream, watcher
@@ -137,7 +137,7 @@
             pipe.attach(None)
         if self.connection is not None:
             self.connection.remove(self)
-        self._watcher.ended(self, outcome, response)
+        self._watcher.on_ended(self, outcome, response)
 
     def end_without_response(self, stream_end: StreamEnd) -> None:
         """End the attempt without a response."""
@@ -153,12 +153,12 @@
         It can while none of its messages has been taken from the pipe and no response headers have arrived.
         """
         pipe = self._request_pipe()
-        if pipe is not None and not pipe.passed:
+        if pipe is not None and not pipe.was_read:
             pipe.attach(None)
-        return not self._headers and (pipe is None or not pipe.passed)
+        return not self._headers and (pipe is None or not pipe.was_read)
 
     def _request_pipe(self) -> Pipe | None:
-        return None if self.request.form is None else self.request.form.pipe
+        return None if self.request.grpc_form is None else self.request.grpc_form.pipe
 
     # ---- the request ---------------------------------------------------------------------------
 
@@ -166,7 +166,7 @@
         """Send the headers, and as much of the body as has arrived."""
         request, session = self.request, connection.session
         time_left = self.deadline - now
-        if request.form is None:
+        if request.grpc_form is None:
             fields, body = mapping.to_grpc_request(request, time_left)
         else:
             fields, body = mapping.grpc_request_fields(request, time_left), request.body
@@ -195,14 +195,14 @@
         """Report request bytes to the pipe as sent or discarded."""
         pipe = self._request_pipe()
         if pipe is not None:
-            pipe.gone(size)
+            pipe.mark_sent(size)
 
     def _bind(self) -> None:
         if not self._is_bound:
             self._is_bound = True
             if self._deadline_timer is not None:
                 self._deadline_timer.cancel()
-            self._watcher.bound()
+            self._watcher.on_committed()
 
     # ---- the response --------------------------------------------------------------------------
 
@@ -234,11 +234,11 @@
         self._chunks.append(data)
         self._held_bytes += len(data)
         upstream.held_bytes += len(data)
-        if self.request.form is not None and self._must_forward():
+        if self.request.grpc_form is not None and self._must_forward():
             self._start_forwarding()
         elif self._held_bytes > upstream.max_response_bytes or upstream.held_bytes > upstream.max_held_bytes:
             self.end_without_response(StreamEnd.BROKEN)  # guards the memory limit against endless responses
-        elif self.request.form is not None and self._counter.complete_count and self._trailers_timer is None:
+        elif self.request.grpc_form is not None and self._counter.complete_count and self._trailers_timer is None:
             self._trailers_timer = asyncio.get_running_loop().call_later(TRAILERS_WAIT, self._start_forwarding)
 
     def _must_forward(self) -> bool:
@@ -262,9 +262,9 @@
         self._bind()
         pipe = self._response_pipe = Pipe(lambda size: connection.acknowledge_data(stream_id, size))
         for chunk in self._chunks:
-            pipe.put(chunk, free=True)
+            pipe.put(chunk, credited=True)
         self._release_held_data()
-        self._watcher.begun(Response(200, mapping.response_header_lines(self._headers), b""), pipe)
+        self._watcher.on_response_begun(Response(200, mapping.response_header_lines(self._headers), b""), pipe)
 
     def _release_held_data(self) -> None:
         self._upstream.held_bytes -= self._held_bytes
@@ -299,7 +299,7 @@
             # The response is not gRPC: an HTTP server or a proxy sent it.
             return None if status < 300 else Response(status, b"", b"")
         body = b"".join(self._chunks)
-        if self.request.form is None:
+        if self.request.grpc_form is None:
             return mapping.to_http1_response(self._headers, self._trailers, body)
         head = b"" if self._headers is self._trailers else mapping.response_header_lines(self._headers)
         return Response(http_status(int(grpc_status)), head, body, None, mapping.response_trailer_lines(self._trailers))
@@ -580,7 +580,7 @@
 
     __slots__ = ("backend", "connections", "no_more_pings")
 
-    def __init__(self, backend: Listed) -> None:
+    def __init__(self, backend: ListedBackend) -> None:
         self.backend = backend
         self.connections: list[BackendConnection] = []
         self.no_more_pings = False  # the backend has sent ENHANCE_YOUR_CALM: it gets no more PINGs
@@ -596,13 +596,13 @@
         self._loop = asyncio.get_running_loop()
         self.classify = classify
         self.dial_timeout, self._idle_timeout = 0.25, 7.5
-        self.held_bytes, self.max_held_bytes, self.max_response_bytes = 0, ANSWER_MOST, ANSWER_MOST
-        self._groups: dict[Listed, ConnectionGroup] = {}
+        self.held_bytes, self.max_held_bytes, self.max_response_bytes = 0, MAX_BUFFERED_RESPONSE, MAX_BUFFERED_RESPONSE
+        self._groups: dict[ListedBackend, ConnectionGroup] = {}
         self._idle_timer = self._loop.call_later(1.0, self._close_idle_connections)
 
     def tune(self, conn_idle: float, dial_timeout: float, max_held_bytes: int, max_response_bytes: int) -> None:
         """Apply changed limits."""
-        self._idle_timeout, self.dial_timeout = IDLE_PART * conn_idle, dial_timeout
+        self._idle_timeout, self.dial_timeout = IDLE_TIMEOUT_FRACTION * conn_idle, dial_timeout
         self.max_held_bytes, self.max_response_bytes = max_held_bytes, max_response_bytes
 
     def now(self) -> float:
@@ -619,7 +619,13 @@
     # ---- attempts ------------------------------------------------------------------------------
 
     def start(
-        self, backend: Listed, request: Request, deadline: float, watcher: Watcher, repeatable: bool, timed: bool
+        self,
+        backend: ListedBackend,
+        request: Request,
+        deadline: float,
+        watcher: AttemptObserver,
+        repeatable: bool,
+        timed: bool,
     ) -> GrpcAttempt:
         """Start an attempt in the next iteration of the event loop: its caller is not ready for an outcome yet."""
         attempt = GrpcAttempt(self, backend, request, self._loop.time(), deadline, watcher, repeatable)
@@ -672,7 +678,7 @@
 
     # ---- connections ---------------------------------------------------------------------------
 
-    def update(self, backend: Listed, address: Address, started: float, in_service: bool) -> None:
+    def update(self, backend: ListedBackend, address: Address, started: float, in_service: bool) -> None:
         """Drain connections to a former address or process of a backend, or to one that is out of service."""
         if backend.address != address or backend.started != started or not in_service:
             group = self._groups.get(backend)
@@ -689,13 +695,13 @@
 
     def unreachable(self, connection: BackendConnection, error_number: int) -> None:
         """Handle a connection that could not be established."""
-        connection.is_backend_at_fault = error_number not in OWN_FAULTS
+        connection.is_backend_at_fault = error_number not in LOCAL_ERRORS
         connection.disconnect()
 
-    def undone(self) -> None:
+    def dial_ended(self) -> None:
         """Handle a cancelled dial: `remove` releases its socket."""
 
-    def record_dial(self, backend: Listed, is_up: bool) -> None:
+    def record_dial(self, backend: ListedBackend, is_up: bool) -> None:
         """Report whether a connection was established."""
         self._on_dial(backend.server, is_up)
 
--- a/lugspur/joining/keys.py
+++ b/lugspur/joining/keys.py
@@ -8,7 +8,7 @@
 from lugspur.routing.model import CoalescingPolicy
 
 if TYPE_CHECKING:
-    from lugspur.seams import Request
+    from lugspur.interfaces import Request
 
 #: Stands for the tenant among header names, which never begin with a colon.
 TENANT = b":tenant"
@@ -77,7 +77,7 @@
         sent.target,
         fields,
         sent.body,
-        sent.form is not None,
+        sent.grpc_form is not None,
     )
 
 
--- a/lugspur/mesh/__main__.py
+++ b/lugspur/mesh/__main__.py
@@ -3,9 +3,9 @@
 import sys
 
 if sys.argv[1:] == ["serve"]:  # Avoids the imports of the command line, which slow down the start on small machines.
-    from lugspur import reloads
+    from lugspur import reload_signal
 
-    reloads.hold()  # before the other imports, which take time
+    reload_signal.record_early_signal()  # before the other imports, which take time
     from lugspur.mesh.program import serve
 
     sys.exit(serve())
--- a/lugspur/mesh/dataplane/concurrency_limiter.py
+++ b/lugspur/mesh/dataplane/concurrency_limiter.py
@@ -13,6 +13,7 @@
 from time import monotonic
 
 from lugspur.http1.upstream import Exchange, Upstream
+from lugspur.interfaces import Response
 from lugspur.invariants import Invariant, check
 from lugspur.load_balancing.model import Outcome
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
@@ -32,7 +33,6 @@
 from lugspur.mesh.dataplane.service_times import ServiceTimes
 from lugspur.mesh.dataplane.urgency import urgency_of
 from lugspur.routing.shares import SharedLimit
-from lugspur.seams import Response
 
 # A closing backend still gets new requests while the update about its closing reaches all proxies. That time is
 # this fraction of the drain time, and at most MAX_CLOSING_ACCEPT_SECONDS.
@@ -88,12 +88,12 @@
             name="",
             conn_idle=BACKEND_IDLE_TIMEOUT_SECONDS,
             dial_timeout=CONNECT_TIMEOUT_SECONDS,
-            held_most=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
-            answer_most=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
-            judge=classify_response,
-            proof=NOT_DELIVERED_HEADER,
-            echo=ATTEMPT_ID_HEADER,
-            keeps=MAX_IDLE_CONNECTIONS,
+            max_buffered_bytes=memory_bytes // ALL_RESPONSES_MEMORY_DIVISOR,
+            max_response_body=memory_bytes // ONE_RESPONSE_MEMORY_DIVISOR,
+            classify=classify_response,
+            not_processed_header=NOT_DELIVERED_HEADER,
+            request_id_header=ATTEMPT_ID_HEADER,
+            max_idle_per_backend=MAX_IDLE_CONNECTIONS,
         )
         self._queue = AdmissionQueue()
         self._running = 0
@@ -259,9 +259,9 @@
             lambda seconds_left: encode_request(forward, seconds_left - GRACE_SECONDS),
             lambda exchange, outcome, response: self._exchange_finished(request, outcome, response),
             repeatable=forward.is_safe,
-            bodyless=forward.method == b"HEAD",
+            is_head_request=forward.method == b"HEAD",
         )
-        exchange.echo = forward.attempt_id
+        exchange.expected_id = forward.attempt_id
         request.exchange = exchange
         self._upstream.start(exchange)
 
--- a/lugspur/mesh/dataplane/proxied_request.py
+++ b/lugspur/mesh/dataplane/proxied_request.py
@@ -4,6 +4,7 @@
 
 import asyncio
 
+from lugspur.interfaces import Request, Responder
 from lugspur.invariants import Invariant, check
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
@@ -18,7 +19,6 @@
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteEntry
 from lugspur.observability.failures import SelectionSummary
-from lugspur.seams import Answerable, Request
 
 MIN_LATENCY_SECONDS = 0.001  # lower bound of a measured latency, since the event loop's clock has a 1 ms resolution
 DEADLINE_MARGIN_SECONDS = 0.02  # time after the deadline in which the backend's own response to it may arrive
@@ -39,7 +39,7 @@
         self,
         proxy: RequestHost,
         request: Request,
-        caller: Answerable,
+        caller: Responder,
         route: RouteEntry,
         *,
         deadline: float,
@@ -70,7 +70,7 @@
             return
         proxy.request_opened(self)
         proxy.budget(self.service).count_request(now)
-        self.caller.gone = self._caller_disconnected
+        self.caller.on_disconnect = self._caller_disconnected
         self._deadline_timer = proxy.loop.call_at(self.deadline + DEADLINE_MARGIN_SECONDS, self._deadline_passed)
         if self.reservation.key:
             self.reservation.reserve(self.deadline - now, self._reservation_ended)
@@ -269,7 +269,7 @@
             self.proxy.request_served(self.proxy.loop.time() - self.request.arrived)
         else:
             self._record_failure(BACKEND_FAILED)
-        self.caller.answer(response.status, response.head, response.body)
+        self.caller.respond(response.status, response.head, response.body)
 
     def _respond_with_failure(self) -> None:
         """Return the backend's own failure to the caller if there was one, else give the request up."""
--- a/lugspur/mesh/dataplane/rejection.py
+++ b/lugspur/mesh/dataplane/rejection.py
@@ -4,14 +4,14 @@
 
 from random import random
 
+from lugspur.interfaces import Responder
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind
-from lugspur.seams import Answerable
 
 MAX_RETRY_AFTER_FRACTION = 1 / 3  # maximum Retry-After, as a fraction of the caller's time left
 MIN_RETRY_AFTER_SECONDS = 0.05
 
 
-def reject(caller: Answerable, kind: ErrorKind, seconds_left: float = 0.0) -> None:
+def reject(caller: Responder, kind: ErrorKind, seconds_left: float = 0.0) -> None:
     """Send an error response to a caller, with `Retry-After` if a retry can help.
 
     `seconds_left`: the time that the caller has left; 0 if unknown.
@@ -26,4 +26,4 @@
             # rejected again has no time left.
             delay = max(MIN_RETRY_AFTER_SECONDS, seconds_left * MAX_RETRY_AFTER_FRACTION * (0.6 + 0.4 * random()))
         head = b"Retry-After: %.3f\r\n" % delay
-    caller.answer(response.status, head, kind.value.encode() + b"\n")
+    caller.respond(response.status, head, kind.value.encode() + b"\n")
--- a/lugspur/mesh/http_api.py
+++ b/lugspur/mesh/http_api.py
@@ -9,10 +9,10 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Sizes
+from lugspur.http1.request_parser import Sizes
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import RESPONSES, ErrorKind, MeshError
-from lugspur.seams import Answerable, Request
 
 JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 # Maximum size of a call's body: one call may carry the whole configuration, 20,000 items of 800 bytes. Three bodies
@@ -23,7 +23,7 @@
 UNKNOWN_CALL_LOG_INTERVAL_SECONDS = 1.0  # between two log lines about calls without a handler
 MAX_LOGGED_PATH_CHARACTERS = 100  # of a call without a handler
 #: Handles a call; its last argument are the path segments that `*` matched. It may raise MeshError.
-Handler = Callable[[Request, Answerable, list[str]], None]
+Handler = Callable[[Request, Responder, list[str]], None]
 _encode = msgspec.json.Encoder().encode
 
 
@@ -34,12 +34,12 @@
     detail: str  # the reason, in one line
 
 
-def reply(caller: Answerable, body: bytes = b"{}", status: int = 200, head: bytes = b"") -> None:
+def reply(caller: Responder, body: bytes = b"{}", status: int = 200, head: bytes = b"") -> None:
     """Respond to a call."""
-    caller.answer(status, head + JSON_CONTENT_TYPE, body)
+    caller.respond(status, head + JSON_CONTENT_TYPE, body)
 
 
-def fail(caller: Answerable, fault: MeshError) -> None:
+def fail(caller: Responder, fault: MeshError) -> None:
     """Respond to a failed call with the code of the error and its detail."""
     row = RESPONSES[fault.kind]
     after = b"Retry-After: %.2f\r\n" % row.retry_after_seconds if row.retry_after_seconds else b""
@@ -61,7 +61,7 @@
         """Add a handler for a method and a path."""
         self._handlers.append((method, path.strip("/").split("/"), handler))
 
-    def handle(self, request: Request, caller: Answerable) -> None:
+    def handle(self, request: Request, caller: Responder) -> None:
         """Handle one call; respond with an error if there is no handler or the handler raises MeshError."""
         method = request.method.decode("ascii", "replace")
         segments = request.target.partition(b"?")[0].decode("ascii", "replace").strip("/").split("/")
--- a/lugspur/mesh/sidecar/process.py
+++ b/lugspur/mesh/sidecar/process.py
@@ -7,7 +7,8 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Sizes
+from lugspur.http1.request_parser import Sizes
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh import events
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import BACKEND, LIMITS, ROUTES
@@ -37,7 +38,6 @@
 from lugspur.mesh.transport.link import KEEPALIVE_IDLE_SECONDS, PROXY_KEEPALIVE_IDLE_SECONDS, Link
 from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
-from lugspur.seams import Answerable, Request
 
 RESERVED_FILES = 264  # file descriptors for other uses, including 200 that the platform reserves
 CALLER_FILES_FRACTION = 0.5  # fraction of the other descriptors for callers; the rest is for the backend and proxies
@@ -130,7 +130,7 @@
         self.front = Front(read_address(listen.outgoing), self._max_callers(), memory_bytes, self.handle)
         # Requests may have waited unread while this process was paused, until their callers gave them up. Their
         # deadlines therefore count from the earliest time at which they can have arrived.
-        self.front.came = lambda now, transport, first: self._pauses.earliest_arrival(now)
+        self.front.arrival_time = lambda now, transport, first: self._pauses.earliest_arrival(now)
         self._is_serving = True
         self._apply_limits()
         self._callers_socket = await self.front.listen()
@@ -144,7 +144,7 @@
     def _apply_limits(self) -> None:
         """Apply the configured request limits to callers."""
         bounds = self.table.request_limits
-        self.front.tune(
+        self.front.update_limits(
             self._max_callers(),
             self.settings.own.limits.memory_mb << 20,
             Sizes(head=bounds.label_bytes + 1024, body=bounds.payload_bytes, ordinary=True),
@@ -153,7 +153,7 @@
             STREAM_GRACE_SECONDS,
         )
 
-    def handle(self, request: Request, caller: Answerable) -> None:
+    def handle(self, request: Request, caller: Responder) -> None:
         """Handle a request of a caller, who gets exactly one response."""
         if not self.update_source.has_configuration:
             self.proxy.request_failed(loggable_attempt_id(request), ErrorKind.NOT_READY.value)
--- a/tests/compatibility/test_request_headers.py
+++ b/tests/compatibility/test_request_headers.py
@@ -24,7 +24,8 @@
 
 from lugspur.discovery.endpoints import read_address
 from lugspur.http1.front import Front
-from lugspur.http1.intake import Sizes
+from lugspur.http1.request_parser import Sizes
+from lugspur.interfaces import Request
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
@@ -46,7 +47,6 @@
 from lugspur.mesh.sidecar.metrics import log_failure, sidecar_metrics
 from lugspur.observability.failures import ConfigurationState, FailureLog
 from lugspur.observability.metrics import render
-from lugspur.seams import Request
 
 #: `Reply.how` as it goes between processes, and as an account of a failed request has it.
 ENDS = {0: "answered", 1: "not_run", 2: "maybe", 3: "spoilt"}
@@ -168,16 +168,16 @@
     peer = ""
 
     def __init__(self) -> None:
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.answers: list[tuple[int, bytes, bytes]] = []
 
     def admit(self) -> None:
         pass
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.answers.append((status, head, body))
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         return None
 
 
@@ -544,8 +544,8 @@
         mesh.sent[0][1](ForwardResponse(0, 0, BackendResponse(500, b"", b"")))
         assert b'"how":"backend-failed"' in mesh.failures() and b'"how":"answered","cause":""' in mesh.failures()
         caller = mesh.ask_at_once()
-        assert caller.gone is not None
-        caller.gone()
+        assert caller.on_disconnect is not None
+        caller.on_disconnect()
         assert b'"how":"gone","route":"r"' in mesh.failures()
         assert mesh.proxy.results == {"backend-failed": 1, "gone": 1}
 
--- a/tests/daemon/admin/test_admin_listener.py
+++ b/tests/daemon/admin/test_admin_listener.py
@@ -124,7 +124,7 @@
                 writer.write(b"POST /drain HTTP/1.1\r\nHost"[: number % 30])
                 hung.append((reader, writer))
                 assert await call(port, "GET", "/ready") == 200
-            assert up.proxy.front.drained_at is None
+            assert up.proxy.front.drain_started_at is None
             assert await soon(hung[0][0].read()) == b""  # The oldest connection was dropped.
             for _, writer in hung:
                 writer.close()
@@ -182,7 +182,7 @@
             for _ in range(3):
                 assert await call(port, "POST", "/drain") == 200
                 assert await call(port, "POST", "/undrain") == 200
-            await asyncio.sleep(fronts.DRAIN_FROM + 2 * fronts.DRAIN_EVERY)
+            await asyncio.sleep(fronts.DRAIN_IDLE_DELAY + 2 * fronts.DRAIN_CHECK_INTERVAL)
             assert b"Connection: close" not in await client.ask(read(2))
 
     asyncio.run(play())
@@ -194,11 +194,11 @@
             client: Client = await up.client()
             assert status(await client.ask(read(1))) == 200
             [connection] = up.proxy.front.callers
-            assert connection.quiet()
+            assert connection.has_no_input()
             client.writer.write(read(2))  # The event loop has not read it yet.
-            assert not connection.quiet()
-            up.proxy.front.drained_at = 0.0
-            up.proxy.front._let_go(0.0)
+            assert not connection.has_no_input()
+            up.proxy.front.drain_started_at = 0.0
+            up.proxy.front._close_idle_callers(0.0)
             assert status(await client.answer()) == 200
 
     asyncio.run(play())
@@ -246,7 +246,7 @@
             await until(lambda: len(listener.connections) == 1)
             writer.transport.abort()
             await until(lambda: not listener.connections and not listener.incomplete)
-            assert up.proxy.front.drained_at is None
+            assert up.proxy.front.drain_started_at is None
             assert await call(listener.port, "GET", "/ready") == 200
             listener.close()
 
@@ -280,7 +280,7 @@
 
 
 def test_a_request_body_that_takes_longer_than_a_drain_is_read_completely(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fronts, "DRAIN_FROM", 0.05)
+    monkeypatch.setattr(fronts, "DRAIN_IDLE_DELAY", 0.05)
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("s-1", one.address)]) as up, admin_port(up) as port:
@@ -293,7 +293,7 @@
             await until(lambda: bool(up.proxy.pool.calls))
             assert await call(port, "POST", "/drain") == 200
             assert await soon(idle.reader.read()) == b""  # All connections that a drain closes are closed by now.
-            await asyncio.sleep(2 * fronts.DRAIN_EVERY)
+            await asyncio.sleep(2 * fronts.DRAIN_CHECK_INTERVAL)
             slow.writer.write(sent[100_000:])
             begun.writer.write(half[-2:])
             for client in (slow, begun):
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -12,10 +12,10 @@
 from grpcpeers import HTTP2, boxed
 from loopback import HOST, soon, until
 from test_large_bodies import BODY, digest
-from test_streams import Serve, box, noise, request_of
+from test_streams import Serve, random_bytes, read_request, serving_backend
 
 from lugspur.http1 import front as fronts
-from lugspur.http1.body import HOLD
+from lugspur.http1.body import MAX_BUFFERED_BODY
 from lugspur.http2 import front as http2_front
 from lugspur.standins.grpc.caller import Answer, Caller
 
@@ -57,21 +57,21 @@
 
 def held_bytes(up: Served) -> int:
     """Return the bytes of bodies that the daemon's listeners hold."""
-    return sum(front.held for front, _ in up.running.listeners.values())
+    return sum(front.buffered_bytes for front, _ in up.running.listeners.values())
 
 
 async def assert_released(up: Served) -> None:
     """Assert that the daemon has no open requests left and holds no bytes."""
     await until(lambda: up.in_hand() == 0)
     assert held_bytes(up) == 0
-    assert all(cluster.pool.upstream.flow_held == 0 for cluster in up.daemon.clusters.values())
+    assert all(cluster.pool.upstream.streamed_bytes == 0 for cluster in up.daemon.clusters.values())
 
 
-@pytest.mark.parametrize("size", [HOLD, HOLD + 1, 5 * HOLD, len(BODY)])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, 5 * MAX_BUFFERED_BODY, len(BODY)])
 @pytest.mark.parametrize("has_length", [True, False])
 def test_a_body_of_any_size_arrives_unchanged(size: int, has_length: bool) -> None:
     async def play() -> None:
-        async with box(respond_with_hash) as address, daemon_for(address) as up:
+        async with serving_backend(respond_with_hash) as address, daemon_for(address) as up:
             caller, body = await connect_caller(up), BODY[:size]
             headers = [("content-length", str(size))] if has_length else []
             for path in ("/book", "/read"):
@@ -89,14 +89,14 @@
 async def respond_with_hash(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Respond with the hash of the body, whichever way the body is framed."""
     while True:
-        _, body = await request_of(reader)
+        _, body = await read_request(reader)
         writer.write(answer(hashlib.sha256(body).hexdigest().encode()))
 
 
 def respond_with(body: bytes, head: str) -> Serve:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await request_of(reader)
+            await read_request(reader)
             if head == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nX-Note: a\r\n\r\n" % len(body) + body)
             elif head == "chunks":
@@ -111,13 +111,13 @@
     return serve
 
 
-@pytest.mark.parametrize("size", [HOLD, HOLD + 1, len(BODY)])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, len(BODY)])
 @pytest.mark.parametrize("head", ["length", "chunks", "end"])
 @pytest.mark.parametrize("path", ["/read", "/book"])
 def test_a_response_of_any_size_and_framing_arrives_unchanged(size: int, head: str, path: str) -> None:
     async def play() -> None:
-        body = noise(size)
-        async with box(respond_with(body, head)) as address, daemon_for(address) as up:
+        body = random_bytes(size)
+        async with serving_backend(respond_with(body, head)) as address, daemon_for(address) as up:
             caller = await connect_caller(up)
             for _ in range(3):
                 response = await soon(caller.answer(begin_request(caller, path, end=True)))
@@ -147,18 +147,18 @@
             writer.write(answer(hashlib.sha256(body).hexdigest().encode()))
             await reader.read()
 
-        async with box(slow) as address, daemon_for(address) as up:
+        async with serving_backend(slow) as address, daemon_for(address) as up:
             caller = await connect_caller(up)
-            body = noise(8 << 20)
+            body = random_bytes(8 << 20)
             slow_stream = begin_request(caller, "/book", ("x-slow", "1"), ("content-length", str(len(body))))
             sending = asyncio.get_running_loop().create_task(caller.write(slow_stream, body, end=True))
-            await until(lambda: caller.sent[slow_stream] >= 2 * HOLD)
+            await until(lambda: caller.sent[slow_stream] >= 2 * MAX_BUFFERED_BODY)
             for _ in range(3):
                 response = await post(caller, "/book", BODY, ("content-length", str(len(BODY))))
                 assert response.head[":status"] == "200"
             # Sockets buffer some of the body, which depends on the system; the daemon has not read the rest.
             assert caller.sent[slow_stream] < len(body)
-            assert held_bytes(up) <= 4 * HOLD
+            assert held_bytes(up) <= 4 * MAX_BUFFERED_BODY
             release.set()
             await soon(sending)
             response = await soon(caller.answer(slow_stream))
@@ -170,17 +170,17 @@
 
 
 def test_unread_responses_hold_little_memory_and_block_no_other_caller(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.3)
+    monkeypatch.setattr(http2_front, "STREAM_TIMEOUT", 0.3)
 
     async def play() -> None:
-        async with box(respond_with(BODY, "length")) as address, daemon_for(address) as up:
+        async with serving_backend(respond_with(BODY, "length")) as address, daemon_for(address) as up:
             reading_nothing, other = await connect_caller(up), await connect_caller(up)
             reading_nothing.credit = False
             streams = [begin_request(reading_nothing, "/read", end=True) for _ in range(20)]
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
                 assert bytes((await soon(other.answer(begin_request(other, "/read", end=True)))).data) == BODY
-                assert upstream.flow_held <= upstream.flow_most + 20 * HOLD
+                assert upstream.streamed_bytes <= upstream.max_streamed_bytes + 20 * MAX_BUFFERED_BODY
             for stream in streams:
                 response = await soon(reading_nothing.answer(stream))
                 # CANCEL: the response made no progress and is incomplete.
@@ -196,12 +196,12 @@
 def test_a_caller_that_reads_slowly_gets_the_whole_response(size: int, monkeypatch: pytest.MonkeyPatch) -> None:
     # Whether held or forwarded, a response that makes progress is not reset, however long it takes in total.
     monkeypatch.setattr(http2_front, "RESPONSE_READ_TIMEOUT", 0.1)
-    monkeypatch.setattr(http2_front, "FLOW_WITHIN", 0.1)
+    monkeypatch.setattr(http2_front, "STREAM_TIMEOUT", 0.1)
     body = BODY[:size]
 
     async def play() -> None:
         head = CONFIG.replace('hold = "64KiB"', 'hold = "1MiB"')
-        async with box(respond_with(body, "length")) as address, daemon_for(address, head=head) as up:
+        async with serving_backend(respond_with(body, "length")) as address, daemon_for(address, head=head) as up:
             caller = await connect_caller(up, window=size // 10)
             caller.credit = False
             stream = begin_request(caller, "/read", end=True)
@@ -223,7 +223,7 @@
 @pytest.mark.parametrize("form", ["length", "chunks"])
 def test_a_truncated_response_ends_with_a_reset(form: str) -> None:
     async def break_off(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request_of(reader)
+        await read_request(reader)
         if form == "length":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + b"a" * 100_000)
         else:
@@ -231,7 +231,7 @@
         await writer.drain()
 
     async def play() -> None:
-        async with box(break_off) as address, daemon_for(address) as up:
+        async with serving_backend(break_off) as address, daemon_for(address) as up:
             caller = await connect_caller(up)
             response = await soon(caller.answer(begin_request(caller, "/book", end=True)))
             assert (response.head[":status"], response.ends, response.reset) == ("200", 0, 2)  # INTERNAL_ERROR
@@ -244,15 +244,15 @@
 def test_a_large_response_before_the_end_of_the_request_is_forwarded_whole_and_once() -> None:
     async def respond_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        await reader.readexactly(HOLD)
+        await reader.readexactly(MAX_BUFFERED_BODY)
         writer.write(answer(BODY))
         await reader.read()
 
     async def play() -> None:
-        async with box(respond_early) as address, daemon_for(address) as up:
+        async with serving_backend(respond_early) as address, daemon_for(address) as up:
             caller = await connect_caller(up)
             stream = begin_request(caller, "/book")
-            await soon(caller.write(stream, noise(3 * HOLD)))
+            await soon(caller.write(stream, random_bytes(3 * MAX_BUFFERED_BODY)))
             response = await soon(caller.answer(stream))
             assert (response.head[":status"], bytes(response.data)) == ("200", BODY)
             await assert_released(up)
@@ -267,7 +267,7 @@
             for way in ("reset", "close"):
                 caller = await connect_caller(up)
                 stream = begin_request(caller, "/book", ("content-length", str(len(BODY))))
-                await soon(caller.write(stream, BODY[: 3 * HOLD]))
+                await soon(caller.write(stream, BODY[: 3 * MAX_BUFFERED_BODY]))
                 await until(lambda: up.in_hand() == 1)
                 if way == "reset":
                     caller.cancel(stream)
@@ -287,10 +287,10 @@
             writer.write(NOT_PROCESSED)
             await reader.read()
 
-        async with box(reject) as first, backend(digest) as second, daemon_for(first, second.address) as up:
+        async with serving_backend(reject) as first, backend(digest) as second, daemon_for(first, second.address) as up:
             caller = await connect_caller(up)
             for _ in range(6):  # some of them reach the first backend
-                body = noise(HOLD + 1000)
+                body = random_bytes(MAX_BUFFERED_BODY + 1000)
                 response = await post(caller, "/book", body, ("content-length", str(len(body))))
                 assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
             assert second.got.qsize() == 6
@@ -301,23 +301,23 @@
 
 
 def test_a_body_that_is_too_large_or_too_slow_is_rejected_midway(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "BODY_LEAST", 0.1)
+    monkeypatch.setattr(http2_front, "BODY_RATE_GRACE", 0.1)
 
     async def play() -> None:
         head = CONFIG.replace("[limits]", '[limits]\nread = "100ms"')
         received_requests = []
 
         async def record(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            received_requests.append(await request_of(reader))
+            received_requests.append(await read_request(reader))
 
-        async with box(record) as address, daemon_for(address, head=head) as up:
+        async with serving_backend(record) as address, daemon_for(address, head=head) as up:
             caller = await connect_caller(up)
             response = await soon(caller.answer(begin_request(caller, "/book", ("content-length", str(9 << 20)))))
             assert response.head[":status"] == "413"  # rejected by its content-length alone
             response = await post(caller, "/book", bytes(9 << 20))
             assert response.head[":status"] == "413"
             stream = begin_request(caller, "/book")
-            await soon(caller.write(stream, BODY[: HOLD + 1]))
+            await soon(caller.write(stream, BODY[: MAX_BUFFERED_BODY + 1]))
             response = await soon(caller.answer(stream))  # the body stops, and at least 24 kB a second are required
             assert response.head[":status"] == "408"
             await assert_released(up)
@@ -328,18 +328,20 @@
 
 
 def test_a_slow_body_is_accepted_and_the_deadline_counts_from_its_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http2_front, "BODY_RATE", 1 << 20)  # the body arrives faster than that
-    assert fronts.BODY_RATE < 64_000  # slow callers may send as little as 64 kB a second
+    monkeypatch.setattr(http2_front, "MIN_BODY_RATE", 1 << 20)  # the body arrives faster than that
+    assert fronts.MIN_BODY_RATE < 64_000  # slow callers may send as little as 64 kB a second
 
     async def play() -> None:
         head = CONFIG.replace("[limits]", '[limits]\nread = "100ms"').replace(
             '[classes.book]\naim = "30s"\ndeadline = "30s"', '[classes.book]\naim = "200ms"\ndeadline = "200ms"'
         )
         async with backend(digest) as one, daemon_for(one.address, head=head) as up:
-            caller, body = await connect_caller(up), noise(5 * HOLD)
+            caller, body = await connect_caller(up), random_bytes(5 * MAX_BUFFERED_BODY)
             stream = begin_request(caller, "/book", ("content-length", str(len(body))))
-            for at in range(0, len(body), HOLD):
-                await soon(caller.write(stream, body[at : at + HOLD], end=at + HOLD >= len(body)))
+            for at in range(0, len(body), MAX_BUFFERED_BODY):
+                await soon(
+                    caller.write(stream, body[at : at + MAX_BUFFERED_BODY], end=at + MAX_BUFFERED_BODY >= len(body))
+                )
                 await asyncio.sleep(0.08)
             response = await soon(caller.answer(stream))
             assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
--- a/tests/daemon/test_overload_protection.py
+++ b/tests/daemon/test_overload_protection.py
@@ -56,13 +56,13 @@
 def test_protection_is_off_by_default_and_a_reload_turns_it_on_and_off() -> None:
     async def body(up: Served, one: Backend) -> None:
         [(front, _)] = up.running.listeners.values()
-        assert up.daemon.overload_protection is None and front.came is None and front.work is None
+        assert up.daemon.overload_protection is None and front.arrival_time is None and front.descriptors is None
         text = pool("a", one.address) + ROUTES
         await up.reload(text, GUARDED)
         protection = up.daemon.overload_protection
-        assert protection is not None and front.came is not None and front.work is not None
+        assert protection is not None and front.arrival_time is not None and front.descriptors is not None
         client = await up.client()
-        assert status(await client.ask(ask())) == 200 and len(front.work) == 1
+        assert status(await client.ask(ask())) == 200 and len(front.descriptors) == 1
         await up.reload(text, GUARDED.replace("worth = 0.1", "worth = 0.2"))
         assert (
             up.daemon.overload_protection is protection
@@ -102,8 +102,8 @@
         client.writer.transport.abort()  # gone while it is not heard: no harm
         front = up.running.listeners["main"][0]
         await until(lambda: not front.callers)
-        assert not front.work
-        await until(lambda: front.held == 0)
+        assert not front.descriptors
+        await until(lambda: front.buffered_bytes == 0)
 
     play(body)
 
@@ -120,11 +120,11 @@
         begun = asyncio.get_running_loop().time()
         client.writer.write(ask("POST", "/book", b"x" * 200_000, X_Timeout="20"))
         front = up.running.listeners["main"][0]
-        await until(lambda: front.held > 0)
-        assert front.held <= 64 << 10  # one read, however much comes
+        await until(lambda: front.buffered_bytes > 0)
+        assert front.buffered_bytes <= 64 << 10  # one read, however much comes
         assert status(await client.answer()) == 200
         spent = asyncio.get_running_loop().time() - begun
-        assert spent >= 1.0 and front.held == 0  # all of its class is turned away: the longer rest
+        assert spent >= 1.0 and front.buffered_bytes == 0  # all of its class is turned away: the longer rest
         sent = fields(await soon(one.got.get()))
         assert 20.0 - spent - 0.1 <= float(sent["x-timeout"]) <= 19.0
 
@@ -143,7 +143,7 @@
         await soon(one.got.get())
         client.writer.write(ask(target="/two"))
         front = up.running.listeners["main"][0]
-        await until(lambda: front.held > 0)
+        await until(lambda: front.buffered_bytes > 0)
         for writer in one.open:
             writer.write(answer(b"one"))
         assert (await client.answer()).endswith(b"one")
@@ -154,7 +154,7 @@
             for writer in one.open:
                 writer.write(answer(seen[-1].encode()))
             assert (await client.answer()).endswith(seen[-1].encode())
-        assert seen == ["/two", "/three"] and front.held == 0
+        assert seen == ["/two", "/three"] and front.buffered_bytes == 0
 
     play(body, script=None)
 
--- a/tests/joining/test_reads.py
+++ b/tests/joining/test_reads.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lugspur.interfaces import Request
 from lugspur.joining.keys import MAX_KEY_BODY_BYTES, PER_ATTEMPT_HEADERS, TENANT, coalescing_key, selecting_values
 from lugspur.joining.sharing import NOT_SHARED, SHARED_BY_ALL, VaryNames, response_vary_names, with_request_id
 from lugspur.routing.model import CoalescingPolicy
-from lugspur.seams import Request
 
 POLICY = CoalescingPolicy(0.1, frozenset({b"user-agent", b"x-agency"}), True)
 
@@ -54,7 +54,7 @@
 
 def test_grpc_and_http_requests_never_share_a_key() -> None:
     form = request()
-    form.form = object()  # type: ignore[assignment]
+    form.grpc_form = object()  # type: ignore[assignment]
     assert key(form) != key(request())
 
 
--- a/tests/mesh/test_coordination_input.py
+++ b/tests/mesh/test_coordination_input.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from lugspur.interfaces import Request
 from lugspur.mesh.control.errors import ErrorKind
 from lugspur.mesh.control.messages.coordination_records import (
     CellWritten,
@@ -23,14 +24,13 @@
 from lugspur.mesh.coordination.state import CoordinationState
 from lugspur.mesh.coordination.watches import WatchTable
 from lugspur.mesh.http_api import HttpApi
-from lugspur.seams import Request
 
 
 class Caller:
     """Who waits for the answer to a call."""
 
     peer = ""
-    gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     def __init__(self) -> None:
         self.answers: list[tuple[int, bytes, bytes]] = []
@@ -38,10 +38,10 @@
     def admit(self) -> None:
         pass
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.answers.append((status, head, body))
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         return None
 
 
@@ -196,9 +196,9 @@
     address = Address()
     caller = address.call("POST", "/locks/l/open", json.dumps(HELD).encode())
     watcher = address.call("GET", "/watch/g.?after=3&wait_ms=60000")
-    assert caller.gone is not None and watcher.gone is not None
-    caller.gone()
-    watcher.gone()
+    assert caller.on_disconnect is not None and watcher.on_disconnect is not None
+    caller.on_disconnect()
+    watcher.on_disconnect()
     address.commands[0][1](LockGranted(1))
     assert not caller.answers and not watcher.answers and len(address.watches) == 0
 
--- a/tests/mesh/test_http_api.py
+++ b/tests/mesh/test_http_api.py
@@ -7,31 +7,31 @@
 
 import pytest
 
+from lugspur.interfaces import Request, Responder
 from lugspur.mesh.control.errors import ErrorKind, MeshError
 from lugspur.mesh.http_api import HttpApi, reply
-from lugspur.seams import Answerable, Request
 
 
 class Caller:
     """A caller that records the response."""
 
     peer = ""
-    gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
     answered: tuple[int, bytes, bytes] | None = None
 
     def admit(self) -> None:
         pass
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.answered = (status, head, body)
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         return None
 
 
 @pytest.mark.parametrize("detail", ['a "name"', "a\\b", "line\nline", "\x00\x1f\x7f", "é \u2028 \U0001f3dd", "\ud800"])
 def test_a_detail_of_any_characters_is_valid_json(detail: str) -> None:
-    def reject(request: Request, caller: Answerable, found: list[str]) -> None:
+    def reject(request: Request, caller: Responder, found: list[str]) -> None:
         raise MeshError(ErrorKind.BAD_CONFIG, detail)
 
     api, caller = HttpApi(), Caller()
--- a/tests/rpc/test_grpc_rules.py
+++ b/tests/rpc/test_grpc_rules.py
@@ -23,8 +23,8 @@
 )
 from lugspur.grpc.stream_end import OUTCOMES, StreamEnd
 from lugspur.grpc.timeout import MAX_COUNT, MAX_TIMEOUT_SECONDS, UNITS, read_timeout, write_timeout
+from lugspur.interfaces import Request
 from lugspur.load_balancing.model import NEVER_RAN
-from lugspur.seams import Request
 
 # ---- timeouts ------------------------------------------------------------------------------------
 
--- a/tests/simulatedproxy.py
+++ b/tests/simulatedproxy.py
@@ -9,6 +9,7 @@
 
 from meshcalls import call, route
 
+from lugspur.interfaces import Request
 from lugspur.mesh.control.items import read_changes
 from lugspur.mesh.control.messages import BackendResponse, ForwardRequest, ForwardResponse
 from lugspur.mesh.control.reservation_client import (
@@ -18,7 +19,6 @@
 from lugspur.mesh.dataplane.proxy import Proxy
 from lugspur.mesh.dataplane.request_outcome import RequestOutcome
 from lugspur.mesh.dataplane.route_table import RouteTable
-from lugspur.seams import Request
 
 OK = BackendResponse(200, b"Lugspur-Postmark: p\r\n", b"hi")
 SERVER_ERROR = BackendResponse(500, b"Lugspur-Postmark: p\r\n", b"no")
@@ -30,16 +30,16 @@
     peer = ""
 
     def __init__(self) -> None:
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.answers: list[tuple[int, bytes, bytes]] = []
 
     def admit(self) -> None:
         pass
 
-    def answer(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
+    def respond(self, status: int, head: bytes, body: bytes, length: int | None = None) -> None:
         self.answers.append((status, head, body))
 
-    def passing(self) -> None:
+    def streaming_receiver(self) -> None:
         return None
 
 
