--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Large bodies both ways, on loopback: at the pace of the slower side, in little memory, and never doubled."""
+"""Large bodies in both directions on loopback: at the pace of the slower side, in little memory, without duplicates."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from loopback import HOST, OK, Client, Running, backend, book, entry, read, running, soon, status, until
 
 from lugspur.http1 import body as bodies
-from lugspur.http1.body import HOLD, WINDOW, Body
-from lugspur.http1.intake import PLATFORM, Intake, Rejected
-from lugspur.http1.upstream import FLOW_LEAST, READ
-from lugspur.seams import Request
+from lugspur.http1.body import MAX_BUFFERED_BODY, WINDOW, Body
+from lugspur.http1.request_parser import PLATFORM, RejectionError, RequestParser
+from lugspur.http1.upstream import MIN_STREAM_BUFFER, READ_SIZE
+from lugspur.interfaces import Request
 
 LARGE = 3 << 20
-KEEP = bodies.KEEP * HOLD
+MAX_REPLAYED = bodies.REPLAY_FACTOR * MAX_BUFFERED_BODY
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def noise(size: int) -> bytes:
+def random_bytes(size: int) -> bytes:
     return random.Random(size).randbytes(size)
 
 
 @asynccontextmanager
-async def box(serve: Serve) -> AsyncIterator[str]:
-    """A backend that does as it likes with each connection: its address."""
+async def serving_backend(serve: Serve) -> AsyncIterator[str]:
+    """Run a backend that handles each connection with `serve`; yields its address."""
     tasks = set()
 
     async def one(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -51,8 +51,8 @@
                 task.cancel()
 
 
-async def request_of(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """A request's head, and its body however it is framed."""
+async def read_request(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
+    """Read a request; returns its head and its body in either framing."""
     head = (await reader.readuntil(b"\r\n\r\n")).lower()
     if b"chunked" in head:
         body = b""
@@ -68,10 +68,10 @@
     return head, await reader.readexactly(length)
 
 
-async def digest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answers each request with its body's hash."""
+async def respond_with_digest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Respond to each request with the hash of its body."""
     while True:
-        _, body = await request_of(reader)
+        _, body = await read_request(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + hashlib.sha256(body).hexdigest().encode())
 
 
@@ -82,103 +82,106 @@
     return head + framed + b"0\r\nX-Trailer: a\r\n\r\n"
 
 
-@pytest.mark.parametrize("size", [HOLD - 1, HOLD, HOLD + 1, WINDOW + HOLD, LARGE])
+@pytest.mark.parametrize(
+    "size", [MAX_BUFFERED_BODY - 1, MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, WINDOW + MAX_BUFFERED_BODY, LARGE]
+)
 @pytest.mark.parametrize("form", ["length", "chunks", "small chunks"])
-def test_a_body_of_any_size_and_form_arrives_as_it_was(size: int, form: str) -> None:
+def test_request_body_arrives_unchanged(size: int, form: str) -> None:
     async def play() -> None:
-        body = noise(size)
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        body = random_bytes(size)
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body) if form == "length" else chunked(body, 100_000 if form == "chunks" else 700)
             answer = await client.ask(sent)
             assert answer.endswith(hashlib.sha256(body).hexdigest().encode())
-            assert status(await client.ask(book(2))) == 200  # the connection goes on
-            assert up.proxy.front.held == 0
+            assert status(await client.ask(book(2))) == 200  # the connection stays usable
+            assert up.proxy.front.buffered_bytes == 0
             assert not up.proxy.pool.calls
 
     asyncio.run(play())
 
 
-def test_a_slow_body_is_waited_for_and_its_time_counts_from_its_last_byte() -> None:
+def test_timeout_of_slow_body_starts_at_last_byte() -> None:
     async def play() -> None:
-        body = noise(HOLD + 40_000)
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        body = random_bytes(MAX_BUFFERED_BODY + 40_000)
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
             sent = book(body=body, timeout="0.3")
             for at in range(0, len(sent), 4096):
                 client.writer.write(sent[at : at + 4096])
-                await asyncio.sleep(0.02)  # longer than the request may take, all in all
+                await asyncio.sleep(0.02)  # in total longer than the timeout of the request
             assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
     asyncio.run(play())
 
 
-def test_a_body_that_stops_is_cut_off_and_its_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lugspur.http1.front.BODY_LEAST", 0.0)
-    monkeypatch.setattr("lugspur.http1.front.BODY_RATE", 1 << 30)
+def test_stalled_body_is_rejected_and_request_never_runs(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("lugspur.http1.front.BODY_RATE_GRACE", 0.0)
+    monkeypatch.setattr("lugspur.http1.front.MIN_BODY_RATE", 1 << 30)
 
     async def play() -> None:
-        async with box(digest) as address, running([entry("a", address)]) as up:
-            up.proxy.front.whole_within = 0.2
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
+            up.proxy.front.request_head_timeout = 0.2
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: HOLD + 20_000])
+            client.writer.write(book(body=random_bytes(LARGE))[: MAX_BUFFERED_BODY + 20_000])
             assert status(await client.answer()) == 408
             assert not up.proxy.pool.calls
-            assert up.proxy.pool.upstream.sockets() == 0  # what an unfinished upload leaves is not used again
+            assert up.proxy.pool.upstream.sockets() == 0  # a connection with an incomplete request is not reused
 
     asyncio.run(play())
 
 
-def test_a_caller_that_leaves_in_the_middle_of_its_body_leaves_nothing() -> None:
+def test_disconnect_during_body_releases_everything() -> None:
     async def play() -> None:
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: 2 * HOLD])
+            client.writer.write(book(body=random_bytes(LARGE))[: 2 * MAX_BUFFERED_BODY])
             await until(lambda: bool(up.proxy.pool.calls))
             client.writer.close()
             await until(lambda: not up.proxy.pool.calls and up.proxy.pool.upstream.sockets() == 0)
-            assert up.proxy.front.held == 0
+            assert up.proxy.front.buffered_bytes == 0
 
     asyncio.run(play())
 
 
-def test_an_attempt_that_broke_before_too_much_had_gone_is_followed_by_another() -> None:
+def test_attempt_is_retried_while_body_is_buffered() -> None:
     async def play() -> None:
-        body, seen = noise(HOLD + 5000), []
+        body, seen = random_bytes(MAX_BUFFERED_BODY + 5000), []
 
         async def break_first(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
             if len(seen) > 1:
                 got = await reader.readexactly(len(body))
-                told = hashlib.sha256(got).hexdigest().encode()
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + told)
+                digest = hashlib.sha256(got).hexdigest().encode()
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + digest)
                 await writer.drain()
 
-        async with box(break_first) as one, box(break_first) as two:
+        async with serving_backend(break_first) as one, serving_backend(break_first) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 sent = book(body=body)
                 client.writer.write(sent[:-4000])
-                await until(lambda: len(seen) == 2)  # the first never ran: an unsafe request goes elsewhere
+                # The first attempt never ran, so an unsafe request is retried elsewhere.
+                await until(lambda: len(seen) == 2)
                 client.writer.write(sent[-4000:])
                 assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
     asyncio.run(play())
 
 
-def test_an_attempt_that_broke_later_is_not_and_the_caller_may_come_again() -> None:
+def test_attempt_is_not_retried_after_body_was_dropped() -> None:
     async def play() -> None:
         seen = []
 
         async def break_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             seen.append(await reader.readuntil(b"\r\n\r\n"))
-            await reader.readexactly(KEEP + HOLD)
+            await reader.readexactly(MAX_REPLAYED + MAX_BUFFERED_BODY)
 
-        async with box(break_late) as one, box(break_late) as two:
+        async with serving_backend(break_late) as one, serving_backend(break_late) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
-                client.writer.write(book(body=noise(LARGE))[: KEEP + 2 * HOLD])
-                assert status(await client.answer()) == 503  # it never ran, for sure
+                client.writer.write(book(body=random_bytes(LARGE))[: MAX_REPLAYED + 2 * MAX_BUFFERED_BODY])
+                assert status(await client.answer()) == 503  # the request certainly never ran
                 assert len(seen) == 1
 
     asyncio.run(play())
@@ -188,24 +191,24 @@
     ("answer", "expected"),
     [
         (b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", 503),
-        (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 503),  # before the last byte: it never ran
+        (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", 503),  # before the last byte, so the request never ran
         (OK, 200),
     ],
 )
-def test_an_answer_before_the_bodys_end_is_passed_on_and_the_rest_is_dropped(answer: bytes, expected: int) -> None:
+def test_early_response_is_forwarded_and_rest_of_body_dropped(answer: bytes, expected: int) -> None:
     async def play() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(2 * HOLD)
+            await reader.readexactly(2 * MAX_BUFFERED_BODY)
             writer.write(answer)
             await reader.read()
 
-        async with box(early) as address, running([entry("a", address)]) as up:
+        async with serving_backend(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            sent = book(body=noise(LARGE))
-            client.writer.write(sent[: 4 * HOLD])
+            sent = book(body=random_bytes(LARGE))
+            client.writer.write(sent[: 4 * MAX_BUFFERED_BODY])
             assert status(await client.answer()) == expected
-            client.writer.write(sent[4 * HOLD :])  # it did not know yet
+            client.writer.write(sent[4 * MAX_BUFFERED_BODY :])  # the client has not seen the response yet
             client.writer.write_eof()
             assert await soon(client.reader.read()) == b""
             assert not up.proxy.pool.calls
@@ -213,13 +216,13 @@
     asyncio.run(play())
 
 
-def large(size: int, head: str = "length") -> Serve:
-    """Answers each request with so many bytes."""
-    body = noise(size)
+def large_response(size: int, head: str = "length") -> Serve:
+    """Return a handler that responds to each request with `size` bytes."""
+    body = random_bytes(size)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await request_of(reader)
+            await read_request(reader)
             if head == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d \r\n\r\n" % size + body)
             elif head == "chunks":
@@ -238,8 +241,8 @@
     return serve
 
 
-async def answer_of(client: Client) -> tuple[bytes, bytes]:
-    """An answer's head, and its body however it is framed."""
+async def read_response(client: Client) -> tuple[bytes, bytes]:
+    """Read a response; returns its head and its body in any framing."""
     head = (await soon(client.reader.readuntil(b"\r\n\r\n"))).lower()
     if b"chunked" in head:
         body = b""
@@ -255,13 +258,13 @@
 
 
 @pytest.mark.parametrize("head", ["length", "chunks"])
-def test_a_large_answer_before_the_bodys_end_is_passed_on_whole_and_alone(head: str) -> None:
+def test_large_early_response_is_forwarded_whole(head: str) -> None:
     async def play() -> None:
-        answer = noise(8 * HOLD)
+        answer = random_bytes(8 * MAX_BUFFERED_BODY)
 
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reader.readexactly(2 * HOLD)
+            await reader.readexactly(2 * MAX_BUFFERED_BODY)
             if head == "length":
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
             else:
@@ -269,55 +272,55 @@
                 writer.write(b"%x\r\n%b\r\n0\r\n\r\n" % (len(answer), answer))
             await reader.read()
 
-        async with box(early) as address, running([entry("a", address)]) as up:
+        async with serving_backend(early) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            client.writer.write(book(body=noise(LARGE))[: 4 * HOLD])
-            told, body = await answer_of(client)
-            assert told.startswith(b"http/1.1 200 ")
+            client.writer.write(book(body=random_bytes(LARGE))[: 4 * MAX_BUFFERED_BODY])
+            response_head, body = await read_response(client)
+            assert response_head.startswith(b"http/1.1 200 ")
             assert body == answer
-            assert b"connection: close" in told
+            assert b"connection: close" in response_head
             client.writer.write_eof()
             assert await soon(client.reader.read()) == b""
             await until(lambda: not up.proxy.pool.calls)
-            assert up.proxy.front.held == 0
+            assert up.proxy.front.buffered_bytes == 0
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("size", [HOLD, HOLD + 1, LARGE])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BODY, MAX_BUFFERED_BODY + 1, LARGE])
 @pytest.mark.parametrize("head", ["length", "chunks", "end"])
 @pytest.mark.parametrize("request_", [read(), book()], ids=["safe", "unsafe"])
-def test_an_answer_of_any_size_and_form_arrives_as_it_was(size: int, head: str, request_: bytes) -> None:
+def test_response_body_arrives_unchanged(size: int, head: str, request_: bytes) -> None:
     async def play() -> None:
-        async with box(large(size, head)) as address, running([entry("a", address)]) as up:
+        async with serving_backend(large_response(size, head)) as address, running([entry("a", address)]) as up:
             client = await up.client()
             for _ in range(2):
                 client.writer.write(request_)
-                _, body = await answer_of(client)
-                assert body == noise(size)
+                _, body = await read_response(client)
+                assert body == random_bytes(size)
             await until(lambda: not up.proxy.pool.calls)
-            assert up.proxy.pool.upstream.flow_held == 0
+            assert up.proxy.pool.upstream.streamed_bytes == 0
             old = await up.client()
             old.writer.write(request_.replace(b"HTTP/1.1", b"HTTP/1.0"))
-            told, body = await answer_of(old)
-            assert body == noise(size)
-            assert b"chunked" not in told
+            response_head, body = await read_response(old)
+            assert body == random_bytes(size)
+            assert b"chunked" not in response_head
 
     asyncio.run(play())
 
 
-def test_a_large_answer_is_begun_before_its_end_and_no_deadline_ends_it() -> None:
+def test_large_response_is_streamed_beyond_deadline() -> None:
     async def play() -> None:
         go = asyncio.Event()
 
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request_of(reader)
+            await read_request(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"a" * 100_000)
             await go.wait()
             writer.write(b"b" * 100_000)
             await writer.drain()
 
-        async with box(slow) as address, running([entry("a", address)]) as up:
+        async with serving_backend(slow) as address, running([entry("a", address)]) as up:
             client = await up.client()
             client.writer.write(read(timeout="0.2"))
             assert b"200 OK" in await soon(client.reader.readuntil(b"\r\n\r\n"))
@@ -329,20 +332,20 @@
     asyncio.run(play())
 
 
-def test_an_answer_that_breaks_off_can_be_told_from_a_whole_one() -> None:
+def test_truncated_response_is_distinguishable() -> None:
     async def play() -> None:
         async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            head, _ = await request_of(reader)
+            head, _ = await read_request(reader)
             form = b"Content-Length: 300000" if b"id1" in head else b"Transfer-Encoding: chunked"
             writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n" % form)
             writer.write(b"a" * 100_000 if b"id1" in head else b"186a0\r\n" + b"a" * 100_000 + b"\r\n")
             await writer.drain()
 
-        async with box(cut) as address, running([entry("a", address)]) as up:
+        async with serving_backend(cut) as address, running([entry("a", address)]) as up:
             for number in (1, 2):
                 client = await up.client()
                 client.writer.write(book(number))
-                got = await soon(client.reader.read())  # to its end: the connection is closed
+                got = await soon(client.reader.read())  # until the connection is closed
                 assert got.count(b"a" * 1000) >= 100
                 assert not got.endswith(b"0\r\n\r\n")
             assert not up.proxy.pool.calls
@@ -350,12 +353,12 @@
     asyncio.run(play())
 
 
-def test_a_short_answer_with_a_long_length_is_spoilt_and_tried_again() -> None:
+def test_short_response_with_long_length_is_retried() -> None:
     async def play() -> None:
         seen = []
 
-        async def spoilt(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await request_of(reader)
+        async def send_truncated(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await read_request(reader)
             seen.append(1)
             if len(seen) > 1:
                 writer.write(OK)
@@ -364,7 +367,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\ndone")
             await reader.read()
 
-        async with box(spoilt) as one, box(spoilt) as two:
+        async with serving_backend(send_truncated) as one, serving_backend(send_truncated) as two:
             async with running([entry("a", one), entry("b", two)]) as up:
                 client = await up.client()
                 assert (await client.ask(read())).endswith(b"done")
@@ -373,11 +376,11 @@
     asyncio.run(play())
 
 
-def test_callers_that_read_nothing_hold_little_and_hold_up_nobody() -> None:
+def test_callers_that_read_nothing_use_little_memory_and_delay_nobody() -> None:
     async def play() -> None:
         async def both(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
-                head, _ = await request_of(reader)
+                head, _ = await read_request(reader)
                 if b"get /api/large" in head:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 << 20))
                     for _ in range(512):
@@ -386,7 +389,7 @@
                 else:
                     writer.write(OK)
 
-        async with box(both) as address, running([entry("a", address)], memory=32 << 20) as up:
+        async with serving_backend(both) as address, running([entry("a", address)], memory=32 << 20) as up:
             upstream = up.proxy.pool.upstream
             socks = []
             for number in range(100):
@@ -396,19 +399,19 @@
                 await asyncio.get_running_loop().sock_connect(sock, (HOST, up.port))
                 sock.send(read(number, target="/api/large"))
                 socks.append(sock)
-            await until(lambda: upstream.flow_held > upstream.flow_most // 2)
+            await until(lambda: upstream.streamed_bytes > upstream.max_streamed_bytes // 2)
             client = await up.client()
             for number in range(200, 260):
                 assert status(await client.ask(read(number))) == 200
-                assert upstream.flow_held <= upstream.flow_most + 100 * (FLOW_LEAST + READ)
+                assert upstream.streamed_bytes <= upstream.max_streamed_bytes + 100 * (MIN_STREAM_BUFFER + READ_SIZE)
             for sock in socks:
                 sock.close()
-            await until(lambda: upstream.flow_held == 0 and not up.proxy.pool.calls)
+            await until(lambda: upstream.streamed_bytes == 0 and not up.proxy.pool.calls)
 
     asyncio.run(play())
 
 
-def test_slow_backends_hold_up_their_callers_bodies() -> None:
+def test_slow_backend_pauses_request_body() -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -416,38 +419,42 @@
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             await go.wait()
             reader._transport.resume_reading()  # type: ignore[attr-defined]
-            await digest(reader, writer)
+            await respond_with_digest(reader, writer)
 
-        async with box(stuck) as address, running([entry("a", address)]) as up:
+        async with serving_backend(stuck) as address, running([entry("a", address)]) as up:
             client: Client = await up.client()
-            body = noise(16 << 20)
+            body = random_bytes(16 << 20)
             client.writer.write(book(body=body))
             front = up.proxy.front
             await until(lambda: any(getattr(caller, "_paused_at", 0.0) for caller in front.callers))
-            assert front.held <= KEEP + 2 * WINDOW
+            assert front.buffered_bytes <= MAX_REPLAYED + 2 * WINDOW
             go.set()
             assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
 
     asyncio.run(play())
 
 
-def test_five_hundred_rounds_leave_nothing() -> None:
+def test_five_hundred_large_exchanges_leave_no_buffered_bytes() -> None:
     async def play() -> None:
-        async with box(large(HOLD + 500)) as address, running([entry("a", address)]) as up:
+        async with (
+            serving_backend(large_response(MAX_BUFFERED_BODY + 500)) as address,
+            running([entry("a", address)]) as up,
+        ):
             client = await up.client()
             for number in range(500):
-                client.writer.write(book(number, body=noise(HOLD + 300)))
-                _, body = await answer_of(client)
-                assert len(body) == HOLD + 500
+                client.writer.write(book(number, body=random_bytes(MAX_BUFFERED_BODY + 300)))
+                _, body = await read_response(client)
+                assert len(body) == MAX_BUFFERED_BODY + 500
             front, upstream = up.proxy.front, up.proxy.pool.upstream
-            assert (front.held, upstream.held, upstream.flow_held, len(up.proxy.pool.calls)) == (0, 0, 0, 0)
-            assert not front.flowing and not front.reading
+            counted = (front.buffered_bytes, upstream.buffered_bytes, upstream.streamed_bytes, len(up.proxy.pool.calls))
+            assert counted == (0, 0, 0, 0)
+            assert not front.streaming and not front.reading
             assert upstream.sockets() <= 2
 
     asyncio.run(play())
 
 
-def test_a_caller_that_waits_for_a_word_gets_it() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def play() -> None:
         async with backend(lambda _: OK) as one, running([entry("a", one.address)]) as up:
             client = await up.client()
@@ -462,9 +469,9 @@
 
 def test_pipelined_requests_wait_behind_a_large_body() -> None:
     async def play(up: Running | None = None) -> None:
-        async with box(digest) as address, running([entry("a", address)]) as up:
+        async with serving_backend(respond_with_digest) as address, running([entry("a", address)]) as up:
             client = await up.client()
-            bodies = [noise(HOLD + 9000), b"a", noise(2 * HOLD)]
+            bodies = [random_bytes(MAX_BUFFERED_BODY + 9000), b"a", random_bytes(2 * MAX_BUFFERED_BODY)]
             client.writer.write(b"".join(book(n, body=body) for n, body in enumerate(bodies)))
             for body in bodies:
                 assert (await client.answer()).endswith(hashlib.sha256(body).hexdigest().encode())
@@ -472,85 +479,85 @@
     asyncio.run(play())
 
 
-def taken(pieces: list[bytes]) -> tuple[list[tuple[bytes, bytes]], str]:
-    """What an intake makes of these bytes: each request's target with its whole body, and the fault."""
+def parse(pieces: list[bytes]) -> tuple[list[tuple[bytes, bytes]], str]:
+    """Parse these bytes; returns the target and body of each complete request, and the reason of a rejection."""
     got: list[Request] = []
     whole: list[tuple[bytes, bytes]] = []
-    intake = Intake(got.append, PLATFORM)
+    parser = RequestParser(got.append, PLATFORM)
     kept: list[tuple[Request, bytearray]] = []
     for piece in pieces:
-        intake.feed(memoryview(piece), 1.0)
+        parser.feed(memoryview(piece), 1.0)
         for request in got:
             kept.append((request, bytearray(request.body)))
         got.clear()
         for request, body in kept:
             if request.stream is not None:
                 body += request.stream.read(len(body))
-                while len(body) < request.stream.came:
+                while len(body) < request.stream.received:
                     body += request.stream.read(len(body))
-                request.stream.passed(len(body))
+                request.stream.mark_forwarded(len(body))
     for request, body in kept:
         if request.stream is None or request.stream.ended:
             whole.append((request.target, bytes(body)))
-    return whole, "" if intake.fault is None else intake.fault.reason
+    return whole, "" if parser.rejection is None else parser.rejection.reason
 
 
-SENT = [
-    book(body=noise(HOLD + 300)) + read(2),
-    chunked(noise(HOLD + 999), 7000) + book(3),
+INPUTS = [
+    book(body=random_bytes(MAX_BUFFERED_BODY + 300)) + read(2),
+    chunked(random_bytes(MAX_BUFFERED_BODY + 999), 7000) + book(3),
     chunked(b"abc" * 50, 1),
-    chunked(noise(HOLD + 999), 9000).replace(b";note=1\r\n", b"\r\n", 1)[:-5] + b"zz\r\n",
-    book(body=noise(HOLD))[:-1],
+    chunked(random_bytes(MAX_BUFFERED_BODY + 999), 9000).replace(b";note=1\r\n", b"\r\n", 1)[:-5] + b"zz\r\n",
+    book(body=random_bytes(MAX_BUFFERED_BODY))[:-1],
 ]
 
 
-def test_what_begins_behind_a_large_request_is_not_charged_with_its_bytes() -> None:
-    sent = SENT[0]
-    assert taken([sent[:1], sent[1:-20], sent[-20:]]) == taken([sent])
+def test_pipelined_request_is_not_charged_for_previous_bytes() -> None:
+    sent = INPUTS[0]
+    assert parse([sent[:1], sent[1:-20], sent[-20:]]) == parse([sent])
 
 
-@given(st.sampled_from(SENT), st.data())
+@given(st.sampled_from(INPUTS), st.data())
 @settings(max_examples=60, deadline=None)
-def test_any_split_of_the_same_bytes_has_the_same_result(sent: bytes, data: st.DataObject) -> None:
+def test_parsing_does_not_depend_on_split(sent: bytes, data: st.DataObject) -> None:
     cuts = sorted(data.draw(st.lists(st.integers(1, len(sent) - 1), max_size=30)))
     pieces = [sent[a:b] for a, b in zip([0, *cuts], [*cuts, len(sent)], strict=True) if a < b]
-    assert taken(pieces) == taken([sent])
+    assert parse(pieces) == parse([sent])
 
 
-def test_a_body_beyond_the_limit_is_turned_away_in_its_middle() -> None:
-    sizes = type(PLATFORM)(body=2 * HOLD, hold=HOLD)
+def test_body_over_limit_is_rejected_while_received() -> None:
+    sizes = type(PLATFORM)(body=2 * MAX_BUFFERED_BODY, max_buffered_body=MAX_BUFFERED_BODY)
     got: list[Request] = []
-    intake = Intake(got.append, sizes)
-    for at in range(0, 4 * HOLD, 5000):
-        piece = chunked(noise(4 * HOLD), 5000)[at : at + 5000]
-        intake.feed(memoryview(piece), 1.0)
+    parser = RequestParser(got.append, sizes)
+    for at in range(0, 4 * MAX_BUFFERED_BODY, 5000):
+        piece = chunked(random_bytes(4 * MAX_BUFFERED_BODY), 5000)[at : at + 5000]
+        parser.feed(memoryview(piece), 1.0)
         for request in got:
             assert request.stream is not None
-            request.stream.passed(request.stream.came)
-            assert request.stream.held <= KEEP + 5000
-    assert isinstance(intake.fault, Rejected)
-    assert intake.fault.status == 413
+            request.stream.mark_forwarded(request.stream.received)
+            assert request.stream.buffered <= MAX_REPLAYED + 5000
+    assert isinstance(parser.rejection, RejectionError)
+    assert parser.rejection.status == 413
 
 
 @given(st.lists(st.tuples(st.integers(0, 90_000), st.integers(0, 90_000)), max_size=12))
-@settings(deadline=None)  # a loaded machine is no fault
-def test_a_body_keeps_what_is_still_needed_and_no_more(steps: list[tuple[int, int]]) -> None:
+@settings(deadline=None)  # a loaded machine is not an error
+def test_body_buffers_no_more_than_needed(steps: list[tuple[int, int]]) -> None:
     sent, at, room = bytearray(), 0, []
     body = Body(None, lambda: room.append(1))
-    body.begin(lambda: None)
+    body.start_attempt(lambda: None)
     for come, go in steps:
         if not body.full:
-            piece = noise(come)
+            piece = random_bytes(come)
             sent += piece
             body.put(piece)
         piece = body.read(at)[:go]
         assert piece == bytes(sent[at : at + len(piece)])
         at += len(piece)
-        body.passed(at)
-        assert body.came == len(sent)
-        assert body.held <= KEEP + WINDOW + 90_000
-        assert body.bound == (at > KEEP)
-        if not body.bound:
+        body.mark_forwarded(at)
+        assert body.received == len(sent)
+        assert body.buffered <= MAX_REPLAYED + WINDOW + 90_000
+        assert body.is_partly_dropped == (at > MAX_REPLAYED)
+        if not body.is_partly_dropped:
             assert body.read(0)[:at] == bytes(sent[: min(at, 64 << 10)])
     body.drop()
-    assert body.held == 0
+    assert body.buffered == 0
