--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -1,4 +1,4 @@
-"""The whole stand-in: an ensemble and its servers, and the words that a script moves it by."""
+"""The whole stand-in: an ensemble with its servers, and the commands with which a script controls them."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from types import TracebackType
 
 from lugspur.config.units import InvalidValueError, duration, suggestion
-from lugspur.standins.zookeeper.ensemble import Ensemble, Refused, Who
+from lugspur.standins.zookeeper.ensemble import Ensemble, Requester, RequestError
 from lugspur.standins.zookeeper.server import Server
 from lugspur.zookeeper.records import ANY_VERSION, Delete, Op
 
-SPAN = duration(0.0, 3600.0)
+parse_span = duration(0.0, 3600.0)  # range in seconds of the times in a script
 
 
 class Cluster:
-    """Servers that share a tree and sessions; an async context manager that ends them all."""
+    """Servers that share a tree and sessions. Leaving the async context shuts all of them down."""
 
     def __init__(self, shortest: float = 0.2, longest: float = 60.0, seed: int = 0) -> None:
         self.ensemble = Ensemble(shortest, longest, seed)
         self.servers: list[Server] = []
-        self.operator = Who()
+        self.operator = Requester()
 
     async def listen(self, *addresses: tuple[str, int]) -> None:
-        """A server on each address."""
+        """Start a server on each address."""
         for host, port in addresses:
             server = Server(self.ensemble, len(self.servers))
             server.replica.zxid = self.ensemble.zxid
@@ -34,12 +34,12 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where the servers listen."""
+        """The addresses on which the servers listen."""
         return [server.address for server in self.servers]
 
     @property
     def hosts(self) -> str:
-        """The same as a connection string."""
+        """The addresses as a ZooKeeper connection string."""
         return ",".join(f"{host}:{port}" for host, port in self.addresses)
 
     async def __aenter__(self) -> Cluster:
@@ -52,38 +52,38 @@
         for server in self.servers:
             server.refuse()
 
-    # ---- what operators and boxes do -----------------------------------------------------------
+    # ---- actions of operators and backends -----------------------------------------------------
 
     def write(self, path: str, data: bytes = b"") -> None:
-        """Make a lasting node, or give it new data; paths above it are made too."""
+        """Create a persistent node or replace its data; missing ancestors are created too."""
         self.ensemble.write(self.operator, path, data)
 
     def box(self, path: str, data: bytes, timeout: float = 3600.0) -> int:
-        """Make an ephemeral node under a session of its own, which nobody keeps alive; gives the session."""
+        """Create an ephemeral node owned by a new session that no client keeps alive; return the session's id."""
         self.ensemble.longest = max(self.ensemble.longest, timeout)
         session = self.ensemble.begin(timeout)
-        self.ensemble.write(Who(session.id, set(self.operator.ids)), path, data)
+        self.ensemble.write(Requester(session.id, set(self.operator.ids)), path, data)
         return session.id
 
     def delete(self, path: str) -> None:
-        """Delete a node; raises Refused."""
+        """Delete a node; raises RequestError."""
         _, ((op, result),) = self.ensemble.commit(self.operator, ((Op.DELETE, Delete(path, ANY_VERSION)),))
         if op == Op.ERROR:
-            raise Refused(result.error)
+            raise RequestError(result.error)
 
     def expire(self, which: str) -> None:
-        """End the session that owns the node `which`, or every one for "all"; raises KeyError for no such node."""
+        """End the session that owns the node `which`, or all sessions for "all"; raises KeyError if no such node."""
         found = tuple(self.ensemble.sessions) if which == "all" else (self.ensemble.tree.nodes[which].owner,)
         for session in found:
             self.ensemble.end(session)
 
 
 class Script:
-    """Lines such as `stall 0`, `late 1 200ms` or `expire /services/a`; `help` names them all."""
+    """Runs commands such as `stall 0`, `late 1 200ms` or `expire /services/a`; `help` lists all of them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._words: dict[str, Callable[..., object]] = {
+        self._commands: dict[str, Callable[..., object]] = {
             "wait": self._wait,
             "expire": cluster.expire,
             "restore": cluster.ensemble.restore,
@@ -94,7 +94,7 @@
             "accept": self._accept,
         }
         for word in ("stall", "refuse", "flap", "lag", "garbage", "huge", "mend"):
-            self._words[word] = partial(self._act, word)
+            self._commands[word] = partial(self._call_server, word)
         for word, name in (
             ("cut", "cut"),
             ("forget", "forgets"),
@@ -102,44 +102,44 @@
             ("read-only", "read_only"),
             ("overtake", "overtaking"),
         ):
-            self._words[word] = partial(self._fault, name)
-        self._words["late"] = lambda at, span: setattr(self._server(at).faults, "late", SPAN(span))
+            self._commands[word] = partial(self._set_fault, name)
+        self._commands["late"] = lambda at, span: setattr(self._server(at).faults, "late", parse_span(span))
 
     def _server(self, at: str) -> Server:
         if not at.isdecimal() or int(at) >= len(self._cluster.servers):
             raise InvalidValueError(f"there is no server {at}; they are 0 to {len(self._cluster.servers) - 1}")
         return self._cluster.servers[int(at)]
 
-    def _act(self, word: str, at: str) -> None:
+    def _call_server(self, word: str, at: str) -> None:
         getattr(self._server(at), word)()
 
-    def _fault(self, name: str, at: str) -> None:
+    def _set_fault(self, name: str, at: str) -> None:
         setattr(self._server(at).faults, name, True)
 
     async def _wait(self, span: str) -> None:
-        await asyncio.sleep(SPAN(span))
+        await asyncio.sleep(parse_span(span))
 
     async def _accept(self, at: str) -> None:
         await self._server(at).listen()
 
-    async def obey(self, line: str) -> str:
-        """Do what a line says; gives what to answer."""
+    async def run_line(self, line: str) -> str:
+        """Run the command of one line and return the reply."""
         words = shlex.split(line, comments=True)
         if not words:
             return "ok"
         if words[0] == "help":
-            return "ok: " + ", ".join(sorted(self._words))
-        act = self._words.get(words[0])
-        if act is None:
-            return f"error: {words[0]!r} is no command{suggestion(words[0], self._words)}"
+            return "ok: " + ", ".join(sorted(self._commands))
+        command = self._commands.get(words[0])
+        if command is None:
+            return f"error: {words[0]!r} is no command{suggestion(words[0], self._commands)}"
         try:
-            done = act(*words[1:])
-            if asyncio.iscoroutine(done):
-                await done
+            result = command(*words[1:])
+            if asyncio.iscoroutine(result):
+                await result
         except TypeError:
             return f"error: {words[0]} takes other words; it was given {len(words) - 1}"
         except KeyError as fault:
             return f"error: there is no node {fault}"
-        except (InvalidValueError, Refused) as fault:
+        except (InvalidValueError, RequestError) as fault:
             return f"error: {fault}"
         return "ok"
--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -1,4 +1,4 @@
-"""What the servers share: the log of changes, the sessions, and the rules by which a change is allowed."""
+"""The state that all servers share: the log of changes, the sessions, and the validation of changes."""
 
 from __future__ import annotations
 
@@ -36,54 +36,54 @@
     TransactionPart,
 )
 
-EPOCH = 1 << 32  # the upper half of a zxid counts leaders
+EPOCH = 1 << 32  # the upper 32 bits of a zxid count the leaders
 
 
-class Refused(Exception):
-    """A request that is not done."""
+class RequestError(Exception):
+    """A request is rejected with an error code of the protocol."""
 
     def __init__(self, error: int) -> None:
         self.error = ErrorCode(error)
         super().__init__(self.error.name)
 
 
-class Held(Protocol):
-    """A connection that holds a session."""
+class SessionConnection(Protocol):
+    """A connection to which a session is attached."""
 
     def abort(self) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 @dataclass(slots=True)
 class Session:
-    """A client's session, whichever server it is connected to."""
+    """A client's session, independent of the server that the client is connected to."""
 
     id: int
     password: bytes
     timeout: float  # seconds
-    heard: float  # the loop's time
-    server: Held | None = None  # the connection that holds it
+    last_heard: float  # event loop time of the client's last request
+    server: SessionConnection | None = None  # the connection to which the session is attached
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One entry of the log; `ended` names a session that ends with it."""
+    """One entry of the log. `ended` is the id of the session that ends with it, or 0."""
 
     zxid: int
-    time: int  # milliseconds since 1970
+    time: int  # milliseconds since the Unix epoch
     effects: tuple[Effect, ...]
     ended: int = 0
 
 
 @dataclass(slots=True)
-class Who:
-    """Somebody who asks: its session, and what it has proved."""
+class Requester:
+    """The author of a request: its session, and the identities that it has authenticated."""
 
     session: int = 0
     ids: set[tuple[str, str]] = field(default_factory=lambda: {("world", "anyone")})
 
-    def prove(self, scheme: str, auth: bytes) -> bool:
-        """`digest` alone is known: user:password."""
+    def authenticate(self, scheme: str, auth: bytes) -> bool:
+        """Add an identity; return whether it was accepted. Only the scheme `digest` (user:password) is supported."""
         if scheme != "digest" or b":" not in auth:
             return False
         self.ids.add((scheme, digest(auth)))
@@ -91,27 +91,28 @@
 
 
 def digest(auth: bytes) -> str:
-    """The id that stands in access lists for user:password."""
+    """Return the id that represents user:password in access lists."""
     hashed = base64.b64encode(hashlib.sha1(auth).digest()).decode()
     return f"{auth.partition(b':')[0].decode('utf-8', 'replace')}:{hashed}"
 
 
-def allowed(acl: tuple[Acl, ...], who: Who, perms: int) -> None:
-    """Raise Refused unless one line gives the right."""
-    if not any(row.perms & perms and (row.scheme, row.id) in who.ids for row in acl):
-        raise Refused(ErrorCode.NO_AUTH)
+def require_permission(acl: tuple[Acl, ...], requester: Requester, perms: int) -> None:
+    """Raise RequestError unless an entry of the access list grants one of the permissions."""
+    if not any(row.perms & perms and (row.scheme, row.id) in requester.ids for row in acl):
+        raise RequestError(ErrorCode.NO_AUTH)
 
 
 class Ensemble:
-    """The leader's part. `applied` is called after each change, in the order of the log."""
+    """The leader's part. Each of `listeners` is called after each change, in the order of the log."""
 
     def __init__(self, shortest: float = 0.2, longest: float = 60.0, seed: int = 0) -> None:
         self.tree = Tree(OPEN_ACL)
         self.zxid = EPOCH
         self.sessions: dict[int, Session] = {}
-        self.shortest, self.longest = shortest, longest  # seconds that a session's time-out is kept within
+        # Bounds in seconds to which the timeout that a client asks for is clamped.
+        self.shortest, self.longest = shortest, longest
         self.listeners: list[Callable[[Change], None]] = []
-        self.removed_at: dict[str, float] = {}  # when a node was last deleted, in the loop's time
+        self.removed_at: dict[str, float] = {}  # event loop time of each path's last deletion
         self._random = random.Random(seed)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
@@ -119,7 +120,7 @@
     # ---- sessions ----------------------------------------------------------------------------
 
     def begin(self, timeout: float) -> Session:
-        """A new session."""
+        """Open a session and return it."""
         session = Session(
             self._random.getrandbits(62) | 1,
             self._random.randbytes(16),
@@ -127,43 +128,43 @@
             self._loop.time(),
         )
         self.sessions[session.id] = session
-        if self._timer is None or session.heard + session.timeout < self._timer.when():
-            self._watch_over()
+        if self._timer is None or session.last_heard + session.timeout < self._timer.when():
+            self._schedule_expiry()
         return session
 
     def touch(self, session: Session) -> None:
-        """It was heard."""
-        session.heard = self._loop.time()
+        """Record that the session's client sent a request, which postpones the session's expiry."""
+        session.last_heard = self._loop.time()
 
     def end(self, session: int) -> None:
-        """Close or expire one: its nodes go with it."""
+        """Close or expire a session and delete its ephemeral nodes."""
         if self.sessions.pop(session, None) is not None:
             owned = sorted(self.tree.owned.get(session, ()))
             self._log(tuple(Gone(path) for path in owned), session)
 
-    def _watch_over(self) -> None:
+    def _schedule_expiry(self) -> None:
         self.close()
         if self.sessions:
-            due = min(session.heard + session.timeout for session in self.sessions.values())
+            due = min(session.last_heard + session.timeout for session in self.sessions.values())
             self._timer = self._loop.call_at(max(due, self._loop.time() + 0.001), self._expire)
 
     def _expire(self) -> None:
         now = self._loop.time()
         for session in tuple(self.sessions.values()):
-            if session.heard + session.timeout <= now:
+            if session.last_heard + session.timeout <= now:
                 self.end(session.id)
                 if session.server is not None:
                     session.server.abort()
-        self._watch_over()
+        self._schedule_expiry()
 
     def close(self) -> None:
-        """Watch over nothing any more."""
+        """Stop the timer that expires sessions."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def restore(self) -> None:
-        """Begin again with an empty tree and no session under a new leader: a backup that held nothing."""
+        """Restart with an empty tree and no sessions under a new leader, as after restoring an empty backup."""
         for session in tuple(self.sessions):
             self.end(session)
         self.zxid = (self.zxid // EPOCH + 1) * EPOCH
@@ -173,13 +174,13 @@
     # ---- changes -----------------------------------------------------------------------------
 
     def _log(self, effects: tuple[Effect, ...], ended: int = 0) -> int:
-        """Apply a valid change here, then let every server know."""
+        """Apply a valid change to the leader's tree, then publish it to every server; return its zxid."""
         change = Change(self.zxid + 1, int(time.time() * 1000), effects, ended)
         for effect in effects:
             self.tree.apply(effect, change.zxid, change.time)
-        return self._tell(change)
+        return self._publish(change)
 
-    def _tell(self, change: Change) -> int:
+    def _publish(self, change: Change) -> int:
         self.zxid = change.zxid
         now = self._loop.time()
         for effect in change.effects:
@@ -189,89 +190,94 @@
             listener(change)
         return change.zxid
 
-    def commit(self, who: Who, parts: tuple[TransactionPart, ...]) -> tuple[int, tuple[TransactionPart, ...]]:
-        """All parts or none; gives the zxid and each part's result. A failed part's operation is ERROR."""
+    def commit(
+        self, requester: Requester, parts: tuple[TransactionPart, ...]
+    ) -> tuple[int, tuple[TransactionPart, ...]]:
+        """Commit all parts or none; return the zxid and each part's result. A failed part's operation is ERROR."""
         zxid, now = self.zxid + 1, int(time.time() * 1000)
         effects: list[Effect] = []
         undo: list[Callable[[], None]] = []
         results: list[TransactionPart] = []
         for at, (op, row) in enumerate(parts):
             try:
-                if who.session and who.session not in self.sessions:
-                    raise Refused(ErrorCode.SESSION_EXPIRED)
-                effect = self._judge(who, op, row)
-            except Refused as fault:
-                for back in reversed(undo):
-                    back()
+                if requester.session and requester.session not in self.sessions:
+                    raise RequestError(ErrorCode.SESSION_EXPIRED)
+                effect = self._validate(requester, op, row)
+            except RequestError as fault:
+                for revert in reversed(undo):
+                    revert()
                 codes = [ErrorCode.OK] * at + [fault.error] + [ErrorCode.INCONSISTENT] * (len(parts) - at - 1)
-                return self._tell(Change(zxid, now, ())), tuple((Op.ERROR, ErrorResult(code)) for code in codes)
+                return self._publish(Change(zxid, now, ())), tuple((Op.ERROR, ErrorResult(code)) for code in codes)
             if effect is not None:
                 undo.append(self.tree.apply(effect, zxid, now)[1])
                 effects.append(effect)
             results.append((op, self._result(op, row, effect)))
-        return self._tell(Change(zxid, now, tuple(effects))), tuple(results)
+        return self._publish(Change(zxid, now, tuple(effects))), tuple(results)
 
-    def write(self, who: Who, path: str, data: bytes) -> None:
-        """For scripts and tests: make a node or replace its data; paths above it are made to last. Raises Refused."""
-        above = parent_of(path)
-        if above not in self.tree.nodes:
-            self.write(Who(), above, b"")
+    def write(self, requester: Requester, path: str, data: bytes) -> None:
+        """Create a node or replace its data, for scripts and tests; missing ancestors become persistent nodes.
+
+        Raises RequestError.
+        """
+        parent = parent_of(path)
+        if parent not in self.tree.nodes:
+            self.write(Requester(), parent, b"")
         kind = Op.SET_DATA if path in self.tree.nodes else Op.CREATE
-        flags = CreateMode.EPHEMERAL if who.session else CreateMode.PERSISTENT
+        flags = CreateMode.EPHEMERAL if requester.session else CreateMode.PERSISTENT
         row = SetData(path, data, ANY_VERSION) if kind is Op.SET_DATA else Create(path, data, OPEN_ACL, flags)
-        _, ((op, result),) = self.commit(who, ((kind, row),))
+        _, ((op, result),) = self.commit(requester, ((kind, row),))
         if op == Op.ERROR:
-            raise Refused(result.error)
+            raise RequestError(result.error)
 
-    def _judge(self, who: Who, op: int, row: object) -> Effect | None:
+    def _validate(self, requester: Requester, op: int, row: object) -> Effect | None:
         if isinstance(row, Create):
-            return self._judge_create(who, row)
+            return self._validate_create(requester, row)
         assert isinstance(row, Delete | SetData | SetAcl | Check)
         node = self.tree.nodes.get(row.path)
         if node is None:
-            raise Refused(ErrorCode.NO_NODE)
+            raise RequestError(ErrorCode.NO_NODE)
         if isinstance(row, Delete):
-            allowed(self.tree.nodes[parent_of(row.path)].acl, who, PERM_DELETE)
+            require_permission(self.tree.nodes[parent_of(row.path)].acl, requester, PERM_DELETE)
         elif not isinstance(row, Check):
-            allowed(node.acl, who, PERM_WRITE if isinstance(row, SetData) else PERM_ADMIN)
+            require_permission(node.acl, requester, PERM_WRITE if isinstance(row, SetData) else PERM_ADMIN)
         else:
-            allowed(node.acl, who, PERM_READ)
+            require_permission(node.acl, requester, PERM_READ)
         if row.version not in (ANY_VERSION, node.aversion if isinstance(row, SetAcl) else node.version):
-            raise Refused(ErrorCode.BAD_VERSION)
+            raise RequestError(ErrorCode.BAD_VERSION)
         if isinstance(row, Delete):
             if node.children:
-                raise Refused(ErrorCode.NOT_EMPTY)
+                raise RequestError(ErrorCode.NOT_EMPTY)
             return Gone(row.path) if row.path != "/" else None
         if isinstance(row, SetData):
             return Written(row.path, row.data)
-        return Guarded(row.path, self._acl(who, row.acl)) if isinstance(row, SetAcl) else None
+        return Guarded(row.path, self._acl(requester, row.acl)) if isinstance(row, SetAcl) else None
 
-    def _judge_create(self, who: Who, row: Create) -> Made:
+    def _validate_create(self, requester: Requester, row: Create) -> Made:
         path = row.path
-        above = self.tree.nodes.get(parent_of(path))
+        parent = self.tree.nodes.get(parent_of(path))
         if not path.startswith("/") or "//" in path or "\0" in path or (path.endswith("/") and not row.flags & 2):
-            raise Refused(ErrorCode.BAD_ARGUMENTS)
+            raise RequestError(ErrorCode.BAD_ARGUMENTS)
         if row.flags not in set(CreateMode):
-            raise Refused(ErrorCode.UNIMPLEMENTED)
-        if above is None:
-            raise Refused(ErrorCode.NO_NODE)
-        allowed(above.acl, who, PERM_CREATE)
-        if above.owner:
-            raise Refused(ErrorCode.NO_CHILDREN_FOR_EPHEMERALS)
+            raise RequestError(ErrorCode.UNIMPLEMENTED)
+        if parent is None:
+            raise RequestError(ErrorCode.NO_NODE)
+        require_permission(parent.acl, requester, PERM_CREATE)
+        if parent.owner:
+            raise RequestError(ErrorCode.NO_CHILDREN_FOR_EPHEMERALS)
         if row.flags & 2:
-            path += f"{above.made:010d}"
+            path += f"{parent.created_children:010d}"
         if path in self.tree.nodes:
-            raise Refused(ErrorCode.NODE_EXISTS)
-        return Made(path, row.data, self._acl(who, row.acl), who.session if row.flags & 1 else 0)
+            raise RequestError(ErrorCode.NODE_EXISTS)
+        return Made(path, row.data, self._acl(requester, row.acl), requester.session if row.flags & 1 else 0)
 
-    def _acl(self, who: Who, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
-        """The list with `auth` lines spelt out as who is asking."""
+    def _acl(self, requester: Requester, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
+        """Return the list with each `auth` entry expanded to the identities of the author of the request."""
         found: list[Acl] = []
         for row in acl:
-            proved = sorted(who.ids - {("world", "anyone")})
-            found.extend([Acl(row.perms, *one) for one in proved] if row.scheme == "auth" else [row])
+            authenticated = sorted(requester.ids - {("world", "anyone")})
+            found.extend([Acl(row.perms, *one) for one in authenticated] if row.scheme == "auth" else [row])
         if not found:
-            raise Refused(ErrorCode.INVALID_ACL)
+            raise RequestError(ErrorCode.INVALID_ACL)
         return tuple(found)
 
     def _result(self, op: int, row: object, effect: Effect | None) -> object:
@@ -284,29 +290,29 @@
 
 
 class Replica:
-    """One server's copy of the tree; it lags where it is told to, and catches up later."""
+    """One server's copy of the tree. While `lagging` is set, changes are queued and applied later."""
 
-    def __init__(self, ensemble: Ensemble, told: Callable[[Change, list[Event]], None]) -> None:
+    def __init__(self, ensemble: Ensemble, on_applied: Callable[[Change, list[Event]], None]) -> None:
         self.tree = Tree(OPEN_ACL)
         self.zxid = ensemble.zxid
         self.lagging = False
-        self._behind: list[Change] = []
-        self._told = told
-        ensemble.listeners.append(self.hear)
+        self._pending: list[Change] = []
+        self._on_applied = on_applied
+        ensemble.listeners.append(self.receive)
 
-    def hear(self, change: Change) -> None:
-        """A change of the log."""
-        self._behind.append(change)
+    def receive(self, change: Change) -> None:
+        """Receive a change of the log."""
+        self._pending.append(change)
         if not self.lagging:
             self.catch_up()
 
     def catch_up(self) -> None:
-        """Apply what has not been applied yet."""
+        """Apply all queued changes and stop lagging."""
         self.lagging = False
-        while self._behind and not self.lagging:
-            change = self._behind.pop(0)
+        while self._pending and not self.lagging:
+            change = self._pending.pop(0)
             events: list[Event] = []
             for effect in change.effects:
                 events += self.tree.apply(effect, change.zxid, change.time)[0]
             self.zxid = change.zxid
-            self._told(change, events)
+            self._on_applied(change, events)
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -1,4 +1,4 @@
-"""One server of the ensemble: connections, reads, watches, and the faults that it is told to have."""
+"""One server of the ensemble: connections, reads, watches, and the faults that are injected into it."""
 
 from __future__ import annotations
 
@@ -9,40 +9,48 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lugspur.standins.zookeeper.ensemble import Change, Ensemble, Refused, Replica, Session, Who, allowed
-from lugspur.standins.zookeeper.tree import Event as Told
+from lugspur.standins.zookeeper.ensemble import (
+    Change,
+    Ensemble,
+    Replica,
+    Requester,
+    RequestError,
+    Session,
+    require_permission,
+)
+from lugspur.standins.zookeeper.tree import Event as WatchEvent
 from lugspur.standins.zookeeper.tree import Node, parent_of
 from lugspur.zookeeper import records as r
 from lugspur.zookeeper.frames import FrameDecoder
 from lugspur.zookeeper.jute import InputArchive, JuteDecodeError, decode, encode, length_prefixed
 from lugspur.zookeeper.records import ErrorCode, EventType, Op
 
-FRAME_MOST = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer, and room for a header
-SYNC_CONNECTED = 3
+MAX_FRAME_BYTES = 0xFFFFF + 1024  # bytes; the default of jute.maxbuffer plus room for a header
+SYNC_CONNECTED = 3  # the session state in each watch event
 EVENT_PREFIX = r.EVENT_XID.to_bytes(4, "big", signed=True)
-NEWER = (Op.ADD_WATCH, Op.SET_WATCHES2)  # requests that servers before 3.6 don't know
-WRITES = (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.SET_ACL, Op.CHECK)
+OPS_SINCE_3_6 = (Op.ADD_WATCH, Op.SET_WATCHES2)  # requests that servers before ZooKeeper 3.6 don't support
+WRITE_OPS = (Op.CREATE, Op.CREATE2, Op.DELETE, Op.SET_DATA, Op.SET_ACL, Op.CHECK)
 
 
 @dataclass(slots=True)
 class Faults:
-    """What a server does wrong just now."""
+    """The faults that are injected into one server."""
 
-    stalled: bool = False  # connections stay open; nothing is read, nothing is written
-    late: float = 0.0  # seconds by which replies come late; infinite: until the server is mended
-    overtaking: bool = False  # events go out at once, past replies that are late
-    old: bool = False  # it knows no persistent watches
+    stalled: bool = False  # connections stay open, but nothing is read or written
+    late: float = 0.0  # seconds by which replies are delayed; if infinite, until `mend` is called
+    overtaking: bool = False  # events are sent at once, ahead of delayed replies
+    old: bool = False  # the server supports no persistent watches
     read_only: bool = False
-    forgets: bool = False  # watches that a client sets again after a reconnect are lost
-    cut: bool = False  # the next frame ends half-way, and the connection with it
+    forgets: bool = False  # watches that a client sets again after a reconnect are ignored
+    cut: bool = False  # only half of the next write is sent, then the connection is closed
 
 
 class Server:
-    """A server on an address of its own."""
+    """One server, which listens on an address of its own."""
 
     def __init__(self, ensemble: Ensemble, seed: int = 0) -> None:
         self.ensemble = ensemble
-        self.replica = Replica(ensemble, self._applied)
+        self.replica = Replica(ensemble, self._on_applied)
         self.faults = Faults()
         self.connections: set[Connection] = set()
         self.asked: Counter[int] = Counter()  # requests by operation
@@ -52,7 +60,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Begin, or begin again at the same address."""
+        """Start to listen; a second call listens again at the same address."""
         loop = asyncio.get_running_loop()
         port = port or self.address[1]
         self._server = await loop.create_server(lambda: Connection(self), host, port, reuse_address=True)
@@ -61,30 +69,30 @@
     # ---- faults ------------------------------------------------------------------------------
 
     def stall(self) -> None:
-        """Go silent with all connections open; new ones come up and stay silent too."""
+        """Stop reading and writing; connections stay open, and new ones are accepted but get no reply."""
         self.faults.stalled = True
 
     def refuse(self) -> None:
-        """Drop all connections and take none."""
+        """Drop all connections and accept no new ones."""
         if self._server is not None:
             self._server.close()
         self.flap()
 
     def flap(self) -> None:
-        """Drop all connections; new ones are welcome."""
+        """Drop all connections; new ones are accepted."""
         for connection in tuple(self.connections):
             connection.abort()
 
     def lag(self) -> None:
-        """Hear of no further changes."""
+        """Apply no further changes to this server's replica."""
         self.replica.lagging = True
 
     def garbage(self) -> None:
-        """Send bytes that are no frame's."""
+        """Send random bytes instead of a frame."""
         self._raw(self.random.randbytes(64))
 
     def huge(self) -> None:
-        """Announce a frame of 1 GB."""
+        """Send the header of a frame of 1 GiB."""
         self._raw((1 << 30).to_bytes(4, "big") + b"x" * 64)
 
     def _raw(self, data: bytes) -> None:
@@ -92,9 +100,9 @@
             connection.write(data)
 
     def mend(self) -> None:
-        """End every fault but a closed listener."""
+        """End all faults except a closed listener."""
         self.faults = Faults()
-        # Guards the order of events, which the protocol promises: what was not said comes before what is learned now.
+        # The protocol guarantees the order of events: unsent data goes out before the events of changes applied now.
         for connection in tuple(self.connections):
             connection.release()
         self.replica.catch_up()
@@ -103,27 +111,27 @@
 
     # ---- changes -----------------------------------------------------------------------------
 
-    def _applied(self, change: Change, events: list[Told]) -> None:
+    def _on_applied(self, change: Change, events: list[WatchEvent]) -> None:
         for connection in tuple(self.connections):
             for event in events:
-                connection.watches.tell(event, connection.event)
-            if change.ended and connection.who.session == change.ended:
+                connection.watches.notify(event, connection.send_event)
+            if change.ended and connection.requester.session == change.ended:
                 connection.end()
             connection.pump()
 
 
 @dataclass(slots=True)
 class Watches:
-    """What one connection wants to hear of, by path."""
+    """The paths that one connection watches, by kind of watch."""
 
-    data: set[str] = field(default_factory=set)  # also of nodes that don't exist yet
+    data: set[str] = field(default_factory=set)  # includes watches on nodes that don't exist yet
     children: set[str] = field(default_factory=set)
     persistent: set[str] = field(default_factory=set)
     recursive: set[str] = field(default_factory=set)
 
-    def tell(self, told: Told, event: Callable[[EventType, str], None]) -> None:
-        """Each event at most once; one-shot watches are spent."""
-        kind, path = told
+    def notify(self, watch_event: WatchEvent, send: Callable[[EventType, str], None]) -> None:
+        """Call `send` for the event if it is watched, at most once; a one-shot watch is removed."""
+        kind, path = watch_event
         wanted = path in self.persistent
         if kind is EventType.CHILDREN:
             if path in self.children:
@@ -134,11 +142,11 @@
                 if path in one_shot:
                     one_shot.discard(path)
                     wanted = True
-            wanted = wanted or self._below(path)
+            wanted = wanted or self._under_recursive(path)
         if wanted:
-            event(kind, path)
+            send(kind, path)
 
-    def _below(self, path: str) -> bool:
+    def _under_recursive(self, path: str) -> bool:
         while path not in self.recursive:
             if path == "/":
                 return False
@@ -147,18 +155,18 @@
 
 
 class Connection(asyncio.Protocol):
-    """One client's connection; its requests are served in order, and a write holds up those after it."""
+    """One client's connection. Its requests are served in order; a write blocks the requests after it."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
         self.watches = Watches()
-        self.who = Who()
+        self.requester = Requester()
         self._session: Session | None = None
-        self._cut = FrameDecoder(FRAME_MOST)
+        self._decoder = FrameDecoder(MAX_FRAME_BYTES)
         self._frames: deque[bytes] = deque()
-        self._held: tuple[int, bytes] | None = None  # the zxid that a write's reply waits for
-        self._late: deque[tuple[float, bytes]] = deque()
-        self._unsaid: list[bytes] = []
+        self._waiting_reply: tuple[int, bytes] | None = None  # a write's zxid and its reply, which waits for it
+        self._delayed: deque[tuple[float, bytes]] = deque()
+        self._unsent: list[bytes] = []
         self._loop = asyncio.get_running_loop()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -170,12 +178,12 @@
         self._server.connections.discard(self)
 
     def abort(self) -> None:
-        """Drop it at once."""
+        """Drop the connection at once."""
         self._server.connections.discard(self)
         self._transport.abort()
 
     def end(self) -> None:
-        """Its session is over: what was written still goes out."""
+        """Close the connection after its session ended; data already written is still sent."""
         self._server.connections.discard(self)
         self._transport.close()
 
@@ -183,20 +191,20 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            self._frames.extend(self._cut.feed(data))
+            self._frames.extend(self._decoder.feed(data))
         except JuteDecodeError:
             self.abort()
             return
         self.pump()
 
     def pump(self) -> None:
-        """Serve what can be served now."""
+        """Serve the received requests until one has to wait."""
         while not self._server.faults.stalled:
-            if self._held is not None:
-                zxid, reply = self._held
+            if self._waiting_reply is not None:
+                zxid, reply = self._waiting_reply
                 if zxid > self._server.replica.zxid:
                     return
-                self._held = None
+                self._waiting_reply = None
                 self._reply(reply)
             if not self._frames:
                 return
@@ -209,27 +217,27 @@
 
     def _reply(self, frame: bytes) -> None:
         late = self._server.faults.late
-        if not late and not self._late:
+        if not late and not self._delayed:
             self.write(length_prefixed(frame))
             return
-        self._late.append((self._loop.time() + late, length_prefixed(frame)))
+        self._delayed.append((self._loop.time() + late, length_prefixed(frame)))
         if late != float("inf"):
-            self._loop.call_at(self._late[-1][0], self._flush)
+            self._loop.call_at(self._delayed[-1][0], self._flush)
 
     def _flush(self) -> None:
-        while self._late and self._late[0][0] <= self._loop.time() + 0.001:
-            self.write(self._late.popleft()[1])
+        while self._delayed and self._delayed[0][0] <= self._loop.time() + 0.001:
+            self.write(self._delayed.popleft()[1])
 
     def release(self) -> None:
-        """Send what is late, or was not said."""
-        unsaid, self._unsaid = self._unsaid, []
-        for data in unsaid:
+        """Send unsent data and delayed replies."""
+        unsent, self._unsent = self._unsent, []
+        for data in unsent:
             self.write(data)
-        while self._late:
-            self.write(self._late.popleft()[1])
+        while self._delayed:
+            self.write(self._delayed.popleft()[1])
 
-    def event(self, kind: EventType, path: str) -> None:
-        """Tell of a watch; it goes out before any later reply, and past late ones where that fault is on."""
+    def send_event(self, kind: EventType, path: str) -> None:
+        """Send a watch event, ahead of all later replies and, if that fault is set, ahead of delayed ones."""
         header = r.ReplyHeader(r.EVENT_XID, -1, 0)
         frame = encode(header) + encode(r.WatcherEvent(kind, SYNC_CONNECTED, path))
         self._reply(frame)
@@ -237,20 +245,20 @@
             self._overtake()
 
     def _overtake(self) -> None:
-        """Events go out past the replies that are late, and in their own order: the protocol promises that."""
-        late, self._late = self._late, deque()
+        """Send delayed events ahead of delayed replies, in their own order, which the protocol guarantees."""
+        late, self._delayed = self._delayed, deque()
         for due, data in late:
             if data[4:8] == EVENT_PREFIX:
                 self.write(data)
             else:
-                self._late.append((due, data))
+                self._delayed.append((due, data))
 
     def write(self, data: bytes) -> None:
-        """Bytes as they are, unless a fault says otherwise."""
+        """Write bytes unchanged, unless a fault keeps them back or truncates them."""
         if self._transport.is_closing():
             return
-        if self._server.faults.stalled:  # as with a process that is stopped: said later, if ever
-            self._unsaid.append(data)
+        if self._server.faults.stalled:  # like a stopped process: sent when the fault ends, if ever
+            self._unsent.append(data)
             return
         if self._server.faults.cut:
             self._server.faults.cut = False
@@ -267,133 +275,134 @@
         if self._session is None:
             self._connect(decode(r.ConnectRequest, source))
             return
-        if self._session.server is not self:  # moved to another connection, or over
+        if self._session.server is not self:  # the session moved to another connection or ended
             self.abort()
             return
         header = decode(r.RequestHeader, source)
         self._server.asked[header.op] += 1
         self._server.ensemble.touch(self._session)
         if header.op == Op.CLOSE:
-            self._answer(header.xid, ErrorCode.OK, b"")
+            self._send_reply(header.xid, ErrorCode.OK, b"")
             self._server.ensemble.end(self._session.id)
             self.end()
         elif header.op == Op.MULTI:
             self._multi(header.xid, r.decode_transaction(source))
-        elif header.op == Op.SYNC:  # answered when this server shows all that was confirmed by now
-            self._wait(self._server.ensemble.zxid, header.xid, ErrorCode.OK, encode(decode(r.Path, source)))
+        elif header.op == Op.SYNC:  # replied to when this replica has applied all changes committed so far
+            self._reply_after(self._server.ensemble.zxid, header.xid, ErrorCode.OK, encode(decode(r.Path, source)))
         else:
             self._request(header.xid, header.op, source)
 
     def _connect(self, asked: r.ConnectRequest) -> None:
         server, ensemble = self._server, self._server.ensemble
-        # A client that has seen more than this server must look for another one (ZooKeeperServer.java).
+        # A client that has seen a newer zxid than this server has to connect to another one (ZooKeeperServer.java).
         if asked.last_zxid > server.replica.zxid or (server.faults.read_only and not asked.read_only):
             self.end()
             return
         session = ensemble.sessions.get(asked.session) if asked.session else ensemble.begin(asked.timeout / 1000.0)
         if session is None or (asked.session and asked.password != session.password):
-            answer = r.ConnectResponse(0, 0, 0, r.NO_PASSWORD)
-            self.write(length_prefixed(encode(answer) + b"\0"))
+            response = r.ConnectResponse(0, 0, 0, r.NO_PASSWORD)
+            self.write(length_prefixed(encode(response) + b"\0"))
             self.end()
             return
         former, session.server, self._session = session.server, self, session
         if former is not None:
             former.abort()
-        self.who.session = session.id
+        self.requester.session = session.id
         ensemble.touch(session)
-        answer = r.ConnectResponse(0, int(session.timeout * 1000), session.id, session.password)
-        self._reply(encode(answer) + (b"\1" if server.faults.read_only else b"\0"))
+        response = r.ConnectResponse(0, int(session.timeout * 1000), session.id, session.password)
+        self._reply(encode(response) + (b"\1" if server.faults.read_only else b"\0"))
 
     # ---- requests ----------------------------------------------------------------------------
 
-    def _answer(self, xid: int, error: int, body: bytes) -> None:
+    def _send_reply(self, xid: int, error: int, body: bytes) -> None:
         self._reply(encode(r.ReplyHeader(xid, self._server.replica.zxid, error)) + body)
 
     def _request(self, xid: int, op: int, source: InputArchive) -> None:
         faults = self._server.faults
         kind = r.REQUESTS.get(op)
-        if kind is None or (op in NEWER and faults.old):
-            self._answer(xid, ErrorCode.UNIMPLEMENTED, b"")
+        if kind is None or (op in OPS_SINCE_3_6 and faults.old):
+            self._send_reply(xid, ErrorCode.UNIMPLEMENTED, b"")
             return
-        if faults.read_only and op in WRITES:
-            self._answer(xid, ErrorCode.NOT_READ_ONLY, b"")
+        if faults.read_only and op in WRITE_OPS:
+            self._send_reply(xid, ErrorCode.NOT_READ_ONLY, b"")
             return
         row = decode(kind, source)
-        if op in WRITES:
-            zxid, ((done, result),) = self._server.ensemble.commit(self.who, ((op, row),))
+        if op in WRITE_OPS:
+            zxid, ((done, result),) = self._server.ensemble.commit(self.requester, ((op, row),))
             error = result.error if done == Op.ERROR else 0
-            self._wait(zxid, xid, error, b"" if error else encode(result))
+            self._reply_after(zxid, xid, error, b"" if error else encode(result))
             return
         try:
-            self._answer(xid, ErrorCode.OK, self._read(op, row))
-        except Refused as fault:
-            self._answer(xid, fault.error, b"")
+            self._send_reply(xid, ErrorCode.OK, self._read(op, row))
+        except RequestError as fault:
+            self._send_reply(xid, fault.error, b"")
             if fault.error is ErrorCode.AUTH_FAILED:
                 self.end()
 
-    def _wait(self, zxid: int, xid: int, error: int, body: bytes) -> None:
-        """A write's reply goes out when this server has applied it."""
-        self._held = zxid, encode(r.ReplyHeader(xid, zxid, error)) + body
+    def _reply_after(self, zxid: int, xid: int, error: int, body: bytes) -> None:
+        """Hold a reply back until this server's replica has applied the change `zxid`."""
+        self._waiting_reply = zxid, encode(r.ReplyHeader(xid, zxid, error)) + body
 
     def _multi(self, xid: int, parts: tuple[r.TransactionPart, ...]) -> None:
-        zxid, results = self._server.ensemble.commit(self.who, parts)
-        # Failed or not, the header says 0: the parts tell (FinalRequestProcessor.java).
-        self._wait(zxid, xid, ErrorCode.OK, r.encode_transaction_results(results))
+        zxid, results = self._server.ensemble.commit(self.requester, parts)
+        # The header's error is 0 even if the transaction failed; the parts have the errors
+        # (FinalRequestProcessor.java).
+        self._reply_after(zxid, xid, ErrorCode.OK, r.encode_transaction_results(results))
 
     def _read(self, op: int, row: Any) -> bytes:
         if op in (Op.SET_WATCHES, Op.SET_WATCHES2):
-            self._again(row)
+            self._restore_watches(row)
             return b""
         if op == Op.ADD_WATCH:
             known = self.watches.recursive if row.mode == r.PERSISTENT_RECURSIVE else self.watches.persistent
             known.add(row.path)
             return encode(r.ErrorResult(0))
         if op == Op.AUTH:
-            if not self.who.prove(row.scheme, row.auth):
-                raise Refused(ErrorCode.AUTH_FAILED)
+            if not self.requester.authenticate(row.scheme, row.auth):
+                raise RequestError(ErrorCode.AUTH_FAILED)
             return b""
-        return b"" if op == Op.PING else self._look(op, row)
+        return b"" if op == Op.PING else self._read_node(op, row)
 
-    def _look(self, op: int, row: Any) -> bytes:
+    def _read_node(self, op: int, row: Any) -> bytes:
         node = self._server.replica.tree.nodes.get(row.path)
         if op == Op.EXISTS and row.watch:
             self.watches.data.add(row.path)
         if node is None:
-            raise Refused(ErrorCode.NO_NODE)
+            raise RequestError(ErrorCode.NO_NODE)
         if op == Op.EXISTS:
             return encode(node.stat())
         if op == Op.GET_ACL:
-            allowed(node.acl, self.who, r.PERM_READ | r.PERM_ADMIN)
+            require_permission(node.acl, self.requester, r.PERM_READ | r.PERM_ADMIN)
             return encode(r.Acls(node.acl, node.stat()))
-        allowed(node.acl, self.who, r.PERM_READ)
+        require_permission(node.acl, self.requester, r.PERM_READ)
         if row.watch:
             (self.watches.data if op == Op.GET_DATA else self.watches.children).add(row.path)
-        return _shown(op, node, self._server.random)
+        return _encode_node(op, node, self._server.random)
 
-    def _again(self, row: Any) -> None:
-        """Watches after a reconnect: what has changed since is told at once, the rest is set (DataTree.java)."""
+    def _restore_watches(self, row: Any) -> None:
+        """Set watches after a reconnect; those whose node changed in the meantime fire at once (DataTree.java)."""
         if self._server.faults.forgets:
             return
         nodes = self._server.replica.tree.nodes
         for path in row.data:
             node = nodes.get(path)
             if node is None:
-                self.event(EventType.DELETED, path)
+                self.send_event(EventType.DELETED, path)
             elif node.mzxid > row.since:
-                self.event(EventType.CHANGED, path)
+                self.send_event(EventType.CHANGED, path)
             else:
                 self.watches.data.add(path)
         for path in row.exists:
             if path in nodes:
-                self.event(EventType.CREATED, path)
+                self.send_event(EventType.CREATED, path)
             else:
                 self.watches.data.add(path)
         for path in row.children:
             node = nodes.get(path)
             if node is None:
-                self.event(EventType.DELETED, path)
+                self.send_event(EventType.DELETED, path)
             elif node.pzxid > row.since:
-                self.event(EventType.CHILDREN, path)
+                self.send_event(EventType.CHILDREN, path)
             else:
                 self.watches.children.add(path)
         if isinstance(row, r.SetWatches2):
@@ -401,11 +410,11 @@
             self.watches.recursive.update(row.recursive)
 
 
-def _shown(op: int, node: Node, chance: random.Random) -> bytes:
+def _encode_node(op: int, node: Node, random_source: random.Random) -> bytes:
     if op == Op.GET_DATA:
         return encode(r.Data(node.data, node.stat()))
     names = sorted(node.children)
-    chance.shuffle(names)  # the protocol promises no order
+    random_source.shuffle(names)  # the protocol guarantees no order
     if op == Op.GET_CHILDREN:
         return encode(r.Names(tuple(names)))
     return encode(r.Children(tuple(names), node.stat()))
--- a/lugspur/standins/zookeeper/tree.py
+++ b/lugspur/standins/zookeeper/tree.py
@@ -1,4 +1,4 @@
-"""The tree of nodes: the same changes in the same order make the same tree at every server."""
+"""The tree of nodes. The same changes applied in the same order produce the same tree on every server."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def parent_of(path: str) -> str:
-    """The path above."""
+    """Return the path of the parent node."""
     return path.rpartition("/")[0] or "/"
 
 
 @dataclass(slots=True)
 class Node:
-    """One node."""
+    """One node of the tree with its data, access list and the fields of its stat record."""
 
     data: bytes
     acl: tuple[Acl, ...]
@@ -30,11 +30,11 @@
     aversion: int = 0
     owner: int = 0
     pzxid: int = 0
-    made: int = 0  # children ever made: the number of the next sequential one
+    created_children: int = 0  # children created so far, also deleted ones; numbers the next sequential child
     children: set[str] = field(default_factory=set)
 
     def stat(self) -> Stat:
-        """What clients are told of it."""
+        """Return the stat record that clients receive for this node."""
         return Stat(
             self.czxid,
             self.mzxid,
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Made:
-    """A node is made."""
+    """A node is created."""
 
     path: str
     data: bytes
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Written:
-    """A node gets new data."""
+    """A node's data is replaced."""
 
     path: str
     data: bytes
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Guarded:
-    """A node gets a new access list."""
+    """A node's access list is replaced."""
 
     path: str
     acl: tuple[Acl, ...]
@@ -87,65 +87,65 @@
 
 
 class Tree:
-    """Nodes by path, and the ephemeral ones by session."""
+    """Nodes by path, and the paths of ephemeral nodes by the session that owns them."""
 
-    def __init__(self, anyone: tuple[Acl, ...]) -> None:
-        self.nodes: dict[str, Node] = {"/": Node(b"", anyone)}
+    def __init__(self, root_acl: tuple[Acl, ...]) -> None:
+        self.nodes: dict[str, Node] = {"/": Node(b"", root_acl)}
         self.owned: dict[int, set[str]] = {}
 
     def apply(self, effect: Effect, zxid: int, now: int) -> tuple[list[Event], Callable[[], None]]:
-        """Make a change that has been found valid; gives what watches tell of it, and how to take it back."""
+        """Apply a change that was validated before; return its watch events and a function that reverts it."""
         if isinstance(effect, Made):
-            return self._make(effect, zxid, now)
+            return self._create(effect, zxid, now)
         if isinstance(effect, Gone):
             return self._delete(effect.path, zxid)
         node = self.nodes[effect.path]
         if isinstance(effect, Written):
-            former = node.data, node.version, node.mzxid, node.mtime
+            previous = node.data, node.version, node.mzxid, node.mtime
             node.data, node.version, node.mzxid, node.mtime = effect.data, node.version + 1, zxid, now
 
             def undo() -> None:
-                node.data, node.version, node.mzxid, node.mtime = former
+                node.data, node.version, node.mzxid, node.mtime = previous
 
             return [(EventType.CHANGED, effect.path)], undo
-        before = node.acl, node.aversion
+        previous_acl = node.acl, node.aversion
         node.acl, node.aversion = effect.acl, node.aversion + 1
 
-        def unguard() -> None:
-            node.acl, node.aversion = before
+        def undo_acl() -> None:
+            node.acl, node.aversion = previous_acl
 
-        return [], unguard
+        return [], undo_acl
 
-    def _make(self, effect: Made, zxid: int, now: int) -> tuple[list[Event], Callable[[], None]]:
-        above = self.nodes[parent_of(effect.path)]
-        former = above.cversion, above.pzxid, above.made
-        above.cversion, above.pzxid, above.made = above.cversion + 1, zxid, above.made + 1
+    def _create(self, effect: Made, zxid: int, now: int) -> tuple[list[Event], Callable[[], None]]:
+        parent = self.nodes[parent_of(effect.path)]
+        previous = parent.cversion, parent.pzxid, parent.created_children
+        parent.cversion, parent.pzxid, parent.created_children = parent.cversion + 1, zxid, parent.created_children + 1
         name = effect.path.rpartition("/")[2]
-        above.children.add(name)
+        parent.children.add(name)
         self.nodes[effect.path] = Node(effect.data, effect.acl, zxid, zxid, now, now, owner=effect.owner, pzxid=zxid)
         if effect.owner:
             self.owned.setdefault(effect.owner, set()).add(effect.path)
 
         def undo() -> None:
-            above.cversion, above.pzxid, above.made = former
-            above.children.discard(name)
+            parent.cversion, parent.pzxid, parent.created_children = previous
+            parent.children.discard(name)
             del self.nodes[effect.path]
             self.owned.get(effect.owner, set()).discard(effect.path)
 
         return [(EventType.CREATED, effect.path), (EventType.CHILDREN, parent_of(effect.path))], undo
 
     def _delete(self, path: str, zxid: int) -> tuple[list[Event], Callable[[], None]]:
-        above = self.nodes[parent_of(path)]
-        former = above.cversion, above.pzxid
-        above.cversion, above.pzxid = above.cversion + 1, zxid
+        parent = self.nodes[parent_of(path)]
+        previous = parent.cversion, parent.pzxid
+        parent.cversion, parent.pzxid = parent.cversion + 1, zxid
         name = path.rpartition("/")[2]
-        above.children.discard(name)
+        parent.children.discard(name)
         node = self.nodes.pop(path)
         self.owned.get(node.owner, set()).discard(path)
 
         def undo() -> None:
-            above.cversion, above.pzxid = former
-            above.children.add(name)
+            parent.cversion, parent.pzxid = previous
+            parent.children.add(name)
             self.nodes[path] = node
             if node.owner:
                 self.owned.setdefault(node.owner, set()).add(path)
