--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lugspur.standins.zookeeper.tree import Effect, Event, Gone, Guarded, Made, Tree, Written, parent_of
+from lugspur.standins.zookeeper.tree import CreateEffect, Effect, Event, Gone, Guarded, Tree, Written, parent_of
 from lugspur.zookeeper.records import (
     ANY_VERSION,
     OPEN_ACL,
@@ -252,7 +252,7 @@
             return Written(row.path, row.data)
         return Guarded(row.path, self._acl(requester, row.acl)) if isinstance(row, SetAcl) else None
 
-    def _validate_create(self, requester: Requester, row: Create) -> Made:
+    def _validate_create(self, requester: Requester, row: Create) -> CreateEffect:
         path = row.path
         parent = self.tree.nodes.get(parent_of(path))
         if not path.startswith("/") or "//" in path or "\0" in path or (path.endswith("/") and not row.flags & 2):
@@ -268,7 +268,7 @@
             path += f"{parent.created_children:010d}"
         if path in self.tree.nodes:
             raise RequestError(ErrorCode.NODE_EXISTS)
-        return Made(path, row.data, self._acl(requester, row.acl), requester.session if row.flags & 1 else 0)
+        return CreateEffect(path, row.data, self._acl(requester, row.acl), requester.session if row.flags & 1 else 0)
 
     def _acl(self, requester: Requester, acl: tuple[Acl, ...]) -> tuple[Acl, ...]:
         """Return the list with each `auth` entry expanded to the identities of the author of the request."""
@@ -281,7 +281,7 @@
         return tuple(found)
 
     def _result(self, op: int, row: object, effect: Effect | None) -> object:
-        if isinstance(effect, Made):
+        if isinstance(effect, CreateEffect):
             stat = self.tree.nodes[effect.path].stat()
             return Created(effect.path, stat) if op == Op.CREATE2 else Path(effect.path)
         if isinstance(effect, Written | Guarded):
--- a/lugspur/standins/zookeeper/tree.py
+++ b/lugspur/standins/zookeeper/tree.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Made:
+class CreateEffect:
     """A node is created."""
 
     path: str
@@ -83,7 +83,7 @@
     acl: tuple[Acl, ...]
 
 
-Effect = Made | Gone | Written | Guarded
+Effect = CreateEffect | Gone | Written | Guarded
 
 
 class Tree:
@@ -95,7 +95,7 @@
 
     def apply(self, effect: Effect, zxid: int, now: int) -> tuple[list[Event], Callable[[], None]]:
         """Apply a change that was validated before; return its watch events and a function that reverts it."""
-        if isinstance(effect, Made):
+        if isinstance(effect, CreateEffect):
             return self._create(effect, zxid, now)
         if isinstance(effect, Gone):
             return self._delete(effect.path, zxid)
@@ -116,7 +116,7 @@
 
         return [], undo_acl
 
-    def _create(self, effect: Made, zxid: int, now: int) -> tuple[list[Event], Callable[[], None]]:
+    def _create(self, effect: CreateEffect, zxid: int, now: int) -> tuple[list[Event], Callable[[], None]]:
         parent = self.nodes[parent_of(effect.path)]
         previous = parent.cversion, parent.pzxid, parent.created_children
         parent.cversion, parent.pzxid, parent.created_children = parent.cversion + 1, zxid, parent.created_children + 1
