--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lugspur.standins.zookeeper.tree import CreateEffect, Effect, Event, Gone, Guarded, Tree, Written, parent_of
+from lugspur.standins.zookeeper.tree import CreateEffect, DeleteEffect, Effect, Event, Guarded, Tree, Written, parent_of
 from lugspur.zookeeper.records import (
     ANY_VERSION,
     OPEN_ACL,
@@ -140,7 +140,7 @@
         """Close or expire a session and delete its ephemeral nodes."""
         if self.sessions.pop(session, None) is not None:
             owned = sorted(self.tree.owned.get(session, ()))
-            self._log(tuple(Gone(path) for path in owned), session)
+            self._log(tuple(DeleteEffect(path) for path in owned), session)
 
     def _schedule_expiry(self) -> None:
         self.close()
@@ -169,7 +169,7 @@
             self.end(session)
         self.zxid = (self.zxid // EPOCH + 1) * EPOCH
         below = sorted((path for path in self.tree.nodes if path != "/"), key=len, reverse=True)
-        self._log(tuple(Gone(path) for path in below))
+        self._log(tuple(DeleteEffect(path) for path in below))
 
     # ---- changes -----------------------------------------------------------------------------
 
@@ -184,7 +184,7 @@
         self.zxid = change.zxid
         now = self._loop.time()
         for effect in change.effects:
-            if isinstance(effect, Gone):
+            if isinstance(effect, DeleteEffect):
                 self.removed_at[effect.path] = now
         for listener in self.listeners:
             listener(change)
@@ -247,7 +247,7 @@
         if isinstance(row, Delete):
             if node.children:
                 raise RequestError(ErrorCode.NOT_EMPTY)
-            return Gone(row.path) if row.path != "/" else None
+            return DeleteEffect(row.path) if row.path != "/" else None
         if isinstance(row, SetData):
             return Written(row.path, row.data)
         return Guarded(row.path, self._acl(requester, row.acl)) if isinstance(row, SetAcl) else None
--- a/lugspur/standins/zookeeper/tree.py
+++ b/lugspur/standins/zookeeper/tree.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class DeleteEffect:
     """A node is deleted."""
 
     path: str
@@ -83,7 +83,7 @@
     acl: tuple[Acl, ...]
 
 
-Effect = CreateEffect | Gone | Written | Guarded
+Effect = CreateEffect | DeleteEffect | Written | Guarded
 
 
 class Tree:
@@ -97,7 +97,7 @@
         """Apply a change that was validated before; return its watch events and a function that reverts it."""
         if isinstance(effect, CreateEffect):
             return self._create(effect, zxid, now)
-        if isinstance(effect, Gone):
+        if isinstance(effect, DeleteEffect):
             return self._delete(effect.path, zxid)
         node = self.nodes[effect.path]
         if isinstance(effect, Written):
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from session_harness import SessionHarness, run_in_loop
 
-from lugspur.standins.zookeeper.tree import Gone
+from lugspur.standins.zookeeper.tree import DeleteEffect
 from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, ErrorCode, EventType, Op, SetAcl
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Phase, ReadFailed, Snapshot
 
@@ -49,7 +49,7 @@
 
     def record_removals(self, change: object) -> None:
         for effect in getattr(change, "effects", ()):
-            name = effect.path.rpartition("/")[2] if isinstance(effect, Gone) else ""
+            name = effect.path.rpartition("/")[2] if isinstance(effect, DeleteEffect) else ""
             if name in self.harness.follower.nodes:
                 self.expected_removals.append((name, self.harness.follower.nodes[name][1]))
 
