--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -11,7 +11,16 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lugspur.standins.zookeeper.tree import CreateEffect, DeleteEffect, Effect, Event, Guarded, Tree, Written, parent_of
+from lugspur.standins.zookeeper.tree import (
+    CreateEffect,
+    DeleteEffect,
+    Effect,
+    Event,
+    Guarded,
+    SetDataEffect,
+    Tree,
+    parent_of,
+)
 from lugspur.zookeeper.records import (
     ANY_VERSION,
     OPEN_ACL,
@@ -249,7 +258,7 @@
                 raise RequestError(ErrorCode.NOT_EMPTY)
             return DeleteEffect(row.path) if row.path != "/" else None
         if isinstance(row, SetData):
-            return Written(row.path, row.data)
+            return SetDataEffect(row.path, row.data)
         return Guarded(row.path, self._acl(requester, row.acl)) if isinstance(row, SetAcl) else None
 
     def _validate_create(self, requester: Requester, row: Create) -> CreateEffect:
@@ -284,7 +293,7 @@
         if isinstance(effect, CreateEffect):
             stat = self.tree.nodes[effect.path].stat()
             return Created(effect.path, stat) if op == Op.CREATE2 else Path(effect.path)
-        if isinstance(effect, Written | Guarded):
+        if isinstance(effect, SetDataEffect | Guarded):
             return self.tree.nodes[effect.path].stat()
         return EmptyRecord()
 
--- a/lugspur/standins/zookeeper/tree.py
+++ b/lugspur/standins/zookeeper/tree.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
+class SetDataEffect:
     """A node's data is replaced."""
 
     path: str
@@ -83,7 +83,7 @@
     acl: tuple[Acl, ...]
 
 
-Effect = CreateEffect | DeleteEffect | Written | Guarded
+Effect = CreateEffect | DeleteEffect | SetDataEffect | Guarded
 
 
 class Tree:
@@ -100,7 +100,7 @@
         if isinstance(effect, DeleteEffect):
             return self._delete(effect.path, zxid)
         node = self.nodes[effect.path]
-        if isinstance(effect, Written):
+        if isinstance(effect, SetDataEffect):
             previous = node.data, node.version, node.mzxid, node.mtime
             node.data, node.version, node.mzxid, node.mtime = effect.data, node.version + 1, zxid, now
 
