--- a/lugspur/standins/zookeeper/ensemble.py
+++ b/lugspur/standins/zookeeper/ensemble.py
@@ -16,7 +16,7 @@
     DeleteEffect,
     Effect,
     Event,
-    Guarded,
+    SetAclEffect,
     SetDataEffect,
     Tree,
     parent_of,
@@ -259,7 +259,7 @@
             return DeleteEffect(row.path) if row.path != "/" else None
         if isinstance(row, SetData):
             return SetDataEffect(row.path, row.data)
-        return Guarded(row.path, self._acl(requester, row.acl)) if isinstance(row, SetAcl) else None
+        return SetAclEffect(row.path, self._acl(requester, row.acl)) if isinstance(row, SetAcl) else None
 
     def _validate_create(self, requester: Requester, row: Create) -> CreateEffect:
         path = row.path
@@ -293,7 +293,7 @@
         if isinstance(effect, CreateEffect):
             stat = self.tree.nodes[effect.path].stat()
             return Created(effect.path, stat) if op == Op.CREATE2 else Path(effect.path)
-        if isinstance(effect, SetDataEffect | Guarded):
+        if isinstance(effect, SetDataEffect | SetAclEffect):
             return self.tree.nodes[effect.path].stat()
         return EmptyRecord()
 
--- a/lugspur/standins/zookeeper/tree.py
+++ b/lugspur/standins/zookeeper/tree.py
@@ -76,14 +76,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Guarded:
+class SetAclEffect:
     """A node's access list is replaced."""
 
     path: str
     acl: tuple[Acl, ...]
 
 
-Effect = CreateEffect | DeleteEffect | SetDataEffect | Guarded
+Effect = CreateEffect | DeleteEffect | SetDataEffect | SetAclEffect
 
 
 class Tree:
