--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -129,7 +129,7 @@
         """Make its node, under a new session."""
         data = json.dumps({"address": box.backend.address, "since_ms": 1000}).encode()
         box.removed = float("inf")
-        box.session = self.cluster.box(f"{FOLDER}/{box.name}", data)
+        box.session = self.cluster.register_backend(f"{FOLDER}/{box.name}", data)
 
     def expire(self, name: str) -> Box:
         """Its session ends, and its node with it; the process goes on."""
--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -58,7 +58,7 @@
         """Create a persistent node or replace its data; missing ancestors are created too."""
         self.ensemble.write(self.operator, path, data)
 
-    def box(self, path: str, data: bytes, timeout: float = 3600.0) -> int:
+    def register_backend(self, path: str, data: bytes, timeout: float = 3600.0) -> int:
         """Create an ephemeral node owned by a new session that no client keeps alive; return the session's id."""
         self.ensemble.longest = max(self.ensemble.longest, timeout)
         session = self.ensemble.begin(timeout)
@@ -88,7 +88,7 @@
             "expire": cluster.expire,
             "restore": cluster.ensemble.restore,
             "set": lambda path, data="": cluster.write(path, data.encode()),
-            "box": lambda path, data="": cluster.box(path, data.encode()),
+            "box": lambda path, data="": cluster.register_backend(path, data.encode()),
             "delete": cluster.delete,
             "help": lambda: None,
             "accept": self._accept,
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -57,7 +57,7 @@
             folder = FOLDER if change == "ensemble" else "/elsewhere"
             for name in ("box-0", "box-1"):
                 address = trial.boxes[name].backend.address
-                target.box(f"{folder}/{name}", json.dumps({"address": address}).encode())
+                target.register_backend(f"{folder}/{name}", json.dumps({"address": address}).encode())
             before = len(trial.lines)
             trial.write(target.addresses, folder)
             trial.daemon.send_signal(signal.SIGHUP)
@@ -146,7 +146,7 @@
         async with following() as folder:
             names = [f"b{at}" for at in range(50)]
             for name in names:
-                folder.cluster.box(f"/boxes/{name}", box())
+                folder.cluster.register_backend(f"/boxes/{name}", box())
             await folder.knows(**dict.fromkeys(names, ServerState.UP))
             folder.cluster.expire("all")
             await folder.knows()
@@ -160,18 +160,18 @@
             now = int(time.time() * 1000)
             servers = folder.up.daemon.clusters["a"].pool.balancer.table.servers
             key = server_id("one")
-            folder.cluster.box("/boxes/one", box(since_ms=now))
+            folder.cluster.register_backend("/boxes/one", box(since_ms=now))
             await folder.knows(one=ServerState.UP)
             began = servers[key].row.started_at
             learned = servers[key]
             folder.cluster.expire("/boxes/one")
             await folder.knows()
-            folder.cluster.box("/boxes/one", box(since_ms=now))
+            folder.cluster.register_backend("/boxes/one", box(since_ms=now))
             await folder.knows(one=ServerState.UP)
             assert servers[key] is learned and servers[key].row.started_at == began
             folder.cluster.expire("/boxes/one")
             await folder.knows()
-            folder.cluster.box("/boxes/one", box(since_ms=now + 5000))
+            folder.cluster.register_backend("/boxes/one", box(since_ms=now + 5000))
             await folder.knows(one=ServerState.UP)
             assert servers[key].row.started_at == pytest.approx(began + 5.0)
 
@@ -182,7 +182,7 @@
     async def play() -> None:
         async with following() as folder:
             for name in ("one", "two"):
-                folder.cluster.box(f"/boxes/{name}", box())
+                folder.cluster.register_backend(f"/boxes/{name}", box())
             await folder.knows(one=ServerState.UP, two=ServerState.UP)
             source = folder.up.daemon.clusters["a"]._source
             assert isinstance(source, RegistrySource)
@@ -203,7 +203,7 @@
                     server.refuse()
                 if change:
                     folder.cluster.expire("/boxes/one")
-                    folder.cluster.box("/boxes/one", box())
+                    folder.cluster.register_backend("/boxes/one", box())
                     folder.cluster.write("/boxes/three", box())
                 for server in folder.cluster.servers:
                     await server.listen()
@@ -265,7 +265,7 @@
 
     async def play() -> None:
         async with backend(lambda _: OK) as one, following() as folder:
-            folder.cluster.box("/boxes/one", box(one.address))
+            folder.cluster.register_backend("/boxes/one", box(one.address))
             await folder.knows(one=ServerState.UP)
             folder.cluster.ensemble.restore()
             await folder.knows()
@@ -274,7 +274,7 @@
             assert status(await client.ask(ask())) == 200
             await until(lambda: not folder.cluster.ensemble.sessions)  # the session is closed, not left to expire
             await folder.up.reload(text(folder.cluster))
-            folder.cluster.box("/boxes/two", box(one.address))
+            folder.cluster.register_backend("/boxes/two", box(one.address))
             await folder.knows(two=ServerState.UP)
 
     asyncio.run(play())
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -58,7 +58,7 @@
 def test_the_stand_in_expires_a_short_session_that_started_after_a_long_one() -> None:
     async def run() -> None:
         async with Cluster() as cluster:
-            cluster.box("/boxes", b"{}")
+            cluster.register_backend("/boxes", b"{}")
             short = cluster.ensemble.begin(0.2)
             await until(lambda: short.id not in cluster.ensemble.sessions)
             assert len(cluster.ensemble.sessions) == 1
@@ -204,7 +204,7 @@
                 elif kind == 1 and exists:
                     cluster.delete(path)
                 elif kind == 2 and not exists:
-                    cluster.box(path, b"box")
+                    cluster.register_backend(path, b"box")
 
             faults = [
                 Server.flap,
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -152,7 +152,7 @@
     async def run() -> None:
         harness = RegistrationHarness(sequential)
         old = f"{DIRECTORY}/box-f00-0000000000" if sequential else f"{DIRECTORY}/box"
-        harness.cluster.box(old, b"ours before")
+        harness.cluster.register_backend(old, b"ours before")
         events: list[int] = []
         harness.cluster.ensemble.listeners.append(lambda _: events.append(len(harness.own_nodes())))
         harness.set_wanted(True)
@@ -168,7 +168,7 @@
 def test_registration_waits_for_the_deletion_of_a_foreign_node_of_the_same_name() -> None:
     async def run() -> None:
         harness = connected_harness()
-        harness.cluster.box(f"{DIRECTORY}/box", b"theirs")
+        harness.cluster.register_backend(f"{DIRECTORY}/box", b"theirs")
         harness.set_wanted(True)
         harness.settle()
         assert harness.own_nodes() == [] and harness.registration.status is NodeStatus.FOREIGN
@@ -257,7 +257,7 @@
 def test_a_replacement_whose_reply_is_lost_is_found_by_its_new_sequence_number() -> None:
     async def run() -> None:
         harness = RegistrationHarness(sequential=True)
-        harness.cluster.box(f"{DIRECTORY}/box-f00-0000000000", b"ours before")
+        harness.cluster.register_backend(f"{DIRECTORY}/box-f00-0000000000", b"ours before")
         harness.set_wanted(True)
         harness.connect()
         while harness.own_nodes() == ["/boxes/box-f00-0000000000"]:
@@ -275,7 +275,7 @@
 def test_an_old_node_of_an_unhealthy_backend_is_deleted() -> None:
     async def run() -> None:
         harness = RegistrationHarness()
-        harness.cluster.box(f"{DIRECTORY}/box", b"ours before")
+        harness.cluster.register_backend(f"{DIRECTORY}/box", b"ours before")
         harness.connect()
         harness.settle()
         assert harness.own_nodes() == [] and harness.registration.is_settled
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -67,7 +67,7 @@
     def create_ephemeral(self) -> None:
         path = self.path()
         if path not in self.harness.cluster.ensemble.tree.nodes:
-            self.harness.cluster.box(path, b"box")
+            self.harness.cluster.register_backend(path, b"box")
 
     def expire_ephemeral(self) -> None:
         owned = [path for paths in self.harness.cluster.ensemble.tree.owned.values() for path in sorted(paths)]
@@ -237,12 +237,12 @@
         harness = SessionHarness()
         for server in harness.servers:
             server.faults.old = old
-        harness.cluster.box("/boxes/a", b"same")
+        harness.cluster.register_backend("/boxes/a", b"same")
         following(harness)
         if gap:
             harness.disconnect()
         harness.cluster.expire("/boxes/a")
-        harness.cluster.box("/boxes/a", b"same")
+        harness.cluster.register_backend("/boxes/a", b"same")
         if gap:
             harness.connect(1)
         harness.settle()
