--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -236,7 +236,7 @@
                 count,
                 seconds,
                 server.bytes_out / 1024.0,
-                server.asked[Op.GET_DATA],
+                server.request_counts[Op.GET_DATA],
                 0.0,
                 process.cpu() - base[0],
                 process.memory() - base[1],
@@ -256,7 +256,7 @@
 async def _churn(trial: Trial, size: Size, process: Usage, changes: int, per_second: int) -> None:
     """So many changes, evenly over time; then one node that can be seen in the log, to know that all were read."""
     loop, server = asyncio.get_running_loop(), trial.cluster.servers[0]
-    server.asked.clear()
+    server.request_counts.clear()
     begun, used = loop.time(), process.cpu()
     for turn in range(changes):
         trial.cluster.write(f"{FOLDER}/box-{turn % size.nodes}", _entry(turn % size.nodes, turn // size.nodes + 1))
@@ -266,7 +266,7 @@
     trial.cluster.write(f"{FOLDER}/marker", b"?")
     await trial.said("marker")
     size.lag = loop.time() - ended
-    size.asked = server.asked[Op.GET_DATA] / changes
+    size.asked = server.request_counts[Op.GET_DATA] / changes
 
 
 @dataclass(slots=True)
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -53,7 +53,7 @@
         self.replica = Replica(ensemble, self._on_applied)
         self.faults = Faults()
         self.connections: set[Connection] = set()
-        self.asked: Counter[int] = Counter()  # requests by operation
+        self.request_counts: Counter[int] = Counter()  # requests by operation
         self.bytes_out = 0
         self.address = ("", 0)
         self.random = random.Random(seed)
@@ -279,7 +279,7 @@
             self.abort()
             return
         header = decode(r.RequestHeader, source)
-        self._server.asked[header.op] += 1
+        self._server.request_counts[header.op] += 1
         self._server.ensemble.touch(self._session)
         if header.op == Op.CLOSE:
             self._send_reply(header.xid, ErrorCode.OK, b"")
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -194,7 +194,7 @@
                 tell(kind, endpoints)
 
             def lists() -> int:
-                return sum(server.asked[Op.GET_CHILDREN2] for server in folder.cluster.servers)
+                return sum(server.request_counts[Op.GET_CHILDREN2] for server in folder.cluster.servers)
 
             source._on_update = hear
             for change in (False, True):
@@ -289,11 +289,11 @@
             real = time.time
             for step in (86_400.0, -86_400.0):
                 monkeypatch.setattr(time, "time", lambda step=step: real() + step)
-                pings = sum(server.asked[Op.PING] for server in folder.cluster.servers)
+                pings = sum(server.request_counts[Op.PING] for server in folder.cluster.servers)
                 await until(
                     lambda pings=pings: (
                         sum(  # type: ignore[misc]
-                            server.asked[Op.PING] for server in folder.cluster.servers
+                            server.request_counts[Op.PING] for server in folder.cluster.servers
                         )
                         > pings
                     )
--- a/tests/zookeeper/test_kazoo.py
+++ b/tests/zookeeper/test_kazoo.py
@@ -280,4 +280,4 @@
     client.add_listener(states)
     standin.run(server.refuse)
     states.until(lambda events: events[-1:] == [KazooState.CONNECTED])
-    assert client.exists("/new") and others[1].connections and not others[0].asked
+    assert client.exists("/new") and others[1].connections and not others[0].request_counts
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -140,7 +140,7 @@
         harness.connect(1)  # the reply does not arrive
         harness.settle()
         assert len(harness.own_nodes()) == 1 == harness.max_node_count and harness.registration.status is NodeStatus.OWN
-        assert sum(server.asked[Op.CREATE] for server in harness.servers) <= 3  # the directory and one node
+        assert sum(server.request_counts[Op.CREATE] for server in harness.servers) <= 3  # the directory and one node
 
     asyncio.run(run())
 
@@ -220,13 +220,13 @@
         harness.set_wanted(True)
         harness.settle()
         assert harness.take_log_lines() == ["CREATE of /boxes/box fails: NO_AUTH"]
-        create_count = sum(server.asked[Op.CREATE] for server in harness.servers)
+        create_count = sum(server.request_counts[Op.CREATE] for server in harness.servers)
         harness.settle()
         harness.registration.retry()
         harness.multiplexer.send_requests(harness.now)
         harness.settle()
         assert (
-            sum(server.asked[Op.CREATE] for server in harness.servers) == create_count + 1
+            sum(server.request_counts[Op.CREATE] for server in harness.servers) == create_count + 1
             and harness.take_log_lines() == []
         )
         assert harness.session.state is SessionState.CONNECTED
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -258,7 +258,7 @@
         for index in range(10_000):
             harness.cluster.write(f"/boxes/{index}", b"x")
         following(harness)
-        asked = harness.servers[0].asked
+        asked = harness.servers[0].request_counts
         assert (asked[Op.GET_DATA], asked[Op.GET_CHILDREN2]) == (10_000, 1) and len(harness.follower.nodes) == 10_000
         asked.clear()
         harness.cluster.write("/boxes/77", b"y")
@@ -348,7 +348,7 @@
             harness.disconnect()
         harness.connect()
         harness.settle()
-        assert harness.servers[0].asked[Op.ADD_WATCH] == 0
+        assert harness.servers[0].request_counts[Op.ADD_WATCH] == 0
         harness.cluster.write("/boxes/b", b"2")
         harness.settle()
         assert harness.follower.nodes.keys() == {"a", "b"}
