--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -145,7 +145,7 @@
 async def noise(trial: Trial, seconds: float) -> None:
     """Cuts in mid-frame, garbage, frames of 1 GB, flaps, late replies, events that overtake, forgotten watches."""
     for server in trial.cluster.servers:
-        server.faults.forgets = True
+        server.faults.ignores_set_watches = True
     until = asyncio.get_running_loop().time() + seconds
     at = 0
     while asyncio.get_running_loop().time() < until:
--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -97,7 +97,7 @@
             self._commands[word] = partial(self._call_server, word)
         for word, name in (
             ("cut", "cut"),
-            ("forget", "forgets"),
+            ("forget", "ignores_set_watches"),
             ("old", "old"),
             ("read-only", "read_only"),
             ("overtake", "overtaking"),
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -41,7 +41,7 @@
     overtaking: bool = False  # events are sent at once, ahead of delayed replies
     old: bool = False  # the server supports no persistent watches
     read_only: bool = False
-    forgets: bool = False  # watches that a client sets again after a reconnect are ignored
+    ignores_set_watches: bool = False  # watches that a client sets again after a reconnect are ignored
     cut: bool = False  # only half of the next write is sent, then the connection is closed
 
 
@@ -381,7 +381,7 @@
 
     def _restore_watches(self, row: Any) -> None:
         """Set watches after a reconnect; those whose node changed in the meantime fire at once (DataTree.java)."""
-        if self._server.faults.forgets:
+        if self._server.faults.ignores_set_watches:
             return
         nodes = self._server.replica.tree.nodes
         for path in row.data:
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -241,4 +241,4 @@
 
 
 def forget_watches(server: Server) -> None:
-    server.faults.forgets = True
+    server.faults.ignores_set_watches = True
--- a/tests/zookeeper/test_registration.py
+++ b/tests/zookeeper/test_registration.py
@@ -264,7 +264,7 @@
             harness.send()
             if harness.own_nodes() == ["/boxes/box-f00-0000000000"]:
                 harness.receive()
-        harness.servers[1].faults.forgets = True  # no restored watch reports the deletion of the old node
+        harness.servers[1].faults.ignores_set_watches = True  # no restored watch reports the deletion of the old node
         harness.connect(1)
         harness.settle()
         assert harness.own_nodes() == ["/boxes/box-f00-0000000001"] and harness.max_node_count == 1
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -110,7 +110,7 @@
         self.random_source.choice(self.harness.servers).mend()
 
     def forget_watches(self) -> None:
-        self.random_source.choice(self.harness.servers).faults.forgets = True
+        self.random_source.choice(self.harness.servers).faults.ignores_set_watches = True
 
     def delete_directory(self) -> None:
         for path in sorted(self.harness.cluster.ensemble.tree.nodes, reverse=True):
@@ -361,7 +361,7 @@
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
         for server in harness.servers:
-            server.faults.forgets = True
+            server.faults.ignores_set_watches = True
         following(harness)
         harness.disconnect()
         harness.cluster.write("/boxes/a", b"2")
