--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -100,7 +100,7 @@
             ("forget", "ignores_set_watches"),
             ("old", "old"),
             ("read-only", "read_only"),
-            ("overtake", "overtaking"),
+            ("overtake", "events_first"),
         ):
             self._commands[word] = partial(self._set_fault, name)
         self._commands["late"] = lambda at, span: setattr(self._server(at).faults, "late", parse_span(span))
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -38,7 +38,7 @@
 
     stalled: bool = False  # connections stay open, but nothing is read or written
     late: float = 0.0  # seconds by which replies are delayed; if infinite, until `mend` is called
-    overtaking: bool = False  # events are sent at once, ahead of delayed replies
+    events_first: bool = False  # events are sent at once, ahead of delayed replies
     old: bool = False  # the server supports no persistent watches
     read_only: bool = False
     ignores_set_watches: bool = False  # watches that a client sets again after a reconnect are ignored
@@ -241,7 +241,7 @@
         header = r.ReplyHeader(r.EVENT_XID, -1, 0)
         frame = encode(header) + encode(r.WatcherEvent(kind, SYNC_CONNECTED, path))
         self._reply(frame)
-        if self._server.faults.overtaking:
+        if self._server.faults.events_first:
             self._overtake()
 
     def _overtake(self) -> None:
