--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -151,7 +151,7 @@
     while asyncio.get_running_loop().time() < until:
         for server in trial.cluster.servers:
             (server.garbage, server.huge, server.flap, lambda s=server: setattr(s.faults, "cut", True))[at % 4]()
-            server.faults.late, server.faults.events_first = 0.01 * (at % 3), at % 2 == 0
+            server.faults.reply_delay, server.faults.events_first = 0.01 * (at % 3), at % 2 == 0
         at += 1
         await asyncio.sleep(0.1)
     for server in trial.cluster.servers:
--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -103,7 +103,7 @@
             ("overtake", "events_first"),
         ):
             self._commands[word] = partial(self._set_fault, name)
-        self._commands["late"] = lambda at, span: setattr(self._server(at).faults, "late", parse_span(span))
+        self._commands["late"] = lambda at, span: setattr(self._server(at).faults, "reply_delay", parse_span(span))
 
     def _server(self, at: str) -> Server:
         if not at.isdecimal() or int(at) >= len(self._cluster.servers):
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -37,7 +37,7 @@
     """The faults that are injected into one server."""
 
     stalled: bool = False  # connections stay open, but nothing is read or written
-    late: float = 0.0  # seconds by which replies are delayed; if infinite, until `mend` is called
+    reply_delay: float = 0.0  # seconds by which replies are delayed; if infinite, until `mend` is called
     events_first: bool = False  # events are sent at once, ahead of delayed replies
     old: bool = False  # the server supports no persistent watches
     read_only: bool = False
@@ -216,7 +216,7 @@
                 return
 
     def _reply(self, frame: bytes) -> None:
-        late = self._server.faults.late
+        late = self._server.faults.reply_delay
         if not late and not self._delayed:
             self.write(length_prefixed(frame))
             return
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -104,7 +104,7 @@
     def delay_replies(self) -> None:
         """Delay replies from now on; events may overtake them."""
         faults = self.random_source.choice(self.harness.servers).faults
-        faults.late, faults.events_first = float("inf"), self.random_source.random() < 0.8
+        faults.reply_delay, faults.events_first = float("inf"), self.random_source.random() < 0.8
 
     def mend(self) -> None:
         self.random_source.choice(self.harness.servers).mend()
@@ -180,7 +180,7 @@
         faults = harness.servers[0].faults
         harness.cluster.write("/boxes/a", b"2")
         harness.receive()
-        faults.late, faults.events_first = float("inf"), True
+        faults.reply_delay, faults.events_first = float("inf"), True
         harness.send()  # the read returns 2, and its reply is delayed
         harness.cluster.write("/boxes/a", b"3")
         harness.receive()  # the event overtakes the reply
@@ -400,7 +400,7 @@
             harness.send()
             harness.receive()
         faults = harness.servers[1].faults
-        faults.late, faults.events_first = float("inf"), True
+        faults.reply_delay, faults.events_first = float("inf"), True
         harness.send()  # the list is read without m, and its reply is delayed
         harness.cluster.write("/boxes/m", b"2")
         harness.receive()  # the event of m arrives before the list
