--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -98,7 +98,7 @@
         for word, name in (
             ("cut", "cut"),
             ("forget", "ignores_set_watches"),
-            ("old", "old"),
+            ("old", "no_persistent_watches"),
             ("read-only", "read_only"),
             ("overtake", "events_first"),
         ):
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -39,7 +39,7 @@
     stalled: bool = False  # connections stay open, but nothing is read or written
     reply_delay: float = 0.0  # seconds by which replies are delayed; if infinite, until `mend` is called
     events_first: bool = False  # events are sent at once, ahead of delayed replies
-    old: bool = False  # the server supports no persistent watches
+    no_persistent_watches: bool = False  # the server supports no persistent watches
     read_only: bool = False
     ignores_set_watches: bool = False  # watches that a client sets again after a reconnect are ignored
     cut: bool = False  # only half of the next write is sent, then the connection is closed
@@ -320,7 +320,7 @@
     def _request(self, xid: int, op: int, source: InputArchive) -> None:
         faults = self._server.faults
         kind = r.REQUESTS.get(op)
-        if kind is None or (op in OPS_SINCE_3_6 and faults.old):
+        if kind is None or (op in OPS_SINCE_3_6 and faults.no_persistent_watches):
             self._send_reply(xid, ErrorCode.UNIMPLEMENTED, b"")
             return
         if faults.read_only and op in WRITE_OPS:
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -89,7 +89,7 @@
 
     def reconnect(self) -> None:
         for server in self.harness.servers:
-            server.faults.old = self.old
+            server.faults.no_persistent_watches = self.old
         self.harness.connect(self.random_source.randrange(3))
 
     def expire_own(self) -> None:
@@ -174,7 +174,7 @@
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
-            server.faults.old = old
+            server.faults.no_persistent_watches = old
         harness.cluster.write("/boxes/a", b"1")
         following(harness)
         faults = harness.servers[0].faults
@@ -196,7 +196,7 @@
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
-            server.faults.old = old
+            server.faults.no_persistent_watches = old
         harness.cluster.write("/boxes/a", b"1")
         following(harness)
         harness.disconnect()
@@ -217,7 +217,7 @@
 def test_two_changes_before_a_read_show_the_latter(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
-        harness.servers[0].faults.old = old
+        harness.servers[0].faults.no_persistent_watches = old
         harness.cluster.write("/boxes/a", b"1")
         following(harness)
         harness.cluster.write("/boxes/a", b"2")
@@ -236,7 +236,7 @@
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
-            server.faults.old = old
+            server.faults.no_persistent_watches = old
         harness.cluster.register_backend("/boxes/a", b"same")
         following(harness)
         if gap:
@@ -293,7 +293,7 @@
 def test_a_missing_directory_removes_nodes_only_if_it_existed_before(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
-        harness.servers[0].faults.old = old
+        harness.servers[0].faults.no_persistent_watches = old
         harness.connect()
         harness.settle()
         assert harness.updates == [ReadFailed(-101)]
