--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -150,7 +150,7 @@
     at = 0
     while asyncio.get_running_loop().time() < until:
         for server in trial.cluster.servers:
-            (server.garbage, server.huge, server.flap, lambda s=server: setattr(s.faults, "cut", True))[at % 4]()
+            (server.garbage, server.huge, server.flap, lambda s=server: setattr(s.faults, "truncates", True))[at % 4]()
             server.faults.reply_delay, server.faults.events_first = 0.01 * (at % 3), at % 2 == 0
         at += 1
         await asyncio.sleep(0.1)
--- a/lugspur/standins/zookeeper/cluster.py
+++ b/lugspur/standins/zookeeper/cluster.py
@@ -96,7 +96,7 @@
         for word in ("stall", "refuse", "flap", "lag", "garbage", "huge", "mend"):
             self._commands[word] = partial(self._call_server, word)
         for word, name in (
-            ("cut", "cut"),
+            ("cut", "truncates"),
             ("forget", "ignores_set_watches"),
             ("old", "no_persistent_watches"),
             ("read-only", "read_only"),
--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -42,7 +42,7 @@
     no_persistent_watches: bool = False  # the server supports no persistent watches
     read_only: bool = False
     ignores_set_watches: bool = False  # watches that a client sets again after a reconnect are ignored
-    cut: bool = False  # only half of the next write is sent, then the connection is closed
+    truncates: bool = False  # only half of the next write is sent, then the connection is closed
 
 
 class Server:
@@ -260,8 +260,8 @@
         if self._server.faults.stalled:  # like a stopped process: sent when the fault ends, if ever
             self._unsent.append(data)
             return
-        if self._server.faults.cut:
-            self._server.faults.cut = False
+        if self._server.faults.truncates:
+            self._server.faults.truncates = False
             self._transport.write(data[: len(data) // 2])
             self.end()
             return
--- a/tests/zookeeper/test_client.py
+++ b/tests/zookeeper/test_client.py
@@ -71,7 +71,7 @@
 
 
 def cut(server: Server) -> None:
-    server.faults.cut = True
+    server.faults.truncates = True
 
 
 @pytest.mark.parametrize(
