--- a/lugspur/standins/grpc/__main__.py
+++ b/lugspur/standins/grpc/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lugspur.standins.grpc --listen 127.0.0.1:0` serves until it is killed."""
+"""`python -m lugspur.standins.grpc --listen 127.0.0.1:0` serves until the process is killed."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 def main() -> None:
-    """Serve until it is killed."""
+    """Serve until the process is killed."""
     steps = "\n".join(f"  {name:20} {meaning}" for name, meaning in STEPS.items())
     parser = argparse.ArgumentParser(
         prog="python -m lugspur.standins.grpc",
         formatter_class=argparse.RawDescriptionHelpFormatter,
-        description="A stand-in gRPC box: it echoes messages.",
+        description="A stand-in gRPC backend: it echoes messages.",
         epilog=f"A call's metadata x-script holds steps, separated by commas:\n{steps}",
     )
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
-    parser.add_argument("--streams", type=int, default=100, help="streams that a connection may have open")
-    parser.add_argument("--window", type=int, default=65_535, help="bytes that a stream's sender may be ahead")
-    given = parser.parse_args()
-    host, _, port = given.listen.rpartition(":")
-    asyncio.run(_serve(host, int(port), given.streams, given.window))
+    parser.add_argument("--streams", type=int, default=100, help="maximum number of concurrent streams of a connection")
+    parser.add_argument("--window", type=int, default=65_535, help="initial flow control window of a stream in bytes")
+    arguments = parser.parse_args()
+    host, _, port = arguments.listen.rpartition(":")
+    asyncio.run(_serve(host, int(port), arguments.streams, arguments.window))
 
 
 if __name__ == "__main__":
--- a/lugspur/standins/grpc/box.py
+++ b/lugspur/standins/grpc/box.py
@@ -1,4 +1,4 @@
-"""The box: h2 alone, none of the daemon's own machinery, so that the two check each other."""
+"""The backend. It uses h2 and none of the daemon's own HTTP/2 code, so that each checks the other."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 from lugspur.standins.grpc.script import Script, Wrong, read
 
-REFUSED_STREAM = 7
-PREFIX = 5  # bytes ahead of each message
+REFUSED_STREAM = 7  # HTTP/2 error code
+PREFIX = 5  # bytes before each message: the compression flag and the length
 
 
 class Ended(Exception):
-    """The call is over, by its script or its caller."""
+    """The call ended, by its script or by its caller."""
 
 
 class Call:
-    """One call as the box sees it."""
+    """One call, as the backend receives it."""
 
     def __init__(self, connection: Connection, stream: int, fields: list[tuple[str, str]]) -> None:
         self.connection, self.stream = connection, stream
@@ -31,29 +31,29 @@
         self.headers = dict(fields)
         self.path = self.headers[":path"]
         self.rid = self.headers.get("x-request-id", "")
-        self.cancelled = asyncio.Event()  # the caller has reset it, or is gone
-        self.code = -1  # with which it was reset
-        self.received = 0  # bytes of messages that have come
-        self.ended = False  # the caller has said all
+        self.cancelled = asyncio.Event()  # the caller reset the stream or closed the connection
+        self.code = -1  # the error code with which the caller reset the stream; -1 if it did not
+        self.received = 0  # bytes of messages received so far, with their prefixes
+        self.ended = False  # the caller has ended its side of the stream
         self._bytes = bytearray()
-        self._more = asyncio.Event()
-        self._headed = False
+        self._changed = asyncio.Event()
+        self._head_sent = False
 
     # ---- the request ---------------------------------------------------------------------------
 
     def feed(self, data: bytes) -> None:
-        """More has come."""
+        """Receive bytes of the request's messages."""
         self._bytes += data
         self.received += len(data)
-        self._more.set()
+        self._changed.set()
 
     def end(self) -> None:
-        """The caller has said all."""
+        """Receive the end of the request."""
         self.ended = True
-        self._more.set()
+        self._changed.set()
 
     async def message(self) -> bytes | None:
-        """The next message; None after the last. Raises Ended."""
+        """Return the next message of the request, or None after the last one."""
         while True:
             if len(self._bytes) >= PREFIX:
                 size = PREFIX + int.from_bytes(self._bytes[1:PREFIX], "big")
@@ -63,71 +63,71 @@
                     return message
             if self.ended:
                 return None
-            self._more.clear()
-            await self._more.wait()
+            self._changed.clear()
+            await self._changed.wait()
 
-    # ---- the answer ----------------------------------------------------------------------------
+    # ---- the response --------------------------------------------------------------------------
 
     def head(self, *more: tuple[str, str]) -> None:
-        """The answer's head, once."""
-        if not self._headed:
-            self._headed = True
-            kind = self.headers.get("content-type", "application/grpc")
-            self.connection.head(self.stream, [(":status", "200"), ("content-type", kind), *more])
+        """Send the headers of the response, unless they are sent already."""
+        if not self._head_sent:
+            self._head_sent = True
+            content_type = self.headers.get("content-type", "application/grpc")
+            self.connection.head(self.stream, [(":status", "200"), ("content-type", content_type), *more])
 
     async def send(self, message: bytes) -> None:
-        """One message, as the windows allow."""
+        """Send one message as the flow control windows allow; raises Ended."""
         self.head()
         await self.connection.send(self, b"\0" + len(message).to_bytes(4, "big") + message)
 
     def finish(self, status: int = 0, message: str = "", *more: tuple[str, str]) -> None:
-        """The trailers, or a trailers-only answer."""
+        """Send the trailers, or a trailers-only response if no headers are sent yet."""
         tail = [("grpc-status", str(status)), *([("grpc-message", message)] if message else []), *more]
-        if not self._headed:
+        if not self._head_sent:
             tail = [(":status", "200"), ("content-type", "application/grpc"), *tail]
         self.connection.tail(self.stream, tail)
 
     def reset(self, code: int) -> None:
-        """Give it up."""
+        """Reset the stream."""
         self.connection.reset(self.stream, code)
 
-    def happen(self, script: Script, point: str) -> None:
-        """What the script says of this point; raises Ended where the call goes no further."""
-        what = script.at(point)
-        if what == "reset":
+    def inject(self, script: Script, point: str) -> None:
+        """Inject the script's fault at this point, if any; raises Ended if there is one."""
+        fault = script.at(point)
+        if fault == "reset":
             self.reset(script.code)
-        elif what == "cut":
+        elif fault == "cut":
             self.connection.kill()
-        if what:
+        if fault:
             raise Ended
 
 
 async def scripted(call: Call, script: Script) -> None:
-    """Echo what comes, but for what the script says."""
-    call.happen(script, "head")
+    """Echo the messages of the request, with the faults of the script."""
+    call.inject(script, "head")
     messages = []
     while (message := await call.message()) is not None:
         messages.append(message)
         if len(messages) == 1:
-            call.happen(script, "message")
+            call.inject(script, "message")
             if script.sleep:
                 await asyncio.sleep(script.sleep)
         if script.messages is None and not script.size:
-            await _answer(call, script, message, len(messages) == 1)
+            await _respond(call, script, message, len(messages) == 1)
     if script.messages is not None or script.size is not None:
         first = messages[0] if messages else b""
         for at in range(1 if script.messages is None else script.messages):
-            await _answer(call, script, first if script.size is None else b"x" * script.size, at == 0)
-    call.happen(script, "trailers")
+            await _respond(call, script, first if script.size is None else b"x" * script.size, at == 0)
+    call.inject(script, "trailers")
     if script.spoil == "nothing":
         call.connection.tail(call.stream, None)
     else:
         call.finish(script.status, "as asked" if script.status else "")
 
 
-async def _answer(call: Call, script: Script, message: bytes, first: bool) -> None:
+async def _respond(call: Call, script: Script, message: bytes, first: bool) -> None:
     if first:
-        call.happen(script, "answer")
+        call.inject(script, "answer")
         if script.spoil in ("flag", "early"):
             call.head()
             await call.connection.send(call, (b"\7" if script.spoil == "flag" else b"\0") + b"\0\0\0\x09cut")
@@ -139,71 +139,71 @@
         if script.at("body"):
             call.head()
             await call.connection.send(call, b"\0" + (len(message) + 1).to_bytes(4, "big") + message)
-            await asyncio.sleep(0.01)  # it goes out by itself
-            call.happen(script, "body")
+            await asyncio.sleep(0.01)  # makes it likely that this part is sent on its own, before the fault
+            call.inject(script, "body")
     await call.send(message)
 
 
 class Box:
-    """Listens on one address; `work` does each call, the script is read from its metadata."""
+    """Listens on one address; `work` serves each call, with the script from the call's metadata."""
 
     def __init__(
         self, work: Callable[[Call, Script], Awaitable[None]] = scripted, streams: int = 100, window: int = 65_535
     ) -> None:
         self.work = work
         self.streams, self.window = streams, window
-        self.ran: Counter[str] = Counter()  # by X-Request-ID, from the moment in which the headers have come
+        self.ran: Counter[str] = Counter()  # calls by X-Request-ID, counted when their headers arrive
         self.calls: list[Call] = []
         self.connections: set[Connection] = set()
         self.accepted = 0
         self.pings = 0
-        self.begun = asyncio.Event()  # a call has come
-        self.deaf = False  # reads nothing
+        self.begun = asyncio.Event()  # set by the first call
+        self.deaf = False  # whether connections are not read
         self.address = ""
-        self.scripts = True  # does what scripts say; else it serves all
-        self.credit = True  # opens its callers' windows as it reads
+        self.scripts = True  # whether scripts are followed; if not, each call is served without faults
+        self.credit = True  # whether the callers' flow control windows are extended as data is read
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Begin to serve."""
+        """Start to listen."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Connection(self), host, port, backlog=1024)
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
     def stall(self, deaf: bool = True) -> None:
-        """Read nothing from now on, or go on."""
+        """Stop reading from all connections or, with `deaf` False, resume."""
         self.deaf = deaf
         for connection in self.connections:
             connection.listen()
 
     def goaway(self, last: int | None = None, code: int = 0) -> None:
-        """Leave all callers; by default with what has come so far."""
+        """Send GOAWAY to all callers; the last stream id is by default the highest one received."""
         for connection in self.connections:
             connection.goaway(last, code)
 
     def refuse(self) -> None:
-        """Take no new connections."""
+        """Accept no new connections."""
         if self._server is not None:
             self._server.close()
 
     def kill(self) -> None:
-        """Die as a process does."""
+        """Stop listening and abort all connections, as when a process dies."""
         self.refuse()
         for connection in tuple(self.connections):
             connection.kill()
 
 
 class Connection(asyncio.Protocol):
-    """One connection."""
+    """One caller's connection."""
 
     def __init__(self, box: Box) -> None:
         self._box = box
         self._h2 = H2Connection(H2Configuration(client_side=False, header_encoding="utf-8"))
         self._calls: dict[int, Call] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._room = asyncio.Event()
-        self._last: int | None = None
+        self._window_opened = asyncio.Event()
+        self._last_stream: int | None = None
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -229,11 +229,11 @@
             task.cancel()
 
     def kill(self) -> None:
-        """Close it at once."""
+        """Abort the connection."""
         self._transport.abort()
 
     def listen(self) -> None:
-        """Read, or not."""
+        """Pause or resume reading, as the backend is set."""
         if self._box.deaf:
             self._transport.pause_reading()
         else:
@@ -241,18 +241,18 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what there is."""
+        """Write the pending output of h2."""
         self._transport.write(self._h2.data_to_send())
 
     def raw(self, data: bytes) -> None:
-        """Write these bytes, whatever they are."""
+        """Write bytes that bypass h2."""
         self.flush()
         self._transport.write(data)
 
     def goaway(self, last: int | None, code: int = 0) -> None:
-        """GOAWAY; streams that come later than its last id are not looked at."""
-        self._last = self._h2.highest_inbound_stream_id if last is None else last
-        payload = self._last.to_bytes(4, "big") + code.to_bytes(4, "big")
+        """Send GOAWAY; later streams with an id above `last` are ignored."""
+        self._last_stream = self._h2.highest_inbound_stream_id if last is None else last
+        payload = self._last_stream.to_bytes(4, "big") + code.to_bytes(4, "big")
         self.raw(b"\0\0\x08\x07\0\0\0\0\0" + payload)
 
     def data_received(self, data: bytes) -> None:
@@ -263,12 +263,12 @@
             self._transport.close()
             return
         for event in events:
-            self._event(event)
+            self._on_event(event)
         self.flush()
 
-    def _event(self, event: h2e.Event) -> None:
+    def _on_event(self, event: h2e.Event) -> None:
         if isinstance(event, h2e.RequestReceived):
-            self._begin(event.stream_id, [(str(name), str(value)) for name, value in event.headers])
+            self._start_call(event.stream_id, [(str(name), str(value)) for name, value in event.headers])
         elif isinstance(event, h2e.DataReceived):
             call = self._calls.get(event.stream_id)
             if self._box.credit and event.flow_controlled_length:
@@ -284,14 +284,14 @@
             if call is not None:
                 call.code = int(event.error_code)
                 call.cancelled.set()
-                self._room.set()
+                self._window_opened.set()
         elif isinstance(event, h2e.WindowUpdated | h2e.RemoteSettingsChanged):
-            self._room.set()
+            self._window_opened.set()
         elif isinstance(event, h2e.PingReceived):
             self._box.pings += 1
 
-    def _begin(self, stream: int, fields: list[tuple[str, str]]) -> None:
-        if self._last is not None and stream > self._last:
+    def _start_call(self, stream: int, fields: list[tuple[str, str]]) -> None:
+        if self._last_stream is not None and stream > self._last_stream:
             return
         call = Call(self, stream, fields)
         try:
@@ -299,13 +299,13 @@
         except Wrong as fault:
             call.finish(3, str(fault).replace("%", ""))
             return
-        if script.never_runs == "refuse":
+        if script.rejection == "refuse":
             self.reset(stream, REFUSED_STREAM)
             return
-        if script.never_runs == "above":
+        if script.rejection == "above":
             self.goaway(max(0, stream - 2))
             return
-        if script.never_runs == "unseen":
+        if script.rejection == "unseen":
             call.finish(14, "no room", ("x-not-processed", "1"))
             return
         self._calls[stream] = call
@@ -314,11 +314,11 @@
         self._box.begun.set()
         if script.goaway:
             self.goaway(stream)
-        task = asyncio.get_running_loop().create_task(self._work(call, script))
+        task = asyncio.get_running_loop().create_task(self._run(call, script))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _work(self, call: Call, script: Script) -> None:
+    async def _run(self, call: Call, script: Script) -> None:
         try:
             await self._box.work(call, script)
         except Ended:
@@ -327,10 +327,10 @@
         else:
             self._calls.pop(call.stream, None)
 
-    # ---- what calls write ----------------------------------------------------------------------
+    # ---- output of the calls -------------------------------------------------------------------
 
     def head(self, stream: int, fields: list[tuple[str, str]]) -> None:
-        """The head of an answer."""
+        """Send the headers of a response; raises Ended."""
         try:
             self._h2.send_headers(stream, fields)
         except ProtocolError as fault:
@@ -338,22 +338,22 @@
         self.flush()
 
     async def send(self, call: Call, data: bytes) -> None:
-        """A part of an answer, as the windows allow; raises Ended."""
+        """Send a part of a response as the flow control windows allow; raises Ended."""
         try:
             while data:
-                most = min(self._h2.local_flow_control_window(call.stream), self._h2.max_outbound_frame_size)
-                if most <= 0:
-                    self._room.clear()
-                    await self._room.wait()
+                limit = min(self._h2.local_flow_control_window(call.stream), self._h2.max_outbound_frame_size)
+                if limit <= 0:
+                    self._window_opened.clear()
+                    await self._window_opened.wait()
                     continue
-                self._h2.send_data(call.stream, data[:most])
-                data = data[most:]
+                self._h2.send_data(call.stream, data[:limit])
+                data = data[limit:]
                 self.flush()
         except ProtocolError as fault:
             raise Ended from fault
 
     def tail(self, stream: int, fields: list[tuple[str, str]] | None) -> None:
-        """The trailers; None: an end without them."""
+        """Send the trailers, or with None end the stream without trailers; raises Ended."""
         try:
             if fields is None:
                 self._h2.end_stream(stream)
@@ -364,7 +364,7 @@
         self.flush()
 
     def reset(self, stream: int, code: int) -> None:
-        """RST_STREAM."""
+        """Send RST_STREAM; raises Ended."""
         try:
             self._h2.reset_stream(stream, code)
         except ProtocolError as fault:
--- a/lugspur/standins/grpc/caller.py
+++ b/lugspur/standins/grpc/caller.py
@@ -1,4 +1,4 @@
-"""A gRPC caller on h2 alone: what it sends and when it reads is up to whoever holds it."""
+"""A gRPC caller on h2. Its user decides what it sends and when it reads."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from h2.exceptions import ProtocolError
 from h2.settings import SettingCodes, Settings
 
-PREFIX = 5  # bytes ahead of each message
+PREFIX = 5  # bytes before each message: the compression flag and the length
 Fields = list[tuple[str, str]]
 
 
 @dataclass(slots=True)
 class Answer:
-    """What has come for one call so far; `over` is set with its end, whichever that is."""
+    """The part of a call's response received so far. `over` is set when the call ends, in whichever way."""
 
     head: dict[str, str] = field(default_factory=dict)
     tail: dict[str, str] = field(default_factory=dict)
     data: bytearray = field(default_factory=bytearray)
-    ends: int = 0  # how often the stream was ended: more than once is a fault
-    reset: int | None = None  # the code that it was reset with
-    lost: bool = False  # the connection went first
+    ends: int = 0  # how often the stream was ended; more than once is an error
+    reset: int | None = None  # the error code with which the stream was reset
+    lost: bool = False  # the connection was lost before the call ended
     over: asyncio.Event = field(default_factory=asyncio.Event)
     more: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def status(self) -> int | None:
-        """Its grpc-status; None where none has come."""
+        """The response's grpc-status, or None if it has none."""
         found = self.tail.get("grpc-status", self.head.get("grpc-status"))
         return None if found is None else int(found)
 
     @property
     def said(self) -> str:
-        """Its grpc-message."""
+        """The response's grpc-message."""
         return unquote(self.tail.get("grpc-message", self.head.get("grpc-message", "")))
 
     @property
     def details(self) -> bytes:
-        """Its grpc-status-details-bin."""
+        """The response's grpc-status-details-bin, decoded."""
         text = self.tail.get("grpc-status-details-bin", self.head.get("grpc-status-details-bin", ""))
         return base64.b64decode(text + "=" * (-len(text) % 4))
 
     @property
     def messages(self) -> list[bytes]:
-        """Its whole messages."""
+        """The messages received completely so far."""
         found, at = [], 0
         while at + PREFIX <= len(self.data):
             size = int.from_bytes(self.data[at + 1 : at + PREFIX], "big")
@@ -62,7 +62,7 @@
 
 
 class Caller(asyncio.Protocol):
-    """One connection."""
+    """One connection to a server, with its calls."""
 
     def __init__(self, window: int | None = None) -> None:
         self.h2 = H2Connection(
@@ -76,21 +76,21 @@
         if window is not None:
             self.h2.local_settings = Settings(client=True, initial_values={SettingCodes.INITIAL_WINDOW_SIZE: window})
         self.answers: dict[int, Answer] = {}
-        self.sent: Counter[int] = Counter()  # bytes of messages by stream
-        self.credit = True  # opens its windows as it reads
-        self.goaways: list[tuple[int, int]] = []  # last ids and codes
+        self.sent: Counter[int] = Counter()  # bytes of messages sent, with their prefixes, by stream
+        self.credit = True  # whether the flow control windows are extended as data is read
+        self.goaways: list[tuple[int, int]] = []  # last stream id and error code of each GOAWAY
         self.closed = asyncio.Event()
         self.room = asyncio.Event()
-        self.acked = 0  # PINGs that came back
+        self.acked = 0  # acknowledged PINGs
         self.transport: asyncio.Transport
 
     async def connect(self, host: str, port: int) -> Caller:
-        """Open it."""
+        """Open the connection."""
         await asyncio.get_running_loop().create_connection(lambda: self, host, port)
         return self
 
     def close(self) -> None:
-        """Close it at once."""
+        """Abort the connection."""
         self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -108,18 +108,18 @@
                 answer.over.set()
 
     def flush(self) -> None:
-        """Write what there is."""
+        """Write the pending output of h2."""
         self.transport.write(self.h2.data_to_send())
 
     def raw(self, data: bytes) -> None:
-        """Write these bytes, whatever they are."""
+        """Write bytes that bypass h2."""
         self.flush()
         self.transport.write(data)
 
     # ---- calls ---------------------------------------------------------------------------------
 
     def begin(self, path: str, *metadata: tuple[str, str], end: bool = False, method: str = "POST") -> int:
-        """A call's head; gives its stream."""
+        """Start a call by sending its headers; return its stream id."""
         stream = int(self.h2.get_next_available_stream_id())
         fields = [
             (":method", method),
@@ -136,52 +136,52 @@
         return stream
 
     async def send(self, stream: int, message: bytes, end: bool = False) -> None:
-        """One message, as the windows allow."""
+        """Send one message as the flow control windows allow."""
         await self.write(stream, b"\0" + len(message).to_bytes(4, "big") + message, end)
 
     async def write(self, stream: int, data: bytes, end: bool = False) -> None:
-        """Bytes of messages, as the windows allow; no more where the stream is over."""
+        """Send bytes of messages as the flow control windows allow; stop if the call ends."""
         try:
             while data and not self.answers[stream].over.is_set():
-                most = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
-                if most <= 0:
+                limit = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
+                if limit <= 0:
                     self.room.clear()
                     await self.room.wait()
                     continue
-                self.h2.send_data(stream, data[:most], end_stream=end and most >= len(data))
-                self.sent[stream] += min(most, len(data))
-                data = data[most:]
+                self.h2.send_data(stream, data[:limit], end_stream=end and limit >= len(data))
+                self.sent[stream] += min(limit, len(data))
+                data = data[limit:]
                 self.flush()
         except ProtocolError:
             return
 
     def end(self, stream: int) -> None:
-        """All is said."""
+        """End the request."""
         self.h2.end_stream(stream)
         self.flush()
 
     def cancel(self, stream: int, code: int = 8) -> None:
-        """Give a call up."""
+        """Cancel a call by resetting its stream."""
         self.h2.reset_stream(stream, code)
         self.flush()
 
     async def call(self, path: str, *messages: bytes, metadata: Fields | None = None, within: float = 30.0) -> Answer:
-        """A whole call; raises TimeoutError."""
+        """Make a whole call and return its response; raises TimeoutError."""
         stream = self.begin(path, *(metadata or []), end=not messages)
-        # One write, as gRPC's own libraries make it: a call of one message is all there at once.
+        # A single write, as in gRPC's own libraries: a call with one message arrives as a whole.
         data = b"".join(b"\0" + len(each).to_bytes(4, "big") + each for each in messages)
         async with asyncio.timeout(within):
             await self.write(stream, data, end=True)
             return await self.answer(stream, within)
 
     async def answer(self, stream: int, within: float = 30.0) -> Answer:
-        """What came, when it is over; raises TimeoutError."""
+        """Wait for the end of a call and return its response; raises TimeoutError."""
         answer = self.answers[stream]
         async with asyncio.timeout(within):
             await answer.over.wait()
         return answer
 
-    # ---- what comes ----------------------------------------------------------------------------
+    # ---- input ---------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
         for frame in self._without_goaways(data):
@@ -191,15 +191,15 @@
                 self.transport.abort()
                 return
             for event in events:
-                self._event(event)
+                self._on_event(event)
         if not self.transport.is_closing():
             self.flush()
 
-    _rest = b""
+    _incomplete = b""
 
     def _without_goaways(self, data: bytes) -> list[bytes]:
-        """Frame by frame, since h2 takes a GOAWAY for the end of everything."""
-        data, frames = self._rest + data, []
+        """Split the input into frames and record GOAWAYs here, since h2 ends the whole connection at a GOAWAY."""
+        data, frames = self._incomplete + data, []
         while len(data) >= 9:
             size = 9 + int.from_bytes(data[:3], "big")
             if len(data) < size:
@@ -209,10 +209,10 @@
             else:
                 frames.append(data[:size])
             data = data[size:]
-        self._rest = data
+        self._incomplete = data
         return frames
 
-    def _event(self, event: h2e.Event) -> None:
+    def _on_event(self, event: h2e.Event) -> None:
         if isinstance(event, h2e.WindowUpdated | h2e.RemoteSettingsChanged):
             self.room.set()
         elif isinstance(event, h2e.PingAckReceived):
--- a/lugspur/standins/grpc/echo.py
+++ b/lugspur/standins/grpc/echo.py
@@ -1,4 +1,4 @@
-"""A bare echo on h2: the least that anything on this library and event loop can cost for a call.
+"""A bare echo server on h2: the lower bound for the cost of a call with this library and event loop.
 
 `python -m lugspur.standins.grpc.echo` prints `ready HOST:PORT`.
 """
@@ -11,12 +11,12 @@
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 
-HEAD = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-TAIL = [(b"grpc-status", b"0")]
+HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
+TRAILERS = [(b"grpc-status", b"0")]
 
 
 class Echo(asyncio.Protocol):
-    """One connection; each call's bytes come back when it has said all."""
+    """One connection. Each call's bytes are sent back once the call's request has ended."""
 
     def __init__(self) -> None:
         self._h2 = H2Connection(
@@ -42,9 +42,9 @@
                 self._bodies[event.stream_id] = self._bodies.get(event.stream_id, b"") + event.data
                 self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             elif isinstance(event, h2e.StreamEnded):
-                self._h2.send_headers(event.stream_id, HEAD)
+                self._h2.send_headers(event.stream_id, HEADERS)
                 self._h2.send_data(event.stream_id, self._bodies.pop(event.stream_id, b""))
-                self._h2.send_headers(event.stream_id, TAIL, end_stream=True)
+                self._h2.send_headers(event.stream_id, TRAILERS, end_stream=True)
         self._transport.write(self._h2.data_to_send())
 
 
--- a/lugspur/standins/grpc/script.py
+++ b/lugspur/standins/grpc/script.py
@@ -1,4 +1,4 @@
-"""What is to go wrong with a call: `x-script: sleep 200ms, reset answer 2` and the like."""
+"""Scripts that define the faults of one call, such as `x-script: sleep 200ms, reset answer 2`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-POINTS = ("head", "message", "answer", "body", "trailers")  # ...of the request, of the request, of the answer
+# Points of a call at which a fault can happen: after the head and after the first message of the request; before the
+# response, inside its first message, and before its trailers.
+POINTS = ("head", "message", "answer", "body", "trailers")
 STEPS = {
     "refuse": "RST_STREAM with REFUSED_STREAM; it does not run",
     "above": "GOAWAY with the last id below this stream's; it does not run",
@@ -24,100 +26,100 @@
 
 
 class Wrong(ValueError):
-    """A script that can't be read; its text says what to write."""
+    """A script is invalid; the message lists the valid steps."""
 
 
 @dataclass(slots=True)
 class Script:
-    """One call's script."""
-
-    never_runs: str = ""  # refuse, above or unseen
-    goaway: bool = False
-    reset: str = ""
-    code: int = 2
-    cut: str = ""
-    stall: str = ""
-    sleep: float = 0.0
-    status: int = 0
-    messages: int | None = None
-    size: int | None = None
-    spoil: str = ""
+    """The faults of one call."""
+
+    rejection: str = ""  # refuse, above or unseen: how the call is rejected before it runs; "" runs it
+    goaway: bool = False  # send GOAWAY with this call's stream as the last one
+    reset: str = ""  # the point at which the stream is reset
+    code: int = 2  # the HTTP/2 error code of the reset
+    cut: str = ""  # the point at which the connection is closed
+    stall: str = ""  # the point from which on nothing more is sent
+    sleep: float = 0.0  # seconds before the response
+    status: int = 0  # the grpc-status of the response
+    messages: int | None = None  # messages in the response; None: as many as in the request, or one if `size` is set
+    size: int | None = None  # bytes of each message of the response; None: echo the request
+    spoil: str = ""  # flag, frame, early or nothing: which part of the response is malformed or missing
 
     def at(self, point: str) -> str:
-        """What is to happen there: reset, cut, stall or nothing."""
+        """Return the fault at this point: reset, cut, stall, or "" for none."""
         return next((what for what in ("reset", "cut", "stall") if getattr(self, what) == point), "")
 
 
 def read(text: str) -> Script:
-    """A script; raises Wrong."""
+    """Parse a script; raises Wrong."""
     script = Script()
     for step in filter(None, (part.strip() for part in text.split(","))):
-        name, *given = step.split()
-        reader = READERS.get(name)
+        name, *arguments = step.split()
+        parser = STEP_PARSERS.get(name)
         try:
-            if reader is None:
+            if parser is None:
                 raise Wrong
-            reader(script, given)
-        except (Wrong, ValueError, IndexError) as fault:
+            parser(script, arguments)
+        except (Wrong, ValueError, IndexError) as error:
             known = "; ".join(f"{key}: {meaning}" for key, meaning in STEPS.items())
-            raise Wrong(f"{step!r} is no step; write one of {known}") from fault
+            raise Wrong(f"{step!r} is no step; write one of {known}") from error
     return script
 
 
-def _never(kind: str) -> Callable[[Script, list[str]], None]:
-    def take(script: Script, given: list[str]) -> None:
-        if given:
+def _parse_rejection(kind: str) -> Callable[[Script, list[str]], None]:
+    def parse(script: Script, arguments: list[str]) -> None:
+        if arguments:
             raise Wrong
-        script.never_runs = kind
+        script.rejection = kind
 
-    return take
+    return parse
 
 
-def _point(kind: str) -> Callable[[Script, list[str]], None]:
-    def take(script: Script, given: list[str]) -> None:
-        if given[0] not in POINTS:
+def _parse_point(kind: str) -> Callable[[Script, list[str]], None]:
+    def parse(script: Script, arguments: list[str]) -> None:
+        if arguments[0] not in POINTS:
             raise Wrong
-        setattr(script, kind, given[0])
-        script.code = int(given[1]) if kind == "reset" and len(given) > 1 else script.code
+        setattr(script, kind, arguments[0])
+        script.code = int(arguments[1]) if kind == "reset" and len(arguments) > 1 else script.code
 
-    return take
+    return parse
 
 
-def _number(field: str) -> Callable[[Script, list[str]], None]:
-    def take(script: Script, given: list[str]) -> None:
-        setattr(script, field, int(given[0]))
+def _parse_number(field: str) -> Callable[[Script, list[str]], None]:
+    def parse(script: Script, arguments: list[str]) -> None:
+        setattr(script, field, int(arguments[0]))
 
-    return take
+    return parse
 
 
-def _goaway(script: Script, _: list[str]) -> None:
+def _parse_goaway(script: Script, _: list[str]) -> None:
     script.goaway = True
 
 
-def _sleep(script: Script, given: list[str]) -> None:
-    found = re.fullmatch(r"(\d+)(ms|s)", given[0])
-    if found is None:
+def _parse_sleep(script: Script, arguments: list[str]) -> None:
+    match = re.fullmatch(r"(\d+)(ms|s)", arguments[0])
+    if match is None:
         raise Wrong
-    script.sleep = int(found[1]) / (1000.0 if found[2] == "ms" else 1.0)
+    script.sleep = int(match[1]) / (1000.0 if match[2] == "ms" else 1.0)
 
 
-def _spoil(script: Script, given: list[str]) -> None:
-    if given[0] not in ("flag", "frame", "early", "nothing"):
+def _parse_spoil(script: Script, arguments: list[str]) -> None:
+    if arguments[0] not in ("flag", "frame", "early", "nothing"):
         raise Wrong
-    script.spoil = given[0]
-
-
-READERS: dict[str, Callable[[Script, list[str]], None]] = {
-    "refuse": _never("refuse"),
-    "above": _never("above"),
-    "unseen": _never("unseen"),
-    "goaway": _goaway,
-    "reset": _point("reset"),
-    "cut": _point("cut"),
-    "stall": _point("stall"),
-    "sleep": _sleep,
-    "status": _number("status"),
-    "messages": _number("messages"),
-    "size": _number("size"),
-    "spoil": _spoil,
+    script.spoil = arguments[0]
+
+
+STEP_PARSERS: dict[str, Callable[[Script, list[str]], None]] = {
+    "refuse": _parse_rejection("refuse"),
+    "above": _parse_rejection("above"),
+    "unseen": _parse_rejection("unseen"),
+    "goaway": _parse_goaway,
+    "reset": _parse_point("reset"),
+    "cut": _parse_point("cut"),
+    "stall": _parse_point("stall"),
+    "sleep": _parse_sleep,
+    "status": _parse_number("status"),
+    "messages": _parse_number("messages"),
+    "size": _parse_number("size"),
+    "spoil": _parse_spoil,
 }
