--- a/lugspur/standins/grpc/box.py
+++ b/lugspur/standins/grpc/box.py
@@ -12,7 +12,7 @@
 from h2.exceptions import ProtocolError
 from h2.settings import SettingCodes, Settings
 
-from lugspur.standins.grpc.script import Script, Wrong, read
+from lugspur.standins.grpc.script import Script, ScriptError, read
 
 REFUSED_STREAM = 7  # HTTP/2 error code
 PREFIX = 5  # bytes before each message: the compression flag and the length
@@ -296,7 +296,7 @@
         call = Call(self, stream, fields)
         try:
             script = read(call.headers.get("x-script", "") if self._box.scripts else "")
-        except Wrong as fault:
+        except ScriptError as fault:
             call.finish(3, str(fault).replace("%", ""))
             return
         if script.rejection == "refuse":
--- a/lugspur/standins/grpc/script.py
+++ b/lugspur/standins/grpc/script.py
@@ -25,7 +25,7 @@
 }
 
 
-class Wrong(ValueError):
+class ScriptError(ValueError):
     """A script is invalid; the message lists the valid steps."""
 
 
@@ -51,25 +51,25 @@
 
 
 def read(text: str) -> Script:
-    """Parse a script; raises Wrong."""
+    """Parse a script; raises ScriptError."""
     script = Script()
     for step in filter(None, (part.strip() for part in text.split(","))):
         name, *arguments = step.split()
         parser = STEP_PARSERS.get(name)
         try:
             if parser is None:
-                raise Wrong
+                raise ScriptError
             parser(script, arguments)
-        except (Wrong, ValueError, IndexError) as error:
+        except (ScriptError, ValueError, IndexError) as error:
             known = "; ".join(f"{key}: {meaning}" for key, meaning in STEPS.items())
-            raise Wrong(f"{step!r} is no step; write one of {known}") from error
+            raise ScriptError(f"{step!r} is no step; write one of {known}") from error
     return script
 
 
 def _parse_rejection(kind: str) -> Callable[[Script, list[str]], None]:
     def parse(script: Script, arguments: list[str]) -> None:
         if arguments:
-            raise Wrong
+            raise ScriptError
         script.rejection = kind
 
     return parse
@@ -78,7 +78,7 @@
 def _parse_point(kind: str) -> Callable[[Script, list[str]], None]:
     def parse(script: Script, arguments: list[str]) -> None:
         if arguments[0] not in POINTS:
-            raise Wrong
+            raise ScriptError
         setattr(script, kind, arguments[0])
         script.code = int(arguments[1]) if kind == "reset" and len(arguments) > 1 else script.code
 
@@ -99,13 +99,13 @@
 def _parse_sleep(script: Script, arguments: list[str]) -> None:
     match = re.fullmatch(r"(\d+)(ms|s)", arguments[0])
     if match is None:
-        raise Wrong
+        raise ScriptError
     script.sleep = int(match[1]) / (1000.0 if match[2] == "ms" else 1.0)
 
 
 def _parse_spoil(script: Script, arguments: list[str]) -> None:
     if arguments[0] not in ("flag", "frame", "early", "nothing"):
-        raise Wrong
+        raise ScriptError
     script.spoil = arguments[0]
 
 
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -23,7 +23,7 @@
 from lugspur.http2.wire import MAX_BACKLOG_BYTES
 from lugspur.standins.grpc.box import Call, scripted
 from lugspur.standins.grpc.caller import Answer, Caller
-from lugspur.standins.grpc.script import STEPS, Script, Wrong, read
+from lugspur.standins.grpc.script import STEPS, Script, ScriptError, read
 
 UNKNOWN, DEADLINE, UNAVAILABLE, INTERNAL, UNIMPLEMENTED = 2, 4, 14, 13, 12
 
@@ -905,5 +905,5 @@
         [sys.executable, "-m", "lugspur.standins.grpc", "--help"], capture_output=True, text=True, timeout=60
     )
     assert all(step.split()[0] in completed.stdout for step in STEPS)
-    with pytest.raises(Wrong, match="'jump' is no step; write one of refuse"):
+    with pytest.raises(ScriptError, match="'jump' is no step; write one of refuse"):
         read("sleep 5ms, jump")
