--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -115,7 +115,7 @@
             begun = time.monotonic()
             got = await caller.call(f"/api/k{number}", b"x" * SIZE, within=WITHIN)
             if got.status != 0:
-                raise RuntimeError(f"grpc-status {got.status}: {got.said}")
+                raise RuntimeError(f"grpc-status {got.status}: {got.status_message}")
             seconds.append(time.monotonic() - begun)
 
     opened = [await Caller().connect(host, port) for _ in range(connections)]
@@ -181,7 +181,7 @@
         async with asyncio.timeout(WITHIN):
             await answer.more.wait()
         if not answer.data:
-            raise RuntimeError(f"grpc-status {answer.status}: {answer.said}")
+            raise RuntimeError(f"grpc-status {answer.status}: {answer.status_message}")
     return caller
 
 
@@ -220,7 +220,7 @@
         answer.data.clear()
     caller.end(stream)
     if (await caller.answer(stream, 10 * WITHIN)).status != 0:
-        raise RuntimeError(f"grpc-status {answer.status}: {answer.said}")
+        raise RuntimeError(f"grpc-status {answer.status}: {answer.status_message}")
     caller.close()
 
 
--- a/lugspur/standins/grpc/caller.py
+++ b/lugspur/standins/grpc/caller.py
@@ -38,7 +38,7 @@
         return None if found is None else int(found)
 
     @property
-    def said(self) -> str:
+    def status_message(self) -> str:
         """The response's grpc-message."""
         return unquote(self.tail.get("grpc-message", self.head.get("grpc-message", "")))
 
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -125,7 +125,7 @@
     async def body(world: World) -> None:
         caller = await world.caller()
         response = await caller.call("/book/Do", b"x", metadata=script(steps))
-        assert (response.status, response.said, world.ran("r")) == (status_, message, 1)
+        assert (response.status, response.status_message, world.ran("r")) == (status_, message, 1)
 
     play(body)
 
@@ -303,7 +303,7 @@
     async def body(world: World) -> None:
         caller = await world.caller()
         response = await caller.call("/read/Do", b"x", metadata=[("grpc-timeout", value)])
-        assert response.status == INTERNAL and "grpc-timeout" in response.said and not world.ran()
+        assert response.status == INTERNAL and "grpc-timeout" in response.status_message and not world.ran()
 
     play(body)
 
@@ -679,7 +679,7 @@
         stream = caller.begin("/book/Talk")
         await caller.send(stream, b"one")
         response = await caller.answer(stream)
-        assert (response.status, response.said) == (9, "enough")
+        assert (response.status, response.status_message) == (9, "enough")
         assert (await caller.call("/book/Talk", b"x")).status == 9
 
     async def work(call: Call, _: Script) -> None:
