--- a/lugspur/standins/grpc/caller.py
+++ b/lugspur/standins/grpc/caller.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """The part of a call's response received so far. `over` is set when the call ends, in whichever way."""
+    """The part of a call's response received so far. `ended` is set when the call ends, in whichever way."""
 
     head: dict[str, str] = field(default_factory=dict)
     tail: dict[str, str] = field(default_factory=dict)
@@ -28,7 +28,7 @@
     ends: int = 0  # how often the stream was ended; more than once is an error
     reset: int | None = None  # the error code with which the stream was reset
     lost: bool = False  # the connection was lost before the call ended
-    over: asyncio.Event = field(default_factory=asyncio.Event)
+    ended: asyncio.Event = field(default_factory=asyncio.Event)
     more: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
@@ -103,9 +103,9 @@
         self.closed.set()
         self.room.set()
         for answer in self.answers.values():
-            if not answer.over.is_set():
+            if not answer.ended.is_set():
                 answer.lost = True
-                answer.over.set()
+                answer.ended.set()
 
     def flush(self) -> None:
         """Write the pending output of h2."""
@@ -142,7 +142,7 @@
     async def write(self, stream: int, data: bytes, end: bool = False) -> None:
         """Send bytes of messages as the flow control windows allow; stop if the call ends."""
         try:
-            while data and not self.answers[stream].over.is_set():
+            while data and not self.answers[stream].ended.is_set():
                 limit = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
                 if limit <= 0:
                     self.room.clear()
@@ -178,7 +178,7 @@
         """Wait for the end of a call and return its response; raises TimeoutError."""
         answer = self.answers[stream]
         async with asyncio.timeout(within):
-            await answer.over.wait()
+            await answer.ended.wait()
         return answer
 
     # ---- input ---------------------------------------------------------------------------------
@@ -231,11 +231,11 @@
                 self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         elif isinstance(event, h2e.StreamEnded):
             answer.ends += 1
-            answer.over.set()
+            answer.ended.set()
             answer.more.set()
             self.room.set()
         elif isinstance(event, h2e.StreamReset):
-            if not answer.over.is_set():
+            if not answer.ended.is_set():
                 answer.reset = int(event.error_code)
-            answer.over.set()
+            answer.ended.set()
             self.room.set()
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -665,7 +665,7 @@
         await until(lambda: bool(box.calls) and box.calls[0].received == 65_535)
         box.credit = True  # the used part of that connection's window stays used
         assert (await caller.call("/read/Do", b"x")).status == 0  # on another connection
-        assert box.accepted == 2 and not caller.answers[stream].over.is_set()
+        assert box.accepted == 2 and not caller.answers[stream].ended.is_set()
         assert (await caller.answer(stream)).status == DEADLINE
         await soon(sending)
         await until(lambda: len(box.connections) == 1)
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -207,7 +207,7 @@
             stream = begin_request(caller, "/read", end=True)
             response, started_at = caller.answers[stream], asyncio.get_running_loop().time()
             acknowledged = 0
-            while not response.over.is_set():
+            while not response.ended.is_set():
                 await asyncio.sleep(0.03)
                 if len(response.data) > acknowledged:
                     caller.h2.acknowledge_received_data(len(response.data) - acknowledged, stream)
