--- a/lugspur/standins/grpc/box.py
+++ b/lugspur/standins/grpc/box.py
@@ -161,7 +161,7 @@
         self.deaf = False  # whether connections are not read
         self.address = ""
         self.scripts = True  # whether scripts are followed; if not, each call is served without faults
-        self.credit = True  # whether the callers' flow control windows are extended as data is read
+        self.extends_windows = True  # whether the callers' flow control windows are extended as data is read
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> None:
@@ -271,7 +271,7 @@
             self._start_call(event.stream_id, [(str(name), str(value)) for name, value in event.headers])
         elif isinstance(event, h2e.DataReceived):
             call = self._calls.get(event.stream_id)
-            if self._box.credit and event.flow_controlled_length:
+            if self._box.extends_windows and event.flow_controlled_length:
                 self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             if call is not None:
                 call.feed(event.data)
--- a/lugspur/standins/grpc/caller.py
+++ b/lugspur/standins/grpc/caller.py
@@ -77,7 +77,7 @@
             self.h2.local_settings = Settings(client=True, initial_values={SettingCodes.INITIAL_WINDOW_SIZE: window})
         self.answers: dict[int, Answer] = {}
         self.sent: Counter[int] = Counter()  # bytes of messages sent, with their prefixes, by stream
-        self.credit = True  # whether the flow control windows are extended as data is read
+        self.extends_windows = True  # whether the flow control windows are extended as data is read
         self.goaways: list[tuple[int, int]] = []  # last stream id and error code of each GOAWAY
         self.closed = asyncio.Event()
         self.room = asyncio.Event()
@@ -227,7 +227,7 @@
         elif isinstance(event, h2e.DataReceived):
             answer.data += event.data
             answer.more.set()
-            if self.credit and event.flow_controlled_length:
+            if self.extends_windows and event.flow_controlled_length:
                 self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         elif isinstance(event, h2e.StreamEnded):
             answer.ends += 1
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -612,7 +612,7 @@
 
 def test_no_more_is_read_from_a_caller_than_can_be_forwarded() -> None:
     async def body(world: World) -> None:
-        world.box.credit = False  # the backend's windows stay closed
+        world.box.extends_windows = False  # the backend's windows stay closed
         caller = await world.caller()
         stream = caller.begin("/read/Talk")
         with pytest.raises(TimeoutError):
@@ -629,7 +629,7 @@
 
     async def body(world: World) -> None:
         reading_nothing, other = await world.caller(), await world.caller()
-        reading_nothing.credit = False
+        reading_nothing.extends_windows = False
         streams = [reading_nothing.begin("/read/Do", *script("messages 40, size 10000", f"r{at}")) for at in range(30)]
         for stream in streams:
             await reading_nothing.send(stream, b"x", end=True)
@@ -648,7 +648,7 @@
 
     async def body(world: World) -> None:
         caller = await world.caller()
-        caller.credit = False
+        caller.extends_windows = False
         stream = caller.begin("/read/Do", *script("messages 1, size 100000"))
         await caller.send(stream, b"x", end=True)
         assert (await caller.answer(stream)).reset == 8  # CANCEL: the response is incomplete
@@ -659,11 +659,11 @@
 def test_a_closed_window_of_a_backend_delays_its_own_caller_alone() -> None:
     async def body(world: World) -> None:
         box, caller = world.box, await world.caller()
-        box.credit = False
+        box.extends_windows = False
         stream = caller.begin("/read/Talk", ("grpc-timeout", "2S"))
         sending = asyncio.get_running_loop().create_task(caller.send(stream, b"x" * 500_000))
         await until(lambda: bool(box.calls) and box.calls[0].received == 65_535)
-        box.credit = True  # the used part of that connection's window stays used
+        box.extends_windows = True  # the used part of that connection's window stays used
         assert (await caller.call("/read/Do", b"x")).status == 0  # on another connection
         assert box.accepted == 2 and not caller.answers[stream].ended.is_set()
         assert (await caller.answer(stream)).status == DEADLINE
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -175,7 +175,7 @@
     async def play() -> None:
         async with box(respond_with(BODY, "length")) as address, daemon_for(address) as up:
             reading_nothing, other = await connect_caller(up), await connect_caller(up)
-            reading_nothing.credit = False
+            reading_nothing.extends_windows = False
             streams = [begin_request(reading_nothing, "/read", end=True) for _ in range(20)]
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
@@ -203,7 +203,7 @@
         head = CONFIG.replace('hold = "64KiB"', 'hold = "1MiB"')
         async with box(respond_with(body, "length")) as address, daemon_for(address, head=head) as up:
             caller = await connect_caller(up, window=size // 10)
-            caller.credit = False
+            caller.extends_windows = False
             stream = begin_request(caller, "/read", end=True)
             response, started_at = caller.answers[stream], asyncio.get_running_loop().time()
             acknowledged = 0
