--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -177,7 +177,7 @@
     for at in range(count):
         stream = caller.begin("/read/Talk", ("x-request-id", f"s{at}"))
         await caller.send(stream, b"x" * SIZE)
-        answer = caller.answers[stream]
+        answer = caller.responses[stream]
         async with asyncio.timeout(WITHIN):
             await answer.more.wait()
         if not answer.data:
@@ -214,12 +214,12 @@
     """A stream of so many MB each way."""
     caller = await Caller().connect(host, port)
     stream = caller.begin("/read/Talk")
-    answer = caller.answers[stream]
+    answer = caller.responses[stream]
     for _ in range(megabytes * 4):
         await caller.send(stream, b"x" * (1 << 18))
         answer.data.clear()
     caller.end(stream)
-    if (await caller.answer(stream, 10 * WITHIN)).status != 0:
+    if (await caller.response(stream, 10 * WITHIN)).status != 0:
         raise RuntimeError(f"grpc-status {answer.status}: {answer.status_message}")
     caller.close()
 
--- a/lugspur/standins/grpc/caller.py
+++ b/lugspur/standins/grpc/caller.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """The part of a call's response received so far. `ended` is set when the call ends, in whichever way."""
 
     head: dict[str, str] = field(default_factory=dict)
@@ -75,7 +75,7 @@
         )
         if window is not None:
             self.h2.local_settings = Settings(client=True, initial_values={SettingCodes.INITIAL_WINDOW_SIZE: window})
-        self.answers: dict[int, Answer] = {}
+        self.responses: dict[int, Response] = {}
         self.sent: Counter[int] = Counter()  # bytes of messages sent, with their prefixes, by stream
         self.extends_windows = True  # whether the flow control windows are extended as data is read
         self.goaways: list[tuple[int, int]] = []  # last stream id and error code of each GOAWAY
@@ -102,10 +102,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed.set()
         self.room.set()
-        for answer in self.answers.values():
-            if not answer.ended.is_set():
-                answer.lost = True
-                answer.ended.set()
+        for response in self.responses.values():
+            if not response.ended.is_set():
+                response.lost = True
+                response.ended.set()
 
     def flush(self) -> None:
         """Write the pending output of h2."""
@@ -131,7 +131,7 @@
             *metadata,
         ]
         self.h2.send_headers(stream, fields, end_stream=end)
-        self.answers[stream] = Answer()
+        self.responses[stream] = Response()
         self.flush()
         return stream
 
@@ -142,7 +142,7 @@
     async def write(self, stream: int, data: bytes, end: bool = False) -> None:
         """Send bytes of messages as the flow control windows allow; stop if the call ends."""
         try:
-            while data and not self.answers[stream].ended.is_set():
+            while data and not self.responses[stream].ended.is_set():
                 limit = min(self.h2.local_flow_control_window(stream), self.h2.max_outbound_frame_size)
                 if limit <= 0:
                     self.room.clear()
@@ -165,21 +165,21 @@
         self.h2.reset_stream(stream, code)
         self.flush()
 
-    async def call(self, path: str, *messages: bytes, metadata: Fields | None = None, within: float = 30.0) -> Answer:
+    async def call(self, path: str, *messages: bytes, metadata: Fields | None = None, within: float = 30.0) -> Response:
         """Make a whole call and return its response; raises TimeoutError."""
         stream = self.begin(path, *(metadata or []), end=not messages)
         # A single write, as in gRPC's own libraries: a call with one message arrives as a whole.
         data = b"".join(b"\0" + len(each).to_bytes(4, "big") + each for each in messages)
         async with asyncio.timeout(within):
             await self.write(stream, data, end=True)
-            return await self.answer(stream, within)
+            return await self.response(stream, within)
 
-    async def answer(self, stream: int, within: float = 30.0) -> Answer:
+    async def response(self, stream: int, within: float = 30.0) -> Response:
         """Wait for the end of a call and return its response; raises TimeoutError."""
-        answer = self.answers[stream]
+        response = self.responses[stream]
         async with asyncio.timeout(within):
-            await answer.ended.wait()
-        return answer
+            await response.ended.wait()
+        return response
 
     # ---- input ---------------------------------------------------------------------------------
 
@@ -217,25 +217,25 @@
             self.room.set()
         elif isinstance(event, h2e.PingAckReceived):
             self.acked += 1
-        answer = self.answers.get(getattr(event, "stream_id", None) or 0)
-        if answer is None:
+        response = self.responses.get(getattr(event, "stream_id", None) or 0)
+        if response is None:
             return
         if isinstance(event, h2e.ResponseReceived):
-            answer.head = {str(name): str(value) for name, value in event.headers}
+            response.head = {str(name): str(value) for name, value in event.headers}
         elif isinstance(event, h2e.TrailersReceived):
-            answer.tail = {str(name): str(value) for name, value in event.headers}
+            response.tail = {str(name): str(value) for name, value in event.headers}
         elif isinstance(event, h2e.DataReceived):
-            answer.data += event.data
-            answer.more.set()
+            response.data += event.data
+            response.more.set()
             if self.extends_windows and event.flow_controlled_length:
                 self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         elif isinstance(event, h2e.StreamEnded):
-            answer.ends += 1
-            answer.ended.set()
-            answer.more.set()
+            response.ends += 1
+            response.ended.set()
+            response.more.set()
             self.room.set()
         elif isinstance(event, h2e.StreamReset):
-            if not answer.ended.is_set():
-                answer.reset = int(event.error_code)
-            answer.ended.set()
+            if not response.ended.is_set():
+                response.reset = int(event.error_code)
+            response.ended.set()
             self.room.set()
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -22,7 +22,7 @@
 from lugspur.http2 import front as http2_front
 from lugspur.http2.wire import MAX_BACKLOG_BYTES
 from lugspur.standins.grpc.box import Call, scripted
-from lugspur.standins.grpc.caller import Answer, Caller
+from lugspur.standins.grpc.caller import Caller, Response
 from lugspur.standins.grpc.script import STEPS, Script, ScriptError, read
 
 UNKNOWN, DEADLINE, UNAVAILABLE, INTERNAL, UNIMPLEMENTED = 2, 4, 14, 13, 12
@@ -75,12 +75,12 @@
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/Talk")
-        answer = caller.answers[stream]
+        answer = caller.responses[stream]
         for at in range(5):
             await caller.send(stream, b"%d" % at)
             await until(lambda at=at: len(answer.messages) == at + 1)  # type: ignore[misc]
         caller.end(stream)
-        assert (await caller.answer(stream)).status == 0
+        assert (await caller.response(stream)).status == 0
 
     play(body)
 
@@ -98,7 +98,7 @@
         for stream, rest in streams:
             await caller.write(stream, rest, end=True)
         for stream, _ in streams:
-            response = await caller.answer(stream)
+            response = await caller.response(stream)
             assert (response.status, response.messages) == (0, [b"secret"])
         assert all(call.ended for call in world.box.calls)
 
@@ -111,7 +111,7 @@
         for data in (b"\0\0\0\0\x09cut", b"\2\0\0\0\0", b"\0\0"):
             stream = caller.begin("/read/Do")
             await caller.write(stream, data, end=True)
-            assert (await caller.answer(stream)).status == INTERNAL
+            assert (await caller.response(stream)).status == INTERNAL
         assert not world.ran()
         assert (await caller.call("/read/Do", b"x")).status == 0  # the connection still works
 
@@ -216,7 +216,7 @@
         await asyncio.sleep(0.05)
         assert not world.ran()  # the daemon waits for the whole message
         await caller.write(stream, b"x" * 50, end=True)
-        response = await caller.answer(stream)
+        response = await caller.response(stream)
         assert (response.status, world.ran("r")) == (UNKNOWN, 1)
 
     play(body, count=3)
@@ -227,7 +227,7 @@
         caller = await world.caller()
         stream = caller.begin("/read/Talk", *script("reset message"))
         await caller.send(stream, b"one")
-        assert (await caller.answer(stream)).status == UNAVAILABLE  # a safe call: a retry of the caller does no harm
+        assert (await caller.response(stream)).status == UNAVAILABLE  # a safe call: a retry of the caller does no harm
         assert world.ran("r") == 1
 
     play(body, count=3)
@@ -238,7 +238,7 @@
         caller = await world.caller()
         stream = caller.begin("/read/Talk", *script("above"))
         await caller.send(stream, b"one")
-        assert (await caller.answer(stream)).status == UNAVAILABLE
+        assert (await caller.response(stream)).status == UNAVAILABLE
         assert (world.ran("r"), world.box.accepted) == (0, 1)
 
     play(body)
@@ -248,7 +248,7 @@
     async def body(world: World) -> None:
         caller = await world.caller()
         stream = caller.begin("/read/Talk", *script("reset head"))
-        assert (await caller.answer(stream)).status == UNAVAILABLE
+        assert (await caller.response(stream)).status == UNAVAILABLE
         assert 1 < world.ran("r") <= 3
 
     play(body, count=3)
@@ -356,7 +356,7 @@
         box.goaway(half)
         release.set()
         for at, stream in enumerate(streams):
-            response = await caller.answer(stream)
+            response = await caller.response(stream)
             assert (response.status, response.messages) == (0, [b"x"]) and world.ran(f"r{at}") == 1
         assert box.accepted == 2
 
@@ -378,7 +378,7 @@
             await caller.send(stream, b"x", end=True)
         await until(lambda: len(world.box.calls) == 16)
         release.set()
-        statuses = [(await caller.answer(stream)).status for stream in streams]
+        statuses = [(await caller.response(stream)).status for stream in streams]
         assert statuses.count(0) == 16 and statuses.count(UNAVAILABLE) == 14  # rejected at the limit instead of queued
         assert world.box.accepted == 4
 
@@ -390,12 +390,12 @@
         caller, box = await world.caller(), world.box
         stream = caller.begin("/read/Talk")
         await caller.send(stream, b"one")
-        await until(lambda: caller.answers[stream].messages == [b"one"])
+        await until(lambda: caller.responses[stream].messages == [b"one"])
         member = f'{{ address = "{box.address}", protocol = "grpc", drain = true }}'
         await world.up.reload(f"[pools.a]\nmembers = [{member}]\n" + ROUTES, HTTP2)
         assert (await caller.call("/read/Do", b"x")).status == UNAVAILABLE
         await caller.send(stream, b"two", end=True)
-        response = await caller.answer(stream)
+        response = await caller.response(stream)
         assert (response.status, response.messages, len(box.calls)) == (0, [b"one", b"two"], 1)
         await until(lambda: not box.connections)
 
@@ -447,7 +447,7 @@
         await caller.send(stream, b"x", end=True)
         await until(lambda: world.ran("r") == 1)
         box.stall()
-        assert (await caller.answer(stream)).status == UNKNOWN
+        assert (await caller.response(stream)).status == UNKNOWN
 
     play(body)
 
@@ -517,13 +517,13 @@
         caller = await world.caller()
         stream = caller.begin("/read/x?q=1", ("accept", "text/plain"), method="GET", end=True)
         # The caller's content type makes this a gRPC call, for which GET is not allowed.
-        assert (await caller.answer(stream)).status is not None
+        assert (await caller.response(stream)).status is not None
         fields_ = [(":method", "GET"), (":scheme", "http"), (":path", "/read/x?q=1"), (":authority", "h.example")]
         plain = caller.h2.get_next_available_stream_id()
         caller.h2.send_headers(plain, fields_, end_stream=True)
-        caller.answers[plain] = type(caller.answers[stream])()
+        caller.responses[plain] = type(caller.responses[stream])()
         caller.flush()
-        response = await caller.answer(plain)
+        response = await caller.response(plain)
         assert response.head[":status"] == "200" and response.head["grpc-status"] == "0"
 
     play(body)
@@ -534,7 +534,7 @@
     stream = int(caller.h2.get_next_available_stream_id())
     head = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", "h.example"), *fields_]
     caller.h2.send_headers(stream, head, end_stream=end)
-    caller.answers[stream] = Answer()
+    caller.responses[stream] = Response()
     caller.flush()
     return stream
 
@@ -548,9 +548,9 @@
             stream = plain(caller, end=not body_, path=path)
             if body_:
                 await caller.write(stream, body_, end=True)
-            assert (await caller.answer(stream)).head[":status"] == "200"
+            assert (await caller.response(stream)).head[":status"] == "200"
             after = plain(caller, path="/read/after")  # a duplicate would have arrived before this request
-            assert (await caller.answer(after)).head[":status"] == "200"
+            assert (await caller.response(after)).head[":status"] == "200"
             await until(lambda: world.up.in_hand() == 0)
             assert one.got.qsize() == 2
 
@@ -560,7 +560,7 @@
 def test_an_ordinary_request_over_http2_whose_body_never_ends_is_answered_408() -> None:
     async def body(world: World) -> None:
         caller = await world.caller()
-        response = await caller.answer(plain(caller, end=False))
+        response = await caller.response(plain(caller, end=False))
         assert response.head[":status"] == "408" and not world.ran()
 
     play(body, head=HTTP2.replace("[limits]", '[limits]\nread = "100ms"'))
@@ -577,7 +577,7 @@
         async with backend(take) as other, boxed(0, others=(other.address,)) as world:
             caller = await world.caller()
             stream = plain(caller, ("cookie", "a=1"), ("x_tenant", "me"), ("cookie", "b=2"))
-            assert (await caller.answer(stream)).head[":status"] == "200"
+            assert (await caller.response(stream)).head[":status"] == "200"
             assert b"\r\ncookie: a=1; b=2\r\n" in seen[0] and b"x_tenant" not in seen[0]
 
     asyncio.run(run())
@@ -597,7 +597,7 @@
         await until(lambda: len(world.up.running.listeners["main"][0].callers) == 1)
         await soon(next(call for call in world.box.calls if call.rid == "r").cancelled.wait())
         await alive.send(other, b"two", end=True)
-        assert (await alive.answer(other)).messages == [b"one", b"two"]
+        assert (await alive.response(other)).messages == [b"one", b"two"]
 
     play(body)
 
@@ -651,7 +651,7 @@
         caller.extends_windows = False
         stream = caller.begin("/read/Do", *script("messages 1, size 100000"))
         await caller.send(stream, b"x", end=True)
-        assert (await caller.answer(stream)).reset == 8  # CANCEL: the response is incomplete
+        assert (await caller.response(stream)).reset == 8  # CANCEL: the response is incomplete
 
     play(body)
 
@@ -665,8 +665,8 @@
         await until(lambda: bool(box.calls) and box.calls[0].received == 65_535)
         box.extends_windows = True  # the used part of that connection's window stays used
         assert (await caller.call("/read/Do", b"x")).status == 0  # on another connection
-        assert box.accepted == 2 and not caller.answers[stream].ended.is_set()
-        assert (await caller.answer(stream)).status == DEADLINE
+        assert box.accepted == 2 and not caller.responses[stream].ended.is_set()
+        assert (await caller.response(stream)).status == DEADLINE
         await soon(sending)
         await until(lambda: len(box.connections) == 1)
 
@@ -678,7 +678,7 @@
         caller = await world.caller()
         stream = caller.begin("/book/Talk")
         await caller.send(stream, b"one")
-        response = await caller.answer(stream)
+        response = await caller.response(stream)
         assert (response.status, response.status_message) == (9, "enough")
         assert (await caller.call("/book/Talk", b"x")).status == 9
 
@@ -697,17 +697,17 @@
         caller = await world.caller()
         long = caller.begin("/read/Talk")
         await caller.send(long, b"one")
-        await until(lambda: caller.answers[long].messages == [b"one"])
+        await until(lambda: caller.responses[long].messages == [b"one"])
         short = caller.begin("/book/Do", *script("sleep 300ms"))
         await caller.send(short, b"x", end=True)
         stopping = asyncio.get_running_loop().create_task(world.up.running.stop())
-        assert (await caller.answer(short)).status == 0
+        assert (await caller.response(short)).status == 0
         await until(lambda: len(caller.goaways) == 2)
         late = caller.begin("/book/Do", ("x-request-id", "late"))
-        response = await caller.answer(long)
+        response = await caller.response(long)
         assert response.status == UNKNOWN and response.messages == [b"one"]
         await soon(stopping)
-        assert caller.answers[late].reset == 7  # REFUSED_STREAM: the call never ran
+        assert caller.responses[late].reset == 7  # REFUSED_STREAM: the call never ran
         assert [last for last, _ in caller.goaways][:2] == [2**31 - 1, short]
 
     play(body, head=HTTP2.replace("[limits]", '[limits]\ndrain = "2s"'))
@@ -718,7 +718,7 @@
         caller = await world.caller()
         stream = caller.begin("/read/Talk")
         await caller.send(stream, b"one")
-        await until(lambda: caller.answers[stream].messages == [b"one"])
+        await until(lambda: caller.responses[stream].messages == [b"one"])
         text = (
             world.up.file.read_text().replace("listeners.main", "listeners.other").replace("127.0.0.1:0", "127.0.0.2:0")
         )
@@ -727,7 +727,7 @@
         await soon(world.up.running.wait_for_reload())
         await until(lambda: bool(caller.goaways))
         await caller.send(stream, b"two", end=True)
-        response = await caller.answer(stream)
+        response = await caller.response(stream)
         assert (response.status, response.messages) == (0, [b"one", b"two"])
         await soon(caller.closed.wait())
 
@@ -797,14 +797,14 @@
 
 
 def empty_data(caller: Caller) -> None:
-    if not caller.answers:
+    if not caller.responses:
         caller.begin("/read/Talk")
     caller.raw(b"\0\0\0\0\0\0\0\0\1" * 200)
 
 
 def continuation(caller: Caller) -> None:
-    if not caller.answers:
-        caller.answers[1] = Answer()
+    if not caller.responses:
+        caller.responses[1] = Response()
         caller.raw(b"\0\0\1\1\0\0\0\0\1\x82")
     caller.raw(b"\0\x3f\xff\x09\0\0\0\0\1" + b"\0" * 0x3FFF)
 
--- a/tests/daemon/test_large_http2.py
+++ b/tests/daemon/test_large_http2.py
@@ -17,7 +17,7 @@
 from lugspur.http1 import front as fronts
 from lugspur.http1.body import HOLD
 from lugspur.http2 import front as http2_front
-from lugspur.standins.grpc.caller import Answer, Caller
+from lugspur.standins.grpc.caller import Caller, Response
 
 CONFIG = HTTP2.replace("sockets = 1024", 'sockets = 1024\nhold = "64KiB"\nbody = "8MiB"')
 ROUTES = route("book", "/book", 'pool = "a"\nclass = "book"\nfallback = ["b"]') + route(
@@ -43,16 +43,16 @@
     stream = int(caller.h2.get_next_available_stream_id())
     head = [(":method", method), (":scheme", "http"), (":path", path), (":authority", "h.example"), *more]
     caller.h2.send_headers(stream, head, end_stream=end)
-    caller.answers[stream] = Answer()
+    caller.responses[stream] = Response()
     caller.flush()
     return stream
 
 
-async def post(caller: Caller, path: str, body: bytes, *more: tuple[str, str]) -> Answer:
+async def post(caller: Caller, path: str, body: bytes, *more: tuple[str, str]) -> Response:
     """Send a request with a body; return its response."""
     stream = begin_request(caller, path, *more)
     await soon(caller.write(stream, body, end=True))
-    return await soon(caller.answer(stream))
+    return await soon(caller.response(stream))
 
 
 def held_bytes(up: Served) -> int:
@@ -120,7 +120,7 @@
         async with box(respond_with(body, head)) as address, daemon_for(address) as up:
             caller = await connect_caller(up)
             for _ in range(3):
-                response = await soon(caller.answer(begin_request(caller, path, end=True)))
+                response = await soon(caller.response(begin_request(caller, path, end=True)))
                 assert (response.head[":status"], response.head["x-note"], response.ends, response.reset) == (
                     "200",
                     "a",
@@ -161,7 +161,7 @@
             assert held_bytes(up) <= 4 * HOLD
             release.set()
             await soon(sending)
-            response = await soon(caller.answer(slow_stream))
+            response = await soon(caller.response(slow_stream))
             assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
             await assert_released(up)
             caller.close()
@@ -179,10 +179,10 @@
             streams = [begin_request(reading_nothing, "/read", end=True) for _ in range(20)]
             upstream = up.daemon.clusters["a"].pool.upstream
             for _ in range(3):
-                assert bytes((await soon(other.answer(begin_request(other, "/read", end=True)))).data) == BODY
+                assert bytes((await soon(other.response(begin_request(other, "/read", end=True)))).data) == BODY
                 assert upstream.flow_held <= upstream.flow_most + 20 * HOLD
             for stream in streams:
-                response = await soon(reading_nothing.answer(stream))
+                response = await soon(reading_nothing.response(stream))
                 # CANCEL: the response made no progress and is incomplete.
                 assert response.reset == 8 and response.ends == 0
             await assert_released(up)
@@ -205,7 +205,7 @@
             caller = await connect_caller(up, window=size // 10)
             caller.extends_windows = False
             stream = begin_request(caller, "/read", end=True)
-            response, started_at = caller.answers[stream], asyncio.get_running_loop().time()
+            response, started_at = caller.responses[stream], asyncio.get_running_loop().time()
             acknowledged = 0
             while not response.ended.is_set():
                 await asyncio.sleep(0.03)
@@ -233,7 +233,7 @@
     async def play() -> None:
         async with box(break_off) as address, daemon_for(address) as up:
             caller = await connect_caller(up)
-            response = await soon(caller.answer(begin_request(caller, "/book", end=True)))
+            response = await soon(caller.response(begin_request(caller, "/book", end=True)))
             assert (response.head[":status"], response.ends, response.reset) == ("200", 0, 2)  # INTERNAL_ERROR
             await assert_released(up)
             caller.close()
@@ -253,7 +253,7 @@
             caller = await connect_caller(up)
             stream = begin_request(caller, "/book")
             await soon(caller.write(stream, noise(3 * HOLD)))
-            response = await soon(caller.answer(stream))
+            response = await soon(caller.response(stream))
             assert (response.head[":status"], bytes(response.data)) == ("200", BODY)
             await assert_released(up)
             caller.close()
@@ -312,13 +312,13 @@
 
         async with box(record) as address, daemon_for(address, head=head) as up:
             caller = await connect_caller(up)
-            response = await soon(caller.answer(begin_request(caller, "/book", ("content-length", str(9 << 20)))))
+            response = await soon(caller.response(begin_request(caller, "/book", ("content-length", str(9 << 20)))))
             assert response.head[":status"] == "413"  # rejected by its content-length alone
             response = await post(caller, "/book", bytes(9 << 20))
             assert response.head[":status"] == "413"
             stream = begin_request(caller, "/book")
             await soon(caller.write(stream, BODY[: HOLD + 1]))
-            response = await soon(caller.answer(stream))  # the body stops, and at least 24 kB a second are required
+            response = await soon(caller.response(stream))  # the body stops, and at least 24 kB a second are required
             assert response.head[":status"] == "408"
             await assert_released(up)
             assert not received_requests
@@ -341,7 +341,7 @@
             for at in range(0, len(body), HOLD):
                 await soon(caller.write(stream, body[at : at + HOLD], end=at + HOLD >= len(body)))
                 await asyncio.sleep(0.08)
-            response = await soon(caller.answer(stream))
+            response = await soon(caller.response(stream))
             assert bytes(response.data) == hashlib.sha256(body).hexdigest().encode()
             caller.close()
 
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -520,7 +520,7 @@
         await until(lambda: world.ran() == 1)
         gate.set()
         for caller, stream in streams:
-            got = await soon(caller.answer(stream))
+            got = await soon(caller.response(stream))
             assert got.status == 0 and got.data[5:] == b"for q" and got.tail["x-seen"] == "1"
         assert world.ran() == 1
 
@@ -540,7 +540,7 @@
         for stream in streams:
             await caller.send(stream, b"q", end=True)
         for stream in streams:
-            got = await soon(caller.answer(stream))
+            got = await soon(caller.response(stream))
             assert got.status == 0 and bytes(got.data)[5::6] == b"012"
         assert world.ran() == 3
 
@@ -564,11 +564,11 @@
             await one.send(first, b"q", end=True)
             await until(lambda received=received: world.up.daemon.coalescer._request_count > received)  # type: ignore[misc]
             await two.send(second, b"q", end=True)
-            await until(lambda one=one, first=first: bool(one.answers[first].data))  # type: ignore[misc]
+            await until(lambda one=one, first=first: bool(one.responses[first].data))  # type: ignore[misc]
             if leaves:
                 one.cancel(first)
             else:
-                assert (await soon(one.answer(first))).status == 4  # DEADLINE_EXCEEDED
+                assert (await soon(one.response(first))).status == 4  # DEADLINE_EXCEEDED
             await until(lambda: world.up.in_hand() == 1)  # the second caller's own call
             two.cancel(second)
             await until(lambda: world.up.in_hand() == 0)
