--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -28,7 +28,7 @@
 from lugspur.standins import callers as http
 from lugspur.standins.backend import Answer as HttpAnswer
 from lugspur.standins.backend import Asked, Backend
-from lugspur.standins.grpc.box import Box
+from lugspur.standins.grpc.box import GrpcBackend
 from lugspur.standins.grpc.caller import Caller
 
 FILE = (
@@ -350,7 +350,7 @@
         if refused and rid.startswith("book"):
             self.refused.add(rid)
 
-    async def play(self, host: str, port: int, boxes: list[Box], plain: Backend) -> Counts:
+    async def play(self, host: str, port: int, boxes: list[GrpcBackend], plain: Backend) -> Counts:
         """All calls, 16 at a time, half of them over each protocol."""
         numbers = iter(range(self._count))
         shared = [await Caller().connect(host, port) for _ in range(4)]
@@ -382,7 +382,7 @@
 
 async def mixed(count: int, seed: int) -> Counts:
     """Three gRPC boxes and an HTTP/1.1 one behind a daemon in a process of its own."""
-    boxes, plain = [Box() for _ in range(3)], Backend("plain", _work)
+    boxes, plain = [GrpcBackend() for _ in range(3)], Backend("plain", _work)
     for box in boxes:
         await box.listen()
     await plain.listen()
--- a/lugspur/standins/grpc/__main__.py
+++ b/lugspur/standins/grpc/__main__.py
@@ -5,12 +5,12 @@
 import argparse
 import asyncio
 
-from lugspur.standins.grpc.box import Box
+from lugspur.standins.grpc.box import GrpcBackend
 from lugspur.standins.grpc.script import STEPS
 
 
 async def _serve(host: str, port: int, streams: int, window: int) -> None:
-    box = Box(streams=streams, window=window)
+    box = GrpcBackend(streams=streams, window=window)
     await box.listen(host, port)
     print(f"ready {box.address}", flush=True)
     await asyncio.Event().wait()
--- a/lugspur/standins/grpc/box.py
+++ b/lugspur/standins/grpc/box.py
@@ -144,7 +144,7 @@
     await call.send(message)
 
 
-class Box:
+class GrpcBackend:
     """Listens on one address; `work` serves each call, with the script from the call's metadata."""
 
     def __init__(
@@ -197,7 +197,7 @@
 class Connection(asyncio.Protocol):
     """One caller's connection."""
 
-    def __init__(self, box: Box) -> None:
+    def __init__(self, box: GrpcBackend) -> None:
         self._box = box
         self._h2 = H2Connection(H2Configuration(client_side=False, header_encoding="utf-8"))
         self._calls: dict[int, Call] = {}
--- a/tests/daemon/test_same_decisions.py
+++ b/tests/daemon/test_same_decisions.py
@@ -18,7 +18,7 @@
 from lugspur.daemon import pool as pools
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import Action, Outcome
-from lugspur.standins.grpc.box import Box, Call
+from lugspur.standins.grpc.box import Call, GrpcBackend
 from lugspur.standins.grpc.caller import Caller
 from lugspur.standins.grpc.script import Script
 
@@ -131,7 +131,7 @@
         self._server.close()
 
 
-def speaking(planned: Planned) -> Box:
+def speaking(planned: Planned) -> GrpcBackend:
     """A gRPC box."""
     codes = {"missing": 5, "error": 13, "gone": 14}
 
@@ -152,13 +152,13 @@
         else:
             call.finish(codes[outcome])
 
-    return Box(work)
+    return GrpcBackend(work)
 
 
 async def traced(plans: Plans, grpc: Sequence[bool], over_grpc: bool) -> tuple[list[Any], list[bool]]:
     """The module's trace, and whether each request was served; `grpc`: what each box speaks."""
     planned = Planned(plans)
-    boxes: list[Plain | Box] = [speaking(planned) if each else Plain(planned) for each in grpc]
+    boxes: list[Plain | GrpcBackend] = [speaking(planned) if each else Plain(planned) for each in grpc]
     for box in boxes:
         await box.listen()
     members = ", ".join(
@@ -226,7 +226,7 @@
 
     async def play() -> None:
         planned = Planned([("book", ("ok", "ok"))])
-        boxes: list[Plain | Box] = [speaking(planned), Plain(planned)]
+        boxes: list[Plain | GrpcBackend] = [speaking(planned), Plain(planned)]
         for box in boxes:
             await box.listen()
         members = f'{{ address = "{boxes[0].address}", protocol = "grpc" }}, {{ address = "{boxes[1].address}" }}'
--- a/tests/grpcpeers.py
+++ b/tests/grpcpeers.py
@@ -8,7 +8,7 @@
 from daemonic import HEAD, Served, pool, route, served
 from loopback import HOST
 
-from lugspur.standins.grpc.box import Box, Call, scripted
+from lugspur.standins.grpc.box import Call, GrpcBackend, scripted
 from lugspur.standins.grpc.caller import Caller
 from lugspur.standins.grpc.script import Script
 
@@ -26,12 +26,12 @@
 class World:
     """The daemon, its boxes, and callers that are closed at the end."""
 
-    def __init__(self, up: Served, boxes: list[Box]) -> None:
+    def __init__(self, up: Served, boxes: list[GrpcBackend]) -> None:
         self.up, self.boxes = up, boxes
         self.callers: list[Caller] = []
 
     @property
-    def box(self) -> Box:
+    def box(self) -> GrpcBackend:
         return self.boxes[0]
 
     async def caller(self, window: int | None = None) -> Caller:
@@ -54,7 +54,7 @@
     others: tuple[str, ...] = (),
 ) -> AsyncIterator[World]:
     """A daemon whose pool `a` has so many gRPC boxes, and HTTP/1.1 ones at the addresses `others`."""
-    boxes = [Box(work, streams, window) for _ in range(count)]
+    boxes = [GrpcBackend(work, streams, window) for _ in range(count)]
     for box in boxes:
         await box.listen()
     members = [
