--- a/lugspur/standins/grpc/__main__.py
+++ b/lugspur/standins/grpc/__main__.py
@@ -10,9 +10,9 @@
 
 
 async def _serve(host: str, port: int, streams: int, window: int) -> None:
-    box = GrpcBackend(streams=streams, window=window)
-    await box.listen(host, port)
-    print(f"ready {box.address}", flush=True)
+    backend = GrpcBackend(streams=streams, window=window)
+    await backend.listen(host, port)
+    print(f"ready {backend.address}", flush=True)
     await asyncio.Event().wait()
 
 
--- a/lugspur/standins/grpc/box.py
+++ b/lugspur/standins/grpc/box.py
@@ -158,7 +158,7 @@
         self.accepted = 0
         self.pings = 0
         self.begun = asyncio.Event()  # set by the first call
-        self.deaf = False  # whether connections are not read
+        self.reading_paused = False  # whether connections are not read
         self.address = ""
         self.scripts = True  # whether scripts are followed; if not, each call is served without faults
         self.extends_windows = True  # whether the callers' flow control windows are extended as data is read
@@ -171,9 +171,9 @@
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
-    def stall(self, deaf: bool = True) -> None:
-        """Stop reading from all connections or, with `deaf` False, resume."""
-        self.deaf = deaf
+    def stall(self, paused: bool = True) -> None:
+        """Stop reading from all connections or, with `paused` False, resume."""
+        self.reading_paused = paused
         for connection in self.connections:
             connection.listen()
 
@@ -197,8 +197,8 @@
 class Connection(asyncio.Protocol):
     """One caller's connection."""
 
-    def __init__(self, box: GrpcBackend) -> None:
-        self._box = box
+    def __init__(self, backend: GrpcBackend) -> None:
+        self._backend = backend
         self._h2 = H2Connection(H2Configuration(client_side=False, header_encoding="utf-8"))
         self._calls: dict[int, Call] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -209,20 +209,20 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._box.connections.add(self)
-        self._box.accepted += 1
+        self._backend.connections.add(self)
+        self._backend.accepted += 1
         self._h2.local_settings = Settings(
             client=False,
             initial_values={
-                SettingCodes.MAX_CONCURRENT_STREAMS: self._box.streams,
-                SettingCodes.INITIAL_WINDOW_SIZE: self._box.window,
+                SettingCodes.MAX_CONCURRENT_STREAMS: self._backend.streams,
+                SettingCodes.INITIAL_WINDOW_SIZE: self._backend.window,
             },
         )
         self._h2.initiate_connection()
         self.listen()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._box.connections.discard(self)
+        self._backend.connections.discard(self)
         for call in self._calls.values():
             call.cancelled.set()
         for task in self._tasks:
@@ -234,7 +234,7 @@
 
     def listen(self) -> None:
         """Pause or resume reading, as the backend is set."""
-        if self._box.deaf:
+        if self._backend.reading_paused:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
@@ -271,7 +271,7 @@
             self._start_call(event.stream_id, [(str(name), str(value)) for name, value in event.headers])
         elif isinstance(event, h2e.DataReceived):
             call = self._calls.get(event.stream_id)
-            if self._box.extends_windows and event.flow_controlled_length:
+            if self._backend.extends_windows and event.flow_controlled_length:
                 self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             if call is not None:
                 call.feed(event.data)
@@ -288,14 +288,14 @@
         elif isinstance(event, h2e.WindowUpdated | h2e.RemoteSettingsChanged):
             self._window_opened.set()
         elif isinstance(event, h2e.PingReceived):
-            self._box.pings += 1
+            self._backend.pings += 1
 
     def _start_call(self, stream: int, fields: list[tuple[str, str]]) -> None:
         if self._last_stream is not None and stream > self._last_stream:
             return
         call = Call(self, stream, fields)
         try:
-            script = read(call.headers.get("x-script", "") if self._box.scripts else "")
+            script = read(call.headers.get("x-script", "") if self._backend.scripts else "")
         except ScriptError as fault:
             call.finish(3, str(fault).replace("%", ""))
             return
@@ -309,9 +309,9 @@
             call.finish(14, "no room", ("x-not-processed", "1"))
             return
         self._calls[stream] = call
-        self._box.ran[call.rid] += 1
-        self._box.calls.append(call)
-        self._box.begun.set()
+        self._backend.ran[call.rid] += 1
+        self._backend.calls.append(call)
+        self._backend.begun.set()
         if script.goaway:
             self.goaway(stream)
         task = asyncio.get_running_loop().create_task(self._run(call, script))
@@ -320,7 +320,7 @@
 
     async def _run(self, call: Call, script: Script) -> None:
         try:
-            await self._box.work(call, script)
+            await self._backend.work(call, script)
         except Ended:
             if not script.stall:
                 self._calls.pop(call.stream, None)
