--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -28,7 +28,7 @@
 from lugspur.standins import callers as http
 from lugspur.standins.backend import Answer as HttpAnswer
 from lugspur.standins.backend import Asked, Backend
-from lugspur.standins.grpc.box import GrpcBackend
+from lugspur.standins.grpc.backend import GrpcBackend
 from lugspur.standins.grpc.caller import Caller
 
 FILE = (
--- a/lugspur/standins/grpc/__main__.py
+++ b/lugspur/standins/grpc/__main__.py
@@ -5,7 +5,7 @@
 import argparse
 import asyncio
 
-from lugspur.standins.grpc.box import GrpcBackend
+from lugspur.standins.grpc.backend import GrpcBackend
 from lugspur.standins.grpc.script import STEPS
 
 
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -21,7 +21,7 @@
 from lugspur.config.load import ConfigFileError, load
 from lugspur.http2 import front as http2_front
 from lugspur.http2.wire import MAX_BACKLOG_BYTES
-from lugspur.standins.grpc.box import Call, scripted
+from lugspur.standins.grpc.backend import Call, scripted
 from lugspur.standins.grpc.caller import Caller, Response
 from lugspur.standins.grpc.script import STEPS, Script, ScriptError, read
 
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -16,7 +16,7 @@
 
 from lugspur.daemon import request_coalescing
 from lugspur.load_balancing import Reject
-from lugspur.standins.grpc.box import Call
+from lugspur.standins.grpc.backend import Call
 from lugspur.standins.grpc.script import Script
 
 WIDE = 'within = "10s"'  # long, since the machine may be slow
--- a/tests/daemon/test_same_decisions.py
+++ b/tests/daemon/test_same_decisions.py
@@ -18,7 +18,7 @@
 from lugspur.daemon import pool as pools
 from lugspur.load_balancing.balancer import Balancer
 from lugspur.load_balancing.model import Action, Outcome
-from lugspur.standins.grpc.box import Call, GrpcBackend
+from lugspur.standins.grpc.backend import Call, GrpcBackend
 from lugspur.standins.grpc.caller import Caller
 from lugspur.standins.grpc.script import Script
 
--- a/tests/grpcpeers.py
+++ b/tests/grpcpeers.py
@@ -8,7 +8,7 @@
 from daemonic import HEAD, Served, pool, route, served
 from loopback import HOST
 
-from lugspur.standins.grpc.box import Call, GrpcBackend, scripted
+from lugspur.standins.grpc.backend import Call, GrpcBackend, scripted
 from lugspur.standins.grpc.caller import Caller
 from lugspur.standins.grpc.script import Script
 
