--- a/lugspur/standins/__init__.py
+++ b/lugspur/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the proxy stands between: backends, callers, a bare relay. The runtime never imports them."""
+"""Stand-ins for the peers of the proxy: backends, callers and a bare relay. The runtime never imports them."""
--- a/lugspur/standins/backend.py
+++ b/lugspur/standins/backend.py
@@ -1,4 +1,4 @@
-"""A backend: answers each request after some work, counts what ran, and can be killed.
+"""A backend that responds to each request after some work, counts the requests it ran, and can be killed.
 
 `python -m lugspur.standins.backend --listen 127.0.0.1:0 --size 200` prints `ready HOST:PORT` when it listens.
 """
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One request as it came."""
+    """One request as received."""
 
     method: str
     target: str
@@ -30,26 +30,26 @@
 
 
 class Backend:
-    """Listens on one address and does `work` for each request, several at once."""
+    """Listens on one address and runs `work` for each request, several concurrently."""
 
     def __init__(self, name: str, work: Work) -> None:
         self.name = name
         self.work = work
-        self.ran: Counter[str] = Counter()  # by X-Request-ID, from the moment that work on it begins
-        self.last_begun = 0.0  # the loop's time
+        self.ran: Counter[str] = Counter()  # requests by X-Request-ID, counted when work on them starts
+        self.last_begun = 0.0  # event loop time at which work on the last request started
         self.connections: set[_Connection] = set()
         self._server: asyncio.Server | None = None
         self.address = ""
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Begin to serve."""
+        """Start to listen."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Connection(self), host, port, backlog=1024)
         bound = self._server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
 
     def kill(self) -> None:
-        """Die as a process does: connections are reset, new ones refused, work in hand is lost."""
+        """Stop as when a process dies: connections are reset, new ones refused, and requests in progress are lost."""
         if self._server is not None:
             self._server.close()
         for connection in tuple(self.connections):
@@ -57,15 +57,15 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; its requests are answered in the order in which they came."""
+    """One caller's connection, without support for pipelining: a response is written when its work is done."""
 
     def __init__(self, backend: Backend) -> None:
         self._backend = backend
         self._parser = httptools.HttpRequestParser(self)
         self._task: asyncio.Task[None] | None = None
-        self._begin()
+        self._start_request()
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         self._target = b""
         self._headers: dict[str, str] = {}
         self._body = b""
@@ -99,17 +99,17 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        asked = Asked(self._parser.get_method().decode(), self._target.decode(), self._headers, self._body)
-        self._begin()
-        self._backend.ran[asked.headers.get("x-request-id", "")] += 1
+        request = Asked(self._parser.get_method().decode(), self._target.decode(), self._headers, self._body)
+        self._start_request()
+        self._backend.ran[request.headers.get("x-request-id", "")] += 1
         loop = asyncio.get_running_loop()
         self._backend.last_begun = loop.time()
-        self._task = loop.create_task(self._serve(asked))
+        self._task = loop.create_task(self._serve(request))
 
-    async def _serve(self, asked: Asked) -> None:
-        status, body = await self._backend.work(asked)
+    async def _serve(self, request: Asked) -> None:
+        status, body = await self._backend.work(request)
         length = len(body)
-        body = b"" if asked.method == "HEAD" else body
+        body = b"" if request.method == "HEAD" else body
         self._transport.write(b"HTTP/1.1 %d Answer\r\nContent-Length: %d\r\n\r\n%b" % (status, length, body))
 
 
@@ -128,14 +128,14 @@
 
 
 def main() -> None:
-    """Serve until it is killed."""
+    """Serve until the process is killed."""
     parser = argparse.ArgumentParser(description="A stand-in backend.")
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="HOST:PORT")
-    parser.add_argument("--size", type=int, default=200, help="bytes of each answer's body")
+    parser.add_argument("--size", type=int, default=200, help="bytes of each response's body")
     parser.add_argument("--delay", type=float, default=0.0, help="seconds of work for each request")
-    given = parser.parse_args()
-    host, _, port = given.listen.rpartition(":")
-    asyncio.run(_serve(host, int(port), given.size, given.delay))
+    arguments = parser.parse_args()
+    host, _, port = arguments.listen.rpartition(":")
+    asyncio.run(_serve(host, int(port), arguments.size, arguments.delay))
 
 
 if __name__ == "__main__":
--- a/lugspur/standins/mesh.py
+++ b/lugspur/standins/mesh.py
@@ -1,4 +1,6 @@
-"""A stand-in for an application backend of the mesh: it beats, answers with a stamp, and counts what it ran.
+"""A stand-in for an application backend of the mesh.
+
+It sends heartbeats, marks its responses with its id and a count, and records the requests it ran.
 
 python -m lugspur.standins.mesh --listen 127.0.0.1:9001 --dispatch 127.0.0.1:8306 --service rooms
 """
@@ -13,40 +15,40 @@
 import os
 from contextlib import suppress
 
-HEAD_MOST = 64 << 10  # bytes of a request's head
+HEAD_MOST = 64 << 10  # limit of a request's head in bytes
 
 
 class MeshBackend:
-    """One life of one backend; `ran` has the ids of what it ran, in order."""
+    """One incarnation of a backend. `ran` holds the attempt ids of the requests it ran, in order."""
 
     def __init__(self, service: str, address: str, dispatch: str, zone: str = "z", work: float = 0.0) -> None:
         self.id = f"i-{os.urandom(4).hex()}"
         self.service, self.address, self.dispatch, self.zone, self.work = service, address, dispatch, zone, work
         self.ran: list[str] = []
-        self.began: dict[str, float] = {}  # when it began each, by the loop's time
+        self.began: dict[str, float] = {}  # event loop time at which each attempt started
         self.state = "accepting"
         self.acknowledged = 0
         self._sequence = itertools.count()
 
     async def serve(self) -> None:
-        """Listen; beats begin at once."""
+        """Start to listen and to send heartbeats."""
         host, _, port = self.address.rpartition(":")
         self.server = await asyncio.start_server(self._caller, host, int(port), limit=HEAD_MOST)
-        self._beats = asyncio.get_running_loop().create_task(self._beat_on())
+        self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     async def close(self) -> None:
-        """End without a word, as a crash does."""
-        self._beats.cancel()
+        """Stop without signing off, as in a crash."""
+        self._heartbeat_task.cancel()
         self.server.close()
 
-    async def _beat_on(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             with suppress(OSError, asyncio.IncompleteReadError):
                 await self.beat()
             await asyncio.sleep(0.25)
 
     async def beat(self) -> bool:
-        """Say what it is; returns whether that was acknowledged."""
+        """Send one heartbeat; return whether it was acknowledged."""
         body = json.dumps(
             {
                 "service": self.service,
@@ -64,7 +66,7 @@
         return acknowledged
 
     async def sign_off(self) -> bool:
-        """Say the last word; returns whether that was acknowledged."""
+        """Sign off, which ends this incarnation; return whether that was acknowledged."""
         return await self._call("sign-off", b"{}")
 
     async def _call(self, name: str, body: bytes) -> bool:
@@ -81,7 +83,7 @@
             writer.close()
 
     async def _caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        # Cancelled at the end of the loop: its connections end with it.
+        # This task is cancelled when the event loop ends; its connections end with it.
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
             while True:
                 lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
@@ -90,37 +92,37 @@
                 writer.write(await self._answer(headers, body))
         writer.close()
 
-    async def _answer(self, headers: dict[str, str], sent: bytes) -> bytes:
-        ident = headers.get("lugspur-attempt-id", "")
-        told = f"Lugspur-Delivered-By: {self.id}\r\n"
+    async def _answer(self, headers: dict[str, str], request_body: bytes) -> bytes:
+        attempt_id = headers.get("lugspur-attempt-id", "")
+        delivered_by = f"Lugspur-Delivered-By: {self.id}\r\n"
         if headers.get("lugspur-deliver-to", self.id) != self.id:
-            return f"HTTP/1.1 421 Misdirected Request\r\n{told}Content-Length: 0\r\n\r\n".encode()
-        self.ran.append(ident)
-        self.began[ident] = asyncio.get_running_loop().time()
+            return f"HTTP/1.1 421 Misdirected Request\r\n{delivered_by}Content-Length: 0\r\n\r\n".encode()
+        self.ran.append(attempt_id)
+        self.began[attempt_id] = asyncio.get_running_loop().time()
         await asyncio.sleep(self.work)
-        body = f"{self.id} ran {ident} for {headers.get('lugspur-sender', '')}\n"
-        if sent:
-            body += f"{len(sent)} bytes, {hashlib.sha256(sent).hexdigest()}\n"
+        body = f"{self.id} ran {attempt_id} for {headers.get('lugspur-sender', '')}\n"
+        if request_body:
+            body += f"{len(request_body)} bytes, {hashlib.sha256(request_body).hexdigest()}\n"
         return (
-            f"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: {ident}\r\nLugspur-Postmark: {self.id}.{len(self.ran)}\r\n"
-            f"{told}Content-Length: {len(body)}\r\n\r\n{body}"
+            f"HTTP/1.1 200 OK\r\nLugspur-Attempt-Id: {attempt_id}\r\nLugspur-Postmark: {self.id}.{len(self.ran)}\r\n"
+            f"{delivered_by}Content-Length: {len(body)}\r\n\r\n{body}"
         ).encode()
 
 
-async def _run(given: argparse.Namespace) -> None:
-    backend = MeshBackend(given.service, given.listen, given.dispatch, given.zone, given.work)
+async def _run(arguments: argparse.Namespace) -> None:
+    backend = MeshBackend(arguments.service, arguments.listen, arguments.dispatch, arguments.zone, arguments.work)
     await backend.serve()
     await asyncio.Event().wait()
 
 
 def main() -> None:
-    """Run one until it is ended."""
+    """Run a backend until the process is ended."""
     parser = argparse.ArgumentParser(description="A stand-in backend of the mesh.")
     parser.add_argument("--listen", required=True)
-    parser.add_argument("--dispatch", required=True, help="where its proxy takes beats")
+    parser.add_argument("--dispatch", required=True, help="address at which its proxy receives heartbeats")
     parser.add_argument("--service", default="rooms")
     parser.add_argument("--zone", default="z")
-    parser.add_argument("--work", type=float, default=0.0, help="seconds for each request")
+    parser.add_argument("--work", type=float, default=0.0, help="seconds of work for each request")
     with suppress(KeyboardInterrupt):
         asyncio.run(_run(parser.parse_args()))
 
--- a/lugspur/standins/relay.py
+++ b/lugspur/standins/relay.py
@@ -1,6 +1,7 @@
-"""A bare byte relay: the least that any proxy on this event loop can cost. It reads nothing of what it passes on.
+"""A bare byte relay: the lower bound for the cost of a proxy on this event loop. It parses nothing.
 
-`python -m lugspur.standins.relay HOST:PORT` prints `ready HOST:PORT`; that leads to the given address.
+`python -m lugspur.standins.relay HOST:PORT` prints `ready HOST:PORT`, the address that it relays to the given
+one.
 """
 
 from __future__ import annotations
@@ -9,10 +10,10 @@
 import sys
 
 
-class Half(asyncio.Protocol):
-    """One side of a relayed connection."""
+class RelaySide(asyncio.Protocol):
+    """One side of a relayed connection; it writes what it reads to the other side."""
 
-    def __init__(self, other: Half | None = None) -> None:
+    def __init__(self, other: RelaySide | None = None) -> None:
         self.other = other
         self.transport: asyncio.Transport | None = None
 
@@ -29,8 +30,8 @@
             self.other.transport.close()
 
 
-class Caller(Half):
-    """The side that was connected to: it opens the other one, and what comes meanwhile waits."""
+class AcceptedSide(RelaySide):
+    """The accepted side. It opens the other side, and reads nothing until that one is connected."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__()
@@ -40,23 +41,23 @@
         super().connection_made(transport)
         assert self.transport is not None
         self.transport.pause_reading()
-        self._opening = asyncio.get_running_loop().create_task(self._open())
+        self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
-    async def _open(self) -> None:
+    async def _connect(self) -> None:
         assert self.transport is not None
-        _, self.other = await asyncio.get_running_loop().create_connection(lambda: Half(self), *self._address)
+        _, self.other = await asyncio.get_running_loop().create_connection(lambda: RelaySide(self), *self._address)
         self.transport.resume_reading()
 
 
 async def _serve(host: str, port: int) -> None:
-    server = await asyncio.get_running_loop().create_server(lambda: Caller(host, port), "127.0.0.1", 0)
-    bound = server.sockets[0].getsockname()
-    print(f"ready {bound[0]}:{bound[1]}", flush=True)
+    server = await asyncio.get_running_loop().create_server(lambda: AcceptedSide(host, port), "127.0.0.1", 0)
+    address = server.sockets[0].getsockname()
+    print(f"ready {address[0]}:{address[1]}", flush=True)
     await asyncio.Event().wait()
 
 
 def main() -> None:
-    """Relay until it is killed."""
+    """Relay until the process is killed."""
     host, _, port = sys.argv[1].rpartition(":")
     asyncio.run(_serve(host, int(port)))
 
