--- a/lugspur/standins/backend.py
+++ b/lugspur/standins/backend.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class Request:
     """One request as received."""
 
     method: str
@@ -26,7 +26,7 @@
     body: bytes
 
 
-Work = Callable[[Asked], Awaitable[Answer]]
+Work = Callable[[Request], Awaitable[Answer]]
 
 
 class Backend:
@@ -99,14 +99,14 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        request = Asked(self._parser.get_method().decode(), self._target.decode(), self._headers, self._body)
+        request = Request(self._parser.get_method().decode(), self._target.decode(), self._headers, self._body)
         self._start_request()
         self._backend.ran[request.headers.get("x-request-id", "")] += 1
         loop = asyncio.get_running_loop()
         self._backend.last_begun = loop.time()
         self._task = loop.create_task(self._serve(request))
 
-    async def _serve(self, request: Asked) -> None:
+    async def _serve(self, request: Request) -> None:
         status, body = await self._backend.work(request)
         length = len(body)
         body = b"" if request.method == "HEAD" else body
@@ -116,7 +116,7 @@
 async def _serve(host: str, port: int, size: int, delay: float) -> None:
     body = b"x" * size
 
-    async def work(_: Asked) -> Answer:
+    async def work(_: Request) -> Answer:
         if delay:
             await asyncio.sleep(delay)
         return 200, body
