--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -27,7 +27,7 @@
 
 from lugspur.bench.processes import Usage
 from lugspur.bench.sockets import free_port
-from lugspur.standins.backend import Answer, Backend, Request
+from lugspur.standins.backend import Backend, Request, Response
 
 ADVERTISED, BOUND = 7946, 7947  # ports: where others reach a member, through the relay, and where it really is
 DUTY = "duty"
@@ -395,7 +395,7 @@
 async def probing(count: int, lease: float, say: Callable[[str], None]) -> None:
     """Dials in vain with a tenth of the boxes gone; with a lease of an hour nobody comes into office."""
 
-    async def work(_: Request) -> Answer:
+    async def work(_: Request) -> Response:
         await asyncio.sleep(WORK)
         return 200, b"done"
 
--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -26,8 +26,8 @@
 from lugspur.bench.processes import CLASSES, Process, served, standin
 from lugspur.bench.sockets import free_port, wait_for
 from lugspur.standins import callers as http
-from lugspur.standins.backend import Answer as HttpAnswer
 from lugspur.standins.backend import Backend, Request
+from lugspur.standins.backend import Response as HttpResponse
 from lugspur.standins.grpc.backend import GrpcBackend
 from lugspur.standins.grpc.caller import Caller
 
@@ -376,7 +376,7 @@
         return self.counts
 
 
-async def _work(_: Request) -> HttpAnswer:
+async def _work(_: Request) -> HttpResponse:
     return 200, b"done"
 
 
--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -24,7 +24,7 @@
 from lugspur.bench.processes import Process, daemon, standin
 from lugspur.config.load import load
 from lugspur.daemon.run import RunningDaemon
-from lugspur.standins.backend import Answer, Backend, Request
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller, Outcome, Tally, closed_loop
 
 WITHIN = 30.0  # seconds that any one wait may take
@@ -140,7 +140,7 @@
     """
     room = asyncio.Semaphore(slots)
 
-    async def work(_: Request) -> Answer:
+    async def work(_: Request) -> Response:
         async with room:
             await asyncio.sleep(work_seconds)
         return 200, b"rooms"
@@ -168,7 +168,7 @@
     """One tenant keeps hundreds of reads open; four others ask now and then. What became of both."""
     room = asyncio.Semaphore(8)
 
-    async def work(_: Request) -> Answer:
+    async def work(_: Request) -> Response:
         async with room:
             await asyncio.sleep(2 * WORK)
         return 200, b"rooms"
@@ -222,7 +222,7 @@
     """
     rng, versions, found = random.Random(seed), Counter[str](), Checked()
 
-    async def work(asked: Request) -> Answer:
+    async def work(asked: Request) -> Response:
         hotel = asked.target.rpartition("/")[2]
         if asked.method == "POST":
             await asyncio.sleep(rng.random() * 0.01)
--- a/lugspur/bench/operations.py
+++ b/lugspur/bench/operations.py
@@ -22,7 +22,7 @@
 from lugspur.bench.main import request
 from lugspur.bench.processes import SERVICES, Usage
 from lugspur.bench.sockets import free_port
-from lugspur.standins.backend import Answer, Backend, Request, Work
+from lugspur.standins.backend import Backend, Request, Response, Work
 from lugspur.standins.callers import Caller
 
 HOST = "127.0.0.1"
@@ -111,13 +111,13 @@
                 process.kill()
 
 
-async def quick(_: Request) -> Answer:
+async def quick(_: Request) -> Response:
     """A backend's work for small answers."""
     await asyncio.sleep(0.005)
     return 200, b"done"
 
 
-async def large(_: Request) -> Answer:
+async def large(_: Request) -> Response:
     """A backend's work for large ones."""
     return 200, bytes(LARGE)
 
--- a/lugspur/bench/state.py
+++ b/lugspur/bench/state.py
@@ -26,7 +26,7 @@
 from lugspur.bench.sockets import free_port
 from lugspur.daemon.persistence.snapshot_format import FORMAT_VERSION, MAGIC, decode_snapshot
 from lugspur.daemon.persistence.snapshot_store import CURRENT_FILE
-from lugspur.standins.backend import Answer, Backend, Request
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller
 
 HOST = "127.0.0.1"
@@ -133,10 +133,10 @@
     return loss
 
 
-def worker(place: int, rng: Random) -> Callable[[Request], Awaitable[Answer]]:
+def worker(place: int, rng: Random) -> Callable[[Request], Awaitable[Response]]:
     """A box's work: the first are slow, the next ones fail most calls."""
 
-    async def work(_: Request) -> Answer:
+    async def work(_: Request) -> Response:
         await asyncio.sleep(LATE if place < SLOW else QUICK)
         return (500, b"oh") if SLOW <= place < SLOW + BAD and rng.random() < FAILS else (200, b"done")
 
@@ -187,7 +187,7 @@
 async def cost(base: Path) -> None:
     """What keeping costs the requests that come meanwhile, beside the same daemon that keeps nothing."""
 
-    async def quick(_: Request) -> Answer:
+    async def quick(_: Request) -> Response:
         return 200, b"done"
 
     box = Backend("b", quick)
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -13,7 +13,7 @@
 from types import TracebackType
 
 from lugspur.bench.processes import CLASSES
-from lugspur.standins.backend import Answer, Backend, Request
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller, Tally
 from lugspur.standins.zookeeper.cluster import Cluster
 
@@ -139,7 +139,7 @@
         box.removed = self._loop.time()
         return box
 
-    async def _work(self, box: Box, asked: Request) -> Answer:
+    async def _work(self, box: Box, asked: Request) -> Response:
         if self._loop.time() > box.removed + self._grace:
             box.late += 1
         await asyncio.sleep(WORK)
--- a/lugspur/demo/world.py
+++ b/lugspur/demo/world.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lugspur.standins.backend import Answer, Backend, Request
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller, Outcome, Tally
 
 TIERS = {"edge-api": 3, "channel-core": 3, "inventory-store": 4}  # backends of each
@@ -106,7 +106,7 @@
         box.status, box.told = "terminating", asyncio.get_running_loop().time()
         self.tell(box.tier)
 
-    async def _work(self, name: str, asked: Request) -> Answer:
+    async def _work(self, name: str, asked: Request) -> Response:
         loop = asyncio.get_running_loop()
         begun, box = loop.time(), self.boxes[name]
         if box.told and begun > box.told + GRACE:
--- a/lugspur/standins/backend.py
+++ b/lugspur/standins/backend.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-Answer = tuple[int, bytes]
+Response = tuple[int, bytes]
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     body: bytes
 
 
-Work = Callable[[Request], Awaitable[Answer]]
+Work = Callable[[Request], Awaitable[Response]]
 
 
 class Backend:
@@ -116,7 +116,7 @@
 async def _serve(host: str, port: int, size: int, delay: float) -> None:
     body = b"x" * size
 
-    async def work(_: Request) -> Answer:
+    async def work(_: Request) -> Response:
         if delay:
             await asyncio.sleep(delay)
         return 200, body
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -19,7 +19,7 @@
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry_source import RegistrySource
 from lugspur.load_balancing.model import ListUpdateKind, ServerState
-from lugspur.standins.backend import Answer, Backend, Request
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
 from lugspur.zookeeper.view import Phase
@@ -379,7 +379,7 @@
     asyncio.run(play())
 
 
-async def _work(_: Request) -> Answer:
+async def _work(_: Request) -> Response:
     return 200, b"well"
 
 
