--- a/lugspur/bench/soak/faulty_backends.py
+++ b/lugspur/bench/soak/faulty_backends.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from lugspur.bench.faults.links import reset
-from lugspur.standins.mesh import HEAD_MOST, MeshBackend
+from lugspur.standins.mesh import MAX_HEAD_BYTES, MeshBackend
 
 # Pause between two pieces of a slow response, and between two checks whether a silent backend may go on.
 PIECE_SECONDS = 0.02
@@ -120,7 +120,7 @@
 
     async def start(self) -> None:
         """Start listening, at the same address each time."""
-        self._server = await asyncio.start_server(self._caller, *self.address, limit=HEAD_MOST, reuse_address=True)
+        self._server = await asyncio.start_server(self._caller, *self.address, limit=MAX_HEAD_BYTES, reuse_address=True)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def crash(self) -> None:
--- a/lugspur/standins/mesh.py
+++ b/lugspur/standins/mesh.py
@@ -15,7 +15,7 @@
 import os
 from contextlib import suppress
 
-HEAD_MOST = 64 << 10  # limit of a request's head in bytes
+MAX_HEAD_BYTES = 64 << 10  # limit of a request's head in bytes
 
 
 class MeshBackend:
@@ -33,7 +33,7 @@
     async def serve(self) -> None:
         """Start to listen and to send heartbeats."""
         host, _, port = self.address.rpartition(":")
-        self.server = await asyncio.start_server(self._caller, host, int(port), limit=HEAD_MOST)
+        self.server = await asyncio.start_server(self._caller, host, int(port), limit=MAX_HEAD_BYTES)
         self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     async def close(self) -> None:
