--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -324,7 +324,7 @@
         found = asyncio.run(burst(count, join))
         print(
             f"| {name} | {found.calls} | {found.tally.statuses.get(200, 0)} | {found.late} | "
-            f"{1e3 * found.tally.part(0.5):.0f} ms | {1e3 * found.tally.part(1.0):.0f} ms |"
+            f"{1e3 * found.tally.quantile(0.5):.0f} ms | {1e3 * found.tally.quantile(1.0):.0f} ms |"
         )
         good = good and (not join or (found.late == 0 and found.tally.statuses == {200: count} and found.calls < 10))
     return good
@@ -338,7 +338,7 @@
             timely = sum(each <= 0.41 for each in tally.seconds)
             print(
                 f"| {name} | {who} | {asked} | {tally.statuses.get(200, 0) / asked:.1%} | {timely / asked:.1%} | "
-                f"{1e3 * tally.part(0.5):.0f} ms | {1e3 * tally.part(0.99):.0f} ms |"
+                f"{1e3 * tally.quantile(0.5):.0f} ms | {1e3 * tally.quantile(0.99):.0f} ms |"
             )
     return True
 
--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -64,7 +64,7 @@
             if turn:
                 passed, used = time.monotonic() - begun, process.cpu() - before
                 found[name].append(
-                    Row(name, count / passed, tally.part(0.5), tally.part(0.99), used / count, process.memory())
+                    Row(name, count / passed, tally.quantile(0.5), tally.quantile(0.99), used / count, process.memory())
                 )
     figures = ("rate", "half", "late", "cpu", "memory")
     return [
--- a/lugspur/demo/main.py
+++ b/lugspur/demo/main.py
@@ -79,8 +79,8 @@
             str(seen.get(503, 0)),
             str(failed),
             str(seen.get(0, 0)),
-            f"{tally.part(0.5) * 1e3:.1f}",
-            f"{tally.part(0.99) * 1e3:.1f}",
+            f"{tally.quantile(0.5) * 1e3:.1f}",
+            f"{tally.quantile(0.99) * 1e3:.1f}",
         )
     return table
 
--- a/lugspur/standins/callers.py
+++ b/lugspur/standins/callers.py
@@ -31,10 +31,10 @@
         if outcome.status == 200:
             self.seconds.append(outcome.seconds)
 
-    def part(self, quantile: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Return this quantile of the latencies of the served requests in seconds, or 0 if none was served."""
         ordered = sorted(self.seconds)
-        return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))] if ordered else 0.0
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))] if ordered else 0.0
 
 
 class Caller(asyncio.Protocol):
