--- a/lugspur/demo/__init__.py
+++ b/lugspur/demo/__init__.py
@@ -1,1 +1,1 @@
-"""`lugspur demo`: three tiers of stand-in backends behind one daemon, and what happens to its callers as they fail."""
+"""`lugspur demo`: three tiers of stand-in backends behind one daemon, and how their failures affect the callers."""
--- a/lugspur/demo/main.py
+++ b/lugspur/demo/main.py
@@ -1,4 +1,4 @@
-"""The demo from start to end: load, a kill, a drain, a live view, and a verdict."""
+"""The run of the demo: load, a kill, a drain, a live view, and a verdict."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from lugspur.demo.world import KINDS, World
 
 SECONDS = 8.0
-RATE = 60.0  # requests a second
+RATE = 60.0  # requests per second
 KILLED, DRAINED = "channel-core-2", "inventory-store-1"
-LOOK_EVERY = 0.25  # seconds between two pictures
+SHOW_INTERVAL = 0.25  # seconds between two updates of the view
 STATES = {
     "in_service": "[green]up",
     "killed": "[red]killed, still listed",
@@ -27,58 +27,58 @@
 
 
 async def play(world: World, seconds: float, show: Callable[[World, str], Awaitable[None]]) -> None:
-    """Load for so many seconds; half-way one backend is killed, then another drained."""
+    """Send load for `seconds`; during it one backend is killed, then another one is drained."""
     loop = asyncio.get_running_loop()
-    begun, said = loop.time(), "all is well"
-    script: list[tuple[float, str, Callable[[], None]]] = [
-        (0.40, f"{KILLED} is killed; the list goes on naming it", lambda: world.kill(KILLED)),
-        (0.55, f"the list has noticed; {DRAINED} is told to drain", lambda: world.notice(KILLED, DRAINED)),
+    started_at, message = loop.time(), "all backends are up"
+    events: list[tuple[float, str, Callable[[], None]]] = [
+        (0.40, f"{KILLED} is killed; the endpoint list still has it", lambda: world.kill(KILLED)),
+        (0.55, f"{KILLED} left the endpoint list; {DRAINED} drains", lambda: world.unlist_and_drain(KILLED, DRAINED)),
     ]
-    calls: set[asyncio.Task[None]] = set()
-    looked = begun
-    while (passed := loop.time() - begun) < seconds:
-        if script and passed >= script[0][0] * seconds:
-            _, said, act = script.pop(0)
-            act()
-        while world.sent < passed * RATE:
+    tasks: set[asyncio.Task[None]] = set()
+    next_show = started_at
+    while (elapsed := loop.time() - started_at) < seconds:
+        if events and elapsed >= events[0][0] * seconds:
+            _, message, action = events.pop(0)
+            action()
+        while world.sent < elapsed * RATE:
             task = loop.create_task(world.call())
-            calls.add(task)
-            task.add_done_callback(calls.discard)
+            tasks.add(task)
+            task.add_done_callback(tasks.discard)
             await asyncio.sleep(0)
-        if loop.time() >= looked:
-            looked += LOOK_EVERY
-            await show(world, said)
+        if loop.time() >= next_show:
+            next_show += SHOW_INTERVAL
+            await show(world, message)
         await asyncio.sleep(0.005)
-    await asyncio.gather(*calls)
+    await asyncio.gather(*tasks)
 
 
-def picture(world: World, said: str) -> Group:
-    """What goes where, now."""
-    boxes = Table(title="backends", title_justify="left")
+def render(world: World, message: str) -> Group:
+    """Return the tables of the current state."""
+    backends = Table(title="backends", title_justify="left")
     for heading in ("tier", "backend", "state", "ran", "open connections"):
-        boxes.add_column(heading, justify="right" if heading in ("ran", "open connections") else "left")
-    for name, box in world.boxes.items():
-        boxes.add_row(
-            box.tier, name, STATES[box.status], str(box.backend.ran.total()), str(len(box.backend.connections))
+        backends.add_column(heading, justify="right" if heading in ("ran", "open connections") else "left")
+    for name, row in world.boxes.items():
+        backends.add_row(
+            row.tier, name, STATES[row.status], str(row.backend.ran.total()), str(len(row.backend.connections))
         )
-    return Group(boxes, outcomes(world), Text(f"{world.sent} sent; {said}"))
+    return Group(backends, outcomes(world), Text(f"{world.sent} sent; {message}"))
 
 
 def outcomes(world: World) -> Table:
-    """What became of the callers' requests."""
+    """Return the table of the outcomes of the callers' requests."""
     table = Table(title="callers", title_justify="left")
     for heading in ("class", "repeats", "served", "refused", "failed", "lost", "p50 ms", "p99 ms"):
         table.add_column(heading, justify="left" if heading in ("class", "repeats") else "right", no_wrap=True)
     for kind, tally in world.tally.items():
-        seen = tally.statuses
-        failed = sum(count for status, count in seen.items() if status not in (0, 200, 503))
+        counts = tally.statuses
+        failed = sum(count for status, count in counts.items() if status not in (0, 200, 503))
         table.add_row(
             kind,
             KINDS[kind][1],
-            str(seen.get(200, 0)),
-            str(seen.get(503, 0)),
+            str(counts.get(200, 0)),
+            str(counts.get(503, 0)),
             str(failed),
-            str(seen.get(0, 0)),
+            str(counts.get(0, 0)),
             f"{tally.quantile(0.5) * 1e3:.1f}",
             f"{tally.quantile(0.99) * 1e3:.1f}",
         )
@@ -86,7 +86,7 @@
 
 
 async def run(seconds: float, seed: int, console: Console) -> bool:
-    """Play it; whether no request was lost, none doubled and the drain kept."""
+    """Run the demo; return whether no request was lost, none ran twice and the drain was respected."""
     with TemporaryDirectory() as folder:
         world = World(Path(folder), seed)
         try:
@@ -94,13 +94,13 @@
             if console.is_terminal:
                 with Live(console=console, refresh_per_second=8, transient=True) as live:
 
-                    async def draw(world: World, said: str) -> None:
-                        live.update(picture(world, said))
+                    async def draw(world: World, message: str) -> None:
+                        live.update(render(world, message))
 
                     await play(world, seconds, draw)
             else:
-                await play(world, seconds, _lines(console))
-            console.print(picture(world, "done"))
+                await play(world, seconds, _line_printer(console))
+            console.print(render(world, "done"))
         finally:
             await world.close()
     lost, doubled, late = world.lost, world.doubled(), world.late()
@@ -108,13 +108,13 @@
     return not (lost or doubled or late)
 
 
-def _lines(console: Console) -> Callable[[World, str], Awaitable[None]]:
-    """A line for each thing that happens, where nobody watches a terminal."""
-    last = [""]
+def _line_printer(console: Console) -> Callable[[World, str], Awaitable[None]]:
+    """Return a function that prints a line for each event, for output that is not a terminal."""
+    previous = [""]
 
-    async def show(world: World, said: str) -> None:
-        if said != last[0]:
-            last[0] = said
-            console.print(f"after {world.sent} requests: {said}")
+    async def show(world: World, message: str) -> None:
+        if message != previous[0]:
+            previous[0] = message
+            console.print(f"after {world.sent} requests: {message}")
 
     return show
--- a/lugspur/demo/world.py
+++ b/lugspur/demo/world.py
@@ -1,4 +1,4 @@
-"""The demo's world: tiers of backends that call one another through the daemon, and callers before them."""
+"""The processes of the demo: tiers of backends that call one another through the daemon, and their callers."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller, Outcome, Tally
 
-TIERS = {"edge-api": 3, "channel-core": 3, "inventory-store": 4}  # backends of each
+TIERS = {"edge-api": 3, "channel-core": 3, "inventory-store": 4}  # number of backends of each tier
+# Method and repeat policy of each kind of request.
 KINDS = {"rate-push": ("PUT", "safe"), "booking-modify": ("PATCH", "unsafe"), "booking-new": ("POST", "unsafe")}
+# Part of the load that each kind of request makes up.
 SHARES = {"rate-push": 0.39, "booking-modify": 0.34, "booking-new": 0.27}
 DEADLINE = 1.0  # seconds after which a caller gives up
-SLACK = 0.05  # seconds that an answer may take to come back
-GRACE = 0.5  # seconds after a drain in which something new may still come
-WORK = 0.006  # seconds of work in each tier, on average
-READY = 20.0  # seconds that the daemon may take to start
+SLACK = 0.05  # seconds that a caller allows beyond its deadline for the response to arrive
+GRACE = 0.5  # seconds after the start of a drain in which new requests may still arrive
+WORK = 0.006  # mean seconds of work in each tier
+START_TIMEOUT = 20.0  # seconds that the daemon may take to start
 
 
 @dataclass(slots=True)
 class Box:
-    """One backend and what has happened to it."""
+    """One backend with its state."""
 
     tier: str
     backend: Backend
     status: str = "in_service"
-    told: float = 0.0  # the loop's time at which it was told to drain
-    late: int = 0  # requests that began later than the grace after that
+    drain_started_at: float = 0.0  # event loop time at which its drain started; 0 if it did not
+    late: int = 0  # requests that arrived after the grace period of the drain
 
 
 class World:
-    """Everything that the demo starts; `close` ends it all."""
+    """Everything that the demo starts. `close` stops it."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
@@ -49,82 +51,82 @@
         self._port = 0
 
     async def start(self) -> None:
-        """Start the backends, write the file and start the daemon."""
+        """Start the backends, write the configuration and the endpoint lists, and start the daemon."""
         for tier, count in TIERS.items():
             for number in range(1, count + 1):
                 name = f"{tier}-{number}"
-                backend = Backend(name, lambda asked, name=name: self._work(name, asked))  # type: ignore[misc]
+                backend = Backend(name, lambda request, name=name: self._serve(name, request))  # type: ignore[misc]
                 await backend.listen()
                 self.boxes[name] = Box(tier, backend)
-            self.tell(tier)
-        file = self.folder / "demo.toml"
-        file.write_text(demo_file())
+            self.write_endpoint_list(tier)
+        config_file = self.folder / "demo.toml"
+        config_file.write_text(config_text())
         self._daemon = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lugspur", "run", str(file), stderr=asyncio.subprocess.PIPE
+            sys.executable, "-m", "lugspur", "run", str(config_file), stderr=asyncio.subprocess.PIPE
         )
         assert self._daemon.stderr is not None
-        async with asyncio.timeout(READY):
+        async with asyncio.timeout(START_TIMEOUT):
             line = (await self._daemon.stderr.readline()).decode()
         if " at " not in line:
             raise RuntimeError(f"the daemon did not start: {line.strip()}")
         self._port = int(line.rpartition(":")[2])
 
     async def close(self) -> None:
-        """End what was started here."""
+        """Stop the daemon, the backends and the callers."""
         if self._daemon is not None:
             with suppress(ProcessLookupError):
                 self._daemon.terminate()
             await self._daemon.wait()
-        for box in self.boxes.values():
-            box.backend.kill()
+        for member in self.boxes.values():
+            member.backend.kill()
         for caller in self._idle:
             caller.close()
 
-    # ---- what happens to backends ----------------------------------------------------------------
+    # ---- changes of backends ---------------------------------------------------------------------
 
-    def tell(self, tier: str) -> None:
-        """Write a tier's list anew, in one step."""
+    def write_endpoint_list(self, tier: str) -> None:
+        """Replace a tier's endpoint list atomically."""
         entries = [
-            {"name": name, "address": box.backend.address, "status": box.status}
-            for name, box in self.boxes.items()
-            if box.tier == tier and box.status != "unlisted"
+            {"name": name, "address": member.backend.address, "status": member.status}
+            for name, member in self.boxes.items()
+            if member.tier == tier and member.status != "unlisted"
         ]
-        fresh = self.folder / f"{tier}.new"
-        fresh.write_text(json.dumps({"endpoints": entries}))
-        fresh.rename(self.folder / f"{tier}.json")
+        new_file = self.folder / f"{tier}.new"
+        new_file.write_text(json.dumps({"endpoints": entries}))
+        new_file.rename(self.folder / f"{tier}.json")
 
     def kill(self, name: str) -> None:
-        """It dies without a word; the list goes on naming it."""
+        """Kill a backend without a change of its endpoint list."""
         self.boxes[name].backend.kill()
         self.boxes[name].status = "killed"
 
-    def notice(self, dead: str, drained: str) -> None:
-        """The lists name the dead one no more, and tell the other to finish what it has."""
+    def unlist_and_drain(self, dead: str, drained: str) -> None:
+        """Remove the dead backend from its endpoint list, and start the drain of the other one."""
         self.boxes[dead].status = "unlisted"
-        self.tell(self.boxes[dead].tier)
-        box = self.boxes[drained]
-        box.status, box.told = "terminating", asyncio.get_running_loop().time()
-        self.tell(box.tier)
+        self.write_endpoint_list(self.boxes[dead].tier)
+        member = self.boxes[drained]
+        member.status, member.drain_started_at = "terminating", asyncio.get_running_loop().time()
+        self.write_endpoint_list(member.tier)
 
-    async def _work(self, name: str, asked: Request) -> Response:
+    async def _serve(self, name: str, request: Request) -> Response:
         loop = asyncio.get_running_loop()
-        begun, box = loop.time(), self.boxes[name]
-        if box.told and begun > box.told + GRACE:
-            box.late += 1
+        started_at, member = loop.time(), self.boxes[name]
+        if member.drain_started_at and started_at > member.drain_started_at + GRACE:
+            member.late += 1
         await asyncio.sleep(self.rng.expovariate(1.0 / WORK))
         tiers = list(TIERS)
-        place = tiers.index(box.tier)
-        if place + 1 == len(tiers):
+        tier_index = tiers.index(member.tier)
+        if tier_index + 1 == len(tiers):
             return 200, b"done"
-        kind, key = asked.target.split("/")[2:4]
-        left = float(asked.headers["x-timeout"]) - (loop.time() - begun)
-        rid = f"{asked.headers['x-request-id']}.{place + 1}"
-        outcome = await self._ask(tiers[place + 1], kind, key, rid, left)
+        kind, key = request.target.split("/")[2:4]
+        remaining = float(request.headers["x-timeout"]) - (loop.time() - started_at)
+        rid = f"{request.headers['x-request-id']}.{tier_index + 1}"
+        outcome = await self._send(tiers[tier_index + 1], kind, key, rid, remaining)
         return (200, outcome.body) if outcome.status == 200 else (502, b"the tier below failed")
 
     # ---- callers ---------------------------------------------------------------------------------
 
-    async def _ask(self, tier: str, kind: str, key: str, rid: str, within: float) -> Outcome:
+    async def _send(self, tier: str, kind: str, key: str, rid: str, within: float) -> Outcome:
         caller = self._idle.pop() if self._idle else Caller("127.0.0.1", self._port)
         method = KINDS[kind][0]
         request = (
@@ -136,30 +138,30 @@
         return outcome
 
     async def call(self) -> None:
-        """One caller's request, of a kind drawn by its share."""
+        """Send one caller's request, of a kind drawn with the weights SHARES."""
         self.sent += 1
         number = self.sent
         [kind] = self.rng.choices(list(SHARES), list(SHARES.values()))
-        outcome = await self._ask("edge-api", kind, f"k{number % 50}", f"{kind}-{number}", DEADLINE)
+        outcome = await self._send("edge-api", kind, f"k{number % 50}", f"{kind}-{number}", DEADLINE)
         self.tally[kind].add(outcome)
         self.lost += outcome.status == 0
 
-    # ---- what became of it -----------------------------------------------------------------------
+    # ---- outcomes --------------------------------------------------------------------------------
 
     def doubled(self) -> int:
-        """Runs of what must never run twice, beyond the first, over all backends of a tier."""
+        """Return the number of repeated runs of requests that must not run twice, over all backends of a tier."""
         ran = Counter[str]()
-        for box in self.boxes.values():
-            ran.update(box.backend.ran)
+        for member in self.boxes.values():
+            ran.update(member.backend.ran)
         return sum(count - 1 for rid, count in ran.items() if not rid.startswith("rate-push"))
 
     def late(self) -> int:
-        """Requests that began at a draining backend after the grace."""
-        return sum(box.late for box in self.boxes.values())
+        """Return the number of requests that reached a draining backend after the grace period."""
+        return sum(member.late for member in self.boxes.values())
 
 
-def demo_file() -> str:
-    """The daemon's file: a pool for each tier, with its list in a file beside it, and a route for each kind."""
+def config_text() -> str:
+    """Return the daemon's configuration: per tier a pool with an endpoint list file, and a route for each kind."""
     text = '[listeners.main]\naddress = "127.0.0.1:0"\n'
     for kind, (_, repeat) in KINDS.items():
         text += f'[classes.{kind}]\naim = "410ms"\ndeadline = "{DEADLINE:g}s"\nrepeat = "{repeat}"\n'
