--- a/lugspur/demo/world.py
+++ b/lugspur/demo/world.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Box:
+class TierBackend:
     """One backend with its state."""
 
     tier: str
@@ -43,7 +43,7 @@
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
         self.rng = random.Random(seed)
-        self.boxes: dict[str, Box] = {}
+        self.boxes: dict[str, TierBackend] = {}
         self.tally: dict[str, Tally] = {kind: Tally() for kind in KINDS}
         self.sent = self.lost = 0
         self._idle: list[Caller] = []
@@ -57,7 +57,7 @@
                 name = f"{tier}-{number}"
                 backend = Backend(name, lambda request, name=name: self._serve(name, request))  # type: ignore[misc]
                 await backend.listen()
-                self.boxes[name] = Box(tier, backend)
+                self.boxes[name] = TierBackend(tier, backend)
             self.write_endpoint_list(tier)
         config_file = self.folder / "demo.toml"
         config_file.write_text(config_text())
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -174,7 +174,7 @@
 def test_the_demo_detects_a_request_that_is_doubled_lost_or_late(tmp_path: Path) -> None:
     import asyncio
 
-    from lugspur.demo.world import Box
+    from lugspur.demo.world import TierBackend
     from lugspur.standins.backend import Backend
 
     async def work(_: object) -> tuple[int, bytes]:
@@ -183,7 +183,7 @@
     async def play() -> None:
         world = World(tmp_path, 1)
         for name in ("edge-api-1", "edge-api-2"):
-            world.boxes[name] = Box("edge-api", Backend(name, work))
+            world.boxes[name] = TierBackend("edge-api", Backend(name, work))
             world.boxes[name].backend.ran.update(["rate-push-1", "booking-new-2"])
         assert world.doubled() == 1
         world.boxes["edge-api-1"].late = 2
