--- a/lugspur/demo/main.py
+++ b/lugspur/demo/main.py
@@ -57,7 +57,7 @@
     backends = Table(title="backends", title_justify="left")
     for heading in ("tier", "backend", "state", "ran", "open connections"):
         backends.add_column(heading, justify="right" if heading in ("ran", "open connections") else "left")
-    for name, row in world.boxes.items():
+    for name, row in world.backends.items():
         backends.add_row(
             row.tier, name, STATES[row.status], str(row.backend.ran.total()), str(len(row.backend.connections))
         )
--- a/lugspur/demo/world.py
+++ b/lugspur/demo/world.py
@@ -43,7 +43,7 @@
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
         self.rng = random.Random(seed)
-        self.boxes: dict[str, TierBackend] = {}
+        self.backends: dict[str, TierBackend] = {}
         self.tally: dict[str, Tally] = {kind: Tally() for kind in KINDS}
         self.sent = self.lost = 0
         self._idle: list[Caller] = []
@@ -57,7 +57,7 @@
                 name = f"{tier}-{number}"
                 backend = Backend(name, lambda request, name=name: self._serve(name, request))  # type: ignore[misc]
                 await backend.listen()
-                self.boxes[name] = TierBackend(tier, backend)
+                self.backends[name] = TierBackend(tier, backend)
             self.write_endpoint_list(tier)
         config_file = self.folder / "demo.toml"
         config_file.write_text(config_text())
@@ -77,7 +77,7 @@
             with suppress(ProcessLookupError):
                 self._daemon.terminate()
             await self._daemon.wait()
-        for member in self.boxes.values():
+        for member in self.backends.values():
             member.backend.kill()
         for caller in self._idle:
             caller.close()
@@ -88,7 +88,7 @@
         """Replace a tier's endpoint list atomically."""
         entries = [
             {"name": name, "address": member.backend.address, "status": member.status}
-            for name, member in self.boxes.items()
+            for name, member in self.backends.items()
             if member.tier == tier and member.status != "unlisted"
         ]
         new_file = self.folder / f"{tier}.new"
@@ -97,20 +97,20 @@
 
     def kill(self, name: str) -> None:
         """Kill a backend without a change of its endpoint list."""
-        self.boxes[name].backend.kill()
-        self.boxes[name].status = "killed"
+        self.backends[name].backend.kill()
+        self.backends[name].status = "killed"
 
     def unlist_and_drain(self, dead: str, drained: str) -> None:
         """Remove the dead backend from its endpoint list, and start the drain of the other one."""
-        self.boxes[dead].status = "unlisted"
-        self.write_endpoint_list(self.boxes[dead].tier)
-        member = self.boxes[drained]
+        self.backends[dead].status = "unlisted"
+        self.write_endpoint_list(self.backends[dead].tier)
+        member = self.backends[drained]
         member.status, member.drain_started_at = "terminating", asyncio.get_running_loop().time()
         self.write_endpoint_list(member.tier)
 
     async def _serve(self, name: str, request: Request) -> Response:
         loop = asyncio.get_running_loop()
-        started_at, member = loop.time(), self.boxes[name]
+        started_at, member = loop.time(), self.backends[name]
         if member.drain_started_at and started_at > member.drain_started_at + GRACE:
             member.late += 1
         await asyncio.sleep(self.rng.expovariate(1.0 / WORK))
@@ -151,13 +151,13 @@
     def doubled(self) -> int:
         """Return the number of repeated runs of requests that must not run twice, over all backends of a tier."""
         ran = Counter[str]()
-        for member in self.boxes.values():
+        for member in self.backends.values():
             ran.update(member.backend.ran)
         return sum(count - 1 for rid, count in ran.items() if not rid.startswith("rate-push"))
 
     def late(self) -> int:
         """Return the number of requests that reached a draining backend after the grace period."""
-        return sum(member.late for member in self.boxes.values())
+        return sum(member.late for member in self.backends.values())
 
 
 def config_text() -> str:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -183,10 +183,10 @@
     async def play() -> None:
         world = World(tmp_path, 1)
         for name in ("edge-api-1", "edge-api-2"):
-            world.boxes[name] = TierBackend("edge-api", Backend(name, work))
-            world.boxes[name].backend.ran.update(["rate-push-1", "booking-new-2"])
+            world.backends[name] = TierBackend("edge-api", Backend(name, work))
+            world.backends[name].backend.ran.update(["rate-push-1", "booking-new-2"])
         assert world.doubled() == 1
-        world.boxes["edge-api-1"].late = 2
+        world.backends["edge-api-1"].late = 2
         assert world.late() == 2
         world.tally["rate-push"].add(Outcome(0, 1.0))
         assert world.tally["rate-push"].statuses == {0: 1}
