--- a/lugspur/bench/soak/mesh_fault_injector.py
+++ b/lugspur/bench/soak/mesh_fault_injector.py
@@ -342,7 +342,7 @@
         backend.state = "closing"
         try:
             async with asyncio.timeout(1.0):
-                acknowledged = await backend.beat()
+                acknowledged = await backend.send_heartbeat()
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             acknowledged = False
         await asyncio.sleep(DRAIN_SECONDS)
--- a/lugspur/standins/mesh.py
+++ b/lugspur/standins/mesh.py
@@ -44,10 +44,10 @@
     async def _send_heartbeats(self) -> None:
         while True:
             with suppress(OSError, asyncio.IncompleteReadError):
-                await self.beat()
+                await self.send_heartbeat()
             await asyncio.sleep(0.25)
 
-    async def beat(self) -> bool:
+    async def send_heartbeat(self) -> bool:
         """Send one heartbeat; return whether it was acknowledged."""
         body = json.dumps(
             {
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -208,7 +208,7 @@
     path = mesh.folder / f"{seen.proxy_ip}.toml"
     path.write_text(path.read_text().replace("memory_mb = 200", "memory_mb = 201"))
     seen.backend.state = "closing"
-    await seen.backend.beat()
+    await seen.backend.send_heartbeat()
     await seen.backend.sign_off()
     async with asyncio.timeout(20.0):
         while "event=settings" not in mesh.log(seen.proxy_ip) or "event=requests" not in mesh.log(seen.proxy_ip):
--- a/tests/mesh/test_mesh.py
+++ b/tests/mesh/test_mesh.py
@@ -113,7 +113,7 @@
     async def what(mesh: Mesh) -> None:
         closing = mesh.backends[0]
         closing.state = "closing"
-        await closing.beat()
+        await closing.send_heartbeat()
         await asyncio.sleep(0.6)  # what the limiter still accepts while news gets round
         ran = len(closing.ran)
         for n in range(10):
