--- a/lugspur/bench/soak/mesh_run.py
+++ b/lugspur/bench/soak/mesh_run.py
@@ -221,7 +221,7 @@
 
     A late response is excused if the proxy's process was down during the request or shortly before it.
     """
-    started_at = {attempt: at for backend in cluster.backends for attempt, at in backend.began.items()}
+    started_at = {attempt: at for backend in cluster.backends for attempt, at in backend.started_at.items()}
     for call in history.calls:
         late_by = started_at.get(call.attempt, 0.0) - call.began - MAIL_DEADLINE_SECONDS
         if call.unsafe and late_by > LATE_START_TOLERANCE_SECONDS:
--- a/lugspur/standins/mesh.py
+++ b/lugspur/standins/mesh.py
@@ -25,7 +25,7 @@
         self.id = f"i-{os.urandom(4).hex()}"
         self.service, self.address, self.dispatch, self.zone, self.work = service, address, dispatch, zone, work
         self.ran: list[str] = []
-        self.began: dict[str, float] = {}  # event loop time at which each attempt started
+        self.started_at: dict[str, float] = {}  # event loop time at which each attempt started
         self.state = "accepting"
         self.acknowledged = 0
         self._sequence = itertools.count()
@@ -98,7 +98,7 @@
         if headers.get("lugspur-deliver-to", self.id) != self.id:
             return f"HTTP/1.1 421 Misdirected Request\r\n{delivered_by}Content-Length: 0\r\n\r\n".encode()
         self.ran.append(attempt_id)
-        self.began[attempt_id] = asyncio.get_running_loop().time()
+        self.started_at[attempt_id] = asyncio.get_running_loop().time()
         await asyncio.sleep(self.work)
         body = f"{self.id} ran {attempt_id} for {headers.get('lugspur-sender', '')}\n"
         if request_body:
