--- a/lugspur/bench/soak/faulty_backends.py
+++ b/lugspur/bench/soak/faulty_backends.py
@@ -81,7 +81,7 @@
         self.mode = ResponseMode.CORRECT
         self.rng = rng
 
-    async def _caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
             is_reusable = True
             while is_reusable:
@@ -99,7 +99,7 @@
                 % ident
             )
             return True
-        response = await self._answer(headers, body)
+        response = await self._respond(headers, body)
         if mode is ResponseMode.SILENT:
             while self.mode is ResponseMode.SILENT:
                 await asyncio.sleep(PIECE_SECONDS)
--- a/lugspur/standins/mesh.py
+++ b/lugspur/standins/mesh.py
@@ -33,7 +33,7 @@
     async def serve(self) -> None:
         """Start to listen and to send heartbeats."""
         host, _, port = self.address.rpartition(":")
-        self.server = await asyncio.start_server(self._caller, host, int(port), limit=MAX_HEAD_BYTES)
+        self.server = await asyncio.start_server(self._serve_connection, host, int(port), limit=MAX_HEAD_BYTES)
         self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     async def close(self) -> None:
@@ -82,17 +82,17 @@
         finally:
             writer.close()
 
-    async def _caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         # This task is cancelled when the event loop ends; its connections end with it.
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
             while True:
                 lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
                 headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:] if line)}
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
-                writer.write(await self._answer(headers, body))
+                writer.write(await self._respond(headers, body))
         writer.close()
 
-    async def _answer(self, headers: dict[str, str], request_body: bytes) -> bytes:
+    async def _respond(self, headers: dict[str, str], request_body: bytes) -> bytes:
         attempt_id = headers.get("lugspur-attempt-id", "")
         delivered_by = f"Lugspur-Delivered-By: {self.id}\r\n"
         if headers.get("lugspur-deliver-to", self.id) != self.id:
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -43,7 +43,7 @@
         super().__init__(service, address, dispatch, zone, work)
         self.headers: dict[str, dict[str, str]] = {}
 
-    async def _answer(self, headers: dict[str, str], sent: bytes) -> bytes:
+    async def _respond(self, headers: dict[str, str], sent: bytes) -> bytes:
         attempt = headers["lugspur-attempt-id"]
         self.headers[attempt] = headers
         if attempt == "slow":
@@ -57,7 +57,7 @@
             return f"HTTP/1.1 500 Internal Server Error\r\n{end}".encode()
         if attempt == "unstamped":
             return f"HTTP/1.1 200 OK\r\n{end}".encode()
-        return await super()._answer(headers, sent)
+        return await super()._respond(headers, sent)
 
 
 class LookedAt(Mesh):
--- a/tests/mesh/test_answers.py
+++ b/tests/mesh/test_answers.py
@@ -56,7 +56,7 @@
 
     outgoing = ""  # where calls of its own go
 
-    async def _caller(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
             while True:
                 lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
@@ -65,7 +65,7 @@
                 _, route, trouble, *_ = [*lines[0].split(" ")[1].split("/"), "good"]
                 if route == "tell":
                     await self._tell(headers["lugspur-attempt-id"], trouble)
-                answer = await self._answer(headers, b"")
+                answer = await self._respond(headers, b"")
                 if not await self._give(reader, writer, trouble, answer):
                     break
         writer.close()
