--- a/tests/zookeeper/test_kazoo.py
+++ b/tests/zookeeper/test_kazoo.py
@@ -128,8 +128,8 @@
     names, parent_stat = client.get_children("/a", include_data=True)
     assert names == ["b"] and parent_stat.numChildren == 1
     assert client.sync("/a") == "/a"
-    made, made_stat = client.create("/a/c", b"x", include_data=True)
-    assert made == "/a/c" and made_stat.dataLength == 1
+    created_path, created_stat = client.create("/a/c", b"x", include_data=True)
+    assert created_path == "/a/c" and created_stat.dataLength == 1
     client.delete("/a", recursive=True)
     assert client.exists("/a") is None
 
