--- a/lugspur/standins/zookeeper/server.py
+++ b/lugspur/standins/zookeeper/server.py
@@ -92,7 +92,7 @@
         self._raw(self.random.randbytes(64))
 
     def huge(self) -> None:
-        """Send the header of a frame of 1 GiB."""
+        """Send the length of a frame of 1 GiB and its first 64 bytes."""
         self._raw((1 << 30).to_bytes(4, "big") + b"x" * 64)
 
     def _raw(self, data: bytes) -> None:
