--- a/lugspur/standins/grpc/backend.py
+++ b/lugspur/standins/grpc/backend.py
@@ -18,7 +18,7 @@
 PREFIX = 5  # bytes before each message: the compression flag and the length
 
 
-class Ended(Exception):
+class CallEnded(Exception):
     """The call ended, by its script or by its caller."""
 
 
@@ -76,7 +76,7 @@
             self.connection.head(self.stream, [(":status", "200"), ("content-type", content_type), *more])
 
     async def send(self, message: bytes) -> None:
-        """Send one message as the flow control windows allow; raises Ended."""
+        """Send one message as the flow control windows allow; raises CallEnded."""
         self.head()
         await self.connection.send(self, b"\0" + len(message).to_bytes(4, "big") + message)
 
@@ -92,14 +92,14 @@
         self.connection.reset(self.stream, code)
 
     def inject(self, script: Script, point: str) -> None:
-        """Inject the script's fault at this point, if any; raises Ended if there is one."""
+        """Inject the script's fault at this point, if any; raises CallEnded if there is one."""
         fault = script.at(point)
         if fault == "reset":
             self.reset(script.code)
         elif fault == "cut":
             self.connection.kill()
         if fault:
-            raise Ended
+            raise CallEnded
 
 
 async def scripted(call: Call, script: Script) -> None:
@@ -132,10 +132,10 @@
             call.head()
             await call.connection.send(call, (b"\7" if script.spoil == "flag" else b"\0") + b"\0\0\0\x09cut")
             call.finish(0)
-            raise Ended
+            raise CallEnded
         if script.spoil == "frame":
             call.connection.raw(b"\xff" * 64)
-            raise Ended
+            raise CallEnded
         if script.at("body"):
             call.head()
             await call.connection.send(call, b"\0" + (len(message) + 1).to_bytes(4, "big") + message)
@@ -157,7 +157,7 @@
         self.connections: set[Connection] = set()
         self.accepted = 0
         self.pings = 0
-        self.begun = asyncio.Event()  # set by the first call
+        self.call_started = asyncio.Event()  # set by the first call
         self.reading_paused = False  # whether connections are not read
         self.address = ""
         self.scripts = True  # whether scripts are followed; if not, each call is served without faults
@@ -175,7 +175,7 @@
         """Stop reading from all connections or, with `paused` False, resume."""
         self.reading_paused = paused
         for connection in self.connections:
-            connection.listen()
+            connection.update_reading()
 
     def goaway(self, last: int | None = None, code: int = 0) -> None:
         """Send GOAWAY to all callers; the last stream id is by default the highest one received."""
@@ -219,7 +219,7 @@
             },
         )
         self._h2.initiate_connection()
-        self.listen()
+        self.update_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._backend.connections.discard(self)
@@ -232,7 +232,7 @@
         """Abort the connection."""
         self._transport.abort()
 
-    def listen(self) -> None:
+    def update_reading(self) -> None:
         """Pause or resume reading, as the backend is set."""
         if self._backend.reading_paused:
             self._transport.pause_reading()
@@ -311,7 +311,7 @@
         self._calls[stream] = call
         self._backend.ran[call.rid] += 1
         self._backend.calls.append(call)
-        self._backend.begun.set()
+        self._backend.call_started.set()
         if script.goaway:
             self.goaway(stream)
         task = asyncio.get_running_loop().create_task(self._run(call, script))
@@ -321,7 +321,7 @@
     async def _run(self, call: Call, script: Script) -> None:
         try:
             await self._backend.work(call, script)
-        except Ended:
+        except CallEnded:
             if not script.stall:
                 self._calls.pop(call.stream, None)
         else:
@@ -330,15 +330,15 @@
     # ---- output of the calls -------------------------------------------------------------------
 
     def head(self, stream: int, fields: list[tuple[str, str]]) -> None:
-        """Send the headers of a response; raises Ended."""
+        """Send the headers of a response; raises CallEnded."""
         try:
             self._h2.send_headers(stream, fields)
         except ProtocolError as fault:
-            raise Ended from fault
+            raise CallEnded from fault
         self.flush()
 
     async def send(self, call: Call, data: bytes) -> None:
-        """Send a part of a response as the flow control windows allow; raises Ended."""
+        """Send a part of a response as the flow control windows allow; raises CallEnded."""
         try:
             while data:
                 limit = min(self._h2.local_flow_control_window(call.stream), self._h2.max_outbound_frame_size)
@@ -350,23 +350,23 @@
                 data = data[limit:]
                 self.flush()
         except ProtocolError as fault:
-            raise Ended from fault
+            raise CallEnded from fault
 
     def tail(self, stream: int, fields: list[tuple[str, str]] | None) -> None:
-        """Send the trailers, or with None end the stream without trailers; raises Ended."""
+        """Send the trailers, or with None end the stream without trailers; raises CallEnded."""
         try:
             if fields is None:
                 self._h2.end_stream(stream)
             else:
                 self._h2.send_headers(stream, fields, end_stream=True)
         except ProtocolError as fault:
-            raise Ended from fault
+            raise CallEnded from fault
         self.flush()
 
     def reset(self, stream: int, code: int) -> None:
-        """Send RST_STREAM; raises Ended."""
+        """Send RST_STREAM; raises CallEnded."""
         try:
             self._h2.reset_stream(stream, code)
         except ProtocolError as fault:
-            raise Ended from fault
+            raise CallEnded from fault
         self.flush()
