--- a/lugspur/standins/grpc/backend.py
+++ b/lugspur/standins/grpc/backend.py
@@ -12,7 +12,7 @@
 from h2.exceptions import ProtocolError
 from h2.settings import SettingCodes, Settings
 
-from lugspur.standins.grpc.script import Script, ScriptError, read
+from lugspur.standins.grpc.script import Script, ScriptError, parse_script
 
 REFUSED_STREAM = 7  # HTTP/2 error code
 PREFIX = 5  # bytes before each message: the compression flag and the length
@@ -295,7 +295,7 @@
             return
         call = Call(self, stream, fields)
         try:
-            script = read(call.headers.get("x-script", "") if self._backend.scripts else "")
+            script = parse_script(call.headers.get("x-script", "") if self._backend.scripts else "")
         except ScriptError as fault:
             call.finish(3, str(fault).replace("%", ""))
             return
--- a/lugspur/standins/grpc/script.py
+++ b/lugspur/standins/grpc/script.py
@@ -50,7 +50,7 @@
         return next((what for what in ("reset", "cut", "stall") if getattr(self, what) == point), "")
 
 
-def read(text: str) -> Script:
+def parse_script(text: str) -> Script:
     """Parse a script; raises ScriptError."""
     script = Script()
     for step in filter(None, (part.strip() for part in text.split(","))):
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -23,7 +23,7 @@
 from lugspur.http2.wire import MAX_BACKLOG_BYTES
 from lugspur.standins.grpc.backend import Call, scripted
 from lugspur.standins.grpc.caller import Caller, Response
-from lugspur.standins.grpc.script import STEPS, Script, ScriptError, read
+from lugspur.standins.grpc.script import STEPS, Script, ScriptError, parse_script
 
 UNKNOWN, DEADLINE, UNAVAILABLE, INTERNAL, UNIMPLEMENTED = 2, 4, 14, 13, 12
 
@@ -906,4 +906,4 @@
     )
     assert all(step.split()[0] in completed.stdout for step in STEPS)
     with pytest.raises(ScriptError, match="'jump' is no step; write one of refuse"):
-        read("sleep 5ms, jump")
+        parse_script("sleep 5ms, jump")
