--- a/lugspur/standins/grpc/backend.py
+++ b/lugspur/standins/grpc/backend.py
@@ -102,7 +102,7 @@
             raise CallEnded
 
 
-async def scripted(call: Call, script: Script) -> None:
+async def run_script(call: Call, script: Script) -> None:
     """Echo the messages of the request, with the faults of the script."""
     call.inject(script, "head")
     messages = []
@@ -148,7 +148,7 @@
     """Listens on one address; `work` serves each call, with the script from the call's metadata."""
 
     def __init__(
-        self, work: Callable[[Call, Script], Awaitable[None]] = scripted, streams: int = 100, window: int = 65_535
+        self, work: Callable[[Call, Script], Awaitable[None]] = run_script, streams: int = 100, window: int = 65_535
     ) -> None:
         self.work = work
         self.streams, self.window = streams, window
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -21,7 +21,7 @@
 from lugspur.config.load import ConfigFileError, load
 from lugspur.http2 import front as http2_front
 from lugspur.http2.wire import MAX_BACKLOG_BYTES
-from lugspur.standins.grpc.backend import Call, scripted
+from lugspur.standins.grpc.backend import Call, run_script
 from lugspur.standins.grpc.caller import Caller, Response
 from lugspur.standins.grpc.script import STEPS, Script, ScriptError, parse_script
 
@@ -337,7 +337,7 @@
 
         async def work(call: Call, script: Script) -> None:
             await release.wait()
-            await scripted(call, script)
+            await run_script(call, script)
 
         box.work = work
         streams = []
@@ -370,7 +370,7 @@
 
         async def work(call: Call, script: Script) -> None:
             await release.wait()
-            await scripted(call, script)
+            await run_script(call, script)
 
         world.box.work = work
         streams = [caller.begin("/book/Do", ("x-request-id", f"r{at}")) for at in range(30)]
--- a/tests/grpcpeers.py
+++ b/tests/grpcpeers.py
@@ -8,7 +8,7 @@
 from daemonic import HEAD, Served, pool, route, served
 from loopback import HOST
 
-from lugspur.standins.grpc.backend import Call, GrpcBackend, scripted
+from lugspur.standins.grpc.backend import Call, GrpcBackend, run_script
 from lugspur.standins.grpc.caller import Caller
 from lugspur.standins.grpc.script import Script
 
@@ -45,7 +45,7 @@
 @asynccontextmanager
 async def boxed(
     count: int = 1,
-    work: Work = scripted,
+    work: Work = run_script,
     more: str = "",
     text: str = ROUTES,
     head: str = HTTP2,
