--- a/lugspur/standins/grpc/backend.py
+++ b/lugspur/standins/grpc/backend.py
@@ -160,7 +160,7 @@
         self.call_started = asyncio.Event()  # set by the first call
         self.reading_paused = False  # whether connections are not read
         self.address = ""
-        self.scripts = True  # whether scripts are followed; if not, each call is served without faults
+        self.follows_scripts = True  # whether scripts are followed; if not, each call is served without faults
         self.extends_windows = True  # whether the callers' flow control windows are extended as data is read
         self._server: asyncio.Server | None = None
 
@@ -295,7 +295,7 @@
             return
         call = Call(self, stream, fields)
         try:
-            script = parse_script(call.headers.get("x-script", "") if self._backend.scripts else "")
+            script = parse_script(call.headers.get("x-script", "") if self._backend.follows_scripts else "")
         except ScriptError as fault:
             call.finish(3, str(fault).replace("%", ""))
             return
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -159,7 +159,7 @@
 
     async def run() -> None:
         async with boxed(2) as world:
-            world.boxes[1].scripts = False
+            world.boxes[1].follows_scripts = False
             await body(world)
 
     asyncio.run(run())
