--- a/lugspur/standins/grpc/caller.py
+++ b/lugspur/standins/grpc/caller.py
@@ -23,7 +23,7 @@
     """The part of a call's response received so far. `ended` is set when the call ends, in whichever way."""
 
     head: dict[str, str] = field(default_factory=dict)
-    tail: dict[str, str] = field(default_factory=dict)
+    trailers: dict[str, str] = field(default_factory=dict)
     data: bytearray = field(default_factory=bytearray)
     ends: int = 0  # how often the stream was ended; more than once is an error
     reset: int | None = None  # the error code with which the stream was reset
@@ -34,18 +34,18 @@
     @property
     def status(self) -> int | None:
         """The response's grpc-status, or None if it has none."""
-        found = self.tail.get("grpc-status", self.head.get("grpc-status"))
+        found = self.trailers.get("grpc-status", self.head.get("grpc-status"))
         return None if found is None else int(found)
 
     @property
     def status_message(self) -> str:
         """The response's grpc-message."""
-        return unquote(self.tail.get("grpc-message", self.head.get("grpc-message", "")))
+        return unquote(self.trailers.get("grpc-message", self.head.get("grpc-message", "")))
 
     @property
     def details(self) -> bytes:
         """The response's grpc-status-details-bin, decoded."""
-        text = self.tail.get("grpc-status-details-bin", self.head.get("grpc-status-details-bin", ""))
+        text = self.trailers.get("grpc-status-details-bin", self.head.get("grpc-status-details-bin", ""))
         return base64.b64decode(text + "=" * (-len(text) % 4))
 
     @property
@@ -223,7 +223,7 @@
         if isinstance(event, h2e.ResponseReceived):
             response.head = {str(name): str(value) for name, value in event.headers}
         elif isinstance(event, h2e.TrailersReceived):
-            response.tail = {str(name): str(value) for name, value in event.headers}
+            response.trailers = {str(name): str(value) for name, value in event.headers}
         elif isinstance(event, h2e.DataReceived):
             response.data += event.data
             response.more.set()
--- a/tests/daemon/test_grpc.py
+++ b/tests/daemon/test_grpc.py
@@ -176,7 +176,7 @@
         steps = f"{what} {point}" + (f" {code}" if what == "reset" else "")
         response = await caller.call("/book/Do", b"x", metadata=script(steps))
         assert (response.status, world.ran("r"), response.ends) == (UNKNOWN, 1, 1)
-        trailers = response.head if "grpc-status" in response.head else response.tail
+        trailers = response.head if "grpc-status" in response.head else response.trailers
         assert trailers["grpc-retry-pushback-ms"] == "-1"  # a retry of the caller would run the call twice
 
     play(body, count=2)
--- a/tests/daemon/test_request_coalescing.py
+++ b/tests/daemon/test_request_coalescing.py
@@ -521,7 +521,7 @@
         gate.set()
         for caller, stream in streams:
             got = await soon(caller.response(stream))
-            assert got.status == 0 and got.data[5:] == b"for q" and got.tail["x-seen"] == "1"
+            assert got.status == 0 and got.data[5:] == b"for q" and got.trailers["x-seen"] == "1"
         assert world.ran() == 1
 
     grpc(body, work)
