--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -41,7 +41,7 @@
             await trial.until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
             gone = trial.expire(f"box-{at - 4}")
             await asyncio.sleep(SETTLE)
-            lags.append(max(0.0, gone.backend.last_begun - gone.removed))
+            lags.append(max(0.0, gone.backend.last_started_at - gone.removed))
         return sorted(lags), await trial.stop()
 
 
--- a/lugspur/standins/backend.py
+++ b/lugspur/standins/backend.py
@@ -36,7 +36,7 @@
         self.name = name
         self.work = work
         self.ran: Counter[str] = Counter()  # requests by X-Request-ID, counted when work on them starts
-        self.last_begun = 0.0  # event loop time at which work on the last request started
+        self.last_started_at = 0.0  # event loop time at which work on the last request started
         self.connections: set[_Connection] = set()
         self._server: asyncio.Server | None = None
         self.address = ""
@@ -103,7 +103,7 @@
         self._start_request()
         self._backend.ran[request.headers.get("x-request-id", "")] += 1
         loop = asyncio.get_running_loop()
-        self._backend.last_begun = loop.time()
+        self._backend.last_started_at = loop.time()
         self._task = loop.create_task(self._serve(request))
 
     async def _serve(self, request: Request) -> None:
