--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -26,9 +26,9 @@
 from lugspur.bench.processes import CLASSES, Process, served, standin
 from lugspur.bench.sockets import free_port, wait_for
 from lugspur.standins import callers as http
-from lugspur.standins.backend import Answer as HttpAnswer
-from lugspur.standins.backend import Asked, Backend
-from lugspur.standins.grpc.box import Box
+from lugspur.standins.backend import Backend, Request
+from lugspur.standins.backend import Response as HttpResponse
+from lugspur.standins.grpc.backend import GrpcBackend
 from lugspur.standins.grpc.caller import Caller
 
 FILE = (
@@ -115,7 +115,7 @@
             begun = time.monotonic()
             got = await caller.call(f"/api/k{number}", b"x" * SIZE, within=WITHIN)
             if got.status != 0:
-                raise RuntimeError(f"grpc-status {got.status}: {got.said}")
+                raise RuntimeError(f"grpc-status {got.status}: {got.status_message}")
             seconds.append(time.monotonic() - begun)
 
     opened = [await Caller().connect(host, port) for _ in range(connections)]
@@ -177,11 +177,11 @@
     for at in range(count):
         stream = caller.begin("/read/Talk", ("x-request-id", f"s{at}"))
         await caller.send(stream, b"x" * SIZE)
-        answer = caller.answers[stream]
+        answer = caller.responses[stream]
         async with asyncio.timeout(WITHIN):
             await answer.more.wait()
         if not answer.data:
-            raise RuntimeError(f"grpc-status {answer.status}: {answer.said}")
+            raise RuntimeError(f"grpc-status {answer.status}: {answer.status_message}")
     return caller
 
 
@@ -214,13 +214,13 @@
     """A stream of so many MB each way."""
     caller = await Caller().connect(host, port)
     stream = caller.begin("/read/Talk")
-    answer = caller.answers[stream]
+    answer = caller.responses[stream]
     for _ in range(megabytes * 4):
         await caller.send(stream, b"x" * (1 << 18))
         answer.data.clear()
     caller.end(stream)
-    if (await caller.answer(stream, 10 * WITHIN)).status != 0:
-        raise RuntimeError(f"grpc-status {answer.status}: {answer.said}")
+    if (await caller.response(stream, 10 * WITHIN)).status != 0:
+        raise RuntimeError(f"grpc-status {answer.status}: {answer.status_message}")
     caller.close()
 
 
@@ -350,7 +350,7 @@
         if refused and rid.startswith("book"):
             self.refused.add(rid)
 
-    async def play(self, host: str, port: int, boxes: list[Box], plain: Backend) -> Counts:
+    async def play(self, host: str, port: int, boxes: list[GrpcBackend], plain: Backend) -> Counts:
         """All calls, 16 at a time, half of them over each protocol."""
         numbers = iter(range(self._count))
         shared = [await Caller().connect(host, port) for _ in range(4)]
@@ -376,13 +376,13 @@
         return self.counts
 
 
-async def _work(_: Asked) -> HttpAnswer:
+async def _work(_: Request) -> HttpResponse:
     return 200, b"done"
 
 
 async def mixed(count: int, seed: int) -> Counts:
     """Three gRPC boxes and an HTTP/1.1 one behind a daemon in a process of its own."""
-    boxes, plain = [Box() for _ in range(3)], Backend("plain", _work)
+    boxes, plain = [GrpcBackend() for _ in range(3)], Backend("plain", _work)
     for box in boxes:
         await box.listen()
     await plain.listen()
--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -24,7 +24,7 @@
 from lugspur.bench.processes import Process, daemon, standin
 from lugspur.config.load import load
 from lugspur.daemon.run import RunningDaemon
-from lugspur.standins.backend import Answer, Asked, Backend
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller, Outcome, Tally, closed_loop
 
 WITHIN = 30.0  # seconds that any one wait may take
@@ -140,7 +140,7 @@
     """
     room = asyncio.Semaphore(slots)
 
-    async def work(_: Asked) -> Answer:
+    async def work(_: Request) -> Response:
         async with room:
             await asyncio.sleep(work_seconds)
         return 200, b"rooms"
@@ -168,7 +168,7 @@
     """One tenant keeps hundreds of reads open; four others ask now and then. What became of both."""
     room = asyncio.Semaphore(8)
 
-    async def work(_: Asked) -> Answer:
+    async def work(_: Request) -> Response:
         async with room:
             await asyncio.sleep(2 * WORK)
         return 200, b"rooms"
@@ -222,7 +222,7 @@
     """
     rng, versions, found = random.Random(seed), Counter[str](), Checked()
 
-    async def work(asked: Asked) -> Answer:
+    async def work(asked: Request) -> Response:
         hotel = asked.target.rpartition("/")[2]
         if asked.method == "POST":
             await asyncio.sleep(rng.random() * 0.01)
@@ -324,7 +324,7 @@
         found = asyncio.run(burst(count, join))
         print(
             f"| {name} | {found.calls} | {found.tally.statuses.get(200, 0)} | {found.late} | "
-            f"{1e3 * found.tally.part(0.5):.0f} ms | {1e3 * found.tally.part(1.0):.0f} ms |"
+            f"{1e3 * found.tally.quantile(0.5):.0f} ms | {1e3 * found.tally.quantile(1.0):.0f} ms |"
         )
         good = good and (not join or (found.late == 0 and found.tally.statuses == {200: count} and found.calls < 10))
     return good
@@ -338,7 +338,7 @@
             timely = sum(each <= 0.41 for each in tally.seconds)
             print(
                 f"| {name} | {who} | {asked} | {tally.statuses.get(200, 0) / asked:.1%} | {timely / asked:.1%} | "
-                f"{1e3 * tally.part(0.5):.0f} ms | {1e3 * tally.part(0.99):.0f} ms |"
+                f"{1e3 * tally.quantile(0.5):.0f} ms | {1e3 * tally.quantile(0.99):.0f} ms |"
             )
     return True
 
--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -41,7 +41,7 @@
             await trial.until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
             gone = trial.expire(f"box-{at - 4}")
             await asyncio.sleep(SETTLE)
-            lags.append(max(0.0, gone.backend.last_begun - gone.removed))
+            lags.append(max(0.0, gone.backend.last_started_at - gone.removed))
         return sorted(lags), await trial.stop()
 
 
@@ -145,13 +145,13 @@
 async def noise(trial: Trial, seconds: float) -> None:
     """Cuts in mid-frame, garbage, frames of 1 GB, flaps, late replies, events that overtake, forgotten watches."""
     for server in trial.cluster.servers:
-        server.faults.forgets = True
+        server.faults.ignores_set_watches = True
     until = asyncio.get_running_loop().time() + seconds
     at = 0
     while asyncio.get_running_loop().time() < until:
         for server in trial.cluster.servers:
-            (server.garbage, server.huge, server.flap, lambda s=server: setattr(s.faults, "cut", True))[at % 4]()
-            server.faults.late, server.faults.overtaking = 0.01 * (at % 3), at % 2 == 0
+            (server.garbage, server.huge, server.flap, lambda s=server: setattr(s.faults, "truncates", True))[at % 4]()
+            server.faults.reply_delay, server.faults.events_first = 0.01 * (at % 3), at % 2 == 0
         at += 1
         await asyncio.sleep(0.1)
     for server in trial.cluster.servers:
@@ -236,7 +236,7 @@
                 count,
                 seconds,
                 server.bytes_out / 1024.0,
-                server.asked[Op.GET_DATA],
+                server.request_counts[Op.GET_DATA],
                 0.0,
                 process.cpu() - base[0],
                 process.memory() - base[1],
@@ -256,7 +256,7 @@
 async def _churn(trial: Trial, size: Size, process: Usage, changes: int, per_second: int) -> None:
     """So many changes, evenly over time; then one node that can be seen in the log, to know that all were read."""
     loop, server = asyncio.get_running_loop(), trial.cluster.servers[0]
-    server.asked.clear()
+    server.request_counts.clear()
     begun, used = loop.time(), process.cpu()
     for turn in range(changes):
         trial.cluster.write(f"{FOLDER}/box-{turn % size.nodes}", _entry(turn % size.nodes, turn // size.nodes + 1))
@@ -266,7 +266,7 @@
     trial.cluster.write(f"{FOLDER}/marker", b"?")
     await trial.said("marker")
     size.lag = loop.time() - ended
-    size.asked = server.asked[Op.GET_DATA] / changes
+    size.asked = server.request_counts[Op.GET_DATA] / changes
 
 
 @dataclass(slots=True)
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -13,7 +13,7 @@
 from types import TracebackType
 
 from lugspur.bench.processes import CLASSES
-from lugspur.standins.backend import Answer, Asked, Backend
+from lugspur.standins.backend import Backend, Request, Response
 from lugspur.standins.callers import Caller, Tally
 from lugspur.standins.zookeeper.cluster import Cluster
 
@@ -129,7 +129,7 @@
         """Make its node, under a new session."""
         data = json.dumps({"address": box.backend.address, "since_ms": 1000}).encode()
         box.removed = float("inf")
-        box.session = self.cluster.box(f"{FOLDER}/{box.name}", data)
+        box.session = self.cluster.register_backend(f"{FOLDER}/{box.name}", data)
 
     def expire(self, name: str) -> Box:
         """Its session ends, and its node with it; the process goes on."""
@@ -139,7 +139,7 @@
         box.removed = self._loop.time()
         return box
 
-    async def _work(self, box: Box, asked: Asked) -> Answer:
+    async def _work(self, box: Box, asked: Request) -> Response:
         if self._loop.time() > box.removed + self._grace:
             box.late += 1
         await asyncio.sleep(WORK)
--- a/tests/compatibility/test_mesh_interfaces.py
+++ b/tests/compatibility/test_mesh_interfaces.py
@@ -43,7 +43,7 @@
         super().__init__(service, address, dispatch, zone, work)
         self.headers: dict[str, dict[str, str]] = {}
 
-    async def _answer(self, headers: dict[str, str], sent: bytes) -> bytes:
+    async def _respond(self, headers: dict[str, str], sent: bytes) -> bytes:
         attempt = headers["lugspur-attempt-id"]
         self.headers[attempt] = headers
         if attempt == "slow":
@@ -57,7 +57,7 @@
             return f"HTTP/1.1 500 Internal Server Error\r\n{end}".encode()
         if attempt == "unstamped":
             return f"HTTP/1.1 200 OK\r\n{end}".encode()
-        return await super()._answer(headers, sent)
+        return await super()._respond(headers, sent)
 
 
 class LookedAt(Mesh):
@@ -208,7 +208,7 @@
     path = mesh.folder / f"{seen.proxy_ip}.toml"
     path.write_text(path.read_text().replace("memory_mb = 200", "memory_mb = 201"))
     seen.backend.state = "closing"
-    await seen.backend.beat()
+    await seen.backend.send_heartbeat()
     await seen.backend.sign_off()
     async with asyncio.timeout(20.0):
         while "event=settings" not in mesh.log(seen.proxy_ip) or "event=requests" not in mesh.log(seen.proxy_ip):
--- a/tests/zookeeper/test_view.py
+++ b/tests/zookeeper/test_view.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from session_harness import SessionHarness, run_in_loop
 
-from lugspur.standins.zookeeper.tree import Gone
+from lugspur.standins.zookeeper.tree import DeleteEffect
 from lugspur.zookeeper.records import OPEN_ACL, PERM_ADMIN, Acl, ErrorCode, EventType, Op, SetAcl
 from lugspur.zookeeper.view import NodeChanged, NodeDeleted, Phase, ReadFailed, Snapshot
 
@@ -49,7 +49,7 @@
 
     def record_removals(self, change: object) -> None:
         for effect in getattr(change, "effects", ()):
-            name = effect.path.rpartition("/")[2] if isinstance(effect, Gone) else ""
+            name = effect.path.rpartition("/")[2] if isinstance(effect, DeleteEffect) else ""
             if name in self.harness.follower.nodes:
                 self.expected_removals.append((name, self.harness.follower.nodes[name][1]))
 
@@ -67,7 +67,7 @@
     def create_ephemeral(self) -> None:
         path = self.path()
         if path not in self.harness.cluster.ensemble.tree.nodes:
-            self.harness.cluster.box(path, b"box")
+            self.harness.cluster.register_backend(path, b"box")
 
     def expire_ephemeral(self) -> None:
         owned = [path for paths in self.harness.cluster.ensemble.tree.owned.values() for path in sorted(paths)]
@@ -89,7 +89,7 @@
 
     def reconnect(self) -> None:
         for server in self.harness.servers:
-            server.faults.old = self.old
+            server.faults.no_persistent_watches = self.old
         self.harness.connect(self.random_source.randrange(3))
 
     def expire_own(self) -> None:
@@ -104,13 +104,13 @@
     def delay_replies(self) -> None:
         """Delay replies from now on; events may overtake them."""
         faults = self.random_source.choice(self.harness.servers).faults
-        faults.late, faults.overtaking = float("inf"), self.random_source.random() < 0.8
+        faults.reply_delay, faults.events_first = float("inf"), self.random_source.random() < 0.8
 
     def mend(self) -> None:
         self.random_source.choice(self.harness.servers).mend()
 
     def forget_watches(self) -> None:
-        self.random_source.choice(self.harness.servers).faults.forgets = True
+        self.random_source.choice(self.harness.servers).faults.ignores_set_watches = True
 
     def delete_directory(self) -> None:
         for path in sorted(self.harness.cluster.ensemble.tree.nodes, reverse=True):
@@ -174,13 +174,13 @@
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
-            server.faults.old = old
+            server.faults.no_persistent_watches = old
         harness.cluster.write("/boxes/a", b"1")
         following(harness)
         faults = harness.servers[0].faults
         harness.cluster.write("/boxes/a", b"2")
         harness.receive()
-        faults.late, faults.overtaking = float("inf"), True
+        faults.reply_delay, faults.events_first = float("inf"), True
         harness.send()  # the read returns 2, and its reply is delayed
         harness.cluster.write("/boxes/a", b"3")
         harness.receive()  # the event overtakes the reply
@@ -196,7 +196,7 @@
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
-            server.faults.old = old
+            server.faults.no_persistent_watches = old
         harness.cluster.write("/boxes/a", b"1")
         following(harness)
         harness.disconnect()
@@ -217,7 +217,7 @@
 def test_two_changes_before_a_read_show_the_latter(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
-        harness.servers[0].faults.old = old
+        harness.servers[0].faults.no_persistent_watches = old
         harness.cluster.write("/boxes/a", b"1")
         following(harness)
         harness.cluster.write("/boxes/a", b"2")
@@ -236,13 +236,13 @@
     async def run() -> None:
         harness = SessionHarness()
         for server in harness.servers:
-            server.faults.old = old
-        harness.cluster.box("/boxes/a", b"same")
+            server.faults.no_persistent_watches = old
+        harness.cluster.register_backend("/boxes/a", b"same")
         following(harness)
         if gap:
             harness.disconnect()
         harness.cluster.expire("/boxes/a")
-        harness.cluster.box("/boxes/a", b"same")
+        harness.cluster.register_backend("/boxes/a", b"same")
         if gap:
             harness.connect(1)
         harness.settle()
@@ -258,7 +258,7 @@
         for index in range(10_000):
             harness.cluster.write(f"/boxes/{index}", b"x")
         following(harness)
-        asked = harness.servers[0].asked
+        asked = harness.servers[0].request_counts
         assert (asked[Op.GET_DATA], asked[Op.GET_CHILDREN2]) == (10_000, 1) and len(harness.follower.nodes) == 10_000
         asked.clear()
         harness.cluster.write("/boxes/77", b"y")
@@ -293,7 +293,7 @@
 def test_a_missing_directory_removes_nodes_only_if_it_existed_before(old: bool) -> None:
     async def run() -> None:
         harness = SessionHarness()
-        harness.servers[0].faults.old = old
+        harness.servers[0].faults.no_persistent_watches = old
         harness.connect()
         harness.settle()
         assert harness.updates == [ReadFailed(-101)]
@@ -348,7 +348,7 @@
             harness.disconnect()
         harness.connect()
         harness.settle()
-        assert harness.servers[0].asked[Op.ADD_WATCH] == 0
+        assert harness.servers[0].request_counts[Op.ADD_WATCH] == 0
         harness.cluster.write("/boxes/b", b"2")
         harness.settle()
         assert harness.follower.nodes.keys() == {"a", "b"}
@@ -361,7 +361,7 @@
         harness = SessionHarness()
         harness.cluster.write("/boxes/a", b"1")
         for server in harness.servers:
-            server.faults.forgets = True
+            server.faults.ignores_set_watches = True
         following(harness)
         harness.disconnect()
         harness.cluster.write("/boxes/a", b"2")
@@ -400,7 +400,7 @@
             harness.send()
             harness.receive()
         faults = harness.servers[1].faults
-        faults.late, faults.overtaking = float("inf"), True
+        faults.reply_delay, faults.events_first = float("inf"), True
         harness.send()  # the list is read without m, and its reply is delayed
         harness.cluster.write("/boxes/m", b"2")
         harness.receive()  # the event of m arrives before the list
