--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -1,13 +1,15 @@
-"""Every order in which things can happen to a small fleet's lease, by the very code that runs.
-
-    python -m lugspur.bench.explore            # all worlds below, with the number of states of each
-    python -m lugspur.bench.explore --broken   # builds that are wrong on purpose: each has to be caught
-
-Three electors, two that want the duty. A message may come at any later time, never, in any order and, so often as the
-world says, twice (in the larger worlds at once or never); anybody may stand still at any time, since nobody has to do
-anything; electors may restart, before or after what they were writing was on the disk; a holder may lay down. Clocks
-run 20% apart here, the worst way round for whoever holds first, and the code is told so. After each step at most one
-may be in office, by its own clock, and who comes into office has a greater epoch than all before.
+"""Explores every order of events around a small fleet's lease, with the lease code that runs in service.
+
+    python -m lugspur.bench.explore            # all models below, with the number of states of each
+    python -m lugspur.bench.explore --broken   # deliberately faulty builds: each has to be caught
+
+A model has three voters and two candidates for the lease. A message may be delivered at any later time, in any order,
+be lost or, so many times as the model's limits allow, be delivered twice; the larger models deliver each message at
+once or lose it. Any participant may pause at any time, because no step is mandatory. Voters may restart before or after
+their unsaved promises reached the disk, and a lease holder may release the lease. Clocks run 20% apart, in the
+direction that is worst for the first candidate, and the lease code is configured with that drift. After each step at
+most one candidate may hold the lease by its own clock, and each new holder must have a greater epoch than all holders
+before.
 """
 
 from __future__ import annotations
@@ -28,73 +30,81 @@
 from lugspur.daemon.leases.messages import DenyLease, GrantLease, Message
 from lugspur.daemon.leases.voter import CandidateId, LeaseVoter, Promise
 
-DUTY = "d"
-LEASE = 6.0  # units of time
-SLOW, FAST = 2.0, 3.0  # units that a clock gains in a step of time...
-APART = (FAST - SLOW) / (FAST + SLOW) + 1e-9  # ...which are so far from their mean, and a hair: rounding is no fault
-NAMES = ("x", "y", "z")  # the electors
-WANTING = ("a", "b")
-WALL = 100  # by which the wall clock is later at each restart
+LEASE_NAME = "d"
+LEASE = 6.0  # duration of a lease, in the model's units of time
+# Units by which the slow and the fast clock advance in one step of time.
+SLOW_RATE, FAST_RATE = 2.0, 3.0
+# How far both clocks are from their mean, relative to it. The small addend keeps rounding from counting as a violation.
+CLOCK_DRIFT = (FAST_RATE - SLOW_RATE) / (FAST_RATE + SLOW_RATE) + 1e-9
+VOTERS = ("x", "y", "z")
+CANDIDATES = ("a", "b")  # they compete for the lease
+# The wall clock at a voter's restart is this many times the voter's clock plus 1, so that it is later at each restart.
+WALL_CLOCK_SCALE = 100
 
 
-class Broken(Exception):
-    """Two in office, or an epoch that is not greater; the text tells the way there."""
+class InvariantViolationError(Exception):
+    """Two candidates hold the lease, or an epoch did not rise; the text lists the steps that led there."""
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """How much may happen in a world."""
+    """How many events of each kind a model allows."""
 
-    steps: int = 4  # of time: a lease lasts two
-    rounds: int = 2  # of each that wants it
-    twice: int = 0  # messages that come a second time
-    restarts: int = 0
-    downs: int = 0  # times that a holder lays down
-    memory: bool = True  # whether electors have a disk
-    prompt: bool = False  # whether messages come at once or never: worlds can be larger then
+    time_steps: int = 4  # steps of time; a lease lasts two
+    rounds: int = 2  # rounds that each candidate may start
+    duplicates: int = 0  # messages that are delivered a second time
+    restarts: int = 0  # restarts of voters
+    releases: int = 0  # releases of the lease by its holder
+    has_disk: bool = True  # whether voters have a disk
+    # Whether messages are delivered at once or lost, which keeps larger models feasible.
+    immediate_delivery: bool = False
 
 
 @dataclass(slots=True)
-class Kept:
-    """An elector and its disk."""
+class VoterWithDisk:
+    """A voter and the promises on its disk."""
 
-    elector: LeaseVoter
+    voter: LeaseVoter
     disk: dict[str, Promise] = field(default_factory=dict)
 
 
-class World(NamedTuple):
-    """One state. Parts and messages are numbers of what `Parts` holds; equal ones have equal numbers."""
+class State(NamedTuple):
+    """One state of a model. Participants and messages are numbers in `StateStore`; equal ones have equal numbers."""
 
-    parts: tuple[int, ...]  # electors, then those that want it
-    flight: tuple[int, ...]  # messages on their way, sorted
-    steps: int  # left, as the others below
-    twice: int
-    restarts: int
-    downs: int
-    office: tuple[int, int]  # the greatest epoch that anybody was in office under, and who
+    parts: tuple[int, ...]  # the voters, then the candidates
+    in_flight: tuple[int, ...]  # messages in flight, sorted
+    time_steps: int  # steps of time that are left
+    duplicates: int  # duplicate deliveries that are left
+    restarts: int  # restarts of voters that are left
+    releases: int  # releases of the lease that are left
+    last_holder: tuple[int, int]  # the greatest epoch under which the lease was held, and the place of its holder
 
 
 Order = tuple[int, ...]
-ORDERS: list[Order] = list(permutations(range(len(NAMES))))
-SORTED: dict[tuple[bool, ...], list[Order]] = {}  # by how the electors' numbers compare: the orders that sort them
+ORDERS: list[Order] = list(permutations(range(len(VOTERS))))
+# The orders that sort the voters, by the results of comparing their numbers pair by pair.
+SORTING_ORDERS: dict[tuple[bool, ...], list[Order]] = {}
+
 
+class StateStore:
+    """Stores each state of a participant once, and caches the results of steps.
 
-class Parts:
-    """Each state of a part once, and what each step makes of it: worlds differ in few parts, most steps are known."""
+    States of a model differ in few participants, so that most steps are found in the cache.
+    """
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self._numbers: dict[Any, int] = {}
         self._packed: list[bytes] = []
-        self.messages: list[tuple[int, int, Message]] = []  # to and from whom, by their places
+        self.messages: list[tuple[int, int, Message]] = []  # the places of receiver and sender, and the message
         self._message_numbers: dict[Any, int] = {}
-        self._known: dict[Any, tuple[int, tuple[int, ...], Any]] = {}
-        self._inside: dict[tuple[int, float], int] = {}
-        self._renamed: dict[tuple[int, Order], int] = {}
-        self._told: dict[tuple[int, Order], int] = {}
+        self._step_cache: dict[Any, tuple[int, tuple[int, ...], Any]] = {}
+        self._property_cache: dict[tuple[int, float], int] = {}
+        self._permuted_states: dict[tuple[int, Order], int] = {}
+        self._permuted_messages: dict[tuple[int, Order], int] = {}
 
-    def part(self, what: Kept | LeaseTerm) -> int:
-        """Its number."""
+    def number_state(self, what: VoterWithDisk | LeaseTerm) -> int:
+        """Return the number of a participant's state, a new one if the state is new."""
         key = freeze(what)
         number = self._numbers.get(key)
         if number is None:
@@ -102,12 +112,12 @@
             self._packed.append(pickle.dumps(what))
         return number
 
-    def get(self, number: int) -> Any:
-        """A copy."""
+    def load_state(self, number: int) -> Any:
+        """Return a copy of the participant's state that has this number."""
         return pickle.loads(self._packed[number])
 
     def message(self, to: int, origin: int, message: Message) -> int:
-        """Its number."""
+        """Return the number of a message between two places, a new one if the message is new."""
         key = to, origin, message
         number = self._message_numbers.get(key)
         if number is None:
@@ -115,111 +125,112 @@
             self.messages.append(key)
         return number
 
-    def renamed(self, number: int, order: Order) -> int:
-        """The same with the electors' names exchanged."""
-        found = self._renamed.get((number, order))
+    def permute_state(self, number: int, order: Order) -> int:
+        """Return the number of the same participant's state after the voters' names were permuted."""
+        found = self._permuted_states.get((number, order))
         if found is None:
-            part = self.get(number)
+            part = self.load_state(number)
             if isinstance(part, LeaseTerm):
-                names = {name: NAMES[order.index(place)] for place, name in enumerate(NAMES)}
+                names = {name: VOTERS[order.index(place)] for place, name in enumerate(VOTERS)}
                 part._granted_by = {names[name] for name in part._granted_by}
                 part._denied_until = {names[name]: when for name, when in part._denied_until.items()}
-            found = self._renamed[number, order] = self.part(part)
+            found = self._permuted_states[number, order] = self.number_state(part)
         return found
 
-    def told(self, number: int, order: Order) -> int:
-        """The same message with the electors' names exchanged."""
-        found = self._told.get((number, order))
+    def permute_message(self, number: int, order: Order) -> int:
+        """Return the number of the same message after the voters' names were permuted."""
+        found = self._permuted_messages.get((number, order))
         if found is None:
             to, origin, message = self.messages[number]
-            places = [order.index(place) for place in range(len(NAMES))] + [3, 4]
-            found = self._told[number, order] = self.message(places[to], places[origin], message)
+            places = [order.index(place) for place in range(len(VOTERS))] + [3, 4]
+            found = self._permuted_messages[number, order] = self.message(places[to], places[origin], message)
         return found
 
-    def step(self, number: int, at: int, how: str, clock: float, message: int) -> tuple[int, tuple[int, ...], Any]:
-        """A part's number after a step, the messages that it sends, and what else is to be known."""
-        key = number, at, how, clock, message  # two that are in the same state speak for themselves all the same
-        known = self._known.get(key)
-        if known is None:
-            part = self.get(number)
-            found = self._act(part, how, clock, message)
-            out = part.elector.take_messages() if isinstance(part, Kept) else part.take_messages()
+    def step(self, number: int, at: int, kind: str, clock: float, message: int) -> tuple[int, tuple[int, ...], Any]:
+        """Return a participant's number after a step, the messages that it sends, and the epoch if it won a round."""
+        # The place is part of the key: participants in equal states send messages with different senders.
+        key = number, at, kind, clock, message
+        cached = self._step_cache.get(key)
+        if cached is None:
+            part = self.load_state(number)
+            found = self._act(part, kind, clock, message)
+            out = part.voter.take_messages() if isinstance(part, VoterWithDisk) else part.take_messages()
             sent = tuple(
-                self.message(PLACES[to], at, word)
-                for to, word in out
-                if isinstance(word, GrantLease | DenyLease) or not isinstance(part, Kept)
+                self.message(PLACES[to], at, outgoing_message)
+                for to, outgoing_message in out
+                if isinstance(outgoing_message, GrantLease | DenyLease) or not isinstance(part, VoterWithDisk)
             )
-            known = self._known[key] = self.part(part), sent, found
-        return known
+            cached = self._step_cache[key] = self.number_state(part), sent, found
+        return cached
 
-    def _act(self, part: Any, how: str, clock: float, number: int) -> Any:
+    def _act(self, part: Any, kind: str, clock: float, number: int) -> Any:
         if isinstance(part, LeaseTerm):
-            if how == "hears":
+            if kind == "receives":
                 _, origin, message = self.messages[number]
                 assert isinstance(message, GrantLease | DenyLease)
-                return part.epoch if part.receive(clock, NAMES[origin], message) is RoundResult.WON else 0
+                return part.epoch if part.receive(clock, VOTERS[origin], message) is RoundResult.WON else 0
             acts: dict[str, Callable[[float], Any]] = {
-                "asks": part.start_round,
-                "gives its round up": part.abandon_round,
-                "lays down": lambda _: part.release(),
+                "starts a round": part.start_round,
+                "abandons its round": part.abandon_round,
+                "releases the lease": lambda _: part.release(),
             }
-            acts[how](clock)
+            acts[kind](clock)
             return 0
-        elector = part.elector
-        if how == "hears":
+        voter = part.voter
+        if kind == "receives":
             _, origin, message = self.messages[number]
-            elector.receive(clock, CandidateId(EVERYBODY[origin], 1), message)
-        elif how == "has written":
-            unsaved, elector.unsaved_promises = elector.unsaved_promises, {}
+            voter.receive(clock, CandidateId(PARTICIPANTS[origin], 1), message)
+        elif kind == "saves its promises":
+            unsaved, voter.unsaved_promises = voter.unsaved_promises, {}
             part.disk |= unsaved
-            elector.confirm_saved(clock, unsaved)
+            voter.confirm_saved(clock, unsaved)
         else:
-            if how == "restarts with what it wrote":
-                part.disk |= elector.unsaved_promises
-            memory = list(part.disk.values()) if self.limits.memory else None
-            part.elector = LeaseVoter(LEASE, clock, memory, int(WALL * (1 + clock)))
+            if kind == "restarts after saving its promises":
+                part.disk |= voter.unsaved_promises
+            memory = list(part.disk.values()) if self.limits.has_disk else None
+            part.voter = LeaseVoter(LEASE, clock, memory, int(WALL_CLOCK_SCALE * (1 + clock)))
         return 0
 
-    def inside(self, number: int, clock: float) -> int:
-        """Bits: 1: it is in office; 2: a round goes on; 4: it may ask again."""
-        found = self._inside.get((number, clock))
+    def candidate_bits(self, number: int, clock: float) -> int:
+        """Return bits: 1 if the candidate holds the lease, 2 if its round is open, 4 if it may start another round."""
+        found = self._property_cache.get((number, clock))
         if found is None:
-            term = self.get(number)
+            term = self.load_state(number)
             found = term.is_held(clock) | term.has_open_round << 1 | (term.round_number < self.limits.rounds) << 2
-            self._inside[number, clock] = found
+            self._property_cache[number, clock] = found
         return found
 
-    def vain(self, message: int, place: int, number: int) -> bool:
-        """Whether an answer on its way to this one counts for nothing any more."""
+    def is_stale_reply(self, message: int, place: int, number: int) -> bool:
+        """Return whether a message is a reply to this candidate that no longer has any effect."""
         to, _, what = self.messages[message]
         if to != place or not isinstance(what, GrantLease | DenyLease):
             return False
-        bits = self.inside(number, 0.0)
-        if bits & 2 and self.round(number) == what.round_number:
+        bits = self.candidate_bits(number, 0.0)
+        if bits & 2 and self.latest_round(number) == what.round_number:
             return False
-        return isinstance(what, GrantLease) or not bits & 4  # a refusal tells of an epoch, for the next round
+        return isinstance(what, GrantLease) or not bits & 4  # a denial carries an epoch for the next round
 
-    def round(self, number: int) -> int:
-        """The latest round of one that wants it."""
+    def latest_round(self, number: int) -> int:
+        """Return the number of a candidate's latest round."""
         key = number, -2.0
-        if key not in self._inside:
-            self._inside[key] = self.get(number).round_number
-        return self._inside[key]
+        if key not in self._property_cache:
+            self._property_cache[key] = self.load_state(number).round_number
+        return self._property_cache[key]
 
-    def writing(self, number: int) -> bool:
-        """Whether an elector has something to write down."""
+    def has_unsaved_promises(self, number: int) -> bool:
+        """Return whether a voter has unsaved promises."""
         key = number, -1.0
-        if key not in self._inside:
-            self._inside[key] = bool(self.get(number).elector.unsaved_promises)
-        return bool(self._inside[key])
+        if key not in self._property_cache:
+            self._property_cache[key] = bool(self.load_state(number).voter.unsaved_promises)
+        return bool(self._property_cache[key])
 
 
-EVERYBODY = (*NAMES, *WANTING)
-PLACES = {name: place for place, name in enumerate(EVERYBODY)}
+PARTICIPANTS = (*VOTERS, *CANDIDATES)
+PLACES = {name: place for place, name in enumerate(PARTICIPANTS)}
 
 
 def freeze(what: Any) -> Any:
-    """A value by which equal states are known."""
+    """Return a hashable value that is equal for equal states."""
     if isinstance(what, dict):
         return tuple((key, freeze(value)) for key, value in sorted(what.items(), key=lambda item: str(item[0])))
     if isinstance(what, set):
@@ -233,253 +244,267 @@
 
 
 class Search:
-    """All states of one world."""
+    """A breadth-first search of all states of one model."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._parts = parts = Parts(limits)
-        electors = [Kept(LeaseVoter(LEASE, -LEASE, [] if limits.memory else None, 0)) for _ in NAMES]
-        terms = [LeaseTerm(DUTY, NAMES, LEASE, 0) for _ in WANTING]
-        self.first = World(
-            (*map(parts.part, electors), *map(parts.part, terms)),
+        self._store = parts = StateStore(limits)
+        voters = [VoterWithDisk(LeaseVoter(LEASE, -LEASE, [] if limits.has_disk else None, 0)) for _ in VOTERS]
+        terms = [LeaseTerm(LEASE_NAME, VOTERS, LEASE, 0) for _ in CANDIDATES]
+        self.first = State(
+            (*map(parts.number_state, voters), *map(parts.number_state, terms)),
             (),
-            limits.steps,
-            limits.twice,
+            limits.time_steps,
+            limits.duplicates,
             limits.restarts,
-            limits.downs,
+            limits.releases,
             (0, -1),
         )
 
-    def _clock(self, world: World, place: int) -> float:
-        """Each one's own: the first that wants it has a slow one, everybody else a fast one."""
-        return (self._limits.steps - world.steps) * (SLOW if place == len(NAMES) else FAST)
+    def _clock(self, state: State, place: int) -> float:
+        """Return a participant's own clock, which is slow for the first candidate and fast for all others."""
+        return (self._limits.time_steps - state.time_steps) * (SLOW_RATE if place == len(VOTERS) else FAST_RATE)
 
-    def steps(self, world: World) -> Iterator[tuple[int, str, int]]:
-        """All that can happen next: to whom, what, with which message."""
-        if self._limits.prompt and world.flight:
-            place = self._parts.messages[world.flight[0]][0]
-            yield place, "hears", world.flight[0]
-            yield place, "never hears", world.flight[0]
+    def possible_steps(self, state: State) -> Iterator[tuple[int, str, int]]:
+        """Yield every possible next step: the place it concerns, its kind, and its message (-1: none)."""
+        if self._limits.immediate_delivery and state.in_flight:
+            place = self._store.messages[state.in_flight[0]][0]
+            yield place, "receives", state.in_flight[0]
+            yield place, "loses", state.in_flight[0]
             return
         last = -1
-        for message in world.flight:
+        for message in state.in_flight:
             if message != last:
                 last = message
-                place = self._parts.messages[message][0]
-                yield place, "hears", message
-                if world.twice:
-                    yield place, "hears not for the last time", message
-        for place, number in enumerate(world.parts):
-            if place < len(NAMES):
-                writing = self._parts.writing(number)
-                if writing:
-                    yield place, "has written", -1
-                if world.restarts:
+                place = self._store.messages[message][0]
+                yield place, "receives", message
+                if state.duplicates:
+                    yield place, "receives a copy", message
+        for place, number in enumerate(state.parts):
+            if place < len(VOTERS):
+                has_unsaved_promises = self._store.has_unsaved_promises(number)
+                if has_unsaved_promises:
+                    yield place, "saves its promises", -1
+                if state.restarts:
                     yield place, "restarts", -1
-                    if writing:
-                        yield place, "restarts with what it wrote", -1
+                    if has_unsaved_promises:
+                        yield place, "restarts after saving its promises", -1
                 continue
-            bits = self._parts.inside(number, self._clock(world, place))
+            bits = self._store.candidate_bits(number, self._clock(state, place))
             if bits & 2:
-                yield place, "gives its round up", -1
+                yield place, "abandons its round", -1
             elif bits & 4:
-                yield place, "asks", -1
-            if bits & 1 and world.downs:
-                yield place, "lays down", -1
-        if world.steps:
+                yield place, "starts a round", -1
+            if bits & 1 and state.releases:
+                yield place, "releases the lease", -1
+        if state.time_steps:
             yield -1, "time passes", -1
 
-    def after(self, world: World, place: int, how: str, message: int) -> World:
-        """The state after a step; raises Broken."""
+    def after(self, state: State, place: int, kind: str, message: int) -> State:
+        """Return the state after a step; raises InvariantViolationError."""
         if place < 0:
-            return self._checked(world._replace(steps=world.steps - 1))
-        flight, twice, restarts, downs, office = world.flight, world.twice, world.restarts, world.downs, world.office
-        if how == "hears not for the last time":
-            how, twice = "hears", twice - 1
+            return self._checked(state._replace(time_steps=state.time_steps - 1))
+        in_flight, duplicates, restarts, releases, last_holder = (
+            state.in_flight,
+            state.duplicates,
+            state.restarts,
+            state.releases,
+            state.last_holder,
+        )
+        if kind == "receives a copy":
+            kind, duplicates = "receives", duplicates - 1
         elif message >= 0:
-            at = flight.index(message)
-            flight = flight[:at] + flight[at + 1 :]
-        if how == "never hears":
-            return self._checked(world._replace(flight=flight))
-        restarts -= how.startswith("restarts")
-        downs -= how == "lays down"
-        number, sent, epoch = self._parts.step(world.parts[place], place, how, self._clock(world, place), message)
+            at = in_flight.index(message)
+            in_flight = in_flight[:at] + in_flight[at + 1 :]
+        if kind == "loses":
+            return self._checked(state._replace(in_flight=in_flight))
+        restarts -= kind.startswith("restarts")
+        releases -= kind == "releases the lease"
+        number, sent, epoch = self._store.step(state.parts[place], place, kind, self._clock(state, place), message)
         if epoch:
-            if epoch < office[0] or (epoch == office[0] and office[1] not in (-1, place)):
-                raise Broken(f"{EVERYBODY[place]} comes into office under {epoch} after {office[0]} was used")
-            office = epoch, place
-        parts = (*world.parts[:place], number, *world.parts[place + 1 :])
+            if epoch < last_holder[0] or (epoch == last_holder[0] and last_holder[1] not in (-1, place)):
+                raise InvariantViolationError(
+                    f"{PARTICIPANTS[place]} acquires the lease with epoch {epoch} after epoch {last_holder[0]} was used"
+                )
+            last_holder = epoch, place
+        parts = (*state.parts[:place], number, *state.parts[place + 1 :])
         if sent:
-            flight = tuple(sorted(flight + sent))
-        if place >= len(NAMES):  # what comes for a round that is over does nothing, whenever it comes
-            flight = tuple(each for each in flight if not self._parts.vain(each, place, number))
-        return self._checked(World(parts, flight, world.steps, twice, restarts, downs, office))
-
-    def _checked(self, world: World) -> World:
-        inside = [
-            EVERYBODY[place]
-            for place in range(len(NAMES), len(EVERYBODY))
-            if self._parts.inside(world.parts[place], self._clock(world, place)) & 1
+            in_flight = tuple(sorted(in_flight + sent))
+        if place >= len(VOTERS):  # replies to a finished round have no effect, whenever they are delivered
+            in_flight = tuple(each for each in in_flight if not self._store.is_stale_reply(each, place, number))
+        return self._checked(State(parts, in_flight, state.time_steps, duplicates, restarts, releases, last_holder))
+
+    def _checked(self, state: State) -> State:
+        holders = [
+            PARTICIPANTS[place]
+            for place in range(len(VOTERS), len(PARTICIPANTS))
+            if self._store.candidate_bits(state.parts[place], self._clock(state, place)) & 1
         ]
-        if len(inside) > 1:
-            raise Broken(f"{' and '.join(inside)} are in office")
-        return min(self._orders(world))
-
-    def _orders(self, world: World) -> Iterator[World]:
-        """The state under all names that its electors might have: nothing depends on which is which."""
-        parts, (x, y, z, one, two) = self._parts, world.parts
-        orders = SORTED.get((x <= y, y <= z, x <= z, y <= x, z <= y, z <= x))
+        if len(holders) > 1:
+            raise InvariantViolationError(f"{' and '.join(holders)} hold the lease at once")
+        return min(self._orders(state))
+
+    def _orders(self, state: State) -> Iterator[State]:
+        """Yield the equivalent states under the orders that sort the voters: voters are interchangeable."""
+        parts, (x, y, z, one, two) = self._store, state.parts
+        orders = SORTING_ORDERS.get((x <= y, y <= z, x <= z, y <= x, z <= y, z <= x))
         if orders is None:
             now = x, y, z
             orders = [order for order in ORDERS if now[order[0]] <= now[order[1]] <= now[order[2]]]
-            SORTED[x <= y, y <= z, x <= z, y <= x, z <= y, z <= x] = orders
+            SORTING_ORDERS[x <= y, y <= z, x <= z, y <= x, z <= y, z <= x] = orders
         for order in orders:
             if order == (0, 1, 2):
-                yield world
+                yield state
                 continue
-            yield World(
-                (*[world.parts[place] for place in order], parts.renamed(one, order), parts.renamed(two, order)),
-                tuple(sorted([parts.told(message, order) for message in world.flight])),
-                *world[2:],
+            yield State(
+                (
+                    *[state.parts[place] for place in order],
+                    parts.permute_state(one, order),
+                    parts.permute_state(two, order),
+                ),
+                tuple(sorted([parts.permute_message(message, order) for message in state.in_flight])),
+                *state[2:],
             )
 
-    def run(self, most: int) -> tuple[int, bool]:
-        """How many states were seen, and whether that is all of them; raises Broken where one must not be."""
-        came: dict[World, Any] = {self.first: None}
-        todo = deque([self.first])  # the shortest way to each state comes first
-        while todo:
-            world = todo.popleft()
-            for place, how, message in self.steps(world):
+    def run(self, max_states: int) -> tuple[int, bool]:
+        """Return how many states were seen and whether those are all; raises InvariantViolationError."""
+        reached_from: dict[State, Any] = {self.first: None}
+        queue = deque([self.first])  # breadth first: a violation is reported with a shortest list of steps
+        while queue:
+            state = queue.popleft()
+            for place, kind, message in self.possible_steps(state):
                 try:
-                    found = self.after(world, place, how, message)
-                except Broken as fault:
-                    way = [*self._way(came, world), self._said(place, how, message)]
-                    raise Broken(f"{fault}: {'; '.join(way)}") from None
-                if found not in came:
-                    if len(came) >= most:
-                        return len(came), False
-                    came[found] = world, place, how, message
-                    todo.append(found)
-        return len(came), True
-
-    def _said(self, place: int, how: str, message: int) -> str:
+                    found = self.after(state, place, kind, message)
+                except InvariantViolationError as violation:
+                    trace = [*self._trace(reached_from, state), self._describe_step(place, kind, message)]
+                    raise InvariantViolationError(f"{violation}: {'; '.join(trace)}") from None
+                if found not in reached_from:
+                    if len(reached_from) >= max_states:
+                        return len(reached_from), False
+                    reached_from[found] = state, place, kind, message
+                    queue.append(found)
+        return len(reached_from), True
+
+    def _describe_step(self, place: int, kind: str, message: int) -> str:
         if place < 0:
-            return how
+            return kind
         if message < 0:
-            return f"{EVERYBODY[place]} {how}"
-        _, origin, what = self._parts.messages[message]
-        return f"{EVERYBODY[place]} {how}: {what} of {EVERYBODY[origin]}"
+            return f"{PARTICIPANTS[place]} {kind}"
+        _, origin, what = self._store.messages[message]
+        return f"{PARTICIPANTS[place]} {kind}: {what} of {PARTICIPANTS[origin]}"
 
-    def _way(self, came: dict[World, Any], world: World) -> list[str]:
-        said: list[str] = []
-        step = came[world]
+    def _trace(self, reached_from: dict[State, Any], state: State) -> list[str]:
+        trace: list[str] = []
+        step = reached_from[state]
         while step is not None:
-            world, *what = step
-            said.insert(0, self._said(*what))
-            step = came[world]
-        return said
-
-
-def explore(limits: Limits, most: int = 2_000_000) -> tuple[int, bool]:
-    """How many states a world has, and whether all were seen; raises Broken where one must not be."""
-    return Search(limits).run(most)
-
-
-# ---- the worlds, and builds that are wrong -----------------------------------------------------------
-
-WORLDS = {
-    "promises": Limits(rounds=1, steps=0, memory=False),
-    "promises, written down": Limits(rounds=1, steps=0),
-    "a message comes twice": Limits(rounds=1, steps=0, twice=1, memory=False),
-    "a holder lays down": Limits(rounds=1, steps=0, downs=1, memory=False),
-    "an elector restarts": Limits(rounds=1, steps=0, restarts=1),
-    "at once or never: leases run out": Limits(rounds=2, steps=4, memory=False, prompt=True),
-    "at once or never: three rounds each": Limits(rounds=3, steps=3, memory=False, prompt=True),
-    "at once or never: restarts": Limits(rounds=2, steps=3, restarts=2, prompt=True),
-    "at once or never: restarts without disks": Limits(rounds=2, steps=3, restarts=2, memory=False, prompt=True),
-    "at once or never: a holder lays down": Limits(rounds=2, steps=3, downs=1, prompt=True),
+            state, *what = step
+            trace.insert(0, self._describe_step(*what))
+            step = reached_from[state]
+        return trace
+
+
+def explore(limits: Limits, max_states: int = 2_000_000) -> tuple[int, bool]:
+    """Return how many states of a model were seen and whether those are all; raises InvariantViolationError."""
+    return Search(limits).run(max_states)
+
+
+# ---- models and deliberately faulty builds -----------------------------------------------------------
+
+MODELS = {
+    "promises": Limits(rounds=1, time_steps=0, has_disk=False),
+    "promises, written down": Limits(rounds=1, time_steps=0),
+    "a message comes twice": Limits(rounds=1, time_steps=0, duplicates=1, has_disk=False),
+    "a holder lays down": Limits(rounds=1, time_steps=0, releases=1, has_disk=False),
+    "an elector restarts": Limits(rounds=1, time_steps=0, restarts=1),
+    "at once or never: leases run out": Limits(rounds=2, time_steps=4, has_disk=False, immediate_delivery=True),
+    "at once or never: three rounds each": Limits(rounds=3, time_steps=3, has_disk=False, immediate_delivery=True),
+    "at once or never: restarts": Limits(rounds=2, time_steps=3, restarts=2, immediate_delivery=True),
+    "at once or never: restarts without disks": Limits(
+        rounds=2, time_steps=3, restarts=2, has_disk=False, immediate_delivery=True
+    ),
+    "at once or never: a holder lays down": Limits(rounds=2, time_steps=3, releases=1, immediate_delivery=True),
 }
 
 
 @contextmanager
-def told_apart(apart: float = APART) -> Iterator[None]:
-    """The model's clocks, as the code is told of them."""
-    former, timing.MAX_CLOCK_DRIFT = timing.MAX_CLOCK_DRIFT, apart
+def configured_clock_drift(drift: float = CLOCK_DRIFT) -> Iterator[None]:
+    """Configure the lease code with this clock drift, by default that of the model's clocks."""
+    former, timing.MAX_CLOCK_DRIFT = timing.MAX_CLOCK_DRIFT, drift
     try:
         yield
     finally:
         timing.MAX_CLOCK_DRIFT = former
 
 
-def _no_quiet(self: LeaseVoter, lease: float, now: float, memory: Any, floor: int) -> None:
-    _elector(self, lease, now, memory, floor)
+def _skip_initial_silence(self: LeaseVoter, lease: float, now: float, memory: Any, floor: int) -> None:
+    _original_init(self, lease, now, memory, floor)
     self.silent_until = now
 
 
-def _always_back(self: LeaseTerm, now: float) -> RoundResult:
+def _always_release(self: LeaseTerm, now: float) -> RoundResult:
     requested_epoch, self._requested_epoch = self._requested_epoch, 0
     self._send_release(requested_epoch)
     return RoundResult.LOST
 
 
-_elector = LeaseVoter.__init__
-BROKEN: dict[str, tuple[float, Any, str, Any, Limits]] = {
+_original_init = LeaseVoter.__init__
+FAULTY_BUILDS: dict[str, tuple[float, Any, str, Any, Limits]] = {
     "no margin for clocks": (
         0.0,
         LeaseTerm,
         "take_messages",
         LeaseTerm.take_messages,
-        Limits(rounds=2, steps=2, memory=False, prompt=True),
+        Limits(rounds=2, time_steps=2, has_disk=False, immediate_delivery=True),
     ),
     "no silence after a start": (
-        APART,
+        CLOCK_DRIFT,
         LeaseVoter,
         "__init__",
-        _no_quiet,
-        Limits(rounds=2, restarts=1, steps=0, memory=False, prompt=True),
+        _skip_initial_silence,
+        Limits(rounds=2, restarts=1, time_steps=0, has_disk=False, immediate_delivery=True),
     ),
     "promises given back in office": (
-        APART,
+        CLOCK_DRIFT,
         LeaseTerm,
         "abandon_round",
-        _always_back,
-        Limits(rounds=2, steps=0, memory=False, prompt=True),
+        _always_release,
+        Limits(rounds=2, time_steps=0, has_disk=False, immediate_delivery=True),
     ),
 }
 
 
-def caught(name: str) -> str:
-    """How a build that is wrong fails; empty: it was not caught."""
-    apart, kind, method, wrong, limits = BROKEN[name]
-    former = getattr(kind, method)
-    setattr(kind, method, wrong)
+def find_violation(name: str) -> str:
+    """Return how a faulty build violates an invariant, or an empty text if it does not."""
+    drift, owner, method, replacement, limits = FAULTY_BUILDS[name]
+    former = getattr(owner, method)
+    setattr(owner, method, replacement)
     try:
-        with told_apart(apart):
+        with configured_clock_drift(drift):
             explore(limits)
-    except Broken as fault:
-        return str(fault)
+    except InvariantViolationError as violation:
+        return str(violation)
     finally:
-        setattr(kind, method, former)
+        setattr(owner, method, former)
     return ""
 
 
 def main() -> None:
-    """Explore, and say what was found."""
-    parser = argparse.ArgumentParser(description="Every order of events of a small fleet's lease.")
-    parser.add_argument("--broken", action="store_true", help="builds that are wrong on purpose")
-    parser.add_argument("--states", type=int, default=2_000_000, help="states of a world at most")
-    given = parser.parse_args()
-    if given.broken:
-        found = {name: caught(name) for name in BROKEN}
-        for name, how in found.items():
-            print(f"| {name} | {'caught: ' + how if how else 'NOT CAUGHT'} |")
+    """Explore the models or the faulty builds, and print the results."""
+    parser = argparse.ArgumentParser(description="Explore every order of events around a small fleet's lease.")
+    parser.add_argument("--broken", action="store_true", help="check that deliberately faulty builds are caught")
+    parser.add_argument("--states", type=int, default=2_000_000, help="maximum number of states of a model")
+    arguments = parser.parse_args()
+    if arguments.broken:
+        found = {name: find_violation(name) for name in FAULTY_BUILDS}
+        for name, violation in found.items():
+            print(f"| {name} | {'caught: ' + violation if violation else 'NOT CAUGHT'} |")
         sys.exit(0 if all(found.values()) else 1)
     print("| world | states | all of them | seconds |\n| --- | --- | --- | --- |")
-    for name, limits in WORLDS.items():
-        began = time.monotonic()
-        with told_apart():
-            states, whole = explore(limits, given.states)
-        print(f"| {name} | {states} | {'yes' if whole else 'no'} | {time.monotonic() - began:.0f} |", flush=True)
+    for name, limits in MODELS.items():
+        started = time.monotonic()
+        with configured_clock_drift():
+            states, complete = explore(limits, arguments.states)
+        print(f"| {name} | {states} | {'yes' if complete else 'no'} | {time.monotonic() - started:.0f} |", flush=True)
 
 
 if __name__ == "__main__":
