--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -24,7 +24,7 @@
 
 from lugspur.bench.main import request
 from lugspur.bench.processes import CLASSES, Process, served, standin
-from lugspur.bench.sockets import free_port, wait_for
+from lugspur.bench.sockets import free_port, wait_for_listener
 from lugspur.standins import callers as http
 from lugspur.standins.backend import Answer as HttpAnswer
 from lugspur.standins.backend import Asked, Backend
@@ -263,7 +263,7 @@
         program = RUN.replace("FILE", repr(str(file)))
         process = subprocess.Popen([sys.executable, "-c", program], stderr=subprocess.DEVNULL)
         try:
-            wait_for(port, WITHIN)
+            wait_for_listener(port, WITHIN)
             asyncio.run(unary("127.0.0.1", port, CALLERS, CALLERS, count))
         finally:
             process.terminate()
--- a/lugspur/bench/processes.py
+++ b/lugspur/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processes under measurement: started, asked for their CPU and memory, and ended again by their ids."""
+"""Starts the processes under measurement, reads their CPU time and memory, and kills them by their ids."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from lugspur.bench.sockets import free_port, wait_for
+from lugspur.bench.sockets import free_port, wait_for_listener
 
-CPU_CLOCK = 2  # the kernel's CPUCLOCK_SCHED: time on a CPU, in nanoseconds
-WIDE = 30.0  # seconds that a process may take to start
+# The kernel's CPUCLOCK_SCHED, which counts the time on a CPU in nanoseconds.
+CPU_CLOCK = 2
+START_TIMEOUT = 30.0  # seconds within which a process must listen
 
 SERVICES = [
     {"Name": "read", "Aim": 30.0, "HardLimit": 30.0, "Repeat": "retryable", "LateWorth": 1.0},
@@ -51,27 +52,27 @@
 
 
 class Usage:
-    """What a process has used, by its id."""
+    """The CPU time and memory that a process uses, by its id."""
 
     def __init__(self, pid: int) -> None:
         self.pid = pid
 
     def cpu(self) -> float:
-        """Seconds of CPU that it has used, by the system's own count.
+        """Return the seconds of CPU time that the process has used, as counted by the system.
 
-        By the process's CPU clock (clock_getcpuclockid(3)), not by /proc/PID/stat: that counts ticks of 10 ms, and
-        a short round of the relay takes none.
+        The figure comes from the process's CPU clock (clock_getcpuclockid(3)), not from /proc/PID/stat, which counts
+        ticks of 10 ms: a short round of the relay would take none.
         """
         return time.clock_gettime((~self.pid << 3) | CPU_CLOCK)
 
     def memory(self) -> float:
-        """MiB that it holds now."""
+        """Return the resident memory of the process in MiB."""
         lines = Path(f"/proc/{self.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS")) / 1024.0
 
 
 class Process(Usage):
-    """One running process and the address that it serves."""
+    """One running process and the address that it listens on."""
 
     def __init__(self, process: subprocess.Popen[str], address: str) -> None:
         super().__init__(process.pid)
@@ -80,14 +81,14 @@
         self.port = int(port)
 
     def end(self) -> None:
-        """Stop it, and wait until it has."""
+        """Kill the process and wait until it has ended."""
         self._process.kill()
         self._process.wait()
 
 
 @contextmanager
 def standin(*command: str) -> Iterator[Process]:
-    """A stand-in that prints `ready HOST:PORT`."""
+    """Run a stand-in, which prints `ready HOST:PORT` once it listens."""
     process = subprocess.Popen([sys.executable, "-m", *command], stdout=subprocess.PIPE, text=True)
     assert process.stdout is not None
     running = Process(process, process.stdout.readline().split()[1])
@@ -99,11 +100,11 @@
 
 @contextmanager
 def served(command: list[str], port: int, environ: dict[str, str], root: str | None = None) -> Iterator[Process]:
-    """A proxy that listens on this port, from this checkout or the one at `root`."""
+    """Run a proxy that listens on this port, from this checkout or the one at `root`."""
     process = subprocess.Popen(command, env=os.environ | environ, text=True, stderr=subprocess.DEVNULL, cwd=root)
     running = Process(process, f"127.0.0.1:{port}")
     try:
-        wait_for(port, WIDE)
+        wait_for_listener(port, START_TIMEOUT)
         yield running
     finally:
         running.end()
@@ -111,7 +112,7 @@
 
 @contextmanager
 def platform(folder: Path, backends: list[Process], root: str | None = None) -> Iterator[Process]:
-    """The platform's proxy, from this checkout or the one at `root`."""
+    """Run the platform's proxy, from this checkout or the one at `root`."""
     port = free_port()
     entries = [
         {
@@ -138,13 +139,13 @@
     file = folder / f"platform-{port}.json"
     file.write_text(json.dumps(config))
     with served([sys.executable, "-m", "lugspur"], port, {"RELAY_CONFIG": str(file)}, root) as running:
-        time.sleep(1.5)  # until the list known at the start counts
+        time.sleep(1.5)  # until the endpoint list in its start configuration takes effect
         yield running
 
 
 @contextmanager
 def daemon(folder: Path, backends: list[Process], more: str = "") -> Iterator[Process]:
-    """`lugspur run`, with further text in its file."""
+    """Run `lugspur run`, with further text appended to its settings file."""
     port = free_port()
     members = ", ".join(f'{{ address = "127.0.0.1:{backend.port}" }}' for backend in backends)
     file = folder / f"run-{port}.toml"
