--- a/lugspur/bench/compiled.py
+++ b/lugspur/bench/compiled.py
@@ -1,7 +1,7 @@
-"""The hot modules compiled by mypyc, in a copy: `python -m lugspur.bench.compiled DIR` makes it from this checkout.
+"""Compiles the hot modules with mypyc in a copy of this checkout: `python -m lugspur.bench.compiled DIR`.
 
-The sources stay as they are and run uncompiled everywhere else. The copy is another checkout to
-`lugspur bench --against DIR`, and runs like one: `cd DIR && python -m lugspur run FILE`.
+The sources of this checkout stay unchanged and run uncompiled. `lugspur bench --against DIR` takes the copy as another
+checkout, and the copy runs like one: `cd DIR && python -m lugspur run FILE`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 
 ROOT = Path(__file__).parent.parent.parent
 PACKAGES = ("lugspur",)
-HOT = (  # what each request runs through, but for classes that asyncio calls by its own protocols
+# The modules that every request passes through, except for classes that asyncio calls through its own protocols.
+HOT = (
     "lugspur/load_balancing/balancer.py",
     "lugspur/load_balancing/admission.py",
     "lugspur/load_balancing/two_choice_pick.py",
@@ -41,7 +42,7 @@
 
 
 def build(folder: Path) -> None:
-    """Copy both packages there and compile; raises CalledProcessError with what the compiler said."""
+    """Copy the packages to the folder and compile the hot modules; raises CalledProcessError with the output."""
     for package in PACKAGES:
         shutil.rmtree(folder / package, ignore_errors=True)
         shutil.copytree(ROOT / package, folder / package, ignore=shutil.ignore_patterns("__pycache__", "*.so"))
@@ -50,7 +51,7 @@
 
 
 def main() -> int:
-    """Make the copy that is named."""
+    """Build the copy in the directory that the command line names."""
     if len(sys.argv) != 2:
         print("usage: python -m lugspur.bench.compiled DIR", file=sys.stderr)
         return 2
@@ -58,8 +59,8 @@
     folder.mkdir(parents=True, exist_ok=True)
     try:
         build(folder)
-    except subprocess.CalledProcessError as fault:
-        print(f"{fault.stdout}{fault.stderr}".strip(), file=sys.stderr)
+    except subprocess.CalledProcessError as error:
+        print(f"{error.stdout}{error.stderr}".strip(), file=sys.stderr)
         return 1
     print(f"compiled into {folder}: {', '.join(HOT)}")
     return 0
--- a/tests/cli/test_compiled.py
+++ b/tests/cli/test_compiled.py
@@ -1,4 +1,4 @@
-"""The sources can be compiled unchanged, and the compiled daemon behaves like the interpreted one."""
+"""Checks that mypyc compiles the sources unchanged and that the compiled daemon behaves like the interpreted one."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from lugspur.bench.compiled import HOT, build
 
 ROOT = Path(__file__).parent.parent.parent
-# Tests with streamed, retried and cancelled requests that replace no method of a compiled class.
+# Tests of streamed, retried and cancelled requests; none of them replaces a method of a compiled class.
 SELECTED_TESTS = "larger or cancel or never_ran or refused_connection"
 
 
 def run(folder: Path, *words: str) -> str:
-    """Return the output of a new interpreter that imports the copy."""
+    """Return the output of a new interpreter that runs in the copy."""
     result = subprocess.run([sys.executable, *words], cwd=folder, capture_output=True, text=True, check=False)
     assert result.returncode == 0, result.stdout + result.stderr
     return result.stdout
