--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -1,9 +1,9 @@
-"""What joining like reads saves, what it costs, and what it does to others.
+"""Measures what request coalescing saves, what it costs, and how it affects other tenants.
 
-`python -m lugspur.bench.joining burst` sends 200 identical reads at once, with and without it; `busy` lets one tenant
-ask a hundred times as much as four others; `faults` plays reads and writes at boxes that fail, and checks every answer
-against what had been written when it was asked for; `cost` measures the CPU of a read that nobody joins. Sizes that
-sockets don't reach: `python -m lugspur.emulator joining`.
+`python -m lugspur.bench.joining burst` sends 200 identical reads at once, with and without coalescing. `busy` lets one
+tenant send a hundred times as many reads as four others. `faults` sends reads and writes to backends that fail, and
+checks every response against what had been written when the read was sent. `cost` measures the CPU of a read that no
+other read joins. `python -m lugspur.emulator joining` covers sizes that sockets don't reach.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from lugspur.standins.backend import Answer, Asked, Backend
 from lugspur.standins.callers import Caller, Outcome, Tally, closed_loop
 
-WITHIN = 30.0  # seconds that any one wait may take
-WORK = 0.05  # seconds that a box works on a read
-ROUNDS = 5
+WITHIN = 30.0  # timeout in seconds of every wait
+WORK = 0.05  # seconds that a backend works on a read
+ROUNDS = 5  # measured rounds of `cost`
 
-FILE = """[limits]
+SETTINGS_TEMPLATE = """[limits]
 sockets = 4096
 joined = {joined}
 [listeners.main]
@@ -64,33 +64,39 @@
 AGENCIES = tuple(f"agency-{n}" for n in range(5))
 
 
-def text(boxes: list[Backend], join: str, joined: int = 1000, aim: float = 1.0, deadline: float = 2.0) -> str:
-    """A file before these boxes."""
-    members = ", ".join(f'{{ address = "{box.address}" }}' for box in boxes)
+def settings_text(
+    backends: list[Backend], join: str, joined: int = 1000, aim: float = 1.0, deadline: float = 2.0
+) -> str:
+    """Return the settings of a daemon with these backends."""
+    members = ", ".join(f'{{ address = "{backend.address}" }}' for backend in backends)
     tenants = "".join(f"[tenants.{name}]\n" for name in AGENCIES)
-    return FILE.format(members=members, join=join, joined=joined, aim=aim, deadline=deadline, tenants=tenants)
+    return SETTINGS_TEMPLATE.format(
+        members=members, join=join, joined=joined, aim=aim, deadline=deadline, tenants=tenants
+    )
 
 
-def asking(hotel: str, agency: str, method: str = "GET", left: float | None = None, body: bytes = b"") -> bytes:
-    """A request of an agency."""
-    timeout = "" if left is None else f"X-Timeout: {left:.3f}\r\n"
+def make_request(
+    hotel: str, agency: str, method: str = "GET", timeout_seconds: float | None = None, body: bytes = b""
+) -> bytes:
+    """Return the bytes of a request of an agency, which is a tenant."""
+    timeout = "" if timeout_seconds is None else f"X-Timeout: {timeout_seconds:.3f}\r\n"
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     head = f"{method} /v1/rooms/{hotel} HTTP/1.1\r\nHost: h.example\r\nX-Agency: {agency}\r\n{timeout}{length}\r\n"
     return head.encode() + body
 
 
-class World:
-    """A daemon in this process and boxes before it."""
+class Rig:
+    """A daemon in this process and its backends."""
 
-    def __init__(self, boxes: list[Backend], port: int) -> None:
-        self.boxes, self.port = boxes, port
+    def __init__(self, backends: list[Backend], port: int) -> None:
+        self.backends, self.port = backends, port
 
     def ran(self) -> int:
-        """Requests that boxes have begun to work on."""
-        return sum(box.ran.total() for box in self.boxes)
+        """Return the number of requests that backends have begun to work on."""
+        return sum(backend.ran.total() for backend in self.backends)
 
     async def ask(self, what: bytes) -> Outcome:
-        """One request on a connection of its own."""
+        """Send one request on its own connection."""
         caller = Caller("127.0.0.1", self.port)
         outcome = await caller.ask(what, WITHIN)
         caller.close()
@@ -98,91 +104,91 @@
 
 
 async def within(
-    boxes: list[Backend],
+    backends: list[Backend],
     join: str,
-    body: Callable[[World], Awaitable[None]],
+    body: Callable[[Rig], Awaitable[None]],
     joined: int = 1000,
     aim: float = 1.0,
     deadline: float = 2.0,
 ) -> None:
-    """Run the body with a daemon before these boxes."""
+    """Run the body with a daemon in front of these backends."""
     async with AsyncExitStack() as stack:
-        for box in boxes:
-            await box.listen()
-            stack.callback(box.kill)
+        for backend in backends:
+            await backend.listen()
+            stack.callback(backend.kill)
         folder = stack.enter_context(TemporaryDirectory())
         file = Path(folder) / "joining.toml"
-        file.write_text(text(boxes, join, joined, aim, deadline))
+        file.write_text(settings_text(backends, join, joined, aim, deadline))
         running = RunningDaemon(str(file))
         await running.start(load(str(file)))
         try:
-            await body(World(boxes, running.addresses()["main"][1]))
+            await body(Rig(backends, running.addresses()["main"][1]))
         finally:
             await running.stop()
 
 
-# ---- a burst of like reads -----------------------------------------------------------------------
+# ---- a burst of identical reads ------------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Burst:
-    """What became of like reads that came together."""
+    """The results of identical reads that were sent at once."""
 
-    calls: int
-    late: int  # not answered by their own deadlines
+    calls: int  # requests that reached the backend
+    late: int  # reads without a response by their own deadlines
     tally: Tally
 
 
 async def burst(count: int, join: str, slots: int = 4, work_seconds: float = WORK) -> Burst:
-    """So many identical reads at once, each with a deadline of its own, at a box that serves `slots` at a time.
+    """Send identical reads at once, each with its own deadline, to a backend that serves `slots` at a time.
 
-    `work_seconds`: for which the box works on each.
+    The backend works on each request for `work_seconds`.
     """
-    room = asyncio.Semaphore(slots)
+    free_slots = asyncio.Semaphore(slots)
 
     async def work(_: Asked) -> Answer:
-        async with room:
+        async with free_slots:
             await asyncio.sleep(work_seconds)
         return 200, b"rooms"
 
-    found = Burst(0, 0, Tally())
+    result = Burst(0, 0, Tally())
 
-    async def body(world: World) -> None:
+    async def body(rig: Rig) -> None:
         async def one(n: int) -> None:
-            left = 0.6 + 0.005 * n
-            outcome = await world.ask(asking("h1", AGENCIES[n % 5], left=left))
-            found.tally.add(outcome)
-            found.late += outcome.seconds > left or not outcome.status
+            timeout_seconds = 0.6 + 0.005 * n
+            outcome = await rig.ask(make_request("h1", AGENCIES[n % 5], timeout_seconds=timeout_seconds))
+            result.tally.add(outcome)
+            result.late += outcome.seconds > timeout_seconds or not outcome.status
 
         await asyncio.gather(*(one(n) for n in range(count)))
-        found.calls = world.ran()
+        result.calls = rig.ran()
 
     await within([Backend("one", work)], join, body)
-    return found
+    return result
 
 
-# ---- a tenant that asks too much -----------------------------------------------------------------
+# ---- a tenant that sends too many reads ----------------------------------------------------------
 
 
 async def busy(join: str, seconds: float, flood: int = 400, joined: int = 200) -> dict[str, Tally]:
-    """One tenant keeps hundreds of reads open; four others ask now and then. What became of both."""
-    room = asyncio.Semaphore(8)
+    """Let one tenant keep hundreds of reads open while four others send a few, and return the tallies of both."""
+    free_slots = asyncio.Semaphore(8)
 
     async def work(_: Asked) -> Answer:
-        async with room:
+        async with free_slots:
             await asyncio.sleep(2 * WORK)
         return 200, b"rooms"
 
     tallies = {"busy": Tally(), "others": Tally()}
 
-    async def body(world: World) -> None:
+    async def body(rig: Rig) -> None:
         loop = asyncio.get_running_loop()
         until, rng = loop.time() + seconds, random.Random(1)
 
         async def ask(who: str, agency: str, pause: float) -> None:
-            caller = Caller("127.0.0.1", world.port)
+            caller = Caller("127.0.0.1", rig.port)
             while loop.time() < until:
-                tallies[who].add(await caller.ask(asking(f"h{rng.randrange(3)}", agency), WITHIN))
+                tallies[who].add(await caller.ask(make_request(f"h{rng.randrange(3)}", agency), WITHIN))
                 await asyncio.sleep(pause)
             caller.close()
 
@@ -195,32 +201,32 @@
     return tallies
 
 
-# ---- reads and writes while boxes fail -----------------------------------------------------------
+# ---- reads and writes while backends fail --------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Checked:
-    """Reads and writes that were asked, and what was wrong with their answers."""
+class FaultResult:
+    """Counts of reads and writes and of the faults in their responses."""
 
-    asked: int = 0
+    sent: int = 0
     statuses: Counter[int] = field(default_factory=Counter)
-    lost: int = 0  # no whole answer
-    stale: int = 0  # older than a write of the same tenant that had been answered before
-    wrong: int = 0  # for another hotel
-    late: int = 0  # after their own deadlines
-    calls: int = 0  # reads that boxes worked on
-
-    def fair(self) -> bool:
-        """Whether no rule was broken."""
+    lost: int = 0  # requests without a complete response
+    stale: int = 0  # responses older than a write of the same tenant that had been answered before
+    wrong: int = 0  # responses for another hotel
+    late: int = 0  # responses after the request's own deadline
+    calls: int = 0  # reads that backends worked on
+
+    def passed(self) -> bool:
+        """Return whether no request was lost, late, or answered with a stale or wrong response."""
         return not (self.lost or self.stale or self.wrong or self.late)
 
 
-async def faults(count: int, seed: int, part: float = 0.05, join: str = JOIN) -> Checked:
-    """Reads and writes of five tenants over a few hotels, at boxes that fail, cut, stall and answer 429.
+async def faults(count: int, seed: int, fault_share: float = 0.05, join: str = JOIN) -> FaultResult:
+    """Send reads and writes of five tenants for a few hotels to backends that fail, stall and answer 429.
 
-    A box answers a read with the hotel's version as it was when work on it began; a write makes a new one.
+    A backend answers a read with the hotel's version as it was when work on the read began; a write makes a new one.
     """
-    rng, versions, found = random.Random(seed), Counter[str](), Checked()
+    rng, versions, result = random.Random(seed), Counter[str](), FaultResult()
 
     async def work(asked: Asked) -> Answer:
         hotel = asked.target.rpartition("/")[2]
@@ -228,31 +234,35 @@
             await asyncio.sleep(rng.random() * 0.01)
             versions[hotel] += 1
             return 200, b"%s %d" % (hotel.encode(), versions[hotel])
-        found.calls += 1
-        version, luck = versions[hotel], rng.random()
+        result.calls += 1
+        version, draw = versions[hotel], rng.random()
         await asyncio.sleep(0.005 + rng.random() * 0.03)
-        if luck < part:
+        if draw < fault_share:
             return rng.choice((500, 503, 429)), b"no"
-        if luck < 2 * part:
-            await asyncio.sleep(5.0)  # stalls until it is given up
+        if draw < 2 * fault_share:
+            await asyncio.sleep(5.0)  # stalls until the daemon abandons the attempt
         return 200, b"%s %d" % (hotel.encode(), version)
 
-    known: Counter[tuple[str, str]] = Counter()  # by tenant and hotel: the version of its last answered write
+    last_written: Counter[tuple[str, str]] = Counter()  # by tenant and hotel: version of the last answered write
 
-    async def body(world: World) -> None:
+    async def body(rig: Rig) -> None:
         numbers = iter(range(count))
 
         async def one(agency: str) -> None:
-            caller = Caller("127.0.0.1", world.port)
+            caller = Caller("127.0.0.1", rig.port)
             for _ in numbers:
-                hotel, writes = f"h{rng.randrange(4)}", rng.random() < 0.05
-                left = rng.choice((0.1, 0.5, 1.5))
-                before = known[agency, hotel]
-                what = asking(hotel, agency, "POST", body=b"x") if writes else asking(hotel, agency, left=left)
+                hotel, is_write = f"h{rng.randrange(4)}", rng.random() < 0.05
+                timeout_seconds = rng.choice((0.1, 0.5, 1.5))
+                before = last_written[agency, hotel]
+                what = (
+                    make_request(hotel, agency, "POST", body=b"x")
+                    if is_write
+                    else make_request(hotel, agency, timeout_seconds=timeout_seconds)
+                )
                 outcome = await caller.ask(what, WITHIN)
-                _check(found, outcome, hotel, before, left if not writes else WITHIN)
-                if writes and outcome.status == 200:
-                    known[agency, hotel] = max(known[agency, hotel], int(outcome.body.split()[1]))
+                _check(result, outcome, hotel, before, timeout_seconds if not is_write else WITHIN)
+                if is_write and outcome.status == 200:
+                    last_written[agency, hotel] = max(last_written[agency, hotel], int(outcome.body.split()[1]))
                 elif rng.random() < 0.02:
                     caller.close()
             caller.close()
@@ -260,57 +270,58 @@
         await asyncio.gather(*(one(AGENCIES[n % 5]) for n in range(40)))
 
     await within([Backend(f"b{n}", work) for n in range(3)], join, body)
-    return found
+    return result
 
 
-def _check(found: Checked, outcome: Outcome, hotel: str, before: int, left: float) -> None:
-    found.asked += 1
-    found.statuses[outcome.status] += 1
-    found.lost += not outcome.status
-    found.late += outcome.seconds > left + 0.05  # the time that the loop of all these callers needs
+def _check(result: FaultResult, outcome: Outcome, hotel: str, before: int, timeout_seconds: float) -> None:
+    result.sent += 1
+    result.statuses[outcome.status] += 1
+    result.lost += not outcome.status
+    # 0.05 seconds of tolerance for the event loop, which all these callers share.
+    result.late += outcome.seconds > timeout_seconds + 0.05
     if outcome.status == 200:
-        told, _, version = outcome.body.partition(b" ")
-        found.wrong += told != hotel.encode()
-        found.stale += int(version) < before
+        answered_hotel, _, version = outcome.body.partition(b" ")
+        result.wrong += answered_hotel != hotel.encode()
+        result.stale += int(version) < before
 
 
 # ---- what a read costs ---------------------------------------------------------------------------
 
 
 def cost(count: int) -> dict[str, list[float]]:
-    """Microseconds of the daemon's CPU a read: on a plain route, on one that joins, and where all are alike."""
+    """Return CPU microseconds per read on a plain route, on a joining one, and there with identical reads only."""
     rows: dict[str, list[float]] = {"plain route": [], "route that joins, no two alike": [], "all alike": []}
-    with TemporaryDirectory() as name, standin("lugspur.standins.backend", "--size", "200") as box:
+    with TemporaryDirectory() as name, standin("lugspur.standins.backend", "--size", "200") as backend:
         files = {"plain": "", "joins": 'join = { within = "100ms" }\n'}
         folder = Path(name)
-        processes = {key: daemon(folder, [box], _routed(more)) for key, more in files.items()}
+        processes = {key: daemon(folder, [backend], _route_text(more)) for key, more in files.items()}
         with processes["plain"] as plain, processes["joins"] as joins:
-            ways: list[tuple[str, Process, Callable[[int], bytes]]] = [
-                ("plain route", plain, lambda n: _joined(f"k{n}")),
-                ("route that joins, no two alike", joins, lambda n: _joined(f"k{n}")),
-                ("all alike", joins, lambda _: _joined("k")),
+            cases: list[tuple[str, Process, Callable[[int], bytes]]] = [
+                ("plain route", plain, lambda n: _joined_request(f"k{n}")),
+                ("route that joins, no two alike", joins, lambda n: _joined_request(f"k{n}")),
+                ("all alike", joins, lambda _: _joined_request("k")),
             ]
             for at in range(ROUNDS + 1):
-                for row, process, make in ways:
-                    spent = _spent(process, make, count)
-                    if at:  # the first warms up
+                for row, process, make in cases:
+                    spent = _cpu_per_read(process, make, count)
+                    if at:  # the first round warms up
                         rows[row].append(spent)
     return rows
 
 
-def _routed(more: str) -> str:
+def _route_text(more: str) -> str:
     return f'[routes.joined]\npath = "/joined/{{key}}"\npool = "main"\nclass = "read"\n{more}'
 
 
-def _joined(key: str) -> bytes:
+def _joined_request(key: str) -> bytes:
     return f"GET /joined/{key} HTTP/1.1\r\nHost: h.example\r\n\r\n".encode()
 
 
-def _spent(process: Process, make: Callable[[int], bytes], count: int) -> float:
+def _cpu_per_read(process: Process, make: Callable[[int], bytes], count: int) -> float:
     before = process.cpu()
     tally = asyncio.run(closed_loop(process.host, process.port, 16, count, make))
     if tally.statuses != {200: count}:
-        raise SystemExit(f"not all were served: {tally.statuses}")
+        raise SystemExit(f"not all requests were served: {tally.statuses}")
     return 1e6 * (process.cpu() - before) / count
 
 
@@ -319,15 +330,17 @@
 
 def _report_burst(count: int) -> bool:
     print("| 200 reads at once | calls | served | after their deadline | median | last |\n|---|---|---|---|---|---|")
-    good = True
+    passed_check = True
     for name, join in (("joined", JOIN), ("each its own", "")):
-        found = asyncio.run(burst(count, join))
+        result = asyncio.run(burst(count, join))
         print(
-            f"| {name} | {found.calls} | {found.tally.statuses.get(200, 0)} | {found.late} | "
-            f"{1e3 * found.tally.part(0.5):.0f} ms | {1e3 * found.tally.part(1.0):.0f} ms |"
+            f"| {name} | {result.calls} | {result.tally.statuses.get(200, 0)} | {result.late} | "
+            f"{1e3 * result.tally.part(0.5):.0f} ms | {1e3 * result.tally.part(1.0):.0f} ms |"
         )
-        good = good and (not join or (found.late == 0 and found.tally.statuses == {200: count} and found.calls < 10))
-    return good
+        passed_check = passed_check and (
+            not join or (result.late == 0 and result.tally.statuses == {200: count} and result.calls < 10)
+        )
+    return passed_check
 
 
 def _report_busy(seconds: float) -> bool:
@@ -344,9 +357,9 @@
 
 
 def _report_faults(count: int, seed: int) -> bool:
-    found = asyncio.run(faults(count, seed))
-    print(f"seed {seed}: {found}")
-    return found.fair()
+    result = asyncio.run(faults(count, seed))
+    print(f"seed {seed}: {result}")
+    return result.passed()
 
 
 def _report_cost(count: int) -> bool:
@@ -360,22 +373,22 @@
 
 
 def main() -> None:
-    """One of the measurements; exits 1 where a rule broke."""
-    parser = argparse.ArgumentParser(description="Measures of joining like reads.")
+    """Run one of the measurements; exits with 1 if its check failed."""
+    parser = argparse.ArgumentParser(description="Measure the coalescing of identical reads.")
     parser.add_argument("what", choices=["burst", "busy", "faults", "cost"])
     parser.add_argument("--count", type=int, default=0, help="reads")
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    begun = time.monotonic()
+    arguments = parser.parse_args()
+    started_at = time.monotonic()
     reports: dict[str, Callable[[], bool]] = {
-        "burst": lambda: _report_burst(given.count or 200),
+        "burst": lambda: _report_burst(arguments.count or 200),
         "busy": lambda: _report_busy(5.0),
-        "faults": lambda: _report_faults(given.count or 10_000, given.seed),
-        "cost": lambda: _report_cost(given.count or 3000),
+        "faults": lambda: _report_faults(arguments.count or 10_000, arguments.seed),
+        "cost": lambda: _report_cost(arguments.count or 3000),
     }
-    good = reports[given.what]()
-    print(f"({time.monotonic() - begun:.0f} s)")
-    sys.exit(0 if good else 1)
+    passed_check = reports[arguments.what]()
+    print(f"({time.monotonic() - started_at:.0f} s)")
+    sys.exit(0 if passed_check else 1)
 
 
 if __name__ == "__main__":
