--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -1,4 +1,4 @@
-"""What a request costs: the platform's proxy and the daemon as multiples of a bare byte relay, in one run."""
+"""Measures what a request costs in the platform's proxy and the daemon, as multiples of a bare byte relay."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
 from lugspur.routing.target import parse_target
 from lugspur.standins.callers import closed_loop
 
-CALLERS, BACKENDS, SIZE = 16, 3, 200
-ROUNDS = 3  # of each contestant, in turns, so that a slow spell of the machine meets them all
-COUNTS = (10, 1_000, 10_000)  # routes
-LOOKUPS = 20_000
+CALLERS, BACKENDS = 16, 3
+SIZE = 200  # bytes of a body
+# Rounds of each contestant. Contestants take turns, so that a slow phase of the machine affects all of them.
+ROUNDS = 3
+COUNTS = (10, 1_000, 10_000)  # numbers of routes to measure
+LOOKUPS = 20_000  # lookups per timed round
 
 
 @dataclass(slots=True)
@@ -30,14 +32,14 @@
 
     name: str
     rate: float  # requests a second
-    half: float  # seconds that half of them took
-    late: float  # ...and all but one in a hundred
-    cpu: float  # seconds of CPU for each request
-    memory: float  # MiB after it
+    median_seconds: float  # median latency in seconds
+    p99_seconds: float  # 99th percentile of the latency in seconds
+    cpu: float  # seconds of CPU time per request
+    memory: float  # MiB of resident memory after the round
 
 
 def request(kind: str) -> Callable[[int], bytes]:
-    """Requests that the platform's proxy, the daemon and a backend all take."""
+    """Return a function that makes a numbered request for the platform's proxy, the daemon or a backend."""
 
     def make(number: int) -> bytes:
         body = b"" if kind == "read" else b"x" * SIZE
@@ -52,28 +54,28 @@
 
 
 def measure(contestants: dict[str, Process], kind: str, requests: int) -> list[Row]:
-    """Rounds of one kind of request, in turns; the first, uncounted, warms up."""
+    """Measure one kind of request in rounds, contestants taking turns; the first round warms up and does not count."""
     found: dict[str, list[Row]] = {name: [] for name in contestants}
-    for turn in range(ROUNDS + 1):
+    for round_number in range(ROUNDS + 1):
         for name, process in contestants.items():
-            before, begun = process.cpu(), time.monotonic()
-            count = requests if turn else max(200, requests // 4)
+            before, started_at = process.cpu(), time.monotonic()
+            count = requests if round_number else max(200, requests // 4)
             tally = asyncio.run(closed_loop(process.host, process.port, CALLERS, count, request(kind)))
             if tally.statuses != {200: count}:
-                raise RuntimeError(f"{name}: answers by status {tally.statuses}, wanted {count} times 200")
-            if turn:
-                passed, used = time.monotonic() - begun, process.cpu() - before
+                raise RuntimeError(f"{name}: responses by status {tally.statuses}, expected {count} times 200")
+            if round_number:
+                elapsed, used = time.monotonic() - started_at, process.cpu() - before
                 found[name].append(
-                    Row(name, count / passed, tally.part(0.5), tally.part(0.99), used / count, process.memory())
+                    Row(name, count / elapsed, tally.part(0.5), tally.part(0.99), used / count, process.memory())
                 )
-    figures = ("rate", "half", "late", "cpu", "memory")
+    figures = ("rate", "median_seconds", "p99_seconds", "cpu", "memory")
     return [
         Row(name, *(median(getattr(row, figure) for row in rows) for figure in figures)) for name, rows in found.items()
     ]
 
 
 def compare(requests: int, against: str | None) -> dict[str, list[Row]]:
-    """All contestants over the same backends, by kind of request; `against` is another checkout."""
+    """Measure all contestants with the same backends, by kind of request; `against` is another checkout."""
     with TemporaryDirectory() as name, ExitStack() as stack:
         folder = Path(name)
         backends = [
@@ -91,7 +93,7 @@
 
 
 def routes(count: int) -> list[Route]:
-    """So many routes of a hundred hosts, as a large installation has them."""
+    """Return this many routes over a hundred hosts, as a large installation has them."""
     to = Forward((("main", 1.0),))
     return [
         Route(
@@ -106,25 +108,25 @@
 
 
 def lookups() -> list[tuple[int, float]]:
-    """Seconds of one look-up by the number of routes; the best of some rounds."""
+    """Return pairs of a number of routes and the seconds of one lookup, the best of five rounds."""
     found = []
     tables = [(count, RouteTable(routes(count))) for count in COUNTS]
     for count, table in tables:
         last = count - 1
         target = parse_target(f"/svc{last // 100}/hotels/77/rooms/5/x".encode(), f"h{last % 100}.example".encode())
-        asked = RequestView("GET", target, {})
+        request_view = RequestView("GET", target, {})
         best = float("inf")
         for _ in range(5):
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             for _ in range(LOOKUPS):
-                table.find(asked)
-            best = min(best, (time.perf_counter() - begun) / LOOKUPS)
+                table.find(request_view)
+            best = min(best, (time.perf_counter() - started_at) / LOOKUPS)
         found.append((count, best))
     return found
 
 
 def memory() -> list[tuple[int, float, float]]:
-    """MiB of the daemon, and seconds to read and check its file, by the number of routes."""
+    """Return rows of a number of routes, the daemon's MiB, and the seconds to read and check its settings file."""
     found = []
     with TemporaryDirectory() as name, standin("lugspur.standins.backend") as backend:
         for count in (0, *COUNTS):
@@ -135,14 +137,14 @@
             )
             with daemon(Path(name), [backend], text) as process:
                 [file] = Path(name).glob(f"run-{process.port}.toml")
-                begun = time.perf_counter()
+                started_at = time.perf_counter()
                 load(str(file))
-                found.append((count, process.memory(), time.perf_counter() - begun))
+                found.append((count, process.memory(), time.perf_counter() - started_at))
     return found
 
 
 def report(requests: int, say: Callable[[str], None], against: str | None = None) -> None:
-    """Measure everything and say it, as Markdown."""
+    """Run all measurements and print them as Markdown tables through `say`."""
     say(f"{CALLERS} callers, {BACKENDS} backends, bodies of {SIZE} bytes, medians of {ROUNDS} rounds in turns\n")
     say("| requests | through | a second | p50 ms | p99 ms | CPU us each | x relay | MiB |")
     say("| --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -150,14 +152,18 @@
         base = rows[0].cpu
         for row in rows:
             say(
-                f"| {kind} | {row.name} | {row.rate:.0f} | {row.half * 1e3:.2f} | {row.late * 1e3:.2f} | "
-                f"{row.cpu * 1e6:.0f} | {row.cpu / base:.1f} | {row.memory:.1f} |"
+                f"| {kind} | {row.name} | {row.rate:.0f} | {row.median_seconds * 1e3:.2f} | "
+                f"{row.p99_seconds * 1e3:.2f} | {row.cpu * 1e6:.0f} | {row.cpu / base:.1f} | {row.memory:.1f} |"
             )
         say(f"| {kind} | run / platform | | | | | {rows[2].cpu / rows[1].cpu:.2f} | |")
         if against is not None:
             say(f"| {kind} | platform / other checkout | | | | | {rows[1].cpu / rows[3].cpu:.2f} | |")
     say("\n| routes | look-up us | x the first | MiB of run | s to read and check |\n| --- | --- | --- | --- | --- |")
-    looked = dict(lookups())
-    for count, held, took in memory():
-        look = f"{looked[count] * 1e6:.2f} | {looked[count] / looked[COUNTS[0]]:.2f}" if count else "|"
-        say(f"| {count} | {look} | {held:.1f} | {took:.2f} |")
+    lookup_seconds = dict(lookups())
+    for count, mib, load_seconds in memory():
+        lookup_columns = (
+            f"{lookup_seconds[count] * 1e6:.2f} | {lookup_seconds[count] / lookup_seconds[COUNTS[0]]:.2f}"
+            if count
+            else "|"
+        )
+        say(f"| {count} | {lookup_columns} | {mib:.1f} | {load_seconds:.2f} |")
