--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -1,8 +1,10 @@
-"""What following a registry costs and how soon it counts: `python -m lugspur.bench.registry expiries|faults|nodes`.
+"""Measures discovery through a registry: `python -m lugspur.bench.registry expiries|faults|nodes`.
 
-expiries: sessions of boxes end one by one under load; the time from each removal to the last new request there.
-faults: each fault of the ensemble under load, long enough to matter; what was lost, doubled or late.
-nodes: the first read, one change, CPU and memory by the number of nodes; with kazoo beside it where it is installed.
+expiries: ends the sessions of backends one by one under load, and prints the time from each removal to the last new
+request at the backend.
+faults: plays each fault of the ensemble under load, long enough to matter, and counts lost, duplicated and late
+requests.
+nodes: measures the first read, one change, CPU and memory by the number of nodes, beside kazoo where it is installed.
 """
 
 from __future__ import annotations
@@ -24,11 +26,11 @@
 from lugspur.standins.zookeeper.cluster import Cluster
 from lugspur.zookeeper.records import Op
 
-SETTLE = 0.7  # seconds in which a removed box must stay without anything new: longer than the grace
+SETTLE_SECONDS = 0.7  # seconds of waiting for late requests after a removal: longer than the grace
 
 
 async def expiries(count: int, rate: float, grace: float = 0.5) -> tuple[list[float], Counts]:
-    """Seconds from each removal to the last new request that began at the box after it (0: none did)."""
+    """Return the seconds from each removal to the backend's last new request (0: none after it), and the counts."""
     lags: list[float] = []
     async with Trial(grace=grace) as trial:
         for at in range(4):
@@ -39,111 +41,111 @@
             box = await trial.box(f"box-{at}")
             seen = trial.boxes[f"box-{at - 4}"].backend
             await trial.until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
-            gone = trial.expire(f"box-{at - 4}")
-            await asyncio.sleep(SETTLE)
-            lags.append(max(0.0, gone.backend.last_begun - gone.removed))
+            expired_backend = trial.expire(f"box-{at - 4}")
+            await asyncio.sleep(SETTLE_SECONDS)
+            lags.append(max(0.0, expired_backend.backend.last_begun - expired_backend.removed))
         return sorted(lags), await trial.stop()
 
 
-# ---- faults: each begins and ends one, under load ------------------------------------------------
+# ---- faults: each function injects one fault under load and repairs it ---------------------------
 
 
 @dataclass(slots=True)
 class Fault:
-    """A fault of the ensemble, and how long it lasts in a short and a long form."""
+    """A fault of the ensemble, and its seconds in tests (`short`) and in the bench (`long`)."""
 
     play: Callable[[Trial, float], Awaitable[None]]
     short: float
     long: float
 
 
-async def _all_serve(trial: Trial) -> None:
-    """No box has left the pool: each still gets something new."""
+async def _wait_until_all_serve(trial: Trial) -> None:
+    """Wait until each backend has received a new request, which shows that none has left the pool."""
     before = {name: box.backend.ran.total() for name, box in trial.boxes.items()}
     await trial.until(lambda: all(box.backend.ran.total() > before[name] for name, box in trial.boxes.items()))
 
 
-async def _back(trial: Trial, said: str) -> None:
-    """All servers take connections again, and the daemon has read what there is."""
+async def _restart_servers(trial: Trial, said: str) -> None:
+    """Let all servers accept connections again, and wait until the daemon has logged this text."""
     before = len(trial.lines)
     for server in trial.cluster.servers:
         await server.listen()
     await trial.said(said, before)
 
 
-async def _own_expired(trial: Trial) -> None:
-    """The registry has ended the daemon's session; on a loaded machine its timer is late."""
+async def _wait_for_expired_session(trial: Trial) -> None:
+    """Wait until the registry has ended the daemon's session: on a loaded machine the registry's timer is late."""
     await trial.until(lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values()))
 
 
-async def stalled(trial: Trial, seconds: float) -> None:
-    """The server that the daemon is at goes silent with its connection open."""
+async def stall_server(trial: Trial, seconds: float) -> None:
+    """Silence the server that the daemon is connected to, with the connection open."""
     [at] = [server for server in trial.cluster.servers if server.connections]
     before = len(trial.lines)
     at.stall()
     await trial.said("the server sent nothing in time", before)
     await trial.said("is followed", before)
-    await _all_serve(trial)
+    await _wait_until_all_serve(trial)
     await asyncio.sleep(seconds)
 
 
-async def gone(trial: Trial, seconds: float) -> None:
-    """All servers are gone, and back with a newer tree: one box left and one came meanwhile."""
+async def restart_ensemble(trial: Trial, seconds: float) -> None:
+    """Stop all servers and start them with a newer tree, in which one backend has left and one is new."""
     for server in trial.cluster.servers:
         server.refuse()
     await asyncio.sleep(seconds)
-    await _all_serve(trial)
-    left = trial.expire("box-0")
-    left.removed = float("inf")  # the daemon has not been told yet
+    await _wait_until_all_serve(trial)
+    removed_backend = trial.expire("box-0")
+    removed_backend.removed = float("inf")  # the daemon cannot know of the removal yet
     await trial.box("box-new")
-    await _back(trial, "is followed")
-    left.removed = asyncio.get_running_loop().time()
+    await _restart_servers(trial, "is followed")
+    removed_backend.removed = asyncio.get_running_loop().time()
     await trial.until(lambda: bool(trial.boxes["box-new"].backend.ran))
     await trial.served(50)
 
 
-async def restored(trial: Trial, seconds: float) -> None:
-    """All servers come back empty, from a wrong backup: told removals count, and boxes that return count again."""
+async def restore_empty(trial: Trial, seconds: float) -> None:
+    """Start all servers with an empty tree, as from a wrong backup; removals apply, and so do new registrations."""
     for server in trial.cluster.servers:
         server.refuse()
     trial.cluster.ensemble.restore()
     await asyncio.sleep(seconds)
-    await _back(trial, "holds no backend")
+    await _restart_servers(trial, "holds no backend")
     for box in trial.boxes.values():
         trial.register(box)
     await trial.served(50)
 
 
-async def expired(trial: Trial, seconds: float) -> None:
-    """The daemon is cut off for longer than its own session, and one box leaves meanwhile."""
+async def expire_session(trial: Trial, seconds: float) -> None:
+    """Disconnect the daemon for longer than its own session lasts, while one backend leaves."""
     for server in trial.cluster.servers:
         server.refuse()
-    left = trial.expire("box-0")
-    left.removed = float("inf")
+    removed_backend = trial.expire("box-0")
+    removed_backend.removed = float("inf")
     await asyncio.sleep(seconds)
-    await _own_expired(trial)
-    await _all_serve(trial)
-    await _back(trial, "is followed")
-    left.removed = asyncio.get_running_loop().time()
+    await _wait_for_expired_session(trial)
+    await _wait_until_all_serve(trial)
+    await _restart_servers(trial, "is followed")
+    removed_backend.removed = asyncio.get_running_loop().time()
     await trial.served(50)
 
 
-async def suspended(trial: Trial, seconds: float) -> None:
-    """The daemon's process is stopped for longer than its session, and one box leaves meanwhile."""
+async def suspend_daemon(trial: Trial, seconds: float) -> None:
+    """Suspend the daemon's process for longer than its session lasts, while one backend leaves."""
     before = len(trial.lines)
     trial.daemon.send_signal(signal.SIGSTOP)
-    left = trial.expire("box-0")
-    left.removed = float("inf")
+    removed_backend = trial.expire("box-0")
+    removed_backend.removed = float("inf")
     await asyncio.sleep(seconds)
-    await _own_expired(trial)
+    await _wait_for_expired_session(trial)
     trial.daemon.send_signal(signal.SIGCONT)
     await trial.said("is followed", before)
-    left.removed = asyncio.get_running_loop().time()
+    removed_backend.removed = asyncio.get_running_loop().time()
     await trial.served(50)
 
 
-async def noise(trial: Trial, seconds: float) -> None:
-    """Cuts in mid-frame, garbage, frames of 1 GB, flaps, late replies, events that overtake, forgotten watches."""
+async def inject_noise(trial: Trial, seconds: float) -> None:
+    """Cut frames short, send garbage and frames of 1 GB, flap, delay replies, reorder events and forget watches."""
     for server in trial.cluster.servers:
         server.faults.forgets = True
     until = asyncio.get_running_loop().time() + seconds
@@ -156,24 +158,25 @@
         await asyncio.sleep(0.1)
     for server in trial.cluster.servers:
         server.mend()
-    left = trial.expire("box-0")
-    left.removed = asyncio.get_running_loop().time() + 5.0  # it may take a moment to be told: the back-off has grown
+    removed_backend = trial.expire("box-0")
+    # The daemon may learn of the removal late, because its reconnect delay has grown.
+    removed_backend.removed = asyncio.get_running_loop().time() + 5.0
     await trial.served(50)
-    await _all_serve(trial)
+    await _wait_until_all_serve(trial)
 
 
 FAULTS = {
-    "stalled": Fault(stalled, 0.2, 5.0),
-    "gone": Fault(gone, 0.5, 60.0),
-    "restored": Fault(restored, 0.2, 5.0),
-    "expired": Fault(expired, 2.2, 10.0),
-    "suspended": Fault(suspended, 2.5, 10.0),
-    "noise": Fault(noise, 1.0, 20.0),
+    "stalled": Fault(stall_server, 0.2, 5.0),
+    "gone": Fault(restart_ensemble, 0.5, 60.0),
+    "restored": Fault(restore_empty, 0.2, 5.0),
+    "expired": Fault(expire_session, 2.2, 10.0),
+    "suspended": Fault(suspend_daemon, 2.5, 10.0),
+    "noise": Fault(inject_noise, 1.0, 20.0),
 }
 
 
 async def fault(name: str, seconds: float, rate: float, grace: float = 0.5) -> Counts:
-    """One fault under load; raises TimeoutError where the daemon does not get over it."""
+    """Play one fault under load and return the counts; raises TimeoutError if the daemon does not recover."""
     async with Trial(grace=grace) as trial:
         for at in range(3):
             await trial.box(f"box-{at}")
@@ -184,50 +187,50 @@
         return await trial.stop()
 
 
-# ---- by the number of nodes ----------------------------------------------------------------------
+# ---- costs by the number of nodes ----------------------------------------------------------------
 
 
 @dataclass(slots=True)
 class Size:
-    """What following so many nodes costs the daemon."""
+    """The daemon's cost of watching a number of nodes."""
 
     nodes: int
-    seconds: float  # until the list was whole
-    kib: float  # that the servers sent for that
-    reads: int  # getData requests for that
-    asked: float  # requests for one change, on average
-    cpu: float  # seconds of CPU for the first read, above that of a folder with one
-    memory: float  # MiB, above that of a folder with one
-    churn: float  # the part of a CPU that 1,000 changes a second take
-    lag: float  # seconds until the last of them was known
-    telling: float  # seconds of the decision module for one removal
-
-
-def telling(count: int) -> float:
-    """Seconds that the decision module takes for one removal of so many; the best of some."""
+    seconds: float  # seconds until the list was complete
+    first_read_kib: float  # KiB that the servers sent for the first read
+    reads: int  # getData requests for the first read
+    asked: float  # average number of getData requests for one change
+    cpu: float  # seconds of CPU time for the first read, above that of a folder with one node
+    memory: float  # MiB, above that of a folder with one node
+    cpu_share: float  # share of a CPU that the changes take, 1,000 a second in the bench
+    lag: float  # seconds until the daemon knew the last change
+    removal_seconds: float  # seconds that the balancer takes for one removal
+
+
+def removal_seconds(count: int) -> float:
+    """Return the seconds that the balancer takes to remove one of this many servers, the best of five runs."""
     best = float("inf")
     for _ in range(5):
         balancer = Balancer(Settings(), seed=1)
         rows = [ServerRow(server_id(f"box-{at}")) for at in range(count)]
         balancer.update_servers(0.0, ListUpdateKind.COMPLETE, rows)
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         balancer.update_servers(0.0, ListUpdateKind.PATCH, [replace(rows[0], state=ServerState.GONE)])
-        best = min(best, time.perf_counter() - begun)
+        best = min(best, time.perf_counter() - started_at)
     return best
 
 
 async def sizes(counts: tuple[int, ...], changes: int, per_second: int) -> list[Size]:
-    """The daemon's figures by the number of nodes."""
-    found: list[Size] = []
+    """Measure the daemon's costs by the number of nodes."""
+    results: list[Size] = []
     base = (0.0, 0.0)
-    for count in (1, *counts):  # what one node costs is the base
+    for count in (1, *counts):  # the figures of one node are the baseline
         async with Trial(servers=1) as trial:
             for at in range(count):
                 trial.cluster.write(f"{FOLDER}/box-{at}", _entry(at, 0))
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await trial.start()
             server = trial.cluster.servers[0]
-            seconds = asyncio.get_running_loop().time() - begun
+            seconds = asyncio.get_running_loop().time() - started_at
             process = Usage(trial.daemon.pid)
             if count == 1:
                 base = process.cpu(), process.memory()
@@ -242,26 +245,26 @@
                 process.memory() - base[1],
                 0.0,
                 0.0,
-                telling(count),
+                removal_seconds(count),
             )
-            await _churn(trial, size, process, changes, per_second)
-            found.append(size)
-    return found
+            await _measure_changes(trial, size, process, changes, per_second)
+            results.append(size)
+    return results
 
 
 def _entry(at: int, turn: int) -> bytes:
     return b'{"address":"127.0.0.1:%d","weight":%d,"since_ms":1000}' % (1 + at % 60_000, 1 + turn % 9)
 
 
-async def _churn(trial: Trial, size: Size, process: Usage, changes: int, per_second: int) -> None:
-    """So many changes, evenly over time; then one node that can be seen in the log, to know that all were read."""
+async def _measure_changes(trial: Trial, size: Size, process: Usage, changes: int, per_second: int) -> None:
+    """Make changes at an even rate, then one node that appears in the log, which shows that all were read."""
     loop, server = asyncio.get_running_loop(), trial.cluster.servers[0]
     server.asked.clear()
-    begun, used = loop.time(), process.cpu()
+    started_at, cpu_before = loop.time(), process.cpu()
     for turn in range(changes):
         trial.cluster.write(f"{FOLDER}/box-{turn % size.nodes}", _entry(turn % size.nodes, turn // size.nodes + 1))
-        await asyncio.sleep(max(0.0, begun + (turn + 1) / per_second - loop.time()))
-    size.churn = (process.cpu() - used) / (loop.time() - begun)
+        await asyncio.sleep(max(0.0, started_at + (turn + 1) / per_second - loop.time()))
+    size.cpu_share = (process.cpu() - cpu_before) / (loop.time() - started_at)
     ended = loop.time()
     trial.cluster.write(f"{FOLDER}/marker", b"?")
     await trial.said("marker")
@@ -271,7 +274,7 @@
 
 @dataclass(slots=True)
 class Follower:
-    """What one client's process costs."""
+    """The costs of one client's process."""
 
     kind: str
     nodes: int
@@ -279,12 +282,12 @@
     cpu: float
     memory: float
     threads: int
-    lag: float  # seconds from a change to its being known: the median of some
+    lag: float  # median seconds from a change until the client knows it
 
 
 async def followers(count: int, kinds: tuple[str, ...] = ("ours", "kazoo"), changes: int = 50) -> list[Follower]:
-    """Our client and kazoo on the same folder, each in a process of its own."""
-    found: list[Follower] = []
+    """Measure lugspur's client and kazoo on the same folder, each in its own process."""
+    results: list[Follower] = []
     async with Cluster() as cluster:
         await cluster.listen(("127.0.0.1", 0))
         for at in range(count):
@@ -303,26 +306,26 @@
             words = (await process.stdout.readline()).decode().split()
             lags: list[float] = []
             for at in range(changes):
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 cluster.write(f"{FOLDER}/{kind}-{at}", _entry(at, 0))
                 seen = (await process.stdout.readline()).decode().split()
-                lags.append(float(seen[2]) - begun)
+                lags.append(float(seen[2]) - started_at)
                 await asyncio.sleep(0.005)
             process.kill()
             await process.wait()
-            found.append(
+            results.append(
                 Follower(
                     kind, int(words[1]), float(words[2]), float(words[3]), float(words[4]), int(words[5]), median(lags)
                 )
             )
-    return found
+    return results
 
 
 # ---- the command -----------------------------------------------------------------------------------
 
 
 async def report_expiries(count: int, rate: float) -> None:
-    """The distribution of lags, as Markdown."""
+    """Print the distribution of lags."""
     lags, counts = await expiries(count, rate)
     at = {part: lags[min(len(lags) - 1, int(part * len(lags)))] * 1e3 for part in (0.5, 0.9, 0.99)}
     print(
@@ -332,7 +335,7 @@
 
 
 async def report_faults(names: list[str], rate: float) -> None:
-    """Each fault in its long form."""
+    """Play each fault for its long duration and print a Markdown table."""
     print("| fault | seconds | what became of all requests |\n| --- | --- | --- |")
     for name in names or FAULTS:
         seconds = FAULTS[name].long
@@ -340,16 +343,16 @@
 
 
 async def report_nodes() -> None:
-    """By the number of nodes, and both clients beside each other."""
+    """Print the costs by the number of nodes, and those of both clients."""
     print(
         "| nodes | s to the whole list | KiB | getData | requests a change | CPU s | MiB | CPU of 1,000 changes/s "
         "| s to the last | ms to decide a removal |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
     )
     for size in await sizes((10, 100, 1_000, 10_000), 5_000, 1_000):
         print(
-            f"| {size.nodes} | {size.seconds:.2f} | {size.kib:.0f} | {size.reads} | {size.asked:.2f} | "
-            f"{size.cpu:.2f} | {size.memory:.1f} | {size.churn:.2f} | {size.lag:.3f} | "
-            f"{size.telling * 1e3:.2f} |",
+            f"| {size.nodes} | {size.seconds:.2f} | {size.first_read_kib:.0f} | {size.reads} | {size.asked:.2f} | "
+            f"{size.cpu:.2f} | {size.memory:.1f} | {size.cpu_share:.2f} | {size.lag:.3f} | "
+            f"{size.removal_seconds * 1e3:.2f} |",
             flush=True,
         )
     print(
@@ -366,19 +369,21 @@
 
 
 def main() -> None:
-    """One of the three measurements."""
-    parser = argparse.ArgumentParser(description="Measures of following a registry.")
+    """Run one of the three measurements."""
+    parser = argparse.ArgumentParser(description="Measure discovery through a registry.")
     parser.add_argument("what", choices=["expiries", "faults", "nodes"])
-    parser.add_argument("names", nargs="*", metavar="FAULT", help=f"of {', '.join(FAULTS)}; by default all")
-    parser.add_argument("--count", type=int, default=200, help="expiries")
+    parser.add_argument(
+        "names", nargs="*", metavar="FAULT", help=f"faults to play, of {', '.join(FAULTS)}; by default all"
+    )
+    parser.add_argument("--count", type=int, default=200, help="number of expiries")
     parser.add_argument("--rate", type=float, default=0.0, help="requests a second")
-    given = parser.parse_args()
-    if set(given.names) - set(FAULTS):
+    arguments = parser.parse_args()
+    if set(arguments.names) - set(FAULTS):
         parser.error(f"faults are {', '.join(FAULTS)}")
-    if given.what == "expiries":
-        asyncio.run(report_expiries(given.count, given.rate or 1000.0))
-    elif given.what == "faults":
-        asyncio.run(report_faults(given.names, given.rate or 50.0))
+    if arguments.what == "expiries":
+        asyncio.run(report_expiries(arguments.count, arguments.rate or 1000.0))
+    elif arguments.what == "faults":
+        asyncio.run(report_faults(arguments.names, arguments.rate or 50.0))
     else:
         asyncio.run(report_nodes())
 
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -1,4 +1,4 @@
-"""A daemon that follows the stand-in registry under load: boxes, callers, and a count of what must never happen."""
+"""Runs a daemon with the stand-in registry, backends and callers, and counts lost, duplicated and late requests."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from lugspur.standins.callers import Caller, Tally
 from lugspur.standins.zookeeper.cluster import Cluster
 
-FOLDER = "/services/channel"
-GRACE = 0.5  # seconds after a removal in which something new may still come
-WORK = 0.002  # seconds of work for a request
-WITHIN = 30.0  # seconds that a caller waits: longer than any fault that a request has to outlive
-WIDE = 30.0  # seconds that anything may take to begin
+FOLDER = "/services/channel"  # the registry's node whose children are the backends
+GRACE = 0.5  # seconds after a removal in which a backend may still receive new requests
+WORK = 0.002  # seconds that a backend works on a request
+REQUEST_TIMEOUT = 30.0  # seconds that a caller waits: longer than any fault that a request has to survive
+WAIT_TIMEOUT = 30.0  # default timeout in seconds of waits for a condition
 CONNECTIONS = 16
 
-FILE = (
+SETTINGS_TEMPLATE = (
     CLASSES
     + """[listeners.main]
 address = "127.0.0.1:0"
@@ -47,29 +47,29 @@
 
 
 @dataclass(slots=True)
-class Box:
-    """A backend and its node."""
+class BackendNode:
+    """A backend and its node in the registry."""
 
     name: str
     backend: Backend
     removed: float = float("inf")  # the loop's time at which the registry removed its node
-    late: int = 0  # requests that began more than the grace after that
-    session: int = 0
+    late: int = 0  # requests that began after the removal and the grace
+    session: int = 0  # id of the registry session that owns the node
 
 
 @dataclass(slots=True)
 class Counts:
-    """What became of all requests."""
+    """The outcomes of all requests."""
 
     sent: int = 0
-    lost: int = 0  # no whole answer within the caller's time
+    lost: int = 0  # requests without a complete response within the caller's time
     doubled: int = 0  # runs of unsafe requests beyond the first
-    late: int = 0
+    late: int = 0  # requests that a backend received after its removal and the grace
     statuses: dict[int, int] = field(default_factory=dict)
 
     @property
     def kept(self) -> bool:
-        """Whether all rules held."""
+        """Return whether no request was lost, run twice, or sent to a backend after its removal and the grace."""
         return not (self.lost or self.doubled or self.late)
 
     def __str__(self) -> str:
@@ -78,22 +78,22 @@
 
 
 class Trial:
-    """An async context manager: the ensemble, the boxes, the daemon in a process of its own, and the load."""
+    """An async context manager for the ensemble, the backends, the daemon in its own process, and the load."""
 
     def __init__(self, servers: int = 3, session: float = 2.0, grace: float = GRACE) -> None:
         self._servers, self._session, self._grace = servers, session, grace
         self.cluster = Cluster()
-        self.boxes: dict[str, Box] = {}
-        self._ended: list[Box] = []
+        self.boxes: dict[str, BackendNode] = {}
+        self._ended: list[BackendNode] = []
         self.tally = Tally()
         self.sent = 0
         self.daemon: asyncio.subprocess.Process
         self._port = 0
-        self._playing: list[asyncio.Task[None]] = []
-        self._stop = False
+        self._callers: list[asyncio.Task[None]] = []
+        self._stopping = False
         self._folder = TemporaryDirectory()
-        self.lines: list[str] = []  # what the daemon has said
-        self._reading: asyncio.Task[None] | None = None
+        self.lines: list[str] = []  # the log of the daemon
+        self._log_reader: asyncio.Task[None] | None = None
         self._loop = asyncio.get_running_loop()
 
     async def __aenter__(self) -> Trial:
@@ -103,117 +103,119 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
     ) -> None:
-        self._stop = True
-        await asyncio.gather(*self._playing, return_exceptions=True)
+        self._stopping = True
+        await asyncio.gather(*self._callers, return_exceptions=True)
         if self._port:
             with suppress(ProcessLookupError):
                 self.daemon.kill()
             await self.daemon.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._log_reader is not None:
+            await self._log_reader
         for box in [*self.boxes.values(), *self._ended]:
             box.backend.kill()
         await self.cluster.__aexit__(kind, fault, trace)
         self._folder.cleanup()
 
-    # ---- what there is -----------------------------------------------------------------------
+    # ---- backends and the daemon -------------------------------------------------------------
 
-    async def box(self, name: str) -> Box:
-        """A backend that runs, and its node under a session of its own."""
-        box = self.boxes[name] = Box(name, Backend(name, lambda asked: self._work(box, asked)))
+    async def box(self, name: str) -> BackendNode:
+        """Start a backend and register it with its own session."""
+        box = self.boxes[name] = BackendNode(name, Backend(name, lambda asked: self._work(box, asked)))
         await box.backend.listen()
         self.register(box)
         return box
 
-    def register(self, box: Box) -> None:
-        """Make its node, under a new session."""
+    def register(self, box: BackendNode) -> None:
+        """Create the backend's node with a new session."""
         data = json.dumps({"address": box.backend.address, "since_ms": 1000}).encode()
         box.removed = float("inf")
         box.session = self.cluster.box(f"{FOLDER}/{box.name}", data)
 
-    def expire(self, name: str) -> Box:
-        """Its session ends, and its node with it; the process goes on."""
+    def expire(self, name: str) -> BackendNode:
+        """End a backend's session, which removes its node; the backend goes on running."""
         box = self.boxes.pop(name)
         self._ended.append(box)
         self.cluster.ensemble.end(box.session)
         box.removed = self._loop.time()
         return box
 
-    async def _work(self, box: Box, asked: Asked) -> Answer:
+    async def _work(self, box: BackendNode, asked: Asked) -> Answer:
         if self._loop.time() > box.removed + self._grace:
             box.late += 1
         await asyncio.sleep(WORK)
         return 200, b"done"
 
     def write(self, ensemble: list[tuple[str, int]] | None = None, folder: str = FOLDER) -> Path:
-        """The daemon's file, by default with all servers."""
+        """Write the daemon's settings file, by default with all servers of the ensemble, and return its path."""
         addresses = [f"{host}:{port}" for host, port in ensemble or self.cluster.addresses]
         file = Path(self._folder.name) / "trial.toml"
-        fresh = file.with_suffix(".new")
-        fresh.write_text(FILE.format(ensemble=json.dumps(addresses), session=self._session, folder=folder))
-        fresh.rename(file)
+        new_file = file.with_suffix(".new")
+        new_file.write_text(
+            SETTINGS_TEMPLATE.format(ensemble=json.dumps(addresses), session=self._session, folder=folder)
+        )
+        new_file.rename(file)
         return file
 
     async def start(self) -> None:
-        """Start the daemon, and wait until it serves."""
+        """Start the daemon and wait until it serves and has read the registry."""
         self.daemon = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "lugspur", "run", str(self.write()), stderr=asyncio.subprocess.PIPE
         )
-        self._reading = self._loop.create_task(self._read())
+        self._log_reader = self._loop.create_task(self._read_log())
         await self.until(lambda: any(" at " in line for line in self.lines))
         self._port = int(next(line for line in self.lines if " at " in line).rpartition(":")[2])
         await self.said("registry is followed")
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         assert self.daemon.stderr is not None
         while line := await self.daemon.stderr.readline():
             self.lines.append(line.decode().rstrip())
 
-    async def until(self, holds: Callable[[], bool], within: float = WIDE) -> None:
-        """Wait for something that has no event of its own; raises TimeoutError."""
+    async def until(self, holds: Callable[[], bool], within: float = WAIT_TIMEOUT) -> None:
+        """Poll until a condition holds; raises TimeoutError."""
         async with asyncio.timeout(within):
             while not holds():
                 await asyncio.sleep(0.002)
 
     async def said(self, what: str, after: int = 0) -> None:
-        """Wait until the daemon has said this, in a line from the `after`th on; raises TimeoutError."""
+        """Wait until the daemon's log has this text in line `after` or later; raises TimeoutError."""
         await self.until(lambda: any(what in line for line in self.lines[after:]))
 
     # ---- the load ----------------------------------------------------------------------------
 
     def play(self, rate: float) -> None:
-        """So many requests a second from now on, every third of them unsafe."""
-        self._playing = [self._loop.create_task(self._caller(at, CONNECTIONS / rate)) for at in range(CONNECTIONS)]
+        """Start a load of this many requests a second, every third of which is unsafe."""
+        self._callers = [self._loop.create_task(self._caller(at, CONNECTIONS / rate)) for at in range(CONNECTIONS)]
 
     async def _caller(self, at: int, every: float) -> None:
         caller = Caller("127.0.0.1", self._port)
         due = self._loop.time() + every * at / CONNECTIONS
-        while not self._stop:
+        while not self._stopping:
             await asyncio.sleep(due - self._loop.time())
             due = max(due + every, self._loop.time())
             self.sent += 1
             method, kind = ("POST", "book") if self.sent % 3 == 0 else ("GET", "read")
             length = "Content-Length: 0\r\n" if method == "POST" else ""
             request = f"{method} / HTTP/1.1\r\nHost: trial\r\nX-Request-ID: {kind}-{self.sent}\r\n{length}\r\n"
-            self.tally.add(await caller.ask(request.encode(), WITHIN))
+            self.tally.add(await caller.ask(request.encode(), REQUEST_TIMEOUT))
         caller.close()
 
     async def served(self, more: int) -> None:
-        """Wait until so many further requests have been answered."""
+        """Wait until this many further requests have been answered."""
         goal = len(self.tally.seconds) + more
         await self.until(lambda: len(self.tally.seconds) >= goal)
 
     async def stop(self) -> Counts:
-        """End the load; every request has had its answer, or has not."""
-        self._stop = True
-        await asyncio.gather(*self._playing)
-        self._playing.clear()
+        """Stop the load, wait for the requests in flight, and return the counts."""
+        self._stopping = True
+        await asyncio.gather(*self._callers)
+        self._callers.clear()
         boxes = [*self.boxes.values(), *self._ended]
         ran: dict[str, int] = {}
         for box in boxes:
-            for rid, count in box.backend.ran.items():
-                ran[rid] = ran.get(rid, 0) + count
-        doubled = sum(count - 1 for rid, count in ran.items() if rid.startswith("book") and count > 1)
+            for request_id, count in box.backend.ran.items():
+                ran[request_id] = ran.get(request_id, 0) + count
+        doubled = sum(count - 1 for request_id, count in ran.items() if request_id.startswith("book") and count > 1)
         return Counts(
             self.sent, self.tally.statuses.get(0, 0), doubled, sum(box.late for box in boxes), dict(self.tally.statuses)
         )
