--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -70,7 +70,7 @@
     before = len(trial.lines)
     for server in trial.cluster.servers:
         await server.listen()
-    await trial.said(said, before)
+    await trial.wait_for_log(said, before)
 
 
 async def _wait_for_expired_session(trial: Trial) -> None:
@@ -83,8 +83,8 @@
     [at] = [server for server in trial.cluster.servers if server.connections]
     before = len(trial.lines)
     at.stall()
-    await trial.said("the server sent nothing in time", before)
-    await trial.said("is followed", before)
+    await trial.wait_for_log("the server sent nothing in time", before)
+    await trial.wait_for_log("is followed", before)
     await _wait_until_all_serve(trial)
     await asyncio.sleep(seconds)
 
@@ -139,7 +139,7 @@
     await asyncio.sleep(seconds)
     await _wait_for_expired_session(trial)
     trial.daemon.send_signal(signal.SIGCONT)
-    await trial.said("is followed", before)
+    await trial.wait_for_log("is followed", before)
     removed_backend.removed = asyncio.get_running_loop().time()
     await trial.served(50)
 
@@ -267,7 +267,7 @@
     size.cpu_share = (process.cpu() - cpu_before) / (loop.time() - started_at)
     ended = loop.time()
     trial.cluster.write(f"{FOLDER}/marker", b"?")
-    await trial.said("marker")
+    await trial.wait_for_log("marker")
     size.lag = loop.time() - ended
     size.asked = server.asked[Op.GET_DATA] / changes
 
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -164,7 +164,7 @@
         self._log_reader = self._loop.create_task(self._read_log())
         await self.until(lambda: any(" at " in line for line in self.lines))
         self._port = int(next(line for line in self.lines if " at " in line).rpartition(":")[2])
-        await self.said("registry is followed")
+        await self.wait_for_log("registry is followed")
 
     async def _read_log(self) -> None:
         assert self.daemon.stderr is not None
@@ -177,7 +177,7 @@
             while not holds():
                 await asyncio.sleep(0.002)
 
-    async def said(self, what: str, after: int = 0) -> None:
+    async def wait_for_log(self, what: str, after: int = 0) -> None:
         """Wait until the daemon's log has this text in line `after` or later; raises TimeoutError."""
         await self.until(lambda: any(what in line for line in self.lines[after:]))
 
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -61,7 +61,7 @@
             before = len(trial.lines)
             trial.write(target.addresses, folder)
             trial.daemon.send_signal(signal.SIGHUP)
-            await trial.said("2 backends", before)
+            await trial.wait_for_log("2 backends", before)
             trial.boxes["box-2"].removed = asyncio.get_running_loop().time()
             await trial.served(50)
             if change == "ensemble":  # nobody uses the former session: it is closed
