--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -39,7 +39,7 @@
         trial.play(rate)
         for at in range(4, 4 + count):
             box = await trial.box(f"box-{at}")
-            seen = trial.boxes[f"box-{at - 4}"].backend
+            seen = trial.backends[f"box-{at - 4}"].backend
             await trial.until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
             expired_backend = trial.expire(f"box-{at - 4}")
             await asyncio.sleep(SETTLE_SECONDS)
@@ -61,8 +61,8 @@
 
 async def _wait_until_all_serve(trial: Trial) -> None:
     """Wait until each backend has received a new request, which shows that none has left the pool."""
-    before = {name: box.backend.ran.total() for name, box in trial.boxes.items()}
-    await trial.until(lambda: all(box.backend.ran.total() > before[name] for name, box in trial.boxes.items()))
+    before = {name: box.backend.ran.total() for name, box in trial.backends.items()}
+    await trial.until(lambda: all(box.backend.ran.total() > before[name] for name, box in trial.backends.items()))
 
 
 async def _restart_servers(trial: Trial, said: str) -> None:
@@ -100,7 +100,7 @@
     await trial.box("box-new")
     await _restart_servers(trial, "is followed")
     removed_backend.removed = asyncio.get_running_loop().time()
-    await trial.until(lambda: bool(trial.boxes["box-new"].backend.ran))
+    await trial.until(lambda: bool(trial.backends["box-new"].backend.ran))
     await trial.served(50)
 
 
@@ -111,7 +111,7 @@
     trial.cluster.ensemble.restore()
     await asyncio.sleep(seconds)
     await _restart_servers(trial, "holds no backend")
-    for box in trial.boxes.values():
+    for box in trial.backends.values():
         trial.register(box)
     await trial.served(50)
 
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -83,7 +83,7 @@
     def __init__(self, servers: int = 3, session: float = 2.0, grace: float = GRACE) -> None:
         self._servers, self._session, self._grace = servers, session, grace
         self.cluster = Cluster()
-        self.boxes: dict[str, BackendNode] = {}
+        self.backends: dict[str, BackendNode] = {}
         self._ended: list[BackendNode] = []
         self.tally = Tally()
         self.sent = 0
@@ -111,7 +111,7 @@
             await self.daemon.wait()
         if self._log_reader is not None:
             await self._log_reader
-        for box in [*self.boxes.values(), *self._ended]:
+        for box in [*self.backends.values(), *self._ended]:
             box.backend.kill()
         await self.cluster.__aexit__(kind, fault, trace)
         self._folder.cleanup()
@@ -120,7 +120,7 @@
 
     async def box(self, name: str) -> BackendNode:
         """Start a backend and register it with its own session."""
-        box = self.boxes[name] = BackendNode(name, Backend(name, lambda asked: self._work(box, asked)))
+        box = self.backends[name] = BackendNode(name, Backend(name, lambda asked: self._work(box, asked)))
         await box.backend.listen()
         self.register(box)
         return box
@@ -133,7 +133,7 @@
 
     def expire(self, name: str) -> BackendNode:
         """End a backend's session, which removes its node; the backend goes on running."""
-        box = self.boxes.pop(name)
+        box = self.backends.pop(name)
         self._ended.append(box)
         self.cluster.ensemble.end(box.session)
         box.removed = self._loop.time()
@@ -210,7 +210,7 @@
         self._stopping = True
         await asyncio.gather(*self._callers)
         self._callers.clear()
-        boxes = [*self.boxes.values(), *self._ended]
+        boxes = [*self.backends.values(), *self._ended]
         ran: dict[str, int] = {}
         for box in boxes:
             for request_id, count in box.backend.ran.items():
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -56,13 +56,13 @@
             target = other if change == "ensemble" else trial.cluster
             folder = FOLDER if change == "ensemble" else "/elsewhere"
             for name in ("box-0", "box-1"):
-                address = trial.boxes[name].backend.address
+                address = trial.backends[name].backend.address
                 target.box(f"{folder}/{name}", json.dumps({"address": address}).encode())
             before = len(trial.lines)
             trial.write(target.addresses, folder)
             trial.daemon.send_signal(signal.SIGHUP)
             await trial.wait_for_log("2 backends", before)
-            trial.boxes["box-2"].removed = asyncio.get_running_loop().time()
+            trial.backends["box-2"].removed = asyncio.get_running_loop().time()
             await trial.served(50)
             if change == "ensemble":  # nobody uses the former session: it is closed
                 await trial.until(
