--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -34,11 +34,11 @@
     lags: list[float] = []
     async with Trial(grace=grace) as trial:
         for at in range(4):
-            await trial.box(f"box-{at}")
+            await trial.add_backend(f"box-{at}")
         await trial.start()
         trial.play(rate)
         for at in range(4, 4 + count):
-            box = await trial.box(f"box-{at}")
+            box = await trial.add_backend(f"box-{at}")
             seen = trial.backends[f"box-{at - 4}"].backend
             await trial.until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
             expired_backend = trial.expire(f"box-{at - 4}")
@@ -97,7 +97,7 @@
     await _wait_until_all_serve(trial)
     removed_backend = trial.expire("box-0")
     removed_backend.removed = float("inf")  # the daemon cannot know of the removal yet
-    await trial.box("box-new")
+    await trial.add_backend("box-new")
     await _restart_servers(trial, "is followed")
     removed_backend.removed = asyncio.get_running_loop().time()
     await trial.until(lambda: bool(trial.backends["box-new"].backend.ran))
@@ -179,7 +179,7 @@
     """Play one fault under load and return the counts; raises TimeoutError if the daemon does not recover."""
     async with Trial(grace=grace) as trial:
         for at in range(3):
-            await trial.box(f"box-{at}")
+            await trial.add_backend(f"box-{at}")
         await trial.start()
         trial.play(rate)
         await trial.served(20)
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -118,7 +118,7 @@
 
     # ---- backends and the daemon -------------------------------------------------------------
 
-    async def box(self, name: str) -> BackendNode:
+    async def add_backend(self, name: str) -> BackendNode:
         """Start a backend and register it with its own session."""
         box = self.backends[name] = BackendNode(name, Backend(name, lambda asked: self._work(box, asked)))
         await box.backend.listen()
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -48,7 +48,7 @@
     async def play() -> None:
         async with Trial(grace=WIDE_GRACE) as trial, Cluster() as other:
             for at in range(3):
-                await trial.box(f"box-{at}")
+                await trial.add_backend(f"box-{at}")
             await other.listen(("127.0.0.1", 0))
             await trial.start()
             trial.play(100.0)
