--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -29,7 +29,7 @@
 SETTLE_SECONDS = 0.7  # seconds of waiting for late requests after a removal: longer than the grace
 
 
-async def expiries(count: int, rate: float, grace: float = 0.5) -> tuple[list[float], Counts]:
+async def measure_expiries(count: int, rate: float, grace: float = 0.5) -> tuple[list[float], Counts]:
     """Return the seconds from each removal to the backend's last new request (0: none after it), and the counts."""
     lags: list[float] = []
     async with Trial(grace=grace) as trial:
@@ -326,7 +326,7 @@
 
 async def report_expiries(count: int, rate: float) -> None:
     """Print the distribution of lags."""
-    lags, counts = await expiries(count, rate)
+    lags, counts = await measure_expiries(count, rate)
     at = {part: lags[min(len(lags) - 1, int(part * len(lags)))] * 1e3 for part in (0.5, 0.9, 0.99)}
     print(
         f"{count} expiries at {rate:g} requests a second; from removal to the last new request, ms: "
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -14,7 +14,7 @@
 from daemonic import HEAD, Served, ask, backend, pool, route, served, until
 from loopback import OK, status
 
-from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
+from lugspur.bench.registry import FAULTS, fault, followers, measure_expiries, sizes
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry_source import RegistrySource
@@ -32,7 +32,7 @@
 
 
 def test_boxes_whose_sessions_expire_get_nothing_new_under_load() -> None:
-    lags, counts = asyncio.run(expiries(3, 50.0, WIDE_GRACE))
+    lags, counts = asyncio.run(measure_expiries(3, 50.0, WIDE_GRACE))
     assert counts.passed and set(counts.statuses) == {200} and lags[-1] < WIDE_GRACE
 
 
