--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -219,7 +219,7 @@
     return best
 
 
-async def sizes(counts: tuple[int, ...], changes: int, per_second: int) -> list[Size]:
+async def measure_sizes(counts: tuple[int, ...], changes: int, per_second: int) -> list[Size]:
     """Measure the daemon's costs by the number of nodes."""
     results: list[Size] = []
     base = (0.0, 0.0)
@@ -348,7 +348,7 @@
         "| nodes | s to the whole list | KiB | getData | requests a change | CPU s | MiB | CPU of 1,000 changes/s "
         "| s to the last | ms to decide a removal |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
     )
-    for size in await sizes((10, 100, 1_000, 10_000), 5_000, 1_000):
+    for size in await measure_sizes((10, 100, 1_000, 10_000), 5_000, 1_000):
         print(
             f"| {size.nodes} | {size.seconds:.2f} | {size.first_read_kib:.0f} | {size.reads} | {size.asked:.2f} | "
             f"{size.cpu:.2f} | {size.memory:.1f} | {size.cpu_share:.2f} | {size.lag:.3f} | "
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -14,7 +14,7 @@
 from daemonic import HEAD, Served, ask, backend, pool, route, served, until
 from loopback import OK, status
 
-from lugspur.bench.registry import FAULTS, fault, followers, measure_expiries, sizes
+from lugspur.bench.registry import FAULTS, fault, followers, measure_expiries, measure_sizes
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry_source import RegistrySource
@@ -75,7 +75,7 @@
 
 
 def test_a_change_costs_one_request_and_a_node_one_read() -> None:
-    [size] = asyncio.run(sizes((30,), 200, 2_000))
+    [size] = asyncio.run(measure_sizes((30,), 200, 2_000))
     assert size.reads == 30 and size.asked <= 1.1
 
 
