--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -285,7 +285,9 @@
     lag: float  # median seconds from a change until the client knows it
 
 
-async def followers(count: int, kinds: tuple[str, ...] = ("ours", "kazoo"), changes: int = 50) -> list[Follower]:
+async def measure_followers(
+    count: int, kinds: tuple[str, ...] = ("ours", "kazoo"), changes: int = 50
+) -> list[Follower]:
     """Measure lugspur's client and kazoo on the same folder, each in its own process."""
     results: list[Follower] = []
     async with Cluster() as cluster:
@@ -360,7 +362,7 @@
         "| --- | --- | --- | --- | --- | --- | --- |"
     )
     for count in (10, 10_000):
-        for row in await followers(count):
+        for row in await measure_followers(count):
             print(
                 f"| {row.kind} | {row.nodes} | {row.seconds:.2f} | {row.cpu:.2f} | {row.memory:.1f} | "
                 f"{row.threads} | {row.lag * 1e3:.2f} |",
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -14,7 +14,7 @@
 from daemonic import HEAD, Served, ask, backend, pool, route, served, until
 from loopback import OK, status
 
-from lugspur.bench.registry import FAULTS, fault, followers, measure_expiries, measure_sizes
+from lugspur.bench.registry import FAULTS, fault, measure_expiries, measure_followers, measure_sizes
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry_source import RegistrySource
@@ -80,7 +80,7 @@
 
 
 def test_our_client_follows_what_kazoo_follows() -> None:
-    ours, kazoo = asyncio.run(followers(20, changes=3))
+    ours, kazoo = asyncio.run(measure_followers(20, changes=3))
     assert ours.nodes == 20 and kazoo.nodes == 23 and (ours.threads, kazoo.threads) > (0, 1)
 
 
