--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -247,7 +247,7 @@
                 await asyncio.sleep(0.02)
         return found[0]
 
-    async def agree(self, among: list[int] | None = None) -> None:
+    async def wait_until_agreed(self, among: list[int] | None = None) -> None:
         """Wait until the views of these members agree and contain these members only."""
         wanted = list(range(len(self.members))) if among is None else among
         async with asyncio.timeout(WITHIN + TIMEOUT_PER_PROCESS * len(wanted)):
@@ -298,7 +298,7 @@
             rng = Random(f"faults {seed}")
             rig.members[0].rate, rig.members[1].rate = 1.05, 0.95
             vacancies: list[float] = []
-            await rig.agree()
+            await rig.wait_until_agreed()
             for number in range(rounds):
                 holder = await rig.holder()
                 await _inject_fault(rig, rng, holder if rng.random() < 0.6 else rng.randrange(count))
@@ -327,7 +327,7 @@
         rig = Rig(Path(folder), count, lease=10.0, period=1.0)
         started_at = now()
         async with rig:
-            await rig.agree()
+            await rig.wait_until_agreed()
             joined = now() - started_at
             await asyncio.sleep(10.0)
             usages = [Usage(member.process.pid) for member in rig.members if member.process is not None]
@@ -340,14 +340,14 @@
             rig.members[-1].process = None
             left = list(range(count - 1))
             started_at = now()
-            await rig.agree(left)
+            await rig.wait_until_agreed(left)
             killed = now() - started_at
             side = set(left[: len(left) // 2])
             rig.cut = lambda a, b: (a in side) != (b in side)
             await asyncio.sleep(30.0)
             rig.cut = lambda origin, to: False
             started_at = now()
-            await rig.agree(left)
+            await rig.wait_until_agreed(left)
             say(
                 f"| {count} | {joined:.1f} | {killed:.1f} | {now() - started_at:.1f} | {size:.0f} | "
                 f"{1e3 * cpu_used[count // 2] / seconds:.1f} | {1e3 * cpu_used[-1] / seconds:.1f} | {memory:.0f} |"
@@ -364,7 +364,7 @@
     """Hand the duty over by draining its holder this many times, and return the number of violations."""
     with TemporaryDirectory() as folder:
         async with Rig(Path(folder), 5, lease=5.0) as rig:
-            await rig.agree()
+            await rig.wait_until_agreed()
             handover_seconds: list[float] = []
             for _ in range(rounds):
                 holder = await rig.holder()
@@ -440,7 +440,7 @@
         async with Rig(
             Path(folder), count, lease=lease, period=1.0, more=PROBED_SETTINGS.format(members=members)
         ) as rig:
-            await rig.agree()
+            await rig.wait_until_agreed()
             callers = [asyncio.create_task(caller(rig.port(member.number))) for member in rig.members]
             await asyncio.sleep(WARM_UP_SECONDS)
             before, sent, served, phase = await failed_dials(rig), 0, 0, 1
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -26,7 +26,7 @@
 
     async def run() -> None:
         async with Rig(folder, count, lease=lease, memory=memory) as rig:
-            await rig.agree()
+            await rig.wait_until_agreed()
             await rig.holder()
             await what(rig)
             await rig.holder()
@@ -56,7 +56,7 @@
         rig.wake(holder)
         if leases > 1.0:  # its first word, when nobody has told it anything yet
             assert (await rig.call(holder, "POST", "/fleet/may", DUTY))[0] == 409
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what, least=1 if leases > 1.0 else 0)
 
@@ -69,7 +69,7 @@
         await another(rig, holder)
         assert now() - began < 4.0 * rig.lease
         await rig.start(holder)
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what)
 
@@ -85,7 +85,7 @@
         assert now() - began < rig.lease  # else nobody could have it before the lease's end
         assert await asyncio.wait_for(member.process.wait(), WITHIN) == 0
         assert "resigned" in member.log()
-        await rig.agree([number for number in range(len(rig.members)) if number != holder])
+        await rig.wait_until_agreed([number for number in range(len(rig.members)) if number != holder])
 
     play(tmp_path, what)
 
@@ -118,7 +118,7 @@
         await another(rig, holder)
         assert await rig.holders([holder]) == []
         rig.cut = lambda origin, to: False
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what)
 
@@ -134,7 +134,7 @@
             await rig.call(number, "POST", "/undrain")
         await another(rig, holder)
         rig.cut = lambda origin, to: False
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what, count=5)
 
@@ -152,7 +152,7 @@
         await asyncio.sleep(2.0 * rig.lease)
         assert await rig.holders() == []
         rig.cut = lambda origin, to: False
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what, count=5)
 
@@ -168,7 +168,7 @@
         for number in range(rig.electors):
             await rig.kill(number)
             await rig.start(number)
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what, least=0, memory=memory)
 
@@ -181,7 +181,7 @@
         for number in range(rig.electors):
             await rig.kill(number)
             await rig.start(number)
-            await rig.agree()
+            await rig.wait_until_agreed()
             assert await rig.holder([holder]) == holder
         ends = now() + 1.5 * rig.lease  # electors that remember nothing promise nothing for a lease, and it runs out
         while now() < ends:
@@ -200,10 +200,10 @@
         for path in (rig.members[0].folder / "promises").iterdir():
             path.unlink()
         await rig.start(0)
-        await rig.agree()
+        await rig.wait_until_agreed()
         await rig.kill(1)
         rig.members[1].process = None
-        await rig.agree([0, 2, 3])
+        await rig.wait_until_agreed([0, 2, 3])
         holder = await rig.holder()
         await rig.kill(holder)
         await rig.start(holder)
@@ -218,13 +218,13 @@
         for member, rate in zip(rig.members, rates, strict=True):
             member.rate = rate
         async with rig:
-            await rig.agree()
+            await rig.wait_until_agreed()
             for _ in range(3):
                 holder = await rig.holder()
                 rig.stop(holder)
                 await another(rig, holder)
                 rig.wake(holder)
-            await rig.agree()
+            await rig.wait_until_agreed()
             wrong, hands = rig.check()
             assert not wrong and hands >= 3
 
@@ -240,7 +240,7 @@
             await another(rig, holder)
             await rig.start(holder)
         rig.loss = 0.0
-        await rig.agree()
+        await rig.wait_until_agreed()
 
     play(tmp_path, what, least=3)
 
@@ -248,7 +248,7 @@
 def test_corrupt_promises_fail_the_start_with_one_line(tmp_path: Path) -> None:
     async def run() -> None:
         async with Rig(tmp_path, 3) as rig:
-            await rig.agree()
+            await rig.wait_until_agreed()
             member = rig.members[0]
             await rig.kill(0)
             (member.folder / "promises" / "promises").write_bytes(b"{}")
