--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -211,7 +211,7 @@
         """Suspend a member's process."""
         self.members[number].signal(signal.SIGSTOP)
 
-    def wake(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         """Resume a member's process."""
         self.members[number].signal(signal.SIGCONT)
 
@@ -462,7 +462,7 @@
     if kind == "stop":
         rig.stop(at)
         await asyncio.sleep(rng.choice([0.3, 1.0, 2.0]) * rig.lease)
-        rig.wake(at)
+        rig.resume(at)
     elif kind == "kill":
         await rig.kill(at)
         await rig.start(at)
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -53,7 +53,7 @@
             other = await another(rig, holder)
             assert (await rig.call(other, "POST", "/fleet/may", DUTY))[1]["epoch"] > before
         await asyncio.sleep(max(0.0, leases * rig.lease - (now() - began)))
-        rig.wake(holder)
+        rig.resume(holder)
         if leases > 1.0:  # its first word, when nobody has told it anything yet
             assert (await rig.call(holder, "POST", "/fleet/may", DUTY))[0] == 409
         await rig.wait_until_agreed()
@@ -223,7 +223,7 @@
                 holder = await rig.holder()
                 rig.stop(holder)
                 await another(rig, holder)
-                rig.wake(holder)
+                rig.resume(holder)
             await rig.wait_until_agreed()
             wrong, hands = rig.check()
             assert not wrong and hands >= 3
