--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -207,7 +207,7 @@
         await member.process.wait()
         member.ended.append(now())
 
-    def stop(self, number: int) -> None:
+    def suspend(self, number: int) -> None:
         """Suspend a member's process."""
         self.members[number].signal(signal.SIGSTOP)
 
@@ -460,7 +460,7 @@
 async def _inject_fault(rig: Rig, rng: Random, at: int) -> None:
     kind = rng.choice(["stop", "kill", "cut", "mute", "deaf", "lossy", "restart"])
     if kind == "stop":
-        rig.stop(at)
+        rig.suspend(at)
         await asyncio.sleep(rng.choice([0.3, 1.0, 2.0]) * rig.lease)
         rig.resume(at)
     elif kind == "kill":
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -47,7 +47,7 @@
     async def what(rig: Rig) -> None:
         holder = await rig.holder()
         before = (await rig.call(holder, "POST", "/fleet/may", DUTY))[1]["epoch"]
-        rig.stop(holder)
+        rig.suspend(holder)
         began = now()
         if leases > 1.0:
             other = await another(rig, holder)
@@ -221,7 +221,7 @@
             await rig.wait_until_agreed()
             for _ in range(3):
                 holder = await rig.holder()
-                rig.stop(holder)
+                rig.suspend(holder)
                 await another(rig, holder)
                 rig.resume(holder)
             await rig.wait_until_agreed()
