--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -240,7 +240,7 @@
         found = await asyncio.gather(*(self.call(number, "POST", "/fleet/may", DUTY) for number in numbers))
         return [number for number, (status, _) in zip(numbers, found, strict=True) if status == 200]
 
-    async def holder(self, among: list[int] | None = None) -> int:
+    async def wait_for_holder(self, among: list[int] | None = None) -> int:
         """Wait until a member holds the duty's lease, and return it."""
         async with asyncio.timeout(WITHIN):
             while not (found := await self.holders(among)):
@@ -300,10 +300,10 @@
             vacancies: list[float] = []
             await rig.wait_until_agreed()
             for number in range(rounds):
-                holder = await rig.holder()
+                holder = await rig.wait_for_holder()
                 await _inject_fault(rig, rng, holder if rng.random() < 0.6 else rng.randrange(count))
                 started_at = now()
-                await rig.holder()
+                await rig.wait_for_holder()
                 vacancies.append(now() - started_at)
                 if number % 20 == 19:
                     violations, hands = rig.check()
@@ -367,10 +367,10 @@
             await rig.wait_until_agreed()
             handover_seconds: list[float] = []
             for _ in range(rounds):
-                holder = await rig.holder()
+                holder = await rig.wait_for_holder()
                 started_at = now()
                 await rig.call(holder, "POST", "/drain")
-                await rig.holder([number for number in range(5) if number != holder])
+                await rig.wait_for_holder([number for number in range(5) if number != holder])
                 handover_seconds.append(now() - started_at)
                 await rig.call(holder, "POST", "/undrain")
             violations, count = rig.check()
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -27,9 +27,9 @@
     async def run() -> None:
         async with Rig(folder, count, lease=lease, memory=memory) as rig:
             await rig.wait_until_agreed()
-            await rig.holder()
+            await rig.wait_for_holder()
             await what(rig)
-            await rig.holder()
+            await rig.wait_for_holder()
             wrong, hands = rig.check()
             assert not wrong
             assert hands >= least
@@ -39,13 +39,13 @@
 
 async def another(rig: Rig, than: int) -> int:
     """Wait until another member leads, and return its number."""
-    return await rig.holder([number for number in range(len(rig.members)) if number != than])
+    return await rig.wait_for_holder([number for number in range(len(rig.members)) if number != than])
 
 
 @pytest.mark.parametrize("leases", [1.0, 2.0, 10.0])
 def test_stopped_leader_that_resumes_may_not_act(tmp_path: Path, leases: float) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         before = (await rig.call(holder, "POST", "/fleet/may", DUTY))[1]["epoch"]
         rig.suspend(holder)
         began = now()
@@ -63,7 +63,7 @@
 
 def test_killed_leader_is_succeeded(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         await rig.kill(holder)
         began = now()
         await another(rig, holder)
@@ -76,7 +76,7 @@
 
 def test_leader_that_shuts_down_hands_over_at_once(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         member = rig.members[holder]
         assert member.process is not None
         member.signal(signal.SIGTERM)
@@ -92,7 +92,7 @@
 
 def test_drained_leader_hands_over_and_can_lead_again(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         assert (await rig.call(holder, "POST", "/drain"))[0] == 200
         heir = await another(rig, holder)
         assert (await rig.call(holder, "POST", "/undrain"))[0] == 200
@@ -100,7 +100,7 @@
         for number in range(len(rig.members)):
             if number not in (holder, heir):
                 await rig.call(number, "POST", "/drain")
-        assert await rig.holder([holder]) == holder
+        assert await rig.wait_for_holder([holder]) == holder
         await rig.start(heir)
 
     play(tmp_path, what)
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("way", ["both", "mute", "deaf"])
 def test_partitioned_leader_stops_before_its_successor_starts(tmp_path: Path, way: str) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         rig.cut = {
             "both": lambda a, b: (a == holder) != (b == holder),
             "mute": lambda a, b: a == holder,
@@ -125,7 +125,7 @@
 
 def test_leader_partitioned_from_the_voters_alone_is_succeeded(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        while (holder := await rig.holder()) < rig.electors:
+        while (holder := await rig.wait_for_holder()) < rig.electors:
             await rig.call(holder, "POST", "/drain")
             await another(rig, holder)
         electors = set(range(rig.electors))
@@ -141,11 +141,11 @@
 
 def test_partitions_without_a_majority_have_no_leader(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         side = {holder, 3 if holder < 3 else 0}  # the smaller half has the holder, and one elector at most
         rig.cut = lambda a, b: (a in side) != (b in side)
         larger = [number for number in range(5) if number not in side]
-        assert await rig.holder(larger) in larger
+        assert await rig.wait_for_holder(larger) in larger
         assert await rig.holders(sorted(side)) == []
         parts = {0: 0, 1: 1, 2: 2, 3: 0, 4: 1}  # each elector in a part of its own
         rig.cut = lambda a, b: parts[a] != parts[b]
@@ -164,7 +164,7 @@
             await rig.kill(number)
         for number in range(rig.electors):
             await rig.start(number)
-        await rig.holder()
+        await rig.wait_for_holder()
         for number in range(rig.electors):
             await rig.kill(number)
             await rig.start(number)
@@ -175,14 +175,14 @@
 
 def test_leader_stays_over_restarts_of_voters_with_durable_promises(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        while (holder := await rig.holder()) < rig.electors:
+        while (holder := await rig.wait_for_holder()) < rig.electors:
             await rig.call(holder, "POST", "/drain")
             await another(rig, holder)
         for number in range(rig.electors):
             await rig.kill(number)
             await rig.start(number)
             await rig.wait_until_agreed()
-            assert await rig.holder([holder]) == holder
+            assert await rig.wait_for_holder([holder]) == holder
         ends = now() + 1.5 * rig.lease  # electors that remember nothing promise nothing for a lease, and it runs out
         while now() < ends:
             assert await rig.holders([holder]) == [holder]
@@ -204,7 +204,7 @@
         await rig.kill(1)
         rig.members[1].process = None
         await rig.wait_until_agreed([0, 2, 3])
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         await rig.kill(holder)
         await rig.start(holder)
 
@@ -220,7 +220,7 @@
         async with rig:
             await rig.wait_until_agreed()
             for _ in range(3):
-                holder = await rig.holder()
+                holder = await rig.wait_for_holder()
                 rig.suspend(holder)
                 await another(rig, holder)
                 rig.resume(holder)
@@ -235,7 +235,7 @@
     async def what(rig: Rig) -> None:
         rig.loss = 1 / 3
         for _ in range(3):
-            holder = await rig.holder()
+            holder = await rig.wait_for_holder()
             await rig.kill(holder)
             await another(rig, holder)
             await rig.start(holder)
@@ -268,7 +268,7 @@
 
 def test_command_line_shows_the_fleet_and_runs_as_leader(tmp_path: Path) -> None:
     async def what(rig: Rig) -> None:
-        holder = await rig.holder()
+        holder = await rig.wait_for_holder()
         other = next(number for number in range(3) if number != holder)
 
         async def command(number: int, *words: str) -> subprocess.CompletedProcess[str]:
