--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -115,7 +115,7 @@
         self.lease, self.period, self.electors, self.memory = lease, period, electors, memory
         self.rng = Random(seed)
         self.loss = 0.0
-        self.cut: Callable[[int, int], bool] = lambda origin, to: False
+        self.is_cut: Callable[[int, int], bool] = lambda origin, to: False
         # Addresses of the loopback range that depend on the process id keep fleets of different processes apart.
         pid = os.getpid()
         net = f"127.{64 + (pid >> 8) % 128}.{pid % 256}"
@@ -161,7 +161,7 @@
             while True:
                 data, (host, _) = sock.recvfrom(2048)
                 origin = self._number_by_host.get(host)
-                if origin is None or self.cut(origin, to) or (self.loss and self.rng.random() < self.loss):
+                if origin is None or self.is_cut(origin, to) or (self.loss and self.rng.random() < self.loss):
                     continue
                 with suppress(OSError):
                     self._sockets[origin].sendto(data, (self.members[to].host, BOUND))
@@ -343,9 +343,9 @@
             await rig.wait_until_agreed(left)
             killed = now() - started_at
             side = set(left[: len(left) // 2])
-            rig.cut = lambda a, b: (a in side) != (b in side)
+            rig.is_cut = lambda a, b: (a in side) != (b in side)
             await asyncio.sleep(30.0)
-            rig.cut = lambda origin, to: False
+            rig.is_cut = lambda origin, to: False
             started_at = now()
             await rig.wait_until_agreed(left)
             say(
@@ -477,13 +477,13 @@
         rig.loss = 0.0
     else:
         side = set(rng.sample(range(len(rig.members)), rng.randrange(1, len(rig.members))))
-        rig.cut = {
+        rig.is_cut = {
             "cut": lambda a, b: (a in side) != (b in side),
             "mute": lambda a, b: a == at,
             "deaf": lambda a, b: b == at,
         }[kind]
         await asyncio.sleep(2.0 * rig.lease * rng.random())
-        rig.cut = lambda origin, to: False
+        rig.is_cut = lambda origin, to: False
 
 
 def main() -> None:
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -110,14 +110,14 @@
 def test_partitioned_leader_stops_before_its_successor_starts(tmp_path: Path, way: str) -> None:
     async def what(rig: Rig) -> None:
         holder = await rig.wait_for_holder()
-        rig.cut = {
+        rig.is_cut = {
             "both": lambda a, b: (a == holder) != (b == holder),
             "mute": lambda a, b: a == holder,
             "deaf": lambda a, b: b == holder,
         }[way]
         await another(rig, holder)
         assert await rig.holders([holder]) == []
-        rig.cut = lambda origin, to: False
+        rig.is_cut = lambda origin, to: False
         await rig.wait_until_agreed()
 
     play(tmp_path, what)
@@ -129,11 +129,11 @@
             await rig.call(holder, "POST", "/drain")
             await another(rig, holder)
         electors = set(range(rig.electors))
-        rig.cut = lambda a, b: (a == holder and b in electors) or (b == holder and a in electors)
+        rig.is_cut = lambda a, b: (a == holder and b in electors) or (b == holder and a in electors)
         for number in electors:
             await rig.call(number, "POST", "/undrain")
         await another(rig, holder)
-        rig.cut = lambda origin, to: False
+        rig.is_cut = lambda origin, to: False
         await rig.wait_until_agreed()
 
     play(tmp_path, what, count=5)
@@ -143,15 +143,15 @@
     async def what(rig: Rig) -> None:
         holder = await rig.wait_for_holder()
         side = {holder, 3 if holder < 3 else 0}  # the smaller half has the holder, and one elector at most
-        rig.cut = lambda a, b: (a in side) != (b in side)
+        rig.is_cut = lambda a, b: (a in side) != (b in side)
         larger = [number for number in range(5) if number not in side]
         assert await rig.wait_for_holder(larger) in larger
         assert await rig.holders(sorted(side)) == []
         parts = {0: 0, 1: 1, 2: 2, 3: 0, 4: 1}  # each elector in a part of its own
-        rig.cut = lambda a, b: parts[a] != parts[b]
+        rig.is_cut = lambda a, b: parts[a] != parts[b]
         await asyncio.sleep(2.0 * rig.lease)
         assert await rig.holders() == []
-        rig.cut = lambda origin, to: False
+        rig.is_cut = lambda origin, to: False
         await rig.wait_until_agreed()
 
     play(tmp_path, what, count=5)
