--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -109,9 +109,9 @@
         period: float = 0.2,
         electors: int = 3,
         memory: bool = True,
-        more: str = "",
+        extra_settings: str = "",
     ) -> None:
-        self.more = more  # text that is appended to each settings file
+        self.extra_settings = extra_settings  # text that is appended to each settings file
         self.lease, self.period, self.electors, self.memory = lease, period, electors, memory
         self.rng = Random(seed)
         self.loss = 0.0
@@ -187,7 +187,7 @@
                 duty=DUTY,
                 folder=folder,
             )
-            + self.more
+            + self.extra_settings
         )
         command = ["-m", "lugspur"] if member.rate == 1.0 else ["-c", SKEWED_CLOCK_PROGRAM.format(rate=member.rate)]
         with open(member.folder / "log", "ab") as log:
@@ -438,7 +438,7 @@
     rng = Random(1)
     with TemporaryDirectory() as folder:
         async with Rig(
-            Path(folder), count, lease=lease, period=1.0, more=PROBED_SETTINGS.format(members=members)
+            Path(folder), count, lease=lease, period=1.0, extra_settings=PROBED_SETTINGS.format(members=members)
         ) as rig:
             await rig.wait_until_agreed()
             callers = [asyncio.create_task(caller(rig.port(member.number))) for member in rig.members]
