--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -23,7 +23,7 @@
 from tempfile import TemporaryDirectory
 
 from lugspur.bench.main import request
-from lugspur.bench.processes import CLASSES, Process, served, standin
+from lugspur.bench.processes import CLASSES, Process, run_proxy, standin
 from lugspur.bench.sockets import free_port, wait_for_listener
 from lugspur.standins import callers as http
 from lugspur.standins.backend import Answer as HttpAnswer
@@ -85,7 +85,7 @@
     port = free_port()
     file = folder / f"grpc-{port}.toml"
     file.write_text(SETTINGS_TEMPLATE.format(port=port, members=", ".join(members)))
-    with served([sys.executable, "-m", "lugspur", "run", str(file)], port, {}) as running:
+    with run_proxy([sys.executable, "-m", "lugspur", "run", str(file)], port, {}) as running:
         yield running
 
 
--- a/lugspur/bench/guard.py
+++ b/lugspur/bench/guard.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, served, standin
+from lugspur.bench.processes import Process, run_proxy, standin
 from lugspur.bench.sockets import free_port
 from lugspur.standins.callers import Caller, closed_loop
 
@@ -209,7 +209,7 @@
         file.write_text(SETTINGS_TEMPLATE.format(on=str(on).lower(), port=port, members=members))
         command = [sys.executable, "-m", "lugspur", "run", str(file)]
         process = stack.enter_context(
-            served(["nice", "-n", str(NICENESS), *command] if constrain else command, port, {})
+            run_proxy(["nice", "-n", str(NICENESS), *command] if constrain else command, port, {})
         )
         os.sched_setaffinity(process.pid, {CORE})
         if constrain:
@@ -345,7 +345,7 @@
             file.write_text(
                 SETTINGS_TEMPLATE.format(on="true", port=port, members=f'{{ address = "127.0.0.1:{backend.port}" }}')
             )
-            with served([sys.executable, *program, str(file)], port, {}) as process:
+            with run_proxy([sys.executable, *program, str(file)], port, {}) as process:
                 for request_class in MIX:
                     spent[how, request_class.name] = _cpu_per_request(
                         process, encode_request(request_class), 200 if how == "served" else 503
--- a/lugspur/bench/processes.py
+++ b/lugspur/bench/processes.py
@@ -99,7 +99,7 @@
 
 
 @contextmanager
-def served(command: list[str], port: int, environ: dict[str, str], root: str | None = None) -> Iterator[Process]:
+def run_proxy(command: list[str], port: int, environ: dict[str, str], root: str | None = None) -> Iterator[Process]:
     """Run a proxy that listens on this port, from this checkout or the one at `root`."""
     process = subprocess.Popen(command, env=os.environ | environ, text=True, stderr=subprocess.DEVNULL, cwd=root)
     running = Process(process, f"127.0.0.1:{port}")
@@ -138,7 +138,7 @@
     }
     file = folder / f"platform-{port}.json"
     file.write_text(json.dumps(config))
-    with served([sys.executable, "-m", "lugspur"], port, {"RELAY_CONFIG": str(file)}, root) as running:
+    with run_proxy([sys.executable, "-m", "lugspur"], port, {"RELAY_CONFIG": str(file)}, root) as running:
         time.sleep(1.5)  # until the endpoint list in its start configuration takes effect
         yield running
 
@@ -150,5 +150,5 @@
     members = ", ".join(f'{{ address = "127.0.0.1:{backend.port}" }}' for backend in backends)
     file = folder / f"run-{port}.toml"
     file.write_text(FILE.format(port=port, members=members) + more)
-    with served([sys.executable, "-m", "lugspur", "run", str(file)], port, {}) as running:
+    with run_proxy([sys.executable, "-m", "lugspur", "run", str(file)], port, {}) as running:
         yield running
