--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -23,7 +23,7 @@
 from tempfile import TemporaryDirectory
 
 from lugspur.bench.main import request
-from lugspur.bench.processes import CLASSES, Process, run_proxy, standin
+from lugspur.bench.processes import CLASSES, Process, run_proxy, run_standin
 from lugspur.bench.sockets import free_port, wait_for_listener
 from lugspur.standins import callers as http
 from lugspur.standins.backend import Answer as HttpAnswer
@@ -140,10 +140,10 @@
     """Measure a bare h2 echo and each pairing of caller and backend protocols in turns; the first round warms up."""
     with TemporaryDirectory() as name, ExitStack() as stack:
         plain = [
-            stack.enter_context(standin("lugspur.standins.backend", "--size", str(MESSAGE_BYTES)))
+            stack.enter_context(run_standin("lugspur.standins.backend", "--size", str(MESSAGE_BYTES)))
             for _ in range(BACKENDS)
         ]
-        grpc_backends = [stack.enter_context(standin("lugspur.standins.grpc.echo")) for _ in range(BACKENDS)]
+        grpc_backends = [stack.enter_context(run_standin("lugspur.standins.grpc.echo")) for _ in range(BACKENDS)]
         over = {
             "http": [member(f"{each.host}:{each.port}", "http") for each in plain],
             "grpc": [member(f"{each.host}:{each.port}", "grpc") for each in grpc_backends],
@@ -200,7 +200,7 @@
     found = []
     with TemporaryDirectory() as name, ExitStack() as stack:
         grpc_backends = [
-            stack.enter_context(standin("lugspur.standins.grpc", "--streams", "1000")) for _ in range(BACKENDS)
+            stack.enter_context(run_standin("lugspur.standins.grpc", "--streams", "1000")) for _ in range(BACKENDS)
         ]
         members = [member(f"{backend.host}:{backend.port}", "grpc") for backend in grpc_backends]
         for each in streams:
@@ -240,7 +240,7 @@
     """Return the MiB by which the daemon grows while this many MB pass through one stream each way."""
     with (
         TemporaryDirectory() as name,
-        standin("lugspur.standins.grpc") as backend,
+        run_standin("lugspur.standins.grpc") as backend,
         daemon(Path(name), [member(f"{backend.host}:{backend.port}", "grpc")]) as process,
     ):
         asyncio.run(_pass_messages(process.host, process.port, 1))
@@ -269,7 +269,7 @@
 def profile(count: int) -> dict[str, float]:
     """Return the share that each package's own code has of the daemon's time for calls."""
     with TemporaryDirectory() as name, ExitStack() as stack:
-        grpc_backends = [stack.enter_context(standin("lugspur.standins.grpc.echo")) for _ in range(BACKENDS)]
+        grpc_backends = [stack.enter_context(run_standin("lugspur.standins.grpc.echo")) for _ in range(BACKENDS)]
         port, file = free_port(), Path(name) / "profiled.toml"
         rows = ", ".join(member(f"{backend.host}:{backend.port}", "grpc") for backend in grpc_backends)
         file.write_text(SETTINGS_TEMPLATE.format(port=port, members=rows))
--- a/lugspur/bench/guard.py
+++ b/lugspur/bench/guard.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, run_proxy, standin
+from lugspur.bench.processes import Process, run_proxy, run_standin
 from lugspur.bench.sockets import free_port
 from lugspur.standins.callers import Caller, closed_loop
 
@@ -203,7 +203,7 @@
         os.sched_setaffinity(0, others)
         delay = ("--delay", "0.02") if constrain else ()  # on an idle core, callers that wait would measure the delay
         stack.callback(os.sched_setaffinity, 0, cores)
-        backends = [stack.enter_context(standin("lugspur.standins.backend", *delay)) for _ in range(2)]
+        backends = [stack.enter_context(run_standin("lugspur.standins.backend", *delay)) for _ in range(2)]
         port, file = free_port(), Path(folder) / "guard.toml"
         members = ", ".join(f'{{ address = "127.0.0.1:{backend.port}" }}' for backend in backends)
         file.write_text(SETTINGS_TEMPLATE.format(on=str(on).lower(), port=port, members=members))
@@ -339,7 +339,7 @@
 
 def _report_refusal(_: int) -> None:
     spent: dict[tuple[str, str], float] = {}
-    with TemporaryDirectory() as folder, standin("lugspur.standins.backend") as backend:
+    with TemporaryDirectory() as folder, run_standin("lugspur.standins.backend") as backend:
         for how, program in (("served", ["-m", "lugspur", "run"]), ("refused", ["-c", REJECT_ALL])):
             port, file = free_port(), Path(folder) / f"{how}.toml"
             file.write_text(
--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, daemon, standin
+from lugspur.bench.processes import Process, daemon, run_standin
 from lugspur.config.load import load
 from lugspur.daemon.run import RunningDaemon
 from lugspur.standins.backend import Answer, Asked, Backend
@@ -291,7 +291,7 @@
 def cost(count: int) -> dict[str, list[float]]:
     """Return CPU microseconds per read on a plain route, on a joining one, and there with identical reads only."""
     rows: dict[str, list[float]] = {"plain route": [], "route that joins, no two alike": [], "all alike": []}
-    with TemporaryDirectory() as name, standin("lugspur.standins.backend", "--size", "200") as backend:
+    with TemporaryDirectory() as name, run_standin("lugspur.standins.backend", "--size", "200") as backend:
         files = {"plain": "", "joins": 'join = { within = "100ms" }\n'}
         folder = Path(name)
         processes = {key: daemon(folder, [backend], _route_text(more)) for key, more in files.items()}
--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -11,7 +11,7 @@
 from statistics import median
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, daemon, platform, standin
+from lugspur.bench.processes import Process, daemon, platform, run_standin
 from lugspur.config.load import load
 from lugspur.routing.model import Forward, RequestView, Route, parse_pattern
 from lugspur.routing.table import RouteTable
@@ -79,11 +79,11 @@
     with TemporaryDirectory() as name, ExitStack() as stack:
         folder = Path(name)
         backends = [
-            stack.enter_context(standin("lugspur.standins.backend", "--size", str(SIZE))) for _ in range(BACKENDS)
+            stack.enter_context(run_standin("lugspur.standins.backend", "--size", str(SIZE))) for _ in range(BACKENDS)
         ]
         first = f"{backends[0].host}:{backends[0].port}"
         contestants = {
-            "relay": stack.enter_context(standin("lugspur.standins.relay", first)),
+            "relay": stack.enter_context(run_standin("lugspur.standins.relay", first)),
             "platform": stack.enter_context(platform(folder, backends)),
             "run": stack.enter_context(daemon(folder, backends)),
         }
@@ -128,7 +128,7 @@
 def memory() -> list[tuple[int, float, float]]:
     """Return rows of a number of routes, the daemon's MiB, and the seconds to read and check its settings file."""
     found = []
-    with TemporaryDirectory() as name, standin("lugspur.standins.backend") as backend:
+    with TemporaryDirectory() as name, run_standin("lugspur.standins.backend") as backend:
         for count in (0, *COUNTS):
             text = "".join(
                 f'[routes.r{n}]\npath = "/svc{n // 100}/hotels/{{id}}/rooms/*"\nhosts = ["h{n % 100}.example"]\n'
--- a/lugspur/bench/processes.py
+++ b/lugspur/bench/processes.py
@@ -87,7 +87,7 @@
 
 
 @contextmanager
-def standin(*command: str) -> Iterator[Process]:
+def run_standin(*command: str) -> Iterator[Process]:
     """Run a stand-in, which prints `ready HOST:PORT` once it listens."""
     process = subprocess.Popen([sys.executable, "-m", *command], stdout=subprocess.PIPE, text=True)
     assert process.stdout is not None
