--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -11,7 +11,7 @@
 from statistics import median
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, daemon, platform, run_standin
+from lugspur.bench.processes import Process, daemon, run_platform_proxy, run_standin
 from lugspur.config.load import load
 from lugspur.routing.model import Forward, RequestView, Route, parse_pattern
 from lugspur.routing.table import RouteTable
@@ -84,11 +84,11 @@
         first = f"{backends[0].host}:{backends[0].port}"
         contestants = {
             "relay": stack.enter_context(run_standin("lugspur.standins.relay", first)),
-            "platform": stack.enter_context(platform(folder, backends)),
+            "platform": stack.enter_context(run_platform_proxy(folder, backends)),
             "run": stack.enter_context(daemon(folder, backends)),
         }
         if against is not None:
-            contestants["platform, other checkout"] = stack.enter_context(platform(folder, backends, against))
+            contestants["platform, other checkout"] = stack.enter_context(run_platform_proxy(folder, backends, against))
         return {kind: measure(contestants, kind, requests) for kind in ("read", "book")}
 
 
--- a/lugspur/bench/processes.py
+++ b/lugspur/bench/processes.py
@@ -111,7 +111,7 @@
 
 
 @contextmanager
-def platform(folder: Path, backends: list[Process], root: str | None = None) -> Iterator[Process]:
+def run_platform_proxy(folder: Path, backends: list[Process], root: str | None = None) -> Iterator[Process]:
     """Run the platform's proxy, from this checkout or the one at `root`."""
     port = free_port()
     entries = [
