--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -80,7 +80,7 @@
 
 
 @contextmanager
-def daemon(folder: Path, members: list[str]) -> Iterator[Process]:
+def run_daemon(folder: Path, members: list[str]) -> Iterator[Process]:
     """Run `lugspur run` with a listener for both protocols and these pool members."""
     port = free_port()
     file = folder / f"grpc-{port}.toml"
@@ -150,7 +150,7 @@
         }
         contestants = {"a bare h2 echo": (grpc_backends[0], True)}
         for backend in ("http", "grpc"):
-            process = stack.enter_context(daemon(Path(name), over[backend]))
+            process = stack.enter_context(run_daemon(Path(name), over[backend]))
             for caller in ("http", "grpc"):
                 contestants[f"run, {caller} to {backend}"] = process, caller == "grpc"
         found: dict[str, list[tuple[float, float]]] = {each: [] for each in contestants}
@@ -204,7 +204,7 @@
         ]
         members = [member(f"{backend.host}:{backend.port}", "grpc") for backend in grpc_backends]
         for each in streams:
-            with daemon(Path(name), members) as process:
+            with run_daemon(Path(name), members) as process:
                 asyncio.run(unary(process.host, process.port, each, 1, max(each, count // 4)))
                 before = process.cpu()
                 seconds = asyncio.run(unary(process.host, process.port, each, 1, count))
@@ -241,7 +241,7 @@
     with (
         TemporaryDirectory() as name,
         run_standin("lugspur.standins.grpc") as backend,
-        daemon(Path(name), [member(f"{backend.host}:{backend.port}", "grpc")]) as process,
+        run_daemon(Path(name), [member(f"{backend.host}:{backend.port}", "grpc")]) as process,
     ):
         asyncio.run(_pass_messages(process.host, process.port, 1))
         before = process.memory()
@@ -404,7 +404,7 @@
     await plain.listen()
     members = [*(member(backend.address, "grpc") for backend in grpc_backends), member(plain.address, "http")]
     with TemporaryDirectory() as name:
-        started = daemon(Path(name), members)
+        started = run_daemon(Path(name), members)
         process = await asyncio.to_thread(started.__enter__)
         try:
             return await Mixed(count, seed).play(process.host, process.port, grpc_backends, plain)
--- a/lugspur/bench/joining.py
+++ b/lugspur/bench/joining.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, daemon, run_standin
+from lugspur.bench.processes import Process, run_daemon, run_standin
 from lugspur.config.load import load
 from lugspur.daemon.run import RunningDaemon
 from lugspur.standins.backend import Answer, Asked, Backend
@@ -294,7 +294,7 @@
     with TemporaryDirectory() as name, run_standin("lugspur.standins.backend", "--size", "200") as backend:
         files = {"plain": "", "joins": 'join = { within = "100ms" }\n'}
         folder = Path(name)
-        processes = {key: daemon(folder, [backend], _route_text(more)) for key, more in files.items()}
+        processes = {key: run_daemon(folder, [backend], _route_text(more)) for key, more in files.items()}
         with processes["plain"] as plain, processes["joins"] as joins:
             cases: list[tuple[str, Process, Callable[[int], bytes]]] = [
                 ("plain route", plain, lambda n: _joined_request(f"k{n}")),
--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -11,7 +11,7 @@
 from statistics import median
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.processes import Process, daemon, run_platform_proxy, run_standin
+from lugspur.bench.processes import Process, run_daemon, run_platform_proxy, run_standin
 from lugspur.config.load import load
 from lugspur.routing.model import Forward, RequestView, Route, parse_pattern
 from lugspur.routing.table import RouteTable
@@ -85,7 +85,7 @@
         contestants = {
             "relay": stack.enter_context(run_standin("lugspur.standins.relay", first)),
             "platform": stack.enter_context(run_platform_proxy(folder, backends)),
-            "run": stack.enter_context(daemon(folder, backends)),
+            "run": stack.enter_context(run_daemon(folder, backends)),
         }
         if against is not None:
             contestants["platform, other checkout"] = stack.enter_context(run_platform_proxy(folder, backends, against))
@@ -135,7 +135,7 @@
                 f'methods = ["GET"]\npool = "main"\n'
                 for n in range(count)
             )
-            with daemon(Path(name), [backend], text) as process:
+            with run_daemon(Path(name), [backend], text) as process:
                 [file] = Path(name).glob(f"run-{process.port}.toml")
                 started_at = time.perf_counter()
                 load(str(file))
--- a/lugspur/bench/processes.py
+++ b/lugspur/bench/processes.py
@@ -144,7 +144,7 @@
 
 
 @contextmanager
-def daemon(folder: Path, backends: list[Process], more: str = "") -> Iterator[Process]:
+def run_daemon(folder: Path, backends: list[Process], more: str = "") -> Iterator[Process]:
     """Run `lugspur run`, with further text appended to its settings file."""
     port = free_port()
     members = ", ".join(f'{{ address = "127.0.0.1:{backend.port}" }}' for backend in backends)
