--- a/lugspur/bench/grpc.py
+++ b/lugspur/bench/grpc.py
@@ -22,7 +22,7 @@
 from statistics import median
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.main import request
+from lugspur.bench.main import request_maker
 from lugspur.bench.processes import CLASSES, Process, run_proxy, run_standin
 from lugspur.bench.sockets import free_port, wait_for_listener
 from lugspur.standins import callers as http
@@ -130,7 +130,7 @@
 def _round(process: Process, over_grpc: bool, count: int) -> list[float]:
     if over_grpc:
         return asyncio.run(unary(process.host, process.port, CALLERS, CALLERS, count))
-    tally = asyncio.run(http.closed_loop(process.host, process.port, CALLERS, count, request("book")))
+    tally = asyncio.run(http.closed_loop(process.host, process.port, CALLERS, count, request_maker("book")))
     if tally.statuses != {200: count}:
         raise RuntimeError(f"responses by status {tally.statuses}")
     return sorted(tally.seconds)
--- a/lugspur/bench/main.py
+++ b/lugspur/bench/main.py
@@ -38,7 +38,7 @@
     memory: float  # MiB of resident memory after the round
 
 
-def request(kind: str) -> Callable[[int], bytes]:
+def request_maker(kind: str) -> Callable[[int], bytes]:
     """Return a function that makes a numbered request for the platform's proxy, the daemon or a backend."""
 
     def make(number: int) -> bytes:
@@ -60,7 +60,7 @@
         for name, process in contestants.items():
             before, started_at = process.cpu(), time.monotonic()
             count = requests if round_number else max(200, requests // 4)
-            tally = asyncio.run(closed_loop(process.host, process.port, CALLERS, count, request(kind)))
+            tally = asyncio.run(closed_loop(process.host, process.port, CALLERS, count, request_maker(kind)))
             if tally.statuses != {200: count}:
                 raise RuntimeError(f"{name}: responses by status {tally.statuses}, expected {count} times 200")
             if round_number:
--- a/lugspur/bench/operations.py
+++ b/lugspur/bench/operations.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.main import request
+from lugspur.bench.main import request_maker
 from lugspur.bench.processes import SERVICES, Usage
 from lugspur.bench.sockets import free_port
 from lugspur.standins.backend import Answer, Asked, Backend, Work
@@ -139,7 +139,7 @@
         statuses, finished = Counter[int](), False
 
         async def ask(kind: str, keeps_connection: bool, caller_number: int) -> None:
-            make, caller, number = request(kind), Caller(HOST, proxy.port), caller_number << 32
+            make, caller, number = request_maker(kind), Caller(HOST, proxy.port), caller_number << 32
             while not finished:
                 number += 1
                 statuses[(await caller.ask(make(number), TIMEOUT)).status] += 1
@@ -188,7 +188,7 @@
         finished = False
 
         async def ask(caller_number: int) -> None:
-            make, caller, number = request("read"), Caller(HOST, proxy.port), caller_number << 32
+            make, caller, number = request_maker("read"), Caller(HOST, proxy.port), caller_number << 32
             while not finished:
                 await caller.ask(make(number := number + 1), TIMEOUT)
 
@@ -220,7 +220,7 @@
     """Read a large response at this rate in MB per second and return the seconds to its last byte."""
     started_at = time.monotonic()
     reader, writer = await asyncio.open_connection(HOST, port, limit=READ_BYTES)
-    writer.write(request("read")(number))
+    writer.write(request_maker("read")(number))
     await reader.readuntil(b"\r\n\r\n")
     left = LARGE_BYTES
     while left:
--- a/lugspur/bench/state.py
+++ b/lugspur/bench/state.py
@@ -22,7 +22,7 @@
 from random import Random
 from tempfile import TemporaryDirectory
 
-from lugspur.bench.main import request
+from lugspur.bench.main import request_maker
 from lugspur.bench.sockets import free_port
 from lugspur.daemon.persistence.snapshot_format import FORMAT_VERSION, MAGIC, decode_snapshot
 from lugspur.daemon.persistence.snapshot_store import CURRENT_FILE
@@ -116,7 +116,7 @@
 
 async def run_load(port: int, seconds: float, seed: int) -> Loss:
     """Run callers with unsafe requests for this many seconds."""
-    loss, make = Loss(), request("book")
+    loss, make = Loss(), request_maker("book")
     loop = asyncio.get_running_loop()
     deadline = loop.time() + seconds
 
@@ -228,7 +228,7 @@
             folder.mkdir()
             daemon = Daemon(folder, f'file = "{endpoint_file}"', writes_snapshots)
             await daemon.start()
-            caller, make = Caller(HOST, daemon.port), request("book")
+            caller, make = Caller(HOST, daemon.port), request_maker("book")
             seconds: list[float] = []
             loop, number, last = asyncio.get_running_loop(), 0, 0
             for phase in (2.0, TIMED_SECONDS):
