--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -101,7 +101,7 @@
     await _restart_servers(trial, "is followed")
     removed_backend.removed = asyncio.get_running_loop().time()
     await trial.until(lambda: bool(trial.backends["box-new"].backend.ran))
-    await trial.served(50)
+    await trial.wait_for_responses(50)
 
 
 async def restore_empty(trial: Trial, seconds: float) -> None:
@@ -113,7 +113,7 @@
     await _restart_servers(trial, "holds no backend")
     for box in trial.backends.values():
         trial.register(box)
-    await trial.served(50)
+    await trial.wait_for_responses(50)
 
 
 async def expire_session(trial: Trial, seconds: float) -> None:
@@ -127,7 +127,7 @@
     await _wait_until_all_serve(trial)
     await _restart_servers(trial, "is followed")
     removed_backend.removed = asyncio.get_running_loop().time()
-    await trial.served(50)
+    await trial.wait_for_responses(50)
 
 
 async def suspend_daemon(trial: Trial, seconds: float) -> None:
@@ -141,7 +141,7 @@
     trial.daemon.send_signal(signal.SIGCONT)
     await trial.wait_for_log("is followed", before)
     removed_backend.removed = asyncio.get_running_loop().time()
-    await trial.served(50)
+    await trial.wait_for_responses(50)
 
 
 async def inject_noise(trial: Trial, seconds: float) -> None:
@@ -161,7 +161,7 @@
     removed_backend = trial.expire("box-0")
     # The daemon may learn of the removal late, because its reconnect delay has grown.
     removed_backend.removed = asyncio.get_running_loop().time() + 5.0
-    await trial.served(50)
+    await trial.wait_for_responses(50)
     await _wait_until_all_serve(trial)
 
 
@@ -182,7 +182,7 @@
             await trial.add_backend(f"box-{at}")
         await trial.start()
         trial.play(rate)
-        await trial.served(20)
+        await trial.wait_for_responses(20)
         await FAULTS[name].play(trial, seconds)
         return await trial.stop()
 
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -200,7 +200,7 @@
             self.tally.add(await caller.ask(request.encode(), REQUEST_TIMEOUT))
         caller.close()
 
-    async def served(self, more: int) -> None:
+    async def wait_for_responses(self, more: int) -> None:
         """Wait until this many further requests have been answered."""
         goal = len(self.tally.seconds) + more
         await self.until(lambda: len(self.tally.seconds) >= goal)
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -52,7 +52,7 @@
             await other.listen(("127.0.0.1", 0))
             await trial.start()
             trial.play(100.0)
-            await trial.served(20)
+            await trial.wait_for_responses(20)
             target = other if change == "ensemble" else trial.cluster
             folder = FOLDER if change == "ensemble" else "/elsewhere"
             for name in ("box-0", "box-1"):
@@ -63,7 +63,7 @@
             trial.daemon.send_signal(signal.SIGHUP)
             await trial.wait_for_log("2 backends", before)
             trial.backends["box-2"].removed = asyncio.get_running_loop().time()
-            await trial.served(50)
+            await trial.wait_for_responses(50)
             if change == "ensemble":  # nobody uses the former session: it is closed
                 await trial.until(
                     lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values())
