--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -44,7 +44,7 @@
             expired_backend = trial.expire(f"box-{at - 4}")
             await asyncio.sleep(SETTLE_SECONDS)
             lags.append(max(0.0, expired_backend.backend.last_begun - expired_backend.removed))
-        return sorted(lags), await trial.stop()
+        return sorted(lags), await trial.stop_load()
 
 
 # ---- faults: each function injects one fault under load and repairs it ---------------------------
@@ -184,7 +184,7 @@
         trial.play(rate)
         await trial.wait_for_responses(20)
         await FAULTS[name].play(trial, seconds)
-        return await trial.stop()
+        return await trial.stop_load()
 
 
 # ---- costs by the number of nodes ----------------------------------------------------------------
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -205,7 +205,7 @@
         goal = len(self.tally.seconds) + more
         await self.until(lambda: len(self.tally.seconds) >= goal)
 
-    async def stop(self) -> Counts:
+    async def stop_load(self) -> Counts:
         """Stop the load, wait for the requests in flight, and return the counts."""
         self._stopping = True
         await asyncio.gather(*self._callers)
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -68,7 +68,7 @@
                 await trial.until(
                     lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values())
                 )
-            counts = await trial.stop()
+            counts = await trial.stop_load()
             assert counts.passed and set(counts.statuses) == {200}
 
     asyncio.run(play())
