--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -40,7 +40,7 @@
         for at in range(4, 4 + count):
             box = await trial.add_backend(f"box-{at}")
             seen = trial.backends[f"box-{at - 4}"].backend
-            await trial.until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
+            await trial.wait_until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
             expired_backend = trial.expire(f"box-{at - 4}")
             await asyncio.sleep(SETTLE_SECONDS)
             lags.append(max(0.0, expired_backend.backend.last_begun - expired_backend.removed))
@@ -62,7 +62,7 @@
 async def _wait_until_all_serve(trial: Trial) -> None:
     """Wait until each backend has received a new request, which shows that none has left the pool."""
     before = {name: box.backend.ran.total() for name, box in trial.backends.items()}
-    await trial.until(lambda: all(box.backend.ran.total() > before[name] for name, box in trial.backends.items()))
+    await trial.wait_until(lambda: all(box.backend.ran.total() > before[name] for name, box in trial.backends.items()))
 
 
 async def _restart_servers(trial: Trial, said: str) -> None:
@@ -75,7 +75,7 @@
 
 async def _wait_for_expired_session(trial: Trial) -> None:
     """Wait until the registry has ended the daemon's session: on a loaded machine the registry's timer is late."""
-    await trial.until(lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values()))
+    await trial.wait_until(lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values()))
 
 
 async def stall_server(trial: Trial, seconds: float) -> None:
@@ -100,7 +100,7 @@
     await trial.add_backend("box-new")
     await _restart_servers(trial, "is followed")
     removed_backend.removed = asyncio.get_running_loop().time()
-    await trial.until(lambda: bool(trial.backends["box-new"].backend.ran))
+    await trial.wait_until(lambda: bool(trial.backends["box-new"].backend.ran))
     await trial.wait_for_responses(50)
 
 
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -162,7 +162,7 @@
             sys.executable, "-m", "lugspur", "run", str(self.write()), stderr=asyncio.subprocess.PIPE
         )
         self._log_reader = self._loop.create_task(self._read_log())
-        await self.until(lambda: any(" at " in line for line in self.lines))
+        await self.wait_until(lambda: any(" at " in line for line in self.lines))
         self._port = int(next(line for line in self.lines if " at " in line).rpartition(":")[2])
         await self.wait_for_log("registry is followed")
 
@@ -171,7 +171,7 @@
         while line := await self.daemon.stderr.readline():
             self.lines.append(line.decode().rstrip())
 
-    async def until(self, holds: Callable[[], bool], within: float = WAIT_TIMEOUT) -> None:
+    async def wait_until(self, holds: Callable[[], bool], within: float = WAIT_TIMEOUT) -> None:
         """Poll until a condition holds; raises TimeoutError."""
         async with asyncio.timeout(within):
             while not holds():
@@ -179,7 +179,7 @@
 
     async def wait_for_log(self, what: str, after: int = 0) -> None:
         """Wait until the daemon's log has this text in line `after` or later; raises TimeoutError."""
-        await self.until(lambda: any(what in line for line in self.lines[after:]))
+        await self.wait_until(lambda: any(what in line for line in self.lines[after:]))
 
     # ---- the load ----------------------------------------------------------------------------
 
@@ -203,7 +203,7 @@
     async def wait_for_responses(self, more: int) -> None:
         """Wait until this many further requests have been answered."""
         goal = len(self.tally.seconds) + more
-        await self.until(lambda: len(self.tally.seconds) >= goal)
+        await self.wait_until(lambda: len(self.tally.seconds) >= goal)
 
     async def stop_load(self) -> Counts:
         """Stop the load, wait for the requests in flight, and return the counts."""
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -65,7 +65,7 @@
             trial.backends["box-2"].removed = asyncio.get_running_loop().time()
             await trial.wait_for_responses(50)
             if change == "ensemble":  # nobody uses the former session: it is closed
-                await trial.until(
+                await trial.wait_until(
                     lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values())
                 )
             counts = await trial.stop_load()
