--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -175,7 +175,7 @@
 }
 
 
-async def fault(name: str, seconds: float, rate: float, grace: float = 0.5) -> Counts:
+async def run_fault(name: str, seconds: float, rate: float, grace: float = 0.5) -> Counts:
     """Play one fault under load and return the counts; raises TimeoutError if the daemon does not recover."""
     async with Trial(grace=grace) as trial:
         for at in range(3):
@@ -341,7 +341,7 @@
     print("| fault | seconds | what became of all requests |\n| --- | --- | --- |")
     for name in names or FAULTS:
         seconds = FAULTS[name].long
-        print(f"| {name} | {seconds:g} | {await fault(name, seconds, rate)} |", flush=True)
+        print(f"| {name} | {seconds:g} | {await run_fault(name, seconds, rate)} |", flush=True)
 
 
 async def report_nodes() -> None:
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -14,7 +14,7 @@
 from daemonic import HEAD, Served, ask, backend, pool, route, served, until
 from loopback import OK, status
 
-from lugspur.bench.registry import FAULTS, fault, measure_expiries, measure_followers, measure_sizes
+from lugspur.bench.registry import FAULTS, measure_expiries, measure_followers, measure_sizes, run_fault
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry_source import RegistrySource
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_nothing_is_lost_doubled_or_late_through_a_fault(name: str) -> None:
-    counts = asyncio.run(fault(name, FAULTS[name].short, 100.0, WIDE_GRACE))
+    counts = asyncio.run(run_fault(name, FAULTS[name].short, 100.0, WIDE_GRACE))
     assert counts.passed, str(counts)
     assert set(counts.statuses) <= ({200, 503} if name == "restored" else {200})
 
