--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -38,9 +38,9 @@
         await trial.start()
         trial.play(rate)
         for at in range(4, 4 + count):
-            box = await trial.add_backend(f"box-{at}")
+            node = await trial.add_backend(f"box-{at}")
             seen = trial.backends[f"box-{at - 4}"].backend
-            await trial.wait_until(lambda seen=seen, box=box: bool(seen.ran and box.backend.ran))  # type: ignore[misc]
+            await trial.wait_until(lambda seen=seen, node=node: bool(seen.ran and node.backend.ran))  # type: ignore[misc]
             expired_backend = trial.expire(f"box-{at - 4}")
             await asyncio.sleep(SETTLE_SECONDS)
             lags.append(max(0.0, expired_backend.backend.last_begun - expired_backend.removed))
@@ -61,8 +61,8 @@
 
 async def _wait_until_all_serve(trial: Trial) -> None:
     """Wait until each backend has received a new request, which shows that none has left the pool."""
-    before = {name: box.backend.ran.total() for name, box in trial.backends.items()}
-    await trial.wait_until(lambda: all(box.backend.ran.total() > before[name] for name, box in trial.backends.items()))
+    before = {name: node.backend.ran.total() for name, node in trial.backends.items()}
+    await trial.wait_until(lambda: all(node.backend.ran.total() > before[name] for name, node in trial.backends.items()))
 
 
 async def _restart_servers(trial: Trial, said: str) -> None:
@@ -111,8 +111,8 @@
     trial.cluster.ensemble.restore()
     await asyncio.sleep(seconds)
     await _restart_servers(trial, "holds no backend")
-    for box in trial.backends.values():
-        trial.register(box)
+    for node in trial.backends.values():
+        trial.register(node)
     await trial.wait_for_responses(50)
 
 
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -111,8 +111,8 @@
             await self.daemon.wait()
         if self._log_reader is not None:
             await self._log_reader
-        for box in [*self.backends.values(), *self._ended]:
-            box.backend.kill()
+        for node in [*self.backends.values(), *self._ended]:
+            node.backend.kill()
         await self.cluster.__aexit__(kind, fault, trace)
         self._folder.cleanup()
 
@@ -120,28 +120,28 @@
 
     async def add_backend(self, name: str) -> BackendNode:
         """Start a backend and register it with its own session."""
-        box = self.backends[name] = BackendNode(name, Backend(name, lambda asked: self._work(box, asked)))
-        await box.backend.listen()
-        self.register(box)
-        return box
+        node = self.backends[name] = BackendNode(name, Backend(name, lambda asked: self._work(node, asked)))
+        await node.backend.listen()
+        self.register(node)
+        return node
 
-    def register(self, box: BackendNode) -> None:
+    def register(self, node: BackendNode) -> None:
         """Create the backend's node with a new session."""
-        data = json.dumps({"address": box.backend.address, "since_ms": 1000}).encode()
-        box.removed = float("inf")
-        box.session = self.cluster.box(f"{FOLDER}/{box.name}", data)
+        data = json.dumps({"address": node.backend.address, "since_ms": 1000}).encode()
+        node.removed = float("inf")
+        node.session = self.cluster.box(f"{FOLDER}/{node.name}", data)
 
     def expire(self, name: str) -> BackendNode:
         """End a backend's session, which removes its node; the backend goes on running."""
-        box = self.backends.pop(name)
-        self._ended.append(box)
-        self.cluster.ensemble.end(box.session)
-        box.removed = self._loop.time()
-        return box
-
-    async def _work(self, box: BackendNode, asked: Asked) -> Answer:
-        if self._loop.time() > box.removed + self._grace:
-            box.late += 1
+        node = self.backends.pop(name)
+        self._ended.append(node)
+        self.cluster.ensemble.end(node.session)
+        node.removed = self._loop.time()
+        return node
+
+    async def _work(self, node: BackendNode, asked: Asked) -> Answer:
+        if self._loop.time() > node.removed + self._grace:
+            node.late += 1
         await asyncio.sleep(WORK)
         return 200, b"done"
 
@@ -210,12 +210,12 @@
         self._stopping = True
         await asyncio.gather(*self._callers)
         self._callers.clear()
-        boxes = [*self.backends.values(), *self._ended]
+        nodes = [*self.backends.values(), *self._ended]
         ran: dict[str, int] = {}
-        for box in boxes:
-            for request_id, count in box.backend.ran.items():
+        for node in nodes:
+            for request_id, count in node.backend.ran.items():
                 ran[request_id] = ran.get(request_id, 0) + count
         doubled = sum(count - 1 for request_id, count in ran.items() if request_id.startswith("book") and count > 1)
         return Counts(
-            self.sent, self.tally.statuses.get(0, 0), doubled, sum(box.late for box in boxes), dict(self.tally.statuses)
+            self.sent, self.tally.statuses.get(0, 0), doubled, sum(node.late for node in nodes), dict(self.tally.statuses)
         )
