--- a/lugspur/bench/registry.py
+++ b/lugspur/bench/registry.py
@@ -36,7 +36,7 @@
         for at in range(4):
             await trial.add_backend(f"box-{at}")
         await trial.start()
-        trial.play(rate)
+        trial.start_load(rate)
         for at in range(4, 4 + count):
             node = await trial.add_backend(f"box-{at}")
             seen = trial.backends[f"box-{at - 4}"].backend
@@ -62,7 +62,9 @@
 async def _wait_until_all_serve(trial: Trial) -> None:
     """Wait until each backend has received a new request, which shows that none has left the pool."""
     before = {name: node.backend.ran.total() for name, node in trial.backends.items()}
-    await trial.wait_until(lambda: all(node.backend.ran.total() > before[name] for name, node in trial.backends.items()))
+    await trial.wait_until(
+        lambda: all(node.backend.ran.total() > before[name] for name, node in trial.backends.items())
+    )
 
 
 async def _restart_servers(trial: Trial, said: str) -> None:
@@ -181,7 +183,7 @@
         for at in range(3):
             await trial.add_backend(f"box-{at}")
         await trial.start()
-        trial.play(rate)
+        trial.start_load(rate)
         await trial.wait_for_responses(20)
         await FAULTS[name].play(trial, seconds)
         return await trial.stop_load()
--- a/lugspur/bench/trial.py
+++ b/lugspur/bench/trial.py
@@ -183,7 +183,7 @@
 
     # ---- the load ----------------------------------------------------------------------------
 
-    def play(self, rate: float) -> None:
+    def start_load(self, rate: float) -> None:
         """Start a load of this many requests a second, every third of which is unsafe."""
         self._callers = [self._loop.create_task(self._caller(at, CONNECTIONS / rate)) for at in range(CONNECTIONS)]
 
@@ -217,5 +217,9 @@
                 ran[request_id] = ran.get(request_id, 0) + count
         doubled = sum(count - 1 for request_id, count in ran.items() if request_id.startswith("book") and count > 1)
         return Counts(
-            self.sent, self.tally.statuses.get(0, 0), doubled, sum(node.late for node in nodes), dict(self.tally.statuses)
+            self.sent,
+            self.tally.statuses.get(0, 0),
+            doubled,
+            sum(node.late for node in nodes),
+            dict(self.tally.statuses),
         )
--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -51,7 +51,7 @@
                 await trial.add_backend(f"box-{at}")
             await other.listen(("127.0.0.1", 0))
             await trial.start()
-            trial.play(100.0)
+            trial.start_load(100.0)
             await trial.wait_for_responses(20)
             target = other if change == "ensemble" else trial.cluster
             folder = FOLDER if change == "ensemble" else "/elsewhere"
