--- a/lugspur/bench/fleet.py
+++ b/lugspur/bench/fleet.py
@@ -108,11 +108,11 @@
         lease: float = 1.0,
         period: float = 0.2,
         electors: int = 3,
-        memory: bool = True,
+        persist_promises: bool = True,
         extra_settings: str = "",
     ) -> None:
         self.extra_settings = extra_settings  # text that is appended to each settings file
-        self.lease, self.period, self.electors, self.memory = lease, period, electors, memory
+        self.lease, self.period, self.electors, self.persist_promises = lease, period, electors, persist_promises
         self.rng = Random(seed)
         self.loss = 0.0
         self.is_cut: Callable[[int, int], bool] = lambda origin, to: False
@@ -171,7 +171,7 @@
     async def start(self, number: int) -> None:
         """Start a member's process, also after its end."""
         member = self.members[number]
-        folder = 'folder = "promises"' if self.memory and number < self.electors else ""
+        folder = 'folder = "promises"' if self.persist_promises and number < self.electors else ""
         file = member.folder / "file.toml"
         file.write_text(
             SETTINGS_TEMPLATE.format(
--- a/tests/daemon/test_fleet_processes.py
+++ b/tests/daemon/test_fleet_processes.py
@@ -25,7 +25,7 @@
     """Run a course of faults; fail if two members led at one time, or if the leader changed less often than `least`."""
 
     async def run() -> None:
-        async with Rig(folder, count, lease=lease, memory=memory) as rig:
+        async with Rig(folder, count, lease=lease, persist_promises=memory) as rig:
             await rig.wait_until_agreed()
             await rig.wait_for_holder()
             await what(rig)
