--- a/tests/daemon/test_registry.py
+++ b/tests/daemon/test_registry.py
@@ -14,7 +14,7 @@
 from daemonic import HEAD, Served, ask, backend, pool, route, served, until
 from loopback import OK, status
 
-from lugspur.bench.registry import FAULTS, expiries, fault, followers, sizes
+from lugspur.bench.registry import FAULTS, measure_expiries, measure_followers, measure_sizes, run_fault
 from lugspur.bench.trial import FOLDER, Trial
 from lugspur.discovery.endpoints import Endpoint, server_id
 from lugspur.discovery.registry_source import RegistrySource
@@ -32,14 +32,14 @@
 
 
 def test_boxes_whose_sessions_expire_get_nothing_new_under_load() -> None:
-    lags, counts = asyncio.run(expiries(3, 50.0, WIDE_GRACE))
-    assert counts.kept and set(counts.statuses) == {200} and lags[-1] < WIDE_GRACE
+    lags, counts = asyncio.run(measure_expiries(3, 50.0, WIDE_GRACE))
+    assert counts.passed and set(counts.statuses) == {200} and lags[-1] < WIDE_GRACE
 
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_nothing_is_lost_doubled_or_late_through_a_fault(name: str) -> None:
-    counts = asyncio.run(fault(name, FAULTS[name].short, 100.0, WIDE_GRACE))
-    assert counts.kept, str(counts)
+    counts = asyncio.run(run_fault(name, FAULTS[name].short, 100.0, WIDE_GRACE))
+    assert counts.passed, str(counts)
     assert set(counts.statuses) <= ({200, 503} if name == "restored" else {200})
 
 
@@ -48,39 +48,39 @@
     async def play() -> None:
         async with Trial(grace=WIDE_GRACE) as trial, Cluster() as other:
             for at in range(3):
-                await trial.box(f"box-{at}")
+                await trial.add_backend(f"box-{at}")
             await other.listen(("127.0.0.1", 0))
             await trial.start()
-            trial.play(100.0)
-            await trial.served(20)
+            trial.start_load(100.0)
+            await trial.wait_for_responses(20)
             target = other if change == "ensemble" else trial.cluster
             folder = FOLDER if change == "ensemble" else "/elsewhere"
             for name in ("box-0", "box-1"):
-                address = trial.boxes[name].backend.address
+                address = trial.backends[name].backend.address
                 target.register_backend(f"{folder}/{name}", json.dumps({"address": address}).encode())
             before = len(trial.lines)
             trial.write(target.addresses, folder)
             trial.daemon.send_signal(signal.SIGHUP)
-            await trial.said("2 backends", before)
-            trial.boxes["box-2"].removed = asyncio.get_running_loop().time()
-            await trial.served(50)
+            await trial.wait_for_log("2 backends", before)
+            trial.backends["box-2"].removed = asyncio.get_running_loop().time()
+            await trial.wait_for_responses(50)
             if change == "ensemble":  # nobody uses the former session: it is closed
-                await trial.until(
+                await trial.wait_until(
                     lambda: not any(session.server for session in trial.cluster.ensemble.sessions.values())
                 )
-            counts = await trial.stop()
-            assert counts.kept and set(counts.statuses) == {200}
+            counts = await trial.stop_load()
+            assert counts.passed and set(counts.statuses) == {200}
 
     asyncio.run(play())
 
 
 def test_a_change_costs_one_request_and_a_node_one_read() -> None:
-    [size] = asyncio.run(sizes((30,), 200, 2_000))
+    [size] = asyncio.run(measure_sizes((30,), 200, 2_000))
     assert size.reads == 30 and size.asked <= 1.1
 
 
 def test_our_client_follows_what_kazoo_follows() -> None:
-    ours, kazoo = asyncio.run(followers(20, changes=3))
+    ours, kazoo = asyncio.run(measure_followers(20, changes=3))
     assert ours.nodes == 20 and kazoo.nodes == 23 and (ours.threads, kazoo.threads) > (0, 1)
 
 
