--- a/lugspur/mesh/control/proposer.py
+++ b/lugspur/mesh/control/proposer.py
@@ -187,9 +187,8 @@
         proposal.promises[ip] = message
         if proposal.phase is not Phase.PREPARE or len(proposal.promises) < proposal.majority:
             return Effects()
-        self._expire(
-            now
-        )  # guards against proposing requests that have expired, for example while the process was frozen
+        # Guards against proposing requests that have expired, for example while the process was frozen.
+        self._expire(now)
         proposal.change = self._highest_accepted(proposal) or self._evaluate_requests()
         if proposal.change is None and self._has_pending_change:
             # An empty change takes the index, so that a value that only a minority has accepted can't be decided there.
--- a/lugspur/mesh/dataplane/key_reservation.py
+++ b/lugspur/mesh/dataplane/key_reservation.py
@@ -32,8 +32,8 @@
     def __init__(self, keys: KeyReservations, key: bytes, owner: bytes) -> None:
         """`owner` is the unique id of this reservation."""
         self._keys, self.key, self.owner = keys, key, owner
-        self.is_held = False  # it was acquired, and must be released if nothing runs
-        self.label = ""  # its outcome; empty while it is pending
+        self.is_held = False  # the reservation was acquired, and must be released if nothing runs
+        self.label = ""  # outcome of the reservation; empty while it is pending
 
     def reserve(self, seconds_left: float, on_outcome: Callable[[ReservationOutcome], None]) -> None:
         """Request the reservation; `seconds_left` is the time until the deadline of the request."""
--- a/lugspur/mesh/dataplane/local_backend.py
+++ b/lugspur/mesh/dataplane/local_backend.py
@@ -26,10 +26,10 @@
         self.id, self.service = ident, service
         self.backend = Backend(read_address(address))
         self.backend.in_service = True
-        self.concurrency = 1  # requests that it can run at once, as declared in its heartbeats
-        self.sequence = -1  # sequence number of its latest heartbeat
+        self.concurrency = 1  # requests that the backend can run at once, as declared in its heartbeats
+        self.sequence = -1  # sequence number of the backend's latest heartbeat
         self.state = "accepting"
-        self.closing_at = float("inf")  # when it announced that it is closing
+        self.closing_at = float("inf")  # when the backend announced that it is closing
         self.last_heartbeat_at = now
-        self.slow_start_until = now  # end of its slow start
-        self.is_unreachable = False  # it has refused a connection since its latest heartbeat
+        self.slow_start_until = now  # end of the backend's slow start
+        self.is_unreachable = False  # the backend has refused a connection since its latest heartbeat
--- a/lugspur/mesh/dataplane/request_outcome.py
+++ b/lugspur/mesh/dataplane/request_outcome.py
@@ -9,7 +9,7 @@
     """What is known about an attempt that has ended; the numbers are part of the wire protocol and must not change."""
 
     ANSWERED = 0  # the complete response of the backend has arrived
-    NOT_RUN = 1  # it is proven that the backend has not run the request and never will
+    NOT_RUN = 1  # the backend has provably not run the request and never will
     UNKNOWN = 2  # the request was sent, and it is not known whether it has run
     INVALID_RESPONSE = 3  # the request was sent, and its response is invalid or belongs to another request
 
--- a/lugspur/mesh/settings.py
+++ b/lugspur/mesh/settings.py
@@ -15,13 +15,14 @@
 SETTINGS_VARIABLE = "LUGSPUR_NODE_FILE"  # environment variable with the path of the file
 DEFAULT_SETTINGS_PATH = "/etc/lugspur/settings.toml"
 MAX_PORT = 65535
+# Periods that must not be 0.
 POSITIVE_BOUNDS = (
     "edition_ms",
     "stamp_window_s",
     "grace_s",
     "retry_window_s",
     "history_s",
-)  # periods that must not be 0
+)
 #: The parts of the operators' rules that this build implements, by their names in `tariffs.contracts`.
 SERVED_CONTRACTS = frozenset({"base", "drain", "config", "cost", "retry", "recover", "health", "pool", "keys", "coord"})
 Number = float | int  # TOML distinguishes 1 and 1.0; operators may write either
