--- a/lugspur/http1/dial.py
+++ b/lugspur/http1/dial.py
@@ -37,7 +37,7 @@
 
 
 class Dial(Generic[ExchangeT]):
-    """A connection that is being established; the dialler is told of the connection or of the failure.
+    """A connection that is being established; the dialler is notified of the connection or of the failure.
 
     Sockets are connected and read through the loop's readers and writers: a task and a transport for each would
     cost more than everything else that an attempt needs of the loop.
--- a/lugspur/http1/front.py
+++ b/lugspur/http1/front.py
@@ -374,7 +374,7 @@
             self.move(front.idle, front.last_accept + front.idle_timeout)
         else:
             self.move(front.fresh, front.last_accept + front.first_request_timeout)
-        if front.transfer_socket is not None:  # it was accepted just before the handover began
+        if front.transfer_socket is not None:  # the connection was accepted just before the handover began
             self._loop.call_soon(self.transfer)
         front.full(self)  # Guards the limit on file descriptors: another connection that can be closed is closed.
 
--- a/lugspur/http1/upstream.py
+++ b/lugspur/http1/upstream.py
@@ -63,7 +63,7 @@
 
     def __init__(self, address: Address, server: int = 0) -> None:
         self.move(address)
-        self.server = server  # its number in the endpoint list
+        self.server = server  # the backend's number in the endpoint list
         self.started = 0.0
         self.in_service = False
         self.idle: list[Connection] = []
@@ -541,8 +541,8 @@
             named = {token.strip() for token in self._connection_options.split(b",")}
             self._head = [line for line in self._head if line.partition(b":")[0].lower() not in named]
         if self._is_head_request() and not self._invalid:
-            # Guards the next request against a body that was announced and follows after all: it couldn't be told
-            # from a response. Costs a connection for each HEAD request.
+            # Guards the next request against a body that was announced and follows after all: the proxy couldn't
+            # distinguish such a body from the next response. Costs a connection for each HEAD request.
             self._is_reusable = False
             self._response = Response(status, b"".join(self._head), b"", self._length)
 
--- a/lugspur/http2/front.py
+++ b/lugspur/http2/front.py
@@ -92,7 +92,7 @@
         if self._body is not None:
             now = self.connection.loop.time()
             due_at = self._rate_start + self._body.received / MIN_BODY_RATE + BODY_RATE_GRACE
-            if self._backend_full_since or now < due_at:  # it waits for the backend, or is fast enough
+            if self._backend_full_since or now < due_at:  # the body waits for the backend, or is fast enough
                 self._set_timer(max(due_at, now + BODY_RATE_GRACE))
                 return
         self.connection.reject_stream(self, RejectionError(408, "the request took too long"))
@@ -314,7 +314,7 @@
 
 
 class Call(Stream):
-    """A gRPC call, unary or streaming; it is the `Form` of its request (interfaces.py)."""
+    """A gRPC call, unary or streaming; it is the `GrpcForm` of its request (interfaces.py)."""
 
     forwards_underscores = True  # metadata is forwarded unchanged
 
@@ -366,7 +366,7 @@
         )
         if counter.complete_count + counter.has_open_message > 1 or exceeds_limit:
             self._start_streaming()
-        elif counter.has_open_message:  # its length is known: wait for its end
+        elif counter.has_open_message:  # the length of the open message is known: wait for its end
             self._limit_receive_time()
         else:
             self._schedule_streaming()
@@ -410,7 +410,7 @@
     # ---- the response --------------------------------------------------------------------------
 
     def streaming_receiver(self) -> StreamingReceiver | None:
-        """Return None: a gRPC response has trailers and is forwarded by the request's `Form`."""
+        """Return None: a gRPC response has trailers and is forwarded by the request's `GrpcForm`."""
         return None
 
     def reject(self, fault: RejectionError) -> None:
--- a/lugspur/http2/upstream.py
+++ b/lugspur/http2/upstream.py
@@ -34,9 +34,8 @@
 from lugspur.pipe import Pipe
 from lugspur.routing.shares import SharedLimit
 
-MAX_CONNECTIONS_PER_BACKEND = (
-    4  # connections to one backend; one core of a backend rarely serves more than one at full speed
-)
+# Connections to one backend; one core of a backend rarely serves more than one at full speed.
+MAX_CONNECTIONS_PER_BACKEND = 4
 STREAMS_BEFORE_NEW_CONNECTION = 32  # streams on every connection to a backend before another connection is opened
 # Bytes of a response's single message that are held back: while none has been forwarded, a failed attempt can be
 # followed by another.
--- a/lugspur/interfaces.py
+++ b/lugspur/interfaces.py
@@ -26,7 +26,7 @@
     arrived: float
     keep_alive: bool
     configuration: Any = None  # the daemon's configuration when the head was received
-    grpc_form: GrpcForm | None = None  # what a gRPC request has beyond this
+    grpc_form: GrpcForm | None = None  # what a gRPC request has in addition to these fields
     stream: Body | None = None  # the body, if it is streamed
     ended: float = 0.0  # the loop's time of the last byte; for a stream, of the last byte before delivery
     is_http10: bool = False  # HTTP/1.0: the sender doesn't support chunks
@@ -137,7 +137,7 @@
 
     address: Address
     family: int | None  # address family of a numeric address; None: the name has to be resolved
-    server: int  # its number in the endpoint list
+    server: int  # the backend's number in the endpoint list
     started: float
     in_service: bool
 
