--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -186,7 +186,8 @@
             return
         former, self._source_key = self._source, origin
         self._source = self._create_source(row, config_path, ensemble)
-        self._source.open()  # before the former closes, so that a session both use stays open
+        # The new source opens before the former closes, so that a session that both use stays open.
+        self._source.open()
         if former is not None:
             former.close()  # its endpoints stay until the new source delivers a complete list
 
--- a/lugspur/daemon/registrations.py
+++ b/lugspur/daemon/registrations.py
@@ -14,9 +14,8 @@
 from lugspur.discovery.health_check import CheckResult
 from lugspur.discovery.registry_sessions import RegistrySessions
 
-RegistrationSettings = tuple[
-    model.Registration, model.Registry, Address, str
-]  # the settings that a node is created from
+# The settings that a node is created from.
+RegistrationSettings = tuple[model.Registration, model.Registry, Address, str]
 
 
 class ListenerRegistrations:
--- a/lugspur/daemon/request_coalescing.py
+++ b/lugspur/daemon/request_coalescing.py
@@ -31,7 +31,8 @@
 
 MAX_RESPONSES_PER_TURN = 32  # written in one turn of the event loop, so that reads and timers run between turns
 COPIES_MEMORY_SHARE = 0.25  # share of the memory limit for copies of one response whose callers read slowly
-RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"  # it is not known when there will be room to wait
+# The value is fixed, as the time at which there will be room to wait is unknown.
+RETRY_AFTER_HEADER = b"Retry-After: 1\r\n"
 
 Submit = Callable[[RequestContext, Responder], None]
 Write = Callable[["WaitingRequest"], None]
--- a/lugspur/joining/flight_table.py
+++ b/lugspur/joining/flight_table.py
@@ -102,8 +102,8 @@
     """One call and the reads that wait for it."""
 
     number: int
-    key: Hashable  # what its members have in common, including the variant
-    base_key: Hashable  # what its members have in common, without the variant
+    key: Hashable  # what the members of the flight have in common, including the variant
+    base_key: Hashable  # what the members of the flight have in common, without the variant
     started_at: float  # in seconds of the caller's clock
     tenant: str  # of the leader, under which the call is made
     selecting_values: Mapping[bytes, bytes]  # of the leader
--- a/lugspur/observability/metrics.py
+++ b/lugspur/observability/metrics.py
@@ -27,7 +27,7 @@
 class MetricKind(enum.Enum):
     """The type of a metric."""
 
-    COUNTER = "counter"  # it only increases while the process runs
+    COUNTER = "counter"  # a value that only increases while the process runs
     GAUGE = "gauge"  # the current value
 
 
