--- a/lugspur/bench/explore.py
+++ b/lugspur/bench/explore.py
@@ -37,7 +37,7 @@
 # How far both clocks are from their mean, relative to it. The small addend keeps rounding from counting as a violation.
 CLOCK_DRIFT = (FAST_RATE - SLOW_RATE) / (FAST_RATE + SLOW_RATE) + 1e-9
 VOTERS = ("x", "y", "z")
-CANDIDATES = ("a", "b")  # they compete for the lease
+CANDIDATES = ("a", "b")  # names of the nodes that compete for the lease
 # The wall clock at a voter's restart is this many times the voter's clock plus 1, so that it is later at each restart.
 WALL_CLOCK_SCALE = 100
 
--- a/lugspur/bench/soak/faulty_backends.py
+++ b/lugspur/bench/soak/faulty_backends.py
@@ -153,9 +153,7 @@
             while self.mode is ResponseMode.SILENT:
                 await asyncio.sleep(PIECE_SECONDS)
             return False
-        if mode in (
-            ResponseMode.WRONG_ID,
-            ResponseMode.DUPLICATE_ID,
-        ):  # a daemon's backends echo no ID in a header, so the daemon could not tell
+        # A daemon's backends echo no ID in a header, so the daemon could not detect a wrong or duplicate one.
+        if mode in (ResponseMode.WRONG_ID, ResponseMode.DUPLICATE_ID):
             mode = ResponseMode.ERROR_STATUS
         return await write_response(mode, response, ident, writer, self.rng)
--- a/lugspur/emulator/control/faults.py
+++ b/lugspur/emulator/control/faults.py
@@ -213,7 +213,7 @@
 
         def check_progress() -> None:
             if world.nodes.get(ip) is not node or not node.is_running or node.incarnation_number != incarnation_number:
-                self._lost_until[ip] = world.now + CATCH_UP_S  # it lost its power in the meantime
+                self._lost_until[ip] = world.now + CATCH_UP_S  # the node lost its power in the meantime
                 return
             if world.now < min(until, killed) and not node.may_stop():
                 self._schedule(0.1, check_progress)
--- a/lugspur/emulator/coordination/network.py
+++ b/lugspur/emulator/coordination/network.py
@@ -23,9 +23,8 @@
     listener: str
     is_open: bool = True
     last_delivery: dict[str, float] = field(default_factory=dict)  # time of the last delivery, by receiver
-    undelivered: list[Callable[[], None]] = field(
-        default_factory=list
-    )  # deliveries that wait for the end of a partition
+    # Deliveries that wait for the end of a partition.
+    undelivered: list[Callable[[], None]] = field(default_factory=list)
 
 
 class Network:
