--- a/lugspur/daemon/cluster.py
+++ b/lugspur/daemon/cluster.py
@@ -53,7 +53,7 @@
         self, name: str, sockets: SharedLimit, owner: PoolOwner, epoch: float, registries: RegistrySessions
     ) -> None:
         self.name = name
-        self.standing = PoolHealth()
+        self.health = PoolHealth()
         self.overrides = EndpointOverrides()
         self._registries = registries
         self._sockets, self._owner, self._epoch = sockets, owner, epoch
@@ -170,9 +170,9 @@
 
     def _record_connection_attempt(self, server: int, up: bool) -> None:
         if up:
-            self.standing.mark_reachable(server)
+            self.health.mark_reachable(server)
         else:
-            self.standing.mark_unreachable(self._loop.time(), server)
+            self.health.mark_unreachable(self._loop.time(), server)
         if self.on_connection_attempt is not None:
             self.on_connection_attempt(self.name, server, up)
 
@@ -247,7 +247,7 @@
         self.pool.update_endpoints(kind, endpoints)
         self.speaks_grpc = any(backend.transport is not None for backend in self.pool.backends.values())
         up = (key for key, server in self.pool.balancer.table.servers.items() if server.row.state is ServerState.UP)
-        self.standing.set_backends(up)
+        self.health.set_backends(up)
         if self.on_endpoints_changed is not None:
             self.on_endpoints_changed(self.name)
 
--- a/lugspur/daemon/daemon.py
+++ b/lugspur/daemon/daemon.py
@@ -103,11 +103,11 @@
                 snapshot,
                 snapshot_age,
             )
-        standings = {name: cluster.standing for name, cluster in self.clusters.items()}
+        pool_health = {name: cluster.health for name, cluster in self.clusters.items()}
         self.coalescer.tune(limits.joined, limits.memory)
         self._apply_overload_protection(plan)
         self._reloads += 1
-        self.configuration = LoadedConfiguration(plan, dict(self.clusters), standings, self._reloads)
+        self.configuration = LoadedConfiguration(plan, dict(self.clusters), pool_health, self._reloads)
 
     def _apply_overload_protection(self, plan: Plan) -> None:
         """Start or stop the overload protection, or change its classes, as configured."""
@@ -171,7 +171,7 @@
         if not name:
             return front.healthy()
         cluster = self.clusters.get(name)
-        return None if cluster is None else cluster.standing.is_usable(self._loop.time()) and front.healthy()
+        return None if cluster is None else cluster.health.is_usable(self._loop.time()) and front.healthy()
 
     # ---- requests ------------------------------------------------------------------------------
 
@@ -349,7 +349,7 @@
         """Fail over to the next pool if this one has no usable backend and nothing ran; otherwise respond with 503."""
         context = _context_of(call)
         cluster, now = context.cluster, self._loop.time()
-        fallbacks = [other for other in context.fallback_clusters if other.standing.is_usable(now)]
+        fallbacks = [other for other in context.fallback_clusters if other.health.is_usable(now)]
         stream = context.request.stream
         # Whether a part of the body is no longer buffered.
         body_partly_dropped = stream is not None and stream.is_partly_dropped
@@ -357,7 +357,7 @@
             fallbacks
             and not body_partly_dropped
             and not call.may_have_run
-            and not cluster.standing.is_usable(now)
+            and not cluster.health.is_usable(now)
             and now < call.deadline
         ):
             caller = cluster.pool.release(call)
--- a/tests/daemon/test_failures.py
+++ b/tests/daemon/test_failures.py
@@ -49,14 +49,14 @@
                 client = await up.client()
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 1
                 write_list(entry)
-                await until(lambda: not up.daemon.clusters["a"].standing.is_empty())
+                await until(lambda: not up.daemon.clusters["a"].health.is_empty())
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and one.got.qsize() == 1
                 write_list(*([entry | {"status": "terminating"}] if left == "drained" else []))
-                await until(up.daemon.clusters["a"].standing.is_empty)
+                await until(up.daemon.clusters["a"].health.is_empty)
                 assert status(await client.ask(ask("POST", "/book", b"x"))) == 200 and two.got.qsize() == 2
                 listed.write_text("{ not a list")
                 write_list(entry)
-                await until(lambda: not up.daemon.clusters["a"].standing.is_empty())
+                await until(lambda: not up.daemon.clusters["a"].health.is_empty())
 
     asyncio.run(play())
 
@@ -87,7 +87,7 @@
                 await soon(one.got.get())
                 cluster = up.daemon.clusters["a"]
                 for server in cluster.pool.backends:
-                    cluster.standing.mark_unreachable(asyncio.get_running_loop().time(), server)
+                    cluster.health.mark_unreachable(asyncio.get_running_loop().time(), server)
                 one.open[0].close()
                 assert status(await client.answer()) == expected and two.got.empty()
 
@@ -211,11 +211,11 @@
                 assert await soon(discovery.asked.get()) == "/v1/servers?follow=1&since=0"
                 assert status(await client.ask(ask())) == 503
                 discovery.say(3, [entry("one", one.address)], snapshot=True)
-                standing = up.daemon.clusters["a"].standing
-                await until(lambda: not standing.is_empty())
+                health = up.daemon.clusters["a"].health
+                await until(lambda: not health.is_empty())
                 assert status(await client.ask(ask())) == 200
                 discovery.say(4, [entry("one", one.address, "terminating")])
-                await until(standing.is_empty)
+                await until(health.is_empty)
                 assert status(await client.ask(ask())) == 503 and one.got.qsize() == 1
             await soon(discovery.ended.get())  # a daemon closes its watch when it stops
 
@@ -229,8 +229,8 @@
             async with served(f'[pools.a]\nwatch = "127.0.0.1:{discovery.port}"\n' + way) as up:
                 await soon(discovery.asked.get())
                 discovery.say(3, [entry("one", UNREACHABLE)], snapshot=True)
-                standing = up.daemon.clusters["a"].standing
-                await until(lambda: not standing.is_empty())
+                health = up.daemon.clusters["a"].health
+                await until(lambda: not health.is_empty())
                 await up.reload(pool("a", one.address) + way)
                 await soon(discovery.ended.get())
                 client = await up.client()
@@ -244,9 +244,9 @@
     async def play() -> None:
         async with backend(lambda _: OK) as one:
             async with served('[pools.a]\nfile = "a.json"\n' + route("r", "/", 'pool = "a"')) as up:
-                listed, standing = up.file.with_name("a.json"), up.daemon.clusters["a"].standing
+                listed, health = up.file.with_name("a.json"), up.daemon.clusters["a"].health
                 listed.write_text(json.dumps({"endpoints": [entry("one", one.address)]}))
-                await until(lambda: not standing.is_empty())
+                await until(lambda: not health.is_empty())
                 assert capsys.readouterr().err.count("\n") == 1  # one line says that there was no list at first
                 for malformed in ("[]", '{"endpoints": [{"name": "x"}]}', '{"endpoints": 7}', "\x00"):
                     logged_bytes = len(capsys.readouterr().err)
@@ -258,7 +258,7 @@
                         )
                     )
                     assert logged_bytes == 0 and "the last list stays" in "".join(complaints)
-                    assert not standing.is_empty()
+                    assert not health.is_empty()
                 client = await up.client()
                 assert status(await client.ask(ask())) == 200
 
--- a/tests/daemon/test_peers.py
+++ b/tests/daemon/test_peers.py
@@ -29,10 +29,10 @@
             assert peers is not None and set(peers.candidates) == {"mine", "probe:p"}
             cluster = up.daemon.clusters["p"]
             cluster.set_unhealthy(set(cluster.overrides.latest), cluster.pool.now())
-            assert cluster.standing.is_empty()
+            assert cluster.health.is_empty()
             await up.reload(CHECKED.replace('check = { every = "1s" }', "") + FLEET)
             assert set(peers.candidates) == {"mine"}
-            assert cluster.on_connection_attempt is None and not cluster.standing.is_empty()
+            assert cluster.on_connection_attempt is None and not cluster.health.is_empty()
             await up.reload(CHECKED + FLEET)
             assert set(peers.candidates) == {"mine", "probe:p"} and cluster.on_connection_attempt is not None
 
@@ -61,9 +61,9 @@
             cluster.set_unhealthy({server}, cluster.pool.now())
             cluster.set_banned(server, True, cluster.pool.now())
             cluster.set_unhealthy(set(), cluster.pool.now())
-            assert cluster.standing.is_empty()
+            assert cluster.health.is_empty()
             cluster.set_banned(server, False, cluster.pool.now())
-            assert not cluster.standing.is_empty()
+            assert not cluster.health.is_empty()
 
     asyncio.run(play())
 
