--- a/lugspur/mesh/coordination/proposer.py
+++ b/lugspur/mesh/coordination/proposer.py
@@ -408,7 +408,7 @@
     def _fail_as_unclear(batch: Batch) -> None:
         for item in batch.items:
             if isinstance(item.result, CommandFailed):
-                item.pending.finish(item.result)  # the command's evaluation failed: it was no part of the change
+                item.pending.finish(item.result)  # the command failed in its evaluation and was no part of the change
             else:
                 item.pending.fail_as_unclear()
 
