--- a/tests/mesh/control_node/test_majority_contact.py
+++ b/tests/mesh/control_node/test_majority_contact.py
@@ -42,7 +42,7 @@
     assert majority.preferred_proposer(10.0) == FIRST  # the first voter and this node are two of three
     receive_update(
         freshness, 12.0, FIRST, echoed_at=10.0
-    )  # the first voter is heard but does not receive_update this node: a forwarded change would be lost
+    )  # the first voter is heard but does not hear this node: a forwarded change would be lost
     assert majority.age(12.0) > MAX_STALENESS and majority.preferred_proposer(12.0) == OWN
     receive_update(freshness, 13.0, FIRST)
     freshness.disconnected(FIRST)
