--- a/lugspur/emulator/capacity/__init__.py
+++ b/lugspur/emulator/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What the mesh costs by its size: tables and a plot from a sweep of the operators' bench."""
+"""Capacity planning: tables and a plot of resource use by mesh size, from a sweep of the operators' bench."""
--- a/lugspur/emulator/capacity/page.py
+++ b/lugspur/emulator/capacity/page.py
@@ -1,4 +1,4 @@
-"""The generated parts of docs/CAPACITY.md: tables between markers, made of one sweep's journal entry alone."""
+"""The generated parts of docs/CAPACITY.md: tables between markers, made only from the journal entry of one sweep."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 MARKERS = re.compile(r"(<!-- capacity:begin (\w+) -->\n).*?(<!-- capacity:end \2 -->)", re.S)
 
-#: What is allowed at the size, by role and quantity.
+#: Budgets at the design size, by role and quantity.
 BUDGETS = {
     ("sidecar", "processor %"): size.PROXY_CPU_PERCENT,
     ("sidecar", "memory MB"): size.PROXY_MEMORY_MB,
@@ -24,13 +24,14 @@
     ("operator", "config acked, ms"): size.IN_FORCE_MS,
     ("operator", "config in force, ms"): size.IN_FORCE_MS,
 }
-#: What carries the calls as well: the budget is for control alone, so that only a yes is a verdict.
-WITH_CALLS = {("sidecar", "processor %"), ("sidecar", "kB a second")}
+#: Quantities that also contain the proxied calls. Their budgets are for the control plane alone, so that a measurement
+#: within the budget shows that the budget is kept, while a measurement above it shows nothing.
+INCLUDES_CALLS = {("sidecar", "processor %"), ("sidecar", "kB a second")}
 
 
 @dataclass(frozen=True)
 class Slope:
-    """One row, the line through its busiest processes, and what that gives at the size; `budget` 0: none is set."""
+    """One row, the line through its busiest processes, and the budget at the design size; 0 if no budget is set."""
 
     row: Row
     line: Line
@@ -38,39 +39,42 @@
 
     @property
     def at_size(self) -> float:
-        """The line's value at the size, and at least what the largest sweep gave: nothing shows that it falls on."""
+        """Return the line's value at the design size, but at least the value measured with the most machines.
+
+        No measurement shows that a falling value continues to fall beyond the largest size of the sweep.
+        """
         return max(self.row.busiest[-1], self.line.at(size.PROXIES))
 
     @property
     def holds(self) -> str:
-        """yes or no, and by what factor."""
+        """Return whether the budget is kept, and by which factor."""
         if not self.budget:
             return "no budget set"
-        spare = self.budget / self.at_size if self.at_size else float("inf")
-        if spare >= 1.0:
-            return f"yes, {spare:.3g} times"
-        if (self.row.role, self.row.quantity) in WITH_CALLS:
+        headroom = self.budget / self.at_size if self.at_size else float("inf")
+        if headroom >= 1.0:
+            return f"yes, {headroom:.3g} times"
+        if (self.row.role, self.row.quantity) in INCLUDES_CALLS:
             return "**not shown**: its calls are in it"
-        return f"**no**, {1.0 / spare:.3g} times over"
+        return f"**no**, {1.0 / headroom:.3g} times over"
 
 
 def slopes(sweep: Sweep) -> list[Slope]:
-    """All rows of a sweep with their lines."""
-    found = []
+    """Return all rows of a sweep with their lines and budgets."""
+    result = []
     for row in sweep.rows:
         line = fit(list(zip(map(float, sweep.machines), row.busiest, strict=True)))
-        found.append(Slope(row, line, BUDGETS.get((row.role, row.quantity), 0.0)))
-    return found
+        result.append(Slope(row, line, BUDGETS.get((row.role, row.quantity), 0.0)))
+    return result
 
 
 def tables(sweep: Sweep) -> dict[str, str]:
-    """All generated parts by name."""
+    """Return all generated parts by name."""
     return {"source": _source(sweep), "days": _days(sweep), "slopes": _slopes(sweep)}
 
 
-def put(text: str, parts: dict[str, str]) -> str:
-    """The page with these parts between their markers; raises KeyError for a marker of no part."""
-    return MARKERS.sub(lambda found: found[1] + parts[found[2]] + found[3], text)
+def replace_parts(text: str, parts: dict[str, str]) -> str:
+    """Return the page with these parts between their markers; raises KeyError for a marker without a part."""
+    return MARKERS.sub(lambda match: match[1] + parts[match[2]] + match[3], text)
 
 
 def _table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
@@ -110,15 +114,17 @@
         (*head, f"at {size.PROXIES}", "allowed", "holds"),
         (
             (
-                one.row.role,
-                one.row.quantity,
-                "; ".join(f"{_figure(m)} / {_figure(b)}" for m, b in zip(one.row.middle, one.row.busiest, strict=True)),
-                _figure(100.0 * one.line.slope),
-                f"{one.line.r2:.2f}",
-                _figure(one.at_size),
-                _figure(one.budget) if one.budget else "",
-                one.holds,
+                slope.row.role,
+                slope.row.quantity,
+                "; ".join(
+                    f"{_figure(m)} / {_figure(b)}" for m, b in zip(slope.row.middle, slope.row.busiest, strict=True)
+                ),
+                _figure(100.0 * slope.line.slope),
+                f"{slope.line.r2:.2f}",
+                _figure(slope.at_size),
+                _figure(slope.budget) if slope.budget else "",
+                slope.holds,
             )
-            for one in slopes(sweep)
+            for slope in slopes(sweep)
         ),
     )
--- a/lugspur/emulator/capacity/sweep.py
+++ b/lugspur/emulator/capacity/sweep.py
@@ -1,4 +1,4 @@
-"""A sweep of the operators' bench as its journal entry has it: one day at several sizes, and each role's load there."""
+"""A sweep of the operators' bench, read from its journal entry: one day at several sizes, with each role's load."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 import msgspec
 
 JOURNAL = Path(__file__).parent.parent.parent.parent / "journal"
-HEAD = "middle / busiest or longest, by own machines"
+TABLE_HEADING = "middle / busiest or longest, by own machines"
 _PAIR = re.compile(r"(\S+) / (\S+)")
 
 
 class Day(msgspec.Struct):
-    """One size: its day, how many processes of ours it used, and how that ended."""
+    """The day at one size: the number of own processes that it used, and its results."""
 
     name: str
     score: float
@@ -23,8 +23,8 @@
     gate: bool
 
 
-class _Kind(msgspec.Struct):
-    """What tells a sweep from the other entries, whose fields differ."""
+class _EntryHeader(msgspec.Struct):
+    """The fields that distinguish a sweep from other journal entries, whose other fields differ."""
 
     cmd: str
     why: str = ""
@@ -32,7 +32,7 @@
 
 
 class Entry(msgspec.Struct):
-    """What is read of a journal entry; `at`: its beginning and end."""
+    """The fields of a journal entry that are read; `at` contains the times of its start and end."""
 
     id: str
     cmd: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One quantity of one role: by machines, the middle and the busiest process."""
+    """One quantity of one role: the median and the busiest process at each number of machines."""
 
     role: str
     quantity: str
@@ -57,32 +57,32 @@
 
 @dataclass(frozen=True)
 class Sweep:
-    """A whole sweep."""
+    """A complete sweep: its journal entry, its numbers of machines and the rows of its table."""
 
     entry: Entry
     machines: tuple[int, ...]
     rows: tuple[Row, ...]
 
 
-class NoSweep(Exception):
-    """The journal has no sweep that ran to its end."""
+class NoSweepError(Exception):
+    """The journal has no complete sweep."""
 
 
-def newest(folder: Path = JOURNAL) -> Sweep:
-    """The latest sweep that is no trial; raises NoSweep."""
+def newest_sweep(folder: Path = JOURNAL) -> Sweep:
+    """Return the latest complete sweep that is no trial; raises NoSweepError."""
     for path in sorted(folder.glob("*.json"), reverse=True):
         content = path.read_bytes()
-        kind = msgspec.json.decode(content, type=_Kind)
-        if kind.cmd == "sweep" and kind.ok and not kind.why.startswith("trial"):
-            return read(msgspec.json.decode(content, type=Entry))
-    raise NoSweep(f"no sweep in {folder}: fleetbench sweep SITE")
+        header = msgspec.json.decode(content, type=_EntryHeader)
+        if header.cmd == "sweep" and header.ok and not header.why.startswith("trial"):
+            return parse_sweep(msgspec.json.decode(content, type=Entry))
+    raise NoSweepError(f"no complete sweep in {folder}; run `fleetbench sweep SITE`")
 
 
-def read(entry: Entry) -> Sweep:
-    """The table of an entry's digest; raises ValueError where it has none."""
-    lines = entry.digest.split(HEAD, 1)
+def parse_sweep(entry: Entry) -> Sweep:
+    """Parse the table in an entry's digest; raises ValueError if there is none."""
+    lines = entry.digest.split(TABLE_HEADING, 1)
     if len(lines) < 2:
-        raise ValueError(f"sweep {entry.id} has no table")
+        raise ValueError(f"the digest of sweep {entry.id} has no table")
     sizes, *rest = lines[1].strip("\n").split("\n")
     machines = tuple(int(word) for word in sizes.partition("power")[0].split())
     rows = []
